--- a/balancer/src/fleet/records/tests.rs
+++ b/balancer/src/fleet/records/tests.rs
@@ -39,3 +39,41 @@
     assert_eq!(read_version(&4_u128.to_be_bytes(), &version(&fact)), Some(fact));
     assert_eq!(read_former(&former(40.0, 5)), Some(40.0));
 }
+
+/// Records as the first released program wrote them, in hexadecimal digits.
+const WRITTEN: &str = include_str!("../data/records.hex");
+
+#[test]
+fn writes_every_record_as_it_was_first_written() {
+    let listed = Listed {
+        instance_id: "s0".into(),
+        host_port: Some(([127, 0, 0, 1], 9).into()),
+        zone: "a".into(),
+        machine_type: "m4".into(),
+        cell: 3,
+        lifecycle: Lifecycle::Deleted,
+        weight: 2.5,
+        started_at_ms: 77,
+    };
+    let placed = Placement {
+        key: Key(5),
+        group: Some(Group(7)),
+        server: Tag(9),
+        version: Version(1 << 64 | 11),
+        stamp: Stamp(13),
+        seen_s: 12,
+        state: State::Ended(How::MovedLeaving),
+        twins: 2,
+    };
+    let fact = VersionFact { version: Version(4), reign: 1, serial: 2, since: 3, runs: 4 };
+    let written = [
+        list(&List { generation: 8, reset: true, instances: vec![listed] }, 2, 5).value,
+        placement(&placed),
+        version(&fact),
+        former(40.0, 5).value,
+        uplink(true, Some(9), 5).value,
+    ];
+    let hex = |bytes: &Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    assert_eq!(written.iter().map(hex).collect::<Vec<_>>().join("\n"), WRITTEN.trim_end());
+    assert_eq!([LIST, VERSION, FORMER, PLACEMENT, UPLINK], [1, 2, 3, 4, 5]);
+}
--- a/balancer/src/fleet/words/tests.rs
+++ b/balancer/src/fleet/words/tests.rs
@@ -40,3 +40,47 @@
     assert_eq!(hear_uplink(&say_uplink(&says(0)), 0), Some(says(0)));
     assert_eq!(hear_uplink(&say_uplink(&says(0)), 100), Some(says(100)));
 }
+
+/// Messages as the first released program sent them, in hexadecimal digits.
+const SENT: &str = include_str!("../data/messages.hex");
+
+#[test]
+fn writes_every_message_as_it_was_first_sent() {
+    let status = PeerWord {
+        name: "a".into(),
+        site: "north".into(),
+        boot: 3,
+        up_for: 4_000 * MS,
+        serving_for: Some(2_000 * MS),
+        in_full: true,
+        wall: Some(1_700_000_000_000),
+        former: Some(120.5),
+        short: 0.25,
+    };
+    let judgement = Judgement {
+        witnessed_ms: 1_000,
+        judged: Judged::Drains,
+        weight: 3,
+        since_ms: 960,
+        before: Some(Before { until_ms: 950, judged: Judged::Hung, weight: 2 }),
+        started_ms: 77,
+        server: "s1".into(),
+        origin: "a".into(),
+    };
+    let word =
+        Word { given_at: 5, force: Force::Linked, ends_at: 9, who: "ada".into(), why: "dug up".into() };
+    let uplink = Says {
+        name: "a".into(),
+        site: "north".into(),
+        state: State::Rejoining,
+        places: vec![(Place::Discovery, Seen::Lost, 40), (Place::Site("south".into()), Seen::Hears, 1)],
+        probes: vec![(Place::Store, 3, 70)],
+        word: Some(word),
+    };
+    let sent = [say(&status), lend("a", 3, 0.5), judge(&judgement), say_uplink(&uplink)];
+    let hex = |bytes: &Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    assert_eq!(sent.iter().map(hex).collect::<Vec<_>>().join("\n"), SENT.trim_end());
+    assert_eq!(hear(&sent[0], 0), Some(status));
+    assert_eq!(read_judged(&sent[2], 1_000), Some(judgement));
+    assert_eq!(hear_uplink(&sent[3], 0), Some(uplink));
+}
--- a/balancer/src/handover/tests.rs
+++ b/balancer/src/handover/tests.rs
@@ -58,3 +58,13 @@
     std::thread::spawn(move || accept_all(accept, move |giver| drop(given.send(giver))));
     assert!(taken.recv_timeout(Duration::from_secs(10)).is_ok(), "the second is served");
 }
+
+#[test]
+fn a_connection_is_given_in_the_form_that_was_first_sent() {
+    let (near, far) = Socket::pair(Domain::UNIX, KIND, None).expect("a pair of sockets");
+    let ((_client, one), (other, _server)) = (pair(), pair());
+    Giver(near).give((&one, &other), "s0", b"OPEN 01 02 c=chat").expect("room in the socket");
+    let mut bytes = [0; 64];
+    let (count, _) = rustix::net::recv(&far, &mut bytes, RecvFlags::empty()).expect("a message");
+    assert_eq!(&bytes[..count], b"s0\nOPEN 01 02 c=chat");
+}
--- /dev/null
+++ b/peers/tests/stored_form.rs
@@ -0,0 +1,45 @@
+//! A datagram as the first released program sent it: the same one is sent, and it is accepted.
+
+use std::net::SocketAddr;
+
+use beaconflow_peers::testing::{Silent, keys, profile};
+use beaconflow_peers::{Input, Keys, Node, Output, Settings};
+
+/// The first datagram of a process that is alone, in hexadecimal digits.
+const FIRST_DATAGRAM: &str = include_str!("data/first_datagram.hex");
+
+fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<Silent> {
+    let node = Node::new(profile(name, port, seeds), keys, Settings::default(), Silent::default());
+    node.expect("a valid profile")
+}
+
+fn first_datagram() -> Vec<u8> {
+    let (mut node, mut out) = (node("a", 1, &[2], keys(1)), Vec::new());
+    node.handle(0, Input::Start, &mut out);
+    node.handle(200, Input::Tick, &mut out);
+    let sent = out.into_iter().find_map(|output| match output {
+        Output::Send { bytes, .. } => Some(bytes),
+        _ => None,
+    });
+    sent.expect("a process alone contacts its seeds")
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+#[test]
+fn sends_the_first_datagram_as_it_was_first_sent() {
+    let sent: String = first_datagram().iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(sent, FIRST_DATAGRAM.trim_end());
+}
+
+#[test]
+fn accepts_the_first_datagram_that_was_first_sent() {
+    let (mut receiver, mut out) = (node("b", 2, &[], keys(1)), Vec::new());
+    receiver.handle(0, Input::Start, &mut out);
+    let (from, bytes) = (SocketAddr::from(([127, 0, 0, 1], 1)), bytes(FIRST_DATAGRAM.trim_end()));
+    receiver.handle(0, Input::Datagram { from, bytes: &bytes }, &mut out);
+    assert_eq!(receiver.members().map(|member| member.name.to_string()).collect::<Vec<_>>(), ["a"]);
+}
