--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -6,8 +6,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use beaconflow::api::{
-    Action, Arrival, ClassId, ClientKey, Entry, Event, GroupId, ListKind, Nanos, Note, RequestId, ServerId,
-    State, TimerId, ZoneId,
+    Action, Arrival, ClassId, ClientKey, Entry, Event, GroupId, ListKind, Nanos, Note, RequestId,
+    ServerId, State, TimerId, ZoneId,
 };
 use beaconflow_admission::Limits;
 use beaconflow_instance::{Decides, Instance};
@@ -64,15 +64,21 @@
         bytes.clear();
         line += 1;
         let stop = |reason: String| Stop { line, reason };
-        let read = input.read_until(b'\n', &mut bytes).map_err(|error| stop(error.to_string()))?;
+        let read = input
+            .read_until(b'\n', &mut bytes)
+            .map_err(|error| stop(error.to_string()))?;
         if read == 0 {
-            return if host.now.is_none() { Ok(()) } else { Err(stop("input ends inside a batch".into())) };
+            return if host.now.is_none() {
+                Ok(())
+            } else {
+                Err(stop("input ends inside a batch".into()))
+            };
         }
         if bytes.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let message: Line =
-            serde_json::from_slice(&bytes).map_err(|error| stop(format!("not a message: {error}")))?;
+        let message: Line = serde_json::from_slice(&bytes)
+            .map_err(|error| stop(format!("not a message: {error}")))?;
         if host.take(line, &message).map_err(stop)? {
             let written = output.write_all(&host.reply).and_then(|()| output.flush());
             written.map_err(|error| stop(format!("cannot write the reply: {error}")))?;
@@ -95,7 +101,9 @@
             self.now = Some(need(message.time_ns, "time-ns")?);
             return Ok(false);
         }
-        let Some(now) = self.now else { return Err(format!("{} outside a batch", message.what)) };
+        let Some(now) = self.now else {
+            return Err(format!("{} outside a batch", message.what));
+        };
         match &*message.what {
             "FLUSH" => {
                 self.now = None;
@@ -104,17 +112,22 @@
             }
             "TABLE" => {
                 let items = need(message.items, "items")?;
-                let items = serde_json::from_str(items.get()).map_err(|error| format!("items: {error}"))?;
+                let items =
+                    serde_json::from_str(items.get()).map_err(|error| format!("items: {error}"))?;
                 self.tables.insert(need(message.list, "list")?, items);
             }
             "POWER_ON" => self.start(message)?,
             "KILLED" => {
                 let name = need(message.balancer_id.as_deref(), "balancer-id")?;
-                self.instances.remove(name).ok_or_else(|| format!("{name} was never started"))?;
+                self.instances
+                    .remove(name)
+                    .ok_or_else(|| format!("{name} was never started"))?;
             }
             "INBOX" => {
                 let name = need(message.balancer_id.as_deref(), "balancer-id")?;
-                self.instances.get(name).ok_or_else(|| format!("{name} was never started"))?;
+                self.instances
+                    .get(name)
+                    .ok_or_else(|| format!("{name} was never started"))?;
             }
             _ => self.event(line, now, message)?,
         }
@@ -128,16 +141,23 @@
         let settings = setup.module();
         let seed = need(message.nonce64, "nonce64")?;
         let shares = setup.shares().map(|(_, share)| share).collect();
-        let instance =
-            Instance::new(settings, shares, Limits::default(), seed).map_err(|error| error.to_string())?;
-        let instance = Named { instance, names: Vec::new(), numbers: BTreeMap::new() };
+        let instance = Instance::new(settings, shares, Limits::default(), seed)
+            .map_err(|error| error.to_string())?;
+        let instance = Named {
+            instance,
+            names: Vec::new(),
+            numbers: BTreeMap::new(),
+        };
         self.instances.insert(name.to_owned(), instance);
         Ok(())
     }
 
     fn event(&mut self, line: u64, now: Nanos, message: &Line) -> Result<(), String> {
         let name = need(message.balancer_id.as_deref(), "balancer-id")?;
-        let instance = self.instances.get_mut(name).ok_or_else(|| format!("{name} was never started"))?;
+        let instance = self
+            .instances
+            .get_mut(name)
+            .ok_or_else(|| format!("{name} was never started"))?;
         let Some(event) = read_event(instance, &self.tables, message)? else {
             // Nothing is left to try if standard error is closed.
             let _ = writeln!(
@@ -151,7 +171,9 @@
         let actions = &mut self.actions;
         let account = message.client_group.unwrap_or(0);
         let handled = catch_unwind(AssertUnwindSafe(|| match event {
-            Event::Arrived(arrival) => instance.instance.arrives(now, arrival, account, false, actions),
+            Event::Arrived(arrival) => instance
+                .instance
+                .arrives(now, arrival, account, false, actions),
             event => instance.instance.handle(now, event, actions),
         }));
         if let Err(panic) = handled {
@@ -161,7 +183,9 @@
             return Ok(());
         }
         for action in &self.actions {
-            wire::write_action(&mut self.reply, name, action, |server| &instance.names[server.0 as usize]);
+            wire::write_action(&mut self.reply, name, action, |server| {
+                &instance.names[server.0 as usize]
+            });
         }
         Ok(())
     }
@@ -182,7 +206,10 @@
             arrival: read_arrival(message)?,
             server: instance.intern(need(message.server.as_deref(), "server")?),
         },
-        "ACK_FIRST" => Event::Established { request: request()?, attempt: attempt()? },
+        "ACK_FIRST" => Event::Established {
+            request: request()?,
+            attempt: attempt()?,
+        },
         "HEARTBEAT" => {
             let value = need(message.value, "value")?;
             let note = match need(message.kind, "kind")? {
@@ -190,7 +217,11 @@
                 2 => Note::Delay((value * 1e6) as Nanos),
                 _ => return Ok(None),
             };
-            Event::Noted { request: request()?, attempt: attempt()?, note }
+            Event::Noted {
+                request: request()?,
+                attempt: attempt()?,
+                note,
+            }
         }
         "RESULT" => Event::Ended {
             request: request()?,
@@ -214,7 +245,10 @@
         request: RequestId(need(message.req, "req")?),
         give_up_at: need(message.give_up_at_ns, "give-up-at-ns")?,
         class: ClassId(need(message.grade, "grade")?),
-        key: message.resource.as_deref().map(|text| ClientKey(digest(text))),
+        key: message
+            .resource
+            .as_deref()
+            .map(|text| ClientKey(digest(text))),
         group: message.group.as_deref().map(|text| GroupId(digest(text))),
         returns: message.returned,
         load: message.expected_ns.map(|span| span as f64 / 1e3),
@@ -231,11 +265,18 @@
         "delta" => ListKind::Changes,
         "full" => ListKind::Full,
         "cached" => ListKind::Cached,
-        "failed" => return Ok(Event::List { kind: ListKind::Failed(0), entries: Vec::new() }),
+        "failed" => {
+            return Ok(Event::List {
+                kind: ListKind::Failed(0),
+                entries: Vec::new(),
+            });
+        }
         other => return Err(format!("unknown mode {other:?}")),
     };
     let number = need(message.list, "list")?;
-    let items = tables.get(&number).ok_or_else(|| format!("list {number} was never given"))?;
+    let items = tables
+        .get(&number)
+        .ok_or_else(|| format!("list {number} was never given"))?;
     let mut entries = Vec::with_capacity(items.len());
     for item in items {
         let state = match item.availability.as_str() {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -99,13 +99,21 @@
 ) {
     use std::io::Write;
     let done = match action {
-        Action::Attempt { request, server: to, timeout, .. } => {
+        Action::Attempt {
+            request,
+            server: to,
+            timeout,
+            ..
+        } => {
             head(out, "CALL_OUT", instance);
             write!(out, ",\"req\":{},\"server\":", request.0)
                 .and_then(|()| text(out, server(*to)))
                 .and_then(|()| write!(out, ",\"allow-for-ns\":{timeout}"))
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Refuse {
+            request,
+            retry_after,
+        } => {
             head(out, "DECLINE", instance);
             write!(out, ",\"req\":{}", request.0).and_then(|()| match retry_after {
                 Some(span) => write!(out, ",\"not-before-for-ns\":{span}"),
--- a/adapter/tests/renamed.rs
+++ b/adapter/tests/renamed.rs
@@ -98,10 +98,17 @@
         for step in 1..STEPS {
             lines.push(json!({"what": "TICK", "time-ns": step * 20 * MS}));
             let timers = [step, step * 2 / 3].map(hit);
-            let mut events = vec![self.ask(step), timers[0].clone(), self.result(step, 0), timers[1].clone()];
+            let mut events = vec![
+                self.ask(step),
+                timers[0].clone(),
+                self.result(step, 0),
+                timers[1].clone(),
+            ];
             // Repeats end a step later; what is said of those that are not out means nothing.
             let earlier = step.saturating_sub(90)..step;
-            events.extend(earlier.flat_map(|request| [1, 2].map(|send_no| self.result(request, send_no))));
+            events.extend(
+                earlier.flat_map(|request| [1, 2].map(|send_no| self.result(request, send_no))),
+            );
             for mut event in events {
                 event["balancer-id"] = json!(id);
                 lines.push(event);
@@ -116,7 +123,10 @@
         let decided = decides(self.story());
         let names = SERVERS.iter().chain(&["BALANCER"]);
         names.fold(decided, |text, name| {
-            text.replace(&format!("\"{}\"", (self.name)(name)), &format!("\"{name}\""))
+            text.replace(
+                &format!("\"{}\"", (self.name)(name)),
+                &format!("\"{name}\""),
+            )
         })
     }
 }
@@ -136,17 +146,29 @@
     String::from_utf8(output.stdout).expect("UTF-8")
 }
 
-const PLAIN: Telling =
-    Telling { name: |name| name.to_owned(), classes: [0, 1, 2], tenants: [0, 1], zones: [0, 1, 2] };
+const PLAIN: Telling = Telling {
+    name: |name| name.to_owned(),
+    classes: [0, 1, 2],
+    tenants: [0, 1],
+    zones: [0, 1, 2],
+};
 
 #[test]
 fn the_story_has_attempts_answers_and_delays_in_it() {
     let decisions = PLAIN.decisions();
-    for (what, least) in [("CALL_OUT", 60), ("DECLINE", 1), ("REPORT_FAILURE", 5), ("SLEEP", 20)] {
+    for (what, least) in [
+        ("CALL_OUT", 60),
+        ("DECLINE", 1),
+        ("REPORT_FAILURE", 5),
+        ("SLEEP", 20),
+    ] {
         let count = decisions.matches(&format!("\"{what}\"")).count();
         assert!(count >= least, "{count} of {what} in\n{decisions}");
     }
-    assert!(SERVERS.iter().all(|server| decisions.contains(server)), "{decisions}");
+    assert!(
+        SERVERS.iter().all(|server| decisions.contains(server)),
+        "{decisions}"
+    );
 }
 
 #[test]
@@ -155,7 +177,11 @@
         |name| name.chars().rev().collect(),
         |name| format!("retryable {name} on"),
         |name| {
-            format!("{:016x}", name.bytes().fold(7_u64, |hash, byte| hash.wrapping_mul(31) ^ u64::from(byte)))
+            format!(
+                "{:016x}",
+                name.bytes()
+                    .fold(7_u64, |hash, byte| hash.wrapping_mul(31) ^ u64::from(byte))
+            )
         },
     ];
     let plain = PLAIN.decisions();
@@ -168,9 +194,22 @@
 fn classes_tenants_and_zones_in_another_order_make_no_other_decisions() {
     let plain = PLAIN.decisions();
     for classes in [[2, 0, 1], [1, 2, 0], [2, 1, 0]] {
-        for (tenants, zones) in [([1, 0], [0, 1, 2]), ([0, 1], [2, 0, 1]), ([1, 0], [1, 2, 0])] {
-            let telling = Telling { classes, tenants, zones, ..PLAIN };
-            assert_eq!(telling.decisions(), plain, "{classes:?} {tenants:?} {zones:?}");
+        for (tenants, zones) in [
+            ([1, 0], [0, 1, 2]),
+            ([0, 1], [2, 0, 1]),
+            ([1, 0], [1, 2, 0]),
+        ] {
+            let telling = Telling {
+                classes,
+                tenants,
+                zones,
+                ..PLAIN
+            };
+            assert_eq!(
+                telling.decisions(),
+                plain,
+                "{classes:?} {tenants:?} {zones:?}"
+            );
         }
     }
 }
@@ -179,6 +218,12 @@
 fn another_effect_or_zone_makes_other_decisions() {
     // Guards against a story so poor that it would be the same under any settings.
     let plain = PLAIN.decisions();
-    assert_ne!(decides(PLAIN.story().replace("\"fragile\"", "\"retryable\"")), plain);
-    assert_ne!(decides(PLAIN.story().replace("\"zone\":1", "\"zone\":2")), plain);
+    assert_ne!(
+        decides(PLAIN.story().replace("\"fragile\"", "\"retryable\"")),
+        plain
+    );
+    assert_ne!(
+        decides(PLAIN.story().replace("\"zone\":1", "\"zone\":2")),
+        plain
+    );
 }
--- a/adapter/tests/transcripts.rs
+++ b/adapter/tests/transcripts.rs
@@ -79,7 +79,11 @@
         r#"{"what":"ANNOUNCE","balancer-id":"balancer/0","mode":"failed","revision":2}"#,
     ];
     let output = run(&batch(&events.join("\n")));
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert!(output.stderr.is_empty());
 }
 
@@ -89,7 +93,10 @@
     let output = run(&batch(odd));
     assert!(output.status.success());
     let said = String::from_utf8(output.stderr).expect("UTF-8");
-    assert!(said.contains("line 5") && said.contains("WEATHER"), "{said}");
+    assert!(
+        said.contains("line 5") && said.contains("WEATHER"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -100,14 +107,18 @@
         "{}{{\"what\":\"ASK\",\"balancer-id\":\"balancer/0\",\"req\":1,\"grade\":0}}\n",
         power_on()
     ));
-    assert!(said.contains("line 5") && said.contains("give-up-at-ns"), "{said}");
+    assert!(
+        said.contains("line 5") && said.contains("give-up-at-ns"),
+        "{said}"
+    );
     let said = refused(&format!(
         "{}{{\"what\":\"ANNOUNCE\",\"balancer-id\":\"balancer/0\",\"mode\":\"full\",\"list\":4}}\n",
         power_on()
     ));
     assert!(said.contains("list 4"), "{said}");
-    let said =
-        refused("{\"what\":\"TICK\",\"time-ns\":1}\n{\"what\":\"KILLED\",\"balancer-id\":\"balancer/1\"}\n");
+    let said = refused(
+        "{\"what\":\"TICK\",\"time-ns\":1}\n{\"what\":\"KILLED\",\"balancer-id\":\"balancer/1\"}\n",
+    );
     assert!(said.contains("never started"), "{said}");
     let said = refused("{\"what\":\"TICK\",\"time-ns\":1}\n");
     assert!(said.contains("inside a batch"), "{said}");
@@ -138,6 +149,10 @@
     let kept = run(&batch(&format!("{former}\n{broke}")));
     assert!(stdout(&kept).contains(answer));
     let restarted = run(&batch(&format!("{former}\n{killed}\n{again}{broke}")));
-    assert!(restarted.status.success(), "{}", String::from_utf8_lossy(&restarted.stderr));
+    assert!(
+        restarted.status.success(),
+        "{}",
+        String::from_utf8_lossy(&restarted.stderr)
+    );
     assert!(!stdout(&restarted).contains(answer));
 }
--- a/admission/benches/door.rs
+++ b/admission/benches/door.rs
@@ -19,7 +19,12 @@
 }
 
 fn filled(waiting: u64) -> Door {
-    let limits = Limits { all: Bound::NONE, account: Bound::NONE, queue: Bound::NONE, ..Limits::default() };
+    let limits = Limits {
+        all: Bound::NONE,
+        account: Bound::NONE,
+        queue: Bound::NONE,
+        ..Limits::default()
+    };
     let (mut door, mut gone) = (Door::new(&[1.0, 1.0, 4.0], limits, 7), Vec::new());
     (0..waiting).for_each(|id| door.enter(entry(id), &mut gone));
     door
@@ -45,10 +50,22 @@
 fn gives_way(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("give way, accounts");
     for accounts in [2, 100, 1_000] {
-        let all = Bound { entries: 4_096, bytes: usize::MAX };
-        let limits = Limits { all, account: all, queue: all, ..Limits::default() };
+        let all = Bound {
+            entries: 4_096,
+            bytes: usize::MAX,
+        };
+        let limits = Limits {
+            all,
+            account: all,
+            queue: all,
+            ..Limits::default()
+        };
         let (mut door, mut gone) = (Door::new(&[1.0], limits, 7), Vec::new());
-        let of = |id: u64| Entry { account: id % accounts, share: 1.0, ..entry(id) };
+        let of = |id: u64| Entry {
+            account: id % accounts,
+            share: 1.0,
+            ..entry(id)
+        };
         (0..4_096).for_each(|id| door.enter(of(id), &mut gone));
         let mut next = 4_096;
         group.bench_function(BenchmarkId::from_parameter(accounts), |bencher| {
--- a/admission/src/door.rs
+++ b/admission/src/door.rs
@@ -35,9 +35,18 @@
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            all: Bound { entries: 4_096, bytes: 4 << 20 },
-            account: Bound { entries: 4_096, bytes: 4 << 20 },
-            queue: Bound { entries: 1_024, bytes: 4 << 20 },
+            all: Bound {
+                entries: 4_096,
+                bytes: 4 << 20,
+            },
+            account: Bound {
+                entries: 4_096,
+                bytes: 4 << 20,
+            },
+            queue: Bound {
+                entries: 1_024,
+                bytes: 4 << 20,
+            },
             queues: 64,
             hand: 4,
         }
@@ -46,7 +55,10 @@
 
 impl Bound {
     /// No bound at all.
-    pub const NONE: Bound = Bound { entries: usize::MAX, bytes: usize::MAX };
+    pub const NONE: Bound = Bound {
+        entries: usize::MAX,
+        bytes: usize::MAX,
+    };
 
     pub(crate) fn add(&mut self, entry: &Entry) {
         self.entries += 1;
@@ -128,7 +140,11 @@
         // Those who return have half of their account's turns, if need be.
         urgencies.push(urgencies.iter().sum());
         let queues = limits.queues.max(1);
-        let limits = Limits { queues, hand: limits.hand.clamp(1, queues.min(MOST_HAND)), ..limits };
+        let limits = Limits {
+            queues,
+            hand: limits.hand.clamp(1, queues.min(MOST_HAND)),
+            ..limits
+        };
         Door {
             limits,
             urgencies,
@@ -171,7 +187,9 @@
 
     /// How many of an account wait.
     pub fn waiting_of(&self, account: u64) -> usize {
-        self.by_name.get(&account).map_or(0, |slot| self.accounts[*slot].waiting.entries)
+        self.by_name
+            .get(&account)
+            .map_or(0, |slot| self.accounts[*slot].waiting.entries)
     }
 
     /// Lets somebody in who waits from now on; `gone` takes those who gave way, which may be the same. One whose number
@@ -201,14 +219,21 @@
             gone.extend(self.slab.last(queue).and_then(|place| self.take_out(place)));
         }
         while self.accounts[slot].waiting.is_over(&self.limits.account) {
-            gone.extend(self.last_of_longest(slot).and_then(|place| self.take_out(place)));
+            gone.extend(
+                self.last_of_longest(slot)
+                    .and_then(|place| self.take_out(place)),
+            );
         }
         self.shed(gone);
     }
 
     /// Holds to other limits from now on; `gone` takes those who gave way. Queues and hands stay as they are.
     pub fn limit(&mut self, limits: Limits, gone: &mut Vec<Entry>) {
-        self.limits = Limits { queues: self.limits.queues, hand: self.limits.hand, ..limits };
+        self.limits = Limits {
+            queues: self.limits.queues,
+            hand: self.limits.hand,
+            ..limits
+        };
         for queue in 0..self.slab.queues.len() {
             while self.slab.queues[queue].held.is_over(&self.limits.queue) {
                 gone.extend(self.slab.last(queue).and_then(|place| self.take_out(place)));
@@ -216,7 +241,10 @@
         }
         for slot in 0..self.accounts.len() {
             while self.accounts[slot].waiting.is_over(&self.limits.account) {
-                gone.extend(self.last_of_longest(slot).and_then(|place| self.take_out(place)));
+                gone.extend(
+                    self.last_of_longest(slot)
+                        .and_then(|place| self.take_out(place)),
+                );
             }
         }
         self.shed(gone);
@@ -229,8 +257,11 @@
                 let account = &self.accounts[*slot];
                 account.waiting.entries as f64 / account.share
             };
-            let furthest = (0..self.accounts.len()).max_by(|one, other| over(one).total_cmp(&over(other)));
-            let Some(place) = furthest.and_then(|slot| self.last_of_longest(slot)) else { return };
+            let furthest =
+                (0..self.accounts.len()).max_by(|one, other| over(one).total_cmp(&over(other)));
+            let Some(place) = furthest.and_then(|slot| self.last_of_longest(slot)) else {
+                return;
+            };
             gone.extend(self.take_out(place));
         }
     }
@@ -245,7 +276,9 @@
         account.among_queues[lane].takes(queue);
         self.among_accounts.takes(slot);
         let lanes = self.urgencies.len();
-        let place = self.slab.first((slot * lanes + lane) * self.limits.queues + queue)?;
+        let place = self
+            .slab
+            .first((slot * lanes + lane) * self.limits.queues + queue)?;
         self.take_out(place)
     }
 
@@ -257,7 +290,11 @@
 
     /// Takes out the first of those who are of no use at that moment.
     pub fn expire(&mut self, now: Nanos) -> Option<Entry> {
-        let (_, id) = self.by_end.first().copied().filter(|(end, _)| *end <= now)?;
+        let (_, id) = self
+            .by_end
+            .first()
+            .copied()
+            .filter(|(end, _)| *end <= now)?;
         self.leave(id)
     }
 
@@ -269,11 +306,19 @@
     /// How many turns of its account one more such entry would wait for, its own included: as many of each queue as its
     /// own is long.
     pub fn ahead_of(&self, entry: &Entry) -> usize {
-        let Some(slot) = self.by_name.get(&entry.account).copied() else { return 1 };
-        let entry = Entry { class: entry.class.min(self.urgencies.len() - 2), ..*entry };
+        let Some(slot) = self.by_name.get(&entry.account).copied() else {
+            return 1;
+        };
+        let entry = Entry {
+            class: entry.class.min(self.urgencies.len() - 2),
+            ..*entry
+        };
         let own = self.slab.queues[self.queue_of(slot, &entry)].held.entries + 1;
         let account = &self.accounts[slot];
-        1 + account.waiting.entries.min(own.saturating_mul(account.lengths.len()))
+        1 + account
+            .waiting
+            .entries
+            .min(own.saturating_mul(account.lengths.len()))
     }
 
     /// The place of an entry's account, which is made if there is none. Guards against memory that grows with every
@@ -351,9 +396,15 @@
 
     /// The queue that an entry goes to.
     fn queue_of(&self, slot: usize, entry: &Entry) -> usize {
-        let lane = if entry.returns { self.urgencies.len() - 1 } else { entry.class };
+        let lane = if entry.returns {
+            self.urgencies.len() - 1
+        } else {
+            entry.class
+        };
         let base = (slot * self.urgencies.len() + lane) * self.limits.queues;
-        let shortest = self.hand_of(entry.flow).min_by_key(|card| self.slab.queues[base + card].held.entries);
+        let shortest = self
+            .hand_of(entry.flow)
+            .min_by_key(|card| self.slab.queues[base + card].held.entries);
         base + shortest.unwrap_or(0)
     }
 
@@ -396,7 +447,11 @@
 const MOST_HAND: usize = 16;
 
 fn sound(weight: f64) -> f64 {
-    if weight.is_finite() && weight > 0.0 { weight } else { 1.0 }
+    if weight.is_finite() && weight > 0.0 {
+        weight
+    } else {
+        1.0
+    }
 }
 
 /// Spreads a number's bits over all of it.
--- a/admission/src/fair.rs
+++ b/admission/src/fair.rs
@@ -24,14 +24,22 @@
 
 impl Fair {
     pub(crate) fn new(weights: &[f64]) -> Fair {
-        let mut fair = Fair { members: Vec::new(), waiting: BTreeSet::new(), now: 0.0 };
+        let mut fair = Fair {
+            members: Vec::new(),
+            waiting: BTreeSet::new(),
+            now: 0.0,
+        };
         weights.iter().for_each(|weight| fair.join(*weight));
         fair
     }
 
     /// One member more.
     pub(crate) fn join(&mut self, weight: f64) {
-        self.members.push(Member { weight, end: 0.0, start: None });
+        self.members.push(Member {
+            weight,
+            end: 0.0,
+            start: None,
+        });
     }
 
     /// Its turns are this wide from the next one on.
--- a/admission/src/returning.rs
+++ b/admission/src/returning.rs
@@ -42,16 +42,28 @@
     /// A client comes; whether it is one that was told. Each word counts once: a flood under a client's name gains no
     /// more by it than the client has lost.
     pub fn comes(&mut self, now: Nanos, client: u64) -> bool {
-        while self.told.front().is_some_and(|(at, _)| now > at.saturating_add(COMES_WITHIN)) {
+        while self
+            .told
+            .front()
+            .is_some_and(|(at, _)| now > at.saturating_add(COMES_WITHIN))
+        {
             self.forget_first();
         }
-        let owed = self.words.get_mut(&client).map(|words| &mut words.owed).filter(|owed| **owed > 0);
+        let owed = self
+            .words
+            .get_mut(&client)
+            .map(|words| &mut words.owed)
+            .filter(|owed| **owed > 0);
         owed.map(|owed| *owed -= 1).is_some()
     }
 
     fn forget_first(&mut self) {
-        let Some((_, client)) = self.told.pop_front() else { return };
-        let Some(words) = self.words.get_mut(&client) else { return };
+        let Some((_, client)) = self.told.pop_front() else {
+            return;
+        };
+        let Some(words) = self.words.get_mut(&client) else {
+            return;
+        };
         words.told -= 1;
         words.owed = words.owed.min(words.told);
         if words.told == 0 {
--- a/admission/src/slab.rs
+++ b/admission/src/slab.rs
@@ -23,7 +23,14 @@
 }
 
 impl Queue {
-    const EMPTY: Queue = Queue { first: NONE, last: NONE, held: Bound { entries: 0, bytes: 0 } };
+    const EMPTY: Queue = Queue {
+        first: NONE,
+        last: NONE,
+        held: Bound {
+            entries: 0,
+            bytes: 0,
+        },
+    };
 }
 
 /// All entries of all queues.
@@ -42,7 +49,12 @@
 
     pub(crate) fn push(&mut self, queue: usize, entry: Entry) -> Place {
         let before = self.queues[queue].last;
-        let node = Node { entry, queue: queue as u32, before, after: NONE };
+        let node = Node {
+            entry,
+            queue: queue as u32,
+            before,
+            after: NONE,
+        };
         let place = match self.free.pop() {
             Some(place) => {
                 self.nodes[place as usize] = Some(node);
@@ -72,7 +84,12 @@
 
     /// Takes an entry out; gives it and the queue that it stood in.
     pub(crate) fn remove(&mut self, place: Place) -> Option<(Entry, usize)> {
-        let Node { entry, queue, before, after } = self.nodes.get_mut(place as usize)?.take()?;
+        let Node {
+            entry,
+            queue,
+            before,
+            after,
+        } = self.nodes.get_mut(place as usize)?.take()?;
         let queue = queue as usize;
         match self.node(before) {
             Some(node) => node.after = after,
--- a/admission/src/tally.rs
+++ b/admission/src/tally.rs
@@ -89,7 +89,10 @@
     }
 
     fn add(&mut self, now: Nanos) {
-        *self = Rate { value: self.at(now) + 1.0 / RATE_SECONDS, at: now.max(self.at) };
+        *self = Rate {
+            value: self.at(now) + 1.0 / RATE_SECONDS,
+            at: now.max(self.at),
+        };
     }
 }
 
@@ -106,11 +109,18 @@
     /// A request of an account came.
     pub fn asked(&mut self, now: Nanos, account: u64, name: &str, share: f64) {
         if !self.by_account.contains_key(&account) && self.by_account.len() >= MOST_ACCOUNTS {
-            let oldest = self.by_account.iter().min_by_key(|(_, tally)| tally.asked_at).map(|(id, _)| *id);
+            let oldest = self
+                .by_account
+                .iter()
+                .min_by_key(|(_, tally)| tally.asked_at)
+                .map(|(id, _)| *id);
             let gone = oldest.and_then(|oldest| self.by_account.remove(&oldest));
             self.whole -= gone.map_or(0.0, |tally| tally.share);
         }
-        let tally = self.by_account.entry(account).or_insert_with(|| Tally::new(name));
+        let tally = self
+            .by_account
+            .entry(account)
+            .or_insert_with(|| Tally::new(name));
         self.whole += share - tally.share;
         (tally.share, tally.asked_at) = (share, now);
         tally.counts.asked += 1;
@@ -118,7 +128,9 @@
 
     /// An account's share is another one from now on, also before it asks again.
     pub fn weigh(&mut self, account: u64, share: f64) {
-        let Some(tally) = self.by_account.get_mut(&account) else { return };
+        let Some(tally) = self.by_account.get_mut(&account) else {
+            return;
+        };
         self.whole += share - tally.share;
         tally.share = share;
     }
@@ -128,16 +140,22 @@
         let due = self.due(account);
         let all = self.all.at(now);
         self.all.add(now);
-        let Some(tally) = self.by_account.get_mut(&account) else { return };
+        let Some(tally) = self.by_account.get_mut(&account) else {
+            return;
+        };
         tally.counts.admitted += 1;
         tally.counts.lent += u64::from(all > 0.0 && tally.rate.at(now) > due * all);
         tally.rate.add(now);
-        tally.waits.saturating_record((waited / 1_000_000).clamp(1, LONGEST_WAIT));
+        tally
+            .waits
+            .saturating_record((waited / 1_000_000).clamp(1, LONGEST_WAIT));
     }
 
     /// A request did not get an attempt.
     pub fn missed(&mut self, account: u64, how: Miss) {
-        let Some(tally) = self.by_account.get_mut(&account) else { return };
+        let Some(tally) = self.by_account.get_mut(&account) else {
+            return;
+        };
         match how {
             Miss::Refused => tally.counts.refused += 1,
             Miss::GivenUp => tally.counts.given_up += 1,
@@ -148,7 +166,10 @@
     /// How long a line of so many takes this account, by the rate at which its requests got their attempts lately; by
     /// its share of all where it had none; nothing where nobody had one.
     pub fn drain(&self, now: Nanos, account: u64, ahead: usize) -> Option<Nanos> {
-        let own = self.by_account.get(&account).map_or(0.0, |tally| tally.rate.at(now));
+        let own = self
+            .by_account
+            .get(&account)
+            .map_or(0.0, |tally| tally.rate.at(now));
         let rate = own.max(self.due(account) * self.all.at(now));
         // Guards against a rate that has all but faded, which would tell of years.
         (rate > 0.01).then(|| (ahead as f64 / rate * 1e9) as Nanos)
@@ -156,7 +177,9 @@
 
     /// An account's part of all, by the shares of those that are counted.
     pub fn due(&self, account: u64) -> f64 {
-        self.by_account.get(&account).map_or(0.0, |tally| tally.share / self.whole)
+        self.by_account
+            .get(&account)
+            .map_or(0.0, |tally| tally.share / self.whole)
     }
 
     /// The accounts that have been over their shares for longer than a bound, and those that are so no more: each is
@@ -167,12 +190,20 @@
         let (whole, all) = (self.whole, self.all.at(now));
         let mut news = Vec::new();
         for tally in self.by_account.values_mut() {
-            let (due, part) = (tally.share / whole, tally.rate.at(now) / all.max(f64::MIN_POSITIVE));
+            let (due, part) = (
+                tally.share / whole,
+                tally.rate.at(now) / all.max(f64::MIN_POSITIVE),
+            );
             // Guards against word of an account that is alone: it takes nothing from anybody.
             let over = all * RATE_SECONDS >= 1.0 && part > OVER * due && part < 1.0 - 1e-9;
             let since = *tally.over_since.get_or_insert(now);
             let lasts = now.saturating_sub(since);
-            let word = |lasts| OverShare { name: tally.name.clone(), part, due, lasts };
+            let word = |lasts| OverShare {
+                name: tally.name.clone(),
+                part,
+                due,
+                lasts,
+            };
             if over && lasts >= bound && !tally.told {
                 news.push(word(Some(lasts)));
                 tally.told = true;
@@ -190,7 +221,11 @@
 
     /// All of them, by name.
     pub fn all(&self) -> Vec<(u64, &Tally)> {
-        let mut all: Vec<(u64, &Tally)> = self.by_account.iter().map(|(id, tally)| (*id, tally)).collect();
+        let mut all: Vec<(u64, &Tally)> = self
+            .by_account
+            .iter()
+            .map(|(id, tally)| (*id, tally))
+            .collect();
         all.sort_by(|one, other| one.1.name.cmp(&other.1.name));
         all
     }
@@ -202,7 +237,8 @@
             name: name.into(),
             share: 0.0,
             counts: Counts::default(),
-            waits: Histogram::new_with_bounds(1, LONGEST_WAIT, 2).expect("bounds that the library takes"),
+            waits: Histogram::new_with_bounds(1, LONGEST_WAIT, 2)
+                .expect("bounds that the library takes"),
             rate: Rate::default(),
             asked_at: 0,
             over_since: None,
--- a/admission/tests/door.rs
+++ b/admission/tests/door.rs
@@ -8,12 +8,29 @@
 const SHARES: [f64; 4] = [3.0, 1.0, 0.5, 1.0];
 
 fn entry(id: u64, account: u64, flow: u64) -> Entry {
-    Entry { id, account, share: 1.0, class: 0, flow, give_up_at: u64::MAX, returns: false, bytes: 100 }
+    Entry {
+        id,
+        account,
+        share: 1.0,
+        class: 0,
+        flow,
+        give_up_at: u64::MAX,
+        returns: false,
+        bytes: 100,
+    }
 }
 
 fn limits(entries: usize) -> Limits {
-    let most = Bound { entries, bytes: usize::MAX };
-    Limits { all: most, account: most, queue: most, ..Limits::default() }
+    let most = Bound {
+        entries,
+        bytes: usize::MAX,
+    };
+    Limits {
+        all: most,
+        account: most,
+        queue: most,
+        ..Limits::default()
+    }
 }
 
 fn door(limits: Limits) -> Door {
@@ -28,7 +45,11 @@
 
 #[test]
 fn accounts_that_wait_share_the_turns_within_two_in_a_hundred() {
-    for shares in [&[0.58, 0.42][..], &[1.0, 1_000.0], &[1.0, 10.0, 100.0, 889.0]] {
+    for shares in [
+        &[0.58, 0.42][..],
+        &[1.0, 1_000.0],
+        &[1.0, 10.0, 100.0, 889.0],
+    ] {
         let mut door = door(Limits::default());
         let (mut next, mut turns) = (0, vec![0_u32; shares.len()]);
         for _ in 0..100_000 {
@@ -36,7 +57,13 @@
             for (account, share) in shares.iter().enumerate() {
                 while door.waiting_of(account as u64) < 200 / (1 + account) {
                     next += 1;
-                    enter(&mut door, Entry { share: *share, ..entry(next, account as u64, next % 1_000) });
+                    enter(
+                        &mut door,
+                        Entry {
+                            share: *share,
+                            ..entry(next, account as u64, next % 1_000)
+                        },
+                    );
                 }
             }
             turns[door.admit().expect("somebody waits").account as usize] += 1;
@@ -44,7 +71,10 @@
         let whole: f64 = shares.iter().sum();
         for (turns, share) in turns.iter().zip(shares) {
             let off = f64::from(*turns) / 100_000.0 - share / whole;
-            assert!(off.abs() < 0.0005, "{turns} of 100000 for {share} of {whole}");
+            assert!(
+                off.abs() < 0.0005,
+                "{turns} of 100000 for {share} of {whole}"
+            );
         }
     }
 }
@@ -55,12 +85,20 @@
     for id in 0..2_000 {
         enter(&mut door, entry(id, 0, id));
     }
-    assert!((0..1_000).all(|_| door.admit().is_some_and(|entry| entry.account == 0)), "lent");
+    assert!(
+        (0..1_000).all(|_| door.admit().is_some_and(|entry| entry.account == 0)),
+        "lent"
+    );
     for id in 2_000..2_500 {
         enter(&mut door, entry(id, 1, id));
     }
-    let turns = (0..100).filter(|_| door.admit().is_some_and(|entry| entry.account == 1)).count();
-    assert!((49..=51).contains(&turns), "taken back, and nothing made up for: {turns}");
+    let turns = (0..100)
+        .filter(|_| door.admit().is_some_and(|entry| entry.account == 1))
+        .count();
+    assert!(
+        (49..=51).contains(&turns),
+        "taken back, and nothing made up for: {turns}"
+    );
 }
 
 #[test]
@@ -70,8 +108,16 @@
         enter(&mut door, entry(id, 0, id));
     }
     assert!((0..500).all(|_| door.admit().is_some()));
-    enter(&mut door, Entry { class: 1, ..entry(5_000, 0, 5_000) });
-    let turns = (1..).find(|_| door.admit().expect("it waits").id == 5_000).expect("found");
+    enter(
+        &mut door,
+        Entry {
+            class: 1,
+            ..entry(5_000, 0, 5_000)
+        },
+    );
+    let turns = (1..)
+        .find(|_| door.admit().expect("it waits").id == 5_000)
+        .expect("found");
     assert!(turns <= 2, "{turns} turns");
 }
 
@@ -84,13 +130,18 @@
             enter(&mut door, entry(id, 0, 1_000_000 + id % 3));
         }
         enter(&mut door, entry(9_999, 0, quiet));
-        let turns = (1..).find(|_| door.admit().expect("it waits").id == 9_999).expect("found");
+        let turns = (1..)
+            .find(|_| door.admit().expect("it waits").id == 9_999)
+            .expect("found");
         worst = worst.max(turns);
         met += u32::from(turns > 13);
     }
     // Three names reach twelve queues of 64 at most: a quiet one has a queue without them, or all four of its own are
     // among theirs, which about one name in two thousand meets.
-    assert!(worst <= 13 && met == 0, "{worst} turns at worst, {met} of 200 behind the loud ones");
+    assert!(
+        worst <= 13 && met == 0,
+        "{worst} turns at worst, {met} of 200 behind the loud ones"
+    );
 }
 
 #[test]
@@ -102,19 +153,44 @@
     assert!(enter(&mut door, entry(200, 1, 1)).is_empty());
     // The newcomer is of the account that is under its share.
     let gone = enter(&mut door, entry(201, 1, 2));
-    assert_eq!((gone[0].account, gone[0].flow), (0, 1), "the loud name of the loud account");
+    assert_eq!(
+        (gone[0].account, gone[0].flow),
+        (0, 1),
+        "the loud name of the loud account"
+    );
     assert_eq!((gone.len(), door.len(), door.waiting_of(1)), (1, 100, 2));
 }
 
 #[test]
 fn bytes_are_bounded_as_entries_are() {
-    let most = Bound { entries: 1_000, bytes: 1_000 };
-    let mut door = door(Limits { all: most, account: Bound { bytes: 600, ..most }, ..limits(1_000) });
+    let most = Bound {
+        entries: 1_000,
+        bytes: 1_000,
+    };
+    let mut door = door(Limits {
+        all: most,
+        account: Bound { bytes: 600, ..most },
+        ..limits(1_000)
+    });
     for id in 0..6 {
         assert!(enter(&mut door, entry(id, 0, id)).is_empty());
     }
-    assert_eq!(enter(&mut door, entry(6, 0, 6)).len(), 1, "its account has 600 bytes");
-    assert_eq!(enter(&mut door, Entry { bytes: 500, ..entry(7, 1, 7) }).len(), 1);
+    assert_eq!(
+        enter(&mut door, entry(6, 0, 6)).len(),
+        1,
+        "its account has 600 bytes"
+    );
+    assert_eq!(
+        enter(
+            &mut door,
+            Entry {
+                bytes: 500,
+                ..entry(7, 1, 7)
+            }
+        )
+        .len(),
+        1
+    );
     assert_eq!((door.bytes(), door.waiting_of(1)), (1_000, 1));
 }
 
@@ -124,16 +200,32 @@
     for id in 0..500 {
         enter(&mut door, entry(id, 0, id));
     }
-    let gone = enter(&mut door, Entry { returns: true, ..entry(1_000, 0, 1_000) });
+    let gone = enter(
+        &mut door,
+        Entry {
+            returns: true,
+            ..entry(1_000, 0, 1_000)
+        },
+    );
     assert!(gone.len() == 1 && !gone[0].returns);
-    let turns = (1..).find(|_| door.admit().expect("it waits").id == 1_000).expect("found");
+    let turns = (1..)
+        .find(|_| door.admit().expect("it waits").id == 1_000)
+        .expect("found");
     assert!(turns <= 2, "{turns} turns");
     // A flood that calls itself returned has half of its account's turns, and nobody else's.
     for id in 2_000..3_000 {
-        enter(&mut door, Entry { returns: true, ..entry(id, 0, id) });
+        enter(
+            &mut door,
+            Entry {
+                returns: true,
+                ..entry(id, 0, id)
+            },
+        );
     }
     enter(&mut door, entry(4_000, 1, 1));
-    let turns = (1..).find(|_| door.admit().expect("it waits").id == 4_000).expect("found");
+    let turns = (1..)
+        .find(|_| door.admit().expect("it waits").id == 4_000)
+        .expect("found");
     assert!(turns <= 2, "{turns} turns");
 }
 
@@ -145,11 +237,24 @@
     }
     let mut gone = Vec::new();
     door.limit(limits(20), &mut gone);
-    assert_eq!((gone.len(), door.waiting_of(0), door.waiting_of(1)), (80, 10, 10));
-    let of_first: Vec<u64> =
-        std::iter::from_fn(|| door.admit()).map(|one| one.id).filter(|id| *id < 90).collect();
-    let latest = gone.iter().map(|one| one.id).filter(|id| *id < 90).min().expect("some");
-    assert!(of_first.iter().all(|id| *id < latest + 4), "the last to come gave way: {of_first:?}, {latest}");
+    assert_eq!(
+        (gone.len(), door.waiting_of(0), door.waiting_of(1)),
+        (80, 10, 10)
+    );
+    let of_first: Vec<u64> = std::iter::from_fn(|| door.admit())
+        .map(|one| one.id)
+        .filter(|id| *id < 90)
+        .collect();
+    let latest = gone
+        .iter()
+        .map(|one| one.id)
+        .filter(|id| *id < 90)
+        .min()
+        .expect("some");
+    assert!(
+        of_first.iter().all(|id| *id < latest + 4),
+        "the last to come gave way: {of_first:?}, {latest}"
+    );
 }
 
 #[test]
@@ -167,13 +272,27 @@
     let mut door = door(limits(10_000));
     // One has many turns while another waits; it leaves and comes back at once: what it had still counts.
     for id in 0..100 {
-        enter(&mut door, Entry { share: 0.01, ..entry(id, 1, id) });
+        enter(
+            &mut door,
+            Entry {
+                share: 0.01,
+                ..entry(id, 1, id)
+            },
+        );
         enter(&mut door, entry(1_000 + id, 2, id));
     }
     assert!((0..10).all(|_| door.admit().is_some()));
     assert_eq!((0..100).filter_map(|id| door.leave(id)).count(), 99);
-    enter(&mut door, Entry { share: 0.01, ..entry(500, 1, 1) });
-    let turns = (1..).find(|_| door.admit().expect("it waits").id == 500).expect("found");
+    enter(
+        &mut door,
+        Entry {
+            share: 0.01,
+            ..entry(500, 1, 1)
+        },
+    );
+    let turns = (1..)
+        .find(|_| door.admit().expect("it waits").id == 500)
+        .expect("found");
     assert!(turns > 50, "a new start after {turns} turns");
     // Names of accounts without end use the same places again.
     for id in 10_000..110_000 {
@@ -185,13 +304,45 @@
 
 #[test]
 fn odd_settings_and_unknown_places_do_no_harm() {
-    let none = Bound { entries: 0, bytes: 0 };
-    let mut door = Door::new(&[], Limits { all: none, account: none, queue: none, queues: 0, hand: 0 }, 0);
-    assert_eq!(enter(&mut door, entry(1, 9, 1)), [entry(1, 9, 1)], "nobody may wait");
-    let mut door = Door::new(&[f64::NAN], Limits { hand: 99, queues: 8, ..Limits::default() }, 0);
+    let none = Bound {
+        entries: 0,
+        bytes: 0,
+    };
+    let mut door = Door::new(
+        &[],
+        Limits {
+            all: none,
+            account: none,
+            queue: none,
+            queues: 0,
+            hand: 0,
+        },
+        0,
+    );
+    assert_eq!(
+        enter(&mut door, entry(1, 9, 1)),
+        [entry(1, 9, 1)],
+        "nobody may wait"
+    );
+    let mut door = Door::new(
+        &[f64::NAN],
+        Limits {
+            hand: 99,
+            queues: 8,
+            ..Limits::default()
+        },
+        0,
+    );
     let shares = [f64::NAN, 0.0, -1.0, f64::INFINITY];
     for id in 0..100 {
-        enter(&mut door, Entry { class: 7, share: shares[id as usize % 4], ..entry(id, id % 4, id) });
+        enter(
+            &mut door,
+            Entry {
+                class: 7,
+                share: shares[id as usize % 4],
+                ..entry(id, id % 4, id)
+            },
+        );
     }
     enter(&mut door, entry(99, 3, 1));
     assert_eq!((0..100).filter_map(|_| door.admit()).count(), 100);
@@ -200,7 +351,13 @@
 
 #[derive(Clone, Debug)]
 enum Deed {
-    Enter { account: u64, class: usize, flow: u64, wait: u64, returns: bool },
+    Enter {
+        account: u64,
+        class: usize,
+        flow: u64,
+        wait: u64,
+        returns: bool,
+    },
     Next,
     Leave(usize),
     Expire(u64),
@@ -208,9 +365,20 @@
 }
 
 fn deeds() -> impl Strategy<Value = Vec<Deed>> {
-    let enter = (0..4_u64, 0..3_usize, 0..6_u64, 1..200_u64, prop::bool::weighted(0.2)).prop_map(
-        |(account, class, flow, wait, returns)| Deed::Enter { account, class, flow, wait, returns },
-    );
+    let enter = (
+        0..4_u64,
+        0..3_usize,
+        0..6_u64,
+        1..200_u64,
+        prop::bool::weighted(0.2),
+    )
+        .prop_map(|(account, class, flow, wait, returns)| Deed::Enter {
+            account,
+            class,
+            flow,
+            wait,
+            returns,
+        });
     let deed = prop_oneof![
         5 => enter,
         2 => Just(Deed::Next),
--- a/admission/tests/floods.rs
+++ b/admission/tests/floods.rs
@@ -74,9 +74,13 @@
 
 impl Told {
     fn part(&self, account: u64, from: Nanos, until: Nanos) -> f64 {
-        let inside = self.turns.iter().filter(|(at, _)| (from..until).contains(at));
-        let (own, all) =
-            inside.fold((0, 0), |(own, all), (_, of)| (own + u64::from(*of == account), all + 1));
+        let inside = self
+            .turns
+            .iter()
+            .filter(|(at, _)| (from..until).contains(at));
+        let (own, all) = inside.fold((0, 0), |(own, all), (_, of)| {
+            (own + u64::from(*of == account), all + 1)
+        });
         own as f64 / f64::from(all.max(1) as u32)
     }
 
@@ -91,7 +95,9 @@
     let mut events: BinaryHeap<Reverse<(Nanos, u64, What)>> = BinaryHeap::new();
     let (mut order, mut out, mut next, mut luck) = (0, 0, 0_u64, Chance(seed));
     // A client's own chance: the same with and without a flood beside it.
-    let mut spans: Vec<Chance> = (0..clients.len() as u64).map(|at| Chance(at * 977 + 1)).collect();
+    let mut spans: Vec<Chance> = (0..clients.len() as u64)
+        .map(|at| Chance(at * 977 + 1))
+        .collect();
     let mut waiting: HashMap<u64, (usize, Nanos)> = HashMap::new();
     let mut told_to: Vec<bool> = vec![false; clients.len()];
     let mut push = |events: &mut BinaryHeap<_>, at: Nanos, what| {
@@ -111,7 +117,11 @@
                 out -= 1;
                 let kept = clients[client].kept;
                 let new = || Histogram::new(3).expect("three digits");
-                told.took.entry(kept).or_insert_with(new).record((now - since) / 1_000).expect("it grows");
+                told.took
+                    .entry(kept)
+                    .or_insert_with(new)
+                    .record((now - since) / 1_000)
+                    .expect("it grows");
                 if clients[client].habit == Habit::AtOnce {
                     push(&mut events, now + ROUND, What::Comes { client });
                 }
@@ -156,7 +166,9 @@
                 Habit::AtOnce => ROUND,
                 Habit::Obeys => {
                     told_to[client] = true;
-                    let drain = tallies.drain(now, entry.account, door.ahead_of(&entry)).unwrap_or(SECOND);
+                    let drain = tallies
+                        .drain(now, entry.account, door.ahead_of(&entry))
+                        .unwrap_or(SECOND);
                     // Full jitter, as the module words it.
                     (drain.min(60 * SECOND) as f64 * (0.05 + 0.95 * luck.next())) as Nanos
                 }
@@ -220,17 +232,39 @@
     let until = 8 * SECOND;
     let quiet = steady(QUIET, 0.42, 40.0, until);
     let (without, with, told) = cost(quiet, flood(LOUD, 0.58, 10_000, 0), until);
-    println!("quiet p99 {without:.1} ms without, {with:.1} ms with; {:?} refused", told.refused);
-    assert!(with <= 1.05 * without, "{without} ms without, {with} ms with");
-    assert_eq!(told.refused.get(&QUIET), None, "none of the quiet account gave way");
+    println!(
+        "quiet p99 {without:.1} ms without, {with:.1} ms with; {:?} refused",
+        told.refused
+    );
+    assert!(
+        with <= 1.05 * without,
+        "{without} ms without, {with} ms with"
+    );
+    assert_eq!(
+        told.refused.get(&QUIET),
+        None,
+        "none of the quiet account gave way"
+    );
 }
 
 #[test]
 fn every_account_gets_its_share_under_floods_of_all() {
-    for shares in [&[0.58, 0.42][..], &[1.0, 1_000.0], &[1.0, 10.0, 100.0, 889.0]] {
+    for shares in [
+        &[0.58, 0.42][..],
+        &[1.0, 1_000.0],
+        &[1.0, 10.0, 100.0, 889.0],
+    ] {
         let until = 20 * SECOND;
-        let floods = shares.iter().zip(0..).map(|(share, account)| flood(account, *share, 1_000, 0));
-        let told = run(&floods.flatten().collect::<Vec<_>>(), Limits::default(), 7, until);
+        let floods = shares
+            .iter()
+            .zip(0..)
+            .map(|(share, account)| flood(account, *share, 1_000, 0));
+        let told = run(
+            &floods.flatten().collect::<Vec<_>>(),
+            Limits::default(),
+            7,
+            until,
+        );
         let whole: f64 = shares.iter().sum();
         for (share, account) in shares.iter().zip(0..) {
             let (part, due) = (told.part(account, SECOND, until), share / whole);
@@ -244,15 +278,29 @@
 fn an_account_that_was_silent_has_its_share_within_a_second() {
     let clients = [flood(1, 0.58, 500, 0), flood(2, 0.42, 500, 10 * SECOND)].concat();
     let told = run(&clients, Limits::default(), 7, 20 * SECOND);
-    assert!(told.part(1, SECOND, 10 * SECOND) == 1.0, "what is unused is lent");
-    let (first, second) = (told.part(2, 10 * SECOND, 11 * SECOND), told.part(2, 11 * SECOND, 12 * SECOND));
+    assert!(
+        told.part(1, SECOND, 10 * SECOND) == 1.0,
+        "what is unused is lent"
+    );
+    let (first, second) = (
+        told.part(2, 10 * SECOND, 11 * SECOND),
+        told.part(2, 11 * SECOND, 12 * SECOND),
+    );
     println!("{first:.3} of the turns in the first second, {second:.3} in the second");
-    assert!((first - 0.42).abs() < 0.02 && (second - 0.42).abs() < 0.02, "{first}, {second}");
+    assert!(
+        (first - 0.42).abs() < 0.02 && (second - 0.42).abs() < 0.02,
+        "{first}, {second}"
+    );
 }
 
 #[test]
 fn accounts_without_a_share_and_unknown_ones_get_the_part_of_one() {
-    let clients = [flood(1, f64::NAN, 300, 0), flood(2, 3.0, 300, 0), flood(0, 0.0, 300, 0)].concat();
+    let clients = [
+        flood(1, f64::NAN, 300, 0),
+        flood(2, 3.0, 300, 0),
+        flood(0, 0.0, 300, 0),
+    ]
+    .concat();
     let told = run(&clients, Limits::default(), 7, 10 * SECOND);
     for (account, due) in [(1, 0.2), (2, 0.6), (0, 0.2)] {
         let part = told.part(account, SECOND, 10 * SECOND);
@@ -265,9 +313,16 @@
     let until = 10 * SECOND;
     let quiet = steady(QUIET, 1.0, 60.0, until);
     let without = run(&quiet, Limits::default(), seed, until).p99(QUIET);
-    let loud = |flow| Client { flow, kept: LOUD, ..flood(QUIET, 1.0, 1, 0)[0] };
+    let loud = |flow| Client {
+        flow,
+        kept: LOUD,
+        ..flood(QUIET, 1.0, 1, 0)[0]
+    };
     let all: Vec<Client> = quiet.into_iter().chain(crowd.map(loud)).collect();
-    (without, run(&all, Limits::default(), seed, until).p99(QUIET))
+    (
+        without,
+        run(&all, Limits::default(), seed, until).p99(QUIET),
+    )
 }
 
 #[test]
@@ -275,10 +330,15 @@
     // One client that opens all; a group of ten thousand sites, which is one name here; and three of them.
     for (names, count) in [(1, 500), (1, 10_000), (3, 3_000)] {
         let (without, with) = cost_within((0..count).map(|number| 1_000 + number % names), 7);
-        println!("{count} under {names} names: quiet p99 {without:.1} ms without, {with:.1} ms with");
+        println!(
+            "{count} under {names} names: quiet p99 {without:.1} ms without, {with:.1} ms with"
+        );
         // A loud name holds its hand of four queues; each has a turn, of 5 ms, before a quiet name's.
         let turns = 5.0 * 4.0 * names as f64;
-        assert!(with <= 1.05 * without + turns + 5.0, "{without} ms without, {with} ms with");
+        assert!(
+            with <= 1.05 * without + turns + 5.0,
+            "{without} ms without, {with} ms with"
+        );
     }
 }
 
@@ -290,10 +350,19 @@
     // What somebody can work out who knows a door's seed: four names that hold the victim's whole hand there.
     let door = Door::new(&[1.0], Limits::default(), known);
     let hand: Vec<usize> = door.hand_of(1).collect();
-    let meets = |name: &u64| door.hand_of(*name).filter(|card| hand.contains(card)).count() >= 3;
+    let meets = |name: &u64| {
+        door.hand_of(*name)
+            .filter(|card| hand.contains(card))
+            .count()
+            >= 3
+    };
     let chosen: Vec<u64> = (1_000_000..).filter(meets).take(4).collect();
     let crowd: Vec<Client> = (0..2_000)
-        .map(|at| Client { flow: chosen[at % 4], kept: LOUD, ..flood(QUIET, 1.0, 1, 0)[0] })
+        .map(|at| Client {
+            flow: chosen[at % 4],
+            kept: LOUD,
+            ..flood(QUIET, 1.0, 1, 0)[0]
+        })
         .collect();
     let all = [victim.clone(), crowd].concat();
     let p99 = |clients: &[Client], seed| run(clients, Limits::default(), seed, until).p99(QUIET);
@@ -303,17 +372,30 @@
     );
     assert!(met > 5.0 * alone, "the names were chosen well: {met}");
     // Four names reach sixteen queues at most; each has a turn of 5 ms before the victim's.
-    assert!(missed <= 1.05 * alone + 5.0 * 16.0, "{missed} ms under another seed");
+    assert!(
+        missed <= 1.05 * alone + 5.0 * 16.0,
+        "{missed} ms under another seed"
+    );
 }
 
 #[test]
 fn those_who_come_back_at_the_told_time_are_then_admitted() {
     // A burst of ten times what fits the door, and nothing after it: the told times are honest if most of those who
     // keep to them find room.
-    let all = Bound { entries: 200, bytes: usize::MAX };
-    let limits = Limits { all, account: all, queue: all, ..Limits::default() };
+    let all = Bound {
+        entries: 200,
+        bytes: usize::MAX,
+    };
+    let limits = Limits {
+        all,
+        account: all,
+        queue: all,
+        ..Limits::default()
+    };
     let mut clients = flood(LOUD, 1.0, 2_000, 0);
-    clients.iter_mut().for_each(|client| client.habit = Habit::Obeys);
+    clients
+        .iter_mut()
+        .for_each(|client| client.habit = Habit::Obeys);
     let told = run(&clients, limits, 7, 60 * SECOND);
     let part = told.then_admitted as f64 / told.came_back as f64;
     println!(
@@ -329,9 +411,14 @@
 fn a_client_that_returns_after_a_move_waits_behind_no_flood() {
     let until = 8 * SECOND;
     let mut quiet = steady(LOUD, 1.0, 5.0, until);
-    quiet.iter_mut().for_each(|client| (client.returns, client.kept) = (true, QUIET));
+    quiet
+        .iter_mut()
+        .for_each(|client| (client.returns, client.kept) = (true, QUIET));
     let (without, with, told) = cost(quiet, flood(LOUD, 1.0, 10_000, 0), until);
     println!("returning p99 {without:.1} ms without, {with:.1} ms with");
-    assert!(with <= 1.05 * without, "{without} ms without, {with} ms with");
+    assert!(
+        with <= 1.05 * without,
+        "{without} ms without, {with} ms with"
+    );
     assert_eq!(told.refused.get(&QUIET), None);
 }
--- a/admission/tests/memory.rs
+++ b/admission/tests/memory.rs
@@ -6,11 +6,22 @@
 /// The most that this process has held so far, in KiB.
 fn peak() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
-    let line = status.lines().find(|line| line.starts_with("VmHWM")).expect("a peak");
-    line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).expect("a number")
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmHWM"))
+        .expect("a peak");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|kib| kib.parse().ok())
+        .expect("a number")
 }
 
-fn flood(names: std::ops::Range<u64>, door: &mut Door, tallies: &mut Tallies, returning: &mut Returning) {
+fn flood(
+    names: std::ops::Range<u64>,
+    door: &mut Door,
+    tallies: &mut Tallies,
+    returning: &mut Returning,
+) {
     let mut gone = Vec::new();
     for id in names {
         let (account, name) = (id % 2, ["acme", "others"][(id % 2) as usize]);
@@ -27,7 +38,8 @@
         };
         tallies.asked(now, account, name, 1.0);
         door.enter(entry, &mut gone);
-        gone.drain(..).for_each(|entry| tallies.missed(entry.account, Miss::Refused));
+        gone.drain(..)
+            .for_each(|entry| tallies.missed(entry.account, Miss::Refused));
         if id % 100 == 0
             && let Some(entry) = door.admit()
         {
@@ -39,8 +51,16 @@
 
 #[test]
 fn a_million_names_in_a_minute_hold_no_more_than_the_bound() {
-    let all = Bound { entries: 4_096, bytes: 4 << 20 };
-    let limits = Limits { all, account: all, queue: all, ..Limits::default() };
+    let all = Bound {
+        entries: 4_096,
+        bytes: 4 << 20,
+    };
+    let limits = Limits {
+        all,
+        account: all,
+        queue: all,
+        ..Limits::default()
+    };
     let mut door = Door::new(&[1.0, 1.0], limits, 7);
     let (mut tallies, mut returning) = (Tallies::default(), Returning::default());
     // The bound is reached, and every table has its size.
--- a/admission/tests/tally.rs
+++ b/admission/tests/tally.rs
@@ -10,7 +10,12 @@
     for (account, rate) in [(1, first), (2, second)] {
         for at in 0..seconds * rate {
             let now = from + at * SECOND / rate;
-            tallies.asked(now, account, if account == 1 { "acme" } else { "bright" }, 1.0);
+            tallies.asked(
+                now,
+                account,
+                if account == 1 { "acme" } else { "bright" },
+                1.0,
+            );
         }
     }
     let mut attempts: Vec<(Nanos, u64)> = Vec::new();
@@ -18,7 +23,9 @@
         attempts.extend((0..seconds * rate).map(|at| (from + at * SECOND / rate, account)));
     }
     attempts.sort_unstable();
-    attempts.into_iter().for_each(|(now, account)| tallies.admitted(now, account, SECOND / 100));
+    attempts
+        .into_iter()
+        .for_each(|(now, account)| tallies.admitted(now, account, SECOND / 100));
     from + seconds * SECOND
 }
 
@@ -30,9 +37,16 @@
     for (account, rate) in [(1, 50.0), (2, 30.0)] {
         // The second takes few, but its share of all is 30 a second: as fast would its line be worked off.
         let drain = tallies.drain(now, account, 100).expect("known") as f64 / SECOND as f64;
-        assert!((drain / (100.0 / rate) - 1.0).abs() < 0.1, "{drain} s for 100 at {rate} a second");
+        assert!(
+            (drain / (100.0 / rate) - 1.0).abs() < 0.1,
+            "{drain} s for 100 at {rate} a second"
+        );
     }
-    assert_eq!(tallies.drain(now + 3_600 * SECOND, 1, 10), None, "too long ago to tell");
+    assert_eq!(
+        tallies.drain(now + 3_600 * SECOND, 1, 10),
+        None,
+        "too long ago to tell"
+    );
 }
 
 #[test]
@@ -49,12 +63,21 @@
     assert_eq!(tallies.over_share(now, 5 * SECOND), [], "not for long yet");
     now = play(&mut tallies, now, 6, 90, 10);
     let news = tallies.over_share(now, 5 * SECOND);
-    assert!(news.len() == 1 && &*news[0].name == "acme" && news[0].lasts >= Some(5 * SECOND), "{news:?}");
-    assert!((news[0].part - 0.9).abs() < 0.03 && news[0].due == 0.5, "{news:?}");
+    assert!(
+        news.len() == 1 && &*news[0].name == "acme" && news[0].lasts >= Some(5 * SECOND),
+        "{news:?}"
+    );
+    assert!(
+        (news[0].part - 0.9).abs() < 0.03 && news[0].due == 0.5,
+        "{news:?}"
+    );
     assert_eq!(tallies.over_share(now, 5 * SECOND), [], "told once");
     now = play(&mut tallies, now, 20, 30, 30);
     let news = tallies.over_share(now, 5 * SECOND);
-    assert!(news.len() == 1 && news[0].lasts.is_none(), "it is over: {news:?}");
+    assert!(
+        news.len() == 1 && news[0].lasts.is_none(),
+        "it is over: {news:?}"
+    );
 }
 
 #[test]
@@ -81,7 +104,10 @@
     }
     let all = tallies.all();
     assert_eq!(all.len(), 4_096);
-    assert!(all.iter().all(|(account, tally)| *account >= 904 && tally.counts.refused == 1));
+    assert!(
+        all.iter()
+            .all(|(account, tally)| *account >= 904 && tally.counts.refused == 1)
+    );
 }
 
 #[test]
@@ -90,21 +116,37 @@
     returning.told(0, 7);
     returning.told(SECOND, 7);
     assert!(returning.comes(2 * SECOND, 7) && returning.comes(3 * SECOND, 7));
-    assert!(!returning.comes(3 * SECOND, 7), "a flood under its name gains nothing");
+    assert!(
+        !returning.comes(3 * SECOND, 7),
+        "a flood under its name gains nothing"
+    );
     returning.told(4 * SECOND, 7);
     assert!(!returning.comes(40 * SECOND, 7), "it comes too late");
     (0..10_000).for_each(|client| returning.told(50 * SECOND, client));
-    assert!(!returning.comes(50 * SECOND, 0) && returning.comes(50 * SECOND, 9_999), "the latest are known");
+    assert!(
+        !returning.comes(50 * SECOND, 0) && returning.comes(50 * SECOND, 9_999),
+        "the latest are known"
+    );
 }
 
 #[test]
 fn the_quickest_follows_what_set_ups_take_down_at_once_and_up_slowly() {
     let mut quickest = Quickest::default();
     assert_eq!(quickest.get(), 0);
-    [100, 400, 90, 900].into_iter().for_each(|span| quickest.took(span * 1_000));
-    assert!((90_000..110_000).contains(&quickest.get()), "{}", quickest.get());
+    [100, 400, 90, 900]
+        .into_iter()
+        .for_each(|span| quickest.took(span * 1_000));
+    assert!(
+        (90_000..110_000).contains(&quickest.get()),
+        "{}",
+        quickest.get()
+    );
     (0..500).for_each(|_| quickest.took(400_000));
-    assert!(quickest.get() > 390_000, "a service that has become slow: {}", quickest.get());
+    assert!(
+        quickest.get() > 390_000,
+        "a service that has become slow: {}",
+        quickest.get()
+    );
 }
 
 proptest! {
--- a/affinity/benches/memory.rs
+++ b/affinity/benches/memory.rs
@@ -14,7 +14,11 @@
 
 impl FarmView for AllReady {
     fn server(&self, _: Tag) -> Option<ServerNow> {
-        Some(ServerNow { is_ready: true, ready_since: 0, started_at: 0 })
+        Some(ServerNow {
+            is_ready: true,
+            ready_since: 0,
+            started_at: 0,
+        })
     }
 
     fn permits(&self, _: &Client, _: Tag) -> bool {
@@ -44,14 +48,30 @@
         version: Version(7),
         stamp: Stamp((NOW + after) << 20 | 5),
         seen_s: ((NOW + after) / 1_000) as u32,
-        state: if number.is_multiple_of(4) { State::Ended(How::Broke) } else { State::Standing },
+        state: if number.is_multiple_of(4) {
+            State::Ended(How::Broke)
+        } else {
+            State::Standing
+        },
         twins: 0,
     }
 }
 
 fn filled(count: u64) -> Memory {
-    let bound = Bound { entries: count as usize, bytes: usize::MAX };
-    let mut memory = Memory::new(Limits { bound, life_s: 3_600, away_s: 60, home_most: 32 }, 1, 2);
+    let bound = Bound {
+        entries: count as usize,
+        bytes: usize::MAX,
+    };
+    let mut memory = Memory::new(
+        Limits {
+            bound,
+            life_s: 3_600,
+            away_s: 60,
+            home_most: 32,
+        },
+        1,
+        2,
+    );
     memory.adopt(Version(7), 1, NOW);
     for number in 0..count {
         memory.heard(&fact(number, number % 600_000), NOW + number % 600_000);
@@ -61,7 +81,9 @@
 
 /// See the file's head.
 fn main() {
-    let mut criterion = Criterion::default().measurement_time(Duration::from_secs(4)).configure_from_args();
+    let mut criterion = Criterion::default()
+        .measurement_time(Duration::from_secs(4))
+        .configure_from_args();
     for count in [1_000, 100_000, 1_000_000_u64] {
         let mut memory = filled(count);
         let mut walk = Walk { at: 0, count };
@@ -69,14 +91,22 @@
         group.bench_function(BenchmarkId::new("place", count), |bencher| {
             bencher.iter(|| {
                 let key = fact(walk.next(), 0).key;
-                let client = Client { key, group: None, tenant: None };
+                let client = Client {
+                    key,
+                    group: None,
+                    tenant: None,
+                };
                 black_box(memory.place(&client, &AllReady, NOW + 600_000))
             });
         });
         group.bench_function(BenchmarkId::new("place_at_home", count), |bencher| {
             bencher.iter(|| {
                 let placed = fact(walk.next(), 0);
-                let client = Client { key: Key(!placed.key.0), group: placed.group, tenant: None };
+                let client = Client {
+                    key: Key(!placed.key.0),
+                    group: placed.group,
+                    tenant: None,
+                };
                 black_box(memory.place(&client, &AllReady, NOW + 600_000))
             });
         });
--- a/affinity/src/changes.rs
+++ b/affinity/src/changes.rs
@@ -31,16 +31,35 @@
     pub fn between(before: &Routing, after: &Routing) -> Changes {
         let renamed = renames(before, after);
         let now = |name: &String| renamed.get(name).unwrap_or(name).clone();
-        let old: BTreeMap<String, &Server> = before.servers.iter().map(|one| (now(&one.name), one)).collect();
-        let new: BTreeMap<&String, &Server> = after.servers.iter().map(|one| (&one.name, one)).collect();
-        let both = || new.iter().filter_map(|(name, one)| Some((*name, *one, *old.get(*name)?)));
+        let old: BTreeMap<String, &Server> = before
+            .servers
+            .iter()
+            .map(|one| (now(&one.name), one))
+            .collect();
+        let new: BTreeMap<&String, &Server> =
+            after.servers.iter().map(|one| (&one.name, one)).collect();
+        let both = || {
+            new.iter()
+                .filter_map(|(name, one)| Some((*name, *one, *old.get(*name)?)))
+        };
         let other = |differ: fn(&Server, &Server) -> bool| {
-            both().filter(|(_, one, was)| differ(one, was)).map(|(name, _, _)| name.clone()).collect()
+            both()
+                .filter(|(_, one, was)| differ(one, was))
+                .map(|(name, _, _)| name.clone())
+                .collect()
         };
         let gone = |zone: &&String| !after.zones.contains(zone);
         Changes {
-            added: new.keys().filter(|name| !old.contains_key(**name)).map(|name| (*name).clone()).collect(),
-            removed: old.keys().filter(|name| !new.contains_key(name)).cloned().collect(),
+            added: new
+                .keys()
+                .filter(|name| !old.contains_key(**name))
+                .map(|name| (*name).clone())
+                .collect(),
+            removed: old
+                .keys()
+                .filter(|name| !new.contains_key(name))
+                .cloned()
+                .collect(),
             weights: other(|one, was| one.weight != was.weight),
             moved_zone: other(|one, was| one.zone != was.zone),
             zones_gone: before.zones.iter().filter(gone).cloned().collect(),
@@ -59,18 +78,30 @@
         names.dedup();
         names
     };
-    routing.tenants.iter().map(|(tenant, names)| (tenant.clone(), set(names))).collect()
+    routing
+        .tenants
+        .iter()
+        .map(|(tenant, names)| (tenant.clone(), set(names)))
+        .collect()
 }
 
 fn classes(routing: &Routing) -> BTreeMap<String, (u64, u64, u64)> {
     let of = |one: &crate::Class| (one.aim_ms, one.deadline_ms, one.worth.to_bits());
-    routing.classes.iter().map(|one| (one.name.clone(), of(one))).collect()
+    routing
+        .classes
+        .iter()
+        .map(|one| (one.name.clone(), of(one)))
+        .collect()
 }
 
 /// The names that have another value, or that just one of the two has.
 fn differing<V: PartialEq>(old: &BTreeMap<String, V>, new: &BTreeMap<String, V>) -> Vec<String> {
-    let mut names: Vec<String> =
-        old.keys().chain(new.keys()).filter(|name| old.get(*name) != new.get(*name)).cloned().collect();
+    let mut names: Vec<String> = old
+        .keys()
+        .chain(new.keys())
+        .filter(|name| old.get(*name) != new.get(*name))
+        .cloned()
+        .collect();
     names.sort();
     names.dedup();
     names
@@ -78,7 +109,11 @@
 
 impl fmt::Display for Changes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let renamed: Vec<String> = self.renamed.iter().map(|(old, new)| format!("{old} now {new}")).collect();
+        let renamed: Vec<String> = self
+            .renamed
+            .iter()
+            .map(|(old, new)| format!("{old} now {new}"))
+            .collect();
         let parts = [
             ("servers added", &self.added),
             ("servers removed", &self.removed),
@@ -95,7 +130,12 @@
             .map(|(what, names)| format!("{what}: {}", names.join(", ")))
             .collect();
         f.write_str(
-            if said.is_empty() { "nothing of routing changed".into() } else { said.join("; ") }.as_str(),
+            if said.is_empty() {
+                "nothing of routing changed".into()
+            } else {
+                said.join("; ")
+            }
+            .as_str(),
         )
     }
 }
--- a/affinity/src/entry.rs
+++ b/affinity/src/entry.rs
@@ -37,7 +37,14 @@
     /// No entry.
     pub(crate) fn none() -> Entry {
         let [free, link] = [pack(NONE, 0); 2];
-        Entry { key: 0, stamp: 0, seen_s: 0, spot_state: free, before_version: link, after_version: link }
+        Entry {
+            key: 0,
+            stamp: 0,
+            seen_s: 0,
+            spot_state: free,
+            before_version: link,
+            after_version: link,
+        }
     }
 
     pub(crate) fn spot(&self) -> u32 {
--- a/affinity/src/index.rs
+++ b/affinity/src/index.rs
@@ -13,7 +13,9 @@
 
 impl Index {
     pub(crate) fn for_entries(most: usize) -> Index {
-        Index { slots: vec![0; (most * ROOM.0).div_ceil(ROOM.1).max(8)] }
+        Index {
+            slots: vec![0; (most * ROOM.0).div_ceil(ROOM.1).max(8)],
+        }
     }
 
     fn home(&self, hash: u64) -> usize {
@@ -21,12 +23,17 @@
     }
 
     fn next(&self, at: usize) -> usize {
-        if at + 1 == self.slots.len() { 0 } else { at + 1 }
+        if at + 1 == self.slots.len() {
+            0
+        } else {
+            at + 1
+        }
     }
 
     /// The number of this hash that is the one looked for.
     pub(crate) fn find(&self, hash: u64, mut is_it: impl FnMut(u32) -> bool) -> Option<u32> {
-        self.place(hash, &mut is_it).map(|at| number(self.slots[at]))
+        self.place(hash, &mut is_it)
+            .map(|at| number(self.slots[at]))
     }
 
     fn place(&self, hash: u64, is_it: &mut impl FnMut(u32) -> bool) -> Option<usize> {
@@ -58,7 +65,9 @@
 
     /// Takes a number out, and moves up those behind it that it kept from their place.
     pub(crate) fn strike(&mut self, hash: u64, id: u32, hash_of: impl Fn(u32) -> u64) {
-        let Some(mut hole) = self.place(hash, &mut |other| other == id) else { return };
+        let Some(mut hole) = self.place(hash, &mut |other| other == id) else {
+            return;
+        };
         let mut at = self.next(hole);
         while self.slots[at] != 0 {
             let home = self.home(hash_of(number(self.slots[at])));
@@ -72,7 +81,11 @@
     }
 
     fn distance(&self, from: usize, to: usize) -> usize {
-        if to >= from { to - from } else { to + self.slots.len() - from }
+        if to >= from {
+            to - from
+        } else {
+            to + self.slots.len() - from
+        }
     }
 
     pub(crate) fn bytes(&self) -> usize {
--- a/affinity/src/limits.rs
+++ b/affinity/src/limits.rs
@@ -29,18 +29,28 @@
 impl Limits {
     /// How many placements that are.
     pub(crate) fn most(&self) -> usize {
-        self.bound.entries.min(self.bound.bytes / BYTES_EACH).clamp(1, MOST)
+        self.bound
+            .entries
+            .min(self.bound.bytes / BYTES_EACH)
+            .clamp(1, MOST)
     }
 
     /// The fields that are out of their range.
     pub fn faults(&self) -> Vec<&'static str> {
         let faults = [
-            ("entries", self.bound.entries == 0 || self.bound.entries > MOST),
+            (
+                "entries",
+                self.bound.entries == 0 || self.bound.entries > MOST,
+            ),
             ("bytes", self.bound.bytes < BYTES_EACH),
             ("life_s", self.life_s == 0),
             ("away_s", self.away_s > self.life_s),
         ];
-        faults.into_iter().filter(|(_, is_bad)| *is_bad).map(|(field, _)| field).collect()
+        faults
+            .into_iter()
+            .filter(|(_, is_bad)| *is_bad)
+            .map(|(field, _)| field)
+            .collect()
     }
 }
 
--- a/affinity/src/memory.rs
+++ b/affinity/src/memory.rs
@@ -107,13 +107,21 @@
     }
 
     /// A client stands on a server; the fact for peers. Its stamp is the connection's, for [`Memory::ended`].
-    pub fn stood(&mut self, client: &Client, server: Tag, now: Millis) -> Result<Placement, Refused> {
+    pub fn stood(
+        &mut self,
+        client: &Client,
+        server: Tag,
+        now: Millis,
+    ) -> Result<Placement, Refused> {
         let old = self.get(client.key);
         let own = self.versions.current().unwrap_or(Version(0));
         // Guards against a client of the newer version that an older process would deal anew the next time.
-        let kept =
-            old.filter(|old| self.names.now(old.server) == self.names.now(server)).map(|old| old.version);
-        let version = kept.filter(|kept| *kept != own && self.is_beyond(*kept, now, now)).unwrap_or(own);
+        let kept = old
+            .filter(|old| self.names.now(old.server) == self.names.now(server))
+            .map(|old| old.version);
+        let version = kept
+            .filter(|kept| *kept != own && self.is_beyond(*kept, now, now))
+            .unwrap_or(own);
         let again = old.filter(|old| old.state == State::Standing && !self.is_dead(old.stamp));
         let placement = Placement {
             key: client.key,
@@ -135,7 +143,10 @@
     /// A connection still stands: to be told a few times in each life.
     pub fn stands(&mut self, key: Key, stamp: Stamp, now: Millis) -> Option<Placement> {
         let standing = self.own(key, stamp)?;
-        let seen = Placement { seen_s: seconds(now).max(standing.seen_s), ..standing };
+        let seen = Placement {
+            seen_s: seconds(now).max(standing.seen_s),
+            ..standing
+        };
         self.take_in(&seen);
         Some(seen)
     }
@@ -144,7 +155,11 @@
     pub fn ended(&mut self, key: Key, stamp: Stamp, how: How, now: Millis) -> Option<Placement> {
         let standing = self.own(key, stamp)?;
         let seen_s = seconds(now).max(standing.seen_s);
-        let ended = Placement { seen_s, state: State::Ended(how), ..standing };
+        let ended = Placement {
+            seen_s,
+            state: State::Ended(how),
+            ..standing
+        };
         self.take_in(&ended);
         Some(ended)
     }
@@ -177,9 +192,16 @@
 
     /// Reads all that a merge will, to no end but to have it near.
     fn touch(&self, key: Key) -> u32 {
-        let Some(entry) = self.find(key).map(|id| &self.entries[id as usize]) else { return 0 };
-        let link = |id: u32| self.entries.get(id as usize).map_or(0, |entry| entry.seen_s);
-        u32::from(self.spots.life(entry.spot())).wrapping_add(link(entry.before()) ^ link(entry.after()))
+        let Some(entry) = self.find(key).map(|id| &self.entries[id as usize]) else {
+            return 0;
+        };
+        let link = |id: u32| {
+            self.entries
+                .get(id as usize)
+                .map_or(0, |entry| entry.seen_s)
+        };
+        u32::from(self.spots.life(entry.spot()))
+            .wrapping_add(link(entry.before()) ^ link(entry.after()))
             >> 16
     }
 
@@ -206,7 +228,9 @@
     pub fn expire(&mut self, now: Millis, most: usize) -> usize {
         let oldest = seconds(now).saturating_sub(self.limits.life_s);
         for gone in 0..most {
-            let Some(id) = self.ages.older_than(oldest) else { return gone };
+            let Some(id) = self.ages.older_than(oldest) else {
+                return gone;
+            };
             self.remove(id);
             self.counts.expired += 1;
         }
@@ -236,7 +260,9 @@
     /// Whether a version is newer than this process's own: its placements are not for this process to judge. One that
     /// nothing is known of is taken for newer if what was dealt under it is younger than the own version.
     pub(crate) fn is_beyond(&self, version: Version, dealt: Millis, now: Millis) -> bool {
-        let Some(own) = self.versions.current() else { return false };
+        let Some(own) = self.versions.current() else {
+            return false;
+        };
         if self.versions.get(version).is_some() {
             return self.versions.is_newer(version, own, now);
         }
@@ -252,7 +278,9 @@
     }
 
     pub(crate) fn find(&self, key: Key) -> Option<u32> {
-        self.index.find(self.hash(key.0), |id| self.entries[id as usize].key == key.0)
+        self.index.find(self.hash(key.0), |id| {
+            self.entries[id as usize].key == key.0
+        })
     }
 
     fn placement(&self, id: u32) -> Placement {
@@ -271,17 +299,23 @@
 
     /// The placement of this connection, if it stands.
     fn own(&self, key: Key, stamp: Stamp) -> Option<Placement> {
-        self.get(key).filter(|known| known.stamp == stamp && known.state == State::Standing)
+        self.get(key)
+            .filter(|known| known.stamp == stamp && known.state == State::Standing)
     }
 
     fn take_in(&mut self, told: &Placement) -> Heard {
         let Some(id) = self.find(told.key) else {
-            return self.insert(told).map_or_else(Heard::Refused, |()| Heard::New);
+            return self
+                .insert(told)
+                .map_or_else(Heard::Refused, |()| Heard::New);
         };
         let known = self.entries[id as usize].stamp;
         let says_more = match told.stamp.0 == known {
             true => {
-                let told = Placement { server: self.names.now(told.server), ..*told };
+                let told = Placement {
+                    server: self.names.now(told.server),
+                    ..*told
+                };
                 told.order(&self.placement(id)).is_gt()
             }
             false => told.stamp.0 > known,
@@ -289,7 +323,8 @@
         if !says_more {
             return Heard::Known;
         }
-        self.replace(id, told).map_or_else(Heard::Refused, |()| Heard::Newer)
+        self.replace(id, told)
+            .map_or_else(Heard::Refused, |()| Heard::Newer)
     }
 
     /// Spot and version of a placement, one use more of each.
@@ -299,7 +334,11 @@
             self.digests.give_back(version);
             return Err(Refused::NoRoom);
         };
-        Ok((self.spots.take(&mut self.names, told.group.map(|group| group.0), life), version))
+        Ok((
+            self.spots
+                .take(&mut self.names, told.group.map(|group| group.0), life),
+            version,
+        ))
     }
 
     fn insert(&mut self, told: &Placement) -> Result<(), Refused> {
@@ -335,7 +374,9 @@
     fn numbers_after(&mut self, old: &Entry, told: &Placement) -> Result<(u32, u16), Refused> {
         let is_same = told.version == self.version_of(old)
             && told.group.map(|group| group.0) == self.spots.group(old.spot())
-            && self.names.is_life(self.spots.life(old.spot()), told.server, told.since());
+            && self
+                .names
+                .is_life(self.spots.life(old.spot()), told.server, told.since());
         if !is_same {
             let numbers = self.numbers(told)?;
             self.spots.give_back(&mut self.names, old.spot());
@@ -368,7 +409,9 @@
         let old = self.entries[id as usize];
         self.ages.leave(&mut self.entries, id);
         let (entries, seed) = (&self.entries, self.seed);
-        self.index.strike(mix(old.key ^ seed), id, |id| mix(entries[id as usize].key ^ seed));
+        self.index.strike(mix(old.key ^ seed), id, |id| {
+            mix(entries[id as usize].key ^ seed)
+        });
         let mut none = Entry::none();
         none.set_before(self.free);
         self.entries[id as usize] = none;
--- a/affinity/src/names.rs
+++ b/affinity/src/names.rs
@@ -44,12 +44,19 @@
 
     /// What a server is called now.
     pub(crate) fn now(&self, tag: Tag) -> Tag {
-        if self.renamed.is_empty() { tag } else { self.renamed.get(&tag).copied().unwrap_or(tag) }
+        if self.renamed.is_empty() {
+            tag
+        } else {
+            self.renamed.get(&tag).copied().unwrap_or(tag)
+        }
     }
 
     /// What it was called before.
     pub(crate) fn before(&self, tag: Tag) -> impl Iterator<Item = Tag> {
-        self.renamed.iter().filter(move |(_, new)| **new == tag).map(|(old, _)| *old)
+        self.renamed
+            .iter()
+            .filter(move |(_, new)| **new == tag)
+            .map(|(old, _)| *old)
     }
 
     /// The life that a placement of this moment belongs to.
@@ -72,7 +79,13 @@
     }
 
     fn begin(&mut self, tag: Tag, from: Millis, is_over: bool) -> Option<u16> {
-        let life = Life { tag, from, is_over, loose: NONE, uses: 0 };
+        let life = Life {
+            tag,
+            from,
+            is_over,
+            loose: NONE,
+            uses: 0,
+        };
         let number = match self.free.pop() {
             Some(number) => number,
             None => match u16::try_from(self.lives.len()) {
@@ -84,14 +97,21 @@
             },
         };
         self.lives[usize::from(number)] = life;
-        let map = if is_over { &mut self.over } else { &mut self.live };
+        let map = if is_over {
+            &mut self.over
+        } else {
+            &mut self.live
+        };
         map.insert(tag, number);
         Some(number)
     }
 
     /// A life that is kept for its start alone.
     fn reclaim(&mut self) -> Option<u16> {
-        let idle = self.lives.iter().position(|life| life.uses == 0 && !life.is_over)?;
+        let idle = self
+            .lives
+            .iter()
+            .position(|life| life.uses == 0 && !life.is_over)?;
         self.live.remove(&self.lives[idle].tag);
         u16::try_from(idle).ok()
     }
@@ -124,9 +144,15 @@
             return;
         }
         self.renamed.remove(&new);
-        self.renamed.values_mut().filter(|to| **to == old).for_each(|to| *to = new);
+        self.renamed
+            .values_mut()
+            .filter(|to| **to == old)
+            .for_each(|to| *to = new);
         self.renamed.insert(old, new);
-        self.lives.iter_mut().filter(|life| life.tag == old).for_each(|life| life.tag = new);
+        self.lives
+            .iter_mut()
+            .filter(|life| life.tag == old)
+            .for_each(|life| life.tag = new);
         for map in [&mut self.live, &mut self.over] {
             if let Some(life) = map.remove(&old) {
                 map.entry(new).or_insert(life);
@@ -145,7 +171,14 @@
         if one.uses > 0 || !one.is_over && one.from > 0 {
             return;
         }
-        let (tag, map) = (one.tag, if one.is_over { &mut self.over } else { &mut self.live });
+        let (tag, map) = (
+            one.tag,
+            if one.is_over {
+                &mut self.over
+            } else {
+                &mut self.live
+            },
+        );
         if map.get(&tag) == Some(&life) {
             map.remove(&tag);
         }
@@ -153,7 +186,8 @@
     }
 
     pub(crate) fn bytes(&self) -> usize {
-        self.lives.capacity() * size_of::<Life>() + (self.live.capacity() + self.over.capacity()) * 12
+        self.lives.capacity() * size_of::<Life>()
+            + (self.live.capacity() + self.over.capacity()) * 12
     }
 }
 
--- a/affinity/src/place.rs
+++ b/affinity/src/place.rs
@@ -111,9 +111,11 @@
         };
         let had = self.names.get(self.spots.life(entry.spot())).tag;
         match (holds, listed) {
-            (Holds::Yes, Some(server)) => {
-                Some(Advice { server, why: Why::SameServer, under: self.version_of(entry) })
-            }
+            (Holds::Yes, Some(server)) => Some(Advice {
+                server,
+                why: Why::SameServer,
+                under: self.version_of(entry),
+            }),
             _ => self.home(client, Some(had), Why::ReDealt, farm),
         }
     }
@@ -146,7 +148,9 @@
     /// name.
     fn listed(&self, tag: Tag, farm: &dyn FarmView) -> Option<(Tag, ServerNow)> {
         let names = std::iter::once(tag).chain(self.names.before(tag));
-        names.into_iter().find_map(|name| Some((name, farm.server(name)?)))
+        names
+            .into_iter()
+            .find_map(|name| Some((name, farm.server(name)?)))
     }
 
     fn judge(
@@ -191,17 +195,30 @@
     }
 
     /// The ready server that has most of a group, and room for more of it. Ties go by a hash that all processes share.
-    fn home(&self, client: &Client, not: Option<Tag>, why: Why, farm: &dyn FarmView) -> Option<Advice> {
+    fn home(
+        &self,
+        client: &Client,
+        not: Option<Tag>,
+        why: Why,
+        farm: &dyn FarmView,
+    ) -> Option<Advice> {
         let group = client.group?.0;
         let has_room = |(_, count): &(u16, u32)| *count < self.limits.home_most;
         let fit = |(life, count): (u16, u32)| {
             let life = self.names.get(life);
-            let (tag, server) =
-                self.listed(life.tag, farm).filter(|_| !life.is_over && Some(life.tag) != not)?;
-            let is_fit = server.is_ready && server.started_at <= life.from && farm.permits(client, tag);
+            let (tag, server) = self
+                .listed(life.tag, farm)
+                .filter(|_| !life.is_over && Some(life.tag) != not)?;
+            let is_fit =
+                server.is_ready && server.started_at <= life.from && farm.permits(client, tag);
             is_fit.then_some((count, mix(group ^ mix(life.tag.0)), tag))
         };
-        let (_, _, server) = self.spots.of_group(group).filter(has_room).filter_map(fit).max()?;
+        let (_, _, server) = self
+            .spots
+            .of_group(group)
+            .filter(has_room)
+            .filter_map(fit)
+            .max()?;
         let under = self.versions().current().unwrap_or(Version(0));
         Some(Advice { server, why, under })
     }
--- a/affinity/src/placement.rs
+++ b/affinity/src/placement.rs
@@ -80,8 +80,17 @@
     /// The state of a number; standing for one that means nothing here.
     pub fn of(byte: u8) -> State {
         use How::*;
-        let ended = [Broke, Left, BalancerDied, MovedLeaving, MovedLate, MovedUneven];
-        let how = usize::from(byte).checked_sub(1).and_then(|at| ended.get(at));
+        let ended = [
+            Broke,
+            Left,
+            BalancerDied,
+            MovedLeaving,
+            MovedLate,
+            MovedUneven,
+        ];
+        let how = usize::from(byte)
+            .checked_sub(1)
+            .and_then(|at| ended.get(at));
         how.map_or(State::Standing, |how| State::Ended(*how))
     }
 }
@@ -118,7 +127,16 @@
     /// later. The rest is for a tie of two processes alone: any order does, as long as it is everybody's.
     pub fn order(&self, other: &Placement) -> Ordering {
         let rank = |one: &Placement| {
-            (one.stamp, one.state, one.seen_s, one.twins, one.server, one.version, one.group, one.key)
+            (
+                one.stamp,
+                one.state,
+                one.seen_s,
+                one.twins,
+                one.server,
+                one.version,
+                one.group,
+                one.key,
+            )
         };
         rank(self).cmp(&rank(other))
     }
--- a/affinity/src/redeal.rs
+++ b/affinity/src/redeal.rs
@@ -22,8 +22,18 @@
 impl ReDeal {
     /// So many a second over so many processes; each process has a seed of its own.
     pub fn new(per_s: f64, processes: u32, seed: u64) -> ReDeal {
-        let per_s = if per_s.is_finite() { per_s.max(0.0) } else { 0.0 };
-        ReDeal { per_s, processes: processes.max(1), asked: None, waiting: VecDeque::new(), draws: mix(seed) }
+        let per_s = if per_s.is_finite() {
+            per_s.max(0.0)
+        } else {
+            0.0
+        };
+        ReDeal {
+            per_s,
+            processes: processes.max(1),
+            asked: None,
+            waiting: VecDeque::new(),
+            draws: mix(seed),
+        }
     }
 
     /// How many processes there are now.
--- a/affinity/src/routing.rs
+++ b/affinity/src/routing.rs
@@ -68,10 +68,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::Twice(name) => write!(f, "{name:?} is there twice"),
-            Fault::NoNumber(name) => write!(f, "{name:?}: weight or worth is no number of 0 or more"),
+            Fault::NoNumber(name) => {
+                write!(f, "{name:?}: weight or worth is no number of 0 or more")
+            }
             Fault::WasTwice(name) => write!(f, "two servers say that they were {name:?}"),
-            Fault::StillThere(name) => write!(f, "a server says that it was {name:?}, which is still there"),
-            Fault::NoSuchServer(name) => write!(f, "a tenant has server {name:?}, which there is not"),
+            Fault::StillThere(name) => write!(
+                f,
+                "a server says that it was {name:?}, which is still there"
+            ),
+            Fault::NoSuchServer(name) => {
+                write!(f, "a tenant has server {name:?}, which there is not")
+            }
         }
     }
 }
@@ -81,17 +88,31 @@
     pub fn version(&self) -> Version {
         let mut all = Canonical::default();
         all.section("zones", self.zones.iter().map(|zone| vec![text(zone)]));
-        let server =
-            |one: &Server| vec![text(&one.name), text(&one.zone), number(one.weight), text(&one.address)];
+        let server = |one: &Server| {
+            vec![
+                text(&one.name),
+                text(&one.zone),
+                number(one.weight),
+                text(&one.address),
+            ]
+        };
         all.section("servers", self.servers.iter().map(server));
         let tenant = |(name, names): &(String, Vec<String>)| {
             let set: BTreeSet<&str> = names.iter().map(String::as_str).collect();
-            std::iter::once(text(name)).chain(set.into_iter().map(text)).collect()
+            std::iter::once(text(name))
+                .chain(set.into_iter().map(text))
+                .collect()
         };
         all.section("tenants", self.tenants.iter().map(tenant));
         let whole = |value: u64| value.to_be_bytes().to_vec();
-        let class =
-            |one: &Class| vec![text(&one.name), whole(one.aim_ms), whole(one.deadline_ms), number(one.worth)];
+        let class = |one: &Class| {
+            vec![
+                text(&one.name),
+                whole(one.aim_ms),
+                whole(one.deadline_ms),
+                number(one.worth),
+            ]
+        };
         all.section("classes", self.classes.iter().map(class));
         all.version()
     }
@@ -99,7 +120,11 @@
     /// All that is wrong with it.
     pub fn faults(&self) -> Vec<Fault> {
         let servers: BTreeSet<&str> = self.servers.iter().map(|one| one.name.as_str()).collect();
-        let was = || self.servers.iter().filter_map(|one| Some((one.name.as_str(), one.was.as_deref()?)));
+        let was = || {
+            self.servers
+                .iter()
+                .filter_map(|one| Some((one.name.as_str(), one.was.as_deref()?)))
+        };
         let tenants = self.tenants.iter().map(|(name, _)| name.as_str());
         let twice = twice(self.servers.iter().map(|one| one.name.as_str()))
             .into_iter()
@@ -123,14 +148,24 @@
 /// The servers that have another name now: old to new. By the new one's word, else by the address, where just one server
 /// had it and just one has it now. A name that is still there was not renamed.
 pub fn renames(before: &Routing, after: &Routing) -> BTreeMap<String, String> {
-    let names =
-        |routing: &Routing| routing.servers.iter().map(|one| one.name.clone()).collect::<BTreeSet<_>>();
+    let names = |routing: &Routing| {
+        routing
+            .servers
+            .iter()
+            .map(|one| one.name.clone())
+            .collect::<BTreeSet<_>>()
+    };
     let (old_names, new_names) = (names(before), names(after));
     let gone = |name: &str| old_names.contains(name) && !new_names.contains(name);
     let mut renamed = BTreeMap::new();
-    let told = after.servers.iter().filter_map(|one| Some((one.was.as_deref()?, one)));
+    let told = after
+        .servers
+        .iter()
+        .filter_map(|one| Some((one.was.as_deref()?, one)));
     for (was, one) in told.filter(|(was, one)| gone(was) && !old_names.contains(&one.name)) {
-        renamed.entry(was.to_owned()).or_insert_with(|| one.name.clone());
+        renamed
+            .entry(was.to_owned())
+            .or_insert_with(|| one.name.clone());
     }
     let (had, has) = (by_address(before), by_address(after));
     for (address, old) in had.iter().filter(|(_, old)| gone(old)) {
@@ -138,7 +173,9 @@
             && !old_names.contains(*new)
             && !renamed.values().any(|name| name == new)
         {
-            renamed.entry((*old).to_owned()).or_insert_with(|| (*new).to_owned());
+            renamed
+                .entry((*old).to_owned())
+                .or_insert_with(|| (*new).to_owned());
         }
     }
     renamed
@@ -151,13 +188,18 @@
         all.entry(&one.address).or_default().push(&one.name);
     }
     all.into_iter()
-        .filter_map(|(address, names)| Some((address, *names.first().filter(|_| names.len() == 1)?)))
+        .filter_map(|(address, names)| {
+            Some((address, *names.first().filter(|_| names.len() == 1)?))
+        })
         .collect()
 }
 
 fn twice<'a>(names: impl Iterator<Item = &'a str>) -> BTreeSet<String> {
     let mut seen = BTreeSet::new();
-    names.filter(|name| !seen.insert(*name)).map(str::to_owned).collect()
+    names
+        .filter(|name| !seen.insert(*name))
+        .map(str::to_owned)
+        .collect()
 }
 
 fn twice_was<'a>(was: impl Iterator<Item = (&'a str, &'a str)>) -> impl Iterator<Item = String> {
@@ -195,6 +237,11 @@
 
     fn version(self) -> Version {
         let digest = self.0.finalize();
-        Version(digest.iter().take(16).fold(0, |word, byte| word << 8 | u128::from(*byte)))
+        Version(
+            digest
+                .iter()
+                .take(16)
+                .fold(0, |word, byte| word << 8 | u128::from(*byte)),
+        )
     }
 }
--- a/affinity/src/spots.rs
+++ b/affinity/src/spots.rs
@@ -17,7 +17,10 @@
 
 impl Spot {
     fn new(group: u64, life: u16, count: u32, next: u32) -> Spot {
-        Spot { group, rest: u64::from(life) << 48 | u64::from(count) << 24 | u64::from(next) }
+        Spot {
+            group,
+            rest: u64::from(life) << 48 | u64::from(count) << 24 | u64::from(next),
+        }
     }
 
     fn life(self) -> u16 {
@@ -52,7 +55,12 @@
     pub(crate) fn for_entries(most: usize, seed: u64) -> Spots {
         // One more than entries: a client's new spot is taken before the old one is given back.
         let seed = mix(seed);
-        Spots { all: Vec::with_capacity(most + 1), free: NONE, heads: Index::for_entries(most), seed }
+        Spots {
+            all: Vec::with_capacity(most + 1),
+            free: NONE,
+            heads: Index::for_entries(most),
+            seed,
+        }
     }
 
     pub(crate) fn life(&self, spot: u32) -> u16 {
@@ -69,7 +77,9 @@
     }
 
     fn head(&self, group: u64) -> Option<u32> {
-        self.heads.find(self.hash(group), |spot| self.all[spot as usize].group == group)
+        self.heads.find(self.hash(group), |spot| {
+            self.all[spot as usize].group == group
+        })
     }
 
     /// The servers' lives that hold a group, and how many of it.
@@ -111,7 +121,9 @@
     /// What is asked for again is found soon.
     fn bring_forward(&mut self, spot: u32, before: u32) {
         let one = self.all[spot as usize];
-        let Some(head) = self.head(one.group) else { return };
+        let Some(head) = self.head(one.group) else {
+            return;
+        };
         self.all[before as usize] = self.all[before as usize].with_next(one.next());
         self.all[spot as usize] = one.with_next(head);
         self.heads.change(self.hash(one.group), head, spot);
@@ -164,10 +176,13 @@
         match self.find(one.group, one.life()) {
             (_, NONE) if one.next() == NONE => {
                 let (all, seed) = (&self.all, self.seed);
-                self.heads.strike(hash, spot, |id| mix(all[id as usize].group ^ seed));
+                self.heads
+                    .strike(hash, spot, |id| mix(all[id as usize].group ^ seed));
             }
             (_, NONE) => self.heads.change(hash, spot, one.next()),
-            (_, before) => self.all[before as usize] = self.all[before as usize].with_next(one.next()),
+            (_, before) => {
+                self.all[before as usize] = self.all[before as usize].with_next(one.next())
+            }
         }
     }
 
--- a/affinity/src/versions.rs
+++ b/affinity/src/versions.rs
@@ -109,10 +109,18 @@
     pub fn adopt(&mut self, version: Version, serial: u64, now: Millis) -> Adopted {
         let before = self.current.replace(version);
         let reign = self.last_reign();
-        let since = before.and_then(|before| self.all.get(&before)).map_or(now, |old| now.max(old.since + 1));
+        let since = before
+            .and_then(|before| self.all.get(&before))
+            .map_or(now, |old| now.max(old.since + 1));
         self.own_word_alone =
             !self.all.contains_key(&version) || before == Some(version) && self.own_word_alone;
-        let fresh = VersionFact { version, reign, serial, since, runs: now };
+        let fresh = VersionFact {
+            version,
+            reign,
+            serial,
+            since,
+            runs: now,
+        };
         let fact = self.all.entry(version).or_insert(fresh);
         fact.serial = fact.serial.max(serial);
         fact.runs = fact.runs.max(now);
@@ -124,7 +132,13 @@
                 }
                 Adopted::Rollback
             }
-            None if self.all.keys().any(|other| self.is_newer(*other, version, now)) => Adopted::Older,
+            None if self
+                .all
+                .keys()
+                .any(|other| self.is_newer(*other, version, now)) =>
+            {
+                Adopted::Older
+            }
             _ => Adopted::Newer,
         };
         self.prune();
@@ -147,7 +161,10 @@
         }
         let is_own = self.current == Some(told.version);
         self.own_word_alone &= !is_own;
-        let fact = self.all.entry(told.version).or_insert(VersionFact { runs: 0, ..*told });
+        let fact = self
+            .all
+            .entry(told.version)
+            .or_insert(VersionFact { runs: 0, ..*told });
         let before = *fact;
         fact.merge(told);
         let is_news = before != *fact;
@@ -178,8 +195,13 @@
 
     fn prune(&mut self) {
         while self.all.len() > MOST {
-            let others = self.all.values().filter(|fact| Some(fact.version) != self.current);
-            let Some(oldest) = others.min_by_key(|fact| (fact.runs, fact.version)) else { return };
+            let others = self
+                .all
+                .values()
+                .filter(|fact| Some(fact.version) != self.current);
+            let Some(oldest) = others.min_by_key(|fact| (fact.runs, fact.version)) else {
+                return;
+            };
             let oldest = oldest.version;
             self.all.remove(&oldest);
         }
--- a/affinity/tests/fleet.rs
+++ b/affinity/tests/fleet.rs
@@ -30,7 +30,11 @@
     assert!(figures.returns_owed > 10_000, "{figures:?}");
     let landed = figures.landed as f64 / figures.returns_owed as f64;
     assert!(landed >= 0.995, "{landed} land: {figures:?}");
-    assert_eq!((figures.moved_by_version, figures.flaps, figures.led_back), (0, 0, 0), "{figures:?}");
+    assert_eq!(
+        (figures.moved_by_version, figures.flaps, figures.led_back),
+        (0, 0, 0),
+        "{figures:?}"
+    );
     // What is lost twice can't be known.
     assert!(figures.flaps_by_loss <= 4, "{figures:?}");
 }
@@ -51,8 +55,10 @@
 #[test]
 fn a_rollback_keeps_everybody() {
     for seed in [1, 2] {
-        let on = [0, 1, 2].map(|process| (120_000 + 20_000 * process as u64, Deed::Adopt(process, 1)));
-        let back = [0, 1, 2].map(|process| (190_000 + 20_000 * process as u64, Deed::Adopt(process, 0)));
+        let on =
+            [0, 1, 2].map(|process| (120_000 + 20_000 * process as u64, Deed::Adopt(process, 1)));
+        let back =
+            [0, 1, 2].map(|process| (190_000 + 20_000 * process as u64, Deed::Adopt(process, 0)));
         holds(&run("rollback", seed, &[on, back].concat()));
     }
 }
@@ -61,15 +67,20 @@
 fn a_version_that_skips_one_keeps_everybody() {
     for seed in [1, 2] {
         let first = [(120_000, Deed::Adopt(0, 1)), (130_000, Deed::Adopt(1, 1))];
-        let then =
-            [2, 0, 3, 1, 4].map(|process| (140_000 + 20_000 * process as u64, Deed::Adopt(process, 2)));
+        let then = [2, 0, 3, 1, 4]
+            .map(|process| (140_000 + 20_000 * process as u64, Deed::Adopt(process, 2)));
         holds(&run("skip", seed, &[&first[..], &then[..]].concat()));
     }
 }
 
 #[test]
-fn a_process_that_dies_and_starts_with_the_old_version_in_the_middle_of_a_roll_turns_nothing_round() {
+fn a_process_that_dies_and_starts_with_the_old_version_in_the_middle_of_a_roll_turns_nothing_round()
+{
     let at = |process: usize| (120_000 + 30_000 * process as u64, Deed::Adopt(process, 1));
     let again = [(155_000, Deed::Die(4)), (158_000, Deed::Start(4, 0))];
-    holds(&run("old start", 1, &[&again[..], &[0, 1, 2, 3, 4].map(at)[..]].concat()));
+    holds(&run(
+        "old start",
+        1,
+        &[&again[..], &[0, 1, 2, 3, 4].map(at)[..]].concat(),
+    ));
 }
--- a/affinity/tests/memory.rs
+++ b/affinity/tests/memory.rs
@@ -11,21 +11,35 @@
 const SERVERS: [&str; 4] = ["a", "b", "c", "d"];
 
 fn state(at: usize) -> State {
-    [State::Standing, State::Ended(How::Broke), State::Ended(How::MovedLeaving)][at % 3]
+    [
+        State::Standing,
+        State::Ended(How::Broke),
+        State::Ended(How::MovedLeaving),
+    ][at % 3]
 }
 
 fn placements(keys: u64, most: usize) -> impl Strategy<Value = Vec<Placement>> {
-    let one = (0..keys, 0..3_u64, 0..4_usize, 0..3_u128, (0..40_u64, 0..2_u64), 0..200_u32, 0..3_usize);
-    let one = one.prop_map(|(key, group, server, version, (at, origin), seen, how)| Placement {
-        key: Key(key),
-        group: (group > 0).then_some(Group(group)),
-        server: tag(SERVERS[server]),
-        version: Version(version),
-        stamp: Stamp((T0 + at) << 20 | origin),
-        seen_s: (T0 / 1_000) as u32 + seen,
-        state: state(how),
-        twins: (how as u8 + seen as u8) % 6,
-    });
+    let one = (
+        0..keys,
+        0..3_u64,
+        0..4_usize,
+        0..3_u128,
+        (0..40_u64, 0..2_u64),
+        0..200_u32,
+        0..3_usize,
+    );
+    let one = one.prop_map(
+        |(key, group, server, version, (at, origin), seen, how)| Placement {
+            key: Key(key),
+            group: (group > 0).then_some(Group(group)),
+            server: tag(SERVERS[server]),
+            version: Version(version),
+            stamp: Stamp((T0 + at) << 20 | origin),
+            seen_s: (T0 / 1_000) as u32 + seen,
+            state: state(how),
+            twins: (how as u8 + seen as u8) % 6,
+        },
+    );
     prop::collection::vec(one, 0..most)
 }
 
@@ -147,7 +161,9 @@
             memory.adopt(Version(1), 0, T0);
             for key in 0..count as u64 {
                 let of = client(key, Some(key / group_of));
-                memory.stood(&of, Tag(key / 3 % 1_000), T0 + key / 2).expect("room");
+                memory
+                    .stood(&of, Tag(key / 3 % 1_000), T0 + key / 2)
+                    .expect("room");
             }
             held = Some(memory);
         });
@@ -165,24 +181,51 @@
 
 #[test]
 fn the_bound_in_bytes_holds_too_and_keys_of_one_kind_do_no_harm() {
-    let bound = Bound { entries: usize::MAX, bytes: 64_000 };
+    let bound = Bound {
+        entries: usize::MAX,
+        bytes: 64_000,
+    };
     let mut memory = Memory::new(Limits { bound, ..limits(0) }, 1, 2);
     assert_eq!(memory.most(), 1_000);
-    let none = Limits { bound: Bound { entries: 0, bytes: 63 }, life_s: 0, away_s: 1, home_most: 0 };
+    let none = Limits {
+        bound: Bound {
+            entries: 0,
+            bytes: 63,
+        },
+        life_s: 0,
+        away_s: 1,
+        home_most: 0,
+    };
     assert_eq!(none.faults(), ["entries", "bytes", "life_s", "away_s"]);
     assert!(limits(1).faults().is_empty());
     for round in 0..5_u64 {
         for key in 0..1_000 {
             let one = client(key << 54, Some(key << 54));
-            memory.stood(&one, tag("a"), T0 + round * 1_000).expect("room");
+            memory
+                .stood(&one, tag("a"), T0 + round * 1_000)
+                .expect("room");
         }
     }
-    assert_eq!(memory.counts(), Counts { held: 1_000, standing: 1_000, ..Counts::default() });
+    assert_eq!(
+        memory.counts(),
+        Counts {
+            held: 1_000,
+            standing: 1_000,
+            ..Counts::default()
+        }
+    );
     // Those that stand do not make way for what has ended, but for those that are seen later.
     let mut peer = support::memory(2);
-    let stood = peer.stood(&client(5_000, None), tag("a"), T0 + 9_000).expect("room");
-    let ended = peer.ended(Key(5_000), stood.stamp, How::Left, T0 + 9_000).expect("it stood");
-    assert_eq!(memory.heard(&ended, T0 + 9_000), Heard::Refused(Refused::NoRoom));
+    let stood = peer
+        .stood(&client(5_000, None), tag("a"), T0 + 9_000)
+        .expect("room");
+    let ended = peer
+        .ended(Key(5_000), stood.stamp, How::Left, T0 + 9_000)
+        .expect("it stood");
+    assert_eq!(
+        memory.heard(&ended, T0 + 9_000),
+        Heard::Refused(Refused::NoRoom)
+    );
     assert_eq!(memory.heard(&stood, T0 + 9_000), Heard::New);
     assert_eq!(memory.counts().gave_way, 1);
 }
@@ -190,15 +233,27 @@
 #[test]
 fn what_stands_lives_on_as_long_as_it_is_seen() {
     let mut memory = memory(1);
-    let stamp = memory.stood(&client(1, None), tag("a"), T0).expect("room").stamp;
+    let stamp = memory
+        .stood(&client(1, None), tag("a"), T0)
+        .expect("room")
+        .stamp;
     memory.stood(&client(2, None), tag("a"), T0).expect("room");
     let hour = 3_600_000;
-    memory.stands(Key(1), stamp, T0 + hour / 2).expect("it stands");
+    memory
+        .stands(Key(1), stamp, T0 + hour / 2)
+        .expect("it stands");
     let farm = Farm::of(&["a"]);
     let later = T0 + hour + 5_000;
-    assert_eq!(advised(&memory, &client(2, None), &farm, later), None, "past its life, cleared away or not");
+    assert_eq!(
+        advised(&memory, &client(2, None), &farm, later),
+        None,
+        "past its life, cleared away or not"
+    );
     assert!(advised(&memory, &client(1, None), &farm, later).is_some());
     assert_eq!((memory.expire(later, 10), memory.counts().expired), (1, 1));
-    let far = Placement { stamp: Stamp((later + 61_000) << 20), ..memory.get(Key(1)).expect("held") };
+    let far = Placement {
+        stamp: Stamp((later + 61_000) << 20),
+        ..memory.get(Key(1)).expect("held")
+    };
     assert_eq!(memory.heard(&far, later), Heard::Refused(Refused::Ahead));
 }
--- a/affinity/tests/place.rs
+++ b/affinity/tests/place.rs
@@ -13,7 +13,10 @@
 /// A memory in which client 1 stood on `a` from T0 on, and its stamp.
 fn stood_on_a() -> (Memory, Stamp) {
     let mut memory = memory(1);
-    let stamp = memory.stood(&client(ONE, None), tag("a"), T0).expect("room").stamp;
+    let stamp = memory
+        .stood(&client(ONE, None), tag("a"), T0)
+        .expect("room")
+        .stamp;
     (memory, stamp)
 }
 
@@ -21,19 +24,34 @@
 fn one_that_returns_gets_its_server_whatever_ended() {
     for how in [How::Broke, How::Left, How::BalancerDied] {
         let (mut memory, stamp) = stood_on_a();
-        memory.ended(Key(ONE), stamp, how, T0 + 10).expect("it stood");
+        memory
+            .ended(Key(ONE), stamp, how, T0 + 10)
+            .expect("it stood");
         let advice = memory.place(&client(ONE, None), &Farm::of(&["a", "b"]), T0 + 20);
-        assert_eq!(advice, Some(Advice { server: tag("a"), why: Why::SameServer, under: Version(1) }));
+        assert_eq!(
+            advice,
+            Some(Advice {
+                server: tag("a"),
+                why: Why::SameServer,
+                under: Version(1)
+            })
+        );
     }
     let (memory, _) = stood_on_a();
-    assert_eq!(memory.place(&client(2, None), &Farm::of(&["a"]), T0), None, "a newcomer is the rotation's");
+    assert_eq!(
+        memory.place(&client(2, None), &Farm::of(&["a"]), T0),
+        None,
+        "a newcomer is the rotation's"
+    );
 }
 
 #[test]
 fn nobody_is_led_where_they_may_not_be() {
     let (memory, _) = stood_on_a();
     let cases: [(Holds, Change); 4] = [
-        (Holds::NotListed, |farm| farm.servers.retain(|server, _| *server != tag("a"))),
+        (Holds::NotListed, |farm| {
+            farm.servers.retain(|server, _| *server != tag("a"))
+        }),
         (Holds::NotReady, |farm| farm.at("a").is_ready = false),
         (Holds::Void, |farm| farm.at("a").started_at = T0 + 1),
         (Holds::NotPermitted, |farm| farm.barred = [tag("a")].into()),
@@ -41,7 +59,10 @@
     for (holds, change) in cases {
         let mut farm = Farm::of(&["a", "b"]);
         change(&mut farm);
-        assert_eq!(memory.holds(&client(ONE, None), &farm, T0 + 20), Some(holds));
+        assert_eq!(
+            memory.holds(&client(ONE, None), &farm, T0 + 20),
+            Some(holds)
+        );
         assert_eq!(memory.place(&client(ONE, None), &farm, T0 + 20), None);
     }
 }
@@ -49,14 +70,22 @@
 #[test]
 fn one_moved_off_a_leaving_server_goes_back_only_when_it_is_seen_ready_anew() {
     let (mut memory, stamp) = stood_on_a();
-    memory.ended(Key(ONE), stamp, How::MovedLeaving, T0 + 500).expect("it stood");
+    memory
+        .ended(Key(ONE), stamp, How::MovedLeaving, T0 + 500)
+        .expect("it stood");
     let mut farm = Farm::of(&["a", "b"]);
     // This process has not heard that it leaves, nor does it for an hour.
     for later in [600, 60_000, 3_500_000] {
-        assert_eq!(memory.holds(&client(ONE, None), &farm, T0 + later), Some(Holds::MovedOff));
+        assert_eq!(
+            memory.holds(&client(ONE, None), &farm, T0 + later),
+            Some(Holds::MovedOff)
+        );
     }
     farm.at("a").ready_since = T0 + 5_000;
-    assert_eq!(advised(&memory, &client(ONE, None), &farm, T0 + 6_000), Some((tag("a"), Why::SameServer)));
+    assert_eq!(
+        advised(&memory, &client(ONE, None), &farm, T0 + 6_000),
+        Some((tag("a"), Why::SameServer))
+    );
 }
 
 #[test]
@@ -67,10 +96,18 @@
         let stamp = memory.stood(&mate(ONE), tag("a"), T0).expect("room").stamp;
         memory.stood(&mate(2), tag("a"), T0).expect("room");
         memory.stood(&mate(3), tag("b"), T0).expect("room");
-        memory.ended(Key(ONE), stamp, how, T0 + 500).expect("it stood");
+        memory
+            .ended(Key(ONE), stamp, how, T0 + 500)
+            .expect("it stood");
         let farm = Farm::of(&["a", "b"]);
-        assert_eq!(advised(&memory, &mate(ONE), &farm, T0 + 60_900), Some((tag("b"), Why::ReDealt)));
-        assert_eq!(advised(&memory, &mate(ONE), &farm, T0 + 61_000), Some((tag("a"), Why::SameServer)));
+        assert_eq!(
+            advised(&memory, &mate(ONE), &farm, T0 + 60_900),
+            Some((tag("b"), Why::ReDealt))
+        );
+        assert_eq!(
+            advised(&memory, &mate(ONE), &farm, T0 + 61_000),
+            Some((tag("a"), Why::SameServer))
+        );
     }
 }
 
@@ -81,7 +118,9 @@
     let mut key = 10;
     for (server, count) in homes {
         for _ in 0..count {
-            memory.stood(&client(key, Some(7)), tag(server), T0).expect("room");
+            memory
+                .stood(&client(key, Some(7)), tag(server), T0)
+                .expect("room");
             key += 1;
         }
     }
@@ -91,35 +130,63 @@
     farm.at("a").is_ready = false;
     assert_eq!(home(&memory, &farm), Some((tag("b"), Why::GroupHome)));
     // Whoever was on `a` is dealt anew to where most of the group is.
-    assert_eq!(advised(&memory, &client(10, Some(7)), &farm, T0 + 20), Some((tag("b"), Why::ReDealt)));
+    assert_eq!(
+        advised(&memory, &client(10, Some(7)), &farm, T0 + 20),
+        Some((tag("b"), Why::ReDealt))
+    );
     farm.barred.insert(tag("b"));
     assert_eq!(home(&memory, &farm), Some((tag("c"), Why::GroupHome)));
-    assert_eq!(advised(&memory, &client(ONE, Some(8)), &farm, T0 + 20), None, "another group");
+    assert_eq!(
+        advised(&memory, &client(ONE, Some(8)), &farm, T0 + 20),
+        None,
+        "another group"
+    );
     // `a` comes back anew: what it had of the group is gone, and what comes now counts.
-    *farm.at("a") = ServerNow { is_ready: true, ready_since: T0 + 50, started_at: T0 + 50 };
+    *farm.at("a") = ServerNow {
+        is_ready: true,
+        ready_since: T0 + 50,
+        started_at: T0 + 50,
+    };
     memory.restarted(tag("a"), T0 + 50);
     assert_eq!(home(&memory, &farm), Some((tag("c"), Why::GroupHome)));
     for key in 30..33 {
-        memory.stood(&client(key, Some(7)), tag("a"), T0 + 60).expect("room");
+        memory
+            .stood(&client(key, Some(7)), tag("a"), T0 + 60)
+            .expect("room");
     }
     assert_eq!(home(&memory, &farm), Some((tag("a"), Why::GroupHome)));
 }
 
 #[test]
 fn a_home_with_its_most_takes_no_more_and_ties_are_everybodys() {
-    let full = Limits { home_most: 2, ..limits(100) };
+    let full = Limits {
+        home_most: 2,
+        ..limits(100)
+    };
     let names = ["a", "b", "c", "d"];
     let mut homes = Vec::new();
     for order in [[0, 1, 2, 3], [3, 1, 0, 2]] {
         let mut memory = Memory::new(full, 1, 9);
         for at in order {
-            memory.stood(&client(at as u64, Some(7)), tag(names[at]), T0).expect("room");
+            memory
+                .stood(&client(at as u64, Some(7)), tag(names[at]), T0)
+                .expect("room");
         }
-        homes.push(advised(&memory, &client(ONE + 50, Some(7)), &Farm::of(&names), T0));
+        homes.push(advised(
+            &memory,
+            &client(ONE + 50, Some(7)),
+            &Farm::of(&names),
+            T0,
+        ));
         for at in order {
-            memory.stood(&client(20 + at as u64, Some(7)), tag(names[at]), T0).expect("room");
+            memory
+                .stood(&client(20 + at as u64, Some(7)), tag(names[at]), T0)
+                .expect("room");
         }
-        assert_eq!(advised(&memory, &client(ONE + 50, Some(7)), &Farm::of(&names), T0), None);
+        assert_eq!(
+            advised(&memory, &client(ONE + 50, Some(7)), &Farm::of(&names), T0),
+            None
+        );
     }
     assert!(homes[0].is_some() && homes[0] == homes[1], "{homes:?}");
 }
@@ -137,16 +204,27 @@
     for fact in old.versions().facts().copied().collect::<Vec<_>>() {
         new.heard_version(&fact, T0 + 100);
     }
-    assert_eq!(new.holds(&client(ONE, None), &new_farm, T0 + 100), Some(Holds::NotPermitted));
-    let dealt = new.stood(&client(ONE, None), tag("b"), T0 + 110).expect("room");
+    assert_eq!(
+        new.holds(&client(ONE, None), &new_farm, T0 + 100),
+        Some(Holds::NotPermitted)
+    );
+    let dealt = new
+        .stood(&client(ONE, None), tag("b"), T0 + 110)
+        .expect("room");
     old.heard(&dealt, T0 + 120);
     // Before the old process has heard of the version, and after; and after the client has stood through it.
-    assert_eq!(advised(&old, &client(ONE, None), &old_farm, T0 + 130), Some((tag("b"), Why::SameServer)));
+    assert_eq!(
+        advised(&old, &client(ONE, None), &old_farm, T0 + 130),
+        Some((tag("b"), Why::SameServer))
+    );
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
         old.heard_version(&fact, T0 + 130);
     }
     for now in [T0 + 140, T0 + 5_000] {
-        assert_eq!(advised(&old, &client(ONE, None), &old_farm, now), Some((tag("b"), Why::SameServer)));
+        assert_eq!(
+            advised(&old, &client(ONE, None), &old_farm, now),
+            Some((tag("b"), Why::SameServer))
+        );
         let stood = old.stood(&client(ONE, None), tag("b"), now).expect("room");
         assert_eq!(stood.version, Version(2));
     }
@@ -155,30 +233,49 @@
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
         old.heard_version(&fact, T0 + 9_000);
     }
-    assert_eq!(old.holds(&client(ONE, None), &old_farm, T0 + 9_100), Some(Holds::NotPermitted));
+    assert_eq!(
+        old.holds(&client(ONE, None), &old_farm, T0 + 9_100),
+        Some(Holds::NotPermitted)
+    );
 }
 
 #[test]
 fn placements_follow_a_server_that_is_renamed_also_in_a_process_that_lists_the_old_name() {
     let (mut memory, _) = stood_on_a();
-    memory.stood(&client(2, Some(7)), tag("a"), T0).expect("room");
+    memory
+        .stood(&client(2, Some(7)), tag("a"), T0)
+        .expect("room");
     memory.renamed(tag("a"), tag("z"));
     let (old, new) = (Farm::of(&["a", "b"]), Farm::of(&["z", "b"]));
     for (farm, name) in [(&old, "a"), (&new, "z")] {
-        assert_eq!(advised(&memory, &client(ONE, None), farm, T0 + 20), Some((tag(name), Why::SameServer)));
-        assert_eq!(advised(&memory, &client(3, Some(7)), farm, T0 + 20), Some((tag(name), Why::GroupHome)));
+        assert_eq!(
+            advised(&memory, &client(ONE, None), farm, T0 + 20),
+            Some((tag(name), Why::SameServer))
+        );
+        assert_eq!(
+            advised(&memory, &client(3, Some(7)), farm, T0 + 20),
+            Some((tag(name), Why::GroupHome))
+        );
     }
     // A peer that has yet to hear of it tells the old name; a second new name is followed too.
     let mut peer = support::memory(2);
-    let told = peer.stood(&client(4, None), tag("a"), T0 + 5).expect("room");
+    let told = peer
+        .stood(&client(4, None), tag("a"), T0 + 5)
+        .expect("room");
     memory.renamed(tag("z"), tag("zz"));
     assert_eq!(memory.heard(&told, T0 + 10), Heard::New);
     for key in [ONE, 4] {
-        assert_eq!(memory.get(Key(key)).map(|placement| placement.server), Some(tag("zz")));
+        assert_eq!(
+            memory.get(Key(key)).map(|placement| placement.server),
+            Some(tag("zz"))
+        );
     }
     // And back to the first: the names go round, and nothing is lost.
     memory.renamed(tag("zz"), tag("a"));
-    assert_eq!(advised(&memory, &client(ONE, None), &old, T0 + 20), Some((tag("a"), Why::SameServer)));
+    assert_eq!(
+        advised(&memory, &client(ONE, None), &old, T0 + 20),
+        Some((tag("a"), Why::SameServer))
+    );
 }
 
 #[test]
@@ -187,10 +284,18 @@
     let mut peer = support::memory(2);
     // The peer's clock is a second slow; it has heard of the first connection, so that its own is later all the same.
     peer.heard(&memory.get(Key(ONE)).expect("known"), T0);
-    let second = peer.stood(&client(ONE, None), tag("b"), T0 - 1_000).expect("room");
+    let second = peer
+        .stood(&client(ONE, None), tag("b"), T0 - 1_000)
+        .expect("room");
     assert_eq!(memory.heard(&second, T0 + 10), Heard::Newer);
-    assert_eq!(memory.ended(Key(ONE), first, How::MovedLeaving, T0 + 20), None);
-    assert_eq!(memory.get(Key(ONE)).map(|now| (now.server, now.state)), Some((tag("b"), State::Standing)));
+    assert_eq!(
+        memory.ended(Key(ONE), first, How::MovedLeaving, T0 + 20),
+        None
+    );
+    assert_eq!(
+        memory.get(Key(ONE)).map(|now| (now.server, now.state)),
+        Some((tag("b"), State::Standing))
+    );
 }
 
 #[test]
@@ -202,18 +307,27 @@
         let now = T0 + at * 10;
         let advice = memories[at as usize % 2].place(&one, &two, now);
         led += u32::from(advice.is_some());
-        let fact = memories[at as usize % 2].stood(&one, tag("a"), now).expect("room");
+        let fact = memories[at as usize % 2]
+            .stood(&one, tag("a"), now)
+            .expect("room");
         memories[1 - at as usize % 2].heard(&fact, now);
     }
     assert_eq!(led, 5);
     // Whoever of them ends last is led back; and all are, one by one, when the process that they stood through died.
-    assert_eq!(memories[0].holds(&one, &two, T0 + 10_000), Some(Holds::Shared));
+    assert_eq!(
+        memories[0].holds(&one, &two, T0 + 10_000),
+        Some(Holds::Shared)
+    );
     memories[0].balancer_died(2);
     assert_eq!(memories[0].holds(&one, &two, T0 + 10_000), Some(Holds::Yes));
-    let fact = memories[0].stood(&one, tag("a"), T0 + 10_010).expect("room");
+    let fact = memories[0]
+        .stood(&one, tag("a"), T0 + 10_010)
+        .expect("room");
     assert_eq!(fact.twins, 0);
     let fact = memories[1].get(Key(ONE)).expect("held");
-    memories[1].ended(Key(ONE), fact.stamp, How::Broke, T0 + 10_020).expect("it stood");
+    memories[1]
+        .ended(Key(ONE), fact.stamp, How::Broke, T0 + 10_020)
+        .expect("it stood");
     assert_eq!(memories[1].holds(&one, &two, T0 + 10_030), Some(Holds::Yes));
 }
 
--- a/affinity/tests/support/fleet.rs
+++ b/affinity/tests/support/fleet.rs
@@ -66,7 +66,11 @@
 /// Three configurations. The second bars server 2, renames 3, has no zone west (7), gives tenant 1 other servers and
 /// deals to 12; the third gives tenant 2 a set too. Classes and weights are a matter of the rotation.
 fn name(config: usize, server: usize) -> Tag {
-    Tag::of(&if config > 0 && server == 3 { "renamed".into() } else { format!("server-{server}") })
+    Tag::of(&if config > 0 && server == 3 {
+        "renamed".into()
+    } else {
+        format!("server-{server}")
+    })
 }
 
 fn permits(config: usize, tenant: u64, server: usize) -> bool {
@@ -100,7 +104,9 @@
 
 impl FarmView for View<'_> {
     fn server(&self, server: Tag) -> Option<ServerNow> {
-        (0..SERVERS).find(|id| name(self.0.config, *id) == server).map(|id| self.0.seen[id])
+        (0..SERVERS)
+            .find(|id| name(self.0.config, *id) == server)
+            .map(|id| self.0.seen[id])
     }
 
     fn permits(&self, client: &Client, server: Tag) -> bool {
@@ -135,12 +141,28 @@
 
 fn client(id: usize) -> Client {
     let id = id as u64;
-    Client { key: Key(id), group: (!id.is_multiple_of(3)).then_some(Group(id / 6)), tenant: Some(id / 6 % 4) }
+    Client {
+        key: Key(id),
+        group: (!id.is_multiple_of(3)).then_some(Group(id / 6)),
+        tenant: Some(id / 6 % 4),
+    }
 }
 
 fn process(origin: u64, config: usize, now: Millis, servers: &[ServerNow]) -> Process {
-    let bound = Bound { entries: CLIENTS + 1_000, bytes: usize::MAX };
-    let mut memory = Memory::new(Limits { bound, life_s: 3_600, away_s: 60, home_most: 8 }, origin, origin);
+    let bound = Bound {
+        entries: CLIENTS + 1_000,
+        bytes: usize::MAX,
+    };
+    let mut memory = Memory::new(
+        Limits {
+            bound,
+            life_s: 3_600,
+            away_s: 60,
+            home_most: 8,
+        },
+        origin,
+        origin,
+    );
     memory.adopt(version(config), 0, now);
     Process {
         memory,
@@ -157,13 +179,22 @@
 
 impl Fleet {
     pub fn new(seed: u64) -> Fleet {
-        let servers = vec![ServerNow { is_ready: true, ready_since: 0, started_at: 0 }; SERVERS];
+        let servers = vec![
+            ServerNow {
+                is_ready: true,
+                ready_since: 0,
+                started_at: 0
+            };
+            SERVERS
+        ];
         Fleet {
             now: T0,
             events: BTreeMap::new(),
             count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            processes: (0..PROCESSES).map(|at| process(at as u64, 0, T0, &servers)).collect(),
+            processes: (0..PROCESSES)
+                .map(|at| process(at as u64, 0, T0, &servers))
+                .collect(),
             servers,
             clients: vec![Stands::default(); CLIENTS],
             is_cut: false,
@@ -175,7 +206,9 @@
     }
 
     pub fn play(mut self, script: Vec<(u64, Deed)>, span: Millis) -> Figures {
-        script.into_iter().for_each(|(at, deed)| self.after(at, Event::Deed(deed)));
+        script
+            .into_iter()
+            .for_each(|(at, deed)| self.after(at, Event::Deed(deed)));
         for id in 0..CLIENTS {
             let at = self.rng.random_range(0..10_000);
             self.after(at, Event::Arrive(id));
@@ -197,8 +230,12 @@
         };
         self.figures.left_behind = ids.filter(barred).count();
         self.figures.redealt = self.moves.len();
-        let within =
-            |from: &Millis| self.moves.iter().filter(|at| (*from..from + 10_000).contains(at)).count();
+        let within = |from: &Millis| {
+            self.moves
+                .iter()
+                .filter(|at| (*from..from + 10_000).contains(at))
+                .count()
+        };
         self.figures.most_redealt_in_10_s = self.moves.iter().map(within).max().unwrap_or(0);
         self.figures
     }
@@ -212,7 +249,9 @@
         match event {
             Event::Deed(deed) => self.act(deed),
             Event::Arrive(id) => self.arrive(id),
-            Event::End(id, stamp, how) if self.clients[id].stamp == Some(stamp) => self.end(id, how),
+            Event::End(id, stamp, how) if self.clients[id].stamp == Some(stamp) => {
+                self.end(id, how)
+            }
             Event::End(..) => {}
             Event::Placement(to, fact) => self.hear(to, &fact),
             Event::Version(to, fact) => {
@@ -243,14 +282,20 @@
 
     fn hear(&mut self, to: usize, fact: &Placement) {
         let process = &mut self.processes[to];
-        if matches!(process.memory.heard(fact, self.now), Heard::New | Heard::Newer) {
+        if matches!(
+            process.memory.heard(fact, self.now),
+            Heard::New | Heard::Newer
+        ) {
             process.recent.push_back((self.now, *fact));
         }
     }
 
     /// Each second: what is new to one peer, a page from another, versions and names to all.
     fn repair(&mut self) {
-        for from in (0..PROCESSES).filter(|from| self.processes[*from].alive).collect::<Vec<_>>() {
+        for from in (0..PROCESSES)
+            .filter(|from| self.processes[*from].alive)
+            .collect::<Vec<_>>()
+        {
             let now = self.now;
             let process = &mut self.processes[from];
             process.recent.retain(|(at, _)| at + 5_000 > now);
@@ -287,7 +332,9 @@
             Deed::Cut(is_cut) => self.is_cut = is_cut,
             Deed::Die(at) => {
                 (self.processes[at].alive, self.processes[at].serves) = (false, false);
-                for id in (0..CLIENTS).filter(|id| self.clients[*id].process == Some(at)).collect::<Vec<_>>()
+                for id in (0..CLIENTS)
+                    .filter(|id| self.clients[*id].process == Some(at))
+                    .collect::<Vec<_>>()
                 {
                     self.end(id, How::BalancerDied);
                 }
@@ -296,8 +343,9 @@
             Deed::Drain(server) => {
                 self.servers[server].is_ready = false;
                 self.show(server);
-                for id in
-                    (0..CLIENTS).filter(|id| self.clients[*id].server == Some(server)).collect::<Vec<_>>()
+                for id in (0..CLIENTS)
+                    .filter(|id| self.clients[*id].server == Some(server))
+                    .collect::<Vec<_>>()
                 {
                     if let Some(stamp) = self.clients[id].stamp {
                         let span = self.rng.random_range(1_500..6_000);
@@ -307,7 +355,11 @@
             }
             Deed::Restart(server) => {
                 let now = self.now;
-                self.servers[server] = ServerNow { is_ready: true, ready_since: now, started_at: now };
+                self.servers[server] = ServerNow {
+                    is_ready: true,
+                    ready_since: now,
+                    started_at: now,
+                };
                 self.show(server);
             }
         }
@@ -342,7 +394,10 @@
             self.clients[*id].process == Some(at)
                 && process.memory.holds(&client(*id), &view, self.now) == Some(Holds::NotPermitted)
         };
-        let moved: Vec<_> = (0..CLIENTS).filter(moved).map(|id| (client(id).key, client(id).group)).collect();
+        let moved: Vec<_> = (0..CLIENTS)
+            .filter(moved)
+            .map(|id| (client(id).key, client(id).group))
+            .collect();
         self.processes[at].redeal.begin(moved);
     }
 
@@ -351,8 +406,14 @@
         let origin = 100 + self.count;
         self.processes[at] = process(origin, config, self.now, &self.servers);
         self.processes[at].serves = false;
-        self.dead.iter().for_each(|dead| self.processes[at].memory.balancer_died(*dead));
-        for from in (0..PROCESSES).filter(|from| *from != at).take(2).collect::<Vec<_>>() {
+        self.dead
+            .iter()
+            .for_each(|dead| self.processes[at].memory.balancer_died(*dead));
+        for from in (0..PROCESSES)
+            .filter(|from| *from != at)
+            .take(2)
+            .collect::<Vec<_>>()
+        {
             let (all, _) = self.processes[from].memory.page(0, usize::MAX);
             for fact in all {
                 if let Some(span) = self.passes(from, at) {
@@ -378,10 +439,15 @@
 
     fn end(&mut self, id: usize, how: How) {
         let stands = &mut self.clients[id];
-        let (Some(at), Some(stamp)) = (stands.process.take(), stands.stamp) else { return };
+        let (Some(at), Some(stamp)) = (stands.process.take(), stands.stamp) else {
+            return;
+        };
         stands.moved = matches!(how, How::MovedLeaving | How::MovedLate | How::MovedUneven);
         if self.processes[at].alive
-            && let Some(fact) = self.processes[at].memory.ended(client(id).key, stamp, how, self.now)
+            && let Some(fact) =
+                self.processes[at]
+                    .memory
+                    .ended(client(id).key, stamp, how, self.now)
         {
             self.tell(at, fact);
         }
@@ -390,20 +456,35 @@
     }
 
     fn arrive(&mut self, id: usize) {
-        let serving: Vec<usize> = (0..PROCESSES).filter(|at| self.processes[*at].serves).collect();
+        let serving: Vec<usize> = (0..PROCESSES)
+            .filter(|at| self.processes[*at].serves)
+            .collect();
         let at = serving[self.rng.random_range(0..serving.len())];
         let (client, had) = (client(id), self.clients[id]);
         let process = &self.processes[at];
         let advice = process.memory.place(&client, &View(process), self.now);
-        let advised = advice
-            .and_then(|advice| (0..SERVERS).find(|server| name(process.config, *server) == advice.server));
-        let known = process.memory.get(client.key).filter(|known| Some(known.stamp) == had.stamp);
+        let advised = advice.and_then(|advice| {
+            (0..SERVERS).find(|server| name(process.config, *server) == advice.server)
+        });
+        let known = process
+            .memory
+            .get(client.key)
+            .filter(|known| Some(known.stamp) == had.stamp);
         let newest = self.newest_known(at);
         let server = match advised.filter(|server| self.servers[*server].is_ready) {
             Some(server) => server,
-            None => self.in_turn(at, client.tenant.unwrap_or(0), had.server.filter(|_| had.moved)),
+            None => self.in_turn(
+                at,
+                client.tenant.unwrap_or(0),
+                had.server.filter(|_| had.moved),
+            ),
         };
-        self.judge(id, server, advised, known.map(|known| (known.state, newest)));
+        self.judge(
+            id,
+            server,
+            advised,
+            known.map(|known| (known.state, newest)),
+        );
         self.stand(id, at, server);
     }
 
@@ -411,14 +492,25 @@
     fn newest_known(&self, at: usize) -> usize {
         let versions = self.processes[at].memory.versions();
         let known = (0..3).filter(|config| versions.get(version(*config)).is_some());
-        let newer = |one: usize, two: usize| versions.is_newer(version(two), version(one), self.now);
-        known.reduce(|one, two| if newer(one, two) { two } else { one }).expect("its own")
+        let newer =
+            |one: usize, two: usize| versions.is_newer(version(two), version(one), self.now);
+        known
+            .reduce(|one, two| if newer(one, two) { two } else { one })
+            .expect("its own")
     }
 
     /// Counts a return. What the process knew is how the client's last connection is, and the newest version.
-    fn judge(&mut self, id: usize, got: usize, advised: Option<usize>, known: Option<(State, usize)>) {
+    fn judge(
+        &mut self,
+        id: usize,
+        got: usize,
+        advised: Option<usize>,
+        known: Option<(State, usize)>,
+    ) {
         let (had, figures) = (self.clients[id], &mut self.figures);
-        let (Some(last), Some(stamp)) = (had.server, had.stamp) else { return };
+        let (Some(last), Some(stamp)) = (had.server, had.stamp) else {
+            return;
+        };
         if had.moved {
             let is_back = u64::from(advised == Some(last));
             match known {
@@ -458,11 +550,23 @@
 
     fn stand(&mut self, id: usize, at: usize, server: usize) {
         let process = &mut self.processes[at];
-        let fact = process.memory.stood(&client(id), name(process.config, server), self.now).expect("room");
+        let fact = process
+            .memory
+            .stood(&client(id), name(process.config, server), self.now)
+            .expect("room");
         let had = self.clients[id];
-        let before = if had.server == Some(server) { had.before } else { had.server };
-        self.clients[id] =
-            Stands { process: Some(at), server: Some(server), before, stamp: Some(fact.stamp), moved: false };
+        let before = if had.server == Some(server) {
+            had.before
+        } else {
+            had.server
+        };
+        self.clients[id] = Stands {
+            process: Some(at),
+            server: Some(server),
+            before,
+            stamp: Some(fact.stamp),
+            moved: false,
+        };
         self.tell(at, fact);
         let how = match self.rng.random_range(0..20) {
             0 => How::MovedLate,
--- a/affinity/tests/support/mod.rs
+++ b/affinity/tests/support/mod.rs
@@ -14,12 +14,24 @@
 }
 
 pub fn client(key: u64, group: Option<u64>) -> Client {
-    Client { key: Key(key), group: group.map(Group), tenant: Some(1) }
+    Client {
+        key: Key(key),
+        group: group.map(Group),
+        tenant: Some(1),
+    }
 }
 
 pub fn limits(entries: usize) -> Limits {
-    let bound = Bound { entries, bytes: usize::MAX };
-    Limits { bound, life_s: 3_600, away_s: 60, home_most: 1_000 }
+    let bound = Bound {
+        entries,
+        bytes: usize::MAX,
+    };
+    Limits {
+        bound,
+        life_s: 3_600,
+        away_s: 60,
+        home_most: 1_000,
+    }
 }
 
 /// A process's memory under version 1.
@@ -38,8 +50,15 @@
 
 impl Farm {
     pub fn of(names: &[&str]) -> Farm {
-        let ready = ServerNow { is_ready: true, ready_since: 0, started_at: 0 };
-        Farm { servers: names.iter().map(|name| (tag(name), ready)).collect(), barred: BTreeSet::new() }
+        let ready = ServerNow {
+            is_ready: true,
+            ready_since: 0,
+            started_at: 0,
+        };
+        Farm {
+            servers: names.iter().map(|name| (tag(name), ready)).collect(),
+            barred: BTreeSet::new(),
+        }
     }
 
     pub fn at(&mut self, name: &str) -> &mut ServerNow {
@@ -59,5 +78,7 @@
 
 /// What a client is advised, in short.
 pub fn advised(memory: &Memory, client: &Client, farm: &Farm, now: Millis) -> Option<(Tag, Why)> {
-    memory.place(client, farm, now).map(|advice| (advice.server, advice.why))
+    memory
+        .place(client, farm, now)
+        .map(|advice| (advice.server, advice.why))
 }
--- a/affinity/tests/versions.rs
+++ b/affinity/tests/versions.rs
@@ -41,7 +41,13 @@
 fn a_serial_number_goes_before_the_time() {
     let mut one = Versions::default();
     one.adopt(NEW, 8, T0);
-    let late = VersionFact { version: OLD, reign: 0, serial: 7, since: T0 + 50, runs: T0 + 50 };
+    let late = VersionFact {
+        version: OLD,
+        reign: 0,
+        serial: 7,
+        since: T0 + 50,
+        runs: T0 + 50,
+    };
     one.heard(&late, T0 + 50);
     assert!(one.is_newer(NEW, OLD, T0 + 60));
     // The old content under a higher number is newer without a rollback.
@@ -71,15 +77,34 @@
 fn what_nobody_runs_is_over_and_what_is_dated_ahead_is_not_believed() {
     let mut one = Versions::default();
     one.adopt(OLD, 0, T0);
-    one.heard(&VersionFact { version: NEW, reign: 0, serial: 0, since: T0 + 1, runs: T0 + 1 }, T0 + 1);
+    one.heard(
+        &VersionFact {
+            version: NEW,
+            reign: 0,
+            serial: 0,
+            since: T0 + 1,
+            runs: T0 + 1,
+        },
+        T0 + 1,
+    );
     one.still_runs(T0 + 300_000);
     assert!(one.is_newer(NEW, OLD, T0 + 300_000));
     assert!(one.is_newer(OLD, NEW, T0 + 300_002));
     let year = 365 * 86_400_000;
-    let ahead = VersionFact { version: NEWER, reign: 0, serial: 0, since: T0 + year, runs: T0 };
+    let ahead = VersionFact {
+        version: NEWER,
+        reign: 0,
+        serial: 0,
+        since: T0 + year,
+        runs: T0,
+    };
     assert!(!one.heard(&ahead, T0) && one.get(NEWER).is_none());
-    let facts =
-        (0..1_000).map(|at| VersionFact { version: Version(1_000 + at), since: T0, runs: T0, ..ahead });
+    let facts = (0..1_000).map(|at| VersionFact {
+        version: Version(1_000 + at),
+        since: T0,
+        runs: T0,
+        ..ahead
+    });
     for fact in facts {
         one.heard(&fact, T0);
     }
@@ -163,11 +188,22 @@
         address: format!("127.0.0.1:{port}"),
         was: None,
     };
-    let class = |name: &str| Class { name: name.into(), aim_ms: 800, deadline_ms: 4_800, worth: 1.0 };
+    let class = |name: &str| Class {
+        name: name.into(),
+        aim_ms: 800,
+        deadline_ms: 4_800,
+        worth: 1.0,
+    };
     Routing {
         zones: vec!["north".into(), "south".into()],
-        servers: [("a", "north", 1), ("b", "south", 2), ("c", "south", 3)].iter().map(server).collect(),
-        tenants: vec![("acme".into(), vec!["a".into(), "b".into()]), ("others".into(), vec!["c".into()])],
+        servers: [("a", "north", 1), ("b", "south", 2), ("c", "south", 3)]
+            .iter()
+            .map(server)
+            .collect(),
+        tenants: vec![
+            ("acme".into(), vec!["a".into(), "b".into()]),
+            ("others".into(), vec!["c".into()]),
+        ],
         classes: vec![class("telemetry"), class("fleet")],
     }
 }
@@ -177,14 +213,24 @@
     let before = routing(1.0);
     let mut after = before.clone();
     after.servers[0].name = "x".into();
-    after.servers[1] =
-        Server { name: "y".into(), address: "127.0.0.1:22".into(), ..after.servers[1].clone() };
+    after.servers[1] = Server {
+        name: "y".into(),
+        address: "127.0.0.1:22".into(),
+        ..after.servers[1].clone()
+    };
     let pairs = |after: &Routing| renames(&before, after).into_iter().collect::<Vec<_>>();
     assert_eq!(pairs(&after), [("a".into(), "x".into())], "by its address");
     after.servers[1].was = Some("b".into());
-    assert_eq!(pairs(&after), [("a".into(), "x".into()), ("b".into(), "y".into())]);
+    assert_eq!(
+        pairs(&after),
+        [("a".into(), "x".into()), ("b".into(), "y".into())]
+    );
     // Two at one address: nobody knows which. One that is still there was not renamed.
-    after.servers.push(Server { name: "x2".into(), address: "127.0.0.1:1".into(), ..Server::default() });
+    after.servers.push(Server {
+        name: "x2".into(),
+        address: "127.0.0.1:1".into(),
+        ..Server::default()
+    });
     after.servers[1].was = Some("c".into());
     assert_eq!(pairs(&after), []);
     after.servers[0].weight = f64::NAN;
@@ -198,14 +244,20 @@
 #[test]
 fn what_a_version_changes_is_said_in_words() {
     let before = routing(1.0);
-    assert_eq!(Changes::between(&before, &before).to_string(), "nothing of routing changed");
+    assert_eq!(
+        Changes::between(&before, &before).to_string(),
+        "nothing of routing changed"
+    );
     let mut after = before.clone();
     after.zones.pop();
     after.servers[0].name = "x".into();
     after.tenants[0].1[0] = "x".into();
     after.servers[1].weight = 2.0;
     after.servers[1].zone = "north".into();
-    after.servers[2] = Server { name: "d".into(), ..Server::default() };
+    after.servers[2] = Server {
+        name: "d".into(),
+        ..Server::default()
+    };
     after.tenants[1].1[0] = "d".into();
     after.classes[0].aim_ms = 5;
     let said = "servers added: d; servers removed: c; servers renamed: a now x; weights changed: b; \
--- a/balancer/src/admin/admission.rs
+++ b/balancer/src/admin/admission.rs
@@ -11,7 +11,12 @@
 pub(super) fn read(cores: &[NamedCore]) -> Result<Reply, Reply> {
     let fronts = cores
         .iter()
-        .map(|core| Ok(front(core.0, &core.1.look_at_door().ok_or_else(|| no_answer(core.0))?)))
+        .map(|core| {
+            Ok(front(
+                core.0,
+                &core.1.look_at_door().ok_or_else(|| no_answer(core.0))?,
+            ))
+        })
         .collect::<Result<Vec<Value>, Reply>>()?;
     Ok(Reply::new(200, json!({ "fronts": fronts })))
 }
--- a/balancer/src/admin/mod.rs
+++ b/balancer/src/admin/mod.rs
@@ -48,7 +48,14 @@
         fleet: Option<Way>,
         token: &str,
     ) -> Admin {
-        Admin { cores, keeper, tenants, fleet, token: digest(token), at_once: AtomicUsize::new(0) }
+        Admin {
+            cores,
+            keeper,
+            tenants,
+            fleet,
+            token: digest(token),
+            at_once: AtomicUsize::new(0),
+        }
     }
 
     /// Serves requests for as long as the program runs, each on a thread of its own.
@@ -67,8 +74,9 @@
             let run = move || {
                 let reply = if before < MOST_AT_ONCE {
                     // Guards against a fault in one request that would keep its place among those at once for good.
-                    catch_unwind(AssertUnwindSafe(|| admin.serve(&client)))
-                        .unwrap_or_else(|_| Some(Reply::error(500, "a fault was met; it is in the log")))
+                    catch_unwind(AssertUnwindSafe(|| admin.serve(&client))).unwrap_or_else(|_| {
+                        Some(Reply::error(500, "a fault was met; it is in the log"))
+                    })
                 } else {
                     Some(Reply::error(503, "too many requests at once"))
                 };
@@ -78,7 +86,11 @@
                 admin.at_once.fetch_sub(1, Ordering::Relaxed);
             };
             // The standard stack: hashing a password takes more than a connection's.
-            if std::thread::Builder::new().name("admin".into()).spawn(run).is_err() {
+            if std::thread::Builder::new()
+                .name("admin".into())
+                .spawn(run)
+                .is_err()
+            {
                 self.at_once.fetch_sub(1, Ordering::Relaxed);
             }
         }
@@ -101,35 +113,48 @@
         }
         let path = request.path.split('?').next().unwrap_or_default();
         let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let Some(call) = Call::of(&path) else { return Reply::error(404, "no such path") };
+        let Some(call) = Call::of(&path) else {
+            return Reply::error(404, "no such path");
+        };
         let reply = match (call, request.method.as_str()) {
             (Call::Tenants, "GET") => self.tenants().and_then(tenants::list),
-            (Call::Tenants, "POST") => self.tenants().and_then(|here| tenants::create(here, &request.body)),
-            (Call::Tenant(name), "GET") => self.tenants().and_then(|here| tenants::read(here, name)),
-            (Call::Tenant(name), "PATCH") => {
-                self.tenants().and_then(|here| tenants::change(here, name, &request.body))
+            (Call::Tenants, "POST") => self
+                .tenants()
+                .and_then(|here| tenants::create(here, &request.body)),
+            (Call::Tenant(name), "GET") => {
+                self.tenants().and_then(|here| tenants::read(here, name))
             }
-            (Call::Tenant(name), "DELETE") => self.tenants().and_then(|here| tenants::remove(here, name)),
-            (Call::Credentials(name), "PUT") => {
-                self.tenants().and_then(|here| tenants::rotate(here, name, &request.body))
+            (Call::Tenant(name), "PATCH") => self
+                .tenants()
+                .and_then(|here| tenants::change(here, name, &request.body)),
+            (Call::Tenant(name), "DELETE") => {
+                self.tenants().and_then(|here| tenants::remove(here, name))
             }
+            (Call::Credentials(name), "PUT") => self
+                .tenants()
+                .and_then(|here| tenants::rotate(here, name, &request.body)),
             (Call::Overrides, "GET") => Ok(overrides::list(&self.keeper)),
             (Call::Overrides, "POST") => overrides::add(&self.keeper, request),
             (Call::Override(id), "GET") => overrides::read(&self.keeper, id),
             (Call::Override(id), "PATCH") => overrides::extend(&self.keeper, id, request),
             (Call::Override(id), "DELETE") => overrides::remove(&self.keeper, id, request),
-            (Call::Counts, "GET") => {
-                servers::counts(&self.cores, self.tenants.as_ref().map(|(tenants, _)| tenants))
-            }
+            (Call::Counts, "GET") => servers::counts(
+                &self.cores,
+                self.tenants.as_ref().map(|(tenants, _)| tenants),
+            ),
             (Call::Admission, "GET") => admission::read(&self.cores),
             (Call::Servers, "GET") => servers::list(&self.cores, &self.keeper, self.fleet.as_ref()),
-            (call, _) => Err(Reply::error(405, "no such method here").with("Allow", call.methods())),
+            (call, _) => {
+                Err(Reply::error(405, "no such method here").with("Allow", call.methods()))
+            }
         };
         reply.unwrap_or_else(|refused| refused)
     }
 
     fn tenants(&self) -> Result<&(Arc<Tenants>, Arc<Setup>), Reply> {
-        self.tenants.as_ref().ok_or_else(|| Reply::error(404, "no front with tenants runs here"))
+        self.tenants
+            .as_ref()
+            .ok_or_else(|| Reply::error(404, "no front with tenants runs here"))
     }
 }
 
@@ -181,7 +206,11 @@
         let status = if error.is_data() { 422 } else { 400 };
         Reply::error(
             status,
-            format!("not the JSON wanted here, at line {} column {}", error.line(), error.column()),
+            format!(
+                "not the JSON wanted here, at line {} column {}",
+                error.line(),
+                error.column()
+            ),
         )
     })
 }
--- a/balancer/src/admin/overrides.rs
+++ b/balancer/src/admin/overrides.rs
@@ -18,27 +18,38 @@
 impl From<Refused> for Reply {
     fn from(refused: Refused) -> Reply {
         match refused {
-            Refused::NoStore(why) => Reply::error(503, format!("no overrides are kept here: {why}")),
+            Refused::NoStore(why) => {
+                Reply::error(503, format!("no overrides are kept here: {why}"))
+            }
             Refused::Faults(faults) => faulty(&faults),
             Refused::Unknown => Reply::error(404, "no override of that number holds"),
             Refused::Stale(revision) => {
-                let mut reply =
-                    Reply::error(412, "it has changed meanwhile: If-Match names another revision");
+                let mut reply = Reply::error(
+                    412,
+                    "it has changed meanwhile: If-Match names another revision",
+                );
                 reply.body["revision"] = revision.into();
                 reply
             }
             Refused::LeavesNone(fronts) => {
-                let words: Vec<String> =
-                    fronts.iter().map(|(front, judgement)| format!("{front}: {judgement}")).collect();
-                let why = format!("it would leave {}; set force to enter it all the same", words.join("; "));
+                let words: Vec<String> = fronts
+                    .iter()
+                    .map(|(front, judgement)| format!("{front}: {judgement}"))
+                    .collect();
+                let why = format!(
+                    "it would leave {}; set force to enter it all the same",
+                    words.join("; ")
+                );
                 Reply::error(409, why)
             }
-            Refused::Full(most) => {
-                Reply::error(409, format!("there are {most} overrides, as many as may be"))
-            }
-            Refused::KeyReused => {
-                Reply::error(422, "Idempotency-Key: it was used for a request with another body")
-            }
+            Refused::Full(most) => Reply::error(
+                409,
+                format!("there are {most} overrides, as many as may be"),
+            ),
+            Refused::KeyReused => Reply::error(
+                422,
+                "Idempotency-Key: it was used for a request with another body",
+            ),
             Refused::Store(error) => Reply::error(507, format!("{error}; nothing was changed")),
         }
     }
@@ -46,8 +57,10 @@
 
 fn faulty(faults: &[Fault]) -> Reply {
     let words: Vec<String> = faults.iter().map(Fault::to_string).collect();
-    let rows: Vec<Value> =
-        faults.iter().map(|fault| json!({ "field": fault.field, "why": fault.why })).collect();
+    let rows: Vec<Value> = faults
+        .iter()
+        .map(|fault| json!({ "field": fault.field, "why": fault.why }))
+        .collect();
     Reply::new(422, json!({ "error": words.join("; "), "faults": rows }))
 }
 
@@ -77,24 +90,41 @@
     let mut fields = Fields::of(&request.body)?;
     let key = request.idempotency_key.as_deref();
     if key.is_some_and(|key| !(1..=LONGEST_KEY).contains(&key.len())) {
-        return Err(Reply::error(422, format!("Idempotency-Key: 1 to {LONGEST_KEY} bytes")));
+        return Err(Reply::error(
+            422,
+            format!("Idempotency-Key: 1 to {LONGEST_KEY} bytes"),
+        ));
     }
-    let replay = key.map(|key| Replay { key: key.to_owned(), body: Sha256::digest(&request.body).to_vec() });
+    let replay = key.map(|key| Replay {
+        key: key.to_owned(),
+        body: Sha256::digest(&request.body).to_vec(),
+    });
     let kind = fields.kind();
     let (who, why) = (fields.text("who"), fields.text("why"));
     let expires_at = fields.expiry(keeper);
     let force = fields.flag("force");
     let faults = fields.end();
     let draft = match (kind, who, why, expires_at) {
-        (Some(kind), Some(who), Some(why), Some(expires_at)) if faults.is_empty() => {
-            Draft { kind, who, why, expires_at }
-        }
+        (Some(kind), Some(who), Some(why), Some(expires_at)) if faults.is_empty() => Draft {
+            kind,
+            who,
+            why,
+            expires_at,
+        },
         _ => return Err(faulty(&faults)),
     };
-    let Changed { shown, settled, replayed } = keeper.add(draft, force, replay)?;
+    let Changed {
+        shown,
+        settled,
+        replayed,
+    } = keeper.add(draft, force, replay)?;
     let status = if settled { 201 } else { 202 };
     let reply = tagged(status, &shown).with("Location", format!("/v1/overrides/{}", shown.one.id));
-    Ok(if replayed { reply.with("Idempotency-Replayed", "true") } else { reply })
+    Ok(if replayed {
+        reply.with("Idempotency-Replayed", "true")
+    } else {
+        reply
+    })
 }
 
 /// Changes when one ends.
@@ -103,7 +133,9 @@
     let mut fields = Fields::of(&request.body)?;
     let expires_at = fields.expiry(keeper);
     let faults = fields.end();
-    let Some(expires_at) = expires_at.filter(|_| faults.is_empty()) else { return Err(faulty(&faults)) };
+    let Some(expires_at) = expires_at.filter(|_| faults.is_empty()) else {
+        return Err(faulty(&faults));
+    };
     Ok(changed(&keeper.extend(id, expires_at, revision)?))
 }
 
@@ -121,7 +153,9 @@
 }
 
 fn number(id: &str) -> Result<Id, Reply> {
-    id.parse().map(Id).map_err(|_| Reply::error(404, "an override has a number"))
+    id.parse()
+        .map(Id)
+        .map_err(|_| Reply::error(404, "an override has a number"))
 }
 
 fn revision(request: &Request) -> Result<Option<u64>, Reply> {
@@ -138,7 +172,8 @@
 fn row(shown: &Shown) -> Value {
     let one = &shown.one;
     let time = |at: Millis| {
-        humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at.min(MOST_MILLIS))).to_string()
+        humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at.min(MOST_MILLIS)))
+            .to_string()
     };
     let effects: Map<String, Value> = shown
         .effects
@@ -154,9 +189,18 @@
     match &one.kind {
         Kind::Out { moves_per_s, .. } => row["moves_per_s"] = (*moves_per_s).into(),
         Kind::Weight { factor, .. } => row["factor"] = (*factor).into(),
-        Kind::Pin { subject, strictness, .. } => {
+        Kind::Pin {
+            subject,
+            strictness,
+            ..
+        } => {
             row[subject.what()] = subject.name().into();
-            row["mode"] = if *strictness == Strictness::Strict { "strict" } else { "prefer" }.into();
+            row["mode"] = if *strictness == Strictness::Strict {
+                "strict"
+            } else {
+                "prefer"
+            }
+            .into();
         }
     }
     row
--- a/balancer/src/admin/overrides/fields.rs
+++ b/balancer/src/admin/overrides/fields.rs
@@ -17,17 +17,27 @@
 impl Fields {
     pub(super) fn of(body: &[u8]) -> Result<Fields, Reply> {
         match serde_json::from_slice(body) {
-            Ok(Value::Object(left)) => Ok(Fields { left, faults: Vec::new() }),
+            Ok(Value::Object(left)) => Ok(Fields {
+                left,
+                faults: Vec::new(),
+            }),
             Ok(_) => Err(Reply::error(422, "the body is no JSON object")),
             Err(error) => Err(Reply::error(
                 400,
-                format!("not JSON, at line {} column {}", error.line(), error.column()),
+                format!(
+                    "not JSON, at line {} column {}",
+                    error.line(),
+                    error.column()
+                ),
             )),
         }
     }
 
     fn fault<T>(&mut self, field: &'static str, why: &str) -> Option<T> {
-        self.faults.push(Fault { field, why: why.to_owned() });
+        self.faults.push(Fault {
+            field,
+            why: why.to_owned(),
+        });
         None
     }
 
@@ -61,12 +71,22 @@
         match kind.as_str() {
             "out" => {
                 let has_rate = self.left.contains_key("moves_per_s");
-                let moves_per_s = if has_rate { self.number("moves_per_s") } else { None };
-                Some(Kind::Out { server: server?, moves_per_s })
+                let moves_per_s = if has_rate {
+                    self.number("moves_per_s")
+                } else {
+                    None
+                };
+                Some(Kind::Out {
+                    server: server?,
+                    moves_per_s,
+                })
             }
             "weight" => {
                 let factor = self.number("factor");
-                Some(Kind::Weight { server: server?, factor: factor? })
+                Some(Kind::Weight {
+                    server: server?,
+                    factor: factor?,
+                })
             }
             "pin" => self.pin(server),
             _ => self.fault("kind", "out, weight or pin"),
@@ -75,24 +95,38 @@
 
     /// A pin; `server` is read already.
     fn pin(&mut self, server: Option<String>) -> Option<Kind> {
-        let subject = match (self.left.contains_key("group"), self.left.contains_key("tenant")) {
+        let subject = match (
+            self.left.contains_key("group"),
+            self.left.contains_key("tenant"),
+        ) {
             (true, false) => self.text("group").map(Subject::Group),
             (false, true) => self.text("tenant").map(Subject::Tenant),
             _ => self.fault("group", "either group or tenant"),
         };
         let has_mode = self.left.contains_key("mode");
-        let mode = if has_mode { self.text("mode") } else { Some("prefer".to_owned()) };
+        let mode = if has_mode {
+            self.text("mode")
+        } else {
+            Some("prefer".to_owned())
+        };
         let strictness = match mode?.as_str() {
             "prefer" => Some(Strictness::Prefer),
             "strict" => Some(Strictness::Strict),
             _ => self.fault("mode", "prefer or strict"),
         };
-        Some(Kind::Pin { subject: subject?, server: server?, strictness: strictness? })
+        Some(Kind::Pin {
+            subject: subject?,
+            server: server?,
+            strictness: strictness?,
+        })
     }
 
     /// When an override ends, on the program's clock: `expires_in_s` from now, or `expires_at` by the wall clock.
     pub(super) fn expiry(&mut self, keeper: &Keeper) -> Option<Millis> {
-        match (self.left.contains_key("expires_in_s"), self.left.contains_key("expires_at")) {
+        match (
+            self.left.contains_key("expires_in_s"),
+            self.left.contains_key("expires_at"),
+        ) {
             (true, false) => {
                 let seconds = self.number("expires_in_s")?;
                 if seconds.is_finite() && seconds > 0.0 {
@@ -119,7 +153,10 @@
         let unknown: Vec<String> = self.left.keys().cloned().collect();
         if !unknown.is_empty() {
             let names = unknown.join(", ");
-            self.faults.push(Fault { field: "body", why: format!("unknown fields here: {names}") });
+            self.faults.push(Fault {
+                field: "body",
+                why: format!("unknown fields here: {names}"),
+            });
         }
         self.faults
     }
--- a/balancer/src/admin/servers.rs
+++ b/balancer/src/admin/servers.rs
@@ -45,11 +45,18 @@
 }
 
 /// Every listed server, as it is listed and as the decisions see it, and why the two differ.
-pub(super) fn list(cores: &[NamedCore], keeper: &Keeper, fleet: Option<&Way>) -> Result<Reply, Reply> {
+pub(super) fn list(
+    cores: &[NamedCore],
+    keeper: &Keeper,
+    fleet: Option<&Way>,
+) -> Result<Reply, Reply> {
     let overrides = keeper.list();
     let mut by_server: HashMap<&str, Vec<&Shown>> = HashMap::new();
     for shown in &overrides {
-        by_server.entry(shown.one.kind.server()).or_default().push(shown);
+        by_server
+            .entry(shown.one.kind.server())
+            .or_default()
+            .push(shown);
     }
     let (mut servers, mut warnings) = (Vec::new(), Vec::new());
     for core @ (front, _) in cores {
@@ -58,11 +65,15 @@
             warnings.push(format!("{}: overrides leave {}", front, look.judgement));
         }
         if look.overrides_lost {
-            warnings
-                .push(format!("{front}: a fault in the overrides was met; none hold there until a restart"));
+            warnings.push(format!(
+                "{front}: a fault in the overrides was met; none hold there until a restart"
+            ));
         }
-        servers
-            .extend(look.farm.iter().map(|server| row(front, server, by_server.get(server.name.as_str()))));
+        servers.extend(
+            look.farm
+                .iter()
+                .map(|server| row(front, server, by_server.get(server.name.as_str()))),
+        );
     }
     let mut body = json!({ "servers": servers, "warnings": warnings });
     if let Some(fleet) = fleet {
@@ -94,21 +105,46 @@
 }
 
 /// Why a server is not as it is listed: overrides, the site's own evidence, or what is left of either.
-fn why_they_differ(front: &str, server: &ServerLook, overrides: Option<&Vec<&Shown>>) -> Vec<String> {
+fn why_they_differ(
+    front: &str,
+    server: &ServerLook,
+    overrides: Option<&Vec<&Shown>>,
+) -> Vec<String> {
     let holds = |shown: &&Shown| {
         let effect = shown.effects.iter().find(|(at, _)| *at == front);
         effect.is_some_and(|(_, effect)| *effect == Effect::InEffect)
     };
     let words = |shown: &Shown| {
         let (one, left) = (&shown.one, shown.remaining / 1_000);
-        format!("override {} ({}, {left} s left): {}", one.id, one.kind.name(), one.why)
+        format!(
+            "override {} ({}, {left} s left): {}",
+            one.id,
+            one.kind.name(),
+            one.why
+        )
     };
-    let mut why: Vec<String> = overrides.into_iter().flatten().copied().filter(holds).map(words).collect();
+    let mut why: Vec<String> = overrides
+        .into_iter()
+        .flatten()
+        .copied()
+        .filter(holds)
+        .map(words)
+        .collect();
     if let Some(site) = &server.site {
-        let passed = site.passed.as_ref().map(|why| format!("passed over by this site's evidence: {why}"));
-        let rises = || format!("{:.0}% of its weight by this site's evidence", site.part * 100.0);
+        let passed = site
+            .passed
+            .as_ref()
+            .map(|why| format!("passed over by this site's evidence: {why}"));
+        let rises = || {
+            format!(
+                "{:.0}% of its weight by this site's evidence",
+                site.part * 100.0
+            )
+        };
         why.extend(passed.or_else(|| (site.part < 1.0).then(rises)));
-        why.extend((site.cold_since > 0).then(|| "started anew while the uplink was lost".to_owned()));
+        why.extend(
+            (site.cold_since > 0).then(|| "started anew while the uplink was lost".to_owned()),
+        );
     }
     if why.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1 {
         why.push("its weight is on its way back after an override".into());
--- a/balancer/src/admin/tenants.rs
+++ b/balancer/src/admin/tenants.rs
@@ -9,7 +9,9 @@
 use tracing::info;
 
 use super::parse;
-use crate::front::nats::tenants::{Identity, StoreError, Tenant, Tenants, hash, is_name, usual_share};
+use crate::front::nats::tenants::{
+    Identity, StoreError, Tenant, Tenants, hash, is_name, usual_share,
+};
 use crate::http::Reply;
 
 /// Bounds of a password.
@@ -62,24 +64,47 @@
 /// All tenants.
 pub(super) fn list((tenants, _): &Here) -> Result<Reply, Reply> {
     let open = tenants.open();
-    let all: Vec<Value> = tenants.list()?.iter().map(|tenant| shown(tenant, &open)).collect();
+    let all: Vec<Value> = tenants
+        .list()?
+        .iter()
+        .map(|tenant| shown(tenant, &open))
+        .collect();
     Ok(Reply::new(200, json!({ "tenants": all })))
 }
 
 /// One tenant.
 pub(super) fn read((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
-    Ok(Reply::new(200, shown(&*tenants.get(name)?, &tenants.open())))
+    Ok(Reply::new(
+        200,
+        shown(&*tenants.get(name)?, &tenants.open()),
+    ))
 }
 
 /// Enters a tenant.
 pub(super) fn create((tenants, setup): &Here, body: &[u8]) -> Result<Reply, Reply> {
     let asked: Create = parse(body)?;
     if !is_name(&asked.name) {
-        return Err(Reply::error(422, "name: 1 to 64 letters, digits, '-' or '_'"));
+        return Err(Reply::error(
+            422,
+            "name: 1 to 64 letters, digits, '-' or '_'",
+        ));
     }
-    check(setup, Some(&asked.class), Some(asked.connections), Some(asked.share), Some(&asked.upstream))?;
+    check(
+        setup,
+        Some(&asked.class),
+        Some(asked.connections),
+        Some(asked.share),
+        Some(&asked.upstream),
+    )?;
     let secret = hashed(&asked.password)?;
-    let Create { name, class, connections, share, upstream, .. } = asked;
+    let Create {
+        name,
+        class,
+        connections,
+        share,
+        upstream,
+        ..
+    } = asked;
     let made = tenants.create(Tenant {
         name,
         secret,
@@ -95,8 +120,19 @@
 
 /// Changes what is given.
 pub(super) fn change((tenants, setup): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
-    let Change { class, connections, share, upstream } = parse(body)?;
-    check(setup, class.as_deref(), connections, share, upstream.as_ref())?;
+    let Change {
+        class,
+        connections,
+        share,
+        upstream,
+    } = parse(body)?;
+    check(
+        setup,
+        class.as_deref(),
+        connections,
+        share,
+        upstream.as_ref(),
+    )?;
     let changed = tenants.change(name, |tenant| {
         tenant.class = class.unwrap_or_else(|| tenant.class.clone());
         tenant.connections = connections.unwrap_or(tenant.connections);
--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -14,8 +14,13 @@
 impl Clock {
     /// Reads the system's time, for the only time.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix: nanos(unix) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            origin: Instant::now(),
+            unix: nanos(unix),
+        }
     }
 
     /// The present moment.
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -80,9 +80,14 @@
     /// What the listed variables overrule at the start. They keep what they were then: a file that is read anew
     /// is newer than they are.
     pub fn overruled(mut self) -> Result<Config, String> {
-        for (variable, field) in [("LB_LISTEN", &mut self.listen), ("LB_DISCOVERY", &mut self.discovery)] {
+        for (variable, field) in [
+            ("LB_LISTEN", &mut self.listen),
+            ("LB_DISCOVERY", &mut self.discovery),
+        ] {
             if let Ok(text) = std::env::var(variable) {
-                *field = text.parse().map_err(|error| format!("{variable}: {error}"))?;
+                *field = text
+                    .parse()
+                    .map_err(|error| format!("{variable}: {error}"))?;
             }
         }
         Ok(self)
@@ -90,16 +95,25 @@
 
     /// Where the operators' staff call: what the variable says, else what the file says, else nowhere.
     pub fn operations(file: Option<&Config>) -> Result<Option<SocketAddr>, String> {
-        let variable = std::env::var("LB_ADMIN_ADDR").ok().map(|text| ("LB_ADMIN_ADDR", text));
-        let listed = file.and_then(|file| file.admin_addr.clone()).map(|text| ("admin_addr", text));
-        let Some((name, text)) = variable.or(listed) else { return Ok(None) };
-        let address = text.parse().map_err(|_| format!("{name}: {text:?} is no address with a port"))?;
+        let variable = std::env::var("LB_ADMIN_ADDR")
+            .ok()
+            .map(|text| ("LB_ADMIN_ADDR", text));
+        let listed = file
+            .and_then(|file| file.admin_addr.clone())
+            .map(|text| ("admin_addr", text));
+        let Some((name, text)) = variable.or(listed) else {
+            return Ok(None);
+        };
+        let address = text
+            .parse()
+            .map_err(|_| format!("{name}: {text:?} is no address with a port"))?;
         Ok(Some(address))
     }
 
     /// The seed as a number; a text that is none is hashed.
     pub fn seed(&self) -> u64 {
-        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| beaconflow_settings::digest(&self.seed))
+        u64::from_str_radix(&self.seed, 16)
+            .unwrap_or_else(|_| beaconflow_settings::digest(&self.seed))
     }
 }
 
@@ -108,7 +122,9 @@
     let (discovery, admin_addr) = (fields.need("discovery"), fields.or_default("admin_addr"));
     let (seed, known) = (fields.need("seed"), known(fields));
     let sockets = fields.inner("limits", |limits| limits.or("sockets", USUAL_SOCKETS));
-    let settings = fields.needed_value("settings").and_then(|value| settings(value, met));
+    let settings = fields
+        .needed_value("settings")
+        .and_then(|value| settings(value, met));
     Some(Config {
         name: name?,
         listen: listen?,
@@ -123,13 +139,25 @@
 
 /// The list of servers; its one fault is reported with the path in it.
 fn known(fields: Fields<'_>) -> Option<List> {
-    let Some(value) = fields.value("known") else { return Some(List::default()) };
+    let Some(value) = fields.value("known") else {
+        return Some(List::default());
+    };
     let read = serde_path_to_error::deserialize(value);
-    read.map_err(|error| fields.fault(&format!("known.{}", error.path()), error.inner().to_string())).ok()
+    read.map_err(|error| {
+        fields.fault(
+            &format!("known.{}", error.path()),
+            error.inner().to_string(),
+        )
+    })
+    .ok()
 }
 
 fn settings(value: &Value, met: &Met) -> Option<Setup> {
-    let tell = |Faults(faults)| faults.into_iter().for_each(|fault| met.add(fault.path, fault.why));
+    let tell = |Faults(faults)| {
+        faults
+            .into_iter()
+            .for_each(|fault| met.add(fault.path, fault.why))
+    };
     let setup = Setup::read("settings", value).map_err(tell).ok()?;
     // A client names its class, so that one without a name would never be met.
     for at in setup.nameless() {
--- a/balancer/src/config/tests.rs
+++ b/balancer/src/config/tests.rs
@@ -30,7 +30,9 @@
 
 #[test]
 fn further_keys_are_disregarded_and_what_may_be_absent_may_be() {
-    let Ok(config) = Config::of(&sound()) else { panic!("sound") };
+    let Ok(config) = Config::of(&sound()) else {
+        panic!("sound")
+    };
     assert_eq!(config.limits.sockets, 64);
     let mut bare = sound();
     let fields = bare.as_object_mut().expect("an object");
@@ -67,7 +69,10 @@
     for path in paths {
         let (inside, key) = path.rsplit_once('/').expect("a path");
         let mut file = sound();
-        file.pointer_mut(inside).and_then(Value::as_object_mut).expect("an object").remove(key);
+        file.pointer_mut(inside)
+            .and_then(Value::as_object_mut)
+            .expect("an object")
+            .remove(key);
         let shown = path[1..].replace('/', ".").replace(".1.", "[1].");
         assert_eq!(faults(&file), [format!("{shown}: is missing")]);
     }
@@ -119,7 +124,10 @@
         "settings.rules.fall-ns: ",
     ] {
         assert_eq!(
-            reported.iter().filter(|fault| fault.starts_with(path)).count(),
+            reported
+                .iter()
+                .filter(|fault| fault.starts_with(path))
+                .count(),
             1,
             "{path} in {reported:#?}"
         );
@@ -132,16 +140,22 @@
     let mut file = sound();
     file["settings"]["lanes"][1]["name"] = json!("first");
     file["settings"]["projects"][2]["name"] = json!("p");
-    let twice =
-        ["settings.lanes[1]: \"first\" stands there twice", "settings.projects[2]: \"p\" stands there twice"];
+    let twice = [
+        "settings.lanes[1]: \"first\" stands there twice",
+        "settings.projects[2]: \"p\" stands there twice",
+    ];
     assert_eq!(faults(&file), twice);
 }
 
 #[test]
 fn what_is_no_object_is_a_fault_and_no_panic() {
-    for value in
-        [json!(null), json!([]), json!(7), json!({"settings": []}), json!({"settings": {"lanes": [1]}})]
-    {
+    for value in [
+        json!(null),
+        json!([]),
+        json!(7),
+        json!({"settings": []}),
+        json!({"settings": {"lanes": [1]}}),
+    ] {
         assert!(!faults(&value).is_empty());
     }
 }
--- a/balancer/src/core/admit.rs
+++ b/balancer/src/core/admit.rs
@@ -15,8 +15,14 @@
     pub(super) fn admit(&mut self, id: u64, opening: Opening, orders: Arc<dyn Carrier>) {
         let held = opening.held_by.is_some();
         let now = self.now_ms();
-        let pin = self.guarded(|core| core.farm.pin(opening.group, opening.tenant, now)).flatten();
-        let tie = if held || pin.is_some() { None } else { self.led(id, &opening) };
+        let pin = self
+            .guarded(|core| core.farm.pin(opening.group, opening.tenant, now))
+            .flatten();
+        let tie = if held || pin.is_some() {
+            None
+        } else {
+            self.led(id, &opening)
+        };
         let give_up_at = opening.taken_at.saturating_add(nanos(opening.patience));
         let entry = self.gate.entry(id, &opening, give_up_at, self.clock.now());
         if !held {
@@ -46,8 +52,16 @@
     }
 
     /// Books a connection that stands already. One at a server that this program has not heard of is moved.
-    pub(super) fn adopt(&mut self, id: u64, opening: Opening, server: &str, orders: Arc<dyn Carrier>) {
-        let entry = self.gate.entry(id, &opening, opening.taken_at, self.clock.now());
+    pub(super) fn adopt(
+        &mut self,
+        id: u64,
+        opening: Opening,
+        server: &str,
+        orders: Arc<dyn Carrier>,
+    ) {
+        let entry = self
+            .gate
+            .entry(id, &opening, opening.taken_at, self.clock.now());
         self.ledger.open(id, opening, orders, (None, None), entry);
         let Some((server, _)) = self.farm.by_name(server) else {
             self.order_move(id, "its server is not known here");
@@ -62,17 +76,28 @@
 
     /// Sends a connection that stood before the start to its application server.
     pub(super) fn reopen(&mut self, id: u64) {
-        let Some(transaction) = self.ledger.get(id) else { return };
+        let Some(transaction) = self.ledger.get(id) else {
+            return;
+        };
         let now = self.clock.now();
         if now >= transaction.give_up_at {
             return self.answer(id, Order::Failed);
         }
         // Guards against one pass without an answer that would take up all of a patience without an end.
-        let until = self.clock.instant(transaction.give_up_at.min(now.saturating_add(nanos(HELD_PATIENCE))));
-        let times = PassTimes { begin_by: until, until };
+        let until = self.clock.instant(
+            transaction
+                .give_up_at
+                .min(now.saturating_add(nanos(HELD_PATIENCE))),
+        );
+        let times = PassTimes {
+            begin_by: until,
+            until,
+        };
         let name = transaction.opening.held_by.as_deref().unwrap_or_default();
         match self.farm.by_name(name) {
-            Some((server, to)) => drop(self.ledger.pass(id, server, Order::Pass { to, times }, now)),
+            Some((server, to)) => {
+                drop(self.ledger.pass(id, server, Order::Pass { to, times }, now))
+            }
             None => self.wake(HELD_RETRY, Due::Held(id)),
         }
     }
--- a/balancer/src/core/book.rs
+++ b/balancer/src/core/book.rs
@@ -22,7 +22,9 @@
             debug!(part = self.name, entry = ?listed, "listed");
         }
         self.witness(|_| Some(Witness::List(list.clone(), known)));
-        let entries = self.farm.learn(list, self.now_ms(), |zone| self.in_force.setup().zone(zone));
+        let entries = self
+            .farm
+            .learn(list, self.now_ms(), |zone| self.in_force.setup().zone(zone));
         let kind = match (known, reset) {
             (true, _) => api::ListKind::Cached,
             (false, true) => api::ListKind::Full,
@@ -42,30 +44,59 @@
     /// There is no watch; the module asks for one.
     pub(super) fn list_is_out(&mut self, kind: api::ListKind) {
         self.witness(|_| Some(Witness::Deaf));
-        self.decide(api::Event::List { kind, entries: Vec::new() });
+        self.decide(api::Event::List {
+            kind,
+            entries: Vec::new(),
+        });
     }
 
     pub(super) fn established(&mut self, id: u64) {
         let now = self.clock.now();
-        let Some(Stands { attempt, server, held, class, took }) = self.ledger.stands(id, now) else { return };
+        let Some(Stands {
+            attempt,
+            server,
+            held,
+            class,
+            took,
+        }) = self.ledger.stands(id, now)
+        else {
+            return;
+        };
         debug!(part = self.name, transaction = id, held, took = ?Duration::from_nanos(took), "stands");
         if held {
-            let Some(arrival) = self.ledger.restart(id) else { return };
+            let Some(arrival) = self.ledger.restart(id) else {
+                return;
+            };
             self.decide(api::Event::Standing { arrival, server });
         } else {
             self.gate.stands(class, took);
-            self.decide(api::Event::Established { request: RequestId(id), attempt });
+            self.decide(api::Event::Established {
+                request: RequestId(id),
+                attempt,
+            });
         }
         self.witness_stands(id, server);
         self.drain_stands(id);
     }
 
     pub(super) fn ended(&mut self, id: u64, outcome: Outcome, took: Duration) {
-        let Some(ended) = self.ledger.ended(id, outcome) else { return };
-        debug!(part = self.name, transaction = id, stood = ended.stood, ?outcome, ?took, "pass ended");
+        let Some(ended) = self.ledger.ended(id, outcome) else {
+            return;
+        };
+        debug!(
+            part = self.name,
+            transaction = id,
+            stood = ended.stood,
+            ?outcome,
+            ?took,
+            "pass ended"
+        );
         self.witness_end(id, &ended, outcome);
         if ended.held {
-            let name = self.ledger.get(id).and_then(|transaction| transaction.opening.held_by.as_deref());
+            let name = self
+                .ledger
+                .get(id)
+                .and_then(|transaction| transaction.opening.held_by.as_deref());
             let name = name.unwrap_or_default();
             warn!(part = self.name, server = name, how = ?outcome, "held connection not up");
             // Guards against a start at which the application server is not reached at the first try.
@@ -84,15 +115,24 @@
     }
 
     pub(super) fn noted(&mut self, id: u64, note: Note) {
-        let Some((attempt, server)) = self.ledger.standing(id) else { return };
+        let Some((attempt, server)) = self.ledger.standing(id) else {
+            return;
+        };
         debug!(part = self.name, transaction = id, ?note, "noted");
         if let Note::Delay(delay) = note {
             let slow = Duration::from_nanos(delay) >= self.figures.slow();
-            if !self.farm.delay_is_news(server, self.clock.now(), slow, DELAY_PERIOD) {
+            if !self
+                .farm
+                .delay_is_news(server, self.clock.now(), slow, DELAY_PERIOD)
+            {
                 return;
             }
         }
-        self.decide(api::Event::Noted { request: RequestId(id), attempt, note });
+        self.decide(api::Event::Noted {
+            request: RequestId(id),
+            attempt,
+            note,
+        });
     }
 
     pub(super) fn look(&self) -> Look {
@@ -110,7 +150,16 @@
 
     pub(super) fn tell_counts(&self, look: &Look) {
         let counts = &look.counts;
-        let [ok, error, full, timed_out, connect_failed, reset, cancelled, not_sent] = counts.ends;
+        let [
+            ok,
+            error,
+            full,
+            timed_out,
+            connect_failed,
+            reset,
+            cancelled,
+            not_sent,
+        ] = counts.ends;
         info!(
             part = self.name,
             open = look.open,
--- a/balancer/src/core/door.rs
+++ b/balancer/src/core/door.rs
@@ -32,7 +32,11 @@
 
 impl Default for Config {
     fn default() -> Config {
-        Config { limits: Limits::default(), shares: HashMap::new(), over_share: Duration::from_secs(10) }
+        Config {
+            limits: Limits::default(),
+            shares: HashMap::new(),
+            over_share: Duration::from_secs(10),
+        }
     }
 }
 
@@ -108,16 +112,32 @@
         let account = opening.account.as_deref();
         let configured = || self.config.shares.get(account?).copied();
         let listed = || self.in_force.setup().shares();
-        let named = || listed().find(|(name, _)| Some(*name) == account).map(|(_, share)| share);
+        let named = || {
+            listed()
+                .find(|(name, _)| Some(*name) == account)
+                .map(|(_, share)| share)
+        };
         let least = || listed().map(|(_, share)| share).reduce(f64::min);
-        configured().or(opening.share).or_else(named).or_else(least).unwrap_or(1.0)
+        configured()
+            .or(opening.share)
+            .or_else(named)
+            .or_else(least)
+            .unwrap_or(1.0)
     }
 
     /// What the line is told of a transaction.
-    pub(super) fn entry(&mut self, id: u64, opening: &Opening, give_up_at: Nanos, now: Nanos) -> Entry {
+    pub(super) fn entry(
+        &mut self,
+        id: u64,
+        opening: &Opening,
+        give_up_at: Nanos,
+        now: Nanos,
+    ) -> Entry {
         let client = opening.key.or(opening.group).unwrap_or(id);
         // The word is made good also where the client says itself that it returns.
-        let known = opening.key.is_some_and(|key| self.returning.comes(now, key));
+        let known = opening
+            .key
+            .is_some_and(|key| self.returning.comes(now, key));
         let quickest = self.quickest.get(opening.class).map_or(0, Quickest::get);
         Entry {
             id,
@@ -192,7 +212,9 @@
                 self.wait(transaction.entry);
             }
         }
-        ledger.entries().for_each(|entry| self.tallies.weigh(entry.account, entry.share));
+        ledger
+            .entries()
+            .for_each(|entry| self.tallies.weigh(entry.account, entry.share));
     }
 
     /// How many wait.
@@ -252,13 +274,22 @@
         let end = self.gate.door.next_end();
         if let Some(end) = end.filter(|end| self.gate.wakes_at.is_none_or(|wakes| *end < wakes)) {
             self.gate.wakes_at = Some(end);
-            self.wake(Duration::from_nanos(end.saturating_sub(self.clock.now())), Due::Door);
+            self.wake(
+                Duration::from_nanos(end.saturating_sub(self.clock.now())),
+                Due::Door,
+            );
         }
     }
 
     fn turn_away(&mut self, now: Nanos, entry: &Entry) {
-        let drain = self.gate.tallies.drain(now, entry.account, self.gate.door.ahead_of(entry));
-        self.handle(api::Event::TurnedAway { request: RequestId(entry.id), drain });
+        let drain = self
+            .gate
+            .tallies
+            .drain(now, entry.account, self.gate.door.ahead_of(entry));
+        self.handle(api::Event::TurnedAway {
+            request: RequestId(entry.id),
+            drain,
+        });
     }
 
     /// Somebody's time may be up.
@@ -271,8 +302,17 @@
     pub(super) fn tell_over_share(&mut self) {
         let bound = self.gate.config.over_share;
         let bound = Nanos::try_from(bound.as_nanos()).unwrap_or(Nanos::MAX);
-        for OverShare { name, part, due, lasts } in self.gate.tallies.over_share(self.clock.now(), bound) {
-            let (part, due) = (format!("{:.0}%", part * 100.0), format!("{:.0}%", due * 100.0));
+        for OverShare {
+            name,
+            part,
+            due,
+            lasts,
+        } in self.gate.tallies.over_share(self.clock.now(), bound)
+        {
+            let (part, due) = (
+                format!("{:.0}%", part * 100.0),
+                format!("{:.0}%", due * 100.0),
+            );
             match lasts {
                 Some(lasts) => {
                     let for_s = lasts / 1_000_000_000;
--- a/balancer/src/core/door/tests.rs
+++ b/balancer/src/core/door/tests.rs
@@ -13,9 +13,18 @@
 
 /// A core at whose door eighteen of each account wait.
 fn full() -> (Core, Arc<Orders>) {
-    let (mut core, orders) = (core(Clock::start(), Set::new(0)), Arc::new(Orders::default()));
+    let (mut core, orders) = (
+        core(Clock::start(), Set::new(0)),
+        Arc::new(Orders::default()),
+    );
     for id in 0..WINDOW + 36 {
-        opens(&mut core, &orders, id, if id % 2 == 0 { "acme" } else { "bright" }, LONG);
+        opens(
+            &mut core,
+            &orders,
+            id,
+            if id % 2 == 0 { "acme" } else { "bright" },
+            LONG,
+        );
     }
     assert_eq!(core.gate.waiting(), 36);
     (core, orders)
@@ -26,7 +35,10 @@
     let (mut core, orders) = full();
     core.start_anew();
     assert_eq!(core.gate.waiting(), 0);
-    assert!((0..WINDOW + 36).all(|id| orders.of(id).1 == 1), "one answer each");
+    assert!(
+        (0..WINDOW + 36).all(|id| orders.of(id).1 == 1),
+        "one answer each"
+    );
     // The new module takes newcomers, and the line works as before.
     for id in 100..100 + WINDOW + 3 {
         opens(&mut core, &orders, id, "acme", LONG);
@@ -39,7 +51,8 @@
     let (mut core, orders) = full();
     core.take(Event::Left(WINDOW));
     assert_eq!(core.gate.waiting(), 35);
-    let under_way = |orders: &Orders| (0..WINDOW + 36).filter(|id| orders.of(*id).0 > 0).count() as u64;
+    let under_way =
+        |orders: &Orders| (0..WINDOW + 36).filter(|id| orders.of(*id).0 > 0).count() as u64;
     assert_eq!(under_way(&orders), WINDOW);
     core.take(Event::Established(0));
     assert!(under_way(&orders) > WINDOW);
@@ -48,7 +61,12 @@
     core.take(Event::Left(1));
     assert_eq!(under_way(&orders), before + 1);
     assert_eq!(
-        core.gate.look(0).accounts.iter().map(|account| account.counts.left).sum::<u64>(),
+        core.gate
+            .look(0)
+            .accounts
+            .iter()
+            .map(|account| account.counts.left)
+            .sum::<u64>(),
         1,
         "at the door"
     );
@@ -57,7 +75,10 @@
 #[test]
 fn one_from_before_the_start_waits_at_no_door() {
     let (mut core, orders) = full();
-    let held = Opening { held_by: Some("s0".into()), ..core.ledger.get(0).expect("open").opening.clone() };
+    let held = Opening {
+        held_by: Some("s0".into()),
+        ..core.ledger.get(0).expect("open").opening.clone()
+    };
     core.admit(900, held, Arc::<Orders>::clone(&orders));
     assert_eq!(orders.of(900), (1, 0));
 }
@@ -78,5 +99,11 @@
     }
     assert_eq!(orders.of(500), (0, 1));
     let look = core.gate.look(0);
-    assert_eq!(look.accounts.iter().map(|account| account.counts.given_up).sum::<u64>(), 1);
+    assert_eq!(
+        look.accounts
+            .iter()
+            .map(|account| account.counts.given_up)
+            .sum::<u64>(),
+        1
+    );
 }
--- a/balancer/src/core/drain.rs
+++ b/balancer/src/core/drain.rs
@@ -62,7 +62,12 @@
         let moves = left.saturating_sub(MOVED_BEFORE_LEFT).max(left / 2);
         let newcomers = moves.mul_f64(NEWCOMERS_PART).max(NEWCOMERS_LEAST);
         let heard = left.saturating_sub(HEARD_BEFORE_LEFT).max(left / 2);
-        Spans { newcomers, moves, heard, left }
+        Spans {
+            newcomers,
+            moves,
+            heard,
+            left,
+        }
     }
 }
 
@@ -94,14 +99,22 @@
     fn begin_drain(&mut self) {
         self.drains += 1;
         let spans = self.drain_spans();
-        self.drain = Some(Drain { number: self.drains, since: self.clock.now(), spans });
+        self.drain = Some(Drain {
+            number: self.drains,
+            since: self.clock.now(),
+            spans,
+        });
         let standing: Vec<u64> = self.ledger.movable().map(|(id, _)| id).collect();
         let count = u32::try_from(standing.len().max(1)).unwrap_or(u32::MAX);
         for (at, id) in (0..).zip(standing) {
             self.offer(id);
             self.wake(spans.moves * at / count, Due::Drained(self.drains, id));
         }
-        let looks_after = if self.lifecycle.state() == State::Leaving { TICK } else { spans.moves };
+        let looks_after = if self.lifecycle.state() == State::Leaving {
+            TICK
+        } else {
+            spans.moves
+        };
         self.wake(looks_after, Due::Drain(self.drains));
     }
 
@@ -110,7 +123,12 @@
         if self.lifecycle.state() != State::Leaving {
             return Spans::of(LONGEST_DEADLINE);
         }
-        let longest = self.settings.classes.iter().map(|class| class.deadline).max();
+        let longest = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max();
         Spans::of(Duration::from_nanos(longest.unwrap_or(0)))
     }
 
@@ -132,7 +150,8 @@
 
     /// Whether a newcomer is still served.
     pub(super) fn takes_newcomers(&self) -> bool {
-        self.drain.is_none_or(|drain| self.drained_for(drain) < drain.spans.newcomers)
+        self.drain
+            .is_none_or(|drain| self.drained_for(drain) < drain.spans.newcomers)
     }
 
     /// It is a client's turn to be moved, unless the drain has been taken back.
@@ -143,7 +162,9 @@
     }
 
     pub(super) fn go_on_draining(&mut self, number: u64) {
-        let Some(drain) = self.drain.filter(|drain| drain.number == number) else { return };
+        let Some(drain) = self.drain.filter(|drain| drain.number == number) else {
+            return;
+        };
         if self.lifecycle.state() == State::Leaving {
             // One that leaves looks again and again whether it has; on standby one look is enough: nobody comes after it.
             self.wake(TICK, Due::Drain(number));
@@ -171,7 +192,10 @@
 
     /// Whether the program has left all that it had, or has run out of time.
     pub(super) fn has_left(&self) -> bool {
-        let Some(drain) = self.drain.filter(|_| self.lifecycle.state() == State::Leaving) else {
+        let Some(drain) = self
+            .drain
+            .filter(|_| self.lifecycle.state() == State::Leaving)
+        else {
             return false;
         };
         let left_for = self.drained_for(drain);
--- a/balancer/src/core/drain/tests.rs
+++ b/balancer/src/core/drain/tests.rs
@@ -39,7 +39,13 @@
     assert_eq!([0, 1, 2].map(|id| orders.moves(id)), [1, 0, 0]);
     // The next drain leaves those alone that the first one moved.
     assert_eq!(core.follow_word(Word::Standby), Ok(State::Standby));
-    assert_eq!(core.timers.iter().filter(|timer| matches!(timer.0.2, Due::Drained(2, _))).count(), 2);
+    assert_eq!(
+        core.timers
+            .iter()
+            .filter(|timer| matches!(timer.0.2, Due::Drained(2, _)))
+            .count(),
+        2
+    );
     core.drained(2, 1);
     assert_eq!(orders.moves(1), 1);
     assert!(!core.has_left(), "the program stays");
@@ -55,7 +61,11 @@
     testing::opens(&mut core, &orders, 7, "acme", Duration::from_secs(1));
     assert_eq!(orders.of(7), (1, 0), "a newcomer is served");
     core.established(7);
-    assert!(core.timers.iter().any(|timer| timer.0.2 == Due::Drained(1, 7)));
+    assert!(
+        core.timers
+            .iter()
+            .any(|timer| timer.0.2 == Due::Drained(1, 7))
+    );
 }
 
 #[test]
@@ -84,7 +94,10 @@
     assert!(waiting > 0 && waiting < 20, "{waiting} wait");
     core.follow_word(Word::Standby).expect("it serves");
     core.go_on_draining(1);
-    assert!((0..20).all(|id| orders.of(id).1 == 0), "not before their time");
+    assert!(
+        (0..20).all(|id| orders.of(id).1 == 0),
+        "not before their time"
+    );
     let moves = core.drain_spans().moves;
     drains_for(&mut core, moves);
     core.go_on_draining(1);
@@ -99,11 +112,20 @@
         let deadline = Duration::from_millis(millis);
         let spans = Spans::of(deadline);
         let killed = deadline.min(Duration::from_secs(3)) + Duration::from_millis(700);
-        assert!(spans.left + Duration::from_millis(200) <= killed, "{spans:?}");
+        assert!(
+            spans.left + Duration::from_millis(200) <= killed,
+            "{spans:?}"
+        );
         // A client in the midst of a message is moved up to 0.7 s after the order.
         let is_roomy = deadline >= Duration::from_millis(1_200);
-        assert!(!is_roomy || spans.moves + Duration::from_millis(700) < spans.left, "{spans:?}");
-        assert!(spans.heard < spans.left && spans.moves < spans.left, "{spans:?}");
+        assert!(
+            !is_roomy || spans.moves + Duration::from_millis(700) < spans.left,
+            "{spans:?}"
+        );
+        assert!(
+            spans.heard < spans.left && spans.moves < spans.left,
+            "{spans:?}"
+        );
         // They come for 0.4 s.
         assert!(spans.newcomers > Duration::from_millis(400), "{spans:?}");
     }
@@ -117,7 +139,10 @@
 fn whoever_leaves_goes_by_the_settings_longest_deadline_and_whoever_stands_by_does_not() {
     let (mut core, _) = standing(3);
     core.follow_word(Word::Standby).expect("it serves");
-    assert_eq!(core.drain.expect("one is on").spans, Spans::of(LONGEST_DEADLINE));
+    assert_eq!(
+        core.drain.expect("one is on").spans,
+        Spans::of(LONGEST_DEADLINE)
+    );
     core.follow_word(Word::Leave).expect("always");
     // The longest deadline of the tests' settings.
     let spans = Spans::of(Duration::from_millis(1_800));
--- a/balancer/src/core/events.rs
+++ b/balancer/src/core/events.rs
@@ -10,7 +10,8 @@
 
 use super::lifecycle::{Refused, State, Word};
 use super::{
-    ApplicationServer, Counts, DoorConfig, DoorLook, InEffect, KnownNews, OverrideChange, ServerLook,
+    ApplicationServer, Counts, DoorConfig, DoorLook, InEffect, KnownNews, OverrideChange,
+    ServerLook,
 };
 
 /// What a client asks for, in the words of no wire.
