--- a/balancer/src/core/farm.rs
+++ b/balancer/src/core/farm.rs
@@ -50,7 +50,11 @@
 impl ApplicationServer {
     /// An application server that takes new work.
     pub fn new(name: String, address: SocketAddr) -> ApplicationServer {
-        ApplicationServer { name: name.into(), address, mark: Arc::default() }
+        ApplicationServer {
+            name: name.into(),
+            address,
+            mark: Arc::default(),
+        }
     }
 
     /// The leave to write a pass's first byte now; none where the server drains, is gone or was taken out. It is
@@ -146,10 +150,16 @@
             }
         }
         let reset = list.reset;
-        let entries =
-            list.instances.into_iter().filter_map(|listed| self.enter(listed, now, &zone)).collect();
+        let entries = list
+            .instances
+            .into_iter()
+            .filter_map(|listed| self.enter(listed, now, &zone))
+            .collect();
         if reset {
-            let gone = self.known.iter_mut().filter(|known| known.told.state == State::Gone);
+            let gone = self
+                .known
+                .iter_mut()
+                .filter(|known| known.told.state == State::Gone);
             for known in gone {
                 known.ready_since = None;
                 // Only now: one that is listed again is not marked in between, under a pass that is about to begin.
@@ -159,11 +169,20 @@
         entries
     }
 
-    fn enter(&mut self, listed: Listed, now: Millis, zone: &impl Fn(&str) -> Option<u32>) -> Option<Entry> {
+    fn enter(
+        &mut self,
+        listed: Listed,
+        now: Millis,
+        zone: &impl Fn(&str) -> Option<u32>,
+    ) -> Option<Entry> {
         let number = self.numbers.get(&listed.instance_id).copied();
         let before = number.and_then(|number| self.known.get(number.0 as usize));
-        let address = listed.host_port.or_else(|| before.map(|known| known.server.address))?;
-        let number = number.unwrap_or(ServerId(u32::try_from(self.known.len()).unwrap_or(u32::MAX)));
+        let address = listed
+            .host_port
+            .or_else(|| before.map(|known| known.server.address))?;
+        let number = number.unwrap_or(ServerId(
+            u32::try_from(self.known.len()).unwrap_or(u32::MAX),
+        ));
         let entry = Entry {
             server: number,
             tag: digest(&listed.instance_id),
@@ -186,9 +205,16 @@
         }
         let told = under(&entry, standing, part);
         // Passes on their way keep the mark, so that they see what the farm says now.
-        let mark = before.map(|known| Arc::clone(&known.server.mark)).unwrap_or_default();
-        mark.leaving.store(told.state != State::Ready, Ordering::SeqCst);
-        let server = Arc::new(ApplicationServer { name: listed.instance_id.as_str().into(), address, mark });
+        let mark = before
+            .map(|known| Arc::clone(&known.server.mark))
+            .unwrap_or_default();
+        mark.leaving
+            .store(told.state != State::Ready, Ordering::SeqCst);
+        let server = Arc::new(ApplicationServer {
+            name: listed.instance_id.as_str().into(),
+            address,
+            mark,
+        });
         let ready_before = before.map(|known| known.ready_since);
         let known = Known {
             server,
@@ -230,7 +256,10 @@
 
     /// Looks at the overrides anew; gives the entries that differ for the module.
     pub(super) fn reconsider(&mut self, now: Millis) -> Vec<Entry> {
-        let named = self.overrides.servers().filter_map(|name| self.numbers.get(name).copied());
+        let named = self
+            .overrides
+            .servers()
+            .filter_map(|name| self.numbers.get(name).copied());
         let servers: BTreeSet<ServerId> = named.chain(self.changed.iter().copied()).collect();
         let mut news = Vec::new();
         for id in servers {
@@ -244,7 +273,11 @@
             }
             let told = under(&known.listed, standing, part);
             if told != known.told {
-                known.server.mark.leaving.store(told.state != State::Ready, Ordering::SeqCst);
+                known
+                    .server
+                    .mark
+                    .leaving
+                    .store(told.state != State::Ready, Ordering::SeqCst);
                 known.ready_since = ready_since(told.state, Some(known.ready_since), now);
                 known.told = told.clone();
                 news.push(told);
@@ -257,7 +290,8 @@
     pub(super) fn follow_site(&mut self, site: BTreeMap<String, SitePart>) {
         let before = std::mem::replace(&mut self.site, site);
         let named = before.keys().chain(self.site.keys());
-        self.changed.extend(named.filter_map(|name| self.numbers.get(name).copied()));
+        self.changed
+            .extend(named.filter_map(|name| self.numbers.get(name).copied()));
     }
 
     /// Where an arrival is pinned to, by the hashes of its group and tenant.
@@ -267,7 +301,10 @@
         }
         let pin = self.overrides.pin(group, tenant, now)?;
         let server = self.numbers.get(pin.server).copied();
-        Some(Pin { server, strict: pin.strictness == Strictness::Strict })
+        Some(Pin {
+            server,
+            strict: pin.strictness == Strictness::Strict,
+        })
     }
 
     /// The servers whose standing connections an operator moves, and the rate of each.
@@ -284,31 +321,48 @@
         if self.changed.is_empty() {
             return Judgement::default();
         }
-        let ready = self.known.iter().filter(|known| known.listed.state == State::Ready);
-        judge(ready.map(|known| (&*known.server.name, known.zone.as_str())), &self.overrides, now)
+        let ready = self
+            .known
+            .iter()
+            .filter(|known| known.listed.state == State::Ready);
+        judge(
+            ready.map(|known| (&*known.server.name, known.zone.as_str())),
+            &self.overrides,
+            now,
+        )
     }
 
     /// Marks of the servers that take nothing new by an operator's word.
     pub(super) fn marks_of_out(&self) -> Vec<Arc<Mark>> {
-        let known = self.changed.iter().filter_map(|id| self.known.get(id.0 as usize));
+        let known = self
+            .changed
+            .iter()
+            .filter_map(|id| self.known.get(id.0 as usize));
         let out = known.filter(|known| known.told.state == State::Out);
         out.map(|known| Arc::clone(&known.server.mark)).collect()
     }
 
     pub(super) fn get(&self, number: ServerId) -> Option<Arc<ApplicationServer>> {
-        self.known.get(number.0 as usize).map(|known| Arc::clone(&known.server))
+        self.known
+            .get(number.0 as usize)
+            .map(|known| Arc::clone(&known.server))
     }
 
     /// A server as whoever is told of it knows it.
     pub(super) fn seen(&self, number: ServerId) -> Option<Seen> {
         let known = self.known.get(number.0 as usize)?;
         let name = Arc::clone(&known.server.name);
-        Some(Seen { name, started_ms: known.listed.started_at / 1_000_000 })
+        Some(Seen {
+            name,
+            started_ms: known.listed.started_at / 1_000_000,
+        })
     }
 
     /// The hash of a server's name, the same at every process.
     pub(super) fn tag(&self, number: ServerId) -> Option<u64> {
-        self.known.get(number.0 as usize).map(|known| known.listed.tag)
+        self.known
+            .get(number.0 as usize)
+            .map(|known| known.listed.tag)
     }
 
     pub(super) fn by_tag(&self, tag: u64) -> Option<ServerId> {
@@ -318,14 +372,24 @@
     /// What is known of a server now, for whoever would lead a client to it.
     pub(super) fn server_now(&self, tag: u64) -> Option<ServerNow> {
         let known = self.known.get(self.by_tag(tag)?.0 as usize)?;
-        let (is_ready, ready_since) = (known.told.state == State::Ready, known.ready_since.unwrap_or(0));
+        let (is_ready, ready_since) = (
+            known.told.state == State::Ready,
+            known.ready_since.unwrap_or(0),
+        );
         let started_at = known.listed.started_at / 1_000_000;
-        Some(ServerNow { is_ready, ready_since, started_at })
+        Some(ServerNow {
+            is_ready,
+            ready_since,
+            started_at,
+        })
     }
 
     /// Hashes and moments of all that are known to have started.
     pub(super) fn starts(&self) -> impl Iterator<Item = (u64, Millis)> {
-        let started = self.known.iter().filter(|known| known.listed.started_at > 0);
+        let started = self
+            .known
+            .iter()
+            .filter(|known| known.listed.started_at > 0);
         started.map(|known| (known.listed.tag, known.listed.started_at / 1_000_000))
     }
 
@@ -336,14 +400,25 @@
 
     /// The present entries of all that are not gone.
     pub(super) fn entries(&self) -> Vec<Entry> {
-        let present = self.known.iter().filter(|known| known.told.state != State::Gone);
+        let present = self
+            .known
+            .iter()
+            .filter(|known| known.told.state != State::Gone);
         present.map(|known| known.told.clone()).collect()
     }
 
     /// Whether the module wants to hear how long a message took: once a period while messages are slow, and
     /// once when they no longer are.
-    pub(super) fn delay_is_news(&mut self, at: ServerId, now: Nanos, slow: bool, period: Nanos) -> bool {
-        let Some(known) = self.known.get_mut(at.0 as usize) else { return false };
+    pub(super) fn delay_is_news(
+        &mut self,
+        at: ServerId,
+        now: Nanos,
+        slow: bool,
+        period: Nanos,
+    ) -> bool {
+        let Some(known) = self.known.get_mut(at.0 as usize) else {
+            return false;
+        };
         let told = known.told_slow_at;
         match (slow, told) {
             (true, Some(told)) if now < told.saturating_add(period) => false,
@@ -361,7 +436,9 @@
 
     /// Whether no server is known that is there.
     pub(super) fn is_empty(&self) -> bool {
-        self.known.iter().all(|known| known.listed.state == State::Gone)
+        self.known
+            .iter()
+            .all(|known| known.listed.state == State::Gone)
     }
 
     pub(super) fn look(&self, standing: &BTreeMap<ServerId, usize>) -> Vec<ServerLook> {
@@ -374,7 +451,11 @@
             standing: standing.get(&known.listed.server).copied().unwrap_or(0),
             site: self.site.get(&*known.server.name).cloned(),
         };
-        self.known.iter().filter(|known| known.listed.state != State::Gone).map(row).collect()
+        self.known
+            .iter()
+            .filter(|known| known.listed.state != State::Gone)
+            .map(row)
+            .collect()
     }
 }
 
@@ -389,9 +470,14 @@
 fn under(listed: &Entry, standing: Standing, site: Option<&SitePart>) -> Entry {
     let mut told = listed.clone();
     let part = site.map_or(1.0, |site| site.part);
-    let standing = Standing { factor: standing.factor * part, ..standing };
+    let standing = Standing {
+        factor: standing.factor * part,
+        ..standing
+    };
     let out = standing.out || site.is_some_and(|site| site.passed.is_some());
-    let cold_since = site.map_or(0, |site| site.cold_since).saturating_mul(1_000_000);
+    let cold_since = site
+        .map_or(0, |site| site.cold_since)
+        .saturating_mul(1_000_000);
     told.started_at = told.started_at.max(cold_since);
     if out && told.state == State::Ready {
         told.state = State::Out;
@@ -399,7 +485,11 @@
     if !out && standing.factor != 1.0 {
         // Its weight tells nothing of the size of others any more.
         told.kind = listed.tag;
-        let weight = if told.weight.is_finite() && told.weight > 0.0 { told.weight } else { 1.0 };
+        let weight = if told.weight.is_finite() && told.weight > 0.0 {
+            told.weight
+        } else {
+            1.0
+        };
         told.weight = weight * standing.factor;
         told.rises_to = (standing.factor < standing.to).then_some(weight * standing.to);
     }
--- a/balancer/src/core/fleet.rs
+++ b/balancer/src/core/fleet.rs
@@ -151,21 +151,34 @@
     /// Guards against a fleet's thread that never says so: the program serves whatever is missing.
     pub(super) fn recovers_no_longer(&mut self) {
         let now = self.clock.now();
-        if self.bond.as_ref().is_some_and(|bond| now >= bond.gathers_until) {
+        if self
+            .bond
+            .as_ref()
+            .is_some_and(|bond| now >= bond.gathers_until)
+        {
             let _ = self.follow_word(Word::Recovers(false));
         }
     }
 
     /// Asks whether it is a client's turn, where clients are let in by turns; says whether it has to wait for that.
     pub(super) fn waits_its_turn(&mut self, id: u64) -> bool {
-        let Some(bond) = self.bond.as_mut().filter(|bond| bond.by_turns) else { return false };
+        let Some(bond) = self.bond.as_mut().filter(|bond| bond.by_turns) else {
+            return false;
+        };
         bond.waits.insert(id);
         self.witness(|core| {
             let opening = &core.ledger.get(id)?.opening;
             let account = opening.account.as_deref().map_or(0, digest);
             let class = core.in_force.place(opening.class);
             let (group, key, returns) = (opening.group, opening.key, opening.again);
-            Some(Witness::Wants(Arrival { id, class, account, group, key, returns }))
+            Some(Witness::Wants(Arrival {
+                id,
+                class,
+                account,
+                group,
+                key,
+                returns,
+            }))
         });
         self.wake(TURN_PATIENCE, Due::Turn(id));
         true
@@ -173,7 +186,10 @@
 
     /// It is a client's turn. Also where nobody has said so in time: guards against a fleet's thread that is gone.
     pub(super) fn has_its_turn(&mut self, id: u64) {
-        let waited = self.bond.as_mut().is_some_and(|bond| bond.waits.remove(&id));
+        let waited = self
+            .bond
+            .as_mut()
+            .is_some_and(|bond| bond.waits.remove(&id));
         if let Some(arrival) = self.ledger.arrival(id).filter(|_| waited) {
             self.decide(api::Event::Arrived(arrival));
         }
@@ -181,8 +197,15 @@
 
     /// A client is told when to come again, as far as clients are told here.
     fn comes_again(&mut self, id: u64, after: Duration) {
-        if self.bond.as_mut().is_some_and(|bond| bond.waits.remove(&id)) {
-            let (told, most) = (self.settings.limits.retry_after, self.settings.limits.max_retry_after);
+        if self
+            .bond
+            .as_mut()
+            .is_some_and(|bond| bond.waits.remove(&id))
+        {
+            let (told, most) = (
+                self.settings.limits.retry_after,
+                self.settings.limits.max_retry_after,
+            );
             let after = told.then(|| after.min(Duration::from_nanos(most)));
             if self.ledger.get(id).is_some() {
                 self.answer(id, Order::Unavailable(after));
@@ -207,7 +230,10 @@
             KnownNews::List(_) => {}
             KnownNews::Ties(news) => self.take_ties(news),
             KnownNews::Failures(key, count) => {
-                self.decide(api::Event::Failures { key: ClientKey(key), count });
+                self.decide(api::Event::Failures {
+                    key: ClientKey(key),
+                    count,
+                });
             }
             KnownNews::Site(site) => self.follow_site(site),
             KnownNews::Gathers(gathers) => self.gathers(gathers),
@@ -246,7 +272,11 @@
 
     /// Asks what was held back, if nobody holds it back any more.
     pub(super) fn ask_held(&mut self) {
-        if self.bond.as_mut().is_some_and(|bond| std::mem::take(&mut bond.asks)) {
+        if self
+            .bond
+            .as_mut()
+            .is_some_and(|bond| std::mem::take(&mut bond.asks))
+        {
             self.ask_discovery();
         }
     }
@@ -269,8 +299,8 @@
     pub(super) fn witness_pass(&self, server: ServerId, now: Nanos) {
         self.witness(|core| {
             let seen = core.seen(server)?;
-            let warm_at =
-                (seen.started_ms.saturating_mul(1_000_000)).saturating_add(core.settings.rules.cold_time);
+            let warm_at = (seen.started_ms.saturating_mul(1_000_000))
+                .saturating_add(core.settings.rules.cold_time);
             (seen.started_ms > 0 && now < warm_at).then_some(Witness::SentCold(seen))
         });
     }
@@ -286,7 +316,13 @@
         if ended.stood {
             return self.untie(id, ended_by(how));
         }
-        self.witness(|core| Some(Witness::Passed(core.seen(ended.server)?, core.key_of(id), Some(how))));
+        self.witness(|core| {
+            Some(Witness::Passed(
+                core.seen(ended.server)?,
+                core.key_of(id),
+                Some(how),
+            ))
+        });
     }
 
     fn key_of(&self, id: u64) -> Option<u64> {
@@ -318,7 +354,9 @@
     /// The same story for a core, with what it ordered and decided.
     fn story(mut core: Core) -> (String, Core) {
         let orders = Arc::new(Orders::default());
-        core.hear_of_farm(News::List(list(&[row("s0"), row("s1"), row("s2")].join(","))));
+        core.hear_of_farm(News::List(list(
+            &[row("s0"), row("s1"), row("s2")].join(","),
+        )));
         for id in 0..12 {
             testing::opens(&mut core, &orders, id, "acme", LONG);
         }
@@ -326,7 +364,11 @@
             core.take(Event::Established(id));
         }
         core.take(Event::Ended(3, Outcome::Reset, Duration::from_millis(900)));
-        core.take(Event::Ended(8, Outcome::ConnectFailed, Duration::from_millis(2)));
+        core.take(Event::Ended(
+            8,
+            Outcome::ConnectFailed,
+            Duration::from_millis(2),
+        ));
         core.hear_of_farm(News::Failed(Duration::ZERO));
         core.take(Event::Left(9));
         (orders.words(), core)
@@ -338,7 +380,12 @@
         let (alone, _) = story(testing::core(clock, Set::default()));
         let mut core = testing::core(clock, Set::default());
         let (tell, heard) = crossbeam_channel::unbounded();
-        core.bind(Tie { tell, gather: None, turns: false, ties: None });
+        core.bind(Tie {
+            tell,
+            gather: None,
+            turns: false,
+            ties: None,
+        });
         let (tied, core) = story(core);
         assert_eq!(alone, tied);
         assert!(alone.contains("Pass"), "{alone}");
@@ -346,7 +393,10 @@
         let heard: Vec<Witness> = heard.iter().collect();
         let count = |is: fn(&Witness) -> bool| heard.iter().filter(|one| is(one)).count();
         assert_eq!(count(|one| matches!(one, Witness::Passed(_, _, None))), 8);
-        assert_eq!(count(|one| matches!(one, Witness::Passed(_, _, Some(Outcome::ConnectFailed)))), 1);
+        assert_eq!(
+            count(|one| matches!(one, Witness::Passed(_, _, Some(Outcome::ConnectFailed)))),
+            1
+        );
         assert_eq!(count(|one| matches!(one, Witness::List(..))), 1);
         assert_eq!(count(|one| matches!(one, Witness::Deaf)), 1);
     }
@@ -355,12 +405,24 @@
     fn a_program_gathers_what_was_known_before_for_no_longer_than_its_bound() {
         let mut core = testing::core(Clock::start(), Set::default());
         let (tell, _heard) = crossbeam_channel::unbounded();
-        core.bind(Tie { tell, gather: Some(Duration::ZERO), turns: false, ties: None });
-        core.follow_word(Word::Listens(true)).expect("a word of its own");
-        assert_eq!(core.lifecycle.state(), super::super::lifecycle::State::Starting);
+        core.bind(Tie {
+            tell,
+            gather: Some(Duration::ZERO),
+            turns: false,
+            ties: None,
+        });
+        core.follow_word(Word::Listens(true))
+            .expect("a word of its own");
+        assert_eq!(
+            core.lifecycle.state(),
+            super::super::lifecycle::State::Starting
+        );
         // Nobody ever says that it is over.
         core.fire();
-        assert_eq!(core.lifecycle.state(), super::super::lifecycle::State::Serving);
+        assert_eq!(
+            core.lifecycle.state(),
+            super::super::lifecycle::State::Serving
+        );
     }
 
     #[test]
@@ -369,7 +431,12 @@
         let (watch, asked) = crossbeam_channel::unbounded();
         core.watch = watch;
         let (tell, _heard) = crossbeam_channel::unbounded();
-        core.bind(Tie { tell, gather: None, turns: false, ties: None });
+        core.bind(Tie {
+            tell,
+            gather: None,
+            turns: false,
+            ties: None,
+        });
         core.take(Event::Known(KnownNews::Ask));
         assert!(asked.is_empty(), "the module has not wanted it");
         core.take(Event::Known(KnownNews::Hold(LONG)));
@@ -404,7 +471,11 @@
         testing::opens(core, &Arc::new(Orders::default()), id, "acme", LONG);
         let now = core.clock.now();
         core.take(Event::Ended(id, Outcome::Full, Duration::from_millis(1)));
-        let last = core.timers.iter().map(|Reverse((at, set, due))| (*set, *at, *due)).max();
+        let last = core
+            .timers
+            .iter()
+            .map(|Reverse((at, set, due))| (*set, *at, *due))
+            .max();
         let (_, at, due) = last.expect("a timer");
         assert!(matches!(due, Due::Module(_)), "{due:?}");
         core.take(Event::Left(id));
@@ -416,57 +487,110 @@
         let mut core = testing::core(Clock::start(), Set::default());
         let sum = |core: &mut Core, ids: std::ops::Range<u64>, known: Option<u32>| -> Nanos {
             let told = |core: &mut Core, id| {
-                known.into_iter().for_each(|count| core.take(Event::Known(KnownNews::Failures(id, count))));
+                known
+                    .into_iter()
+                    .for_each(|count| core.take(Event::Known(KnownNews::Failures(id, count))));
                 delay(core, id)
             };
             ids.map(|id| told(core, id)).sum()
         };
         let none = sum(&mut core, 0..40, None);
         let many = sum(&mut core, 100..140, Some(6));
-        assert!(many > 2 * none, "{many} with six failures elsewhere, {none} without");
+        assert!(
+            many > 2 * none,
+            "{many} with six failures elsewhere, {none} without"
+        );
         (200..240).for_each(|id| core.take(Event::Known(KnownNews::Failures(id, 6))));
         let void = sum(&mut core, 200..240, Some(0));
-        assert!(void < many / 2, "{void} once a placement succeeded anywhere, {many} before");
+        assert!(
+            void < many / 2,
+            "{void} once a placement succeeded anywhere, {many} before"
+        );
     }
 
     #[test]
     fn while_clients_go_by_turns_each_waits_for_its_own_and_no_longer_than_a_bound() {
-        let (mut core, orders) = (testing::core(Clock::start(), Set::default()), Arc::new(Orders::default()));
+        let (mut core, orders) = (
+            testing::core(Clock::start(), Set::default()),
+            Arc::new(Orders::default()),
+        );
         let (tell, heard) = crossbeam_channel::unbounded();
-        core.bind(Tie { tell, gather: None, turns: true, ties: None });
+        core.bind(Tie {
+            tell,
+            gather: None,
+            turns: true,
+            ties: None,
+        });
         (0..4).for_each(|id| testing::opens(&mut core, &orders, id, "acme", LONG));
-        let wants = heard.try_iter().filter(|one| matches!(one, Witness::Wants(_))).count();
+        let wants = heard
+            .try_iter()
+            .filter(|one| matches!(one, Witness::Wants(_)))
+            .count();
         assert_eq!((wants, orders.words().as_str()), (4, ""));
         core.take(Event::Known(KnownNews::Admit(0)));
-        core.take(Event::Known(KnownNews::Defer(1, Duration::from_millis(700))));
+        core.take(Event::Known(KnownNews::Defer(
+            1,
+            Duration::from_millis(700),
+        )));
         assert_eq!((orders.of(0), orders.of(1)), ((1, 0), (0, 1)));
-        assert!(orders.words().contains("1 Unavailable(Some(700ms))"), "{}", orders.words());
+        assert!(
+            orders.words().contains("1 Unavailable(Some(700ms))"),
+            "{}",
+            orders.words()
+        );
         // One that was answered has had its turn; nobody speaks of the third.
         core.take(Event::Known(KnownNews::Admit(1)));
         core.has_its_turn(2);
         core.take(Event::Known(KnownNews::Turns(false)));
         testing::opens(&mut core, &orders, 4, "acme", LONG);
-        assert_eq!([1, 2, 3, 4].map(|id| orders.of(id)), [(0, 1), (1, 0), (1, 0), (1, 0)]);
+        assert_eq!(
+            [1, 2, 3, 4].map(|id| orders.of(id)),
+            [(0, 1), (1, 0), (1, 0), (1, 0)]
+        );
     }
 
     #[test]
     fn the_sites_evidence_passes_a_server_over_and_moves_nobody() {
-        let (mut core, orders) = (testing::core(Clock::start(), Set::default()), Arc::new(Orders::default()));
+        let (mut core, orders) = (
+            testing::core(Clock::start(), Set::default()),
+            Arc::new(Orders::default()),
+        );
         core.hear_of_farm(News::List(list(&[row("s0"), row("s1")].join(","))));
         (0..8).for_each(|id| testing::opens(&mut core, &orders, id, "acme", LONG));
         (0..8).for_each(|id| core.take(Event::Established(id)));
-        let part = SitePart { passed: Some("it hangs".into()), part: 1.0, cold_since: 0 };
-        core.take(Event::Known(KnownNews::Site([("s1".to_owned(), part)].into())));
+        let part = SitePart {
+            passed: Some("it hangs".into()),
+            part: 1.0,
+            cold_since: 0,
+        };
+        core.take(Event::Known(KnownNews::Site(
+            [("s1".to_owned(), part)].into(),
+        )));
         (8..16).for_each(|id| testing::opens(&mut core, &orders, id, "acme", LONG));
         let words = orders.words();
-        let after: Vec<&str> = words.lines().filter(|line| line.contains("Pass")).skip(8).collect();
-        assert!(after.len() == 8 && after.iter().all(|line| line.ends_with("to s0")), "{after:?}");
+        let after: Vec<&str> = words
+            .lines()
+            .filter(|line| line.contains("Pass"))
+            .skip(8)
+            .collect();
+        assert!(
+            after.len() == 8 && after.iter().all(|line| line.ends_with("to s0")),
+            "{after:?}"
+        );
         assert!(!words.contains("Move"), "{words}");
         core.hear_of_farm(News::List(list(&[row("s0"), row("s1")].join(","))));
         assert!(
-            core.look().farm.iter().any(|server| server.name == "s1" && server.state.1 == api::State::Out)
+            core.look()
+                .farm
+                .iter()
+                .any(|server| server.name == "s1" && server.state.1 == api::State::Out)
         );
         core.take(Event::Known(KnownNews::Site(BTreeMap::new())));
-        assert!(core.look().farm.iter().all(|server| server.state.1 == api::State::Ready));
+        assert!(
+            core.look()
+                .farm
+                .iter()
+                .all(|server| server.state.1 == api::State::Ready)
+        );
     }
 }
--- a/balancer/src/core/handle.rs
+++ b/balancer/src/core/handle.rs
@@ -39,7 +39,13 @@
 /// Both ends.
 pub(super) fn boxes() -> (Outbox, Inbox) {
     let ((events, heard), (farm, listed)) = (unbounded(), unbounded());
-    (Outbox { events, farm }, Inbox { events: heard, farm: listed })
+    (
+        Outbox { events, farm },
+        Inbox {
+            events: heard,
+            farm: listed,
+        },
+    )
 }
 
 /// Counts one connection for as long as it lives.
--- a/balancer/src/core/ledger.rs
+++ b/balancer/src/core/ledger.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use beaconflow::api::{Arrival, ClassId, ClientKey, GroupId, Nanos, Outcome, Pin, RequestId, ServerId};
+use beaconflow::api::{
+    Arrival, ClassId, ClientKey, GroupId, Nanos, Outcome, Pin, RequestId, ServerId,
+};
 
 use beaconflow_admission::Entry;
 
@@ -91,8 +93,16 @@
     pub ends: [u64; 8],
 }
 
-const END_NAMES: [&str; 8] =
-    ["ok", "error", "full", "timed-out", "connect-failed", "reset", "cancelled", "not-sent"];
+const END_NAMES: [&str; 8] = [
+    "ok",
+    "error",
+    "full",
+    "timed-out",
+    "connect-failed",
+    "reset",
+    "cancelled",
+    "not-sent",
+];
 
 impl Counts {
     /// The ends of passes and connections, by name.
@@ -146,7 +156,9 @@
 
     /// What the module is told of a transaction.
     pub(super) fn arrival(&self, id: u64) -> Option<Arrival> {
-        self.open.get(&id).map(|transaction| transaction.arrival(id))
+        self.open
+            .get(&id)
+            .map(|transaction| transaction.arrival(id))
     }
 
     pub(super) fn len(&self) -> usize {
@@ -173,11 +185,19 @@
         now: Nanos,
     ) -> Option<(Entry, Nanos)> {
         let transaction = self.open.get_mut(&id)?;
-        let first = (transaction.passes == 0 && transaction.opening.held_by.is_none())
-            .then(|| (transaction.entry, now.saturating_sub(transaction.opening.taken_at)));
+        let first = (transaction.passes == 0 && transaction.opening.held_by.is_none()).then(|| {
+            (
+                transaction.entry,
+                now.saturating_sub(transaction.opening.taken_at),
+            )
+        });
         transaction.passed_at = now;
         let held = transaction.opening.held_by.is_some();
-        transaction.place = if held { Place::Held(server) } else { Place::Out(server) };
+        transaction.place = if held {
+            Place::Held(server)
+        } else {
+            Place::Out(server)
+        };
         transaction.passes += 1;
         self.counts.passes += 1;
         self.order(id, order);
@@ -202,7 +222,13 @@
         transaction.place = Place::Standing(server);
         self.counts.served += 1;
         let took = now.saturating_sub(transaction.passed_at);
-        Some(Stands { attempt: transaction.passes - 1, server, held, class: transaction.opening.class, took })
+        Some(Stands {
+            attempt: transaction.passes - 1,
+            server,
+            held,
+            class: transaction.opening.class,
+            took,
+        })
     }
 
     /// The connection stands at that server from the outset.
@@ -241,7 +267,11 @@
 
     pub(super) fn standing(&self, id: u64) -> Option<(u32, ServerId)> {
         match self.open.get(&id)? {
-            Transaction { place: Place::Standing(server), passes, .. } => Some((passes - 1, *server)),
+            Transaction {
+                place: Place::Standing(server),
+                passes,
+                ..
+            } => Some((passes - 1, *server)),
             _ => None,
         }
     }
@@ -257,7 +287,12 @@
         transaction.place = Place::Waiting;
         transaction.may_have_run |= !outcome.never_ran();
         self.counts.ends[outcome as usize] += 1;
-        Some(Ended { attempt: transaction.passes - 1, server, stood, held })
+        Some(Ended {
+            attempt: transaction.passes - 1,
+            server,
+            stood,
+            held,
+        })
     }
 
     pub(super) fn close(&mut self, id: u64) -> Option<Transaction> {
@@ -265,24 +300,34 @@
     }
 
     pub(super) fn places(&self) -> Vec<(u64, Place)> {
-        self.open.iter().map(|(id, transaction)| (*id, transaction.place)).collect()
+        self.open
+            .iter()
+            .map(|(id, transaction)| (*id, transaction.place))
+            .collect()
     }
 
     /// The connections that stand and have not been told to move, with their servers, the longest open first.
     pub(super) fn movable(&self) -> impl Iterator<Item = (u64, ServerId)> {
-        self.open.iter().filter_map(|(id, transaction)| match transaction.place {
-            Place::Standing(server) if !transaction.moving => Some((*id, server)),
-            _ => None,
-        })
+        self.open
+            .iter()
+            .filter_map(|(id, transaction)| match transaction.place {
+                Place::Standing(server) if !transaction.moving => Some((*id, server)),
+                _ => None,
+            })
     }
 
     /// Those of them at one server.
     pub(super) fn movable_at(&self, at: ServerId) -> impl Iterator<Item = u64> {
-        self.movable().filter(move |(_, server)| *server == at).map(|(id, _)| id)
+        self.movable()
+            .filter(move |(_, server)| *server == at)
+            .map(|(id, _)| id)
     }
 
     /// Gives every transaction that does not stand the pin that it has now; names those for which it is another one.
-    pub(super) fn repin(&mut self, pin: impl Fn(&Opening) -> Option<Pin>) -> Vec<(u64, Option<Pin>)> {
+    pub(super) fn repin(
+        &mut self,
+        pin: impl Fn(&Opening) -> Option<Pin>,
+    ) -> Vec<(u64, Option<Pin>)> {
         let mut changed = Vec::new();
         for (id, transaction) in &mut self.open {
             if !matches!(transaction.place, Place::Waiting | Place::Out(_)) {
--- a/balancer/src/core/lifecycle.rs
+++ b/balancer/src/core/lifecycle.rs
@@ -26,7 +26,12 @@
 }
 
 impl State {
-    const ALL: [State; 4] = [State::Starting, State::Serving, State::Standby, State::Leaving];
+    const ALL: [State; 4] = [
+        State::Starting,
+        State::Serving,
+        State::Standby,
+        State::Leaving,
+    ];
 
     /// Its name for people.
     pub fn name(self) -> &'static str {
@@ -81,8 +86,15 @@
     pub fn state(&self) -> State {
         match self {
             Lifecycle { leaves: true, .. } => State::Leaving,
-            Lifecycle { stands_by: true, .. } => State::Standby,
-            Lifecycle { listens: true, knows: true, recovers: false, .. } => State::Serving,
+            Lifecycle {
+                stands_by: true, ..
+            } => State::Standby,
+            Lifecycle {
+                listens: true,
+                knows: true,
+                recovers: false,
+                ..
+            } => State::Serving,
             _ => State::Starting,
         }
     }
@@ -128,7 +140,13 @@
     fn since(origin: Instant) -> Shown {
         let (state, turned_at) = (AtomicU8::new(State::Starting as u8), AtomicU64::new(0));
         let (openings, hears_nobody) = (AtomicUsize::new(0), AtomicBool::new(false));
-        Shown(Arc::new(Face { state, turned_at, origin, openings, hears_nobody }))
+        Shown(Arc::new(Face {
+            state,
+            turned_at,
+            origin,
+            openings,
+            hears_nobody,
+        }))
     }
 
     /// So many clients have not been heard out.
--- a/balancer/src/core/lifecycle/tests.rs
+++ b/balancer/src/core/lifecycle/tests.rs
@@ -7,9 +7,18 @@
 fn expected(said: &[Word]) -> State {
     let leaves = said.iter().position(|word| *word == Word::Leave);
     let orders = &said[..leaves.unwrap_or(said.len())];
-    let last_order = orders.iter().rev().find(|word| matches!(word, Word::Standby | Word::Active));
-    let listens = said.iter().rev().find(|word| matches!(word, Word::Listens(_)));
-    let recovers = said.iter().rev().find(|word| matches!(word, Word::Recovers(_)));
+    let last_order = orders
+        .iter()
+        .rev()
+        .find(|word| matches!(word, Word::Standby | Word::Active));
+    let listens = said
+        .iter()
+        .rev()
+        .find(|word| matches!(word, Word::Listens(_)));
+    let recovers = said
+        .iter()
+        .rev()
+        .find(|word| matches!(word, Word::Recovers(_)));
     if leaves.is_some() {
         State::Leaving
     } else if last_order == Some(&Word::Standby) {
@@ -55,7 +64,9 @@
     let shown = Shown::default();
     shown.show(State::Serving);
     assert!(shown.is_ready());
-    let start = Instant::now().checked_sub(SILENCE * 2).expect("the machine runs for longer");
+    let start = Instant::now()
+        .checked_sub(SILENCE * 2)
+        .expect("the machine runs for longer");
     let shown = Shown::since(start);
     shown.show(State::Serving);
     assert!(!shown.is_ready());
--- a/balancer/src/core/mod.rs
+++ b/balancer/src/core/mod.rs
@@ -143,11 +143,17 @@
 
     /// Waits for the next event or timer and takes it; false once nobody is left who tells events.
     fn turn(&mut self, inbox: &Inbox) -> bool {
-        let due = self.timers.peek().map(|Reverse((at, ..))| self.clock.instant(*at));
+        let due = self
+            .timers
+            .peek()
+            .map(|Reverse((at, ..))| self.clock.instant(*at));
         let event = match due {
             Some(due) if due <= Instant::now() => Err(RecvTimeoutError::Timeout),
             Some(due) => inbox.events.recv_deadline(due),
-            None => inbox.events.recv().map_err(|_| RecvTimeoutError::Disconnected),
+            None => inbox
+                .events
+                .recv()
+                .map_err(|_| RecvTimeoutError::Disconnected),
         };
         self.take_lists(inbox);
         match event {
@@ -156,7 +162,11 @@
             Err(RecvTimeoutError::Disconnected) => return false,
         }
         // Guards against timers that wait behind a long queue of events: those due come first.
-        while self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= self.clock.now()) {
+        while self
+            .timers
+            .peek()
+            .is_some_and(|Reverse((at, ..))| *at <= self.clock.now())
+        {
             self.take_lists(inbox);
             self.fire();
         }
@@ -233,11 +243,17 @@
 
     fn wake(&mut self, after: Duration, due: Due) {
         self.set += 1;
-        self.timers.push(Reverse((self.clock.now().saturating_add(nanos(after)), self.set, due)));
+        self.timers.push(Reverse((
+            self.clock.now().saturating_add(nanos(after)),
+            self.set,
+            due,
+        )));
     }
 
     fn fire(&mut self) {
-        let Some(Reverse((_, _, due))) = self.timers.pop() else { return };
+        let Some(Reverse((_, _, due))) = self.timers.pop() else {
+            return;
+        };
         match due {
             Due::Module(timer) => self.decide(api::Event::Timer(timer)),
             Due::Held(id) => self.reopen(id),
--- a/balancer/src/core/overrides.rs
+++ b/balancer/src/core/overrides.rs
@@ -46,18 +46,28 @@
     pub(super) fn guarded<T>(&mut self, act: impl FnOnce(&mut Core) -> T) -> Option<T> {
         let done = catch_unwind(AssertUnwindSafe(|| act(self)));
         if done.is_err() {
-            error!(part = self.name, "overrides panicked; none hold at this front until a restart");
+            error!(
+                part = self.name,
+                "overrides panicked; none hold at this front until a restart"
+            );
             self.overrides_lost = true;
             self.farm.overrides = Set::default();
             self.moves.clear();
             let entries = self.farm.reconsider(0);
-            self.decide(api::Event::List { kind: api::ListKind::Changes, entries });
+            self.decide(api::Event::List {
+                kind: api::ListKind::Changes,
+                entries,
+            });
         }
         done.ok()
     }
 
     /// Takes changes over. Whoever asked hears of it once the module has.
-    pub(super) fn take_overrides(&mut self, changes: Vec<OverrideChange>, answer: Option<Sender<InEffect>>) {
+    pub(super) fn take_overrides(
+        &mut self,
+        changes: Vec<OverrideChange>,
+        answer: Option<Sender<InEffect>>,
+    ) {
         if self.overrides_lost {
             return;
         }
@@ -66,7 +76,8 @@
                 match change {
                     OverrideChange::Put(one) => core.farm.overrides.put(*one),
                     OverrideChange::Forget(ids) => {
-                        ids.into_iter().for_each(|id| drop(core.farm.overrides.forget(id)));
+                        ids.into_iter()
+                            .for_each(|id| drop(core.farm.overrides.forget(id)));
                     }
                 }
             }
@@ -74,12 +85,17 @@
         });
         if let (Some(()), Some(answer)) = (followed, answer) {
             // Nobody waits any more if this fails.
-            let _ = answer.try_send(InEffect { out: self.farm.marks_of_out() });
+            let _ = answer.try_send(InEffect {
+                out: self.farm.marks_of_out(),
+            });
         }
     }
 
     pub(super) fn overrides_are_due(&mut self) {
-        if self.overrides_due.is_some_and(|due| due <= self.clock.now()) {
+        if self
+            .overrides_due
+            .is_some_and(|due| due <= self.clock.now())
+        {
             self.overrides_due = None;
         }
         self.guarded(Core::reconsider);
@@ -90,7 +106,10 @@
         let now = self.now_ms();
         let entries = self.farm.reconsider(now);
         if !entries.is_empty() {
-            self.decide(api::Event::List { kind: api::ListKind::Changes, entries });
+            self.decide(api::Event::List {
+                kind: api::ListKind::Changes,
+                entries,
+            });
         }
         self.follow();
     }
@@ -109,14 +128,23 @@
     fn follow(&mut self) {
         let now = self.now_ms();
         let farm = &self.farm;
-        for (id, pin) in self.ledger.repin(|opening| farm.pin(opening.group, opening.tenant, now)) {
-            self.decide(api::Event::Pinned { request: RequestId(id), pin });
+        for (id, pin) in self
+            .ledger
+            .repin(|opening| farm.pin(opening.group, opening.tenant, now))
+        {
+            self.decide(api::Event::Pinned {
+                request: RequestId(id),
+                pin,
+            });
         }
         let moving = self.farm.moving(now);
-        self.moves.retain(|server, (id, pace)| moving.get(server) == Some(&(*id, pace.rate())));
+        self.moves
+            .retain(|server, (id, pace)| moving.get(server) == Some(&(*id, pace.rate())));
         let idle = self.moves.is_empty();
         for (server, (id, rate)) in moving {
-            self.moves.entry(server).or_insert_with(|| (id, Pace::new(rate, now)));
+            self.moves
+                .entry(server)
+                .or_insert_with(|| (id, Pace::new(rate, now)));
         }
         if idle && !self.moves.is_empty() {
             self.wake(Duration::ZERO, Due::Moves);
@@ -124,18 +152,28 @@
         let judgement = self.farm.judge(now);
         if judgement != self.judgement {
             if judgement.is_sound() {
-                info!(part = self.name, "overrides leave a ready server everywhere again");
+                info!(
+                    part = self.name,
+                    "overrides leave a ready server everywhere again"
+                );
             } else {
                 warn!(part = self.name, what = %judgement, "overrides leave too little");
             }
             self.judgement = judgement;
         }
-        let next = self.farm.overrides.next_change(now).map(|at| at.saturating_mul(1_000_000));
+        let next = self
+            .farm
+            .overrides
+            .next_change(now)
+            .map(|at| at.saturating_mul(1_000_000));
         if let Some(next) = next
             && self.overrides_due.is_none_or(|due| next < due)
         {
             self.overrides_due = Some(next);
-            self.wake(Duration::from_nanos(next.saturating_sub(self.clock.now())), Due::Overrides);
+            self.wake(
+                Duration::from_nanos(next.saturating_sub(self.clock.now())),
+                Due::Overrides,
+            );
         }
     }
 
@@ -171,7 +209,11 @@
     use crate::clock::Clock;
 
     fn told(core: &Core) -> Vec<State> {
-        core.look().farm.iter().map(|server| server.state.1).collect()
+        core.look()
+            .farm
+            .iter()
+            .map(|server| server.state.1)
+            .collect()
     }
 
     #[test]
@@ -180,7 +222,10 @@
         let now = clock.now() / 1_000_000;
         let mut overrides = Set::new(0);
         for (id, kind) in [
-            Kind::Out { server: "s0".into(), moves_per_s: None },
+            Kind::Out {
+                server: "s0".into(),
+                moves_per_s: None,
+            },
             Kind::Pin {
                 subject: Subject::Group("north".into()),
                 server: "s0".into(),
@@ -190,12 +235,20 @@
         .into_iter()
         .enumerate()
         {
-            let draft = Draft { kind, who: "ada".into(), why: "why".into(), expires_at: now + 40 };
+            let draft = Draft {
+                kind,
+                who: "ada".into(),
+                why: "why".into(),
+                expires_at: now + 40,
+            };
             overrides.put(draft.into_override(Id(id as u64 + 1), now));
         }
         let mut core = core(clock, overrides);
         let pin = |core: &Core| core.farm.pin(Some(digest("north")), None, core.now_ms());
-        assert_eq!((told(&core), pin(&core).is_some()), (vec![State::Out], true));
+        assert_eq!(
+            (told(&core), pin(&core).is_some()),
+            (vec![State::Out], true)
+        );
         // No timer of the core fires here: nobody runs it.
         while core.now_ms() < now + 40 {
             std::thread::sleep(Duration::from_millis(1));
@@ -212,9 +265,17 @@
     fn a_fault_in_the_overrides_costs_the_overrides_and_not_the_core() {
         let clock = Clock::start();
         let mut overrides = Set::new(1_000);
-        let kind = Kind::Out { server: "s0".into(), moves_per_s: Some(1.0) };
+        let kind = Kind::Out {
+            server: "s0".into(),
+            moves_per_s: Some(1.0),
+        };
         let now = clock.now() / 1_000_000;
-        let draft = Draft { kind, who: "ada".into(), why: "why".into(), expires_at: now + 60_000 };
+        let draft = Draft {
+            kind,
+            who: "ada".into(),
+            why: "why".into(),
+            expires_at: now + 60_000,
+        };
         overrides.put(draft.into_override(Id(1), now));
         let mut core = core(clock, overrides);
         assert_eq!(told(&core), [State::Out]);
--- a/balancer/src/core/route.rs
+++ b/balancer/src/core/route.rs
@@ -38,12 +38,20 @@
     /// Carries out what the module decided at that moment.
     fn carry_out(&mut self, decided_at: Nanos, action: Action) {
         match action {
-            Action::Attempt { request, server, begin_within, timeout } => match self.farm.get(server) {
+            Action::Attempt {
+                request,
+                server,
+                begin_within,
+                timeout,
+            } => match self.farm.get(server) {
                 Some(to) => {
                     let within = Duration::from_nanos(timeout);
                     debug!(part = self.name, transaction = request.0, server = %to.name, ?within, "pass");
                     let moment = |span| self.clock.instant(decided_at.saturating_add(span));
-                    let times = PassTimes { begin_by: moment(begin_within), until: moment(timeout) };
+                    let times = PassTimes {
+                        begin_by: moment(begin_within),
+                        until: moment(timeout),
+                    };
                     let (now, order) = (self.clock.now(), Order::Pass { to, times });
                     self.witness_pass(server, now);
                     if let Some((entry, waited)) = self.ledger.pass(request.0, server, order, now) {
@@ -52,8 +60,14 @@
                 }
                 None => self.give_up_on(request.0),
             },
-            Action::Refuse { request, retry_after } => {
-                self.answer(request.0, Order::Unavailable(retry_after.map(Duration::from_nanos)));
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
+                self.answer(
+                    request.0,
+                    Order::Unavailable(retry_after.map(Duration::from_nanos)),
+                );
             }
             Action::Fail(request) => self.answer(request.0, Order::Failed),
             Action::Move(request, why) => {
@@ -61,11 +75,17 @@
                 self.order_move(request.0, moved_for(why));
             }
             Action::Wait(request) => {
-                if let Some(entry) = self.ledger.get(request.0).map(|transaction| transaction.entry) {
+                if let Some(entry) = self
+                    .ledger
+                    .get(request.0)
+                    .map(|transaction| transaction.entry)
+                {
                     self.gate.wait(entry);
                 }
             }
-            Action::Wake { after, timer } => self.wake(Duration::from_nanos(after), Due::Module(timer)),
+            Action::Wake { after, timer } => {
+                self.wake(Duration::from_nanos(after), Due::Module(timer))
+            }
             Action::Probe(server) => {
                 if let (Some(asker), Some(to)) = (&self.asker, self.farm.get(server)) {
                     asker.ask(server, to);
@@ -109,7 +129,11 @@
     pub(super) fn order_move(&mut self, id: u64, why: &'static str) {
         debug!(part = self.name, transaction = id, why, "told to move");
         self.ledger.order(id, Order::Move);
-        if let Some(key) = self.ledger.get(id).and_then(|transaction| transaction.opening.key) {
+        if let Some(key) = self
+            .ledger
+            .get(id)
+            .and_then(|transaction| transaction.opening.key)
+        {
             self.gate.told_to_move(self.clock.now(), key);
         }
     }
@@ -119,10 +143,16 @@
     pub(super) fn start_anew(&mut self) {
         error!(part = self.name, "module panicked; a new one takes over");
         self.seed = self.seed.wrapping_add(1);
-        let Ok(balancer) = Balancer::new(self.settings.clone(), self.seed) else { return };
+        let Ok(balancer) = Balancer::new(self.settings.clone(), self.seed) else {
+            return;
+        };
         self.balancer = balancer;
-        self.timers.retain(|Reverse((_, _, due))| !matches!(due, Due::Module(_)));
-        self.decide(api::Event::List { kind: api::ListKind::Full, entries: self.farm.entries() });
+        self.timers
+            .retain(|Reverse((_, _, due))| !matches!(due, Due::Module(_)));
+        self.decide(api::Event::List {
+            kind: api::ListKind::Full,
+            entries: self.farm.entries(),
+        });
         // Where lists are pushed the module speaks up after a failure only. Guards against a watch that waits for ever
         // to be asked for: the call that was due went with the old module. A watch that stands feels nothing of it.
         if self.settings.discovery == api::Discovery::Pushed {
@@ -131,7 +161,9 @@
         for (id, place) in self.ledger.places() {
             match place {
                 Place::Standing(server) => {
-                    let Some(arrival) = self.ledger.restart(id) else { continue };
+                    let Some(arrival) = self.ledger.restart(id) else {
+                        continue;
+                    };
                     self.decide(api::Event::Standing { arrival, server });
                 }
                 Place::Held(_) => {}
--- a/balancer/src/core/route/tests.rs
+++ b/balancer/src/core/route/tests.rs
@@ -18,7 +18,12 @@
 fn last(orders: &Orders, id: u64) -> String {
     let head = format!("{id} ");
     let words = orders.words();
-    words.lines().filter_map(|line| line.strip_prefix(&head)).next_back().unwrap_or_default().to_owned()
+    words
+        .lines()
+        .filter_map(|line| line.strip_prefix(&head))
+        .next_back()
+        .unwrap_or_default()
+        .to_owned()
 }
 
 /// Request 0 may have run and waits for its next attempt, 1 has been turned away and waits, 2 is being sent, and one
@@ -37,20 +42,38 @@
 
 #[test]
 fn after_a_panic_only_what_may_have_run_is_failed() {
-    let (mut core, orders) = (core(Clock::start(), Set::new(0)), Arc::new(Orders::default()));
+    let (mut core, orders) = (
+        core(Clock::start(), Set::new(0)),
+        Arc::new(Orders::default()),
+    );
     let queued = in_each_state(&mut core, &orders);
     core.start_anew();
     let answers = [0, 1, 2, queued].map(|id| last(&orders, id));
-    assert_eq!(answers, ["Failed", "Unavailable(None)", "GiveUp", "Unavailable(None)"]);
-    assert!((0..=queued).all(|id| orders.of(id).1 == 1), "one answer each");
+    assert_eq!(
+        answers,
+        ["Failed", "Unavailable(None)", "GiveUp", "Unavailable(None)"]
+    );
+    assert!(
+        (0..=queued).all(|id| orders.of(id).1 == 1),
+        "one answer each"
+    );
 }
 
 #[test]
 fn at_the_end_of_a_drain_only_what_may_have_run_is_failed() {
-    let (mut core, orders) = (core(Clock::start(), Set::new(0)), Arc::new(Orders::default()));
+    let (mut core, orders) = (
+        core(Clock::start(), Set::new(0)),
+        Arc::new(Orders::default()),
+    );
     let queued = in_each_state(&mut core, &orders);
     core.end_drain_now();
     let answers = [0, 1, 2, queued].map(|id| last(&orders, id));
-    assert_eq!(answers, ["Failed", "Unavailable(None)", "GiveUp", "Unavailable(None)"]);
-    assert!((0..=queued).all(|id| orders.of(id).1 == 1), "one answer each");
+    assert_eq!(
+        answers,
+        ["Failed", "Unavailable(None)", "GiveUp", "Unavailable(None)"]
+    );
+    assert!(
+        (0..=queued).all(|id| orders.of(id).1 == 1),
+        "one answer each"
+    );
 }
--- a/balancer/src/core/settings.rs
+++ b/balancer/src/core/settings.rs
@@ -25,15 +25,23 @@
 
 impl Figures {
     pub(super) fn of(settings: &Settings) -> Figures {
-        let figures = Figures { connect_timeout: AtomicU64::new(0), slow: AtomicU64::new(0) };
+        let figures = Figures {
+            connect_timeout: AtomicU64::new(0),
+            slow: AtomicU64::new(0),
+        };
         figures.follow(settings);
         figures
     }
 
     fn follow(&self, settings: &Settings) {
-        let aims = settings.classes.iter().map(|class| class.message_aim).filter(|aim| *aim > 0);
+        let aims = settings
+            .classes
+            .iter()
+            .map(|class| class.message_aim)
+            .filter(|aim| *aim > 0);
         let slow = aims.min().map_or(Nanos::MAX, |aim| aim / SLOW_PART);
-        self.connect_timeout.store(settings.limits.connect_timeout, Ordering::Relaxed);
+        self.connect_timeout
+            .store(settings.limits.connect_timeout, Ordering::Relaxed);
         self.slow.store(slow, Ordering::Relaxed);
     }
 
@@ -66,11 +74,20 @@
         self.in_force = in_force;
         self.handle(api::Event::Settings(Box::new(self.settings.clone())));
         // Nothing is placed between the two: zones and servers change their numbers together.
-        let entries = self.farm.renumber_zones(|zone| self.in_force.setup().zone(zone));
+        let entries = self
+            .farm
+            .renumber_zones(|zone| self.in_force.setup().zone(zone));
         if !entries.is_empty() {
-            self.handle(api::Event::List { kind: api::ListKind::Changes, entries });
+            self.handle(api::Event::List {
+                kind: api::ListKind::Changes,
+                entries,
+            });
         }
-        info!(part = self.name, clients = self.ledger.len(), "settings replaced");
+        info!(
+            part = self.name,
+            clients = self.ledger.len(),
+            "settings replaced"
+        );
         self.give_turns();
     }
 }
--- a/balancer/src/core/settings/tests.rs
+++ b/balancer/src/core/settings/tests.rs
@@ -32,7 +32,10 @@
 }
 
 fn started() -> (Core, Arc<Orders>) {
-    (core(Clock::start(), Set::new(0)), Arc::new(Orders::default()))
+    (
+        core(Clock::start(), Set::new(0)),
+        Arc::new(Orders::default()),
+    )
 }
 
 fn replace(core: &mut Core, setup: Setup) -> Arc<InForce> {
@@ -67,22 +70,39 @@
 #[test]
 fn an_opening_read_before_a_replacement_is_judged_by_what_it_was_read_by() {
     let (mut core, orders) = started();
-    replace(&mut core, site(&[("chat", "retryable"), ("once", "fragile")], |_| {}));
+    replace(
+        &mut core,
+        site(&[("chat", "retryable"), ("once", "fragile")], |_| {}),
+    );
     let before = Arc::clone(&core.in_force);
-    let (chat, once) = (before.class("chat").expect("there"), before.class("once").expect("there"));
+    let (chat, once) = (
+        before.class("chat").expect("there"),
+        before.class("once").expect("there"),
+    );
     // In another order, and with the effects exchanged.
-    replace(&mut core, site(&[("once", "retryable"), ("chat", "fragile")], |_| {}));
+    replace(
+        &mut core,
+        site(&[("once", "retryable"), ("chat", "fragile")], |_| {}),
+    );
     for (id, class) in [(1, chat), (2, once)] {
         admits(&mut core, &orders, id, class);
         assert_eq!(orders.of(id), (1, 0));
         core.take(Event::Ended(id, Outcome::Reset, SOON));
         // Neither may be repeated by both settings.
-        assert_eq!(orders.of(id), (1, 1), "{id} got its one final answer and no second attempt");
+        assert_eq!(
+            orders.of(id),
+            (1, 1),
+            "{id} got its one final answer and no second attempt"
+        );
     }
     let now = Arc::clone(&core.in_force);
     admits(&mut core, &orders, 3, now.class("once").expect("there"));
     core.take(Event::Ended(3, Outcome::Reset, SOON));
-    assert_eq!(orders.of(3).1, 0, "a class of the new settings is repeated as they say");
+    assert_eq!(
+        orders.of(3).1,
+        0,
+        "a class of the new settings is repeated as they say"
+    );
 }
 
 #[test]
@@ -113,7 +133,11 @@
         [(1, 0); 4],
         "no answer and no second pass yet"
     );
-    assert_eq!((0..4).map(|id| orders.moves(id)).sum::<usize>(), 0, "nobody is moved for it");
+    assert_eq!(
+        (0..4).map(|id| orders.moves(id)).sum::<usize>(),
+        0,
+        "nobody is moved for it"
+    );
     core.take(Event::Ended(0, Outcome::Served, SOON));
     core.take(Event::Ended(1, Outcome::Served, SOON));
     core.take(Event::Left(2));
@@ -125,13 +149,28 @@
 fn whoever_waits_goes_on_waiting_and_gets_its_turn_or_one_answer() {
     let (mut core, orders) = started();
     for id in 0..WINDOW + 30 {
-        opens(&mut core, &orders, id, if id % 2 == 0 { "acme" } else { "bright" }, LONG);
+        opens(
+            &mut core,
+            &orders,
+            id,
+            if id % 2 == 0 { "acme" } else { "bright" },
+            LONG,
+        );
     }
     let waiting = core.gate.waiting();
     assert_eq!(waiting, 30);
-    replace(&mut core, site(&[("new", "fragile"), ("chat", "dedup"), ("more", "retryable")], |_| {}));
+    replace(
+        &mut core,
+        site(
+            &[("new", "fragile"), ("chat", "dedup"), ("more", "retryable")],
+            |_| {},
+        ),
+    );
     assert_eq!(core.gate.waiting(), waiting, "nobody gave way");
-    assert!((0..WINDOW + 30).all(|id| orders.of(id).1 == 0), "nobody was answered");
+    assert!(
+        (0..WINDOW + 30).all(|id| orders.of(id).1 == 0),
+        "nobody was answered"
+    );
     for id in 0..WINDOW {
         core.take(Event::Established(id));
     }
@@ -150,10 +189,17 @@
         opens(&mut core, &orders, id, "acme", LONG);
     }
     for id in 100..200 {
-        opens(&mut core, &orders, id, if id % 2 == 0 { "acme" } else { "bright" }, LONG);
+        opens(
+            &mut core,
+            &orders,
+            id,
+            if id % 2 == 0 { "acme" } else { "bright" },
+            LONG,
+        );
     }
     let shares = |site: &mut Value| {
-        site["projects"] = json!([{"name": "bright", "share": 0.9}, {"name": "acme", "share": 0.1}]);
+        site["projects"] =
+            json!([{"name": "bright", "share": 0.9}, {"name": "acme", "share": 0.1}]);
     };
     replace(&mut core, site(&[("chat", "retryable")], shares));
     for id in 0..WINDOW {
@@ -164,9 +210,16 @@
             core.take(Event::Established(id));
         }
     }
-    let of = |rest: u64| (100..200).filter(|id| id % 2 == rest && orders.of(*id).0 == 1).count();
+    let of = |rest: u64| {
+        (100..200)
+            .filter(|id| id % 2 == rest && orders.of(*id).0 == 1)
+            .count()
+    };
     let (acme, bright) = (of(0), of(1));
-    assert!(acme + bright >= 10 && acme * 4 <= bright, "{acme} of acme's, {bright} of bright's");
+    assert!(
+        acme + bright >= 10 && acme * 4 <= bright,
+        "{acme} of acme's, {bright} of bright's"
+    );
 }
 
 fn under_way(orders: &Orders) -> u64 {
@@ -182,7 +235,9 @@
     core.take(Event::Ended(0, Outcome::Full, SOON));
     replace(
         &mut core,
-        site(&[("chat", "retryable")], |site| site["policy-limits"]["max-attempts"] = json!(1)),
+        site(&[("chat", "retryable")], |site| {
+            site["policy-limits"]["max-attempts"] = json!(1)
+        }),
     );
     assert_eq!(orders.of(0), (1, 1), "it waited for a second attempt");
     assert_eq!([orders.of(1), orders.of(2)], [(1, 0); 2]);
@@ -201,13 +256,18 @@
             site["prices"] = json!({"cross-zone": 1.0});
         }
     };
-    let with_zone = |name: &str, zone: &str| row(name).replace('}', &format!(r#","zone":"{zone}"}}"#));
-    replace(&mut core, site(&[("chat", "retryable")], zones(json!(["east", "west"]), 0)));
+    let with_zone =
+        |name: &str, zone: &str| row(name).replace('}', &format!(r#","zone":"{zone}"}}"#));
+    replace(
+        &mut core,
+        site(&[("chat", "retryable")], zones(json!(["east", "west"]), 0)),
+    );
     let rows = [with_zone("s1", "west"), with_zone("s2", "east")].join(",");
     core.take_list(list(&rows), false);
     let count = |orders: &Orders, ids: std::ops::Range<u64>, server: &str| {
         let words = orders.words();
-        ids.filter(|id| words.contains(&format!("{id} Pass to {server}\n"))).count()
+        ids.filter(|id| words.contains(&format!("{id} Pass to {server}\n")))
+            .count()
     };
     for id in 0..10 {
         opens(&mut core, &orders, id, "acme", LONG);
@@ -215,7 +275,10 @@
     }
     assert!(count(&orders, 0..10, "s2") >= 9, "{}", orders.words());
     // The own zone is the other one now, and has the number that the first one had.
-    replace(&mut core, site(&[("chat", "retryable")], zones(json!(["west", "east"]), 0)));
+    replace(
+        &mut core,
+        site(&[("chat", "retryable")], zones(json!(["west", "east"]), 0)),
+    );
     for id in 100..110 {
         opens(&mut core, &orders, id, "acme", LONG);
         core.take(Event::Established(id));
@@ -237,7 +300,11 @@
     // Nothing of it is left when the file says nothing any more.
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
     assert_eq!(core.figures.slow(), Duration::from_nanos(u64::MAX));
-    assert_eq!(core.figures.connect_timeout(), Duration::from_millis(300), "the aim of the quickest class");
+    assert_eq!(
+        core.figures.connect_timeout(),
+        Duration::from_millis(300),
+        "the aim of the quickest class"
+    );
 }
 
 #[test]
@@ -264,7 +331,11 @@
     core.take(Event::Established(0));
     core.follow_word(Word::Standby).expect("it serves");
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
-    assert_eq!((orders.moves(0), orders.of(0)), (0, (1, 0)), "moved in its turn, and not for the settings");
+    assert_eq!(
+        (orders.moves(0), orders.of(0)),
+        (0, (1, 0)),
+        "moved in its turn, and not for the settings"
+    );
     core.follow_word(Word::Active).expect("it stands by");
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
     core.take(Event::Ended(1, Outcome::Reset, SOON));
--- a/balancer/src/core/start.rs
+++ b/balancer/src/core/start.rs
@@ -70,7 +70,9 @@
     let name = start.name;
     let (handle, mut core, inbox) = build(start)?;
     let run = move || core.run(&inbox);
-    let thread = std::thread::Builder::new().name(format!("core-{name}")).spawn(run);
+    let thread = std::thread::Builder::new()
+        .name(format!("core-{name}"))
+        .spawn(run);
     Ok((handle, thread.map_err(StartError::Thread)?))
 }
 
--- a/balancer/src/core/testing.rs
+++ b/balancer/src/core/testing.rs
@@ -67,7 +67,10 @@
     /// How often a client was told to move.
     pub(super) fn moves(&self, id: u64) -> usize {
         let orders = self.0.lock().expect("sound");
-        orders.iter().filter(|(of, order)| *of == id && matches!(order, Order::Move)).count()
+        orders
+            .iter()
+            .filter(|(of, order)| *of == id && matches!(order, Order::Move))
+            .count()
     }
 
     /// All of them, in words that are the same in each run.
@@ -77,7 +80,10 @@
             Order::Pass { to, .. } => format!("Pass to {}", to.name),
             other => format!("{other:?}"),
         };
-        orders.iter().map(|(id, order)| format!("{id} {}\n", word(order))).collect()
+        orders
+            .iter()
+            .map(|(id, order)| format!("{id} {}\n", word(order)))
+            .collect()
     }
 
     /// How many passes a transaction was ordered, and how many final answers.
@@ -93,7 +99,13 @@
 }
 
 /// A client of an account opens.
-pub(super) fn opens(core: &mut Core, orders: &Arc<Orders>, id: u64, account: &str, patience: Duration) {
+pub(super) fn opens(
+    core: &mut Core,
+    orders: &Arc<Orders>,
+    id: u64,
+    account: &str,
+    patience: Duration,
+) {
     let opening = opening(id, account, patience, core.clock.now());
     core.admit(id, opening, Arc::<Orders>::clone(orders));
 }
--- a/balancer/src/core/ties.rs
+++ b/balancer/src/core/ties.rs
@@ -9,7 +9,8 @@
 
 use beaconflow::api::{Outcome, Pin, ServerId, Why};
 use beaconflow_affinity::{
-    Client, FarmView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag, Version, VersionFact,
+    Client, FarmView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag, Version,
+    VersionFact,
 };
 use tracing::{debug, error, info};
 
@@ -33,7 +34,11 @@
     /// Ties over a memory that runs a version already; a placement is remembered for so long after it was last told of.
     pub fn new(memory: Memory, life: Duration) -> Ties {
         let again = (life / 4).clamp(Duration::from_secs(1), Duration::from_secs(100));
-        Ties { memory, standing: BTreeMap::new(), again }
+        Ties {
+            memory,
+            standing: BTreeMap::new(),
+            again,
+        }
     }
 }
 
@@ -62,7 +67,11 @@
 }
 
 fn client(opening: &Opening) -> Option<Client> {
-    Some(Client { key: Key(opening.key?), group: opening.group.map(Group), tenant: opening.tenant })
+    Some(Client {
+        key: Key(opening.key?),
+        group: opening.group.map(Group),
+        tenant: opening.tenant,
+    })
 }
 
 impl Core {
@@ -73,7 +82,10 @@
         let (farm, ties) = (&self.farm, self.bond.as_mut()?.ties.as_mut()?);
         let done = catch_unwind(AssertUnwindSafe(|| act(ties, farm, now)));
         if done.is_err() {
-            error!(part = "affinity", "panicked; no client is led back until a restart");
+            error!(
+                part = "affinity",
+                "panicked; no client is led back until a restart"
+            );
             if let Some(bond) = &mut self.bond {
                 bond.ties = None;
             }
@@ -88,15 +100,24 @@
         let server = self.farm.by_tag(advice.server.0)?;
         let name = self.farm.get(server).map(|server| server.name.to_string());
         debug!(part = "affinity", transaction = id, server = name, why = ?advice.why, under = %advice.under, "led back");
-        Some(Pin { server: Some(server), strict: false })
+        Some(Pin {
+            server: Some(server),
+            strict: false,
+        })
     }
 
     /// A connection stands, and its client's place is remembered.
     pub(super) fn tie(&mut self, id: u64, server: ServerId) {
-        let Some(client) = self.ledger.get(id).and_then(|transaction| client(&transaction.opening)) else {
+        let Some(client) = self
+            .ledger
+            .get(id)
+            .and_then(|transaction| client(&transaction.opening))
+        else {
+            return;
+        };
+        let Some(tag) = self.farm.tag(server) else {
             return;
         };
-        let Some(tag) = self.farm.tag(server) else { return };
         let placed = self.with_ties(|ties, _, now| {
             let placed = ties.memory.stood(&client, Tag(tag), now).ok()?;
             ties.standing.insert(id, (placed.key, placed.stamp));
@@ -156,7 +177,8 @@
                 self.with_ties(|ties, _, _| ties.memory.balancer_died(origin));
             }
             TieNews::Adopt(version, serial) => {
-                let adopted = self.with_ties(|ties, _, now| ties.memory.adopt(version, serial, now));
+                let adopted =
+                    self.with_ties(|ties, _, now| ties.memory.adopt(version, serial, now));
                 if let Some(adopted) = adopted {
                     info!(part = "affinity", version = %version, serial, how = ?adopted, "version runs here");
                 }
@@ -166,7 +188,9 @@
     }
 
     fn tell_version(&mut self) {
-        let runs = self.with_ties(|ties, _, now| ties.memory.still_runs(now)).flatten();
+        let runs = self
+            .with_ties(|ties, _, now| ties.memory.still_runs(now))
+            .flatten();
         self.witness(|_| runs.map(Witness::Runs));
     }
 
@@ -174,11 +198,15 @@
     pub(super) fn ties_are_due(&mut self) {
         let standing = self.with_ties(|ties, _, now| {
             ties.memory.expire(now, CLEARED);
-            let stands =
-                ties.standing.values().filter_map(|(key, stamp)| ties.memory.stands(*key, *stamp, now));
+            let stands = ties
+                .standing
+                .values()
+                .filter_map(|(key, stamp)| ties.memory.stands(*key, *stamp, now));
             (stands.collect::<Vec<Placement>>(), ties.again)
         });
-        let Some((standing, again)) = standing else { return };
+        let Some((standing, again)) = standing else {
+            return;
+        };
         self.tell_held();
         self.witness(|_| (!standing.is_empty()).then_some(Witness::Placed(standing)));
         self.tell_version();
@@ -197,5 +225,9 @@
 
 /// How a connection's own end ends one.
 pub(super) fn ended_by(outcome: Outcome) -> How {
-    if outcome == Outcome::Served { How::Left } else { How::Broke }
+    if outcome == Outcome::Served {
+        How::Left
+    } else {
+        How::Broke
+    }
 }
--- a/balancer/src/core/turns.rs
+++ b/balancer/src/core/turns.rs
@@ -28,12 +28,18 @@
     }
     handle.tell_of_servers(News::List(drains("s0", "s1")));
     assert!(core.turn(&inbox));
-    assert!(server.leave_to_write().is_none(), "nobody begins to send there any more");
+    assert!(
+        server.leave_to_write().is_none(),
+        "nobody begins to send there any more"
+    );
     while !inbox.events.is_empty() {
         assert!(core.turn(&inbox));
     }
     let words = orders.words();
-    assert!(words.contains("Pass to s1") && !words.contains("Pass to s0"), "{words}");
+    assert!(
+        words.contains("Pass to s1") && !words.contains("Pass to s0"),
+        "{words}"
+    );
 }
 
 #[test]
@@ -67,7 +73,13 @@
 #[test]
 fn while_a_whole_list_is_read_the_servers_that_it_names_can_be_written_to() {
     let mut farm = Farm::new(Set::default());
-    let rows = |names: &[&str]| names.iter().map(|name| testing::row(name)).collect::<Vec<_>>().join(",");
+    let rows = |names: &[&str]| {
+        names
+            .iter()
+            .map(|name| testing::row(name))
+            .collect::<Vec<_>>()
+            .join(",")
+    };
     farm.learn(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
     let at = |name| farm.by_name(name).expect("listed").1;
     let (gone, stay) = (at("s0"), ["s1", "s2"].map(at));
@@ -75,7 +87,10 @@
     let looks = std::cell::Cell::new(0);
     farm.learn(testing::list(&rows(&["s1", "s2"])), 1, |_| {
         looks.set(looks.get() + 1);
-        assert!(stay.iter().all(|server| server.leave_to_write().is_some()), "both go on serving");
+        assert!(
+            stay.iter().all(|server| server.leave_to_write().is_some()),
+            "both go on serving"
+        );
         None
     });
     assert_eq!(looks.get(), 2);
--- a/balancer/src/farm.rs
+++ b/balancer/src/farm.rs
@@ -49,7 +49,11 @@
     /// The version that a watch goes on from; none where no server is known. Guards against a watch that tells only what
     /// has changed since a list that nobody has.
     pub fn version(&self) -> u64 {
-        if self.instances.is_empty() { 0 } else { self.generation }
+        if self.instances.is_empty() {
+            0
+        } else {
+            self.generation
+        }
     }
 }
 
@@ -164,9 +168,24 @@
     /// A watcher that goes on from the known version, and the end that asks it.
     pub fn new(discovery: SocketAddr, known: u64) -> (Watcher, Sender<()>) {
         let (ask, asks) = unbounded();
-        let at = Arc::new(Mutex::new(Aim { discovery, moves: 0, watch: None }));
-        let target = Target { at, ask: ask.clone() };
-        (Watcher { asks, target, generation: known, patience: SILENCE }, ask)
+        let at = Arc::new(Mutex::new(Aim {
+            discovery,
+            moves: 0,
+            watch: None,
+        }));
+        let target = Target {
+            at,
+            ask: ask.clone(),
+        };
+        (
+            Watcher {
+                asks,
+                target,
+                generation: known,
+                patience: SILENCE,
+            },
+            ask,
+        )
     }
 
     /// Where lists are pushed, an agent on this machine holds them. It is asked at once, unasked by the module, which
@@ -174,7 +193,10 @@
     pub fn of_agent(self) -> Watcher {
         // The watcher holds the other end.
         let _ = self.target.ask.send(());
-        Watcher { patience: AGENT_SILENCE, ..self }
+        Watcher {
+            patience: AGENT_SILENCE,
+            ..self
+        }
     }
 
     /// Where it watches, to be moved.
@@ -211,12 +233,19 @@
     fn watch_once(&mut self, discovery: SocketAddr, moves: u64, tell: &impl Fn(News)) -> News {
         let hearing = Hearing::begin();
         let watch = AssertUnwindSafe(|| self.watch(discovery, moves, &hearing, tell));
-        let ended = catch_unwind(watch).unwrap_or_else(|_| Err(io::Error::other("the watch panicked")));
+        let ended =
+            catch_unwind(watch).unwrap_or_else(|_| Err(io::Error::other("the watch panicked")));
         self.target.aim().watch = None;
         let quiet = hearing.quiet();
-        let Err(error) = ended else { return News::Failed(quiet) };
+        let Err(error) = ended else {
+            return News::Failed(quiet);
+        };
         warn!(part = "farm", why = %error, ?quiet, "watch ended");
-        if is_silence(&error) { News::Silent(quiet) } else { News::Failed(quiet) }
+        if is_silence(&error) {
+            News::Silent(quiet)
+        } else {
+            News::Failed(quiet)
+        }
     }
 
     fn watch(
@@ -275,7 +304,10 @@
                 // Guards against late changes that would bring back what a newer version has taken away. A whole list
                 // is taken whatever its version: discovery counts anew.
                 let (told, held) = (list.generation, self.generation);
-                warn!(part = "farm", told, held, "changes older than the list held are passed over");
+                warn!(
+                    part = "farm",
+                    told, held, "changes older than the list held are passed over"
+                );
                 continue;
             }
             self.generation = list.generation;
@@ -296,10 +328,18 @@
 
 /// Asks for a watch; anything but a chunked 200 is an error.
 fn ask(client: &Agent, discovery: SocketAddr, from: u64) -> io::Result<Body> {
-    let call = client.get(format!("http://{discovery}/api/targets?watch=1&from={from}"));
-    let answer = call.header("accept", "application/json").call().map_err(ureq::Error::into_io)?;
+    let call = client.get(format!(
+        "http://{discovery}/api/targets?watch=1&from={from}"
+    ));
+    let answer = call
+        .header("accept", "application/json")
+        .call()
+        .map_err(ureq::Error::into_io)?;
     if answer.status() != StatusCode::OK {
-        return Err(io::Error::other(format!("discovery answered {}", answer.status())));
+        return Err(io::Error::other(format!(
+            "discovery answered {}",
+            answer.status()
+        )));
     }
     let coding = answer.headers().get("transfer-encoding");
     if !coding.is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
--- a/balancer/src/farm/reading.rs
+++ b/balancer/src/farm/reading.rs
@@ -27,12 +27,19 @@
 impl Hearing {
     /// A call begins.
     pub(super) fn begin() -> Hearing {
-        Hearing { heard_at: Cell::new(Instant::now()), list_since: Cell::new(None), bytes: Cell::new(0) }
+        Hearing {
+            heard_at: Cell::new(Instant::now()),
+            list_since: Cell::new(None),
+            bytes: Cell::new(0),
+        }
     }
 
     /// For how long nothing whole has been heard.
     pub(super) fn quiet(&self) -> Duration {
-        self.list_since.get().unwrap_or(self.heard_at.get()).elapsed()
+        self.list_since
+            .get()
+            .unwrap_or(self.heard_at.get())
+            .elapsed()
     }
 
     /// A list is whole.
@@ -44,8 +51,15 @@
 
 /// The lists of a watch, for a parser that reads byte by byte.
 pub(super) fn lists_of<R: Read>(body: R, hearing: &Hearing) -> impl Read {
-    let bounded = Bounded { from: body, hearing, failed: false };
-    Marked { from: BufReader::new(bounded), hearing }
+    let bounded = Bounded {
+        from: body,
+        hearing,
+        failed: false,
+    };
+    Marked {
+        from: BufReader::new(bounded),
+        hearing,
+    }
 }
 
 /// What comes is bounded, white space too: a text without an end may be all blanks.
@@ -67,8 +81,15 @@
         if hearing.bytes.get() > LONGEST_LIST {
             return Err(io::Error::other("a list without an end"));
         }
-        if hearing.list_since.get().is_some_and(|since| now - since > LONGEST_SPAN) {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "a list that takes too long"));
+        if hearing
+            .list_since
+            .get()
+            .is_some_and(|since| now - since > LONGEST_SPAN)
+        {
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "a list that takes too long",
+            ));
         }
         Ok(count)
     }
@@ -93,7 +114,9 @@
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let count = self.from.read(into)?;
         if self.hearing.list_since.get().is_none() && !into[..count].trim_ascii().is_empty() {
-            self.hearing.list_since.set(Some(self.hearing.heard_at.get()));
+            self.hearing
+                .list_since
+                .set(Some(self.hearing.heard_at.get()));
         }
         Ok(count)
     }
--- a/balancer/src/farm/tests.rs
+++ b/balancer/src/farm/tests.rs
@@ -10,7 +10,10 @@
     let (stream, _) = listener.accept().expect("a watch");
     // Read to its end: a close with bytes left unread is a reset, and takes what was sent along.
     let mut asked = BufReader::new(stream.try_clone().expect("open")).lines();
-    while asked.next().is_some_and(|line| !line.expect("open").is_empty()) {}
+    while asked
+        .next()
+        .is_some_and(|line| !line.expect("open").is_empty())
+    {}
     stream
 }
 
@@ -38,7 +41,9 @@
     let (mut stream, news) = stands();
     let list = "\r\n{\n  \"generation\": 7,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"s1\",\n\
         \x20     \"lifecycle\": \"SERVING\"\n    }\n  ]\n}\n{\"generation\": 8}\n\n";
-    list.as_bytes().chunks(5).for_each(|piece| say(&mut stream, std::str::from_utf8(piece).expect("ASCII")));
+    list.as_bytes()
+        .chunks(5)
+        .for_each(|piece| say(&mut stream, std::str::from_utf8(piece).expect("ASCII")));
     let next = || match news.recv_timeout(LONG) {
         Ok(News::List(list)) => (list.generation, list.instances.len()),
         other => panic!("no list: {other:?}"),
@@ -63,13 +68,19 @@
     std::thread::spawn(move || watcher.of_agent().run(|list| drop(told.send(list))));
     // Discovery is down: the agent says nothing, and is asked anew when the module says so.
     let silent = asked(&listener);
-    assert!(matches!(news.recv_timeout(SILENCE / 2), Ok(News::Silent(_))), "long before a watch is given up");
+    assert!(
+        matches!(news.recv_timeout(SILENCE / 2), Ok(News::Silent(_))),
+        "long before a watch is given up"
+    );
     ask.send(()).expect("it listens");
     let mut stream = asked(&listener);
     drop(silent);
     stream.write_all(HEAD).expect("open");
     say(&mut stream, "{\"generation\":4}\n");
-    assert!(matches!(news.recv_timeout(LONG), Ok(News::List(List { generation: 4, .. }))));
+    assert!(matches!(
+        news.recv_timeout(LONG),
+        Ok(News::List(List { generation: 4, .. }))
+    ));
     // Half an entry, and silence from then on: one wait, however deep the parser is.
     say(&mut stream, "{\"instances\":[{\"instanceId\":");
     assert!(
@@ -89,7 +100,10 @@
     let mut stream = asked(&listener);
     stream.write_all(HEAD).expect("open");
     for (generation, reset) in [(5, true), (4, false), (6, false), (2, true), (3, false)] {
-        say(&mut stream, &format!("{{\"generation\":{generation},\"reset\":{reset}}}\n"));
+        say(
+            &mut stream,
+            &format!("{{\"generation\":{generation},\"reset\":{reset}}}\n"),
+        );
     }
     drop(stream);
     // The end of the watch is told as a failure.
@@ -103,8 +117,10 @@
 
 #[test]
 fn an_answer_that_is_no_watch_is_an_error() {
-    let long =
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: {}\r\n\r\n", "x".repeat(LONGEST_HEAD));
+    let long = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: {}\r\n\r\n",
+        "x".repeat(LONGEST_HEAD)
+    );
     for answer in [
         &b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"[..],
         b"HTTP/1.1 302 Found\r\nLocation: /\r\nContent-Length: 0\r\n\r\n",
@@ -124,7 +140,11 @@
             let _ = stream.write_all(&text);
         });
         let client = watcher.client();
-        assert!(super::ask(&client, discovery, 0).is_err(), "{}", String::from_utf8_lossy(answer));
+        assert!(
+            super::ask(&client, discovery, 0).is_err(),
+            "{}",
+            String::from_utf8_lossy(answer)
+        );
         answers.join().expect("it asked once");
     }
 }
@@ -132,19 +152,33 @@
 #[test]
 fn a_chunk_that_is_none_ends_the_watch_and_what_came_before_it_holds() {
     let endless = "1".repeat(BUFFERS.0 + 1);
-    for spoilt in
-        ["x\r\n{}\r\n", "ffffffffffffffffff\r\n{}\r\n", "2\r\n{}no end\r\n", "\r\n", "0\r\n\r\n", &endless]
-    {
+    for spoilt in [
+        "x\r\n{}\r\n",
+        "ffffffffffffffffff\r\n{}\r\n",
+        "2\r\n{}no end\r\n",
+        "\r\n",
+        "0\r\n\r\n",
+        &endless,
+    ] {
         let (mut stream, news) = stands();
         say(&mut stream, "{\"generation\":4}\n");
-        assert!(matches!(news.recv_timeout(LONG), Ok(News::List(List { generation: 4, .. }))), "{spoilt:?}");
+        assert!(
+            matches!(
+                news.recv_timeout(LONG),
+                Ok(News::List(List { generation: 4, .. }))
+            ),
+            "{spoilt:?}"
+        );
         stream.write_all(spoilt.as_bytes()).expect("open");
         let mut ended = news.recv_timeout(SILENCE / 2);
         if let Ok(News::List(_)) = ended {
             // What had come whole before the fault.
             ended = news.recv_timeout(SILENCE / 2);
         }
-        assert!(matches!(ended, Ok(News::Failed(_))), "{spoilt:?}: long before it is given up as silent");
+        assert!(
+            matches!(ended, Ok(News::Failed(_))),
+            "{spoilt:?}: long before it is given up as silent"
+        );
     }
 }
 
@@ -175,7 +209,10 @@
     let blanks = std::iter::repeat_with(|| b"1\r\n \r\n".to_vec());
     std::thread::spawn(move || trickle(stream, blanks));
     let told = news.recv_timeout(SILENCE * 3 / 2);
-    assert!(matches!(told, Ok(News::Silent(quiet)) if quiet >= SILENCE), "{told:?}");
+    assert!(
+        matches!(told, Ok(News::Silent(quiet)) if quiet >= SILENCE),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -186,7 +223,10 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nX: ").expect("open");
     std::thread::spawn(move || trickle(stream, std::iter::repeat_with(|| b"x".to_vec())));
     let told = news.recv_timeout(SILENCE * 3 / 2);
-    assert!(matches!(told, Ok(News::Silent(quiet)) if quiet >= SILENCE), "{told:?}");
+    assert!(
+        matches!(told, Ok(News::Silent(quiet)) if quiet >= SILENCE),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -198,9 +238,14 @@
     // Refused after a while.
     let mut stream = asked(&listener);
     std::thread::sleep(late);
-    stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").expect("open");
+    stream
+        .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        .expect("open");
     let told = news.recv_timeout(LONG);
-    assert!(matches!(told, Ok(News::Failed(quiet)) if quiet >= late), "{told:?}");
+    assert!(
+        matches!(told, Ok(News::Failed(quiet)) if quiet >= late),
+        "{told:?}"
+    );
     // Broken off a while after the last that was heard.
     ask.send(()).expect("it listens");
     let mut stream = asked(&listener);
@@ -210,22 +255,31 @@
     std::thread::sleep(late);
     drop(stream);
     let told = news.recv_timeout(LONG);
-    assert!(matches!(told, Ok(News::Failed(quiet)) if quiet >= late), "{told:?}");
+    assert!(
+        matches!(told, Ok(News::Failed(quiet)) if quiet >= late),
+        "{told:?}"
+    );
 }
 
 #[test]
 fn a_connection_that_never_comes_up_fails_and_takes_its_part_of_the_time() {
     // One place in its line, which is taken.
-    let full = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("loopback");
+    let full =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("loopback");
     full.listen(0).expect("bound");
     let full = std::net::TcpListener::from(full);
     let at = full.local_addr().expect("bound");
     let short = Duration::from_millis(100);
-    let _line: Vec<TcpStream> = std::iter::from_fn(|| TcpStream::connect_timeout(&at, short).ok()).collect();
+    let _line: Vec<TcpStream> =
+        std::iter::from_fn(|| TcpStream::connect_timeout(&at, short).ok()).collect();
     let (news, _ask) = watches(at);
     let told = news.recv_timeout(LONG);
-    assert!(matches!(told, Ok(News::Failed(quiet)) if quiet >= CONNECT_PATIENCE * 9 / 10), "{told:?}");
+    assert!(
+        matches!(told, Ok(News::Failed(quiet)) if quiet >= CONNECT_PATIENCE * 9 / 10),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -235,7 +289,10 @@
     let (told, news) = unbounded();
     std::thread::spawn(move || {
         watcher.run(|news| {
-            assert!(!matches!(news, News::List(List { generation: 13, .. })), "the fault that is played");
+            assert!(
+                !matches!(news, News::List(List { generation: 13, .. })),
+                "the fault that is played"
+            );
             drop(told.send(news));
         });
     });
@@ -248,5 +305,8 @@
     let mut stream = asked(&listener);
     stream.write_all(HEAD).expect("open");
     say(&mut stream, "{\"generation\":14}\n");
-    assert!(matches!(news.recv_timeout(LONG), Ok(News::List(List { generation: 14, .. }))));
+    assert!(matches!(
+        news.recv_timeout(LONG),
+        Ok(News::List(List { generation: 14, .. }))
+    ));
 }
--- a/balancer/src/fleet/carry.rs
+++ b/balancer/src/fleet/carry.rs
@@ -32,7 +32,12 @@
 
 impl Carried {
     pub(super) fn shared(knowledge: Knowledge, news: Sender<Vec<Change>>) -> Shared {
-        Arc::new(Mutex::new(Carried { knowledge, news, members: 1, unread: 0 }))
+        Arc::new(Mutex::new(Carried {
+            knowledge,
+            news,
+            members: 1,
+            unread: 0,
+        }))
     }
 }
 
@@ -51,10 +56,12 @@
     }
 
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
-        self.knowledge.answer(summary, room, most, now).unwrap_or_else(|_| {
-            self.unread += 1;
-            Vec::new()
-        })
+        self.knowledge
+            .answer(summary, room, most, now)
+            .unwrap_or_else(|_| {
+                self.unread += 1;
+                Vec::new()
+            })
     }
 
     fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
@@ -92,7 +99,10 @@
 
 /// Bounds under which so many placements find room.
 pub(super) fn bounds(most: usize, keep: Millis, seed: u64) -> beaconflow_knowledge::Bounds {
-    let mut bounds = beaconflow_knowledge::Bounds { seed, ..Default::default() };
+    let mut bounds = beaconflow_knowledge::Bounds {
+        seed,
+        ..Default::default()
+    };
     let own = bounds.of_mut(Kind::Unknown);
     own.bytes = own.bytes.max(most.saturating_mul(BYTES_EACH));
     own.longest = own.longest.max(keep);
--- a/balancer/src/fleet/from_peers.rs
+++ b/balancer/src/fleet/from_peers.rs
@@ -30,12 +30,16 @@
         let mut gathered = Gathered::default();
         for fact in changes.iter().filter_map(Change::after) {
             match carry::own(&fact) {
-                Some((kind, key, bytes)) => self.heard(kind, (key, bytes), fact.witnessed, &mut gathered),
+                Some((kind, key, bytes)) => {
+                    self.heard(kind, (key, bytes), fact.witnessed, &mut gathered)
+                }
                 None => self.heard_fact(&fact.subject, &mut gathered),
             }
         }
         // Guards against a process that serves before it knows what the others do: more may be on its way.
-        self.settling = self.settling.map(|(_, most)| (self.now.saturating_add(SETTLES).min(most), most));
+        self.settling = self
+            .settling
+            .map(|(_, most)| (self.now.saturating_add(SETTLES).min(most), most));
         for placement in &gathered.placements {
             self.memory.placed(placement, self.ms());
         }
@@ -52,12 +56,22 @@
     }
 
     /// Something of a kind of this program's own.
-    fn heard(&mut self, kind: u32, (key, bytes): (&[u8], &[u8]), witnessed: Millis, gathered: &mut Gathered) {
+    fn heard(
+        &mut self,
+        kind: u32,
+        (key, bytes): (&[u8], &[u8]),
+        witnessed: Millis,
+        gathered: &mut Gathered,
+    ) {
         let age = self.ms().saturating_sub(witnessed);
         match kind {
-            carry::PLACED => gathered.placements.extend(records::read_placement(key, bytes)),
+            carry::PLACED => gathered
+                .placements
+                .extend(records::read_placement(key, bytes)),
             carry::VERSION => gathered.versions.extend(records::read_version(key, bytes)),
-            carry::WORD => words::hear(bytes, age).into_iter().for_each(|word| self.heard_peer(word)),
+            carry::WORD => words::hear(bytes, age)
+                .into_iter()
+                .for_each(|word| self.heard_peer(word)),
             carry::UPLINK => {
                 if let Some(says) = words::hear_uplink(bytes, age) {
                     self.uplink(|uplink, now| uplink.take(now, Evidence::PeerSays(says)));
@@ -70,7 +84,11 @@
             }
             carry::LOAN if key == self.file.name.as_bytes() => {
                 if let Some((from, number, clients)) = words::read_loan(bytes) {
-                    self.recovery_event(RecoveryEvent::Lent { from, number, clients });
+                    self.recovery_event(RecoveryEvent::Lent {
+                        from,
+                        number,
+                        clients,
+                    });
                 }
             }
             _ => {}
@@ -96,7 +114,8 @@
             Subject::Failures(key) => {
                 let (key, now) = (*key, self.ms());
                 let count = carry::with(&self.known, |known| known.knowledge.failures(key, now));
-                self.core.tell(Event::Known(KnownNews::Failures(key, count)));
+                self.core
+                    .tell(Event::Known(KnownNews::Failures(key, count)));
             }
             _ => {}
         }
@@ -105,8 +124,12 @@
     /// One that had only its memory's list, or none, joins the life that the others know.
     fn joins_life(&mut self) {
         let now = self.ms();
-        let settled = carry::with(&self.known, |known| known.knowledge.settle_list(LIST_GOOD, now));
-        self.position = settled.filter(|_| self.position.is_some()).or(self.position);
+        let settled = carry::with(&self.known, |known| {
+            known.knowledge.settle_list(LIST_GOOD, now)
+        });
+        self.position = settled
+            .filter(|_| self.position.is_some())
+            .or(self.position);
     }
 
     /// The site's processes have begun to tell what they know.
--- a/balancer/src/fleet/gather.rs
+++ b/balancer/src/fleet/gather.rs
@@ -5,7 +5,8 @@
 
 use beaconflow::api::{Nanos, Settings};
 use beaconflow_recovery::{
-    Account, Action, Bounds, Class, Cold, Config, Event, How, Millis, Recovery, Scope, State, Step, Whom,
+    Account, Action, Bounds, Class, Cold, Config, Event, How, Millis, Recovery, Scope, State, Step,
+    Whom,
 };
 use beaconflow_settings::{Setup, digest};
 use tracing::{info, warn};
@@ -43,7 +44,10 @@
 
 /// What the machine is told of its site and fleet.
 pub(super) fn config(fleet: &Fleet, setup: &Setup, settings: &Settings) -> Config {
-    let class = |class: &beaconflow::api::Class| Class { worth: class.worth, aim: class.aim };
+    let class = |class: &beaconflow::api::Class| Class {
+        worth: class.worth,
+        aim: class.aim,
+    };
     let rules = &settings.rules;
     let usual = Cold::default();
     let others = fleet.site_size.saturating_sub(1);
@@ -53,8 +57,15 @@
         fleet: u32::try_from(fleet.size).unwrap_or(u32::MAX),
         // One more than can be heard of: that the site has answered is said by the thread, once what its processes know
         // has come, and not when all have spoken up.
-        site_peers: if others == 0 { 0 } else { u32::try_from(others + 1).unwrap_or(u32::MAX) },
-        bounds: Bounds { site_peers: SITE_PEERS, ..Bounds::default() },
+        site_peers: if others == 0 {
+            0
+        } else {
+            u32::try_from(others + 1).unwrap_or(u32::MAX)
+        },
+        bounds: Bounds {
+            site_peers: SITE_PEERS,
+            ..Bounds::default()
+        },
         other_sites: fleet.other_sites.clone(),
         store: false,
         cold: Cold {
@@ -67,7 +78,13 @@
         },
         classes: settings.classes.iter().map(class).collect(),
         clients: fleet.clients,
-        accounts: setup.shares().map(|(name, share)| Account { account: digest(name), share }).collect(),
+        accounts: setup
+            .shares()
+            .map(|(name, share)| Account {
+                account: digest(name),
+                share,
+            })
+            .collect(),
         ..Config::default()
     }
 }
@@ -79,14 +96,22 @@
             let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
             format!("recovery: out of range: {}", fields.join(", "))
         })?;
-        Ok(Gathering { recovery, asks: Vec::new(), scope: None, out: Vec::new() })
+        Ok(Gathering {
+            recovery,
+            asks: Vec::new(),
+            scope: None,
+            out: Vec::new(),
+        })
     }
 
     /// Tells the machine what happened; gives what is to be done.
     pub(super) fn take(&mut self, now: Nanos, wall: Millis, event: Event) -> Vec<Wanted> {
         let mut out = std::mem::take(&mut self.out);
         self.recovery.handle(now, wall, event, &mut out);
-        let wanted = out.drain(..).filter_map(|action| self.follow(now, action)).collect();
+        let wanted = out
+            .drain(..)
+            .filter_map(|action| self.follow(now, action))
+            .collect();
         self.out = out;
         wanted
     }
@@ -94,7 +119,12 @@
     fn follow(&mut self, now: Nanos, action: Action) -> Option<Wanted> {
         match action {
             Action::Ask { whom, after } => self.asks.push((now.saturating_add(after), whom)),
-            Action::Trust { kind, verdict, why, as_of } => {
+            Action::Trust {
+                kind,
+                verdict,
+                why,
+                as_of,
+            } => {
                 info!(part = "recovery", kind = ?kind, verdict = ?verdict, why, as_of, "what is known from before");
             }
             Action::ListChanged => return Some(Wanted::List),
@@ -102,21 +132,39 @@
                 info!(part = "recovery", how = ?how, why = reason, "clients are taken so");
                 return Some(Wanted::Serve(how));
             }
-            Action::Scope { scope, likelihood, evidence } => {
+            Action::Scope {
+                scope,
+                likelihood,
+                evidence,
+            } => {
                 let evidence = evidence.join("; ");
                 info!(part = "recovery", scope = %scope, likelihood, evidence, "what went dark");
                 self.scope = Some(scope);
             }
-            Action::Say { step: Step::Woke, reason, .. } => {
+            Action::Say {
+                step: Step::Woke,
+                reason,
+                ..
+            } => {
                 warn!(part = "recovery", step = ?Step::Woke, why = reason, "step");
             }
-            Action::Say { step, reason, bound } => {
+            Action::Say {
+                step,
+                reason,
+                bound,
+            } => {
                 let within_ms = bound.map(|bound| bound.saturating_sub(now) / 1_000_000);
                 info!(part = "recovery", step = ?step, why = reason, within_ms, "step");
             }
             Action::Admit { id } => return Some(Wanted::Admit(id)),
-            Action::Defer { id, retry_after, .. } => return Some(Wanted::Defer(id, retry_after)),
-            Action::Lend { to, number, clients } => return Some(Wanted::Lend(to, number, clients)),
+            Action::Defer {
+                id, retry_after, ..
+            } => return Some(Wanted::Defer(id, retry_after)),
+            Action::Lend {
+                to,
+                number,
+                clients,
+            } => return Some(Wanted::Lend(to, number, clients)),
         }
         None
     }
@@ -124,8 +172,12 @@
     /// Who is to be asked now, and a tick if one is due.
     pub(super) fn due(&mut self, now: Nanos, wall: Millis) -> Vec<Wanted> {
         let due = |(at, _): &(Nanos, Whom)| *at <= now;
-        let mut wanted: Vec<Wanted> =
-            self.asks.iter().filter(|ask| due(ask)).map(|(_, whom)| Wanted::Ask(*whom)).collect();
+        let mut wanted: Vec<Wanted> = self
+            .asks
+            .iter()
+            .filter(|ask| due(ask))
+            .map(|(_, whom)| Wanted::Ask(*whom))
+            .collect();
         self.asks.retain(|ask| !due(ask));
         if self.recovery.due().is_some_and(|at| at <= now) {
             wanted.extend(self.take(now, wall, Event::Tick));
@@ -135,7 +187,11 @@
 
     /// When something is due next.
     pub(super) fn next(&self) -> Option<Nanos> {
-        self.asks.iter().map(|(at, _)| *at).chain(self.recovery.due()).min()
+        self.asks
+            .iter()
+            .map(|(at, _)| *at)
+            .chain(self.recovery.due())
+            .min()
     }
 
     pub(super) fn recovery(&self) -> &Recovery {
--- a/balancer/src/fleet/handle.rs
+++ b/balancer/src/fleet/handle.rs
@@ -56,12 +56,17 @@
 impl FleetHandle {
     /// What people are shown.
     pub fn look(&self) -> Status {
-        self.shown.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.shown
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// A farm that stands in the file is another one from now on: so is the version of the configuration.
     pub fn routes(&self, setup: &Setup, farm: &FarmSource) {
-        let _ = self.commands.send(Command::Routes(version(&setup.module(), Some(farm))));
+        let _ = self
+            .commands
+            .send(Command::Routes(version(&setup.module(), Some(farm))));
     }
 
     /// Takes over of a file what can change while the program runs.
--- a/balancer/src/fleet/keep.rs
+++ b/balancer/src/fleet/keep.rs
@@ -60,7 +60,9 @@
         is_full: false,
         due: 0,
     };
-    let Some(set) = &file.memory else { return (none(PathBuf::new()), Restored::default()) };
+    let Some(set) = &file.memory else {
+        return (none(PathBuf::new()), Restored::default());
+    };
     let (memory, found) = match memory::open(&set.path, &file.name, wall) {
         Ok(opened) => opened,
         Err(why) => {
@@ -72,13 +74,22 @@
         warn!(part = "memory", what = %aside, "a file is not read");
     }
     if let Some(why) = &found.unwritable {
-        warn!(part = "memory", why, "the disk takes nothing; what is known is not kept");
+        warn!(
+            part = "memory",
+            why, "the disk takes nothing; what is known is not kept"
+        );
     }
     if found.clock_went_back {
-        warn!(part = "memory", "the wall clock stands before the last writing: no age can be told from it");
+        warn!(
+            part = "memory",
+            "the wall clock stands before the last writing: no age can be told from it"
+        );
     }
-    let mut restored =
-        Restored { boot: found.boot, written_at: found.last_written_ms, ..Restored::default() };
+    let mut restored = Restored {
+        boot: found.boot,
+        written_at: found.last_written_ms,
+        ..Restored::default()
+    };
     let mut unreadable = found.unreadable;
     for record in &found.records {
         unreadable += u64::from(!restored.read(record));
@@ -86,15 +97,31 @@
     info!(
         part = "memory",
         boot = found.boot,
-        list = restored.list.as_ref().map_or(0, |(list, _)| list.instances.len()),
+        list = restored
+            .list
+            .as_ref()
+            .map_or(0, |(list, _)| list.instances.len()),
         placements = restored.placements.len(),
         unreadable,
         "remembered"
     );
-    let writer =
-        Writer::spawn(memory).inspect_err(|why| error!(part = "memory", why, "nothing is kept")).ok();
-    let placed = restored.placements.iter().map(|one| (one.key.0, one.seen_s)).collect();
-    (MemoryWriter { writer, most: set.most, placed, ..none(set.path.clone()) }, restored)
+    let writer = Writer::spawn(memory)
+        .inspect_err(|why| error!(part = "memory", why, "nothing is kept"))
+        .ok();
+    let placed = restored
+        .placements
+        .iter()
+        .map(|one| (one.key.0, one.seen_s))
+        .collect();
+    (
+        MemoryWriter {
+            writer,
+            most: set.most,
+            placed,
+            ..none(set.path.clone())
+        },
+        restored,
+    )
 }
 
 impl Restored {
@@ -133,7 +160,9 @@
 impl MemoryWriter {
     /// Whether anything is kept.
     pub(super) fn is_kept(&self) -> bool {
-        self.writer.as_ref().is_some_and(|writer| !writer.counts().ailing)
+        self.writer
+            .as_ref()
+            .is_some_and(|writer| !writer.counts().ailing)
     }
 
     /// Remembers a record. Waits for nothing.
@@ -152,15 +181,28 @@
         }
         self.placed.insert(key, placement.seen_s);
         let value = records::placement(placement);
-        writer.remember(records::keep(records::PLACEMENT, &key.to_be_bytes(), value, now));
+        writer.remember(records::keep(
+            records::PLACEMENT,
+            &key.to_be_bytes(),
+            value,
+            now,
+        ));
     }
 
     /// Clears away what is past its life, and looks at the file's size.
     pub(super) fn look_after(&mut self, now: Millis) {
-        let Some(writer) = self.writer.as_ref().filter(|_| now >= self.due) else { return };
+        let Some(writer) = self.writer.as_ref().filter(|_| now >= self.due) else {
+            return;
+        };
         self.due = now.saturating_add(HOUSEKEEPING);
-        let oldest = u32::try_from(now / 1_000).unwrap_or(u32::MAX).saturating_sub(self.life_s);
-        let spent = self.placed.iter().filter(|(_, seen)| **seen < oldest).map(|(key, _)| *key);
+        let oldest = u32::try_from(now / 1_000)
+            .unwrap_or(u32::MAX)
+            .saturating_sub(self.life_s);
+        let spent = self
+            .placed
+            .iter()
+            .filter(|(_, seen)| **seen < oldest)
+            .map(|(key, _)| *key);
         let spent: Vec<u64> = spent.take(CLEARED).collect();
         for key in spent {
             self.placed.remove(&key);
--- a/balancer/src/fleet/observed.rs
+++ b/balancer/src/fleet/observed.rs
@@ -37,7 +37,8 @@
             Witness::Standing(standing) => {
                 self.standing = standing;
                 if self.gathering.recovery().may_remember() {
-                    self.memory.remember(records::former(self.fleet_clients(), self.ms()));
+                    self.memory
+                        .remember(records::former(self.fleet_clients(), self.ms()));
                 }
             }
             Witness::Passed(server, key, how) => {
@@ -56,7 +57,12 @@
     /// A version of the configuration runs here.
     fn runs(&mut self, fact: &VersionFact) {
         let (key, value) = (fact.version.0.to_be_bytes(), records::version(fact));
-        self.memory.remember(records::keep(records::VERSION, &key, value.clone(), self.ms()));
+        self.memory.remember(records::keep(
+            records::VERSION,
+            &key,
+            value.clone(),
+            self.ms(),
+        ));
         self.enter(carry::VERSION, (key.to_vec(), true), value, LIST_GOOD);
     }
 
@@ -64,14 +70,21 @@
     fn sent_cold(&self, server: &Seen) {
         let (subject, now) = (Subject::ColdSent(server.name.to_string()), self.ms());
         carry::with(&self.known, |known| {
-            let sent = known.knowledge.get(&subject, &known.knowledge.me().name.clone(), now);
+            let sent = known
+                .knowledge
+                .get(&subject, &known.knowledge.me().name.clone(), now);
             let before = match sent.map(|fact| (fact.value, fact.witnessed)) {
                 Some((Value::ColdSent(sent), at)) => {
                     sent * 0.5_f64.powf((now - at.min(now)) as f64 / COLD_HALF_LIFE_MS)
                 }
                 _ => 0.0,
             };
-            let _ = known.knowledge.witness(&subject, &Value::ColdSent(before + 1.0), STANDING_GOOD, now);
+            let _ = known.knowledge.witness(
+                &subject,
+                &Value::ColdSent(before + 1.0),
+                STANDING_GOOD,
+                now,
+            );
         });
     }
 
@@ -84,16 +97,29 @@
         self.memory.placed(placement, self.ms());
         let life = millis(self.file.affinity.keep);
         let key = placement.key.0.to_be_bytes().to_vec();
-        self.enter(carry::PLACED, (key, false), records::placement(placement), life);
+        self.enter(
+            carry::PLACED,
+            (key, false),
+            records::placement(placement),
+            life,
+        );
         // Guards against a client that comes to another process before the next round.
         self.peers.say();
     }
 
     /// Enters a word of an own kind into what is known together.
-    pub(super) fn enter(&self, kind: u32, (key, owned): (Vec<u8>, bool), value: Vec<u8>, good_for: Millis) {
+    pub(super) fn enter(
+        &self,
+        kind: u32,
+        (key, owned): (Vec<u8>, bool),
+        value: Vec<u8>,
+        good_for: Millis,
+    ) {
         let (subject, now) = (carry::subject(kind, key, owned), self.ms());
         let entered = carry::with(&self.known, |known| {
-            known.knowledge.witness(&subject, &Value::Unknown(value), good_for, now)
+            known
+                .knowledge
+                .witness(&subject, &Value::Unknown(value), good_for, now)
         });
         if let Err(why) = entered {
             warn!(part = "peers", kind, why = ?why, "not told to the others");
@@ -106,7 +132,11 @@
             return;
         }
         let is_answer = !matches!(judged, Judged::Hung | Judged::Refused | Judged::Gone);
-        let outcome = if is_answer { Answered { took_ms: 0 } } else { Failed };
+        let outcome = if is_answer {
+            Answered { took_ms: 0 }
+        } else {
+            Failed
+        };
         self.uplink(|uplink, now| uplink.take(now, Evidence::ServerHere { outcome }));
         if let Some(told) = self.site.saw(self.ms(), &self.file.name, server, judged) {
             let key = told.server.clone().into_bytes();
@@ -117,7 +147,9 @@
 
     /// Placements of a client key that failed count at all processes, until one succeeds anywhere.
     fn counted(&mut self, key: Option<u64>, how: Option<Outcome>) {
-        let (Some(key), now, good) = (key, self.ms(), self.failures_good) else { return };
+        let (Some(key), now, good) = (key, self.ms(), self.failures_good) else {
+            return;
+        };
         let has_failed = !matches!(how, None | Some(Outcome::Served));
         let told = carry::with(&self.known, |known| {
             let known = &mut known.knowledge;
@@ -135,12 +167,16 @@
         let seen = match how {
             None | Some(Outcome::Served) => Sight::Well,
             Some(Outcome::TimedOut) => Sight::Hung,
-            Some(Outcome::ConnectFailed | Outcome::Full | Outcome::Reset | Outcome::Error) => Sight::Refused,
+            Some(Outcome::ConnectFailed | Outcome::Full | Outcome::Reset | Outcome::Error) => {
+                Sight::Refused
+            }
             Some(Outcome::Cancelled | Outcome::NotSent) => return,
         };
         let (subject, now) = (Subject::Standing(server.name.to_string()), self.ms());
         carry::with(&self.known, |known| {
-            let before = known.knowledge.get(&subject, &known.knowledge.me().name.clone(), now);
+            let before = known
+                .knowledge
+                .get(&subject, &known.knowledge.me().name.clone(), now);
             let weight = match before.map(|fact| (fact.value, fact.witnessed)) {
                 Some((Value::Standing(Weighed { seen: same, weight }), at)) if same == seen => {
                     // Nothing new for a while yet. Guards against a word for each connection of a server that is well.
--- a/balancer/src/fleet/records.rs
+++ b/balancer/src/fleet/records.rs
@@ -94,7 +94,12 @@
 /// In the order of their numbers, from 0.
 const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Deleted];
 pub(super) fn keep(kind: u32, subject: &[u8], value: Vec<u8>, now: u64) -> Record {
-    Record { kind, subject: subject.to_vec(), value, witnessed_ms: now }
+    Record {
+        kind,
+        subject: subject.to_vec(),
+        value,
+        witnessed_ms: now,
+    }
 }
 
 /// The list, and the life of the discovery that told it.
@@ -104,13 +109,26 @@
         address: listed.host_port.map(|at| at.to_string()),
         zone: listed.zone.clone(),
         cell: listed.cell,
-        lifecycle: LIFECYCLES.iter().position(|one| *one == listed.lifecycle).unwrap_or(0) as u32,
+        lifecycle: LIFECYCLES
+            .iter()
+            .position(|one| *one == listed.lifecycle)
+            .unwrap_or(0) as u32,
         weight: listed.weight,
         started_at_ms: listed.started_at_ms,
         machine_type: listed.machine_type.clone(),
     };
     let entries = list.instances.iter().map(entry).collect();
-    keep(LIST, b"", ListRecord { generation: list.generation, life, entries }.encode_to_vec(), now)
+    keep(
+        LIST,
+        b"",
+        ListRecord {
+            generation: list.generation,
+            life,
+            entries,
+        }
+        .encode_to_vec(),
+        now,
+    )
 }
 
 /// The list that a record holds, whole, with the life of its discovery.
@@ -119,7 +137,11 @@
     let entry = |entry: EntryRecord| {
         Some(Listed {
             instance_id: entry.name,
-            host_port: entry.address.map(|text| text.parse::<SocketAddr>()).transpose().ok()?,
+            host_port: entry
+                .address
+                .map(|text| text.parse::<SocketAddr>())
+                .transpose()
+                .ok()?,
             zone: entry.zone,
             cell: entry.cell,
             lifecycle: *LIFECYCLES.get(entry.lifecycle as usize)?,
@@ -129,7 +151,14 @@
         })
     };
     let instances: Option<Vec<Listed>> = read.entries.into_iter().map(entry).collect();
-    Some((List { generation: read.generation, reset: true, instances: instances? }, read.life))
+    Some((
+        List {
+            generation: read.generation,
+            reset: true,
+            instances: instances?,
+        },
+        read.life,
+    ))
 }
 
 /// Where a client was placed, in bytes under its key.
@@ -168,15 +197,38 @@
 
 /// What is known of a version of the configuration, in bytes under its digest.
 pub(super) fn version(fact: &VersionFact) -> Vec<u8> {
-    let VersionFact { reign, serial, since, runs, .. } = *fact;
-    VersionRecord { reign, serial, since, runs }.encode_to_vec()
+    let VersionFact {
+        reign,
+        serial,
+        since,
+        runs,
+        ..
+    } = *fact;
+    VersionRecord {
+        reign,
+        serial,
+        since,
+        runs,
+    }
+    .encode_to_vec()
 }
 
 /// The version that bytes under a digest tell of.
 pub(super) fn read_version(digest: &[u8], bytes: &[u8]) -> Option<VersionFact> {
-    let VersionRecord { reign, serial, since, runs } = VersionRecord::decode(bytes).ok()?;
+    let VersionRecord {
+        reign,
+        serial,
+        since,
+        runs,
+    } = VersionRecord::decode(bytes).ok()?;
     let version = Version(u128::from_be_bytes(digest.try_into().ok()?));
-    Some(VersionFact { version, reign, serial, since, runs })
+    Some(VersionFact {
+        version,
+        reign,
+        serial,
+        since,
+        runs,
+    })
 }
 
 /// How many clients stood here when the program last served in full.
@@ -192,12 +244,24 @@
 
 /// Whether the site was an island, and when discovery last confirmed the list.
 pub(super) fn uplink(islanded: bool, confirmed_at: Option<u64>, now: u64) -> Record {
-    keep(UPLINK, b"", UplinkRecord { islanded, confirmed_at }.encode_to_vec(), now)
+    keep(
+        UPLINK,
+        b"",
+        UplinkRecord {
+            islanded,
+            confirmed_at,
+        }
+        .encode_to_vec(),
+        now,
+    )
 }
 
 /// The same.
 pub(super) fn read_uplink(record: &Record) -> Option<(bool, Option<u64>)> {
-    let UplinkRecord { islanded, confirmed_at } = UplinkRecord::decode(record.value.as_slice()).ok()?;
+    let UplinkRecord {
+        islanded,
+        confirmed_at,
+    } = UplinkRecord::decode(record.value.as_slice()).ok()?;
     Some((islanded, confirmed_at))
 }
 
--- a/balancer/src/fleet/records/tests.rs
+++ b/balancer/src/fleet/records/tests.rs
@@ -14,11 +14,19 @@
         weight: 2.5,
         started_at_ms: 77,
     };
-    let whole = List { generation: 8, reset: true, instances: vec![listed] };
+    let whole = List {
+        generation: 8,
+        reset: true,
+        instances: vec![listed],
+    };
     let kept = list(&whole, 2, 5);
     let (read, life) = read_list(&kept).expect("whole");
     assert_eq!((format!("{read:?}"), life), (format!("{whole:?}"), 2));
-    for state in [State::Standing, State::Ended(How::Broke), State::Ended(How::MovedUneven)] {
+    for state in [
+        State::Standing,
+        State::Ended(How::Broke),
+        State::Ended(How::MovedUneven),
+    ] {
         let placed = Placement {
             key: Key(u64::MAX - 1),
             group: Some(Group(7)),
@@ -35,8 +43,17 @@
             assert_ne!(read_placement(&key, &bytes[..end]), Some(placed));
         }
     }
-    let fact = VersionFact { version: Version(4), reign: 1, serial: 2, since: 3, runs: 4 };
-    assert_eq!(read_version(&4_u128.to_be_bytes(), &version(&fact)), Some(fact));
+    let fact = VersionFact {
+        version: Version(4),
+        reign: 1,
+        serial: 2,
+        since: 3,
+        runs: 4,
+    };
+    assert_eq!(
+        read_version(&4_u128.to_be_bytes(), &version(&fact)),
+        Some(fact)
+    );
     assert_eq!(read_former(&former(40.0, 5)), Some(40.0));
 }
 
@@ -65,15 +82,38 @@
         state: State::Ended(How::MovedLeaving),
         twins: 2,
     };
-    let fact = VersionFact { version: Version(4), reign: 1, serial: 2, since: 3, runs: 4 };
+    let fact = VersionFact {
+        version: Version(4),
+        reign: 1,
+        serial: 2,
+        since: 3,
+        runs: 4,
+    };
     let written = [
-        list(&List { generation: 8, reset: true, instances: vec![listed] }, 2, 5).value,
+        list(
+            &List {
+                generation: 8,
+                reset: true,
+                instances: vec![listed],
+            },
+            2,
+            5,
+        )
+        .value,
         placement(&placed),
         version(&fact),
         former(40.0, 5).value,
         uplink(true, Some(9), 5).value,
     ];
-    let hex = |bytes: &Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    assert_eq!(written.iter().map(hex).collect::<Vec<_>>().join("\n"), WRITTEN.trim_end());
+    let hex = |bytes: &Vec<u8>| {
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+    };
+    assert_eq!(
+        written.iter().map(hex).collect::<Vec<_>>().join("\n"),
+        WRITTEN.trim_end()
+    );
     assert_eq!([LIST, VERSION, FORMER, PLACEMENT, UPLINK], [1, 2, 3, 4, 5]);
 }
--- a/balancer/src/fleet/recovering.rs
+++ b/balancer/src/fleet/recovering.rs
@@ -34,7 +34,10 @@
                     self.core.tell(Event::Known(KnownNews::Defer(id, after)));
                 }
                 Wanted::Lend(to, number, clients) => {
-                    let (key, value) = (to.into_bytes(), words::lend(&self.file.name, number, clients));
+                    let (key, value) = (
+                        to.into_bytes(),
+                        words::lend(&self.file.name, number, clients),
+                    );
                     self.enter(carry::LOAN, (key, true), value, LOAN_GOOD);
                     self.peers.say();
                 }
@@ -46,7 +49,9 @@
     /// answered.
     fn ask(&mut self, whom: Whom) {
         match whom {
-            Whom::SitePeers if self.is_settled => self.recovery_event(RecoveryEvent::Answered(whom)),
+            Whom::SitePeers if self.is_settled => {
+                self.recovery_event(RecoveryEvent::Answered(whom))
+            }
             Whom::SitePeers | Whom::OtherSites => self.peers.say(),
             Whom::Discovery => {}
             Whom::Store => self.recovery_event(RecoveryEvent::Failed(whom)),
@@ -62,11 +67,24 @@
                 recovery::Lifecycle::Draining => Lifecycle::Draining,
                 recovery::Lifecycle::Gone => Lifecycle::Deleted,
             };
-            Some(Listed { lifecycle, started_at_ms: entry.started_at_ms, ..known.clone() })
+            Some(Listed {
+                lifecycle,
+                started_at_ms: entry.started_at_ms,
+                ..known.clone()
+            })
         };
-        let instances: Vec<Listed> = self.gathering.recovery().servers().filter_map(entry).collect();
+        let instances: Vec<Listed> = self
+            .gathering
+            .recovery()
+            .servers()
+            .filter_map(entry)
+            .collect();
         if !instances.is_empty() {
-            let list = List { generation: 0, reset: true, instances };
+            let list = List {
+                generation: 0,
+                reset: true,
+                instances,
+            };
             self.core.tell(Event::Known(KnownNews::List(list)));
         }
         self.hold_drains();
@@ -86,7 +104,11 @@
 
     fn serve(&mut self, how: recovery::How) {
         let gathers = how == recovery::How::NotYet;
-        self.serving_since = if gathers { None } else { self.serving_since.or(Some(self.now)) };
+        self.serving_since = if gathers {
+            None
+        } else {
+            self.serving_since.or(Some(self.now))
+        };
         self.in_full = how == recovery::How::Full;
         if gathers != self.gathers {
             self.gathers = gathers;
--- a/balancer/src/fleet/server_list.rs
+++ b/balancer/src/fleet/server_list.rs
@@ -1,7 +1,9 @@
 //! The list of servers: as the core took it in, as the peers know it, and as it is believed.
 
 use beaconflow_edge::Evidence;
-use beaconflow_knowledge::{Lifecycle as KnownAs, Listed as KnownEntry, Position, Subject, Told, Value};
+use beaconflow_knowledge::{
+    Lifecycle as KnownAs, Listed as KnownEntry, Position, Subject, Told, Value,
+};
 use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, Source};
 
 use super::uplink::Uplink;
@@ -27,15 +29,26 @@
             self.recovery_event(RecoveryEvent::List(believed(&whole, 0, Source::Known)));
             return self.hold_drains();
         }
-        let told = Told { generation: list.generation, digest: digest_of(&whole), whole: list.reset };
-        let position = carry::with(&self.known, |known| known.knowledge.hear_list(told, LIST_GOOD, now)).ok();
+        let told = Told {
+            generation: list.generation,
+            digest: digest_of(&whole),
+            whole: list.reset,
+        };
+        let position = carry::with(&self.known, |known| {
+            known.knowledge.hear_list(told, LIST_GOOD, now)
+        })
+        .ok();
         self.position = position.or(self.position);
         let life = self.position.map_or(0, |position| position.life);
         if let Some(position) = self.position {
             self.enter_entries(position, &list.instances);
         }
         self.memory.remember(records::list(&whole, life, now));
-        self.recovery_event(RecoveryEvent::List(believed(&whole, life, Source::Discovery)));
+        self.recovery_event(RecoveryEvent::List(believed(
+            &whole,
+            life,
+            Source::Discovery,
+        )));
         self.uplink(|uplink, now| uplink.take(now, Evidence::WatchStands));
     }
 
@@ -69,7 +82,11 @@
 
     /// The list as it stands here, whole.
     fn whole(&self, generation: u64) -> List {
-        List { generation, reset: true, instances: self.servers.values().cloned().collect() }
+        List {
+            generation,
+            reset: true,
+            instances: self.servers.values().cloned().collect(),
+        }
     }
 
     /// The peers' list, as a starting point where discovery has told none.
@@ -83,7 +100,11 @@
         }
         let now = self.ms();
         let entries = carry::with(&self.known, |known| known.knowledge.list(now));
-        let latest = entries.iter().map(|(_, entry)| entry.position).max().unwrap_or_default();
+        let latest = entries
+            .iter()
+            .map(|(_, entry)| entry.position)
+            .max()
+            .unwrap_or_default();
         for (name, entry) in entries {
             let listed = listed(name.clone(), &entry, self.servers.get(&name));
             self.servers.insert(name, listed);
--- a/balancer/src/fleet/setup.rs
+++ b/balancer/src/fleet/setup.rs
@@ -57,13 +57,20 @@
 ) -> Result<(Fleet, Tie), String> {
     let settings = setup.module();
     let (memory, restored) = keep::open(&file, wall());
-    let boot = if restored.boot > 0 { restored.boot } else { wall() / 1_000 };
+    let boot = if restored.boot > 0 {
+        restored.boot
+    } else {
+        wall() / 1_000
+    };
     let version = version(&settings, farm);
     let config = gather::config(&file, setup, &settings);
     let most = Duration::from_nanos(config.lets_in_within());
     let gathering = Gathering::new(config, driver::random())?;
     let set = uplink::config(&file, driver::random());
-    let uplink = file.edge.on.then(|| Uplink::new(set, clock.now() / 1_000_000, restored.uplink));
+    let uplink = file
+        .edge
+        .on
+        .then(|| Uplink::new(set, clock.now() / 1_000_000, restored.uplink));
     let uplink = uplink.transpose()?;
     let (tell, observations) = unbounded();
     let now = clock.now() / 1_000_000;
@@ -72,8 +79,16 @@
         Ties::new(memory, file.affinity.keep)
     });
     let turns = file.borne.is_some();
-    let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    let (cold_ms, failures_good) = (settings.rules.cold_time / 1_000_000, longest / 1_000_000 * FORGET);
+    let longest = settings
+        .classes
+        .iter()
+        .map(|class| class.deadline)
+        .max()
+        .unwrap_or(0);
+    let (cold_ms, failures_good) = (
+        settings.rules.cold_time / 1_000_000,
+        longest / 1_000_000 * FORGET,
+    );
     let fleet = Fleet {
         file,
         clock,
@@ -87,7 +102,15 @@
         cold_ms,
         failures_good,
     };
-    Ok((fleet, Tie { tell, gather: Some(most), turns, ties }))
+    Ok((
+        fleet,
+        Tie {
+            tell,
+            gather: Some(most),
+            turns,
+            ties,
+        },
+    ))
 }
 
 /// Affinity's memory as this process starts with it: without placements, with the versions that it remembers.
@@ -98,7 +121,10 @@
     now: Millis,
 ) -> Placements {
     let limits = Limits {
-        bound: Bound { entries: file.affinity.most, bytes: usize::MAX },
+        bound: Bound {
+            entries: file.affinity.most,
+            bytes: usize::MAX,
+        },
         life_s: u32::try_from(file.affinity.keep.as_secs()).unwrap_or(u32::MAX),
         away_s: AWAY_S,
         home_most: 0,
@@ -139,7 +165,12 @@
         _ => Vec::new(),
     };
     let classes = settings.classes.iter().enumerate().map(class).collect();
-    Routing { servers, classes, ..Routing::default() }.version()
+    Routing {
+        servers,
+        classes,
+        ..Routing::default()
+    }
+    .version()
 }
 
 impl Fleet {
@@ -151,10 +182,18 @@
         let peers = self.start_peers(&known, tell)?;
         let (commands, received) = unbounded();
         let shown: Arc<Mutex<Status>> = Arc::default();
-        let handle = FleetHandle { commands, shown: Arc::clone(&shown) };
+        let handle = FleetHandle {
+            commands,
+            shown: Arc::clone(&shown),
+        };
         info!(part = "peers", name = self.file.name, site = self.file.site, boot = self.boot, on = %self.file.listen, "part of a fleet");
         let (thread, restored, observations) = self.into_thread(core, known, peers, shown);
-        let inputs = Inputs { observations, changes, events, commands: received };
+        let inputs = Inputs {
+            observations,
+            changes,
+            events,
+            commands: received,
+        };
         let run = move || thread.run(restored, inputs);
         let spawned = std::thread::Builder::new().name("fleet".into()).spawn(run);
         spawned.map_err(|error| format!("thread fleet: {error}"))?;
@@ -163,13 +202,23 @@
 
     /// What is known together, as this process starts with it: nothing.
     fn knowledge(&self, news: Sender<Vec<Change>>) -> Shared {
-        let bounds =
-            carry::bounds(self.file.affinity.most, millis(self.file.affinity.keep), driver::random());
-        let origin = Origin { name: self.file.name.clone(), boot: self.boot };
+        let bounds = carry::bounds(
+            self.file.affinity.most,
+            millis(self.file.affinity.keep),
+            driver::random(),
+        );
+        let origin = Origin {
+            name: self.file.name.clone(),
+            boot: self.boot,
+        };
         Carried::shared(Knowledge::new(origin, bounds), news)
     }
 
-    fn start_peers(&self, known: &Shared, tell: Sender<peers::Event>) -> Result<driver::Handle, String> {
+    fn start_peers(
+        &self,
+        known: &Shared,
+        tell: Sender<peers::Event>,
+    ) -> Result<driver::Handle, String> {
         let node = self.node(Arc::clone(known))?;
         let bound = |error: std::io::Error| format!("fleet.listen {}: {error}", self.file.listen);
         let link = driver::Udp::new(UdpSocket::bind(self.file.listen).map_err(bound)?);
@@ -202,7 +251,12 @@
             standing: 0,
             tell_at: 0,
             status_at: 0,
-            status: Status { name, site, boot: self.boot, ..Status::default() },
+            status: Status {
+                name,
+                site,
+                boot: self.boot,
+                ..Status::default()
+            },
             file: self.file,
             clock: self.clock,
             boot: self.boot,
@@ -222,7 +276,8 @@
     }
 
     fn node(&self, known: Shared) -> Result<Node<Shared>, String> {
-        let read = |path: &std::path::PathBuf| Key::read(path).map_err(|fault| format!("fleet: {fault}"));
+        let read =
+            |path: &std::path::PathBuf| Key::read(path).map_err(|fault| format!("fleet: {fault}"));
         let current = read(&self.file.key_file)?;
         let other = self.file.previous_key_file.as_ref().map(read).transpose()?;
         let profile = Profile {
@@ -234,7 +289,12 @@
             configuration: configuration(self.version, self.file.affinity.serial),
             seeds: self.file.peers.clone(),
         };
-        let node = Node::new(profile, Keys { current, other }, peers::Settings::default(), known);
+        let node = Node::new(
+            profile,
+            Keys { current, other },
+            peers::Settings::default(),
+            known,
+        );
         node.map_err(|faults| {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
             format!("fleet: {}", faults.join("; "))
@@ -246,5 +306,8 @@
 pub(super) fn configuration(version: Version, serial: u64) -> Configuration {
     let mut digest = [0; 32];
     digest[..16].copy_from_slice(&version.0.to_be_bytes());
-    Configuration { digest, order: serial }
+    Configuration {
+        digest,
+        order: serial,
+    }
 }
--- a/balancer/src/fleet/site.rs
+++ b/balancer/src/fleet/site.rs
@@ -44,14 +44,27 @@
 
 impl Site {
     /// This process saw a server to be so; gives what the others are to be told, if that is news.
-    pub(super) fn saw(&mut self, now: Millis, me: &str, server: &Seen, judged: Judged) -> Option<Judgement> {
-        let known = self.judgements.of(&server.name).find(|one| one.origin == me);
-        let is_same =
-            known.is_some_and(|one| one.judged == judged && now.saturating_sub(one.witnessed_ms) < AGAIN);
+    pub(super) fn saw(
+        &mut self,
+        now: Millis,
+        me: &str,
+        server: &Seen,
+        judged: Judged,
+    ) -> Option<Judgement> {
+        let known = self
+            .judgements
+            .of(&server.name)
+            .find(|one| one.origin == me);
+        let is_same = known.is_some_and(|one| {
+            one.judged == judged && now.saturating_sub(one.witnessed_ms) < AGAIN
+        });
         if is_same && judged == Judged::Well {
             return None;
         }
-        Some(self.judgements.witness(now, me, &server.name, server.started_ms, judged))
+        Some(
+            self.judgements
+                .witness(now, me, &server.name, server.started_ms, judged),
+        )
     }
 
     /// Another process of the site saw it.
@@ -80,7 +93,9 @@
             return None;
         }
         self.judgements.prune(now.saturating_sub(KEPT));
-        let serving = farm.values().filter(|one| one.lifecycle == Lifecycle::Serving);
+        let serving = farm
+            .values()
+            .filter(|one| one.lifecycle == Lifecycle::Serving);
         let known: Vec<Known> = serving.map(known).collect();
         let mut parts = BTreeMap::new();
         for (server, standing) in standings(&known, &self.judgements, now, cold_ms) {
@@ -89,7 +104,10 @@
                 continue;
             }
             let unproven = unproven.filter(|_| apart && !self.is_well(&server, now));
-            let judged = standing.passed.filter(|_| apart || self.goes_on(&server)).map(words);
+            let judged = standing
+                .passed
+                .filter(|_| apart || self.goes_on(&server))
+                .map(words);
             let held = drains.then_some("it drained when it was last heard of");
             let part = SitePart {
                 passed: judged.or(held).or(unproven).map(str::to_owned),
@@ -114,8 +132,9 @@
     }
 
     fn is_well(&self, server: &str, now: Millis) -> bool {
-        let is_well =
-            |one: &Judgement| one.judged == Judged::Well && now.saturating_sub(one.witnessed_ms) <= WELL;
+        let is_well = |one: &Judgement| {
+            one.judged == Judged::Well && now.saturating_sub(one.witnessed_ms) <= WELL
+        };
         self.standing.contains(server) || self.judgements.of(server).any(is_well)
     }
 
@@ -137,7 +156,11 @@
 }
 
 fn known(listed: &Listed) -> Known {
-    let weight = if listed.weight.is_finite() && listed.weight > 0.0 { listed.weight } else { 1.0 };
+    let weight = if listed.weight.is_finite() && listed.weight > 0.0 {
+        listed.weight
+    } else {
+        1.0
+    };
     Known {
         server: listed.instance_id.clone(),
         weight: (weight * 1_000.0).min(1e12) as u64,
--- a/balancer/src/fleet/site/tests.rs
+++ b/balancer/src/fleet/site/tests.rs
@@ -11,11 +11,16 @@
         weight: 1.0,
         started_at_ms: 0,
     };
-    ["s0", "s1", "s2", "s3", "s4"].map(|name| (name.to_owned(), listed(name))).into()
+    ["s0", "s1", "s2", "s3", "s4"]
+        .map(|name| (name.to_owned(), listed(name)))
+        .into()
 }
 
 fn seen(name: &str) -> Seen {
-    Seen { name: name.into(), started_ms: 0 }
+    Seen {
+        name: name.into(),
+        started_ms: 0,
+    }
 }
 
 #[test]
@@ -27,18 +32,33 @@
     let refused = Some(Outcome::ConnectFailed);
     see(&mut site, 1_000, refused);
     see(&mut site, 1_100, refused);
-    assert_eq!(site.parts(1_200, &farm, (false, None), 0), None, "discovery's word holds");
-    let parts = site.parts(1_200, &farm, (true, None), 0).expect("passed over");
+    assert_eq!(
+        site.parts(1_200, &farm, (false, None), 0),
+        None,
+        "discovery's word holds"
+    );
+    let parts = site
+        .parts(1_200, &farm, (true, None), 0)
+        .expect("passed over");
     assert_eq!(parts.keys().collect::<Vec<_>>(), ["s1"]);
     assert!(parts["s1"].passed.is_some());
     // Others fall ill after the island: no more by this evidence.
     let other = site.saw(1_300, "me", &seen("s2"), Judged::Drains);
     assert!(other.is_some());
-    assert_eq!(site.parts(1_300, &farm, (false, None), 0), None, "s1 still is, s2 is not");
+    assert_eq!(
+        site.parts(1_300, &farm, (false, None), 0),
+        None,
+        "s1 still is, s2 is not"
+    );
     see(&mut site, 2_000, None);
-    let rises = site.parts(2_100, &farm, (false, None), 0).expect("well again");
+    let rises = site
+        .parts(2_100, &farm, (false, None), 0)
+        .expect("well again");
     assert!(rises["s1"].passed.is_none() && rises["s1"].part < 0.5);
-    assert_eq!(site.parts(60_000, &farm, (false, None), 0), Some(BTreeMap::new()));
+    assert_eq!(
+        site.parts(60_000, &farm, (false, None), 0),
+        Some(BTreeMap::new())
+    );
 }
 
 #[test]
@@ -46,7 +66,9 @@
     let (mut site, farm) = (Site::default(), farm());
     site.saw(1_000, "me", &seen("s0"), Judged::Well);
     site.standing.insert("s2".into());
-    let parts = site.parts(2_000, &farm, (true, Some("too old")), 0).expect("the rest is passed over");
+    let parts = site
+        .parts(2_000, &farm, (true, Some("too old")), 0)
+        .expect("the rest is passed over");
     assert_eq!(parts.keys().collect::<Vec<_>>(), ["s1", "s3", "s4"]);
     assert_eq!(parts["s1"].passed.as_deref(), Some("too old"));
 }
--- a/balancer/src/fleet/tell.rs
+++ b/balancer/src/fleet/tell.rs
@@ -34,7 +34,11 @@
         }
         if self.now >= self.status_at {
             self.status_at = self.now.saturating_add(STATUS_PERIOD);
-            let others = self.peers.members().into_iter().filter(|member| *member.site != *self.file.site);
+            let others = self
+                .peers
+                .members()
+                .into_iter()
+                .filter(|member| *member.site != *self.file.site);
             let others: Vec<Member> = others.collect();
             self.uplink(|uplink, now| uplink.due(now, &others));
             self.go_by_evidence();
@@ -50,13 +54,20 @@
             site: self.file.site.clone(),
             boot: self.boot,
             up_for: self.now.saturating_sub(self.since),
-            serving_for: self.serving_since.map(|since| self.now.saturating_sub(since)),
+            serving_for: self
+                .serving_since
+                .map(|since| self.now.saturating_sub(since)),
             in_full: self.in_full,
             wall: recovery.clock_is_sound().then(wall),
             former: recovery.former(),
             short: recovery.short(),
         };
-        self.enter(carry::WORD, (Vec::new(), true), words::say(&word), WORD_GOOD);
+        self.enter(
+            carry::WORD,
+            (Vec::new(), true),
+            words::say(&word),
+            WORD_GOOD,
+        );
         if let Some(uplink) = &self.uplink {
             let says = words::say_uplink(&uplink.edge().says(self.ms()));
             self.enter(carry::UPLINK, (Vec::new(), true), says, WORD_GOOD);
@@ -66,7 +77,10 @@
     /// While the site is apart its servers go by its own evidence.
     pub(super) fn go_by_evidence(&mut self) {
         let now = self.ms();
-        let apart = self.uplink.as_ref().map_or((false, None), |uplink| uplink.stands_apart(now));
+        let apart = self
+            .uplink
+            .as_ref()
+            .map_or((false, None), |uplink| uplink.stands_apart(now));
         let parts = self.site.parts(now, &self.servers, apart, self.cold_ms);
         if let Some(parts) = parts {
             self.core.tell(Event::Known(KnownNews::Site(parts)));
@@ -78,12 +92,17 @@
         self.status.recovery = self.gathering.words();
         let now = self.ms();
         self.status.failing = carry::with(&self.known, |known| {
-            let keys = known.knowledge.iter(Kind::Failures, now).filter_map(|fact| match fact.subject {
-                Subject::Failures(key) => Some(key),
-                _ => None,
-            });
+            let keys = known
+                .knowledge
+                .iter(Kind::Failures, now)
+                .filter_map(|fact| match fact.subject {
+                    Subject::Failures(key) => Some(key),
+                    _ => None,
+                });
             let keys: BTreeSet<u64> = keys.collect();
-            keys.into_iter().filter(|key| known.knowledge.failures(*key, now) > 0).count()
+            keys.into_iter()
+                .filter(|key| known.knowledge.failures(*key, now) > 0)
+                .count()
         });
         self.status.uplink = self.uplink.as_ref().map(|uplink| uplink.words(self.ms()));
         self.status.version = self.version.to_string();
--- a/balancer/src/fleet/thread.rs
+++ b/balancer/src/fleet/thread.rs
@@ -138,7 +138,11 @@
 
     /// How long nothing is due.
     fn wait(&self) -> Duration {
-        let due = [self.gathering.next(), self.settling.map(|(at, _)| at), Some(self.tell_at)];
+        let due = [
+            self.gathering.next(),
+            self.settling.map(|(at, _)| at),
+            Some(self.tell_at),
+        ];
         let due = due.into_iter().flatten().min().unwrap_or(u64::MAX);
         Duration::from_nanos(due.saturating_sub(self.now)).min(LONGEST_WAIT)
     }
@@ -151,7 +155,9 @@
     /// Tells the uplink something, and does what it wants.
     pub(super) fn uplink(&mut self, act: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::Wanted>) {
         let now = self.ms();
-        let Some(uplink) = &mut self.uplink else { return };
+        let Some(uplink) = &mut self.uplink else {
+            return;
+        };
         let wanted = act(uplink, now);
         let kept = uplink.kept(now);
         for one in wanted {
@@ -187,8 +193,11 @@
         if file.edge.word != self.file.edge.word {
             self.uplink(|uplink, now| uplink.word(now, file.edge.word));
         }
-        (self.file.peers, self.file.affinity.serial, self.file.edge.word) =
-            (file.peers, file.affinity.serial, file.edge.word);
+        (
+            self.file.peers,
+            self.file.affinity.serial,
+            self.file.edge.word,
+        ) = (file.peers, file.affinity.serial, file.edge.word);
     }
 
     /// The present version is run under that number from now on.
--- a/balancer/src/fleet/uplink.rs
+++ b/balancer/src/fleet/uplink.rs
@@ -71,18 +71,35 @@
         before: Option<(bool, Option<Millis>)>,
     ) -> Result<Uplink, String> {
         config.check().map_err(|faults| {
-            let faults: Vec<String> = faults.iter().map(|fault| format!("edge: {fault}")).collect();
+            let faults: Vec<String> = faults
+                .iter()
+                .map(|fault| format!("edge: {fault}"))
+                .collect();
             faults.join("; ")
         })?;
         let start = match before {
             None => Start::Anew,
             Some((islanded, confirmed_at)) => {
-                let state = if islanded { State::Islanded } else { State::Linked };
-                Start::Remembered { state, confirmed_at, word: None }
+                let state = if islanded {
+                    State::Islanded
+                } else {
+                    State::Linked
+                };
+                Start::Remembered {
+                    state,
+                    confirmed_at,
+                    word: None,
+                }
             }
         };
         let edge = Edge::new(config, now, start);
-        Ok(Uplink { edge, watches: false, ask_at: None, again_at: 0, out: Vec::new() })
+        Ok(Uplink {
+            edge,
+            watches: false,
+            ask_at: None,
+            again_at: 0,
+            out: Vec::new(),
+        })
     }
 
     /// Takes evidence in; gives what is to be done.
@@ -124,7 +141,11 @@
 
     fn follow(&mut self, now: Millis, action: Action, wanted: &mut Vec<Wanted>) {
         match action {
-            Action::State { from, to: State::Islanded, why } => {
+            Action::State {
+                from,
+                to: State::Islanded,
+                why,
+            } => {
                 warn!(part = "edge", from = %from, to = %State::Islanded, why, "state");
                 wanted.extend([Wanted::Hold(HELD), Wanted::Keep]);
             }
@@ -132,7 +153,9 @@
                 info!(part = "edge", from = %from, to = %to, why, "state");
                 wanted.push(Wanted::Keep);
             }
-            Action::Probe { place: Place::Discovery } => {
+            Action::Probe {
+                place: Place::Discovery,
+            } => {
                 info!(part = "edge", "this process asks discovery for the site");
                 wanted.push(Wanted::Ask);
             }
@@ -140,7 +163,10 @@
             Action::Probe { .. } => {}
             Action::Tell => wanted.push(Wanted::Tell),
             Action::Say(why) => info!(part = "edge", why, "says"),
-            Action::Rejoin(Step::Ask { place: Place::Discovery, in_ms }) => {
+            Action::Rejoin(Step::Ask {
+                place: Place::Discovery,
+                in_ms,
+            }) => {
                 self.ask_at = Some(now.saturating_add(in_ms));
             }
             Action::Rejoin(Step::Ask { .. }) => {}
@@ -151,8 +177,10 @@
                     "both sides are merged: the list goes by its entries, overrides by their ends"
                 );
                 let mut more = Vec::new();
-                self.edge.handle(now, Evidence::Done(Step::Merge), &mut more);
-                more.into_iter().for_each(|action| self.follow(now, action, wanted));
+                self.edge
+                    .handle(now, Evidence::Done(Step::Merge), &mut more);
+                more.into_iter()
+                    .for_each(|action| self.follow(now, action, wanted));
             }
         }
     }
@@ -172,7 +200,14 @@
             }
             for other in others {
                 let (name, site) = (other.name.to_string(), other.site.to_string());
-                wanted.extend(self.take(now, Evidence::PeerHeard { name, site, both_ways: true }));
+                wanted.extend(self.take(
+                    now,
+                    Evidence::PeerHeard {
+                        name,
+                        site,
+                        both_ways: true,
+                    },
+                ));
             }
             if self.edge.state() == State::Islanded {
                 wanted.push(Wanted::Hold(HELD));
@@ -190,7 +225,16 @@
             EdgeWord::Linked => Force::Linked,
         };
         let (who, why) = ("the operator's file".into(), "edge.word".into());
-        self.take(now, Evidence::OperatorsWord(Word { given_at: now, force, ends_at: FOR_EVER, who, why }))
+        self.take(
+            now,
+            Evidence::OperatorsWord(Word {
+                given_at: now,
+                force,
+                ends_at: FOR_EVER,
+                who,
+                why,
+            }),
+        )
     }
 
     pub(super) fn edge(&self) -> &Edge {
@@ -211,7 +255,11 @@
             Verdict::Yes => None,
         };
         let site = self.edge.config().site.clone();
-        let unproven = is_no(Decision::Place { site, listed: true, well: false });
+        let unproven = is_no(Decision::Place {
+            site,
+            listed: true,
+            well: false,
+        });
         (is_no(Decision::MoveForBalance).is_some(), unproven)
     }
 
--- a/balancer/src/fleet/words.rs
+++ b/balancer/src/fleet/words.rs
@@ -75,7 +75,12 @@
 }
 
 pub(super) fn lend(from: &str, number: u64, clients: f64) -> Vec<u8> {
-    LoanRecord { from: from.to_owned(), number, clients }.encode_to_vec()
+    LoanRecord {
+        from: from.to_owned(),
+        number,
+        clients,
+    }
+    .encode_to_vec()
 }
 
 /// Who leaves it, which loan it is, and how many clients.
@@ -114,8 +119,14 @@
 }
 
 /// In the order of their numbers, from 0.
-const JUDGED: [Judged; 6] =
-    [Judged::Well, Judged::Busy, Judged::Hung, Judged::Refused, Judged::Drains, Judged::Gone];
+const JUDGED: [Judged; 6] = [
+    Judged::Well,
+    Judged::Busy,
+    Judged::Hung,
+    Judged::Refused,
+    Judged::Drains,
+    Judged::Gone,
+];
 
 /// What this process found a server to be just now.
 pub(super) fn judge(one: &Judgement) -> Vec<u8> {
@@ -143,7 +154,11 @@
     let ago = |age: u64| witnessed_ms.saturating_sub(age);
     let before = |before: BeforeRecord| {
         let (until_ms, judged) = (ago(before.until_age_ms), kind(before.judged)?);
-        Some(Before { until_ms, judged, weight: before.weight })
+        Some(Before {
+            until_ms,
+            judged,
+            weight: before.weight,
+        })
     };
     Some(Judgement {
         witnessed_ms,
@@ -202,7 +217,12 @@
 }
 
 /// Each in the order of their numbers, from 0.
-const STATES: [State; 4] = [State::Linked, State::Doubtful, State::Islanded, State::Rejoining];
+const STATES: [State; 4] = [
+    State::Linked,
+    State::Doubtful,
+    State::Islanded,
+    State::Rejoining,
+];
 const SIGHTS: [Seen; 3] = [Seen::Stands, Seen::Hears, Seen::Lost];
 const FORCES: [Force; 3] = [Force::Automatic, Force::Island, Force::Linked];
 
@@ -216,7 +236,12 @@
         Place::Store => (1, String::new()),
         Place::Site(site) => (2, site.clone()),
     };
-    PlaceRecord { kind, site, number, age_ms }
+    PlaceRecord {
+        kind,
+        site,
+        number,
+        age_ms,
+    }
 }
 
 fn read_place(record: &PlaceRecord) -> Option<Place> {
@@ -243,7 +268,11 @@
         site: says.site.clone(),
         state: number(&says.state, &STATES),
         places: says.places.iter().map(seen).collect(),
-        probes: says.probes.iter().map(|(at, tries, age)| place(at, *tries, *age)).collect(),
+        probes: says
+            .probes
+            .iter()
+            .map(|(at, tries, age)| place(at, *tries, *age))
+            .collect(),
         word: says.word.as_ref().map(force),
     }
     .encode_to_vec()
@@ -253,12 +282,24 @@
 pub(super) fn hear_uplink(bytes: &[u8], age_ms: u64) -> Option<Says> {
     let read = SaysRecord::decode(bytes).ok()?;
     let aged = |one: &PlaceRecord| one.age_ms.saturating_add(age_ms);
-    let seen = |one: &PlaceRecord| Some((read_place(one)?, *SIGHTS.get(one.number as usize)?, aged(one)));
+    let seen = |one: &PlaceRecord| {
+        Some((
+            read_place(one)?,
+            *SIGHTS.get(one.number as usize)?,
+            aged(one),
+        ))
+    };
     let probe = |one: &PlaceRecord| Some((read_place(one)?, one.number, aged(one)));
     let force = |word: &ForceRecord| {
         let force = *FORCES.get(word.force as usize)?;
         let (who, why) = (word.who.clone(), word.why.clone());
-        Some(Word { given_at: word.given_at, force, ends_at: word.ends_at, who, why })
+        Some(Word {
+            given_at: word.given_at,
+            force,
+            ends_at: word.ends_at,
+            who,
+            why,
+        })
     };
     Some(Says {
         state: *STATES.get(read.state as usize)?,
--- a/balancer/src/fleet/words/tests.rs
+++ b/balancer/src/fleet/words/tests.rs
@@ -7,12 +7,19 @@
         judged: Judged::Well,
         weight: 3,
         since_ms: now - 40,
-        before: Some(Before { until_ms: now - 50, judged: Judged::Hung, weight: 2 }),
+        before: Some(Before {
+            until_ms: now - 50,
+            judged: Judged::Hung,
+            weight: 2,
+        }),
         started_ms: 77,
         server: "s1".into(),
         origin: "a".into(),
     };
-    assert_eq!(read_judged(&judge(&judgement(1_000)), 90_000), Some(judgement(90_000)));
+    assert_eq!(
+        read_judged(&judge(&judgement(1_000)), 90_000),
+        Some(judgement(90_000))
+    );
     assert_eq!(read_judged(b"\xff", 0), None);
     assert_eq!(read_loan(&lend("a", 3, 0.5)), Some(("a".into(), 3, 0.5)));
 }
@@ -62,24 +69,49 @@
         judged: Judged::Drains,
         weight: 3,
         since_ms: 960,
-        before: Some(Before { until_ms: 950, judged: Judged::Hung, weight: 2 }),
+        before: Some(Before {
+            until_ms: 950,
+            judged: Judged::Hung,
+            weight: 2,
+        }),
         started_ms: 77,
         server: "s1".into(),
         origin: "a".into(),
     };
-    let word =
-        Word { given_at: 5, force: Force::Linked, ends_at: 9, who: "ada".into(), why: "dug up".into() };
+    let word = Word {
+        given_at: 5,
+        force: Force::Linked,
+        ends_at: 9,
+        who: "ada".into(),
+        why: "dug up".into(),
+    };
     let uplink = Says {
         name: "a".into(),
         site: "north".into(),
         state: State::Rejoining,
-        places: vec![(Place::Discovery, Seen::Lost, 40), (Place::Site("south".into()), Seen::Hears, 1)],
+        places: vec![
+            (Place::Discovery, Seen::Lost, 40),
+            (Place::Site("south".into()), Seen::Hears, 1),
+        ],
         probes: vec![(Place::Store, 3, 70)],
         word: Some(word),
     };
-    let sent = [say(&status), lend("a", 3, 0.5), judge(&judgement), say_uplink(&uplink)];
-    let hex = |bytes: &Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    assert_eq!(sent.iter().map(hex).collect::<Vec<_>>().join("\n"), SENT.trim_end());
+    let sent = [
+        say(&status),
+        lend("a", 3, 0.5),
+        judge(&judgement),
+        say_uplink(&uplink),
+    ];
+    let hex = |bytes: &Vec<u8>| {
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+    };
+    assert_eq!(
+        sent.iter().map(hex).collect::<Vec<_>>().join("\n"),
+        SENT.trim_end()
+    );
     assert_eq!(hear(&sent[0], 0), Some(status));
     assert_eq!(read_judged(&sent[2], 1_000), Some(judgement));
     assert_eq!(hear_uplink(&sent[3], 0), Some(uplink));
--- a/balancer/src/front/mod.rs
+++ b/balancer/src/front/mod.rs
@@ -70,7 +70,11 @@
 
     /// Speaks for a client to an application server until its connection stands. Gives the bytes for the client
     /// that go before what the server sends from now on.
-    fn pass(&self, asking: &mut Asking<'_>, greeting: &Self::Greeting) -> Result<Vec<u8>, PassError>;
+    fn pass(
+        &self,
+        asking: &mut Asking<'_>,
+        greeting: &Self::Greeting,
+    ) -> Result<Vec<u8>, PassError>;
 
     /// The words of a final answer, or of a move.
     fn say(&self, word: Word) -> Vec<u8>;
@@ -141,7 +145,10 @@
 impl Refusal {
     /// A refusal.
     pub fn new(answer: &[u8], why: impl Into<String>) -> Refusal {
-        Refusal { answer: answer.to_vec(), why: why.into() }
+        Refusal {
+            answer: answer.to_vec(),
+            why: why.into(),
+        }
     }
 }
 
@@ -181,7 +188,11 @@
 /// Follows one direction of a standing connection.
 pub trait Framer: Send {
     /// Follows bytes and asks of each message seen whether it goes on.
-    fn follow(&mut self, bytes: &[u8], seen: &mut dyn FnMut(Seen) -> bool) -> Result<Followed, FrameFault>;
+    fn follow(
+        &mut self,
+        bytes: &[u8],
+        seen: &mut dyn FnMut(Seen) -> bool,
+    ) -> Result<Followed, FrameFault>;
 
     /// Whether the bytes so far end between two messages.
     fn is_between(&self) -> bool;
--- a/balancer/src/front/nats/framing.rs
+++ b/balancer/src/front/nats/framing.rs
@@ -11,7 +11,10 @@
 
 /// A control line's verb and what follows it.
 pub fn verb(line: &[u8]) -> (&[u8], &[u8]) {
-    let end = line.iter().position(|byte| matches!(byte, b' ' | b'\t')).unwrap_or(line.len());
+    let end = line
+        .iter()
+        .position(|byte| matches!(byte, b' ' | b'\t'))
+        .unwrap_or(line.len());
     let (verb, rest) = line.split_at(end);
     (verb, rest.trim_ascii())
 }
@@ -24,8 +27,17 @@
 /// What an `-ERR` before a connection stands means for a proxy pass.
 pub fn error_means(text: &[u8]) -> Answer {
     let text = String::from_utf8_lossy(text).to_lowercase();
-    let away = ["connections exceeded", "shutdown", "shutting down", "lame duck"];
-    if away.iter().any(|words| text.contains(words)) { Answer::Unavailable } else { Answer::Error }
+    let away = [
+        "connections exceeded",
+        "shutdown",
+        "shutting down",
+        "lame duck",
+    ];
+    if away.iter().any(|words| text.contains(words)) {
+        Answer::Unavailable
+    } else {
+        Answer::Error
+    }
 }
 
 /// The size that ends a control line.
@@ -65,10 +77,14 @@
                 at += count;
                 self.payload_left -= count;
             } else {
-                let line =
-                    bytes[at..].iter().position(|byte| *byte == b'\n').map(|end| &bytes[at..=at + end]);
+                let line = bytes[at..]
+                    .iter()
+                    .position(|byte| *byte == b'\n')
+                    .map(|end| &bytes[at..=at + end]);
                 if line.map_or(bytes.len() - at, <[u8]>::len) > longest {
-                    return Err(FrameFault { answer: "-ERR 'Maximum Control Line Exceeded'\r\n" });
+                    return Err(FrameFault {
+                        answer: "-ERR 'Maximum Control Line Exceeded'\r\n",
+                    });
                 }
                 let Some(line) = line else { break };
                 let (verb, rest) = verb(trimmed(line));
@@ -91,7 +107,9 @@
     }
 }
 
-const UNKNOWN: FrameFault = FrameFault { answer: "-ERR 'Unknown Protocol Operation'\r\n" };
+const UNKNOWN: FrameFault = FrameFault {
+    answer: "-ERR 'Unknown Protocol Operation'\r\n",
+};
 
 /// Follows what a client sends once its connection stands.
 pub struct ClientFramer {
@@ -102,18 +120,29 @@
 impl ClientFramer {
     /// For clients that may send payloads of this size.
     pub fn new(max_payload: usize) -> ClientFramer {
-        ClientFramer { frames: Frames::default(), max_payload }
+        ClientFramer {
+            frames: Frames::default(),
+            max_payload,
+        }
     }
 }
 
 impl Framer for ClientFramer {
-    fn follow(&mut self, bytes: &[u8], seen: &mut dyn FnMut(Seen) -> bool) -> Result<Followed, FrameFault> {
+    fn follow(
+        &mut self,
+        bytes: &[u8],
+        seen: &mut dyn FnMut(Seen) -> bool,
+    ) -> Result<Followed, FrameFault> {
         let max = self.max_payload;
         let read = |verb: &[u8], rest: &[u8]| match verb {
             b"PUB" | b"HPUB" => match size(rest) {
                 Some(size) if size <= max => Ok(Op::Payload(size)),
-                Some(_) => Err(FrameFault { answer: "-ERR 'Maximum Payload Violation'\r\n" }),
-                None => Err(FrameFault { answer: "-ERR 'Parser Error'\r\n" }),
+                Some(_) => Err(FrameFault {
+                    answer: "-ERR 'Maximum Payload Violation'\r\n",
+                }),
+                None => Err(FrameFault {
+                    answer: "-ERR 'Parser Error'\r\n",
+                }),
             },
             b"PING" => Ok(Op::Line(Some(Seen::Asked))),
             b"SUB" | b"UNSUB" | b"PONG" | b"" => Ok(Op::Line(None)),
@@ -135,7 +164,11 @@
 }
 
 impl Framer for ServerFramer {
-    fn follow(&mut self, bytes: &[u8], seen: &mut dyn FnMut(Seen) -> bool) -> Result<Followed, FrameFault> {
+    fn follow(
+        &mut self,
+        bytes: &[u8],
+        seen: &mut dyn FnMut(Seen) -> bool,
+    ) -> Result<Followed, FrameFault> {
         let read = |verb: &[u8], rest: &[u8]| match verb {
             b"MSG" | b"HMSG" => size(rest).map(Op::Payload).ok_or(UNKNOWN),
             b"PONG" => Ok(Op::Line(Some(Seen::AnsweredOldest))),
@@ -178,7 +211,11 @@
                 passed.extend_from_slice(&kept[from..followed.consumed]);
                 kept.drain(..followed.consumed);
             }
-            assert_eq!(seen, [Seen::AnsweredOldest, Seen::Leaving], "in pieces of {piece}");
+            assert_eq!(
+                seen,
+                [Seen::AnsweredOldest, Seen::Leaving],
+                "in pieces of {piece}"
+            );
             assert!(framer.is_between());
             assert_eq!(passed, all[..all.len() - 19], "in pieces of {piece}");
         }
@@ -194,7 +231,9 @@
             (b"CONNECT {}\r\n", "Unknown Protocol Operation"),
             (&long, "Maximum Control Line Exceeded"),
         ] {
-            let fault = ClientFramer::new(8).follow(bytes, &mut |_| true).expect_err(words);
+            let fault = ClientFramer::new(8)
+                .follow(bytes, &mut |_| true)
+                .expect_err(words);
             assert!(fault.answer.contains(words), "{}", fault.answer);
         }
     }
@@ -203,7 +242,10 @@
     fn errors_before_a_connection_stands_are_told_apart() {
         for (text, answer) in [
             ("'Maximum Connections Exceeded'", Answer::Unavailable),
-            ("'maximum account active connections exceeded'", Answer::Unavailable),
+            (
+                "'maximum account active connections exceeded'",
+                Answer::Unavailable,
+            ),
             ("'Server Shutdown'", Answer::Unavailable),
             ("'Authorization Violation'", Answer::Error),
             ("'Stale Connection'", Answer::Error),
--- a/balancer/src/front/nats/mod.rs
+++ b/balancer/src/front/nats/mod.rs
@@ -60,7 +60,13 @@
 impl Nats {
     /// A front for a site and its tenants.
     pub fn new(name: String, setup: Arc<Setup>, tenants: Arc<Tenants>, wire: Wire) -> Nats {
-        Nats { setup, tenants, wire, name, clients: AtomicU64::new(0) }
+        Nats {
+            setup,
+            tenants,
+            wire,
+            name,
+            clients: AtomicU64::new(0),
+        }
     }
 
     fn info(&self, leaving: bool, client: u64) -> Vec<u8> {
@@ -85,15 +91,26 @@
         if options.get("tls_required").and_then(Value::as_bool) == Some(true) {
             return Err(refuse("TLS Not Supported", "CONNECT asks for TLS"));
         }
-        let text = |name: &str| options.get(name).and_then(Value::as_str).unwrap_or_default();
+        let text = |name: &str| {
+            options
+                .get(name)
+                .and_then(Value::as_str)
+                .unwrap_or_default()
+        };
         let (user, password) = (text("user"), text("pass"));
         let (tenant, admitted) = match self.tenants.admit(user, password) {
             Ok(admitted) => admitted,
             Err(tenants::Refusal::Unknown) => {
-                return Err(refuse("Authorization Violation", "not a tenant's credentials"));
+                return Err(refuse(
+                    "Authorization Violation",
+                    "not a tenant's credentials",
+                ));
             }
             Err(tenants::Refusal::TooMany) => {
-                return Err(refuse("Maximum Connections Exceeded", "a tenant's limit is reached"));
+                return Err(refuse(
+                    "Maximum Connections Exceeded",
+                    "a tenant's limit is reached",
+                ));
             }
             Err(tenants::Refusal::StoreAway) => {
                 let after = self.wire.store_retry().as_millis();
@@ -102,7 +119,10 @@
             }
         };
         let Some(class) = self.setup.class(&tenant.class) else {
-            return Err(refuse("Authorization Violation", "the tenant's class is not in the settings"));
+            return Err(refuse(
+                "Authorization Violation",
+                "the tenant's class is not in the settings",
+            ));
         };
         let key = digest(&format!("{user}/{}", text("name")));
         let verbose = options.get("verbose").and_then(Value::as_bool) == Some(true);
@@ -126,7 +146,14 @@
             patience: self.setup.patience(class),
             held_by: None,
         };
-        Ok((opening, Greeting { connect, verbose, _admitted: admitted }))
+        Ok((
+            opening,
+            Greeting {
+                connect,
+                verbose,
+                _admitted: admitted,
+            },
+        ))
     }
 }
 
@@ -169,9 +196,15 @@
     fn first(&self, line: &[u8], now: u64) -> First<Connect> {
         let (verb, options) = framing::verb(trimmed(line));
         if !verb.eq_ignore_ascii_case(b"CONNECT") {
-            return First::Refused(refuse("Authorization Violation", "something else before CONNECT"));
+            return First::Refused(refuse(
+                "Authorization Violation",
+                "something else before CONNECT",
+            ));
         }
-        First::Opening(Connect { options: options.to_vec(), taken_at: now })
+        First::Opening(Connect {
+            options: options.to_vec(),
+            taken_at: now,
+        })
     }
 
     fn no_opening(&self, why: NoOpening) -> Refusal {
@@ -182,7 +215,10 @@
         }
     }
 
-    fn admit(&self, Connect { options, taken_at }: Connect) -> Result<(Opening, Greeting), Refusal> {
+    fn admit(
+        &self,
+        Connect { options, taken_at }: Connect,
+    ) -> Result<(Opening, Greeting), Refusal> {
         self.connect(&options, taken_at)
     }
 
@@ -219,15 +255,21 @@
             }
         }
         // The server's +OK to CONNECT was read here; the client waits for it.
-        Ok(if greeting.verbose { b"+OK\r\n".to_vec() } else { Vec::new() })
+        Ok(if greeting.verbose {
+            b"+OK\r\n".to_vec()
+        } else {
+            Vec::new()
+        })
     }
 
     fn say(&self, word: Word) -> Vec<u8> {
         match word {
             Word::Unavailable(None) => b"-ERR 'Service Unavailable'\r\n".to_vec(),
-            Word::Unavailable(Some(after)) => {
-                format!("-ERR 'Service Unavailable; try again in {} ms'\r\n", after.as_millis()).into_bytes()
-            }
+            Word::Unavailable(Some(after)) => format!(
+                "-ERR 'Service Unavailable; try again in {} ms'\r\n",
+                after.as_millis()
+            )
+            .into_bytes(),
             Word::Failed => b"-ERR 'Connection Failed'\r\n".to_vec(),
             Word::Move => self.info(true, 0),
         }
@@ -242,7 +284,10 @@
     }
 
     fn probe(&self) -> Option<Probe> {
-        Some(Probe { words: b"PING\r\n", after: self.wire.ping_after() })
+        Some(Probe {
+            words: b"PING\r\n",
+            after: self.wire.ping_after(),
+        })
     }
 
     fn silence(&self) -> Duration {
--- a/balancer/src/front/nats/tenants.rs
+++ b/balancer/src/front/nats/tenants.rs
@@ -143,16 +143,26 @@
         OsRng.fill_bytes(&mut pepper);
         let (hashing, claims) = bounded::<Claim>(MOST_CLAIMS);
         let work = move || {
-            for Claim { password, hash, answer } in claims {
+            for Claim {
+                password,
+                hash,
+                answer,
+            } in claims
+            {
                 let proves = |hash| hasher().verify_password(password.as_bytes(), &hash).is_ok();
                 // A client that has left waits for no answer.
                 let _ = answer.send(PasswordHash::new(&hash).is_ok_and(proves));
             }
         };
-        let thread = std::thread::Builder::new().name("hashing".into()).spawn(work);
+        let thread = std::thread::Builder::new()
+            .name("hashing".into())
+            .spawn(work);
         thread.map_err(|error| format!("thread hashing: {error}"))?;
         Ok(Tenants {
-            store: Store { client, state: Mutex::default() },
+            store: Store {
+                client,
+                state: Mutex::default(),
+            },
             fresh,
             copies: Mutex::default(),
             proven: Mutex::default(),
@@ -183,13 +193,20 @@
             return Err(Refusal::TooMany);
         }
         *count += 1;
-        Ok((tenant, Admitted { name: name.to_owned(), open: Arc::clone(&self.open) }))
+        Ok((
+            tenant,
+            Admitted {
+                name: name.to_owned(),
+                open: Arc::clone(&self.open),
+            },
+        ))
     }
 
     /// A tenant's record: the copy held here while it is fresh or the store is away.
     pub fn get(&self, name: &str) -> Result<Arc<Tenant>, StoreError> {
-        let held =
-            lock(&self.copies).get(name).map(|copy| (Arc::clone(&copy.tenant), copy.read_at.elapsed()));
+        let held = lock(&self.copies)
+            .get(name)
+            .map(|copy| (Arc::clone(&copy.tenant), copy.read_at.elapsed()));
         if let Some((tenant, age)) = &held
             && *age < self.fresh
         {
@@ -207,42 +224,75 @@
 
     /// A tenant's record as it stands in the store.
     fn read(&self, name: &str) -> Result<Tenant, StoreError> {
-        let text = self.store.call(|store| store.hget::<_, _, Option<String>>(RECORDS, name))?;
-        text.and_then(|text| serde_json::from_str(&text).ok()).ok_or(StoreError::Missing)
+        let text = self
+            .store
+            .call(|store| store.hget::<_, _, Option<String>>(RECORDS, name))?;
+        text.and_then(|text| serde_json::from_str(&text).ok())
+            .ok_or(StoreError::Missing)
     }
 
     /// All records.
     pub fn list(&self) -> Result<Vec<Tenant>, StoreError> {
-        let all = self.store.call(|store| store.hgetall::<_, BTreeMap<String, String>>(RECORDS))?;
-        Ok(all.values().filter_map(|text| serde_json::from_str(text).ok()).collect())
+        let all = self
+            .store
+            .call(|store| store.hgetall::<_, BTreeMap<String, String>>(RECORDS))?;
+        Ok(all
+            .values()
+            .filter_map(|text| serde_json::from_str(text).ok())
+            .collect())
     }
 
     /// Enters a new tenant.
     pub fn create(&self, tenant: Tenant) -> Result<Arc<Tenant>, StoreError> {
         let text = text_of(&tenant);
-        let Done { value: entered, again } =
-            self.store.attempt(|store| store.hset_nx::<_, _, _, bool>(RECORDS, &tenant.name, &text))?;
+        let Done {
+            value: entered,
+            again,
+        } = self
+            .store
+            .attempt(|store| store.hset_nx::<_, _, _, bool>(RECORDS, &tenant.name, &text))?;
         // The record may be there from the first attempt, whose answer did not come.
-        let ours = !entered && again && self.read(&tenant.name).is_ok_and(|found| text_of(&found) == text);
-        if entered || ours { Ok(self.keep(tenant)) } else { Err(StoreError::Exists) }
+        let ours = !entered
+            && again
+            && self
+                .read(&tenant.name)
+                .is_ok_and(|found| text_of(&found) == text);
+        if entered || ours {
+            Ok(self.keep(tenant))
+        } else {
+            Err(StoreError::Exists)
+        }
     }
 
     /// Changes a record; of two changes at once at two balancers, the later one holds.
-    pub fn change(&self, name: &str, change: impl FnOnce(&mut Tenant)) -> Result<Arc<Tenant>, StoreError> {
+    pub fn change(
+        &self,
+        name: &str,
+        change: impl FnOnce(&mut Tenant),
+    ) -> Result<Arc<Tenant>, StoreError> {
         // The copy stays meanwhile: it serves on if the store is away.
         let mut tenant = self.read(name)?;
         change(&mut tenant);
-        self.store.call(|store| store.hset::<_, _, _, ()>(RECORDS, name, text_of(&tenant)))?;
+        self.store
+            .call(|store| store.hset::<_, _, _, ()>(RECORDS, name, text_of(&tenant)))?;
         Ok(self.keep(tenant))
     }
 
     /// Removes a tenant. Its standing connections go on; it gets no new ones.
     pub fn remove(&self, name: &str) -> Result<(), StoreError> {
-        let Done { value: removed, again } =
-            self.store.attempt(|store| store.hdel::<_, _, usize>(RECORDS, name))?;
+        let Done {
+            value: removed,
+            again,
+        } = self
+            .store
+            .attempt(|store| store.hdel::<_, _, usize>(RECORDS, name))?;
         self.forget(name);
         // A first attempt, whose answer did not come, may have removed it.
-        if removed == 0 && !again { Err(StoreError::Missing) } else { Ok(()) }
+        if removed == 0 && !again {
+            Err(StoreError::Missing)
+        } else {
+            Ok(())
+        }
     }
 
     /// Open connections of each tenant that has any.
@@ -257,7 +307,10 @@
 
     fn keep(&self, tenant: Tenant) -> Arc<Tenant> {
         let tenant = Arc::new(tenant);
-        let copy = Copy { tenant: Arc::clone(&tenant), read_at: Instant::now() };
+        let copy = Copy {
+            tenant: Arc::clone(&tenant),
+            read_at: Instant::now(),
+        };
         lock(&self.copies).insert(tenant.name.clone(), copy);
         tenant
     }
@@ -269,7 +322,11 @@
 
     fn proves(&self, tenant: &Tenant, password: &str) -> bool {
         let mut digest = Sha256::new();
-        for part in [&self.pepper[..], tenant.secret.as_bytes(), password.as_bytes()] {
+        for part in [
+            &self.pepper[..],
+            tenant.secret.as_bytes(),
+            password.as_bytes(),
+        ] {
             digest.update((part.len() as u64).to_be_bytes());
             digest.update(part);
         }
@@ -278,7 +335,11 @@
             return true;
         }
         let (answer, answered) = bounded(1);
-        let claim = Claim { password: password.to_owned(), hash: tenant.secret.clone(), answer };
+        let claim = Claim {
+            password: password.to_owned(),
+            hash: tenant.secret.clone(),
+            answer,
+        };
         let proven = self.hashing.send(claim).is_ok() && answered.recv().unwrap_or(false);
         if proven {
             lock(&self.proven).insert(tenant.name.clone(), digest);
@@ -306,12 +367,17 @@
 /// The hash of a password, for a record.
 pub fn hash(password: &str) -> Result<String, argon2::password_hash::Error> {
     let salt = SaltString::generate(&mut OsRng);
-    Ok(hasher().hash_password(password.as_bytes(), &salt)?.to_string())
+    Ok(hasher()
+        .hash_password(password.as_bytes(), &salt)?
+        .to_string())
 }
 
 /// Whether the store answered that it takes no writing.
 fn takes_nothing(error: &RedisError) -> bool {
-    matches!(error.code(), Some("OOM" | "READONLY" | "MISCONF" | "NOREPLICAS"))
+    matches!(
+        error.code(),
+        Some("OOM" | "READONLY" | "MISCONF" | "NOREPLICAS")
+    )
 }
 
 struct Store {
@@ -339,7 +405,10 @@
 
     /// Makes a call on the one connection, which is opened as needed. A connection that broke since the last call
     /// is opened anew once, as a store that restarted breaks it.
-    fn attempt<T>(&self, run: impl Fn(&mut Connection) -> RedisResult<T>) -> Result<Done<T>, StoreError> {
+    fn attempt<T>(
+        &self,
+        run: impl Fn(&mut Connection) -> RedisResult<T>,
+    ) -> Result<Done<T>, StoreError> {
         let mut state = lock(&self.state);
         if state.away_until.is_some_and(|until| Instant::now() < until) {
             return Err(StoreError::Away);
--- a/balancer/src/front/platform.rs
+++ b/balancer/src/front/platform.rs
@@ -30,18 +30,31 @@
 const SILENCE: Duration = Duration::from_secs(3);
 
 /// The question for a server's load, and what is made of the answer.
-pub const LOAD: Question = Question { words: b"STATS\r\n", read: load_of };
+pub const LOAD: Question = Question {
+    words: b"STATS\r\n",
+    read: load_of,
+};
 
 /// `PONG` and a report, of which only the load is read; other fields may be there or be spoilt.
 fn load_of(line: &[u8]) -> LoadAnswer {
     let Some(report) = line.strip_prefix(b"PONG") else {
         // Where probes are not allowed after all, nothing may be made of that.
-        return if line == b"NO" { LoadAnswer::Nothing } else { LoadAnswer::Trouble };
+        return if line == b"NO" {
+            LoadAnswer::Nothing
+        } else {
+            LoadAnswer::Trouble
+        };
     };
-    let fields = std::str::from_utf8(report).unwrap_or_default().trim_start().split(',');
-    let load = fields.filter_map(|field| field.strip_prefix("x0=")).find_map(|value| value.parse().ok());
+    let fields = std::str::from_utf8(report)
+        .unwrap_or_default()
+        .trim_start()
+        .split(',');
+    let load = fields
+        .filter_map(|field| field.strip_prefix("x0="))
+        .find_map(|value| value.parse().ok());
     let sound = |load: &f64| load.is_finite() && *load >= 0.0;
-    load.filter(sound).map_or(LoadAnswer::Nothing, LoadAnswer::Load)
+    load.filter(sound)
+        .map_or(LoadAnswer::Nothing, LoadAnswer::Load)
 }
 
 /// The front of the platform's protocol.
@@ -63,14 +76,23 @@
 impl OpenId {
     fn take(id: &str, open: &OpenIds) -> Option<OpenId> {
         // A set of texts is sound at every moment, whoever panicked.
-        let is_new = open.lock().unwrap_or_else(PoisonError::into_inner).insert(id.to_owned());
-        is_new.then(|| OpenId { id: id.to_owned(), open: Arc::clone(open) })
+        let is_new = open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(id.to_owned());
+        is_new.then(|| OpenId {
+            id: id.to_owned(),
+            open: Arc::clone(open),
+        })
     }
 }
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
+        self.open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&self.id);
     }
 }
 
@@ -85,18 +107,26 @@
 impl Platform {
     /// A front for a site.
     pub fn new(settings: SharedSettings) -> Platform {
-        Platform { settings, open: OpenIds::default() }
+        Platform {
+            settings,
+            open: OpenIds::default(),
+        }
     }
 
     /// Reads an opening line in place. Guards against lines that no client sends in this form: an application
     /// server answers them `SYNTAX`. A name that is not known may be a further figure, and goes on unchanged.
     fn read(&self, line: &[u8], now: u64) -> Result<(Opening, Greeting), &'static str> {
         let text = std::str::from_utf8(line).map_err(|_| "not text")?;
-        if text.bytes().any(|byte| !(byte == b' ' || byte.is_ascii_graphic())) {
+        if text
+            .bytes()
+            .any(|byte| !(byte == b' ' || byte.is_ascii_graphic()))
+        {
             return Err("not text");
         }
         let words: Vec<&str> = text.split(' ').collect();
-        let ["OPEN", id, key, list] = words[..] else { return Err("not an opening") };
+        let ["OPEN", id, key, list] = words[..] else {
+            return Err("not an opening");
+        };
         let named = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
         let is_id = named(id) && id.bytes().all(|byte| byte.is_ascii_alphanumeric());
         if !is_id || !named(key) || key.contains(['=', ',']) {
@@ -122,14 +152,21 @@
                 "t" => tenant = Some(value),
                 "d" => {
                     let digits = value.bytes().all(|byte| byte.is_ascii_digit());
-                    let millis = value.parse().ok().filter(|_| digits).map(Duration::from_millis);
+                    let millis = value
+                        .parse()
+                        .ok()
+                        .filter(|_| digits)
+                        .map(Duration::from_millis);
                     let millis = millis.ok_or("no time to wait")?;
                     let start = value.as_ptr() as usize - text.as_ptr() as usize;
                     wait = Some((millis, start..start + value.len()));
                 }
                 "g" => group = Some(digest(value)),
                 "h" => {
-                    let guess = value.parse().ok().filter(|load: &f64| load.is_finite() && *load >= 0.0);
+                    let guess = value
+                        .parse()
+                        .ok()
+                        .filter(|load: &f64| load.is_finite() && *load >= 0.0);
                     load = Some(guess.ok_or("no load")?);
                 }
                 "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
@@ -142,7 +179,11 @@
         let class = class.ok_or("no class")?;
         // A client of a class waits no longer than the settings say; one whose connection stood before the start
         // names a time without an end.
-        let patience = if held_by.is_some() { patience } else { patience.min(settings.patience(class)) };
+        let patience = if held_by.is_some() {
+            patience
+        } else {
+            patience.min(settings.patience(class))
+        };
         // Last, so that nothing refused takes an id.
         let id = OpenId::take(id, &self.open).ok_or("the id of an open request")?;
         let opening = Opening {
@@ -159,7 +200,14 @@
             patience,
             held_by,
         };
-        Ok((opening, Greeting { line: line.to_vec(), wait, _id: id }))
+        Ok((
+            opening,
+            Greeting {
+                line: line.to_vec(),
+                wait,
+                _id: id,
+            },
+        ))
     }
 }
 
@@ -226,8 +274,15 @@
     }
 
     fn pass(&self, asking: &mut Asking<'_>, greeting: &Greeting) -> Result<Vec<u8>, PassError> {
-        let wait = asking.until().saturating_duration_since(Instant::now()).as_millis().to_string();
-        let (before, after) = (&greeting.line[..greeting.wait.start], &greeting.line[greeting.wait.end..]);
+        let wait = asking
+            .until()
+            .saturating_duration_since(Instant::now())
+            .as_millis()
+            .to_string();
+        let (before, after) = (
+            &greeting.line[..greeting.wait.start],
+            &greeting.line[greeting.wait.end..],
+        );
         asking.head(&[before, wait.as_bytes(), after, b"\r\n"])?;
         let line = asking.line(PassError::Written)?;
         // Guards against an answer that no line of this wire can hold, with or without its beginning.
@@ -251,14 +306,19 @@
     fn say(&self, word: Word) -> Vec<u8> {
         match word {
             Word::Unavailable(None) => b"BUSY\r\n".to_vec(),
-            Word::Unavailable(Some(after)) => format!("BUSY {}\r\n", after.as_millis()).into_bytes(),
+            Word::Unavailable(Some(after)) => {
+                format!("BUSY {}\r\n", after.as_millis()).into_bytes()
+            }
             Word::Failed => b"ERR\r\n".to_vec(),
             Word::Move => b"MOVE\r\n".to_vec(),
         }
     }
 
     fn client_framer(&self) -> Box<dyn Framer> {
-        Box::new(Lines { by_client: true, ..Lines::default() })
+        Box::new(Lines {
+            by_client: true,
+            ..Lines::default()
+        })
     }
 
     fn server_framer(&self) -> Box<dyn Framer> {
@@ -288,8 +348,9 @@
         if self.by_client {
             return Seen::Asked;
         }
-        let load =
-            line.strip_prefix(b"LOAD ").and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
+        let load = line
+            .strip_prefix(b"LOAD ")
+            .and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
         match line {
             b"BYE" => Seen::Goodbye,
             b"MOVE" => Seen::SentAway,
@@ -299,8 +360,15 @@
 }
 
 impl Framer for Lines {
-    fn follow(&mut self, bytes: &[u8], seen: &mut dyn FnMut(Seen) -> bool) -> Result<Followed, FrameFault> {
-        let mut followed = Followed { consumed: bytes.len(), ..Followed::default() };
+    fn follow(
+        &mut self,
+        bytes: &[u8],
+        seen: &mut dyn FnMut(Seen) -> bool,
+    ) -> Result<Followed, FrameFault> {
+        let mut followed = Followed {
+            consumed: bytes.len(),
+            ..Followed::default()
+        };
         let mut rest = bytes;
         while !rest.is_empty() {
             let end = rest.iter().position(|byte| *byte == b'\n').map(|at| at + 1);
--- a/balancer/src/front/platform/tests.rs
+++ b/balancer/src/front/platform/tests.rs
@@ -11,7 +11,10 @@
             all.push(seen);
             true
         };
-        lines.follow(bytes, &mut seen).expect("short lines").boundary
+        lines
+            .follow(bytes, &mut seen)
+            .expect("short lines")
+            .boundary
     };
     assert_eq!(follow(b"LOAD 12"), None);
     assert_eq!(follow(b".5\r\nBY"), Some(4));
--- a/balancer/src/handover.rs
+++ b/balancer/src/handover.rs
@@ -14,8 +14,8 @@
 
 use rustix::net::sockopt::socket_peercred;
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 use socket2::{Domain, SockAddr, Socket, Type};
 use tracing::{info, warn};
@@ -48,7 +48,10 @@
 impl Place {
     /// The place of the balancer of that name in a folder that all its processes see.
     pub fn of(folder: &Path, name: &str) -> Place {
-        Place(folder.join(format!("handover-{:016x}", beaconflow_settings::digest(name))))
+        Place(folder.join(format!(
+            "handover-{:016x}",
+            beaconflow_settings::digest(name)
+        )))
     }
 
     /// Takes what is given here from now on, each giver's on a thread of its own.
@@ -82,7 +85,10 @@
             Ok(()) => {}
             // What is left of a process that is gone, or of none.
             Err(error)
-                if matches!(error.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound) =>
+                if matches!(
+                    error.kind(),
+                    io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound
+                ) =>
             {
                 return Ok(None);
             }
@@ -102,21 +108,32 @@
 impl Giver {
     /// Gives a connection away. Its sockets are the other's from then on: here they may only be closed. One that would
     /// block is to be given later: some hundreds may be on their way at once.
-    pub fn give(&self, (client, server): (&TcpStream, &TcpStream), at: &str, line: &[u8]) -> io::Result<()> {
+    pub fn give(
+        &self,
+        (client, server): (&TcpStream, &TcpStream),
+        at: &str,
+        line: &[u8],
+    ) -> io::Result<()> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut with = SendAncillaryBuffer::new(&mut space);
         let sockets = [client.as_fd(), server.as_fd()];
         if !with.push(SendAncillaryMessage::ScmRights(&sockets)) {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        let parts = [IoSlice::new(at.as_bytes()), IoSlice::new(b"\n"), IoSlice::new(line)];
+        let parts = [
+            IoSlice::new(at.as_bytes()),
+            IoSlice::new(b"\n"),
+            IoSlice::new(line),
+        ];
         sendmsg(&self.0, &parts, &mut with, SendFlags::NOSIGNAL)?;
         Ok(())
     }
 }
 
 fn thread() -> std::thread::Builder {
-    std::thread::Builder::new().name("handover".into()).stack_size(net::STACK)
+    std::thread::Builder::new()
+        .name("handover".into())
+        .stack_size(net::STACK)
 }
 
 /// Accepts whoever gives, for as long as the program runs. Guards against a lack of descriptors in the wrong moment: a
@@ -158,7 +175,12 @@
     let mut bytes = vec![0; LONGEST];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut with = RecvAncillaryBuffer::new(&mut space);
-    let got = recvmsg(giver, &mut [IoSliceMut::new(&mut bytes)], &mut with, RecvFlags::CMSG_CLOEXEC)?;
+    let got = recvmsg(
+        giver,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut with,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     let mut sockets: Vec<OwnedFd> = Vec::new();
     for message in with.drain() {
         if let RecvAncillaryMessage::ScmRights(given) = message {
@@ -170,11 +192,19 @@
     }
     bytes.truncate(got.bytes);
     let fault = || io::Error::from(io::ErrorKind::InvalidData);
-    let end = bytes.iter().position(|byte| *byte == b'\n').ok_or_else(fault)?;
+    let end = bytes
+        .iter()
+        .position(|byte| *byte == b'\n')
+        .ok_or_else(fault)?;
     let at = String::from_utf8(bytes[..end].to_vec()).map_err(|_| fault())?;
     let [client, server] = <[OwnedFd; 2]>::try_from(sockets).map_err(|_| fault())?;
     let (client, server) = (TcpStream::from(client), TcpStream::from(server));
-    Ok(Some(Given { client, server, at, line: bytes[end + 1..].to_vec() }))
+    Ok(Some(Given {
+        client,
+        server,
+        at,
+        line: bytes[end + 1..].to_vec(),
+    }))
 }
 
 #[cfg(test)]
--- a/balancer/src/http.rs
+++ b/balancer/src/http.rs
@@ -44,7 +44,11 @@
 impl Reply {
     /// An answer.
     pub fn new(status: u16, body: Value) -> Reply {
-        Reply { status, headers: Vec::new(), body }
+        Reply {
+            status,
+            headers: Vec::new(),
+            body,
+        }
     }
 
     /// An answer that says what is wrong.
@@ -70,7 +74,9 @@
 impl From<ReadError> for Unread {
     fn from(error: ReadError) -> Unread {
         match error {
-            ReadError::TimedOut => Unread::Refused(Reply::error(408, "the request did not come in time")),
+            ReadError::TimedOut => {
+                Unread::Refused(Reply::error(408, "the request did not come in time"))
+            }
             ReadError::TooLong => Unread::Refused(Reply::error(431, "the head is too long")),
             ReadError::Ended | ReadError::Broken(_) => Unread::Gone,
         }
@@ -88,7 +94,11 @@
 impl Incoming {
     /// Nothing has come yet; so much is kept of a head, and so much of a body.
     pub fn new((head, body): (usize, usize)) -> Incoming {
-        Incoming { intake: Intake::new(head), most_body: body, head: None }
+        Incoming {
+            intake: Intake::new(head),
+            most_body: body,
+            head: None,
+        }
     }
 
     /// Reads on once, until the deadline at the latest.
@@ -99,7 +109,9 @@
     /// The request, if it is whole.
     pub fn whole(&mut self) -> Result<Option<Request>, Unread> {
         if self.head.is_none() {
-            let Some((request, head, length)) = parse_head(self.intake.bytes())? else { return Ok(None) };
+            let Some((request, head, length)) = parse_head(self.intake.bytes())? else {
+                return Ok(None);
+            };
             if length > self.most_body {
                 return Err(Unread::Refused(Reply::error(413, "the body is too long")));
             }
@@ -146,7 +158,10 @@
         Err(_) => return Err(refuse(400, "not an HTTP request")),
     };
     let header = |name: &str| {
-        let found = parsed.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+        let found = parsed
+            .headers
+            .iter()
+            .find(|header| header.name.eq_ignore_ascii_case(name));
         found.and_then(|header| std::str::from_utf8(header.value).ok())
     };
     if header("transfer-encoding").is_some() {
@@ -160,7 +175,9 @@
     let request = Request {
         method: parsed.method.unwrap_or_default().to_owned(),
         path: parsed.path.unwrap_or_default().to_owned(),
-        token: header("authorization").and_then(|value| value.strip_prefix("Bearer ")).map(str::to_owned),
+        token: header("authorization")
+            .and_then(|value| value.strip_prefix("Bearer "))
+            .map(str::to_owned),
         if_match: header("if-match").map(str::to_owned),
         idempotency_key: header("idempotency-key").map(str::to_owned),
         body: Vec::new(),
@@ -195,10 +212,21 @@
 impl Reply {
     /// The answer as it is written.
     pub fn bytes(&self) -> Vec<u8> {
-        let body = if self.body.is_null() { String::new() } else { self.body.to_string() };
-        let mut text = format!("HTTP/1.1 {} {}\r\nConnection: close\r\n", self.status, reason(self.status));
+        let body = if self.body.is_null() {
+            String::new()
+        } else {
+            self.body.to_string()
+        };
+        let mut text = format!(
+            "HTTP/1.1 {} {}\r\nConnection: close\r\n",
+            self.status,
+            reason(self.status)
+        );
         if self.status != 204 {
-            text.push_str(&format!("Content-Type: application/json\r\nContent-Length: {}\r\n", body.len()));
+            text.push_str(&format!(
+                "Content-Type: application/json\r\nContent-Length: {}\r\n",
+                body.len()
+            ));
         }
         if self.status == 401 {
             text.push_str("WWW-Authenticate: Bearer\r\n");
@@ -215,7 +243,11 @@
 /// Writes an answer and ends the connection.
 pub fn write(client: &TcpStream, reply: &Reply) {
     // A peer that is gone needs no answer.
-    let _ = net::write_until(client, &[&reply.bytes()], Instant::now() + net::WRITE_PATIENCE);
+    let _ = net::write_until(
+        client,
+        &[&reply.bytes()],
+        Instant::now() + net::WRITE_PATIENCE,
+    );
     net::finish(client);
     net::drain(client, LAST_WORD);
 }
--- a/balancer/src/inherited.rs
+++ b/balancer/src/inherited.rs
@@ -16,7 +16,9 @@
 
 /// The inherited listener; nothing where none is named. To be called before there are threads.
 pub fn take() -> Result<Option<TcpListener>, String> {
-    let Ok(text) = std::env::var(VARIABLE) else { return Ok(None) };
+    let Ok(text) = std::env::var(VARIABLE) else {
+        return Ok(None);
+    };
     let fault = |why: String| format!("{VARIABLE}: {text:?}: {why}");
     let number: i32 = text
         .parse()
@@ -28,11 +30,16 @@
         let program = std::env::current_exe().map_err(|error| fault(error.to_string()))?;
         let mut again = Command::new(program);
         again.args(std::env::args_os().skip(1));
-        again.env("LISTEN_FDS", "1").env("LISTEN_FDS_FIRST_FD", number.to_string()).env("LISTEN_PID", own);
+        again
+            .env("LISTEN_FDS", "1")
+            .env("LISTEN_FDS_FIRST_FD", number.to_string())
+            .env("LISTEN_PID", own);
         // The process stays the same one: it is known by its number.
         return Err(fault(format!("starting anew: {}", again.exec())));
     }
-    let taken = ListenFd::from_env().take_tcp_listener(0).map_err(|error| fault(error.to_string()))?;
+    let taken = ListenFd::from_env()
+        .take_tcp_listener(0)
+        .map_err(|error| fault(error.to_string()))?;
     let listener = taken.ok_or_else(|| fault("not handed over".into()))?;
     match SockRef::from(&listener).is_listener() {
         Ok(true) => Ok(Some(listener)),
--- a/balancer/src/log.rs
+++ b/balancer/src/log.rs
@@ -50,7 +50,9 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut told = Told::default();
         event.record(&mut told);
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let level = match *event.metadata().level() {
             Level::ERROR => "error",
             Level::WARN => "warn",
@@ -89,8 +91,13 @@
     }
 
     fn text(&self, now: Duration, level: &str) -> String {
-        let mut line =
-            format!("{}.{:03} {level} {} {}", now.as_secs(), now.subsec_millis(), self.part, self.message);
+        let mut line = format!(
+            "{}.{:03} {level} {} {}",
+            now.as_secs(),
+            now.subsec_millis(),
+            self.part,
+            self.message
+        );
         for (name, value) in &self.fields {
             // Writing to a text does not fail.
             let _ = match value {
@@ -104,12 +111,19 @@
     fn json(self, now: Duration, level: &str) -> String {
         let mut line = Map::new();
         let time = humantime::format_rfc3339_millis(UNIX_EPOCH + now).to_string();
-        for (name, text) in
-            [("time", time), ("level", level.into()), ("part", self.part), ("message", self.message)]
-        {
+        for (name, text) in [
+            ("time", time),
+            ("level", level.into()),
+            ("part", self.part),
+            ("message", self.message),
+        ] {
             line.insert(name.into(), text.into());
         }
-        line.extend(self.fields.into_iter().map(|(name, value)| (name.to_owned(), value)));
+        line.extend(
+            self.fields
+                .into_iter()
+                .map(|(name, value)| (name.to_owned(), value)),
+        );
         Value::Object(line).to_string()
     }
 }
@@ -117,7 +131,9 @@
 /// Whether a text needs no quotes in a line: it has no space, quote or control character, and is not empty.
 fn is_plain(text: &str) -> bool {
     !text.is_empty()
-        && !text.chars().any(|letter| letter.is_whitespace() || letter.is_control() || letter == '"')
+        && !text
+            .chars()
+            .any(|letter| letter.is_whitespace() || letter.is_control() || letter == '"')
 }
 
 impl Visit for Told {
@@ -177,11 +193,17 @@
     /// Begins a new second once one is over, and tells what was left out in it.
     pub fn look(&self, part: &str) {
         let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if spell.begun.is_none_or(|begun| begun.elapsed() >= Duration::from_secs(1)) {
+        if spell
+            .begun
+            .is_none_or(|begun| begun.elapsed() >= Duration::from_secs(1))
+        {
             if spell.left_out > 0 {
                 warn!(part, left_out = spell.left_out, "more like these left out");
             }
-            *spell = Spell { begun: Some(Instant::now()), ..Spell::default() };
+            *spell = Spell {
+                begun: Some(Instant::now()),
+                ..Spell::default()
+            };
         }
     }
 }
@@ -219,7 +241,10 @@
             "1796129892.047 info audit override created id=7 who=ada why=\"a \\\"new\\\"\\nsupply\" forced=false none=\"\""
         );
         let json: Value = serde_json::from_str(&told().json(now, "info")).expect("JSON");
-        assert_eq!((json["id"].as_u64(), json["why"].as_str()), (Some(7), Some("a \"new\"\nsupply")));
+        assert_eq!(
+            (json["id"].as_u64(), json["why"].as_str()),
+            (Some(7), Some("a \"new\"\nsupply"))
+        );
         assert_eq!(json["time"], "2026-12-01T12:58:12.047Z");
     }
 }
