--- a/balancer/src/net.rs
+++ b/balancer/src/net.rs
@@ -66,7 +66,9 @@
 /// is wanted is left out: its end would cut every wait short.
 pub fn ready<const N: usize>(wants: [(&TcpStream, PollFlags); N], patience: Duration) -> [bool; N] {
     let wanted = wants.iter().filter(|(_, flags)| !flags.is_empty());
-    let mut asked: Vec<PollFd<'_>> = wanted.map(|(stream, flags)| PollFd::new(*stream, *flags)).collect();
+    let mut asked: Vec<PollFd<'_>> = wanted
+        .map(|(stream, flags)| PollFd::new(*stream, *flags))
+        .collect();
     let any = poll_for(&mut asked, patience);
     let mut told = asked.iter().map(|fd| any && !fd.revents().is_empty());
     wants.map(|(_, flags)| !flags.is_empty() && told.next().unwrap_or(false))
@@ -79,19 +81,35 @@
     patience: Duration,
 ) -> (bool, Vec<bool>) {
     let streams: Vec<Option<&TcpStream>> = streams.collect();
-    let mut asked: Vec<PollFd<'_>> =
-        listener.iter().map(|listener| PollFd::new(*listener, PollFlags::IN)).collect();
-    asked.extend(streams.iter().flatten().map(|stream| PollFd::new(*stream, PollFlags::IN)));
+    let mut asked: Vec<PollFd<'_>> = listener
+        .iter()
+        .map(|listener| PollFd::new(*listener, PollFlags::IN))
+        .collect();
+    asked.extend(
+        streams
+            .iter()
+            .flatten()
+            .map(|stream| PollFd::new(*stream, PollFlags::IN)),
+    );
     let any = poll_for(&mut asked, patience);
     let mut told = asked.iter().map(|fd| any && !fd.revents().is_empty());
     let clients = listener.is_some() && told.next().unwrap_or(false);
-    (clients, streams.iter().map(|stream| stream.is_some() && told.next().unwrap_or(false)).collect())
+    (
+        clients,
+        streams
+            .iter()
+            .map(|stream| stream.is_some() && told.next().unwrap_or(false))
+            .collect(),
+    )
 }
 
 /// Whether anything is ready. A wait that is cut short is as good as one that is over: whoever waits looks again.
 fn poll_for(asked: &mut [PollFd<'_>], patience: Duration) -> bool {
     let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
-    let until = Timespec { tv_sec: seconds, tv_nsec: patience.subsec_nanos().into() };
+    let until = Timespec {
+        tv_sec: seconds,
+        tv_nsec: patience.subsec_nanos().into(),
+    };
     poll(asked, Some(&until)).unwrap_or(0) > 0
 }
 
@@ -110,7 +128,10 @@
 
 /// Whether an error only says that a wait was over or cut short.
 pub fn is_wait(error: &io::Error) -> bool {
-    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
+    matches!(
+        error.kind(),
+        ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
+    )
 }
 
 /// Bytes read ahead from a peer that is still speaking its opening.
@@ -122,7 +143,10 @@
 impl Intake {
     /// Keeps `most` bytes.
     pub fn new(most: usize) -> Intake {
-        Intake { bytes: Vec::new(), most }
+        Intake {
+            bytes: Vec::new(),
+            most,
+        }
     }
 
     /// Keeps `most` bytes, of which some have been read.
@@ -220,7 +244,11 @@
 }
 
 /// The same, and waits for a peer that takes its time.
-pub fn write_until(to: &TcpStream, parts: &[&[u8]], until: Instant) -> Result<(), (usize, io::Error)> {
+pub fn write_until(
+    to: &TcpStream,
+    parts: &[&[u8]],
+    until: Instant,
+) -> Result<(), (usize, io::Error)> {
     let whole = parts.concat();
     let mut written = 0;
     loop {
@@ -228,7 +256,10 @@
             Ok(()) => return Ok(()),
             Err((count, error)) if is_wait(&error) && Instant::now() < until => {
                 written += count;
-                ready([(to, PollFlags::OUT)], until.saturating_duration_since(Instant::now()));
+                ready(
+                    [(to, PollFlags::OUT)],
+                    until.saturating_duration_since(Instant::now()),
+                );
             }
             Err((count, error)) => return Err((written + count, error)),
         }
@@ -309,7 +340,11 @@
     /// Goes on writing what was kept.
     pub fn flush(&mut self, to: &TcpStream) -> io::Result<()> {
         let kept = std::mem::take(&mut self.bytes);
-        if kept.is_empty() { Ok(()) } else { self.send(to, &[&kept]) }
+        if kept.is_empty() {
+            Ok(())
+        } else {
+            self.send(to, &[&kept])
+        }
     }
 }
 
--- a/balancer/src/operations.rs
+++ b/balancer/src/operations.rs
@@ -75,19 +75,35 @@
 }
 
 /// Sets the port up, over all cores of the program.
-pub fn listen(Listener { socket: listener, .. }: Listener, cores: Vec<Handle>) -> io::Result<Operations> {
+pub fn listen(
+    Listener {
+        socket: listener, ..
+    }: Listener,
+    cores: Vec<Handle>,
+) -> io::Result<Operations> {
     let poller = Poller::new()?;
     poller.watch(&listener, LISTENER, (EventFlags::empty(), EventFlags::IN))?;
     info!(part = "operations", on = %listener.local_addr()?, "serves");
     let callers = Vec::with_capacity(CALLERS);
-    Ok(Operations { listener, poller, cores, callers, next: LISTENER + 1, followed: unbounded() })
+    Ok(Operations {
+        listener,
+        poller,
+        cores,
+        callers,
+        next: LISTENER + 1,
+        followed: unbounded(),
+    })
 }
 
 impl Operations {
     /// Serves calls for as long as the program runs.
     pub fn run(mut self) {
         loop {
-            let patience = if self.callers.is_empty() { Duration::from_secs(60) } else { LOOK };
+            let patience = if self.callers.is_empty() {
+                Duration::from_secs(60)
+            } else {
+                LOOK
+            };
             let ready = self.poller.wait(patience);
             // Those that are here come before those that come: one whose call is there is answered, and not let go.
             for number in ready.iter().filter(|token| **token != LISTENER) {
@@ -101,8 +117,12 @@
                 });
             }
             let now = Instant::now();
-            let due: Vec<u64> =
-                self.callers.iter().filter(|caller| caller.is_due(now)).map(|caller| caller.number).collect();
+            let due: Vec<u64> = self
+                .callers
+                .iter()
+                .filter(|caller| caller.is_due(now))
+                .map(|caller| caller.number)
+                .collect();
             for number in due {
                 self.with(number, |_, caller| caller.time_is_up());
             }
@@ -160,7 +180,9 @@
             Phase::Waiting(_) => (2, caller.heard),
         };
         let first = (0..self.callers.len()).min_by_key(|at| rank(&self.callers[*at]));
-        let Some(mut caller) = first.map(|at| self.callers.swap_remove(at)) else { return };
+        let Some(mut caller) = first.map(|at| self.callers.swap_remove(at)) else {
+            return;
+        };
         if !matches!(caller.phase, Phase::Answered(_)) {
             caller.answer(&Reply::error(503, "too many callers at once"));
         }
@@ -169,11 +191,19 @@
 
     /// Does something with a caller, and watches what is wanted of it then.
     fn with(&mut self, number: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
-        let Some(at) = self.callers.iter().position(|caller| caller.number == number) else { return };
+        let Some(at) = self
+            .callers
+            .iter()
+            .position(|caller| caller.number == number)
+        else {
+            return;
+        };
         let mut caller = self.callers.swap_remove(at);
         act(self, &mut caller);
         let wanted = caller.wants();
-        let watched = self.poller.watch(&caller.stream, number, (caller.watched, wanted));
+        let watched = self
+            .poller
+            .watch(&caller.stream, number, (caller.watched, wanted));
         caller.watched = wanted;
         if watched.is_ok() && caller.phase != Phase::Over {
             return self.callers.push(caller);
@@ -189,7 +219,9 @@
                 }
             }
             // Until it is whole or nothing is left to be read: what a call may hold bounds this.
-            Phase::Calling(_) => while matches!(caller.phase, Phase::Calling(_)) && self.hear_on(caller) {},
+            Phase::Calling(_) => {
+                while matches!(caller.phase, Phase::Calling(_)) && self.hear_on(caller) {}
+            }
             Phase::Waiting(_) | Phase::Over => {}
         }
     }
@@ -229,7 +261,10 @@
         });
         for core in &self.cores {
             let told = Arc::clone(&told);
-            core.tell(Event::Told(word, Some(Told::new(move |followed| told.take(followed)))));
+            core.tell(Event::Told(
+                word,
+                Some(Told::new(move |followed| told.take(followed))),
+            ));
         }
     }
 
@@ -237,9 +272,16 @@
         let shown: Vec<_> = self.cores.iter().map(Handle::shown).collect();
         let ready = shown.iter().all(|shown| shown.is_ready());
         // That front whose state keeps the program from being ready, if one does.
-        let told = shown.iter().find(|shown| !shown.is_ready()).or_else(|| shown.first());
+        let told = shown
+            .iter()
+            .find(|shown| !shown.is_ready())
+            .or_else(|| shown.first());
         let state = told.map_or("starting", |shown| shown.state().name());
-        let core = if shown.iter().all(|shown| shown.works()) { "works" } else { "silent" };
+        let core = if shown.iter().all(|shown| shown.works()) {
+            "works"
+        } else {
+            "silent"
+        };
         let open: usize = self.cores.iter().map(Handle::connections).sum();
         let body = json!({ "ready": ready, "state": state, "core": core, "connections": open });
         Reply::new(if ready { 200 } else { 503 }, body)
@@ -278,7 +320,9 @@
 }
 
 fn peer(stream: &TcpStream) -> String {
-    stream.peer_addr().map_or_else(|_| "gone".into(), |peer| peer.to_string())
+    stream
+        .peer_addr()
+        .map_or_else(|_| "gone".into(), |peer| peer.to_string())
 }
 
 impl Caller {
@@ -297,7 +341,10 @@
     fn time_is_up(&mut self) {
         match self.phase {
             Phase::Calling(_) => self.answer(&Reply::error(408, "the call did not come in time")),
-            Phase::Waiting(_) => self.answer(&Reply::error(503, "not followed in time; ask for the status")),
+            Phase::Waiting(_) => self.answer(&Reply::error(
+                503,
+                "not followed in time; ask for the status",
+            )),
             Phase::Answered(_) | Phase::Over => self.phase = Phase::Over,
         }
     }
--- a/balancer/src/operator.rs
+++ b/balancer/src/operator.rs
@@ -125,21 +125,32 @@
     /// Reads a file, and refuses what would be unsafe to run with.
     pub fn read(path: &Path) -> Result<Operator, Faults> {
         let shown = path.display();
-        let text =
-            std::fs::read_to_string(path).map_err(|error| Faults(vec![format!("{shown}: {error}")]))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| Faults(vec![format!("{shown}: {error}")]))?;
         Operator::parse(&text).map_err(|Faults(faults)| {
-            Faults(faults.iter().map(|fault| format!("{shown}: {fault}")).collect())
+            Faults(
+                faults
+                    .iter()
+                    .map(|fault| format!("{shown}: {fault}"))
+                    .collect(),
+            )
         })
     }
 
     /// The same for a file's text.
     pub fn parse(text: &str) -> Result<Operator, Faults> {
         let table: Table = text.parse().map_err(|error: toml::de::Error| {
-            let line = error.span().map_or(1, |span| 1 + text[..span.start].matches('\n').count());
+            let line = error
+                .span()
+                .map_or(1, |span| 1 + text[..span.start].matches('\n').count());
             Faults(vec![format!("line {line}: not TOML")])
         })?;
         let faults = RefCell::new(Vec::new());
-        let mut file = Section { path: String::new(), table, faults: &faults };
+        let mut file = Section {
+            path: String::new(),
+            table,
+            faults: &faults,
+        };
         let operator = Operator {
             nats: nats(&mut file),
             admin: file.section("admin").and_then(admin),
@@ -150,7 +161,14 @@
         };
         file.end();
         let paths = (operator.overrides.file.as_ref(), operator.fleet.as_ref());
-        if let (Some(overrides), Some(Fleet { memory: Some(memory), .. })) = paths {
+        if let (
+            Some(overrides),
+            Some(Fleet {
+                memory: Some(memory),
+                ..
+            }),
+        ) = paths
+        {
             file.inner("memory", Table::new()).refuse(
                 "path",
                 *overrides == memory.path,
@@ -163,12 +181,18 @@
                 .push("admin: is missing; the NATS front's tenants are kept through it".into());
         }
         let faults = faults.into_inner();
-        if faults.is_empty() { Ok(operator) } else { Err(Faults(faults)) }
+        if faults.is_empty() {
+            Ok(operator)
+        } else {
+            Err(Faults(faults))
+        }
     }
 }
 
 fn nats(file: &mut Section<'_>) -> Option<Nats> {
-    let fields = ["name", "listen", "sockets", "wire", "store", "farm", "settings"];
+    let fields = [
+        "name", "listen", "sockets", "wire", "store", "farm", "settings",
+    ];
     if !fields.iter().any(|field| file.table.contains_key(*field)) {
         return None;
     }
@@ -191,7 +215,13 @@
 fn settings(file: &mut Section<'_>) -> Option<Setup> {
     let value: serde_json::Value = file.need("settings")?;
     let read = Setup::read("settings", &value);
-    read.map_err(|faults| faults.0.iter().for_each(|fault| file.fault(&fault.path, &fault.why))).ok()
+    read.map_err(|faults| {
+        faults
+            .0
+            .iter()
+            .for_each(|fault| file.fault(&fault.path, &fault.why))
+    })
+    .ok()
 }
 
 fn wire(mut section: Section<'_>) -> Wire {
@@ -204,18 +234,27 @@
         silence_ms: section.or("silence_ms", usual.silence_ms),
         store_retry_ms: section.or("store_retry_ms", usual.store_retry_ms),
     };
-    section.refuse("most_early", wire.most_early < LONGEST_LINE, "does not hold a control line");
+    section.refuse(
+        "most_early",
+        wire.most_early < LONGEST_LINE,
+        "does not hold a control line",
+    );
     section.end();
     wire
 }
 
 fn store(mut section: Section<'_>) -> Option<Store> {
     let url: Option<String> = section.need("url");
-    let bad = url.as_deref().is_some_and(|url| redis::Client::open(url).is_err());
+    let bad = url
+        .as_deref()
+        .is_some_and(|url| redis::Client::open(url).is_err());
     section.refuse("url", bad, "redis://HOST:PORT/DB");
     let fresh_ms = section.or("fresh_ms", 5_000);
     section.end();
-    Some(Store { url: url?, fresh_ms })
+    Some(Store {
+        url: url?,
+        fresh_ms,
+    })
 }
 
 fn admin(mut section: Section<'_>) -> Option<Admin> {
@@ -229,7 +268,10 @@
         "is the sample's or shorter than 16 characters",
     );
     section.end();
-    Some(Admin { listen: listen?, token: token? })
+    Some(Admin {
+        listen: listen?,
+        token: token?,
+    })
 }
 
 fn farm(mut section: Section<'_>) -> Option<FarmSource> {
@@ -243,8 +285,9 @@
     } else {
         let servers: Option<Vec<Table>> = section.need("servers");
         let named = servers.into_iter().flatten().enumerate();
-        let read: Vec<Option<FixedServer>> =
-            named.map(|(at, table)| server(section.inner(&format!("servers[{at}]"), table))).collect();
+        let read: Vec<Option<FixedServer>> = named
+            .map(|(at, table)| server(section.inner(&format!("servers[{at}]"), table)))
+            .collect();
         let servers: Option<Vec<FixedServer>> = read.into_iter().collect();
         servers.map(FarmSource::Servers)
     };
@@ -255,23 +298,47 @@
 fn server(mut section: Section<'_>) -> Option<FixedServer> {
     let (name, address) = (section.need("name"), section.need("address"));
     let (zone, weight) = (section.or("zone", String::new()), section.or("weight", 1.0));
-    section.refuse("weight", !(weight > 0.0 && f64::is_finite(weight)), "more than 0");
+    section.refuse(
+        "weight",
+        !(weight > 0.0 && f64::is_finite(weight)),
+        "more than 0",
+    );
     section.end();
-    Some(FixedServer { name: name?, address: address?, zone, weight })
+    Some(FixedServer {
+        name: name?,
+        address: address?,
+        zone,
+        weight,
+    })
 }
 
 fn overrides(mut section: Section<'_>) -> overrides::Config {
     let usual = OverrideLimits::default();
-    let file: Option<PathBuf> = section.table.contains_key("file").then(|| section.need("file")).flatten();
+    let file: Option<PathBuf> = section
+        .table
+        .contains_key("file")
+        .then(|| section.need("file"))
+        .flatten();
     let longest_s: u64 = section.or("longest_s", usual.longest / 1_000);
     let most = section.or("most", usual.most);
     let ramp_s: f64 = section.or("ramp_s", usual.ramp as f64 / 1e3);
-    section.refuse("longest_s", !(1..=MOST_LONGEST_S).contains(&longest_s), "from 1 s to ten years");
+    section.refuse(
+        "longest_s",
+        !(1..=MOST_LONGEST_S).contains(&longest_s),
+        "from 1 s to ten years",
+    );
     section.refuse("most", most == 0, "at least 1");
-    section.refuse("ramp_s", !(0.0..=3_600.0).contains(&ramp_s), "from 0 to 3600");
+    section.refuse(
+        "ramp_s",
+        !(0.0..=3_600.0).contains(&ramp_s),
+        "from 0 to 3600",
+    );
     section.end();
-    let limits =
-        OverrideLimits { longest: longest_s.saturating_mul(1_000), most, ramp: (ramp_s * 1e3) as u64 };
+    let limits = OverrideLimits {
+        longest: longest_s.saturating_mul(1_000),
+        most,
+        ramp: (ramp_s * 1e3) as u64,
+    };
     overrides::Config { file, limits }
 }
 
@@ -279,19 +346,33 @@
     let usual = DoorConfig::default();
     let mut bound = |name: &str, usual: Bound| {
         let (entries, bytes) = (format!("{name}entries"), format!("{name}bytes"));
-        let bound =
-            Bound { entries: section.or(&entries, usual.entries), bytes: section.or(&bytes, usual.bytes) };
+        let bound = Bound {
+            entries: section.or(&entries, usual.entries),
+            bytes: section.or(&bytes, usual.bytes),
+        };
         section.refuse(&entries, bound.entries == 0, "at least 1");
         section.refuse(&bytes, bound.bytes < LEAST_BYTES, "at least 4096");
         bound
     };
     let all = bound("", usual.limits.all);
     let account = bound("account_", all);
-    let queue =
-        bound("queue_", Bound { entries: account.entries.min(usual.limits.queue.entries), ..account });
-    let (queues, hand) = (section.or("queues", usual.limits.queues), section.or("hand", usual.limits.hand));
+    let queue = bound(
+        "queue_",
+        Bound {
+            entries: account.entries.min(usual.limits.queue.entries),
+            ..account
+        },
+    );
+    let (queues, hand) = (
+        section.or("queues", usual.limits.queues),
+        section.or("hand", usual.limits.hand),
+    );
     section.refuse("queues", !(1..=1_024).contains(&queues), "from 1 to 1024");
-    section.refuse("hand", !(1..=queues.min(16)).contains(&hand), "from 1 to 16 and to queues");
+    section.refuse(
+        "hand",
+        !(1..=queues.min(16)).contains(&hand),
+        "from 1 to 16 and to queues",
+    );
     let over_share_s: f64 = section.or("over_share_s", usual.over_share.as_secs_f64());
     let span_is_bad = !(1.0..=86_400.0).contains(&over_share_s);
     section.refuse("over_share_s", span_is_bad, "from 1 to 86400");
@@ -307,17 +388,35 @@
     }
     section.end();
     DoorConfig {
-        limits: Limits { all, account, queue, queues, hand },
+        limits: Limits {
+            all,
+            account,
+            queue,
+            queues,
+            hand,
+        },
         shares,
-        over_share: if span_is_bad { usual.over_share } else { Duration::from_secs_f64(over_share_s) },
+        over_share: if span_is_bad {
+            usual.over_share
+        } else {
+            Duration::from_secs_f64(over_share_s)
+        },
     }
 }
 
 fn log(mut section: Section<'_>) -> Form {
     let form: String = section.or("form", "text".to_owned());
-    section.refuse("form", !matches!(form.as_str(), "text" | "json"), "text or json");
+    section.refuse(
+        "form",
+        !matches!(form.as_str(), "text" | "json"),
+        "text or json",
+    );
     section.end();
-    if form == "json" { Form::Json } else { Form::Text }
+    if form == "json" {
+        Form::Json
+    } else {
+        Form::Text
+    }
 }
 
 /// A table of the file, from which fields are taken one after the other.
@@ -329,11 +428,17 @@
 
 impl<'f> Section<'f> {
     fn named(&self, field: &str) -> String {
-        if self.path.is_empty() { field.to_owned() } else { format!("{}.{field}", self.path) }
+        if self.path.is_empty() {
+            field.to_owned()
+        } else {
+            format!("{}.{field}", self.path)
+        }
     }
 
     fn fault(&self, field: &str, why: &str) {
-        self.faults.borrow_mut().push(format!("{}: {why}", self.named(field)));
+        self.faults
+            .borrow_mut()
+            .push(format!("{}: {why}", self.named(field)));
     }
 
     fn refuse(&self, field: &str, bad: bool, why: &str) {
@@ -343,7 +448,11 @@
     }
 
     fn inner(&self, name: &str, table: Table) -> Section<'f> {
-        Section { path: self.named(name), table, faults: self.faults }
+        Section {
+            path: self.named(name),
+            table,
+            faults: self.faults,
+        }
     }
 
     /// A field that has to be there.
@@ -378,7 +487,10 @@
     }
 
     fn section(&mut self, field: &str) -> Option<Section<'f>> {
-        let table: Table = self.table.remove(field).and_then(|value| self.read(field, value))?;
+        let table: Table = self
+            .table
+            .remove(field)
+            .and_then(|value| self.read(field, value))?;
         Some(self.inner(field, table))
     }
 
@@ -398,7 +510,9 @@
 impl FarmSource {
     /// The servers that stand in the file; none where discovery is asked.
     pub fn list(&self, generation: u64) -> List {
-        let FarmSource::Servers(servers) = self else { return List::default() };
+        let FarmSource::Servers(servers) = self else {
+            return List::default();
+        };
         let listed = |server: &FixedServer| Listed {
             machine_type: String::new(),
             instance_id: server.name.clone(),
@@ -409,6 +523,10 @@
             weight: server.weight,
             started_at_ms: 0,
         };
-        List { generation, reset: true, instances: servers.iter().map(listed).collect() }
+        List {
+            generation,
+            reset: true,
+            instances: servers.iter().map(listed).collect(),
+        }
     }
 }
--- a/balancer/src/operator/fleet.rs
+++ b/balancer/src/operator/fleet.rs
@@ -99,22 +99,41 @@
 impl Default for Edge {
     fn default() -> Edge {
         let hours = |count: u64| Duration::from_secs(count * 3_600);
-        Edge { on: true, patience: Duration::from_secs(5), trust: hours(24), word: EdgeWord::Automatic }
+        Edge {
+            on: true,
+            patience: Duration::from_secs(5),
+            trust: hours(24),
+            word: EdgeWord::Automatic,
+        }
     }
 }
 
 impl Default for Affinity {
     fn default() -> Affinity {
-        Affinity { on: true, most: 1_000_000, keep: Duration::from_secs(900), serial: 1 }
+        Affinity {
+            on: true,
+            most: 1_000_000,
+            keep: Duration::from_secs(900),
+            serial: 1,
+        }
     }
 }
 
 /// Reads the four sections. The three others have no meaning without the first.
 pub(super) fn fleet(file: &mut Section<'_>) -> Option<Fleet> {
     let section = file.section("fleet");
-    let alone = section.is_none() && file.faults.borrow().iter().all(|fault| !fault.starts_with("fleet"));
+    let alone = section.is_none()
+        && file
+            .faults
+            .borrow()
+            .iter()
+            .all(|fault| !fault.starts_with("fleet"));
     for other in ["memory", "edge", "affinity"] {
-        file.refuse(other, alone && file.table.contains_key(other), "has no meaning without [fleet]");
+        file.refuse(
+            other,
+            alone && file.table.contains_key(other),
+            "has no meaning without [fleet]",
+        );
     }
     let memory = file.section("memory");
     let asks_for_memory = memory.is_some();
@@ -122,48 +141,109 @@
     let edge = file.section("edge").map(edge).unwrap_or_default();
     let affinity = file.section("affinity").map(affinity).unwrap_or_default();
     let fleet = processes(section?)?;
-    (memory.is_some() == asks_for_memory).then_some(Fleet { memory, edge, affinity, ..fleet })
+    (memory.is_some() == asks_for_memory).then_some(Fleet {
+        memory,
+        edge,
+        affinity,
+        ..fleet
+    })
 }
 
 fn processes(mut section: Section<'_>) -> Option<Fleet> {
     let name = named(&mut section, "name", LONGEST_NAME);
     let site = named(&mut section, "site", LONGEST_SITE);
     let listen = section.need("listen");
-    let advertise: Option<SocketAddr> =
-        section.table.contains_key("advertise").then(|| section.need("advertise")).flatten();
+    let advertise: Option<SocketAddr> = section
+        .table
+        .contains_key("advertise")
+        .then(|| section.need("advertise"))
+        .flatten();
     let peers: Option<Vec<SocketAddr>> = section.need("peers");
     let open = |at: &SocketAddr| !at.ip().is_loopback();
-    section.refuse("listen", listen.as_ref().is_some_and(open), "is not a loopback address");
+    section.refuse(
+        "listen",
+        listen.as_ref().is_some_and(open),
+        "is not a loopback address",
+    );
     let no_port = |at: &SocketAddr| at.port() == 0;
-    section.refuse("listen", listen.as_ref().is_some_and(no_port), "needs a port that the others are told");
-    section.refuse("advertise", advertise.as_ref().is_some_and(open), "is not a loopback address");
-    section.refuse("advertise", advertise.as_ref().is_some_and(no_port), "needs a port");
+    section.refuse(
+        "listen",
+        listen.as_ref().is_some_and(no_port),
+        "needs a port that the others are told",
+    );
+    section.refuse(
+        "advertise",
+        advertise.as_ref().is_some_and(open),
+        "is not a loopback address",
+    );
+    section.refuse(
+        "advertise",
+        advertise.as_ref().is_some_and(no_port),
+        "needs a port",
+    );
     for (at, peer) in (0..).zip(peers.iter().flatten()) {
-        section.refuse(&format!("peers[{at}]"), open(peer), "is not a loopback address");
+        section.refuse(
+            &format!("peers[{at}]"),
+            open(peer),
+            "is not a loopback address",
+        );
         section.refuse(&format!("peers[{at}]"), no_port(peer), "needs a port");
     }
     let key_file = key(&mut section, "key_file");
     let has_previous = section.table.contains_key("previous_key_file");
-    let previous_key_file = has_previous.then(|| key(&mut section, "previous_key_file")).flatten();
+    let previous_key_file = has_previous
+        .then(|| key(&mut section, "previous_key_file"))
+        .flatten();
     let same = key_file.is_some() && key_file == previous_key_file;
     section.refuse("previous_key_file", same, "is key_file too");
     let own = advertise.or(listen);
-    let others = peers.iter().flatten().filter(|peer| Some(**peer) != own).count();
+    let others = peers
+        .iter()
+        .flatten()
+        .filter(|peer| Some(**peer) != own)
+        .count();
     let size = section.or("size", others + 1);
-    section.refuse("size", !(1..=MOST_PROCESSES).contains(&size), "from 1 to 1000");
-    section.refuse("size", size < others + 1, "is less than the peers that are named, and this one");
+    section.refuse(
+        "size",
+        !(1..=MOST_PROCESSES).contains(&size),
+        "from 1 to 1000",
+    );
+    section.refuse(
+        "size",
+        size < others + 1,
+        "is less than the peers that are named, and this one",
+    );
     let other_sites: Vec<String> = section.or("other_sites", Vec::new());
     for (at, other) in (0..).zip(&other_sites) {
         let field = format!("other_sites[{at}]");
-        section.refuse(&field, !fits(other, LONGEST_SITE), &format!("1 to {LONGEST_SITE} {SIGNS}"));
+        section.refuse(
+            &field,
+            !fits(other, LONGEST_SITE),
+            &format!("1 to {LONGEST_SITE} {SIGNS}"),
+        );
         section.refuse(&field, Some(other) == site.as_ref(), "is this site");
-        section.refuse(&field, other_sites[..at].contains(other), "stands there twice");
+        section.refuse(
+            &field,
+            other_sites[..at].contains(other),
+            "stands there twice",
+        );
     }
     let site_size = section.or("site_size", size.saturating_sub(other_sites.len()).max(1));
-    section.refuse("site_size", !(1..=size).contains(&site_size), "from 1 to size");
+    section.refuse(
+        "site_size",
+        !(1..=size).contains(&site_size),
+        "from 1 to size",
+    );
     let alone = other_sites.is_empty() && site_size != size;
-    section.refuse("site_size", alone, "is less than size, and other_sites names none");
-    let borne: Option<f64> = section.table.contains_key("borne").then(|| section.or("borne", 0.0));
+    section.refuse(
+        "site_size",
+        alone,
+        "is less than size, and other_sites names none",
+    );
+    let borne: Option<f64> = section
+        .table
+        .contains_key("borne")
+        .then(|| section.or("borne", 0.0));
     let no_pace = |borne: f64| !(0.001..=1e6).contains(&borne);
     section.refuse("borne", borne.is_some_and(no_pace), "from 0.001 to 1000000");
     let clients = section.or("clients", 0);
@@ -218,15 +298,27 @@
     let nameless = path.as_ref().is_some_and(|path| path.file_name().is_none());
     section.refuse("path", nameless, "names no file");
     let most_mb: u64 = section.or("most_mb", 256);
-    section.refuse("most_mb", !(1..=16_384).contains(&most_mb), "from 1 to 16384");
+    section.refuse(
+        "most_mb",
+        !(1..=16_384).contains(&most_mb),
+        "from 1 to 16384",
+    );
     section.end();
-    Some(Memory { path: path?, most: most_mb.saturating_mul(1 << 20) })
+    Some(Memory {
+        path: path?,
+        most: most_mb.saturating_mul(1 << 20),
+    })
 }
 
 fn edge(mut section: Section<'_>) -> Edge {
     let usual = Edge::default();
     let on = section.or("on", usual.on);
-    let patience = span(&mut section, ("patience_s", 1.0), usual.patience, 0.5..=3_600.0);
+    let patience = span(
+        &mut section,
+        ("patience_s", 1.0),
+        usual.patience,
+        0.5..=3_600.0,
+    );
     let trust = span(&mut section, ("trust_h", HOUR_S), usual.trust, 0.01..=744.0);
     let word = match section.or("word", "automatic".to_owned()).as_str() {
         "automatic" => EdgeWord::Automatic,
@@ -238,19 +330,33 @@
         }
     };
     section.end();
-    Edge { on, patience, trust, word }
+    Edge {
+        on,
+        patience,
+        trust,
+        word,
+    }
 }
 
 fn affinity(mut section: Section<'_>) -> Affinity {
     let usual = Affinity::default();
     let on = section.or("on", usual.on);
     let most = section.or("most", usual.most);
-    section.refuse("most", !(1..=4_000_000).contains(&most), "from 1 to 4000000");
+    section.refuse(
+        "most",
+        !(1..=4_000_000).contains(&most),
+        "from 1 to 4000000",
+    );
     let keep = span(&mut section, ("keep_s", 1.0), usual.keep, 1.0..=604_800.0);
     let serial = section.or("serial", usual.serial);
     section.refuse("serial", serial == 0, "at least 1");
     section.end();
-    Affinity { on, most, keep, serial }
+    Affinity {
+        on,
+        most,
+        keep,
+        serial,
+    }
 }
 
 /// A span that is given in a unit of so many seconds.
--- a/balancer/src/overrides.rs
+++ b/balancer/src/overrides.rs
@@ -102,8 +102,14 @@
     /// The override that the same request has made before, if it has.
     fn made_by(&self, replay: Option<&Replay>) -> Result<Option<Override>, Refused> {
         let made = replay.and_then(|replay| self.by_key.get(&replay.key));
-        let Some(one) = made.and_then(|id| self.set.get(*id)) else { return Ok(None) };
-        if one.replay.as_ref() == replay { Ok(Some(one.clone())) } else { Err(Refused::KeyReused) }
+        let Some(one) = made.and_then(|id| self.set.get(*id)) else {
+            return Ok(None);
+        };
+        if one.replay.as_ref() == replay {
+            Ok(Some(one.clone()))
+        } else {
+            Err(Refused::KeyReused)
+        }
     }
 }
 
@@ -123,7 +129,9 @@
 
 /// The system's wall clock.
 pub fn wall() -> Millis {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     Millis::try_from(now.as_millis()).unwrap_or(Millis::MAX)
 }
 
@@ -137,12 +145,29 @@
         wall: WallClock,
     ) -> Keeper {
         let Restored { store, about, set } = restored;
-        let keys = set.iter().filter_map(|one| Some((one.replay.as_ref()?.key.clone(), one.id)));
+        let keys = set
+            .iter()
+            .filter_map(|one| Some((one.replay.as_ref()?.key.clone(), one.id)));
         let by_key = keys.collect();
         let told_until = clock.now() / 1_000_000;
-        let state = State { set, store, about, by_key, steps: StepWatch::default(), told_until };
+        let state = State {
+            set,
+            store,
+            about,
+            by_key,
+            steps: StepWatch::default(),
+            told_until,
+        };
         let (changed, changes) = bounded(1);
-        Keeper { state: Mutex::new(state), cores, clock, limits, wall, changed, changes }
+        Keeper {
+            state: Mutex::new(state),
+            cores,
+            clock,
+            limits,
+            wall,
+            changed,
+            changes,
+        }
     }
 
     /// Changes are made to a state that is sound between any two of them.
@@ -180,14 +205,21 @@
     }
 
     fn looks(&self) -> Vec<(&'static str, Option<Look>)> {
-        self.cores.iter().map(|(front, core)| (*front, core.look())).collect()
+        self.cores
+            .iter()
+            .map(|(front, core)| (*front, core.look()))
+            .collect()
     }
 
     /// Every override that holds.
     pub fn list(&self) -> Vec<Shown> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
-        state.set.holding(now).map(|one| shown(&state, one, &fronts, now)).collect()
+        state
+            .set
+            .holding(now)
+            .map(|one| shown(&state, one, &fronts, now))
+            .collect()
     }
 
     /// One that holds.
@@ -199,16 +231,28 @@
     }
 
     fn listed_servers(&self) -> Vec<ListedServers> {
-        self.looks().into_iter().map(|(front, look)| ListedServers::seen(front, look)).collect()
+        self.looks()
+            .into_iter()
+            .map(|(front, look)| ListedServers::seen(front, look))
+            .collect()
     }
 
     /// Enters an override.
-    pub fn add(&self, draft: Draft, force: bool, replay: Option<Replay>) -> Result<Changed, Refused> {
+    pub fn add(
+        &self,
+        draft: Draft,
+        force: bool,
+        replay: Option<Replay>,
+    ) -> Result<Changed, Refused> {
         let mut state = self.lock();
         let now = self.now();
         if let Some(one) = state.made_by(replay.as_ref())? {
             drop(state);
-            return Ok(Changed { shown: self.show(&one), settled: true, replayed: true });
+            return Ok(Changed {
+                shown: self.show(&one),
+                settled: true,
+                replayed: true,
+            });
         }
         draft.check(now, &self.limits).map_err(Refused::Faults)?;
         if state.set.holding(now).count() >= self.limits.most {
@@ -229,13 +273,23 @@
         }
         drop(state);
         audit("created", &one, now);
-        Ok(Changed { shown: self.show(&one), settled, replayed: false })
+        Ok(Changed {
+            shown: self.show(&one),
+            settled,
+            replayed: false,
+        })
     }
 
     /// Changes when an override ends.
-    pub fn extend(&self, id: Id, expires_at: Millis, revision: Option<u64>) -> Result<Changed, Refused> {
+    pub fn extend(
+        &self,
+        id: Id,
+        expires_at: Millis,
+        revision: Option<u64>,
+    ) -> Result<Changed, Refused> {
         self.change("extended", id, revision, |one, now| {
-            one.extend(expires_at, now, &self.limits).map_err(|fault| Refused::Faults(vec![fault]))
+            one.extend(expires_at, now, &self.limits)
+                .map_err(|fault| Refused::Faults(vec![fault]))
         })
     }
 
@@ -256,7 +310,12 @@
     ) -> Result<Changed, Refused> {
         let mut state = self.lock();
         let now = self.now();
-        let mut one = state.set.get(id).filter(|one| one.holds(now)).ok_or(Refused::Unknown)?.clone();
+        let mut one = state
+            .set
+            .get(id)
+            .filter(|one| one.holds(now))
+            .ok_or(Refused::Unknown)?
+            .clone();
         if revision.is_some_and(|revision| revision != one.revision) {
             return Err(Refused::Stale(one.revision));
         }
@@ -264,7 +323,11 @@
         let settled = self.enter(&mut state, one.clone())?;
         drop(state);
         audit(what, &one, now);
-        Ok(Changed { shown: self.show(&one), settled, replayed: false })
+        Ok(Changed {
+            shown: self.show(&one),
+            settled,
+            replayed: false,
+        })
     }
 
     /// Makes an override durable and then has the cores follow it; tells whether all do.
--- a/balancer/src/overrides/follow.rs
+++ b/balancer/src/overrides/follow.rs
@@ -25,8 +25,10 @@
             })
             .collect();
         let until = Instant::now() + CORE_PATIENCE;
-        let effects: Vec<Option<InEffect>> =
-            answers.iter().map(|answer| answer.recv_deadline(until).ok()).collect();
+        let effects: Vec<Option<InEffect>> = answers
+            .iter()
+            .map(|answer| answer.recv_deadline(until).ok())
+            .collect();
         let followed = effects.iter().all(Option::is_some);
         let marks = || effects.iter().flatten().flat_map(|effect| &effect.out);
         let until = Instant::now() + QUIET_PATIENCE;
--- a/balancer/src/overrides/housekeeping.rs
+++ b/balancer/src/overrides/housekeeping.rs
@@ -47,13 +47,19 @@
 
     /// Has the store hold what is read back right after a restart, which goes by the wall clock as it is then.
     fn follow_wall_clock(&self, state: &mut State, now: Millis) {
-        let Some(step) = state.steps.look(now, (self.wall)()) else { return };
+        let Some(step) = state.steps.look(now, (self.wall)()) else {
+            return;
+        };
         warn!(
             part = "overrides",
             ahead_ms = step.ahead_by,
             "the wall clock was stepped; overrides keep their spans"
         );
-        let all: Vec<Override> = state.set.iter().map(|one| shifted(one, step.ahead_by)).collect();
+        let all: Vec<Override> = state
+            .set
+            .iter()
+            .map(|one| shifted(one, step.ahead_by))
+            .collect();
         state.write(|store| store.put(&all));
     }
 
--- a/balancer/src/overrides/restore.rs
+++ b/balancer/src/overrides/restore.rs
@@ -19,19 +19,35 @@
 impl Restored {
     /// Nothing, to be kept in this store from now on.
     pub fn kept_in(store: Box<dyn OverrideStore>, limits: Limits) -> Restored {
-        let about = StoreState { kept: true, notes: Vec::new() };
-        Restored { store: Some(store), about, set: Set::new(limits.ramp) }
+        let about = StoreState {
+            kept: true,
+            notes: Vec::new(),
+        };
+        Restored {
+            store: Some(store),
+            about,
+            set: Set::new(limits.ramp),
+        }
     }
 }
 
 /// Opens the store that the operator's file names. Whatever is wrong with it is said, and the program serves.
 pub fn restore(config: &Config, clock: Clock) -> Restored {
     let Some(file) = &config.file else {
-        let about = StoreState { kept: false, notes: vec!["no store is set (overrides.file)".into()] };
-        return Restored { store: None, about, set: Set::new(config.limits.ramp) };
+        let about = StoreState {
+            kept: false,
+            notes: vec!["no store is set (overrides.file)".into()],
+        };
+        return Restored {
+            store: None,
+            about,
+            set: Set::new(config.limits.ramp),
+        };
     };
     match beaconflow_store::open(file) {
-        Ok((store, contents)) => take_back(Box::new(store), contents, config, clock.now() / 1_000_000),
+        Ok((store, contents)) => {
+            take_back(Box::new(store), contents, config, clock.now() / 1_000_000)
+        }
         Err(error) => {
             let what = match &error {
                 OpenError::Newer { .. } | OpenError::InUse => "is left alone",
@@ -39,8 +55,15 @@
             };
             let note = format!("the store {} {what}: {error}", file.display());
             error!(part = "overrides", why = note, "none are restored or kept");
-            let about = StoreState { kept: false, notes: vec![note] };
-            Restored { store: None, about, set: Set::new(config.limits.ramp) }
+            let about = StoreState {
+                kept: false,
+                notes: vec![note],
+            };
+            Restored {
+                store: None,
+                about,
+                set: Set::new(config.limits.ramp),
+            }
         }
     }
 }
@@ -75,7 +98,11 @@
         warn!(part = "overrides", what = note, "found at the start");
     }
     info!(part = "overrides", restored = holding, "restored");
-    Restored { store: Some(store), about: StoreState { kept: true, notes }, set }
+    Restored {
+        store: Some(store),
+        about: StoreState { kept: true, notes },
+        set,
+    }
 }
 
 /// What was amiss with the file as a whole.
@@ -88,7 +115,10 @@
         ));
     }
     if !contents.unreadable.is_empty() {
-        notes.push(format!("records that can't be read were left out: {:?}", contents.unreadable));
+        notes.push(format!(
+            "records that can't be read were left out: {:?}",
+            contents.unreadable
+        ));
     }
     notes
 }
--- a/balancer/src/overrides/view.rs
+++ b/balancer/src/overrides/view.rs
@@ -29,7 +29,12 @@
     /// As a look at the front's core has them; none where it gave no look.
     pub(super) fn seen(front: &'static str, look: Option<Look>) -> ListedServers {
         let servers = look.into_iter().flat_map(|look| look.farm);
-        ListedServers { front, states: servers.map(|server| (server.name, server.state.0)).collect() }
+        ListedServers {
+            front,
+            states: servers
+                .map(|server| (server.name, server.state.0))
+                .collect(),
+        }
     }
 
     fn listed(&self, server: &str) -> Listed {
@@ -45,7 +50,13 @@
 pub(super) fn shown(state: &State, one: &Override, fronts: &[ListedServers], now: Millis) -> Shown {
     let effect = |servers: &ListedServers| {
         let listed = servers.listed(one.kind.server());
-        (servers.front, state.set.effect(one.id, listed, now).unwrap_or(Effect::Ended))
+        (
+            servers.front,
+            state
+                .set
+                .effect(one.id, listed, now)
+                .unwrap_or(Effect::Ended),
+        )
     };
     Shown {
         remaining: one.end().saturating_sub(now),
@@ -65,9 +76,15 @@
     set.put(one.clone());
     let after = judged(set, looks, now);
     set.forget(one.id);
-    let worse = after.iter().zip(&before).map(|(after, before)| after.beyond(before));
+    let worse = after
+        .iter()
+        .zip(&before)
+        .map(|(after, before)| after.beyond(before));
     let fronts = looks.iter().map(|(front, _)| *front);
-    fronts.zip(worse).filter(|(_, judgement)| !judgement.is_sound()).collect()
+    fronts
+        .zip(worse)
+        .filter(|(_, judgement)| !judgement.is_sound())
+        .collect()
 }
 
 /// What the overrides leave of each front's ready servers.
@@ -75,7 +92,11 @@
     let at_front = |look: &Option<Look>| {
         let servers = look.iter().flat_map(|look| &look.farm);
         let ready = servers.filter(|server| server.state.0 == ServerState::Ready);
-        judge(ready.map(|server| (server.name.as_str(), server.zone.as_str())), set, now)
+        judge(
+            ready.map(|server| (server.name.as_str(), server.zone.as_str())),
+            set,
+            now,
+        )
     };
     looks.iter().map(|(_, look)| at_front(look)).collect()
 }
--- a/balancer/src/pass.rs
+++ b/balancer/src/pass.rs
@@ -100,7 +100,9 @@
             PassError::ClientLeft(_) => Outcome::Cancelled,
             PassError::NotConnected(_) | PassError::HeadPartlyWritten(..) => Outcome::ConnectFailed,
             PassError::Written(ReadError::TimedOut) => Outcome::TimedOut,
-            PassError::Written(ReadError::TooLong) | PassError::Answered(Answer::Error) => Outcome::Error,
+            PassError::Written(ReadError::TooLong) | PassError::Answered(Answer::Error) => {
+                Outcome::Error
+            }
             PassError::Written(ReadError::Ended | ReadError::Broken(_)) => Outcome::Reset,
             PassError::Answered(Answer::Unavailable) => Outcome::Full,
             PassError::Answered(Answer::SentAway) => Outcome::Cancelled,
@@ -113,7 +115,9 @@
     fn outcome(self) -> Outcome {
         match self {
             End::Served => Outcome::Served,
-            End::ServerEnded | End::ServerBroke | End::ServerSilent | End::ServerFault => Outcome::Reset,
+            End::ServerEnded | End::ServerBroke | End::ServerSilent | End::ServerFault => {
+                Outcome::Reset
+            }
             End::SentAway
             | End::ServerLeaving
             | End::ClientEnded
@@ -171,7 +175,13 @@
         client: &'a mut dyn Client,
         times: PassTimes,
     ) -> Asking<'a> {
-        Asking { server, to, client, times, intake: Intake::new(MOST_AHEAD) }
+        Asking {
+            server,
+            to,
+            client,
+            times,
+            intake: Intake::new(MOST_AHEAD),
+        }
     }
 
     /// The server's connection, and what it has sent beyond its answer.
@@ -227,7 +237,10 @@
                 return Ok(line);
             }
             let left = self.times.until.saturating_duration_since(Instant::now());
-            let sides = [(&self.server, PollFlags::IN), (self.client.stream(), PollFlags::IN)];
+            let sides = [
+                (&self.server, PollFlags::IN),
+                (self.client.stream(), PollFlags::IN),
+            ];
             let [server_ready, client_ready] = net::ready(sides, left.min(GIVEN_UP_LOOK));
             if self.client.is_given_up() {
                 return Err(failed(ReadError::TimedOut));
@@ -236,10 +249,12 @@
                 self.client.look().map_err(PassError::ClientLeft)?;
             }
             if server_ready || left.is_zero() {
-                self.intake.read(&self.server, Instant::now()).or_else(|error| match error {
-                    ReadError::TimedOut if !left.is_zero() => Ok(()),
-                    error => Err(failed(error)),
-                })?;
+                self.intake
+                    .read(&self.server, Instant::now())
+                    .or_else(|error| match error {
+                        ReadError::TimedOut if !left.is_zero() => Ok(()),
+                        error => Err(failed(error)),
+                    })?;
             }
         }
     }
--- a/balancer/src/poller.rs
+++ b/balancer/src/poller.rs
@@ -37,7 +37,10 @@
     /// A poller that watches its bell alone.
     pub fn new() -> io::Result<Poller> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        let bell = Bell(Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?));
+        let bell = Bell(Arc::new(eventfd(
+            0,
+            EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK,
+        )?));
         epoll::add(&epoll, &*bell.0, EventData::new_u64(BELL), EventFlags::IN)?;
         Ok(Poller { epoll, bell })
     }
@@ -68,7 +71,10 @@
     /// that is cut short is as good as one that is over.
     pub fn wait(&self, patience: Duration) -> Vec<u64> {
         let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
-        let until = Timespec { tv_sec: seconds, tv_nsec: patience.subsec_nanos().into() };
+        let until = Timespec {
+            tv_sec: seconds,
+            tv_nsec: patience.subsec_nanos().into(),
+        };
         let mut ready: Vec<Event> = Vec::with_capacity(BATCH);
         let _ = epoll::wait(&self.epoll, spare_capacity(&mut ready), Some(&until));
         let tokens: Vec<u64> = ready.iter().map(|event| event.data.u64()).collect();
--- a/balancer/src/prober.rs
+++ b/balancer/src/prober.rs
@@ -87,16 +87,38 @@
         let patience = Box::new(patience);
         let (ask, asks) = unbounded();
         let poller = Poller::new()?;
-        let way = Way { asks: ask, bell: poller.bell() };
+        let way = Way {
+            asks: ask,
+            bell: poller.bell(),
+        };
         let (lines, held) = (BTreeMap::new(), Arc::default());
         let room = Box::new(|| usize::MAX);
-        Ok((Prober { asks, poller, lines, question, patience, held, room }, way))
+        Ok((
+            Prober {
+                asks,
+                poller,
+                lines,
+                question,
+                patience,
+                held,
+                room,
+            },
+            way,
+        ))
     }
 
     /// Has it tell how many connections it holds, and hold no more than there is room for. Guards against connections
     /// to servers, to discovery or from operators that would find no descriptor.
-    pub fn within(self, held: Arc<AtomicUsize>, room: impl Fn() -> usize + Send + 'static) -> Prober {
-        Prober { held, room: Box::new(room), ..self }
+    pub fn within(
+        self,
+        held: Arc<AtomicUsize>,
+        room: impl Fn() -> usize + Send + 'static,
+    ) -> Prober {
+        Prober {
+            held,
+            room: Box::new(room),
+            ..self
+        }
     }
 
     /// Serves until nobody can ask any more.
@@ -128,8 +150,13 @@
     fn make_room(&mut self, more: usize) -> bool {
         let room = (self.room)();
         while self.lines.len() + more > room {
-            let idle = self.lines.iter().filter(|(_, line)| line.asked_at.is_none());
-            let Some(id) = idle.min_by_key(|(_, line)| line.used_at).map(|(id, _)| *id) else { break };
+            let idle = self
+                .lines
+                .iter()
+                .filter(|(_, line)| line.asked_at.is_none());
+            let Some(id) = idle.min_by_key(|(_, line)| line.used_at).map(|(id, _)| *id) else {
+                break;
+            };
             self.lines.remove(&id);
         }
         self.lines.len() + more <= room
@@ -137,14 +164,25 @@
 
     fn until_due(&self) -> Duration {
         let asked = self.lines.values().filter_map(|line| line.asked_at);
-        let left = asked.min().map(|at| (self.patience)().saturating_sub(at.elapsed()));
+        let left = asked
+            .min()
+            .map(|at| (self.patience)().saturating_sub(at.elapsed()));
         // A wait of nothing would spin where a clock stands still between two looks.
         left.unwrap_or(LOOK).clamp(Duration::from_millis(1), LOOK)
     }
 
-    fn ask(&mut self, id: ServerId, server: &ApplicationServer, tell: &impl Fn(ServerId, Option<Answer>)) {
+    fn ask(
+        &mut self,
+        id: ServerId,
+        server: &ApplicationServer,
+        tell: &impl Fn(ServerId, Option<Answer>),
+    ) {
         // Guards against a server that came back elsewhere under its name.
-        if self.lines.get(&id).is_some_and(|line| line.address != server.address) {
+        if self
+            .lines
+            .get(&id)
+            .is_some_and(|line| line.address != server.address)
+        {
             self.lines.remove(&id);
         }
         if !self.lines.contains_key(&id) && !self.make_room(1) {
@@ -168,7 +206,11 @@
         }
         line.asked_at = Some(Instant::now());
         line.used_at = Instant::now();
-        let asked = if line.connecting { Ok(()) } else { line.say(self.question.words) };
+        let asked = if line.connecting {
+            Ok(())
+        } else {
+            line.say(self.question.words)
+        };
         let watched = asked.and_then(|()| line.watch(id, &self.poller));
         if watched.is_err() {
             self.end(id, tell);
@@ -176,9 +218,14 @@
     }
 
     fn ready(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
-        let Some(line) = self.lines.get_mut(&id) else { return };
+        let Some(line) = self.lines.get_mut(&id) else {
+            return;
+        };
         if line.connecting {
-            let up = line.stream.take_error().and_then(|error| error.map_or(Ok(()), Err));
+            let up = line
+                .stream
+                .take_error()
+                .and_then(|error| error.map_or(Ok(()), Err));
             line.connecting = false;
             let asked = up.and_then(|()| line.say(self.question.words));
             if asked.and_then(|()| line.watch(id, &self.poller)).is_err() {
@@ -200,7 +247,11 @@
 
     /// Ends a line; whoever waits for its answer hears that there is none.
     fn end(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
-        if self.lines.remove(&id).is_some_and(|line| line.asked_at.is_some()) {
+        if self
+            .lines
+            .remove(&id)
+            .is_some_and(|line| line.asked_at.is_some())
+        {
             tell(id, None);
         }
     }
@@ -212,8 +263,12 @@
             Some(at) => at.elapsed() >= (self.patience)(),
             None => line.used_at.elapsed() >= IDLE,
         };
-        let ended: Vec<ServerId> =
-            self.lines.iter().filter(|(_, line)| over(line)).map(|(id, _)| *id).collect();
+        let ended: Vec<ServerId> = self
+            .lines
+            .iter()
+            .filter(|(_, line)| over(line))
+            .map(|(id, _)| *id)
+            .collect();
         ended.into_iter().for_each(|id| self.end(id, tell));
     }
 }
@@ -224,7 +279,11 @@
         socket.set_nonblocking(true)?;
         let connecting = match socket.connect(&address.into()) {
             Ok(()) => false,
-            Err(error) if error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => true,
+            Err(error)
+                if error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) =>
+            {
+                true
+            }
             Err(error) => return Err(error),
         };
         socket.set_tcp_nodelay(true)?;
@@ -245,7 +304,11 @@
     }
 
     fn watch(&mut self, id: ServerId, poller: &Poller) -> io::Result<()> {
-        let wanted = if self.connecting { EventFlags::OUT } else { EventFlags::IN };
+        let wanted = if self.connecting {
+            EventFlags::OUT
+        } else {
+            EventFlags::IN
+        };
         poller.watch(&self.stream, id.0.into(), (self.watched, wanted))?;
         self.watched = wanted;
         Ok(())
--- a/balancer/src/prober/tests.rs
+++ b/balancer/src/prober/tests.rs
@@ -28,18 +28,26 @@
     let server = Arc::new(ApplicationServer::new("s0".into(), address));
     let hear = |_: &Option<&str>| {
         asker.ask(ServerId(0), Arc::clone(&server));
-        heard.recv_timeout(Duration::from_secs(10)).expect("an answer, or that there is none")
+        heard
+            .recv_timeout(Duration::from_secs(10))
+            .expect("an answer, or that there is none")
     };
     answers.iter().map(hear).collect()
 }
 
 #[test]
 fn a_load_is_told_and_no_answer_or_half_of_one_is_none() {
-    assert_eq!(told(&[Some("PONG x0=0.61,queue=2\r\n")]), [Some(Answer::Load(0.61))]);
+    assert_eq!(
+        told(&[Some("PONG x0=0.61,queue=2\r\n")]),
+        [Some(Answer::Load(0.61))]
+    );
     assert_eq!(told(&[Some("PONG x0=0.6")]), [None], "cut short");
     assert_eq!(told(&[None]), [None], "silent");
     // The line that gave none is not asked again: a late answer would pass for the next one.
-    assert_eq!(told(&[None, Some("PONG x0=1.5\r\n")]), [None, Some(Answer::Load(1.5))]);
+    assert_eq!(
+        told(&[None, Some("PONG x0=1.5\r\n")]),
+        [None, Some(Answer::Load(1.5))]
+    );
 }
 
 #[test]
@@ -49,9 +57,17 @@
     drop(listener);
     let (prober, asker) = Prober::new(LOAD, || Duration::from_secs(60)).expect("a poller");
     let (say, heard) = unbounded();
-    std::thread::spawn(move || prober.run(|id, answer| say.send((id, answer)).expect("it listens")));
-    asker.ask(ServerId(3), Arc::new(ApplicationServer::new("s3".into(), address)));
-    assert_eq!(heard.recv_timeout(Duration::from_secs(10)), Ok((ServerId(3), None)));
+    std::thread::spawn(move || {
+        prober.run(|id, answer| say.send((id, answer)).expect("it listens"))
+    });
+    asker.ask(
+        ServerId(3),
+        Arc::new(ApplicationServer::new("s3".into(), address)),
+    );
+    assert_eq!(
+        heard.recv_timeout(Duration::from_secs(10)),
+        Ok((ServerId(3), None))
+    );
 }
 
 #[test]
@@ -62,8 +78,14 @@
     let has = Arc::clone(&room);
     let prober = prober.within(Arc::clone(&held), move || has.load(Ordering::Relaxed));
     let (say, heard) = unbounded();
-    std::thread::spawn(move || prober.run(|id, answer| say.send((id, answer)).expect("it listens")));
-    let hear = || heard.recv_timeout(Duration::from_secs(10)).expect("an answer, or that there is none");
+    std::thread::spawn(move || {
+        prober.run(|id, answer| say.send((id, answer)).expect("it listens"))
+    });
+    let hear = || {
+        heard
+            .recv_timeout(Duration::from_secs(10))
+            .expect("an answer, or that there is none")
+    };
     let (told, closed) = unbounded();
     for number in 0..4 {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
@@ -86,7 +108,11 @@
     }
     // Where there is none any more they are closed, though nobody asks.
     room.store(0, Ordering::Relaxed);
-    let mut last = [(); 2].map(|()| closed.recv_timeout(Duration::from_secs(10)).expect("closed"));
+    let mut last = [(); 2].map(|()| {
+        closed
+            .recv_timeout(Duration::from_secs(10))
+            .expect("closed")
+    });
     // Each has a thread of its own, which tells of its end in its own time.
     last.sort_unstable();
     assert_eq!(last, [2, 3]);
--- a/balancer/src/reload.rs
+++ b/balancer/src/reload.rs
@@ -76,7 +76,11 @@
                     info!(part = "reload", what = taken.join(", "), "taken over");
                 }
                 if !restart.is_empty() {
-                    warn!(part = "reload", what = restart.join(", "), "takes a restart, kept as it was");
+                    warn!(
+                        part = "reload",
+                        what = restart.join(", "),
+                        "takes a restart, kept as it was"
+                    );
                 }
             }
             Err(why) => error!(part = "reload", why, "what stands is kept"),
@@ -84,7 +88,16 @@
     }
 
     fn platform(&mut self) -> Result<Changes, String> {
-        let Reload::Platform { file, target, sockets, core, settings, probes, fleet } = self else {
+        let Reload::Platform {
+            file,
+            target,
+            sockets,
+            core,
+            settings,
+            probes,
+            fleet,
+        } = self
+        else {
             return Ok(Changes::default());
         };
         // Nothing is taken over of a file with a fault anywhere in it.
@@ -97,15 +110,24 @@
         changes.fixed("name", file.name == new.name);
         changes.fixed("listen", file.listen == new.listen);
         changes.fixed("admin_addr", file.admin_addr == new.admin_addr);
-        changes.fixed("settings.discovery", file.settings.is_pushed() == new.settings.is_pushed());
-        changes.fixed("settings.policy-limits.may-probe", *probes || !new.settings.may_probe());
+        changes.fixed(
+            "settings.discovery",
+            file.settings.is_pushed() == new.settings.is_pushed(),
+        );
+        changes.fixed(
+            "settings.policy-limits.may-probe",
+            *probes || !new.settings.may_probe(),
+        );
         let replacing = new.settings.with_discovery_of(&file.settings);
         if replacing != file.settings {
             let in_force = Arc::new(settings.now().replaced_by(replacing.clone()));
             // The core first: it knows every class by the time that an opening of it comes.
             core.tell(Event::Settings(Arc::clone(&in_force)));
             settings.replace(in_force);
-            changes.taken.push(format!("settings ({})", replacing.differs_from(&file.settings).join(", ")));
+            changes.taken.push(format!(
+                "settings ({})",
+                replacing.differs_from(&file.settings).join(", ")
+            ));
             changes.fixed("settings, to the fleet", !*fleet);
             file.settings = replacing;
         }
@@ -115,7 +137,17 @@
     }
 
     fn operator(&mut self) -> Result<Changes, String> {
-        let Reload::Operator { path, others, file, target, sockets, cores, fleet, farms } = self else {
+        let Reload::Operator {
+            path,
+            others,
+            file,
+            target,
+            sockets,
+            cores,
+            fleet,
+            farms,
+        } = self
+        else {
             return Ok(Changes::default());
         };
         let read = Operator::read(path).map_err(|faults| faults.to_string())?;
@@ -129,12 +161,18 @@
         changes.fixed("admission.queues", old.limits.queues == new.limits.queues);
         changes.fixed("admission.hand", old.limits.hand == new.limits.hand);
         let taken = DoorConfig {
-            limits: Limits { queues: old.limits.queues, hand: old.limits.hand, ..new.limits },
+            limits: Limits {
+                queues: old.limits.queues,
+                hand: old.limits.hand,
+                ..new.limits
+            },
             ..new
         };
         if *old != taken {
             *old = taken.clone();
-            cores.iter().for_each(|(_, core)| core.tell(Event::Door(taken.clone())));
+            cores
+                .iter()
+                .for_each(|(_, core)| core.tell(Event::Door(taken.clone())));
             changes.taken.push("admission".into());
         }
         let (Some(new), Some(file)) = (read.nats, file) else {
@@ -142,7 +180,9 @@
         };
         match (&new.farm, &file.farm, target) {
             (new, old, _) if new == old => {}
-            (FarmSource::Discovery(discovery), _, Some(target)) => changes.discovery(target, *discovery),
+            (FarmSource::Discovery(discovery), _, Some(target)) => {
+                changes.discovery(target, *discovery)
+            }
             (FarmSource::Servers(_), FarmSource::Servers(_), _) => {
                 *farms += 1;
                 if let Some((_, core)) = cores.iter().find(|(front, _)| *front == "nats") {
@@ -199,7 +239,10 @@
         for (name, same) in [
             ("fleet.peers", old.peers == new.peers),
             ("edge.word", old.edge.word == new.edge.word),
-            ("affinity.serial", old.affinity.serial == new.affinity.serial),
+            (
+                "affinity.serial",
+                old.affinity.serial == new.affinity.serial,
+            ),
         ] {
             taken.extend((!same).then(|| name.to_owned()));
         }
@@ -213,8 +256,23 @@
         self.fixed("edge", old.edge == new.edge);
         self.fixed("affinity", old.affinity == new.affinity);
         let of_its_own = |fleet: &Fleet| {
-            let Fleet { name, site, listen, advertise, key_file, previous_key_file, .. } = fleet.clone();
-            let Fleet { size, site_size, other_sites, borne, clients, .. } = fleet.clone();
+            let Fleet {
+                name,
+                site,
+                listen,
+                advertise,
+                key_file,
+                previous_key_file,
+                ..
+            } = fleet.clone();
+            let Fleet {
+                size,
+                site_size,
+                other_sites,
+                borne,
+                clients,
+                ..
+            } = fleet.clone();
             (
                 (name, site, listen, advertise, key_file, previous_key_file),
                 (size, site_size, other_sites, borne, clients),
--- a/balancer/src/serve.rs
+++ b/balancer/src/serve.rs
@@ -70,30 +70,57 @@
 pub fn serve(operator: Option<(PathBuf, Operator)>) -> Result<(), String> {
     let inherited = inherited::take()?;
     let clock = Clock::start();
-    let mut caught = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| format!("signals: {error}"))?;
+    let mut caught =
+        Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| format!("signals: {error}"))?;
     // Guards against a limit on the size of files that would end the program: the write fails instead.
-    signal_hook::flag::register(SIGXFSZ, Arc::default()).map_err(|error| format!("signals: {error}"))?;
+    signal_hook::flag::register(SIGXFSZ, Arc::default())
+        .map_err(|error| format!("signals: {error}"))?;
     let on_platform = std::env::var_os("LB_CONFIG").is_some();
-    let sets_a_front = operator.as_ref().is_some_and(|(_, operator)| operator.nats.is_some());
+    let sets_a_front = operator
+        .as_ref()
+        .is_some_and(|(_, operator)| operator.nats.is_some());
     if operator.is_some() && !sets_a_front && !on_platform {
         return Err("no front: the operator's file sets none up, and LB_CONFIG is not set".into());
     }
-    let fleet = operator.as_ref().and_then(|(_, operator)| operator.fleet.clone());
+    let fleet = operator
+        .as_ref()
+        .and_then(|(_, operator)| operator.fleet.clone());
     if fleet.is_some() && sets_a_front && on_platform {
-        return Err("fleet: stands beside one front, and both LB_CONFIG and a NATS front are set".into());
+        return Err(
+            "fleet: stands beside one front, and both LB_CONFIG and a NATS front are set".into(),
+        );
     }
     // Overrides come before the cores: none of them places anything before it knows them.
-    let restored = operator.as_ref().filter(|(_, operator)| operator.admin.is_some());
+    let restored = operator
+        .as_ref()
+        .filter(|(_, operator)| operator.admin.is_some());
     let restored = restored.map(|(_, operator)| overrides::restore(&operator.overrides, clock));
-    let set = restored.as_ref().map(|restored| restored.set.clone()).unwrap_or_default();
-    let door = operator.as_ref().map(|(_, operator)| operator.admission.clone()).unwrap_or_default();
+    let set = restored
+        .as_ref()
+        .map(|restored| restored.set.clone())
+        .unwrap_or_default();
+    let door = operator
+        .as_ref()
+        .map(|(_, operator)| operator.admission.clone())
+        .unwrap_or_default();
     let (mut serving, mut reloads) = (Vec::new(), Vec::new());
-    let given = Given { clock, overrides: &set, door: &door, fleet: fleet.as_ref() };
+    let given = Given {
+        clock,
+        overrides: &set,
+        door: &door,
+        fleet: fleet.as_ref(),
+    };
     // The platform starts a balancer without a word; an operator's file may stand alone.
-    let config = if operator.is_none() || on_platform { Some(Config::read()?) } else { None };
+    let config = if operator.is_none() || on_platform {
+        Some(Config::read()?)
+    } else {
+        None
+    };
     // Before a client is accepted: a program that can't have its port ends, and must not have taken clients from a
     // process that serves on the same listener.
-    let operations = Config::operations(config.as_ref())?.map(listen).transpose()?;
+    let operations = Config::operations(config.as_ref())?
+        .map(listen)
+        .transpose()?;
     if let Some(config) = config {
         let (front, reload) = start_platform(config, inherited, given)?;
         serving.push(front);
@@ -107,7 +134,10 @@
             nats = Some(parts);
         }
         let fleet = serving.iter().find_map(|front| front.fleet.clone());
-        let cores: Vec<NamedCore> = serving.iter().map(|front| (front.front, front.core.clone())).collect();
+        let cores: Vec<NamedCore> = serving
+            .iter()
+            .map(|front| (front.front, front.core.clone()))
+            .collect();
         if let (Some(admin), Some(restored)) = (&operator.admin, restored) {
             let keeper = Arc::new(Keeper::new(
                 restored,
@@ -119,10 +149,21 @@
             start_admin(admin, &keeper, &cores, (nats.as_ref(), fleet.clone()))?;
             spawn("overrides", move || keeper.run())?;
         }
-        let (target, sockets) = nats.map(|nats| (nats.target, nats.sockets)).unwrap_or_default();
+        let (target, sockets) = nats
+            .map(|nats| (nats.target, nats.sockets))
+            .unwrap_or_default();
         let file = operator.nats.clone().map(Box::new);
         let others = Box::new(operator);
-        reloads.push(Reload::Operator { path, others, file, target, sockets, cores, fleet, farms: 0 });
+        reloads.push(Reload::Operator {
+            path,
+            others,
+            file,
+            target,
+            sockets,
+            cores,
+            fleet,
+            farms: 0,
+        });
     }
     let told: Vec<Handle> = serving.iter().map(|front| front.core.clone()).collect();
     if let Some(listener) = operations {
@@ -131,8 +172,15 @@
         spawn("operations", move || operations.run())?;
     }
     spawn("signals", move || {
-        let leave = || told.iter().for_each(|core| core.tell(Event::Told(Word::Leave, None)));
-        signals::follow(&mut caught, || reloads.iter_mut().for_each(Reload::reload), leave);
+        let leave = || {
+            told.iter()
+                .for_each(|core| core.tell(Event::Told(Word::Leave, None)))
+        };
+        signals::follow(
+            &mut caught,
+            || reloads.iter_mut().for_each(Reload::reload),
+            leave,
+        );
     })?;
     for Serving { core, thread, .. } in serving {
         thread.join().map_err(|_| "the core panicked".to_owned())?;
@@ -152,8 +200,10 @@
         setup: &Setup,
         farm: Option<&FarmSource>,
     ) -> Result<(Option<fleet::Fleet>, Option<Tie>), String> {
-        let fleet =
-            self.fleet.map(|file| fleet::prepare(file.clone(), (setup, farm), self.clock)).transpose()?;
+        let fleet = self
+            .fleet
+            .map(|file| fleet::prepare(file.clone(), (setup, farm), self.clock))
+            .transpose()?;
         Ok(fleet.unzip())
     }
 }
@@ -176,17 +226,34 @@
     }
     let settings = SharedSettings::new(setup.clone());
     let front = Arc::new(Platform::new(settings.clone()));
-    let (known, clock, overrides, door) =
-        (config.known, given.clock, given.overrides.clone(), given.door.clone());
+    let (known, clock, overrides, door) = (
+        config.known,
+        given.clock,
+        given.overrides.clone(),
+        given.door.clone(),
+    );
     let (fleet, tie) = given.join(&setup, None)?;
     let question = front.load_question().filter(|_| setup.may_probe());
     let asked = settings.clone();
     let patience = move || asked.now().setup().probe_patience();
-    let prober = question.map(|question| Prober::new(question, patience)).transpose();
+    let prober = question
+        .map(|question| Prober::new(question, patience))
+        .transpose();
     let (prober, asker) = prober.map_err(|error| format!("prober: {error}"))?.unzip();
     let asker = asker.map(|asker| Box::new(asker) as Box<dyn Asker>);
     let probes = setup.may_probe();
-    let start = Start { name: "core", setup, seed, clock, known, watch, asker, overrides, door, fleet: tie };
+    let start = Start {
+        name: "core",
+        setup,
+        seed,
+        clock,
+        known,
+        watch,
+        asker,
+        overrides,
+        door,
+        fleet: tie,
+    };
     let (core, thread) = start_core(start, Some(watcher))?;
     let fleet = fleet.map(|fleet| fleet.start(core.clone())).transpose()?;
     let listener = match inherited {
@@ -203,7 +270,9 @@
         let held = Arc::clone(&descriptors.probes);
         let prober = prober.within(held, move || parts.room_for_probes(told.connections()));
         let told = core.clone();
-        spawn("prober", move || prober.run(|server, answer| told.tell(Event::Probed(server, answer))))?;
+        spawn("prober", move || {
+            prober.run(|server, answer| told.tell(Event::Probed(server, answer)))
+        })?;
     }
     // Only processes that share the clients' listener take one another's place.
     let folder = std::env::var_os("TMPDIR").filter(|_| shared);
@@ -219,12 +288,23 @@
         probes,
         fleet: fleet.is_some(),
     };
-    Ok((Serving { front: "platform", core, thread, fleet }, reload))
+    Ok((
+        Serving {
+            front: "platform",
+            core,
+            thread,
+            fleet,
+        },
+        reload,
+    ))
 }
 
 fn start_nats(nats: &Nats, given: Given<'_>) -> Result<(Serving, NatsParts), String> {
     let setup = Arc::new(nats.settings.clone());
-    let tenants = Arc::new(Tenants::new(&nats.store.url, Duration::from_millis(nats.store.fresh_ms))?);
+    let tenants = Arc::new(Tenants::new(
+        &nats.store.url,
+        Duration::from_millis(nats.store.fresh_ms),
+    )?);
     let (watcher, watch) = match nats.farm {
         FarmSource::Discovery(address) => {
             let (watcher, watch) = Watcher::new(address, 0);
@@ -249,12 +329,30 @@
     };
     let (core, thread) = start_core(start, watcher)?;
     let fleet = fleet.map(|fleet| fleet.start(core.clone())).transpose()?;
-    let front = Arc::new(Front::new(nats.name.clone(), Arc::clone(&setup), Arc::clone(&tenants), nats.wire));
+    let front = Arc::new(Front::new(
+        nats.name.clone(),
+        Arc::clone(&setup),
+        Arc::clone(&tenants),
+        nats.wire,
+    ));
     let sockets = Sockets::new(nats.sockets.into());
     let descriptors = Descriptors::without_probes(Arc::clone(&sockets), false);
     start_front(front, (listen(nats.listen)?, None), descriptors, &core)?;
     info!(part = "main", front = "nats", name = nats.name, on = %nats.listen, "serves");
-    Ok((Serving { front: "nats", core, thread, fleet }, NatsParts { tenants, setup, target, sockets }))
+    Ok((
+        Serving {
+            front: "nats",
+            core,
+            thread,
+            fleet,
+        },
+        NatsParts {
+            tenants,
+            setup,
+            target,
+            sockets,
+        },
+    ))
 }
 
 /// Serves the administration API, and keeps the overrides.
@@ -264,10 +362,16 @@
     cores: &[NamedCore],
     (nats, fleet): (Option<&NatsParts>, Option<Way>),
 ) -> Result<(), String> {
-    let listener =
-        net::listen(admin.listen).map_err(|error| format!("listen on {}: {error}", admin.listen))?;
+    let listener = net::listen(admin.listen)
+        .map_err(|error| format!("listen on {}: {error}", admin.listen))?;
     let tenants = nats.map(|nats| (Arc::clone(&nats.tenants), Arc::clone(&nats.setup)));
-    let api = Arc::new(Admin::new(cores.to_vec(), Arc::clone(keeper), tenants, fleet, &admin.token));
+    let api = Arc::new(Admin::new(
+        cores.to_vec(),
+        Arc::clone(keeper),
+        tenants,
+        fleet,
+        &admin.token,
+    ));
     spawn("admin", move || api.listen(&listener))?;
     info!(part = "main", on = %admin.listen, "administration API serves");
     Ok(())
@@ -278,7 +382,9 @@
 fn start_core(start: Start, watcher: Option<Watcher>) -> Result<(Handle, JoinHandle<()>), String> {
     let pushed = start.setup.is_pushed();
     let (core, thread) = core::start(start).map_err(|error| format!("settings: {error}"))?;
-    let Some(watcher) = watcher else { return Ok((core, thread)) };
+    let Some(watcher) = watcher else {
+        return Ok((core, thread));
+    };
     let watcher = if pushed { watcher.of_agent() } else { watcher };
     let (told, (heard, first)) = (core.clone(), crossbeam_channel::bounded(1));
     spawn("farm", move || {
@@ -347,5 +453,7 @@
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), String> {
     let thread = Builder::new().name(name.to_owned()).spawn(run);
-    thread.map(drop).map_err(|error| format!("thread {name}: {error}"))
+    thread
+        .map(drop)
+        .map_err(|error| format!("thread {name}: {error}"))
 }
--- a/balancer/src/stages/budget.rs
+++ b/balancer/src/stages/budget.rs
@@ -41,7 +41,11 @@
         let lingering = unopened / LINGERING_PART;
         let taken = processes * (RESERVED + unopened) + probes;
         let connections = (sockets.saturating_sub(taken) / 2).max(LEAST.1);
-        Budget { openings: unopened - lingering, lingering, connections }
+        Budget {
+            openings: unopened - lingering,
+            lingering,
+            connections,
+        }
     }
 
     /// How many descriptors probes may hold beside the connections that are open now.
@@ -65,16 +69,28 @@
 impl Descriptors {
     /// Descriptors of a front that asks no server for its load.
     pub fn without_probes(sockets: Sockets, shared: bool) -> Descriptors {
-        Descriptors { sockets, probes: Arc::default(), shared }
+        Descriptors {
+            sockets,
+            probes: Arc::default(),
+            shared,
+        }
     }
 
     /// The parts as they are now.
     pub fn budget(&self) -> Budget {
-        Budget::of(self.sockets.load(Ordering::Relaxed), self.shared, self.probes.load(Ordering::Relaxed))
+        Budget::of(
+            self.sockets.load(Ordering::Relaxed),
+            self.shared,
+            self.probes.load(Ordering::Relaxed),
+        )
     }
 
     /// How many descriptors probes may hold beside so many open connections.
     pub fn room_for_probes(&self, connections: usize) -> usize {
-        Budget::probes(self.sockets.load(Ordering::Relaxed), self.shared, connections)
+        Budget::probes(
+            self.sockets.load(Ordering::Relaxed),
+            self.shared,
+            connections,
+        )
     }
 }
--- a/balancer/src/stages/lingering.rs
+++ b/balancer/src/stages/lingering.rs
@@ -28,7 +28,12 @@
     /// Says the last word behind what has not been taken yet; the sending ends in order once all has been taken.
     pub fn begin(stream: TcpStream, mut out: Outflow, words: &[u8]) -> Lingering {
         out.part(&stream, words);
-        Lingering { stream, out, since: Instant::now(), over: false }
+        Lingering {
+            stream,
+            out,
+            since: Instant::now(),
+            over: false,
+        }
     }
 
     /// Its connection.
--- a/balancer/src/stages/lingering/tests.rs
+++ b/balancer/src/stages/lingering/tests.rs
@@ -52,7 +52,11 @@
     peer.shutdown(std::net::Shutdown::Write).expect("open");
     let mut lingering = Lingering::begin(own, out, WORD);
     lingering.ready();
-    assert_eq!(lingering.wants(), EventFlags::OUT, "it has ended, and has not taken all");
+    assert_eq!(
+        lingering.wants(),
+        EventFlags::OUT,
+        "it has ended, and has not taken all"
+    );
     let takes = std::thread::spawn(move || {
         let mut taken = Vec::new();
         peer.read_to_end(&mut taken).map(|_| taken)
@@ -62,7 +66,11 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     let taken = takes.join().expect("it reads").expect("in order");
-    assert!(taken == [lines, WORD.to_vec()].concat(), "{} bytes", taken.len());
+    assert!(
+        taken == [lines, WORD.to_vec()].concat(),
+        "{} bytes",
+        taken.len()
+    );
 }
 
 #[test]
--- a/balancer/src/stages/relay.rs
+++ b/balancer/src/stages/relay.rs
@@ -56,7 +56,9 @@
         loop {
             match (&self.client).read(&mut chunk) {
                 Ok(0) => return Err(ReadError::Ended),
-                Ok(count) if self.kept.len() + count > self.most_early => return Err(ReadError::TooLong),
+                Ok(count) if self.kept.len() + count > self.most_early => {
+                    return Err(ReadError::TooLong);
+                }
                 Ok(count) => self.kept.extend_from_slice(&chunk[..count]),
                 Err(error) if net::is_wait(&error) => return Ok(()),
                 Err(error) => return Err(ReadError::Broken(error)),
@@ -74,10 +76,20 @@
 impl Link {
     /// A link for a client that has sent its opening, and `early` beyond it.
     pub fn new<F: Front>(front: &F, client: TcpStream, early: Vec<u8>) -> Link {
-        let (framer, most_early, probe) = (front.client_framer(), front.most_early(), front.probe());
+        let (framer, most_early, probe) =
+            (front.client_framer(), front.most_early(), front.probe());
         let out = Outflow::default();
         let given_up = Arc::default();
-        Link { client, framer, kept: early, out, most_early, probe, over: false, given_up }
+        Link {
+            client,
+            framer,
+            kept: early,
+            out,
+            most_early,
+            probe,
+            over: false,
+            given_up,
+        }
     }
 
     /// To be set when its last word is there and a pass looks after it.
@@ -139,7 +151,13 @@
 
 impl Standing {
     /// A connection whose pass stands; [`Standing::join`] joins its sides.
-    pub fn new<F: Front>(front: &F, link: Link, server: TcpStream, core: &Handle, id: u64) -> Standing {
+    pub fn new<F: Front>(
+        front: &F,
+        link: Link,
+        server: TcpStream,
+        core: &Handle,
+        id: u64,
+    ) -> Standing {
         let now = Instant::now();
         let notes = Notes {
             core: core.clone(),
@@ -182,10 +200,21 @@
     /// What is wanted of both sides. One is read only while the other takes what it is sent.
     pub fn wants(&self) -> (EventFlags, EventFlags) {
         let wants = |own: &Outflow, other: &Outflow| {
-            let read = if other.is_empty() { EventFlags::IN } else { EventFlags::empty() };
-            if own.is_empty() { read } else { read | EventFlags::OUT }
+            let read = if other.is_empty() {
+                EventFlags::IN
+            } else {
+                EventFlags::empty()
+            };
+            if own.is_empty() {
+                read
+            } else {
+                read | EventFlags::OUT
+            }
         };
-        (wants(&self.link.out, &self.to_server), wants(&self.to_server, &self.link.out))
+        (
+            wants(&self.link.out, &self.to_server),
+            wants(&self.to_server, &self.link.out),
+        )
     }
 
     /// A side is ready: what waits for it is written, and what it has is passed on.
@@ -193,7 +222,8 @@
         self.flush(side);
         let mut chunk = [0; CHUNK];
         match side {
-            Side::Client if self.to_server.is_empty() => match (&self.link.client).read(&mut chunk) {
+            Side::Client if self.to_server.is_empty() => match (&self.link.client).read(&mut chunk)
+            {
                 Ok(0) => return Err(self.how_client_ended()),
                 Ok(count) => self.forward(&chunk[..count])?,
                 Err(error) if net::is_wait(&error) && self.client_lost.is_none() => {}
@@ -221,13 +251,22 @@
     /// Writes to the client. Guards against a broken write that would end the connection before what the client said
     /// has been read: a peer that ended its connection in order breaks the writes that cross its end.
     fn tell_client(&mut self, parts: &[&[u8]]) {
-        let Standing { link: Link { client, out, .. }, client_lost, .. } = self;
+        let Standing {
+            link: Link { client, out, .. },
+            client_lost,
+            ..
+        } = self;
         write(client, out, parts, client_lost);
     }
 
     /// The same for the server: its last lines go on to the client.
     fn tell_server(&mut self, parts: &[&[u8]]) {
-        write(&self.server, &mut self.to_server, parts, &mut self.server_lost);
+        write(
+            &self.server,
+            &mut self.to_server,
+            parts,
+            &mut self.server_lost,
+        );
     }
 
     /// What is due whether a side is ready or not.
@@ -237,7 +276,11 @@
             self.took_at = Instant::now();
         } else if self.took_at.elapsed() >= net::WRITE_PATIENCE {
             // Only one side is read while the other takes nothing, so it is clear whose fault it is.
-            return Err(if self.link.out.is_empty() { End::ServerBroke } else { End::ClientBroke });
+            return Err(if self.link.out.is_empty() {
+                End::ServerBroke
+            } else {
+                End::ClientBroke
+            });
         }
         if self.notes.unanswered_for() >= self.silence {
             // Guards against a server that is silent with its socket open; and against one taken for silent whose
@@ -275,12 +318,16 @@
             questions += usize::from(seen == Seen::Asked);
             true
         });
-        let Followed { consumed, .. } = followed.map_err(|FrameFault { answer }| End::ClientFault(answer))?;
+        let Followed { consumed, .. } =
+            followed.map_err(|FrameFault { answer }| End::ClientFault(answer))?;
         if self.notes.asked.len() + questions > MOST_ASKED {
             return Err(End::ClientFault(""));
         }
         self.quiet_since = Instant::now();
-        self.notes.asked.extend((0..questions).map(|_| Asked { at: Instant::now(), own: false }));
+        self.notes.asked.extend((0..questions).map(|_| Asked {
+            at: Instant::now(),
+            own: false,
+        }));
         let message: Vec<u8> = link.kept.drain(..consumed).collect();
         self.tell_server(&[&message]);
         Ok(())
@@ -295,7 +342,10 @@
             return;
         }
         self.quiet_since = Instant::now();
-        self.notes.asked.push_back(Asked { at: Instant::now(), own: true });
+        self.notes.asked.push_back(Asked {
+            at: Instant::now(),
+            own: true,
+        });
         self.tell_server(&[probe.words]);
     }
 
@@ -310,7 +360,11 @@
         let waits = self.notes.moving.is_some();
         let notes = &mut self.notes;
         let followed = self.framer.follow(&self.kept, &mut |seen| notes.note(seen));
-        let Followed { consumed, boundary, dropped } = followed.map_err(|_| End::ServerFault)?;
+        let Followed {
+            consumed,
+            boundary,
+            dropped,
+        } = followed.map_err(|_| End::ServerFault)?;
         let last = boundary.filter(|_| waits);
         let end = last.unwrap_or(consumed);
         let message: Vec<u8> = self.kept.drain(..consumed).collect();
@@ -338,21 +392,35 @@
     }
 
     fn how_server_ended(&self) -> End {
-        let plain = if was_reset(self.server_lost) { End::ServerBroke } else { End::ServerEnded };
+        let plain = if was_reset(self.server_lost) {
+            End::ServerBroke
+        } else {
+            End::ServerEnded
+        };
         self.last_word().unwrap_or(plain)
     }
 
     fn how_client_ended(&self) -> End {
-        if was_reset(self.client_lost) { End::ClientBroke } else { End::ClientEnded }
+        if was_reset(self.client_lost) {
+            End::ClientBroke
+        } else {
+            End::ClientEnded
+        }
     }
 
     /// Moves a client that is to be moved, if it can be; then the connection has ended.
     fn moved(&mut self, words: &[u8]) -> Result<(), End> {
-        let Some((since, why)) = self.notes.moving else { return Ok(()) };
+        let Some((since, why)) = self.notes.moving else {
+            return Ok(());
+        };
         if self.say_move(words) {
             return Err(why);
         }
-        if since.elapsed() >= MOVE_PATIENCE { Err(End::Cut) } else { Ok(()) }
+        if since.elapsed() >= MOVE_PATIENCE {
+            Err(End::Cut)
+        } else {
+            Ok(())
+        }
     }
 
     /// Tells the client to move, but not inside a message. True if it has been told.
@@ -374,7 +442,11 @@
             Side::Client => self.flush(Side::Client),
             Side::Server => self.ready(Side::Server, words)?,
         }
-        if self.client_lost.is_some() { Err(End::ClientBroke) } else { Ok(()) }
+        if self.client_lost.is_some() {
+            Err(End::ClientBroke)
+        } else {
+            Ok(())
+        }
     }
 
     /// Ends both sides the way that the connection ended. What comes of it are the client and the server, which are
@@ -412,7 +484,11 @@
     if lost.is_some() {
         return;
     }
-    let written = if parts.is_empty() { out.flush(to) } else { out.send(to, parts) };
+    let written = if parts.is_empty() {
+        out.flush(to)
+    } else {
+        out.send(to, parts)
+    };
     if let Err(error) = written {
         *lost = Some(error.kind());
         *out = Outflow::default();
@@ -427,7 +503,9 @@
 impl Notes {
     /// For how long the oldest question has been unanswered.
     fn unanswered_for(&self) -> Duration {
-        self.asked.front().map_or(Duration::ZERO, |asked| asked.at.elapsed())
+        self.asked
+            .front()
+            .map_or(Duration::ZERO, |asked| asked.at.elapsed())
     }
 
     /// Takes note of a server's message; gives whether it goes on to the client.
@@ -453,14 +531,17 @@
             Seen::Private => return false,
             Seen::Asked | Seen::Goodbye | Seen::SentAway => return true,
         };
-        let Some(Asked { at, own }) = answered else { return true };
+        let Some(Asked { at, own }) = answered else {
+            return true;
+        };
         // Guards against a network that delivers an answer in pieces: a server shows its strain by when it begins one.
         let took = began.saturating_duration_since(at);
         let slow = took >= self.core.slow();
         // Once more when messages are no longer slow, so that the core hears of it.
         if slow || self.was_slow {
             self.was_slow = slow;
-            self.core.tell(Event::Noted(self.id, Note::Delay(nanos(took))));
+            self.core
+                .tell(Event::Noted(self.id, Note::Delay(nanos(took))));
         }
         !own
     }
--- a/balancer/src/stages/send.rs
+++ b/balancer/src/stages/send.rs
@@ -38,7 +38,11 @@
     let mut asking = Asking::new(server, to, link, times);
     let answer = front.pass(&mut asking, greeting)?;
     let (server, ahead) = asking.into_parts();
-    Ok(Passed { server, answer, ahead })
+    Ok(Passed {
+        server,
+        answer,
+        ahead,
+    })
 }
 
 /// Connects, for as long as the pass may still begin: one that has not come up by then counts against its server.
--- a/balancer/src/stages/send/tests.rs
+++ b/balancer/src/stages/send/tests.rs
@@ -42,12 +42,21 @@
     let far = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
     let stream = listener.accept().expect("it came").0;
     net::prepare(&stream).expect("open");
-    (Waits { stream, is_given_up: Arc::default() }, far)
+    (
+        Waits {
+            stream,
+            is_given_up: Arc::default(),
+        },
+        far,
+    )
 }
 
 fn after(span: Duration) -> PassTimes {
     let moment = Instant::now() + span;
-    PassTimes { begin_by: moment, until: moment }
+    PassTimes {
+        begin_by: moment,
+        until: moment,
+    }
 }
 
 #[test]
@@ -56,9 +65,15 @@
     let to = listener.local_addr().expect("bound");
     let (mut client, _far) = client();
     let ended = connect(to, &mut client, after(Duration::from_millis(50)), LONG);
-    assert!(matches!(ended, Err(PassError::NotConnected(_))), "{ended:?}");
+    assert!(
+        matches!(ended, Err(PassError::NotConnected(_))),
+        "{ended:?}"
+    );
     let ended = connect(to, &mut client, after(LONG), Duration::from_millis(50));
-    assert!(matches!(ended, Err(PassError::NotConnected(_))), "{ended:?}");
+    assert!(
+        matches!(ended, Err(PassError::NotConnected(_))),
+        "{ended:?}"
+    );
 }
 
 #[test]
@@ -68,7 +83,10 @@
     let (mut left, far) = client();
     drop(far);
     let ended = connect(to, &mut left, after(LONG), LONG);
-    assert!(matches!(ended, Err(PassError::ClientLeft(ReadError::Ended))), "{ended:?}");
+    assert!(
+        matches!(ended, Err(PassError::ClientLeft(ReadError::Ended))),
+        "{ended:?}"
+    );
     let (mut given_up, _far) = client();
     given_up.is_given_up.store(true, Ordering::Relaxed);
     let ended = connect(to, &mut given_up, after(LONG), LONG);
@@ -104,7 +122,10 @@
     assert!(connect(to, &mut client, after(LONG), LONG).is_ok());
     drop(listener);
     let ended = connect(to, &mut client, after(LONG), LONG);
-    assert!(matches!(ended, Err(PassError::NotConnected(_))), "{ended:?}");
+    assert!(
+        matches!(ended, Err(PassError::NotConnected(_))),
+        "{ended:?}"
+    );
 }
 
 #[test]
@@ -115,14 +136,26 @@
         let (mut client, _far) = client();
         client.is_given_up.store(is_given_up, Ordering::Relaxed);
         let server = TcpStream::connect(to.address).expect("it listens");
-        let begin_by = if is_given_up { Instant::now() + LONG } else { Instant::now() };
-        let times = PassTimes { begin_by, until: Instant::now() + LONG };
+        let begin_by = if is_given_up {
+            Instant::now() + LONG
+        } else {
+            Instant::now()
+        };
+        let times = PassTimes {
+            begin_by,
+            until: Instant::now() + LONG,
+        };
         let mut asking = Asking::new(server, &to, &mut client, times);
         let ended = asking.head(&[b"OPEN\r\n"]);
         assert!(matches!(ended, Err(PassError::Withheld)), "{ended:?}");
         drop(asking);
         let mut words = String::new();
-        listener.accept().expect("it came").0.read_to_string(&mut words).expect("text");
+        listener
+            .accept()
+            .expect("it came")
+            .0
+            .read_to_string(&mut words)
+            .expect("text");
         assert_eq!(words, "");
     }
 }
--- a/balancer/src/stages/take_in.rs
+++ b/balancer/src/stages/take_in.rs
@@ -76,7 +76,8 @@
         let waiting = door.waiting.iter().map(|waiting| Some(&waiting.client));
         let lingering = door.lingering.iter().map(Lingering::polled);
         let streams = waiting.chain(lingering);
-        let (clients, ready) = net::ready_of(has_room.then_some(&listener.socket), streams, patience);
+        let (clients, ready) =
+            net::ready_of(has_room.then_some(&listener.socket), streams, patience);
         let (heard, ended) = ready.split_at(door.waiting.len());
         door.read_on(ended);
         // Those that wait come before those that come: one whose opening is there makes room, and is not let go.
@@ -109,7 +110,13 @@
 impl Waiting {
     fn new(client: TcpStream, longest: usize) -> Waiting {
         let now = Instant::now();
-        Waiting { client, intake: Intake::new(longest), accepted: now, since: now, spoke: false }
+        Waiting {
+            client,
+            intake: Intake::new(longest),
+            accepted: now,
+            since: now,
+            spoke: false,
+        }
     }
 
     /// Whether it has been answered and said nothing since.
@@ -129,7 +136,9 @@
         }
         let until = self.since + front.opening_wait();
         let drains = drains_since.filter(|_| self.spoke);
-        drains.map_or(until, |since| until.min((since + RESTS_IN_A_DRAIN).max(self.accepted + HEARING)))
+        drains.map_or(until, |since| {
+            until.min((since + RESTS_IN_A_DRAIN).max(self.accepted + HEARING))
+        })
     }
 }
 
@@ -152,10 +161,21 @@
                 waiting.accepted + HEARING
             }
         };
-        let next = self.waiting.iter().map(heard).chain(self.lingering.iter().map(Lingering::until)).min();
-        let left = next.map_or(Duration::from_secs(1), |until| until.saturating_duration_since(now));
+        let next = self
+            .waiting
+            .iter()
+            .map(heard)
+            .chain(self.lingering.iter().map(Lingering::until))
+            .min();
+        let left = next.map_or(Duration::from_secs(1), |until| {
+            until.saturating_duration_since(now)
+        });
         let paused = self.accepts_from.saturating_duration_since(now);
-        let left = if paused.is_zero() { left } else { left.min(paused) };
+        let left = if paused.is_zero() {
+            left
+        } else {
+            left.min(paused)
+        };
         left.clamp(Duration::from_millis(1), self.longest_wait())
     }
 
@@ -183,14 +203,18 @@
     fn look_at_state(&mut self) {
         match self.core.shown().state() {
             State::Starting | State::Serving => self.drains_since = None,
-            State::Standby | State::Leaving => drop(self.drains_since.get_or_insert_with(Instant::now)),
+            State::Standby | State::Leaving => {
+                drop(self.drains_since.get_or_insert_with(Instant::now))
+            }
         }
     }
 
     /// Tells how many clients have not been heard out, or have not had the end of their last word. Guards against a
     /// program that leaves them unanswered.
     fn tell_openings(&self) {
-        self.core.shown().has_openings(self.waiting.len() + self.lingering.len());
+        self.core
+            .shown()
+            .has_openings(self.waiting.len() + self.lingering.len());
     }
 
     /// Whether one more client can be accepted, if need be for another's place.
@@ -201,7 +225,10 @@
     /// The client that makes room first: the one that has been silent longest, or the oldest.
     fn dispensable(&self) -> Option<usize> {
         let silent = |waiting: &Waiting| waiting.is_heard() && waiting.intake.bytes().is_empty();
-        self.waiting.iter().position(silent).or_else(|| self.waiting.iter().position(Waiting::is_heard))
+        self.waiting
+            .iter()
+            .position(silent)
+            .or_else(|| self.waiting.iter().position(Waiting::is_heard))
     }
 
     fn accept(&mut self, listener: &TcpListener) {
@@ -213,7 +240,8 @@
                 Ok((client, _)) => client,
                 Err(error) if net::is_wait(&error) => return,
                 Err(error) => {
-                    self.refusals.warn(self.front.name(), "accept failed", &error);
+                    self.refusals
+                        .warn(self.front.name(), "accept failed", &error);
                     self.accepts_from = Instant::now() + ACCEPT_PAUSE;
                     return;
                 }
@@ -224,17 +252,26 @@
             }
             // A client that takes no greeting is let go with the others that say nothing.
             let _ = net::write_gathered(&client, &[&self.front.greet()]);
-            self.waiting.push_back(Waiting::new(client, self.front.longest_opening()));
+            self.waiting
+                .push_back(Waiting::new(client, self.front.longest_opening()));
         }
     }
 
     /// Guards against hundreds that connect and say nothing: the one that has been silent longest makes room.
     fn make_room(&mut self) {
         let openings = self.budget().openings;
-        let place = self.dispensable().filter(|_| self.waiting.len() >= openings);
-        let Some(waiting) = place.and_then(|place| self.waiting.remove(place)) else { return };
+        let place = self
+            .dispensable()
+            .filter(|_| self.waiting.len() >= openings);
+        let Some(waiting) = place.and_then(|place| self.waiting.remove(place)) else {
+            return;
+        };
         self.refuse(waiting.client, &self.front.say(Word::Unavailable(None)));
-        self.refusals.warn(self.front.name(), "too many openings", &"the oldest was let go");
+        self.refusals.warn(
+            self.front.name(),
+            "too many openings",
+            &"the oldest was let go",
+        );
     }
 
     /// Says its last word to a client, and has it read until it ends.
@@ -253,7 +290,12 @@
 
     /// Reads refused clients on that have said something, and closes those that have ended.
     fn read_on(&mut self, ready: &[bool]) {
-        for (client, _) in self.lingering.iter_mut().zip(ready).filter(|(_, ready)| **ready) {
+        for (client, _) in self
+            .lingering
+            .iter_mut()
+            .zip(ready)
+            .filter(|(_, ready)| **ready)
+        {
             client.ready();
         }
         self.lingering.retain(|client| !client.is_over());
@@ -280,7 +322,8 @@
     fn follow(&mut self, waiting: Waiting, became: Heard<F::Request>) {
         match became {
             Heard::Refused(Refusal { answer, why }) => {
-                self.refusals.warn(self.front.name(), "opening refused", &why);
+                self.refusals
+                    .warn(self.front.name(), "opening refused", &why);
                 self.refuse(waiting.client, &answer);
             }
             Heard::Opened(request) => self.open(waiting.client, request, waiting.intake),
@@ -291,15 +334,27 @@
     /// Has a client admitted.
     fn open(&mut self, client: TcpStream, request: F::Request, intake: Intake) {
         let Some(counted) = self.core.count_in(self.budget().connections) else {
-            self.refusals.warn(self.front.name(), "too many connections", &"one was turned away");
+            self.refusals.warn(
+                self.front.name(),
+                "too many connections",
+                &"one was turned away",
+            );
             return self.refuse(client, &self.front.say(Word::Unavailable(None)));
         };
         let link = Link::new(&**self.front, client, intake.into_rest());
-        let admission = Admission { link, request, counted };
+        let admission = Admission {
+            link,
+            request,
+            counted,
+        };
         if F::ADMIT_WAITS {
             return self.admit_on_a_thread(admission);
         }
-        if let Some(refused) = admit(&**self.front, admission, (self.transactions, &self.refusals)) {
+        if let Some(refused) = admit(
+            &**self.front,
+            admission,
+            (self.transactions, &self.refusals),
+        ) {
             self.linger(refused);
         }
     }
@@ -315,7 +370,9 @@
                 net::drain(refused.stream(), LAST_WORD);
             }
         };
-        let named = std::thread::Builder::new().name("admit".into()).stack_size(self.front.stack());
+        let named = std::thread::Builder::new()
+            .name("admit".into())
+            .stack_size(self.front.stack());
         let unserved = match named.spawn(run) {
             Ok(_) => give.send(admission).err().map(|unsent| unsent.into_inner()),
             Err(error) => {
@@ -345,7 +402,9 @@
                 place += 1;
                 continue;
             }
-            let Some(waiting) = self.waiting.remove(place) else { return };
+            let Some(waiting) = self.waiting.remove(place) else {
+                return;
+            };
             if matches!(became, Heard::Waits) {
                 self.end(waiting);
             } else {
@@ -362,7 +421,8 @@
             return self.refuse(waiting.client, &self.front.say(Word::Unavailable(None)));
         }
         let Refusal { answer, why } = self.front.no_opening(NoOpening::Late);
-        self.refusals.warn(self.front.name(), "opening refused", &why);
+        self.refusals
+            .warn(self.front.name(), "opening refused", &why);
         self.refuse(waiting.client, &answer);
     }
 }
@@ -377,12 +437,21 @@
 /// Brings a client to the transactions, if its front admits it; else it has had its last word.
 fn admit<F: Front>(
     front: &F,
-    Admission { link, request, counted }: Admission<F>,
+    Admission {
+        link,
+        request,
+        counted,
+    }: Admission<F>,
     (transactions, refusals): (&Desk<F>, &Bounded),
 ) -> Option<Lingering> {
     match front.admit(request) {
         Ok((opening, greeting)) => {
-            transactions.admit(Admitted { link, opening, greeting, counted });
+            transactions.admit(Admitted {
+                link,
+                opening,
+                greeting,
+                counted,
+            });
             None
         }
         Err(Refusal { answer, why }) => {
@@ -401,7 +470,13 @@
 /// Reads on, once, and makes of it what can be made.
 fn hear<F: Front>(front: &F, waiting: &mut Waiting, core: &Handle) -> Heard<F::Request> {
     let rested = waiting.rests();
-    let Waiting { client, intake, since, spoke, .. } = waiting;
+    let Waiting {
+        client,
+        intake,
+        since,
+        spoke,
+        ..
+    } = waiting;
     match intake.read(client, Instant::now()) {
         Ok(()) => {}
         Err(ReadError::TimedOut) => return Heard::Waits,
@@ -426,5 +501,9 @@
             return Heard::Gone;
         }
     }
-    if intake.is_full() { Heard::Refused(front.no_opening(NoOpening::TooLong)) } else { Heard::Waits }
+    if intake.is_full() {
+        Heard::Refused(front.no_opening(NoOpening::TooLong))
+    } else {
+        Heard::Waits
+    }
 }
--- a/balancer/src/stages/transactions/attempt.rs
+++ b/balancer/src/stages/transactions/attempt.rs
@@ -20,7 +20,11 @@
     to: Arc<ApplicationServer>,
     times: PassTimes,
 ) -> Result<(), Box<(Link, io::Error)>> {
-    let (front, desk, connect) = (Arc::clone(&shared.front), Arc::clone(desk), shared.core.connect_timeout());
+    let (front, desk, connect) = (
+        Arc::clone(&shared.front),
+        Arc::clone(desk),
+        shared.core.connect_timeout(),
+    );
     let (give, take) = bounded::<Link>(1);
     let run = move || {
         let Ok(mut link) = take.recv() else { return };
@@ -29,8 +33,14 @@
         drop(greeting);
         desk.bring(Brought::Passed(id, link, passed));
     };
-    match std::thread::Builder::new().name("pass".into()).stack_size(shared.front.stack()).spawn(run) {
-        Ok(_) => give.send(link).map_err(|error| Box::new((error.into_inner(), io::ErrorKind::Other.into()))),
+    match std::thread::Builder::new()
+        .name("pass".into())
+        .stack_size(shared.front.stack())
+        .spawn(run)
+    {
+        Ok(_) => give
+            .send(link)
+            .map_err(|error| Box::new((error.into_inner(), io::ErrorKind::Other.into()))),
         Err(error) => Err(Box::new((link, error))),
     }
 }
--- a/balancer/src/stages/transactions/event_loop.rs
+++ b/balancer/src/stages/transactions/event_loop.rs
@@ -45,22 +45,44 @@
     ) -> Server<F> {
         let desk = Arc::new(desk);
         let (open, unbooked, giver, ungiven) = (HashMap::new(), LAST_UNBOOKED, None, Vec::new());
-        Server { shared, poller, inbox, desk, open, unbooked, giver, ungiven }
+        Server {
+            shared,
+            poller,
+            inbox,
+            desk,
+            open,
+            unbooked,
+            giver,
+            ungiven,
+        }
     }
 
     /// Serves for as long as the program runs.
     pub(super) fn run(mut self) {
         let mut looked = Instant::now();
         loop {
-            let idle = if self.open.is_empty() { Duration::from_secs(1) } else { LOOK };
+            let idle = if self.open.is_empty() {
+                Duration::from_secs(1)
+            } else {
+                LOOK
+            };
             for token in self.poller.wait(idle.saturating_sub(looked.elapsed())) {
-                let side = if token % 2 == 0 { Side::Client } else { Side::Server };
-                self.with(token / 2, |transaction, shared| transaction.ready(side, shared));
+                let side = if token % 2 == 0 {
+                    Side::Client
+                } else {
+                    Side::Server
+                };
+                self.with(token / 2, |transaction, shared| {
+                    transaction.ready(side, shared)
+                });
             }
             while let Ok(brought) = self.inbox.try_recv() {
                 // Guards against a fault in one connection's code that would end all of them.
                 if catch_unwind(AssertUnwindSafe(|| self.take(brought))).is_err() {
-                    error!(part = self.shared.front.name(), "what was brought to the connections panicked");
+                    error!(
+                        part = self.shared.front.name(),
+                        "what was brought to the connections panicked"
+                    );
                 }
             }
             if looked.elapsed() >= LOOK {
@@ -79,24 +101,40 @@
     fn take(&mut self, brought: Brought<F>) {
         match brought {
             Brought::Admitted(admitted) => {
-                let Admitted { link, opening, greeting, counted } = *admitted;
-                let id = self.shared.core.open(opening, Arc::clone(&self.desk) as Arc<dyn Carrier>);
+                let Admitted {
+                    link,
+                    opening,
+                    greeting,
+                    counted,
+                } = *admitted;
+                let id = self
+                    .shared
+                    .core
+                    .open(opening, Arc::clone(&self.desk) as Arc<dyn Carrier>);
                 self.enter(id, Some(greeting), (Phase::Waiting(link), None), counted);
             }
             Brought::Ordered(id, Order::Pass { to, times }) => {
-                let lent = self.open.get_mut(&id).map(|transaction| transaction.lend(&self.poller, &to));
+                let lent = self
+                    .open
+                    .get_mut(&id)
+                    .map(|transaction| transaction.lend(&self.poller, &to));
                 let (link, greeting) = match lent {
                     Some(Ok(Some(lent))) => lent,
                     // Guards against a request that the core holds to be sent and nobody sends.
-                    Some(Err(_)) => return self.with(id, |transaction, shared| transaction.panicked(shared)),
+                    Some(Err(_)) => {
+                        return self.with(id, |transaction, shared| transaction.panicked(shared));
+                    }
                     // The client left, or has had its last word: the core hears of it.
                     Some(Ok(None)) | None => return,
                 };
-                if let Err(failed) = attempt::start(&self.shared, &self.desk, (id, link, greeting), to, times)
+                if let Err(failed) =
+                    attempt::start(&self.shared, &self.desk, (id, link, greeting), to, times)
                 {
                     let (link, error) = *failed;
                     let error = PassError::NotConnected(error);
-                    self.with(id, |transaction, shared| transaction.passed(link, Some(Err(error)), shared));
+                    self.with(id, |transaction, shared| {
+                        transaction.passed(link, Some(Err(error)), shared)
+                    });
                 }
             }
             Brought::Ordered(id, Order::Give) => self.give(id),
@@ -105,7 +143,9 @@
                 self.with(id, |transaction, shared| transaction.order(order, shared));
             }
             Brought::Passed(id, link, passed) => {
-                self.with(id, |transaction, shared| transaction.passed(link, passed, shared));
+                self.with(id, |transaction, shared| {
+                    transaction.passed(link, passed, shared)
+                });
             }
         }
     }
@@ -118,13 +158,16 @@
         (phase, at): (Phase, Option<Arc<str>>),
         counted: Counted,
     ) {
-        self.open.insert(id, Transaction::new(id, greeting, (phase, at), counted));
+        self.open
+            .insert(id, Transaction::new(id, greeting, (phase, at), counted));
         self.with(id, |_, _| ());
     }
 
     /// Does something with a transaction, and watches what is wanted of it then.
     pub(super) fn with(&mut self, id: u64, act: impl FnOnce(&mut Transaction<F>, &Shared<F>)) {
-        let Some(transaction) = self.open.get_mut(&id) else { return };
+        let Some(transaction) = self.open.get_mut(&id) else {
+            return;
+        };
         let shared = &self.shared;
         // Guards against a fault in one connection's code that would end all of them, or leave its client without
         // an answer.
--- a/balancer/src/stages/transactions/handing_over.rs
+++ b/balancer/src/stages/transactions/handing_over.rs
@@ -20,14 +20,27 @@
     /// Gives a standing connection to the process that takes this one's place, if there is one. It can be given while
     /// nothing of it is here and the other takes it; until then it is tried again, or moved when its turn comes.
     pub(super) fn give(&mut self, id: u64) {
-        let Server { shared, poller, giver, open, ungiven, .. } = self;
-        let Some(transaction) = open.get_mut(&id) else { return };
-        let (Phase::Standing(standing), Some(greeting), Some(at)) =
-            (&transaction.phase, transaction.greeting.as_deref(), transaction.at.as_deref())
-        else {
+        let Server {
+            shared,
+            poller,
+            giver,
+            open,
+            ungiven,
+            ..
+        } = self;
+        let Some(transaction) = open.get_mut(&id) else {
+            return;
+        };
+        let (Phase::Standing(standing), Some(greeting), Some(at)) = (
+            &transaction.phase,
+            transaction.greeting.as_deref(),
+            transaction.at.as_deref(),
+        ) else {
+            return;
+        };
+        let Some(line) = shared.front.opening(greeting) else {
             return;
         };
-        let Some(line) = shared.front.opening(greeting) else { return };
         let found = giver.get_or_insert_with(|| {
             let found = shared.place.as_ref().map_or(Ok(None), Place::find);
             found.unwrap_or_else(|error| {
@@ -67,23 +80,51 @@
 
     /// Takes over a connection that another process gives. One that can't be read is moved.
     pub(super) fn take_over(&mut self, given: Given, counted: Counted) {
-        let Given { client, server, at, line } = given;
-        let Shared { front, core, moving, .. } = &self.shared;
+        let Given {
+            client,
+            server,
+            at,
+            line,
+        } = given;
+        let Shared {
+            front,
+            core,
+            moving,
+            ..
+        } = &self.shared;
         let read = match front.first(&line, core.clock().now()) {
             First::Opening(request) => front.admit(request).ok(),
             _ => None,
         };
         let link = Link::new(&**front, client, Vec::new());
         let Some((opening, greeting)) = read else {
-            warn!(part = front.name(), "a connection handed over could not be read");
+            warn!(
+                part = front.name(),
+                "a connection handed over could not be read"
+            );
             let server = Lingering::begin(server, Outflow::default(), b"");
             let phase = Phase::Lingering(link.part(moving), Some(server));
             self.unbooked -= 1;
             return self.enter(self.unbooked, None, (phase, None), counted);
         };
-        let (opening, at) = (Opening { held_by: None, ..opening }, Arc::from(at));
-        let id = core.adopt(opening, Arc::clone(&at), Arc::clone(&self.desk) as Arc<dyn Carrier>);
+        let (opening, at) = (
+            Opening {
+                held_by: None,
+                ..opening
+            },
+            Arc::from(at),
+        );
+        let id = core.adopt(
+            opening,
+            Arc::clone(&at),
+            Arc::clone(&self.desk) as Arc<dyn Carrier>,
+        );
         let standing = Standing::new(&**front, link, server, core, id);
-        self.enter(id, Some(greeting), (Phase::Standing(Box::new(standing)), Some(at)), counted);
+        self.enter(
+            id,
+            Some(greeting),
+            (Phase::Standing(Box::new(standing)), Some(at)),
+            counted,
+        );
     }
 }
--- a/balancer/src/stages/transactions/mod.rs
+++ b/balancer/src/stages/transactions/mod.rs
@@ -55,7 +55,10 @@
 
 impl<F: Front> Clone for Desk<F> {
     fn clone(&self) -> Desk<F> {
-        Desk { brought: self.brought.clone(), bell: self.bell.clone() }
+        Desk {
+            brought: self.brought.clone(),
+            bell: self.bell.clone(),
+        }
     }
 }
 
@@ -103,11 +106,20 @@
 pub fn serve<F: Front>(front: &Arc<F>, core: &Handle, place: Option<Place>) -> io::Result<Desk<F>> {
     let poller = Poller::new()?;
     let (brought, inbox) = unbounded();
-    let desk = Desk { brought, bell: poller.bell() };
-    let shared =
-        Shared { front: Arc::clone(front), core: core.clone(), moving: front.say(Word::Move), place };
+    let desk = Desk {
+        brought,
+        bell: poller.bell(),
+    };
+    let shared = Shared {
+        front: Arc::clone(front),
+        core: core.clone(),
+        moving: front.say(Word::Move),
+        place,
+    };
     let server = Server::new(shared, poller, (inbox, desk.clone()));
-    std::thread::Builder::new().name("transactions".into()).spawn(move || server.run())?;
+    std::thread::Builder::new()
+        .name("transactions".into())
+        .spawn(move || server.run())?;
     Ok(desk)
 }
 
--- a/balancer/src/stages/transactions/tests.rs
+++ b/balancer/src/stages/transactions/tests.rs
@@ -38,7 +38,10 @@
     }
 
     fn says(&mut self, words: &str) {
-        self.0.get_mut().write_all(words.as_bytes()).expect("the other side reads");
+        self.0
+            .get_mut()
+            .write_all(words.as_bytes())
+            .expect("the other side reads");
     }
 }
 
@@ -64,14 +67,25 @@
         let desk = serve(&front, &core, None).expect("a thread");
         let (client, own) = pair();
         let now = core.clock().now();
-        let First::Opening((opening, greeting)) = front.first(b"OPEN a1 02 c=chat,d=60000\r\n", now) else {
+        let First::Opening((opening, greeting)) =
+            front.first(b"OPEN a1 02 c=chat,d=60000\r\n", now)
+        else {
             panic!("an opening");
         };
         net::prepare(&own).expect("open");
         let link = Link::new(&*front, own, Vec::new());
         let counted = core.count_in(1).expect("room");
-        desk.admit(Admitted { link, opening, greeting, counted });
-        Scene { desk, client: Speaker::new(client), server }
+        desk.admit(Admitted {
+            link,
+            opening,
+            greeting,
+            counted,
+        });
+        Scene {
+            desk,
+            client: Speaker::new(client),
+            server,
+        }
     }
 
     /// The server's end of the attempt, whose opening has come.
@@ -117,7 +131,11 @@
         let named = format!("{last_word:?}");
         scene.desk.carry(ONLY, last_word);
         assert_eq!(scene.client.hears(), "MOVE", "{named}");
-        assert_eq!((scene.client.hears(), server.hears()), (String::new(), String::new()), "both end");
+        assert_eq!(
+            (scene.client.hears(), server.hears()),
+            (String::new(), String::new()),
+            "both end"
+        );
     }
 }
 
@@ -153,8 +171,14 @@
 fn is_connecting_to(address: SocketAddr) -> bool {
     /// The state of a connection whose first packet has not been answered, in the system's table.
     const SYN_SENT: &str = "02";
-    let SocketAddr::V4(address) = address else { return false };
-    let peer = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
+    let SocketAddr::V4(address) = address else {
+        return false;
+    };
+    let peer = format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(address.ip().octets()),
+        address.port()
+    );
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
     table.lines().any(|line| {
         let mut fields = line.split_whitespace().skip(2);
--- a/balancer/src/stages/transactions/transaction.rs
+++ b/balancer/src/stages/transactions/transaction.rs
@@ -65,7 +65,15 @@
     ) -> Transaction<F> {
         let (greeting, begun) = (greeting.map(Arc::new), Instant::now());
         let watched = (EventFlags::empty(), EventFlags::empty());
-        Transaction { id, greeting, phase, at, begun, watched, _counted: counted }
+        Transaction {
+            id,
+            greeting,
+            phase,
+            at,
+            begun,
+            watched,
+            _counted: counted,
+        }
     }
 
     /// Whether nothing of it is left.
@@ -75,7 +83,9 @@
 
     /// Gives the client to a pass, which looks after it from now on.
     pub(super) fn lend(&mut self, poller: &Poller, to: &ApplicationServer) -> io::Result<Lent<F>> {
-        let (Phase::Waiting(link), Some(greeting)) = (&self.phase, &self.greeting) else { return Ok(None) };
+        let (Phase::Waiting(link), Some(greeting)) = (&self.phase, &self.greeting) else {
+            return Ok(None);
+        };
         let greeting = Arc::clone(greeting);
         let nothing = EventFlags::empty();
         // One that can't be left alone would cut the waits of all others short.
@@ -126,7 +136,9 @@
                 let went = standing.look(&shared.moving);
                 self.go_on(went, shared);
             }
-            Phase::HearingOut(_, until) if Instant::now() >= *until => self.wound_up(End::ClientEnded),
+            Phase::HearingOut(_, until) if Instant::now() >= *until => {
+                self.wound_up(End::ClientEnded)
+            }
             Phase::Lingering(..) => self.close_if_over(),
             _ => {}
         }
@@ -150,7 +162,9 @@
                 give_up.store(true, Ordering::Relaxed);
                 *answer = Some(order);
             }
-            (Phase::Waiting(_), Order::Unavailable(after)) => self.answer(Word::Unavailable(after), shared),
+            (Phase::Waiting(_), Order::Unavailable(after)) => {
+                self.answer(Word::Unavailable(after), shared)
+            }
             (Phase::Waiting(_), Order::Failed | Order::GiveUp) => self.answer(Word::Failed, shared),
             _ => {}
         }
@@ -167,7 +181,9 @@
             Phase::Passing(answer, _) => answer,
             _ => None,
         };
-        let Some(passed) = passed else { return self.panicked(shared) };
+        let Some(passed) = passed else {
+            return self.panicked(shared);
+        };
         match (answer, passed) {
             (Some(Order::GiveUp), Err(error)) if error.outcome().never_ran() => {
                 self.order(Order::Unavailable(None), shared);
@@ -180,9 +196,25 @@
         }
     }
 
-    fn stand(&mut self, Passed { server, answer, ahead }: Passed, shared: &Shared<F>) {
-        let Phase::Waiting(link) = std::mem::replace(&mut self.phase, Phase::Over) else { return };
-        let mut standing = Box::new(Standing::new(&*shared.front, link, server, &shared.core, self.id));
+    fn stand(
+        &mut self,
+        Passed {
+            server,
+            answer,
+            ahead,
+        }: Passed,
+        shared: &Shared<F>,
+    ) {
+        let Phase::Waiting(link) = std::mem::replace(&mut self.phase, Phase::Over) else {
+            return;
+        };
+        let mut standing = Box::new(Standing::new(
+            &*shared.front,
+            link,
+            server,
+            &shared.core,
+            self.id,
+        ));
         let went = standing.join((&answer, &ahead), &shared.moving);
         self.phase = Phase::Standing(standing);
         self.go_on(went, shared);
@@ -192,7 +224,10 @@
     fn go_on(&mut self, went: Result<(), End>, shared: &Shared<F>) {
         let Err(end) = went else { return };
         self.greeting = None;
-        if !matches!(end, End::Served | End::SentAway | End::ClientEnded | End::ClientBroke | End::Moved) {
+        if !matches!(
+            end,
+            End::Served | End::SentAway | End::ClientEnded | End::ClientBroke | End::Moved
+        ) {
             warn!(part = shared.front.name(), transaction = self.id, how = ?end, "connection ended");
         }
         self.book(&PassError::Standing(end), shared);
@@ -219,7 +254,9 @@
 
     /// Closes both sides once they have ended, or their time is up.
     fn close_if_over(&mut self) {
-        let Phase::Lingering(client, server) = &self.phase else { return };
+        let Phase::Lingering(client, server) = &self.phase else {
+            return;
+        };
         if client.is_over() && server.as_ref().is_none_or(Lingering::is_over) {
             self.phase = Phase::Over;
         }
@@ -244,7 +281,11 @@
 
     /// Something panicked at work on it: it ends, after its final answer.
     pub(super) fn panicked(&mut self, shared: &Shared<F>) {
-        error!(part = shared.front.name(), transaction = self.id, "transaction panicked");
+        error!(
+            part = shared.front.name(),
+            transaction = self.id,
+            "transaction panicked"
+        );
         shared.core.tell(Event::Lost(self.id));
         self.answer(Word::Failed, shared);
         if matches!(self.phase, Phase::Standing(_) | Phase::HearingOut(..)) {
@@ -257,10 +298,15 @@
 
     /// Tells the core how an attempt, or the connection, ended.
     pub(super) fn book(&self, error: &PassError, shared: &Shared<F>) {
-        if matches!(error, PassError::Answered(Answer::SentAway) | PassError::Standing(End::SentAway)) {
+        if matches!(
+            error,
+            PassError::Answered(Answer::SentAway) | PassError::Standing(End::SentAway)
+        ) {
             shared.core.tell(Event::SentAway(self.id));
         }
-        shared.core.tell(Event::Ended(self.id, error.outcome(), self.begun.elapsed()));
+        shared
+            .core
+            .tell(Event::Ended(self.id, error.outcome(), self.begun.elapsed()));
     }
 
     /// Has the poller watch what is wanted of both sides.
@@ -270,7 +316,11 @@
             Phase::Waiting(link) => (link.stream(), None, (EventFlags::IN, nothing)),
             Phase::Lingering(client, server) => {
                 let wants_server = server.as_ref().map_or(nothing, Lingering::wants);
-                (client.stream(), server.as_ref().map(Lingering::stream), (client.wants(), wants_server))
+                (
+                    client.stream(),
+                    server.as_ref().map(Lingering::stream),
+                    (client.wants(), wants_server),
+                )
             }
             Phase::Standing(standing) => {
                 let (client, server) = standing.sides();
@@ -280,7 +330,11 @@
                 let (client, server) = standing.sides();
                 // A client that has ended its sending is ready to be read at all times.
                 let (wants_client, wants_server) = standing.wants();
-                (client, Some(server), (wants_client & EventFlags::OUT, wants_server))
+                (
+                    client,
+                    Some(server),
+                    (wants_client & EventFlags::OUT, wants_server),
+                )
             }
             Phase::Passing(..) | Phase::Over => return Ok(()),
         };
--- a/balancer/tests/descriptors.rs
+++ b/balancer/tests/descriptors.rs
@@ -17,7 +17,10 @@
             let total = RESERVED + held(budget) + probes;
             // The least that is served takes a few more than a limit that has no room for it.
             let least = RESERVED + sockets / 5 + probes + 2;
-            assert!(total <= sockets.max(least), "{sockets} with {probes} probes: {total}");
+            assert!(
+                total <= sockets.max(least),
+                "{sockets} with {probes} probes: {total}"
+            );
             assert!(budget.lingering > 0 && budget.openings > budget.lingering);
         }
     }
@@ -29,7 +32,10 @@
         let budget = Budget::of(sockets, true, 0);
         let unopened = budget.openings + budget.lingering;
         // One is full, the other has all its openings and what stands there besides clients.
-        assert!(2 * (RESERVED + unopened) + 2 * budget.connections <= sockets, "{sockets}");
+        assert!(
+            2 * (RESERVED + unopened) + 2 * budget.connections <= sockets,
+            "{sockets}"
+        );
         let alone = Budget::of(sockets, false, 0);
         assert!(alone.openings >= budget.openings && alone.connections >= budget.connections);
     }
--- a/balancer/tests/keeper.rs
+++ b/balancer/tests/keeper.rs
@@ -38,7 +38,13 @@
 
     fn config(&self) -> Config {
         let file = Some(self.folder.path().join("overrides.redb"));
-        Config { file, limits: Limits { ramp: 100, ..Limits::default() } }
+        Config {
+            file,
+            limits: Limits {
+                ramp: 100,
+                ..Limits::default()
+            },
+        }
     }
 
     fn now(&self) -> Millis {
@@ -48,14 +54,29 @@
     fn keeper(&self) -> Keeper {
         let config = self.config();
         let (clock, wall) = (self.clock, self.wall.clone());
-        let read = move || (clock.now() / 1_000_000).saturating_add_signed(wall.0.load(Ordering::Relaxed));
+        let read =
+            move || (clock.now() / 1_000_000).saturating_add_signed(wall.0.load(Ordering::Relaxed));
         let restored = restore(&config, self.clock);
-        Keeper::new(restored, Vec::new(), self.clock, config.limits, Box::new(read))
+        Keeper::new(
+            restored,
+            Vec::new(),
+            self.clock,
+            config.limits,
+            Box::new(read),
+        )
     }
 
     fn draft(&self, server: &str, span: Millis) -> Draft {
-        let kind = Kind::Out { server: server.into(), moves_per_s: None };
-        Draft { kind, who: "ada".into(), why: "why".into(), expires_at: self.now() + span }
+        let kind = Kind::Out {
+            server: server.into(),
+            moves_per_s: None,
+        };
+        Draft {
+            kind,
+            who: "ada".into(),
+            why: "why".into(),
+            expires_at: self.now() + span,
+        }
     }
 }
 
@@ -64,8 +85,14 @@
     let desk = Desk::new();
     for ahead in [HOUR, -HOUR, 0] {
         let keeper = desk.keeper();
-        let long = keeper.add(desk.draft("long", 600_000), false, None).expect("kept").shown;
-        let short = keeper.add(desk.draft("short", 300), false, None).expect("kept").shown;
+        let long = keeper
+            .add(desk.draft("long", 600_000), false, None)
+            .expect("kept")
+            .shown;
+        let short = keeper
+            .add(desk.draft("short", 300), false, None)
+            .expect("kept")
+            .shown;
         desk.wall.step_to(ahead);
         keeper.look_after();
         // The two clocks are not read in one instant: a millisecond may begin between them.
@@ -74,18 +101,28 @@
         let seen = keeper.get(long.one.id).expect("it holds on");
         assert!(seen.remaining <= long.remaining && seen.remaining + 5_000 > long.remaining);
         // People see it end by the clock that they read.
-        assert_eq!(seen.one.expires_at, long.one.expires_at.saturating_add_signed(said));
+        assert_eq!(
+            seen.one.expires_at,
+            long.one.expires_at.saturating_add_signed(said)
+        );
         std::thread::sleep(Duration::from_millis(310));
         assert!(keeper.get(short.one.id).is_none(), "its span is over");
         // What is on the disk ends at the same moment, by the wall clock as it is after a restart.
         drop(keeper);
-        let (store, contents) = beaconflow_store::open(&desk.config().file.expect("set")).expect("free");
-        let kept = contents.overrides.iter().find(|one| one.id == long.one.id).expect("kept");
+        let (store, contents) =
+            beaconflow_store::open(&desk.config().file.expect("set")).expect("free");
+        let kept = contents
+            .overrides
+            .iter()
+            .find(|one| one.id == long.one.id)
+            .expect("kept");
         assert_eq!(kept.expires_at, seen.one.expires_at);
         drop(store);
         // The next program reads the stepped clock at its start, so that it is not ahead of itself.
         desk.wall.step_to(0);
-        let mut store = beaconflow_store::open(&desk.config().file.expect("set")).expect("free").0;
+        let mut store = beaconflow_store::open(&desk.config().file.expect("set"))
+            .expect("free")
+            .0;
         store.forget(&[long.one.id, short.one.id]).expect("durable");
     }
 }
@@ -98,9 +135,16 @@
     keeper.look_after();
     // Ten minutes from now, as a person reads it off the stepped clock.
     let given = desk.now() + HOUR as Millis + 600_000;
-    let draft = Draft { expires_at: keeper.from_wall(given), ..desk.draft("s", 1) };
+    let draft = Draft {
+        expires_at: keeper.from_wall(given),
+        ..desk.draft("s", 1)
+    };
     let shown = keeper.add(draft, false, None).expect("kept").shown;
-    assert!(shown.remaining <= 600_000 && shown.remaining > 590_000, "{}", shown.remaining);
+    assert!(
+        shown.remaining <= 600_000 && shown.remaining > 590_000,
+        "{}",
+        shown.remaining
+    );
     assert!(shown.one.expires_at.abs_diff(given) < 1_000);
 }
 
@@ -131,18 +175,39 @@
 fn what_could_not_be_made_durable_has_no_effect() {
     let (desk, store) = (Desk::new(), Failing::default());
     let limits = Limits::default();
-    let restored = beaconflow_balancer::overrides::Restored::kept_in(Box::new(store.clone()), limits);
+    let restored =
+        beaconflow_balancer::overrides::Restored::kept_in(Box::new(store.clone()), limits);
     let keeper = Keeper::new(restored, Vec::new(), desk.clock, limits, Box::new(|| 0));
-    let held = keeper.add(desk.draft("a", 60_000), false, None).expect("kept").shown;
+    let held = keeper
+        .add(desk.draft("a", 60_000), false, None)
+        .expect("kept")
+        .shown;
     store.0.lock().expect("sound").0 = true;
-    assert!(matches!(keeper.add(desk.draft("b", 60_000), false, None), Err(Refused::Store(_))));
-    assert!(matches!(keeper.remove(held.one.id, None), Err(Refused::Store(_))));
-    assert!(matches!(keeper.extend(held.one.id, desk.now() + 90_000, None), Err(Refused::Store(_))));
+    assert!(matches!(
+        keeper.add(desk.draft("b", 60_000), false, None),
+        Err(Refused::Store(_))
+    ));
+    assert!(matches!(
+        keeper.remove(held.one.id, None),
+        Err(Refused::Store(_))
+    ));
+    assert!(matches!(
+        keeper.extend(held.one.id, desk.now() + 90_000, None),
+        Err(Refused::Store(_))
+    ));
     let all = keeper.list();
     assert_eq!((all.len(), all[0].one.revision), (1, 1));
     // Once there is room again, all goes on.
     store.0.lock().expect("sound").0 = false;
-    assert_eq!(keeper.remove(held.one.id, Some(1)).expect("kept").shown.one.revision, 2);
+    assert_eq!(
+        keeper
+            .remove(held.one.id, Some(1))
+            .expect("kept")
+            .shown
+            .one
+            .revision,
+        2
+    );
     assert!(keeper.list().is_empty());
 }
 
@@ -152,9 +217,14 @@
     let file = desk.config().file.expect("set");
     let (mut store, _) = beaconflow_store::open(&file).expect("free");
     let now = desk.now();
-    let ended =
-        Draft { expires_at: now - 30_000, ..desk.draft("ended", 1) }.into_override(Id(1), now - 60_000);
-    store.put(&[ended, desk.draft("holds", 60_000).into_override(Id(2), now)]).expect("durable");
+    let ended = Draft {
+        expires_at: now - 30_000,
+        ..desk.draft("ended", 1)
+    }
+    .into_override(Id(1), now - 60_000);
+    store
+        .put(&[ended, desk.draft("holds", 60_000).into_override(Id(2), now)])
+        .expect("durable");
     drop(store);
     let keeper = desk.keeper();
     assert_eq!(keeper.list().len(), 1);
@@ -167,9 +237,17 @@
 #[test]
 fn without_a_store_none_are_taken_and_it_is_said_why() {
     let desk = Desk::new();
-    let config = Config { file: None, limits: Limits::default() };
-    let keeper =
-        Keeper::new(restore(&config, desk.clock), Vec::new(), desk.clock, config.limits, Box::new(|| 0));
+    let config = Config {
+        file: None,
+        limits: Limits::default(),
+    };
+    let keeper = Keeper::new(
+        restore(&config, desk.clock),
+        Vec::new(),
+        desk.clock,
+        config.limits,
+        Box::new(|| 0),
+    );
     assert!(!keeper.about().kept);
     match keeper.add(desk.draft("a", 60_000), false, None) {
         Err(Refused::NoStore(why)) => assert!(why.contains("no store is set"), "{why}"),
@@ -185,16 +263,28 @@
     drop(keeper);
     let (mut store, _) = beaconflow_store::open(&desk.config().file.expect("set")).expect("free");
     let now = desk.now();
-    let all: Vec<Override> =
-        (1..=10_000).map(|id| desk.draft(&format!("s{id}"), 60_000).into_override(Id(id), now)).collect();
+    let all: Vec<Override> = (1..=10_000)
+        .map(|id| {
+            desk.draft(&format!("s{id}"), 60_000)
+                .into_override(Id(id), now)
+        })
+        .collect();
     store.put(&all).expect("durable");
     drop(store);
     let keeper = desk.keeper();
     assert_eq!(keeper.list().len(), 10_000);
-    assert!(matches!(keeper.add(desk.draft("one more", 60_000), false, None), Err(Refused::Full(10_000))));
+    assert!(matches!(
+        keeper.add(desk.draft("one more", 60_000), false, None),
+        Err(Refused::Full(10_000))
+    ));
     keeper.remove(Id(5_000), None).expect("kept");
     assert_eq!(
-        keeper.add(desk.draft("one more", 60_000), false, None).expect("kept").shown.one.id,
+        keeper
+            .add(desk.draft("one more", 60_000), false, None)
+            .expect("kept")
+            .shown
+            .one
+            .id,
         Id(10_001)
     );
     assert_eq!(keeper.list().len(), 10_000);
--- a/cli/benches/effect.rs
+++ b/cli/benches/effect.rs
@@ -20,7 +20,10 @@
     let (at, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
     let config = folder.path().join("config.json");
     let names: Vec<String> = (0..100).map(|number| format!("s{number}")).collect();
-    let rows: Vec<_> = names.iter().map(|name| (name.as_str(), server, "SERVING")).collect();
+    let rows: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), server, "SERVING"))
+        .collect();
     let text = support::config(at, free(), &list(1, true, &rows), SETTINGS, 256);
     std::fs::write(&config, text).expect("room");
     let operator = folder.path().join("operator.toml");
@@ -30,9 +33,15 @@
     );
     std::fs::write(&operator, text).expect("room");
     let path = |path: &std::path::Path| path.to_str().expect("text").to_owned();
-    let program = Program::start(&["--operator", &path(&operator)], &[("LB_CONFIG", &path(&config))]);
+    let program = Program::start(
+        &["--operator", &path(&operator)],
+        &[("LB_CONFIG", &path(&config))],
+    );
     program.says("administration API serves");
-    let api = Api { at: admin, token: ADMIN_TOKEN };
+    let api = Api {
+        at: admin,
+        token: ADMIN_TOKEN,
+    };
     let mut adds = Histogram::<u64>::new(3).expect("three digits");
     let mut removes = adds.clone();
     for number in 0..CHANGES {
@@ -42,16 +51,26 @@
         );
         let begun = Instant::now();
         let id = api.add(&body);
-        adds.record(begun.elapsed().as_micros() as u64).expect("in range");
+        adds.record(begun.elapsed().as_micros() as u64)
+            .expect("in range");
         let begun = Instant::now();
-        assert_eq!(api.call("DELETE", &format!("/v1/overrides/{id}"), "").status, 200);
-        removes.record(begun.elapsed().as_micros() as u64).expect("in range");
+        assert_eq!(
+            api.call("DELETE", &format!("/v1/overrides/{id}"), "")
+                .status,
+            200
+        );
+        removes
+            .record(begun.elapsed().as_micros() as u64)
+            .expect("in range");
     }
     println!(
         "{CHANGES} changes one after the other, 100 servers, microseconds from the request to its answer"
     );
     for (name, times) in [("POST", adds), ("DELETE", removes)] {
         let [half, most] = [0.5, 0.99].map(|part| times.value_at_quantile(part));
-        println!("{name:7} p50 {half:6}  p99 {most:6}  longest {}", times.max());
+        println!(
+            "{name:7} p50 {half:6}  p99 {most:6}  longest {}",
+            times.max()
+        );
     }
 }
--- a/cli/benches/floods.rs
+++ b/cli/benches/floods.rs
@@ -40,23 +40,35 @@
 
 fn measure(wire: Wire, place: usize, front: &str) {
     let (at, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
-    let servers: Vec<(String, Held)> =
-        (0..4).map(|number| (format!("s{number}"), Held::slow(wire, SET_UP, number))).collect();
-    let rows: Vec<(&str, SocketAddr, &str)> =
-        servers.iter().map(|(name, server)| (name.as_str(), server.address, "SERVING")).collect();
-    let settings = SETTINGS.replace("400000000,", "4000000000,").replace("3000000000", "9000000000").replace(
-        "\"lanes\"",
-        r#""projects":[{"name":"acme","share":0.58},{"name":"bright","share":0.42}],"lanes""#,
-    );
+    let servers: Vec<(String, Held)> = (0..4)
+        .map(|number| (format!("s{number}"), Held::slow(wire, SET_UP, number)))
+        .collect();
+    let rows: Vec<(&str, SocketAddr, &str)> = servers
+        .iter()
+        .map(|(name, server)| (name.as_str(), server.address, "SERVING"))
+        .collect();
+    let settings = SETTINGS
+        .replace("400000000,", "4000000000,")
+        .replace("3000000000", "9000000000")
+        .replace(
+            "\"lanes\"",
+            r#""projects":[{"name":"acme","share":0.58},{"name":"bright","share":0.42}],"lanes""#,
+        );
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
     let (operator, config) = (path("operator.toml"), path("config.json"));
     let known = list(1, true, &rows);
-    std::fs::write(&config, support::config(at, discovery.address, &known, &settings, 4_096)).expect("room");
-    let mut text =
-        format!("[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\nentries = 100\n");
+    std::fs::write(
+        &config,
+        support::config(at, discovery.address, &known, &settings, 4_096),
+    )
+    .expect("room");
+    let mut text = format!(
+        "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\nentries = 100\n"
+    );
     if wire == Wire::Nats {
-        let settings: serde_json::Value = serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
+        let settings: serde_json::Value =
+            serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
         let listed: Vec<String> = rows
             .iter()
             .map(|(name, address, _)| format!("{{ name = \"{name}\", address = \"{address}\" }}"))
@@ -71,9 +83,15 @@
     }
     std::fs::write(&operator, text).expect("room");
     let env = [("LB_CONFIG", config.as_str())];
-    let program = Program::start(&["--operator", &operator], if wire == Wire::Platform { &env } else { &[] });
+    let program = Program::start(
+        &["--operator", &operator],
+        if wire == Wire::Platform { &env } else { &[] },
+    );
     program.says("administration API serves");
-    let api = Api { at: admin, token: ADMIN_TOKEN };
+    let api = Api {
+        at: admin,
+        token: ADMIN_TOKEN,
+    };
     if wire == Wire::Nats {
         for (name, share) in [("acme", 58.0), ("bright", 42.0)] {
             let body = format!(
@@ -116,7 +134,9 @@
         });
         for span in quiet.into_inner().expect("sound") {
             match span {
-                Some(span) => took[usize::from(flooded)].record(span.as_micros() as u64).expect("it grows"),
+                Some(span) => took[usize::from(flooded)]
+                    .record(span.as_micros() as u64)
+                    .expect("it grows"),
                 None => refused[usize::from(flooded)] += 1,
             }
         }
@@ -146,10 +166,17 @@
     let mut client = match wire {
         Wire::Platform => {
             let mut client = Peer::connect(at);
-            client.say(&format!("OPEN a{number} k{number} c=chat,t={account},d=8500\r\n"));
+            client.say(&format!(
+                "OPEN a{number} k{number} c=chat,t={account},d=8500\r\n"
+            ));
             client
         }
-        Wire::Nats => support::nats::client(at, &format!("n{number}"), account, "a password of some length"),
+        Wire::Nats => support::nats::client(
+            at,
+            &format!("n{number}"),
+            account,
+            "a password of some length",
+        ),
     };
     let answer = client.hear()?;
     (answer == "UP r1" || answer == "PONG").then(|| began.elapsed())
--- a/cli/benches/start.rs
+++ b/cli/benches/start.rs
@@ -21,9 +21,10 @@
     let own = env!("CARGO_BIN_EXE_beaconflow").to_owned();
     let other = std::env::var("PROGRAM").ok();
     let programs: Vec<String> = other.into_iter().chain([own]).collect();
-    for (kind, settings) in
-        [("asked", SETTINGS.to_owned()), ("pushed", SETTINGS.replace("subscribe", "automatic"))]
-    {
+    for (kind, settings) in [
+        ("asked", SETTINGS.to_owned()),
+        ("pushed", SETTINGS.replace("subscribe", "automatic")),
+    ] {
         let mut all = vec![Vec::new(); programs.len()];
         for _ in 0..STARTS {
             for (program, figures) in programs.iter().zip(&mut all) {
@@ -33,8 +34,14 @@
         for (program, figures) in programs.iter().zip(&all) {
             let size = std::fs::metadata(program).expect("a program").len();
             println!("{kind} {program}: {size} bytes");
-            let names =
-                ["serves, ms", "has the list, ms", "memory, KiB", "peak, KiB", "threads", "descriptors"];
+            let names = [
+                "serves, ms",
+                "has the list, ms",
+                "memory, KiB",
+                "peak, KiB",
+                "threads",
+                "descriptors",
+            ];
             for (at, name) in names.iter().enumerate() {
                 let mut column: Vec<f64> = figures.iter().map(|one| one[at]).collect();
                 column.sort_by(f64::total_cmp);
@@ -49,12 +56,20 @@
     let (at, discovery) = (free(), Discovery::start());
     let names: Vec<String> = (0..90).map(|number| format!("s{number}")).collect();
     let server: SocketAddr = free();
-    let rows: Vec<(&str, SocketAddr, &str)> =
-        names.iter().map(|name| (name.as_str(), server, "SERVING")).collect();
-    let path = file("start", &config(at, discovery.address, &list(1, true, &rows), settings, 1024));
+    let rows: Vec<(&str, SocketAddr, &str)> = names
+        .iter()
+        .map(|name| (name.as_str(), server, "SERVING"))
+        .collect();
+    let path = file(
+        "start",
+        &config(at, discovery.address, &list(1, true, &rows), settings, 1024),
+    );
     let begun = Instant::now();
     let mut command = Command::new(program);
-    command.arg("serve").env("LB_CONFIG", &path).stderr(Stdio::piped());
+    command
+        .arg("serve")
+        .env("LB_CONFIG", &path)
+        .stderr(Stdio::piped());
     let mut child = command.spawn().expect("the program starts");
     let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
     let (mut serves, mut listed) = (None, None);
@@ -73,8 +88,14 @@
     let of = |path: &str| format!("/proc/{}/{path}", child.id());
     let status = std::fs::read_to_string(of("status")).expect("it runs");
     let figure = |name: &str| {
-        let row = status.lines().find(|line| line.starts_with(name)).expect("Linux");
-        row.split_whitespace().nth(1).and_then(|word| word.parse().ok()).expect("a number")
+        let row = status
+            .lines()
+            .find(|line| line.starts_with(name))
+            .expect("Linux");
+        row.split_whitespace()
+            .nth(1)
+            .and_then(|word| word.parse().ok())
+            .expect("a number")
     };
     let descriptors = std::fs::read_dir(of("fd")).expect("it runs").count();
     let figures = [
--- a/cli/src/api.rs
+++ b/cli/src/api.rs
@@ -74,7 +74,11 @@
             .http_status_as_error(false)
             .proxy(None)
             .build();
-        Ok(Api { at: to.api.clone(), token: token.trim().to_owned(), agent: config.into() })
+        Ok(Api {
+            at: to.api.clone(),
+            token: token.trim().to_owned(),
+            agent: config.into(),
+        })
     }
 
     /// One call; gives the body of its answer.
@@ -93,17 +97,29 @@
             request = request.header(*name, *value);
         }
         let body = body.map(Value::to_string).unwrap_or_default();
-        let request = request.body(body).map_err(|error| Failure::Usage(error.to_string()))?;
-        let answer = self.agent.run(request).map_err(|error| Failure::Unreached(error.to_string()));
+        let request = request
+            .body(body)
+            .map_err(|error| Failure::Usage(error.to_string()))?;
+        let answer = self
+            .agent
+            .run(request)
+            .map_err(|error| Failure::Unreached(error.to_string()));
         let mut answer = answer?;
         let status = answer.status().as_u16();
-        let text = answer.body_mut().with_config().limit(64 << 20).read_to_string();
+        let text = answer
+            .body_mut()
+            .with_config()
+            .limit(64 << 20)
+            .read_to_string();
         let text = text.map_err(|error| Failure::Unreached(error.to_string()))?;
         let value: Value = serde_json::from_str(&text).unwrap_or_default();
         if (200..300).contains(&status) {
             return Ok(value);
         }
-        let why = value["error"].as_str().unwrap_or("no reason was given").to_owned();
+        let why = value["error"]
+            .as_str()
+            .unwrap_or("no reason was given")
+            .to_owned();
         Err(Failure::Refused(status, why))
     }
 }
--- a/cli/src/args.rs
+++ b/cli/src/args.rs
@@ -74,7 +74,9 @@
         to: To,
     },
     /// Print completions for a shell
-    #[command(after_help = "Example:\n  beaconflow completions bash > /etc/bash_completion.d/beaconflow")]
+    #[command(
+        after_help = "Example:\n  beaconflow completions bash > /etc/bash_completion.d/beaconflow"
+    )]
     Completions {
         /// Which shell
         shell: clap_complete::Shell,
@@ -224,7 +226,9 @@
     match (span, until) {
         (Some(span), _) => Ok(json!({ "expires_in_s": span.as_secs_f64() })),
         (None, Some(until)) => Ok(json!({ "expires_at": until })),
-        (None, None) => Err(Failure::Usage("say when it ends: --for SPAN or --until TIME".into())),
+        (None, None) => Err(Failure::Usage(
+            "say when it ends: --for SPAN or --until TIME".into(),
+        )),
     }
 }
 
@@ -240,7 +244,9 @@
     pub fn body(&self, about: &About) -> Result<Value, Failure> {
         let mut body = expiry(about.span, about.until.as_deref())?;
         let needed = |field: &str, value: &Option<String>| {
-            value.clone().ok_or_else(|| Failure::Usage(format!("--{field} is missing")))
+            value
+                .clone()
+                .ok_or_else(|| Failure::Usage(format!("--{field} is missing")))
         };
         body["who"] = needed("who", &about.who)?.into();
         body["why"] = needed("why", &about.why)?.into();
@@ -258,7 +264,12 @@
                 (body["kind"], body["server"]) = ("weight".into(), server.as_str().into());
                 body["factor"] = (*factor).into();
             }
-            What::Pin { server, group, tenant, strict } => {
+            What::Pin {
+                server,
+                group,
+                tenant,
+                strict,
+            } => {
                 (body["kind"], body["server"]) = ("pin".into(), server.as_str().into());
                 for (field, name) in [("group", group), ("tenant", tenant)] {
                     if let Some(name) = name {
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -29,7 +29,12 @@
         Command::Serve { operator } => return serving(operator.as_deref()),
         Command::Check { file, json } => check(&file, json),
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Args::command(), "beaconflow", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Args::command(),
+                "beaconflow",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
         Command::Override(command) => overrides(command),
@@ -49,12 +54,19 @@
 }
 
 fn serving(operator: Option<&Path>) -> ExitCode {
-    let read = operator.map(|path| Operator::read(path).map(|operator| (path.to_owned(), operator)));
-    let served = read.transpose().map_err(|faults| faults.to_string()).and_then(|operator| {
-        let form = operator.as_ref().map(|(_, operator)| operator.log).unwrap_or_default();
-        log::start(form);
-        serve::serve(operator)
-    });
+    let read =
+        operator.map(|path| Operator::read(path).map(|operator| (path.to_owned(), operator)));
+    let served = read
+        .transpose()
+        .map_err(|faults| faults.to_string())
+        .and_then(|operator| {
+            let form = operator
+                .as_ref()
+                .map(|(_, operator)| operator.log)
+                .unwrap_or_default();
+            log::start(form);
+            serve::serve(operator)
+        });
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -67,10 +79,17 @@
 
 /// Names every fault of an operator's file.
 fn check(file: &Path, as_json: bool) -> Result<(), Failure> {
-    let faults = Operator::read(file).err().map(|faults| faults.0).unwrap_or_default();
+    let faults = Operator::read(file)
+        .err()
+        .map(|faults| faults.0)
+        .unwrap_or_default();
     let mut out = std::io::stdout();
     let written = if as_json {
-        writeln!(out, "{}", json!({ "file": file, "ok": faults.is_empty(), "faults": faults }))
+        writeln!(
+            out,
+            "{}",
+            json!({ "file": file, "ok": faults.is_empty(), "faults": faults })
+        )
     } else if faults.is_empty() {
         writeln!(out, "{}: sound", file.display())
     } else {
@@ -88,8 +107,11 @@
     match command {
         OverrideCommand::Add { what, about, to } => {
             let body = what.body(&about)?;
-            let key: Vec<(&str, &str)> =
-                about.key.iter().map(|key| ("Idempotency-Key", key.as_str())).collect();
+            let key: Vec<(&str, &str)> = about
+                .key
+                .iter()
+                .map(|key| ("Idempotency-Key", key.as_str()))
+                .collect();
             let answer = Api::new(&to)?.call("POST", "/v1/overrides", Some(&body), &key)?;
             print(to.json, &answer, show::one)
         }
@@ -101,13 +123,16 @@
             let answer = Api::new(&to)?.call("GET", &format!("/v1/overrides/{id}"), None, &[])?;
             print(to.json, &answer, show::one)
         }
-        OverrideCommand::Extend { change: Change { id, revision, to }, until } => {
+        OverrideCommand::Extend {
+            change: Change { id, revision, to },
+            until,
+        } => {
             let body = until.body()?;
             change("PATCH", id, revision, Some(&body), &to)
         }
-        OverrideCommand::Remove { change: Change { id, revision, to } } => {
-            change("DELETE", id, revision, None, &to)
-        }
+        OverrideCommand::Remove {
+            change: Change { id, revision, to },
+        } => change("DELETE", id, revision, None, &to),
     }
 }
 
@@ -143,7 +168,11 @@
 
 /// Prints an answer for people or for scripts. A reader that has gone away is no fault.
 fn print(as_json: bool, answer: &Value, show: impl Fn(&Value) -> String) -> Result<(), Failure> {
-    let text = if as_json { answer.to_string() } else { show(answer) };
+    let text = if as_json {
+        answer.to_string()
+    } else {
+        show(answer)
+    };
     match writeln!(std::io::stdout(), "{}", text.trim_end()) {
         Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => {
             Err(Failure::Local(error.to_string()))
--- a/cli/src/show.rs
+++ b/cli/src/show.rs
@@ -25,7 +25,10 @@
 
 /// `1h 30m 5s`.
 fn span(seconds: &Value) -> String {
-    let seconds = seconds.as_f64().filter(|seconds| (0.0..1e12).contains(seconds)).unwrap_or_default();
+    let seconds = seconds
+        .as_f64()
+        .filter(|seconds| (0.0..1e12).contains(seconds))
+        .unwrap_or_default();
     humantime::format_duration(Duration::from_secs(seconds as u64)).to_string()
 }
 
@@ -38,9 +41,16 @@
         }
         Some("weight") => format!("weight {server} x {}", one["factor"]),
         Some("pin") => {
-            let (what, name) =
-                if one["group"].is_string() { ("group", &one["group"]) } else { ("tenant", &one["tenant"]) };
-            format!("pin {what} {} to {server}, {}", text_of(name), text_of(&one["mode"]))
+            let (what, name) = if one["group"].is_string() {
+                ("group", &one["group"])
+            } else {
+                ("tenant", &one["tenant"])
+            };
+            format!(
+                "pin {what} {} to {server}, {}",
+                text_of(name),
+                text_of(&one["mode"])
+            )
         }
         _ => format!("out {server}"),
     }
@@ -58,7 +68,10 @@
         [] => "-".into(),
         [(_, first), rest @ ..] if rest.iter().all(|(_, effect)| effect == first) => first.clone(),
         all => {
-            let words: Vec<String> = all.iter().map(|(front, effect)| format!("{front}: {effect}")).collect();
+            let words: Vec<String> = all
+                .iter()
+                .map(|(front, effect)| format!("{front}: {effect}"))
+                .collect();
             words.join(", ")
         }
     }
@@ -96,9 +109,14 @@
     }
     let ahead = answer["wall_ahead_s"].as_f64().unwrap_or_default();
     if ahead.abs() >= 1.0 {
-        text.push_str(&format!("note: the wall clock was stepped by {ahead} s since the balancer's start\n"));
+        text.push_str(&format!(
+            "note: the wall clock was stepped by {ahead} s since the balancer's start\n"
+        ));
     }
-    let all = answer["overrides"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let all = answer["overrides"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     if all.is_empty() {
         text.push_str("No override holds.\n");
         return text;
@@ -119,13 +137,30 @@
 
 /// The server list.
 pub fn server_list(answer: &Value) -> String {
-    let mut table =
-        table(["FRONT", "SERVER", "ADDRESS", "ZONE", "STANDING", "LISTED", "EFFECTIVE", "WHY THEY DIFFER"]);
+    let mut table = table([
+        "FRONT",
+        "SERVER",
+        "ADDRESS",
+        "ZONE",
+        "STANDING",
+        "LISTED",
+        "EFFECTIVE",
+        "WHY THEY DIFFER",
+    ]);
     for server in answer["servers"].as_array().into_iter().flatten() {
         let side = |side: &Value| {
-            format!("{} {:.3}", text_of(&side["state"]), side["weight"].as_f64().unwrap_or(0.0))
+            format!(
+                "{} {:.3}",
+                text_of(&side["state"]),
+                side["weight"].as_f64().unwrap_or(0.0)
+            )
         };
-        let why: Vec<String> = server["why"].as_array().into_iter().flatten().map(text_of).collect();
+        let why: Vec<String> = server["why"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(text_of)
+            .collect();
         table.add_row([
             text_of(&server["front"]),
             text_of(&server["name"]),
@@ -138,7 +173,9 @@
         ]);
     }
     let warnings = answer["warnings"].as_array().into_iter().flatten();
-    let warnings: String = warnings.map(|warning| format!("warning: {}\n", text_of(warning))).collect();
+    let warnings: String = warnings
+        .map(|warning| format!("warning: {}\n", text_of(warning)))
+        .collect();
     warnings + &fleet(&answer["fleet"]) + &table.trim_fmt()
 }
 
@@ -148,7 +185,10 @@
         return String::new();
     }
     let remembers = match fleet["placements"].as_u64() {
-        Some(count) => format!(", {count} clients remembered under version {}", text_of(&fleet["version"])),
+        Some(count) => format!(
+            ", {count} clients remembered under version {}",
+            text_of(&fleet["version"])
+        ),
         None => String::new(),
     };
     let uplink = match fleet["uplink"].as_str() {
@@ -156,10 +196,16 @@
         None => String::new(),
     };
     let deferred = match fleet["deferred"].as_u64() {
-        Some(count) if count > 0 => format!(", {count} times a client was told to come in its turn"),
+        Some(count) if count > 0 => {
+            format!(", {count} times a client was told to come in its turn")
+        }
         _ => String::new(),
     };
-    let kept = if fleet["kept"] == true { "" } else { ", nothing kept on disk" };
+    let kept = if fleet["kept"] == true {
+        ""
+    } else {
+        ", nothing kept on disk"
+    };
     format!(
         "fleet: {} of site {} (boot {}), {} of {} processes, {}{deferred}{uplink}{remembers}{kept}\n",
         text_of(&fleet["name"]),
@@ -175,11 +221,14 @@
 pub fn admission(answer: &Value) -> String {
     let mut text = String::new();
     let mut table = table([
-        "FRONT", "ACCOUNT", "DUE", "A SECOND", "WAITING", "ASKED", "ADMITTED", "LENT", "REFUSED", "GIVEN UP",
-        "LEFT", "WAIT P50", "P99",
+        "FRONT", "ACCOUNT", "DUE", "A SECOND", "WAITING", "ASKED", "ADMITTED", "LENT", "REFUSED",
+        "GIVEN UP", "LEFT", "WAIT P50", "P99",
     ]);
     for front in answer["fronts"].as_array().into_iter().flatten() {
-        let (limits, bytes) = (&front["limits"], front["bytes"].as_f64().unwrap_or_default() / 1024.0);
+        let (limits, bytes) = (
+            &front["limits"],
+            front["bytes"].as_f64().unwrap_or_default() / 1024.0,
+        );
         text.push_str(&format!(
             "{}: {} of {} wait, {bytes:.0} of {:.0} KiB\n",
             text_of(&front["front"]),
--- a/cli/tests/admission.rs
+++ b/cli/tests/admission.rs
@@ -47,8 +47,9 @@
             );
         let rows = [("s0", server.address, "SERVING")];
         let known = list(1, true, if any { &rows } else { &[] });
-        let mut operator =
-            format!("[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\n{admission}\n");
+        let mut operator = format!(
+            "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\n{admission}\n"
+        );
         let config = support::config(at, discovery.address, &known, &settings, 1_024);
         if wire == Wire::Nats {
             let settings: Value = serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
@@ -65,10 +66,17 @@
         std::fs::write(&operator_path, &operator).expect("room");
         std::fs::write(&config_path, &config).expect("room");
         let env = [("LB_CONFIG", config_path.as_str())];
-        let env = if wire == Wire::Platform { &env[..] } else { &[] };
+        let env = if wire == Wire::Platform {
+            &env[..]
+        } else {
+            &[]
+        };
         let program = Program::start(&["--operator", &operator_path], env);
         program.says("administration API serves");
-        let api = Api { at: admin, token: ADMIN_TOKEN };
+        let api = Api {
+            at: admin,
+            token: ADMIN_TOKEN,
+        };
         let site = Site {
             program,
             at,
@@ -100,7 +108,9 @@
         match self.wire {
             Wire::Platform => {
                 let mut client = Peer::connect(self.at);
-                client.say(&format!("OPEN a{number} k{number} c=once,t={account},d=8500{extra}\r\n"));
+                client.say(&format!(
+                    "OPEN a{number} k{number} c=once,t={account},d=8500{extra}\r\n"
+                ));
                 client
             }
             Wire::Nats => support::nats::client(self.at, &format!("n{number}"), account, PASSWORD),
@@ -121,7 +131,11 @@
     fn waiting(&self, count: usize) {
         let until = Instant::now() + PATIENCE;
         while self.admission()["waiting"] != count {
-            assert!(Instant::now() < until, "not {count} wait: {}", self.admission());
+            assert!(
+                Instant::now() < until,
+                "not {count} wait: {}",
+                self.admission()
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -129,7 +143,10 @@
     fn account(&self, name: &str) -> Value {
         let door = self.admission();
         let rows = door["accounts"].as_array().expect("a list");
-        rows.iter().find(|row| row["account"] == name).unwrap_or_else(|| panic!("no {name}: {door}")).clone()
+        rows.iter()
+            .find(|row| row["account"] == name)
+            .unwrap_or_else(|| panic!("no {name}: {door}"))
+            .clone()
     }
 
     /// Gives turns one after the other, as set-ups end; gives the first words of all set-ups. Guards against passes that
@@ -159,7 +176,9 @@
                 .split_once("try again in ")
                 .map(|(_, rest)| rest.trim_end_matches([' ', '\'', 'm', 's']).to_owned()),
         };
-        let told = words.and_then(|words| words.parse().ok()).unwrap_or_else(|| panic!("no time: {answer}"));
+        let told = words
+            .and_then(|words| words.parse().ok())
+            .unwrap_or_else(|| panic!("no time: {answer}"));
         assert!((1..=2_000).contains(&told), "{answer}");
         client.ended();
         told
@@ -167,7 +186,9 @@
 }
 
 fn number(of: &Value, field: &str) -> u64 {
-    of[field].as_u64().unwrap_or_else(|| panic!("no {field} in {of}"))
+    of[field]
+        .as_u64()
+        .unwrap_or_else(|| panic!("no {field} in {of}"))
 }
 
 #[test]
@@ -181,14 +202,29 @@
         site.waiting(110 - WINDOW);
         let turns = site.turns(75);
         site.server.allow(usize::MAX);
-        let acme = turns[WINDOW..WINDOW + 75].iter().filter(|words| site.is_of(words, "acme")).count();
+        let acme = turns[WINDOW..WINDOW + 75]
+            .iter()
+            .filter(|words| site.is_of(words, "acme"))
+            .count();
         // 43.5 and two in a hundred.
-        assert!((42..=45).contains(&acme), "{acme} of 75 turns for a share of 58%");
+        assert!(
+            (42..=45).contains(&acme),
+            "{acme} of 75 turns for a share of 58%"
+        );
         site.server.came(110);
         let (acme, bright) = (site.account("acme"), site.account("bright"));
-        assert_eq!((number(&acme, "admitted"), number(&bright, "admitted")), (60, 50));
-        assert_eq!((number(&acme, "refused"), number(&bright, "refused")), (0, 0));
-        assert!(number(&bright, "wait_p99_ms") > 0 && number(&acme, "lent") > 0, "{acme}");
+        assert_eq!(
+            (number(&acme, "admitted"), number(&bright, "admitted")),
+            (60, 50)
+        );
+        assert_eq!(
+            (number(&acme, "refused"), number(&bright, "refused")),
+            (0, 0)
+        );
+        assert!(
+            number(&bright, "wait_p99_ms") > 0 && number(&acme, "lent") > 0,
+            "{acme}"
+        );
     }
 }
 
@@ -207,7 +243,10 @@
             assert!(Instant::now() < until, "{}", site.admission());
         }
         assert_eq!(
-            (number(&site.account("bright"), "waiting"), number(&site.account("bright"), "refused")),
+            (
+                number(&site.account("bright"), "waiting"),
+                number(&site.account("bright"), "refused")
+            ),
             (5, 0)
         );
         assert_eq!(number(&site.admission(), "waiting"), 20);
@@ -216,7 +255,9 @@
         site.waiting(19);
         assert_eq!(number(&site.account("bright"), "left"), 1);
         // A reload that shrinks the bounds: the loud give way again, the others wait on.
-        let smaller = site.operator.replace("entries = 20", "entries = 10\nover_share_s = 1");
+        let smaller = site
+            .operator
+            .replace("entries = 20", "entries = 10\nover_share_s = 1");
         std::fs::write(site.folder.path().join("operator.toml"), &smaller).expect("room");
         site.program.signal("HUP");
         assert!(site.program.says("taken over").contains("admission"));
@@ -259,7 +300,10 @@
         }
     }
     assert_eq!(told.len(), 1);
-    let told: u64 = told[0].strip_prefix("BUSY ").and_then(|words| words.parse().ok()).expect("a time");
+    let told: u64 = told[0]
+        .strip_prefix("BUSY ")
+        .and_then(|words| words.parse().ok())
+        .expect("a time");
     assert!((1..=2_000).contains(&told));
 }
 
@@ -279,7 +323,12 @@
     // Of the first two turns one is its own. The window grows with what stands: one set-up that ends makes two turns.
     site.server.allow(1);
     let turns = site.server.came(WINDOW + 2);
-    assert!(turns[WINDOW..].iter().any(|words| words.contains("again=1")), "{turns:?}");
+    assert!(
+        turns[WINDOW..]
+            .iter()
+            .any(|words| words.contains("again=1")),
+        "{turns:?}"
+    );
     site.server.allow(usize::MAX);
     back.hears("UP r1");
 }
@@ -296,7 +345,13 @@
     site.told(&mut client);
     let took = began.elapsed();
     assert!(took < Duration::from_millis(1_200), "{took:?}");
-    assert_eq!((number(&site.account("bright"), "given_up"), number(&site.admission(), "waiting")), (1, 0));
+    assert_eq!(
+        (
+            number(&site.account("bright"), "given_up"),
+            number(&site.admission(), "waiting")
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -305,13 +360,24 @@
     let mut clients: Vec<Peer> = (0..50)
         .map(|number| {
             let mut client = Peer::connect(site.at);
-            client.say(&format!("OPEN c{number} k{number} c=once,t=acme,d=1500\r\n"));
+            client.say(&format!(
+                "OPEN c{number} k{number} c=once,t=acme,d=1500\r\n"
+            ));
             client
         })
         .collect();
-    clients.iter_mut().for_each(|client| assert!(site.told(client) > 0));
+    clients
+        .iter_mut()
+        .for_each(|client| assert!(site.told(client) > 0));
     let door = site.admission();
-    assert_eq!((number(&door, "waiting"), number(&door["accounts"][0], "admitted")), (0, 0), "{door}");
+    assert_eq!(
+        (
+            number(&door, "waiting"),
+            number(&door["accounts"][0], "admitted")
+        ),
+        (0, 0),
+        "{door}"
+    );
 }
 
 #[test]
@@ -327,7 +393,10 @@
     site.waiting(120);
     let turns = site.turns(50);
     site.server.allow(usize::MAX);
-    let acme = turns[WINDOW..WINDOW + 50].iter().filter(|words| site.is_of(words, "acme")).count();
+    let acme = turns[WINDOW..WINDOW + 50]
+        .iter()
+        .filter(|words| site.is_of(words, "acme"))
+        .count();
     assert!((8..=12).contains(&acme), "{acme} of 50 turns for 10 to 42");
     let due = site.account("acme")["due"].as_f64().expect("a number");
     assert!((due - 0.1 / 0.52).abs() < 0.01, "{due}");
@@ -348,7 +417,9 @@
                 }
                 let account = if number % 9 == 0 { "acme" } else { "bright" };
                 let mut client = Peer::connect(at);
-                client.say(&format!("OPEN d{number} k{number} c=once,t={account},d=8500\r\n"));
+                client.say(&format!(
+                    "OPEN d{number} k{number} c=once,t={account},d=8500\r\n"
+                ));
                 client.hears("UP r1");
                 standing.push(client);
                 std::thread::sleep(Duration::from_millis(40));
@@ -358,5 +429,8 @@
         done.store(true, Ordering::Relaxed);
         line
     });
-    assert!(line.contains("account=bright") && line.contains("due=42%"), "{line}");
+    assert!(
+        line.contains("account=bright") && line.contains("due=42%"),
+        "{line}"
+    );
 }
--- a/cli/tests/connections.rs
+++ b/cli/tests/connections.rs
@@ -38,8 +38,11 @@
 /// Stops the program, has peers do something, and lets it go on: it finds all of it at once.
 fn meanwhile(site: &Site, act: impl FnOnce()) {
     let state = || {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", site.program.pid())).expect("it runs");
-        stat.rsplit(") ").next().and_then(|rest| rest.chars().next())
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", site.program.pid())).expect("it runs");
+        stat.rsplit(") ")
+            .next()
+            .and_then(|rest| rest.chars().next())
     };
     site.program.signal("STOP");
     while state() != Some('T') {
@@ -54,9 +57,15 @@
 fn ends(peer: Peer) {
     /// The state of a connection whose other side has ended, in the system's table.
     const CLOSE_WAIT: &str = "08";
-    let SocketAddr::V4(address) = peer.stream.local_addr().expect("open") else { panic!("no IPv4") };
+    let SocketAddr::V4(address) = peer.stream.local_addr().expect("open") else {
+        panic!("no IPv4")
+    };
     drop(peer);
-    let from = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
+    let from = format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(address.ip().octets()),
+        address.port()
+    );
     let has_ended = || {
         let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
         table.lines().any(|line| {
@@ -87,7 +96,10 @@
     // It was written before the client read the end.
     client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     client.ended();
-    assert!(is_not_reset(&client, BEYOND_LINGER), "its answer is not destroyed");
+    assert!(
+        is_not_reset(&client, BEYOND_LINGER),
+        "its answer is not destroyed"
+    );
     site.servers[0].set_nonblocking(true).expect("open");
     assert!(site.servers[0].accept().is_err(), "nothing was sent on");
 }
@@ -127,7 +139,10 @@
         client.hears("BUSY");
         client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
         client.ended();
-        assert!(client.stream.take_error().expect("open").is_none(), "its answer is not destroyed");
+        assert!(
+            client.stream.take_error().expect("open").is_none(),
+            "its answer is not destroyed"
+        );
         client.finish();
     }
     assert!(site.program.left(), "it leaves by itself");
@@ -138,13 +153,17 @@
     let site = Site::start("slow", 1);
     let opening = "OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n";
     // Also where the client has rested for a while.
-    for (open, id) in [(Peer::connect as fn(SocketAddr) -> Peer, "b1"), (rests, "b2")] {
+    for (open, id) in [
+        (Peer::connect as fn(SocketAddr) -> Peer, "b1"),
+        (rests, "b2"),
+    ] {
         let mut client = open(site.at);
         client.stream.set_nodelay(true).expect("open");
         let begun = Instant::now();
         for (number, byte) in (0_u32..).zip(opening.replace("b1", id).chars()) {
-            let due =
-                begun + Duration::from_millis(1_900) * number / u32::try_from(opening.len()).expect("short");
+            let due = begun
+                + Duration::from_millis(1_900) * number
+                    / u32::try_from(opening.len()).expect("short");
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             client.say(&byte.to_string());
         }
@@ -177,7 +196,11 @@
         has
     };
     let mut silent = silent;
-    let last = silent.iter_mut().rev().find(has_answer).expect("one made room");
+    let last = silent
+        .iter_mut()
+        .rev()
+        .find(has_answer)
+        .expect("one made room");
     last.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     last.hears("BUSY");
     last.ended();
@@ -245,9 +268,14 @@
     let mut client = Peer::new(socket.into());
     client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     let mut server = site.serve(&mut client);
-    SockRef::from(&server.stream).set_send_buffer_size(64 * 1024).expect("open");
+    SockRef::from(&server.stream)
+        .set_send_buffer_size(64 * 1024)
+        .expect("open");
     let mut stream = server.stream.try_clone().expect("open");
-    let (written, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(usize::MAX)));
+    let (written, most) = (
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(AtomicUsize::new(usize::MAX)),
+    );
     let (count, until) = (Arc::clone(&written), Arc::clone(&most));
     let writes = std::thread::spawn(move || {
         let line = lines(1);
@@ -267,9 +295,14 @@
     server.ended();
     // What had room by chance has gone on; the next that is read of the server waits for the client again.
     std::thread::sleep(Duration::from_millis(100));
-    SockRef::from(&client.stream).set_recv_buffer_size(1 << 20).expect("open");
+    SockRef::from(&client.stream)
+        .set_recv_buffer_size(1 << 20)
+        .expect("open");
     let mut heard = Vec::new();
-    client.stream.set_read_timeout(Some(PATIENCE)).expect("open");
+    client
+        .stream
+        .set_read_timeout(Some(PATIENCE))
+        .expect("open");
     let ended = client.stream.read_to_end(&mut heard);
     writes.join().expect("all was taken");
     assert!(ended.is_ok(), "{ended:?}");
@@ -348,8 +381,11 @@
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
                 while let Some(line) = peer.hear_or_end() {
-                    let answer: &[u8] =
-                        if line.starts_with("STATS") { b"PONG x0=0.1\r\n" } else { b"UP r\r\n" };
+                    let answer: &[u8] = if line.starts_with("STATS") {
+                        b"PONG x0=0.1\r\n"
+                    } else {
+                        b"UP r\r\n"
+                    };
                     if peer.stream.write_all(answer).is_err() {
                         return;
                     }
@@ -362,15 +398,24 @@
 #[test]
 fn idle_clients_and_probes_leave_descriptors_for_the_watch_the_operators_and_a_reload() {
     const SERVERS: usize = 90;
-    let probes = SETTINGS.replace("\"policy-limits\":{", "\"policy-limits\":{\"may-probe\":true,");
-    let settings =
-        probes.replace("\"rules\"", "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"");
+    let probes = SETTINGS.replace(
+        "\"policy-limits\":{",
+        "\"policy-limits\":{\"may-probe\":true,",
+    );
+    let settings = probes.replace(
+        "\"rules\"",
+        "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
+    );
     let operators = free();
     let env = [("LB_ADMIN_ADDR", operators.to_string())];
     let env = env.each_ref().map(|(name, value)| (*name, value.as_str()));
     let mut site = Site::start_on(&settings, "descriptors", SERVERS, &env);
     site.servers.drain(..).for_each(takes_and_tells);
-    let held = || std::fs::read_dir(format!("/proc/{}/fd", site.program.pid())).expect("it runs").count();
+    let held = || {
+        std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
+            .expect("it runs")
+            .count()
+    };
     let _first = site.discovery.watch();
     let mut most = 0;
     let mut standing = Vec::new();
@@ -396,7 +441,11 @@
     site.discovery.watch();
     site.program.signal("HUP");
     site.program.says("nothing has changed");
-    let status = Api { at: operators, token: "none is wanted" }.call("GET", "/status", "");
+    let status = Api {
+        at: operators,
+        token: "none is wanted",
+    }
+    .call("GET", "/status", "");
     assert_eq!(status.status, 200, "{}", status.body);
     most = most.max(held());
     assert!(most <= 256, "{most} descriptors");
--- a/cli/tests/deploy_file.rs
+++ b/cli/tests/deploy_file.rs
@@ -6,11 +6,17 @@
 use toml::Table;
 
 fn root() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the workspace").to_owned()
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .parent()
+        .expect("the workspace")
+        .to_owned()
 }
 
 fn table(path: &Path) -> Table {
-    std::fs::read_to_string(path).expect("it is there").parse().expect("TOML")
+    std::fs::read_to_string(path)
+        .expect("it is there")
+        .parse()
+        .expect("TOML")
 }
 
 /// The folders of the packages of the workspace that a package is built from, its own among them.
@@ -19,9 +25,14 @@
         return;
     }
     let manifest = table(&root().join(folder).join("Cargo.toml"));
-    let dependencies = manifest.get("dependencies").and_then(|all| all.as_table()).expect("dependencies");
+    let dependencies = manifest
+        .get("dependencies")
+        .and_then(|all| all.as_table())
+        .expect("dependencies");
     for dependency in dependencies.values() {
-        let Some(path) = dependency.get("path").and_then(|path| path.as_str()) else { continue };
+        let Some(path) = dependency.get("path").and_then(|path| path.as_str()) else {
+            continue;
+        };
         built_from(path.strip_prefix("../").unwrap_or(""), met);
     }
 }
@@ -31,16 +42,23 @@
     let deploy = table(&root().join("deploy/balancer.toml"));
     let list = |key: &str| -> BTreeSet<String> {
         let rows = deploy[key].as_array().expect("a list").iter();
-        rows.map(|row| row.as_str().expect("text").to_owned()).collect()
+        rows.map(|row| row.as_str().expect("text").to_owned())
+            .collect()
     };
     let (node, policy) = (list("node"), list("policy"));
     let mut folders = BTreeSet::new();
     built_from("cli", &mut folders);
     // The decision module's package lies at the root; its files but for the policy are named one by one.
     assert!(folders.remove(""), "{folders:?}");
-    let mut expected: BTreeSet<String> = folders.iter().map(|folder| format!("{folder}/src")).collect();
+    let mut expected: BTreeSet<String> = folders
+        .iter()
+        .map(|folder| format!("{folder}/src"))
+        .collect();
     for file in std::fs::read_dir(root().join("src")).expect("it is there") {
-        expected.insert(format!("src/{}", file.expect("it is there").file_name().to_string_lossy()));
+        expected.insert(format!(
+            "src/{}",
+            file.expect("it is there").file_name().to_string_lossy()
+        ));
     }
     expected.retain(|path| !policy.contains(path));
     assert_eq!(node, expected);
