--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -28,7 +28,9 @@
 
 /// The usual settings with longer times, so that a pass is out for as long as its story takes.
 fn patient() -> String {
-    SETTINGS.replace("400000000,", "4000000000,").replace("3000000000", "9000000000")
+    SETTINGS
+        .replace("400000000,", "4000000000,")
+        .replace("3000000000", "9000000000")
 }
 
 fn pushed() -> String {
@@ -38,7 +40,10 @@
 /// A call for a watch that has been taken, and not answered.
 fn asked(of: &TcpListener) -> Peer {
     let mut peer = Peer::accept(of);
-    assert!(peer.hear().is_some_and(|line| line.starts_with("GET /api/targets?watch=1&from=")));
+    assert!(
+        peer.hear()
+            .is_some_and(|line| line.starts_with("GET /api/targets?watch=1&from="))
+    );
     while peer.hear().is_some_and(|line| !line.is_empty()) {}
     peer
 }
@@ -62,10 +67,21 @@
     known: &[(&str, SocketAddr, &str)],
 ) -> Watched {
     let at_clients = free();
-    let config = config(at_clients, at(discovery), &list(1, true, known), settings, 256);
+    let config = config(
+        at_clients,
+        at(discovery),
+        &list(1, true, known),
+        settings,
+        256,
+    );
     let path = file(name, &config);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-    Watched { program, at: at_clients, path, config }
+    Watched {
+        program,
+        at: at_clients,
+        path,
+        config,
+    }
 }
 
 fn opened(at: SocketAddr, id: &str) -> Peer {
@@ -96,10 +112,16 @@
     // A beat inside a word would spoil it.
     site.discovery.falls_silent();
     watch.stream.set_nodelay(true).expect("open");
-    let servers = [("s0", at(&site.servers[0]), "DRAINING"), ("s1", at(&site.servers[1]), "SERVING")];
+    let servers = [
+        ("s0", at(&site.servers[0]), "DRAINING"),
+        ("s1", at(&site.servers[1]), "SERVING"),
+    ];
     let whole: serde_json::Value = serde_json::from_str(&list(7, true, &servers)).expect("JSON");
     let text = serde_json::to_string_pretty(&whole).expect("JSON");
-    for piece in format!("\n{text}\n{}\n", list(8, false, &[])).as_bytes().chunks(5) {
+    for piece in format!("\n{text}\n{}\n", list(8, false, &[]))
+        .as_bytes()
+        .chunks(5)
+    {
         let piece = std::str::from_utf8(piece).expect("ASCII");
         watch.say(&format!("{:x}\r\n{piece}\r\n", piece.len()));
     }
@@ -111,8 +133,9 @@
 #[test]
 fn what_an_agent_gets_at_the_return_of_discovery_counts_for_a_request_that_waits() {
     let (agent, old, new) = (listener(), listener(), listener());
-    let Watched { program, at: front, .. } =
-        watched("return", &pushed(), &agent, &[("s0", at(&old), "SERVING")]);
+    let Watched {
+        program, at: front, ..
+    } = watched("return", &pushed(), &agent, &[("s0", at(&old), "SERVING")]);
     let mut silent = vec![asked(&agent)];
     program.says("the known list serves");
     let mut client = opened(front, "a1");
@@ -122,9 +145,17 @@
     silent.extend((0..3).map(|_| asked(&agent)));
     let returned = Instant::now();
     let told = list(2, true, &[("s1", at(&new), "SERVING")]);
-    answers(agent, Duration::ZERO, format!("{HEAD}{:x}\r\n{told}\r\n", told.len()));
+    answers(
+        agent,
+        Duration::ZERO,
+        format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
+    );
     program.says("generation=2 kind=Full");
-    assert!(returned.elapsed() < Duration::from_secs(2), "{:?}", returned.elapsed());
+    assert!(
+        returned.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        returned.elapsed()
+    );
     waits_for.say("BUSY\r\n");
     let _stands = serves(&new, &mut client);
     nobody_comes_to(&old);
@@ -136,14 +167,23 @@
     for _ in 0..20 {
         let (agent, old, new) = (listener(), listener(), listener());
         let known = [("s0", at(&old), "SERVING")];
-        let Watched { program, at: front, .. } = watched("first", &pushed(), &agent, &known);
+        let Watched {
+            program, at: front, ..
+        } = watched("first", &pushed(), &agent, &known);
         // An agent that is only just there breaks the first call off. The second it answers after longer than a start
         // takes that does not wait.
         drop(asked(&agent));
         let told = list(2, true, &[("s1", at(&new), "SERVING")]);
-        answers(agent, Duration::from_millis(60), format!("{HEAD}{:x}\r\n{told}\r\n", told.len()));
+        answers(
+            agent,
+            Duration::from_millis(60),
+            format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
+        );
         let said = program.says_up_to("front=platform");
-        if said.iter().any(|line| line.contains("the known list serves")) {
+        if said
+            .iter()
+            .any(|line| line.contains("the known list serves"))
+        {
             continue;
         }
         // What the agent said is before the client in the core's queue, whichever of them the log tells first.
@@ -184,7 +224,9 @@
             silent.say(HEAD);
             tell(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
             site.program.says("generation=2");
-            let moved = site.config.replace(&at(&first).to_string(), &at(&second).to_string());
+            let moved = site
+                .config
+                .replace(&at(&first).to_string(), &at(&second).to_string());
             std::fs::write(&site.path, moved).expect("the same folder");
             site.program.signal("HUP");
             (silent, discovery) = (asked(&second), &second);
@@ -204,10 +246,17 @@
     let few = patient();
     let many = few.replace("\"balancers\":1,", "\"balancers\":300,");
     std::thread::scope(|scope| {
-        for (kind, settings) in
-            [("few", few), ("many", many.clone()), ("pushed", many.replace("subscribe", "automatic"))]
-        {
-            for falls in [Falls::AtOnce, Falls::BeforeAnyList, Falls::InAList, Falls::AfterSighup] {
+        for (kind, settings) in [
+            ("few", few),
+            ("many", many.clone()),
+            ("pushed", many.replace("subscribe", "automatic")),
+        ] {
+            for falls in [
+                Falls::AtOnce,
+                Falls::BeforeAnyList,
+                Falls::InAList,
+                Falls::AfterSighup,
+            ] {
                 let (name, settings) = (format!("silent-{kind}-{falls:?}"), settings.clone());
                 scope.spawn(move || falls_silent(&name, &settings, falls));
             }
@@ -223,10 +272,19 @@
 
 /// Waits until a connection to there is on its way.
 fn is_tried(to: SocketAddr) {
-    let SocketAddr::V4(v4) = to else { panic!("IPv4") };
-    let row = format!("{:08X}:{:04X} 02", u32::from_ne_bytes(v4.ip().octets()), v4.port());
+    let SocketAddr::V4(v4) = to else {
+        panic!("IPv4")
+    };
+    let row = format!(
+        "{:08X}:{:04X} 02",
+        u32::from_ne_bytes(v4.ip().octets()),
+        v4.port()
+    );
     let until = Instant::now() + PATIENCE;
-    while !std::fs::read_to_string("/proc/net/tcp").expect("Linux").contains(&row) {
+    while !std::fs::read_to_string("/proc/net/tcp")
+        .expect("Linux")
+        .contains(&row)
+    {
         assert!(Instant::now() < until, "nobody tries {to}");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -236,22 +294,34 @@
 fn a_drain_told_while_a_connection_comes_up_keeps_the_first_byte_back() {
     let (discovery, new) = (listener(), listener());
     // One place in its line.
-    let old = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    old.bind(&SocketAddr::new(at(&listener()).ip(), 0).into()).expect("loopback");
+    let old =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    old.bind(&SocketAddr::new(at(&listener()).ip(), 0).into())
+        .expect("loopback");
     old.listen(0).expect("bound");
     let old = TcpListener::from(old);
     let line = fill(&old);
     let settings = patient().replace("200000000", "6000000000");
     let known = [("s0", at(&old), "SERVING")];
-    let Watched { program, at: front, .. } = watched("between", &settings, &discovery, &known);
+    let Watched {
+        program, at: front, ..
+    } = watched("between", &settings, &discovery, &known);
     let mut watch = asked(&discovery);
     watch.say(HEAD);
     let mut client = opened(front, "a1");
     is_tried(at(&old));
-    tell(&mut watch, 2, false, &[("s0", at(&old), "DRAINING"), ("s1", at(&new), "SERVING")]);
+    tell(
+        &mut watch,
+        2,
+        false,
+        &[("s0", at(&old), "DRAINING"), ("s1", at(&new), "SERVING")],
+    );
     program.says("generation=2 kind=Changes");
     line.iter().for_each(|_| drop(Peer::accept(&old)));
-    assert!(Peer::accept(&old).is_gone(), "it came up, and not a byte was sent on it");
+    assert!(
+        Peer::accept(&old).is_gone(),
+        "it came up, and not a byte was sent on it"
+    );
     let _stands = serves(&new, &mut client);
     nobody_comes_to(&old);
 }
@@ -261,14 +331,23 @@
     let (discovery, server) = (listener(), listener());
     let settings = patient()
         .replace("\"balancers\":1,", "\"balancers\":300,")
-        .replace("\"ask-within-ns\":10000000000", "\"ask-within-ns\":2000000000");
+        .replace(
+            "\"ask-within-ns\":10000000000",
+            "\"ask-within-ns\":2000000000",
+        );
     let known = [("s0", at(&server), "SERVING")];
-    let Watched { program, at: front, .. } = watched("without", &settings, &discovery, &known);
+    let Watched {
+        program, at: front, ..
+    } = watched("without", &settings, &discovery, &known);
     program.says("to=serving");
     let mut last = Instant::now();
     for _ in 0..4 {
         let mut call = asked(&discovery);
-        assert!(last.elapsed() < Duration::from_secs(2), "{:?}", last.elapsed());
+        assert!(
+            last.elapsed() < Duration::from_secs(2),
+            "{:?}",
+            last.elapsed()
+        );
         last = Instant::now();
         call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
@@ -292,9 +371,18 @@
                 let (discovery, server) = (listener(), listener());
                 let settings = patient()
                     .replace("\"balancers\":1,", "\"balancers\":300,")
-                    .replace("\"ask-within-ns\":10000000000", &format!("\"ask-within-ns\":{given}"));
+                    .replace(
+                        "\"ask-within-ns\":10000000000",
+                        &format!("\"ask-within-ns\":{given}"),
+                    );
                 let known = [("s0", at(&server), "SERVING")];
-                let config = config(free(), at(&discovery), &list(1, true, &known), &settings, 256);
+                let config = config(
+                    free(),
+                    at(&discovery),
+                    &list(1, true, &known),
+                    &settings,
+                    256,
+                );
                 // Each draws its own delay.
                 let config = config.replace("\"seed\":\"7\"", &format!("\"seed\":\"{number}\""));
                 let path = file(&format!("late{number}"), &config);
@@ -307,7 +395,11 @@
                 watch.say(HEAD);
                 tell(&mut watch, 2, false, &[("s0", at(&server), "DRAINING")]);
                 program.says("generation=2 kind=Changes");
-                assert!(changed.elapsed() < SILENT, "{given}: {:?}", changed.elapsed());
+                assert!(
+                    changed.elapsed() < SILENT,
+                    "{given}: {:?}",
+                    changed.elapsed()
+                );
             });
         }
     });
@@ -318,7 +410,13 @@
     let (discovery, server, front) = (listener(), listener(), free());
     let known = [("s0", at(&server), "SERVING")];
     // The limit is lower than the file says, so that clients take all descriptors.
-    let config = config(front, at(&discovery), &list(1, true, &known), &patient(), 4096);
+    let config = config(
+        front,
+        at(&discovery),
+        &list(1, true, &known),
+        &patient(),
+        4096,
+    );
     let path = file("lacks", &config);
     let program = Program::start_limited(40, &[("LB_CONFIG", path.as_str())]);
     program.says("to=serving");
@@ -326,8 +424,9 @@
     watch.say(HEAD);
     tell(&mut watch, 2, true, &known);
     program.says("generation=2 kind=Full");
-    let crowd: Vec<TcpStream> =
-        (0..200).map(|_| TcpStream::connect(front).expect("its line is long")).collect();
+    let crowd: Vec<TcpStream> = (0..200)
+        .map(|_| TcpStream::connect(front).expect("its line is long"))
+        .collect();
     program.says("accept failed");
     drop(watch);
     program.says("watch ended");
@@ -344,7 +443,9 @@
 
 /// Has the program's file name another discovery.
 fn names(site: &Watched, from: &TcpListener, to: &TcpListener) {
-    let moved = site.config.replace(&at(from).to_string(), &at(to).to_string());
+    let moved = site
+        .config
+        .replace(&at(from).to_string(), &at(to).to_string());
     std::fs::write(&site.path, moved).expect("the same folder");
     site.program.signal("HUP");
 }
@@ -352,29 +453,49 @@
 #[test]
 fn a_sighup_that_comes_before_the_watch_stands_has_the_new_discovery_asked_for_the_whole_list() {
     // One place in its line, which is taken: the first call never comes up.
-    let first = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    first.bind(&SocketAddr::new(at(&listener()).ip(), 0).into()).expect("loopback");
+    let first =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    first
+        .bind(&SocketAddr::new(at(&listener()).ip(), 0).into())
+        .expect("loopback");
     first.listen(0).expect("bound");
     let first = TcpListener::from(first);
     let _line = fill(&first);
     let (second, server) = (listener(), listener());
-    let site = watched("hup-early", &patient(), &first, &[("s0", at(&server), "SERVING")]);
+    let site = watched(
+        "hup-early",
+        &patient(),
+        &first,
+        &[("s0", at(&server), "SERVING")],
+    );
     is_tried(at(&first));
     let told = Instant::now();
     names(&site, &first, &second);
     let mut watch = Peer::accept(&second);
-    assert!(watch.hear().is_some_and(|line| line.contains("from=0 ")), "the whole list");
+    assert!(
+        watch.hear().is_some_and(|line| line.contains("from=0 ")),
+        "the whole list"
+    );
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
     watch.say(HEAD);
     tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
     site.program.says("generation=1 kind=Full");
-    assert!(told.elapsed() < Duration::from_secs(4), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 #[test]
 fn of_two_sighups_in_quick_succession_the_last_counts() {
     let (first, second, third, server) = (listener(), listener(), listener(), listener());
-    let site = watched("hup-twice", &patient(), &first, &[("s0", at(&server), "SERVING")]);
+    let site = watched(
+        "hup-twice",
+        &patient(),
+        &first,
+        &[("s0", at(&server), "SERVING")],
+    );
     let mut watch = asked(&first);
     watch.say(HEAD);
     tell(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
@@ -382,7 +503,10 @@
     names(&site, &first, &second);
     names(&site, &first, &third);
     let mut watch = Peer::accept(&third);
-    assert!(watch.hear().is_some_and(|line| line.contains("from=0 ")), "the whole list");
+    assert!(
+        watch.hear().is_some_and(|line| line.contains("from=0 ")),
+        "the whole list"
+    );
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
     watch.say(HEAD);
     tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
--- a/cli/tests/fleet_edge.rs
+++ b/cli/tests/fleet_edge.rs
@@ -52,21 +52,32 @@
 
 fn open(process: &Process, number: usize) -> (String, Peer) {
     let mut client = Peer::connect(process.at);
-    client.say(&format!("OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"));
+    client.say(&format!(
+        "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
+    ));
     (client.hear().expect("an answer"), client)
 }
 
 fn effective(farm: &serde_json::Value, name: &str) -> (String, String) {
-    let server = farm["servers"].as_array().expect("rows").iter().find(|one| one["name"] == name);
+    let server = farm["servers"]
+        .as_array()
+        .expect("rows")
+        .iter()
+        .find(|one| one["name"] == name);
     let server = server.expect("listed");
-    (server["effective"]["state"].to_string(), server["why"].to_string())
+    (
+        server["effective"]["state"].to_string(),
+        server["why"].to_string(),
+    )
 }
 
 #[test]
 fn on_an_island_all_processes_pass_over_what_one_of_them_saw() {
     let servers = four();
-    let rows: Vec<(&str, SocketAddr, &str)> =
-        servers.iter().map(|(name, at)| (*name, *at, "SERVING")).collect();
+    let rows: Vec<(&str, SocketAddr, &str)> = servers
+        .iter()
+        .map(|(name, at)| (*name, *at, "SERVING"))
+        .collect();
     let fleet = Fleet::of(3, &list(1, true, &rows), channel().1);
     let start = |number, word: &str| {
         let sections = fleet.sections(number, "") + &format!("[edge]\nword = \"{word}\"\n");
@@ -84,7 +95,10 @@
         for number in 0.. {
             assert!(number < 400, "the third never knew of {server}");
             let (answer, mut client) = open(&seers[number % 2], clients.len());
-            assert!(answer.starts_with("UP") || answer.starts_with("BUSY"), "{answer}");
+            assert!(
+                answer.starts_with("UP") || answer.starts_with("BUSY"),
+                "{answer}"
+            );
             if server == "s2" && answer.starts_with("UP") {
                 client.say("leave\r\n");
             }
@@ -104,7 +118,10 @@
         assert!(effective(&farm, well).0.contains("ready"), "{farm}");
     }
     let said = other.program.says("passed over");
-    assert!(said.contains("server=s3") || said.contains("server=s2"), "{said}");
+    assert!(
+        said.contains("server=s3") || said.contains("server=s2"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -118,24 +135,35 @@
             (format!("s{number}"), at)
         })
         .collect();
-    let rows: Vec<(&str, SocketAddr, &str)> =
-        rows.iter().map(|(name, at)| (name.as_str(), *at, "SERVING")).collect();
+    let rows: Vec<(&str, SocketAddr, &str)> = rows
+        .iter()
+        .map(|(name, at)| (name.as_str(), *at, "SERVING"))
+        .collect();
     let fleet = Fleet::of(3, &list(1, true, &rows), openings);
     let start = |number: usize| {
-        let (site, other, size) = if number < 2 { ("north", "south", 2) } else { ("south", "north", 1) };
+        let (site, other, size) = if number < 2 {
+            ("north", "south", 2)
+        } else {
+            ("south", "north", 1)
+        };
         let more = format!("size = 3\nsite_size = {size}\nother_sites = [\"{other}\"]");
-        let sections =
-            fleet.sections_with(number, &more, "").replace("site = \"north\"", &format!("site = \"{site}\""));
+        let sections = fleet
+            .sections_with(number, &more, "")
+            .replace("site = \"north\"", &format!("site = \"{site}\""));
         fleet.process(number, &(sections + "[edge]\npatience_s = 1\n"))
     };
     let mut all: Vec<Process> = (0..3).map(start).collect();
     let mut watches: Vec<Peer> = (0..3).map(|_| fleet.discovery.watch()).collect();
-    watches.iter_mut().for_each(|watch| tell(watch, 2, true, &rows));
+    watches
+        .iter_mut()
+        .for_each(|watch| tell(watch, 2, true, &rows));
     for process in &all {
         process.program.says("to=serving");
         process.waits_for("processes", 3);
         process.shows("linked", LONG, |farm| {
-            farm["fleet"]["uplink"].as_str().is_some_and(|words| words.starts_with("linked"))
+            farm["fleet"]["uplink"]
+                .as_str()
+                .is_some_and(|words| words.starts_with("linked"))
         });
     }
     let (mut clients, _) = fleet.open_all(&all[0], "a");
@@ -155,7 +183,9 @@
     let (mut watches, until) = (Vec::new(), Instant::now() + LONG);
     let is_linked = |process: &Process| {
         let uplink = process.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
-        uplink.as_str().is_some_and(|words| words.starts_with("linked"))
+        uplink
+            .as_str()
+            .is_some_and(|words| words.starts_with("linked"))
     };
     while !all[..2].iter().all(is_linked) {
         assert!(Instant::now() < until, "never linked again");
--- a/cli/tests/fleet_memory.rs
+++ b/cli/tests/fleet_memory.rs
@@ -31,7 +31,10 @@
     assert!(a.program.left());
     let a = fleet.process(0, &fleet.sections(0, ""));
     let said = a.program.says("memory remembered");
-    assert!(said.contains(&format!("placements={CLIENTS}")) && said.contains("boot=2"), "{said}");
+    assert!(
+        said.contains(&format!("placements={CLIENTS}")) && said.contains("boot=2"),
+        "{said}"
+    );
     a.program.says("to=serving");
     a.waits_for("placements", CLIENTS);
     let (_clients, third) = fleet.open_all(&a, "c");
@@ -39,22 +42,34 @@
 }
 
 #[test]
-fn a_reload_takes_over_the_word_on_the_uplink_peers_and_the_serial_number_and_names_what_takes_a_restart() {
+fn a_reload_takes_over_the_word_on_the_uplink_peers_and_the_serial_number_and_names_what_takes_a_restart()
+ {
     let fleet = Fleet::start(2, 1);
     let a = fleet.process(0, &fleet.sections(0, ""));
     a.program.says("to=serving");
-    let moved = fleet.sections(0, "serial = 2").replace(&fleet.peers[1].to_string(), &free_udp().to_string());
-    let moved = moved.replace("site = \"north\"", "site = \"south\"") + "[edge]\nword = \"island\"\n";
+    let moved = fleet
+        .sections(0, "serial = 2")
+        .replace(&fleet.peers[1].to_string(), &free_udp().to_string());
+    let moved =
+        moved.replace("site = \"north\"", "site = \"south\"") + "[edge]\nword = \"island\"\n";
     fleet.write_operator(0, a.api.at, &moved);
     a.program.signal("HUP");
     let said = a.program.says("taken over");
-    assert!(["fleet.peers", "edge.word", "affinity.serial"].iter().all(|what| said.contains(what)), "{said}");
+    assert!(
+        ["fleet.peers", "edge.word", "affinity.serial"]
+            .iter()
+            .all(|what| said.contains(what)),
+        "{said}"
+    );
     let said = a.program.says("takes a restart");
     assert!(said.ends_with("what=fleet"), "{said}");
     let until = Instant::now() + PATIENCE;
     loop {
         let shown = a.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
-        if shown.as_str().is_some_and(|words| words.starts_with("islanded")) {
+        if shown
+            .as_str()
+            .is_some_and(|words| words.starts_with("islanded"))
+        {
             return;
         }
         assert!(Instant::now() < until, "{shown}");
@@ -66,26 +81,39 @@
     let folder = format!("/proc/{}/fd", program.pid());
     let entries = std::fs::read_dir(folder).expect("it runs");
     let links = entries.filter_map(|one| std::fs::read_link(one.ok()?.path()).ok());
-    links.map(|path| path.to_string_lossy().into_owned()).collect()
+    links
+        .map(|path| path.to_string_lossy().into_owned())
+        .collect()
 }
 
 /// How many of them are datagrams' sockets.
 fn datagrams(program: &Program) -> usize {
     let table = std::fs::read_to_string("/proc/net/udp").expect("Linux");
-    let inodes: Vec<&str> = table.lines().filter_map(|row| row.split_whitespace().nth(9)).collect();
+    let inodes: Vec<&str> = table
+        .lines()
+        .filter_map(|row| row.split_whitespace().nth(9))
+        .collect();
     let is_one = |link: &String| {
-        let inode = link.strip_prefix("socket:[").and_then(|rest| rest.strip_suffix(']'));
+        let inode = link
+            .strip_prefix("socket:[")
+            .and_then(|rest| rest.strip_suffix(']'));
         inode.is_some_and(|inode| inodes.contains(&inode))
     };
-    descriptors(program).iter().filter(|link| is_one(link)).count()
+    descriptors(program)
+        .iter()
+        .filter(|link| is_one(link))
+        .count()
 }
 
 /// Names of a program's threads.
 fn threads(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/task", program.pid());
-    let tasks = std::fs::read_dir(folder).expect("it runs").filter_map(Result::ok);
-    let mut names: Vec<String> =
-        tasks.filter_map(|task| std::fs::read_to_string(task.path().join("comm")).ok()).collect();
+    let tasks = std::fs::read_dir(folder)
+        .expect("it runs")
+        .filter_map(Result::ok);
+    let mut names: Vec<String> = tasks
+        .filter_map(|task| std::fs::read_to_string(task.path().join("comm")).ok())
+        .collect();
     names.sort();
     names
 }
@@ -103,20 +131,31 @@
     // A thread has its name a moment after it began, and one for each call of the API comes and goes.
     let lasting = |program: &Program| {
         let all = threads(program).into_iter();
-        all.filter(|name| name != "admin\n").collect::<Vec<String>>()
+        all.filter(|name| name != "admin\n")
+            .collect::<Vec<String>>()
     };
     let until = Instant::now() + PATIENCE;
     loop {
         let (there, here) = (lasting(&with.program), lasting(&without.program));
-        let rest: Vec<String> = there.iter().filter(|name| !own.contains(name)).cloned().collect();
+        let rest: Vec<String> = there
+            .iter()
+            .filter(|name| !own.contains(name))
+            .cloned()
+            .collect();
         if own.iter().all(|name| there.contains(name)) && rest == here {
             break;
         }
-        assert!(Instant::now() < until, "{there:?} with a fleet, {here:?} without");
+        assert!(
+            Instant::now() < until,
+            "{there:?} with a fleet, {here:?} without"
+        );
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     // The peers' thread has its socket, and one that wakes it; the memory has its file.
-    assert_eq!((datagrams(&with.program), datagrams(&without.program)), (2, 0));
+    assert_eq!(
+        (datagrams(&with.program), datagrams(&without.program)),
+        (2, 0)
+    );
     let keeps = |program: &Program| descriptors(program).contains(&fleet.path("memory-0"));
     assert!(keeps(&with.program) && !keeps(&without.program));
 }
@@ -126,7 +165,11 @@
     let server = listener();
     let at = server.local_addr().expect("bound");
     drop(server);
-    let fleet = Fleet::of(2, &list(1, true, &[("s0", at, "SERVING")]), std::sync::mpsc::channel().1);
+    let fleet = Fleet::of(
+        2,
+        &list(1, true, &[("s0", at, "SERVING")]),
+        std::sync::mpsc::channel().1,
+    );
     let all = [0, 1].map(|number| fleet.process(number, &fleet.sections(number, "")));
     for process in &all {
         process.program.says("to=serving");
@@ -156,16 +199,21 @@
     let new = old.replace("\"value\":1.0", "\"value\":2.0");
     assert_ne!(old, new);
     let start = |fleet: &Fleet, number: usize, serial: u32| {
-        let process = fleet.process(number, &fleet.sections(number, &format!("serial = {serial}")));
+        let process = fleet.process(
+            number,
+            &fleet.sections(number, &format!("serial = {serial}")),
+        );
         process.program.says("to=serving");
         process
     };
     let mut all: Vec<Process> = (0..3).map(|number| start(&fleet, number, 1)).collect();
-    all.iter().for_each(|process| process.waits_for("processes", 3));
+    all.iter()
+        .for_each(|process| process.waits_for("processes", 3));
     let (clients, first) = fleet.open_all(&all[0], "a");
     drop(clients);
-    let version =
-        |process: &Process| process.api.call("GET", "/v1/farm", "").body["fleet"]["version"].to_string();
+    let version = |process: &Process| {
+        process.api.call("GET", "/v1/farm", "").body["fleet"]["version"].to_string()
+    };
     // Clients come back to a process of one version and of the other, on the way there and back.
     for (settings, serial) in [(&new, 2), (&old, 3)] {
         fleet.settings = settings.clone();
@@ -179,7 +227,10 @@
             assert_eq!(here == next, number == 2, "{here} and {next}");
             for at in [number, (number + 1) % 3] {
                 let (clients, now) = fleet.open_all(&all[at], &format!("v{serial}p{number}a{at}"));
-                assert_eq!(first, now, "serial {serial}, restarted {number}, back at {at}");
+                assert_eq!(
+                    first, now,
+                    "serial {serial}, restarted {number}, back at {at}"
+                );
                 drop(clients);
             }
         }
--- a/cli/tests/fleet_recovery.rs
+++ b/cli/tests/fleet_recovery.rs
@@ -14,7 +14,10 @@
 
 /// A list of servers that have started just now.
 fn cold(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970")
+        .as_millis();
     let (told, openings) = std::sync::mpsc::channel();
     let row = |number: usize| {
         let server = listener();
@@ -25,7 +28,13 @@
         )
     };
     let rows: Vec<String> = (0..servers).map(row).collect();
-    (format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, rows.join(",")), openings)
+    (
+        format!(
+            r#"{{"generation":1,"reset":true,"instances":[{}]}}"#,
+            rows.join(",")
+        ),
+        openings,
+    )
 }
 
 #[test]
@@ -35,19 +44,26 @@
     let process = fleet.process(0, &fleet.sections_with(0, "borne = 20\nclients = 12", ""));
     process.program.says("step=Refills");
     process.program.says("to=serving");
-    let mut waits: Vec<(usize, Instant)> = (0..CLIENTS).map(|number| (number, Instant::now())).collect();
+    let mut waits: Vec<(usize, Instant)> = (0..CLIENTS)
+        .map(|number| (number, Instant::now()))
+        .collect();
     let (mut stand, until) = (Vec::new(), Instant::now() + 6 * PATIENCE);
     while let Some(place) = (0..waits.len()).min_by_key(|place| waits[*place].1) {
         let (number, at) = waits.swap_remove(place);
         assert!(Instant::now() < until, "{} of {CLIENTS} stand", stand.len());
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
         let mut client = Peer::connect(process.at);
-        client.say(&format!("OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"));
+        client.say(&format!(
+            "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
+        ));
         match client.hear().expect("an answer").split_once(' ') {
             Some(("UP", _)) => stand.push(client),
             Some(("BUSY", after)) => {
                 let after = Duration::from_millis(after.parse().expect("a span"));
-                assert!(after <= Duration::from_secs(2), "longer than a client follows: {after:?}");
+                assert!(
+                    after <= Duration::from_secs(2),
+                    "longer than a client follows: {after:?}"
+                );
                 waits.push((number, Instant::now() + after));
             }
             other => panic!("{other:?}"),
@@ -97,32 +113,53 @@
 }
 
 #[test]
-fn drains_hold_against_a_discovery_that_lost_its_state_while_the_program_ran_and_while_it_was_dark() {
+fn drains_hold_against_a_discovery_that_lost_its_state_while_the_program_ran_and_while_it_was_dark()
+{
     let fleet = Fleet::start(1, 2);
     let known: serde_json::Value = serde_json::from_str(&fleet.known).expect("JSON");
-    let address = |number: usize| known["instances"][number]["hostPort"].as_str().expect("text").parse();
-    let (s0, s1) = (address(0).expect("an address"), address(1).expect("an address"));
-    let (both, drains) = ([("s0", s0, "SERVING"), ("s1", s1, "SERVING")], [("s1", s1, "DRAINING")]);
+    let address = |number: usize| {
+        known["instances"][number]["hostPort"]
+            .as_str()
+            .expect("text")
+            .parse()
+    };
+    let (s0, s1) = (
+        address(0).expect("an address"),
+        address(1).expect("an address"),
+    );
+    let (both, drains) = (
+        [("s0", s0, "SERVING"), ("s1", s1, "SERVING")],
+        [("s1", s1, "DRAINING")],
+    );
     let is_held = |farm: &serde_json::Value| {
         let server = &farm["servers"][1];
-        server["effective"]["state"] == "out" && server["why"].to_string().contains("it drained when")
+        server["effective"]["state"] == "out"
+            && server["why"].to_string().contains("it drained when")
     };
     let mut process = fleet.process(0, &fleet.sections(0, ""));
     let mut watch = fleet.discovery.watch();
     tell(&mut watch, 5, true, &both);
     tell(&mut watch, 6, false, &drains);
     process.program.says("to=serving");
-    process.shows("draining", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "draining");
+    process.shows("draining", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "draining"
+    });
     // Discovery is begun anew, counts from one, and has forgotten the drain.
     tell(&mut watch, 1, true, &both);
     process.shows("held", PATIENCE, is_held);
     // It hears of the drain again, and of its end: that is its own word.
     tell(&mut watch, 2, false, &drains);
-    process.shows("draining", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "draining");
+    process.shows("draining", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "draining"
+    });
     tell(&mut watch, 3, false, &both[1..]);
-    process.shows("ready", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "ready");
+    process.shows("ready", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "ready"
+    });
     tell(&mut watch, 4, false, &drains);
-    process.shows("draining", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "draining");
+    process.shows("draining", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "draining"
+    });
     process.program.signal("TERM");
     assert!(process.program.left());
     // One that kept its state says that the drain is over.
@@ -130,9 +167,13 @@
     process.shows("held by memory alone", PATIENCE, is_held);
     let mut watch = fleet.discovery.watch();
     tell(&mut watch, 5, true, &both);
-    process.shows("ready", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "ready");
+    process.shows("ready", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "ready"
+    });
     tell(&mut watch, 6, false, &drains);
-    process.shows("draining", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "draining");
+    process.shows("draining", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "draining"
+    });
     process.program.signal("TERM");
     assert!(process.program.left());
     let process = fleet.process(0, &fleet.sections(0, ""));
@@ -142,5 +183,7 @@
     process.program.says("discovery counts anew");
     process.shows("held", PATIENCE, is_held);
     tell(&mut watch, 2, false, &drains);
-    process.shows("draining", PATIENCE, |farm| farm["servers"][1]["effective"]["state"] == "draining");
+    process.shows("draining", PATIENCE, |farm| {
+        farm["servers"][1]["effective"]["state"] == "draining"
+    });
 }
--- a/cli/tests/gone.rs
+++ b/cli/tests/gone.rs
@@ -22,7 +22,10 @@
 
 /// Settings under which a connect may take half a minute.
 fn patient() -> String {
-    SETTINGS.replace("\"connect-timeout-ns\":200000000", "\"connect-timeout-ns\":30000000000")
+    SETTINGS.replace(
+        "\"connect-timeout-ns\":200000000",
+        "\"connect-timeout-ns\":30000000000",
+    )
 }
 
 /// A balancer with the servers that the test tells it of in place of the one that it knew.
@@ -37,7 +40,9 @@
 /// Ends a client's connection in order, or by a reset.
 fn leaves(client: Peer, by_reset: bool) {
     if by_reset {
-        socket2::SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("open");
+        socket2::SockRef::from(&client.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("open");
     }
     drop(client);
 }
@@ -46,14 +51,21 @@
 fn a_client_that_leaves_during_a_connect_ends_it_and_is_never_sent_on() {
     for by_reset in [false, true] {
         let late = Late::start();
-        let (site, _watch) =
-            site_of(&patient(), &format!("connect{by_reset}"), &[("a", late.address, "SERVING")]);
+        let (site, _watch) = site_of(
+            &patient(),
+            &format!("connect{by_reset}"),
+            &[("a", late.address, "SERVING")],
+        );
         let client = site.open("chat", "");
         late.waits_for(true);
         let left = Instant::now();
         leaves(client, by_reset);
         late.waits_for(false);
-        assert!(left.elapsed() < AT_ONCE, "withdrawn after {:?}", left.elapsed());
+        assert!(
+            left.elapsed() < AT_ONCE,
+            "withdrawn after {:?}",
+            left.elapsed()
+        );
         assert_eq!(late.comes_up_and_hears(SECOND_TRY), None);
     }
 }
@@ -67,7 +79,11 @@
     let left = Instant::now();
     client.finish();
     late.waits_for(false);
-    assert!(left.elapsed() < AT_ONCE, "withdrawn after {:?}", left.elapsed());
+    assert!(
+        left.elapsed() < AT_ONCE,
+        "withdrawn after {:?}",
+        left.elapsed()
+    );
     client.ended();
     assert_eq!(late.comes_up_and_hears(SECOND_TRY), None);
 }
@@ -76,8 +92,11 @@
 fn a_client_that_leaves_the_admission_queue_is_never_sent_on() {
     for by_reset in [false, true] {
         let held = Held::start(Wire::Platform);
-        let (site, _watch) =
-            site_of(SETTINGS, &format!("queue{by_reset}"), &[("a", held.address, "SERVING")]);
+        let (site, _watch) = site_of(
+            SETTINGS,
+            &format!("queue{by_reset}"),
+            &[("a", held.address, "SERVING")],
+        );
         let mut first: Vec<Peer> = (0..WINDOW).map(|_| site.open("chat", "")).collect();
         held.came(WINDOW);
         let mut gone = Peer::connect(site.at);
@@ -90,7 +109,10 @@
         after.hears("UP r1");
         std::thread::sleep(ALL_DELAYS);
         let came = held.came(WINDOW + 1);
-        assert!(!came.iter().any(|opening| opening.contains("gone")), "{came:?}");
+        assert!(
+            !came.iter().any(|opening| opening.contains("gone")),
+            "{came:?}"
+        );
     }
 }
 
@@ -117,26 +139,42 @@
     server.hear().expect("an opening");
     let second = listener();
     let mut watch = site.discovery.watch();
-    tell(&mut watch, 2, false, &[("b", second.local_addr().expect("bound"), "SERVING")]);
+    tell(
+        &mut watch,
+        2,
+        false,
+        &[("b", second.local_addr().expect("bound"), "SERVING")],
+    );
     site.program.says("generation=2");
     drop(client);
     server.ended();
     assert_eq!(first_words(&second, ALL_DELAYS), None);
-    assert_eq!(first_words(&site.servers[0], Duration::from_millis(100)), None);
+    assert_eq!(
+        first_words(&site.servers[0], Duration::from_millis(100)),
+        None
+    );
 }
 
 #[test]
 fn a_client_that_leaves_while_its_server_is_asked_for_its_load_is_never_sent_on() {
-    let probes = SETTINGS.replace("\"policy-limits\":{", "\"policy-limits\":{\"may-probe\":true,");
-    let settings =
-        probes.replace("\"rules\"", "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"");
+    let probes = SETTINGS.replace(
+        "\"policy-limits\":{",
+        "\"policy-limits\":{\"may-probe\":true,",
+    );
+    let settings = probes.replace(
+        "\"rules\"",
+        "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
+    );
     let site = Site::start_on(&settings, "load", 1, &[]);
     let client = site.open("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
     assert_eq!(server.hear().as_deref(), Some("STATS"));
     drop(client);
     server.say("PONG x0=0.1\r\n");
-    assert_eq!(first_words(&site.servers[0], ALL_DELAYS).filter(|words| words.starts_with("OPEN")), None);
+    assert_eq!(
+        first_words(&site.servers[0], ALL_DELAYS).filter(|words| words.starts_with("OPEN")),
+        None
+    );
 }
 
 #[test]
@@ -153,13 +191,21 @@
     let mut server = Peer::accept(&first);
     server.hear().expect("an opening");
     let sent = Instant::now();
-    tell(&mut watch, 3, true, &[("a", at, "DRAINING"), ("b", late.address, "SERVING")]);
+    tell(
+        &mut watch,
+        3,
+        true,
+        &[("a", at, "DRAINING"), ("b", late.address, "SERVING")],
+    );
     site.program.says("generation=3");
     server.say("ERR\r\n");
     drop(server);
     late.waits_for(true);
     client.hears("ERR");
-    assert!(sent.elapsed() < AT_ONCE, "failed as soon as no repeat may begin");
+    assert!(
+        sent.elapsed() < AT_ONCE,
+        "failed as soon as no repeat may begin"
+    );
     assert_eq!(late.comes_up_and_hears(SECOND_TRY), None);
 }
 
@@ -171,30 +217,57 @@
     let mut client = site.open("once", "");
     late.waits_for(true);
     let first = late.address;
-    tell(&mut watch, 3, true, &[("a", first, "DRAINING"), ("b", at, "SERVING")]);
+    tell(
+        &mut watch,
+        3,
+        true,
+        &[("a", first, "DRAINING"), ("b", at, "SERVING")],
+    );
     site.program.says("generation=3");
     let heard = std::thread::spawn(move || late.comes_up_and_hears(SECOND_TRY));
     let mut server = Peer::accept(&second);
-    assert!(server.hear().is_some_and(|opening| opening.starts_with("OPEN ")));
+    assert!(
+        server
+            .hear()
+            .is_some_and(|opening| opening.starts_with("OPEN "))
+    );
     server.say("UP r1\r\n");
     client.hears("UP r1");
-    assert_eq!(heard.join().expect("it ran"), None, "nothing for the one that drains");
+    assert_eq!(
+        heard.join().expect("it ran"),
+        None,
+        "nothing for the one that drains"
+    );
 }
 
 #[test]
 fn what_a_server_is_told_of_the_time_is_what_is_left_of_it() {
     let first = listener();
-    let (site, _watch) = site_of(SETTINGS, "time", &[("a", first.local_addr().expect("bound"), "SERVING")]);
+    let (site, _watch) = site_of(
+        SETTINGS,
+        "time",
+        &[("a", first.local_addr().expect("bound"), "SERVING")],
+    );
     let sent = Instant::now();
     let mut client = site.open("once", "");
     let mut server = Peer::accept(&first);
     let opening = server.hear().expect("an opening");
-    let told = opening.split("d=").nth(1).and_then(|rest| rest.split(',').next()).expect("a time");
+    let told = opening
+        .split("d=")
+        .nth(1)
+        .and_then(|rest| rest.split(',').next())
+        .expect("a time");
     let told = Duration::from_millis(told.parse().expect("a number"));
-    assert!(told <= Duration::from_millis(2_500) && told + sent.elapsed() >= Duration::from_millis(2_490));
+    assert!(
+        told <= Duration::from_millis(2_500)
+            && told + sent.elapsed() >= Duration::from_millis(2_490)
+    );
     client.hears("ERR");
     let waited = sent.elapsed();
-    assert!(waited >= Duration::from_millis(2_490), "not given up before: {waited:?}");
+    assert!(
+        waited >= Duration::from_millis(2_490),
+        "not given up before: {waited:?}"
+    );
     server.ended();
 }
 
--- a/cli/tests/handover.rs
+++ b/cli/tests/handover.rs
@@ -22,11 +22,20 @@
 impl Shared {
     fn new(name: &str) -> Shared {
         let (held, discovery, server) = (listener(), Discovery::start(), listener());
-        let known = list(1, true, &[("s0", server.local_addr().expect("bound"), "SERVING")]);
+        let known = list(
+            1,
+            true,
+            &[("s0", server.local_addr().expect("bound"), "SERVING")],
+        );
         obliges(server);
         let at = held.local_addr().expect("bound");
         let path = file(name, &config(at, discovery.address, &known, SETTINGS, 512));
-        Shared { held, path, folder: "/nowhere".into(), _discovery: discovery }
+        Shared {
+            held,
+            path,
+            folder: "/nowhere".into(),
+            _discovery: discovery,
+        }
     }
 
     fn at(&self) -> SocketAddr {
@@ -37,10 +46,20 @@
     fn start(&self) -> (Program, Api) {
         let at = free();
         let folder = self.folder.to_str().expect("text");
-        let env = [("LB_CONFIG", self.path.as_str()), ("LB_ADMIN_ADDR", &at.to_string()), ("TMPDIR", folder)];
+        let env = [
+            ("LB_CONFIG", self.path.as_str()),
+            ("LB_ADMIN_ADDR", &at.to_string()),
+            ("TMPDIR", folder),
+        ];
         let program = Program::start_inheriting(&self.held, &env);
         program.says("to=serving");
-        (program, Api { at, token: "none is wanted" })
+        (
+            program,
+            Api {
+                at,
+                token: "none is wanted",
+            },
+        )
     }
 
     fn open(&self, id: &str) -> Peer {
@@ -106,9 +125,14 @@
 #[test]
 fn what_stands_is_handed_over_and_goes_on_and_only_half_a_line_is_moved() {
     let folder = tempfile::tempdir().expect("a folder");
-    let shared = Shared { folder: folder.path().to_owned(), ..Shared::new("given") };
+    let shared = Shared {
+        folder: folder.path().to_owned(),
+        ..Shared::new("given")
+    };
     let (mut old, _) = shared.start();
-    let mut clients: Vec<Peer> = (0..6).map(|number| shared.open(&format!("s{number}"))).collect();
+    let mut clients: Vec<Peer> = (0..6)
+        .map(|number| shared.open(&format!("s{number}")))
+        .collect();
     clients.iter_mut().for_each(|client| client.hears("UP r"));
     let half = |id| {
         let mut half = shared.open(id);
@@ -126,7 +150,11 @@
     whole.hears("lf");
     second.says("taken over taken=7");
     clients.push(whole);
-    assert_ne!(half.hear().as_deref(), Some("ok"), "cut off inside its line after a while");
+    assert_ne!(
+        half.hear().as_deref(),
+        Some("ok"),
+        "cut off inside its line after a while"
+    );
     assert!(old.left(), "it leaves by itself");
     for client in &mut clients {
         client.say("line\r\n");
@@ -158,7 +186,10 @@
     // One that can't start serving harms nobody: it ends before it takes a client.
     let taken = listener();
     let address = taken.local_addr().expect("bound").to_string();
-    let env = [("LB_CONFIG", shared.path.as_str()), ("LB_ADMIN_ADDR", &address)];
+    let env = [
+        ("LB_CONFIG", shared.path.as_str()),
+        ("LB_ADMIN_ADDR", &address),
+    ];
     let mut third = Program::start_inheriting(&shared.held, &env);
     let said = third.says("");
     assert!(said.contains("cannot start"), "it never served: {said}");
@@ -174,8 +205,10 @@
 #[test]
 fn a_descriptor_that_is_no_listening_socket_ends_the_start_with_its_name() {
     let shared = Shared::new("descriptor");
-    let mute = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    mute.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("loopback");
+    let mute =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    mute.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("loopback");
     let mute = TcpListener::from(mute);
     for (descriptor, why) in [
         ("three", "no descriptor's number"),
@@ -184,7 +217,10 @@
         ("0", "not a socket"),
         ("3", "not a listening socket"),
     ] {
-        let env = [("LB_CONFIG", shared.path.as_str()), ("LB_INHERITED_FD", descriptor)];
+        let env = [
+            ("LB_CONFIG", shared.path.as_str()),
+            ("LB_INHERITED_FD", descriptor),
+        ];
         let mut program = Program::start_inheriting(&mute, &env);
         let said = program.says("cannot start");
         assert!(
--- a/cli/tests/leaving.rs
+++ b/cli/tests/leaving.rs
@@ -50,13 +50,23 @@
     newcomer.hears("MOVE");
     newcomer.ended();
     drop(newcomers_server);
-    assert!(in_flight.hear().is_some(), "what is in flight has an answer");
+    assert!(
+        in_flight.hear().is_some(),
+        "what is in flight has an answer"
+    );
     for opening in [&mut silent, &mut half] {
         let last = opening.hear();
-        assert!(matches!(last.as_deref(), Some("ERR" | "BUSY") | None), "an answer or an end: {last:?}");
+        assert!(
+            matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
+            "an answer or an end: {last:?}"
+        );
     }
     assert!(site.program.left(), "it leaves by itself");
-    assert!(told.elapsed() < SHORT_DEADLINE + KILL_AFTER_DEADLINE, "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < SHORT_DEADLINE + KILL_AFTER_DEADLINE,
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 /// SIGKILL follows SIGTERM no sooner with the usual settings.
@@ -89,7 +99,9 @@
     let told = Instant::now();
     site.program.signal("TERM");
     site.program.says("to=leaving");
-    let moved = site.config.replace(&site.discovery.address.to_string(), &address);
+    let moved = site
+        .config
+        .replace(&site.discovery.address.to_string(), &address);
     std::fs::write(&site.path, moved).expect("the same folder");
     site.program.signal("HUP");
     site.program.says("left out: the program is leaving");
@@ -98,7 +110,11 @@
     // The list is still heard: a newcomer goes to nobody who drains.
     let other = listener();
     let rows = [
-        ("s0", site.servers[0].local_addr().expect("bound"), "DRAINING"),
+        (
+            "s0",
+            site.servers[0].local_addr().expect("bound"),
+            "DRAINING",
+        ),
         ("s1", other.local_addr().expect("bound"), "SERVING"),
     ];
     tell(&mut watch, 2, false, &rows);
@@ -117,7 +133,10 @@
     assert!(site.program.left(), "it leaves by itself");
     assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
     elsewhere.set_nonblocking(true).expect("open");
-    assert!(elsewhere.accept().is_err(), "nobody asked the new discovery");
+    assert!(
+        elsewhere.accept().is_err(),
+        "nobody asked the new discovery"
+    );
 }
 
 fn says_yes(at: SocketAddr) -> bool {
@@ -147,11 +166,16 @@
     let site = Site::start_with("standby", 1, &[("LB_ADMIN_ADDR", &operations.to_string())]);
     let _watch = site.discovery.watch();
     let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.stand()).collect();
-    let api = Api { at: operations, token: "none is wanted" };
+    let api = Api {
+        at: operations,
+        token: "none is wanted",
+    };
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let elsewhere = listener();
     let address = elsewhere.local_addr().expect("bound");
-    let moved = site.config.replace(&site.discovery.address.to_string(), &address.to_string());
+    let moved = site
+        .config
+        .replace(&site.discovery.address.to_string(), &address.to_string());
     std::fs::write(&site.path, moved).expect("the same folder");
     site.program.signal("HUP");
     let _asked = Peer::accept(&elsewhere);
--- a/cli/tests/nats.rs
+++ b/cli/tests/nats.rs
@@ -51,11 +51,31 @@
         program.says("serves front=nats");
         let record = Shared::default();
         program.says("administration API serves");
-        let api = Api { at: admin, token: ADMIN_TOKEN };
-        let site =
-            Site { program, at, api, redis, discovery, record, path, file: file_text, _folder: folder };
-        assert_eq!(site.ask("POST", "/v1/tenants", &tenant("acme", "chat", 8)).0, 201);
-        assert_eq!(site.ask("POST", "/v1/tenants", &tenant("once", "once", 8)).0, 201);
+        let api = Api {
+            at: admin,
+            token: ADMIN_TOKEN,
+        };
+        let site = Site {
+            program,
+            at,
+            api,
+            redis,
+            discovery,
+            record,
+            path,
+            file: file_text,
+            _folder: folder,
+        };
+        assert_eq!(
+            site.ask("POST", "/v1/tenants", &tenant("acme", "chat", 8))
+                .0,
+            201
+        );
+        assert_eq!(
+            site.ask("POST", "/v1/tenants", &tenant("once", "once", 8))
+                .0,
+            201
+        );
         site
     }
 
@@ -97,7 +117,10 @@
 }
 
 fn rows<'a>(servers: &[(&'a NatsServer, &'a str)]) -> Vec<(&'a str, SocketAddr, &'a str)> {
-    servers.iter().map(|(server, state)| (server.name.as_str(), server.address, *state)).collect()
+    servers
+        .iter()
+        .map(|(server, state)| (server.name.as_str(), server.address, *state))
+        .collect()
 }
 
 #[test]
@@ -109,7 +132,12 @@
     let full = site.server("full", Manner::Full);
     let mute = site.server("mute", Manner::Mute);
     let good = site.server("good", Manner::Serve);
-    let all = [(&hung, "SERVING"), (&full, "SERVING"), (&mute, "SERVING"), (&good, "SERVING")];
+    let all = [
+        (&hung, "SERVING"),
+        (&full, "SERVING"),
+        (&mute, "SERVING"),
+        (&good, "SERVING"),
+    ];
     tell(&mut watch, 1, true, &rows(&all));
     site.program.says("generation=1");
     let mut standing = Vec::new();
@@ -131,7 +159,8 @@
             standing.push(client);
         } else {
             assert!(
-                answer.starts_with("-ERR 'Service Unavailable") || answer == "-ERR 'Connection Failed'",
+                answer.starts_with("-ERR 'Service Unavailable")
+                    || answer == "-ERR 'Connection Failed'",
                 "{answer}"
             );
             client.ended();
@@ -140,7 +169,12 @@
     }
     // Only one of them serves from now on; then it drains, and its clients are moved to another.
     let next = site.server("next", Manner::Serve);
-    let now = [(&hung, "DELETED"), (&full, "DELETED"), (&mute, "DELETED"), (&good, "SERVING")];
+    let now = [
+        (&hung, "DELETED"),
+        (&full, "DELETED"),
+        (&mute, "DELETED"),
+        (&good, "SERVING"),
+    ];
     tell(&mut watch, 2, false, &rows(&now));
     site.program.says("generation=2");
     let mut last = site.client("last");
@@ -152,7 +186,10 @@
     site.program.says("generation=3");
     for mut client in standing {
         let moved = client.hear().expect("a word before the end");
-        assert!(moved.starts_with("INFO {") && moved.contains("\"ldm\":true"), "{moved}");
+        assert!(
+            moved.starts_with("INFO {") && moved.contains("\"ldm\":true"),
+            "{moved}"
+        );
         client.ended();
         site.check();
     }
@@ -172,7 +209,10 @@
     tell(&mut watch, 1, true, &rows(&[(&only, "SERVING")]));
     site.program.says("generation=1");
     // An error may have run: a class that must not run twice is failed after one pass, at once.
-    for (number, manner) in [Manner::Forbid, Manner::SilentAfterConnect].into_iter().enumerate() {
+    for (number, manner) in [Manner::Forbid, Manner::SilentAfterConnect]
+        .into_iter()
+        .enumerate()
+    {
         only.becomes(manner);
         let name = format!("once-{number}");
         let mut client = client(site.at, &name, "once", PASSWORD);
@@ -220,7 +260,10 @@
     let moved = std::iter::from_fn(|| client.hear()).last().expect("a move");
     // Held until then: a PONG that fell into the second message would be the server's own fault.
     drop(speaking);
-    assert!(moved.contains("\"ldm\":true") && !moved.contains("connect_urls"), "{moved}");
+    assert!(
+        moved.contains("\"ldm\":true") && !moved.contains("connect_urls"),
+        "{moved}"
+    );
     site.check();
 }
 
@@ -228,15 +271,29 @@
 fn openings_that_break_the_rules_are_refused_by_name() {
     let site = Site::start("openings");
     let only = site.server("only", Manner::Serve);
-    tell(&mut site.discovery.watch(), 1, true, &rows(&[(&only, "SERVING")]));
+    tell(
+        &mut site.discovery.watch(),
+        1,
+        true,
+        &rows(&[(&only, "SERVING")]),
+    );
     site.program.says("generation=1");
     for (words, answer) in [
         ("", "-ERR 'Authentication Timeout'"),
         ("PING\r\n", "-ERR 'Authorization Violation'"),
         ("CONNECT nonsense\r\n", "-ERR 'Parser Error'"),
-        ("CONNECT {\"tls_required\":true}\r\n", "-ERR 'TLS Not Supported'"),
-        ("CONNECT {\"user\":\"acme\",\"pass\":\"wrong\"}\r\n", "-ERR 'Authorization Violation'"),
-        (&format!("CONNECT {}\r\n", "x".repeat(5000)), "-ERR 'Maximum Control Line Exceeded'"),
+        (
+            "CONNECT {\"tls_required\":true}\r\n",
+            "-ERR 'TLS Not Supported'",
+        ),
+        (
+            "CONNECT {\"user\":\"acme\",\"pass\":\"wrong\"}\r\n",
+            "-ERR 'Authorization Violation'",
+        ),
+        (
+            &format!("CONNECT {}\r\n", "x".repeat(5000)),
+            "-ERR 'Maximum Control Line Exceeded'",
+        ),
     ] {
         let mut client = Peer::connect(site.at);
         client.hear().expect("INFO");
@@ -246,9 +303,17 @@
     }
     for (name, words, answer) in [
         ("large", "PUB t 65\r\n", "-ERR 'Maximum Payload Violation'"),
-        ("huge", "PUB t 99999999999999999999999\r\n", "-ERR 'Parser Error'"),
+        (
+            "huge",
+            "PUB t 99999999999999999999999\r\n",
+            "-ERR 'Parser Error'",
+        ),
         ("negative", "PUB t -1\r\n", "-ERR 'Parser Error'"),
-        ("second", "CONNECT {}\r\n", "-ERR 'Unknown Protocol Operation'"),
+        (
+            "second",
+            "CONNECT {}\r\n",
+            "-ERR 'Unknown Protocol Operation'",
+        ),
     ] {
         let mut client = site.client(name);
         assert_eq!(site.answer(name, &mut client), "PONG");
@@ -263,7 +328,12 @@
 fn floods_half_messages_and_silent_openings_cost_others_nothing() {
     let site = Site::start("floods");
     let only = site.server("only", Manner::Serve);
-    tell(&mut site.discovery.watch(), 1, true, &rows(&[(&only, "SERVING")]));
+    tell(
+        &mut site.discovery.watch(),
+        1,
+        true,
+        &rows(&[(&only, "SERVING")]),
+    );
     site.program.says("generation=1");
     let mut steady = site.client("steady");
     assert_eq!(site.answer("steady", &mut steady), "PONG");
@@ -304,12 +374,19 @@
     let mut client = site.client("stands");
     assert_eq!(site.answer("stands", &mut client), "PONG");
     let new = Discovery::start();
-    let moved = site.file.replace(&site.discovery.address.to_string(), &new.address.to_string());
-    std::fs::write(&site.path, moved.replace("max_payload = 64", "max_payload = 65"))
-        .expect("the same folder");
+    let moved = site.file.replace(
+        &site.discovery.address.to_string(),
+        &new.address.to_string(),
+    );
+    std::fs::write(
+        &site.path,
+        moved.replace("max_payload = 64", "max_payload = 65"),
+    )
+    .expect("the same folder");
     site.program.signal("HUP");
     site.program.says("taken over what=\"discovery at");
-    site.program.says("takes a restart, kept as it was what=wire");
+    site.program
+        .says("takes a restart, kept as it was what=wire");
     tell(&mut new.watch(), 1, true, &rows(&[(&only, "SERVING")]));
     site.program.says("kind=Full");
     old.ended();
@@ -326,12 +403,35 @@
 fn tenants_are_kept_through_the_api_and_known_ones_outlive_the_store() {
     let site = Site::start("tenants");
     let only = site.server("only", Manner::Serve);
-    tell(&mut site.discovery.watch(), 1, true, &rows(&[(&only, "SERVING")]));
+    tell(
+        &mut site.discovery.watch(),
+        1,
+        true,
+        &rows(&[(&only, "SERVING")]),
+    );
     site.program.says("generation=1");
-    assert_eq!(Api { at: site.api.at, token: "no token of ours" }.call("GET", "/v1/tenants", "").status, 401);
+    assert_eq!(
+        Api {
+            at: site.api.at,
+            token: "no token of ours"
+        }
+        .call("GET", "/v1/tenants", "")
+        .status,
+        401
+    );
     for (method, path, body, status) in [
-        ("POST", "/v1/tenants", tenant("acme", "chat", 1).as_str(), 409),
-        ("POST", "/v1/tenants", tenant("other", "nothing", 1).as_str(), 422),
+        (
+            "POST",
+            "/v1/tenants",
+            tenant("acme", "chat", 1).as_str(),
+            409,
+        ),
+        (
+            "POST",
+            "/v1/tenants",
+            tenant("other", "nothing", 1).as_str(),
+            422,
+        ),
         ("POST", "/v1/tenants", "{", 400),
         ("POST", "/v1/tenants", "{}", 422),
         ("POST", "/v1/tenants", &"x".repeat(20_000), 413),
@@ -339,8 +439,18 @@
         ("GET", "/v1/tenants/nobody", "", 404),
         ("GET", "/v2", "", 404),
         ("PATCH", "/v1/tenants/acme", r#"{"connections":1}"#, 200),
-        ("PUT", "/v1/tenants/once/credentials", r#"{"password":"too short"}"#, 422),
-        ("PUT", "/v1/tenants/once/credentials", r#"{"password":"once's new password"}"#, 204),
+        (
+            "PUT",
+            "/v1/tenants/once/credentials",
+            r#"{"password":"too short"}"#,
+            422,
+        ),
+        (
+            "PUT",
+            "/v1/tenants/once/credentials",
+            r#"{"password":"once's new password"}"#,
+            204,
+        ),
     ] {
         assert_eq!(site.ask(method, path, body).0, status, "{method} {path}");
     }
@@ -353,10 +463,17 @@
     let mut second = site.client("second");
     second.hears("-ERR 'Maximum Connections Exceeded'");
     let (_, shown) = site.ask("GET", "/v1/tenants/acme", "");
-    assert!(shown.contains("\"open\":1") && shown.contains("\"connections\":1"), "{shown}");
+    assert!(
+        shown.contains("\"open\":1") && shown.contains("\"connections\":1"),
+        "{shown}"
+    );
     assert!(site.ask("GET", "/v1/farm", "").1.contains("\"standing\":2"));
     assert!(site.ask("GET", "/v1/counts", "").1.contains("\"served\":2"));
-    assert_eq!(site.ask("POST", "/v1/tenants", &tenant("unread", "chat", 1)).0, 201);
+    assert_eq!(
+        site.ask("POST", "/v1/tenants", &tenant("unread", "chat", 1))
+            .0,
+        201
+    );
     site.redis.goes_away(true);
     assert_eq!(site.ask("GET", "/v1/tenants", "").0, 503);
     let mut known = client(site.at, "known", "once", "once's new password");
@@ -377,16 +494,22 @@
 
 #[test]
 fn no_first_byte_goes_to_a_server_after_its_override_was_acknowledged() {
-    let site =
-        Site::with("withheld", &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"));
-    let (late, good) = (site.server("late", Manner::LateInfo), site.server("good", Manner::Serve));
+    let site = Site::with(
+        "withheld",
+        &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"),
+    );
+    let (late, good) = (
+        site.server("late", Manner::LateInfo),
+        site.server("good", Manner::Serve),
+    );
     let mut watch = site.discovery.watch();
     tell(&mut watch, 1, true, &rows(&[(&late, "SERVING")]));
     site.program.says("generation=1");
     // A pass is up at the one server there is, which has not said INFO; then that server is taken out.
     let speaking = late.voice.lock().expect("sound");
     let mut client = site.client("first");
-    let passes = || site.api.call("GET", "/v1/counts", "").body["fronts"]["nats"]["passes"].as_u64();
+    let passes =
+        || site.api.call("GET", "/v1/counts", "").body["fronts"]["nats"]["passes"].as_u64();
     let until = Instant::now() + PATIENCE;
     while passes() != Some(1) {
         assert!(Instant::now() < until, "no pass was made");
@@ -398,7 +521,11 @@
     site.api.add(out);
     drop(speaking);
     assert_eq!(site.answer("first", &mut client), "PONG");
-    assert_eq!(site.record.lock().expect("sound").passes_of("first"), 1, "the other server's alone");
+    assert_eq!(
+        site.record.lock().expect("sound").passes_of("first"),
+        1,
+        "the other server's alone"
+    );
     let counts = site.api.call("GET", "/v1/counts", "").body;
     assert_eq!(counts["fronts"]["nats"]["ends"]["not-sent"], 1, "{counts}");
     // A tenant's pin, strict, to the server that is out: refused at once, with a time.
@@ -406,7 +533,10 @@
         r#"{"kind":"pin","server":"late","tenant":"acme","mode":"strict","who":"ada","why":"test","expires_in_s":60}"#,
     );
     let answer = site.answer("second", &mut site.client("second"));
-    assert!(answer.starts_with("-ERR 'Service Unavailable; try again in "), "{answer}");
+    assert!(
+        answer.starts_with("-ERR 'Service Unavailable; try again in "),
+        "{answer}"
+    );
     let all = site.api.overrides();
     assert_eq!(all[1]["effects"]["nats"], "server takes nothing new");
     // Another tenant is not meant.
@@ -418,13 +548,27 @@
 fn an_override_on_this_front_expires_outlives_list_changes_and_a_restart() {
     let mut site = Site::start("override-life");
     // All of them stay open, and those that are moved may not have left yet on a loaded machine.
-    assert_eq!(site.ask("PATCH", "/v1/tenants/acme", r#"{"connections":100}"#).0, 200);
-    let (one, other) = (site.server("one", Manner::Serve), site.server("other", Manner::Serve));
+    assert_eq!(
+        site.ask("PATCH", "/v1/tenants/acme", r#"{"connections":100}"#)
+            .0,
+        200
+    );
+    let (one, other) = (
+        site.server("one", Manner::Serve),
+        site.server("other", Manner::Serve),
+    );
     let mut watch = site.discovery.watch();
-    tell(&mut watch, 1, true, &rows(&[(&one, "SERVING"), (&other, "SERVING")]));
+    tell(
+        &mut watch,
+        1,
+        true,
+        &rows(&[(&one, "SERVING"), (&other, "SERVING")]),
+    );
     site.program.says("generation=1");
     let out = |seconds: f64| {
-        format!(r#"{{"kind":"out","server":"one","who":"ada","why":"test","expires_in_s":{seconds}}}"#)
+        format!(
+            r#"{{"kind":"out","server":"one","who":"ada","why":"test","expires_in_s":{seconds}}}"#
+        )
     };
     let mut standing = Vec::new();
     let mut next = 0;
@@ -457,7 +601,10 @@
     site.api.add(&out(60.0));
     tell(&mut watch, 2, false, &rows(&[(&one, "DELETED")]));
     site.program.says("generation=2");
-    assert_eq!(site.api.overrides()[0]["effects"]["nats"], "server not listed");
+    assert_eq!(
+        site.api.overrides()[0]["effects"]["nats"],
+        "server not listed"
+    );
     let moved = site.server("one", Manner::Serve);
     tell(&mut watch, 3, false, &rows(&[(&moved, "SERVING")]));
     site.program.says("generation=3");
@@ -471,7 +618,12 @@
     site.program.says("restored=1");
     site.program.says("administration API serves");
     let mut watch = site.discovery.watch();
-    tell(&mut watch, 4, true, &rows(&[(&moved, "SERVING"), (&other, "SERVING")]));
+    tell(
+        &mut watch,
+        4,
+        true,
+        &rows(&[(&moved, "SERVING"), (&other, "SERVING")]),
+    );
     site.program.says("generation=4");
     assert_eq!(site.api.overrides()[0]["expires_at"], before);
     assert_eq!(open(&site, 3), 0);
@@ -499,14 +651,19 @@
 /// Ends a client's connection in order, behind what it has sent early, or by a reset.
 fn leaves(client: Peer, by_reset: bool) {
     if by_reset {
-        socket2::SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("open");
+        socket2::SockRef::from(&client.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("open");
     }
     drop(client);
 }
 
 #[test]
 fn a_client_that_leaves_during_a_connect_ends_it_and_is_never_sent_on() {
-    let patient = SETTINGS.replace("\"connect-timeout-ns\":200000000", "\"connect-timeout-ns\":30000000000");
+    let patient = SETTINGS.replace(
+        "\"connect-timeout-ns\":200000000",
+        "\"connect-timeout-ns\":30000000000",
+    );
     for by_reset in [false, true] {
         let site = Site::with(&format!("connect{by_reset}"), &patient);
         let late = support::late::Late::start();
@@ -518,7 +675,11 @@
         let left = Instant::now();
         leaves(client, by_reset);
         late.waits_for(false);
-        assert!(left.elapsed() < AT_ONCE, "withdrawn after {:?}", left.elapsed());
+        assert!(
+            left.elapsed() < AT_ONCE,
+            "withdrawn after {:?}",
+            left.elapsed()
+        );
         assert_eq!(late.comes_up_and_hears(ALL_DELAYS), None);
     }
 }
@@ -537,7 +698,9 @@
         let speaking = late.voice.lock().expect("sound");
         let client = site.client("gone");
         let counts = || site.api.call("GET", "/v1/counts", "").body;
-        becomes_so("a pass is out", || counts()["fronts"]["nats"]["passes"] == 1);
+        becomes_so("a pass is out", || {
+            counts()["fronts"]["nats"]["passes"] == 1
+        });
         leaves(client, by_reset);
         drop(speaking);
         let mut after = site.client("after");
@@ -555,7 +718,11 @@
             &format!("line{by_reset}"),
             &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"),
         );
-        assert_eq!(site.ask("POST", "/v1/tenants", &tenant("many", "chat", 40)).0, 201);
+        assert_eq!(
+            site.ask("POST", "/v1/tenants", &tenant("many", "chat", 40))
+                .0,
+            201
+        );
         let late = site.server("late", Manner::LateInfo);
         let mut watch = site.discovery.watch();
         tell(&mut watch, 1, true, &rows(&[(&late, "SERVING")]));
@@ -564,9 +731,12 @@
         let named = |name: &str| client(site.at, name, "many", PASSWORD);
         let mut first: Vec<Peer> = (0..WINDOW).map(|at| named(&format!("c{at}"))).collect();
         let counts = || site.api.call("GET", "/v1/counts", "").body;
-        becomes_so("all passes are out", || counts()["fronts"]["nats"]["passes"] == WINDOW);
+        becomes_so("all passes are out", || {
+            counts()["fronts"]["nats"]["passes"] == WINDOW
+        });
         let gone = named("gone");
-        let waiting = || site.api.call("GET", "/v1/admission", "").body["fronts"][0]["waiting"].as_u64();
+        let waiting =
+            || site.api.call("GET", "/v1/admission", "").body["fronts"][0]["waiting"].as_u64();
         becomes_so("it waits", || waiting() == Some(1));
         leaves(gone, by_reset);
         drop(speaking);
@@ -604,7 +774,9 @@
         let mut watch = site.discovery.watch();
         tell(&mut watch, 1, true, &rows(&[(&server, "SERVING")]));
         site.program.says("generation=1");
-        site.redis.manner(beaconflow_contracts::redis::Manner::Slow(Duration::from_millis(200)));
+        site.redis.manner(beaconflow_contracts::redis::Manner::Slow(
+            Duration::from_millis(200),
+        ));
         leaves(site.client("gone"), by_reset);
         let mut after = site.client("after");
         after.hears("PONG");
--- a/cli/tests/operations.rs
+++ b/cli/tests/operations.rs
@@ -15,7 +15,13 @@
 fn site(name: &str) -> (Site, Api) {
     let at = free();
     let site = Site::start_with(name, 1, &[("LB_ADMIN_ADDR", &at.to_string())]);
-    (site, Api { at, token: "none is wanted" })
+    (
+        site,
+        Api {
+            at,
+            token: "none is wanted",
+        },
+    )
 }
 
 /// What the port answers to these bytes, as far as they go.
@@ -23,7 +29,9 @@
     let mut caller = Peer::connect(at).stream;
     caller.write_all(bytes).expect("the port reads");
     let mut answer = String::new();
-    caller.read_to_string(&mut answer).expect("an answer and an end");
+    caller
+        .read_to_string(&mut answer)
+        .expect("an answer and an end");
     answer
 }
 
@@ -43,10 +51,16 @@
     );
     assert_eq!(api.call("GET", "/status?verbose=1", "").status, 200);
     assert_eq!(api.call("GET", "/statistics", "").status, 404);
-    assert_eq!(api.call("GET", "/v1/farm", "").status, 404, "the tenants' API stays apart");
-    for (method, path, allowed) in
-        [("POST", "/status", "GET"), ("GET", "/standby", "POST"), ("DELETE", "/active", "POST")]
-    {
+    assert_eq!(
+        api.call("GET", "/v1/farm", "").status,
+        404,
+        "the tenants' API stays apart"
+    );
+    for (method, path, allowed) in [
+        ("POST", "/status", "GET"),
+        ("GET", "/standby", "POST"),
+        ("DELETE", "/active", "POST"),
+    ] {
         let refused = api.call(method, path, "");
         assert_eq!(refused.status, 405);
         assert!(
@@ -57,12 +71,24 @@
     let long = [b"GET /status HTTP/1.1\r\nx: ".as_slice(), &[b'x'; 5000]].concat();
     for (bytes, status) in [
         (b"\x16\x03\x01 no HTTP\r\n\r\n".as_slice(), "400"),
-        (b"POST /standby HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "400"),
-        (b"POST /standby HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "411"),
-        (b"POST /standby HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", "413"),
+        (
+            b"POST /standby HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+            "400",
+        ),
+        (
+            b"POST /standby HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "411",
+        ),
+        (
+            b"POST /standby HTTP/1.1\r\nContent-Length: 99999\r\n\r\n",
+            "413",
+        ),
         (&long, "431"),
     ] {
-        assert!(answer(api.at, bytes).starts_with(&format!("HTTP/1.1 {status} ")), "{status}");
+        assert!(
+            answer(api.at, bytes).starts_with(&format!("HTTP/1.1 {status} ")),
+            "{status}"
+        );
     }
     assert_eq!(api.call("GET", "/status", "").status, 200);
     hears_of_ping(&site, "PONG");
@@ -88,18 +114,26 @@
     let called = Instant::now();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let status = api.call("GET", "/status", "");
-    assert_eq!((status.status, &status.body["state"]), (503, &"standby".into()));
+    assert_eq!(
+        (status.status, &status.body["state"]),
+        (503, &"standby".into())
+    );
     hears_of_ping(&site, "NO standby");
     let mut newcomer = site.open("chat", "");
     let mut to = Peer::accept(&site.servers[0]);
-    to.hear().expect("a newcomer in the front's grace is served");
+    to.hear()
+        .expect("a newcomer in the front's grace is served");
     to.say("UP r2\r\n");
     newcomer.hears("UP r2");
     client.hears("MOVE");
     server.ended();
     newcomer.hears("MOVE");
     assert!(called.elapsed() < Duration::from_secs(4));
-    assert_eq!(api.call("POST", "/standby", "").status, 200, "a call repeats harmlessly");
+    assert_eq!(
+        api.call("POST", "/standby", "").status,
+        200,
+        "a call repeats harmlessly"
+    );
     site.program.says("counts");
     hears_of_ping(&site, "NO standby");
     assert_eq!(api.call("POST", "/active", "").status, 200);
@@ -148,7 +182,10 @@
     site.program.signal("TERM");
     site.program.says("to=leaving");
     let refused = api.call("POST", "/active", "");
-    assert_eq!((refused.status, &refused.body["error"]), (409, &"the program is leaving".into()));
+    assert_eq!(
+        (refused.status, &refused.body["error"]),
+        (409, &"the program is leaving".into())
+    );
     client.hears("MOVE");
     assert!(site.program.left(), "it leaves by itself");
 }
@@ -161,7 +198,9 @@
         .map(|number| {
             let mut caller = Peer::connect(api.at).stream;
             if number % 2 == 0 {
-                caller.write_all(b"POST /standby HT").expect("the port reads");
+                caller
+                    .write_all(b"POST /standby HT")
+                    .expect("the port reads");
             }
             caller
         })
@@ -173,7 +212,9 @@
             // One that is turned away comes again at once; one that stands leaves.
             for count in 0..100 {
                 let mut client = Peer::connect(at);
-                client.say(&format!("OPEN f{number}x{count} 02 c=chat,t=acme,d=2500,g=3\r\n"));
+                client.say(&format!(
+                    "OPEN f{number}x{count} 02 c=chat,t=acme,d=2500,g=3\r\n"
+                ));
                 client.hear_or_end();
                 opened.fetch_add(1, Ordering::SeqCst);
             }
@@ -185,7 +226,9 @@
         assert_eq!(api.call("GET", "/status", "").status, 200);
         assert!(asked.elapsed() < Duration::from_secs(1));
     }
-    floods.into_iter().for_each(|flood| flood.join().expect("it goes on"));
+    floods
+        .into_iter()
+        .for_each(|flood| flood.join().expect("it goes on"));
     // The first to come gave way; one that is still there is told when its time is up.
     let mut last = Peer::new(silent.into_iter().next_back().expect("64 of them"));
     last.hears("HTTP/1.1 408 Request Timeout");
@@ -199,16 +242,29 @@
     let plain = config(free(), free(), &list(1, true, &[]), SETTINGS, 256);
     let listed = plain.replacen('{', r#"{"admin_addr":"there","#, 1);
     for (name, config, variable, why) in [
-        ("variable", &plain, Some("here"), r#"LB_ADMIN_ADDR: "here" is no address"#),
+        (
+            "variable",
+            &plain,
+            Some("here"),
+            r#"LB_ADMIN_ADDR: "here" is no address"#,
+        ),
         ("taken", &plain, Some(taken.as_str()), taken.as_str()),
-        ("listed", &listed, None, r#"admin_addr: "there" is no address"#),
+        (
+            "listed",
+            &listed,
+            None,
+            r#"admin_addr: "there" is no address"#,
+        ),
     ] {
         let path = file(name, config);
         let mut env = vec![("LB_CONFIG", path.as_str())];
         env.extend(variable.map(|address| ("LB_ADMIN_ADDR", address)));
         let mut program = Program::start(&[], &env);
         let said = program.says("cannot start");
-        assert!(said.contains(&why.replace('"', "\\\"")) || said.contains(why), "{said}");
+        assert!(
+            said.contains(&why.replace('"', "\\\"")) || said.contains(why),
+            "{said}"
+        );
         assert!(!program.ends().success());
     }
 }
--- a/cli/tests/overrides/balancer.rs
+++ b/cli/tests/overrides/balancer.rs
@@ -33,8 +33,9 @@
     pub fn set_up(servers: usize, overrides: &str) -> Site {
         let folder = tempfile::tempdir().expect("a folder for temporary files");
         let (at, admin, discovery) = (free(), free(), Discovery::start());
-        let servers: Vec<(String, TcpListener)> =
-            (0..servers).map(|number| (format!("s{number}"), listener())).collect();
+        let servers: Vec<(String, TcpListener)> = (0..servers)
+            .map(|number| (format!("s{number}"), listener()))
+            .collect();
         let known = list(1, true, &serving(&servers));
         let config = folder.path().join("config.json");
         let text = support::config(at, discovery.address, &known, SETTINGS, 256);
@@ -53,7 +54,10 @@
         Site {
             program: Some(program),
             at,
-            api: Api { at: admin, token: ADMIN_TOKEN },
+            api: Api {
+                at: admin,
+                token: ADMIN_TOKEN,
+            },
             servers,
             discovery,
             watch,
@@ -91,7 +95,8 @@
     pub fn list(&mut self, reset: bool, rows: &[(&str, SocketAddr, &str)]) {
         self.generation += 1;
         tell(&mut self.watch, self.generation, reset, rows);
-        self.program().says(&format!("generation={}", self.generation));
+        self.program()
+            .says(&format!("generation={}", self.generation));
     }
 
     pub fn address(&self, server: usize) -> SocketAddr {
@@ -121,14 +126,17 @@
         let come = |(number, (_, server)): (usize, &(String, TcpListener))| {
             Some((number, Peer::accept_now(server)?))
         };
-        wait_for("an attempt at a server", || self.servers.iter().enumerate().find_map(come))
+        wait_for("an attempt at a server", || {
+            self.servers.iter().enumerate().find_map(come)
+        })
     }
 
     /// Where so many connections go, one after the other; all stay open.
     pub fn spread(&self, count: usize) -> (Vec<usize>, Vec<(Peer, Peer)>) {
         // Groups of their own, so that no group's place draws them to one server.
         let open = |_| {
-            let (number, client, server) = self.stand(&format!("g{}", self.next.load(Ordering::Relaxed)));
+            let (number, client, server) =
+                self.stand(&format!("g{}", self.next.load(Ordering::Relaxed)));
             (number, (client, server))
         };
         (0..count).map(open).unzip()
@@ -144,13 +152,22 @@
 }
 
 fn serving(servers: &[(String, TcpListener)]) -> Vec<(&str, SocketAddr, &'static str)> {
-    let row = |(name, server): &'_ (String, TcpListener)| (server.local_addr().expect("bound"), name.len());
-    servers.iter().map(|server| (server.0.as_str(), row(server).0, "SERVING")).collect()
+    let row = |(name, server): &'_ (String, TcpListener)| {
+        (server.local_addr().expect("bound"), name.len())
+    };
+    servers
+        .iter()
+        .map(|server| (server.0.as_str(), row(server).0, "SERVING"))
+        .collect()
 }
 
 /// When a line was written, in Unix seconds.
 pub fn stamp(line: &str) -> f64 {
-    line.split(' ').next().expect("a stamp").parse().expect("a number")
+    line.split(' ')
+        .next()
+        .expect("a stamp")
+        .parse()
+        .expect("a number")
 }
 
 /// A body of a new override.
--- a/cli/tests/overrides/effect.rs
+++ b/cli/tests/overrides/effect.rs
@@ -10,16 +10,27 @@
     let site = Site::start(2);
     let (_, mut standing) = site.spread(6);
     let id = site.api.add(&out("s0", 60.0));
-    let shown = site.api.call("GET", &format!("/v1/overrides/{id}"), "").body;
+    let shown = site
+        .api
+        .call("GET", &format!("/v1/overrides/{id}"), "")
+        .body;
     let left = shown["remaining_s"].as_f64().expect("a number");
     assert!(left > 0.0 && left <= 60.0, "{left}");
     assert_eq!(shown["effects"]["platform"], "in effect");
     let row = site.api.server("s0");
     assert_eq!(
-        (row["listed"]["state"].as_str(), row["effective"]["state"].as_str()),
+        (
+            row["listed"]["state"].as_str(),
+            row["effective"]["state"].as_str()
+        ),
         (Some("ready"), Some("out"))
     );
-    assert!(row["why"][0].as_str().is_some_and(|why| why.contains("maintenance")), "{row}");
+    assert!(
+        row["why"][0]
+            .as_str()
+            .is_some_and(|why| why.contains("maintenance")),
+        "{row}"
+    );
     let (went, more) = site.spread(4);
     assert!(went.iter().all(|number| *number == 1), "{went:?}");
     // What stands there stays. Nothing is let go before the end: a server that breaks connections off is left alone.
@@ -34,9 +45,14 @@
     let said = site.program().says(&format!("override expired id={id}"));
     let late = stamp(&said) - due;
     assert!((-0.002..0.6).contains(&late), "{late} {said}");
-    assert!(said.contains("who=ada") && said.contains("why=maintenance"), "{said}");
+    assert!(
+        said.contains("who=ada") && said.contains("why=maintenance"),
+        "{said}"
+    );
     assert!(site.api.overrides().is_empty());
-    wait_for("its weight", || (site.api.server("s0")["effective"]["weight"] == 1.0).then_some(()));
+    wait_for("its weight", || {
+        (site.api.server("s0")["effective"]["weight"] == 1.0).then_some(())
+    });
     let (went, _more) = site.spread(8);
     assert!(went.contains(&0), "it is back: {went:?}");
 }
@@ -46,8 +62,14 @@
     let mut site = Site::start(2);
     let id = site.api.add(&out("s0", 60.0));
     let effect = |site: &Site| {
-        let shown = site.api.call("GET", &format!("/v1/overrides/{id}"), "").body;
-        shown["effects"]["platform"].as_str().expect("a word").to_owned()
+        let shown = site
+            .api
+            .call("GET", &format!("/v1/overrides/{id}"), "")
+            .body;
+        shown["effects"]["platform"]
+            .as_str()
+            .expect("a word")
+            .to_owned()
     };
     let (first, second) = (site.address(0), site.address(1));
     site.list(false, &[("s0", first, "DELETED")]);
@@ -61,7 +83,10 @@
     assert!(went.iter().all(|number| *number == 1), "{went:?}");
     // One that was never listed.
     let later = site.api.call("POST", "/v1/overrides", &out("s2", 60.0));
-    assert_eq!((later.status, later.body["effects"]["platform"].as_str()), (201, Some("server not listed")));
+    assert_eq!(
+        (later.status, later.body["effects"]["platform"].as_str()),
+        (201, Some("server not listed"))
+    );
     site.servers.push(("s2".into(), listener()));
     let third = site.address(2);
     site.list(false, &[("s2", third, "SERVING")]);
@@ -77,24 +102,33 @@
     let refused = site.api.call("POST", "/v1/overrides", &out("s1", 60.0));
     assert_eq!(refused.status, 409);
     assert!(
-        refused.body["error"].as_str().is_some_and(|error| error.contains("no ready server")),
+        refused.body["error"]
+            .as_str()
+            .is_some_and(|error| error.contains("no ready server")),
         "{}",
         refused.body
     );
     assert_eq!(site.api.overrides().len(), 1);
     let forced = out("s1", 60.0).replace("\"who\"", "\"force\":true,\"who\"");
     let second = site.api.add(&forced);
-    site.program().says("overrides leave too little what=\"no ready server in the whole farm\"");
+    site.program()
+        .says("overrides leave too little what=\"no ready server in the whole farm\"");
     assert!(site.api.call("GET", "/v1/farm", "").body["warnings"][0].is_string());
     // A client that comes now is told at the end when to come back, and no server hears of it.
     let answer = site.open("north").hear().expect("an answer");
     assert!(answer.starts_with("BUSY "), "{answer}");
-    assert_eq!(site.api.call("DELETE", &format!("/v1/overrides/{second}"), "").status, 200);
+    assert_eq!(
+        site.api
+            .call("DELETE", &format!("/v1/overrides/{second}"), "")
+            .status,
+        200
+    );
     site.program().says("a ready server everywhere again");
     // Sound as it was entered, harmful since the other server left the list.
     let second = site.address(1);
     site.list(false, &[("s1", second, "DELETED")]);
-    site.program().says("overrides leave too little what=\"no ready server in the whole farm\"");
+    site.program()
+        .says("overrides leave too little what=\"no ready server in the whole farm\"");
     site.list(false, &[("s1", second, "SERVING")]);
     site.program().says("a ready server everywhere again");
     assert_eq!(site.api.overrides()[0]["id"], first);
@@ -104,7 +138,12 @@
 fn a_server_that_is_back_is_brought_back_in_steps() {
     let site = Site::set_up(2, "ramp_s = 2.0");
     let id = site.api.add(&out("s0", 60.0));
-    assert_eq!(site.api.call("DELETE", &format!("/v1/overrides/{id}"), "").status, 200);
+    assert_eq!(
+        site.api
+            .call("DELETE", &format!("/v1/overrides/{id}"), "")
+            .status,
+        200
+    );
     let mut seen: Vec<f64> = Vec::new();
     let until = Instant::now() + PATIENCE;
     while seen.last() != Some(&1.0) {
@@ -112,13 +151,21 @@
         let row = site.api.server("s0");
         let weight = row["effective"]["weight"].as_f64().expect("a number");
         if weight < 1.0 {
-            assert!(row["why"][0].as_str().is_some_and(|why| why.contains("on its way back")), "{row}");
+            assert!(
+                row["why"][0]
+                    .as_str()
+                    .is_some_and(|why| why.contains("on its way back")),
+                "{row}"
+            );
         }
         if seen.last() != Some(&weight) {
             seen.push(weight);
         }
     }
-    assert!(seen.is_sorted() && seen[0] <= 0.2 && seen.len() > 8, "{seen:?}");
+    assert!(
+        seen.is_sorted() && seen[0] <= 0.2 && seen.len() > 8,
+        "{seen:?}"
+    );
 }
 
 #[test]
@@ -131,15 +178,26 @@
     let first = body(r#""kind":"out","server":"s0","moves_per_s":10"#, 60.0);
     site.api.add(&first);
     let mut moved = Vec::new();
-    for ((client, _), _) in standing.iter_mut().zip(&went).filter(|(_, number)| **number == 0) {
+    for ((client, _), _) in standing
+        .iter_mut()
+        .zip(&went)
+        .filter(|(_, number)| **number == 0)
+    {
         client.hears("MOVE");
         client.ended();
         moved.push(begun.elapsed());
     }
     let due = |count: usize| Duration::from_millis(100 * (count as u64 - 1));
     let last = moved.iter().max().expect("some");
-    assert!(*last >= due(there).saturating_sub(Duration::from_millis(50)), "{moved:?}");
-    for ((client, server), _) in standing.iter_mut().zip(&went).filter(|(_, number)| **number == 1) {
+    assert!(
+        *last >= due(there).saturating_sub(Duration::from_millis(50)),
+        "{moved:?}"
+    );
+    for ((client, server), _) in standing
+        .iter_mut()
+        .zip(&went)
+        .filter(|(_, number)| **number == 1)
+    {
         client.say("M 1\r\n");
         server.hears("M 1");
     }
@@ -149,7 +207,10 @@
 fn a_pinned_group_goes_to_its_server_and_falls_back_or_is_refused_as_was_said() {
     let mut site = Site::start(3);
     let pin = |mode: &str, group: &str| {
-        body(&format!(r#""kind":"pin","server":"s2","group":"{group}","mode":"{mode}""#), 60.0)
+        body(
+            &format!(r#""kind":"pin","server":"s2","group":"{group}","mode":"{mode}""#),
+            60.0,
+        )
     };
     site.api.add(&pin("prefer", "north"));
     site.api.add(&pin("strict", "south"));
@@ -177,18 +238,30 @@
     // Its server drains: the strict ones are told at once when to come back.
     let third = site.address(2);
     site.list(false, &[("s2", third, "DRAINING")]);
-    let effects: Vec<serde_json::Value> =
-        site.api.overrides().iter().map(|one| one["effects"]["platform"].clone()).collect();
-    assert_eq!(effects, ["server takes nothing new", "server takes nothing new"]);
+    let effects: Vec<serde_json::Value> = site
+        .api
+        .overrides()
+        .iter()
+        .map(|one| one["effects"]["platform"].clone())
+        .collect();
+    assert_eq!(
+        effects,
+        ["server takes nothing new", "server takes nothing new"]
+    );
     let (went, client, server) = site.stand("north");
     assert_ne!(went, 2);
     standing.push((client, server));
     let asked = Instant::now();
     let mut client = site.open("south");
     let answer = client.hear().expect("an answer");
-    let after = answer.strip_prefix("BUSY ").and_then(|millis| millis.parse::<u64>().ok());
+    let after = answer
+        .strip_prefix("BUSY ")
+        .and_then(|millis| millis.parse::<u64>().ok());
     assert!(after.is_some_and(|after| after <= 2_000), "{answer}");
-    assert!(asked.elapsed() < Duration::from_millis(300), "not held back");
+    assert!(
+        asked.elapsed() < Duration::from_millis(300),
+        "not held back"
+    );
     // A tenant's pin stands behind its group's.
     let tenant = body(r#""kind":"pin","server":"s1","tenant":"acme""#, 60.0);
     site.api.add(&tenant);
@@ -209,7 +282,10 @@
     other.api.add(&text);
     let stamp = |site: &Site| stamp(&site.program().says("override expired"));
     let (first, second) = (stamp(&one), stamp(&other));
-    let due = at.duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_secs_f64();
+    let due = at
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("after 1970")
+        .as_secs_f64();
     assert!(
         (first - second).abs() <= 0.1 && first - due < 0.1 && first >= due - 0.002,
         "{first} {second} {due}"
--- a/cli/tests/overrides/requests.rs
+++ b/cli/tests/overrides/requests.rs
@@ -9,68 +9,172 @@
     let text = out("s0", 60.0);
     let answers: Vec<(u16, u64, bool)> = std::thread::scope(|scope| {
         let send = || {
-            let answer = site.api.call_with("POST", "/v1/overrides", "Idempotency-Key: k1\r\n", &text);
+            let answer =
+                site.api
+                    .call_with("POST", "/v1/overrides", "Idempotency-Key: k1\r\n", &text);
             let id = answer.body["id"].as_u64().expect("a number");
-            (answer.status, id, answer.head.contains("Idempotency-Replayed"))
+            (
+                answer.status,
+                id,
+                answer.head.contains("Idempotency-Replayed"),
+            )
         };
         let all: Vec<_> = (0..8).map(|_| scope.spawn(send)).collect();
-        all.into_iter().map(|one| one.join().expect("answered")).collect()
+        all.into_iter()
+            .map(|one| one.join().expect("answered"))
+            .collect()
     });
     let id = answers[0].1;
-    assert!(answers.iter().all(|(status, same, _)| *status == 201 && *same == id), "{answers:?}");
-    assert_eq!(answers.iter().filter(|(_, _, replayed)| !replayed).count(), 1);
-    let other = site.api.call_with("POST", "/v1/overrides", "Idempotency-Key: k1\r\n", &out("s1", 60.0));
+    assert!(
+        answers
+            .iter()
+            .all(|(status, same, _)| *status == 201 && *same == id),
+        "{answers:?}"
+    );
+    assert_eq!(
+        answers.iter().filter(|(_, _, replayed)| !replayed).count(),
+        1
+    );
+    let other = site.api.call_with(
+        "POST",
+        "/v1/overrides",
+        "Idempotency-Key: k1\r\n",
+        &out("s1", 60.0),
+    );
     assert_eq!(other.status, 422);
     // Two changes at once from the same revision: one is told that it came late.
     let path = format!("/v1/overrides/{id}");
     let mut both: Vec<u16> = std::thread::scope(|scope| {
-        let change =
-            || site.api.call_with("PATCH", &path, "If-Match: \"1\"\r\n", r#"{"expires_in_s":90}"#).status;
+        let change = || {
+            site.api
+                .call_with(
+                    "PATCH",
+                    &path,
+                    "If-Match: \"1\"\r\n",
+                    r#"{"expires_in_s":90}"#,
+                )
+                .status
+        };
         let all: Vec<_> = (0..2).map(|_| scope.spawn(change)).collect();
-        all.into_iter().map(|one| one.join().expect("answered")).collect()
+        all.into_iter()
+            .map(|one| one.join().expect("answered"))
+            .collect()
     });
     both.sort_unstable();
     assert_eq!(both, [200, 412]);
     let fields = |text: &str| -> (u16, Vec<String>) {
         let answer = site.api.call("POST", "/v1/overrides", text);
-        let faults = answer.body["faults"].as_array().cloned().unwrap_or_default();
-        (answer.status, faults.iter().map(|fault| fault["field"].as_str().expect("a name").into()).collect())
+        let faults = answer.body["faults"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
+        (
+            answer.status,
+            faults
+                .iter()
+                .map(|fault| fault["field"].as_str().expect("a name").into())
+                .collect(),
+        )
     };
     for (text, status, named) in [
         ("", 400, vec![]),
         ("{", 400, vec![]),
         ("[]", 422, vec![]),
         ("{}", 422, vec!["kind", "who", "why", "expires_in_s"]),
-        (r#"{"kind":"up","who":"a","why":"b","expires_in_s":1}"#, 422, vec!["server", "kind"]),
-        (&body(r#""kind":"weight","server":"s0","factor":0"#, 9.0), 422, vec!["factor"]),
-        (&body(r#""kind":"weight","server":"s0","factor":"2""#, 9.0), 422, vec!["factor"]),
-        (&body(r#""kind":"weight","server":"s0","factor":1e999"#, 9.0), 400, vec![]),
-        (&body(r#""kind":"out","server":7"#, 9.0), 422, vec!["server"]),
-        (&body(r#""kind":"out","server":"s0","factor":2"#, 9.0), 422, vec!["body"]),
-        (&body(r#""kind":"pin","server":"s0""#, 9.0), 422, vec!["group"]),
-        (&body(r#""kind":"pin","server":"s0","group":"a","tenant":"b""#, 9.0), 422, vec!["group", "body"]),
-        (&body(r#""kind":"pin","server":"s0","group":"a","mode":"hard""#, 9.0), 422, vec!["mode"]),
+        (
+            r#"{"kind":"up","who":"a","why":"b","expires_in_s":1}"#,
+            422,
+            vec!["server", "kind"],
+        ),
+        (
+            &body(r#""kind":"weight","server":"s0","factor":0"#, 9.0),
+            422,
+            vec!["factor"],
+        ),
+        (
+            &body(r#""kind":"weight","server":"s0","factor":"2""#, 9.0),
+            422,
+            vec!["factor"],
+        ),
+        (
+            &body(r#""kind":"weight","server":"s0","factor":1e999"#, 9.0),
+            400,
+            vec![],
+        ),
+        (
+            &body(r#""kind":"out","server":7"#, 9.0),
+            422,
+            vec!["server"],
+        ),
+        (
+            &body(r#""kind":"out","server":"s0","factor":2"#, 9.0),
+            422,
+            vec!["body"],
+        ),
+        (
+            &body(r#""kind":"pin","server":"s0""#, 9.0),
+            422,
+            vec!["group"],
+        ),
+        (
+            &body(
+                r#""kind":"pin","server":"s0","group":"a","tenant":"b""#,
+                9.0,
+            ),
+            422,
+            vec!["group", "body"],
+        ),
+        (
+            &body(
+                r#""kind":"pin","server":"s0","group":"a","mode":"hard""#,
+                9.0,
+            ),
+            422,
+            vec!["mode"],
+        ),
         (&out("s0", -1.0), 422, vec!["expires_in_s"]),
         (&out("s0", 1e300), 422, vec!["expires"]),
         (&out("s0", 604_801.0), 422, vec!["expires"]),
         (&out(&"s".repeat(200), 9.0), 422, vec!["server"]),
-        (&out("s0", 9.0).replace("maintenance", r"a\nb"), 422, vec!["why"]),
+        (
+            &out("s0", 9.0).replace("maintenance", r"a\nb"),
+            422,
+            vec!["why"],
+        ),
         (&"x".repeat(20_000), 413, vec![]),
     ] {
         let (got, faults) = fields(text);
-        assert_eq!((got, faults), (status, named.into_iter().map(String::from).collect()), "{text}");
+        assert_eq!(
+            (got, faults),
+            (status, named.into_iter().map(String::from).collect()),
+            "{text}"
+        );
     }
     for (method, path, text, status) in [
         ("GET", "/v1/overrides/99", "", 404),
         ("GET", "/v1/overrides/all", "", 404),
         ("PUT", "/v1/overrides", "", 405),
         ("POST", "/v1/overrides/1", "", 405),
-        ("PATCH", path.as_str(), r#"{"expires_in_s":5,"who":"b"}"#, 422),
+        (
+            "PATCH",
+            path.as_str(),
+            r#"{"expires_in_s":5,"who":"b"}"#,
+            422,
+        ),
         ("PATCH", path.as_str(), r#"{"expires_at":"yesterday"}"#, 422),
-        ("PATCH", path.as_str(), r#"{"expires_at":"2001-01-01T00:00:00Z"}"#, 422),
+        (
+            "PATCH",
+            path.as_str(),
+            r#"{"expires_at":"2001-01-01T00:00:00Z"}"#,
+            422,
+        ),
         ("GET", "/v1/tenants", "", 404),
     ] {
-        assert_eq!(site.api.call(method, path, text).status, status, "{method} {path} {text}");
+        assert_eq!(
+            site.api.call(method, path, text).status,
+            status,
+            "{method} {path} {text}"
+        );
     }
     // None of it changed what holds.
     let all = site.api.overrides();
@@ -85,8 +189,18 @@
     for number in 0..3 {
         site.api.add(&out(&format!("x{number}"), 9.0));
     }
-    assert_eq!(site.api.call("POST", "/v1/overrides", &out("x9", 9.0)).status, 409);
-    assert_eq!(site.api.call("POST", "/v1/overrides", &out("x9", 11.0)).status, 422);
+    assert_eq!(
+        site.api
+            .call("POST", "/v1/overrides", &out("x9", 9.0))
+            .status,
+        409
+    );
+    assert_eq!(
+        site.api
+            .call("POST", "/v1/overrides", &out("x9", 11.0))
+            .status,
+        422
+    );
     assert_eq!(site.api.call("DELETE", "/v1/overrides/1", "").status, 200);
     site.api.add(&out("x9", 9.0));
 }
--- a/cli/tests/pieces.rs
+++ b/cli/tests/pieces.rs
@@ -45,8 +45,11 @@
 #[test]
 fn clients_that_walk_away_half_way_leave_nothing_behind() {
     let site = site("away");
-    let descriptors =
-        || std::fs::read_dir(format!("/proc/{}/fd", site.program.pid())).expect("it runs").count();
+    let descriptors = || {
+        std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
+            .expect("it runs")
+            .count()
+    };
     let mut first = site.open("chat", "");
     first.hears("UP r");
     let before = descriptors();
@@ -60,7 +63,11 @@
     }
     let until = std::time::Instant::now() + PATIENCE;
     while descriptors() > before {
-        assert!(std::time::Instant::now() < until, "{} descriptors, {before} before", descriptors());
+        assert!(
+            std::time::Instant::now() < until,
+            "{} descriptors, {before} before",
+            descriptors()
+        );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     first.say("still here\r\n");
@@ -69,7 +76,11 @@
 
 #[test]
 fn an_answer_that_comes_in_pieces_is_no_slow_answer() {
-    let settings = SETTINGS.replacen('{', r#"{"family-info":{"message-aim-ns":[50000000,50000000]},"#, 1);
+    let settings = SETTINGS.replacen(
+        '{',
+        r#"{"family-info":{"message-aim-ns":[50000000,50000000]},"#,
+        1,
+    );
     let site = Site::start_on(&settings, "whole", 1, &[("BEACONFLOW_LOG", "debug")]);
     let (mut client, mut server) = site.stand();
     let rest_comes_after = Duration::from_millis(150);
@@ -83,7 +94,11 @@
     client.hears("k");
     client.hears("LOAD 12.5");
     let noted = |lines: &[String]| lines.iter().filter(|line| line.contains("Delay(")).count();
-    assert_eq!(noted(&site.program.says_up_to("Load(12.5)")), 0, "the first piece came at once");
+    assert_eq!(
+        noted(&site.program.says_up_to("Load(12.5)")),
+        0,
+        "the first piece came at once"
+    );
     // An answer that begins late is a slow one, also behind the end of a line that began in time.
     client.say("M 2\r\n");
     server.hears("M 2");
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -16,10 +16,17 @@
     client.say("OPEN 01 02 c=chat,t=acme,d=2500,g=3,h=1.5\r\n");
     let mut server = Peer::accept(&site.servers[0]);
     let line = server.hear().expect("an opening");
-    let wait =
-        line.strip_prefix("OPEN 01 02 c=chat,t=acme,d=").and_then(|rest| rest.strip_suffix(",g=3,h=1.5"));
-    let wait: u64 = wait.expect("all but d is unchanged").parse().expect("a number");
-    assert!((1..=400).contains(&wait), "{wait} is how long this balancer waits");
+    let wait = line
+        .strip_prefix("OPEN 01 02 c=chat,t=acme,d=")
+        .and_then(|rest| rest.strip_suffix(",g=3,h=1.5"));
+    let wait: u64 = wait
+        .expect("all but d is unchanged")
+        .parse()
+        .expect("a number");
+    assert!(
+        (1..=400).contains(&wait),
+        "{wait} is how long this balancer waits"
+    );
     server.say("UP r7\r\nLOAD 12.5\r\nhal");
     client.hears("UP r7");
     client.hears("LOAD 12.5");
@@ -40,7 +47,9 @@
 fn a_reset_is_passed_on_as_a_reset() {
     let site = Site::start("reset", 1);
     let (mut client, server) = site.stand();
-    socket2::SockRef::from(&server.stream).set_linger(Some(Duration::ZERO)).expect("open");
+    socket2::SockRef::from(&server.stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("open");
     drop(server);
     assert!(client.was_reset());
 }
@@ -57,9 +66,14 @@
     }
     let answered = Instant::now();
     let answer = client.hear().expect("an answer");
-    let after = answer.strip_prefix("BUSY ").and_then(|millis| millis.parse::<u64>().ok());
+    let after = answer
+        .strip_prefix("BUSY ")
+        .and_then(|millis| millis.parse::<u64>().ok());
     assert!(after.is_some_and(|after| after <= 2000), "{answer}");
-    assert!(answered.elapsed() < Duration::from_millis(300), "not held back");
+    assert!(
+        answered.elapsed() < Duration::from_millis(300),
+        "not held back"
+    );
     client.ended();
 }
 
@@ -98,7 +112,11 @@
         client.hears(&format!("A {number}"));
     }
     // The last pass's thread may be about to end.
-    assert!(site.program.threads() <= before + 4, "{} were {before}", site.program.threads());
+    assert!(
+        site.program.threads() <= before + 4,
+        "{} were {before}",
+        site.program.threads()
+    );
 }
 
 #[test]
@@ -155,7 +173,12 @@
         client = Peer::connect(site.at);
         client.say("OPEN a1 02 c=chat,d=2500\r\n");
         server = Peer::accept(&site.servers[0]);
-        assert!(server.hear().expect("an opening").starts_with("OPEN a1 02 "));
+        assert!(
+            server
+                .hear()
+                .expect("an opening")
+                .starts_with("OPEN a1 02 ")
+        );
         server.say("UP r1\r\n");
         client.hears("UP r1");
     }
@@ -174,12 +197,18 @@
     server.hears("M 1");
     for (number, peer) in silent.iter_mut().enumerate() {
         let answer = peer.hear();
-        assert!(matches!(answer.as_deref(), Some("BUSY" | "ERR")), "{number}: {answer:?}");
+        assert!(
+            matches!(answer.as_deref(), Some("BUSY" | "ERR")),
+            "{number}: {answer:?}"
+        );
         assert!(peer.is_gone());
     }
     dripping.hears("ERR");
     // Owed within 3 s of connecting; a loaded machine may take longer to say so, as 5 s for each would not.
-    assert!(begun.elapsed() < Duration::from_millis(4_500), "owed within 3 s of connecting");
+    assert!(
+        begun.elapsed() < Duration::from_millis(4_500),
+        "owed within 3 s of connecting"
+    );
     site.program.says("more like these left out");
 }
 
@@ -217,9 +246,16 @@
         ("0", "settings.balancers: must be at least 1"),
         ("", "settings.balancers is missing"),
     ] {
-        let said = if count.is_empty() { String::new() } else { format!("\"balancers\":{count},") };
+        let said = if count.is_empty() {
+            String::new()
+        } else {
+            format!("\"balancers\":{count},")
+        };
         let settings = SETTINGS.replace("\"balancers\":1,", &said);
-        let path = file("count", &config(free(), free(), &list(1, true, &[]), &settings, 256));
+        let path = file(
+            "count",
+            &config(free(), free(), &list(1, true, &[]), &settings, 256),
+        );
         let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
         program.says(why);
         if count.is_empty() {
@@ -278,15 +314,24 @@
     let mut old = site.discovery.watch();
     let (mut client, mut server) = site.stand();
     let new = Discovery::start();
-    let config = site.config.replace(&site.discovery.address.to_string(), &new.address.to_string());
-    std::fs::write(&site.path, config.replace("\"sockets\":256", "\"sockets\":300"))
-        .expect("the same folder");
+    let config = site.config.replace(
+        &site.discovery.address.to_string(),
+        &new.address.to_string(),
+    );
+    std::fs::write(
+        &site.path,
+        config.replace("\"sockets\":256", "\"sockets\":300"),
+    )
+    .expect("the same folder");
     let told = Instant::now();
     // Several at once are as good as one.
     site.program.signal("HUP");
     site.program.signal("HUP");
     let mut watch = new.watch();
-    assert!(told.elapsed() < Duration::from_millis(2_500), "the blocked read was ended, not waited out");
+    assert!(
+        told.elapsed() < Duration::from_millis(2_500),
+        "the blocked read was ended, not waited out"
+    );
     old.ended();
     // The list is kept until the new address tells another one.
     client.say("M 1\r\n");
@@ -304,7 +349,8 @@
     site.program.says("what stands is kept");
     std::fs::write(&site.path, site.config.replace("\"n0\"", "\"n1\"")).expect("the same folder");
     site.program.signal("HUP");
-    site.program.says("takes a restart, kept as it was what=name");
+    site.program
+        .says("takes a restart, kept as it was what=name");
     let _back = site.discovery.watch();
     site.program.signal("TERM");
     site.program.says("leaving");
@@ -354,13 +400,24 @@
 
 #[test]
 fn servers_are_asked_for_their_load_and_what_they_answer_decides_where_clients_go() {
-    let probes = SETTINGS.replace("\"policy-limits\":{", "\"policy-limits\":{\"may-probe\":true,");
-    let settings =
-        probes.replace("\"rules\"", "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"");
+    let probes = SETTINGS.replace(
+        "\"policy-limits\":{",
+        "\"policy-limits\":{\"may-probe\":true,",
+    );
+    let settings = probes.replace(
+        "\"rules\"",
+        "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
+    );
     let full = "PONG x0=0.95,queue=3\r\n";
     // A server that tells nothing of its load takes clients; a report that is cut short is no answer.
-    for (number, answer) in
-        ["PONG x0=0.1,queue=0\r\n", "PONG\r\n", "NO\r\n", "PONG x0=oops\r\n"].iter().enumerate()
+    for (number, answer) in [
+        "PONG x0=0.1,queue=0\r\n",
+        "PONG\r\n",
+        "NO\r\n",
+        "PONG x0=oops\r\n",
+    ]
+    .iter()
+    .enumerate()
     {
         let site = Site::start_on(&settings, &format!("load{number}"), 3, &[]);
         let (say, heard) = std::sync::mpsc::channel();
--- a/cli/tests/roll.rs
+++ b/cli/tests/roll.rs
@@ -21,22 +21,51 @@
     let site = Site::start("unsound", 2);
     let _watch = site.discovery.watch();
     let (mut client, mut server) = site.stand();
-    let elsewhere = site.config.replace(&site.discovery.address.to_string(), &free().to_string());
+    let elsewhere = site
+        .config
+        .replace(&site.discovery.address.to_string(), &free().to_string());
     for (from, to, why) in [
         ("\"n0\"", "7", "name: invalid type"),
-        ("\"sockets\":256", "\"sockets\":\"many\"", "limits.sockets: invalid type"),
-        ("\"balancers\":1", "\"balancers\":\"many\"", "settings.balancers: invalid type"),
-        ("\"balancers\":1", "\"balancers\":0", "settings.balancers: must be at least 1"),
-        ("\"cold-share\":0.2", "\"cold-share\":7", "settings.rules.cold-share: must be above 0"),
-        ("\"subscribe\"", "\"by pigeon\"", "settings.discovery: unknown discovery"),
-        ("\"retryable\"", "\"maybe\"", "settings.lanes[0].effect: unknown effect"),
+        (
+            "\"sockets\":256",
+            "\"sockets\":\"many\"",
+            "limits.sockets: invalid type",
+        ),
+        (
+            "\"balancers\":1",
+            "\"balancers\":\"many\"",
+            "settings.balancers: invalid type",
+        ),
+        (
+            "\"balancers\":1",
+            "\"balancers\":0",
+            "settings.balancers: must be at least 1",
+        ),
+        (
+            "\"cold-share\":0.2",
+            "\"cold-share\":7",
+            "settings.rules.cold-share: must be above 0",
+        ),
+        (
+            "\"subscribe\"",
+            "\"by pigeon\"",
+            "settings.discovery: unknown discovery",
+        ),
+        (
+            "\"retryable\"",
+            "\"maybe\"",
+            "settings.lanes[0].effect: unknown effect",
+        ),
         ("}}", "}", "EOF while parsing"),
         ("}}", "}}}}", "trailing characters"),
     ] {
         // Discovery's address, which could be taken over, is another one too.
         let spoilt = elsewhere.replacen(from, to, 1);
-        let spoilt =
-            if from == "}}" { elsewhere.trim_end().trim_end_matches('}').to_owned() + to } else { spoilt };
+        let spoilt = if from == "}}" {
+            elsewhere.trim_end().trim_end_matches('}').to_owned() + to
+        } else {
+            spoilt
+        };
         std::fs::write(&site.path, &spoilt).expect("the same folder");
         site.program.signal("HUP");
         let said = site.program.says("what stands is kept");
@@ -44,7 +73,11 @@
     }
     std::fs::remove_file(&site.path).expect("it is there");
     site.program.signal("HUP");
-    assert!(site.program.says("what stands is kept").contains("No such file"));
+    assert!(
+        site.program
+            .says("what stands is kept")
+            .contains("No such file")
+    );
     client.say("M 1\r\n");
     server.hears("M 1");
     let _serves_on = site.stand();
@@ -68,7 +101,10 @@
     let mut second = site.open("once", "");
     std::thread::sleep(Duration::from_millis(100));
     site.servers[0].set_nonblocking(true).expect("open");
-    assert!(site.servers[0].accept().is_err(), "its part of what the fleet may set up is out");
+    assert!(
+        site.servers[0].accept().is_err(),
+        "its part of what the fleet may set up is out"
+    );
     asked.say("UP r1\r\n");
     first.hears("UP r1");
     let mut asked = Peer::accept(&site.servers[0]);
@@ -112,12 +148,20 @@
     resting.ended();
     // One that never said anything has an answer or an end, and no reset.
     let last = silent.hear();
-    assert!(matches!(last.as_deref(), Some("ERR" | "BUSY") | None), "{last:?}");
+    assert!(
+        matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
+        "{last:?}"
+    );
     // Its request comes after that: it is read by nobody, or not sent on.
-    let _ = silent.stream.write_all(b"OPEN b2 02 c=chat,t=acme,d=2500,g=3\r\n");
+    let _ = silent
+        .stream
+        .write_all(b"OPEN b2 02 c=chat,t=acme,d=2500,g=3\r\n");
     assert!(site.program.left(), "it leaves by itself");
     site.servers[0].set_nonblocking(true).expect("open");
-    assert!(site.servers[0].accept().is_err(), "nothing more was sent on");
+    assert!(
+        site.servers[0].accept().is_err(),
+        "nothing more was sent on"
+    );
     assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
 }
 
@@ -134,7 +178,10 @@
 
 impl Told {
     fn list(&self, reset: bool, servers: &[(String, SocketAddr, &'static str)]) -> String {
-        let rows: Vec<_> = servers.iter().map(|(name, at, state)| (name.as_str(), *at, *state)).collect();
+        let rows: Vec<_> = servers
+            .iter()
+            .map(|(name, at, state)| (name.as_str(), *at, *state))
+            .collect();
         let list = list(self.generation, reset, &rows);
         format!("{:x}\r\n{list}\n\r\n", list.len() + 1)
     }
@@ -145,12 +192,16 @@
         let farm = self.clone();
         std::thread::spawn(move || {
             loop {
-                let Ok((stream, _)) = listener.accept() else { return };
+                let Ok((stream, _)) = listener.accept() else {
+                    return;
+                };
                 let mut peer = Peer::new(stream);
                 while peer.hear_or_end().is_some_and(|line| line.trim_end() != "") {}
                 let mut told = farm.0.lock().expect("sound");
                 let whole = told.list(true, &told.servers);
-                peer.say(&format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{whole}"));
+                peer.say(&format!(
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{whole}"
+                ));
                 told.watches.push(peer.stream);
             }
         });
@@ -164,7 +215,11 @@
     }
 
     fn tell(&self, words: &str) {
-        self.0.lock().expect("sound").watches.retain_mut(|watch| watch.write_all(words.as_bytes()).is_ok());
+        self.0
+            .lock()
+            .expect("sound")
+            .watches
+            .retain_mut(|watch| watch.write_all(words.as_bytes()).is_ok());
     }
 
     /// One server begins to drain, and another takes its place.
@@ -174,7 +229,10 @@
             told.generation += 1;
             told.servers[old].2 = "DRAINING";
             told.servers.push((new.0, new.1, "SERVING"));
-            let changed = [told.servers[old].clone(), told.servers[told.servers.len() - 1].clone()];
+            let changed = [
+                told.servers[old].clone(),
+                told.servers[told.servers.len() - 1].clone(),
+            ];
             told.list(false, &changed)
         };
         self.tell(&words);
@@ -192,9 +250,13 @@
             let seen = Arc::clone(&seen);
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                let Some(opening) = peer.hear_or_end() else { return };
+                let Some(opening) = peer.hear_or_end() else {
+                    return;
+                };
                 let id = opening.split(' ').nth(1).unwrap_or_default().to_owned();
-                seen.lock().expect("sound").push((number, id, Instant::now()));
+                seen.lock()
+                    .expect("sound")
+                    .push((number, id, Instant::now()));
                 let _ = peer.stream.write_all(b"UP r\r\n");
                 while peer.hear_or_end().is_some() {}
             });
@@ -232,9 +294,13 @@
             }
             let life = self.lives[balancer].load(Ordering::SeqCst);
             let id = format!("b{balancer}life{life}t{thread}n{number}");
-            let Ok(stream) = TcpStream::connect(at) else { continue };
+            let Ok(stream) = TcpStream::connect(at) else {
+                continue;
+            };
             let mut client = Peer::new(stream);
-            client.say(&format!("OPEN {id} {number:x} c=chat,t=acme,d=2500,g={number}\r\n"));
+            client.say(&format!(
+                "OPEN {id} {number:x} c=chat,t=acme,d=2500,g={number}\r\n"
+            ));
             match client.hear_or_end() {
                 Some(line) if line.starts_with("UP ") => {
                     self.served.fetch_add(1, Ordering::SeqCst);
@@ -271,7 +337,10 @@
     farm.0.lock().expect("sound").generation = 1;
     farm.0.lock().expect("sound").servers = servers[..SERVERS].iter().map(row).collect();
     farm.serve(discovery);
-    let known: Vec<_> = servers[..SERVERS].iter().map(|(name, at)| (name.as_str(), *at, "SERVING")).collect();
+    let known: Vec<_> = servers[..SERVERS]
+        .iter()
+        .map(|(name, at)| (name.as_str(), *at, "SERVING"))
+        .collect();
     let settings = SETTINGS
         .replace("\"subscribe\"", "\"automatic\"")
         .replace("\"balancers\":1,", &format!("\"balancers\":{BALANCERS},"))
@@ -283,10 +352,17 @@
         Program::start(&[], &[("LB_CONFIG", path.as_str())])
     };
     let addresses: Vec<SocketAddr> = (0..BALANCERS).map(|_| free()).collect();
-    let mut programs: Vec<Program> = (0..BALANCERS).map(|number| start(number, addresses[number])).collect();
-    programs.iter().for_each(|program| drop(program.says("to=serving")));
+    let mut programs: Vec<Program> = (0..BALANCERS)
+        .map(|number| start(number, addresses[number]))
+        .collect();
+    programs
+        .iter()
+        .for_each(|program| drop(program.says("to=serving")));
     let clients = Clients {
-        balancers: addresses.iter().map(|at| (*at, AtomicBool::new(true))).collect(),
+        balancers: addresses
+            .iter()
+            .map(|at| (*at, AtomicBool::new(true)))
+            .collect(),
         lives: (0..BALANCERS).map(|_| AtomicUsize::new(0)).collect(),
         over: AtomicBool::new(false),
         served: AtomicUsize::new(0),
@@ -294,7 +370,10 @@
         others: Mutex::default(),
     };
     let served_beyond = |count: usize| {
-        let (from, until) = (clients.served.load(Ordering::SeqCst), Instant::now() + PATIENCE);
+        let (from, until) = (
+            clients.served.load(Ordering::SeqCst),
+            Instant::now() + PATIENCE,
+        );
         while clients.served.load(Ordering::SeqCst) < from + count {
             assert!(Instant::now() < until, "nobody is served");
             std::thread::sleep(Duration::from_millis(5));
@@ -337,16 +416,32 @@
         clients.over.store(true, Ordering::SeqCst);
         told_at
     });
-    assert_eq!(*clients.lost.lock().expect("sound"), Vec::<String>::new(), "each has an answer");
+    assert_eq!(
+        *clients.lost.lock().expect("sound"),
+        Vec::<String>::new(),
+        "each has an answer"
+    );
     let others = clients.others.lock().expect("sound");
     let refused: usize = others.values().sum();
-    assert!(refused * 20 <= clients.served.load(Ordering::SeqCst), "hardly any is turned away: {others:?}");
+    assert!(
+        refused * 20 <= clients.served.load(Ordering::SeqCst),
+        "hardly any is turned away: {others:?}"
+    );
     let seen = seen.lock().expect("sound");
     for (server, id, at) in seen.iter().filter(|(server, ..)| *server < told_at.len()) {
         let late = at.saturating_duration_since(told_at[*server]);
-        assert!(late < GRACE, "{id} at s{server}, {late:?} after it was told");
-        assert!(!id.starts_with("b0life1"), "{id} at s{server}, which had left before its balancer started");
+        assert!(
+            late < GRACE,
+            "{id} at s{server}, {late:?} after it was told"
+        );
+        assert!(
+            !id.starts_with("b0life1"),
+            "{id} at s{server}, which had left before its balancer started"
+        );
     }
-    let news = seen.iter().filter(|(server, id, _)| *server >= SERVERS && id.starts_with("b0life1")).count();
+    let news = seen
+        .iter()
+        .filter(|(server, id, _)| *server >= SERVERS && id.starts_with("b0life1"))
+        .count();
     assert!(news > 0, "the one that restarted serves on the new servers");
 }
--- a/cli/tests/settings.rs
+++ b/cli/tests/settings.rs
@@ -84,7 +84,10 @@
     for _ in 0..2 {
         attempt(&site, 0).say("BUSY\r\n");
     }
-    assert!(bulk.hear().expect("an answer").starts_with("BUSY "), "two attempts, and a time to come again");
+    assert!(
+        bulk.hear().expect("an answer").starts_with("BUSY "),
+        "two attempts, and a time to come again"
+    );
     let mut quick = site.open("quick", "");
     resets(attempt(&site, 0));
     quick.hears("ERR");
@@ -92,7 +95,10 @@
     let _silent = attempt(&site, 0);
     hung.hears("ERR");
     let took = begun.elapsed();
-    assert!(took >= Duration::from_millis(500) && took < Duration::from_millis(2_300), "{took:?} of 700 ms");
+    assert!(
+        took >= Duration::from_millis(500) && took < Duration::from_millis(2_300),
+        "{took:?} of 700 ms"
+    );
     no_attempt_waits(&site);
 
     // One class, no tenants, no zones, one attempt, no time to come again.
@@ -206,15 +212,26 @@
     let begun = Instant::now();
     let mut before = site.open("once", "");
     let _silent = attempt(&site, 0);
-    replace(&site, &with_lanes(&[("chat", "retryable", 600), ("once", "fragile", 600)]));
+    replace(
+        &site,
+        &with_lanes(&[("chat", "retryable", 600), ("once", "fragile", 600)]),
+    );
     let begun_after = Instant::now();
     let mut after = site.open("once", "");
     let _silent_too = attempt(&site, 0);
     after.hears("ERR");
-    assert!(begun_after.elapsed() < Duration::from_millis(2_000), "{:?}", begun_after.elapsed());
+    assert!(
+        begun_after.elapsed() < Duration::from_millis(2_000),
+        "{:?}",
+        begun_after.elapsed()
+    );
     before.hears("ERR");
     // Its client waits for 2.5 s, and the old deadline is 3 s.
-    assert!(begun.elapsed() >= Duration::from_millis(2_300), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() >= Duration::from_millis(2_300),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 #[test]
@@ -244,10 +261,18 @@
     let moved = whole.replace(&site.discovery.address.to_string(), "127.0.0.1:9");
     let mut wrong = changed.clone();
     wrong["lanes"][0]["effect"] = json!("sometimes");
-    wrong["policy-limits"].as_object_mut().expect("an object").remove("max-attempts");
+    wrong["policy-limits"]
+        .as_object_mut()
+        .expect("an object")
+        .remove("max-attempts");
     wrong["rules"]["fall-ns"] = json!("soon");
     let wrong = moved.replace(&changed.to_string(), &wrong.to_string());
-    for half in [&moved[..moved.len() / 2], &moved[..moved.len() - 1], "", &format!("{moved}}}")] {
+    for half in [
+        &moved[..moved.len() / 2],
+        &moved[..moved.len() - 1],
+        "",
+        &format!("{moved}}}"),
+    ] {
         reload(&site, half);
         site.program.says("what stands is kept");
     }
@@ -297,7 +322,8 @@
 }
 
 #[test]
-fn at_a_planned_restart_everybody_is_moved_before_the_program_may_be_killed_also_with_short_deadlines() {
+fn at_a_planned_restart_everybody_is_moved_before_the_program_may_be_killed_also_with_short_deadlines()
+ {
     let settings = with_lanes(&[("chat", "retryable", 600), ("once", "fragile", 500)]);
     let mut site = Site::start_on(&settings.to_string(), "short", 1, &[]);
     let mut standing: Vec<(Peer, Peer)> = (0..10).map(|_| site.stand()).collect();
@@ -311,7 +337,11 @@
     }
     waiting.hears("ERR");
     // It may be killed after the longest deadline and 0.7 s.
-    assert!(begun.elapsed() < Duration::from_millis(1_300), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(1_300),
+        "{:?}",
+        begun.elapsed()
+    );
     assert!(site.program.left(), "it leaves by itself");
 }
 
--- a/cli/tests/starting.rs
+++ b/cli/tests/starting.rs
@@ -47,7 +47,10 @@
         let mut kept = Vec::new();
         while let Ok((stream, _)) = listener.accept() {
             let mut call = Peer::new(stream);
-            while call.hear_or_end().is_some_and(|line| !line.trim_end().is_empty()) {}
+            while call
+                .hear_or_end()
+                .is_some_and(|line| !line.trim_end().is_empty())
+            {}
             match how {
                 Plays::Refuses => {
                     call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -66,8 +69,11 @@
 
 /// A listener whose line is full: no connection to it comes up.
 fn full() -> SocketAddr {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::new(at(&listener()).ip(), 0).into()).expect("loopback");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket
+        .bind(&SocketAddr::new(at(&listener()).ip(), 0).into())
+        .expect("loopback");
     socket.listen(0).expect("bound");
     let listener = TcpListener::from(socket);
     let address = at(&listener);
@@ -101,12 +107,22 @@
                         .replace("400000000,", "4000000000,")
                         .replace("3000000000", "9000000000");
                     let rows = [("s0", at(&server), "SERVING")];
-                    let text = config(front, plays(discovery), &list(1, true, &rows), &settings, 256);
+                    let text = config(
+                        front,
+                        plays(discovery),
+                        &list(1, true, &rows),
+                        &settings,
+                        256,
+                    );
                     let path = file(&format!("start-{kind}-{discovery:?}"), &text);
                     let begun = Instant::now();
                     let _program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
                     while answer_to_ping(front).as_deref() != Some("PONG") {}
-                    assert!(begun.elapsed() < READY, "{kind}, {discovery:?}: {:?}", begun.elapsed());
+                    assert!(
+                        begun.elapsed() < READY,
+                        "{kind}, {discovery:?}: {:?}",
+                        begun.elapsed()
+                    );
                     // Who says yes serves.
                     let mut client = Peer::connect(front);
                     client.say("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
@@ -128,7 +144,10 @@
     let path = file("none", &text);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     let mut call = Peer::accept(&discovery);
-    assert!(call.hear().is_some_and(|line| line.contains("from=0 ")), "the whole list");
+    assert!(
+        call.hear().is_some_and(|line| line.contains("from=0 ")),
+        "the whole list"
+    );
     while call.hear().is_some_and(|line| !line.is_empty()) {}
     let no = answer_to_ping(front);
     assert!(no.is_some() && no.as_deref() != Some("PONG"), "{no:?}");
--- a/cli/tests/stories/affinity.rs
+++ b/cli/tests/stories/affinity.rs
@@ -28,20 +28,38 @@
 }
 
 #[test]
-fn a_version_is_rolled_over_all_processes_with_loss_and_a_partition_and_nobody_changes_its_server() {
+fn a_version_is_rolled_over_all_processes_with_loss_and_a_partition_and_nobody_changes_its_server()
+{
     let (mut fleet, before) = serving(shape(22), 40);
     fleet.datagrams(Fault::Lose(Way::Both, 0.05));
     for number in 0..5 {
         if number == 2 {
-            fleet.record.step("a process is cut off from the others while the roll goes on");
-            (0..4).for_each(|other| fleet.net.fault(&format!("b{other}~b4"), Fault::Cut(Way::Both)));
+            fleet
+                .record
+                .step("a process is cut off from the others while the roll goes on");
+            (0..4).for_each(|other| {
+                fleet
+                    .net
+                    .fault(&format!("b{other}~b4"), Fault::Cut(Way::Both))
+            });
         }
-        fleet.roll(number, Version { serial: 2, worth: 2.0 });
+        fleet.roll(
+            number,
+            Version {
+                serial: 2,
+                worth: 2.0,
+            },
+        );
         fleet.are_open(5);
         if number == 3 {
-            fleet.net.links_of("b4").iter().filter(|link| link.contains('~')).for_each(|link| {
-                fleet.net.fault(link, Fault::Heal);
-            });
+            fleet
+                .net
+                .links_of("b4")
+                .iter()
+                .filter(|link| link.contains('~'))
+                .for_each(|link| {
+                    fleet.net.fault(link, Fault::Heal);
+                });
         }
     }
     all_there(&fleet);
@@ -52,11 +70,23 @@
 fn a_version_that_is_taken_back_half_way_keeps_everybody() {
     let (mut fleet, before) = serving(shape(23), 40);
     for number in 0..2 {
-        fleet.roll(number, Version { serial: 2, worth: 2.0 });
+        fleet.roll(
+            number,
+            Version {
+                serial: 2,
+                worth: 2.0,
+            },
+        );
     }
     fleet.record.step("and back");
     for number in 0..2 {
-        fleet.roll(number, Version { serial: 3, worth: 1.0 });
+        fleet.roll(
+            number,
+            Version {
+                serial: 3,
+                worth: 1.0,
+            },
+        );
     }
     all_there(&fleet);
     all_stayed(fleet, &before);
@@ -66,7 +96,9 @@
 fn clients_whose_process_is_killed_again_and_again_keep_their_server() {
     let (mut fleet, before) = serving(shape(24), 40);
     for round in 0..3 {
-        fleet.record.step("one is killed, and comes back with an empty disk");
+        fleet
+            .record
+            .step("one is killed, and comes back with an empty disk");
         fleet.kill(&[round]);
         fleet.are_open(4);
         fleet.all_stand();
@@ -76,7 +108,12 @@
     }
     let after = fleet.all_stand();
     stay(&fleet, &before, &after);
-    fleet.finish(&Rules { aftermath: Duration::from_secs(10), ..Rules::default() }).kept();
+    fleet
+        .finish(&Rules {
+            aftermath: Duration::from_secs(10),
+            ..Rules::default()
+        })
+        .kept();
 }
 
 #[test]
@@ -84,7 +121,13 @@
     let (mut fleet, before) = serving(shape(25), 40);
     let rolls = [(0, 2), (1, 3), (0, 3), (2, 4)];
     for (number, serial) in rolls {
-        fleet.roll(number, Version { serial, worth: serial as f64 });
+        fleet.roll(
+            number,
+            Version {
+                serial,
+                worth: serial as f64,
+            },
+        );
     }
     all_there(&fleet);
     all_stayed(fleet, &before);
@@ -94,11 +137,19 @@
 fn clients_that_go_to_and_fro_between_processes_of_two_versions_do_not_flap() {
     let (mut fleet, before) = serving(shape(26), 40);
     for number in [0, 1] {
-        fleet.roll(number, Version { serial: 2, worth: 2.0 });
+        fleet.roll(
+            number,
+            Version {
+                serial: 2,
+                worth: 2.0,
+            },
+        );
     }
     for which in [[0, 1], [2, 3], [1, 4]] {
         all_know(&fleet, 40);
-        fleet.record.step(&format!("{which:?} are killed, and come back"));
+        fleet
+            .record
+            .step(&format!("{which:?} are killed, and come back"));
         fleet.kill(&which);
         fleet.are_open(3);
         fleet.all_stand();
@@ -122,7 +173,10 @@
         (placed.len() == 40 && placed.values().all(|server| server != "s0")).then_some(())
     });
     let after = fleet.all_stand();
-    let rest = before.into_iter().filter(|(_, server)| server != "s0").collect();
+    let rest = before
+        .into_iter()
+        .filter(|(_, server)| server != "s0")
+        .collect();
     stay(&fleet, &rest, &after);
     fleet.finish(&Rules::default()).kept();
 }
@@ -130,7 +184,9 @@
 #[test]
 fn whoever_was_on_a_server_that_began_anew_is_dealt_anew_and_the_others_come_back() {
     let (mut fleet, before) = serving(shape(28), 40);
-    let begun = fleet.record.step("a server begins anew, and so do two processes");
+    let begun = fleet
+        .record
+        .step("a server begins anew, and so do two processes");
     fleet.kill_servers(&[2]);
     fleet.kill(&[3, 4]);
     fleet.restart_servers(&[2]);
@@ -139,8 +195,10 @@
     let after = fleet.all_stand();
     // Some of the others are moved on purpose, to fill the cold one.
     let moved = fleet.record.moved_since(begun);
-    let rest =
-        before.into_iter().filter(|(client, server)| server != "s2" && !moved.contains(client)).collect();
+    let rest = before
+        .into_iter()
+        .filter(|(client, server)| server != "s2" && !moved.contains(client))
+        .collect();
     stay(&fleet, &rest, &after);
     fleet.finish(&Rules::default()).kept();
 }
--- a/cli/tests/stories/edge.rs
+++ b/cli/tests/stories/edge.rs
@@ -12,7 +12,9 @@
 pub fn site_is(fleet: &Fleet, site: &str, state: &str) {
     for number in fleet.of_site(site) {
         fleet.until(number, state, |said| {
-            said["uplink"].as_str().is_some_and(|words| words.starts_with(state))
+            said["uplink"]
+                .as_str()
+                .is_some_and(|words| words.starts_with(state))
         });
     }
 }
@@ -33,14 +35,23 @@
     site_is(&fleet, "south", "linked");
     let after = fleet.all_stand();
     stay(&fleet, &all, &after);
-    let old = after.into_iter().filter(|(client, _)| before.contains_key(client)).collect();
+    let old = after
+        .into_iter()
+        .filter(|(client, _)| before.contains_key(client))
+        .collect();
     stay(&fleet, &before, &old);
     fleet.finish(&Rules::default()).kept();
 }
 
 #[test]
 fn a_process_that_restarts_on_an_island_serves_by_memory_and_peers() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape_at(32, &SITES) }, 40);
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape_at(32, &SITES)
+        },
+        40,
+    );
     fleet.uplink("south", Fault::Cut(Way::Both));
     site_is(&fleet, "south", "islanded");
     fleet.record.step("one restarts with its disk, one without");
@@ -70,17 +81,29 @@
 fn a_link_that_flaps_makes_no_site_flap() {
     let (fleet, before) = serving(shape_at(33, &SITES), 40);
     site_is(&fleet, "south", "linked");
-    fleet.record.step("the uplink of the south comes and goes, every second for ten");
+    fleet
+        .record
+        .step("the uplink of the south comes and goes, every second for ten");
     for turn in 0..5 {
         fleet.uplink("south", Fault::Cut(Way::Both));
         std::thread::sleep(Duration::from_secs(1));
-        fleet.uplink("south", if turn % 2 == 0 { Fault::Heal } else { Fault::HealWithReset });
+        fleet.uplink(
+            "south",
+            if turn % 2 == 0 {
+                Fault::Heal
+            } else {
+                Fault::HealWithReset
+            },
+        );
         std::thread::sleep(Duration::from_secs(1));
     }
     site_is(&fleet, "south", "linked");
     site_is(&fleet, "north", "linked");
     let count = became_islands(&fleet);
-    assert!(count <= fleet.of_site("south").len(), "islands {count} times");
+    assert!(
+        count <= fleet.of_site("south").len(),
+        "islands {count} times"
+    );
     all_stayed(fleet, &before);
 }
 
@@ -88,7 +111,9 @@
 fn a_site_that_is_heard_and_hears_nothing_is_an_island() {
     let (fleet, before) = serving(shape_at(34, &SITES), 40);
     site_is(&fleet, "south", "linked");
-    fleet.record.step("nothing comes in over the uplink of the south any more; what goes out arrives");
+    fleet
+        .record
+        .step("nothing comes in over the uplink of the south any more; what goes out arrives");
     fleet.uplink("south", Fault::Cut(Way::Back));
     site_is(&fleet, "south", "islanded");
     site_is(&fleet, "north", "linked");
@@ -106,7 +131,9 @@
     for number in 0..5 {
         fleet.says(down, &format!("b{number}"), "watch ended");
     }
-    fleet.record.step("a process of each site dies and comes back meanwhile");
+    fleet
+        .record
+        .step("a process of each site dies and comes back meanwhile");
     fleet.kill(&[2, 4]);
     fleet.are_open(3);
     fleet.start(&[2, 4], Disk::Kept);
@@ -124,10 +151,14 @@
 fn one_process_that_is_cut_off_makes_no_island_of_its_site() {
     let (fleet, before) = serving(shape_at(36, &SITES), 40);
     site_is(&fleet, "north", "linked");
-    fleet.record.step("one process of the north is cut off from discovery and all others");
+    fleet
+        .record
+        .step("one process of the north is cut off from discovery and all others");
     let of_it = |link: &String| link.contains('~') || link.ends_with(">discovery");
     let links: Vec<String> = fleet.net.links_of("b0").into_iter().filter(of_it).collect();
-    links.iter().for_each(|link| fleet.net.fault(link, Fault::Cut(Way::Both)));
+    links
+        .iter()
+        .for_each(|link| fleet.net.fault(link, Fault::Cut(Way::Both)));
     for number in 1..5 {
         fleet.until(number, "one is gone", |said| said["processes"] == 4);
     }
@@ -135,10 +166,14 @@
     site_is(&fleet, "south", "linked");
     for number in [1, 2] {
         fleet.until(number, "linked", |said| {
-            said["uplink"].as_str().is_some_and(|words| words.starts_with("linked"))
+            said["uplink"]
+                .as_str()
+                .is_some_and(|words| words.starts_with("linked"))
         });
     }
-    links.iter().for_each(|link| fleet.net.fault(link, Fault::Heal));
+    links
+        .iter()
+        .for_each(|link| fleet.net.fault(link, Fault::Heal));
     super::all_there(&fleet);
     all_stayed(fleet, &before);
 }
--- a/cli/tests/stories/main.rs
+++ b/cli/tests/stories/main.rs
@@ -29,7 +29,11 @@
         Err(_) => all,
     };
     let balancers = sites.iter().map(|(_, count)| count).sum();
-    Shape { together: Some(together), balancers, ..Shape::new(PROGRAM, seed) }
+    Shape {
+        together: Some(together),
+        balancers,
+        ..Shape::new(PROGRAM, seed)
+    }
 }
 
 /// Clients of no group: nothing but what is remembered of them leads them back to their server.
@@ -69,9 +73,13 @@
 
 /// The same, but for some that do not run.
 fn all_know_but(fleet: &Fleet, count: usize, dead: &[usize]) {
-    let remembers = fleet.together().is_some_and(|together| together.fleet && together.affinity);
+    let remembers = fleet
+        .together()
+        .is_some_and(|together| together.fleet && together.affinity);
     for number in (0..fleet.balancers.len()).filter(|number| remembers && !dead.contains(number)) {
-        fleet.until(number, "all placements are known", |said| said["placements"] == count);
+        fleet.until(number, "all placements are known", |said| {
+            said["placements"] == count
+        });
     }
 }
 
@@ -81,7 +89,11 @@
     let gone = |(client, server): &(&String, &String)| {
         after.get(*client) != Some(server) && !fleet.record.tried_in_vain(client, server)
     };
-    let moved: Vec<&String> = before.iter().filter(gone).map(|(client, _)| client).collect();
+    let moved: Vec<&String> = before
+        .iter()
+        .filter(gone)
+        .map(|(client, _)| client)
+        .collect();
     if let Some(first) = moved.first() {
         panic!(
             "{} of {} are elsewhere: {moved:?}\n{}",
--- a/cli/tests/stories/power.rs
+++ b/cli/tests/stories/power.rs
@@ -3,7 +3,8 @@
 use beaconflow_faults::{Ability, Disk, Fault, Lifecycle, Rules, Shape, Way};
 
 use super::{
-    ALL, all_know, all_stayed, all_stayed_since, all_there, clients, power_is_lost, serving, shape, stay,
+    ALL, all_know, all_stayed, all_stayed_since, all_there, clients, power_is_lost, serving, shape,
+    stay,
 };
 use std::time::{Duration, Instant};
 
@@ -22,9 +23,16 @@
 
 #[test]
 fn after_a_power_loss_the_fleet_serves_from_its_memory_before_discovery_is_back() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(12) }, 40);
-    let dark =
-        fleet.record.step("the power is lost: processes and discovery end; servers have power of their own");
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(12)
+        },
+        40,
+    );
+    let dark = fleet
+        .record
+        .step("the power is lost: processes and discovery end; servers have power of their own");
     power_is_lost(&mut fleet);
     fleet.start(&ALL, Disk::Kept);
     all_stayed_since(&fleet, dark, &before);
@@ -35,8 +43,16 @@
 
 #[test]
 fn processes_whose_disks_are_gone_serve_by_what_the_others_remember() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(13) }, 40);
-    let dark = fleet.record.step("the power is lost, and with it three of five disks");
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(13)
+        },
+        40,
+    );
+    let dark = fleet
+        .record
+        .step("the power is lost, and with it three of five disks");
     power_is_lost(&mut fleet);
     fleet.start(&[0, 1, 2], Disk::Lost);
     fleet.start(&[3, 4], Disk::Kept);
@@ -47,10 +63,18 @@
 
 #[test]
 fn a_second_power_loss_in_the_middle_of_recovery_changes_nothing() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(14) }, 40);
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(14)
+        },
+        40,
+    );
     fleet.record.step("the power is lost");
     power_is_lost(&mut fleet);
-    let again = fleet.record.step("it is back, and lost again while everybody is still asking");
+    let again = fleet
+        .record
+        .step("it is back, and lost again while everybody is still asking");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1", "b2", "b3", "b4"] {
         fleet.says(again, name, "part of a fleet");
@@ -65,29 +89,58 @@
 
 #[test]
 fn cold_servers_are_filled_in_the_time_of_a_refill_and_none_tips_though_discovery_is_back_last() {
-    let ability = Ability { rate: 8.0, cold: Duration::from_secs(10), ..Ability::default() };
-    let (mut fleet, before) = serving(Shape { ability, told: false, ..shape(15) }, 120);
-    let dark = fleet.record.step("the power is lost: every process and server ends, and discovery too");
+    let ability = Ability {
+        rate: 8.0,
+        cold: Duration::from_secs(10),
+        ..Ability::default()
+    };
+    let (mut fleet, before) = serving(
+        Shape {
+            ability,
+            told: false,
+            ..shape(15)
+        },
+        120,
+    );
+    let dark = fleet
+        .record
+        .step("the power is lost: every process and server ends, and discovery too");
     fleet.discovery.goes_down();
     fleet.kill(&ALL);
     fleet.kill_servers(&SERVERS);
     fleet.are_open(0);
-    fleet.record.step("the power is back; servers are cold, and discovery is still away");
+    fleet
+        .record
+        .step("the power is back; servers are cold, and discovery is still away");
     fleet.restart_servers(&SERVERS);
     fleet.start(&ALL, Disk::Kept);
     fleet.are_open(5);
-    let bound = ability.refill(before.len().div_ceil(SERVERS.len())).mul_f64(1.3);
+    let bound = ability
+        .refill(before.len().div_ceil(SERVERS.len()))
+        .mul_f64(1.3);
     let served = fleet.stand_within(bound, dark);
     fleet.record.step("discovery is back");
     fleet.discovery.comes_back();
     fleet.finish(&Rules::default()).kept();
-    assert!(served * 100 >= before.len() * 99, "{served} of {} are served after {bound:?}", before.len());
+    assert!(
+        served * 100 >= before.len() * 99,
+        "{served} of {} are served after {bound:?}",
+        before.len()
+    );
 }
 
 #[test]
 fn a_process_that_was_stopped_through_the_outage_wakes_and_leads_nobody_astray() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(16) }, 40);
-    fleet.record.step("one is stopped; then the power is lost to all others");
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(16)
+        },
+        40,
+    );
+    fleet
+        .record
+        .step("one is stopped; then the power is lost to all others");
     fleet.balancers[4].process.stop();
     let stopped = Instant::now();
     fleet.discovery.goes_down();
@@ -104,15 +157,26 @@
     fleet.says(woken, "b4", "was not run for");
     fleet.clients(clients(60).skip(40));
     let after = fleet.all_stand();
-    let old = after.into_iter().filter(|(client, _)| before.contains_key(client)).collect();
+    let old = after
+        .into_iter()
+        .filter(|(client, _)| before.contains_key(client))
+        .collect();
     stay(&fleet, &before, &old);
     fleet.finish(&Rules::default()).kept();
 }
 
 #[test]
 fn a_discovery_that_lost_its_state_is_believed_and_nobody_goes_by_the_list_of_before() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(17) }, 40);
-    fleet.record.step("the power is lost; discovery has lost its state, and a server is gone meanwhile");
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(17)
+        },
+        40,
+    );
+    fleet
+        .record
+        .step("the power is lost; discovery has lost its state, and a server is gone meanwhile");
     fleet.kill(&ALL);
     fleet.kill_servers(&[5]);
     fleet.are_open(0);
@@ -123,15 +187,26 @@
     fleet.are_open(5);
     let after = fleet.all_stand_since(dark);
     assert!(after.values().all(|server| server != "s5"), "{after:?}");
-    let rest = before.into_iter().filter(|(_, server)| server != "s5").collect();
+    let rest = before
+        .into_iter()
+        .filter(|(_, server)| server != "s5")
+        .collect();
     stay(&fleet, &rest, &after);
     fleet.finish(&Rules::default()).kept();
 }
 
 #[test]
 fn disks_that_are_torn_or_another_processs_are_named_and_served_through() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(18) }, 40);
-    fleet.record.step("the power is lost; one disk is torn, and one is another process's");
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(18)
+        },
+        40,
+    );
+    fleet
+        .record
+        .step("the power is lost; one disk is torn, and one is another process's");
     power_is_lost(&mut fleet);
     let memory = |number: usize| fleet.balancers[number].process.disk().join("memory");
     let torn = std::fs::read(memory(0)).expect("it was written");
@@ -149,20 +224,34 @@
 
 #[test]
 fn halves_that_recover_apart_and_meet_agree_on_where_everybody_is() {
-    let (mut fleet, before) = serving(Shape { told: false, ..shape(19) }, 40);
+    let (mut fleet, before) = serving(
+        Shape {
+            told: false,
+            ..shape(19)
+        },
+        40,
+    );
     fleet.record.step("the power is lost");
     fleet.kill(&ALL);
     fleet.are_open(0);
-    let dark = fleet.record.step("the power is back, and two are cut off from three");
-    let between = [0, 1].iter().flat_map(|near| [2, 3, 4].map(|far| format!("b{near}~b{far}")));
+    let dark = fleet
+        .record
+        .step("the power is back, and two are cut off from three");
+    let between = [0, 1]
+        .iter()
+        .flat_map(|near| [2, 3, 4].map(|far| format!("b{near}~b{far}")));
     let between: Vec<String> = between.collect();
-    between.iter().for_each(|link| fleet.net.fault(link, Fault::Cut(Way::Both)));
+    between
+        .iter()
+        .for_each(|link| fleet.net.fault(link, Fault::Cut(Way::Both)));
     fleet.start(&ALL, Disk::Kept);
     fleet.are_open(5);
     let apart = fleet.all_stand_since(dark);
     stay(&fleet, &before, &apart);
     fleet.record.step("they meet");
-    between.iter().for_each(|link| fleet.net.fault(link, Fault::Heal));
+    between
+        .iter()
+        .for_each(|link| fleet.net.fault(link, Fault::Heal));
     all_there(&fleet);
     all_know(&fleet, 40);
     fleet.kill(&[2, 3]);
--- a/cli/tests/support/api.rs
+++ b/cli/tests/support/api.rs
@@ -25,7 +25,8 @@
     pub fn call_with(&self, method: &str, path: &str, headers: &str, body: &str) -> Answer {
         // The program may have begun to serve its clients a moment before.
         let stream = Peer::connect(self.at).stream;
-        self.ask(stream, method, path, headers, body).expect("it answers")
+        self.ask(stream, method, path, headers, body)
+            .expect("it answers")
     }
 
     /// A call to a program that may be killed meanwhile.
@@ -51,7 +52,11 @@
         stream.read_to_string(&mut reply).ok()?;
         let (head, body) = reply.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        Some(Answer { status, head: head.to_owned(), body: serde_json::from_str(body).unwrap_or_default() })
+        Some(Answer {
+            status,
+            head: head.to_owned(),
+            body: serde_json::from_str(body).unwrap_or_default(),
+        })
     }
 
     pub fn call(&self, method: &str, path: &str, body: &str) -> Answer {
@@ -68,11 +73,17 @@
     /// Has an override end very soon; gives the moment, in Unix seconds. A story that gave it a short life from the
     /// start would race with a loaded machine.
     pub fn shorten(&self, id: u64) -> f64 {
-        let answer = self.call("PATCH", &format!("/v1/overrides/{id}"), r#"{"expires_in_s":0.05}"#);
+        let answer = self.call(
+            "PATCH",
+            &format!("/v1/overrides/{id}"),
+            r#"{"expires_in_s":0.05}"#,
+        );
         assert_eq!(answer.status, 200, "{}", answer.body);
-        let at =
-            humantime::parse_rfc3339(answer.body["expires_at"].as_str().expect("a time")).expect("RFC 3339");
-        at.duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_secs_f64()
+        let at = humantime::parse_rfc3339(answer.body["expires_at"].as_str().expect("a time"))
+            .expect("RFC 3339");
+        at.duration_since(std::time::UNIX_EPOCH)
+            .expect("after 1970")
+            .as_secs_f64()
     }
 
     /// Every override that holds, by number.
@@ -86,6 +97,9 @@
     pub fn server(&self, name: &str) -> serde_json::Value {
         let farm = self.call("GET", "/v1/farm", "").body;
         let rows = farm["servers"].as_array().expect("a list");
-        rows.iter().find(|row| row["name"] == name).unwrap_or_else(|| panic!("no {name} in {farm}")).clone()
+        rows.iter()
+            .find(|row| row["name"] == name)
+            .unwrap_or_else(|| panic!("no {name} in {farm}"))
+            .clone()
     }
 }
--- a/cli/tests/support/discovery.rs
+++ b/cli/tests/support/discovery.rs
@@ -25,7 +25,11 @@
         let beats = Arc::new(AtomicBool::new(true));
         let beating = Arc::clone(&beats);
         std::thread::spawn(move || accept_watches(&listener, &send, &beating));
-        Discovery { address, watches, beats }
+        Discovery {
+            address,
+            watches,
+            beats,
+        }
     }
 
     /// The next watch that is asked for.
@@ -51,10 +55,15 @@
 
 fn accept_watches(listener: &TcpListener, send: &Sender<Peer>, beats: &Arc<AtomicBool>) {
     loop {
-        let Ok((stream, _)) = listener.accept() else { return };
+        let Ok((stream, _)) = listener.accept() else {
+            return;
+        };
         let mut peer = Peer::new(stream);
         let asked = peer.hear().expect("a request");
-        assert!(asked.starts_with("GET /api/targets?watch=1&from="), "{asked}");
+        assert!(
+            asked.starts_with("GET /api/targets?watch=1&from="),
+            "{asked}"
+        );
         while peer.hear().is_some_and(|line| !line.is_empty()) {}
         peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let (mut stream, beats) = (peer.stream.try_clone().expect("open"), Arc::clone(beats));
@@ -82,5 +91,8 @@
         )
     };
     let rows: Vec<String> = servers.iter().map(row).collect();
-    format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, rows.join(","))
+    format!(
+        r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
+        rows.join(",")
+    )
 }
--- a/cli/tests/support/fleet.rs
+++ b/cli/tests/support/fleet.rs
@@ -59,8 +59,10 @@
             rows.push((format!("s{number}"), server.local_addr().expect("bound")));
             serves(number, server, told.clone());
         }
-        let rows: Vec<(&str, SocketAddr, &str)> =
-            rows.iter().map(|(name, at)| (name.as_str(), *at, "SERVING")).collect();
+        let rows: Vec<(&str, SocketAddr, &str)> = rows
+            .iter()
+            .map(|(name, at)| (name.as_str(), *at, "SERVING"))
+            .collect();
         Fleet::of(processes, &list(1, true, &rows), openings)
     }
 
@@ -72,11 +74,23 @@
         std::fs::set_permissions(&key, PermissionsExt::from_mode(0o600)).expect("its owner may");
         let peers = (0..processes).map(|_| free_udp()).collect();
         let (known, settings) = (known.to_owned(), SETTINGS.to_owned());
-        Fleet { folder, discovery: Discovery::start(), known, settings, openings, peers }
+        Fleet {
+            folder,
+            discovery: Discovery::start(),
+            known,
+            settings,
+            openings,
+            peers,
+        }
     }
 
     pub fn path(&self, name: &str) -> String {
-        self.folder.path().join(name).to_str().expect("text").to_owned()
+        self.folder
+            .path()
+            .join(name)
+            .to_str()
+            .expect("text")
+            .to_owned()
     }
 
     /// Writes the operator's file of the process of that number, with the sections that it has beside the API's.
@@ -95,7 +109,14 @@
         std::fs::write(&path, config).expect("room");
         let operator = self.write_operator(number, api, sections);
         let program = Program::start(&["--operator", &operator], &[("LB_CONFIG", &path)]);
-        Process { program, at, api: Api { at: api, token: ADMIN_TOKEN } }
+        Process {
+            program,
+            at,
+            api: Api {
+                at: api,
+                token: ADMIN_TOKEN,
+            },
+        }
     }
 
     pub fn sections(&self, number: usize, affinity: &str) -> String {
@@ -104,7 +125,11 @@
 
     /// With further fields of `[fleet]`, too.
     pub fn sections_with(&self, number: usize, fleet: &str, affinity: &str) -> String {
-        let peers: Vec<String> = self.peers.iter().map(|peer| format!("\"{peer}\"")).collect();
+        let peers: Vec<String> = self
+            .peers
+            .iter()
+            .map(|peer| format!("\"{peer}\""))
+            .collect();
         format!(
             "[fleet]\nname = \"gate-{number}\"\nsite = \"north\"\nlisten = \"{}\"\nkey_file = \"{}\"\n\
              peers = [{}]\n{fleet}\n[memory]\npath = \"{}\"\n[affinity]\n{affinity}\n",
@@ -129,7 +154,9 @@
         let mut places = BTreeMap::new();
         let clients = order.into_iter().map(|number| {
             let mut client = Peer::connect(process.at);
-            client.say(&format!("OPEN {named}{number} k{number} c=chat,t=acme,d=2500\r\n"));
+            client.say(&format!(
+                "OPEN {named}{number} k{number} c=chat,t=acme,d=2500\r\n"
+            ));
             client.hears("UP r1");
             let (server, key) = self.openings.recv_timeout(PATIENCE).expect("an opening");
             places.insert(key, server);
@@ -148,7 +175,11 @@
             if farm["fleet"][field] == value {
                 return;
             }
-            assert!(Instant::now() < until, "{field} is not {value}: {}", farm["fleet"]);
+            assert!(
+                Instant::now() < until,
+                "{field} is not {value}: {}",
+                farm["fleet"]
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
--- a/cli/tests/support/held.rs
+++ b/cli/tests/support/held.rs
@@ -64,15 +64,26 @@
     pub fn came(&self, count: usize) -> Vec<String> {
         let state = self.state.0.lock().expect("sound");
         let waits = |state: &mut State| state.came.len() < count;
-        let (state, late) = self.state.1.wait_timeout_while(state, super::PATIENCE, waits).expect("sound");
-        assert!(!late.timed_out(), "{} of {count} set-ups came", state.came.len());
+        let (state, late) = self
+            .state
+            .1
+            .wait_timeout_while(state, super::PATIENCE, waits)
+            .expect("sound");
+        assert!(
+            !late.timed_out(),
+            "{} of {count} set-ups came",
+            state.came.len()
+        );
         state.came.clone()
     }
 }
 
 /// One connection to its end. Nothing is said to a peer that has left.
 fn serve(mut stream: &TcpStream, wire: Wire, (state, changed): &(Mutex<State>, Condvar)) {
-    if wire == Wire::Nats && stream.write_all(b"INFO {\"server_id\":\"x\",\"max_payload\":1024}\r\n").is_err()
+    if wire == Wire::Nats
+        && stream
+            .write_all(b"INFO {\"server_id\":\"x\",\"max_payload\":1024}\r\n")
+            .is_err()
     {
         return;
     }
@@ -83,7 +94,9 @@
     }
     let mut held = state.lock().expect("sound");
     if let Some((mean, seed)) = &mut held.slow {
-        *seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        *seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let span = mean.mul_f64(-(1.0 - (*seed >> 11) as f64 / (1_u64 << 53) as f64).ln());
         drop(held);
         std::thread::sleep(span);
@@ -91,9 +104,17 @@
         held.came.push(line.trim_end().to_owned());
         let number = held.came.len();
         changed.notify_all();
-        drop(changed.wait_while(held, |state| state.allowed < number).expect("sound"));
+        drop(
+            changed
+                .wait_while(held, |state| state.allowed < number)
+                .expect("sound"),
+        );
     }
-    let word: &[u8] = if wire == Wire::Nats { b"PONG\r\n" } else { b"UP r1\r\n" };
+    let word: &[u8] = if wire == Wire::Nats {
+        b"PONG\r\n"
+    } else {
+        b"UP r1\r\n"
+    };
     if stream.write_all(word).is_err() {
         return;
     }
--- a/cli/tests/support/late.rs
+++ b/cli/tests/support/late.rs
@@ -19,14 +19,21 @@
         let address = listener.local_addr().expect("bound");
         rustix::net::listen(&listener, 0).expect("it listens already");
         let filler = TcpStream::connect(address).expect("room for one");
-        Late { address, listener, filler }
+        Late {
+            address,
+            listener,
+            filler,
+        }
     }
 
     /// Waits until a connection is under way, or none is any more.
     pub fn waits_for(&self, is_connecting: bool) {
         let until = Instant::now() + PATIENCE;
         while is_connecting_to(self.address) != is_connecting {
-            assert!(Instant::now() < until, "never so: connecting {is_connecting}");
+            assert!(
+                Instant::now() < until,
+                "never so: connecting {is_connecting}"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -65,8 +72,14 @@
 fn is_connecting_to(address: SocketAddr) -> bool {
     /// The state of a connection whose first packet has not been answered, in the system's table.
     const SYN_SENT: &str = "02";
-    let SocketAddr::V4(address) = address else { return false };
-    let peer = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
+    let SocketAddr::V4(address) = address else {
+        return false;
+    };
+    let peer = format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(address.ip().octets()),
+        address.port()
+    );
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
     table.lines().any(|line| {
         let mut fields = line.split_whitespace().skip(2);
--- a/cli/tests/support/mod.rs
+++ b/cli/tests/support/mod.rs
@@ -64,7 +64,13 @@
 }
 
 /// The platform's configuration file: where clients connect, where discovery is, what was known of the farm.
-pub fn config(at: SocketAddr, discovery: SocketAddr, known: &str, settings: &str, sockets: usize) -> String {
+pub fn config(
+    at: SocketAddr,
+    discovery: SocketAddr,
+    known: &str,
+    settings: &str,
+    sockets: usize,
+) -> String {
     format!(
         r#"{{"name":"n0","listen":"{at}","discovery":"{discovery}","seed":"7","limits":{{"sockets":{sockets}}},
             "known":{known},"settings":{settings}}}"#
--- a/cli/tests/support/nats.rs
+++ b/cli/tests/support/nats.rs
@@ -49,7 +49,10 @@
     }
 
     pub fn answered(&mut self, client: &str, answer: &str) {
-        self.answers.entry(client.to_owned()).or_default().push(answer.to_owned());
+        self.answers
+            .entry(client.to_owned())
+            .or_default()
+            .push(answer.to_owned());
     }
 
     /// Every rule, over all that has happened so far.
@@ -60,22 +63,38 @@
         for (at, one) in self.passes.iter().enumerate() {
             if let Some(told) = self.drained.get(&one.server) {
                 let late = one.begun.saturating_duration_since(*told);
-                assert!(late <= Duration::from_secs(1), "{} got a pass {late:?} after its drain", one.server);
+                assert!(
+                    late <= Duration::from_secs(1),
+                    "{} got a pass {late:?} after its drain",
+                    one.server
+                );
             }
-            for other in self.passes[at + 1..].iter().filter(|other| other.client == one.client) {
+            for other in self.passes[at + 1..]
+                .iter()
+                .filter(|other| other.client == one.client)
+            {
                 let over = one.ended.is_some_and(|ended| ended <= other.begun);
-                assert!(over, "passes of {} overlap at {} and {}", one.client, one.server, other.server);
+                assert!(
+                    over,
+                    "passes of {} overlap at {} and {}",
+                    one.client, one.server, other.server
+                );
             }
         }
     }
 
     /// Whether a client had a pass at a server.
     pub fn went(&self, client: &str, server: &str) -> bool {
-        self.passes.iter().any(|pass| pass.client == client && pass.server == server)
+        self.passes
+            .iter()
+            .any(|pass| pass.client == client && pass.server == server)
     }
 
     pub fn passes_of(&self, client: &str) -> usize {
-        self.passes.iter().filter(|pass| pass.client == client).count()
+        self.passes
+            .iter()
+            .filter(|pass| pass.client == client)
+            .count()
     }
 }
 
@@ -96,20 +115,40 @@
     pub fn start(name: &str, manner: Manner, record: &Shared) -> NatsServer {
         let listener = listener();
         let address = listener.local_addr().expect("bound");
-        let (manner, silent) = (Arc::new(Mutex::new(manner)), Arc::new(AtomicBool::new(false)));
+        let (manner, silent) = (
+            Arc::new(Mutex::new(manner)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let peers = Arc::new(Mutex::new(Vec::new()));
         let voice = Arc::default();
-        let server = NatsServer { name: name.to_owned(), address, manner, silent, voice, peers };
-        let (name, record, peers) = (name.to_owned(), Arc::clone(record), Arc::clone(&server.peers));
+        let server = NatsServer {
+            name: name.to_owned(),
+            address,
+            manner,
+            silent,
+            voice,
+            peers,
+        };
+        let (name, record, peers) = (
+            name.to_owned(),
+            Arc::clone(record),
+            Arc::clone(&server.peers),
+        );
         let (manner, silent) = (Arc::clone(&server.manner), Arc::clone(&server.silent));
         let voice = Arc::clone(&server.voice);
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                peers.lock().expect("sound").push(stream.try_clone().expect("open"));
-                let (name, record, silent) = (name.clone(), Arc::clone(&record), Arc::clone(&silent));
+                peers
+                    .lock()
+                    .expect("sound")
+                    .push(stream.try_clone().expect("open"));
+                let (name, record, silent) =
+                    (name.clone(), Arc::clone(&record), Arc::clone(&silent));
                 let voice = Arc::clone(&voice);
                 let manner = *manner.lock().expect("sound");
-                std::thread::spawn(move || serve(&stream, manner, &name, &record, (&silent, &voice)));
+                std::thread::spawn(move || {
+                    serve(&stream, manner, &name, &record, (&silent, &voice))
+                });
             }
         });
         server
@@ -128,7 +167,13 @@
 }
 
 /// Serves one connection to its end.
-fn serve(stream: &TcpStream, manner: Manner, name: &str, record: &Shared, own: (&AtomicBool, &Mutex<()>)) {
+fn serve(
+    stream: &TcpStream,
+    manner: Manner,
+    name: &str,
+    record: &Shared,
+    own: (&AtomicBool, &Mutex<()>),
+) {
     let (silent, voice) = own;
     if manner == Manner::Mute {
         return;
@@ -151,7 +196,12 @@
         "the upstream identity"
     );
     let client = options["name"].as_str().expect("a name").to_owned();
-    let pass = Pass { client, server: name.to_owned(), begun: Instant::now(), ended: None };
+    let pass = Pass {
+        client,
+        server: name.to_owned(),
+        begun: Instant::now(),
+        ended: None,
+    };
     let place = {
         let mut record = record.lock().expect("sound");
         record.passes.push(pass);
@@ -204,7 +254,10 @@
 pub fn client(to: SocketAddr, name: &str, user: &str, password: &str) -> Peer {
     let mut client = Peer::connect(to);
     let info = client.hear().expect("INFO");
-    assert!(info.starts_with("INFO {") && info.contains("\"max_payload\":"), "{info}");
+    assert!(
+        info.starts_with("INFO {") && info.contains("\"max_payload\":"),
+        "{info}"
+    );
     client.say(&format!(
         "CONNECT {{\"user\":\"{user}\",\"pass\":\"{password}\",\"name\":\"{name}\",\"verbose\":false}}\r\nPING\r\n"
     ));
--- a/cli/tests/support/peer.rs
+++ b/cli/tests/support/peer.rs
@@ -44,7 +44,9 @@
     }
 
     pub fn say(&mut self, words: &str) {
-        self.stream.write_all(words.as_bytes()).expect("the peer reads");
+        self.stream
+            .write_all(words.as_bytes())
+            .expect("the peer reads");
     }
 
     /// The next line without its end; nothing at the end of the connection.
@@ -60,7 +62,10 @@
     /// The same, where a reset is an end too.
     pub fn hear_or_end(&mut self) -> Option<String> {
         let mut line = String::new();
-        self.reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
+        self.reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|count| *count > 0)?;
         Some(line)
     }
 
@@ -82,12 +87,16 @@
     /// Waits for the connection's end, in order or not: a peer at fault may be owed no more than a close.
     pub fn is_gone(&mut self) -> bool {
         let reset = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionReset;
-        self.reader.read(&mut [0]).map_or_else(reset, |count| count == 0)
+        self.reader
+            .read(&mut [0])
+            .map_or_else(reset, |count| count == 0)
     }
 
     /// Whether the connection was reset.
     pub fn was_reset(&mut self) -> bool {
-        self.reader.read(&mut [0]).is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset)
+        self.reader
+            .read(&mut [0])
+            .is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset)
     }
 
     pub fn finish(&self) {
--- a/cli/tests/support/program.rs
+++ b/cli/tests/support/program.rs
@@ -46,7 +46,11 @@
     /// Starts it with a listener that this test holds, as descriptor 3.
     pub fn start_inheriting(held: &TcpListener, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
-        command.args(["-c", r#"exec 3<&0 </dev/null; exec "$0" "$@""#, env!("CARGO_BIN_EXE_beaconflow")]);
+        command.args([
+            "-c",
+            r#"exec 3<&0 </dev/null; exec "$0" "$@""#,
+            env!("CARGO_BIN_EXE_beaconflow"),
+        ]);
         command.stdin(OwnedFd::from(held.try_clone().expect("open")));
         Program::begin(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
     }
@@ -58,11 +62,19 @@
     }
 
     fn begin(mut command: Command, args: &[&str], env: &[(&str, &str)]) -> Program {
-        command.arg("serve").args(args).envs(env.iter().copied()).stderr(Stdio::piped());
+        command
+            .arg("serve")
+            .args(args)
+            .envs(env.iter().copied())
+            .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let (send, log) = channel();
-        std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| send.send(line)));
+        std::thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .try_for_each(|line| send.send(line))
+        });
         Program { child, log }
     }
 
@@ -85,7 +97,9 @@
         let mut said: Vec<String> = Vec::new();
         while said.last().is_none_or(|line| !line.contains(words)) {
             said.push(
-                self.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("never {words:?}: {said:#?}")),
+                self.log
+                    .recv_timeout(PATIENCE)
+                    .unwrap_or_else(|_| panic!("never {words:?}: {said:#?}")),
             );
         }
         said
@@ -94,7 +108,10 @@
     /// Sends a signal, by name.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let done = Command::new("kill").args(["-s", name, &pid]).status().expect("kill runs");
+        let done = Command::new("kill")
+            .args(["-s", name, &pid])
+            .status()
+            .expect("kill runs");
         assert!(done.success());
     }
 
@@ -104,7 +121,9 @@
 
     /// How many threads it has.
     pub fn threads(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
+            .expect("it runs")
+            .count()
     }
 
     /// Waits for the program's own end, which has to be in order.
--- a/cli/tests/support/site.rs
+++ b/cli/tests/support/site.rs
@@ -35,11 +35,19 @@
     pub fn start_on(settings: &str, name: &str, servers: usize, env: &[(&str, &str)]) -> Site {
         let (at, discovery) = (free(), Discovery::start());
         let servers: Vec<TcpListener> = (0..servers).map(|_| listener()).collect();
-        let names: Vec<String> = (0..servers.len()).map(|number| format!("s{number}")).collect();
+        let names: Vec<String> = (0..servers.len())
+            .map(|number| format!("s{number}"))
+            .collect();
         let rows: Vec<(&str, SocketAddr, &str)> = names
             .iter()
             .zip(&servers)
-            .map(|(name, server)| (name.as_str(), server.local_addr().expect("bound"), "SERVING"))
+            .map(|(name, server)| {
+                (
+                    name.as_str(),
+                    server.local_addr().expect("bound"),
+                    "SERVING",
+                )
+            })
             .collect();
         let known = list(1, true, &rows);
         let config = super::config(at, discovery.address, &known, settings, SOCKETS);
@@ -49,14 +57,24 @@
         let env = [&[("LB_CONFIG", path.as_str()), ("LB_DISCOVERY", &old)], env].concat();
         let program = Program::start(&[], &env);
         program.says("to=serving");
-        Site { program, at, servers, discovery, path, config, next: AtomicU32::new(1) }
+        Site {
+            program,
+            at,
+            servers,
+            discovery,
+            path,
+            config,
+            next: AtomicU32::new(1),
+        }
     }
 
     /// A client that has sent its opening.
     pub fn open(&self, class: &str, extra: &str) -> Peer {
         let mut client = Peer::connect(self.at);
         let id = self.next.fetch_add(1, Ordering::Relaxed);
-        client.say(&format!("OPEN a{id} 02 c={class},t=acme,d=2500,g=3{extra}\r\n"));
+        client.say(&format!(
+            "OPEN a{id} 02 c={class},t=acme,d=2500,g=3{extra}\r\n"
+        ));
         client
     }
 
--- a/cli/tests/transports/datagrams.rs
+++ b/cli/tests/transports/datagrams.rs
@@ -40,7 +40,10 @@
 
     /// Waits until the node has taken all of it.
     fn is_out(&self) -> bool {
-        let wait = self.0.1.wait_timeout_while(self.lock(), PATIENCE, |waiting| !waiting.is_empty());
+        let wait = self
+            .0
+            .1
+            .wait_timeout_while(self.lock(), PATIENCE, |waiting| !waiting.is_empty());
         wait.unwrap_or_else(PoisonError::into_inner).0.is_empty()
     }
 }
@@ -76,8 +79,13 @@
     }
 
     fn take(&mut self, _: &Member, bytes: &[u8], _: Millis) {
-        for message in bytes.split(|byte| *byte == MARK).filter(|message| !message.is_empty()) {
-            let _ = self.heard.send(String::from_utf8_lossy(message).into_owned());
+        for message in bytes
+            .split(|byte| *byte == MARK)
+            .filter(|message| !message.is_empty())
+        {
+            let _ = self
+                .heard
+                .send(String::from_utf8_lossy(message).into_owned());
         }
     }
 
@@ -94,14 +102,26 @@
 impl Default for Peers {
     fn default() -> Peers {
         let net = Net::start(&Record::default(), 4);
-        Peers { net, weather: Weather::Fair, pairs: 0, waiting: Vec::new() }
+        Peers {
+            net,
+            weather: Weather::Fair,
+            pairs: 0,
+            waiting: Vec::new(),
+        }
     }
 }
 
 impl Subject for Peers {
     fn traits(&self) -> Traits {
         // A datagram may be lost and overtaken, and one that is doubled is taken once.
-        Traits { ordered: false, reliable: false, once: true, ends: false, longest: LONGEST, silence: None }
+        Traits {
+            ordered: false,
+            reliable: false,
+            once: true,
+            ends: false,
+            longest: LONGEST,
+            silence: None,
+        }
     }
 
     fn pair(&mut self) -> Pair {
@@ -109,7 +129,10 @@
         // They meet in fair weather.
         let names = ["near", "away"].map(|side| format!("{side}{:04}", self.pairs));
         let sockets = [(), ()].map(|()| UdpSocket::bind(listening()).expect("loopback"));
-        let at = |end: usize| self.net.party(&names[end], sockets[end].local_addr().expect("bound"));
+        let at = |end: usize| {
+            self.net
+                .party(&names[end], sockets[end].local_addr().expect("bound"))
+        };
         let known = [at(0), at(1)];
         let [near, far] = sockets;
         let process = |end: usize, socket: UdpSocket| {
@@ -124,20 +147,32 @@
                 seeds: known.to_vec(),
             };
             let keys = Keys::only(Key::new(&[7; SHORTEST_KEY]).expect("long enough"));
-            let body = Words { waiting: waiting.clone(), heard: tell };
+            let body = Words {
+                waiting: waiting.clone(),
+                heard: tell,
+            };
             let node = Node::new(profile, keys, Settings::default(), body).expect("a good profile");
             let start = Instant::now();
             let clock = move || Millis::try_from(start.elapsed().as_millis()).expect("soon");
             let (events, told) = unbounded();
             let node = spawn(node, Udp::new(socket), clock, events).expect("a thread");
-            Process { waiting, heard, told, node }
+            Process {
+                waiting,
+                heard,
+                told,
+                node,
+            }
         };
         let ends = [process(0, near), process(1, far)];
         for end in &ends {
             let met = |event: Event| matches!(event, Event::Up(_));
-            assert!(end.told.recv_timeout(PATIENCE).is_ok_and(met), "they do not meet");
+            assert!(
+                end.told.recv_timeout(PATIENCE).is_ok_and(met),
+                "they do not meet"
+            );
         }
-        self.waiting.extend(ends.iter().map(|end| end.waiting.clone()));
+        self.waiting
+            .extend(ends.iter().map(|end| end.waiting.clone()));
         self.weather(self.weather);
         let [near, far] = ends;
         (Box::new(near), Box::new(far))
@@ -145,7 +180,10 @@
 
     fn weather(&mut self, weather: Weather) {
         // What was sent goes out in the weather that it was sent in.
-        assert!(self.waiting.iter().all(Waiting::is_out), "a node takes nothing");
+        assert!(
+            self.waiting.iter().all(Waiting::is_out),
+            "a node takes nothing"
+        );
         self.weather = weather;
         for link in self.net.links() {
             self.net.fault(&link, fault(weather));
--- a/cli/tests/transports/fronts.rs
+++ b/cli/tests/transports/fronts.rs
@@ -38,7 +38,11 @@
 
     /// Whether a client that has sent its opening is served.
     fn is_served(self, near: &TcpStream) -> bool {
-        let served = if self == Wire::Platform { "UP " } else { "PONG" };
+        let served = if self == Wire::Platform {
+            "UP "
+        } else {
+            "PONG"
+        };
         let line = line_of(near, &[served, "BUSY", "ERR", "-ERR"]);
         line.is_ok_and(|line| line.starts_with(served))
     }
@@ -86,7 +90,11 @@
         let (at, discovery, server) = (free(), Discovery::start(), listener());
         let net = Net::start(&Record::default(), 9);
         let door = net.link(Link::new("clients", "program", at));
-        let place = net.link(Link::new("program", "server", server.local_addr().expect("bound")));
+        let place = net.link(Link::new(
+            "program",
+            "server",
+            server.local_addr().expect("bound"),
+        ));
         let rows = [("s0", place, "SERVING")];
         let (program, redis) = match wire {
             Wire::Platform => {
@@ -104,7 +112,15 @@
         program.says("generation=2");
         let (send, passes) = channel();
         std::thread::spawn(move || set_up(wire, &server, &send));
-        Front { wire, net, door, passes, next: 0, _program: program, _keeps: (discovery, watch, redis) }
+        Front {
+            wire,
+            net,
+            door,
+            passes,
+            next: 0,
+            _program: program,
+            _keeps: (discovery, watch, redis),
+        }
     }
 }
 
@@ -122,15 +138,22 @@
         redis.address,
         toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
     );
-    let program = Program::start(&["--operator", &file(&format!("contract-{at}"), &text)], &[]);
+    let program = Program::start(
+        &["--operator", &file(&format!("contract-{at}"), &text)],
+        &[],
+    );
     program.says("administration API serves");
     let tenant = format!(
         r#"{{"name":"acme","password":"{PASSWORD}","class":"chat","connections":64,
             "upstream":{{"user":"up","password":"up-secret"}}}}"#
     );
-    let api = Api { at: admin, token: ADMIN_TOKEN };
+    let api = Api {
+        at: admin,
+        token: ADMIN_TOKEN,
+    };
     // On a loaded machine the store may seem away for a while; then the call may be repeated.
-    let added = (0..20).any(|_| matches!(api.call("POST", "/v1/tenants", &tenant).status, 201 | 409));
+    let added =
+        (0..20).any(|_| matches!(api.call("POST", "/v1/tenants", &tenant).status, 201 | 409));
     assert!(added, "the tenant is not taken");
     (program, redis)
 }
@@ -160,7 +183,14 @@
             Wire::Nats => (MAX_PAYLOAD, 3_000),
         };
         let silence = Some(Duration::from_millis(silence));
-        Traits { ordered: true, reliable: true, once: true, ends: true, longest, silence }
+        Traits {
+            ordered: true,
+            reliable: true,
+            once: true,
+            ends: true,
+            longest,
+            silence,
+        }
     }
 
     fn pair(&mut self) -> Pair {
@@ -209,7 +239,10 @@
             line.push(byte[0]);
         }
         let line = String::from_utf8_lossy(&line).into_owned();
-        if beginnings.iter().any(|beginning| line.starts_with(beginning)) {
+        if beginnings
+            .iter()
+            .any(|beginning| line.starts_with(beginning))
+        {
             stream.set_read_timeout(None)?;
             return Ok(line);
         }
@@ -223,12 +256,18 @@
         std::thread::spawn(move || {
             let (info, asks, answer): (&[u8], _, &[u8]) = match wire {
                 Wire::Platform => (b"", "OPEN ", b"UP r1\r\n"),
-                Wire::Nats => {
-                    (b"INFO {\"server_id\":\"s0\",\"max_payload\":1048576}\r\n", "PING", b"PONG\r\n")
-                }
+                Wire::Nats => (
+                    b"INFO {\"server_id\":\"s0\",\"max_payload\":1048576}\r\n",
+                    "PING",
+                    b"PONG\r\n",
+                ),
+            };
+            let asked = (&stream)
+                .write_all(info)
+                .and_then(|()| line_of(&stream, &[asks]));
+            let Ok(mut own) = stream.try_clone() else {
+                return;
             };
-            let asked = (&stream).write_all(info).and_then(|()| line_of(&stream, &[asks]));
-            let Ok(mut own) = stream.try_clone() else { return };
             if asked.is_ok() && passes.send(Conn::new(stream, wire, false)).is_ok() {
                 let _ = own.write_all(answer);
             }
@@ -243,7 +282,14 @@
         let silent = Arc::new(AtomicBool::new(false));
         let (own, quiet) = (stream.try_clone().expect("open"), Arc::clone(&silent));
         let thread = std::thread::spawn(move || read(&own, wire, &quiet, &send));
-        Conn { stream, wire, near, silent, heard: Some(heard), thread: Some(thread) }
+        Conn {
+            stream,
+            wire,
+            near,
+            silent,
+            heard: Some(heard),
+            thread: Some(thread),
+        }
     }
 }
 
@@ -262,10 +308,16 @@
                 Line::Moved => return Ok(Heard::Moved),
                 Line::Payload(size) => {
                     let mut payload = Vec::new();
-                    (&mut reader).take(size as u64 + 2).read_to_end(&mut payload)?;
+                    (&mut reader)
+                        .take(size as u64 + 2)
+                        .read_to_end(&mut payload)?;
                     let message = String::from_utf8_lossy(&payload).trim_end().to_owned();
                     let is_whole = payload.len() == size + 2;
-                    return Ok(if is_whole { Heard::Message(message) } else { Heard::Ended });
+                    return Ok(if is_whole {
+                        Heard::Message(message)
+                    } else {
+                        Heard::Ended
+                    });
                 }
                 Line::Asks if !silent.load(Ordering::Relaxed) => stream.write_all(b"PONG\r\n")?,
                 Line::Asks | Line::Else => {}
@@ -284,13 +336,17 @@
 impl End for Conn {
     fn send(&mut self, message: &str) -> Result<(), String> {
         let words = self.wire.written(message, self.near);
-        self.stream.write_all(words.as_bytes()).map_err(|error| error.to_string())
+        self.stream
+            .write_all(words.as_bytes())
+            .map_err(|error| error.to_string())
     }
 
     fn send_part(&mut self, message: &str, bytes: usize) {
         let words = self.wire.written(message, self.near);
         let head = self.wire.head(message, self.near);
-        self.stream.write_all(&words.as_bytes()[..head + bytes]).expect("open");
+        self.stream
+            .write_all(&words.as_bytes()[..head + bytes])
+            .expect("open");
     }
 
     fn hear(&mut self, within: Duration) -> Heard {
@@ -307,7 +363,9 @@
     }
 
     fn reset(self: Box<Self>) {
-        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("open");
+        socket2::SockRef::from(&self.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("open");
     }
 }
 
--- a/contracts/src/disk.rs
+++ b/contracts/src/disk.rs
@@ -134,7 +134,11 @@
     pub fn power_back(&self, loss: Loss) {
         let mut state = self.lock();
         (state.cut_at, state.dark, state.lives) = (None, false, state.lives + 1);
-        let mut draw = if let Loss::Some(seed) = loss { seed | 1 } else { 1 };
+        let mut draw = if let Loss::Some(seed) = loss {
+            seed | 1
+        } else {
+            1
+        };
         let mut chance = |parts: u64| {
             draw ^= draw << 13;
             draw ^= draw >> 7;
@@ -169,7 +173,10 @@
         for number in names.values() {
             if let (Emptied::Cut, Some(file)) = (how, files.get_mut(number)) {
                 let held = file.held;
-                *file = FileState { held, ..FileState::default() };
+                *file = FileState {
+                    held,
+                    ..FileState::default()
+                };
             }
         }
         if how == Emptied::Removed {
@@ -182,7 +189,12 @@
         let mut state = self.lock();
         let number = number_of(&mut state, path);
         let taken = (0..bytes.len() as u64 / PAGE + 1).collect();
-        let file = FileState { now: bytes.clone(), synced: bytes, taken, ..FileState::default() };
+        let file = FileState {
+            now: bytes.clone(),
+            synced: bytes,
+            taken,
+            ..FileState::default()
+        };
         state.files.insert(number, file);
     }
 
@@ -210,7 +222,12 @@
             return Err(DatabaseError::DatabaseAlreadyOpen);
         }
         file.held = writing;
-        Ok(Open { disk: self.clone(), number, lives, writing })
+        Ok(Open {
+            disk: self.clone(),
+            number,
+            lives,
+            writing,
+        })
     }
 }
 
@@ -224,7 +241,11 @@
         builder.create_with_backend(self.open(path, true)?)
     }
 
-    fn open_read_only(&self, builder: &Builder, path: &Path) -> Result<ReadOnlyDatabase, DatabaseError> {
+    fn open_read_only(
+        &self,
+        builder: &Builder,
+        path: &Path,
+    ) -> Result<ReadOnlyDatabase, DatabaseError> {
         builder.open_read_only_with_backend(self.open(path, false)?)
     }
 
@@ -233,15 +254,25 @@
         if state.dark {
             return Err(no_power());
         }
-        let file = state.names.get(path).and_then(|number| state.files.get(number));
-        file.map(|file| file.now.clone()).ok_or(ErrorKind::NotFound.into())
+        let file = state
+            .names
+            .get(path)
+            .and_then(|number| state.files.get(number));
+        file.map(|file| file.now.clone())
+            .ok_or(ErrorKind::NotFound.into())
     }
 
     fn mark(&self, path: &Path) -> io::Result<Mark> {
         let state = self.lock();
         let number = state.names.get(path).ok_or(ErrorKind::NotFound)?;
-        let length = state.files.get(number).map_or(0, |file| file.now.len() as u64);
-        Ok(Mark { file: (1, *number), length })
+        let length = state
+            .files
+            .get(number)
+            .map_or(0, |file| file.now.len() as u64);
+        Ok(Mark {
+            file: (1, *number),
+            length,
+        })
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -273,19 +304,32 @@
         if state.dark || state.lives != self.lives {
             return Err(no_power());
         }
-        state.files.get_mut(&self.number).map_or(Err(ErrorKind::NotFound.into()), run)
+        state
+            .files
+            .get_mut(&self.number)
+            .map_or(Err(ErrorKind::NotFound.into()), run)
     }
 
     /// Waits, fails or goes dark as the weather has it, before something is written to pages.
     fn weather(&self, mut pages: impl Iterator<Item = u64>) -> io::Result<()> {
         let mut state = self.disk.lock();
         while state.weather == Weather::Stuck {
-            state = self.disk.0.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .disk
+                .0
+                .changed
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         state.writes += 1;
         state.dark |= state.cut_at.is_some_and(|at| state.writes >= at);
         let weather = state.weather;
-        let taken = |page| state.files.get(&self.number).is_some_and(|file| file.taken.contains(&page));
+        let taken = |page| {
+            state
+                .files
+                .get(&self.number)
+                .is_some_and(|file| file.taken.contains(&page))
+        };
         let full = weather == Weather::Full && !pages.all(taken);
         drop(state);
         match weather {
@@ -311,7 +355,8 @@
         drop(state);
         self.file(|file| {
             if let Op::Write(at, data) = &op {
-                file.taken.extend(at / PAGE..=(at + data.len() as u64).saturating_sub(1) / PAGE);
+                file.taken
+                    .extend(at / PAGE..=(at + data.len() as u64).saturating_sub(1) / PAGE);
             }
             apply(&mut file.now, &op);
             file.unsynced.push(op);
@@ -328,7 +373,8 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         self.file(|file| {
             let part = file.now.get(offset as usize..offset as usize + out.len());
-            part.map(|part| out.copy_from_slice(part)).ok_or(ErrorKind::UnexpectedEof.into())
+            part.map(|part| out.copy_from_slice(part))
+                .ok_or(ErrorKind::UnexpectedEof.into())
         })
     }
 
@@ -340,7 +386,9 @@
     fn sync_data(&self) -> io::Result<()> {
         self.weather(std::iter::empty())?;
         self.file(|file| {
-            let FileState { synced, unsynced, .. } = file;
+            let FileState {
+                synced, unsynced, ..
+            } = file;
             unsynced.drain(..).for_each(|op| apply(synced, &op));
             Ok(())
         })
--- a/contracts/src/redis.rs
+++ b/contracts/src/redis.rs
@@ -89,7 +89,9 @@
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let mut state = lock(&shared);
-                let Ok(peer) = stream.try_clone() else { continue };
+                let Ok(peer) = stream.try_clone() else {
+                    continue;
+                };
                 if state.away {
                     continue;
                 }
@@ -145,7 +147,11 @@
     /// Sets a field behind everybody's back.
     pub fn set_field(&self, hash: &str, field: &str, value: &str) {
         let mut state = lock(&self.state);
-        state.hashes.entry(hash.to_owned()).or_default().insert(field.to_owned(), value.to_owned());
+        state
+            .hashes
+            .entry(hash.to_owned())
+            .or_default()
+            .insert(field.to_owned(), value.to_owned());
     }
 }
 
@@ -156,7 +162,9 @@
     while let Some(words) = read_command(&mut reader) {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         let mut state = lock(shared);
-        let Some(reply) = answer(&mut state, &words) else { return };
+        let Some(reply) = answer(&mut state, &words) else {
+            return;
+        };
         let manner = state.manner;
         drop(state);
         let writes = writes(words[0]);
@@ -165,7 +173,9 @@
         let said = match manner {
             Manner::Silent => Ok(()),
             Manner::HalfAnswer if about_data => out.write_all(half),
-            Manner::Reset | Manner::ResetOnce if about_data && (writes || manner == Manner::Reset) => {
+            Manner::Reset | Manner::ResetOnce
+                if about_data && (writes || manner == Manner::Reset) =>
+            {
                 if manner == Manner::ResetOnce {
                     lock(shared).manner = Manner::Serve;
                 }
@@ -189,7 +199,9 @@
 }
 
 fn writes(name: &str) -> bool {
-    ["HSET", "HSETNX", "HDEL"].iter().any(|one| name.eq_ignore_ascii_case(one))
+    ["HSET", "HSETNX", "HDEL"]
+        .iter()
+        .any(|one| name.eq_ignore_ascii_case(one))
 }
 
 /// The answer to a command; none if it dies of it.
@@ -200,8 +212,12 @@
         (Manner::Loading, "HGET" | "HGETALL" | "HSET" | "HSETNX" | "HDEL") => {
             "-LOADING Redis is loading the dataset in memory\r\n"
         }
-        (Manner::Full, "HSET" | "HSETNX") => "-OOM command not allowed when used memory > 'maxmemory'.\r\n",
-        (Manner::ReadOnly, _) if writes => "-READONLY You can't write against a read only replica.\r\n",
+        (Manner::Full, "HSET" | "HSETNX") => {
+            "-OOM command not allowed when used memory > 'maxmemory'.\r\n"
+        }
+        (Manner::ReadOnly, _) if writes => {
+            "-READONLY You can't write against a read only replica.\r\n"
+        }
         _ => "",
     };
     if !refusal.is_empty() {
@@ -235,12 +251,17 @@
             format!(":{}\r\n", u8::from(new))
         }
         ("HDEL", [hash, field]) => {
-            let gone = hashes.get_mut(*hash).and_then(|fields| fields.remove(*field));
+            let gone = hashes
+                .get_mut(*hash)
+                .and_then(|fields| fields.remove(*field));
             format!(":{}\r\n", u8::from(gone.is_some()))
         }
         ("HGETALL", [hash]) => {
             let fields = hashes.get(*hash).cloned().unwrap_or_default();
-            let rows: String = fields.iter().map(|(field, value)| bulk(field) + &bulk(value)).collect();
+            let rows: String = fields
+                .iter()
+                .map(|(field, value)| bulk(field) + &bulk(value))
+                .collect();
             format!("*{}\r\n{rows}", fields.len() * 2)
         }
         ("CLIENT" | "SELECT", _) => "+OK\r\n".to_owned(),
@@ -260,6 +281,8 @@
         Some((count, String::from_utf8(bytes).ok()?))
     };
     let (count, _) = number('*')?;
-    let words: Option<Vec<String>> = (0..count).map(|_| number('$').map(|(_, text)| text)).collect();
+    let words: Option<Vec<String>> = (0..count)
+        .map(|_| number('$').map(|(_, text)| text))
+        .collect();
     words.filter(|words| !words.is_empty())
 }
