--- a/contracts/src/stores/cases.rs
+++ b/contracts/src/stores/cases.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Durable, Emptied, Failed, Loss, Make, Newer, Rows, Run, Store, Subject, Verdict, Weather};
+use super::{
+    Durable, Emptied, Failed, Loss, Make, Newer, Rows, Run, Store, Subject, Verdict, Weather,
+};
 
 pub(super) const ALL: &[(&str, Run)] = &[
     ("the last put holds", the_last_put_holds),
@@ -11,7 +13,9 @@
     ("killed at each write", killed_at_each_write),
     ("killed while it opens", killed_while_it_opens),
     ("full", |make| refuses_and_heals(make, Weather::Full)),
-    ("read-only", |make| refuses_and_heals(make, Weather::ReadOnly)),
+    ("read-only", |make| {
+        refuses_and_heals(make, Weather::ReadOnly)
+    }),
     ("slow", slow),
     ("emptied under its reader", emptied),
     ("newer schema", newer_schema),
@@ -33,7 +37,9 @@
 pub(super) use ensure;
 
 pub(super) fn rows<const N: usize>(all: [(u64, &str); N]) -> Rows {
-    all.into_iter().map(|(key, value)| (key, value.to_owned())).collect()
+    all.into_iter()
+        .map(|(key, value)| (key, value.to_owned()))
+        .collect()
 }
 
 pub(super) fn fine<T>(what: &str, result: Result<T, Failed>) -> Result<T, String> {
@@ -46,7 +52,10 @@
 }
 
 /// Does what failed in bad weather, in fair weather: a store may take its time to see that it is fair.
-pub(super) fn settled<T>(what: &str, mut run: impl FnMut() -> Result<T, Failed>) -> Result<T, String> {
+pub(super) fn settled<T>(
+    what: &str,
+    mut run: impl FnMut() -> Result<T, Failed>,
+) -> Result<T, String> {
     let deadline = Instant::now() + PATIENCE;
     loop {
         match run() {
@@ -83,7 +92,10 @@
 fn finds_or_refuses(subject: &dyn Subject, right: &Rows) -> Verdict {
     match subject.open() {
         Ok((_, found)) => {
-            ensure!(found == *right, "opened in bad weather it shows {found:?} for {right:?}");
+            ensure!(
+                found == *right,
+                "opened in bad weather it shows {found:?} for {right:?}"
+            );
             Ok(())
         }
         Err(_) => Ok(()),
@@ -92,7 +104,11 @@
 
 /// Makes rows of a batch a store takes at once.
 fn batch(subject: &dyn Subject, all: Rows) -> Rows {
-    let most = if subject.traits().batches { usize::MAX } else { 1 };
+    let most = if subject.traits().batches {
+        usize::MAX
+    } else {
+        1
+    };
     all.into_iter().take(most).collect()
 }
 
@@ -129,13 +145,20 @@
             Durable::OnReturn => states.last() == Some(&found),
             Durable::ByServer => states.contains(&found),
         };
-        ensure!(right, "after {puts} puts that returned, it comes back with {found:?}");
+        ensure!(
+            right,
+            "after {puts} puts that returned, it comes back with {found:?}"
+        );
     }
     Ok(())
 }
 
 fn all_or_none(make: Make<'_>) -> Verdict {
-    let many = |value: &str| (1..=300).map(|key| (key, value.repeat(100))).collect::<Rows>();
+    let many = |value: &str| {
+        (1..=300)
+            .map(|key| (key, value.repeat(100)))
+            .collect::<Rows>()
+    };
     for writes in 1..MANY {
         let subject = make();
         let (old, new) = (batch(&*subject, many("old")), batch(&*subject, many("new")));
@@ -149,7 +172,10 @@
         subject.power_back(Loss::Nothing);
         let found = found(&*subject)?;
         let by_server = subject.traits().durable == Durable::ByServer;
-        ensure!(found == new || found == old, "cut at write {writes}: neither the old rows nor the new ones");
+        ensure!(
+            found == new || found == old,
+            "cut at write {writes}: neither the old rows nor the new ones"
+        );
         ensure!(
             done.is_err() || found == new || by_server,
             "cut at write {writes}: it said yes and kept the old"
@@ -166,13 +192,25 @@
 /// Changes, and what they leave.
 fn story(subject: &dyn Subject) -> Vec<(Step, Rows)> {
     let mut all: Vec<(Step, Rows)> = vec![
-        (|store| store.put(&rows([(1, "a")])), rows([(1, "a"), (9, "z")])),
-        (|store| store.put(&rows([(1, "b")])), rows([(1, "b"), (9, "z")])),
+        (
+            |store| store.put(&rows([(1, "a")])),
+            rows([(1, "a"), (9, "z")]),
+        ),
+        (
+            |store| store.put(&rows([(1, "b")])),
+            rows([(1, "b"), (9, "z")]),
+        ),
         (|store| store.remove(9), rows([(1, "b")])),
-        (|store| store.put(&rows([(2, "c")])), rows([(1, "b"), (2, "c")])),
+        (
+            |store| store.put(&rows([(2, "c")])),
+            rows([(1, "b"), (2, "c")]),
+        ),
     ];
     if subject.traits().batches {
-        all.push((|store| store.put(&rows([(2, "d"), (3, "e")])), rows([(1, "b"), (2, "d"), (3, "e")])));
+        all.push((
+            |store| store.put(&rows([(2, "d"), (3, "e")])),
+            rows([(1, "b"), (2, "d"), (3, "e")]),
+        ));
     }
     all
 }
@@ -217,7 +255,9 @@
                 "cut at write {writes}, {:?}: {found:?} is none of {right:?}",
                 loss(writes)
             );
-            settled("a put after the power is back", || store.put(&rows([(5, "on")])))?;
+            settled("a put after the power is back", || {
+                store.put(&rows([(5, "on")]))
+            })?;
             if !was_cut {
                 return Ok(());
             }
@@ -243,7 +283,11 @@
             subject.cut_after(0);
             subject.power_back(loss(writes));
             let found = found(&*subject)?;
-            ensure!(found == right, "cut at write {writes} of opening, {:?}: {found:?}", loss(writes));
+            ensure!(
+                found == right,
+                "cut at write {writes} of opening, {:?}: {found:?}",
+                loss(writes)
+            );
             if !was_cut {
                 return Ok(());
             }
@@ -279,16 +323,28 @@
     finds_or_refuses(&*subject, &right)?;
     subject.weather(Weather::Fair);
     let (mut store, found) = opened(&*subject)?;
-    ensure!(found == right, "{} rows are there afterwards, not {}", found.len(), right.len());
+    ensure!(
+        found == right,
+        "{} rows are there afterwards, not {}",
+        found.len(),
+        right.len()
+    );
     subject.weather(weather);
     let big = Rows::from([(40, "much".repeat(500_000))]);
     ensure!(store.put(&big).is_err(), "a big row is taken");
     subject.weather(Weather::Fair);
-    settled("a put by the one that was refused, afterwards", || store.put(&rows([(3, "c")])))?;
+    settled("a put by the one that was refused, afterwards", || {
+        store.put(&rows([(3, "c")]))
+    })?;
     right.extend(rows([(3, "c")]));
     drop(store);
     let found = self::found(&*subject)?;
-    ensure!(found == right, "{} rows are there in the end, not {}", found.len(), right.len());
+    ensure!(
+        found == right,
+        "{} rows are there in the end, not {}",
+        found.len(),
+        right.len()
+    );
     Ok(())
 }
 
@@ -299,7 +355,11 @@
     subject.weather(Weather::Slow);
     let began = Instant::now();
     let done = store.put(&rows([(2, "b")]));
-    ensure!(began.elapsed() < PATIENCE, "a put takes {:?}", began.elapsed());
+    ensure!(
+        began.elapsed() < PATIENCE,
+        "a put takes {:?}",
+        began.elapsed()
+    );
     subject.cut_after(0);
     drop(store);
     subject.weather(Weather::Fair);
@@ -326,9 +386,18 @@
         let after = store.put(&rows([(3, "c")]));
         drop(store);
         let found = found(&*subject)?;
-        ensure!(done.is_err() || found.contains_key(&2), "{how:?}: it said yes and kept nothing: {found:?}");
-        ensure!(after.is_err() || found.contains_key(&3), "{how:?}: it said yes twice and kept {found:?}");
-        ensure!(!found.contains_key(&1), "{how:?}: what was emptied is back: {found:?}");
+        ensure!(
+            done.is_err() || found.contains_key(&2),
+            "{how:?}: it said yes and kept nothing: {found:?}"
+        );
+        ensure!(
+            after.is_err() || found.contains_key(&3),
+            "{how:?}: it said yes twice and kept {found:?}"
+        );
+        ensure!(
+            !found.contains_key(&1),
+            "{how:?}: what was emptied is back: {found:?}"
+        );
     }
     Ok(())
 }
@@ -351,7 +420,10 @@
             put(&*subject, &mut *store, &rows([(1, "b")]))?;
         }
     }
-    ensure!(subject.newer_stands(), "what the newer program wrote is changed");
+    ensure!(
+        subject.newer_stands(),
+        "what the newer program wrote is changed"
+    );
     Ok(())
 }
 
--- a/contracts/src/stores/file.rs
+++ b/contracts/src/stores/file.rs
@@ -39,7 +39,12 @@
     /// One that is empty.
     pub fn new<S: OnDisk>() -> FileSubject {
         let (disk, newer) = (BreakingDisk::default(), Mutex::default());
-        FileSubject { disk, open: S::open, schema: S::SCHEMA, newer }
+        FileSubject {
+            disk,
+            open: S::open,
+            schema: S::SCHEMA,
+            newer,
+        }
     }
 
     fn bytes(&self) -> Vec<u8> {
@@ -50,7 +55,9 @@
         let (table, schema) = self.schema;
         let database = self.disk.create(&Database::builder(), path())?;
         let writing = database.begin_write()?;
-        writing.open_table(TableDefinition::<&str, u64>::new(table))?.insert("schema", schema + 1)?;
+        writing
+            .open_table(TableDefinition::<&str, u64>::new(table))?
+            .insert("schema", schema + 1)?;
         Ok(writing.commit()?)
     }
 }
--- a/contracts/src/stores/mod.rs
+++ b/contracts/src/stores/mod.rs
@@ -152,7 +152,11 @@
 
 /// All cases; those of the wire say nothing of a store without one.
 pub fn cases() -> Vec<Case> {
-    [cases::ALL, wire::ALL].concat().into_iter().map(|(name, run)| Case { name, run }).collect()
+    [cases::ALL, wire::ALL]
+        .concat()
+        .into_iter()
+        .map(|(name, run)| Case { name, run })
+        .collect()
 }
 
 /// Puts a store through all cases.
@@ -162,7 +166,15 @@
 /// If it fails one, with all that it failed.
 pub fn passes<S: Subject + 'static>(make: impl Fn() -> S) {
     let make = || Box::new(make()) as Box<dyn Subject>;
-    let verdicts = cases().into_iter().filter_map(|case| Some((case.name, (case.run)(&make).err()?)));
-    let failed: Vec<String> = verdicts.map(|(name, why)| format!("{name}: {why}")).collect();
-    assert!(failed.is_empty(), "the store fails its contract:\n{}", failed.join("\n"));
+    let verdicts = cases()
+        .into_iter()
+        .filter_map(|case| Some((case.name, (case.run)(&make).err()?)));
+    let failed: Vec<String> = verdicts
+        .map(|(name, why)| format!("{name}: {why}"))
+        .collect();
+    assert!(
+        failed.is_empty(),
+        "the store fails its contract:\n{}",
+        failed.join("\n")
+    );
 }
--- a/contracts/src/stores/model.rs
+++ b/contracts/src/stores/model.rs
@@ -90,7 +90,11 @@
     fn write(&mut self) -> Result<(), Failed> {
         self.writes += 1;
         self.dark |= self.cut_at.is_some_and(|at| self.writes >= at);
-        if self.dark { unable("the power is off") } else { Ok(()) }
+        if self.dark {
+            unable("the power is off")
+        } else {
+            Ok(())
+        }
     }
 
     fn settle(&mut self) {
@@ -124,7 +128,10 @@
             lives: 0,
             emptied: 0,
         };
-        InMemory { state: Arc::new(Mutex::new(state)), defect }
+        InMemory {
+            state: Arc::new(Mutex::new(state)),
+            defect,
+        }
     }
 }
 
@@ -143,7 +150,9 @@
         let mut state = lock(&self.state);
         match (state.weather, self.defect) {
             _ if state.dark => return unable("the power is off"),
-            _ if state.open > 0 && self.defect != Defect::OpensTwice => return unable("it is open"),
+            _ if state.open > 0 && self.defect != Defect::OpensTwice => {
+                return unable("it is open");
+            }
             (Weather::Silent | Weather::HalfAnswer | Weather::Loading | Weather::Late, _) => {
                 return unable("no answer");
             }
@@ -258,7 +267,8 @@
     /// What its caller hears of a change that is done.
     fn answer(&self, state: &mut State) -> Result<(), Failed> {
         match (state.weather, self.defect) {
-            (Weather::Silent, Defect::SilenceIsYes) | (Weather::HalfAnswer, Defect::HalfIsWhole) => Ok(()),
+            (Weather::Silent, Defect::SilenceIsYes)
+            | (Weather::HalfAnswer, Defect::HalfIsWhole) => Ok(()),
             (Weather::Silent | Weather::HalfAnswer | Weather::Late, _) => unable("no answer"),
             (Weather::Reset, defect) => {
                 state.weather = Weather::Fair;
@@ -274,7 +284,11 @@
 
 impl Store for Handle {
     fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
-        self.change(rows.iter().map(|(key, value)| (*key, Some(value.clone()))).collect())
+        self.change(
+            rows.iter()
+                .map(|(key, value)| (*key, Some(value.clone())))
+                .collect(),
+        )
     }
 
     fn remove(&mut self, key: u64) -> Result<(), Failed> {
--- a/contracts/src/stores/wire.rs
+++ b/contracts/src/stores/wire.rs
@@ -7,19 +7,30 @@
 
 pub(super) const ALL: &[(&str, Run)] = &[
     ("a silent server", |make| unreachable(make, Weather::Silent)),
-    ("half an answer", |make| unreachable(make, Weather::HalfAnswer)),
+    ("half an answer", |make| {
+        unreachable(make, Weather::HalfAnswer)
+    }),
     ("a reset in the middle", a_reset_in_the_middle),
     ("late answers", late_answers),
-    ("a loading server", |make| unreachable(make, Weather::Loading)),
+    ("a loading server", |make| {
+        unreachable(make, Weather::Loading)
+    }),
 ];
 
 /// One call takes no longer, whatever the server does.
 const BOUND: Duration = Duration::from_secs(3);
 
-fn in_time<T>(what: &str, run: impl FnOnce() -> Result<T, Failed>) -> Result<Result<T, Failed>, String> {
+fn in_time<T>(
+    what: &str,
+    run: impl FnOnce() -> Result<T, Failed>,
+) -> Result<Result<T, Failed>, String> {
     let began = Instant::now();
     let done = run();
-    ensure!(began.elapsed() < BOUND, "{what} takes {:?}", began.elapsed());
+    ensure!(
+        began.elapsed() < BOUND,
+        "{what} takes {:?}",
+        began.elapsed()
+    );
     Ok(done)
 }
 
@@ -39,7 +50,10 @@
     let mut store = begun(&*subject)?;
     subject.weather(weather);
     let put = in_time("a put", || store.put(&rows([(2, "b")])))?;
-    ensure!(matches!(put, Err(Failed::Unable(_))), "a put is answered {put:?}");
+    ensure!(
+        matches!(put, Err(Failed::Unable(_))),
+        "a put is answered {put:?}"
+    );
     let read = in_time("reading", || store.rows())?;
     ensure!(read.is_err(), "reading is answered {read:?}");
     let anew = in_time("opening", || subject.open().map(|(_, found)| found))?;
@@ -61,11 +75,17 @@
     let mut store = begun(&*subject)?;
     subject.weather(Weather::Reset);
     let put = in_time("a put", || store.put(&rows([(2, "b")])))?;
-    ensure!(!matches!(put, Err(Failed::Refused(_))), "a put whose answer broke off is {put:?}");
+    ensure!(
+        !matches!(put, Err(Failed::Refused(_))),
+        "a put whose answer broke off is {put:?}"
+    );
     settled("the same put again", || store.put(&rows([(2, "b")])))?;
     subject.weather(Weather::Reset);
     let removed = in_time("a removal", || store.remove(1))?;
-    ensure!(!matches!(removed, Err(Failed::Refused(_))), "a removal whose answer broke off is {removed:?}");
+    ensure!(
+        !matches!(removed, Err(Failed::Refused(_))),
+        "a removal whose answer broke off is {removed:?}"
+    );
     drop(store);
     let found = found(&*subject)?;
     ensure!(found == rows([(2, "b")]), "it kept {found:?}");
@@ -82,7 +102,10 @@
     subject.weather(Weather::Late);
     for value in ["b", "c"] {
         let put = in_time("a put", || store.put(&rows([(2, value)])))?;
-        ensure!(matches!(put, Err(Failed::Unable(_))), "a put is answered {put:?}");
+        ensure!(
+            matches!(put, Err(Failed::Unable(_))),
+            "a put is answered {put:?}"
+        );
         let read = in_time("reading", || store.rows())?;
         ensure!(read.is_err(), "reading is answered {read:?}");
     }
--- a/contracts/src/transports/cases.rs
+++ b/contracts/src/transports/cases.rs
@@ -44,7 +44,12 @@
     while heard.len() < wanted {
         match end.hear(patience) {
             Heard::Message(message) => heard.push(message),
-            other => return Err(format!("{other:?} after {} of {wanted} messages", heard.len())),
+            other => {
+                return Err(format!(
+                    "{other:?} after {} of {wanted} messages",
+                    heard.len()
+                ));
+            }
         }
     }
     Ok(heard)
@@ -57,7 +62,10 @@
         heard.sort();
         sent.sort();
     }
-    let at = heard.iter().zip(&sent).position(|(heard, sent)| heard != sent);
+    let at = heard
+        .iter()
+        .zip(&sent)
+        .position(|(heard, sent)| heard != sent);
     check(at.is_none(), || {
         let at = at.unwrap_or_default();
         format!("{:.40?} came for {:.40?}", heard[at], sent[at])
@@ -83,7 +91,9 @@
     send(&mut *far, &messages)?;
     exactly(&mut *near, &messages, (ordered, patience))?;
     let more = near.hear(NEVER);
-    check(more == Heard::Nothing, || format!("{more:?} that nobody sent"))
+    check(more == Heard::Nothing, || {
+        format!("{more:?} that nobody sent")
+    })
 }
 
 fn order(subject: &mut dyn Subject) -> Verdict {
@@ -105,7 +115,9 @@
     let lost: Vec<String> = (0..5).map(name).collect();
     send(&mut *near, &lost)?;
     let through = far.hear(NEVER);
-    check(through == Heard::Nothing, || format!("{through:?} through a cut"))?;
+    check(through == Heard::Nothing, || {
+        format!("{through:?} through a cut")
+    })?;
     subject.weather(Weather::Fair);
     if traits.reliable {
         exactly(&mut *far, &lost, (traits.ordered, patience))?;
@@ -125,7 +137,9 @@
     let (mut near, mut far) = subject.pair();
     near.send_part("whole", 3);
     let early = far.hear(NEVER);
-    check(early == Heard::Nothing, || format!("{early:?} of half a message"))?;
+    check(early == Heard::Nothing, || {
+        format!("{early:?} of half a message")
+    })?;
     // The other way is not held up by it.
     far.send("meanwhile")?;
     exactly(&mut *near, &["meanwhile".to_owned()], (true, patience))
@@ -140,7 +154,9 @@
     near.send_part("whole", 3);
     near.finish();
     let heard = far.hear(patience);
-    check(heard == Heard::Ended, || format!("{heard:?} of half a message and an end"))
+    check(heard == Heard::Ended, || {
+        format!("{heard:?} of half a message and an end")
+    })
 }
 
 fn doubled(subject: &mut dyn Subject) -> Verdict {
@@ -156,10 +172,17 @@
         heard.push(message);
     }
     let unlike: BTreeSet<&String> = heard.iter().collect();
-    check(unlike.len() == messages.len(), || format!("{} of {} came", unlike.len(), messages.len()))?;
+    check(unlike.len() == messages.len(), || {
+        format!("{} of {} came", unlike.len(), messages.len())
+    })?;
     let twice = heard.len() > messages.len();
     check(twice != traits.once, || {
-        format!("{} came for {}, and once is {}", heard.len(), messages.len(), traits.once)
+        format!(
+            "{} came for {}, and once is {}",
+            heard.len(),
+            messages.len(),
+            traits.once
+        )
     })
 }
 
@@ -173,11 +196,19 @@
     exactly(&mut *far, &longest, (true, patience))?;
     let (mut other, mut other_far) = subject.pair();
     let refused = other.send(&"x".repeat(traits.longest + 1)).is_err();
-    let came = other_far.hear(if refused || !traits.ends { NEVER } else { patience });
-    check(!matches!(came, Heard::Message(_)), || "too long, and came".into())?;
+    let came = other_far.hear(if refused || !traits.ends {
+        NEVER
+    } else {
+        patience
+    });
+    check(!matches!(came, Heard::Message(_)), || {
+        "too long, and came".into()
+    })?;
     if !refused && traits.ends {
         let told = other.hear(patience);
-        check(matches!(told, Heard::Ended | Heard::Reset), || format!("{told:?} to whoever sent too much"))?;
+        check(matches!(told, Heard::Ended | Heard::Reset), || {
+            format!("{told:?} to whoever sent too much")
+        })?;
     }
     works(&mut *near, &mut *far, patience)
 }
@@ -217,7 +248,9 @@
     let asked = Instant::now();
     near.send("anybody")?;
     let heard = far.hear(patience);
-    check(heard == Heard::Message("anybody".into()), || format!("{heard:?}"))?;
+    check(heard == Heard::Message("anybody".into()), || {
+        format!("{heard:?}")
+    })?;
     let Some(silence) = traits.silence else {
         let heard = near.hear(NEVER);
         check(heard == Heard::Nothing, || format!("{heard:?} of silence"))?;
@@ -225,9 +258,13 @@
         return exactly(&mut *near, &["late".to_owned()], (true, patience));
     };
     let heard = near.hear(silence + patience);
-    check(heard == Heard::Moved, || format!("{heard:?} of a silent far end"))?;
+    check(heard == Heard::Moved, || {
+        format!("{heard:?} of a silent far end")
+    })?;
     let waited = asked.elapsed();
-    check(waited >= silence.mul_f64(0.9), || format!("given up after {waited:?}"))?;
+    check(waited >= silence.mul_f64(0.9), || {
+        format!("given up after {waited:?}")
+    })?;
     let end = near.hear(patience);
     check(end == Heard::Ended, || format!("{end:?} after the move"))?;
     works(&mut *other, &mut *other_far, patience)
@@ -243,14 +280,18 @@
     near.finish();
     exactly(&mut *far, &["last".to_owned()], (true, patience))?;
     let heard = far.hear(patience);
-    check(heard == Heard::Ended, || format!("{heard:?} for the near end's end"))?;
+    check(heard == Heard::Ended, || {
+        format!("{heard:?} for the near end's end")
+    })?;
     far.finish();
     let (mut near, mut far) = subject.pair();
     send(&mut *far, &["bye".to_owned()])?;
     far.finish();
     exactly(&mut *near, &["bye".to_owned()], (true, patience))?;
     let heard = near.hear(patience);
-    check(heard == Heard::Ended, || format!("{heard:?} for the far end's end"))
+    check(heard == Heard::Ended, || {
+        format!("{heard:?} for the far end's end")
+    })
 }
 
 fn reset_for_reset(subject: &mut dyn Subject) -> Verdict {
@@ -261,9 +302,13 @@
     let (near, mut far) = subject.pair();
     near.reset();
     let heard = far.hear(patience);
-    check(heard == Heard::Reset, || format!("{heard:?} for the near end's reset"))?;
+    check(heard == Heard::Reset, || {
+        format!("{heard:?} for the near end's reset")
+    })?;
     let (mut near, far) = subject.pair();
     far.reset();
     let heard = near.hear(patience);
-    check(heard == Heard::Reset, || format!("{heard:?} for the far end's reset"))
+    check(heard == Heard::Reset, || {
+        format!("{heard:?} for the far end's reset")
+    })
 }
--- a/contracts/src/transports/mod.rs
+++ b/contracts/src/transports/mod.rs
@@ -117,7 +117,11 @@
 
 /// Puts a transport through every case, each time a new one; tells all that it fails.
 pub fn passes<S: Subject>(make: impl Fn() -> S) {
-    let fails = |case: Case| (case.run)(&mut make()).err().map(|why| format!("{}: {why}", case.name));
+    let fails = |case: Case| {
+        (case.run)(&mut make())
+            .err()
+            .map(|why| format!("{}: {why}", case.name))
+    };
     let failed: Vec<String> = cases().into_iter().filter_map(fails).collect();
     assert!(failed.is_empty(), "{failed:#?}");
 }
--- a/contracts/src/transports/model.rs
+++ b/contracts/src/transports/model.rs
@@ -73,8 +73,14 @@
 impl InMemory {
     /// One with this defect.
     pub fn new(defect: Defect) -> InMemory {
-        let state = State { weather: Weather::Fair, ways: Vec::new() };
-        InMemory { defect, shared: Arc::new((Mutex::new(state), Condvar::new())) }
+        let state = State {
+            weather: Weather::Fair,
+            ways: Vec::new(),
+        };
+        InMemory {
+            defect,
+            shared: Arc::new((Mutex::new(state), Condvar::new())),
+        }
     }
 }
 
@@ -121,7 +127,10 @@
             is_near,
             moved: false,
         };
-        (Box::new(end(first, first + 1, true)), Box::new(end(first + 1, first, false)))
+        (
+            Box::new(end(first, first + 1, true)),
+            Box::new(end(first + 1, first, false)),
+        )
     }
 
     fn weather(&mut self, weather: Weather) {
@@ -189,8 +198,8 @@
         }
         way.messages.push_back(message);
         let count = way.messages.len();
-        let swaps =
-            defect == Defect::Swaps || defect == Defect::SwapsWhenUneven && weather == Weather::Uneven;
+        let swaps = defect == Defect::Swaps
+            || defect == Defect::SwapsWhenUneven && weather == Weather::Uneven;
         if swaps && count.is_multiple_of(2) {
             way.messages.swap(count - 1, count - 2);
         }
@@ -223,8 +232,9 @@
                 return Heard::Ended;
             }
             let now = Instant::now();
-            let gives_up =
-                asked.filter(|_| self.is_near && self.defect != Defect::Waits).map(|asked| asked + SILENCE);
+            let gives_up = asked
+                .filter(|_| self.is_near && self.defect != Defect::Waits)
+                .map(|asked| asked + SILENCE);
             if gives_up.is_some_and(|at| at <= now) {
                 self.moved = true;
                 return Heard::Moved;
@@ -233,7 +243,12 @@
                 return Heard::Nothing;
             }
             let wait = gives_up.map_or(until, |at| at.min(until)) - now;
-            state = self.shared.1.wait_timeout(state, wait).unwrap_or_else(PoisonError::into_inner).0;
+            state = self
+                .shared
+                .1
+                .wait_timeout(state, wait)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 
--- a/contracts/tests/broken_stores.rs
+++ b/contracts/tests/broken_stores.rs
@@ -27,7 +27,11 @@
 /// The cases that a store with this defect fails.
 fn failed(defect: Defect) -> BTreeSet<&'static str> {
     let make = || Box::new(InMemory::new(defect)) as Box<dyn Subject>;
-    cases().into_iter().filter(|case| (case.run)(&make).is_err()).map(|case| case.name).collect()
+    cases()
+        .into_iter()
+        .filter(|case| (case.run)(&make).is_err())
+        .map(|case| case.name)
+        .collect()
 }
 
 #[test]
@@ -35,7 +39,10 @@
     assert!(failed(Defect::None).is_empty());
     for (defect, case) in TABLE {
         let failed = failed(*defect);
-        assert!(failed.contains(case), "{defect:?} fails {failed:?}, and not {case}");
+        assert!(
+            failed.contains(case),
+            "{defect:?} fails {failed:?}, and not {case}"
+        );
     }
 }
 
--- a/contracts/tests/broken_transports.rs
+++ b/contracts/tests/broken_transports.rs
@@ -22,7 +22,11 @@
 /// The cases that a transport with this defect fails.
 fn failed(defect: Defect) -> BTreeSet<&'static str> {
     let fails = |case: &Case| (case.run)(&mut InMemory::new(defect)).is_err();
-    cases().iter().filter(|case| fails(case)).map(|case| case.name).collect()
+    cases()
+        .iter()
+        .filter(|case| fails(case))
+        .map(|case| case.name)
+        .collect()
 }
 
 #[test]
@@ -36,7 +40,10 @@
         for (defect, case) in TABLE {
             scope.spawn(move || {
                 let failed = failed(*defect);
-                assert!(failed.contains(case), "{defect:?} fails {failed:?}, and not {case}");
+                assert!(
+                    failed.contains(case),
+                    "{defect:?} fails {failed:?}, and not {case}"
+                );
             });
         }
     });
--- a/contracts/tests/subjects/mod.rs
+++ b/contracts/tests/subjects/mod.rs
@@ -18,7 +18,9 @@
 }
 
 fn only_when_opened() -> Result<Rows, Failed> {
-    Err(Failed::Refused("its rows are given when it is opened".into()))
+    Err(Failed::Refused(
+        "its rows are given when it is opened".into(),
+    ))
 }
 
 /// The overrides' store in a file.
@@ -27,8 +29,16 @@
 struct OverridesOpen(FileStore);
 
 fn to_override((key, value): (&u64, &String)) -> Override {
-    let kind = Kind::Out { server: value.clone(), moves_per_s: None };
-    let draft = Draft { kind, who: "ada".into(), why: "why".into(), expires_at: 2_000 };
+    let kind = Kind::Out {
+        server: value.clone(),
+        moves_per_s: None,
+    };
+    let draft = Draft {
+        kind,
+        who: "ada".into(),
+        why: "why".into(),
+        expires_at: 2_000,
+    };
     draft.into_override(Id(*key), 1_000)
 }
 
@@ -44,7 +54,10 @@
 
     fn open(disk: Arc<dyn Disk>, path: &Path) -> Opened {
         let (store, contents) = beaconflow_store::open_on(disk, path).map_err(unable)?;
-        Ok((Box::new(OverridesOpen(store)), contents.overrides.into_iter().map(to_row).collect()))
+        Ok((
+            Box::new(OverridesOpen(store)),
+            contents.overrides.into_iter().map(to_row).collect(),
+        ))
     }
 }
 
@@ -78,9 +91,16 @@
         let (mut memory, remembered) = open_on(disk, path, "east-1", NOW_MS).map_err(unable)?;
         memory.bound_journal(JOURNAL);
         let key = |subject: &[u8]| subject.try_into().map_or(u64::MAX, u64::from_be_bytes);
-        let row =
-            |record: Record| (key(&record.subject), String::from_utf8_lossy(&record.value).into_owned());
-        Ok((Box::new(MemoryOpen(memory)), remembered.records.into_iter().map(row).collect()))
+        let row = |record: Record| {
+            (
+                key(&record.subject),
+                String::from_utf8_lossy(&record.value).into_owned(),
+            )
+        };
+        Ok((
+            Box::new(MemoryOpen(memory)),
+            remembered.records.into_iter().map(row).collect(),
+        ))
     }
 }
 
@@ -105,7 +125,10 @@
     }
 
     fn remove(&mut self, key: u64) -> Result<(), Failed> {
-        self.write(&[Change::Forget { kind: KIND, subject: key.to_be_bytes().to_vec() }])
+        self.write(&[Change::Forget {
+            kind: KIND,
+            subject: key.to_be_bytes().to_vec(),
+        }])
     }
 
     fn rows(&mut self) -> Result<Rows, Failed> {
--- a/contracts/tests/subjects/tenants.rs
+++ b/contracts/tests/subjects/tenants.rs
@@ -37,16 +37,24 @@
 
 /// The value is a tenant's user.
 fn to_row(tenant: &Tenant) -> (u64, String) {
-    (tenant.name[1..].parse().unwrap_or(u64::MAX), tenant.upstream.user.clone())
+    (
+        tenant.name[1..].parse().unwrap_or(u64::MAX),
+        tenant.upstream.user.clone(),
+    )
 }
 
 impl Store for Open {
     fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
         for (key, value) in rows {
-            let changed = self.0.change(&name(*key), |tenant| tenant.upstream.user.clone_from(value));
+            let changed = self
+                .0
+                .change(&name(*key), |tenant| tenant.upstream.user.clone_from(value));
             match changed {
                 Err(StoreError::Missing) => {
-                    let upstream = Identity { user: value.clone(), password: String::new() };
+                    let upstream = Identity {
+                        user: value.clone(),
+                        password: String::new(),
+                    };
                     self.0.create(Tenant {
                         name: name(*key),
                         secret: String::new(),
@@ -107,7 +115,11 @@
     }
 
     fn cut_after(&self, writes: u64) {
-        if writes == 0 { self.0.goes_away(true) } else { self.0.dies_after(writes) }
+        if writes == 0 {
+            self.0.goes_away(true)
+        } else {
+            self.0.dies_after(writes)
+        }
     }
 
     fn is_dark(&self) -> bool {
@@ -127,11 +139,14 @@
 
     fn newer_writes(&self) {
         if let Some(text) = self.0.field(HASH, "t1") {
-            self.0.set_field(HASH, "t1", &text.replacen('{', &format!("{{{NEWER},"), 1));
+            self.0
+                .set_field(HASH, "t1", &text.replacen('{', &format!("{{{NEWER},"), 1));
         }
     }
 
     fn newer_stands(&self) -> bool {
-        self.0.field(HASH, "t1").is_some_and(|text| text.contains(NEWER))
+        self.0
+            .field(HASH, "t1")
+            .is_some_and(|text| text.contains(NEWER))
     }
 }
--- a/contracts/tests/tenants.rs
+++ b/contracts/tests/tenants.rs
@@ -6,9 +6,20 @@
 use beaconflow_contracts::redis::{Manner, Redis};
 
 fn tenant() -> Tenant {
-    let upstream = Identity { user: "u".into(), password: String::new() };
+    let upstream = Identity {
+        user: "u".into(),
+        password: String::new(),
+    };
     let (name, secret, class) = ("north".into(), String::new(), "gold".into());
-    Tenant { name, secret, class, connections: 5, share: 1.0, upstream, rest: Default::default() }
+    Tenant {
+        name,
+        secret,
+        class,
+        connections: 5,
+        share: 1.0,
+        upstream,
+        rest: Default::default(),
+    }
 }
 
 /// The answer of the store, which on a machine with much to do may have to be asked again.
@@ -26,9 +37,13 @@
 
 fn begin() -> (Redis, Tenants) {
     let redis = Redis::start();
-    let tenants = Tenants::new(&format!("redis://{}/", redis.address), Duration::ZERO).expect("an address");
+    let tenants =
+        Tenants::new(&format!("redis://{}/", redis.address), Duration::ZERO).expect("an address");
     let made = heard(|| tenants.create(tenant()));
-    assert!(matches!(made, Ok(_) | Err(StoreError::Exists)), "again, perhaps");
+    assert!(
+        matches!(made, Ok(_) | Err(StoreError::Exists)),
+        "again, perhaps"
+    );
     (redis, tenants)
 }
 
@@ -47,9 +62,15 @@
     let (redis, tenants) = begin();
     redis.manner(Manner::Full);
     let change = |tenant: &mut Tenant| tenant.connections = 9;
-    assert_eq!(heard(|| tenants.change("north", change)).map(drop), Err(StoreError::TakesNothing));
+    assert_eq!(
+        heard(|| tenants.change("north", change)).map(drop),
+        Err(StoreError::TakesNothing)
+    );
     assert!(!tenants.store_is_away());
     assert_eq!(tenants.get("north").map(|tenant| tenant.connections), Ok(5));
     redis.manner(Manner::Serve);
-    assert_eq!(heard(|| tenants.change("north", change)).map(|tenant| tenant.connections), Ok(9));
+    assert_eq!(
+        heard(|| tenants.change("north", change)).map(|tenant| tenant.connections),
+        Ok(9)
+    );
 }
--- a/edge/src/config.rs
+++ b/edge/src/config.rs
@@ -105,15 +105,27 @@
             }
         };
         for (field, name) in [("site", &self.site), ("name", &self.name)] {
-            let sound = (1..=LONGEST_NAME).contains(&name.len()) && !name.chars().any(char::is_control);
+            let sound =
+                (1..=LONGEST_NAME).contains(&name.len()) && !name.chars().any(char::is_control);
             want(sound, field, format!("a name of 1 to {LONGEST_NAME} bytes"));
         }
         want(self.processes >= 1, "processes", "at least 1".into());
         for (field, span) in self.spans() {
-            want(SPANS.contains(&span), field, format!("{} to {} ms", SPANS.start(), SPANS.end()));
+            want(
+                SPANS.contains(&span),
+                field,
+                format!("{} to {} ms", SPANS.start(), SPANS.end()),
+            );
         }
-        for (field, span) in [("trust_for", self.trust_for_ms), ("tenants_for", self.tenants_for_ms)] {
-            want((1..=LONGEST_TRUST).contains(&span), field, format!("1 to {LONGEST_TRUST} ms"));
+        for (field, span) in [
+            ("trust_for", self.trust_for_ms),
+            ("tenants_for", self.tenants_for_ms),
+        ] {
+            want(
+                (1..=LONGEST_TRUST).contains(&span),
+                field,
+                format!("1 to {LONGEST_TRUST} ms"),
+            );
         }
         // Guards against a span that outlasts the bound of the state it is kept in.
         let cap = self.damp_cap_ms;
@@ -122,13 +134,33 @@
             "damp_cap",
             "no less than confirm and steady".into(),
         );
-        want(cap <= self.patience_ms, "patience", "no less than damp_cap".into());
-        want(cap <= self.rejoin_ms, "rejoin", "no less than damp_cap".into());
-        want(self.probe_base_ms <= self.probe_cap_ms, "probe_cap", "no less than probe_base".into());
+        want(
+            cap <= self.patience_ms,
+            "patience",
+            "no less than damp_cap".into(),
+        );
+        want(
+            cap <= self.rejoin_ms,
+            "rejoin",
+            "no less than damp_cap".into(),
+        );
+        want(
+            self.probe_base_ms <= self.probe_cap_ms,
+            "probe_cap",
+            "no less than probe_base".into(),
+        );
         want(self.spread_ms <= 1_000, "spread", "0 to 1000 ms".into());
         let rate = self.moves_per_s;
-        want(rate.is_finite() && (0.01..=10_000.0).contains(&rate), "moves_per_s", "0.01 to 10000".into());
-        if faults.is_empty() { Ok(()) } else { Err(faults) }
+        want(
+            rate.is_finite() && (0.01..=10_000.0).contains(&rate),
+            "moves_per_s",
+            "0.01 to 10000".into(),
+        );
+        if faults.is_empty() {
+            Ok(())
+        } else {
+            Err(faults)
+        }
     }
 
     fn spans(&self) -> [(&'static str, Millis); 9] {
--- a/edge/src/decide.rs
+++ b/edge/src/decide.rs
@@ -72,7 +72,8 @@
 
     /// Whether the list in hand is young enough to be trusted.
     pub fn trusted(&self, now: Millis) -> bool {
-        self.list_age(now).is_some_and(|age| age <= self.config.trust_for_ms)
+        self.list_age(now)
+            .is_some_and(|age| age <= self.config.trust_for_ms)
     }
 
     /// Whether the site has to do without what lies beyond: on the island, and until both sides are merged.
@@ -87,7 +88,10 @@
         }
         match self.refusal(now, decision) {
             None => Verdict::Yes,
-            Some(why) => Verdict::No { why, again_ms: self.config.probe_cap_ms },
+            Some(why) => Verdict::No {
+                why,
+                again_ms: self.config.probe_cap_ms,
+            },
         }
     }
 
@@ -100,9 +104,9 @@
             Decision::Place { site, .. } if islanded && !here(site) => {
                 Some("this server lies beyond the lost link")
             }
-            Decision::Place { well, .. } if !self.trusted(now) && !well => {
-                Some("the list is older than it is trusted, and nothing says that this server is well")
-            }
+            Decision::Place { well, .. } if !self.trusted(now) && !well => Some(
+                "the list is older than it is trusted, and nothing says that this server is well",
+            ),
             Decision::Place { .. } => None,
             // Once the link is back the store answers for itself.
             Decision::Tenant { .. } if !islanded => None,
@@ -115,9 +119,8 @@
             }
             Decision::ChangeTenant => Some("tenants are not changed while the link is lost"),
             Decision::ChangeShare => Some("shares are not changed while the link is lost"),
-            Decision::Override { site } | Decision::EndOverride { site } => {
-                (!here(site)).then_some("only servers of this site are overridden while the link is lost")
-            }
+            Decision::Override { site } | Decision::EndOverride { site } => (!here(site))
+                .then_some("only servers of this site are overridden while the link is lost"),
             Decision::MoveForBalance => Some("nobody is moved for balance while the link is lost"),
             Decision::ForgetServer => Some("no server is forgotten while the link is lost"),
             Decision::Ask { .. } => {
--- a/edge/src/farm.rs
+++ b/edge/src/farm.rs
@@ -54,10 +54,15 @@
     now: Millis,
     cold_ms: Millis,
 ) -> BTreeMap<String, Standing> {
-    let mut cases: Vec<Case> = known.iter().map(|one| case(one, judgements, now, cold_ms)).collect();
+    let mut cases: Vec<Case> = known
+        .iter()
+        .map(|one| case(one, judgements, now, cold_ms))
+        .collect();
     // The gravest first; by name where there is nothing between two.
     cases.sort_by(|a, b| {
-        (b.ill, b.points).cmp(&(a.ill, a.points)).then_with(|| a.known.server.cmp(&b.known.server))
+        (b.ill, b.points)
+            .cmp(&(a.ill, a.points))
+            .then_with(|| a.known.server.cmp(&b.known.server))
     });
     let total: u64 = known.iter().map(|one| one.weight).sum();
     // Guards against a fault of this site's own eyes: a farm that looks all bad is served as if all were good.
@@ -70,25 +75,51 @@
             left -= case.known.weight;
         }
         let part = if passed.is_some() { 0 } else { case.part };
-        (case.known.server.clone(), Standing { passed, part, cold_since: case.cold_since })
+        (
+            case.known.server.clone(),
+            Standing {
+                passed,
+                part,
+                cold_since: case.cold_since,
+            },
+        )
     };
     cases.into_iter().map(standing).collect()
 }
 
 fn case<'a>(known: &'a Known, judgements: &Judgements, now: Millis, cold_ms: Millis) -> Case<'a> {
     let all: Vec<&Judgement> = judgements.of(&known.server).collect();
-    let life = all.iter().map(|one| one.started_ms).max().unwrap_or(0).max(known.started_ms);
+    let life = all
+        .iter()
+        .map(|one| one.started_ms)
+        .max()
+        .unwrap_or(0)
+        .max(known.started_ms);
     // What was said of an earlier start is void.
-    let all: Vec<&Judgement> = all.into_iter().filter(|one| one.started_ms == life).collect();
+    let all: Vec<&Judgement> = all
+        .into_iter()
+        .filter(|one| one.started_ms == life)
+        .collect();
     let restarted = (life > known.started_ms).then_some(life);
-    let cold_since = restarted.max(returned(&all)).filter(|at| now < at.saturating_add(cold_ms));
+    let cold_since = restarted
+        .max(returned(&all))
+        .filter(|at| now < at.saturating_add(cold_ms));
     let (ill, points) = weigh(&all, now);
-    Case { known, ill, points, part: risen(&all, now), cold_since }
+    Case {
+        known,
+        ill,
+        points,
+        part: risen(&all, now),
+        cold_since,
+    }
 }
 
 /// Whether the evidence is enough to pass a server over, and how much there is.
 fn weigh(all: &[&Judgement], now: Millis) -> (Option<Judged>, u64) {
-    let ill = || all.iter().filter(|one| one.judged != Judged::Well && aged(one, now) > 0);
+    let ill = || {
+        all.iter()
+            .filter(|one| one.judged != Judged::Well && aged(one, now) > 0)
+    };
     let points: u64 = ill().map(|one| aged(one, now)).sum();
     let began = ill().map(|one| one.since_ms).min().unwrap_or(now);
     // Who found the server well after others had begun to find it ill speaks for it; who did before does not.
@@ -97,13 +128,22 @@
     if all.iter().any(|one| drains(one, all, now)) {
         return (Some(Judged::Drains), points);
     }
-    (ill().map(|one| one.judged).max().filter(|_| points >= ENOUGH && points > well), points)
+    (
+        ill()
+            .map(|one| one.judged)
+            .max()
+            .filter(|_| points >= ENOUGH && points > well),
+        points,
+    )
 }
 
 /// Whether the server said that it drains, and nobody has found it well since.
 fn drains(one: &Judgement, all: &[&Judgement], now: Millis) -> bool {
-    let since = |other: &&Judgement| other.judged == Judged::Well && other.since_ms > one.witnessed_ms;
-    one.judged == Judged::Drains && now.saturating_sub(one.witnessed_ms) < DRAINS && !all.iter().any(since)
+    let since =
+        |other: &&Judgement| other.judged == Judged::Well && other.since_ms > one.witnessed_ms;
+    one.judged == Judged::Drains
+        && now.saturating_sub(one.witnessed_ms) < DRAINS
+        && !all.iter().any(since)
 }
 
 /// How long evidence of a kind is felt.
@@ -131,16 +171,24 @@
 
 /// The last time that a server was found ill by enough evidence of these kinds.
 fn last_ill(all: &[&Judgement], kinds: &[Judged]) -> Option<(Millis, Judged)> {
-    let ill = || all.iter().filter_map(|one| against(one)).filter(|(_, judged, _)| kinds.contains(judged));
+    let ill = || {
+        all.iter()
+            .filter_map(|one| against(one))
+            .filter(|(_, judged, _)| kinds.contains(judged))
+    };
     let (last, judged, _) = ill().max()?;
-    let weight: u64 =
-        ill().filter(|(at, ..)| last - at <= FADE).map(|(.., weight)| u64::from(weight) * 100).sum();
+    let weight: u64 = ill()
+        .filter(|(at, ..)| last - at <= FADE)
+        .map(|(.., weight)| u64::from(weight) * 100)
+        .sum();
     (weight >= ENOUGH).then_some((last, judged))
 }
 
 /// The first time that it was found well after that.
 fn well_after(all: &[&Judgement], at: Millis) -> Option<Millis> {
-    let well = all.iter().filter(|one| one.judged == Judged::Well && one.since_ms > at);
+    let well = all
+        .iter()
+        .filter(|one| one.judged == Judged::Well && one.since_ms > at);
     well.map(|one| one.since_ms).min()
 }
 
@@ -153,8 +201,16 @@
 /// The part of a server that is not passed over, in thousandths: it rises from the moment that it was found well
 /// again, or that the evidence against it has faded. Guards against all of a site turning to it at once.
 fn risen(all: &[&Judgement], now: Millis) -> u64 {
-    let kinds = [Judged::Busy, Judged::Hung, Judged::Refused, Judged::Drains, Judged::Gone];
-    let Some((at, judged)) = last_ill(all, &kinds) else { return 1_000 };
+    let kinds = [
+        Judged::Busy,
+        Judged::Hung,
+        Judged::Refused,
+        Judged::Drains,
+        Judged::Gone,
+    ];
+    let Some((at, judged)) = last_ill(all, &kinds) else {
+        return 1_000;
+    };
     let faded = at.saturating_add(holds(judged));
     let began = well_after(all, at).unwrap_or(faded).min(faded);
     let step = now.saturating_sub(began) * STEPS / RAMP + 1;
--- a/edge/src/judge.rs
+++ b/edge/src/judge.rs
@@ -102,13 +102,25 @@
             }
             Some(known) if known.judged != Judged::Well => {
                 let (until_ms, judged, weight) = (known.witnessed_ms, known.judged, known.weight);
-                before = Some(Before { until_ms, judged, weight });
+                before = Some(Before {
+                    until_ms,
+                    judged,
+                    weight,
+                });
             }
             _ => {}
         }
         let (server, origin) = (server.to_owned(), origin.to_owned());
-        let told =
-            Judgement { witnessed_ms: now, judged, weight, since_ms, before, started_ms, server, origin };
+        let told = Judgement {
+            witnessed_ms: now,
+            judged,
+            weight,
+            since_ms,
+            before,
+            started_ms,
+            server,
+            origin,
+        };
         self.put(told.clone());
         told
     }
@@ -129,7 +141,9 @@
         if self.of.len() > MOST_SERVERS {
             self.of.pop_last();
         }
-        self.of.get(&server).is_some_and(|origins| origins.contains_key(&origin))
+        self.of
+            .get(&server)
+            .is_some_and(|origins| origins.contains_key(&origin))
     }
 
     /// Takes in all that another process knows.
--- a/edge/src/look.rs
+++ b/edge/src/look.rs
@@ -45,12 +45,23 @@
 impl Edge {
     /// What there is to see at this moment.
     pub fn look(&self, now: Millis) -> Look {
-        let places: Vec<PlaceLook> =
-            self.sight.places().into_iter().map(|place| self.look_at(place, now)).collect();
+        let places: Vec<PlaceLook> = self
+            .sight
+            .places()
+            .into_iter()
+            .map(|place| self.look_at(place, now))
+            .collect();
         let stands = |seen: Option<Seen>| seen == Some(Seen::Stands);
-        let own = places.iter().any(|one| stands(one.seen.map(|(seen, _)| seen)));
-        let others = places.iter().any(|one| stands(one.said.as_ref().map(|(seen, ..)| *seen)));
-        let holding = self.word.as_ref().filter(|_| self.force(now) != Force::Automatic);
+        let own = places
+            .iter()
+            .any(|one| stands(one.seen.map(|(seen, _)| seen)));
+        let others = places
+            .iter()
+            .any(|one| stands(one.said.as_ref().map(|(seen, ..)| *seen)));
+        let holding = self
+            .word
+            .as_ref()
+            .filter(|_| self.force(now) != Force::Automatic);
         Look {
             state: self.state,
             for_ms: now.saturating_sub(self.since),
@@ -64,7 +75,11 @@
                 (text, word.ends_at.saturating_sub(now))
             }),
             places,
-            others: self.sight.states(now).map(|(name, state)| (name.to_owned(), state)).collect(),
+            others: self
+                .sight
+                .states(now)
+                .map(|(name, state)| (name.to_owned(), state))
+                .collect(),
         }
     }
 
@@ -83,19 +98,43 @@
 impl Look {
     /// The same in plain sentences, one a line.
     pub fn lines(&self) -> Vec<String> {
-        let mut lines = vec![format!("{} for {}: {}", self.state, span(self.for_ms), self.why)];
+        let mut lines = vec![format!(
+            "{} for {}: {}",
+            self.state,
+            span(self.for_ms),
+            self.why
+        )];
         if self.alone {
-            lines.push("others of this site are answered from beyond: this process alone is cut off".into());
+            lines.push(
+                "others of this site are answered from beyond: this process alone is cut off"
+                    .into(),
+            );
         }
-        lines.extend(self.word.as_ref().map(|(word, left)| format!("{word}, for {} more", span(*left))));
+        lines.extend(
+            self.word
+                .as_ref()
+                .map(|(word, left)| format!("{word}, for {} more", span(*left))),
+        );
         lines.push(match self.list_ms {
             None => "the list was never confirmed by discovery".into(),
             Some(age) if self.trusted => format!("the list was confirmed {} ago", span(age)),
-            Some(age) => format!("the list was confirmed {} ago and is not trusted any more", span(age)),
+            Some(age) => format!(
+                "the list was confirmed {} ago and is not trusted any more",
+                span(age)
+            ),
         });
         lines.extend(self.places.iter().map(PlaceLook::line));
-        for state in [State::Linked, State::Doubtful, State::Islanded, State::Rejoining] {
-            let names = self.others.iter().filter(|(_, of)| *of == state).map(|(name, _)| name.as_str());
+        for state in [
+            State::Linked,
+            State::Doubtful,
+            State::Islanded,
+            State::Rejoining,
+        ] {
+            let names = self
+                .others
+                .iter()
+                .filter(|(_, of)| *of == state)
+                .map(|(name, _)| name.as_str());
             let names: Vec<&str> = names.collect();
             if !names.is_empty() {
                 lines.push(format!("{state} by their own word: {}", names.join(", ")));
--- a/edge/src/machine.rs
+++ b/edge/src/machine.rs
@@ -72,8 +72,17 @@
     /// A process that starts at this moment.
     pub fn new(config: Config, now: Millis, start: Start) -> Edge {
         let (state, confirmed, word, why) = match start {
-            Start::Anew => (State::Doubtful, None, None, "just started, nothing has answered yet"),
-            Start::Remembered { state, confirmed_at, word } => {
+            Start::Anew => (
+                State::Doubtful,
+                None,
+                None,
+                "just started, nothing has answered yet",
+            ),
+            Start::Remembered {
+                state,
+                confirmed_at,
+                word,
+            } => {
                 let (state, why) = match state {
                     State::Islanded => (State::Islanded, "restarted on the island"),
                     _ => (State::Doubtful, "just started, nothing has answered yet"),
@@ -118,7 +127,11 @@
     /// Takes other settings over (SIGHUP), but for the names of site and process, which take a restart.
     pub fn set_up(&mut self, config: Config) {
         let (site, name) = (self.config.site.clone(), self.config.name.clone());
-        self.config = Config { site, name, ..config };
+        self.config = Config {
+            site,
+            name,
+            ..config
+        };
         self.sight.set_up(&self.config);
         self.probes.set_up(&self.config);
     }
@@ -144,14 +157,20 @@
     pub fn next(&self, now: Millis) -> Millis {
         match self.state {
             State::Linked => now + self.config.fresh_ms.div_ceil(2),
-            _ => (now + STRIDE).min(self.probes.next().unwrap_or(Millis::MAX)).max(now + 1),
+            _ => (now + STRIDE)
+                .min(self.probes.next().unwrap_or(Millis::MAX))
+                .max(now + 1),
         }
     }
 
     /// What it tells the other processes of its site, again and again.
     pub fn says(&self, now: Millis) -> Says {
         let now = now.max(self.last);
-        let seen = |place: Place| self.sight.seen(&place, now).map(|(seen, age)| (place, seen, age));
+        let seen = |place: Place| {
+            self.sight
+                .seen(&place, now)
+                .map(|(seen, age)| (place, seen, age))
+        };
         Says {
             name: self.config.name.clone(),
             site: self.config.site.clone(),
@@ -178,7 +197,11 @@
             }
             Evidence::StoreFailed => self.sight.store(now, None),
             Evidence::StoreAnswered { took_ms } => self.sight.store(now, Some(took_ms)),
-            Evidence::PeerHeard { name, site, both_ways } if site != self.config.site => {
+            Evidence::PeerHeard {
+                name,
+                site,
+                both_ways,
+            } if site != self.config.site => {
                 let seen = if both_ways { Seen::Stands } else { Seen::Hears };
                 self.sight.peer(now, &site, &name, seen);
             }
@@ -208,7 +231,8 @@
         self.sight.says(now, &says);
         for (place, tries, age) in &says.probes {
             let (turn, at) = (self.turn(), now.saturating_sub(*age));
-            self.probes.heard(place, *tries, at, || turn.rank(&self.sight, place, now));
+            self.probes
+                .heard(place, *tries, at, || turn.rank(&self.sight, place, now));
         }
         if let Some(word) = says.word {
             self.take_word(now, word, actions);
@@ -221,7 +245,11 @@
             return;
         }
         if word.ends_at > now {
-            actions.push(Action::Say(format!("{} says: {}", word.who, self.word_text(&word))));
+            actions.push(Action::Say(format!(
+                "{} says: {}",
+                word.who,
+                self.word_text(&word)
+            )));
             actions.push(Action::Tell);
         }
         (self.word, self.word_over) = (Some(word), false);
@@ -243,7 +271,10 @@
     }
 
     fn turn(&self) -> Turn {
-        Turn { name: self.config.name.clone(), doubtful: self.state == State::Doubtful }
+        Turn {
+            name: self.config.name.clone(),
+            doubtful: self.state == State::Doubtful,
+        }
     }
 
     /// This process's turn with a place.
@@ -262,12 +293,17 @@
             let asks = match seen {
                 Some((Seen::Stands, age)) if age < self.config.fresh_ms / 2 => false,
                 Some((Seen::Stands, _)) => self.probes.take_confirm(&place, now),
-                _ if self.sight.said(&place, now).is_some_and(|(seen, ..)| seen == Seen::Stands) => {
+                _ if self
+                    .sight
+                    .said(&place, now)
+                    .is_some_and(|(seen, ..)| seen == Seen::Stands) =>
+                {
                     std::mem::take(&mut confirms) && self.probes.take_confirm(&place, now)
                 }
                 _ => {
                     let turn = self.turn();
-                    self.probes.take_due(&place, now, || turn.rank(&self.sight, &place, now))
+                    self.probes
+                        .take_due(&place, now, || turn.rank(&self.sight, &place, now))
                 }
             };
             if asks {
--- a/edge/src/merge.rs
+++ b/edge/src/merge.rs
@@ -84,9 +84,19 @@
 
 /// Which of two states of one override holds.
 fn later(one: &Change, other: &Change) -> Change {
-    let order = |change: &Change| (change.removed, change.changed_at, std::cmp::Reverse(change.ends_at));
+    let order = |change: &Change| {
+        (
+            change.removed,
+            change.changed_at,
+            std::cmp::Reverse(change.ends_at),
+        )
+    };
     let first = order(one).cmp(&order(other)).then_with(|| one.cmp(other));
-    if first.is_lt() { other.clone() } else { one.clone() }
+    if first.is_lt() {
+        other.clone()
+    } else {
+        one.clone()
+    }
 }
 
 fn refused(change: &Change, now: Millis) -> Option<&'static str> {
@@ -103,11 +113,17 @@
 fn shadowed(hold: &[Change]) -> Vec<(String, String)> {
     let mut by_subject: BTreeMap<(bool, &str), Vec<&Change>> = BTreeMap::new();
     for change in hold {
-        by_subject.entry((change.doing == Doing::Pin, &change.subject)).or_default().push(change);
+        by_subject
+            .entry((change.doing == Doing::Pin, &change.subject))
+            .or_default()
+            .push(change);
     }
     let mut shadowed = Vec::new();
     for of_one in by_subject.values() {
-        let Some(winner) = of_one.iter().max_by_key(|one| (one.doing, one.made_at, &one.id)) else {
+        let Some(winner) = of_one
+            .iter()
+            .max_by_key(|one| (one.doing, one.made_at, &one.id))
+        else {
             continue;
         };
         let losers = of_one.iter().filter(|one| one.id != winner.id);
--- a/edge/src/pace.rs
+++ b/edge/src/pace.rs
@@ -22,7 +22,11 @@
     /// So many a second, by so many processes together.
     pub fn new(per_s: f64, processes: u32, seed: u64, now: Millis) -> Pace {
         let credit = Pcg32::seed_from_u64(seed).random_range(0.0..1.0);
-        Pace { per_s: per_s / f64::from(processes.max(1)), credit, at: now }
+        Pace {
+            per_s: per_s / f64::from(processes.max(1)),
+            credit,
+            at: now,
+        }
     }
 
     /// How many are due, of so many that there are. What was not used lapses beyond one.
@@ -86,14 +90,29 @@
     /// for the second.
     pub fn new(site: &str, processes: u32, apart_ms: Millis, cold_ms: Millis) -> Counts {
         let processes = processes.max(1);
-        let own = Heard { now: processes, most: processes, fewer: None };
+        let own = Heard {
+            now: processes,
+            most: processes,
+            fewer: None,
+        };
         let sites = BTreeMap::from([(site.to_owned(), own)]);
-        Counts { site: site.to_owned(), sites, apart_ms, cold_ms, agreed: processes, differs: None }
+        Counts {
+            site: site.to_owned(),
+            sites,
+            apart_ms,
+            cold_ms,
+            agreed: processes,
+            differs: None,
+        }
     }
 
     /// So many processes of a site are heard, 0 where it is silent.
     pub fn heard(&mut self, now: Millis, site: &str, processes: u32) {
-        let known = self.sites.entry(site.to_owned()).or_insert(Heard { now: 0, most: 0, fewer: None });
+        let known = self.sites.entry(site.to_owned()).or_insert(Heard {
+            now: 0,
+            most: 0,
+            fewer: None,
+        });
         known.now = processes;
         if processes >= known.most {
             (known.most, known.fewer) = (processes, None);
@@ -103,9 +122,17 @@
 
     /// Time has passed.
     pub fn settle(&mut self, now: Millis) {
-        for known in self.sites.values_mut().filter(|known| known.now < known.most) {
+        for known in self
+            .sites
+            .values_mut()
+            .filter(|known| known.now < known.most)
+        {
             let since = *known.fewer.get_or_insert(now);
-            let holds = if known.now == 0 { self.apart_ms + self.cold_ms } else { self.cold_ms };
+            let holds = if known.now == 0 {
+                self.apart_ms + self.cold_ms
+            } else {
+                self.cold_ms
+            };
             if now.saturating_sub(since) >= holds {
                 (known.most, known.fewer) = (known.now, None);
             }
@@ -137,6 +164,9 @@
 
     /// This process's part of what cold servers may be sent by the fleet: the site's part, divided by its processes.
     pub fn part(&self) -> ColdPart {
-        ColdPart { of: self.agreed.min(self.own()), all: self.fleet().saturating_mul(self.own()) }
+        ColdPart {
+            of: self.agreed.min(self.own()),
+            all: self.fleet().saturating_mul(self.own()),
+        }
     }
 }
--- a/edge/src/probe.rs
+++ b/edge/src/probe.rs
@@ -39,7 +39,9 @@
 pub(crate) fn rank<'a>(name: &str, place: &Place, alive: impl Iterator<Item = &'a str>) -> u64 {
     let score = |name: &str| (digest(&format!("{place}/{name}")), name.to_owned());
     let own = score(name);
-    alive.filter(|other| *other != name && score(other) < own).count() as u64
+    alive
+        .filter(|other| *other != name && score(other) < own)
+        .count() as u64
 }
 
 impl Probes {
@@ -88,7 +90,11 @@
     pub(crate) fn at_once(&mut self, place: &Place, now: Millis) {
         let probing = self.places.entry(place.clone()).or_default();
         let due = probing.at.map_or(now, |at| now.max(at + self.base));
-        *probing = Probing { at: probing.at, due: Some(due), ..Probing::default() };
+        *probing = Probing {
+            at: probing.at,
+            due: Some(due),
+            ..Probing::default()
+        };
     }
 
     /// Asks no more.
@@ -97,8 +103,16 @@
     }
 
     /// Another process of the site has asked, so long after so many tries.
-    pub(crate) fn heard(&mut self, place: &Place, tries: u32, at: Millis, rank: impl FnOnce() -> u64) {
-        let Some(known) = self.places.get(place).copied() else { return };
+    pub(crate) fn heard(
+        &mut self,
+        place: &Place,
+        tries: u32,
+        at: Millis,
+        rank: impl FnOnce() -> u64,
+    ) {
+        let Some(known) = self.places.get(place).copied() else {
+            return;
+        };
         if known.at.is_some_and(|own| own >= at) {
             return;
         }
@@ -108,7 +122,12 @@
     }
 
     /// Whether the place is asked now, by its order; notes that it is.
-    pub(crate) fn take_due(&mut self, place: &Place, now: Millis, rank: impl FnOnce() -> u64) -> bool {
+    pub(crate) fn take_due(
+        &mut self,
+        place: &Place,
+        now: Millis,
+        rank: impl FnOnce() -> u64,
+    ) -> bool {
         let Some(probing) = self.places.get(place).copied() else {
             self.begin(place, now, rank());
             return false;
@@ -144,13 +163,21 @@
     /// The last probe of each place that is known of.
     pub(crate) fn known(&self, now: Millis) -> Vec<(Place, u32, Millis)> {
         let known = |(place, probing): (&Place, &Probing)| {
-            Some((place.clone(), probing.tries, now.saturating_sub(probing.at?)))
+            Some((
+                place.clone(),
+                probing.tries,
+                now.saturating_sub(probing.at?),
+            ))
         };
         self.places.iter().filter_map(known).collect()
     }
 
     /// When the next one may be due.
     pub(crate) fn next(&self) -> Option<Millis> {
-        self.places.values().flat_map(|probing| [probing.due, probing.confirm_at]).flatten().min()
+        self.places
+            .values()
+            .flat_map(|probing| [probing.due, probing.confirm_at])
+            .flatten()
+            .min()
     }
 }
--- a/edge/src/rejoin.rs
+++ b/edge/src/rejoin.rs
@@ -113,8 +113,17 @@
 }
 
 /// Compares both sides.
-pub fn plan_rejoin(now: Millis, held: &[Held], listed: &[Listed], list: Whole, cold_ms: Millis) -> Plan {
-    let by_name: BTreeMap<&str, &Listed> = listed.iter().map(|one| (one.server.as_str(), one)).collect();
+pub fn plan_rejoin(
+    now: Millis,
+    held: &[Held],
+    listed: &[Listed],
+    list: Whole,
+    cold_ms: Millis,
+) -> Plan {
+    let by_name: BTreeMap<&str, &Listed> = listed
+        .iter()
+        .map(|one| (one.server.as_str(), one))
+        .collect();
     let known: BTreeMap<&str, &Held> = held.iter().map(|one| (one.server.as_str(), one)).collect();
     let mut plan = Plan::default();
     for (name, held) in &known {
@@ -156,19 +165,35 @@
         let passed = held.passed.filter(|_| !anew);
         let why = match (anew, passed) {
             (true, _) => Some("it started anew while the link was lost"),
-            (false, Some(Judged::Drains)) => Some("it said itself that it drains, and has not started since"),
+            (false, Some(Judged::Drains)) => {
+                Some("it said itself that it drains, and has not started since")
+            }
             (false, Some(_)) => Some("the site's evidence is against it still"),
             (false, None) => None,
         };
         let cold_since = cold(now, listed.started_ms.max(held.started_ms), cold_ms);
-        self.keep.push(Keep { server: held.server.clone(), weight: listed.weight, passed, cold_since, why });
+        self.keep.push(Keep {
+            server: held.server.clone(),
+            weight: listed.weight,
+            passed,
+            cold_since,
+            why,
+        });
     }
 
     /// A server that drains, or is gone: what stands there is moved, if anything does.
     fn leave(&mut self, held: &Held, ready: Ready) {
-        let why = if ready == Ready::Gone { Why::Gone } else { Why::Drains };
+        let why = if ready == Ready::Gone {
+            Why::Gone
+        } else {
+            Why::Drains
+        };
         if held.standing > 0 {
-            self.moves.push(Move { server: held.server.clone(), standing: held.standing, why });
+            self.moves.push(Move {
+                server: held.server.clone(),
+                standing: held.standing,
+                why,
+            });
         }
     }
 }
--- a/edge/src/sight.rs
+++ b/edge/src/sight.rs
@@ -44,11 +44,19 @@
 
 impl Party {
     fn answered(&mut self, now: Millis, took: Millis) {
-        *self = Party { at: Some(now), took, fails: 0 };
+        *self = Party {
+            at: Some(now),
+            took,
+            fails: 0,
+        };
     }
 
     fn failed(&mut self, now: Millis) {
-        *self = Party { at: Some(now), fails: self.fails.saturating_add(1), ..*self };
+        *self = Party {
+            at: Some(now),
+            fails: self.fails.saturating_add(1),
+            ..*self
+        };
     }
 
     fn seen(&self, now: Millis, fresh: Millis, fails: u32) -> Option<(Seen, Millis)> {
@@ -98,7 +106,10 @@
             Some((Seen::Hears, _)) => ONE_WAY,
             _ => 0,
         };
-        let both = [weigh(self.peers_seen(now, fresh)), weigh(self.servers_seen(now, fresh))];
+        let both = [
+            weigh(self.peers_seen(now, fresh)),
+            weigh(self.servers_seen(now, fresh)),
+        ];
         both[0].max(both[1]) + both[0].min(both[1]) / 2
     }
 }
@@ -146,7 +157,11 @@
     }
 
     pub(crate) fn watch(&mut self, now: Millis, stands: bool) {
-        if stands { self.watch.answered(now, 0) } else { self.watch.failed(now) }
+        if stands {
+            self.watch.answered(now, 0)
+        } else {
+            self.watch.failed(now)
+        }
     }
 
     pub(crate) fn ask(&mut self, now: Millis, took: Option<Millis>) {
@@ -168,9 +183,14 @@
     }
 
     pub(crate) fn peer(&mut self, now: Millis, site: &str, name: &str, seen: Seen) {
-        let Some(other) = self.other(site) else { return };
+        let Some(other) = self.other(site) else {
+            return;
+        };
         if !other.peers.contains_key(name) && other.peers.len() >= MOST_NAMES {
-            let oldest = other.peers.iter().min_by_key(|(name, peer)| (peer.at, (*name).clone()));
+            let oldest = other
+                .peers
+                .iter()
+                .min_by_key(|(name, peer)| (peer.at, (*name).clone()));
             if let Some(oldest) = oldest.map(|(name, _)| name.clone()) {
                 other.peers.remove(&oldest);
             }
@@ -191,23 +211,37 @@
     pub(crate) fn forget(&mut self, config: &Config) {
         let others = std::mem::take(&mut self.others);
         *self = Sight::new(config);
-        self.others = others.into_keys().map(|site| (site, Other::default())).collect();
+        self.others = others
+            .into_keys()
+            .map(|site| (site, Other::default()))
+            .collect();
     }
 
     pub(crate) fn says(&mut self, now: Millis, says: &Says) {
         if !self.said.contains_key(&says.name) && self.said.len() >= MOST_NAMES {
             self.said.pop_first();
         }
-        let place =
-            |(place, seen, age): &(Place, Seen, Millis)| (place.clone(), (*seen, now.saturating_sub(*age)));
+        let place = |(place, seen, age): &(Place, Seen, Millis)| {
+            (place.clone(), (*seen, now.saturating_sub(*age)))
+        };
         let places = says.places.iter().take(MOST_SITES + 2).map(place).collect();
-        self.said.insert(says.name.clone(), Said { at: now, state: says.state, places });
+        self.said.insert(
+            says.name.clone(),
+            Said {
+                at: now,
+                state: says.state,
+                places,
+            },
+        );
     }
 
     /// Those of this site who said something lately.
     pub(crate) fn alive(&self, now: Millis) -> impl Iterator<Item = &str> {
         let fresh = self.fresh;
-        self.said.iter().filter(move |(_, said)| now - said.at <= fresh).map(|(name, _)| name.as_str())
+        self.said
+            .iter()
+            .filter(move |(_, said)| now - said.at <= fresh)
+            .map(|(name, _)| name.as_str())
     }
 
     /// In which states they are.
@@ -224,9 +258,16 @@
 
     /// All places that lie beyond the link, as far as is known.
     pub(crate) fn places(&self) -> Vec<Place> {
-        let fixed = [(self.discovery, Place::Discovery), (self.store, Place::Store)];
-        let fixed = fixed.into_iter().filter_map(|(beyond, place)| beyond.then_some(place));
-        fixed.chain(self.others.keys().cloned().map(Place::Site)).collect()
+        let fixed = [
+            (self.discovery, Place::Discovery),
+            (self.store, Place::Store),
+        ];
+        let fixed = fixed
+            .into_iter()
+            .filter_map(|(beyond, place)| beyond.then_some(place));
+        fixed
+            .chain(self.others.keys().cloned().map(Place::Site))
+            .collect()
     }
 
     /// How a place stands by this process's own evidence, and how old that is.
@@ -235,14 +276,19 @@
             Place::Discovery => {
                 let both = [&self.watch, &self.ask];
                 // The later of the two says how discovery stands now.
-                let latest =
-                    both.into_iter().filter(|party| party.at.is_some()).max_by_key(|party| party.at)?;
+                let latest = both
+                    .into_iter()
+                    .filter(|party| party.at.is_some())
+                    .max_by_key(|party| party.at)?;
                 latest.seen(now, self.fresh, 1)
             }
             Place::Store => self.kept.seen(now, self.fresh, 1),
             Place::Site(site) => {
                 let other = self.others.get(site)?;
-                let both = [other.peers_seen(now, self.fresh), other.servers_seen(now, self.fresh)];
+                let both = [
+                    other.peers_seen(now, self.fresh),
+                    other.servers_seen(now, self.fresh),
+                ];
                 both.into_iter().flatten().min()
             }
         }
@@ -253,7 +299,11 @@
         let told = self.said.iter().filter_map(|(name, said)| {
             let (seen, at) = *said.places.get(place)?;
             let age = now.saturating_sub(at);
-            let holds = if seen == Seen::Lost { LOSS_HOLDS } else { self.fresh };
+            let holds = if seen == Seen::Lost {
+                LOSS_HOLDS
+            } else {
+                self.fresh
+            };
             (age <= holds && now - said.at <= self.fresh).then_some((seen, name.as_str(), age))
         });
         told.min_by_key(|(seen, _, age)| (*seen, *age))
@@ -270,19 +320,25 @@
 
     /// A place that answers this process itself.
     pub(crate) fn stands(&self, now: Millis) -> Option<Place> {
-        self.places()
-            .into_iter()
-            .find(|place| self.seen(place, now).is_some_and(|(seen, _)| seen == Seen::Stands))
+        self.places().into_iter().find(|place| {
+            self.seen(place, now)
+                .is_some_and(|(seen, _)| seen == Seen::Stands)
+        })
     }
 
     /// Whether anything does not answer this process itself.
     pub(crate) fn lost(&self, now: Millis) -> bool {
-        self.places().iter().any(|place| self.seen(place, now).is_some_and(|(seen, _)| seen == Seen::Lost))
+        self.places().iter().any(|place| {
+            self.seen(place, now)
+                .is_some_and(|(seen, _)| seen == Seen::Lost)
+        })
     }
 
     /// How the servers of this site answer this process.
     pub(crate) fn here_seen(&self, now: Millis) -> Option<Seen> {
-        self.here.seen(now, self.fresh, SERVER_FAILS).map(|(seen, _)| seen)
+        self.here
+            .seen(now, self.fresh, SERVER_FAILS)
+            .map(|(seen, _)| seen)
     }
 
     /// The odds that the link is lost, by this process's own evidence or by all of the site's.
@@ -294,17 +350,29 @@
             let news: BTreeSet<&Place> = sites.filter(|place| !places.contains(place)).collect();
             places.extend(news.into_iter().cloned());
         }
-        BEFORE + places.iter().map(|place| self.weight(place, now, with_others)).sum::<i32>()
+        BEFORE
+            + places
+                .iter()
+                .map(|place| self.weight(place, now, with_others))
+                .sum::<i32>()
     }
 
     fn weight(&self, place: &Place, now: Millis, with_others: bool) -> i32 {
         let own = self.seen(place, now).map(|(seen, _)| seen);
-        let said = if with_others { self.said(place, now).map(|(seen, ..)| seen) } else { None };
+        let said = if with_others {
+            self.said(place, now).map(|(seen, ..)| seen)
+        } else {
+            None
+        };
         match (own, said) {
             (Some(Seen::Stands), _) => ANSWERED,
             (_, Some(Seen::Stands)) => SAID_ANSWERED,
             (Some(_), said) => {
-                let seconded = if said == Some(Seen::Lost) { SAID_LOST } else { 0 };
+                let seconded = if said == Some(Seen::Lost) {
+                    SAID_LOST
+                } else {
+                    0
+                };
                 self.own_loss(place, now).max(seconded)
             }
             (None, Some(Seen::Lost)) => SAID_LOST,
@@ -313,12 +381,19 @@
     }
 
     fn own_loss(&self, place: &Place, now: Millis) -> i32 {
-        let lost = |party: &Party| party.seen(now, self.fresh, 1).is_some_and(|(seen, _)| seen == Seen::Lost);
+        let lost = |party: &Party| {
+            party
+                .seen(now, self.fresh, 1)
+                .is_some_and(|(seen, _)| seen == Seen::Lost)
+        };
         match place {
             Place::Discovery if lost(&self.ask) => ASK_LOST,
             Place::Discovery => WATCH_LOST,
             Place::Store => ASK_LOST,
-            Place::Site(site) => self.others.get(site).map_or(0, |other| other.points(now, self.fresh)),
+            Place::Site(site) => self
+                .others
+                .get(site)
+                .map_or(0, |other| other.points(now, self.fresh)),
         }
     }
 }
--- a/edge/src/transit.rs
+++ b/edge/src/transit.rs
@@ -23,14 +23,17 @@
     /// The longest time between two changes that this many within the last minute leave.
     fn damped(&self, span: Millis) -> Millis {
         let before = self.changes.len().saturating_sub(1).min(20);
-        span.saturating_mul(1 << before).min(self.config.damp_cap_ms)
+        span.saturating_mul(1 << before)
+            .min(self.config.damp_cap_ms)
     }
 
     pub(crate) fn judge(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let ended = self.word.as_ref().is_some_and(|word| word.ends_at <= now) && !self.word_over;
         if ended {
             self.word_over = true;
-            actions.push(Action::Say("the operator's word is over: the evidence decides".into()));
+            actions.push(Action::Say(
+                "the operator's word is over: the evidence decides".into(),
+            ));
         }
         let stands = self.sight.stands(now).is_some();
         self.note_flaps(now, stands);
@@ -54,7 +57,9 @@
         if self.stood && !stands {
             self.flaps.push_back(now);
         }
-        while self.flaps.front().is_some_and(|at| now - at > MINUTE) || self.flaps.len() > MOST_FLAPS {
+        while self.flaps.front().is_some_and(|at| now - at > MINUTE)
+            || self.flaps.len() > MOST_FLAPS
+        {
             self.flaps.pop_front();
         }
         while self.changes.front().is_some_and(|at| now - at >= MINUTE) {
@@ -68,7 +73,10 @@
 
     /// Something answers: the other places are asked soon, but not each time that a link comes and goes.
     fn hurry(&mut self, now: Millis) {
-        if self.hurried.is_some_and(|at| now - at < self.config.damp_cap_ms) {
+        if self
+            .hurried
+            .is_some_and(|at| now - at < self.config.damp_cap_ms)
+        {
             return;
         }
         self.hurried = Some(now);
@@ -100,8 +108,10 @@
             State::Islanded => {
                 let steady = self.damped(self.config.steady_ms);
                 if self.held(now, Toward::Back, stands, steady) && dwelt {
-                    let why =
-                        format!("answers from beyond the link have come for {} s", steady.div_ceil(1_000));
+                    let why = format!(
+                        "answers from beyond the link have come for {} s",
+                        steady.div_ceil(1_000)
+                    );
                     self.go(now, State::Rejoining, why, actions);
                 }
             }
@@ -111,7 +121,12 @@
                     let why = format!("lost again: {}", self.losses(now));
                     self.go(now, State::Islanded, why, actions);
                 } else if self.merged && stands && dwelt {
-                    self.go(now, State::Linked, "what changed on both sides is merged".into(), actions);
+                    self.go(
+                        now,
+                        State::Linked,
+                        "what changed on both sides is merged".into(),
+                        actions,
+                    );
                 } else if now - self.since >= self.config.rejoin_ms {
                     self.end_rejoining(now, stands, actions);
                 }
@@ -127,7 +142,10 @@
                 format!("the link stands; no list has come for {waited} s and the old one goes on"),
             )
         } else {
-            (State::Islanded, format!("nothing beyond the link answers after {waited} s of rejoining"))
+            (
+                State::Islanded,
+                format!("nothing beyond the link answers after {waited} s of rejoining"),
+            )
         };
         self.go(now, to, why, actions);
     }
@@ -144,14 +162,33 @@
         }
     }
 
-    fn judge_doubt(&mut self, now: Millis, odds: i32, stands: bool, dwelt: bool, actions: &mut Vec<Action>) {
+    fn judge_doubt(
+        &mut self,
+        now: Millis,
+        odds: i32,
+        stands: bool,
+        dwelt: bool,
+        actions: &mut Vec<Action>,
+    ) {
         if self.started && stands {
-            return self.go(now, State::Linked, "beyond the link there is an answer".into(), actions);
+            return self.go(
+                now,
+                State::Linked,
+                "beyond the link there is an answer".into(),
+                actions,
+            );
         }
         let alone = self.sight.odds(now, false) >= LOST;
-        let (lost, back) = (odds >= LOST, odds < DOUBT && !alone && (!self.started || stands));
+        let (lost, back) = (
+            odds >= LOST,
+            odds < DOUBT && !alone && (!self.started || stands),
+        );
         let toward = if lost { Toward::Lost } else { Toward::Back };
-        let span = if lost { self.config.confirm_ms } else { self.damped(self.config.steady_ms) };
+        let span = if lost {
+            self.config.confirm_ms
+        } else {
+            self.damped(self.config.steady_ms)
+        };
         if self.held(now, toward, lost || back, span) && dwelt {
             if lost {
                 let why = self.losses(now);
@@ -169,14 +206,22 @@
     fn end_doubt(&mut self, now: Millis, odds: i32, actions: &mut Vec<Action>) {
         let flaps = self.flaps.iter().filter(|at| **at >= self.since).count();
         // What comes and goes alone comes and goes for itself.
-        let seen = self.sight.places().into_iter().filter(|place| self.sight.seen(place, now).is_some());
+        let seen = self
+            .sight
+            .places()
+            .into_iter()
+            .filter(|place| self.sight.seen(place, now).is_some());
         let several = seen.count() > 1;
         if self.sight.odds(now, false) >= LOST {
-            let why =
-                format!("{}; others of this site say otherwise: this process is cut off", self.losses(now));
+            let why = format!(
+                "{}; others of this site say otherwise: this process is cut off",
+                self.losses(now)
+            );
             self.go(now, State::Islanded, why, actions);
         } else if flaps >= FLAPS && several {
-            let why = format!("the link came and went {flaps} times; it is not relied on until it stands");
+            let why = format!(
+                "the link came and went {flaps} times; it is not relied on until it stands"
+            );
             self.go(now, State::Islanded, why, actions);
         } else {
             self.settled = Some((odds, now));
@@ -186,7 +231,10 @@
     }
 
     fn go_by_word(&mut self, now: Millis, to: State, actions: &mut Vec<Action>) {
-        let word = self.word.as_ref().map(|word| format!("{} says: {}", word.who, self.word_text(word)));
+        let word = self
+            .word
+            .as_ref()
+            .map(|word| format!("{} says: {}", word.who, self.word_text(word)));
         self.enter(now, to, word.unwrap_or_default(), actions);
     }
 
@@ -196,7 +244,11 @@
     }
 
     fn enter(&mut self, now: Millis, to: State, why: String, actions: &mut Vec<Action>) {
-        actions.push(Action::State { from: self.state, to, why: why.clone() });
+        actions.push(Action::State {
+            from: self.state,
+            to,
+            why: why.clone(),
+        });
         actions.push(Action::Tell);
         let from = self.state;
         (self.state, self.since, self.why) = (to, now, why);
@@ -233,7 +285,11 @@
     /// The merge is asked for once a list is in hand that is younger than the island, also if it comes late.
     fn ask_for_merge(&mut self, actions: &mut Vec<Action>) {
         let usable = matches!(self.state, State::Linked | State::Rejoining);
-        if usable && self.merge_due.is_some_and(|began| self.confirmed >= Some(began)) {
+        if usable
+            && self
+                .merge_due
+                .is_some_and(|began| self.confirmed >= Some(began))
+        {
             self.merge_due = None;
             actions.push(Action::Rejoin(Step::Merge));
         }
--- a/edge/tests/any_order.rs
+++ b/edge/tests/any_order.rs
@@ -11,7 +11,10 @@
 const SITES: [&str; 3] = ["moy", "ard", "bray"];
 
 fn outcome() -> impl Strategy<Value = Outcome> {
-    prop_oneof![Just(Outcome::Failed), (0..5_000_u64).prop_map(|took_ms| Outcome::Answered { took_ms })]
+    prop_oneof![
+        Just(Outcome::Failed),
+        (0..5_000_u64).prop_map(|took_ms| Outcome::Answered { took_ms })
+    ]
 }
 
 fn place() -> impl Strategy<Value = Place> {
@@ -24,11 +27,19 @@
 
 fn says() -> impl Strategy<Value = Says> {
     let seen = prop::sample::select(vec![Seen::Stands, Seen::Hears, Seen::Lost]);
-    let states = vec![State::Linked, State::Doubtful, State::Islanded, State::Rejoining];
+    let states = vec![
+        State::Linked,
+        State::Doubtful,
+        State::Islanded,
+        State::Rejoining,
+    ];
     let state = prop::sample::select(states);
     let places = prop::collection::vec((place(), seen, 0..90_000_u64), 0..4);
     let probes = prop::collection::vec((place(), 0..9_u32, 0..90_000_u64), 0..3);
-    let (name, site) = (prop::sample::select(&NAMES[..]), prop::sample::select(&SITES[..]));
+    let (name, site) = (
+        prop::sample::select(&NAMES[..]),
+        prop::sample::select(&SITES[..]),
+    );
     (name, site, state, places, probes).prop_map(|(name, site, state, places, probes)| Says {
         name: name.into(),
         site: site.into(),
@@ -40,7 +51,12 @@
 }
 
 fn evidence() -> impl Strategy<Value = Evidence> {
-    let peer = || (prop::sample::select(&NAMES[..]), prop::sample::select(&SITES[..]));
+    let peer = || {
+        (
+            prop::sample::select(&NAMES[..]),
+            prop::sample::select(&SITES[..]),
+        )
+    };
     let merge = Just(Evidence::Done(Step::Merge));
     prop_oneof![
         4 => Just(Evidence::Tick),
@@ -66,10 +82,16 @@
 
 /// Spells of some evidence, again and again, each with its own spacing: what real trouble looks like.
 fn story() -> impl Strategy<Value = Vec<(Millis, Evidence)>> {
-    let spell = (prop::collection::vec(evidence(), 1..6), 1..20_usize, 50..2_500_u64);
+    let spell = (
+        prop::collection::vec(evidence(), 1..6),
+        1..20_usize,
+        50..2_500_u64,
+    );
     prop::collection::vec(spell, 1..10).prop_map(|spells| {
         let told = spells.into_iter().flat_map(|(of, times, apart)| {
-            (0..times).flat_map(move |_| of.clone()).map(move |one| (apart, one))
+            (0..times)
+                .flat_map(move |_| of.clone())
+                .map(move |one| (apart, one))
         });
         told.collect()
     })
@@ -82,7 +104,11 @@
         let at = now + apart;
         while now < at {
             now = edge.next(now).min(at);
-            let evidence = if now == at { one.clone() } else { Evidence::Tick };
+            let evidence = if now == at {
+                one.clone()
+            } else {
+                Evidence::Tick
+            };
             edge.handle(now, evidence, &mut actions);
             did.extend(actions.drain(..).map(|action| (now, action)));
         }
--- a/edge/tests/model/mod.rs
+++ b/edge/tests/model/mod.rs
@@ -90,10 +90,23 @@
 impl World {
     /// So many processes at each of three sites; the link of the first is lost in the span.
     pub fn new(per_site: usize, seed: u64, lossy: f64, lost: std::ops::Range<Millis>) -> World {
-        let serving =
-            |n: u32| Listed { server: format!("s{n}"), ready: Ready::Serving, started_ms: 1, weight: 1_000 };
+        let serving = |n: u32| Listed {
+            server: format!("s{n}"),
+            ready: Ready::Serving,
+            started_ms: 1,
+            weight: 1_000,
+        };
         let servers: BTreeMap<String, Server> = (0..8)
-            .map(|n| (format!("s{n}"), Server { listed: serving(n), truth: Truth::Well, sent: Vec::new() }))
+            .map(|n| {
+                (
+                    format!("s{n}"),
+                    Server {
+                        listed: serving(n),
+                        truth: Truth::Well,
+                        sent: Vec::new(),
+                    },
+                )
+            })
             .collect();
         let list: Vec<Listed> = servers.values().map(|one| one.listed.clone()).collect();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -109,7 +122,9 @@
                     ..Config::default()
                 };
                 let mut counts = Counts::new(site, per_site as u32, 3_600_000, COLD);
-                SITES.iter().for_each(|other| counts.heard(T, other, per_site as u32));
+                SITES
+                    .iter()
+                    .for_each(|other| counts.heard(T, other, per_site as u32));
                 processes.push(Process {
                     name,
                     site,
@@ -129,7 +144,18 @@
             }
         }
         let (asked, moves, out) = (BTreeMap::new(), BTreeMap::new(), Outcome10::default());
-        World { now: T, rng, lossy, counted: lost.clone(), lost, servers, processes, asked, moves, out }
+        World {
+            now: T,
+            rng,
+            lossy,
+            counted: lost.clone(),
+            lost,
+            servers,
+            processes,
+            asked,
+            moves,
+            out,
+        }
     }
 
     /// Counts the clients of this span.
@@ -152,15 +178,27 @@
                 self.clients();
             }
             if self.now == self.lost.end {
-                let at = |site: bool| self.processes.iter().filter(move |one| (one.site == "moy") == site);
-                self.out.islanded = at(true).filter(|one| one.edge.state() == State::Islanded).count();
+                let at = |site: bool| {
+                    self.processes
+                        .iter()
+                        .filter(move |one| (one.site == "moy") == site)
+                };
+                self.out.islanded = at(true)
+                    .filter(|one| one.edge.state() == State::Islanded)
+                    .count();
             }
             let others = self.processes.iter().filter(|one| one.site != "moy");
-            self.out.others_islanded += others.filter(|one| one.edge.state() == State::Islanded).count();
+            self.out.others_islanded += others
+                .filter(|one| one.edge.state() == State::Islanded)
+                .count();
         }
         self.out.moved_at_once = self.moves.values().copied().max().unwrap_or(0);
         self.out.herd = self.asked.values().copied().max().unwrap_or(0);
-        let mut seen = self.processes.iter().filter(|one| one.site == "moy").map(|one| one.list.clone());
+        let mut seen = self
+            .processes
+            .iter()
+            .filter(|one| one.site == "moy")
+            .map(|one| one.list.clone());
         let first = seen.next();
         self.out.agreed = seen.all(|list| Some(&list) == first.as_ref());
     }
@@ -203,7 +241,9 @@
         });
         if due(now, 1_000) {
             for other in SITES.into_iter().filter(|other| *other != site) {
-                let place = Decision::Ask { place: Place::Site(other.into()) };
+                let place = Decision::Ask {
+                    place: Place::Site(other.into()),
+                };
                 // Membership has given up on what is silent: on the island only the site's probes find it again.
                 if self.processes[n].edge.may(now, &place) == Verdict::Yes {
                     told.push(self.ping(site, other));
@@ -211,20 +251,38 @@
             }
         }
         let up = self.up(site);
-        let asks =
-            self.processes[n].edge.may(now, &Decision::Ask { place: Place::Discovery }) == Verdict::Yes;
+        let asks = self.processes[n].edge.may(
+            now,
+            &Decision::Ask {
+                place: Place::Discovery,
+            },
+        ) == Verdict::Yes;
         if self.processes[n].watch && due(now, 2_000) {
-            told.push(if up { Evidence::WatchStands } else { Evidence::WatchLost });
+            told.push(if up {
+                Evidence::WatchStands
+            } else {
+                Evidence::WatchLost
+            });
             self.processes[n].watch = up;
         } else if !self.processes[n].watch && asks && now >= self.processes[n].asks_at {
             *self.asked.entry(now).or_default() += usize::from(now >= self.lost.end);
             self.processes[n].watch = up;
             self.processes[n].asks_at = now + 1_000;
-            told.push(if up { Evidence::WatchStands } else { Evidence::WatchLost });
+            told.push(if up {
+                Evidence::WatchStands
+            } else {
+                Evidence::WatchLost
+            });
         }
         if asks && due(now, 2_000) {
-            let answer = if up { Evidence::StoreAnswered { took_ms: 5 } } else { Evidence::StoreFailed };
-            self.processes[n].answers.push((now + if up { 0 } else { 1_000 }, answer));
+            let answer = if up {
+                Evidence::StoreAnswered { took_ms: 5 }
+            } else {
+                Evidence::StoreFailed
+            };
+            self.processes[n]
+                .answers
+                .push((now + if up { 0 } else { 1_000 }, answer));
         }
         if now >= self.processes[n].tick_at {
             told.push(Evidence::Tick);
@@ -244,9 +302,16 @@
         // There and back, and once more through another process.
         let passes = (0..2).any(|_| self.passes() && self.passes());
         if whole && passes {
-            return Evidence::PeerHeard { name, site: other.into(), both_ways: true };
+            return Evidence::PeerHeard {
+                name,
+                site: other.into(),
+                both_ways: true,
+            };
+        }
+        Evidence::PeerSilent {
+            name,
+            site: other.into(),
         }
-        Evidence::PeerSilent { name, site: other.into() }
     }
 
     fn tell(&mut self, n: usize, evidence: Evidence) {
@@ -263,7 +328,11 @@
         match action {
             Action::Probe { place } => {
                 if process.site == "moy" && process.edge.state() == State::Islanded && !up {
-                    *self.out.probes.entry((now - self.lost.start) / 60_000).or_default() += 1;
+                    *self
+                        .out
+                        .probes
+                        .entry((now - self.lost.start) / 60_000)
+                        .or_default() += 1;
                 }
                 let answer = match place {
                     Place::Discovery if up => Evidence::DiscoveryAnswered { took_ms: 9 },
@@ -271,13 +340,22 @@
                     Place::Store if up => Evidence::StoreAnswered { took_ms: 9 },
                     Place::Store => Evidence::StoreFailed,
                     Place::Site(site) => {
-                        let outcome = if up { Outcome::Answered { took_ms: 9 } } else { Outcome::Failed };
+                        let outcome = if up {
+                            Outcome::Answered { took_ms: 9 }
+                        } else {
+                            Outcome::Failed
+                        };
                         Evidence::ServerBeyond { site, outcome }
                     }
                 };
-                process.answers.push((now + if up { 0 } else { 1_000 }, answer));
+                process
+                    .answers
+                    .push((now + if up { 0 } else { 1_000 }, answer));
             }
-            Action::Rejoin(Step::Ask { place: Place::Discovery, in_ms }) => process.asks_at = now + in_ms,
+            Action::Rejoin(Step::Ask {
+                place: Place::Discovery,
+                in_ms,
+            }) => process.asks_at = now + in_ms,
             Action::Rejoin(Step::Merge) => self.merge(n),
             _ => {}
         }
@@ -299,9 +377,26 @@
                 standing: process.standing.get(&one.server).copied().unwrap_or(0),
             })
             .collect();
-        let plan = plan_rejoin(now, &held, &listed, Whole { whole: true, same_life: true }, COLD);
-        let (rate, own) = (process.edge.config().moves_per_s, self.out.merged.len() as u64);
-        process.pace = Some(Pace::new(rate, process.edge.config().processes / 3, own * 77 + 1, now));
+        let plan = plan_rejoin(
+            now,
+            &held,
+            &listed,
+            Whole {
+                whole: true,
+                same_life: true,
+            },
+            COLD,
+        );
+        let (rate, own) = (
+            process.edge.config().moves_per_s,
+            self.out.merged.len() as u64,
+        );
+        process.pace = Some(Pace::new(
+            rate,
+            process.edge.config().processes / 3,
+            own * 77 + 1,
+            now,
+        ));
         process.leaving = plan.moves;
         process.list = listed;
         self.out.merged.push(now);
@@ -309,7 +404,10 @@
     }
 
     fn listed(&self) -> Vec<Listed> {
-        self.servers.values().map(|one| one.listed.clone()).collect()
+        self.servers
+            .values()
+            .map(|one| one.listed.clone())
+            .collect()
     }
 
     /// Where the watch stands and nothing is to be merged first, the list is followed.
@@ -323,7 +421,9 @@
     fn move_off(&mut self, n: usize) {
         let now = self.now;
         let process = &mut self.processes[n];
-        let Some(pace) = &mut process.pace else { return };
+        let Some(pace) = &mut process.pace else {
+            return;
+        };
         let there = process.leaving.iter().map(|one| one.standing).sum();
         let mut due = pace.due(now, there);
         for one in &mut process.leaving {
@@ -341,18 +441,26 @@
         let of: Vec<&'static str> = self.processes.iter().map(|one| one.site).collect();
         for n in 0..of.len() {
             let says = self.processes[n].edge.says(now);
-            let peers: Vec<usize> = (0..of.len()).filter(|m| *m != n && of[*m] == of[n]).collect();
+            let peers: Vec<usize> = (0..of.len())
+                .filter(|m| *m != n && of[*m] == of[n])
+                .collect();
             for m in &peers {
                 if self.passes() {
                     self.tell(*m, Evidence::PeerSays(says.clone()));
                 }
             }
             let recent = |one: &&Judgement| one.witnessed_ms + 5_000 > now;
-            let news: Vec<Judgement> = self.processes[n].judgements.iter().filter(recent).cloned().collect();
+            let news: Vec<Judgement> = self.processes[n]
+                .judgements
+                .iter()
+                .filter(recent)
+                .cloned()
+                .collect();
             for _ in 0..3 {
                 let to = peers[self.rng.random_range(0..peers.len())];
                 if self.passes() {
-                    news.iter().for_each(|one| _ = self.processes[to].judgements.put(one.clone()));
+                    news.iter()
+                        .for_each(|one| _ = self.processes[to].judgements.put(one.clone()));
                 }
             }
         }
@@ -373,7 +481,9 @@
     fn client(&mut self, n: usize) -> bool {
         let (mut tried, mut waited) = (Vec::new(), 0);
         while waited < PATIENCE && tried.len() < 4 {
-            let Some(server) = self.choose(n, &tried) else { return false };
+            let Some(server) = self.choose(n, &tried) else {
+                return false;
+            };
             let truth = self.servers[&server].truth;
             let judged = match truth {
                 Truth::Well => Judged::Well,
@@ -382,7 +492,9 @@
                 Truth::Away => Judged::Refused,
             };
             let (now, process) = (self.now, &mut self.processes[n]);
-            process.judgements.witness(now, &process.name.clone(), &server, 0, judged);
+            process
+                .judgements
+                .witness(now, &process.name.clone(), &server, 0, judged);
             if truth == Truth::Well {
                 *process.standing.entry(server.clone()).or_default() += 1;
                 self.send(&server);
@@ -403,8 +515,10 @@
         process.cold_credit = (process.cold_credit + part * STEP as f64 / 1_000.0).min(1.0);
         let listed_cold = |one: &Listed| now < one.started_ms + COLD;
         let mut open: Vec<(&Listed, u64, bool)> = Vec::new();
-        for one in
-            process.list.iter().filter(|one| one.ready == Ready::Serving && !tried.contains(&one.server))
+        for one in process
+            .list
+            .iter()
+            .filter(|one| one.ready == Ready::Serving && !tried.contains(&one.server))
         {
             let standing = &seen[&one.server];
             let cold = standing.cold_since.is_some() || listed_cold(one);
@@ -436,5 +550,11 @@
 
 fn known(list: &[Listed]) -> Vec<Known> {
     let serving = list.iter().filter(|one| one.ready == Ready::Serving);
-    serving.map(|one| Known { server: one.server.clone(), weight: one.weight, started_ms: 0 }).collect()
+    serving
+        .map(|one| Known {
+            server: one.server.clone(),
+            weight: one.weight,
+            started_ms: 0,
+        })
+        .collect()
 }
--- a/edge/tests/rejoin.rs
+++ b/edge/tests/rejoin.rs
@@ -5,7 +5,10 @@
 
 const T: Millis = 10_000_000;
 const COLD: Millis = 60_000;
-const LIST: Whole = Whole { whole: true, same_life: true };
+const LIST: Whole = Whole {
+    whole: true,
+    same_life: true,
+};
 
 fn held(server: &str) -> Held {
     Held {
@@ -19,12 +22,23 @@
 }
 
 fn listed(server: &str, ready: Ready, started_ms: Millis) -> Listed {
-    Listed { server: server.into(), ready, started_ms, weight: 2_000 }
+    Listed {
+        server: server.into(),
+        ready,
+        started_ms,
+        weight: 2_000,
+    }
 }
 
 #[test]
 fn only_what_drains_or_is_gone_is_left() {
-    let island = [held("same"), held("drains"), held("gone"), held("absent"), held("again")];
+    let island = [
+        held("same"),
+        held("drains"),
+        held("gone"),
+        held("absent"),
+        held("again"),
+    ];
     let list = [
         listed("same", Ready::Serving, 5),
         listed("drains", Ready::Draining, 5),
@@ -34,20 +48,53 @@
         listed("new-drains", Ready::Draining, 5),
     ];
     let plan = plan_rejoin(T, &island, &list, LIST, COLD);
-    let moves: Vec<(&str, Why)> = plan.moves.iter().map(|one| (one.server.as_str(), one.why)).collect();
-    assert_eq!(moves, [("absent", Why::Gone), ("drains", Why::Drains), ("gone", Why::Gone)]);
-    let keep: Vec<(&str, u64, Option<Millis>)> =
-        plan.keep.iter().map(|one| (one.server.as_str(), one.weight, one.cold_since)).collect();
+    let moves: Vec<(&str, Why)> = plan
+        .moves
+        .iter()
+        .map(|one| (one.server.as_str(), one.why))
+        .collect();
+    assert_eq!(
+        moves,
+        [
+            ("absent", Why::Gone),
+            ("drains", Why::Drains),
+            ("gone", Why::Gone)
+        ]
+    );
+    let keep: Vec<(&str, u64, Option<Millis>)> = plan
+        .keep
+        .iter()
+        .map(|one| (one.server.as_str(), one.weight, one.cold_since))
+        .collect();
     assert_eq!(
         keep,
-        [("again", 2_000, Some(T - 1_000)), ("new", 2_000, Some(T - 2_000)), ("same", 2_000, None)]
+        [
+            ("again", 2_000, Some(T - 1_000)),
+            ("new", 2_000, Some(T - 2_000)),
+            ("same", 2_000, None)
+        ]
     );
 }
 
 #[test]
 fn what_is_not_listed_stays_where_the_list_can_not_know() {
-    for list in [Whole { same_life: false, ..LIST }, Whole { whole: false, ..LIST }] {
-        let plan = plan_rejoin(T, &[held("a"), held("b")], &[listed("b", Ready::Serving, 5)], list, COLD);
+    for list in [
+        Whole {
+            same_life: false,
+            ..LIST
+        },
+        Whole {
+            whole: false,
+            ..LIST
+        },
+    ] {
+        let plan = plan_rejoin(
+            T,
+            &[held("a"), held("b")],
+            &[listed("b", Ready::Serving, 5)],
+            list,
+            COLD,
+        );
         assert_eq!(plan.moves, []);
         assert_eq!(plan.keep.len(), 2);
     }
@@ -55,13 +102,25 @@
 
 #[test]
 fn a_drain_by_its_own_word_outlives_the_list_but_not_a_new_start() {
-    let drained = Held { passed: Some(Judged::Drains), ..held("a") };
+    let drained = Held {
+        passed: Some(Judged::Drains),
+        ..held("a")
+    };
     let plan = |start| {
-        plan_rejoin(T, std::slice::from_ref(&drained), &[listed("a", Ready::Serving, start)], LIST, COLD)
+        plan_rejoin(
+            T,
+            std::slice::from_ref(&drained),
+            &[listed("a", Ready::Serving, start)],
+            LIST,
+            COLD,
+        )
     };
     assert_eq!(plan(5).keep[0].passed, Some(Judged::Drains));
     let anew = plan(T - 10);
-    assert_eq!((anew.keep[0].passed, anew.keep[0].cold_since), (None, Some(T - 10)));
+    assert_eq!(
+        (anew.keep[0].passed, anew.keep[0].cold_since),
+        (None, Some(T - 10))
+    );
     assert_eq!(anew.moves, []);
 }
 
@@ -82,52 +141,116 @@
 #[test]
 fn overrides_of_both_sides_are_merged_by_the_table() {
     let old = change("old", Doing::Weight, 10);
-    let ids = |merged: &MergedOverrides| merged.hold.iter().map(|one| one.id.clone()).collect::<Vec<_>>();
+    let ids = |merged: &MergedOverrides| {
+        merged
+            .hold
+            .iter()
+            .map(|one| one.id.clone())
+            .collect::<Vec<_>>()
+    };
     let merge = |one: &[Change], other: &[Change]| merge_overrides(one, other, T);
-    assert_eq!(ids(&merge(std::slice::from_ref(&old), std::slice::from_ref(&old))), ["old"]);
+    assert_eq!(
+        ids(&merge(
+            std::slice::from_ref(&old),
+            std::slice::from_ref(&old)
+        )),
+        ["old"]
+    );
     // Removed on one side, changed later on the other.
-    let removed = Change { removed: true, changed_at: 20, ..old.clone() };
-    let changed = Change { ends_at: T + 9_000, changed_at: 30, ..old.clone() };
+    let removed = Change {
+        removed: true,
+        changed_at: 20,
+        ..old.clone()
+    };
+    let changed = Change {
+        ends_at: T + 9_000,
+        changed_at: 30,
+        ..old.clone()
+    };
     let merged = merge(&[removed], std::slice::from_ref(&changed));
-    assert_eq!((ids(&merged).len(), merged.dropped[0].1), (0, "it was removed on one side"));
-    assert_eq!(merge(&[changed], std::slice::from_ref(&old)).hold[0].ends_at, T + 9_000);
+    assert_eq!(
+        (ids(&merged).len(), merged.dropped[0].1),
+        (0, "it was removed on one side")
+    );
+    assert_eq!(
+        merge(&[changed], std::slice::from_ref(&old)).hold[0].ends_at,
+        T + 9_000
+    );
     // Two at once: the one that ends sooner.
-    let sooner = Change { ends_at: T + 10, changed_at: 30, ..old.clone() };
-    let later = Change { ends_at: T + 20, changed_at: 30, ..old.clone() };
+    let sooner = Change {
+        ends_at: T + 10,
+        changed_at: 30,
+        ..old.clone()
+    };
+    let later = Change {
+        ends_at: T + 20,
+        changed_at: 30,
+        ..old.clone()
+    };
     assert_eq!(merge(&[later], &[sooner]).hold[0].ends_at, T + 10);
-    let ended = Change { ends_at: T, ..old.clone() };
+    let ended = Change {
+        ends_at: T,
+        ..old.clone()
+    };
     assert_eq!(ids(&merge(&[ended], &[])).len(), 0);
     // Made on the island: for a server of it, and for one beyond.
-    let here = Change { made_in: "moy".into(), ..change("here", Doing::Weight, 50) };
-    let beyond = Change { server_site: "ard".into(), id: "beyond".into(), ..here.clone() };
+    let here = Change {
+        made_in: "moy".into(),
+        ..change("here", Doing::Weight, 50)
+    };
+    let beyond = Change {
+        server_site: "ard".into(),
+        id: "beyond".into(),
+        ..here.clone()
+    };
     let outside = change("outside", Doing::Out, 40);
     let merged = merge(&[here.clone(), beyond], &[outside]);
     assert_eq!(ids(&merged), ["here", "outside"]);
-    assert_eq!(merged.shadowed, [("here".to_owned(), "outside".to_owned())], "out shadows a weight");
-    let later = Change { made_in: String::new(), ..change("later", Doing::Weight, 60) };
-    assert_eq!(merge(&[here], &[later]).shadowed, [("here".to_owned(), "later".to_owned())]);
+    assert_eq!(
+        merged.shadowed,
+        [("here".to_owned(), "outside".to_owned())],
+        "out shadows a weight"
+    );
+    let later = Change {
+        made_in: String::new(),
+        ..change("later", Doing::Weight, 60)
+    };
+    assert_eq!(
+        merge(&[here], &[later]).shadowed,
+        [("here".to_owned(), "later".to_owned())]
+    );
 }
 
 fn changes() -> impl Strategy<Value = Vec<Change>> {
     let doing = prop::sample::select(vec![Doing::Weight, Doing::Out, Doing::Pin]);
-    let one = (0..6_u32, 0..2_u32, doing, 0..3_usize, 0..4_u64, 0..4_u64, any::<bool>());
-    let one = one.prop_map(|(id, subject, doing, made, changed_at, ends, removed)| Change {
-        id: id.to_string(),
-        subject: subject.to_string(),
+    let one = (
+        0..6_u32,
+        0..2_u32,
         doing,
-        made_in: ["", "moy", "ard"][made].into(),
-        changed_at,
-        ends_at: T - 1 + ends,
-        removed,
-        ..change("", doing, changed_at)
-    });
+        0..3_usize,
+        0..4_u64,
+        0..4_u64,
+        any::<bool>(),
+    );
+    let one = one.prop_map(
+        |(id, subject, doing, made, changed_at, ends, removed)| Change {
+            id: id.to_string(),
+            subject: subject.to_string(),
+            doing,
+            made_in: ["", "moy", "ard"][made].into(),
+            changed_at,
+            ends_at: T - 1 + ends,
+            removed,
+            ..change("", doing, changed_at)
+        },
+    );
     prop::collection::vec(one, 0..8)
 }
 
 fn listed_any() -> impl Strategy<Value = Vec<Listed>> {
     let ready = prop::sample::select(vec![Ready::Serving, Ready::Draining, Ready::Gone]);
-    let one =
-        (0..8_u32, ready, 0..2_u64).prop_map(|(id, ready, start)| listed(&id.to_string(), ready, 5 + start));
+    let one = (0..8_u32, ready, 0..2_u64)
+        .prop_map(|(id, ready, start)| listed(&id.to_string(), ready, 5 + start));
     prop::collection::vec(one, 0..8)
 }
 
--- a/edge/tests/servers.rs
+++ b/edge/tests/servers.rs
@@ -9,7 +9,14 @@
 const T: Millis = 1_000_000;
 
 fn known(names: &[&str]) -> Vec<Known> {
-    names.iter().map(|name| Known { server: (*name).into(), weight: 1_000, started_ms: 0 }).collect()
+    names
+        .iter()
+        .map(|name| Known {
+            server: (*name).into(),
+            weight: 1_000,
+            started_ms: 0,
+        })
+        .collect()
 }
 
 fn of(judgements: &Judgements, now: Millis) -> BTreeMap<String, Standing> {
@@ -29,12 +36,22 @@
     witness(&mut all, T, 1, "s1", Judged::Hung);
     assert_eq!(of(&all, T)["s1"].passed, None, "one time-out is little");
     witness(&mut all, T, 2, "s1", Judged::Hung);
-    assert_eq!(of(&all, T)["s1"], Standing { passed: Some(Judged::Hung), part: 0, cold_since: None });
+    assert_eq!(
+        of(&all, T)["s1"],
+        Standing {
+            passed: Some(Judged::Hung),
+            part: 0,
+            cold_since: None
+        }
+    );
     // It fades, and the part comes back in steps.
     let part = |now| of(&all, now)["s1"].part;
     let parts: Vec<u64> = (0..50).map(|second| part(T + second * 1_000)).collect();
     let first = parts.iter().position(|part| *part > 0).expect("it fades");
-    assert!(parts.is_sorted() && first < 30 && parts[first] <= 100, "{parts:?}");
+    assert!(
+        parts.is_sorted() && first < 30 && parts[first] <= 100,
+        "{parts:?}"
+    );
     assert_eq!(parts[45], 1_000);
 }
 
@@ -54,7 +71,10 @@
     for _ in 0..4 {
         all.witness(T, "n0", "s1", 0, Judged::Hung);
     }
-    assert!(of(&all, T)["s1"].passed.is_some(), "what others saw before says nothing of now");
+    assert!(
+        of(&all, T)["s1"].passed.is_some(),
+        "what others saw before says nothing of now"
+    );
     for n in 1..9 {
         all.witness(T + 500, &format!("n{n}"), "s1", 0, Judged::Well);
     }
@@ -69,11 +89,21 @@
     assert_eq!(of(&all, later)["s1"].passed, Some(Judged::Drains));
     all.witness(later, "n1", "s1", later - 1_000, Judged::Well);
     let back = &of(&all, later)["s1"];
-    assert_eq!((back.passed, back.cold_since), (None, Some(later - 1_000)), "a new start, and cold");
+    assert_eq!(
+        (back.passed, back.cold_since),
+        (None, Some(later - 1_000)),
+        "a new start, and cold"
+    );
     assert_eq!(of(&all, later + COLD)["s1"].cold_since, None);
     // Nor does anything else that was said of its former life count.
     for _ in 0..6 {
-        all.witness(T, &format!("n{}", all.iter().count()), "s2", 5, Judged::Hung);
+        all.witness(
+            T,
+            &format!("n{}", all.iter().count()),
+            "s2",
+            5,
+            Judged::Hung,
+        );
     }
     all.witness(T + 2_000, "n9", "s2", T + 1_000, Judged::Well);
     assert_eq!(of(&all, T + 2_000)["s2"].passed, None);
@@ -94,7 +124,12 @@
 #[test]
 fn at_most_half_is_passed_over_and_all_bad_is_as_all_good() {
     let mut all = Judgements::new();
-    let passed = |all: &Judgements| of(all, T).values().filter(|one| one.passed.is_some()).count();
+    let passed = |all: &Judgements| {
+        of(all, T)
+            .values()
+            .filter(|one| one.passed.is_some())
+            .count()
+    };
     let found = ["s1", "s2", "s3", "s4"].map(|server| {
         witness(&mut all, T, 3, server, Judged::Hung);
         passed(&all)
@@ -116,20 +151,27 @@
         prop::sample::select(vec![Well, Busy, Hung, Refused, Drains, Gone])
     };
     let before = prop::option::of((0..50_u64, judged(), 1..5_u32));
-    let before =
-        before.prop_map(|one| one.map(|(until_ms, judged, weight)| Before { until_ms, judged, weight }));
+    let before = before.prop_map(|one| {
+        one.map(|(until_ms, judged, weight)| Before {
+            until_ms,
+            judged,
+            weight,
+        })
+    });
     let times = (0..50_u64, 0..50_u64, 0..3_u64);
     // More processes than are kept, so that what gives way is tried too.
     (times, judged(), 1..5_u32, before, 0..3_u32, 0..90_u32).prop_map(
-        |((since_ms, witnessed_ms, started_ms), judged, weight, before, server, origin)| Judgement {
-            witnessed_ms,
-            judged,
-            weight,
-            since_ms,
-            before,
-            started_ms,
-            server: format!("s{server}"),
-            origin: format!("n{origin}"),
+        |((since_ms, witnessed_ms, started_ms), judged, weight, before, server, origin)| {
+            Judgement {
+                witnessed_ms,
+                judged,
+                weight,
+                since_ms,
+                before,
+                started_ms,
+                server: format!("s{server}"),
+                origin: format!("n{origin}"),
+            }
         },
     )
 }
--- a/edge/tests/site.rs
+++ b/edge/tests/site.rs
@@ -32,16 +32,44 @@
             share(&out),
             share(&without)
         );
-        assert_eq!((out.islanded, out.others_islanded), (per_site, 0), "all of the site, and none else");
-        let steady: Vec<u32> = (1..10).map(|minute| out.probes.get(&minute).copied().unwrap_or(0)).collect();
-        assert!(steady.iter().all(|probes| *probes <= 40), "by minute: {:?}", out.probes);
-        let moved: Vec<&String> =
-            out.moved.iter().filter(|(_, moved)| **moved > 0).map(|(name, _)| name).collect();
-        assert!(moved.iter().all(|name| ["s2", "s4"].contains(&name.as_str())), "{:?}", out.moved);
+        assert_eq!(
+            (out.islanded, out.others_islanded),
+            (per_site, 0),
+            "all of the site, and none else"
+        );
+        let steady: Vec<u32> = (1..10)
+            .map(|minute| out.probes.get(&minute).copied().unwrap_or(0))
+            .collect();
+        assert!(
+            steady.iter().all(|probes| *probes <= 40),
+            "by minute: {:?}",
+            out.probes
+        );
+        let moved: Vec<&String> = out
+            .moved
+            .iter()
+            .filter(|(_, moved)| **moved > 0)
+            .map(|(name, _)| name)
+            .collect();
+        assert!(
+            moved
+                .iter()
+                .all(|name| ["s2", "s4"].contains(&name.as_str())),
+            "{:?}",
+            out.moved
+        );
         assert!(!moved.is_empty(), "what drained unseen is emptied");
-        assert!(out.moved_at_once <= 5 + per_site / 3, "{} in a second", out.moved_at_once);
+        assert!(
+            out.moved_at_once <= 5 + per_site / 3,
+            "{} in a second",
+            out.moved_at_once
+        );
         assert_eq!(out.merged.len(), per_site, "each merges once");
-        assert!(out.herd <= per_site.div_ceil(3) + 2, "{} calls at once", out.herd);
+        assert!(
+            out.herd <= per_site.div_ceil(3) + 2,
+            "{} calls at once",
+            out.herd
+        );
         assert_eq!(out.tipped, 0);
         assert!(out.agreed);
         let first = out.merged.iter().min().copied().unwrap_or(0);
--- a/edge/tests/states.rs
+++ b/edge/tests/states.rs
@@ -14,13 +14,26 @@
     one.run(20_000, |one, _| one.all_lost());
     assert_eq!(one.states(), [Doubtful, Islanded]);
     let took = one.came(Islanded).expect("an island") - lost;
-    assert!((2_000..=6_000).contains(&took), "confirmed, and soon: {took}");
+    assert!(
+        (2_000..=6_000).contains(&took),
+        "confirmed, and soon: {took}"
+    );
     one.run(60_000, |one, _| one.all_lost());
     let back = one.now;
     one.run(10_000, |one, _| one.all_answer());
-    assert_eq!(one.states(), [Doubtful, Islanded, Rejoining], "not linked before the merge is done");
-    assert!((3_000..=5_000).contains(&(one.came(Rejoining).expect("back") - back)), "steady first");
-    assert_eq!(one.count(|action| *action == Action::Rejoin(Step::Merge)), 1);
+    assert_eq!(
+        one.states(),
+        [Doubtful, Islanded, Rejoining],
+        "not linked before the merge is done"
+    );
+    assert!(
+        (3_000..=5_000).contains(&(one.came(Rejoining).expect("back") - back)),
+        "steady first"
+    );
+    assert_eq!(
+        one.count(|action| *action == Action::Rejoin(Step::Merge)),
+        1
+    );
     one.tell(Evidence::Done(Step::Merge));
     one.run(2_000, |one, _| one.all_answer());
     assert_eq!(one.edge.state(), Linked);
@@ -35,7 +48,11 @@
             if asks {
                 one.tell(Evidence::DiscoveryFailed);
             }
-            one.sites(|name, site| Evidence::PeerHeard { name, site, both_ways: true });
+            one.sites(|name, site| Evidence::PeerHeard {
+                name,
+                site,
+                both_ways: true,
+            });
         });
         assert_eq!(one.states(), [], "sites beyond are heard");
         // Nobody else is heard of at all: a doubt, that ends, and does not come back each time.
@@ -57,10 +74,13 @@
     // Every two seconds, and every second: too short for any loss to be confirmed.
     for period in [4, 2] {
         let mut one = One::linked("n1");
-        one.run(
-            60_000,
-            |one, second| if second % period < period / 2 { one.all_lost() } else { one.all_answer() },
-        );
+        one.run(60_000, |one, second| {
+            if second % period < period / 2 {
+                one.all_lost()
+            } else {
+                one.all_answer()
+            }
+        });
         assert_eq!(one.states(), [Doubtful, Islanded], "{:?}", one.did);
         assert_eq!(one.count(|action| matches!(action, Action::Rejoin(_))), 0);
         assert!(one.probes() <= 80, "{} probes", one.probes());
@@ -76,11 +96,18 @@
     one.run(30_000, |one, _| {
         one.tell(Evidence::WatchLost);
         one.tell(Evidence::StoreFailed);
-        one.sites(|name, site| Evidence::PeerHeard { name, site, both_ways: false });
+        one.sites(|name, site| Evidence::PeerHeard {
+            name,
+            site,
+            both_ways: false,
+        });
     });
     assert_eq!(one.states(), [Doubtful, Islanded]);
     let lines = one.edge.look(one.now).lines().join("\n");
-    assert!(lines.contains("site ard was heard but does not hear"), "{lines}");
+    assert!(
+        lines.contains("site ard was heard but does not hear"),
+        "{lines}"
+    );
 }
 
 #[test]
@@ -95,7 +122,13 @@
         }
     });
     assert_eq!(one.states(), []);
-    assert!(one.edge.look(one.now).lines().iter().any(|line| line.contains("slowly: 3.5 s")));
+    assert!(
+        one.edge
+            .look(one.now)
+            .lines()
+            .iter()
+            .any(|line| line.contains("slowly: 3.5 s"))
+    );
 }
 
 #[test]
@@ -103,12 +136,20 @@
     let mut one = One::linked("n1");
     one.run(30_000, |one, _| one.all_lost());
     let confirmed_at = one.edge.look(one.now).list_ms.map(|age| one.now - age);
-    let memory = Start::Remembered { state: Islanded, confirmed_at, word: None };
+    let memory = Start::Remembered {
+        state: Islanded,
+        confirmed_at,
+        word: None,
+    };
     let mut again = One::start("n1", memory);
     again.edge = Edge::new(
         support::config("n1"),
         one.now,
-        Start::Remembered { state: Islanded, confirmed_at, word: None },
+        Start::Remembered {
+            state: Islanded,
+            confirmed_at,
+            word: None,
+        },
     );
     again.now = one.now;
     assert_eq!(again.edge.state(), Islanded, "with no evidence at all");
@@ -120,7 +161,11 @@
     assert!(!again.edge.trusted(confirmed_at.expect("known") + trust + 1));
     // A memory from the future, after the clock was set back, is not trusted at all.
     let confirmed_at = Some(again.now + 86_400_000);
-    let memory = Start::Remembered { state: Islanded, confirmed_at, word: None };
+    let memory = Start::Remembered {
+        state: Islanded,
+        confirmed_at,
+        word: None,
+    };
     assert!(!Edge::new(support::config("n1"), again.now, memory).trusted(again.now));
 }
 
@@ -128,12 +173,19 @@
 fn an_island_that_outlives_its_trust_answers_honestly_and_what_is_seen_well_goes_on() {
     let mut one = One::linked("n1");
     one.run(30_000, |one, _| one.all_lost());
-    let place = |well| Decision::Place { site: "moy".into(), listed: true, well };
+    let place = |well| Decision::Place {
+        site: "moy".into(),
+        listed: true,
+        well,
+    };
     let tenant = |read_ms| Decision::Tenant { read_ms };
     let yes = |one: &One, now, decision: &Decision| one.edge.may(now, decision) == Verdict::Yes;
     assert!(yes(&one, one.now, &place(false)) && yes(&one, one.now, &tenant(Some(60_000))));
     let later = one.now + one.edge.config().trust_for_ms;
-    assert!(!yes(&one, later, &place(false)), "nothing says that this one stands");
+    assert!(
+        !yes(&one, later, &place(false)),
+        "nothing says that this one stands"
+    );
     assert!(yes(&one, later, &place(true)) && yes(&one, later, &Decision::GoOn));
     assert!(!yes(&one, one.now, &tenant(Some(3_600_001))) && !yes(&one, one.now, &tenant(None)));
 }
@@ -146,15 +198,34 @@
         Decision::ChangeShare,
         Decision::Override { site: "ard".into() },
         Decision::EndOverride { site: "ard".into() },
-        Decision::Place { site: "moy".into(), listed: false, well: true },
-        Decision::Place { site: "ard".into(), listed: true, well: true },
+        Decision::Place {
+            site: "moy".into(),
+            listed: false,
+            well: true,
+        },
+        Decision::Place {
+            site: "ard".into(),
+            listed: true,
+            well: true,
+        },
         Decision::MoveForBalance,
         Decision::ForgetServer,
-        Decision::Ask { place: Place::Store },
+        Decision::Ask {
+            place: Place::Store,
+        },
+    ];
+    let granted = [
+        Decision::GoOn,
+        Decision::MoveOff,
+        Decision::Override { site: "moy".into() },
     ];
-    let granted = [Decision::GoOn, Decision::MoveOff, Decision::Override { site: "moy".into() }];
     let mut one = One::linked("n1");
-    assert!(refused.iter().chain(&granted).all(|what| one.edge.may(one.now, what) == Verdict::Yes));
+    assert!(
+        refused
+            .iter()
+            .chain(&granted)
+            .all(|what| one.edge.may(one.now, what) == Verdict::Yes)
+    );
     one.run(30_000, |one, _| one.all_lost());
     for what in &refused {
         let verdict = one.edge.may(one.now, what);
@@ -163,7 +234,11 @@
             "{what:?}: {verdict:?}"
         );
     }
-    assert!(granted.iter().all(|what| one.edge.may(one.now, what) == Verdict::Yes));
+    assert!(
+        granted
+            .iter()
+            .all(|what| one.edge.may(one.now, what) == Verdict::Yes)
+    );
 }
 
 #[test]
@@ -172,18 +247,30 @@
     one.run(200_000, |one, _| one.all_lost());
     one.did.clear();
     one.tell(Evidence::DiscoveryMoved);
-    let asked = Action::Probe { place: Place::Discovery };
-    assert!(one.did.contains(&(one.now, asked)), "at once: {:?}", one.did);
+    let asked = Action::Probe {
+        place: Place::Discovery,
+    };
+    assert!(
+        one.did.contains(&(one.now, asked)),
+        "at once: {:?}",
+        one.did
+    );
     // However often somebody says so.
     for _ in 0..50 {
         one.tell(Evidence::DiscoveryMoved);
         one.run(100, |_, _| {});
     }
-    assert!(one.probes() <= 12, "{} in five seconds, of two places", one.probes());
+    assert!(
+        one.probes() <= 12,
+        "{} in five seconds, of two places",
+        one.probes()
+    );
     one.tell(Evidence::DiscoveryFailed);
     one.run(20_000, |one, _| one.tell(Evidence::StoreFailed));
     assert_eq!(one.edge.state(), Islanded);
-    one.run(20_000, |one, _| one.tell(Evidence::DiscoveryAnswered { took_ms: 9 }));
+    one.run(20_000, |one, _| {
+        one.tell(Evidence::DiscoveryAnswered { took_ms: 9 })
+    });
     assert_eq!(one.edge.state(), Rejoining);
 }
 
@@ -195,10 +282,18 @@
     one.run(58_000, |one, _| one.all_answer());
     assert_eq!((one.edge.state(), one.probes()), (Islanded, 0));
     assert!(
-        one.edge.look(one.now).lines().join("\n").contains("ada says: this site is an island (cable work)")
+        one.edge
+            .look(one.now)
+            .lines()
+            .join("\n")
+            .contains("ada says: this site is an island (cable work)")
     );
     one.run(10_000, |one, _| one.all_answer());
-    assert_eq!(one.edge.state(), Rejoining, "its end is no leap: what changed is merged");
+    assert_eq!(
+        one.edge.state(),
+        Rejoining,
+        "its end is no leap: what changed is merged"
+    );
     one.tell(Evidence::Done(Step::Merge));
     one.run(60_000, |one, _| one.all_answer());
     assert_eq!(one.edge.state(), Linked);
@@ -211,7 +306,11 @@
     one.word(Force::Linked, 60_000);
     assert_eq!(one.edge.state(), Rejoining);
     one.run(31_000, |one, _| one.all_lost());
-    assert_eq!(one.edge.state(), Linked, "after its bound, though no list came");
+    assert_eq!(
+        one.edge.state(),
+        Linked,
+        "after its bound, though no list came"
+    );
     one.word(Force::Automatic, 60_000);
     one.run(30_000, |one, _| one.all_lost());
     assert_eq!(one.edge.state(), Islanded, "taken back before its end");
@@ -242,7 +341,11 @@
     one.tell(Evidence::Tick);
     let said = one.count(|action| matches!(action, Action::Say(text) if text.contains("for 15 s")));
     assert_eq!(said, 1);
-    assert_eq!(one.edge.look(one.now).odds, -20, "what was seen before says nothing");
+    assert_eq!(
+        one.edge.look(one.now).odds,
+        -20,
+        "what was seen before says nothing"
+    );
     one.run(60_000, |one, _| one.all_answer());
     assert_eq!(one.states(), [Doubtful, Linked]);
 }
@@ -263,9 +366,17 @@
         near.tell(Evidence::PeerSays(there));
         far.run(1_000, |one, _| one.all_lost());
     }
-    assert_eq!((near.edge.state(), far.edge.state()), (Linked, Islanded), "a word alone changes neither");
+    assert_eq!(
+        (near.edge.state(), far.edge.state()),
+        (Linked, Islanded),
+        "a word alone changes neither"
+    );
     assert!(far.edge.look(far.now).alone);
-    assert!((1..=25).contains(&far.probes()), "asked {} times in two minutes", far.probes());
+    assert!(
+        (1..=25).contains(&far.probes()),
+        "asked {} times in two minutes",
+        far.probes()
+    );
     far.run(30_000, |one, _| one.all_answer());
     assert_eq!(far.edge.state(), Rejoining);
 }
@@ -282,7 +393,13 @@
     assert_eq!(far.edge.state(), Islanded, "in the end by its own evidence");
     let came = far.came(Islanded).expect("islanded") - far.came(Doubtful).expect("in doubt");
     assert!(came >= 20_000, "not before its patience is over: {came}");
-    assert!(far.edge.look(far.now).lines().join("\n").contains("this process alone is cut off"));
+    assert!(
+        far.edge
+            .look(far.now)
+            .lines()
+            .join("\n")
+            .contains("this process alone is cut off")
+    );
 }
 
 #[test]
@@ -309,14 +426,21 @@
     one.run(20_000, |one, _| one.all_lost());
     assert_eq!(one.edge.state(), Islanded);
     // Those before it have asked, so that it waits; then nothing is heard of them any more.
-    let probes: Vec<(Place, u32, Millis)> =
-        [Place::Discovery, Place::Store].map(|place| (place, 9, 0)).to_vec();
+    let probes: Vec<(Place, u32, Millis)> = [Place::Discovery, Place::Store]
+        .map(|place| (place, 9, 0))
+        .to_vec();
     let peers = ["n1", "n3", "n4", "n5", "n6"];
     for _ in 0..30 {
         for name in peers {
             let (site, probes) = ("moy".into(), probes.clone());
-            let says =
-                Says { name: name.into(), site, state: Islanded, places: Vec::new(), probes, word: None };
+            let says = Says {
+                name: name.into(),
+                site,
+                state: Islanded,
+                places: Vec::new(),
+                probes,
+                word: None,
+            };
             one.tell(Evidence::PeerSays(says));
         }
         one.run(1_000, |one, _| one.all_lost());
@@ -329,9 +453,15 @@
     let silent = one.now;
     one.run(30_000, |one, _| one.all_lost());
     assert!(asked(&one) >= 1, "nobody else does");
-    let first =
-        one.did.iter().find(|(_, action)| matches!(action, Action::Probe { .. })).map(|(at, _)| at - silent);
-    assert!(first.is_some_and(|after| after >= 2_000), "not before the others must have: {first:?}");
+    let first = one
+        .did
+        .iter()
+        .find(|(_, action)| matches!(action, Action::Probe { .. }))
+        .map(|(at, _)| at - silent);
+    assert!(
+        first.is_some_and(|after| after >= 2_000),
+        "not before the others must have: {first:?}"
+    );
 }
 
 #[test]
@@ -354,8 +484,12 @@
         moves_per_s: f64::NAN,
         ..sound
     };
-    let mut named: Vec<&str> =
-        wrong.check().expect_err("all of it").iter().map(|fault| fault.field).collect();
+    let mut named: Vec<&str> = wrong
+        .check()
+        .expect_err("all of it")
+        .iter()
+        .map(|fault| fault.field)
+        .collect();
     named.dedup();
     let expected = "site name processes fresh steady slow trust_for tenants_for damp_cap patience rejoin probe_cap \
                     spread moves_per_s";
@@ -367,7 +501,11 @@
     let mut one = One::linked("n1");
     one.run(8_000, |one, second| {
         one.tell(Evidence::WatchLost);
-        one.tell(if second < 7 { Evidence::Tick } else { Evidence::StoreFailed });
+        one.tell(if second < 7 {
+            Evidence::Tick
+        } else {
+            Evidence::StoreFailed
+        });
     });
     assert_eq!(one.states(), [Doubtful]);
     // All is lost for half a second.
@@ -388,10 +526,17 @@
         }
         one.tell(Evidence::Done(Step::Merge));
     });
-    let at: Vec<Millis> =
-        one.did.iter().filter(|(_, did)| matches!(did, Action::State { .. })).map(|(at, _)| *at).collect();
+    let at: Vec<Millis> = one
+        .did
+        .iter()
+        .filter(|(_, did)| matches!(did, Action::State { .. }))
+        .map(|(at, _)| *at)
+        .collect();
     assert!(at.len() > 3, "it is not left unseen: {at:?}");
-    assert!(at.windows(8).all(|window| window[7] - window[0] >= 60_000), "{at:?}");
+    assert!(
+        at.windows(8).all(|window| window[7] - window[0] >= 60_000),
+        "{at:?}"
+    );
 }
 
 #[test]
@@ -400,10 +545,18 @@
     one.run(30_000, |one, _| one.all_lost());
     let later = one.now + 5 * 3_600_000;
     assert!(!one.edge.trusted(later));
-    one.edge.set_up(Config { trust_for_ms: 6 * 3_600_000, site: "ard".into(), ..support::config("n9") });
+    one.edge.set_up(Config {
+        trust_for_ms: 6 * 3_600_000,
+        site: "ard".into(),
+        ..support::config("n9")
+    });
     assert!(one.edge.trusted(later));
     assert_eq!(
-        (one.edge.state(), one.says().name.as_str(), one.says().site.as_str()),
+        (
+            one.edge.state(),
+            one.says().name.as_str(),
+            one.says().site.as_str()
+        ),
         (Islanded, "n1", "moy")
     );
 }
@@ -414,10 +567,18 @@
     one.run(30_000, |one, _| one.all_lost());
     one.run(12_000, |one, _| one.all_answer());
     one.run(60_000, |one, _| one.all_lost());
-    let sites =
-        |one: &mut One, _| one.sites(|name, site| Evidence::PeerHeard { name, site, both_ways: true });
+    let sites = |one: &mut One, _| {
+        one.sites(|name, site| Evidence::PeerHeard {
+            name,
+            site,
+            both_ways: true,
+        })
+    };
     one.run(10_000, sites);
-    assert_eq!(one.states(), [Doubtful, Islanded, Rejoining, Islanded, Rejoining]);
+    assert_eq!(
+        one.states(),
+        [Doubtful, Islanded, Rejoining, Islanded, Rejoining]
+    );
     one.tell(Evidence::Done(Step::Merge));
     one.run(10_000, sites);
     assert_eq!(one.edge.state(), Rejoining, "no list has come since");
@@ -426,13 +587,20 @@
 #[test]
 fn processes_that_rejoin_in_one_moment_ask_one_after_the_other() {
     let asks = |n: u64| {
-        let config = Config { seed: n, processes: 90, ..support::config(&format!("n{n}")) };
+        let config = Config {
+            seed: n,
+            processes: 90,
+            ..support::config(&format!("n{n}"))
+        };
         let mut one = One::linked("n1");
         one.edge = Edge::new(config, one.now, Start::Anew);
         one.word(Force::Island, 1_000);
         one.run(6_000, |one, _| one.all_answer());
         let of = |(_, action): &(Millis, Action)| match action {
-            Action::Rejoin(Step::Ask { place: Place::Discovery, in_ms }) => Some(*in_ms),
+            Action::Rejoin(Step::Ask {
+                place: Place::Discovery,
+                in_ms,
+            }) => Some(*in_ms),
             _ => None,
         };
         one.did.iter().find_map(of).expect("it asks for the list")
@@ -440,5 +608,8 @@
     let mut all: Vec<Millis> = (0..30).map(asks).collect();
     all.sort_unstable();
     assert!(all[29] <= 900 && all[29] - all[0] >= 450, "{all:?}");
-    assert!(all.windows(10).all(|ten| ten[9] - ten[0] >= 90), "ten of thirty at once: {all:?}");
+    assert!(
+        all.windows(10).all(|ten| ten[9] - ten[0] >= 90),
+        "ten of thirty at once: {all:?}"
+    );
 }
--- a/edge/tests/support/mod.rs
+++ b/edge/tests/support/mod.rs
@@ -9,8 +9,13 @@
 
 /// A configuration of the site `moy`.
 pub fn config(name: &str) -> Config {
-    let config =
-        Config { site: "moy".into(), name: name.into(), seed: 7, processes: 15, ..Config::default() };
+    let config = Config {
+        site: "moy".into(),
+        name: name.into(),
+        seed: 7,
+        processes: 15,
+        ..Config::default()
+    };
     assert_eq!(config.check(), Ok(()));
     config
 }
@@ -25,7 +30,11 @@
 impl One {
     pub fn start(name: &str, start: Start) -> One {
         let now = 1_000_000;
-        One { edge: Edge::new(config(name), now, start), now, did: Vec::new() }
+        One {
+            edge: Edge::new(config(name), now, start),
+            now,
+            did: Vec::new(),
+        }
     }
 
     /// One that has been linked for two minutes.
@@ -40,7 +49,8 @@
     pub fn tell(&mut self, evidence: Evidence) {
         let mut actions = Vec::new();
         self.edge.handle(self.now, evidence, &mut actions);
-        self.did.extend(actions.into_iter().map(|action| (self.now, action)));
+        self.did
+            .extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
     /// Lets time pass; each second the evidence comes, with the number of the second.
@@ -58,7 +68,11 @@
     pub fn all_answer(&mut self) {
         self.tell(Evidence::WatchStands);
         self.tell(Evidence::StoreAnswered { took_ms: 5 });
-        self.sites(|name, site| Evidence::PeerHeard { name, site, both_ways: true });
+        self.sites(|name, site| Evidence::PeerHeard {
+            name,
+            site,
+            both_ways: true,
+        });
     }
 
     /// Nothing beyond the link does.
@@ -93,7 +107,10 @@
     /// When it first came to a state.
     pub fn came(&self, state: State) -> Option<Millis> {
         let came = |action: &Action| matches!(action, Action::State { to, .. } if *to == state);
-        self.did.iter().find(|(_, action)| came(action)).map(|(at, _)| *at)
+        self.did
+            .iter()
+            .find(|(_, action)| came(action))
+            .map(|(at, _)| *at)
     }
 
     pub fn says(&self) -> Says {
--- a/faults/src/address.rs
+++ b/faults/src/address.rs
@@ -36,8 +36,15 @@
 impl Default for ReservedAddress {
     fn default() -> ReservedAddress {
         let keeper = bound(listening());
-        let at = keeper.local_addr().ok().and_then(|at| at.as_socket()).expect("bound");
-        ReservedAddress { at, _keeper: keeper }
+        let at = keeper
+            .local_addr()
+            .ok()
+            .and_then(|at| at.as_socket())
+            .expect("bound");
+        ReservedAddress {
+            at,
+            _keeper: keeper,
+        }
     }
 }
 
@@ -45,7 +52,9 @@
     /// Listens there.
     pub fn listen(&self, backlog: i32) -> TcpListener {
         let socket = bound(self.at);
-        socket.listen(backlog).unwrap_or_else(|error| panic!("{}: {error}", self.at));
+        socket
+            .listen(backlog)
+            .unwrap_or_else(|error| panic!("{}: {error}", self.at));
         socket.into()
     }
 }
@@ -53,6 +62,8 @@
 fn bound(at: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_reuse_address(true).expect("open");
-    socket.bind(&at.into()).unwrap_or_else(|error| panic!("{at}: {error}"));
+    socket
+        .bind(&at.into())
+        .unwrap_or_else(|error| panic!("{at}: {error}"));
     socket
 }
--- a/faults/src/checker.rs
+++ b/faults/src/checker.rs
@@ -57,7 +57,12 @@
 impl fmt::Display for Checked {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for Breach { rule, at, why } in &self.breaches {
-            writeln!(f, "{rule:?} broken at {:.3} s (seed {}): {why}", at.as_secs_f64(), self.seed)?;
+            writeln!(
+                f,
+                "{rule:?} broken at {:.3} s (seed {}): {why}",
+                at.as_secs_f64(),
+                self.seed
+            )?;
         }
         Ok(())
     }
@@ -66,9 +71,15 @@
 impl Checked {
     /// Fails the story where a rule was broken, or where nothing was asked that could have broken one.
     pub fn kept(&self) {
-        println!("{} asked, {} served, {} attempts: {:?}", self.asked, self.served, self.attempts, self.ends);
+        println!(
+            "{} asked, {} served, {} attempts: {:?}",
+            self.asked, self.served, self.attempts, self.ends
+        );
         assert!(self.breaches.is_empty(), "{self}");
-        assert!(self.asked > 0 && self.attempts > 0, "nothing happened: {self:?}");
+        assert!(
+            self.asked > 0 && self.attempts > 0,
+            "nothing happened: {self:?}"
+        );
     }
 }
 
@@ -106,25 +117,40 @@
         let mut troubles = Troubles::default();
         for Event { at, what } in events {
             match what {
-                What::Link { link, fault: Fault::Heal | Fault::HealWithReset, .. } => {
-                    troubles.ends(link, *at)
-                }
-                What::Link { link, fault: Fault::Reset, .. } => {
+                What::Link {
+                    link,
+                    fault: Fault::Heal | Fault::HealWithReset,
+                    ..
+                } => troubles.ends(link, *at),
+                What::Link {
+                    link,
+                    fault: Fault::Reset,
+                    ..
+                } => {
                     troubles.begins(link, *at);
                     troubles.ends(link, *at);
                 }
                 What::Link { link, .. } => troubles.begins(link, *at),
-                What::Process { process, did: Did::Killed | Did::Stopped | Did::Ended(_) } => {
+                What::Process {
+                    process,
+                    did: Did::Killed | Did::Stopped | Did::Ended(_),
+                } => {
                     troubles.begins(process, *at);
                 }
-                What::Process { process, did: Did::Started | Did::Continued } => troubles.ends(process, *at),
+                What::Process {
+                    process,
+                    did: Did::Started | Did::Continued,
+                } => troubles.ends(process, *at),
                 What::Server {
                     server,
                     did: ServerDid::Killed | ServerDid::Hangs | ServerDid::Tipped { .. },
                 } => {
                     troubles.begins(server, *at);
                 }
-                What::Server { server, did: ServerDid::Started { .. } | ServerDid::Recovers } => {
+                What::Server {
+                    server,
+                    did: ServerDid::Started { .. } | ServerDid::Recovers,
+                } => {
                     troubles.ends(server, *at);
                 }
                 _ => {}
@@ -177,7 +203,11 @@
     /// Checks all that a record holds.
     pub fn check(&self, record: &Record, seed: u64) -> Checked {
         let events = record.ordered();
-        let mut check = Check { rules: self, troubles: Troubles::of(&events), breaches: Vec::new() };
+        let mut check = Check {
+            rules: self,
+            troubles: Troubles::of(&events),
+            breaches: Vec::new(),
+        };
         check.answers(&events);
         check.overlaps(&events);
         check.drains(&events);
@@ -197,8 +227,24 @@
             seed,
             ends,
             breaches,
-            asked: count(|what| matches!(what, What::Client { did: ClientDid::Asked(_), .. })),
-            served: count(|what| matches!(what, What::Client { did: ClientDid::Stands(_), .. })),
+            asked: count(|what| {
+                matches!(
+                    what,
+                    What::Client {
+                        did: ClientDid::Asked(_),
+                        ..
+                    }
+                )
+            }),
+            served: count(|what| {
+                matches!(
+                    what,
+                    What::Client {
+                        did: ClientDid::Stands(_),
+                        ..
+                    }
+                )
+            }),
             attempts: count(|what| matches!(what, What::Attempt { .. })),
         }
     }
@@ -210,9 +256,20 @@
         let mut answered = BTreeSet::new();
         let last = events.last().map_or(Moment::ZERO, |event| event.at);
         for Event { at, what } in events {
-            let What::Client { client, id, process, did } = what else { continue };
+            let What::Client {
+                client,
+                id,
+                process,
+                did,
+            } = what
+            else {
+                continue;
+            };
             let door = format!("clients>{process}");
-            let excused = |from| self.troubles.touch(&[process, &door], (from, *at), self.rules.late);
+            let excused = |from| {
+                self.troubles
+                    .touch(&[process, &door], (from, *at), self.rules.late)
+            };
             match did {
                 ClientDid::Asked(waits) => {
                     open.insert(id, (*at, *at + *waits + self.rules.late));
@@ -263,7 +320,10 @@
                 _ => {}
             }
         }
-        let never: Vec<_> = open.into_iter().filter(|(_, (_, until))| last > *until).collect();
+        let never: Vec<_> = open
+            .into_iter()
+            .filter(|(_, (_, until))| last > *until)
+            .collect();
         for (id, (_, until)) in never {
             self.breach(Rule::Answer, until, format!("{id}: never answered"));
         }
@@ -278,18 +338,34 @@
         let mut out: BTreeMap<&str, Vec<Out<'_>>> = BTreeMap::new();
         for Event { at, what } in events {
             match what {
-                What::Attempt { number, balancer, server, id, .. } => {
+                What::Attempt {
+                    number,
+                    balancer,
+                    server,
+                    id,
+                    ..
+                } => {
                     let others = out.entry(id).or_default();
                     if let Some(other) = others.first() {
-                        let why =
-                            format!("{id}: {balancer} sent it to {server} while it was out at {}", other.at);
-                        self.breaches.push(Breach { rule: Rule::Overlap, at: *at, why });
+                        let why = format!(
+                            "{id}: {balancer} sent it to {server} while it was out at {}",
+                            other.at
+                        );
+                        self.breaches.push(Breach {
+                            rule: Rule::Overlap,
+                            at: *at,
+                            why,
+                        });
                     }
-                    others.push(Out { number: *number, at: server });
+                    others.push(Out {
+                        number: *number,
+                        at: server,
+                    });
                 }
                 // What stands was served: the same request anywhere else is a second copy.
                 What::AttemptOver { number, how } if !how.starts_with("UP") => {
-                    out.values_mut().for_each(|others| others.retain(|other| other.number != *number));
+                    out.values_mut()
+                        .for_each(|others| others.retain(|other| other.number != *number));
                 }
                 _ => {}
             }
@@ -300,9 +376,10 @@
         let mut told: BTreeMap<(&str, &str), Moment> = BTreeMap::new();
         for Event { at, what } in events {
             match what {
-                What::Process { process, did: Did::Started } => {
-                    told.retain(|(balancer, _), _| balancer != process)
-                }
+                What::Process {
+                    process,
+                    did: Did::Started,
+                } => told.retain(|(balancer, _), _| balancer != process),
                 What::Told { balancer, rows, .. } => {
                     for row in rows {
                         let key = (balancer.as_str(), row.server.as_str());
@@ -313,14 +390,26 @@
                         }
                     }
                 }
-                What::Attempt { balancer, server, id, begun, .. } => {
-                    let Some(since) = told.get(&(balancer.as_str(), server.as_str())) else { continue };
+                What::Attempt {
+                    balancer,
+                    server,
+                    id,
+                    begun,
+                    ..
+                } => {
+                    let Some(since) = told.get(&(balancer.as_str(), server.as_str())) else {
+                        continue;
+                    };
                     if *begun > *since + self.rules.grace {
                         let late = (*begun - *since).as_millis();
                         let why = format!(
                             "{balancer} sent {id} to {server} {late} ms after it was told that it drains"
                         );
-                        self.breaches.push(Breach { rule: Rule::Drain, at: *begun, why });
+                        self.breaches.push(Breach {
+                            rule: Rule::Drain,
+                            at: *begun,
+                            why,
+                        });
                     }
                 }
                 _ => {}
@@ -331,15 +420,35 @@
     fn connections(&mut self, events: &[Event]) {
         let mut stays: BTreeMap<&str, Stay> = BTreeMap::new();
         for Event { at, what } in events {
-            let What::Client { client, id, process, did } = what else { continue };
+            let What::Client {
+                client,
+                id,
+                process,
+                did,
+            } = what
+            else {
+                continue;
+            };
             if let ClientDid::Stands(server) = did {
-                stays.insert(id, Stay { server: server.clone(), moved: false });
+                stays.insert(
+                    id,
+                    Stay {
+                        server: server.clone(),
+                        moved: false,
+                    },
+                );
                 continue;
             }
-            let Some(stay) = stays.get_mut(id.as_str()) else { continue };
-            let links = [format!("clients>{process}"), format!("{process}>{}", stay.server)];
+            let Some(stay) = stays.get_mut(id.as_str()) else {
+                continue;
+            };
+            let links = [
+                format!("clients>{process}"),
+                format!("{process}>{}", stay.server),
+            ];
             let who = [process.as_str(), &stay.server, &links[0], &links[1]];
-            let excused = |from: Moment| self.troubles.touch(&who, (from, *at), self.rules.aftermath);
+            let excused =
+                |from: Moment| self.troubles.touch(&who, (from, *at), self.rules.aftermath);
             let breach = match did {
                 ClientDid::Moved => {
                     stay.moved = true;
@@ -347,13 +456,22 @@
                 }
                 ClientDid::Ended(_) if !stay.moved && !excused(*at) => Some((
                     Rule::CutOff,
-                    format!("{client} ({id}) at {process} was cut off from {}", stay.server),
+                    format!(
+                        "{client} ({id}) at {process} was cut off from {}",
+                        stay.server
+                    ),
                 )),
                 ClientDid::Heard(took) | ClientDid::Unheard(took)
                     if *took > self.rules.held && !excused(at.saturating_sub(*took)) =>
                 {
                     let took = took.as_millis();
-                    Some((Rule::Line, format!("{client} ({id}) at {process} and {}: {took} ms", stay.server)))
+                    Some((
+                        Rule::Line,
+                        format!(
+                            "{client} ({id}) at {process} and {}: {took} ms",
+                            stay.server
+                        ),
+                    ))
                 }
                 _ => None,
             };
@@ -366,14 +484,20 @@
     fn rest(&mut self, events: &[Event]) {
         for Event { at, what } in events {
             match what {
-                What::Server { server, did: ServerDid::Tipped { came, bears } } => {
+                What::Server {
+                    server,
+                    did: ServerDid::Tipped { came, bears },
+                } => {
                     self.breach(
                         Rule::Cold,
                         *at,
                         format!("{server} got {came} set-ups where it bears {bears}"),
                     );
                 }
-                What::Process { process, did: Did::Ended(false) } => {
+                What::Process {
+                    process,
+                    did: Did::Ended(false),
+                } => {
                     self.breach(Rule::Crash, *at, format!("{process} ended in disorder"));
                 }
                 What::Log { process, line } if line.to_string().contains("panicked") => {
--- a/faults/src/client.rs
+++ b/faults/src/client.rs
@@ -43,12 +43,22 @@
     pub fn new(key: &str, class: &str, tenant: &str) -> Plan {
         let (key, class, tenant) = (key.to_owned(), class.to_owned(), tenant.to_owned());
         let (waits, every) = (Duration::from_millis(2_500), Duration::from_millis(500));
-        Plan { group: Some(key.clone()), key, class, tenant, waits, every }
+        Plan {
+            group: Some(key.clone()),
+            key,
+            class,
+            tenant,
+            waits,
+            every,
+        }
     }
 
     /// The same of no group.
     pub fn alone(key: &str, class: &str, tenant: &str) -> Plan {
-        Plan { group: None, ..Plan::new(key, class, tenant) }
+        Plan {
+            group: None,
+            ..Plan::new(key, class, tenant)
+        }
     }
 }
 
@@ -60,7 +70,13 @@
 
 impl Client {
     /// Starts it.
-    pub fn start(plan: Plan, front: &Front, record: &Record, ids: &Arc<AtomicU64>, seed: u64) -> Client {
+    pub fn start(
+        plan: Plan,
+        front: &Front,
+        record: &Record,
+        ids: &Arc<AtomicU64>,
+        seed: u64,
+    ) -> Client {
         let over = Arc::new(AtomicBool::new(false));
         let life = Life {
             plan,
@@ -73,9 +89,14 @@
             id: String::new(),
             process: String::new(),
         };
-        let thread =
-            std::thread::Builder::new().stack_size(STACK).spawn(move || life.run()).expect("a thread");
-        Client { over, thread: Some(thread) }
+        let thread = std::thread::Builder::new()
+            .stack_size(STACK)
+            .spawn(move || life.run())
+            .expect("a thread");
+        Client {
+            over,
+            thread: Some(thread),
+        }
     }
 
     /// Has it end its connection and come no more; does not wait for it.
@@ -148,7 +169,12 @@
 
     fn note(&self, did: ClientDid) {
         let (client, id, process) = (self.plan.key.clone(), self.id.clone(), self.process.clone());
-        self.record.note(What::Client { client, id, process, did });
+        self.record.note(What::Client {
+            client,
+            id,
+            process,
+            did,
+        });
     }
 
     /// Comes again for as long as it is wanted.
@@ -194,7 +220,9 @@
                         return self.stand(&mut lines);
                     }
                     // Who is told when to come comes then, and a little later: nobody's clock is that good.
-                    let told = line.strip_prefix("BUSY ").and_then(|millis| millis.parse().ok());
+                    let told = line
+                        .strip_prefix("BUSY ")
+                        .and_then(|millis| millis.parse().ok());
                     let late = self.chance.random_range(1.0..1.1);
                     let told = told.map(|millis| Duration::from_millis(millis).mul_f64(late));
                     return told.unwrap_or_else(|| self.about(Duration::from_millis(200)));
@@ -216,12 +244,29 @@
         let mut stream = TcpStream::connect_timeout(&at, self.plan.waits)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(SLICE))?;
-        let Plan { key, group, class, tenant, waits, .. } = &self.plan;
+        let Plan {
+            key,
+            group,
+            class,
+            tenant,
+            waits,
+            ..
+        } = &self.plan;
         let again = if self.again { ",again=1" } else { "" };
-        let (wait, group) = (waits.as_millis(), group.as_ref().map(|group| format!(",g={group}")));
+        let (wait, group) = (
+            waits.as_millis(),
+            group.as_ref().map(|group| format!(",g={group}")),
+        );
         let group = group.unwrap_or_default();
-        write!(stream, "OPEN {} {key} c={class},t={tenant},d={wait}{group}{again}\r\n", self.id)?;
-        Ok(Lines { reader: BufReader::new(stream), partial: Vec::new() })
+        write!(
+            stream,
+            "OPEN {} {key} c={class},t={tenant},d={wait}{group}{again}\r\n",
+            self.id
+        )?;
+        Ok(Lines {
+            reader: BufReader::new(stream),
+            partial: Vec::new(),
+        })
     }
 
     /// Speaks lines until the connection ends.
@@ -257,8 +302,9 @@
                     return soon;
                 }
                 Heard::Nothing => {
-                    if let Some(waited) =
-                        sent.map(|sent| sent.elapsed()).filter(|waited| !told && *waited > HELD)
+                    if let Some(waited) = sent
+                        .map(|sent| sent.elapsed())
+                        .filter(|waited| !told && *waited > HELD)
                     {
                         told = true;
                         self.note(ClientDid::Unheard(waited));
--- a/faults/src/discovery.rs
+++ b/faults/src/discovery.rs
@@ -105,7 +105,11 @@
                 std::thread::spawn(move || serve(&stream, from.ip(), &shared));
             }
         });
-        Discovery { at, record: record.clone(), shared }
+        Discovery {
+            at,
+            record: record.clone(),
+            shared,
+        }
     }
 
     fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
@@ -119,7 +123,9 @@
         self.change(|state| {
             state.parties.insert(from, balancer.to_owned());
             for (server, at) in places {
-                state.places.insert((balancer.to_owned(), server.clone()), *at);
+                state
+                    .places
+                    .insert((balancer.to_owned(), server.clone()), *at);
             }
         });
     }
@@ -128,7 +134,9 @@
     pub fn list(&self, listed: Listed) -> u64 {
         self.change(|state| {
             state.generation += 1;
-            state.rows.insert(listed.name.clone(), (state.generation, listed));
+            state
+                .rows
+                .insert(listed.name.clone(), (state.generation, listed));
             state.generation
         })
     }
@@ -142,7 +150,12 @@
     /// How a server is listed.
     pub fn row(&self, server: &str) -> Listed {
         let state = lock(&self.shared.0);
-        state.rows.get(server).unwrap_or_else(|| panic!("{server} is not listed")).1.clone()
+        state
+            .rows
+            .get(server)
+            .unwrap_or_else(|| panic!("{server} is not listed"))
+            .1
+            .clone()
     }
 
     /// The present list as a balancer is given it.
@@ -161,8 +174,13 @@
         self.change(|state| {
             state.life += 1;
             state.generation = 1;
-            state.rows.values_mut().for_each(|(version, _)| *version = 1);
-            state.rows.retain(|_, (_, row)| row.lifecycle != Lifecycle::Deleted);
+            state
+                .rows
+                .values_mut()
+                .for_each(|(version, _)| *version = 1);
+            state
+                .rows
+                .retain(|_, (_, row)| row.lifecycle != Lifecycle::Deleted);
             state.end_watches();
         });
     }
@@ -199,7 +217,11 @@
     fn changes(&self, balancer: &str, since: u64) -> Value {
         let whole = since == 0 || since > self.generation;
         let rows = self.rows.values().filter(|(version, row)| {
-            if whole { row.lifecycle != Lifecycle::Deleted } else { *version > since }
+            if whole {
+                row.lifecycle != Lifecycle::Deleted
+            } else {
+                *version > since
+            }
         });
         let row = |(_, row): &(u64, Listed)| {
             json!({
@@ -221,9 +243,17 @@
 
 /// A list on the wire of a watch.
 fn written(list: &Value, style: Style) -> Vec<u8> {
-    let text = if style.indented { serde_json::to_string_pretty(list) } else { serde_json::to_string(list) };
+    let text = if style.indented {
+        serde_json::to_string_pretty(list)
+    } else {
+        serde_json::to_string(list)
+    };
     let text = text.expect("a list") + "\n";
-    let size = if style.chunk == 0 { text.len() } else { style.chunk };
+    let size = if style.chunk == 0 {
+        text.len()
+    } else {
+        style.chunk
+    };
     text.as_bytes().chunks(size).flat_map(chunk).collect()
 }
 
@@ -242,7 +272,11 @@
     let Some(after) = target.strip_prefix("/api/targets?watch=1&from=") else {
         let list = held.changes(&balancer, 0).to_string();
         drop(held);
-        let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let _ = write!(
+            stream,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+            list.len()
+        );
         return;
     };
     let mut since: u64 = after.parse().unwrap_or(0);
@@ -267,7 +301,10 @@
         words.clear();
         held = lock(state);
         if held.generation == since {
-            held = changed.wait_timeout(held, BEAT).unwrap_or_else(PoisonError::into_inner).0;
+            held = changed
+                .wait_timeout(held, BEAT)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
         if held.down || held.life != life {
             held.streams.remove(&number);
--- a/faults/src/fault.rs
+++ b/faults/src/fault.rs
@@ -19,7 +19,10 @@
 impl Way {
     /// Whether it covers a direction: 0 is there, 1 is back.
     pub fn covers(self, direction: usize) -> bool {
-        matches!((self, direction), (Way::Both, _) | (Way::There, 0) | (Way::Back, 1))
+        matches!(
+            (self, direction),
+            (Way::Both, _) | (Way::There, 0) | (Way::Back, 1)
+        )
     }
 }
 
@@ -88,7 +91,11 @@
     /// Adds a line.
     #[must_use]
     pub fn then(mut self, after: Duration, link: &str, fault: Fault) -> Script {
-        self.0.push(Line { after, link: link.to_owned(), fault });
+        self.0.push(Line {
+            after,
+            link: link.to_owned(),
+            fault,
+        });
         self.0.sort_by_key(|line| line.after);
         self
     }
@@ -112,7 +119,9 @@
                 _ => Fault::Reset,
             };
             let heals = [Fault::Heal, Fault::HealWithReset][chance.random_range(0..2)];
-            script = script.then(begins, link, fault).then(begins + lasts, link, heals);
+            script = script
+                .then(begins, link, fault)
+                .then(begins + lasts, link, heals);
         }
         script
     }
--- a/faults/src/fault/tests.rs
+++ b/faults/src/fault/tests.rs
@@ -9,7 +9,13 @@
     let Script(lines) = script(7);
     assert!(lines.is_sorted_by_key(|line| line.after));
     for link in &links {
-        let last = lines.iter().rfind(|line| &line.link == link).expect("both links are used");
-        assert!(matches!(last.fault, Fault::Heal | Fault::HealWithReset), "{last:?}");
+        let last = lines
+            .iter()
+            .rfind(|line| &line.link == link)
+            .expect("both links are used");
+        assert!(
+            matches!(last.fault, Fault::Heal | Fault::HealWithReset),
+            "{last:?}"
+        );
     }
 }
--- a/faults/src/fleet.rs
+++ b/faults/src/fleet.rs
@@ -65,8 +65,18 @@
         let ids = Arc::new(AtomicU64::new(1));
         let balancers = Vec::new();
         let (clients, shared) = (BTreeMap::new(), process::folder());
-        let mut fleet =
-            Fleet { record, net, discovery, servers, balancers, front, clients, shape, ids, shared };
+        let mut fleet = Fleet {
+            record,
+            net,
+            discovery,
+            servers,
+            balancers,
+            front,
+            clients,
+            shape,
+            ids,
+            shared,
+        };
         let attempts = Arc::new(AtomicU64::new(1));
         for rank in 0..fleet.shape.balancers {
             let balancer = fleet.balancer(rank, &attempts);
@@ -83,7 +93,9 @@
     pub fn learn(&mut self, which: &[usize]) {
         for &number in which {
             let platform = self.platform(&self.balancers[number]);
-            self.balancers[number].process.configure(Some(platform), None);
+            self.balancers[number]
+                .process
+                .configure(Some(platform), None);
         }
     }
 
@@ -91,7 +103,8 @@
     pub fn start(&mut self, which: &[usize], disk: Disk) {
         for &number in which {
             let balancer = &mut self.balancers[number];
-            self.net.fault(&format!("clients>{}", balancer.name), Fault::Heal);
+            self.net
+                .fault(&format!("clients>{}", balancer.name), Fault::Heal);
             balancer.process.start(disk);
         }
     }
@@ -114,7 +127,8 @@
         for &number in which {
             let balancer = &mut self.balancers[number];
             balancer.process.ends();
-            self.net.fault(&format!("clients>{}", balancer.name), Fault::Refuse);
+            self.net
+                .fault(&format!("clients>{}", balancer.name), Fault::Refuse);
         }
     }
 
@@ -122,16 +136,24 @@
     pub fn configure(&mut self, number: usize, version: Version) {
         self.balancers[number].version = version;
         let platform = self.platform(&self.balancers[number]);
-        self.balancers[number].process.configure(Some(platform), None);
+        self.balancers[number]
+            .process
+            .configure(Some(platform), None);
         self.write_operator(number);
     }
 
     /// Rolls a version out to a process: it is told to leave, ends in order, and starts anew with it.
     pub fn roll(&mut self, number: usize, version: Version) {
-        let begun = self.record.step(&format!("b{number} is rolled to {version:?}"));
+        let begun = self
+            .record
+            .step(&format!("b{number} is rolled to {version:?}"));
         let balancer = &mut self.balancers[number];
         balancer.process.tell_to_leave();
-        assert!(balancer.process.ends(), "b{number} ended in disorder; {}", self.record.tail());
+        assert!(
+            balancer.process.ends(),
+            "b{number} ended in disorder; {}",
+            self.record.tail()
+        );
         self.net.fault(&format!("clients>b{number}"), Fault::Refuse);
         self.configure(number, version);
         self.start(&[number], Disk::Kept);
@@ -146,7 +168,10 @@
     /// Starts clients.
     pub fn clients(&mut self, plans: impl IntoIterator<Item = Plan>) {
         for plan in plans {
-            let seed = self.shape.seed.wrapping_add(self.ids.fetch_add(1, Ordering::Relaxed));
+            let seed = self
+                .shape
+                .seed
+                .wrapping_add(self.ids.fetch_add(1, Ordering::Relaxed));
             let name = plan.key.clone();
             let client = Client::start(plan, &self.front, &self.record, &self.ids, seed);
             self.clients.insert(name, client);
@@ -161,7 +186,9 @@
     /// Ends all clients and processes, and checks every rule over all that happened.
     pub fn finish(mut self, rules: &Rules) -> Checked {
         self.clients.values().for_each(Client::leaves);
-        std::mem::take(&mut self.clients).into_values().for_each(Client::ends);
+        std::mem::take(&mut self.clients)
+            .into_values()
+            .for_each(Client::ends);
         self.front.ends();
         for balancer in &mut self.balancers {
             if balancer.process.pid().is_some() {
--- a/faults/src/fleet/balancer.rs
+++ b/faults/src/fleet/balancer.rs
@@ -56,7 +56,10 @@
             process,
             reached_at,
             listens,
-            version: Version { serial: 1, worth: 1.0 },
+            version: Version {
+                serial: 1,
+                worth: 1.0,
+            },
             _kept: kept,
             admin: ReservedAddress::default(),
             rank,
@@ -74,7 +77,12 @@
         let linked = self.servers.iter().map(|server| {
             let mut link = Link::new(name, server.name(), server.at);
             link.source = Some(source);
-            link.make_observer = Some(observers::attempts(&self.record, name, server.name(), attempts));
+            link.make_observer = Some(observers::attempts(
+                &self.record,
+                name,
+                server.name(),
+                attempts,
+            ));
             (server.name().to_owned(), self.net.link(link))
         });
         let addresses: Vec<(String, SocketAddr)> = linked.collect();
@@ -91,18 +99,37 @@
 
     /// Has a process read another operator's file from its next start on, or at once if it runs.
     pub(super) fn write_operator(&mut self, number: usize) {
-        let peers: Vec<SocketAddr> = self.balancers.iter().map(|balancer| balancer.known_as).collect();
+        let peers: Vec<SocketAddr> = self
+            .balancers
+            .iter()
+            .map(|balancer| balancer.known_as)
+            .collect();
         let key = together::key(&self.shared);
         let balancer = &mut self.balancers[number];
-        let Balancer { name, rank, datagrams, known_as, version, .. } = &*balancer;
-        let at = Addresses { listens: *datagrams, known_as: *known_as, peers: &peers, key: &key };
-        let sections = self
-            .shape
-            .together
-            .as_ref()
-            .map(|all| all.sections((*rank, name), &at, (version.serial, self.shape.ability.rate)));
+        let Balancer {
+            name,
+            rank,
+            datagrams,
+            known_as,
+            version,
+            ..
+        } = &*balancer;
+        let at = Addresses {
+            listens: *datagrams,
+            known_as: *known_as,
+            peers: &peers,
+            key: &key,
+        };
+        let sections = self.shape.together.as_ref().map(|all| {
+            all.sections(
+                (*rank, name),
+                &at,
+                (version.serial, self.shape.ability.rate),
+            )
+        });
         let operator = self.shape.operator.replace("{name}", name);
-        let operator = operator + &together::admin(balancer.admin.at) + &sections.unwrap_or_default();
+        let operator =
+            operator + &together::admin(balancer.admin.at) + &sections.unwrap_or_default();
         balancer.process.configure(None, Some(operator));
     }
 
--- a/faults/src/fleet/failures.rs
+++ b/faults/src/fleet/failures.rs
@@ -21,7 +21,11 @@
             self.net.fault(&format!("{name}>discovery"), fault);
             for other in (0..self.balancers.len()).filter(|other| !here.contains(other)) {
                 let (near, far) = (number.min(other), number.max(other));
-                let fault = if near == number { fault } else { fault.turned() };
+                let fault = if near == number {
+                    fault
+                } else {
+                    fault.turned()
+                };
                 self.net.fault(&format!("b{near}~b{far}"), fault);
             }
         }
@@ -51,13 +55,20 @@
             let started_at_ms = server.restart();
             self.each_link_to(number, Fault::Heal);
             let row = self.discovery.row(server.name());
-            self.discovery.list(Listed { started_at_ms, lifecycle: Lifecycle::Serving, ..row });
+            self.discovery.list(Listed {
+                started_at_ms,
+                lifecycle: Lifecycle::Serving,
+                ..row
+            });
         }
     }
 
     fn each_link_to(&self, server: usize, fault: Fault) {
         for balancer in &self.balancers {
-            self.net.fault(&format!("{}>{}", balancer.name, self.servers[server].name()), fault);
+            self.net.fault(
+                &format!("{}>{}", balancer.name, self.servers[server].name()),
+                fault,
+            );
         }
     }
 }
--- a/faults/src/fleet/waits.rs
+++ b/faults/src/fleet/waits.rs
@@ -14,7 +14,12 @@
     pub fn are_open(&self, count: usize) {
         let until = Instant::now() + PATIENCE;
         while self.front.open().len() != count {
-            assert!(Instant::now() < until, "open: {:?}; {}", self.front.open(), self.record.tail());
+            assert!(
+                Instant::now() < until,
+                "open: {:?}; {}",
+                self.front.open(),
+                self.record.tail()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -23,11 +28,15 @@
     pub fn until(&self, number: usize, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
         let until = Instant::now() + PATIENCE;
         loop {
-            let said = together::ask(self.balancers[number].admin.at).map(|farm| farm["fleet"].clone());
+            let said =
+                together::ask(self.balancers[number].admin.at).map(|farm| farm["fleet"].clone());
             match said {
                 Some(said) if holds(&said) => return said,
                 said if Instant::now() >= until => {
-                    panic!("never so at b{number}: {what}; last: {said:?}; {}", self.record.tail())
+                    panic!(
+                        "never so at b{number}: {what}; last: {said:?}; {}",
+                        self.record.tail()
+                    )
                 }
                 _ => std::thread::sleep(Duration::from_millis(20)),
             }
--- a/faults/src/flow.rs
+++ b/faults/src/flow.rs
@@ -90,7 +90,11 @@
 impl Connection {
     /// A connection whose far side is coming up.
     pub fn new(near: TcpStream, far: TcpStream) -> Connection {
-        Connection { streams: [near, far], flows: Default::default(), connected: false }
+        Connection {
+            streams: [near, far],
+            flows: Default::default(),
+            connected: false,
+        }
     }
 
     /// Resets both sides.
@@ -136,7 +140,11 @@
                 again = Some(Instant::now());
             }
         }
-        if self.flows.iter().all(|flow| flow.finished) { Progress::Over } else { Progress::Wait(again) }
+        if self.flows.iter().all(|flow| flow.finished) {
+            Progress::Over
+        } else {
+            Progress::Wait(again)
+        }
     }
 
     fn is_up(&self) -> io::Result<bool> {
@@ -147,12 +155,21 @@
     }
 
     /// Reads all there is from a direction's source.
-    fn take_in(&mut self, direction: usize, delay: Duration, observe: &mut dyn FnMut(Observation<'_>)) {
+    fn take_in(
+        &mut self,
+        direction: usize,
+        delay: Duration,
+        observe: &mut dyn FnMut(Observation<'_>),
+    ) {
         let mut buffer = [0; 16 << 10];
         let flow = &mut self.flows[direction];
         while !flow.ended && flow.bytes < MOST_WAITING {
             // Guards against a delay that ends meanwhile: what came first goes first.
-            let due = flow.waiting.back().map_or(Instant::now(), |(due, _)| *due).max(Instant::now() + delay);
+            let due = flow
+                .waiting
+                .back()
+                .map_or(Instant::now(), |(due, _)| *due)
+                .max(Instant::now() + delay);
             match self.streams[direction].read(&mut buffer) {
                 Ok(0) => {
                     flow.ended = true;
@@ -160,7 +177,8 @@
                 }
                 Ok(count) => {
                     flow.bytes += count;
-                    flow.waiting.push_back((due, Item::Bytes(buffer[..count].to_vec())));
+                    flow.waiting
+                        .push_back((due, Item::Bytes(buffer[..count].to_vec())));
                     if direction == 0 {
                         observe(Observation::FromNear(&buffer[..count]));
                     }
@@ -172,7 +190,8 @@
                     flow.ended = true;
                     flow.waiting.clear();
                     flow.bytes = 0;
-                    flow.waiting.push_back((Instant::now() + delay, Item::Reset));
+                    flow.waiting
+                        .push_back((Instant::now() + delay, Item::Reset));
                 }
             }
             if flow.ended && direction == 0 {
@@ -190,7 +209,9 @@
     ) -> Progress {
         loop {
             let flow = &mut self.flows[direction];
-            let Some((due, item)) = flow.waiting.front() else { return Progress::Wait(None) };
+            let Some((due, item)) = flow.waiting.front() else {
+                return Progress::Wait(None);
+            };
             if impairment.cut || impairment.left == Some(0) {
                 return Progress::Wait(None);
             }
@@ -217,7 +238,9 @@
                 }
                 Item::Bytes(_) => match self.write_piece(direction, impairment, now, observe) {
                     Ok(()) => {}
-                    Err(error) if error.kind() == ErrorKind::WouldBlock => return Progress::Wait(None),
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                        return Progress::Wait(None);
+                    }
                     Err(error) if error.kind() == ErrorKind::Interrupted => {}
                     Err(_) => {
                         // Its reader is gone; the reset that it sent is read on the other direction.
@@ -238,7 +261,9 @@
         observe: &mut dyn FnMut(Observation<'_>),
     ) -> io::Result<()> {
         let flow = &mut self.flows[direction];
-        let Some((_, Item::Bytes(bytes))) = flow.waiting.front_mut() else { return Ok(()) };
+        let Some((_, Item::Bytes(bytes))) = flow.waiting.front_mut() else {
+            return Ok(());
+        };
         let most_at_once = impairment.dribble.map_or(usize::MAX, |(size, _)| size);
         let most = impairment.left.unwrap_or(usize::MAX).min(most_at_once);
         let piece = bytes.len().min(most.max(1));
--- a/faults/src/front.rs
+++ b/faults/src/front.rs
@@ -41,12 +41,22 @@
 impl Front {
     /// A front that takes a process out once it has not answered for `notice`.
     pub fn new(notice: Duration) -> Front {
-        Front(Arc::new(Shared { doors: Mutex::default(), notice, over: AtomicBool::new(false) }))
+        Front(Arc::new(Shared {
+            doors: Mutex::default(),
+            notice,
+            over: AtomicBool::new(false),
+        }))
     }
 
     /// Asks this process from now on.
     pub fn watches(&self, process: &str, at: SocketAddr) {
-        self.0.doors().insert(process.to_owned(), Door { at, taken_in: false });
+        self.0.doors().insert(
+            process.to_owned(),
+            Door {
+                at,
+                taken_in: false,
+            },
+        );
         let (shared, process) = (Arc::clone(&self.0), process.to_owned());
         std::thread::spawn(move || {
             let mut heard = None;
@@ -77,7 +87,11 @@
     /// Those taken in.
     pub fn open(&self) -> Vec<String> {
         let doors = self.0.doors();
-        doors.iter().filter(|(_, door)| door.taken_in).map(|(name, _)| name.clone()).collect()
+        doors
+            .iter()
+            .filter(|(_, door)| door.taken_in)
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     /// Asks nobody any more.
--- a/faults/src/net.rs
+++ b/faults/src/net.rs
@@ -53,7 +53,14 @@
     /// A link under its usual name.
     pub fn new(near: &str, far: &str, target: SocketAddr) -> Link {
         let (near, far) = (near.to_owned(), far.to_owned());
-        Link { name: format!("{near}>{far}"), near, far, target, source: None, make_observer: None }
+        Link {
+            name: format!("{near}>{far}"),
+            near,
+            far,
+            target,
+            source: None,
+            make_observer: None,
+        }
     }
 }
 
@@ -70,7 +77,11 @@
         let (mut relay, waker) = Relay::new(record.clone(), seed);
         let (orders, taken) = channel();
         let thread = std::thread::spawn(move || relay.run(&taken));
-        Net { orders, waker, thread: Some(thread) }
+        Net {
+            orders,
+            waker,
+            thread: Some(thread),
+        }
     }
 
     /// Has the thread do something, and gives back what came of it.
@@ -102,14 +113,19 @@
 
     /// Does something to each link that a party has at either side.
     pub fn fault_all(&self, party: &str, fault: Fault) {
-        self.links_of(party).iter().for_each(|link| self.fault(link, fault));
+        self.links_of(party)
+            .iter()
+            .for_each(|link| self.fault(link, fault));
     }
 
     /// The links that a party has at either side.
     pub fn links_of(&self, party: &str) -> Vec<String> {
         let party = party.to_owned();
         self.call(move |relay| {
-            let of = relay.links.iter().filter(|(_, link)| link.near == party || link.far == party);
+            let of = relay
+                .links
+                .iter()
+                .filter(|(_, link)| link.near == party || link.far == party);
             of.map(|(name, _)| name.clone()).collect()
         })
     }
--- a/faults/src/net/connections.rs
+++ b/faults/src/net/connections.rs
@@ -60,14 +60,23 @@
 
 impl Carried {
     fn observe(&mut self, observation: Observation<'_>) {
-        self.observer.iter_mut().for_each(|observer| observer.observe(observation));
+        self.observer
+            .iter_mut()
+            .for_each(|observer| observer.observe(observation));
     }
 }
 
 impl Relay {
     /// Adds a link for connections; gives its address.
     pub(super) fn add_link(&mut self, link: Link) -> SocketAddr {
-        let Link { name, near, far, target, source, make_observer } = link;
+        let Link {
+            name,
+            near,
+            far,
+            target,
+            source,
+            make_observer,
+        } = link;
         let kept = Arc::new(ReservedAddress::default());
         let (listener, at) = (self.listen(&name, &kept), kept.at);
         let listener = Some(listener);
@@ -81,7 +90,15 @@
             late_fillers: Vec::new(),
         };
         let impairments = Default::default();
-        self.links.insert(name, LinkState { near, far, impairments, listening: Some(listening) });
+        self.links.insert(
+            name,
+            LinkState {
+                near,
+                far,
+                impairments,
+                listening: Some(listening),
+            },
+        );
         at
     }
 
@@ -90,7 +107,11 @@
         let listener = kept.listen(BACKLOG);
         listener.set_nonblocking(true).expect("open");
         let mut listener = TcpListener::from_std(listener);
-        self.own(&mut listener, Owner::Listener(name.to_owned()), Interest::READABLE);
+        self.own(
+            &mut listener,
+            Owner::Listener(name.to_owned()),
+            Interest::READABLE,
+        );
         listener
     }
 
@@ -102,7 +123,9 @@
     /// Takes all connections that have come in at a link.
     pub(super) fn accept(&mut self, name: &str) {
         while let Some(listening) = self.listening(name) {
-            let Some((near, far)) = listening.next() else { return };
+            let Some((near, far)) = listening.next() else {
+                return;
+            };
             let observer = listening.make_observer.as_ref().map(|make| make());
             match far {
                 Ok(far) => self.carry(name, Connection::new(near, far), observer),
@@ -112,7 +135,12 @@
         }
     }
 
-    fn carry(&mut self, link: &str, mut connection: Connection, observer: Option<Box<dyn LinkObserver>>) {
+    fn carry(
+        &mut self,
+        link: &str,
+        mut connection: Connection,
+        observer: Option<Box<dyn LinkObserver>>,
+    ) {
         let number = self.number();
         let mut tokens = Vec::new();
         for stream in &mut connection.streams {
@@ -121,19 +149,37 @@
             tokens.push(self.own(stream, Owner::Connection(number), both));
         }
         // What it brings is taken in at the next look, which tells what ended before it began.
-        self.connections.insert(number, Carried { link: link.to_owned(), connection, observer, tokens });
+        self.connections.insert(
+            number,
+            Carried {
+                link: link.to_owned(),
+                connection,
+                observer,
+                tokens,
+            },
+        );
     }
 
     /// Forwards what a connection can forward now.
     pub(super) fn pump(&mut self, number: usize) {
-        let Some(Carried { link, connection, observer, .. }) = self.connections.get_mut(&number) else {
+        let Some(Carried {
+            link,
+            connection,
+            observer,
+            ..
+        }) = self.connections.get_mut(&number)
+        else {
+            return;
+        };
+        let Some(state) = self.links.get_mut(link) else {
             return;
         };
-        let Some(state) = self.links.get_mut(link) else { return };
         let chance = &mut self.chance;
         let mut delay = |impairment: &Impairment| by_chance(chance, impairment.delay);
         let mut observe = |observation: Observation<'_>| {
-            observer.iter_mut().for_each(|observer| observer.observe(observation));
+            observer
+                .iter_mut()
+                .for_each(|observer| observer.observe(observation));
         };
         match connection.pump(&mut state.impairments, &mut delay, &mut observe) {
             Progress::Over => self.forget(number),
@@ -143,26 +189,38 @@
     }
 
     fn forget(&mut self, number: usize) {
-        let Some(carried) = self.connections.remove(&number) else { return };
-        carried.tokens.into_iter().for_each(|token| self.disown(token));
+        let Some(carried) = self.connections.remove(&number) else {
+            return;
+        };
+        carried
+            .tokens
+            .into_iter()
+            .for_each(|token| self.disown(token));
     }
 
     /// The connections of a link.
     fn connections_of(&self, link: &str) -> Vec<usize> {
-        let of = self.connections.iter().filter(|(_, carried)| carried.link == link);
+        let of = self
+            .connections
+            .iter()
+            .filter(|(_, carried)| carried.link == link);
         of.map(|(number, _)| *number).collect()
     }
 
     /// Forwards what a link's connections can forward now.
     pub(super) fn pump_all(&mut self, link: &str) {
-        self.connections_of(link).into_iter().for_each(|number| self.pump(number));
+        self.connections_of(link)
+            .into_iter()
+            .for_each(|number| self.pump(number));
     }
 
     /// Resets a link's connections.
     pub(super) fn reset_all(&mut self, link: &str) {
         let numbers = self.connections_of(link);
         for number in &numbers {
-            let Some(carried) = self.connections.get_mut(number) else { continue };
+            let Some(carried) = self.connections.get_mut(number) else {
+                continue;
+            };
             carried.connection.reset();
             carried.observe(Observation::FarEnded);
         }
@@ -178,7 +236,9 @@
         socket.bind(&SocketAddr::new(source, 0).into())?;
     }
     match socket.connect(&target.into()) {
-        Err(error) if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+        Err(error)
+            if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) =>
+        {
             Err(error)
         }
         _ => Ok(TcpStream::from_std(socket.into())),
--- a/faults/src/net/datagrams.rs
+++ b/faults/src/net/datagrams.rs
@@ -28,11 +28,22 @@
     pub(super) fn add_party(&mut self, name: &str, at: SocketAddr) -> SocketAddr {
         let mut socket = UdpSocket::bind(address::listening()).expect("loopback");
         let known = socket.local_addr().expect("bound");
-        self.own(&mut socket, Owner::Datagrams(name.to_owned()), Interest::READABLE);
+        self.own(
+            &mut socket,
+            Owner::Datagrams(name.to_owned()),
+            Interest::READABLE,
+        );
         for near in self.parties.keys() {
             let (link, near, far) = (format!("{near}~{name}"), near.clone(), name.to_owned());
-            self.links
-                .insert(link, LinkState { near, far, impairments: Default::default(), listening: None });
+            self.links.insert(
+                link,
+                LinkState {
+                    near,
+                    far,
+                    impairments: Default::default(),
+                    listening: None,
+                },
+            );
         }
         self.parties.insert(name.to_owned(), Party { socket, at });
         known
@@ -42,9 +53,17 @@
     pub(super) fn receive(&mut self, to: &str) {
         let mut buffer = vec![0; LONGEST_DATAGRAM];
         loop {
-            let Some(party) = self.parties.get(to) else { return };
-            let Ok((count, from)) = party.socket.recv_from(&mut buffer) else { return };
-            let known = self.parties.iter().find(|(_, party)| party.at == from).map(|(name, _)| name);
+            let Some(party) = self.parties.get(to) else {
+                return;
+            };
+            let Ok((count, from)) = party.socket.recv_from(&mut buffer) else {
+                return;
+            };
+            let known = self
+                .parties
+                .iter()
+                .find(|(_, party)| party.at == from)
+                .map(|(name, _)| name);
             let from = known.cloned().unwrap_or_default();
             self.send_on(&from, to, &buffer[..count]);
         }
@@ -59,20 +78,32 @@
         let copies = 1 + usize::from(self.chance.random_bool(impairment.double));
         for _ in 0..copies {
             let due = Instant::now() + by_chance(&mut self.chance, impairment.delay);
-            self.timers.enter(due, Due::Deliver(from.to_owned(), to.to_owned(), bytes.to_vec()));
+            self.timers.enter(
+                due,
+                Due::Deliver(from.to_owned(), to.to_owned(), bytes.to_vec()),
+            );
         }
     }
 
     /// What is wrong with the way from one party to another.
     fn impairment(&self, from: &str, to: &str) -> Impairment {
-        let there = self.links.get(&format!("{from}~{to}")).map(|link| link.impairments[0]);
-        let back = || self.links.get(&format!("{to}~{from}")).map(|link| link.impairments[1]);
+        let there = self
+            .links
+            .get(&format!("{from}~{to}"))
+            .map(|link| link.impairments[0]);
+        let back = || {
+            self.links
+                .get(&format!("{to}~{from}"))
+                .map(|link| link.impairments[1])
+        };
         there.or_else(back).unwrap_or_default()
     }
 
     /// Gives a datagram to its party. One that finds nobody is lost.
     pub(super) fn deliver(&mut self, from: &str, to: &str, bytes: &[u8]) {
-        let Some(party) = self.parties.get(to) else { return };
+        let Some(party) = self.parties.get(to) else {
+            return;
+        };
         let by = self.parties.get(from).unwrap_or(party);
         let _ = by.socket.send_to(bytes, party.at);
     }
--- a/faults/src/net/relay.rs
+++ b/faults/src/net/relay.rs
@@ -100,7 +100,13 @@
 
     fn wait(&mut self, events: &mut Events) {
         // Guards against a wait that is cut short and would spin.
-        let left = self.timers.wait().map(|left| if left.is_zero() { left } else { left + ROUNDING });
+        let left = self.timers.wait().map(|left| {
+            if left.is_zero() {
+                left
+            } else {
+                left + ROUNDING
+            }
+        });
         match self.poll.poll(events, left) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => panic!("epoll: {error}"),
             _ => {}
@@ -112,7 +118,9 @@
     fn owners_of(&self, events: &Events) -> Vec<Owner> {
         let mut all: Vec<&Event> = events.iter().collect();
         all.sort_by_key(|event| !(event.is_read_closed() || event.is_error()));
-        all.iter().filter_map(|event| self.owners.get(&event.token().0).cloned()).collect()
+        all.iter()
+            .filter_map(|event| self.owners.get(&event.token().0).cloned())
+            .collect()
     }
 
     fn handle(&mut self, owner: &Owner) {
@@ -135,7 +143,8 @@
     pub(super) fn play(&mut self, script: Script) {
         let now = Instant::now();
         for line in script.0 {
-            self.timers.enter(now + line.after, Due::Play(line.link, line.fault));
+            self.timers
+                .enter(now + line.after, Due::Play(line.link, line.fault));
         }
     }
 
@@ -146,10 +155,18 @@
     }
 
     /// Has a socket's events go to an owner, until `disown`; gives their token.
-    pub(super) fn own(&mut self, socket: &mut impl Source, owner: Owner, interest: Interest) -> usize {
+    pub(super) fn own(
+        &mut self,
+        socket: &mut impl Source,
+        owner: Owner,
+        interest: Interest,
+    ) -> usize {
         let token = self.number();
         self.owners.insert(token, owner);
-        self.poll.registry().register(socket, Token(token), interest).expect("epoll");
+        self.poll
+            .registry()
+            .register(socket, Token(token), interest)
+            .expect("epoll");
         token
     }
 
@@ -160,11 +177,16 @@
 
     /// The events of a link's listener are left out from now on.
     pub(super) fn disown_listener(&mut self, link: &str) {
-        self.owners.retain(|_, owner| !matches!(owner, Owner::Listener(of) if of == link));
+        self.owners
+            .retain(|_, owner| !matches!(owner, Owner::Listener(of) if of == link));
     }
 }
 
 /// A time, and up to as much again.
 pub(super) fn by_chance(chance: &mut Pcg64Mcg, time: Duration) -> Duration {
-    if time.is_zero() { time } else { time.mul_f64(chance.random_range(1.0..2.0)) }
+    if time.is_zero() {
+        time
+    } else {
+        time.mul_f64(chance.random_range(1.0..2.0))
+    }
 }
--- a/faults/src/net/timers.rs
+++ b/faults/src/net/timers.rs
@@ -53,7 +53,11 @@
     /// Enters something that is due at a moment.
     pub(super) fn enter(&mut self, at: Instant, due: Due) {
         self.entered += 1;
-        self.waiting.push(Reverse(Timer { at, number: self.entered, due }));
+        self.waiting.push(Reverse(Timer {
+            at,
+            number: self.entered,
+            due,
+        }));
     }
 
     /// How long nothing is due; nothing where none waits.
