--- a/faults/src/observers.rs
+++ b/faults/src/observers.rs
@@ -33,10 +33,14 @@
 
 impl LinkObserver for Lists {
     fn observe(&mut self, observation: Observation<'_>) {
-        let Observation::ToNear(bytes) = observation else { return };
+        let Observation::ToNear(bytes) = observation else {
+            return;
+        };
         self.raw.extend_from_slice(bytes);
         if !self.begun {
-            let Some(end) = find(&self.raw, b"\r\n\r\n") else { return };
+            let Some(end) = find(&self.raw, b"\r\n\r\n") else {
+                return;
+            };
             self.raw.drain(..end + 4);
             self.begun = true;
         }
@@ -85,12 +89,22 @@
         balancer: balancer.to_owned(),
         generation: list["generation"].as_u64().unwrap_or(0),
         reset: list["reset"].as_bool().unwrap_or(false),
-        rows: list["instances"].as_array().into_iter().flatten().map(row).collect(),
+        rows: list["instances"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(row)
+            .collect(),
     }
 }
 
 /// Notes each attempt of a balancer's at a server, and how it went.
-pub fn attempts(record: &Record, balancer: &str, server: &str, numbers: &Arc<AtomicU64>) -> MakeObserver {
+pub fn attempts(
+    record: &Record,
+    balancer: &str,
+    server: &str,
+    numbers: &Arc<AtomicU64>,
+) -> MakeObserver {
     let (record, numbers) = (record.clone(), Arc::clone(numbers));
     let (balancer, server) = (balancer.to_owned(), server.to_owned());
     Box::new(move || {
@@ -127,14 +141,20 @@
 impl Attempts {
     fn over(&mut self, how: &str) {
         if let At::Waits(number) = self.at {
-            self.record.note(What::AttemptOver { number, how: how.to_owned() });
+            self.record.note(What::AttemptOver {
+                number,
+                how: how.to_owned(),
+            });
         }
         self.at = At::Over;
     }
 
     fn head_is_whole(&mut self) {
         let head = String::from_utf8_lossy(&self.head);
-        let Some(id) = head.strip_prefix("OPEN ").and_then(|rest| rest.split(' ').next()) else {
+        let Some(id) = head
+            .strip_prefix("OPEN ")
+            .and_then(|rest| rest.split(' ').next())
+        else {
             // A question for the load is no attempt.
             self.at = At::Over;
             return;
@@ -142,7 +162,13 @@
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let begun = self.begun.unwrap_or_default();
         let (balancer, server) = (self.balancer.clone(), self.server.clone());
-        self.record.note(What::Attempt { number, balancer, server, id: id.to_owned(), begun });
+        self.record.note(What::Attempt {
+            number,
+            balancer,
+            server,
+            id: id.to_owned(),
+            begun,
+        });
         self.at = At::Waits(number);
     }
 }
@@ -161,7 +187,9 @@
             (Observation::ToNear(bytes), At::Waits(_)) => {
                 self.answer.extend_from_slice(bytes);
                 if let Some(end) = self.answer.iter().position(|byte| *byte == b'\n') {
-                    let line = String::from_utf8_lossy(&self.answer[..end]).trim_end().to_owned();
+                    let line = String::from_utf8_lossy(&self.answer[..end])
+                        .trim_end()
+                        .to_owned();
                     self.over(&line);
                 }
             }
--- a/faults/src/process.rs
+++ b/faults/src/process.rs
@@ -36,13 +36,22 @@
 }
 
 pub(crate) fn folder() -> TempDir {
-    tempfile::Builder::new().prefix("beaconflow-faults-").tempdir().expect("a folder for temporary files")
+    tempfile::Builder::new()
+        .prefix("beaconflow-faults-")
+        .tempdir()
+        .expect("a folder for temporary files")
 }
 
 impl Process {
     /// A process that has not been started. `platform` is the platform's configuration, `operator` the operator's
     /// file; its log is in JSON unless that file says otherwise.
-    pub fn new(name: &str, program: &Path, record: &Record, platform: String, operator: &str) -> Process {
+    pub fn new(
+        name: &str,
+        program: &Path,
+        record: &Record,
+        platform: String,
+        operator: &str,
+    ) -> Process {
         Process {
             name: name.to_owned(),
             program: program.to_owned(),
@@ -71,13 +80,18 @@
     }
 
     fn note(&self, did: Did) {
-        self.record.note(What::Process { process: self.name.clone(), did });
+        self.record.note(What::Process {
+            process: self.name.clone(),
+            did,
+        });
     }
 
     fn write_files(&self) -> [PathBuf; 2] {
         let disk = self.disk.path();
         let files = [disk.join("platform.json"), disk.join("operator.toml")];
-        let mut operator = self.operator.replace("{disk}", disk.to_str().expect("text"));
+        let mut operator = self
+            .operator
+            .replace("{disk}", disk.to_str().expect("text"));
         if !operator.contains("[log]") {
             operator.push_str("\n[log]\nform = \"json\"\n");
         }
@@ -94,8 +108,15 @@
         }
         let [platform, operator] = self.write_files();
         let mut command = Command::new(&self.program);
-        command.arg("serve").arg("--operator").arg(operator).env("LB_CONFIG", platform);
-        command.env("TMPDIR", self.disk.path()).stderr(Stdio::piped()).stdin(Stdio::null());
+        command
+            .arg("serve")
+            .arg("--operator")
+            .arg(operator)
+            .env("LB_CONFIG", platform);
+        command
+            .env("TMPDIR", self.disk.path())
+            .stderr(Stdio::piped())
+            .stdin(Stdio::null());
         if self.debug {
             command.env("BEACONFLOW_LOG", "debug");
         }
@@ -112,7 +133,9 @@
     }
 
     fn signal(&self, signal: Signal, did: Did) {
-        let pid = self.pid().unwrap_or_else(|| panic!("{} does not run", self.name));
+        let pid = self
+            .pid()
+            .unwrap_or_else(|| panic!("{} does not run", self.name));
         let pid = Pid::from_raw(pid.try_into().expect("small")).expect("not 0");
         self.note(did);
         kill_process(pid, signal).expect("a child");
@@ -150,7 +173,9 @@
 
     /// Waits for its end, with all that it said taken in; true where it ended in order.
     pub fn ends(&mut self) -> bool {
-        let Some((mut child, reader)) = self.running.take() else { return true };
+        let Some((mut child, reader)) = self.running.take() else {
+            return true;
+        };
         let until = Instant::now() + PATIENCE;
         let status = loop {
             match child.try_wait().expect("a child") {
@@ -174,9 +199,17 @@
 /// Takes in a log line at the moment that it tells.
 fn take_in(record: &Record, process: &str, line: String) {
     let line = serde_json::from_str(&line).unwrap_or(Value::String(line));
-    let time = line["time"].as_str().and_then(|time| humantime::parse_rfc3339(time).ok());
+    let time = line["time"]
+        .as_str()
+        .and_then(|time| humantime::parse_rfc3339(time).ok());
     let at = time.map_or_else(|| record.now(), |time| record.moment_of(time));
-    record.note_at(at, What::Log { process: process.to_owned(), line });
+    record.note_at(
+        at,
+        What::Log {
+            process: process.to_owned(),
+            line,
+        },
+    );
 }
 
 impl Drop for Process {
--- a/faults/src/record.rs
+++ b/faults/src/record.rs
@@ -209,7 +209,12 @@
 impl Default for Record {
     fn default() -> Record {
         let (start, wall) = (Instant::now(), SystemTime::now());
-        Record(Arc::new(Inner { events: Mutex::default(), grown: Condvar::new(), start, wall }))
+        Record(Arc::new(Inner {
+            events: Mutex::default(),
+            grown: Condvar::new(),
+            start,
+            wall,
+        }))
     }
 }
 
@@ -221,7 +226,9 @@
 
     /// The Unix time of a moment, in milliseconds.
     pub fn unix_ms(&self, at: Moment) -> u64 {
-        let since = (self.0.wall + at).duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since = (self.0.wall + at)
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
 
@@ -263,11 +270,20 @@
     /// Waits until something holds of the record, and gives it. Where it does not come to hold, the last events are told.
     pub fn wait<T>(&self, what: &str, holds: impl FnMut(&[Event]) -> Option<T>) -> T {
         let reached = self.wait_for(PATIENCE, holds);
-        reached.unwrap_or_else(|| panic!("never came: {what}; the last of the record:\n{}", self.tail()))
+        reached.unwrap_or_else(|| {
+            panic!(
+                "never came: {what}; the last of the record:\n{}",
+                self.tail()
+            )
+        })
     }
 
     /// The same with a bound of one's own; nothing where it did not come to hold.
-    pub fn wait_for<T>(&self, patience: Duration, mut holds: impl FnMut(&[Event]) -> Option<T>) -> Option<T> {
+    pub fn wait_for<T>(
+        &self,
+        patience: Duration,
+        mut holds: impl FnMut(&[Event]) -> Option<T>,
+    ) -> Option<T> {
         let until = Instant::now() + patience;
         let (mut seen, mut events) = (usize::MAX, self.events());
         loop {
@@ -286,7 +302,11 @@
             std::thread::sleep(LOOK.min(left));
             events = self.events();
             if events.len() == seen {
-                let waited = self.0.grown.wait_timeout(events, left).unwrap_or_else(PoisonError::into_inner);
+                let waited = self
+                    .0
+                    .grown
+                    .wait_timeout(events, left)
+                    .unwrap_or_else(PoisonError::into_inner);
                 events = waited.0;
             }
         }
@@ -295,11 +315,14 @@
     /// Whether a balancer tried this server for the client, and it did not take it.
     pub fn tried_in_vain(&self, name: &str, at: &str) -> bool {
         let events = self.events();
-        let ids: BTreeSet<&str> = events.iter().filter_map(|event| id_of(event, name)).collect();
+        let ids: BTreeSet<&str> = events
+            .iter()
+            .filter_map(|event| id_of(event, name))
+            .collect();
         let tried = events.iter().filter_map(|event| match &event.what {
-            What::Attempt { number, server, id, .. } if server == at && ids.contains(id.as_str()) => {
-                Some(*number)
-            }
+            What::Attempt {
+                number, server, id, ..
+            } if server == at && ids.contains(id.as_str()) => Some(*number),
             _ => None,
         });
         let tried: BTreeSet<u64> = tried.collect();
@@ -311,10 +334,16 @@
     /// Whoever was told to move after a place in the record.
     pub fn moved_since(&self, since: usize) -> BTreeSet<String> {
         let events = self.events();
-        let told = events[since.min(events.len())..].iter().filter_map(|event| match &event.what {
-            What::Client { client, did: ClientDid::Moved, .. } => Some(client.clone()),
-            _ => None,
-        });
+        let told = events[since.min(events.len())..]
+            .iter()
+            .filter_map(|event| match &event.what {
+                What::Client {
+                    client,
+                    did: ClientDid::Moved,
+                    ..
+                } => Some(client.clone()),
+                _ => None,
+            });
         told.collect()
     }
 
@@ -325,7 +354,10 @@
                 client == name && !matches!(did, ClientDid::Heard(_) | ClientDid::NotTaken)
             }
             What::Step(_) | What::Process { .. } => true,
-            What::Server { did: ServerDid::Took(key), .. } => key == name,
+            What::Server {
+                did: ServerDid::Took(key),
+                ..
+            } => key == name,
             What::Log { line, .. } => TOLD.iter().any(|part| line["part"] == *part),
             _ => false,
         };
@@ -355,11 +387,17 @@
     let mut placed = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::Client { client, did: ClientDid::Stands(server), .. } => {
+            What::Client {
+                client,
+                did: ClientDid::Stands(server),
+                ..
+            } => {
                 placed.insert(client.clone(), server.clone());
             }
             What::Client {
-                client, did: ClientDid::Moved | ClientDid::Ended(_) | ClientDid::Left, ..
+                client,
+                did: ClientDid::Moved | ClientDid::Ended(_) | ClientDid::Left,
+                ..
             } => {
                 placed.remove(client);
             }
--- a/faults/src/server.rs
+++ b/faults/src/server.rs
@@ -128,7 +128,10 @@
     }
 
     fn note(&self, did: ServerDid) {
-        self.record.note(What::Server { server: self.name.clone(), did });
+        self.record.note(What::Server {
+            server: self.name.clone(),
+            did,
+        });
     }
 }
 
@@ -160,7 +163,11 @@
             state: Mutex::new(state),
             changed: Condvar::new(),
         };
-        let server = Server { at: kept.at, kept, shared: Arc::new(shared) };
+        let server = Server {
+            at: kept.at,
+            kept,
+            shared: Arc::new(shared),
+        };
         server.shared.note(ServerDid::Started { cold: false });
         server.take(listener, 0);
         server
@@ -175,7 +182,10 @@
                 }
                 let shared = Arc::clone(&shared);
                 let serve = move || serve(&stream, &shared, life);
-                std::thread::Builder::new().stack_size(STACK).spawn(serve).expect("a thread");
+                std::thread::Builder::new()
+                    .stack_size(STACK)
+                    .spawn(serve)
+                    .expect("a thread");
             }
         });
     }
@@ -194,7 +204,10 @@
             state.running = false;
             state.keys.clear();
             let unheard = std::mem::take(&mut state.unheard);
-            std::mem::take(&mut state.streams).into_values().chain(unheard).collect::<Vec<TcpStream>>()
+            std::mem::take(&mut state.streams)
+                .into_values()
+                .chain(unheard)
+                .collect::<Vec<TcpStream>>()
         };
         self.shared.changed.notify_all();
         for stream in streams {
@@ -225,7 +238,11 @@
 
     /// Answers nothing any more, neither on standing connections nor on new ones, or answers again.
     pub fn hangs(&self, hangs: bool) {
-        self.shared.note(if hangs { ServerDid::Hangs } else { ServerDid::Recovers });
+        self.shared.note(if hangs {
+            ServerDid::Hangs
+        } else {
+            ServerDid::Recovers
+        });
         self.shared.lock().hanging = hangs;
         self.shared.changed.notify_all();
     }
@@ -245,7 +262,9 @@
                 if state.life != life {
                     return;
                 }
-                let Some((number, stream)) = state.streams.pop_first() else { return };
+                let Some((number, stream)) = state.streams.pop_first() else {
+                    return;
+                };
                 state.keys.remove(&number);
                 let _ = (&stream).write_all(b"MOVE\r\n");
                 let _ = stream.shutdown(Shutdown::Write);
@@ -283,9 +302,15 @@
     if state.life != life {
         return Verdict::Over;
     }
-    let warmth = state.cold_since.map_or(1.0, |since| shared.ability.warmth(now - since));
+    let warmth = state
+        .cold_since
+        .map_or(1.0, |since| shared.ability.warmth(now - since));
     state.came.push_back(now);
-    while state.came.front().is_some_and(|came| now - *came > shared.ability.fall) {
+    while state
+        .came
+        .front()
+        .is_some_and(|came| now - *came > shared.ability.fall)
+    {
         state.came.pop_front();
     }
     let (came, bears) = (state.came.len(), shared.ability.bears(warmth));
@@ -302,7 +327,10 @@
     }
     let gap = Duration::from_secs_f64(1.0 / (shared.ability.rate * warmth));
     // A few are done at once; what comes beyond that takes its turn.
-    state.free_at = state.free_at.max(now.checked_sub(gap * BURST).unwrap_or(now)) + gap;
+    state.free_at = state
+        .free_at
+        .max(now.checked_sub(gap * BURST).unwrap_or(now))
+        + gap;
     state.next += 1;
     state.set_ups += 1;
     let number = state.next;
@@ -311,7 +339,10 @@
     }
     state.keys.insert(number, key.to_owned());
     shared.note(ServerDid::Took(key.to_owned()));
-    Verdict::Serve { number, at: state.free_at }
+    Verdict::Serve {
+        number,
+        at: state.free_at,
+    }
 }
 
 /// Hears an opening, and does what is made of it.
@@ -335,7 +366,13 @@
 }
 
 /// Serves a client once its set-up is done, until either ends. Set-ups are its work: they take their turn.
-fn serve_from(at: Instant, number: u64, reader: &mut BufReader<&TcpStream>, shared: &Shared, life: u64) {
+fn serve_from(
+    at: Instant,
+    number: u64,
+    reader: &mut BufReader<&TcpStream>,
+    shared: &Shared,
+    life: u64,
+) {
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
     if shared.lock().life != life {
         return;
--- a/faults/src/together.rs
+++ b/faults/src/together.rs
@@ -35,7 +35,10 @@
     /// Everything on, in these sites.
     pub fn at(sites: &[(&str, usize)]) -> Together {
         Together {
-            sites: sites.iter().map(|(site, count)| ((*site).to_owned(), *count)).collect(),
+            sites: sites
+                .iter()
+                .map(|(site, count)| ((*site).to_owned(), *count))
+                .collect(),
             fleet: true,
             memory: true,
             edge: true,
@@ -87,10 +90,22 @@
             .filter(|(other, _)| other != site)
             .map(|(other, _)| format!("\"{other}\""))
             .collect();
-        let here = self.sites.iter().find(|(other, _)| other == site).map_or(1, |(_, count)| *count);
+        let here = self
+            .sites
+            .iter()
+            .find(|(other, _)| other == site)
+            .map_or(1, |(_, count)| *count);
         let others = others.join(", ");
-        let turns = if self.turns { format!("borne = {rate:?}\n") } else { String::new() };
-        let memory = if self.memory { "[memory]\npath = \"{disk}/memory\"\n" } else { "" };
+        let turns = if self.turns {
+            format!("borne = {rate:?}\n")
+        } else {
+            String::new()
+        };
+        let memory = if self.memory {
+            "[memory]\npath = \"{disk}/memory\"\n"
+        } else {
+            ""
+        };
         format!(
             "[fleet]\nname = \"{name}\"\nsite = \"{site}\"\nlisten = \"{}\"\nadvertise = \"{}\"\n\
              key_file = \"{key}\"\npeers = [{peers}]\nsite_size = {here}\nother_sites = [{others}]\n{turns}{memory}\
@@ -128,7 +143,11 @@
 pub(crate) fn ask(at: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect_timeout(&at, WAIT).ok()?;
     stream.set_read_timeout(Some(WAIT)).ok()?;
-    write!(stream, "GET /v1/farm HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {TOKEN}\r\n\r\n").ok()?;
+    write!(
+        stream,
+        "GET /v1/farm HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {TOKEN}\r\n\r\n"
+    )
+    .ok()?;
     let mut reply = String::new();
     stream.read_to_string(&mut reply).ok()?;
     serde_json::from_str(reply.split_once("\r\n\r\n")?.1).ok()
--- a/faults/tests/links.rs
+++ b/faults/tests/links.rs
@@ -23,7 +23,12 @@
         let net = Net::start(&record, 3);
         let listener = TcpListener::bind(listening()).expect("loopback");
         let at = net.link(Link::new("a", "b", listener.local_addr().expect("bound")));
-        Pair { net, record, listener, at }
+        Pair {
+            net,
+            record,
+            listener,
+            at,
+        }
     }
 
     fn connect(&self) -> (TcpStream, TcpStream) {
@@ -49,7 +54,10 @@
 fn hears_nothing(stream: &mut TcpStream) {
     stream.set_read_timeout(Some(NEVER)).expect("open");
     let error = stream.read(&mut [0]).expect_err("nothing comes");
-    assert!(matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{error}");
+    assert!(
+        matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
+        "{error}"
+    );
     stream.set_read_timeout(Some(PATIENCE)).expect("open");
 }
 
@@ -66,8 +74,11 @@
     let long: Vec<u8> = (0..8_000_000_u32).map(|number| number as u8).collect();
     let words = long.clone();
     let mut writer = near.try_clone().expect("open");
-    let writes =
-        std::thread::spawn(move || writer.write_all(&words).and_then(|()| writer.shutdown(Shutdown::Write)));
+    let writes = std::thread::spawn(move || {
+        writer
+            .write_all(&words)
+            .and_then(|()| writer.shutdown(Shutdown::Write))
+    });
     let mut heard = Vec::new();
     far.read_to_end(&mut heard).expect("all of it");
     writes.join().expect("no panic").expect("all of it");
@@ -82,7 +93,9 @@
 fn a_reset_is_a_reset_and_a_delay_is_a_delay() {
     let pair = Pair::new();
     let (near, mut far) = pair.connect();
-    socket2::SockRef::from(&near).set_linger(Some(Duration::ZERO)).expect("open");
+    socket2::SockRef::from(&near)
+        .set_linger(Some(Duration::ZERO))
+        .expect("open");
     drop(near);
     is_reset(&mut far);
     pair.fault(Fault::Delay(Way::Back, Duration::from_millis(60)));
@@ -170,7 +183,10 @@
     let hear = |socket: &UdpSocket, within: Duration| {
         socket.set_read_timeout(Some(within)).expect("open");
         let mut bytes = [0; 8];
-        socket.recv_from(&mut bytes).ok().map(|(count, from)| (bytes[..count].to_vec(), from))
+        socket
+            .recv_from(&mut bytes)
+            .ok()
+            .map(|(count, from)| (bytes[..count].to_vec(), from))
     };
     a.send_to(b"hello", b_of_a).expect("sent");
     assert_eq!(hear(&b, PATIENCE), Some((b"hello".to_vec(), a_of_b)));
@@ -182,7 +198,10 @@
     net.fault("a~b", Fault::Cut(Way::There));
     a.send_to(b"lost", b_of_a).expect("sent");
     b.send_to(b"back", a_of_b).expect("sent");
-    assert_eq!(hear(&a, PATIENCE).map(|(bytes, _)| bytes), Some(b"back".to_vec()));
+    assert_eq!(
+        hear(&a, PATIENCE).map(|(bytes, _)| bytes),
+        Some(b"back".to_vec())
+    );
     net.fault("a~b", Fault::Heal);
     net.fault("a~b", Fault::Lose(Way::There, 0.5));
     // One at a time, each followed by a word that the other way can't lose: nothing is lost for want of room.
@@ -199,11 +218,13 @@
 fn a_script_is_played_in_order_and_stands_in_the_record() {
     let pair = Pair::new();
     let (mut near, _far) = pair.connect();
-    let script = Script::default().then(Duration::from_millis(30), "a>b", Fault::Reset).then(
-        Duration::ZERO,
-        "a>b",
-        Fault::Delay(Way::Both, Duration::from_millis(1)),
-    );
+    let script = Script::default()
+        .then(Duration::from_millis(30), "a>b", Fault::Reset)
+        .then(
+            Duration::ZERO,
+            "a>b",
+            Fault::Delay(Way::Both, Duration::from_millis(1)),
+        );
     pair.net.play(script);
     is_reset(&mut near);
     let faults = pair.record.wait("both lines", |events| {
@@ -216,5 +237,8 @@
             .collect();
         (faults.len() == 2).then_some(faults)
     });
-    assert!(matches!(faults[..], [Fault::Delay(..), Fault::Reset]), "{faults:?}");
+    assert!(
+        matches!(faults[..], [Fault::Delay(..), Fault::Reset]),
+        "{faults:?}"
+    );
 }
--- a/instance/src/lib.rs
+++ b/instance/src/lib.rs
@@ -11,7 +11,14 @@
 /// One balancer's decisions, by whatever policy.
 pub trait Decides {
     /// A request comes; `account` is its account's place.
-    fn arrives(&mut self, now: Nanos, arrival: Arrival, account: usize, returns: bool, out: &mut Vec<Action>);
+    fn arrives(
+        &mut self,
+        now: Nanos,
+        arrival: Arrival,
+        account: usize,
+        returns: bool,
+        out: &mut Vec<Action>,
+    );
     /// Anything else happens.
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
     /// Requests that wait at the door.
@@ -39,7 +46,12 @@
         let urgencies: Vec<f64> = settings.classes.iter().map(Class::urgency).collect();
         let door = Door::new(&urgencies, limits, seed);
         let balancer = Balancer::new(settings, seed)?;
-        Ok(Instance { balancer, door, shares, entries: FxHashMap::default() })
+        Ok(Instance {
+            balancer,
+            door,
+            shares,
+            entries: FxHashMap::default(),
+        })
     }
 
     fn answered(&mut self, request: RequestId) {
@@ -77,7 +89,11 @@
         while let Some(event) = next {
             if let Event::ClientLeft(request)
             | Event::Established { request, .. }
-            | Event::Ended { request, closed: true, .. } = &event
+            | Event::Ended {
+                request,
+                closed: true,
+                ..
+            } = &event
             {
                 self.answered(*request);
             }
@@ -90,17 +106,32 @@
                             self.door.enter(*entry, &mut gone);
                         }
                     }
-                    Action::Refuse { request, .. } | Action::Fail(request) => answered.push(*request),
+                    Action::Refuse { request, .. } | Action::Fail(request) => {
+                        answered.push(*request)
+                    }
                     _ => {}
                 }
             }
-            answered.into_iter().for_each(|request| self.answered(request));
+            answered
+                .into_iter()
+                .for_each(|request| self.answered(request));
             for entry in gone {
                 let request = RequestId(entry.id);
-                self.balancer.handle(now, Event::TurnedAway { request, drain: None }, out);
+                self.balancer.handle(
+                    now,
+                    Event::TurnedAway {
+                        request,
+                        drain: None,
+                    },
+                    out,
+                );
                 self.answered(request);
             }
-            let turn = if self.balancer.has_turns() { self.door.admit() } else { None };
+            let turn = if self.balancer.has_turns() {
+                self.door.admit()
+            } else {
+                None
+            };
             next = turn.map(|entry| Event::Turn(RequestId(entry.id)));
         }
     }
--- a/instance/tests/interleavings.rs
+++ b/instance/tests/interleavings.rs
@@ -19,13 +19,28 @@
 const REPEATS: [Repeat; 5] = [
     Repeat::Safe,
     Repeat::Unsafe,
-    Repeat::Keyed { scope: Scope::All, window: WINDOW },
-    Repeat::Keyed { scope: Scope::Zone, window: WINDOW },
-    Repeat::Keyed { scope: Scope::Cell, window: WINDOW },
+    Repeat::Keyed {
+        scope: Scope::All,
+        window: WINDOW,
+    },
+    Repeat::Keyed {
+        scope: Scope::Zone,
+        window: WINDOW,
+    },
+    Repeat::Keyed {
+        scope: Scope::Cell,
+        window: WINDOW,
+    },
 ];
 
 fn settings() -> Settings {
-    let class = |repeat| Class { aim: 200 * MS, deadline: SECOND, repeat, message_aim: 100 * MS, worth: 1.0 };
+    let class = |repeat| Class {
+        aim: 200 * MS,
+        deadline: SECOND,
+        repeat,
+        message_aim: 100 * MS,
+        worth: 1.0,
+    };
     Settings {
         gateways: 1,
         rank: 0,
@@ -70,7 +85,10 @@
 
 impl Chance {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
     }
 }
@@ -106,13 +124,33 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let queues = Queues { all: Bound { entries: MOST_QUEUED, bytes: usize::MAX }, ..Queues::default() };
+        let queues = Queues {
+            all: Bound {
+                entries: MOST_QUEUED,
+                bytes: usize::MAX,
+            },
+            ..Queues::default()
+        };
         let instance = Instance::new(settings(), vec![1.0, 2.0], queues, seed).expect("in range");
         let (requests, states, timers) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let mut world = World { instance, chance: Chance(seed), now: SECOND, requests, states, timers };
-        let entries: Vec<Entry> = (0..SERVERS).map(|server| entry(server, State::Ready)).collect();
-        world.states.extend((0..SERVERS).map(|server| (server, State::Ready)));
-        world.tell(Event::List { kind: ListKind::Full, entries });
+        let mut world = World {
+            instance,
+            chance: Chance(seed),
+            now: SECOND,
+            requests,
+            states,
+            timers,
+        };
+        let entries: Vec<Entry> = (0..SERVERS)
+            .map(|server| entry(server, State::Ready))
+            .collect();
+        world
+            .states
+            .extend((0..SERVERS).map(|server| (server, State::Ready)));
+        world.tell(Event::List {
+            kind: ListKind::Full,
+            entries,
+        });
         world
     }
 
@@ -125,7 +163,12 @@
     fn follow(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Attempt { request, server, begin_within, timeout } => {
+                Action::Attempt {
+                    request,
+                    server,
+                    begin_within,
+                    timeout,
+                } => {
                     self.attempt(request.0, server, (begin_within, timeout));
                 }
                 Action::Refuse { request, .. } => {
@@ -150,7 +193,10 @@
 
     fn answered(&mut self, id: u64) -> &Seen {
         let seen = self.requests.get_mut(&id).expect("it came");
-        assert!(!seen.is_over() && seen.out.is_none(), "one final answer, with no attempt out");
+        assert!(
+            !seen.is_over() && seen.out.is_none(),
+            "one final answer, with no attempt out"
+        );
         seen.answers += 1;
         seen
     }
@@ -158,7 +204,10 @@
     fn attempt(&mut self, id: u64, to: ServerId, (begin_within, timeout): (Nanos, Nanos)) {
         let now = self.now;
         let seen = self.requests.get_mut(&id).expect("it came");
-        assert!(!seen.is_over(), "nothing is sent for one that is over or has left");
+        assert!(
+            !seen.is_over(),
+            "nothing is sent for one that is over or has left"
+        );
         assert!(seen.out.is_none(), "one attempt at a time");
         assert!(seen.attempts < MAX_ATTEMPTS);
         assert_eq!(self.states[&to.0], State::Ready);
@@ -169,9 +218,15 @@
             assert!(match seen.repeat {
                 Repeat::Safe => true,
                 Repeat::Unsafe => false,
-                Repeat::Keyed { scope: Scope::All, .. } => in_window,
-                Repeat::Keyed { scope: Scope::Zone, .. } => in_window && one.zone == other.zone,
-                Repeat::Keyed { scope: Scope::Cell, .. } => in_window && one.cell == other.cell,
+                Repeat::Keyed {
+                    scope: Scope::All, ..
+                } => in_window,
+                Repeat::Keyed {
+                    scope: Scope::Zone, ..
+                } => in_window && one.zone == other.zone,
+                Repeat::Keyed {
+                    scope: Scope::Cell, ..
+                } => in_window && one.cell == other.cell,
             });
         }
         seen.attempts += 1;
@@ -180,17 +235,31 @@
 
     fn end(&mut self, id: u64, outcome: Outcome) {
         let now = self.now;
-        let Some(seen) = self.requests.get_mut(&id) else { return };
-        let Some((server, sent_at, begin_by)) = seen.out.take() else { return };
+        let Some(seen) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some((server, sent_at, begin_by)) = seen.out.take() else {
+            return;
+        };
         // A first byte that comes too late is withheld, whatever the server would have said.
-        let outcome = if now >= begin_by && outcome.never_ran() { Outcome::NotSent } else { outcome };
+        let outcome = if now >= begin_by && outcome.never_ran() {
+            Outcome::NotSent
+        } else {
+            outcome
+        };
         if !outcome.never_ran() {
             seen.ran.get_or_insert((server, sent_at));
         }
         let attempt = seen.attempts - 1;
         let closed = seen.stands || outcome == Outcome::Served;
         seen.stands |= closed;
-        self.tell(Event::Ended { request: RequestId(id), attempt, outcome, took: now - sent_at, closed });
+        self.tell(Event::Ended {
+            request: RequestId(id),
+            attempt,
+            outcome,
+            took: now - sent_at,
+            closed,
+        });
     }
 
     fn arrive(&mut self) {
@@ -219,7 +288,8 @@
             pin: None,
         };
         let (account, mut actions) = (self.chance.below(2) as usize, Vec::new());
-        self.instance.arrives(self.now, arrival, account, false, &mut actions);
+        self.instance
+            .arrives(self.now, arrival, account, false, &mut actions);
         self.follow(actions);
     }
 
@@ -229,7 +299,10 @@
         loop {
             let waits = |seen: &Seen| seen.out.is_some() && !seen.is_over();
             let late = self.requests.iter().filter(|(_, seen)| waits(seen));
-            let late = late.map(|(id, seen)| (seen.give_up_at, *id)).min().filter(|(at, _)| *at <= end);
+            let late = late
+                .map(|(id, seen)| (seen.give_up_at, *id))
+                .min()
+                .filter(|(at, _)| *at <= end);
             self.timers.sort();
             let due = self.timers.first().copied().filter(|(at, _)| *at <= end);
             match (late, due) {
@@ -247,7 +320,10 @@
         }
         self.now = end;
         for (id, seen) in &self.requests {
-            assert!(seen.is_over() || end < seen.give_up_at, "request {id} has no answer in time");
+            assert!(
+                seen.is_over() || end < seen.give_up_at,
+                "request {id} has no answer in time"
+            );
         }
     }
 
@@ -287,7 +363,10 @@
                     let seen = self.requests.get_mut(&id).expect("just picked");
                     seen.stands = true;
                     let attempt = seen.attempts - 1;
-                    self.tell(Event::Established { request: RequestId(id), attempt });
+                    self.tell(Event::Established {
+                        request: RequestId(id),
+                        attempt,
+                    });
                 }
             }
             8 => {
@@ -303,7 +382,10 @@
                 let states = [State::Ready, State::Ready, State::Draining, State::Gone];
                 let state = states[self.chance.below(4) as usize];
                 self.states.insert(server, state);
-                self.tell(Event::List { kind: ListKind::Changes, entries: vec![entry(server, state)] });
+                self.tell(Event::List {
+                    kind: ListKind::Changes,
+                    entries: vec![entry(server, state)],
+                });
             }
             _ => {
                 let span = MS * self.chance.below(120);
@@ -324,12 +406,19 @@
             queued += usize::from(world.instance.waiting() > 0);
         }
         world.pass(2 * SECOND);
-        assert_eq!(world.instance.waiting(), 0, "seed {seed}: nobody waits for ever");
+        assert_eq!(
+            world.instance.waiting(),
+            0,
+            "seed {seed}: nobody waits for ever"
+        );
         for (place, repeat) in REPEATS.iter().enumerate() {
             let again = |seen: &&Seen| seen.repeat == *repeat && seen.attempts > 1;
             repeated[place] += world.requests.values().filter(again).count();
         }
     }
     // The test tests something: requests of every effect were repeated, and some waited in the queue.
-    assert!(repeated.iter().all(|count| *count > 100) && queued > 1_000, "{repeated:?}, queued {queued}");
+    assert!(
+        repeated.iter().all(|count| *count > 100) && queued > 1_000,
+        "{repeated:?}, queued {queued}"
+    );
 }
--- a/knowledge/benches/merge.rs
+++ b/knowledge/benches/merge.rs
@@ -14,13 +14,29 @@
 fn process(name: &str) -> Knowledge {
     let mut bounds = Bounds::default();
     bounds.of_mut(Kind::Placement).bytes = usize::MAX;
-    Knowledge::new(Origin { name: name.into(), boot: 1 }, bounds)
+    Knowledge::new(
+        Origin {
+            name: name.into(),
+            boot: 1,
+        },
+        bounds,
+    )
 }
 
 fn place(one: &mut Knowledge, key: u64, now: Millis) {
     let server = format!("server-{:04}", key % 1_000);
-    let value = Value::Placement(Some(Placement { server, configuration: 7, since: now }));
-    one.witness(&Subject::Placement(Holder::Client(spread(key))), &value, LONG, now).expect("taken");
+    let value = Value::Placement(Some(Placement {
+        server,
+        configuration: 7,
+        since: now,
+    }));
+    one.witness(
+        &Subject::Placement(Holder::Client(spread(key))),
+        &value,
+        LONG,
+        now,
+    )
+    .expect("taken");
 }
 
 /// Keys are hashes.
@@ -62,16 +78,23 @@
                     )
                 },
                 |bytes| {
-                    one.take(&bytes, now.get()).map(|changes| assert_eq!(changes.len(), DATAGRAM as usize))
+                    one.take(&bytes, now.get())
+                        .map(|changes| assert_eq!(changes.len(), DATAGRAM as usize))
                 },
                 BatchSize::SmallInput,
             );
         });
-        let known = packet(&mut process("peer"), (0..DATAGRAM).map(|step| (step * 997) % count), now.get());
+        let known = packet(
+            &mut process("peer"),
+            (0..DATAGRAM).map(|step| (step * 997) % count),
+            now.get(),
+        );
         one.take(&known, now.get()).expect("sound");
         group.bench_function(BenchmarkId::new("known", count), |bencher| {
-            bencher
-                .iter(|| one.take(black_box(&known), now.get()).map(|changes| assert_eq!(changes.len(), 0)));
+            bencher.iter(|| {
+                one.take(black_box(&known), now.get())
+                    .map(|changes| assert_eq!(changes.len(), 0))
+            });
         });
         group.finish();
     }
--- a/knowledge/examples/spread.rs
+++ b/knowledge/examples/spread.rs
@@ -61,17 +61,32 @@
         self.sent += summary.len() + 88;
         self.datagrams += 1;
         if !self.rng.random_bool(self.loss) {
-            let pages = self.all[peer].answer(&summary, ROOM, 4, self.now).expect("sound");
+            let pages = self.all[peer]
+                .answer(&summary, ROOM, 4, self.now)
+                .expect("sound");
             pages.iter().for_each(|page| self.deliver(from, page));
         }
     }
 
     /// Says what each process says of itself, when its turn has come.
     fn refresh(&mut self, at: usize, now: Millis) {
-        let runs = Value::Configuration(Configuration { digest: 1, number: 1 });
-        self.all[at].witness(&Subject::Configuration, &runs, GOOD, now).expect("taken");
-        let held = Held { position: Position { life: 1, generation: 1 }, digest: 1 };
-        self.all[at].witness(&Subject::List, &Value::List(held), GOOD, now).expect("taken");
+        let runs = Value::Configuration(Configuration {
+            digest: 1,
+            number: 1,
+        });
+        self.all[at]
+            .witness(&Subject::Configuration, &runs, GOOD, now)
+            .expect("taken");
+        let held = Held {
+            position: Position {
+                life: 1,
+                generation: 1,
+            },
+            digest: 1,
+        };
+        self.all[at]
+            .witness(&Subject::List, &Value::List(held), GOOD, now)
+            .expect("taken");
     }
 
     /// Goes on for so long in quiet; bytes and datagrams a second of each.
@@ -99,17 +114,41 @@
 
 fn main() {
     let mut words = std::env::args().skip(1);
-    let count: usize = words.next().and_then(|word| word.parse().ok()).unwrap_or(300);
-    let loss: f64 = words.next().and_then(|word| word.parse().ok()).unwrap_or(0.05);
-    let one = |at| Knowledge::new(Origin { name: format!("process-{at:03}"), boot: 1 }, Bounds::default());
+    let count: usize = words
+        .next()
+        .and_then(|word| word.parse().ok())
+        .unwrap_or(300);
+    let loss: f64 = words
+        .next()
+        .and_then(|word| word.parse().ok())
+        .unwrap_or(0.05);
+    let one = |at| {
+        Knowledge::new(
+            Origin {
+                name: format!("process-{at:03}"),
+                boot: 1,
+            },
+            Bounds::default(),
+        )
+    };
     let all: Vec<Knowledge> = (0..count).map(one).collect();
     let now = 1_800_000_000_000;
-    let mut fleet = Fleet { all, now, loss, rng: Pcg32::seed_from_u64(5), sent: 0, datagrams: 0 };
+    let mut fleet = Fleet {
+        all,
+        now,
+        loss,
+        rng: Pcg32::seed_from_u64(5),
+        sent: 0,
+        datagrams: 0,
+    };
     for at in 0..count {
         fleet.all[at].members(count);
         for server in 0..1_000 {
             let listed = Listed {
-                position: Position { life: 1, generation: 1 },
+                position: Position {
+                    life: 1,
+                    generation: 1,
+                },
                 lifecycle: Lifecycle::Serving,
                 zone: "a".into(),
                 machine_type: "m1".into(),
@@ -119,7 +158,9 @@
                 started_at_ms: 0,
             };
             let subject = Subject::Listed(format!("server-{server:04}"));
-            fleet.all[at].witness(&subject, &Value::Listed(listed), 24 * GOOD, now).expect("taken");
+            fleet.all[at]
+                .witness(&subject, &Value::Listed(listed), 24 * GOOD, now)
+                .expect("taken");
         }
         fleet.refresh(at, now);
     }
@@ -127,19 +168,34 @@
     while (0..count).any(|at| fleet.all[at].configurations(fleet.now).len() < count) {
         fleet.round();
     }
-    println!("{count} processes, {loss} lost: all heard of all others after {} ms", fleet.now - begun);
+    println!(
+        "{count} processes, {loss} lost: all heard of all others after {} ms",
+        fleet.now - begun
+    );
     fleet.quiet(30_000);
     let (bytes, datagrams) = fleet.quiet(60_000);
-    println!("quiet, each: {:.1} KiB/s in {datagrams:.1} datagrams a second", bytes / 1024.0);
+    println!(
+        "quiet, each: {:.1} KiB/s in {datagrams:.1} datagrams a second",
+        bytes / 1024.0
+    );
     let (mut spans, mut lasts) = (Vec::new(), Vec::new());
     for key in 0..100 {
         fleet.quiet(ROUND * 7);
-        let placed = Placement { server: "server-0001".into(), configuration: 1, since: fleet.now };
+        let placed = Placement {
+            server: "server-0001".into(),
+            configuration: 1,
+            since: fleet.now,
+        };
         let (at, told) = (fleet.rng.random_range(0..count), fleet.now);
         let subject = Subject::Placement(Holder::Client(key));
-        fleet.all[at].witness(&subject, &Value::Placement(Some(placed)), GOOD, told).expect("taken");
-        let knows =
-            |fleet: &Fleet, at: usize| fleet.all[at].placement(Holder::Client(key), fleet.now).is_some();
+        fleet.all[at]
+            .witness(&subject, &Value::Placement(Some(placed)), GOOD, told)
+            .expect("taken");
+        let knows = |fleet: &Fleet, at: usize| {
+            fleet.all[at]
+                .placement(Holder::Client(key), fleet.now)
+                .is_some()
+        };
         let mut lack: Vec<usize> = (0..count).filter(|other| *other != at).collect();
         while !lack.is_empty() {
             fleet.round();
@@ -149,7 +205,10 @@
         }
         lasts.extend(spans.last().copied());
     }
-    let (half, most, last) =
-        (percentile(&mut spans, 0.5), percentile(&mut spans, 0.99), percentile(&mut lasts, 0.99));
+    let (half, most, last) = (
+        percentile(&mut spans, 0.5),
+        percentile(&mut spans, 0.99),
+        percentile(&mut lasts, 0.99),
+    );
     println!("a fact is known: p50 {half} ms, p99 {most} ms; by the last process p99 {last} ms");
 }
--- a/knowledge/src/fact.rs
+++ b/knowledge/src/fact.rs
@@ -52,13 +52,21 @@
 
     /// Its number in records; none for what is unknown.
     pub(crate) fn number(self) -> u32 {
-        if self == Kind::Unknown { 0 } else { self as u32 + 1 }
+        if self == Kind::Unknown {
+            0
+        } else {
+            self as u32 + 1
+        }
     }
 
     /// The kind of that number.
     pub(crate) fn of(number: u32) -> Kind {
         let known = &Kind::ALL[..Kind::Unknown as usize];
-        known.iter().copied().find(|kind| kind.number() == number).unwrap_or(Kind::Unknown)
+        known
+            .iter()
+            .copied()
+            .find(|kind| kind.number() == number)
+            .unwrap_or(Kind::Unknown)
     }
 }
 
--- a/knowledge/src/knowledge.rs
+++ b/knowledge/src/knowledge.rs
@@ -46,13 +46,22 @@
 
 /// The key and kind of a subject, for a look-up.
 pub(crate) fn number_of(subject: &Subject) -> u32 {
-    if let Subject::Unknown { kind, .. } = subject { *kind } else { subject.kind().number() }
+    if let Subject::Unknown { kind, .. } = subject {
+        *kind
+    } else {
+        subject.kind().number()
+    }
 }
 
 impl Knowledge {
     /// Nothing is known yet.
     pub fn new(me: Origin, bounds: Bounds) -> Knowledge {
-        Knowledge { me, shelf: Shelf::new(bounds), gossip: Gossip::default(), heard: None }
+        Knowledge {
+            me,
+            shelf: Shelf::new(bounds),
+            gossip: Gossip::default(),
+            heard: None,
+        }
     }
 
     /// Whose knowledge it is.
@@ -74,19 +83,29 @@
     fn slot(&self, subject: &Subject, process: &str) -> Option<(u32, &Slot)> {
         let key = encode_key(subject);
         let name = subject.owned().then_some(process.as_bytes());
-        let at = self.shelf.find(Id { kind: number_of(subject), key: &key, name })?;
+        let at = self.shelf.find(Id {
+            kind: number_of(subject),
+            key: &key,
+            name,
+        })?;
         Some((at, self.shelf.slot(at)?))
     }
 
     /// What is known of a subject now. Where each process has its own word, it is that process's.
     pub fn get(&self, subject: &Subject, process: &str, now: Millis) -> Option<Fact> {
-        self.slot(subject, process).filter(|(_, slot)| slot.is_good(now))?.1.fact()
+        self.slot(subject, process)
+            .filter(|(_, slot)| slot.is_good(now))?
+            .1
+            .fact()
     }
 
     /// All of a kind that is good now, by subject and then by process; placements in no order but the same one
     /// after the same calls.
     pub fn iter(&self, kind: Kind, now: Millis) -> impl Iterator<Item = Fact> {
-        self.shelf.of_kind(kind).filter(move |slot| slot.is_good(now)).filter_map(Slot::fact)
+        self.shelf
+            .of_kind(kind)
+            .filter(move |slot| slot.is_good(now))
+            .filter_map(Slot::fact)
     }
 
     /// Bytes that a kind takes, and how many facts.
@@ -118,10 +137,14 @@
             return Ok(fact);
         }
         let record = self.record(subject, value, good_for, known, now);
-        if let Merged::New(at) | Merged::Replaced(at, ..) = self.enter(subject, value, &record, (now, now))? {
+        if let Merged::New(at) | Merged::Replaced(at, ..) =
+            self.enter(subject, value, &record, (now, now))?
+        {
             self.shelf.heat(at, self.gossip.told_of(subject.kind()));
         }
-        self.slot(subject, &self.me.name).and_then(|(_, slot)| slot.fact()).ok_or(Refused::NotKept)
+        self.slot(subject, &self.me.name)
+            .and_then(|(_, slot)| slot.fact())
+            .ok_or(Refused::NotKept)
     }
 
     /// Enters an observation of this process's former life, made at an earlier moment, unless something later is known. It is
@@ -135,7 +158,8 @@
         (witnessed, now): (Millis, Millis),
     ) -> Result<(), Refused> {
         let record = self.record(subject, value, good_for, None, witnessed);
-        self.enter(subject, value, &record, (witnessed, now)).map(drop)
+        self.enter(subject, value, &record, (witnessed, now))
+            .map(drop)
     }
 
     fn enter(
@@ -208,8 +232,16 @@
 
     /// A list came from discovery: says under which position its entries are to be witnessed, and enters that this
     /// process holds it.
-    pub fn hear_list(&mut self, told: Told, good_for: Millis, now: Millis) -> Result<Position, Refused> {
-        let held = self.heard.map(|heard| heard.position).or_else(|| self.own_position(now));
+    pub fn hear_list(
+        &mut self,
+        told: Told,
+        good_for: Millis,
+        now: Millis,
+    ) -> Result<Position, Refused> {
+        let held = self
+            .heard
+            .map(|heard| heard.position)
+            .or_else(|| self.own_position(now));
         let life = judge(held, told, &self.lists(now), now);
         self.heard_list(told, life, held.is_some(), good_for, now)
     }
@@ -218,13 +250,19 @@
     /// then the entries are to be witnessed again. Only a process that held no list before that one has cause to.
     pub fn settle_list(&mut self, good_for: Millis, now: Millis) -> Option<Position> {
         let heard = self.heard.filter(|heard| !heard.follows)?;
-        let told = Told { whole: true, ..heard.told };
+        let told = Told {
+            whole: true,
+            ..heard.told
+        };
         let life = judge(Some(heard.position), told, &self.lists(now), heard.at);
         if life == heard.position.life {
             return None;
         }
         let position = self.heard_list(told, life, false, good_for, now).ok()?;
-        self.heard = self.heard.map(|last| Heard { at: heard.at, ..last });
+        self.heard = self.heard.map(|last| Heard {
+            at: heard.at,
+            ..last
+        });
         Some(position)
     }
 
@@ -236,15 +274,28 @@
         good_for: Millis,
         now: Millis,
     ) -> Result<Position, Refused> {
-        let position = Position { life, generation: told.generation };
-        let value = Value::List(Held { position, digest: told.digest });
+        let position = Position {
+            life,
+            generation: told.generation,
+        };
+        let value = Value::List(Held {
+            position,
+            digest: told.digest,
+        });
         self.witness(&Subject::List, &value, good_for, now)?;
-        self.heard = Some(Heard { told, at: now, position, follows });
+        self.heard = Some(Heard {
+            told,
+            at: now,
+            position,
+            follows,
+        });
         Ok(position)
     }
 
     fn own_position(&self, now: Millis) -> Option<Position> {
-        let held = self.get(&Subject::List, &self.me.name, now).map(|fact| fact.value);
+        let held = self
+            .get(&Subject::List, &self.me.name, now)
+            .map(|fact| fact.value);
         match held {
             Some(Value::List(held)) => Some(held.position),
             _ => None,
@@ -252,9 +303,14 @@
     }
 
     fn lists(&self, now: Millis) -> Vec<Known> {
-        let others = self.iter(Kind::List, now).filter(|fact| fact.origin.name != self.me.name);
+        let others = self
+            .iter(Kind::List, now)
+            .filter(|fact| fact.origin.name != self.me.name);
         let known = others.filter_map(|fact| match fact.value {
-            Value::List(held) => Some(Known { held, witnessed: fact.witnessed }),
+            Value::List(held) => Some(Known {
+                held,
+                witnessed: fact.witnessed,
+            }),
             _ => None,
         });
         known.collect()
@@ -262,7 +318,10 @@
 
     /// Records of all that is kept of these kinds, for a durable memory: the same bytes as on the wire.
     pub fn export(&self, kinds: &[Kind], now: Millis) -> Vec<Vec<u8>> {
-        let all = kinds.iter().flat_map(|kind| self.shelf.of_kind(*kind)).filter(|slot| now < slot.until);
+        let all = kinds
+            .iter()
+            .flat_map(|kind| self.shelf.of_kind(*kind))
+            .filter(|slot| now < slot.until);
         all.map(|slot| carried(slot, now).encode_to_vec()).collect()
     }
 
@@ -288,7 +347,9 @@
     ) -> Vec<Change> {
         let mut changes = Vec::new();
         for record in records {
-            let Ok((Some(view), age)) = read_carried(record) else { continue };
+            let Ok((Some(view), age)) = read_carried(record) else {
+                continue;
+            };
             let witnessed = now.saturating_sub(age.saturating_add(dark));
             self.merged(&view, witnessed, None, now, &mut changes);
         }
@@ -307,31 +368,55 @@
         let merged = self.shelf.merge(view, witnessed, now);
         let (at, old, known) = match merged {
             Merged::New(at) => (at, None, Merged::New(at)),
-            Merged::Replaced(at, raw, then) => (at, Some(Noted { raw, witnessed: then }), Merged::New(at)),
+            Merged::Replaced(at, raw, then) => (
+                at,
+                Some(Noted {
+                    raw,
+                    witnessed: then,
+                }),
+                Merged::New(at),
+            ),
             Merged::Same(_) | Merged::Nothing => return merged,
         };
         if let Some(told) = told {
             self.shelf.heat(at, told);
         }
-        changes.push(Change { old, new: Noted { raw: Raw::from_slice(view.raw), witnessed } });
+        changes.push(Change {
+            old,
+            new: Noted {
+                raw: Raw::from_slice(view.raw),
+                witnessed,
+            },
+        });
         known
     }
 }
 
 /// A slot's record with its age.
 pub(crate) fn carried(slot: &Slot, now: Millis) -> Carried {
-    Carried { fact: slot.raw.to_vec(), age: now.saturating_sub(slot.witnessed) }
+    Carried {
+        fact: slot.raw.to_vec(),
+        age: now.saturating_sub(slot.witnessed),
+    }
 }
 
 /// What is known, where an entry of the list says nothing beyond it: it is known from the same life of discovery, and
 /// is good for a while yet.
 fn no_news(slot: &Slot, value: &Value, now: Millis) -> Option<Fact> {
-    let Value::Listed(entry) = value else { return None };
+    let Value::Listed(entry) = value else {
+        return None;
+    };
     let fact = slot.fact().filter(|_| slot.is_good(now))?;
-    let Value::Listed(known) = &fact.value else { return None };
+    let Value::Listed(known) = &fact.value else {
+        return None;
+    };
     let Position { life, generation } = known.position;
     let earlier = life == entry.position.life && generation <= entry.position.generation;
-    let same = Listed { position: entry.position, address: entry.address, ..known.clone() } == *entry;
+    let same = Listed {
+        position: entry.position,
+        address: entry.address,
+        ..known.clone()
+    } == *entry;
     (earlier && same && now.saturating_sub(fact.witnessed) < fact.good_for / 2).then_some(fact)
 }
 
--- a/knowledge/src/lib.rs
+++ b/knowledge/src/lib.rs
@@ -103,8 +103,8 @@
 
 pub use bounds::{Bound, Bounds};
 pub use fact::{
-    Configuration, Evidence, Fact, Failures, Held, Holder, Kind, Lifecycle, Listed, Origin, Override,
-    Placement, PlacementView, Position, Seen, Subject, Value,
+    Configuration, Evidence, Fact, Failures, Held, Holder, Kind, Lifecycle, Listed, Origin,
+    Override, Placement, PlacementView, Position, Seen, Subject, Value,
 };
 pub use knowledge::{Knowledge, Refused};
 pub use life::{SKEW, Told};
--- a/knowledge/src/life.rs
+++ b/knowledge/src/life.rs
@@ -29,17 +29,30 @@
     let same = |known: &&Known| {
         known.held.position.generation == told.generation && known.held.digest == told.digest
     };
-    let joined = known.iter().filter(same).map(|known| known.held.position.life).max();
+    let joined = known
+        .iter()
+        .filter(same)
+        .map(|known| known.held.position.life)
+        .max();
     if let Some(life) = joined.filter(|life| *life > own_life) {
         return life;
     }
-    let highest = known.iter().max_by_key(|known| (known.held.position, known.witnessed));
+    let highest = known
+        .iter()
+        .max_by_key(|known| (known.held.position, known.witnessed));
     let beyond = highest.filter(|known| own.is_none_or(|own| known.held.position > own));
     let mut life = own_life.max(1);
     if let Some(known) = beyond.filter(|_| told.whole || own.is_none()) {
-        let Position { life: other, generation } = known.held.position;
+        let Position {
+            life: other,
+            generation,
+        } = known.held.position;
         let long_ago = known.witnessed.saturating_add(SKEW) < now;
-        life = if told.generation < generation && long_ago { other + 1 } else { other };
+        life = if told.generation < generation && long_ago {
+            other + 1
+        } else {
+            other
+        };
     }
     // The own watch saw the count begin anew; no clock is compared.
     let anew = own.is_some_and(|own| told.whole && told.generation < own.generation);
--- a/knowledge/src/own.rs
+++ b/knowledge/src/own.rs
@@ -17,16 +17,26 @@
         let (_, voided) = self.counted(key, now);
         let subject = Subject::Failures(key);
         let count = match self.own(&subject, now) {
-            Some((Value::Failures(own), age)) if voided.is_none_or(|voided| age < voided) => own.count,
+            Some((Value::Failures(own), age)) if voided.is_none_or(|voided| age < voided) => {
+                own.count
+            }
             _ => 0,
         };
         let count = (count + 1).min(MOST_FAILURES);
-        self.witness(&subject, &Value::Failures(Failures { count, voided }), good_for, now)
+        self.witness(
+            &subject,
+            &Value::Failures(Failures { count, voided }),
+            good_for,
+            now,
+        )
     }
 
     /// A placement of that client key succeeded here: nothing that was counted before counts any more.
     pub fn succeeded(&mut self, key: u64, good_for: Millis, now: Millis) -> Result<Fact, Refused> {
-        let value = Value::Failures(Failures { count: 0, voided: Some(0) });
+        let value = Value::Failures(Failures {
+            count: 0,
+            voided: Some(0),
+        });
         self.witness(&Subject::Failures(key), &value, good_for, now)
     }
 
@@ -66,6 +76,11 @@
             _ => 0.0,
         };
         let weight = (before + evidence.weight).min(most);
-        self.witness(&subject, &Value::Standing(Evidence { weight, ..evidence }), good_for, now)
+        self.witness(
+            &subject,
+            &Value::Standing(Evidence { weight, ..evidence }),
+            good_for,
+            now,
+        )
     }
 }
--- a/knowledge/src/record.rs
+++ b/knowledge/src/record.rs
@@ -70,7 +70,10 @@
         if raw.len() > LONGEST_FACT {
             return None;
         }
-        let mut view = View { raw, ..View::default() };
+        let mut view = View {
+            raw,
+            ..View::default()
+        };
         for field in Fields(raw) {
             let (number, held) = field.ok()?;
             match number {
@@ -101,18 +104,32 @@
     /// The fact that it tells. What this program cannot read of it comes as unknown.
     pub fn fact(&self, witnessed: Millis) -> Fact {
         let kind = Kind::of(self.kind);
-        let position = Position { life: self.epoch, generation: self.version };
+        let position = Position {
+            life: self.epoch,
+            generation: self.version,
+        };
         let value = decode_value(kind, position, self.value);
-        let unknown = || Subject::Unknown { kind: self.kind, key: self.key.to_vec(), owned: self.owned };
+        let unknown = || Subject::Unknown {
+            kind: self.kind,
+            key: self.key.to_vec(),
+            owned: self.owned,
+        };
         let name = String::from_utf8_lossy(self.name).into_owned();
         Fact {
             subject: decode_key(kind, self.key).unwrap_or_else(unknown),
             value: value.unwrap_or_else(|| Value::Unknown(self.value.to_vec())),
-            origin: Origin { name, boot: self.boot },
+            origin: Origin {
+                name,
+                boot: self.boot,
+            },
             epoch: self.epoch,
             version: self.version,
             witnessed,
-            told: if self.told == 0 { self.version } else { self.told },
+            told: if self.told == 0 {
+                self.version
+            } else {
+                self.told
+            },
             good_for: self.good_for,
         }
     }
@@ -246,29 +263,54 @@
         .encode_to_vec(),
         Value::List(Held { position, digest }) => {
             let Position { life, generation } = *position;
-            HeldRecord { life, generation, digest: *digest }.encode_to_vec()
+            HeldRecord {
+                life,
+                generation,
+                digest: *digest,
+            }
+            .encode_to_vec()
         }
-        Value::Standing(Evidence { seen, weight }) => {
-            EvidenceRecord { seen: *seen as u32, weight: *weight }.encode_to_vec()
+        Value::Standing(Evidence { seen, weight }) => EvidenceRecord {
+            seen: *seen as u32,
+            weight: *weight,
         }
+        .encode_to_vec(),
         Value::ColdSent(sent) => ColdRecord { sent: *sent }.encode_to_vec(),
-        Value::Failures(Failures { count, voided }) => {
-            FailuresRecord { count: *count, voided: *voided }.encode_to_vec()
+        Value::Failures(Failures { count, voided }) => FailuresRecord {
+            count: *count,
+            voided: *voided,
         }
+        .encode_to_vec(),
         Value::Placement(None) => PlacementRecord::default().encode_to_vec(),
-        Value::Placement(Some(Placement { server, configuration, since })) => {
+        Value::Placement(Some(Placement {
+            server,
+            configuration,
+            since,
+        })) => {
             let server = Some(server.clone());
-            PlacementRecord { server, configuration: *configuration, since: *since }.encode_to_vec()
+            PlacementRecord {
+                server,
+                configuration: *configuration,
+                since: *since,
+            }
+            .encode_to_vec()
         }
-        Value::Override(Override::Removed) => {
-            OverrideRecord { removed: true, ..OverrideRecord::default() }.encode_to_vec()
+        Value::Override(Override::Removed) => OverrideRecord {
+            removed: true,
+            ..OverrideRecord::default()
         }
-        Value::Override(Override::Made { expires_at, bytes }) => {
-            OverrideRecord { expires_at: *expires_at, bytes: bytes.clone(), removed: false }.encode_to_vec()
+        .encode_to_vec(),
+        Value::Override(Override::Made { expires_at, bytes }) => OverrideRecord {
+            expires_at: *expires_at,
+            bytes: bytes.clone(),
+            removed: false,
         }
-        Value::Configuration(Configuration { digest, number }) => {
-            ConfigurationRecord { digest: *digest, number: *number }.encode_to_vec()
+        .encode_to_vec(),
+        Value::Configuration(Configuration { digest, number }) => ConfigurationRecord {
+            digest: *digest,
+            number: *number,
         }
+        .encode_to_vec(),
         Value::Unknown(bytes) => bytes.clone(),
     }
 }
@@ -294,12 +336,22 @@
             })
         }
         Kind::List => {
-            let HeldRecord { life, generation, digest } = HeldRecord::decode(bytes).ok()?;
-            Value::List(Held { position: Position { life, generation }, digest })
+            let HeldRecord {
+                life,
+                generation,
+                digest,
+            } = HeldRecord::decode(bytes).ok()?;
+            Value::List(Held {
+                position: Position { life, generation },
+                digest,
+            })
         }
         Kind::Standing => {
             let EvidenceRecord { seen, weight } = EvidenceRecord::decode(bytes).ok()?;
-            Value::Standing(Evidence { seen: *SIGHTS.get(seen as usize)?, weight: amount(weight)? })
+            Value::Standing(Evidence {
+                seen: *SIGHTS.get(seen as usize)?,
+                weight: amount(weight)?,
+            })
         }
         Kind::ColdSent => Value::ColdSent(amount(ColdRecord::decode(bytes).ok()?.sent)?),
         Kind::Failures => {
@@ -307,12 +359,22 @@
             Value::Failures(Failures { count, voided })
         }
         Kind::Placement => {
-            let PlacementRecord { server, configuration, since } = PlacementRecord::decode(bytes).ok()?;
-            Value::Placement(server.map(|server| Placement { server, configuration, since }))
+            let PlacementRecord {
+                server,
+                configuration,
+                since,
+            } = PlacementRecord::decode(bytes).ok()?;
+            Value::Placement(server.map(|server| Placement {
+                server,
+                configuration,
+                since,
+            }))
         }
         Kind::Override => match OverrideRecord::decode(bytes).ok()? {
             OverrideRecord { removed: true, .. } => Value::Override(Override::Removed),
-            OverrideRecord { expires_at, bytes, .. } => Value::Override(Override::Made { expires_at, bytes }),
+            OverrideRecord {
+                expires_at, bytes, ..
+            } => Value::Override(Override::Made { expires_at, bytes }),
         },
         Kind::Configuration => {
             let ConfigurationRecord { digest, number } = ConfigurationRecord::decode(bytes).ok()?;
@@ -358,7 +420,11 @@
         Kind::Placement => {
             let (tag, number) = key.split_first()?;
             let number = u64::from_be_bytes(number.try_into().ok()?);
-            Subject::Placement(if *tag == 0 { Holder::Client(number) } else { Holder::Group(number) })
+            Subject::Placement(if *tag == 0 {
+                Holder::Client(number)
+            } else {
+                Holder::Group(number)
+            })
         }
         Kind::Override => Subject::Override(key.to_vec()),
         Kind::Configuration => Subject::Configuration,
@@ -377,7 +443,11 @@
             _ => {}
         }
     }
-    Some(PlacementView { server: server?, configuration, since })
+    Some(PlacementView {
+        server: server?,
+        configuration,
+        since,
+    })
 }
 
 #[cfg(test)]
--- a/knowledge/src/record/tests.rs
+++ b/knowledge/src/record/tests.rs
@@ -2,9 +2,24 @@
 use proptest::prelude::*;
 
 fn same(view: View<'_>, record: &Record) -> bool {
-    let numbers = [view.boot, view.epoch, view.version, view.told, view.good_for, view.kept_for];
+    let numbers = [
+        view.boot,
+        view.epoch,
+        view.version,
+        view.told,
+        view.good_for,
+        view.kept_for,
+    ];
     let parts = [view.key, view.name, view.value];
-    numbers == [record.boot, record.epoch, record.version, record.told, record.good_for, record.kept_for]
+    numbers
+        == [
+            record.boot,
+            record.epoch,
+            record.version,
+            record.told,
+            record.good_for,
+            record.kept_for,
+        ]
         && parts == [&record.key[..], &record.name, &record.value]
         && (view.kind, view.owned) == (record.kind, record.owned)
 }
--- a/knowledge/src/rumour.rs
+++ b/knowledge/src/rumour.rs
@@ -102,7 +102,11 @@
     /// As how often told an own observation begins. Guards against a fleet in which each process tells at length what
     /// all have just heard from discovery: who had not tells it on in full.
     pub fn told_of(&self, kind: Kind) -> u8 {
-        if kind == Kind::Listed { self.enough() - LISTED_TELLINGS } else { 0 }
+        if kind == Kind::Listed {
+            self.enough() - LISTED_TELLINGS
+        } else {
+            0
+        }
     }
 }
 
@@ -152,7 +156,15 @@
                 self.shelf.heat(at, times);
             }
         }
-        if facts.is_empty() { Vec::new() } else { Packet { facts, ..Packet::default() }.encode_to_vec() }
+        if facts.is_empty() {
+            Vec::new()
+        } else {
+            Packet {
+                facts,
+                ..Packet::default()
+            }
+            .encode_to_vec()
+        }
     }
 
     /// Digests to be compared by a peer, in at most so many bytes: of all facts, or in turn with that of a stretch
@@ -160,7 +172,11 @@
     pub fn summary(&mut self, room: usize) -> Vec<u8> {
         self.gossip.turn = self.gossip.turn.wrapping_add(1);
         let turn = self.gossip.turn;
-        let gap = if turn.is_multiple_of(2) { self.gossip.gaps.pop_front() } else { None };
+        let gap = if turn.is_multiple_of(2) {
+            self.gossip.gaps.pop_front()
+        } else {
+            None
+        };
         let stretch = gap.unwrap_or_default();
         let most = (room.saturating_sub(FRAME) / 4).max(1).ilog2();
         let parts = most.min(LEAF_BITS - stretch.bits);
@@ -168,7 +184,12 @@
             let digest = self.shelf.digest(part_of(stretch, parts, part));
             (digest as u32).to_le_bytes()
         });
-        Summary { stretch, digests: digests.collect(), turn }.encode_to_vec()
+        Summary {
+            stretch,
+            digests: digests.collect(),
+            turn,
+        }
+        .encode_to_vec()
     }
 
     /// Pages for the peer that sent this summary, each of at most so many bytes and no more of them than `most`:
@@ -182,8 +203,12 @@
     ) -> Result<Vec<Vec<u8>>, Unreadable> {
         let (stretch, parts, theirs) = read_summary(summary)?;
         let count = 1_u32 << parts;
-        let mut pages =
-            Pages { room: room.saturating_sub(FRAME), most, done: Vec::new(), open: Packet::default() };
+        let mut pages = Pages {
+            room: room.saturating_sub(FRAME),
+            most,
+            done: Vec::new(),
+            open: Packet::default(),
+        };
         pages.open.page = true;
         let mut left = pages.room;
         let turn = theirs.turn.wrapping_mul(0x9e37_79b9);
@@ -224,7 +249,10 @@
         let page = fields().any(|(number, held)| number == 2 && held != Field::Number(0));
         let enough = self.gossip.enough();
         let mut changes = Vec::new();
-        for held in fields().filter(|(number, _)| *number == 1).filter_map(|(_, held)| held.bytes()) {
+        for held in fields()
+            .filter(|(number, _)| *number == 1)
+            .filter_map(|(_, held)| held.bytes())
+        {
             let Ok((Some(view), age)) = read_carried(held) else {
                 self.gossip.refused += 1;
                 continue;
@@ -232,13 +260,24 @@
             self.meet(&view);
             // A page tells what most know already.
             let told = if page { enough / 2 } else { 0 };
-            let merged = self.merged(&view, now.saturating_sub(age), Some(told), now, &mut changes);
+            let merged = self.merged(
+                &view,
+                now.saturating_sub(age),
+                Some(told),
+                now,
+                &mut changes,
+            );
             if let (Merged::Same(at), false) = (merged, page) {
                 self.heard_again(at, enough);
             }
         }
-        let gaps = fields().filter(|(number, _)| *number == 3).filter_map(|(_, held)| held.bytes());
-        for gap in gaps.filter_map(|gap| Stretch::decode(gap).ok()).filter(|gap| sound(*gap)) {
+        let gaps = fields()
+            .filter(|(number, _)| *number == 3)
+            .filter_map(|(_, held)| held.bytes());
+        for gap in gaps
+            .filter_map(|gap| Stretch::decode(gap).ok())
+            .filter(|gap| sound(*gap))
+        {
             if self.gossip.gaps.len() < GAPS && !self.gossip.gaps.contains(&gap) {
                 self.gossip.gaps.push_back(gap);
             }
@@ -264,7 +303,10 @@
 }
 
 fn part_of(stretch: Stretch, parts: u32, part: u32) -> Stretch {
-    Stretch { bits: stretch.bits + parts, prefix: (stretch.prefix << parts) | part }
+    Stretch {
+        bits: stretch.bits + parts,
+        prefix: (stretch.prefix << parts) | part,
+    }
 }
 
 fn sound(stretch: Stretch) -> bool {
@@ -277,9 +319,17 @@
     }
     let summary = Summary::decode(bytes).map_err(|_| Unreadable::Malformed)?;
     let (stretch, parts) = (summary.stretch, summary.digests.len() / 4);
-    let parts = if parts.is_power_of_two() && summary.digests.len() % 4 == 0 { parts.ilog2() } else { 32 };
+    let parts = if parts.is_power_of_two() && summary.digests.len() % 4 == 0 {
+        parts.ilog2()
+    } else {
+        32
+    };
     let sound = sound(stretch) && stretch.bits + parts <= LEAF_BITS;
-    if sound { Ok((stretch, parts, summary)) } else { Err(Unreadable::Malformed) }
+    if sound {
+        Ok((stretch, parts, summary))
+    } else {
+        Err(Unreadable::Malformed)
+    }
 }
 
 /// Pages that are being filled.
--- a/knowledge/src/shelf.rs
+++ b/knowledge/src/shelf.rs
@@ -90,7 +90,9 @@
 
     /// Finds a subject's slot.
     pub fn find(&self, id: Id<'_>) -> Option<u32> {
-        self.table.find(id.hash(self.bounds.seed), |at| self.is(*at, id)).copied()
+        self.table
+            .find(id.hash(self.bounds.seed), |at| self.is(*at, id))
+            .copied()
     }
 
     fn is(&self, at: u32, id: Id<'_>) -> bool {
@@ -107,15 +109,31 @@
     pub fn of_kind(&self, kind: Kind) -> Box<dyn Iterator<Item = &Slot> + '_> {
         let known = move |number: u32| Kind::of(number) == kind;
         match kind {
-            Kind::Placement => Box::new(self.slots.iter().flatten().filter(move |slot| slot.kind() == kind)),
+            Kind::Placement => Box::new(
+                self.slots
+                    .iter()
+                    .flatten()
+                    .filter(move |slot| slot.kind() == kind),
+            ),
             Kind::Unknown => {
-                let held = self.index.iter().filter(move |((number, _), _)| known(*number));
-                Box::new(held.flat_map(|(_, slots)| slots).filter_map(|at| self.slot(*at)))
+                let held = self
+                    .index
+                    .iter()
+                    .filter(move |((number, _), _)| known(*number));
+                Box::new(
+                    held.flat_map(|(_, slots)| slots)
+                        .filter_map(|at| self.slot(*at)),
+                )
             }
             _ => {
                 let (from, to) = (kind.number(), kind.number() + 1);
-                let held = self.index.range((from, Box::default())..(to, Box::default()));
-                Box::new(held.flat_map(|(_, slots)| slots).filter_map(|at| self.slot(*at)))
+                let held = self
+                    .index
+                    .range((from, Box::default())..(to, Box::default()));
+                Box::new(
+                    held.flat_map(|(_, slots)| slots)
+                        .filter_map(|at| self.slot(*at)),
+                )
             }
         }
     }
@@ -134,9 +152,15 @@
         }
         let Some(at) = self.find(Id::of(view)) else {
             let slot = Slot::new(view, witnessed, longest);
-            return if self.make_room(&slot, now) { Merged::New(self.insert(slot)) } else { Merged::Nothing };
+            return if self.make_room(&slot, now) {
+                Merged::New(self.insert(slot))
+            } else {
+                Merged::Nothing
+            };
+        };
+        let Some(kept) = self.slots[at as usize].as_mut() else {
+            return Merged::Nothing;
         };
-        let Some(kept) = self.slots[at as usize].as_mut() else { return Merged::Nothing };
         if kept.until <= now {
             // It is over and only waits to be swept.
             self.remove(at);
@@ -154,7 +178,9 @@
 
     /// Guards against an age that got lost on the way: of two ages of a fact the greater one is believed.
     fn grow_older(&mut self, at: u32, witnessed: Millis) {
-        let Some(kept) = self.slots[at as usize].as_mut() else { return };
+        let Some(kept) = self.slots[at as usize].as_mut() else {
+            return;
+        };
         let before = (day(kept.witnessed), day(kept.until));
         let younger = kept.witnessed.saturating_sub(witnessed);
         kept.witnessed -= younger;
@@ -167,7 +193,9 @@
 
     fn replace(&mut self, at: u32, mut slot: Slot, now: Millis) -> Merged {
         self.cool(at);
-        let Some(kept) = self.slots[at as usize].as_mut() else { return Merged::Nothing };
+        let Some(kept) = self.slots[at as usize].as_mut() else {
+            return Merged::Nothing;
+        };
         let (kind, cost, before) = (slot.kind(), slot.cost(), kept.cost());
         slot.leaf_at = kept.leaf_at;
         self.leaves[slot.id().leaf()].digest ^= kept.digest() ^ slot.digest();
@@ -176,7 +204,11 @@
         tally.bytes = tally.bytes + cost - before;
         self.note(at);
         self.give_way(kind, now);
-        if self.slot(at).is_none() { Merged::Nothing } else { Merged::Replaced(at, old.raw, old.witnessed) }
+        if self.slot(at).is_none() {
+            Merged::Nothing
+        } else {
+            Merged::Replaced(at, old.raw, old.witnessed)
+        }
     }
 
     fn insert(&mut self, mut slot: Slot) -> u32 {
@@ -190,8 +222,16 @@
         tally.count += 1;
         let hash = slot.id().hash(self.bounds.seed);
         if slot.kind() != Kind::Placement {
-            let words = self.index.entry((slot.number, slot.key().into())).or_default();
-            let named = |at: &u32| self.slots.get(*at as usize).and_then(Option::as_ref).map(Slot::name);
+            let words = self
+                .index
+                .entry((slot.number, slot.key().into()))
+                .or_default();
+            let named = |at: &u32| {
+                self.slots
+                    .get(*at as usize)
+                    .and_then(Option::as_ref)
+                    .map(Slot::name)
+            };
             let place = words.partition_point(|word| named(word) < Some(slot.name()));
             words.insert(place, at);
         }
@@ -201,15 +241,21 @@
             self.slots[at as usize] = Some(slot)
         }
         let (slots, seed) = (&self.slots, self.bounds.seed);
-        self.table.insert_unique(hash, at, |at| hash_of(slots, *at, seed));
+        self.table
+            .insert_unique(hash, at, |at| hash_of(slots, *at, seed));
         self.note(at);
         at
     }
 
     fn remove(&mut self, at: u32) {
         self.cool(at);
-        let Some(slot) = self.slots.get_mut(at as usize).and_then(Option::take) else { return };
-        if let Ok(found) = self.table.find_entry(slot.id().hash(self.bounds.seed), |other| *other == at) {
+        let Some(slot) = self.slots.get_mut(at as usize).and_then(Option::take) else {
+            return;
+        };
+        if let Ok(found) = self
+            .table
+            .find_entry(slot.id().hash(self.bounds.seed), |other| *other == at)
+        {
             found.remove();
         }
         let leaf = &mut self.leaves[slot.id().leaf()];
@@ -235,18 +281,23 @@
 
     /// Notes when a slot ends and how old it is.
     fn note(&mut self, at: u32) {
-        let Some(slot) = self.slots[at as usize].as_ref() else { return };
+        let Some(slot) = self.slots[at as usize].as_ref() else {
+            return;
+        };
         let (kind, slots) = (slot.kind(), &self.slots);
         let of = |at: u32| slots[at as usize].as_ref();
         self.ends.note(slot.until, at);
         if self.ends.is_stale(self.slots.len() - self.free.len()) {
-            self.ends.sweep(|at, on| of(at).is_some_and(|slot| day(slot.until) == on));
+            self.ends
+                .sweep(|at, on| of(at).is_some_and(|slot| day(slot.until) == on));
         }
         let tally = &mut self.kinds[kind as usize];
         tally.by_age.note(slot.witnessed, at);
         if tally.by_age.is_stale(tally.count) {
             let holds = |slot: &Slot, on| slot.kind() == kind && day(slot.witnessed) == on;
-            tally.by_age.sweep(|at, on| of(at).is_some_and(|slot| holds(slot, on)));
+            tally
+                .by_age
+                .sweep(|at, on| of(at).is_some_and(|slot| holds(slot, on)));
         }
     }
 
@@ -270,7 +321,9 @@
             self.expire(now);
         }
         while self.kinds[kind as usize].bytes + cost > most {
-            let Some((at, witnessed)) = self.oldest(kind) else { return false };
+            let Some((at, witnessed)) = self.oldest(kind) else {
+                return false;
+            };
             if witnessed > slot.witnessed {
                 self.kinds[kind as usize].by_age.note(witnessed, at);
                 return false;
@@ -287,7 +340,9 @@
             self.expire(now);
         }
         while self.kinds[kind as usize].bytes > most {
-            let Some((at, _)) = self.oldest(kind) else { return };
+            let Some((at, _)) = self.oldest(kind) else {
+                return;
+            };
             self.remove(at);
         }
     }
@@ -296,7 +351,9 @@
     fn oldest(&mut self, kind: Kind) -> Option<(u32, Millis)> {
         loop {
             let (at, on) = self.kinds[kind as usize].by_age.pop(None)?;
-            let slot = self.slot(at).filter(|slot| slot.kind() == kind && day(slot.witnessed) <= on);
+            let slot = self
+                .slot(at)
+                .filter(|slot| slot.kind() == kind && day(slot.witnessed) <= on);
             if let Some(slot) = slot {
                 return Some((at, slot.witnessed));
             }
@@ -330,12 +387,16 @@
 
     /// Rumours, least often told first.
     pub fn hot(&self) -> impl Iterator<Item = (u32, &Slot)> {
-        self.hot.iter().filter_map(|(_, _, at)| Some((*at, self.slot(*at)?)))
+        self.hot
+            .iter()
+            .filter_map(|(_, _, at)| Some((*at, self.slot(*at)?)))
     }
 
     /// The digest of a stretch.
     pub fn digest(&self, stretch: Stretch) -> u64 {
-        self.leaves_of(stretch).iter().fold(0, |all, leaf| all ^ leaf.digest)
+        self.leaves_of(stretch)
+            .iter()
+            .fold(0, |all, leaf| all ^ leaf.digest)
     }
 
     /// All in a stretch.
@@ -346,7 +407,10 @@
 
     /// How many are in a stretch.
     pub fn count(&self, stretch: Stretch) -> usize {
-        self.leaves_of(stretch).iter().map(|leaf| leaf.slots.len()).sum()
+        self.leaves_of(stretch)
+            .iter()
+            .map(|leaf| leaf.slots.len())
+            .sum()
     }
 
     fn leaves_of(&self, stretch: Stretch) -> &[Leaf] {
@@ -357,5 +421,8 @@
 }
 
 fn hash_of(slots: &[Option<Slot>], at: u32, seed: u64) -> u64 {
-    slots.get(at as usize).and_then(Option::as_ref).map_or(0, |slot| slot.id().hash(seed))
+    slots
+        .get(at as usize)
+        .and_then(Option::as_ref)
+        .map_or(0, |slot| slot.id().hash(seed))
 }
--- a/knowledge/src/slot.rs
+++ b/knowledge/src/slot.rs
@@ -29,8 +29,15 @@
 impl Part {
     fn new(raw: &[u8], part: &[u8]) -> Part {
         // A part is a slice of the record; one that is empty may point anywhere.
-        let at = if part.is_empty() { 0 } else { part.as_ptr() as usize - raw.as_ptr() as usize };
-        Part { at: at as u16, len: part.len() as u16 }
+        let at = if part.is_empty() {
+            0
+        } else {
+            part.as_ptr() as usize - raw.as_ptr() as usize
+        };
+        Part {
+            at: at as u16,
+            len: part.len() as u16,
+        }
     }
 
     fn of(self, raw: &[u8]) -> &[u8] {
@@ -90,13 +97,21 @@
 
     /// What it counts for in its kind's bytes.
     pub fn cost(&self) -> usize {
-        let apart = if self.raw.spilled() { self.raw.capacity() } else { 0 };
+        let apart = if self.raw.spilled() {
+            self.raw.capacity()
+        } else {
+            0
+        };
         size_of::<Option<Slot>>() + apart + BESIDE
     }
 
     /// What tells its subject from all others.
     pub fn id(&self) -> Id<'_> {
-        Id { kind: self.number, key: self.key(), name: self.owned.then(|| self.name()) }
+        Id {
+            kind: self.number,
+            key: self.key(),
+            name: self.owned.then(|| self.name()),
+        }
     }
 
     /// The fact that it keeps.
@@ -119,7 +134,9 @@
             version: view.version,
             witnessed,
             good_until,
-            until: witnessed.saturating_add(view.kept_for.min(longest)).max(good_until),
+            until: witnessed
+                .saturating_add(view.kept_for.min(longest))
+                .max(good_until),
             turn: None,
             owned: view.owned,
         }
@@ -129,13 +146,17 @@
     /// origin and all bytes. A total order that needs nothing but the two facts.
     pub fn against(&self, view: &View<'_>) -> Ordering {
         let raw = view.raw;
-        (view.epoch, view.version).cmp(&(self.epoch, self.version)).then_with(|| {
-            if *raw == self.raw[..] {
-                return Ordering::Equal;
-            }
-            let kept = View::new(&self.raw);
-            Some(view.settles()).cmp(&kept.as_ref().map(View::settles)).then_with(|| raw.cmp(&self.raw[..]))
-        })
+        (view.epoch, view.version)
+            .cmp(&(self.epoch, self.version))
+            .then_with(|| {
+                if *raw == self.raw[..] {
+                    return Ordering::Equal;
+                }
+                let kept = View::new(&self.raw);
+                Some(view.settles())
+                    .cmp(&kept.as_ref().map(View::settles))
+                    .then_with(|| raw.cmp(&self.raw[..]))
+            })
     }
 }
 
@@ -150,12 +171,18 @@
 
 impl<'a> Id<'a> {
     pub fn of(view: &View<'a>) -> Id<'a> {
-        Id { kind: view.kind, key: view.key, name: view.owned.then_some(view.name) }
+        Id {
+            kind: view.kind,
+            key: view.key,
+            name: view.owned.then_some(view.name),
+        }
     }
 
     pub fn hash(self, seed: u64) -> u64 {
-        let hash =
-            xxh3_64_with_seed(self.key, seed ^ u64::from(self.kind).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let hash = xxh3_64_with_seed(
+            self.key,
+            seed ^ u64::from(self.kind).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        );
         self.name.map_or(hash, |name| xxh3_64_with_seed(name, hash))
     }
 
--- a/knowledge/src/views.rs
+++ b/knowledge/src/views.rs
@@ -25,7 +25,10 @@
 }
 
 fn value(slot: &Slot) -> Option<Value> {
-    let position = Position { life: slot.epoch, generation: slot.version };
+    let position = Position {
+        life: slot.epoch,
+        generation: slot.version,
+    };
     decode_value(slot.kind(), position, slot.value())
 }
 
@@ -35,8 +38,16 @@
 }
 
 impl Knowledge {
-    fn good_words(&self, kind: Kind, key: &[u8], now: Millis) -> impl Iterator<Item = (Value, Millis)> {
-        let words = self.shelf.words(kind, key).filter(move |slot| slot.is_good(now));
+    fn good_words(
+        &self,
+        kind: Kind,
+        key: &[u8],
+        now: Millis,
+    ) -> impl Iterator<Item = (Value, Millis)> {
+        let words = self
+            .shelf
+            .words(kind, key)
+            .filter(move |slot| slot.is_good(now));
         words.filter_map(move |slot| Some((value(slot)?, now.saturating_sub(slot.witnessed))))
     }
 
@@ -50,13 +61,24 @@
     pub(crate) fn counted(&self, key: u64, now: Millis) -> (u32, Option<Millis>) {
         let words: Vec<(Failures, Millis)> = self
             .good_words(Kind::Failures, &key.to_be_bytes(), now)
-            .filter_map(
-                |(value, age)| if let Value::Failures(word) = value { Some((word, age)) } else { None },
-            )
+            .filter_map(|(value, age)| {
+                if let Value::Failures(word) = value {
+                    Some((word, age))
+                } else {
+                    None
+                }
+            })
             .collect();
-        let voided = words.iter().filter_map(|(word, age)| Some(word.voided?.saturating_add(*age))).min();
-        let counted = words.iter().filter(|(_, age)| voided.is_none_or(|voided| *age < voided));
-        let all = counted.fold(0, |all, (word, _)| (all + word.count.min(MOST_FAILURES)).min(MOST_FAILURES));
+        let voided = words
+            .iter()
+            .filter_map(|(word, age)| Some(word.voided?.saturating_add(*age)))
+            .min();
+        let counted = words
+            .iter()
+            .filter(|(_, age)| voided.is_none_or(|voided| *age < voided));
+        let all = counted.fold(0, |all, (word, _)| {
+            (all + word.count.min(MOST_FAILURES)).min(MOST_FAILURES)
+        });
         (all, voided)
     }
 
@@ -64,8 +86,13 @@
     pub fn cold_sent(&self, server: &str, now: Millis) -> f64 {
         let half = self.shelf.bounds().cold_half;
         let words = self.good_words(Kind::ColdSent, server.as_bytes(), now);
-        let left = words
-            .map(|(value, age)| if let Value::ColdSent(sent) = value { faded(sent, age, half) } else { 0.0 });
+        let left = words.map(|(value, age)| {
+            if let Value::ColdSent(sent) = value {
+                faded(sent, age, half)
+            } else {
+                0.0
+            }
+        });
         left.sum()
     }
 
@@ -74,52 +101,72 @@
         let bounds = self.shelf.bounds();
         let (mut sums, mut ages, mut witnesses) = ([0.0; 3], [Millis::MAX; 3], 0);
         for (value, age) in self.good_words(Kind::Standing, server.as_bytes(), now) {
-            let Value::Standing(Evidence { seen, weight }) = value else { continue };
-            sums[seen as usize] += faded(weight.min(bounds.evidence_most), age, bounds.evidence_half);
+            let Value::Standing(Evidence { seen, weight }) = value else {
+                continue;
+            };
+            sums[seen as usize] +=
+                faded(weight.min(bounds.evidence_most), age, bounds.evidence_half);
             ages[seen as usize] = ages[seen as usize].min(age);
             witnesses += 1;
         }
         let all: f64 = sums.iter().sum();
         let sights = [Seen::Hung, Seen::Refused, Seen::Well];
-        let first = sights.into_iter().max_by(|a, b| sums[*a as usize].total_cmp(&sums[*b as usize]))?;
+        let first = sights
+            .into_iter()
+            .max_by(|a, b| sums[*a as usize].total_cmp(&sums[*b as usize]))?;
         let weight = sums[first as usize];
-        let standing =
-            Standing { seen: first, weight, against: all - weight, witnesses, age: ages[first as usize] };
+        let standing = Standing {
+            seen: first,
+            weight,
+            against: all - weight,
+            witnesses,
+            age: ages[first as usize],
+        };
         (all >= bounds.evidence_thin && weight > 0.0).then_some(standing)
     }
 
     /// Where a client or group stands.
     pub fn placement(&self, holder: Holder, now: Millis) -> Option<PlacementView<'_>> {
         let key = holder_key(holder);
-        let at = self.shelf.find(Id { kind: Kind::Placement.number(), key: &key, name: None })?;
+        let at = self.shelf.find(Id {
+            kind: Kind::Placement.number(),
+            key: &key,
+            name: None,
+        })?;
         let slot = self.shelf.slot(at).filter(|slot| slot.is_good(now))?;
         read_placement(slot.value())
     }
 
     /// The farm as it is known: each server with its entry, by name. Entries tell which list they come from.
     pub fn list(&self, now: Millis) -> Vec<(String, Listed)> {
-        let entries = self.iter(Kind::Listed, now).filter_map(|fact| match (fact.subject, fact.value) {
-            (Subject::Listed(name), Value::Listed(entry)) => Some((name, entry)),
-            _ => None,
-        });
+        let entries =
+            self.iter(Kind::Listed, now)
+                .filter_map(|fact| match (fact.subject, fact.value) {
+                    (Subject::Listed(name), Value::Listed(entry)) => Some((name, entry)),
+                    _ => None,
+                });
         entries.collect()
     }
 
     /// Which configuration each process runs, by name of the process.
     pub fn configurations(&self, now: Millis) -> Vec<(Origin, Configuration)> {
-        let all = self.iter(Kind::Configuration, now).filter_map(|fact| match fact.value {
-            Value::Configuration(configuration) => Some((fact.origin, configuration)),
-            _ => None,
-        });
+        let all = self
+            .iter(Kind::Configuration, now)
+            .filter_map(|fact| match fact.value {
+                Value::Configuration(configuration) => Some((fact.origin, configuration)),
+                _ => None,
+            });
         all.collect()
     }
 
     /// Which list each process holds, by name of the process.
     pub fn positions(&self, now: Millis) -> Vec<(Origin, Held)> {
-        let all = self.iter(Kind::List, now).filter_map(|fact| match fact.value {
-            Value::List(held) => Some((fact.origin, held)),
-            _ => None,
-        });
+        let all = self
+            .iter(Kind::List, now)
+            .filter_map(|fact| match fact.value {
+                Value::List(held) => Some((fact.origin, held)),
+                _ => None,
+            });
         all.collect()
     }
 }
--- a/knowledge/src/wire.rs
+++ b/knowledge/src/wire.rs
@@ -12,11 +12,19 @@
 
 impl<'a> Field<'a> {
     pub fn number(self) -> Option<u64> {
-        if let Field::Number(number) = self { Some(number) } else { None }
+        if let Field::Number(number) = self {
+            Some(number)
+        } else {
+            None
+        }
     }
 
     pub fn bytes(self) -> Option<&'a [u8]> {
-        if let Field::Bytes(bytes) = self { Some(bytes) } else { None }
+        if let Field::Bytes(bytes) = self {
+            Some(bytes)
+        } else {
+            None
+        }
     }
 }
 
@@ -51,7 +59,12 @@
 fn field<'a>(bytes: &mut &'a [u8]) -> Option<(u32, Field<'a>)> {
     let tag = u32::try_from(varint(bytes)?).ok()?;
     let number = tag >> 3;
-    let fixed = |bytes: &[u8]| bytes.iter().rev().fold(0, |all, byte| all << 8 | u64::from(*byte));
+    let fixed = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .rev()
+            .fold(0, |all, byte| all << 8 | u64::from(*byte))
+    };
     let held = match tag & 7 {
         0 => Field::Number(varint(bytes)?),
         1 => Field::Number(fixed(split(bytes, 8)?)),
--- a/knowledge/tests/bytes.rs
+++ b/knowledge/tests/bytes.rs
@@ -11,25 +11,66 @@
 /// A process that knows something of each kind.
 fn filled() -> Knowledge {
     let mut one = process("a", 1);
-    let made = Override::Made { expires_at: START + LONG, bytes: vec![9; 30] };
-    let held = Held { position: Position { life: 1, generation: 4 }, digest: 3 };
-    let unknown = Subject::Unknown { kind: 77, key: vec![1, 2], owned: true };
+    let made = Override::Made {
+        expires_at: START + LONG,
+        bytes: vec![9; 30],
+    };
+    let held = Held {
+        position: Position {
+            life: 1,
+            generation: 4,
+        },
+        digest: 3,
+    };
+    let unknown = Subject::Unknown {
+        kind: 77,
+        key: vec![1, 2],
+        owned: true,
+    };
     let all = [
-        (Subject::Listed("s1".into()), entry(1, 4, Lifecycle::Draining)),
+        (
+            Subject::Listed("s1".into()),
+            entry(1, 4, Lifecycle::Draining),
+        ),
         (Subject::List, Value::List(held)),
-        (Subject::Standing("s1".into()), Value::Standing(Evidence { seen: Seen::Refused, weight: 2.0 })),
+        (
+            Subject::Standing("s1".into()),
+            Value::Standing(Evidence {
+                seen: Seen::Refused,
+                weight: 2.0,
+            }),
+        ),
         (Subject::ColdSent("s1".into()), Value::ColdSent(3.5)),
-        (Subject::Failures(5), Value::Failures(Failures { count: 2, voided: Some(10) })),
+        (
+            Subject::Failures(5),
+            Value::Failures(Failures {
+                count: 2,
+                voided: Some(10),
+            }),
+        ),
         (client(5), stands("s1")),
         (Subject::Placement(Holder::Group(5)), Value::Placement(None)),
         (Subject::Override(vec![1]), Value::Override(made)),
-        (Subject::Override(vec![2]), Value::Override(Override::Removed)),
-        (Subject::Configuration, Value::Configuration(Configuration { digest: 1, number: 2 })),
+        (
+            Subject::Override(vec![2]),
+            Value::Override(Override::Removed),
+        ),
+        (
+            Subject::Configuration,
+            Value::Configuration(Configuration {
+                digest: 1,
+                number: 2,
+            }),
+        ),
         (unknown, Value::Unknown(vec![1, 2, 3])),
     ];
     for (subject, value) in all {
         let fact = one.witness(&subject, &value, LONG, START).expect("taken");
-        assert_eq!((fact.subject, fact.value), (subject, value), "what is written is read back");
+        assert_eq!(
+            (fact.subject, fact.value),
+            (subject, value),
+            "what is written is read back"
+        );
     }
     one
 }
@@ -52,7 +93,13 @@
 fn fields_and_kinds_of_a_newer_program_are_passed_on_unread() {
     let newer = |kind: u8| {
         let value = [field(1, b"s9"), field(14, b"new in the value")].concat();
-        let plain = [vec![8, kind], field(2, &[0; 9]), field(4, b"newer"), vec![56, 9, 72, 200, 1]].concat();
+        let plain = [
+            vec![8, kind],
+            field(2, &[0; 9]),
+            field(4, b"newer"),
+            vec![56, 9, 72, 200, 1],
+        ]
+        .concat();
         let record = [plain, field(11, &value), field(15, b"new in the fact")].concat();
         (field(1, &field(1, &record)), record)
     };
@@ -62,18 +109,38 @@
         let (mut older, mut other) = (process("older", 1), process("other", 1));
         assert_eq!(older.take(&packet, START).expect("sound").len(), 1);
         let told = older.rumours(ROOM, START);
-        assert!(told.windows(record.len()).any(|window| window == record), "kind {kind} byte for byte");
+        assert!(
+            told.windows(record.len()).any(|window| window == record),
+            "kind {kind} byte for byte"
+        );
         other.take(&told, START).expect("sound");
-        let pages = other.answer(&process("third", 1).summary(ROOM), ROOM, 4, START).expect("sound");
-        assert!(pages.concat().windows(record.len()).any(|window| window == record));
-        assert_eq!(older.placement(Holder::Client(0), START).is_some(), kind == 6);
+        let pages = other
+            .answer(&process("third", 1).summary(ROOM), ROOM, 4, START)
+            .expect("sound");
+        assert!(
+            pages
+                .concat()
+                .windows(record.len())
+                .any(|window| window == record)
+        );
+        assert_eq!(
+            older.placement(Holder::Client(0), START).is_some(),
+            kind == 6
+        );
         assert_eq!(older.refused(), 0);
     }
 }
 
 #[test]
 fn a_fact_that_could_never_be_outdone_is_refused_and_counted() {
-    let record = [vec![8, 6], field(2, &[0; 9]), vec![56], vec![255; 9], vec![1, 72, 100]].concat();
+    let record = [
+        vec![8, 6],
+        field(2, &[0; 9]),
+        vec![56],
+        vec![255; 9],
+        vec![1, 72, 100],
+    ]
+    .concat();
     let mut one = process("a", 1);
     assert_eq!(one.take(&field(1, &field(1, &record)), START), Ok(vec![]));
     assert_eq!(one.refused(), 1);
@@ -84,14 +151,30 @@
 #[test]
 fn senseless_observations_are_refused() {
     let mut one = process("a", 1);
-    assert_eq!(one.witness(&client(1), &Value::ColdSent(1.0), LONG, START), Err(Refused::Senseless));
+    assert_eq!(
+        one.witness(&client(1), &Value::ColdSent(1.0), LONG, START),
+        Err(Refused::Senseless)
+    );
     for amount in [f64::NAN, f64::INFINITY, -1.0] {
         let cold = Subject::ColdSent("s".into());
-        assert_eq!(one.witness(&cold, &Value::ColdSent(amount), LONG, START), Err(Refused::Senseless));
+        assert_eq!(
+            one.witness(&cold, &Value::ColdSent(amount), LONG, START),
+            Err(Refused::Senseless)
+        );
     }
-    let known = Subject::Unknown { kind: Subject::List.kind() as u32 + 1, key: vec![], owned: true };
-    assert_eq!(one.witness(&known, &Value::Unknown(vec![]), LONG, START), Err(Refused::Senseless));
-    assert_eq!(one.witness(&client(1), &stands("s"), 0, START), Err(Refused::NotKept));
+    let known = Subject::Unknown {
+        kind: Subject::List.kind() as u32 + 1,
+        key: vec![],
+        owned: true,
+    };
+    assert_eq!(
+        one.witness(&known, &Value::Unknown(vec![]), LONG, START),
+        Err(Refused::Senseless)
+    );
+    assert_eq!(
+        one.witness(&client(1), &stands("s"), 0, START),
+        Err(Refused::NotKept)
+    );
 }
 
 /// Hands bytes to all that reads any; what comes of it is bounded.
@@ -107,7 +190,12 @@
         assert!(one.size(kind).0 <= Bounds::default().of(kind).bytes);
         one.iter(kind, START).for_each(drop);
     }
-    let _ = (one.list(START), one.standing("s1", START), one.cold_sent("s1", START), one.failures(5, START));
+    let _ = (
+        one.list(START),
+        one.standing("s1", START),
+        one.cold_sent("s1", START),
+        one.failures(5, START),
+    );
     // It still tells and compares, also in a stretch that a stranger named.
     let peer = process("peer", 1);
     for _ in 0..4 {
--- a/knowledge/tests/clocks.rs
+++ b/knowledge/tests/clocks.rs
@@ -13,7 +13,9 @@
     let mut net = Net::new(5, 0.1, 3);
     net.ahead[0] = ahead;
     let clock = net.clock(0);
-    net.all[0].witness(&client(1), &stands("s1"), GOOD, clock).expect("taken");
+    net.all[0]
+        .witness(&client(1), &stands("s1"), GOOD, clock)
+        .expect("taken");
     net
 }
 
@@ -27,8 +29,14 @@
         let ended = |net: &Net| net.all.iter().all(|one| one.size(Kind::Placement).1 == 0);
         while !ended(&net) && net.now < begun + 3 * GOOD {
             net.round();
-            let known = net.all[3].placement(Holder::Client(1), net.clock(3)).is_some();
-            assert!(known || net.now >= START + GOOD - 1_000, "void after {} ms", net.now - START);
+            let known = net.all[3]
+                .placement(Holder::Client(1), net.clock(3))
+                .is_some();
+            assert!(
+                known || net.now >= START + GOOD - 1_000,
+                "void after {} ms",
+                net.now - START
+            );
         }
         // A calendar's second, and the rounds in which it was on its way.
         assert!(
@@ -45,13 +53,27 @@
         let mut net = fleet(ahead);
         assert!(net.until_all_agree(20).is_some());
         let (one, other) = (net.clock(2), net.clock(0));
-        net.all[2].witness(&client(1), &stands("s2"), GOOD, one).expect("taken");
+        net.all[2]
+            .witness(&client(1), &stands("s2"), GOOD, one)
+            .expect("taken");
         assert!(net.until_all_agree(20).is_some());
-        assert_eq!(net.all[0].placement(Holder::Client(1), other).map(|at| at.server), Some("s2"));
+        assert_eq!(
+            net.all[0]
+                .placement(Holder::Client(1), other)
+                .map(|at| at.server),
+            Some("s2")
+        );
         // And it has its say again.
-        net.all[0].witness(&client(1), &stands("s3"), GOOD, other).expect("taken");
+        net.all[0]
+            .witness(&client(1), &stands("s3"), GOOD, other)
+            .expect("taken");
         assert!(net.until_all_agree(20).is_some());
-        assert_eq!(net.all[4].placement(Holder::Client(1), net.now).map(|at| at.server), Some("s3"));
+        assert_eq!(
+            net.all[4]
+                .placement(Holder::Client(1), net.now)
+                .map(|at| at.server),
+            Some("s3")
+        );
     }
 }
 
@@ -59,12 +81,22 @@
 fn a_fact_that_says_it_is_good_for_ever_is_not() {
     let mut bounds = Bounds::default();
     bounds.of_mut(Kind::Placement).longest = Millis::MAX;
-    let mut liar = Knowledge::new(Origin { name: "liar".into(), boot: 1 }, bounds);
-    liar.witness(&client(1), &stands("s1"), Millis::MAX, START).expect("taken");
+    let mut liar = Knowledge::new(
+        Origin {
+            name: "liar".into(),
+            boot: 1,
+        },
+        bounds,
+    );
+    liar.witness(&client(1), &stands("s1"), Millis::MAX, START)
+        .expect("taken");
     let mut one = process("one", 1);
     tell(&mut liar, &mut one, START);
     let longest = Bounds::default().of(Kind::Placement).longest;
-    assert!(one.placement(Holder::Client(1), START + longest - 1).is_some());
+    assert!(
+        one.placement(Holder::Client(1), START + longest - 1)
+            .is_some()
+    );
     assert!(one.placement(Holder::Client(1), START + longest).is_none());
     one.expire(START + longest + 2_000);
     assert_eq!(one.size(Kind::Placement), (0, 0));
@@ -73,12 +105,18 @@
 #[test]
 fn the_greater_of_two_ages_is_believed() {
     let (mut first, mut one) = (process("first", 1), process("one", 1));
-    first.witness(&client(1), &stands("s1"), GOOD, START).expect("taken");
+    first
+        .witness(&client(1), &stands("s1"), GOOD, START)
+        .expect("taken");
     let early = first.rumours(ROOM, START);
     let late = first.rumours(ROOM, START + 40_000);
     // The early datagram was held up, so that its age says too little.
     one.take(&early, START + 40_000).expect("sound");
-    assert_eq!(one.get(&client(1), "", START + 40_000).map(|fact| fact.witnessed), Some(START + 40_000));
+    assert_eq!(
+        one.get(&client(1), "", START + 40_000)
+            .map(|fact| fact.witnessed),
+        Some(START + 40_000)
+    );
     one.take(&late, START + 40_000).expect("sound");
     assert!(one.placement(Holder::Client(1), START + GOOD - 1).is_some());
     assert!(one.placement(Holder::Client(1), START + GOOD).is_none());
@@ -89,14 +127,23 @@
 #[test]
 fn what_lay_on_a_disk_is_as_old_as_the_dark_was_long() {
     let mut before = process("a", 1);
-    before.witness(&client(1), &stands("s1"), GOOD, START).expect("taken");
+    before
+        .witness(&client(1), &stands("s1"), GOOD, START)
+        .expect("taken");
     let records = before.export(&[Kind::Placement], START + 20_000);
     // The clock came up in 1970; how long it was dark is told by whoever read the disk.
     for (dark, known) in [(30_000, true), (39_999, true), (40_000, false)] {
         let mut after = process("a", 2);
         after.import(records.iter().map(Vec::as_slice), dark, 100_000);
-        assert_eq!(after.placement(Holder::Client(1), 100_000).is_some(), known, "dark for {dark} ms");
+        assert_eq!(
+            after.placement(Holder::Client(1), 100_000).is_some(),
+            known,
+            "dark for {dark} ms"
+        );
     }
     let read = Knowledge::read(&records[0], 30_000, 100_000).expect("readable");
-    assert_eq!((read.subject, read.witnessed, read.told), (client(1), 50_000, START));
+    assert_eq!(
+        (read.subject, read.witnessed, read.told),
+        (client(1), 50_000, START)
+    );
 }
--- a/knowledge/tests/common/mod.rs
+++ b/knowledge/tests/common/mod.rs
@@ -11,11 +11,21 @@
 pub const ROOM: usize = 1_200;
 
 pub fn process(name: &str, boot: u64) -> Knowledge {
-    Knowledge::new(Origin { name: name.into(), boot }, Bounds::default())
+    Knowledge::new(
+        Origin {
+            name: name.into(),
+            boot,
+        },
+        Bounds::default(),
+    )
 }
 
 pub fn stands(server: &str) -> Value {
-    Value::Placement(Some(Placement { server: server.into(), configuration: 7, since: START }))
+    Value::Placement(Some(Placement {
+        server: server.into(),
+        configuration: 7,
+        since: START,
+    }))
 }
 
 pub fn client(key: u64) -> Subject {
@@ -39,7 +49,17 @@
 /// All that a process keeps, in an order that hangs on nothing but what it is, without ages.
 pub fn all_of(knowledge: &Knowledge, now: Millis) -> Vec<String> {
     let facts = Kind::ALL.iter().flat_map(|kind| knowledge.iter(*kind, now));
-    let mut all: Vec<String> = facts.map(|fact| format!("{:?}", Fact { witnessed: 0, ..fact })).collect();
+    let mut all: Vec<String> = facts
+        .map(|fact| {
+            format!(
+                "{:?}",
+                Fact {
+                    witnessed: 0,
+                    ..fact
+                }
+            )
+        })
+        .collect();
     all.sort();
     all
 }
@@ -47,7 +67,11 @@
 /// One pass of rumours from one to the other.
 pub fn tell(from: &mut Knowledge, to: &mut Knowledge, now: Millis) -> Vec<Change> {
     let bytes = from.rumours(ROOM, now);
-    if bytes.is_empty() { Vec::new() } else { to.take(&bytes, now).expect("a sound packet") }
+    if bytes.is_empty() {
+        Vec::new()
+    } else {
+        to.take(&bytes, now).expect("a sound packet")
+    }
 }
 
 /// Tells the other by comparing digests until nothing comes any more.
@@ -56,9 +80,14 @@
     // A stretch is compared every second time.
     let mut quiet = 0;
     while quiet < 4 {
-        let answer = from.answer(&to.summary(ROOM), ROOM, 8, now).expect("a sound summary");
+        let answer = from
+            .answer(&to.summary(ROOM), ROOM, 8, now)
+            .expect("a sound summary");
         pages += answer.len();
-        let learnt = answer.iter().map(|page| to.take(page, now).expect("a sound page").len()).sum::<usize>();
+        let learnt = answer
+            .iter()
+            .map(|page| to.take(page, now).expect("a sound page").len())
+            .sum::<usize>();
         quiet = if learnt == 0 { quiet + 1 } else { 0 };
     }
     pages
@@ -81,7 +110,14 @@
         let mut all: Vec<Knowledge> = (0..count).map(|at| process(&format!("p{at}"), 1)).collect();
         all.iter_mut().for_each(|one| one.members(count));
         let rng = Pcg32::seed_from_u64(seed);
-        Net { all, now: START, ahead: vec![0; count], loss, cut: 0, rng }
+        Net {
+            all,
+            now: START,
+            ahead: vec![0; count],
+            loss,
+            cut: 0,
+            rng,
+        }
     }
 
     pub fn clock(&self, at: usize) -> Millis {
@@ -110,7 +146,9 @@
             let summary = self.all[from].summary(ROOM);
             if self.arrives(from, peer) {
                 let clock = self.clock(peer);
-                let pages = self.all[peer].answer(&summary, ROOM, 4, clock).expect("a sound summary");
+                let pages = self.all[peer]
+                    .answer(&summary, ROOM, 4, clock)
+                    .expect("a sound summary");
                 pages.iter().for_each(|page| self.deliver(peer, from, page));
             }
             let clock = self.clock(from);
--- a/knowledge/tests/lives.rs
+++ b/knowledge/tests/lives.rs
@@ -8,7 +8,11 @@
 const LONG: Millis = 3_600_000;
 
 fn whole(generation: u64, digest: u64) -> Told {
-    Told { generation, digest, whole: true }
+    Told {
+        generation,
+        digest,
+        whole: true,
+    }
 }
 
 fn hear(one: &mut Knowledge, told: Told, now: Millis) -> (u64, u64) {
@@ -25,10 +29,36 @@
 fn a_count_that_begins_anew_is_another_life() {
     let mut one = process("a", 1);
     assert_eq!(hear(&mut one, whole(20, 1), START), (1, 20));
-    assert_eq!(hear(&mut one, Told { generation: 21, digest: 2, whole: false }, START), (1, 21));
-    assert_eq!(hear(&mut one, whole(21, 2), START), (1, 21), "the watch stood anew");
+    assert_eq!(
+        hear(
+            &mut one,
+            Told {
+                generation: 21,
+                digest: 2,
+                whole: false
+            },
+            START
+        ),
+        (1, 21)
+    );
+    assert_eq!(
+        hear(&mut one, whole(21, 2), START),
+        (1, 21),
+        "the watch stood anew"
+    );
     assert_eq!(hear(&mut one, whole(1, 3), START), (2, 1));
-    assert_eq!(hear(&mut one, Told { generation: 2, digest: 4, whole: false }, START), (2, 2));
+    assert_eq!(
+        hear(
+            &mut one,
+            Told {
+                generation: 2,
+                digest: 4,
+                whole: false
+            },
+            START
+        ),
+        (2, 2)
+    );
 }
 
 #[test]
@@ -43,7 +73,11 @@
             meet(&mut a, &mut b, START + 60_000);
         }
         // It has gone on by the time that the other one's watch stands again.
-        assert_eq!(hear(&mut b, whole(2, 3), START + 60_500), (2, 2), "talked: {talk}");
+        assert_eq!(
+            hear(&mut b, whole(2, 3), START + 60_500),
+            (2, 2),
+            "talked: {talk}"
+        );
     }
 }
 
@@ -56,7 +90,18 @@
     assert_eq!(hear(&mut a, whole(8, 9), START + 2_000), (2, 8));
     meet(&mut a, &mut b, START + 2_000);
     // To the other one the count merely goes on.
-    assert_eq!(hear(&mut b, Told { generation: 8, digest: 9, whole: false }, START + 2_000), (2, 8));
+    assert_eq!(
+        hear(
+            &mut b,
+            Told {
+                generation: 8,
+                digest: 9,
+                whole: false
+            },
+            START + 2_000
+        ),
+        (2, 8)
+    );
 }
 
 #[test]
@@ -94,54 +139,120 @@
     // Discovery lost its state in the dark; who has no memory cannot tell.
     assert_eq!(hear(&mut new, whole(3, 5), START + 60_000), (1, 3));
     meet(&mut memory, &mut new, START + 60_100);
-    assert_eq!(new.settle_list(LONG, START + 60_100), Some(Position { life: 2, generation: 3 }));
+    assert_eq!(
+        new.settle_list(LONG, START + 60_100),
+        Some(Position {
+            life: 2,
+            generation: 3
+        })
+    );
     assert_eq!(new.settle_list(LONG, START + 60_100), None, "once");
     meet(&mut memory, &mut new, START + 60_200);
-    assert_eq!(hear(&mut memory, whole(3, 5), START + 60_300), (2, 3), "and the other one joins it");
+    assert_eq!(
+        hear(&mut memory, whole(3, 5), START + 60_300),
+        (2, 3),
+        "and the other one joins it"
+    );
     assert_eq!(memory.settle_list(LONG, START + 60_300), None);
-    let held: Vec<Position> =
-        memory.positions(START + 60_300).iter().map(|(_, held)| held.position).collect();
-    assert_eq!(held, [Position { life: 2, generation: 3 }; 2]);
+    let held: Vec<Position> = memory
+        .positions(START + 60_300)
+        .iter()
+        .map(|(_, held)| held.position)
+        .collect();
+    assert_eq!(
+        held,
+        [Position {
+            life: 2,
+            generation: 3
+        }; 2]
+    );
 }
 
 #[test]
 fn the_later_life_stands_and_equal_words_are_no_news() {
     let (mut a, mut b) = (process("a", 1), process("b", 1));
     let subject = Subject::Listed("s1".into());
-    a.witness(&subject, &entry(1, 20, Lifecycle::Draining), LONG, START).expect("taken");
-    b.witness(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START).expect("taken");
+    a.witness(&subject, &entry(1, 20, Lifecycle::Draining), LONG, START)
+        .expect("taken");
+    b.witness(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START)
+        .expect("taken");
     meet(&mut a, &mut b, START);
     assert_eq!(all_of(&a, START), all_of(&b, START));
     let known = a.list(START);
-    assert_eq!(Value::Listed(known[0].1.clone()), entry(2, 1, Lifecycle::Serving));
+    assert_eq!(
+        Value::Listed(known[0].1.clone()),
+        entry(2, 1, Lifecycle::Serving)
+    );
     // All hear the same from discovery: nothing is to be told.
     let (mut c, mut d) = (process("c", 1), process("d", 1));
     for one in [&mut c, &mut d] {
-        one.witness(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START).expect("taken");
+        one.witness(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START)
+            .expect("taken");
     }
     assert_eq!(tell(&mut c, &mut d, START), []);
     assert_eq!(catch_up(&mut c, &mut d, START), 0);
     while !c.rumours(ROOM, START).is_empty() {}
-    let again = c.witness(&subject, &entry(2, 9, Lifecycle::Serving), LONG, START + LONG / 4).expect("known");
+    let again = c
+        .witness(
+            &subject,
+            &entry(2, 9, Lifecycle::Serving),
+            LONG,
+            START + LONG / 4,
+        )
+        .expect("known");
     assert_eq!(again.version, 1, "the whole list, told again");
     assert!(c.rumours(ROOM, START + LONG / 4).is_empty());
-    let fresh = c.witness(&subject, &entry(2, 9, Lifecycle::Serving), LONG, START + LONG / 2).expect("taken");
-    assert_eq!((fresh.version, fresh.witnessed), (9, START + LONG / 2), "before it ends it is told anew");
+    let fresh = c
+        .witness(
+            &subject,
+            &entry(2, 9, Lifecycle::Serving),
+            LONG,
+            START + LONG / 2,
+        )
+        .expect("taken");
+    assert_eq!(
+        (fresh.version, fresh.witnessed),
+        (9, START + LONG / 2),
+        "before it ends it is told anew"
+    );
 }
 
 #[test]
 fn a_process_whose_memory_is_lost_learns_of_its_later_boot() {
     let (mut before, mut peer, mut after) = (process("a", 7), process("b", 1), process("a", 1));
-    let runs = |number| Value::Configuration(Configuration { digest: number, number });
-    before.witness(&Subject::Configuration, &runs(1), LONG, START).expect("taken");
+    let runs = |number| {
+        Value::Configuration(Configuration {
+            digest: number,
+            number,
+        })
+    };
+    before
+        .witness(&Subject::Configuration, &runs(1), LONG, START)
+        .expect("taken");
     tell(&mut before, &mut peer, START);
-    after.witness(&Subject::Configuration, &runs(2), LONG, START + 9_000).expect("taken");
+    after
+        .witness(&Subject::Configuration, &runs(2), LONG, START + 9_000)
+        .expect("taken");
     tell(&mut peer, &mut after, START + 9_000);
     assert_eq!(after.outrun(), Some(7));
     after.renumber(8);
     assert_eq!(after.outrun(), None);
-    after.witness(&Subject::Configuration, &runs(2), LONG, START + 9_000).expect("taken");
+    after
+        .witness(&Subject::Configuration, &runs(2), LONG, START + 9_000)
+        .expect("taken");
     tell(&mut after, &mut peer, START + 9_000);
     let told = peer.configurations(START + 9_000);
-    assert_eq!(told, [(Origin { name: "a".into(), boot: 8 }, Configuration { digest: 2, number: 2 })]);
+    assert_eq!(
+        told,
+        [(
+            Origin {
+                name: "a".into(),
+                boot: 8
+            },
+            Configuration {
+                digest: 2,
+                number: 2
+            }
+        )]
+    );
 }
--- a/knowledge/tests/merging.rs
+++ b/knowledge/tests/merging.rs
@@ -19,8 +19,15 @@
 fn deeds(most: usize) -> impl Strategy<Value = Vec<Deed>> {
     // Often in the same millisecond, so that nothing but the origin and the value tells two facts apart.
     let after = prop::sample::select([0, 0, 0, 1, 250].as_slice());
-    let deed = (0..7_usize, 0..9_u8, 0..3_u64, 0..5_u64, after)
-        .prop_map(|(who, what, key, number, after)| Deed { who, what, key, number, after });
+    let deed = (0..7_usize, 0..9_u8, 0..3_u64, 0..5_u64, after).prop_map(
+        |(who, what, key, number, after)| Deed {
+            who,
+            what,
+            key,
+            number,
+            after,
+        },
+    );
     prop::collection::vec(deed, 1..most)
 }
 
@@ -28,32 +35,73 @@
 const LONG: Millis = 600_000;
 
 fn act(one: &mut Knowledge, deed: &Deed, now: Millis) {
-    let Deed { what, key, number, .. } = deed;
+    let Deed {
+        what, key, number, ..
+    } = deed;
     let server = format!("s{key}");
-    let lifecycle = if number % 2 == 0 { Lifecycle::Serving } else { Lifecycle::Draining };
+    let lifecycle = if number % 2 == 0 {
+        Lifecycle::Serving
+    } else {
+        Lifecycle::Draining
+    };
     let (subject, value) = match what {
-        0 => (Subject::Listed(server), entry(1 + number / 3, *number, lifecycle)),
+        0 => (
+            Subject::Listed(server),
+            entry(1 + number / 3, *number, lifecycle),
+        ),
         1 => {
-            let held = Held { position: Position { life: 1, generation: *number }, digest: *key };
+            let held = Held {
+                position: Position {
+                    life: 1,
+                    generation: *number,
+                },
+                digest: *key,
+            };
             (Subject::List, Value::List(held))
         }
-        2 => return drop(one.saw(&server, Evidence { seen: Seen::Hung, weight: 1.0 }, LONG, now)),
+        2 => {
+            return drop(one.saw(
+                &server,
+                Evidence {
+                    seen: Seen::Hung,
+                    weight: 1.0,
+                },
+                LONG,
+                now,
+            ));
+        }
         3 => return drop(one.sent_cold(&server, 1.0, LONG, now)),
         4 => return drop(one.failed(*key, LONG, now)),
         5 => return drop(one.succeeded(*key, LONG, now)),
         6 => (client(*key), stands(&format!("s{number}"))),
         7 => {
-            let made = Override::Made { expires_at: now + LONG, bytes: vec![*number as u8; 40] };
-            let over = if *number == 0 { Override::Removed } else { made };
+            let made = Override::Made {
+                expires_at: now + LONG,
+                bytes: vec![*number as u8; 40],
+            };
+            let over = if *number == 0 {
+                Override::Removed
+            } else {
+                made
+            };
             (Subject::Override(vec![*key as u8]), Value::Override(over))
         }
-        _ => (Subject::Configuration, Value::Configuration(Configuration { digest: *key, number: *number })),
+        _ => (
+            Subject::Configuration,
+            Value::Configuration(Configuration {
+                digest: *key,
+                number: *number,
+            }),
+        ),
     };
-    one.witness(&subject, &value, LONG, now).expect("it is later than what it knows, or passed over");
+    one.witness(&subject, &value, LONG, now)
+        .expect("it is later than what it knows, or passed over");
 }
 
 fn records(deeds: &[Deed]) -> (Vec<Vec<u8>>, Millis) {
-    let mut all: Vec<Knowledge> = (0..7).map(|at| process(&format!("p{at}"), at % 3)).collect();
+    let mut all: Vec<Knowledge> = (0..7)
+        .map(|at| process(&format!("p{at}"), at % 3))
+        .collect();
     let (mut now, mut records) = (START, Vec::new());
     for deed in deeds {
         now += deed.after;
@@ -128,7 +176,9 @@
     let mut net = Net::new(5, 0.05, 1);
     net.cut = 2;
     let now = net.now;
-    net.all[0].witness(&client(1), &stands("s1"), LONG, now).expect("taken");
+    net.all[0]
+        .witness(&client(1), &stands("s1"), LONG, now)
+        .expect("taken");
     assert_eq!(net.until_all_agree(100), None);
     net.cut = 0;
     assert!(net.until_all_agree(20).is_some());
@@ -137,20 +187,29 @@
 #[test]
 fn later_words_stand_whoever_hears_them_first() {
     let (mut a, mut b, mut c) = (process("a", 1), process("b", 1), process("c", 1));
-    a.witness(&client(1), &stands("s1"), LONG, START).expect("taken");
+    a.witness(&client(1), &stands("s1"), LONG, START)
+        .expect("taken");
     tell(&mut a, &mut b, START);
     // Its clock is behind, but it knows what it goes beyond.
-    let later = b.witness(&client(1), &stands("s2"), LONG, START - 5_000).expect("taken");
+    let later = b
+        .witness(&client(1), &stands("s2"), LONG, START - 5_000)
+        .expect("taken");
     assert_eq!(later.version, START + 1);
     tell(&mut b, &mut c, START);
     tell(&mut a, &mut c, START);
-    assert_eq!(c.placement(Holder::Client(1), START).map(|at| at.server), Some("s2"));
+    assert_eq!(
+        c.placement(Holder::Client(1), START).map(|at| at.server),
+        Some("s2")
+    );
     let changes = tell(&mut b, &mut a, START);
     let server = |fact: Option<Fact>| match fact.map(|fact| fact.value) {
         Some(Value::Placement(Some(at))) => at.server,
         other => panic!("no placement: {other:?}"),
     };
-    let told: Vec<_> = changes.iter().map(|one| (server(one.before()), server(one.after()))).collect();
+    let told: Vec<_> = changes
+        .iter()
+        .map(|one| (server(one.before()), server(one.after())))
+        .collect();
     assert_eq!(told, [("s1".to_owned(), "s2".to_owned())]);
     assert_eq!(catch_up(&mut b, &mut a, START), 0, "they know the same");
 }
@@ -159,7 +218,9 @@
 fn what_was_heard_is_told_on_until_enough_know() {
     let mut all: Vec<Knowledge> = (0..4).map(|at| process(&format!("p{at}"), 1)).collect();
     all.iter_mut().for_each(|one| one.members(4));
-    all[0].witness(&client(1), &stands("s1"), LONG, START).expect("taken");
+    all[0]
+        .witness(&client(1), &stands("s1"), LONG, START)
+        .expect("taken");
     for at in 0..3 {
         let (from, to) = all.split_at_mut(at + 1);
         assert_eq!(tell(&mut from[at], &mut to[0], START).len(), 1);
@@ -167,7 +228,9 @@
     // 3 log2(4) + 2 tellings in all; a rumour that comes back counts as one.
     let back = all[3].rumours(ROOM, START);
     (0..3).for_each(|_| assert_eq!(all[2].take(&back, START), Ok(vec![])));
-    let left = (0..20).take_while(|_| !all[2].rumours(ROOM, START).is_empty()).count();
+    let left = (0..20)
+        .take_while(|_| !all[2].rumours(ROOM, START).is_empty())
+        .count();
     assert_eq!(left, 8 - 1 - 3);
 }
 
@@ -175,7 +238,8 @@
 fn two_processes_of_one_name_and_boot_still_come_to_one_word() {
     let [mut a, mut b] = ["s1", "s2"].map(|server| {
         let mut one = process("doubled", 1);
-        one.witness(&client(1), &stands(server), LONG, START).expect("taken");
+        one.witness(&client(1), &stands(server), LONG, START)
+            .expect("taken");
         one
     });
     let (from_a, from_b) = (a.rumours(ROOM, START), b.rumours(ROOM, START));
--- a/knowledge/tests/stored_form.rs
+++ b/knowledge/tests/stored_form.rs
@@ -11,24 +11,63 @@
 
 fn known() -> Knowledge {
     let mut known = process("a", 1);
-    let made = Override::Made { expires_at: START + LONG, bytes: vec![9; 30] };
-    let held = Held { position: Position { life: 1, generation: 4 }, digest: 3 };
-    let unknown = Subject::Unknown { kind: 77, key: vec![1, 2], owned: true };
+    let made = Override::Made {
+        expires_at: START + LONG,
+        bytes: vec![9; 30],
+    };
+    let held = Held {
+        position: Position {
+            life: 1,
+            generation: 4,
+        },
+        digest: 3,
+    };
+    let unknown = Subject::Unknown {
+        kind: 77,
+        key: vec![1, 2],
+        owned: true,
+    };
     let facts = [
-        (Subject::Listed("s1".into()), entry(1, 4, Lifecycle::Draining)),
+        (
+            Subject::Listed("s1".into()),
+            entry(1, 4, Lifecycle::Draining),
+        ),
         (Subject::List, Value::List(held)),
-        (Subject::Standing("s1".into()), Value::Standing(Evidence { seen: Seen::Refused, weight: 2.0 })),
+        (
+            Subject::Standing("s1".into()),
+            Value::Standing(Evidence {
+                seen: Seen::Refused,
+                weight: 2.0,
+            }),
+        ),
         (Subject::ColdSent("s1".into()), Value::ColdSent(3.5)),
-        (Subject::Failures(5), Value::Failures(Failures { count: 2, voided: Some(10) })),
+        (
+            Subject::Failures(5),
+            Value::Failures(Failures {
+                count: 2,
+                voided: Some(10),
+            }),
+        ),
         (client(5), stands("s1")),
         (Subject::Placement(Holder::Group(5)), Value::Placement(None)),
         (Subject::Override(vec![1]), Value::Override(made)),
-        (Subject::Override(vec![2]), Value::Override(Override::Removed)),
-        (Subject::Configuration, Value::Configuration(Configuration { digest: 1, number: 2 })),
+        (
+            Subject::Override(vec![2]),
+            Value::Override(Override::Removed),
+        ),
+        (
+            Subject::Configuration,
+            Value::Configuration(Configuration {
+                digest: 1,
+                number: 2,
+            }),
+        ),
         (unknown, Value::Unknown(vec![1, 2, 3])),
     ];
     for (subject, value) in facts {
-        known.witness(&subject, &value, LONG, START).expect("a valid fact");
+        known
+            .witness(&subject, &value, LONG, START)
+            .expect("a valid fact");
     }
     known
 }
@@ -44,7 +83,11 @@
 
 #[test]
 fn writes_every_kind_of_record_as_it_was_first_written() {
-    let written: Vec<String> = known().export(&Kind::ALL, START + 7).iter().map(|one| hex(one)).collect();
+    let written: Vec<String> = known()
+        .export(&Kind::ALL, START + 7)
+        .iter()
+        .map(|one| hex(one))
+        .collect();
     assert_eq!(written.join("\n"), RECORDS.trim_end());
 }
 
--- a/knowledge/tests/sums.rs
+++ b/knowledge/tests/sums.rs
@@ -29,10 +29,16 @@
     fail(&mut all[0], START + 1);
     fail(&mut all[1], START + 2);
     hear_all(&mut all, START + 10);
-    assert!(all.iter().all(|one| one.failures(5, START + 10) == 3 && one.failures(6, START + 10) == 0));
+    assert!(
+        all.iter()
+            .all(|one| one.failures(5, START + 10) == 3 && one.failures(6, START + 10) == 0)
+    );
     (0..9).for_each(|at| fail(&mut all[at as usize % 2], START + 20 + at));
     hear_all(&mut all, START + 40);
-    assert!(all.iter().all(|one| one.failures(5, START + 40) == MOST_FAILURES));
+    assert!(
+        all.iter()
+            .all(|one| one.failures(5, START + 40) == MOST_FAILURES)
+    );
     // A placement succeeds at the third.
     all[2].succeeded(5, LONG, START + 50).expect("taken");
     hear_all(&mut all, START + 60);
@@ -41,8 +47,15 @@
     fail(&mut all[2], START + 70);
     fail(&mut all[0], START + 71);
     hear_all(&mut all, START + 80);
-    assert!(all.iter().all(|one| one.failures(5, START + 80) == 2), "what was void stays so");
-    assert!(all.iter().all(|one| one.failures(5, START + 71 + LONG) == 0), "forgotten");
+    assert!(
+        all.iter().all(|one| one.failures(5, START + 80) == 2),
+        "what was void stays so"
+    );
+    assert!(
+        all.iter()
+            .all(|one| one.failures(5, START + 71 + LONG) == 0),
+        "forgotten"
+    );
 }
 
 #[test]
@@ -56,7 +69,11 @@
     let half = START + Bounds::default().cold_half;
     assert_eq!(sent(&all, half), [3.0; 3]);
     all[0].sent_cold("s1", 1.0, LONG, half).expect("taken");
-    assert_eq!(all[0].cold_sent("s1", half), 4.0, "its own count goes on from what is left");
+    assert_eq!(
+        all[0].cold_sent("s1", half),
+        4.0,
+        "its own count goes on from what is left"
+    );
     hear_all(&mut all, half);
     hear_all(&mut all, half);
     assert_eq!(sent(&all, half), [4.0; 3], "heard twice, counted once");
@@ -66,7 +83,8 @@
 fn standing_is_what_most_evidence_says_aged_and_bounded() {
     let mut all = three();
     let saw = |one: &mut Knowledge, seen, weight, now| {
-        one.saw("s1", Evidence { seen, weight }, LONG, now).expect("taken");
+        one.saw("s1", Evidence { seen, weight }, LONG, now)
+            .expect("taken");
     };
     saw(&mut all[0], Seen::Hung, 0.4, START);
     hear_all(&mut all, START);
@@ -76,13 +94,32 @@
     saw(&mut all[1], Seen::Well, 3.0, START);
     saw(&mut all[2], Seen::Well, 3.0, START);
     hear_all(&mut all, START);
-    let told = Standing { seen: Seen::Well, weight: 6.0, against: 4.0, witnesses: 3, age: 0 };
-    assert!(all.iter().all(|one| one.standing("s1", START) == Some(told)));
+    let told = Standing {
+        seen: Seen::Well,
+        weight: 6.0,
+        against: 4.0,
+        witnesses: 3,
+        age: 0,
+    };
+    assert!(
+        all.iter()
+            .all(|one| one.standing("s1", START) == Some(told))
+    );
     // The newer word of one process replaces its older one, and evidence fades.
     let half = Bounds::default().evidence_half;
     saw(&mut all[1], Seen::Hung, 1.0, START + half);
     hear_all(&mut all, START + half);
-    let told = Standing { seen: Seen::Hung, weight: 3.0, against: 1.5, witnesses: 3, age: 0 };
+    let told = Standing {
+        seen: Seen::Hung,
+        weight: 3.0,
+        against: 1.5,
+        witnesses: 3,
+        age: 0,
+    };
     assert_eq!(all[2].standing("s1", START + half), Some(told));
-    assert_eq!(all[2].standing("s1", START + half + 4 * half), None, "too old to say anything");
+    assert_eq!(
+        all[2].standing("s1", START + half + 4 * half),
+        None,
+        "too old to say anything"
+    );
 }
--- a/lab/examples/quiet.rs
+++ b/lab/examples/quiet.rs
@@ -41,11 +41,18 @@
 }
 
 fn knows(fleet: &Fleet<Talk>, at: usize, key: u64) -> bool {
-    fleet.node(at).body().knowledge.placement(Holder::Client(key), fleet.now).is_some()
+    fleet
+        .node(at)
+        .body()
+        .knowledge
+        .placement(Holder::Client(key), fleet.now)
+        .is_some()
 }
 
 fn main() {
-    let mut words = std::env::args().skip(1).filter_map(|word| word.parse().ok());
+    let mut words = std::env::args()
+        .skip(1)
+        .filter_map(|word| word.parse().ok());
     let (count, lost) = (words.next().unwrap_or(300), words.next().unwrap_or(50));
     let letters = Letters::default();
     let mut rules = Rules::new(7);
@@ -57,7 +64,10 @@
         talk.say(word(rank, fleet.now));
         for server in 0..1_000 {
             let listed = Listed {
-                position: Position { life: 1, generation: 1 },
+                position: Position {
+                    life: 1,
+                    generation: 1,
+                },
                 lifecycle: Lifecycle::Serving,
                 zone: "a".into(),
                 machine_type: "m1".into(),
@@ -67,15 +77,21 @@
                 started_at_ms: 0,
             };
             let subject = Subject::Listed(format!("server-{server:04}"));
-            talk.knowledge.witness(&subject, &Value::Listed(listed), 3_600_000, fleet.now).expect("taken");
+            talk.knowledge
+                .witness(&subject, &Value::Listed(listed), 3_600_000, fleet.now)
+                .expect("taken");
         }
         fleet.add(mesh::profile(rank, count, 1, "site", 5), talk);
     }
     let count = count as usize;
     let begun = fleet.now;
-    let all =
-        fleet.run_until(60_000, |fleet| (0..count).all(|at| fleet.node(at).members().len() + 1 == count));
-    println!("{count} processes, {lost} of 1000 lost: all know all after {} ms ({all})", fleet.now - begun);
+    let all = fleet.run_until(60_000, |fleet| {
+        (0..count).all(|at| fleet.node(at).members().len() + 1 == count)
+    });
+    println!(
+        "{count} processes, {lost} of 1000 lost: all know all after {} ms ({all})",
+        fleet.now - begun
+    );
     fleet.run_for(20_000);
     let sent = |fleet: &Fleet<Talk>| fleet.counts().iter().map(|one| one.sent_bytes).sum::<u64>();
     let (before, clock) = (sent(&fleet), Instant::now());
@@ -89,11 +105,17 @@
     let (mut spans, mut lasts) = (Vec::new(), Vec::new());
     for key in 0..FACTS {
         let (at, told) = ((key as usize * 37) % count, fleet.now);
-        let placed =
-            Value::Placement(Some(Placement { server: "server-0001".into(), configuration: 1, since: told }));
+        let placed = Value::Placement(Some(Placement {
+            server: "server-0001".into(),
+            configuration: 1,
+            since: told,
+        }));
         let node = fleet.seats[at].node.as_mut().expect("it lives");
         let subject = Subject::Placement(Holder::Client(key));
-        node.body_mut().knowledge.witness(&subject, &placed, 600_000, told).expect("taken");
+        node.body_mut()
+            .knowledge
+            .witness(&subject, &placed, 600_000, told)
+            .expect("taken");
         let mut lack: Vec<usize> = (0..count).filter(|other| *other != at).collect();
         while !lack.is_empty() && fleet.now < told + 30_000 {
             fleet.run_for(20);
--- a/lab/src/chance.rs
+++ b/lab/src/chance.rs
@@ -10,7 +10,9 @@
 impl Chance {
     /// A stream of its own for each purpose, so that more draws for one leave the others as they were.
     pub fn new(seed: u64, purpose: u64) -> Chance {
-        Chance(Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        Chance(Pcg64Mcg::seed_from_u64(
+            seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        ))
     }
 
     /// From 0 to 1, evenly.
--- a/lab/src/checker.rs
+++ b/lab/src/checker.rs
@@ -25,7 +25,13 @@
 
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.6} s: {}: {}", self.at as f64 / 1e9, self.rule, self.what)
+        write!(
+            f,
+            "{:.6} s: {}: {}",
+            self.at as f64 / 1e9,
+            self.rule,
+            self.what
+        )
     }
 }
 
@@ -66,7 +72,13 @@
 
     /// A request came to a balancer.
     pub fn opened(&mut self, request: u64, give_up_at: Nanos) {
-        self.open.insert(request, Open { give_up_at, ..Open::default() });
+        self.open.insert(
+            request,
+            Open {
+                give_up_at,
+                ..Open::default()
+            },
+        );
     }
 
     /// A balancer hears whether a gateway takes new work.
@@ -89,20 +101,33 @@
             && at > told + DRAIN_GRACE + SLACK
         {
             let late = (at - told) / 1_000_000;
-            let what =
-                format!("request {request} to gateway {gateway}, {late} ms after balancer {balancer} knew");
+            let what = format!(
+                "request {request} to gateway {gateway}, {late} ms after balancer {balancer} knew"
+            );
             self.breaks(at, "nothing new later than the grace", what);
         }
         let Some(open) = self.open.get_mut(&request) else {
-            return self.breaks(at, "no attempt after the final answer", format!("request {request}"));
+            return self.breaks(
+                at,
+                "no attempt after the final answer",
+                format!("request {request}"),
+            );
         };
         open.attempts += 1;
         let (attempts, overlaps) = (open.attempts, std::mem::replace(&mut open.out, true));
         if overlaps {
-            self.breaks(at, "attempts never overlap", format!("request {request}, attempt {attempts}"));
+            self.breaks(
+                at,
+                "attempts never overlap",
+                format!("request {request}, attempt {attempts}"),
+            );
         }
         if attempts > MAX_ATTEMPTS {
-            self.breaks(at, "attempts are bounded", format!("request {request}, attempt {attempts}"));
+            self.breaks(
+                at,
+                "attempts are bounded",
+                format!("request {request}, attempt {attempts}"),
+            );
         }
     }
 
@@ -117,14 +142,26 @@
     /// The final answer; `refused` promises that a new try does no harm.
     pub fn answered(&mut self, at: Nanos, request: u64, refused: bool) {
         let Some(open) = self.open.remove(&request) else {
-            return self.breaks(at, "one final answer", format!("request {request} was answered before"));
+            return self.breaks(
+                at,
+                "one final answer",
+                format!("request {request} was answered before"),
+            );
         };
         if at > open.give_up_at + SLACK {
             let late = (at - open.give_up_at) / 1_000_000;
-            self.breaks(at, "an answer in time", format!("request {request}, {late} ms late"));
+            self.breaks(
+                at,
+                "an answer in time",
+                format!("request {request}, {late} ms late"),
+            );
         }
         if refused && open.may_have_run {
-            self.breaks(at, "no promise where it may have run", format!("request {request}"));
+            self.breaks(
+                at,
+                "no promise where it may have run",
+                format!("request {request}"),
+            );
         }
     }
 
@@ -135,11 +172,19 @@
 
     /// The run is over: nobody may be left without an answer whose time was up.
     pub fn finishes(&mut self, at: Nanos) {
-        let mut late: Vec<u64> =
-            self.open.iter().filter(|(_, open)| at > open.give_up_at + SLACK).map(|(id, _)| *id).collect();
+        let mut late: Vec<u64> = self
+            .open
+            .iter()
+            .filter(|(_, open)| at > open.give_up_at + SLACK)
+            .map(|(id, _)| *id)
+            .collect();
         late.sort_unstable();
         for request in late {
-            self.breaks(at, "one final answer", format!("request {request} got none"));
+            self.breaks(
+                at,
+                "one final answer",
+                format!("request {request} got none"),
+            );
         }
     }
 }
--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -78,7 +78,10 @@
         took.add(&class.took).expect("it grows");
         (wanted, in_time) = (wanted + class.wanted, in_time + class.in_time);
     }
-    let asked = measures.accounts.iter().filter(|account| account.wanted > 0);
+    let asked = measures
+        .accounts
+        .iter()
+        .filter(|account| account.wanted > 0);
     Figures {
         in_time: in_time as f64 / wanted.max(1) as f64,
         p99_ms: took.value_at_quantile(0.99) as f64 / 1e3,
@@ -89,7 +92,9 @@
         fallen: measures.fleet.fallen as f64,
         power: measures.fleet.power.map(|power| {
             let rest = engine.now().saturating_sub(power.back_at.unwrap_or(0));
-            power.ratio().unwrap_or(rest as f64 / power.all_seeing.max(1) as f64)
+            power
+                .ratio()
+                .unwrap_or(rest as f64 / power.all_seeing.max(1) as f64)
         }),
         broken: engine.checker.count,
     }
@@ -102,8 +107,13 @@
     told: impl Fn(usize) + Sync,
 ) -> Vec<[Figures; 2]> {
     let count = (seeds.end - seeds.start) as usize;
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(vec![[Figures::default(); 2]; count]));
-    let cores = std::thread::available_parallelism().map_or(1, usize::from).min(count.max(1));
+    let (next, done) = (
+        AtomicUsize::new(0),
+        Mutex::new(vec![[Figures::default(); 2]; count]),
+    );
+    let cores = std::thread::available_parallelism()
+        .map_or(1, usize::from)
+        .min(count.max(1));
     std::thread::scope(|scope| {
         for _ in 0..cores {
             scope.spawn(|| {
@@ -113,7 +123,10 @@
                         return;
                     }
                     let pair = sides.map(|(scenario, policy)| {
-                        let scenario = Scenario { seed: seeds.start + at as u64, ..scenario.clone() };
+                        let scenario = Scenario {
+                            seed: seeds.start + at as u64,
+                            ..scenario.clone()
+                        };
                         play(&scenario, policy)
                     });
                     done.lock().expect("no run panics while it holds this")[at] = pair;
@@ -122,7 +135,8 @@
             });
         }
     });
-    done.into_inner().expect("no run panics while it holds this")
+    done.into_inner()
+        .expect("no run panics while it holds this")
 }
 
 /// The mean difference of pairs, and an interval that holds it with 95% by resampling the pairs.
@@ -135,8 +149,17 @@
     let mean = differences.iter().sum::<f64>() / count as f64;
     let mut chance = Chance::new(seed, 77);
     let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..count).map(|_| differences[chance.pick(count)]).sum::<f64>() / count as f64)
+        .map(|_| {
+            (0..count)
+                .map(|_| differences[chance.pick(count)])
+                .sum::<f64>()
+                / count as f64
+        })
         .collect();
     means.sort_by(f64::total_cmp);
-    (mean, means[RESAMPLES / 40], means[RESAMPLES - 1 - RESAMPLES / 40])
+    (
+        mean,
+        means[RESAMPLES / 40],
+        means[RESAMPLES - 1 - RESAMPLES / 40],
+    )
 }
--- a/lab/src/engine.rs
+++ b/lab/src/engine.rs
@@ -106,8 +106,13 @@
             set_ups: FxHashMap::default(),
             next_set_up: 0,
             nodes: Vec::new(),
-            machines: (0..scenario.gateways).map(|_| Machine::new(&scenario.make)).collect(),
-            store: scenario.store.as_ref().map(|store| Store::new(store.at_once, store.mean_ms / 1e3)),
+            machines: (0..scenario.gateways)
+                .map(|_| Machine::new(&scenario.make))
+                .collect(),
+            store: scenario
+                .store
+                .as_ref()
+                .map(|store| Store::new(store.at_once, store.mean_ms / 1e3)),
             resets: Vec::new(),
             discovery_back_at: 0,
             actions: Vec::new(),
@@ -115,7 +120,9 @@
             worth_now: 0.0,
             by_zone: scenario.by_zone(),
             generation: 1,
-            hosts: (0..scenario.balancers).map(|_| recovery::Host::default()).collect(),
+            hosts: (0..scenario.balancers)
+                .map(|_| recovery::Host::default())
+                .collect(),
             configurations: Configurations::of(scenario),
             newest: 0,
             cuts: Vec::new(),
@@ -127,15 +134,27 @@
             measures: Measures::new(scenario),
             checker: Checker::default(),
         };
-        engine.nodes = (0..scenario.balancers).map(|rank| engine.node(rank, 0)).collect();
+        engine.nodes = (0..scenario.balancers)
+            .map(|rank| engine.node(rank, 0))
+            .collect();
         engine
     }
 
     fn node(&self, rank: u32, start: u32) -> Node {
-        let shares = self.scenario.accounts.iter().map(|account| account.share).collect();
+        let shares = self
+            .scenario
+            .accounts
+            .iter()
+            .map(|account| account.share)
+            .collect();
         let seed = self.scenario.seed ^ (u64::from(rank) << 32) ^ u64::from(start);
         let settings = self.scenario.settings(rank);
-        Node { decides: self.policy.balancer(settings, shares, seed), start, alive: true, down_until: 0 }
+        Node {
+            decides: self.policy.balancer(settings, shares, seed),
+            start,
+            alive: true,
+            down_until: 0,
+        }
     }
 
     /// Plays the scenario to its end; `each_second` is told of each second of the run and may end it by `false`.
@@ -165,7 +184,8 @@
     fn push(&mut self, at: Nanos, what: Occurrence) {
         self.count += 1;
         let draw = (self.order.even() * f64::from(u32::MAX)) as u32;
-        self.events.push(Reverse((at.max(self.now), draw, self.count, what)));
+        self.events
+            .push(Reverse((at.max(self.now), draw, self.count, what)));
     }
 
     fn after(&mut self, seconds: f64, what: Occurrence) {
--- a/lab/src/engine/affinity.rs
+++ b/lab/src/engine/affinity.rs
@@ -3,8 +3,8 @@
 
 use beaconflow::api::{ListKind, Pin, ServerId, State, Why};
 use beaconflow_affinity::{
-    Bound, Client, FarmView, Group, How, Key, Limits, Memory, Placement, ReDeal, ServerNow, Stamp, Tag,
-    Version, VersionFact,
+    Bound, Client, FarmView, Group, How, Key, Limits, Memory, Placement, ReDeal, ServerNow, Stamp,
+    Tag, Version, VersionFact,
 };
 use beaconflow_knowledge::{Change, Knowledge, Subject, Value};
 use rustc_hash::FxHashMap;
@@ -70,8 +70,16 @@
         }
         let start = u64::from(self.nodes[balancer as usize].start) + 1;
         let (origin, wall) = (origin(balancer, start), mesh::wall(self.now));
-        let bound = Bound { entries: 400_000, bytes: usize::MAX };
-        let limits = Limits { bound, life_s: 3_600, away_s: 60, home_most: 64 };
+        let bound = Bound {
+            entries: 400_000,
+            bytes: usize::MAX,
+        };
+        let limits = Limits {
+            bound,
+            life_s: 3_600,
+            away_s: 60,
+            home_most: 64,
+        };
         let mut memory = Memory::new(limits, origin, origin);
         let runs = self.hosts[balancer as usize].runs;
         memory.adopt(self.configurations.all[runs].version, 0, wall);
@@ -91,34 +99,61 @@
     pub(super) fn sees_ready(&mut self, balancer: u32) {
         let wall = mesh::wall(self.now);
         let host = &mut self.hosts[balancer as usize];
-        let (Some(places), Some(list)) = (&mut host.places, &host.list) else { return };
+        let (Some(places), Some(list)) = (&mut host.places, &host.list) else {
+            return;
+        };
         for (since, listed) in places.ready_since.iter_mut().zip(list.iter()) {
-            *since = if listed.state == State::Ready { Some(since.unwrap_or(wall)) } else { None };
+            *since = if listed.state == State::Ready {
+                Some(since.unwrap_or(wall))
+            } else {
+                None
+            };
         }
     }
 
     fn client_of(&self, client: u64) -> Client {
         let one = &self.clients[&client];
-        Client { key: Key(one.key), group: one.group.map(|group| Group(u64::from(group))), tenant: None }
+        Client {
+            key: Key(one.key),
+            group: one.group.map(|group| Group(u64::from(group))),
+            tenant: None,
+        }
     }
 
     /// Where a client that comes to a balancer is led, if anywhere.
     pub(super) fn pin(&self, balancer: u32, client: u64) -> Option<Pin> {
         let host = &self.hosts[balancer as usize];
         let (places, list) = (host.places.as_ref()?, host.list.as_ref()?);
-        let started = list.iter().map(|one| one.started_at.map_or(0, mesh::wall)).collect();
-        let view = View { places, all: &self.configurations, runs: host.runs, started };
-        let advice = places.memory.place(&self.client_of(client), &view, mesh::wall(self.now))?;
+        let started = list
+            .iter()
+            .map(|one| one.started_at.map_or(0, mesh::wall))
+            .collect();
+        let view = View {
+            places,
+            all: &self.configurations,
+            runs: host.runs,
+            started,
+        };
+        let advice = places
+            .memory
+            .place(&self.client_of(client), &view, mesh::wall(self.now))?;
         let server = self.configurations.gateway(advice.server).map(ServerId);
-        Some(Pin { server, strict: false })
+        Some(Pin {
+            server,
+            strict: false,
+        })
     }
 
     /// A connection stands through a balancer.
     pub(super) fn is_placed(&mut self, balancer: u32, request: u64, client: u64, gateway: u32) {
         let (who, wall) = (self.client_of(client), mesh::wall(self.now));
         let runs = self.hosts[balancer as usize].runs;
-        let Some((tag, _)) = self.configurations.all[runs].gateways[gateway as usize] else { return };
-        let Some(places) = &mut self.hosts[balancer as usize].places else { return };
+        let Some((tag, _)) = self.configurations.all[runs].gateways[gateway as usize] else {
+            return;
+        };
+        let Some(places) = &mut self.hosts[balancer as usize].places else {
+            return;
+        };
         if let Ok(placed) = places.memory.stood(&who, tag, wall) {
             places.stamps.insert(request, placed.stamp);
             self.tells(balancer, &placed);
@@ -130,11 +165,18 @@
         self.is_placed(balancer, request, client, gateway);
         let key = Key(self.clients[&client].key);
         let wall = mesh::wall(self.now);
-        let placed = self.hosts[balancer as usize].places.as_ref().and_then(|places| places.memory.get(key));
+        let placed = self.hosts[balancer as usize]
+            .places
+            .as_ref()
+            .and_then(|places| places.memory.get(key));
         let Some(placed) = placed else { return };
         let name = mesh::name(balancer);
-        let knowledge = self.hosts[balancer as usize].node.as_ref().map(|node| &node.body().knowledge);
-        let Some(record) = knowledge.and_then(|known| known.export_one(&subject(key), &name, wall)) else {
+        let knowledge = self.hosts[balancer as usize]
+            .node
+            .as_ref()
+            .map(|node| &node.body().knowledge);
+        let Some(record) = knowledge.and_then(|known| known.export_one(&subject(key), &name, wall))
+        else {
             return;
         };
         for host in &mut self.hosts {
@@ -148,16 +190,28 @@
     /// A connection through a balancer has ended.
     pub(super) fn is_gone(&mut self, balancer: u32, request: u64, client: u64, how: How) {
         let wall = mesh::wall(self.now);
-        let Some(key) = self.clients.get(&client).map(|one| Key(one.key)) else { return };
-        let Some(places) = &mut self.hosts[balancer as usize].places else { return };
-        let Some(stamp) = places.stamps.remove(&request) else { return };
+        let Some(key) = self.clients.get(&client).map(|one| Key(one.key)) else {
+            return;
+        };
+        let Some(places) = &mut self.hosts[balancer as usize].places else {
+            return;
+        };
+        let Some(stamp) = places.stamps.remove(&request) else {
+            return;
+        };
         if let Some(ended) = places.memory.ended(key, stamp, how, wall) {
             self.tells(balancer, &ended);
         }
     }
 
     fn knowledge(&mut self, balancer: u32) -> Option<&mut Knowledge> {
-        Some(&mut self.hosts[balancer as usize].node.as_mut()?.body_mut().knowledge)
+        Some(
+            &mut self.hosts[balancer as usize]
+                .node
+                .as_mut()?
+                .body_mut()
+                .knowledge,
+        )
     }
 
     fn tells(&mut self, balancer: u32, placed: &Placement) {
@@ -171,13 +225,21 @@
     /// A balancer tells what it knows of versions.
     pub(super) fn tells_versions(&mut self, balancer: u32) {
         let wall = mesh::wall(self.now);
-        let Some(places) = &mut self.hosts[balancer as usize].places else { return };
+        let Some(places) = &mut self.hosts[balancer as usize].places else {
+            return;
+        };
         places.memory.still_runs(wall);
         let facts: Vec<VersionFact> = places.memory.versions().facts().copied().collect();
-        let Some(knowledge) = self.knowledge(balancer) else { return };
+        let Some(knowledge) = self.knowledge(balancer) else {
+            return;
+        };
         for fact in facts {
             let key = fact.version.0.to_be_bytes().to_vec();
-            let subject = Subject::Unknown { kind: VERSIONS, key, owned: true };
+            let subject = Subject::Unknown {
+                kind: VERSIONS,
+                key,
+                owned: true,
+            };
             drop(knowledge.witness(&subject, &Value::Unknown(encode_version(&fact)), GOOD, wall));
         }
     }
@@ -185,7 +247,9 @@
     /// What peers told of placements and versions.
     pub(super) fn hears(&mut self, balancer: u32, news: &[Change]) {
         let wall = mesh::wall(self.now);
-        let Some(places) = &mut self.hosts[balancer as usize].places else { return };
+        let Some(places) = &mut self.hosts[balancer as usize].places else {
+            return;
+        };
         for fact in news.iter().filter_map(Change::after) {
             match (fact.subject, fact.value) {
                 (Subject::Unknown { kind: PLACED, .. }, Value::Unknown(bytes)) => {
@@ -212,8 +276,12 @@
 
     /// A balancer takes the configuration of a roll over.
     pub(super) fn adopts(&mut self, balancer: u32, failure: u32) {
-        let is_roll =
-            |at: &u32| matches!(self.scenario.failures[*at as usize].get_ref(), Failure::ConfigRoll { .. });
+        let is_roll = |at: &u32| {
+            matches!(
+                self.scenario.failures[*at as usize].get_ref(),
+                Failure::ConfigRoll { .. }
+            )
+        };
         let number = (0..=failure).filter(is_roll).count();
         self.hosts[balancer as usize].runs = number;
         let configured = &self.configurations.all[number];
@@ -222,7 +290,9 @@
         let wall = mesh::wall(self.now);
         if let Some(places) = &mut self.hosts[balancer as usize].places {
             places.memory.adopt(version, 0, wall);
-            renames.iter().for_each(|(old, new)| places.memory.renamed(*old, *new));
+            renames
+                .iter()
+                .for_each(|(old, new)| places.memory.renamed(*old, *new));
             self.tells_versions(balancer);
             self.begins_redeal(balancer);
         }
@@ -233,7 +303,9 @@
     fn begins_redeal(&mut self, balancer: u32) {
         let gateways = &self.configurations.all[self.hosts[balancer as usize].runs].gateways;
         let stands = |one: &super::Request| match one.phase {
-            Phase::Stands { gateway } => gateways[gateway as usize].is_none() && one.balancer == balancer,
+            Phase::Stands { gateway } => {
+                gateways[gateway as usize].is_none() && one.balancer == balancer
+            }
             _ => false,
         };
         let barred = self.requests.iter().filter(|(_, one)| stands(one));
@@ -243,20 +315,35 @@
                 (client.key, client.group, *id)
             })
             .collect();
-        let Some(places) = &mut self.hosts[balancer as usize].places else { return };
-        places.redealt = barred.iter().map(|(key, _, request)| (*key, *request)).collect();
-        places.redeal.begin(barred.into_iter().map(|(key, group, _)| (key, group)));
+        let Some(places) = &mut self.hosts[balancer as usize].places else {
+            return;
+        };
+        places.redealt = barred
+            .iter()
+            .map(|(key, _, request)| (*key, *request))
+            .collect();
+        places
+            .redeal
+            .begin(barred.into_iter().map(|(key, group, _)| (key, group)));
     }
 
     /// Each second: those due are dealt anew, and what runs is told again.
     pub(super) fn deals_anew(&mut self) {
         let wall = mesh::wall(self.now);
         for balancer in 0..self.hosts.len() as u32 {
-            let Some(places) = &mut self.hosts[balancer as usize].places else { continue };
+            let Some(places) = &mut self.hosts[balancer as usize].places else {
+                continue;
+            };
             let due = places.redeal.due(wall);
-            let requests: Vec<u64> = due.iter().filter_map(|key| places.redealt.remove(key)).collect();
+            let requests: Vec<u64> = due
+                .iter()
+                .filter_map(|key| places.redealt.remove(key))
+                .collect();
             for request in requests {
-                if matches!(self.requests.get(&request).map(|one| one.phase), Some(Phase::Stands { .. })) {
+                if matches!(
+                    self.requests.get(&request).map(|one| one.phase),
+                    Some(Phase::Stands { .. })
+                ) {
                     self.measures.fleet.redealt += 1;
                     self.moves(request, Why::Leaving, true);
                 }
@@ -269,11 +356,18 @@
 
     /// A client that returned stands: whether it was owed the gateway that it had, and got it.
     pub(super) fn judges_return(&mut self, client: u64, gateway: u32) {
-        let Some(had) = self.clients[&client].had else { return };
+        let Some(had) = self.clients[&client].had else {
+            return;
+        };
         let machine = &self.machines[had.gateway as usize];
         let started = machine.gateway.started_at().unwrap_or(0);
         let stays = self.configurations.all[self.newest].gateways[had.gateway as usize].is_some();
-        if !had.moved && stays && machine.up && machine.listed == State::Ready && started <= had.since {
+        if !had.moved
+            && stays
+            && machine.up
+            && machine.listed == State::Ready
+            && started <= had.since
+        {
             self.measures.fleet.owed += 1;
             self.measures.fleet.landed += u64::from(gateway == had.gateway);
         }
@@ -281,29 +375,49 @@
 }
 
 fn subject(key: Key) -> Subject {
-    Subject::Unknown { kind: PLACED, key: key.0.to_be_bytes().to_vec(), owned: false }
+    Subject::Unknown {
+        kind: PLACED,
+        key: key.0.to_be_bytes().to_vec(),
+        owned: false,
+    }
 }
 
 fn encode(placed: &Placement) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64);
     let group = placed.group.map_or(0, |group| group.0);
-    for word in [placed.key.0, group, placed.server.0, placed.stamp.0, u64::from(placed.seen_s)] {
+    for word in [
+        placed.key.0,
+        group,
+        placed.server.0,
+        placed.stamp.0,
+        u64::from(placed.seen_s),
+    ] {
         bytes.extend_from_slice(&word.to_le_bytes());
     }
     bytes.extend_from_slice(&placed.version.0.to_le_bytes());
-    bytes.extend_from_slice(&[placed.state.byte(), placed.twins, u8::from(placed.group.is_some())]);
+    bytes.extend_from_slice(&[
+        placed.state.byte(),
+        placed.twins,
+        u8::from(placed.group.is_some()),
+    ]);
     bytes
 }
 
 fn words<const N: usize>(bytes: &[u8]) -> Option<([u64; N], &[u8])> {
     let (head, rest) = bytes.split_at_checked(8 * N)?;
-    let word = |at: usize| head[8 * at..8 * at + 8].try_into().map_or(0, u64::from_le_bytes);
+    let word = |at: usize| {
+        head[8 * at..8 * at + 8]
+            .try_into()
+            .map_or(0, u64::from_le_bytes)
+    };
     Some((std::array::from_fn(word), rest))
 }
 
 fn decode(bytes: &[u8]) -> Option<Placement> {
     let ([key, group, server, stamp, seen_s, low, high], rest) = words(bytes)?;
-    let [state, twins, has_group] = *rest else { return None };
+    let [state, twins, has_group] = *rest else {
+        return None;
+    };
     Some(Placement {
         key: Key(key),
         group: (has_group == 1).then_some(Group(group)),
@@ -318,12 +432,25 @@
 
 fn encode_version(fact: &VersionFact) -> Vec<u8> {
     let (low, high) = (fact.version.0 as u64, (fact.version.0 >> 64) as u64);
-    let words = [low, high, u64::from(fact.reign), fact.serial, fact.since, fact.runs];
+    let words = [
+        low,
+        high,
+        u64::from(fact.reign),
+        fact.serial,
+        fact.since,
+        fact.runs,
+    ];
     words.iter().flat_map(|word| word.to_le_bytes()).collect()
 }
 
 fn decode_version(bytes: &[u8]) -> Option<VersionFact> {
     let ([low, high, reign, serial, since, runs], _) = words(bytes)?;
     let version = Version(u128::from(high) << 64 | u128::from(low));
-    Some(VersionFact { version, reign: reign as u32, serial, since, runs })
+    Some(VersionFact {
+        version,
+        reign: reign as u32,
+        serial,
+        since,
+        runs,
+    })
 }
--- a/lab/src/engine/arrivals.rs
+++ b/lab/src/engine/arrivals.rs
@@ -23,7 +23,12 @@
         }
         for failure in 0..self.scenario.failures.len() {
             let at = self.scenario.failures[failure].get_ref().at_s();
-            self.after(at, Occurrence::Fails { failure: failure as u32 });
+            self.after(
+                at,
+                Occurrence::Fails {
+                    failure: failure as u32,
+                },
+            );
         }
         self.push(SECOND - 1, Occurrence::Second);
     }
@@ -37,7 +42,12 @@
     }
 
     pub(super) fn client(&mut self, class: u32, account: Option<u32>) -> u64 {
-        let parts: f64 = self.scenario.accounts.iter().map(|account| account.part).sum();
+        let parts: f64 = self
+            .scenario
+            .accounts
+            .iter()
+            .map(|account| account.part)
+            .sum();
         let account = account.unwrap_or_else(|| {
             let mut at = self.chance.even() * parts;
             let found = self.scenario.accounts.iter().position(|account| {
@@ -91,21 +101,37 @@
         self.settle(request, gateway);
         self.requests.get_mut(&request).expect("opened").attempts = 1;
         self.was_placed(balancer, request, client, gateway);
-        self.tell(balancer, Event::Standing { arrival, server: ServerId(gateway) });
+        self.tell(
+            balancer,
+            Event::Standing {
+                arrival,
+                server: ServerId(gateway),
+            },
+        );
     }
 
     /// The zone whose balancers a client comes to, if it is not to all alike.
     pub(super) fn home(&self, client: u64) -> Option<u32> {
         let zones = u64::from(self.scenario.zones);
-        self.by_zone.then(|| (self.clients[&client].key % zones) as u32)
+        self.by_zone
+            .then(|| (self.clients[&client].key % zones) as u32)
     }
 
     pub(super) fn open(&mut self, client: u64, balancer: u32, load: f64) -> u64 {
         let request = self.next_request;
         self.next_request += 1;
         let start = self.nodes[balancer as usize].start;
-        self.requests
-            .insert(request, Request { client, balancer, start, attempts: 0, phase: Phase::Waits, load });
+        self.requests.insert(
+            request,
+            Request {
+                client,
+                balancer,
+                start,
+                attempts: 0,
+                phase: Phase::Waits,
+                load,
+            },
+        );
         request
     }
 
@@ -116,7 +142,9 @@
             give_up_at,
             class: ClassId(client.class as usize),
             key: Some(ClientKey(client.key)),
-            group: client.group.map(|group| GroupId(u64::from(group).wrapping_mul(0xbf58_476d_1ce4_e5b9))),
+            group: client
+                .group
+                .map(|group| GroupId(u64::from(group).wrapping_mul(0xbf58_476d_1ce4_e5b9))),
             returns: client.returns,
             load: None,
             pin: None,
@@ -125,16 +153,24 @@
 
     /// A connection stands at a gateway from now on; its life and its changes are drawn.
     pub(super) fn settle(&mut self, request: u64, gateway: u32) {
-        let Some(one) = self.requests.get_mut(&request) else { return };
+        let Some(one) = self.requests.get_mut(&request) else {
+            return;
+        };
         one.phase = Phase::Stands { gateway };
         let (client, load) = (one.client, one.load);
         self.counts(client, true);
         if let Some(one) = self.clients.get_mut(&client) {
-            one.had = Some(Had { gateway, since: self.now, moved: false });
+            one.had = Some(Had {
+                gateway,
+                since: self.now,
+                moved: false,
+            });
         }
         let (class, group) = (self.clients[&client].class, self.clients[&client].group);
         let machine = &mut self.machines[gateway as usize];
-        machine.gateway.stands(self.now, request, Standing { load, group });
+        machine
+            .gateway
+            .stands(self.now, request, Standing { load, group });
         let class = &self.scenario.classes[class as usize];
         let (life, changes) = (class.life_s, class.changes_s);
         let life = self.chance.exponential(life);
--- a/lab/src/engine/attempts.rs
+++ b/lab/src/engine/attempts.rs
@@ -8,24 +8,41 @@
 
 impl Engine<'_> {
     pub(super) fn current(&self, request: u64, attempt: u32) -> bool {
-        let out = |one: &Request| one.attempts == attempt + 1 && matches!(one.phase, Phase::Out { .. });
+        let out =
+            |one: &Request| one.attempts == attempt + 1 && matches!(one.phase, Phase::Out { .. });
         self.requests.get(&request).is_some_and(out)
     }
 
     pub(super) fn reports(&mut self, request: u64, attempt: u32, outcome: Outcome) {
         let way = self.way(self.scenario.net.gateway_ms);
-        self.after(way, Occurrence::Ends { request, attempt, outcome: outcome as u8 });
+        self.after(
+            way,
+            Occurrence::Ends {
+                request,
+                attempt,
+                outcome: outcome as u8,
+            },
+        );
     }
 
     pub(super) fn reaches(&mut self, request: u64, attempt: u32, gateway: u32) {
         if !self.current(request, attempt) {
             return;
         }
-        if self.by_zone && self.is_apart(self.zone(self.requests[&request].balancer), self.zone(gateway)) {
+        if self.by_zone
+            && self.is_apart(
+                self.zone(self.requests[&request].balancer),
+                self.zone(gateway),
+            )
+        {
             return;
         }
-        let reset =
-            self.resets.iter().filter(|(until, ..)| *until > self.now).map(|(.., set_ups)| *set_ups).sum();
+        let reset = self
+            .resets
+            .iter()
+            .filter(|(until, ..)| *until > self.now)
+            .map(|(.., set_ups)| *set_ups)
+            .sum();
         if self.chance.happens(reset) {
             return self.reports(request, attempt, Outcome::Reset);
         }
@@ -45,10 +62,25 @@
         match machine.gateway.offer(self.now, set_up, &mut self.chance) {
             Offer::Full => return self.reports(request, attempt, Outcome::Full),
             Offer::Waits => {}
-            Offer::Until(at) => self.push(at, Occurrence::Worked { gateway, start, set_up }),
+            Offer::Until(at) => self.push(
+                at,
+                Occurrence::Worked {
+                    gateway,
+                    start,
+                    set_up,
+                },
+            ),
         }
         self.next_set_up += 1;
-        self.set_ups.insert(set_up, SetUp { request, attempt, gateway, start });
+        self.set_ups.insert(
+            set_up,
+            SetUp {
+                request,
+                attempt,
+                gateway,
+                start,
+            },
+        );
     }
 
     pub(super) fn worked(&mut self, gateway: u32, start: u32, set_up: u64) {
@@ -59,10 +91,24 @@
         }
         if machine.hangs_until > self.now {
             let at = machine.hangs_until;
-            return self.push(at, Occurrence::Worked { gateway, start, set_up });
+            return self.push(
+                at,
+                Occurrence::Worked {
+                    gateway,
+                    start,
+                    set_up,
+                },
+            );
         }
         if let Some((next, at)) = machine.gateway.set_up_done(self.now, &mut self.chance) {
-            self.push(at, Occurrence::Worked { gateway, start, set_up: next });
+            self.push(
+                at,
+                Occurrence::Worked {
+                    gateway,
+                    start,
+                    set_up: next,
+                },
+            );
         }
         match &mut self.store {
             None => self.stored(set_up),
@@ -80,12 +126,27 @@
         {
             self.push(at, Occurrence::Stored { set_up: next });
         }
-        let Some(SetUp { request, attempt, gateway, start }) = self.set_ups.remove(&set_up) else { return };
+        let Some(SetUp {
+            request,
+            attempt,
+            gateway,
+            start,
+        }) = self.set_ups.remove(&set_up)
+        else {
+            return;
+        };
         if self.machines[gateway as usize].start != start || !self.current(request, attempt) {
             return;
         }
         let way = self.way(self.scenario.net.gateway_ms);
-        self.after(way, Occurrence::Stands { request, attempt, gateway });
+        self.after(
+            way,
+            Occurrence::Stands {
+                request,
+                attempt,
+                gateway,
+            },
+        );
     }
 
     pub(super) fn stands(&mut self, request: u64, attempt: u32, gateway: u32) {
@@ -95,7 +156,10 @@
         if !self.machines[gateway as usize].up {
             return self.ends(request, attempt, Outcome::Reset);
         }
-        let (balancer, client) = (self.requests[&request].balancer, self.requests[&request].client);
+        let (balancer, client) = (
+            self.requests[&request].balancer,
+            self.requests[&request].client,
+        );
         if self.clients[&client].returns {
             self.judges_return(client, gateway);
         }
@@ -110,18 +174,38 @@
         let one = &self.clients[&client];
         let (class, account) = (one.class as usize, one.account as usize);
         let in_time = took <= nanos(self.scenario.classes[class].aim_ms / 1e3);
-        for served in [&mut self.measures.classes[class], &mut self.measures.accounts[account]] {
+        for served in [
+            &mut self.measures.classes[class],
+            &mut self.measures.accounts[account],
+        ] {
             served.took.record(took / 1_000).expect("it grows");
-            *if in_time { &mut served.in_time } else { &mut served.late } += 1;
+            *if in_time {
+                &mut served.in_time
+            } else {
+                &mut served.late
+            } += 1;
         }
         let second = self.measures.at(self.now);
         second.stood += 1;
         second.in_time += u64::from(in_time);
-        self.tell(balancer, Event::Established { request: RequestId(request), attempt });
+        self.tell(
+            balancer,
+            Event::Established {
+                request: RequestId(request),
+                attempt,
+            },
+        );
         // Its gateway tells how heavy it is.
         if let Some(one) = self.requests.get(&request) {
             let note = Note::Load(one.load);
-            self.tell(balancer, Event::Noted { request: RequestId(request), attempt, note });
+            self.tell(
+                balancer,
+                Event::Noted {
+                    request: RequestId(request),
+                    attempt,
+                    note,
+                },
+            );
         }
     }
 
@@ -134,7 +218,13 @@
         let (balancer, client) = (one.balancer, one.client);
         self.counts_placement(balancer, client, false);
         self.checker.ended(request, !outcome.never_ran());
-        let ended = Event::Ended { request: RequestId(request), attempt, outcome, took: 0, closed: false };
+        let ended = Event::Ended {
+            request: RequestId(request),
+            attempt,
+            outcome,
+            took: 0,
+            closed: false,
+        };
         self.tell(balancer, ended);
     }
 }
--- a/lab/src/engine/balancers.rs
+++ b/lab/src/engine/balancers.rs
@@ -16,7 +16,9 @@
 impl Engine<'_> {
     pub(super) fn tell(&mut self, balancer: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.nodes[balancer as usize].decides.handle(self.now, event, &mut actions);
+        self.nodes[balancer as usize]
+            .decides
+            .handle(self.now, event, &mut actions);
         self.carry_out(balancer, actions);
     }
 
@@ -24,10 +26,18 @@
         let start = self.nodes[balancer as usize].start;
         for action in actions.drain(..) {
             match action {
-                Action::Attempt { request, server, timeout, .. } => {
+                Action::Attempt {
+                    request,
+                    server,
+                    timeout,
+                    ..
+                } => {
                     self.attempts(request.0, server.0 % self.scenario.gateways, timeout);
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     let retry_after = self.stays_away(balancer, request.0, retry_after);
                     self.answered(request.0, true, retry_after);
                 }
@@ -35,7 +45,14 @@
                 Action::Move(request, why) => self.moves(request.0, why, false),
                 Action::Wake { after, timer } => {
                     let at = self.now.saturating_add(after);
-                    self.push(at, Occurrence::Timer { balancer, start, timer: timer.0 });
+                    self.push(
+                        at,
+                        Occurrence::Timer {
+                            balancer,
+                            start,
+                            timer: timer.0,
+                        },
+                    );
                 }
                 Action::Watch => self.watches(balancer),
                 Action::Wait(_) | Action::Probe(_) | Action::Log(_) => {}
@@ -47,7 +64,9 @@
     }
 
     pub(super) fn attempts(&mut self, request: u64, gateway: u32, timeout: Nanos) {
-        let Some(one) = self.requests.get_mut(&request) else { return };
+        let Some(one) = self.requests.get_mut(&request) else {
+            return;
+        };
         let attempt = one.attempts;
         one.attempts += 1;
         one.phase = Phase::Out { gateway };
@@ -55,13 +74,22 @@
         self.checker.attempts(self.now, request, balancer, gateway);
         self.measures.at(self.now).attempts += 1;
         let way = self.way(self.scenario.net.gateway_ms);
-        self.after(way, Occurrence::Reaches { request, attempt, gateway });
+        self.after(
+            way,
+            Occurrence::Reaches {
+                request,
+                attempt,
+                gateway,
+            },
+        );
         let at = self.now.saturating_add(timeout);
         self.push(at, Occurrence::TimesOut { request, attempt });
     }
 
     pub(super) fn answered(&mut self, request: u64, refused: bool, told: Option<Nanos>) {
-        let Some(one) = self.requests.remove(&request) else { return };
+        let Some(one) = self.requests.remove(&request) else {
+            return;
+        };
         self.checker.answered(self.now, request, refused);
         let second = self.measures.at(self.now);
         if refused {
@@ -74,7 +102,9 @@
 
     /// A connection is moved off its gateway, by the decisions or by its host.
     pub(super) fn moves(&mut self, request: u64, why: Why, by_host: bool) {
-        let Some(one) = self.lets_go(request) else { return };
+        let Some(one) = self.lets_go(request) else {
+            return;
+        };
         self.measures.at(self.now).moved += 1;
         self.measures.fleet.evened += u64::from(matches!(why, Why::Uneven | Why::Cold));
         let how = match why {
@@ -83,7 +113,11 @@
             Why::Uneven | Why::Cold => How::MovedUneven,
         };
         self.is_gone(one.balancer, request, one.client, how);
-        if let Some(had) = self.clients.get_mut(&one.client).and_then(|client| client.had.as_mut()) {
+        if let Some(had) = self
+            .clients
+            .get_mut(&one.client)
+            .and_then(|client| client.had.as_mut())
+        {
             had.moved = true;
         }
         if by_host {
@@ -96,29 +130,56 @@
     pub(super) fn watches(&mut self, balancer: u32) {
         let start = self.nodes[balancer as usize].start;
         let wait = self.way(self.scenario.net.discovery_ms);
-        let at = self.now.max(self.discovery_back_at).saturating_add(nanos(wait));
-        self.push(at, Occurrence::Listed { balancer, start, full: true });
+        let at = self
+            .now
+            .max(self.discovery_back_at)
+            .saturating_add(nanos(wait));
+        self.push(
+            at,
+            Occurrence::Listed {
+                balancer,
+                start,
+                full: true,
+            },
+        );
     }
 
     pub(super) fn tell_list(&mut self, balancer: u32, full: bool) {
         if self.now < self.discovery_back_at {
             let start = self.nodes[balancer as usize].start;
             let at = self.discovery_back_at;
-            return self.push(at, Occurrence::Listed { balancer, start, full });
+            return self.push(
+                at,
+                Occurrence::Listed {
+                    balancer,
+                    start,
+                    full,
+                },
+            );
         }
         let listed = self.listed();
         for (at, one) in listed.iter().enumerate() {
-            self.checker.listed(self.now, balancer, at as u32, one.state == State::Ready);
+            self.checker
+                .listed(self.now, balancer, at as u32, one.state == State::Ready);
         }
         self.hosts[balancer as usize].list = Some(Rc::new(listed));
         self.sees_ready(balancer);
-        self.tell_module(balancer, if full { ListKind::Full } else { ListKind::Changes });
+        self.tell_module(
+            balancer,
+            if full {
+                ListKind::Full
+            } else {
+                ListKind::Changes
+            },
+        );
     }
 
     /// The decisions are told the list.
     pub(super) fn tell_module(&mut self, balancer: u32, kind: ListKind) {
         let (zones, paced) = (self.scenario.zones, self.is_paced(balancer));
-        let Some(list) = self.hosts[balancer as usize].list.clone() else { return };
+        let Some(list) = self.hosts[balancer as usize].list.clone() else {
+            return;
+        };
         // What paces clients over the whole fleet is not to be held against each gateway once more.
         let warmth = |listed: &Listed| if paced { self.warmth(listed) } else { 1.0 };
         let host = &self.hosts[balancer as usize];
@@ -126,10 +187,21 @@
         // Whoever does not follow a gateway under its new name takes it for another one.
         let id = |at: usize| {
             let is_another = runs.renamed[at] && !follows;
-            at as u32 + if is_another { self.scenario.gateways } else { 0 }
+            at as u32
+                + if is_another {
+                    self.scenario.gateways
+                } else {
+                    0
+                }
         };
         let own = self.zone(balancer);
-        let near = |at: usize| if self.by_zone && self.zone(at as u32) != own { BEYOND } else { 1.0 };
+        let near = |at: usize| {
+            if self.by_zone && self.zone(at as u32) != own {
+                BEYOND
+            } else {
+                1.0
+            }
+        };
         let entry = |(at, listed): (usize, &Listed)| Entry {
             server: ServerId(id(at)),
             tag: (u64::from(id(at)) + 1).wrapping_mul(0x94d0_49bb_1331_11eb),
@@ -148,7 +220,11 @@
                 * warmth(listed)
                 * runs.gateways[at].map_or(1.0, |(_, part)| part),
             rises_to: None,
-            started_at: if paced { 0 } else { listed.started_at.unwrap_or(0) },
+            started_at: if paced {
+                0
+            } else {
+                listed.started_at.unwrap_or(0)
+            },
         };
         let entries: Vec<Entry> = list.iter().enumerate().map(entry).collect();
         self.tell(balancer, Event::List { kind, entries });
@@ -160,7 +236,14 @@
         for balancer in 0..self.nodes.len() as u32 {
             let start = self.nodes[balancer as usize].start;
             let wait = self.way(self.scenario.net.discovery_ms);
-            self.after(wait, Occurrence::Listed { balancer, start, full: false });
+            self.after(
+                wait,
+                Occurrence::Listed {
+                    balancer,
+                    start,
+                    full: false,
+                },
+            );
         }
     }
 }
--- a/lab/src/engine/clients.rs
+++ b/lab/src/engine/clients.rs
@@ -28,10 +28,13 @@
             return;
         }
         let home = self.home(client);
-        let is_there =
-            |at: &u32| self.nodes[*at as usize].alive && home.is_none_or(|home| self.zone(*at) == home);
+        let is_there = |at: &u32| {
+            self.nodes[*at as usize].alive && home.is_none_or(|home| self.zone(*at) == home)
+        };
         let alive: Vec<u32> = (0..self.nodes.len() as u32).filter(is_there).collect();
-        let Some(one) = self.clients.get_mut(&client) else { return };
+        let Some(one) = self.clients.get_mut(&client) else {
+            return;
+        };
         one.tries += 1;
         let class = one.class;
         if alive.is_empty() {
@@ -58,13 +61,16 @@
         arrival.pin = self.pin(balancer, client);
         let mut actions = std::mem::take(&mut self.actions);
         let node = &mut self.nodes[balancer as usize];
-        node.decides.arrives(self.now, arrival, account, returns, &mut actions);
+        node.decides
+            .arrives(self.now, arrival, account, returns, &mut actions);
         self.carry_out(balancer, actions);
     }
 
     /// A client that was refused, failed or cut off.
     pub(super) fn tries_again(&mut self, client: u64, told: Option<Nanos>) {
-        let Some(one) = self.clients.get(&client) else { return };
+        let Some(one) = self.clients.get(&client) else {
+            return;
+        };
         let habits = &self.scenario.clients;
         let floods = self.now < one.floods_until;
         if !floods && (one.tries >= habits.tries || habits.habit == Habit::None) {
@@ -104,16 +110,25 @@
 
     /// A standing connection leaves its gateway and the books.
     pub(super) fn lets_go(&mut self, request: u64) -> Option<Request> {
-        let Phase::Stands { gateway } = self.requests.get(&request)?.phase else { return None };
-        self.machines[gateway as usize].gateway.ends(self.now, request);
+        let Phase::Stands { gateway } = self.requests.get(&request)?.phase else {
+            return None;
+        };
+        self.machines[gateway as usize]
+            .gateway
+            .ends(self.now, request);
         let one = self.requests.remove(&request)?;
         self.counts(one.client, false);
         Some(one)
     }
 
     pub(super) fn over(&mut self, request: u64) {
-        let Some(one) = self.lets_go(request) else { return };
-        let flooding = self.clients.get(&one.client).is_some_and(|client| self.now < client.floods_until);
+        let Some(one) = self.lets_go(request) else {
+            return;
+        };
+        let flooding = self
+            .clients
+            .get(&one.client)
+            .is_some_and(|client| self.now < client.floods_until);
         if flooding {
             self.wants(one.client);
         } else {
@@ -127,14 +142,22 @@
     pub(super) fn tell_ended(&mut self, one: &Request, request: u64, outcome: Outcome) {
         if self.nodes[one.balancer as usize].start == one.start {
             let attempt = one.attempts - 1;
-            let ended = Event::Ended { request: RequestId(request), attempt, outcome, took: 0, closed: true };
+            let ended = Event::Ended {
+                request: RequestId(request),
+                attempt,
+                outcome,
+                took: 0,
+                closed: true,
+            };
             self.tell(one.balancer, ended);
         }
     }
 
     /// A standing connection breaks, with its balancer or otherwise; its client comes again.
     pub(super) fn cut_off(&mut self, request: u64, by_balancer: bool) {
-        let Some(one) = self.lets_go(request) else { return };
+        let Some(one) = self.lets_go(request) else {
+            return;
+        };
         self.measures.at(self.now).cut += 1;
         if !by_balancer {
             self.is_gone(one.balancer, request, one.client, How::Broke);
@@ -145,7 +168,9 @@
 
     /// A client ends its connection and comes again.
     pub(super) fn leaves(&mut self, request: u64) {
-        let Some(one) = self.lets_go(request) else { return };
+        let Some(one) = self.lets_go(request) else {
+            return;
+        };
         self.measures.at(self.now).cut += 1;
         self.is_gone(one.balancer, request, one.client, How::Left);
         self.tell_ended(&one, request, Outcome::Served);
@@ -154,7 +179,9 @@
 
     /// A client that had a connection wants another.
     pub(super) fn comes_back(&mut self, client: u64) {
-        let Some(one) = self.clients.get_mut(&client) else { return };
+        let Some(one) = self.clients.get_mut(&client) else {
+            return;
+        };
         (one.returns, one.tries, one.since) = (true, 0, self.now);
         let (class, account) = (one.class as usize, one.account as usize);
         self.measures.classes[class].wanted += 1;
@@ -166,22 +193,37 @@
     }
 
     pub(super) fn changes(&mut self, request: u64) {
-        let Some(Request { phase: Phase::Stands { gateway }, client, .. }) = self.requests.get(&request)
+        let Some(Request {
+            phase: Phase::Stands { gateway },
+            client,
+            ..
+        }) = self.requests.get(&request)
         else {
             return;
         };
         let (gateway, client) = (*gateway, *client);
         let class = self.clients[&client].class;
         let load = self.draw_load(class);
-        self.machines[gateway as usize].gateway.changes(self.now, request, load);
+        self.machines[gateway as usize]
+            .gateway
+            .changes(self.now, request, load);
         let one = self.requests.get_mut(&request).expect("it stands");
         one.load = load;
         let (balancer, start, attempt) = (one.balancer, one.start, one.attempts - 1);
         if self.nodes[balancer as usize].start == start {
             let note = Note::Load(load);
-            self.tell(balancer, Event::Noted { request: RequestId(request), attempt, note });
+            self.tell(
+                balancer,
+                Event::Noted {
+                    request: RequestId(request),
+                    attempt,
+                    note,
+                },
+            );
         }
-        let wait = self.chance.exponential(self.scenario.classes[class as usize].changes_s);
+        let wait = self
+            .chance
+            .exponential(self.scenario.classes[class as usize].changes_s);
         self.after(wait, Occurrence::Changes { request });
     }
 }
