--- a/lab/src/engine/edge.rs
+++ b/lab/src/engine/edge.rs
@@ -1,7 +1,9 @@
 //! Zones whose uplink is lost: what crosses it, and what each balancer makes of it.
 
 use beaconflow::api::ListKind;
-use beaconflow_edge::{Action, Config, Decision, Edge, Evidence, Outcome, Place, Start, Step, Verdict};
+use beaconflow_edge::{
+    Action, Config, Decision, Edge, Evidence, Outcome, Place, Start, Step, Verdict,
+};
 
 use super::{Engine, Occurrence, Phase};
 use crate::mesh;
@@ -44,12 +46,18 @@
     }
 
     pub(super) fn site(&self, balancer: u32) -> String {
-        if self.scenario.fleet.edge { format!("z{}", self.zone(balancer)) } else { "site".into() }
+        if self.scenario.fleet.edge {
+            format!("z{}", self.zone(balancer))
+        } else {
+            "site".into()
+        }
     }
 
     /// Whether what goes from one zone to another is lost.
     pub(super) fn is_lost(&self, from: u32, to: u32) -> bool {
-        self.uplinks.iter().any(|uplink| uplink.loses(self.now, from, to))
+        self.uplinks
+            .iter()
+            .any(|uplink| uplink.loses(self.now, from, to))
     }
 
     /// Whether connections between two zones are lost: they need both ways.
@@ -59,23 +67,41 @@
 
     /// A zone's uplink is lost.
     pub(super) fn loses_uplink(&mut self, failure: u32) {
-        let Failure::UplinkLost { for_s, zone, way, flap_s, .. } =
-            self.scenario.failures[failure as usize].get_ref()
+        let Failure::UplinkLost {
+            for_s,
+            zone,
+            way,
+            flap_s,
+            ..
+        } = self.scenario.failures[failure as usize].get_ref()
         else {
             return;
         };
         let until = self.now.saturating_add(nanos(*for_s));
-        let uplink = Uplink { zone: *zone, from: self.now, until, way: *way, flap: nanos(*flap_s) };
+        let uplink = Uplink {
+            zone: *zone,
+            from: self.now,
+            until,
+            way: *way,
+            flap: nanos(*flap_s),
+        };
         self.uplinks.push(uplink);
         self.measures.fleet.island = Some((*zone, self.now, until));
         let crosses = |engine: &Self, one: &super::Request| match one.phase {
-            Phase::Stands { gateway } => engine.is_apart(engine.zone(one.balancer), engine.zone(gateway)),
+            Phase::Stands { gateway } => {
+                engine.is_apart(engine.zone(one.balancer), engine.zone(gateway))
+            }
             _ => false,
         };
-        let mut cut: Vec<u64> =
-            self.requests.iter().filter(|(_, one)| crosses(self, one)).map(|(id, _)| *id).collect();
+        let mut cut: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, one)| crosses(self, one))
+            .map(|(id, _)| *id)
+            .collect();
         cut.sort_unstable();
-        cut.into_iter().for_each(|request| self.cut_off(request, false));
+        cut.into_iter()
+            .for_each(|request| self.cut_off(request, false));
     }
 
     /// The uplink is back for good: whoever judges nothing has its watch again soon.
@@ -84,7 +110,14 @@
             if self.zone(balancer) == zone && !self.scenario.fleet.edge {
                 let start = self.nodes[balancer as usize].start;
                 let wait = self.way(self.scenario.net.discovery_ms);
-                self.after(wait, Occurrence::Listed { balancer, start, full: true });
+                self.after(
+                    wait,
+                    Occurrence::Listed {
+                        balancer,
+                        start,
+                        full: true,
+                    },
+                );
             }
         }
     }
@@ -103,7 +136,8 @@
             store_here: true,
             ..Config::default()
         };
-        self.hosts[balancer as usize].edge = Some(Edge::new(config, mesh::wall(self.now), Start::Anew));
+        self.hosts[balancer as usize].edge =
+            Some(Edge::new(config, mesh::wall(self.now), Start::Anew));
         let start = self.nodes[balancer as usize].start;
         // Each at its own moment of a second.
         let first = self.wire.even();
@@ -112,7 +146,9 @@
 
     /// Tells a balancer's judgement something and does what it asks for.
     pub(super) fn sees(&mut self, balancer: u32, evidence: Evidence) {
-        let Some(edge) = &mut self.hosts[balancer as usize].edge else { return };
+        let Some(edge) = &mut self.hosts[balancer as usize].edge else {
+            return;
+        };
         let (mut actions, wall) = (Vec::new(), mesh::wall(self.now));
         edge.handle(wall, evidence, &mut actions);
         for action in actions {
@@ -126,16 +162,32 @@
             Action::State { .. } => self.tell_module(balancer, ListKind::Full),
             Action::Probe { place } => {
                 let beyond = self.zone_of(&place);
-                let wait = if self.is_apart(self.zone(balancer), beyond) { GIVES_UP } else { 0.01 };
+                let wait = if self.is_apart(self.zone(balancer), beyond) {
+                    GIVES_UP
+                } else {
+                    0.01
+                };
                 self.measures.fleet.probes += u64::from(wait == GIVES_UP);
                 let discovery = place == Place::Discovery;
                 self.after(
                     wait,
-                    Occurrence::Probed { balancer, start, beyond, discovery, lost: wait == GIVES_UP },
+                    Occurrence::Probed {
+                        balancer,
+                        start,
+                        beyond,
+                        discovery,
+                        lost: wait == GIVES_UP,
+                    },
                 );
             }
-            Action::Rejoin(Step::Ask { place: Place::Discovery, in_ms }) => {
-                self.after(in_ms as f64 / 1e3, Occurrence::AsksAgain { balancer, start });
+            Action::Rejoin(Step::Ask {
+                place: Place::Discovery,
+                in_ms,
+            }) => {
+                self.after(
+                    in_ms as f64 / 1e3,
+                    Occurrence::AsksAgain { balancer, start },
+                );
             }
             Action::Rejoin(Step::Merge) => {
                 // Its list is the one that it has asked for; what it may move are those that drain or are gone.
@@ -149,7 +201,10 @@
 
     fn zone_of(&self, place: &Place) -> u32 {
         match place {
-            Place::Site(name) => name.strip_prefix('z').and_then(|zone| zone.parse().ok()).unwrap_or(0),
+            Place::Site(name) => name
+                .strip_prefix('z')
+                .and_then(|zone| zone.parse().ok())
+                .unwrap_or(0),
             Place::Discovery | Place::Store => 0,
         }
     }
@@ -160,8 +215,15 @@
             (true, true) => Evidence::DiscoveryFailed,
             (true, false) => Evidence::DiscoveryAnswered { took_ms: 10 },
             (false, _) => {
-                let outcome = if lost { Outcome::Failed } else { Outcome::Answered { took_ms: 10 } };
-                Evidence::ServerBeyond { site: format!("z{beyond}"), outcome }
+                let outcome = if lost {
+                    Outcome::Failed
+                } else {
+                    Outcome::Answered { took_ms: 10 }
+                };
+                Evidence::ServerBeyond {
+                    site: format!("z{beyond}"),
+                    outcome,
+                }
             }
         };
         self.sees(balancer, evidence);
@@ -170,7 +232,14 @@
     /// It asks discovery again after an island.
     pub(super) fn asks_again(&mut self, balancer: u32) {
         let apart = self.is_apart(self.zone(balancer), 0);
-        self.sees(balancer, if apart { Evidence::WatchLost } else { Evidence::WatchStands });
+        self.sees(
+            balancer,
+            if apart {
+                Evidence::WatchLost
+            } else {
+                Evidence::WatchStands
+            },
+        );
     }
 
     /// Once a second: what its watch and its peers in other zones show.
@@ -178,17 +247,40 @@
         self.after(1.0, Occurrence::Judges { balancer, start });
         let (own, wall) = (self.zone(balancer), mesh::wall(self.now));
         let apart = self.is_apart(own, 0) || self.now < self.discovery_back_at;
-        let Some(edge) = &self.hosts[balancer as usize].edge else { return };
-        if edge.may(wall, &Decision::Ask { place: Place::Discovery }) == Verdict::Yes {
-            self.sees(balancer, if apart { Evidence::WatchLost } else { Evidence::WatchStands });
+        let Some(edge) = &self.hosts[balancer as usize].edge else {
+            return;
+        };
+        if edge.may(
+            wall,
+            &Decision::Ask {
+                place: Place::Discovery,
+            },
+        ) == Verdict::Yes
+        {
+            self.sees(
+                balancer,
+                if apart {
+                    Evidence::WatchLost
+                } else {
+                    Evidence::WatchStands
+                },
+            );
         }
         for zone in (0..self.scenario.zones).filter(|zone| *zone != own) {
             let site = format!("z{zone}");
-            let Some(node) = &self.hosts[balancer as usize].node else { return };
-            let Some((name, at)) = node.body().heard_of.get(&site).cloned() else { continue };
+            let Some(node) = &self.hosts[balancer as usize].node else {
+                return;
+            };
+            let Some((name, at)) = node.body().heard_of.get(&site).cloned() else {
+                continue;
+            };
             let both_ways = node.members().any(|member| *member.name == *name);
             let evidence = match wall.saturating_sub(at) < SILENT {
-                true => Evidence::PeerHeard { name, site, both_ways },
+                true => Evidence::PeerHeard {
+                    name,
+                    site,
+                    both_ways,
+                },
                 false => Evidence::PeerSilent { name, site },
             };
             self.sees(balancer, evidence);
@@ -198,23 +290,38 @@
 
     /// Whether a balancer may send anything new to a gateway, as far as its zone is an island.
     pub(super) fn may_place(&self, balancer: u32, gateway: u32) -> bool {
-        let Some(edge) = &self.hosts[balancer as usize].edge else { return true };
-        let place = Decision::Place { site: format!("z{}", self.zone(gateway)), listed: true, well: true };
+        let Some(edge) = &self.hosts[balancer as usize].edge else {
+            return true;
+        };
+        let place = Decision::Place {
+            site: format!("z{}", self.zone(gateway)),
+            listed: true,
+            well: true,
+        };
         edge.may(mesh::wall(self.now), &place) == Verdict::Yes
     }
 
     /// Whether a balancer's own watch brings it the list now.
     pub(super) fn is_watching(&self, balancer: u32) -> bool {
         let merges = |edge: &Edge| {
-            matches!(edge.state(), beaconflow_edge::State::Islanded | beaconflow_edge::State::Rejoining)
+            matches!(
+                edge.state(),
+                beaconflow_edge::State::Islanded | beaconflow_edge::State::Rejoining
+            )
         };
         let is_apart = self.is_apart(self.zone(balancer), 0);
-        !is_apart && !self.hosts[balancer as usize].edge.as_ref().is_some_and(merges)
+        !is_apart
+            && !self.hosts[balancer as usize]
+                .edge
+                .as_ref()
+                .is_some_and(merges)
     }
 
     /// A client of the zone whose uplink is lost begins to want a connection, or has it, within the span that counts.
     pub(super) fn counts_island(&mut self, client: u64, stood: Option<Nanos>) {
-        let Some((zone, from, until)) = self.measures.fleet.island else { return };
+        let Some((zone, from, until)) = self.measures.fleet.island else {
+            return;
+        };
         let one = &self.clients[&client];
         if (from..until.max(from + SECOND)).contains(&one.since)
             && one.key % u64::from(self.scenario.zones) == u64::from(zone)
--- a/lab/src/engine/events.rs
+++ b/lab/src/engine/events.rs
@@ -11,15 +11,31 @@
     /// A client's try reaches a balancer.
     Comes { client: u64 },
     /// An attempt reaches its gateway.
-    Reaches { request: u64, attempt: u32, gateway: u32 },
+    Reaches {
+        request: u64,
+        attempt: u32,
+        gateway: u32,
+    },
     /// A gateway has done the work of a set-up.
-    Worked { gateway: u32, start: u32, set_up: u64 },
+    Worked {
+        gateway: u32,
+        start: u32,
+        set_up: u64,
+    },
     /// The store has done a call.
     Stored { set_up: u64 },
     /// Word of an attempt's connection reaches the balancer.
-    Stands { request: u64, attempt: u32, gateway: u32 },
+    Stands {
+        request: u64,
+        attempt: u32,
+        gateway: u32,
+    },
     /// Word of an attempt's end reaches the balancer.
-    Ends { request: u64, attempt: u32, outcome: u8 },
+    Ends {
+        request: u64,
+        attempt: u32,
+        outcome: u8,
+    },
     /// The balancer waits no longer for an attempt.
     TimesOut { request: u64, attempt: u32 },
     /// A connection has lasted as long as its client wanted it.
@@ -27,9 +43,17 @@
     /// A connection's load changes.
     Changes { request: u64 },
     /// A balancer's timer.
-    Timer { balancer: u32, start: u32, timer: u64 },
+    Timer {
+        balancer: u32,
+        start: u32,
+        timer: u64,
+    },
     /// Discovery's word reaches a balancer.
-    Listed { balancer: u32, start: u32, full: bool },
+    Listed {
+        balancer: u32,
+        start: u32,
+        full: bool,
+    },
     /// A second is over.
     Second,
     /// A failure begins.
@@ -45,7 +69,13 @@
     /// A balancer looks whether its zone's uplink stands.
     Judges { balancer: u32, start: u32 },
     /// What it asked beyond the link has ended.
-    Probed { balancer: u32, start: u32, beyond: u32, discovery: bool, lost: bool },
+    Probed {
+        balancer: u32,
+        start: u32,
+        beyond: u32,
+        discovery: bool,
+        lost: bool,
+    },
     /// It asks discovery again after an island.
     AsksAgain { balancer: u32, start: u32 },
     /// A gateway that fell over is there again, cold.
@@ -61,7 +91,12 @@
     /// That call fails.
     AskFails { balancer: u32, start: u32 },
     /// A peer's unused part is there.
-    Lent { to: u32, from: u32, number: u64, bits: u64 },
+    Lent {
+        to: u32,
+        from: u32,
+        number: u64,
+        bits: u64,
+    },
 }
 
 impl Engine<'_> {
@@ -81,22 +116,46 @@
                 }
             }
             Occurrence::Comes { client } => self.comes(client),
-            Occurrence::Reaches { request, attempt, gateway } => self.reaches(request, attempt, gateway),
-            Occurrence::Worked { gateway, start, set_up } => self.worked(gateway, start, set_up),
+            Occurrence::Reaches {
+                request,
+                attempt,
+                gateway,
+            } => self.reaches(request, attempt, gateway),
+            Occurrence::Worked {
+                gateway,
+                start,
+                set_up,
+            } => self.worked(gateway, start, set_up),
             Occurrence::Stored { set_up } => self.stored(set_up),
-            Occurrence::Stands { request, attempt, gateway } => self.stands(request, attempt, gateway),
-            Occurrence::Ends { request, attempt, outcome } => {
-                self.ends(request, attempt, outcome_of(outcome))
+            Occurrence::Stands {
+                request,
+                attempt,
+                gateway,
+            } => self.stands(request, attempt, gateway),
+            Occurrence::Ends {
+                request,
+                attempt,
+                outcome,
+            } => self.ends(request, attempt, outcome_of(outcome)),
+            Occurrence::TimesOut { request, attempt } => {
+                self.ends(request, attempt, Outcome::TimedOut)
             }
-            Occurrence::TimesOut { request, attempt } => self.ends(request, attempt, Outcome::TimedOut),
             Occurrence::Over { request } => self.over(request),
             Occurrence::Changes { request } => self.changes(request),
-            Occurrence::Timer { balancer, start, timer } => {
+            Occurrence::Timer {
+                balancer,
+                start,
+                timer,
+            } => {
                 if self.nodes[balancer as usize].start == start {
                     self.tell(balancer, Event::Timer(TimerId(timer)));
                 }
             }
-            Occurrence::Listed { balancer, start, full } => {
+            Occurrence::Listed {
+                balancer,
+                start,
+                full,
+            } => {
                 if self.nodes[balancer as usize].start == start && self.is_watching(balancer) {
                     self.hears_list(balancer);
                     self.tell_list(balancer, full);
@@ -111,26 +170,41 @@
             Occurrence::Judges { balancer, start } if self.lives(balancer, start) => {
                 self.judges(balancer, start)
             }
-            Occurrence::Probed { balancer, start, beyond, discovery, lost }
-                if self.lives(balancer, start) =>
-            {
+            Occurrence::Probed {
+                balancer,
+                start,
+                beyond,
+                discovery,
+                lost,
+            } if self.lives(balancer, start) => {
                 self.probed(balancer, beyond, discovery, lost);
             }
             Occurrence::AsksAgain { balancer, start } if self.lives(balancer, start) => {
                 self.asks_again(balancer)
             }
-            Occurrence::Judges { .. } | Occurrence::Probed { .. } | Occurrence::AsksAgain { .. } => {}
+            Occurrence::Judges { .. }
+            | Occurrence::Probed { .. }
+            | Occurrence::AsksAgain { .. } => {}
             Occurrence::Rises { gateway, start } => self.rises(gateway, start),
-            Occurrence::Talks { balancer, start } if self.lives(balancer, start) => self.talks(balancer),
+            Occurrence::Talks { balancer, start } if self.lives(balancer, start) => {
+                self.talks(balancer)
+            }
             Occurrence::Datagram { post } => self.delivers(post),
             Occurrence::Recovers { balancer, start } if self.lives(balancer, start) => {
                 self.recovers(balancer, recovery::TICK);
             }
-            Occurrence::Asks { balancer, start } if self.lives(balancer, start) => self.asks(balancer),
+            Occurrence::Asks { balancer, start } if self.lives(balancer, start) => {
+                self.asks(balancer)
+            }
             Occurrence::AskFails { balancer, start } if self.lives(balancer, start) => {
                 self.recovers(balancer, recovery::ASK_FAILED);
             }
-            Occurrence::Lent { to, from, number, bits } => self.is_lent(to, from, number, bits),
+            Occurrence::Lent {
+                to,
+                from,
+                number,
+                bits,
+            } => self.is_lent(to, from, number, bits),
             Occurrence::Talks { .. }
             | Occurrence::Recovers { .. }
             | Occurrence::Asks { .. }
@@ -142,6 +216,15 @@
 /// The outcomes by the numbers that events carry.
 fn outcome_of(number: u8) -> Outcome {
     use Outcome::{Cancelled, ConnectFailed, Error, Full, NotSent, Reset, Served, TimedOut};
-    let all = [Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent];
+    let all = [
+        Served,
+        Error,
+        Full,
+        TimedOut,
+        ConnectFailed,
+        Reset,
+        Cancelled,
+        NotSent,
+    ];
     all[usize::from(number) % all.len()]
 }
--- a/lab/src/engine/failures.rs
+++ b/lab/src/engine/failures.rs
@@ -17,7 +17,9 @@
             return;
         }
         let (wall, key) = (mesh::wall(self.now), self.clients[&client].key);
-        let Some(node) = &mut self.hosts[balancer as usize].node else { return };
+        let Some(node) = &mut self.hosts[balancer as usize].node else {
+            return;
+        };
         let knowledge = &mut node.body_mut().knowledge;
         // One that stands and never failed is no news to anybody.
         if !stood {
@@ -29,7 +31,12 @@
 
     /// How long a refused client is told to stay away, by the failures that all balancers counted: the decisions know
     /// those of their own.
-    pub(super) fn stays_away(&self, balancer: u32, request: u64, told: Option<Nanos>) -> Option<Nanos> {
+    pub(super) fn stays_away(
+        &self,
+        balancer: u32,
+        request: u64,
+        told: Option<Nanos>,
+    ) -> Option<Nanos> {
         let (told, wall) = (told?, mesh::wall(self.now));
         if !self.scenario.fleet.shared_n {
             return Some(told);
@@ -39,9 +46,18 @@
         let Some(knowledge) = host.node.as_ref().map(|node| &node.body().knowledge) else {
             return Some(told);
         };
-        let own = knowledge.get(&Subject::Failures(key), &mesh::name(balancer), wall).map(|fact| fact.value);
-        let own = if let Some(Value::Failures(own)) = own { own.count } else { 0 };
-        let more = knowledge.failures(key, wall).min(MOST).saturating_sub(own.min(MOST));
+        let own = knowledge
+            .get(&Subject::Failures(key), &mesh::name(balancer), wall)
+            .map(|fact| fact.value);
+        let own = if let Some(Value::Failures(own)) = own {
+            own.count
+        } else {
+            0
+        };
+        let more = knowledge
+            .failures(key, wall)
+            .min(MOST)
+            .saturating_sub(own.min(MOST));
         let longest = self.scenario.settings(balancer).limits.max_retry_after;
         Some(told.saturating_mul(1 << more).min(longest.max(told)))
     }
--- a/lab/src/engine/falls.rs
+++ b/lab/src/engine/falls.rs
@@ -20,7 +20,11 @@
             return false;
         }
         machine.sent.push_back(now);
-        while machine.sent.front().is_some_and(|at| at + nanos(FALL_S) <= now) {
+        while machine
+            .sent
+            .front()
+            .is_some_and(|at| at + nanos(FALL_S) <= now)
+        {
             machine.sent.pop_front();
         }
         let allowed = TIP_MULTIPLE * borne * warmth * FALL_S;
--- a/lab/src/engine/peers.rs
+++ b/lab/src/engine/peers.rs
@@ -28,7 +28,14 @@
         }
         let start = self.nodes[balancer as usize].start;
         let (of, seed) = (self.scenario.balancers, self.scenario.seed);
-        let node = mesh::node(balancer, of, u64::from(start) + 1, &self.site(balancer), &self.letters, seed);
+        let node = mesh::node(
+            balancer,
+            of,
+            u64::from(start) + 1,
+            &self.site(balancer),
+            &self.letters,
+            seed,
+        );
         let host = &mut self.hosts[balancer as usize];
         (host.node, host.said_at, host.wake) = (Some(node), None, None);
         self.hands(balancer, Input::Start);
@@ -38,11 +45,16 @@
     pub(super) fn hands(&mut self, balancer: u32, input: Input<'_>) {
         let mut out = Vec::new();
         let wall = mesh::wall(self.now);
-        let Some(node) = &mut self.hosts[balancer as usize].node else { return };
+        let Some(node) = &mut self.hosts[balancer as usize].node else {
+            return;
+        };
         node.handle(wall, input, &mut out);
         let (heard, news) = {
             let talk = node.body_mut();
-            (std::mem::take(&mut talk.heard), std::mem::take(&mut talk.news))
+            (
+                std::mem::take(&mut talk.heard),
+                std::mem::take(&mut talk.news),
+            )
         };
         for output in out {
             match output {
@@ -86,8 +98,9 @@
             return;
         }
         let now = self.now;
-        let is_cut =
-            |(until, cut): &(Nanos, Vec<bool>)| now < *until && cut[from as usize] != cut[to as usize];
+        let is_cut = |(until, cut): &(Nanos, Vec<bool>)| {
+            now < *until && cut[from as usize] != cut[to as usize]
+        };
         if self.cuts.iter().any(is_cut) {
             return;
         }
@@ -100,9 +113,17 @@
 
     /// A datagram is there.
     pub(super) fn delivers(&mut self, post: u64) {
-        let Some(Post { from, to, bytes }) = self.posts.remove(&post) else { return };
+        let Some(Post { from, to, bytes }) = self.posts.remove(&post) else {
+            return;
+        };
         let from = mesh::address(from);
-        self.hands(to, Input::Datagram { from, bytes: &bytes });
+        self.hands(
+            to,
+            Input::Datagram {
+                from,
+                bytes: &bytes,
+            },
+        );
     }
 
     /// A node has its turn.
@@ -113,8 +134,14 @@
         }
         if host.said_at.is_none_or(|at| self.now >= at + WORD_LASTS) {
             let wall = mesh::wall(self.now);
-            let says = self.hosts[balancer as usize].edge.as_ref().map(|edge| edge.says(wall));
-            let said = Said { word: self.word(balancer), says };
+            let says = self.hosts[balancer as usize]
+                .edge
+                .as_ref()
+                .map(|edge| edge.says(wall));
+            let said = Said {
+                word: self.word(balancer),
+                says,
+            };
             let host = &mut self.hosts[balancer as usize];
             host.said_at = Some(self.now);
             if let Some(node) = &mut host.node {
@@ -128,7 +155,11 @@
     fn word(&self, balancer: u32) -> PeerWord {
         let host = &self.hosts[balancer as usize];
         let machine = host.recovery.as_ref();
-        let up_for = if machine.is_some() { self.now - host.begun } else { LONG };
+        let up_for = if machine.is_some() {
+            self.now - host.begun
+        } else {
+            LONG
+        };
         let sound = machine.is_none_or(|machine| machine.clock_is_sound());
         PeerWord {
             name: mesh::name(balancer),
--- a/lab/src/engine/recovery.rs
+++ b/lab/src/engine/recovery.rs
@@ -6,8 +6,8 @@
 use beaconflow_edge::Edge;
 use beaconflow_peers::Node;
 use beaconflow_recovery::{
-    Account, Action, Arrival, Class, Cold, Config, Entry, Event, Former, How, Lifecycle, List, Memory,
-    Recovery, Source, State as Stage, Whom,
+    Account, Action, Arrival, Class, Cold, Config, Entry, Event, Former, How, Lifecycle, List,
+    Memory, Recovery, Source, State as Stage, Whom,
 };
 
 use super::affinity::Places;
@@ -63,13 +63,20 @@
             account: (at % accounts) as u64,
             clients: f64::from(*clients),
         };
-        self.stand_now.iter().enumerate().filter(|(_, clients)| **clients > 0).map(one).collect()
+        self.stand_now
+            .iter()
+            .enumerate()
+            .filter(|(_, clients)| **clients > 0)
+            .map(one)
+            .collect()
     }
 
     fn recovery_config(&self, balancer: u32) -> Config {
         let (scenario, make) = (self.scenario, &self.scenario.make);
-        let class =
-            |class: &crate::scenario::Class| Class { worth: class.worth, aim: nanos(class.aim_ms / 1e3) };
+        let class = |class: &crate::scenario::Class| Class {
+            worth: class.worth,
+            aim: nanos(class.aim_ms / 1e3),
+        };
         let share = |(at, account): (usize, &crate::scenario::Account)| Account {
             account: at as u64,
             share: account.share,
@@ -79,8 +86,9 @@
             name: mesh::name(balancer),
             site: self.site(balancer),
             fleet: scenario.balancers,
-            site_peers: (0..scenario.balancers).filter(|one| self.site(*one) == self.site(balancer)).count()
-                as u32
+            site_peers: (0..scenario.balancers)
+                .filter(|one| self.site(*one) == self.site(balancer))
+                .count() as u32
                 - 1,
             cold: Cold {
                 cold_time: nanos(make.cold_s),
@@ -107,14 +115,21 @@
             return None;
         }
         let host = &self.hosts[balancer as usize];
-        if host.recovery.as_ref().is_some_and(|machine| !machine.may_remember()) {
+        if host
+            .recovery
+            .as_ref()
+            .is_some_and(|machine| !machine.may_remember())
+        {
             return host.disk.clone();
         }
         Some(Memory {
             owner: mesh::name(balancer),
             boot: u64::from(self.nodes[balancer as usize].start) + 1,
             written_at: mesh::wall(self.now),
-            list: Some(List { source: Source::Memory, ..self.list_now() }),
+            list: Some(List {
+                source: Source::Memory,
+                ..self.list_now()
+            }),
             former: self.former(),
             borne: None,
         })
@@ -155,9 +170,12 @@
     /// The part of its capacity that a listed gateway has by its listed start.
     pub(super) fn warmth(&self, listed: &Listed) -> f64 {
         let make = &self.scenario.make;
-        let Some(started_at) = listed.started_at else { return 1.0 };
-        let age =
-            self.now.saturating_sub(started_at) as f64 / SECOND as f64 / make.cold_s.max(f64::MIN_POSITIVE);
+        let Some(started_at) = listed.started_at else {
+            return 1.0;
+        };
+        let age = self.now.saturating_sub(started_at) as f64
+            / SECOND as f64
+            / make.cold_s.max(f64::MIN_POSITIVE);
         (make.cold_share + (1.0 - make.cold_share) * age).min(1.0)
     }
 
@@ -171,35 +189,51 @@
         let memory = host.disk.clone();
         (host.recovery, host.begun, host.lets_in_since) = (Some(machine), self.now, None);
         host.due = None;
-        self.recovers(balancer, Event::Started { boot: u64::from(start) + 1, memory });
+        self.recovers(
+            balancer,
+            Event::Started {
+                boot: u64::from(start) + 1,
+                memory,
+            },
+        );
     }
 
     /// Tells a balancer's recovery something and does what it asks for.
     pub(super) fn recovers(&mut self, balancer: u32, event: Event) {
         let (now, wall) = (self.now, mesh::wall(self.now));
         let host = &mut self.hosts[balancer as usize];
-        let Some(machine) = &mut host.recovery else { return };
+        let Some(machine) = &mut host.recovery else {
+            return;
+        };
         let mut out = Vec::new();
         machine.handle(now - host.begun, wall, event, &mut out);
-        let due = machine.due().map(|due| (host.begun + due).max(now + 1_000_000));
+        let due = machine
+            .due()
+            .map(|due| (host.begun + due).max(now + 1_000_000));
         if let Some(at) = due.filter(|due| host.due.is_none_or(|old| old <= now || *due < old)) {
             host.due = Some(at);
             let start = self.nodes[balancer as usize].start;
             self.push(at, Occurrence::Recovers { balancer, start });
         }
-        out.into_iter().for_each(|action| self.follows(balancer, action));
+        out.into_iter()
+            .for_each(|action| self.follows(balancer, action));
     }
 
     fn follows(&mut self, balancer: u32, action: Action) {
         let start = self.nodes[balancer as usize].start;
         match action {
-            Action::Ask { whom: Whom::Discovery, after } => {
+            Action::Ask {
+                whom: Whom::Discovery,
+                after,
+            } => {
                 let at = self.now.saturating_add(after);
                 self.push(at, Occurrence::Asks { balancer, start });
             }
             Action::Serve { how, .. } if how != How::NotYet => {
                 let now = self.now;
-                self.hosts[balancer as usize].lets_in_since.get_or_insert(now);
+                self.hosts[balancer as usize]
+                    .lets_in_since
+                    .get_or_insert(now);
                 if how == How::Full {
                     // From here on the module's own rule on cold gateways counts.
                     self.tell_module(balancer, ListKind::Full);
@@ -207,13 +241,27 @@
             }
             Action::ListChanged => self.tell_module(balancer, ListKind::Full),
             Action::Admit { id } => self.is_let_in(balancer, id),
-            Action::Defer { id, retry_after, .. } => self.answered(id, true, Some(retry_after)),
-            Action::Lend { to, number, clients } => {
+            Action::Defer {
+                id, retry_after, ..
+            } => self.answered(id, true, Some(retry_after)),
+            Action::Lend {
+                to,
+                number,
+                clients,
+            } => {
                 let Some(to) = mesh::rank(&to) else { return };
                 if !self.wire.happens(self.scenario.fleet.lost) {
                     let wait = self.wire.exponential(self.scenario.fleet.delay_ms / 1e3);
                     let bits = clients.to_bits();
-                    self.after(wait, Occurrence::Lent { to, from: balancer, number, bits });
+                    self.after(
+                        wait,
+                        Occurrence::Lent {
+                            to,
+                            from: balancer,
+                            number,
+                            bits,
+                        },
+                    );
                 }
             }
             _ => {}
@@ -228,7 +276,14 @@
         }
         let start = self.nodes[balancer as usize].start;
         let wait = self.way(self.scenario.net.discovery_ms);
-        self.after(wait, Occurrence::Listed { balancer, start, full: true });
+        self.after(
+            wait,
+            Occurrence::Listed {
+                balancer,
+                start,
+                full: true,
+            },
+        );
     }
 
     /// Discovery's list is there.
@@ -239,27 +294,44 @@
 
     /// Whether a balancer lets clients in at the pace that the cold gateways bear: its module takes them for warm then.
     pub(super) fn is_paced(&self, balancer: u32) -> bool {
-        let machine = self.hosts.get(balancer as usize).and_then(|host| host.recovery.as_ref());
+        let machine = self
+            .hosts
+            .get(balancer as usize)
+            .and_then(|host| host.recovery.as_ref());
         machine.is_some_and(|machine| machine.state() != Stage::Serving)
     }
 
     /// A peer leaves a part of its own to this one.
     pub(super) fn is_lent(&mut self, to: u32, from: u32, number: u64, bits: u64) {
         let (from, clients) = (mesh::name(from), f64::from_bits(bits));
-        self.recovers(to, Event::Lent { from, number, clients });
+        self.recovers(
+            to,
+            Event::Lent {
+                from,
+                number,
+                clients,
+            },
+        );
     }
 
     /// A client is let in: its request goes to the decisions.
     fn is_let_in(&mut self, balancer: u32, request: u64) {
-        let Some(client) = self.requests.get(&request).map(|one| one.client) else { return };
+        let Some(client) = self.requests.get(&request).map(|one| one.client) else {
+            return;
+        };
         self.decides(balancer, request, client);
     }
 
     /// Weights follow the warmth of gateways that did not start together.
     pub(super) fn evens_out(&mut self) {
-        let warmth: Vec<f64> = self.machines.iter().map(|one| one.gateway.warmth(self.now)).collect();
-        let (low, high) =
-            warmth.iter().fold((1.0_f64, 0.0_f64), |(low, high), one| (low.min(*one), high.max(*one)));
+        let warmth: Vec<f64> = self
+            .machines
+            .iter()
+            .map(|one| one.gateway.warmth(self.now))
+            .collect();
+        let (low, high) = warmth.iter().fold((1.0_f64, 0.0_f64), |(low, high), one| {
+            (low.min(*one), high.max(*one))
+        });
         if high - low < UNEVEN {
             return;
         }
@@ -291,7 +363,11 @@
         let rate = TIP_MULTIPLE * self.scenario.borne() / 1e3;
         while sum < 0.99 * clients && at < 3_600 * SECOND {
             at += STEP;
-            sum += self.machines.iter().map(|one| rate * one.gateway.warmth(self.now + at)).sum::<f64>();
+            sum += self
+                .machines
+                .iter()
+                .map(|one| rate * one.gateway.warmth(self.now + at))
+                .sum::<f64>();
         }
         at
     }
--- a/lab/src/engine/troubles.rs
+++ b/lab/src/engine/troubles.rs
@@ -53,7 +53,9 @@
         let now = self.now;
         self.resets.retain(|(until, ..)| *until > now);
         let parts: Vec<f64> = self.resets.iter().map(|(_, part, _)| *part).collect();
-        parts.into_iter().for_each(|part| self.drop_some(part, SECOND, false));
+        parts
+            .into_iter()
+            .for_each(|part| self.drop_some(part, SECOND, false));
         let waiting: usize = self.nodes.iter().map(|node| node.decides.waiting()).sum();
         let second = self.measures.at(self.now);
         second.standing = standing as u64;
@@ -66,7 +68,9 @@
     pub(super) fn tell_delay(&mut self, gateway: u32, delay: Nanos) {
         let mut told = vec![false; self.nodes.len()];
         for request in self.machines[gateway as usize].gateway.ids() {
-            let Some(one) = self.requests.get(&request) else { continue };
+            let Some(one) = self.requests.get(&request) else {
+                continue;
+            };
             let (balancer, start, attempt) = (one.balancer, one.start, one.attempts - 1);
             if std::mem::replace(&mut told[balancer as usize], true)
                 || self.nodes[balancer as usize].start != start
@@ -74,7 +78,14 @@
                 continue;
             }
             let note = Note::Delay(delay);
-            self.tell(balancer, Event::Noted { request: RequestId(request), attempt, note });
+            self.tell(
+                balancer,
+                Event::Noted {
+                    request: RequestId(request),
+                    attempt,
+                    note,
+                },
+            );
         }
     }
 
@@ -101,25 +112,46 @@
             engine.after(span, Occurrence::GoesOn { failure, part })
         };
         match scenario.failures[failure as usize].get_ref() {
-            Failure::Hang { for_s, gateways, .. } => {
+            Failure::Hang {
+                for_s, gateways, ..
+            } => {
                 let until = self.now.saturating_add(nanos(*for_s));
                 for gateway in gateways {
                     let machine = &mut self.machines[*gateway as usize];
                     machine.hangs_until = machine.hangs_until.max(until);
                 }
             }
-            Failure::Crash { for_s, gateways, .. } => {
-                gateways.iter().for_each(|gateway| self.goes_down(*gateway, *for_s));
+            Failure::Crash {
+                for_s, gateways, ..
+            } => {
+                gateways
+                    .iter()
+                    .for_each(|gateway| self.goes_down(*gateway, *for_s));
                 self.list_changes();
                 goes_on(self, *for_s, 1);
             }
-            Failure::Drain { gone_after_s, gateways, .. } => {
-                gateways.iter().for_each(|at| self.machines[*at as usize].listed = State::Draining);
+            Failure::Drain {
+                gone_after_s,
+                gateways,
+                ..
+            } => {
+                gateways
+                    .iter()
+                    .for_each(|at| self.machines[*at as usize].listed = State::Draining);
                 self.list_changes();
                 goes_on(self, *gone_after_s, 0);
             }
-            Failure::Resets { for_s, part_a_second, set_ups, .. } => {
-                self.resets.push((self.now.saturating_add(nanos(*for_s)), *part_a_second, *set_ups));
+            Failure::Resets {
+                for_s,
+                part_a_second,
+                set_ups,
+                ..
+            } => {
+                self.resets.push((
+                    self.now.saturating_add(nanos(*for_s)),
+                    *part_a_second,
+                    *set_ups,
+                ));
             }
             Failure::StoreStalled { for_s, .. } => {
                 let until = self.now.saturating_add(nanos(*for_s));
@@ -127,7 +159,9 @@
                     store.stall(until);
                 }
             }
-            Failure::BalancerKilled { for_s, balancer, .. } => {
+            Failure::BalancerKilled {
+                for_s, balancer, ..
+            } => {
                 self.hosts[*balancer as usize].disk = self.remembers(*balancer);
                 self.kill(&[*balancer], *for_s);
                 goes_on(self, *for_s, 0);
@@ -136,39 +170,75 @@
                 let back_at = self.now.saturating_add(nanos(*for_s));
                 self.discovery_back_at = self.discovery_back_at.max(back_at);
             }
-            Failure::Reconnect { within_s, part, by_client, .. } => {
+            Failure::Reconnect {
+                within_s,
+                part,
+                by_client,
+                ..
+            } => {
                 self.drop_some(*part, nanos(*within_s), *by_client);
             }
-            Failure::PowerLoss { for_s, balancers, gateways, disks_lost, .. } => {
-                let (all, of) = (balancers.of(scenario.balancers), gateways.of(scenario.gateways));
+            Failure::PowerLoss {
+                for_s,
+                balancers,
+                gateways,
+                disks_lost,
+                ..
+            } => {
+                let (all, of) = (
+                    balancers.of(scenario.balancers),
+                    gateways.of(scenario.gateways),
+                );
                 let lost = disks_lost.of(scenario.balancers);
                 for balancer in &all {
-                    let kept = if lost.contains(balancer) { None } else { self.remembers(*balancer) };
+                    let kept = if lost.contains(balancer) {
+                        None
+                    } else {
+                        self.remembers(*balancer)
+                    };
                     self.hosts[*balancer as usize].disk = kept;
                 }
                 let stood: f64 = self.former().iter().map(|one| one.clients).sum();
                 self.measures.fleet.loses(self.worth_now, stood);
                 self.kill(&all, *for_s);
-                of.iter().for_each(|gateway| self.goes_down(*gateway, *for_s));
+                of.iter()
+                    .for_each(|gateway| self.goes_down(*gateway, *for_s));
                 self.list_changes();
                 goes_on(self, *for_s, 0);
             }
             Failure::ConfigRoll { step_s, .. } => {
                 for balancer in 0..scenario.balancers {
-                    self.after(f64::from(balancer) * step_s, Occurrence::Adopts { balancer, failure });
+                    self.after(
+                        f64::from(balancer) * step_s,
+                        Occurrence::Adopts { balancer, failure },
+                    );
                 }
             }
             Failure::UplinkLost { for_s, .. } => {
                 self.loses_uplink(failure);
                 goes_on(self, *for_s, 0);
             }
-            Failure::PeersCut { for_s, balancers, .. } => {
+            Failure::PeersCut {
+                for_s, balancers, ..
+            } => {
                 let these = balancers.of(scenario.balancers);
-                let cut = (0..scenario.balancers).map(|balancer| these.contains(&balancer)).collect();
-                self.cuts.push((self.now.saturating_add(nanos(*for_s)), cut));
+                let cut = (0..scenario.balancers)
+                    .map(|balancer| these.contains(&balancer))
+                    .collect();
+                self.cuts
+                    .push((self.now.saturating_add(nanos(*for_s)), cut));
             }
-            Failure::Flood { for_s, clients, account, .. } => {
-                let place = scenario.accounts.iter().position(|known| known.name == *account).unwrap_or(0);
+            Failure::Flood {
+                for_s,
+                clients,
+                account,
+                ..
+            } => {
+                let place = scenario
+                    .accounts
+                    .iter()
+                    .position(|known| known.name == *account)
+                    .unwrap_or(0);
                 for _ in 0..*clients {
                     let client = self.client(0, Some(place as u32));
                     let until = self.now.saturating_add(nanos(*for_s));
@@ -181,8 +251,15 @@
 
     pub(super) fn goes_on(&mut self, failure: u32, part: u8) {
         match (self.scenario.failures[failure as usize].get_ref(), part) {
-            (Failure::Drain { for_s, gateways, .. }, 0) => {
-                gateways.iter().for_each(|gateway| self.goes_down(*gateway, *for_s));
+            (
+                Failure::Drain {
+                    for_s, gateways, ..
+                },
+                0,
+            ) => {
+                gateways
+                    .iter()
+                    .for_each(|gateway| self.goes_down(*gateway, *for_s));
                 self.list_changes();
                 let span = *for_s;
                 self.after(span, Occurrence::GoesOn { failure, part: 1 });
@@ -191,13 +268,26 @@
                 gateways.iter().for_each(|gateway| self.comes_up(*gateway));
                 self.list_changes();
             }
-            (Failure::PowerLoss { balancers, gateways, .. }, _) => {
-                gateways.of(self.scenario.gateways).iter().for_each(|gateway| self.comes_up(*gateway));
+            (
+                Failure::PowerLoss {
+                    balancers,
+                    gateways,
+                    ..
+                },
+                _,
+            ) => {
+                gateways
+                    .of(self.scenario.gateways)
+                    .iter()
+                    .for_each(|gateway| self.comes_up(*gateway));
                 self.list_changes();
                 let stood = self.measures.fleet.stood();
                 let all_seeing = self.all_seeing(stood);
                 self.measures.fleet.returns(self.now, all_seeing);
-                balancers.of(self.scenario.balancers).iter().for_each(|one| self.begins_anew(*one));
+                balancers
+                    .of(self.scenario.balancers)
+                    .iter()
+                    .for_each(|one| self.begins_anew(*one));
             }
             (Failure::UplinkLost { zone, .. }, _) => self.has_uplink(*zone),
             (Failure::BalancerKilled { balancer, .. }, _) => self.begins_anew(*balancer),
@@ -218,7 +308,12 @@
 
     /// A balancer's process starts, unless another failure keeps it down.
     fn begins_anew(&mut self, balancer: u32) {
-        let Node { start, alive, down_until, .. } = self.nodes[balancer as usize];
+        let Node {
+            start,
+            alive,
+            down_until,
+            ..
+        } = self.nodes[balancer as usize];
         // A second one on top of it has to be over as well, or what came since would be lost unsaid.
         if alive || self.now < down_until {
             return;
@@ -238,7 +333,9 @@
     /// A gateway's process ends: what stands there is cut off, what it works on is lost.
     pub(super) fn goes_down(&mut self, gateway: u32, for_s: f64) {
         let machine = &mut self.machines[gateway as usize];
-        machine.down_until = machine.down_until.max(self.now.saturating_add(nanos(for_s)));
+        machine.down_until = machine
+            .down_until
+            .max(self.now.saturating_add(nanos(for_s)));
         (machine.up, machine.listed) = (false, State::Gone);
         machine.start += 1;
         let there = machine.gateway.ids();
@@ -268,13 +365,24 @@
             node.alive = false;
             node.start += 1;
             dead[balancer] = true;
-            let Host { disk, list, runs, .. } = std::mem::take(&mut self.hosts[balancer]);
+            let Host {
+                disk, list, runs, ..
+            } = std::mem::take(&mut self.hosts[balancer]);
             let list = list.filter(|_| disk.is_some());
-            self.hosts[balancer] = Host { disk, list, runs, ..Host::default() };
+            self.hosts[balancer] = Host {
+                disk,
+                list,
+                runs,
+                ..Host::default()
+            };
         }
         let is_of = |one: &Request| dead[one.balancer as usize];
-        let mut of: Vec<u64> =
-            self.requests.iter().filter(|(_, one)| is_of(one)).map(|(id, _)| *id).collect();
+        let mut of: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, one)| is_of(one))
+            .map(|(id, _)| *id)
+            .collect();
         of.sort_unstable();
         for request in of {
             if matches!(self.requests[&request].phase, Phase::Stands { .. }) {
--- a/lab/src/gateway.rs
+++ b/lab/src/gateway.rs
@@ -116,7 +116,9 @@
 
     /// Part of its full capacity that it has at a moment: a straight ramp from the cold share.
     pub fn warmth(&self, now: Nanos) -> f64 {
-        let Some(started_at) = self.started_at else { return 1.0 };
+        let Some(started_at) = self.started_at else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started_at) as f64 / SECOND as f64;
         let cold = self.make.cold_share;
         (cold + (1.0 - cold) * age / self.make.cold_s.max(f64::MIN_POSITIVE)).min(1.0)
@@ -173,7 +175,8 @@
 
     /// How long a message takes on average, in seconds.
     pub fn message_s(&self, now: Nanos) -> f64 {
-        let spare = (self.capacity(now) - self.demand).max(self.make.message_us) / self.make.message_us;
+        let spare =
+            (self.capacity(now) - self.demand).max(self.make.message_us) / self.make.message_us;
         self.piled_s(now) + 1.0 / spare
     }
 
@@ -206,7 +209,8 @@
     fn set_up_ends(&self, now: Nanos, chance: &mut Chance) -> Nanos {
         // Work that is piled up takes its part of the cores.
         let slower = 1.0 + self.piled_s(now);
-        let work = chance.exponential(self.make.set_up_ms / 1e3) / (self.make.speed * self.warmth(now));
+        let work =
+            chance.exponential(self.make.set_up_ms / 1e3) / (self.make.speed * self.warmth(now));
         now.saturating_add(nanos(work * slower))
     }
 
@@ -236,7 +240,9 @@
     /// A connection has ended; tells whether it stood here.
     pub fn ends(&mut self, now: Nanos, id: u64) -> bool {
         self.advance(now);
-        let Some(one) = self.standing.remove(&id) else { return false };
+        let Some(one) = self.standing.remove(&id) else {
+            return false;
+        };
         self.demand = (self.demand - one.load).max(0.0);
         if let Some(group) = one.group
             && let Some(count) = self.groups.get_mut(&group)
@@ -256,7 +262,11 @@
         if self.piled_s(now) <= self.make.sheds_after_s {
             return Vec::new();
         }
-        let mut there: Vec<(f64, u64)> = self.standing.iter().map(|(id, one)| (one.load, *id)).collect();
+        let mut there: Vec<(f64, u64)> = self
+            .standing
+            .iter()
+            .map(|(id, one)| (one.load, *id))
+            .collect();
         there.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
         let mut excess = self.demand - self.capacity(now);
         let mut shed = Vec::new();
@@ -268,7 +278,9 @@
             shed.push(id);
         }
         // What was piled up by them goes with them.
-        self.piled = self.piled.min(self.make.sheds_after_s * self.capacity(now) / 2.0);
+        self.piled = self
+            .piled
+            .min(self.make.sheds_after_s * self.capacity(now) / 2.0);
         shed
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -38,7 +38,9 @@
 #[derive(Subcommand)]
 enum Command {
     /// Play a scenario on a virtual clock
-    #[command(after_help = "Example:\n  beaconflow-lab run lab/scenarios/hang.toml --save hang.json")]
+    #[command(
+        after_help = "Example:\n  beaconflow-lab run lab/scenarios/hang.toml --save hang.json"
+    )]
     Run {
         /// The scenario's file
         scenario: PathBuf,
@@ -85,12 +87,26 @@
 
 fn main() -> ExitCode {
     let done = match Args::parse().command {
-        Command::Run { scenario, policy, seed, save, json } => {
-            run(&scenario, policy, seed, save.as_deref(), json)
-        }
-        Command::Compare { first, second, policies, seeds, json } => {
-            compare(&first, second.as_deref().unwrap_or(&first), (policies[0], policies[1]), seeds, json)
-        }
+        Command::Run {
+            scenario,
+            policy,
+            seed,
+            save,
+            json,
+        } => run(&scenario, policy, seed, save.as_deref(), json),
+        Command::Compare {
+            first,
+            second,
+            policies,
+            seeds,
+            json,
+        } => compare(
+            &first,
+            second.as_deref().unwrap_or(&first),
+            (policies[0], policies[1]),
+            seeds,
+            json,
+        ),
         Command::Check { scenario } => read(&scenario).map(|_| {
             println!("{}: sound", scenario.display());
             true
@@ -110,7 +126,11 @@
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
     Scenario::parse(&text).map_err(|faults| {
-        let faults: Vec<String> = faults.0.iter().map(|fault| format!("{shown}: {fault}")).collect();
+        let faults: Vec<String> = faults
+            .0
+            .iter()
+            .map(|fault| format!("{shown}: {fault}"))
+            .collect();
         faults.join("\n")
     })
 }
@@ -130,7 +150,11 @@
     let live = std::io::stderr().is_terminal();
     engine.run(|engine| {
         if live {
-            eprint!("\r{} of {:.0} s played", engine.now() / SECOND, scenario.seconds);
+            eprint!(
+                "\r{} of {:.0} s played",
+                engine.now() / SECOND,
+                scenario.seconds
+            );
         }
         true
     });
@@ -141,10 +165,25 @@
     let saved = Saved {
         schema: SCHEMA,
         seed: scenario.seed,
-        classes: engine.measures.classes.iter().map(SavedServed::from).collect(),
-        accounts: engine.measures.accounts.iter().map(SavedServed::from).collect(),
+        classes: engine
+            .measures
+            .classes
+            .iter()
+            .map(SavedServed::from)
+            .collect(),
+        accounts: engine
+            .measures
+            .accounts
+            .iter()
+            .map(SavedServed::from)
+            .collect(),
         seconds: engine.measures.seconds.clone(),
-        broken: engine.checker.broken().iter().map(ToString::to_string).collect(),
+        broken: engine
+            .checker
+            .broken()
+            .iter()
+            .map(ToString::to_string)
+            .collect(),
         events: engine.measures.events,
         fleet: engine.measures.fleet.saved(scenario.tells_fleet()),
     };
@@ -152,7 +191,11 @@
     if let Some(file) = save {
         std::fs::write(file, &text).map_err(|error| format!("{}: {error}", file.display()))?;
     }
-    let shown = if json { text } else { show::table(&engine, took, scenario.seed, scenario.tells_fleet()) };
+    let shown = if json {
+        text
+    } else {
+        show::table(&engine, took, scenario.seed, scenario.tells_fleet())
+    };
     // A reader that has gone away is no fault.
     let _ = writeln!(std::io::stdout(), "{}", shown.trim_end());
     Ok(engine.checker.count == 0)
@@ -168,12 +211,16 @@
 ) -> Result<bool, String> {
     let (one, other) = (read(first)?, read(second)?);
     let (live, played) = (std::io::stderr().is_terminal(), AtomicU64::new(0));
-    let pairs = compare::pairs([(&one, policies.0), (&other, policies.1)], 1..seeds + 1, |_| {
-        let played = played.fetch_add(1, Ordering::Relaxed) + 1;
-        if live {
-            eprint!("\r{played} of {seeds} pairs played");
-        }
-    });
+    let pairs = compare::pairs(
+        [(&one, policies.0), (&other, policies.1)],
+        1..seeds + 1,
+        |_| {
+            let played = played.fetch_add(1, Ordering::Relaxed) + 1;
+            if live {
+                eprint!("\r{played} of {seeds} pairs played");
+            }
+        },
+    );
     if live {
         eprintln!();
     }
--- a/lab/src/measures.rs
+++ b/lab/src/measures.rs
@@ -27,7 +27,14 @@
     /// Nothing yet.
     pub fn new(name: &str) -> Served {
         let took = Histogram::new(3).expect("three digits");
-        Served { name: name.to_owned(), wanted: 0, in_time: 0, late: 0, gave_up: 0, took }
+        Served {
+            name: name.to_owned(),
+            wanted: 0,
+            in_time: 0,
+            late: 0,
+            gave_up: 0,
+            took,
+        }
     }
 
     /// Part of those that wanted a connection that had it in time.
@@ -138,7 +145,11 @@
 impl FleetFigures {
     /// Power is lost, while so much stands.
     pub fn loses(&mut self, worth: f64, clients: f64) {
-        self.power = Some(Power { worth, clients, ..Power::default() });
+        self.power = Some(Power {
+            worth,
+            clients,
+            ..Power::default()
+        });
     }
 
     /// Clients that stood before.
@@ -168,8 +179,14 @@
 impl Measures {
     /// Of a run that has not begun: its classes, and its accounts or one for all.
     pub fn new(scenario: &Scenario) -> Measures {
-        let classes = scenario.classes.iter().map(|class| Served::new(&class.name));
-        let accounts = scenario.accounts.iter().map(|account| Served::new(&account.name));
+        let classes = scenario
+            .classes
+            .iter()
+            .map(|class| Served::new(&class.name));
+        let accounts = scenario
+            .accounts
+            .iter()
+            .map(|account| Served::new(&account.name));
         let all = scenario.accounts.is_empty().then(|| Served::new("all"));
         Measures {
             classes: classes.collect(),
@@ -258,11 +275,18 @@
     pub fn saved(&self, talks: bool) -> Option<SavedFleet> {
         let power = self.power;
         let until = self.island.map_or(0, |(.., until)| until);
-        let merged = self.merges.iter().copied().min().zip(self.merges.iter().copied().max());
+        let merged = self
+            .merges
+            .iter()
+            .copied()
+            .min()
+            .zip(self.merges.iter().copied().max());
         (talks || self.power.is_some() || self.most_sent > 0.0).then(|| SavedFleet {
             fallen: self.fallen,
             most_sent: self.most_sent,
-            power_took_s: power.and_then(|power| power.took).map(|took| took as f64 / 1e9),
+            power_took_s: power
+                .and_then(|power| power.took)
+                .map(|took| took as f64 / 1e9),
             power_ratio: power.and_then(|power| power.ratio()),
             owed: self.owed,
             landed: self.landed as f64 / self.owed.max(1) as f64,
@@ -271,7 +295,8 @@
             island_p99_ms: percentile(&self.island_took, 0.99) as f64 / 1e6,
             probes: self.probes,
             merged: self.merges.len(),
-            merge_first_s: merged.map_or(0.0, |(first, _)| first.saturating_sub(until) as f64 / 1e9),
+            merge_first_s: merged
+                .map_or(0.0, |(first, _)| first.saturating_sub(until) as f64 / 1e9),
             merge_span_s: merged.map_or(0.0, |(first, last)| (last - first) as f64 / 1e9),
             evened: self.evened,
             redealt: self.redealt,
@@ -282,7 +307,9 @@
 fn percentile(of: &[Nanos], part: f64) -> Nanos {
     let mut of = of.to_vec();
     of.sort_unstable();
-    of.get(((of.len() as f64 * part) as usize).min(of.len().saturating_sub(1))).copied().unwrap_or(0)
+    of.get(((of.len() as f64 * part) as usize).min(of.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0)
 }
 
 /// [`Served`] as it is saved.
--- a/lab/src/mesh.rs
+++ b/lab/src/mesh.rs
@@ -64,7 +64,9 @@
             bytes.extend_from_slice(&own.to_le_bytes());
             bytes.resize(WORD, 0);
         }
-        let facts = self.knowledge.rumours(room.saturating_sub(1 + bytes.len()), now);
+        let facts = self
+            .knowledge
+            .rumours(room.saturating_sub(1 + bytes.len()), now);
         if bytes.is_empty() && facts.is_empty() {
             return Vec::new();
         }
@@ -78,19 +80,26 @@
     }
 
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
-        let mut pages = self.knowledge.answer(summary, room - 1, most, now).unwrap_or_default();
+        let mut pages = self
+            .knowledge
+            .answer(summary, room - 1, most, now)
+            .unwrap_or_default();
         pages.iter_mut().for_each(|page| page.insert(0, 0));
         pages
     }
 
     fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
-        self.heard_of.insert(from.site.to_string(), (from.name.to_string(), now));
-        let Some((with_word, mut facts)) = bytes.split_first() else { return };
+        self.heard_of
+            .insert(from.site.to_string(), (from.name.to_string(), now));
+        let Some((with_word, mut facts)) = bytes.split_first() else {
+            return;
+        };
         if *with_word == 1
             && let Some((word, rest)) = facts.split_at_checked(WORD)
         {
             let number = u32::from_le_bytes([word[0], word[1], word[2], word[3]]);
-            self.heard.extend(self.letters.borrow().get(number as usize).cloned());
+            self.heard
+                .extend(self.letters.borrow().get(number as usize).cloned());
             facts = rest;
         }
         if let Ok(news) = self.knowledge.take(facts, now) {
@@ -133,7 +142,9 @@
         seed: seed ^ (u64::from(rank) << 20) ^ boot,
         site: site.into(),
         configuration: beaconflow_peers::Configuration::default(),
-        seeds: [1, 2, of / 3, of / 2].map(|step| address((rank + step) % of)).to_vec(),
+        seeds: [1, 2, of / 3, of / 2]
+            .map(|step| address((rank + step) % of))
+            .to_vec(),
     }
 }
 
@@ -141,15 +152,31 @@
 pub fn talk(rank: u32, boot: u64, letters: &Letters) -> Talk {
     let mut bounds = Bounds::default();
     bounds.of_mut(Kind::Unknown).bytes = HOSTS_OWN;
-    let knowledge = Knowledge::new(Origin { name: name(rank), boot }, bounds);
+    let knowledge = Knowledge::new(
+        Origin {
+            name: name(rank),
+            boot,
+        },
+        bounds,
+    );
     let (heard, news) = (Vec::new(), Vec::new());
-    Talk { knowledge, letters: letters.clone(), own: None, heard, news, heard_of: BTreeMap::new() }
+    Talk {
+        knowledge,
+        letters: letters.clone(),
+        own: None,
+        heard,
+        news,
+        heard_of: BTreeMap::new(),
+    }
 }
 
 /// Its node.
 pub fn node(rank: u32, of: u32, boot: u64, site: &str, letters: &Letters, seed: u64) -> Node<Talk> {
     let keys = Keys::only(Key::new(&[7; SHORTEST_KEY]).expect("as long as a key has to be"));
-    let (profile, talk) = (profile(rank, of, boot, site, seed), talk(rank, boot, letters));
+    let (profile, talk) = (
+        profile(rank, of, boot, site, seed),
+        talk(rank, boot, letters),
+    );
     Node::new(profile, keys, Settings::default(), talk).expect("a profile without faults")
 }
 
--- a/lab/src/policies.rs
+++ b/lab/src/policies.rs
@@ -36,14 +36,20 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Policy, String> {
-        let known = NAMES.iter().find(|(name, _)| *name == text).map(|(_, policy)| *policy);
+        let known = NAMES
+            .iter()
+            .find(|(name, _)| *name == text)
+            .map(|(_, policy)| *policy);
         known.ok_or_else(|| format!("one of {}", NAMES.map(|(name, _)| name).join(", ")))
     }
 }
 
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = NAMES.iter().find(|(_, policy)| policy == self).map_or("", |(name, _)| name);
+        let name = NAMES
+            .iter()
+            .find(|(_, policy)| policy == self)
+            .map_or("", |(name, _)| name);
         f.write_str(name)
     }
 }
@@ -86,7 +92,16 @@
 impl Plain {
     fn new(kind: Policy, settings: Settings, seed: u64) -> Plain {
         let (ready, held, open) = (Vec::new(), FxHashMap::default(), FxHashMap::default());
-        Plain { kind, settings, ready, turn: 0, held, open, chance: Chance::new(seed, 9), watches: false }
+        Plain {
+            kind,
+            settings,
+            ready,
+            turn: 0,
+            held,
+            open,
+            chance: Chance::new(seed, 9),
+            watches: false,
+        }
     }
 
     fn held(&self, server: ServerId) -> u32 {
@@ -106,8 +121,15 @@
                 places.min_by_key(|server| self.held(*server))?
             }
             Policy::RandomOfTwo => {
-                let (one, other) = (self.ready[self.chance.pick(count)], self.ready[self.chance.pick(count)]);
-                if self.held(other) < self.held(one) { other } else { one }
+                let (one, other) = (
+                    self.ready[self.chance.pick(count)],
+                    self.ready[self.chance.pick(count)],
+                );
+                if self.held(other) < self.held(one) {
+                    other
+                } else {
+                    one
+                }
             }
             Policy::RoundRobin | Policy::Beaconflow => {
                 self.turn = (self.turn + 1) % count;
@@ -117,7 +139,9 @@
     }
 
     fn place(&mut self, now: Nanos, request: RequestId, out: &mut Vec<Action>) {
-        let Some(one) = self.open.get(&request.0) else { return };
+        let Some(one) = self.open.get(&request.0) else {
+            return;
+        };
         let left = one.give_up_at.saturating_sub(now);
         let (class, limits) = (&self.settings.classes[one.class], &self.settings.limits);
         let over = one.attempts >= limits.max_attempts || left == 0;
@@ -129,14 +153,22 @@
             return out.push(if failed {
                 Action::Fail(request)
             } else {
-                Action::Refuse { request, retry_after: None }
+                Action::Refuse {
+                    request,
+                    retry_after: None,
+                }
             });
         };
         *self.held.entry(server.0).or_insert(0) += 1;
         let one = self.open.get_mut(&request.0).expect("it is open");
         one.attempts += 1;
         one.at = Some(server);
-        out.push(Action::Attempt { request, server, begin_within: timeout, timeout });
+        out.push(Action::Attempt {
+            request,
+            server,
+            begin_within: timeout,
+            timeout,
+        });
     }
 
     fn lets_go(&mut self, server: ServerId) {
@@ -171,11 +203,24 @@
             Event::Standing { arrival, server } => {
                 *self.held.entry(server.0).or_insert(0) += 1;
                 let (class, give_up_at) = (arrival.class.0, arrival.give_up_at);
-                let open = Open { class, give_up_at, attempts: 1, at: Some(server), may_have_run: true };
+                let open = Open {
+                    class,
+                    give_up_at,
+                    attempts: 1,
+                    at: Some(server),
+                    may_have_run: true,
+                };
                 self.open.insert(arrival.request.0, open);
             }
-            Event::Ended { request, outcome, closed, .. } => {
-                let Some(one) = self.open.get_mut(&request.0) else { return };
+            Event::Ended {
+                request,
+                outcome,
+                closed,
+                ..
+            } => {
+                let Some(one) = self.open.get_mut(&request.0) else {
+                    return;
+                };
                 let at = one.at.take();
                 one.may_have_run |= !outcome.never_ran() && outcome != Outcome::Served;
                 at.into_iter().for_each(|server| self.lets_go(server));
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -6,7 +6,9 @@
 use std::fmt;
 use std::ops::Range;
 
-use beaconflow::api::{Class as ModuleClass, Discovery, Limits, Prices, Repeat, Rules, Settings, ZoneId};
+use beaconflow::api::{
+    Class as ModuleClass, Discovery, Limits, Prices, Repeat, Rules, Settings, ZoneId,
+};
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -85,7 +87,11 @@
 
 impl Default for Net {
     fn default() -> Net {
-        Net { client_ms: 0.6, gateway_ms: 0.4, discovery_ms: 700.0 }
+        Net {
+            client_ms: 0.6,
+            gateway_ms: 0.4,
+            discovery_ms: 700.0,
+        }
     }
 }
 
@@ -160,7 +166,13 @@
 
 impl Default for Clients {
     fn default() -> Clients {
-        Clients { groups: 0, habit: Habit::Waits, wait_ms: 100.0, move_ms: 80.0, tries: 20 }
+        Clients {
+            groups: 0,
+            habit: Habit::Waits,
+            wait_ms: 100.0,
+            move_ms: 80.0,
+            tries: 20,
+        }
     }
 }
 
@@ -193,19 +205,29 @@
 impl Scenario {
     /// Reads a scenario.
     pub fn parse(text: &str) -> Result<Scenario, Faults> {
-        let line = |span: &Range<usize>| 1 + text[..span.start.min(text.len())].matches('\n').count();
+        let line =
+            |span: &Range<usize>| 1 + text[..span.start.min(text.len())].matches('\n').count();
         let scenario: Scenario = toml::from_str(text).map_err(|error| {
-            let at = error.span().map_or(String::new(), |span| format!("line {}: ", line(&span)));
+            let at = error
+                .span()
+                .map_or(String::new(), |span| format!("line {}: ", line(&span)));
             Faults(vec![format!("{at}{}", error.message())])
         })?;
         let mut faults = scenario.faults();
         for failure in &scenario.failures {
             let at = line(&failure.span());
             faults.extend(
-                scenario.faults_of(failure.get_ref()).into_iter().map(|why| format!("line {at}: {why}")),
+                scenario
+                    .faults_of(failure.get_ref())
+                    .into_iter()
+                    .map(|why| format!("line {at}: {why}")),
             );
         }
-        if faults.is_empty() { Ok(scenario) } else { Err(Faults(faults)) }
+        if faults.is_empty() {
+            Ok(scenario)
+        } else {
+            Err(Faults(faults))
+        }
     }
 
     fn faults(&self) -> Vec<String> {
@@ -216,12 +238,30 @@
             }
         };
         let above = |value: f64| value.is_finite() && value > 0.0;
-        need(above(self.seconds) && self.seconds <= 86_400.0, "seconds: from above 0 to a day".into());
-        need((1..=10_000).contains(&self.balancers), "balancers: from 1 to 10000".into());
-        need((1..=100_000).contains(&self.gateways), "gateways: from 1 to 100000".into());
-        need((1..=1_000).contains(&self.zones), "zones: from 1 to 1000".into());
-        need(self.make.cores > 0 && above(self.make.speed), "make: cores and speed above 0".into());
-        need(above(self.make.set_up_ms) && above(self.make.message_us), "make: works above 0".into());
+        need(
+            above(self.seconds) && self.seconds <= 86_400.0,
+            "seconds: from above 0 to a day".into(),
+        );
+        need(
+            (1..=10_000).contains(&self.balancers),
+            "balancers: from 1 to 10000".into(),
+        );
+        need(
+            (1..=100_000).contains(&self.gateways),
+            "gateways: from 1 to 100000".into(),
+        );
+        need(
+            (1..=1_000).contains(&self.zones),
+            "zones: from 1 to 1000".into(),
+        );
+        need(
+            self.make.cores > 0 && above(self.make.speed),
+            "make: cores and speed above 0".into(),
+        );
+        need(
+            above(self.make.set_up_ms) && above(self.make.message_us),
+            "make: works above 0".into(),
+        );
         need(
             above(self.make.cold_share) && self.make.cold_share <= 1.0,
             "make.cold_share: above 0, to 1".into(),
@@ -233,19 +273,31 @@
                 above(class.aim_ms) && above(class.deadline_ms),
                 format!("class {name}: aim and deadline above 0"),
             );
-            need(above(class.life_s) && above(class.load_us), format!("class {name}: life and load above 0"));
+            need(
+                above(class.life_s) && above(class.load_us),
+                format!("class {name}: life and load above 0"),
+            );
             need(
                 class.a_second.is_finite() && class.a_second >= 0.0,
                 format!("class {name}: a_second is no rate"),
             );
-            need(class.worth.is_finite() && class.worth >= 0.0, format!("class {name}: worth is below 0"));
+            need(
+                class.worth.is_finite() && class.worth >= 0.0,
+                format!("class {name}: worth is below 0"),
+            );
         }
         for account in &self.accounts {
             let sound = above(account.share) && account.part.is_finite() && account.part >= 0.0;
-            need(sound, format!("account {}: share above 0, part not below", account.name));
+            need(
+                sound,
+                format!("account {}: share above 0, part not below", account.name),
+            );
         }
         if let Some(store) = &self.store {
-            need(store.at_once > 0 && above(store.mean_ms), "store: at_once and mean_ms above 0".into());
+            need(
+                store.at_once > 0 && above(store.mean_ms),
+                "store: at_once and mean_ms above 0".into(),
+            );
         }
         faults.extend(self.fleet.faults(self));
         faults
--- a/lab/src/scenario/failure.rs
+++ b/lab/src/scenario/failure.rs
@@ -229,7 +229,9 @@
             Which::Word(word) => vec![format!("{field}: \"all\" or numbers, not {word:?}")],
             Which::These(these) => {
                 let unknown = these.iter().filter(|one| **one >= count);
-                unknown.map(|one| format!("{field}: there is no {one} of {count}")).collect()
+                unknown
+                    .map(|one| format!("{field}: there is no {one} of {count}"))
+                    .collect()
             }
         }
     }
@@ -247,14 +249,23 @@
             | Failure::Crash { gateways, .. }
             | Failure::Drain { gateways, .. } => {
                 let unknown = gateways.iter().filter(|gateway| **gateway >= self.gateways);
-                faults.extend(
-                    unknown.map(|gateway| format!("gateways: there is no {gateway} of {}", self.gateways)),
-                );
+                faults.extend(unknown.map(|gateway| {
+                    format!("gateways: there is no {gateway} of {}", self.gateways)
+                }));
             }
             Failure::BalancerKilled { balancer, .. } if *balancer >= self.balancers => {
-                faults.push(format!("balancer: there is no {balancer} of {}", self.balancers));
+                faults.push(format!(
+                    "balancer: there is no {balancer} of {}",
+                    self.balancers
+                ));
             }
-            Failure::PowerLoss { for_s, balancers, gateways, disks_lost, .. } => {
+            Failure::PowerLoss {
+                for_s,
+                balancers,
+                gateways,
+                disks_lost,
+                ..
+            } => {
                 if !(for_s.is_finite() && *for_s > 0.0) {
                     faults.push("for_s: above 0".into());
                 }
@@ -265,7 +276,14 @@
                 faults.extend(gateways.faults("gateways", self.gateways));
                 faults.extend(disks_lost.faults("disks_lost", self.balancers));
             }
-            Failure::ConfigRoll { step_s, weights, added, removed, renamed, .. } => {
+            Failure::ConfigRoll {
+                step_s,
+                weights,
+                added,
+                removed,
+                renamed,
+                ..
+            } => {
                 if !(step_s.is_finite() && *step_s >= 0.0) {
                     faults.push("step_s: not below 0".into());
                 }
@@ -274,18 +292,30 @@
                     faults.push("weights: parts above 0".into());
                 }
                 let weighted: Vec<u32> = weights.iter().map(|(gateway, _)| *gateway).collect();
-                let fields =
-                    [("weights", &weighted), ("added", added), ("removed", removed), ("renamed", renamed)];
+                let fields = [
+                    ("weights", &weighted),
+                    ("added", added),
+                    ("removed", removed),
+                    ("renamed", renamed),
+                ];
                 for (field, these) in fields {
                     faults.extend(Which::These(these.clone()).faults(field, self.gateways));
                 }
             }
-            Failure::UplinkLost { for_s, zone, flap_s, .. } => {
+            Failure::UplinkLost {
+                for_s,
+                zone,
+                flap_s,
+                ..
+            } => {
                 if !(for_s.is_finite() && *for_s > 0.0) {
                     faults.push("for_s: above 0".into());
                 }
                 if *zone == 0 || *zone >= self.zones {
-                    faults.push(format!("zone: from 1 to below the {} of the scenario", self.zones));
+                    faults.push(format!(
+                        "zone: from 1 to below the {} of the scenario",
+                        self.zones
+                    ));
                 }
                 if !(flap_s.is_finite() && *flap_s >= 0.0) {
                     faults.push("flap_s: not below 0".into());
@@ -303,15 +333,19 @@
             Failure::StoreStalled { .. } if self.store.is_none() => {
                 faults.push("store-stalled: the scenario has no store".into());
             }
-            Failure::Flood { account, .. } if !self.accounts.iter().any(|known| known.name == *account) => {
+            Failure::Flood { account, .. }
+                if !self.accounts.iter().any(|known| known.name == *account) =>
+            {
                 faults.push(format!("account: there is no {account:?}"));
             }
             Failure::Reconnect { part, .. } if !(0.0..=1.0).contains(part) => {
                 faults.push("part: from 0 to 1".into());
             }
-            Failure::Resets { part_a_second, set_ups, .. }
-                if !(0.0..=1.0).contains(part_a_second) || !(0.0..=1.0).contains(set_ups) =>
-            {
+            Failure::Resets {
+                part_a_second,
+                set_ups,
+                ..
+            } if !(0.0..=1.0).contains(part_a_second) || !(0.0..=1.0).contains(set_ups) => {
                 faults.push("part_a_second, set_ups: from 0 to 1".into());
             }
             _ => {}
--- a/lab/src/scenario/fleet.rs
+++ b/lab/src/scenario/fleet.rs
@@ -60,18 +60,34 @@
                 faults.push(what.to_owned());
             }
         };
-        let added = scenario.failures.iter().flat_map(|failure| match failure.get_ref() {
-            Failure::ConfigRoll { added, .. } => added.clone(),
-            _ => Vec::new(),
-        });
+        let added = scenario
+            .failures
+            .iter()
+            .flat_map(|failure| match failure.get_ref() {
+                Failure::ConfigRoll { added, .. } => added.clone(),
+                _ => Vec::new(),
+            });
         let added: BTreeSet<u32> = added.collect();
-        let zones = if scenario.by_zone() { scenario.zones.max(1) } else { 1 };
+        let zones = if scenario.by_zone() {
+            scenario.zones.max(1)
+        } else {
+            1
+        };
         let is_there =
             |zone: u32| (0..scenario.gateways).any(|at| at % zones == zone && !added.contains(&at));
-        need((0..zones).all(is_there), "added: each zone has to have a gateway from the start");
+        need(
+            (0..zones).all(is_there),
+            "added: each zone has to have a gateway from the start",
+        );
         let not_below = |value: f64| value.is_finite() && value >= 0.0;
-        need((0.0..1.0).contains(&self.lost), "fleet.lost: from 0 to below 1");
-        need(not_below(self.delay_ms) && self.delay_ms <= 60_000.0, "fleet.delay_ms: from 0 to 60000");
+        need(
+            (0.0..1.0).contains(&self.lost),
+            "fleet.lost: from 0 to below 1",
+        );
+        need(
+            not_below(self.delay_ms) && self.delay_ms <= 60_000.0,
+            "fleet.delay_ms: from 0 to 60000",
+        );
         need(not_below(self.borne), "fleet.borne: not below 0");
         need(not_below(self.slack), "fleet.slack: not below 0");
         let knows = self.borne > 0.0 || scenario.classes.iter().any(|class| class.standing > 0);
@@ -86,14 +102,24 @@
 impl Scenario {
     /// Whether each zone's clients come to its own balancers: its uplink is to be lost.
     pub fn by_zone(&self) -> bool {
-        self.failures.iter().any(|failure| matches!(failure.get_ref(), Failure::UplinkLost { .. }))
+        self.failures
+            .iter()
+            .any(|failure| matches!(failure.get_ref(), Failure::UplinkLost { .. }))
     }
 
     /// Whether a run has figures of the fleet to tell.
     pub fn tells_fleet(&self) -> bool {
-        let is_roll =
-            |failure: &Failure| matches!(failure, Failure::ConfigRoll { .. } | Failure::UplinkLost { .. });
-        self.fleet.talks() || self.failures.iter().any(|failure| is_roll(failure.get_ref()))
+        let is_roll = |failure: &Failure| {
+            matches!(
+                failure,
+                Failure::ConfigRoll { .. } | Failure::UplinkLost { .. }
+            )
+        };
+        self.fleet.talks()
+            || self
+                .failures
+                .iter()
+                .any(|failure| is_roll(failure.get_ref()))
     }
 
     /// Clients a second that a warm gateway bears.
--- a/lab/src/show.rs
+++ b/lab/src/show.rs
@@ -41,7 +41,12 @@
 fn served(measures: &Measures) -> String {
     let mut table = empty_table(&["", "WANTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
     let mut row = |what: &str, served: &Served| {
-        let at = |quantile| format!("{:.1} ms", served.took.value_at_quantile(quantile) as f64 / 1e3);
+        let at = |quantile| {
+            format!(
+                "{:.1} ms",
+                served.took.value_at_quantile(quantile) as f64 / 1e3
+            )
+        };
         table.add_row([
             format!("{what} {}", served.name),
             served.wanted.to_string(),
@@ -52,14 +57,24 @@
             at(0.99),
         ]);
     };
-    measures.classes.iter().for_each(|served| row("class", served));
-    measures.accounts.iter().for_each(|served| row("account", served));
+    measures
+        .classes
+        .iter()
+        .for_each(|served| row("class", served));
+    measures
+        .accounts
+        .iter()
+        .for_each(|served| row("account", served));
     table.trim_fmt()
 }
 
 /// What the servers saw.
 fn attempts(measures: &Measures) -> String {
-    let highest = measures.seconds.iter().map(|second| second.highest_load).fold(0.0, f64::max);
+    let highest = measures
+        .seconds
+        .iter()
+        .map(|second| second.highest_load)
+        .fold(0.0, f64::max);
     format!(
         "\nattempts {}, refused {}, failed {}, moved {}, cut off {}, highest load of a gateway {highest:.2}\n",
         measures.sum(|second| second.attempts),
@@ -98,7 +113,8 @@
         ));
     }
     if measures.fleet.power.is_some() {
-        let shown = |value: Option<f64>| value.map_or("never".to_owned(), |value| format!("{value:.2}"));
+        let shown =
+            |value: Option<f64>| value.map_or("never".to_owned(), |value| format!("{value:.2}"));
         text.push_str(&format!(
             "99% of the former worth stands again after {} s, {} times what a refill takes that sees all\n",
             shown(fleet.power_took_s),
@@ -113,12 +129,15 @@
     let mut table = empty_table(&["", "FIRST", "SECOND", "DIFFERENCE", "95% INTERVAL", ""]);
     let mut rows = Vec::new();
     for (at, (name, more_is_better)) in compare::FIGURES.into_iter().enumerate() {
-        let of: Vec<(f64, f64)> =
-            pairs.iter().filter_map(|[one, other]| one.get(at).zip(other.get(at))).collect();
+        let of: Vec<(f64, f64)> = pairs
+            .iter()
+            .filter_map(|[one, other]| one.get(at).zip(other.get(at)))
+            .collect();
         if of.is_empty() {
             continue;
         }
-        let mean = |side: fn(&(f64, f64)) -> f64| of.iter().map(side).sum::<f64>() / of.len() as f64;
+        let mean =
+            |side: fn(&(f64, f64)) -> f64| of.iter().map(side).sum::<f64>() / of.len() as f64;
         let (first, second) = (mean(|pair| pair.0), mean(|pair| pair.1));
         let (difference, low, high) = compare::difference(&of, seeds);
         let verdict = verdict((low, high), more_is_better);
--- a/lab/src/store.rs
+++ b/lab/src/store.rs
@@ -18,7 +18,13 @@
 impl Store {
     /// A store that works on so many calls at once, each for this long on average (exponential).
     pub fn new(at_once: usize, mean_s: f64) -> Store {
-        Store { at_once: at_once.max(1), mean_s, busy: 0, waiting: VecDeque::new(), stalled_until: 0 }
+        Store {
+            at_once: at_once.max(1),
+            mean_s,
+            busy: 0,
+            waiting: VecDeque::new(),
+            stalled_until: 0,
+        }
     }
 
     /// Calls a second when it is never idle.
@@ -51,6 +57,7 @@
     }
 
     fn ends(&self, now: Nanos, chance: &mut Chance) -> Nanos {
-        now.max(self.stalled_until).saturating_add(nanos(chance.exponential(self.mean_s)))
+        now.max(self.stalled_until)
+            .saturating_add(nanos(chance.exponential(self.mean_s)))
     }
 }
--- a/lab/src/versions.rs
+++ b/lab/src/versions.rs
@@ -38,24 +38,41 @@
         }
         let mut routing = routing(&names, &weights, &[]);
         let first = configured(&routing, &names, &weights, &Routing::default());
-        let mut all = vec![Configured { renames: Vec::new(), ..first }];
+        let mut all = vec![Configured {
+            renames: Vec::new(),
+            ..first
+        }];
         for (number, roll) in rolls().enumerate() {
-            let Failure::ConfigRoll { weights: new, added, removed, renamed, .. } = roll else { continue };
+            let Failure::ConfigRoll {
+                weights: new,
+                added,
+                removed,
+                renamed,
+                ..
+            } = roll
+            else {
+                continue;
+            };
             let mut was = vec![None; count];
-            added.iter().for_each(|at| names[*at as usize] = Some(format!("g{at}")));
+            added
+                .iter()
+                .for_each(|at| names[*at as usize] = Some(format!("g{at}")));
             removed.iter().for_each(|at| names[*at as usize] = None);
             for at in renamed.iter().map(|at| *at as usize) {
                 if let Some(name) = &mut names[at] {
                     was[at] = Some(std::mem::replace(name, format!("g{at}-{number}")));
                 }
             }
-            new.iter().for_each(|(at, part)| weights[*at as usize] = *part);
+            new.iter()
+                .for_each(|(at, part)| weights[*at as usize] = *part);
             let next = self::routing(&names, &weights, &was);
             all.push(configured(&next, &names, &weights, &routing));
             routing = next;
         }
         let tags = all.iter().flat_map(|one| one.gateways.iter().enumerate());
-        let gateway = tags.filter_map(|(at, one)| Some((one.as_ref()?.0, at as u32))).collect();
+        let gateway = tags
+            .filter_map(|(at, one)| Some((one.as_ref()?.0, at as u32)))
+            .collect();
         Configurations { all, gateway }
     }
 
@@ -68,19 +85,36 @@
 fn routing(names: &[Option<String>], weights: &[f64], was: &[Option<String>]) -> Routing {
     let server = |(at, name): (usize, &Option<String>)| {
         let was = was.get(at).cloned().flatten();
-        Some(Server { name: name.clone()?, weight: weights[at], was, ..Server::default() })
+        Some(Server {
+            name: name.clone()?,
+            weight: weights[at],
+            was,
+            ..Server::default()
+        })
     };
-    Routing { servers: names.iter().enumerate().filter_map(server).collect(), ..Routing::default() }
+    Routing {
+        servers: names.iter().enumerate().filter_map(server).collect(),
+        ..Routing::default()
+    }
 }
 
-fn configured(routing: &Routing, names: &[Option<String>], weights: &[f64], before: &Routing) -> Configured {
+fn configured(
+    routing: &Routing,
+    names: &[Option<String>],
+    weights: &[f64],
+    before: &Routing,
+) -> Configured {
     let tag = |(at, name): (usize, &Option<String>)| Some((Tag::of(name.as_deref()?), weights[at]));
-    let changed =
-        |(at, name): (usize, &Option<String>)| name.as_deref().is_some_and(|name| name != format!("g{at}"));
+    let changed = |(at, name): (usize, &Option<String>)| {
+        name.as_deref().is_some_and(|name| name != format!("g{at}"))
+    };
     Configured {
         version: routing.version(),
         gateways: names.iter().enumerate().map(tag).collect(),
         renamed: names.iter().enumerate().map(changed).collect(),
-        renames: renames(before, routing).iter().map(|(old, new)| (Tag::of(old), Tag::of(new))).collect(),
+        renames: renames(before, routing)
+            .iter()
+            .map(|(old, new)| (Tag::of(old), Tag::of(new)))
+            .collect(),
     }
 }
--- a/lab/tests/failure.rs
+++ b/lab/tests/failure.rs
@@ -33,23 +33,41 @@
 ];
 
 fn ratio(fleet: &FleetFigures) -> f64 {
-    fleet.power.and_then(|power| power.ratio()).expect("99% of the former worth stands again")
+    fleet
+        .power
+        .and_then(|power| power.ratio())
+        .expect("99% of the former worth stands again")
 }
 
 #[test]
 fn a_fleet_that_lost_power_is_back_sooner_by_turns_and_no_gateway_falls() {
     let by_turns = play(POWER, &SMALL);
-    assert!(by_turns.fallen == 0 && ratio(&by_turns) <= 1.3, "{by_turns:?}");
-    assert!(by_turns.most_sent > 0.2, "cold gateways were sent clients: {by_turns:?}");
+    assert!(
+        by_turns.fallen == 0 && ratio(&by_turns) <= 1.3,
+        "{by_turns:?}"
+    );
+    assert!(
+        by_turns.most_sent > 0.2,
+        "cold gateways were sent clients: {by_turns:?}"
+    );
     // Without it the module waits until they are warm.
-    let without = play(POWER, &[&SMALL[..], &[("recovery = true", "recovery = false")]].concat());
+    let without = play(
+        POWER,
+        &[&SMALL[..], &[("recovery = true", "recovery = false")]].concat(),
+    );
     assert!(ratio(&without) > 1.4, "{without:?}");
 }
 
 #[test]
 fn lost_disks_and_peers_that_are_cut_by_half_tip_nobody() {
-    let lost = ("balancers = \"all\"", "balancers = \"all\"\ndisks_lost = [0, 2, 4]");
-    let fleet = play(POWER, &[&SMALL[..], &[lost, ("lost = 0.05", "lost = 0.5")]].concat());
+    let lost = (
+        "balancers = \"all\"",
+        "balancers = \"all\"\ndisks_lost = [0, 2, 4]",
+    );
+    let fleet = play(
+        POWER,
+        &[&SMALL[..], &[lost, ("lost = 0.05", "lost = 0.5")]].concat(),
+    );
     assert!(fleet.fallen == 0 && ratio(&fleet) <= 1.4, "{fleet:?}");
 }
 
@@ -76,15 +94,23 @@
     // As many gateways as in the file, so that many are refused again elsewhere.
     let small = [("balancers = 30", "balancers = 3")];
     let refused = |text: &str| {
-        let text = small.iter().fold(text.to_owned(), |text, (from, to)| text.replace(from, to));
+        let text = small
+            .iter()
+            .fold(text.to_owned(), |text, (from, to)| text.replace(from, to));
         let scenario = Scenario::parse(&text).expect("sound");
         let mut engine = Engine::new(&scenario, Policy::Beaconflow);
         engine.run(|_| true);
         assert_eq!(engine.checker.broken(), []);
-        assert_eq!(engine.measures.seconds.last().map(|second| second.standing), Some(10_000));
+        assert_eq!(
+            engine.measures.seconds.last().map(|second| second.standing),
+            Some(10_000)
+        );
         engine.measures.sum(|second| second.refused)
     };
-    let (shared, own) = (refused(HERD), refused(&HERD.replace("shared_n = true", "shared_n = false")));
+    let (shared, own) = (
+        refused(HERD),
+        refused(&HERD.replace("shared_n = true", "shared_n = false")),
+    );
     assert!(shared != own && own > 100, "{shared} {own}");
 }
 
@@ -95,18 +121,40 @@
         ("for_s = 600", "for_s = 90"),
         ("at_s = 120\nfor_s = 120", "at_s = 50\nfor_s = 40"),
         ("at_s = 300\nfor_s = 30", "at_s = 70\nfor_s = 10"),
-        ("at_s = 500\ngone_after_s = 180", "at_s = 100\ngone_after_s = 60"),
+        (
+            "at_s = 500\ngone_after_s = 180",
+            "at_s = 100\ngone_after_s = 60",
+        ),
     ];
     let part = |fleet: &FleetFigures| fleet.island_served as f64 / fleet.island_wanted as f64;
     let lost = play(UPLINK, &short);
-    let none = play(UPLINK, &[&short[..], &[("zone = 2", "zone = 2\nway = \"none\"")]].concat());
-    assert!(lost.island_wanted > 500 && part(&lost) >= 0.97 * part(&none), "{lost:?} {none:?}");
+    let none = play(
+        UPLINK,
+        &[&short[..], &[("zone = 2", "zone = 2\nway = \"none\"")]].concat(),
+    );
+    assert!(
+        lost.island_wanted > 500 && part(&lost) >= 0.97 * part(&none),
+        "{lost:?} {none:?}"
+    );
     // Each balancer of the zone merges, once, and the last soon after the first.
-    let (first, last) = (lost.merges.iter().min().copied(), lost.merges.iter().max().copied());
+    let (first, last) = (
+        lost.merges.iter().min().copied(),
+        lost.merges.iter().max().copied(),
+    );
     assert_eq!(lost.merges.len(), 5, "{lost:?}");
-    assert!(last.zip(first).is_some_and(|(last, first)| last - first <= 5_000_000_000), "{:?}", lost.merges);
+    assert!(
+        last.zip(first)
+            .is_some_and(|(last, first)| last - first <= 5_000_000_000),
+        "{:?}",
+        lost.merges
+    );
     // Few questions beyond, for the whole zone.
-    assert!((1..=120).contains(&lost.probes) && none.probes == 0, "{} {}", lost.probes, none.probes);
+    assert!(
+        (1..=120).contains(&lost.probes) && none.probes == 0,
+        "{} {}",
+        lost.probes,
+        none.probes
+    );
     assert!(none.merges.is_empty());
 }
 
@@ -115,16 +163,31 @@
     let one = (0..9_u32, 0..16_u32, 1..8_u32, 0..4_u32).prop_map(|(kind, at, span, which)| {
         let head = |name: &str| format!("[[failure]]\nkind = \"{name}\"\nat_s = {at}\n");
         match kind {
-            0 => format!("{}for_s = {span}\nbalancers = \"all\"\ngateways = \"all\"\n", head("power-loss")),
+            0 => format!(
+                "{}for_s = {span}\nbalancers = \"all\"\ngateways = \"all\"\n",
+                head("power-loss")
+            ),
             1 => format!(
                 "{}for_s = {span}\nbalancers = [{which}]\ndisks_lost = [{which}]\n",
                 head("power-loss")
             ),
-            2 => format!("{}for_s = {span}\nzone = 1\nflap_s = {which}\n", head("uplink-lost")),
-            3 => format!("{}step_s = {span}\nremoved = [{which}]\nrenamed = [4]\n", head("config-roll")),
-            4 => format!("{}for_s = {span}\nbalancers = [{which}]\n", head("peers-cut")),
+            2 => format!(
+                "{}for_s = {span}\nzone = 1\nflap_s = {which}\n",
+                head("uplink-lost")
+            ),
+            3 => format!(
+                "{}step_s = {span}\nremoved = [{which}]\nrenamed = [4]\n",
+                head("config-roll")
+            ),
+            4 => format!(
+                "{}for_s = {span}\nbalancers = [{which}]\n",
+                head("peers-cut")
+            ),
             5 => format!("{}for_s = {span}\ngateways = [{which}, 5]\n", head("crash")),
-            6 => format!("{}gone_after_s = {span}\nfor_s = 3\ngateways = [{which}]\n", head("drain")),
+            6 => format!(
+                "{}gone_after_s = {span}\nfor_s = 3\ngateways = [{which}]\n",
+                head("drain")
+            ),
             7 => format!("{}for_s = {span}\n", head("discovery-away")),
             _ => format!("{}for_s = {span}\ngateways = [{which}]\n", head("hang")),
         }
@@ -154,14 +217,25 @@
 fn what_a_file_says_wrongly_of_the_fleet_is_told_by_field() {
     let faults = |from: &str, to: &str| {
         assert!(POWER.contains(from), "{from} is not there");
-        Scenario::parse(&POWER.replace(from, to)).expect_err("faulty").0.join("; ")
+        Scenario::parse(&POWER.replace(from, to))
+            .expect_err("faulty")
+            .0
+            .join("; ")
     };
     for (from, to, told) in [
         ("lost = 0.05", "lost = 1.0", "fleet.lost: from 0 to below 1"),
-        ("lost = 0.05", "delay_ms = -1", "fleet.delay_ms: from 0 to 60000"),
+        (
+            "lost = 0.05",
+            "delay_ms = -1",
+            "fleet.delay_ms: from 0 to 60000",
+        ),
         ("lost = 0.05", "slack = -1", "fleet.slack: not below 0"),
         ("lost = 0.05", "borne = -1", "fleet.borne: not below 0"),
-        ("standing = 20000", "standing = 0", "fleet.borne: above 0, or connections"),
+        (
+            "standing = 20000",
+            "standing = 0",
+            "fleet.borne: above 0, or connections",
+        ),
         ("lost = 0.05", "lots = 0.05", "unknown field `lots`"),
         ("for_s = 5", "for_s = 0", "line 35: for_s: above 0"),
         (
@@ -169,9 +243,21 @@
             "balancers = \"some\"",
             "line 35: balancers: \"all\" or numbers, not \"some\"",
         ),
-        ("gateways = \"all\"", "gateways = [40]", "line 35: gateways: there is no 40 of 40"),
-        ("gateways = \"all\"", "disks_lost = [30]", "line 35: disks_lost: there is no 30 of 30"),
-        ("balancers = \"all\"\ngateways = \"all\"", "", "line 35: balancers, gateways: one of them at least"),
+        (
+            "gateways = \"all\"",
+            "gateways = [40]",
+            "line 35: gateways: there is no 40 of 40",
+        ),
+        (
+            "gateways = \"all\"",
+            "disks_lost = [30]",
+            "line 35: disks_lost: there is no 30 of 30",
+        ),
+        (
+            "balancers = \"all\"\ngateways = \"all\"",
+            "",
+            "line 35: balancers, gateways: one of them at least",
+        ),
     ] {
         let faults = faults(from, to);
         assert!(faults.contains(told), "{to}: {faults}");
@@ -180,15 +266,34 @@
         ("zone = 2", "zone = 3", "zone: from 1 to below the 3"),
         ("zone = 2", "zone = 0", "zone: from 1 to below the 3"),
         ("for_s = 600", "for_s = 0", "for_s: above 0"),
-        ("for_s = 600", "for_s = 600\nflap_s = -1", "flap_s: not below 0"),
-        ("for_s = 600", "for_s = 600\nway = \"up\"", "unknown variant `up`"),
-        ("balancers = 15", "balancers = 2", "zones: no more than balancers and gateways"),
+        (
+            "for_s = 600",
+            "for_s = 600\nflap_s = -1",
+            "flap_s: not below 0",
+        ),
+        (
+            "for_s = 600",
+            "for_s = 600\nway = \"up\"",
+            "unknown variant `up`",
+        ),
+        (
+            "balancers = 15",
+            "balancers = 2",
+            "zones: no more than balancers and gateways",
+        ),
     ] {
-        let faults = Scenario::parse(&UPLINK.replace(from, to)).expect_err("faulty").0.join("; ");
+        let faults = Scenario::parse(&UPLINK.replace(from, to))
+            .expect_err("faulty")
+            .0
+            .join("; ");
         assert!(faults.contains(told), "{to}: {faults}");
     }
-    let roll =
-        |from: &str, to: &str| Scenario::parse(&ROLL.replace(from, to)).expect_err("faulty").0.join("; ");
+    let roll = |from: &str, to: &str| {
+        Scenario::parse(&ROLL.replace(from, to))
+            .expect_err("faulty")
+            .0
+            .join("; ")
+    };
     let every: Vec<u32> = (0..40).collect();
     let none_is_there = roll("added = [39]", &format!("added = {every:?}"));
     assert!(
@@ -197,11 +302,31 @@
     );
     for (from, to, told) in [
         ("step_s = 12", "step_s = -1", "step_s: not below 0"),
-        ("weights = [[3, 2.0], [4, 0.5]]", "weights = [[3, 0.0]]", "weights: parts above 0"),
-        ("weights = [[3, 2.0], [4, 0.5]]", "weights = [[40, 1.0]]", "weights: there is no 40 of 40"),
-        ("removed = [7]", "removed = [40]", "removed: there is no 40 of 40"),
-        ("balancers = [0, 1]", "balancers = [5]", "balancers: there is no 5 of 5"),
-        ("affinity = true", "", "peers-cut: the balancers of the scenario don't talk"),
+        (
+            "weights = [[3, 2.0], [4, 0.5]]",
+            "weights = [[3, 0.0]]",
+            "weights: parts above 0",
+        ),
+        (
+            "weights = [[3, 2.0], [4, 0.5]]",
+            "weights = [[40, 1.0]]",
+            "weights: there is no 40 of 40",
+        ),
+        (
+            "removed = [7]",
+            "removed = [40]",
+            "removed: there is no 40 of 40",
+        ),
+        (
+            "balancers = [0, 1]",
+            "balancers = [5]",
+            "balancers: there is no 5 of 5",
+        ),
+        (
+            "affinity = true",
+            "",
+            "peers-cut: the balancers of the scenario don't talk",
+        ),
     ] {
         let faults = roll(from, to);
         assert!(faults.contains(told), "{to}: {faults}");
--- a/lab/tests/model.rs
+++ b/lab/tests/model.rs
@@ -60,15 +60,20 @@
             ..Make::default()
         };
         let gateway = std::cell::RefCell::new(Gateway::new(make, 0, true));
-        let begin = |now, id, chance: &mut Chance| match gateway.borrow_mut().offer(now, id, chance) {
+        let begin = |now, id, chance: &mut Chance| match gateway.borrow_mut().offer(now, id, chance)
+        {
             Offer::Until(at) => Some(at),
             Offer::Waits => None,
             Offer::Full => panic!("there is room"),
         };
-        let (wait, _) =
-            mean_wait(rate, 2_000, begin, |now, chance| gateway.borrow_mut().set_up_done(now, chance));
+        let (wait, _) = mean_wait(rate, 2_000, begin, |now, chance| {
+            gateway.borrow_mut().set_up_done(now, chance)
+        });
         let due = erlang_c(4, rate, 0.008);
-        assert!((wait / due - 1.0).abs() < 0.05, "{rate} a second: {wait} s for {due} s");
+        assert!(
+            (wait / due - 1.0).abs() < 0.05,
+            "{rate} a second: {wait} s for {due} s"
+        );
     }
 }
 
@@ -76,23 +81,40 @@
 fn a_store_waits_as_erlang_says_and_gives_its_most_when_saturated() {
     let store = std::cell::RefCell::new(Store::new(10, 0.01));
     let begin = |now, id, chance: &mut Chance| store.borrow_mut().call(now, id, chance);
-    let (wait, _) = mean_wait(900.0, 1_000, begin, |now, chance| store.borrow_mut().ended(now, chance));
+    let (wait, _) = mean_wait(900.0, 1_000, begin, |now, chance| {
+        store.borrow_mut().ended(now, chance)
+    });
     let due = erlang_c(10, 900.0, 0.01);
     assert!((wait / due - 1.0).abs() < 0.05, "{wait} s for {due} s");
     let store = std::cell::RefCell::new(Store::new(10, 0.01));
     let begin = |now, id, chance: &mut Chance| store.borrow_mut().call(now, id, chance);
-    let (_, ended) = mean_wait(3_000.0, 60, begin, |now, chance| store.borrow_mut().ended(now, chance));
+    let (_, ended) = mean_wait(3_000.0, 60, begin, |now, chance| {
+        store.borrow_mut().ended(now, chance)
+    });
     let most = store.borrow().most_per_second();
-    assert!((ended / most - 1.0).abs() < 0.02, "{ended} a second for {most}");
+    assert!(
+        (ended / most - 1.0).abs() < 0.02,
+        "{ended} a second for {most}"
+    );
 }
 
 #[test]
 fn a_cold_gateway_warms_up_on_a_straight_ramp() {
-    let make = Make { cores: 2, speed: 1.5, cold_share: 0.2, cold_s: 20.0, ..Make::default() };
+    let make = Make {
+        cores: 2,
+        speed: 1.5,
+        cold_share: 0.2,
+        cold_s: 20.0,
+        ..Make::default()
+    };
     let gateway = Gateway::new(make, 5 * SECOND, false);
     for (at, share) in [(5, 0.2), (10, 0.4), (15, 0.6), (25, 1.0), (100, 1.0)] {
         let capacity = gateway.capacity(at * SECOND);
-        assert!((capacity - 3e6 * share).abs() < 1.0, "{capacity} after {} s", at - 5);
+        assert!(
+            (capacity - 3e6 * share).abs() < 1.0,
+            "{capacity} after {} s",
+            at - 5
+        );
     }
 }
 
@@ -107,13 +129,23 @@
         ..Make::default()
     };
     let mut gateway = Gateway::new(make, 0, false);
-    gateway.stands(0, 1, Standing { load: 600_000.0, group: None });
+    gateway.stands(
+        0,
+        1,
+        Standing {
+            load: 600_000.0,
+            group: None,
+        },
+    );
     // Capacity is 0.2 + 0.08 t of a core: 0.6 is reached after 5 s, and until then 0.4 t - 0.04 t^2 is piled up.
     for at in 1..=5_u64 {
         (1..=100).for_each(|part| gateway.advance((at - 1) * SECOND + part * SECOND / 100));
         let t = at as f64;
         let piled = gateway.piled_s(at * SECOND) * gateway.capacity(at * SECOND);
-        assert!((piled - (0.4 * t - 0.04 * t * t) * 1e6).abs() < 10.0, "{piled} after {at} s");
+        assert!(
+            (piled - (0.4 * t - 0.04 * t * t) * 1e6).abs() < 10.0,
+            "{piled} after {at} s"
+        );
     }
     // Worked off by the area above 0.6: another 5 s.
     (501..=1_100).for_each(|part| gateway.advance(part * SECOND / 100));
@@ -122,9 +154,21 @@
 
 #[test]
 fn messages_are_answered_in_time_as_in_a_queue_with_one_server() {
-    let make = Make { cores: 1, message_us: 1_000.0, group_us: 0.0, ..Make::default() };
+    let make = Make {
+        cores: 1,
+        message_us: 1_000.0,
+        group_us: 0.0,
+        ..Make::default()
+    };
     let mut gateway = Gateway::new(make, 0, true);
-    gateway.stands(0, 1, Standing { load: 900_000.0, group: None });
+    gateway.stands(
+        0,
+        1,
+        Standing {
+            load: 900_000.0,
+            group: None,
+        },
+    );
     // 1,000 a second at most, 900 asked for: 1 - e^(-100 x 0.02).
     assert!((gateway.in_time(0, 0.02) - (1.0 - (-2.0_f64).exp())).abs() < 1e-9);
     assert!((gateway.message_s(0) - 0.01).abs() < 1e-9);
@@ -134,8 +178,25 @@
 
 #[test]
 fn a_group_is_paid_for_once_and_what_ends_leaves_nothing_behind() {
-    let mut gateway = Gateway::new(Make { cores: 1, group_us: 50_000.0, ..Make::default() }, 0, true);
-    (0..10).for_each(|id| gateway.stands(0, id, Standing { load: 10_000.0, group: Some(id as u32 % 2) }));
+    let mut gateway = Gateway::new(
+        Make {
+            cores: 1,
+            group_us: 50_000.0,
+            ..Make::default()
+        },
+        0,
+        true,
+    );
+    (0..10).for_each(|id| {
+        gateway.stands(
+            0,
+            id,
+            Standing {
+                load: 10_000.0,
+                group: Some(id as u32 % 2),
+            },
+        )
+    });
     assert!((gateway.load(0) - 0.2).abs() < 1e-9);
     assert!((0..10).all(|id| gateway.ends(SECOND, id)) && !gateway.ends(SECOND, 3));
     assert!(gateway.load(SECOND).abs() < 1e-9 && gateway.standing() == 0);
@@ -143,9 +204,31 @@
 
 #[test]
 fn an_overrun_gateway_sheds_its_heaviest_until_the_rest_fits() {
-    let make = Make { cores: 1, group_us: 0.0, sheds_after_s: 1.0, ..Make::default() };
+    let make = Make {
+        cores: 1,
+        group_us: 0.0,
+        sheds_after_s: 1.0,
+        ..Make::default()
+    };
     let mut gateway = Gateway::new(make, 0, true);
-    (0..20).for_each(|id| gateway.stands(0, id, Standing { load: 10_000.0 * id as f64, group: None }));
-    assert_eq!(gateway.sheds(SECOND), Vec::<u64>::new(), "not enough is piled up");
-    assert_eq!(gateway.sheds(2 * SECOND), [19, 18, 17, 16, 15, 14], "0.9 of a core too much");
+    (0..20).for_each(|id| {
+        gateway.stands(
+            0,
+            id,
+            Standing {
+                load: 10_000.0 * id as f64,
+                group: None,
+            },
+        )
+    });
+    assert_eq!(
+        gateway.sheds(SECOND),
+        Vec::<u64>::new(),
+        "not enough is piled up"
+    );
+    assert_eq!(
+        gateway.sheds(2 * SECOND),
+        [19, 18, 17, 16, 15, 14],
+        "0.9 of a core too much"
+    );
 }
--- a/lab/tests/runs.rs
+++ b/lab/tests/runs.rs
@@ -32,12 +32,26 @@
 #[test]
 fn the_scenarios_that_come_with_it_keep_every_rule_and_serve() {
     // Under resets most clients come late today (docs/design/lab.md).
-    for (name, text, least) in [("hang", HANG, 0.95), ("resets", RESETS, 0.1), ("flood", FLOOD, 0.95)] {
+    for (name, text, least) in [
+        ("hang", HANG, 0.95),
+        ("resets", RESETS, 0.1),
+        ("flood", FLOOD, 0.95),
+    ] {
         let scenario = Scenario::parse(text).expect("sound");
         let engine = play(&scenario);
         assert_eq!(engine.checker.broken(), [], "{name}");
-        for served in engine.measures.classes.iter().chain(&engine.measures.accounts) {
-            assert!(served.part() >= least, "{name}, {}: {:.3} in time", served.name, served.part());
+        for served in engine
+            .measures
+            .classes
+            .iter()
+            .chain(&engine.measures.accounts)
+        {
+            assert!(
+                served.part() >= least,
+                "{name}, {}: {:.3} in time",
+                served.name,
+                served.part()
+            );
         }
     }
 }
@@ -59,8 +73,13 @@
             "line 22: store-stalled: the scenario has no store",
         ]
     );
-    let error = Scenario::parse("seconds = 10\nbalancer = 1\n").expect_err("faulty").0;
-    assert!(error[0].starts_with("line 2: unknown field `balancer`"), "{error:?}");
+    let error = Scenario::parse("seconds = 10\nbalancer = 1\n")
+        .expect_err("faulty")
+        .0;
+    assert!(
+        error[0].starts_with("line 2: unknown field `balancer`"),
+        "{error:?}"
+    );
 }
 
 #[test]
@@ -69,9 +88,16 @@
     for policy in ["round-robin", "least-connections", "random-of-two"] {
         let policy: Policy = policy.parse().expect("a name");
         let figures = figures(&scenario, policy);
-        assert!(figures.broken == 0 && figures.in_time > 0.5, "{policy}: {figures:?}");
+        assert!(
+            figures.broken == 0 && figures.in_time > 0.5,
+            "{policy}: {figures:?}"
+        );
     }
-    assert!("first-fit".parse::<Policy>().is_err_and(|why| why.contains("random-of-two")));
+    assert!(
+        "first-fit"
+            .parse::<Policy>()
+            .is_err_and(|why| why.contains("random-of-two"))
+    );
 }
 
 #[test]
@@ -79,15 +105,28 @@
     let scenario = Scenario::parse(&HANG.replace("seconds = 60", "seconds = 40")).expect("sound");
     let sides = |other| [(&scenario, Policy::Beaconflow), (&scenario, other)];
     let same = pairs(sides(Policy::Beaconflow), 1..5, |_| ());
-    assert!(same.iter().all(|[one, other]| one == other), "the same seeds give the same runs");
+    assert!(
+        same.iter().all(|[one, other]| one == other),
+        "the same seeds give the same runs"
+    );
     let plain = pairs(sides(Policy::RoundRobin), 1..5, |_| ());
-    let in_time: Vec<(f64, f64)> = plain.iter().map(|[one, other]| (one.in_time, other.in_time)).collect();
+    let in_time: Vec<(f64, f64)> = plain
+        .iter()
+        .map(|[one, other]| (one.in_time, other.in_time))
+        .collect();
     let (mean, low, high) = difference(&in_time, 1);
     assert!(
         low <= mean && mean <= high && high < 0.0,
         "plain turns go on to the hung gateway: {mean} {low} {high}"
     );
-    let noise = [(1.0, 1.1), (1.0, 0.9), (1.0, 1.05), (1.0, 0.95), (1.0, 1.02), (1.0, 0.98)];
+    let noise = [
+        (1.0, 1.1),
+        (1.0, 0.9),
+        (1.0, 1.05),
+        (1.0, 0.95),
+        (1.0, 1.02),
+        (1.0, 0.98),
+    ];
     let (_, low, high) = difference(&noise, 1);
     assert!(low < 0.0 && high > 0.0);
 }
@@ -99,10 +138,20 @@
         match kind {
             0 => format!("{}for_s = {span}\ngateways = [{which}]\n", head("hang")),
             1 => format!("{}for_s = {span}\ngateways = [{which}]\n", head("crash")),
-            2 => format!("{}gone_after_s = {span}\nfor_s = 3\ngateways = [{which}]\n", head("drain")),
-            3 => format!("{}for_s = {span}\npart_a_second = 0.05\nset_ups = 0.1\n", head("resets")),
+            2 => format!(
+                "{}gone_after_s = {span}\nfor_s = 3\ngateways = [{which}]\n",
+                head("drain")
+            ),
+            3 => format!(
+                "{}for_s = {span}\npart_a_second = 0.05\nset_ups = 0.1\n",
+                head("resets")
+            ),
             4 => format!("{}for_s = {span}\n", head("store-stalled")),
-            5 => format!("{}for_s = {span}\nbalancer = {}\n", head("balancer-killed"), which % 2),
+            5 => format!(
+                "{}for_s = {span}\nbalancer = {}\n",
+                head("balancer-killed"),
+                which % 2
+            ),
             6 => format!("{}for_s = {span}\n", head("discovery-away")),
             _ => format!("{}within_s = 0.5\npart = 0.5\n", head("reconnect")),
         }
@@ -146,7 +195,10 @@
         let scenario = Scenario::parse(&text).expect("sound");
         let engine = play(&scenario);
         assert_eq!(engine.checker.broken(), [], "{kind}");
-        let stood: u64 = engine.measures.seconds[3..7].iter().map(|second| second.stood).sum();
+        let stood: u64 = engine.measures.seconds[3..7]
+            .iter()
+            .map(|second| second.stood)
+            .sum();
         assert_eq!(stood, 0, "{kind}: between the ends of the two");
     }
 }
--- a/overrides/benches/effects.rs
+++ b/overrides/benches/effects.rs
@@ -17,15 +17,26 @@
     for id in 1..=count {
         let server = format!("server-{id}");
         let kind = match id % 3 {
-            0 => Kind::Out { server, moves_per_s: None },
-            1 => Kind::Weight { server, factor: 0.5 },
+            0 => Kind::Out {
+                server,
+                moves_per_s: None,
+            },
+            1 => Kind::Weight {
+                server,
+                factor: 0.5,
+            },
             _ => Kind::Pin {
                 subject: Subject::Group(format!("group-{id}")),
                 server,
                 strictness: Strictness::Prefer,
             },
         };
-        let draft = Draft { kind, who: "w".into(), why: "y".into(), expires_at: NOW * 2 };
+        let draft = Draft {
+            kind,
+            who: "w".into(),
+            why: "y".into(),
+            expires_at: NOW * 2,
+        };
         set.put(draft.into_override(Id(id), 1));
     }
     set
@@ -40,14 +51,28 @@
         let mut balancer = Balancer::new(settings(), 7).expect("in range");
         let mut out = Vec::new();
         let entries = (0..100).map(entry).collect();
-        balancer.handle(NOW, Event::List { kind: ListKind::Full, entries }, &mut out);
+        balancer.handle(
+            NOW,
+            Event::List {
+                kind: ListKind::Full,
+                entries,
+            },
+            &mut out,
+        );
         let (mut next, tenant) = (0, digest("acme"));
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
                 next += 1;
                 out.clear();
-                let pin = if set.has_pins() { set.pin(Some(next), Some(tenant), NOW) } else { None };
-                let pin = black_box(pin).map(|_| Pin { server: None, strict: false });
+                let pin = if set.has_pins() {
+                    set.pin(Some(next), Some(tenant), NOW)
+                } else {
+                    None
+                };
+                let pin = black_box(pin).map(|_| Pin {
+                    server: None,
+                    strict: false,
+                });
                 let request = RequestId(next);
                 let arrival = Arrival {
                     request,
@@ -60,9 +85,21 @@
                     pin,
                 };
                 balancer.handle(NOW, Event::Arrived(arrival), &mut out);
-                balancer.handle(NOW, Event::Established { request, attempt: 0 }, &mut out);
-                let ended =
-                    Event::Ended { request, attempt: 0, outcome: Outcome::Served, took: 1, closed: true };
+                balancer.handle(
+                    NOW,
+                    Event::Established {
+                        request,
+                        attempt: 0,
+                    },
+                    &mut out,
+                );
+                let ended = Event::Ended {
+                    request,
+                    attempt: 0,
+                    outcome: Outcome::Served,
+                    took: 1,
+                    closed: true,
+                };
                 balancer.handle(NOW, ended, &mut out);
                 out.len()
             });
@@ -72,8 +109,13 @@
 }
 
 fn settings() -> Settings {
-    let class =
-        Class { aim: 400_000_000, deadline: 3_000_000_000, repeat: Repeat::Safe, message_aim: 0, worth: 1.0 };
+    let class = Class {
+        aim: 400_000_000,
+        deadline: 3_000_000_000,
+        repeat: Repeat::Safe,
+        message_aim: 0,
+        worth: 1.0,
+    };
     Settings {
         gateways: 1,
         rank: 0,
@@ -88,7 +130,13 @@
             may_probe: false,
             connect_timeout: 200_000_000,
         },
-        rules: Rules { cold_share: 0.2, cold_time: 1, tip_multiple: 3.0, fall_time: 1, ask_within: 0 },
+        rules: Rules {
+            cold_share: 0.2,
+            cold_time: 1,
+            tip_multiple: 3.0,
+            fall_time: 1,
+            ask_within: 0,
+        },
         prices: Prices::default(),
     }
 }
@@ -114,7 +162,10 @@
         let set = set(count);
         arrivals.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             let (group, tenant) = (Some(digest("group-5")), Some(digest("acme")));
-            bencher.iter(|| set.has_pins().then(|| black_box(set.pin(black_box(group), tenant, NOW))));
+            bencher.iter(|| {
+                set.has_pins()
+                    .then(|| black_box(set.pin(black_box(group), tenant, NOW)))
+            });
         });
     }
     arrivals.finish();
@@ -123,13 +174,20 @@
     for count in [0, 1_000, 10_000] {
         let set = set(count);
         lists.bench_function(BenchmarkId::from_parameter(count), |bencher| {
-            bencher.iter(|| names.iter().filter(|name| set.server(black_box(name), NOW).out).count());
+            bencher.iter(|| {
+                names
+                    .iter()
+                    .filter(|name| set.server(black_box(name), NOW).out)
+                    .count()
+            });
         });
     }
     lists.finish();
     let mut others = criterion.benchmark_group("with 10000 overrides");
     let whole = set(10_000);
-    others.bench_function("next change", |bencher| bencher.iter(|| whole.next_change(black_box(NOW))));
+    others.bench_function("next change", |bencher| {
+        bencher.iter(|| whole.next_change(black_box(NOW)))
+    });
     others.bench_function("effect of one", |bencher| {
         bencher.iter(|| whole.effect(black_box(Id(5_000)), Listed::Ready, NOW));
     });
@@ -140,7 +198,9 @@
 }
 
 fn main() {
-    let mut criterion = Criterion::default().measurement_time(Duration::from_secs(2)).configure_from_args();
+    let mut criterion = Criterion::default()
+        .measurement_time(Duration::from_secs(2))
+        .configure_from_args();
     benches(&mut criterion);
     criterion.final_summary();
 }
--- a/overrides/src/clock.rs
+++ b/overrides/src/clock.rs
@@ -22,8 +22,9 @@
 impl StepWatch {
     /// Compares the clocks; a step that has not been told yet comes back once.
     pub fn look(&mut self, program: Millis, wall: Millis) -> Option<Step> {
-        let ahead_by =
-            wall.checked_signed_diff(program).unwrap_or(if wall > program { i64::MAX } else { i64::MIN });
+        let ahead_by = wall
+            .checked_signed_diff(program)
+            .unwrap_or(if wall > program { i64::MAX } else { i64::MIN });
         if ahead_by.abs_diff(self.ahead_by) < TOLERANCE {
             return None;
         }
@@ -52,5 +53,9 @@
 /// lasts longer from now than it was granted in all. Says by how much it had to be cut.
 pub fn bounded_expiry(one: &Override, now: Millis) -> (Millis, Option<Millis>) {
     let latest = now.saturating_add(one.expires_at.saturating_sub(one.created_at));
-    if one.expires_at > latest { (latest, Some(one.expires_at - latest)) } else { (one.expires_at, None) }
+    if one.expires_at > latest {
+        (latest, Some(one.expires_at - latest))
+    } else {
+        (one.expires_at, None)
+    }
 }
--- a/overrides/src/effect.rs
+++ b/overrides/src/effect.rs
@@ -20,7 +20,11 @@
 
 impl Standing {
     /// No override concerns it.
-    pub const AS_LISTED: Standing = Standing { out: false, factor: 1.0, to: 1.0 };
+    pub const AS_LISTED: Standing = Standing {
+        out: false,
+        factor: 1.0,
+        to: 1.0,
+    };
 }
 
 /// What is listed under a server's name.
@@ -78,8 +82,14 @@
 
     /// What it finds at fault beyond another one.
     pub fn beyond(&self, before: &Judgement) -> Judgement {
-        let zones = self.zones.iter().filter(|zone| !before.zones.contains(zone));
-        Judgement { whole_farm: self.whole_farm && !before.whole_farm, zones: zones.cloned().collect() }
+        let zones = self
+            .zones
+            .iter()
+            .filter(|zone| !before.zones.contains(zone));
+        Judgement {
+            whole_farm: self.whole_farm && !before.whole_farm,
+            zones: zones.cloned().collect(),
+        }
     }
 }
 
@@ -94,12 +104,20 @@
 }
 
 /// Looks for places without a ready server, among those that are listed as ready: name and zone of each.
-pub fn judge<'a>(ready: impl Iterator<Item = (&'a str, &'a str)>, set: &Set, now: Millis) -> Judgement {
+pub fn judge<'a>(
+    ready: impl Iterator<Item = (&'a str, &'a str)>,
+    set: &Set,
+    now: Millis,
+) -> Judgement {
     let mut left: BTreeMap<&str, bool> = BTreeMap::new();
     for (name, zone) in ready {
         *left.entry(zone).or_default() |= !set.server(name, now).out;
     }
     let whole_farm = !left.is_empty() && left.values().all(|any| !any);
-    let zones = left.into_iter().filter(|(_, any)| !any).map(|(zone, _)| zone.to_owned()).collect();
+    let zones = left
+        .into_iter()
+        .filter(|(_, any)| !any)
+        .map(|(zone, _)| zone.to_owned())
+        .collect();
     Judgement { whole_farm, zones }
 }
--- a/overrides/src/kind.rs
+++ b/overrides/src/kind.rs
@@ -88,7 +88,8 @@
 impl Kind {
     /// The server that it names.
     pub fn server(&self) -> &str {
-        let (Kind::Out { server, .. } | Kind::Weight { server, .. } | Kind::Pin { server, .. }) = self;
+        let (Kind::Out { server, .. } | Kind::Weight { server, .. } | Kind::Pin { server, .. }) =
+            self;
         server
     }
 
@@ -115,7 +116,11 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { longest: 7 * 24 * 3_600_000, most: 10_000, ramp: 30_000 }
+        Limits {
+            longest: 7 * 24 * 3_600_000,
+            most: 10_000,
+            ramp: 30_000,
+        }
     }
 }
 
@@ -130,7 +135,10 @@
 
 impl Fault {
     fn new(field: &'static str, why: impl Into<String>) -> Fault {
-        Fault { field, why: why.into() }
+        Fault {
+            field,
+            why: why.into(),
+        }
     }
 }
 
@@ -159,7 +167,10 @@
         let mut faults = Vec::new();
         let mut text = |field, text: &str, most: usize| {
             if !(1..=most).contains(&text.len()) || text.chars().any(char::is_control) {
-                faults.push(Fault::new(field, format!("1 to {most} bytes, no control characters")));
+                faults.push(Fault::new(
+                    field,
+                    format!("1 to {most} bytes, no control characters"),
+                ));
             }
         };
         text("who", &self.who, LONGEST_NAME);
@@ -173,18 +184,30 @@
             Kind::Weight { factor, .. } if !FACTORS.contains(factor) => {
                 faults.push(Fault::new("factor", "from 0.001 to 100"));
             }
-            Kind::Out { moves_per_s: Some(rate), .. } if !MOVES.contains(rate) => {
+            Kind::Out {
+                moves_per_s: Some(rate),
+                ..
+            } if !MOVES.contains(rate) => {
                 faults.push(Fault::new("moves_per_s", "from 0.01 to 10000"));
             }
             Kind::Weight { .. } | Kind::Out { .. } => {}
         }
         faults.extend(check_expiry(self.expires_at, now, limits).err());
-        if faults.is_empty() { Ok(()) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(())
+        } else {
+            Err(faults)
+        }
     }
 
     /// The override that it becomes.
     pub fn into_override(self, id: Id, now: Millis) -> Override {
-        let Draft { kind, who, why, expires_at } = self;
+        let Draft {
+            kind,
+            who,
+            why,
+            expires_at,
+        } = self;
         Override {
             id,
             kind,
@@ -207,7 +230,10 @@
     }
     if expires_at - now > limits.longest {
         let most = limits.longest / 1_000;
-        return Err(Fault::new("expires", format!("more than {most} s from now, the longest span here")));
+        return Err(Fault::new(
+            "expires",
+            format!("more than {most} s from now, the longest span here"),
+        ));
     }
     Ok(())
 }
@@ -249,7 +275,9 @@
 impl Override {
     /// When it ended or will end.
     pub fn end(&self) -> Millis {
-        self.removed_at.map_or(self.expires_at, |at| at.min(self.expires_at)).max(self.created_at)
+        self.removed_at
+            .map_or(self.expires_at, |at| at.min(self.expires_at))
+            .max(self.created_at)
     }
 
     /// Whether it holds at that moment.
@@ -258,7 +286,12 @@
     }
 
     /// Changes its expiry.
-    pub fn extend(&mut self, expires_at: Millis, now: Millis, limits: &Limits) -> Result<(), Fault> {
+    pub fn extend(
+        &mut self,
+        expires_at: Millis,
+        now: Millis,
+        limits: &Limits,
+    ) -> Result<(), Fault> {
         check_expiry(expires_at, now, limits)?;
         self.expires_at = expires_at;
         self.revision += 1;
--- a/overrides/src/pace.rs
+++ b/overrides/src/pace.rs
@@ -14,7 +14,11 @@
 impl Pace {
     /// So many a second from now on; the first is due at once.
     pub fn new(rate: f64, now: Millis) -> Pace {
-        Pace { rate, credit: 1.0, at: now }
+        Pace {
+            rate,
+            credit: 1.0,
+            at: now,
+        }
     }
 
     /// Its rate.
@@ -34,6 +38,8 @@
 
     /// How long until the next one is due, if it is asked then.
     pub fn wait(&self) -> Millis {
-        ((1.0 - self.credit).max(0.0) / self.rate * 1_000.0).ceil().max(1.0) as Millis
+        ((1.0 - self.credit).max(0.0) / self.rate * 1_000.0)
+            .ceil()
+            .max(1.0) as Millis
     }
 }
--- a/overrides/src/set.rs
+++ b/overrides/src/set.rs
@@ -45,7 +45,10 @@
 impl Set {
     /// An empty set; weights that rise do so over the span.
     pub fn new(ramp: Millis) -> Set {
-        Set { ramp, ..Set::default() }
+        Set {
+            ramp,
+            ..Set::default()
+        }
     }
 
     /// How many there are, with those that have ended and are still felt.
@@ -87,10 +90,14 @@
             Kind::Out { server, .. } | Kind::Weight { server, .. } => {
                 self.by_server.entry(server.clone()).or_default()
             }
-            Kind::Pin { subject: Subject::Group(name), .. } => self.by_group.entry(digest(name)).or_default(),
-            Kind::Pin { subject: Subject::Tenant(name), .. } => {
-                self.by_tenant.entry(digest(name)).or_default()
-            }
+            Kind::Pin {
+                subject: Subject::Group(name),
+                ..
+            } => self.by_group.entry(digest(name)).or_default(),
+            Kind::Pin {
+                subject: Subject::Tenant(name),
+                ..
+            } => self.by_tenant.entry(digest(name)).or_default(),
         };
         let place = ids.partition_point(|id| *id < one.id);
         ids.insert(place, one.id);
@@ -103,11 +110,19 @@
         self.bounds.remove(&(one.created_at, id));
         self.bounds.remove(&(one.end(), id));
         match &one.kind {
-            Kind::Out { server, .. } | Kind::Weight { server, .. } => strike(&mut self.by_server, server, id),
-            Kind::Pin { subject: Subject::Group(name), .. } => {
+            Kind::Out { server, .. } | Kind::Weight { server, .. } => {
+                strike(&mut self.by_server, server, id)
+            }
+            Kind::Pin {
+                subject: Subject::Group(name),
+                ..
+            } => {
                 strike(&mut self.by_group, &digest(name), id);
             }
-            Kind::Pin { subject: Subject::Tenant(name), .. } => {
+            Kind::Pin {
+                subject: Subject::Tenant(name),
+                ..
+            } => {
                 strike(&mut self.by_tenant, &digest(name), id);
             }
         }
@@ -116,7 +131,10 @@
 
     /// Those whose end is no longer felt.
     pub fn spent(&self, now: Millis) -> Vec<Id> {
-        let ended = self.bounds.iter().take_while(|(at, _)| at.saturating_add(self.ramp) <= now);
+        let ended = self
+            .bounds
+            .iter()
+            .take_while(|(at, _)| at.saturating_add(self.ramp) <= now);
         let spent = |id: &Id| self.all[id].end().saturating_add(self.ramp) <= now;
         let ids: BTreeSet<Id> = ended.map(|(_, id)| *id).filter(spent).collect();
         ids.into_iter().collect()
@@ -127,8 +145,13 @@
         if after >= until {
             return Vec::new();
         }
-        let bounds = self.bounds.range((after + 1, Id(0))..=(until, Id(u64::MAX)));
-        bounds.filter(|(at, id)| self.all[id].end() == *at).map(|(_, id)| *id).collect()
+        let bounds = self
+            .bounds
+            .range((after + 1, Id(0))..=(until, Id(u64::MAX)));
+        bounds
+            .filter(|(at, id)| self.all[id].end() == *at)
+            .map(|(_, id)| *id)
+            .collect()
     }
 
     /// What a server is under the overrides.
@@ -148,24 +171,38 @@
     pub fn moves(&self, name: &str, now: Millis) -> Option<(Id, f64)> {
         let winner = self.winner(self.by_server.get(name)?, now)?;
         match self.all[&winner].kind {
-            Kind::Out { moves_per_s: Some(rate), .. } => Some((winner, rate)),
+            Kind::Out {
+                moves_per_s: Some(rate),
+                ..
+            } => Some((winner, rate)),
             _ => None,
         }
     }
 
     /// Where an arrival goes, by the hashes of its group and tenant. The group's pin comes first: it says more.
     pub fn pin(&self, group: Option<u64>, tenant: Option<u64>, now: Millis) -> Option<Pin<'_>> {
-        let of = |map: &FxHashMap<u64, Vec<Id>>, key: Option<u64>| self.latest(map.get(&key?)?, now);
+        let of =
+            |map: &FxHashMap<u64, Vec<Id>>, key: Option<u64>| self.latest(map.get(&key?)?, now);
         let id = of(&self.by_group, group).or_else(|| of(&self.by_tenant, tenant))?;
         match &self.all[&id].kind {
-            Kind::Pin { server, strictness, .. } => Some(Pin { id, server, strictness: *strictness }),
+            Kind::Pin {
+                server, strictness, ..
+            } => Some(Pin {
+                id,
+                server,
+                strictness: *strictness,
+            }),
             Kind::Out { .. } | Kind::Weight { .. } => None,
         }
     }
 
     /// The next moment at which anything that this set says changes by itself.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
-        let next = self.bounds.range((now.saturating_add(1), Id(0))..).next().map(|(at, _)| *at);
+        let next = self
+            .bounds
+            .range((now.saturating_add(1), Id(0))..)
+            .next()
+            .map(|(at, _)| *at);
         let felt = (now.saturating_sub(self.ramp), Id(u64::MAX));
         let felt = (Bound::Excluded(felt), Bound::Included((now, Id(u64::MAX))));
         let rises = |id: &Id| match &self.all[id].kind {
@@ -192,12 +229,16 @@
             Kind::Out { server, .. } | Kind::Weight { server, .. } => {
                 (self.winner(&self.by_server[server], now), server)
             }
-            Kind::Pin { subject: Subject::Group(name), server, .. } => {
-                (self.latest(&self.by_group[&digest(name)], now), server)
-            }
-            Kind::Pin { subject: Subject::Tenant(name), server, .. } => {
-                (self.latest(&self.by_tenant[&digest(name)], now), server)
-            }
+            Kind::Pin {
+                subject: Subject::Group(name),
+                server,
+                ..
+            } => (self.latest(&self.by_group[&digest(name)], now), server),
+            Kind::Pin {
+                subject: Subject::Tenant(name),
+                server,
+                ..
+            } => (self.latest(&self.by_tenant[&digest(name)], now), server),
         };
         let is_pin = matches!(one.kind, Kind::Pin { .. });
         Some(match (winner, listed) {
@@ -217,7 +258,12 @@
     /// The one that holds for a server: the latest `out`, else the latest weight.
     fn winner(&self, ids: &[Id], now: Millis) -> Option<Id> {
         let is_out = |id: &Id| matches!(self.all[id].kind, Kind::Out { .. });
-        let holding = || ids.iter().rev().copied().filter(|id| self.all[id].holds(now));
+        let holding = || {
+            ids.iter()
+                .rev()
+                .copied()
+                .filter(|id| self.all[id].holds(now))
+        };
         holding().find(is_out).or_else(|| holding().next())
     }
 
@@ -235,7 +281,11 @@
     fn standing(&self, ids: &[Id], now: Millis) -> Standing {
         let to = self.target(ids, now);
         if to == 0.0 {
-            return Standing { out: true, factor: 0.0, to: 0.0 };
+            return Standing {
+                out: true,
+                factor: 0.0,
+                to: 0.0,
+            };
         }
         let mut factor = to;
         for id in ids {
@@ -251,7 +301,11 @@
                 }
             }
         }
-        Standing { out: false, factor: factor.max(to * FIRST_PART), to }
+        Standing {
+            out: false,
+            factor: factor.max(to * FIRST_PART),
+            to,
+        }
     }
 }
 
--- a/overrides/tests/model.rs
+++ b/overrides/tests/model.rs
@@ -21,13 +21,16 @@
 
 impl Model {
     fn latest(&self, at: Millis, fits: impl Fn(&Override) -> bool) -> Option<&Override> {
-        self.all.iter().filter(|one| one.holds(at) && fits(one)).max_by_key(|one| one.id)
+        self.all
+            .iter()
+            .filter(|one| one.holds(at) && fits(one))
+            .max_by_key(|one| one.id)
     }
 
     fn winner(&self, server: &str, at: Millis) -> Option<&Override> {
-        let out = |one: &Override| matches!(&one.kind, Kind::Out { server: name, .. } if name == server);
-        let weight =
-            |one: &Override| matches!(&one.kind, Kind::Weight { server: name, .. } if name == server);
+        let out =
+            |one: &Override| matches!(&one.kind, Kind::Out { server: name, .. } if name == server);
+        let weight = |one: &Override| matches!(&one.kind, Kind::Weight { server: name, .. } if name == server);
         self.latest(at, out).or_else(|| self.latest(at, weight))
     }
 
@@ -42,7 +45,11 @@
     fn server(&self, server: &str, now: Millis) -> Standing {
         let to = self.target(server, now);
         if to == 0.0 {
-            return Standing { out: true, factor: 0.0, to: 0.0 };
+            return Standing {
+                out: true,
+                factor: 0.0,
+                to: 0.0,
+            };
         }
         let mut factor = to;
         for at in (now + 1).saturating_sub(self.ramp).max(1)..=now {
@@ -52,25 +59,41 @@
                 factor = factor.min(before + (to - before) * (steps / 20.0));
             }
         }
-        Standing { out: false, factor: factor.max(to * 0.1), to }
+        Standing {
+            out: false,
+            factor: factor.max(to * 0.1),
+            to,
+        }
     }
 
     fn pin(&self, group: &str, tenant: &str, now: Millis) -> Option<(Id, String, Strictness)> {
         let of = |wanted: Subject| {
-            self.latest(now, |one| matches!(&one.kind, Kind::Pin { subject, .. } if *subject == wanted))
+            self.latest(
+                now,
+                |one| matches!(&one.kind, Kind::Pin { subject, .. } if *subject == wanted),
+            )
         };
-        let one = of(Subject::Group(group.into())).or_else(|| of(Subject::Tenant(tenant.into())))?;
+        let one =
+            of(Subject::Group(group.into())).or_else(|| of(Subject::Tenant(tenant.into())))?;
         match &one.kind {
-            Kind::Pin { server, strictness, .. } => Some((one.id, server.clone(), *strictness)),
+            Kind::Pin {
+                server, strictness, ..
+            } => Some((one.id, server.clone(), *strictness)),
             _ => None,
         }
     }
 
     /// All that can be seen at a moment.
     fn seen(&self, now: Millis) -> Vec<String> {
-        let servers = SERVERS.iter().map(|server| format!("{:?}", self.server(server, now)));
-        let pins = NAMES.iter().flat_map(|group| NAMES.iter().map(move |tenant| (group, tenant)));
-        servers.chain(pins.map(|(group, tenant)| format!("{:?}", self.pin(group, tenant, now)))).collect()
+        let servers = SERVERS
+            .iter()
+            .map(|server| format!("{:?}", self.server(server, now)));
+        let pins = NAMES
+            .iter()
+            .flat_map(|group| NAMES.iter().map(move |tenant| (group, tenant)));
+        servers
+            .chain(pins.map(|(group, tenant)| format!("{:?}", self.pin(group, tenant, now))))
+            .collect()
     }
 }
 
@@ -79,13 +102,26 @@
     let name = || prop::sample::select(NAMES.as_slice()).prop_map(str::to_owned);
     let strictness = prop_oneof![Just(Strictness::Prefer), Just(Strictness::Strict)];
     prop_oneof![
-        server().prop_map(|server| Kind::Out { server, moves_per_s: None }),
+        server().prop_map(|server| Kind::Out {
+            server,
+            moves_per_s: None
+        }),
         (server(), prop::sample::select(vec![0.25, 0.5, 2.0, 4.0]))
             .prop_map(|(server, factor)| Kind::Weight { server, factor }),
-        (name(), any::<bool>(), server(), strictness).prop_map(|(name, group, server, strictness)| {
-            let subject = if group { Subject::Group(name) } else { Subject::Tenant(name) };
-            Kind::Pin { subject, server, strictness }
-        }),
+        (name(), any::<bool>(), server(), strictness).prop_map(
+            |(name, group, server, strictness)| {
+                let subject = if group {
+                    Subject::Group(name)
+                } else {
+                    Subject::Tenant(name)
+                };
+                Kind::Pin {
+                    subject,
+                    server,
+                    strictness,
+                }
+            }
+        ),
     ]
 }
 
@@ -117,16 +153,27 @@
 }
 
 fn limits() -> Limits {
-    Limits { longest: 1_000, most: 100, ramp: 0 }
+    Limits {
+        longest: 1_000,
+        most: 100,
+        ramp: 0,
+    }
 }
 
 /// The set's own view of all that the model sees.
 fn seen(set: &Set, now: Millis) -> Vec<String> {
-    let servers = SERVERS.iter().map(|server| format!("{:?}", set.server(server, now)));
-    let pins = NAMES.iter().flat_map(|group| NAMES.iter().map(move |tenant| (group, tenant)));
+    let servers = SERVERS
+        .iter()
+        .map(|server| format!("{:?}", set.server(server, now)));
+    let pins = NAMES
+        .iter()
+        .flat_map(|group| NAMES.iter().map(move |tenant| (group, tenant)));
     let pin = |(group, tenant): (&&str, &&str)| {
         let pin = set.pin(Some(digest(group)), Some(digest(tenant)), now);
-        format!("{:?}", pin.map(|pin| (pin.id, pin.server.to_owned(), pin.strictness)))
+        format!(
+            "{:?}",
+            pin.map(|pin| (pin.id, pin.server.to_owned(), pin.strictness))
+        )
     };
     servers.chain(pins.map(pin)).collect()
 }
@@ -134,7 +181,12 @@
 fn act(set: &mut Set, model: &mut Model, next: &mut u64, now: Millis, deed: Deed) {
     match deed {
         Deed::Add(kind, span) => {
-            let draft = Draft { kind, who: "w".into(), why: "y".into(), expires_at: now + span };
+            let draft = Draft {
+                kind,
+                who: "w".into(),
+                why: "y".into(),
+                expires_at: now + span,
+            };
             draft.check(now, &limits()).expect("a sound draft");
             let one = draft.into_override(Id(*next), now);
             *next += 1;
--- a/peers/examples/cpu.rs
+++ b/peers/examples/cpu.rs
@@ -10,13 +10,26 @@
 /// Of this process until now, in ticks of a hundredth of a second.
 fn ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").expect("on Linux");
-    let fields: Vec<_> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-    fields[11..=12].iter().filter_map(|field| field.parse::<u64>().ok()).sum()
+    let fields: Vec<_> = stat
+        .rsplit(") ")
+        .next()
+        .unwrap_or_default()
+        .split(' ')
+        .collect();
+    fields[11..=12]
+        .iter()
+        .filter_map(|field| field.parse::<u64>().ok())
+        .sum()
 }
 
 fn main() {
-    let sockets: Vec<_> = (0..5).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-    let seeds: Vec<_> = sockets.iter().map(|socket| socket.local_addr().expect("bound")).collect();
+    let sockets: Vec<_> = (0..5)
+        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+        .collect();
+    let seeds: Vec<_> = sockets
+        .iter()
+        .map(|socket| socket.local_addr().expect("bound"))
+        .collect();
     let start = Instant::now();
     let handles: Vec<_> = sockets
         .into_iter()
@@ -31,17 +44,35 @@
                 configuration: Configuration::default(),
                 seeds: seeds.clone(),
             };
-            let node =
-                Node::new(profile, keys(1), Settings::default(), Silent::default()).expect("a good profile");
+            let node = Node::new(profile, keys(1), Settings::default(), Silent::default())
+                .expect("a good profile");
             let clock = move || start.elapsed().as_millis() as Millis;
-            spawn(node, Udp::new(socket), clock, crossbeam_channel::unbounded().0).expect("a thread")
+            spawn(
+                node,
+                Udp::new(socket),
+                clock,
+                crossbeam_channel::unbounded().0,
+            )
+            .expect("a thread")
         })
         .collect();
     std::thread::sleep(Duration::from_secs(2));
     let (before, sent) = (ticks(), handles[0].counts());
     std::thread::sleep(Duration::from_secs(10));
     let after = handles[0].counts();
-    println!("five nodes: {} ms of a core in 10 s together", (ticks() - before) * 10);
-    println!("each sends {} bytes/s", (after.sent_bytes - sent.sent_bytes) / 10);
-    println!("members known: {:?}", handles.iter().map(|handle| handle.members().len()).collect::<Vec<_>>());
+    println!(
+        "five nodes: {} ms of a core in 10 s together",
+        (ticks() - before) * 10
+    );
+    println!(
+        "each sends {} bytes/s",
+        (after.sent_bytes - sent.sent_bytes) / 10
+    );
+    println!(
+        "members known: {:?}",
+        handles
+            .iter()
+            .map(|handle| handle.members().len())
+            .collect::<Vec<_>>()
+    );
 }
--- a/peers/examples/figures.rs
+++ b/peers/examples/figures.rs
@@ -17,18 +17,30 @@
     let mut fleet = Fleet::new(rules);
     let seeds = [1_000, 1_001, 1_002, 1_003, 1_004];
     for at in 0..n {
-        fleet.add(profile(&format!("balancer-{at:03}"), 1_000 + at, &seeds), Numbers::default());
+        fleet.add(
+            profile(&format!("balancer-{at:03}"), 1_000 + at, &seeds),
+            Numbers::default(),
+        );
     }
     fleet
 }
 
 fn all_know(fleet: &Fleet<Numbers>, others: usize) -> bool {
-    fleet.seats.iter().filter_map(|seat| seat.node.as_ref()).all(|node| node.members().len() == others)
+    fleet
+        .seats
+        .iter()
+        .filter_map(|seat| seat.node.as_ref())
+        .all(|node| node.members().len() == others)
 }
 
 fn shown(took: &mut [Millis]) -> String {
     took.sort_unstable();
-    format!("median {} ms, longest {} ms of {}", took[took.len() / 2], took[took.len() - 1], took.len())
+    format!(
+        "median {} ms, longest {} ms of {}",
+        took[took.len() / 2],
+        took[took.len() - 1],
+        took.len()
+    )
 }
 
 fn time_until(fleet: &mut Fleet<Numbers>, others: usize) -> Millis {
@@ -59,7 +71,10 @@
         }
         println!("{n}: all start, all known: {}", shown(&mut joins));
         println!("{n}: one killed, all know: {}", shown(&mut kills));
-        println!("{n}: two halves after 30 s apart, all known: {}", shown(&mut meets));
+        println!(
+            "{n}: two halves after 30 s apart, all known: {}",
+            shown(&mut meets)
+        );
         facts(n);
         quiet(n, LOST);
         quiet(n, 0);
@@ -73,7 +88,12 @@
     let mut took: Vec<Millis> = (0..100u64)
         .map(|number| {
             let (teller, start) = (number as usize * 7 % usize::from(n), fleet.now);
-            fleet.seats[teller].node.as_mut().expect("lives").body_mut().learn(number);
+            fleet.seats[teller]
+                .node
+                .as_mut()
+                .expect("lives")
+                .body_mut()
+                .learn(number);
             fleet.hand(teller, Input::Say);
             let mut left: Vec<usize> = (0..usize::from(n)).collect();
             assert!(fleet.run_until(30_000, |fleet| {
@@ -94,7 +114,10 @@
     fleet.run_for(30_000);
     let (before, told) = (fleet.counts(), fleet.events.len());
     fleet.run_for(TEN_MINUTES);
-    let downs = fleet.events[told..].iter().filter(|(_, _, event)| matches!(event, Event::Down(_))).count();
+    let downs = fleet.events[told..]
+        .iter()
+        .filter(|(_, _, event)| matches!(event, Event::Down(_)))
+        .count();
     let after = fleet.counts();
     let grown = |of: fn(&beaconflow_peers::Counts) -> u64| {
         let sum: u64 = after.iter().map(of).sum::<u64>() - before.iter().map(of).sum::<u64>();
--- a/peers/src/body.rs
+++ b/peers/src/body.rs
@@ -21,22 +21,32 @@
 /// A body that other threads use too: locked for each call, never across two.
 impl<B: Body> Body for Arc<Mutex<B>> {
     fn rumours(&mut self, room: usize, now: Millis) -> Vec<u8> {
-        self.lock().unwrap_or_else(PoisonError::into_inner).rumours(room, now)
+        self.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .rumours(room, now)
     }
 
     fn summary(&mut self, room: usize, now: Millis) -> Vec<u8> {
-        self.lock().unwrap_or_else(PoisonError::into_inner).summary(room, now)
+        self.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .summary(room, now)
     }
 
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
-        self.lock().unwrap_or_else(PoisonError::into_inner).answer(summary, room, most, now)
+        self.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .answer(summary, room, most, now)
     }
 
     fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
-        self.lock().unwrap_or_else(PoisonError::into_inner).take(from, bytes, now);
+        self.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take(from, bytes, now);
     }
 
     fn members(&mut self, n: usize) {
-        self.lock().unwrap_or_else(PoisonError::into_inner).members(n);
+        self.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .members(n);
     }
 }
--- a/peers/src/codec.rs
+++ b/peers/src/codec.rs
@@ -89,7 +89,11 @@
 impl Codec<Member> for Records {
     type Error = CodecFault;
 
-    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), CodecFault> {
+    fn encode_header(
+        &mut self,
+        header: &Header<Member>,
+        buf: impl BufMut,
+    ) -> Result<(), CodecFault> {
         let (kind, third, probe) = parts(&header.message);
         let record = HeaderRecord {
             from: Some(Identity::whole(&header.src)),
@@ -112,14 +116,25 @@
         })
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), CodecFault> {
+    fn encode_member(
+        &mut self,
+        member: &foca::Member<Member>,
+        buf: impl BufMut,
+    ) -> Result<(), CodecFault> {
         let id = member.id();
         let (identity, state) = match member.state() {
             State::Alive => (Identity::whole(id), 1),
             State::Suspect => (Identity::whole(id), 2),
             State::Down => (Identity::short(id), 3),
         };
-        put(&MemberRecord { member: Some(identity), incarnation: member.incarnation().into(), state }, buf)
+        put(
+            &MemberRecord {
+                member: Some(identity),
+                incarnation: member.incarnation().into(),
+                state,
+            },
+            buf,
+        )
     }
 
     fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, CodecFault> {
@@ -144,20 +159,30 @@
         if member.name != own.me.name || member == own.me {
             return foca::Member::new(member, incarnation, state);
         }
-        let is_later = own.rival.as_ref().is_none_or(|rival| member.rank() > rival.member.rank());
+        let is_later = own
+            .rival
+            .as_ref()
+            .is_none_or(|rival| member.rank() > rival.member.rank());
         if member.born() > own.me.born() && is_later {
-            own.rival = Some(Rival { member, is_there: state != State::Down });
+            own.rival = Some(Rival {
+                member,
+                is_there: state != State::Down,
+            });
         }
         foca::Member::alive(own.me.clone())
     }
 }
 
 fn put(record: &impl Message, mut buf: impl BufMut) -> Result<(), CodecFault> {
-    record.encode_length_delimited(&mut buf).map_err(CodecFault::NoRoom)
+    record
+        .encode_length_delimited(&mut buf)
+        .map_err(CodecFault::NoRoom)
 }
 
 fn known(identity: Option<&Identity>) -> Result<Member, CodecFault> {
-    identity.and_then(Identity::member).ok_or(CodecFault::Unknown)
+    identity
+        .and_then(Identity::member)
+        .ok_or(CodecFault::Unknown)
 }
 
 fn narrow<T: TryFrom<u32>>(value: u32) -> Result<T, CodecFault> {
@@ -168,10 +193,22 @@
     match message {
         Swim::Ping(probe) => (1, None, *probe),
         Swim::Ack(probe) => (2, None, *probe),
-        Swim::PingReq { target, probe_number } => (3, Some(target), *probe_number),
-        Swim::IndirectPing { origin, probe_number } => (4, Some(origin), *probe_number),
-        Swim::IndirectAck { target, probe_number } => (5, Some(target), *probe_number),
-        Swim::ForwardedAck { origin, probe_number } => (6, Some(origin), *probe_number),
+        Swim::PingReq {
+            target,
+            probe_number,
+        } => (3, Some(target), *probe_number),
+        Swim::IndirectPing {
+            origin,
+            probe_number,
+        } => (4, Some(origin), *probe_number),
+        Swim::IndirectAck {
+            target,
+            probe_number,
+        } => (5, Some(target), *probe_number),
+        Swim::ForwardedAck {
+            origin,
+            probe_number,
+        } => (6, Some(origin), *probe_number),
         Swim::Announce => (7, None, 0),
         Swim::Feed => (8, None, 0),
         Swim::Gossip => (9, None, 0),
@@ -180,14 +217,30 @@
     }
 }
 
-fn message(kind: u32, third: Option<&Identity>, probe_number: u8) -> Result<Swim<Member>, CodecFault> {
+fn message(
+    kind: u32,
+    third: Option<&Identity>,
+    probe_number: u8,
+) -> Result<Swim<Member>, CodecFault> {
     Ok(match kind {
         1 => Swim::Ping(probe_number),
         2 => Swim::Ack(probe_number),
-        3 => Swim::PingReq { target: known(third)?, probe_number },
-        4 => Swim::IndirectPing { origin: known(third)?, probe_number },
-        5 => Swim::IndirectAck { target: known(third)?, probe_number },
-        6 => Swim::ForwardedAck { origin: known(third)?, probe_number },
+        3 => Swim::PingReq {
+            target: known(third)?,
+            probe_number,
+        },
+        4 => Swim::IndirectPing {
+            origin: known(third)?,
+            probe_number,
+        },
+        5 => Swim::IndirectAck {
+            target: known(third)?,
+            probe_number,
+        },
+        6 => Swim::ForwardedAck {
+            origin: known(third)?,
+            probe_number,
+        },
         7 => Swim::Announce,
         8 => Swim::Feed,
         9 => Swim::Gossip,
--- a/peers/src/driver.rs
+++ b/peers/src/driver.rs
@@ -11,7 +11,9 @@
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use tracing::{info, warn};
 
-use crate::{Body, Configuration, Counts, Event, Input, Keys, LARGEST, Member, Millis, Node, Output};
+use crate::{
+    Body, Configuration, Counts, Event, Input, Keys, LARGEST, Member, Millis, Node, Output,
+};
 
 /// What the thread needs; debug builds need the most.
 const STACK: usize = 256 * 1024;
@@ -36,7 +38,11 @@
     ///
     /// # Errors
     /// When none can be received.
-    fn receive(&mut self, buffer: &mut [u8], wait: Duration) -> io::Result<Option<(usize, SocketAddr)>>;
+    fn receive(
+        &mut self,
+        buffer: &mut [u8],
+        wait: Duration,
+    ) -> io::Result<Option<(usize, SocketAddr)>>;
 
     /// What wakes whoever waits.
     ///
@@ -56,7 +62,11 @@
 impl Udp {
     /// Takes a bound socket.
     pub fn new(socket: UdpSocket) -> Self {
-        Self { socket, secret: random().to_be_bytes(), timeout: None }
+        Self {
+            socket,
+            secret: random().to_be_bytes(),
+            timeout: None,
+        }
     }
 
     fn wait_for(&mut self, wait: Duration) -> io::Result<()> {
@@ -73,7 +83,11 @@
         self.socket.send_to(bytes, to).map(drop)
     }
 
-    fn receive(&mut self, buffer: &mut [u8], wait: Duration) -> io::Result<Option<(usize, SocketAddr)>> {
+    fn receive(
+        &mut self,
+        buffer: &mut [u8],
+        wait: Duration,
+    ) -> io::Result<Option<(usize, SocketAddr)>> {
         let received = if wait.is_zero() {
             self.socket.set_nonblocking(true)?;
             let received = self.socket.recv_from(buffer);
@@ -100,7 +114,10 @@
 }
 
 fn is_in_vain(kind: io::ErrorKind) -> bool {
-    matches!(kind, io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted)
+    matches!(
+        kind,
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted
+    )
 }
 
 /// A number that is another at each start, for [`crate::Profile::seed`].
@@ -209,13 +226,34 @@
 {
     let waker = link.waker()?;
     let (orders, inbox) = unbounded();
-    let view =
-        View { me: node.me().clone(), is_displaced: false, members: Vec::new(), counts: node.counts() };
+    let view = View {
+        me: node.me().clone(),
+        is_displaced: false,
+        members: Vec::new(),
+        counts: node.counts(),
+    };
     let view = Arc::new(Mutex::new(view));
-    let driver =
-        Driver { node, link, clock, events, inbox, view: view.clone(), wake: 0, out: Vec::new(), untold: 0 };
-    let thread = std::thread::Builder::new().name("peers".into()).stack_size(STACK).spawn(|| driver.run())?;
-    Ok(Handle { orders, waker, view, thread: Some(thread) })
+    let driver = Driver {
+        node,
+        link,
+        clock,
+        events,
+        inbox,
+        view: view.clone(),
+        wake: 0,
+        out: Vec::new(),
+        untold: 0,
+    };
+    let thread = std::thread::Builder::new()
+        .name("peers".into())
+        .stack_size(STACK)
+        .spawn(|| driver.run())?;
+    Ok(Handle {
+        orders,
+        waker,
+        view,
+        thread: Some(thread),
+    })
 }
 
 struct Driver<B, L, C> {
@@ -240,7 +278,10 @@
             let wait = Duration::from_millis(self.wake.saturating_sub((self.clock)()));
             let received = self.link.receive(&mut buffer, wait);
             if let Ok(Some((bytes, from))) = received {
-                self.hand(Input::Datagram { from, bytes: &buffer[..bytes] });
+                self.hand(Input::Datagram {
+                    from,
+                    bytes: &buffer[..bytes],
+                });
                 drained += 1;
             }
             if !self.follow_orders() {
@@ -306,7 +347,10 @@
 
     fn show(&mut self, is_news: bool) {
         let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
-        view.counts = Counts { untold: self.untold, ..self.node.counts() };
+        view.counts = Counts {
+            untold: self.untold,
+            ..self.node.counts()
+        };
         if is_news || view.is_displaced != self.node.is_displaced() {
             view.is_displaced = self.node.is_displaced();
             view.members = self.node.members().cloned().collect();
--- a/peers/src/event.rs
+++ b/peers/src/event.rs
@@ -70,7 +70,10 @@
     pub fn is_fault(&self) -> bool {
         matches!(
             self,
-            Self::Doubled { .. } | Self::Displaced { .. } | Self::Refused { .. } | Self::BootRaised(_)
+            Self::Doubled { .. }
+                | Self::Displaced { .. }
+                | Self::Refused { .. }
+                | Self::BootRaised(_)
         )
     }
 }
@@ -80,14 +83,20 @@
         match self {
             Self::Up(member) => write!(out, "peer {member} of site `{}` is there", member.site),
             Self::Down(member) => write!(out, "peer {member} is gone"),
-            Self::Restarted { was, now } => write!(out, "peer {now} started anew, it was boot {}", was.boot),
+            Self::Restarted { was, now } => {
+                write!(out, "peer {now} started anew, it was boot {}", was.boot)
+            }
             Self::Changed { was, now } => write!(
                 out,
                 "peer {now} runs configuration {} of site `{}`, it was {} of site `{}`",
                 now.configuration.order, now.site, was.configuration.order, was.site
             ),
             Self::Renamed { was, now } => write!(out, "peer {was} is {now} now"),
-            Self::Doubled { holder, other, other_boot } => write!(
+            Self::Doubled {
+                holder,
+                other,
+                other_boot,
+            } => write!(
                 out,
                 "two processes bear one name: {holder}, which counts, and the one at {other} (boot {other_boot}): \
                  give each its own"
@@ -97,12 +106,25 @@
                 "this process's name is another's: {by}. It stands outside the fleet until the other is gone"
             ),
             Self::BootRaised(boot) => {
-                write!(out, "the fleet knew a later life of this process: its boot number is {boot} now")
+                write!(
+                    out,
+                    "the fleet knew a later life of this process: its boot number is {boot} now"
+                )
             }
-            Self::Woke(gap) => write!(out, "this process was not run for {gap} ms, it announces itself anew"),
-            Self::Returned => write!(out, "the others took this process for gone, it announces itself anew"),
+            Self::Woke(gap) => write!(
+                out,
+                "this process was not run for {gap} ms, it announces itself anew"
+            ),
+            Self::Returned => write!(
+                out,
+                "the others took this process for gone, it announces itself anew"
+            ),
             Self::Refused { from, why, count } => {
-                write!(out, "{count} datagrams from {from} were refused, the last: {}", why.word())
+                write!(
+                    out,
+                    "{count} datagrams from {from} were refused, the last: {}",
+                    why.word()
+                )
             }
         }
     }
--- a/peers/src/key.rs
+++ b/peers/src/key.rs
@@ -49,7 +49,11 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(path, error) => {
-                write!(out, "the key file {} cannot be read: {error}", path.display())
+                write!(
+                    out,
+                    "the key file {} cannot be read: {error}",
+                    path.display()
+                )
             }
             Self::Open(path, mode) => write!(
                 out,
@@ -58,7 +62,11 @@
                 path.display()
             ),
             Self::NotHex(path) => {
-                write!(out, "the key file {} has to hold hexadecimal digits only, two a byte", path.display())
+                write!(
+                    out,
+                    "the key file {} has to hold hexadecimal digits only, two a byte",
+                    path.display()
+                )
             }
             Self::Short(path, bytes) => write!(
                 out,
@@ -66,7 +74,11 @@
                 path.display()
             ),
             Self::Large(path) => {
-                write!(out, "the key file {} has over {LARGEST_FILE} bytes: no key", path.display())
+                write!(
+                    out,
+                    "the key file {} has over {LARGEST_FILE} bytes: no key",
+                    path.display()
+                )
             }
         }
     }
@@ -81,8 +93,15 @@
             return None;
         }
         let mac = Hmac::<Sha256>::new_from_slice(bytes).ok()?;
-        let name = mac.clone().chain_update(b"beaconflow peers: name of the key").finalize().into_bytes();
-        Some(Self { mac, id: u32::from_be_bytes([name[0], name[1], name[2], name[3]]) })
+        let name = mac
+            .clone()
+            .chain_update(b"beaconflow peers: name of the key")
+            .finalize()
+            .into_bytes();
+        Some(Self {
+            mac,
+            id: u32::from_be_bytes([name[0], name[1], name[2], name[3]]),
+        })
     }
 
     /// Reads a key file: hexadecimal digits, two a byte, [`SHORTEST_KEY`] bytes or more; blanks and line ends are
@@ -98,7 +117,9 @@
             return Err(KeyFault::Open(path.into(), mode));
         }
         let mut text = Vec::new();
-        file.take(LARGEST_FILE + 1).read_to_end(&mut text).map_err(unreadable)?;
+        file.take(LARGEST_FILE + 1)
+            .read_to_end(&mut text)
+            .map_err(unreadable)?;
         if text.len() as u64 > LARGEST_FILE {
             return Err(KeyFault::Large(path.into()));
         }
@@ -107,7 +128,11 @@
     }
 
     pub(crate) fn digest(&self, version: u32, sealed: &[u8]) -> [u8; DIGEST] {
-        let whole = self.started(version).chain_update(sealed).finalize().into_bytes();
+        let whole = self
+            .started(version)
+            .chain_update(sealed)
+            .finalize()
+            .into_bytes();
         let mut digest = [0; DIGEST];
         digest.copy_from_slice(&whole[..DIGEST]);
         digest
@@ -116,7 +141,11 @@
     /// Whether the digest is this key's, found in a time that does not depend on where it differs.
     pub(crate) fn fits(&self, version: u32, sealed: &[u8], digest: &[u8]) -> bool {
         digest.len() == DIGEST
-            && self.started(version).chain_update(sealed).verify_truncated_left(digest).is_ok()
+            && self
+                .started(version)
+                .chain_update(sealed)
+                .verify_truncated_left(digest)
+                .is_ok()
     }
 
     fn started(&self, version: u32) -> Hmac<Sha256> {
@@ -136,11 +165,16 @@
 impl Keys {
     /// One key alone.
     pub fn only(key: Key) -> Self {
-        Self { current: key, other: None }
+        Self {
+            current: key,
+            other: None,
+        }
     }
 
     pub(crate) fn with_id(&self, id: u32) -> impl Iterator<Item = &Key> {
-        std::iter::once(&self.current).chain(self.other.as_ref()).filter(move |key| key.id == id)
+        std::iter::once(&self.current)
+            .chain(self.other.as_ref())
+            .filter(move |key| key.id == id)
     }
 }
 
--- a/peers/src/member.rs
+++ b/peers/src/member.rs
@@ -55,7 +55,10 @@
     }
 
     pub(crate) fn renewed(&self) -> Self {
-        Self { renewal: self.renewal.saturating_add(1), ..self.clone() }
+        Self {
+            renewal: self.renewal.saturating_add(1),
+            ..self.clone()
+        }
     }
 }
 
@@ -69,7 +72,11 @@
 
 impl fmt::Display for Member {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{} at {} (boot {})", self.name, self.address, self.boot)
+        write!(
+            out,
+            "{} at {} (boot {})",
+            self.name, self.address, self.boot
+        )
     }
 }
 
--- a/peers/src/node.rs
+++ b/peers/src/node.rs
@@ -18,7 +18,9 @@
 use crate::senders::Senders;
 use crate::strangers::Strangers;
 use crate::wire::{self, Content, Identity, Word};
-use crate::{Body, Configuration, Counts, Event, Keys, Member, Millis, Profile, ProfileFault, Settings};
+use crate::{
+    Body, Configuration, Counts, Event, Keys, Member, Millis, Profile, ProfileFault, Settings,
+};
 use names::Naming;
 use swim::{Doubted, Swim};
 use timers::{Budget, Timers};
@@ -137,7 +139,12 @@
     ///
     /// # Errors
     /// All that is wrong with the profile.
-    pub fn new(profile: Profile, keys: Keys, settings: Settings, body: B) -> Result<Self, Vec<ProfileFault>> {
+    pub fn new(
+        profile: Profile,
+        keys: Keys,
+        settings: Settings,
+        body: B,
+    ) -> Result<Self, Vec<ProfileFault>> {
         profile.check()?;
         let mut rng = Pcg64Mcg::seed_from_u64(profile.seed);
         let me = Member {
@@ -266,7 +273,10 @@
         if configuration == self.me.configuration || self.phase == Phase::Left {
             return;
         }
-        let me = Member { configuration, ..self.me.renewed() };
+        let me = Member {
+            configuration,
+            ..self.me.renewed()
+        };
         if self.phase == Phase::Within {
             self.announce_anew(me, now, out);
         } else {
@@ -300,7 +310,9 @@
         self.due.last_round = now;
         self.due.round = now + self.jittered(self.settings.round);
         for name in self.some(self.settings.told) {
-            let Some(to) = self.present.get(&name).map(|member| member.address) else { continue };
+            let Some(to) = self.present.get(&name).map(|member| member.address) else {
+                continue;
+            };
             if !self.budget.has(self.room, now) {
                 self.counts.held_back += 1;
                 break;
@@ -323,14 +335,19 @@
 
     fn summary(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.due.summary = now + self.jittered(self.settings.summary);
-        self.timers.forget_due(now).into_iter().for_each(|timer| self.fire(timer, now, out));
+        self.timers
+            .forget_due(now)
+            .into_iter()
+            .for_each(|timer| self.fire(timer, now, out));
         for name in self.some(1) {
             self.ask_for_pages(&name, now, out);
         }
     }
 
     fn ask_for_pages(&mut self, name: &str, now: Millis, out: &mut Vec<Output>) {
-        let Some(to) = self.present.get(name).map(|member| member.address) else { return };
+        let Some(to) = self.present.get(name).map(|member| member.address) else {
+            return;
+        };
         if !self.budget.has(self.room, now) {
             self.counts.held_back += 1;
             return;
@@ -373,8 +390,11 @@
 
     /// Some members at random, none twice.
     fn some(&mut self, most: usize) -> Vec<Arc<str>> {
-        let picked =
-            rand::seq::index::sample(&mut self.rng, self.present.len(), most.min(self.present.len()));
+        let picked = rand::seq::index::sample(
+            &mut self.rng,
+            self.present.len(),
+            most.min(self.present.len()),
+        );
         let mut places = picked.into_vec();
         places.sort_unstable();
         let mut names = self.present.keys().enumerate();
@@ -398,17 +418,25 @@
     }
 
     fn next_due(&self, now: Millis) -> Millis {
-        let others = [self.timers.next(), self.doubts.iter().map(Doubted::due).min(), self.next_talk()];
+        let others = [
+            self.timers.next(),
+            self.doubts.iter().map(Doubted::due).min(),
+            self.next_talk(),
+        ];
         let due = match self.phase {
             Phase::Left => now + ALONE_HELLO,
             Phase::Outside(_) => self.due.hello,
-            Phase::Within => others.into_iter().flatten().fold(self.due.hello, Millis::min),
+            Phase::Within => others
+                .into_iter()
+                .flatten()
+                .fold(self.due.hello, Millis::min),
         };
         due.max(now)
     }
 
     fn next_talk(&self) -> Option<Millis> {
-        (!self.present.is_empty()).then(|| self.due.round.min(self.due.summary).min(self.due.roster))
+        (!self.present.is_empty())
+            .then(|| self.due.round.min(self.due.summary).min(self.due.roster))
     }
 
     fn tell(&self, event: Event, out: &mut Vec<Output>) {
@@ -425,8 +453,13 @@
     fn say(&mut self, to: SocketAddr, word: Word, out: &mut Vec<Output>) {
         self.counter += 1;
         let (boot, life) = self.me.born();
-        let content =
-            Content { name: self.me.name.to_string(), boot, life, counter: self.counter, word: Some(word) };
+        let content = Content {
+            name: self.me.name.to_string(),
+            boot,
+            life,
+            counter: self.counter,
+            word: Some(word),
+        };
         let bytes = wire::seal(&self.keys, &content);
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
--- a/peers/src/node/names.rs
+++ b/peers/src/node/names.rs
@@ -57,8 +57,20 @@
     ) {
         let born = (content.boot, content.life);
         if born > self.me.born() {
-            let member = Member { address: from, boot: content.boot, life: content.life, ..self.me.clone() };
-            self.contest(Rival { member, is_there: true }, now, out);
+            let member = Member {
+                address: from,
+                boot: content.boot,
+                life: content.life,
+                ..self.me.clone()
+            };
+            self.contest(
+                Rival {
+                    member,
+                    is_there: true,
+                },
+                now,
+                out,
+            );
         } else if born < self.me.born() && from != self.me.address && self.phase == Phase::Within {
             self.tell_loser(from, self.me.clone(), content.boot, true, now, out);
         }
@@ -74,8 +86,14 @@
         out: &mut Vec<Output>,
     ) {
         let born = (content.boot, content.life);
-        let known = self.swim.iter_membership_state().find(|known| *known.id().name == *content.name);
-        let Some(holder) = known.map(|known| known.id().clone()).filter(|holder| holder.born() > born) else {
+        let known = self
+            .swim
+            .iter_membership_state()
+            .find(|known| *known.id().name == *content.name);
+        let Some(holder) = known
+            .map(|known| known.id().clone())
+            .filter(|holder| holder.born() > born)
+        else {
             return;
         };
         if self.phase == Phase::Within && is_fresh {
@@ -102,18 +120,38 @@
         let times = self.naming.of(&holder.name);
         let tell = again(&mut times.loser, TELL_LOSER_EVERY, now);
         if is_there && from != holder.address && again(&mut times.log, TELL_EVERY, now) {
-            let doubled = Event::Doubled { holder: holder.clone(), other: from, other_boot };
+            let doubled = Event::Doubled {
+                holder: holder.clone(),
+                other: from,
+                other_boot,
+            };
             self.tell(doubled, out);
         }
         if tell {
-            self.say(from, Word::Told(Told { holder: Some(Identity::whole(&holder)), is_there }), out);
+            self.say(
+                from,
+                Word::Told(Told {
+                    holder: Some(Identity::whole(&holder)),
+                    is_there,
+                }),
+                out,
+            );
         }
     }
 
     pub(super) fn told(&mut self, told: &Told, now: Millis, out: &mut Vec<Output>) {
         let holder = told.holder.as_ref().and_then(Identity::member);
-        let Some(member) = holder.filter(|member| member.name == self.me.name) else { return };
-        self.contest(Rival { member, is_there: told.is_there }, now, out);
+        let Some(member) = holder.filter(|member| member.name == self.me.name) else {
+            return;
+        };
+        self.contest(
+            Rival {
+                member,
+                is_there: told.is_there,
+            },
+            now,
+            out,
+        );
     }
 
     /// Another life under this process's own name. The later counts; but one that is over, or that was at this very
@@ -128,7 +166,11 @@
         }
         let boot = member.boot.saturating_add(1);
         self.tell(Event::BootRaised(boot), out);
-        let me = Member { boot, renewal: 0, ..self.me.clone() };
+        let me = Member {
+            boot,
+            renewal: 0,
+            ..self.me.clone()
+        };
         if self.phase == Phase::Within {
             self.due.hello = now;
             self.announce_anew(me, now, out);
@@ -161,7 +203,11 @@
         let before = std::mem::replace(&mut self.phase, Phase::Within);
         if let Phase::Outside(addresses) = before {
             let own = self.me.address;
-            for to in addresses.into_iter().filter(|to| *to != own).take(super::HELLOS) {
+            for to in addresses
+                .into_iter()
+                .filter(|to| *to != own)
+                .take(super::HELLOS)
+            {
                 self.say(to, Word::Hello(Identity::whole(&self.me)), out);
             }
         }
--- a/peers/src/node/roster.rs
+++ b/peers/src/node/roster.rs
@@ -33,7 +33,9 @@
         self.due.roster = now + self.jittered(self.due.roster_gap);
         self.due.roster_gap = (self.due.roster_gap * 2).min(SELDOM);
         for name in self.some(1) {
-            let Some(to) = self.present.get(&name).map(|member| member.address) else { continue };
+            let Some(to) = self.present.get(&name).map(|member| member.address) else {
+                continue;
+            };
             let known = self.known();
             self.say(to, Word::RosterAsk(RosterAsk { known }), out);
         }
@@ -47,15 +49,30 @@
         known
     }
 
-    pub(super) fn roster_asked(&mut self, by: &Member, ask: &RosterAsk, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn roster_asked(
+        &mut self,
+        by: &Member,
+        ask: &RosterAsk,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let known = self.known();
         let is_other = |at: usize| ask.known.get(at) != Some(&known[at]);
         // Guards against telling the same first parts again and again to whoever does not believe them.
         let first = self.rng.random_range(0..PARTS);
-        let parts = (0..PARTS).map(|n| (first + n) % PARTS).filter(|at| is_other(*at));
-        let all: Vec<_> = self.swim.iter_membership_state().map(|known| (part(known.id()), known)).collect();
-        let told =
-            parts.flat_map(|at| all.iter().filter(move |(part, _)| *part == at).map(|(_, known)| *known));
+        let parts = (0..PARTS)
+            .map(|n| (first + n) % PARTS)
+            .filter(|at| is_other(*at));
+        let all: Vec<_> = self
+            .swim
+            .iter_membership_state()
+            .map(|known| (part(known.id()), known))
+            .collect();
+        let told = parts.flat_map(|at| {
+            all.iter()
+                .filter(move |(part, _)| *part == at)
+                .map(|(_, known)| *known)
+        });
         let pages = paged(told, self.room);
         for page in pages {
             if !self.budget.has(self.room, now) {
@@ -70,13 +87,19 @@
         // What is said of this process's name is left to those who speak of it to its face, unless it is down as it is.
         let others = |from: &[Identity]| {
             let members = from.iter().filter_map(Identity::member);
-            members.filter(|member| member.name != self.me.name || *member == self.me).collect::<Vec<_>>()
+            members
+                .filter(|member| member.name != self.me.name || *member == self.me)
+                .collect::<Vec<_>>()
         };
         let there = others(&page.members).into_iter().map(foca::Member::alive);
-        let updates: Vec<_> = there.chain(others(&page.gone).into_iter().map(foca::Member::down)).collect();
+        let updates: Vec<_> = there
+            .chain(others(&page.gone).into_iter().map(foca::Member::down))
+            .collect();
         let before = self.known();
         // Not passed on: whoever misses them asks as well.
-        self.with_swim(now, out, |swim, runtime| swim.apply_many(updates.into_iter(), false, runtime));
+        self.with_swim(now, out, |swim, runtime| {
+            swim.apply_many(updates.into_iter(), false, runtime)
+        });
         if self.known() != before {
             self.roster_soon(now, MORE_WITHIN);
         }
@@ -88,7 +111,11 @@
     let (mut pages, mut page, mut left) = (Vec::new(), Roster::default(), room);
     for known in told {
         let is_gone = known.state() == State::Down;
-        let identity = if is_gone { Identity::short(known.id()) } else { Identity::whole(known.id()) };
+        let identity = if is_gone {
+            Identity::short(known.id())
+        } else {
+            Identity::whole(known.id())
+        };
         if identity.width() > left {
             pages.push(std::mem::take(&mut page));
             left = room;
@@ -97,7 +124,11 @@
             }
         }
         left = left.saturating_sub(identity.width());
-        if is_gone { page.gone.push(identity) } else { page.members.push(identity) }
+        if is_gone {
+            page.gone.push(identity)
+        } else {
+            page.members.push(identity)
+        }
     }
     if page != Roster::default() {
         pages.push(page);
@@ -112,12 +143,18 @@
 /// What tells a life and its renewal from others.
 fn fingerprint(member: &Member) -> u64 {
     let (boot, life, renewal) = member.rank();
-    let numbers = [boot.to_be_bytes(), life.to_be_bytes(), u64::from(renewal).to_be_bytes()];
+    let numbers = [
+        boot.to_be_bytes(),
+        life.to_be_bytes(),
+        u64::from(renewal).to_be_bytes(),
+    ];
     hash(hash(0, member.name.as_bytes()), numbers.as_flattened())
 }
 
 /// FNV-1a: the same in every build of the program.
 fn hash(start: u64, bytes: &[u8]) -> u64 {
     let start = start ^ 0xcbf2_9ce4_8422_2325;
-    bytes.iter().fold(start, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(start, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/peers/src/node/swim.rs
+++ b/peers/src/node/swim.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use foca::{
-    AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification as Notice, PeriodicParams, State, Timer,
+    AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification as Notice, PeriodicParams,
+    State, Timer,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -49,7 +50,12 @@
         }),
     };
     let me = own.lock().me.clone();
-    Foca::new(me, config, Pcg64Mcg::seed_from_u64(rng.random()), Records(own))
+    Foca::new(
+        me,
+        config,
+        Pcg64Mcg::seed_from_u64(rng.random()),
+        Records(own),
+    )
 }
 
 /// A member that did not answer and is declared down at the end, unless it speaks up.
@@ -92,7 +98,9 @@
         while let Some(notice) = self.runtime.to_notify() {
             notices.push(notice);
         }
-        notices.into_iter().for_each(|notice| self.noticed(notice, now, out));
+        notices
+            .into_iter()
+            .for_each(|notice| self.noticed(notice, now, out));
         let rival = self.own.lock().rival.take();
         if let Some(rival) = rival {
             self.contest(rival, now, out);
@@ -111,15 +119,27 @@
     fn schedule(&mut self, timer: Timer<Member>, after: Millis, now: Millis) {
         let after = match &timer {
             // Guards against a fleet in step. The probe's own steps keep their order.
-            Timer::ProbeRandomMember(_) => self.rng.random_range(after - after / 10..=after + after / 10),
-            Timer::PeriodicAnnounce(_) | Timer::PeriodicAnnounceDown(_) | Timer::PeriodicGossip(_) => {
-                self.jittered(after)
-            }
-            Timer::ChangeSuspectToDown { member_id, incarnation, .. } => {
+            Timer::ProbeRandomMember(_) => self
+                .rng
+                .random_range(after - after / 10..=after + after / 10),
+            Timer::PeriodicAnnounce(_)
+            | Timer::PeriodicAnnounceDown(_)
+            | Timer::PeriodicGossip(_) => self.jittered(after),
+            Timer::ChangeSuspectToDown {
+                member_id,
+                incarnation,
+                ..
+            } => {
                 self.counts.suspected += 1;
-                self.doubts.retain(|doubt| doubt.member.name != member_id.name);
+                self.doubts
+                    .retain(|doubt| doubt.member.name != member_id.name);
                 let (member, incarnation) = (member_id.clone(), *incarnation);
-                self.doubts.push(Doubted { member, incarnation, next: now, end: now + after });
+                self.doubts.push(Doubted {
+                    member,
+                    incarnation,
+                    next: now,
+                    end: now + after,
+                });
                 after
             }
             Timer::SendIndirectProbe { .. } | Timer::RemoveDown(_) => after,
@@ -136,7 +156,11 @@
     pub(super) fn fire(&mut self, timer: Timer<Member>, now: Millis, out: &mut Vec<Output>) {
         // Guards against telling a member that it is down which spoke up in time: the library tells it all the same,
         // and it would have to announce itself anew.
-        if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer
+        if let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = &timer
             && !self.is_suspect(member_id, *incarnation)
         {
             return;
@@ -152,7 +176,10 @@
         for doubt in doubts.iter_mut().filter(|doubt| doubt.next <= now) {
             doubt.next = now + DOUBT_EVERY;
             let suspect = Some(Identity::short(&doubt.member));
-            let word = Word::Doubt(Doubt { suspect, incarnation: doubt.incarnation.into() });
+            let word = Word::Doubt(Doubt {
+                suspect,
+                incarnation: doubt.incarnation.into(),
+            });
             self.say(doubt.member.address, word, out);
         }
         self.doubts = doubts;
@@ -160,23 +187,35 @@
 
     fn is_suspect(&self, member: &Member, incarnation: u16) -> bool {
         let known = self.swim.iter_members().find(|known| known.id() == member);
-        known.is_some_and(|known| known.state() == State::Suspect && known.incarnation() == incarnation)
+        known.is_some_and(|known| {
+            known.state() == State::Suspect && known.incarnation() == incarnation
+        })
     }
 
     /// This process is suspected: it speaks up, to all and to whoever suspects it.
-    pub(super) fn doubted(&mut self, doubt: &Doubt, by: Option<Member>, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn doubted(
+        &mut self,
+        doubt: &Doubt,
+        by: Option<Member>,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let suspect = doubt.suspect.as_ref().and_then(Identity::member);
-        let (Some(suspect), Ok(incarnation)) = (suspect, u16::try_from(doubt.incarnation)) else { return };
+        let (Some(suspect), Ok(incarnation)) = (suspect, u16::try_from(doubt.incarnation)) else {
+            return;
+        };
         // Whoever suspects what this process was before it announced itself anew has missed that.
         if suspect != self.me {
             let answer = by.filter(|_| suspect.is_same_life(&self.me));
-            answer
-                .into_iter()
-                .for_each(|by| self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime)));
+            answer.into_iter().for_each(|by| {
+                self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime))
+            });
             return;
         }
         let update = foca::Member::new(suspect, incarnation, State::Suspect);
-        self.with_swim(now, out, |swim, runtime| swim.apply_many(std::iter::once(update), true, runtime));
+        self.with_swim(now, out, |swim, runtime| {
+            swim.apply_many(std::iter::once(update), true, runtime)
+        });
         if let Some(by) = by {
             self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime));
         }
@@ -240,14 +279,28 @@
     fn announced_anew(&mut self, member: Member, now: Millis, out: &mut Vec<Output>) {
         let is_there = self.swim.iter_members().any(|known| *known.id() == member);
         // One that was gone comes up next, and one that is gone goes down next.
-        let Some(was) = self.present.get(&member.name).filter(|_| is_there).cloned() else { return };
+        let Some(was) = self.present.get(&member.name).filter(|_| is_there).cloned() else {
+            return;
+        };
         self.present.insert(member.name.clone(), member.clone());
         self.roster_changed(now);
         let is_changed = was.configuration != member.configuration || was.site != member.site;
         if !was.is_same_life(&member) {
-            self.tell(Event::Restarted { was, now: member.clone() }, out);
+            self.tell(
+                Event::Restarted {
+                    was,
+                    now: member.clone(),
+                },
+                out,
+            );
         } else if is_changed {
-            self.tell(Event::Changed { was, now: member.clone() }, out);
+            self.tell(
+                Event::Changed {
+                    was,
+                    now: member.clone(),
+                },
+                out,
+            );
         }
         self.settle_address(&member, now, out);
     }
@@ -255,13 +308,33 @@
     /// Whoever speaks from an address has it: another that was there under another name is gone.
     fn settle_address(&mut self, member: &Member, now: Millis, out: &mut Vec<Output>) {
         let speaks = self.speaker == Some((member.name.clone(), member.address));
-        let same_place = |other: &&Member| other.address == member.address && other.name != member.name;
-        let Some(was) = self.present.values().find(same_place).filter(|_| speaks).cloned() else { return };
-        let incarnation =
-            self.swim.iter_members().find(|known| *known.id() == was).map(foca::Member::incarnation);
-        self.tell(Event::Renamed { was: was.clone(), now: member.clone() }, out);
+        let same_place =
+            |other: &&Member| other.address == member.address && other.name != member.name;
+        let Some(was) = self
+            .present
+            .values()
+            .find(same_place)
+            .filter(|_| speaks)
+            .cloned()
+        else {
+            return;
+        };
+        let incarnation = self
+            .swim
+            .iter_members()
+            .find(|known| *known.id() == was)
+            .map(foca::Member::incarnation);
+        self.tell(
+            Event::Renamed {
+                was: was.clone(),
+                now: member.clone(),
+            },
+            out,
+        );
         let gone = foca::Member::new(was, incarnation.unwrap_or_default(), State::Down);
-        self.with_swim(now, out, |swim, runtime| swim.apply_many(std::iter::once(gone), true, runtime));
+        self.with_swim(now, out, |swim, runtime| {
+            swim.apply_many(std::iter::once(gone), true, runtime)
+        });
     }
 
     pub(super) fn swim_message(
--- a/peers/src/node/timers.rs
+++ b/peers/src/node/timers.rs
@@ -31,18 +31,27 @@
     }
 
     pub fn pop(&mut self, now: Millis) -> Option<Timer<Member>> {
-        let first = self.queue.first_entry().filter(|first| first.key().0 <= now)?;
+        let first = self
+            .queue
+            .first_entry()
+            .filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 
     /// All are due that much later.
     pub fn put_off(&mut self, by: Millis) {
         let queue = std::mem::take(&mut self.queue);
-        self.queue = queue.into_iter().map(|((due, n), timer)| ((due + by, n), timer)).collect();
+        self.queue = queue
+            .into_iter()
+            .map(|((due, n), timer)| ((due + by, n), timer))
+            .collect();
     }
 
     pub fn forget_due(&mut self, now: Millis) -> Vec<Timer<Member>> {
-        self.forget.extract_if(.., |_, (due, _)| *due <= now).map(|(_, (_, timer))| timer).collect()
+        self.forget
+            .extract_if(.., |_, (due, _)| *due <= now)
+            .map(|(_, (_, timer))| timer)
+            .collect()
     }
 }
 
@@ -56,7 +65,11 @@
 
 impl Budget {
     pub fn new(per_s: u64) -> Self {
-        Self { per_s, left: per_s, at: 0 }
+        Self {
+            per_s,
+            left: per_s,
+            at: 0,
+        }
     }
 
     /// Whether a datagram of this size may go out now.
--- a/peers/src/node/words.rs
+++ b/peers/src/node/words.rs
@@ -8,7 +8,13 @@
 use crate::{Body, Member, Millis, Refusal};
 
 impl<B: Body> Node<B> {
-    pub(super) fn datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn datagram(
+        &mut self,
+        from: SocketAddr,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         let content = match wire::open(&self.keys, bytes) {
@@ -30,17 +36,35 @@
         self.word(from, content, now, out);
     }
 
-    pub(super) fn refuse(&mut self, from: SocketAddr, why: Refusal, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn refuse(
+        &mut self,
+        from: SocketAddr,
+        why: Refusal,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         self.counts.refused[why as usize] += 1;
         let event = self.strangers.refused(from, why, now);
         event.into_iter().for_each(|event| self.tell(event, out));
     }
 
     fn word(&mut self, from: SocketAddr, content: Content, now: Millis, out: &mut Vec<Output>) {
-        let Content { name, boot, life, word, .. } = content;
-        let speaker = self.present.get(&name[..]).filter(|member| member.born() == (boot, life)).cloned();
+        let Content {
+            name,
+            boot,
+            life,
+            word,
+            ..
+        } = content;
+        let speaker = self
+            .present
+            .get(&name[..])
+            .filter(|member| member.born() == (boot, life))
+            .cloned();
         let is_speaker = |identity: &Identity| {
-            identity.member().filter(|member| *member.name == name && member.born() == (boot, life))
+            identity
+                .member()
+                .filter(|member| *member.name == name && member.born() == (boot, life))
         };
         match (word, speaker) {
             (Some(Word::Told(told)), _) => self.told(&told, now, out),
@@ -66,7 +90,9 @@
                     self.ask = Some(speaker.name);
                 }
             }
-            (Some(Word::RosterAsk(ask)), Some(speaker)) => self.roster_asked(&speaker, &ask, now, out),
+            (Some(Word::RosterAsk(ask)), Some(speaker)) => {
+                self.roster_asked(&speaker, &ask, now, out)
+            }
             (Some(Word::Roster(page)), Some(_)) => self.roster_came(&page, now, out),
             (
                 None
@@ -86,7 +112,9 @@
         let to = member.address;
         self.speaker = Some((member.name.clone(), from));
         let update = foca::Member::alive(member);
-        self.with_swim(now, out, |swim, runtime| swim.apply_many(std::iter::once(update), true, runtime));
+        self.with_swim(now, out, |swim, runtime| {
+            swim.apply_many(std::iter::once(update), true, runtime)
+        });
         self.speaker = None;
         self.say(to, Word::Welcome(Identity::whole(&self.me)), out);
     }
@@ -96,7 +124,9 @@
             self.step_in(self.me.clone(), now, out);
         }
         let update = foca::Member::alive(by.clone());
-        self.with_swim(now, out, |swim, runtime| swim.apply_many(std::iter::once(update), true, runtime));
+        self.with_swim(now, out, |swim, runtime| {
+            swim.apply_many(std::iter::once(update), true, runtime)
+        });
         self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime));
     }
 
--- a/peers/src/senders.rs
+++ b/peers/src/senders.rs
@@ -45,13 +45,17 @@
     pub fn hear(&mut self, name: &str, born: (u64, u64), counter: u64, now: Millis) -> Heard {
         let Some(sender) = self.0.get_mut(name) else {
             self.make_room();
-            let sender = Sender { now: Window::of(born, counter), heard_at: now, ..Sender::default() };
+            let sender = Sender {
+                now: Window::of(born, counter),
+                heard_at: now,
+                ..Sender::default()
+            };
             self.0.insert(name.into(), sender);
             return Heard::Fresh;
         };
         if born < sender.now.born {
-            let is_fresh =
-                born > sender.before.born || born == sender.before.born && sender.before.take(counter);
+            let is_fresh = born > sender.before.born
+                || born == sender.before.born && sender.before.take(counter);
             if born > sender.before.born {
                 sender.before = Window::of(born, counter);
             }
@@ -70,7 +74,11 @@
         if self.0.len() < MOST {
             return;
         }
-        let oldest = self.0.iter().min_by_key(|(_, sender)| sender.heard_at).map(|(name, _)| name.clone());
+        let oldest = self
+            .0
+            .iter()
+            .min_by_key(|(_, sender)| sender.heard_at)
+            .map(|(name, _)| name.clone());
         if let Some(name) = oldest {
             self.0.remove(&name);
         }
@@ -79,7 +87,11 @@
 
 impl Window {
     fn of(born: (u64, u64), last: u64) -> Self {
-        let mut window = Self { born, last, ..Self::default() };
+        let mut window = Self {
+            born,
+            last,
+            ..Self::default()
+        };
         window.seen[0] = 1;
         window
     }
@@ -103,10 +115,18 @@
     fn shift(&mut self, by: u64) {
         let (words, bits) = ((by / 64) as usize, by % 64);
         for to in (0..self.seen.len()).rev() {
-            let word = |from: Option<usize>| from.and_then(|from| self.seen.get(from)).copied().unwrap_or(0);
+            let word = |from: Option<usize>| {
+                from.and_then(|from| self.seen.get(from))
+                    .copied()
+                    .unwrap_or(0)
+            };
             let low = word(to.checked_sub(words));
             let high = word(to.checked_sub(words.saturating_add(1)));
-            self.seen[to] = if bits == 0 { low } else { low << bits | high >> (64 - bits) };
+            self.seen[to] = if bits == 0 {
+                low
+            } else {
+                low << bits | high >> (64 - bits)
+            };
         }
     }
 }
