--- a/peers/src/senders/tests.rs
+++ b/peers/src/senders/tests.rs
@@ -23,11 +23,20 @@
     let mut senders = Senders::default();
     assert_eq!(senders.hear("a", (1, 7), 900, 0), Heard::Fresh);
     assert_eq!(senders.hear("a", (2, 3), 1, 1), Heard::Fresh);
-    assert_eq!(senders.hear("a", (1, 7), 900, 2), Heard::Earlier { is_fresh: false });
-    assert_eq!(senders.hear("a", (1, 7), 901, 3), Heard::Earlier { is_fresh: true });
+    assert_eq!(
+        senders.hear("a", (1, 7), 900, 2),
+        Heard::Earlier { is_fresh: false }
+    );
+    assert_eq!(
+        senders.hear("a", (1, 7), 901, 3),
+        Heard::Earlier { is_fresh: true }
+    );
     assert_eq!(senders.hear("a", (2, 3), 2, 4), Heard::Fresh);
     // The same boot number again, by another life.
-    assert_eq!(senders.hear("a", (2, 2), 3, 5), Heard::Earlier { is_fresh: true });
+    assert_eq!(
+        senders.hear("a", (2, 2), 3, 5),
+        Heard::Earlier { is_fresh: true }
+    );
     assert_eq!(senders.hear("a", (2, 4), 1, 6), Heard::Fresh);
 }
 
--- a/peers/src/settings.rs
+++ b/peers/src/settings.rs
@@ -47,10 +47,16 @@
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Name => {
-                write!(out, "the name has to have 1 to {LONGEST_NAME} bytes without control characters")
+                write!(
+                    out,
+                    "the name has to have 1 to {LONGEST_NAME} bytes without control characters"
+                )
             }
             Self::Site => {
-                write!(out, "the site has to have {LONGEST_SITE} bytes at most, none a control character")
+                write!(
+                    out,
+                    "the site has to have {LONGEST_SITE} bytes at most, none a control character"
+                )
             }
             Self::Address => write!(out, "the address has to be one that the others can send to"),
         }
@@ -75,7 +81,11 @@
         if !is_reachable(self.address) {
             faults.push(ProfileFault::Address);
         }
-        if faults.is_empty() { Ok(()) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(())
+        } else {
+            Err(faults)
+        }
     }
 }
 
--- a/peers/src/strangers.rs
+++ b/peers/src/strangers.rs
@@ -34,13 +34,24 @@
         // Guards against a flood from made-up addresses: when all places are taken by some told within the minute,
         // the newcomer is counted and not named.
         if self.0.len() >= MOST {
-            self.0.retain(|_, stranger| now < stranger.told_at + TELL_EVERY);
+            self.0
+                .retain(|_, stranger| now < stranger.told_at + TELL_EVERY);
             if self.0.len() >= MOST {
                 return None;
             }
         }
-        self.0.insert(from, Stranger { told_at: now, untold: 0 });
-        Some(Event::Refused { from, why, count: 1 })
+        self.0.insert(
+            from,
+            Stranger {
+                told_at: now,
+                untold: 0,
+            },
+        );
+        Some(Event::Refused {
+            from,
+            why,
+            count: 1,
+        })
     }
 }
 
--- a/peers/src/testing/fleet.rs
+++ b/peers/src/testing/fleet.rs
@@ -22,7 +22,11 @@
 
 enum Happening {
     Run(usize),
-    Datagram { from: SocketAddr, to: SocketAddr, bytes: Vec<u8> },
+    Datagram {
+        from: SocketAddr,
+        to: SocketAddr,
+        bytes: Vec<u8>,
+    },
 }
 
 /// Many nodes on one virtual clock and one net.
@@ -42,7 +46,14 @@
 impl<B: Body> Fleet<B> {
     /// A fleet of nobody.
     pub fn new(rules: Rules) -> Self {
-        Self { now: 1_000, rules, seats: Vec::new(), events: Vec::new(), queue: BTreeMap::new(), queued: 0 }
+        Self {
+            now: 1_000,
+            rules,
+            seats: Vec::new(),
+            events: Vec::new(),
+            queue: BTreeMap::new(),
+            queued: 0,
+        }
     }
 
     /// Starts a process with the usual key and settings, and answers with its place.
@@ -54,7 +65,13 @@
     pub fn add_with(&mut self, profile: Profile, keys: Keys, settings: Settings, body: B) -> usize {
         let address = profile.address;
         let node = Node::new(profile, keys, settings, body).expect("a profile without faults");
-        let seat = Seat { address, node: Some(node), is_paused: false, socket: Vec::new(), wake: 0 };
+        let seat = Seat {
+            address,
+            node: Some(node),
+            is_paused: false,
+            socket: Vec::new(),
+            wake: 0,
+        };
         self.seats.push(seat);
         let at = self.seats.len() - 1;
         self.hand(at, Input::Start);
@@ -75,7 +92,13 @@
     pub fn resume(&mut self, at: usize) {
         self.seats[at].is_paused = false;
         for (from, bytes) in std::mem::take(&mut self.seats[at].socket) {
-            self.hand(at, Input::Datagram { from, bytes: &bytes });
+            self.hand(
+                at,
+                Input::Datagram {
+                    from,
+                    bytes: &bytes,
+                },
+            );
         }
         self.hand(at, Input::Tick);
     }
@@ -83,7 +106,9 @@
     /// Hands an input to a process now.
     pub fn hand(&mut self, at: usize, input: Input<'_>) {
         let mut out = Vec::new();
-        let Some(node) = &mut self.seats[at].node else { return };
+        let Some(node) = &mut self.seats[at].node else {
+            return;
+        };
         node.handle(self.now, input, &mut out);
         for output in out {
             match output {
@@ -99,9 +124,20 @@
 
     /// Sends a datagram by the rules.
     pub fn post(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= crate::LARGEST, "a datagram of {} bytes was sent", bytes.len());
+        assert!(
+            bytes.len() <= crate::LARGEST,
+            "a datagram of {} bytes was sent",
+            bytes.len()
+        );
         for delay in self.rules.fate(from, to) {
-            self.put(self.now + delay, Happening::Datagram { from, to, bytes: bytes.clone() });
+            self.put(
+                self.now + delay,
+                Happening::Datagram {
+                    from,
+                    to,
+                    bytes: bytes.clone(),
+                },
+            );
         }
     }
 
@@ -119,7 +155,11 @@
     pub fn run_until(&mut self, millis: Millis, mut is_so: impl FnMut(&Self) -> bool) -> bool {
         let end = self.now + millis;
         let mut asked = None;
-        while let Some(first) = self.queue.first_entry().filter(|first| first.key().0 <= end) {
+        while let Some(first) = self
+            .queue
+            .first_entry()
+            .filter(|first| first.key().0 <= end)
+        {
             let due = first.key().0;
             // Asked once a moment, of what it was before.
             if asked != Some(due) {
@@ -128,7 +168,9 @@
                 }
                 asked = Some(due);
             }
-            let Some(((due, _), happening)) = self.queue.pop_first() else { break };
+            let Some(((due, _), happening)) = self.queue.pop_first() else {
+                break;
+            };
             self.now = self.now.max(due);
             self.happen(happening);
         }
@@ -146,10 +188,18 @@
             }
             Happening::Datagram { from, to, bytes } => {
                 let living = |seat: &Seat<B>| seat.address == to && seat.node.is_some();
-                let Some(at) = self.seats.iter().rposition(living) else { return };
+                let Some(at) = self.seats.iter().rposition(living) else {
+                    return;
+                };
                 let seat = &mut self.seats[at];
                 if !seat.is_paused {
-                    self.hand(at, Input::Datagram { from, bytes: &bytes });
+                    self.hand(
+                        at,
+                        Input::Datagram {
+                            from,
+                            bytes: &bytes,
+                        },
+                    );
                 } else if seat.socket.len() < SOCKET {
                     seat.socket.push((from, bytes));
                 }
@@ -176,11 +226,18 @@
 
     /// What a process told, in its order.
     pub fn told(&self, at: usize) -> impl Iterator<Item = &Event> {
-        self.events.iter().filter(move |(_, by, _)| *by == at).map(|(_, _, event)| event)
+        self.events
+            .iter()
+            .filter(move |(_, by, _)| *by == at)
+            .map(|(_, _, event)| event)
     }
 
     /// What passed through all that live.
     pub fn counts(&self) -> Vec<Counts> {
-        self.seats.iter().filter_map(|seat| seat.node.as_ref()).map(Node::counts).collect()
+        self.seats
+            .iter()
+            .filter_map(|seat| seat.node.as_ref())
+            .map(Node::counts)
+            .collect()
     }
 }
--- a/peers/src/testing/net.rs
+++ b/peers/src/testing/net.rs
@@ -31,13 +31,20 @@
     /// All come, after 0 to 2 ms, until the fields are set otherwise.
     pub fn new(seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Self { lost: 0, doubled: 0, delay: (0, 2), cut: BTreeSet::new(), rng }
+        Self {
+            lost: 0,
+            doubled: 0,
+            delay: (0, 2),
+            cut: BTreeSet::new(),
+            rng,
+        }
     }
 
     /// Cuts all ways between two groups.
     pub fn part(&mut self, one: &[SocketAddr], other: &[SocketAddr]) {
         for a in one {
-            self.cut.extend(other.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
+            self.cut
+                .extend(other.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
         }
     }
 
@@ -46,8 +53,14 @@
         if self.cut.contains(&(from, to)) || self.rng.random_range(0..1_000) < self.lost {
             return Vec::new();
         }
-        let copies = if self.rng.random_range(0..1_000) < self.doubled { 2 } else { 1 };
-        (0..copies).map(|_| self.rng.random_range(self.delay.0..=self.delay.1)).collect()
+        let copies = if self.rng.random_range(0..1_000) < self.doubled {
+            2
+        } else {
+            1
+        };
+        (0..copies)
+            .map(|_| self.rng.random_range(self.delay.0..=self.delay.1))
+            .collect()
     }
 }
 
@@ -69,7 +82,10 @@
 impl Net {
     /// A net with these rules.
     pub fn new(rules: Rules) -> Self {
-        Self(Arc::new(Mutex::new(Inner { rules, ports: BTreeMap::new() })))
+        Self(Arc::new(Mutex::new(Inner {
+            rules,
+            ports: BTreeMap::new(),
+        })))
     }
 
     /// Changes the rules for what is sent from now on.
@@ -81,7 +97,13 @@
     pub fn port(&self, address: SocketAddr) -> Port {
         let (sender, letters) = unbounded();
         self.lock().ports.insert(address, sender.clone());
-        Port { net: self.clone(), address, sender, letters, on_the_way: Vec::new() }
+        Port {
+            net: self.clone(),
+            address,
+            sender,
+            letters,
+            on_the_way: Vec::new(),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -100,7 +122,11 @@
 
 impl Port {
     fn due(&mut self, now: Instant) -> Option<Letter> {
-        let (at, first) = self.on_the_way.iter().enumerate().min_by_key(|(_, letter)| letter.due)?;
+        let (at, first) = self
+            .on_the_way
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, letter)| letter.due)?;
         (first.due <= now).then(|| self.on_the_way.remove(at))
     }
 }
@@ -109,16 +135,26 @@
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) -> io::Result<()> {
         let mut inner = self.net.lock();
         let fate = inner.rules.fate(self.address, to);
-        let Some(port) = inner.ports.get(&to) else { return Ok(()) };
+        let Some(port) = inner.ports.get(&to) else {
+            return Ok(());
+        };
         for delay in fate {
             let due = Instant::now() + Duration::from_millis(delay);
             // Fails when the receiver is gone: then the datagram is lost like any other.
-            drop(port.send(Some(Letter { due, from: self.address, bytes: bytes.to_vec() })));
+            drop(port.send(Some(Letter {
+                due,
+                from: self.address,
+                bytes: bytes.to_vec(),
+            })));
         }
         Ok(())
     }
 
-    fn receive(&mut self, buffer: &mut [u8], wait: Duration) -> io::Result<Option<(usize, SocketAddr)>> {
+    fn receive(
+        &mut self,
+        buffer: &mut [u8],
+        wait: Duration,
+    ) -> io::Result<Option<(usize, SocketAddr)>> {
         let end = Instant::now() + wait;
         loop {
             if let Some(letter) = self.due(Instant::now()) {
@@ -127,7 +163,10 @@
                 return Ok(Some((bytes, letter.from)));
             }
             let next = self.on_the_way.iter().map(|letter| letter.due).min();
-            match self.letters.recv_deadline(next.map_or(end, |next| next.min(end))) {
+            match self
+                .letters
+                .recv_deadline(next.map_or(end, |next| next.min(end)))
+            {
                 Ok(Some(letter)) => self.on_the_way.push(letter),
                 Ok(None) => return Ok(None),
                 Err(_) if Instant::now() >= end => return Ok(None),
--- a/peers/src/testing/numbers.rs
+++ b/peers/src/testing/numbers.rs
@@ -21,7 +21,11 @@
 
 impl Numbers {
     fn first_gap(&self) -> u64 {
-        self.known.iter().zip(0..).take_while(|(known, expected)| *known == expected).count() as u64
+        self.known
+            .iter()
+            .zip(0..)
+            .take_while(|(known, expected)| *known == expected)
+            .count() as u64
     }
 
     /// Knows a number, and tells it ten times when it is new.
@@ -36,7 +40,10 @@
     fn rumours(&mut self, room: usize, _: Millis) -> Vec<u8> {
         self.largest_room = self.largest_room.max(room);
         let told = packed(self.news.iter().map(|(number, _)| *number), room);
-        self.news.iter_mut().take(room / 8).for_each(|(_, left)| *left -= 1);
+        self.news
+            .iter_mut()
+            .take(room / 8)
+            .for_each(|(_, left)| *left -= 1);
         self.news.retain(|(_, left)| *left > 0);
         told
     }
@@ -48,7 +55,11 @@
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, _: Millis) -> Vec<Vec<u8>> {
         let gap = u64::from_be_bytes(summary.try_into().expect("as it was made"));
         let behind: Vec<_> = self.known.range(gap..).copied().collect();
-        behind.chunks(room / 8).take(most).map(|page| packed(page.iter().copied(), room)).collect()
+        behind
+            .chunks(room / 8)
+            .take(most)
+            .map(|page| packed(page.iter().copied(), room))
+            .collect()
     }
 
     fn take(&mut self, _: &Member, bytes: &[u8], _: Millis) {
--- a/peers/src/wire.rs
+++ b/peers/src/wire.rs
@@ -31,8 +31,14 @@
 
 impl Refusal {
     /// All of them, in the order of [`crate::Counts::refused`].
-    pub const ALL: [Self; 6] =
-        [Self::NoKey, Self::WrongKey, Self::Cut, Self::Huge, Self::Newer, Self::Replay];
+    pub const ALL: [Self; 6] = [
+        Self::NoKey,
+        Self::WrongKey,
+        Self::Cut,
+        Self::Huge,
+        Self::Newer,
+        Self::Replay,
+    ];
 
     /// In a word, for logs and metrics.
     pub fn word(self) -> &'static str {
@@ -209,7 +215,11 @@
             _ => IpAddr::from(<[u8; 16]>::try_from(&self.ip[..]).ok()?),
         };
         let address = SocketAddr::new(ip, u16::try_from(self.port).ok()?);
-        let digest = if self.digest.is_empty() { [0; 32] } else { self.digest[..].try_into().ok()? };
+        let digest = if self.digest.is_empty() {
+            [0; 32]
+        } else {
+            self.digest[..].try_into().ok()?
+        };
         (is_name(&self.name) && is_site(&self.site) && is_reachable(address)).then(|| Member {
             name: Arc::from(&self.name[..]),
             address,
@@ -217,7 +227,10 @@
             life: self.life,
             renewal: self.renewal,
             site: Arc::from(&self.site[..]),
-            configuration: Configuration { digest, order: self.order },
+            configuration: Configuration {
+                digest,
+                order: self.order,
+            },
         })
     }
 }
@@ -233,7 +246,13 @@
     let sealed = content.encode_to_vec();
     let key = &keys.current;
     let digest = key.digest(VERSION, &sealed).to_vec();
-    Frame { version: VERSION, key: Some(key.id), digest, sealed }.encode_to_vec()
+    Frame {
+        version: VERSION,
+        key: Some(key.id),
+        digest,
+        sealed,
+    }
+    .encode_to_vec()
 }
 
 /// What a datagram says, when it is sealed with a key that is held.
@@ -248,11 +267,19 @@
     if frame.version == 0 || frame.sealed.is_empty() {
         return Err(Refusal::Cut);
     }
-    let Some(id) = frame.key.filter(|_| !frame.digest.is_empty()) else { return Err(Refusal::NoKey) };
-    if !keys.with_id(id).any(|key| key.fits(frame.version, &frame.sealed, &frame.digest)) {
+    let Some(id) = frame.key.filter(|_| !frame.digest.is_empty()) else {
+        return Err(Refusal::NoKey);
+    };
+    if !keys
+        .with_id(id)
+        .any(|key| key.fits(frame.version, &frame.sealed, &frame.digest))
+    {
         return Err(Refusal::WrongKey);
     }
-    Content::decode(&frame.sealed[..]).ok().filter(|content| is_name(&content.name)).ok_or(Refusal::Cut)
+    Content::decode(&frame.sealed[..])
+        .ok()
+        .filter(|content| is_name(&content.name))
+        .ok_or(Refusal::Cut)
 }
 
 #[cfg(test)]
--- a/peers/src/wire/tests.rs
+++ b/peers/src/wire/tests.rs
@@ -26,10 +26,24 @@
 
 fn later(rumours: Option<Vec<u8>>, new_word: Option<Vec<u8>>) -> Vec<u8> {
     let (name, mood) = ("a".to_owned(), "bright".to_owned());
-    let content = LaterContent { name, boot: 5, life: 6, counter: 7, rumours, mood, new_word };
+    let content = LaterContent {
+        name,
+        boot: 5,
+        life: 6,
+        counter: 7,
+        rumours,
+        mood,
+        new_word,
+    };
     let (sealed, key) = (content.encode_to_vec(), keys().current);
     let digest = key.digest(VERSION, &sealed).to_vec();
-    let mut frame = Frame { version: VERSION, key: Some(key.id), digest, sealed }.encode_to_vec();
+    let mut frame = Frame {
+        version: VERSION,
+        key: Some(key.id),
+        digest,
+        sealed,
+    }
+    .encode_to_vec();
     // A field that this program's frames do not have: number 30, a varint.
     frame.extend([0xf0, 0x01, 0x05]);
     frame
@@ -37,8 +51,17 @@
 
 #[test]
 fn what_a_later_program_adds_is_passed_over() {
-    let known = Content { name: "a".into(), boot: 5, life: 6, counter: 7, word: None };
-    let rumours = Content { word: Some(Word::Rumours(vec![1, 2])), ..known.clone() };
+    let known = Content {
+        name: "a".into(),
+        boot: 5,
+        life: 6,
+        counter: 7,
+        word: None,
+    };
+    let rumours = Content {
+        word: Some(Word::Rumours(vec![1, 2])),
+        ..known.clone()
+    };
     assert_eq!(open(&keys(), &later(Some(vec![1, 2]), None)), Ok(rumours));
     // A word that it does not know says nothing, and is no fault.
     assert_eq!(open(&keys(), &later(None, Some(vec![1]))), Ok(known));
@@ -53,7 +76,10 @@
         life: 6,
         renewal: 1,
         site: "n".into(),
-        configuration: Configuration { digest: [7; 32], order: 8 },
+        configuration: Configuration {
+            digest: [7; 32],
+            order: 8,
+        },
     };
     let content = Content {
         name: "a".into(),
@@ -62,18 +88,42 @@
         counter: 7,
         word: Some(Word::Hello(Identity::whole(&member))),
     };
-    let written: String = content.encode_to_vec().iter().map(|byte| format!("{byte:02x}")).collect();
+    let written: String = content
+        .encode_to_vec()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     let digest = "07".repeat(32);
-    let identity = format!("0a016112047f0000011809200529060000000000000030013a016e4220{digest}4808");
-    assert_eq!(written, format!("0a01611005190600000000000000200732{:02x}{identity}", identity.len() / 2));
+    let identity =
+        format!("0a016112047f0000011809200529060000000000000030013a016e4220{digest}4808");
+    assert_eq!(
+        written,
+        format!(
+            "0a01611005190600000000000000200732{:02x}{identity}",
+            identity.len() / 2
+        )
+    );
 }
 
 #[test]
 fn the_widest_word_is_no_larger_than_a_datagram() {
     let name = "n".repeat(crate::LONGEST_NAME);
-    let page = Page { bytes: vec![1; room(&name)], more: true };
-    let content = Content { name, boot: u64::MAX, life: 1, counter: u64::MAX, word: Some(Word::Page(page)) };
+    let page = Page {
+        bytes: vec![1; room(&name)],
+        more: true,
+    };
+    let content = Content {
+        name,
+        boot: u64::MAX,
+        life: 1,
+        counter: u64::MAX,
+        word: Some(Word::Page(page)),
+    };
     let bytes = seal(&keys(), &content);
-    assert!((LARGEST - 8..=LARGEST).contains(&bytes.len()), "{} bytes", bytes.len());
+    assert!(
+        (LARGEST - 8..=LARGEST).contains(&bytes.len()),
+        "{} bytes",
+        bytes.len()
+    );
     assert_eq!(open(&keys(), &bytes), Ok(content));
 }
--- a/peers/tests/bodies.rs
+++ b/peers/tests/bodies.rs
@@ -23,7 +23,12 @@
     let mut fleet = fleet(30, &Settings::default());
     for number in 0..20 {
         let at = number as usize;
-        fleet.seats[at].node.as_mut().expect("lives").body_mut().learn(number);
+        fleet.seats[at]
+            .node
+            .as_mut()
+            .expect("lives")
+            .body_mut()
+            .learn(number);
         fleet.hand(at, Input::Say);
         let all = at + 1;
         assert!(fleet.run_until(2_000, |fleet| (0..30).all(|at| knows(fleet, at, all))));
@@ -34,7 +39,13 @@
 fn a_newcomer_is_given_the_pages_in_a_few_rounds() {
     let mut fleet = fleet(3, &Settings::default());
     for at in 0..3 {
-        fleet.seats[at].node.as_mut().expect("lives").body_mut().known.extend(0..4_000);
+        fleet.seats[at]
+            .node
+            .as_mut()
+            .expect("lives")
+            .body_mut()
+            .known
+            .extend(0..4_000);
     }
     let late = fleet.add(profile("late", 2_000, &[1_000]), Numbers::default());
     // 32 KB in pages of a thousand bytes: four at a time, at each round, until there are no more.
@@ -43,11 +54,18 @@
 
 #[test]
 fn bodies_fill_no_more_bytes_than_they_may() {
-    let settings = Settings { bytes_per_s: 10_000, ..Settings::default() };
+    let settings = Settings {
+        bytes_per_s: 10_000,
+        ..Settings::default()
+    };
     let mut fleet = fleet(4, &settings);
     for at in 0..4 {
-        fleet.seats[at].node.as_mut().expect("lives").body_mut().news =
-            (0..600).map(|n| (n, 1_000_000)).collect();
+        fleet.seats[at]
+            .node
+            .as_mut()
+            .expect("lives")
+            .body_mut()
+            .news = (0..600).map(|n| (n, 1_000_000)).collect();
     }
     let before = fleet.counts();
     fleet.run_for(60_000);
--- a/peers/tests/datagrams.rs
+++ b/peers/tests/datagrams.rs
@@ -3,12 +3,19 @@
 use std::net::SocketAddr;
 
 use beaconflow_peers::testing::{Fleet, Rules, Silent, keys, profile};
-use beaconflow_peers::{Event, Input, Key, KeyFault, Keys, LARGEST, Millis, Node, Output, Refusal, Settings};
+use beaconflow_peers::{
+    Event, Input, Key, KeyFault, Keys, LARGEST, Millis, Node, Output, Refusal, Settings,
+};
 use proptest::prelude::*;
 
 fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<Silent> {
-    Node::new(profile(name, port, seeds), keys, Settings::default(), Silent::default())
-        .expect("a good profile")
+    Node::new(
+        profile(name, port, seeds),
+        keys,
+        Settings::default(),
+        Silent::default(),
+    )
+    .expect("a good profile")
 }
 
 /// What `a` says when it is alone and asks the address of `b`.
@@ -24,7 +31,8 @@
 }
 
 fn is_answered(out: &[Output]) -> bool {
-    out.iter().any(|output| matches!(output, Output::Send { .. }))
+    out.iter()
+        .any(|output| matches!(output, Output::Send { .. }))
 }
 
 struct Receiver {
@@ -41,19 +49,28 @@
 
     fn take(&mut self, bytes: &[u8]) -> Vec<Output> {
         let (from, mut out) = (SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
-        self.node.handle(self.now, Input::Datagram { from, bytes }, &mut out);
+        self.node
+            .handle(self.now, Input::Datagram { from, bytes }, &mut out);
         out
     }
 
     fn refused(&self, why: Refusal) -> u64 {
-        self.node.counts().refused[Refusal::ALL.iter().position(|other| *other == why).expect("one of all")]
+        self.node.counts().refused[Refusal::ALL
+            .iter()
+            .position(|other| *other == why)
+            .expect("one of all")]
     }
 
     /// Refused as that, and for nothing else is anybody answered or known.
     fn refuses(&mut self, bytes: &[u8], why: Refusal) {
         let before = self.refused(why);
         let out = self.take(bytes);
-        assert_eq!(self.refused(why), before + 1, "as {}: {bytes:?}", why.word());
+        assert_eq!(
+            self.refused(why),
+            before + 1,
+            "as {}: {bytes:?}",
+            why.word()
+        );
         assert!(!is_answered(&out));
         assert_eq!(self.node.members().len(), 0);
     }
@@ -64,7 +81,14 @@
     let mut receiver = Receiver::new();
     let out = receiver.take(&hello(keys(1)));
     assert!(is_answered(&out));
-    assert_eq!(receiver.node.members().map(|member| member.name.to_string()).collect::<Vec<_>>(), ["a"]);
+    assert_eq!(
+        receiver
+            .node
+            .members()
+            .map(|member| member.name.to_string())
+            .collect::<Vec<_>>(),
+        ["a"]
+    );
 }
 
 #[test]
@@ -74,7 +98,11 @@
     for end in 0..whole.len() {
         receiver.refuses(&whole[..end], Refusal::Cut);
     }
-    assert_eq!(receiver.take(&whole).len(), 3, "it answers, names whom it met, and when it wakes");
+    assert_eq!(
+        receiver.take(&whole).len(),
+        3,
+        "it answers, names whom it met, and when it wakes"
+    );
 }
 
 #[test]
@@ -93,7 +121,14 @@
     };
     let from = SocketAddr::from(([127, 0, 0, 1], 1));
     let first = events(receiver.take(&unkeyed));
-    assert_eq!(first, [Event::Refused { from, why: Refusal::NoKey, count: 1 }]);
+    assert_eq!(
+        first,
+        [Event::Refused {
+            from,
+            why: Refusal::NoKey,
+            count: 1
+        }]
+    );
     receiver.refuses(&unkeyed, Refusal::NoKey);
     receiver.refuses(&newer, Refusal::Newer);
     receiver.refuses(&hello(keys(2)), Refusal::WrongKey);
@@ -102,7 +137,14 @@
     receiver.now = 59_999;
     assert_eq!(events(receiver.take(&[])), []);
     receiver.now = 60_000;
-    assert_eq!(events(receiver.take(&[])), [Event::Refused { from, why: Refusal::Cut, count: 7 }]);
+    assert_eq!(
+        events(receiver.take(&[])),
+        [Event::Refused {
+            from,
+            why: Refusal::Cut,
+            count: 7
+        }]
+    );
     receiver.take(&whole);
     receiver.take(&whole);
     assert_eq!(receiver.refused(Refusal::Replay), 1);
@@ -113,7 +155,13 @@
     let mut fleet = Fleet::new(Rules::new(3));
     let b = fleet.add(profile("b", 2, &[]), Silent::default());
     let old = hello(keys(1));
-    let a = fleet.add(beaconflow_peers::Profile { boot: 2, ..profile("a", 1, &[2]) }, Silent::default());
+    let a = fleet.add(
+        beaconflow_peers::Profile {
+            boot: 2,
+            ..profile("a", 1, &[2])
+        },
+        Silent::default(),
+    );
     assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&[("a", 2), ("b", 1)])));
     fleet.kill(a);
     assert!(fleet.run_until(30_000, |fleet| fleet.all_know(&[("b", 1)])));
@@ -170,11 +218,26 @@
     };
     let good = "0123456789abcdef".repeat(4);
     assert!(file("good", &format!("{good}\n"), 0o640).is_ok());
-    assert!(matches!(file("open", &good, 0o644), Err(KeyFault::Open(_, 0o644))));
-    assert!(matches!(file("short", &good[..62], 0o600), Err(KeyFault::Short(_, 31))));
-    assert!(matches!(file("odd", &good[..63], 0o600), Err(KeyFault::NotHex(_))));
-    assert!(matches!(file("words", "correct horse battery staple", 0o600), Err(KeyFault::NotHex(_))));
-    assert!(matches!(file("large", &good.repeat(100), 0o600), Err(KeyFault::Large(_))));
+    assert!(matches!(
+        file("open", &good, 0o644),
+        Err(KeyFault::Open(_, 0o644))
+    ));
+    assert!(matches!(
+        file("short", &good[..62], 0o600),
+        Err(KeyFault::Short(_, 31))
+    ));
+    assert!(matches!(
+        file("odd", &good[..63], 0o600),
+        Err(KeyFault::NotHex(_))
+    ));
+    assert!(matches!(
+        file("words", "correct horse battery staple", 0o600),
+        Err(KeyFault::NotHex(_))
+    ));
+    assert!(matches!(
+        file("large", &good.repeat(100), 0o600),
+        Err(KeyFault::Large(_))
+    ));
     let missing = Key::read(&folder.path().join("missing")).expect_err("there is none");
     assert!(missing.to_string().contains("missing cannot be read"));
 }
--- a/peers/tests/driver.rs
+++ b/peers/tests/driver.rs
@@ -6,7 +6,9 @@
 
 use beaconflow_peers::driver::{Handle, Link, Udp, spawn};
 use beaconflow_peers::testing::{Net, Rules, Silent, keys};
-use beaconflow_peers::{Body, Configuration, Event, Member, Millis, Node, Profile, Refusal, Settings};
+use beaconflow_peers::{
+    Body, Configuration, Event, Member, Millis, Node, Profile, Refusal, Settings,
+};
 use crossbeam_channel::{Receiver, unbounded};
 
 const LONG: Duration = Duration::from_secs(60);
@@ -77,16 +79,26 @@
     let refused = wait_for(&told_a, Event::is_fault);
     assert_eq!(
         refused,
-        Event::Refused { from: stranger.local_addr().expect("bound"), why: Refusal::Huge, count: 1 }
+        Event::Refused {
+            from: stranger.local_addr().expect("bound"),
+            why: Refusal::Huge,
+            count: 1
+        }
     );
-    let configuration = Configuration { order: 9, ..Configuration::default() };
+    let configuration = Configuration {
+        order: 9,
+        ..Configuration::default()
+    };
     b.configured(configuration);
     wait_for(
         &told_a,
         |event| matches!(event, Event::Changed { now, .. } if now.configuration == configuration),
     );
     b.stop();
-    wait_for(&told_a, |event| matches!(event, Event::Down(member) if &*member.name == "b"));
+    wait_for(
+        &told_a,
+        |event| matches!(event, Event::Down(member) if &*member.name == "b"),
+    );
     assert!(a.members().is_empty() && a.counts().sent > 0);
 }
 
@@ -128,7 +140,10 @@
     wait_for(&told_b, is_up("a"));
     shared.lock().expect("whole").0 = b"the south is dark".to_vec();
     a.say();
-    assert_eq!(words.recv_timeout(LONG).expect("carried"), b"the south is dark");
+    assert_eq!(
+        words.recv_timeout(LONG).expect("carried"),
+        b"the south is dark"
+    );
     net.change(|rules| rules.part(&[at(1)], &[at(2)]));
     wait_for(&told_b, |event| matches!(event, Event::Down(_)));
     net.change(|rules| rules.cut.clear());
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -26,7 +26,11 @@
 }
 
 fn took_its_time(fleet: &mut Fleet<Silent>, members: &[(&str, u64)]) {
-    assert!(fleet.run_until(LONG, |fleet| fleet.all_know(members)), "known: {:?}", fleet.events);
+    assert!(
+        fleet.run_until(LONG, |fleet| fleet.all_know(members)),
+        "known: {:?}",
+        fleet.events
+    );
 }
 
 #[test]
@@ -55,10 +59,17 @@
     let paused_at = fleet.now;
     fleet.resume(2);
     assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&first_lives())));
-    assert!(fleet.told(2).any(|event| matches!(event, Event::Woke(gap) if *gap > 9_000)));
+    assert!(
+        fleet
+            .told(2)
+            .any(|event| matches!(event, Event::Woke(gap) if *gap > 9_000))
+    );
     // It blamed nobody for its own absence, and its life is the same.
     fleet.run_for(LONG);
-    let late_downs = fleet.events.iter().filter(|(at, _, event)| *at >= paused_at && is_down(event));
+    let late_downs = fleet
+        .events
+        .iter()
+        .filter(|(at, _, event)| *at >= paused_at && is_down(event));
     assert_eq!(late_downs.count(), 0);
     assert!(fleet.node(2).me().renewal > 0 && fleet.node(2).me().boot == 1);
 }
@@ -89,15 +100,31 @@
         let mut fleet = five(5);
         fleet.kill(2);
         fleet.run_for(300);
-        fleet.add(Profile { boot: 2, seed: 77, ..place("c", address) }, Silent::default());
+        fleet.add(
+            Profile {
+                boot: 2,
+                seed: 77,
+                ..place("c", address)
+            },
+            Silent::default(),
+        );
         let now = [("a", 1), ("b", 1), ("c", 2), ("d", 1), ("e", 1)];
         assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&now)));
         let restarted = |event: &Event| match event {
             Event::Restarted { was, now } => (was.boot, now.boot) == (1, 2) && &*now.name == "c",
             _ => false,
         };
-        assert!((0..5).filter(|at| *at != 2).all(|at| fleet.told(at).any(restarted)));
-        assert!(!fleet.events.iter().any(|(_, _, event)| matches!(event, Event::Doubled { .. })));
+        assert!(
+            (0..5)
+                .filter(|at| *at != 2)
+                .all(|at| fleet.told(at).any(restarted))
+        );
+        assert!(
+            !fleet
+                .events
+                .iter()
+                .any(|(_, _, event)| matches!(event, Event::Doubled { .. }))
+        );
         fleet.run_for(LONG);
         assert!(fleet.all_know(&now));
     }
@@ -109,21 +136,53 @@
     for boot in [1, 7] {
         let mut fleet = five(6);
         fleet.kill(3);
-        fleet.add(Profile { boot: 7, seed: 99, ..place("d", 3) }, Silent::default());
-        took_its_time(&mut fleet, &[("a", 1), ("b", 1), ("c", 1), ("d", 7), ("e", 1)]);
+        fleet.add(
+            Profile {
+                boot: 7,
+                seed: 99,
+                ..place("d", 3)
+            },
+            Silent::default(),
+        );
+        took_its_time(
+            &mut fleet,
+            &[("a", 1), ("b", 1), ("c", 1), ("d", 7), ("e", 1)],
+        );
         fleet.kill(5);
         // A seed that draws a lower life than 99 does: the same boot number alone does not win.
-        let seed = (0..).find(|seed| fleet_life(*seed) < fleet_life(99)).expect("one of them is lower");
-        let again = fleet.add(Profile { boot, seed, ..place("d", 3) }, Silent::default());
-        took_its_time(&mut fleet, &[("a", 1), ("b", 1), ("c", 1), ("d", 8), ("e", 1)]);
-        assert!(fleet.told(again).any(|event| *event == Event::BootRaised(8)));
+        let seed = (0..)
+            .find(|seed| fleet_life(*seed) < fleet_life(99))
+            .expect("one of them is lower");
+        let again = fleet.add(
+            Profile {
+                boot,
+                seed,
+                ..place("d", 3)
+            },
+            Silent::default(),
+        );
+        took_its_time(
+            &mut fleet,
+            &[("a", 1), ("b", 1), ("c", 1), ("d", 8), ("e", 1)],
+        );
+        assert!(
+            fleet
+                .told(again)
+                .any(|event| *event == Event::BootRaised(8))
+        );
         assert!(!fleet.node(again).is_displaced());
     }
 }
 
 fn fleet_life(seed: u64) -> u64 {
     let mut fleet = Fleet::new(Rules::new(1));
-    fleet.add(Profile { seed, ..place("x", 0) }, Silent::default());
+    fleet.add(
+        Profile {
+            seed,
+            ..place("x", 0)
+        },
+        Silent::default(),
+    );
     fleet.node(0).me().life
 }
 
@@ -131,33 +190,61 @@
 fn of_two_processes_of_one_name_the_later_counts_and_the_other_is_told() {
     for boot in [0, 2] {
         let mut fleet = five(7);
-        let second = fleet.add(Profile { boot, ..place("c", 8) }, Silent::default());
+        let second = fleet.add(
+            Profile {
+                boot,
+                ..place("c", 8)
+            },
+            Silent::default(),
+        );
         let (winner, loser) = if boot > 1 { (second, 2) } else { (2, second) };
         assert!(fleet.run_until(LONG, |fleet| fleet.node(loser).is_displaced()));
         fleet.run_for(5_000);
         let boots = (fleet.node(winner).me().boot, fleet.node(loser).me().boot);
         let (winner_at, loser_at) = (fleet.seats[winner].address, fleet.seats[loser].address);
         let is_named = |event: &Event| match event {
-            Event::Doubled { holder, other, other_boot } => {
-                (holder.address, *other) == (winner_at, loser_at) && (holder.boot, *other_boot) == boots
+            Event::Doubled {
+                holder,
+                other,
+                other_boot,
+            } => {
+                (holder.address, *other) == (winner_at, loser_at)
+                    && (holder.boot, *other_boot) == boots
             }
             _ => false,
         };
-        assert!(fleet.events.iter().any(|(_, _, event)| is_named(event) && event.is_fault()));
-        let displaced = |event: &Event| matches!(event, Event::Displaced { by } if by.address == winner_at);
+        assert!(
+            fleet
+                .events
+                .iter()
+                .any(|(_, _, event)| is_named(event) && event.is_fault())
+        );
+        let displaced =
+            |event: &Event| matches!(event, Event::Displaced { by } if by.address == winner_at);
         assert!(fleet.told(loser).any(displaced));
         assert_eq!(fleet.node(loser).members().len(), 0);
         for at in [0, 1, 3, 4] {
-            let known = fleet.node(at).members().find(|member| &*member.name == "c").expect("c is there");
+            let known = fleet
+                .node(at)
+                .members()
+                .find(|member| &*member.name == "c")
+                .expect("c is there");
             assert_eq!((known.address, known.boot), (winner_at, boots.0));
         }
         // Neither flaps, however long it lasts; and when the winner is gone the other is let in.
         let events = fleet.events.len();
         fleet.run_for(5 * LONG);
-        assert!(!fleet.events[events..].iter().any(|(_, _, event)| is_down(event)));
+        assert!(
+            !fleet.events[events..]
+                .iter()
+                .any(|(_, _, event)| is_down(event))
+        );
         fleet.kill(winner);
         let raised = boots.0 + 1;
-        took_its_time(&mut fleet, &[("a", 1), ("b", 1), ("c", raised), ("d", 1), ("e", 1)]);
+        took_its_time(
+            &mut fleet,
+            &[("a", 1), ("b", 1), ("c", raised), ("d", 1), ("e", 1)],
+        );
     }
 }
 
@@ -165,7 +252,14 @@
 fn a_process_that_took_another_name_takes_the_place_of_the_one_before() {
     let mut fleet = five(8);
     fleet.kill(4);
-    fleet.add(Profile { boot: 2, seed: 55, ..place("z", 4) }, Silent::default());
+    fleet.add(
+        Profile {
+            boot: 2,
+            seed: 55,
+            ..place("z", 4)
+        },
+        Silent::default(),
+    );
     // Well before the silence of the old name would tell.
     let now = [("a", 1), ("b", 1), ("c", 1), ("d", 1), ("z", 2)];
     assert!(fleet.run_until(2_500, |fleet| fleet.all_know(&now)));
@@ -202,19 +296,25 @@
 #[test]
 fn a_new_configuration_is_known_without_anybody_going_down() {
     let mut fleet = five(11);
-    let configuration = Configuration { digest: [9; 32], order: 4 };
+    let configuration = Configuration {
+        digest: [9; 32],
+        order: 4,
+    };
     fleet.hand(1, Input::Configured(configuration));
     let known = |fleet: &Fleet<Silent>| {
         [0, 2, 3, 4].iter().all(|at| {
-            let member = fleet.node(*at).members().find(|member| &*member.name == "b");
+            let member = fleet
+                .node(*at)
+                .members()
+                .find(|member| &*member.name == "b");
             member.is_some_and(|member| member.configuration == configuration)
         })
     };
     assert!(fleet.run_until(5_000, known));
     assert!(
-        fleet
-            .told(0)
-            .any(|event| matches!(event, Event::Changed { now, .. } if now.configuration.order == 4))
+        fleet.told(0).any(
+            |event| matches!(event, Event::Changed { now, .. } if now.configuration.order == 4)
+        )
     );
     fleet.run_for(LONG);
     assert!(known(&fleet) && !fleet.events.iter().any(|(_, _, event)| is_down(event)));
@@ -230,7 +330,14 @@
     assert!(fleet.all_know(&first_lives()));
     assert!(!fleet.events.iter().any(|(_, _, event)| is_down(event)));
     // Whoever was suspected spoke up, and that was the end of it.
-    assert!(fleet.counts().iter().map(|counts| counts.suspected).sum::<u64>() > 10);
+    assert!(
+        fleet
+            .counts()
+            .iter()
+            .map(|counts| counts.suspected)
+            .sum::<u64>()
+            > 10
+    );
     assert!(fleet.counts().iter().all(|counts| counts.renewals == 0));
 }
 
@@ -250,10 +357,17 @@
 fn a_fleet_changes_its_key_without_losing_anybody() {
     let mut fleet = five(14);
     let (old, new) = (keys(1).current, keys(2).current);
-    let both = [(old.clone(), Some(new.clone())), (new.clone(), Some(old)), (new, None)];
+    let both = [
+        (old.clone(), Some(new.clone())),
+        (new.clone(), Some(old)),
+        (new, None),
+    ];
     for (current, other) in both {
         for at in 0..5 {
-            let keys = beaconflow_peers::Keys { current: current.clone(), other: other.clone() };
+            let keys = beaconflow_peers::Keys {
+                current: current.clone(),
+                other: other.clone(),
+            };
             fleet.hand(at, Input::Keys(Box::new(keys)));
             fleet.run_for(1_500);
         }
@@ -262,7 +376,12 @@
     assert!(fleet.all_know(&first_lives()));
     assert!(!fleet.events.iter().any(|(_, _, event)| is_down(event)));
     // One that still has the old key alone is outside.
-    let late = fleet.add_with(place("f", 5), keys(1), Settings::default(), Silent::default());
+    let late = fleet.add_with(
+        place("f", 5),
+        keys(1),
+        Settings::default(),
+        Silent::default(),
+    );
     fleet.run_for(20_000);
     assert_eq!(fleet.node(late).members().len(), 0);
 }
--- a/peers/tests/stored_form.rs
+++ b/peers/tests/stored_form.rs
@@ -9,7 +9,12 @@
 const FIRST_DATAGRAM: &str = include_str!("data/first_datagram.hex");
 
 fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<Silent> {
-    let node = Node::new(profile(name, port, seeds), keys, Settings::default(), Silent::default());
+    let node = Node::new(
+        profile(name, port, seeds),
+        keys,
+        Settings::default(),
+        Silent::default(),
+    );
     node.expect("a valid profile")
 }
 
@@ -31,7 +36,10 @@
 
 #[test]
 fn sends_the_first_datagram_as_it_was_first_sent() {
-    let sent: String = first_datagram().iter().map(|byte| format!("{byte:02x}")).collect();
+    let sent: String = first_datagram()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     assert_eq!(sent, FIRST_DATAGRAM.trim_end());
 }
 
@@ -39,7 +47,23 @@
 fn accepts_the_first_datagram_that_was_first_sent() {
     let (mut receiver, mut out) = (node("b", 2, &[], keys(1)), Vec::new());
     receiver.handle(0, Input::Start, &mut out);
-    let (from, bytes) = (SocketAddr::from(([127, 0, 0, 1], 1)), bytes(FIRST_DATAGRAM.trim_end()));
-    receiver.handle(0, Input::Datagram { from, bytes: &bytes }, &mut out);
-    assert_eq!(receiver.members().map(|member| member.name.to_string()).collect::<Vec<_>>(), ["a"]);
+    let (from, bytes) = (
+        SocketAddr::from(([127, 0, 0, 1], 1)),
+        bytes(FIRST_DATAGRAM.trim_end()),
+    );
+    receiver.handle(
+        0,
+        Input::Datagram {
+            from,
+            bytes: &bytes,
+        },
+        &mut out,
+    );
+    assert_eq!(
+        receiver
+            .members()
+            .map(|member| member.name.to_string())
+            .collect::<Vec<_>>(),
+        ["a"]
+    );
 }
--- a/recovery/src/api.rs
+++ b/recovery/src/api.rs
@@ -19,7 +19,12 @@
 
 impl Whom {
     /// All, in the order in which they are asked.
-    pub const ALL: [Whom; 4] = [Whom::SitePeers, Whom::OtherSites, Whom::Discovery, Whom::Store];
+    pub const ALL: [Whom; 4] = [
+        Whom::SitePeers,
+        Whom::OtherSites,
+        Whom::Discovery,
+        Whom::Store,
+    ];
 }
 
 /// Where a list is from. A later one in this order is believed before an earlier one.
--- a/recovery/src/ask.rs
+++ b/recovery/src/ask.rs
@@ -22,11 +22,20 @@
 impl Recovery {
     /// Begins with the first one from that place on that is there to be asked.
     pub(crate) fn ask_first(&mut self, now: Nanos, from: usize, out: &mut Vec<Action>) {
-        match Whom::ALL.into_iter().skip(from).find(|whom| self.is_there(*whom)) {
+        match Whom::ALL
+            .into_iter()
+            .skip(from)
+            .find(|whom| self.is_there(*whom))
+        {
             Some(whom) => {
                 self.state = State::Asking(whom);
                 self.deadline = now.saturating_add(self.config.step_within(whom));
-                self.say(out, Step::Asks(whom), format!("what is known at the {whom}"), Some(self.deadline));
+                self.say(
+                    out,
+                    Step::Asks(whom),
+                    format!("what is known at the {whom}"),
+                    Some(self.deadline),
+                );
                 if !self.asked[whom as usize].answered {
                     let after = self.rng.random_range(0..=self.span(whom));
                     self.call(now, whom, after, out);
@@ -68,14 +77,23 @@
         let call_at = now.saturating_add(after);
         let next = Some(call_at.saturating_add(self.bound(whom).max(LEAST_REPEAT)));
         let asked = &mut self.asked[whom as usize];
-        *asked = Asked { tries: asked.tries.saturating_add(1), call_at, next, ..*asked };
+        *asked = Asked {
+            tries: asked.tries.saturating_add(1),
+            call_at,
+            next,
+            ..*asked
+        };
     }
 
     /// Asks again after a capped, exponential delay with full jitter, never before the fleet's calls have their time.
     fn call_again(&mut self, now: Nanos, whom: Whom, out: &mut Vec<Action>) {
         let tries = self.asked[whom as usize].tries.min(16);
         let most = self.config.bounds.repeat.max(self.span(whom));
-        let span = self.span(whom).max(LEAST_REPEAT).saturating_mul(1 << tries).min(most);
+        let span = self
+            .span(whom)
+            .max(LEAST_REPEAT)
+            .saturating_mul(1 << tries)
+            .min(most);
         let after = self.rng.random_range(0..=span);
         self.call(now, whom, after, out);
     }
@@ -83,7 +101,10 @@
     /// Asks those again that have not answered in time, whatever the state: one that comes back last is heard too.
     pub(crate) fn repeat(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for whom in Whom::ALL {
-            if self.asked[whom as usize].next.is_some_and(|next| now >= next) {
+            if self.asked[whom as usize]
+                .next
+                .is_some_and(|next| now >= next)
+            {
                 self.call_again(now, whom, out);
             }
         }
@@ -91,7 +112,11 @@
 
     pub(crate) fn answered(&mut self, whom: Whom) {
         let asked = &mut self.asked[whom as usize];
-        *asked = Asked { answered: true, next: None, ..*asked };
+        *asked = Asked {
+            answered: true,
+            next: None,
+            ..*asked
+        };
     }
 
     /// A list is an answer of its source.
@@ -117,18 +142,26 @@
     /// Whether the step is over: it was answered, its time is up, or what is known is enough.
     pub(crate) fn is_over(&self, now: Nanos, whom: Whom) -> bool {
         let is_told = whom == Whom::Discovery && self.is_told_since();
-        self.asked[whom as usize].answered || now >= self.deadline || is_told || self.knows_enough(now)
+        self.asked[whom as usize].answered
+            || now >= self.deadline
+            || is_told
+            || self.knows_enough(now)
     }
 
     /// Whether a list was told that is younger than the darkness. If a peer told it, its call of discovery was the
     /// earlier one; the own call is made all the same.
     pub(crate) fn is_told_since(&self) -> bool {
-        self.farm.as_of().is_some_and(|as_of| as_of >= self.since as i64)
+        self.farm
+            .as_of()
+            .is_some_and(|as_of| as_of >= self.since as i64)
     }
 
     /// One that restarted alone, and has its peers' list, has to wait for nobody.
     fn knows_enough(&self, now: Nanos) -> bool {
-        let is_told = self.farm.source().is_some_and(|source| source >= Source::OtherSite);
+        let is_told = self
+            .farm
+            .source()
+            .is_some_and(|source| source >= Source::OtherSite);
         is_told && self.find(now).scope == Scope::Alone
     }
 
--- a/recovery/src/clock.rs
+++ b/recovery/src/clock.rs
@@ -26,13 +26,21 @@
 
 /// What a wall clock showed at moment 0.
 fn base(now: Nanos, wall: Millis) -> i64 {
-    i64::try_from(wall).unwrap_or(i64::MAX).saturating_sub((now / MS) as i64)
+    i64::try_from(wall)
+        .unwrap_or(i64::MAX)
+        .saturating_sub((now / MS) as i64)
 }
 
 impl Clock {
     pub(crate) fn new(now: Nanos, wall: Millis, written_at: Option<Millis>) -> Clock {
         let own = base(now, wall);
-        Clock { own, written_at, others: BTreeMap::new(), newest_start: 0, judged: None }
+        Clock {
+            own,
+            written_at,
+            others: BTreeMap::new(),
+            newest_start: 0,
+            judged: None,
+        }
     }
 
     /// Follows the own clock; says by how much it was stepped, if it was.
--- a/recovery/src/config.rs
+++ b/recovery/src/config.rs
@@ -175,7 +175,10 @@
             bounds: Bounds::default(),
             ages: Ages::default(),
             cold: Cold::default(),
-            classes: vec![Class { worth: 1.0, aim: SECOND }],
+            classes: vec![Class {
+                worth: 1.0,
+                aim: SECOND,
+            }],
             accounts: Vec::new(),
             clients: 0,
             group: 0.0,
@@ -210,16 +213,36 @@
             ("cold.borne", !is_positive(cold.borne)),
             ("group", !(self.group.is_finite() && self.group >= 0.0)),
             ("classes", self.classes.is_empty()),
-            ("classes.worth", self.classes.iter().any(|class| !class.worth.is_finite() || class.worth < 0.0)),
-            ("classes.aim", self.classes.iter().any(|class| class.aim == 0)),
-            ("accounts.share", self.accounts.iter().any(|account| !is_positive(account.share))),
+            (
+                "classes.worth",
+                self.classes
+                    .iter()
+                    .any(|class| !class.worth.is_finite() || class.worth < 0.0),
+            ),
+            (
+                "classes.aim",
+                self.classes.iter().any(|class| class.aim == 0),
+            ),
+            (
+                "accounts.share",
+                self.accounts
+                    .iter()
+                    .any(|account| !is_positive(account.share)),
+            ),
         ];
-        faults.into_iter().filter(|(_, bad)| *bad).map(|(field, _)| Fault { field }).collect()
+        faults
+            .into_iter()
+            .filter(|(_, bad)| *bad)
+            .map(|(field, _)| Fault { field })
+            .collect()
     }
 
     /// The span over which the whole fleet's first calls to one service are spread.
     pub fn herd(&self) -> Nanos {
-        self.bounds.call.saturating_mul(u64::from(self.fleet)).min(self.bounds.spread)
+        self.bounds
+            .call
+            .saturating_mul(u64::from(self.fleet))
+            .min(self.bounds.spread)
     }
 
     /// So long asking one of them lasts at most.
@@ -234,7 +257,10 @@
 
     /// Within so long from its start every process lets clients in, whoever answers or not.
     pub fn lets_in_within(&self) -> Nanos {
-        Whom::ALL.into_iter().map(|whom| self.step_within(whom)).fold(0, Nanos::saturating_add)
+        Whom::ALL
+            .into_iter()
+            .map(|whom| self.step_within(whom))
+            .fold(0, Nanos::saturating_add)
     }
 
     /// Within so long from its start every process serves in full, whoever answers or not.
--- a/recovery/src/curve.rs
+++ b/recovery/src/curve.rs
@@ -28,7 +28,11 @@
     if age < 0 {
         return 0.0;
     }
-    let part = if cold.cold_time == 0 { 1.0 } else { (age as f64 / cold.cold_time as f64).min(1.0) };
+    let part = if cold.cold_time == 0 {
+        1.0
+    } else {
+        (age as f64 / cold.cold_time as f64).min(1.0)
+    };
     cold.cold_share + (1.0 - cold.cold_share) * part
 }
 
@@ -47,9 +51,17 @@
     let (mut low, mut high) = (0.0, allowed);
     for _ in 0..32 {
         let middle = (low + high) / 2.0;
-        if is_rare(middle) { low = middle } else { high = middle }
+        if is_rare(middle) {
+            low = middle
+        } else {
+            high = middle
+        }
+    }
+    if allowed > 0.0 {
+        (low / allowed).max(LEAST_USED)
+    } else {
+        LEAST_USED
     }
-    if allowed > 0.0 { (low / allowed).max(LEAST_USED) } else { LEAST_USED }
 }
 
 impl Curve {
@@ -62,17 +74,34 @@
         cold: &Cold,
         (borne, clump): (f64, f64),
     ) -> Curve {
-        let last =
-            servers.iter().map(|(_, born)| born.saturating_add(cold.cold_time as i64)).max().unwrap_or(0);
-        let until = u64::try_from(last).unwrap_or(0).saturating_sub(from).max(cold.cold_time.max(SECOND));
-        let step = (cold.cold_time / POINTS_OF_WARM_UP).max(until / MOST_POINTS).max(1);
+        let last = servers
+            .iter()
+            .map(|(_, born)| born.saturating_add(cold.cold_time as i64))
+            .max()
+            .unwrap_or(0);
+        let until = u64::try_from(last)
+            .unwrap_or(0)
+            .saturating_sub(from)
+            .max(cold.cold_time.max(SECOND));
+        let step = (cold.cold_time / POINTS_OF_WARM_UP)
+            .max(until / MOST_POINTS)
+            .max(1);
         let rarity = (ONE_IN * servers.len() as f64).ln();
         // The smallest server gets fewest, and so chance does most to it.
-        let small = servers.iter().map(|(weight, _)| *weight).fold(f64::INFINITY, f64::min);
+        let small = servers
+            .iter()
+            .map(|(weight, _)| *weight)
+            .fold(f64::INFINITY, f64::min);
         let rate = |at: Nanos| {
-            let sum =
-                servers.iter().map(|(weight, born)| weight * warmth(cold, *born, at as i64)).sum::<f64>();
-            let all = servers.iter().map(|(weight, _)| weight).sum::<f64>().max(f64::MIN_POSITIVE);
+            let sum = servers
+                .iter()
+                .map(|(weight, born)| weight * warmth(cold, *born, at as i64))
+                .sum::<f64>();
+            let all = servers
+                .iter()
+                .map(|(weight, _)| weight)
+                .sum::<f64>()
+                .max(f64::MIN_POSITIVE);
             let each = cold.tip_multiple * borne * cold.fall_time as f64 / SECOND as f64;
             cold.tip_multiple
                 * borne
@@ -108,14 +137,19 @@
     /// When so many may have been let in; nothing if never.
     pub(crate) fn when(&self, clients: f64) -> Option<Nanos> {
         let last = self.sums.len() - 1;
-        let place = self.sums.partition_point(|sum| *sum < clients).clamp(1, last) - 1;
+        let place = self
+            .sums
+            .partition_point(|sum| *sum < clients)
+            .clamp(1, last)
+            - 1;
         let rise = self.sums[place + 1] - self.sums[place];
         if clients <= self.sums[place] {
             return Some(self.from.saturating_add(place as u64 * self.step));
         }
         (rise > 0.0).then(|| {
             let steps = place as f64 + (clients - self.sums[place]) / rise;
-            self.from.saturating_add((steps * self.step as f64) as Nanos)
+            self.from
+                .saturating_add((steps * self.step as f64) as Nanos)
         })
     }
 }
--- a/recovery/src/farm.rs
+++ b/recovery/src/farm.rs
@@ -62,7 +62,11 @@
 impl Server {
     fn weight(&self) -> f64 {
         let weight = self.entry.weight;
-        if weight.is_finite() && weight > 0.0 { weight } else { 1.0 }
+        if weight.is_finite() && weight > 0.0 {
+            weight
+        } else {
+            1.0
+        }
     }
 
     pub(crate) fn takes_new(&self) -> bool {
@@ -72,8 +76,15 @@
     /// As it is shown.
     fn shown(&self) -> Entry {
         let held = self.held_until.is_some() && self.entry.lifecycle == Lifecycle::Ready;
-        let lifecycle = if held { Lifecycle::Draining } else { self.entry.lifecycle };
-        Entry { lifecycle, ..self.entry.clone() }
+        let lifecycle = if held {
+            Lifecycle::Draining
+        } else {
+            self.entry.lifecycle
+        };
+        Entry {
+            lifecycle,
+            ..self.entry.clone()
+        }
     }
 }
 
@@ -82,9 +93,17 @@
     /// lives discovery's own word goes first; among others the younger.
     pub(crate) fn take(&mut self, list: &List, hearing: Hearing<'_>) -> Taken {
         let as_of = (hearing.now as i64).saturating_sub(list.age as i64);
-        let new = From { source: list.source, life: list.life, generation: list.generation, as_of };
-        let Some(old) = self.from else { return self.replace(list, new, hearing, false) };
-        let counts_anew = list.life == old.life && list.life == 0 && list.generation < old.generation;
+        let new = From {
+            source: list.source,
+            life: list.life,
+            generation: list.generation,
+            as_of,
+        };
+        let Some(old) = self.from else {
+            return self.replace(list, new, hearing, false);
+        };
+        let counts_anew =
+            list.life == old.life && list.life == 0 && list.generation < old.generation;
         let same_life = list.life == old.life && !counts_anew;
         let is_discovery = list.source == Source::Discovery;
         let is_better = if old.source == Source::Known || list.source == Source::Known {
@@ -97,7 +116,12 @@
         if !is_better {
             return Taken::No;
         }
-        self.replace(list, new, hearing, !same_life && is_discovery && old.source != Source::Known)
+        self.replace(
+            list,
+            new,
+            hearing,
+            !same_life && is_discovery && old.source != Source::Known,
+        )
     }
 
     /// The whole of it: whoever is left out is gone. Former drains hold against a discovery that has lost its state.
@@ -106,16 +130,23 @@
         let mut before = std::mem::take(&mut self.servers);
         for entry in &list.entries {
             let known = before.remove(&entry.name);
-            self.servers.insert(entry.name.clone(), taken(entry, known, hearing, reborn));
+            self.servers
+                .insert(entry.name.clone(), taken(entry, known, hearing, reborn));
         }
         self.sum_up();
-        let held = self.servers.values().filter(|server| server.held_until.is_some()).count();
+        let held = self
+            .servers
+            .values()
+            .filter(|server| server.held_until.is_some())
+            .count();
         Taken::Yes { held, reborn }
     }
 
     /// A server was seen to start.
     pub(crate) fn started(&mut self, name: &str, at: Millis, hearing: Hearing<'_>) -> bool {
-        let Some(server) = self.servers.get_mut(name) else { return false };
+        let Some(server) = self.servers.get_mut(name) else {
+            return false;
+        };
         if at != 0 && at <= server.entry.started_at_ms {
             return false;
         }
@@ -128,8 +159,17 @@
 
     /// To be called after each change of the servers.
     fn sum_up(&mut self) {
-        self.next_let_go = self.servers.values().filter_map(|server| server.held_until).min();
-        let able = || self.servers.values().filter(|server| server.takes_new()).map(|server| server.born);
+        self.next_let_go = self
+            .servers
+            .values()
+            .filter_map(|server| server.held_until)
+            .min();
+        let able = || {
+            self.servers
+                .values()
+                .filter(|server| server.takes_new())
+                .map(|server| server.born)
+        };
         self.starts = able().min().zip(able().max());
     }
 
@@ -167,7 +207,9 @@
 
     /// When what is believed was true, on the monotonic clock; nothing if that is not known or nobody told it.
     pub(crate) fn as_of(&self) -> Option<i64> {
-        self.from.filter(|from| from.source >= Source::OtherSite).map(|from| from.as_of)
+        self.from
+            .filter(|from| from.source >= Source::OtherSite)
+            .map(|from| from.as_of)
     }
 
     pub(crate) fn get(&self, name: &str) -> Option<&Server> {
@@ -216,7 +258,12 @@
 fn taken(entry: &Entry, known: Option<Server>, hearing: Hearing<'_>, reborn: bool) -> Server {
     let Some(known) = known else {
         let born = first_born(entry, hearing);
-        return Server { entry: entry.clone(), born, started_since: false, held_until: None };
+        return Server {
+            entry: entry.clone(),
+            born,
+            started_since: false,
+            held_until: None,
+        };
     };
     let is_same = entry.started_at_ms == 0 || entry.started_at_ms == known.entry.started_at_ms;
     let drained = known.entry.lifecycle == Lifecycle::Draining;
@@ -228,19 +275,38 @@
         held => held,
     };
     let (born, started_since) = match is_same {
-        true => (known.born.min(born(entry.started_at_ms, hearing)), known.started_since),
+        true => (
+            known.born.min(born(entry.started_at_ms, hearing)),
+            known.started_since,
+        ),
         false => (born(entry.started_at_ms, hearing), true),
     };
-    let started_at_ms = entry.started_at_ms.max(if is_same { known.entry.started_at_ms } else { 0 });
-    Server { entry: Entry { started_at_ms, ..entry.clone() }, born, started_since, held_until }
+    let started_at_ms = entry.started_at_ms.max(if is_same {
+        known.entry.started_at_ms
+    } else {
+        0
+    });
+    Server {
+        entry: Entry {
+            started_at_ms,
+            ..entry.clone()
+        },
+        born,
+        started_since,
+        held_until,
+    }
 }
 
 /// When a server started that started then by wall time. Where that can't be told it is as good as new: guards
 /// against a farm that a clock ahead by a year calls warm.
 fn born(started_at: Millis, hearing: Hearing<'_>) -> i64 {
     let now = hearing.now as i64;
-    let Some(wall) = hearing.wall.filter(|_| started_at != 0) else { return now };
-    let age = wall.saturating_sub(started_at).min(hearing.cold.cold_time / MS + 1);
+    let Some(wall) = hearing.wall.filter(|_| started_at != 0) else {
+        return now;
+    };
+    let age = wall
+        .saturating_sub(started_at)
+        .min(hearing.cold.cold_time / MS + 1);
     now.saturating_sub((age * MS) as i64)
 }
 
@@ -248,7 +314,13 @@
 /// started anew; the list that comes next tells that.
 fn first_born(entry: &Entry, hearing: Hearing<'_>) -> i64 {
     match hearing.written_at {
-        Some(written_at) => born(entry.started_at_ms, Hearing { wall: Some(written_at), ..hearing }),
+        Some(written_at) => born(
+            entry.started_at_ms,
+            Hearing {
+                wall: Some(written_at),
+                ..hearing
+            },
+        ),
         None => born(entry.started_at_ms, hearing),
     }
 }
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -42,8 +42,8 @@
 mod view;
 
 pub use api::{
-    Action, Arrival, Entry, Event, Former, How, Kind, Lifecycle, List, Memory, PeerWord, Scope, Source,
-    State, Step, Verdict, Whom,
+    Action, Arrival, Entry, Event, Former, How, Kind, Lifecycle, List, Memory, PeerWord, Scope,
+    Source, State, Step, Verdict, Whom,
 };
 pub use config::{Account, Ages, Bounds, Class, Cold, Config, Fault};
 pub use machine::Recovery;
--- a/recovery/src/machine.rs
+++ b/recovery/src/machine.rs
@@ -15,8 +15,8 @@
 use crate::scope::{Evidence, Finding};
 use crate::trust::{self, Owner};
 use crate::{
-    Action, Arrival, Config, Event, Fault, Former, How, Kind, List, Memory, Millis, Nanos, PeerWord, SECOND,
-    Source, State, Step, Verdict, Whom,
+    Action, Arrival, Config, Event, Fault, Former, How, Kind, List, Memory, Millis, Nanos,
+    PeerWord, SECOND, Source, State, Step, Verdict, Whom,
 };
 
 /// The machine's own moments are so much later than the host's. Guards against a host's clock that began with the process:
@@ -119,7 +119,10 @@
         self.last = now;
         self.pass_time(now, out);
         match event {
-            Event::Started { memory: Some(memory), .. } => self.remember(now, memory, out),
+            Event::Started {
+                memory: Some(memory),
+                ..
+            } => self.remember(now, memory, out),
             Event::Started { memory: None, .. } | Event::Tick => {}
             Event::Peer(word) => self.hear(now, &word, out),
             Event::List(list) => self.take(now, &list, out),
@@ -127,7 +130,11 @@
             Event::Failed(whom) => self.failed(now, whom, out),
             Event::ServerStarted { name, at } => self.server_started(now, &name, at, out),
             Event::Arrived(arrival) => return self.arrived(now, &arrival, out),
-            Event::Lent { from, number, clients } => self.part.lend(&from, number, clients),
+            Event::Lent {
+                from,
+                number,
+                clients,
+            } => self.part.lend(&from, number, clients),
         }
         self.pass_time(now, out);
     }
@@ -143,13 +150,20 @@
             State::Serving => self.last.saturating_add(self.config.bounds.stopped / 2),
         };
         let let_go = self.farm.next_let_go().unwrap_or(Nanos::MAX);
-        Some(step.min(asks.unwrap_or(Nanos::MAX)).min(let_go).max(self.last).saturating_sub(BEFORE))
+        Some(
+            step.min(asks.unwrap_or(Nanos::MAX))
+                .min(let_go)
+                .max(self.last)
+                .saturating_sub(BEFORE),
+        )
     }
 
     fn start(&mut self, now: Nanos, wall: Millis, event: &Event, out: &mut Vec<Action>) {
         self.since = now;
         let (boot, written_at) = match event {
-            Event::Started { boot, memory } => (*boot, memory.as_ref().map(|memory| memory.written_at)),
+            Event::Started { boot, memory } => {
+                (*boot, memory.as_ref().map(|memory| memory.written_at))
+            }
             _ => (0, None),
         };
         self.boot = boot;
@@ -164,9 +178,17 @@
     /// Follows both clocks, and notices that the process was stopped.
     fn follow(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
         let stopped = self.config.bounds.stopped;
-        let stepped = self.clock.as_mut().and_then(|clock| clock.look(now, wall, &self.config.ages));
+        let stepped = self
+            .clock
+            .as_mut()
+            .and_then(|clock| clock.look(now, wall, &self.config.ages));
         if let Some(step) = stepped {
-            self.say(out, Step::Clock, format!("the wall clock was stepped by {step} ms"), None);
+            self.say(
+                out,
+                Step::Clock,
+                format!("the wall clock was stepped by {step} ms"),
+                None,
+            );
             if step > 0 && step as u64 >= stopped / crate::MS {
                 self.doubt_until = now.saturating_add(stopped);
             }
@@ -193,10 +215,23 @@
         self.let_in_from = None;
         self.part = Part::default();
         self.asked = Default::default();
-        self.say(out, Step::Woke, why, Some(now.saturating_add(self.config.lets_in_within())));
+        self.say(
+            out,
+            Step::Woke,
+            why,
+            Some(now.saturating_add(self.config.lets_in_within())),
+        );
         let (kind, verdict) = (Kind::Counts, Verdict::Void);
-        out.push(Action::Trust { kind, verdict, why: "it was stopped meanwhile", as_of: None });
-        out.push(Action::Serve { how: How::NotYet, reason: "it was stopped, and asks what happened".into() });
+        out.push(Action::Trust {
+            kind,
+            verdict,
+            why: "it was stopped meanwhile",
+            as_of: None,
+        });
+        out.push(Action::Serve {
+            how: How::NotYet,
+            reason: "it was stopped, and asks what happened".into(),
+        });
         self.ask_first(now, 0, out);
     }
 
@@ -208,12 +243,27 @@
         let reason = match owner {
             Owner::Own => format!("memory of boot {}", memory.boot),
             Owner::Foreign => {
-                format!("memory of {} boot {}: not this process's own", memory.owner, memory.boot)
+                format!(
+                    "memory of {} boot {}: not this process's own",
+                    memory.owner, memory.boot
+                )
             }
         };
         self.say(out, Step::Remembers, reason, None);
-        let Memory { written_at, list, former, borne, .. } = memory;
-        self.memory = Some(Kept { owner, written_at, list, former, borne });
+        let Memory {
+            written_at,
+            list,
+            former,
+            borne,
+            ..
+        } = memory;
+        self.memory = Some(Kept {
+            owner,
+            written_at,
+            list,
+            former,
+            borne,
+        });
         self.judge_all(now, out);
         if self.verdict(Kind::List) == Verdict::Hint(1.0) {
             self.take_remembered(now, out);
@@ -224,11 +274,21 @@
     pub(crate) fn take_remembered(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let Some(kept) = &mut self.memory else { return };
         let Some(list) = kept.list.take() else { return };
-        let age = self.clock.as_ref().and_then(|clock| clock.age(now, kept.written_at));
-        let age = age.map_or(Nanos::MAX / 4, |age| age.saturating_mul(crate::MS).min(Nanos::MAX / 4));
+        let age = self
+            .clock
+            .as_ref()
+            .and_then(|clock| clock.age(now, kept.written_at));
+        let age = age.map_or(Nanos::MAX / 4, |age| {
+            age.saturating_mul(crate::MS).min(Nanos::MAX / 4)
+        });
         self.take(
             now,
-            &List { source: Source::Memory, age: list.age.saturating_add(age), said_at: None, ..list },
+            &List {
+                source: Source::Memory,
+                age: list.age.saturating_add(age),
+                said_at: None,
+                ..list
+            },
             out,
         );
     }
@@ -241,10 +301,17 @@
         if let (Some(wall), Some(clock)) = (word.wall, self.clock.as_mut()) {
             clock.told(now, &word.name, wall);
         }
-        if let Some(former) = word.former.filter(|former| former.is_finite() && *former > 0.0) {
+        if let Some(former) = word
+            .former
+            .filter(|former| former.is_finite() && *former > 0.0)
+        {
             self.peers_former.insert(word.name.clone(), former);
         }
-        let short = if word.short.is_finite() { word.short.clamp(0.0, MOST_SHORT) } else { 0.0 };
+        let short = if word.short.is_finite() {
+            word.short.clamp(0.0, MOST_SHORT)
+        } else {
+            0.0
+        };
         self.shorts.insert(word.name.clone(), (short, now));
         if self.evidence.in_site() >= self.config.site_peers as usize {
             self.answered(Whom::SitePeers);
@@ -254,7 +321,10 @@
             self.wake(
                 now,
                 since,
-                format!("the wall clock went ahead, and {} has begun anew", word.name),
+                format!(
+                    "the wall clock went ahead, and {} has begun anew",
+                    word.name
+                ),
                 out,
             );
         }
@@ -267,25 +337,44 @@
         if let (Some(wall), Some(clock)) = (list.said_at, self.clock.as_mut()) {
             clock.told(now, "discovery", wall);
         }
-        for entry in list.entries.iter().filter(|_| list.source != Source::Memory) {
-            self.clock.iter_mut().for_each(|clock| clock.started(entry.started_at_ms));
+        for entry in list
+            .entries
+            .iter()
+            .filter(|_| list.source != Source::Memory)
+        {
+            self.clock
+                .iter_mut()
+                .for_each(|clock| clock.started(entry.started_at_ms));
         }
         self.judge_clock(now, out);
         self.answered_by(list.source);
-        let of_memory =
-            (list.source == Source::Memory).then(|| self.memory.as_ref().map(|kept| kept.written_at));
+        let of_memory = (list.source == Source::Memory)
+            .then(|| self.memory.as_ref().map(|kept| kept.written_at));
         let hearing = hearing(&self.config, self.clock.as_ref(), now, of_memory.flatten());
         let (source, entries) = (list.source, list.entries.len());
         match self.farm.take(list, hearing) {
-            Taken::No => {
-                self.say(out, Step::List, format!("left out: what is held is newer than {source:?}'s"), None)
-            }
+            Taken::No => self.say(
+                out,
+                Step::List,
+                format!("left out: what is held is newer than {source:?}'s"),
+                None,
+            ),
             Taken::Yes { held, reborn } => {
-                let lost = if reborn { "; discovery counts anew" } else { "" };
-                self.say(out, Step::List, format!("{entries} servers by {source:?}{lost}"), None);
+                let lost = if reborn {
+                    "; discovery counts anew"
+                } else {
+                    ""
+                };
+                self.say(
+                    out,
+                    Step::List,
+                    format!("{entries} servers by {source:?}{lost}"),
+                    None,
+                );
                 if held > 0 && reborn {
                     let until = now.saturating_add(self.config.bounds.drain_hold);
-                    let reason = format!("{held} former drains hold until discovery says otherwise");
+                    let reason =
+                        format!("{held} former drains hold until discovery says otherwise");
                     self.say(out, Step::Drain, reason, Some(until));
                 }
                 self.farm_changed(now, out);
@@ -308,7 +397,10 @@
     }
 
     fn judge_clock(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let judged = self.clock.as_mut().and_then(|clock| clock.judge(now, &self.config.ages));
+        let judged = self
+            .clock
+            .as_mut()
+            .and_then(|clock| clock.judge(now, &self.config.ages));
         let Some(judged) = judged else { return };
         let reason = match judged {
             Judged::Sound(why) => format!("ages count: {why}"),
@@ -321,11 +413,19 @@
     /// Judges all kinds anew, and says what has changed.
     fn judge_all(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let Some(kept) = &self.memory else { return };
-        let age = self.clock.as_ref().and_then(|clock| clock.age(now, kept.written_at));
+        let age = self
+            .clock
+            .as_ref()
+            .and_then(|clock| clock.age(now, kept.written_at));
         for kind in Kind::ALL {
             let (verdict, why) = trust::judge(kind, kept.owner, age, &self.config.ages);
             if self.verdicts.insert(kind, (verdict, why)) != Some((verdict, why)) {
-                out.push(Action::Trust { kind, verdict, why, as_of: Some(kept.written_at) });
+                out.push(Action::Trust {
+                    kind,
+                    verdict,
+                    why,
+                    as_of: Some(kept.written_at),
+                });
             }
         }
     }
@@ -333,15 +433,27 @@
     /// What memory says of former service, and how many it makes in all.
     pub(crate) fn remembered(&self) -> (&[Former], f64) {
         let former = self.memory.as_ref().map_or(&[][..], |kept| &kept.former);
-        (former, former.iter().map(|one| one.clients).filter(|clients| *clients > 0.0).sum())
+        (
+            former,
+            former
+                .iter()
+                .map(|one| one.clients)
+                .filter(|clients| *clients > 0.0)
+                .sum(),
+        )
     }
 
     /// Clients a second that a warm server of weight 1 bears: what was seen fades to what is set up.
     pub(crate) fn borne(&self) -> f64 {
-        let seen =
-            self.memory.as_ref().and_then(|kept| kept.borne).filter(|seen| seen.is_finite() && *seen > 0.0);
+        let seen = self
+            .memory
+            .as_ref()
+            .and_then(|kept| kept.borne)
+            .filter(|seen| seen.is_finite() && *seen > 0.0);
         match (self.verdict(Kind::Pace), seen) {
-            (Verdict::Hint(weight), Some(seen)) => weight * seen + (1.0 - weight) * self.config.cold.borne,
+            (Verdict::Hint(weight), Some(seen)) => {
+                weight * seen + (1.0 - weight) * self.config.cold.borne
+            }
             _ => self.config.cold.borne,
         }
     }
@@ -354,21 +466,41 @@
     }
 
     pub(crate) fn find(&self, now: Nanos) -> Finding {
-        let told = self.is_told_since().then(|| self.farm.cold_part(now, &self.config.cold));
+        let told = self
+            .is_told_since()
+            .then(|| self.farm.cold_part(now, &self.config.cold));
         let cold = told.flatten();
-        self.evidence.weigh(now, now.saturating_sub(self.since), &self.config, cold)
+        self.evidence
+            .weigh(now, now.saturating_sub(self.since), &self.config, cold)
     }
 
     /// Decides what went dark, by what is known now.
     pub(crate) fn decide(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let found = self.find(now);
-        if self.state == State::Serving || self.finding.as_ref().is_some_and(|old| old.scope == found.scope) {
+        if self.state == State::Serving
+            || self
+                .finding
+                .as_ref()
+                .is_some_and(|old| old.scope == found.scope)
+        {
             return;
         }
-        let Finding { scope, likelihood, evidence } = found.clone();
-        let by = if evidence.is_empty() { "nothing".into() } else { evidence.join("; ") };
+        let Finding {
+            scope,
+            likelihood,
+            evidence,
+        } = found.clone();
+        let by = if evidence.is_empty() {
+            "nothing".into()
+        } else {
+            evidence.join("; ")
+        };
         self.say(out, Step::Scope, format!("{scope}, by {by}"), None);
-        out.push(Action::Scope { scope, likelihood, evidence });
+        out.push(Action::Scope {
+            scope,
+            likelihood,
+            evidence,
+        });
         self.finding = Some(found);
         self.doubt_starts();
     }
@@ -377,7 +509,12 @@
     fn pass_time(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.repeat(now, out);
         if self.farm.let_go(now) > 0 {
-            self.say(out, Step::Drain, "former drains hold no longer".into(), None);
+            self.say(
+                out,
+                Step::Drain,
+                "former drains hold no longer".into(),
+                None,
+            );
             self.farm_changed(now, out);
         }
         while let State::Asking(whom) = self.state {
@@ -399,13 +536,27 @@
                 self.census.count(arrival);
                 let left = self.deadline.saturating_sub(now).min(SECOND);
                 let retry_after = left.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
-                out.push(Action::Defer { id: arrival.id, retry_after, firm: false });
+                out.push(Action::Defer {
+                    id: arrival.id,
+                    retry_after,
+                    firm: false,
+                });
             }
         }
     }
 
-    pub(crate) fn say(&self, out: &mut Vec<Action>, step: Step, reason: String, bound: Option<Nanos>) {
-        out.push(Action::Say { step, reason, bound: bound.map(|bound| bound.saturating_sub(BEFORE)) });
+    pub(crate) fn say(
+        &self,
+        out: &mut Vec<Action>,
+        step: Step,
+        reason: String,
+        bound: Option<Nanos>,
+    ) {
+        out.push(Action::Say {
+            step,
+            reason,
+            bound: bound.map(|bound| bound.saturating_sub(BEFORE)),
+        });
     }
 }
 
@@ -416,6 +567,14 @@
     now: Nanos,
     written_at: Option<Millis>,
 ) -> Hearing<'a> {
-    let wall = clock.filter(|clock| clock.is_sound()).map(|clock| clock.wall(now));
-    Hearing { now, wall, written_at, cold: &config.cold, drain_hold: config.bounds.drain_hold }
+    let wall = clock
+        .filter(|clock| clock.is_sound())
+        .map(|clock| clock.wall(now));
+    Hearing {
+        now,
+        wall,
+        written_at,
+        cold: &config.cold,
+        drain_hold: config.bounds.drain_hold,
+    }
 }
--- a/recovery/src/order.rs
+++ b/recovery/src/order.rs
@@ -42,7 +42,10 @@
     pub(crate) fn count(&mut self, arrival: &Arrival) {
         let key = arrival.key.unwrap_or(arrival.id);
         if self.keys.len() < MOST_COUNTED && self.keys.insert(key) {
-            *self.counts.entry((arrival.class, arrival.account)).or_insert(0.0) += 1.0;
+            *self
+                .counts
+                .entry((arrival.class, arrival.account))
+                .or_insert(0.0) += 1.0;
         }
     }
 
@@ -78,14 +81,24 @@
     /// The order of so many clients. Without `former` all of them are in one band.
     pub(crate) fn new(config: &Config, former: &[Former], all: f64) -> Order {
         let mut bands: BTreeMap<usize, Band> = BTreeMap::new();
-        for one in former.iter().filter(|one| one.clients.is_finite() && one.clients > 0.0) {
+        for one in former
+            .iter()
+            .filter(|one| one.clients.is_finite() && one.clients > 0.0)
+        {
             let band = bands.entry(rank(config, one.class)).or_default();
             band.clients += one.clients;
             band.accounts.entry(one.account).or_insert((0.0, 0.0)).0 += one.clients;
         }
         if bands.is_empty() {
-            let one = Band { clients: all, ..Band::default() };
-            return Order { bands: BTreeMap::from([(0, one)]), all, spread: 0.0 };
+            let one = Band {
+                clients: all,
+                ..Band::default()
+            };
+            return Order {
+                bands: BTreeMap::from([(0, one)]),
+                all,
+                spread: 0.0,
+            };
         }
         let mut begins = 0.0;
         for band in bands.values_mut() {
@@ -93,7 +106,11 @@
             begins += band.clients;
             band.share_out(config);
         }
-        Order { bands, all: begins, spread: 0.0 }
+        Order {
+            bands,
+            all: begins,
+            spread: 0.0,
+        }
     }
 
     /// All clients.
@@ -110,11 +127,15 @@
     pub(crate) fn turn(&self, config: &Config, arrival: &Arrival) -> f64 {
         let own = luck(arrival.key.unwrap_or(arrival.id));
         // Round and round, so that turns stay even from the first to the last.
-        let luck = arrival.group.map_or(own, |group| (luck(group) + self.spread * own).fract());
+        let luck = arrival
+            .group
+            .map_or(own, |group| (luck(group) + self.spread * own).fract());
         let rank = rank(config, arrival.class);
         // A class that nobody remembers comes behind the last one that is not less urgent.
         match self.bands.range(..=rank).next_back() {
-            Some((at, band)) if *at == rank || self.bands.len() == 1 => band.turn(arrival.account, luck),
+            Some((at, band)) if *at == rank || self.bands.len() == 1 => {
+                band.turn(arrival.account, luck)
+            }
             Some((_, band)) => band.begins + band.clients,
             None => 0.0,
         }
@@ -123,12 +144,22 @@
 
 /// A class's place by urgency, 0 the most urgent; equals share one.
 fn rank(config: &Config, class: usize) -> usize {
-    let Some(own) = config.classes.get(class).or(config.classes.last()) else { return 0 };
-    config.classes.iter().filter(|other| other.urgency() > own.urgency()).count()
+    let Some(own) = config.classes.get(class).or(config.classes.last()) else {
+        return 0;
+    };
+    config
+        .classes
+        .iter()
+        .filter(|other| other.urgency() > own.urgency())
+        .count()
 }
 
 fn share(config: &Config, account: u64) -> f64 {
-    config.accounts.iter().find(|one| one.account == account).map_or(1.0, |one| one.share)
+    config
+        .accounts
+        .iter()
+        .find(|one| one.account == account)
+        .map_or(1.0, |one| one.share)
 }
 
 impl Band {
@@ -150,9 +181,14 @@
 
     /// An account that nobody remembers is let in all along the band.
     fn turn(&self, account: u64, luck: f64) -> f64 {
-        let Some((_, rounds)) = self.accounts.get(&account) else { return self.begins + luck * self.clients };
+        let Some((_, rounds)) = self.accounts.get(&account) else {
+            return self.begins + luck * self.clients;
+        };
         let round = luck * rounds;
-        let at = self.rounds.partition_point(|(end, ..)| *end <= round).min(self.rounds.len() - 1);
+        let at = self
+            .rounds
+            .partition_point(|(end, ..)| *end <= round)
+            .min(self.rounds.len() - 1);
         let (_, done, shares) = self.rounds[at];
         self.begins + done + shares * round
     }
--- a/recovery/src/part.rs
+++ b/recovery/src/part.rs
@@ -68,7 +68,8 @@
     /// Takes what a peer leaves. A loan told twice counts once.
     pub(crate) fn lend(&mut self, from: &str, number: u64, clients: f64) {
         let loans = self.loans.entry(from.to_string()).or_default();
-        let is_old = loans.len() >= MOST_LOANS && loans.first().is_some_and(|first| number < *first);
+        let is_old =
+            loans.len() >= MOST_LOANS && loans.first().is_some_and(|first| number < *first);
         if !clients.is_finite() || clients <= 0.0 || is_old || !loans.insert(number) {
             return;
         }
--- a/recovery/src/refill.rs
+++ b/recovery/src/refill.rs
@@ -35,10 +35,16 @@
         self.plan(now);
         if self.why_in_full(now).is_none() {
             let servers = self.farm.able().count();
-            let reason =
-                format!("{} clients by turns, {servers} servers, {}", self.order.all().round(), self.scope());
+            let reason = format!(
+                "{} clients by turns, {servers} servers, {}",
+                self.order.all().round(),
+                self.scope()
+            );
             self.say(out, Step::Refills, reason.clone(), Some(self.deadline));
-            out.push(Action::Serve { how: How::Paced, reason });
+            out.push(Action::Serve {
+                how: How::Paced,
+                reason,
+            });
         }
     }
 
@@ -52,11 +58,18 @@
     /// alike.
     pub(crate) fn begin_with(&mut self, now: Nanos, word: &PeerWord) {
         let together = word.up_for <= now.saturating_sub(self.since).saturating_add(TOGETHER);
-        let Some(from) = word.serving_for.filter(|_| together).map(|span| now.saturating_sub(span)) else {
+        let Some(from) = word
+            .serving_for
+            .filter(|_| together)
+            .map(|span| now.saturating_sub(span))
+        else {
             return;
         };
         // Words take a while on their way: what is less than that changes nothing.
-        if self.let_in_from.is_none_or(|own| from.saturating_add(AGAIN) < own) {
+        if self
+            .let_in_from
+            .is_none_or(|own| from.saturating_add(AGAIN) < own)
+        {
             self.let_in_from = Some(from);
             self.plan(now);
         }
@@ -64,7 +77,9 @@
 
     /// Plans the refill anew: the farm, or when it began, has changed. What was let in by now stays so.
     pub(crate) fn plan(&mut self, now: Nanos) {
-        let (State::Refilling, Some(from)) = (self.state, self.let_in_from) else { return };
+        let (State::Refilling, Some(from)) = (self.state, self.let_in_from) else {
+            return;
+        };
         let servers: Vec<_> = self.farm.able().collect();
         let before = self.curve.take().map(|curve| curve.at(now));
         if servers.is_empty() {
@@ -77,12 +92,17 @@
         let mut begun = Curve::new(from, 0.0, &servers, cold, (borne, clump));
         let refill = begun.span(self.order.all()).max(1);
         if span > refill {
-            (clump, span) = ((clump * span as f64 / refill as f64).min(self.config.group), refill);
+            (clump, span) = (
+                (clump * span as f64 / refill as f64).min(self.config.group),
+                refill,
+            );
             begun = Curve::new(from, 0.0, &servers, cold, (borne, clump));
         }
         self.order.spread(span as f64 / refill as f64);
         self.curve = Some(match before {
-            Some(before) if before > begun.at(now) => Curve::new(now, before, &servers, cold, (borne, clump)),
+            Some(before) if before > begun.at(now) => {
+                Curve::new(now, before, &servers, cold, (borne, clump))
+            }
             _ => begun,
         });
     }
@@ -91,14 +111,21 @@
     /// turns are spread for that. Guards against small servers that one group after the other falls upon as a whole.
     fn clump(&self, servers: &[(f64, i64)]) -> (f64, Nanos) {
         let cold = &self.config.cold;
-        let small = servers.iter().map(|(weight, _)| *weight).fold(f64::INFINITY, f64::min);
-        let least = cold.tip_multiple * self.borne() * small * cold.cold_share * cold.fall_time as f64
-            / SECOND as f64;
+        let small = servers
+            .iter()
+            .map(|(weight, _)| *weight)
+            .fold(f64::INFINITY, f64::min);
+        let least =
+            cold.tip_multiple * self.borne() * small * cold.cold_share * cold.fall_time as f64
+                / SECOND as f64;
         let clump = (CLUMP * least).max(1.0);
         if self.config.group <= clump {
             return (self.config.group.max(1.0), 0);
         }
-        (clump, (self.config.group / clump * cold.fall_time as f64) as Nanos)
+        (
+            clump,
+            (self.config.group / clump * cold.fall_time as f64) as Nanos,
+        )
     }
 
     /// Makes the order of turns of what is known of former clients.
@@ -115,7 +142,11 @@
             Some(sum),
             Some(counted),
         ];
-        let all = known.into_iter().flatten().find(|all| *all > 0.0).unwrap_or(by_farm);
+        let all = known
+            .into_iter()
+            .flatten()
+            .find(|all| *all > 0.0)
+            .unwrap_or(by_farm);
         let order = match sum > 0.0 {
             true => Order::new(&self.config, remembered, all),
             false => Order::new(&self.config, &self.census.scaled_to(all), all),
@@ -147,7 +178,10 @@
             self.state = State::Serving;
             self.curve = None;
             self.say(out, Step::Serves, why.into(), None);
-            return out.push(Action::Serve { how: How::Full, reason: why.into() });
+            return out.push(Action::Serve {
+                how: How::Full,
+                reason: why.into(),
+            });
         }
         let Some(curve) = &self.curve else {
             self.earned_at = now;
@@ -155,7 +189,11 @@
         };
         self.frontier = self.frontier.max(TURNS * curve.at(now));
         let fleet = curve.at(now) - curve.at(self.earned_at);
-        self.part.earn(fleet / f64::from(self.config.fleet), span, self.config.cold.fall_time);
+        self.part.earn(
+            fleet / f64::from(self.config.fleet),
+            span,
+            self.config.cold.fall_time,
+        );
         self.earned_at = now;
         self.leave_spare(now, out);
     }
@@ -165,7 +203,8 @@
         if self.part.spare < 1.0 {
             return;
         }
-        self.shorts.retain(|_, (short, at)| *short > 0.0 && now < at.saturating_add(SHORT_HOLDS));
+        self.shorts
+            .retain(|_, (short, at)| *short > 0.0 && now < at.saturating_add(SHORT_HOLDS));
         let all: f64 = self.shorts.values().map(|(short, _)| short).sum();
         if all <= 0.0 {
             return;
@@ -176,7 +215,11 @@
             if drawn < 0.0 {
                 self.loans += 1;
                 let clients = std::mem::take(&mut self.part.spare);
-                return out.push(Action::Lend { to: peer.clone(), number: self.loans, clients });
+                return out.push(Action::Lend {
+                    to: peer.clone(),
+                    number: self.loans,
+                    clients,
+                });
             }
         }
     }
@@ -186,7 +229,11 @@
         let id = arrival.id;
         let Some(curve) = &self.curve else {
             let retry_after = self.rng.random_range(SECOND..3 * SECOND);
-            return out.push(Action::Defer { id, retry_after, firm: false });
+            return out.push(Action::Defer {
+                id,
+                retry_after,
+                firm: false,
+            });
         };
         let turn = self.order.turn(&self.config, arrival);
         if turn > self.frontier {
@@ -194,8 +241,14 @@
                 .when(turn / TURNS)
                 .map_or(self.deadline, |at| at.min(self.deadline))
                 .saturating_sub(now);
-            let retry_after = left.max(AGAIN).saturating_add(self.rng.random_range(0..JITTER));
-            return out.push(Action::Defer { id, retry_after, firm: true });
+            let retry_after = left
+                .max(AGAIN)
+                .saturating_add(self.rng.random_range(0..JITTER));
+            return out.push(Action::Defer {
+                id,
+                retry_after,
+                firm: true,
+            });
         }
         if self.part.take(&mut self.rng) {
             return out.push(Action::Admit { id });
@@ -204,6 +257,10 @@
         let line = self.part.short() / self.part.rate().max(f64::MIN_POSITIVE);
         let line = ((line * SECOND as f64) as Nanos).clamp(AGAIN, self.config.bounds.repeat);
         let retry_after = AGAIN + self.rng.random_range(0..=2 * line);
-        out.push(Action::Defer { id, retry_after, firm: true });
+        out.push(Action::Defer {
+            id,
+            retry_after,
+            firm: true,
+        });
     }
 }
--- a/recovery/src/scope.rs
+++ b/recovery/src/scope.rs
@@ -51,7 +51,13 @@
         let is_new_boot = before.is_some_and(|before| word.boot > before.boot);
         let began_anew = is_new_boot || before.is_some_and(|before| before.began_anew);
         let own_site = word.site == own_site;
-        let heard = Heard { boot: word.boot, up_for: word.up_for, at: now, own_site, began_anew };
+        let heard = Heard {
+            boot: word.boot,
+            up_for: word.up_for,
+            at: now,
+            own_site,
+            began_anew,
+        };
         self.peers.insert(word.name.clone(), heard);
         is_new_boot
     }
@@ -76,33 +82,70 @@
         of_kind.fold((0, 0), |(ran_on, together), peer| {
             let since = peer.up_for.saturating_add(now.saturating_sub(peer.at));
             let is_together = peer.began_anew || since <= up_for.saturating_add(TOGETHER);
-            (ran_on + usize::from(!is_together), together + usize::from(is_together))
+            (
+                ran_on + usize::from(!is_together),
+                together + usize::from(is_together),
+            )
         })
     }
 
     /// Weighs all of it. `cold` is the part of the farm that is cold or has started since it was last known.
-    pub(crate) fn weigh(&self, now: Nanos, up_for: Nanos, config: &Config, cold: Option<f64>) -> Finding {
+    pub(crate) fn weigh(
+        &self,
+        now: Nanos,
+        up_for: Nanos,
+        config: &Config,
+        cold: Option<f64>,
+    ) -> Finding {
         // How much each speaks for alone, site and fleet.
         let mut score = [0.0, 0.0, 0.0];
         let mut evidence = Vec::new();
         let mut add = |times: usize, weights: [f64; 3], what: String| {
             if times > 0 {
                 let times = times.min(MOST_WORDS) as f64;
-                score.iter_mut().zip(weights).for_each(|(sum, weight)| *sum += times * weight);
+                score
+                    .iter_mut()
+                    .zip(weights)
+                    .for_each(|(sum, weight)| *sum += times * weight);
                 evidence.push(what);
             }
         };
         let (ran_on, together) = self.counts(now, up_for, true);
-        add(ran_on, [3.0, -3.0, -3.0], format!("{ran_on} of the site ran on"));
-        add(together, [-2.0, 1.0, 1.0], format!("{together} of the site started together with this one"));
+        add(
+            ran_on,
+            [3.0, -3.0, -3.0],
+            format!("{ran_on} of the site ran on"),
+        );
+        add(
+            together,
+            [-2.0, 1.0, 1.0],
+            format!("{together} of the site started together with this one"),
+        );
         let (ran_on, together) = self.counts(now, up_for, false);
-        add(ran_on, [0.5, 1.5, -3.0], format!("{ran_on} of other sites ran on"));
-        add(together, [-2.0, -2.0, 2.0], format!("{together} of other sites started together with this one"));
+        add(
+            ran_on,
+            [0.5, 1.5, -3.0],
+            format!("{ran_on} of other sites ran on"),
+        );
+        add(
+            together,
+            [-2.0, -2.0, 2.0],
+            format!("{together} of other sites started together with this one"),
+        );
         let [site, others] = self.silent;
         let silent_site = site && config.site_peers > 0 && self.in_site() == 0;
-        add(usize::from(silent_site), [-1.0, 0.5, 0.5], "nobody of the site answers".into());
-        let silent_others = others && !config.other_sites.is_empty() && self.in_site() == self.peers.len();
-        add(usize::from(silent_others), [0.0, 0.0, 0.5], "nobody of other sites answers".into());
+        add(
+            usize::from(silent_site),
+            [-1.0, 0.5, 0.5],
+            "nobody of the site answers".into(),
+        );
+        let silent_others =
+            others && !config.other_sites.is_empty() && self.in_site() == self.peers.len();
+        add(
+            usize::from(silent_others),
+            [0.0, 0.0, 0.5],
+            "nobody of other sites answers".into(),
+        );
         if let Some(cold) = cold {
             let percent = (cold * 100.0).round();
             add(
@@ -117,15 +160,39 @@
             );
         }
         if evidence.is_empty() {
-            return Finding { scope: Scope::Unknown, likelihood: 1.0 / 3.0, evidence };
+            return Finding {
+                scope: Scope::Unknown,
+                likelihood: 1.0 / 3.0,
+                evidence,
+            };
         }
         let has_sites = !config.other_sites.is_empty();
-        let kinds = [(Scope::Alone, true), (Scope::Site, has_sites), (Scope::Fleet, true)];
-        let weight = |at: usize| if kinds[at].1 { f64::exp(score[at]) } else { 0.0 };
+        let kinds = [
+            (Scope::Alone, true),
+            (Scope::Site, has_sites),
+            (Scope::Fleet, true),
+        ];
+        let weight = |at: usize| {
+            if kinds[at].1 {
+                f64::exp(score[at])
+            } else {
+                0.0
+            }
+        };
         let all: f64 = (0..3).map(weight).sum();
-        let best = (0..3).max_by(|one, other| weight(*one).total_cmp(&weight(*other))).unwrap_or(2);
+        let best = (0..3)
+            .max_by(|one, other| weight(*one).total_cmp(&weight(*other)))
+            .unwrap_or(2);
         let likelihood = weight(best) / all;
-        let scope = if likelihood >= LIKELY { kinds[best].0 } else { Scope::Unknown };
-        Finding { scope, likelihood, evidence }
+        let scope = if likelihood >= LIKELY {
+            kinds[best].0
+        } else {
+            Scope::Unknown
+        };
+        Finding {
+            scope,
+            likelihood,
+            evidence,
+        }
     }
 }
--- a/recovery/tests/any_order.rs
+++ b/recovery/tests/any_order.rs
@@ -15,21 +15,39 @@
         site_peers: 2,
         other_sites: vec!["south".into()],
         store: true,
-        bounds: Bounds { refill: 40 * SECOND, ..Bounds::default() },
+        bounds: Bounds {
+            refill: 40 * SECOND,
+            ..Bounds::default()
+        },
         ..Config::default()
     }
 }
 
 fn lifecycle() -> impl Strategy<Value = Lifecycle> {
-    prop_oneof![Just(Lifecycle::Ready), Just(Lifecycle::Draining), Just(Lifecycle::Gone)]
+    prop_oneof![
+        Just(Lifecycle::Ready),
+        Just(Lifecycle::Draining),
+        Just(Lifecycle::Gone)
+    ]
 }
 
 fn wall() -> impl Strategy<Value = Millis> {
-    prop_oneof![Just(0), 0..3_600_000_u64, 1_800_000_000_000..1_800_000_100_000_u64, Just(u64::MAX)]
+    prop_oneof![
+        Just(0),
+        0..3_600_000_u64,
+        1_800_000_000_000..1_800_000_100_000_u64,
+        Just(u64::MAX)
+    ]
 }
 
 fn weight() -> impl Strategy<Value = f64> {
-    prop_oneof![Just(1.0), Just(0.0), Just(f64::NAN), Just(f64::INFINITY), 0.01..50.0]
+    prop_oneof![
+        Just(1.0),
+        Just(0.0),
+        Just(f64::NAN),
+        Just(f64::INFINITY),
+        0.01..50.0
+    ]
 }
 
 fn list() -> impl Strategy<Value = List> {
@@ -40,10 +58,22 @@
         lifecycle,
         weight,
     });
-    let sources =
-        [Source::Known, Source::Memory, Source::OtherSite, Source::Peer, Source::Store, Source::Discovery];
+    let sources = [
+        Source::Known,
+        Source::Memory,
+        Source::OtherSite,
+        Source::Peer,
+        Source::Store,
+        Source::Discovery,
+    ];
     let source = proptest::sample::select(sources.to_vec());
-    let about = (source, any::<u64>(), 0..3_u64, any::<u64>(), proptest::option::of(wall()));
+    let about = (
+        source,
+        any::<u64>(),
+        0..3_u64,
+        any::<u64>(),
+        proptest::option::of(wall()),
+    );
     (about, proptest::collection::vec(entry, 0..6)).prop_map(
         |((source, generation, life, age, said_at), entries)| List {
             source,
@@ -58,7 +88,11 @@
 
 fn memory() -> impl Strategy<Value = Memory> {
     let former = (0..3_usize, 0..3_u64, weight());
-    let former = former.prop_map(|(class, account, clients)| Former { class, account, clients });
+    let former = former.prop_map(|(class, account, clients)| Former {
+        class,
+        account,
+        clients,
+    });
     let former = proptest::collection::vec(former, 0..4);
     let about = ("b[12]", 0..4_u64, wall(), proptest::option::of(weight()));
     (about, proptest::option::of(list()), former).prop_map(
@@ -79,15 +113,35 @@
 
 fn word() -> impl Strategy<Value = PeerWord> {
     let who = ("b[0-4]", "north|south", 0..4_u64, any::<u64>());
-    let what =
-        (proptest::option::of(any::<u64>()), any::<bool>(), proptest::option::of(wall()), weight(), weight());
-    (who, what).prop_map(|((name, site, boot, up_for), (serving_for, in_full, wall, former, short))| {
-        PeerWord { name, site, boot, up_for, serving_for, in_full, wall, former: Some(former), short }
-    })
+    let what = (
+        proptest::option::of(any::<u64>()),
+        any::<bool>(),
+        proptest::option::of(wall()),
+        weight(),
+        weight(),
+    );
+    (who, what).prop_map(
+        |((name, site, boot, up_for), (serving_for, in_full, wall, former, short))| PeerWord {
+            name,
+            site,
+            boot,
+            up_for,
+            serving_for,
+            in_full,
+            wall,
+            former: Some(former),
+            short,
+        },
+    )
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let arrival = (0..4_usize, 0..3_u64, proptest::option::of(any::<u64>()), any::<bool>());
+    let arrival = (
+        0..4_usize,
+        0..3_u64,
+        proptest::option::of(any::<u64>()),
+        any::<bool>(),
+    );
     prop_oneof![
         1 => (0..5_u64, proptest::option::of(memory())).prop_map(|(boot, memory)| Event::Started { boot, memory }),
         3 => word().prop_map(Event::Peer),
--- a/recovery/tests/rules.rs
+++ b/recovery/tests/rules.rs
@@ -18,13 +18,19 @@
 impl Machine {
     fn new(config: Config, wall: Millis, memory: Option<Memory>) -> Machine {
         let recovery = Recovery::new(config, 3).expect("the settings are in range");
-        let mut machine = Machine { recovery, now: 0, wall, out: Vec::new() };
+        let mut machine = Machine {
+            recovery,
+            now: 0,
+            wall,
+            out: Vec::new(),
+        };
         machine.tell(Event::Started { boot: 5, memory });
         machine
     }
 
     fn tell(&mut self, event: Event) {
-        self.recovery.handle(self.now, self.wall + self.now / MS, event, &mut self.out);
+        self.recovery
+            .handle(self.now, self.wall + self.now / MS, event, &mut self.out);
     }
 
     /// Ticks as they are asked for.
@@ -41,17 +47,31 @@
         let end = self.now + 700 * SECOND;
         while self.recovery.state().how() != how {
             assert!(self.now < end, "{:?} is not reached: {:?}", how, self.out);
-            self.now = self.recovery.due().expect("it waits for something").max(self.now + 1);
+            self.now = self
+                .recovery
+                .due()
+                .expect("it waits for something")
+                .max(self.now + 1);
             self.tell(Event::Tick);
         }
     }
 
     fn lifecycle(&self, name: &str) -> Option<Lifecycle> {
-        self.recovery.servers().find(|server| server.name == name).map(|server| server.lifecycle)
+        self.recovery
+            .servers()
+            .find(|server| server.name == name)
+            .map(|server| server.lifecycle)
     }
 
     fn is_admitted(&mut self, key: u64) -> bool {
-        let arrival = Arrival { id: key, class: 0, account: 0, group: None, key: Some(key), returns: true };
+        let arrival = Arrival {
+            id: key,
+            class: 0,
+            account: 0,
+            group: None,
+            key: Some(key),
+            returns: true,
+        };
         self.tell(Event::Arrived(arrival));
         matches!(self.out.last(), Some(Action::Admit { .. }))
     }
@@ -77,11 +97,23 @@
 }
 
 fn entry(name: &str, started_at_ms: Millis, lifecycle: Lifecycle) -> Entry {
-    Entry { name: name.into(), started_at_ms, lifecycle, weight: 1.0 }
+    Entry {
+        name: name.into(),
+        started_at_ms,
+        lifecycle,
+        weight: 1.0,
+    }
 }
 
 fn list(source: Source, life: u64, generation: u64, entries: Vec<Entry>) -> List {
-    List { source, generation, life, age: 0, said_at: None, entries }
+    List {
+        source,
+        generation,
+        life,
+        age: 0,
+        said_at: None,
+        entries,
+    }
 }
 
 fn old_list() -> List {
@@ -95,9 +127,20 @@
 
 /// As it was written a minute before the power's return.
 fn memory() -> Memory {
-    let former = vec![Former { class: 0, account: 0, clients: 1_000.0 }];
+    let former = vec![Former {
+        class: 0,
+        account: 0,
+        clients: 1_000.0,
+    }];
     let written_at = WALL - 60_000;
-    Memory { owner: "b1".into(), boot: 4, written_at, list: Some(old_list()), former, borne: Some(3.0) }
+    Memory {
+        owner: "b1".into(),
+        boot: 4,
+        written_at,
+        list: Some(old_list()),
+        former,
+        borne: Some(3.0),
+    }
 }
 
 fn word(name: &str, site: &str, boot: u64, up_for: Nanos) -> PeerWord {
@@ -132,7 +175,16 @@
     let days_later = judged(memory(), WALL + 2 * 86_400_000);
     assert_eq!(days_later.verdict(Kind::List), Verdict::Hint(0.0));
     assert_eq!(days_later.verdict(Kind::Placements), Verdict::Void);
-    for foreign in [Memory { owner: "b2".into(), ..memory() }, Memory { boot: 9, ..memory() }] {
+    for foreign in [
+        Memory {
+            owner: "b2".into(),
+            ..memory()
+        },
+        Memory {
+            boot: 9,
+            ..memory()
+        },
+    ] {
         let foreign = judged(foreign, WALL);
         assert_eq!(foreign.verdict(Kind::Placements), Verdict::Void);
         assert_eq!(foreign.verdict(Kind::List), Verdict::Hint(1.0));
@@ -151,7 +203,10 @@
         assert!(machine.recovery.override_holds(u64::MAX, true));
         assert!(!machine.recovery.override_holds(u64::MAX, false));
         // Servers that started since are cold, whatever the clock makes of their start.
-        let entries = vec![entry("s1", WALL, Lifecycle::Ready), entry("s3", WALL, Lifecycle::Ready)];
+        let entries = vec![
+            entry("s1", WALL, Lifecycle::Ready),
+            entry("s3", WALL, Lifecycle::Ready),
+        ];
         machine.tell(Event::List(list(Source::Discovery, 1, 41, entries)));
         machine.pass_until(How::Paced);
         assert_eq!(machine.recovery.state(), State::Refilling);
@@ -161,11 +216,17 @@
     // A peer's clock, or discovery's, shows a clock that nothing else does.
     let mut machine = Machine::new(config(), WALL + 3_600_000, Some(memory()));
     assert!(machine.recovery.clock_is_sound());
-    machine.tell(Event::Peer(PeerWord { wall: Some(WALL), ..word("b2", "north", 3, SECOND) }));
+    machine.tell(Event::Peer(PeerWord {
+        wall: Some(WALL),
+        ..word("b2", "north", 3, SECOND)
+    }));
     assert!(!machine.recovery.clock_is_sound());
     // Also, without memory, a server that started later than now.
     let mut machine = Machine::new(config(), WALL, None);
-    machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Discovery, 1, 1, Vec::new()) }));
+    machine.tell(Event::List(List {
+        said_at: Some(WALL),
+        ..list(Source::Discovery, 1, 1, Vec::new())
+    }));
     assert!(machine.recovery.clock_is_sound());
 }
 
@@ -173,7 +234,10 @@
 fn placements_hold_but_on_servers_that_started_since() {
     let mut memory = memory();
     let known = entry("s5", WALL - 90_000_000, Lifecycle::Ready);
-    memory.list.iter_mut().for_each(|list| list.entries.push(known.clone()));
+    memory
+        .list
+        .iter_mut()
+        .for_each(|list| list.entries.push(known.clone()));
     let mut machine = Machine::new(config(), WALL, Some(memory));
     let entries = vec![
         entry("s1", WALL - 90_000_000, Lifecycle::Ready),
@@ -184,14 +248,35 @@
     ];
     machine.tell(Event::List(list(Source::Discovery, 1, 41, entries)));
     assert!(machine.recovery.placement_holds("s1", WALL - 61_000));
-    assert!(!machine.recovery.placement_holds("s2", WALL - 61_000), "it drains");
-    assert!(!machine.recovery.placement_holds("s3", WALL - 61_000), "it started since");
-    assert!(!machine.recovery.placement_holds("s4", WALL - 61_000), "so did one that memory does not know");
-    assert!(!machine.recovery.placement_holds("s5", WALL - 61_000), "and one whose clock is behind");
-    assert!(!machine.recovery.placement_holds("s1", WALL - 4_000_000), "that is long ago");
+    assert!(
+        !machine.recovery.placement_holds("s2", WALL - 61_000),
+        "it drains"
+    );
+    assert!(
+        !machine.recovery.placement_holds("s3", WALL - 61_000),
+        "it started since"
+    );
+    assert!(
+        !machine.recovery.placement_holds("s4", WALL - 61_000),
+        "so did one that memory does not know"
+    );
+    assert!(
+        !machine.recovery.placement_holds("s5", WALL - 61_000),
+        "and one whose clock is behind"
+    );
+    assert!(
+        !machine.recovery.placement_holds("s1", WALL - 4_000_000),
+        "that is long ago"
+    );
     assert!(machine.recovery.override_holds(WALL + 5_000, false));
-    assert!(!machine.recovery.override_holds(WALL - 5_000, false), "it ended in the dark");
-    machine.tell(Event::ServerStarted { name: "s1".into(), at: WALL + 1 });
+    assert!(
+        !machine.recovery.override_holds(WALL - 5_000, false),
+        "it ended in the dark"
+    );
+    machine.tell(Event::ServerStarted {
+        name: "s1".into(),
+        at: WALL + 1,
+    });
     assert!(!machine.recovery.placement_holds("s1", WALL - 61_000));
 }
 
@@ -199,17 +284,25 @@
 fn drains_hold_against_a_discovery_that_lost_its_state_for_a_time() {
     let ready = |life, generation| {
         let names = ["s1", "s2", "s4"];
-        let entries = names.map(|name| entry(name, WALL - 90_000_000, Lifecycle::Ready)).to_vec();
+        let entries = names
+            .map(|name| entry(name, WALL - 90_000_000, Lifecycle::Ready))
+            .to_vec();
         Event::List(list(Source::Discovery, life, generation, entries))
     };
     // It counts anew from 1: all of its list is taken, but for the drain.
     for life in [2, 0] {
         let mut memory = memory();
-        memory.list = memory.list.map(|list| List { life: life.min(1), ..list });
+        memory.list = memory.list.map(|list| List {
+            life: life.min(1),
+            ..list
+        });
         let mut machine = Machine::new(config(), WALL, Some(memory));
         machine.tell(ready(life, 1));
         assert_eq!(machine.lifecycle("s2"), Some(Lifecycle::Draining));
-        assert_eq!((machine.lifecycle("s3"), machine.lifecycle("s4")), (None, Some(Lifecycle::Ready)));
+        assert_eq!(
+            (machine.lifecycle("s3"), machine.lifecycle("s4")),
+            (None, Some(Lifecycle::Ready))
+        );
         machine.pass(20 * SECOND);
         machine.tell(ready(life, 2));
         assert_eq!(machine.lifecycle("s2"), Some(Lifecycle::Draining));
@@ -229,26 +322,68 @@
     let day = 86_400 * SECOND;
     let told = |words: &[PeerWord], started_at: Millis| {
         let mut machine = Machine::new(config(), WALL, Some(memory()));
-        words.iter().for_each(|word| machine.tell(Event::Peer(word.clone())));
+        words
+            .iter()
+            .for_each(|word| machine.tell(Event::Peer(word.clone())));
         let entries = vec![entry("s1", started_at, Lifecycle::Ready)];
         let said_at = Some(WALL);
-        machine.tell(Event::List(List { said_at, ..list(Source::Discovery, 1, 41, entries) }));
+        machine.tell(Event::List(List {
+            said_at,
+            ..list(Source::Discovery, 1, 41, entries)
+        }));
         let bound = config().lets_in_within();
         machine.pass(bound);
         assert_ne!(machine.recovery.state().how(), How::NotYet);
         machine.recovery.scope()
     };
     let (warm, cold) = (WALL - 90_000_000, WALL);
-    assert_eq!(told(&[word("b2", "north", 3, day), word("b3", "south", 3, day)], warm), Scope::Alone);
-    assert_eq!(told(&[word("b2", "north", 3, SECOND), word("b3", "south", 3, day)], cold), Scope::Site);
-    assert_eq!(told(&[word("b2", "north", 3, SECOND), word("b3", "south", 3, SECOND)], cold), Scope::Fleet);
+    assert_eq!(
+        told(
+            &[word("b2", "north", 3, day), word("b3", "south", 3, day)],
+            warm
+        ),
+        Scope::Alone
+    );
+    assert_eq!(
+        told(
+            &[word("b2", "north", 3, SECOND), word("b3", "south", 3, day)],
+            cold
+        ),
+        Scope::Site
+    );
+    assert_eq!(
+        told(
+            &[
+                word("b2", "north", 3, SECOND),
+                word("b3", "south", 3, SECOND)
+            ],
+            cold
+        ),
+        Scope::Fleet
+    );
     // A word of a former life says nothing of who ran on.
-    let both = |boot, up_for| [word("b2", "north", boot, up_for), word("b3", "south", boot, up_for)];
-    assert_eq!(told(&[both(3, SECOND), both(2, day)].concat(), cold), Scope::Fleet);
+    let both = |boot, up_for| {
+        [
+            word("b2", "north", boot, up_for),
+            word("b3", "south", boot, up_for),
+        ]
+    };
+    assert_eq!(
+        told(&[both(3, SECOND), both(2, day)].concat(), cold),
+        Scope::Fleet
+    );
     // Nobody answers, and the servers' starts tell.
     assert_eq!(told(&[], cold), Scope::Fleet);
     // Nobody knows, and nobody answers.
-    let mut machine = Machine::new(Config { site_peers: 0, other_sites: Vec::new(), ..config() }, WALL, None);
+    let mut machine = Machine::new(
+        Config {
+            site_peers: 0,
+            other_sites: Vec::new(),
+            ..config()
+        },
+        WALL,
+        None,
+    );
     machine.pass_until(How::Paced);
     assert_eq!(machine.recovery.scope(), Scope::Unknown);
 }
@@ -262,15 +397,24 @@
     machine.tell(Event::List(list(Source::Peer, 1, 41, entries)));
     assert_eq!(machine.recovery.state(), State::Serving);
     assert!(machine.is_admitted(1));
-    assert!(!machine.calls(Whom::Discovery).is_empty(), "it is asked all the same");
+    assert!(
+        !machine.calls(Whom::Discovery).is_empty(),
+        "it is asked all the same"
+    );
 }
 
 #[test]
 fn one_that_was_stopped_through_the_outage_notices() {
     let mut machine = Machine::new(config(), WALL, Some(memory()));
-    let entries = vec![entry("s1", WALL - 90_000_000, Lifecycle::Ready), entry("s3", 1, Lifecycle::Ready)];
+    let entries = vec![
+        entry("s1", WALL - 90_000_000, Lifecycle::Ready),
+        entry("s3", 1, Lifecycle::Ready),
+    ];
     machine.tell(Event::Peer(word("b2", "north", 3, 86_400 * SECOND)));
-    machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Discovery, 1, 41, entries) }));
+    machine.tell(Event::List(List {
+        said_at: Some(WALL),
+        ..list(Source::Discovery, 1, 41, entries)
+    }));
     machine.pass(SECOND);
     assert_eq!(machine.recovery.state(), State::Serving);
     // A minute in which not even a tick was heard; then the first client.
@@ -280,18 +424,28 @@
     machine.tell(Event::Peer(word("b2", "north", 4, 10 * SECOND)));
     let entries = vec![entry("s1", WALL + 50_000, Lifecycle::Ready)];
     let said_at = Some(WALL + machine.now / MS);
-    machine.tell(Event::List(List { said_at, ..list(Source::Peer, 1, 43, entries) }));
+    machine.tell(Event::List(List {
+        said_at,
+        ..list(Source::Peer, 1, 43, entries)
+    }));
     machine.pass_until(How::Paced);
     assert_ne!(machine.recovery.scope(), Scope::Alone);
     // The same if the monotonic clock stood still too: the wall clock went ahead, and a peer has begun anew.
     let mut machine = Machine::new(config(), WALL, Some(memory()));
     machine.tell(Event::Peer(word("b2", "north", 3, 86_400 * SECOND)));
     let entries = vec![entry("s1", WALL - 90_000_000, Lifecycle::Ready)];
-    machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Peer, 1, 41, entries) }));
+    machine.tell(Event::List(List {
+        said_at: Some(WALL),
+        ..list(Source::Peer, 1, 41, entries)
+    }));
     assert_eq!(machine.recovery.state(), State::Serving);
     machine.wall += 60_000;
     machine.tell(Event::Tick);
-    assert_eq!(machine.recovery.state(), State::Serving, "a step alone is none");
+    assert_eq!(
+        machine.recovery.state(),
+        State::Serving,
+        "a step alone is none"
+    );
     machine.tell(Event::Peer(word("b2", "north", 4, 10 * SECOND)));
     assert_eq!(machine.recovery.state().how(), How::NotYet);
 }
@@ -299,7 +453,10 @@
 #[test]
 fn a_second_loss_in_the_midst_finds_the_former_service() {
     let mut machine = Machine::new(config(), WALL, Some(memory()));
-    let entries = vec![entry("s1", WALL, Lifecycle::Ready), entry("s3", WALL, Lifecycle::Ready)];
+    let entries = vec![
+        entry("s1", WALL, Lifecycle::Ready),
+        entry("s3", WALL, Lifecycle::Ready),
+    ];
     machine.tell(Event::List(list(Source::Discovery, 1, 41, entries)));
     machine.pass_until(How::Paced);
     assert_eq!(machine.recovery.former(), Some(1_000.0));
@@ -310,7 +467,12 @@
 
 #[test]
 fn whoever_does_not_answer_is_asked_ever_more_rarely_and_never_in_step() {
-    let config = Config { fleet: 300, site_peers: 0, other_sites: Vec::new(), ..config() };
+    let config = Config {
+        fleet: 300,
+        site_peers: 0,
+        other_sites: Vec::new(),
+        ..config()
+    };
     let mut machine = Machine::new(config, WALL, None);
     for _ in 0..2_000 {
         machine.pass(100 * MS);
@@ -329,12 +491,32 @@
     for fleet in [2, 48, 300] {
         let mut admitted = 0;
         for seed in 0..fleet {
-            let config = Config { fleet, site_peers: 0, other_sites: Vec::new(), clients: 1, ..config() };
-            let recovery = Recovery::new(config, u64::from(seed)).expect("the settings are in range");
-            let mut machine = Machine { recovery, now: 0, wall: WALL, out: Vec::new() };
-            machine.tell(Event::Started { boot: 1, memory: None });
-            let entries = (0..100).map(|at| entry(&format!("s{at}"), WALL, Lifecycle::Ready)).collect();
-            machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Discovery, 1, 1, entries) }));
+            let config = Config {
+                fleet,
+                site_peers: 0,
+                other_sites: Vec::new(),
+                clients: 1,
+                ..config()
+            };
+            let recovery =
+                Recovery::new(config, u64::from(seed)).expect("the settings are in range");
+            let mut machine = Machine {
+                recovery,
+                now: 0,
+                wall: WALL,
+                out: Vec::new(),
+            };
+            machine.tell(Event::Started {
+                boot: 1,
+                memory: None,
+            });
+            let entries = (0..100)
+                .map(|at| entry(&format!("s{at}"), WALL, Lifecycle::Ready))
+                .collect();
+            machine.tell(Event::List(List {
+                said_at: Some(WALL),
+                ..list(Source::Discovery, 1, 1, entries)
+            }));
             // All turns have come, and clients come as fast as they can.
             for key in 0..200 {
                 machine.now += 10 * MS;
@@ -349,14 +531,29 @@
 
 #[test]
 fn a_loan_that_is_told_twice_counts_once() {
-    let config = Config { fleet: 300, site_peers: 0, other_sites: Vec::new(), clients: 1, ..config() };
+    let config = Config {
+        fleet: 300,
+        site_peers: 0,
+        other_sites: Vec::new(),
+        clients: 1,
+        ..config()
+    };
     let mut machine = Machine::new(config, WALL, None);
-    let entries = (0..40).map(|at| entry(&format!("s{at}"), WALL, Lifecycle::Ready)).collect();
-    machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Discovery, 1, 1, entries) }));
+    let entries = (0..40)
+        .map(|at| entry(&format!("s{at}"), WALL, Lifecycle::Ready))
+        .collect();
+    machine.tell(Event::List(List {
+        said_at: Some(WALL),
+        ..list(Source::Discovery, 1, 1, entries)
+    }));
     machine.pass_until(How::Paced);
     machine.pass(2 * SECOND);
     for _ in 0..2 {
-        machine.tell(Event::Lent { from: "b2".into(), number: 1, clients: 5.0 });
+        machine.tell(Event::Lent {
+            from: "b2".into(),
+            number: 1,
+            clients: 5.0,
+        });
     }
     let admitted = (0..20).filter(|key| machine.is_admitted(*key)).count();
     assert!((5..=6).contains(&admitted), "{admitted}");
@@ -365,14 +562,38 @@
 #[test]
 fn turns_count_from_when_the_first_of_all_let_clients_in() {
     let wait = |serving_for: Option<Nanos>| {
-        let former = vec![Former { class: 0, account: 0, clients: 20.0 }];
+        let former = vec![Former {
+            class: 0,
+            account: 0,
+            clients: 20.0,
+        }];
         let memory = Memory { former, ..memory() };
-        let mut machine = Machine::new(Config { site_peers: 0, ..config() }, WALL, Some(memory));
+        let mut machine = Machine::new(
+            Config {
+                site_peers: 0,
+                ..config()
+            },
+            WALL,
+            Some(memory),
+        );
         let entries = vec![entry("s1", WALL - 9_000, Lifecycle::Ready)];
-        machine.tell(Event::Peer(PeerWord { serving_for, ..word("b3", "south", 3, 9 * SECOND) }));
-        machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Discovery, 1, 41, entries) }));
+        machine.tell(Event::Peer(PeerWord {
+            serving_for,
+            ..word("b3", "south", 3, 9 * SECOND)
+        }));
+        machine.tell(Event::List(List {
+            said_at: Some(WALL),
+            ..list(Source::Discovery, 1, 41, entries)
+        }));
         machine.pass_until(How::Paced);
-        let arrival = Arrival { id: 1, class: 0, account: 0, group: None, key: Some(1), returns: true };
+        let arrival = Arrival {
+            id: 1,
+            class: 0,
+            account: 0,
+            group: None,
+            key: Some(1),
+            returns: true,
+        };
         machine.tell(Event::Arrived(arrival));
         match machine.out.last() {
             Some(Action::Defer { retry_after, .. }) => *retry_after,
@@ -384,11 +605,25 @@
 
 #[test]
 fn what_is_not_used_lapses() {
-    let cold = Cold { borne: 20.0, ..Cold::default() };
-    let alone = Config { site_peers: 0, other_sites: Vec::new(), clients: 1, cold, ..config() };
+    let cold = Cold {
+        borne: 20.0,
+        ..Cold::default()
+    };
+    let alone = Config {
+        site_peers: 0,
+        other_sites: Vec::new(),
+        clients: 1,
+        cold,
+        ..config()
+    };
     let mut machine = Machine::new(alone, WALL, None);
-    let entries = (0..40).map(|at| entry(&format!("s{at}"), WALL, Lifecycle::Ready)).collect();
-    machine.tell(Event::List(List { said_at: Some(WALL), ..list(Source::Discovery, 1, 1, entries) }));
+    let entries = (0..40)
+        .map(|at| entry(&format!("s{at}"), WALL, Lifecycle::Ready))
+        .collect();
+    machine.tell(Event::List(List {
+        said_at: Some(WALL),
+        ..list(Source::Discovery, 1, 1, entries)
+    }));
     machine.pass_until(How::Paced);
     machine.pass(5 * SECOND);
     let admitted = (0..5_000).filter(|key| machine.is_admitted(*key)).count();
--- a/recovery/tests/toy/mod.rs
+++ b/recovery/tests/toy/mod.rs
@@ -147,10 +147,36 @@
         name: "b".into(),
         site: "site".into(),
         fleet: day.fleet as u32,
-        site_peers: if day.peers == Peers::None { 0 } else { day.fleet as u32 - 1 },
-        cold: Cold { borne: stood / (cold.cold_time as f64 / 1e9), slack: day.slack, ..cold },
-        classes: vec![Class { worth: 1.0, aim: SECOND }, Class { worth: 4.0, aim: SECOND / 2 }],
-        accounts: vec![Account { account: 0, share: SHARES[0] }, Account { account: 1, share: SHARES[1] }],
+        site_peers: if day.peers == Peers::None {
+            0
+        } else {
+            day.fleet as u32 - 1
+        },
+        cold: Cold {
+            borne: stood / (cold.cold_time as f64 / 1e9),
+            slack: day.slack,
+            ..cold
+        },
+        classes: vec![
+            Class {
+                worth: 1.0,
+                aim: SECOND,
+            },
+            Class {
+                worth: 4.0,
+                aim: SECOND / 2,
+            },
+        ],
+        accounts: vec![
+            Account {
+                account: 0,
+                share: SHARES[0],
+            },
+            Account {
+                account: 1,
+                share: SHARES[1],
+            },
+        ],
         clients: (day.clients as f64 * day.told) as u32,
         ..Config::default()
     }
@@ -160,12 +186,20 @@
     pub fn new(day: Day) -> Toy {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
         let weight = |at: usize| [1.0, 1.0, 1.5, 2.0][at % 4];
-        let server = |at| Server { weight: weight(at), sent: VecDeque::new(), tipped: false };
+        let server = |at| Server {
+            weight: weight(at),
+            sent: VecDeque::new(),
+            tipped: false,
+        };
         let servers: Vec<Server> = (0..day.servers).map(server).collect();
         let config = config(&day, servers.iter().map(|server| server.weight).sum());
         let machines = (0..day.fleet).map(|at| {
-            let config = Config { name: format!("b{at}"), ..config.clone() };
-            Recovery::new(config, day.seed ^ (at as u64) << 32).expect("the toy's settings are in range")
+            let config = Config {
+                name: format!("b{at}"),
+                ..config.clone()
+            };
+            Recovery::new(config, day.seed ^ (at as u64) << 32)
+                .expect("the toy's settings are in range")
         });
         let machines: Vec<Recovery> = machines.collect();
         let mut toy = Toy {
@@ -188,9 +222,21 @@
             let class = usize::from(rng.random_bool(0.2));
             let (group, key) = (Some(at as u64 / 8 * 2 + class as u64), Some(at as u64));
             let account = u64::from(rng.random_bool(0.5));
-            let arrival = Arrival { id: at as u64, class, account, group, key, returns: true };
+            let arrival = Arrival {
+                id: at as u64,
+                class,
+                account,
+                group,
+                key,
+                returns: true,
+            };
             let home = toy.pick_balancer();
-            toy.clients.push(Client { arrival, at: home, firm: false, in_at: Nanos::MAX });
+            toy.clients.push(Client {
+                arrival,
+                at: home,
+                firm: false,
+                in_at: Nanos::MAX,
+            });
             let comes = rng.random_range(0..SECOND);
             toy.push(comes, What::Client(at));
         }
@@ -219,7 +265,8 @@
     }
 
     fn warmth(&self, now: Nanos) -> f64 {
-        let age = (now as i64 - self.day.servers_from).max(0) as f64 / self.config.cold.cold_time as f64;
+        let age =
+            (now as i64 - self.day.servers_from).max(0) as f64 / self.config.cold.cold_time as f64;
         0.2 + 0.8 * age.min(1.0)
     }
 
@@ -232,7 +279,14 @@
             weight: server.weight,
         };
         let entries = self.servers.iter().enumerate().map(entry).collect();
-        List { source, generation: 9, life: 1, age: 0, said_at: Some(WALL), entries }
+        List {
+            source,
+            generation: 9,
+            life: 1,
+            age: 0,
+            said_at: Some(WALL),
+            entries,
+        }
     }
 
     /// What each class and account had before.
@@ -242,11 +296,19 @@
         }
         let mut former: BTreeMap<(usize, u64), f64> = BTreeMap::new();
         for client in &self.clients {
-            *former.entry((client.arrival.class, client.arrival.account)).or_insert(0.0) += self.day.told;
+            *former
+                .entry((client.arrival.class, client.arrival.account))
+                .or_insert(0.0) += self.day.told;
         }
-        let one = |((class, account), clients): ((usize, u64), f64)| Former { class, account, clients };
+        let one = |((class, account), clients): ((usize, u64), f64)| Former {
+            class,
+            account,
+            clients,
+        };
         let mut list = self.list(Source::Memory);
-        list.entries.iter_mut().for_each(|entry| entry.started_at_ms = WALL - 90_000_000);
+        list.entries
+            .iter_mut()
+            .for_each(|entry| entry.started_at_ms = WALL - 90_000_000);
         Some(Memory {
             owner: format!("b{at}"),
             boot: 4,
@@ -268,10 +330,15 @@
         };
         let server = &mut self.servers[at];
         server.sent.push_back(now);
-        while server.sent.front().is_some_and(|at| *at + cold.fall_time <= now) {
+        while server
+            .sent
+            .front()
+            .is_some_and(|at| *at + cold.fall_time <= now)
+        {
             server.sent.pop_front();
         }
-        let limit = cold.tip_multiple * cold.borne * server.weight * warmth * cold.fall_time as f64 / 1e9;
+        let limit =
+            cold.tip_multiple * cold.borne * server.weight * warmth * cold.fall_time as f64 / 1e9;
         let over = server.sent.len() as f64 / (limit + cold.slack * (limit.sqrt() + 1.0));
         if warmth < 1.0 {
             self.told.worst = self.told.worst.max(over);
@@ -293,7 +360,10 @@
 
     fn obey(&mut self, now: Nanos, at: usize, action: Action) {
         match action {
-            Action::Ask { whom: Whom::Discovery, after } => {
+            Action::Ask {
+                whom: Whom::Discovery,
+                after,
+            } => {
                 *self.calls.entry((now + after) / (100 * MS)).or_insert(0) += 1;
                 if now + after >= self.day.discovery_from {
                     self.push(now + after + WAY, What::Discovery(at));
@@ -310,13 +380,21 @@
                 self.told.admitted += 1;
                 self.send(now);
             }
-            Action::Defer { id, retry_after, firm } => {
+            Action::Defer {
+                id,
+                retry_after,
+                firm,
+            } => {
                 self.told.deferred += 1;
                 self.told.promised += usize::from(firm);
                 self.clients[id as usize].firm = firm;
                 self.push(now + retry_after + 2 * WAY, What::Client(id as usize));
             }
-            Action::Lend { to, number, clients } => {
+            Action::Lend {
+                to,
+                number,
+                clients,
+            } => {
                 self.told.lent += clients;
                 let to = to[1..].parse().expect("a balancer's name");
                 self.push(now + WAY, What::Lent(to, at, number, clients.to_bits()));
@@ -352,7 +430,11 @@
             if hears && to != at && now >= self.begun[to] {
                 self.tell(now, to, Event::Peer(word.clone()));
                 if let Some(heard) = self.heard[at].filter(|_| self.heard[to].is_none()) {
-                    let list = List { age: now - heard, said_at: None, ..self.list(Source::Peer) };
+                    let list = List {
+                        age: now - heard,
+                        said_at: None,
+                        ..self.list(Source::Peer)
+                    };
                     self.tell(now, to, Event::List(list));
                     self.heard[to].get_or_insert(heard);
                 }
@@ -362,7 +444,11 @@
     }
 
     fn comes(&mut self, now: Nanos, id: usize) {
-        let at = if self.day.stays { self.clients[id].at } else { self.pick_balancer() };
+        let at = if self.day.stays {
+            self.clients[id].at
+        } else {
+            self.pick_balancer()
+        };
         if now < self.begun[at] {
             return self.push(now + SECOND, What::Client(id));
         }
@@ -379,7 +465,11 @@
                 What::Tick(at) => {
                     let is_first = self.machines[at].state() == State::Dark;
                     let memory = is_first.then(|| self.memory(at)).flatten();
-                    let event = if is_first { Event::Started { boot: 5, memory } } else { Event::Tick };
+                    let event = if is_first {
+                        Event::Started { boot: 5, memory }
+                    } else {
+                        Event::Tick
+                    };
                     self.tell(now, at, event);
                     if let Some(due) = self.machines[at].due() {
                         self.push((self.begun[at] + due).max(now + MS), What::Tick(at));
@@ -395,7 +485,15 @@
                 }
                 What::Lent(to, from, number, bits) => {
                     let (from, clients) = (format!("b{from}"), f64::from_bits(bits));
-                    self.tell(now, to, Event::Lent { from, number, clients });
+                    self.tell(
+                        now,
+                        to,
+                        Event::Lent {
+                            from,
+                            number,
+                            clients,
+                        },
+                    );
                 }
             }
         }
@@ -405,7 +503,11 @@
     fn sum_up(mut self) -> Told {
         let worth = |client: &Client| self.config.classes[client.arrival.class].worth;
         let all: f64 = self.clients.iter().map(worth).sum();
-        let mut order: Vec<(Nanos, f64)> = self.clients.iter().map(|one| (one.in_at, worth(one))).collect();
+        let mut order: Vec<(Nanos, f64)> = self
+            .clients
+            .iter()
+            .map(|one| (one.in_at, worth(one)))
+            .collect();
         order.sort_by_key(|one| one.0);
         let mut sum = 0.0;
         let past = order.iter().find(|(_, worth)| {
@@ -414,17 +516,31 @@
         });
         self.told.served_at = past.map(|(at, _)| *at).filter(|at| *at != Nanos::MAX);
         let half = |of: &dyn Fn(&Client) -> bool| {
-            let mut at: Vec<Nanos> = self.clients.iter().filter(|one| of(one)).map(|one| one.in_at).collect();
+            let mut at: Vec<Nanos> = self
+                .clients
+                .iter()
+                .filter(|one| of(one))
+                .map(|one| one.in_at)
+                .collect();
             at.sort_unstable();
             at.get(at.len() / 2).copied().unwrap_or(Nanos::MAX)
         };
-        self.told.class_half = (0..2).map(|class| half(&|one| one.arrival.class == class)).collect();
-        let of_account =
-            |account| half(&|one: &Client| one.arrival.class == 1 && one.arrival.account == account);
+        self.told.class_half = (0..2)
+            .map(|class| half(&|one| one.arrival.class == class))
+            .collect();
+        let of_account = |account| {
+            half(&|one: &Client| one.arrival.class == 1 && one.arrival.account == account)
+        };
         self.told.account_half = (0..2).map(of_account).collect();
         let mut groups: BTreeMap<Option<u64>, (Nanos, Nanos)> = BTreeMap::new();
-        for client in self.clients.iter().filter(|one| one.in_at != Nanos::MAX && one.arrival.account == 0) {
-            let span = groups.entry(client.arrival.group).or_insert((Nanos::MAX, 0));
+        for client in self
+            .clients
+            .iter()
+            .filter(|one| one.in_at != Nanos::MAX && one.arrival.account == 0)
+        {
+            let span = groups
+                .entry(client.arrival.group)
+                .or_insert((Nanos::MAX, 0));
             *span = (span.0.min(client.in_at), span.1.max(client.in_at));
         }
         let sum: Nanos = groups.values().map(|(first, last)| last - first).sum();
@@ -441,7 +557,9 @@
         let (mut now, mut sum) = (0, 0.0);
         while sum < 0.99 * self.clients.len() as f64 {
             now += MS;
-            sum += self.config.cold.tip_multiple * self.config.cold.borne * weight * self.warmth(now) / 1e3;
+            sum +=
+                self.config.cold.tip_multiple * self.config.cold.borne * weight * self.warmth(now)
+                    / 1e3;
         }
         now
     }
--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -43,7 +43,10 @@
 impl Met {
     /// Keeps one more.
     pub fn add(&self, path: String, why: impl Into<String>) {
-        self.0.borrow_mut().push(Fault { path, why: why.into() });
+        self.0.borrow_mut().push(Fault {
+            path,
+            why: why.into(),
+        });
     }
 
     /// What was read, unless a fault was met; nothing is read only where one was.
@@ -77,12 +80,20 @@
 
     /// The fields of an object that is not there: each optional one is absent.
     pub fn none(path: &'v str, met: &'v Met) -> Fields<'v> {
-        Fields { object: None, path, met }
+        Fields {
+            object: None,
+            path,
+            met,
+        }
     }
 
     /// The path of one of its fields.
     pub fn path_of(&self, key: &str) -> String {
-        if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
+        if self.path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{}.{key}", self.path)
+        }
     }
 
     /// Keeps a fault of one of its fields.
@@ -143,7 +154,8 @@
 
     fn read<T: DeserializeOwned>(&self, key: &str, value: &Value) -> Option<T> {
         let read = T::deserialize(value);
-        read.map_err(|error| self.fault(key, error.to_string())).ok()
+        read.map_err(|error| self.fault(key, error.to_string()))
+            .ok()
     }
 
     /// The objects of a list, each with its path; none where the list is absent.
@@ -155,11 +167,20 @@
     }
 
     /// The same of a list that has to be there.
-    pub fn needed_list<T>(&self, key: &str, read: impl Fn(Fields<'_>) -> Option<T>) -> Option<Vec<T>> {
+    pub fn needed_list<T>(
+        &self,
+        key: &str,
+        read: impl Fn(Fields<'_>) -> Option<T>,
+    ) -> Option<Vec<T>> {
         self.objects(key, self.needed_value(key)?, read)
     }
 
-    fn objects<T>(&self, key: &str, value: &Value, read: impl Fn(Fields<'_>) -> Option<T>) -> Option<Vec<T>> {
+    fn objects<T>(
+        &self,
+        key: &str,
+        value: &Value,
+        read: impl Fn(Fields<'_>) -> Option<T>,
+    ) -> Option<Vec<T>> {
         let Some(rows) = value.as_array() else {
             self.fault(key, "is no list");
             return None;
--- a/settings/src/in_force.rs
+++ b/settings/src/in_force.rs
@@ -25,7 +25,11 @@
     /// The first settings of a process.
     pub fn new(setup: Setup) -> InForce {
         let (known, present) = (setup.lanes.clone(), (0..setup.lanes.len()).collect());
-        InForce { setup, known, present }
+        InForce {
+            setup,
+            known,
+            present,
+        }
     }
 
     /// These settings hold from now on, as a whole.
@@ -39,7 +43,11 @@
             }
         };
         let present = setup.lanes.iter().map(number).collect();
-        InForce { setup, known, present }
+        InForce {
+            setup,
+            known,
+            present,
+        }
     }
 
     /// The settings as they stand in the file.
@@ -54,7 +62,9 @@
 
     /// How long a client of this class waits; nothing for a class there never was.
     pub fn patience(&self, class: usize) -> Duration {
-        self.known.get(class).map_or(Duration::ZERO, |lane| Duration::from_nanos(lane.deadline))
+        self.known
+            .get(class)
+            .map_or(Duration::ZERO, |lane| Duration::from_nanos(lane.deadline))
     }
 
     /// The place of a class among the present ones; one of earlier settings has the place of the class that bears its
@@ -62,13 +72,20 @@
     pub fn place(&self, class: usize) -> usize {
         let present = self.present.iter().position(|number| *number == class);
         let by_name = || self.setup.class(&self.known.get(class)?.name);
-        present.or_else(by_name).unwrap_or_else(|| self.present.len().saturating_sub(1))
+        present
+            .or_else(by_name)
+            .unwrap_or_else(|| self.present.len().saturating_sub(1))
     }
 
     /// What the decision module has of them: the classes by their numbers, those of earlier settings among them.
     pub fn module(&self) -> Settings {
-        let classes = (0..self.known.len()).map(|number| self.class_of(number)).collect();
-        Settings { classes, ..self.setup.module() }
+        let classes = (0..self.known.len())
+            .map(|number| self.class_of(number))
+            .collect();
+        Settings {
+            classes,
+            ..self.setup.module()
+        }
     }
 
     fn class_of(&self, number: usize) -> Class {
@@ -83,7 +100,10 @@
     /// repeat of both, and no say in what is asked of all classes together.
     fn earlier(&self, own: Class, name: &str) -> Class {
         let present = || self.setup.lanes.iter();
-        let longest = present().map(|lane| lane.deadline).max().unwrap_or(own.deadline);
+        let longest = present()
+            .map(|lane| lane.deadline)
+            .max()
+            .unwrap_or(own.deadline);
         let dearest = present().map(|lane| lane.worth).fold(0.0, f64::max);
         let named = present().find(|lane| lane.name == name);
         Class {
@@ -101,9 +121,16 @@
     match (one, other) {
         (Repeat::Safe, repeat) | (repeat, Repeat::Safe) => repeat,
         (Repeat::Unsafe, _) | (_, Repeat::Unsafe) => Repeat::Unsafe,
-        (Repeat::Keyed { scope: one, window: first }, Repeat::Keyed { scope: other, window: second }) => {
-            narrower((one, other), first.min(second))
-        }
+        (
+            Repeat::Keyed {
+                scope: one,
+                window: first,
+            },
+            Repeat::Keyed {
+                scope: other,
+                window: second,
+            },
+        ) => narrower((one, other), first.min(second)),
     }
 }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -85,12 +85,18 @@
     /// The places of classes without a name.
     pub fn nameless(&self) -> impl Iterator<Item = usize> {
         let nameless = |(_, lane): &(usize, &Lane)| lane.name.is_empty();
-        self.lanes.iter().enumerate().filter(nameless).map(|(at, _)| at)
+        self.lanes
+            .iter()
+            .enumerate()
+            .filter(nameless)
+            .map(|(at, _)| at)
     }
 
     /// How long a client of this class waits where its wire does not say; nothing for a class there is not.
     pub fn patience(&self, class: usize) -> Duration {
-        self.lanes.get(class).map_or(Duration::ZERO, |lane| Duration::from_nanos(lane.deadline))
+        self.lanes
+            .get(class)
+            .map_or(Duration::ZERO, |lane| Duration::from_nanos(lane.deadline))
     }
 
     /// Whether a tenant has this name; any has where the site lists none.
@@ -114,8 +120,18 @@
     /// A connection that is not up by then has failed. Where the settings don't say, it has the time in which the
     /// quickest class wants to stand.
     pub fn connect_timeout(&self) -> Nanos {
-        let quickest = || self.lanes.iter().map(|lane| lane.aim).min().unwrap_or(Nanos::MAX);
-        if self.limits.connect_timeout > 0 { self.limits.connect_timeout } else { quickest() }
+        let quickest = || {
+            self.lanes
+                .iter()
+                .map(|lane| lane.aim)
+                .min()
+                .unwrap_or(Nanos::MAX)
+        };
+        if self.limits.connect_timeout > 0 {
+            self.limits.connect_timeout
+        } else {
+            quickest()
+        }
     }
 
     /// An answer to such a question that is not there by then is none: a connection may have to come up first.
@@ -136,23 +152,39 @@
     /// The same settings, with the way in which lists come as another's. Guards against a program whose module waits
     /// for lists in one way while its watch, which was set up at the start, follows the other.
     pub fn with_discovery_of(self, other: &Setup) -> Setup {
-        Setup { discovery: other.discovery, ..self }
+        Setup {
+            discovery: other.discovery,
+            ..self
+        }
     }
 
     /// What these settings say otherwise than others, by the names in the file.
     pub fn differs_from(&self, other: &Setup) -> Vec<String> {
         let count = || format!("{} balancers", self.balancers.unwrap_or(1));
         let parts = [
-            (count(), (self.balancers, self.rank) != (other.balancers, other.rank)),
-            ("zones".into(), (&self.zones, self.zone) != (&other.zones, other.zone)),
+            (
+                count(),
+                (self.balancers, self.rank) != (other.balancers, other.rank),
+            ),
+            (
+                "zones".into(),
+                (&self.zones, self.zone) != (&other.zones, other.zone),
+            ),
             ("lanes".into(), self.lanes != other.lanes),
             ("shares".into(), self.projects != other.projects),
             ("policy-limits".into(), self.limits != other.limits),
             ("rules".into(), self.rules != other.rules),
             ("prices".into(), self.prices != other.prices),
-            ("weight-kind".into(), self.live_weights != other.live_weights),
+            (
+                "weight-kind".into(),
+                self.live_weights != other.live_weights,
+            ),
         ];
-        parts.into_iter().filter(|(_, differs)| *differs).map(|(part, _)| part).collect()
+        parts
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(part, _)| part)
+            .collect()
     }
 
     /// Whether an admission queue is the same under other settings: the same classes in the same order, and the same
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -32,7 +32,11 @@
 
 fn setup(fields: Fields<'_>) -> Option<Setup> {
     let balancers: Option<Option<u32>> = fields.or_default("balancers");
-    fields.refuse("balancers", balancers == Some(Some(0)), "must be at least 1");
+    fields.refuse(
+        "balancers",
+        balancers == Some(Some(0)),
+        "must be at least 1",
+    );
     let rank = fields.or_default("rank");
     let (zone, zones) = (fields.or_default("zone").map(ZoneId), zones(fields));
     let message_aims: Option<Vec<Option<Nanos>>> =
@@ -45,7 +49,11 @@
     let rules = fields.needed_inner("rules", rules);
     let cross_zone = fields.inner("prices", |prices| {
         let price = prices.or_default("cross-zone");
-        prices.refuse("cross-zone", price.is_some_and(|price: f64| price < 0.0), "must not be below 0");
+        prices.refuse(
+            "cross-zone",
+            price.is_some_and(|price: f64| price < 0.0),
+            "must not be below 0",
+        );
         price
     });
     let mut limits = limits?;
@@ -61,7 +69,9 @@
         live_weights: live_weights?,
         limits,
         rules: rules?,
-        prices: Prices { cross_zone: cross_zone? },
+        prices: Prices {
+            cross_zone: cross_zone?,
+        },
     })
 }
 
@@ -88,7 +98,14 @@
     let deadline = fields.need_if("hard-limit-ns", |deadline| *deadline > 0, SPAN);
     let worth = fields.need_if("value", |worth: &f64| *worth >= 0.0, "must not be below 0");
     let repeat = repeat(fields);
-    Some(Lane { name: name?, aim: aim?, deadline: deadline?, repeat: repeat?, message_aim: 0, worth: worth? })
+    Some(Lane {
+        name: name?,
+        aim: aim?,
+        deadline: deadline?,
+        repeat: repeat?,
+        message_aim: 0,
+        worth: worth?,
+    })
 }
 
 fn repeat(fields: Fields<'_>) -> Option<Repeat> {
@@ -98,7 +115,10 @@
         "fragile" => Some(Repeat::Unsafe),
         "dedup" => {
             let (scope, window) = (scope(fields), fields.need("repeat-window-ns"));
-            Some(Repeat::Keyed { scope: scope?, window: window? })
+            Some(Repeat::Keyed {
+                scope: scope?,
+                window: window?,
+            })
         }
         other => {
             fields.fault("effect", format!("unknown effect {other:?}"));
@@ -123,7 +143,11 @@
 
 fn projects(fields: Fields<'_>) -> Option<Vec<Project>> {
     let projects = fields.list("projects", project)?;
-    refuse_twice(fields, "projects", projects.iter().map(|project| &project.name));
+    refuse_twice(
+        fields,
+        "projects",
+        projects.iter().map(|project| &project.name),
+    );
     Some(projects)
 }
 
@@ -131,7 +155,10 @@
     let (name, share) = (fields.or_default("name"), fields.or_default("share"));
     let below = matches!(share, Some(Some(share)) if share < 0.0);
     fields.refuse("share", below, "must not be below 0");
-    Some(Project { name: name?, share: share? })
+    Some(Project {
+        name: name?,
+        share: share?,
+    })
 }
 
 fn discovery(fields: Fields<'_>) -> Option<Discovery> {
@@ -153,10 +180,14 @@
 
 fn limits(fields: Fields<'_>) -> Option<Limits> {
     let max_attempts = fields.need_if("max-attempts", |most| *most > 0, "must be at least 1");
-    let (retry_after, max_retry_after) =
-        (fields.or_default("retry-after"), fields.or_default("max-retry-after-ns"));
-    let (may_probe, connect_timeout) =
-        (fields.or_default("may-probe"), fields.or_default("connect-timeout-ns"));
+    let (retry_after, max_retry_after) = (
+        fields.or_default("retry-after"),
+        fields.or_default("max-retry-after-ns"),
+    );
+    let (may_probe, connect_timeout) = (
+        fields.or_default("may-probe"),
+        fields.or_default("connect-timeout-ns"),
+    );
     Some(Limits {
         max_attempts: max_attempts?,
         retry_after: retry_after?,
@@ -187,7 +218,10 @@
     let mut met = HashSet::new();
     for (at, name) in names.enumerate() {
         if !name.is_empty() && !met.insert(name) {
-            fields.fault(&format!("{key}[{at}]"), format!("{name:?} stands there twice"));
+            fields.fault(
+                &format!("{key}[{at}]"),
+                format!("{name:?} stands there twice"),
+            );
         }
     }
 }
--- a/settings/tests/in_force.rs
+++ b/settings/tests/in_force.rs
@@ -10,7 +10,10 @@
 fn site(lanes: &[Lane<'_>]) -> Setup {
     let lane = |(name, effect, deadline, worth): &Lane<'_>| {
         let mut parts = effect.split(' ');
-        let window: u64 = parts.clone().nth(2).map_or(0, |window| window.parse().expect("a number"));
+        let window: u64 = parts
+            .clone()
+            .nth(2)
+            .map_or(0, |window| window.parse().expect("a number"));
         json!({
             "name": name, "on-time-ns": 100_000_000, "hard-limit-ns": deadline * 1_000_000_000, "value": worth,
             "effect": parts.next(), "dedup-scope": parts.next().unwrap_or("all"), "repeat-window-ns": window,
@@ -34,12 +37,19 @@
     let setup = site(&[("a", "retryable", 2, 1.0), ("b", "fragile", 3, 2.0)]);
     let first = InForce::new(setup.clone());
     assert_eq!(first.module(), setup.module());
-    assert_eq!((first.class("a"), first.class("b"), first.class("c")), (Some(0), Some(1), None));
+    assert_eq!(
+        (first.class("a"), first.class("b"), first.class("c")),
+        (Some(0), Some(1), None)
+    );
 }
 
 #[test]
 fn another_order_turns_no_class_into_another() {
-    let (a, b, c) = (("a", "retryable", 2, 1.0), ("b", "fragile", 3, 2.0), ("c", "dedup zone 5", 4, 3.0));
+    let (a, b, c) = (
+        ("a", "retryable", 2, 1.0),
+        ("b", "fragile", 3, 2.0),
+        ("c", "dedup zone 5", 4, 3.0),
+    );
     // Without aims by place: those would make other classes of them.
     let plain = |lanes: &[Lane<'_>]| InForce::new(site(lanes));
     let first = plain(&[a, b, c]);
@@ -48,13 +58,23 @@
         let number = second.class(name).expect("it is there");
         assert_eq!(repeat_of(&second, number), effect, "{name}");
         // An opening that was read by the first table is the same class under the second one.
-        assert_eq!(repeat_of(&second, first.class(name).expect("it was there")), effect, "{name}");
+        assert_eq!(
+            repeat_of(&second, first.class(name).expect("it was there")),
+            effect,
+            "{name}"
+        );
     }
     // The place in the queue is the name's, whichever number is asked for.
     for name in ["a", "b", "c"] {
         let place = second.setup().class(name).expect("it is there");
-        assert_eq!(second.place(second.class(name).expect("it is there")), place);
-        assert_eq!(second.place(first.class(name).expect("it was there")), place);
+        assert_eq!(
+            second.place(second.class(name).expect("it is there")),
+            place
+        );
+        assert_eq!(
+            second.place(first.class(name).expect("it was there")),
+            place
+        );
     }
 }
 
@@ -67,11 +87,16 @@
     // There and back again: the numbers of the first, and no more with each turn.
     let away = second.replaced_by(site(&[("a", "fragile", 2, 1.0)]));
     let back = away.replaced_by(site(&lanes));
-    assert_eq!((back.class("a"), back.class("b")), (first.class("a"), first.class("b")));
+    assert_eq!(
+        (back.class("a"), back.class("b")),
+        (first.class("a"), first.class("b"))
+    );
     assert_eq!(back.module().classes[..2], first.module().classes[..]);
     let count = back.module().classes.len();
     let turns = (0..100).fold(back, |settings, _| {
-        settings.replaced_by(site(&[("a", "fragile", 2, 1.0)])).replaced_by(site(&lanes))
+        settings
+            .replaced_by(site(&[("a", "fragile", 2, 1.0)]))
+            .replaced_by(site(&lanes))
     });
     assert_eq!(turns.module().classes.len(), count);
 }
@@ -92,7 +117,11 @@
     ] {
         let first = InForce::new(site(&[("a", before, 2, 1.0)]));
         let second = first.replaced_by(site(&[("a", after, 2, 1.0)]));
-        assert_eq!(repeat_of(&second, first.class("a").expect("it was there")), both, "{before} to {after}");
+        assert_eq!(
+            repeat_of(&second, first.class("a").expect("it was there")),
+            both,
+            "{before} to {after}"
+        );
         // Both classes stand side by side in the settings of the second.
         let number = second.class("a").expect("it is there");
         assert_eq!(
@@ -104,7 +133,10 @@
 
 #[test]
 fn a_class_that_is_gone_takes_nothing_new_and_has_no_say_in_what_all_are_asked() {
-    let first = InForce::new(site(&[("a", "retryable", 60, 100.0), ("b", "fragile", 3, 2.0)]));
+    let first = InForce::new(site(&[
+        ("a", "retryable", 60, 100.0),
+        ("b", "fragile", 3, 2.0),
+    ]));
     let second = first.replaced_by(site(&[("b", "fragile", 3, 2.0)]));
     assert_eq!(second.class("a"), None);
     let (old, module) = (first.class("a").expect("it was there"), second.module());
@@ -114,5 +146,9 @@
     assert!(module.classes[old].deadline <= 3_000_000_000);
     assert!(module.classes[old].worth <= 2.0);
     assert_eq!(module.classes[old].message_aim, 0);
-    assert_eq!(second.patience(old).as_secs(), 60, "and its clients wait as long as they did");
+    assert_eq!(
+        second.patience(old).as_secs(),
+        60,
+        "and its clients wait as long as they did"
+    );
 }
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -27,8 +27,12 @@
 ];
 
 fn under(site: &str, name: impl Fn(&str) -> String) -> Setup {
-    let words = ["ZONE-A", "ZONE-B", "ZONE-C", "CLASS-A", "CLASS-B", "TENANT-A", "TENANT-B", "TIER", "KIND"];
-    let text = words.iter().fold(site.to_owned(), |text, word| text.replace(word, &name(word)));
+    let words = [
+        "ZONE-A", "ZONE-B", "ZONE-C", "CLASS-A", "CLASS-B", "TENANT-A", "TENANT-B", "TIER", "KIND",
+    ];
+    let text = words.iter().fold(site.to_owned(), |text, word| {
+        text.replace(word, &name(word))
+    });
     serde_json::from_str(&text).expect("settings")
 }
 
@@ -47,7 +51,8 @@
             assert_eq!(renamed.module(), plain.module());
             assert!(renamed.module().check().is_ok());
             assert_eq!(renamed.may_probe(), plain.may_probe());
-            let shares = |setup: &Setup| setup.shares().map(|(_, share)| share).collect::<Vec<f64>>();
+            let shares =
+                |setup: &Setup| setup.shares().map(|(_, share)| share).collect::<Vec<f64>>();
             assert_eq!(shares(&renamed), shares(&plain));
             assert_eq!(renamed.class(&name("CLASS-B")), Some(1));
         }
@@ -57,11 +62,19 @@
 #[test]
 fn probes_need_the_leave_and_a_load_to_be_told() {
     let site = |leave: &str, names: &str| {
-        let text = SITES[1].replace("\"may-probe\": true", leave).replace("[\"x0\", \"q\"]", names);
+        let text = SITES[1]
+            .replace("\"may-probe\": true", leave)
+            .replace("[\"x0\", \"q\"]", names);
         under(&text, str::to_owned).may_probe()
     };
     assert!(site("\"may-probe\": true", "[\"q\", \"x0\"]"));
-    assert!(!site("\"may-probe\": true", "[\"q\"]"), "nothing is told that could be read");
+    assert!(
+        !site("\"may-probe\": true", "[\"q\"]"),
+        "nothing is told that could be read"
+    );
     assert!(!site("\"may-probe\": false", "[\"x0\"]"));
-    assert!(!site("\"deep\": true", "[\"x0\"]"), "an unknown key is no leave");
+    assert!(
+        !site("\"deep\": true", "[\"x0\"]"),
+        "an unknown key is no leave"
+    );
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -187,15 +187,36 @@
         let share_range = 0.0..=1.0;
         let faults = [
             ("classes", self.classes.is_empty()),
-            ("classes.aim", self.classes.iter().any(|class| class.aim == 0)),
-            ("classes.deadline", self.classes.iter().any(|class| class.deadline == 0)),
-            ("classes.worth", self.classes.iter().any(|class| class.worth.is_nan() || class.worth < 0.0)),
+            (
+                "classes.aim",
+                self.classes.iter().any(|class| class.aim == 0),
+            ),
+            (
+                "classes.deadline",
+                self.classes.iter().any(|class| class.deadline == 0),
+            ),
+            (
+                "classes.worth",
+                self.classes
+                    .iter()
+                    .any(|class| class.worth.is_nan() || class.worth < 0.0),
+            ),
             ("gateways", self.gateways == 0),
             ("limits.max_attempts", self.limits.max_attempts == 0),
-            ("rules.cold_share", !share_range.contains(&rules.cold_share) || rules.cold_share == 0.0),
-            ("rules.tip_multiple", !rules.tip_multiple.is_finite() || rules.tip_multiple <= 0.0),
+            (
+                "rules.cold_share",
+                !share_range.contains(&rules.cold_share) || rules.cold_share == 0.0,
+            ),
+            (
+                "rules.tip_multiple",
+                !rules.tip_multiple.is_finite() || rules.tip_multiple <= 0.0,
+            ),
         ];
-        faults.into_iter().filter(|(_, bad)| *bad).map(|(field, _)| SettingsError { field }).collect()
+        faults
+            .into_iter()
+            .filter(|(_, bad)| *bad)
+            .map(|(field, _)| SettingsError { field })
+            .collect()
     }
 
     /// Whether other settings may take the place of these: they are in range, and every class has its place in them.
@@ -208,12 +229,20 @@
     }
 
     pub(crate) fn longest_deadline(&self) -> Nanos {
-        self.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
+        self.classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0)
     }
 
     /// The longest span there is if no class gives a message aim.
     pub(crate) fn shortest_message_aim(&self) -> Nanos {
-        let given = self.classes.iter().map(|class| class.message_aim).filter(|aim| *aim > 0);
+        let given = self
+            .classes
+            .iter()
+            .map(|class| class.message_aim)
+            .filter(|aim| *aim > 0);
         given.min().unwrap_or(Nanos::MAX)
     }
 }
@@ -323,7 +352,10 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt did nothing at the server.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -49,7 +49,9 @@
 
 impl Fleet {
     pub(crate) fn of(gateways: u32) -> Fleet {
-        Fleet { gateways: f64::from(gateways) }
+        Fleet {
+            gateways: f64::from(gateways),
+        }
     }
 
     /// One gateway's part of an allowance.
@@ -78,16 +80,29 @@
     /// them. New clients come at a rate that the farm bears too. Both are the gateway's own, so that the sum over all
     /// is the fleet's, however unevenly clients fall to gateways.
     pub(crate) fn borne(&self, rules: &Rules, on_warm: f64, new_per_s: f64) -> f64 {
-        let of_standing = if self.each { OF_STANDING_EACH } else { OF_STANDING };
+        let of_standing = if self.each {
+            OF_STANDING_EACH
+        } else {
+            OF_STANDING
+        };
         let (warm, full) = (self.now - self.cold, self.full.max(f64::MIN_POSITIVE));
-        let stands = if warm > 0.0 { on_warm / warm / seconds(rules.cold_time.max(1)) } else { 0.0 };
+        let stands = if warm > 0.0 {
+            on_warm / warm / seconds(rules.cold_time.max(1))
+        } else {
+            0.0
+        };
         (of_standing * stands).max(OF_NEW * new_per_s / full)
     }
 
     /// Odds that a client goes to a cold server, `waited` after one was last held against them. What is not used
     /// lapses after the time in which a server tips over.
     pub(crate) fn of_all(&self, rules: &Rules, borne: f64, waited: Nanos) -> f64 {
-        odds(rules, self.cold, borne, waited.min(rules.fall_time.max(LEAST_FALL)))
+        odds(
+            rules,
+            self.cold,
+            borne,
+            waited.min(rules.fall_time.max(LEAST_FALL)),
+        )
     }
 
     /// The same for one server. Where each has a bound of its own, its `own` part counts too: what it can do of all that,
@@ -102,7 +117,11 @@
         (waited, (able, own)): (Nanos, (f64, Nanos)),
     ) -> f64 {
         let all = self.of_all(rules, borne, waited);
-        if self.each { all.min(odds(rules, OF_ONE * able, borne, own)) } else { all }
+        if self.each {
+            all.min(odds(rules, OF_ONE * able, borne, own))
+        } else {
+            all
+        }
     }
 }
 
--- a/src/pace.rs
+++ b/src/pace.rs
@@ -14,14 +14,22 @@
 impl Pace {
     /// The pace of one of so many gateways.
     pub(crate) fn of(gateways: u32) -> Pace {
-        Pace { window: Window::of(gateways), ..Pace::default() }
+        Pace {
+            window: Window::of(gateways),
+            ..Pace::default()
+        }
     }
 
     /// There are so many gateways from now on: what was learnt holds within the new bounds.
     pub(crate) fn share_with(&mut self, gateways: u32) {
         let Window { least, most, .. } = Window::of(gateways);
         let size = self.window.size.clamp(least, most);
-        self.window = Window { size, least, most, ..self.window };
+        self.window = Window {
+            size,
+            least,
+            most,
+            ..self.window
+        };
     }
 
     /// How many set-ups may be under way at once.
@@ -82,7 +90,12 @@
         let fleet = Fleet::of(gateways);
         let [size, least, most] =
             [FIRST_WINDOW, LEAST_WINDOW, MOST_WINDOW].map(|size| fleet.part(size).max(1.0));
-        Window { size, least, most, cut_at: None }
+        Window {
+            size,
+            least,
+            most,
+            cut_at: None,
+        }
     }
 
     /// A set-up that took so long stands. Guards against a window that grows until set-ups time out, and their work
