--- a/src/rules.rs
+++ b/src/rules.rs
@@ -96,7 +96,12 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
         let (rng, books) = (Pcg32::seed_from_u64(seed), Books::new(&settings));
-        Ok(Balancer { rng, books, tally: Tally::of(settings.gateways), settings })
+        Ok(Balancer {
+            rng,
+            books,
+            tally: Tally::of(settings.gateways),
+            settings,
+        })
     }
 
     /// Takes one event and appends what is to be done about it.
@@ -119,8 +124,18 @@
             Event::Standing { arrival, .. } if !self.settings.knows(arrival.class) => {}
             Event::Standing { arrival, server } => self.books.open(arrival, Some(server)),
             Event::Established { request, attempt } => self.on_established(now, request, attempt),
-            Event::Noted { request, attempt, note } => self.on_note(now, request, attempt, note, out),
-            Event::Ended { request, attempt, outcome, took, closed } => {
+            Event::Noted {
+                request,
+                attempt,
+                note,
+            } => self.on_note(now, request, attempt, note, out),
+            Event::Ended {
+                request,
+                attempt,
+                outcome,
+                took,
+                closed,
+            } => {
                 self.on_ended(now, request, (attempt, outcome, took, closed), out);
             }
             Event::Probed { server, load } => self.on_probed(now, server, load, out),
@@ -149,7 +164,9 @@
         self.tally.follow((&self.settings, &settings));
         self.settings = settings;
         self.count_fleet(now);
-        let spent = self.books.waiting_that(|request| self.may_begin_until(request) <= now);
+        let spent = self
+            .books
+            .waiting_that(|request| self.may_begin_until(request) <= now);
         spent.into_iter().for_each(|id| self.give_up(id, out));
         if self.books.calls_off_asking() {
             self.ask_list(LIST_CLOCK / 2, out);
@@ -167,7 +184,10 @@
             self.tally.list_failures = 0;
         }
         if kind != ListKind::Changes {
-            self.books.servers.values_mut().for_each(|server| server.ready = false);
+            self.books
+                .servers
+                .values_mut()
+                .for_each(|server| server.ready = false);
         }
         self.books.forget_orders();
         for entry in entries {
@@ -175,7 +195,13 @@
         }
         self.count_fleet(now);
         // Guards against gateways that all begin their turns with the same servers: each begins at its own.
-        for id in self.books.servers.keys().copied().collect::<Vec<ServerId>>() {
+        for id in self
+            .books
+            .servers
+            .keys()
+            .copied()
+            .collect::<Vec<ServerId>>()
+        {
             let lead = self.rng.random_range(0.0..1.0) / self.weight_here(&self.books.servers[&id]);
             self.books.enter_turns(id, lead);
         }
@@ -184,10 +210,22 @@
     /// Asks for the list, after a jittered delay if a call failed or many may call at once. Guards against
     /// a herd that calls, fails and comes again together, and one too late for its clock, `quiet` into it.
     fn ask_list(&mut self, quiet: Nanos, out: &mut Vec<Action>) {
-        let asked = self.settings.rules.ask_within.checked_sub(1).map_or(Nanos::MAX, |within| within / 2);
-        let usual = if self.settings.discovery == Discovery::Pushed { AGENT_WAIT } else { asked };
+        let asked = self
+            .settings
+            .rules
+            .ask_within
+            .checked_sub(1)
+            .map_or(Nanos::MAX, |within| within / 2);
+        let usual = if self.settings.discovery == Discovery::Pushed {
+            AGENT_WAIT
+        } else {
+            asked
+        };
         let within = usual.min(LIST_CLOCK.saturating_sub(quiet).max(AGENT_WAIT));
-        let (n, cap) = (self.tally.list_failures, self.settings.longest_deadline().min(within));
+        let (n, cap) = (
+            self.tally.list_failures,
+            self.settings.longest_deadline().min(within),
+        );
         let wait = match (n, self.tally.fleet.herd(within)) {
             (0, 0) => return out.push(Action::Watch),
             (0, herd) => self.rng.random_range(1..=herd),
@@ -197,10 +235,16 @@
     }
 
     fn count_fleet(&mut self, now: Nanos) {
-        self.books.warm_up(now, |entry| warmth(&self.settings.rules, entry, now));
-        self.tally.weights = self.books.ready().map(|server| self.weight_here(server)).sum();
+        self.books
+            .warm_up(now, |entry| warmth(&self.settings.rules, entry, now));
+        self.tally.weights = self
+            .books
+            .ready()
+            .map(|server| self.weight_here(server))
+            .sum();
         self.tally.ready = self.books.ready().count();
-        self.tally.count_able(now, &self.books, &self.settings.rules);
+        self.tally
+            .count_able(now, &self.books, &self.settings.rules);
     }
 
     // ---- requests ----
@@ -222,9 +266,12 @@
 
     /// Sends a request to the next server in turn, or backs off if there is none.
     fn place(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.books.requests.get(&id) else { return };
+        let Some(request) = self.books.requests.get(&id) else {
+            return;
+        };
         let until = self.may_begin_until(request);
-        let can_wait = |pin: Pin| !pin.strict || pin.server.is_some_and(|id| self.books.is_ready(id));
+        let can_wait =
+            |pin: Pin| !pin.strict || pin.server.is_some_and(|id| self.books.is_ready(id));
         if now >= until || !request.arrival.pin.is_none_or(can_wait) {
             return self.give_up(id, out);
         }
@@ -236,33 +283,50 @@
             out.push(Action::Wait(id));
             return self.wake_for(id, until - now, out);
         }
-        let Some(server) = self.next_in_turn(now, id) else { return self.back_off(now, id, out) };
+        let Some(server) = self.next_in_turn(now, id) else {
+            return self.back_off(now, id, out);
+        };
         if self.wants_probe(now, &self.books.servers[&server]) {
             if asked >= MOST_PROBES {
                 return self.back_off(now, id, out);
             }
             return self.ask(now, id, server, out);
         }
-        self.books.take_turn(server, 1.0 / self.weight_here(&self.books.servers[&server]));
+        self.books
+            .take_turn(server, 1.0 / self.weight_here(&self.books.servers[&server]));
         self.books.send(now, id, server);
-        out.push(Action::Attempt { request: id, server, begin_within: timeout.min(until - now), timeout });
+        out.push(Action::Attempt {
+            request: id,
+            server,
+            begin_within: timeout.min(until - now),
+            timeout,
+        });
     }
 
     /// A server that tells its load when probed is asked before it is sent anything, unless it told just now.
     fn wants_probe(&self, now: Nanos, server: &Server) -> bool {
-        self.settings.limits.may_probe && server.is_warm() && server.told_within(now, PROBE_HOLDS).is_none()
+        self.settings.limits.may_probe
+            && server.is_warm()
+            && server.told_within(now, PROBE_HOLDS).is_none()
     }
 
     /// The request waits for the server's answer, which places it anew; a timer does if none comes.
     fn ask(&mut self, now: Nanos, id: RequestId, server: ServerId, out: &mut Vec<Action>) {
         let left = self.books.requests[&id].arrival.give_up_at - now;
-        self.wake_for(id, left.min(self.settings.limits.connect_timeout.saturating_mul(2)), out);
+        self.wake_for(
+            id,
+            left.min(self.settings.limits.connect_timeout.saturating_mul(2)),
+            out,
+        );
         self.books.ask(id, server);
         out.push(Action::Probe(server));
     }
 
     fn on_probed(&mut self, now: Nanos, id: ServerId, load: Option<f64>, out: &mut Vec<Action>) {
-        for request in self.books.told(now, id, load.is_none_or(|load| load >= FULL)) {
+        for request in self
+            .books
+            .told(now, id, load.is_none_or(|load| load >= FULL))
+        {
             self.place(now, request, out);
         }
     }
@@ -270,41 +334,75 @@
     /// An attempt that can be repeated gets less than the time left, so that a silent server costs only one
     /// attempt; each repeat gets twice as long: what times out again may be overrun and not silent.
     fn attempt_timeout(&self, now: Nanos, request: &Request) -> Nanos {
-        let (class, limits) = (&self.settings.classes[request.arrival.class.0], &self.settings.limits);
+        let (class, limits) = (
+            &self.settings.classes[request.arrival.class.0],
+            &self.settings.limits,
+        );
         let (left, made) = (request.arrival.give_up_at - now, request.attempts);
         let usual = class.aim.max(limits.connect_timeout.saturating_mul(2));
-        let short = self.tally.pace.patience(now, usual).saturating_mul(1 << made.min(MAX_DOUBLINGS));
-        if made + 1 >= limits.max_attempts || class.repeat != Repeat::Safe { left } else { left.min(short) }
+        let short = self
+            .tally
+            .pace
+            .patience(now, usual)
+            .saturating_mul(1 << made.min(MAX_DOUBLINGS));
+        if made + 1 >= limits.max_attempts || class.repeat != Repeat::Safe {
+            left
+        } else {
+            left.min(short)
+        }
     }
 
     /// Until when one more attempt may begin: its client has to wait, and a repeat to do no harm.
     fn may_begin_until(&self, request: &Request) -> Nanos {
         let give_up_at = request.arrival.give_up_at;
-        match (request.may_have_run, self.settings.classes[request.arrival.class.0].repeat) {
+        match (
+            request.may_have_run,
+            self.settings.classes[request.arrival.class.0].repeat,
+        ) {
             _ if request.attempts >= self.settings.limits.max_attempts => 0,
             (None, _) | (_, Repeat::Safe) => give_up_at,
             (_, Repeat::Unsafe) => 0,
-            (Some((_, at)), Repeat::Keyed { window, .. }) => give_up_at.min(at.saturating_add(window)),
+            (Some((_, at)), Repeat::Keyed { window, .. }) => {
+                give_up_at.min(at.saturating_add(window))
+            }
         }
     }
 
     fn on_established(&mut self, now: Nanos, id: RequestId, attempt: u32) {
-        let Some((server, false)) = self.books.current(id, attempt) else { return };
+        let Some((server, false)) = self.books.current(id, attempt) else {
+            return;
+        };
         self.books.stands(id, server);
         self.succeeded(id, server);
         let request = &self.books.requests[&id];
         let aim = self.settings.classes[request.arrival.class.0].aim;
-        self.tally.pace.stood(now, now.saturating_sub(request.sent_at), aim);
+        self.tally
+            .pace
+            .stood(now, now.saturating_sub(request.sent_at), aim);
     }
 
     /// A connection that stands clears its client's n and wins back some of its server's standing.
     fn succeeded(&mut self, id: RequestId, server: ServerId) {
-        self.books.clear_failures(self.books.requests.get(&id).and_then(|request| request.arrival.key));
+        self.books.clear_failures(
+            self.books
+                .requests
+                .get(&id)
+                .and_then(|request| request.arrival.key),
+        );
         self.books.win_back(server);
     }
 
-    fn on_note(&mut self, now: Nanos, id: RequestId, attempt: u32, note: Note, out: &mut Vec<Action>) {
-        let Some((server, true)) = self.books.current(id, attempt) else { return };
+    fn on_note(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        attempt: u32,
+        note: Note,
+        out: &mut Vec<Action>,
+    ) {
+        let Some((server, true)) = self.books.current(id, attempt) else {
+            return;
+        };
         let aim = self.settings.shortest_message_aim();
         match note {
             Note::Load(load) => self.books.note_load(id, server, load),
@@ -313,20 +411,26 @@
                 self.strain(now, server, RELIEF_LATE);
                 self.relieve(server, out);
             }
-            Note::Delay(delay) if delay >= part(aim, STRAIN_OF_AIM) => self.strain(now, server, RELIEF),
+            Note::Delay(delay) if delay >= part(aim, STRAIN_OF_AIM) => {
+                self.strain(now, server, RELIEF)
+            }
             Note::Delay(_) => {}
         }
     }
 
     fn on_ended(&mut self, now: Nanos, id: RequestId, end: End, out: &mut Vec<Action>) {
         let (attempt, outcome, took, closed) = end;
-        let Some((server, stood)) = self.books.current(id, attempt) else { return };
+        let Some((server, stood)) = self.books.current(id, attempt) else {
+            return;
+        };
         let key = self.books.requests[&id].arrival.key;
         if stood || closed || outcome == Outcome::Served {
             if outcome == Outcome::Served && !stood {
                 self.succeeded(id, server);
             }
-            let own = outcome == Outcome::Reset && stood && self.books.reset_share(now, server) > OWN_RESETS;
+            let own = outcome == Outcome::Reset
+                && stood
+                && self.books.reset_share(now, server) > OWN_RESETS;
             self.books.forget(id);
             if own {
                 self.books.raise_failures(now, key);
@@ -352,9 +456,17 @@
 
     /// Waits a jittered delay before the next attempt; gives up at once if none is left, safe or in time.
     fn back_off(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.books.requests.get(&id) else { return };
-        let (class, until) = (&self.settings.classes[request.arrival.class.0], self.may_begin_until(request));
-        let (base, cap) = (part(class.aim, BASE_OF_AIM), part(class.deadline, CAP_OF_DEADLINE));
+        let Some(request) = self.books.requests.get(&id) else {
+            return;
+        };
+        let (class, until) = (
+            &self.settings.classes[request.arrival.class.0],
+            self.may_begin_until(request),
+        );
+        let (base, cap) = (
+            part(class.aim, BASE_OF_AIM),
+            part(class.deadline, CAP_OF_DEADLINE),
+        );
         let wait = self.jittered(self.books.failures_of(request), base, cap);
         if now.saturating_add(wait) >= until {
             return self.give_up(id, out);
@@ -364,16 +476,26 @@
 
     /// The final answer without service: a refusal if nothing may have run, else a failure.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.books.requests.get(&id) else { return };
+        let Some(request) = self.books.requests.get(&id) else {
+            return;
+        };
         if request.may_have_run.is_some() {
             out.push(Action::Fail(id));
         } else {
             let n = self.books.failures_of(request);
-            let (told, longest) = (self.settings.limits.retry_after, self.settings.limits.max_retry_after);
-            let base = request.drain.unwrap_or(self.settings.classes[request.arrival.class.0].aim);
+            let (told, longest) = (
+                self.settings.limits.retry_after,
+                self.settings.limits.max_retry_after,
+            );
+            let base = request
+                .drain
+                .unwrap_or(self.settings.classes[request.arrival.class.0].aim);
             let retry_after = told.then(|| self.jittered(n, base.min(longest), longest));
             self.tally.refused += 1;
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Refuse {
+                request: id,
+                retry_after,
+            });
         }
         self.books.forget(id);
     }
@@ -385,10 +507,17 @@
     fn next_in_turn(&mut self, now: Nanos, id: RequestId) -> Option<ServerId> {
         let request = self.books.requests.get(&id)?;
         let (group, pin, last) = (request.arrival.group, request.arrival.pin, request.last);
-        if let Some(Pin { server: Some(to), strict }) = pin {
+        if let Some(Pin {
+            server: Some(to),
+            strict,
+        }) = pin
+        {
             // A server that failed a request that may go elsewhere gets it no second time.
             let well = strict || last != Some(to) && self.books.is_well(now, to);
-            if well && self.first_fit(now, request, [to].into_iter()).is_some() && self.admits(now, to) {
+            if well
+                && self.first_fit(now, request, [to].into_iter()).is_some()
+                && self.admits(now, to)
+            {
                 return Some(to);
             }
         }
@@ -420,9 +549,14 @@
         of: impl Iterator<Item = ServerId>,
     ) -> Option<ServerId> {
         // One connection more than there are, so that a gateway with little traffic still takes turns.
-        let one = self.books.class_loads.iter().map(Mean::value).fold(1.0, f64::max);
-        let limit =
-            SKIP_OVER_MEAN * (self.books.load_of_all() + one) / self.tally.weights.max(f64::MIN_POSITIVE);
+        let one = self
+            .books
+            .class_loads
+            .iter()
+            .map(Mean::value)
+            .fold(1.0, f64::max);
+        let limit = SKIP_OVER_MEAN * (self.books.load_of_all() + one)
+            / self.tally.weights.max(f64::MIN_POSITIVE);
         let (more, mut any_well) = (self.wanted(request), false);
         let mut best: Option<(Faults, ServerId)> = None;
         for id in of {
@@ -432,8 +566,13 @@
             if !allowed || !self.has_room(now, server, more) {
                 continue;
             }
-            let crowded = self.books.load(server) > limit * self.weight_here(server) * server.warmth;
-            let faults = Faults { ill, failed_last: request.last == Some(id), crowded };
+            let crowded =
+                self.books.load(server) > limit * self.weight_here(server) * server.warmth;
+            let faults = Faults {
+                ill,
+                failed_last: request.last == Some(id),
+                crowded,
+            };
             if faults == Faults::default() {
                 return Some(id);
             }
@@ -441,7 +580,8 @@
                 best = Some((faults, id));
             }
         }
-        best.filter(|(faults, _)| !(faults.ill && any_well)).map(|(_, id)| id)
+        best.filter(|(faults, _)| !(faults.ill && any_well))
+            .map(|(_, id)| id)
     }
 
     /// The servers that may hold a group: not so many that it lies everywhere, nor too few for all of it, and
@@ -450,10 +590,20 @@
     /// a large group on the first of its servers: each begins at its own place among as many as it fills.
     fn hand_of(&mut self, group: GroupId) -> Vec<ServerId> {
         let core = self.width_of(group, 0.0).max(1.0);
-        let turn = group.phase() + f64::from(self.settings.rank) / f64::from(self.settings.gateways);
-        let mut places = self.books.places_from(group, (turn.fract() * core) as usize);
-        let warm = places.iter().position(|id| self.books.servers[id].is_warm()).map_or(0, |at| at + 1);
-        places.truncate(HAND_LEAST.max(1 + self.width_of(group, 1.0) as usize).max(warm));
+        let turn =
+            group.phase() + f64::from(self.settings.rank) / f64::from(self.settings.gateways);
+        let mut places = self
+            .books
+            .places_from(group, (turn.fract() * core) as usize);
+        let warm = places
+            .iter()
+            .position(|id| self.books.servers[id].is_warm())
+            .map_or(0, |at| at + 1);
+        places.truncate(
+            HAND_LEAST
+                .max(1 + self.width_of(group, 1.0) as usize)
+                .max(warm),
+        );
         places
     }
 
@@ -469,32 +619,56 @@
     fn has_room(&self, now: Nanos, server: &Server, more: f64) -> bool {
         let told = server.told_within(now, PROBE_HOLDS);
         let load = self.books.load(server);
-        told.map_or(now >= server.held_until, |full| !full) && (load <= 0.0 || load + more <= server.ceiling)
+        told.map_or(now >= server.held_until, |full| !full)
+            && (load <= 0.0 || load + more <= server.ceiling)
     }
 
     /// The room that a request wants under a ceiling: part of its load, times the root of how many times less
     /// it is worth than the dearest class. What is worth least is refused first.
     fn wanted(&self, request: &Request) -> f64 {
-        let most = self.settings.classes.iter().map(|class| class.worth).fold(f64::MIN_POSITIVE, f64::max);
-        let dearth = most / self.settings.classes[request.arrival.class.0].worth.max(most / MOST_DEARTH);
+        let most = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.worth)
+            .fold(f64::MIN_POSITIVE, f64::max);
+        let dearth = most
+            / self.settings.classes[request.arrival.class.0]
+                .worth
+                .max(most / MOST_DEARTH);
         FIT * self.books.load_of(request) * dearth.sqrt()
     }
 
     /// The listed weight, and more for servers of this gateway's own zone where crossing zones has a price.
     fn weight_here(&self, server: &Server) -> f64 {
         let own = server.entry.zone == self.settings.zone;
-        server.weight() * if own { 1.0 + ZONE_PULL * self.settings.prices.cross_zone } else { 1.0 }
+        server.weight()
+            * if own {
+                1.0 + ZONE_PULL * self.settings.prices.cross_zone
+            } else {
+                1.0
+            }
     }
 
     /// What the rules demand: a ready server; where a keyed request may have run, one that drops its repeats.
     fn allowed(&self, request: &Request, server: &Server) -> bool {
-        let Some((first, _)) = request.may_have_run else { return server.ready };
+        let Some((first, _)) = request.may_have_run else {
+            return server.ready;
+        };
         let first = &self.books.servers[&first].entry;
         server.ready
             && match self.settings.classes[request.arrival.class.0].repeat {
-                Repeat::Safe | Repeat::Unsafe | Repeat::Keyed { scope: Scope::All, .. } => true,
-                Repeat::Keyed { scope: Scope::Zone, .. } => server.entry.zone == first.zone,
-                Repeat::Keyed { scope: Scope::Cell, .. } => server.entry.cell == first.cell,
+                Repeat::Safe
+                | Repeat::Unsafe
+                | Repeat::Keyed {
+                    scope: Scope::All, ..
+                } => true,
+                Repeat::Keyed {
+                    scope: Scope::Zone, ..
+                } => server.entry.zone == first.zone,
+                Repeat::Keyed {
+                    scope: Scope::Cell, ..
+                } => server.entry.cell == first.cell,
             }
     }
 
@@ -503,21 +677,31 @@
     /// Whether a server takes this placement: always if warm; else by odds that share out, over time, what
     /// all cold ones can take of this gateway. Guards against hundreds that turn to a cold server at once.
     fn admits(&mut self, now: Nanos, id: ServerId) -> bool {
-        let Some(own) = self.books.asks_cold(now, id) else { return true };
+        let Some(own) = self.books.asks_cold(now, id) else {
+            return true;
+        };
         let all = now.saturating_sub(std::mem::replace(&mut self.tally.asked_cold_at, now));
-        let odds = self.tally.able.odds(&self.settings.rules, self.tally.borne, (all, own));
+        let odds = self
+            .tally
+            .able
+            .odds(&self.settings.rules, self.tally.borne, (all, own));
         self.rng.random_range(0.0..1.0) < odds
     }
 
     /// Moves a connection whose group now begins with a cold server, where cold ones lack what they can do.
     /// Guards against a farm half new of which the old half keeps all that stood and came back.
     fn fill_cold(&mut self, out: &mut Vec<Action>) {
-        let odds = self.tally.able.of_all(&self.settings.rules, self.tally.borne, HOUSEKEEPING);
+        let odds = self
+            .tally
+            .able
+            .of_all(&self.settings.rules, self.tally.borne, HOUSEKEEPING);
         let lack = self.books.lack_on_cold(&self.tally.able) / self.books.one();
         if self.rng.random_range(0.0..1.0) < odds * lack.min(1.0) {
             let led = self.books.led_to_cold();
             let any = self.rng.random_range(0..led.len().max(1));
-            led.get(any).into_iter().for_each(|id| self.move_off(*id, Why::Cold, out));
+            led.get(any)
+                .into_iter()
+                .for_each(|id| self.move_off(*id, Why::Cold, out));
         }
     }
 
@@ -530,7 +714,9 @@
 
     /// A failed set-up or a broken connection: the server is passed over for a jittered delay of its own.
     fn strike(&mut self, now: Nanos, id: ServerId) {
-        let Some(strikes) = self.books.servers.get(&id).map(|server| server.strikes + 1) else { return };
+        let Some(strikes) = self.books.servers.get(&id).map(|server| server.strikes + 1) else {
+            return;
+        };
         let longest = self.settings.longest_deadline();
         let until = now.saturating_add(self.jittered(strikes, longest / 16, longest));
         self.books.strike(id, strikes, until);
@@ -538,17 +724,26 @@
 
     /// A sign that a server has too much: it takes nothing new before it holds less than it does now.
     fn strain(&mut self, now: Nanos, id: ServerId, relief: f64) {
-        let Some(load) = self.books.load_at(id) else { return };
+        let Some(load) = self.books.load_at(id) else {
+            return;
+        };
         let one = self.books.one();
-        let Some(server) = self.books.servers.get_mut(&id) else { return };
+        let Some(server) = self.books.servers.get_mut(&id) else {
+            return;
+        };
         if !server.strained_within(now, CALM) {
             server.tipped_at = load;
         }
         if !server.strained_within(now, STRAIN_PERIOD) {
-            (server.strained_at, server.ceiling) = (Some(now), server.ceiling.min(load * (1.0 - relief)));
+            (server.strained_at, server.ceiling) =
+                (Some(now), server.ceiling.min(load * (1.0 - relief)));
             // Guards against hundreds that hold one connection each, under any ceiling: each stays away long.
             let few = (FEW_HELD * one / load).clamp(1.0, LONGEST_HOLD as f64 / STRAIN_HOLD as f64);
-            let times = if few > 1.0 { few * self.rng.random_range(0.5..1.5) } else { 1.0 };
+            let times = if few > 1.0 {
+                few * self.rng.random_range(0.5..1.5)
+            } else {
+                1.0
+            };
             server.held_until = now.saturating_add(part(STRAIN_HOLD, times));
         }
     }
@@ -574,8 +769,8 @@
         if self.settings.limits.may_probe {
             return;
         }
-        let limit =
-            (1.0 + EVEN_EXCESS) * self.books.load_of_all() / self.tally.weights.max(f64::MIN_POSITIVE);
+        let limit = (1.0 + EVEN_EXCESS) * self.books.load_of_all()
+            / self.tally.weights.max(f64::MIN_POSITIVE);
         // Guards against hundreds that see their two or three connections on one server as far over the mean:
         // the less of all a gateway sees, the more of that is chance.
         let few = EVEN_FEW * (1.0 - self.tally.fleet.part(1.0)) * self.books.one();
@@ -587,12 +782,18 @@
             // The heaviest that, wherever it goes, leaves that server with less than this one has now.
             let fits = |more: f64| {
                 let others = loads.iter().filter(|other| other.0 != id);
-                others.map(|(_, held, weight)| (held + more) / weight).fold(f64::INFINITY, f64::min)
+                others
+                    .map(|(_, held, weight)| (held + more) / weight)
+                    .fold(f64::INFINITY, f64::min)
                     < EVEN_GAIN * load / weight
             };
             // Guards against moves for nothing: a pinned one comes back, one moved before is moved again.
             let free = |id: &RequestId| self.books.requests[id].came_freely();
-            let heavy = self.books.heaviest_at(id).into_iter().find(|(more, id)| fits(*more) && free(id));
+            let heavy = self
+                .books
+                .heaviest_at(id)
+                .into_iter()
+                .find(|(more, id)| fits(*more) && free(id));
             if let Some((_, moved)) = heavy.filter(|(more, _)| *more >= EVEN_LEAST * load) {
                 self.move_off(moved, Why::Uneven, out);
             }
@@ -603,7 +804,8 @@
     /// an operator took out. Guards against clients cut off; and against hundreds of gateways that each move
     /// their few at once, and overrun the others while those that replace the leaving are cold.
     fn empty_leaving(&mut self, out: &mut Vec<Action>) {
-        let draining = OFF_DRAINING * self.tally.able.now / self.tally.able.full.max(f64::MIN_POSITIVE);
+        let draining =
+            OFF_DRAINING * self.tally.able.now / self.tally.able.full.max(f64::MIN_POSITIVE);
         for id in self.books.leaving() {
             let is_gone = self.books.servers[&id].entry.state == State::Gone;
             let odds = if is_gone { OFF_GONE } else { draining };
@@ -632,7 +834,9 @@
         // Guards against moves that empty late servers and so hide them.
         let (known, late) = self.books.late_of_known(now, 2 * STRAIN_PERIOD);
         let load = self.books.load_of_all();
-        if self.books.requests.len() <= self.tally.ready && late > SHORT_SHARE * (known + SHORT_DOUBT) {
+        if self.books.requests.len() <= self.tally.ready
+            && late > SHORT_SHARE * (known + SHORT_DOUBT)
+        {
             if self.books.ceiling > self.books.tipped_at {
                 self.books.tipped_at = load;
             }
@@ -647,7 +851,9 @@
     /// Full jitter: rand(floor, min(cap, base * 2^min(n, 6))).
     fn jittered(&mut self, n: u32, base: Nanos, cap: Nanos) -> Nanos {
         let floor = part(base, FLOOR_OF_BASE);
-        let top = cap.min(base.saturating_mul(1 << n.min(MAX_DOUBLINGS))).max(floor);
+        let top = cap
+            .min(base.saturating_mul(1 << n.min(MAX_DOUBLINGS)))
+            .max(floor);
         self.rng.random_range(floor..=top)
     }
 
@@ -667,7 +873,10 @@
         match self.books.take_timer(timer) {
             Some(Due::Retry(id)) if self.books.waits_for(id, timer) => self.place(now, id, out),
             Some(Due::Housekeeping) => {
-                let forget_after = self.settings.longest_deadline().saturating_mul(FORGET_DEADLINES);
+                let forget_after = self
+                    .settings
+                    .longest_deadline()
+                    .saturating_mul(FORGET_DEADLINES);
                 self.books.expire_failures(now, forget_after);
                 self.count_fleet(now);
                 self.raise_ceilings(now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -166,7 +166,11 @@
 impl Tally {
     /// The counts of one of so many gateways.
     pub(crate) fn of(gateways: u32) -> Tally {
-        Tally { fleet: Fleet::of(gateways), pace: Pace::of(gateways), ..Tally::default() }
+        Tally {
+            fleet: Fleet::of(gateways),
+            pace: Pace::of(gateways),
+            ..Tally::default()
+        }
     }
 
     /// Other settings hold from now on. What was learnt of the pace holds within the bounds of as many gateways as there
@@ -235,10 +239,22 @@
 
 impl Books {
     pub(crate) fn new(settings: &Settings) -> Books {
-        let (classes, sizes) = (settings.classes.len(), settings.live_weights.then(BTreeMap::new));
-        let held = Held { known: 0.0, unknown: vec![0; classes] };
+        let (classes, sizes) = (
+            settings.classes.len(),
+            settings.live_weights.then(BTreeMap::new),
+        );
+        let held = Held {
+            known: 0.0,
+            unknown: vec![0; classes],
+        };
         let class_loads = vec![Mean::default(); classes];
-        Books { sizes, class_loads, held, ceiling: f64::INFINITY, ..Books::default() }
+        Books {
+            sizes,
+            class_loads,
+            held,
+            ceiling: f64::INFINITY,
+            ..Books::default()
+        }
     }
 
     /// Other settings hold from now on: there is room for all of their classes, no server is passed over for longer than
@@ -277,7 +293,11 @@
     /// The requests that wait for an attempt and are such.
     pub(crate) fn waiting_that(&self, is_such: impl Fn(&Request) -> bool) -> Vec<RequestId> {
         let waits = |request: &Request| request.phase == Phase::Waiting && is_such(request);
-        self.requests.iter().filter(|(_, request)| waits(request)).map(|(id, _)| *id).collect()
+        self.requests
+            .iter()
+            .filter(|(_, request)| waits(request))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Drops the timer for the next call for the list, if one is set; says whether one was.
@@ -294,14 +314,24 @@
 
     /// The ready servers, with what they hold and the weights by which that is judged.
     pub(crate) fn loads_of_ready(&self) -> Vec<(ServerId, f64, f64)> {
-        let seen = |server: &Server| (server.entry.server, self.load(server), server.weight_to_come());
+        let seen = |server: &Server| {
+            (
+                server.entry.server,
+                self.load(server),
+                server.weight_to_come(),
+            )
+        };
         self.ready().map(seen).collect()
     }
 
     /// The servers that drain or are gone; those that an operator took out are not among them.
     pub(crate) fn leaving(&self) -> Vec<ServerId> {
         let leaves = |server: &&Server| !server.ready && server.entry.state != State::Out;
-        self.servers.values().filter(leaves).map(|server| server.entry.server).collect()
+        self.servers
+            .values()
+            .filter(leaves)
+            .map(|server| server.entry.server)
+            .collect()
     }
 
     /// The ready servers, the one whose turn is due first.
@@ -312,7 +342,9 @@
     /// Enters a server among the turns if it is ready and not there; strikes it off if it is not ready.
     /// `lead` is how far ahead of the present round its first turn lies.
     pub(crate) fn enter_turns(&mut self, id: ServerId, lead: f64) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         let listed = self.turns.contains(&(server.due.to_bits(), id));
         if listed && !server.ready {
             self.turns.remove(&(server.due.to_bits(), id));
@@ -341,7 +373,9 @@
 
     /// A server has taken its turn; the next one is `pace` later. Turns that it missed are not made up for.
     pub(crate) fn take_turn(&mut self, id: ServerId, pace: f64) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         if self.turns.remove(&(server.due.to_bits(), id)) {
             self.round = self.round.max(server.due);
             server.due = server.due.max(self.round - pace) + pace;
@@ -362,7 +396,10 @@
         self.ready().fold((0.0, 0.0), |(known, late), server| {
             let is_late = within(server.late_at, now, span);
             let is_known = is_late || self.load(server) > 0.0;
-            (known + f64::from(u8::from(is_known)), late + f64::from(u8::from(is_late)))
+            (
+                known + f64::from(u8::from(is_known)),
+                late + f64::from(u8::from(is_late)),
+            )
         })
     }
 
@@ -371,7 +408,9 @@
     pub(crate) fn reset_share(&mut self, now: Nanos, at: ServerId) -> f64 {
         let part = self.load_at(at).unwrap_or(0.0) / self.load_of_all().max(f64::MIN_POSITIVE);
         self.resets.add(now, 1.0, RESET_SECONDS);
-        let Some(server) = self.servers.get_mut(&at) else { return 0.0 };
+        let Some(server) = self.servers.get_mut(&at) else {
+            return 0.0;
+        };
         server.resets.add(now, 1.0, RESET_SECONDS);
         server.resets.value() / (self.resets.value() * part).max(f64::MIN_POSITIVE)
     }
@@ -384,20 +423,31 @@
             return None;
         }
         let (ready, refused) = (tally.ready, tally.refused);
-        let strained = self.ready().filter(|server| server.strained_within(now, LOG_STRAIN)).count();
-        let failing = self.ready().filter(|server| server.strikes >= LOG_STRIKES).count();
+        let strained = self
+            .ready()
+            .filter(|server| server.strained_within(now, LOG_STRAIN))
+            .count();
+        let failing = self
+            .ready()
+            .filter(|server| server.strikes >= LOG_STRIKES)
+            .count();
         if strained == 0 && failing == 0 && refused == 0 {
             return None;
         }
         tally.refused = 0;
         let door = format!("under way {} of {:.0}", self.out, tally.pace.window());
-        Some(format!("ready {ready}, strained {strained}, failing {failing}, refused {refused}, {door}"))
+        Some(format!(
+            "ready {ready}, strained {strained}, failing {failing}, refused {refused}, {door}"
+        ))
     }
 
     /// Takes a list entry in. What was held against a process that has started anew is forgotten.
     pub(crate) fn learn(&mut self, entry: Entry) {
         let classes = self.class_loads.len();
-        let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(entry.clone(), classes));
+        let server = self
+            .servers
+            .entry(entry.server)
+            .or_insert_with(|| Server::new(entry.clone(), classes));
         if entry.started_at != server.entry.started_at {
             (server.strikes, server.shun_until, server.held_until) = (0, 0, 0);
             (server.ceiling, server.told, server.warmth) = (f64::INFINITY, None, 1.0);
@@ -424,8 +474,9 @@
         }
         self.orders.entry(group).or_insert_with(|| {
             let ready = self.servers.iter().filter(|(_, server)| server.ready);
-            let mut ranked: Vec<(f64, ServerId)> =
-                ready.map(|(id, server)| (server.rank_for(group), *id)).collect();
+            let mut ranked: Vec<(f64, ServerId)> = ready
+                .map(|(id, server)| (server.rank_for(group), *id))
+                .collect();
             ranked.sort_by(|one, other| one.0.total_cmp(&other.0));
             ranked.into_iter().map(|(_, id)| id).collect()
         })
@@ -433,8 +484,11 @@
 
     /// The servers that hold any of a group for this gateway, the one with the most of it first.
     fn holders_of(&self, group: GroupId) -> Vec<ServerId> {
-        let Some(places) = self.groups.get(&group) else { return Vec::new() };
-        let mut held: Vec<(u32, ServerId)> = places.iter().map(|(id, count)| (*count, *id)).collect();
+        let Some(places) = self.groups.get(&group) else {
+            return Vec::new();
+        };
+        let mut held: Vec<(u32, ServerId)> =
+            places.iter().map(|(id, count)| (*count, *id)).collect();
         held.sort_by(|one, other| other.0.cmp(&one.0).then(one.1.cmp(&other.1)));
         held.into_iter().map(|(_, id)| id).collect()
     }
@@ -469,7 +523,10 @@
 
     /// How many requests of a group came lately, and of all groups.
     pub(crate) fn seen_of(&self, group: GroupId) -> (f64, f64) {
-        (self.seen.get(&group).copied().unwrap_or(0.0), self.seen_in_all)
+        (
+            self.seen.get(&group).copied().unwrap_or(0.0),
+            self.seen_in_all,
+        )
     }
 
     /// Notes how warm and how large servers are; groups' orders follow. Guards against cold servers that pass for many
@@ -477,7 +534,11 @@
     pub(crate) fn warm_up(&mut self, now: Nanos, warmth: impl Fn(&Entry) -> f64) {
         for server in self.servers.values_mut() {
             let size_of = |sizes: &BTreeMap<u64, f64>| sizes.get(&server.entry.kind).copied();
-            let size = self.sizes.as_ref().and_then(size_of).unwrap_or_else(|| server.weight());
+            let size = self
+                .sizes
+                .as_ref()
+                .and_then(size_of)
+                .unwrap_or_else(|| server.weight());
             let seen = (warmth(&server.entry), size);
             // Guards against a server that is new to all gateways, of which each would count as long kept waiting.
             if seen.0 < 1.0 && server.is_warm() {
@@ -493,15 +554,22 @@
     /// A client is held against a server's odds; nothing if it is warm. Gives what it can do, and how long ago that was
     /// last so.
     pub(crate) fn asks_cold(&mut self, now: Nanos, id: ServerId) -> Option<(f64, Nanos)> {
-        let server = self.servers.get_mut(&id).filter(|server| !server.is_warm())?;
+        let server = self
+            .servers
+            .get_mut(&id)
+            .filter(|server| !server.is_warm())?;
         let waited = now.saturating_sub(std::mem::replace(&mut server.asked_cold_at, now));
         Some((server.size * server.warmth, waited))
     }
 
     /// What the ready servers can do.
     pub(crate) fn able(&self) -> Able {
-        let mut able = Able { each: self.sizes.is_some(), ..Able::default() };
-        self.ready().for_each(|server| able.add(server.size, server.warmth));
+        let mut able = Able {
+            each: self.sizes.is_some(),
+            ..Able::default()
+        };
+        self.ready()
+            .for_each(|server| able.add(server.size, server.warmth));
         able
     }
 
@@ -521,10 +589,13 @@
     /// The connections that stand at warm servers though their groups begin with cold ones, or that have no group.
     pub(crate) fn led_to_cold(&mut self) -> Vec<RequestId> {
         let on_warm = |(id, request): (&RequestId, &Request)| match request.phase {
-            Phase::Standing(at) if self.servers.get(&at)?.is_warm() => Some((*id, request.arrival.group)),
+            Phase::Standing(at) if self.servers.get(&at)?.is_warm() => {
+                Some((*id, request.arrival.group))
+            }
             _ => None,
         };
-        let mut led: Vec<(RequestId, Option<GroupId>)> = self.requests.iter().filter_map(on_warm).collect();
+        let mut led: Vec<(RequestId, Option<GroupId>)> =
+            self.requests.iter().filter_map(on_warm).collect();
         led.retain(|(_, group)| {
             let first = group.and_then(|group| self.order_of(group).first().copied());
             first.is_none_or(|first| !self.servers[&first].is_warm())
@@ -567,7 +638,9 @@
 
     /// Counts a request's load and its group on a server; [`Books::take_off`] undoes it.
     fn put_on(&mut self, id: RequestId, at: ServerId) {
-        let Some(Request { arrival, .. }) = self.requests.get(&id) else { return };
+        let Some(Request { arrival, .. }) = self.requests.get(&id) else {
+            return;
+        };
         if let Some(server) = self.servers.get_mut(&at) {
             server.held.add(arrival.class, arrival.load);
             self.held.add(arrival.class, arrival.load);
@@ -591,12 +664,15 @@
 
     /// Whether a server is not passed over.
     pub(crate) fn is_well(&self, now: Nanos, id: ServerId) -> bool {
-        self.servers.get(&id).is_some_and(|server| now >= server.shun_until)
+        self.servers
+            .get(&id)
+            .is_some_and(|server| now >= server.shun_until)
     }
 
     /// Whether a request waits, and for this very timer.
     pub(crate) fn waits_for(&self, id: RequestId, timer: TimerId) -> bool {
-        let waits = |request: &Request| request.phase == Phase::Waiting && request.timer == Some(timer);
+        let waits =
+            |request: &Request| request.phase == Phase::Waiting && request.timer == Some(timer);
         self.requests.get(&id).is_some_and(waits)
     }
 
@@ -609,7 +685,9 @@
 
     /// Notes that a request waits for a server's answer.
     pub(crate) fn ask(&mut self, id: RequestId, server: ServerId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.asked += 1;
         request.asks = Some(server);
         self.asking.entry(server).or_default().insert(id);
@@ -621,12 +699,18 @@
             server.told = Some(Told { at: now, full });
         }
         let mut asking = self.asking.remove(&server).unwrap_or_default();
-        asking.retain(|id| self.requests.get(id).is_some_and(|request| request.asks == Some(server)));
+        asking.retain(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|request| request.asks == Some(server))
+        });
         asking
     }
 
     pub(crate) fn send(&mut self, now: Nanos, id: RequestId, to: ServerId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.attempts += 1;
         request.asks = None;
         request.phase = Phase::Out(to);
@@ -660,7 +744,9 @@
 
     /// Whether a request waits for an attempt.
     pub(crate) fn waits(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|request| request.phase == Phase::Waiting)
+        self.requests
+            .get(&id)
+            .is_some_and(|request| request.phase == Phase::Waiting)
     }
 
     /// Notes that there is no room for a request at the door, and how long the line takes.
@@ -672,16 +758,26 @@
 
     /// Takes a request's load off the server that holds it; the request waits from then on.
     fn take_off(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let (Phase::Out(at) | Phase::Standing(at)) = request.phase else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let (Phase::Out(at) | Phase::Standing(at)) = request.phase else {
+            return;
+        };
         self.out -= usize::from(matches!(request.phase, Phase::Out(_)));
         request.phase = Phase::Waiting;
         if let Some(server) = self.servers.get_mut(&at) {
-            server.held.take(request.arrival.class, request.arrival.load);
+            server
+                .held
+                .take(request.arrival.class, request.arrival.load);
             self.held.take(request.arrival.class, request.arrival.load);
         }
-        let Some(group) = request.arrival.group else { return };
-        let Some(places) = self.groups.get_mut(&group) else { return };
+        let Some(group) = request.arrival.group else {
+            return;
+        };
+        let Some(places) = self.groups.get_mut(&group) else {
+            return;
+        };
         if let Some(count) = places.get_mut(&at) {
             *count -= 1;
         }
@@ -694,7 +790,9 @@
     /// An attempt failed there; the request waits from then on.
     pub(crate) fn failed(&mut self, id: RequestId, at: ServerId, may_have_run: bool) {
         self.take_off(id);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.last = Some(at);
         if may_have_run {
             request.may_have_run.get_or_insert((at, request.sent_at));
@@ -707,7 +805,9 @@
     }
 
     pub(crate) fn note_load(&mut self, id: RequestId, at: ServerId, load: f64) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let class = request.arrival.class;
         let old = request.arrival.load.replace(load);
         self.class_loads[class.0].add(load);
@@ -734,20 +834,31 @@
 
     /// What one connection asks of its server; an unknown load counts as its class's mean.
     pub(crate) fn load_of(&self, request: &Request) -> f64 {
-        request.arrival.load.unwrap_or_else(|| self.class_loads[request.arrival.class.0].value())
+        request
+            .arrival
+            .load
+            .unwrap_or_else(|| self.class_loads[request.arrival.class.0].value())
     }
 
     /// The connections that stand at a server and their loads, the heaviest first.
     pub(crate) fn heaviest_at(&self, at: ServerId) -> Vec<(f64, RequestId)> {
-        let there = self.requests.iter().filter(|(_, request)| request.phase == Phase::Standing(at));
-        let mut there: Vec<_> = there.map(|(id, request)| (self.load_of(request), *id)).collect();
+        let there = self
+            .requests
+            .iter()
+            .filter(|(_, request)| request.phase == Phase::Standing(at));
+        let mut there: Vec<_> = there
+            .map(|(id, request)| (self.load_of(request), *id))
+            .collect();
         there.sort_by(|one, other| other.0.total_cmp(&one.0));
         there
     }
 
     pub(crate) fn raise_failures(&mut self, now: Nanos, key: Option<ClientKey>) {
         let Some(key) = key else { return };
-        let failures = self.failures.entry(key).or_insert(Failures { count: 0, last: now });
+        let failures = self.failures.entry(key).or_insert(Failures {
+            count: 0,
+            last: now,
+        });
         failures.count += 1;
         failures.last = now;
     }
@@ -768,12 +879,17 @@
 
     /// Drops the counts that have not grown for `span`.
     pub(crate) fn expire_failures(&mut self, now: Nanos, span: Nanos) {
-        self.failures.retain(|_, failures| now < failures.last.saturating_add(span));
+        self.failures
+            .retain(|_, failures| now < failures.last.saturating_add(span));
     }
 
     /// The client key's failures. A waiting request without a key has its own: all its attempts have failed.
     pub(crate) fn failures_of(&self, request: &Request) -> u32 {
-        let of_key = |key| self.failures.get(&key).map_or(0, |failures: &Failures| failures.count);
+        let of_key = |key| {
+            self.failures
+                .get(&key)
+                .map_or(0, |failures: &Failures| failures.count)
+        };
         request.arrival.key.map_or(request.attempts, of_key)
     }
 
@@ -802,7 +918,10 @@
             entry,
             ready: false,
             due: 0.0,
-            held: Held { known: 0.0, unknown: vec![0; classes] },
+            held: Held {
+                known: 0.0,
+                unknown: vec![0; classes],
+            },
             strikes: 0,
             shun_until: 0,
             ceiling: f64::INFINITY,
@@ -827,7 +946,11 @@
     /// The listed weight; servers listed without one are equal.
     pub(crate) fn weight(&self) -> f64 {
         let weight = self.entry.weight;
-        if weight.is_finite() && weight > 0.0 { weight } else { 1.0 }
+        if weight.is_finite() && weight > 0.0 {
+            weight
+        } else {
+            1.0
+        }
     }
 
     /// The weight by which what it holds is judged. Guards against a server that was let back and from which its
@@ -843,7 +966,9 @@
 
     /// Whether it said, that lately, that it is full.
     pub(crate) fn told_within(&self, now: Nanos, span: Nanos) -> Option<bool> {
-        self.told.filter(|told| now < told.at.saturating_add(span)).map(|told| told.full)
+        self.told
+            .filter(|told| now < told.at.saturating_add(span))
+            .map(|told| told.full)
     }
 
     pub(crate) fn strained_within(&self, now: Nanos, span: Nanos) -> bool {
@@ -878,7 +1003,11 @@
 
     /// The sum; an unknown load counts as its class's mean.
     fn load(&self, means: &[Mean]) -> f64 {
-        let unknown = self.unknown.iter().zip(means).map(|(count, mean)| f64::from(*count) * mean.value());
+        let unknown = self
+            .unknown
+            .iter()
+            .zip(means)
+            .map(|(count, mean)| f64::from(*count) * mean.value());
         self.known + unknown.sum::<f64>()
     }
 }
@@ -891,7 +1020,11 @@
 
     /// The mean, or 1 before anything is known: then connections are simply counted.
     pub(crate) fn value(&self) -> f64 {
-        if self.count > 0.0 { self.sum / self.count } else { 1.0 }
+        if self.count > 0.0 {
+            self.sum / self.count
+        } else {
+            1.0
+        }
     }
 }
 
--- a/store/benches/memory.rs
+++ b/store/benches/memory.rs
@@ -16,7 +16,12 @@
     // Subjects are digests: they come in no order.
     let mixed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
     let subject = [mixed.to_be_bytes(), number.to_be_bytes()].concat();
-    Record { kind: 9, subject, value: vec![turn; 36], witnessed_ms: NOW }
+    Record {
+        kind: 9,
+        subject,
+        value: vec![turn; 36],
+        witnessed_ms: NOW,
+    }
 }
 
 fn size(path: &Path) -> u64 {
@@ -34,11 +39,16 @@
     let began = Instant::now();
     for batch in 0..COUNT / BATCH {
         let numbers = batch * BATCH..(batch + 1) * BATCH;
-        let changes: Vec<Change> = numbers.map(|number| Change::Keep(placement(number, 0))).collect();
+        let changes: Vec<Change> = numbers
+            .map(|number| Change::Keep(placement(number, 0)))
+            .collect();
         memory.write(&changes, NOW).expect("durable");
     }
     let per_s = COUNT as f64 / began.elapsed().as_secs_f64();
-    println!("first writing: {per_s:.0} records a second, {} MiB", size(&path));
+    println!(
+        "first writing: {per_s:.0} records a second, {} MiB",
+        size(&path)
+    );
     drop(memory);
     for _ in 0..3 {
         let began = Instant::now();
@@ -57,18 +67,29 @@
     drop(memory);
     let began = Instant::now();
     let found = open(&copy, OWNER, NOW).expect("mended").1;
-    println!("start after a crash with {}: {} ms", found.records.len(), began.elapsed().as_millis());
+    println!(
+        "start after a crash with {}: {} ms",
+        found.records.len(),
+        began.elapsed().as_millis()
+    );
     drop(found);
     let usual = Limits::default();
     sustained(&path, usual);
     println!("without a journal, every batch into the snapshot:");
-    sustained(&path, Limits { journal_bytes: 0, ..usual });
+    sustained(
+        &path,
+        Limits {
+            journal_bytes: 0,
+            ..usual
+        },
+    );
 }
 
 /// Changes of random placements as fast as the writer keeps up with them: each flush waits for what was told.
 fn sustained(path: &Path, limits: Limits) {
     let (memory, _) = open(path, OWNER, NOW).expect("sound");
-    let writer = Writer::spawn_with(memory, limits, |notice| println!("{notice}")).expect("a thread");
+    let writer =
+        Writer::spawn_with(memory, limits, |notice| println!("{notice}")).expect("a thread");
     for told in [1_000, 10_000, 100_000] {
         let (began, mut number, mut calls) = (Instant::now(), 0, Duration::ZERO);
         while began.elapsed() < Duration::from_secs(5) {
@@ -79,13 +100,20 @@
                 })
                 .collect();
             let calling = Instant::now();
-            records.into_iter().for_each(|record| writer.remember(record));
+            records
+                .into_iter()
+                .for_each(|record| writer.remember(record));
             calls += calling.elapsed();
             assert!(writer.flush(Duration::from_secs(60)));
         }
-        let (per_s, call) =
-            (number as f64 / began.elapsed().as_secs_f64(), calls.as_nanos() / u128::from(number));
-        println!("batches of {told}: {per_s:.0} records a second, {call} ns a call, {} MiB", size(path));
+        let (per_s, call) = (
+            number as f64 / began.elapsed().as_secs_f64(),
+            calls.as_nanos() / u128::from(number),
+        );
+        println!(
+            "batches of {told}: {per_s:.0} records a second, {call} ns a call, {} MiB",
+            size(path)
+        );
     }
     let counts = writer.counts();
     println!("{} gave way", counts.gave_way);
--- a/store/benches/start.rs
+++ b/store/benches/start.rs
@@ -7,20 +7,33 @@
 use criterion::{BenchmarkId, Criterion};
 
 fn out(id: u64) -> Override {
-    let kind = Kind::Out { server: format!("server-{id}"), moves_per_s: Some(2.0) };
-    let draft =
-        Draft { kind, who: "ada".into(), why: "a reason of ordinary length".into(), expires_at: 2_000 };
+    let kind = Kind::Out {
+        server: format!("server-{id}"),
+        moves_per_s: Some(2.0),
+    };
+    let draft = Draft {
+        kind,
+        who: "ada".into(),
+        why: "a reason of ordinary length".into(),
+        expires_at: 2_000,
+    };
     draft.into_override(Id(id), 1_000)
 }
 
 fn benches(criterion: &mut Criterion) {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let mut starts = criterion.benchmark_group("start with records");
-    starts.sample_size(10).measurement_time(Duration::from_secs(5));
+    starts
+        .sample_size(10)
+        .measurement_time(Duration::from_secs(5));
     for count in [100, 10_000, 100_000] {
         let path = folder.path().join(format!("{count}.redb"));
         let all: Vec<Override> = (1..=count).map(out).collect();
-        open(&path).expect("a new store").0.put(&all).expect("durable");
+        open(&path)
+            .expect("a new store")
+            .0
+            .put(&all)
+            .expect("durable");
         starts.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| open(&path).expect("sound").1.overrides.len());
         });
--- a/store/src/database.rs
+++ b/store/src/database.rs
@@ -101,7 +101,10 @@
     fn from(error: StorageError) -> Unread {
         match &error {
             StorageError::Io(cause)
-                if !matches!(cause.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
+                if !matches!(
+                    cause.kind(),
+                    ErrorKind::InvalidData | ErrorKind::UnexpectedEof
+                ) =>
             {
                 Unread::Refused(OpenError::System(error.to_string()))
             }
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -22,7 +22,11 @@
     fn create(&self, builder: &Builder, path: &Path) -> Result<Database, DatabaseError>;
 
     /// Opens a database without the leave to write.
-    fn open_read_only(&self, builder: &Builder, path: &Path) -> Result<ReadOnlyDatabase, DatabaseError>;
+    fn open_read_only(
+        &self,
+        builder: &Builder,
+        path: &Path,
+    ) -> Result<ReadOnlyDatabase, DatabaseError>;
 
     /// All bytes of a file.
     fn bytes(&self, path: &Path) -> io::Result<Vec<u8>>;
@@ -43,7 +47,11 @@
         builder.create(path)
     }
 
-    fn open_read_only(&self, builder: &Builder, path: &Path) -> Result<ReadOnlyDatabase, DatabaseError> {
+    fn open_read_only(
+        &self,
+        builder: &Builder,
+        path: &Path,
+    ) -> Result<ReadOnlyDatabase, DatabaseError> {
         builder.open_read_only(path)
     }
 
@@ -53,7 +61,10 @@
 
     fn mark(&self, path: &Path) -> io::Result<Mark> {
         let about = std::fs::metadata(path)?;
-        Ok(Mark { file: (about.dev(), about.ino()), length: about.len() })
+        Ok(Mark {
+            file: (about.dev(), about.ino()),
+            length: about.len(),
+        })
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -62,7 +73,12 @@
 }
 
 /// Keeps a file under another name beside its own, which nothing has.
-pub(crate) fn keep_aside(disk: &dyn Disk, path: &Path, word: &str, now_ms: u64) -> io::Result<PathBuf> {
+pub(crate) fn keep_aside(
+    disk: &dyn Disk,
+    path: &Path,
+    word: &str,
+    now_ms: u64,
+) -> io::Result<PathBuf> {
     let named = |count: u32| {
         let mut name = path.as_os_str().to_owned();
         name.push(format!(".{word}-{now_ms}"));
@@ -71,6 +87,9 @@
         }
         PathBuf::from(name)
     };
-    let aside = (0..).map(named).find(|name| disk.mark(name).is_err()).unwrap_or_else(|| named(0));
+    let aside = (0..)
+        .map(named)
+        .find(|name| disk.mark(name).is_err())
+        .unwrap_or_else(|| named(0));
     disk.rename(path, &aside).map(|()| aside)
 }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -44,13 +44,23 @@
         Ok(opened) => Ok(opened),
         Err(Unread::Refused(why)) => Err(why),
         Err(Unread::Damaged(why)) => {
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let now = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             let now_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
             let aside = keep_aside(&*disk, path, "damaged", now_ms).map_err(|error| {
-                OpenError::System(format!("damaged ({why}), and it can't be kept aside: {error}"))
+                OpenError::System(format!(
+                    "damaged ({why}), and it can't be kept aside: {error}"
+                ))
             })?;
             match read() {
-                Ok((store, contents)) => Ok((store, Contents { kept_aside: Some((aside, why)), ..contents })),
+                Ok((store, contents)) => Ok((
+                    store,
+                    Contents {
+                        kept_aside: Some((aside, why)),
+                        ..contents
+                    },
+                )),
                 Err(Unread::Refused(error)) => Err(error),
                 Err(Unread::Damaged(why)) => Err(OpenError::System(why)),
             }
@@ -69,10 +79,19 @@
     let next = number(&database, ABOUT, NEXT_KEY)?.unwrap_or(1);
     let contents = contents(&database)?;
     let highest = contents.overrides.iter().map(|one| one.id.0 + 1);
-    let next = highest.chain(contents.unreadable.iter().map(|id| id + 1)).chain([next, 1]).max();
+    let next = highest
+        .chain(contents.unreadable.iter().map(|id| id + 1))
+        .chain([next, 1])
+        .max();
     let mark = disk.mark(path).ok();
     let (disk, path, next) = (Arc::clone(disk), path.to_owned(), Id(next.unwrap_or(1)));
-    let mut store = FileStore { disk, path, database: Some(database), mark, next };
+    let mut store = FileStore {
+        disk,
+        path,
+        database: Some(database),
+        mark,
+        next,
+    };
     if found != Some(SCHEMA) {
         // Also the proof that the file can be written.
         store
@@ -112,7 +131,10 @@
         let database = self.well()?;
         let write = || -> Result<(), redb::Error> {
             let writing = database.begin_write()?;
-            run(&mut writing.open_table(RECORDS)?, &mut writing.open_table(ABOUT)?)?;
+            run(
+                &mut writing.open_table(RECORDS)?,
+                &mut writing.open_table(ABOUT)?,
+            )?;
             Ok(writing.commit()?)
         };
         write().map_err(|error| StoreError(error.to_string()))?;
@@ -144,7 +166,10 @@
 
 impl OverrideStore for FileStore {
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
-        let next = all.iter().map(|one| Id(one.id.0.saturating_add(1))).fold(self.next, Id::max);
+        let next = all
+            .iter()
+            .map(|one| Id(one.id.0.saturating_add(1)))
+            .fold(self.next, Id::max);
         self.write(|rows, about| {
             for one in all {
                 rows.insert(one.id.0, record::encode(one).as_slice())?;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -67,7 +67,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OpenError::Newer { found, known } => {
-                write!(f, "written by a newer program: schema {found}, this one reads up to {known}")
+                write!(
+                    f,
+                    "written by a newer program: schema {found}, this one reads up to {known}"
+                )
             }
             OpenError::InUse => f.write_str("another program has it open"),
             OpenError::System(why) => f.write_str(why),
--- a/store/src/memory/file.rs
+++ b/store/src/memory/file.rs
@@ -5,8 +5,8 @@
 
 use redb::backends::InMemoryBackend;
 use redb::{
-    Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
-    TableHandle, WriteTransaction,
+    Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
+    TableError, TableHandle, WriteTransaction,
 };
 
 use super::{Change, Record, Remembered, SCHEMA, record};
@@ -189,10 +189,13 @@
             }
         }
     }
-    let changed = kept.iter().filter_map(|(key, row)| Some((key, row.as_ref()?)));
+    let changed = kept
+        .iter()
+        .filter_map(|(key, row)| Some((key, row.as_ref()?)));
     changed.for_each(|(key, row)| take(key, row));
-    records
-        .sort_unstable_by(|one: &Record, other| (one.kind, &one.subject).cmp(&(other.kind, &other.subject)));
+    records.sort_unstable_by(|one: &Record, other| {
+        (one.kind, &one.subject).cmp(&(other.kind, &other.subject))
+    });
     drop(reading);
     let remembered = Remembered {
         boot: number(&database, ABOUT, BOOT_KEY)?.unwrap_or(0),
@@ -201,7 +204,14 @@
         last_written_ms: number(&database, ABOUT, WRITTEN_KEY)?,
         ..Remembered::default()
     };
-    Ok(Found::Ours(Box::new(Held { database, next, journal_bytes }), remembered))
+    Ok(Found::Ours(
+        Box::new(Held {
+            database,
+            next,
+            journal_bytes,
+        }),
+        remembered,
+    ))
 }
 
 fn there<T>(table: Result<T, TableError>) -> Result<Option<T>, Unread> {
--- a/store/src/memory/mod.rs
+++ b/store/src/memory/mod.rs
@@ -152,7 +152,15 @@
 ) -> Result<(Memory, Remembered), OpenError> {
     let journal_bytes = Limits::default().journal_bytes;
     let (path, owner) = (path.to_owned(), owner.to_owned());
-    let mut memory = Memory { disk, path, owner, boot: 0, journal_bytes, held: None, mark: None };
+    let mut memory = Memory {
+        disk,
+        path,
+        owner,
+        boot: 0,
+        journal_bytes,
+        held: None,
+        mark: None,
+    };
     let mut remembered = memory.find(now_ms)?;
     memory.boot = remembered.boot;
     let late = remembered.last_written_ms.is_some_and(|then| then > now_ms);
@@ -175,7 +183,9 @@
     pub fn write(&mut self, changes: &[Change], now_ms: u64) -> Result<Written, WriteError> {
         let written = self.well(now_ms)?;
         // The database refuses everything after a failure, until it is opened anew: it is let go of then.
-        let Some(mut held) = self.held.take() else { return Err(WriteError("no file".into())) };
+        let Some(mut held) = self.held.take() else {
+            return Err(WriteError("no file".into()));
+        };
         held.append(changes, now_ms).map_err(WriteError)?;
         if held.journal_bytes <= self.journal_bytes || held.compact().is_ok() {
             self.held = Some(held);
@@ -191,7 +201,9 @@
             return Ok(Written::default());
         }
         self.held = None;
-        let found = self.find(now_ms).map_err(|error| WriteError(error.to_string()))?;
+        let found = self
+            .find(now_ms)
+            .map_err(|error| WriteError(error.to_string()))?;
         if let Some(why) = found.unwritable {
             return Err(WriteError(why));
         }
@@ -211,17 +223,27 @@
         let mut aside: Option<Aside> = None;
         loop {
             let why = match self.try_open(now_ms) {
-                Ok(Ok(remembered)) => return Ok(Remembered { aside, ..remembered }),
+                Ok(Ok(remembered)) => {
+                    return Ok(Remembered {
+                        aside,
+                        ..remembered
+                    });
+                }
                 Ok(Err(owner)) => AsideWhy::Foreign(owner),
                 Err(Unread::Damaged(why)) => AsideWhy::Damaged(why),
                 Err(Unread::Refused(OpenError::System(why))) => {
                     let found = self.read_only(why)?;
-                    return Ok(Remembered { aside: aside.or(found.aside), ..found });
+                    return Ok(Remembered {
+                        aside: aside.or(found.aside),
+                        ..found
+                    });
                 }
                 Err(Unread::Refused(error)) => return Err(error),
             };
             if let Some(aside) = aside {
-                return Err(OpenError::System(format!("the new file is bad too, after {aside}")));
+                return Err(OpenError::System(format!(
+                    "the new file is bad too, after {aside}"
+                )));
             }
             let word = match &why {
                 AsideWhy::Foreign(_) => "foreign",
@@ -231,7 +253,10 @@
                 Ok(path) => aside = Some(Aside { path, why }),
                 Err(error) => {
                     let said = format!("what is there can't be kept aside: {error}");
-                    return Ok(Remembered { aside: Some(self.unmoved(why)), ..self.nothing(said) });
+                    return Ok(Remembered {
+                        aside: Some(self.unmoved(why)),
+                        ..self.nothing(said)
+                    });
                 }
             }
         }
@@ -260,29 +285,44 @@
             Err(_) => return Err(OpenError::System(why)),
         };
         match crate::database::read(|| Held::copy_of(&bytes, &self.owner)) {
-            Ok(Found::Ours(_, found)) => {
-                Ok(Remembered { boot: self.raised(found.boot), unwritable: Some(why), ..found })
-            }
-            Ok(Found::Foreign(owner)) => {
-                Ok(Remembered { aside: Some(self.unmoved(AsideWhy::Foreign(owner))), ..self.nothing(why) })
-            }
-            Err(Unread::Damaged(damage)) => {
-                Ok(Remembered { aside: Some(self.unmoved(AsideWhy::Damaged(damage))), ..self.nothing(why) })
-            }
+            Ok(Found::Ours(_, found)) => Ok(Remembered {
+                boot: self.raised(found.boot),
+                unwritable: Some(why),
+                ..found
+            }),
+            Ok(Found::Foreign(owner)) => Ok(Remembered {
+                aside: Some(self.unmoved(AsideWhy::Foreign(owner))),
+                ..self.nothing(why)
+            }),
+            Err(Unread::Damaged(damage)) => Ok(Remembered {
+                aside: Some(self.unmoved(AsideWhy::Damaged(damage))),
+                ..self.nothing(why)
+            }),
             Err(Unread::Refused(error)) => Err(error),
         }
     }
 
     /// The boot number after the one in a file; a file that is opened again in one run gets the run's.
     fn raised(&self, found: u64) -> u64 {
-        if self.boot > 0 { self.boot.max(found) } else { found + 1 }
+        if self.boot > 0 {
+            self.boot.max(found)
+        } else {
+            found + 1
+        }
     }
 
     fn unmoved(&self, why: AsideWhy) -> Aside {
-        Aside { path: self.path.clone(), why }
+        Aside {
+            path: self.path.clone(),
+            why,
+        }
     }
 
     fn nothing(&self, unwritable: String) -> Remembered {
-        Remembered { boot: self.raised(0), unwritable: Some(unwritable), ..Remembered::default() }
+        Remembered {
+            boot: self.raised(0),
+            unwritable: Some(unwritable),
+            ..Remembered::default()
+        }
     }
 }
--- a/store/src/memory/queue.rs
+++ b/store/src/memory/queue.rs
@@ -27,7 +27,12 @@
     /// subject; what is to be forgotten goes last, as it would be read again as if it held.
     pub(super) fn put(&mut self, change: Change, bound: usize) -> u64 {
         match change {
-            Change::Keep(Record { kind, subject, value, witnessed_ms }) => {
+            Change::Keep(Record {
+                kind,
+                subject,
+                value,
+                witnessed_ms,
+            }) => {
                 let key = (kind, subject);
                 self.clear(&key);
                 self.bytes += cost(&key, &value);
@@ -67,7 +72,10 @@
 
     /// Puts later changes over these.
     pub(super) fn take_over(&mut self, later: Queue, bound: usize) -> u64 {
-        later.into_changes().map(|change| self.put(change, bound)).sum()
+        later
+            .into_changes()
+            .map(|change| self.put(change, bound))
+            .sum()
     }
 
     pub(super) fn len(&self) -> usize {
@@ -80,10 +88,21 @@
 
     /// All that waits.
     pub(super) fn into_changes(self) -> impl Iterator<Item = Change> {
-        let forgotten = self.forgotten.into_iter().map(|(kind, subject)| Change::Forget { kind, subject });
-        let kept = self.kept.into_iter().map(|((kind, subject), (witnessed_ms, value))| {
-            Change::Keep(Record { kind, subject, value, witnessed_ms })
-        });
+        let forgotten = self
+            .forgotten
+            .into_iter()
+            .map(|(kind, subject)| Change::Forget { kind, subject });
+        let kept = self
+            .kept
+            .into_iter()
+            .map(|((kind, subject), (witnessed_ms, value))| {
+                Change::Keep(Record {
+                    kind,
+                    subject,
+                    value,
+                    witnessed_ms,
+                })
+            });
         kept.chain(forgotten)
     }
 }
--- a/store/src/memory/record.rs
+++ b/store/src/memory/record.rs
@@ -33,11 +33,25 @@
 /// The bytes of a change.
 pub(super) fn entry(change: &Change) -> Vec<u8> {
     let entry = match change {
-        Change::Keep(Record { kind, subject, value, witnessed_ms }) => {
-            let row = Row { witnessed_ms: *witnessed_ms, value: value.clone() };
-            Entry { key: key(*kind, subject), row: Some(row.encode_to_vec()) }
+        Change::Keep(Record {
+            kind,
+            subject,
+            value,
+            witnessed_ms,
+        }) => {
+            let row = Row {
+                witnessed_ms: *witnessed_ms,
+                value: value.clone(),
+            };
+            Entry {
+                key: key(*kind, subject),
+                row: Some(row.encode_to_vec()),
+            }
         }
-        Change::Forget { kind, subject } => Entry { key: key(*kind, subject), row: None },
+        Change::Forget { kind, subject } => Entry {
+            key: key(*kind, subject),
+            row: None,
+        },
     };
     entry.encode_to_vec()
 }
@@ -51,8 +65,16 @@
 /// The record that a row under a key holds; nothing if it holds none.
 pub(super) fn read_row(key: &[u8], row: &[u8]) -> Option<Record> {
     let (kind, subject) = key.split_first_chunk::<4>()?;
-    let Row { witnessed_ms, value } = Row::decode(row).ok()?;
-    Some(Record { kind: u32::from_be_bytes(*kind), subject: subject.to_vec(), value, witnessed_ms })
+    let Row {
+        witnessed_ms,
+        value,
+    } = Row::decode(row).ok()?;
+    Some(Record {
+        kind: u32::from_be_bytes(*kind),
+        subject: subject.to_vec(),
+        value,
+        witnessed_ms,
+    })
 }
 
 #[cfg(test)]
--- a/store/src/memory/record/tests.rs
+++ b/store/src/memory/record/tests.rs
@@ -2,7 +2,12 @@
 
 #[test]
 fn what_other_programs_wrote_is_read_or_refused_but_never_misread() {
-    let record = Record { kind: 3, subject: b"north".to_vec(), value: vec![0, 255], witnessed_ms: 7 };
+    let record = Record {
+        kind: 3,
+        subject: b"north".to_vec(),
+        value: vec![0, 255],
+        witnessed_ms: 7,
+    };
     let (at, row) = read_entry(&entry(&Change::Keep(record.clone()))).expect("sound");
     let row = row.expect("kept");
     assert_eq!(read_row(&at, &row), Some(record.clone()));
--- a/store/src/memory/writer.rs
+++ b/store/src/memory/writer.rs
@@ -56,8 +56,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Notice::Ailing(why) => write!(f, "the disk takes nothing, serving on without: {why}"),
-            Notice::Slow(took) => write!(f, "the disk is slow: a batch took {} ms", took.as_millis()),
-            Notice::Well => f.write_str("the disk is well again, what was kept meanwhile is written"),
+            Notice::Slow(took) => {
+                write!(f, "the disk is slow: a batch took {} ms", took.as_millis())
+            }
+            Notice::Well => {
+                f.write_str("the disk is well again, what was kept meanwhile is written")
+            }
             Notice::BegunAnew(why) => write!(f, "the file is begun anew: {why}"),
         }
     }
@@ -143,7 +147,14 @@
         let (bell, bells) = bounded(1);
         let (urgent, urgents) = bounded(1);
         let (end, ended) = bounded(1);
-        let work = Work { memory, limits, shared: Arc::clone(&shared), bells, urgents, say };
+        let work = Work {
+            memory,
+            limits,
+            shared: Arc::clone(&shared),
+            bells,
+            urgents,
+            say,
+        };
         let run = move || {
             // The file is let go of before the end is told.
             work.run();
@@ -151,7 +162,13 @@
         };
         let thread = thread::Builder::new().name("memory".into()).spawn(run);
         thread.map_err(|error| format!("thread memory: {error}"))?;
-        Ok(Writer { shared, bound: limits.queue_bytes, bell, urgent, ended })
+        Ok(Writer {
+            shared,
+            bound: limits.queue_bytes,
+            bell,
+            urgent,
+            ended,
+        })
     }
 
     /// Remembers a record in the place of what is known of its subject.
@@ -185,7 +202,13 @@
 
     /// What has been done so far.
     pub fn counts(&self) -> Counts {
-        let Shared { written, gave_way, failed, ailing, .. } = &*self.shared;
+        let Shared {
+            written,
+            gave_way,
+            failed,
+            ailing,
+            ..
+        } = &*self.shared;
         let waiting = self.shared.lock();
         Counts {
             written: written.load(Ordering::Relaxed),
@@ -234,7 +257,9 @@
 
 /// The wall clock, in Unix milliseconds.
 fn wall_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -252,7 +277,11 @@
     fn run(mut self) {
         let mut gave_way_before = 0;
         loop {
-            let Waiting { queue, flushes, ending } = std::mem::take(&mut *self.shared.lock());
+            let Waiting {
+                queue,
+                flushes,
+                ending,
+            } = std::mem::take(&mut *self.shared.lock());
             let done = queue.len() == 0 || self.write(queue);
             // One who has left waits no longer.
             for flush in flushes {
@@ -272,7 +301,11 @@
 
     /// Waits until the next batch is due.
     fn pause(&self, done: bool) {
-        let spacing = if done { self.limits.every } else { self.limits.retry };
+        let spacing = if done {
+            self.limits.every
+        } else {
+            self.limits.retry
+        };
         if self.urgents.recv_timeout(spacing) != Err(RecvTimeoutError::Timeout) || !done {
             return;
         }
@@ -289,7 +322,9 @@
         let took = began.elapsed();
         match done {
             Ok(written) => {
-                self.shared.written.fetch_add(changes.len() as u64, Ordering::Relaxed);
+                self.shared
+                    .written
+                    .fetch_add(changes.len() as u64, Ordering::Relaxed);
                 if let Some(why) = written.begun_anew {
                     self.shared.wants_all.store(true, Ordering::Relaxed);
                     (self.say)(Notice::BegunAnew(why));
@@ -321,7 +356,10 @@
     fn put_back(&mut self, changes: Vec<Change>) {
         let bound = self.limits.queue_bytes;
         let mut batch = Queue::default();
-        let mut gave_way: u64 = changes.into_iter().map(|change| batch.put(change, bound)).sum();
+        let mut gave_way: u64 = changes
+            .into_iter()
+            .map(|change| batch.put(change, bound))
+            .sum();
         // Guards against a caller that waits while much is put together: but for the last few, it is done unlocked.
         for _ in 0..4 {
             let later = std::mem::take(&mut self.shared.lock().queue);
--- a/store/src/record.rs
+++ b/store/src/record.rs
@@ -85,13 +85,22 @@
 /// The bytes of an override.
 pub(crate) fn encode(one: &Override) -> Vec<u8> {
     let kind = match &one.kind {
-        Kind::Out { server, moves_per_s } => {
-            KindRecord::Out(OutRecord { server: server.clone(), moves_per_s: *moves_per_s })
-        }
-        Kind::Weight { server, factor } => {
-            KindRecord::Weight(WeightRecord { server: server.clone(), factor: *factor })
-        }
-        Kind::Pin { subject, server, strictness } => KindRecord::Pin(PinRecord {
+        Kind::Out {
+            server,
+            moves_per_s,
+        } => KindRecord::Out(OutRecord {
+            server: server.clone(),
+            moves_per_s: *moves_per_s,
+        }),
+        Kind::Weight { server, factor } => KindRecord::Weight(WeightRecord {
+            server: server.clone(),
+            factor: *factor,
+        }),
+        Kind::Pin {
+            subject,
+            server,
+            strictness,
+        } => KindRecord::Pin(PinRecord {
             server: server.clone(),
             subject: Some(match subject {
                 Subject::Group(name) => SubjectRecord::Group(name.clone()),
@@ -110,7 +119,10 @@
         removed_at: one.removed_at,
         revision: one.revision,
         forced: one.forced,
-        replay: replay.map(|replay| ReplayRecord { key: replay.key.clone(), body: replay.body.clone() }),
+        replay: replay.map(|replay| ReplayRecord {
+            key: replay.key.clone(),
+            body: replay.body.clone(),
+        }),
         kind: Some(kind),
     };
     record.encode_to_vec()
@@ -120,18 +132,34 @@
 pub(crate) fn decode(bytes: &[u8]) -> Option<Override> {
     let record = Record::decode(bytes).ok()?;
     let kind = match record.kind? {
-        KindRecord::Out(OutRecord { server, moves_per_s }) => Kind::Out { server, moves_per_s },
-        KindRecord::Weight(WeightRecord { server, factor }) if factor.is_finite() && factor > 0.0 => {
+        KindRecord::Out(OutRecord {
+            server,
+            moves_per_s,
+        }) => Kind::Out {
+            server,
+            moves_per_s,
+        },
+        KindRecord::Weight(WeightRecord { server, factor })
+            if factor.is_finite() && factor > 0.0 =>
+        {
             Kind::Weight { server, factor }
         }
         KindRecord::Weight(_) => return None,
-        KindRecord::Pin(PinRecord { server, subject, strict }) => Kind::Pin {
+        KindRecord::Pin(PinRecord {
+            server,
+            subject,
+            strict,
+        }) => Kind::Pin {
             subject: match subject? {
                 SubjectRecord::Group(name) => Subject::Group(name),
                 SubjectRecord::Tenant(name) => Subject::Tenant(name),
             },
             server,
-            strictness: if strict { Strictness::Strict } else { Strictness::Prefer },
+            strictness: if strict {
+                Strictness::Strict
+            } else {
+                Strictness::Prefer
+            },
         },
     };
     Some(Override {
@@ -144,7 +172,10 @@
         removed_at: record.removed_at,
         revision: record.revision,
         forced: record.forced,
-        replay: record.replay.map(|replay| Replay { key: replay.key, body: replay.body }),
+        replay: record.replay.map(|replay| Replay {
+            key: replay.key,
+            body: replay.body,
+        }),
     })
 }
 
--- a/store/src/record/tests.rs
+++ b/store/src/record/tests.rs
@@ -15,7 +15,10 @@
         removed_at: Some(2),
         revision: 3,
         forced: true,
-        replay: Some(Replay { key: "k".into(), body: vec![1, 2] }),
+        replay: Some(Replay {
+            key: "k".into(),
+            body: vec![1, 2],
+        }),
     }
 }
 
@@ -23,10 +26,23 @@
 fn what_is_written_is_read_back() {
     for kind in [
         pin().kind,
-        Kind::Out { server: "s".into(), moves_per_s: Some(0.5) },
-        Kind::Out { server: "s".into(), moves_per_s: None },
-        Kind::Weight { server: "s".into(), factor: 0.25 },
-        Kind::Pin { subject: Subject::Group("g".into()), server: "s".into(), strictness: Strictness::Prefer },
+        Kind::Out {
+            server: "s".into(),
+            moves_per_s: Some(0.5),
+        },
+        Kind::Out {
+            server: "s".into(),
+            moves_per_s: None,
+        },
+        Kind::Weight {
+            server: "s".into(),
+            factor: 0.25,
+        },
+        Kind::Pin {
+            subject: Subject::Group("g".into()),
+            server: "s".into(),
+            strictness: Strictness::Prefer,
+        },
     ] {
         let one = Override { kind, ..pin() };
         assert_eq!(decode(&encode(&one)), Some(one));
@@ -36,8 +52,11 @@
 #[test]
 fn records_of_other_programs_are_read_or_refused_but_never_misread() {
     // An older one without the later fields.
-    let older =
-        Record { removed_at: None, replay: None, ..Record::decode(&encode(&pin())[..]).expect("sound") };
+    let older = Record {
+        removed_at: None,
+        replay: None,
+        ..Record::decode(&encode(&pin())[..]).expect("sound")
+    };
     let read = decode(&older.encode_to_vec()).expect("an older record");
     assert_eq!((read.removed_at, read.replay), (None, None));
     // A newer one with a field that is not known here: field 99, a varint.
@@ -45,8 +64,29 @@
     newer.extend([0x98, 0x06, 0x01]);
     assert_eq!(decode(&newer), Some(pin()));
     // A kind that is not known, a weight of nothing, and no record at all.
-    assert_eq!(decode(&Record { kind: None, ..older.clone() }.encode_to_vec()), None);
-    let naught = KindRecord::Weight(WeightRecord { server: "s".into(), factor: 0.0 });
-    assert_eq!(decode(&Record { kind: Some(naught), ..older }.encode_to_vec()), None);
+    assert_eq!(
+        decode(
+            &Record {
+                kind: None,
+                ..older.clone()
+            }
+            .encode_to_vec()
+        ),
+        None
+    );
+    let naught = KindRecord::Weight(WeightRecord {
+        server: "s".into(),
+        factor: 0.0,
+    });
+    assert_eq!(
+        decode(
+            &Record {
+                kind: Some(naught),
+                ..older
+            }
+            .encode_to_vec()
+        ),
+        None
+    );
     assert_eq!(decode(b"\xff\xff\xff"), None);
 }
--- a/store/tests/stored_form.rs
+++ b/store/tests/stored_form.rs
@@ -12,28 +12,48 @@
 fn copy_of(name: &str) -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = folder.path().join(name);
-    let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name);
+    let stored = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name);
     std::fs::copy(stored, &path).expect("a stored file");
     (folder, path)
 }
 
 fn overrides() -> Vec<Override> {
     let kinds = [
-        Kind::Out { server: "s1".into(), moves_per_s: Some(2.5) },
-        Kind::Weight { server: "s2".into(), factor: 0.5 },
+        Kind::Out {
+            server: "s1".into(),
+            moves_per_s: Some(2.5),
+        },
+        Kind::Weight {
+            server: "s2".into(),
+            factor: 0.5,
+        },
         Kind::Pin {
             subject: Subject::Group("north".into()),
             server: "s3".into(),
             strictness: Strictness::Strict,
         },
     ];
-    let draft = |kind| Draft { kind, who: "ada".into(), why: "maintenance".into(), expires_at: 9_000 };
-    let numbered = (1..).zip(kinds).map(|(id, kind)| draft(kind).into_override(Id(id), 1_000));
+    let draft = |kind| Draft {
+        kind,
+        who: "ada".into(),
+        why: "maintenance".into(),
+        expires_at: 9_000,
+    };
+    let numbered = (1..)
+        .zip(kinds)
+        .map(|(id, kind)| draft(kind).into_override(Id(id), 1_000));
     numbered.collect()
 }
 
 fn record(kind: u32, subject: &str, value: &str) -> Record {
-    Record { kind, subject: subject.into(), value: value.into(), witnessed_ms: NOW - 5 }
+    Record {
+        kind,
+        subject: subject.into(),
+        value: value.into(),
+        witnessed_ms: NOW - 5,
+    }
 }
 
 #[test]
@@ -49,8 +69,14 @@
 fn reads_a_stored_memory_with_its_snapshot_its_journal_and_its_owner() {
     let (_folder, path) = copy_of("memory.redb");
     let (memory, remembered) = memory::open(&path, "east-1", NOW + 20).expect("a sound file");
-    assert_eq!(remembered.records, [record(1, "list", "one"), record(4, "client", "two")]);
-    assert_eq!((remembered.boot, remembered.last_written_ms), (3, Some(NOW + 9)));
+    assert_eq!(
+        remembered.records,
+        [record(1, "list", "one"), record(4, "client", "two")]
+    );
+    assert_eq!(
+        (remembered.boot, remembered.last_written_ms),
+        (3, Some(NOW + 9))
+    );
     assert!(remembered.unreadable == 0 && remembered.aside.is_none());
     drop(memory);
     let (_, foreign) = memory::open(&path, "west-2", NOW + 30).expect("begun anew");
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -13,29 +13,47 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn record(kind: u32, subject: u32, value: &str) -> Record {
-    Record { kind, subject: subject.to_be_bytes().to_vec(), value: value.into(), witnessed_ms: NOW }
+    Record {
+        kind,
+        subject: subject.to_be_bytes().to_vec(),
+        value: value.into(),
+        witnessed_ms: NOW,
+    }
 }
 
 fn limits() -> Limits {
     let (every, retry) = (Duration::from_millis(1), Duration::from_millis(5));
-    Limits { every, retry, slow: PATIENCE, ..Limits::default() }
+    Limits {
+        every,
+        retry,
+        slow: PATIENCE,
+        ..Limits::default()
+    }
 }
 
 fn begin(disk: &BreakingDisk, limits: Limits) -> (Writer, Receiver<Notice>) {
-    let (memory, _) = open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("a memory");
+    let (memory, _) =
+        open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("a memory");
     let (say, said) = unbounded();
-    let writer = Writer::spawn_with(memory, limits, move |notice| say.send(notice).unwrap_or_default());
+    let writer = Writer::spawn_with(memory, limits, move |notice| {
+        say.send(notice).unwrap_or_default()
+    });
     (writer.expect("a thread"), said)
 }
 
 fn remembered(disk: &BreakingDisk) -> Remembered {
-    open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("free and sound").1
+    open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW)
+        .expect("free and sound")
+        .1
 }
 
 #[test]
 fn what_was_told_is_there_after_the_end_and_the_file_is_free() {
     let disk = BreakingDisk::default();
-    let small = Limits { journal_bytes: 500, ..limits() };
+    let small = Limits {
+        journal_bytes: 500,
+        ..limits()
+    };
     let (writer, said) = begin(&disk, small);
     for turn in 0..20 {
         (0..50).for_each(|subject| writer.remember(record(4, subject, &format!("{turn}"))));
@@ -43,7 +61,10 @@
         assert!(writer.flush(PATIENCE));
     }
     let kept: Vec<Record> = remembered_after(writer, &disk);
-    let right: Vec<Record> = (0..50).filter(|one| *one != 19).map(|one| record(4, one, "19")).collect();
+    let right: Vec<Record> = (0..50)
+        .filter(|one| *one != 19)
+        .map(|one| record(4, one, "19"))
+        .collect();
     assert_eq!(kept, right);
     assert!(said.is_empty());
 }
@@ -56,7 +77,13 @@
 #[test]
 fn a_disk_that_stands_still_holds_nobody_up_and_the_least_gives_way() {
     let disk = BreakingDisk::default();
-    let (writer, _said) = begin(&disk, Limits { queue_bytes: 20_000, ..limits() });
+    let (writer, _said) = begin(
+        &disk,
+        Limits {
+            queue_bytes: 20_000,
+            ..limits()
+        },
+    );
     disk.weather(Weather::Stuck);
     writer.remember(record(1, 0, "list"));
     while writer.counts().waiting > 0 {
@@ -69,9 +96,15 @@
         writer.forget(1, vec![turn]);
     }
     let counts = writer.counts();
-    assert!(counts.waiting_bytes <= 20_000 && counts.gave_way > 10_000, "{counts:?}");
+    assert!(
+        counts.waiting_bytes <= 20_000 && counts.gave_way > 10_000,
+        "{counts:?}"
+    );
     assert_eq!(counts.written, 0);
-    assert!(!writer.flush(Duration::from_millis(1)), "it is bounded in time");
+    assert!(
+        !writer.flush(Duration::from_millis(1)),
+        "it is bounded in time"
+    );
     assert!(!writer.wants_all(), "asked for when the disk is well");
     disk.weather(Weather::Fair);
     assert!(writer.flush(PATIENCE));
@@ -80,9 +113,15 @@
     assert!(writer.wants_all() && !writer.wants_all());
     let kept = remembered_after(writer, &disk);
     for subject in 0..10 {
-        assert!(kept.contains(&record(2, subject, "99")), "the weightier kind is whole");
+        assert!(
+            kept.contains(&record(2, subject, "99")),
+            "the weightier kind is whole"
+        );
     }
-    assert!(kept.iter().all(|one| one.kind != 9 || one.value == b"99"), "the last of each subject");
+    assert!(
+        kept.iter().all(|one| one.kind != 9 || one.value == b"99"),
+        "the last of each subject"
+    );
 }
 
 #[test]
@@ -118,7 +157,10 @@
         assert!(!writer.wants_all(), "nothing gave way");
         let kept = remembered_after(writer, &disk);
         assert_eq!(kept.len(), 8);
-        assert!(kept.contains(&record(1, 3, "later")), "what was told later holds");
+        assert!(
+            kept.contains(&record(1, 3, "later")),
+            "what was told later holds"
+        );
         assert!(said.is_empty());
     }
 }
@@ -126,7 +168,13 @@
 #[test]
 fn a_slow_disk_is_said_once() {
     let disk = BreakingDisk::default();
-    let (writer, said) = begin(&disk, Limits { slow: Duration::ZERO, ..limits() });
+    let (writer, said) = begin(
+        &disk,
+        Limits {
+            slow: Duration::ZERO,
+            ..limits()
+        },
+    );
     for subject in 0..3 {
         writer.remember(record(1, subject, "x"));
         assert!(writer.flush(PATIENCE));
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -41,7 +41,12 @@
 
 /// One gateway of a fleet, with a seed of its own.
 pub fn one_of(gateways: u32, rank: u32, live_weights: bool, servers: Vec<Entry>) -> Gateway {
-    let settings = Settings { gateways, rank, live_weights, ..settings() };
+    let settings = Settings {
+        gateways,
+        rank,
+        live_weights,
+        ..settings()
+    };
     let mut gateway = Gateway::new(settings.clone());
     gateway.balancer = beaconflow::Balancer::new(settings, 7 + u64::from(rank)).expect("in range");
     gateway.list(ListKind::Full, servers);
@@ -56,8 +61,9 @@
     pub fn with(gateways: u32, live_weights: bool) -> Fleet {
         let servers: Vec<Entry> = (0..SERVERS).map(entry).collect();
         let (rng, clients) = (Pcg32::seed_from_u64(5), Vec::new());
-        let gateways =
-            (0..gateways).map(|rank| one_of(gateways, rank, live_weights, servers.clone())).collect();
+        let gateways = (0..gateways)
+            .map(|rank| one_of(gateways, rank, live_weights, servers.clone()))
+            .collect();
         Fleet {
             gateways,
             rng,
@@ -83,7 +89,11 @@
             return self.traffic.partition_point(|up_to| *up_to <= drawn);
         }
         let any = self.rng.random_range(0..self.gateways.len());
-        if self.rng.random_range(0.0..1.0) < 0.4 { any - any % 7 } else { any }
+        if self.rng.random_range(0.0..1.0) < 0.4 {
+            any - any % 7
+        } else {
+            any
+        }
     }
 
     /// A client comes to some gateway.
@@ -91,20 +101,40 @@
         let at = self.entry();
         let (id, now) = (self.clients.len() as u64, self.gateways[at].now);
         self.clients.push(client);
-        let arrival = Arrival { returns, group: self.grouped.then_some(client.0), ..arrival(id, SAFE, now) };
+        let arrival = Arrival {
+            returns,
+            group: self.grouped.then_some(client.0),
+            ..arrival(id, SAFE, now)
+        };
         let actions = self.gateways[at].tell(Event::Arrived(arrival));
         self.follow(at, actions);
     }
 
     pub fn follow(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
-            if let Action::Attempt { request, server, timeout, .. } = action {
+            if let Action::Attempt {
+                request,
+                server,
+                timeout,
+                ..
+            } = action
+            {
                 self.sent.push((self.step, server));
                 let attempt = self.tries.entry(request.0).or_default();
                 *attempt += 1;
                 if let Some(outcome) = self.ill.get(&server) {
-                    let wait = if *outcome == Outcome::TimedOut { timeout } else { 200 * MS };
-                    self.out.push((self.step + wait / STEP, at, request.0, *attempt - 1, *outcome));
+                    let wait = if *outcome == Outcome::TimedOut {
+                        timeout
+                    } else {
+                        200 * MS
+                    };
+                    self.out.push((
+                        self.step + wait / STEP,
+                        at,
+                        request.0,
+                        *attempt - 1,
+                        *outcome,
+                    ));
                     continue;
                 }
                 let more = self.gateways[at].establish(request.0, *attempt - 1);
@@ -123,15 +153,25 @@
     }
 
     /// Ends the standing clients of which that is so.
-    pub fn end(&mut self, outcome: Outcome, which: impl Fn(ServerId, u64) -> bool) -> Vec<(GroupId, u64)> {
+    pub fn end(
+        &mut self,
+        outcome: Outcome,
+        which: impl Fn(ServerId, u64) -> bool,
+    ) -> Vec<(GroupId, u64)> {
         let over = |id: &u64, at: &(usize, ServerId)| which(at.1, self.clients[*id as usize].1);
-        let over: Vec<u64> =
-            self.standing.iter().filter(|(id, at)| over(id, at)).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .standing
+            .iter()
+            .filter(|(id, at)| over(id, at))
+            .map(|(id, _)| *id)
+            .collect();
         for id in &over {
             let (at, _) = self.standing.remove(id).expect("it stands");
             self.gateways[at].close(*id, 0, outcome);
         }
-        over.into_iter().map(|id| self.clients[id as usize]).collect()
+        over.into_iter()
+            .map(|id| self.clients[id as usize])
+            .collect()
     }
 
     /// One step: clients end, new ones come, timers fire.
@@ -141,7 +181,8 @@
         self.end(Outcome::Served, |_, ends| ends <= step);
         for _ in 0..NEW {
             let any = self.rng.random_range(0_u64..400);
-            let crowded = self.in_one_group > 0.0 && self.rng.random_range(0.0..1.0) < self.in_one_group;
+            let crowded =
+                self.in_one_group > 0.0 && self.rng.random_range(0.0..1.0) < self.in_one_group;
             let group = if crowded { 401 } else { any }.wrapping_mul(0x9e37_79b9_7f4a_7c15);
             self.come(false, (GroupId(group), step + STAY));
         }
@@ -159,9 +200,16 @@
     /// The servers from `first` on are started anew within one step, and all clients there come again.
     pub fn restart(&mut self, first: u32) {
         let now = self.gateways[0].now;
-        let anew: Vec<Entry> = (first..SERVERS).map(|id| Entry { started_at: now, ..entry(id) }).collect();
+        let anew: Vec<Entry> = (first..SERVERS)
+            .map(|id| Entry {
+                started_at: now,
+                ..entry(id)
+            })
+            .collect();
         let again = self.end(Outcome::Cancelled, |server, _| server.0 >= first);
-        self.gateways.iter_mut().for_each(|gateway| drop(gateway.list(ListKind::Changes, anew.clone())));
+        self.gateways
+            .iter_mut()
+            .for_each(|gateway| drop(gateway.list(ListKind::Changes, anew.clone())));
         again.into_iter().for_each(|client| self.come(true, client));
     }
 
@@ -175,7 +223,8 @@
     }
 
     pub fn share_from(&self, first: u32) -> f64 {
-        self.standing.values().filter(|at| at.1.0 >= first).count() as f64 / self.standing.len() as f64
+        self.standing.values().filter(|at| at.1.0 >= first).count() as f64
+            / self.standing.len() as f64
     }
 }
 
@@ -202,7 +251,10 @@
         let sent = fleet.sent_within(start..start + fall);
         let cold = &sent[first as usize..];
         all = all.max(cold.iter().sum::<f64>() / (bears * cold.len() as f64));
-        one = cold.iter().map(|sent| (sent - 3.0 * bears.sqrt()) / bears).fold(one, f64::max);
+        one = cold
+            .iter()
+            .map(|sent| (sent - 3.0 * bears.sqrt()) / bears)
+            .fold(one, f64::max);
     }
     (one, all)
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,9 +14,17 @@
 
 /// Settings like none of the deployments': two classes alike but for their repeat safety.
 pub fn settings() -> Settings {
-    let class =
-        |repeat| Class { aim: 400 * MS, deadline: 2 * SECOND, repeat, message_aim: 120 * MS, worth: 1.0 };
-    let keyed = |scope| Repeat::Keyed { scope, window: SECOND };
+    let class = |repeat| Class {
+        aim: 400 * MS,
+        deadline: 2 * SECOND,
+        repeat,
+        message_aim: 120 * MS,
+        worth: 1.0,
+    };
+    let keyed = |scope| Repeat::Keyed {
+        scope,
+        window: SECOND,
+    };
     Settings {
         gateways: 1,
         rank: 0,
@@ -94,7 +102,12 @@
 impl Gateway {
     pub fn new(settings: Settings) -> Gateway {
         let balancer = Balancer::new(settings, 11).expect("the settings are in range");
-        Gateway { balancer, now: SECOND, timers: Vec::new(), line: VecDeque::new() }
+        Gateway {
+            balancer,
+            now: SECOND,
+            timers: Vec::new(),
+            line: VecDeque::new(),
+        }
     }
 
     /// A gateway that has heard of `count` servers.
@@ -122,7 +135,11 @@
                 }
                 _ => true,
             });
-            let turn = if self.balancer.has_turns() { self.line.pop_front() } else { None };
+            let turn = if self.balancer.has_turns() {
+                self.line.pop_front()
+            } else {
+                None
+            };
             next = turn.map(Event::Turn);
         }
         actions
@@ -137,7 +154,10 @@
     }
 
     pub fn establish(&mut self, request: u64, attempt: u32) -> Vec<Action> {
-        self.tell(Event::Established { request: RequestId(request), attempt })
+        self.tell(Event::Established {
+            request: RequestId(request),
+            attempt,
+        })
     }
 
     /// A request whose first attempt stands at once; gives where it went.
@@ -149,7 +169,11 @@
 
     /// News of a connection that took one attempt.
     pub fn note(&mut self, request: u64, note: Note) -> Vec<Action> {
-        self.tell(Event::Noted { request: RequestId(request), attempt: 0, note })
+        self.tell(Event::Noted {
+            request: RequestId(request),
+            attempt: 0,
+            note,
+        })
     }
 
     /// A steady stream of connections that stand at once where they can, one each `gap`.
@@ -185,7 +209,13 @@
     }
 
     pub fn close(&mut self, request: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::Ended { request: RequestId(request), attempt, outcome, took: 10 * MS, closed: true })
+        self.tell(Event::Ended {
+            request: RequestId(request),
+            attempt,
+            outcome,
+            took: 10 * MS,
+            closed: true,
+        })
     }
 
     /// Lets time pass and fires what comes due.
@@ -228,7 +258,9 @@
 
 /// Whether a request got this final answer.
 pub fn refused(actions: &[Action], request: u64) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { request: id, .. } if id.0 == request))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Refuse { request: id, .. } if id.0 == request))
 }
 
 /// Whether a request was failed.
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -44,7 +44,16 @@
         let balancer = Balancer::new(settings, 5).expect("in range");
         let (seen, states, timers) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let (probes, log, line) = (Vec::new(), Vec::new(), VecDeque::new());
-        World { balancer, now: SECOND, seen, states, timers, probes, log, line }
+        World {
+            balancer,
+            now: SECOND,
+            seen,
+            states,
+            timers,
+            probes,
+            log,
+            line,
+        }
     }
 
     fn tell(&mut self, event: Event) {
@@ -57,7 +66,10 @@
         if self.line.len() > MOST_WAITING {
             let request = self.line.pop_back().expect("somebody waits");
             let over = self.seen[&request.0].over;
-            self.tell(Event::TurnedAway { request, drain: Some(SECOND / 4) });
+            self.tell(Event::TurnedAway {
+                request,
+                drain: Some(SECOND / 4),
+            });
             assert!(over || self.seen[&request.0].over, "answered at once");
         } else if self.balancer.has_turns()
             && let Some(request) = self.line.pop_front()
@@ -68,15 +80,27 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Attempt { request, server, begin_within, timeout } => {
+            Action::Attempt {
+                request,
+                server,
+                begin_within,
+                timeout,
+            } => {
                 let seen = self.seen.get_mut(&request.0).expect("a request that came");
-                assert!(!seen.over && !seen.stood && seen.out.is_none(), "{action:?}");
+                assert!(
+                    !seen.over && !seen.stood && seen.out.is_none(),
+                    "{action:?}"
+                );
                 assert_eq!(self.states[server], State::Ready, "{action:?}");
                 assert!(seen.attempts < 3 && self.now + timeout <= seen.give_up_at);
                 assert!(*begin_within > 0 && begin_within <= timeout, "{action:?}");
                 if let Some((first, sent_at)) = seen.may_have_run {
-                    let in_window = seen.class == SAFE || self.now + begin_within <= sent_at + SECOND;
-                    assert!(in_window, "its first byte could be sent after the window: {action:?}");
+                    let in_window =
+                        seen.class == SAFE || self.now + begin_within <= sent_at + SECOND;
+                    assert!(
+                        in_window,
+                        "its first byte could be sent after the window: {action:?}"
+                    );
                     let (first, to) = (entry(first.0), entry(server.0));
                     let inside = self.now < sent_at + SECOND;
                     let allowed = match seen.class {
@@ -88,11 +112,18 @@
                     };
                     assert!(allowed, "{action:?}");
                 }
-                (seen.attempts, seen.out, seen.sent_at) = (seen.attempts + 1, Some(*server), self.now);
+                (seen.attempts, seen.out, seen.sent_at) =
+                    (seen.attempts + 1, Some(*server), self.now);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let seen = self.seen.get_mut(&request.0).expect("a request that came");
-                assert!(!seen.over && seen.out.is_none() && seen.may_have_run.is_none(), "{action:?}");
+                assert!(
+                    !seen.over && seen.out.is_none() && seen.may_have_run.is_none(),
+                    "{action:?}"
+                );
                 assert!(retry_after.is_none_or(|span| span <= SECOND));
                 seen.over = true;
             }
@@ -103,8 +134,14 @@
             }
             Action::Wait(request) => {
                 let seen = &self.seen[&request.0];
-                assert!(!seen.over && !seen.stood && seen.out.is_none(), "{action:?}");
-                assert!(!self.balancer.has_turns() && !self.line.contains(request), "{action:?}");
+                assert!(
+                    !seen.over && !seen.stood && seen.out.is_none(),
+                    "{action:?}"
+                );
+                assert!(
+                    !self.balancer.has_turns() && !self.line.contains(request),
+                    "{action:?}"
+                );
                 self.line.push_back(*request);
             }
             Action::Wake { after, timer } => self.timers.push((self.now + after, *timer)),
@@ -119,7 +156,9 @@
 
     fn end(&mut self, id: u64, outcome: Outcome) {
         let seen = self.seen.get_mut(&id).expect("picked from those that came");
-        let Some(server) = seen.out.take() else { return };
+        let Some(server) = seen.out.take() else {
+            return;
+        };
         if !outcome.never_ran() {
             let sent_at = seen.sent_at;
             seen.may_have_run.get_or_insert((server, sent_at));
@@ -127,7 +166,13 @@
         let closed = seen.over || seen.stood || outcome == Outcome::Served;
         seen.over |= closed;
         let attempt = seen.attempts - 1;
-        self.tell(Event::Ended { request: RequestId(id), attempt, outcome, took: MS, closed });
+        self.tell(Event::Ended {
+            request: RequestId(id),
+            attempt,
+            outcome,
+            took: MS,
+            closed,
+        });
     }
 
     fn pass(&mut self, span: Nanos) {
@@ -135,8 +180,11 @@
         loop {
             // The host ends what runs past its client's time before it fires later timers.
             let late = |seen: &Seen| seen.out.is_some() && !seen.stood && !seen.over;
-            let late =
-                self.seen.iter().filter(|(_, seen)| late(seen)).map(|(id, seen)| (seen.give_up_at, *id));
+            let late = self
+                .seen
+                .iter()
+                .filter(|(_, seen)| late(seen))
+                .map(|(id, seen)| (seen.give_up_at, *id));
             let late = late.min().filter(|(at, _)| *at <= end);
             self.timers.sort();
             let due = self.timers.first().copied().filter(|(at, _)| *at <= end);
@@ -171,7 +219,11 @@
                 arrival.key = (pick % 3 > 0).then_some(ClientKey(u64::from(pick % 7)));
                 arrival.group = (pick % 4 == 0).then_some(GroupId(u64::from(pick % 5)));
                 arrival.give_up_at = self.now + MS * Nanos::from(span % 2000);
-                let seen = Seen { class, give_up_at: arrival.give_up_at, ..Seen::default() };
+                let seen = Seen {
+                    class,
+                    give_up_at: arrival.give_up_at,
+                    ..Seen::default()
+                };
                 self.seen.insert(id, seen);
                 self.tell(Event::Arrived(arrival));
             }
@@ -193,20 +245,34 @@
                 if seen.out.is_some() && !seen.over {
                     seen.stood = true;
                     let attempt = seen.attempts - 1;
-                    self.tell(Event::Established { request: RequestId(id), attempt });
+                    self.tell(Event::Established {
+                        request: RequestId(id),
+                        attempt,
+                    });
                 }
             }
             6 => {
                 let states = [State::Ready, State::Ready, State::Draining, State::Gone];
                 let started_at = if span % 3 == 0 { self.now } else { 0 };
                 let state = states[span as usize % 4];
-                let changed = Entry { state, started_at, ..entry(u32::from(pick % 6)) };
+                let changed = Entry {
+                    state,
+                    started_at,
+                    ..entry(u32::from(pick % 6))
+                };
                 self.states.insert(changed.server, state);
-                self.tell(Event::List { kind: ListKind::Changes, entries: vec![changed] });
+                self.tell(Event::List {
+                    kind: ListKind::Changes,
+                    entries: vec![changed],
+                });
             }
             7 => {
                 let note = Note::Delay(MS * Nanos::from(span % 300));
-                self.tell(Event::Noted { request: RequestId(id), attempt: 0, note });
+                self.tell(Event::Noted {
+                    request: RequestId(id),
+                    attempt: 0,
+                    note,
+                });
             }
             8 if self.seen.contains_key(&id) => {
                 self.seen.get_mut(&id).expect("just looked up").over = true;
@@ -227,7 +293,10 @@
     for server in 0..4 {
         world.states.insert(ServerId(server), State::Ready);
     }
-    world.tell(Event::List { kind: ListKind::Full, entries: (0..4).map(entry).collect() });
+    world.tell(Event::List {
+        kind: ListKind::Full,
+        entries: (0..4).map(entry).collect(),
+    });
     for step in steps {
         world.step(*step);
     }
@@ -258,7 +327,14 @@
         let mut actions = Vec::new();
         let mut balancer = Balancer::new(settings(), seed).expect("in range");
         let entries = (0..3).map(entry).collect();
-        balancer.handle(0, Event::List { kind: ListKind::Full, entries }, &mut actions);
+        balancer.handle(
+            0,
+            Event::List {
+                kind: ListKind::Full,
+                entries,
+            },
+            &mut actions,
+        );
         balancer.handle(0, Event::Arrived(arrival(1, SAFE, 0)), &mut actions);
         actions.clear();
         let full = Event::Ended {
@@ -269,7 +345,9 @@
             closed: false,
         };
         balancer.handle(MS, full, &mut actions);
-        let [Action::Wake { after, .. }] = actions[..] else { panic!("{actions:?}") };
+        let [Action::Wake { after, .. }] = actions[..] else {
+            panic!("{actions:?}")
+        };
         waits.push(after);
     }
     // Base: a quarter of the aim of 400 ms; n is 1 after one failure; the floor is a twentieth of the base.
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -6,7 +6,10 @@
 use common::*;
 
 fn asked() -> Settings {
-    Settings { discovery: Discovery::Asked, ..settings() }
+    Settings {
+        discovery: Discovery::Asked,
+        ..settings()
+    }
 }
 
 #[test]
@@ -15,11 +18,27 @@
     for seed in 0..8 {
         let mut actions = Vec::new();
         let mut balancer = beaconflow::Balancer::new(asked(), seed).expect("in range");
-        balancer.handle(0, Event::List { kind: ListKind::Cached, entries: vec![entry(0)] }, &mut actions);
+        balancer.handle(
+            0,
+            Event::List {
+                kind: ListKind::Cached,
+                entries: vec![entry(0)],
+            },
+            &mut actions,
+        );
         assert!(actions.contains(&Action::Watch));
         actions.clear();
-        balancer.handle(1, Event::List { kind: ListKind::Failed(0), entries: Vec::new() }, &mut actions);
-        let [Action::Wake { after, timer }] = actions[..] else { panic!("{actions:?}") };
+        balancer.handle(
+            1,
+            Event::List {
+                kind: ListKind::Failed(0),
+                entries: Vec::new(),
+            },
+            &mut actions,
+        );
+        let [Action::Wake { after, timer }] = actions[..] else {
+            panic!("{actions:?}")
+        };
         waits.insert(after);
         actions.clear();
         balancer.handle(1 + after, Event::Timer(timer), &mut actions);
@@ -39,7 +58,9 @@
 fn a_server_that_a_full_list_leaves_out_is_gone_and_one_left_out_of_changes_is_not() {
     let mut gateway = Gateway::with_servers(settings(), 2);
     gateway.list(ListKind::Changes, vec![entry(1)]);
-    let both: Vec<ServerId> = (0..4).flat_map(|id| attempts(&gateway.arrive(id, SAFE))).collect();
+    let both: Vec<ServerId> = (0..4)
+        .flat_map(|id| attempts(&gateway.arrive(id, SAFE)))
+        .collect();
     assert!(both.contains(&ServerId(0)) && both.contains(&ServerId(1)));
     gateway.list(ListKind::Full, vec![entry(1)]);
     for id in 10..14 {
@@ -52,8 +73,14 @@
     let mut gateway = Gateway::with_servers(settings(), 4);
     gateway.now = 100 * SECOND;
     gateway.stream(0..80, 25 * MS);
-    let cold = Entry { started_at: gateway.now - age, ..entry(0) };
-    gateway.list(kind, std::iter::once(cold).chain((1..4).map(entry)).collect());
+    let cold = Entry {
+        started_at: gateway.now - age,
+        ..entry(0)
+    };
+    gateway.list(
+        kind,
+        std::iter::once(cold).chain((1..4).map(entry)).collect(),
+    );
     let placed = attempts(&gateway.stream(100..140, 25 * MS));
     placed.iter().filter(|id| id.0 == 0).count()
 }
@@ -73,7 +100,10 @@
     let mut gateway = Gateway::with_servers(settings(), 2);
     gateway.now = 100 * SECOND;
     gateway.stream(0..100, 50 * MS);
-    let cold = |server| Entry { started_at: gateway.now - 4 * SECOND, ..entry(server) };
+    let cold = |server| Entry {
+        started_at: gateway.now - 4 * SECOND,
+        ..entry(server)
+    };
     let enlarged: Vec<Entry> = (2..12).map(cold).collect();
     gateway.list(ListKind::Changes, enlarged);
     let mut on_cold = 0;
@@ -85,20 +115,32 @@
         }
         actions.extend(gateway.pass(10 * MS));
         gateway.settle(&actions);
-        on_cold += attempts(&actions).iter().filter(|server| server.0 >= 2).count();
+        on_cold += attempts(&actions)
+            .iter()
+            .filter(|server| server.0 >= 2)
+            .count();
     }
     // What stood on two, on the ten: 100 / 2 / 20 s * 1.6 * 3 * 10 * 0.4 in a second, and more as the warm ones fill.
-    assert!((60..=140).contains(&on_cold), "{on_cold} of 200 in two seconds");
+    assert!(
+        (60..=140).contains(&on_cold),
+        "{on_cold} of 200 in two seconds"
+    );
 }
 
 #[test]
 fn a_fleet_that_is_cold_as_a_whole_is_still_used() {
     let mut gateway = Gateway::new(settings());
     gateway.now = 100 * SECOND;
-    let started = |server| Entry { started_at: gateway.now - 30 * SECOND, ..entry(server) };
+    let started = |server| Entry {
+        started_at: gateway.now - 30 * SECOND,
+        ..entry(server)
+    };
     gateway.list(ListKind::Full, (0..4).map(started).collect());
     gateway.stream(0..100, 100 * MS);
-    let anew = |server| Entry { started_at: gateway.now, ..entry(server) };
+    let anew = |server| Entry {
+        started_at: gateway.now,
+        ..entry(server)
+    };
     gateway.list(ListKind::Full, (0..4).map(anew).collect());
     let placed = [100..150, 150..250].map(|ids| attempts(&gateway.stream(ids, 100 * MS)).len());
     assert!(placed[0] > 5 && placed[1] > 5, "{placed:?}");
@@ -108,7 +150,10 @@
 fn a_fleet_first_seen_cold_is_used_with_care() {
     let mut gateway = Gateway::new(settings());
     gateway.now = 100 * SECOND;
-    let young = |server| Entry { started_at: gateway.now - SECOND, ..entry(server) };
+    let young = |server| Entry {
+        started_at: gateway.now - SECOND,
+        ..entry(server)
+    };
     gateway.list(ListKind::Cached, (0..4).map(young).collect());
     let placed = attempts(&gateway.stream(0..100, 100 * MS)).len();
     assert!((10..=80).contains(&placed), "{placed} of 100");
@@ -145,9 +190,14 @@
     gateway.now = 100 * SECOND;
     let ill = attempts(&gateway.arrive(0, SAFE))[0];
     gateway.end(0, 0, Outcome::ConnectFailed);
-    let warm_again = Entry { started_at: gateway.now - 30 * SECOND, ..entry(ill.0) };
+    let warm_again = Entry {
+        started_at: gateway.now - 30 * SECOND,
+        ..entry(ill.0)
+    };
     gateway.list(ListKind::Changes, vec![warm_again]);
-    let placed: Vec<ServerId> = (1..5).flat_map(|id| attempts(&gateway.arrive(id, SAFE))).collect();
+    let placed: Vec<ServerId> = (1..5)
+        .flat_map(|id| attempts(&gateway.arrive(id, SAFE)))
+        .collect();
     assert!(placed.contains(&ill));
 }
 
@@ -155,9 +205,21 @@
 fn nothing_goes_to_a_cold_server_at_the_moment_of_the_news() {
     let mut gateway = Gateway::with_servers(settings(), 3);
     gateway.now = 100 * SECOND;
-    gateway.list(ListKind::Changes, vec![Entry { state: State::Gone, ..entry(0) }]);
+    gateway.list(
+        ListKind::Changes,
+        vec![Entry {
+            state: State::Gone,
+            ..entry(0)
+        }],
+    );
     gateway.stream(0..200, 50 * MS);
-    gateway.list(ListKind::Changes, vec![Entry { started_at: gateway.now, ..entry(0) }]);
+    gateway.list(
+        ListKind::Changes,
+        vec![Entry {
+            started_at: gateway.now,
+            ..entry(0)
+        }],
+    );
     for id in 1000..1006 {
         assert_ne!(attempts(&gateway.arrive(id, SAFE)), [ServerId(0)]);
     }
@@ -183,7 +245,8 @@
     let mut sent = 0;
     for seed in 0..60 {
         let mut gateway = Gateway::with_servers(settings(), 1);
-        gateway.balancer = beaconflow::Balancer::new(settings(), seed).expect("the settings are in range");
+        gateway.balancer =
+            beaconflow::Balancer::new(settings(), seed).expect("the settings are in range");
         gateway.list(ListKind::Full, vec![entry(0)]);
         gateway.now = 100 * SECOND;
         for id in 0..10 {
@@ -191,13 +254,28 @@
             gateway.establish(id, 0);
             gateway.pass(10 * SECOND);
         }
-        gateway.list(ListKind::Changes, vec![Entry { started_at: gateway.now, ..entry(1) }]);
+        gateway.list(
+            ListKind::Changes,
+            vec![Entry {
+                started_at: gateway.now,
+                ..entry(1)
+            }],
+        );
         gateway.pass(10 * SECOND);
-        gateway.list(ListKind::Changes, vec![Entry { state: State::Gone, ..entry(0) }]);
+        gateway.list(
+            ListKind::Changes,
+            vec![Entry {
+                state: State::Gone,
+                ..entry(0)
+            }],
+        );
         sent += attempts(&gateway.arrive(100, SAFE)).len();
     }
     // A faded 9.5 clients a second stood on the warm server; 0.6 warm, three times that, for two seconds: 34.
-    assert!((1..=42).contains(&sent), "{sent} of 60 gateways send at once");
+    assert!(
+        (1..=42).contains(&sent),
+        "{sent} of 60 gateways send at once"
+    );
 }
 
 #[test]
@@ -205,23 +283,41 @@
     for state in [State::Draining, State::Gone] {
         let mut gateway = Gateway::with_servers(settings(), 2);
         for id in 0..20 {
-            let standing = Event::Standing { arrival: arrival(id, SAFE, gateway.now), server: ServerId(0) };
+            let standing = Event::Standing {
+                arrival: arrival(id, SAFE, gateway.now),
+                server: ServerId(0),
+            };
             gateway.tell(standing);
         }
         gateway.list(ListKind::Changes, vec![Entry { state, ..entry(0) }]);
         let moves: Vec<usize> = (0..30).map(|_| gateway.pass(SECOND).len()).collect();
-        assert!(moves[0] <= 14 && moves.iter().sum::<usize>() == 20, "{state:?}: {moves:?}");
+        assert!(
+            moves[0] <= 14 && moves.iter().sum::<usize>() == 20,
+            "{state:?}: {moves:?}"
+        );
         // Those that replace it are cold: the one that stays would have all of them at once.
         gateway.pass(10 * SECOND);
-        let cold = |server| Entry { started_at: gateway.now, ..entry(server) };
-        let released = (2..6).map(cold).chain([Entry { state, ..entry(1) }]).collect();
+        let cold = |server| Entry {
+            started_at: gateway.now,
+            ..entry(server)
+        };
+        let released = (2..6)
+            .map(cold)
+            .chain([Entry { state, ..entry(1) }])
+            .collect();
         gateway.list(ListKind::Changes, released);
         for id in 100..200 {
-            let standing = Event::Standing { arrival: arrival(id, SAFE, gateway.now), server: ServerId(1) };
+            let standing = Event::Standing {
+                arrival: arrival(id, SAFE, gateway.now),
+                server: ServerId(1),
+            };
             gateway.tell(standing);
         }
         let at_once = gateway.pass(SECOND).len();
         let most = if state == State::Gone { 65 } else { 15 };
-        assert!((1..=most).contains(&at_once), "{state:?}: {at_once} of 100 in a second");
+        assert!(
+            (1..=most).contains(&at_once),
+            "{state:?}: {at_once} of 100 in a second"
+        );
     }
 }
--- a/tests/pins.rs
+++ b/tests/pins.rs
@@ -7,11 +7,20 @@
 use proptest::prelude::*;
 
 fn pinned(request: u64, server: Option<u32>, strict: bool, now: Nanos) -> Arrival {
-    Arrival { pin: Some(Pin { server: server.map(ServerId), strict }), ..arrival(request, SAFE, now) }
+    Arrival {
+        pin: Some(Pin {
+            server: server.map(ServerId),
+            strict,
+        }),
+        ..arrival(request, SAFE, now)
+    }
 }
 
 fn with_state(server: u32, state: State) -> Entry {
-    Entry { state, ..entry(server) }
+    Entry {
+        state,
+        ..entry(server)
+    }
 }
 
 #[test]
@@ -25,13 +34,25 @@
     let mut actions = gateway.list(ListKind::Changes, vec![with_state(0, State::Out)]);
     actions.extend(gateway.pass(10 * SECOND));
     actions.extend(gateway.stream(10..30, 10 * MS));
-    assert!(attempts(&actions).iter().all(|server| *server == ServerId(1)));
-    let moved = |action: &&Action| matches!(action, Action::Move(RequestId(request), _) if *request < 10);
-    assert_eq!(actions.iter().filter(moved).count(), 0, "its connections are the operator's");
+    assert!(
+        attempts(&actions)
+            .iter()
+            .all(|server| *server == ServerId(1))
+    );
+    let moved =
+        |action: &&Action| matches!(action, Action::Move(RequestId(request), _) if *request < 10);
+    assert_eq!(
+        actions.iter().filter(moved).count(),
+        0,
+        "its connections are the operator's"
+    );
     // One that drains is emptied, also if it was out before.
     let mut actions = gateway.list(ListKind::Changes, vec![with_state(0, State::Draining)]);
     actions.extend(gateway.pass(10 * SECOND));
-    let from = actions.iter().filter(|action| matches!(action, Action::Move(..))).count();
+    let from = actions
+        .iter()
+        .filter(|action| matches!(action, Action::Move(..)))
+        .count();
     assert!(from >= there, "{from} of {there}");
 }
 
@@ -39,7 +60,10 @@
 fn a_preferred_server_is_left_after_one_failure_and_a_strict_one_is_not() {
     for strict in [false, true] {
         let mut gateway = Gateway::with_servers(settings(), 3);
-        assert_eq!(gateway.stand(pinned(1, Some(2), strict, gateway.now)), [ServerId(2)]);
+        assert_eq!(
+            gateway.stand(pinned(1, Some(2), strict, gateway.now)),
+            [ServerId(2)]
+        );
         let first = gateway.tell(Event::Arrived(pinned(2, Some(2), strict, gateway.now)));
         assert_eq!(attempts(&first), [ServerId(2)]);
         let mut actions = gateway.end(2, 0, Outcome::Full);
@@ -73,25 +97,47 @@
 fn a_pin_that_comes_or_goes_is_followed_by_a_request_that_waits() {
     let mut gateway = Gateway::with_servers(settings(), 2);
     gateway.list(ListKind::Full, Vec::new());
-    assert!(attempts(&gateway.arrive(1, SAFE)).is_empty(), "there is no server");
+    assert!(
+        attempts(&gateway.arrive(1, SAFE)).is_empty(),
+        "there is no server"
+    );
     gateway.tell(Event::Pinned {
         request: RequestId(1),
-        pin: Some(Pin { server: Some(ServerId(1)), strict: true }),
+        pin: Some(Pin {
+            server: Some(ServerId(1)),
+            strict: true,
+        }),
     });
     gateway.list(ListKind::Full, (0..2).map(entry).collect());
     assert_eq!(attempts(&gateway.pass(SECOND)), [ServerId(1)]);
     gateway.end(1, 0, Outcome::Full);
-    gateway.tell(Event::Pinned { request: RequestId(1), pin: None });
-    assert_eq!(attempts(&gateway.pass(SECOND)), [ServerId(0)], "the one that did not just fail");
+    gateway.tell(Event::Pinned {
+        request: RequestId(1),
+        pin: None,
+    });
+    assert_eq!(
+        attempts(&gateway.pass(SECOND)),
+        [ServerId(0)],
+        "the one that did not just fail"
+    );
     // News of a request that is gone.
-    gateway.tell(Event::Pinned { request: RequestId(9), pin: None });
+    gateway.tell(Event::Pinned {
+        request: RequestId(9),
+        pin: None,
+    });
 }
 
 #[test]
 fn a_cold_pinned_server_keeps_its_budget() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     gateway.stream(0..40, 20 * MS);
-    gateway.list(ListKind::Changes, vec![Entry { started_at: gateway.now, ..entry(3) }]);
+    gateway.list(
+        ListKind::Changes,
+        vec![Entry {
+            started_at: gateway.now,
+            ..entry(3)
+        }],
+    );
     let mut there = 0;
     for request in 100..200 {
         let went = gateway.stand(pinned(request, Some(3), false, gateway.now));
@@ -104,16 +150,33 @@
 #[test]
 fn a_weight_that_rises_brings_the_next_turn_nearer_and_moves_nothing_away() {
     let mut gateway = Gateway::with_servers(settings(), 2);
-    let weighed = |weight, rises_to| Entry { weight, rises_to, ..entry(0) };
+    let weighed = |weight, rises_to| Entry {
+        weight,
+        rises_to,
+        ..entry(0)
+    };
     for request in 0..6 {
-        gateway.stand(Arrival { load: Some(100.0), ..arrival(request, SAFE, gateway.now) });
+        gateway.stand(Arrival {
+            load: Some(100.0),
+            ..arrival(request, SAFE, gateway.now)
+        });
     }
     let mut actions = gateway.list(ListKind::Changes, vec![weighed(0.01, Some(1.0))]);
     actions.extend(gateway.pass(5 * SECOND));
-    assert!(!actions.iter().any(|action| matches!(action, Action::Move(..))), "{actions:?}");
+    assert!(
+        !actions
+            .iter()
+            .any(|action| matches!(action, Action::Move(..))),
+        "{actions:?}"
+    );
     gateway.list(ListKind::Changes, vec![weighed(1.0, None)]);
-    let went: Vec<ServerId> = (10..20).flat_map(|id| gateway.stand(arrival(id, SAFE, gateway.now))).collect();
-    assert!(went.iter().filter(|server| **server == ServerId(0)).count() >= 3, "{went:?}");
+    let went: Vec<ServerId> = (10..20)
+        .flat_map(|id| gateway.stand(arrival(id, SAFE, gateway.now)))
+        .collect();
+    assert!(
+        went.iter().filter(|server| **server == ServerId(0)).count() >= 3,
+        "{went:?}"
+    );
 }
 
 proptest! {
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -9,7 +9,10 @@
 fn a_set_up_that_never_ran_waits_and_takes_another_server() {
     let mut gateway = Gateway::with_servers(settings(), 3);
     let first = attempts(&gateway.arrive(1, UNSAFE))[0];
-    assert!(gateway.end(1, 0, Outcome::ConnectFailed).is_empty(), "it waits first");
+    assert!(
+        gateway.end(1, 0, Outcome::ConnectFailed).is_empty(),
+        "it waits first"
+    );
     let again = gateway.pass(2 * SECOND);
     assert_eq!(attempts(&again).len(), 1);
     assert_ne!(attempts(&again)[0], first);
@@ -17,12 +20,20 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_never_refused() {
-    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let mut gateway = Gateway::with_servers(settings(), 3);
         gateway.arrive(1, UNSAFE);
         let answer = gateway.end(1, 0, outcome);
         assert!(failed(&answer, 1), "{outcome:?}");
-        assert!(attempts(&gateway.pass(3 * SECOND)).is_empty(), "{outcome:?}");
+        assert!(
+            attempts(&gateway.pass(3 * SECOND)).is_empty(),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -64,7 +75,11 @@
             gateway.end(seed, 0, Outcome::Reset);
             for to in attempts(&gateway.pass(SECOND)) {
                 let (a, b) = (entry(first.0), entry(to.0));
-                let kept = if same == 2 { a.zone == b.zone } else { a.cell == b.cell };
+                let kept = if same == 2 {
+                    a.zone == b.zone
+                } else {
+                    a.cell == b.cell
+                };
                 assert!(kept, "{first:?} then {to:?}");
             }
         }
@@ -98,7 +113,11 @@
         }
         // None is made where the delay drawn would outlast the window. It was made within the last millisecond.
         for span in again {
-            assert!(gateway.now - MS + span <= sent_at + window, "{span} after {}", gateway.now - sent_at);
+            assert!(
+                gateway.now - MS + span <= sent_at + window,
+                "{span} after {}",
+                gateway.now - sent_at
+            );
         }
     }
 }
@@ -116,7 +135,13 @@
     for class in [SAFE, UNSAFE, KEYED_CELL] {
         let mut gateway = Gateway::with_servers(settings(), 3);
         let first = attempts(&gateway.arrive(1, class))[0];
-        gateway.list(ListKind::Changes, vec![Entry { state: State::Draining, ..entry(first.0) }]);
+        gateway.list(
+            ListKind::Changes,
+            vec![Entry {
+                state: State::Draining,
+                ..entry(first.0)
+            }],
+        );
         let again = attempts(&gateway.end(1, 0, Outcome::NotSent));
         assert_eq!(again.len(), 1, "class {class}");
         assert_ne!(again[0], first);
@@ -174,7 +199,13 @@
     let first = attempts(&gateway.arrive(1, SAFE))[0];
     gateway.end(1, 0, Outcome::Full);
     let other = entry(1 - first.0);
-    gateway.list(ListKind::Changes, vec![Entry { state: State::Draining, ..other.clone() }]);
+    gateway.list(
+        ListKind::Changes,
+        vec![Entry {
+            state: State::Draining,
+            ..other.clone()
+        }],
+    );
     for to in attempts(&gateway.pass(2 * SECOND)) {
         assert_ne!(to, other.server);
     }
@@ -189,7 +220,9 @@
         gateway.end(id, 0, Outcome::Full);
         for other in id + 1..id + 25 {
             let mut actions = gateway.pass(10 * MS);
-            actions.retain(|action| matches!(action, Action::Attempt { request, .. } if request.0 == id));
+            actions.retain(
+                |action| matches!(action, Action::Attempt { request, .. } if request.0 == id),
+            );
             assert!(!attempts(&actions).contains(&first), "round {round}");
             gateway.arrive(other, SAFE);
             gateway.close(other, 0, Outcome::Served);
@@ -205,12 +238,17 @@
     for round in 0..40 {
         let known = gateway.timers.len();
         for attempt in 0..3 {
-            let client =
-                Arrival { key: Some(ClientKey(5)), ..arrival(10 * round + attempt, SAFE, gateway.now) };
+            let client = Arrival {
+                key: Some(ClientKey(5)),
+                ..arrival(10 * round + attempt, SAFE, gateway.now)
+            };
             gateway.tell(Event::Arrived(client));
             let waiting = gateway.timers.len();
             gateway.end(10 * round + attempt, 0, Outcome::Full);
-            let wait = gateway.timers.get(waiting).map_or(0, |(due, _)| due - gateway.now);
+            let wait = gateway
+                .timers
+                .get(waiting)
+                .map_or(0, |(due, _)| due - gateway.now);
             assert!(attempt > 0 || wait <= 200 * MS, "round {round}: {wait}");
             gateway.tell(Event::ClientLeft(RequestId(10 * round + attempt)));
         }
@@ -222,8 +260,14 @@
 #[test]
 fn set_ups_that_fail_for_all_close_the_window_and_those_that_stand_open_it() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let made: Vec<u64> = (0..100).filter(|id| !attempts(&gateway.arrive(*id, SAFE)).is_empty()).collect();
-    assert!((2..50).contains(&made.len()), "{} set-ups at once", made.len());
+    let made: Vec<u64> = (0..100)
+        .filter(|id| !attempts(&gateway.arrive(*id, SAFE)).is_empty())
+        .collect();
+    assert!(
+        (2..50).contains(&made.len()),
+        "{} set-ups at once",
+        made.len()
+    );
     // Each failure is spaced so that it counts; what waits is placed as others end, but fewer at a time.
     let mut out = made.len();
     for id in &made {
@@ -232,7 +276,11 @@
     }
     assert!(out * 3 <= made.len(), "{out} of {} still out", made.len());
     let mut fresh = Gateway::with_servers(settings(), 4);
-    let first = (0..100).filter(|id| !attempts(&fresh.arrive(*id, SAFE)).is_empty()).count() as u64;
-    let more: usize = (0..first).map(|id| attempts(&fresh.establish(id, 0)).len()).sum();
+    let first = (0..100)
+        .filter(|id| !attempts(&fresh.arrive(*id, SAFE)).is_empty())
+        .count() as u64;
+    let more: usize = (0..first)
+        .map(|id| attempts(&fresh.establish(id, 0)).len())
+        .sum();
     assert!(more as u64 > first, "{more} after {first}");
 }
--- a/tests/resets.rs
+++ b/tests/resets.rs
@@ -13,7 +13,10 @@
     let mut there = vec![Vec::new(); SERVERS as usize];
     for request in 0..SERVERS * 20 {
         let server = request % SERVERS;
-        let event = Event::Standing { arrival: arrival(request, SAFE, 0), server: ServerId(server as u32) };
+        let event = Event::Standing {
+            arrival: arrival(request, SAFE, 0),
+            server: ServerId(server as u32),
+        };
         gateway.tell(event);
         there[server as usize].push(request);
     }
@@ -21,11 +24,19 @@
 }
 
 /// Breaks the oldest connection of a server; a new client comes. Gives where it went, if anywhere at once.
-fn breaks(gateway: &mut Gateway, there: &mut [Vec<u64>], server: usize, next: &mut u64) -> Option<ServerId> {
+fn breaks(
+    gateway: &mut Gateway,
+    there: &mut [Vec<u64>],
+    server: usize,
+    next: &mut u64,
+) -> Option<ServerId> {
     let request = there[server].remove(0);
     gateway.close(request, 0, Outcome::Reset);
     *next += 1;
-    let went = gateway.stand(arrival(*next, SAFE, gateway.now)).first().copied();
+    let went = gateway
+        .stand(arrival(*next, SAFE, gateway.now))
+        .first()
+        .copied();
     if let Some(to) = went {
         there[to.0 as usize].push(*next);
     }
@@ -42,7 +53,10 @@
         held_up += usize::from(at >= 24 && went.is_none());
         gateway.pass(100 * MS);
     }
-    assert_eq!(held_up, 0, "of 56 newcomers once the network's breaks are known for what they are");
+    assert_eq!(
+        held_up, 0,
+        "of 56 newcomers once the network's breaks are known for what they are"
+    );
 }
 
 #[test]
@@ -76,5 +90,8 @@
         }
         gateway.pass(100 * MS);
     }
-    assert!(to_it * 20 <= to_others, "{to_it} to it, {to_others} to the others");
+    assert!(
+        to_it * 20 <= to_others,
+        "{to_it} to it, {to_others} to the others"
+    );
 }
--- a/tests/robustness.rs
+++ b/tests/robustness.rs
@@ -14,7 +14,10 @@
         gateway.arrive(id, SAFE);
         gateway.end(id, 0, Outcome::ConnectFailed);
         let logged = gateway.pass(SECOND);
-        lines += logged.iter().filter(|action| matches!(action, Action::Log(_))).count();
+        lines += logged
+            .iter()
+            .filter(|action| matches!(action, Action::Log(_)))
+            .count();
     }
     assert!((1..=6).contains(&lines), "{lines} lines in a minute");
 }
@@ -26,9 +29,22 @@
     let load = Note::Load(f64::NAN);
     let took = MS;
     let events = [
-        Event::Established { request, attempt: 0 },
-        Event::Noted { request, attempt: u32::MAX, note: load },
-        Event::Ended { request, attempt: u32::MAX, outcome: Outcome::Reset, took, closed: false },
+        Event::Established {
+            request,
+            attempt: 0,
+        },
+        Event::Noted {
+            request,
+            attempt: u32::MAX,
+            note: load,
+        },
+        Event::Ended {
+            request,
+            attempt: u32::MAX,
+            outcome: Outcome::Reset,
+            took,
+            closed: false,
+        },
         Event::ClientLeft(request),
         Event::Timer(TimerId(12_345)),
     ];
@@ -36,9 +52,20 @@
         assert!(gateway.tell(event).is_empty());
     }
     gateway.arrive(1, SAFE);
-    assert!(gateway.tell(Event::Arrived(arrival(1, SAFE, gateway.now))).is_empty(), "the same id twice");
-    assert!(gateway.end(1, 7, Outcome::Reset).is_empty(), "an attempt that was never made");
-    let odd = Arrival { class: ClassId(50), ..arrival(2, SAFE, gateway.now) };
+    assert!(
+        gateway
+            .tell(Event::Arrived(arrival(1, SAFE, gateway.now)))
+            .is_empty(),
+        "the same id twice"
+    );
+    assert!(
+        gateway.end(1, 7, Outcome::Reset).is_empty(),
+        "an attempt that was never made"
+    );
+    let odd = Arrival {
+        class: ClassId(50),
+        ..arrival(2, SAFE, gateway.now)
+    };
     assert!(failed(&gateway.tell(Event::Arrived(odd)), 2));
 }
 
@@ -46,7 +73,10 @@
 fn a_connection_on_a_server_that_was_never_listed_is_harmless() {
     let mut gateway = Gateway::with_servers(settings(), 2);
     let arrival = arrival(1, SAFE, gateway.now);
-    gateway.tell(Event::Standing { arrival, server: ServerId(40) });
+    gateway.tell(Event::Standing {
+        arrival,
+        server: ServerId(40),
+    });
     gateway.note(1, Note::Delay(SECOND));
     assert!(gateway.close(1, 0, Outcome::Reset).is_empty());
     assert_eq!(attempts(&gateway.arrive(2, SAFE)).len(), 1);
@@ -66,7 +96,10 @@
     let mut gateway = Gateway::with_servers(settings(), 5);
     let mut longest = [0; 2];
     for id in 0..200 {
-        let keyless = Arrival { key: None, ..arrival(id, SAFE, gateway.now) };
+        let keyless = Arrival {
+            key: None,
+            ..arrival(id, SAFE, gateway.now)
+        };
         gateway.tell(Event::Arrived(keyless));
         for (attempt, longest) in longest.iter_mut().enumerate() {
             let known = gateway.timers.len();
@@ -78,7 +111,10 @@
         }
         gateway.tell(Event::ClientLeft(RequestId(id)));
     }
-    assert!(longest[0] <= 200 * MS && longest[1] > 200 * MS, "{longest:?}");
+    assert!(
+        longest[0] <= 200 * MS && longest[1] > 200 * MS,
+        "{longest:?}"
+    );
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -16,16 +16,34 @@
     let mut balancer = Balancer::new(settings(), 5).expect("in range");
     let mut actions = Vec::new();
     let mut tell = |now: Nanos, event: Event| balancer.handle(now, event, &mut actions);
-    tell(0, Event::List { kind: ListKind::Full, entries: (0..4).map(entry).collect() });
+    tell(
+        0,
+        Event::List {
+            kind: ListKind::Full,
+            entries: (0..4).map(entry).collect(),
+        },
+    );
     for number in 0..200 {
         let now = number * 10 * MS;
-        tell(now, Event::Arrived(arrival(number, number as usize % 5, now)));
+        tell(
+            now,
+            Event::Arrived(arrival(number, number as usize % 5, now)),
+        );
         if let Some(settings) = replaced_by.filter(|_| number % 50 == 7) {
             tell(now, Event::Settings(Box::new(settings.clone())));
         }
         let outcome = [Outcome::Reset, Outcome::Full, Outcome::TimedOut][number as usize % 3];
         let (request, took) = (RequestId(number), 5 * MS);
-        tell(now + MS, Event::Ended { request, attempt: 0, outcome, took, closed: false });
+        tell(
+            now + MS,
+            Event::Ended {
+                request,
+                attempt: 0,
+                outcome,
+                took,
+                closed: false,
+            },
+        );
     }
     actions
 }
@@ -52,12 +70,21 @@
 fn whoever_waits_beyond_the_new_limit_of_attempts_is_answered_at_once() {
     let mut gateway = Gateway::with_servers(settings(), 3);
     gateway.arrive(1, SAFE);
-    assert!(gateway.end(1, 0, Outcome::Full).is_empty(), "it waits for its second attempt");
+    assert!(
+        gateway.end(1, 0, Outcome::Full).is_empty(),
+        "it waits for its second attempt"
+    );
     let mut fewer = settings();
     fewer.limits.max_attempts = 1;
     let answered = replace(&mut gateway, fewer);
     assert!(refused(&answered, 1), "{answered:?}");
-    assert!(gateway.pass(5 * SECOND).iter().all(|action| matches!(action, Action::Log(_))), "and once");
+    assert!(
+        gateway
+            .pass(5 * SECOND)
+            .iter()
+            .all(|action| matches!(action, Action::Log(_))),
+        "and once"
+    );
 }
 
 #[test]
@@ -68,10 +95,16 @@
     }
     let mut fewer = settings();
     fewer.limits.max_attempts = 1;
-    assert!(replace(&mut gateway, fewer).is_empty(), "nothing is called off");
+    assert!(
+        replace(&mut gateway, fewer).is_empty(),
+        "nothing is called off"
+    );
     gateway.establish(1, 0);
     let after = gateway.end(2, 0, Outcome::Full);
-    assert!(refused(&after, 2) && attempts(&after).is_empty(), "{after:?}");
+    assert!(
+        refused(&after, 2) && attempts(&after).is_empty(),
+        "{after:?}"
+    );
     // The one that stands is the same as ever.
     assert!(gateway.close(1, 0, Outcome::Served).is_empty());
 }
@@ -118,7 +151,12 @@
     other.gateways = 40;
     assert!(replace(&mut gateway, other).is_empty());
     let later = gateway.pass(3 * SECOND);
-    assert!(later.iter().all(|action| !matches!(action, Action::Move(..))), "{later:?}");
+    assert!(
+        later
+            .iter()
+            .all(|action| !matches!(action, Action::Move(..))),
+        "{later:?}"
+    );
     for request in 0..30 {
         // A second end would be that of a connection which the module has forgotten, and could not be failed.
         assert!(failed(&gateway.end(request, 0, Outcome::Reset), request));
@@ -129,7 +167,10 @@
 fn new_classes_are_known_from_then_on() {
     let mut gateway = Gateway::with_servers(settings(), 2);
     let mut more = settings();
-    more.classes.push(Class { aim: MS, ..more.classes[SAFE].clone() });
+    more.classes.push(Class {
+        aim: MS,
+        ..more.classes[SAFE].clone()
+    });
     let new = more.classes.len() - 1;
     assert!(failed(&gateway.arrive(1, new), 1));
     replace(&mut gateway, more);
@@ -141,7 +182,9 @@
 
 /// Fails set-ups until the window is as small as it gets; gives how many are let out at once then.
 fn let_out(gateway: &mut Gateway, from: u64) -> usize {
-    (from..from + 60).map(|request| attempts(&gateway.arrive(request, SAFE)).len()).sum()
+    (from..from + 60)
+        .map(|request| attempts(&gateway.arrive(request, SAFE)).len())
+        .sum()
 }
 
 #[test]
@@ -169,29 +212,45 @@
 #[test]
 fn a_server_is_passed_over_no_longer_than_the_new_deadlines_say() {
     let mut long = settings();
-    long.classes.iter_mut().for_each(|class| class.deadline = 600 * SECOND);
+    long.classes
+        .iter_mut()
+        .for_each(|class| class.deadline = 600 * SECOND);
     let mut gateway = Gateway::with_servers(long, 2);
     let mut ill = None;
     for request in 0..40 {
         let at = attempts(&gateway.arrive(request, UNSAFE));
         let first = *ill.get_or_insert(at[0]);
-        let outcome = if at[0] == first { Outcome::Error } else { Outcome::Served };
+        let outcome = if at[0] == first {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        };
         gateway.end(request, 0, outcome);
         gateway.pass(MS);
     }
     let ill = ill.expect("somebody failed");
     replace(&mut gateway, settings());
     gateway.pass(3 * SECOND);
-    let placed: Vec<ServerId> = (100..120).flat_map(|id| attempts(&gateway.arrive(id, UNSAFE))).collect();
+    let placed: Vec<ServerId> = (100..120)
+        .flat_map(|id| attempts(&gateway.arrive(id, UNSAFE)))
+        .collect();
     assert!(placed.contains(&ill), "{ill:?} in {placed:?}");
 }
 
 #[test]
 fn a_call_for_the_list_that_was_put_off_by_earlier_settings_is_put_off_by_the_new_ones() {
-    let mut slow = Settings { discovery: Discovery::Asked, ..settings() };
+    let mut slow = Settings {
+        discovery: Discovery::Asked,
+        ..settings()
+    };
     slow.rules.ask_within = 0;
-    slow.classes.iter_mut().for_each(|class| class.deadline = 600 * SECOND);
-    let quick = Settings { discovery: Discovery::Asked, ..settings() };
+    slow.classes
+        .iter_mut()
+        .for_each(|class| class.deadline = 600 * SECOND);
+    let quick = Settings {
+        discovery: Discovery::Asked,
+        ..settings()
+    };
     let mut late = 0;
     for seed in 0..20 {
         let mut gateway = Gateway::with_servers(slow.clone(), 1);
@@ -215,7 +274,10 @@
     for request in 0..240 {
         let group = Some(GroupId((request % 9) << 40));
         let now = gateway.now;
-        let grouped = Arrival { group, ..arrival(request, request as usize % 3, now) };
+        let grouped = Arrival {
+            group,
+            ..arrival(request, request as usize % 3, now)
+        };
         let mut made = gateway.tell(Event::Arrived(grouped));
         match request % 5 {
             0 | 1 => gateway.settle(&made),
@@ -224,12 +286,21 @@
             _ => made.extend(gateway.end(request, 0, Outcome::Full)),
         }
         if request == 30 {
-            gateway.list(ListKind::Changes, vec![Entry { weight: 0.1, ..entry(0) }]);
+            gateway.list(
+                ListKind::Changes,
+                vec![Entry {
+                    weight: 0.1,
+                    ..entry(0)
+                }],
+            );
         }
         if request == 60 {
             // Two of the four, so that their part shows.
             let started_at = gateway.now;
-            let cold = |server| Entry { started_at, ..entry(server) };
+            let cold = |server| Entry {
+                started_at,
+                ..entry(server)
+            };
             gateway.list(ListKind::Changes, vec![cold(1), cold(2)]);
         }
         let later = gateway.pass(40 * MS);
@@ -261,7 +332,12 @@
         &|settings| settings.limits.connect_timeout = 700 * MS,
         &|settings| settings.rules.cold_share = 0.9,
         &|settings| settings.rules.tip_multiple = 1.1,
-        &|settings| settings.classes.iter_mut().for_each(|class| class.aim = 50 * MS),
+        &|settings| {
+            settings
+                .classes
+                .iter_mut()
+                .for_each(|class| class.aim = 50 * MS)
+        },
         &|settings| settings.classes[2].repeat = Repeat::Unsafe,
     ];
     let mut told_apart = Vec::new();
@@ -275,7 +351,11 @@
         assert_eq!(story(&mut replaced), began, "change {number}");
         told_apart.extend((began != usual).then_some(number));
     }
-    assert_eq!(told_apart, [1, 2, 3, 4, 5, 6, 7, 8, 9], "the story shows each of them");
+    assert_eq!(
+        told_apart,
+        [1, 2, 3, 4, 5, 6, 7, 8, 9],
+        "the story shows each of them"
+    );
 }
 
 #[test]
@@ -286,20 +366,39 @@
     gateway.arrive(1, SAFE);
     gateway.end(1, 0, Outcome::Full);
     let made = gateway.pass(SECOND);
-    assert!(matches!(made[..], [Action::Attempt { timeout, .. }] if timeout > SECOND), "{made:?}");
+    assert!(
+        matches!(made[..], [Action::Attempt { timeout, .. }] if timeout > SECOND),
+        "{made:?}"
+    );
 }
 
 /// Plays a short story under settings at an edge: every request gets one final answer or comes to stand.
 fn plays(settings: Settings) {
     let mut gateway = Gateway::with_servers(settings.clone(), 4);
     gateway.now = 100 * SECOND;
-    let cold = Entry { started_at: gateway.now - MS, ..entry(1) };
-    gateway.list(ListKind::Changes, vec![cold, Entry { state: State::Draining, ..entry(2) }]);
+    let cold = Entry {
+        started_at: gateway.now - MS,
+        ..entry(1)
+    };
+    gateway.list(
+        ListKind::Changes,
+        vec![
+            cold,
+            Entry {
+                state: State::Draining,
+                ..entry(2)
+            },
+        ],
+    );
     let mut actions = Vec::new();
     for request in 0..60 {
         let class = ClassId(request as usize % settings.classes.len());
         let give_up_at = gateway.now + settings.classes[class.0].deadline;
-        let comes = Event::Arrived(Arrival { class, give_up_at, ..arrival(request, SAFE, 0) });
+        let comes = Event::Arrived(Arrival {
+            class,
+            give_up_at,
+            ..arrival(request, SAFE, 0)
+        });
         let mut made = gateway.tell(comes);
         match request % 4 {
             0 => gateway.settle(&made),
@@ -312,7 +411,8 @@
     }
     actions.extend(gateway.pass(200 * SECOND));
     for request in 0..60 {
-        let answers = usize::from(refused(&actions, request)) + usize::from(failed(&actions, request));
+        let answers =
+            usize::from(refused(&actions, request)) + usize::from(failed(&actions, request));
         assert!(answers <= 1, "{request} under {settings:?}");
     }
     // One set-up at a time is all that a gateway of very many may have under way.
@@ -340,9 +440,24 @@
         &|settings| settings.gateways = u32::MAX,
         &|settings| settings.classes.truncate(1),
         &|settings| settings.classes = vec![settings.classes[0].clone(); 20],
-        &|settings| settings.classes.iter_mut().for_each(|class| class.deadline = 200 * MS),
-        &|settings| settings.classes.iter_mut().for_each(|class| class.deadline = 60 * SECOND),
-        &|settings| settings.classes.iter_mut().for_each(|class| (class.worth, class.aim) = (0.0, 1)),
+        &|settings| {
+            settings
+                .classes
+                .iter_mut()
+                .for_each(|class| class.deadline = 200 * MS)
+        },
+        &|settings| {
+            settings
+                .classes
+                .iter_mut()
+                .for_each(|class| class.deadline = 60 * SECOND)
+        },
+        &|settings| {
+            settings
+                .classes
+                .iter_mut()
+                .for_each(|class| (class.worth, class.aim) = (0.0, 1))
+        },
     ];
     for change in changes {
         let mut changed = settings();
@@ -365,7 +480,10 @@
     settings.rules.fall_time = 0;
     let mut gateway = Gateway::new(settings);
     gateway.now = 100 * SECOND;
-    let young = |server| Entry { started_at: gateway.now - SECOND, ..entry(server) };
+    let young = |server| Entry {
+        started_at: gateway.now - SECOND,
+        ..entry(server)
+    };
     gateway.list(ListKind::Cached, (0..4).map(young).collect());
     let placed = attempts(&gateway.stream(0..100, 100 * MS)).len();
     assert!(placed > 5, "{placed} of 100");
@@ -374,21 +492,43 @@
 #[test]
 fn after_failed_calls_the_list_is_asked_for_within_the_six_seconds_that_the_platform_gives_under_any_settings()
  {
-    let mut long = Settings { discovery: Discovery::Asked, ..settings() };
-    long.classes.iter_mut().for_each(|class| class.deadline = 600 * SECOND);
+    let mut long = Settings {
+        discovery: Discovery::Asked,
+        ..settings()
+    };
+    long.classes
+        .iter_mut()
+        .for_each(|class| class.deadline = 600 * SECOND);
     let mut longest = 0;
-    for (ask_within, gateways) in [(0, 1), (600 * SECOND, 1), (Nanos::MAX, 3), (0, 300), (600 * SECOND, 300)]
-    {
-        let mut settings = Settings { gateways, ..long.clone() };
+    for (ask_within, gateways) in [
+        (0, 1),
+        (600 * SECOND, 1),
+        (Nanos::MAX, 3),
+        (0, 300),
+        (600 * SECOND, 300),
+    ] {
+        let mut settings = Settings {
+            gateways,
+            ..long.clone()
+        };
         settings.rules.ask_within = ask_within;
         for seed in 0..20 {
             let mut balancer = Balancer::new(settings.clone(), seed).expect("in range");
             let mut actions = Vec::new();
-            for kind in [ListKind::Cached].into_iter().chain([ListKind::Failed(0); 8]) {
-                let entries = if kind == ListKind::Cached { vec![entry(0)] } else { Vec::new() };
+            for kind in [ListKind::Cached]
+                .into_iter()
+                .chain([ListKind::Failed(0); 8])
+            {
+                let entries = if kind == ListKind::Cached {
+                    vec![entry(0)]
+                } else {
+                    Vec::new()
+                };
                 balancer.handle(SECOND, Event::List { kind, entries }, &mut actions);
             }
-            let Some(Action::Wake { after, .. }) = actions.last() else { panic!("{actions:?}") };
+            let Some(Action::Wake { after, .. }) = actions.last() else {
+                panic!("{actions:?}")
+            };
             longest = longest.max(*after);
         }
     }
