--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -8,8 +8,8 @@
 use beaconflow_admission::Limits;
 use beaconflow_engine::{Decides, Instance};
 use beaconflow_policy::api::{
-    Action, Arrival, ClassId, ClientKey, Entry, Event, GroupId, ListKind, Nanos, Note, RequestId,
-    ServerId, State, TimerId, ZoneId,
+    Action, ClassId, ClientKey, ConnectRequest, ConnectionMetric, Event, GroupId, ListUpdate,
+    Nanos, RequestId, ServerEntry, ServerId, ServerState, TimerId, ZoneId,
 };
 use beaconflow_settings::{Setup, digest};
 
@@ -171,7 +171,7 @@
         let actions = &mut self.actions;
         let account = message.client_group.unwrap_or(0);
         let handled = catch_unwind(AssertUnwindSafe(|| match event {
-            Event::Arrived(arrival) => instance
+            Event::ConnectRequested(arrival) => instance
                 .instance
                 .arrives(now, arrival, account, false, actions),
             event => instance.instance.handle(now, event, actions),
@@ -201,57 +201,57 @@
     let attempt = || need(message.send_no, "send-no");
     Ok(Some(match &*message.what {
         "ANNOUNCE" => read_list(instance, tables, message)?,
-        "ASK" => Event::Arrived(read_arrival(message)?),
-        "TAKEN_OVER" => Event::Standing {
-            arrival: read_arrival(message)?,
+        "ASK" => Event::ConnectRequested(read_arrival(message)?),
+        "TAKEN_OVER" => Event::ConnectionAdopted {
+            request: read_arrival(message)?,
             server: instance.intern(need(message.server.as_deref(), "server")?),
         },
-        "ACK_FIRST" => Event::Established {
+        "ACK_FIRST" => Event::AttemptEstablished {
             request: request()?,
             attempt: attempt()?,
         },
         "HEARTBEAT" => {
             let value = need(message.value, "value")?;
-            let note = match need(message.kind, "kind")? {
-                1 => Note::Load(value),
-                2 => Note::Delay((value * 1e6) as Nanos),
+            let metric = match need(message.kind, "kind")? {
+                1 => ConnectionMetric::Load(value),
+                2 => ConnectionMetric::MessageLatency((value * 1e6) as Nanos),
                 _ => return Ok(None),
             };
-            Event::Noted {
+            Event::ConnectionMeasured {
                 request: request()?,
                 attempt: attempt()?,
-                note,
+                metric,
             }
         }
-        "RESULT" => Event::Ended {
+        "RESULT" => Event::AttemptEnded {
             request: request()?,
             attempt: attempt()?,
             outcome: wire::outcome(need(message.status, "status")?).ok_or("unknown status")?,
-            took: need(message.elapsed_ns, "elapsed-ns")?,
-            closed: message.closed,
+            elapsed: need(message.elapsed_ns, "elapsed-ns")?,
+            is_final: message.closed,
         },
-        "HEALTH_RESULT" => Event::Probed {
+        "HEALTH_RESULT" => Event::ProbeAnswered {
             server: instance.intern(need(message.server.as_deref(), "server")?),
             load: message.gauge.as_ref().and_then(|gauge| gauge.x0),
         },
         "CLIENT_LEFT" => Event::ClientLeft(request()?),
-        "DEADLINE_HIT" => Event::Timer(TimerId(need(message.mark, "mark")?)),
+        "DEADLINE_HIT" => Event::TimerFired(TimerId(need(message.mark, "mark")?)),
         _ => return Ok(None),
     }))
 }
 
-fn read_arrival(message: &Line) -> Result<Arrival, String> {
-    Ok(Arrival {
+fn read_arrival(message: &Line) -> Result<ConnectRequest, String> {
+    Ok(ConnectRequest {
         request: RequestId(need(message.req, "req")?),
-        give_up_at: need(message.give_up_at_ns, "give-up-at-ns")?,
+        deadline_at: need(message.give_up_at_ns, "give-up-at-ns")?,
         class: ClassId(need(message.grade, "grade")?),
-        key: message
+        client_key: message
             .resource
             .as_deref()
             .map(|text| ClientKey(digest(text))),
         group: message.group.as_deref().map(|text| GroupId(digest(text))),
-        returns: message.returned,
-        load: message.expected_ns.map(|span| span as f64 / 1e3),
+        is_reconnect: message.returned,
+        expected_load: message.expected_ns.map(|span| span as f64 / 1e3),
         pin: None,
     })
 }
@@ -261,13 +261,13 @@
     tables: &BTreeMap<u8, Vec<Item>>,
     message: &Line,
 ) -> Result<Event, String> {
-    let kind = match need(message.mode.as_deref(), "mode")? {
-        "delta" => ListKind::Changes,
-        "full" => ListKind::Full,
-        "cached" => ListKind::Cached,
+    let update = match need(message.mode.as_deref(), "mode")? {
+        "delta" => ListUpdate::Delta,
+        "full" => ListUpdate::Snapshot,
+        "cached" => ListUpdate::Cached,
         "failed" => {
-            return Ok(Event::List {
-                kind: ListKind::Failed(0),
+            return Ok(Event::ServerList {
+                update: ListUpdate::Failed(0),
                 entries: Vec::new(),
             });
         }
@@ -280,22 +280,22 @@
     let mut entries = Vec::with_capacity(items.len());
     for item in items {
         let state = match item.availability.as_str() {
-            "on" => State::Ready,
-            "fading" => State::Draining,
-            "off" => State::Gone,
+            "on" => ServerState::Ready,
+            "fading" => ServerState::Draining,
+            "off" => ServerState::Removed,
             other => return Err(format!("unknown availability {other:?}")),
         };
-        entries.push(Entry {
+        entries.push(ServerEntry {
             server: instance.intern(&item.server),
-            tag: digest(&item.server),
+            name_hash: digest(&item.server),
             state,
             zone: ZoneId(item.region_part),
             cell: item.block,
-            kind: item.family_type.into(),
+            machine_type: item.family_type.into(),
             weight: item.share,
-            rises_to: None,
+            target_weight: None,
             started_at: item.ready_at_ns,
         });
     }
-    Ok(Event::List { kind, entries })
+    Ok(Event::ServerList { update, entries })
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use beaconflow_policy::api::{Action, Nanos, Outcome};
+use beaconflow_policy::api::{Action, AttemptOutcome, Nanos};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -76,16 +76,16 @@
 }
 
 /// An outcome by its number on the wire.
-pub fn outcome(status: u32) -> Option<Outcome> {
+pub fn outcome(status: u32) -> Option<AttemptOutcome> {
     Some(match status {
-        1 => Outcome::Served,
-        2 => Outcome::Error,
-        3 => Outcome::Full,
-        4 => Outcome::TimedOut,
-        5 => Outcome::ConnectFailed,
-        6 => Outcome::Reset,
-        7 => Outcome::Cancelled,
-        8 => Outcome::NotSent,
+        1 => AttemptOutcome::Served,
+        2 => AttemptOutcome::ServerError,
+        3 => AttemptOutcome::Rejected,
+        4 => AttemptOutcome::TimedOut,
+        5 => AttemptOutcome::ConnectFailed,
+        6 => AttemptOutcome::Reset,
+        7 => AttemptOutcome::Cancelled,
+        8 => AttemptOutcome::NotSent,
         _ => return None,
     })
 }
@@ -99,7 +99,7 @@
 ) {
     use std::io::Write;
     let done = match action {
-        Action::Attempt {
+        Action::StartAttempt {
             request,
             server: to,
             timeout,
@@ -110,7 +110,7 @@
                 .and_then(|()| text(out, server(*to)))
                 .and_then(|()| write!(out, ",\"allow-for-ns\":{timeout}"))
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => {
@@ -124,27 +124,27 @@
             head(out, "REPORT_FAILURE", instance);
             write!(out, ",\"req\":{}", request.0)
         }
-        Action::Move(request, _) => {
+        Action::Migrate(request, _) => {
             head(out, "GO_AWAY", instance);
             write!(out, ",\"req\":{}", request.0)
         }
-        Action::Wake { after, timer } => {
+        Action::SetTimer { after, timer } => {
             head(out, "SLEEP", instance);
             write!(out, ",\"wait-ns\":{after},\"mark\":{}", timer.0)
         }
-        Action::Probe(of) => {
+        Action::ProbeServer(of) => {
             head(out, "TOUCH", instance);
             out.extend_from_slice(b",\"server\":");
             text(out, server(*of))
         }
-        Action::Watch => {
+        Action::WatchServerList => {
             head(out, "TRACK", instance);
             out.extend_from_slice(b",\"on\":true");
             Ok(())
         }
         // The host keeps the line at the door.
-        Action::Wait(_) => return,
-        Action::Log(line) => {
+        Action::Enqueue(_) => return,
+        Action::LogOverload(line) => {
             head(out, "WRITE_LOG", instance);
             out.extend_from_slice(b",\"body-text\":");
             text(out, line)
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use beaconflow_overrides::Effect;
-use beaconflow_policy::api::State;
+use beaconflow_policy::api::ServerState;
 use serde_json::{Value, json};
 
 use crate::core::{Look, ServerLook};
@@ -95,10 +95,10 @@
 
 /// A server as it is listed and as the decisions see it.
 fn row(front: &str, server: &ServerLook, overrides: Option<&Vec<&Shown>>) -> Value {
-    let side = |state: State, weight: f64| json!({ "state": name(state), "weight": weight });
+    let side = |state: ServerState, weight: f64| json!({ "state": name(state), "weight": weight });
     json!({
         "front": front, "name": server.name, "address": server.address.to_string(), "zone": server.zone,
-        "standing": server.standing, "leaving": server.state.1 != State::Ready,
+        "standing": server.standing, "leaving": server.state.1 != ServerState::Ready,
         "listed": side(server.state.0, server.weight.0), "effective": side(server.state.1, server.weight.1),
         "why": why_they_differ(front, server, overrides),
     })
@@ -152,11 +152,11 @@
     why
 }
 
-fn name(state: State) -> &'static str {
+fn name(state: ServerState) -> &'static str {
     match state {
-        State::Ready => "ready",
-        State::Out => "out",
-        State::Draining => "draining",
-        State::Gone => "gone",
+        ServerState::Ready => "ready",
+        ServerState::OutOfService => "out",
+        ServerState::Draining => "draining",
+        ServerState::Removed => "gone",
     }
 }
--- a/crates/balancer/src/core/admit.rs
+++ b/crates/balancer/src/core/admit.rs
@@ -47,7 +47,7 @@
         } else if held {
             self.reopen(id);
         } else if !self.waits_its_turn(id) {
-            self.decide(api::Event::Arrived(arrival));
+            self.decide(api::Event::ConnectRequested(arrival));
         }
     }
 
@@ -67,8 +67,8 @@
             self.order_move(id, "its server is not known here");
             return drop(self.ledger.close(id));
         };
-        if let Some(arrival) = self.ledger.adopt(id, server) {
-            self.decide(api::Event::Standing { arrival, server });
+        if let Some(request) = self.ledger.adopt(id, server) {
+            self.decide(api::Event::ConnectionAdopted { request, server });
             self.witness_stands(id, server);
             self.drain_stands(id);
         }
--- a/crates/balancer/src/core/book.rs
+++ b/crates/balancer/src/core/book.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beaconflow_policy::api::{self, Nanos, Note, Outcome, RequestId};
+use beaconflow_policy::api::{self, AttemptOutcome, ConnectionMetric, Nanos, RequestId};
 use tracing::{debug, info, warn};
 
 use super::fleet::Witness;
@@ -25,13 +25,13 @@
         let entries = self
             .farm
             .learn(list, self.now_ms(), |zone| self.in_force.setup().zone(zone));
-        let kind = match (known, reset) {
-            (true, _) => api::ListKind::Cached,
-            (false, true) => api::ListKind::Full,
-            (false, false) => api::ListKind::Changes,
+        let update = match (known, reset) {
+            (true, _) => api::ListUpdate::Cached,
+            (false, true) => api::ListUpdate::Snapshot,
+            (false, false) => api::ListUpdate::Delta,
         };
-        info!(part = self.name, generation, kind = ?kind, entries = count, "list taken in");
-        self.decide(api::Event::List { kind, entries });
+        info!(part = self.name, generation, kind = ?update, entries = count, "list taken in");
+        self.decide(api::Event::ServerList { update, entries });
         self.tell_ties_of_starts();
         self.follow_overrides();
         // A list that was never heard of, empty by default, is no knowledge of the farm.
@@ -42,10 +42,10 @@
     }
 
     /// There is no watch; the module asks for one.
-    pub(super) fn list_is_out(&mut self, kind: api::ListKind) {
+    pub(super) fn list_is_out(&mut self, kind: api::ListUpdate) {
         self.witness(|_| Some(Witness::Deaf));
-        self.decide(api::Event::List {
-            kind,
+        self.decide(api::Event::ServerList {
+            update: kind,
             entries: Vec::new(),
         });
     }
@@ -67,10 +67,13 @@
             let Some(arrival) = self.ledger.restart(id) else {
                 return;
             };
-            self.decide(api::Event::Standing { arrival, server });
+            self.decide(api::Event::ConnectionAdopted {
+                request: arrival,
+                server,
+            });
         } else {
             self.gate.stands(class, took);
-            self.decide(api::Event::Established {
+            self.decide(api::Event::AttemptEstablished {
                 request: RequestId(id),
                 attempt,
             });
@@ -79,7 +82,7 @@
         self.drain_stands(id);
     }
 
-    pub(super) fn ended(&mut self, id: u64, outcome: Outcome, took: Duration) {
+    pub(super) fn ended(&mut self, id: u64, outcome: AttemptOutcome, took: Duration) {
         let Some(ended) = self.ledger.ended(id, outcome) else {
             return;
         };
@@ -105,21 +108,21 @@
         if ended.stood {
             self.ledger.close(id);
         }
-        self.decide(api::Event::Ended {
+        self.decide(api::Event::AttemptEnded {
             request: RequestId(id),
             attempt: ended.attempt,
             outcome,
-            took: nanos(took),
-            closed: ended.stood,
+            elapsed: nanos(took),
+            is_final: ended.stood,
         });
     }
 
-    pub(super) fn noted(&mut self, id: u64, note: Note) {
+    pub(super) fn noted(&mut self, id: u64, metric: ConnectionMetric) {
         let Some((attempt, server)) = self.ledger.standing(id) else {
             return;
         };
-        debug!(part = self.name, transaction = id, ?note, "noted");
-        if let Note::Delay(delay) = note {
+        debug!(part = self.name, transaction = id, ?metric, "noted");
+        if let ConnectionMetric::MessageLatency(delay) = metric {
             let slow = Duration::from_nanos(delay) >= self.figures.slow();
             if !self
                 .farm
@@ -128,10 +131,10 @@
                 return;
             }
         }
-        self.decide(api::Event::Noted {
+        self.decide(api::Event::ConnectionMeasured {
             request: RequestId(id),
             attempt,
-            note,
+            metric,
         });
     }
 
--- a/crates/balancer/src/core/door.rs
+++ b/crates/balancer/src/core/door.rs
@@ -9,7 +9,7 @@
 use beaconflow_admission::{
     Counts, Door, Entry, Limits, Miss, OverShare, Quickest, Returning, Tallies, Tally,
 };
-use beaconflow_policy::api::{self, Class, Nanos, RequestId};
+use beaconflow_policy::api::{self, Nanos, RequestClass, RequestId};
 use beaconflow_settings::{InForce, digest};
 use tracing::{info, warn};
 
@@ -243,8 +243,8 @@
 }
 
 /// The classes' parts of the turns of the admission queue.
-fn urgencies(classes: &[Class]) -> Vec<f64> {
-    classes.iter().map(Class::urgency).collect()
+fn urgencies(classes: &[RequestClass]) -> Vec<f64> {
+    classes.iter().map(RequestClass::queue_weight).collect()
 }
 
 /// An account by number.
@@ -263,10 +263,10 @@
             } else if let Some(entry) = self.gate.door.expire(now) {
                 self.ledger.late(entry.id);
                 self.turn_away(now, &entry);
-            } else if self.balancer.has_turns()
+            } else if self.balancer.has_permits()
                 && let Some(entry) = self.gate.door.admit()
             {
-                self.handle(api::Event::Turn(RequestId(entry.id)));
+                self.handle(api::Event::PermitGranted(RequestId(entry.id)));
             } else {
                 break;
             }
@@ -282,13 +282,13 @@
     }
 
     fn turn_away(&mut self, now: Nanos, entry: &Entry) {
-        let drain = self
-            .gate
-            .tallies
-            .drain(now, entry.account, self.gate.door.ahead_of(entry));
-        self.handle(api::Event::TurnedAway {
+        let queue_drain_time =
+            self.gate
+                .tallies
+                .drain(now, entry.account, self.gate.door.ahead_of(entry));
+        self.handle(api::Event::QueueRejected {
             request: RequestId(entry.id),
-            drain,
+            queue_drain_time,
         });
     }
 
--- a/crates/balancer/src/core/events.rs
+++ b/crates/balancer/src/core/events.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use beaconflow_overrides::Judgement;
-use beaconflow_policy::api::{Nanos, Note, Outcome, ServerId};
+use beaconflow_policy::api::{AttemptOutcome, ConnectionMetric, Nanos, ServerId};
 use beaconflow_settings::InForce;
 use crossbeam_channel::Sender;
 
@@ -53,11 +53,11 @@
     /// The proxy pass stands.
     Established(u64),
     /// The proxy pass, or the connection that it became, has ended.
-    Ended(u64, Outcome, Duration),
+    Ended(u64, AttemptOutcome, Duration),
     /// Its application server has sent the client away by its own word; the end follows.
     SentAway(u64),
     /// News of a standing connection.
-    Noted(u64, Note),
+    Noted(u64, ConnectionMetric),
     /// The client left before its final answer.
     Left(u64),
     /// The connection's thread panicked; the client has been answered.
--- a/crates/balancer/src/core/farm.rs
+++ b/crates/balancer/src/core/farm.rs
@@ -8,7 +8,7 @@
 
 use beaconflow_affinity::ServerNow;
 use beaconflow_overrides::{Id, Judgement, Millis, Set, Standing, Strictness, judge};
-use beaconflow_policy::api::{Entry, Nanos, Pin, ServerId, State, ZoneId};
+use beaconflow_policy::api::{Nanos, Pin, ServerEntry, ServerId, ServerState, ZoneId};
 use beaconflow_settings::digest;
 
 use super::fleet::Seen;
@@ -70,9 +70,9 @@
 struct Known {
     server: Arc<ApplicationServer>,
     /// As it is listed.
-    listed: Entry,
+    listed: ServerEntry,
     /// As the module was told, with the overrides.
-    told: Entry,
+    told: ServerEntry,
     zone: String,
     /// Since when it has been ready without a break, if it is; 0 if ever since it was first heard of.
     ready_since: Option<Millis>,
@@ -114,7 +114,7 @@
     /// Its zone, by name.
     pub zone: String,
     /// Whether it takes new work, as listed and as the module was told.
-    pub state: (State, State),
+    pub state: (ServerState, ServerState),
     /// Its weight, as listed and as the module was told.
     pub weight: (f64, f64),
     /// Connections that stand there.
@@ -142,11 +142,12 @@
         list: List,
         now: Millis,
         zone: impl Fn(&str) -> Option<u32>,
-    ) -> Vec<Entry> {
+    ) -> Vec<ServerEntry> {
         if list.reset {
             // The marks follow below. Guards against a pass that finds its server gone for as long as the list is read.
             for known in &mut self.known {
-                (known.listed.state, known.told.state) = (State::Gone, State::Gone);
+                (known.listed.state, known.told.state) =
+                    (ServerState::Removed, ServerState::Removed);
             }
         }
         let reset = list.reset;
@@ -159,7 +160,7 @@
             let gone = self
                 .known
                 .iter_mut()
-                .filter(|known| known.told.state == State::Gone);
+                .filter(|known| known.told.state == ServerState::Removed);
             for known in gone {
                 known.ready_since = None;
                 // Only now: one that is listed again is not marked in between, under a pass that is about to begin.
@@ -174,7 +175,7 @@
         listed: Listed,
         now: Millis,
         zone: &impl Fn(&str) -> Option<u32>,
-    ) -> Option<Entry> {
+    ) -> Option<ServerEntry> {
         let number = self.numbers.get(&listed.instance_id).copied();
         let before = number.and_then(|number| self.known.get(number.0 as usize));
         let address = listed
@@ -183,19 +184,19 @@
         let number = number.unwrap_or(ServerId(
             u32::try_from(self.known.len()).unwrap_or(u32::MAX),
         ));
-        let entry = Entry {
+        let entry = ServerEntry {
             server: number,
-            tag: digest(&listed.instance_id),
+            name_hash: digest(&listed.instance_id),
             state: match listed.lifecycle {
-                Lifecycle::Serving => State::Ready,
-                Lifecycle::Draining => State::Draining,
-                Lifecycle::Deleted => State::Gone,
+                Lifecycle::Serving => ServerState::Ready,
+                Lifecycle::Draining => ServerState::Draining,
+                Lifecycle::Deleted => ServerState::Removed,
             },
             zone: ZoneId(zone(&listed.zone).unwrap_or(u32::MAX)),
             cell: listed.cell,
-            kind: digest(&listed.machine_type),
+            machine_type: digest(&listed.machine_type),
             weight: listed.weight,
-            rises_to: None,
+            target_weight: None,
             started_at: listed.started_at_ms.saturating_mul(1_000_000),
         };
         let standing = self.standing(&listed.instance_id, now);
@@ -209,7 +210,7 @@
             .map(|known| Arc::clone(&known.server.mark))
             .unwrap_or_default();
         mark.leaving
-            .store(told.state != State::Ready, Ordering::SeqCst);
+            .store(told.state != ServerState::Ready, Ordering::SeqCst);
         let server = Arc::new(ApplicationServer {
             name: listed.instance_id.as_str().into(),
             address,
@@ -227,7 +228,7 @@
         match self.known.get_mut(number.0 as usize) {
             Some(old) => *old = known,
             None => {
-                self.tags.insert(known.listed.tag, number);
+                self.tags.insert(known.listed.name_hash, number);
                 self.numbers.insert(listed.instance_id, number);
                 self.known.push(known);
             }
@@ -236,7 +237,10 @@
     }
 
     /// The zones have other numbers from now on; gives the entries that differ for the module.
-    pub(super) fn renumber_zones(&mut self, zone: impl Fn(&str) -> Option<u32>) -> Vec<Entry> {
+    pub(super) fn renumber_zones(
+        &mut self,
+        zone: impl Fn(&str) -> Option<u32>,
+    ) -> Vec<ServerEntry> {
         let mut changed = Vec::new();
         for known in &mut self.known {
             let number = ZoneId(zone(&known.zone).unwrap_or(u32::MAX));
@@ -255,7 +259,7 @@
     }
 
     /// Looks at the overrides anew; gives the entries that differ for the module.
-    pub(super) fn reconsider(&mut self, now: Millis) -> Vec<Entry> {
+    pub(super) fn reconsider(&mut self, now: Millis) -> Vec<ServerEntry> {
         let named = self
             .overrides
             .servers()
@@ -277,7 +281,7 @@
                     .server
                     .mark
                     .leaving
-                    .store(told.state != State::Ready, Ordering::SeqCst);
+                    .store(told.state != ServerState::Ready, Ordering::SeqCst);
                 known.ready_since = ready_since(told.state, Some(known.ready_since), now);
                 known.told = told.clone();
                 news.push(told);
@@ -324,7 +328,7 @@
         let ready = self
             .known
             .iter()
-            .filter(|known| known.listed.state == State::Ready);
+            .filter(|known| known.listed.state == ServerState::Ready);
         judge(
             ready.map(|known| (&*known.server.name, known.zone.as_str())),
             &self.overrides,
@@ -338,7 +342,7 @@
             .changed
             .iter()
             .filter_map(|id| self.known.get(id.0 as usize));
-        let out = known.filter(|known| known.told.state == State::Out);
+        let out = known.filter(|known| known.told.state == ServerState::OutOfService);
         out.map(|known| Arc::clone(&known.server.mark)).collect()
     }
 
@@ -362,7 +366,7 @@
     pub(super) fn tag(&self, number: ServerId) -> Option<u64> {
         self.known
             .get(number.0 as usize)
-            .map(|known| known.listed.tag)
+            .map(|known| known.listed.name_hash)
     }
 
     pub(super) fn by_tag(&self, tag: u64) -> Option<ServerId> {
@@ -373,7 +377,7 @@
     pub(super) fn server_now(&self, tag: u64) -> Option<ServerNow> {
         let known = self.known.get(self.by_tag(tag)?.0 as usize)?;
         let (is_ready, ready_since) = (
-            known.told.state == State::Ready,
+            known.told.state == ServerState::Ready,
             known.ready_since.unwrap_or(0),
         );
         let started_at = known.listed.started_at / 1_000_000;
@@ -390,7 +394,7 @@
             .known
             .iter()
             .filter(|known| known.listed.started_at > 0);
-        started.map(|known| (known.listed.tag, known.listed.started_at / 1_000_000))
+        started.map(|known| (known.listed.name_hash, known.listed.started_at / 1_000_000))
     }
 
     pub(super) fn by_name(&self, name: &str) -> Option<(ServerId, Arc<ApplicationServer>)> {
@@ -399,11 +403,11 @@
     }
 
     /// The present entries of all that are not gone.
-    pub(super) fn entries(&self) -> Vec<Entry> {
+    pub(super) fn entries(&self) -> Vec<ServerEntry> {
         let present = self
             .known
             .iter()
-            .filter(|known| known.told.state != State::Gone);
+            .filter(|known| known.told.state != ServerState::Removed);
         present.map(|known| known.told.clone()).collect()
     }
 
@@ -438,7 +442,7 @@
     pub(super) fn is_empty(&self) -> bool {
         self.known
             .iter()
-            .all(|known| known.listed.state == State::Gone)
+            .all(|known| known.listed.state == ServerState::Removed)
     }
 
     pub(super) fn look(&self, standing: &BTreeMap<ServerId, usize>) -> Vec<ServerLook> {
@@ -453,21 +457,21 @@
         };
         self.known
             .iter()
-            .filter(|known| known.listed.state != State::Gone)
+            .filter(|known| known.listed.state != ServerState::Removed)
             .map(row)
             .collect()
     }
 }
 
 /// Since when a server has been ready that is this now, from the same of before.
-fn ready_since(state: State, before: Option<Option<Millis>>, now: Millis) -> Option<Millis> {
-    let is_ready = state == State::Ready;
+fn ready_since(state: ServerState, before: Option<Option<Millis>>, now: Millis) -> Option<Millis> {
+    let is_ready = state == ServerState::Ready;
     is_ready.then(|| before.map_or(0, |since| since.unwrap_or(now)))
 }
 
 /// A listed server under the overrides and the site's evidence. A server listed without a weight counts as one of
 /// weight 1.
-fn under(listed: &Entry, standing: Standing, site: Option<&SitePart>) -> Entry {
+fn under(listed: &ServerEntry, standing: Standing, site: Option<&SitePart>) -> ServerEntry {
     let mut told = listed.clone();
     let part = site.map_or(1.0, |site| site.part);
     let standing = Standing {
@@ -479,19 +483,19 @@
         .map_or(0, |site| site.cold_since)
         .saturating_mul(1_000_000);
     told.started_at = told.started_at.max(cold_since);
-    if out && told.state == State::Ready {
-        told.state = State::Out;
+    if out && told.state == ServerState::Ready {
+        told.state = ServerState::OutOfService;
     }
     if !out && standing.factor != 1.0 {
         // Its weight tells nothing of the size of others any more.
-        told.kind = listed.tag;
+        told.machine_type = listed.name_hash;
         let weight = if told.weight.is_finite() && told.weight > 0.0 {
             told.weight
         } else {
             1.0
         };
         told.weight = weight * standing.factor;
-        told.rises_to = (standing.factor < standing.to).then_some(weight * standing.to);
+        told.target_weight = (standing.factor < standing.to).then_some(weight * standing.to);
     }
     told
 }
--- a/crates/balancer/src/core/fleet.rs
+++ b/crates/balancer/src/core/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{Placement, VersionFact};
-use beaconflow_policy::api::{self, ClientKey, Nanos, Outcome, ServerId};
+use beaconflow_policy::api::{self, AttemptOutcome, ClientKey, Nanos, ServerId};
 use beaconflow_recovery::Arrival;
 use beaconflow_settings::digest;
 use crossbeam_channel::Sender;
@@ -45,7 +45,7 @@
     /// So many clients' placements are remembered.
     Remembers(usize),
     /// A proxy pass of the client with this key came to its end: it stood, or how it failed.
-    Passed(Seen, Option<u64>, Option<Outcome>),
+    Passed(Seen, Option<u64>, Option<AttemptOutcome>),
     /// An application server sent a client away by its own word: it drains.
     SentAway(Seen),
     /// A server that is still cold was sent a connection.
@@ -191,7 +191,7 @@
             .as_mut()
             .is_some_and(|bond| bond.waits.remove(&id));
         if let Some(arrival) = self.ledger.arrival(id).filter(|_| waited) {
-            self.decide(api::Event::Arrived(arrival));
+            self.decide(api::Event::ConnectRequested(arrival));
         }
     }
 
@@ -203,7 +203,7 @@
             .is_some_and(|bond| bond.waits.remove(&id))
         {
             let (told, most) = (
-                self.settings.limits.retry_after,
+                self.settings.limits.sends_retry_after,
                 self.settings.limits.max_retry_after,
             );
             let after = told.then(|| after.min(Duration::from_nanos(most)));
@@ -230,8 +230,8 @@
             KnownNews::List(_) => {}
             KnownNews::Ties(news) => self.take_ties(news),
             KnownNews::Failures(key, count) => {
-                self.decide(api::Event::Failures {
-                    key: ClientKey(key),
+                self.decide(api::Event::FleetFailuresCounted {
+                    client_key: ClientKey(key),
                     count,
                 });
             }
@@ -300,7 +300,7 @@
         self.witness(|core| {
             let seen = core.seen(server)?;
             let warm_at = (seen.started_ms.saturating_mul(1_000_000))
-                .saturating_add(core.settings.rules.cold_time);
+                .saturating_add(core.settings.rules.warm_up_time);
             (seen.started_ms > 0 && now < warm_at).then_some(Witness::SentCold(seen))
         });
     }
@@ -312,7 +312,7 @@
     }
 
     /// A pass or a connection has ended.
-    pub(super) fn witness_end(&mut self, id: u64, ended: &Ended, how: Outcome) {
+    pub(super) fn witness_end(&mut self, id: u64, ended: &Ended, how: AttemptOutcome) {
         if ended.stood {
             return self.untie(id, ended_by(how));
         }
@@ -363,10 +363,14 @@
         for id in 0..8 {
             core.take(Event::Established(id));
         }
-        core.take(Event::Ended(3, Outcome::Reset, Duration::from_millis(900)));
+        core.take(Event::Ended(
+            3,
+            AttemptOutcome::Reset,
+            Duration::from_millis(900),
+        ));
         core.take(Event::Ended(
             8,
-            Outcome::ConnectFailed,
+            AttemptOutcome::ConnectFailed,
             Duration::from_millis(2),
         ));
         core.hear_of_farm(News::Failed(Duration::ZERO));
@@ -394,7 +398,10 @@
         let count = |is: fn(&Witness) -> bool| heard.iter().filter(|one| is(one)).count();
         assert_eq!(count(|one| matches!(one, Witness::Passed(_, _, None))), 8);
         assert_eq!(
-            count(|one| matches!(one, Witness::Passed(_, _, Some(Outcome::ConnectFailed)))),
+            count(|one| matches!(
+                one,
+                Witness::Passed(_, _, Some(AttemptOutcome::ConnectFailed))
+            )),
             1
         );
         assert_eq!(count(|one| matches!(one, Witness::List(..))), 1);
@@ -470,7 +477,11 @@
     fn delay(core: &mut Core, id: u64) -> Nanos {
         testing::opens(core, &Arc::new(Orders::default()), id, "acme", LONG);
         let now = core.clock.now();
-        core.take(Event::Ended(id, Outcome::Full, Duration::from_millis(1)));
+        core.take(Event::Ended(
+            id,
+            AttemptOutcome::Rejected,
+            Duration::from_millis(1),
+        ));
         let last = core
             .timers
             .iter()
@@ -583,14 +594,15 @@
             core.look()
                 .farm
                 .iter()
-                .any(|server| server.name == "s1" && server.state.1 == api::State::Out)
+                .any(|server| server.name == "s1"
+                    && server.state.1 == api::ServerState::OutOfService)
         );
         core.take(Event::Known(KnownNews::Site(BTreeMap::new())));
         assert!(
             core.look()
                 .farm
                 .iter()
-                .all(|server| server.state.1 == api::State::Ready)
+                .all(|server| server.state.1 == api::ServerState::Ready)
         );
     }
 }
--- a/crates/balancer/src/core/ledger.rs
+++ b/crates/balancer/src/core/ledger.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use beaconflow_policy::api::{
-    Arrival, ClassId, ClientKey, GroupId, Nanos, Outcome, Pin, RequestId, ServerId,
+    AttemptOutcome, ClassId, ClientKey, ConnectRequest, GroupId, Nanos, Pin, RequestId, ServerId,
 };
 
 use beaconflow_admission::Entry;
@@ -127,7 +127,7 @@
         orders: Arc<dyn Carrier>,
         (pin, tie): (Option<Pin>, Option<Pin>),
         entry: Entry,
-    ) -> Arrival {
+    ) -> ConnectRequest {
         self.counts.opened += 1;
         self.counts.pinned += u64::from(pin.is_some());
         let give_up_at = opening.taken_at.saturating_add(nanos(opening.patience));
@@ -155,7 +155,7 @@
     }
 
     /// What the module is told of a transaction.
-    pub(super) fn arrival(&self, id: u64) -> Option<Arrival> {
+    pub(super) fn arrival(&self, id: u64) -> Option<ConnectRequest> {
         self.open
             .get(&id)
             .map(|transaction| transaction.arrival(id))
@@ -232,14 +232,14 @@
     }
 
     /// The connection stands at that server from the outset.
-    pub(super) fn adopt(&mut self, id: u64, server: ServerId) -> Option<Arrival> {
+    pub(super) fn adopt(&mut self, id: u64, server: ServerId) -> Option<ConnectRequest> {
         self.open.get_mut(&id)?.place = Place::Standing(server);
         self.counts.adopted += 1;
         self.restart(id)
     }
 
     /// Numbers the standing connection as the module does that takes it over.
-    pub(super) fn restart(&mut self, id: u64) -> Option<Arrival> {
+    pub(super) fn restart(&mut self, id: u64) -> Option<ConnectRequest> {
         let transaction = self.open.get_mut(&id)?;
         transaction.passes = 1;
         Some(transaction.arrival(id))
@@ -276,7 +276,7 @@
         }
     }
 
-    pub(super) fn ended(&mut self, id: u64, outcome: Outcome) -> Option<Ended> {
+    pub(super) fn ended(&mut self, id: u64, outcome: AttemptOutcome) -> Option<Ended> {
         let transaction = self.open.get_mut(&id)?;
         let (server, stood, held) = match transaction.place {
             Place::Waiting => return None,
@@ -285,7 +285,7 @@
             Place::Standing(server) => (server, true, false),
         };
         transaction.place = Place::Waiting;
-        transaction.may_have_run |= !outcome.never_ran();
+        transaction.may_have_run |= !outcome.proves_not_executed();
         self.counts.ends[outcome as usize] += 1;
         Some(Ended {
             attempt: transaction.passes - 1,
@@ -369,15 +369,15 @@
         }
     }
 
-    fn arrival(&self, id: u64) -> Arrival {
-        Arrival {
+    fn arrival(&self, id: u64) -> ConnectRequest {
+        ConnectRequest {
             request: RequestId(id),
-            give_up_at: self.give_up_at,
+            deadline_at: self.give_up_at,
             class: ClassId(self.opening.class),
-            key: self.opening.key.map(ClientKey),
+            client_key: self.opening.key.map(ClientKey),
             group: self.opening.group.map(GroupId),
-            returns: self.opening.again,
-            load: self.opening.load,
+            is_reconnect: self.opening.again,
+            expected_load: self.opening.load,
             pin: self.pin,
         }
     }
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -185,8 +185,8 @@
     fn hear_of_farm(&mut self, news: News) {
         match news {
             News::List(list) => self.take_list(list, false),
-            News::Failed(quiet) => self.list_is_out(api::ListKind::Failed(nanos(quiet))),
-            News::Silent(quiet) => self.list_is_out(api::ListKind::Silent(nanos(quiet))),
+            News::Failed(quiet) => self.list_is_out(api::ListUpdate::Failed(nanos(quiet))),
+            News::Silent(quiet) => self.list_is_out(api::ListUpdate::TimedOut(nanos(quiet))),
         }
     }
 
@@ -214,7 +214,7 @@
                     Some(LoadAnswer::Nothing) => Some(0.0),
                     Some(LoadAnswer::Trouble) | None => None,
                 };
-                self.decide(api::Event::Probed { server, load });
+                self.decide(api::Event::ProbeAnswered { server, load });
             }
             Event::Told(word, told) => {
                 let answer = self.follow_word(word);
@@ -255,7 +255,7 @@
             return;
         };
         match due {
-            Due::Module(timer) => self.decide(api::Event::Timer(timer)),
+            Due::Module(timer) => self.decide(api::Event::TimerFired(timer)),
             Due::Held(id) => self.reopen(id),
             Due::Drained(number, id) => self.drained(number, id),
             Due::Drain(number) => self.go_on_draining(number),
--- a/crates/balancer/src/core/route.rs
+++ b/crates/balancer/src/core/route.rs
@@ -38,7 +38,7 @@
     /// Carries out what the module decided at that moment.
     fn carry_out(&mut self, decided_at: Nanos, action: Action) {
         match action {
-            Action::Attempt {
+            Action::StartAttempt {
                 request,
                 server,
                 begin_within,
@@ -60,7 +60,7 @@
                 }
                 None => self.give_up_on(request.0),
             },
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -70,11 +70,11 @@
                 );
             }
             Action::Fail(request) => self.answer(request.0, Order::Failed),
-            Action::Move(request, why) => {
+            Action::Migrate(request, why) => {
                 self.untie(request.0, ties::moved_for(why));
                 self.order_move(request.0, moved_for(why));
             }
-            Action::Wait(request) => {
+            Action::Enqueue(request) => {
                 if let Some(entry) = self
                     .ledger
                     .get(request.0)
@@ -83,16 +83,18 @@
                     self.gate.wait(entry);
                 }
             }
-            Action::Wake { after, timer } => {
+            Action::SetTimer { after, timer } => {
                 self.wake(Duration::from_nanos(after), Due::Module(timer))
             }
-            Action::Probe(server) => {
+            Action::ProbeServer(server) => {
                 if let (Some(asker), Some(to)) = (&self.asker, self.farm.get(server)) {
                     asker.ask(server, to);
                 }
             }
-            Action::Watch => self.ask_discovery(),
-            Action::Log(text) => info!(part = self.name, says = %text, "word of the module"),
+            Action::WatchServerList => self.ask_discovery(),
+            Action::LogOverload(text) => {
+                info!(part = self.name, says = %text, "word of the module")
+            }
         }
     }
 
@@ -149,22 +151,22 @@
         self.balancer = balancer;
         self.timers
             .retain(|Reverse((_, _, due))| !matches!(due, Due::Module(_)));
-        self.decide(api::Event::List {
-            kind: api::ListKind::Full,
+        self.decide(api::Event::ServerList {
+            update: api::ListUpdate::Snapshot,
             entries: self.farm.entries(),
         });
         // Where lists are pushed the module speaks up after a failure only. Guards against a watch that waits for ever
         // to be asked for: the call that was due went with the old module. A watch that stands feels nothing of it.
-        if self.settings.discovery == api::Discovery::Pushed {
+        if self.settings.discovery == api::DiscoveryMode::Pushed {
             self.ask_discovery();
         }
         for (id, place) in self.ledger.places() {
             match place {
                 Place::Standing(server) => {
-                    let Some(arrival) = self.ledger.restart(id) else {
+                    let Some(request) = self.ledger.restart(id) else {
                         continue;
                     };
-                    self.decide(api::Event::Standing { arrival, server });
+                    self.decide(api::Event::ConnectionAdopted { request, server });
                 }
                 Place::Held(_) => {}
                 Place::Waiting | Place::Out(_) => self.give_up_on(id),
@@ -174,12 +176,12 @@
 }
 
 /// The module's reason to move a client, in the words of the log.
-fn moved_for(why: api::Why) -> &'static str {
+fn moved_for(why: api::MigrationReason) -> &'static str {
     match why {
-        api::Why::Leaving => "its server leaves",
-        api::Why::Late => "messages at its server are late",
-        api::Why::Uneven => "its server holds too much",
-        api::Why::Cold => "a cold server has room",
+        api::MigrationReason::ServerLeaving => "its server leaves",
+        api::MigrationReason::SlowMessages => "messages at its server are late",
+        api::MigrationReason::Rebalancing => "its server holds too much",
+        api::MigrationReason::SlowStart => "a cold server has room",
     }
 }
 
--- a/crates/balancer/src/core/route/tests.rs
+++ b/crates/balancer/src/core/route/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beaconflow_overrides::Set;
-use beaconflow_policy::api::Outcome;
+use beaconflow_policy::api::AttemptOutcome;
 
 use super::super::testing::{Orders, core, opens};
 use super::super::{Core, Event};
@@ -32,8 +32,16 @@
     for id in 0..2 {
         opens(core, orders, id, "acme", LONG);
     }
-    core.take(Event::Ended(0, Outcome::Reset, Duration::from_millis(1)));
-    core.take(Event::Ended(1, Outcome::Full, Duration::from_millis(1)));
+    core.take(Event::Ended(
+        0,
+        AttemptOutcome::Reset,
+        Duration::from_millis(1),
+    ));
+    core.take(Event::Ended(
+        1,
+        AttemptOutcome::Rejected,
+        Duration::from_millis(1),
+    ));
     for id in 2..=2 + WINDOW {
         opens(core, orders, id, "acme", LONG);
     }
--- a/crates/balancer/src/core/settings.rs
+++ b/crates/balancer/src/core/settings.rs
@@ -37,7 +37,7 @@
         let aims = settings
             .classes
             .iter()
-            .map(|class| class.message_aim)
+            .map(|class| class.message_latency_objective)
             .filter(|aim| *aim > 0);
         let slow = aims.min().map_or(Nanos::MAX, |aim| aim / SLOW_PART);
         self.connect_timeout
@@ -60,7 +60,7 @@
 pub(super) fn of(in_force: &InForce, asks_for_load: bool) -> Settings {
     let mut settings = in_force.module();
     // Guards against a module that waits for answers to questions that nobody asks.
-    settings.limits.may_probe &= asks_for_load;
+    settings.limits.can_probe &= asks_for_load;
     settings.limits.connect_timeout = in_force.setup().connect_timeout();
     settings
 }
@@ -72,14 +72,16 @@
         self.figures.follow(&self.settings);
         self.gate.replace_settings(&in_force, &mut self.ledger);
         self.in_force = in_force;
-        self.handle(api::Event::Settings(Box::new(self.settings.clone())));
+        self.handle(api::Event::SettingsReplaced(Box::new(
+            self.settings.clone(),
+        )));
         // Nothing is placed between the two: zones and servers change their numbers together.
         let entries = self
             .farm
             .renumber_zones(|zone| self.in_force.setup().zone(zone));
         if !entries.is_empty() {
-            self.handle(api::Event::List {
-                kind: api::ListKind::Changes,
+            self.handle(api::Event::ServerList {
+                update: api::ListUpdate::Delta,
                 entries,
             });
         }
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beaconflow_overrides::Set;
-use beaconflow_policy::api::Outcome;
+use beaconflow_policy::api::AttemptOutcome;
 use beaconflow_settings::{InForce, Setup};
 use serde_json::{Value, json};
 
@@ -87,7 +87,7 @@
     for (id, class) in [(1, chat), (2, once)] {
         admits(&mut core, &orders, id, class);
         assert_eq!(orders.of(id), (1, 0));
-        core.take(Event::Ended(id, Outcome::Reset, SOON));
+        core.take(Event::Ended(id, AttemptOutcome::Reset, SOON));
         // Neither may be repeated by both settings.
         assert_eq!(
             orders.of(id),
@@ -97,7 +97,7 @@
     }
     let now = Arc::clone(&core.in_force);
     admits(&mut core, &orders, 3, now.class("once").expect("there"));
-    core.take(Event::Ended(3, Outcome::Reset, SOON));
+    core.take(Event::Ended(3, AttemptOutcome::Reset, SOON));
     assert_eq!(
         orders.of(3).1,
         0,
@@ -113,7 +113,7 @@
     admits(&mut core, &orders, 1, class);
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
     assert_eq!(orders.of(1), (1, 0), "it stays out");
-    core.take(Event::Ended(1, Outcome::Reset, SOON));
+    core.take(Event::Ended(1, AttemptOutcome::Reset, SOON));
     assert_eq!(orders.of(1), (1, 1));
 }
 
@@ -127,7 +127,7 @@
     let now = replace(&mut core, site(&[("other", "fragile")], |_| {}));
     assert_eq!(now.class("chat"), None);
     core.take(Event::Established(1));
-    core.take(Event::Ended(2, Outcome::Full, SOON));
+    core.take(Event::Ended(2, AttemptOutcome::Rejected, SOON));
     assert_eq!(
         (0..4).map(|id| orders.of(id)).collect::<Vec<_>>(),
         [(1, 0); 4],
@@ -138,8 +138,8 @@
         0,
         "nobody is moved for it"
     );
-    core.take(Event::Ended(0, Outcome::Served, SOON));
-    core.take(Event::Ended(1, Outcome::Served, SOON));
+    core.take(Event::Ended(0, AttemptOutcome::Served, SOON));
+    core.take(Event::Ended(1, AttemptOutcome::Served, SOON));
     core.take(Event::Left(2));
     core.take(Event::Left(3));
     assert_eq!((core.ledger.len(), core.gate.waiting()), (0, 0));
@@ -232,7 +232,7 @@
     for id in 0..3 {
         opens(&mut core, &orders, id, "acme", LONG);
     }
-    core.take(Event::Ended(0, Outcome::Full, SOON));
+    core.take(Event::Ended(0, AttemptOutcome::Rejected, SOON));
     replace(
         &mut core,
         site(&[("chat", "retryable")], |site| {
@@ -241,7 +241,7 @@
     );
     assert_eq!(orders.of(0), (1, 1), "it waited for a second attempt");
     assert_eq!([orders.of(1), orders.of(2)], [(1, 0); 2]);
-    core.take(Event::Ended(1, Outcome::Full, SOON));
+    core.take(Event::Ended(1, AttemptOutcome::Rejected, SOON));
     assert_eq!(orders.of(1), (1, 1));
     core.take(Event::Established(2));
     assert_eq!(orders.of(2), (1, 0));
@@ -315,9 +315,9 @@
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     core.start_anew();
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
-    core.take(Event::Ended(1, Outcome::Reset, SOON));
+    core.take(Event::Ended(1, AttemptOutcome::Reset, SOON));
     assert_eq!(orders.of(1), (1, 1));
-    core.take(Event::Ended(0, Outcome::Served, SOON));
+    core.take(Event::Ended(0, AttemptOutcome::Served, SOON));
     assert_eq!(core.ledger.len(), 0);
 }
 
@@ -338,8 +338,8 @@
     );
     core.follow_word(Word::Active).expect("it stands by");
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
-    core.take(Event::Ended(1, Outcome::Reset, SOON));
+    core.take(Event::Ended(1, AttemptOutcome::Reset, SOON));
     assert_eq!(orders.of(1), (1, 1));
-    core.take(Event::Ended(0, Outcome::Served, SOON));
+    core.take(Event::Ended(0, AttemptOutcome::Served, SOON));
     assert_eq!(core.ledger.len(), 0);
 }
--- a/crates/balancer/src/core/ties.rs
+++ b/crates/balancer/src/core/ties.rs
@@ -11,7 +11,7 @@
     Client, FarmView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag, Version,
     VersionFact,
 };
-use beaconflow_policy::api::{Outcome, Pin, ServerId, Why};
+use beaconflow_policy::api::{AttemptOutcome, MigrationReason, Pin, ServerId};
 use tracing::{debug, error, info};
 
 use super::farm::Farm;
@@ -215,17 +215,17 @@
 }
 
 /// How a move by the module ends a placement.
-pub(super) fn moved_for(why: Why) -> How {
+pub(super) fn moved_for(why: MigrationReason) -> How {
     match why {
-        Why::Leaving => How::MovedLeaving,
-        Why::Late => How::MovedLate,
-        Why::Uneven | Why::Cold => How::MovedUneven,
+        MigrationReason::ServerLeaving => How::MovedLeaving,
+        MigrationReason::SlowMessages => How::MovedLate,
+        MigrationReason::Rebalancing | MigrationReason::SlowStart => How::MovedUneven,
     }
 }
 
 /// How a connection's own end ends one.
-pub(super) fn ended_by(outcome: Outcome) -> How {
-    if outcome == Outcome::Served {
+pub(super) fn ended_by(outcome: AttemptOutcome) -> How {
+    if outcome == AttemptOutcome::Served {
         How::Left
     } else {
         How::Broke
--- a/crates/balancer/src/fleet/gather.rs
+++ b/crates/balancer/src/fleet/gather.rs
@@ -44,9 +44,9 @@
 
 /// What the machine is told of its site and fleet.
 pub(super) fn config(fleet: &Fleet, setup: &Setup, settings: &Settings) -> Config {
-    let class = |class: &beaconflow_policy::api::Class| Class {
-        worth: class.worth,
-        aim: class.aim,
+    let class = |class: &beaconflow_policy::api::RequestClass| Class {
+        worth: class.priority_weight,
+        aim: class.latency_objective,
     };
     let rules = &settings.rules;
     let usual = Cold::default();
@@ -69,10 +69,10 @@
         other_sites: fleet.other_sites.clone(),
         store: false,
         cold: Cold {
-            cold_time: rules.cold_time,
-            cold_share: rules.cold_share,
-            tip_multiple: rules.tip_multiple,
-            fall_time: rules.fall_time.max(1),
+            cold_time: rules.warm_up_time,
+            cold_share: rules.initial_capacity,
+            tip_multiple: rules.overload_multiple,
+            fall_time: rules.overload_window.max(1),
             borne: fleet.borne.unwrap_or(usual.borne),
             slack: usual.slack,
         },
--- a/crates/balancer/src/fleet/observed.rs
+++ b/crates/balancer/src/fleet/observed.rs
@@ -4,7 +4,7 @@
 use beaconflow_edge::Outcome::{Answered, Failed};
 use beaconflow_edge::{Evidence, Judged};
 use beaconflow_gossip::{Evidence as Weighed, Seen as Sight, Subject, Value};
-use beaconflow_policy::api::Outcome;
+use beaconflow_policy::api::AttemptOutcome;
 use beaconflow_recovery::{Event as RecoveryEvent, Whom};
 use tracing::warn;
 
@@ -146,11 +146,11 @@
     }
 
     /// Placements of a client key that failed count at all processes, until one succeeds anywhere.
-    fn counted(&mut self, key: Option<u64>, how: Option<Outcome>) {
+    fn counted(&mut self, key: Option<u64>, how: Option<AttemptOutcome>) {
         let (Some(key), now, good) = (key, self.ms(), self.failures_good) else {
             return;
         };
-        let has_failed = !matches!(how, None | Some(Outcome::Served));
+        let has_failed = !matches!(how, None | Some(AttemptOutcome::Served));
         let told = carry::with(&self.known, |known| {
             let known = &mut known.knowledge;
             if has_failed {
@@ -163,14 +163,17 @@
         }
     }
 
-    fn passed(&mut self, server: &Seen, how: Option<Outcome>) {
+    fn passed(&mut self, server: &Seen, how: Option<AttemptOutcome>) {
         let seen = match how {
-            None | Some(Outcome::Served) => Sight::Well,
-            Some(Outcome::TimedOut) => Sight::Hung,
-            Some(Outcome::ConnectFailed | Outcome::Full | Outcome::Reset | Outcome::Error) => {
-                Sight::Refused
-            }
-            Some(Outcome::Cancelled | Outcome::NotSent) => return,
+            None | Some(AttemptOutcome::Served) => Sight::Well,
+            Some(AttemptOutcome::TimedOut) => Sight::Hung,
+            Some(
+                AttemptOutcome::ConnectFailed
+                | AttemptOutcome::Rejected
+                | AttemptOutcome::Reset
+                | AttemptOutcome::ServerError,
+            ) => Sight::Refused,
+            Some(AttemptOutcome::Cancelled | AttemptOutcome::NotSent) => return,
         };
         let (subject, now) = (Subject::Standing(server.name.to_string()), self.ms());
         carry::with(&self.known, |known| {
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -86,7 +86,7 @@
         .max()
         .unwrap_or(0);
     let (cold_ms, failures_good) = (
-        settings.rules.cold_time / 1_000_000,
+        settings.rules.warm_up_time / 1_000_000,
         longest / 1_000_000 * FORGET,
     );
     let fleet = Fleet {
@@ -147,11 +147,11 @@
 
 /// What the configuration says of routing: the same at all processes that run it, whatever their own place.
 pub(super) fn version(settings: &Settings, farm: Option<&FarmSource>) -> Version {
-    let class = |(at, class): (usize, &beaconflow_policy::api::Class)| Class {
+    let class = |(at, class): (usize, &beaconflow_policy::api::RequestClass)| Class {
         name: at.to_string(),
-        aim_ms: class.aim / 1_000_000,
+        aim_ms: class.latency_objective / 1_000_000,
         deadline_ms: class.deadline / 1_000_000,
-        worth: class.worth,
+        worth: class.priority_weight,
     };
     let server = |server: &operator::FixedServer| Server {
         name: server.name.clone(),
--- a/crates/balancer/src/fleet/site.rs
+++ b/crates/balancer/src/fleet/site.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use beaconflow_edge::{Judged, Judgement, Judgements, Known, standings};
-use beaconflow_policy::api::Outcome;
+use beaconflow_policy::api::AttemptOutcome;
 use tracing::info;
 
 use super::Millis;
@@ -32,13 +32,15 @@
 }
 
 /// What an end of a pass says of its server, if it says anything.
-pub(super) fn judged(how: Option<Outcome>) -> Option<Judged> {
+pub(super) fn judged(how: Option<AttemptOutcome>) -> Option<Judged> {
     match how {
-        None | Some(Outcome::Served) => Some(Judged::Well),
-        Some(Outcome::Full) => Some(Judged::Busy),
-        Some(Outcome::TimedOut) => Some(Judged::Hung),
-        Some(Outcome::ConnectFailed | Outcome::Reset) => Some(Judged::Refused),
-        Some(Outcome::Error | Outcome::Cancelled | Outcome::NotSent) => None,
+        None | Some(AttemptOutcome::Served) => Some(Judged::Well),
+        Some(AttemptOutcome::Rejected) => Some(Judged::Busy),
+        Some(AttemptOutcome::TimedOut) => Some(Judged::Hung),
+        Some(AttemptOutcome::ConnectFailed | AttemptOutcome::Reset) => Some(Judged::Refused),
+        Some(AttemptOutcome::ServerError | AttemptOutcome::Cancelled | AttemptOutcome::NotSent) => {
+            None
+        }
     }
 }
 
--- a/crates/balancer/src/fleet/site/tests.rs
+++ b/crates/balancer/src/fleet/site/tests.rs
@@ -29,7 +29,7 @@
     let see = |site: &mut Site, now, how| {
         judged(how).and_then(|judged| site.saw(now, "me", &seen("s1"), judged));
     };
-    let refused = Some(Outcome::ConnectFailed);
+    let refused = Some(AttemptOutcome::ConnectFailed);
     see(&mut site, 1_000, refused);
     see(&mut site, 1_100, refused);
     assert_eq!(
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use beaconflow_overrides::{Effect, Judgement, Listed, Millis, Override, Set, judge, shifted};
-use beaconflow_policy::api::State as ServerState;
+use beaconflow_policy::api::ServerState;
 
 use super::State;
 use crate::core::Look;
@@ -39,9 +39,9 @@
 
     fn listed(&self, server: &str) -> Listed {
         match self.states.get(server) {
-            Some(ServerState::Ready | ServerState::Out) => Listed::Ready,
+            Some(ServerState::Ready | ServerState::OutOfService) => Listed::Ready,
             Some(ServerState::Draining) => Listed::Leaving,
-            Some(ServerState::Gone) | None => Listed::Absent,
+            Some(ServerState::Removed) | None => Listed::Absent,
         }
     }
 }
--- a/crates/balancer/src/pass.rs
+++ b/crates/balancer/src/pass.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use beaconflow_policy::api::Outcome;
+use beaconflow_policy::api::AttemptOutcome;
 
 use crate::core::{ApplicationServer, PassTimes};
 use crate::net::{self, Intake, PollFlags, ReadError};
@@ -94,29 +94,31 @@
     }
 
     /// What the decision module is told.
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> AttemptOutcome {
         match self {
-            PassError::Withheld => Outcome::NotSent,
-            PassError::ClientLeft(_) => Outcome::Cancelled,
-            PassError::NotConnected(_) | PassError::HeadPartlyWritten(..) => Outcome::ConnectFailed,
-            PassError::Written(ReadError::TimedOut) => Outcome::TimedOut,
+            PassError::Withheld => AttemptOutcome::NotSent,
+            PassError::ClientLeft(_) => AttemptOutcome::Cancelled,
+            PassError::NotConnected(_) | PassError::HeadPartlyWritten(..) => {
+                AttemptOutcome::ConnectFailed
+            }
+            PassError::Written(ReadError::TimedOut) => AttemptOutcome::TimedOut,
             PassError::Written(ReadError::TooLong) | PassError::Answered(Answer::Error) => {
-                Outcome::Error
+                AttemptOutcome::ServerError
             }
-            PassError::Written(ReadError::Ended | ReadError::Broken(_)) => Outcome::Reset,
-            PassError::Answered(Answer::Unavailable) => Outcome::Full,
-            PassError::Answered(Answer::SentAway) => Outcome::Cancelled,
+            PassError::Written(ReadError::Ended | ReadError::Broken(_)) => AttemptOutcome::Reset,
+            PassError::Answered(Answer::Unavailable) => AttemptOutcome::Rejected,
+            PassError::Answered(Answer::SentAway) => AttemptOutcome::Cancelled,
             PassError::Standing(end) => end.outcome(),
         }
     }
 }
 
 impl End {
-    fn outcome(self) -> Outcome {
+    fn outcome(self) -> AttemptOutcome {
         match self {
-            End::Served => Outcome::Served,
+            End::Served => AttemptOutcome::Served,
             End::ServerEnded | End::ServerBroke | End::ServerSilent | End::ServerFault => {
-                Outcome::Reset
+                AttemptOutcome::Reset
             }
             End::SentAway
             | End::ServerLeaving
@@ -125,7 +127,7 @@
             | End::ClientFault(_)
             | End::Moved
             | End::Given
-            | End::Cut => Outcome::Cancelled,
+            | End::Cut => AttemptOutcome::Cancelled,
         }
     }
 }
--- a/crates/balancer/src/stages/relay.rs
+++ b/crates/balancer/src/stages/relay.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use beaconflow_policy::api::Note;
+use beaconflow_policy::api::ConnectionMetric;
 
 use crate::clock::nanos;
 use crate::core::{Event, Handle};
@@ -521,7 +521,8 @@
             }
             Seen::AnsweredOldest => self.asked.pop_front(),
             Seen::Load(load) => {
-                self.core.tell(Event::Noted(self.id, Note::Load(load)));
+                self.core
+                    .tell(Event::Noted(self.id, ConnectionMetric::Load(load)));
                 return true;
             }
             Seen::Leaving => {
@@ -540,8 +541,10 @@
         // Once more when messages are no longer slow, so that the core hears of it.
         if slow || self.was_slow {
             self.was_slow = slow;
-            self.core
-                .tell(Event::Noted(self.id, Note::Delay(nanos(took))));
+            self.core.tell(Event::Noted(
+                self.id,
+                ConnectionMetric::MessageLatency(nanos(took)),
+            ));
         }
         !own
     }
--- a/crates/balancer/src/stages/transactions/transaction.rs
+++ b/crates/balancer/src/stages/transactions/transaction.rs
@@ -185,7 +185,7 @@
             return self.panicked(shared);
         };
         match (answer, passed) {
-            (Some(Order::GiveUp), Err(error)) if error.outcome().never_ran() => {
+            (Some(Order::GiveUp), Err(error)) if error.outcome().proves_not_executed() => {
                 self.order(Order::Unavailable(None), shared);
             }
             // The core has given it up meanwhile.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -6,7 +6,7 @@
 use beaconflow_admission::{Door, Entry, Limits};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::api::{
-    Action, Arrival, Class, Event, Nanos, RequestId, Settings, SettingsError,
+    Action, ConnectRequest, Event, Nanos, RequestClass, RequestId, Settings, SettingsError,
 };
 use rustc_hash::FxHashMap;
 
@@ -16,7 +16,7 @@
     fn arrives(
         &mut self,
         now: Nanos,
-        arrival: Arrival,
+        arrival: ConnectRequest,
         account: usize,
         returns: bool,
         out: &mut Vec<Action>,
@@ -45,7 +45,11 @@
         limits: Limits,
         seed: u64,
     ) -> Result<Instance, SettingsError> {
-        let urgencies: Vec<f64> = settings.classes.iter().map(Class::urgency).collect();
+        let urgencies: Vec<f64> = settings
+            .classes
+            .iter()
+            .map(RequestClass::queue_weight)
+            .collect();
         let door = Door::new(&urgencies, limits, seed);
         let balancer = Balancer::new(settings, seed)?;
         Ok(Instance {
@@ -66,34 +70,34 @@
     fn arrives(
         &mut self,
         now: Nanos,
-        arrival: Arrival,
+        arrival: ConnectRequest,
         account: usize,
         returns: bool,
         out: &mut Vec<Action>,
     ) {
-        let client = arrival.key.map_or(arrival.request.0, |key| key.0);
+        let client = arrival.client_key.map_or(arrival.request.0, |key| key.0);
         let entry = Entry {
             id: arrival.request.0,
             account: account as u64,
             share: self.shares.get(account).copied().unwrap_or(1.0),
             class: arrival.class.0,
             flow: arrival.group.map_or(client, |group| group.0),
-            give_up_at: arrival.give_up_at,
+            give_up_at: arrival.deadline_at,
             returns,
             bytes: 0,
         };
         self.entries.insert(arrival.request.0, entry);
-        self.handle(now, Event::Arrived(arrival), out);
+        self.handle(now, Event::ConnectRequested(arrival), out);
     }
 
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         let mut next = Some(event);
         while let Some(event) = next {
             if let Event::ClientLeft(request)
-            | Event::Established { request, .. }
-            | Event::Ended {
+            | Event::AttemptEstablished { request, .. }
+            | Event::AttemptEnded {
                 request,
-                closed: true,
+                is_final: true,
                 ..
             } = &event
             {
@@ -103,12 +107,12 @@
             self.balancer.handle(now, event, out);
             for action in &out[from..] {
                 match action {
-                    Action::Wait(request) => {
+                    Action::Enqueue(request) => {
                         if let Some(entry) = self.entries.get(&request.0) {
                             self.door.enter(*entry, &mut gone);
                         }
                     }
-                    Action::Refuse { request, .. } | Action::Fail(request) => {
+                    Action::Reject { request, .. } | Action::Fail(request) => {
                         answered.push(*request)
                     }
                     _ => {}
@@ -121,20 +125,20 @@
                 let request = RequestId(entry.id);
                 self.balancer.handle(
                     now,
-                    Event::TurnedAway {
+                    Event::QueueRejected {
                         request,
-                        drain: None,
+                        queue_drain_time: None,
                     },
                     out,
                 );
                 self.answered(request);
             }
-            let turn = if self.balancer.has_turns() {
+            let turn = if self.balancer.has_permits() {
                 self.door.admit()
             } else {
                 None
             };
-            next = turn.map(|entry| Event::Turn(RequestId(entry.id)));
+            next = turn.map(|entry| Event::PermitGranted(RequestId(entry.id)));
         }
     }
 
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -44,7 +44,7 @@
 
 /// The servers that share one memory of repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// Every server drops a repeat that any other has seen.
     All,
     /// Servers of one zone.
@@ -55,49 +55,49 @@
 
 /// Whether a request may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// A repeat does no harm.
-    Safe,
+    Idempotent,
     /// Servers in `scope` drop repeats for `window` after the first send that may have run.
-    Keyed {
+    IdempotencyKey {
         /// Which servers know of each other's.
-        scope: Scope,
+        scope: DedupScope,
         /// How long they remember.
         window: Nanos,
     },
     /// A repeat may take effect twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// What is promised to one class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Wanted time to a standing connection or answer.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// Whole time that a client waits, over all its tries.
     pub deadline: Nanos,
     /// Repeat safety.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Wanted time of a message on a standing connection; 0 if not given.
-    pub message_aim: Nanos,
+    pub message_latency_objective: Nanos,
     /// Worth of one request, or of one second of it.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
-impl Class {
+impl RequestClass {
     /// Its part of the turns at the door: what one is worth, for each second in which it is wanted.
-    pub fn urgency(&self) -> f64 {
-        self.worth / (self.aim as f64 / 1e9)
+    pub fn queue_weight(&self) -> f64 {
+        self.priority_weight / (self.latency_objective as f64 / 1e9)
     }
 }
 
 /// How changes of the server list reach this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// They arrive unasked.
     Pushed,
     /// They arrive only after [`Action::Watch`].
-    Asked,
+    Polled,
 }
 
 /// What the site permits.
@@ -106,33 +106,33 @@
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Whether clients are told a retry-after.
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// Longest retry-after that a client follows.
     pub max_retry_after: Nanos,
     /// Whether servers may be probed and then tell their load.
-    pub may_probe: bool,
+    pub can_probe: bool,
     /// A connection not up by then has failed.
     pub connect_timeout: Nanos,
 }
 
 /// The figures of the rules on drains, lists and cold servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct ServerRules {
     /// Share of its capacity that a server starts with, or more.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     /// A started server is warm after this.
-    pub cold_time: Nanos,
+    pub warm_up_time: Nanos,
     /// Times its present capacity that tip a cold server over.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// For this long.
-    pub fall_time: Nanos,
+    pub overload_window: Nanos,
     /// Without a subscription, what stood in the list this long ago counts as known; 0 if not given.
-    pub ask_within: Nanos,
+    pub list_max_age: Nanos,
 }
 
 /// Prices, each for the whole traffic once over, as a part of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct TrafficCosts {
     /// Attempts that cross zones.
     pub cross_zone: f64,
 }
@@ -141,23 +141,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many gateways there are.
-    pub gateways: u32,
+    pub balancers: u32,
     /// This gateway's number among them, from 0.
     pub rank: u32,
     /// This gateway's zone.
     pub zone: ZoneId,
     /// The classes of requests.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// How the server list arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Whether listed weights fall with what a server holds.
-    pub live_weights: bool,
+    pub has_live_weights: bool,
     /// What the site permits.
     pub limits: Limits,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub rules: ServerRules,
     /// What costs how much.
-    pub prices: Prices,
+    pub costs: TrafficCosts,
 }
 
 /// A setting outside its range.
@@ -178,18 +178,20 @@
 impl Settings {
     /// Checks every field that the module divides by or waits on.
     pub fn check(&self) -> Result<(), SettingsError> {
-        self.faults().into_iter().next().map_or(Ok(()), Err)
+        self.errors().into_iter().next().map_or(Ok(()), Err)
     }
 
     /// All fields that are out of their range.
-    pub fn faults(&self) -> Vec<SettingsError> {
+    pub fn errors(&self) -> Vec<SettingsError> {
         let rules = &self.rules;
         let share_range = 0.0..=1.0;
         let faults = [
             ("classes", self.classes.is_empty()),
             (
                 "classes.aim",
-                self.classes.iter().any(|class| class.aim == 0),
+                self.classes
+                    .iter()
+                    .any(|class| class.latency_objective == 0),
             ),
             (
                 "classes.deadline",
@@ -199,17 +201,17 @@
                 "classes.worth",
                 self.classes
                     .iter()
-                    .any(|class| class.worth.is_nan() || class.worth < 0.0),
+                    .any(|class| class.priority_weight.is_nan() || class.priority_weight < 0.0),
             ),
-            ("gateways", self.gateways == 0),
+            ("gateways", self.balancers == 0),
             ("limits.max_attempts", self.limits.max_attempts == 0),
             (
                 "rules.cold_share",
-                !share_range.contains(&rules.cold_share) || rules.cold_share == 0.0,
+                !share_range.contains(&rules.initial_capacity) || rules.initial_capacity == 0.0,
             ),
             (
                 "rules.tip_multiple",
-                !rules.tip_multiple.is_finite() || rules.tip_multiple <= 0.0,
+                !rules.overload_multiple.is_finite() || rules.overload_multiple <= 0.0,
             ),
         ];
         faults
@@ -241,7 +243,7 @@
         let given = self
             .classes
             .iter()
-            .map(|class| class.message_aim)
+            .map(|class| class.message_latency_objective)
             .filter(|aim| *aim > 0);
         given.min().unwrap_or(Nanos::MAX)
     }
@@ -249,53 +251,53 @@
 
 /// Whether a listed server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// It takes new work.
     Ready,
     /// An operator has taken it out: it takes nothing new, and what stands there stays.
-    Out,
+    OutOfService,
     /// It finishes what it has.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// One server in the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Which server.
     pub server: ServerId,
     /// A hash of its name; the same at every gateway.
-    pub tag: u64,
+    pub name_hash: u64,
     /// Whether it takes new work.
-    pub state: State,
+    pub state: ServerState,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: u32,
     /// A hash of its machine type; the same type, the same size.
-    pub kind: u64,
+    pub machine_type: u64,
     /// Listed weight; without a unit.
     pub weight: f64,
     /// The weight that it is on its way to, where the present one is only a step.
-    pub rises_to: Option<f64>,
+    pub target_weight: Option<f64>,
     /// When it last started; 0 if long ago.
     pub started_at: Nanos,
 }
 
 /// What a list event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// Changed entries alone.
-    Changes,
+    Delta,
     /// Every server; one left out is gone.
-    Full,
+    Snapshot,
     /// The list as this gateway last had it before it restarted.
     Cached,
     /// A call failed or the subscription broke, and had said nothing for so long before; the old list holds.
     Failed(Nanos),
     /// A call or a subscription fell silent and was broken after so long; the old list holds.
-    Silent(Nanos),
+    TimedOut(Nanos),
 }
 
 /// The one server that an operator wants a request at.
@@ -309,34 +311,34 @@
 
 /// A request as it reaches this gateway.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrival {
+pub struct ConnectRequest {
     /// The request.
     pub request: RequestId,
     /// When its client stops waiting.
-    pub give_up_at: Nanos,
+    pub deadline_at: Nanos,
     /// Its class.
     pub class: ClassId,
     /// What it concerns.
-    pub key: Option<ClientKey>,
+    pub client_key: Option<ClientKey>,
     /// The group it shares work with.
     pub group: Option<GroupId>,
     /// Its client says that it was moved, or that its connection broke.
-    pub returns: bool,
+    pub is_reconnect: bool,
     /// Expected load, in microseconds of work a second.
-    pub load: Option<f64>,
+    pub expected_load: Option<f64>,
     /// Where an operator wants it.
     pub pin: Option<Pin>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served.
     Served,
     /// The server answered with an error; it may have run.
-    Error,
+    ServerError,
     /// Turned away before it was looked at.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection could be opened.
@@ -349,78 +351,78 @@
     NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether this outcome proves that the attempt did nothing at the server.
-    pub fn never_ran(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         )
     }
 }
 
 /// News of a standing connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ConnectionMetric {
     /// Its load now, in microseconds of work a second.
     Load(f64),
     /// How long a message takes at its server now.
-    Delay(Nanos),
+    MessageLatency(Nanos),
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the server list.
-    List {
+    ServerList {
         /// What it holds.
-        kind: ListKind,
+        update: ListUpdate,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// Other settings hold from now on, as a whole. A class keeps its place in them for as long as a request of it may
     /// come or be under way, so there are no fewer than before. Settings out of their range change nothing.
-    Settings(Box<Settings>),
+    SettingsReplaced(Box<Settings>),
     /// A request came in; it is owed one final answer.
-    Arrived(Arrival),
+    ConnectRequested(ConnectRequest),
     /// A connection already stands at this server.
-    Standing {
+    ConnectionAdopted {
         /// The request it came from.
-        arrival: Arrival,
+        request: ConnectRequest,
         /// The server that holds it.
         server: ServerId,
     },
     /// An attempt's connection stands.
-    Established {
+    AttemptEstablished {
         /// The request.
         request: RequestId,
         /// Which attempt, from 0.
         attempt: u32,
     },
     /// News of an attempt that is out.
-    Noted {
+    ConnectionMeasured {
         /// The request.
         request: RequestId,
         /// Which attempt.
         attempt: u32,
         /// The news.
-        note: Note,
+        metric: ConnectionMetric,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// Which attempt.
         attempt: u32,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Time since it was sent.
-        took: Nanos,
+        elapsed: Nanos,
         /// Whether the request is over with it.
-        closed: bool,
+        is_final: bool,
     },
     /// A server answered a probe, or did not.
-    Probed {
+    ProbeAnswered {
         /// Which server.
         server: ServerId,
         /// Load asked of it over what it can do; nothing if it did not answer.
@@ -429,50 +431,50 @@
     /// The client left; nothing is owed any more.
     ClientLeft(RequestId),
     /// A request that was to wait at the door has its turn.
-    Turn(RequestId),
+    PermitGranted(RequestId),
     /// There is no room at the door for a request that was to wait there, or it can't have its turn in time.
-    TurnedAway {
+    QueueRejected {
         /// The request.
         request: RequestId,
         /// How long the line takes in which it would wait; nothing if that is not known.
-        drain: Option<Nanos>,
+        queue_drain_time: Option<Nanos>,
     },
     /// An operator wants a waiting request elsewhere than before, or nowhere in particular.
-    Pinned {
+    PinChanged {
         /// The request.
         request: RequestId,
         /// Where to.
         pin: Option<Pin>,
     },
     /// A client key's failures over all gateways, as they are known here now; a hint that only lengthens or shortens delays.
-    Failures {
+    FleetFailuresCounted {
         /// Whose.
-        key: ClientKey,
+        client_key: ClientKey,
         /// How many.
         count: u32,
     },
     /// A timer is due.
-    Timer(TimerId),
+    TimerFired(TimerId),
 }
 
 /// Why a client is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum MigrationReason {
     /// Its server drains or is gone.
-    Leaving,
+    ServerLeaving,
     /// Messages at its server are late.
-    Late,
+    SlowMessages,
     /// Its server holds far more than its part.
-    Uneven,
+    Rebalancing,
     /// A cold server has room for it.
-    Cold,
+    SlowStart,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt.
-    Attempt {
+    StartAttempt {
         /// The request.
         request: RequestId,
         /// Where to.
@@ -483,7 +485,7 @@
         timeout: Nanos,
     },
     /// Final answer: no, and a new try does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away, where clients are told.
@@ -493,20 +495,20 @@
     Fail(RequestId),
     /// Too many set-ups are under way: the request waits at the door for [`Event::Turn`], or until it is answered. It is
     /// due as soon as [`crate::Balancer::has_turns`].
-    Wait(RequestId),
+    Enqueue(RequestId),
     /// End a standing connection politely; its client comes again.
-    Move(RequestId, Why),
+    Migrate(RequestId, MigrationReason),
     /// Call back with [`Event::Timer`].
-    Wake {
+    SetTimer {
         /// How long from now.
         after: Nanos,
         /// Which timer.
         timer: TimerId,
     },
     /// Ask a server how it is; [`Event::Probed`] follows.
-    Probe(ServerId),
+    ProbeServer(ServerId),
     /// Ask for the server list and its changes from now on.
-    Watch,
+    WatchServerList,
     /// A line for the log.
-    Log(String),
+    LogOverload(String),
 }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What is bounded over a whole fleet, and the part of it that falls to one gateway. Parts may be less than one: then
 //! they are odds. Nothing is rounded up here, since hundreds that each round up keep no bound together.
 
-use crate::api::{Entry, Nanos, Rules};
+use crate::api::{Nanos, ServerEntry, ServerRules};
 use crate::span::{part, seconds};
 
 /// Allowances were found with so many gateways: fewer have all of them each, more share them.
@@ -79,7 +79,7 @@
     /// A cold server takes what fills it while it warms, and warm ones show how much that is at least: what stands on
     /// them. New clients come at a rate that the farm bears too. Both are the gateway's own, so that the sum over all
     /// is the fleet's, however unevenly clients fall to gateways.
-    pub(crate) fn borne(&self, rules: &Rules, on_warm: f64, new_per_s: f64) -> f64 {
+    pub(crate) fn borne(&self, rules: &ServerRules, on_warm: f64, new_per_s: f64) -> f64 {
         let of_standing = if self.each {
             OF_STANDING_EACH
         } else {
@@ -87,7 +87,7 @@
         };
         let (warm, full) = (self.now - self.cold, self.full.max(f64::MIN_POSITIVE));
         let stands = if warm > 0.0 {
-            on_warm / warm / seconds(rules.cold_time.max(1))
+            on_warm / warm / seconds(rules.warm_up_time.max(1))
         } else {
             0.0
         };
@@ -96,12 +96,12 @@
 
     /// Odds that a client goes to a cold server, `waited` after one was last held against them. What is not used
     /// lapses after the time in which a server tips over.
-    pub(crate) fn of_all(&self, rules: &Rules, borne: f64, waited: Nanos) -> f64 {
+    pub(crate) fn of_all(&self, rules: &ServerRules, borne: f64, waited: Nanos) -> f64 {
         odds(
             rules,
             self.cold,
             borne,
-            waited.min(rules.fall_time.max(LEAST_FALL)),
+            waited.min(rules.overload_window.max(LEAST_FALL)),
         )
     }
 
@@ -112,7 +112,7 @@
     /// know.
     pub(crate) fn odds(
         &self,
-        rules: &Rules,
+        rules: &ServerRules,
         borne: f64,
         (waited, (able, own)): (Nanos, (f64, Nanos)),
     ) -> f64 {
@@ -125,16 +125,16 @@
     }
 }
 
-fn odds(rules: &Rules, able: f64, borne: f64, waited: Nanos) -> f64 {
-    let rate = rules.tip_multiple * able * borne;
+fn odds(rules: &ServerRules, able: f64, borne: f64, waited: Nanos) -> f64 {
+    let rate = rules.overload_multiple * able * borne;
     (rate * seconds(waited)).min(1.0)
 }
 
 /// Share of its capacity that a server has at least, by its listed start.
-pub(crate) fn warmth(rules: &Rules, entry: &Entry, now: Nanos) -> f64 {
+pub(crate) fn warmth(rules: &ServerRules, entry: &ServerEntry, now: Nanos) -> f64 {
     let age = now.saturating_sub(entry.started_at);
-    if entry.started_at == 0 || age >= rules.cold_time {
+    if entry.started_at == 0 || age >= rules.warm_up_time {
         return 1.0;
     }
-    rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64
+    rules.initial_capacity + (1.0 - rules.initial_capacity) * age as f64 / rules.warm_up_time as f64
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -1,6 +1,6 @@
 //! The pace of set-ups: how many may be under way at once, and how long one takes lately.
 
-use crate::api::{Nanos, Outcome, ServerId};
+use crate::api::{AttemptOutcome, Nanos, ServerId};
 use crate::fleet::Fleet;
 use crate::span::{part, seconds, within};
 
@@ -44,11 +44,17 @@
     }
 
     /// A set-up failed after so long.
-    pub(crate) fn failed(&mut self, now: Nanos, server: ServerId, how: Outcome, after: Nanos) {
-        if how == Outcome::TimedOut {
+    pub(crate) fn failed(
+        &mut self,
+        now: Nanos,
+        server: ServerId,
+        how: AttemptOutcome,
+        after: Nanos,
+    ) {
+        if how == AttemptOutcome::TimedOut {
             self.setups.timed_out(now, server, after);
         }
-        if matches!(how, Outcome::Error | Outcome::TimedOut) {
+        if matches!(how, AttemptOutcome::ServerError | AttemptOutcome::TimedOut) {
             self.window.cut(now);
         }
     }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -81,7 +81,7 @@
 const FULL: f64 = 0.7;
 
 /// Which attempt ended, how, after how long, and whether its request is over with it.
-type End = (u32, Outcome, Nanos, bool);
+type End = (u32, AttemptOutcome, Nanos, bool);
 
 /// The decisions of one gateway.
 pub struct Balancer {
@@ -99,7 +99,7 @@
         Ok(Balancer {
             rng,
             books,
-            tally: Tally::of(settings.gateways),
+            tally: Tally::of(settings.balancers),
             settings,
         })
     }
@@ -111,50 +111,62 @@
             // Guards against hundreds that start together and then do all their housekeeping in step.
             let first = self.rng.random_range(1..=HOUSEKEEPING);
             self.wake(first, Due::Housekeeping, out);
-            if self.settings.discovery == Discovery::Asked {
+            if self.settings.discovery == DiscoveryMode::Polled {
                 self.ask_list(0, out);
             }
         }
         match event {
-            Event::List { kind, entries } => self.on_list(now, kind, entries, out),
-            Event::Settings(settings) if self.settings.may_become(&settings) => {
+            Event::ServerList { update, entries } => self.on_list(now, update, entries, out),
+            Event::SettingsReplaced(settings) if self.settings.may_become(&settings) => {
                 self.replace_settings(now, *settings, out);
             }
-            Event::Arrived(arrival) => self.on_arrival(now, arrival, out),
-            Event::Standing { arrival, .. } if !self.settings.knows(arrival.class) => {}
-            Event::Standing { arrival, server } => self.books.open(arrival, Some(server)),
-            Event::Established { request, attempt } => self.on_established(now, request, attempt),
-            Event::Noted {
+            Event::ConnectRequested(arrival) => self.on_arrival(now, arrival, out),
+            Event::ConnectionAdopted { request, .. } if !self.settings.knows(request.class) => {}
+            Event::ConnectionAdopted {
+                request: arrival,
+                server,
+            } => self.books.open(arrival, Some(server)),
+            Event::AttemptEstablished { request, attempt } => {
+                self.on_established(now, request, attempt)
+            }
+            Event::ConnectionMeasured {
                 request,
                 attempt,
-                note,
-            } => self.on_note(now, request, attempt, note, out),
-            Event::Ended {
+                metric,
+            } => self.on_note(now, request, attempt, metric, out),
+            Event::AttemptEnded {
                 request,
                 attempt,
                 outcome,
-                took,
-                closed,
+                elapsed: took,
+                is_final,
             } => {
-                self.on_ended(now, request, (attempt, outcome, took, closed), out);
+                self.on_ended(now, request, (attempt, outcome, took, is_final), out);
             }
-            Event::Probed { server, load } => self.on_probed(now, server, load, out),
+            Event::ProbeAnswered { server, load } => self.on_probed(now, server, load, out),
             Event::ClientLeft(request) => self.books.forget(request),
-            Event::Turn(request) if self.books.waits(request) => self.place(now, request, out),
-            Event::TurnedAway { request, drain } if self.books.waits(request) => {
+            Event::PermitGranted(request) if self.books.waits(request) => {
+                self.place(now, request, out)
+            }
+            Event::QueueRejected {
+                request,
+                queue_drain_time: drain,
+            } if self.books.waits(request) => {
                 self.books.turn_away(request, drain);
                 self.give_up(request, out);
             }
-            Event::Turn(_) | Event::TurnedAway { .. } | Event::Settings(_) => {}
-            Event::Pinned { request, pin } => self.books.pin(request, pin),
-            Event::Failures { key, count } => self.books.set_failures(now, key, count),
-            Event::Timer(timer) => self.on_timer(now, timer, out),
+            Event::PermitGranted(_) | Event::QueueRejected { .. } | Event::SettingsReplaced(_) => {}
+            Event::PinChanged { request, pin } => self.books.pin(request, pin),
+            Event::FleetFailuresCounted { client_key, count } => {
+                self.books.set_failures(now, client_key, count)
+            }
+            Event::TimerFired(timer) => self.on_timer(now, timer, out),
         }
     }
 
     /// Whether one that waits at the door can have its turn now. Guards against set-ups that all fail on
     /// something that the servers share: repeats and comebacks would keep it overrun.
-    pub fn has_turns(&self) -> bool {
+    pub fn has_permits(&self) -> bool {
         (self.books.passes_out() as f64) < self.tally.pace.window()
     }
 
@@ -175,15 +187,21 @@
 
     // ---- the server list ----
 
-    fn on_list(&mut self, now: Nanos, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        if let ListKind::Failed(quiet) | ListKind::Silent(quiet) = kind {
-            self.tally.list_failures += u32::from(matches!(kind, ListKind::Failed(_)));
+    fn on_list(
+        &mut self,
+        now: Nanos,
+        kind: ListUpdate,
+        entries: Vec<ServerEntry>,
+        out: &mut Vec<Action>,
+    ) {
+        if let ListUpdate::Failed(quiet) | ListUpdate::TimedOut(quiet) = kind {
+            self.tally.list_failures += u32::from(matches!(kind, ListUpdate::Failed(_)));
             return self.ask_list(quiet, out);
         }
-        if kind != ListKind::Cached {
+        if kind != ListUpdate::Cached {
             self.tally.list_failures = 0;
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdate::Delta {
             self.books
                 .servers
                 .values_mut()
@@ -213,10 +231,10 @@
         let asked = self
             .settings
             .rules
-            .ask_within
+            .list_max_age
             .checked_sub(1)
             .map_or(Nanos::MAX, |within| within / 2);
-        let usual = if self.settings.discovery == Discovery::Pushed {
+        let usual = if self.settings.discovery == DiscoveryMode::Pushed {
             AGENT_WAIT
         } else {
             asked
@@ -227,7 +245,7 @@
             self.settings.longest_deadline().min(within),
         );
         let wait = match (n, self.tally.fleet.herd(within)) {
-            (0, 0) => return out.push(Action::Watch),
+            (0, 0) => return out.push(Action::WatchServerList),
             (0, herd) => self.rng.random_range(1..=herd),
             (_, herd) => self.jittered(n, herd.max(cap / 8), cap),
         };
@@ -249,7 +267,7 @@
 
     // ---- requests ----
 
-    fn on_arrival(&mut self, now: Nanos, arrival: Arrival, out: &mut Vec<Action>) {
+    fn on_arrival(&mut self, now: Nanos, arrival: ConnectRequest, out: &mut Vec<Action>) {
         let id = arrival.request;
         if self.books.requests.contains_key(&id) {
             return;
@@ -257,7 +275,7 @@
         if !self.settings.knows(arrival.class) {
             return out.push(Action::Fail(id));
         }
-        if !arrival.returns {
+        if !arrival.is_reconnect {
             self.tally.came_anew(now);
         }
         self.books.open(arrival, None);
@@ -279,8 +297,8 @@
         if self.books.load_of_all() + self.wanted(request) > self.books.ceiling {
             return self.back_off(now, id, out);
         }
-        if !self.has_turns() {
-            out.push(Action::Wait(id));
+        if !self.has_permits() {
+            out.push(Action::Enqueue(id));
             return self.wake_for(id, until - now, out);
         }
         let Some(server) = self.next_in_turn(now, id) else {
@@ -295,7 +313,7 @@
         self.books
             .take_turn(server, 1.0 / self.weight_here(&self.books.servers[&server]));
         self.books.send(now, id, server);
-        out.push(Action::Attempt {
+        out.push(Action::StartAttempt {
             request: id,
             server,
             begin_within: timeout.min(until - now),
@@ -305,21 +323,21 @@
 
     /// A server that tells its load when probed is asked before it is sent anything, unless it told just now.
     fn wants_probe(&self, now: Nanos, server: &Server) -> bool {
-        self.settings.limits.may_probe
+        self.settings.limits.can_probe
             && server.is_warm()
             && server.told_within(now, PROBE_HOLDS).is_none()
     }
 
     /// The request waits for the server's answer, which places it anew; a timer does if none comes.
     fn ask(&mut self, now: Nanos, id: RequestId, server: ServerId, out: &mut Vec<Action>) {
-        let left = self.books.requests[&id].arrival.give_up_at - now;
+        let left = self.books.requests[&id].arrival.deadline_at - now;
         self.wake_for(
             id,
             left.min(self.settings.limits.connect_timeout.saturating_mul(2)),
             out,
         );
         self.books.ask(id, server);
-        out.push(Action::Probe(server));
+        out.push(Action::ProbeServer(server));
     }
 
     fn on_probed(&mut self, now: Nanos, id: ServerId, load: Option<f64>, out: &mut Vec<Action>) {
@@ -338,14 +356,16 @@
             &self.settings.classes[request.arrival.class.0],
             &self.settings.limits,
         );
-        let (left, made) = (request.arrival.give_up_at - now, request.attempts);
-        let usual = class.aim.max(limits.connect_timeout.saturating_mul(2));
+        let (left, made) = (request.arrival.deadline_at - now, request.attempts);
+        let usual = class
+            .latency_objective
+            .max(limits.connect_timeout.saturating_mul(2));
         let short = self
             .tally
             .pace
             .patience(now, usual)
             .saturating_mul(1 << made.min(MAX_DOUBLINGS));
-        if made + 1 >= limits.max_attempts || class.repeat != Repeat::Safe {
+        if made + 1 >= limits.max_attempts || class.retry_safety != RetrySafety::Idempotent {
             left
         } else {
             left.min(short)
@@ -354,15 +374,15 @@
 
     /// Until when one more attempt may begin: its client has to wait, and a repeat to do no harm.
     fn may_begin_until(&self, request: &Request) -> Nanos {
-        let give_up_at = request.arrival.give_up_at;
+        let give_up_at = request.arrival.deadline_at;
         match (
             request.may_have_run,
-            self.settings.classes[request.arrival.class.0].repeat,
+            self.settings.classes[request.arrival.class.0].retry_safety,
         ) {
             _ if request.attempts >= self.settings.limits.max_attempts => 0,
-            (None, _) | (_, Repeat::Safe) => give_up_at,
-            (_, Repeat::Unsafe) => 0,
-            (Some((_, at)), Repeat::Keyed { window, .. }) => {
+            (None, _) | (_, RetrySafety::Idempotent) => give_up_at,
+            (_, RetrySafety::NonIdempotent) => 0,
+            (Some((_, at)), RetrySafety::IdempotencyKey { window, .. }) => {
                 give_up_at.min(at.saturating_add(window))
             }
         }
@@ -375,7 +395,7 @@
         self.books.stands(id, server);
         self.succeeded(id, server);
         let request = &self.books.requests[&id];
-        let aim = self.settings.classes[request.arrival.class.0].aim;
+        let aim = self.settings.classes[request.arrival.class.0].latency_objective;
         self.tally
             .pace
             .stood(now, now.saturating_sub(request.sent_at), aim);
@@ -387,7 +407,7 @@
             self.books
                 .requests
                 .get(&id)
-                .and_then(|request| request.arrival.key),
+                .and_then(|request| request.arrival.client_key),
         );
         self.books.win_back(server);
     }
@@ -397,7 +417,7 @@
         now: Nanos,
         id: RequestId,
         attempt: u32,
-        note: Note,
+        note: ConnectionMetric,
         out: &mut Vec<Action>,
     ) {
         let Some((server, true)) = self.books.current(id, attempt) else {
@@ -405,16 +425,16 @@
         };
         let aim = self.settings.shortest_message_aim();
         match note {
-            Note::Load(load) => self.books.note_load(id, server, load),
-            Note::Delay(delay) if delay >= aim => {
+            ConnectionMetric::Load(load) => self.books.note_load(id, server, load),
+            ConnectionMetric::MessageLatency(delay) if delay >= aim => {
                 self.books.was_late(now, server);
                 self.strain(now, server, RELIEF_LATE);
                 self.relieve(server, out);
             }
-            Note::Delay(delay) if delay >= part(aim, STRAIN_OF_AIM) => {
+            ConnectionMetric::MessageLatency(delay) if delay >= part(aim, STRAIN_OF_AIM) => {
                 self.strain(now, server, RELIEF)
             }
-            Note::Delay(_) => {}
+            ConnectionMetric::MessageLatency(_) => {}
         }
     }
 
@@ -423,12 +443,12 @@
         let Some((server, stood)) = self.books.current(id, attempt) else {
             return;
         };
-        let key = self.books.requests[&id].arrival.key;
-        if stood || closed || outcome == Outcome::Served {
-            if outcome == Outcome::Served && !stood {
+        let key = self.books.requests[&id].arrival.client_key;
+        if stood || closed || outcome == AttemptOutcome::Served {
+            if outcome == AttemptOutcome::Served && !stood {
                 self.succeeded(id, server);
             }
-            let own = outcome == Outcome::Reset
+            let own = outcome == AttemptOutcome::Reset
                 && stood
                 && self.books.reset_share(now, server) > OWN_RESETS;
             self.books.forget(id);
@@ -443,10 +463,11 @@
             }
             return;
         }
-        self.books.failed(id, server, !outcome.never_ran());
+        self.books
+            .failed(id, server, !outcome.proves_not_executed());
         match outcome {
-            Outcome::NotSent => return self.place(now, id, out),
-            Outcome::Cancelled => {}
+            AttemptOutcome::NotSent => return self.place(now, id, out),
+            AttemptOutcome::Cancelled => {}
             _ => self.strike(now, server),
         }
         self.books.raise_failures(now, key);
@@ -464,7 +485,7 @@
             self.may_begin_until(request),
         );
         let (base, cap) = (
-            part(class.aim, BASE_OF_AIM),
+            part(class.latency_objective, BASE_OF_AIM),
             part(class.deadline, CAP_OF_DEADLINE),
         );
         let wait = self.jittered(self.books.failures_of(request), base, cap);
@@ -484,15 +505,15 @@
         } else {
             let n = self.books.failures_of(request);
             let (told, longest) = (
-                self.settings.limits.retry_after,
+                self.settings.limits.sends_retry_after,
                 self.settings.limits.max_retry_after,
             );
             let base = request
                 .drain
-                .unwrap_or(self.settings.classes[request.arrival.class.0].aim);
+                .unwrap_or(self.settings.classes[request.arrival.class.0].latency_objective);
             let retry_after = told.then(|| self.jittered(n, base.min(longest), longest));
             self.tally.refused += 1;
-            out.push(Action::Refuse {
+            out.push(Action::Reject {
                 request: id,
                 retry_after,
             });
@@ -591,7 +612,7 @@
     fn hand_of(&mut self, group: GroupId) -> Vec<ServerId> {
         let core = self.width_of(group, 0.0).max(1.0);
         let turn =
-            group.phase() + f64::from(self.settings.rank) / f64::from(self.settings.gateways);
+            group.phase() + f64::from(self.settings.rank) / f64::from(self.settings.balancers);
         let mut places = self
             .books
             .places_from(group, (turn.fract() * core) as usize);
@@ -630,11 +651,11 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.worth)
+            .map(|class| class.priority_weight)
             .fold(f64::MIN_POSITIVE, f64::max);
         let dearth = most
             / self.settings.classes[request.arrival.class.0]
-                .worth
+                .priority_weight
                 .max(most / MOST_DEARTH);
         FIT * self.books.load_of(request) * dearth.sqrt()
     }
@@ -644,7 +665,7 @@
         let own = server.entry.zone == self.settings.zone;
         server.weight()
             * if own {
-                1.0 + ZONE_PULL * self.settings.prices.cross_zone
+                1.0 + ZONE_PULL * self.settings.costs.cross_zone
             } else {
                 1.0
             }
@@ -657,17 +678,20 @@
         };
         let first = &self.books.servers[&first].entry;
         server.ready
-            && match self.settings.classes[request.arrival.class.0].repeat {
-                Repeat::Safe
-                | Repeat::Unsafe
-                | Repeat::Keyed {
-                    scope: Scope::All, ..
+            && match self.settings.classes[request.arrival.class.0].retry_safety {
+                RetrySafety::Idempotent
+                | RetrySafety::NonIdempotent
+                | RetrySafety::IdempotencyKey {
+                    scope: DedupScope::All,
+                    ..
                 } => true,
-                Repeat::Keyed {
-                    scope: Scope::Zone, ..
+                RetrySafety::IdempotencyKey {
+                    scope: DedupScope::Zone,
+                    ..
                 } => server.entry.zone == first.zone,
-                Repeat::Keyed {
-                    scope: Scope::Cell, ..
+                RetrySafety::IdempotencyKey {
+                    scope: DedupScope::Cell,
+                    ..
                 } => server.entry.cell == first.cell,
             }
     }
@@ -701,12 +725,12 @@
             let any = self.rng.random_range(0..led.len().max(1));
             led.get(any)
                 .into_iter()
-                .for_each(|id| self.move_off(*id, Why::Cold, out));
+                .for_each(|id| self.move_off(*id, MigrationReason::SlowStart, out));
         }
     }
 
-    fn move_off(&mut self, id: RequestId, why: Why, out: &mut Vec<Action>) {
-        out.push(Action::Move(id, why));
+    fn move_off(&mut self, id: RequestId, why: MigrationReason, out: &mut Vec<Action>) {
+        out.push(Action::Migrate(id, why));
         self.books.forget(id);
     }
 
@@ -758,7 +782,7 @@
                 return;
             }
             excess -= load;
-            self.move_off(moved, Why::Late, out);
+            self.move_off(moved, MigrationReason::SlowMessages, out);
         }
     }
 
@@ -766,7 +790,7 @@
     /// Guards against servers that tell nothing of their strain, and connections that outlast the rotation.
     fn even_out(&mut self, out: &mut Vec<Action>) {
         // Servers that tell their load are known better than by what this gateway holds there.
-        if self.settings.limits.may_probe {
+        if self.settings.limits.can_probe {
             return;
         }
         let limit = (1.0 + EVEN_EXCESS) * self.books.load_of_all()
@@ -795,7 +819,7 @@
                 .into_iter()
                 .find(|(more, id)| fits(*more) && free(id));
             if let Some((_, moved)) = heavy.filter(|(more, _)| *more >= EVEN_LEAST * load) {
-                self.move_off(moved, Why::Uneven, out);
+                self.move_off(moved, MigrationReason::Rebalancing, out);
             }
         }
     }
@@ -807,11 +831,11 @@
         let draining =
             OFF_DRAINING * self.tally.able.now / self.tally.able.full.max(f64::MIN_POSITIVE);
         for id in self.books.leaving() {
-            let is_gone = self.books.servers[&id].entry.state == State::Gone;
+            let is_gone = self.books.servers[&id].entry.state == ServerState::Removed;
             let odds = if is_gone { OFF_GONE } else { draining };
             for (_, moved) in self.books.heaviest_at(id) {
                 if self.rng.random_range(0.0..1.0) < odds {
-                    self.move_off(moved, Why::Leaving, out);
+                    self.move_off(moved, MigrationReason::ServerLeaving, out);
                 }
             }
         }
@@ -859,7 +883,7 @@
 
     fn wake(&mut self, after: Nanos, due: Due, out: &mut Vec<Action>) -> TimerId {
         let timer = self.books.set_timer(due);
-        out.push(Action::Wake { after, timer });
+        out.push(Action::SetTimer { after, timer });
         timer
     }
 
@@ -884,10 +908,14 @@
                 self.fill_cold(out);
                 self.empty_leaving(out);
                 self.watch_fleet(now);
-                out.extend(self.books.trouble(now, &mut self.tally).map(Action::Log));
+                out.extend(
+                    self.books
+                        .trouble(now, &mut self.tally)
+                        .map(Action::LogOverload),
+                );
                 self.wake(HOUSEKEEPING, Due::Housekeeping, out);
             }
-            Some(Due::AskList) => out.push(Action::Watch),
+            Some(Due::AskList) => out.push(Action::WatchServerList),
             Some(Due::Retry(_)) | None => {}
         }
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -23,7 +23,7 @@
 
 /// A server, as this gateway sees it.
 pub(crate) struct Server {
-    pub(crate) entry: Entry,
+    pub(crate) entry: ServerEntry,
     pub(crate) ready: bool,
     /// When its next turn is due, in rounds of a server of weight 1.
     pub(crate) due: f64,
@@ -92,7 +92,7 @@
 
 /// A request that is owed an answer, or the connection that it became.
 pub(crate) struct Request {
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: ConnectRequest,
     pub(crate) phase: Phase,
     pub(crate) attempts: u32,
     /// When its latest attempt was sent.
@@ -176,11 +176,11 @@
     /// Other settings hold from now on. What was learnt of the pace holds within the bounds of as many gateways as there
     /// are now; it is forgotten where it was learnt by other aims or limits.
     pub(crate) fn follow(&mut self, (before, after): (&Settings, &Settings)) {
-        self.fleet = Fleet::of(after.gateways);
+        self.fleet = Fleet::of(after.balancers);
         if (&before.classes, &before.limits) == (&after.classes, &after.limits) {
-            self.pace.share_with(after.gateways);
+            self.pace.share_with(after.balancers);
         } else {
-            self.pace = Pace::of(after.gateways);
+            self.pace = Pace::of(after.balancers);
         }
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Counts what the ready servers can do, and what the fleet bears of this gateway.
-    pub(crate) fn count_able(&mut self, now: Nanos, books: &Books, rules: &Rules) {
+    pub(crate) fn count_able(&mut self, now: Nanos, books: &Books, rules: &ServerRules) {
         // What could not be sent while no server was cold is not made up for.
         if self.able.cold == 0.0 {
             self.asked_cold_at = now;
@@ -241,7 +241,7 @@
     pub(crate) fn new(settings: &Settings) -> Books {
         let (classes, sizes) = (
             settings.classes.len(),
-            settings.live_weights.then(BTreeMap::new),
+            settings.has_live_weights.then(BTreeMap::new),
         );
         let held = Held {
             known: 0.0,
@@ -263,8 +263,8 @@
         let classes = after.classes.len();
         self.class_loads.resize_with(classes, Mean::default);
         self.held.unknown.resize(classes, 0);
-        if before.live_weights != after.live_weights {
-            self.sizes = after.live_weights.then(|| self.greatest_weights());
+        if before.has_live_weights != after.has_live_weights {
+            self.sizes = after.has_live_weights.then(|| self.greatest_weights());
         }
         let longest = now.saturating_add(after.longest_deadline());
         let same_aims = before.classes == after.classes;
@@ -284,7 +284,7 @@
     fn greatest_weights(&self) -> BTreeMap<u64, f64> {
         let mut sizes = BTreeMap::new();
         for server in self.servers.values() {
-            let size = sizes.entry(server.entry.kind).or_insert(0.0_f64);
+            let size = sizes.entry(server.entry.machine_type).or_insert(0.0_f64);
             *size = size.max(server.weight());
         }
         sizes
@@ -326,7 +326,8 @@
 
     /// The servers that drain or are gone; those that an operator took out are not among them.
     pub(crate) fn leaving(&self) -> Vec<ServerId> {
-        let leaves = |server: &&Server| !server.ready && server.entry.state != State::Out;
+        let leaves =
+            |server: &&Server| !server.ready && server.entry.state != ServerState::OutOfService;
         self.servers
             .values()
             .filter(leaves)
@@ -442,7 +443,7 @@
     }
 
     /// Takes a list entry in. What was held against a process that has started anew is forgotten.
-    pub(crate) fn learn(&mut self, entry: Entry) {
+    pub(crate) fn learn(&mut self, entry: ServerEntry) {
         let classes = self.class_loads.len();
         let server = self
             .servers
@@ -452,11 +453,11 @@
             (server.strikes, server.shun_until, server.held_until) = (0, 0, 0);
             (server.ceiling, server.told, server.warmth) = (f64::INFINITY, None, 1.0);
         }
-        server.ready = entry.state == State::Ready;
+        server.ready = entry.state == ServerState::Ready;
         let (id, before) = (entry.server, server.weight());
         server.entry = entry;
         if let Some(sizes) = &mut self.sizes {
-            let size = sizes.entry(server.entry.kind).or_insert(0.0);
+            let size = sizes.entry(server.entry.machine_type).or_insert(0.0);
             *size = size.max(server.weight());
         }
         // Guards against a server whose weight rises but whose next turn still lies where the old one put it.
@@ -531,9 +532,10 @@
 
     /// Notes how warm and how large servers are; groups' orders follow. Guards against cold servers that pass for many
     /// times as large as the warm ones, since they hold nothing yet.
-    pub(crate) fn warm_up(&mut self, now: Nanos, warmth: impl Fn(&Entry) -> f64) {
+    pub(crate) fn warm_up(&mut self, now: Nanos, warmth: impl Fn(&ServerEntry) -> f64) {
         for server in self.servers.values_mut() {
-            let size_of = |sizes: &BTreeMap<u64, f64>| sizes.get(&server.entry.kind).copied();
+            let size_of =
+                |sizes: &BTreeMap<u64, f64>| sizes.get(&server.entry.machine_type).copied();
             let size = self
                 .sizes
                 .as_ref()
@@ -613,7 +615,7 @@
         self.orders.clear();
     }
 
-    pub(crate) fn open(&mut self, arrival: Arrival, held_by: Option<ServerId>) {
+    pub(crate) fn open(&mut self, arrival: ConnectRequest, held_by: Option<ServerId>) {
         let id = arrival.request;
         let phase = held_by.map_or(Phase::Waiting, Phase::Standing);
         let attempts = u32::from(held_by.is_some());
@@ -642,8 +644,8 @@
             return;
         };
         if let Some(server) = self.servers.get_mut(&at) {
-            server.held.add(arrival.class, arrival.load);
-            self.held.add(arrival.class, arrival.load);
+            server.held.add(arrival.class, arrival.expected_load);
+            self.held.add(arrival.class, arrival.expected_load);
         }
         if let Some(group) = arrival.group {
             *self.groups.entry(group).or_default().entry(at).or_insert(0) += 1;
@@ -769,8 +771,9 @@
         if let Some(server) = self.servers.get_mut(&at) {
             server
                 .held
-                .take(request.arrival.class, request.arrival.load);
-            self.held.take(request.arrival.class, request.arrival.load);
+                .take(request.arrival.class, request.arrival.expected_load);
+            self.held
+                .take(request.arrival.class, request.arrival.expected_load);
         }
         let Some(group) = request.arrival.group else {
             return;
@@ -809,7 +812,7 @@
             return;
         };
         let class = request.arrival.class;
-        let old = request.arrival.load.replace(load);
+        let old = request.arrival.expected_load.replace(load);
         self.class_loads[class.0].add(load);
         if let Some(server) = self.servers.get_mut(&at) {
             for held in [&mut server.held, &mut self.held] {
@@ -836,7 +839,7 @@
     pub(crate) fn load_of(&self, request: &Request) -> f64 {
         request
             .arrival
-            .load
+            .expected_load
             .unwrap_or_else(|| self.class_loads[request.arrival.class.0].value())
     }
 
@@ -890,7 +893,7 @@
                 .get(&key)
                 .map_or(0, |failures: &Failures| failures.count)
         };
-        request.arrival.key.map_or(request.attempts, of_key)
+        request.arrival.client_key.map_or(request.attempts, of_key)
     }
 
     pub(crate) fn set_timer(&mut self, due: Due) -> TimerId {
@@ -908,12 +911,12 @@
 impl Request {
     /// Its client was neither pinned nor moved or cut off before.
     pub(crate) fn came_freely(&self) -> bool {
-        self.arrival.pin.is_none() && !self.arrival.returns
+        self.arrival.pin.is_none() && !self.arrival.is_reconnect
     }
 }
 
 impl Server {
-    fn new(entry: Entry, classes: usize) -> Server {
+    fn new(entry: ServerEntry, classes: usize) -> Server {
         Server {
             entry,
             ready: false,
@@ -956,7 +959,7 @@
     /// The weight by which what it holds is judged. Guards against a server that was let back and from which its
     /// connections are moved since its weight is still on its way.
     pub(crate) fn weight_to_come(&self) -> f64 {
-        self.entry.rises_to.unwrap_or_else(|| self.weight())
+        self.entry.target_weight.unwrap_or_else(|| self.weight())
     }
 
     /// Whether it can do all that it ever can.
@@ -977,7 +980,7 @@
 
     /// Where this server stands in a group's own order, lowest first: weighted rendezvous hashing.
     fn rank_for(&self, group: GroupId) -> f64 {
-        let mut mixed = self.entry.tag ^ group.0;
+        let mut mixed = self.entry.name_hash ^ group.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^= mixed >> 31;
