--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -6,42 +6,42 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use beaconflow_admission::Limits;
-use beaconflow_engine::{Decides, Instance};
+use beaconflow_engine::{BalancerEngine, Engine};
 use beaconflow_policy::{
-    Action, ClassId, ClientKey, ConnectRequest, ConnectionMetric, Event, GroupId, ListUpdate,
-    Nanos, RequestId, ServerEntry, ServerId, ServerState, TimerId, ZoneId,
+    Action, AttemptEnd, ClassId, ClientKey, ConnectRequest, ConnectionMetric, Event, GroupId,
+    ListUpdate, Nanos, RequestId, ServerEntry, ServerId, ServerState, TimerId, ZoneId,
 };
-use beaconflow_settings::{Setup, digest};
+use beaconflow_settings::{SiteSettings, digest};
 
 use crate::wire::{self, Item, Line};
 
 /// Why a run ended early.
-pub struct Stop {
+pub struct AdapterError {
     line: u64,
     reason: String,
 }
 
-impl fmt::Display for Stop {
+impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.reason)
     }
 }
 
 /// One gateway, with the names of the servers it has heard of.
-struct Named {
-    instance: Instance,
-    names: Vec<String>,
-    numbers: BTreeMap<String, ServerId>,
+struct Instance {
+    engine: Engine,
+    server_names: Vec<String>,
+    server_ids: BTreeMap<String, ServerId>,
 }
 
-impl Named {
+impl Instance {
     fn intern(&mut self, name: &str) -> ServerId {
-        if let Some(known) = self.numbers.get(name) {
+        if let Some(known) = self.server_ids.get(name) {
             return *known;
         }
-        let server = ServerId(u32::try_from(self.names.len()).unwrap_or(u32::MAX));
-        self.names.push(name.to_owned());
-        self.numbers.insert(name.to_owned(), server);
+        let server = ServerId(u32::try_from(self.server_names.len()).unwrap_or(u32::MAX));
+        self.server_names.push(name.to_owned());
+        self.server_ids.insert(name.to_owned(), server);
         server
     }
 }
@@ -49,21 +49,21 @@
 #[derive(Default)]
 struct Host {
     now: Option<Nanos>,
-    instances: BTreeMap<String, Named>,
+    instances: BTreeMap<String, Instance>,
     tables: BTreeMap<u8, Vec<Item>>,
     actions: Vec<Action>,
     reply: Vec<u8>,
 }
 
 /// Reads `input` to its end and answers each batch on `output`.
-pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), Stop> {
+pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut bytes = Vec::new();
     let mut line = 0;
     loop {
         bytes.clear();
         line += 1;
-        let stop = |reason: String| Stop { line, reason };
+        let stop = |reason: String| AdapterError { line, reason };
         let read = input
             .read_until(b'\n', &mut bytes)
             .map_err(|error| stop(error.to_string()))?;
@@ -79,7 +79,7 @@
         }
         let message: Line = serde_json::from_slice(&bytes)
             .map_err(|error| stop(format!("not a message: {error}")))?;
-        if host.take(line, &message).map_err(stop)? {
+        if host.handle_line(line, &message).map_err(stop)? {
             let written = output.write_all(&host.reply).and_then(|()| output.flush());
             written.map_err(|error| stop(format!("cannot write the reply: {error}")))?;
             host.reply.clear();
@@ -87,18 +87,18 @@
     }
 }
 
-fn need<T>(value: Option<T>, field: &str) -> Result<T, String> {
+fn required<T>(value: Option<T>, field: &str) -> Result<T, String> {
     value.ok_or_else(|| format!("lacks {field}"))
 }
 
 impl Host {
     /// Takes one line; true once a reply is whole.
-    fn take(&mut self, line: u64, message: &Line) -> Result<bool, String> {
+    fn handle_line(&mut self, line: u64, message: &Line) -> Result<bool, String> {
         if message.what == "TICK" {
             if self.now.is_some() {
                 return Err("TICK inside a batch".into());
             }
-            self.now = Some(need(message.time_ns, "time-ns")?);
+            self.now = Some(required(message.time_ns, "time-ns")?);
             return Ok(false);
         }
         let Some(now) = self.now else {
@@ -111,20 +111,20 @@
                 return Ok(true);
             }
             "TABLE" => {
-                let items = need(message.items, "items")?;
+                let items = required(message.items, "items")?;
                 let items =
                     serde_json::from_str(items.get()).map_err(|error| format!("items: {error}"))?;
-                self.tables.insert(need(message.list, "list")?, items);
+                self.tables.insert(required(message.list, "list")?, items);
             }
             "POWER_ON" => self.start(message)?,
             "KILLED" => {
-                let name = need(message.balancer_id.as_deref(), "balancer-id")?;
+                let name = required(message.balancer_id.as_deref(), "balancer-id")?;
                 self.instances
                     .remove(name)
                     .ok_or_else(|| format!("{name} was never started"))?;
             }
             "INBOX" => {
-                let name = need(message.balancer_id.as_deref(), "balancer-id")?;
+                let name = required(message.balancer_id.as_deref(), "balancer-id")?;
                 self.instances
                     .get(name)
                     .ok_or_else(|| format!("{name} was never started"))?;
@@ -135,25 +135,25 @@
     }
 
     fn start(&mut self, message: &Line) -> Result<(), String> {
-        let name = need(message.balancer_id.as_deref(), "balancer-id")?;
-        let setup: Setup = serde_json::from_str(need(message.setup, "setup")?.get())
+        let name = required(message.balancer_id.as_deref(), "balancer-id")?;
+        let setup: SiteSettings = serde_json::from_str(required(message.setup, "setup")?.get())
             .map_err(|error| format!("setup: {error}"))?;
-        let settings = setup.module();
-        let seed = need(message.nonce64, "nonce64")?;
-        let shares = setup.shares().map(|(_, share)| share).collect();
-        let instance = Instance::new(settings, shares, Limits::default(), seed)
+        let settings = setup.policy_settings();
+        let seed = required(message.nonce64, "nonce64")?;
+        let shares = setup.tenant_shares().map(|(_, share)| share).collect();
+        let engine = Engine::new(settings, shares, Limits::default(), seed)
             .map_err(|error| error.to_string())?;
-        let instance = Named {
-            instance,
-            names: Vec::new(),
-            numbers: BTreeMap::new(),
+        let instance = Instance {
+            engine,
+            server_names: Vec::new(),
+            server_ids: BTreeMap::new(),
         };
         self.instances.insert(name.to_owned(), instance);
         Ok(())
     }
 
     fn event(&mut self, line: u64, now: Nanos, message: &Line) -> Result<(), String> {
-        let name = need(message.balancer_id.as_deref(), "balancer-id")?;
+        let name = required(message.balancer_id.as_deref(), "balancer-id")?;
         let instance = self
             .instances
             .get_mut(name)
@@ -172,9 +172,9 @@
         let account = message.client_group.unwrap_or(0);
         let handled = catch_unwind(AssertUnwindSafe(|| match event {
             Event::ConnectRequested(arrival) => instance
-                .instance
-                .arrives(now, arrival, account, false, actions),
-            event => instance.instance.handle(now, event, actions),
+                .engine
+                .on_connect_requested(now, arrival, account, false, actions),
+            event => instance.engine.handle(now, event, actions),
         }));
         if let Err(panic) = handled {
             let text = panic.downcast_ref::<&str>().copied();
@@ -184,7 +184,7 @@
         }
         for action in &self.actions {
             wire::write_action(&mut self.reply, name, action, |server| {
-                &instance.names[server.0 as usize]
+                &instance.server_names[server.0 as usize]
             });
         }
         Ok(())
@@ -193,26 +193,26 @@
 
 /// Turns a line into an event of the module; nothing for an event that it does not know.
 fn read_event(
-    instance: &mut Named,
+    instance: &mut Instance,
     tables: &BTreeMap<u8, Vec<Item>>,
     message: &Line,
 ) -> Result<Option<Event>, String> {
-    let request = || need(message.req, "req").map(RequestId);
-    let attempt = || need(message.send_no, "send-no");
+    let request = || required(message.req, "req").map(RequestId);
+    let attempt = || required(message.send_no, "send-no");
     Ok(Some(match &*message.what {
         "ANNOUNCE" => read_list(instance, tables, message)?,
-        "ASK" => Event::ConnectRequested(read_arrival(message)?),
+        "ASK" => Event::ConnectRequested(read_connect_request(message)?),
         "TAKEN_OVER" => Event::ConnectionAdopted {
-            request: read_arrival(message)?,
-            server: instance.intern(need(message.server.as_deref(), "server")?),
+            request: read_connect_request(message)?,
+            server: instance.intern(required(message.server.as_deref(), "server")?),
         },
         "ACK_FIRST" => Event::AttemptEstablished {
             request: request()?,
             attempt: attempt()?,
         },
         "HEARTBEAT" => {
-            let value = need(message.value, "value")?;
-            let metric = match need(message.kind, "kind")? {
+            let value = required(message.value, "value")?;
+            let metric = match required(message.kind, "kind")? {
                 1 => ConnectionMetric::Load(value),
                 2 => ConnectionMetric::MessageLatency((value * 1e6) as Nanos),
                 _ => return Ok(None),
@@ -223,28 +223,28 @@
                 metric,
             }
         }
-        "RESULT" => Event::AttemptEnded {
+        "RESULT" => Event::AttemptEnded(AttemptEnd {
             request: request()?,
             attempt: attempt()?,
-            outcome: wire::outcome(need(message.status, "status")?).ok_or("unknown status")?,
-            elapsed: need(message.elapsed_ns, "elapsed-ns")?,
+            outcome: wire::outcome(required(message.status, "status")?).ok_or("unknown status")?,
+            elapsed: required(message.elapsed_ns, "elapsed-ns")?,
             is_final: message.closed,
-        },
+        }),
         "HEALTH_RESULT" => Event::ProbeAnswered {
-            server: instance.intern(need(message.server.as_deref(), "server")?),
+            server: instance.intern(required(message.server.as_deref(), "server")?),
             load: message.gauge.as_ref().and_then(|gauge| gauge.x0),
         },
         "CLIENT_LEFT" => Event::ClientLeft(request()?),
-        "DEADLINE_HIT" => Event::TimerFired(TimerId(need(message.mark, "mark")?)),
+        "DEADLINE_HIT" => Event::TimerFired(TimerId(required(message.mark, "mark")?)),
         _ => return Ok(None),
     }))
 }
 
-fn read_arrival(message: &Line) -> Result<ConnectRequest, String> {
+fn read_connect_request(message: &Line) -> Result<ConnectRequest, String> {
     Ok(ConnectRequest {
-        request: RequestId(need(message.req, "req")?),
-        deadline_at: need(message.give_up_at_ns, "give-up-at-ns")?,
-        class: ClassId(need(message.grade, "grade")?),
+        request: RequestId(required(message.req, "req")?),
+        deadline_at: required(message.give_up_at_ns, "give-up-at-ns")?,
+        class: ClassId(required(message.grade, "grade")?),
         client_key: message
             .resource
             .as_deref()
@@ -257,11 +257,11 @@
 }
 
 fn read_list(
-    instance: &mut Named,
+    instance: &mut Instance,
     tables: &BTreeMap<u8, Vec<Item>>,
     message: &Line,
 ) -> Result<Event, String> {
-    let update = match need(message.mode.as_deref(), "mode")? {
+    let update = match required(message.mode.as_deref(), "mode")? {
         "delta" => ListUpdate::Delta,
         "full" => ListUpdate::Snapshot,
         "cached" => ListUpdate::Cached,
@@ -273,7 +273,7 @@
         }
         other => return Err(format!("unknown mode {other:?}")),
     };
-    let number = need(message.list, "list")?;
+    let number = required(message.list, "list")?;
     let items = tables
         .get(&number)
         .ok_or_else(|| format!("list {number} was never given"))?;
--- a/crates/affinity/benches/memory.rs
+++ b/crates/affinity/benches/memory.rs
@@ -45,7 +45,7 @@
         key: Key(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         group: Some(Group((number / 5).wrapping_mul(0xd134_2543_de82_ef95))),
         server: Tag((number / 3 % SERVERS).wrapping_mul(0x2545_f491_4f6c_dd1d)),
-        version: Version(7),
+        encode_version: Version(7),
         stamp: Stamp((NOW + after) << 20 | 5),
         seen_s: ((NOW + after) / 1_000) as u32,
         state: if number.is_multiple_of(4) {
--- a/crates/affinity/src/memory.rs
+++ b/crates/affinity/src/memory.rs
@@ -118,8 +118,8 @@
         // Guards against a client of the newer version that an older process would deal anew the next time.
         let kept = old
             .filter(|old| self.names.now(old.server) == self.names.now(server))
-            .map(|old| old.version);
-        let version = kept
+            .map(|old| old.encode_version);
+        let encode_version = kept
             .filter(|kept| *kept != own && self.is_beyond(*kept, now, now))
             .unwrap_or(own);
         let again = old.filter(|old| old.state == State::Standing && !self.is_dead(old.stamp));
@@ -127,7 +127,7 @@
             key: client.key,
             group: client.group,
             server: self.names.now(server),
-            version,
+            encode_version,
             stamp: Stamp::after(old.map(|old| old.stamp), now, self.origin),
             seen_s: seconds(now),
             state: State::Standing,
@@ -289,7 +289,7 @@
             key: Key(entry.key),
             group: self.spots.group(entry.spot()).map(Group),
             server: self.names.get(self.spots.life(entry.spot())).tag,
-            version: self.version_of(entry),
+            encode_version: self.version_of(entry),
             stamp: Stamp(entry.stamp),
             seen_s: entry.seen_s,
             state: entry.state(),
@@ -329,7 +329,10 @@
 
     /// Spot and version of a placement, one use more of each.
     fn numbers(&mut self, told: &Placement) -> Result<(u32, u16), Refused> {
-        let version = self.digests.take(told.version).ok_or(Refused::NoRoom)?;
+        let version = self
+            .digests
+            .take(told.encode_version)
+            .ok_or(Refused::NoRoom)?;
         let Some(life) = self.names.life_at(told.server, told.since()) else {
             self.digests.give_back(version);
             return Err(Refused::NoRoom);
@@ -372,7 +375,7 @@
 
     /// The numbers that an entry has already, if the placement has the same, or those of [`Memory::numbers`].
     fn numbers_after(&mut self, old: &Entry, told: &Placement) -> Result<(u32, u16), Refused> {
-        let is_same = told.version == self.version_of(old)
+        let is_same = told.encode_version == self.version_of(old)
             && told.group.map(|group| group.0) == self.spots.group(old.spot())
             && self
                 .names
--- a/crates/affinity/src/placement.rs
+++ b/crates/affinity/src/placement.rs
@@ -105,7 +105,7 @@
     /// The server that it got.
     pub server: Tag,
     /// The version that it was dealt under.
-    pub version: Version,
+    pub encode_version: Version,
     /// When, and by whom.
     pub stamp: Stamp,
     /// When it was last seen to stand, or ended: seconds since the start of 1970.
@@ -133,7 +133,7 @@
                 one.seen_s,
                 one.twins,
                 one.server,
-                one.version,
+                one.encode_version,
                 one.group,
                 one.key,
             )
--- a/crates/affinity/tests/memory.rs
+++ b/crates/affinity/tests/memory.rs
@@ -33,7 +33,7 @@
             key: Key(key),
             group: (group > 0).then_some(Group(group)),
             server: tag(SERVERS[server]),
-            version: Version(version),
+            encode_version: Version(version),
             stamp: Stamp((T0 + at) << 20 | origin),
             seen_s: (T0 / 1_000) as u32 + seen,
             state: state(how),
--- a/crates/affinity/tests/place.rs
+++ b/crates/affinity/tests/place.rs
@@ -226,7 +226,7 @@
             Some((tag("b"), Why::SameServer))
         );
         let stood = old.stood(&client(ONE, None), tag("b"), now).expect("room");
-        assert_eq!(stood.version, Version(2));
+        assert_eq!(stood.encode_version, Version(2));
     }
     // It is taken back: the old version's rules hold again.
     assert_eq!(new.adopt(Version(1), 0, T0 + 9_000), Adopted::Rollback);
--- a/crates/balancer/src/admin/admission.rs
+++ b/crates/balancer/src/admin/admission.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use super::servers::no_answer;
-use crate::core::{AccountLook, DoorLook};
+use crate::core::{AccountSnapshot, AdmissionSnapshot};
 use crate::http::Reply;
 use crate::overrides::NamedCore;
 
@@ -14,17 +14,20 @@
         .map(|core| {
             Ok(front(
                 core.0,
-                &core.1.look_at_door().ok_or_else(|| no_answer(core.0))?,
+                &core
+                    .1
+                    .admission_snapshot()
+                    .ok_or_else(|| no_answer(core.0))?,
             ))
         })
         .collect::<Result<Vec<Value>, Reply>>()?;
     Ok(Reply::new(200, json!({ "fronts": fronts })))
 }
 
-fn front(name: &str, queue: &DoorLook) -> Value {
+fn front(name: &str, queue: &AdmissionSnapshot) -> Value {
     let limits = &queue.limits;
     json!({
-        "front": name, "waiting": queue.waiting, "bytes": queue.bytes,
+        "front": name, "waiting": queue.queued, "bytes": queue.bytes,
         "limits": {
             "entries": limits.all.entries, "bytes": limits.all.bytes,
             "account_entries": limits.account.entries, "account_bytes": limits.account.bytes,
@@ -35,10 +38,10 @@
     })
 }
 
-fn account(account: &AccountLook) -> Value {
+fn account(account: &AccountSnapshot) -> Value {
     json!({
-        "account": account.name, "due": account.due, "per_second": account.per_second,
-        "waiting": account.waiting, "asked": account.counts.asked, "admitted": account.counts.admitted,
+        "account": account.name, "due": account.quota, "per_second": account.admitted_per_s,
+        "waiting": account.queued, "asked": account.counts.asked, "admitted": account.counts.admitted,
         "lent": account.counts.lent, "refused": account.counts.refused, "given_up": account.counts.given_up, "left": account.counts.left,
         "wait_p50_ms": account.wait_p50_ms, "wait_p99_ms": account.wait_p99_ms,
     })
--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -12,49 +12,49 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use beaconflow_settings::Setup;
+use beaconflow_settings::SiteSettings;
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
 use tracing::warn;
 
 use crate::fleet::Way;
 use crate::front::nats::tenants::Tenants;
-use crate::http::{self, Reply, Request, Unread};
+use crate::http::{self, Reply, Request, RequestError};
 use crate::net;
-use crate::overrides::{Keeper, NamedCore};
+use crate::overrides::{NamedCore, OverrideManager};
 
 /// Requests at once.
-const MOST_AT_ONCE: usize = 16;
+const MAX_REQUESTS: usize = 16;
 
 /// The administration API.
 pub struct Admin {
     cores: Vec<NamedCore>,
-    keeper: Arc<Keeper>,
+    overrides: Arc<OverrideManager>,
     /// The tenants of the NATS front and their classes, where that front runs.
-    tenants: Option<(Arc<Tenants>, Arc<Setup>)>,
+    tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
     /// The fleet's thread, where a fleet is set up.
     fleet: Option<Way>,
     /// Digest of the token: what is compared takes as long whatever is sent.
     token: [u8; 32],
-    at_once: AtomicUsize,
+    requests: AtomicUsize,
 }
 
 impl Admin {
     /// An API over these cores, overrides, tenants and fleet.
     pub fn new(
         cores: Vec<NamedCore>,
-        keeper: Arc<Keeper>,
-        tenants: Option<(Arc<Tenants>, Arc<Setup>)>,
+        overrides: Arc<OverrideManager>,
+        tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
         fleet: Option<Way>,
         token: &str,
     ) -> Admin {
         Admin {
             cores,
-            keeper,
+            overrides,
             tenants,
             fleet,
             token: digest(token),
-            at_once: AtomicUsize::new(0),
+            requests: AtomicUsize::new(0),
         }
     }
 
@@ -69,10 +69,10 @@
                     continue;
                 }
             };
-            let before = self.at_once.fetch_add(1, Ordering::Relaxed);
+            let before = self.requests.fetch_add(1, Ordering::Relaxed);
             let admin = Arc::clone(self);
             let run = move || {
-                let reply = if before < MOST_AT_ONCE {
+                let reply = if before < MAX_REQUESTS {
                     // Guards against a fault in one request that would keep its place among those at once for good.
                     catch_unwind(AssertUnwindSafe(|| admin.serve(&client))).unwrap_or_else(|_| {
                         Some(Reply::error(500, "a fault was met; it is in the log"))
@@ -83,7 +83,7 @@
                 if let Some(reply) = reply {
                     http::write(&client, &reply);
                 }
-                admin.at_once.fetch_sub(1, Ordering::Relaxed);
+                admin.requests.fetch_sub(1, Ordering::Relaxed);
             };
             // The standard stack: hashing a password takes more than a connection's.
             if std::thread::Builder::new()
@@ -91,18 +91,18 @@
                 .spawn(run)
                 .is_err()
             {
-                self.at_once.fetch_sub(1, Ordering::Relaxed);
+                self.requests.fetch_sub(1, Ordering::Relaxed);
             }
         }
     }
 
     /// Nothing where the peer has left without a request.
     fn serve(&self, client: &TcpStream) -> Option<Reply> {
-        net::prepare(client).ok()?;
+        net::configure_stream(client).ok()?;
         match http::read(client) {
             Ok(request) => Some(self.answer(&request)),
-            Err(Unread::Gone) => None,
-            Err(Unread::Refused(reply)) => Some(reply),
+            Err(RequestError::Disconnected) => None,
+            Err(RequestError::Rejected(reply)) => Some(reply),
         }
     }
 
@@ -133,17 +133,19 @@
             (Call::Credentials(name), "PUT") => self
                 .tenants()
                 .and_then(|here| tenants::rotate(here, name, &request.body)),
-            (Call::Overrides, "GET") => Ok(overrides::list(&self.keeper)),
-            (Call::Overrides, "POST") => overrides::add(&self.keeper, request),
-            (Call::Override(id), "GET") => overrides::read(&self.keeper, id),
-            (Call::Override(id), "PATCH") => overrides::extend(&self.keeper, id, request),
-            (Call::Override(id), "DELETE") => overrides::remove(&self.keeper, id, request),
+            (Call::Overrides, "GET") => Ok(overrides::list(&self.overrides)),
+            (Call::Overrides, "POST") => overrides::add(&self.overrides, request),
+            (Call::Override(id), "GET") => overrides::read(&self.overrides, id),
+            (Call::Override(id), "PATCH") => overrides::extend(&self.overrides, id, request),
+            (Call::Override(id), "DELETE") => overrides::remove(&self.overrides, id, request),
             (Call::Counts, "GET") => servers::counts(
                 &self.cores,
                 self.tenants.as_ref().map(|(tenants, _)| tenants),
             ),
             (Call::Admission, "GET") => admission::read(&self.cores),
-            (Call::Servers, "GET") => servers::list(&self.cores, &self.keeper, self.fleet.as_ref()),
+            (Call::Servers, "GET") => {
+                servers::list(&self.cores, &self.overrides, self.fleet.as_ref())
+            }
             (call, _) => {
                 Err(Reply::error(405, "no such method here").with("Allow", call.methods()))
             }
@@ -151,7 +153,7 @@
         reply.unwrap_or_else(|refused| refused)
     }
 
-    fn tenants(&self) -> Result<&(Arc<Tenants>, Arc<Setup>), Reply> {
+    fn tenants(&self) -> Result<&(Arc<Tenants>, Arc<SiteSettings>), Reply> {
         self.tenants
             .as_ref()
             .ok_or_else(|| Reply::error(404, "no front with tenants runs here"))
--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -9,21 +9,21 @@
 use sha2::{Digest, Sha256};
 
 use crate::http::{Reply, Request};
-use crate::overrides::{Changed, Keeper, Refused, Shown};
+use crate::overrides::{ChangeResult, OverrideError, OverrideManager, OverrideView};
 use fields::Fields;
 
 /// Longest key of a request.
-const LONGEST_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
-impl From<Refused> for Reply {
-    fn from(refused: Refused) -> Reply {
+impl From<OverrideError> for Reply {
+    fn from(refused: OverrideError) -> Reply {
         match refused {
-            Refused::NoStore(why) => {
+            OverrideError::NoStore(why) => {
                 Reply::error(503, format!("no overrides are kept here: {why}"))
             }
-            Refused::Faults(faults) => faulty(&faults),
-            Refused::Unknown => Reply::error(404, "no override of that number holds"),
-            Refused::Stale(revision) => {
+            OverrideError::Invalid(faults) => invalid_fields(&faults),
+            OverrideError::Unknown => Reply::error(404, "no override of that number holds"),
+            OverrideError::Stale(revision) => {
                 let mut reply = Reply::error(
                     412,
                     "it has changed meanwhile: If-Match names another revision",
@@ -31,7 +31,7 @@
                 reply.body["revision"] = revision.into();
                 reply
             }
-            Refused::LeavesNone(fronts) => {
+            OverrideError::LeavesNoServer(fronts) => {
                 let words: Vec<String> = fronts
                     .iter()
                     .map(|(front, judgement)| format!("{front}: {judgement}"))
@@ -42,20 +42,22 @@
                 );
                 Reply::error(409, why)
             }
-            Refused::Full(most) => Reply::error(
+            OverrideError::Full(most) => Reply::error(
                 409,
                 format!("there are {most} overrides, as many as may be"),
             ),
-            Refused::KeyReused => Reply::error(
+            OverrideError::KeyReused => Reply::error(
                 422,
                 "Idempotency-Key: it was used for a request with another body",
             ),
-            Refused::Store(error) => Reply::error(507, format!("{error}; nothing was changed")),
+            OverrideError::Store(error) => {
+                Reply::error(507, format!("{error}; nothing was changed"))
+            }
         }
     }
 }
 
-fn faulty(faults: &[Fault]) -> Reply {
+fn invalid_fields(faults: &[Fault]) -> Reply {
     let words: Vec<String> = faults.iter().map(Fault::to_string).collect();
     let rows: Vec<Value> = faults
         .iter()
@@ -65,14 +67,14 @@
 }
 
 /// Every override that holds, and where they are kept.
-pub(super) fn list(keeper: &Keeper) -> Reply {
+pub(super) fn list(keeper: &OverrideManager) -> Reply {
     let about = keeper.about();
     let limits = keeper.limits();
     let all: Vec<Value> = keeper.list().iter().map(row).collect();
     Reply::new(
         200,
         json!({
-            "kept": about.kept, "notes": about.notes, "wall_ahead_s": keeper.wall_ahead() as f64 / 1e3,
+            "kept": about.is_persistent, "notes": about.notes, "wall_ahead_s": keeper.wall_ahead() as f64 / 1e3,
             "longest_s": limits.longest / 1_000, "most": limits.most, "ramp_s": limits.ramp as f64 / 1e3,
             "overrides": all,
         }),
@@ -80,19 +82,19 @@
 }
 
 /// One of them.
-pub(super) fn read(keeper: &Keeper, id: &str) -> Result<Reply, Reply> {
-    let shown = keeper.get(number(id)?).ok_or(Refused::Unknown)?;
+pub(super) fn read(keeper: &OverrideManager, id: &str) -> Result<Reply, Reply> {
+    let shown = keeper.get(number(id)?).ok_or(OverrideError::Unknown)?;
     Ok(tagged(200, &shown))
 }
 
 /// Enters one.
-pub(super) fn add(keeper: &Keeper, request: &Request) -> Result<Reply, Reply> {
+pub(super) fn add(keeper: &OverrideManager, request: &Request) -> Result<Reply, Reply> {
     let mut fields = Fields::of(&request.body)?;
     let key = request.idempotency_key.as_deref();
-    if key.is_some_and(|key| !(1..=LONGEST_KEY).contains(&key.len())) {
+    if key.is_some_and(|key| !(1..=MAX_KEY_BYTES).contains(&key.len())) {
         return Err(Reply::error(
             422,
-            format!("Idempotency-Key: 1 to {LONGEST_KEY} bytes"),
+            format!("Idempotency-Key: 1 to {MAX_KEY_BYTES} bytes"),
         ));
     }
     let replay = key.map(|key| Replay {
@@ -111,16 +113,16 @@
             why,
             expires_at,
         },
-        _ => return Err(faulty(&faults)),
+        _ => return Err(invalid_fields(&faults)),
     };
-    let Changed {
-        shown,
-        settled,
-        replayed,
+    let ChangeResult {
+        view,
+        is_in_effect,
+        is_replay,
     } = keeper.add(draft, force, replay)?;
-    let status = if settled { 201 } else { 202 };
-    let reply = tagged(status, &shown).with("Location", format!("/v1/overrides/{}", shown.one.id));
-    Ok(if replayed {
+    let status = if is_in_effect { 201 } else { 202 };
+    let reply = tagged(status, &view).with("Location", format!("/v1/overrides/{}", view.record.id));
+    Ok(if is_replay {
         reply.with("Idempotency-Replayed", "true")
     } else {
         reply
@@ -128,28 +130,36 @@
 }
 
 /// Changes when one ends.
-pub(super) fn extend(keeper: &Keeper, id: &str, request: &Request) -> Result<Reply, Reply> {
+pub(super) fn extend(
+    keeper: &OverrideManager,
+    id: &str,
+    request: &Request,
+) -> Result<Reply, Reply> {
     let (id, revision) = (number(id)?, revision(request)?);
     let mut fields = Fields::of(&request.body)?;
     let expires_at = fields.expiry(keeper);
     let faults = fields.end();
     let Some(expires_at) = expires_at.filter(|_| faults.is_empty()) else {
-        return Err(faulty(&faults));
+        return Err(invalid_fields(&faults));
     };
     Ok(changed(&keeper.extend(id, expires_at, revision)?))
 }
 
 /// Ends one.
-pub(super) fn remove(keeper: &Keeper, id: &str, request: &Request) -> Result<Reply, Reply> {
+pub(super) fn remove(
+    keeper: &OverrideManager,
+    id: &str,
+    request: &Request,
+) -> Result<Reply, Reply> {
     Ok(changed(&keeper.remove(number(id)?, revision(request)?)?))
 }
 
-fn changed(changed: &Changed) -> Reply {
-    tagged(if changed.settled { 200 } else { 202 }, &changed.shown)
+fn changed(changed: &ChangeResult) -> Reply {
+    tagged(if changed.is_in_effect { 200 } else { 202 }, &changed.view)
 }
 
-fn tagged(status: u16, shown: &Shown) -> Reply {
-    Reply::new(status, row(shown)).with("ETag", format!("\"{}\"", shown.one.revision))
+fn tagged(status: u16, shown: &OverrideView) -> Reply {
+    Reply::new(status, row(shown)).with("ETag", format!("\"{}\"", shown.record.revision))
 }
 
 fn number(id: &str) -> Result<Id, Reply> {
@@ -169,10 +179,10 @@
 }
 
 /// An override in the API's form.
-fn row(shown: &Shown) -> Value {
-    let one = &shown.one;
+fn row(shown: &OverrideView) -> Value {
+    let one = &shown.record;
     let time = |at: Millis| {
-        humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at.min(MOST_MILLIS)))
+        humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at.min(MAX_DATE_MS)))
             .to_string()
     };
     let effects: Map<String, Value> = shown
@@ -183,7 +193,7 @@
     let mut row = json!({
         "id": one.id.0, "kind": one.kind.name(), "server": one.kind.server(), "who": one.who, "why": one.why,
         "created_at": time(one.created_at), "expires_at": time(one.end()),
-        "remaining_s": shown.remaining as f64 / 1e3, "revision": one.revision, "forced": one.forced,
+        "remaining_s": shown.remaining_ms as f64 / 1e3, "revision": one.revision, "forced": one.forced,
         "effects": effects,
     });
     match &one.kind {
@@ -207,4 +217,4 @@
 }
 
 /// The last moment that can be written as a date: the end of the year 9999.
-const MOST_MILLIS: Millis = 253_402_300_799_000;
+const MAX_DATE_MS: Millis = 253_402_300_799_000;
--- a/crates/balancer/src/admin/overrides/fields.rs
+++ b/crates/balancer/src/admin/overrides/fields.rs
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 
 use crate::http::Reply;
-use crate::overrides::Keeper;
+use crate::overrides::OverrideManager;
 
 /// The fields of a body. Every fault is kept, not the first only.
 pub(super) struct Fields {
@@ -122,7 +122,7 @@
     }
 
     /// When an override ends, on the program's clock: `expires_in_s` from now, or `expires_at` by the wall clock.
-    pub(super) fn expiry(&mut self, keeper: &Keeper) -> Option<Millis> {
+    pub(super) fn expiry(&mut self, keeper: &OverrideManager) -> Option<Millis> {
         match (
             self.left.contains_key("expires_in_s"),
             self.left.contains_key("expires_at"),
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -7,31 +7,31 @@
 use beaconflow_policy::ServerState;
 use serde_json::{Value, json};
 
-use crate::core::{Look, ServerLook};
+use crate::core::{CoreSnapshot, ServerSnapshot};
 use crate::fleet::{self, Way};
 use crate::front::nats::tenants::Tenants;
 use crate::http::Reply;
-use crate::overrides::{Keeper, NamedCore, Shown};
+use crate::overrides::{NamedCore, OverrideManager, OverrideView};
 
 pub(super) fn no_answer(front: &str) -> Reply {
     Reply::error(503, format!("the core of {front} does not answer"))
 }
 
-fn look((front, core): &NamedCore) -> Result<Look, Reply> {
-    core.look().ok_or_else(|| no_answer(front))
+fn core_snapshot((front, core): &NamedCore) -> Result<CoreSnapshot, Reply> {
+    core.snapshot().ok_or_else(|| no_answer(front))
 }
 
 /// What has been counted, by front.
 pub(super) fn counts(cores: &[NamedCore], tenants: Option<&Arc<Tenants>>) -> Result<Reply, Reply> {
     let mut fronts = serde_json::Map::new();
     for core @ (front, _) in cores {
-        let look = look(core)?;
-        let ends: BTreeMap<&str, u64> = look.counts.ends().collect();
+        let look = core_snapshot(core)?;
+        let ends: BTreeMap<&str, u64> = look.counts.outcomes_by_name().collect();
         let counts = &look.counts;
         let row = json!({
-            "open": look.open, "standing": look.standing, "opened": counts.opened, "adopted": counts.adopted,
-            "served": counts.served, "unavailable": counts.unavailable, "failed": counts.failed,
-            "left": counts.left, "moved": counts.moved, "pinned": counts.pinned, "passes": counts.passes,
+            "open": look.open_requests, "standing": look.established, "opened": counts.opened, "adopted": counts.adopted,
+            "served": counts.served, "unavailable": counts.rejected, "failed": counts.failed,
+            "left": counts.left, "moved": counts.migrated, "pinned": counts.pinned, "passes": counts.attempts,
             "ends": ends,
         });
         fronts.insert((*front).to_owned(), row);
@@ -47,58 +47,58 @@
 /// Every listed server, as it is listed and as the decisions see it, and why the two differ.
 pub(super) fn list(
     cores: &[NamedCore],
-    keeper: &Keeper,
+    keeper: &OverrideManager,
     fleet: Option<&Way>,
 ) -> Result<Reply, Reply> {
     let overrides = keeper.list();
-    let mut by_server: HashMap<&str, Vec<&Shown>> = HashMap::new();
+    let mut by_server: HashMap<&str, Vec<&OverrideView>> = HashMap::new();
     for shown in &overrides {
         by_server
-            .entry(shown.one.kind.server())
+            .entry(shown.record.kind.server())
             .or_default()
             .push(shown);
     }
     let (mut servers, mut warnings) = (Vec::new(), Vec::new());
     for core @ (front, _) in cores {
-        let look = look(core)?;
-        if !look.judgement.is_sound() {
-            warnings.push(format!("{}: overrides leave {}", front, look.judgement));
+        let look = core_snapshot(core)?;
+        if !look.coverage.is_sound() {
+            warnings.push(format!("{}: overrides leave {}", front, look.coverage));
         }
-        if look.overrides_lost {
+        if look.has_lost_overrides {
             warnings.push(format!(
                 "{front}: a fault in the overrides was met; none hold there until a restart"
             ));
         }
         servers.extend(
-            look.farm
+            look.servers
                 .iter()
                 .map(|server| row(front, server, by_server.get(server.name.as_str()))),
         );
     }
     let mut body = json!({ "servers": servers, "warnings": warnings });
     if let Some(fleet) = fleet {
-        body["fleet"] = fleet_status(&fleet.look());
+        body["fleet"] = fleet_status(&fleet.status_snapshot());
     }
     Ok(Reply::new(200, body))
 }
 
 /// What this process knows together with the others.
-fn fleet_status(status: &fleet::Status) -> Value {
+fn fleet_status(status: &fleet::FleetStatus) -> Value {
     let (processes, size) = status.processes;
     json!({
-        "name": status.name, "site": status.site, "boot": status.boot, "processes": processes, "size": size,
-        "recovery": status.recovery, "deferred": status.deferred, "failing": status.failing,
+        "name": status.name, "site": status.site, "boot": status.incarnation, "processes": processes, "size": size,
+        "recovery": status.recovery, "deferred": status.deferred, "failing": status.failing_clients,
         "uplink": status.uplink, "placements": status.placements, "version": status.version,
-        "refused": status.refused, "kept": status.kept,
+        "refused": status.refused_datagrams, "kept": status.is_persistent,
     })
 }
 
 /// A server as it is listed and as the decisions see it.
-fn row(front: &str, server: &ServerLook, overrides: Option<&Vec<&Shown>>) -> Value {
+fn row(front: &str, server: &ServerSnapshot, overrides: Option<&Vec<&OverrideView>>) -> Value {
     let side = |state: ServerState, weight: f64| json!({ "state": name(state), "weight": weight });
     json!({
         "front": front, "name": server.name, "address": server.address.to_string(), "zone": server.zone,
-        "standing": server.standing, "leaving": server.state.1 != ServerState::Ready,
+        "standing": server.established, "leaving": server.state.1 != ServerState::Ready,
         "listed": side(server.state.0, server.weight.0), "effective": side(server.state.1, server.weight.1),
         "why": why_they_differ(front, server, overrides),
     })
@@ -107,15 +107,15 @@
 /// Why a server is not as it is listed: overrides, the site's own evidence, or what is left of either.
 fn why_they_differ(
     front: &str,
-    server: &ServerLook,
-    overrides: Option<&Vec<&Shown>>,
+    server: &ServerSnapshot,
+    overrides: Option<&Vec<&OverrideView>>,
 ) -> Vec<String> {
-    let holds = |shown: &&Shown| {
+    let holds = |shown: &&OverrideView| {
         let effect = shown.effects.iter().find(|(at, _)| *at == front);
         effect.is_some_and(|(_, effect)| *effect == Effect::InEffect)
     };
-    let words = |shown: &Shown| {
-        let (one, left) = (&shown.one, shown.remaining / 1_000);
+    let words = |shown: &OverrideView| {
+        let (one, left) = (&shown.record, shown.remaining_ms / 1_000);
         format!(
             "override {} ({}, {left} s left): {}",
             one.id,
@@ -130,20 +130,20 @@
         .filter(holds)
         .map(words)
         .collect();
-    if let Some(site) = &server.site {
+    if let Some(site) = &server.assessment {
         let passed = site
-            .passed
+            .skip_reason
             .as_ref()
             .map(|why| format!("passed over by this site's evidence: {why}"));
         let rises = || {
             format!(
                 "{:.0}% of its weight by this site's evidence",
-                site.part * 100.0
+                site.weight_factor * 100.0
             )
         };
-        why.extend(passed.or_else(|| (site.part < 1.0).then(rises)));
+        why.extend(passed.or_else(|| (site.weight_factor < 1.0).then(rises)));
         why.extend(
-            (site.cold_since > 0).then(|| "started anew while the uplink was lost".to_owned()),
+            (site.restarted_at > 0).then(|| "started anew while the uplink was lost".to_owned()),
         );
     }
     if why.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1 {
--- a/crates/balancer/src/admin/tenants.rs
+++ b/crates/balancer/src/admin/tenants.rs
@@ -3,25 +3,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use beaconflow_settings::Setup;
+use beaconflow_settings::SiteSettings;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tracing::info;
 
 use super::parse;
 use crate::front::nats::tenants::{
-    Identity, StoreError, Tenant, Tenants, hash, is_name, usual_share,
+    Identity, StoreError, Tenant, Tenants, default_share, hash, is_name,
 };
 use crate::http::Reply;
 
 /// Bounds of a password.
-const PASSWORD: std::ops::RangeInclusive<usize> = 12..=256;
+const PASSWORD_LENGTHS: std::ops::RangeInclusive<usize> = 12..=256;
 
 /// Bounds of a share.
-const SHARES: std::ops::RangeInclusive<f64> = 0.001..=1e6;
+const SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e6;
 
 /// The tenants, and the settings that name their classes.
-type Here = (Arc<Tenants>, Arc<Setup>);
+type Here = (Arc<Tenants>, Arc<SiteSettings>);
 
 impl From<StoreError> for Reply {
     fn from(error: StoreError) -> Reply {
@@ -41,7 +41,7 @@
     password: String,
     class: String,
     connections: usize,
-    #[serde(default = "usual_share")]
+    #[serde(default = "default_share")]
     share: f64,
     upstream: Identity,
 }
@@ -67,7 +67,7 @@
     let all: Vec<Value> = tenants
         .list()?
         .iter()
-        .map(|tenant| shown(tenant, &open))
+        .map(|tenant| tenant_json(tenant, &open))
         .collect();
     Ok(Reply::new(200, json!({ "tenants": all })))
 }
@@ -76,7 +76,7 @@
 pub(super) fn read((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
     Ok(Reply::new(
         200,
-        shown(&*tenants.get(name)?, &tenants.open()),
+        tenant_json(&*tenants.get(name)?, &tenants.open()),
     ))
 }
 
@@ -115,7 +115,7 @@
         rest: Default::default(),
     })?;
     info!(part = "audit", tenant = made.name, "tenant created");
-    Ok(Reply::new(201, shown(&made, &BTreeMap::new())))
+    Ok(Reply::new(201, tenant_json(&made, &BTreeMap::new())))
 }
 
 /// Changes what is given.
@@ -140,7 +140,7 @@
         tenant.upstream = upstream.unwrap_or_else(|| tenant.upstream.clone());
     })?;
     info!(part = "audit", tenant = name, "tenant changed");
-    Ok(Reply::new(200, shown(&changed, &tenants.open())))
+    Ok(Reply::new(200, tenant_json(&changed, &tenants.open())))
 }
 
 /// Removes a tenant.
@@ -160,7 +160,7 @@
 }
 
 fn check(
-    setup: &Setup,
+    setup: &SiteSettings,
     class: Option<&str>,
     connections: Option<usize>,
     share: Option<f64>,
@@ -169,7 +169,7 @@
     if class.is_some_and(|class| setup.class(class).is_none()) {
         return Err(Reply::error(422, "class: not in the settings"));
     }
-    if share.is_some_and(|share| !SHARES.contains(&share)) {
+    if share.is_some_and(|share| !SHARE_RANGE.contains(&share)) {
         return Err(Reply::error(422, "share: from 0.001 to 1000000"));
     }
     if connections == Some(0) {
@@ -182,14 +182,14 @@
 }
 
 fn hashed(password: &str) -> Result<String, Reply> {
-    if !PASSWORD.contains(&password.len()) {
+    if !PASSWORD_LENGTHS.contains(&password.len()) {
         return Err(Reply::error(422, "password: 12 to 256 bytes"));
     }
     hash(password).map_err(|_| Reply::error(500, "the password could not be hashed"))
 }
 
 /// A tenant without its secrets.
-fn shown(tenant: &Tenant, open: &BTreeMap<String, usize>) -> Value {
+fn tenant_json(tenant: &Tenant, open: &BTreeMap<String, usize>) -> Value {
     json!({
         "name": tenant.name, "class": tenant.class, "connections": tenant.connections,
         "share": tenant.share,
--- /dev/null
+++ b/crates/balancer/src/attempt.rs
@@ -0,0 +1,290 @@
+//! Attempts and their results, and the exchange with a server.
+//!
+//! Fronts talk to a server through [`ServerExchange`].
+
+use std::fmt;
+use std::io;
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+use beaconflow_policy::AttemptOutcome;
+
+use crate::core::{AttemptTiming, Endpoint};
+use crate::net::{self, PollFlags, ReadBuffer, ReadError};
+
+/// Most bytes read ahead from a server.
+const MAX_READ_AHEAD: usize = 8 * 1024;
+/// Interval of the checks whether an attempt was abandoned.
+pub const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How far an attempt had come when it ended. Its outcome follows from this alone.
+#[derive(Debug)]
+pub enum AttemptError {
+    /// Nothing was sent: the server is draining, the attempt was too late, or the core abandoned
+    /// it.
+    NotSent,
+    /// The client left.
+    ClientLeft(ReadError),
+    /// The connection could not be established.
+    NotConnected(io::Error),
+    /// The connection broke before the request was written.
+    RequestPartlyWritten(usize, io::Error),
+    /// The request was written, and no answer came.
+    RequestWritten(ReadError),
+    /// The server answered without serving.
+    NotServed(ServerAnswer),
+    /// The connection was established and ended.
+    ConnectionEnded(ConnectionEnd),
+}
+
+/// A server's answer that does not establish the connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerAnswer {
+    /// Rejected unread.
+    Rejected,
+    /// A draining server redirects the client.
+    Redirected,
+    /// Any other answer.
+    Error,
+}
+
+/// How an established connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionEnd {
+    /// The server ended it after its goodbye.
+    Served,
+    /// The server redirected the client and ended it.
+    Redirected,
+    /// The server closed it without a goodbye.
+    ServerClosed,
+    /// The server's side was reset.
+    ServerReset,
+    /// The server did not answer in time; the client was migrated.
+    ServerUnresponsive,
+    /// The server announced its shutdown; the client was migrated.
+    ServerLeaving,
+    /// The server violated the protocol.
+    ServerProtocolError,
+    /// The client closed it.
+    ClientClosed,
+    /// The client's side was reset.
+    ClientReset,
+    /// The client violated the protocol; it is told this.
+    ClientProtocolError(&'static str),
+    /// The client was migrated.
+    Migrated,
+    /// It was handed over to another process.
+    HandedOver,
+    /// A migration waited too long for the end of a message.
+    MigrationTimedOut,
+}
+
+impl AttemptError {
+    /// The error of a partly written request, by the number of bytes written.
+    pub fn partly_written((written, error): (usize, io::Error)) -> AttemptError {
+        AttemptError::RequestPartlyWritten(written, error)
+    }
+
+    /// The error of a server that did not send what comes before the request. Nothing was written.
+    pub fn before_request(error: ReadError) -> AttemptError {
+        AttemptError::NotConnected(match error {
+            ReadError::Broken(error) => error,
+            ReadError::TimedOut => io::ErrorKind::TimedOut.into(),
+            ReadError::Ended | ReadError::TooLong => io::ErrorKind::InvalidData.into(),
+        })
+    }
+
+    /// The outcome for the policy.
+    pub fn outcome(&self) -> AttemptOutcome {
+        match self {
+            AttemptError::NotSent => AttemptOutcome::NotSent,
+            AttemptError::ClientLeft(_) => AttemptOutcome::Cancelled,
+            AttemptError::NotConnected(_) | AttemptError::RequestPartlyWritten(..) => {
+                AttemptOutcome::ConnectFailed
+            }
+            AttemptError::RequestWritten(ReadError::TimedOut) => AttemptOutcome::TimedOut,
+            AttemptError::RequestWritten(ReadError::TooLong)
+            | AttemptError::NotServed(ServerAnswer::Error) => AttemptOutcome::ServerError,
+            AttemptError::RequestWritten(ReadError::Ended | ReadError::Broken(_)) => {
+                AttemptOutcome::Reset
+            }
+            AttemptError::NotServed(ServerAnswer::Rejected) => AttemptOutcome::Rejected,
+            AttemptError::NotServed(ServerAnswer::Redirected) => AttemptOutcome::Cancelled,
+            AttemptError::ConnectionEnded(end) => end.outcome(),
+        }
+    }
+}
+
+impl ConnectionEnd {
+    fn outcome(self) -> AttemptOutcome {
+        match self {
+            ConnectionEnd::Served => AttemptOutcome::Served,
+            ConnectionEnd::ServerClosed
+            | ConnectionEnd::ServerReset
+            | ConnectionEnd::ServerUnresponsive
+            | ConnectionEnd::ServerProtocolError => AttemptOutcome::Reset,
+            ConnectionEnd::Redirected
+            | ConnectionEnd::ServerLeaving
+            | ConnectionEnd::ClientClosed
+            | ConnectionEnd::ClientReset
+            | ConnectionEnd::ClientProtocolError(_)
+            | ConnectionEnd::Migrated
+            | ConnectionEnd::HandedOver
+            | ConnectionEnd::MigrationTimedOut => AttemptOutcome::Cancelled,
+        }
+    }
+}
+
+impl fmt::Display for AttemptError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            AttemptError::NotSent => write!(f, "withheld"),
+            AttemptError::ClientLeft(error) => write!(f, "client left: {error:?}"),
+            AttemptError::NotConnected(error) => write!(f, "not connected: {error}"),
+            AttemptError::RequestPartlyWritten(bytes, error) => {
+                write!(f, "head broken after {bytes} bytes: {error}")
+            }
+            AttemptError::RequestWritten(error) => write!(f, "written, then {error:?}"),
+            AttemptError::NotServed(answer) => write!(f, "answered: {answer:?}"),
+            AttemptError::ConnectionEnded(end) => write!(f, "stood, then {end:?}"),
+        }
+    }
+}
+
+/// A client that waits for an attempt.
+pub trait WaitingClient {
+    /// Its socket.
+    fn stream(&self) -> &TcpStream;
+
+    /// Whether the core has abandoned the attempt.
+    fn is_abandoned(&self) -> bool;
+
+    /// Reads early bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the client has left or sent too much.
+    fn read_early(&mut self) -> Result<(), ReadError>;
+}
+
+/// An exchange with a server while its client waits.
+pub struct ServerExchange<'a> {
+    server: TcpStream,
+    endpoint: &'a Endpoint,
+    client: &'a mut dyn WaitingClient,
+    timing: AttemptTiming,
+    intake: ReadBuffer,
+}
+
+impl<'a> ServerExchange<'a> {
+    /// Begins an exchange over an established socket.
+    pub fn new(
+        server: TcpStream,
+        endpoint: &'a Endpoint,
+        client: &'a mut dyn WaitingClient,
+        timing: AttemptTiming,
+    ) -> ServerExchange<'a> {
+        ServerExchange {
+            server,
+            endpoint,
+            client,
+            timing,
+            intake: ReadBuffer::new(MAX_READ_AHEAD),
+        }
+    }
+
+    /// The server's socket, and the bytes that it sent beyond its answer.
+    pub fn into_parts(self) -> (TcpStream, Vec<u8>) {
+        (self.server, self.intake.into_rest())
+    }
+
+    /// When the attempt times out.
+    pub fn deadline_at(&self) -> Instant {
+        self.timing.deadline_at
+    }
+
+    /// Writes the request, if the client still waits, the server accepts new connections and it is
+    /// not too late just before the first byte.
+    ///
+    /// # Errors
+    ///
+    /// Returns how far the attempt had come.
+    pub fn write_request(&mut self, parts: &[&[u8]]) -> Result<(), AttemptError> {
+        self.client.read_early().map_err(AttemptError::ClientLeft)?;
+        if self.client.is_abandoned() || Instant::now() >= self.timing.begin_by {
+            return Err(AttemptError::NotSent);
+        }
+        let begun = {
+            let _leave = self.endpoint.begin_write().ok_or(AttemptError::NotSent)?;
+            net::write_gathered(&self.server, parts)
+        };
+        self.finish_write(begun, parts)
+            .map_err(AttemptError::partly_written)
+    }
+
+    /// Writes more after the request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the number of bytes written.
+    pub fn write(&self, parts: &[&[u8]]) -> Result<(), (usize, io::Error)> {
+        self.finish_write(net::write_gathered(&self.server, parts), parts)
+    }
+
+    /// Finishes a write that would block.
+    fn finish_write(
+        &self,
+        begun: Result<(), (usize, io::Error)>,
+        parts: &[&[u8]],
+    ) -> Result<(), (usize, io::Error)> {
+        match begun {
+            Err((written, error)) if net::is_would_block(&error) => {
+                let whole = parts.concat();
+                net::write_until(&self.server, &[&whole[written..]], self.timing.deadline_at)
+                    .map_err(|(more, error)| (written + more, error))
+            }
+            done => done,
+        }
+    }
+
+    /// Reads the server's next line. Ends early if the client leaves; `failed` says how far the
+    /// attempt had come if the server sends none.
+    ///
+    /// # Errors
+    ///
+    /// Returns how far the attempt had come.
+    pub fn read_line(
+        &mut self,
+        failed: impl Fn(ReadError) -> AttemptError,
+    ) -> Result<Vec<u8>, AttemptError> {
+        loop {
+            if let Some(line) = self.intake.next_line() {
+                return Ok(line);
+            }
+            let left = self
+                .timing
+                .deadline_at
+                .saturating_duration_since(Instant::now());
+            let sides = [
+                (&self.server, PollFlags::IN),
+                (self.client.stream(), PollFlags::IN),
+            ];
+            let [server_ready, client_ready] =
+                net::wait_ready(sides, left.min(ABANDON_CHECK_INTERVAL));
+            if self.client.is_abandoned() {
+                return Err(failed(ReadError::TimedOut));
+            }
+            if client_ready {
+                self.client.read_early().map_err(AttemptError::ClientLeft)?;
+            }
+            if server_ready || left.is_zero() {
+                self.intake
+                    .read(&self.server, Instant::now())
+                    .or_else(|error| match error {
+                        ReadError::TimedOut if !left.is_zero() => Ok(()),
+                        error => Err(failed(error)),
+                    })?;
+            }
+        }
+    }
+}
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -1,85 +1,97 @@
-//! What the platform tells a balancer at its start (`LB_CONFIG`), and again with a new file while it runs.
+//! The platform's configuration file (`LB_CONFIG`).
 
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError, RwLock};
 
-use beaconflow_settings::{Faults, Fields, InForce, Met, Setup};
+use beaconflow_settings::{ActiveSettings, ConfigErrors, ErrorCollector, Fields, SiteSettings};
 use serde_json::Value;
 
-use crate::farm::List;
+use crate::discovery::ServerList;
 
-/// Most file descriptors where the file says nothing of them: what the platform's own page shows.
-const USUAL_SOCKETS: usize = 4096;
+/// Default number of file descriptors, as in the platform's documentation.
+const DEFAULT_SOCKETS: usize = 4096;
 
-/// The platform's configuration file.
+/// The platform's configuration.
 #[derive(Clone)]
-pub struct Config {
-    /// This balancer's name, the same after a restart.
+pub struct PlatformConfig {
+    /// Name of this balancer, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the operators' staff call, if they do.
+    /// Address of the operations port, if there is one.
     pub admin_addr: Option<String>,
-    /// For random numbers, in hex digits; new with each start.
+    /// Seed of random numbers in hexadecimal digits; new with each start.
     pub seed: String,
-    /// What the machine allows.
-    pub limits: Limits,
-    /// The farm as this balancer last had it.
-    pub known: List,
+    /// Limits of the machine.
+    pub limits: MachineLimits,
+    /// The server list as last known.
+    pub cached_list: ServerList,
     /// The settings of the site.
-    pub settings: Setup,
+    pub settings: SiteSettings,
 }
 
-/// What the machine allows.
+/// Limits of the machine.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub struct MachineLimits {
     /// Most file descriptors.
     pub sockets: usize,
 }
 
-/// The settings in force, as the front reads openings by them. A new file replaces them as a whole.
+/// The settings in effect, as the front parses requests by them. They are replaced as a whole.
 #[derive(Clone)]
-pub struct SharedSettings(Arc<RwLock<Arc<InForce>>>);
+pub struct SharedSettings(Arc<RwLock<Arc<ActiveSettings>>>);
 
 impl SharedSettings {
-    /// The first settings of a process.
-    pub fn new(setup: Setup) -> SharedSettings {
-        SharedSettings(Arc::new(RwLock::new(Arc::new(InForce::new(setup)))))
+    /// Shares the first settings of a process.
+    pub fn new(setup: SiteSettings) -> SharedSettings {
+        SharedSettings(Arc::new(RwLock::new(Arc::new(ActiveSettings::new(setup)))))
     }
 
-    /// Those in force at this moment.
-    pub fn now(&self) -> Arc<InForce> {
-        // A pointer is sound at every moment, whoever panicked.
+    /// The settings in effect now.
+    pub fn current(&self) -> Arc<ActiveSettings> {
+        // The pointer is valid even if a thread panicked while holding the lock.
         Arc::clone(&self.0.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Others are in force from now on.
-    pub fn replace(&self, by: Arc<InForce>) {
+    /// Replaces the settings.
+    pub fn replace(&self, by: Arc<ActiveSettings>) {
         *self.0.write().unwrap_or_else(PoisonError::into_inner) = by;
     }
 }
 
-impl Config {
-    /// Reads the file that `LB_CONFIG` names, as it stands now.
-    pub fn read() -> Result<Config, String> {
+impl PlatformConfig {
+    /// Reads the file that `LB_CONFIG` names.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be read or has errors.
+    pub fn read() -> Result<PlatformConfig, String> {
         let path = std::env::var("LB_CONFIG").map_err(|error| format!("LB_CONFIG: {error}"))?;
         let text = std::fs::read(&path).map_err(|error| format!("{path}: {error}"))?;
         let value = serde_json::from_slice(&text).map_err(|error| format!("{path}: {error}"))?;
-        Config::of(&value).map_err(|faults| format!("{path}: {faults}"))
+        PlatformConfig::of(&value).map_err(|faults| format!("{path}: {faults}"))
     }
 
-    /// Reads the object that the file holds; all its faults are reported at once, each with its path.
-    pub fn of(value: &Value) -> Result<Config, Faults> {
-        let met = Met::default();
-        let config = config(Fields::of(value, "", &met), &met);
-        met.or(config)
+    /// Reads the content of the file.
+    ///
+    /// # Errors
+    ///
+    /// Reports all errors, each with its path.
+    pub fn of(value: &Value) -> Result<PlatformConfig, ConfigErrors> {
+        let met = ErrorCollector::default();
+        let config = config(Fields::new(value, "", &met), &met);
+        met.finish(config)
     }
 
-    /// What the listed variables overrule at the start. They keep what they were then: a file that is read anew
-    /// is newer than they are.
-    pub fn overruled(mut self) -> Result<Config, String> {
+    /// Applies the environment variables that override the file at the start. A reload does not
+    /// apply them, since the file is newer.
+    ///
+    /// # Errors
+    ///
+    /// Names the variable that can't be parsed.
+    pub fn with_environment(mut self) -> Result<PlatformConfig, String> {
         for (variable, field) in [
             ("LB_LISTEN", &mut self.listen),
             ("LB_DISCOVERY", &mut self.discovery),
@@ -93,8 +105,12 @@
         Ok(self)
     }
 
-    /// Where the operators' staff call: what the variable says, else what the file says, else nowhere.
-    pub fn operations(file: Option<&Config>) -> Result<Option<SocketAddr>, String> {
+    /// Address of the operations port, from the environment or the file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if it is not an address with a port.
+    pub fn operations_address(file: Option<&PlatformConfig>) -> Result<Option<SocketAddr>, String> {
         let variable = std::env::var("LB_ADMIN_ADDR")
             .ok()
             .map(|text| ("LB_ADMIN_ADDR", text));
@@ -110,41 +126,46 @@
         Ok(Some(address))
     }
 
-    /// The seed as a number; a text that is none is hashed.
+    /// The seed as a number; a text that is no number is hashed.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16)
             .unwrap_or_else(|_| beaconflow_settings::digest(&self.seed))
     }
 }
 
-fn config(fields: Fields<'_>, met: &Met) -> Option<Config> {
-    let (name, listen) = (fields.need("name"), fields.need("listen"));
-    let (discovery, admin_addr) = (fields.need("discovery"), fields.or_default("admin_addr"));
-    let (seed, known) = (fields.need("seed"), known(fields));
-    let sockets = fields.inner("limits", |limits| limits.or("sockets", USUAL_SOCKETS));
+fn config(fields: Fields<'_>, met: &ErrorCollector) -> Option<PlatformConfig> {
+    let (name, listen) = (fields.required("name"), fields.required("listen"));
+    let (discovery, admin_addr) = (
+        fields.required("discovery"),
+        fields.optional_or_default("admin_addr"),
+    );
+    let (seed, known) = (fields.required("seed"), known(fields));
+    let sockets = fields.object("limits", |limits| {
+        limits.optional("sockets", DEFAULT_SOCKETS)
+    });
     let settings = fields
-        .needed_value("settings")
+        .required_value("settings")
         .and_then(|value| settings(value, met));
-    Some(Config {
+    Some(PlatformConfig {
         name: name?,
         listen: listen?,
         discovery: discovery?,
         admin_addr: admin_addr?,
         seed: seed?,
-        limits: Limits { sockets: sockets? },
-        known: known?,
+        limits: MachineLimits { sockets: sockets? },
+        cached_list: known?,
         settings: settings?,
     })
 }
 
-/// The list of servers; its one fault is reported with the path in it.
-fn known(fields: Fields<'_>) -> Option<List> {
+/// The cached list. An error is reported with the path inside it.
+fn known(fields: Fields<'_>) -> Option<ServerList> {
     let Some(value) = fields.value("known") else {
-        return Some(List::default());
+        return Some(ServerList::default());
     };
     let read = serde_path_to_error::deserialize(value);
     read.map_err(|error| {
-        fields.fault(
+        fields.error(
             &format!("known.{}", error.path()),
             error.inner().to_string(),
         )
@@ -152,15 +173,15 @@
     .ok()
 }
 
-fn settings(value: &Value, met: &Met) -> Option<Setup> {
-    let tell = |Faults(faults)| {
+fn settings(value: &Value, met: &ErrorCollector) -> Option<SiteSettings> {
+    let tell = |ConfigErrors(faults)| {
         faults
             .into_iter()
-            .for_each(|fault| met.add(fault.path, fault.why))
+            .for_each(|fault| met.add(fault.path, fault.reason))
     };
-    let setup = Setup::read("settings", value).map_err(tell).ok()?;
-    // A client names its class, so that one without a name would never be met.
-    for at in setup.nameless() {
+    let setup = SiteSettings::read("settings", value).map_err(tell).ok()?;
+    // Clients name their class, so that one without a name could never be used.
+    for at in setup.unnamed_classes() {
         met.add(format!("settings.lanes[{at}].name"), "is missing");
     }
     Some(setup)
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use super::Config;
+use super::PlatformConfig;
 
 fn sound() -> Value {
     json!({
@@ -24,13 +24,13 @@
 }
 
 fn faults(value: &Value) -> Vec<String> {
-    let faults = Config::of(value).err().expect("refused");
+    let faults = PlatformConfig::of(value).err().expect("refused");
     faults.0.iter().map(|fault| fault.to_string()).collect()
 }
 
 #[test]
 fn further_keys_are_disregarded_and_what_may_be_absent_may_be() {
-    let Ok(config) = Config::of(&sound()) else {
+    let Ok(config) = PlatformConfig::of(&sound()) else {
         panic!("sound")
     };
     assert_eq!(config.limits.sockets, 64);
@@ -38,7 +38,7 @@
     let fields = bare.as_object_mut().expect("an object");
     fields.remove("limits");
     fields.remove("known");
-    assert!(Config::of(&bare).is_ok());
+    assert!(PlatformConfig::of(&bare).is_ok());
 }
 
 #[test]
--- /dev/null
+++ b/crates/balancer/src/connections/acceptor.rs
@@ -0,0 +1,536 @@
+//! The acceptor: a front's listener and the handshakes that are not complete.
+//!
+//! One thread serves both, so that an idle or invalid client costs one descriptor and no thread.
+
+use std::collections::VecDeque;
+use std::net::{TcpListener, TcpStream};
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::bounded;
+
+use crate::connections::descriptors::{DescriptorBudget, Descriptors};
+use crate::connections::event_loop::{AdmittedClient, ConnectionsHandle};
+use crate::connections::lingering::LingeringClose;
+use crate::connections::relay::ClientConnection;
+use crate::core::lifecycle::LifecycleState;
+use crate::core::{ConnectionSlot, CoreHandle};
+use crate::front::{ClientMessage, Front, HandshakeError, HandshakeLine, Rejection};
+use crate::log::RateLimitedLog;
+use crate::net::{self, Listener, ReadBuffer, ReadError, WriteBuffer};
+
+/// A client is not evicted for a new one before this time. Clients that arrive together would
+/// otherwise evict one another.
+const MIN_HANDSHAKE_TIME: Duration = Duration::from_millis(100);
+/// Interval of lifecycle checks while handshakes are pending.
+const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The same during a shutdown.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Clients accepted before handshakes are read again.
+const ACCEPT_BATCH: usize = 32;
+/// Pause after a failed accept, which avoids a busy loop without descriptors.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// An idle client is closed this long after a drain began: new requests arrive for 0.4 s, and a
+/// shutdown takes at least 0.7 s.
+const IDLE_TIMEOUT_IN_DRAIN: Duration = Duration::from_millis(500);
+/// Time for which a rejected client is read on its admission thread.
+const REJECTED_LINGER: Duration = Duration::from_millis(200);
+
+/// A client with an incomplete handshake.
+struct Handshake {
+    client: TcpStream,
+    intake: ReadBuffer,
+    accepted_at: Instant,
+    /// Start of its timeout: the accept, its last readiness query, or the first byte after that.
+    timeout_from: Instant,
+    /// Whether it sent a readiness query.
+    has_asked: bool,
+}
+
+/// Accepts clients and reads their handshakes until the program ends.
+pub fn listen<F: Front>(
+    front: &Arc<F>,
+    listener: &Listener,
+    (core, descriptors): (&CoreHandle, &Descriptors),
+    connections: &ConnectionsHandle<F>,
+) {
+    let mut door = Acceptor {
+        front,
+        core,
+        descriptors,
+        connections,
+        rejections: Arc::new(RateLimitedLog::default()),
+        handshakes: VecDeque::new(),
+        lingering: VecDeque::new(),
+        accept_resumes_at: Instant::now(),
+        drain_started_at: None,
+    };
+    loop {
+        door.follow_lifecycle();
+        let accepts = door.should_accept(listener);
+        let has_room = accepts && door.can_accept_one();
+        let patience = door.wait_timeout(has_room || !accepts);
+        let waiting = door.handshakes.iter().map(|waiting| Some(&waiting.client));
+        let lingering = door.lingering.iter().map(LingeringClose::stream_to_read);
+        let streams = waiting.chain(lingering);
+        let (clients, ready) =
+            net::wait_listener_or_streams(has_room.then_some(&listener.socket), streams, patience);
+        let (heard, ended) = ready.split_at(door.handshakes.len());
+        door.read_lingering(ended);
+        // Handshakes go before new clients: one that is complete makes room without being evicted.
+        door.read_handshakes(heard);
+        door.expire_handshakes();
+        if clients && door.should_accept(listener) {
+            door.accept(&listener.socket);
+        }
+        door.publish_handshakes();
+        door.rejections.flush(front.name());
+    }
+}
+
+struct Acceptor<'a, F: Front> {
+    front: &'a Arc<F>,
+    core: &'a CoreHandle,
+    descriptors: &'a Descriptors,
+    connections: &'a ConnectionsHandle<F>,
+    rejections: Arc<RateLimitedLog>,
+    /// The oldest first.
+    handshakes: VecDeque<Handshake>,
+    /// Rejected clients that are read until they close, the oldest first.
+    lingering: VecDeque<LingeringClose>,
+    /// End of the pause after a failed accept.
+    accept_resumes_at: Instant,
+    /// When a drain was first noticed.
+    drain_started_at: Option<Instant>,
+}
+
+impl Handshake {
+    fn new(client: TcpStream, longest: usize) -> Handshake {
+        let now = Instant::now();
+        Handshake {
+            client,
+            intake: ReadBuffer::new(longest),
+            accepted_at: now,
+            timeout_from: now,
+            has_asked: false,
+        }
+    }
+
+    /// Whether it has sent nothing since its last query.
+    fn is_idle(&self) -> bool {
+        self.has_asked && self.intake.bytes().is_empty()
+    }
+
+    /// Whether it has had its minimum time.
+    fn has_had_min_time(&self) -> bool {
+        self.accepted_at.elapsed() >= MIN_HANDSHAKE_TIME
+    }
+
+    /// When it is closed.
+    fn deadline_at(&self, front: &impl Front, drains_since: Option<Instant>) -> Instant {
+        if !self.intake.bytes().is_empty() {
+            return self.timeout_from + front.begun_handshake_timeout();
+        }
+        let until = self.timeout_from + front.handshake_timeout();
+        let drains = drains_since.filter(|_| self.has_asked);
+        drains.map_or(until, |since| {
+            until.min((since + IDLE_TIMEOUT_IN_DRAIN).max(self.accepted_at + MIN_HANDSHAKE_TIME))
+        })
+    }
+}
+
+/// The result of reading a handshake.
+enum HandshakeOutcome<R> {
+    Incomplete,
+    Closed,
+    Rejected(Rejection),
+    Complete(R),
+}
+
+impl<F: Front> Acceptor<'_, F> {
+    /// Time until the next handshake expires or may be evicted, or accepting resumes.
+    fn wait_timeout(&self, has_room: bool) -> Duration {
+        let now = Instant::now();
+        let heard = |waiting: &Handshake| {
+            if has_room {
+                waiting.deadline_at(&**self.front, self.drain_started_at)
+            } else {
+                waiting.accepted_at + MIN_HANDSHAKE_TIME
+            }
+        };
+        let next = self
+            .handshakes
+            .iter()
+            .map(heard)
+            .chain(self.lingering.iter().map(LingeringClose::deadline_at))
+            .min();
+        let left = next.map_or(Duration::from_secs(1), |until| {
+            until.saturating_duration_since(now)
+        });
+        let paused = self.accept_resumes_at.saturating_duration_since(now);
+        let left = if paused.is_zero() {
+            left
+        } else {
+            left.min(paused)
+        };
+        left.clamp(Duration::from_millis(1), self.max_wait())
+    }
+
+    /// Longest wait without a lifecycle check.
+    fn max_wait(&self) -> Duration {
+        let leaves = self.core.lifecycle().state() == LifecycleState::ShuttingDown;
+        match (self.handshakes.is_empty(), leaves) {
+            (true, _) => Duration::from_secs(1),
+            (false, true) => SHUTDOWN_CHECK_INTERVAL,
+            (false, false) => STATE_CHECK_INTERVAL,
+        }
+    }
+
+    fn budget(&self) -> DescriptorBudget {
+        self.descriptors.budget()
+    }
+
+    /// Whether this process accepts clients. During a shutdown a shared listener is left to the
+    /// other process.
+    fn should_accept(&self, listener: &Listener) -> bool {
+        let leaves = self.core.lifecycle().state() == LifecycleState::ShuttingDown;
+        (!listener.is_shared || !leaves) && Instant::now() >= self.accept_resumes_at
+    }
+
+    /// Notices the beginning and the end of a drain.
+    fn follow_lifecycle(&mut self) {
+        match self.core.lifecycle().state() {
+            LifecycleState::Starting | LifecycleState::Serving => self.drain_started_at = None,
+            LifecycleState::Standby | LifecycleState::ShuttingDown => {
+                self.drain_started_at.get_or_insert_with(Instant::now);
+            }
+        }
+    }
+
+    /// Publishes the clients that are not finished, so that a shutdown waits for them.
+    fn publish_handshakes(&self) {
+        self.core
+            .lifecycle()
+            .set_handshakes(self.handshakes.len() + self.lingering.len());
+    }
+
+    /// Whether one more client can be accepted, by eviction if necessary.
+    fn can_accept_one(&self) -> bool {
+        self.handshakes.len() < self.budget().handshakes || self.eviction_candidate().is_some()
+    }
+
+    /// The client to evict: the one that has been silent longest, else the oldest.
+    fn eviction_candidate(&self) -> Option<usize> {
+        let silent =
+            |waiting: &Handshake| waiting.has_had_min_time() && waiting.intake.bytes().is_empty();
+        self.handshakes
+            .iter()
+            .position(silent)
+            .or_else(|| self.handshakes.iter().position(Handshake::has_had_min_time))
+    }
+
+    fn accept(&mut self, listener: &TcpListener) {
+        for _ in 0..ACCEPT_BATCH {
+            if !self.can_accept_one() {
+                return;
+            }
+            let client = match listener.accept() {
+                Ok((client, _)) => client,
+                Err(error) if net::is_would_block(&error) => return,
+                Err(error) => {
+                    self.rejections
+                        .warn(self.front.name(), "accept failed", &error);
+                    self.accept_resumes_at = Instant::now() + ACCEPT_PAUSE;
+                    return;
+                }
+            };
+            self.evict_one();
+            if net::configure_stream(&client).is_err() {
+                continue;
+            }
+            // A client that does not take the banner expires like other silent ones.
+            let _ = net::write_gathered(&client, &[&self.front.banner()]);
+            self.handshakes
+                .push_back(Handshake::new(client, self.front.max_handshake_line()));
+        }
+    }
+
+    /// Evicts a client if there are too many handshakes.
+    fn evict_one(&mut self) {
+        let openings = self.budget().handshakes;
+        let place = self
+            .eviction_candidate()
+            .filter(|_| self.handshakes.len() >= openings);
+        let Some(waiting) = place.and_then(|place| self.handshakes.remove(place)) else {
+            return;
+        };
+        self.reject(
+            waiting.client,
+            &self.front.encode(ClientMessage::Rejected(None)),
+        );
+        self.rejections.warn(
+            self.front.name(),
+            "too many handshakes",
+            &"the oldest was let go",
+        );
+    }
+
+    /// Rejects a client and lets it linger.
+    fn reject(&mut self, client: TcpStream, answer: &[u8]) {
+        self.linger(LingeringClose::start(
+            client,
+            WriteBuffer::default(),
+            answer,
+        ));
+    }
+
+    /// Lets a client linger; the oldest is closed if there are too many.
+    fn linger(&mut self, client: LingeringClose) {
+        self.lingering.push_back(client);
+        let most = self.budget().lingering;
+        while self.lingering.len() > most {
+            self.lingering.pop_front();
+        }
+    }
+
+    /// Reads lingering clients that are ready, and drops those that are done.
+    fn read_lingering(&mut self, ready: &[bool]) {
+        for (client, _) in self
+            .lingering
+            .iter_mut()
+            .zip(ready)
+            .filter(|(_, ready)| **ready)
+        {
+            client.on_ready();
+        }
+        self.lingering.retain(|client| !client.is_done());
+    }
+
+    /// Reads the handshakes that are ready.
+    fn read_handshakes(&mut self, heard: &[bool]) {
+        let mut place = 0;
+        for heard in heard {
+            let Some(waiting) = self.handshakes.get_mut(place).filter(|_| *heard) else {
+                place += 1;
+                continue;
+            };
+            let became = read_handshake_guarded(&**self.front, waiting, self.core);
+            if matches!(became, HandshakeOutcome::Incomplete) {
+                place += 1;
+            } else if let Some(waiting) = self.handshakes.remove(place) {
+                self.finish_handshake(waiting, became);
+            }
+        }
+    }
+
+    /// Acts on a handshake that is no longer pending.
+    fn finish_handshake(&mut self, waiting: Handshake, became: HandshakeOutcome<F::Request>) {
+        match became {
+            HandshakeOutcome::Rejected(Rejection { answer, why }) => {
+                self.rejections
+                    .warn(self.front.name(), "handshake rejected", &why);
+                self.reject(waiting.client, &answer);
+            }
+            HandshakeOutcome::Complete(request) => {
+                self.open(waiting.client, request, waiting.intake)
+            }
+            HandshakeOutcome::Closed | HandshakeOutcome::Incomplete => {}
+        }
+    }
+
+    /// Admits a client.
+    fn open(&mut self, client: TcpStream, request: F::Request, intake: ReadBuffer) {
+        let Some(slot) = self.core.reserve_connection(self.budget().connections) else {
+            self.rejections.warn(
+                self.front.name(),
+                "too many connections",
+                &"one was turned away",
+            );
+            return self.reject(client, &self.front.encode(ClientMessage::Rejected(None)));
+        };
+        let link = ClientConnection::new(&**self.front, client, intake.into_rest());
+        let admission = CompletedHandshake {
+            link,
+            request,
+            slot,
+        };
+        if F::ADMIT_WAITS {
+            return self.admit_on_a_thread(admission);
+        }
+        if let Some(refused) = admit(
+            &**self.front,
+            admission,
+            (self.connections, &self.rejections),
+        ) {
+            self.linger(refused);
+        }
+    }
+
+    /// Admits a client on a thread of its own, where the front may block.
+    fn admit_on_a_thread(&mut self, admission: CompletedHandshake<F>) {
+        let (front, refusals) = (Arc::clone(self.front), Arc::clone(&self.rejections));
+        let transactions = self.connections.clone();
+        let (give, take) = bounded::<CompletedHandshake<F>>(1);
+        let run = move || {
+            let Ok(admission) = take.recv() else { return };
+            if let Some(refused) = admit(&*front, admission, (&transactions, &refusals)) {
+                net::discard_until_end(refused.stream(), REJECTED_LINGER);
+            }
+        };
+        let named = std::thread::Builder::new()
+            .name("admit".into())
+            .stack_size(self.front.thread_stack_bytes());
+        let unserved = match named.spawn(run) {
+            Ok(_) => give.send(admission).err().map(|unsent| unsent.into_inner()),
+            Err(error) => {
+                self.rejections.warn(self.front.name(), "no thread", &error);
+                Some(admission)
+            }
+        };
+        if let Some(CompletedHandshake { link, .. }) = unserved {
+            self.linger(link.close_with(&self.front.encode(ClientMessage::Rejected(None))));
+        }
+    }
+
+    /// Closes handshakes whose time is over.
+    fn expire_handshakes(&mut self) {
+        let now = Instant::now();
+        let hears = self.core.lifecycle().accepts_handshakes();
+        let mut place = 0;
+        while let Some(waiting) = self.handshakes.get_mut(place) {
+            if hears && now < waiting.deadline_at(&**self.front, self.drain_started_at) {
+                place += 1;
+                continue;
+            }
+            // A complete handshake may have arrived since the last poll.
+            let became = read_handshake_guarded(&**self.front, waiting, self.core);
+            let late = !hears || now >= waiting.deadline_at(&**self.front, self.drain_started_at);
+            if matches!(became, HandshakeOutcome::Incomplete) && !late {
+                place += 1;
+                continue;
+            }
+            let Some(waiting) = self.handshakes.remove(place) else {
+                return;
+            };
+            if matches!(became, HandshakeOutcome::Incomplete) {
+                self.expire(waiting);
+            } else {
+                self.finish_handshake(waiting, became);
+            }
+        }
+        self.lingering.retain(|client| !client.is_done());
+    }
+
+    /// Closes a client whose handshake is late. An idle one is told to come again, which also
+    /// answers a request that crosses its end.
+    fn expire(&mut self, waiting: Handshake) {
+        if waiting.is_idle() {
+            return self.reject(
+                waiting.client,
+                &self.front.encode(ClientMessage::Rejected(None)),
+            );
+        }
+        let Rejection { answer, why } = self.front.handshake_error(HandshakeError::TimedOut);
+        self.rejections
+            .warn(self.front.name(), "handshake rejected", &why);
+        self.reject(waiting.client, &answer);
+    }
+}
+
+/// A completed handshake.
+struct CompletedHandshake<F: Front> {
+    link: ClientConnection,
+    request: F::Request,
+    slot: ConnectionSlot,
+}
+
+/// Passes a client on to the connections, or returns it with its rejection.
+fn admit<F: Front>(
+    front: &F,
+    CompletedHandshake {
+        link: client,
+        request,
+        slot,
+    }: CompletedHandshake<F>,
+    (transactions, refusals): (&ConnectionsHandle<F>, &RateLimitedLog),
+) -> Option<LingeringClose> {
+    match front.admit(request) {
+        Ok((request, greeting)) => {
+            transactions.admit(AdmittedClient {
+                client,
+                request,
+                greeting,
+                slot,
+            });
+            None
+        }
+        Err(Rejection { answer, why }) => {
+            refusals.warn(front.name(), "handshake rejected", &why);
+            Some(client.close_with(&answer))
+        }
+    }
+}
+
+/// A panic in reading one handshake must not end the acceptor.
+fn read_handshake_guarded<F: Front>(
+    front: &F,
+    waiting: &mut Handshake,
+    core: &CoreHandle,
+) -> HandshakeOutcome<F::Request> {
+    let became = catch_unwind(AssertUnwindSafe(|| read_handshake(front, waiting, core)));
+    became.unwrap_or_else(|_| {
+        HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong))
+    })
+}
+
+/// Reads once and parses what has arrived.
+fn read_handshake<F: Front>(
+    front: &F,
+    waiting: &mut Handshake,
+    core: &CoreHandle,
+) -> HandshakeOutcome<F::Request> {
+    let rested = waiting.is_idle();
+    let Handshake {
+        client,
+        intake,
+        timeout_from,
+        has_asked,
+        ..
+    } = waiting;
+    match intake.read(client, Instant::now()) {
+        Ok(()) => {}
+        Err(ReadError::TimedOut) => return HandshakeOutcome::Incomplete,
+        Err(ReadError::Ended | ReadError::Broken(_)) => return HandshakeOutcome::Closed,
+        Err(ReadError::TooLong) => {
+            return HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong));
+        }
+    }
+    if rested {
+        *timeout_from = Instant::now();
+    }
+    while let Some(line) = intake.next_line() {
+        let reply = match front.parse_handshake(&line, core.clock().now()) {
+            HandshakeLine::Reply(words) => words,
+            HandshakeLine::ReadinessQuery => {
+                front.readiness_answer(core.lifecycle().state(), core.lifecycle().is_ready())
+            }
+            HandshakeLine::Rejected(refusal) => return HandshakeOutcome::Rejected(refusal),
+            HandshakeLine::Connect(_) if intake.bytes().len() > front.max_early_bytes() => {
+                return HandshakeOutcome::Rejected(
+                    front.handshake_error(HandshakeError::ExtraBytes),
+                );
+            }
+            HandshakeLine::Connect(request) => return HandshakeOutcome::Complete(request),
+        };
+        *has_asked = true;
+        if net::write_gathered(client, &[reply]).is_err() {
+            return HandshakeOutcome::Closed;
+        }
+    }
+    if intake.is_full() {
+        HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong))
+    } else {
+        HandshakeOutcome::Incomplete
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/connections/connect.rs
@@ -0,0 +1,102 @@
+//! One attempt: connect to a server and exchange the handshake.
+
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+use rustix::io::Errno;
+use socket2::{Domain, SockRef, Socket, Type};
+
+use crate::attempt::{ABANDON_CHECK_INTERVAL, AttemptError, ServerExchange, WaitingClient};
+use crate::connections::relay::ClientConnection;
+use crate::core::{AttemptTiming, Endpoint};
+use crate::front::Front;
+use crate::net::{self, PollFlags};
+
+/// A server that accepted the connection.
+pub struct EstablishedServer {
+    /// Its socket.
+    pub server: TcpStream,
+    /// The answer for the client.
+    pub answer: Vec<u8>,
+    /// Bytes that it sent beyond the answer.
+    pub read_ahead: Vec<u8>,
+}
+
+/// Makes an attempt. Its socket is closed before an error is returned, so that the attempts of one
+/// request never overlap.
+///
+/// # Errors
+///
+/// Returns how far the attempt had come.
+pub fn attempt<F: Front>(
+    front: &F,
+    link: &mut ClientConnection,
+    greeting: &F::ServerHandshake,
+    to: &Endpoint,
+    times: AttemptTiming,
+    connect_timeout: Duration,
+) -> Result<EstablishedServer, AttemptError> {
+    let server = connect(to.address, link, times, connect_timeout)?;
+    net::configure_stream(&server).map_err(AttemptError::NotConnected)?;
+    let mut asking = ServerExchange::new(server, to, link, times);
+    let answer = front.request_connection(&mut asking, greeting)?;
+    let (server, read_ahead) = asking.into_parts();
+    Ok(EstablishedServer {
+        server,
+        answer,
+        read_ahead,
+    })
+}
+
+/// Connects while the attempt may still begin. A connect that takes longer counts against the
+/// server. It ends at once if the client leaves, and soon after the core has abandoned it.
+///
+/// # Errors
+///
+/// Fails if the client has left, the attempt is too late or abandoned, or the connect fails.
+pub fn connect(
+    to: SocketAddr,
+    client: &mut dyn WaitingClient,
+    times: AttemptTiming,
+    connect_timeout: Duration,
+) -> Result<TcpStream, AttemptError> {
+    client.read_early().map_err(AttemptError::ClientLeft)?;
+    if client.is_abandoned() || Instant::now() >= times.begin_by {
+        return Err(AttemptError::NotSent);
+    }
+    let given_up_at = times.begin_by.min(Instant::now() + connect_timeout);
+    let server = start_connect(to).map_err(AttemptError::NotConnected)?;
+    loop {
+        let left = given_up_at.saturating_duration_since(Instant::now());
+        let sides = [(&server, PollFlags::OUT), (client.stream(), PollFlags::IN)];
+        let [is_decided, client_ready] = net::wait_ready(sides, left.min(ABANDON_CHECK_INTERVAL));
+        if client_ready {
+            client.read_early().map_err(AttemptError::ClientLeft)?;
+        }
+        if client.is_abandoned() {
+            return Err(AttemptError::NotSent);
+        }
+        if is_decided {
+            let failure = server.take_error().unwrap_or_else(Some);
+            return failure.map_or(Ok(server), |error| Err(AttemptError::NotConnected(error)));
+        }
+        if left.is_zero() {
+            return Err(AttemptError::NotConnected(io::ErrorKind::TimedOut.into()));
+        }
+    }
+}
+
+/// Starts a non-blocking connect.
+fn start_connect(to: SocketAddr) -> io::Result<TcpStream> {
+    // The same system calls as `TcpStream::connect_timeout`.
+    let server = TcpStream::from(Socket::new(Domain::for_address(to), Type::STREAM, None)?);
+    server.set_nonblocking(true)?;
+    match SockRef::from(&server).connect(&to.into()) {
+        Err(error) if error.raw_os_error() != Some(Errno::INPROGRESS.raw_os_error()) => Err(error),
+        _ => Ok(server),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/stages/send/tests.rs
+++ b/crates/balancer/src/connections/connect/tests.rs
@@ -18,20 +18,20 @@
     is_given_up: Arc<AtomicBool>,
 }
 
-impl Client for Waits {
+impl WaitingClient for Waits {
     fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    fn is_given_up(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         self.is_given_up.load(Ordering::Relaxed)
     }
 
-    fn look(&mut self) -> Result<(), ReadError> {
+    fn read_early(&mut self) -> Result<(), ReadError> {
         match (&self.stream).read(&mut [0; 8]) {
             Ok(0) => Err(ReadError::Ended),
             Ok(_) => Ok(()),
-            Err(error) if net::is_wait(&error) => Ok(()),
+            Err(error) if net::is_would_block(&error) => Ok(()),
             Err(error) => Err(ReadError::Broken(error)),
         }
     }
@@ -41,7 +41,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let far = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
     let stream = listener.accept().expect("it came").0;
-    net::prepare(&stream).expect("open");
+    net::configure_stream(&stream).expect("open");
     (
         Waits {
             stream,
@@ -51,11 +51,11 @@
     )
 }
 
-fn after(span: Duration) -> PassTimes {
+fn after(span: Duration) -> AttemptTiming {
     let moment = Instant::now() + span;
-    PassTimes {
+    AttemptTiming {
         begin_by: moment,
-        until: moment,
+        deadline_at: moment,
     }
 }
 
@@ -66,12 +66,12 @@
     let (mut client, _far) = client();
     let ended = connect(to, &mut client, after(Duration::from_millis(50)), LONG);
     assert!(
-        matches!(ended, Err(PassError::NotConnected(_))),
+        matches!(ended, Err(AttemptError::NotConnected(_))),
         "{ended:?}"
     );
     let ended = connect(to, &mut client, after(LONG), Duration::from_millis(50));
     assert!(
-        matches!(ended, Err(PassError::NotConnected(_))),
+        matches!(ended, Err(AttemptError::NotConnected(_))),
         "{ended:?}"
     );
 }
@@ -84,16 +84,16 @@
     drop(far);
     let ended = connect(to, &mut left, after(LONG), LONG);
     assert!(
-        matches!(ended, Err(PassError::ClientLeft(ReadError::Ended))),
+        matches!(ended, Err(AttemptError::ClientLeft(ReadError::Ended))),
         "{ended:?}"
     );
     let (mut given_up, _far) = client();
     given_up.is_given_up.store(true, Ordering::Relaxed);
     let ended = connect(to, &mut given_up, after(LONG), LONG);
-    assert!(matches!(ended, Err(PassError::Withheld)), "{ended:?}");
+    assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
     let (mut late, _far) = client();
     let ended = connect(to, &mut late, after(Duration::ZERO), LONG);
-    assert!(matches!(ended, Err(PassError::Withheld)), "{ended:?}");
+    assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
     listener.set_nonblocking(true).expect("open");
     assert!(listener.accept().is_err(), "no connection came");
 }
@@ -109,7 +109,7 @@
         is_given_up.store(true, Ordering::Relaxed);
     });
     let ended = connect(to, &mut client, after(LONG), LONG);
-    assert!(matches!(ended, Err(PassError::Withheld)), "{ended:?}");
+    assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
     assert!(began.elapsed() < LONG / 3);
     gives_up.join().expect("it ran");
 }
@@ -123,7 +123,7 @@
     drop(listener);
     let ended = connect(to, &mut client, after(LONG), LONG);
     assert!(
-        matches!(ended, Err(PassError::NotConnected(_))),
+        matches!(ended, Err(AttemptError::NotConnected(_))),
         "{ended:?}"
     );
 }
@@ -132,7 +132,7 @@
 fn no_first_byte_is_written_too_late_or_after_the_last_word() {
     for is_given_up in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let to = ApplicationServer::new("s0".into(), listener.local_addr().expect("bound"));
+        let to = Endpoint::new("s0".into(), listener.local_addr().expect("bound"));
         let (mut client, _far) = client();
         client.is_given_up.store(is_given_up, Ordering::Relaxed);
         let server = TcpStream::connect(to.address).expect("it listens");
@@ -141,13 +141,13 @@
         } else {
             Instant::now()
         };
-        let times = PassTimes {
+        let times = AttemptTiming {
             begin_by,
-            until: Instant::now() + LONG,
+            deadline_at: Instant::now() + LONG,
         };
-        let mut asking = Asking::new(server, &to, &mut client, times);
-        let ended = asking.head(&[b"OPEN\r\n"]);
-        assert!(matches!(ended, Err(PassError::Withheld)), "{ended:?}");
+        let mut asking = ServerExchange::new(server, &to, &mut client, times);
+        let ended = asking.write_request(&[b"OPEN\r\n"]);
+        assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
         drop(asking);
         let mut words = String::new();
         listener
--- /dev/null
+++ b/crates/balancer/src/connections/event_loop/attempt_thread.rs
@@ -0,0 +1,46 @@
+//! The thread of one attempt, which owns the client while the attempt lasts.
+
+use std::io;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::Arc;
+
+use crossbeam_channel::bounded;
+
+use super::{ConnectionInput, ConnectionsHandle, FrontContext};
+use crate::connections::connect;
+use crate::connections::relay::ClientConnection;
+use crate::core::{AttemptTiming, Endpoint};
+use crate::front::Front;
+
+/// Makes an attempt on a thread of its own. Returns the client if the thread can't be created.
+pub(super) fn start<F: Front>(
+    shared: &FrontContext<F>,
+    desk: &Arc<ConnectionsHandle<F>>,
+    (id, link, greeting): (u64, ClientConnection, Arc<F::ServerHandshake>),
+    to: Arc<Endpoint>,
+    times: AttemptTiming,
+) -> Result<(), Box<(ClientConnection, io::Error)>> {
+    let (front, desk, connect) = (
+        Arc::clone(&shared.front),
+        Arc::clone(desk),
+        shared.core.connect_timeout(),
+    );
+    let (give, take) = bounded::<ClientConnection>(1);
+    let run = move || {
+        let Ok(mut link) = take.recv() else { return };
+        let made = || connect::attempt(&*front, &mut link, &greeting, &to, times, connect);
+        let passed = catch_unwind(AssertUnwindSafe(made)).ok();
+        drop(greeting);
+        desk.send_input(ConnectionInput::AttemptFinished(id, link, passed));
+    };
+    match std::thread::Builder::new()
+        .name("pass".into())
+        .stack_size(shared.front.thread_stack_bytes())
+        .spawn(run)
+    {
+        Ok(_) => give
+            .send(link)
+            .map_err(|error| Box::new((error.into_inner(), io::ErrorKind::Other.into()))),
+        Err(error) => Err(Box::new((link, error))),
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -0,0 +1,139 @@
+//! Handover of established connections to and from other processes.
+
+use std::sync::Arc;
+
+use tracing::warn;
+
+use super::FrontContext;
+use super::connection::ConnectionState;
+use super::run::EventLoop;
+use crate::attempt::{AttemptError, ConnectionEnd};
+use crate::connections::lingering::LingeringClose;
+use crate::connections::relay::{ClientConnection, EstablishedConnection};
+use crate::core::{ClientRequest, CommandSender, ConnectionSlot};
+use crate::front::{Front, HandshakeLine};
+use crate::handover::{HandoverAddress, TransferredConnection};
+use crate::net::{self, WriteBuffer};
+use crate::poller::EventFlags;
+
+impl<F: Front> EventLoop<F> {
+    /// Hands an established connection over to the process that replaces this one. One with
+    /// buffered bytes is retried until it is migrated.
+    pub(super) fn hand_over(&mut self, id: u64) {
+        let EventLoop {
+            context,
+            poller,
+            handover_sender,
+            connections,
+            awaiting_handover,
+            ..
+        } = self;
+        let Some(transaction) = connections.get_mut(&id) else {
+            return;
+        };
+        let (ConnectionState::Established(standing), Some(greeting), Some(at)) = (
+            &transaction.state,
+            transaction.greeting.as_deref(),
+            transaction.server_name.as_deref(),
+        ) else {
+            return;
+        };
+        let Some(line) = context.front.handover_line(greeting) else {
+            return;
+        };
+        let found = handover_sender.get_or_insert_with(|| {
+            let found = context
+                .handover
+                .as_ref()
+                .map_or(Ok(None), HandoverAddress::connect);
+            found.unwrap_or_else(|error| {
+                warn!(part = context.front.name(), why = %error, "nobody to hand over to");
+                None
+            })
+        });
+        let Some(giver) = found else { return };
+        if !standing.can_be_handed_over() {
+            return awaiting_handover.push(id);
+        }
+        let (client, server) = standing.sides();
+        // The other process polls the same sockets; this one would wake for its input.
+        let nothing = EventFlags::empty();
+        let unwatched = poller
+            .set_interest(client, id * 2, (transaction.watched.0, nothing))
+            .and_then(|()| {
+                poller.set_interest(server, id * 2 + 1, (transaction.watched.1, nothing))
+            });
+        if unwatched.is_err() {
+            return;
+        }
+        transaction.watched = (nothing, nothing);
+        match giver.send((client, server), at, line) {
+            Ok(()) => {
+                transaction.report_end(
+                    &AttemptError::ConnectionEnded(ConnectionEnd::HandedOver),
+                    context,
+                );
+                self.connections.remove(&id);
+            }
+            Err(error) => {
+                if net::is_would_block(&error) {
+                    awaiting_handover.push(id);
+                } else {
+                    warn!(part = context.front.name(), request = id, why = %error, "not handed over");
+                }
+                self.with(id, |_, _| ());
+            }
+        }
+    }
+
+    /// Takes over a connection from another process. One whose request can't be parsed is migrated.
+    pub(super) fn take_over(&mut self, given: TransferredConnection, counted: ConnectionSlot) {
+        let TransferredConnection {
+            client,
+            server,
+            server_name,
+            request_line,
+        } = given;
+        let FrontContext {
+            front,
+            core,
+            migration_message,
+            ..
+        } = &self.context;
+        let read = match front.parse_handshake(&request_line, core.clock().now()) {
+            HandshakeLine::Connect(request) => front.admit(request).ok(),
+            _ => None,
+        };
+        let link = ClientConnection::new(&**front, client, Vec::new());
+        let Some((opening, greeting)) = read else {
+            warn!(
+                part = front.name(),
+                "a connection handed over could not be read"
+            );
+            let server = LingeringClose::start(server, WriteBuffer::default(), b"");
+            let phase =
+                ConnectionState::Lingering(link.close_with(migration_message), Some(server));
+            self.last_local_id -= 1;
+            return self.insert(self.last_local_id, None, (phase, None), counted);
+        };
+        let (opening, at) = (
+            ClientRequest {
+                resumed_server: None,
+                ..opening
+            },
+            Arc::from(server_name),
+        );
+        let id = core.adopt(
+            opening,
+            Arc::clone(&at),
+            Arc::clone(&self.handle) as Arc<dyn CommandSender>,
+        );
+        let standing = EstablishedConnection::new(&**front, link, server, core, id);
+        self.insert(
+            id,
+            Some(greeting),
+            (ConnectionState::Established(Box::new(standing)), Some(at)),
+            counted,
+        );
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/connections/event_loop/mod.rs
@@ -0,0 +1,138 @@
+//! The thread that serves all connections of a front, from admission to close.
+//!
+//! Only an attempt has a thread of its own. A thread per connection costs too much where the whole
+//! process is stopped and resumed for its share of a core.
+
+mod attempt_thread;
+mod connection;
+mod handover;
+mod run;
+
+use std::fmt;
+use std::io;
+use std::sync::Arc;
+
+use crossbeam_channel::{Sender, unbounded};
+
+use crate::attempt::AttemptError;
+use crate::connections::connect::EstablishedServer;
+use crate::connections::relay::ClientConnection;
+use crate::core::{ClientRequest, CommandSender, ConnectionCommand, ConnectionSlot, CoreHandle};
+use crate::front::{ClientMessage, Front};
+use crate::handover::{HandoverAddress, TransferredConnection};
+use crate::poller::{Poller, Waker};
+
+use run::EventLoop;
+
+/// A client that has been admitted.
+pub struct AdmittedClient<F: Front> {
+    /// Its connection.
+    pub client: ClientConnection,
+    /// What it asks for.
+    pub request: ClientRequest,
+    /// The handshake for the server.
+    pub greeting: F::ServerHandshake,
+    /// Its place among the open connections.
+    pub slot: ConnectionSlot,
+}
+
+/// An input of the connections' thread.
+enum ConnectionInput<F: Front> {
+    Admitted(Box<AdmittedClient<F>>),
+    Commanded(u64, ConnectionCommand),
+    /// Another process hands over this connection.
+    HandedOver(TransferredConnection, ConnectionSlot),
+    /// An attempt ended; `None` if it panicked.
+    AttemptFinished(
+        u64,
+        ClientConnection,
+        Option<Result<EstablishedServer, AttemptError>>,
+    ),
+}
+
+/// A handle to the thread that serves a front's connections.
+pub struct ConnectionsHandle<F: Front> {
+    inputs: Sender<ConnectionInput<F>>,
+    waker: Waker,
+}
+
+impl<F: Front> Clone for ConnectionsHandle<F> {
+    fn clone(&self) -> ConnectionsHandle<F> {
+        ConnectionsHandle {
+            inputs: self.inputs.clone(),
+            waker: self.waker.clone(),
+        }
+    }
+}
+
+impl<F: Front> fmt::Debug for ConnectionsHandle<F> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("Desk")
+    }
+}
+
+impl<F: Front> ConnectionsHandle<F> {
+    fn send_input(&self, what: ConnectionInput<F>) {
+        // The thread is gone only when the program is about to end.
+        let _ = self.inputs.send(what);
+        self.waker.wake();
+    }
+
+    /// Takes over a connection from another process.
+    pub fn take_over(&self, given: TransferredConnection, counted: ConnectionSlot) {
+        self.send_input(ConnectionInput::HandedOver(given, counted));
+    }
+
+    /// Serves an admitted client.
+    pub fn admit(&self, admitted: AdmittedClient<F>) {
+        self.send_input(ConnectionInput::Admitted(Box::new(admitted)));
+    }
+}
+
+impl<F: Front> CommandSender for ConnectionsHandle<F> {
+    fn send(&self, id: u64, order: ConnectionCommand) {
+        self.send_input(ConnectionInput::Commanded(id, order));
+    }
+}
+
+/// What all connections of a front share.
+struct FrontContext<F: Front> {
+    front: Arc<F>,
+    core: CoreHandle,
+    /// The message that asks a client to migrate.
+    migration_message: Vec<u8>,
+    /// Where connections are handed over.
+    handover: Option<HandoverAddress>,
+}
+
+/// Starts the thread that serves a front's connections.
+///
+/// # Errors
+///
+/// Fails if the poller or the thread can't be created.
+pub fn serve<F: Front>(
+    front: &Arc<F>,
+    core: &CoreHandle,
+    handover: Option<HandoverAddress>,
+) -> io::Result<ConnectionsHandle<F>> {
+    let poller = Poller::new()?;
+    let (inputs, inbox) = unbounded();
+    let desk = ConnectionsHandle {
+        inputs,
+        waker: poller.waker(),
+    };
+    let shared = FrontContext {
+        front: Arc::clone(front),
+        core: core.clone(),
+        migration_message: front.encode(ClientMessage::Migrate),
+        handover,
+    };
+    let server = EventLoop::new(shared, poller, (inbox, desk.clone()));
+    std::thread::Builder::new()
+        .name("transactions".into())
+        .spawn(move || server.run())?;
+    Ok(desk)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/connections/event_loop/run.rs
@@ -0,0 +1,200 @@
+//! The event loop of the thread that serves all connections of a front.
+
+use std::collections::HashMap;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::Receiver;
+use tracing::error;
+
+use super::connection::{Connection, ConnectionState};
+use super::{AdmittedClient, ConnectionInput, ConnectionsHandle, FrontContext, attempt_thread};
+use crate::attempt::AttemptError;
+use crate::connections::relay::Side;
+use crate::core::{CommandSender, ConnectionCommand, ConnectionSlot};
+use crate::front::Front;
+use crate::handover::HandoverSender;
+use crate::poller::Poller;
+
+/// Interval of the timeout checks.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Ids of connections that the core does not know count down from here. Each id makes two poll
+/// tokens.
+const LAST_LOCAL_ID: u64 = u64::MAX / 2;
+
+pub(super) struct EventLoop<F: Front> {
+    pub(super) context: FrontContext<F>,
+    pub(super) poller: Poller,
+    inbox: Receiver<ConnectionInput<F>>,
+    pub(super) handle: Arc<ConnectionsHandle<F>>,
+    pub(super) connections: HashMap<u64, Connection<F>>,
+    /// The latest of those ids.
+    pub(super) last_local_id: u64,
+    /// The process that replaces this one, once it has been looked for.
+    pub(super) handover_sender: Option<Option<HandoverSender>>,
+    /// Connections that could not be handed over yet.
+    pub(super) awaiting_handover: Vec<u64>,
+}
+
+impl<F: Front> EventLoop<F> {
+    /// Creates the loop.
+    pub(super) fn new(
+        context: FrontContext<F>,
+        poller: Poller,
+        (inbox, desk): (Receiver<ConnectionInput<F>>, ConnectionsHandle<F>),
+    ) -> EventLoop<F> {
+        let handle = Arc::new(desk);
+        let (connections, last_local_id, handover_sender, awaiting_handover) =
+            (HashMap::new(), LAST_LOCAL_ID, None, Vec::new());
+        EventLoop {
+            context,
+            poller,
+            inbox,
+            handle,
+            connections,
+            last_local_id,
+            handover_sender,
+            awaiting_handover,
+        }
+    }
+
+    /// Runs until the program ends.
+    pub(super) fn run(mut self) {
+        let mut looked = Instant::now();
+        loop {
+            let idle = if self.connections.is_empty() {
+                Duration::from_secs(1)
+            } else {
+                TICK_INTERVAL
+            };
+            for token in self.poller.wait(idle.saturating_sub(looked.elapsed())) {
+                let side = if token % 2 == 0 {
+                    Side::Client
+                } else {
+                    Side::Server
+                };
+                self.with(token / 2, |transaction, shared| {
+                    transaction.on_ready(side, shared)
+                });
+            }
+            while let Ok(brought) = self.inbox.try_recv() {
+                // A panic in one connection's code must not end the others.
+                if catch_unwind(AssertUnwindSafe(|| self.handle_input(brought))).is_err() {
+                    error!(
+                        part = self.context.front.name(),
+                        "an input of the connections panicked"
+                    );
+                }
+            }
+            if looked.elapsed() >= TICK_INTERVAL {
+                looked = Instant::now();
+                let all: Vec<u64> = self.connections.keys().copied().collect();
+                for id in all {
+                    self.with(id, Connection::on_tick);
+                }
+                for id in std::mem::take(&mut self.awaiting_handover) {
+                    self.hand_over(id);
+                }
+            }
+        }
+    }
+
+    fn handle_input(&mut self, brought: ConnectionInput<F>) {
+        match brought {
+            ConnectionInput::Admitted(admitted) => {
+                let AdmittedClient {
+                    client,
+                    request,
+                    greeting,
+                    slot,
+                } = *admitted;
+                let id = self
+                    .context
+                    .core
+                    .open(request, Arc::clone(&self.handle) as Arc<dyn CommandSender>);
+                self.insert(
+                    id,
+                    Some(greeting),
+                    (ConnectionState::Waiting(client), None),
+                    slot,
+                );
+            }
+            ConnectionInput::Commanded(
+                id,
+                ConnectionCommand::StartAttempt { endpoint, timing },
+            ) => {
+                let lent = self
+                    .connections
+                    .get_mut(&id)
+                    .map(|transaction| transaction.start_attempt(&self.poller, &endpoint));
+                let (link, greeting) = match lent {
+                    Some(Ok(Some(lent))) => lent,
+                    // The request must not stay in flight without an attempt.
+                    Some(Err(_)) => {
+                        return self.with(id, |transaction, shared| transaction.on_panic(shared));
+                    }
+                    // The client left or was answered; the core is told of it.
+                    Some(Ok(None)) | None => return,
+                };
+                if let Err(failed) = attempt_thread::start(
+                    &self.context,
+                    &self.handle,
+                    (id, link, greeting),
+                    endpoint,
+                    timing,
+                ) {
+                    let (link, error) = *failed;
+                    let error = AttemptError::NotConnected(error);
+                    self.with(id, |transaction, shared| {
+                        transaction.on_attempt_finished(link, Some(Err(error)), shared)
+                    });
+                }
+            }
+            ConnectionInput::Commanded(id, ConnectionCommand::HandOver) => self.hand_over(id),
+            ConnectionInput::HandedOver(given, counted) => self.take_over(given, counted),
+            ConnectionInput::Commanded(id, order) => {
+                self.with(id, |transaction, shared| {
+                    transaction.on_command(order, shared)
+                });
+            }
+            ConnectionInput::AttemptFinished(id, link, passed) => {
+                self.with(id, |transaction, shared| {
+                    transaction.on_attempt_finished(link, passed, shared)
+                });
+            }
+        }
+    }
+
+    /// Adds a connection.
+    pub(super) fn insert(
+        &mut self,
+        id: u64,
+        greeting: Option<F::ServerHandshake>,
+        (phase, at): (ConnectionState, Option<Arc<str>>),
+        counted: ConnectionSlot,
+    ) {
+        self.connections
+            .insert(id, Connection::new(id, greeting, (phase, at), counted));
+        self.with(id, |_, _| ());
+    }
+
+    /// Runs code on a connection and updates what it is polled for.
+    pub(super) fn with(&mut self, id: u64, act: impl FnOnce(&mut Connection<F>, &FrontContext<F>)) {
+        let Some(transaction) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let shared = &self.context;
+        // A panic in one connection's code must neither end the others nor leave its client without
+        // an answer.
+        if catch_unwind(AssertUnwindSafe(|| act(transaction, shared))).is_err() {
+            transaction.on_panic(shared);
+        }
+        if transaction.update_interest(&self.poller).is_err() {
+            transaction.on_panic(shared);
+        }
+        if transaction.is_closed() {
+            self.connections.remove(&id);
+        }
+    }
+}
--- a/crates/balancer/src/stages/transactions/tests.rs
+++ b/crates/balancer/src/connections/event_loop/tests.rs
@@ -7,8 +7,8 @@
 use super::*;
 use crate::clock::Clock;
 use crate::config::SharedSettings;
-use crate::core::{Start, start};
-use crate::front::First;
+use crate::core::{CoreConfig, start};
+use crate::front::HandshakeLine;
 use crate::front::platform::Platform;
 use crate::net;
 use crate::testing::full_listener;
@@ -47,7 +47,7 @@
 
 /// The thread that serves connections, a client that has opened, and its server's listener.
 struct Scene {
-    desk: Desk<Platform>,
+    desk: ConnectionsHandle<Platform>,
     client: Speaker,
     server: TcpListener,
 }
@@ -67,19 +67,19 @@
         let desk = serve(&front, &core, None).expect("a thread");
         let (client, own) = pair();
         let now = core.clock().now();
-        let First::Opening((opening, greeting)) =
-            front.first(b"OPEN a1 02 c=chat,d=60000\r\n", now)
+        let HandshakeLine::Connect((request, greeting)) =
+            front.parse_handshake(b"OPEN a1 02 c=chat,d=60000\r\n", now)
         else {
             panic!("an opening");
         };
-        net::prepare(&own).expect("open");
-        let link = Link::new(&*front, own, Vec::new());
-        let counted = core.count_in(1).expect("room");
-        desk.admit(Admitted {
-            link,
-            opening,
+        net::configure_stream(&own).expect("open");
+        let connection = ClientConnection::new(&*front, own, Vec::new());
+        let slot = core.reserve_connection(1).expect("room");
+        desk.admit(AdmittedClient {
+            client: connection,
+            request,
             greeting,
-            counted,
+            slot,
         });
         Scene {
             desk,
@@ -96,19 +96,19 @@
     }
 }
 
-fn core(server: SocketAddr) -> Handle {
+fn core(server: SocketAddr) -> CoreHandle {
     let row = format!(r#"{{"instanceId":"s0","hostPort":"{server}","lifecycle":"SERVING"}}"#);
     let list = format!(r#"{{"generation":1,"reset":true,"instances":[{row}]}}"#);
-    let begun = start(Start {
+    let begun = start(CoreConfig {
         name: "test",
-        setup: serde_json::from_str(SETTINGS).expect("settings"),
+        site: serde_json::from_str(SETTINGS).expect("settings"),
         seed: 7,
         clock: Clock::start(),
-        known: serde_json::from_str(&list).expect("a list"),
-        watch: unbounded().0,
-        asker: None,
+        cached_list: serde_json::from_str(&list).expect("a list"),
+        discovery_polls: unbounded().0,
+        prober: None,
         overrides: beaconflow_overrides::Set::new(0),
-        door: Default::default(),
+        admission: Default::default(),
         fleet: None,
     });
     begun.expect("sound settings").0
@@ -123,13 +123,17 @@
 
 #[test]
 fn a_last_word_that_crosses_the_servers_answer_moves_the_client_that_stands() {
-    for last_word in [Order::Failed, Order::Unavailable(None), Order::GiveUp] {
+    for last_word in [
+        ConnectionCommand::Fail,
+        ConnectionCommand::Reject(None),
+        ConnectionCommand::AbandonAttempt,
+    ] {
         let mut scene = Scene::new();
         let mut server = scene.opened();
         server.says("UP r1\r\n");
         assert_eq!(scene.client.hears(), "UP r1", "it stands");
         let named = format!("{last_word:?}");
-        scene.desk.carry(ONLY, last_word);
+        scene.desk.send(ONLY, last_word);
         assert_eq!(scene.client.hears(), "MOVE", "{named}");
         assert_eq!(
             (scene.client.hears(), server.hears()),
@@ -143,7 +147,7 @@
 fn an_answer_that_crosses_the_last_word_reaches_nobody_and_its_connection_ends() {
     let mut scene = Scene::new();
     let mut server = scene.opened();
-    scene.desk.carry(ONLY, Order::GiveUp);
+    scene.desk.send(ONLY, ConnectionCommand::AbandonAttempt);
     assert_eq!(scene.client.hears(), "ERR", "it may have run");
     // The server's answer comes after its connection was ended.
     assert_eq!(server.hears(), "");
@@ -161,7 +165,7 @@
         assert!(Instant::now() < until, "no attempt");
         std::thread::sleep(Duration::from_millis(5));
     }
-    scene.desk.carry(ONLY, Order::GiveUp);
+    scene.desk.send(ONLY, ConnectionCommand::AbandonAttempt);
     assert_eq!(scene.client.hears(), "BUSY", "it never ran");
     assert!(!is_connecting_to(address), "its attempt has ended before");
     drop(filler);
--- /dev/null
+++ b/crates/balancer/src/connections/relay.rs
@@ -0,0 +1,598 @@
+//! Relay of an established connection in both directions, and its end.
+//!
+//! Nothing here blocks: the owner of a connection polls both sides and reports which one is ready.
+
+use std::collections::VecDeque;
+use std::io::{ErrorKind, Read};
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+use beaconflow_policy::ConnectionMetric;
+
+use crate::attempt::{ConnectionEnd, WaitingClient};
+use crate::clock::nanos;
+use crate::connections::lingering::LingeringClose;
+use crate::core::{CoreHandle, CoreInput};
+use crate::front::{FrameProgress, Framer, Front, Keepalive, MessageKind, ProtocolError};
+use crate::net::{self, ReadError, WriteBuffer};
+use crate::poller::EventFlags;
+
+/// A migration waits this long for the end of a message that has begun.
+const MIGRATION_TIMEOUT: Duration = Duration::from_millis(700);
+/// Bytes read at a time.
+const READ_SIZE: usize = 4096;
+/// Most unanswered messages of one connection; a client that sends more violates the protocol.
+const MAX_UNANSWERED: usize = 1024;
+
+/// A client's connection with its buffers.
+pub struct ClientConnection {
+    client: TcpStream,
+    framer: Box<dyn Framer>,
+    /// Early bytes, then the beginning of an incomplete message.
+    unforwarded: Vec<u8>,
+    /// Bytes that it has not taken yet.
+    outgoing: WriteBuffer,
+    max_early: usize,
+    probe: Option<Keepalive>,
+    /// Whether its final message has been written.
+    has_final_message: bool,
+    /// Set by the owner to abandon an attempt in flight.
+    is_abandoned: Arc<AtomicBool>,
+}
+
+impl WaitingClient for ClientConnection {
+    fn is_abandoned(&self) -> bool {
+        self.is_abandoned.load(Ordering::Relaxed)
+    }
+
+    fn stream(&self) -> &TcpStream {
+        &self.client
+    }
+
+    fn read_early(&mut self) -> Result<(), ReadError> {
+        let mut chunk = [0; READ_SIZE];
+        loop {
+            match (&self.client).read(&mut chunk) {
+                Ok(0) => return Err(ReadError::Ended),
+                Ok(count) if self.unforwarded.len() + count > self.max_early => {
+                    return Err(ReadError::TooLong);
+                }
+                Ok(count) => self.unforwarded.extend_from_slice(&chunk[..count]),
+                Err(error) if net::is_would_block(&error) => return Ok(()),
+                Err(error) => return Err(ReadError::Broken(error)),
+            }
+        }
+    }
+}
+
+struct PendingRequest {
+    asked_at: Instant,
+    /// Whether the balancer sent it as a keepalive.
+    is_keepalive: bool,
+}
+
+impl ClientConnection {
+    /// Creates a connection whose handshake is complete; `early` are the bytes after it.
+    pub fn new<F: Front>(front: &F, client: TcpStream, early: Vec<u8>) -> ClientConnection {
+        let (framer, max_early, probe) = (
+            front.client_framer(),
+            front.max_early_bytes(),
+            front.keepalive(),
+        );
+        let outgoing = WriteBuffer::default();
+        let is_abandoned = Arc::default();
+        ClientConnection {
+            client,
+            framer,
+            unforwarded: early,
+            outgoing,
+            max_early,
+            probe,
+            has_final_message: false,
+            is_abandoned,
+        }
+    }
+
+    /// The flag that abandons an attempt in flight.
+    pub fn abandon_flag(&self) -> Arc<AtomicBool> {
+        Arc::clone(&self.is_abandoned)
+    }
+
+    /// Writes the final message and begins the lingering close.
+    pub fn close_with(self, words: &[u8]) -> LingeringClose {
+        LingeringClose::start(self.client, self.outgoing, words)
+    }
+}
+
+/// An established connection.
+pub struct EstablishedConnection {
+    client: ClientConnection,
+    server: TcpStream,
+    framer: Box<dyn Framer>,
+    /// The beginning of an incomplete message of the server.
+    unforwarded: Vec<u8>,
+    to_server: WriteBuffer,
+    /// Why writes to the client fail. Its remaining input and its end are still read.
+    client_write_error: Option<ErrorKind>,
+    /// Why writes to the server fail.
+    server_write_error: Option<ErrorKind>,
+    /// When all outgoing bytes had last been taken.
+    last_drained_at: Instant,
+    /// When the client or a keepalive last sent a message.
+    last_request_at: Instant,
+    response_timeout: Duration,
+    monitor: ServerMonitor,
+}
+
+/// What was observed of the server.
+struct ServerMonitor {
+    core: CoreHandle,
+    id: u64,
+    /// The unanswered messages, the oldest first.
+    pending: VecDeque<PendingRequest>,
+    was_slow: bool,
+    /// When the first byte of the present message arrived.
+    message_started_at: Instant,
+    /// When the present bytes arrived.
+    received_at: Instant,
+    /// The latest message.
+    last_message: Option<MessageKind>,
+    /// Since when and why the client is to migrate.
+    migration: Option<(Instant, ConnectionEnd)>,
+}
+
+/// A side of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Side {
+    /// The client.
+    Client,
+    /// The server.
+    Server,
+}
+
+impl EstablishedConnection {
+    /// Creates a connection from a successful attempt; [`EstablishedConnection::join`] begins the
+    /// relay.
+    pub fn new<F: Front>(
+        front: &F,
+        client: ClientConnection,
+        server: TcpStream,
+        core: &CoreHandle,
+        id: u64,
+    ) -> EstablishedConnection {
+        let now = Instant::now();
+        let monitor = ServerMonitor {
+            core: core.clone(),
+            id,
+            pending: VecDeque::new(),
+            was_slow: false,
+            message_started_at: now,
+            received_at: now,
+            last_message: None,
+            migration: None,
+        };
+        EstablishedConnection {
+            client,
+            server,
+            framer: front.server_framer(),
+            unforwarded: Vec::new(),
+            to_server: WriteBuffer::default(),
+            client_write_error: None,
+            server_write_error: None,
+            last_drained_at: now,
+            last_request_at: now,
+            response_timeout: front.response_timeout(),
+            monitor,
+        }
+    }
+
+    /// Writes the answer to the client and the early bytes to the server, then relays what the
+    /// server sent beyond its answer.
+    pub fn join(
+        &mut self,
+        (answer, ahead): (&[u8], &[u8]),
+        words: &[u8],
+    ) -> Result<(), ConnectionEnd> {
+        self.write_to_client(&[answer]);
+        self.relay_to_server(&[])?;
+        self.monitor
+            .core
+            .send(CoreInput::AttemptEstablished(self.monitor.id));
+        self.relay_to_client(ahead, words)
+    }
+
+    /// The client's and the server's socket.
+    pub fn sides(&self) -> (&TcpStream, &TcpStream) {
+        (&self.client.client, &self.server)
+    }
+
+    /// The events to poll both sides for. A side is read only while the other one has taken
+    /// everything.
+    pub fn interest(&self) -> (EventFlags, EventFlags) {
+        let wants = |own: &WriteBuffer, other: &WriteBuffer| {
+            let read = if other.is_empty() {
+                EventFlags::IN
+            } else {
+                EventFlags::empty()
+            };
+            if own.is_empty() {
+                read
+            } else {
+                read | EventFlags::OUT
+            }
+        };
+        (
+            wants(&self.client.outgoing, &self.to_server),
+            wants(&self.to_server, &self.client.outgoing),
+        )
+    }
+
+    /// Handles a side that is ready: writes what is outgoing and relays what was read.
+    pub fn on_ready(&mut self, side: Side, words: &[u8]) -> Result<(), ConnectionEnd> {
+        self.flush(side);
+        let mut chunk = [0; READ_SIZE];
+        match side {
+            Side::Client if self.to_server.is_empty() => match (&self.client.client)
+                .read(&mut chunk)
+            {
+                Ok(0) => return Err(self.client_end()),
+                Ok(count) => self.relay_to_server(&chunk[..count])?,
+                Err(error) if net::is_would_block(&error) && self.client_write_error.is_none() => {}
+                Err(_) => return Err(ConnectionEnd::ClientReset),
+            },
+            Side::Server if self.client.outgoing.is_empty() => {
+                match (&self.server).read(&mut chunk) {
+                    Ok(0) => return Err(self.server_end()),
+                    Ok(count) => self.relay_to_client(&chunk[..count], words)?,
+                    Err(error)
+                        if net::is_would_block(&error) && self.server_write_error.is_none() => {}
+                    Err(_) => {
+                        return Err(self.announced_end().unwrap_or(ConnectionEnd::ServerReset));
+                    }
+                }
+            }
+            Side::Client | Side::Server => {}
+        }
+        self.continue_migration(words)
+    }
+
+    /// Writes what is outgoing to a side.
+    fn flush(&mut self, side: Side) {
+        match side {
+            Side::Client => self.write_to_client(&[]),
+            Side::Server => self.write_to_server(&[]),
+        }
+    }
+
+    /// Writes to the client. A failed write does not end the connection, since a client that closed
+    /// in order may have sent input that is still unread.
+    fn write_to_client(&mut self, parts: &[&[u8]]) {
+        let EstablishedConnection {
+            client: ClientConnection {
+                client, outgoing, ..
+            },
+            client_write_error,
+            ..
+        } = self;
+        write(client, outgoing, parts, client_write_error);
+    }
+
+    /// Writes to the server; its last lines still go to the client.
+    fn write_to_server(&mut self, parts: &[&[u8]]) {
+        write(
+            &self.server,
+            &mut self.to_server,
+            parts,
+            &mut self.server_write_error,
+        );
+    }
+
+    /// Handles timeouts.
+    pub fn on_tick(&mut self, words: &[u8]) -> Result<(), ConnectionEnd> {
+        self.send_keepalive();
+        if self.client.outgoing.is_empty() && self.to_server.is_empty() {
+            self.last_drained_at = Instant::now();
+        } else if self.last_drained_at.elapsed() >= net::WRITE_TIMEOUT {
+            // Only one side is read while the other takes nothing, so the blocked one is known.
+            return Err(if self.client.outgoing.is_empty() {
+                ConnectionEnd::ServerReset
+            } else {
+                ConnectionEnd::ClientReset
+            });
+        }
+        if self.monitor.oldest_pending_age() >= self.response_timeout {
+            // An answer may lie unread because this process was suspended.
+            self.on_ready(Side::Server, words)?;
+            if self.monitor.oldest_pending_age() >= self.response_timeout {
+                self.write_migration(words);
+                return Err(ConnectionEnd::ServerUnresponsive);
+            }
+        }
+        self.continue_migration(words)
+    }
+
+    /// Whether nothing of the connection is buffered here and both sides are between messages.
+    pub fn can_be_handed_over(&self) -> bool {
+        let unsent = !(self.client.outgoing.is_empty() && self.to_server.is_empty());
+        let kept = !(self.client.unforwarded.is_empty() && self.unforwarded.is_empty());
+        let between = self.client.framer.is_at_boundary() && self.framer.is_at_boundary();
+        let lost = self.client_write_error.is_some() || self.server_write_error.is_some();
+        between
+            && !unsent
+            && !kept
+            && !lost
+            && !self.client.has_final_message
+            && self.monitor.migration.is_none()
+    }
+
+    /// Migrates the client, inside a message at its end.
+    pub fn migrate(&mut self, words: &[u8]) -> Result<(), ConnectionEnd> {
+        self.monitor.start_migration(ConnectionEnd::Migrated);
+        self.continue_migration(words)
+    }
+
+    /// Relays what the client sent, up to the last complete message.
+    fn relay_to_server(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
+        let link = &mut self.client;
+        link.unforwarded.extend_from_slice(bytes);
+        let mut questions = 0;
+        let followed = link.framer.advance(&link.unforwarded, &mut |seen| {
+            questions += usize::from(seen == MessageKind::Request);
+            true
+        });
+        let FrameProgress { consumed, .. } = followed
+            .map_err(|ProtocolError { answer }| ConnectionEnd::ClientProtocolError(answer))?;
+        if self.monitor.pending.len() + questions > MAX_UNANSWERED {
+            return Err(ConnectionEnd::ClientProtocolError(""));
+        }
+        self.last_request_at = Instant::now();
+        self.monitor
+            .pending
+            .extend((0..questions).map(|_| PendingRequest {
+                asked_at: Instant::now(),
+                is_keepalive: false,
+            }));
+        let message: Vec<u8> = link.unforwarded.drain(..consumed).collect();
+        self.write_to_server(&[&message]);
+        Ok(())
+    }
+
+    /// Sends a keepalive between two messages if nothing was sent for a while. Otherwise an
+    /// unresponsive server with an idle client would stay unnoticed.
+    fn send_keepalive(&mut self) {
+        let Some(probe) = self.client.probe else {
+            return;
+        };
+        let idle = self.last_request_at.elapsed() >= probe.idle_interval
+            && self.monitor.pending.is_empty();
+        if !idle || !self.client.framer.is_at_boundary() {
+            return;
+        }
+        self.last_request_at = Instant::now();
+        self.monitor.pending.push_back(PendingRequest {
+            asked_at: Instant::now(),
+            is_keepalive: true,
+        });
+        self.write_to_server(&[probe.request]);
+    }
+
+    /// Relays what the server sent, up to the last complete message. A pending migration is written
+    /// at the last boundary.
+    fn relay_to_client(&mut self, bytes: &[u8], words: &[u8]) -> Result<(), ConnectionEnd> {
+        self.monitor.received_at = Instant::now();
+        if self.unforwarded.is_empty() && self.framer.is_at_boundary() {
+            self.monitor.message_started_at = self.monitor.received_at;
+        }
+        self.unforwarded.extend_from_slice(bytes);
+        // A message in the same bytes as the migration request has begun; the migration waits for
+        // its end.
+        let waits = self.monitor.migration.is_some();
+        let notes = &mut self.monitor;
+        let followed = self
+            .framer
+            .advance(&self.unforwarded, &mut |seen| notes.on_server_message(seen));
+        let FrameProgress {
+            consumed,
+            boundary,
+            dropped,
+        } = followed.map_err(|_| ConnectionEnd::ServerProtocolError)?;
+        let last = boundary.filter(|_| waits);
+        let end = last.unwrap_or(consumed);
+        let message: Vec<u8> = self.unforwarded.drain(..consumed).collect();
+        let (mut parts, mut from) = (Vec::with_capacity(dropped.len() + 2), 0);
+        for gap in dropped.iter().filter(|gap| gap.end <= end) {
+            parts.push(&message[from..gap.start]);
+            from = gap.end;
+        }
+        parts.push(&message[from..end]);
+        if last.is_some() {
+            parts.push(words);
+            self.client.has_final_message = true;
+        }
+        self.write_to_client(&parts);
+        Ok(())
+    }
+
+    /// The end that the server's last message announced.
+    fn announced_end(&self) -> Option<ConnectionEnd> {
+        match self.monitor.last_message {
+            Some(MessageKind::Goodbye) => Some(ConnectionEnd::Served),
+            Some(MessageKind::Redirect) => Some(ConnectionEnd::Redirected),
+            _ => None,
+        }
+    }
+
+    fn server_end(&self) -> ConnectionEnd {
+        let plain = if was_reset(self.server_write_error) {
+            ConnectionEnd::ServerReset
+        } else {
+            ConnectionEnd::ServerClosed
+        };
+        self.announced_end().unwrap_or(plain)
+    }
+
+    fn client_end(&self) -> ConnectionEnd {
+        if was_reset(self.client_write_error) {
+            ConnectionEnd::ClientReset
+        } else {
+            ConnectionEnd::ClientClosed
+        }
+    }
+
+    /// Migrates a client if possible; the connection has then ended.
+    fn continue_migration(&mut self, words: &[u8]) -> Result<(), ConnectionEnd> {
+        let Some((since, why)) = self.monitor.migration else {
+            return Ok(());
+        };
+        if self.write_migration(words) {
+            return Err(why);
+        }
+        if since.elapsed() >= MIGRATION_TIMEOUT {
+            Err(ConnectionEnd::MigrationTimedOut)
+        } else {
+            Ok(())
+        }
+    }
+
+    /// Asks the client to migrate, but not inside a message. Returns whether it was asked.
+    fn write_migration(&mut self, words: &[u8]) -> bool {
+        if !self.client.has_final_message && self.framer.is_at_boundary() {
+            self.client.has_final_message = true;
+            self.write_to_client(&[words]);
+        }
+        self.client.has_final_message
+    }
+
+    /// Relays what the server still sends to a client that has half-closed. Fails once the
+    /// connection has ended.
+    pub fn relay_remaining(&mut self, side: Side, words: &[u8]) -> Result<(), ConnectionEnd> {
+        if self.client.has_final_message {
+            return Err(ConnectionEnd::Migrated);
+        }
+        match side {
+            // The client has half-closed; only outgoing bytes are left.
+            Side::Client => self.flush(Side::Client),
+            Side::Server => self.on_ready(Side::Server, words)?,
+        }
+        if self.client_write_error.is_some() {
+            Err(ConnectionEnd::ClientReset)
+        } else {
+            Ok(())
+        }
+    }
+
+    /// Closes both sides the way that the connection ended. Returns the client and the server to
+    /// linger, or `None` if both were reset.
+    pub fn close(mut self, end: ConnectionEnd) -> Option<(LingeringClose, LingeringClose)> {
+        match end {
+            ConnectionEnd::ClientReset => {
+                net::reset_on_close(&self.server);
+                net::reset_on_close(&self.client.client);
+                return None;
+            }
+            ConnectionEnd::ServerReset => {
+                net::reset_on_close(&self.client.client);
+                return None;
+            }
+            ConnectionEnd::ClientProtocolError(words)
+                if !self.client.has_final_message && self.framer.is_at_boundary() =>
+            {
+                self.write_to_client(&[words.as_bytes()]);
+            }
+            _ => {}
+        }
+        // What the server has not taken belongs to a client that closes or migrates.
+        let server = LingeringClose::start(self.server, WriteBuffer::default(), b"");
+        Some((self.client.close_with(b""), server))
+    }
+
+    /// Shuts down the write side to a server whose client has half-closed.
+    pub fn finish_server(&mut self) {
+        self.flush(Side::Server);
+        net::shutdown_write(&self.server);
+    }
+}
+
+/// Writes what can be written now. A side whose writes fail gets no more.
+fn write(to: &TcpStream, out: &mut WriteBuffer, parts: &[&[u8]], lost: &mut Option<ErrorKind>) {
+    if lost.is_some() {
+        return;
+    }
+    let written = if parts.is_empty() {
+        out.flush(to)
+    } else {
+        out.send(to, parts)
+    };
+    if let Err(error) = written {
+        *lost = Some(error.kind());
+        *out = WriteBuffer::default();
+    }
+}
+
+/// Whether a side was reset. One that had closed in order fails with a broken pipe.
+fn was_reset(lost: Option<ErrorKind>) -> bool {
+    lost.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
+}
+
+impl ServerMonitor {
+    /// Age of the oldest unanswered message.
+    fn oldest_pending_age(&self) -> Duration {
+        self.pending
+            .front()
+            .map_or(Duration::ZERO, |asked| asked.asked_at.elapsed())
+    }
+
+    /// Evaluates a server's message; returns whether it is relayed.
+    fn on_server_message(&mut self, seen: MessageKind) -> bool {
+        self.last_message = Some(seen);
+        // The next message begins with the same bytes.
+        let began = std::mem::replace(&mut self.message_started_at, self.received_at);
+        let answered = match seen {
+            MessageKind::AnswerToAll => {
+                let oldest = self.pending.pop_front();
+                self.pending.clear();
+                oldest
+            }
+            MessageKind::AnswerToOldest => self.pending.pop_front(),
+            MessageKind::Load(load) => {
+                self.core.send(CoreInput::ConnectionMeasured(
+                    self.id,
+                    ConnectionMetric::Load(load),
+                ));
+                return true;
+            }
+            MessageKind::ShutdownNotice => {
+                self.start_migration(ConnectionEnd::ServerLeaving);
+                return false;
+            }
+            MessageKind::BalancerOnly => return false,
+            MessageKind::Request | MessageKind::Goodbye | MessageKind::Redirect => return true,
+        };
+        let Some(PendingRequest {
+            asked_at,
+            is_keepalive,
+        }) = answered
+        else {
+            return true;
+        };
+        // Latency counts to the first byte of the answer, which may arrive in pieces.
+        let took = began.saturating_duration_since(asked_at);
+        let slow = took >= self.core.slow_message_threshold();
+        // Reported once more when messages are no longer slow, so that the core learns of it.
+        if slow || self.was_slow {
+            self.was_slow = slow;
+            self.core.send(CoreInput::ConnectionMeasured(
+                self.id,
+                ConnectionMetric::MessageLatency(nanos(took)),
+            ));
+        }
+        !is_keepalive
+    }
+
+    /// Records that the client is to migrate.
+    fn start_migration(&mut self, why: ConnectionEnd) {
+        self.migration.get_or_insert_with(|| (Instant::now(), why));
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/core/admission.rs
@@ -0,0 +1,344 @@
+//! Admission control: requests beyond the concurrency limit wait in one fair queue.
+//!
+//! The queue decides on order and eviction; the policy decides on servers and answers.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use beaconflow_admission::{
+    Counts, Door, Entry, Limits, Miss, OverShare, Quickest, Returning, Tallies, Tally,
+};
+use beaconflow_policy::{self as policy, Nanos, RequestClass, RequestId};
+use beaconflow_settings::{ActiveSettings, digest};
+use tracing::{info, warn};
+
+use super::requests::{RequestState, RequestTable};
+use super::{ClientRequest, Core, TimerKind};
+
+/// The account of requests that name none.
+const DEFAULT_ACCOUNT: &str = "others";
+
+/// Settings of the admission queue and of the accounts' quotas.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AdmissionConfig {
+    /// Bounds of the queue.
+    pub limits: Limits,
+    /// Quotas by account; they override all others.
+    pub quotas: HashMap<String, f64>,
+    /// Time over its quota after which an account is logged.
+    pub over_quota_after: Duration,
+}
+
+impl Default for AdmissionConfig {
+    fn default() -> AdmissionConfig {
+        AdmissionConfig {
+            limits: Limits::default(),
+            quotas: HashMap::new(),
+            over_quota_after: Duration::from_secs(10),
+        }
+    }
+}
+
+/// A snapshot of the admission queue.
+#[derive(Clone, Debug)]
+pub struct AdmissionSnapshot {
+    /// Queued requests.
+    pub queued: usize,
+    /// Their buffered bytes.
+    pub bytes: usize,
+    /// Bounds of the queue.
+    pub limits: Limits,
+    /// Every account that has sent a request.
+    pub accounts: Vec<AccountSnapshot>,
+}
+
+/// A snapshot of one account.
+#[derive(Clone, Debug)]
+pub struct AccountSnapshot {
+    /// Name of the account.
+    pub name: String,
+    /// Its share of the service by the quotas of all accounts, from 0 to 1.
+    pub quota: f64,
+    /// Recent first attempts per second.
+    pub admitted_per_s: f64,
+    /// Queued requests.
+    pub queued: usize,
+    /// Counters of its requests.
+    pub counts: Counts,
+    /// Median time to the first attempt, in milliseconds.
+    pub wait_p50_ms: u64,
+    /// 99th percentile of the same.
+    pub wait_p99_ms: u64,
+}
+
+/// The admission queue with its accounts and counters.
+pub(super) struct AdmissionControl {
+    queue: Door,
+    accounts: Tallies,
+    reconnects: Returning,
+    /// By class.
+    fastest_setups: Vec<Quickest>,
+    config: AdmissionConfig,
+    /// The site's settings, which name classes, accounts and quotas.
+    in_force: Arc<ActiveSettings>,
+    /// Seed of the queue's shuffle shards, also of a queue that replaces this one.
+    seed: u64,
+    /// Evicted entries that have not been answered.
+    evicted: Vec<Entry>,
+    /// When the queue's timer fires, if it is set.
+    timer_at: Option<Nanos>,
+}
+
+impl AdmissionControl {
+    pub(super) fn new(
+        in_force: Arc<ActiveSettings>,
+        config: AdmissionConfig,
+        seed: u64,
+    ) -> AdmissionControl {
+        let settings = in_force.setup().policy_settings();
+        AdmissionControl {
+            queue: Door::new(&urgencies(&settings.classes), config.limits, seed),
+            accounts: Tallies::default(),
+            reconnects: Returning::default(),
+            fastest_setups: vec![Quickest::default(); settings.classes.len()],
+            config,
+            in_force,
+            seed,
+            evicted: Vec::new(),
+            timer_at: None,
+        }
+    }
+
+    /// The quota of an account: from the operator's file, else its own record, else the site's
+    /// settings. An account without any gets the least of the listed ones.
+    fn quota(&self, opening: &ClientRequest) -> f64 {
+        let account_id = opening.account.as_deref();
+        let configured = || self.config.quotas.get(account_id?).copied();
+        let listed = || self.in_force.setup().tenant_shares();
+        let named = || {
+            listed()
+                .find(|(name, _)| Some(*name) == account_id)
+                .map(|(_, share)| share)
+        };
+        let least = || listed().map(|(_, share)| share).reduce(f64::min);
+        configured()
+            .or(opening.quota)
+            .or_else(named)
+            .or_else(least)
+            .unwrap_or(1.0)
+    }
+
+    /// The queue entry of a request.
+    pub(super) fn entry(
+        &mut self,
+        id: u64,
+        opening: &ClientRequest,
+        give_up_at: Nanos,
+        now: Nanos,
+    ) -> Entry {
+        let client = opening.client_key.or(opening.group).unwrap_or(id);
+        // The expectation is used up even if the client reports the reconnect itself.
+        let known = opening
+            .client_key
+            .is_some_and(|key| self.reconnects.comes(now, key));
+        let quickest = self
+            .fastest_setups
+            .get(opening.class)
+            .map_or(0, Quickest::get);
+        Entry {
+            id,
+            account: account(opening),
+            share: self.quota(opening),
+            class: self.in_force.current_index(opening.class),
+            // A group of ten thousand sites is one flow and fills no more queues than any other.
+            flow: opening.group.unwrap_or(client),
+            give_up_at: give_up_at.saturating_sub(quickest),
+            returns: known || opening.is_reconnect,
+            bytes: u32::try_from(size_of::<RequestState>() + opening.buffered_bytes)
+                .unwrap_or(u32::MAX),
+        }
+    }
+
+    pub(super) fn count_request(&mut self, now: Nanos, opening: &ClientRequest, entry: &Entry) {
+        let name = opening.account.as_deref().unwrap_or(DEFAULT_ACCOUNT);
+        self.accounts.asked(now, entry.account, name, entry.share);
+    }
+
+    pub(super) fn enqueue(&mut self, entry: Entry) {
+        self.queue.enter(entry, &mut self.evicted);
+    }
+
+    /// Removes a request that was answered or left.
+    pub(super) fn remove(&mut self, id: u64) {
+        self.queue.leave(id);
+    }
+
+    pub(super) fn count_admitted(&mut self, now: Nanos, entry: &Entry, waited: Nanos) {
+        self.accounts.admitted(now, entry.account, waited);
+    }
+
+    pub(super) fn count_missed(&mut self, entry: &Entry, how: Miss) {
+        self.accounts.missed(entry.account, how);
+    }
+
+    pub(super) fn record_setup(&mut self, class: usize, took: Nanos) {
+        if let Some(quickest) = self.fastest_setups.get_mut(class) {
+            quickest.took(took);
+        }
+    }
+
+    pub(super) fn expect_reconnect(&mut self, now: Nanos, client: u64) {
+        self.reconnects.told(now, client);
+    }
+
+    /// Applies changed settings of the queue; the number of queues stays.
+    pub(super) fn configure(&mut self, config: AdmissionConfig) {
+        self.queue.limit(config.limits, &mut self.evicted);
+        self.config = config;
+    }
+
+    /// Applies replaced site settings. Queued requests keep their order in a queue for the new
+    /// classes and quotas.
+    pub(super) fn replace_settings(
+        &mut self,
+        in_force: &Arc<ActiveSettings>,
+        ledger: &mut RequestTable,
+    ) {
+        let before = std::mem::replace(&mut self.in_force, Arc::clone(in_force));
+        let classes = in_force.policy_settings().classes.len();
+        self.fastest_setups.resize_with(classes, Quickest::default);
+        if before.setup().has_same_queue(in_force.setup()) {
+            return;
+        }
+        ledger.update_queue_entries(|opening, entry| Entry {
+            share: self.quota(opening),
+            class: in_force.current_index(opening.class),
+            ..entry
+        });
+        let queue_weights = urgencies(&in_force.setup().policy_settings().classes);
+        let door = Door::new(&queue_weights, self.queue.limits(), self.seed);
+        let mut before = std::mem::replace(&mut self.queue, door);
+        while let Some(waits) = before.admit() {
+            if let Some(transaction) = ledger.get(waits.id) {
+                self.enqueue(transaction.entry);
+            }
+        }
+        ledger
+            .queue_entries()
+            .for_each(|entry| self.accounts.weigh(entry.account, entry.share));
+    }
+
+    /// Number of queued requests.
+    pub(super) fn queued(&self) -> usize {
+        self.queue.len()
+    }
+
+    pub(super) fn snapshot(&self, now: Nanos) -> AdmissionSnapshot {
+        let all = self.accounts.all();
+        let row = |(id, tally): &(u64, &Tally)| AccountSnapshot {
+            name: tally.name.clone().into(),
+            quota: self.accounts.due(*id),
+            admitted_per_s: tally.per_second(now),
+            queued: self.queue.waiting_of(*id),
+            counts: tally.counts,
+            wait_p50_ms: tally.waits.value_at_quantile(0.5),
+            wait_p99_ms: tally.waits.value_at_quantile(0.99),
+        };
+        AdmissionSnapshot {
+            queued: self.queue.len(),
+            bytes: self.queue.bytes(),
+            limits: self.queue.limits(),
+            accounts: all.iter().map(row).collect(),
+        }
+    }
+}
+
+/// Weights of the classes in the admission queue.
+fn urgencies(classes: &[RequestClass]) -> Vec<f64> {
+    classes.iter().map(RequestClass::queue_weight).collect()
+}
+
+/// The id of an account.
+fn account(opening: &ClientRequest) -> u64 {
+    opening.account.as_deref().map_or(0, digest)
+}
+
+impl Core {
+    /// Grants permits to queued requests while the policy has any; rejects evicted and expired
+    /// ones.
+    pub(super) fn grant_permits(&mut self) {
+        loop {
+            let now = self.clock.now();
+            if let Some(entry) = self.admission.evicted.pop() {
+                self.reject_queued(now, &entry);
+            } else if let Some(entry) = self.admission.queue.expire(now) {
+                self.requests.expire_in_queue(entry.id);
+                self.reject_queued(now, &entry);
+            } else if self.policy.has_permits()
+                && let Some(entry) = self.admission.queue.admit()
+            {
+                self.run_policy_without_permits(policy::Event::PermitGranted(RequestId(entry.id)));
+            } else {
+                break;
+            }
+        }
+        let end = self.admission.queue.next_end();
+        if let Some(end) =
+            end.filter(|end| self.admission.timer_at.is_none_or(|wakes| *end < wakes))
+        {
+            self.admission.timer_at = Some(end);
+            self.set_timer(
+                Duration::from_nanos(end.saturating_sub(self.clock.now())),
+                TimerKind::QueueExpiry,
+            );
+        }
+    }
+
+    fn reject_queued(&mut self, now: Nanos, entry: &Entry) {
+        let queue_drain_time =
+            self.admission
+                .accounts
+                .drain(now, entry.account, self.admission.queue.ahead_of(entry));
+        self.run_policy_without_permits(policy::Event::QueueRejected {
+            request: RequestId(entry.id),
+            queue_drain_time,
+        });
+    }
+
+    /// Handles the queue's timer.
+    pub(super) fn on_queue_timer(&mut self) {
+        self.admission.timer_at = None;
+        self.grant_permits();
+    }
+
+    /// Logs accounts that have been over their quota for long, and their return.
+    pub(super) fn log_over_quota(&mut self) {
+        let bound = self.admission.config.over_quota_after;
+        let bound = Nanos::try_from(bound.as_nanos()).unwrap_or(Nanos::MAX);
+        for OverShare {
+            name,
+            part,
+            due,
+            lasts,
+        } in self.admission.accounts.over_share(self.clock.now(), bound)
+        {
+            let (part, due) = (
+                format!("{:.0}%", part * 100.0),
+                format!("{:.0}%", due * 100.0),
+            );
+            match lasts {
+                Some(lasts) => {
+                    let for_s = lasts / 1_000_000_000;
+                    warn!(part = self.name, account = %name, of_all = part, due, for_s, "account over its quota");
+                }
+                None => {
+                    info!(part = self.name, account = %name, of_all = part, due, "account within its quota")
+                }
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/core/affinity.rs
@@ -0,0 +1,240 @@
+//! Session affinity: the server that a returning client had, and the pin that leads it back.
+//!
+//! The rules are those of `beaconflow-affinity`. The pin is not strict and yields to an operator's.
+
+use std::collections::BTreeMap;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::time::Duration;
+
+use beaconflow_affinity::{
+    Client, FarmView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag, Version,
+    VersionFact,
+};
+use beaconflow_policy::{AttemptOutcome, MigrationReason, Pin, ServerId};
+use tracing::{debug, error, info};
+
+use super::endpoints::EndpointRegistry;
+use super::fleet_link::CoreEvent;
+use super::{ClientRequest, Core, TimerKind};
+
+/// Most expired placements removed in one refresh.
+const MAX_EXPIRED_PER_REFRESH: usize = 10_000;
+
+/// Session affinity of one core.
+pub struct SessionAffinity {
+    memory: Memory,
+    /// Placements of the connections established here.
+    established: BTreeMap<u64, (Key, Stamp)>,
+    /// Interval at which placements and the running version are published again.
+    refresh_interval: Duration,
+}
+
+impl SessionAffinity {
+    /// Creates session affinity over a memory that runs a version; a placement is remembered for
+    /// `life` after it was last published.
+    pub fn new(memory: Memory, life: Duration) -> SessionAffinity {
+        let refresh_interval = (life / 4).clamp(Duration::from_secs(1), Duration::from_secs(100));
+        SessionAffinity {
+            memory,
+            established: BTreeMap::new(),
+            refresh_interval,
+        }
+    }
+}
+
+/// An event that concerns remembered placements.
+#[derive(Clone, Debug)]
+pub enum AffinityEvent {
+    /// Placements from peers or from the stored memory.
+    Placements(Vec<Placement>),
+    /// Versions of the configuration that other processes run.
+    Versions(Vec<VersionFact>),
+    /// A process has died, by its origin; the connections through it have ended.
+    BalancerDied(u64),
+    /// This process runs a version from now on, with the operator's serial number.
+    VersionAdopted(Version, u64),
+}
+
+impl FarmView for EndpointRegistry {
+    fn server(&self, server: Tag) -> Option<ServerNow> {
+        self.affinity_target(server.0)
+    }
+
+    /// Tenants are not restricted to servers by today's settings.
+    fn permits(&self, _: &Client, _: Tag) -> bool {
+        true
+    }
+}
+
+fn affinity_client(opening: &ClientRequest) -> Option<Client> {
+    Some(Client {
+        key: Key(opening.client_key?),
+        group: opening.group.map(Group),
+        tenant: opening.tenant,
+    })
+}
+
+impl Core {
+    /// Runs code on the affinity state. After a panic there affinity is disabled, and the core
+    /// continues.
+    fn with_affinity<T>(
+        &mut self,
+        act: impl FnOnce(&mut SessionAffinity, &EndpointRegistry, Millis) -> T,
+    ) -> Option<T> {
+        let now = self.now_ms();
+        let (farm, ties) = (&self.endpoints, self.fleet.as_mut()?.affinity.as_mut()?);
+        let done = catch_unwind(AssertUnwindSafe(|| act(ties, farm, now)));
+        if done.is_err() {
+            error!(
+                part = "affinity",
+                "panicked; no client is led back until a restart"
+            );
+            if let Some(bond) = &mut self.fleet {
+                bond.affinity = None;
+            }
+        }
+        done.ok()
+    }
+
+    /// The affinity pin of a request.
+    pub(super) fn affinity_pin(&mut self, id: u64, opening: &ClientRequest) -> Option<Pin> {
+        let client = affinity_client(opening)?;
+        let advice =
+            self.with_affinity(|ties, farm, now| ties.memory.place(&client, farm, now))??;
+        let server = self.endpoints.by_hash(advice.server.0)?;
+        let name = self
+            .endpoints
+            .endpoint(server)
+            .map(|server| server.name.to_string());
+        debug!(part = "affinity", request = id, server = name, why = ?advice.why, under = %advice.under, "led back");
+        Some(Pin {
+            server: Some(server),
+            strict: false,
+        })
+    }
+
+    /// Records the placement of an established connection.
+    pub(super) fn record_placement(&mut self, id: u64, server: ServerId) {
+        let Some(client) = self
+            .requests
+            .get(id)
+            .and_then(|transaction| affinity_client(&transaction.request))
+        else {
+            return;
+        };
+        let Some(tag) = self.endpoints.name_hash(server) else {
+            return;
+        };
+        let placed = self.with_affinity(|ties, _, now| {
+            let placed = ties.memory.stood(&client, Tag(tag), now).ok()?;
+            ties.established.insert(id, (placed.key, placed.stamp));
+            Some(placed)
+        });
+        self.publish_placement(placed.flatten());
+    }
+
+    /// Records the end of a connection or its migration.
+    pub(super) fn end_placement(&mut self, id: u64, how: How) {
+        let ended = self.with_affinity(|ties, _, now| {
+            let (key, stamp) = ties.established.remove(&id)?;
+            ties.memory.ended(key, stamp, how, now)
+        });
+        self.publish_placement(ended.flatten());
+    }
+
+    fn publish_placement(&self, placed: Option<Placement>) {
+        self.publish(|_| placed.map(|placed| CoreEvent::PlacementsChanged(vec![placed])));
+        self.publish_placement_count();
+    }
+
+    /// Publishes the number of remembered placements.
+    fn publish_placement_count(&self) {
+        self.publish(|core| {
+            let ties = core.fleet.as_ref()?.affinity.as_ref()?;
+            Some(CoreEvent::RememberedPlacements(ties.memory.counts().held))
+        });
+    }
+
+    /// Drops what was remembered of servers that have restarted.
+    pub(super) fn record_server_starts(&mut self) {
+        self.with_affinity(|ties, farm, _| {
+            for (tag, started_at) in farm.starts() {
+                ties.memory.restarted(Tag(tag), started_at);
+            }
+        });
+    }
+
+    /// Handles an event from peers or the stored memory.
+    pub(super) fn on_affinity_event(&mut self, news: AffinityEvent) {
+        match news {
+            AffinityEvent::Placements(told) => {
+                self.with_affinity(|ties, _, now| ties.memory.heard_all(&told, now));
+                self.publish_placement_count();
+            }
+            AffinityEvent::Versions(facts) => {
+                self.with_affinity(|ties, _, now| {
+                    for fact in &facts {
+                        if ties.memory.heard_version(fact, now) {
+                            info!(part = "affinity", version = %fact.version, serial = fact.serial, "a version is run elsewhere");
+                        }
+                    }
+                });
+            }
+            AffinityEvent::BalancerDied(origin) => {
+                self.with_affinity(|ties, _, _| ties.memory.balancer_died(origin));
+            }
+            AffinityEvent::VersionAdopted(version, serial) => {
+                let adopted =
+                    self.with_affinity(|ties, _, now| ties.memory.adopt(version, serial, now));
+                if let Some(adopted) = adopted {
+                    info!(part = "affinity", version = %version, serial, how = ?adopted, "version runs here");
+                }
+                self.publish_version();
+            }
+        }
+    }
+
+    fn publish_version(&mut self) {
+        let runs = self
+            .with_affinity(|ties, _, now| ties.memory.still_runs(now))
+            .flatten();
+        self.publish(|_| runs.map(CoreEvent::VersionRuns));
+    }
+
+    /// Publishes established placements again, and drops expired ones.
+    pub(super) fn refresh_affinity(&mut self) {
+        let standing = self.with_affinity(|ties, _, now| {
+            ties.memory.expire(now, MAX_EXPIRED_PER_REFRESH);
+            let stands = ties
+                .established
+                .values()
+                .filter_map(|(key, stamp)| ties.memory.stands(*key, *stamp, now));
+            (stands.collect::<Vec<Placement>>(), ties.refresh_interval)
+        });
+        let Some((standing, again)) = standing else {
+            return;
+        };
+        self.publish_placement_count();
+        self.publish(|_| (!standing.is_empty()).then_some(CoreEvent::PlacementsChanged(standing)));
+        self.publish_version();
+        self.set_timer(again, TimerKind::AffinityRefresh);
+    }
+}
+
+/// How a migration ends a placement.
+pub(super) fn end_by_migration(why: MigrationReason) -> How {
+    match why {
+        MigrationReason::ServerLeaving => How::MovedLeaving,
+        MigrationReason::SlowMessages => How::MovedLate,
+        MigrationReason::Rebalancing | MigrationReason::SlowStart => How::MovedUneven,
+    }
+}
+
+/// How the end of a connection ends a placement.
+pub(super) fn end_by_outcome(outcome: AttemptOutcome) -> How {
+    if outcome == AttemptOutcome::Served {
+        How::Left
+    } else {
+        How::Broke
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/core/attempts.rs
@@ -0,0 +1,195 @@
+//! What became of attempts, connections and lists, for the policy and for people.
+
+use std::time::Duration;
+
+use beaconflow_policy::{
+    self as policy, AttemptEnd, AttemptOutcome, ConnectionMetric, Nanos, RequestId,
+};
+use tracing::{debug, info, warn};
+
+use super::fleet_link::CoreEvent;
+use super::lifecycle::LifecycleCommand;
+use super::requests::EstablishedAttempt;
+use super::{Core, CoreSnapshot, RESUME_RETRY_INTERVAL, TimerKind};
+use crate::clock::nanos;
+use crate::discovery::ServerList;
+
+/// Slow messages at one server are reported to the policy at this interval.
+const SLOW_REPORT_INTERVAL: Nanos = 1_000_000_000;
+
+impl Core {
+    pub(super) fn apply_list(&mut self, list: ServerList, known: bool) {
+        let (count, reset, generation) = (list.instances.len(), list.reset, list.generation);
+        for listed in &list.instances {
+            debug!(part = self.name, entry = ?listed, "listed");
+        }
+        self.publish(|_| Some(CoreEvent::ListApplied(list.clone(), known)));
+        let entries = self
+            .endpoints
+            .apply_list(list, self.now_ms(), |zone| self.in_force.setup().zone(zone));
+        let update = match (known, reset) {
+            (true, _) => policy::ListUpdate::Cached,
+            (false, true) => policy::ListUpdate::Snapshot,
+            (false, false) => policy::ListUpdate::Delta,
+        };
+        info!(part = self.name, generation, kind = ?update, entries = count, "list applied");
+        self.run_policy(policy::Event::ServerList { update, entries });
+        self.record_server_starts();
+        self.apply_overrides();
+        // An empty default list says nothing about the servers.
+        if !known || count > 0 {
+            // The program's own commands are never refused.
+            let _ = self.on_lifecycle_command(LifecycleCommand::ServersKnown);
+        }
+    }
+
+    /// The watch ended; the policy decides when to ask again.
+    pub(super) fn on_list_lost(&mut self, kind: policy::ListUpdate) {
+        self.publish(|_| Some(CoreEvent::DiscoveryLost));
+        self.run_policy(policy::Event::ServerList {
+            update: kind,
+            entries: Vec::new(),
+        });
+    }
+
+    pub(super) fn on_attempt_established(&mut self, id: u64) {
+        let now = self.clock.now();
+        let Some(EstablishedAttempt {
+            attempt,
+            server,
+            was_resuming,
+            class,
+            elapsed,
+        }) = self.requests.establish(id, now)
+        else {
+            return;
+        };
+        debug!(part = self.name, request = id, was_resuming, took = ?Duration::from_nanos(elapsed), "established");
+        if was_resuming {
+            let Some(arrival) = self.requests.renumber_attempt(id) else {
+                return;
+            };
+            self.run_policy(policy::Event::ConnectionAdopted {
+                request: arrival,
+                server,
+            });
+        } else {
+            self.admission.record_setup(class, elapsed);
+            self.run_policy(policy::Event::AttemptEstablished {
+                request: RequestId(id),
+                attempt,
+            });
+        }
+        self.publish_established(id, server);
+        self.drain_established(id);
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, id: u64, outcome: AttemptOutcome, took: Duration) {
+        let Some(ended) = self.requests.end_attempt(id, outcome) else {
+            return;
+        };
+        debug!(
+            part = self.name,
+            request = id,
+            stood = ended.was_established,
+            ?outcome,
+            ?took,
+            "attempt ended"
+        );
+        self.publish_attempt_end(id, &ended, outcome);
+        if ended.was_resuming {
+            let name = self
+                .requests
+                .get(id)
+                .and_then(|transaction| transaction.request.resumed_server.as_deref());
+            let name = name.unwrap_or_default();
+            warn!(part = self.name, server = name, how = ?outcome, "resumed connection not established");
+            // A server may be unreachable while this balancer starts.
+            return self.set_timer(RESUME_RETRY_INTERVAL, TimerKind::ResumeConnection(id));
+        }
+        if ended.was_established {
+            self.requests.close(id);
+        }
+        self.run_policy(policy::Event::AttemptEnded(AttemptEnd {
+            request: RequestId(id),
+            attempt: ended.attempt,
+            outcome,
+            elapsed: nanos(took),
+            is_final: ended.was_established,
+        }));
+    }
+
+    pub(super) fn on_connection_measured(&mut self, id: u64, metric: ConnectionMetric) {
+        let Some((attempt, server)) = self.requests.established_attempt(id) else {
+            return;
+        };
+        debug!(part = self.name, request = id, ?metric, "measured");
+        if let ConnectionMetric::MessageLatency(delay) = metric {
+            let slow = Duration::from_nanos(delay) >= self.timeouts.slow();
+            if !self.endpoints.should_report_latency(
+                server,
+                self.clock.now(),
+                slow,
+                SLOW_REPORT_INTERVAL,
+            ) {
+                return;
+            }
+        }
+        self.run_policy(policy::Event::ConnectionMeasured {
+            request: RequestId(id),
+            attempt,
+            metric,
+        });
+    }
+
+    pub(super) fn snapshot(&self) -> CoreSnapshot {
+        let standing = self.requests.established_by_server();
+        CoreSnapshot {
+            counts: self.requests.counts.clone(),
+            open_requests: self.requests.len(),
+            established: standing.values().sum(),
+            servers: self.endpoints.look(&standing),
+            coverage: self.coverage.clone(),
+            queued: self.admission.queued(),
+            has_lost_overrides: self.has_lost_overrides,
+        }
+    }
+
+    pub(super) fn log_counts(&self, look: &CoreSnapshot) {
+        let counts = &look.counts;
+        let [
+            ok,
+            error,
+            full,
+            timed_out,
+            connect_failed,
+            reset,
+            cancelled,
+            not_sent,
+        ] = counts.outcomes;
+        info!(
+            part = self.name,
+            open = look.open_requests,
+            waiting = look.queued,
+            standing = look.established,
+            opened = counts.opened,
+            adopted = counts.adopted,
+            served = counts.served,
+            unavailable = counts.rejected,
+            failed = counts.failed,
+            left = counts.left,
+            moved = counts.migrated,
+            pinned = counts.pinned,
+            passes = counts.attempts,
+            ok,
+            error,
+            full,
+            timed_out,
+            connect_failed,
+            reset,
+            cancelled,
+            not_sent,
+            "counts"
+        );
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/core/connect.rs
@@ -0,0 +1,126 @@
+//! New requests: each is registered and goes to the policy, or back to the server that held it.
+
+use std::sync::Arc;
+
+use beaconflow_policy as policy;
+use tracing::debug;
+
+use crate::clock::nanos;
+
+use super::{
+    AttemptTiming, ClientRequest, CommandSender, ConnectionCommand, Core, RESUME_ATTEMPT_TIMEOUT,
+    RESUME_RETRY_INTERVAL, TimerKind,
+};
+
+impl Core {
+    /// Registers a request. One that held a connection before the start goes to its server without
+    /// a decision of the policy.
+    pub(super) fn on_connect_requested(
+        &mut self,
+        id: u64,
+        opening: ClientRequest,
+        orders: Arc<dyn CommandSender>,
+    ) {
+        let held = opening.resumed_server.is_some();
+        let now = self.now_ms();
+        let pin = self
+            .with_overrides(|core| core.endpoints.pin(opening.group, opening.tenant, now))
+            .flatten();
+        let tie = if held || pin.is_some() {
+            None
+        } else {
+            self.affinity_pin(id, &opening)
+        };
+        let give_up_at = opening
+            .received_at
+            .saturating_add(nanos(opening.client_timeout));
+        let entry = self
+            .admission
+            .entry(id, &opening, give_up_at, self.clock.now());
+        if !held {
+            self.admission
+                .count_request(self.clock.now(), &opening, &entry);
+        }
+        debug!(
+            part = self.name,
+            request = id,
+            key = opening.client_key,
+            group = opening.group,
+            class = opening.class,
+            load = opening.expected_load,
+            again = opening.is_reconnect,
+            held_by = opening.resumed_server.as_deref(),
+            patience_ms = opening.client_timeout.as_millis(),
+            "opened"
+        );
+        let arrival = self.requests.open(id, opening, orders, (pin, tie), entry);
+        if !self.accepts_new_requests() {
+            // A connection placed now would have to be migrated at once.
+            self.send_final_answer(id, ConnectionCommand::Reject(None));
+        } else if held {
+            self.resume_connection(id);
+        } else if !self.request_staged_admission(id) {
+            self.run_policy(policy::Event::ConnectRequested(arrival));
+        }
+    }
+
+    /// Registers an established connection. One on an unknown server is migrated.
+    pub(super) fn on_connection_adopted(
+        &mut self,
+        id: u64,
+        opening: ClientRequest,
+        server: &str,
+        orders: Arc<dyn CommandSender>,
+    ) {
+        let entry = self
+            .admission
+            .entry(id, &opening, opening.received_at, self.clock.now());
+        self.requests.open(id, opening, orders, (None, None), entry);
+        let Some((server, _)) = self.endpoints.by_name(server) else {
+            self.migrate(id, "its server is not known here");
+            return drop(self.requests.close(id));
+        };
+        if let Some(request) = self.requests.adopt(id, server) {
+            self.run_policy(policy::Event::ConnectionAdopted { request, server });
+            self.publish_established(id, server);
+            self.drain_established(id);
+        }
+    }
+
+    /// Sends a connection from before the start back to its server.
+    pub(super) fn resume_connection(&mut self, id: u64) {
+        let Some(transaction) = self.requests.get(id) else {
+            return;
+        };
+        let now = self.clock.now();
+        if now >= transaction.deadline_at {
+            return self.send_final_answer(id, ConnectionCommand::Fail);
+        }
+        // One attempt must not use up an unlimited client timeout.
+        let deadline_at = self.clock.instant(
+            transaction
+                .deadline_at
+                .min(now.saturating_add(nanos(RESUME_ATTEMPT_TIMEOUT))),
+        );
+        let timing = AttemptTiming {
+            begin_by: deadline_at,
+            deadline_at,
+        };
+        let name = transaction
+            .request
+            .resumed_server
+            .as_deref()
+            .unwrap_or_default();
+        match self.endpoints.by_name(name) {
+            Some((server, endpoint)) => {
+                self.requests.start_attempt(
+                    id,
+                    server,
+                    ConnectionCommand::StartAttempt { endpoint, timing },
+                    now,
+                );
+            }
+            None => self.set_timer(RESUME_RETRY_INTERVAL, TimerKind::ResumeConnection(id)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/core/decisions.rs
@@ -0,0 +1,195 @@
+//! Runs the policy: events go in, and its actions become commands.
+
+use std::cmp::Reverse;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::time::Duration;
+
+use beaconflow_admission::Miss;
+use beaconflow_policy::Balancer;
+use beaconflow_policy::{self as policy, Action, Nanos};
+use tracing::{debug, error, info};
+
+use super::requests::{RequestPhase, RequestState};
+use super::{AttemptTiming, ConnectionCommand, Core, TimerKind, affinity};
+
+impl Core {
+    /// Hands an event to the policy, executes its actions and grants permits to queued requests.
+    pub(super) fn run_policy(&mut self, event: policy::Event) {
+        self.run_policy_without_permits(event);
+        self.grant_permits();
+    }
+
+    /// Hands an event to the policy and executes its actions.
+    pub(super) fn run_policy_without_permits(&mut self, event: policy::Event) {
+        let now = self.clock.now();
+        let mut actions = std::mem::take(&mut self.actions);
+        let (balancer, out) = (&mut self.policy, &mut actions);
+        let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, out)));
+        if handled.is_err() {
+            actions.clear();
+            self.restart_policy();
+        }
+        for action in actions.drain(..) {
+            self.execute(now, action);
+        }
+        self.actions = actions;
+    }
+
+    /// Executes an action that was decided at `decided_at`.
+    fn execute(&mut self, decided_at: Nanos, action: Action) {
+        match action {
+            Action::StartAttempt {
+                request,
+                server,
+                begin_within,
+                timeout,
+            } => match self.endpoints.endpoint(server) {
+                Some(endpoint) => {
+                    let within = Duration::from_nanos(timeout);
+                    debug!(part = self.name, request = request.0, server = %endpoint.name, ?within, "attempt");
+                    let moment = |span| self.clock.instant(decided_at.saturating_add(span));
+                    let timing = AttemptTiming {
+                        begin_by: moment(begin_within),
+                        deadline_at: moment(timeout),
+                    };
+                    let (now, order) = (
+                        self.clock.now(),
+                        ConnectionCommand::StartAttempt { endpoint, timing },
+                    );
+                    self.publish_slow_start_attempt(server, now);
+                    if let Some((entry, waited)) =
+                        self.requests.start_attempt(request.0, server, order, now)
+                    {
+                        self.admission.count_admitted(now, &entry, waited);
+                    }
+                }
+                None => self.give_up_on(request.0),
+            },
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                self.send_final_answer(
+                    request.0,
+                    ConnectionCommand::Reject(retry_after.map(Duration::from_nanos)),
+                );
+            }
+            Action::Fail(request) => self.send_final_answer(request.0, ConnectionCommand::Fail),
+            Action::Migrate(request, why) => {
+                self.end_placement(request.0, affinity::end_by_migration(why));
+                self.migrate(request.0, migration_reason(why));
+            }
+            Action::Enqueue(request) => {
+                if let Some(entry) = self
+                    .requests
+                    .get(request.0)
+                    .map(|transaction| transaction.entry)
+                {
+                    self.admission.enqueue(entry);
+                }
+            }
+            Action::SetTimer { after, timer } => {
+                self.set_timer(Duration::from_nanos(after), TimerKind::Policy(timer))
+            }
+            Action::ProbeServer(server) => {
+                if let (Some(asker), Some(to)) = (&self.prober, self.endpoints.endpoint(server)) {
+                    asker.probe(server, to);
+                }
+            }
+            Action::WatchServerList => self.poll_discovery(),
+            Action::LogOverload(text) => {
+                info!(part = self.name, summary = %text, "policy summary")
+            }
+        }
+    }
+
+    pub(super) fn send_final_answer(&mut self, id: u64, order: ConnectionCommand) {
+        debug!(part = self.name, request = id, answer = ?order, "final answer");
+        match order {
+            ConnectionCommand::Reject(_) => self.requests.counts.rejected += 1,
+            _ => self.requests.counts.failed += 1,
+        }
+        self.requests.send_command(id, order);
+        if let Some(transaction) = self.requests.close(id) {
+            self.close_in_queue(&transaction, None);
+        }
+    }
+
+    /// Sends the final answer of a request that the policy no longer decides on.
+    pub(super) fn give_up_on(&mut self, id: u64) {
+        if let Some(order) = self.requests.get(id).map(RequestState::final_answer) {
+            self.send_final_answer(id, order);
+        }
+    }
+
+    /// Removes a request from the admission queue; counts it if it never had an attempt.
+    pub(super) fn close_in_queue(&mut self, transaction: &RequestState, how: Option<Miss>) {
+        self.admission.remove(transaction.entry.id);
+        if transaction.has_no_attempt() {
+            let late =
+                transaction.has_expired_in_queue || self.clock.now() >= transaction.deadline_at;
+            let how = how.unwrap_or(if late { Miss::GivenUp } else { Miss::Refused });
+            self.admission.count_missed(&transaction.entry, how);
+        }
+    }
+
+    /// Asks a client to reconnect, and expects it to come back.
+    pub(super) fn migrate(&mut self, id: u64, why: &'static str) {
+        debug!(part = self.name, request = id, why, "migrated");
+        self.requests.send_command(id, ConnectionCommand::Migrate);
+        if let Some(key) = self
+            .requests
+            .get(id)
+            .and_then(|transaction| transaction.request.client_key)
+        {
+            self.admission.expect_reconnect(self.clock.now(), key);
+        }
+    }
+
+    /// Replaces a policy that panicked. The new one adopts established connections; requests in
+    /// flight get their final answer.
+    pub(super) fn restart_policy(&mut self) {
+        error!(part = self.name, "policy panicked; a new one takes over");
+        self.seed = self.seed.wrapping_add(1);
+        let Ok(balancer) = Balancer::new(self.settings.clone(), self.seed) else {
+            return;
+        };
+        self.policy = balancer;
+        self.timers
+            .retain(|Reverse((_, _, due))| !matches!(due, TimerKind::Policy(_)));
+        self.run_policy(policy::Event::ServerList {
+            update: policy::ListUpdate::Snapshot,
+            entries: self.endpoints.entries(),
+        });
+        // A pushed list is polled only after a failure, and a pending poll was lost with the former
+        // policy.
+        if self.settings.discovery == policy::DiscoveryMode::Pushed {
+            self.poll_discovery();
+        }
+        for (id, place) in self.requests.phases() {
+            match place {
+                RequestPhase::Established(server) => {
+                    let Some(request) = self.requests.renumber_attempt(id) else {
+                        continue;
+                    };
+                    self.run_policy(policy::Event::ConnectionAdopted { request, server });
+                }
+                RequestPhase::Resuming(_) => {}
+                RequestPhase::Waiting | RequestPhase::InFlight(_) => self.give_up_on(id),
+            }
+        }
+    }
+}
+
+/// The log's text for a migration.
+fn migration_reason(why: policy::MigrationReason) -> &'static str {
+    match why {
+        policy::MigrationReason::ServerLeaving => "its server leaves",
+        policy::MigrationReason::SlowMessages => "messages at its server are late",
+        policy::MigrationReason::Rebalancing => "its server holds too much",
+        policy::MigrationReason::SlowStart => "a cold server has room",
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/core/route/tests.rs
+++ b/crates/balancer/src/core/decisions/tests.rs
@@ -7,7 +7,7 @@
 use beaconflow_policy::AttemptOutcome;
 
 use super::super::testing::{Orders, core, opens};
-use super::super::{Core, Event};
+use super::super::{Core, CoreInput};
 use crate::clock::Clock;
 
 const LONG: Duration = Duration::from_secs(60);
@@ -32,12 +32,12 @@
     for id in 0..2 {
         opens(core, orders, id, "acme", LONG);
     }
-    core.take(Event::Ended(
+    core.handle_input(CoreInput::AttemptEnded(
         0,
         AttemptOutcome::Reset,
         Duration::from_millis(1),
     ));
-    core.take(Event::Ended(
+    core.handle_input(CoreInput::AttemptEnded(
         1,
         AttemptOutcome::Rejected,
         Duration::from_millis(1),
@@ -55,11 +55,11 @@
         Arc::new(Orders::default()),
     );
     let queued = in_each_state(&mut core, &orders);
-    core.start_anew();
+    core.restart_policy();
     let answers = [0, 1, 2, queued].map(|id| last(&orders, id));
     assert_eq!(
         answers,
-        ["Failed", "Unavailable(None)", "GiveUp", "Unavailable(None)"]
+        ["Fail", "Reject(None)", "AbandonAttempt", "Reject(None)"]
     );
     assert!(
         (0..=queued).all(|id| orders.of(id).1 == 1),
@@ -78,7 +78,7 @@
     let answers = [0, 1, 2, queued].map(|id| last(&orders, id));
     assert_eq!(
         answers,
-        ["Failed", "Unavailable(None)", "GiveUp", "Unavailable(None)"]
+        ["Fail", "Reject(None)", "AbandonAttempt", "Reject(None)"]
     );
     assert!(
         (0..=queued).all(|id| orders.of(id).1 == 1),
