--- a/crates/balancer/src/core/drain.rs
+++ b/crates/balancer/src/core/drain.rs
@@ -1,5 +1,5 @@
-//! Drains: on standby and on leaving all clients are moved, spread over a while, and what is on its way is served or
-//! finally answered. On standby the program stays and may be told to take clients again, half way too.
+//! Drains: on standby and on shutdown all clients are migrated over a span of time, and pending
+//! requests are served or answered. A standby can be reverted at any time.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -7,121 +7,126 @@
 use beaconflow_policy::Nanos;
 use tracing::info;
 
-use super::ledger::Place;
-use super::lifecycle::{Refused, State, Word};
-use super::{Core, Due, Order};
+use super::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use super::requests::RequestPhase;
+use super::{ConnectionCommand, Core, TimerKind};
 
-/// Deadlines longer than this count as this long for the moment at which a program that leaves may be killed.
+/// Longer deadlines count as this long when the exit is scheduled.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// A program that leaves may be killed so long after the longest deadline, both counted from SIGTERM.
+/// A process may be killed this long after the longest deadline, both counted from SIGTERM.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// It is gone so long before: the last answers are still on their way then, and a machine may be slow.
-const LEFT_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// The last move is ordered, and transactions still open get their final answer, so long before the program is gone.
-/// A client in the midst of a message is moved up to 0.7 s after the order.
-const MOVED_BEFORE_LEFT: Duration = Duration::from_millis(800);
-/// Clients that have not been heard out are let go so long before the program is gone: each is left its last answer.
-const HEARD_BEFORE_LEFT: Duration = Duration::from_millis(400);
-/// Newcomers are served for this part of the span in which clients are moved, so that there is time left to move them.
-const NEWCOMERS_PART: f64 = 5.0 / 9.0;
-/// They are served for so long at least: a front goes on sending them for 0.2 to 0.4 s.
-const NEWCOMERS_LEAST: Duration = Duration::from_millis(500);
-/// A program that leaves stays for so long, for the newcomers.
-const LEAVE_LEAST: Duration = Duration::from_millis(700);
-/// Period of the core's own look at what it leaves behind.
-const TICK: Duration = Duration::from_millis(20);
-
-/// A drain that is on.
+/// Time between the exit and that moment, for the last answers and slow machines.
+const EXIT_MARGIN: Duration = Duration::from_millis(200);
+/// The last migration and the answers to open requests come this long before the exit. A client in
+/// the middle of a message migrates up to 0.7 s after the command.
+const MIGRATION_MARGIN: Duration = Duration::from_millis(800);
+/// Handshakes are closed this long before the exit, so that their answers can be read.
+const HANDSHAKE_MARGIN: Duration = Duration::from_millis(400);
+/// New requests are served for this fraction of the migration span.
+const ACCEPT_FRACTION: f64 = 5.0 / 9.0;
+/// They are served for at least this long: a load balancer in front keeps sending for 0.2 to 0.4 s.
+const MIN_ACCEPT_SPAN: Duration = Duration::from_millis(500);
+/// A process that shuts down stays at least this long, for new requests.
+const MIN_SHUTDOWN_SPAN: Duration = Duration::from_millis(700);
+/// Interval of the checks of a shutdown's progress.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A drain in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
-    /// Which one; what was set for an earlier one is void.
+    /// Number of the drain; timers of an earlier one are ignored.
     number: u64,
-    since: Nanos,
-    spans: Spans,
+    started_at: Nanos,
+    schedule: DrainSchedule,
 }
 
-/// How a drain's time is divided, each span counted from its beginning.
+/// Schedule of a drain, with spans from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Spans {
-    /// Newcomers are served for so long, and moved with the others.
-    newcomers: Duration,
-    /// The moves are spread over this, and transactions still open after it get their final answer. Guards against a
-    /// herd of clients that all come again at once and overrun the application servers' set-ups: over 1.8 s they had
-    /// first attempts wait for 1.5 s.
-    moves: Duration,
-    /// Clients are heard out for so long.
-    heard: Duration,
-    /// A program that leaves is gone by then.
-    left: Duration,
+pub(super) struct DrainSchedule {
+    /// New requests are served and later migrated.
+    accept: Duration,
+    /// Migrations are spread over this span; open requests get their final answer at its end.
+    /// Clients that reconnect together would overload the servers.
+    migrate: Duration,
+    /// Handshakes are read.
+    handshakes: Duration,
+    /// The process exits by then.
+    exit: Duration,
 }
 
-impl Spans {
-    /// The spans of a site with that longest deadline: the program may be killed soon after it.
-    fn of(longest_deadline: Duration) -> Spans {
-        let left = longest_deadline.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE - LEFT_BEFORE_KILL;
-        let moves = left.saturating_sub(MOVED_BEFORE_LEFT).max(left / 2);
-        let newcomers = moves.mul_f64(NEWCOMERS_PART).max(NEWCOMERS_LEAST);
-        let heard = left.saturating_sub(HEARD_BEFORE_LEFT).max(left / 2);
-        Spans {
-            newcomers,
-            moves,
-            heard,
-            left,
+impl DrainSchedule {
+    /// The schedule of a site with this longest deadline, after which the process may be killed.
+    fn for_deadline(longest_deadline: Duration) -> DrainSchedule {
+        let exit = longest_deadline.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE - EXIT_MARGIN;
+        let migrate = exit.saturating_sub(MIGRATION_MARGIN).max(exit / 2);
+        let accept = migrate.mul_f64(ACCEPT_FRACTION).max(MIN_ACCEPT_SPAN);
+        let handshakes = exit.saturating_sub(HANDSHAKE_MARGIN).max(exit / 2);
+        DrainSchedule {
+            accept,
+            migrate,
+            handshakes,
+            exit,
         }
     }
 }
 
 impl Core {
-    /// Follows a word on what the program is to be at.
-    pub(super) fn follow_word(&mut self, word: Word) -> Result<State, Refused> {
+    /// Applies a lifecycle command.
+    pub(super) fn on_lifecycle_command(
+        &mut self,
+        word: LifecycleCommand,
+    ) -> Result<LifecycleState, CommandRefused> {
         let before = self.lifecycle.state();
-        let after = self.lifecycle.take(word)?;
+        let after = self.lifecycle.apply(word)?;
         if after == before {
             return Ok(after);
         }
-        // Shown before anything else is done: nobody is told yes from here on who should hear no.
-        self.shown.show(after);
+        // Readiness changes before anything else, so that no probe is answered with the old state.
+        self.lifecycle_view.set_state(after);
         info!(
             part = self.name,
             from = before.name(),
             to = after.name(),
-            clients = self.ledger.len(),
+            clients = self.requests.len(),
             "state"
         );
         match after {
-            State::Standby | State::Leaving => self.begin_drain(),
-            State::Starting | State::Serving => self.drain = None,
+            LifecycleState::Standby | LifecycleState::ShuttingDown => self.begin_drain(),
+            LifecycleState::Starting | LifecycleState::Serving => self.drain = None,
         }
         Ok(after)
     }
 
-    /// Moves all clients, spread over a while. Those that an earlier drain has told to move are not told again.
+    /// Schedules the migration of all clients. Those that an earlier drain migrated are left out.
     fn begin_drain(&mut self) {
         self.drains += 1;
-        let spans = self.drain_spans();
+        let schedule = self.drain_schedule();
         self.drain = Some(Drain {
             number: self.drains,
-            since: self.clock.now(),
-            spans,
+            started_at: self.clock.now(),
+            schedule,
         });
-        let standing: Vec<u64> = self.ledger.movable().map(|(id, _)| id).collect();
+        let standing: Vec<u64> = self.requests.migratable().map(|(id, _)| id).collect();
         let count = u32::try_from(standing.len().max(1)).unwrap_or(u32::MAX);
         for (at, id) in (0..).zip(standing) {
-            self.offer(id);
-            self.wake(spans.moves * at / count, Due::Drained(self.drains, id));
+            self.offer_handover(id);
+            self.set_timer(
+                schedule.migrate * at / count,
+                TimerKind::DrainMigration(self.drains, id),
+            );
         }
-        let looks_after = if self.lifecycle.state() == State::Leaving {
-            TICK
+        let looks_after = if self.lifecycle.state() == LifecycleState::ShuttingDown {
+            CHECK_INTERVAL
         } else {
-            spans.moves
+            schedule.migrate
         };
-        self.wake(looks_after, Due::Drain(self.drains));
+        self.set_timer(looks_after, TimerKind::DrainProgress(self.drains));
     }
 
-    /// Whoever stands by is not killed, and takes its time whatever the deadlines are.
-    fn drain_spans(&self) -> Spans {
-        if self.lifecycle.state() != State::Leaving {
-            return Spans::of(LONGEST_DEADLINE);
+    /// A process on standby is not killed and takes its time whatever the deadlines are.
+    fn drain_schedule(&self) -> DrainSchedule {
+        if self.lifecycle.state() != LifecycleState::ShuttingDown {
+            return DrainSchedule::for_deadline(LONGEST_DEADLINE);
         }
         let longest = self
             .settings
@@ -129,82 +134,83 @@
             .iter()
             .map(|class| class.deadline)
             .max();
-        Spans::of(Duration::from_nanos(longest.unwrap_or(0)))
+        DrainSchedule::for_deadline(Duration::from_nanos(longest.unwrap_or(0)))
     }
 
-    /// A connection that came to stand in the midst of a drain is moved with the last of the others.
-    pub(super) fn drain_stands(&mut self, id: u64) {
+    /// A connection established during a drain migrates with the last of the others.
+    pub(super) fn drain_established(&mut self, id: u64) {
         if let Some(drain) = self.drain {
-            self.offer(id);
-            let left = drain.spans.moves.saturating_sub(self.drained_for(drain));
-            self.wake(left, Due::Drained(drain.number, id));
+            self.offer_handover(id);
+            let left = drain.schedule.migrate.saturating_sub(self.drain_age(drain));
+            self.set_timer(left, TimerKind::DrainMigration(drain.number, id));
         }
     }
 
-    /// One that leaves gives its connections away where it can; what it can't give it moves when their turn comes.
-    fn offer(&mut self, id: u64) {
-        if self.lifecycle.state() == State::Leaving {
-            self.ledger.order(id, Order::Give);
+    /// A process that shuts down hands over its connections where it can, and migrates the others.
+    fn offer_handover(&mut self, id: u64) {
+        if self.lifecycle.state() == LifecycleState::ShuttingDown {
+            self.requests.send_command(id, ConnectionCommand::HandOver);
         }
     }
 
-    /// Whether a newcomer is still served.
-    pub(super) fn takes_newcomers(&self) -> bool {
+    /// Whether new requests are still served.
+    pub(super) fn accepts_new_requests(&self) -> bool {
         self.drain
-            .is_none_or(|drain| self.drained_for(drain) < drain.spans.newcomers)
+            .is_none_or(|drain| self.drain_age(drain) < drain.schedule.accept)
     }
 
-    /// It is a client's turn to be moved, unless the drain has been taken back.
-    pub(super) fn drained(&mut self, number: u64, id: u64) {
+    /// Migrates a client unless the drain was reverted.
+    pub(super) fn migrate_in_drain(&mut self, number: u64, id: u64) {
         if self.drain.is_some_and(|drain| drain.number == number) {
-            self.order_move(id, "this balancer drains");
+            self.migrate(id, "this balancer drains");
         }
     }
 
-    pub(super) fn go_on_draining(&mut self, number: u64) {
+    pub(super) fn continue_drain(&mut self, number: u64) {
         let Some(drain) = self.drain.filter(|drain| drain.number == number) else {
             return;
         };
-        if self.lifecycle.state() == State::Leaving {
-            // One that leaves looks again and again whether it has; on standby one look is enough: nobody comes after it.
-            self.wake(TICK, Due::Drain(number));
-            if self.drained_for(drain) >= drain.spans.heard {
-                self.shown.hears_nobody();
+        if self.lifecycle.state() == LifecycleState::ShuttingDown {
+            // A shutdown is checked repeatedly; on standby one check suffices, since no requests
+            // follow.
+            self.set_timer(CHECK_INTERVAL, TimerKind::DrainProgress(number));
+            if self.drain_age(drain) >= drain.schedule.handshakes {
+                self.lifecycle_view.close_handshakes();
             }
         }
-        if self.drained_for(drain) >= drain.spans.moves {
-            self.answer_all_that_is_on_its_way();
+        if self.drain_age(drain) >= drain.schedule.migrate {
+            self.answer_pending_requests();
         }
     }
 
-    /// Gives the final answer to whoever waits or is being sent.
-    pub(super) fn answer_all_that_is_on_its_way(&mut self) {
-        for (id, place) in self.ledger.places() {
-            if !matches!(place, Place::Standing(_)) {
+    /// Sends the final answer to requests that wait or are in flight.
+    pub(super) fn answer_pending_requests(&mut self) {
+        for (id, place) in self.requests.phases() {
+            if !matches!(place, RequestPhase::Established(_)) {
                 self.give_up_on(id);
             }
         }
     }
 
-    fn drained_for(&self, drain: Drain) -> Duration {
-        Duration::from_nanos(self.clock.now().saturating_sub(drain.since))
+    fn drain_age(&self, drain: Drain) -> Duration {
+        Duration::from_nanos(self.clock.now().saturating_sub(drain.started_at))
     }
 
-    /// Whether the program has left all that it had, or has run out of time.
-    pub(super) fn has_left(&self) -> bool {
+    /// Whether the process has finished its shutdown, or has run out of time.
+    pub(super) fn has_exited(&self) -> bool {
         let Some(drain) = self
             .drain
-            .filter(|_| self.lifecycle.state() == State::Leaving)
+            .filter(|_| self.lifecycle.state() == LifecycleState::ShuttingDown)
         else {
             return false;
         };
-        let left_for = self.drained_for(drain);
+        let left_for = self.drain_age(drain);
         let is_empty = || {
-            self.ledger.len() == 0
-                && self.shown.openings() == 0
+            self.requests.len() == 0
+                && self.lifecycle_view.handshakes() == 0
                 && self.connections.load(Ordering::Relaxed) == 0
         };
-        left_for >= drain.spans.left || left_for >= LEAVE_LEAST && is_empty()
+        left_for >= drain.schedule.exit || left_for >= MIN_SHUTDOWN_SPAN && is_empty()
     }
 }
 
--- /dev/null
+++ b/crates/balancer/src/core/endpoints.rs
@@ -0,0 +1,514 @@
+//! The endpoint registry: all servers by name and by id, with overrides and site assessments.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+
+use beaconflow_affinity::ServerNow;
+use beaconflow_overrides::{Id, Judgement, Millis, Set, Standing, Strictness, judge};
+use beaconflow_policy::{Nanos, Pin, ServerEntry, ServerId, ServerState, ZoneId};
+use beaconflow_settings::digest;
+
+use super::fleet_link::ServerIdentity;
+use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
+
+/// A server's address, for whoever connects to it.
+#[derive(Debug)]
+pub struct Endpoint {
+    /// Name in the list.
+    pub name: Arc<str>,
+    /// Address.
+    pub address: SocketAddr,
+    drain_state: Arc<DrainState>,
+}
+
+/// Whether a server is draining, and how many attempts are writing their first byte to it.
+#[derive(Debug, Default)]
+pub struct DrainState {
+    is_leaving: AtomicBool,
+    writers: AtomicUsize,
+}
+
+impl DrainState {
+    /// Whether no first byte is being written. Once true after the drain began, it stays true.
+    pub fn has_no_writers(&self) -> bool {
+        self.writers.load(Ordering::SeqCst) == 0
+    }
+}
+
+/// Permission to write a first byte, while it lives.
+pub struct WritePermit<'a>(&'a DrainState);
+
+impl Drop for WritePermit<'_> {
+    fn drop(&mut self) {
+        self.0.writers.fetch_sub(1, Ordering::SeqCst);
+    }
+}
+
+impl Endpoint {
+    /// Creates an endpoint that accepts new connections.
+    pub fn new(name: String, address: SocketAddr) -> Endpoint {
+        Endpoint {
+            name: name.into(),
+            address,
+            drain_state: Arc::default(),
+        }
+    }
+
+    /// Permission to write the first byte of an attempt, or `None` if the server drains, was
+    /// removed or is out of service. The writer is counted before the state is read, so that nobody
+    /// who began the drain misses it.
+    pub fn begin_write(&self) -> Option<WritePermit<'_>> {
+        self.drain_state.writers.fetch_add(1, Ordering::SeqCst);
+        let leave = WritePermit(&self.drain_state);
+        (!self.drain_state.is_leaving.load(Ordering::SeqCst)).then_some(leave)
+    }
+}
+
+struct KnownServer {
+    endpoint: Arc<Endpoint>,
+    /// As listed.
+    listed: ServerEntry,
+    /// As the policy sees it, with overrides and assessments.
+    effective: ServerEntry,
+    zone: String,
+    /// Since when it has been ready without interruption; 0 if since it was first listed.
+    ready_since: Option<Millis>,
+    /// When slow messages were last reported.
+    slow_reported_at: Option<Nanos>,
+}
+
+/// The assessment of a server by the site's own evidence while the uplink is lost.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SiteAssessment {
+    /// Why it gets no new connections, if it does not.
+    pub skip_reason: Option<String>,
+    /// Factor on its weight.
+    pub weight_factor: f64,
+    /// When it restarted unlisted, in Unix milliseconds; 0 if it did not.
+    pub restarted_at: Millis,
+}
+
+/// All servers that were ever listed.
+pub(super) struct EndpointRegistry {
+    servers: Vec<KnownServer>,
+    ids: BTreeMap<String, ServerId>,
+    /// Ids by the hash of the name.
+    ids_by_hash: BTreeMap<u64, ServerId>,
+    pub(super) overrides: Set,
+    /// Servers whose effective entry may differ from the listed one.
+    adjusted: BTreeSet<ServerId>,
+    /// Site assessments by server name.
+    assessments: BTreeMap<String, SiteAssessment>,
+}
+
+/// A snapshot of one server.
+#[derive(Clone, Debug)]
+pub struct ServerSnapshot {
+    /// Name in the list.
+    pub name: String,
+    /// Address.
+    pub address: SocketAddr,
+    /// Name of its zone.
+    pub zone: String,
+    /// Whether it accepts new connections: as listed, and in effect.
+    pub state: (ServerState, ServerState),
+    /// Weight: as listed, and in effect.
+    pub weight: (f64, f64),
+    /// Established connections.
+    pub established: usize,
+    /// Its site assessment, if it differs from the listed state.
+    pub assessment: Option<SiteAssessment>,
+}
+
+impl EndpointRegistry {
+    /// Creates a registry without servers.
+    pub(super) fn new(overrides: Set) -> EndpointRegistry {
+        EndpointRegistry {
+            servers: Vec::new(),
+            ids: BTreeMap::new(),
+            ids_by_hash: BTreeMap::new(),
+            overrides,
+            adjusted: BTreeSet::new(),
+            assessments: BTreeMap::new(),
+        }
+    }
+
+    /// Applies a list; returns the effective entries. A server missing in a snapshot is removed.
+    pub(super) fn apply_list(
+        &mut self,
+        list: ServerList,
+        now: Millis,
+        zone: impl Fn(&str) -> Option<u32>,
+    ) -> Vec<ServerEntry> {
+        if list.reset {
+            // Drain states follow below: an attempt must not see a server as removed while the list
+            // is read.
+            for known in &mut self.servers {
+                (known.listed.state, known.effective.state) =
+                    (ServerState::Removed, ServerState::Removed);
+            }
+        }
+        let reset = list.reset;
+        let entries = list
+            .instances
+            .into_iter()
+            .filter_map(|listed| self.apply_entry(listed, now, &zone))
+            .collect();
+        if reset {
+            let gone = self
+                .servers
+                .iter_mut()
+                .filter(|known| known.effective.state == ServerState::Removed);
+            for known in gone {
+                known.ready_since = None;
+                // Only now: a server that is listed again is never marked in between.
+                known
+                    .endpoint
+                    .drain_state
+                    .is_leaving
+                    .store(true, Ordering::SeqCst);
+            }
+        }
+        entries
+    }
+
+    fn apply_entry(
+        &mut self,
+        listed: ListedServer,
+        now: Millis,
+        zone: &impl Fn(&str) -> Option<u32>,
+    ) -> Option<ServerEntry> {
+        let number = self.ids.get(&listed.instance_id).copied();
+        let before = number.and_then(|number| self.servers.get(number.0 as usize));
+        let address = listed
+            .host_port
+            .or_else(|| before.map(|known| known.endpoint.address))?;
+        let number = number.unwrap_or(ServerId(
+            u32::try_from(self.servers.len()).unwrap_or(u32::MAX),
+        ));
+        let entry = ServerEntry {
+            server: number,
+            name_hash: digest(&listed.instance_id),
+            state: match listed.lifecycle {
+                ServerLifecycle::Serving => ServerState::Ready,
+                ServerLifecycle::Draining => ServerState::Draining,
+                ServerLifecycle::Deleted => ServerState::Removed,
+            },
+            zone: ZoneId(zone(&listed.zone).unwrap_or(u32::MAX)),
+            cell: listed.cell,
+            machine_type: digest(&listed.machine_type),
+            weight: listed.weight,
+            target_weight: None,
+            started_at: listed.started_at_ms.saturating_mul(1_000_000),
+        };
+        let override_effect = self.standing(&listed.instance_id, now);
+        let part = self.assessments.get(&listed.instance_id);
+        if override_effect != Standing::AS_LISTED || part.is_some() {
+            self.adjusted.insert(number);
+        }
+        let told = effective_entry(&entry, override_effect, part);
+        // Attempts in flight share the drain state and see the change.
+        let drain_state = before
+            .map(|known| Arc::clone(&known.endpoint.drain_state))
+            .unwrap_or_default();
+        drain_state
+            .is_leaving
+            .store(told.state != ServerState::Ready, Ordering::SeqCst);
+        let endpoint = Arc::new(Endpoint {
+            name: listed.instance_id.as_str().into(),
+            address,
+            drain_state,
+        });
+        let ready_before = before.map(|known| known.ready_since);
+        let known = KnownServer {
+            endpoint,
+            listed: entry,
+            effective: told.clone(),
+            zone: listed.zone,
+            ready_since: ready_since(told.state, ready_before, now),
+            slow_reported_at: None,
+        };
+        match self.servers.get_mut(number.0 as usize) {
+            Some(old) => *old = known,
+            None => {
+                self.ids_by_hash.insert(known.listed.name_hash, number);
+                self.ids.insert(listed.instance_id, number);
+                self.servers.push(known);
+            }
+        }
+        Some(told)
+    }
+
+    /// Applies other zone numbers; returns the entries that changed.
+    pub(super) fn renumber_zones(
+        &mut self,
+        zone: impl Fn(&str) -> Option<u32>,
+    ) -> Vec<ServerEntry> {
+        let mut changed = Vec::new();
+        for known in &mut self.servers {
+            let number = ZoneId(zone(&known.zone).unwrap_or(u32::MAX));
+            if known.effective.zone != number {
+                (known.listed.zone, known.effective.zone) = (number, number);
+                changed.push(known.effective.clone());
+            }
+        }
+        changed
+    }
+
+    /// The effect of overrides on a server. A panic in them must not lose a list.
+    fn standing(&self, name: &str, now: Millis) -> Standing {
+        let snapshot = AssertUnwindSafe(|| self.overrides.server(name, now));
+        catch_unwind(snapshot).unwrap_or(Standing::AS_LISTED)
+    }
+
+    /// Evaluates overrides and assessments again; returns the entries that changed.
+    pub(super) fn refresh(&mut self, now: Millis) -> Vec<ServerEntry> {
+        let named = self
+            .overrides
+            .servers()
+            .filter_map(|name| self.ids.get(name).copied());
+        let servers: BTreeSet<ServerId> = named.chain(self.adjusted.iter().copied()).collect();
+        let mut news = Vec::new();
+        for id in servers {
+            let known = &mut self.servers[id.0 as usize];
+            let standing = self.overrides.server(&known.endpoint.name, now);
+            let part = self.assessments.get(&*known.endpoint.name);
+            if standing == Standing::AS_LISTED && part.is_none() {
+                self.adjusted.remove(&id);
+            } else {
+                self.adjusted.insert(id);
+            }
+            let told = effective_entry(&known.listed, standing, part);
+            if told != known.effective {
+                known
+                    .endpoint
+                    .drain_state
+                    .is_leaving
+                    .store(told.state != ServerState::Ready, Ordering::SeqCst);
+                known.ready_since = ready_since(told.state, Some(known.ready_since), now);
+                known.effective = told.clone();
+                news.push(told);
+            }
+        }
+        news
+    }
+
+    /// Replaces the site assessments; [`EndpointRegistry::refresh`] follows.
+    pub(super) fn set_assessments(&mut self, site: BTreeMap<String, SiteAssessment>) {
+        let before = std::mem::replace(&mut self.assessments, site);
+        let named = before.keys().chain(self.assessments.keys());
+        self.adjusted
+            .extend(named.filter_map(|name| self.ids.get(name).copied()));
+    }
+
+    /// The pin of a request, by the hashes of its group and tenant.
+    pub(super) fn pin(&self, group: Option<u64>, tenant: Option<u64>, now: Millis) -> Option<Pin> {
+        if !self.overrides.has_pins() {
+            return None;
+        }
+        let pin = self.overrides.pin(group, tenant, now)?;
+        let server = self.ids.get(pin.server).copied();
+        Some(Pin {
+            server,
+            strict: pin.strictness == Strictness::Strict,
+        })
+    }
+
+    /// The servers that an operator empties, with their overrides and rates.
+    pub(super) fn emptied_servers(&self, now: Millis) -> BTreeMap<ServerId, (Id, f64)> {
+        let rate = |id: &ServerId| {
+            let name = &self.servers.get(id.0 as usize)?.endpoint.name;
+            Some((*id, self.overrides.moves(name, now)?))
+        };
+        self.adjusted.iter().filter_map(rate).collect()
+    }
+
+    /// Zones that overrides leave without a ready server.
+    pub(super) fn coverage(&self, now: Millis) -> Judgement {
+        if self.adjusted.is_empty() {
+            return Judgement::default();
+        }
+        let ready = self
+            .servers
+            .iter()
+            .filter(|known| known.listed.state == ServerState::Ready);
+        judge(
+            ready.map(|known| (&*known.endpoint.name, known.zone.as_str())),
+            &self.overrides,
+            now,
+        )
+    }
+
+    /// Drain states of the servers that operators have taken out of service.
+    pub(super) fn drain_states_out_of_service(&self) -> Vec<Arc<DrainState>> {
+        let known = self
+            .adjusted
+            .iter()
+            .filter_map(|id| self.servers.get(id.0 as usize));
+        let out = known.filter(|known| known.effective.state == ServerState::OutOfService);
+        out.map(|known| Arc::clone(&known.endpoint.drain_state))
+            .collect()
+    }
+
+    pub(super) fn endpoint(&self, number: ServerId) -> Option<Arc<Endpoint>> {
+        self.servers
+            .get(number.0 as usize)
+            .map(|known| Arc::clone(&known.endpoint))
+    }
+
+    /// Name and start of a server.
+    pub(super) fn identity(&self, number: ServerId) -> Option<ServerIdentity> {
+        let known = self.servers.get(number.0 as usize)?;
+        let name = Arc::clone(&known.endpoint.name);
+        Some(ServerIdentity {
+            name,
+            started_at_ms: known.listed.started_at / 1_000_000,
+        })
+    }
+
+    /// Hash of a server's name; equal at every process.
+    pub(super) fn name_hash(&self, number: ServerId) -> Option<u64> {
+        self.servers
+            .get(number.0 as usize)
+            .map(|known| known.listed.name_hash)
+    }
+
+    pub(super) fn by_hash(&self, tag: u64) -> Option<ServerId> {
+        self.ids_by_hash.get(&tag).copied()
+    }
+
+    /// What session affinity has to know of a server.
+    pub(super) fn affinity_target(&self, tag: u64) -> Option<ServerNow> {
+        let known = self.servers.get(self.by_hash(tag)?.0 as usize)?;
+        let (is_ready, ready_since) = (
+            known.effective.state == ServerState::Ready,
+            known.ready_since.unwrap_or(0),
+        );
+        let started_at = known.listed.started_at / 1_000_000;
+        Some(ServerNow {
+            is_ready,
+            ready_since,
+            started_at,
+        })
+    }
+
+    /// Name hashes and start times of all servers with a known start.
+    pub(super) fn starts(&self) -> impl Iterator<Item = (u64, Millis)> {
+        let started = self
+            .servers
+            .iter()
+            .filter(|known| known.listed.started_at > 0);
+        started.map(|known| (known.listed.name_hash, known.listed.started_at / 1_000_000))
+    }
+
+    pub(super) fn by_name(&self, name: &str) -> Option<(ServerId, Arc<Endpoint>)> {
+        let number = self.ids.get(name).copied()?;
+        Some((number, self.endpoint(number)?))
+    }
+
+    /// The effective entries of all servers that have not been removed.
+    pub(super) fn entries(&self) -> Vec<ServerEntry> {
+        let present = self
+            .servers
+            .iter()
+            .filter(|known| known.effective.state != ServerState::Removed);
+        present.map(|known| known.effective.clone()).collect()
+    }
+
+    /// Whether the policy wants to hear of a message's latency: once per period while messages are
+    /// slow, and once when they no longer are.
+    pub(super) fn should_report_latency(
+        &mut self,
+        at: ServerId,
+        now: Nanos,
+        slow: bool,
+        period: Nanos,
+    ) -> bool {
+        let Some(known) = self.servers.get_mut(at.0 as usize) else {
+            return false;
+        };
+        let told = known.slow_reported_at;
+        match (slow, told) {
+            (true, Some(told)) if now < told.saturating_add(period) => false,
+            (true, _) => {
+                known.slow_reported_at = Some(now);
+                true
+            }
+            (false, Some(told)) if now >= told.saturating_add(period) => {
+                known.slow_reported_at = None;
+                true
+            }
+            (false, _) => false,
+        }
+    }
+
+    /// Whether every known server has been removed.
+    pub(super) fn is_empty(&self) -> bool {
+        self.servers
+            .iter()
+            .all(|known| known.listed.state == ServerState::Removed)
+    }
+
+    pub(super) fn look(&self, standing: &BTreeMap<ServerId, usize>) -> Vec<ServerSnapshot> {
+        let row = |known: &KnownServer| ServerSnapshot {
+            name: known.endpoint.name.to_string(),
+            address: known.endpoint.address,
+            zone: known.zone.clone(),
+            state: (known.listed.state, known.effective.state),
+            weight: (known.listed.weight, known.effective.weight),
+            established: standing.get(&known.listed.server).copied().unwrap_or(0),
+            assessment: self.assessments.get(&*known.endpoint.name).cloned(),
+        };
+        self.servers
+            .iter()
+            .filter(|known| known.listed.state != ServerState::Removed)
+            .map(row)
+            .collect()
+    }
+}
+
+/// Since when a server has been ready, from the previous value.
+fn ready_since(state: ServerState, before: Option<Option<Millis>>, now: Millis) -> Option<Millis> {
+    let is_ready = state == ServerState::Ready;
+    is_ready.then(|| before.map_or(0, |since| since.unwrap_or(now)))
+}
+
+/// A listed entry under overrides and site assessment. A missing weight counts as 1.
+fn effective_entry(
+    listed: &ServerEntry,
+    standing: Standing,
+    site: Option<&SiteAssessment>,
+) -> ServerEntry {
+    let mut told = listed.clone();
+    let part = site.map_or(1.0, |site| site.weight_factor);
+    let standing = Standing {
+        factor: standing.factor * part,
+        ..standing
+    };
+    let out = standing.out || site.is_some_and(|site| site.skip_reason.is_some());
+    let cold_since = site
+        .map_or(0, |site| site.restarted_at)
+        .saturating_mul(1_000_000);
+    told.started_at = told.started_at.max(cold_since);
+    if out && told.state == ServerState::Ready {
+        told.state = ServerState::OutOfService;
+    }
+    if !out && standing.factor != 1.0 {
+        // Its weight no longer says anything about the size of its machine type.
+        told.machine_type = listed.name_hash;
+        let weight = if told.weight.is_finite() && told.weight > 0.0 {
+            told.weight
+        } else {
+            1.0
+        };
+        told.weight = weight * standing.factor;
+        told.target_weight = (standing.factor < standing.to).then_some(weight * standing.to);
+    }
+    told
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the core, for all other threads.
+//! Access to the core for other threads.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -6,128 +6,135 @@
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 
-use super::lifecycle::Shown;
-use super::{Carrier, DoorLook, Event, Figures, Look, Opening};
+use super::lifecycle::LifecycleView;
+use super::{
+    AdmissionSnapshot, ClientRequest, CommandSender, CoreInput, CoreSnapshot, SharedTimeouts,
+};
 use crate::clock::Clock;
-use crate::farm::News;
+use crate::discovery::DiscoveryEvent;
 
-/// The way to the core.
+/// A handle to the core.
 #[derive(Clone)]
-pub struct Handle {
-    pub(super) told: Outbox,
-    pub(super) next: Arc<AtomicU64>,
-    /// Open connections, also those that have had their answer and linger.
+pub struct CoreHandle {
+    pub(super) inputs: CoreSender,
+    pub(super) next_id: Arc<AtomicU64>,
+    /// Open connections, including those that linger.
     pub(super) connections: Arc<AtomicUsize>,
-    pub(super) shown: Shown,
+    pub(super) lifecycle: LifecycleView,
     pub(super) clock: Clock,
-    pub(super) figures: Arc<Figures>,
+    pub(super) figures: Arc<SharedTimeouts>,
 }
 
-/// The sending ends of what the core hears.
+/// The sending ends of the core's channels.
 #[derive(Clone)]
-pub(super) struct Outbox {
-    events: Sender<Event>,
-    farm: Sender<News>,
+pub(super) struct CoreSender {
+    inputs: Sender<CoreInput>,
+    discovery: Sender<DiscoveryEvent>,
 }
 
-/// What the core hears: events in their order, and what is told of the farm, which goes ahead of them.
-pub(super) struct Inbox {
-    pub(super) events: Receiver<Event>,
-    pub(super) farm: Receiver<News>,
+/// The receiving ends. What discovery reports goes ahead of the other inputs.
+pub(super) struct CoreReceiver {
+    pub(super) inputs: Receiver<CoreInput>,
+    pub(super) discovery: Receiver<DiscoveryEvent>,
 }
 
-/// Both ends.
-pub(super) fn boxes() -> (Outbox, Inbox) {
-    let ((events, heard), (farm, listed)) = (unbounded(), unbounded());
+/// Creates both ends.
+pub(super) fn channel() -> (CoreSender, CoreReceiver) {
+    let ((inputs, heard), (discovery, listed)) = (unbounded(), unbounded());
     (
-        Outbox { events, farm },
-        Inbox {
-            events: heard,
-            farm: listed,
+        CoreSender { inputs, discovery },
+        CoreReceiver {
+            inputs: heard,
+            discovery: listed,
         },
     )
 }
 
-/// Counts one connection for as long as it lives.
-pub struct Counted(Arc<AtomicUsize>);
+/// Counts one connection while it lives.
+pub struct ConnectionSlot(Arc<AtomicUsize>);
 
-impl Drop for Counted {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Handle {
-    /// Opens a transaction.
-    pub fn open(&self, opening: Opening, orders: Arc<dyn Carrier>) -> u64 {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        self.tell(Event::Opened(id, opening, orders));
+impl CoreHandle {
+    /// Registers a client's request; returns its id.
+    pub fn open(&self, opening: ClientRequest, orders: Arc<dyn CommandSender>) -> u64 {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        self.send(CoreInput::ConnectRequested(id, opening, orders));
         id
     }
 
-    /// Takes over a connection that stands.
-    pub fn adopt(&self, opening: Opening, server: Arc<str>, orders: Arc<dyn Carrier>) -> u64 {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        self.tell(Event::Adopted(id, opening, server, orders));
+    /// Registers an established connection that was taken over; returns its id.
+    pub fn adopt(
+        &self,
+        opening: ClientRequest,
+        server: Arc<str>,
+        orders: Arc<dyn CommandSender>,
+    ) -> u64 {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        self.send(CoreInput::ConnectionAdopted(id, opening, server, orders));
         id
     }
 
-    /// Tells the core. Once the core is gone, nothing is left to be told.
-    pub fn tell(&self, event: Event) {
-        let _ = self.told.events.send(event);
+    /// Sends an input. Inputs to a core that has stopped are dropped.
+    pub fn send(&self, event: CoreInput) {
+        let _ = self.inputs.inputs.send(event);
     }
 
-    /// Tells the core what discovery says. It goes ahead of the events that were told before it.
-    pub fn tell_of_servers(&self, news: News) {
-        let _ = self.told.farm.send(news);
-        self.tell(Event::ServersTold);
+    /// Sends what discovery reported, ahead of the inputs that are queued.
+    pub fn send_discovery(&self, news: DiscoveryEvent) {
+        let _ = self.inputs.discovery.send(news);
+        self.send(CoreInput::DiscoveryPending);
     }
 
-    /// The clock of the program.
+    /// The program's clock.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// A connection not up by then has failed.
+    /// A connect that takes longer has failed.
     pub fn connect_timeout(&self) -> Duration {
         self.figures.connect_timeout()
     }
 
-    /// A message that takes this long is news.
-    pub fn slow(&self) -> Duration {
+    /// A message that takes this long is slow.
+    pub fn slow_message_threshold(&self) -> Duration {
         self.figures.slow()
     }
 
-    /// Counts a connection in, if there are not too many.
-    pub fn count_in(&self, most: usize) -> Option<Counted> {
+    /// Counts a connection, unless there are `most` already.
+    pub fn reserve_connection(&self, most: usize) -> Option<ConnectionSlot> {
         let before = self.connections.fetch_add(1, Ordering::Relaxed);
-        let counted = Counted(Arc::clone(&self.connections));
+        let counted = ConnectionSlot(Arc::clone(&self.connections));
         (before < most).then_some(counted)
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// What the program is at, as the core shows it: nobody waits for it.
-    pub fn shown(&self) -> &Shown {
-        &self.shown
+    /// The lifecycle state, readable without waiting for the core.
+    pub fn lifecycle(&self) -> &LifecycleView {
+        &self.lifecycle
     }
 
-    /// A look at the core; nothing if it does not answer.
-    pub fn look(&self) -> Option<Look> {
-        self.ask(Event::Look)
+    /// A snapshot of the core, or `None` if it does not answer.
+    pub fn snapshot(&self) -> Option<CoreSnapshot> {
+        self.request(CoreInput::GetSnapshot)
     }
 
-    /// A look at the door; nothing if the core does not answer.
-    pub fn look_at_door(&self) -> Option<DoorLook> {
-        self.ask(Event::LookAtDoor)
+    /// A snapshot of the admission queue, or `None` if the core does not answer.
+    pub fn admission_snapshot(&self) -> Option<AdmissionSnapshot> {
+        self.request(CoreInput::GetAdmission)
     }
 
-    fn ask<T>(&self, what: impl FnOnce(Sender<T>) -> Event) -> Option<T> {
+    fn request<T>(&self, what: impl FnOnce(Sender<T>) -> CoreInput) -> Option<T> {
         let (ask, answer) = crossbeam_channel::bounded(1);
-        self.tell(what(ask));
+        self.send(what(ask));
         answer.recv_timeout(Duration::from_secs(1)).ok()
     }
 }
--- a/crates/balancer/src/core/lifecycle.rs
+++ b/crates/balancer/src/core/lifecycle.rs
@@ -1,200 +1,218 @@
-//! Whether this program takes clients: one state, that of its core. No I/O.
+//! The lifecycle of the process: one state, owned by the core. No I/O.
 //!
-//! What is told of it from outside, `PING` on the clients' side and `GET /status` on the operators', reads the same
-//! state, which the core shows in an atomic: nobody who asks waits for the core.
+//! `PING` from clients and `GET /status` from operators read the same state from an atomic, without
+//! waiting for the core.
 
 use std::fmt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A core that has not turned for so long is not at work. It turns at least once a second.
-const SILENCE: Duration = Duration::from_secs(3);
+/// A core without a heartbeat for this long is not alive. It sends one at least every second.
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a program is at.
+/// State of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum State {
-    /// It does not listen yet, knows no application server, or is still gathering what was known before.
+pub enum LifecycleState {
+    /// It does not listen yet, knows no servers, or is recovering.
     Starting,
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// It was told to stand by: its clients are moved, it takes none, and it stays.
+    /// It accepts no clients, migrates those it has, and stays.
     Standby,
-    /// It was told to leave: its clients are moved, and it ends.
-    Leaving,
+    /// It migrates its clients and exits.
+    ShuttingDown,
 }
 
-impl State {
-    const ALL: [State; 4] = [
-        State::Starting,
-        State::Serving,
-        State::Standby,
-        State::Leaving,
+impl LifecycleState {
+    const ALL: [LifecycleState; 4] = [
+        LifecycleState::Starting,
+        LifecycleState::Serving,
+        LifecycleState::Standby,
+        LifecycleState::ShuttingDown,
     ];
 
     /// Its name for people.
     pub fn name(self) -> &'static str {
         match self {
-            State::Starting => "starting",
-            State::Serving => "serving",
-            State::Standby => "standby",
-            State::Leaving => "leaving",
+            LifecycleState::Starting => "starting",
+            LifecycleState::Serving => "serving",
+            LifecycleState::Standby => "standby",
+            LifecycleState::ShuttingDown => "leaving",
         }
     }
 }
 
-/// What changes the state.
+/// A command that may change the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum LifecycleCommand {
     /// The listener is served, or no longer.
-    Listens(bool),
-    /// A list of application servers has been taken in.
-    Knows,
-    /// What was known before the start is being gathered, or no longer.
-    Recovers(bool),
-    /// An operator wants it to stand by.
-    Standby,
-    /// An operator wants it to take clients.
-    Active,
-    /// It is to leave.
-    Leave,
+    SetListening(bool),
+    /// A server list was applied.
+    ServersKnown,
+    /// Recovery has begun or ended.
+    SetRecovering(bool),
+    /// An operator requests standby.
+    EnterStandby,
+    /// An operator requests service.
+    LeaveStandby,
+    /// The process shuts down.
+    ShutDown,
 }
 
-/// A word that can't be followed in the present state.
+/// The command is not possible in this state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused(pub State);
+pub struct CommandRefused(pub LifecycleState);
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommandRefused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the program is {}", self.0.name())
     }
 }
 
-/// The state and what it follows from.
+/// The state and the conditions that it follows from.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
-    listens: bool,
-    knows: bool,
-    recovers: bool,
-    stands_by: bool,
-    leaves: bool,
+    is_listening: bool,
+    knows_servers: bool,
+    is_recovering: bool,
+    is_standby: bool,
+    is_shutting_down: bool,
 }
 
 impl Lifecycle {
     /// The present state.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LifecycleState {
         match self {
-            Lifecycle { leaves: true, .. } => State::Leaving,
             Lifecycle {
-                stands_by: true, ..
-            } => State::Standby,
+                is_shutting_down: true,
+                ..
+            } => LifecycleState::ShuttingDown,
+            Lifecycle {
+                is_standby: true, ..
+            } => LifecycleState::Standby,
             Lifecycle {
-                listens: true,
-                knows: true,
-                recovers: false,
+                is_listening: true,
+                knows_servers: true,
+                is_recovering: false,
                 ..
-            } => State::Serving,
-            _ => State::Starting,
+            } => LifecycleState::Serving,
+            _ => LifecycleState::Starting,
         }
     }
 
-    /// Follows a word; one that says what holds already does no harm. What leaves takes no more orders.
-    pub fn take(&mut self, word: Word) -> Result<State, Refused> {
+    /// Applies a command. One that requests the present state changes nothing; a process that shuts
+    /// down takes no more commands of operators.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an operator's command comes during a shutdown.
+    pub fn apply(&mut self, word: LifecycleCommand) -> Result<LifecycleState, CommandRefused> {
         match word {
-            Word::Listens(listens) => self.listens = listens,
-            Word::Knows => self.knows = true,
-            Word::Recovers(recovers) => self.recovers = recovers,
-            Word::Leave => self.leaves = true,
-            Word::Standby | Word::Active if self.leaves => return Err(Refused(State::Leaving)),
-            Word::Standby => self.stands_by = true,
-            Word::Active => self.stands_by = false,
+            LifecycleCommand::SetListening(listens) => self.is_listening = listens,
+            LifecycleCommand::ServersKnown => self.knows_servers = true,
+            LifecycleCommand::SetRecovering(recovers) => self.is_recovering = recovers,
+            LifecycleCommand::ShutDown => self.is_shutting_down = true,
+            LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby
+                if self.is_shutting_down =>
+            {
+                return Err(CommandRefused(LifecycleState::ShuttingDown));
+            }
+            LifecycleCommand::EnterStandby => self.is_standby = true,
+            LifecycleCommand::LeaveStandby => self.is_standby = false,
         }
         Ok(self.state())
     }
 }
 
-/// The state as it is shown to other threads.
+/// The lifecycle state as other threads see it.
 #[derive(Clone, Debug)]
-pub struct Shown(Arc<Face>);
+pub struct LifecycleView(Arc<SharedState>);
 
 #[derive(Debug)]
-struct Face {
+struct SharedState {
     state: AtomicU8,
-    /// When the core last turned, in milliseconds since the origin.
-    turned_at: AtomicU64,
+    /// Latest heartbeat of the core, in milliseconds since the origin.
+    heartbeat_at: AtomicU64,
     origin: Instant,
-    /// Clients whose openings have not been heard out, as the listener's thread tells.
-    openings: AtomicUsize,
-    /// Nobody is heard out any more: the program is about to be gone.
-    hears_nobody: AtomicBool,
+    /// Unfinished handshakes, as the acceptor reports them.
+    handshakes: AtomicUsize,
+    /// Whether handshakes are closed because the process is about to exit.
+    is_closed_to_handshakes: AtomicBool,
 }
 
-impl Default for Shown {
-    fn default() -> Shown {
-        Shown::since(Instant::now())
+impl Default for LifecycleView {
+    fn default() -> LifecycleView {
+        LifecycleView::with_origin(Instant::now())
     }
 }
 
-impl Shown {
-    fn since(origin: Instant) -> Shown {
-        let (state, turned_at) = (AtomicU8::new(State::Starting as u8), AtomicU64::new(0));
-        let (openings, hears_nobody) = (AtomicUsize::new(0), AtomicBool::new(false));
-        Shown(Arc::new(Face {
+impl LifecycleView {
+    fn with_origin(origin: Instant) -> LifecycleView {
+        let (state, heartbeat_at) = (
+            AtomicU8::new(LifecycleState::Starting as u8),
+            AtomicU64::new(0),
+        );
+        let (handshakes, is_closed_to_handshakes) = (AtomicUsize::new(0), AtomicBool::new(false));
+        LifecycleView(Arc::new(SharedState {
             state,
-            turned_at,
+            heartbeat_at,
             origin,
-            openings,
-            hears_nobody,
+            handshakes,
+            is_closed_to_handshakes,
         }))
     }
 
-    /// So many clients have not been heard out.
-    pub fn has_openings(&self, count: usize) {
-        self.0.openings.store(count, Ordering::SeqCst);
+    /// Publishes the number of unfinished handshakes.
+    pub fn set_handshakes(&self, count: usize) {
+        self.0.handshakes.store(count, Ordering::SeqCst);
     }
 
-    /// Clients that have not been heard out are let go from now on.
-    pub fn hears_nobody(&self) {
-        self.0.hears_nobody.store(true, Ordering::SeqCst);
+    /// Has unfinished handshakes closed from now on.
+    pub fn close_handshakes(&self) {
+        self.0.is_closed_to_handshakes.store(true, Ordering::SeqCst);
     }
 
-    /// Whether clients are still heard out.
-    pub fn hears_openings(&self) -> bool {
-        !self.0.hears_nobody.load(Ordering::SeqCst)
+    /// Whether handshakes are still read.
+    pub fn accepts_handshakes(&self) -> bool {
+        !self.0.is_closed_to_handshakes.load(Ordering::SeqCst)
     }
 
-    /// How many clients have not been heard out.
-    pub fn openings(&self) -> usize {
-        self.0.openings.load(Ordering::SeqCst)
+    /// Number of unfinished handshakes.
+    pub fn handshakes(&self) -> usize {
+        self.0.handshakes.load(Ordering::SeqCst)
     }
 
-    /// Shows a state.
-    pub fn show(&self, state: State) {
+    /// Publishes a state.
+    pub fn set_state(&self, state: LifecycleState) {
         self.0.state.store(state as u8, Ordering::SeqCst);
     }
 
-    /// The core has turned.
-    pub fn turned(&self) {
+    /// Publishes a heartbeat of the core.
+    pub fn record_heartbeat(&self) {
         let since = u64::try_from(self.0.origin.elapsed().as_millis()).unwrap_or(u64::MAX);
-        self.0.turned_at.store(since, Ordering::Relaxed);
+        self.0.heartbeat_at.store(since, Ordering::Relaxed);
     }
 
     /// The present state.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LifecycleState {
         let at = usize::from(self.0.state.load(Ordering::SeqCst));
-        State::ALL.get(at).copied().unwrap_or(State::Starting)
+        LifecycleState::ALL
+            .get(at)
+            .copied()
+            .unwrap_or(LifecycleState::Starting)
     }
 
-    /// Whether the core is at work.
-    pub fn works(&self) -> bool {
-        let turned = Duration::from_millis(self.0.turned_at.load(Ordering::Relaxed));
-        self.0.origin.elapsed().saturating_sub(turned) < SILENCE
+    /// Whether the core has sent a heartbeat recently.
+    pub fn is_core_alive(&self) -> bool {
+        let turned = Duration::from_millis(self.0.heartbeat_at.load(Ordering::Relaxed));
+        self.0.origin.elapsed().saturating_sub(turned) < STALL_TIMEOUT
     }
 
-    /// Whether clients are taken.
+    /// Whether clients are accepted.
     pub fn is_ready(&self) -> bool {
-        self.state() == State::Serving && self.works()
+        self.state() == LifecycleState::Serving && self.is_core_alive()
     }
 }
 
--- a/crates/balancer/src/core/lifecycle/tests.rs
+++ b/crates/balancer/src/core/lifecycle/tests.rs
@@ -4,42 +4,48 @@
 use proptest::prelude::*;
 
 /// The plain model: all that was ever said, read anew each time.
-fn expected(said: &[Word]) -> State {
-    let leaves = said.iter().position(|word| *word == Word::Leave);
-    let orders = &said[..leaves.unwrap_or(said.len())];
-    let last_order = orders
+fn expected(said: &[LifecycleCommand]) -> LifecycleState {
+    let leaves = said
         .iter()
-        .rev()
-        .find(|word| matches!(word, Word::Standby | Word::Active));
+        .position(|word| *word == LifecycleCommand::ShutDown);
+    let orders = &said[..leaves.unwrap_or(said.len())];
+    let last_order = orders.iter().rev().find(|word| {
+        matches!(
+            word,
+            LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby
+        )
+    });
     let listens = said
         .iter()
         .rev()
-        .find(|word| matches!(word, Word::Listens(_)));
+        .find(|word| matches!(word, LifecycleCommand::SetListening(_)));
     let recovers = said
         .iter()
         .rev()
-        .find(|word| matches!(word, Word::Recovers(_)));
+        .find(|word| matches!(word, LifecycleCommand::SetRecovering(_)));
     if leaves.is_some() {
-        State::Leaving
-    } else if last_order == Some(&Word::Standby) {
-        State::Standby
-    } else if recovers == Some(&Word::Recovers(true)) {
-        State::Starting
-    } else if listens == Some(&Word::Listens(true)) && said.contains(&Word::Knows) {
-        State::Serving
+        LifecycleState::ShuttingDown
+    } else if last_order == Some(&LifecycleCommand::EnterStandby) {
+        LifecycleState::Standby
+    } else if recovers == Some(&LifecycleCommand::SetRecovering(true)) {
+        LifecycleState::Starting
+    } else if listens == Some(&LifecycleCommand::SetListening(true))
+        && said.contains(&LifecycleCommand::ServersKnown)
+    {
+        LifecycleState::Serving
     } else {
-        State::Starting
+        LifecycleState::Starting
     }
 }
 
-fn words() -> impl Strategy<Value = Vec<Word>> {
+fn words() -> impl Strategy<Value = Vec<LifecycleCommand>> {
     let word = prop_oneof![
-        any::<bool>().prop_map(Word::Listens),
-        Just(Word::Knows),
-        any::<bool>().prop_map(Word::Recovers),
-        Just(Word::Standby),
-        Just(Word::Active),
-        Just(Word::Leave),
+        any::<bool>().prop_map(LifecycleCommand::SetListening),
+        Just(LifecycleCommand::ServersKnown),
+        any::<bool>().prop_map(LifecycleCommand::SetRecovering),
+        Just(LifecycleCommand::EnterStandby),
+        Just(LifecycleCommand::LeaveStandby),
+        Just(LifecycleCommand::ShutDown),
     ];
     proptest::collection::vec(word, 0..24)
 }
@@ -49,11 +55,11 @@
     fn any_sequence_of_words_leads_where_the_plain_model_says(words in words()) {
         let mut lifecycle = Lifecycle::default();
         for (count, word) in words.iter().enumerate() {
-            let left = words[..count].contains(&Word::Leave);
-            let refused = left && matches!(word, Word::Standby | Word::Active);
+            let left = words[..count].contains(&LifecycleCommand::ShutDown);
+            let refused = left && matches!(word, LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby);
             let state = expected(&words[..=count]);
-            let answer = if refused { Err(Refused(State::Leaving)) } else { Ok(state) };
-            prop_assert_eq!(lifecycle.take(*word), answer);
+            let answer = if refused { Err(CommandRefused(LifecycleState::ShuttingDown)) } else { Ok(state) };
+            prop_assert_eq!(lifecycle.apply(*word), answer);
             prop_assert_eq!(lifecycle.state(), state);
         }
     }
@@ -61,15 +67,15 @@
 
 #[test]
 fn a_core_that_has_not_turned_for_long_is_not_ready() {
-    let shown = Shown::default();
-    shown.show(State::Serving);
+    let shown = LifecycleView::default();
+    shown.set_state(LifecycleState::Serving);
     assert!(shown.is_ready());
     let start = Instant::now()
-        .checked_sub(SILENCE * 2)
+        .checked_sub(STALL_TIMEOUT * 2)
         .expect("the machine runs for longer");
-    let shown = Shown::since(start);
-    shown.show(State::Serving);
+    let shown = LifecycleView::with_origin(start);
+    shown.set_state(LifecycleState::Serving);
     assert!(!shown.is_ready());
-    shown.turned();
+    shown.record_heartbeat();
     assert!(shown.is_ready());
 }
--- /dev/null
+++ b/crates/balancer/src/core/messages.rs
@@ -0,0 +1,179 @@
+//! Messages to and from the core.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use beaconflow_overrides::Judgement;
+use beaconflow_policy::{AttemptOutcome, ConnectionMetric, Nanos, ServerId};
+use beaconflow_settings::ActiveSettings;
+use crossbeam_channel::Sender;
+
+use super::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use super::{
+    AdmissionSnapshot, Counts, DoorConfig, Endpoint, FleetEvent, OverrideChange, OverridesApplied,
+    ServerSnapshot,
+};
+
+/// A client's request for a connection.
+#[derive(Clone, Debug)]
+pub struct ClientRequest {
+    /// Index of the class in the settings.
+    pub class: usize,
+    /// Key of the client.
+    pub client_key: Option<u64>,
+    /// Hash of the group that it shares work with.
+    pub group: Option<u64>,
+    /// Hash of the tenant's name.
+    pub tenant: Option<u64>,
+    /// Name of the account that it counts for.
+    pub account: Option<Arc<str>>,
+    /// The account's quota, where its record has one.
+    pub quota: Option<f64>,
+    /// Whether the client reports that it was migrated or disconnected.
+    pub is_reconnect: bool,
+    /// Bytes that its front buffers while it waits.
+    pub buffered_bytes: usize,
+    /// Expected load, in microseconds of work per second.
+    pub expected_load: Option<f64>,
+    /// When it was received.
+    pub received_at: Nanos,
+    /// How long the client waits.
+    pub client_timeout: Duration,
+    /// Name of the server that held the connection before the start, if it is to be resumed.
+    pub resumed_server: Option<String>,
+}
+
+/// An input of the core.
+#[derive(Debug)]
+pub enum CoreInput {
+    /// A client asks for a connection.
+    ConnectRequested(u64, ClientRequest, Arc<dyn CommandSender>),
+    /// An established connection was taken over from another process.
+    ConnectionAdopted(u64, ClientRequest, Arc<str>, Arc<dyn CommandSender>),
+    /// The attempt's connection is established.
+    AttemptEstablished(u64),
+    /// The attempt, or the connection that it became, ended.
+    AttemptEnded(u64, AttemptOutcome, Duration),
+    /// The server told its client to go elsewhere; the end follows.
+    ServerSentAway(u64),
+    /// An established connection was measured.
+    ConnectionMeasured(u64, ConnectionMetric),
+    /// The client left before its final answer.
+    ClientLeft(u64),
+    /// The connection's code panicked; the client has been answered.
+    ConnectionPanicked(u64),
+    /// Wakes the core after [`CoreHandle::send_discovery`](super::CoreHandle::send_discovery). The
+    /// event itself has been applied by the time that this input is handled.
+    DiscoveryPending,
+    /// A server answered a probe, or the probe failed.
+    ProbeAnswered(ServerId, Option<ProbeAnswer>),
+    /// A lifecycle command, and who is told its result.
+    LifecycleCommanded(LifecycleCommand, Option<LifecycleReply>),
+    /// A request for a snapshot of the core.
+    GetSnapshot(Sender<CoreSnapshot>),
+    /// A request for a snapshot of the admission queue.
+    GetAdmission(Sender<AdmissionSnapshot>),
+    /// The admission settings of the operator's file changed.
+    AdmissionConfigured(DoorConfig),
+    /// The site's settings were replaced as a whole.
+    SettingsReplaced(Arc<ActiveSettings>),
+    /// Overrides changed. The reply is sent once the policy has been updated.
+    OverridesChanged(Vec<OverrideChange>, Option<Sender<OverridesApplied>>),
+    /// An event of the fleet thread. It is a hint.
+    Fleet(FleetEvent),
+}
+
+/// Receives the result of a lifecycle command.
+pub struct LifecycleReply(
+    pub(super) Box<dyn FnOnce(Result<LifecycleState, CommandRefused>) + Send>,
+);
+
+impl LifecycleReply {
+    /// Creates a reply from a callback that does not block.
+    pub fn new(
+        hear: impl FnOnce(Result<LifecycleState, CommandRefused>) + Send + 'static,
+    ) -> LifecycleReply {
+        LifecycleReply(Box::new(hear))
+    }
+}
+
+impl std::fmt::Debug for LifecycleReply {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str("Told")
+    }
+}
+
+/// Sends commands to the thread that serves a connection, without blocking.
+pub trait CommandSender: std::fmt::Debug + Send + Sync {
+    /// Sends one command.
+    fn send(&self, id: u64, order: ConnectionCommand);
+}
+
+/// Probes a server for its load without blocking; [`CoreInput::ProbeAnswered`] follows.
+pub trait LoadProber: Send {
+    /// Probes one server.
+    fn probe(&self, id: ServerId, server: Arc<Endpoint>);
+}
+
+/// A server's answer to a probe.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ProbeAnswer {
+    /// Load relative to capacity.
+    Load(f64),
+    /// It answered without a usable load.
+    NoLoad,
+    /// It reported an error, or its answer can't be parsed.
+    Unhealthy,
+}
+
+/// The limits in time of an attempt. The core sets them, so that a command that was queued gains no
+/// time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptTiming {
+    /// Its first byte must be written before this.
+    pub begin_by: Instant,
+    /// It is abandoned at this moment.
+    pub deadline_at: Instant,
+}
+
+/// A command for a connection.
+#[derive(Debug)]
+pub enum ConnectionCommand {
+    /// Start an attempt.
+    StartAttempt {
+        /// The server.
+        endpoint: Arc<Endpoint>,
+        /// The limits in time.
+        timing: AttemptTiming,
+    },
+    /// Final answer: rejected; a retry is safe, after the given span.
+    Reject(Option<Duration>),
+    /// Final answer: failed.
+    Fail,
+    /// Final answer while an attempt is in flight: rejected if the attempt proves not to have been
+    /// executed, otherwise failed.
+    AbandonAttempt,
+    /// Ask the client to reconnect elsewhere.
+    Migrate,
+    /// Hand the connection over to the process that replaces this one, if there is one.
+    HandOver,
+}
+
+/// A snapshot of the core.
+#[derive(Clone, Debug)]
+pub struct CoreSnapshot {
+    /// The counters.
+    pub counts: Counts,
+    /// Open requests and connections.
+    pub open_requests: usize,
+    /// Established connections among them.
+    pub established: usize,
+    /// The listed servers.
+    pub servers: Vec<ServerSnapshot>,
+    /// Zones that overrides leave without a ready server.
+    pub coverage: Judgement,
+    /// Requests in the admission queue.
+    pub queued: usize,
+    /// Whether overrides are disabled at this front after a panic.
+    pub has_lost_overrides: bool,
+}
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -1,27 +1,27 @@
-//! The core of the balancer: one thread that owns the decision module, the clock, the timers and the books.
+//! The core: one thread that owns the policy, the clock, the timers and the request table.
 //!
-//! It knows no wire and touches no socket. Events come in over one channel; orders go out by the carrier of the
-//! transaction that they concern.
+//! It knows no wire and touches no socket. Inputs arrive over one channel; commands leave by the
+//! [`CommandSender`] of the connection that they concern.
 
-mod admit;
-mod book;
-mod door;
+mod admission;
+mod affinity;
+mod attempts;
+mod connect;
+mod decisions;
 mod drain;
-mod events;
-mod farm;
-mod fleet;
+mod endpoints;
+mod fleet_link;
 mod handle;
-mod ledger;
 pub mod lifecycle;
+mod messages;
 mod overrides;
-mod route;
+mod requests;
 mod settings;
 mod start;
 #[cfg(test)]
 mod testing;
-mod ties;
 #[cfg(test)]
-mod turns;
+mod tests;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -33,248 +33,261 @@
 use beaconflow_overrides::{Id, Judgement, Pace};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{self as policy, Action, Nanos, RequestId, ServerId, Settings, TimerId};
-use beaconflow_settings::InForce;
+use beaconflow_settings::ActiveSettings;
 use crossbeam_channel::{RecvTimeoutError, Sender};
 use tracing::debug;
 
-use door::Gate;
-pub use door::{AccountLook, Config as DoorConfig, DoorLook};
+use admission::AdmissionControl;
+pub use admission::{AccountSnapshot, AdmissionConfig as DoorConfig, AdmissionSnapshot};
+pub use affinity::{AffinityEvent, SessionAffinity};
 use drain::Drain;
-pub use events::{Asker, Carrier, Event, LoadAnswer, Look, Opening, Order, PassTimes, Told};
-use farm::Farm;
-pub use farm::{ApplicationServer, Mark, ServerLook, SitePart};
-use fleet::Bond;
-pub use fleet::{KnownNews, Seen, Tie, Witness};
-use handle::Inbox;
-pub use handle::{Counted, Handle};
-pub use ledger::Counts;
-use ledger::Ledger;
-use lifecycle::{Lifecycle, Shown};
-pub use overrides::{InEffect, OverrideChange};
-pub use settings::Figures;
-pub use start::{Start, StartError, start};
-pub use ties::{TieNews, Ties};
+use endpoints::EndpointRegistry;
+pub use endpoints::{DrainState, Endpoint, ServerSnapshot, SiteAssessment};
+use fleet_link::FleetLink;
+pub use fleet_link::{CoreEvent, FleetEvent, FleetLinkConfig, ServerIdentity};
+use handle::CoreReceiver;
+pub use handle::{ConnectionSlot, CoreHandle};
+use lifecycle::{Lifecycle, LifecycleView};
+pub use messages::{
+    AttemptTiming, ClientRequest, CommandSender, ConnectionCommand, CoreInput, CoreSnapshot,
+    LifecycleReply, LoadProber, ProbeAnswer,
+};
+pub use overrides::{OverrideChange, OverridesApplied};
+pub use requests::Counts;
+use requests::RequestTable;
+pub use settings::SharedTimeouts;
+pub use start::{CoreConfig, StartError, start};
 
 use crate::clock::{Clock, nanos};
-use crate::farm::News;
+use crate::discovery::DiscoveryEvent;
 
-/// Period of the log line of what has been counted.
-const COUNTS_PERIOD: Duration = Duration::from_secs(5);
-/// Accounts over their shares are looked for this often.
-const SHARES_PERIOD: Duration = Duration::from_secs(1);
-/// A connection that stood before this balancer's start is tried again after this long.
-const HELD_RETRY: Duration = Duration::from_millis(300);
-/// One pass for it may take this long.
-const HELD_PATIENCE: Duration = Duration::from_secs(5);
+/// Interval of the log line with the counts.
+const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval of the check for accounts over their quota.
+const OVER_QUOTA_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection from before the start is retried after this span.
+const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of one attempt to resume a connection.
+const RESUME_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(TimerId),
-    /// A connection that stood before the start is to be opened again.
-    Held(u64),
-    /// The client is moved in the drain of that number.
-    Drained(u64, u64),
-    /// That drain goes on.
-    Drain(u64),
-    Counts,
-    /// Accounts may be over their shares.
-    Shares,
-    /// The time of somebody who waits at the door is up.
-    Door,
-    /// An override begins, ends or goes on rising.
+enum TimerKind {
+    Policy(TimerId),
+    /// A connection from before the start is resumed.
+    ResumeConnection(u64),
+    /// A client is migrated in the drain of this number.
+    DrainMigration(u64, u64),
+    /// The drain of this number continues.
+    DrainProgress(u64),
+    LogCounts,
+    /// Accounts are checked against their quotas.
+    LogOverQuota,
+    /// A queued request may have expired.
+    QueueExpiry,
+    /// An override begins, ends or changes its effect.
     Overrides,
-    /// Connections are moved off servers that were taken out.
-    Moves,
-    /// A call to discovery that was held back may be due.
-    Asks,
-    /// What stands is told of again.
-    Ties,
-    /// What was known before the start has been gathered for long enough.
-    Recovered,
-    /// Nobody has said whether it is that client's turn.
-    Turn(u64),
+    /// Connections are migrated off servers taken out of service.
+    EmptyServers,
+    /// A deferred call to discovery may be due.
+    DiscoveryPoll,
+    /// Placements are published again.
+    AffinityRefresh,
+    /// Recovery has taken as long as it may.
+    RecoveryTimeout,
+    /// The recovery controller has not decided on a request.
+    StagedAdmissionTimeout(u64),
 }
 
 struct Core {
     name: &'static str,
-    /// The settings of the site as they are in force, and what the module has of them.
-    in_force: Arc<InForce>,
+    /// The site's settings in effect, and what the policy has of them.
+    in_force: Arc<ActiveSettings>,
     settings: Settings,
     seed: u64,
     clock: Clock,
-    balancer: Balancer,
-    farm: Farm,
-    ledger: Ledger,
-    gate: Gate,
-    /// What is due when; the middle number keeps the order in which equal moments were set.
-    timers: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
-    set: u64,
-    watch: Sender<()>,
-    asker: Option<Box<dyn Asker>>,
-    /// The figures of the settings that other threads read.
-    figures: Arc<Figures>,
+    policy: Balancer,
+    endpoints: EndpointRegistry,
+    requests: RequestTable,
+    admission: AdmissionControl,
+    /// Pending timers; the sequence number orders equal times.
+    timers: BinaryHeap<Reverse<(Nanos, u64, TimerKind)>>,
+    timers_set: u64,
+    discovery_polls: Sender<()>,
+    prober: Option<Box<dyn LoadProber>>,
+    /// Timeouts that other threads read.
+    timeouts: Arc<SharedTimeouts>,
     lifecycle: Lifecycle,
-    shown: Shown,
-    /// Open connections, also those that have had their last word.
+    lifecycle_view: LifecycleView,
+    /// Open connections, including those that linger.
     connections: Arc<AtomicUsize>,
-    /// The drain that is on.
+    /// The drain in progress.
     drain: Option<Drain>,
-    /// Drains so far.
+    /// Number of drains so far.
     drains: u64,
     actions: Vec<Action>,
-    /// The servers that an operator has emptied, by the override that says so.
-    moves: BTreeMap<ServerId, (Id, Pace)>,
-    /// Where the overrides leave no ready server, as last told.
-    judgement: Judgement,
-    /// When the overrides are looked at anew, if it has been set.
-    overrides_due: Option<Nanos>,
-    /// A fault in the overrides was met; none hold.
-    overrides_lost: bool,
-    /// What ties it to the fleet's thread, where a fleet is set up.
-    bond: Option<Bond>,
+    /// Servers that an operator is emptying, with the override that says so.
+    emptied_servers: BTreeMap<ServerId, (Id, Pace)>,
+    /// Zones that overrides leave without a ready server, when last logged.
+    coverage: Judgement,
+    /// When the overrides are evaluated next.
+    overrides_timer_at: Option<Nanos>,
+    /// Whether overrides are disabled after a panic.
+    has_lost_overrides: bool,
+    /// Link to the fleet thread, where a fleet is configured.
+    fleet: Option<FleetLink>,
 }
 
 impl Core {
-    fn run(&mut self, inbox: &Inbox) {
-        self.wake(COUNTS_PERIOD, Due::Counts);
-        self.wake(SHARES_PERIOD, Due::Shares);
-        while self.turn(inbox) && !self.has_left() {}
+    fn run(&mut self, inbox: &CoreReceiver) {
+        self.set_timer(COUNTS_LOG_INTERVAL, TimerKind::LogCounts);
+        self.set_timer(OVER_QUOTA_CHECK_INTERVAL, TimerKind::LogOverQuota);
+        while self.run_once(inbox) && !self.has_exited() {}
     }
 
-    /// Waits for the next event or timer and takes it; false once nobody is left who tells events.
-    fn turn(&mut self, inbox: &Inbox) -> bool {
+    /// Waits for the next input or timer and handles it. Returns false once all senders are gone.
+    fn run_once(&mut self, inbox: &CoreReceiver) -> bool {
         let due = self
             .timers
             .peek()
             .map(|Reverse((at, ..))| self.clock.instant(*at));
         let event = match due {
             Some(due) if due <= Instant::now() => Err(RecvTimeoutError::Timeout),
-            Some(due) => inbox.events.recv_deadline(due),
+            Some(due) => inbox.inputs.recv_deadline(due),
             None => inbox
-                .events
+                .inputs
                 .recv()
                 .map_err(|_| RecvTimeoutError::Disconnected),
         };
-        self.take_lists(inbox);
+        self.apply_discovery(inbox);
         match event {
-            Ok(event) => self.take(event),
-            Err(RecvTimeoutError::Timeout) => self.fire(),
+            Ok(event) => self.handle_input(event),
+            Err(RecvTimeoutError::Timeout) => self.fire_timer(),
             Err(RecvTimeoutError::Disconnected) => return false,
         }
-        // Guards against timers that wait behind a long queue of events: those due come first.
+        // Due timers go before queued inputs.
         while self
             .timers
             .peek()
             .is_some_and(|Reverse((at, ..))| *at <= self.clock.now())
         {
-            self.take_lists(inbox);
-            self.fire();
+            self.apply_discovery(inbox);
+            self.fire_timer();
         }
-        self.shown.turned();
+        self.lifecycle_view.record_heartbeat();
         true
     }
 
-    /// Takes what was told of the farm before anything else. Guards against a server that drains and is sent to for as
-    /// long as its list waits behind a queue of other events: a drain counts from the moment at which it was told.
-    fn take_lists(&mut self, inbox: &Inbox) {
-        while let Ok(news) = inbox.farm.try_recv() {
-            self.hear_of_farm(news);
+    /// Applies what discovery reported before any other input: a server drains from the moment at
+    /// which its list was received, however many inputs are queued.
+    fn apply_discovery(&mut self, inbox: &CoreReceiver) {
+        while let Ok(news) = inbox.discovery.try_recv() {
+            self.on_discovery(news);
         }
     }
 
-    fn hear_of_farm(&mut self, news: News) {
+    fn on_discovery(&mut self, news: DiscoveryEvent) {
         match news {
-            News::List(list) => self.take_list(list, false),
-            News::Failed(quiet) => self.list_is_out(policy::ListUpdate::Failed(nanos(quiet))),
-            News::Silent(quiet) => self.list_is_out(policy::ListUpdate::TimedOut(nanos(quiet))),
+            DiscoveryEvent::List(list) => self.apply_list(list, false),
+            DiscoveryEvent::Failed(quiet) => {
+                self.on_list_lost(policy::ListUpdate::Failed(nanos(quiet)))
+            }
+            DiscoveryEvent::TimedOut(quiet) => {
+                self.on_list_lost(policy::ListUpdate::TimedOut(nanos(quiet)))
+            }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_input(&mut self, event: CoreInput) {
         match event {
-            Event::Opened(id, opening, orders) => self.admit(id, opening, orders),
-            Event::Adopted(id, opening, server, orders) => self.adopt(id, opening, &server, orders),
-            Event::Established(id) => self.established(id),
-            Event::Ended(id, outcome, took) => self.ended(id, outcome, took),
-            Event::SentAway(id) => self.sent_away(id),
-            Event::Noted(id, note) => self.noted(id, note),
-            Event::Left(id) | Event::Lost(id) => {
-                if let Some(transaction) = self.ledger.close(id) {
-                    self.ledger.counts.left += 1;
-                    self.missed(&transaction, Some(Miss::Left));
-                    self.decide(policy::Event::ClientLeft(RequestId(id)));
+            CoreInput::ConnectRequested(id, opening, orders) => {
+                self.on_connect_requested(id, opening, orders)
+            }
+            CoreInput::ConnectionAdopted(id, opening, server, orders) => {
+                self.on_connection_adopted(id, opening, &server, orders)
+            }
+            CoreInput::AttemptEstablished(id) => self.on_attempt_established(id),
+            CoreInput::AttemptEnded(id, outcome, took) => self.on_attempt_ended(id, outcome, took),
+            CoreInput::ServerSentAway(id) => self.publish_server_draining(id),
+            CoreInput::ConnectionMeasured(id, note) => self.on_connection_measured(id, note),
+            CoreInput::ClientLeft(id) | CoreInput::ConnectionPanicked(id) => {
+                if let Some(transaction) = self.requests.close(id) {
+                    self.requests.counts.left += 1;
+                    self.close_in_queue(&transaction, Some(Miss::Left));
+                    self.run_policy(policy::Event::ClientLeft(RequestId(id)));
                 }
             }
-            Event::ServersTold => {}
-            Event::Probed(server, answer) => {
+            CoreInput::DiscoveryPending => {}
+            CoreInput::ProbeAnswered(server, answer) => {
                 debug!(part = self.name, server = server.0, ?answer, "probed");
                 let load = match answer {
-                    Some(LoadAnswer::Load(load)) => Some(load),
-                    // One that tells nothing of its load is not known to have too much.
-                    Some(LoadAnswer::Nothing) => Some(0.0),
-                    Some(LoadAnswer::Trouble) | None => None,
+                    Some(ProbeAnswer::Load(load)) => Some(load),
+                    // A server that reports no load is not known to be overloaded.
+                    Some(ProbeAnswer::NoLoad) => Some(0.0),
+                    Some(ProbeAnswer::Unhealthy) | None => None,
                 };
-                self.decide(policy::Event::ProbeAnswered { server, load });
+                self.run_policy(policy::Event::ProbeAnswered { server, load });
             }
-            Event::Told(word, told) => {
-                let answer = self.follow_word(word);
-                if let Some(Told(told)) = told {
+            CoreInput::LifecycleCommanded(word, told) => {
+                let answer = self.on_lifecycle_command(word);
+                if let Some(LifecycleReply(told)) = told {
                     told(answer);
                 }
             }
-            Event::Door(config) => {
-                self.gate.configure(config);
-                self.give_turns();
+            CoreInput::AdmissionConfigured(config) => {
+                self.admission.configure(config);
+                self.grant_permits();
+            }
+            CoreInput::SettingsReplaced(in_force) => self.replace_settings(in_force),
+            CoreInput::Fleet(news) => self.on_fleet_event(news),
+            CoreInput::OverridesChanged(changes, answer) => {
+                self.on_overrides_changed(changes, answer)
             }
-            Event::Settings(in_force) => self.replace_settings(in_force),
-            Event::Known(news) => self.take_known(news),
-            Event::Overrides(changes, answer) => self.take_overrides(changes, answer),
-            Event::Look(answer) => {
-                // Nobody waits any more if this fails.
-                let _ = answer.try_send(self.look());
+            CoreInput::GetSnapshot(answer) => {
+                // The requester may have timed out.
+                let _ = answer.try_send(self.snapshot());
             }
-            Event::LookAtDoor(answer) => {
-                let _ = answer.try_send(self.gate.look(self.clock.now()));
+            CoreInput::GetAdmission(answer) => {
+                let _ = answer.try_send(self.admission.snapshot(self.clock.now()));
             }
         }
     }
 
     // ---- timers ----
 
-    fn wake(&mut self, after: Duration, due: Due) {
-        self.set += 1;
+    fn set_timer(&mut self, after: Duration, due: TimerKind) {
+        self.timers_set += 1;
         self.timers.push(Reverse((
             self.clock.now().saturating_add(nanos(after)),
-            self.set,
+            self.timers_set,
             due,
         )));
     }
 
-    fn fire(&mut self) {
+    fn fire_timer(&mut self) {
         let Some(Reverse((_, _, due))) = self.timers.pop() else {
             return;
         };
         match due {
-            Due::Module(timer) => self.decide(policy::Event::TimerFired(timer)),
-            Due::Held(id) => self.reopen(id),
-            Due::Drained(number, id) => self.drained(number, id),
-            Due::Drain(number) => self.go_on_draining(number),
-            Due::Door => self.door_is_due(),
-            Due::Overrides => self.overrides_are_due(),
-            Due::Moves => self.go_on_moving(),
-            Due::Asks => self.ask_held(),
-            Due::Ties => self.ties_are_due(),
-            Due::Recovered => self.recovers_no_longer(),
-            Due::Turn(id) => self.has_its_turn(id),
-            Due::Counts => {
-                let look = self.look();
-                self.witness(|_| Some(Witness::Standing(look.standing)));
-                self.tell_counts(&look);
-                self.wake(COUNTS_PERIOD, Due::Counts);
+            TimerKind::Policy(timer) => self.run_policy(policy::Event::TimerFired(timer)),
+            TimerKind::ResumeConnection(id) => self.resume_connection(id),
+            TimerKind::DrainMigration(number, id) => self.migrate_in_drain(number, id),
+            TimerKind::DrainProgress(number) => self.continue_drain(number),
+            TimerKind::QueueExpiry => self.on_queue_timer(),
+            TimerKind::Overrides => self.on_overrides_timer(),
+            TimerKind::EmptyServers => self.continue_emptying(),
+            TimerKind::DiscoveryPoll => self.poll_if_pending(),
+            TimerKind::AffinityRefresh => self.refresh_affinity(),
+            TimerKind::RecoveryTimeout => self.on_recovery_timeout(),
+            TimerKind::StagedAdmissionTimeout(id) => self.admit_staged(id),
+            TimerKind::LogCounts => {
+                let look = self.snapshot();
+                self.publish(|_| Some(CoreEvent::EstablishedConnections(look.established)));
+                self.log_counts(&look);
+                self.set_timer(COUNTS_LOG_INTERVAL, TimerKind::LogCounts);
             }
-            Due::Shares => {
-                self.tell_over_share();
-                self.wake(SHARES_PERIOD, Due::Shares);
+            TimerKind::LogOverQuota => {
+                self.log_over_quota();
+                self.set_timer(OVER_QUOTA_CHECK_INTERVAL, TimerKind::LogOverQuota);
             }
         }
     }
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -1,6 +1,6 @@
-//! Overrides as the core follows them: what the module is told of the farm, the pins of arrivals, and moves.
+//! Application of operators' overrides: effective entries, pins and the emptying of servers.
 //!
-//! What holds when is the set's word (`beaconflow-overrides`); here it meets the list, the timers and the books.
+//! `beaconflow-overrides` decides what is in effect when.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -13,27 +13,27 @@
 use crossbeam_channel::Sender;
 use tracing::{error, info, warn};
 
-use super::farm::{Mark, SitePart};
-use super::{Core, Due};
+use super::endpoints::{DrainState, SiteAssessment};
+use super::{Core, TimerKind};
 
-/// Moves are looked for no more often than this. Guards against a core that is busy with nothing else.
-const LEAST_WAIT: Duration = Duration::from_millis(20);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+/// Interval between migrations off an emptied server.
+const MIN_MIGRATION_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_MIGRATION_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A change of the overrides.
 #[derive(Clone, Debug)]
 pub enum OverrideChange {
-    /// There is one, or it has changed.
+    /// An override was added or changed.
     Put(Box<Override>),
-    /// What is left of them is no longer felt.
+    /// Overrides no longer have any effect.
     Forget(Vec<Id>),
 }
 
-/// The module has been told of a change.
+/// A change has been applied.
 #[derive(Debug)]
-pub struct InEffect {
-    /// Marks of the servers that were taken out: no first byte goes to one once it is quiet.
-    pub out: Vec<Arc<Mark>>,
+pub struct OverridesApplied {
+    /// Drain states of the servers out of service: no first byte is written to one without writers.
+    pub out_of_service: Vec<Arc<DrainState>>,
 }
 
 impl Core {
@@ -41,20 +41,20 @@
         self.clock.now() / 1_000_000
     }
 
-    /// Does something with the overrides. Guards against a fault in them that would end the core and all connections
-    /// with it: from then on none hold at this front, and it is said.
-    pub(super) fn guarded<T>(&mut self, act: impl FnOnce(&mut Core) -> T) -> Option<T> {
+    /// Runs code on the overrides. After a panic there overrides are disabled at this front, and
+    /// the core continues.
+    pub(super) fn with_overrides<T>(&mut self, act: impl FnOnce(&mut Core) -> T) -> Option<T> {
         let done = catch_unwind(AssertUnwindSafe(|| act(self)));
         if done.is_err() {
             error!(
                 part = self.name,
                 "overrides panicked; none hold at this front until a restart"
             );
-            self.overrides_lost = true;
-            self.farm.overrides = Set::default();
-            self.moves.clear();
-            let entries = self.farm.reconsider(0);
-            self.decide(policy::Event::ServerList {
+            self.has_lost_overrides = true;
+            self.endpoints.overrides = Set::default();
+            self.emptied_servers.clear();
+            let entries = self.endpoints.refresh(0);
+            self.run_policy(policy::Event::ServerList {
                 update: policy::ListUpdate::Delta,
                 entries,
             });
@@ -62,95 +62,95 @@
         done.ok()
     }
 
-    /// Takes changes over. Whoever asked hears of it once the module has.
-    pub(super) fn take_overrides(
+    /// Applies changes; the reply is sent once the policy has been updated.
+    pub(super) fn on_overrides_changed(
         &mut self,
         changes: Vec<OverrideChange>,
-        answer: Option<Sender<InEffect>>,
+        answer: Option<Sender<OverridesApplied>>,
     ) {
-        if self.overrides_lost {
+        if self.has_lost_overrides {
             return;
         }
-        let followed = self.guarded(|core| {
+        let followed = self.with_overrides(|core| {
             for change in changes {
                 match change {
-                    OverrideChange::Put(one) => core.farm.overrides.put(*one),
+                    OverrideChange::Put(one) => core.endpoints.overrides.put(*one),
                     OverrideChange::Forget(ids) => {
                         ids.into_iter()
-                            .for_each(|id| drop(core.farm.overrides.forget(id)));
+                            .for_each(|id| drop(core.endpoints.overrides.forget(id)));
                     }
                 }
             }
-            core.reconsider();
+            core.refresh_overrides();
         });
         if let (Some(()), Some(answer)) = (followed, answer) {
-            // Nobody waits any more if this fails.
-            let _ = answer.try_send(InEffect {
-                out: self.farm.marks_of_out(),
+            // The requester may have timed out.
+            let _ = answer.try_send(OverridesApplied {
+                out_of_service: self.endpoints.drain_states_out_of_service(),
             });
         }
     }
 
-    pub(super) fn overrides_are_due(&mut self) {
+    pub(super) fn on_overrides_timer(&mut self) {
         if self
-            .overrides_due
+            .overrides_timer_at
             .is_some_and(|due| due <= self.clock.now())
         {
-            self.overrides_due = None;
+            self.overrides_timer_at = None;
         }
-        self.guarded(Core::reconsider);
+        self.with_overrides(Core::refresh_overrides);
     }
 
-    /// Tells the module what the overrides have made of the farm and of the transactions that wait.
-    fn reconsider(&mut self) {
+    /// Updates the policy's entries and the pins of waiting requests.
+    fn refresh_overrides(&mut self) {
         let now = self.now_ms();
-        let entries = self.farm.reconsider(now);
+        let entries = self.endpoints.refresh(now);
         if !entries.is_empty() {
-            self.decide(policy::Event::ServerList {
+            self.run_policy(policy::Event::ServerList {
                 update: policy::ListUpdate::Delta,
                 entries,
             });
         }
-        self.follow();
+        self.apply_overrides_unguarded();
     }
 
-    /// Takes over what the site's evidence makes of servers while its uplink is lost. Nobody is moved by it.
-    pub(super) fn follow_site(&mut self, site: BTreeMap<String, SitePart>) {
-        self.farm.follow_site(site);
-        self.guarded(Core::reconsider);
+    /// Applies the site's assessments of servers while its uplink is lost. No client is migrated.
+    pub(super) fn apply_site_assessments(&mut self, site: BTreeMap<String, SiteAssessment>) {
+        self.endpoints.set_assessments(site);
+        self.with_overrides(Core::refresh_overrides);
     }
 
-    /// What follows from overrides and list alike: pins, moves, a judgement, and when to look again.
-    pub(super) fn follow_overrides(&mut self) {
-        self.guarded(Core::follow);
+    /// Applies pins, emptying and coverage, and schedules the next evaluation.
+    pub(super) fn apply_overrides(&mut self) {
+        self.with_overrides(Core::apply_overrides_unguarded);
     }
 
-    fn follow(&mut self) {
+    fn apply_overrides_unguarded(&mut self) {
         let now = self.now_ms();
-        let farm = &self.farm;
+        let farm = &self.endpoints;
         for (id, pin) in self
-            .ledger
-            .repin(|opening| farm.pin(opening.group, opening.tenant, now))
+            .requests
+            .update_pins(|opening| farm.pin(opening.group, opening.tenant, now))
         {
-            self.decide(policy::Event::PinChanged {
+            self.run_policy(policy::Event::PinChanged {
                 request: RequestId(id),
                 pin,
             });
         }
-        let moving = self.farm.moving(now);
-        self.moves
+        let moving = self.endpoints.emptied_servers(now);
+        self.emptied_servers
             .retain(|server, (id, pace)| moving.get(server) == Some(&(*id, pace.rate())));
-        let idle = self.moves.is_empty();
+        let idle = self.emptied_servers.is_empty();
         for (server, (id, rate)) in moving {
-            self.moves
+            self.emptied_servers
                 .entry(server)
                 .or_insert_with(|| (id, Pace::new(rate, now)));
         }
-        if idle && !self.moves.is_empty() {
-            self.wake(Duration::ZERO, Due::Moves);
+        if idle && !self.emptied_servers.is_empty() {
+            self.set_timer(Duration::ZERO, TimerKind::EmptyServers);
         }
-        let judgement = self.farm.judge(now);
-        if judgement != self.judgement {
+        let judgement = self.endpoints.coverage(now);
+        if judgement != self.coverage {
             if judgement.is_sound() {
                 info!(
                     part = self.name,
@@ -159,42 +159,42 @@
             } else {
                 warn!(part = self.name, what = %judgement, "overrides leave too little");
             }
-            self.judgement = judgement;
+            self.coverage = judgement;
         }
         let next = self
-            .farm
+            .endpoints
             .overrides
             .next_change(now)
             .map(|at| at.saturating_mul(1_000_000));
         if let Some(next) = next
-            && self.overrides_due.is_none_or(|due| next < due)
+            && self.overrides_timer_at.is_none_or(|due| next < due)
         {
-            self.overrides_due = Some(next);
-            self.wake(
+            self.overrides_timer_at = Some(next);
+            self.set_timer(
                 Duration::from_nanos(next.saturating_sub(self.clock.now())),
-                Due::Overrides,
+                TimerKind::Overrides,
             );
         }
     }
 
-    /// Orders the moves that are due off servers that were taken out.
-    pub(super) fn go_on_moving(&mut self) {
-        if self.moves.is_empty() {
+    /// Migrates the connections that are due off emptied servers.
+    pub(super) fn continue_emptying(&mut self) {
+        if self.emptied_servers.is_empty() {
             return;
         }
         let now = self.now_ms();
-        let (mut wait, mut moved) = (LONGEST_WAIT, Vec::new());
-        for (server, (_, pace)) in &mut self.moves {
-            let there: Vec<u64> = self.ledger.movable_at(*server).collect();
+        let (mut wait, mut moved) = (MAX_MIGRATION_INTERVAL, Vec::new());
+        for (server, (_, pace)) in &mut self.emptied_servers {
+            let there: Vec<u64> = self.requests.migratable_at(*server).collect();
             let due = pace.due(now, there.len());
             moved.extend(there.into_iter().take(due));
             wait = wait.min(Duration::from_millis(pace.wait()));
         }
         for id in moved {
-            self.untie(id, How::MovedLeaving);
-            self.order_move(id, "an operator empties its server");
+            self.end_placement(id, How::MovedLeaving);
+            self.migrate(id, "an operator empties its server");
         }
-        self.wake(wait.max(LEAST_WAIT), Due::Moves);
+        self.set_timer(wait.max(MIN_MIGRATION_INTERVAL), TimerKind::EmptyServers);
     }
 }
 
@@ -209,8 +209,8 @@
     use crate::clock::Clock;
 
     fn told(core: &Core) -> Vec<ServerState> {
-        core.look()
-            .farm
+        core.snapshot()
+            .servers
             .iter()
             .map(|server| server.state.1)
             .collect()
@@ -244,7 +244,10 @@
             overrides.put(draft.into_override(Id(id as u64 + 1), now));
         }
         let mut core = core(clock, overrides);
-        let pin = |core: &Core| core.farm.pin(Some(digest("north")), None, core.now_ms());
+        let pin = |core: &Core| {
+            core.endpoints
+                .pin(Some(digest("north")), None, core.now_ms())
+        };
         assert_eq!(
             (told(&core), pin(&core).is_some()),
             (vec![ServerState::OutOfService], true)
@@ -255,9 +258,9 @@
         }
         assert_eq!(pin(&core), None);
         assert_eq!(told(&core), [ServerState::OutOfService], "it was told so");
-        core.take_list(list(&row("s0")), false);
+        core.apply_list(list(&row("s0")), false);
         assert_eq!(told(&core), [ServerState::Ready]);
-        core.overrides_are_due();
+        core.on_overrides_timer();
         assert_eq!(told(&core), [ServerState::Ready]);
     }
 
@@ -279,15 +282,15 @@
         overrides.put(draft.into_override(Id(1), now));
         let mut core = core(clock, overrides);
         assert_eq!(told(&core), [ServerState::OutOfService]);
-        assert!(!core.moves.is_empty() && core.judgement.whole_farm);
-        assert_eq!(core.guarded(|_| -> u8 { panic!("a fault") }), None);
+        assert!(!core.emptied_servers.is_empty() && core.coverage.whole_farm);
+        assert_eq!(core.with_overrides(|_| -> u8 { panic!("a fault") }), None);
         assert_eq!(told(&core), [ServerState::Ready], "as it is listed");
-        assert!(core.look().overrides_lost && core.moves.is_empty());
+        assert!(core.snapshot().has_lost_overrides && core.emptied_servers.is_empty());
         // What comes later is not followed, and whoever waits for it is not told that it is.
         let (answer, told_of) = crossbeam_channel::bounded(1);
-        core.take_overrides(vec![OverrideChange::Forget(vec![Id(1)])], Some(answer));
+        core.on_overrides_changed(vec![OverrideChange::Forget(vec![Id(1)])], Some(answer));
         assert!(told_of.try_recv().is_err());
-        core.take_list(list(&[row("s0"), row("s1")].join(",")), false);
+        core.apply_list(list(&[row("s0"), row("s1")].join(",")), false);
         assert_eq!(told(&core), [ServerState::Ready, ServerState::Ready]);
     }
 }
--- a/crates/balancer/src/core/settings.rs
+++ b/crates/balancer/src/core/settings.rs
@@ -1,96 +1,100 @@
-//! Settings: other ones of the site come into force while the program runs, as one change between two events.
+//! Replacement of the site's settings at runtime, as one change between two events.
 //!
-//! What stands stays, what is under way goes on, and whoever waits waits on in the new queue. The module is the same one
-//! before and after: it answers at once whoever may not be sent again by the new settings.
+//! Established connections and requests in flight continue; queued requests move to the new queue.
+//! The policy answers requests that the new settings no longer allow to be retried.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use beaconflow_policy::{self as policy, Nanos, Settings};
-use beaconflow_settings::InForce;
+use beaconflow_settings::ActiveSettings;
 use tracing::info;
 
 use super::Core;
 
-/// Part of the shortest message aim from which on a message is slow.
-const SLOW_PART: Nanos = 3;
+/// A message over this fraction (1/n) of the shortest objective is slow.
+const SLOW_MESSAGE_DIVISOR: Nanos = 3;
 
-/// The figures of the settings in force that other threads than the core's read.
+/// Timeouts of the settings in effect, for other threads than the core's.
 #[derive(Debug)]
-pub struct Figures {
-    connect_timeout: AtomicU64,
-    slow: AtomicU64,
+pub struct SharedTimeouts {
+    connect_timeout_ns: AtomicU64,
+    slow_message_threshold_ns: AtomicU64,
 }
 
-impl Figures {
-    pub(super) fn of(settings: &Settings) -> Figures {
-        let figures = Figures {
-            connect_timeout: AtomicU64::new(0),
-            slow: AtomicU64::new(0),
+impl SharedTimeouts {
+    pub(super) fn new(settings: &Settings) -> SharedTimeouts {
+        let figures = SharedTimeouts {
+            connect_timeout_ns: AtomicU64::new(0),
+            slow_message_threshold_ns: AtomicU64::new(0),
         };
-        figures.follow(settings);
+        figures.update(settings);
         figures
     }
 
-    fn follow(&self, settings: &Settings) {
+    fn update(&self, settings: &Settings) {
         let aims = settings
             .classes
             .iter()
             .map(|class| class.message_latency_objective)
             .filter(|aim| *aim > 0);
-        let slow = aims.min().map_or(Nanos::MAX, |aim| aim / SLOW_PART);
-        self.connect_timeout
+        let slow_message_threshold = aims
+            .min()
+            .map_or(Nanos::MAX, |aim| aim / SLOW_MESSAGE_DIVISOR);
+        self.connect_timeout_ns
             .store(settings.limits.connect_timeout, Ordering::Relaxed);
-        self.slow.store(slow, Ordering::Relaxed);
+        self.slow_message_threshold_ns
+            .store(slow_message_threshold, Ordering::Relaxed);
     }
 
-    /// A connection not up by then has failed.
+    /// A connect that takes longer has failed.
     pub(super) fn connect_timeout(&self) -> Duration {
-        Duration::from_nanos(self.connect_timeout.load(Ordering::Relaxed))
+        Duration::from_nanos(self.connect_timeout_ns.load(Ordering::Relaxed))
     }
 
     /// A message that takes this long is slow.
     pub(super) fn slow(&self) -> Duration {
-        Duration::from_nanos(self.slow.load(Ordering::Relaxed))
+        Duration::from_nanos(self.slow_message_threshold_ns.load(Ordering::Relaxed))
     }
 }
 
-/// What the module has of the settings in force.
-pub(super) fn of(in_force: &InForce, asks_for_load: bool) -> Settings {
-    let mut settings = in_force.module();
-    // Guards against a module that waits for answers to questions that nobody asks.
+/// The settings in effect, as the policy sees them.
+pub(super) fn policy_settings(in_force: &ActiveSettings, asks_for_load: bool) -> Settings {
+    let mut settings = in_force.policy_settings();
+    // Without a prober the policy would wait for answers that never come.
     settings.limits.can_probe &= asks_for_load;
     settings.limits.connect_timeout = in_force.setup().connect_timeout();
     settings
 }
 
 impl Core {
-    /// Other settings are in force from now on.
-    pub(super) fn replace_settings(&mut self, in_force: Arc<InForce>) {
-        self.settings = of(&in_force, self.asker.is_some());
-        self.figures.follow(&self.settings);
-        self.gate.replace_settings(&in_force, &mut self.ledger);
+    /// Applies replaced site settings.
+    pub(super) fn replace_settings(&mut self, in_force: Arc<ActiveSettings>) {
+        self.settings = policy_settings(&in_force, self.prober.is_some());
+        self.timeouts.update(&self.settings);
+        self.admission
+            .replace_settings(&in_force, &mut self.requests);
         self.in_force = in_force;
-        self.handle(policy::Event::SettingsReplaced(Box::new(
+        self.run_policy_without_permits(policy::Event::SettingsReplaced(Box::new(
             self.settings.clone(),
         )));
-        // Nothing is placed between the two: zones and servers change their numbers together.
+        // Nothing is placed in between: zones change their numbers together with the servers.
         let entries = self
-            .farm
+            .endpoints
             .renumber_zones(|zone| self.in_force.setup().zone(zone));
         if !entries.is_empty() {
-            self.handle(policy::Event::ServerList {
+            self.run_policy_without_permits(policy::Event::ServerList {
                 update: policy::ListUpdate::Delta,
                 entries,
             });
         }
         info!(
             part = self.name,
-            clients = self.ledger.len(),
+            clients = self.requests.len(),
             "settings replaced"
         );
-        self.give_turns();
+        self.grant_permits();
     }
 }
 
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -5,12 +5,12 @@
 
 use beaconflow_overrides::Set;
 use beaconflow_policy::AttemptOutcome;
-use beaconflow_settings::{InForce, Setup};
+use beaconflow_settings::{ActiveSettings, SiteSettings};
 use serde_json::{Value, json};
 
-use super::super::lifecycle::Word;
+use super::super::lifecycle::LifecycleCommand;
 use super::super::testing::{Orders, core, list, opens, row};
-use super::super::{Core, Event, Opening};
+use super::super::{ClientRequest, Core, CoreInput};
 use crate::clock::Clock;
 
 /// Set-ups that the module lets be under way at the start.
@@ -19,7 +19,7 @@
 const SOON: Duration = Duration::from_millis(1);
 
 /// Settings with these classes, each with its effect.
-fn site(lanes: &[(&str, &str)], change: impl Fn(&mut Value)) -> Setup {
+fn site(lanes: &[(&str, &str)], change: impl Fn(&mut Value)) -> SiteSettings {
     let lane = |(name, effect): &(&str, &str)| json!({"name": name, "on-time-ns": 300_000_000, "hard-limit-ns": 1_800_000_000, "effect": effect, "dedup-scope": "all", "repeat-window-ns": 0, "value": 1.0});
     let mut site = json!({
         "discovery": "automatic", "lanes": lanes.iter().map(lane).collect::<Vec<Value>>(),
@@ -28,7 +28,7 @@
         "rules": {"cold-share": 0.2, "cold-ns": 20_000_000_000_u64, "tip-multiple": 3.0, "fall-ns": 1_500_000_000},
     });
     change(&mut site);
-    Setup::read("", &site).expect("sound")
+    SiteSettings::read("", &site).expect("sound")
 }
 
 fn started() -> (Core, Arc<Orders>) {
@@ -38,33 +38,37 @@
     )
 }
 
-fn replace(core: &mut Core, setup: Setup) -> Arc<InForce> {
-    let in_force = Arc::new(core.in_force.replaced_by(setup));
-    core.take(Event::Settings(Arc::clone(&in_force)));
+fn replace(core: &mut Core, setup: SiteSettings) -> Arc<ActiveSettings> {
+    let in_force = Arc::new(core.in_force.replaced_with(setup));
+    core.handle_input(CoreInput::SettingsReplaced(Arc::clone(&in_force)));
     in_force
 }
 
 /// An opening of that class, as a front made it.
-fn opening(core: &Core, class: usize, patience: Duration) -> Opening {
-    Opening {
+fn opening(core: &Core, class: usize, client_timeout: Duration) -> ClientRequest {
+    ClientRequest {
         class,
-        key: None,
+        client_key: None,
         group: None,
         tenant: None,
         account: Some("acme".into()),
-        share: None,
-        again: false,
-        bytes: 40,
-        load: None,
-        taken_at: core.clock.now(),
-        patience,
-        held_by: None,
+        quota: None,
+        is_reconnect: false,
+        buffered_bytes: 40,
+        expected_load: None,
+        received_at: core.clock.now(),
+        client_timeout,
+        resumed_server: None,
     }
 }
 
 fn admits(core: &mut Core, orders: &Arc<Orders>, id: u64, class: usize) {
     let opening = opening(core, class, LONG);
-    core.take(Event::Opened(id, opening, Arc::<Orders>::clone(orders)));
+    core.handle_input(CoreInput::ConnectRequested(
+        id,
+        opening,
+        Arc::<Orders>::clone(orders),
+    ));
 }
 
 #[test]
@@ -87,7 +91,7 @@
     for (id, class) in [(1, chat), (2, once)] {
         admits(&mut core, &orders, id, class);
         assert_eq!(orders.of(id), (1, 0));
-        core.take(Event::Ended(id, AttemptOutcome::Reset, SOON));
+        core.handle_input(CoreInput::AttemptEnded(id, AttemptOutcome::Reset, SOON));
         // Neither may be repeated by both settings.
         assert_eq!(
             orders.of(id),
@@ -97,7 +101,7 @@
     }
     let now = Arc::clone(&core.in_force);
     admits(&mut core, &orders, 3, now.class("once").expect("there"));
-    core.take(Event::Ended(3, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded(3, AttemptOutcome::Reset, SOON));
     assert_eq!(
         orders.of(3).1,
         0,
@@ -113,7 +117,7 @@
     admits(&mut core, &orders, 1, class);
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
     assert_eq!(orders.of(1), (1, 0), "it stays out");
-    core.take(Event::Ended(1, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Reset, SOON));
     assert_eq!(orders.of(1), (1, 1));
 }
 
@@ -123,11 +127,11 @@
     for id in 0..4 {
         opens(&mut core, &orders, id, "acme", LONG);
     }
-    core.take(Event::Established(0));
+    core.handle_input(CoreInput::AttemptEstablished(0));
     let now = replace(&mut core, site(&[("other", "fragile")], |_| {}));
     assert_eq!(now.class("chat"), None);
-    core.take(Event::Established(1));
-    core.take(Event::Ended(2, AttemptOutcome::Rejected, SOON));
+    core.handle_input(CoreInput::AttemptEstablished(1));
+    core.handle_input(CoreInput::AttemptEnded(2, AttemptOutcome::Rejected, SOON));
     assert_eq!(
         (0..4).map(|id| orders.of(id)).collect::<Vec<_>>(),
         [(1, 0); 4],
@@ -138,11 +142,11 @@
         0,
         "nobody is moved for it"
     );
-    core.take(Event::Ended(0, AttemptOutcome::Served, SOON));
-    core.take(Event::Ended(1, AttemptOutcome::Served, SOON));
-    core.take(Event::Left(2));
-    core.take(Event::Left(3));
-    assert_eq!((core.ledger.len(), core.gate.waiting()), (0, 0));
+    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Served, SOON));
+    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Served, SOON));
+    core.handle_input(CoreInput::ClientLeft(2));
+    core.handle_input(CoreInput::ClientLeft(3));
+    assert_eq!((core.requests.len(), core.admission.queued()), (0, 0));
 }
 
 #[test]
@@ -157,7 +161,7 @@
             LONG,
         );
     }
-    let waiting = core.gate.waiting();
+    let waiting = core.admission.queued();
     assert_eq!(waiting, 30);
     replace(
         &mut core,
@@ -166,20 +170,20 @@
             |_| {},
         ),
     );
-    assert_eq!(core.gate.waiting(), waiting, "nobody gave way");
+    assert_eq!(core.admission.queued(), waiting, "nobody gave way");
     assert!(
         (0..WINDOW + 30).all(|id| orders.of(id).1 == 0),
         "nobody was answered"
     );
     for id in 0..WINDOW {
-        core.take(Event::Established(id));
+        core.handle_input(CoreInput::AttemptEstablished(id));
     }
     let under_way = (0..WINDOW + 30).filter(|id| orders.of(*id).0 == 1).count() as u64;
     assert!(under_way > WINDOW, "turns are given as before: {under_way}");
     for id in 0..WINDOW + 30 {
-        core.take(Event::Left(id));
+        core.handle_input(CoreInput::ClientLeft(id));
     }
-    assert_eq!((core.ledger.len(), core.gate.waiting()), (0, 0));
+    assert_eq!((core.requests.len(), core.admission.queued()), (0, 0));
 }
 
 #[test]
@@ -203,11 +207,11 @@
     };
     replace(&mut core, site(&[("chat", "retryable")], shares));
     for id in 0..WINDOW {
-        core.take(Event::Established(id));
+        core.handle_input(CoreInput::AttemptEstablished(id));
     }
     for id in 100..200 {
         if orders.of(id).0 == 1 && under_way(&orders) < WINDOW + 40 {
-            core.take(Event::Established(id));
+            core.handle_input(CoreInput::AttemptEstablished(id));
         }
     }
     let of = |rest: u64| {
@@ -232,7 +236,7 @@
     for id in 0..3 {
         opens(&mut core, &orders, id, "acme", LONG);
     }
-    core.take(Event::Ended(0, AttemptOutcome::Rejected, SOON));
+    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Rejected, SOON));
     replace(
         &mut core,
         site(&[("chat", "retryable")], |site| {
@@ -241,9 +245,9 @@
     );
     assert_eq!(orders.of(0), (1, 1), "it waited for a second attempt");
     assert_eq!([orders.of(1), orders.of(2)], [(1, 0); 2]);
-    core.take(Event::Ended(1, AttemptOutcome::Rejected, SOON));
+    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Rejected, SOON));
     assert_eq!(orders.of(1), (1, 1));
-    core.take(Event::Established(2));
+    core.handle_input(CoreInput::AttemptEstablished(2));
     assert_eq!(orders.of(2), (1, 0));
 }
 
@@ -263,15 +267,15 @@
         site(&[("chat", "retryable")], zones(json!(["east", "west"]), 0)),
     );
     let rows = [with_zone("s1", "west"), with_zone("s2", "east")].join(",");
-    core.take_list(list(&rows), false);
+    core.apply_list(list(&rows), false);
     let count = |orders: &Orders, ids: std::ops::Range<u64>, server: &str| {
         let words = orders.words();
-        ids.filter(|id| words.contains(&format!("{id} Pass to {server}\n")))
+        ids.filter(|id| words.contains(&format!("{id} StartAttempt to {server}\n")))
             .count()
     };
     for id in 0..10 {
         opens(&mut core, &orders, id, "acme", LONG);
-        core.take(Event::Established(id));
+        core.handle_input(CoreInput::AttemptEstablished(id));
     }
     assert!(count(&orders, 0..10, "s2") >= 9, "{}", orders.words());
     // The own zone is the other one now, and has the number that the first one had.
@@ -281,7 +285,7 @@
     );
     for id in 100..110 {
         opens(&mut core, &orders, id, "acme", LONG);
-        core.take(Event::Established(id));
+        core.handle_input(CoreInput::AttemptEstablished(id));
     }
     assert!(count(&orders, 100..110, "s1") >= 6, "{}", orders.words());
 }
@@ -289,19 +293,19 @@
 #[test]
 fn figures_that_other_threads_read_follow() {
     let (mut core, _) = started();
-    assert_eq!(core.figures.slow(), Duration::from_nanos(u64::MAX));
+    assert_eq!(core.timeouts.slow(), Duration::from_nanos(u64::MAX));
     let change = |site: &mut Value| {
         site["family-info"] = json!({"message-aim-ns": [90_000_000]});
         site["policy-limits"]["connect-timeout-ns"] = json!(70_000_000);
     };
     replace(&mut core, site(&[("chat", "retryable")], change));
-    assert_eq!(core.figures.slow(), Duration::from_millis(30));
-    assert_eq!(core.figures.connect_timeout(), Duration::from_millis(70));
+    assert_eq!(core.timeouts.slow(), Duration::from_millis(30));
+    assert_eq!(core.timeouts.connect_timeout(), Duration::from_millis(70));
     // Nothing of it is left when the file says nothing any more.
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
-    assert_eq!(core.figures.slow(), Duration::from_nanos(u64::MAX));
+    assert_eq!(core.timeouts.slow(), Duration::from_nanos(u64::MAX));
     assert_eq!(
-        core.figures.connect_timeout(),
+        core.timeouts.connect_timeout(),
         Duration::from_millis(300),
         "the aim of the quickest class"
     );
@@ -311,35 +315,41 @@
 fn a_module_that_panics_after_a_replacement_starts_anew_by_the_settings_in_force() {
     let (mut core, orders) = started();
     opens(&mut core, &orders, 0, "acme", LONG);
-    core.take(Event::Established(0));
+    core.handle_input(CoreInput::AttemptEstablished(0));
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
-    core.start_anew();
+    core.restart_policy();
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
-    core.take(Event::Ended(1, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Reset, SOON));
     assert_eq!(orders.of(1), (1, 1));
-    core.take(Event::Ended(0, AttemptOutcome::Served, SOON));
-    assert_eq!(core.ledger.len(), 0);
+    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Served, SOON));
+    assert_eq!(core.requests.len(), 0);
 }
 
 #[test]
 fn settings_replaced_on_standby_hold_when_clients_are_taken_again() {
     let (mut core, orders) = started();
-    for word in [Word::Listens(true), Word::Knows] {
-        core.follow_word(word).expect("no order of an operator's");
+    for word in [
+        LifecycleCommand::SetListening(true),
+        LifecycleCommand::ServersKnown,
+    ] {
+        core.on_lifecycle_command(word)
+            .expect("no order of an operator's");
     }
     opens(&mut core, &orders, 0, "acme", LONG);
-    core.take(Event::Established(0));
-    core.follow_word(Word::Standby).expect("it serves");
+    core.handle_input(CoreInput::AttemptEstablished(0));
+    core.on_lifecycle_command(LifecycleCommand::EnterStandby)
+        .expect("it serves");
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     assert_eq!(
         (orders.moves(0), orders.of(0)),
         (0, (1, 0)),
         "moved in its turn, and not for the settings"
     );
-    core.follow_word(Word::Active).expect("it stands by");
+    core.on_lifecycle_command(LifecycleCommand::LeaveStandby)
+        .expect("it stands by");
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
-    core.take(Event::Ended(1, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Reset, SOON));
     assert_eq!(orders.of(1), (1, 1));
-    core.take(Event::Ended(0, AttemptOutcome::Served, SOON));
-    assert_eq!(core.ledger.len(), 0);
+    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Served, SOON));
+    assert_eq!(core.requests.len(), 0);
 }
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -1,4 +1,4 @@
-//! The start of a core: what it is given, and why it may not start.
+//! Start of a core.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
@@ -8,56 +8,56 @@
 use beaconflow_overrides::{Judgement, Set};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::SettingsError;
-use beaconflow_settings::{InForce, Setup};
+use beaconflow_settings::{ActiveSettings, SiteSettings};
 use crossbeam_channel::Sender;
 
-use super::door::Gate;
-use super::farm::Farm;
-use super::fleet::Tie;
-use super::handle::{self, Inbox};
-use super::ledger::Ledger;
-use super::lifecycle::{Lifecycle, Shown};
-use super::{Asker, Core, DoorConfig, Figures, Handle, settings};
+use super::admission::AdmissionControl;
+use super::endpoints::EndpointRegistry;
+use super::fleet_link::FleetLinkConfig;
+use super::handle::{self, CoreReceiver};
+use super::lifecycle::{Lifecycle, LifecycleView};
+use super::requests::RequestTable;
+use super::{Core, CoreHandle, DoorConfig, LoadProber, SharedTimeouts, settings};
 use crate::clock::Clock;
-use crate::farm::List;
+use crate::discovery::ServerList;
 
 /// What a core is started with.
-pub struct Start {
-    /// The name under which it logs.
+pub struct CoreConfig {
+    /// Name of the core in the log.
     pub name: &'static str,
     /// The settings of the site.
-    pub setup: Setup,
-    /// For the module's random numbers.
+    pub site: SiteSettings,
+    /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// The clock of the program.
+    /// The program's clock.
     pub clock: Clock,
-    /// The farm as it was last known.
-    pub known: List,
-    /// Asks for the farm; [`Handle::tell_of_servers`] follows.
-    pub watch: Sender<()>,
-    /// Asks servers for their load, where the wire has a question for it; [`Event::Probed`](super::Event::Probed) follows.
-    pub asker: Option<Box<dyn Asker>>,
-    /// The overrides that were restored.
+    /// The server list as last known.
+    pub cached_list: ServerList,
+    /// Receives a message for each call to discovery; [`CoreHandle::send_discovery`] follows.
+    pub discovery_polls: Sender<()>,
+    /// Probes servers, where the wire has a probe.
+    pub prober: Option<Box<dyn LoadProber>>,
+    /// The restored overrides.
     pub overrides: Set,
-    /// What the operator's file says of admission.
-    pub door: DoorConfig,
-    /// What ties the core to the fleet's thread, where a fleet is set up.
-    pub fleet: Option<Tie>,
+    /// The admission settings.
+    pub admission: DoorConfig,
+    /// Link to the fleet thread, where a fleet is configured.
+    pub fleet: Option<FleetLinkConfig>,
 }
 
 /// Why a core does not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// A setting is out of its range.
-    Range(SettingsError),
-    /// There is no thread to be had.
+    /// A setting is outside its range.
+    Settings(SettingsError),
+    /// The thread can't be created.
     Thread(io::Error),
 }
 
 impl std::fmt::Display for StartError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StartError::Range(error) => error.fmt(f),
+            StartError::Settings(error) => error.fmt(f),
             StartError::Thread(error) => error.fmt(f),
         }
     }
@@ -65,8 +65,12 @@
 
 impl std::error::Error for StartError {}
 
-/// Starts a core on a thread of its own, which ends once it has been told to leave and has left.
-pub fn start(start: Start) -> Result<(Handle, JoinHandle<()>), StartError> {
+/// Starts a core on a thread of its own, which ends after a shutdown.
+///
+/// # Errors
+///
+/// Fails if a setting is outside its range or the thread can't be created.
+pub fn start(start: CoreConfig) -> Result<(CoreHandle, JoinHandle<()>), StartError> {
     let name = start.name;
     let (handle, mut core, inbox) = build(start)?;
     let run = move || core.run(&inbox);
@@ -76,50 +80,50 @@
     Ok((handle, thread.map_err(StartError::Thread)?))
 }
 
-pub(super) fn build(start: Start) -> Result<(Handle, Core, Inbox), StartError> {
-    let in_force = Arc::new(InForce::new(start.setup));
-    let settings = settings::of(&in_force, start.asker.is_some());
-    let (told, inbox) = handle::boxes();
-    let handle = Handle {
-        told,
-        next: Arc::default(),
+pub(super) fn build(start: CoreConfig) -> Result<(CoreHandle, Core, CoreReceiver), StartError> {
+    let in_force = Arc::new(ActiveSettings::new(start.site));
+    let settings = settings::policy_settings(&in_force, start.prober.is_some());
+    let (inputs, inbox) = handle::channel();
+    let handle = CoreHandle {
+        inputs,
+        next_id: Arc::default(),
         connections: Arc::default(),
-        shown: Shown::default(),
+        lifecycle: LifecycleView::default(),
         clock: start.clock,
-        figures: Arc::new(Figures::of(&settings)),
+        figures: Arc::new(SharedTimeouts::new(&settings)),
     };
-    let gate = Gate::new(Arc::clone(&in_force), start.door, start.seed);
-    let balancer = Balancer::new(settings.clone(), start.seed).map_err(StartError::Range)?;
+    let admission = AdmissionControl::new(Arc::clone(&in_force), start.admission, start.seed);
+    let policy = Balancer::new(settings.clone(), start.seed).map_err(StartError::Settings)?;
     let mut core = Core {
         name: start.name,
         in_force,
         settings,
         seed: start.seed,
         clock: start.clock,
-        balancer,
-        farm: Farm::new(start.overrides),
-        ledger: Ledger::default(),
-        gate,
+        policy,
+        endpoints: EndpointRegistry::new(start.overrides),
+        requests: RequestTable::default(),
+        admission,
         timers: BinaryHeap::new(),
-        set: 0,
-        watch: start.watch,
-        asker: start.asker,
-        figures: Arc::clone(&handle.figures),
+        timers_set: 0,
+        discovery_polls: start.discovery_polls,
+        prober: start.prober,
+        timeouts: Arc::clone(&handle.figures),
         lifecycle: Lifecycle::default(),
-        shown: handle.shown.clone(),
+        lifecycle_view: handle.lifecycle.clone(),
         connections: Arc::clone(&handle.connections),
         drain: None,
         drains: 0,
         actions: Vec::new(),
-        moves: BTreeMap::new(),
-        judgement: Judgement::default(),
-        overrides_due: None,
-        overrides_lost: false,
-        bond: None,
+        emptied_servers: BTreeMap::new(),
+        coverage: Judgement::default(),
+        overrides_timer_at: None,
+        has_lost_overrides: false,
+        fleet: None,
     };
     if let Some(tie) = start.fleet {
-        core.bind(tie);
+        core.attach_fleet(tie);
     }
-    core.take_list(start.known, true);
+    core.apply_list(start.cached_list, true);
     Ok((handle, core, inbox))
 }
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -1,4 +1,4 @@
-//! A core that nobody runs, for tests: its events are handed over one by one.
+//! A core without its thread, for tests that hand it inputs one by one.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use beaconflow_overrides::Set;
 use beaconflow_policy::Nanos;
 
-use super::handle::Inbox;
-use super::lifecycle::Word;
+use super::handle::CoreReceiver;
+use super::lifecycle::LifecycleCommand;
 use super::start::build;
-use super::{Carrier, Core, Handle, Opening, Order, Start};
+use super::{ClientRequest, CommandSender, ConnectionCommand, Core, CoreConfig, CoreHandle};
 use crate::clock::Clock;
-use crate::farm::List;
+use crate::discovery::ServerList;
 
 const SETTINGS: &str = r#"{"discovery": "automatic",
     "lanes": [{"name": "chat", "on-time-ns": 300000000, "hard-limit-ns": 1800000000,
@@ -20,7 +20,7 @@
     "policy-limits": {"max-attempts": 4, "retry-after": true, "max-retry-after-ns": 2000000000},
     "rules": {"cold-share": 0.2, "cold-ns": 20000000000, "tip-multiple": 3.0, "fall-ns": 1500000000}}"#;
 
-pub(super) fn list(text: &str) -> List {
+pub(super) fn list(text: &str) -> ServerList {
     let rows = format!(r#"{{"generation":1,"reset":true,"instances":[{text}]}}"#);
     serde_json::from_str(&rows).expect("a list")
 }
@@ -34,50 +34,52 @@
     told_core(clock, overrides).1
 }
 
-/// The same, with the way to it and what it hears.
-pub(super) fn told_core(clock: Clock, overrides: Set) -> (Handle, Core, Inbox) {
-    let setup = serde_json::from_str(SETTINGS).expect("settings");
-    let (known, watch) = (list(&row("s0")), crossbeam_channel::unbounded().0);
-    let start = Start {
+/// The same, with its handle and its receiver.
+pub(super) fn told_core(clock: Clock, overrides: Set) -> (CoreHandle, Core, CoreReceiver) {
+    let site = serde_json::from_str(SETTINGS).expect("settings");
+    let (cached_list, discovery_polls) = (list(&row("s0")), crossbeam_channel::unbounded().0);
+    let start = CoreConfig {
         name: "core",
-        setup,
+        site,
         seed: 7,
         clock,
-        known,
-        watch,
-        asker: None,
+        cached_list,
+        discovery_polls,
+        prober: None,
         overrides,
-        door: Default::default(),
+        admission: Default::default(),
         fleet: None,
     };
     build(start).expect("sound settings")
 }
 
-/// Keeps the orders of all transactions.
+/// Records the commands of all connections.
 #[derive(Debug, Default)]
-pub(super) struct Orders(Mutex<Vec<(u64, Order)>>);
+pub(super) struct Orders(Mutex<Vec<(u64, ConnectionCommand)>>);
 
-impl Carrier for Orders {
-    fn carry(&self, id: u64, order: Order) {
+impl CommandSender for Orders {
+    fn send(&self, id: u64, order: ConnectionCommand) {
         self.0.lock().expect("sound").push((id, order));
     }
 }
 
 impl Orders {
-    /// How often a client was told to move.
+    /// How often a client was asked to migrate.
     pub(super) fn moves(&self, id: u64) -> usize {
         let orders = self.0.lock().expect("sound");
         orders
             .iter()
-            .filter(|(of, order)| *of == id && matches!(order, Order::Move))
+            .filter(|(of, order)| *of == id && matches!(order, ConnectionCommand::Migrate))
             .count()
     }
 
-    /// All of them, in words that are the same in each run.
+    /// All commands in a reproducible text form.
     pub(super) fn words(&self) -> String {
         let orders = self.0.lock().expect("sound");
-        let word = |order: &Order| match order {
-            Order::Pass { to, .. } => format!("Pass to {}", to.name),
+        let word = |order: &ConnectionCommand| match order {
+            ConnectionCommand::StartAttempt { endpoint, .. } => {
+                format!("StartAttempt to {}", endpoint.name)
+            }
             other => format!("{other:?}"),
         };
         orders
@@ -86,19 +88,21 @@
             .collect()
     }
 
-    /// How many passes a transaction was ordered, and how many final answers.
+    /// Number of attempts and of final answers of a request.
     pub(super) fn of(&self, id: u64) -> (usize, usize) {
         let orders = self.0.lock().expect("sound");
         let own = orders.iter().filter(|(of, _)| *of == id);
         own.fold((0, 0), |(passes, answers), (_, order)| match order {
-            Order::Pass { .. } => (passes + 1, answers),
-            Order::Unavailable(_) | Order::Failed | Order::GiveUp => (passes, answers + 1),
-            Order::Move | Order::Give => (passes, answers),
+            ConnectionCommand::StartAttempt { .. } => (passes + 1, answers),
+            ConnectionCommand::Reject(_)
+            | ConnectionCommand::Fail
+            | ConnectionCommand::AbandonAttempt => (passes, answers + 1),
+            ConnectionCommand::Migrate | ConnectionCommand::HandOver => (passes, answers),
         })
     }
 }
 
-/// A client of an account opens.
+/// A client of an account sends a request.
 pub(super) fn opens(
     core: &mut Core,
     orders: &Arc<Orders>,
@@ -107,33 +111,43 @@
     patience: Duration,
 ) {
     let opening = opening(id, account, patience, core.clock.now());
-    core.admit(id, opening, Arc::<Orders>::clone(orders));
+    core.on_connect_requested(id, opening, Arc::<Orders>::clone(orders));
 }
 
-/// What such a client asks for.
-pub(super) fn opening(id: u64, account: &str, patience: Duration, taken_at: Nanos) -> Opening {
-    Opening {
+/// Such a request.
+pub(super) fn opening(
+    id: u64,
+    account: &str,
+    client_timeout: Duration,
+    received_at: Nanos,
+) -> ClientRequest {
+    ClientRequest {
         class: 0,
-        key: Some(id),
+        client_key: Some(id),
         group: None,
         tenant: None,
         account: Some(account.into()),
-        share: None,
-        again: false,
-        bytes: 40,
-        load: None,
-        taken_at,
-        patience,
-        held_by: None,
+        quota: None,
+        is_reconnect: false,
+        buffered_bytes: 40,
+        expected_load: None,
+        received_at,
+        client_timeout,
+        resumed_server: None,
     }
 }
 
 impl Core {
-    /// Begins a drain whose last answers are due at once, and has them given.
+    /// Begins a drain and sends its final answers at once.
     pub(super) fn end_drain_now(&mut self) {
-        for word in [Word::Listens(true), Word::Knows, Word::Leave] {
-            self.follow_word(word).expect("no order of an operator's");
+        for word in [
+            LifecycleCommand::SetListening(true),
+            LifecycleCommand::ServersKnown,
+            LifecycleCommand::ShutDown,
+        ] {
+            self.on_lifecycle_command(word)
+                .expect("no order of an operator's");
         }
-        self.answer_all_that_is_on_its_way();
+        self.answer_pending_requests();
     }
 }
--- a/crates/balancer/src/core/turns.rs
+++ b/crates/balancer/src/core/tests.rs
@@ -7,12 +7,12 @@
 
 use super::testing::{self, Orders};
 use super::*;
-use crate::farm::List;
+use crate::discovery::ServerList;
 
 const LONG: Duration = Duration::from_secs(60);
 
 /// A list on which a server drains and another serves.
-fn drains(server: &str, other: &str) -> List {
+fn drains(server: &str, other: &str) -> ServerList {
     let drains = testing::row(server).replace("SERVING", "DRAINING");
     testing::list(&[drains, testing::row(other)].join(","))
 }
@@ -21,23 +21,26 @@
 fn a_list_is_taken_before_the_events_that_wait() {
     let (handle, mut core, inbox) = testing::told_core(Clock::start(), Set::default());
     let orders = Arc::new(Orders::default());
-    let server = core.farm.by_name("s0").expect("listed").1;
+    let server = core.endpoints.by_name("s0").expect("listed").1;
     for id in 0..50 {
         let opening = testing::opening(id, "acme", LONG, core.clock.now());
-        handle.open(opening, Arc::<Orders>::clone(&orders) as Arc<dyn Carrier>);
+        handle.open(
+            opening,
+            Arc::<Orders>::clone(&orders) as Arc<dyn CommandSender>,
+        );
     }
-    handle.tell_of_servers(News::List(drains("s0", "s1")));
-    assert!(core.turn(&inbox));
+    handle.send_discovery(DiscoveryEvent::List(drains("s0", "s1")));
+    assert!(core.run_once(&inbox));
     assert!(
-        server.leave_to_write().is_none(),
+        server.begin_write().is_none(),
         "nobody begins to send there any more"
     );
-    while !inbox.events.is_empty() {
-        assert!(core.turn(&inbox));
+    while !inbox.inputs.is_empty() {
+        assert!(core.run_once(&inbox));
     }
     let words = orders.words();
     assert!(
-        words.contains("Pass to s1") && !words.contains("Pass to s0"),
+        words.contains("StartAttempt to s1") && !words.contains("StartAttempt to s0"),
         "{words}"
     );
 }
@@ -46,14 +49,14 @@
 fn a_list_and_the_failure_after_it_are_taken_in_their_order() {
     let (handle, mut core, inbox) = testing::told_core(Clock::start(), Set::default());
     let (watch, asked) = crossbeam_channel::unbounded();
-    core.watch = watch;
-    handle.tell_of_servers(News::Failed(Duration::ZERO));
-    handle.tell_of_servers(News::List(drains("s0", "s1")));
-    handle.tell_of_servers(News::Silent(Duration::from_millis(100)));
-    assert!(core.turn(&inbox));
-    assert!(inbox.farm.is_empty());
+    core.discovery_polls = watch;
+    handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
+    handle.send_discovery(DiscoveryEvent::List(drains("s0", "s1")));
+    handle.send_discovery(DiscoveryEvent::TimedOut(Duration::from_millis(100)));
+    assert!(core.run_once(&inbox));
+    assert!(inbox.discovery.is_empty());
     while asked.is_empty() {
-        assert!(core.turn(&inbox), "it is asked for again");
+        assert!(core.run_once(&inbox), "it is asked for again");
     }
 }
 
@@ -61,18 +64,18 @@
 fn a_module_that_panics_while_the_next_call_is_due_does_not_cost_the_watch() {
     let (handle, mut core, inbox) = testing::told_core(Clock::start(), Set::default());
     let (watch, asked) = crossbeam_channel::unbounded();
-    core.watch = watch;
-    handle.tell_of_servers(News::Failed(Duration::ZERO));
-    assert!(core.turn(&inbox));
+    core.discovery_polls = watch;
+    handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
+    assert!(core.run_once(&inbox));
     assert!(asked.is_empty(), "the call waits for its time");
     // The timer of that call goes with the module that set it.
-    core.start_anew();
+    core.restart_policy();
     assert_eq!(asked.len(), 1, "an agent is asked at once");
 }
 
 #[test]
 fn while_a_whole_list_is_read_the_servers_that_it_names_can_be_written_to() {
-    let mut farm = Farm::new(Set::default());
+    let mut farm = EndpointRegistry::new(Set::default());
     let rows = |names: &[&str]| {
         names
             .iter()
@@ -80,19 +83,19 @@
             .collect::<Vec<_>>()
             .join(",")
     };
-    farm.learn(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
+    farm.apply_list(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
     let at = |name| farm.by_name(name).expect("listed").1;
     let (gone, stay) = (at("s0"), ["s1", "s2"].map(at));
     // The zone is looked up for each entry, in the midst of the list.
     let looks = std::cell::Cell::new(0);
-    farm.learn(testing::list(&rows(&["s1", "s2"])), 1, |_| {
+    farm.apply_list(testing::list(&rows(&["s1", "s2"])), 1, |_| {
         looks.set(looks.get() + 1);
         assert!(
-            stay.iter().all(|server| server.leave_to_write().is_some()),
+            stay.iter().all(|server| server.begin_write().is_some()),
             "both go on serving"
         );
         None
     });
     assert_eq!(looks.get(), 2);
-    assert!(gone.leave_to_write().is_none());
+    assert!(gone.begin_write().is_none());
 }
--- /dev/null
+++ b/crates/balancer/src/discovery.rs
@@ -0,0 +1,355 @@
+//! Discovery: the server list and the watch on its changes.
+
+mod reading;
+#[cfg(test)]
+mod tests;
+
+use std::io;
+use std::net::SocketAddr;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use crossbeam_channel::{Receiver, Sender, unbounded};
+use serde::Deserialize;
+use tracing::{info, warn};
+use ureq::http::StatusCode;
+use ureq::{Agent, Body};
+
+use reading::WatchActivity;
+
+/// A connect to discovery that takes longer has failed.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Discovery sends an empty line every 2 s. A change counts as known after 6 s, however silent the
+/// watch.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// An agent on this host answers at once. Waiting longer would delay the next call, while the
+/// agent's list counts as known.
+const AGENT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Longest head of a response.
+const MAX_RESPONSE_HEAD: usize = 8 << 10;
+/// Buffers for reading a response and writing a request; a process holds one of each.
+const BUFFERS: (usize, usize) = (16 << 10, 1 << 10);
+
+/// A server list in discovery's form: a snapshot or a delta.
+#[derive(Clone, Debug, Default, Deserialize)]
+pub struct ServerList {
+    /// Its version.
+    #[serde(default)]
+    pub generation: u64,
+    /// Whether it is a snapshot.
+    #[serde(default)]
+    pub reset: bool,
+    /// The servers.
+    #[serde(default)]
+    pub instances: Vec<ListedServer>,
+}
+
+impl ServerList {
+    /// The version that a watch continues from, or 0 without servers: a delta needs the list that
+    /// it refers to.
+    pub fn version(&self) -> u64 {
+        if self.instances.is_empty() {
+            0
+        } else {
+            self.generation
+        }
+    }
+}
+
+/// A listed server.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct ListedServer {
+    /// Name; equal at all balancers.
+    pub instance_id: String,
+    /// Address from this balancer. A removed server may have none.
+    #[serde(default)]
+    pub host_port: Option<SocketAddr>,
+    /// Name of its zone.
+    #[serde(default)]
+    pub zone: String,
+    /// Its machine type.
+    #[serde(default)]
+    pub machine_type: String,
+    /// Its cell.
+    #[serde(default)]
+    pub cell: u32,
+    /// Whether it accepts new connections.
+    pub lifecycle: ServerLifecycle,
+    /// Its weight.
+    #[serde(default = "default_weight")]
+    pub weight: f64,
+    /// Unix time of its last start, in milliseconds; 0 if long ago.
+    #[serde(default)]
+    pub started_at_ms: u64,
+}
+
+fn default_weight() -> f64 {
+    1.0
+}
+
+/// Whether a listed server accepts new connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "UPPERCASE")]
+pub enum ServerLifecycle {
+    /// It accepts new connections.
+    Serving,
+    /// It is finishing its connections.
+    Draining,
+    /// It has been removed.
+    Deleted,
+}
+
+/// An event of the watch.
+#[derive(Debug)]
+pub enum DiscoveryEvent {
+    /// A snapshot or a delta arrived.
+    List(ServerList),
+    /// The watch ended or could not be opened, this long after its last message. The list is
+    /// unchanged.
+    Failed(Duration),
+    /// The call or the watch was ended after this long without a message. The list is unchanged.
+    TimedOut(Duration),
+}
+
+/// The address of discovery, shared with the reload.
+#[derive(Clone)]
+pub struct DiscoveryAddress {
+    target: Arc<Mutex<WatchTarget>>,
+    polls: Sender<()>,
+}
+
+struct WatchTarget {
+    address: SocketAddr,
+    /// Incremented with each change of the address.
+    generation: u64,
+    /// The client of the present watch.
+    open_watch: Option<Agent>,
+}
+
+impl DiscoveryAddress {
+    fn lock(&self) -> MutexGuard<'_, WatchTarget> {
+        // Plain values are valid even if a thread panicked while holding the lock.
+        self.target.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// The present address.
+    pub fn address(&self) -> SocketAddr {
+        self.lock().address
+    }
+
+    /// Changes the address: ends the watch, which may be blocked in a read, and has the new address
+    /// watched at once.
+    pub fn move_to(&self, discovery: SocketAddr) {
+        {
+            let mut aim = self.lock();
+            aim.address = discovery;
+            aim.generation += 1;
+            if let Some(watch) = aim.open_watch.take() {
+                watch.shutdown();
+            }
+        }
+        // Sent after the change, so that the watcher sees the new address.
+        let _ = self.polls.send(());
+    }
+}
+
+/// Opens a watch whenever the core asks for it.
+pub struct Watcher {
+    polls: Receiver<()>,
+    target: DiscoveryAddress,
+    /// The version that the next watch continues from.
+    generation: u64,
+    /// Timeout for the beginning of a response.
+    response_timeout: Duration,
+}
+
+impl Watcher {
+    /// Creates a watcher that continues from a version, and the sender that requests watches.
+    pub fn new(address: SocketAddr, known: u64) -> (Watcher, Sender<()>) {
+        let (request_watch, polls) = unbounded();
+        let target = Arc::new(Mutex::new(WatchTarget {
+            address,
+            generation: 0,
+            open_watch: None,
+        }));
+        let target = DiscoveryAddress {
+            target,
+            polls: request_watch.clone(),
+        };
+        (
+            Watcher {
+                polls,
+                target,
+                generation: known,
+                response_timeout: WATCH_TIMEOUT,
+            },
+            request_watch,
+        )
+    }
+
+    /// Configures the watcher for an agent on this host and requests the first watch. The policy
+    /// polls a pushed list only after a failure.
+    pub fn for_agent(self) -> Watcher {
+        // The watcher holds the other end.
+        let _ = self.target.polls.send(());
+        Watcher {
+            response_timeout: AGENT_TIMEOUT,
+            ..self
+        }
+    }
+
+    /// The address, to be changed.
+    pub fn target(&self) -> DiscoveryAddress {
+        self.target.clone()
+    }
+
+    /// Opens watches on request until the core is gone.
+    pub fn run(mut self, tell: impl Fn(DiscoveryEvent)) {
+        let mut seen = 0;
+        while self.polls.recv().is_ok() {
+            let ended = loop {
+                let (discovery, moves) = {
+                    let aim = self.target.lock();
+                    (aim.address, aim.generation)
+                };
+                if moves != seen {
+                    // Another service counts its versions differently: the snapshot is requested.
+                    (seen, self.generation) = (moves, 0);
+                }
+                let ended = self.watch_once(discovery, moves, &tell);
+                // Requests that came during a watch are answered by its end.
+                while self.polls.try_recv().is_ok() {}
+                if self.target.lock().generation == seen {
+                    break ended;
+                }
+            };
+            tell(ended);
+        }
+    }
+
+    /// Runs one watch to its end. A panic counts as a failure, so that the thread continues.
+    fn watch_once(
+        &mut self,
+        discovery: SocketAddr,
+        moves: u64,
+        tell: &impl Fn(DiscoveryEvent),
+    ) -> DiscoveryEvent {
+        let hearing = WatchActivity::start();
+        let watch = AssertUnwindSafe(|| self.watch(discovery, moves, &hearing, tell));
+        let ended =
+            catch_unwind(watch).unwrap_or_else(|_| Err(io::Error::other("the watch panicked")));
+        self.target.lock().open_watch = None;
+        let quiet = hearing.quiet_for();
+        let Err(error) = ended else {
+            return DiscoveryEvent::Failed(quiet);
+        };
+        warn!(part = "discovery", why = %error, ?quiet, "watch ended");
+        if is_timeout(&error) {
+            DiscoveryEvent::TimedOut(quiet)
+        } else {
+            DiscoveryEvent::Failed(quiet)
+        }
+    }
+
+    fn watch(
+        &mut self,
+        discovery: SocketAddr,
+        moves: u64,
+        hearing: &WatchActivity,
+        tell: &impl Fn(DiscoveryEvent),
+    ) -> io::Result<()> {
+        let client = self.client();
+        {
+            let mut aim = self.target.lock();
+            if aim.generation != moves {
+                return Ok(());
+            }
+            // Set before connecting, so that a change of the address ends the call wherever it is.
+            aim.open_watch = Some(client.clone());
+        }
+        self.read_watch(&client, discovery, hearing, tell)
+    }
+
+    /// A client for one watch: no name resolution, no connection reuse.
+    fn client(&self) -> Agent {
+        let (read, written) = BUFFERS;
+        let config = Agent::config_builder()
+            .proxy(None)
+            .max_redirects(0)
+            .http_status_as_error(false)
+            .max_idle_connections(0)
+            .max_response_header_size(MAX_RESPONSE_HEAD)
+            .input_buffer_size(read)
+            .output_buffer_size(written)
+            .timeout_connect(Some(self.response_timeout.min(CONNECT_TIMEOUT)))
+            .timeout_recv_response(Some(self.response_timeout))
+            .timeout_per_read(Some(WATCH_TIMEOUT))
+            .timeout_per_write(Some(CONNECT_TIMEOUT));
+        config.build().new_agent()
+    }
+
+    fn read_watch(
+        &mut self,
+        client: &Agent,
+        discovery: SocketAddr,
+        hearing: &WatchActivity,
+        tell: &impl Fn(DiscoveryEvent),
+    ) -> io::Result<()> {
+        let from = self.generation;
+        let body = ask(client, discovery, from)?;
+        info!(part = "discovery", %discovery, from, "watch open");
+        let lists = reading::bounded_lists(body.into_reader(), hearing);
+        // Lists may be indented over many lines, and a chunk may end anywhere.
+        for list in serde_json::Deserializer::from_reader(lists).into_iter::<ServerList>() {
+            let list = list?;
+            hearing.list_ended();
+            if !list.reset && list.generation < self.generation {
+                // A late delta would bring back removed servers. A snapshot is always applied,
+                // since discovery may count anew.
+                let (told, held) = (list.generation, self.generation);
+                warn!(
+                    part = "discovery",
+                    told, held, "changes older than the list held are passed over"
+                );
+                continue;
+            }
+            self.generation = list.generation;
+            tell(DiscoveryEvent::List(list));
+        }
+        Err(io::Error::other("discovery ended it"))
+    }
+}
+
+/// Whether a call or a watch timed out.
+fn is_timeout(error: &io::Error) -> bool {
+    if error.kind() == io::ErrorKind::TimedOut {
+        return true;
+    }
+    let error = error.get_ref().and_then(|error| error.downcast_ref());
+    matches!(error, Some(ureq::Error::Timeout(part)) if *part != ureq::Timeout::Connect)
+}
+
+/// Requests a watch. Anything but a chunked 200 is an error.
+fn ask(client: &Agent, discovery: SocketAddr, from: u64) -> io::Result<Body> {
+    let call = client.get(format!(
+        "http://{discovery}/api/targets?watch=1&from={from}"
+    ));
+    let answer = call
+        .header("accept", "application/json")
+        .call()
+        .map_err(ureq::Error::into_io)?;
+    if answer.status() != StatusCode::OK {
+        return Err(io::Error::other(format!(
+            "discovery answered {}",
+            answer.status()
+        )));
+    }
+    let coding = answer.headers().get("transfer-encoding");
+    if !coding.is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
+        // A list that is not a watch would end and be requested again and again.
+        return Err(io::Error::other("a watch that is not chunked"));
+    }
+    Ok(answer.into_body())
+}
--- /dev/null
+++ b/crates/balancer/src/discovery/reading.rs
@@ -0,0 +1,123 @@
+//! Reading of a watch: lists are bounded in size and time, and the latest activity is known.
+
+use std::cell::Cell;
+use std::io::{self, BufReader, Read};
+use std::time::{Duration, Instant};
+
+use super::WATCH_TIMEOUT;
+
+/// Longest list.
+const MAX_LIST_BYTES: u64 = 4 << 20;
+/// A list must be complete within this span. A discovery that sends byte by byte is never silent,
+/// and nothing after the list would arrive.
+const MAX_LIST_SPAN: Duration = WATCH_TIMEOUT;
+
+/// Activity of one call and its watch.
+pub(super) struct WatchActivity {
+    /// When anything last arrived, or when the call began.
+    received_at: Cell<Instant>,
+    /// When the first byte of an incomplete list arrived.
+    list_started_at: Cell<Option<Instant>>,
+    /// Bytes since the last list. Empty lines count for the next list and reach the bound only
+    /// after months.
+    bytes: Cell<u64>,
+}
+
+impl WatchActivity {
+    /// A call begins.
+    pub(super) fn start() -> WatchActivity {
+        WatchActivity {
+            received_at: Cell::new(Instant::now()),
+            list_started_at: Cell::new(None),
+            bytes: Cell::new(0),
+        }
+    }
+
+    /// Time since the last complete message.
+    pub(super) fn quiet_for(&self) -> Duration {
+        self.list_started_at
+            .get()
+            .unwrap_or(self.received_at.get())
+            .elapsed()
+    }
+
+    /// A list is complete.
+    pub(super) fn list_ended(&self) {
+        self.list_started_at.set(None);
+        self.bytes.set(0);
+    }
+}
+
+/// The body of a watch, for a parser that reads byte by byte.
+pub(super) fn bounded_lists<R: Read>(body: R, hearing: &WatchActivity) -> impl Read {
+    let bounded = BoundedReader {
+        inner: body,
+        hearing,
+        has_failed: false,
+    };
+    ListStartReader {
+        inner: BufReader::new(bounded),
+        hearing,
+    }
+}
+
+/// Bounds what is read, including white space.
+///
+/// After a failed read nothing more is read: the parser would otherwise look for the end of each
+/// open object and wait again.
+struct BoundedReader<'a, R> {
+    inner: R,
+    hearing: &'a WatchActivity,
+    has_failed: bool,
+}
+
+impl<R: Read> BoundedReader<'_, R> {
+    fn read_bounded(&mut self, into: &mut [u8]) -> io::Result<usize> {
+        let count = self.inner.read(into)?;
+        let (hearing, now) = (self.hearing, Instant::now());
+        hearing.received_at.set(now);
+        hearing.bytes.set(hearing.bytes.get() + count as u64);
+        if hearing.bytes.get() > MAX_LIST_BYTES {
+            return Err(io::Error::other("a list without an end"));
+        }
+        if hearing
+            .list_started_at
+            .get()
+            .is_some_and(|since| now - since > MAX_LIST_SPAN)
+        {
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "a list that takes too long",
+            ));
+        }
+        Ok(count)
+    }
+}
+
+impl<R: Read> Read for BoundedReader<'_, R> {
+    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
+        if self.has_failed {
+            return Err(io::Error::other("the watch is over"));
+        }
+        self.read_bounded(into)
+            .inspect_err(|_| self.has_failed = true)
+    }
+}
+
+/// Notices the first byte of a list.
+struct ListStartReader<'a, R> {
+    inner: R,
+    hearing: &'a WatchActivity,
+}
+
+impl<R: Read> Read for ListStartReader<'_, R> {
+    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
+        let count = self.inner.read(into)?;
+        if self.hearing.list_started_at.get().is_none() && !into[..count].trim_ascii().is_empty() {
+            self.hearing
+                .list_started_at
+                .set(Some(self.hearing.received_at.get()));
+        }
+        Ok(count)
+    }
+}
--- a/crates/balancer/src/farm/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -22,7 +22,7 @@
 }
 
 /// A watch that stands, and what is told of it.
-fn stands() -> (TcpStream, Receiver<News>) {
+fn stands() -> (TcpStream, Receiver<DiscoveryEvent>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let (watcher, ask) = Watcher::new(listener.local_addr().expect("bound"), 0);
     let (told, news) = unbounded();
@@ -45,7 +45,7 @@
         .chunks(5)
         .for_each(|piece| say(&mut stream, std::str::from_utf8(piece).expect("ASCII")));
     let next = || match news.recv_timeout(LONG) {
-        Ok(News::List(list)) => (list.generation, list.instances.len()),
+        Ok(DiscoveryEvent::List(list)) => (list.generation, list.instances.len()),
         other => panic!("no list: {other:?}"),
     };
     assert_eq!((next(), next()), ((7, 1), (8, 0)));
@@ -54,9 +54,9 @@
 #[test]
 fn a_list_without_an_end_is_an_error_also_where_it_is_all_blanks() {
     for byte in *b" x" {
-        let (begun, hearing) = (&b"{\"more\":\""[..], Hearing::begin());
-        let from = reading::lists_of(begun.chain(io::repeat(byte)), &hearing);
-        assert!(List::deserialize(&mut serde_json::Deserializer::from_reader(from)).is_err());
+        let (begun, hearing) = (&b"{\"more\":\""[..], WatchActivity::start());
+        let from = reading::bounded_lists(begun.chain(io::repeat(byte)), &hearing);
+        assert!(ServerList::deserialize(&mut serde_json::Deserializer::from_reader(from)).is_err());
     }
 }
 
@@ -65,11 +65,14 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let (watcher, ask) = Watcher::new(listener.local_addr().expect("bound"), 3);
     let (told, news) = unbounded();
-    std::thread::spawn(move || watcher.of_agent().run(|list| drop(told.send(list))));
+    std::thread::spawn(move || watcher.for_agent().run(|list| drop(told.send(list))));
     // Discovery is down: the agent says nothing, and is asked anew when the module says so.
     let silent = asked(&listener);
     assert!(
-        matches!(news.recv_timeout(SILENCE / 2), Ok(News::Silent(_))),
+        matches!(
+            news.recv_timeout(WATCH_TIMEOUT / 2),
+            Ok(DiscoveryEvent::TimedOut(_))
+        ),
         "long before a watch is given up"
     );
     ask.send(()).expect("it listens");
@@ -79,12 +82,15 @@
     say(&mut stream, "{\"generation\":4}\n");
     assert!(matches!(
         news.recv_timeout(LONG),
-        Ok(News::List(List { generation: 4, .. }))
+        Ok(DiscoveryEvent::List(ServerList { generation: 4, .. }))
     ));
     // Half an entry, and silence from then on: one wait, however deep the parser is.
     say(&mut stream, "{\"instances\":[{\"instanceId\":");
     assert!(
-        matches!(news.recv_timeout(SILENCE * 3 / 2), Ok(News::Silent(_))),
+        matches!(
+            news.recv_timeout(WATCH_TIMEOUT * 3 / 2),
+            Ok(DiscoveryEvent::TimedOut(_))
+        ),
         "it ends once it is found silent"
     );
 }
@@ -108,7 +114,7 @@
     drop(stream);
     // The end of the watch is told as a failure.
     let taken: Vec<u64> = std::iter::from_fn(|| match news.recv_timeout(Duration::from_secs(10)) {
-        Ok(News::List(list)) => Some(list.generation),
+        Ok(DiscoveryEvent::List(list)) => Some(list.generation),
         _ => None,
     })
     .collect();
@@ -119,7 +125,7 @@
 fn an_answer_that_is_no_watch_is_an_error() {
     let long = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: {}\r\n\r\n",
-        "x".repeat(LONGEST_HEAD)
+        "x".repeat(MAX_RESPONSE_HEAD)
     );
     for answer in [
         &b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"[..],
@@ -165,25 +171,25 @@
         assert!(
             matches!(
                 news.recv_timeout(LONG),
-                Ok(News::List(List { generation: 4, .. }))
+                Ok(DiscoveryEvent::List(ServerList { generation: 4, .. }))
             ),
             "{spoilt:?}"
         );
         stream.write_all(spoilt.as_bytes()).expect("open");
-        let mut ended = news.recv_timeout(SILENCE / 2);
-        if let Ok(News::List(_)) = ended {
+        let mut ended = news.recv_timeout(WATCH_TIMEOUT / 2);
+        if let Ok(DiscoveryEvent::List(_)) = ended {
             // What had come whole before the fault.
-            ended = news.recv_timeout(SILENCE / 2);
+            ended = news.recv_timeout(WATCH_TIMEOUT / 2);
         }
         assert!(
-            matches!(ended, Ok(News::Failed(_))),
+            matches!(ended, Ok(DiscoveryEvent::Failed(_))),
             "{spoilt:?}: long before it is given up as silent"
         );
     }
 }
 
 /// A watcher of that discovery that has been asked once: what it tells, and the end that asks it again.
-fn watches(discovery: SocketAddr) -> (Receiver<News>, Sender<()>) {
+fn watches(discovery: SocketAddr) -> (Receiver<DiscoveryEvent>, Sender<()>) {
     let (watcher, ask) = Watcher::new(discovery, 0);
     let (told, news) = unbounded();
     std::thread::spawn(move || watcher.run(|list| drop(told.send(list))));
@@ -197,7 +203,7 @@
         if stream.write_all(&piece).is_err() {
             return;
         }
-        std::thread::sleep(SILENCE / 20);
+        std::thread::sleep(WATCH_TIMEOUT / 20);
     }
 }
 
@@ -208,9 +214,9 @@
     say(&mut stream, "{\"generation\":");
     let blanks = std::iter::repeat_with(|| b"1\r\n \r\n".to_vec());
     std::thread::spawn(move || trickle(stream, blanks));
-    let told = news.recv_timeout(SILENCE * 3 / 2);
+    let told = news.recv_timeout(WATCH_TIMEOUT * 3 / 2);
     assert!(
-        matches!(told, Ok(News::Silent(quiet)) if quiet >= SILENCE),
+        matches!(told, Ok(DiscoveryEvent::TimedOut(quiet)) if quiet >= WATCH_TIMEOUT),
         "{told:?}"
     );
 }
@@ -222,9 +228,9 @@
     let mut stream = asked(&listener);
     stream.write_all(b"HTTP/1.1 200 OK\r\nX: ").expect("open");
     std::thread::spawn(move || trickle(stream, std::iter::repeat_with(|| b"x".to_vec())));
-    let told = news.recv_timeout(SILENCE * 3 / 2);
+    let told = news.recv_timeout(WATCH_TIMEOUT * 3 / 2);
     assert!(
-        matches!(told, Ok(News::Silent(quiet)) if quiet >= SILENCE),
+        matches!(told, Ok(DiscoveryEvent::TimedOut(quiet)) if quiet >= WATCH_TIMEOUT),
         "{told:?}"
     );
 }
@@ -243,7 +249,7 @@
         .expect("open");
     let told = news.recv_timeout(LONG);
     assert!(
-        matches!(told, Ok(News::Failed(quiet)) if quiet >= late),
+        matches!(told, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= late),
         "{told:?}"
     );
     // Broken off a while after the last that was heard.
@@ -251,12 +257,15 @@
     let mut stream = asked(&listener);
     stream.write_all(HEAD).expect("open");
     say(&mut stream, "{\"generation\":4}\n");
-    assert!(matches!(news.recv_timeout(LONG), Ok(News::List(_))));
+    assert!(matches!(
+        news.recv_timeout(LONG),
+        Ok(DiscoveryEvent::List(_))
+    ));
     std::thread::sleep(late);
     drop(stream);
     let told = news.recv_timeout(LONG);
     assert!(
-        matches!(told, Ok(News::Failed(quiet)) if quiet >= late),
+        matches!(told, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= late),
         "{told:?}"
     );
 }
@@ -277,7 +286,7 @@
     let (news, _ask) = watches(at);
     let told = news.recv_timeout(LONG);
     assert!(
-        matches!(told, Ok(News::Failed(quiet)) if quiet >= CONNECT_PATIENCE * 9 / 10),
+        matches!(told, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= CONNECT_TIMEOUT * 9 / 10),
         "{told:?}"
     );
 }
@@ -290,7 +299,10 @@
     std::thread::spawn(move || {
         watcher.run(|news| {
             assert!(
-                !matches!(news, News::List(List { generation: 13, .. })),
+                !matches!(
+                    news,
+                    DiscoveryEvent::List(ServerList { generation: 13, .. })
+                ),
                 "the fault that is played"
             );
             drop(told.send(news));
@@ -300,13 +312,16 @@
     let mut stream = asked(&listener);
     stream.write_all(HEAD).expect("open");
     say(&mut stream, "{\"generation\":13}\n");
-    assert!(matches!(news.recv_timeout(LONG), Ok(News::Failed(_))));
+    assert!(matches!(
+        news.recv_timeout(LONG),
+        Ok(DiscoveryEvent::Failed(_))
+    ));
     ask.send(()).expect("it listens");
     let mut stream = asked(&listener);
     stream.write_all(HEAD).expect("open");
     say(&mut stream, "{\"generation\":14}\n");
     assert!(matches!(
         news.recv_timeout(LONG),
-        Ok(News::List(List { generation: 14, .. }))
+        Ok(DiscoveryEvent::List(ServerList { generation: 14, .. }))
     ));
 }
--- /dev/null
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -0,0 +1,225 @@
+//! Events of the core: stored, published to peers, and evaluated.
+
+use beaconflow_affinity::{Placement, VersionFact};
+use beaconflow_edge::Outcome::{Answered, Failed};
+use beaconflow_edge::{Evidence, Judged};
+use beaconflow_gossip::{Evidence as Weighed, Seen as Sight, Subject, Value};
+use beaconflow_policy::AttemptOutcome;
+use beaconflow_recovery::{Event as RecoveryEvent, EvidenceSource};
+use tracing::warn;
+
+use super::server_list::LIST_TTL_MS;
+use super::uplink::Uplink;
+use super::{FleetThread, Millis, messages, millis, records, shared_gossip, site_evidence};
+use crate::core::{CoreEvent, ServerIdentity};
+
+/// Lifetime of evidence on a server.
+const EVIDENCE_TTL_MS: Millis = 60_000;
+/// Lifetime of a site's evidence on a server.
+const SITE_EVIDENCE_TTL_MS: Millis = 600_000;
+/// Half-life of the count of placements on a server in slow start.
+const SLOW_START_HALF_LIFE_MS: f64 = 10_000.0;
+/// Greatest weight of repeated evidence.
+const MAX_EVIDENCE_WEIGHT: f64 = 4.0;
+
+impl FleetThread {
+    /// Handles an event of the core.
+    pub(super) fn on_core_event(&mut self, seen: CoreEvent) {
+        match seen {
+            CoreEvent::ListApplied(list, known) => self.on_list_applied(list, known),
+            CoreEvent::DiscoveryLost => {
+                self.on_recovery_event(RecoveryEvent::Failed(EvidenceSource::Discovery));
+                self.with_uplink(Uplink::on_discovery_lost);
+            }
+            CoreEvent::PlacementsChanged(placements) => placements
+                .iter()
+                .for_each(|one| self.publish_placement(one)),
+            CoreEvent::VersionRuns(fact) => self.publish_version(&fact),
+            CoreEvent::RememberedPlacements(held) => self.status.placements = Some(held),
+            CoreEvent::EstablishedConnections(standing) => {
+                self.established = standing;
+                if self.recovery.recovery().may_remember() {
+                    self.memory.store(records::encode_former_clients(
+                        self.estimate_fleet_clients(),
+                        self.now_ms(),
+                    ));
+                }
+            }
+            CoreEvent::AttemptFinished(server, key, how) => {
+                self.publish_attempt_outcome(&server, how);
+                self.count_client_outcome(key, how);
+                if let Some(judged) = site_evidence::judged(how) {
+                    self.publish_server_evidence(&server, judged);
+                }
+            }
+            CoreEvent::ServerDraining(server) => {
+                self.publish_server_evidence(&server, Judged::Drains)
+            }
+            CoreEvent::AdmissionRequested(arrival) => {
+                self.on_recovery_event(RecoveryEvent::AdmissionRequested(arrival))
+            }
+            CoreEvent::SlowStartPlacement(server) => self.count_slow_start_placement(&server),
+        }
+    }
+
+    /// Publishes a version of the configuration that runs here.
+    fn publish_version(&mut self, fact: &VersionFact) {
+        let (key, value) = (fact.version.0.to_be_bytes(), records::version(fact));
+        self.memory.store(records::record(
+            records::VERSION_RECORD,
+            &key,
+            value.clone(),
+            self.now_ms(),
+        ));
+        self.publish_fact(
+            shared_gossip::VERSION_FACT,
+            (key.to_vec(), true),
+            value,
+            LIST_TTL_MS,
+        );
+    }
+
+    /// Counts a placement on a server in slow start; former ones decay.
+    fn count_slow_start_placement(&self, server: &ServerIdentity) {
+        let (subject, now) = (Subject::ColdSent(server.name.to_string()), self.now_ms());
+        shared_gossip::lock(&self.gossip, |known| {
+            let sent = known
+                .knowledge
+                .get(&subject, &known.knowledge.me().name.clone(), now);
+            let before = match sent.map(|fact| (fact.value, fact.witnessed)) {
+                Some((Value::ColdSent(sent), at)) => {
+                    sent * 0.5_f64.powf((now - at.min(now)) as f64 / SLOW_START_HALF_LIFE_MS)
+                }
+                _ => 0.0,
+            };
+            let _ = known.knowledge.witness(
+                &subject,
+                &Value::ColdSent(before + 1.0),
+                EVIDENCE_TTL_MS,
+                now,
+            );
+        });
+    }
+
+    /// Estimates the clients of the whole fleet from this process's share.
+    fn estimate_fleet_clients(&self) -> f64 {
+        self.established as f64 * shared_gossip::lock(&self.gossip, |known| known.members) as f64
+    }
+
+    fn publish_placement(&mut self, placement: &Placement) {
+        self.memory.store_placement(placement, self.now_ms());
+        let life = millis(self.config.affinity.retention);
+        let key = placement.key.0.to_be_bytes().to_vec();
+        self.publish_fact(
+            shared_gossip::PLACEMENT_FACT,
+            (key, false),
+            records::encode_placement(placement),
+            life,
+        );
+        // A client may return to another process before the next gossip round.
+        self.membership.say();
+    }
+
+    /// Publishes a fact of this program's own kinds.
+    pub(super) fn publish_fact(
+        &self,
+        kind: u32,
+        (key, owned): (Vec<u8>, bool),
+        value: Vec<u8>,
+        good_for: Millis,
+    ) {
+        let (subject, now) = (
+            shared_gossip::custom_subject(kind, key, owned),
+            self.now_ms(),
+        );
+        let entered = shared_gossip::lock(&self.gossip, |known| {
+            known
+                .knowledge
+                .witness(&subject, &Value::Unknown(value), good_for, now)
+        });
+        if let Err(why) = entered {
+            warn!(part = "peers", kind, why = ?why, "not told to the others");
+        }
+    }
+
+    /// Publishes evidence on a server to the site, where the uplink is monitored.
+    fn publish_server_evidence(&mut self, server: &ServerIdentity, judged: Judged) {
+        if self.uplink.is_none() {
+            return;
+        }
+        let is_answer = !matches!(judged, Judged::Hung | Judged::Refused | Judged::Gone);
+        let outcome = if is_answer {
+            Answered { took_ms: 0 }
+        } else {
+            Failed
+        };
+        self.with_uplink(|uplink, now| uplink.on_evidence(now, Evidence::ServerHere { outcome }));
+        if let Some(told) =
+            self.site_evidence
+                .record_own(self.now_ms(), &self.config.name, server, judged)
+        {
+            let key = told.server.clone().into_bytes();
+            self.publish_fact(
+                shared_gossip::SERVER_EVIDENCE_FACT,
+                (key, true),
+                messages::encode_server_evidence(&told),
+                SITE_EVIDENCE_TTL_MS,
+            );
+            self.membership.say();
+        }
+    }
+
+    /// Counts failed placements of a client key over all processes, until one succeeds.
+    fn count_client_outcome(&mut self, key: Option<u64>, how: Option<AttemptOutcome>) {
+        let (Some(key), now, good) = (key, self.now_ms(), self.failure_ttl_ms) else {
+            return;
+        };
+        let has_failed = !matches!(how, None | Some(AttemptOutcome::Served));
+        let told = shared_gossip::lock(&self.gossip, |known| {
+            let known = &mut known.knowledge;
+            if has_failed {
+                return known.failed(key, good, now).is_ok();
+            }
+            known.failures(key, now) > 0 && known.succeeded(key, good, now).is_ok()
+        });
+        if told {
+            self.membership.say();
+        }
+    }
+
+    fn publish_attempt_outcome(&mut self, server: &ServerIdentity, how: Option<AttemptOutcome>) {
+        let seen = match how {
+            None | Some(AttemptOutcome::Served) => Sight::Well,
+            Some(AttemptOutcome::TimedOut) => Sight::Hung,
+            Some(
+                AttemptOutcome::ConnectFailed
+                | AttemptOutcome::Rejected
+                | AttemptOutcome::Reset
+                | AttemptOutcome::ServerError,
+            ) => Sight::Refused,
+            Some(AttemptOutcome::Cancelled | AttemptOutcome::NotSent) => return,
+        };
+        let (subject, now) = (Subject::Standing(server.name.to_string()), self.now_ms());
+        shared_gossip::lock(&self.gossip, |known| {
+            let before = known
+                .knowledge
+                .get(&subject, &known.knowledge.me().name.clone(), now);
+            let weight = match before.map(|fact| (fact.value, fact.witnessed)) {
+                Some((Value::Standing(Weighed { seen: same, weight }), at)) if same == seen => {
+                    // A healthy server is not reported for every connection.
+                    if seen == Sight::Well && now.saturating_sub(at) < EVIDENCE_TTL_MS / 4 {
+                        return;
+                    }
+                    (weight + 1.0).min(MAX_EVIDENCE_WEIGHT)
+                }
+                _ => 1.0,
+            };
+            let _ = known.knowledge.witness(
+                &subject,
+                &Value::Standing(Weighed { seen, weight }),
+                EVIDENCE_TTL_MS,
+                now,
+            );
+        });
+    }
+}
--- a/crates/balancer/src/fleet/handle.rs
+++ b/crates/balancer/src/fleet/handle.rs
@@ -1,76 +1,79 @@
-//! The way to the fleet's thread for the other threads, and what they are shown of it.
+//! Access to the fleet thread for other threads.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use beaconflow_affinity::Version;
-use beaconflow_settings::Setup;
+use beaconflow_settings::SiteSettings;
 use crossbeam_channel::Sender;
 
 use super::setup::version;
-use crate::operator::{self, FarmSource};
+use crate::operator::{self, EndpointSource};
 
-/// What people are shown of the fleet.
+/// The status of the fleet, for people.
 #[derive(Clone, Debug, Default)]
-pub struct Status {
-    /// This process and its site.
+pub struct FleetStatus {
+    /// Name of this process.
     pub name: String,
     /// Its site.
     pub site: String,
-    /// Its boot number.
-    pub boot: u64,
-    /// Processes that are there, this one among them, and how many there should be.
+    /// Its incarnation number.
+    pub incarnation: u64,
+    /// Processes present, including this one, and processes expected.
     pub processes: (usize, usize),
-    /// Where this process is on its way from dark to serving.
+    /// State of the recovery.
     pub recovery: String,
-    /// Client keys of which placements have failed, as all processes know.
-    pub failing: usize,
-    /// Clients that were told to come again in their turn.
+    /// Client keys with failures, over all processes.
+    pub failing_clients: usize,
+    /// Clients deferred by staged admission.
     pub deferred: u64,
-    /// How the uplink stands and why, where that is judged.
+    /// State of the uplink and its reason, where it is monitored.
     pub uplink: Option<String>,
-    /// Placements that are remembered, where affinity is set up.
+    /// Remembered placements, where session affinity is enabled.
     pub placements: Option<usize>,
-    /// The version of the configuration.
+    /// Version of the configuration.
     pub version: String,
-    /// Datagrams that were refused.
-    pub refused: u64,
-    /// Whether what is known outlives the process.
-    pub kept: bool,
+    /// Datagrams refused.
+    pub refused_datagrams: u64,
+    /// Whether the memory outlives the process.
+    pub is_persistent: bool,
 }
 
-/// The way to the fleet's thread.
+/// A handle to the fleet thread.
 #[derive(Clone)]
 pub struct FleetHandle {
-    pub(super) commands: Sender<Command>,
-    pub(super) shown: Arc<Mutex<Status>>,
+    pub(super) commands: Sender<FleetCommand>,
+    pub(super) status: Arc<Mutex<FleetStatus>>,
 }
 
-/// What the thread is told to do.
-pub(super) enum Command {
-    /// The operator's file says something else.
-    Follow(Box<operator::Fleet>),
-    /// The configuration says something else of routing from now on.
-    Routes(Version),
+/// A command for the fleet thread.
+pub(super) enum FleetCommand {
+    /// The operator's file changed.
+    Reconfigure(Box<operator::FleetConfig>),
+    /// The routing configuration has another version.
+    SetVersion(Version),
 }
 
 impl FleetHandle {
-    /// What people are shown.
-    pub fn look(&self) -> Status {
-        self.shown
+    /// The present status.
+    pub fn status_snapshot(&self) -> FleetStatus {
+        self.status
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// A farm that stands in the file is another one from now on: so is the version of the configuration.
-    pub fn routes(&self, setup: &Setup, farm: &FarmSource) {
-        let _ = self
-            .commands
-            .send(Command::Routes(version(&setup.module(), Some(farm))));
+    /// Reports another source of endpoints, which changes the version of the configuration.
+    pub fn set_endpoint_source(&self, setup: &SiteSettings, farm: &EndpointSource) {
+        let _ = self.commands.send(FleetCommand::SetVersion(version(
+            &setup.policy_settings(),
+            Some(farm),
+        )));
     }
 
-    /// Takes over of a file what can change while the program runs.
-    pub fn follow(&self, file: operator::Fleet) {
-        let _ = self.commands.send(Command::Follow(Box::new(file)));
+    /// Applies what can change at runtime of the operator's file.
+    pub fn reconfigure(&self, file: operator::FleetConfig) {
+        let _ = self
+            .commands
+            .send(FleetCommand::Reconfigure(Box::new(file)));
     }
 }
--- /dev/null
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -0,0 +1,230 @@
+//! The stored memory of the process: writing, and reading at the start.
+
+use std::collections::HashMap;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use beaconflow_affinity::{Placement, VersionFact};
+use beaconflow_store::memory::{self, Record, Writer};
+use tracing::{error, info, warn};
+
+use super::{Millis, records};
+use crate::discovery::ServerList;
+use crate::operator;
+
+/// Time for the last write during a shutdown.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which expired records are removed and the file's size is checked.
+const HOUSEKEEPING_INTERVAL_MS: Millis = 10_000;
+/// Most expired placements removed at once.
+const MAX_EXPIRED_PER_PASS: usize = 10_000;
+
+/// What the memory held at the start.
+#[derive(Default)]
+pub(super) struct RestoredMemory {
+    /// Incarnation number of this process; 0 if the memory has none.
+    pub(super) incarnation: u64,
+    /// When the memory was last written, by the wall clock of then.
+    pub(super) written_at: Option<Millis>,
+    /// The server list with the epoch of the discovery that sent it.
+    pub(super) list: Option<(ServerList, u64)>,
+    pub(super) placements: Vec<Placement>,
+    pub(super) versions: Vec<VersionFact>,
+    pub(super) former_clients: Option<f64>,
+    /// Whether the site was isolated, and when discovery last confirmed the list.
+    pub(super) uplink: Option<(bool, Option<u64>)>,
+}
+
+/// Writes the memory, if there is one.
+pub(super) struct MemoryWriter {
+    writer: Option<Writer>,
+    path: PathBuf,
+    max_bytes: u64,
+    /// Seconds after which a placement expires.
+    retention_s: u32,
+    /// Stored placements: when each client key was last seen, in seconds.
+    last_seen_s: HashMap<u64, u32>,
+    is_full: bool,
+    housekeeping_at: Millis,
+}
+
+/// Opens the memory. Faults are logged, and the process serves without it.
+pub(super) fn open(file: &operator::FleetConfig, wall: Millis) -> (MemoryWriter, RestoredMemory) {
+    let retention_s = u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX);
+    let none = |path| MemoryWriter {
+        writer: None,
+        path,
+        max_bytes: 0,
+        retention_s,
+        last_seen_s: HashMap::new(),
+        is_full: false,
+        housekeeping_at: 0,
+    };
+    let Some(set) = &file.memory else {
+        return (none(PathBuf::new()), RestoredMemory::default());
+    };
+    let (memory, found) = match memory::open(&set.path, &file.name, wall) {
+        Ok(opened) => opened,
+        Err(why) => {
+            error!(part = "memory", file = %set.path.display(), why = %why, "nothing is remembered or kept");
+            return (none(set.path.clone()), RestoredMemory::default());
+        }
+    };
+    if let Some(aside) = &found.aside {
+        warn!(part = "memory", what = %aside, "a file is not read");
+    }
+    if let Some(why) = &found.unwritable {
+        warn!(
+            part = "memory",
+            why, "the disk takes nothing; what is known is not kept"
+        );
+    }
+    if found.clock_went_back {
+        warn!(
+            part = "memory",
+            "the wall clock stands before the last writing: no age can be told from it"
+        );
+    }
+    let mut restored = RestoredMemory {
+        incarnation: found.boot,
+        written_at: found.last_written_ms,
+        ..RestoredMemory::default()
+    };
+    let mut unreadable = found.unreadable;
+    for record in &found.records {
+        unreadable += u64::from(!restored.read_record(record));
+    }
+    info!(
+        part = "memory",
+        boot = found.boot,
+        list = restored
+            .list
+            .as_ref()
+            .map_or(0, |(list, _)| list.instances.len()),
+        placements = restored.placements.len(),
+        unreadable,
+        "remembered"
+    );
+    let writer = Writer::spawn(memory)
+        .inspect_err(|why| error!(part = "memory", why, "nothing is kept"))
+        .ok();
+    let last_seen_s = restored
+        .placements
+        .iter()
+        .map(|one| (one.key.0, one.seen_s))
+        .collect();
+    (
+        MemoryWriter {
+            writer,
+            max_bytes: set.max_bytes,
+            last_seen_s,
+            ..none(set.path.clone())
+        },
+        restored,
+    )
+}
+
+impl RestoredMemory {
+    /// Reads a record; returns whether it could be parsed.
+    fn read_record(&mut self, record: &Record) -> bool {
+        match record.kind {
+            records::LIST_RECORD => {
+                let list = records::decode_list(record);
+                let read = list.is_some();
+                self.list = list.or(self.list.take());
+                read
+            }
+            records::FORMER_CLIENTS_RECORD => {
+                self.former_clients = records::decode_former_clients(record);
+                self.former_clients.is_some()
+            }
+            records::UPLINK_RECORD => {
+                self.uplink = records::decode_uplink(record);
+                self.uplink.is_some()
+            }
+            records::VERSION_RECORD => {
+                let fact = records::decode_version(&record.subject, &record.value);
+                self.versions.extend(fact);
+                fact.is_some()
+            }
+            records::PLACEMENT_RECORD => {
+                let placement = records::decode_placement(&record.subject, &record.value);
+                self.placements.extend(placement);
+                placement.is_some()
+            }
+            _ => false,
+        }
+    }
+}
+
+impl MemoryWriter {
+    /// Whether anything is stored.
+    pub(super) fn is_persistent(&self) -> bool {
+        self.writer
+            .as_ref()
+            .is_some_and(|writer| !writer.counts().ailing)
+    }
+
+    /// Stores a record without blocking.
+    pub(super) fn store(&self, record: Record) {
+        if let Some(writer) = &self.writer {
+            writer.remember(record);
+        }
+    }
+
+    /// Stores a placement, unless the file is full.
+    pub(super) fn store_placement(&mut self, placement: &Placement, now: Millis) {
+        let Some(writer) = &self.writer else { return };
+        let key = placement.key.0;
+        if self.is_full && !self.last_seen_s.contains_key(&key) {
+            return;
+        }
+        self.last_seen_s.insert(key, placement.seen_s);
+        let value = records::encode_placement(placement);
+        writer.remember(records::record(
+            records::PLACEMENT_RECORD,
+            &key.to_be_bytes(),
+            value,
+            now,
+        ));
+    }
+
+    /// Removes expired placements and checks the file's size.
+    pub(super) fn on_timer(&mut self, now: Millis) {
+        let Some(writer) = self.writer.as_ref().filter(|_| now >= self.housekeeping_at) else {
+            return;
+        };
+        self.housekeeping_at = now.saturating_add(HOUSEKEEPING_INTERVAL_MS);
+        let oldest = u32::try_from(now / 1_000)
+            .unwrap_or(u32::MAX)
+            .saturating_sub(self.retention_s);
+        let spent = self
+            .last_seen_s
+            .iter()
+            .filter(|(_, seen)| **seen < oldest)
+            .map(|(key, _)| *key);
+        let spent: Vec<u64> = spent.take(MAX_EXPIRED_PER_PASS).collect();
+        for key in spent {
+            self.last_seen_s.remove(&key);
+            writer.forget(records::PLACEMENT_RECORD, key.to_be_bytes().to_vec());
+        }
+        let size = std::fs::metadata(&self.path).map_or(0, |about| about.len());
+        let is_full = size > self.max_bytes;
+        if is_full != self.is_full {
+            self.is_full = is_full;
+            warn!(
+                part = "memory",
+                size,
+                most = self.max_bytes,
+                full = is_full,
+                "no further clients are remembered while the file is full"
+            );
+        }
+    }
+
+    /// Writes what is pending; returns whether all of it was written in time.
+    pub(super) fn finish(self) -> bool {
+        self.writer
+            .is_none_or(|writer| writer.end(FINAL_WRITE_TIMEOUT))
+    }
+}
--- a/crates/balancer/src/fleet/words.rs
+++ b/crates/balancer/src/fleet/messages.rs
@@ -1,14 +1,14 @@
-//! What processes say of themselves on their way through failure, as protocol buffers that the peers carry unread.
-//! Fields are added, never given another meaning or number.
+//! Messages between processes, as protocol buffers that the gossip crate carries unread. Fields are
+//! only added; numbers keep their meaning.
 
 use beaconflow_edge::{Before, Force, Judged, Judgement, Place, Says, Seen, State, Word};
-use beaconflow_recovery::PeerWord;
+use beaconflow_recovery::PeerStatus;
 use prost::Message;
 
-const MS: u64 = 1_000_000;
+const NANOS_PER_MS: u64 = 1_000_000;
 
 #[derive(Clone, PartialEq, Message)]
-struct WordRecord {
+struct RecoveryStatusRecord {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(string, tag = "2")]
@@ -29,43 +29,43 @@
     short: f64,
 }
 
-/// How this process stands on its way.
-pub(super) fn say(word: &PeerWord) -> Vec<u8> {
-    WordRecord {
+/// Encodes this process's recovery status.
+pub(super) fn encode_recovery_status(word: &PeerStatus) -> Vec<u8> {
+    RecoveryStatusRecord {
         name: word.name.clone(),
         site: word.site.clone(),
-        boot: word.boot,
-        up_for_ms: word.up_for / MS,
-        serving_for_ms: word.serving_for.map(|span| span / MS),
-        in_full: word.in_full,
-        wall_ms: word.wall,
-        former: word.former,
-        short: word.short,
+        boot: word.incarnation,
+        up_for_ms: word.uptime / NANOS_PER_MS,
+        serving_for_ms: word.serving_time.map(|span| span / NANOS_PER_MS),
+        in_full: word.serves_in_full,
+        wall_ms: word.wall_clock,
+        former: word.former_clients,
+        short: word.deferred_per_s,
     }
     .encode_to_vec()
 }
 
-/// What another process said so long ago: its spans have grown since. Nothing if it can't be read.
-pub(super) fn hear(bytes: &[u8], age_ms: u64) -> Option<PeerWord> {
-    let read = WordRecord::decode(bytes).ok()?;
+/// Decodes a recovery status of the given age; its spans grow by it. `None` if it can't be parsed.
+pub(super) fn decode_recovery_status(bytes: &[u8], age_ms: u64) -> Option<PeerStatus> {
+    let read = RecoveryStatusRecord::decode(bytes).ok()?;
     let sound = |value: &f64| value.is_finite() && *value >= 0.0;
-    let grown = |span: u64| span.saturating_add(age_ms).saturating_mul(MS);
-    Some(PeerWord {
+    let grown = |span: u64| span.saturating_add(age_ms).saturating_mul(NANOS_PER_MS);
+    Some(PeerStatus {
         name: read.name,
         site: read.site,
-        boot: read.boot,
-        up_for: grown(read.up_for_ms),
-        serving_for: read.serving_for_ms.map(grown),
-        in_full: read.in_full,
-        wall: read.wall_ms.map(|wall| wall.saturating_add(age_ms)),
-        former: read.former.filter(sound),
-        short: if sound(&read.short) { read.short } else { 0.0 },
+        incarnation: read.boot,
+        uptime: grown(read.up_for_ms),
+        serving_time: read.serving_for_ms.map(grown),
+        serves_in_full: read.in_full,
+        wall_clock: read.wall_ms.map(|wall| wall.saturating_add(age_ms)),
+        former_clients: read.former.filter(sound),
+        deferred_per_s: if sound(&read.short) { read.short } else { 0.0 },
     })
 }
 
-/// A part of what may be let in that a process leaves to another.
+/// Quota that a process lends to another.
 #[derive(Clone, PartialEq, Message)]
-struct LoanRecord {
+struct LentQuotaRecord {
     #[prost(string, tag = "1")]
     from: String,
     #[prost(uint64, tag = "2")]
@@ -74,8 +74,8 @@
     clients: f64,
 }
 
-pub(super) fn lend(from: &str, number: u64, clients: f64) -> Vec<u8> {
-    LoanRecord {
+pub(super) fn encode_lent_quota(from: &str, number: u64, clients: f64) -> Vec<u8> {
+    LentQuotaRecord {
         from: from.to_owned(),
         number,
         clients,
@@ -83,15 +83,15 @@
     .encode_to_vec()
 }
 
-/// Who leaves it, which loan it is, and how many clients.
-pub(super) fn read_loan(bytes: &[u8]) -> Option<(String, u64, f64)> {
-    let read = LoanRecord::decode(bytes).ok()?;
+/// Decodes lent quota: the lender, the number of the loan, and the clients.
+pub(super) fn decode_lent_quota(bytes: &[u8]) -> Option<(String, u64, f64)> {
+    let read = LentQuotaRecord::decode(bytes).ok()?;
     Some((read.from, read.number, read.clients))
 }
 
-/// What a process found a server to be. Moments are told as ages.
+/// A process's evidence on a server. Times are sent as ages.
 #[derive(Clone, PartialEq, Message)]
-struct JudgedRecord {
+struct ServerEvidenceRecord {
     #[prost(string, tag = "1")]
     server: String,
     #[prost(string, tag = "2")]
@@ -118,8 +118,8 @@
     weight: u32,
 }
 
-/// In the order of their numbers, from 0.
-const JUDGED: [Judged; 6] = [
+/// Indexed by their numbers.
+const SERVER_HEALTH_NUMBERS: [Judged; 6] = [
     Judged::Well,
     Judged::Busy,
     Judged::Hung,
@@ -128,29 +128,29 @@
     Judged::Gone,
 ];
 
-/// What this process found a server to be just now.
-pub(super) fn judge(one: &Judgement) -> Vec<u8> {
+/// Encodes own evidence on a server.
+pub(super) fn encode_server_evidence(one: &Judgement) -> Vec<u8> {
     let age = |at: u64| one.witnessed_ms.saturating_sub(at);
-    JudgedRecord {
+    ServerEvidenceRecord {
         server: one.server.clone(),
         origin: one.origin.clone(),
-        judged: number(&one.judged, &JUDGED),
+        judged: number(&one.judged, &SERVER_HEALTH_NUMBERS),
         weight: one.weight,
         since_age_ms: age(one.since_ms),
         started_ms: one.started_ms,
         before: one.before.map(|before| BeforeRecord {
             until_age_ms: age(before.until_ms),
-            judged: number(&before.judged, &JUDGED),
+            judged: number(&before.judged, &SERVER_HEALTH_NUMBERS),
             weight: before.weight,
         }),
     }
     .encode_to_vec()
 }
 
-/// What another process found a server to be at that moment. Nothing if it can't be read.
-pub(super) fn read_judged(bytes: &[u8], witnessed_ms: u64) -> Option<Judgement> {
-    let read = JudgedRecord::decode(bytes).ok()?;
-    let kind = |number: u32| JUDGED.get(number as usize).copied();
+/// Decodes a peer's evidence. `None` if it can't be parsed.
+pub(super) fn decode_server_evidence(bytes: &[u8], witnessed_ms: u64) -> Option<Judgement> {
+    let read = ServerEvidenceRecord::decode(bytes).ok()?;
+    let kind = |number: u32| SERVER_HEALTH_NUMBERS.get(number as usize).copied();
     let ago = |age: u64| witnessed_ms.saturating_sub(age);
     let before = |before: BeforeRecord| {
         let (until_ms, judged) = (ago(before.until_age_ms), kind(before.judged)?);
@@ -173,7 +173,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct SaysRecord {
+struct UplinkStatusRecord {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(string, tag = "2")]
@@ -185,10 +185,10 @@
     #[prost(message, repeated, tag = "5")]
     probes: Vec<PlaceRecord>,
     #[prost(message, optional, tag = "6")]
-    word: Option<ForceRecord>,
+    word: Option<OperatorModeRecord>,
 }
 
-/// A place with a number: how it was seen, or how often it was asked.
+/// A place with a number: its reachability, or the probes sent to it.
 #[derive(Clone, PartialEq, Message)]
 struct PlaceRecord {
     /// 0 is discovery, 1 the store, 2 a site.
@@ -203,7 +203,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct ForceRecord {
+struct OperatorModeRecord {
     #[prost(uint64, tag = "1")]
     given_at: u64,
     #[prost(uint32, tag = "2")]
@@ -216,21 +216,21 @@
     why: String,
 }
 
-/// Each in the order of their numbers, from 0.
-const STATES: [State; 4] = [
+/// Each indexed by its numbers.
+const UPLINK_STATE_NUMBERS: [State; 4] = [
     State::Linked,
     State::Doubtful,
     State::Islanded,
     State::Rejoining,
 ];
-const SIGHTS: [Seen; 3] = [Seen::Stands, Seen::Hears, Seen::Lost];
-const FORCES: [Force; 3] = [Force::Automatic, Force::Island, Force::Linked];
+const REACHABILITY_NUMBERS: [Seen; 3] = [Seen::Stands, Seen::Hears, Seen::Lost];
+const OPERATOR_MODE_NUMBERS: [Force; 3] = [Force::Automatic, Force::Island, Force::Linked];
 
 fn number<T: PartialEq>(of: &T, all: &[T]) -> u32 {
     all.iter().position(|one| one == of).unwrap_or(0) as u32
 }
 
-fn place(place: &Place, number: u32, age_ms: u64) -> PlaceRecord {
+fn encode_place(place: &Place, number: u32, age_ms: u64) -> PlaceRecord {
     let (kind, site) = match place {
         Place::Discovery => (0, String::new()),
         Place::Store => (1, String::new()),
@@ -244,7 +244,7 @@
     }
 }
 
-fn read_place(record: &PlaceRecord) -> Option<Place> {
+fn decode_place(record: &PlaceRecord) -> Option<Place> {
     match record.kind {
         0 => Some(Place::Discovery),
         1 => Some(Place::Store),
@@ -253,45 +253,47 @@
     }
 }
 
-/// What this process sees of the uplink.
-pub(super) fn say_uplink(says: &Says) -> Vec<u8> {
-    let force = |word: &Word| ForceRecord {
+/// Encodes this process's uplink status.
+pub(super) fn encode_uplink_status(says: &Says) -> Vec<u8> {
+    let force = |word: &Word| OperatorModeRecord {
         given_at: word.given_at,
-        force: number(&word.force, &FORCES),
+        force: number(&word.force, &OPERATOR_MODE_NUMBERS),
         ends_at: word.ends_at,
         who: word.who.clone(),
         why: word.why.clone(),
     };
-    let seen = |(at, seen, age): &(Place, Seen, u64)| place(at, number(seen, &SIGHTS), *age);
-    SaysRecord {
+    let seen = |(at, seen, age): &(Place, Seen, u64)| {
+        encode_place(at, number(seen, &REACHABILITY_NUMBERS), *age)
+    };
+    UplinkStatusRecord {
         name: says.name.clone(),
         site: says.site.clone(),
-        state: number(&says.state, &STATES),
+        state: number(&says.state, &UPLINK_STATE_NUMBERS),
         places: says.places.iter().map(seen).collect(),
         probes: says
             .probes
             .iter()
-            .map(|(at, tries, age)| place(at, *tries, *age))
+            .map(|(at, tries, age)| encode_place(at, *tries, *age))
             .collect(),
         word: says.word.as_ref().map(force),
     }
     .encode_to_vec()
 }
 
-/// What another process of the site said so long ago. Nothing if it can't be read.
-pub(super) fn hear_uplink(bytes: &[u8], age_ms: u64) -> Option<Says> {
-    let read = SaysRecord::decode(bytes).ok()?;
+/// Decodes an uplink status of the given age. `None` if it can't be parsed.
+pub(super) fn decode_uplink_status(bytes: &[u8], age_ms: u64) -> Option<Says> {
+    let read = UplinkStatusRecord::decode(bytes).ok()?;
     let aged = |one: &PlaceRecord| one.age_ms.saturating_add(age_ms);
     let seen = |one: &PlaceRecord| {
         Some((
-            read_place(one)?,
-            *SIGHTS.get(one.number as usize)?,
+            decode_place(one)?,
+            *REACHABILITY_NUMBERS.get(one.number as usize)?,
             aged(one),
         ))
     };
-    let probe = |one: &PlaceRecord| Some((read_place(one)?, one.number, aged(one)));
-    let force = |word: &ForceRecord| {
-        let force = *FORCES.get(word.force as usize)?;
+    let probe = |one: &PlaceRecord| Some((decode_place(one)?, one.number, aged(one)));
+    let force = |word: &OperatorModeRecord| {
+        let force = *OPERATOR_MODE_NUMBERS.get(word.force as usize)?;
         let (who, why) = (word.who.clone(), word.why.clone());
         Some(Word {
             given_at: word.given_at,
@@ -302,7 +304,7 @@
         })
     };
     Some(Says {
-        state: *STATES.get(read.state as usize)?,
+        state: *UPLINK_STATE_NUMBERS.get(read.state as usize)?,
         places: read.places.iter().filter_map(seen).collect(),
         probes: read.probes.iter().filter_map(probe).collect(),
         word: read.word.as_ref().and_then(force),
--- a/crates/balancer/src/fleet/words/tests.rs
+++ b/crates/balancer/src/fleet/messages/tests.rs
@@ -17,11 +17,14 @@
         origin: "a".into(),
     };
     assert_eq!(
-        read_judged(&judge(&judgement(1_000)), 90_000),
+        decode_server_evidence(&encode_server_evidence(&judgement(1_000)), 90_000),
         Some(judgement(90_000))
     );
-    assert_eq!(read_judged(b"\xff", 0), None);
-    assert_eq!(read_loan(&lend("a", 3, 0.5)), Some(("a".into(), 3, 0.5)));
+    assert_eq!(decode_server_evidence(b"\xff", 0), None);
+    assert_eq!(
+        decode_lent_quota(&encode_lent_quota("a", 3, 0.5)),
+        Some(("a".into(), 3, 0.5))
+    );
 }
 
 #[test]
@@ -44,8 +47,14 @@
         probes: vec![(Place::Store, 3, 70 + age)],
         word: Some(word.clone()),
     };
-    assert_eq!(hear_uplink(&say_uplink(&says(0)), 0), Some(says(0)));
-    assert_eq!(hear_uplink(&say_uplink(&says(0)), 100), Some(says(100)));
+    assert_eq!(
+        decode_uplink_status(&encode_uplink_status(&says(0)), 0),
+        Some(says(0))
+    );
+    assert_eq!(
+        decode_uplink_status(&encode_uplink_status(&says(0)), 100),
+        Some(says(100))
+    );
 }
 
 /// Messages as the first released program sent them, in hexadecimal digits.
@@ -53,16 +62,16 @@
 
 #[test]
 fn writes_every_message_as_it_was_first_sent() {
-    let status = PeerWord {
+    let status = PeerStatus {
         name: "a".into(),
         site: "north".into(),
-        boot: 3,
-        up_for: 4_000 * MS,
-        serving_for: Some(2_000 * MS),
-        in_full: true,
-        wall: Some(1_700_000_000_000),
-        former: Some(120.5),
-        short: 0.25,
+        incarnation: 3,
+        uptime: 4_000 * NANOS_PER_MS,
+        serving_time: Some(2_000 * NANOS_PER_MS),
+        serves_in_full: true,
+        wall_clock: Some(1_700_000_000_000),
+        former_clients: Some(120.5),
+        deferred_per_s: 0.25,
     };
     let judgement = Judgement {
         witnessed_ms: 1_000,
@@ -97,10 +106,10 @@
         word: Some(word),
     };
     let sent = [
-        say(&status),
-        lend("a", 3, 0.5),
-        judge(&judgement),
-        say_uplink(&uplink),
+        encode_recovery_status(&status),
+        encode_lent_quota("a", 3, 0.5),
+        encode_server_evidence(&judgement),
+        encode_uplink_status(&uplink),
     ];
     let hex = |bytes: &Vec<u8>| {
         bytes
@@ -112,7 +121,7 @@
         sent.iter().map(hex).collect::<Vec<_>>().join("\n"),
         SENT.trim_end()
     );
-    assert_eq!(hear(&sent[0], 0), Some(status));
-    assert_eq!(read_judged(&sent[2], 1_000), Some(judgement));
-    assert_eq!(hear_uplink(&sent[3], 0), Some(uplink));
+    assert_eq!(decode_recovery_status(&sent[0], 0), Some(status));
+    assert_eq!(decode_server_evidence(&sent[2], 1_000), Some(judgement));
+    assert_eq!(decode_uplink_status(&sent[3], 0), Some(uplink));
 }
