--- a/crates/balancer/src/fleet/mod.rs
+++ b/crates/balancer/src/fleet/mod.rs
@@ -1,42 +1,46 @@
-//! The fleet's thread: what this process knows together with the others, and what outlives it.
+//! The fleet thread: shared state with other processes, and memory across restarts.
 //!
-//! It hears what the core sees, keeps it, tells the peers, and tells the core what they know. All of it is a hint: the
-//! core serves whether this thread lives or not, and no rule of the platform hangs on it.
+//! It consumes the core's events, stores and gossips them, and sends the core what other processes
+//! know. All of this is advisory: the core serves without it.
 //!
-//! - `setup` starts it, `handle` is the way to it, and `thread` has its loop;
-//! - `observed` takes up what the core saw, `from_peers` what the peers tell, `server_list` either's list;
-//! - `remembered` and `recovering` lead from the memory of before to serving; `gather` owns that machine;
-//! - `site` and `uplink` go by what the site saw itself; `tell` tells the peers of this process;
-//! - `keep` writes the memory, `records` and `words` are the forms of what is written and told, `carry` sends it.
+//! - `setup` prepares and starts it, `handle` is its interface, `thread` its event loop;
+//! - `core_events` handles events of the core, `peer_events` those of the peers, `server_list`
+//! lists of either;
+//! - `restore` and `recovery_commands` lead from the stored memory to service, driven by
+//! `recovery_driver`;
+//! - `site_evidence` and `uplink` act on what the site observes; `periodic` publishes this
+//! process's status;
+//! - `memory_writer` writes the memory; `records` and `messages` are the stored and the sent forms;
+//! `shared_gossip` sends.
 
-mod carry;
-mod from_peers;
-mod gather;
+mod core_events;
 mod handle;
-mod keep;
-mod observed;
+mod memory_writer;
+mod messages;
+mod peer_events;
+mod periodic;
 mod records;
-mod recovering;
-mod remembered;
+mod recovery_commands;
+mod recovery_driver;
+mod restore;
 mod server_list;
 mod setup;
-mod site;
-mod tell;
+mod shared_gossip;
+mod site_evidence;
 mod thread;
 mod uplink;
-mod words;
 
 use std::time::Duration;
 
-pub use handle::{FleetHandle as Way, Status};
-use setup::origin;
-pub use setup::{Fleet, prepare};
-use thread::Thread;
+pub use handle::{FleetHandle as Way, FleetStatus};
+use setup::placement_origin;
+pub use setup::{PreparedFleet, prepare};
+use thread::FleetThread;
 
-/// A moment of the program's clock: Unix time as it was at the start, in milliseconds; or a span of it.
+/// A time in Unix milliseconds by the program's clock, or a span of it.
 type Millis = u64;
 
-/// A span in milliseconds; one that is too long to be counted is as long as can be.
+/// A span in milliseconds, saturating.
 fn millis(span: Duration) -> Millis {
     Millis::try_from(span.as_millis()).unwrap_or(Millis::MAX)
 }
--- /dev/null
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -0,0 +1,180 @@
+//! Events of the gossip and membership threads.
+
+use beaconflow_affinity::{Placement, VersionFact};
+use beaconflow_edge::Evidence;
+use beaconflow_gossip::{Change, Subject};
+use beaconflow_membership::Event as PeerEvent;
+use beaconflow_recovery::{Event as RecoveryEvent, EvidenceSource, PeerStatus};
+
+use super::server_list::LIST_TTL_MS;
+use super::{FleetThread, Millis, messages, records, shared_gossip};
+use crate::core::{AffinityEvent, CoreInput, FleetEvent};
+
+/// A site's peers have reported everything if nothing new arrives for this span.
+const SETTLE_QUIET_NS: u64 = 200_000_000;
+/// They have reported everything at the latest this long after the first report.
+const SETTLE_TIMEOUT_NS: u64 = 600_000_000;
+
+/// What several changes amount to.
+#[derive(Default)]
+struct ChangeSummary {
+    placements: Vec<Placement>,
+    versions: Vec<VersionFact>,
+    has_entries: bool,
+    has_list_position: bool,
+}
+
+impl FleetThread {
+    /// Handles facts that peers added.
+    pub(super) fn on_gossip_changes(&mut self, changes: &[Change]) {
+        let mut gathered = ChangeSummary::default();
+        for fact in changes.iter().filter_map(Change::after) {
+            match shared_gossip::custom_fact(&fact) {
+                Some((kind, key, bytes)) => {
+                    self.on_custom_fact(kind, (key, bytes), fact.witnessed, &mut gathered)
+                }
+                None => self.on_fact(&fact.subject, &mut gathered),
+            }
+        }
+        // More facts may be on their way, so the settling starts over.
+        self.settling = self
+            .settling
+            .map(|(_, most)| (self.now.saturating_add(SETTLE_QUIET_NS).min(most), most));
+        for placement in &gathered.placements {
+            self.memory.store_placement(placement, self.now_ms());
+        }
+        self.send_placements_to_core(&gathered.placements);
+        if !gathered.versions.is_empty() {
+            self.send_affinity_event(AffinityEvent::Versions(gathered.versions));
+        }
+        if gathered.has_list_position {
+            self.adopt_list_epoch();
+        }
+        if gathered.has_entries {
+            self.adopt_peer_list();
+        }
+    }
+
+    /// Handles a fact of this program's own kinds.
+    fn on_custom_fact(
+        &mut self,
+        kind: u32,
+        (key, bytes): (&[u8], &[u8]),
+        witnessed: Millis,
+        gathered: &mut ChangeSummary,
+    ) {
+        let age = self.now_ms().saturating_sub(witnessed);
+        match kind {
+            shared_gossip::PLACEMENT_FACT => gathered
+                .placements
+                .extend(records::decode_placement(key, bytes)),
+            shared_gossip::VERSION_FACT => gathered
+                .versions
+                .extend(records::decode_version(key, bytes)),
+            shared_gossip::RECOVERY_STATUS_FACT => messages::decode_recovery_status(bytes, age)
+                .into_iter()
+                .for_each(|word| self.on_recovery_status(word)),
+            shared_gossip::UPLINK_STATUS_FACT => {
+                if let Some(says) = messages::decode_uplink_status(bytes, age) {
+                    self.with_uplink(|uplink, now| {
+                        uplink.on_evidence(now, Evidence::PeerSays(says))
+                    });
+                }
+            }
+            shared_gossip::SERVER_EVIDENCE_FACT => {
+                if let Some(one) = messages::decode_server_evidence(bytes, witnessed) {
+                    self.site_evidence.record_peer(one);
+                }
+            }
+            shared_gossip::LENT_QUOTA_FACT if key == self.config.name.as_bytes() => {
+                if let Some((from, number, clients)) = messages::decode_lent_quota(bytes) {
+                    self.on_recovery_event(RecoveryEvent::QuotaLent {
+                        from,
+                        number,
+                        clients,
+                    });
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Handles a peer's recovery status.
+    fn on_recovery_status(&mut self, peer: PeerStatus) {
+        let is_here = peer.site == self.config.site;
+        self.on_recovery_event(RecoveryEvent::PeerReported(peer));
+        if is_here {
+            self.start_settling();
+        } else {
+            self.on_recovery_event(RecoveryEvent::Answered(EvidenceSource::OtherSites));
+        }
+    }
+
+    /// Handles a fact that the gossip crate interprets.
+    fn on_fact(&mut self, subject: &Subject, gathered: &mut ChangeSummary) {
+        match subject {
+            Subject::Listed(_) => gathered.has_entries = true,
+            Subject::List => gathered.has_list_position = true,
+            Subject::Failures(key) => {
+                let (key, now) = (*key, self.now_ms());
+                let count =
+                    shared_gossip::lock(&self.gossip, |known| known.knowledge.failures(key, now));
+                self.core
+                    .send(CoreInput::Fleet(FleetEvent::FailuresCounted(key, count)));
+            }
+            _ => {}
+        }
+    }
+
+    /// Adopts the list epoch that the others know, where this process had none of its own.
+    fn adopt_list_epoch(&mut self) {
+        let now = self.now_ms();
+        let finish_settling = shared_gossip::lock(&self.gossip, |known| {
+            known.knowledge.settle_list(LIST_TTL_MS, now)
+        });
+        self.list_position = finish_settling
+            .filter(|_| self.list_position.is_some())
+            .or(self.list_position);
+    }
+
+    /// Begins to wait for the reports of the site's peers.
+    pub(super) fn start_settling(&mut self) {
+        if !self.is_settled && self.settling.is_none() {
+            let after = |span| self.now.saturating_add(span);
+            self.settling = Some((after(SETTLE_QUIET_NS), after(SETTLE_TIMEOUT_NS)));
+        }
+    }
+
+    /// Ends that wait.
+    pub(super) fn settled(&mut self) {
+        (self.settling, self.is_settled) = (None, true);
+        self.adopt_peer_list();
+        self.on_recovery_event(RecoveryEvent::Answered(EvidenceSource::SitePeers));
+    }
+
+    /// Handles a membership event; the membership thread has logged it.
+    pub(super) fn on_membership_event(&mut self, event: PeerEvent) {
+        if let PeerEvent::Down(was) | PeerEvent::Restarted { was, .. } = &event {
+            self.send_affinity_event(AffinityEvent::BalancerDied(super::placement_origin(
+                &was.name, was.boot,
+            )));
+        }
+        match event {
+            PeerEvent::BootRaised(boot) => {
+                self.incarnation = boot;
+                self.status.incarnation = boot;
+                shared_gossip::lock(&self.gossip, |known| known.knowledge.renumber(boot));
+            }
+            PeerEvent::Up(_) | PeerEvent::Restarted { .. } | PeerEvent::Changed { .. } => {
+                self.publish_status_at = self.now
+            }
+            PeerEvent::Down(member) if *member.site != *self.config.site => {
+                let (name, site) = (member.name.to_string(), member.site.to_string());
+                self.with_uplink(|uplink, now| {
+                    uplink.on_evidence(now, Evidence::PeerSilent { name, site })
+                });
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -0,0 +1,127 @@
+//! Periodic tasks: publishing this process's status and updating what people see.
+
+use std::collections::BTreeSet;
+use std::sync::PoisonError;
+
+use beaconflow_gossip::{Kind, Subject};
+use beaconflow_membership::Member;
+use beaconflow_recovery::PeerStatus;
+
+use super::{FleetThread, Millis, messages, shared_gossip};
+use crate::core::{CoreInput, FleetEvent};
+use crate::overrides::wall_clock_ms;
+
+/// Interval of the published status, in nanoseconds, and its lifetime, in milliseconds.
+const STATUS_PUBLISH_INTERVAL_NS: u64 = 2_000_000_000;
+const STATUS_TTL_MS: Millis = 15_000;
+/// Interval at which the uplink and the displayed status are updated, in nanoseconds.
+const STATUS_UPDATE_INTERVAL_NS: u64 = 200_000_000;
+
+impl FleetThread {
+    /// Runs the tasks that are due.
+    pub(super) fn run_due_tasks(&mut self) {
+        let wanted = self.recovery.on_timer(self.now, wall_clock_ms());
+        self.execute_recovery_commands(wanted);
+        if self.settling.is_some_and(|(at, _)| at <= self.now) {
+            self.settled();
+        }
+        self.memory.on_timer(self.now_ms());
+        if self.now >= self.publish_status_at {
+            self.publish_status_at = self.now.saturating_add(STATUS_PUBLISH_INTERVAL_NS);
+            self.publish_status();
+            let now = self.now_ms();
+            shared_gossip::lock(&self.gossip, |known| known.knowledge.expire(now));
+        }
+        if self.now >= self.update_status_at {
+            self.update_status_at = self.now.saturating_add(STATUS_UPDATE_INTERVAL_NS);
+            let others = self
+                .membership
+                .members()
+                .into_iter()
+                .filter(|member| *member.site != *self.config.site);
+            let others: Vec<Member> = others.collect();
+            self.with_uplink(|uplink, now| uplink.on_timer(now, &others));
+            self.apply_site_evidence();
+            self.update_status();
+        }
+    }
+
+    /// Publishes the recovery status of this process.
+    fn publish_status(&self) {
+        let recovery = self.recovery.recovery();
+        let word = PeerStatus {
+            name: self.config.name.clone(),
+            site: self.config.site.clone(),
+            incarnation: self.incarnation,
+            uptime: self.now.saturating_sub(self.started_at),
+            serving_time: self
+                .serving_started_at
+                .map(|since| self.now.saturating_sub(since)),
+            serves_in_full: self.serves_in_full,
+            wall_clock: recovery.clock_is_sound().then(wall_clock_ms),
+            former_clients: recovery.former_clients(),
+            deferred_per_s: recovery.deferred_per_s(),
+        };
+        self.publish_fact(
+            shared_gossip::RECOVERY_STATUS_FACT,
+            (Vec::new(), true),
+            messages::encode_recovery_status(&word),
+            STATUS_TTL_MS,
+        );
+        if let Some(uplink) = &self.uplink {
+            let says = messages::encode_uplink_status(&uplink.edge().says(self.now_ms()));
+            self.publish_fact(
+                shared_gossip::UPLINK_STATUS_FACT,
+                (Vec::new(), true),
+                says,
+                STATUS_TTL_MS,
+            );
+        }
+    }
+
+    /// Assesses servers by the site's evidence while the site is isolated.
+    pub(super) fn apply_site_evidence(&mut self) {
+        let now = self.now_ms();
+        let apart = self
+            .uplink
+            .as_ref()
+            .map_or((false, None), |uplink| uplink.isolation(now));
+        let parts = self
+            .site_evidence
+            .assess(now, &self.servers, apart, self.warm_up_ms);
+        if let Some(parts) = parts {
+            self.core
+                .send(CoreInput::Fleet(FleetEvent::SiteAssessed(parts)));
+        }
+    }
+
+    fn update_status(&mut self) {
+        self.status.processes = (self.membership.members().len() + 1, self.config.size);
+        self.status.recovery = self.recovery.describe();
+        let now = self.now_ms();
+        self.status.failing_clients = shared_gossip::lock(&self.gossip, |known| {
+            let keys = known
+                .knowledge
+                .iter(Kind::Failures, now)
+                .filter_map(|fact| match fact.subject {
+                    Subject::Failures(key) => Some(key),
+                    _ => None,
+                });
+            let keys: BTreeSet<u64> = keys.collect();
+            keys.into_iter()
+                .filter(|key| known.knowledge.failures(*key, now) > 0)
+                .count()
+        });
+        self.status.uplink = self
+            .uplink
+            .as_ref()
+            .map(|uplink| uplink.describe(self.now_ms()));
+        self.status.version = self.version.to_string();
+        self.status.refused_datagrams = self.membership.counts().refused.iter().sum();
+        self.status.is_persistent = self.memory.is_persistent();
+        *self
+            .published_status
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = self.status.clone();
+    }
+}
--- a/crates/balancer/src/fleet/records.rs
+++ b/crates/balancer/src/fleet/records.rs
@@ -1,4 +1,5 @@
-//! What is remembered across darkness, as protocol buffers. Fields are added, never given another meaning or number.
+//! Records of the stored memory, as protocol buffers. Fields are only added; numbers keep their
+//! meaning.
 
 use std::net::SocketAddr;
 
@@ -6,21 +7,21 @@
 use beaconflow_store::memory::Record;
 use prost::Message;
 
-use crate::farm::{Lifecycle, List, Listed};
+use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
 
-/// Kinds of records; the lowest gives way last where the disk can't keep up.
-pub(super) const LIST: u32 = 1;
-pub(super) const VERSION: u32 = 2;
-pub(super) const FORMER: u32 = 3;
-pub(super) const PLACEMENT: u32 = 4;
-pub(super) const UPLINK: u32 = 5;
+/// Record kinds; the lowest is dropped last if the disk can't keep up.
+pub(super) const LIST_RECORD: u32 = 1;
+pub(super) const VERSION_RECORD: u32 = 2;
+pub(super) const FORMER_CLIENTS_RECORD: u32 = 3;
+pub(super) const PLACEMENT_RECORD: u32 = 4;
+pub(super) const UPLINK_RECORD: u32 = 5;
 
 #[derive(Clone, PartialEq, Message)]
 struct ListRecord {
     #[prost(uint64, tag = "1")]
     generation: u64,
     #[prost(uint64, tag = "2")]
-    life: u64,
+    epoch: u64,
     #[prost(message, repeated, tag = "3")]
     entries: Vec<EntryRecord>,
 }
@@ -62,13 +63,13 @@
     #[prost(uint32, tag = "7")]
     state: u32,
     #[prost(uint32, tag = "8")]
-    twins: u32,
+    replicas: u32,
 }
 
 #[derive(Clone, PartialEq, Message)]
 struct VersionRecord {
     #[prost(uint32, tag = "1")]
-    reign: u32,
+    term: u32,
     #[prost(uint64, tag = "2")]
     serial: u64,
     #[prost(uint64, tag = "3")]
@@ -78,7 +79,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct FormerRecord {
+struct FormerClientsRecord {
     #[prost(double, tag = "1")]
     clients: f64,
 }
@@ -86,14 +87,18 @@
 #[derive(Clone, PartialEq, Message)]
 struct UplinkRecord {
     #[prost(bool, tag = "1")]
-    islanded: bool,
+    is_isolated: bool,
     #[prost(uint64, optional, tag = "2")]
     confirmed_at: Option<u64>,
 }
 
-/// In the order of their numbers, from 0.
-const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Deleted];
-pub(super) fn keep(kind: u32, subject: &[u8], value: Vec<u8>, now: u64) -> Record {
+/// Indexed by their numbers.
+const LIFECYCLES: [ServerLifecycle; 3] = [
+    ServerLifecycle::Serving,
+    ServerLifecycle::Draining,
+    ServerLifecycle::Deleted,
+];
+pub(super) fn record(kind: u32, subject: &[u8], value: Vec<u8>, now: u64) -> Record {
     Record {
         kind,
         subject: subject.to_vec(),
@@ -102,9 +107,9 @@
     }
 }
 
-/// The list, and the life of the discovery that told it.
-pub(super) fn list(list: &List, life: u64, now: u64) -> Record {
-    let entry = |listed: &Listed| EntryRecord {
+/// Encodes the server list with the epoch of its discovery.
+pub(super) fn encode_list(list: &ServerList, epoch: u64, now: u64) -> Record {
+    let entry = |listed: &ListedServer| EntryRecord {
         name: listed.instance_id.clone(),
         address: listed.host_port.map(|at| at.to_string()),
         zone: listed.zone.clone(),
@@ -118,12 +123,12 @@
         machine_type: listed.machine_type.clone(),
     };
     let entries = list.instances.iter().map(entry).collect();
-    keep(
-        LIST,
+    record(
+        LIST_RECORD,
         b"",
         ListRecord {
             generation: list.generation,
-            life,
+            epoch,
             entries,
         }
         .encode_to_vec(),
@@ -131,11 +136,11 @@
     )
 }
 
-/// The list that a record holds, whole, with the life of its discovery.
-pub(super) fn read_list(record: &Record) -> Option<(List, u64)> {
+/// Decodes a server list with its epoch.
+pub(super) fn decode_list(record: &Record) -> Option<(ServerList, u64)> {
     let read = ListRecord::decode(record.value.as_slice()).ok()?;
     let entry = |entry: EntryRecord| {
-        Some(Listed {
+        Some(ListedServer {
             instance_id: entry.name,
             host_port: entry
                 .address
@@ -150,20 +155,20 @@
             machine_type: entry.machine_type,
         })
     };
-    let instances: Option<Vec<Listed>> = read.entries.into_iter().map(entry).collect();
+    let instances: Option<Vec<ListedServer>> = read.entries.into_iter().map(entry).collect();
     Some((
-        List {
+        ServerList {
             generation: read.generation,
             reset: true,
             instances: instances?,
         },
-        read.life,
+        read.epoch,
     ))
 }
 
-/// Where a client was placed, in bytes under its key.
-pub(super) fn placement(placement: &Placement) -> Vec<u8> {
-    let Version(version) = placement.version;
+/// Encodes a placement, stored under its client key.
+pub(super) fn encode_placement(placement: &Placement) -> Vec<u8> {
+    let Version(version) = placement.encode_version;
     PlacementRecord {
         server: placement.server.0,
         group: placement.group.map(|group| group.0),
@@ -172,22 +177,22 @@
         stamp: placement.stamp.0,
         seen_s: placement.seen_s,
         state: placement.state.byte().into(),
-        twins: placement.twins.into(),
+        replicas: placement.twins.into(),
     }
     .encode_to_vec()
 }
 
-/// The placement that bytes under a key hold.
-pub(super) fn read_placement(key: &[u8], bytes: &[u8]) -> Option<Placement> {
+/// Decodes a placement.
+pub(super) fn decode_placement(key: &[u8], bytes: &[u8]) -> Option<Placement> {
     let read = PlacementRecord::decode(bytes).ok()?;
     let key = u64::from_be_bytes(key.try_into().ok()?);
     let state = State::of(u8::try_from(read.state).ok()?);
-    let twins = u8::try_from(read.twins).unwrap_or(u8::MAX);
+    let twins = u8::try_from(read.replicas).unwrap_or(u8::MAX);
     Some(Placement {
         key: Key(key),
         group: read.group.map(Group),
         server: Tag(read.server),
-        version: Version(u128::from(read.version_high) << 64 | u128::from(read.version_low)),
+        encode_version: Version(u128::from(read.version_high) << 64 | u128::from(read.version_low)),
         stamp: Stamp(read.stamp),
         seen_s: read.seen_s,
         state,
@@ -195,17 +200,17 @@
     })
 }
 
-/// What is known of a version of the configuration, in bytes under its digest.
+/// Encodes a version of the configuration, stored under its digest.
 pub(super) fn version(fact: &VersionFact) -> Vec<u8> {
     let VersionFact {
-        reign,
+        reign: term,
         serial,
         since,
         runs,
         ..
     } = *fact;
     VersionRecord {
-        reign,
+        term,
         serial,
         since,
         runs,
@@ -213,10 +218,10 @@
     .encode_to_vec()
 }
 
-/// The version that bytes under a digest tell of.
-pub(super) fn read_version(digest: &[u8], bytes: &[u8]) -> Option<VersionFact> {
+/// Decodes a version of the configuration.
+pub(super) fn decode_version(digest: &[u8], bytes: &[u8]) -> Option<VersionFact> {
     let VersionRecord {
-        reign,
+        term,
         serial,
         since,
         runs,
@@ -224,31 +229,37 @@
     let version = Version(u128::from_be_bytes(digest.try_into().ok()?));
     Some(VersionFact {
         version,
-        reign,
+        reign: term,
         serial,
         since,
         runs,
     })
 }
 
-/// How many clients stood here when the program last served in full.
-pub(super) fn former(clients: f64, now: u64) -> Record {
-    keep(FORMER, b"", FormerRecord { clients }.encode_to_vec(), now)
+/// Encodes the number of clients when the process last served in full.
+pub(super) fn encode_former_clients(clients: f64, now: u64) -> Record {
+    record(
+        FORMER_CLIENTS_RECORD,
+        b"",
+        FormerClientsRecord { clients }.encode_to_vec(),
+        now,
+    )
 }
 
-/// That count.
-pub(super) fn read_former(record: &Record) -> Option<f64> {
-    let FormerRecord { clients } = FormerRecord::decode(record.value.as_slice()).ok()?;
+/// Decodes that number.
+pub(super) fn decode_former_clients(record: &Record) -> Option<f64> {
+    let FormerClientsRecord { clients } =
+        FormerClientsRecord::decode(record.value.as_slice()).ok()?;
     (clients.is_finite() && clients >= 0.0).then_some(clients)
 }
 
-/// Whether the site was an island, and when discovery last confirmed the list.
-pub(super) fn uplink(islanded: bool, confirmed_at: Option<u64>, now: u64) -> Record {
-    keep(
-        UPLINK,
+/// Encodes whether the site is isolated, and when discovery last confirmed the list.
+pub(super) fn encode_uplink(is_isolated: bool, confirmed_at: Option<u64>, now: u64) -> Record {
+    record(
+        UPLINK_RECORD,
         b"",
         UplinkRecord {
-            islanded,
+            is_isolated,
             confirmed_at,
         }
         .encode_to_vec(),
@@ -256,13 +267,13 @@
     )
 }
 
-/// The same.
-pub(super) fn read_uplink(record: &Record) -> Option<(bool, Option<u64>)> {
+/// Decodes the same.
+pub(super) fn decode_uplink(record: &Record) -> Option<(bool, Option<u64>)> {
     let UplinkRecord {
-        islanded,
+        is_isolated,
         confirmed_at,
     } = UplinkRecord::decode(record.value.as_slice()).ok()?;
-    Some((islanded, confirmed_at))
+    Some((is_isolated, confirmed_at))
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/fleet/records/tests.rs
+++ b/crates/balancer/src/fleet/records/tests.rs
@@ -4,23 +4,23 @@
 
 #[test]
 fn what_is_written_is_read_back_and_what_is_cut_is_nothing() {
-    let listed = Listed {
+    let listed = ListedServer {
         instance_id: "s0".into(),
         host_port: Some(([127, 0, 0, 1], 9).into()),
         zone: "a".into(),
         machine_type: "m4".into(),
         cell: 3,
-        lifecycle: Lifecycle::Draining,
+        lifecycle: ServerLifecycle::Draining,
         weight: 2.5,
         started_at_ms: 77,
     };
-    let whole = List {
+    let whole = ServerList {
         generation: 8,
         reset: true,
         instances: vec![listed],
     };
-    let kept = list(&whole, 2, 5);
-    let (read, life) = read_list(&kept).expect("whole");
+    let kept = encode_list(&whole, 2, 5);
+    let (read, life) = decode_list(&kept).expect("whole");
     assert_eq!((format!("{read:?}"), life), (format!("{whole:?}"), 2));
     for state in [
         State::Standing,
@@ -31,16 +31,16 @@
             key: Key(u64::MAX - 1),
             group: Some(Group(7)),
             server: Tag(9),
-            version: Version(u128::MAX - 5),
+            encode_version: Version(u128::MAX - 5),
             stamp: Stamp(1 << 63),
             seen_s: 12,
             state,
             twins: 2,
         };
-        let (key, bytes) = (placed.key.0.to_be_bytes(), placement(&placed));
-        assert_eq!(read_placement(&key, &bytes), Some(placed));
+        let (key, bytes) = (placed.key.0.to_be_bytes(), encode_placement(&placed));
+        assert_eq!(decode_placement(&key, &bytes), Some(placed));
         for end in 0..bytes.len() {
-            assert_ne!(read_placement(&key, &bytes[..end]), Some(placed));
+            assert_ne!(decode_placement(&key, &bytes[..end]), Some(placed));
         }
     }
     let fact = VersionFact {
@@ -51,10 +51,13 @@
         runs: 4,
     };
     assert_eq!(
-        read_version(&4_u128.to_be_bytes(), &version(&fact)),
+        decode_version(&4_u128.to_be_bytes(), &version(&fact)),
         Some(fact)
     );
-    assert_eq!(read_former(&former(40.0, 5)), Some(40.0));
+    assert_eq!(
+        decode_former_clients(&encode_former_clients(40.0, 5)),
+        Some(40.0)
+    );
 }
 
 /// Records as the first released program wrote them, in hexadecimal digits.
@@ -62,13 +65,13 @@
 
 #[test]
 fn writes_every_record_as_it_was_first_written() {
-    let listed = Listed {
+    let listed = ListedServer {
         instance_id: "s0".into(),
         host_port: Some(([127, 0, 0, 1], 9).into()),
         zone: "a".into(),
         machine_type: "m4".into(),
         cell: 3,
-        lifecycle: Lifecycle::Deleted,
+        lifecycle: ServerLifecycle::Deleted,
         weight: 2.5,
         started_at_ms: 77,
     };
@@ -76,7 +79,7 @@
         key: Key(5),
         group: Some(Group(7)),
         server: Tag(9),
-        version: Version(1 << 64 | 11),
+        encode_version: Version(1 << 64 | 11),
         stamp: Stamp(13),
         seen_s: 12,
         state: State::Ended(How::MovedLeaving),
@@ -90,8 +93,8 @@
         runs: 4,
     };
     let written = [
-        list(
-            &List {
+        encode_list(
+            &ServerList {
                 generation: 8,
                 reset: true,
                 instances: vec![listed],
@@ -100,10 +103,10 @@
             5,
         )
         .value,
-        placement(&placed),
+        encode_placement(&placed),
         version(&fact),
-        former(40.0, 5).value,
-        uplink(true, Some(9), 5).value,
+        encode_former_clients(40.0, 5).value,
+        encode_uplink(true, Some(9), 5).value,
     ];
     let hex = |bytes: &Vec<u8>| {
         bytes
@@ -115,5 +118,14 @@
         written.iter().map(hex).collect::<Vec<_>>().join("\n"),
         WRITTEN.trim_end()
     );
-    assert_eq!([LIST, VERSION, FORMER, PLACEMENT, UPLINK], [1, 2, 3, 4, 5]);
+    assert_eq!(
+        [
+            LIST_RECORD,
+            VERSION_RECORD,
+            FORMER_CLIENTS_RECORD,
+            PLACEMENT_RECORD,
+            UPLINK_RECORD
+        ],
+        [1, 2, 3, 4, 5]
+    );
 }
--- /dev/null
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -0,0 +1,231 @@
+//! The driver of the recovery state machine.
+//!
+//! `beaconflow-recovery` decides. Here its steps are logged, its queries scheduled, and its other
+//! actions become commands.
+
+use beaconflow_policy::{Nanos, Settings};
+use beaconflow_recovery::{
+    AccountQuota, Action, Event, EvidenceSource, Millis, OutageScope, Recovery, RecoveryConfig,
+    RecoveryState, RecoveryStep, RequestClass, ServiceMode, SlowStartRules, Timeouts,
+};
+use beaconflow_settings::{SiteSettings, digest};
+use tracing::{info, warn};
+
+use crate::operator::FleetConfig;
+
+/// Timeout for the site's peers, which have to be found first.
+const SITE_PEERS_TIMEOUT: Nanos = 1_000_000_000;
+
+/// A command of the recovery state machine for the fleet thread.
+#[derive(Debug)]
+pub(super) enum RecoveryCommand {
+    /// Query a source.
+    Query(EvidenceSource),
+    /// Publish the changed list.
+    PublishList,
+    /// Change how clients are served.
+    SetServiceMode(ServiceMode),
+    /// Admit a client.
+    Admit(u64),
+    /// Defer a client.
+    Defer(u64, Nanos),
+    /// Lend unused quota to a peer: its name, the number of the loan, and the clients.
+    LendQuota(String, u64, f64),
+}
+
+/// The recovery of this process.
+pub(super) struct RecoveryDriver {
+    recovery: Recovery,
+    /// Scheduled queries.
+    queries: Vec<(Nanos, EvidenceSource)>,
+    scope: Option<OutageScope>,
+    actions: Vec<Action>,
+}
+
+/// The configuration of the state machine.
+pub(super) fn config(
+    fleet: &FleetConfig,
+    setup: &SiteSettings,
+    settings: &Settings,
+) -> RecoveryConfig {
+    let class = |class: &beaconflow_policy::RequestClass| RequestClass {
+        priority_weight: class.priority_weight,
+        latency_objective: class.latency_objective,
+    };
+    let rules = &settings.rules;
+    let usual = SlowStartRules::default();
+    let others = fleet.site_size.saturating_sub(1);
+    RecoveryConfig {
+        name: fleet.name.clone(),
+        site: fleet.site.clone(),
+        fleet_size: u32::try_from(fleet.size).unwrap_or(u32::MAX),
+        // One more than can report: the fleet thread says when the site's peers have answered,
+        // since not all need to.
+        site_peers: if others == 0 {
+            0
+        } else {
+            u32::try_from(others + 1).unwrap_or(u32::MAX)
+        },
+        timeouts: Timeouts {
+            site_peers: SITE_PEERS_TIMEOUT,
+            ..Timeouts::default()
+        },
+        other_sites: fleet.other_sites.clone(),
+        has_store: false,
+        slow_start: SlowStartRules {
+            warm_up_time: rules.warm_up_time,
+            initial_capacity: rules.initial_capacity,
+            overload_multiple: rules.overload_multiple,
+            overload_window: rules.overload_window.max(1),
+            clients_per_server_s: fleet
+                .clients_per_server_s
+                .unwrap_or(usual.clients_per_server_s),
+            chance_allowance: usual.chance_allowance,
+        },
+        classes: settings.classes.iter().map(class).collect(),
+        usual_clients: fleet.clients,
+        accounts: setup
+            .tenant_shares()
+            .map(|(name, quota)| AccountQuota {
+                account: digest(name),
+                quota,
+            })
+            .collect(),
+        ..RecoveryConfig::default()
+    }
+}
+
+impl RecoveryDriver {
+    /// Creates the recovery of a process that has not started.
+    ///
+    /// # Errors
+    ///
+    /// Names the fields outside their range.
+    pub(super) fn new(config: RecoveryConfig, seed: u64) -> Result<RecoveryDriver, String> {
+        let recovery = Recovery::new(config, seed).map_err(|faults| {
+            let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
+            format!("recovery: out of range: {}", fields.join(", "))
+        })?;
+        Ok(RecoveryDriver {
+            recovery,
+            queries: Vec::new(),
+            scope: None,
+            actions: Vec::new(),
+        })
+    }
+
+    /// Reports an event; returns the commands that follow.
+    pub(super) fn handle(
+        &mut self,
+        now: Nanos,
+        wall: Millis,
+        event: Event,
+    ) -> Vec<RecoveryCommand> {
+        let mut out = std::mem::take(&mut self.actions);
+        self.recovery.handle(now, wall, event, &mut out);
+        let wanted = out
+            .drain(..)
+            .filter_map(|action| self.execute(now, action))
+            .collect();
+        self.actions = out;
+        wanted
+    }
+
+    fn execute(&mut self, now: Nanos, action: Action) -> Option<RecoveryCommand> {
+        match action {
+            Action::Query { source, after } => {
+                self.queries.push((now.saturating_add(after), source))
+            }
+            Action::RememberedStateJudged {
+                kind,
+                validity,
+                reason,
+                as_of,
+            } => {
+                info!(part = "recovery", kind = ?kind, verdict = ?validity, reason, as_of, "remembered state");
+            }
+            Action::ListChanged => return Some(RecoveryCommand::PublishList),
+            Action::SetServiceMode { mode, reason } => {
+                info!(part = "recovery", how = ?mode, why = reason, "service mode");
+                return Some(RecoveryCommand::SetServiceMode(mode));
+            }
+            Action::ScopeDecided {
+                scope,
+                likelihood,
+                evidence,
+            } => {
+                let evidence = evidence.join("; ");
+                info!(part = "recovery", scope = %scope, likelihood, evidence, "extent of the outage");
+                self.scope = Some(scope);
+            }
+            Action::LogStep {
+                step: RecoveryStep::Resumed,
+                reason,
+                ..
+            } => {
+                warn!(part = "recovery", step = ?RecoveryStep::Resumed, why = reason, "step");
+            }
+            Action::LogStep {
+                step,
+                reason,
+                bound,
+            } => {
+                let within_ms = bound.map(|bound| bound.saturating_sub(now) / 1_000_000);
+                info!(part = "recovery", step = ?step, why = reason, within_ms, "step");
+            }
+            Action::Admit { id } => return Some(RecoveryCommand::Admit(id)),
+            Action::Defer {
+                id, retry_after, ..
+            } => return Some(RecoveryCommand::Defer(id, retry_after)),
+            Action::LendQuota {
+                to,
+                number,
+                clients,
+            } => return Some(RecoveryCommand::LendQuota(to, number, clients)),
+        }
+        None
+    }
+
+    /// Queries that are due, and a tick if one is due.
+    pub(super) fn on_timer(&mut self, now: Nanos, wall: Millis) -> Vec<RecoveryCommand> {
+        let due = |(at, _): &(Nanos, EvidenceSource)| *at <= now;
+        let mut wanted: Vec<RecoveryCommand> = self
+            .queries
+            .iter()
+            .filter(|ask| due(ask))
+            .map(|(_, whom)| RecoveryCommand::Query(*whom))
+            .collect();
+        self.queries.retain(|ask| !due(ask));
+        if self.recovery.next_tick_at().is_some_and(|at| at <= now) {
+            wanted.extend(self.handle(now, wall, Event::Tick));
+        }
+        wanted
+    }
+
+    /// When something is due next.
+    pub(super) fn next(&self) -> Option<Nanos> {
+        self.queries
+            .iter()
+            .map(|(at, _)| *at)
+            .chain(self.recovery.next_tick_at())
+            .min()
+    }
+
+    pub(super) fn recovery(&self) -> &Recovery {
+        &self.recovery
+    }
+
+    /// The state in words for people.
+    pub(super) fn describe(&self) -> String {
+        let state = match self.recovery.state() {
+            RecoveryState::NotStarted => "dark".to_owned(),
+            RecoveryState::Querying(whom) => format!("asking the {whom}"),
+            RecoveryState::StagedAdmission => "taking clients by turns".to_owned(),
+            RecoveryState::Serving => "serving".to_owned(),
+        };
+        match self.scope {
+            Some(scope) => format!("{state}, after a darkness of: {scope}"),
+            None => state,
+        }
+    }
+}
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers: as the core took it in, as the peers know it, and as it is believed.
+//! The server list: from the core, from peers, and for recovery.
 
 use beaconflow_edge::Evidence;
 use beaconflow_gossip::{
@@ -7,61 +7,65 @@
 use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, Source};
 
 use super::uplink::Uplink;
-use super::{Millis, Thread, carry, records};
-use crate::farm::{Lifecycle, List, Listed};
+use super::{FleetThread, Millis, records, shared_gossip};
+use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
 
-/// An entry of the list, and which list is held.
-pub(super) const LIST_GOOD: Millis = 24 * 3_600_000;
+/// Lifetime of list entries and of the list's position.
+pub(super) const LIST_TTL_MS: Millis = 24 * 3_600_000;
 
-impl Thread {
-    /// A list was taken in by the core.
-    pub(super) fn listed(&mut self, list: List, known: bool) {
+impl FleetThread {
+    /// Handles a list that the core applied.
+    pub(super) fn on_list_applied(&mut self, list: ServerList, known: bool) {
         if list.reset && !known {
             self.servers.clear();
         }
         for one in &list.instances {
             self.servers.insert(one.instance_id.clone(), one.clone());
         }
-        let (now, whole) = (self.ms(), self.whole(list.generation));
+        let (now, whole) = (self.now_ms(), self.whole(list.generation));
         if known {
-            // The operator's own list counts from the start.
-            self.uplink(Uplink::has_known_list);
-            self.recovery_event(RecoveryEvent::List(believed(&whole, 0, Source::Known)));
-            return self.hold_drains();
+            // A configured list counts from the start.
+            self.with_uplink(Uplink::on_configured_list);
+            self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
+                &whole,
+                0,
+                Source::Known,
+            )));
+            return self.apply_held_drains();
         }
         let told = Told {
             generation: list.generation,
-            digest: digest_of(&whole),
-            whole: list.reset,
+            digest: list_digest(&whole),
+            complete_list: list.reset,
         };
-        let position = carry::with(&self.known, |known| {
-            known.knowledge.hear_list(told, LIST_GOOD, now)
+        let position = shared_gossip::lock(&self.gossip, |known| {
+            known.knowledge.hear_list(told, LIST_TTL_MS, now)
         })
         .ok();
-        self.position = position.or(self.position);
-        let life = self.position.map_or(0, |position| position.life);
-        if let Some(position) = self.position {
-            self.enter_entries(position, &list.instances);
+        self.list_position = position.or(self.list_position);
+        let life = self.list_position.map_or(0, |position| position.life);
+        if let Some(position) = self.list_position {
+            self.publish_entries(position, &list.instances);
         }
-        self.memory.remember(records::list(&whole, life, now));
-        self.recovery_event(RecoveryEvent::List(believed(
+        self.memory.store(records::encode_list(&whole, life, now));
+        self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
             &whole,
             life,
             Source::Discovery,
         )));
-        self.uplink(|uplink, now| uplink.take(now, Evidence::WatchStands));
+        self.with_uplink(|uplink, now| uplink.on_evidence(now, Evidence::WatchStands));
     }
 
-    pub(super) fn enter_entries(&self, position: Position, entries: &[Listed]) {
-        let now = self.ms();
-        carry::with(&self.known, |known| {
+    pub(super) fn publish_entries(&self, position: Position, entries: &[ListedServer]) {
+        let now = self.now_ms();
+        shared_gossip::lock(&self.gossip, |known| {
             for one in entries {
                 let value = Value::Listed(KnownEntry {
                     position,
                     lifecycle: match one.lifecycle {
-                        Lifecycle::Serving => KnownAs::Serving,
-                        Lifecycle::Draining => KnownAs::Draining,
-                        Lifecycle::Deleted => KnownAs::Deleted,
+                        ServerLifecycle::Serving => KnownAs::Serving,
+                        ServerLifecycle::Draining => KnownAs::Draining,
+                        ServerLifecycle::Deleted => KnownAs::Deleted,
                     },
                     zone: one.zone.clone(),
                     cell: one.cell,
@@ -73,60 +77,64 @@
                 let _ = known.knowledge.witness(
                     &Subject::Listed(one.instance_id.clone()),
                     &value,
-                    LIST_GOOD,
+                    LIST_TTL_MS,
                     now,
                 );
             }
         });
     }
 
-    /// The list as it stands here, whole.
-    fn whole(&self, generation: u64) -> List {
-        List {
+    /// The complete list as known here.
+    fn whole(&self, generation: u64) -> ServerList {
+        ServerList {
             generation,
             reset: true,
             instances: self.servers.values().cloned().collect(),
         }
     }
 
-    /// The peers' list, as a starting point where discovery has told none.
-    pub(super) fn peers_list(&mut self) {
-        if self.position.is_some() {
+    /// Adopts the peers' list while discovery has sent none.
+    pub(super) fn adopt_peer_list(&mut self) {
+        if self.list_position.is_some() {
             return;
         }
-        // Guards against a farm of the first few servers that are heard of.
+        // The first servers heard of are not the whole list.
         if !self.is_settled {
-            return self.settles();
+            return self.start_settling();
         }
-        let now = self.ms();
-        let entries = carry::with(&self.known, |known| known.knowledge.list(now));
+        let now = self.now_ms();
+        let entries = shared_gossip::lock(&self.gossip, |known| known.knowledge.list(now));
         let latest = entries
             .iter()
             .map(|(_, entry)| entry.position)
             .max()
             .unwrap_or_default();
         for (name, entry) in entries {
-            let listed = listed(name.clone(), &entry, self.servers.get(&name));
-            self.servers.insert(name, listed);
+            let listed_server = listed(name.clone(), &entry, self.servers.get(&name));
+            self.servers.insert(name, listed_server);
         }
         let Position { life, generation } = latest;
         let list = self.whole(generation);
-        self.recovery_event(RecoveryEvent::List(believed(&list, life, Source::Peer)));
-        self.show_list();
+        self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
+            &list,
+            life,
+            Source::Peer,
+        )));
+        self.publish_list_to_core();
     }
 }
 
-/// An entry as peers know it. Where it is reached is this process's own to know, where it does.
-fn listed(name: String, entry: &KnownEntry, own: Option<&Listed>) -> Listed {
-    Listed {
+/// A peer's entry. The address known here goes before the peer's.
+fn listed(name: String, entry: &KnownEntry, own: Option<&ListedServer>) -> ListedServer {
+    ListedServer {
         instance_id: name,
         host_port: own.and_then(|own| own.host_port).or(entry.address),
         zone: entry.zone.clone(),
         cell: entry.cell,
         lifecycle: match entry.lifecycle {
-            KnownAs::Serving => Lifecycle::Serving,
-            KnownAs::Draining => Lifecycle::Draining,
-            KnownAs::Deleted => Lifecycle::Deleted,
+            KnownAs::Serving => ServerLifecycle::Serving,
+            KnownAs::Draining => ServerLifecycle::Draining,
+            KnownAs::Deleted => ServerLifecycle::Deleted,
         },
         machine_type: entry.machine_type.clone(),
         weight: entry.weight,
@@ -134,31 +142,31 @@
     }
 }
 
-/// A list for the machine of recovery.
-pub(super) fn believed(list: &List, life: u64, source: Source) -> recovery::List {
-    let entry = |one: &Listed| recovery::Entry {
+/// A list for the recovery state machine.
+pub(super) fn recovery_list(list: &ServerList, epoch: u64, source: Source) -> recovery::List {
+    let entry = |one: &ListedServer| recovery::Entry {
         name: one.instance_id.clone(),
         started_at_ms: one.started_at_ms,
         lifecycle: match one.lifecycle {
-            Lifecycle::Serving => recovery::Lifecycle::Ready,
-            Lifecycle::Draining => recovery::Lifecycle::Draining,
-            Lifecycle::Deleted => recovery::Lifecycle::Gone,
+            ServerLifecycle::Serving => recovery::Lifecycle::Ready,
+            ServerLifecycle::Draining => recovery::Lifecycle::Draining,
+            ServerLifecycle::Deleted => recovery::Lifecycle::Gone,
         },
         weight: one.weight,
     };
     recovery::List {
         source,
         generation: list.generation,
-        life,
+        epoch,
         age: 0,
-        said_at: None,
+        reported_at: None,
         entries: list.instances.iter().map(entry).collect(),
     }
 }
 
-/// A digest of what a list says, without addresses.
-pub(super) fn digest_of(list: &List) -> u64 {
-    let row = |one: &Listed| {
+/// A digest of a list without addresses.
+pub(super) fn list_digest(list: &ServerList) -> u64 {
+    let row = |one: &ListedServer| {
         format!(
             "{:?} {:?} {:?} {} {:?} {} {}\n",
             one.instance_id,
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! How a fleet is set up: what stands before the core runs, and the threads that are started with it.
+//! Setup of a fleet: what is prepared before the core runs, and the threads.
 
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -9,128 +9,132 @@
 use beaconflow_gossip::{Change, Knowledge, Origin};
 use beaconflow_membership::{self as peers, Configuration, Key, Keys, Node, Profile, driver};
 use beaconflow_policy::Settings;
-use beaconflow_settings::{Setup, digest};
+use beaconflow_settings::{SiteSettings, digest};
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use tracing::info;
 
-use super::carry::{self, Carried, Shared};
-use super::gather::{self, Gathering};
-use super::handle::{FleetHandle, Status};
-use super::keep::{self, MemoryWriter, Restored};
-use super::site::Site;
-use super::thread::{Inputs, Thread};
+use super::handle::{FleetHandle, FleetStatus};
+use super::memory_writer::{self, MemoryWriter, RestoredMemory};
+use super::recovery_driver::{self, RecoveryDriver};
+use super::shared_gossip::{self, SharedGossip, SharedGossipHandle};
+use super::site_evidence::SiteEvidence;
+use super::thread::{FleetReceiver, FleetThread};
 use super::uplink::{self, Uplink};
 use super::{Millis, millis};
 use crate::clock::Clock;
-use crate::core::{Handle, Tie, Ties, Witness};
-use crate::operator::{self, FarmSource};
-use crate::overrides::wall;
+use crate::core::{CoreEvent, CoreHandle, FleetLinkConfig, SessionAffinity};
+use crate::operator::{self, EndpointSource};
+use crate::overrides::wall_clock_ms;
 
-/// A client that was moved to even out or for lateness is not led back for so long.
-const AWAY_S: u32 = 30;
-/// The module forgets a client key's failures after so many of the longest deadline; so do the peers.
-const FORGET: Millis = 4;
-/// Events of the peers that wait.
-const EVENTS: usize = 256;
+/// A client migrated for rebalancing or slow messages is not led back for this long.
+const AFFINITY_SUSPENSION_S: u32 = 30;
+/// Failures of a client key are kept for this multiple of the longest deadline, as in the policy.
+const FAILURE_RETENTION_DEADLINES: Millis = 4;
+/// Longest queue of membership events.
+const MEMBERSHIP_QUEUE: usize = 256;
 
-/// A fleet that is set up, before the core runs.
-pub struct Fleet {
-    file: operator::Fleet,
+/// A fleet prepared before the core runs.
+pub struct PreparedFleet {
+    config: operator::FleetConfig,
     clock: Clock,
-    boot: u64,
-    version: Version,
+    incarnation: u64,
+    routing_version: Version,
     memory: MemoryWriter,
-    restored: Restored,
-    gathering: Gathering,
+    restored: RestoredMemory,
+    recovery: RecoveryDriver,
     uplink: Option<Uplink>,
-    observations: Receiver<Witness>,
-    cold_ms: Millis,
-    failures_good: Millis,
+    core_events: Receiver<CoreEvent>,
+    warm_up_ms: Millis,
+    failure_ttl_ms: Millis,
 }
 
-/// Opens the memory and sets up what the core is given. Only a key that can't be read is an error: whatever else is
-/// missing is served through.
+/// Opens the memory and prepares the link of the core.
+///
+/// # Errors
+///
+/// Fails if a key can't be read or a setting is out of range. Whatever else is missing is served
+/// without.
 pub fn prepare(
-    file: operator::Fleet,
-    (setup, farm): (&Setup, Option<&FarmSource>),
+    config: operator::FleetConfig,
+    (setup, farm): (&SiteSettings, Option<&EndpointSource>),
     clock: Clock,
-) -> Result<(Fleet, Tie), String> {
-    let settings = setup.module();
-    let (memory, restored) = keep::open(&file, wall());
-    let boot = if restored.boot > 0 {
-        restored.boot
+) -> Result<(PreparedFleet, FleetLinkConfig), String> {
+    let settings = setup.policy_settings();
+    let (memory, restored) = memory_writer::open(&config, wall_clock_ms());
+    let incarnation = if restored.incarnation > 0 {
+        restored.incarnation
     } else {
-        wall() / 1_000
+        wall_clock_ms() / 1_000
     };
-    let version = version(&settings, farm);
-    let config = gather::config(&file, setup, &settings);
-    let most = Duration::from_nanos(config.lets_in_within());
-    let gathering = Gathering::new(config, driver::random())?;
-    let set = uplink::config(&file, driver::random());
-    let uplink = file
+    let routing_version = version(&settings, farm);
+    let recovery_config = recovery_driver::config(&config, setup, &settings);
+    let recovery_timeout = Duration::from_nanos(recovery_config.admits_within());
+    let recovery = RecoveryDriver::new(recovery_config, driver::random())?;
+    let edge_config = uplink::config(&config, driver::random());
+    let uplink = config
         .edge
-        .on
-        .then(|| Uplink::new(set, clock.now() / 1_000_000, restored.uplink));
+        .is_enabled
+        .then(|| Uplink::new(edge_config, clock.now() / 1_000_000, restored.uplink));
     let uplink = uplink.transpose()?;
-    let (tell, observations) = unbounded();
+    let (events, core_events) = unbounded();
     let now = clock.now() / 1_000_000;
-    let ties = file.affinity.on.then(|| {
-        let memory = placements(&file, (boot, version), &restored, now);
-        Ties::new(memory, file.affinity.keep)
+    let affinity = config.affinity.is_enabled.then(|| {
+        let memory = affinity_memory(&config, (incarnation, routing_version), &restored, now);
+        SessionAffinity::new(memory, config.affinity.retention)
     });
-    let turns = file.borne.is_some();
+    let staged_admission = config.clients_per_server_s.is_some();
     let longest = settings
         .classes
         .iter()
         .map(|class| class.deadline)
         .max()
         .unwrap_or(0);
-    let (cold_ms, failures_good) = (
+    let (warm_up_ms, failure_ttl_ms) = (
         settings.rules.warm_up_time / 1_000_000,
-        longest / 1_000_000 * FORGET,
+        longest / 1_000_000 * FAILURE_RETENTION_DEADLINES,
     );
-    let fleet = Fleet {
-        file,
+    let fleet = PreparedFleet {
+        config,
         clock,
-        boot,
-        version,
+        incarnation,
+        routing_version,
         memory,
         restored,
-        gathering,
+        recovery,
         uplink,
-        observations,
-        cold_ms,
-        failures_good,
+        core_events,
+        warm_up_ms,
+        failure_ttl_ms,
     };
     Ok((
         fleet,
-        Tie {
-            tell,
-            gather: Some(most),
-            turns,
-            ties,
+        FleetLinkConfig {
+            events,
+            recovery_timeout: Some(recovery_timeout),
+            staged_admission,
+            affinity,
         },
     ))
 }
 
-/// Affinity's memory as this process starts with it: without placements, with the versions that it remembers.
-fn placements(
-    file: &operator::Fleet,
+/// Session affinity at the start: the known versions without placements.
+fn affinity_memory(
+    file: &operator::FleetConfig,
     (boot, version): (u64, Version),
-    restored: &Restored,
+    restored: &RestoredMemory,
     now: Millis,
 ) -> Placements {
     let limits = Limits {
         bound: Bound {
-            entries: file.affinity.most,
+            entries: file.affinity.max_placements,
             bytes: usize::MAX,
         },
-        life_s: u32::try_from(file.affinity.keep.as_secs()).unwrap_or(u32::MAX),
-        away_s: AWAY_S,
+        life_s: u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX),
+        away_s: AFFINITY_SUSPENSION_S,
         home_most: 0,
     };
-    let mut memory = Placements::new(limits, origin(&file.name, boot), driver::random());
-    memory.balancer_died(origin(&file.name, boot.saturating_sub(1)));
+    let mut memory = Placements::new(limits, placement_origin(&file.name, boot), driver::random());
+    memory.balancer_died(placement_origin(&file.name, boot.saturating_sub(1)));
     for fact in &restored.versions {
         memory.heard_version(fact, now);
     }
@@ -140,13 +144,13 @@
     memory
 }
 
-/// A process in one of its lives, as placements name it.
-pub(super) fn origin(name: &str, boot: u64) -> u64 {
+/// The origin of placements: a process in one incarnation.
+pub(super) fn placement_origin(name: &str, boot: u64) -> u64 {
     digest(&format!("{name} {boot}"))
 }
 
-/// What the configuration says of routing: the same at all processes that run it, whatever their own place.
-pub(super) fn version(settings: &Settings, farm: Option<&FarmSource>) -> Version {
+/// The version of the routing configuration; equal at all processes that run it.
+pub(super) fn version(settings: &Settings, farm: Option<&EndpointSource>) -> Version {
     let class = |(at, class): (usize, &beaconflow_policy::RequestClass)| Class {
         name: at.to_string(),
         aim_ms: class.latency_objective / 1_000_000,
@@ -161,7 +165,7 @@
         was: None,
     };
     let servers = match farm {
-        Some(FarmSource::Servers(servers)) => servers.iter().map(server).collect(),
+        Some(EndpointSource::Servers(servers)) => servers.iter().map(server).collect(),
         _ => Vec::new(),
     };
     let classes = settings.classes.iter().enumerate().map(class).collect();
@@ -173,25 +177,29 @@
     .version()
 }
 
-impl Fleet {
-    /// Runs it on a thread of its own, with the peers' on another.
-    pub fn start(self, core: Handle) -> Result<FleetHandle, String> {
-        let (news, changes) = unbounded();
-        let known = self.knowledge(news);
-        let (tell, events) = bounded(EVENTS);
-        let peers = self.start_peers(&known, tell)?;
+impl PreparedFleet {
+    /// Starts the fleet thread and the membership thread.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket or a thread can't be created.
+    pub fn start(self, core: CoreHandle) -> Result<FleetHandle, String> {
+        let (news, gossip_changes) = unbounded();
+        let known = self.gossip_state(news);
+        let (tell, membership_events) = bounded(MEMBERSHIP_QUEUE);
+        let peers = self.start_membership(&known, tell)?;
         let (commands, received) = unbounded();
-        let shown: Arc<Mutex<Status>> = Arc::default();
+        let shown: Arc<Mutex<FleetStatus>> = Arc::default();
         let handle = FleetHandle {
             commands,
-            shown: Arc::clone(&shown),
+            status: Arc::clone(&shown),
         };
-        info!(part = "peers", name = self.file.name, site = self.file.site, boot = self.boot, on = %self.file.listen, "part of a fleet");
-        let (thread, restored, observations) = self.into_thread(core, known, peers, shown);
-        let inputs = Inputs {
-            observations,
-            changes,
-            events,
+        info!(part = "peers", name = self.config.name, site = self.config.site, boot = self.incarnation, on = %self.config.listen, "part of a fleet");
+        let (thread, restored, core_events) = self.into_thread(core, known, peers, shown);
+        let inputs = FleetReceiver {
+            core_events,
+            gossip_changes,
+            membership_events,
             commands: received,
         };
         let run = move || thread.run(restored, inputs);
@@ -200,94 +208,99 @@
         Ok(handle)
     }
 
-    /// What is known together, as this process starts with it: nothing.
-    fn knowledge(&self, news: Sender<Vec<Change>>) -> Shared {
-        let bounds = carry::bounds(
-            self.file.affinity.most,
-            millis(self.file.affinity.keep),
+    /// The gossip state at the start.
+    fn gossip_state(&self, news: Sender<Vec<Change>>) -> SharedGossipHandle {
+        let bounds = shared_gossip::bounds(
+            self.config.affinity.max_placements,
+            millis(self.config.affinity.retention),
             driver::random(),
         );
         let origin = Origin {
-            name: self.file.name.clone(),
-            boot: self.boot,
+            name: self.config.name.clone(),
+            boot: self.incarnation,
         };
-        Carried::shared(Knowledge::new(origin, bounds), news)
+        SharedGossip::shared(Knowledge::new(origin, bounds), news)
     }
 
-    fn start_peers(
+    fn start_membership(
         &self,
-        known: &Shared,
+        known: &SharedGossipHandle,
         tell: Sender<peers::Event>,
     ) -> Result<driver::Handle, String> {
-        let node = self.node(Arc::clone(known))?;
-        let bound = |error: std::io::Error| format!("fleet.listen {}: {error}", self.file.listen);
-        let link = driver::Udp::new(UdpSocket::bind(self.file.listen).map_err(bound)?);
+        let membership_node = self.node(Arc::clone(known))?;
+        let bound = |error: std::io::Error| format!("fleet.listen {}: {error}", self.config.listen);
+        let link = driver::Udp::new(UdpSocket::bind(self.config.listen).map_err(bound)?);
         let clock = self.clock;
-        driver::spawn(node, link, move || clock.now() / 1_000_000, tell)
+        driver::spawn(membership_node, link, move || clock.now() / 1_000_000, tell)
             .map_err(|error| format!("thread peers: {error}"))
     }
 
-    /// What the thread has at its start, what is restored, and where it hears what the core saw.
+    /// The fleet thread's state, the restored memory, and the receiver of the core's events.
     fn into_thread(
         self,
-        core: Handle,
-        known: Shared,
-        peers: driver::Handle,
-        shown: Arc<Mutex<Status>>,
-    ) -> (Thread, Restored, Receiver<Witness>) {
+        core: CoreHandle,
+        gossip: SharedGossipHandle,
+        membership: driver::Handle,
+        published_status: Arc<Mutex<FleetStatus>>,
+    ) -> (FleetThread, RestoredMemory, Receiver<CoreEvent>) {
         let now = self.clock.now();
-        let (name, site) = (self.file.name.clone(), self.file.site.clone());
-        let thread = Thread {
+        let (name, site) = (self.config.name.clone(), self.config.site.clone());
+        let thread = FleetThread {
             now,
-            since: now,
-            serving_since: None,
-            in_full: false,
+            started_at: now,
+            serving_started_at: None,
+            serves_in_full: false,
             settling: None,
             is_settled: false,
-            gathers: true,
-            by_turns: self.file.borne.is_some(),
+            is_recovering: true,
+            is_admission_staged: self.config.clients_per_server_s.is_some(),
             servers: BTreeMap::new(),
-            position: None,
-            standing: 0,
-            tell_at: 0,
-            status_at: 0,
-            status: Status {
+            list_position: None,
+            established: 0,
+            publish_status_at: 0,
+            update_status_at: 0,
+            status: FleetStatus {
                 name,
                 site,
-                boot: self.boot,
-                ..Status::default()
+                incarnation: self.incarnation,
+                ..FleetStatus::default()
             },
-            file: self.file,
+            config: self.config,
             clock: self.clock,
-            boot: self.boot,
-            version: self.version,
+            incarnation: self.incarnation,
+            version: self.routing_version,
             core,
-            known,
-            peers,
+            gossip,
+            membership,
             memory: self.memory,
-            gathering: self.gathering,
+            recovery: self.recovery,
             uplink: self.uplink,
-            site: Site::default(),
-            cold_ms: self.cold_ms,
-            failures_good: self.failures_good,
-            shown,
+            site_evidence: SiteEvidence::default(),
+            warm_up_ms: self.warm_up_ms,
+            failure_ttl_ms: self.failure_ttl_ms,
+            published_status,
         };
-        (thread, self.restored, self.observations)
+        (thread, self.restored, self.core_events)
     }
 
-    fn node(&self, known: Shared) -> Result<Node<Shared>, String> {
+    fn node(&self, known: SharedGossipHandle) -> Result<Node<SharedGossipHandle>, String> {
         let read =
             |path: &std::path::PathBuf| Key::read(path).map_err(|fault| format!("fleet: {fault}"));
-        let current = read(&self.file.key_file)?;
-        let other = self.file.previous_key_file.as_ref().map(read).transpose()?;
+        let current = read(&self.config.key_file)?;
+        let other = self
+            .config
+            .previous_key_file
+            .as_ref()
+            .map(read)
+            .transpose()?;
         let profile = Profile {
-            name: self.file.name.as_str().into(),
-            address: self.file.advertise.unwrap_or(self.file.listen),
-            boot: self.boot,
+            name: self.config.name.as_str().into(),
+            address: self.config.advertise.unwrap_or(self.config.listen),
+            boot: self.incarnation,
             seed: driver::random(),
-            site: self.file.site.as_str().into(),
-            configuration: configuration(self.version, self.file.affinity.serial),
-            seeds: self.file.peers.clone(),
+            site: self.config.site.as_str().into(),
+            peer_configuration: configuration(self.routing_version, self.config.affinity.serial),
+            seeds: self.config.peers.clone(),
         };
         let node = Node::new(
             profile,
@@ -302,7 +315,7 @@
     }
 }
 
-/// A version as the peers are told of it.
+/// A version as peers see it.
 pub(super) fn configuration(version: Version, serial: u64) -> Configuration {
     let mut digest = [0; 32];
     digest[..16].copy_from_slice(&version.0.to_be_bytes());
--- /dev/null
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -0,0 +1,114 @@
+//! The gossip state that the membership thread's datagrams carry.
+
+use std::sync::{Arc, Mutex, PoisonError};
+
+use beaconflow_gossip::{Change, Fact, Kind, Knowledge, Subject, Value};
+use beaconflow_membership::{Body, Member};
+use crossbeam_channel::Sender;
+use tracing::warn;
+
+use super::Millis;
+
+/// Fact kinds of this program, which the gossip crate carries unread. The numbers keep their
+/// meaning.
+pub(super) const RECOVERY_STATUS_FACT: u32 = 101;
+pub(super) const PLACEMENT_FACT: u32 = 102;
+pub(super) const VERSION_FACT: u32 = 103;
+pub(super) const UPLINK_STATUS_FACT: u32 = 104;
+pub(super) const LENT_QUOTA_FACT: u32 = 105;
+pub(super) const SERVER_EVIDENCE_FACT: u32 = 106;
+
+/// The gossip state, shared by the membership thread and the fleet thread.
+pub(super) type SharedGossipHandle = Arc<Mutex<SharedGossip>>;
+
+/// The gossip state, and who is told what peers added to it.
+pub(super) struct SharedGossip {
+    pub(super) knowledge: Knowledge,
+    changes: Sender<Vec<Change>>,
+    /// Number of processes in the fleet, including this one.
+    pub(super) members: usize,
+    /// Packets that could not be parsed.
+    pub(super) unreadable: u64,
+}
+
+impl SharedGossip {
+    pub(super) fn shared(knowledge: Knowledge, changes: Sender<Vec<Change>>) -> SharedGossipHandle {
+        Arc::new(Mutex::new(SharedGossip {
+            knowledge,
+            changes,
+            members: 1,
+            unreadable: 0,
+        }))
+    }
+}
+
+/// The state is valid between any two calls.
+pub(super) fn lock<T>(shared: &SharedGossipHandle, act: impl FnOnce(&mut SharedGossip) -> T) -> T {
+    act(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
+}
+
+impl Body for SharedGossip {
+    fn rumours(&mut self, room: usize, now: Millis) -> Vec<u8> {
+        self.knowledge.rumours(room, now)
+    }
+
+    fn summary(&mut self, room: usize, _: Millis) -> Vec<u8> {
+        self.knowledge.summary(room)
+    }
+
+    fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
+        self.knowledge
+            .answer(summary, room, most, now)
+            .unwrap_or_else(|_| {
+                self.unreadable += 1;
+                Vec::new()
+            })
+    }
+
+    fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
+        match self.knowledge.take(bytes, now) {
+            Ok(changes) if changes.is_empty() => {}
+            // A fleet thread that has stopped has logged that.
+            Ok(changes) => drop(self.changes.send(changes)),
+            Err(error) => {
+                self.unreadable += 1;
+                if self.unreadable.is_power_of_two() {
+                    warn!(part = "peers", from = %from.name, why = %error, count = self.unreadable, "a packet was not read");
+                }
+            }
+        }
+    }
+
+    fn members(&mut self, n: usize) {
+        self.members = n;
+        self.knowledge.members(n);
+    }
+}
+
+/// The subject of a fact of this program's own kinds.
+pub(super) fn custom_subject(kind: u32, key: Vec<u8>, owned: bool) -> Subject {
+    Subject::Unknown { kind, key, owned }
+}
+
+/// Kind, key and value of a fact, if it is of one of those kinds.
+pub(super) fn custom_fact(fact: &Fact) -> Option<(u32, &[u8], &[u8])> {
+    match (&fact.subject, &fact.value) {
+        (Subject::Unknown { kind, key, .. }, Value::Unknown(bytes)) => Some((*kind, key, bytes)),
+        _ => None,
+    }
+}
+
+/// Bounds that leave room for so many placements.
+pub(super) fn bounds(most: usize, keep: Millis, seed: u64) -> beaconflow_gossip::Bounds {
+    let mut bounds = beaconflow_gossip::Bounds {
+        seed,
+        ..Default::default()
+    };
+    let own = bounds.of_mut(Kind::Unknown);
+    own.bytes = own.bytes.max(most.saturating_mul(BYTES_PER_PLACEMENT));
+    own.longest = own.longest.max(keep);
+    bounds
+}
+
+/// Memory per placement, including its index entries.
+const BYTES_PER_PLACEMENT: usize = 320;
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -1,4 +1,4 @@
-//! The fleet's thread: what it has, and the loop that hands each input to whoever takes it up.
+//! The fleet thread: its state and its event loop.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -10,207 +10,216 @@
 use crossbeam_channel::{Receiver, never, select};
 use tracing::{info, warn};
 
-use super::carry::Shared;
-use super::gather::Gathering;
-use super::handle::{Command, Status};
-use super::keep::{MemoryWriter, Restored};
+use super::handle::{FleetCommand, FleetStatus};
+use super::memory_writer::{MemoryWriter, RestoredMemory};
+use super::recovery_driver::RecoveryDriver;
 use super::setup::configuration;
-use super::site::Site;
+use super::shared_gossip::SharedGossipHandle;
+use super::site_evidence::SiteEvidence;
 use super::uplink::{self, Uplink};
 use super::{Millis, records};
 use crate::clock::Clock;
-use crate::core::{Event, Handle, KnownNews, TieNews, Witness};
-use crate::farm::Listed;
+use crate::core::{AffinityEvent, CoreEvent, CoreHandle, CoreInput, FleetEvent};
+use crate::discovery::ListedServer;
 use crate::operator;
 
-/// The thread looks at what only time changes this often at least.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+/// Longest wait between two checks of timeouts.
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
-/// Whatever reaches the thread.
-pub(super) struct Inputs {
-    pub(super) observations: Receiver<Witness>,
-    pub(super) changes: Receiver<Vec<Change>>,
-    pub(super) events: Receiver<peers::Event>,
-    pub(super) commands: Receiver<Command>,
+/// The receivers of the fleet thread.
+pub(super) struct FleetReceiver {
+    pub(super) core_events: Receiver<CoreEvent>,
+    pub(super) gossip_changes: Receiver<Vec<Change>>,
+    pub(super) membership_events: Receiver<peers::Event>,
+    pub(super) commands: Receiver<FleetCommand>,
 }
 
-/// What reached it.
-enum Input {
-    Observed(Witness),
-    Changed(Vec<Change>),
-    Peers(peers::Event),
-    Commanded(Command),
-    CoreLeft,
-    Nothing,
+/// An input of the fleet thread.
+enum FleetInput {
+    Core(CoreEvent),
+    Gossip(Vec<Change>),
+    Membership(peers::Event),
+    Command(FleetCommand),
+    CoreStopped,
+    TimedOut,
 }
 
-impl Inputs {
-    /// What comes next, if it comes within a time.
-    fn next(&mut self, wait: Duration) -> Input {
-        // Guards against a loop round an end that is ready at all times: an input that has ended is left out.
+impl FleetReceiver {
+    /// The next input within a time.
+    fn next(&mut self, wait: Duration) -> FleetInput {
+        // A closed channel is always ready and must not be polled again.
         select! {
-            recv(self.observations) -> seen => seen.map_or(Input::CoreLeft, Input::Observed),
-            recv(self.changes) -> changes => changes.map_or(Input::Nothing, Input::Changed),
-            recv(self.events) -> event => event.map_or_else(
+            recv(self.core_events) -> seen => seen.map_or(FleetInput::CoreStopped, FleetInput::Core),
+            recv(self.gossip_changes) -> changes => changes.map_or(FleetInput::TimedOut, FleetInput::Gossip),
+            recv(self.membership_events) -> event => event.map_or_else(
                 |_| {
-                    self.events = never();
-                    Input::Nothing
+                    self.membership_events = never();
+                    FleetInput::TimedOut
                 },
-                Input::Peers,
+                FleetInput::Membership,
             ),
             recv(self.commands) -> command => command.map_or_else(
                 |_| {
                     self.commands = never();
-                    Input::Nothing
+                    FleetInput::TimedOut
                 },
-                Input::Commanded,
+                FleetInput::Command,
             ),
-            default(wait) => Input::Nothing,
+            default(wait) => FleetInput::TimedOut,
         }
     }
 }
 
-/// The thread's own.
-pub(super) struct Thread {
-    /// The present moment, in nanoseconds as the core counts them.
+/// The state of the fleet thread.
+pub(super) struct FleetThread {
+    /// The present time, in nanoseconds by the core's clock.
     pub(super) now: u64,
-    pub(super) since: u64,
-    pub(super) serving_since: Option<u64>,
-    pub(super) in_full: bool,
-    /// The site's processes have begun to tell what they know: all has come by the first moment if nothing more comes
-    /// until then, and at the second at the latest.
+    pub(super) started_at: u64,
+    pub(super) serving_started_at: Option<u64>,
+    pub(super) serves_in_full: bool,
+    /// While the site's peers report: the end if nothing new arrives, and the end at the latest.
     pub(super) settling: Option<(u64, u64)>,
-    /// The site's processes have told what they know.
+    /// Whether the site's peers have reported.
     pub(super) is_settled: bool,
-    /// `PING` says no: what was known before is gathered.
-    pub(super) gathers: bool,
-    /// Clients are let in by turns.
-    pub(super) by_turns: bool,
+    /// Whether recovery keeps the process from being ready.
+    pub(super) is_recovering: bool,
+    /// Whether admission is staged.
+    pub(super) is_admission_staged: bool,
     /// The list as the core has it, by name.
-    pub(super) servers: BTreeMap<String, Listed>,
-    pub(super) position: Option<beaconflow_gossip::Position>,
-    pub(super) standing: usize,
-    /// When the own word is told again.
-    pub(super) tell_at: u64,
-    pub(super) status_at: u64,
-    pub(super) status: Status,
-    pub(super) file: operator::Fleet,
+    pub(super) servers: BTreeMap<String, ListedServer>,
+    pub(super) list_position: Option<beaconflow_gossip::Position>,
+    pub(super) established: usize,
+    /// When this process's status is published next.
+    pub(super) publish_status_at: u64,
+    pub(super) update_status_at: u64,
+    pub(super) status: FleetStatus,
+    pub(super) config: operator::FleetConfig,
     pub(super) clock: Clock,
-    pub(super) boot: u64,
+    pub(super) incarnation: u64,
     pub(super) version: Version,
-    pub(super) core: Handle,
-    pub(super) known: Shared,
-    pub(super) peers: driver::Handle,
+    pub(super) core: CoreHandle,
+    pub(super) gossip: SharedGossipHandle,
+    pub(super) membership: driver::Handle,
     pub(super) memory: MemoryWriter,
-    pub(super) gathering: Gathering,
+    pub(super) recovery: RecoveryDriver,
     pub(super) uplink: Option<Uplink>,
-    pub(super) site: Site,
-    /// A started server is warm after this.
-    pub(super) cold_ms: Millis,
-    /// A client key's failures are forgotten after this.
-    pub(super) failures_good: Millis,
-    pub(super) shown: Arc<Mutex<Status>>,
+    pub(super) site_evidence: SiteEvidence,
+    /// Time from a server's start to its full capacity.
+    pub(super) warm_up_ms: Millis,
+    /// Lifetime of a client key's failures.
+    pub(super) failure_ttl_ms: Millis,
+    pub(super) published_status: Arc<Mutex<FleetStatus>>,
 }
 
-impl Thread {
-    pub(super) fn run(mut self, restored: Restored, mut inputs: Inputs) {
+impl FleetThread {
+    pub(super) fn run(mut self, restored: RestoredMemory, mut inputs: FleetReceiver) {
         self.restore(restored);
-        if self.file.edge.word != operator::EdgeWord::Automatic {
-            let word = self.file.edge.word;
-            self.uplink(|uplink, now| uplink.word(now, word));
+        if self.config.edge.mode != operator::EdgeMode::Automatic {
+            let word = self.config.edge.mode;
+            self.with_uplink(|uplink, now| uplink.word(now, word));
         }
         loop {
             self.now = self.clock.now();
-            self.look_after();
+            self.run_due_tasks();
             let came = inputs.next(self.wait());
-            // Guards against a success that is dated before the failure that it makes void: the wait may have been long.
+            // The wait may have been long, and times must not go backwards between events.
             self.now = self.clock.now();
             match came {
-                Input::Observed(seen) => self.take_observation(seen),
-                Input::Changed(changes) => self.take_changes(&changes),
-                Input::Peers(event) => self.take_peer_event(event),
-                Input::Commanded(command) => self.follow(command),
-                Input::CoreLeft => return self.end(),
-                Input::Nothing => {}
+                FleetInput::Core(seen) => self.on_core_event(seen),
+                FleetInput::Gossip(changes) => self.on_gossip_changes(&changes),
+                FleetInput::Membership(event) => self.on_membership_event(event),
+                FleetInput::Command(command) => self.on_command(command),
+                FleetInput::CoreStopped => return self.shut_down(),
+                FleetInput::TimedOut => {}
             }
         }
     }
 
-    /// How long nothing is due.
+    /// Time until the next task is due.
     fn wait(&self) -> Duration {
         let due = [
-            self.gathering.next(),
+            self.recovery.next(),
             self.settling.map(|(at, _)| at),
-            Some(self.tell_at),
+            Some(self.publish_status_at),
         ];
         let due = due.into_iter().flatten().min().unwrap_or(u64::MAX);
-        Duration::from_nanos(due.saturating_sub(self.now)).min(LONGEST_WAIT)
+        Duration::from_nanos(due.saturating_sub(self.now)).min(MAX_WAIT)
     }
 
-    /// The present moment, in milliseconds.
-    pub(super) fn ms(&self) -> Millis {
+    /// The present time, in milliseconds.
+    pub(super) fn now_ms(&self) -> Millis {
         self.now / 1_000_000
     }
 
-    /// Tells the uplink something, and does what it wants.
-    pub(super) fn uplink(&mut self, act: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::Wanted>) {
-        let now = self.ms();
+    /// Reports something to the uplink monitor and executes its commands.
+    pub(super) fn with_uplink(
+        &mut self,
+        act: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::UplinkCommand>,
+    ) {
+        let now = self.now_ms();
         let Some(uplink) = &mut self.uplink else {
             return;
         };
         let wanted = act(uplink, now);
-        let kept = uplink.kept(now);
+        let kept = uplink.persistent_state(now);
         for one in wanted {
             match one {
-                uplink::Wanted::Hold(span) => self.core.tell(Event::Known(KnownNews::Hold(span))),
-                uplink::Wanted::Ask => self.core.tell(Event::Known(KnownNews::Ask)),
-                uplink::Wanted::Tell => self.tell_at = self.now,
-                uplink::Wanted::Keep => self.memory.remember(records::uplink(kept.0, kept.1, now)),
+                uplink::UplinkCommand::PauseDiscovery(span) => self
+                    .core
+                    .send(CoreInput::Fleet(FleetEvent::PauseDiscovery(span))),
+                uplink::UplinkCommand::PollDiscovery => {
+                    self.core.send(CoreInput::Fleet(FleetEvent::PollDiscovery))
+                }
+                uplink::UplinkCommand::PublishStatus => self.publish_status_at = self.now,
+                uplink::UplinkCommand::Persist => self
+                    .memory
+                    .store(records::encode_uplink(kept.0, kept.1, now)),
             }
         }
     }
 
-    pub(super) fn tell_affinity(&self, news: TieNews) {
-        self.core.tell(Event::Known(KnownNews::Ties(news)));
+    pub(super) fn send_affinity_event(&self, news: AffinityEvent) {
+        self.core.send(CoreInput::Fleet(FleetEvent::Affinity(news)));
     }
 
-    /// Another file's word.
-    fn follow(&mut self, command: Command) {
+    /// Handles a command.
+    fn on_command(&mut self, command: FleetCommand) {
         let file = match command {
-            Command::Follow(file) => file,
-            Command::Routes(version) => {
+            FleetCommand::Reconfigure(file) => file,
+            FleetCommand::SetVersion(version) => {
                 self.version = version;
-                return self.adopt(self.file.affinity.serial);
+                return self.adopt_version(self.config.affinity.serial);
             }
         };
-        if file.peers != self.file.peers {
+        if file.peers != self.config.peers {
             info!(part = "peers", peers = ?file.peers, "other addresses are asked from now on");
-            self.peers.seeds(file.peers.clone());
+            self.membership.seeds(file.peers.clone());
         }
-        if file.affinity.serial != self.file.affinity.serial {
-            self.adopt(file.affinity.serial);
+        if file.affinity.serial != self.config.affinity.serial {
+            self.adopt_version(file.affinity.serial);
         }
-        if file.edge.word != self.file.edge.word {
-            self.uplink(|uplink, now| uplink.word(now, file.edge.word));
+        if file.edge.mode != self.config.edge.mode {
+            self.with_uplink(|uplink, now| uplink.word(now, file.edge.mode));
         }
         (
-            self.file.peers,
-            self.file.affinity.serial,
-            self.file.edge.word,
-        ) = (file.peers, file.affinity.serial, file.edge.word);
+            self.config.peers,
+            self.config.affinity.serial,
+            self.config.edge.mode,
+        ) = (file.peers, file.affinity.serial, file.edge.mode);
     }
 
-    /// The present version is run under that number from now on.
-    fn adopt(&mut self, serial: u64) {
-        self.peers.configured(configuration(self.version, serial));
-        self.tell_affinity(TieNews::Adopt(self.version, serial));
+    /// Adopts the present version under the operator's serial number.
+    fn adopt_version(&mut self, serial: u64) {
+        self.membership
+            .configured(configuration(self.version, serial));
+        self.send_affinity_event(AffinityEvent::VersionAdopted(self.version, serial));
     }
 
-    /// The core has left: what is known is written, and the peers are told.
-    fn end(self) {
-        if !self.memory.end() {
+    /// Writes the memory and leaves the fleet after the core has stopped.
+    fn shut_down(self) {
+        if !self.memory.finish() {
             warn!(part = "memory", "not all that was known is written");
         }
-        self.peers.stop();
+        self.membership.stop();
     }
 }
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -1,6 +1,6 @@
-//! The uplink: whether this site is an island, by its own evidence and its peers', and what is not asked meanwhile.
+//! The uplink monitor: whether this site is isolated, and how discovery is polled meanwhile.
 //!
-//! The judgement is `beaconflow-edge`'s.
+//! The rules are those of `beaconflow-edge`.
 
 use std::time::Duration;
 
@@ -11,42 +11,42 @@
 use tracing::{info, warn};
 
 use super::{Millis, millis};
-use crate::operator::{self, EdgeWord};
+use crate::operator::{self, EdgeMode};
 
-/// A word of the operator's file holds for as long as it stands there.
-const FOR_EVER: Millis = Millis::MAX;
-/// Discovery is held back for so long at a time. Guards against a thread that is gone and a core that never asks again.
-const HELD: Duration = Duration::from_secs(5);
-/// It is held back anew this often, in milliseconds, and evidence that only lasts is given again.
-const AGAIN: Millis = 1_000;
+/// The operator's mode applies until the file changes.
+const UNTIL_CHANGED_MS: Millis = Millis::MAX;
+/// Discovery is paused for this span at a time, so that the core polls again if this thread stops.
+const DISCOVERY_PAUSE: Duration = Duration::from_secs(5);
+/// Interval at which the pause and lasting evidence are renewed, in milliseconds.
+const REFRESH_INTERVAL_MS: Millis = 1_000;
 
-/// What the fleet's thread is to do.
+/// A command of the uplink monitor for the fleet thread.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Wanted {
-    /// Discovery is not asked for so long, but in turn.
-    Hold(Duration),
-    /// Discovery is asked, if the module wants it.
-    Ask,
-    /// The site's other processes are told at once.
-    Tell,
-    /// State and confirmation are to be remembered.
-    Keep,
+pub(super) enum UplinkCommand {
+    /// Pause polls of discovery.
+    PauseDiscovery(Duration),
+    /// Poll discovery, if the policy wants it.
+    PollDiscovery,
+    /// Publish the status at once.
+    PublishStatus,
+    /// Store the state.
+    Persist,
 }
 
-/// The site's uplink as this process sees it.
+/// The uplink as this process sees it.
 pub(super) struct Uplink {
     edge: Edge,
-    /// The watch on discovery stands.
-    watches: bool,
-    /// When discovery is to be asked after an island.
-    ask_at: Option<Millis>,
-    again_at: Millis,
-    out: Vec<Action>,
+    /// Whether the watch on discovery is open.
+    is_watch_open: bool,
+    /// When discovery is polled after an isolation.
+    poll_at: Option<Millis>,
+    refresh_at: Millis,
+    actions: Vec<Action>,
 }
 
-/// What the machine is told of its site.
-pub(super) fn config(fleet: &operator::Fleet, seed: u64) -> Config {
-    let (usual, patience_ms) = (Config::default(), millis(fleet.edge.patience));
+/// The configuration of the state machine.
+pub(super) fn config(fleet: &operator::FleetConfig, seed: u64) -> Config {
+    let (usual, patience_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
     let within = |span: Millis| span.min(patience_ms);
     Config {
         site: fleet.site.clone(),
@@ -57,14 +57,17 @@
         steady_ms: within(usual.steady_ms),
         damp_cap_ms: within(usual.damp_cap_ms),
         patience_ms,
-        trust_for_ms: millis(fleet.edge.trust),
+        trust_for_ms: millis(fleet.edge.trust_period),
         ..usual
     }
 }
 
 impl Uplink {
-    /// A process that starts, with what it wrote down before: whether it was an island, and when discovery last
-    /// confirmed its list.
+    /// Starts monitoring, from what was stored before if there is anything.
+    ///
+    /// # Errors
+    ///
+    /// Names the fields outside their range.
     pub(super) fn new(
         config: Config,
         now: Millis,
@@ -88,58 +91,57 @@
                 Start::Remembered {
                     state,
                     confirmed_at,
-                    word: None,
+                    set_operator_mode: None,
                 }
             }
         };
         let edge = Edge::new(config, now, start);
         Ok(Uplink {
             edge,
-            watches: false,
-            ask_at: None,
-            again_at: 0,
-            out: Vec::new(),
+            is_watch_open: false,
+            poll_at: None,
+            refresh_at: 0,
+            actions: Vec::new(),
         })
     }
 
-    /// Takes evidence in; gives what is to be done.
-    pub(super) fn take(&mut self, now: Millis, evidence: Evidence) -> Vec<Wanted> {
+    /// Reports evidence; returns the commands that follow.
+    pub(super) fn on_evidence(&mut self, now: Millis, evidence: Evidence) -> Vec<UplinkCommand> {
         match &evidence {
-            Evidence::WatchStands => self.watches = true,
-            Evidence::WatchLost => self.watches = false,
+            Evidence::WatchStands => self.is_watch_open = true,
+            Evidence::WatchLost => self.is_watch_open = false,
             _ => {}
         }
-        let mut out = std::mem::take(&mut self.out);
+        let mut out = std::mem::take(&mut self.actions);
         self.edge.handle(now, evidence, &mut out);
         let mut wanted = Vec::new();
         for action in out.drain(..) {
-            self.follow(now, action, &mut wanted);
+            self.execute(now, action, &mut wanted);
         }
-        self.out = out;
+        self.actions = out;
         wanted
     }
 
-    /// The watch on discovery ended, or could not be had. One that told nothing since the last time was asked for and
-    /// not answered.
-    pub(super) fn hears_nothing(&mut self, now: Millis) -> Vec<Wanted> {
-        let was_asked = !self.watches;
-        let mut wanted = self.take(now, Evidence::WatchLost);
+    /// Reports that the watch ended. If it had not sent anything, discovery did not answer.
+    pub(super) fn on_discovery_lost(&mut self, now: Millis) -> Vec<UplinkCommand> {
+        let was_asked = !self.is_watch_open;
+        let mut wanted = self.on_evidence(now, Evidence::WatchLost);
         if was_asked {
-            wanted.extend(self.take(now, Evidence::DiscoveryFailed));
+            wanted.extend(self.on_evidence(now, Evidence::DiscoveryFailed));
         }
         wanted
     }
 
-    /// The list of the configuration is in hand; its age counts from the start where nothing older is known of it.
-    pub(super) fn has_known_list(&mut self, now: Millis) -> Vec<Wanted> {
+    /// Reports a configured list, whose age counts from the start where none older is known.
+    pub(super) fn on_configured_list(&mut self, now: Millis) -> Vec<UplinkCommand> {
         if self.edge.list_age(now).is_some() {
             Vec::new()
         } else {
-            self.take(now, Evidence::Confirmed { at: now })
+            self.on_evidence(now, Evidence::Confirmed { at: now })
         }
     }
 
-    fn follow(&mut self, now: Millis, action: Action, wanted: &mut Vec<Wanted>) {
+    fn execute(&mut self, now: Millis, action: Action, wanted: &mut Vec<UplinkCommand>) {
         match action {
             Action::State {
                 from,
@@ -147,30 +149,33 @@
                 why,
             } => {
                 warn!(part = "edge", from = %from, to = %State::Islanded, why, "state");
-                wanted.extend([Wanted::Hold(HELD), Wanted::Keep]);
+                wanted.extend([
+                    UplinkCommand::PauseDiscovery(DISCOVERY_PAUSE),
+                    UplinkCommand::Persist,
+                ]);
             }
             Action::State { from, to, why } => {
                 info!(part = "edge", from = %from, to = %to, why, "state");
-                wanted.push(Wanted::Keep);
+                wanted.push(UplinkCommand::Persist);
             }
             Action::Probe {
                 place: Place::Discovery,
             } => {
                 info!(part = "edge", "this process asks discovery for the site");
-                wanted.push(Wanted::Ask);
+                wanted.push(UplinkCommand::PollDiscovery);
             }
-            // The store is asked by its front as clients come, and other sites are heard of through the peers.
+            // The store is called by its front, and other sites are heard of through the peers.
             Action::Probe { .. } => {}
-            Action::Tell => wanted.push(Wanted::Tell),
+            Action::Tell => wanted.push(UplinkCommand::PublishStatus),
             Action::Say(why) => info!(part = "edge", why, "says"),
             Action::Rejoin(Step::Ask {
                 place: Place::Discovery,
                 in_ms,
             }) => {
-                self.ask_at = Some(now.saturating_add(in_ms));
+                self.poll_at = Some(now.saturating_add(in_ms));
             }
             Action::Rejoin(Step::Ask { .. }) => {}
-            // The list is the module's to take over: it moves nobody because an entry looks different.
+            // The policy merges the list; no client is migrated because an entry looks different.
             Action::Rejoin(Step::Merge) => {
                 info!(
                     part = "edge",
@@ -180,27 +185,27 @@
                 self.edge
                     .handle(now, Evidence::Done(Step::Merge), &mut more);
                 more.into_iter()
-                    .for_each(|action| self.follow(now, action, wanted));
+                    .for_each(|action| self.execute(now, action, wanted));
             }
         }
     }
 
-    /// What time alone brings. `others` are the processes of other sites that are there.
-    pub(super) fn due(&mut self, now: Millis, others: &[Member]) -> Vec<Wanted> {
+    /// Handles timeouts. `others` are the present processes of other sites.
+    pub(super) fn on_timer(&mut self, now: Millis, others: &[Member]) -> Vec<UplinkCommand> {
         let mut wanted = Vec::new();
-        if self.ask_at.is_some_and(|at| at <= now) {
-            self.ask_at = None;
-            wanted.push(Wanted::Ask);
+        if self.poll_at.is_some_and(|at| at <= now) {
+            self.poll_at = None;
+            wanted.push(UplinkCommand::PollDiscovery);
         }
-        if now >= self.again_at {
-            self.again_at = now.saturating_add(AGAIN);
-            // A watch that falls silent is ended by whoever watches: until then it stands.
-            if self.watches {
-                wanted.extend(self.take(now, Evidence::WatchStands));
+        if now >= self.refresh_at {
+            self.refresh_at = now.saturating_add(REFRESH_INTERVAL_MS);
+            // A watch counts as open until the watcher ends it.
+            if self.is_watch_open {
+                wanted.extend(self.on_evidence(now, Evidence::WatchStands));
             }
             for other in others {
                 let (name, site) = (other.name.to_string(), other.site.to_string());
-                wanted.extend(self.take(
+                wanted.extend(self.on_evidence(
                     now,
                     Evidence::PeerHeard {
                         name,
@@ -210,27 +215,27 @@
                 ));
             }
             if self.edge.state() == State::Islanded {
-                wanted.push(Wanted::Hold(HELD));
+                wanted.push(UplinkCommand::PauseDiscovery(DISCOVERY_PAUSE));
             }
         }
-        wanted.extend(self.take(now, Evidence::Tick));
+        wanted.extend(self.on_evidence(now, Evidence::Tick));
         wanted
     }
 
-    /// The operator's file has this word from now on.
-    pub(super) fn word(&mut self, now: Millis, word: EdgeWord) -> Vec<Wanted> {
+    /// Applies the operator's mode.
+    pub(super) fn word(&mut self, now: Millis, word: EdgeMode) -> Vec<UplinkCommand> {
         let force = match word {
-            EdgeWord::Automatic => Force::Automatic,
-            EdgeWord::Island => Force::Island,
-            EdgeWord::Linked => Force::Linked,
+            EdgeMode::Automatic => Force::Automatic,
+            EdgeMode::Isolated => Force::Island,
+            EdgeMode::Linked => Force::Linked,
         };
         let (who, why) = ("the operator's file".into(), "edge.word".into());
-        self.take(
+        self.on_evidence(
             now,
             Evidence::OperatorsWord(Word {
                 given_at: now,
                 force,
-                ends_at: FOR_EVER,
+                ends_at: UNTIL_CHANGED_MS,
                 who,
                 why,
             }),
@@ -241,15 +246,15 @@
         &self.edge
     }
 
-    /// Whether the site is an island now, and when discovery last confirmed the list.
-    pub(super) fn kept(&self, now: Millis) -> (bool, Option<Millis>) {
+    /// Whether the site is isolated, and when discovery last confirmed the list.
+    pub(super) fn persistent_state(&self, now: Millis) -> (bool, Option<Millis>) {
         let confirmed_at = self.edge.list_age(now).map(|age| now.saturating_sub(age));
         (self.edge.state() == State::Islanded, confirmed_at)
     }
 
-    /// Whether the site has to do without what lies beyond, and why a server is passed over then of which nothing says
-    /// that it is well, if it is.
-    pub(super) fn stands_apart(&self, now: Millis) -> (bool, Option<&'static str>) {
+    /// Whether the site has to do without discovery, and the reason to skip servers without
+    /// evidence of health, if there is one.
+    pub(super) fn isolation(&self, now: Millis) -> (bool, Option<&'static str>) {
         let is_no = |decision: Decision| match self.edge.may(now, &decision) {
             Verdict::No { why, .. } => Some(why),
             Verdict::Yes => None,
@@ -263,8 +268,8 @@
         (is_no(Decision::MoveForBalance).is_some(), unproven)
     }
 
-    /// How it stands, in words for people.
-    pub(super) fn words(&self, now: Millis) -> String {
+    /// The state in words for people.
+    pub(super) fn describe(&self, now: Millis) -> String {
         self.edge.look(now).lines().join("; ")
     }
 }
--- a/crates/balancer/src/front/mod.rs
+++ b/crates/balancer/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! Fronts: the wires that clients and application servers speak. A front frames and words; it decides nothing.
+//! Fronts: the protocols that clients and servers speak. A front parses and encodes; it decides
+//! nothing.
 
 pub mod nats;
 pub mod platform;
@@ -6,210 +7,225 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use crate::core::Opening;
-use crate::core::lifecycle::State;
+use crate::attempt::{AttemptError, ServerExchange};
+use crate::core::ClientRequest;
+use crate::core::lifecycle::LifecycleState;
 use crate::net;
-use crate::pass::{Asking, PassError};
-use crate::prober::Question;
+use crate::prober::LoadProbe;
 
-/// A wire.
+/// A protocol.
 pub trait Front: Send + Sync + 'static {
-    /// A client's opening that has been read and found sound.
+    /// A client's parsed request for a connection.
     type Request: Send;
-    /// What is kept of it, to speak for the client to application servers.
-    type Greeting: Send + Sync;
+    /// What is kept of it for the handshake with a server.
+    type ServerHandshake: Send + Sync;
 
-    /// Whether [`Front::admit`] may wait for something, and so wants a thread of its own.
+    /// Whether [`Front::admit`] may block and needs a thread of its own.
     const ADMIT_WAITS: bool = false;
 
-    /// The name under which its log lines stand.
+    /// Name of the front in the log.
     fn name(&self) -> &'static str;
 
-    /// The stack of a pass's or an admission's thread.
-    fn stack(&self) -> usize {
-        net::STACK
+    /// Stack size of an attempt's or an admission's thread.
+    fn thread_stack_bytes(&self) -> usize {
+        net::THREAD_STACK_BYTES
     }
 
-    /// What a client is told before it says anything.
-    fn greet(&self) -> Vec<u8> {
+    /// What a client is sent on connect.
+    fn banner(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    /// A client that has sent nothing by then is let go.
-    fn opening_wait(&self) -> Duration;
+    /// A client that has sent nothing by then is closed.
+    fn handshake_timeout(&self) -> Duration;
 
-    /// One that has begun its opening, and has not sent the whole of it by then.
-    fn begun_opening_wait(&self) -> Duration {
-        self.opening_wait()
+    /// A client that has begun its handshake is closed if it is not complete by then.
+    fn begun_handshake_timeout(&self) -> Duration {
+        self.handshake_timeout()
     }
 
-    /// Longest line of an opening, with its end.
-    fn longest_opening(&self) -> usize;
+    /// Longest handshake line, with its end.
+    fn max_handshake_line(&self) -> usize;
 
-    /// Most bytes that are kept of what a client sends beyond its opening before its connection stands.
-    fn most_early(&self) -> usize;
+    /// Most bytes kept of what a client sends beyond its handshake before it is connected.
+    fn max_early_bytes(&self) -> usize;
 
-    /// What a client's line means before its connection is opened. Waits for nothing.
-    fn first(&self, line: &[u8], now: u64) -> First<Self::Request>;
+    /// Parses a line of a client's handshake. Does not block.
+    fn parse_handshake(&self, line: &[u8], now: u64) -> HandshakeLine<Self::Request>;
 
-    /// The words that tell what the program is at; nothing ready is taken for a yes.
-    fn state(&self, _at: State, _ready: bool) -> &'static [u8] {
+    /// The answer to a readiness query.
+    fn readiness_answer(&self, _at: LifecycleState, _ready: bool) -> &'static [u8] {
         b""
     }
 
-    /// The opening of a standing connection, from which another process can take it over; nothing where none can.
-    fn opening<'a>(&self, _of: &'a Self::Greeting) -> Option<&'a [u8]> {
+    /// The line from which another process can take over an established connection, if it can.
+    fn handover_line<'a>(&self, _of: &'a Self::ServerHandshake) -> Option<&'a [u8]> {
         None
     }
 
-    /// Why there is no opening, for a client that sent none in time or too long a line.
-    fn no_opening(&self, why: NoOpening) -> Refusal;
+    /// The rejection of an incomplete or oversized handshake.
+    fn handshake_error(&self, why: HandshakeError) -> Rejection;
 
-    /// Admits a client; may ask a store.
-    fn admit(&self, request: Self::Request) -> Result<(Opening, Self::Greeting), Refusal>;
-
-    /// Speaks for a client to an application server until its connection stands. Gives the bytes for the client
-    /// that go before what the server sends from now on.
-    fn pass(
+    /// Admits a client; may call a store.
+    ///
+    /// # Errors
+    ///
+    /// Returns the rejection to send.
+    fn admit(
+        &self,
+        request: Self::Request,
+    ) -> Result<(ClientRequest, Self::ServerHandshake), Rejection>;
+
+    /// Exchanges the handshake with a server. Returns the bytes for the client that precede the
+    /// server's own.
+    ///
+    /// # Errors
+    ///
+    /// Returns how far the attempt had come.
+    fn request_connection(
         &self,
-        asking: &mut Asking<'_>,
-        greeting: &Self::Greeting,
-    ) -> Result<Vec<u8>, PassError>;
+        asking: &mut ServerExchange<'_>,
+        greeting: &Self::ServerHandshake,
+    ) -> Result<Vec<u8>, AttemptError>;
 
-    /// The words of a final answer, or of a move.
-    fn say(&self, word: Word) -> Vec<u8>;
+    /// Encodes a final answer or a migration.
+    fn encode(&self, word: ClientMessage) -> Vec<u8>;
 
-    /// Follows what clients send on a standing connection.
+    /// A framer for what clients send on an established connection.
     fn client_framer(&self) -> Box<dyn Framer>;
 
-    /// Follows what application servers send on a standing connection.
+    /// A framer for what servers send on an established connection.
     fn server_framer(&self) -> Box<dyn Framer>;
 
-    /// The balancer's own question to a standing server, if the wire has one.
-    fn probe(&self) -> Option<Probe> {
+    /// The keepalive for established connections, if the protocol has one.
+    fn keepalive(&self) -> Option<Keepalive> {
         None
     }
 
-    /// The question for a server's load, if the wire has one.
-    fn load_question(&self) -> Option<Question> {
+    /// The probe for a server's load, if the protocol has one.
+    fn load_probe(&self) -> Option<LoadProbe> {
         None
     }
 
-    /// A client's message unanswered for so long means a silent application server.
-    fn silence(&self) -> Duration;
+    /// A message unanswered for this long shows an unresponsive server.
+    fn response_timeout(&self) -> Duration;
 }
 
-/// What a client is told.
+/// A message to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Unavailable, and when to come back if that is told.
-    Unavailable(Option<Duration>),
+pub enum ClientMessage {
+    /// Rejected, with a retry-after where clients honour one.
+    Rejected(Option<Duration>),
     /// Failed.
     Failed,
-    /// Come again: the connection ends in order.
-    Move,
+    /// Reconnect elsewhere; the connection ends in order.
+    Migrate,
 }
 
-/// What a line before the opening means.
-pub enum First<R> {
-    /// It is answered, and another one follows.
+/// A parsed line of a handshake.
+pub enum HandshakeLine<R> {
+    /// A line with an immediate reply; another line follows.
     Reply(&'static [u8]),
-    /// It asks whether clients are taken, and another one follows.
-    Asks,
-    /// It opens a connection.
-    Opening(R),
-    /// It breaks the wire's rules.
-    Refused(Refusal),
+    /// A readiness query; another line follows.
+    ReadinessQuery,
+    /// A request for a connection.
+    Connect(R),
+    /// A protocol violation.
+    Rejected(Rejection),
 }
 
-/// Why nothing could be made of what a client sent.
+/// Why a handshake is not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoOpening {
-    /// It was not whole in time.
-    Late,
+pub enum HandshakeError {
+    /// It was not complete in time.
+    TimedOut,
     /// Its line is too long.
     TooLong,
-    /// More came with it than a client may send before its connection stands.
-    Piled,
+    /// More bytes came with it than a client may send before it is connected.
+    ExtraBytes,
 }
 
-/// A client that is turned away before the core hears of it.
+/// A rejection before the core learns of the client.
 #[derive(Debug)]
-pub struct Refusal {
-    /// What is written to it.
+pub struct Rejection {
+    /// What the client is sent.
     pub answer: Vec<u8>,
-    /// For the log.
+    /// The reason, for the log.
     pub why: String,
 }
 
-impl Refusal {
-    /// A refusal.
-    pub fn new(answer: &[u8], why: impl Into<String>) -> Refusal {
-        Refusal {
+impl Rejection {
+    /// Creates a rejection.
+    pub fn new(answer: &[u8], why: impl Into<String>) -> Rejection {
+        Rejection {
             answer: answer.to_vec(),
             why: why.into(),
         }
     }
 }
 
-/// What a framer sees go by.
+/// A message as a framer sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
-    /// A message that a sound server answers at once.
-    Asked,
-    /// Such an answer; all that was asked before it is answered.
-    Answered,
-    /// Such an answer to the oldest question alone.
-    AnsweredOldest,
-    /// The connection's load, in microseconds of work a second.
+pub enum MessageKind {
+    /// A message that a healthy server answers at once.
+    Request,
+    /// An answer to everything that was sent before it.
+    AnswerToAll,
+    /// An answer to the oldest unanswered message.
+    AnswerToOldest,
+    /// The connection's load, in microseconds of work per second.
     Load(f64),
     /// The server has served the connection to its end.
     Goodbye,
-    /// The server sends its client away.
-    SentAway,
-    /// The server says that it is about to leave.
-    Leaving,
-    /// News that is the server's and the balancer's alone.
-    Private,
+    /// The server redirects its client.
+    Redirect,
+    /// The server announces its shutdown.
+    ShutdownNotice,
+    /// A message for the balancer alone.
+    BalancerOnly,
 }
 
-/// How far a framer followed some bytes.
+/// How far a framer has advanced.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Followed {
-    /// Bytes that may go on; the rest begins a message whose meaning shows only when it is whole, and is to be
-    /// handed over again with what comes next.
+pub struct FrameProgress {
+    /// Bytes that may be relayed. The rest begins an incomplete message and is presented again with
+    /// what follows.
     pub consumed: usize,
-    /// Where the last boundary between messages lies, if one lies in them.
+    /// The last boundary between messages, if there is one.
     pub boundary: Option<usize>,
-    /// Whole messages among them that do not go on.
+    /// Complete messages that are not relayed.
     pub dropped: Vec<Range<usize>>,
 }
 
-/// Follows one direction of a standing connection.
+/// Frames one direction of an established connection.
 pub trait Framer: Send {
-    /// Follows bytes and asks of each message seen whether it goes on.
-    fn follow(
+    /// Advances over bytes; `seen` decides of each message whether it is relayed.
+    ///
+    /// # Errors
+    ///
+    /// Fails on a protocol violation.
+    fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(Seen) -> bool,
-    ) -> Result<Followed, FrameFault>;
+        seen: &mut dyn FnMut(MessageKind) -> bool,
+    ) -> Result<FrameProgress, ProtocolError>;
 
     /// Whether the bytes so far end between two messages.
-    fn is_between(&self) -> bool;
+    fn is_at_boundary(&self) -> bool;
 }
 
-/// A question of the balancer's own to a server, where a wire has one.
+/// A protocol's keepalive.
 #[derive(Clone, Copy, Debug)]
-pub struct Probe {
-    /// What is written, between two messages.
-    pub words: &'static [u8],
-    /// It is asked when nothing has been asked for so long.
-    pub after: Duration,
+pub struct Keepalive {
+    /// The message, written between two others.
+    pub request: &'static [u8],
+    /// Sent after this long without another message.
+    pub idle_interval: Duration,
 }
 
-/// Bytes that break the wire's rules.
+/// A protocol violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FrameFault {
-    /// What the peer that sent them is told, if it is told anything.
+pub struct ProtocolError {
+    /// What the peer is told of it, if anything.
     pub answer: &'static str,
 }
--- a/crates/balancer/src/front/nats/framing.rs
+++ b/crates/balancer/src/front/nats/framing.rs
@@ -1,15 +1,15 @@
-//! Frames of the NATS client protocol, by size: a payload may hold anything.
+//! Framing of the NATS client protocol, by size: a payload may contain anything.
 
-use crate::front::{Followed, FrameFault, Framer, Seen};
-use crate::net::trimmed;
-use crate::pass::Answer;
+use crate::attempt::ServerAnswer;
+use crate::front::{FrameProgress, Framer, MessageKind, ProtocolError};
+use crate::net::trim_line_end;
 
-/// Longest control line of a client, and of a server but for its INFO.
-pub const LONGEST_LINE: usize = 4096;
-/// Longest INFO of a server: it lists the cluster's addresses.
-const LONGEST_INFO: usize = 32 * 1024;
+/// Longest control line, except for a server's INFO.
+pub const MAX_CONTROL_LINE: usize = 4096;
+/// Longest INFO of a server, which lists the cluster's addresses.
+const MAX_INFO_LINE: usize = 32 * 1024;
 
-/// A control line's verb and what follows it.
+/// Splits a control line into its verb and the rest.
 pub fn verb(line: &[u8]) -> (&[u8], &[u8]) {
     let end = line
         .iter()
@@ -19,13 +19,13 @@
     (verb, rest.trim_ascii())
 }
 
-/// Whether an INFO says that its server is about to leave.
-pub fn says_leaving(info: &[u8]) -> bool {
+/// Whether an INFO announces a shutdown (lame duck mode).
+pub fn is_lame_duck(info: &[u8]) -> bool {
     serde_json::from_slice::<serde_json::Value>(info).is_ok_and(|info| info["ldm"] == true)
 }
 
-/// What an `-ERR` before a connection stands means for a proxy pass.
-pub fn error_means(text: &[u8]) -> Answer {
+/// What an `-ERR` during the handshake means for an attempt.
+pub fn classify_error(text: &[u8]) -> ServerAnswer {
     let text = String::from_utf8_lossy(text).to_lowercase();
     let away = [
         "connections exceeded",
@@ -34,42 +34,42 @@
         "lame duck",
     ];
     if away.iter().any(|words| text.contains(words)) {
-        Answer::Unavailable
+        ServerAnswer::Rejected
     } else {
-        Answer::Error
+        ServerAnswer::Error
     }
 }
 
-/// The size that ends a control line.
+/// The payload size at the end of a control line.
 fn size(rest: &[u8]) -> Option<usize> {
     let last = rest.rsplit(|byte| matches!(byte, b' ' | b'\t')).next()?;
     std::str::from_utf8(last).ok()?.parse().ok()
 }
 
-/// What a control line announces.
+/// What follows a control line.
 enum Op {
-    /// A payload of so many bytes, and its CRLF.
+    /// A payload of this size and its CRLF.
     Payload(usize),
-    /// Nothing more.
-    Line(Option<Seen>),
+    /// Nothing.
+    Line(Option<MessageKind>),
 }
 
-/// Bytes between control lines, counted down.
+/// Position in a stream of control lines and payloads.
 #[derive(Default)]
 struct Frames {
     payload_left: usize,
 }
 
 impl Frames {
-    /// Walks over whole control lines and whatever there is of payloads.
+    /// Advances over complete control lines and available payload.
     fn walk(
         &mut self,
         bytes: &[u8],
         longest: usize,
-        read: impl Fn(&[u8], &[u8]) -> Result<Op, FrameFault>,
-        seen: &mut dyn FnMut(Seen) -> bool,
-    ) -> Result<Followed, FrameFault> {
-        let mut followed = Followed::default();
+        read: impl Fn(&[u8], &[u8]) -> Result<Op, ProtocolError>,
+        seen: &mut dyn FnMut(MessageKind) -> bool,
+    ) -> Result<FrameProgress, ProtocolError> {
+        let mut followed = FrameProgress::default();
         let mut at = 0;
         while at < bytes.len() {
             if self.payload_left > 0 {
@@ -82,12 +82,12 @@
                     .position(|byte| *byte == b'\n')
                     .map(|end| &bytes[at..=at + end]);
                 if line.map_or(bytes.len() - at, <[u8]>::len) > longest {
-                    return Err(FrameFault {
+                    return Err(ProtocolError {
                         answer: "-ERR 'Maximum Control Line Exceeded'\r\n",
                     });
                 }
                 let Some(line) = line else { break };
-                let (verb, rest) = verb(trimmed(line));
+                let (verb, rest) = verb(trim_line_end(line));
                 match read(&verb.to_ascii_uppercase(), rest)? {
                     Op::Payload(size) => self.payload_left = size.saturating_add(2),
                     Op::Line(meaning) => {
@@ -107,18 +107,18 @@
     }
 }
 
-const UNKNOWN: FrameFault = FrameFault {
+const UNKNOWN: ProtocolError = ProtocolError {
     answer: "-ERR 'Unknown Protocol Operation'\r\n",
 };
 
-/// Follows what a client sends once its connection stands.
+/// Frames what a client sends on an established connection.
 pub struct ClientFramer {
     frames: Frames,
     max_payload: usize,
 }
 
 impl ClientFramer {
-    /// For clients that may send payloads of this size.
+    /// Creates a framer for payloads up to this size.
     pub fn new(max_payload: usize) -> ClientFramer {
         ClientFramer {
             frames: Frames::default(),
@@ -128,60 +128,61 @@
 }
 
 impl Framer for ClientFramer {
-    fn follow(
+    fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(Seen) -> bool,
-    ) -> Result<Followed, FrameFault> {
+        seen: &mut dyn FnMut(MessageKind) -> bool,
+    ) -> Result<FrameProgress, ProtocolError> {
         let max = self.max_payload;
         let read = |verb: &[u8], rest: &[u8]| match verb {
             b"PUB" | b"HPUB" => match size(rest) {
                 Some(size) if size <= max => Ok(Op::Payload(size)),
-                Some(_) => Err(FrameFault {
+                Some(_) => Err(ProtocolError {
                     answer: "-ERR 'Maximum Payload Violation'\r\n",
                 }),
-                None => Err(FrameFault {
+                None => Err(ProtocolError {
                     answer: "-ERR 'Parser Error'\r\n",
                 }),
             },
-            b"PING" => Ok(Op::Line(Some(Seen::Asked))),
+            b"PING" => Ok(Op::Line(Some(MessageKind::Request))),
             b"SUB" | b"UNSUB" | b"PONG" | b"" => Ok(Op::Line(None)),
-            // A second CONNECT would carry the tenant's credentials to a server that does not know them.
+            // A second CONNECT would carry the tenant's credentials to a server that does not know
+            // them.
             _ => Err(UNKNOWN),
         };
-        self.frames.walk(bytes, LONGEST_LINE, read, seen)
+        self.frames.walk(bytes, MAX_CONTROL_LINE, read, seen)
     }
 
-    fn is_between(&self) -> bool {
+    fn is_at_boundary(&self) -> bool {
         self.frames.payload_left == 0
     }
 }
 
-/// Follows what a server sends once a connection stands.
+/// Frames what a server sends on an established connection.
 #[derive(Default)]
 pub struct ServerFramer {
     frames: Frames,
 }
 
 impl Framer for ServerFramer {
-    fn follow(
+    fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(Seen) -> bool,
-    ) -> Result<Followed, FrameFault> {
+        seen: &mut dyn FnMut(MessageKind) -> bool,
+    ) -> Result<FrameProgress, ProtocolError> {
         let read = |verb: &[u8], rest: &[u8]| match verb {
             b"MSG" | b"HMSG" => size(rest).map(Op::Payload).ok_or(UNKNOWN),
-            b"PONG" => Ok(Op::Line(Some(Seen::AnsweredOldest))),
-            b"INFO" if says_leaving(rest) => Ok(Op::Line(Some(Seen::Leaving))),
-            // It names servers that clients are not to reach past the balancer.
-            b"INFO" => Ok(Op::Line(Some(Seen::Private))),
+            b"PONG" => Ok(Op::Line(Some(MessageKind::AnswerToOldest))),
+            b"INFO" if is_lame_duck(rest) => Ok(Op::Line(Some(MessageKind::ShutdownNotice))),
+            // It names servers that clients must not reach past the balancer.
+            b"INFO" => Ok(Op::Line(Some(MessageKind::BalancerOnly))),
             b"PING" | b"+OK" | b"-ERR" | b"" => Ok(Op::Line(None)),
             _ => Err(UNKNOWN),
         };
-        self.frames.walk(bytes, LONGEST_INFO, read, seen)
+        self.frames.walk(bytes, MAX_INFO_LINE, read, seen)
     }
 
-    fn is_between(&self) -> bool {
+    fn is_at_boundary(&self) -> bool {
         self.frames.payload_left == 0
     }
 }
@@ -200,9 +201,9 @@
                 kept.extend_from_slice(bytes);
                 let mut see = |what| {
                     seen.push(what);
-                    what == Seen::AnsweredOldest
+                    what == MessageKind::AnswerToOldest
                 };
-                let followed = framer.follow(&kept, &mut see).expect("sound");
+                let followed = framer.advance(&kept, &mut see).expect("sound");
                 let mut from = 0;
                 for gap in followed.dropped {
                     passed.extend_from_slice(&kept[from..gap.start]);
@@ -213,17 +214,17 @@
             }
             assert_eq!(
                 seen,
-                [Seen::AnsweredOldest, Seen::Leaving],
+                [MessageKind::AnswerToOldest, MessageKind::ShutdownNotice],
                 "in pieces of {piece}"
             );
-            assert!(framer.is_between());
+            assert!(framer.is_at_boundary());
             assert_eq!(passed, all[..all.len() - 19], "in pieces of {piece}");
         }
     }
 
     #[test]
     fn what_breaks_the_rules_is_answered_by_name() {
-        let long = [b"SUB ", vec![b'x'; LONGEST_LINE].as_slice()].concat();
+        let long = [b"SUB ", vec![b'x'; MAX_CONTROL_LINE].as_slice()].concat();
         for (bytes, words) in [
             (&b"PUB a 9\r\n"[..], "Maximum Payload Violation"),
             (b"HPUB a 3 9\r\n", "Maximum Payload Violation"),
@@ -232,7 +233,7 @@
             (&long, "Maximum Control Line Exceeded"),
         ] {
             let fault = ClientFramer::new(8)
-                .follow(bytes, &mut |_| true)
+                .advance(bytes, &mut |_| true)
                 .expect_err(words);
             assert!(fault.answer.contains(words), "{}", fault.answer);
         }
@@ -241,16 +242,16 @@
     #[test]
     fn errors_before_a_connection_stands_are_told_apart() {
         for (text, answer) in [
-            ("'Maximum Connections Exceeded'", Answer::Unavailable),
+            ("'Maximum Connections Exceeded'", ServerAnswer::Rejected),
             (
                 "'maximum account active connections exceeded'",
-                Answer::Unavailable,
+                ServerAnswer::Rejected,
             ),
-            ("'Server Shutdown'", Answer::Unavailable),
-            ("'Authorization Violation'", Answer::Error),
-            ("'Stale Connection'", Answer::Error),
+            ("'Server Shutdown'", ServerAnswer::Rejected),
+            ("'Authorization Violation'", ServerAnswer::Error),
+            ("'Stale Connection'", ServerAnswer::Error),
         ] {
-            assert_eq!(error_means(text.as_bytes()), answer, "{text}");
+            assert_eq!(classify_error(text.as_bytes()), answer, "{text}");
         }
     }
 }
--- a/crates/balancer/src/front/nats/mod.rs
+++ b/crates/balancer/src/front/nats/mod.rs
@@ -1,17 +1,17 @@
-//! The front of the NATS client protocol.
+//! The NATS client protocol.
 //!
-//! One transaction is the set-up of a client's connection. The client gets INFO and sends CONNECT; its tenant is
-//! known by the user name, its class by the tenant's record. A proxy pass reads the application server's INFO,
-//! sends it CONNECT with the tenant's own identity there, and PING; the first PONG proves that the connection
-//! stands. How each end of a pass counts:
+//! A client gets INFO and sends CONNECT; its tenant follows from the user name, its class from the
+//! tenant's record. An attempt reads the server's INFO, sends CONNECT with the tenant's identity
+//! there, and PING; the first PONG proves that the connection is established. How attempts end:
 //!
-//! | what comes back | counts as |
+//! | what the server sends | outcome |
 //! | --- | --- |
-//! | no connection, no INFO, or an end before CONNECT is written; a server that wants TLS | never ran |
-//! | INFO with `ldm`, `-ERR` for too many connections or a shutdown | turned away |
-//! | any other `-ERR`, an unknown line | error |
+//! | no connection, no INFO, an end before CONNECT is written, a server that requires TLS | not
+//! executed |
+//! | INFO with `ldm`, `-ERR` for too many connections or a shutdown | rejected |
+//! | any other `-ERR`, an unknown line | server error |
 //! | an end after CONNECT is written | reset |
-//! | silence after CONNECT | time-out, repeated as the class allows |
+//! | nothing after CONNECT | timed out, retried as the class allows |
 
 pub mod framing;
 pub mod tenants;
@@ -21,24 +21,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use beaconflow_settings::{Setup, digest};
+use beaconflow_settings::{SiteSettings, digest};
 use serde_json::{Map, Value, json};
 
-use self::framing::{ClientFramer, LONGEST_LINE, ServerFramer};
-use self::tenants::{Admitted, Tenants};
+use self::framing::{ClientFramer, MAX_CONTROL_LINE, ServerFramer};
+use self::tenants::{TenantSlot, Tenants};
 use self::wire::Wire;
-use super::{First, Framer, Front, NoOpening, Probe, Refusal, Word};
-use crate::core::Opening;
-use crate::net::{ReadError, trimmed};
-use crate::pass::{Answer, Asking, PassError};
+use super::{ClientMessage, Framer, Front, HandshakeError, HandshakeLine, Keepalive, Rejection};
+use crate::attempt::{AttemptError, ServerAnswer, ServerExchange};
+use crate::core::ClientRequest;
+use crate::net::{ReadError, trim_line_end};
 
-/// The front of the NATS client protocol.
+/// The NATS front.
 pub struct Nats {
-    setup: Arc<Setup>,
+    setup: Arc<SiteSettings>,
     tenants: Arc<Tenants>,
     wire: Wire,
     name: String,
-    /// Clients so far, for their numbers.
+    /// Number of clients so far.
     clients: AtomicU64,
 }
 
@@ -48,18 +48,18 @@
     taken_at: u64,
 }
 
-/// What is kept of a client that has sent CONNECT.
-pub struct Greeting {
-    /// The CONNECT line for an application server, with the tenant's identity there.
+/// The CONNECT line for a server.
+pub struct ConnectLine {
+    /// The line, with the tenant's identity at the servers.
     connect: Vec<u8>,
     verbose: bool,
-    /// Counts against the tenant's limit for as long as the transaction lives.
-    _admitted: Admitted,
+    /// Counts against the tenant's limit while the connection lives.
+    _admitted: TenantSlot,
 }
 
 impl Nats {
-    /// A front for a site and its tenants.
-    pub fn new(name: String, setup: Arc<Setup>, tenants: Arc<Tenants>, wire: Wire) -> Nats {
+    /// Creates the front of a site and its tenants.
+    pub fn new(name: String, setup: Arc<SiteSettings>, tenants: Arc<Tenants>, wire: Wire) -> Nats {
         Nats {
             setup,
             tenants,
@@ -83,8 +83,8 @@
         format!("INFO {info}\r\n").into_bytes()
     }
 
-    /// Who a client is, by its CONNECT; its place among its tenant's connections; what servers are told.
-    fn connect(&self, options: &[u8], now: u64) -> Result<(Opening, Greeting), Refusal> {
+    /// Authenticates a CONNECT and prepares the one for the server.
+    fn connect(&self, options: &[u8], now: u64) -> Result<(ClientRequest, ConnectLine), Rejection> {
         let Ok(mut options) = serde_json::from_slice::<Map<String, Value>>(options) else {
             return Err(refuse("Parser Error", "CONNECT without a JSON object"));
         };
@@ -100,19 +100,19 @@
         let (user, password) = (text("user"), text("pass"));
         let (tenant, admitted) = match self.tenants.admit(user, password) {
             Ok(admitted) => admitted,
-            Err(tenants::Refusal::Unknown) => {
+            Err(tenants::AdmitError::Unknown) => {
                 return Err(refuse(
                     "Authorization Violation",
                     "not a tenant's credentials",
                 ));
             }
-            Err(tenants::Refusal::TooMany) => {
+            Err(tenants::AdmitError::TooMany) => {
                 return Err(refuse(
                     "Maximum Connections Exceeded",
                     "a tenant's limit is reached",
                 ));
             }
-            Err(tenants::Refusal::StoreAway) => {
+            Err(tenants::AdmitError::StoreAway) => {
                 let after = self.wire.store_retry().as_millis();
                 let words = format!("Service Unavailable; try again in {after} ms");
                 return Err(refuse(&words, "the store is away and the tenant not known"));
@@ -132,23 +132,23 @@
         options.insert("user".into(), tenant.upstream.user.clone().into());
         options.insert("pass".into(), tenant.upstream.password.clone().into());
         let connect = format!("CONNECT {}\r\n", Value::Object(options)).into_bytes();
-        let opening = Opening {
+        let opening = ClientRequest {
             class,
-            key: Some(key),
+            client_key: Some(key),
             group: None,
             tenant: Some(digest(&tenant.name)),
             account: Some(Arc::from(tenant.name.as_str())),
-            share: Some(tenant.share),
-            again: false,
-            bytes: connect.len(),
-            load: None,
-            taken_at: now,
-            patience: self.setup.patience(class),
-            held_by: None,
+            quota: Some(tenant.share),
+            is_reconnect: false,
+            buffered_bytes: connect.len(),
+            expected_load: None,
+            received_at: now,
+            client_timeout: self.setup.client_timeout(class),
+            resumed_server: None,
         };
         Ok((
             opening,
-            Greeting {
+            ConnectLine {
                 connect,
                 verbose,
                 _admitted: admitted,
@@ -157,101 +157,105 @@
     }
 }
 
-fn refuse(words: &str, why: &str) -> Refusal {
-    Refusal::new(format!("-ERR '{words}'\r\n").as_bytes(), why)
+fn refuse(words: &str, why: &str) -> Rejection {
+    Rejection::new(format!("-ERR '{words}'\r\n").as_bytes(), why)
 }
 
 impl Front for Nats {
     type Request = Connect;
-    type Greeting = Greeting;
+    type ServerHandshake = ConnectLine;
 
-    /// The store is asked, and a password is proved.
+    /// The store is called, and a password is verified.
     const ADMIT_WAITS: bool = true;
 
     fn name(&self) -> &'static str {
         "nats"
     }
 
-    fn stack(&self) -> usize {
-        // The store's client wants more than the relay.
+    fn thread_stack_bytes(&self) -> usize {
+        // The store's client needs more stack than the relay.
         256 * 1024
     }
 
-    fn most_early(&self) -> usize {
+    fn max_early_bytes(&self) -> usize {
         self.wire.most_early
     }
 
-    fn greet(&self) -> Vec<u8> {
+    fn banner(&self) -> Vec<u8> {
         self.info(false, self.clients.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    fn opening_wait(&self) -> Duration {
+    fn handshake_timeout(&self) -> Duration {
         self.wire.connect_wait()
     }
 
-    fn longest_opening(&self) -> usize {
-        LONGEST_LINE
+    fn max_handshake_line(&self) -> usize {
+        MAX_CONTROL_LINE
     }
 
-    fn first(&self, line: &[u8], now: u64) -> First<Connect> {
-        let (verb, options) = framing::verb(trimmed(line));
+    fn parse_handshake(&self, line: &[u8], now: u64) -> HandshakeLine<Connect> {
+        let (verb, options) = framing::verb(trim_line_end(line));
         if !verb.eq_ignore_ascii_case(b"CONNECT") {
-            return First::Refused(refuse(
+            return HandshakeLine::Rejected(refuse(
                 "Authorization Violation",
                 "something else before CONNECT",
             ));
         }
-        First::Opening(Connect {
+        HandshakeLine::Connect(Connect {
             options: options.to_vec(),
             taken_at: now,
         })
     }
 
-    fn no_opening(&self, why: NoOpening) -> Refusal {
+    fn handshake_error(&self, why: HandshakeError) -> Rejection {
         match why {
-            NoOpening::Late => refuse("Authentication Timeout", "no CONNECT in time"),
-            NoOpening::TooLong => refuse("Maximum Control Line Exceeded", "a line too long"),
-            NoOpening::Piled => refuse("Parser Error", "too much behind CONNECT"),
+            HandshakeError::TimedOut => refuse("Authentication Timeout", "no CONNECT in time"),
+            HandshakeError::TooLong => refuse("Maximum Control Line Exceeded", "a line too long"),
+            HandshakeError::ExtraBytes => refuse("Parser Error", "too much behind CONNECT"),
         }
     }
 
     fn admit(
         &self,
         Connect { options, taken_at }: Connect,
-    ) -> Result<(Opening, Greeting), Refusal> {
+    ) -> Result<(ClientRequest, ConnectLine), Rejection> {
         self.connect(&options, taken_at)
     }
 
-    fn pass(&self, asking: &mut Asking<'_>, greeting: &Greeting) -> Result<Vec<u8>, PassError> {
-        let info = asking.line(PassError::before_head)?;
-        let (verb, info) = framing::verb(trimmed(&info));
+    fn request_connection(
+        &self,
+        asking: &mut ServerExchange<'_>,
+        greeting: &ConnectLine,
+    ) -> Result<Vec<u8>, AttemptError> {
+        let info = asking.read_line(AttemptError::before_request)?;
+        let (verb, info) = framing::verb(trim_line_end(&info));
         if !verb.eq_ignore_ascii_case(b"INFO") {
-            return Err(PassError::before_head(ReadError::Ended));
+            return Err(AttemptError::before_request(ReadError::Ended));
         }
         let info: Value = serde_json::from_slice(info).unwrap_or_default();
         if info["tls_required"] == true {
-            return Err(PassError::before_head(ReadError::Ended));
+            return Err(AttemptError::before_request(ReadError::Ended));
         }
         if info["ldm"] == true {
-            return Err(PassError::Answered(Answer::Unavailable));
+            return Err(AttemptError::NotServed(ServerAnswer::Rejected));
         }
-        asking.head(&[&greeting.connect, b"PING\r\n"])?;
+        asking.write_request(&[&greeting.connect, b"PING\r\n"])?;
         loop {
-            let line = asking.line(PassError::Written)?;
-            let (verb, rest) = framing::verb(trimmed(&line));
+            let line = asking.read_line(AttemptError::RequestWritten)?;
+            let (verb, rest) = framing::verb(trim_line_end(&line));
             match verb.to_ascii_uppercase().as_slice() {
                 b"PONG" => break,
                 b"+OK" => {}
-                // A keepalive may come at any time.
+                // A keepalive may arrive at any time.
                 b"PING" => asking
                     .write(&[b"PONG\r\n"])
-                    .map_err(|(_, error)| PassError::Written(ReadError::Broken(error)))?,
-                b"INFO" if framing::says_leaving(rest) => {
-                    return Err(PassError::Answered(Answer::Unavailable));
+                    .map_err(|(_, error)| AttemptError::RequestWritten(ReadError::Broken(error)))?,
+                b"INFO" if framing::is_lame_duck(rest) => {
+                    return Err(AttemptError::NotServed(ServerAnswer::Rejected));
                 }
                 b"INFO" => {}
-                b"-ERR" => return Err(PassError::Answered(framing::error_means(rest))),
-                _ => return Err(PassError::Answered(Answer::Error)),
+                b"-ERR" => return Err(AttemptError::NotServed(framing::classify_error(rest))),
+                _ => return Err(AttemptError::NotServed(ServerAnswer::Error)),
             }
         }
         // The server's +OK to CONNECT was read here; the client waits for it.
@@ -262,16 +266,16 @@
         })
     }
 
-    fn say(&self, word: Word) -> Vec<u8> {
+    fn encode(&self, word: ClientMessage) -> Vec<u8> {
         match word {
-            Word::Unavailable(None) => b"-ERR 'Service Unavailable'\r\n".to_vec(),
-            Word::Unavailable(Some(after)) => format!(
+            ClientMessage::Rejected(None) => b"-ERR 'Service Unavailable'\r\n".to_vec(),
+            ClientMessage::Rejected(Some(after)) => format!(
                 "-ERR 'Service Unavailable; try again in {} ms'\r\n",
                 after.as_millis()
             )
             .into_bytes(),
-            Word::Failed => b"-ERR 'Connection Failed'\r\n".to_vec(),
-            Word::Move => self.info(true, 0),
+            ClientMessage::Failed => b"-ERR 'Connection Failed'\r\n".to_vec(),
+            ClientMessage::Migrate => self.info(true, 0),
         }
     }
 
@@ -283,14 +287,14 @@
         Box::new(ServerFramer::default())
     }
 
-    fn probe(&self) -> Option<Probe> {
-        Some(Probe {
-            words: b"PING\r\n",
-            after: self.wire.ping_after(),
+    fn keepalive(&self) -> Option<Keepalive> {
+        Some(Keepalive {
+            request: b"PING\r\n",
+            idle_interval: self.wire.ping_after(),
         })
     }
 
-    fn silence(&self) -> Duration {
+    fn response_timeout(&self) -> Duration {
         self.wire.silence()
     }
 }
--- a/crates/balancer/src/front/nats/tenants.rs
+++ b/crates/balancer/src/front/nats/tenants.rs
@@ -1,6 +1,7 @@
-//! Tenants: their records in the shared store, and the last known copy of each.
+//! Tenants: their records in the shared store, with a cache.
 //!
-//! The store is asked on the threads of connections and of the administration API, never on the core's.
+//! The store is called on the threads of admissions and of the administration API, never on the
+//! core's.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,44 +16,44 @@
 use sha2::{Digest, Sha256};
 use tracing::{info, warn};
 
-/// The hash in the store that holds every tenant's record by name.
+/// The Redis hash with the tenants' records by name.
 const RECORDS: &str = "beaconflow:tenants";
-/// One call to the store may take so long.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// After a failed call the store is left alone for so long. Guards against connections that each wait for a
-/// store that is away.
-const AWAY: Duration = Duration::from_secs(1);
+/// Timeout of one call to the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(300);
+/// After a failed call the store is not called for this long, so that connections do not each wait
+/// for it.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Passwords that wait to be hashed; more wait at their connections.
-const MOST_CLAIMS: usize = 64;
+/// Most passwords that wait to be hashed; more wait at their connections.
+const MAX_PENDING_HASHES: usize = 64;
 
 /// A tenant's record. It has no `Debug`, so that no log line can show its secrets.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, which its clients give as the user.
+    /// Name, which clients give as the user.
     pub name: String,
-    /// The hash of the password that its clients give.
+    /// Hash of the password that clients give.
     pub secret: String,
-    /// Its class, by the settings' name.
+    /// Name of the request class.
     pub class: String,
     /// Most connections at this balancer.
     pub connections: usize,
-    /// Its part of the turns at the door, against the other tenants'.
-    #[serde(default = "usual_share")]
+    /// Weight in the admission queue, relative to other tenants.
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// Who it is to the NATS servers.
+    /// Identity at the NATS servers.
     pub upstream: Identity,
-    /// What a newer program has written of it. Guards against a change here that would lose it.
+    /// Fields of a newer version, which are written back unchanged.
     #[serde(flatten)]
     pub rest: BTreeMap<String, serde_json::Value>,
 }
 
-/// The share of a tenant whose record was written without one.
-pub fn usual_share() -> f64 {
+/// The share of a tenant whose record has none.
+pub fn default_share() -> f64 {
     1.0
 }
 
-/// Who a tenant is to the NATS servers.
+/// A tenant's identity at the NATS servers.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Identity {
     /// The user.
@@ -63,21 +64,21 @@
 
 /// Why a client is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum AdmitError {
     /// No tenant has these credentials.
     Unknown,
-    /// The tenant has all the connections it may have.
+    /// The tenant has reached its limit of connections.
     TooMany,
-    /// The store is away and no copy of the tenant's record is held.
+    /// The store is unavailable and the tenant is not cached.
     StoreAway,
 }
 
 /// Why the store did not do what was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// It is away.
+    /// It is unavailable.
     Away,
-    /// It takes no writing now: it has no room, or follows another. Reading goes on.
+    /// It refuses writes: it is full or a replica. Reads still work.
     TakesNothing,
     /// There is such a tenant already.
     Exists,
@@ -85,40 +86,40 @@
     Missing,
 }
 
-struct Copy {
+struct CachedTenant {
     tenant: Arc<Tenant>,
     read_at: Instant,
 }
 
-/// All that is known of tenants here.
+/// The tenants of a store.
 pub struct Tenants {
     store: Store,
     fresh: Duration,
-    copies: Mutex<BTreeMap<String, Copy>>,
-    /// Digests of passwords that have been proven, so that a herd of known clients costs no hashing.
+    cache: Mutex<BTreeMap<String, CachedTenant>>,
+    /// Digests of verified passwords, so that known clients cost no hashing.
     proven: Mutex<BTreeMap<String, [u8; 32]>>,
-    /// For those digests; new with each start.
+    /// Key of those digests; new with each start.
     pepper: [u8; 32],
-    /// The thread that works hashes out, one at a time. Guards against wrong passwords that would take all of the
-    /// one core, and against a hash on a connection's small stack, which it overflows.
-    hashing: Sender<Claim>,
+    /// The hashing thread, which verifies one password at a time: wrong passwords must not use up
+    /// the core, and a hash needs more stack than a connection's thread has.
+    hashing: Sender<PasswordCheck>,
     open: Arc<Mutex<BTreeMap<String, usize>>>,
 }
 
-/// A password that claims to be the one of a hash, and where to say whether it is.
-struct Claim {
+/// A password to verify against a hash.
+struct PasswordCheck {
     password: String,
     hash: String,
     answer: Sender<bool>,
 }
 
-/// Counts one connection of a tenant for as long as it lives.
-pub struct Admitted {
+/// Counts one connection of a tenant while it lives.
+pub struct TenantSlot {
     name: String,
     open: Arc<Mutex<BTreeMap<String, usize>>>,
 }
 
-impl Drop for Admitted {
+impl Drop for TenantSlot {
     fn drop(&mut self) {
         let mut open = lock(&self.open);
         if let Some(count) = open.get_mut(&self.name) {
@@ -130,27 +131,27 @@
     }
 }
 
-/// What is held here is replaced whole, so that a panic elsewhere leaves it sound.
+/// Values are replaced as a whole, so that a panic elsewhere leaves them valid.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Tenants {
-    /// The tenants of a store; their records are read anew when they are older than `fresh`.
+    /// Connects to a store. Records older than `fresh` are read again.
     pub fn new(url: &str, fresh: Duration) -> Result<Tenants, String> {
         let client = redis::Client::open(url).map_err(|error| format!("store.url: {error}"))?;
         let mut pepper = [0; 32];
         OsRng.fill_bytes(&mut pepper);
-        let (hashing, claims) = bounded::<Claim>(MOST_CLAIMS);
+        let (hashing, claims) = bounded::<PasswordCheck>(MAX_PENDING_HASHES);
         let work = move || {
-            for Claim {
+            for PasswordCheck {
                 password,
                 hash,
                 answer,
             } in claims
             {
                 let proves = |hash| hasher().verify_password(password.as_bytes(), &hash).is_ok();
-                // A client that has left waits for no answer.
+                // The client may have left.
                 let _ = answer.send(PasswordHash::new(&hash).is_ok_and(proves));
             }
         };
@@ -164,7 +165,7 @@
                 state: Mutex::default(),
             },
             fresh,
-            copies: Mutex::default(),
+            cache: Mutex::default(),
             proven: Mutex::default(),
             pepper,
             hashing,
@@ -173,38 +174,46 @@
     }
 
     /// Admits a client by its credentials, within its tenant's limit.
-    pub fn admit(&self, name: &str, password: &str) -> Result<(Arc<Tenant>, Admitted), Refusal> {
+    ///
+    /// # Errors
+    ///
+    /// Returns why it is not admitted.
+    pub fn admit(
+        &self,
+        name: &str,
+        password: &str,
+    ) -> Result<(Arc<Tenant>, TenantSlot), AdmitError> {
         if !is_name(name) {
-            return Err(Refusal::Unknown);
+            return Err(AdmitError::Unknown);
         }
         let tenant = match self.get(name) {
             Ok(tenant) => tenant,
-            Err(StoreError::Away) => return Err(Refusal::StoreAway),
+            Err(StoreError::Away) => return Err(AdmitError::StoreAway),
             Err(StoreError::Exists | StoreError::Missing | StoreError::TakesNothing) => {
-                return Err(Refusal::Unknown);
+                return Err(AdmitError::Unknown);
             }
         };
         if !self.proves(&tenant, password) {
-            return Err(Refusal::Unknown);
+            return Err(AdmitError::Unknown);
         }
         let mut open = lock(&self.open);
         let count = open.entry(name.to_owned()).or_insert(0);
         if *count >= tenant.connections {
-            return Err(Refusal::TooMany);
+            return Err(AdmitError::TooMany);
         }
         *count += 1;
         Ok((
             tenant,
-            Admitted {
+            TenantSlot {
                 name: name.to_owned(),
                 open: Arc::clone(&self.open),
             },
         ))
     }
 
-    /// A tenant's record: the copy held here while it is fresh or the store is away.
+    /// A tenant's record, from the cache while it is fresh or the store is unavailable.
     pub fn get(&self, name: &str) -> Result<Arc<Tenant>, StoreError> {
-        let held = lock(&self.copies)
+        let held = lock(&self.cache)
             .get(name)
             .map(|copy| (Arc::clone(&copy.tenant), copy.read_at.elapsed()));
         if let Some((tenant, age)) = &held
@@ -222,7 +231,11 @@
         }
     }
 
-    /// A tenant's record as it stands in the store.
+    /// A tenant's record as stored.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the store is unavailable or has no such tenant.
     fn read(&self, name: &str) -> Result<Tenant, StoreError> {
         let text = self
             .store
@@ -232,6 +245,10 @@
     }
 
     /// All records.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the store is unavailable.
     pub fn list(&self) -> Result<Vec<Tenant>, StoreError> {
         let all = self
             .store
@@ -242,7 +259,11 @@
             .collect())
     }
 
-    /// Enters a new tenant.
+    /// Creates a tenant.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the store does not take it or has such a tenant.
     pub fn create(&self, tenant: Tenant) -> Result<Arc<Tenant>, StoreError> {
         let text = text_of(&tenant);
         let Done {
@@ -251,7 +272,7 @@
         } = self
             .store
             .attempt(|store| store.hset_nx::<_, _, _, bool>(RECORDS, &tenant.name, &text))?;
-        // The record may be there from the first attempt, whose answer did not come.
+        // A first try without an answer may have created the record.
         let ours = !entered
             && again
             && self
@@ -264,13 +285,17 @@
         }
     }
 
-    /// Changes a record; of two changes at once at two balancers, the later one holds.
+    /// Changes a record. Of two concurrent changes the later one is kept.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the store does not take it or has no such tenant.
     pub fn change(
         &self,
         name: &str,
         change: impl FnOnce(&mut Tenant),
     ) -> Result<Arc<Tenant>, StoreError> {
-        // The copy stays meanwhile: it serves on if the store is away.
+        // The cached record stays in use meanwhile.
         let mut tenant = self.read(name)?;
         change(&mut tenant);
         self.store
@@ -278,7 +303,11 @@
         Ok(self.keep(tenant))
     }
 
-    /// Removes a tenant. Its standing connections go on; it gets no new ones.
+    /// Removes a tenant. Its connections stay; it gets no new ones.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the store does not take it or has no such tenant.
     pub fn remove(&self, name: &str) -> Result<(), StoreError> {
         let Done {
             value: removed,
@@ -287,7 +316,7 @@
             .store
             .attempt(|store| store.hdel::<_, _, usize>(RECORDS, name))?;
         self.forget(name);
-        // A first attempt, whose answer did not come, may have removed it.
+        // A first try without an answer may have removed it.
         if removed == 0 && !again {
             Err(StoreError::Missing)
         } else {
@@ -295,28 +324,28 @@
         }
     }
 
-    /// Open connections of each tenant that has any.
+    /// Open connections by tenant.
     pub fn open(&self) -> BTreeMap<String, usize> {
         lock(&self.open).clone()
     }
 
-    /// Whether the last call reached the store.
+    /// Whether the last call failed to reach the store.
     pub fn store_is_away(&self) -> bool {
         lock(&self.store.state).away_until.is_some()
     }
 
     fn keep(&self, tenant: Tenant) -> Arc<Tenant> {
         let tenant = Arc::new(tenant);
-        let copy = Copy {
+        let copy = CachedTenant {
             tenant: Arc::clone(&tenant),
             read_at: Instant::now(),
         };
-        lock(&self.copies).insert(tenant.name.clone(), copy);
+        lock(&self.cache).insert(tenant.name.clone(), copy);
         tenant
     }
 
     fn forget(&self, name: &str) {
-        lock(&self.copies).remove(name);
+        lock(&self.cache).remove(name);
         lock(&self.proven).remove(name);
     }
 
@@ -335,7 +364,7 @@
             return true;
         }
         let (answer, answered) = bounded(1);
-        let claim = Claim {
+        let claim = PasswordCheck {
             password: password.to_owned(),
             hash: tenant.secret.clone(),
             answer,
@@ -364,7 +393,11 @@
     Argon2::new(Algorithm::Argon2id, Version::V0x13, params)
 }
 
-/// The hash of a password, for a record.
+/// Hashes a password for a record.
+///
+/// # Errors
+///
+/// Fails if the password can't be hashed.
 pub fn hash(password: &str) -> Result<String, argon2::password_hash::Error> {
     let salt = SaltString::generate(&mut OsRng);
     Ok(hasher()
@@ -372,7 +405,7 @@
         .to_string())
 }
 
-/// Whether the store answered that it takes no writing.
+/// Whether the store answered that it refuses writes.
 fn takes_nothing(error: &RedisError) -> bool {
     matches!(
         error.code(),
@@ -391,10 +424,10 @@
     away_until: Option<Instant>,
 }
 
-/// What a call gave.
+/// Result of a call.
 struct Done<T> {
     value: T,
-    /// It was made twice, and the first attempt may have been heard.
+    /// Whether it was made twice; the first one may have been executed.
     again: bool,
 }
 
@@ -403,8 +436,8 @@
         self.attempt(run).map(|done| done.value)
     }
 
-    /// Makes a call on the one connection, which is opened as needed. A connection that broke since the last call
-    /// is opened anew once, as a store that restarted breaks it.
+    /// Makes a call on the one connection, which is opened as needed. A connection that broke since
+    /// the last call is opened again once, as after a restart of the store.
     fn attempt<T>(
         &self,
         run: impl Fn(&mut Connection) -> RedisResult<T>,
@@ -429,14 +462,14 @@
                 state.connection = Some(connection);
                 Ok(Done { value, again })
             }
-            // It is not away: guards against readers that are turned off while it has no room.
+            // Reads must continue while the store is full.
             Err(_) if !is_away => Err(StoreError::TakesNothing),
             Err(error) => {
                 if state.away_until.is_none() {
-                    // The kind alone: an error's text may quote what the store was sent.
+                    // The kind alone: an error's text may quote what was sent to the store.
                     warn!(part = "store", why = ?error.kind(), "away");
                 }
-                state.away_until = Some(Instant::now() + AWAY);
+                state.away_until = Some(Instant::now() + STORE_RETRY_INTERVAL);
                 Err(StoreError::Away)
             }
         }
@@ -449,10 +482,10 @@
     ) -> RedisResult<(T, Connection)> {
         let mut connection = match kept {
             Some(connection) => connection,
-            None => self.client.get_connection_with_timeout(PATIENCE)?,
+            None => self.client.get_connection_with_timeout(STORE_TIMEOUT)?,
         };
-        connection.set_read_timeout(Some(PATIENCE))?;
-        connection.set_write_timeout(Some(PATIENCE))?;
+        connection.set_read_timeout(Some(STORE_TIMEOUT))?;
+        connection.set_write_timeout(Some(STORE_TIMEOUT))?;
         let value = run(&mut connection)?;
         Ok((value, connection))
     }
--- a/crates/balancer/src/front/nats/wire.rs
+++ b/crates/balancer/src/front/nats/wire.rs
@@ -1,21 +1,21 @@
-//! Limits of the wire, as the operator sets them.
+//! Limits of the NATS protocol, as the operator sets them.
 
 use std::time::Duration;
 
-/// Limits of the wire.
+/// Limits of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wire {
     /// Largest payload of a client's message.
     pub max_payload: usize,
-    /// Most bytes kept of what a client sends before its connection stands.
+    /// Most bytes kept of what a client sends before it is connected.
     pub most_early: usize,
-    /// A client that has not sent CONNECT by then is let go.
+    /// Time for a client to send CONNECT.
     pub connect_wait_ms: u64,
-    /// A standing server is asked when nothing has been asked for so long.
+    /// Idle time after which a keepalive is sent.
     pub ping_after_ms: u64,
-    /// A server that leaves a PING unanswered for so long is silent.
+    /// A server that leaves a PING unanswered for this long is unresponsive.
     pub silence_ms: u64,
-    /// When clients are told to come again while the store is away.
+    /// Retry-after while the store is unavailable.
     pub store_retry_ms: u64,
 }
 
@@ -33,23 +33,23 @@
 }
 
 impl Wire {
-    /// A client that has not sent CONNECT by then is let go.
+    /// Time for a client to send CONNECT.
     pub fn connect_wait(&self) -> Duration {
         Duration::from_millis(self.connect_wait_ms)
     }
 
-    /// A standing server is asked when nothing has been asked for so long.
+    /// Idle time after which a keepalive is sent.
     pub fn ping_after(&self) -> Duration {
-        // A wait of nothing would be one without an end.
+        // Zero would mean no timeout.
         Duration::from_millis(self.ping_after_ms.max(1))
     }
 
-    /// A server that leaves a PING unanswered for so long is silent.
+    /// A server that leaves a PING unanswered for this long is unresponsive.
     pub fn silence(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 
-    /// When clients are told to come again while the store is away.
+    /// Retry-after while the store is unavailable.
     pub fn store_retry(&self) -> Duration {
         Duration::from_millis(self.store_retry_ms)
     }
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: lines of text, ended by CRLF.
+//! The platform's protocol: lines of text that end in CRLF.
 
 use std::collections::HashSet;
 use std::ops::Range;
@@ -7,42 +7,45 @@
 
 use beaconflow_settings::digest;
 
-use super::{First, Followed, FrameFault, Framer, Front, NoOpening, Refusal, Seen, Word};
+use super::{
+    ClientMessage, FrameProgress, Framer, Front, HandshakeError, HandshakeLine, MessageKind,
+    ProtocolError, Rejection,
+};
+use crate::attempt::{AttemptError, ServerAnswer, ServerExchange};
 use crate::config::SharedSettings;
-use crate::core::lifecycle::State;
-use crate::core::{LoadAnswer, Opening};
-use crate::net::trimmed;
-use crate::pass::{Answer, Asking, PassError};
-use crate::prober::Question;
+use crate::core::lifecycle::LifecycleState;
+use crate::core::{ClientRequest, ProbeAnswer};
+use crate::net::trim_line_end;
+use crate::prober::LoadProbe;
 
 /// Longest line, with its end.
-const LONGEST_LINE: usize = 4096;
-/// A client that has sent nothing by then is let go. It is owed a word or a close within 3 s of connecting, and may
-/// have waited to be accepted.
-const OPENING_PATIENCE: Duration = Duration::from_millis(1_500);
-/// One that has begun its opening is let go by then: some clients take 2 s to write it, and those that never end theirs
-/// are owed the same within 3 s.
-const BEGUN_OPENING_PATIENCE: Duration = Duration::from_millis(2_300);
-/// Longest id, and longest key.
-const LONGEST_NAME: usize = 64;
-/// A client's line unanswered for so long means that its server is silent. Well under the rule's 7 s, which
-/// run from before the line, and over what a server under strain takes for a message.
-const SILENCE: Duration = Duration::from_secs(3);
-
-/// The question for a server's load, and what is made of the answer.
-pub const LOAD: Question = Question {
-    words: b"STATS\r\n",
-    read: load_of,
+const MAX_LINE_BYTES: usize = 4096;
+/// A silent client is closed after this. It is owed an answer or a close within 3 s of connecting,
+/// and may have waited to be accepted.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Some clients take 2 s to write their first line; one that is never complete is owed a close
+/// within 3 s.
+const BEGUN_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// Longest id or key.
+const MAX_NAME_BYTES: usize = 64;
+/// Well below the 7 s of the platform's rule, which begin before the line, and above what an
+/// overloaded server takes for a message.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// The probe for a server's load.
+pub const LOAD_PROBE: LoadProbe = LoadProbe {
+    request: b"STATS\r\n",
+    parse: parse_load,
 };
 
-/// `PONG` and a report, of which only the load is read; other fields may be there or be spoilt.
-fn load_of(line: &[u8]) -> LoadAnswer {
+/// Parses `PONG` with a report, of which only the load is used.
+fn parse_load(line: &[u8]) -> ProbeAnswer {
     let Some(report) = line.strip_prefix(b"PONG") else {
-        // Where probes are not allowed after all, nothing may be made of that.
+        // A server that does not allow probes is not known to be overloaded.
         return if line == b"NO" {
-            LoadAnswer::Nothing
+            ProbeAnswer::NoLoad
         } else {
-            LoadAnswer::Trouble
+            ProbeAnswer::Unhealthy
         };
     };
     let fields = std::str::from_utf8(report)
@@ -54,20 +57,20 @@
         .find_map(|value| value.parse().ok());
     let sound = |load: &f64| load.is_finite() && *load >= 0.0;
     load.filter(sound)
-        .map_or(LoadAnswer::Nothing, LoadAnswer::Load)
+        .map_or(ProbeAnswer::NoLoad, ProbeAnswer::Load)
 }
 
-/// The front of the platform's protocol.
+/// The platform's front.
 pub struct Platform {
     settings: SharedSettings,
     open: OpenIds,
 }
 
-/// The ids of all open requests.
+/// Ids of all open requests.
 type OpenIds = Arc<Mutex<HashSet<String>>>;
 
-/// An id that is in use for as long as this lives. Guards against a client that opens a connection under the id of
-/// another's: servers take the second one for a repeat of the first.
+/// An id in use while this lives. Servers would take a second request under an id in use for a
+/// retry of the first.
 pub struct OpenId {
     id: String,
     open: OpenIds,
@@ -75,7 +78,7 @@
 
 impl OpenId {
     fn take(id: &str, open: &OpenIds) -> Option<OpenId> {
-        // A set of texts is sound at every moment, whoever panicked.
+        // The set is valid even if a thread panicked while holding the lock.
         let is_new = open
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -96,16 +99,16 @@
     }
 }
 
-/// A client's first line, split where `d` stands.
-pub struct Greeting {
+/// A client's `OPEN` line.
+pub struct OpenLine {
     line: Vec<u8>,
-    /// The value of `d` in it.
-    wait: Range<usize>,
+    /// The range of the value of `d`, the time left.
+    deadline_field: Range<usize>,
     _id: OpenId,
 }
 
 impl Platform {
-    /// A front for a site.
+    /// Creates the front of a site.
     pub fn new(settings: SharedSettings) -> Platform {
         Platform {
             settings,
@@ -113,9 +116,8 @@
         }
     }
 
-    /// Reads an opening line in place. Guards against lines that no client sends in this form: an application
-    /// server answers them `SYNTAX`. A name that is not known may be a further figure, and goes on unchanged.
-    fn read(&self, line: &[u8], now: u64) -> Result<(Opening, Greeting), &'static str> {
+    /// Parses an `OPEN` line. An unknown field is forwarded unchanged.
+    fn parse_open(&self, line: &[u8], now: u64) -> Result<(ClientRequest, OpenLine), &'static str> {
         let text = std::str::from_utf8(line).map_err(|_| "not text")?;
         if text
             .bytes()
@@ -127,17 +129,18 @@
         let ["OPEN", id, key, list] = words[..] else {
             return Err("not an opening");
         };
-        let named = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
+        let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
         let is_id = named(id) && id.bytes().all(|byte| byte.is_ascii_alphanumeric());
         if !is_id || !named(key) || key.contains(['=', ',']) {
             return Err("no id or no key");
         }
-        // One look for the whole line: another file may come into force meanwhile.
-        let settings = self.settings.now();
+        // The whole line is parsed under one version of the settings.
+        let settings = self.settings.current();
         let mut names = HashSet::new();
         let (mut class, mut wait) = (None, None);
-        let (mut group, mut tenant, mut load, mut held_by) = (None, None, None, None);
-        let mut again = false;
+        let (mut group, mut tenant, mut expected_load, mut resumed_server) =
+            (None, None, None, None);
+        let mut is_reconnect = false;
         for pair in list.split(',') {
             let (name, value) = pair.split_once('=').ok_or("a field without a value")?;
             if name.is_empty() || value.is_empty() {
@@ -167,44 +170,44 @@
                         .parse()
                         .ok()
                         .filter(|load: &f64| load.is_finite() && *load >= 0.0);
-                    load = Some(guess.ok_or("no load")?);
+                    expected_load = Some(guess.ok_or("no load")?);
                 }
                 "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
-                "again" => again = value == "1",
-                "at" => held_by = Some(value.to_owned()),
+                "again" => is_reconnect = value == "1",
+                "at" => resumed_server = Some(value.to_owned()),
                 _ => {}
             }
         }
-        let (patience, wait) = wait.ok_or("no time to wait")?;
+        let (patience, deadline_field) = wait.ok_or("no time to wait")?;
         let class = class.ok_or("no class")?;
-        // A client of a class waits no longer than the settings say; one whose connection stood before the start
-        // names a time without an end.
-        let patience = if held_by.is_some() {
+        // The settings limit how long a client waits, except for a resumed connection, which names
+        // an unlimited time.
+        let client_timeout = if resumed_server.is_some() {
             patience
         } else {
-            patience.min(settings.patience(class))
+            patience.min(settings.client_timeout(class))
         };
-        // Last, so that nothing refused takes an id.
+        // Taken last, so that a rejected line leaves no id behind.
         let id = OpenId::take(id, &self.open).ok_or("the id of an open request")?;
-        let opening = Opening {
+        let opening = ClientRequest {
             class,
-            key: Some(digest(key)),
+            client_key: Some(digest(key)),
             group,
             tenant: tenant.map(digest),
             account: tenant.map(Arc::from),
-            share: None,
-            again,
-            bytes: line.len(),
-            load,
-            taken_at: now,
-            patience,
-            held_by,
+            quota: None,
+            is_reconnect,
+            buffered_bytes: line.len(),
+            expected_load,
+            received_at: now,
+            client_timeout,
+            resumed_server,
         };
         Ok((
             opening,
-            Greeting {
+            OpenLine {
                 line: line.to_vec(),
-                wait,
+                deadline_field,
                 _id: id,
             },
         ))
@@ -212,162 +215,172 @@
 }
 
 impl Front for Platform {
-    type Request = (Opening, Greeting);
-    type Greeting = Greeting;
+    type Request = (ClientRequest, OpenLine);
+    type ServerHandshake = OpenLine;
 
     fn name(&self) -> &'static str {
         "platform"
     }
 
-    fn opening_wait(&self) -> Duration {
-        OPENING_PATIENCE
+    fn handshake_timeout(&self) -> Duration {
+        HANDSHAKE_TIMEOUT
     }
 
-    fn begun_opening_wait(&self) -> Duration {
-        BEGUN_OPENING_PATIENCE
+    fn begun_handshake_timeout(&self) -> Duration {
+        BEGUN_HANDSHAKE_TIMEOUT
     }
 
-    fn longest_opening(&self) -> usize {
-        LONGEST_LINE
+    fn max_handshake_line(&self) -> usize {
+        MAX_LINE_BYTES
     }
 
-    /// A client sends one line and waits. Guards against commands piled up behind an opening: what a server
-    /// makes of them would pass for the answer.
-    fn most_early(&self) -> usize {
+    /// A client sends one line and waits: the answer to a second one would be taken for the first
+    /// one's.
+    fn max_early_bytes(&self) -> usize {
         0
     }
 
-    fn first(&self, line: &[u8], now: u64) -> First<(Opening, Greeting)> {
-        let line = trimmed(line);
+    fn parse_handshake(&self, line: &[u8], now: u64) -> HandshakeLine<(ClientRequest, OpenLine)> {
+        let line = trim_line_end(line);
         if line == b"PING" {
-            return First::Asks;
+            return HandshakeLine::ReadinessQuery;
         }
-        match self.read(line, now) {
-            Ok(request) => First::Opening(request),
+        match self.parse_open(line, now) {
+            Ok(request) => HandshakeLine::Connect(request),
             Err(why) => {
-                let shown = String::from_utf8_lossy(&line[..line.len().min(LONGEST_NAME)]);
-                First::Refused(Refusal::new(b"ERR\r\n", format!("{why}: {shown:?}")))
+                let shown = String::from_utf8_lossy(&line[..line.len().min(MAX_NAME_BYTES)]);
+                HandshakeLine::Rejected(Rejection::new(b"ERR\r\n", format!("{why}: {shown:?}")))
             }
         }
     }
 
-    fn state(&self, at: State, ready: bool) -> &'static [u8] {
+    fn readiness_answer(&self, at: LifecycleState, ready: bool) -> &'static [u8] {
         match at {
-            State::Serving if ready => b"PONG\r\n",
-            State::Serving => b"NO core\r\n",
-            State::Starting => b"NO starting\r\n",
-            State::Standby => b"NO standby\r\n",
-            State::Leaving => b"NO leaving\r\n",
+            LifecycleState::Serving if ready => b"PONG\r\n",
+            LifecycleState::Serving => b"NO core\r\n",
+            LifecycleState::Starting => b"NO starting\r\n",
+            LifecycleState::Standby => b"NO standby\r\n",
+            LifecycleState::ShuttingDown => b"NO leaving\r\n",
         }
     }
 
-    fn opening<'a>(&self, of: &'a Greeting) -> Option<&'a [u8]> {
+    fn handover_line<'a>(&self, of: &'a OpenLine) -> Option<&'a [u8]> {
         Some(&of.line)
     }
 
-    fn no_opening(&self, why: NoOpening) -> Refusal {
-        Refusal::new(b"ERR\r\n", format!("{why:?}"))
+    fn handshake_error(&self, why: HandshakeError) -> Rejection {
+        Rejection::new(b"ERR\r\n", format!("{why:?}"))
     }
 
-    fn admit(&self, request: (Opening, Greeting)) -> Result<(Opening, Greeting), Refusal> {
+    fn admit(
+        &self,
+        request: (ClientRequest, OpenLine),
+    ) -> Result<(ClientRequest, OpenLine), Rejection> {
         Ok(request)
     }
 
-    fn pass(&self, asking: &mut Asking<'_>, greeting: &Greeting) -> Result<Vec<u8>, PassError> {
+    fn request_connection(
+        &self,
+        asking: &mut ServerExchange<'_>,
+        greeting: &OpenLine,
+    ) -> Result<Vec<u8>, AttemptError> {
         let wait = asking
-            .until()
+            .deadline_at()
             .saturating_duration_since(Instant::now())
             .as_millis()
             .to_string();
         let (before, after) = (
-            &greeting.line[..greeting.wait.start],
-            &greeting.line[greeting.wait.end..],
+            &greeting.line[..greeting.deadline_field.start],
+            &greeting.line[greeting.deadline_field.end..],
         );
-        asking.head(&[before, wait.as_bytes(), after, b"\r\n"])?;
-        let line = asking.line(PassError::Written)?;
-        // Guards against an answer that no line of this wire can hold, with or without its beginning.
-        if line.len() > LONGEST_LINE {
-            return Err(PassError::Answered(Answer::Error));
+        asking.write_request(&[before, wait.as_bytes(), after, b"\r\n"])?;
+        let line = asking.read_line(AttemptError::RequestWritten)?;
+        // A longer answer is not valid in this protocol.
+        if line.len() > MAX_LINE_BYTES {
+            return Err(AttemptError::NotServed(ServerAnswer::Error));
         }
-        match trimmed(&line) {
-            b"BUSY" => Err(PassError::Answered(Answer::Unavailable)),
-            b"MOVE" => Err(PassError::Answered(Answer::SentAway)),
+        match trim_line_end(&line) {
+            b"BUSY" => Err(AttemptError::NotServed(ServerAnswer::Rejected)),
+            b"MOVE" => Err(AttemptError::NotServed(ServerAnswer::Redirected)),
             b"UP" => Ok(line),
             text if text.starts_with(b"UP ") => Ok(line),
-            text if text.starts_with(b"BUSY ") => Err(PassError::Answered(Answer::Unavailable)),
-            _ => Err(PassError::Answered(Answer::Error)),
+            text if text.starts_with(b"BUSY ") => {
+                Err(AttemptError::NotServed(ServerAnswer::Rejected))
+            }
+            _ => Err(AttemptError::NotServed(ServerAnswer::Error)),
         }
     }
 
-    fn load_question(&self) -> Option<Question> {
-        Some(LOAD)
+    fn load_probe(&self) -> Option<LoadProbe> {
+        Some(LOAD_PROBE)
     }
 
-    fn say(&self, word: Word) -> Vec<u8> {
+    fn encode(&self, word: ClientMessage) -> Vec<u8> {
         match word {
-            Word::Unavailable(None) => b"BUSY\r\n".to_vec(),
-            Word::Unavailable(Some(after)) => {
+            ClientMessage::Rejected(None) => b"BUSY\r\n".to_vec(),
+            ClientMessage::Rejected(Some(after)) => {
                 format!("BUSY {}\r\n", after.as_millis()).into_bytes()
             }
-            Word::Failed => b"ERR\r\n".to_vec(),
-            Word::Move => b"MOVE\r\n".to_vec(),
+            ClientMessage::Failed => b"ERR\r\n".to_vec(),
+            ClientMessage::Migrate => b"MOVE\r\n".to_vec(),
         }
     }
 
     fn client_framer(&self) -> Box<dyn Framer> {
-        Box::new(Lines {
-            by_client: true,
-            ..Lines::default()
+        Box::new(LineFramer {
+            is_client: true,
+            ..LineFramer::default()
         })
     }
 
     fn server_framer(&self) -> Box<dyn Framer> {
-        Box::new(Lines::default())
+        Box::new(LineFramer::default())
     }
 
-    fn silence(&self) -> Duration {
-        SILENCE
+    fn response_timeout(&self) -> Duration {
+        RESPONSE_TIMEOUT
     }
 }
 
-/// Follows lines. Only the head of one that comes in pieces is kept, as far as it may carry a meaning.
+/// Frames lines. Only the beginning of an incomplete line is kept, as far as it may carry a
+/// meaning.
 #[derive(Default)]
-struct Lines {
-    by_client: bool,
-    /// Head of the line that has not ended.
+struct LineFramer {
+    is_client: bool,
+    /// Beginning of the incomplete line.
     head: Vec<u8>,
     /// Its length so far.
     length: usize,
 }
 
-/// Bytes of a line that are looked at.
-const HEAD: usize = 64;
+/// Bytes of a line that are classified.
+const CLASSIFIED_BYTES: usize = 64;
 
-impl Lines {
-    fn meaning(&self, line: &[u8]) -> Seen {
-        if self.by_client {
-            return Seen::Asked;
+impl LineFramer {
+    fn classify(&self, line: &[u8]) -> MessageKind {
+        if self.is_client {
+            return MessageKind::Request;
         }
         let load = line
             .strip_prefix(b"LOAD ")
             .and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
         match line {
-            b"BYE" => Seen::Goodbye,
-            b"MOVE" => Seen::SentAway,
-            _ => load.map_or(Seen::Answered, Seen::Load),
+            b"BYE" => MessageKind::Goodbye,
+            b"MOVE" => MessageKind::Redirect,
+            _ => load.map_or(MessageKind::AnswerToAll, MessageKind::Load),
         }
     }
 }
 
-impl Framer for Lines {
-    fn follow(
+impl Framer for LineFramer {
+    fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(Seen) -> bool,
-    ) -> Result<Followed, FrameFault> {
-        let mut followed = Followed {
+        seen: &mut dyn FnMut(MessageKind) -> bool,
+    ) -> Result<FrameProgress, ProtocolError> {
+        let mut followed = FrameProgress {
             consumed: bytes.len(),
-            ..Followed::default()
+            ..FrameProgress::default()
         };
         let mut rest = bytes;
         while !rest.is_empty() {
@@ -375,14 +388,16 @@
             let piece = &rest[..end.unwrap_or(rest.len())];
             rest = &rest[piece.len()..];
             self.length += piece.len();
-            if self.length > LONGEST_LINE {
-                return Err(FrameFault { answer: "" });
+            if self.length > MAX_LINE_BYTES {
+                return Err(ProtocolError { answer: "" });
             }
-            let room = HEAD.saturating_sub(self.head.len()).min(piece.len());
+            let room = CLASSIFIED_BYTES
+                .saturating_sub(self.head.len())
+                .min(piece.len());
             self.head.extend_from_slice(&piece[..room]);
             if end.is_some() {
-                // Every line goes on, whatever it means.
-                seen(self.meaning(trimmed(&self.head)));
+                // Every line is relayed.
+                seen(self.classify(trim_line_end(&self.head)));
                 self.head.clear();
                 self.length = 0;
                 followed.boundary = Some(bytes.len() - rest.len());
@@ -391,7 +406,7 @@
         Ok(followed)
     }
 
-    fn is_between(&self) -> bool {
+    fn is_at_boundary(&self) -> bool {
         self.length == 0
     }
 }
--- a/crates/balancer/src/handover.rs
+++ b/crates/balancer/src/handover.rs
@@ -1,8 +1,8 @@
-//! Standing connections go from a process that leaves to the one that takes its place: their two sockets, and what the
-//! client said when it opened. Client and application server feel nothing of it.
+//! Handover of established connections to the process that replaces this one: two sockets and the
+//! client's request line. Neither side notices.
 //!
-//! The way is a socket in `$TMPDIR`, which both processes see. Each process puts its own in the place of the one before,
-//! by a rename; whoever finds none there, or its own, gives nothing away, and moves its clients instead.
+//! The processes meet at a Unix socket in `$TMPDIR`. Each one renames its own socket into the place
+//! of the former. A process that finds none or its own migrates its clients instead.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -22,44 +22,51 @@
 
 use crate::net;
 
-/// Longest message: a server's name, and an opening line.
-const LONGEST: usize = 8 * 1024;
-/// After a failed accept the next one waits for so long. Guards against a busy loop while there are no descriptors.
+/// Longest message: a server's name and a request line.
+const MAX_MESSAGE: usize = 8 * 1024;
+/// Pause after a failed accept, which avoids a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Messages are whole or not there.
-const KIND: Type = Type::SEQPACKET;
+/// Messages arrive as a whole or not at all.
+const SOCKET_TYPE: Type = Type::SEQPACKET;
 
-/// A standing connection on its way.
-pub struct Given {
+/// A connection that is handed over.
+pub struct TransferredConnection {
     /// The client's socket.
     pub client: TcpStream,
-    /// The application server's.
+    /// The server's socket.
     pub server: TcpStream,
-    /// The application server's name.
-    pub at: String,
-    /// The client's opening line.
-    pub line: Vec<u8>,
+    /// The server's name.
+    pub server_name: String,
+    /// The client's request line.
+    pub request_line: Vec<u8>,
 }
 
 /// Where the processes of one balancer meet.
 #[derive(Clone, Debug)]
-pub struct Place(PathBuf);
+pub struct HandoverAddress(PathBuf);
 
-impl Place {
-    /// The place of the balancer of that name in a folder that all its processes see.
-    pub fn of(folder: &Path, name: &str) -> Place {
-        Place(folder.join(format!(
+impl HandoverAddress {
+    /// The address for the balancer of that name, in a folder that all its processes see.
+    pub fn new(folder: &Path, name: &str) -> HandoverAddress {
+        HandoverAddress(folder.join(format!(
             "handover-{:016x}",
             beaconflow_settings::digest(name)
         )))
     }
 
-    /// Takes what is given here from now on, each giver's on a thread of its own.
-    pub fn take(&self, take: impl Fn(Given) + Send + Sync + 'static) -> io::Result<()> {
+    /// Receives connections from now on, each sender's on a thread of its own.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket can't be created or put in place.
+    pub fn receive(
+        &self,
+        take: impl Fn(TransferredConnection) + Send + Sync + 'static,
+    ) -> io::Result<()> {
         let own = self.0.with_extension(std::process::id().to_string());
-        // One may be left of a process that had this number before.
+        // A process that had this id before may have left one behind.
         let _ = std::fs::remove_file(&own);
-        let listener = Socket::new(Domain::UNIX, KIND, None)?;
+        let listener = Socket::new(Domain::UNIX, SOCKET_TYPE, None)?;
         listener.bind(&SockAddr::unix(&own)?)?;
         listener.listen(4)?;
         std::fs::rename(&own, &self.0)?;
@@ -67,23 +74,27 @@
         let begin = move |giver: Socket| {
             let take = Arc::clone(&take);
             let run = move || {
-                let taken = take_all(&giver, &*take);
+                let taken = receive_all(&giver, &*take);
                 info!(part = "handover", taken, "taken over");
             };
             if let Err(error) = thread().spawn(run) {
                 warn!(part = "handover", why = %error, "no thread");
             }
         };
-        let accept = move || accept_all(|| listener.accept().map(|(giver, _)| giver), begin);
+        let accept = move || accept_senders(|| listener.accept().map(|(giver, _)| giver), begin);
         thread().spawn(accept).map(drop)
     }
 
-    /// The process that takes this one's place, if there is one.
-    pub fn find(&self) -> io::Result<Option<Giver>> {
-        let socket = Socket::new(Domain::UNIX, KIND, None)?;
+    /// Connects to the process that replaces this one, if there is one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket can't be used.
+    pub fn connect(&self) -> io::Result<Option<HandoverSender>> {
+        let socket = Socket::new(Domain::UNIX, SOCKET_TYPE, None)?;
         match socket.connect(&SockAddr::unix(&self.0)?) {
             Ok(()) => {}
-            // What is left of a process that is gone, or of none.
+            // Nobody listens there any more.
             Err(error)
                 if matches!(
                     error.kind(),
@@ -94,21 +105,25 @@
             }
             Err(error) => return Err(error),
         }
-        // Whoever gives serves all clients, and waits for nobody.
+        // The sender serves all clients and must not block.
         socket.set_nonblocking(true)?;
         let other = socket_peercred(&socket)?.pid.as_raw_nonzero().get();
         let is_own = u32::try_from(other).is_ok_and(|other| other == std::process::id());
-        Ok((!is_own).then_some(Giver(socket)))
+        Ok((!is_own).then_some(HandoverSender(socket)))
     }
 }
 
-/// The way to the process that takes this one's place.
-pub struct Giver(Socket);
-
-impl Giver {
-    /// Gives a connection away. Its sockets are the other's from then on: here they may only be closed. One that would
-    /// block is to be given later: some hundreds may be on their way at once.
-    pub fn give(
+/// Sends connections to the process that replaces this one.
+pub struct HandoverSender(Socket);
+
+impl HandoverSender {
+    /// Hands a connection over. Afterwards its sockets may only be closed here.
+    ///
+    /// # Errors
+    ///
+    /// Fails with an error that would block if hundreds are in transit; the connection is then sent
+    /// later.
+    pub fn send(
         &self,
         (client, server): (&TcpStream, &TcpStream),
         at: &str,
@@ -133,12 +148,12 @@
 fn thread() -> std::thread::Builder {
     std::thread::Builder::new()
         .name("handover".into())
-        .stack_size(net::STACK)
+        .stack_size(net::THREAD_STACK_BYTES)
 }
 
-/// Accepts whoever gives, for as long as the program runs. Guards against a lack of descriptors in the wrong moment: a
-/// giver has its connection by then, and what it gives would stay in the system's queue with its clients.
-fn accept_all(mut accept: impl FnMut() -> io::Result<Socket>, begin: impl Fn(Socket)) {
+/// Accepts senders while the program runs. A lack of descriptors must not end this: connections in
+/// the socket's queue would be lost with their clients.
+fn accept_senders(mut accept: impl FnMut() -> io::Result<Socket>, begin: impl Fn(Socket)) {
     loop {
         match accept() {
             Ok(giver) => begin(giver),
@@ -150,11 +165,11 @@
     }
 }
 
-/// Takes what one process gives until it ends; gives how many connections that were.
-fn take_all(giver: &Socket, take: &impl Fn(Given)) -> usize {
+/// Receives from one sender until it ends; returns the number of connections.
+fn receive_all(giver: &Socket, take: &impl Fn(TransferredConnection)) -> usize {
     let mut taken = 0;
     loop {
-        match receive(giver) {
+        match receive_one(giver) {
             Ok(Some(given)) => {
                 taken += 1;
                 take(given);
@@ -170,9 +185,9 @@
     }
 }
 
-/// The next connection; nothing at the end.
-fn receive(giver: &Socket) -> io::Result<Option<Given>> {
-    let mut bytes = vec![0; LONGEST];
+/// Receives the next connection, or `None` at the end.
+fn receive_one(giver: &Socket) -> io::Result<Option<TransferredConnection>> {
+    let mut bytes = vec![0; MAX_MESSAGE];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut with = RecvAncillaryBuffer::new(&mut space);
     let got = recvmsg(
@@ -196,14 +211,14 @@
         .iter()
         .position(|byte| *byte == b'\n')
         .ok_or_else(fault)?;
-    let at = String::from_utf8(bytes[..end].to_vec()).map_err(|_| fault())?;
+    let server_name = String::from_utf8(bytes[..end].to_vec()).map_err(|_| fault())?;
     let [client, server] = <[OwnedFd; 2]>::try_from(sockets).map_err(|_| fault())?;
     let (client, server) = (TcpStream::from(client), TcpStream::from(server));
-    Ok(Some(Given {
+    Ok(Some(TransferredConnection {
         client,
         server,
-        at,
-        line: bytes[end + 1..].to_vec(),
+        server_name,
+        request_line: bytes[end + 1..].to_vec(),
     }))
 }
 
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -6,14 +6,14 @@
 
 use serde_json::{Value, json};
 
-use crate::net::{self, Intake, ReadError};
+use crate::net::{self, ReadBuffer, ReadError};
 
 /// Longest head and longest body of a request to the administration API.
-const LONGEST: (usize, usize) = (8 * 1024, 16 * 1024);
+const MAX_REQUEST_BYTES: (usize, usize) = (8 * 1024, 16 * 1024);
 /// A request is whole by then or is given up.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// An answered peer is read for so long.
-const LAST_WORD: Duration = Duration::from_millis(200);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A request as it was read.
 pub struct Request {
@@ -64,66 +64,69 @@
 }
 
 /// Why there is no request.
-pub enum Unread {
+pub enum RequestError {
     /// The peer has left.
-    Gone,
+    Disconnected,
     /// It is told this.
-    Refused(Reply),
+    Rejected(Reply),
 }
 
-impl From<ReadError> for Unread {
-    fn from(error: ReadError) -> Unread {
+impl From<ReadError> for RequestError {
+    fn from(error: ReadError) -> RequestError {
         match error {
             ReadError::TimedOut => {
-                Unread::Refused(Reply::error(408, "the request did not come in time"))
+                RequestError::Rejected(Reply::error(408, "the request did not come in time"))
             }
-            ReadError::TooLong => Unread::Refused(Reply::error(431, "the head is too long")),
-            ReadError::Ended | ReadError::Broken(_) => Unread::Gone,
+            ReadError::TooLong => RequestError::Rejected(Reply::error(431, "the head is too long")),
+            ReadError::Ended | ReadError::Broken(_) => RequestError::Disconnected,
         }
     }
 }
 
 /// A request on its way in.
-pub struct Incoming {
-    intake: Intake,
-    most_body: usize,
+pub struct RequestReader {
+    buffer: ReadBuffer,
+    max_body: usize,
     /// Its head, once whole, and how long its body is to be.
     head: Option<(Request, usize)>,
 }
 
-impl Incoming {
+impl RequestReader {
     /// Nothing has come yet; so much is kept of a head, and so much of a body.
-    pub fn new((head, body): (usize, usize)) -> Incoming {
-        Incoming {
-            intake: Intake::new(head),
-            most_body: body,
+    pub fn new((head, body): (usize, usize)) -> RequestReader {
+        RequestReader {
+            buffer: ReadBuffer::new(head),
+            max_body: body,
             head: None,
         }
     }
 
     /// Reads on once, until the deadline at the latest.
     pub fn read(&mut self, client: &TcpStream, until: Instant) -> Result<(), ReadError> {
-        self.intake.read(client, until)
+        self.buffer.read(client, until)
     }
 
     /// The request, if it is whole.
-    pub fn whole(&mut self) -> Result<Option<Request>, Unread> {
+    pub fn parse(&mut self) -> Result<Option<Request>, RequestError> {
         if self.head.is_none() {
-            let Some((request, head, length)) = parse_head(self.intake.bytes())? else {
+            let Some((request, head, length)) = parse_head(self.buffer.bytes())? else {
                 return Ok(None);
             };
-            if length > self.most_body {
-                return Err(Unread::Refused(Reply::error(413, "the body is too long")));
+            if length > self.max_body {
+                return Err(RequestError::Rejected(Reply::error(
+                    413,
+                    "the body is too long",
+                )));
             }
-            self.intake.take(head);
+            self.buffer.take(head);
             // What came with the head may be more than the body.
-            let rest = std::mem::replace(&mut self.intake, Intake::new(0)).into_rest();
-            self.intake = Intake::holding(rest, self.most_body);
+            let rest = std::mem::replace(&mut self.buffer, ReadBuffer::new(0)).into_rest();
+            self.buffer = ReadBuffer::with_bytes(rest, self.max_body);
             self.head = Some((request, length));
         }
         match self.head.take() {
-            Some((mut request, length)) if self.intake.bytes().len() >= length => {
-                request.body = self.intake.take(length);
+            Some((mut request, length)) if self.buffer.bytes().len() >= length => {
+                request.body = self.buffer.take(length);
                 Ok(Some(request))
             }
             head => {
@@ -135,11 +138,11 @@
 }
 
 /// Reads a whole request.
-pub fn read(client: &TcpStream) -> Result<Request, Unread> {
-    let until = Instant::now() + PATIENCE;
-    let mut incoming = Incoming::new(LONGEST);
+pub fn read(client: &TcpStream) -> Result<Request, RequestError> {
+    let until = Instant::now() + REQUEST_TIMEOUT;
+    let mut incoming = RequestReader::new(MAX_REQUEST_BYTES);
     loop {
-        if let Some(request) = incoming.whole()? {
+        if let Some(request) = incoming.parse()? {
             return Ok(request);
         }
         incoming.read(client, until)?;
@@ -147,8 +150,8 @@
 }
 
 /// The request, the length of its head and that of its body; nothing while the head is not whole.
-fn parse_head(bytes: &[u8]) -> Result<Option<(Request, usize, usize)>, Unread> {
-    let refuse = |status, why| Unread::Refused(Reply::error(status, why));
+fn parse_head(bytes: &[u8]) -> Result<Option<(Request, usize, usize)>, RequestError> {
+    let refuse = |status, why| RequestError::Rejected(Reply::error(status, why));
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(bytes) {
@@ -246,8 +249,8 @@
     let _ = net::write_until(
         client,
         &[&reply.bytes()],
-        Instant::now() + net::WRITE_PATIENCE,
+        Instant::now() + net::WRITE_TIMEOUT,
     );
-    net::finish(client);
-    net::drain(client, LAST_WORD);
+    net::shutdown_write(client);
+    net::discard_until_end(client, LINGER_TIMEOUT);
 }
--- a/crates/balancer/src/inherited.rs
+++ b/crates/balancer/src/inherited.rs
@@ -1,8 +1,9 @@
-//! The clients' listener that whoever started this program holds for it (`LB_INHERITED_FD`), so that it can be
-//! replaced while it serves: the old process and the new one accept from one queue.
+//! The clients' listener inherited by descriptor number (`LB_INHERITED_FD`), so that a process can
+//! be replaced while both accept from one queue.
 //!
-//! Sound code can't make a listener of a number. The crate `listenfd` does, for numbers that come by the convention of
-//! `LISTEN_FDS`; so the program starts itself once more, in place, with the number under those names.
+//! Safe code can't make a listener of a number. The crate `listenfd` does, for numbers passed by
+//! the convention of `LISTEN_FDS`; the program executes itself again with the number under those
+//! names.
 
 use std::net::TcpListener;
 use std::os::unix::process::CommandExt;
@@ -12,14 +13,18 @@
 use socket2::SockRef;
 
 /// The variable that names the descriptor.
-const VARIABLE: &str = "LB_INHERITED_FD";
+const FD_VARIABLE: &str = "LB_INHERITED_FD";
 
-/// The inherited listener; nothing where none is named. To be called before there are threads.
+/// The inherited listener, if one is named. Must be called before threads are started.
+///
+/// # Errors
+///
+/// Fails if the descriptor is not a listening socket.
 pub fn take() -> Result<Option<TcpListener>, String> {
-    let Ok(text) = std::env::var(VARIABLE) else {
+    let Ok(text) = std::env::var(FD_VARIABLE) else {
         return Ok(None);
     };
-    let fault = |why: String| format!("{VARIABLE}: {text:?}: {why}");
+    let fault = |why: String| format!("{FD_VARIABLE}: {text:?}: {why}");
     let number: i32 = text
         .parse()
         .ok()
@@ -34,7 +39,7 @@
             .env("LISTEN_FDS", "1")
             .env("LISTEN_FDS_FIRST_FD", number.to_string())
             .env("LISTEN_PID", own);
-        // The process stays the same one: it is known by its number.
+        // The process id stays the same.
         return Err(fault(format!("starting anew: {}", again.exec())));
     }
     let taken = ListenFd::from_env()
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,15 +1,17 @@
-//! The balancer on real sockets, built round beaconflow's decisions.
+//! The balancer on real sockets, around the decisions of `beaconflow-policy`.
 //!
-//! [`core`] owns the decision module and knows no wire. A [`front`] frames a wire and decides nothing. Between
-//! them a transaction passes the [`stages`]: take in, admit, route, send, relay, book.
+//! [`core`] owns the policy and knows no wire. A [`front`] parses and encodes a protocol and
+//! decides nothing. [`connections`] accepts, connects, relays and closes.
 
 #![forbid(unsafe_code)]
 
 pub mod admin;
+pub mod attempt;
 pub mod clock;
 pub mod config;
+pub mod connections;
 pub mod core;
-pub mod farm;
+pub mod discovery;
 pub mod fleet;
 pub mod front;
 pub mod handover;
@@ -20,12 +22,10 @@
 pub mod operations;
 pub mod operator;
 pub mod overrides;
-pub mod pass;
 pub mod poller;
 pub mod prober;
 pub mod reload;
 pub mod serve;
 pub mod signals;
-pub mod stages;
 #[cfg(test)]
 mod testing;
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -16,7 +16,7 @@
 
 /// The form of the log's lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     /// For people.
     #[default]
     Text,
@@ -25,30 +25,30 @@
 }
 
 /// Begins the log in a form; it keeps the form that it was first given.
-pub fn start(form: Form) {
-    let most = if std::env::var("BEACONFLOW_LOG").is_ok_and(|word| word == "debug") {
+pub fn start(form: LogFormat) {
+    let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|word| word == "debug") {
         Level::DEBUG
     } else {
         Level::INFO
     };
-    let lines = tracing_subscriber::registry().with(Lines { form, most });
+    let lines = tracing_subscriber::registry().with(LogLayer { form, max_level });
     let _ = tracing::subscriber::set_global_default(lines);
 }
 
 /// Writes events of the program's own crates as lines.
-struct Lines {
-    form: Form,
+struct LogLayer {
+    form: LogFormat,
     /// The least grave level that is written: `debug` follows each transaction, for a look at a farm in trouble.
-    most: Level,
+    max_level: Level,
 }
 
-impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Lines {
+impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for LogLayer {
     fn enabled(&self, about: &tracing::Metadata<'_>, _: Context<'_, S>) -> bool {
-        *about.level() <= self.most && about.target().starts_with("beaconflow")
+        *about.level() <= self.max_level && about.target().starts_with("beaconflow")
     }
 
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let mut told = Told::default();
+        let mut told = LogRecord::default();
         event.record(&mut told);
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -60,8 +60,8 @@
             _ => "info",
         };
         let mut text = match self.form {
-            Form::Text => told.text(now, level),
-            Form::Json => told.json(now, level),
+            LogFormat::Text => told.text(now, level),
+            LogFormat::Json => told.json(now, level),
         };
         text.push('\n');
         // A closed standard error is no reason to stop serving.
@@ -71,14 +71,14 @@
 
 /// The fields of an event, in their order.
 #[derive(Default)]
-struct Told {
+struct LogRecord {
     part: String,
     message: String,
     fields: Vec<(&'static str, Value)>,
 }
 
-impl Told {
-    fn put(&mut self, field: &Field, value: Value) {
+impl LogRecord {
+    fn add(&mut self, field: &Field, value: Value) {
         let text = |value: Value| match value {
             Value::String(text) => text,
             other => other.to_string(),
@@ -136,79 +136,83 @@
             .any(|letter| letter.is_whitespace() || letter.is_control() || letter == '"')
 }
 
-impl Visit for Told {
+impl Visit for LogRecord {
     fn record_f64(&mut self, field: &Field, value: f64) {
-        self.put(field, value.into());
+        self.add(field, value.into());
     }
 
     fn record_i64(&mut self, field: &Field, value: i64) {
-        self.put(field, value.into());
+        self.add(field, value.into());
     }
 
     fn record_u64(&mut self, field: &Field, value: u64) {
-        self.put(field, value.into());
+        self.add(field, value.into());
     }
 
     fn record_bool(&mut self, field: &Field, value: bool) {
-        self.put(field, value.into());
+        self.add(field, value.into());
     }
 
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put(field, value.into());
+        self.add(field, value.into());
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        self.put(field, format!("{value:?}").into());
+        self.add(field, format!("{value:?}").into());
     }
 }
 
 /// Lines of one kind that are written in a second; the rest is counted. Guards against a log that clients fill at full
 /// speed.
-const MOST_A_SECOND: u32 = 5;
+const MAX_LINES_PER_SECOND: u32 = 5;
 
 /// A log of what clients can cause as often as they like.
 #[derive(Default)]
-pub struct Bounded(Mutex<Spell>);
+pub struct RateLimitedLog(Mutex<RateWindow>);
 
 #[derive(Default)]
-struct Spell {
-    begun: Option<Instant>,
+struct RateWindow {
+    started_at: Option<Instant>,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl Bounded {
+impl RateLimitedLog {
     /// Writes a warning, or counts it.
     pub fn warn(&self, part: &str, message: &'static str, why: &dyn Display) {
-        self.look(part);
+        self.flush(part);
         let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if spell.written < MOST_A_SECOND {
+        if spell.written < MAX_LINES_PER_SECOND {
             spell.written += 1;
             warn!(part, why = %why, "{message}");
         } else {
-            spell.left_out += 1;
+            spell.suppressed += 1;
         }
     }
 
     /// Begins a new second once one is over, and tells what was left out in it.
-    pub fn look(&self, part: &str) {
+    pub fn flush(&self, part: &str) {
         let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if spell
-            .begun
+            .started_at
             .is_none_or(|begun| begun.elapsed() >= Duration::from_secs(1))
         {
-            if spell.left_out > 0 {
-                warn!(part, left_out = spell.left_out, "more like these left out");
+            if spell.suppressed > 0 {
+                warn!(
+                    part,
+                    left_out = spell.suppressed,
+                    "more like these left out"
+                );
             }
-            *spell = Spell {
-                begun: Some(Instant::now()),
-                ..Spell::default()
+            *spell = RateWindow {
+                started_at: Some(Instant::now()),
+                ..RateWindow::default()
             };
         }
     }
 }
 
-impl fmt::Debug for Bounded {
+impl fmt::Debug for RateLimitedLog {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Bounded")
     }
@@ -218,8 +222,8 @@
 mod tests {
     use super::*;
 
-    fn told() -> Told {
-        Told {
+    fn told() -> LogRecord {
+        LogRecord {
             part: "audit".into(),
             message: "override created".into(),
             fields: vec![
