--- a/crates/balancer/src/net.rs
+++ b/crates/balancer/src/net.rs
@@ -1,6 +1,6 @@
-//! Small things done with sockets: waits, reads with a deadline, gathered writes, and ways to end a connection.
+//! Sockets: waiting, buffered reads, gathered writes, and the ways to end a connection.
 //!
-//! Sockets of connections do not block: one thread serves both sides of a connection and waits for either.
+//! Sockets of connections do not block; one thread serves both sides of a connection.
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,16 +11,20 @@
 
 pub use rustix::event::PollFlags;
 
-/// The stack of a connection's thread. They keep their buffers on it, which are a few KiB.
-pub const STACK: usize = 96 * 1024;
-/// A peer that takes nothing for this long is given up.
-pub const WRITE_PATIENCE: Duration = Duration::from_secs(5);
+/// Stack of a connection's thread; its buffers of a few KiB are on it.
+pub const THREAD_STACK_BYTES: usize = 96 * 1024;
+/// A peer that takes nothing for this long is disconnected.
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Clients that may wait to be accepted. Guards against a start at which all of a site's clients come at once:
-/// the standard library's 128 overflow, and a client that the system has dropped believes that it is connected.
+/// Longest accept queue. All of a site's clients may connect at once, and a client dropped from the
+/// queue believes that it is connected.
 const BACKLOG: i32 = 4096;
 
 /// Listens on an address.
+///
+/// # Errors
+///
+/// Fails if the socket can't be created or bound.
 pub fn listen(on: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(on), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -31,40 +35,55 @@
 
 /// A front's listener.
 pub struct Listener {
-    /// It does not block.
+    /// The non-blocking socket.
     pub socket: TcpListener,
-    /// Another process accepts from it too, or is about to: what has not been accepted is left to it.
-    pub shared: bool,
+    /// Whether another process accepts from it too.
+    pub is_shared: bool,
 }
 
 impl Listener {
-    /// A listener of this program alone.
+    /// Creates a listener of this process alone.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket can't be created or bound.
     pub fn bound(on: SocketAddr) -> io::Result<Listener> {
-        Listener::of(listen(on)?, false)
+        Listener::nonblocking(listen(on)?, false)
     }
 
-    /// A listener that whoever started this program holds.
+    /// Wraps a listener that was inherited.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket can't be made non-blocking.
     pub fn inherited(socket: TcpListener) -> io::Result<Listener> {
-        Listener::of(socket, true)
+        Listener::nonblocking(socket, true)
     }
 
-    /// The flag is the file description's, and so the same for all processes that share it.
-    fn of(socket: TcpListener, shared: bool) -> io::Result<Listener> {
+    /// The flag belongs to the file description and so to all processes that share it.
+    fn nonblocking(socket: TcpListener, is_shared: bool) -> io::Result<Listener> {
         socket.set_nonblocking(true)?;
-        Ok(Listener { socket, shared })
+        Ok(Listener { socket, is_shared })
     }
 }
 
-/// Sets a socket up for the relay. A line goes out when it comes in, and nothing done with it blocks.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// Sets a socket up for the relay: without delay and non-blocking.
+///
+/// # Errors
+///
+/// Fails if an option can't be set.
+pub fn configure_stream(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_nonblocking(true)
 }
 
-/// Waits until one of the streams is ready for what is wanted of it, or the span is over; tells for each whether
-/// it is. An end or an error counts as ready, the read or write that follows shows it. A stream of which nothing
-/// is wanted is left out: its end would cut every wait short.
-pub fn ready<const N: usize>(wants: [(&TcpStream, PollFlags); N], patience: Duration) -> [bool; N] {
+/// Waits until one of the streams is ready or the time is over; returns which ones are. An end or
+/// an error counts as ready. A stream without wanted events is left out, since its end would end
+/// every wait.
+pub fn wait_ready<const N: usize>(
+    wants: [(&TcpStream, PollFlags); N],
+    patience: Duration,
+) -> [bool; N] {
     let wanted = wants.iter().filter(|(_, flags)| !flags.is_empty());
     let mut asked: Vec<PollFd<'_>> = wanted
         .map(|(stream, flags)| PollFd::new(*stream, *flags))
@@ -74,8 +93,8 @@
     wants.map(|(_, flags)| !flags.is_empty() && told.next().unwrap_or(false))
 }
 
-/// The same for a listener and streams to be read, of which some are left out.
-pub fn ready_of<'a>(
+/// The same for a listener and streams to read, some of which are left out.
+pub fn wait_listener_or_streams<'a>(
     listener: Option<&'a TcpListener>,
     streams: impl Iterator<Item = Option<&'a TcpStream>>,
     patience: Duration,
@@ -103,7 +122,7 @@
     )
 }
 
-/// Whether anything is ready. A wait that is cut short is as good as one that is over: whoever waits looks again.
+/// Whether anything is ready. May return early.
 fn poll_for(asked: &mut [PollFd<'_>], patience: Duration) -> bool {
     let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
     let until = Timespec {
@@ -113,103 +132,111 @@
     poll(asked, Some(&until)).unwrap_or(0) > 0
 }
 
-/// Why a read gave nothing.
+/// Why a read returned nothing.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The moment came first.
+    /// The time is over.
     TimedOut,
-    /// The peer ended its sending.
+    /// The peer has closed its write side.
     Ended,
-    /// More came than is kept.
+    /// The buffer is full.
     TooLong,
     /// The connection broke.
     Broken(io::Error),
 }
 
-/// Whether an error only says that a wait was over or cut short.
-pub fn is_wait(error: &io::Error) -> bool {
+/// Whether an error only says that an operation would block or was interrupted.
+pub fn is_would_block(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
     )
 }
 
-/// Bytes read ahead from a peer that is still speaking its opening.
-pub struct Intake {
+/// A bounded buffer of bytes read from a peer.
+pub struct ReadBuffer {
     bytes: Vec<u8>,
-    most: usize,
+    limit: usize,
 }
 
-impl Intake {
-    /// Keeps `most` bytes.
-    pub fn new(most: usize) -> Intake {
-        Intake {
+impl ReadBuffer {
+    /// Creates an empty buffer for `most` bytes.
+    pub fn new(limit: usize) -> ReadBuffer {
+        ReadBuffer {
             bytes: Vec::new(),
-            most,
+            limit,
         }
     }
 
-    /// Keeps `most` bytes, of which some have been read.
-    pub fn holding(bytes: Vec<u8>, most: usize) -> Intake {
-        Intake { bytes, most }
+    /// Creates a buffer for `most` bytes that holds some.
+    pub fn with_bytes(bytes: Vec<u8>, limit: usize) -> ReadBuffer {
+        ReadBuffer { bytes, limit }
     }
 
-    /// What has been read and not taken.
+    /// The buffered bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Whether no more is kept.
+    /// Whether the buffer is full.
     pub fn is_full(&self) -> bool {
-        self.bytes.len() >= self.most
+        self.bytes.len() >= self.limit
     }
 
-    /// Takes the first `count` bytes off.
+    /// Takes the first `count` bytes.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
         let rest = self.bytes.split_off(count.min(self.bytes.len()));
         std::mem::replace(&mut self.bytes, rest)
     }
 
-    /// All that was read ahead.
+    /// All buffered bytes.
     pub fn into_rest(self) -> Vec<u8> {
         self.bytes
     }
 
-    /// Reads on once, until the deadline at the latest.
+    /// Reads once, until the deadline at the latest.
+    ///
+    /// # Errors
+    ///
+    /// Returns why nothing was read.
     pub fn read(&mut self, mut from: &TcpStream, until: Instant) -> Result<(), ReadError> {
         loop {
-            if self.bytes.len() >= self.most {
+            if self.bytes.len() >= self.limit {
                 return Err(ReadError::TooLong);
             }
             let mut chunk = [0; 2048];
-            let room = chunk.len().min(self.most - self.bytes.len());
+            let room = chunk.len().min(self.limit - self.bytes.len());
             match from.read(&mut chunk[..room]) {
                 Ok(0) => return Err(ReadError::Ended),
                 Ok(count) => {
                     self.bytes.extend_from_slice(&chunk[..count]);
                     return Ok(());
                 }
-                Err(error) if is_wait(&error) => {}
+                Err(error) if is_would_block(&error) => {}
                 Err(error) => return Err(ReadError::Broken(error)),
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Err(ReadError::TimedOut);
             }
-            ready([(from, PollFlags::IN)], left);
+            wait_ready([(from, PollFlags::IN)], left);
         }
     }
 
-    /// The next line with its end, CRLF or LF, if it has been read; it is taken off.
-    pub fn whole_line(&mut self) -> Option<Vec<u8>> {
-        let end = self.bytes.iter().position(|byte| *byte == b'\n')?;
-        Some(self.take(end + 1))
+    /// Takes the next line with its end, CRLF or LF, if it is complete.
+    pub fn next_line(&mut self) -> Option<Vec<u8>> {
+        let shutdown_both = self.bytes.iter().position(|byte| *byte == b'\n')?;
+        Some(self.take(shutdown_both + 1))
     }
 
-    /// The next line with its end; it is taken off.
-    pub fn line(&mut self, from: &TcpStream, until: Instant) -> Result<Vec<u8>, ReadError> {
+    /// Reads and takes the next line with its end.
+    ///
+    /// # Errors
+    ///
+    /// Returns why there is no complete line.
+    pub fn read_line(&mut self, from: &TcpStream, until: Instant) -> Result<Vec<u8>, ReadError> {
         loop {
-            if let Some(line) = self.whole_line() {
+            if let Some(line) = self.next_line() {
                 return Ok(line);
             }
             self.read(from, until)?;
@@ -218,13 +245,16 @@
 }
 
 /// A line without its end.
-pub fn trimmed(line: &[u8]) -> &[u8] {
+pub fn trim_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
-/// Writes all parts by gathered writes; an error comes with the number of bytes that were written before it. That
-/// the peer takes no more just now is an error too.
+/// Writes all parts by gathered writes.
+///
+/// # Errors
+///
+/// Returns the number of bytes written before the error, also if the peer takes no more just now.
 pub fn write_gathered(mut to: &TcpStream, parts: &[&[u8]]) -> Result<(), (usize, io::Error)> {
     let mut slices: Vec<IoSlice<'_>> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let (mut left, mut written) = (slices.as_mut_slice(), 0);
@@ -243,7 +273,11 @@
     Ok(())
 }
 
-/// The same, and waits for a peer that takes its time.
+/// The same, and waits for a slow peer.
+///
+/// # Errors
+///
+/// Returns the number of bytes written before the error.
 pub fn write_until(
     to: &TcpStream,
     parts: &[&[u8]],
@@ -254,9 +288,9 @@
     loop {
         match write_gathered(to, &[&whole[written..]]) {
             Ok(()) => return Ok(()),
-            Err((count, error)) if is_wait(&error) && Instant::now() < until => {
+            Err((count, error)) if is_would_block(&error) && Instant::now() < until => {
                 written += count;
-                ready(
+                wait_ready(
                     [(to, PollFlags::OUT)],
                     until.saturating_duration_since(Instant::now()),
                 );
@@ -266,29 +300,33 @@
     }
 }
 
-/// What a peer has not taken yet.
+/// Bytes that a peer has not taken yet.
 #[derive(Default)]
-pub struct Outflow {
+pub struct WriteBuffer {
     bytes: Vec<u8>,
-    /// Bytes read of it since its last word.
-    drained: usize,
-    /// It has ended its own sending since its last word.
-    ended: bool,
+    /// Bytes discarded since its final message.
+    discarded: usize,
+    /// Whether it has closed its write side since its final message.
+    has_ended: bool,
 }
 
-impl Outflow {
-    /// Whether all has been taken.
+impl WriteBuffer {
+    /// Whether everything has been taken.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Writes what can be written now by gathered writes and keeps the rest.
+    /// Writes what can be written now and buffers the rest.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection broke.
     pub fn send(&mut self, to: &TcpStream, parts: &[&[u8]]) -> io::Result<()> {
         let mut written = 0;
         if self.bytes.is_empty() {
             match write_gathered(to, parts) {
                 Ok(()) => return Ok(()),
-                Err((count, error)) if is_wait(&error) => written = count,
+                Err((count, error)) if is_would_block(&error) => written = count,
                 Err((_, error)) => return Err(error),
             }
         }
@@ -300,44 +338,48 @@
         Ok(())
     }
 
-    /// Says the last word, and ends the sending in order once it has been taken.
-    pub fn part(&mut self, to: &TcpStream, words: &[u8]) {
+    /// Writes the final message, and shuts down the write side once it has been taken.
+    pub fn finish_with(&mut self, to: &TcpStream, words: &[u8]) {
         // A peer that is gone needs no answer.
         let _ = self.send(to, &[words]);
         if self.is_empty() {
-            finish(to);
+            shutdown_write(to);
         }
     }
 
-    /// Reads a peer that has had its last word; false once it has ended and has taken all. Guards against a reset,
-    /// which the system makes of a close with bytes unread and which would overtake that word, and against a peer that
-    /// goes on sending at full speed: beyond a bound nothing more is read of it.
-    pub fn linger(&mut self, mut of: &TcpStream) -> bool {
+    /// Discards input of a peer after its final message, up to a bound. Returns false once it has
+    /// closed and has taken everything. Closing with unread input would reset the connection and
+    /// destroy that message.
+    pub fn discard_input(&mut self, mut of: &TcpStream) -> bool {
         if !self.is_empty() {
             if self.flush(of).is_err() {
                 return false;
             }
             if self.is_empty() {
-                finish(of);
+                shutdown_write(of);
             }
         }
-        if self.reads_on() {
+        if self.is_reading() {
             match of.read(&mut [0; 4096]) {
-                Ok(0) => self.ended = true,
-                Ok(count) => self.drained += count,
-                Err(error) if is_wait(&error) => {}
+                Ok(0) => self.has_ended = true,
+                Ok(count) => self.discarded += count,
+                Err(error) if is_would_block(&error) => {}
                 Err(_) => return false,
             }
         }
-        !(self.ended && self.is_empty())
+        !(self.has_ended && self.is_empty())
     }
 
-    /// Whether a peer that has had its last word is still to be read.
-    pub fn reads_on(&self) -> bool {
-        !self.ended && self.drained < MOST_DRAINED
+    /// Whether a peer is still to be read after its final message.
+    pub fn is_reading(&self) -> bool {
+        !self.has_ended && self.discarded < MAX_DISCARDED
     }
 
-    /// Goes on writing what was kept.
+    /// Writes what is buffered.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection broke.
     pub fn flush(&mut self, to: &TcpStream) -> io::Result<()> {
         let kept = std::mem::take(&mut self.bytes);
         if kept.is_empty() {
@@ -348,48 +390,46 @@
     }
 }
 
-/// Ends the sending on a connection in order. That it is gone already is no news.
-pub fn finish(stream: &TcpStream) {
+/// Shuts down the write side. The connection may be gone already.
+pub fn shutdown_write(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Write);
 }
 
-/// Reads a peer that has had its last word until it ends, for a bounded time. Guards against a reset, which the
-/// system makes of a close with bytes unread, and which would overtake that word; and against one that goes on
-/// sending at full speed: no more than 64 KiB is read.
-pub fn drain(mut stream: &TcpStream, patience: Duration) {
+/// Discards input of a peer after its final message until it closes, for a bounded time and at most
+/// 64 KiB.
+pub fn discard_until_end(mut stream: &TcpStream, patience: Duration) {
     let until = Instant::now() + patience;
-    let (mut chunk, mut left) = ([0; 2048], MOST_DRAINED);
+    let (mut chunk, mut left) = ([0; 2048], MAX_DISCARDED);
     loop {
         match stream.read(&mut chunk) {
             Ok(0) => return,
             Ok(count) if count < left => left -= count,
-            Err(error) if is_wait(&error) => {}
+            Err(error) if is_would_block(&error) => {}
             _ => return,
         }
         let wait = until.saturating_duration_since(Instant::now());
         if wait.is_zero() {
             return;
         }
-        ready([(stream, PollFlags::IN)], wait);
+        wait_ready([(stream, PollFlags::IN)], wait);
     }
 }
 
-/// Most that is read of a peer that has had its last word.
-const MOST_DRAINED: usize = 64 * 1024;
+/// Most bytes discarded after a final message.
+const MAX_DISCARDED: usize = 64 * 1024;
 
-/// Closes a connection that has had its last word: what lies there is read first. Guards against a reset, which the
-/// system makes of a close with bytes unread, and which would destroy that word.
+/// Closes a connection after its final message; unread input is discarded first.
 pub fn close(stream: &TcpStream) {
-    finish(stream);
-    drain(stream, Duration::ZERO);
+    shutdown_write(stream);
+    discard_until_end(stream, Duration::ZERO);
 }
 
-/// Ends a connection in both directions; a thread that reads from it wakes.
+/// Shuts down both directions; a thread that reads from the socket wakes.
 pub fn end(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Makes the close of a connection, which follows, a reset.
-pub fn reset(stream: &TcpStream) {
+/// Makes the following close a reset.
+pub fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -1,8 +1,7 @@
-//! The operations port: whoever runs this program asks whether it serves, has it stand by, and has it take clients
-//! again. HTTP, one call a connection; `docs/operations.md` is for its callers.
+//! The operations port: status, standby and service, over HTTP. See `docs/operations.md`.
 //!
-//! One thread and one loop that waits for nobody: answers are owed in a second under any load, beside callers that
-//! hold their connections and say nothing. What it may hold is set aside at the start.
+//! One thread with one non-blocking loop: a caller is answered within a second whatever the load,
+//! beside callers that send nothing. Its resources are reserved at the start.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -14,105 +13,113 @@
 use serde_json::json;
 use tracing::{info, warn};
 
-use crate::core::lifecycle::{Refused, State, Word};
-use crate::core::{Event, Handle, Told};
-use crate::http::{Incoming, Reply, Request, Unread};
-use crate::net::{self, Listener, Outflow, ReadError};
-use crate::poller::{Bell, EventFlags, Poller};
+use crate::core::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use crate::core::{CoreHandle, CoreInput, LifecycleReply};
+use crate::http::{Reply, Request, RequestError, RequestReader};
+use crate::net::{self, Listener, ReadError, WriteBuffer};
+use crate::poller::{EventFlags, Poller, Waker};
 
-/// Callers at once; the one that has been silent longest gives way to the next.
-const CALLERS: usize = 16;
-/// Descriptors that the port holds at most: its callers', its listener, and its poller's two.
-pub const DESCRIPTORS: usize = CALLERS + 3;
-/// Longest head and longest body of a call.
+/// Most callers; the one that has been silent longest is evicted for the next.
+const MAX_CALLERS: usize = 16;
+/// Descriptors of the port: its callers, its listener and its poller's two.
+pub const DESCRIPTORS: usize = MAX_CALLERS + 3;
+/// Longest head and longest body of a request.
 const LONGEST: (usize, usize) = (4 * 1024, 1024);
-/// A call is whole by then or is given up.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// The cores have followed a word by then, or the caller hears that they have not. An answer is owed in 1 s.
-const FOLLOWED: Duration = Duration::from_millis(800);
-/// An answered caller is read for so long, so that its answer is not lost to a reset.
-const LAST_WORD: Duration = Duration::from_millis(200);
-/// What is due without a caller being ready is looked for this often while there are callers.
-const LOOK: Duration = Duration::from_millis(50);
-/// The listener's token; callers have those from 1 on.
-const LISTENER: u64 = 0;
+/// Time for a caller to send its request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for the cores to apply a command. A caller is owed an answer within 1 s.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time for which an answered caller is read, so that no reset destroys its answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval of timeout checks while there are callers.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Token of the listener; callers have tokens from 1.
+const LISTENER_TOKEN: u64 = 0;
 
-/// The port, set up.
+/// The operations port.
 pub struct Operations {
     listener: TcpListener,
     poller: Poller,
-    cores: Vec<Handle>,
+    cores: Vec<CoreHandle>,
     callers: Vec<Caller>,
-    next: u64,
-    followed: (Sender<Followed>, Receiver<Followed>),
+    next_id: u64,
+    results: (Sender<CommandResult>, Receiver<CommandResult>),
 }
 
-/// What came of a word, for the caller of that number.
-type Followed = (u64, Result<State, Refused>);
+/// The result of a command, for the caller with this id.
+type CommandResult = (u64, Result<LifecycleState, CommandRefused>);
 
 struct Caller {
-    number: u64,
+    id: u64,
     stream: TcpStream,
-    incoming: Incoming,
-    out: Outflow,
-    /// When it last said something.
-    heard: Instant,
-    phase: Phase,
-    /// What the poller watches it for.
-    watched: EventFlags,
+    request: RequestReader,
+    outgoing: WriteBuffer,
+    /// When it last sent something.
+    last_read_at: Instant,
+    state: CallerState,
+    /// The events it is polled for.
+    interest: EventFlags,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Phase {
-    /// It has been answered, and is read until then.
+enum CallerState {
+    /// It has been answered and is read until then.
     Answered(Instant),
-    /// Its call is not whole; it is given up then.
-    Calling(Instant),
-    /// The cores are to follow its word until then.
-    Waiting(Instant),
-    /// It is over.
-    Over,
+    /// Its request is incomplete and expires then.
+    Reading(Instant),
+    /// The cores apply its command until then.
+    AwaitingCores(Instant),
+    /// It is closed.
+    Closed,
 }
 
-/// Sets the port up, over all cores of the program.
+/// Creates the port over all cores of the program.
+///
+/// # Errors
+///
+/// Fails if the poller can't be created.
 pub fn listen(
     Listener {
         socket: listener, ..
     }: Listener,
-    cores: Vec<Handle>,
+    cores: Vec<CoreHandle>,
 ) -> io::Result<Operations> {
     let poller = Poller::new()?;
-    poller.watch(&listener, LISTENER, (EventFlags::empty(), EventFlags::IN))?;
+    poller.set_interest(
+        &listener,
+        LISTENER_TOKEN,
+        (EventFlags::empty(), EventFlags::IN),
+    )?;
     info!(part = "operations", on = %listener.local_addr()?, "serves");
-    let callers = Vec::with_capacity(CALLERS);
+    let callers = Vec::with_capacity(MAX_CALLERS);
     Ok(Operations {
         listener,
         poller,
         cores,
         callers,
-        next: LISTENER + 1,
-        followed: unbounded(),
+        next_id: LISTENER_TOKEN + 1,
+        results: unbounded(),
     })
 }
 
 impl Operations {
-    /// Serves calls for as long as the program runs.
+    /// Serves callers while the program runs.
     pub fn run(mut self) {
         loop {
             let patience = if self.callers.is_empty() {
                 Duration::from_secs(60)
             } else {
-                LOOK
+                TICK_INTERVAL
             };
             let ready = self.poller.wait(patience);
-            // Those that are here come before those that come: one whose call is there is answered, and not let go.
-            for number in ready.iter().filter(|token| **token != LISTENER) {
-                self.with(*number, Self::hear);
+            // Present callers go before new ones: a complete request is answered and not evicted.
+            for number in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
+                self.with_caller(*number, Self::on_ready);
             }
-            while let Ok((number, followed)) = self.followed.1.try_recv() {
-                self.with(number, |_, caller| {
-                    if let Phase::Waiting(_) = caller.phase {
-                        caller.answer(&word_reply(followed));
+            while let Ok((number, followed)) = self.results.1.try_recv() {
+                self.with_caller(number, |_, caller| {
+                    if let CallerState::AwaitingCores(_) = caller.state {
+                        caller.answer(&command_reply(followed));
                     }
                 });
             }
@@ -120,206 +127,201 @@
             let due: Vec<u64> = self
                 .callers
                 .iter()
-                .filter(|caller| caller.is_due(now))
-                .map(|caller| caller.number)
+                .filter(|caller| caller.has_expired(now))
+                .map(|caller| caller.id)
                 .collect();
             for number in due {
-                self.with(number, |_, caller| caller.time_is_up());
+                self.with_caller(number, |_, caller| caller.expire());
             }
-            if ready.contains(&LISTENER) {
+            if ready.contains(&LISTENER_TOKEN) {
                 self.accept();
             }
         }
     }
 
-    /// Accepts those that come, as far as there is room; for one of them room is made. Guards against callers that
-    /// have left or have their call there and would give way unheard.
+    /// Accepts callers while there is room, and one by eviction.
     fn accept(&mut self) {
-        for accepted in 0..CALLERS {
-            if accepted > 0 && self.callers.len() == CALLERS {
+        for accepted in 0..MAX_CALLERS {
+            if accepted > 0 && self.callers.len() == MAX_CALLERS {
                 return;
             }
             let stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(error) if net::is_wait(&error) => return,
+                Err(error) if net::is_would_block(&error) => return,
                 Err(error) => {
                     warn!(part = "operations", why = %error, "accept failed");
-                    // Guards against a busy loop while there are no descriptors to be had.
+                    // Avoids a busy loop without descriptors.
                     return std::thread::sleep(Duration::from_millis(10));
                 }
             };
-            self.make_room();
-            if net::prepare(&stream).is_err() {
+            self.evict_one();
+            if net::configure_stream(&stream).is_err() {
                 continue;
             }
-            let (number, heard) = (self.next, Instant::now());
-            self.next += 1;
+            let (id, last_read_at) = (self.next_id, Instant::now());
+            self.next_id += 1;
             self.callers.push(Caller {
-                number,
+                id,
                 stream,
-                incoming: Incoming::new(LONGEST),
-                out: Outflow::default(),
-                heard,
-                phase: Phase::Calling(heard + PATIENCE),
-                watched: EventFlags::empty(),
+                request: RequestReader::new(LONGEST),
+                outgoing: WriteBuffer::default(),
+                last_read_at,
+                state: CallerState::Reading(last_read_at + REQUEST_TIMEOUT),
+                interest: EventFlags::empty(),
             });
-            // A call is mostly there with its connection.
-            self.with(number, Self::hear);
+            // A request usually arrives with its connection.
+            self.with_caller(id, Self::on_ready);
         }
     }
 
-    /// Guards against callers that connect and say nothing: one that has been answered, or else the one that has been
-    /// silent longest, makes room.
-    fn make_room(&mut self) {
-        if self.callers.len() < CALLERS {
+    /// Evicts a caller if there is no room: one that was answered, else the one that has been
+    /// silent longest.
+    fn evict_one(&mut self) {
+        if self.callers.len() < MAX_CALLERS {
             return;
         }
-        let rank = |caller: &Caller| match caller.phase {
-            Phase::Answered(_) | Phase::Over => (0, caller.heard),
-            Phase::Calling(_) => (1, caller.heard),
-            Phase::Waiting(_) => (2, caller.heard),
+        let rank = |caller: &Caller| match caller.state {
+            CallerState::Answered(_) | CallerState::Closed => (0, caller.last_read_at),
+            CallerState::Reading(_) => (1, caller.last_read_at),
+            CallerState::AwaitingCores(_) => (2, caller.last_read_at),
         };
         let first = (0..self.callers.len()).min_by_key(|at| rank(&self.callers[*at]));
         let Some(mut caller) = first.map(|at| self.callers.swap_remove(at)) else {
             return;
         };
-        if !matches!(caller.phase, Phase::Answered(_)) {
+        if !matches!(caller.state, CallerState::Answered(_)) {
             caller.answer(&Reply::error(503, "too many callers at once"));
         }
         net::close(&caller.stream);
     }
 
-    /// Does something with a caller, and watches what is wanted of it then.
-    fn with(&mut self, number: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
-        let Some(at) = self
-            .callers
-            .iter()
-            .position(|caller| caller.number == number)
-        else {
+    /// Runs code on a caller and updates its poll events.
+    fn with_caller(&mut self, number: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
+        let Some(at) = self.callers.iter().position(|caller| caller.id == number) else {
             return;
         };
         let mut caller = self.callers.swap_remove(at);
         act(self, &mut caller);
-        let wanted = caller.wants();
+        let wanted = caller.interest_now();
         let watched = self
             .poller
-            .watch(&caller.stream, number, (caller.watched, wanted));
-        caller.watched = wanted;
-        if watched.is_ok() && caller.phase != Phase::Over {
+            .set_interest(&caller.stream, number, (caller.interest, wanted));
+        caller.interest = wanted;
+        if watched.is_ok() && caller.state != CallerState::Closed {
             return self.callers.push(caller);
         }
         net::close(&caller.stream);
     }
 
-    fn hear(&mut self, caller: &mut Caller) {
-        match caller.phase {
-            Phase::Answered(_) => {
-                if !caller.out.linger(&caller.stream) {
-                    caller.phase = Phase::Over;
+    fn on_ready(&mut self, caller: &mut Caller) {
+        match caller.state {
+            CallerState::Answered(_) => {
+                if !caller.outgoing.discard_input(&caller.stream) {
+                    caller.state = CallerState::Closed;
                 }
             }
-            // Until it is whole or nothing is left to be read: what a call may hold bounds this.
-            Phase::Calling(_) => {
-                while matches!(caller.phase, Phase::Calling(_)) && self.hear_on(caller) {}
+            // Bounded by the size of a request.
+            CallerState::Reading(_) => {
+                while matches!(caller.state, CallerState::Reading(_)) && self.read_once(caller) {}
             }
-            Phase::Waiting(_) | Phase::Over => {}
+            CallerState::AwaitingCores(_) | CallerState::Closed => {}
         }
     }
 
-    /// Reads on once; false where there is nothing more to be read now.
-    fn hear_on(&mut self, caller: &mut Caller) -> bool {
-        let heard = match caller.incoming.read(&caller.stream, Instant::now()) {
+    /// Reads once; returns whether there may be more.
+    fn read_once(&mut self, caller: &mut Caller) -> bool {
+        let heard = match caller.request.read(&caller.stream, Instant::now()) {
             Err(ReadError::TimedOut) => return false,
-            heard => heard.map_err(Unread::from),
+            heard => heard.map_err(RequestError::from),
         };
-        match heard.and_then(|()| caller.incoming.whole()) {
-            Ok(Some(request)) => self.call(caller, &request),
-            Ok(None) => caller.heard = Instant::now(),
-            Err(Unread::Gone) => caller.phase = Phase::Over,
-            Err(Unread::Refused(reply)) => caller.answer(&reply),
+        match heard.and_then(|()| caller.request.parse()) {
+            Ok(Some(request)) => self.dispatch(caller, &request),
+            Ok(None) => caller.last_read_at = Instant::now(),
+            Err(RequestError::Disconnected) => caller.state = CallerState::Closed,
+            Err(RequestError::Rejected(reply)) => caller.answer(&reply),
         }
         true
     }
 
-    fn call(&mut self, caller: &mut Caller, request: &Request) {
+    fn dispatch(&mut self, caller: &mut Caller, request: &Request) {
         let path = request.path.split('?').next().unwrap_or_default();
-        let word = match (path, request.method.as_str()) {
+        let command = match (path, request.method.as_str()) {
             ("/status", "GET") => return caller.answer(&self.status()),
-            ("/standby", "POST") => Word::Standby,
-            ("/active", "POST") => Word::Active,
-            ("/status", _) => return caller.answer(&not_here("GET")),
-            ("/standby" | "/active", _) => return caller.answer(&not_here("POST")),
+            ("/standby", "POST") => LifecycleCommand::EnterStandby,
+            ("/active", "POST") => LifecycleCommand::LeaveStandby,
+            ("/status", _) => return caller.answer(&method_not_allowed("GET")),
+            ("/standby" | "/active", _) => return caller.answer(&method_not_allowed("POST")),
             _ => return caller.answer(&Reply::error(404, "no such path")),
         };
-        info!(part = "audit", word = ?word, who = %peer(&caller.stream), "operator's word");
-        caller.phase = Phase::Waiting(Instant::now() + FOLLOWED);
-        let told = Arc::new(Answers {
-            left: AtomicUsize::new(self.cores.len()),
-            number: caller.number,
-            to: self.followed.0.clone(),
-            bell: self.poller.bell(),
+        info!(part = "audit", command = ?command, who = %peer_address(&caller.stream), "operator's command");
+        caller.state = CallerState::AwaitingCores(Instant::now() + COMMAND_TIMEOUT);
+        let told = Arc::new(CommandResults {
+            remaining: AtomicUsize::new(self.cores.len()),
+            caller: caller.id,
+            results: self.results.0.clone(),
+            waker: self.poller.waker(),
         });
         for core in &self.cores {
             let told = Arc::clone(&told);
-            core.tell(Event::Told(
-                word,
-                Some(Told::new(move |followed| told.take(followed))),
+            core.send(CoreInput::LifecycleCommanded(
+                command,
+                Some(LifecycleReply::new(move |followed| told.record(followed))),
             ));
         }
     }
 
     fn status(&self) -> Reply {
-        let shown: Vec<_> = self.cores.iter().map(Handle::shown).collect();
+        let shown: Vec<_> = self.cores.iter().map(CoreHandle::lifecycle).collect();
         let ready = shown.iter().all(|shown| shown.is_ready());
-        // That front whose state keeps the program from being ready, if one does.
+        // The front that keeps the program from being ready, if there is one.
         let told = shown
             .iter()
             .find(|shown| !shown.is_ready())
             .or_else(|| shown.first());
         let state = told.map_or("starting", |shown| shown.state().name());
-        let core = if shown.iter().all(|shown| shown.works()) {
+        let core = if shown.iter().all(|shown| shown.is_core_alive()) {
             "works"
         } else {
             "silent"
         };
-        let open: usize = self.cores.iter().map(Handle::connections).sum();
+        let open: usize = self.cores.iter().map(CoreHandle::connections).sum();
         let body = json!({ "ready": ready, "state": state, "core": core, "connections": open });
         Reply::new(if ready { 200 } else { 503 }, body)
     }
 }
 
-/// Gathers what the cores make of one word.
-struct Answers {
-    left: AtomicUsize,
-    number: u64,
-    to: Sender<Followed>,
-    bell: Bell,
+/// Collects the results of one command from the cores.
+struct CommandResults {
+    remaining: AtomicUsize,
+    caller: u64,
+    results: Sender<CommandResult>,
+    waker: Waker,
 }
 
-impl Answers {
-    /// The last of the cores, or the first that refuses, has the caller answered.
-    fn take(&self, followed: Result<State, Refused>) {
-        let last = self.left.fetch_sub(1, Ordering::SeqCst) == 1;
+impl CommandResults {
+    /// Records a core's result. The last one, or the first refusal, answers the caller.
+    fn record(&self, followed: Result<LifecycleState, CommandRefused>) {
+        let last = self.remaining.fetch_sub(1, Ordering::SeqCst) == 1;
         if last || followed.is_err() {
-            // A caller that has been answered hears no second answer.
-            let _ = self.to.send((self.number, followed));
-            self.bell.ring();
+            // A caller gets no second answer.
+            let _ = self.results.send((self.caller, followed));
+            self.waker.wake();
         }
     }
 }
 
-fn word_reply(followed: Result<State, Refused>) -> Reply {
+fn command_reply(followed: Result<LifecycleState, CommandRefused>) -> Reply {
     match followed {
         Ok(state) => Reply::new(200, json!({ "state": state.name() })),
         Err(refused) => Reply::error(409, refused.to_string()),
     }
 }
 
-fn not_here(allowed: &'static str) -> Reply {
+fn method_not_allowed(allowed: &'static str) -> Reply {
     Reply::error(405, "no such method here").with("Allow", allowed)
 }
 
-fn peer(stream: &TcpStream) -> String {
+fn peer_address(stream: &TcpStream) -> String {
     stream
         .peer_addr()
         .map_or_else(|_| "gone".into(), |peer| peer.to_string())
@@ -327,39 +329,43 @@
 
 impl Caller {
     fn answer(&mut self, reply: &Reply) {
-        self.phase = Phase::Answered(Instant::now() + LAST_WORD);
-        self.out.part(&self.stream, &reply.bytes());
+        self.state = CallerState::Answered(Instant::now() + LINGER_TIMEOUT);
+        self.outgoing.finish_with(&self.stream, &reply.bytes());
     }
 
-    fn is_due(&self, now: Instant) -> bool {
-        match self.phase {
-            Phase::Answered(until) | Phase::Calling(until) | Phase::Waiting(until) => now >= until,
-            Phase::Over => true,
+    fn has_expired(&self, now: Instant) -> bool {
+        match self.state {
+            CallerState::Answered(until)
+            | CallerState::Reading(until)
+            | CallerState::AwaitingCores(until) => now >= until,
+            CallerState::Closed => true,
         }
     }
 
-    fn time_is_up(&mut self) {
-        match self.phase {
-            Phase::Calling(_) => self.answer(&Reply::error(408, "the call did not come in time")),
-            Phase::Waiting(_) => self.answer(&Reply::error(
+    fn expire(&mut self) {
+        match self.state {
+            CallerState::Reading(_) => {
+                self.answer(&Reply::error(408, "the call did not come in time"))
+            }
+            CallerState::AwaitingCores(_) => self.answer(&Reply::error(
                 503,
                 "not followed in time; ask for the status",
             )),
-            Phase::Answered(_) | Phase::Over => self.phase = Phase::Over,
+            CallerState::Answered(_) | CallerState::Closed => self.state = CallerState::Closed,
         }
     }
 
-    fn wants(&self) -> EventFlags {
-        match self.phase {
-            Phase::Answered(_) => {
+    fn interest_now(&self) -> EventFlags {
+        match self.state {
+            CallerState::Answered(_) => {
                 let mut wants = EventFlags::empty();
-                wants.set(EventFlags::IN, self.out.reads_on());
-                wants.set(EventFlags::OUT, !self.out.is_empty());
+                wants.set(EventFlags::IN, self.outgoing.is_reading());
+                wants.set(EventFlags::OUT, !self.outgoing.is_empty());
                 wants
             }
-            Phase::Calling(_) => EventFlags::IN,
-            // One that leaves meanwhile is answered in vain.
-            Phase::Waiting(_) | Phase::Over => EventFlags::empty(),
+            CallerState::Reading(_) => EventFlags::IN,
+            // A caller that leaves is answered in vain.
+            CallerState::AwaitingCores(_) | CallerState::Closed => EventFlags::empty(),
         }
     }
 }
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -1,7 +1,6 @@
-//! The operator's file: the NATS front, the administration API, overrides, the fleet and the log, each as far as it is
-//! set up.
+//! The operator's file: the NATS front, the administration API, overrides, the fleet and the log.
 //!
-//! It is read field by field, so that everything that is wrong with it is named at once.
+//! It is read field by field, so that all errors are reported at once.
 
 mod fleet;
 
@@ -14,121 +13,125 @@
 
 use beaconflow_admission::{Bound, Limits};
 use beaconflow_overrides::Limits as OverrideLimits;
-use beaconflow_settings::Setup;
+use beaconflow_settings::SiteSettings;
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
 use crate::core::DoorConfig;
-use crate::farm::{Lifecycle, List, Listed};
-use crate::front::nats::framing::LONGEST_LINE;
+use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
+use crate::front::nats::framing::MAX_CONTROL_LINE;
 use crate::front::nats::wire::Wire;
-use crate::log::Form;
+use crate::log::LogFormat;
 use crate::overrides;
-pub use fleet::{Affinity, Edge, EdgeWord, Fleet, Memory};
+pub use fleet::{AffinityConfig, EdgeConfig, EdgeMode, FleetConfig, MemoryConfig};
 
-/// A token or password that stands in the sample and opens nothing.
+/// The token or password of the sample file, which is refused.
 const PLACEHOLDER: &str = "CHANGE-ME";
 /// Least length of the token.
-const SHORTEST_TOKEN: usize = 16;
-/// Fewest bytes that may wait at the door: one entry fits.
-const LEAST_BYTES: usize = 4_096;
-/// Longest span that an override may be granted: ten years.
-const MOST_LONGEST_S: u64 = 10 * 366 * 24 * 3_600;
+const MIN_TOKEN_LENGTH: usize = 16;
+/// Least bytes of the admission queue: one entry fits.
+const MIN_QUEUE_BYTES: usize = 4_096;
+/// Longest override that may be granted: ten years, in seconds.
+const MAX_OVERRIDE_S: u64 = 10 * 366 * 24 * 3_600;
 
-/// The operator's file.
+/// The operator's configuration.
 #[derive(Clone, PartialEq)]
-pub struct Operator {
-    /// The NATS front, if it is set up.
-    pub nats: Option<Nats>,
-    /// The administration API, if it is set up.
-    pub admin: Option<Admin>,
+pub struct OperatorConfig {
+    /// The NATS front, if it is configured.
+    pub nats: Option<NatsConfig>,
+    /// The administration API, if it is configured.
+    pub admin: Option<AdminConfig>,
     /// Overrides.
-    pub overrides: overrides::Config,
+    pub overrides: overrides::OverridesConfig,
     /// Admission.
     pub admission: DoorConfig,
-    /// The fleet that this process is one of, if it is set up.
-    pub fleet: Option<Fleet>,
-    /// The form of the log's lines.
-    pub log: Form,
+    /// The fleet, if it is configured.
+    pub fleet: Option<FleetConfig>,
+    /// Format of the log.
+    pub log: LogFormat,
 }
 
 /// The NATS front.
 #[derive(Clone, PartialEq)]
-pub struct Nats {
-    /// The name that clients see.
+pub struct NatsConfig {
+    /// Name shown to clients.
     pub name: String,
-    /// Where NATS clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Most file descriptors of this front's connections.
+    /// Most file descriptors of this front.
     pub sockets: usize,
-    /// Limits of the wire.
+    /// Limits of the protocol.
     pub wire: Wire,
     /// The shared store of tenants.
-    pub store: Store,
-    /// Where the NATS servers are.
-    pub farm: FarmSource,
+    pub store: StoreConfig,
+    /// The NATS servers.
+    pub endpoints: EndpointSource,
     /// The settings of the site.
-    pub settings: Setup,
+    pub settings: SiteSettings,
 }
 
 /// The shared store of tenants.
 #[derive(Clone, PartialEq)]
-pub struct Store {
+pub struct StoreConfig {
     /// Redis, as `redis://HOST:PORT/DB`.
     pub url: String,
-    /// A tenant's record is read anew when it is older than this.
+    /// Age after which a tenant's record is read again, in milliseconds.
     pub fresh_ms: u64,
 }
 
 /// The administration API.
 #[derive(Clone, PartialEq)]
-pub struct Admin {
-    /// Where it listens; a loopback address.
+pub struct AdminConfig {
+    /// Its loopback address.
     pub listen: SocketAddr,
-    /// The bearer token that opens it.
+    /// The bearer token.
     pub token: String,
 }
 
-/// Where the NATS servers are.
+/// Where the NATS servers come from.
 #[derive(Clone, PartialEq)]
-pub enum FarmSource {
-    /// Discovery is asked.
+pub enum EndpointSource {
+    /// From discovery.
     Discovery(SocketAddr),
-    /// They stand in the file.
+    /// From the file.
     Servers(Vec<FixedServer>),
 }
 
-/// A NATS server that stands in the file.
+/// A NATS server in the file.
 #[derive(Clone, PartialEq)]
 pub struct FixedServer {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it is reached.
+    /// Address.
     pub address: SocketAddr,
-    /// Its zone, by name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its weight.
+    /// Weight.
     pub weight: f64,
 }
 
-/// Everything that is wrong with a file, each with the field's name. No value is quoted: it may be a secret.
+/// All errors of a file, each with its field. Values are not quoted, since they may be secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(pub Vec<String>);
+pub struct ConfigErrors(pub Vec<String>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0.join("; "))
     }
 }
 
-impl Operator {
-    /// Reads a file, and refuses what would be unsafe to run with.
-    pub fn read(path: &Path) -> Result<Operator, Faults> {
+impl OperatorConfig {
+    /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// Reports all errors, including values that would be unsafe.
+    pub fn read(path: &Path) -> Result<OperatorConfig, ConfigErrors> {
         let shown = path.display();
         let text = std::fs::read_to_string(path)
-            .map_err(|error| Faults(vec![format!("{shown}: {error}")]))?;
-        Operator::parse(&text).map_err(|Faults(faults)| {
-            Faults(
+            .map_err(|error| ConfigErrors(vec![format!("{shown}: {error}")]))?;
+        OperatorConfig::parse(&text).map_err(|ConfigErrors(faults)| {
+            ConfigErrors(
                 faults
                     .iter()
                     .map(|fault| format!("{shown}: {fault}"))
@@ -137,13 +140,17 @@
         })
     }
 
-    /// The same for a file's text.
-    pub fn parse(text: &str) -> Result<Operator, Faults> {
+    /// Reads a file's text.
+    ///
+    /// # Errors
+    ///
+    /// Reports all errors, including values that would be unsafe.
+    pub fn parse(text: &str) -> Result<OperatorConfig, ConfigErrors> {
         let table: Table = text.parse().map_err(|error: toml::de::Error| {
             let line = error
                 .span()
                 .map_or(1, |span| 1 + text[..span.start].matches('\n').count());
-            Faults(vec![format!("line {line}: not TOML")])
+            ConfigErrors(vec![format!("line {line}: not TOML")])
         })?;
         let faults = RefCell::new(Vec::new());
         let mut file = Section {
@@ -151,7 +158,7 @@
             table,
             faults: &faults,
         };
-        let operator = Operator {
+        let operator = OperatorConfig {
             nats: nats(&mut file),
             admin: file.section("admin").and_then(admin),
             overrides: file.section("overrides").map(overrides).unwrap_or_default(),
@@ -159,17 +166,17 @@
             fleet: fleet::fleet(&mut file),
             log: file.section("log").map(log).unwrap_or_default(),
         };
-        file.end();
+        file.reject_unknown_fields();
         let paths = (operator.overrides.file.as_ref(), operator.fleet.as_ref());
         if let (
             Some(overrides),
-            Some(Fleet {
+            Some(FleetConfig {
                 memory: Some(memory),
                 ..
             }),
         ) = paths
         {
-            file.inner("memory", Table::new()).refuse(
+            file.subsection("memory", Table::new()).error_if(
                 "path",
                 *overrides == memory.path,
                 "is overrides.file too",
@@ -184,42 +191,46 @@
         if faults.is_empty() {
             Ok(operator)
         } else {
-            Err(Faults(faults))
+            Err(ConfigErrors(faults))
         }
     }
 }
 
-fn nats(file: &mut Section<'_>) -> Option<Nats> {
+fn nats(file: &mut Section<'_>) -> Option<NatsConfig> {
     let fields = [
         "name", "listen", "sockets", "wire", "store", "farm", "settings",
     ];
     if !fields.iter().any(|field| file.table.contains_key(*field)) {
         return None;
     }
-    let (name, listen, sockets) = (file.need("name"), file.need("listen"), file.need("sockets"));
+    let (name, listen, sockets) = (
+        file.required("name"),
+        file.required("listen"),
+        file.required("sockets"),
+    );
     let wire = file.section("wire").map(wire).unwrap_or_default();
-    let store = file.needed_section("store").and_then(store);
-    let farm = file.needed_section("farm").and_then(farm);
+    let store = file.required_section("store").and_then(store);
+    let endpoint_source = file.required_section("farm").and_then(farm);
     let settings = settings(file);
-    Some(Nats {
+    Some(NatsConfig {
         name: name?,
         listen: listen?,
         sockets: sockets?,
         wire,
         store: store?,
-        farm: farm?,
+        endpoints: endpoint_source?,
         settings: settings?,
     })
 }
 
-fn settings(file: &mut Section<'_>) -> Option<Setup> {
-    let value: serde_json::Value = file.need("settings")?;
-    let read = Setup::read("settings", &value);
+fn settings(file: &mut Section<'_>) -> Option<SiteSettings> {
+    let value: serde_json::Value = file.required("settings")?;
+    let read = SiteSettings::read("settings", &value);
     read.map_err(|faults| {
         faults
             .0
             .iter()
-            .for_each(|fault| file.fault(&fault.path, &fault.why))
+            .for_each(|fault| file.error(&fault.path, &fault.reason))
     })
     .ok()
 }
@@ -227,83 +238,86 @@
 fn wire(mut section: Section<'_>) -> Wire {
     let usual = Wire::default();
     let wire = Wire {
-        max_payload: section.or("max_payload", usual.max_payload),
-        most_early: section.or("most_early", usual.most_early),
-        connect_wait_ms: section.or("connect_wait_ms", usual.connect_wait_ms),
-        ping_after_ms: section.or("ping_after_ms", usual.ping_after_ms),
-        silence_ms: section.or("silence_ms", usual.silence_ms),
-        store_retry_ms: section.or("store_retry_ms", usual.store_retry_ms),
+        max_payload: section.optional("max_payload", usual.max_payload),
+        most_early: section.optional("most_early", usual.most_early),
+        connect_wait_ms: section.optional("connect_wait_ms", usual.connect_wait_ms),
+        ping_after_ms: section.optional("ping_after_ms", usual.ping_after_ms),
+        silence_ms: section.optional("silence_ms", usual.silence_ms),
+        store_retry_ms: section.optional("store_retry_ms", usual.store_retry_ms),
     };
-    section.refuse(
+    section.error_if(
         "most_early",
-        wire.most_early < LONGEST_LINE,
+        wire.most_early < MAX_CONTROL_LINE,
         "does not hold a control line",
     );
-    section.end();
+    section.reject_unknown_fields();
     wire
 }
 
-fn store(mut section: Section<'_>) -> Option<Store> {
-    let url: Option<String> = section.need("url");
+fn store(mut section: Section<'_>) -> Option<StoreConfig> {
+    let url: Option<String> = section.required("url");
     let bad = url
         .as_deref()
         .is_some_and(|url| redis::Client::open(url).is_err());
-    section.refuse("url", bad, "redis://HOST:PORT/DB");
-    let fresh_ms = section.or("fresh_ms", 5_000);
-    section.end();
-    Some(Store {
+    section.error_if("url", bad, "redis://HOST:PORT/DB");
+    let fresh_ms = section.optional("fresh_ms", 5_000);
+    section.reject_unknown_fields();
+    Some(StoreConfig {
         url: url?,
         fresh_ms,
     })
 }
 
-fn admin(mut section: Section<'_>) -> Option<Admin> {
-    let (listen, token) = (section.need("listen"), section.need("token"));
+fn admin(mut section: Section<'_>) -> Option<AdminConfig> {
+    let (listen, token) = (section.required("listen"), section.required("token"));
     let open = listen.is_some_and(|listen: SocketAddr| !listen.ip().is_loopback());
-    section.refuse("listen", open, "is not a loopback address");
-    let weak = |token: &String| token == PLACEHOLDER || token.len() < SHORTEST_TOKEN;
-    section.refuse(
+    section.error_if("listen", open, "is not a loopback address");
+    let weak = |token: &String| token == PLACEHOLDER || token.len() < MIN_TOKEN_LENGTH;
+    section.error_if(
         "token",
         token.as_ref().is_some_and(weak),
         "is the sample's or shorter than 16 characters",
     );
-    section.end();
-    Some(Admin {
+    section.reject_unknown_fields();
+    Some(AdminConfig {
         listen: listen?,
         token: token?,
     })
 }
 
-fn farm(mut section: Section<'_>) -> Option<FarmSource> {
+fn farm(mut section: Section<'_>) -> Option<EndpointSource> {
     let discovery = section.table.contains_key("discovery");
     if discovery == section.table.contains_key("servers") {
-        section.refuse("discovery", true, "either discovery or servers");
+        section.error_if("discovery", true, "either discovery or servers");
         return None;
     }
     let farm = if discovery {
-        section.need("discovery").map(FarmSource::Discovery)
+        section.required("discovery").map(EndpointSource::Discovery)
     } else {
-        let servers: Option<Vec<Table>> = section.need("servers");
-        let named = servers.into_iter().flatten().enumerate();
-        let read: Vec<Option<FixedServer>> = named
-            .map(|(at, table)| server(section.inner(&format!("servers[{at}]"), table)))
+        let servers: Option<Vec<Table>> = section.required("servers");
+        let path_of = servers.into_iter().flatten().enumerate();
+        let read: Vec<Option<FixedServer>> = path_of
+            .map(|(at, table)| server(section.subsection(&format!("servers[{at}]"), table)))
             .collect();
         let servers: Option<Vec<FixedServer>> = read.into_iter().collect();
-        servers.map(FarmSource::Servers)
+        servers.map(EndpointSource::Servers)
     };
-    section.end();
+    section.reject_unknown_fields();
     farm
 }
 
 fn server(mut section: Section<'_>) -> Option<FixedServer> {
-    let (name, address) = (section.need("name"), section.need("address"));
-    let (zone, weight) = (section.or("zone", String::new()), section.or("weight", 1.0));
-    section.refuse(
+    let (name, address) = (section.required("name"), section.required("address"));
+    let (zone, weight) = (
+        section.optional("zone", String::new()),
+        section.optional("weight", 1.0),
+    );
+    section.error_if(
         "weight",
         !(weight > 0.0 && f64::is_finite(weight)),
         "more than 0",
     );
-    section.end();
+    section.reject_unknown_fields();
     Some(FixedServer {
         name: name?,
         address: address?,
@@ -312,34 +326,34 @@
     })
 }
 
-fn overrides(mut section: Section<'_>) -> overrides::Config {
+fn overrides(mut section: Section<'_>) -> overrides::OverridesConfig {
     let usual = OverrideLimits::default();
     let file: Option<PathBuf> = section
         .table
         .contains_key("file")
-        .then(|| section.need("file"))
+        .then(|| section.required("file"))
         .flatten();
-    let longest_s: u64 = section.or("longest_s", usual.longest / 1_000);
-    let most = section.or("most", usual.most);
-    let ramp_s: f64 = section.or("ramp_s", usual.ramp as f64 / 1e3);
-    section.refuse(
+    let longest_s: u64 = section.optional("longest_s", usual.longest / 1_000);
+    let most = section.optional("most", usual.most);
+    let ramp_s: f64 = section.optional("ramp_s", usual.ramp as f64 / 1e3);
+    section.error_if(
         "longest_s",
-        !(1..=MOST_LONGEST_S).contains(&longest_s),
+        !(1..=MAX_OVERRIDE_S).contains(&longest_s),
         "from 1 s to ten years",
     );
-    section.refuse("most", most == 0, "at least 1");
-    section.refuse(
+    section.error_if("most", most == 0, "at least 1");
+    section.error_if(
         "ramp_s",
         !(0.0..=3_600.0).contains(&ramp_s),
         "from 0 to 3600",
     );
-    section.end();
+    section.reject_unknown_fields();
     let limits = OverrideLimits {
         longest: longest_s.saturating_mul(1_000),
         most,
         ramp: (ramp_s * 1e3) as u64,
     };
-    overrides::Config { file, limits }
+    overrides::OverridesConfig { file, limits }
 }
 
 fn admission(mut section: Section<'_>) -> DoorConfig {
@@ -347,11 +361,11 @@
     let mut bound = |name: &str, usual: Bound| {
         let (entries, bytes) = (format!("{name}entries"), format!("{name}bytes"));
         let bound = Bound {
-            entries: section.or(&entries, usual.entries),
-            bytes: section.or(&bytes, usual.bytes),
+            entries: section.optional(&entries, usual.entries),
+            bytes: section.optional(&bytes, usual.bytes),
         };
-        section.refuse(&entries, bound.entries == 0, "at least 1");
-        section.refuse(&bytes, bound.bytes < LEAST_BYTES, "at least 4096");
+        section.error_if(&entries, bound.entries == 0, "at least 1");
+        section.error_if(&bytes, bound.bytes < MIN_QUEUE_BYTES, "at least 4096");
         bound
     };
     let all = bound("", usual.limits.all);
@@ -364,29 +378,29 @@
         },
     );
     let (queues, hand) = (
-        section.or("queues", usual.limits.queues),
-        section.or("hand", usual.limits.hand),
+        section.optional("queues", usual.limits.queues),
+        section.optional("hand", usual.limits.hand),
     );
-    section.refuse("queues", !(1..=1_024).contains(&queues), "from 1 to 1024");
-    section.refuse(
+    section.error_if("queues", !(1..=1_024).contains(&queues), "from 1 to 1024");
+    section.error_if(
         "hand",
         !(1..=queues.min(16)).contains(&hand),
         "from 1 to 16 and to queues",
     );
-    let over_share_s: f64 = section.or("over_share_s", usual.over_share.as_secs_f64());
+    let over_share_s: f64 = section.optional("over_share_s", usual.over_quota_after.as_secs_f64());
     let span_is_bad = !(1.0..=86_400.0).contains(&over_share_s);
-    section.refuse("over_share_s", span_is_bad, "from 1 to 86400");
-    let mut shares = HashMap::new();
+    section.error_if("over_share_s", span_is_bad, "from 1 to 86400");
+    let mut quotas = HashMap::new();
     if let Some(mut listed) = section.section("shares") {
         let names: Vec<String> = listed.table.keys().cloned().collect();
         for name in names {
-            let share: Option<f64> = listed.need(&name);
+            let share: Option<f64> = listed.required(&name);
             let bad = share.is_some_and(|share| !(0.001..=1e6).contains(&share));
-            listed.refuse(&name, bad, "from 0.001 to 1000000");
-            shares.extend(share.map(|share| (name, share)));
+            listed.error_if(&name, bad, "from 0.001 to 1000000");
+            quotas.extend(share.map(|share| (name, share)));
         }
     }
-    section.end();
+    section.reject_unknown_fields();
     DoorConfig {
         limits: Limits {
             all,
@@ -395,31 +409,31 @@
             queues,
             hand,
         },
-        shares,
-        over_share: if span_is_bad {
-            usual.over_share
+        quotas,
+        over_quota_after: if span_is_bad {
+            usual.over_quota_after
         } else {
             Duration::from_secs_f64(over_share_s)
         },
     }
 }
 
-fn log(mut section: Section<'_>) -> Form {
-    let form: String = section.or("form", "text".to_owned());
-    section.refuse(
+fn log(mut section: Section<'_>) -> LogFormat {
+    let form: String = section.optional("form", "text".to_owned());
+    section.error_if(
         "form",
         !matches!(form.as_str(), "text" | "json"),
         "text or json",
     );
-    section.end();
+    section.reject_unknown_fields();
     if form == "json" {
-        Form::Json
+        LogFormat::Json
     } else {
-        Form::Text
+        LogFormat::Text
     }
 }
 
-/// A table of the file, from which fields are taken one after the other.
+/// A table of the file, from which fields are taken one by one.
 struct Section<'f> {
     path: String,
     table: Table,
@@ -435,19 +449,19 @@
         }
     }
 
-    fn fault(&self, field: &str, why: &str) {
+    fn error(&self, field: &str, why: &str) {
         self.faults
             .borrow_mut()
             .push(format!("{}: {why}", self.named(field)));
     }
 
-    fn refuse(&self, field: &str, bad: bool, why: &str) {
+    fn error_if(&self, field: &str, bad: bool, why: &str) {
         if bad {
-            self.fault(field, why);
+            self.error(field, why);
         }
     }
 
-    fn inner(&self, name: &str, table: Table) -> Section<'f> {
+    fn subsection(&self, name: &str, table: Table) -> Section<'f> {
         Section {
             path: self.named(name),
             table,
@@ -455,19 +469,19 @@
         }
     }
 
-    /// A field that has to be there.
-    fn need<T: DeserializeOwned>(&mut self, field: &str) -> Option<T> {
+    /// A required field.
+    fn required<T: DeserializeOwned>(&mut self, field: &str) -> Option<T> {
         match self.table.remove(field) {
             None => {
-                self.fault(field, "is missing");
+                self.error(field, "is missing");
                 None
             }
             Some(value) => self.read(field, value),
         }
     }
 
-    /// A field, or what it is where the file does not say.
-    fn or<T: DeserializeOwned>(&mut self, field: &str, usual: T) -> T {
+    /// An optional field with a default.
+    fn optional<T: DeserializeOwned>(&mut self, field: &str, usual: T) -> T {
         match self.table.remove(field) {
             None => usual,
             Some(value) => self.read(field, value).unwrap_or(usual),
@@ -480,7 +494,7 @@
             Ok(value) => Some(value),
             Err(error) => {
                 let why = error.message().to_owned();
-                self.fault(field, if secret { "has the wrong type" } else { &why });
+                self.error(field, if secret { "has the wrong type" } else { &why });
                 None
             }
         }
@@ -491,39 +505,39 @@
             .table
             .remove(field)
             .and_then(|value| self.read(field, value))?;
-        Some(self.inner(field, table))
+        Some(self.subsection(field, table))
     }
 
-    fn needed_section(&mut self, field: &str) -> Option<Section<'f>> {
-        let table: Table = self.need(field)?;
-        Some(self.inner(field, table))
+    fn required_section(&mut self, field: &str) -> Option<Section<'f>> {
+        let table: Table = self.required(field)?;
+        Some(self.subsection(field, table))
     }
 
-    /// What is left has no meaning.
-    fn end(&self) {
+    /// Reports the fields that are left as unknown.
+    fn reject_unknown_fields(&self) {
         for field in self.table.keys() {
-            self.fault(field, "no such field");
+            self.error(field, "no such field");
         }
     }
 }
 
-impl FarmSource {
-    /// The servers that stand in the file; none where discovery is asked.
-    pub fn list(&self, generation: u64) -> List {
-        let FarmSource::Servers(servers) = self else {
-            return List::default();
+impl EndpointSource {
+    /// The servers in the file; empty where discovery is used.
+    pub fn list(&self, generation: u64) -> ServerList {
+        let EndpointSource::Servers(servers) = self else {
+            return ServerList::default();
         };
-        let listed = |server: &FixedServer| Listed {
+        let listed = |server: &FixedServer| ListedServer {
             machine_type: String::new(),
             instance_id: server.name.clone(),
             host_port: Some(server.address),
             zone: server.zone.clone(),
             cell: 0,
-            lifecycle: Lifecycle::Serving,
+            lifecycle: ServerLifecycle::Serving,
             weight: server.weight,
             started_at_ms: 0,
         };
-        List {
+        ServerList {
             generation,
             reset: true,
             instances: servers.iter().map(listed).collect(),
--- a/crates/balancer/src/operator/fleet.rs
+++ b/crates/balancer/src/operator/fleet.rs
@@ -1,5 +1,5 @@
-//! The sections `[fleet]`, `[memory]`, `[edge]` and `[affinity]`: what many processes know together, and what outlives
-//! one. Without `[fleet]` none of it is set up.
+//! The sections `[fleet]`, `[memory]`, `[edge]` and `[affinity]`. Without `[fleet]` none of them
+//! applies.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,117 +10,118 @@
 use super::Section;
 
 /// Most processes of a fleet.
-const MOST_PROCESSES: usize = 1_000;
-const HOUR_S: f64 = 3_600.0;
-/// What a name may be made of.
-const SIGNS: &str = "letters, digits, dots, dashes or underlines";
+const MAX_PROCESSES: usize = 1_000;
+const SECONDS_PER_HOUR: f64 = 3_600.0;
+/// Characters allowed in a name.
+const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
 
-/// How the processes of a fleet find one another, and what each keeps.
+/// The fleet and what each process keeps.
 #[derive(Clone, PartialEq)]
-pub struct Fleet {
-    /// This process's name, the same after a restart and no other's.
+pub struct FleetConfig {
+    /// Unique name of this process, the same after a restart.
     pub name: String,
-    /// The site that it stands in.
+    /// Its site.
     pub site: String,
-    /// Where the others' datagrams arrive; a loopback address.
+    /// Loopback address for datagrams.
     pub listen: SocketAddr,
-    /// Where the others send them, where that is not at `listen`: a loopback address too.
+    /// The loopback address to send to, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The file of the key that datagrams are sealed with.
+    /// File with the key that authenticates datagrams.
     pub key_file: PathBuf,
-    /// The one of the key that is heard as well while a new one is brought in.
+    /// File with the former key, accepted during a rotation.
     pub previous_key_file: Option<PathBuf>,
-    /// Where others listen; its own address may stand among them, so that one list serves all.
+    /// Addresses of the peers; this process's own may be among them.
     pub peers: Vec<SocketAddr>,
-    /// How many processes there are in all sites when all are there.
+    /// Number of processes in all sites.
     pub size: usize,
-    /// How many of them stand in this site.
+    /// Number of processes in this site.
     pub site_size: usize,
     /// The other sites.
     pub other_sites: Vec<String>,
-    /// Clients a second that a warm server of weight 1 bears. With it clients return by turns after a power loss.
-    pub borne: Option<f64>,
-    /// Clients of the whole fleet, for a process that nobody tells; 0 if that is not known.
+    /// Clients per second that a warm server of weight 1 can take. Setting it enables staged
+    /// admission after a power loss.
+    pub clients_per_server_s: Option<f64>,
+    /// Clients of the whole fleet, if nothing else tells; 0 if not known.
     pub clients: u32,
-    /// What outlives the process, if anything.
-    pub memory: Option<Memory>,
-    /// What is done while the uplink is lost.
-    pub edge: Edge,
-    /// Whether clients come back to the server they had.
-    pub affinity: Affinity,
+    /// The stored memory, if there is one.
+    pub memory: Option<MemoryConfig>,
+    /// Behaviour while the uplink is lost.
+    pub edge: EdgeConfig,
+    /// Session affinity.
+    pub affinity: AffinityConfig,
 }
 
-/// What outlives the process.
+/// The stored memory.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Memory {
-    /// The file that it is kept in.
+pub struct MemoryConfig {
+    /// File of the memory.
     pub path: PathBuf,
-    /// How large it may grow, in bytes.
-    pub most: u64,
+    /// Largest size of the file, in bytes.
+    pub max_bytes: u64,
 }
 
-/// What is done while the uplink is lost.
+/// Behaviour while the uplink is lost.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Edge {
-    /// Whether it is judged at all.
-    pub on: bool,
-    /// A loss that is over sooner is no island.
-    pub patience: Duration,
-    /// What was last heard from beyond is trusted for so long.
-    pub trust: Duration,
-    /// The operator's word.
-    pub word: EdgeWord,
+pub struct EdgeConfig {
+    /// Whether the uplink is monitored.
+    pub is_enabled: bool,
+    /// A shorter loss does not isolate the site.
+    pub isolation_delay: Duration,
+    /// How long the last known state is trusted.
+    pub trust_period: Duration,
+    /// The operator's mode.
+    pub mode: EdgeMode,
 }
 
-/// The operator's word on the uplink.
+/// The operator's mode for the uplink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EdgeWord {
-    /// Judged by the evidence.
+pub enum EdgeMode {
+    /// Decided by evidence.
     Automatic,
-    /// It is lost, whatever the evidence says.
-    Island,
-    /// It stands, whatever the evidence says.
+    /// Treated as lost.
+    Isolated,
+    /// Treated as available.
     Linked,
 }
 
-/// Whether clients come back to the server they had.
+/// Session affinity.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Affinity {
-    /// Whether they do.
-    pub on: bool,
-    /// Most placements that are remembered.
-    pub most: usize,
-    /// A placement is remembered for so long after its connection ended.
-    pub keep: Duration,
-    /// The configuration's order number: the later of two has the higher one.
+pub struct AffinityConfig {
+    /// Whether it is enabled.
+    pub is_enabled: bool,
+    /// Most remembered placements.
+    pub max_placements: usize,
+    /// How long a placement is remembered after its connection ended.
+    pub retention: Duration,
+    /// Serial number of the configuration; a later one is higher.
     pub serial: u64,
 }
 
-impl Default for Edge {
-    fn default() -> Edge {
+impl Default for EdgeConfig {
+    fn default() -> EdgeConfig {
         let hours = |count: u64| Duration::from_secs(count * 3_600);
-        Edge {
-            on: true,
-            patience: Duration::from_secs(5),
-            trust: hours(24),
-            word: EdgeWord::Automatic,
+        EdgeConfig {
+            is_enabled: true,
+            isolation_delay: Duration::from_secs(5),
+            trust_period: hours(24),
+            mode: EdgeMode::Automatic,
         }
     }
 }
 
-impl Default for Affinity {
-    fn default() -> Affinity {
-        Affinity {
-            on: true,
-            most: 1_000_000,
-            keep: Duration::from_secs(900),
+impl Default for AffinityConfig {
+    fn default() -> AffinityConfig {
+        AffinityConfig {
+            is_enabled: true,
+            max_placements: 1_000_000,
+            retention: Duration::from_secs(900),
             serial: 1,
         }
     }
 }
 
-/// Reads the four sections. The three others have no meaning without the first.
-pub(super) fn fleet(file: &mut Section<'_>) -> Option<Fleet> {
+/// Reads the four sections. The others have no meaning without `[fleet]`.
+pub(super) fn fleet(file: &mut Section<'_>) -> Option<FleetConfig> {
     let section = file.section("fleet");
     let alone = section.is_none()
         && file
@@ -129,7 +130,7 @@
             .iter()
             .all(|fault| !fault.starts_with("fleet"));
     for other in ["memory", "edge", "affinity"] {
-        file.refuse(
+        file.error_if(
             other,
             alone && file.table.contains_key(other),
             "has no meaning without [fleet]",
@@ -141,7 +142,7 @@
     let edge = file.section("edge").map(edge).unwrap_or_default();
     let affinity = file.section("affinity").map(affinity).unwrap_or_default();
     let fleet = processes(section?)?;
-    (memory.is_some() == asks_for_memory).then_some(Fleet {
+    (memory.is_some() == asks_for_memory).then_some(FleetConfig {
         memory,
         edge,
         affinity,
@@ -149,45 +150,45 @@
     })
 }
 
-fn processes(mut section: Section<'_>) -> Option<Fleet> {
+fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
     let name = named(&mut section, "name", LONGEST_NAME);
     let site = named(&mut section, "site", LONGEST_SITE);
-    let listen = section.need("listen");
+    let listen = section.required("listen");
     let advertise: Option<SocketAddr> = section
         .table
         .contains_key("advertise")
-        .then(|| section.need("advertise"))
+        .then(|| section.required("advertise"))
         .flatten();
-    let peers: Option<Vec<SocketAddr>> = section.need("peers");
+    let peers: Option<Vec<SocketAddr>> = section.required("peers");
     let open = |at: &SocketAddr| !at.ip().is_loopback();
-    section.refuse(
+    section.error_if(
         "listen",
         listen.as_ref().is_some_and(open),
         "is not a loopback address",
     );
     let no_port = |at: &SocketAddr| at.port() == 0;
-    section.refuse(
+    section.error_if(
         "listen",
         listen.as_ref().is_some_and(no_port),
         "needs a port that the others are told",
     );
-    section.refuse(
+    section.error_if(
         "advertise",
         advertise.as_ref().is_some_and(open),
         "is not a loopback address",
     );
-    section.refuse(
+    section.error_if(
         "advertise",
         advertise.as_ref().is_some_and(no_port),
         "needs a port",
     );
     for (at, peer) in (0..).zip(peers.iter().flatten()) {
-        section.refuse(
+        section.error_if(
             &format!("peers[{at}]"),
             open(peer),
             "is not a loopback address",
         );
-        section.refuse(&format!("peers[{at}]"), no_port(peer), "needs a port");
+        section.error_if(&format!("peers[{at}]"), no_port(peer), "needs a port");
     }
     let key_file = key(&mut section, "key_file");
     let has_previous = section.table.contains_key("previous_key_file");
@@ -195,63 +196,67 @@
         .then(|| key(&mut section, "previous_key_file"))
         .flatten();
     let same = key_file.is_some() && key_file == previous_key_file;
-    section.refuse("previous_key_file", same, "is key_file too");
+    section.error_if("previous_key_file", same, "is key_file too");
     let own = advertise.or(listen);
     let others = peers
         .iter()
         .flatten()
         .filter(|peer| Some(**peer) != own)
         .count();
-    let size = section.or("size", others + 1);
-    section.refuse(
+    let size = section.optional("size", others + 1);
+    section.error_if(
         "size",
-        !(1..=MOST_PROCESSES).contains(&size),
+        !(1..=MAX_PROCESSES).contains(&size),
         "from 1 to 1000",
     );
-    section.refuse(
+    section.error_if(
         "size",
         size < others + 1,
         "is less than the peers that are named, and this one",
     );
-    let other_sites: Vec<String> = section.or("other_sites", Vec::new());
+    let other_sites: Vec<String> = section.optional("other_sites", Vec::new());
     for (at, other) in (0..).zip(&other_sites) {
         let field = format!("other_sites[{at}]");
-        section.refuse(
+        section.error_if(
             &field,
             !fits(other, LONGEST_SITE),
-            &format!("1 to {LONGEST_SITE} {SIGNS}"),
+            &format!("1 to {LONGEST_SITE} {NAME_CHARACTERS}"),
         );
-        section.refuse(&field, Some(other) == site.as_ref(), "is this site");
-        section.refuse(
+        section.error_if(&field, Some(other) == site.as_ref(), "is this site");
+        section.error_if(
             &field,
             other_sites[..at].contains(other),
             "stands there twice",
         );
     }
-    let site_size = section.or("site_size", size.saturating_sub(other_sites.len()).max(1));
-    section.refuse(
+    let site_size = section.optional("site_size", size.saturating_sub(other_sites.len()).max(1));
+    section.error_if(
         "site_size",
         !(1..=size).contains(&site_size),
         "from 1 to size",
     );
     let alone = other_sites.is_empty() && site_size != size;
-    section.refuse(
+    section.error_if(
         "site_size",
         alone,
         "is less than size, and other_sites names none",
     );
-    let borne: Option<f64> = section
+    let clients_per_server_s: Option<f64> = section
         .table
         .contains_key("borne")
-        .then(|| section.or("borne", 0.0));
+        .then(|| section.optional("borne", 0.0));
     let no_pace = |borne: f64| !(0.001..=1e6).contains(&borne);
-    section.refuse("borne", borne.is_some_and(no_pace), "from 0.001 to 1000000");
-    let clients = section.or("clients", 0);
-    section.end();
+    section.error_if(
+        "borne",
+        clients_per_server_s.is_some_and(no_pace),
+        "from 0.001 to 1000000",
+    );
+    let clients = section.optional("clients", 0);
+    section.reject_unknown_fields();
     if has_previous && previous_key_file.is_none() {
         return None;
     }
-    Some(Fleet {
+    Some(FleetConfig {
         name: name?,
         site: site?,
         listen: listen?,
@@ -262,19 +267,19 @@
         size,
         site_size,
         other_sites,
-        borne,
+        clients_per_server_s,
         clients,
         memory: None,
-        edge: Edge::default(),
-        affinity: Affinity::default(),
+        edge: EdgeConfig::default(),
+        affinity: AffinityConfig::default(),
     })
 }
 
-/// A name goes with every datagram and into the log.
+/// A name is sent in every datagram and logged.
 fn named(section: &mut Section<'_>, field: &str, longest: usize) -> Option<String> {
-    let name: Option<String> = section.need(field);
+    let name: Option<String> = section.required(field);
     let bad = name.as_ref().is_some_and(|name| !fits(name, longest));
-    section.refuse(field, bad, &format!("1 to {longest} {SIGNS}"));
+    section.error_if(field, bad, &format!("1 to {longest} {NAME_CHARACTERS}"));
     name
 }
 
@@ -283,93 +288,103 @@
     (1..=longest).contains(&name.len()) && name.chars().all(sound)
 }
 
-/// A key stands in a file of its own, so that the operator's file can be shown to anybody.
+/// A key is in a file of its own, so that the operator's file holds no secret.
 fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
-    let path: PathBuf = section.need(field)?;
+    let path: PathBuf = section.required(field)?;
     if let Err(fault) = Key::read(&path) {
-        section.fault(field, &fault.to_string());
+        section.error(field, &fault.to_string());
         return None;
     }
     Some(path)
 }
 
-fn memory(mut section: Section<'_>) -> Option<Memory> {
-    let path: Option<PathBuf> = section.need("path");
+fn memory(mut section: Section<'_>) -> Option<MemoryConfig> {
+    let path: Option<PathBuf> = section.required("path");
     let nameless = path.as_ref().is_some_and(|path| path.file_name().is_none());
-    section.refuse("path", nameless, "names no file");
-    let most_mb: u64 = section.or("most_mb", 256);
-    section.refuse(
+    section.error_if("path", nameless, "names no file");
+    let most_mb: u64 = section.optional("most_mb", 256);
+    section.error_if(
         "most_mb",
         !(1..=16_384).contains(&most_mb),
         "from 1 to 16384",
     );
-    section.end();
-    Some(Memory {
+    section.reject_unknown_fields();
+    Some(MemoryConfig {
         path: path?,
-        most: most_mb.saturating_mul(1 << 20),
+        max_bytes: most_mb.saturating_mul(1 << 20),
     })
 }
 
-fn edge(mut section: Section<'_>) -> Edge {
-    let usual = Edge::default();
-    let on = section.or("on", usual.on);
-    let patience = span(
+fn edge(mut section: Section<'_>) -> EdgeConfig {
+    let usual = EdgeConfig::default();
+    let is_enabled = section.optional("on", usual.is_enabled);
+    let isolation_delay = span(
         &mut section,
         ("patience_s", 1.0),
-        usual.patience,
+        usual.isolation_delay,
         0.5..=3_600.0,
     );
-    let trust = span(&mut section, ("trust_h", HOUR_S), usual.trust, 0.01..=744.0);
-    let word = match section.or("word", "automatic".to_owned()).as_str() {
-        "automatic" => EdgeWord::Automatic,
-        "island" => EdgeWord::Island,
-        "linked" => EdgeWord::Linked,
+    let trust_period = span(
+        &mut section,
+        ("trust_h", SECONDS_PER_HOUR),
+        usual.trust_period,
+        0.01..=744.0,
+    );
+    let mode = match section.optional("word", "automatic".to_owned()).as_str() {
+        "automatic" => EdgeMode::Automatic,
+        "island" => EdgeMode::Isolated,
+        "linked" => EdgeMode::Linked,
         _ => {
-            section.fault("word", "automatic, island or linked");
-            usual.word
+            section.error("word", "automatic, island or linked");
+            usual.mode
         }
     };
-    section.end();
-    Edge {
-        on,
-        patience,
-        trust,
-        word,
+    section.reject_unknown_fields();
+    EdgeConfig {
+        is_enabled,
+        isolation_delay,
+        trust_period,
+        mode,
     }
 }
 
-fn affinity(mut section: Section<'_>) -> Affinity {
-    let usual = Affinity::default();
-    let on = section.or("on", usual.on);
-    let most = section.or("most", usual.most);
-    section.refuse(
+fn affinity(mut section: Section<'_>) -> AffinityConfig {
+    let usual = AffinityConfig::default();
+    let is_enabled = section.optional("on", usual.is_enabled);
+    let max_placements = section.optional("most", usual.max_placements);
+    section.error_if(
         "most",
-        !(1..=4_000_000).contains(&most),
+        !(1..=4_000_000).contains(&max_placements),
         "from 1 to 4000000",
     );
-    let keep = span(&mut section, ("keep_s", 1.0), usual.keep, 1.0..=604_800.0);
-    let serial = section.or("serial", usual.serial);
-    section.refuse("serial", serial == 0, "at least 1");
-    section.end();
-    Affinity {
-        on,
-        most,
-        keep,
+    let retention = span(
+        &mut section,
+        ("keep_s", 1.0),
+        usual.retention,
+        1.0..=604_800.0,
+    );
+    let serial = section.optional("serial", usual.serial);
+    section.error_if("serial", serial == 0, "at least 1");
+    section.reject_unknown_fields();
+    AffinityConfig {
+        is_enabled,
+        max_placements,
+        retention,
         serial,
     }
 }
 
-/// A span that is given in a unit of so many seconds.
+/// A span given in a unit of so many seconds.
 fn span(
     section: &mut Section<'_>,
     (field, unit): (&str, f64),
     usual: Duration,
     range: std::ops::RangeInclusive<f64>,
 ) -> Duration {
-    let given: f64 = section.or(field, usual.as_secs_f64() / unit);
+    let given: f64 = section.optional(field, usual.as_secs_f64() / unit);
     if range.contains(&given) {
         return Duration::from_secs_f64(given * unit);
     }
-    section.fault(field, &format!("from {} to {}", range.start(), range.end()));
+    section.error(field, &format!("from {} to {}", range.start(), range.end()));
     usual
 }
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -1,7 +1,7 @@
-//! The keeper of overrides: it takes changes one after the other, makes each durable, and then has the cores follow.
+//! The override manager: takes changes one by one, makes each durable, and applies it to the cores.
 //!
-//! Inside, moments are those of the program's clock. On the disk and before people they are the wall clock's, so that
-//! a step of it moves neither the end of an override that holds nor that of one that is read back.
+//! Times are the program's clock inside, and the wall clock in the store and for people, so that a
+//! step of the wall clock changes no override's duration.
 
 mod audit;
 mod follow;
@@ -21,86 +21,86 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 
 use crate::clock::Clock;
-use crate::core::{Handle, Look, OverrideChange};
+use crate::core::{CoreHandle, CoreSnapshot, OverrideChange};
 use audit::audit;
-pub use restore::{Restored, restore};
-pub use view::Shown;
-use view::{ListedServers, leaves_none, shown};
+pub use restore::{RestoredOverrides, restore};
+pub use view::OverrideView;
+use view::{ListedServers, fronts_left_empty, view_of};
 
-/// What an operator's file says of overrides.
+/// The override settings of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Config {
-    /// The file that they are kept in; none are kept where there is none.
+pub struct OverridesConfig {
+    /// File of the store; overrides are not persistent without one.
     pub file: Option<PathBuf>,
-    /// How far they may go.
+    /// Limits on overrides.
     pub limits: Limits,
 }
 
-/// A front's core, and the name under which it is shown.
-pub type NamedCore = (&'static str, Handle);
+/// A front's name and its core.
+pub type NamedCore = (&'static str, CoreHandle);
 
-/// Where overrides are kept, in words for people.
+/// State of the store, for people.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct StoreState {
-    /// Whether any are kept.
-    pub kept: bool,
-    /// Why not, or what was found amiss at the start.
+pub struct StoreStatus {
+    /// Whether overrides are persistent.
+    pub is_persistent: bool,
+    /// Why not, or what was found at the start.
     pub notes: Vec<String>,
 }
 
-/// Why a change is refused. Nothing has been changed then.
+/// Why a change was refused. Nothing has been changed.
 #[derive(Debug)]
-pub enum Refused {
-    /// None are kept here, and why.
+pub enum OverrideError {
+    /// There is no store, with the reason.
     NoStore(String),
-    /// Fields are at fault.
-    Faults(Vec<Fault>),
-    /// There is no override of that number that holds.
+    /// Fields are invalid.
+    Invalid(Vec<Fault>),
+    /// No override in effect has this id.
     Unknown,
-    /// It has another revision.
+    /// The override has another revision.
     Stale(u64),
-    /// It leaves no ready server, and was not forced.
-    LeavesNone(Vec<(&'static str, Judgement)>),
-    /// There are as many as may be.
+    /// It would leave no ready server and was not forced.
+    LeavesNoServer(Vec<(&'static str, Judgement)>),
+    /// The limit on overrides is reached.
     Full(usize),
-    /// The key was used for another request.
+    /// The idempotency key was used for another request.
     KeyReused,
-    /// It could not be made durable.
+    /// It could not be stored.
     Store(StoreError),
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Debug)]
-pub struct Changed {
-    /// The override now.
-    pub shown: Shown,
-    /// Whether every core follows it already; if not, it will as soon as it can.
-    pub settled: bool,
-    /// The same request had come before, and nothing was done now.
-    pub replayed: bool,
+pub struct ChangeResult {
+    /// The override as changed.
+    pub view: OverrideView,
+    /// Whether every core has applied it; the others will.
+    pub is_in_effect: bool,
+    /// Whether the request is a repetition, which changed nothing.
+    pub is_replay: bool,
 }
 
-struct State {
+struct OverrideState {
     set: Set,
     store: Option<Box<dyn OverrideStore>>,
-    about: StoreState,
-    /// Overrides by the keys of the requests that made them.
+    store_status: StoreStatus,
+    /// Overrides by idempotency key.
     by_key: HashMap<String, Id>,
-    steps: StepWatch,
-    /// Ends up to here have been told.
-    told_until: Millis,
+    clock_steps: StepWatch,
+    /// Expirations up to then have been logged.
+    reported_until: Millis,
 }
 
-impl StoreState {
-    /// Why no change is taken, where none are kept.
-    fn refusal(&self) -> Refused {
-        Refused::NoStore(self.notes.join("; "))
+impl StoreStatus {
+    /// The error without a store.
+    fn refusal(&self) -> OverrideError {
+        OverrideError::NoStore(self.notes.join("; "))
     }
 }
 
-impl State {
-    /// The override that the same request has made before, if it has.
-    fn made_by(&self, replay: Option<&Replay>) -> Result<Option<Override>, Refused> {
+impl OverrideState {
+    /// The override that an earlier request with the same key created.
+    fn made_by(&self, replay: Option<&Replay>) -> Result<Option<Override>, OverrideError> {
         let made = replay.and_then(|replay| self.by_key.get(&replay.key));
         let Some(one) = made.and_then(|id| self.set.get(*id)) else {
             return Ok(None);
@@ -108,18 +108,18 @@
         if one.replay.as_ref() == replay {
             Ok(Some(one.clone()))
         } else {
-            Err(Refused::KeyReused)
+            Err(OverrideError::KeyReused)
         }
     }
 }
 
-/// Keeps the overrides of the program.
-pub struct Keeper {
-    state: Mutex<State>,
+/// Manages the overrides of the program.
+pub struct OverrideManager {
+    state: Mutex<OverrideState>,
     cores: Vec<NamedCore>,
     clock: Clock,
     limits: Limits,
-    wall: WallClock,
+    wall_clock: WallClock,
     changed: Sender<()>,
     changes: Receiver<()>,
 }
@@ -127,51 +127,55 @@
 /// Reads the wall clock, in Unix milliseconds.
 pub type WallClock = Box<dyn Fn() -> Millis + Send + Sync>;
 
-/// The system's wall clock.
-pub fn wall() -> Millis {
+/// The system's wall clock, in Unix milliseconds.
+pub fn wall_clock_ms() -> Millis {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     Millis::try_from(now.as_millis()).unwrap_or(Millis::MAX)
 }
 
-impl Keeper {
-    /// Keeps what was restored, for these cores, which have been given the same.
+impl OverrideManager {
+    /// Manages restored overrides for cores that were started with them.
     pub fn new(
-        restored: Restored,
+        restored: RestoredOverrides,
         cores: Vec<NamedCore>,
         clock: Clock,
         limits: Limits,
-        wall: WallClock,
-    ) -> Keeper {
-        let Restored { store, about, set } = restored;
+        wall_clock: WallClock,
+    ) -> OverrideManager {
+        let RestoredOverrides {
+            store,
+            store_status,
+            set,
+        } = restored;
         let keys = set
             .iter()
             .filter_map(|one| Some((one.replay.as_ref()?.key.clone(), one.id)));
         let by_key = keys.collect();
-        let told_until = clock.now() / 1_000_000;
-        let state = State {
+        let reported_until = clock.now() / 1_000_000;
+        let state = OverrideState {
             set,
             store,
-            about,
+            store_status,
             by_key,
-            steps: StepWatch::default(),
-            told_until,
+            clock_steps: StepWatch::default(),
+            reported_until,
         };
         let (changed, changes) = bounded(1);
-        Keeper {
+        OverrideManager {
             state: Mutex::new(state),
             cores,
             clock,
             limits,
-            wall,
+            wall_clock,
             changed,
             changes,
         }
     }
 
-    /// Changes are made to a state that is sound between any two of them.
-    fn lock(&self) -> MutexGuard<'_, State> {
+    /// The state is valid between any two changes.
+    fn lock(&self) -> MutexGuard<'_, OverrideState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -179,122 +183,139 @@
         self.clock.now() / 1_000_000
     }
 
-    /// The limits that hold.
+    /// The limits on overrides.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Where overrides are kept.
-    pub fn about(&self) -> StoreState {
-        self.lock().about.clone()
+    /// State of the store.
+    pub fn about(&self) -> StoreStatus {
+        self.lock().store_status.clone()
     }
 
-    /// How far the wall clock was stepped ahead since the start, in milliseconds.
+    /// Total steps of the wall clock since the start, in milliseconds.
     pub fn wall_ahead(&self) -> i64 {
-        self.lock().steps.ahead_by()
+        self.lock().clock_steps.ahead_by()
     }
 
-    /// A moment of the wall clock on the program's.
+    /// Converts a wall clock time to the program's clock.
     pub fn from_wall(&self, at: Millis) -> Millis {
         at.saturating_add_signed(-self.wall_ahead())
     }
 
-    /// A moment from now on the program's clock.
+    /// A time from now, by the program's clock.
     pub fn after(&self, span: Millis) -> Millis {
         self.now().saturating_add(span)
     }
 
-    fn looks(&self) -> Vec<(&'static str, Option<Look>)> {
+    fn core_snapshots(&self) -> Vec<(&'static str, Option<CoreSnapshot>)> {
         self.cores
             .iter()
-            .map(|(front, core)| (*front, core.look()))
+            .map(|(front, core)| (*front, core.snapshot()))
             .collect()
     }
 
-    /// Every override that holds.
-    pub fn list(&self) -> Vec<Shown> {
+    /// All overrides in effect.
+    pub fn list(&self) -> Vec<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
         state
             .set
             .holding(now)
-            .map(|one| shown(&state, one, &fronts, now))
+            .map(|one| view_of(&state, one, &fronts, now))
             .collect()
     }
 
-    /// One that holds.
-    pub fn get(&self, id: Id) -> Option<Shown> {
+    /// One override in effect.
+    pub fn get(&self, id: Id) -> Option<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
         let one = state.set.get(id).filter(|one| one.holds(now))?;
-        Some(shown(&state, one, &fronts, now))
+        Some(view_of(&state, one, &fronts, now))
     }
 
     fn listed_servers(&self) -> Vec<ListedServers> {
-        self.looks()
+        self.core_snapshots()
             .into_iter()
-            .map(|(front, look)| ListedServers::seen(front, look))
+            .map(|(front, look)| ListedServers::from_snapshot(front, look))
             .collect()
     }
 
-    /// Enters an override.
+    /// Creates an override.
+    ///
+    /// # Errors
+    ///
+    /// Returns why it was refused.
     pub fn add(
         &self,
         draft: Draft,
         force: bool,
         replay: Option<Replay>,
-    ) -> Result<Changed, Refused> {
+    ) -> Result<ChangeResult, OverrideError> {
         let mut state = self.lock();
         let now = self.now();
         if let Some(one) = state.made_by(replay.as_ref())? {
             drop(state);
-            return Ok(Changed {
-                shown: self.show(&one),
-                settled: true,
-                replayed: true,
+            return Ok(ChangeResult {
+                view: self.view(&one),
+                is_in_effect: true,
+                is_replay: true,
             });
         }
-        draft.check(now, &self.limits).map_err(Refused::Faults)?;
+        draft
+            .check(now, &self.limits)
+            .map_err(OverrideError::Invalid)?;
         if state.set.holding(now).count() >= self.limits.most {
-            return Err(Refused::Full(self.limits.most));
+            return Err(OverrideError::Full(self.limits.most));
         }
-        let store = state.store.as_ref().ok_or_else(|| state.about.refusal())?;
+        let store = state
+            .store
+            .as_ref()
+            .ok_or_else(|| state.store_status.refusal())?;
         let mut one = draft.into_override(store.next_id(), now);
         (one.forced, one.replay) = (force, replay);
         if matches!(one.kind, Kind::Out { .. }) && !force {
-            let empty = leaves_none(&mut state.set, &one, &self.looks(), now);
+            let empty = fronts_left_empty(&mut state.set, &one, &self.core_snapshots(), now);
             if !empty.is_empty() {
-                return Err(Refused::LeavesNone(empty));
+                return Err(OverrideError::LeavesNoServer(empty));
             }
         }
-        let settled = self.enter(&mut state, one.clone())?;
+        let is_in_effect = self.apply(&mut state, one.clone())?;
         if let Some(replay) = &one.replay {
             state.by_key.insert(replay.key.clone(), one.id);
         }
         drop(state);
         audit("created", &one, now);
-        Ok(Changed {
-            shown: self.show(&one),
-            settled,
-            replayed: false,
+        Ok(ChangeResult {
+            view: self.view(&one),
+            is_in_effect,
+            is_replay: false,
         })
     }
 
-    /// Changes when an override ends.
+    /// Changes the expiry of an override.
+    ///
+    /// # Errors
+    ///
+    /// Returns why it was refused.
     pub fn extend(
         &self,
         id: Id,
         expires_at: Millis,
         revision: Option<u64>,
-    ) -> Result<Changed, Refused> {
+    ) -> Result<ChangeResult, OverrideError> {
         self.change("extended", id, revision, |one, now| {
             one.extend(expires_at, now, &self.limits)
-                .map_err(|fault| Refused::Faults(vec![fault]))
+                .map_err(|fault| OverrideError::Invalid(vec![fault]))
         })
     }
 
-    /// Ends an override.
-    pub fn remove(&self, id: Id, revision: Option<u64>) -> Result<Changed, Refused> {
+    /// Removes an override.
+    ///
+    /// # Errors
+    ///
+    /// Returns why it was refused.
+    pub fn remove(&self, id: Id, revision: Option<u64>) -> Result<ChangeResult, OverrideError> {
         self.change("removed", id, revision, |one, now| {
             one.remove(now);
             Ok(())
@@ -306,43 +327,48 @@
         what: &str,
         id: Id,
         revision: Option<u64>,
-        change: impl FnOnce(&mut Override, Millis) -> Result<(), Refused>,
-    ) -> Result<Changed, Refused> {
+        change: impl FnOnce(&mut Override, Millis) -> Result<(), OverrideError>,
+    ) -> Result<ChangeResult, OverrideError> {
         let mut state = self.lock();
         let now = self.now();
         let mut one = state
             .set
             .get(id)
             .filter(|one| one.holds(now))
-            .ok_or(Refused::Unknown)?
+            .ok_or(OverrideError::Unknown)?
             .clone();
         if revision.is_some_and(|revision| revision != one.revision) {
-            return Err(Refused::Stale(one.revision));
+            return Err(OverrideError::Stale(one.revision));
         }
         change(&mut one, now)?;
-        let settled = self.enter(&mut state, one.clone())?;
+        let is_in_effect = self.apply(&mut state, one.clone())?;
         drop(state);
         audit(what, &one, now);
-        Ok(Changed {
-            shown: self.show(&one),
-            settled,
-            replayed: false,
+        Ok(ChangeResult {
+            view: self.view(&one),
+            is_in_effect,
+            is_replay: false,
         })
     }
 
-    /// Makes an override durable and then has the cores follow it; tells whether all do.
-    fn enter(&self, state: &mut State, one: Override) -> Result<bool, Refused> {
-        let ahead = state.steps.ahead_by();
-        let store = state.store.as_mut().ok_or_else(|| state.about.refusal())?;
-        store.put(&[shifted(&one, ahead)]).map_err(Refused::Store)?;
+    /// Stores an override and applies it to the cores; returns whether all have applied it.
+    fn apply(&self, state: &mut OverrideState, one: Override) -> Result<bool, OverrideError> {
+        let ahead = state.clock_steps.ahead_by();
+        let store = state
+            .store
+            .as_mut()
+            .ok_or_else(|| state.store_status.refusal())?;
+        store
+            .put(&[shifted(&one, ahead)])
+            .map_err(OverrideError::Store)?;
         state.set.put(one.clone());
-        let settled = self.have_followed(OverrideChange::Put(Box::new(one)));
+        let settled = self.apply_to_cores(OverrideChange::Put(Box::new(one)));
         let _ = self.changed.try_send(());
         Ok(settled)
     }
 
-    fn show(&self, one: &Override) -> Shown {
+    fn view(&self, one: &Override) -> OverrideView {
         let fronts = self.listed_servers();
-        shown(&self.lock(), one, &fronts, self.now())
+        view_of(&self.lock(), one, &fronts, self.now())
     }
 }
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -10,24 +10,26 @@
 use tracing::{error, warn};
 
 use super::audit::audit;
-use super::{Keeper, State};
-use crate::core::{Event, OverrideChange};
+use super::{OverrideManager, OverrideState};
+use crate::core::{CoreInput, OverrideChange};
 
 /// The wall clock is compared this often.
-const WALL_PERIOD: Duration = Duration::from_secs(1);
+const WALL_CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-impl Keeper {
+impl OverrideManager {
     /// Tells of overrides that end, forgets those that are no longer felt, and watches the wall clock, for as long as
     /// the program runs.
     pub fn run(&self) {
         loop {
             // Guards against a fault that would end this thread, and with it every word of what expires.
-            let next = catch_unwind(AssertUnwindSafe(|| self.look_after())).unwrap_or_else(|_| {
-                error!(part = "overrides", "housekeeping panicked; it goes on");
-                None
-            });
-            let wait = next.map_or(WALL_PERIOD, |at| {
-                Duration::from_millis(at.saturating_sub(self.now()).max(1)).min(WALL_PERIOD)
+            let next =
+                catch_unwind(AssertUnwindSafe(|| self.run_due_tasks())).unwrap_or_else(|_| {
+                    error!(part = "overrides", "housekeeping panicked; it goes on");
+                    None
+                });
+            let wait = next.map_or(WALL_CLOCK_CHECK_INTERVAL, |at| {
+                Duration::from_millis(at.saturating_sub(self.now()).max(1))
+                    .min(WALL_CLOCK_CHECK_INTERVAL)
             });
             if self.changes.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
                 return;
@@ -36,18 +38,18 @@
     }
 
     /// Does what is due; gives the moment at which something will be.
-    pub fn look_after(&self) -> Option<Millis> {
+    pub fn run_due_tasks(&self) -> Option<Millis> {
         let mut state = self.lock();
         let now = self.now();
-        tell_expired(&mut state, now);
+        audit_expired(&mut state, now);
         self.follow_wall_clock(&mut state, now);
         self.forget_spent(&mut state, now);
         state.set.next_change(now)
     }
 
     /// Has the store hold what is read back right after a restart, which goes by the wall clock as it is then.
-    fn follow_wall_clock(&self, state: &mut State, now: Millis) {
-        let Some(step) = state.steps.look(now, (self.wall)()) else {
+    fn follow_wall_clock(&self, state: &mut OverrideState, now: Millis) {
+        let Some(step) = state.clock_steps.look(now, (self.wall_clock)()) else {
             return;
         };
         warn!(
@@ -64,7 +66,7 @@
     }
 
     /// Forgets, here and at the cores, what is no longer felt.
-    fn forget_spent(&self, state: &mut State, now: Millis) {
+    fn forget_spent(&self, state: &mut OverrideState, now: Millis) {
         let spent = state.set.spent(now);
         if spent.is_empty() {
             return;
@@ -74,12 +76,12 @@
         state.by_key.retain(|_, id| !spent.contains(id));
         let change = OverrideChange::Forget(spent);
         for (_, core) in &self.cores {
-            core.tell(Event::Overrides(vec![change.clone()], None));
+            core.send(CoreInput::OverridesChanged(vec![change.clone()], None));
         }
     }
 }
 
-impl State {
+impl OverrideState {
     /// Writes to the store, where there is one. A fault there is logged, and costs what is read back at most.
     fn write(&mut self, write: impl FnOnce(&mut dyn OverrideStore) -> Result<(), StoreError>) {
         if let Some(store) = &mut self.store
@@ -91,11 +93,11 @@
 }
 
 /// Tells of the overrides that have ended by themselves since the last time.
-fn tell_expired(state: &mut State, now: Millis) {
-    for id in state.set.ended_between(state.told_until, now) {
+fn audit_expired(state: &mut OverrideState, now: Millis) {
+    for id in state.set.ended_between(state.reported_until, now) {
         if let Some(one) = state.set.get(id).filter(|one| one.removed_at.is_none()) {
             audit("expired", one, now);
         }
     }
-    state.told_until = now.max(state.told_until);
+    state.reported_until = now.max(state.reported_until);
 }
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -5,48 +5,48 @@
 use tracing::{error, info, warn};
 
 use super::audit::audit;
-use super::{Config, StoreState};
+use super::{OverridesConfig, StoreStatus};
 use crate::clock::Clock;
 
 /// What was found at the start.
-pub struct Restored {
+pub struct RestoredOverrides {
     pub(super) store: Option<Box<dyn OverrideStore>>,
-    pub(super) about: StoreState,
+    pub(super) store_status: StoreStatus,
     /// The overrides, for the cores.
     pub set: Set,
 }
 
-impl Restored {
+impl RestoredOverrides {
     /// Nothing, to be kept in this store from now on.
-    pub fn kept_in(store: Box<dyn OverrideStore>, limits: Limits) -> Restored {
-        let about = StoreState {
-            kept: true,
+    pub fn empty(store: Box<dyn OverrideStore>, limits: Limits) -> RestoredOverrides {
+        let store_status = StoreStatus {
+            is_persistent: true,
             notes: Vec::new(),
         };
-        Restored {
+        RestoredOverrides {
             store: Some(store),
-            about,
+            store_status,
             set: Set::new(limits.ramp),
         }
     }
 }
 
 /// Opens the store that the operator's file names. Whatever is wrong with it is said, and the program serves.
-pub fn restore(config: &Config, clock: Clock) -> Restored {
+pub fn restore(config: &OverridesConfig, clock: Clock) -> RestoredOverrides {
     let Some(file) = &config.file else {
-        let about = StoreState {
-            kept: false,
+        let store_status = StoreStatus {
+            is_persistent: false,
             notes: vec!["no store is set (overrides.file)".into()],
         };
-        return Restored {
+        return RestoredOverrides {
             store: None,
-            about,
+            store_status,
             set: Set::new(config.limits.ramp),
         };
     };
     match beaconflow_store::open(file) {
         Ok((store, contents)) => {
-            take_back(Box::new(store), contents, config, clock.now() / 1_000_000)
+            restore_contents(Box::new(store), contents, config, clock.now() / 1_000_000)
         }
         Err(error) => {
             let what = match &error {
@@ -55,13 +55,13 @@
             };
             let note = format!("the store {} {what}: {error}", file.display());
             error!(part = "overrides", why = note, "none are restored or kept");
-            let about = StoreState {
-                kept: false,
+            let store_status = StoreStatus {
+                is_persistent: false,
                 notes: vec![note],
             };
-            Restored {
+            RestoredOverrides {
                 store: None,
-                about,
+                store_status,
                 set: Set::new(config.limits.ramp),
             }
         }
@@ -69,17 +69,17 @@
 }
 
 /// Takes back what a store held.
-fn take_back(
+fn restore_contents(
     mut store: Box<dyn OverrideStore>,
     contents: Contents,
-    config: &Config,
+    config: &OverridesConfig,
     now: Millis,
-) -> Restored {
-    let mut notes = notes_on(&contents);
+) -> RestoredOverrides {
+    let mut notes = store_notes(&contents);
     let mut set = Set::new(config.limits.ramp);
     let (mut holding, mut spent) = (0, Vec::new());
     for mut one in contents.overrides {
-        notes.extend(bound_to(&mut one, now));
+        notes.extend(bound_times(&mut one, now));
         if one.removed_at.is_none() && !one.holds(now) {
             audit("found expired", &one, now);
         }
@@ -98,15 +98,18 @@
         warn!(part = "overrides", what = note, "found at the start");
     }
     info!(part = "overrides", restored = holding, "restored");
-    Restored {
+    RestoredOverrides {
         store: Some(store),
-        about: StoreState { kept: true, notes },
+        store_status: StoreStatus {
+            is_persistent: true,
+            notes,
+        },
         set,
     }
 }
 
 /// What was amiss with the file as a whole.
-fn notes_on(contents: &Contents) -> Vec<String> {
+fn store_notes(contents: &Contents) -> Vec<String> {
     let mut notes = Vec::new();
     if let Some((aside, why)) = &contents.kept_aside {
         notes.push(format!(
@@ -124,7 +127,7 @@
 }
 
 /// Has no moment of an override lie in the future, but for its end; tells where that was cut.
-fn bound_to(one: &mut Override, now: Millis) -> Option<String> {
+fn bound_times(one: &mut Override, now: Millis) -> Option<String> {
     let (expires_at, cut) = bounded_expiry(one, now);
     (one.created_at, one.expires_at) = (one.created_at.min(now), expires_at);
     one.removed_at = one.removed_at.map(|at| at.min(now));
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -5,16 +5,16 @@
 use beaconflow_overrides::{Effect, Judgement, Listed, Millis, Override, Set, judge, shifted};
 use beaconflow_policy::ServerState;
 
-use super::State;
-use crate::core::Look;
+use super::OverrideState;
+use crate::core::CoreSnapshot;
 
 /// An override as people see it: its moments are the wall clock's.
 #[derive(Clone, Debug)]
-pub struct Shown {
+pub struct OverrideView {
     /// The override.
-    pub one: Override,
+    pub record: Override,
     /// How long it still holds, in milliseconds.
-    pub remaining: Millis,
+    pub remaining_ms: Millis,
     /// What it does now at each front.
     pub effects: Vec<(&'static str, Effect)>,
 }
@@ -27,8 +27,8 @@
 
 impl ListedServers {
     /// As a look at the front's core has them; none where it gave no look.
-    pub(super) fn seen(front: &'static str, look: Option<Look>) -> ListedServers {
-        let servers = look.into_iter().flat_map(|look| look.farm);
+    pub(super) fn from_snapshot(front: &'static str, look: Option<CoreSnapshot>) -> ListedServers {
+        let servers = look.into_iter().flat_map(|look| look.servers);
         ListedServers {
             front,
             states: servers
@@ -47,7 +47,12 @@
 }
 
 /// An override as it is shown at a moment.
-pub(super) fn shown(state: &State, one: &Override, fronts: &[ListedServers], now: Millis) -> Shown {
+pub(super) fn view_of(
+    state: &OverrideState,
+    one: &Override,
+    fronts: &[ListedServers],
+    now: Millis,
+) -> OverrideView {
     let effect = |servers: &ListedServers| {
         let listed = servers.listed(one.kind.server());
         (
@@ -58,23 +63,23 @@
                 .unwrap_or(Effect::Ended),
         )
     };
-    Shown {
-        remaining: one.end().saturating_sub(now),
+    OverrideView {
+        remaining_ms: one.end().saturating_sub(now),
         effects: fronts.iter().map(effect).collect(),
-        one: shifted(one, state.steps.ahead_by()),
+        record: shifted(one, state.clock_steps.ahead_by()),
     }
 }
 
 /// Where a new override leaves no ready server that was one before.
-pub(super) fn leaves_none(
+pub(super) fn fronts_left_empty(
     set: &mut Set,
     one: &Override,
-    looks: &[(&'static str, Option<Look>)],
+    looks: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<(&'static str, Judgement)> {
-    let before = judged(set, looks, now);
+    let before = coverage_by_front(set, looks, now);
     set.put(one.clone());
-    let after = judged(set, looks, now);
+    let after = coverage_by_front(set, looks, now);
     set.forget(one.id);
     let worse = after
         .iter()
@@ -88,9 +93,13 @@
 }
 
 /// What the overrides leave of each front's ready servers.
-fn judged(set: &Set, looks: &[(&'static str, Option<Look>)], now: Millis) -> Vec<Judgement> {
-    let at_front = |look: &Option<Look>| {
-        let servers = look.iter().flat_map(|look| &look.farm);
+fn coverage_by_front(
+    set: &Set,
+    looks: &[(&'static str, Option<CoreSnapshot>)],
+    now: Millis,
+) -> Vec<Judgement> {
+    let at_front = |look: &Option<CoreSnapshot>| {
+        let servers = look.iter().flat_map(|look| &look.servers);
         let ready = servers.filter(|server| server.state.0 == ServerState::Ready);
         judge(
             ready.map(|server| (server.name.as_str(), server.zone.as_str())),
--- a/crates/balancer/src/poller.rs
+++ b/crates/balancer/src/poller.rs
@@ -1,4 +1,4 @@
-//! What one thread waits for when it serves many connections: their streams, their listener, and a bell.
+//! A poller for one thread that serves many sockets, with a waker.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -11,48 +11,53 @@
 
 pub use rustix::event::epoll::EventFlags;
 
-/// Streams that are told ready in one wait.
-const BATCH: usize = 256;
-/// The bell's token.
-const BELL: u64 = u64::MAX;
+/// Most events returned by one wait.
+const MAX_EVENTS: usize = 256;
+/// The waker's token.
+const WAKER_TOKEN: u64 = u64::MAX;
 
-/// Streams by tokens, watched for as long as something is wanted of them.
+/// Polls streams by token for the events that are wanted of them.
 pub struct Poller {
     epoll: OwnedFd,
-    bell: Bell,
+    waker: Waker,
 }
 
-/// Cuts a wait short from another thread.
+/// Wakes a poller from another thread.
 #[derive(Clone, Debug)]
-pub struct Bell(Arc<OwnedFd>);
+pub struct Waker(Arc<OwnedFd>);
 
-impl Bell {
-    /// Rings. One that rings already is as good; nothing here blocks.
-    pub fn ring(&self) {
+impl Waker {
+    /// Wakes the poller. Never blocks.
+    pub fn wake(&self) {
         let _ = rustix::io::write(&*self.0, &1_u64.to_ne_bytes());
     }
 }
 
 impl Poller {
-    /// A poller that watches its bell alone.
+    /// Creates a poller that waits for its waker.
     pub fn new() -> io::Result<Poller> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        let bell = Bell(Arc::new(eventfd(
+        let waker = Waker(Arc::new(eventfd(
             0,
             EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK,
         )?));
-        epoll::add(&epoll, &*bell.0, EventData::new_u64(BELL), EventFlags::IN)?;
-        Ok(Poller { epoll, bell })
+        epoll::add(
+            &epoll,
+            &*waker.0,
+            EventData::new_u64(WAKER_TOKEN),
+            EventFlags::IN,
+        )?;
+        Ok(Poller { epoll, waker })
     }
 
-    /// Its bell.
-    pub fn bell(&self) -> Bell {
-        self.bell.clone()
+    /// Its waker.
+    pub fn waker(&self) -> Waker {
+        self.waker.clone()
     }
 
-    /// Watches a stream or a listener for what is wanted of it from now on. One of which nothing is wanted is not watched at all:
-    /// its end would cut every wait short.
-    pub fn watch(
+    /// Changes the events that a stream is polled for. One without any is not polled, since its end
+    /// would end every wait.
+    pub fn set_interest(
         &self,
         stream: &impl AsFd,
         token: u64,
@@ -67,20 +72,23 @@
         }
     }
 
-    /// Waits until a stream is ready, the bell rings, or the span is over; gives the tokens of what is ready. A wait
-    /// that is cut short is as good as one that is over.
+    /// Waits until a stream is ready, the waker is used or the time is over; returns the tokens
+    /// that are ready. May return early.
     pub fn wait(&self, patience: Duration) -> Vec<u64> {
         let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
         let until = Timespec {
             tv_sec: seconds,
             tv_nsec: patience.subsec_nanos().into(),
         };
-        let mut ready: Vec<Event> = Vec::with_capacity(BATCH);
+        let mut ready: Vec<Event> = Vec::with_capacity(MAX_EVENTS);
         let _ = epoll::wait(&self.epoll, spare_capacity(&mut ready), Some(&until));
         let tokens: Vec<u64> = ready.iter().map(|event| event.data.u64()).collect();
-        if tokens.contains(&BELL) {
-            let _ = rustix::io::read(&*self.bell.0, &mut [0; 8]);
+        if tokens.contains(&WAKER_TOKEN) {
+            let _ = rustix::io::read(&*self.waker.0, &mut [0; 8]);
         }
-        tokens.into_iter().filter(|token| *token != BELL).collect()
+        tokens
+            .into_iter()
+            .filter(|token| *token != WAKER_TOKEN)
+            .collect()
     }
 }
--- a/crates/balancer/src/prober.rs
+++ b/crates/balancer/src/prober.rs
@@ -1,6 +1,8 @@
-//! Probes: application servers are asked for their load, over one connection to each that is kept while it is used.
+//! The prober: asks servers for their load, over one connection to each that is kept while it is
+//! used.
 //!
-//! One thread serves them all and never waits for one of them. What is asked and how an answer is read is the front's.
+//! One thread serves all of them without blocking. The front defines the request and parses the
+//! answer.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -15,184 +17,193 @@
 use socket2::{Domain, Socket, Type};
 use tracing::debug;
 
-use crate::core::{ApplicationServer, Asker, LoadAnswer as Answer};
-use crate::net::{self, Intake, ReadError};
-use crate::poller::{Bell, EventFlags, Poller};
+use crate::core::{Endpoint, LoadProber, ProbeAnswer as Answer};
+use crate::net::{self, ReadBuffer, ReadError};
+use crate::poller::{EventFlags, Poller, Waker};
 
 /// Longest answer that is read.
-const LONGEST_ANSWER: usize = 4096;
-/// A connection over which nothing was asked for so long is closed: it holds a descriptor here and a place there.
-const IDLE: Duration = Duration::from_secs(20);
-/// Longest wait between two looks at what is overdue or idle.
-const LOOK: Duration = Duration::from_secs(1);
+const MAX_ANSWER_BYTES: usize = 4096;
+/// A connection that is not used for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait between two checks of timeouts.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// A front's question for a server's load.
+/// A front's probe for a server's load.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
-    /// What is written.
-    pub words: &'static [u8],
-    /// Reads the line that answers it.
-    pub read: fn(&[u8]) -> Answer,
+pub struct LoadProbe {
+    /// The request.
+    pub request: &'static [u8],
+    /// Parses the line that answers it.
+    pub parse: fn(&[u8]) -> Answer,
 }
 
-/// The way to the prober.
+/// A handle to the prober.
 #[derive(Clone, Debug)]
-pub struct Way {
-    asks: Sender<(ServerId, Arc<ApplicationServer>)>,
-    bell: Bell,
+pub struct ProberHandle {
+    probes: Sender<(ServerId, Arc<Endpoint>)>,
+    waker: Waker,
 }
 
-impl Asker for Way {
-    fn ask(&self, id: ServerId, server: Arc<ApplicationServer>) {
-        // Without a prober the module's own timer goes off.
-        let _ = self.asks.send((id, server));
-        self.bell.ring();
+impl LoadProber for ProberHandle {
+    fn probe(&self, id: ServerId, server: Arc<Endpoint>) {
+        // Without a prober the policy's own timer fires.
+        let _ = self.probes.send((id, server));
+        self.waker.wake();
     }
 }
 
 /// A connection to one server.
-struct Line {
+struct ProbeConnection {
     stream: TcpStream,
     address: SocketAddr,
-    intake: Intake,
-    /// What is watched of it.
-    watched: EventFlags,
-    /// It has not come up yet.
-    connecting: bool,
-    /// When it was asked what it has not answered.
-    asked_at: Option<Instant>,
+    intake: ReadBuffer,
+    /// The events it is polled for.
+    interest: EventFlags,
+    /// Whether the connect is pending.
+    is_connecting: bool,
+    /// When the unanswered probe was sent.
+    pending_since: Option<Instant>,
     used_at: Instant,
 }
 
-/// Asks servers and reads their answers.
+/// Sends probes and reads their answers.
 pub struct Prober {
-    asks: Receiver<(ServerId, Arc<ApplicationServer>)>,
+    probes: Receiver<(ServerId, Arc<Endpoint>)>,
     poller: Poller,
-    lines: BTreeMap<ServerId, Line>,
-    question: Question,
-    /// An answer that is not there by then is none.
-    patience: Box<dyn Fn() -> Duration + Send>,
-    /// How many connections are held, for whoever parts the descriptors.
-    held: Arc<AtomicUsize>,
-    /// How many may be held now.
-    room: Box<dyn Fn() -> usize + Send>,
+    connections: BTreeMap<ServerId, ProbeConnection>,
+    probe: LoadProbe,
+    /// Timeout of a probe.
+    timeout: Box<dyn Fn() -> Duration + Send>,
+    /// Number of connections, for the descriptor budget.
+    connection_count: Arc<AtomicUsize>,
+    /// Most connections at present.
+    max_connections: Box<dyn Fn() -> usize + Send>,
 }
 
 impl Prober {
-    /// A prober, and the way to it.
+    /// Creates a prober and its handle.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the poller can't be created.
     pub fn new(
-        question: Question,
+        probe: LoadProbe,
         patience: impl Fn() -> Duration + Send + 'static,
-    ) -> io::Result<(Prober, Way)> {
-        let patience = Box::new(patience);
-        let (ask, asks) = unbounded();
+    ) -> io::Result<(Prober, ProberHandle)> {
+        let timeout = Box::new(patience);
+        let (ask, probes) = unbounded();
         let poller = Poller::new()?;
-        let way = Way {
-            asks: ask,
-            bell: poller.bell(),
+        let way = ProberHandle {
+            probes: ask,
+            waker: poller.waker(),
         };
-        let (lines, held) = (BTreeMap::new(), Arc::default());
-        let room = Box::new(|| usize::MAX);
+        let (connections, connection_count) = (BTreeMap::new(), Arc::default());
+        let max_connections = Box::new(|| usize::MAX);
         Ok((
             Prober {
-                asks,
+                probes,
                 poller,
-                lines,
-                question,
-                patience,
-                held,
-                room,
+                connections,
+                probe,
+                timeout,
+                connection_count,
+                max_connections,
             },
             way,
         ))
     }
 
-    /// Has it tell how many connections it holds, and hold no more than there is room for. Guards against connections
-    /// to servers, to discovery or from operators that would find no descriptor.
-    pub fn within(
+    /// Publishes the number of connections and limits it, so that clients, servers, discovery and
+    /// operators find descriptors.
+    pub fn with_limit(
         self,
-        held: Arc<AtomicUsize>,
+        connection_count: Arc<AtomicUsize>,
         room: impl Fn() -> usize + Send + 'static,
     ) -> Prober {
         Prober {
-            held,
-            room: Box::new(room),
+            connection_count,
+            max_connections: Box::new(room),
             ..self
         }
     }
 
-    /// Serves until nobody can ask any more.
+    /// Runs until all handles are gone.
     pub fn run(mut self, tell: impl Fn(ServerId, Option<Answer>)) {
         loop {
-            let ready = self.poller.wait(self.until_due());
-            for token in ready {
+            let on_ready = self.poller.wait(self.wait_timeout());
+            for token in on_ready {
                 let id = ServerId(u32::try_from(token).unwrap_or(u32::MAX));
                 self.ready(id, &tell);
             }
             loop {
-                match self.asks.try_recv() {
-                    Ok((id, server)) => self.ask(id, &server, &tell),
+                match self.probes.try_recv() {
+                    Ok((id, server)) => self.start_probe(id, &server, &tell),
                     Err(error) if error.is_disconnected() => return,
                     Err(_) => break,
                 }
             }
-            self.look(&tell);
-            self.tell_held();
+            self.close_expired(&tell);
+            self.publish_count();
         }
     }
 
-    fn tell_held(&self) {
-        self.held.store(self.lines.len(), Ordering::Relaxed);
+    fn publish_count(&self) {
+        self.connection_count
+            .store(self.connections.len(), Ordering::Relaxed);
     }
 
-    /// Closes connections over which nothing is being asked, the longest unused first, while there are more than there
-    /// is room for beside `more`; false where there is still none.
-    fn make_room(&mut self, more: usize) -> bool {
-        let room = (self.room)();
-        while self.lines.len() + more > room {
+    /// Closes connections without a pending probe, the longest unused first, while there are more
+    /// than the limit allows beside `more`. Returns whether the limit is kept.
+    fn close_idle_beyond(&mut self, more: usize) -> bool {
+        let room = (self.max_connections)();
+        while self.connections.len() + more > room {
             let idle = self
-                .lines
+                .connections
                 .iter()
-                .filter(|(_, line)| line.asked_at.is_none());
+                .filter(|(_, line)| line.pending_since.is_none());
             let Some(id) = idle.min_by_key(|(_, line)| line.used_at).map(|(id, _)| *id) else {
                 break;
             };
-            self.lines.remove(&id);
+            self.connections.remove(&id);
         }
-        self.lines.len() + more <= room
+        self.connections.len() + more <= room
     }
 
-    fn until_due(&self) -> Duration {
-        let asked = self.lines.values().filter_map(|line| line.asked_at);
+    fn wait_timeout(&self) -> Duration {
+        let asked = self
+            .connections
+            .values()
+            .filter_map(|line| line.pending_since);
         let left = asked
             .min()
-            .map(|at| (self.patience)().saturating_sub(at.elapsed()));
-        // A wait of nothing would spin where a clock stands still between two looks.
-        left.unwrap_or(LOOK).clamp(Duration::from_millis(1), LOOK)
+            .map(|at| (self.timeout)().saturating_sub(at.elapsed()));
+        // A zero timeout would spin where the clock stands still between two calls.
+        left.unwrap_or(MAX_WAIT)
+            .clamp(Duration::from_millis(1), MAX_WAIT)
     }
 
-    fn ask(
+    fn start_probe(
         &mut self,
         id: ServerId,
-        server: &ApplicationServer,
+        server: &Endpoint,
         tell: &impl Fn(ServerId, Option<Answer>),
     ) {
-        // Guards against a server that came back elsewhere under its name.
+        // The server may have come back under another address.
         if self
-            .lines
+            .connections
             .get(&id)
             .is_some_and(|line| line.address != server.address)
         {
-            self.lines.remove(&id);
+            self.connections.remove(&id);
         }
-        if !self.lines.contains_key(&id) && !self.make_room(1) {
+        if !self.connections.contains_key(&id) && !self.close_idle_beyond(1) {
             debug!(part = "prober", server = %server.name, "no descriptor to spare");
-            // Guards against a server that would be passed over for want of this program's descriptors.
-            return tell(id, Some(Answer::Nothing));
+            // A server must not be skipped because this process lacks descriptors.
+            return tell(id, Some(Answer::NoLoad));
         }
-        let line = match self.lines.entry(id) {
+        let line = match self.connections.entry(id) {
             Entry::Occupied(line) => line.into_mut(),
-            Entry::Vacant(none) => match Line::open(server.address) {
+            Entry::Vacant(none) => match ProbeConnection::open(server.address) {
                 Ok(line) => none.insert(line),
                 Err(error) => {
                     debug!(part = "prober", server = %server.name, why = %error, "not connected");
@@ -200,84 +211,87 @@
                 }
             },
         };
-        // One question at a time: its answer serves whoever asks meanwhile.
-        if line.asked_at.is_some() {
+        // One probe at a time: its answer serves all that wait.
+        if line.pending_since.is_some() {
             return;
         }
-        line.asked_at = Some(Instant::now());
+        line.pending_since = Some(Instant::now());
         line.used_at = Instant::now();
-        let asked = if line.connecting {
+        let asked = if line.is_connecting {
             Ok(())
         } else {
-            line.say(self.question.words)
+            line.write(self.probe.request)
         };
-        let watched = asked.and_then(|()| line.watch(id, &self.poller));
+        let watched = asked.and_then(|()| line.update_interest(id, &self.poller));
         if watched.is_err() {
-            self.end(id, tell);
+            self.close(id, tell);
         }
     }
 
     fn ready(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
-        let Some(line) = self.lines.get_mut(&id) else {
+        let Some(line) = self.connections.get_mut(&id) else {
             return;
         };
-        if line.connecting {
+        if line.is_connecting {
             let up = line
                 .stream
                 .take_error()
                 .and_then(|error| error.map_or(Ok(()), Err));
-            line.connecting = false;
-            let asked = up.and_then(|()| line.say(self.question.words));
-            if asked.and_then(|()| line.watch(id, &self.poller)).is_err() {
-                self.end(id, tell);
+            line.is_connecting = false;
+            let asked = up.and_then(|()| line.write(self.probe.request));
+            if asked
+                .and_then(|()| line.update_interest(id, &self.poller))
+                .is_err()
+            {
+                self.close(id, tell);
             }
             return;
         }
         match line.intake.read(&line.stream, Instant::now()) {
             Ok(()) | Err(ReadError::TimedOut) => {}
-            // A part of a line that its connection's end cut short is no answer.
-            Err(_) => return self.end(id, tell),
+            // An incomplete line at the end is no answer.
+            Err(_) => return self.close(id, tell),
         }
-        while let Some(said) = line.intake.whole_line() {
-            if line.asked_at.take().is_some() {
-                tell(id, Some((self.question.read)(net::trimmed(&said))));
+        while let Some(said) = line.intake.next_line() {
+            if line.pending_since.take().is_some() {
+                tell(id, Some((self.probe.parse)(net::trim_line_end(&said))));
             }
         }
     }
 
-    /// Ends a line; whoever waits for its answer hears that there is none.
-    fn end(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
+    /// Closes a connection; a pending probe fails.
+    fn close(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
         if self
-            .lines
+            .connections
             .remove(&id)
-            .is_some_and(|line| line.asked_at.is_some())
+            .is_some_and(|line| line.pending_since.is_some())
         {
             tell(id, None);
         }
     }
 
-    /// Ends what is overdue or idle.
-    fn look(&mut self, tell: &impl Fn(ServerId, Option<Answer>)) {
-        self.make_room(0);
-        let over = |line: &Line| match line.asked_at {
-            Some(at) => at.elapsed() >= (self.patience)(),
-            None => line.used_at.elapsed() >= IDLE,
+    /// Closes connections whose probe timed out or that are idle.
+    fn close_expired(&mut self, tell: &impl Fn(ServerId, Option<Answer>)) {
+        self.close_idle_beyond(0);
+        let over = |line: &ProbeConnection| match line.pending_since {
+            Some(at) => at.elapsed() >= (self.timeout)(),
+            None => line.used_at.elapsed() >= IDLE_TIMEOUT,
         };
         let ended: Vec<ServerId> = self
-            .lines
+            .connections
             .iter()
             .filter(|(_, line)| over(line))
             .map(|(id, _)| *id)
             .collect();
-        ended.into_iter().for_each(|id| self.end(id, tell));
+        ended.into_iter().for_each(|id| self.close(id, tell));
     }
 }
 
-impl Line {
-    fn open(address: SocketAddr) -> io::Result<Line> {
+impl ProbeConnection {
+    fn open(address: SocketAddr) -> io::Result<ProbeConnection> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
-        let connecting = match socket.connect(&address.into()) {
+        let is_connecting = match socket.connect(&address.into()) {
             Ok(()) => false,
             Err(error)
                 if error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) =>
@@ -287,30 +301,30 @@
             Err(error) => return Err(error),
         };
         socket.set_tcp_nodelay(true)?;
-        Ok(Line {
+        Ok(ProbeConnection {
             stream: socket.into(),
             address,
-            intake: Intake::new(LONGEST_ANSWER),
-            watched: EventFlags::empty(),
-            connecting,
-            asked_at: None,
+            intake: ReadBuffer::new(MAX_ANSWER_BYTES),
+            interest: EventFlags::empty(),
+            is_connecting,
+            pending_since: None,
             used_at: Instant::now(),
         })
     }
 
-    /// A question fits into any socket that takes one at a time.
-    fn say(&mut self, words: &[u8]) -> io::Result<()> {
+    /// A probe fits into any socket buffer that takes one at a time.
+    fn write(&mut self, words: &[u8]) -> io::Result<()> {
         (&self.stream).write_all(words)
     }
 
-    fn watch(&mut self, id: ServerId, poller: &Poller) -> io::Result<()> {
-        let wanted = if self.connecting {
+    fn update_interest(&mut self, id: ServerId, poller: &Poller) -> io::Result<()> {
+        let wanted = if self.is_connecting {
             EventFlags::OUT
         } else {
             EventFlags::IN
         };
-        poller.watch(&self.stream, id.0.into(), (self.watched, wanted))?;
-        self.watched = wanted;
+        poller.set_interest(&self.stream, id.0.into(), (self.interest, wanted))?;
+        self.interest = wanted;
         Ok(())
     }
 }
--- a/crates/balancer/src/prober/tests.rs
+++ b/crates/balancer/src/prober/tests.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 
 use super::*;
-use crate::front::platform::LOAD;
+use crate::front::platform::LOAD_PROBE;
 
 /// A prober of one stand-in server: what it answers to each question, and what is told of it.
 fn told(answers: &'static [Option<&'static str>]) -> Vec<Option<Answer>> {
@@ -22,12 +22,12 @@
             }
         }
     });
-    let (prober, asker) = Prober::new(LOAD, || Duration::from_millis(300)).expect("a poller");
+    let (prober, asker) = Prober::new(LOAD_PROBE, || Duration::from_millis(300)).expect("a poller");
     let (say, heard) = unbounded();
     std::thread::spawn(move || prober.run(|_, answer| say.send(answer).expect("it listens")));
-    let server = Arc::new(ApplicationServer::new("s0".into(), address));
+    let server = Arc::new(Endpoint::new("s0".into(), address));
     let hear = |_: &Option<&str>| {
-        asker.ask(ServerId(0), Arc::clone(&server));
+        asker.probe(ServerId(0), Arc::clone(&server));
         heard
             .recv_timeout(Duration::from_secs(10))
             .expect("an answer, or that there is none")
@@ -55,15 +55,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
     drop(listener);
-    let (prober, asker) = Prober::new(LOAD, || Duration::from_secs(60)).expect("a poller");
+    let (prober, asker) = Prober::new(LOAD_PROBE, || Duration::from_secs(60)).expect("a poller");
     let (say, heard) = unbounded();
     std::thread::spawn(move || {
         prober.run(|id, answer| say.send((id, answer)).expect("it listens"))
     });
-    asker.ask(
-        ServerId(3),
-        Arc::new(ApplicationServer::new("s3".into(), address)),
-    );
+    asker.probe(ServerId(3), Arc::new(Endpoint::new("s3".into(), address)));
     assert_eq!(
         heard.recv_timeout(Duration::from_secs(10)),
         Ok((ServerId(3), None))
@@ -74,9 +71,9 @@
 fn connections_for_probes_give_way_to_others() {
     let room = Arc::new(AtomicUsize::new(2));
     let held = Arc::new(AtomicUsize::new(0));
-    let (prober, asker) = Prober::new(LOAD, || Duration::from_secs(60)).expect("a poller");
+    let (prober, asker) = Prober::new(LOAD_PROBE, || Duration::from_secs(60)).expect("a poller");
     let has = Arc::clone(&room);
-    let prober = prober.within(Arc::clone(&held), move || has.load(Ordering::Relaxed));
+    let prober = prober.with_limit(Arc::clone(&held), move || has.load(Ordering::Relaxed));
     let (say, heard) = unbounded();
     std::thread::spawn(move || {
         prober.run(|id, answer| say.send((id, answer)).expect("it listens"))
@@ -89,7 +86,7 @@
     let (told, closed) = unbounded();
     for number in 0..4 {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let server = ApplicationServer::new("s".into(), listener.local_addr().expect("bound"));
+        let server = Endpoint::new("s".into(), listener.local_addr().expect("bound"));
         let told = told.clone();
         std::thread::spawn(move || {
             let (stream, _) = listener.accept().expect("a probe");
@@ -99,7 +96,7 @@
             }
             told.send(number).expect("the test waits");
         });
-        asker.ask(ServerId(number), Arc::new(server));
+        asker.probe(ServerId(number), Arc::new(server));
         assert_eq!(hear(), (ServerId(number), Some(Answer::Load(1.0))));
         // The one that was used longest ago made room.
         if number >= 2 {
@@ -123,7 +120,7 @@
     }
     // A server that can't be asked for want of a descriptor is not taken for one that does not answer.
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let server = ApplicationServer::new("s".into(), listener.local_addr().expect("bound"));
-    asker.ask(ServerId(9), Arc::new(server));
-    assert_eq!(hear(), (ServerId(9), Some(Answer::Nothing)));
+    let server = Endpoint::new("s".into(), listener.local_addr().expect("bound"));
+    asker.probe(ServerId(9), Arc::new(server));
+    assert_eq!(hear(), (ServerId(9), Some(Answer::NoLoad)));
 }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,6 +1,6 @@
-//! Reload (SIGHUP): a front's file is read anew, and what can change while the program runs is taken over.
+//! Reload on SIGHUP: a file is read again, and what can change at runtime is applied.
 //!
-//! Standing connections feel nothing of it. A file that cannot be read, or that says what stands, changes nothing.
+//! Established connections are not affected. A file with an error changes nothing.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,60 +8,60 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tracing::{error, info, warn};
 
-use crate::config::{Config, SharedSettings};
+use crate::config::{PlatformConfig, SharedSettings};
 use beaconflow_admission::Limits;
 
-use crate::core::{DoorConfig, Event, Handle};
-use crate::farm::{News, Target};
+use crate::core::{CoreHandle, CoreInput, DoorConfig};
+use crate::discovery::{DiscoveryAddress, DiscoveryEvent};
 use crate::fleet::Way;
-use crate::operator::{FarmSource, Fleet, Nats, Operator};
+use crate::operator::{EndpointSource, FleetConfig, NatsConfig, OperatorConfig};
 use crate::overrides::NamedCore;
 
-/// How many descriptors a front's connections may hold; a reload may change it.
-pub type Sockets = Arc<AtomicUsize>;
+/// A limit on descriptors that a reload may change.
+pub type SharedLimit = Arc<AtomicUsize>;
 
-/// What a front was set up from, and the ways to what can change.
+/// What a front was started from, and handles to what can change.
 pub enum Reload {
     /// The platform's front.
     Platform {
-        /// Its file, as last read.
-        file: Box<Config>,
-        /// The watch.
-        target: Target,
-        /// The descriptors.
-        sockets: Sockets,
-        /// Its core, which takes over other settings.
-        core: Handle,
-        /// The settings that its front reads openings by.
+        /// The file as last read.
+        file: Box<PlatformConfig>,
+        /// The address of the watch.
+        target: DiscoveryAddress,
+        /// The limit on descriptors.
+        sockets: SharedLimit,
+        /// The core.
+        core: CoreHandle,
+        /// The settings that the front parses requests by.
         settings: SharedSettings,
-        /// Servers are asked for their load, as the settings allowed at the start.
+        /// Whether servers may be probed, as at the start.
         probes: bool,
-        /// A fleet is set up, which has its own part of the settings from the start.
+        /// Whether a fleet is configured, which keeps its settings from the start.
         fleet: bool,
     },
-    /// The operator's file, and the NATS front where it sets one up.
+    /// The operator's file, with the NATS front if there is one.
     Operator {
-        /// Where the file is.
+        /// Path of the file.
         path: PathBuf,
-        /// What it said at the start; all but the NATS front takes a restart.
-        others: Box<Operator>,
-        /// The NATS front, as last read.
-        file: Option<Box<Nats>>,
-        /// The watch, where discovery is asked.
-        target: Option<Target>,
-        /// The front's descriptors.
-        sockets: Sockets,
-        /// The cores, which are told of admission; the NATS front's also of a farm that stands in the file.
+        /// The file at the start; only the NATS front is compared with the latest one.
+        others: Box<OperatorConfig>,
+        /// The NATS front as last read.
+        file: Option<Box<NatsConfig>>,
+        /// The address of the watch, where there is one.
+        target: Option<DiscoveryAddress>,
+        /// The limit on descriptors.
+        sockets: SharedLimit,
+        /// The cores.
         cores: Vec<NamedCore>,
-        /// The fleet's thread, where a fleet is set up.
+        /// The fleet thread, where a fleet is configured.
         fleet: Option<Way>,
-        /// Reloads of that farm so far.
+        /// Number of reloads of configured endpoints.
         farms: u64,
     },
 }
 
 impl Reload {
-    /// Reads the file anew and takes over what can change.
+    /// Reads the file again and applies what can change.
     pub fn reload(&mut self) {
         let changed = match self {
             Reload::Platform { .. } => self.platform(),
@@ -83,7 +83,7 @@
                     );
                 }
             }
-            Err(why) => error!(part = "reload", why, "what stands is kept"),
+            Err(why) => error!(part = "reload", why, "present configuration kept"),
         }
     }
 
@@ -100,8 +100,8 @@
         else {
             return Ok(Changes::default());
         };
-        // Nothing is taken over of a file with a fault anywhere in it.
-        let new = Config::read()?;
+        // A file with any error changes nothing.
+        let new = PlatformConfig::read()?;
         let mut changes = Changes::default();
         if new.discovery != file.discovery {
             changes.discovery(target, new.discovery);
@@ -116,13 +116,13 @@
         );
         changes.fixed(
             "settings.policy-limits.may-probe",
-            *probes || !new.settings.may_probe(),
+            *probes || !new.settings.can_probe(),
         );
         let replacing = new.settings.with_discovery_of(&file.settings);
         if replacing != file.settings {
-            let in_force = Arc::new(settings.now().replaced_by(replacing.clone()));
-            // The core first: it knows every class by the time that an opening of it comes.
-            core.tell(Event::Settings(Arc::clone(&in_force)));
+            let in_force = Arc::new(settings.current().replaced_with(replacing.clone()));
+            // The core first: it knows every class before a request of it arrives.
+            core.send(CoreInput::SettingsReplaced(Arc::clone(&in_force)));
             settings.replace(in_force);
             changes.taken.push(format!(
                 "settings ({})",
@@ -131,7 +131,7 @@
             changes.fixed("settings, to the fleet", !*fleet);
             file.settings = replacing;
         }
-        // What takes a restart is told at each reload until it has had one.
+        // What needs a restart is logged at each reload.
         (file.discovery, file.limits) = (new.discovery, new.limits);
         Ok(changes)
     }
@@ -150,7 +150,7 @@
         else {
             return Ok(Changes::default());
         };
-        let read = Operator::read(path).map_err(|faults| faults.to_string())?;
+        let read = OperatorConfig::read(path).map_err(|faults| faults.to_string())?;
         let mut changes = Changes::default();
         changes.fixed("the NATS front", file.is_some() == read.nats.is_some());
         changes.fixed("admin", others.admin == read.admin);
@@ -172,21 +172,21 @@
             *old = taken.clone();
             cores
                 .iter()
-                .for_each(|(_, core)| core.tell(Event::Door(taken.clone())));
+                .for_each(|(_, core)| core.send(CoreInput::AdmissionConfigured(taken.clone())));
             changes.taken.push("admission".into());
         }
         let (Some(new), Some(file)) = (read.nats, file) else {
             return Ok(changes);
         };
-        match (&new.farm, &file.farm, target) {
+        match (&new.endpoints, &file.endpoints, target) {
             (new, old, _) if new == old => {}
-            (FarmSource::Discovery(discovery), _, Some(target)) => {
+            (EndpointSource::Discovery(discovery), _, Some(target)) => {
                 changes.discovery(target, *discovery)
             }
-            (FarmSource::Servers(_), FarmSource::Servers(_), _) => {
+            (EndpointSource::Servers(_), EndpointSource::Servers(_), _) => {
                 *farms += 1;
                 if let Some((_, core)) = cores.iter().find(|(front, _)| *front == "nats") {
-                    core.tell_of_servers(News::List(new.farm.list(1 + *farms)));
+                    core.send_discovery(DiscoveryEvent::List(new.endpoints.list(1 + *farms)));
                 }
                 changes.taken.push("farm".into());
             }
@@ -199,10 +199,10 @@
         changes.fixed("store", file.store == new.store);
         changes.fixed("settings", file.settings == new.settings);
         if !changes.restart.contains(&"farm") {
-            let is_new = file.farm != new.farm;
-            file.farm = new.farm;
+            let is_new = file.endpoints != new.endpoints;
+            file.endpoints = new.endpoints;
             if let Some(way) = fleet.as_ref().filter(|_| is_new) {
-                way.routes(&file.settings, &file.farm);
+                way.set_endpoint_source(&file.settings, &file.endpoints);
             }
         }
         file.sockets = new.sockets;
@@ -210,7 +210,7 @@
     }
 }
 
-/// What a file says that did not stand.
+/// Differences between two files.
 #[derive(Default)]
 struct Changes {
     taken: Vec<String>,
@@ -218,27 +218,32 @@
 }
 
 impl Changes {
-    fn discovery(&mut self, target: &Target, to: SocketAddr) {
+    fn discovery(&mut self, target: &DiscoveryAddress, to: SocketAddr) {
         target.move_to(to);
         self.taken.push(format!("discovery at {to}"));
     }
 
-    fn sockets(&mut self, sockets: &Sockets, (old, new): (usize, usize)) {
+    fn sockets(&mut self, sockets: &SharedLimit, (old, new): (usize, usize)) {
         if new != old {
             sockets.store(new, Ordering::Relaxed);
             self.taken.push(format!("{new} sockets"));
         }
     }
 
-    /// Addresses of peers, the operator's word on the uplink and the configuration's number are taken over.
-    fn fleet(&mut self, way: Option<&Way>, old: &mut Option<Fleet>, new: Option<Fleet>) {
+    /// Applies the addresses of peers, the uplink mode and the serial number.
+    fn fleet(
+        &mut self,
+        way: Option<&Way>,
+        old: &mut Option<FleetConfig>,
+        new: Option<FleetConfig>,
+    ) {
         let (Some(way), Some(old), Some(new)) = (way, old.as_mut(), new.as_ref()) else {
             return self.fixed("fleet", old.is_none() && new.is_none());
         };
         let mut taken = Vec::new();
         for (name, same) in [
             ("fleet.peers", old.peers == new.peers),
-            ("edge.word", old.edge.word == new.edge.word),
+            ("edge.word", old.edge.mode == new.edge.mode),
             (
                 "affinity.serial",
                 old.affinity.serial == new.affinity.serial,
@@ -247,16 +252,16 @@
             taken.extend((!same).then(|| name.to_owned()));
         }
         if !taken.is_empty() {
-            way.follow(new.clone());
+            way.reconfigure(new.clone());
             self.taken.append(&mut taken);
         }
         old.peers.clone_from(&new.peers);
-        (old.edge.word, old.affinity.serial) = (new.edge.word, new.affinity.serial);
+        (old.edge.mode, old.affinity.serial) = (new.edge.mode, new.affinity.serial);
         self.fixed("memory", old.memory == new.memory);
         self.fixed("edge", old.edge == new.edge);
         self.fixed("affinity", old.affinity == new.affinity);
-        let of_its_own = |fleet: &Fleet| {
-            let Fleet {
+        let of_its_own = |fleet: &FleetConfig| {
+            let FleetConfig {
                 name,
                 site,
                 listen,
@@ -265,17 +270,17 @@
                 previous_key_file,
                 ..
             } = fleet.clone();
-            let Fleet {
+            let FleetConfig {
                 size,
                 site_size,
                 other_sites,
-                borne,
+                clients_per_server_s,
                 clients,
                 ..
             } = fleet.clone();
             (
                 (name, site, listen, advertise, key_file, previous_key_file),
-                (size, site_size, other_sites, borne, clients),
+                (size, site_size, other_sites, clients_per_server_s, clients),
             )
         };
         self.fixed("fleet", of_its_own(old) == of_its_own(new));
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -1,4 +1,4 @@
-//! The program as a whole: which fronts run, with what cores, and until when.
+//! The program as a whole: its fronts, cores and threads.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -7,72 +7,79 @@
 use std::time::{Duration, Instant};
 
 use beaconflow_overrides::Set;
-use beaconflow_settings::Setup;
+use beaconflow_settings::SiteSettings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGXFSZ};
 use signal_hook::iterator::Signals;
 use tracing::{info, warn};
 
 use crate::admin::Admin;
 use crate::clock::Clock;
-use crate::config::{Config, SharedSettings};
-use crate::core::lifecycle::Word;
-use crate::core::{self, Asker, DoorConfig, Event, Handle, Start, Tie};
-use crate::farm::{News, Target, Watcher};
+use crate::config::{PlatformConfig, SharedSettings};
+use crate::connections;
+use crate::connections::descriptors::Descriptors;
+use crate::core::lifecycle::LifecycleCommand;
+use crate::core::{
+    self, CoreConfig, CoreHandle, CoreInput, DoorConfig, FleetLinkConfig, LoadProber,
+};
+use crate::discovery::{DiscoveryAddress, DiscoveryEvent, Watcher};
 use crate::fleet::{self, Way};
 use crate::front::Front as _;
 use crate::front::nats::Nats as Front;
 use crate::front::nats::tenants::Tenants;
 use crate::front::platform::Platform;
-use crate::handover::Place;
+use crate::handover::HandoverAddress;
 use crate::inherited;
 use crate::net::{self, Listener};
 use crate::operations;
-use crate::operator::{self, FarmSource, Nats, Operator};
-use crate::overrides::{self, Keeper, NamedCore};
+use crate::operator::{self, EndpointSource, NatsConfig, OperatorConfig};
+use crate::overrides::{self, NamedCore, OverrideManager};
 use crate::prober::Prober;
-use crate::reload::{Reload, Sockets};
+use crate::reload::{Reload, SharedLimit};
 use crate::signals;
-use crate::stages;
-use crate::stages::budget::Descriptors;
 
-/// The agent's first word is waited for so long: it comes at once, or discovery is down.
-const FIRST_WORD: Duration = Duration::from_millis(200);
-/// Connections that still linger when the core has left are waited for so long.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// Time to wait for the agent's first list, which arrives at once unless discovery is down.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time to wait for lingering connections after the core has stopped.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A front that serves: the way to its core, and the thread to wait for.
-struct Serving {
+/// A running front.
+struct RunningFront {
     front: &'static str,
-    core: Handle,
+    core: CoreHandle,
     thread: JoinHandle<()>,
-    /// The way to the fleet's thread, where a fleet is set up.
+    /// The fleet thread, where a fleet is configured.
     fleet: Option<Way>,
 }
 
-/// What every core is started with.
+/// Configuration that all cores share.
 #[derive(Clone, Copy)]
-struct Given<'a> {
+struct SharedCoreConfig<'a> {
     clock: Clock,
     overrides: &'a Set,
-    door: &'a DoorConfig,
-    fleet: Option<&'a operator::Fleet>,
+    admission: &'a DoorConfig,
+    fleet: Option<&'a operator::FleetConfig>,
 }
 
-/// What the rest of the program shares with the NATS front.
-struct NatsParts {
+/// State of the NATS front that the administration API uses.
+struct NatsState {
     tenants: Arc<Tenants>,
-    setup: Arc<Setup>,
-    target: Option<Target>,
-    sockets: Sockets,
+    setup: Arc<SiteSettings>,
+    target: Option<DiscoveryAddress>,
+    sockets: SharedLimit,
 }
 
-/// Serves until the program is told to leave. Without an operator's file it is the platform's balancer.
-pub fn serve(operator: Option<(PathBuf, Operator)>) -> Result<(), String> {
+/// Runs the program until it is shut down. Without an operator's file it is the platform's
+/// balancer.
+///
+/// # Errors
+///
+/// Fails if the configuration has errors, or an address, file or thread is not available.
+pub fn serve(operator: Option<(PathBuf, OperatorConfig)>) -> Result<(), String> {
     let inherited = inherited::take()?;
     let clock = Clock::start();
     let mut caught =
         Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| format!("signals: {error}"))?;
-    // Guards against a limit on the size of files that would end the program: the write fails instead.
+    // A write beyond the file size limit fails instead of ending the program.
     signal_hook::flag::register(SIGXFSZ, Arc::default())
         .map_err(|error| format!("signals: {error}"))?;
     let on_platform = std::env::var_os("LB_CONFIG").is_some();
@@ -90,7 +97,7 @@
             "fleet: stands beside one front, and both LB_CONFIG and a NATS front are set".into(),
         );
     }
-    // Overrides come before the cores: none of them places anything before it knows them.
+    // Overrides are restored before a core places anything.
     let restored = operator
         .as_ref()
         .filter(|(_, operator)| operator.admin.is_some());
@@ -104,21 +111,21 @@
         .map(|(_, operator)| operator.admission.clone())
         .unwrap_or_default();
     let (mut serving, mut reloads) = (Vec::new(), Vec::new());
-    let given = Given {
+    let given = SharedCoreConfig {
         clock,
         overrides: &set,
-        door: &door,
+        admission: &door,
         fleet: fleet.as_ref(),
     };
-    // The platform starts a balancer without a word; an operator's file may stand alone.
+    // The platform starts a balancer without arguments; an operator's file may be used alone.
     let config = if operator.is_none() || on_platform {
-        Some(Config::read()?)
+        Some(PlatformConfig::read()?)
     } else {
         None
     };
-    // Before a client is accepted: a program that can't have its port ends, and must not have taken clients from a
-    // process that serves on the same listener.
-    let operations = Config::operations(config.as_ref())?
+    // The port is bound before a client is accepted: a program that fails must not have taken
+    // clients from a process on the same listener.
+    let operations = PlatformConfig::operations_address(config.as_ref())?
         .map(listen)
         .transpose()?;
     if let Some(config) = config {
@@ -139,12 +146,12 @@
             .map(|front| (front.front, front.core.clone()))
             .collect();
         if let (Some(admin), Some(restored)) = (&operator.admin, restored) {
-            let keeper = Arc::new(Keeper::new(
+            let keeper = Arc::new(OverrideManager::new(
                 restored,
                 cores.clone(),
                 clock,
                 operator.overrides.limits,
-                Box::new(overrides::wall),
+                Box::new(overrides::wall_clock_ms),
             ));
             start_admin(admin, &keeper, &cores, (nats.as_ref(), fleet.clone()))?;
             spawn("overrides", move || keeper.run())?;
@@ -165,7 +172,7 @@
             farms: 0,
         });
     }
-    let told: Vec<Handle> = serving.iter().map(|front| front.core.clone()).collect();
+    let told: Vec<CoreHandle> = serving.iter().map(|front| front.core.clone()).collect();
     if let Some(listener) = operations {
         let operations = operations::listen(listener, told.clone());
         let operations = operations.map_err(|error| format!("operations port: {error}"))?;
@@ -173,8 +180,12 @@
     }
     spawn("signals", move || {
         let leave = || {
-            told.iter()
-                .for_each(|core| core.tell(Event::Told(Word::Leave, None)))
+            told.iter().for_each(|core| {
+                core.send(CoreInput::LifecycleCommanded(
+                    LifecycleCommand::ShutDown,
+                    None,
+                ))
+            })
         };
         signals::follow(
             &mut caught,
@@ -182,9 +193,9 @@
             leave,
         );
     })?;
-    for Serving { core, thread, .. } in serving {
+    for RunningFront { core, thread, .. } in serving {
         thread.join().map_err(|_| "the core panicked".to_owned())?;
-        let until = Instant::now() + LAST_WORDS;
+        let until = Instant::now() + LINGER_TIMEOUT;
         while core.connections() > 0 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -193,13 +204,13 @@
     Ok(())
 }
 
-impl Given<'_> {
-    /// Sets up the fleet that the operator's file tells of, and what ties a core to it.
-    fn join(
+impl SharedCoreConfig<'_> {
+    /// Prepares the configured fleet and the link of a core to it.
+    fn prepare_fleet(
         self,
-        setup: &Setup,
-        farm: Option<&FarmSource>,
-    ) -> Result<(Option<fleet::Fleet>, Option<Tie>), String> {
+        setup: &SiteSettings,
+        farm: Option<&EndpointSource>,
+    ) -> Result<(Option<fleet::PreparedFleet>, Option<FleetLinkConfig>), String> {
         let fleet = self
             .fleet
             .map(|file| fleet::prepare(file.clone(), (setup, farm), self.clock))
@@ -209,49 +220,49 @@
 }
 
 fn start_platform(
-    file: Config,
+    file: PlatformConfig,
     inherited: Option<TcpListener>,
-    given: Given<'_>,
-) -> Result<(Serving, Reload), String> {
-    let config = file.clone().overruled()?;
-    let (watcher, watch) = Watcher::new(config.discovery, config.known.version());
+    given: SharedCoreConfig<'_>,
+) -> Result<(RunningFront, Reload), String> {
+    let config = file.clone().with_environment()?;
+    let (watcher, discovery_polls) = Watcher::new(config.discovery, config.cached_list.version());
     let target = watcher.target();
     let seed = config.seed();
-    let setup = config.settings;
-    if !setup.counts_balancers() {
+    let site = config.settings;
+    if !site.has_balancer_count() {
         warn!(
             part = "main",
             "settings.balancers is missing: this one keeps the allowances of all for itself"
         );
     }
-    let settings = SharedSettings::new(setup.clone());
+    let settings = SharedSettings::new(site.clone());
     let front = Arc::new(Platform::new(settings.clone()));
-    let (known, clock, overrides, door) = (
-        config.known,
+    let (cached_list, clock, overrides, admission) = (
+        config.cached_list,
         given.clock,
         given.overrides.clone(),
-        given.door.clone(),
+        given.admission.clone(),
     );
-    let (fleet, tie) = given.join(&setup, None)?;
-    let question = front.load_question().filter(|_| setup.may_probe());
+    let (fleet, tie) = given.prepare_fleet(&site, None)?;
+    let question = front.load_probe().filter(|_| site.can_probe());
     let asked = settings.clone();
-    let patience = move || asked.now().setup().probe_patience();
+    let patience = move || asked.current().setup().probe_timeout();
     let prober = question
         .map(|question| Prober::new(question, patience))
         .transpose();
-    let (prober, asker) = prober.map_err(|error| format!("prober: {error}"))?.unzip();
-    let asker = asker.map(|asker| Box::new(asker) as Box<dyn Asker>);
-    let probes = setup.may_probe();
-    let start = Start {
+    let (prober, prober_handle) = prober.map_err(|error| format!("prober: {error}"))?.unzip();
+    let prober_handle = prober_handle.map(|handle| Box::new(handle) as Box<dyn LoadProber>);
+    let probes = site.can_probe();
+    let start = CoreConfig {
         name: "core",
-        setup,
+        site,
         seed,
         clock,
-        known,
-        watch,
-        asker,
+        cached_list,
+        discovery_polls,
+        prober: prober_handle,
         overrides,
-        door,
+        admission,
         fleet: tie,
     };
     let (core, thread) = start_core(start, Some(watcher))?;
@@ -262,21 +273,21 @@
         }
         None => listen(config.listen)?,
     };
-    let shared = listener.shared;
-    let sockets = Sockets::new(config.limits.sockets.into());
+    let shared = listener.is_shared;
+    let sockets = SharedLimit::new(config.limits.sockets.into());
     let descriptors = Descriptors::without_probes(Arc::clone(&sockets), shared);
     if let Some(prober) = prober {
         let (told, parts) = (core.clone(), descriptors.clone());
-        let held = Arc::clone(&descriptors.probes);
-        let prober = prober.within(held, move || parts.room_for_probes(told.connections()));
+        let held = Arc::clone(&descriptors.probe_connections);
+        let prober = prober.with_limit(held, move || parts.max_probes(told.connections()));
         let told = core.clone();
         spawn("prober", move || {
-            prober.run(|server, answer| told.tell(Event::Probed(server, answer)))
+            prober.run(|server, answer| told.send(CoreInput::ProbeAnswered(server, answer)))
         })?;
     }
-    // Only processes that share the clients' listener take one another's place.
+    // Only processes that share the listener replace one another.
     let folder = std::env::var_os("TMPDIR").filter(|_| shared);
-    let place = folder.map(|folder| Place::of(Path::new(&folder), &config.name));
+    let place = folder.map(|folder| HandoverAddress::new(Path::new(&folder), &config.name));
     start_front(front, (listener, place), descriptors, &core)?;
     info!(part = "main", front = "platform", name = config.name, on = %config.listen, shared, "serves");
     let reload = Reload::Platform {
@@ -289,7 +300,7 @@
         fleet: fleet.is_some(),
     };
     Ok((
-        Serving {
+        RunningFront {
             front: "platform",
             core,
             thread,
@@ -299,32 +310,35 @@
     ))
 }
 
-fn start_nats(nats: &Nats, given: Given<'_>) -> Result<(Serving, NatsParts), String> {
+fn start_nats(
+    nats: &NatsConfig,
+    given: SharedCoreConfig<'_>,
+) -> Result<(RunningFront, NatsState), String> {
     let setup = Arc::new(nats.settings.clone());
     let tenants = Arc::new(Tenants::new(
         &nats.store.url,
         Duration::from_millis(nats.store.fresh_ms),
     )?);
-    let (watcher, watch) = match nats.farm {
-        FarmSource::Discovery(address) => {
+    let (watcher, discovery_polls) = match nats.endpoints {
+        EndpointSource::Discovery(address) => {
             let (watcher, watch) = Watcher::new(address, 0);
             (Some(watcher), watch)
         }
-        FarmSource::Servers(_) => (None, crossbeam_channel::unbounded().0),
+        EndpointSource::Servers(_) => (None, crossbeam_channel::unbounded().0),
     };
     let target = watcher.as_ref().map(Watcher::target);
-    let (clock, seed, known) = (given.clock, given.clock.now(), nats.farm.list(1));
-    let (fleet, tie) = given.join(&setup, Some(&nats.farm))?;
-    let start = Start {
+    let (clock, seed, cached_list) = (given.clock, given.clock.now(), nats.endpoints.list(1));
+    let (fleet, tie) = given.prepare_fleet(&setup, Some(&nats.endpoints))?;
+    let start = CoreConfig {
         name: "nats-core",
-        setup: Setup::clone(&setup),
+        site: SiteSettings::clone(&setup),
         seed,
         clock,
-        known,
-        watch,
-        asker: None,
+        cached_list,
+        discovery_polls,
+        prober: None,
         overrides: given.overrides.clone(),
-        door: given.door.clone(),
+        admission: given.admission.clone(),
         fleet: tie,
     };
     let (core, thread) = start_core(start, watcher)?;
@@ -335,18 +349,18 @@
         Arc::clone(&tenants),
         nats.wire,
     ));
-    let sockets = Sockets::new(nats.sockets.into());
+    let sockets = SharedLimit::new(nats.sockets.into());
     let descriptors = Descriptors::without_probes(Arc::clone(&sockets), false);
     start_front(front, (listen(nats.listen)?, None), descriptors, &core)?;
     info!(part = "main", front = "nats", name = nats.name, on = %nats.listen, "serves");
     Ok((
-        Serving {
+        RunningFront {
             front: "nats",
             core,
             thread,
             fleet,
         },
-        NatsParts {
+        NatsState {
             tenants,
             setup,
             target,
@@ -355,12 +369,12 @@
     ))
 }
 
-/// Serves the administration API, and keeps the overrides.
+/// Starts the administration API.
 fn start_admin(
-    admin: &operator::Admin,
-    keeper: &Arc<Keeper>,
+    admin: &operator::AdminConfig,
+    keeper: &Arc<OverrideManager>,
     cores: &[NamedCore],
-    (nats, fleet): (Option<&NatsParts>, Option<Way>),
+    (nats, fleet): (Option<&NatsState>, Option<Way>),
 ) -> Result<(), String> {
     let listener = net::listen(admin.listen)
         .map_err(|error| format!("listen on {}: {error}", admin.listen))?;
@@ -377,46 +391,52 @@
     Ok(())
 }
 
-/// Starts a core and its watch. Where lists are pushed, the agent's first word is waited for: what it holds counts as
-/// told from the first moment of a process, and the known list may be older.
-fn start_core(start: Start, watcher: Option<Watcher>) -> Result<(Handle, JoinHandle<()>), String> {
-    let pushed = start.setup.is_pushed();
+/// Starts a core and its watch. Where lists are pushed, waits for the agent's first list, which
+/// counts as known from the start.
+fn start_core(
+    start: CoreConfig,
+    watcher: Option<Watcher>,
+) -> Result<(CoreHandle, JoinHandle<()>), String> {
+    let pushed = start.site.is_pushed();
     let (core, thread) = core::start(start).map_err(|error| format!("settings: {error}"))?;
     let Some(watcher) = watcher else {
         return Ok((core, thread));
     };
-    let watcher = if pushed { watcher.of_agent() } else { watcher };
+    let watcher = if pushed { watcher.for_agent() } else { watcher };
     let (told, (heard, first)) = (core.clone(), crossbeam_channel::bounded(1));
     spawn("farm", move || {
         watcher.run(|news| {
-            let is_word = matches!(news, News::List(_));
-            told.tell_of_servers(news);
+            let is_word = matches!(news, DiscoveryEvent::List(_));
+            told.send_discovery(news);
             if is_word {
-                // Only the first is waited for.
+                // Only the first one is waited for.
                 let _ = heard.try_send(());
             }
         });
     })?;
-    if pushed && first.recv_timeout(FIRST_WORD).is_err() {
-        info!(part = "farm", "nothing new is told; the known list serves");
+    if pushed && first.recv_timeout(FIRST_LIST_TIMEOUT).is_err() {
+        info!(
+            part = "discovery",
+            "nothing new is told; the known list serves"
+        );
     }
     Ok((core, thread))
 }
 
 fn start_front<F: crate::front::Front>(
     front: Arc<F>,
-    (listener, place): (Listener, Option<Place>),
+    (listener, place): (Listener, Option<HandoverAddress>),
     descriptors: Descriptors,
-    core: &Handle,
+    core: &CoreHandle,
 ) -> Result<(), String> {
     let core = core.clone();
-    let desk = stages::transactions::serve(&front, &core, place.clone());
+    let desk = connections::event_loop::serve(&front, &core, place.clone());
     let desk = desk.map_err(|error| format!("transactions: {error}"))?;
     if let Some(place) = place {
         let (core, desk) = (core.clone(), desk.clone());
-        // Whoever gives one has closed it by then: it is taken over however many there are.
-        let taken = place.take(move |given| {
-            if let Some(counted) = core.count_in(usize::MAX) {
+        // The sender has closed its sockets; the connection is taken over whatever the limit.
+        let taken = place.receive(move |given| {
+            if let Some(counted) = core.reserve_connection(usize::MAX) {
                 desk.take_over(given, counted);
             }
         });
@@ -425,9 +445,9 @@
         }
     }
     spawn("take-in", move || {
-        // Guards against a program that says yes and hears nobody.
-        let _listens = Listens::begin(&core);
-        stages::take_in::listen(&front, &listener, (&core, &descriptors), &desk);
+        // The process must not be ready without an acceptor.
+        let _listens = ListeningGuard::start(&core);
+        connections::acceptor::listen(&front, &listener, (&core, &descriptors), &desk);
     })
 }
 
@@ -435,19 +455,25 @@
     Listener::bound(on).map_err(|error| format!("listen on {on}: {error}"))
 }
 
-/// The core knows that the listener is served for as long as this lives.
-struct Listens(Handle);
+/// Tells the core that the listener is served, while this lives.
+struct ListeningGuard(CoreHandle);
 
-impl Listens {
-    fn begin(core: &Handle) -> Listens {
-        core.tell(Event::Told(Word::Listens(true), None));
-        Listens(core.clone())
+impl ListeningGuard {
+    fn start(core: &CoreHandle) -> ListeningGuard {
+        core.send(CoreInput::LifecycleCommanded(
+            LifecycleCommand::SetListening(true),
+            None,
+        ));
+        ListeningGuard(core.clone())
     }
 }
 
-impl Drop for Listens {
+impl Drop for ListeningGuard {
     fn drop(&mut self) {
-        self.0.tell(Event::Told(Word::Listens(false), None));
+        self.0.send(CoreInput::LifecycleCommanded(
+            LifecycleCommand::SetListening(false),
+            None,
+        ));
     }
 }
 
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -1,4 +1,4 @@
-//! What the program does on a signal: it reads its files anew, or it leaves.
+//! Signals: reload or shutdown.
 
 #[cfg(test)]
 mod tests;
@@ -8,9 +8,8 @@
 use signal_hook::consts::SIGHUP;
 use tracing::{error, info};
 
-/// Follows signals as they come, for as long as there are any. SIGHUP reads the files anew, unless the program leaves
-/// already; each other signal has it leave. A panic in a reload costs that reload alone. Guards against a program that
-/// follows no signal any more and is killed with all its clients.
+/// Handles signals as they come. SIGHUP reloads the configuration, unless the program is shutting
+/// down; every other signal shuts it down. A panic in a reload costs that reload alone.
 pub fn follow(signals: impl IntoIterator<Item = i32>, mut reload: impl FnMut(), leave: impl Fn()) {
     let mut leaving = false;
     for signal in signals {
@@ -20,7 +19,11 @@
         } else if leaving {
             info!(part = "reload", "left out: the program is leaving");
         } else if catch_unwind(AssertUnwindSafe(&mut reload)).is_err() {
-            error!(part = "reload", why = "it panicked", "what stands is kept");
+            error!(
+                part = "reload",
+                why = "it panicked",
+                "present configuration kept"
+            );
         }
     }
 }
--- a/crates/balancer/src/testing.rs
+++ b/crates/balancer/src/testing.rs
@@ -4,7 +4,8 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// A listener whose queue one connection fills: the system drops what else would connect, which so goes on trying.
+/// A listener whose queue one connection fills; the system drops other connects, which keep
+/// retrying.
 pub fn full_listener() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/balancer/tests/keeper.rs
+++ b/crates/balancer/tests/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use beaconflow_balancer::clock::Clock;
-use beaconflow_balancer::overrides::{Config, Keeper, Refused, restore};
+use beaconflow_balancer::overrides::{OverrideError, OverrideManager, OverridesConfig, restore};
 use beaconflow_overrides::{Draft, Id, Kind, Limits, Millis, Override};
 use beaconflow_store::{OverrideStore, StoreError};
 
@@ -36,9 +36,9 @@
         }
     }
 
-    fn config(&self) -> Config {
+    fn config(&self) -> OverridesConfig {
         let file = Some(self.folder.path().join("overrides.redb"));
-        Config {
+        OverridesConfig {
             file,
             limits: Limits {
                 ramp: 100,
@@ -51,13 +51,13 @@
         self.clock.now() / 1_000_000
     }
 
-    fn keeper(&self) -> Keeper {
+    fn keeper(&self) -> OverrideManager {
         let config = self.config();
         let (clock, wall) = (self.clock, self.wall.clone());
         let read =
             move || (clock.now() / 1_000_000).saturating_add_signed(wall.0.load(Ordering::Relaxed));
         let restored = restore(&config, self.clock);
-        Keeper::new(
+        OverrideManager::new(
             restored,
             Vec::new(),
             self.clock,
@@ -88,25 +88,27 @@
         let long = keeper
             .add(desk.draft("long", 600_000), false, None)
             .expect("kept")
-            .shown;
+            .view;
         let short = keeper
             .add(desk.draft("short", 300), false, None)
             .expect("kept")
-            .shown;
+            .view;
         desk.wall.step_to(ahead);
-        keeper.look_after();
+        keeper.run_due_tasks();
         // The two clocks are not read in one instant: a millisecond may begin between them.
         let said = keeper.wall_ahead();
         assert!(said.abs_diff(ahead) < 1_000, "{said} is said of {ahead}");
-        let seen = keeper.get(long.one.id).expect("it holds on");
-        assert!(seen.remaining <= long.remaining && seen.remaining + 5_000 > long.remaining);
+        let seen = keeper.get(long.record.id).expect("it holds on");
+        assert!(
+            seen.remaining_ms <= long.remaining_ms && seen.remaining_ms + 5_000 > long.remaining_ms
+        );
         // People see it end by the clock that they read.
         assert_eq!(
-            seen.one.expires_at,
-            long.one.expires_at.saturating_add_signed(said)
+            seen.record.expires_at,
+            long.record.expires_at.saturating_add_signed(said)
         );
         std::thread::sleep(Duration::from_millis(310));
-        assert!(keeper.get(short.one.id).is_none(), "its span is over");
+        assert!(keeper.get(short.record.id).is_none(), "its span is over");
         // What is on the disk ends at the same moment, by the wall clock as it is after a restart.
         drop(keeper);
         let (store, contents) =
@@ -114,16 +116,18 @@
         let kept = contents
             .overrides
             .iter()
-            .find(|one| one.id == long.one.id)
+            .find(|one| one.id == long.record.id)
             .expect("kept");
-        assert_eq!(kept.expires_at, seen.one.expires_at);
+        assert_eq!(kept.expires_at, seen.record.expires_at);
         drop(store);
         // The next program reads the stepped clock at its start, so that it is not ahead of itself.
         desk.wall.step_to(0);
         let mut store = beaconflow_store::open(&desk.config().file.expect("set"))
             .expect("free")
             .0;
-        store.forget(&[long.one.id, short.one.id]).expect("durable");
+        store
+            .forget(&[long.record.id, short.record.id])
+            .expect("durable");
     }
 }
 
@@ -132,20 +136,20 @@
     let desk = Desk::new();
     let keeper = desk.keeper();
     desk.wall.step_to(HOUR);
-    keeper.look_after();
+    keeper.run_due_tasks();
     // Ten minutes from now, as a person reads it off the stepped clock.
     let given = desk.now() + HOUR as Millis + 600_000;
     let draft = Draft {
         expires_at: keeper.from_wall(given),
         ..desk.draft("s", 1)
     };
-    let shown = keeper.add(draft, false, None).expect("kept").shown;
+    let shown = keeper.add(draft, false, None).expect("kept").view;
     assert!(
-        shown.remaining <= 600_000 && shown.remaining > 590_000,
+        shown.remaining_ms <= 600_000 && shown.remaining_ms > 590_000,
         "{}",
-        shown.remaining
+        shown.remaining_ms
     );
-    assert!(shown.one.expires_at.abs_diff(given) < 1_000);
+    assert!(shown.record.expires_at.abs_diff(given) < 1_000);
 }
 
 /// A store that fails when it is told to, and counts what it was given.
@@ -176,35 +180,35 @@
     let (desk, store) = (Desk::new(), Failing::default());
     let limits = Limits::default();
     let restored =
-        beaconflow_balancer::overrides::Restored::kept_in(Box::new(store.clone()), limits);
-    let keeper = Keeper::new(restored, Vec::new(), desk.clock, limits, Box::new(|| 0));
+        beaconflow_balancer::overrides::RestoredOverrides::empty(Box::new(store.clone()), limits);
+    let keeper = OverrideManager::new(restored, Vec::new(), desk.clock, limits, Box::new(|| 0));
     let held = keeper
         .add(desk.draft("a", 60_000), false, None)
         .expect("kept")
-        .shown;
+        .view;
     store.0.lock().expect("sound").0 = true;
     assert!(matches!(
         keeper.add(desk.draft("b", 60_000), false, None),
-        Err(Refused::Store(_))
+        Err(OverrideError::Store(_))
     ));
     assert!(matches!(
-        keeper.remove(held.one.id, None),
-        Err(Refused::Store(_))
+        keeper.remove(held.record.id, None),
+        Err(OverrideError::Store(_))
     ));
     assert!(matches!(
-        keeper.extend(held.one.id, desk.now() + 90_000, None),
-        Err(Refused::Store(_))
+        keeper.extend(held.record.id, desk.now() + 90_000, None),
+        Err(OverrideError::Store(_))
     ));
     let all = keeper.list();
-    assert_eq!((all.len(), all[0].one.revision), (1, 1));
+    assert_eq!((all.len(), all[0].record.revision), (1, 1));
     // Once there is room again, all goes on.
     store.0.lock().expect("sound").0 = false;
     assert_eq!(
         keeper
-            .remove(held.one.id, Some(1))
+            .remove(held.record.id, Some(1))
             .expect("kept")
-            .shown
-            .one
+            .view
+            .record
             .revision,
         2
     );
@@ -237,20 +241,20 @@
 #[test]
 fn without_a_store_none_are_taken_and_it_is_said_why() {
     let desk = Desk::new();
-    let config = Config {
+    let config = OverridesConfig {
         file: None,
         limits: Limits::default(),
     };
-    let keeper = Keeper::new(
+    let keeper = OverrideManager::new(
         restore(&config, desk.clock),
         Vec::new(),
         desk.clock,
         config.limits,
         Box::new(|| 0),
     );
-    assert!(!keeper.about().kept);
+    assert!(!keeper.about().is_persistent);
     match keeper.add(desk.draft("a", 60_000), false, None) {
-        Err(Refused::NoStore(why)) => assert!(why.contains("no store is set"), "{why}"),
+        Err(OverrideError::NoStore(why)) => assert!(why.contains("no store is set"), "{why}"),
         other => panic!("{other:?}"),
     }
 }
@@ -275,15 +279,15 @@
     assert_eq!(keeper.list().len(), 10_000);
     assert!(matches!(
         keeper.add(desk.draft("one more", 60_000), false, None),
-        Err(Refused::Full(10_000))
+        Err(OverrideError::Full(10_000))
     ));
     keeper.remove(Id(5_000), None).expect("kept");
     assert_eq!(
         keeper
             .add(desk.draft("one more", 60_000), false, None)
             .expect("kept")
-            .shown
-            .one
+            .view
+            .record
             .id,
         Id(10_001)
     );
--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -9,7 +9,7 @@
 use crate::args::To;
 
 /// A call takes no longer than this.
-const PATIENCE: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Where the token may stand, other than in a file.
 const TOKEN_VARIABLE: &str = "BEACONFLOW_TOKEN";
 
@@ -70,7 +70,7 @@
             })?,
         };
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(false)
             .proxy(None)
             .build();
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use beaconflow_balancer::log;
-use beaconflow_balancer::operator::Operator;
+use beaconflow_balancer::operator::OperatorConfig;
 use beaconflow_balancer::serve;
 use clap::{CommandFactory, Parser};
 use serde_json::{Value, json};
@@ -55,7 +55,7 @@
 
 fn serving(operator: Option<&Path>) -> ExitCode {
     let read =
-        operator.map(|path| Operator::read(path).map(|operator| (path.to_owned(), operator)));
+        operator.map(|path| OperatorConfig::read(path).map(|operator| (path.to_owned(), operator)));
     let served = read
         .transpose()
         .map_err(|faults| faults.to_string())
@@ -79,7 +79,7 @@
 
 /// Names every fault of an operator's file.
 fn check(file: &Path, as_json: bool) -> Result<(), Failure> {
-    let faults = Operator::read(file)
+    let faults = OperatorConfig::read(file)
         .err()
         .map(|faults| faults.0)
         .unwrap_or_default();
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -125,8 +125,8 @@
         let piece = std::str::from_utf8(piece).expect("ASCII");
         watch.say(&format!("{:x}\r\n{piece}\r\n", piece.len()));
     }
-    site.program.says("generation=7 kind=Full entries=2");
-    site.program.says("generation=8 kind=Changes entries=0");
+    site.program.says("generation=7 kind=Snapshot entries=2");
+    site.program.says("generation=8 kind=Delta entries=0");
     client.hears("MOVE");
 }
 
@@ -150,7 +150,7 @@
         Duration::ZERO,
         format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
     );
-    program.says("generation=2 kind=Full");
+    program.says("generation=2 kind=Snapshot");
     assert!(
         returned.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -237,7 +237,7 @@
     let mut anew = asked(discovery);
     anew.say(HEAD);
     tell(&mut anew, 4, true, &[("s0", at(&server), "DRAINING")]);
-    site.program.says("generation=4 kind=Full");
+    site.program.says("generation=4 kind=Snapshot");
     assert!(since.elapsed() < SILENT, "{name}: {:?}", since.elapsed());
 }
 
@@ -316,7 +316,7 @@
         false,
         &[("s0", at(&old), "DRAINING"), ("s1", at(&new), "SERVING")],
     );
-    program.says("generation=2 kind=Changes");
+    program.says("generation=2 kind=Delta");
     line.iter().for_each(|_| drop(Peer::accept(&old)));
     assert!(
         Peer::accept(&old).is_gone(),
@@ -356,7 +356,7 @@
     let mut watch = asked(&discovery);
     watch.say(HEAD);
     tell(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
-    program.says("generation=2 kind=Full");
+    program.says("generation=2 kind=Snapshot");
 }
 
 #[test]
@@ -394,7 +394,7 @@
                 let mut watch = asked(&discovery);
                 watch.say(HEAD);
                 tell(&mut watch, 2, false, &[("s0", at(&server), "DRAINING")]);
-                program.says("generation=2 kind=Changes");
+                program.says("generation=2 kind=Delta");
                 assert!(
                     changed.elapsed() < SILENT,
                     "{given}: {:?}",
@@ -423,7 +423,7 @@
     let mut watch = asked(&discovery);
     watch.say(HEAD);
     tell(&mut watch, 2, true, &known);
-    program.says("generation=2 kind=Full");
+    program.says("generation=2 kind=Snapshot");
     let crowd: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(front).expect("its line is long"))
         .collect();
@@ -436,7 +436,7 @@
     let mut watch = asked(&discovery);
     watch.say(HEAD);
     tell(&mut watch, 3, true, &known);
-    program.says("generation=3 kind=Full");
+    program.says("generation=3 kind=Snapshot");
     assert!(gone.elapsed() < SILENT, "{:?}", gone.elapsed());
     let _stands = serves(&server, &mut opened(front, "a1"));
 }
@@ -479,7 +479,7 @@
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
     watch.say(HEAD);
     tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
-    site.program.says("generation=1 kind=Full");
+    site.program.says("generation=1 kind=Snapshot");
     assert!(
         told.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -510,7 +510,7 @@
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
     watch.say(HEAD);
     tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
-    site.program.says("generation=1 kind=Full");
+    site.program.says("generation=1 kind=Snapshot");
     // And back to one that was left before.
     std::fs::write(&site.path, &site.config).expect("the same folder");
     site.program.signal("HUP");
--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -117,7 +117,7 @@
     for well in ["s0", "s1"] {
         assert!(effective(&farm, well).0.contains("ready"), "{farm}");
     }
-    let said = other.program.says("passed over");
+    let said = other.program.says("skipped");
     assert!(
         said.contains("server=s3") || said.contains("server=s2"),
         "{said}"
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -42,7 +42,7 @@
     let (known, openings) = cold(2);
     let fleet = Fleet::of(1, &known, openings);
     let process = fleet.process(0, &fleet.sections_with(0, "borne = 20\nclients = 12", ""));
-    process.program.says("step=Refills");
+    process.program.says("step=StagedAdmission");
     process.program.says("to=serving");
     let mut waits: Vec<(usize, Instant)> = (0..CLIENTS)
         .map(|number| (number, Instant::now()))
@@ -82,7 +82,7 @@
     process.program.signal("STOP");
     std::thread::sleep(STOPPED + Duration::from_secs(1));
     process.program.signal("CONT");
-    process.program.says("step=Woke");
+    process.program.says("step=Resumed");
     process.program.says("to=starting");
     process.program.says("to=serving");
 }
@@ -100,13 +100,13 @@
     std::thread::sleep((TOGETHER + Duration::from_secs(2)).saturating_sub(begun.elapsed()));
     all[0].program.kill();
     all[0] = start(0);
-    let said = all[0].program.says("what went dark");
+    let said = all[0].program.says("extent of the outage");
     assert!(said.contains("scope=alone"), "{said}");
     all[0].program.says("to=serving");
     all.iter_mut().for_each(|process| process.program.kill());
     let all: Vec<Process> = (0..3).map(start).collect();
     for process in &all {
-        let said = process.program.says("what went dark");
+        let said = process.program.says("extent of the outage");
         assert!(said.contains("scope=fleet"), "{said}");
         process.program.says("to=serving");
     }
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -124,7 +124,7 @@
         let mut server = Peer::accept(&site.servers[0]);
         server.hear().expect("an opening");
         server.say("BUSY\r\n");
-        site.program.says("pass ended");
+        site.program.says("attempt ended");
         leaves(client, by_reset);
         drop(server);
         assert_eq!(first_words(&site.servers[0], ALL_DELAYS), None);
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -388,13 +388,13 @@
     site.program
         .says("takes a restart, kept as it was what=wire");
     tell(&mut new.watch(), 1, true, &rows(&[(&only, "SERVING")]));
-    site.program.says("kind=Full");
+    site.program.says("kind=Snapshot");
     old.ended();
     client.say("PING\r\n");
     client.hears("PONG");
     std::fs::write(&site.path, "admin = 1").expect("the same folder");
     site.program.signal("HUP");
-    let kept = site.program.says("what stands is kept");
+    let kept = site.program.says("present configuration kept");
     assert!(!kept.contains(ADMIN_TOKEN), "{kept}");
     site.check();
 }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -340,13 +340,13 @@
     client.hears("A 1");
     let second = site.servers[1].local_addr().expect("bound");
     tell(&mut watch, 1, true, &[("s1", second, "SERVING")]);
-    site.program.says("generation=1 kind=Full");
+    site.program.says("generation=1 kind=Snapshot");
     client.hears("MOVE");
     site.program.signal("HUP");
     site.program.says("nothing has changed");
     std::fs::write(&site.path, "{").expect("the same folder");
     site.program.signal("HUP");
-    site.program.says("what stands is kept");
+    site.program.says("present configuration kept");
     std::fs::write(&site.path, site.config.replace("\"n0\"", "\"n1\"")).expect("the same folder");
     site.program.signal("HUP");
     site.program
--- a/crates/cli/tests/roll.rs
+++ b/crates/cli/tests/roll.rs
@@ -68,14 +68,14 @@
         };
         std::fs::write(&site.path, &spoilt).expect("the same folder");
         site.program.signal("HUP");
-        let said = site.program.says("what stands is kept");
+        let said = site.program.says("present configuration kept");
         assert!(said.contains(why), "{to}: {said}");
     }
     std::fs::remove_file(&site.path).expect("it is there");
     site.program.signal("HUP");
     assert!(
         site.program
-            .says("what stands is kept")
+            .says("present configuration kept")
             .contains("No such file")
     );
     client.say("M 1\r\n");
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -274,10 +274,10 @@
         &format!("{moved}}}"),
     ] {
         reload(&site, half);
-        site.program.says("what stands is kept");
+        site.program.says("present configuration kept");
     }
     reload(&site, &wrong);
-    let said = site.program.says("what stands is kept");
+    let said = site.program.says("present configuration kept");
     for fault in [
         "settings.lanes[0].effect: unknown effect",
         "settings.policy-limits.max-attempts: is missing",
@@ -287,7 +287,7 @@
     }
     std::fs::remove_file(&site.path).expect("it is there");
     site.program.signal("HUP");
-    site.program.says("what stands is kept");
+    site.program.says("present configuration kept");
     // Nothing of any of them holds: not the classes, and not the address.
     site.open("other", "").hears("ERR");
     let (mut again, mut again_server) = site.stand();
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -143,7 +143,7 @@
                 boot: 1,
                 seed: random(),
                 site: "north".into(),
-                configuration: Configuration::default(),
+                peer_configuration: Configuration::default(),
                 seeds: known.to_vec(),
             };
             let keys = Keys::only(Key::new(&[7; SHORTEST_KEY]).expect("long enough"));
--- a/crates/edge/src/machine.rs
+++ b/crates/edge/src/machine.rs
@@ -23,7 +23,7 @@
         /// When discovery last confirmed the list in hand. Its age goes on: a restart makes nothing fresh.
         confirmed_at: Option<Millis>,
         /// The operator's word that held.
-        word: Option<Word>,
+        set_operator_mode: Option<Word>,
     },
 }
 
@@ -81,14 +81,19 @@
             Start::Remembered {
                 state,
                 confirmed_at,
-                word,
+                set_operator_mode,
             } => {
                 let (state, why) = match state {
                     State::Islanded => (State::Islanded, "restarted on the island"),
                     _ => (State::Doubtful, "just started, nothing has answered yet"),
                 };
                 // Guards against a clock that was set back: an age that nobody knows is no age.
-                (state, confirmed_at.filter(|at| *at <= now), word, why)
+                (
+                    state,
+                    confirmed_at.filter(|at| *at <= now),
+                    set_operator_mode,
+                    why,
+                )
             }
         };
         Edge {
--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -139,7 +139,7 @@
     let memory = Start::Remembered {
         state: Islanded,
         confirmed_at,
-        word: None,
+        set_operator_mode: None,
     };
     let mut again = One::start("n1", memory);
     again.edge = Edge::new(
@@ -148,7 +148,7 @@
         Start::Remembered {
             state: Islanded,
             confirmed_at,
-            word: None,
+            set_operator_mode: None,
         },
     );
     again.now = one.now;
@@ -164,7 +164,7 @@
     let memory = Start::Remembered {
         state: Islanded,
         confirmed_at,
-        word: None,
+        set_operator_mode: None,
     };
     assert!(!Edge::new(support::config("n1"), again.now, memory).trusted(again.now));
 }
