--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -6,14 +6,15 @@
 use beaconflow_admission::{Door, Entry, Limits};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{
-    Action, ConnectRequest, Event, Nanos, RequestClass, RequestId, Settings, SettingsError,
+    Action, AttemptEnd, ConnectRequest, Event, Nanos, RequestClass, RequestId, Settings,
+    SettingsError,
 };
 use rustc_hash::FxHashMap;
 
 /// One balancer's decisions, by whatever policy.
-pub trait Decides {
+pub trait BalancerEngine {
     /// A request comes; `account` is its account's place.
-    fn arrives(
+    fn on_connect_requested(
         &mut self,
         now: Nanos,
         arrival: ConnectRequest,
@@ -24,50 +25,50 @@
     /// Anything else happens.
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
     /// Requests that wait at the door.
-    fn waiting(&self) -> usize;
+    fn queued(&self) -> usize;
 }
 
 /// One balancer.
-pub struct Instance {
-    balancer: Balancer,
-    door: Door,
+pub struct Engine {
+    policy: Balancer,
+    queue: Door,
     /// The accounts' shares, by place.
     shares: Vec<f64>,
     /// What the line is told of each request that is owed an answer.
     entries: FxHashMap<u64, Entry>,
 }
 
-impl Instance {
+impl Engine {
     /// A balancer that knows nothing yet.
     pub fn new(
         settings: Settings,
         shares: Vec<f64>,
         limits: Limits,
         seed: u64,
-    ) -> Result<Instance, SettingsError> {
+    ) -> Result<Engine, SettingsError> {
         let urgencies: Vec<f64> = settings
             .classes
             .iter()
             .map(RequestClass::queue_weight)
             .collect();
-        let door = Door::new(&urgencies, limits, seed);
-        let balancer = Balancer::new(settings, seed)?;
-        Ok(Instance {
-            balancer,
-            door,
+        let queue = Door::new(&urgencies, limits, seed);
+        let policy = Balancer::new(settings, seed)?;
+        Ok(Engine {
+            policy,
+            queue,
             shares,
             entries: FxHashMap::default(),
         })
     }
 
-    fn answered(&mut self, request: RequestId) {
-        self.door.leave(request.0);
+    fn remove(&mut self, request: RequestId) {
+        self.queue.leave(request.0);
         self.entries.remove(&request.0);
     }
 }
 
-impl Decides for Instance {
-    fn arrives(
+impl BalancerEngine for Engine {
+    fn on_connect_requested(
         &mut self,
         now: Nanos,
         arrival: ConnectRequest,
@@ -95,21 +96,21 @@
         while let Some(event) = next {
             if let Event::ClientLeft(request)
             | Event::AttemptEstablished { request, .. }
-            | Event::AttemptEnded {
+            | Event::AttemptEnded(AttemptEnd {
                 request,
                 is_final: true,
                 ..
-            } = &event
+            }) = &event
             {
-                self.answered(*request);
+                self.remove(*request);
             }
             let (from, mut gone, mut answered) = (out.len(), Vec::new(), Vec::new());
-            self.balancer.handle(now, event, out);
+            self.policy.handle(now, event, out);
             for action in &out[from..] {
                 match action {
                     Action::Enqueue(request) => {
                         if let Some(entry) = self.entries.get(&request.0) {
-                            self.door.enter(*entry, &mut gone);
+                            self.queue.enter(*entry, &mut gone);
                         }
                     }
                     Action::Reject { request, .. } | Action::Fail(request) => {
@@ -120,10 +121,10 @@
             }
             answered
                 .into_iter()
-                .for_each(|request| self.answered(request));
+                .for_each(|request| self.remove(request));
             for entry in gone {
                 let request = RequestId(entry.id);
-                self.balancer.handle(
+                self.policy.handle(
                     now,
                     Event::QueueRejected {
                         request,
@@ -131,10 +132,10 @@
                     },
                     out,
                 );
-                self.answered(request);
+                self.remove(request);
             }
-            let turn = if self.balancer.has_permits() {
-                self.door.admit()
+            let turn = if self.policy.has_permits() {
+                self.queue.admit()
             } else {
                 None
             };
@@ -142,7 +143,7 @@
         }
     }
 
-    fn waiting(&self) -> usize {
-        self.door.len()
+    fn queued(&self) -> usize {
+        self.queue.len()
     }
 }
--- a/crates/engine/tests/interleavings.rs
+++ b/crates/engine/tests/interleavings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use beaconflow_admission::{Bound, Limits as Queues};
-use beaconflow_engine::{Decides, Instance};
+use beaconflow_engine::{BalancerEngine, Engine};
 use beaconflow_policy::*;
 
 const MS: Nanos = 1_000_000;
@@ -20,15 +20,15 @@
     RetrySafety::Idempotent,
     RetrySafety::NonIdempotent,
     RetrySafety::IdempotencyKey {
-        scope: DedupScope::All,
+        dedup_scope: DedupScope::All,
         window: WINDOW,
     },
     RetrySafety::IdempotencyKey {
-        scope: DedupScope::Zone,
+        dedup_scope: DedupScope::Zone,
         window: WINDOW,
     },
     RetrySafety::IdempotencyKey {
-        scope: DedupScope::Cell,
+        dedup_scope: DedupScope::Cell,
         window: WINDOW,
     },
 ];
@@ -114,7 +114,7 @@
 }
 
 struct World {
-    instance: Instance,
+    instance: Engine,
     chance: Chance,
     now: Nanos,
     requests: BTreeMap<u64, Seen>,
@@ -131,7 +131,7 @@
             },
             ..Queues::default()
         };
-        let instance = Instance::new(settings(), vec![1.0, 2.0], queues, seed).expect("in range");
+        let instance = Engine::new(settings(), vec![1.0, 2.0], queues, seed).expect("in range");
         let (requests, states, timers) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let mut world = World {
             instance,
@@ -188,7 +188,7 @@
                 Action::ProbeServer(_) | Action::WatchServerList | Action::LogOverload(_) => {}
             }
         }
-        assert!(self.instance.waiting() <= MOST_QUEUED);
+        assert!(self.instance.queued() <= MOST_QUEUED);
     }
 
     fn answered(&mut self, id: u64) -> &Seen {
@@ -222,15 +222,15 @@
                 RetrySafety::Idempotent => true,
                 RetrySafety::NonIdempotent => false,
                 RetrySafety::IdempotencyKey {
-                    scope: DedupScope::All,
+                    dedup_scope: DedupScope::All,
                     ..
                 } => in_window,
                 RetrySafety::IdempotencyKey {
-                    scope: DedupScope::Zone,
+                    dedup_scope: DedupScope::Zone,
                     ..
                 } => in_window && one.zone == other.zone,
                 RetrySafety::IdempotencyKey {
-                    scope: DedupScope::Cell,
+                    dedup_scope: DedupScope::Cell,
                     ..
                 } => in_window && one.cell == other.cell,
             });
@@ -259,13 +259,13 @@
         let attempt = seen.attempts - 1;
         let is_final = seen.stands || outcome == AttemptOutcome::Served;
         seen.stands |= is_final;
-        self.tell(Event::AttemptEnded {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt,
             outcome,
             elapsed: now - sent_at,
             is_final,
-        });
+        }));
     }
 
     fn arrive(&mut self) {
@@ -295,7 +295,7 @@
         };
         let (account, mut actions) = (self.chance.below(2) as usize, Vec::new());
         self.instance
-            .arrives(self.now, arrival, account, false, &mut actions);
+            .on_connect_requested(self.now, arrival, account, false, &mut actions);
         self.follow(actions);
     }
 
@@ -414,11 +414,11 @@
         let mut world = World::new(seed);
         for _ in 0..300 {
             world.step();
-            queued += usize::from(world.instance.waiting() > 0);
+            queued += usize::from(world.instance.queued() > 0);
         }
         world.pass(2 * SECOND);
         assert_eq!(
-            world.instance.waiting(),
+            world.instance.queued(),
             0,
             "seed {seed}: nobody waits for ever"
         );
--- a/crates/fault-injection/tests/rules.rs
+++ b/crates/fault-injection/tests/rules.rs
@@ -202,7 +202,7 @@
         [Rule::Cold]
     );
     assert_eq!(broken(&[(1, process(Did::Ended(false)))]), [Rule::Crash]);
-    let line = serde_json::json!({"message": "transaction panicked"});
+    let line = serde_json::json!({"message": "connection panicked"});
     assert_eq!(
         broken(&[(
             1,
--- a/crates/gossip/src/knowledge.rs
+++ b/crates/gossip/src/knowledge.rs
@@ -251,7 +251,7 @@
     pub fn settle_list(&mut self, good_for: Millis, now: Millis) -> Option<Position> {
         let heard = self.heard.filter(|heard| !heard.follows)?;
         let told = Told {
-            whole: true,
+            complete_list: true,
             ..heard.told
         };
         let life = judge(Some(heard.position), told, &self.lists(now), heard.at);
--- a/crates/gossip/src/life.rs
+++ b/crates/gossip/src/life.rs
@@ -14,7 +14,7 @@
     /// A digest of all that it says, without addresses, the same at all processes.
     pub digest: u64,
     /// Whether it was told whole, not as changes.
-    pub whole: bool,
+    pub complete_list: bool,
 }
 
 /// What is known of a list that a process holds, and when that was witnessed.
@@ -42,7 +42,7 @@
         .max_by_key(|known| (known.held.position, known.witnessed));
     let beyond = highest.filter(|known| own.is_none_or(|own| known.held.position > own));
     let mut life = own_life.max(1);
-    if let Some(known) = beyond.filter(|_| told.whole || own.is_none()) {
+    if let Some(known) = beyond.filter(|_| told.complete_list || own.is_none()) {
         let Position {
             life: other,
             generation,
@@ -55,6 +55,6 @@
         };
     }
     // The own watch saw the count begin anew; no clock is compared.
-    let anew = own.is_some_and(|own| told.whole && told.generation < own.generation);
+    let anew = own.is_some_and(|own| told.complete_list && told.generation < own.generation);
     if anew { life.max(own_life + 1) } else { life }
 }
--- a/crates/gossip/tests/lives.rs
+++ b/crates/gossip/tests/lives.rs
@@ -11,7 +11,7 @@
     Told {
         generation,
         digest,
-        whole: true,
+        complete_list: true,
     }
 }
 
@@ -35,7 +35,7 @@
             Told {
                 generation: 21,
                 digest: 2,
-                whole: false
+                complete_list: false
             },
             START
         ),
@@ -53,7 +53,7 @@
             Told {
                 generation: 2,
                 digest: 4,
-                whole: false
+                complete_list: false
             },
             START
         ),
@@ -96,7 +96,7 @@
             Told {
                 generation: 8,
                 digest: 9,
-                whole: false
+                complete_list: false
             },
             START + 2_000
         ),
--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -41,7 +41,7 @@
                 boot: 1,
                 seed: random(),
                 site: "north".into(),
-                configuration: Configuration::default(),
+                peer_configuration: Configuration::default(),
                 seeds: seeds.clone(),
             };
             let node = Node::new(profile, keys(1), Settings::default(), Silent::default())
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -154,7 +154,7 @@
             life: rng.random(),
             renewal: 0,
             site: profile.site,
-            configuration: profile.configuration,
+            configuration: profile.peer_configuration,
         };
         let own = OwnName::new(me.clone());
         let room = wire::room(&me.name);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -27,7 +27,7 @@
     /// The site that it stands in.
     pub site: Arc<str>,
     /// The configuration that it runs.
-    pub configuration: Configuration,
+    pub peer_configuration: Configuration,
     /// Addresses of processes that may be there; its own among them is passed over.
     pub seeds: Vec<SocketAddr>,
 }
--- a/crates/membership/src/testing.rs
+++ b/crates/membership/src/testing.rs
@@ -55,7 +55,7 @@
         boot: 1,
         seed: port.into(),
         site: "north".into(),
-        configuration: Configuration::default(),
+        peer_configuration: Configuration::default(),
         seeds: seeds.iter().map(|port| at(*port)).collect(),
     }
 }
--- a/crates/membership/tests/driver.rs
+++ b/crates/membership/tests/driver.rs
@@ -35,7 +35,7 @@
         boot: 1,
         seed: beaconflow_membership::driver::random(),
         site: "north".into(),
-        configuration: Configuration::default(),
+        peer_configuration: Configuration::default(),
         seeds,
     };
     let node = Node::new(profile, keys(1), Settings::default(), body).expect("a good profile");
--- a/crates/overrides/benches/effects.rs
+++ b/crates/overrides/benches/effects.rs
@@ -93,13 +93,13 @@
                     },
                     &mut out,
                 );
-                let ended = Event::AttemptEnded {
+                let ended = Event::AttemptEnded(AttemptEnd {
                     request,
                     attempt: 0,
                     outcome: AttemptOutcome::Served,
                     elapsed: 1,
                     is_final: true,
-                };
+                });
                 balancer.handle(NOW, ended, &mut out);
                 out.len()
             });
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -80,7 +80,8 @@
     /// Final answer: failed. The request may have been executed.
     Fail(RequestId),
     /// Put the request into the admission queue until [`Event::PermitGranted`](crate::Event) or an
-    /// answer. A permit is available whenever [`Balancer::has_permits`](crate::Balancer::has_permits).
+    /// answer. A permit is available whenever
+    /// [`Balancer::has_permits`](crate::Balancer::has_permits).
     Enqueue(RequestId),
     /// End an established connection so that its client reconnects.
     Migrate(RequestId, MigrationReason),
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::action::Action;
 use crate::balancer::Balancer;
-use crate::event::{AttemptOutcome, ConnectionMetric};
+use crate::event::{AttemptEnd, AttemptOutcome, ConnectionMetric};
 use crate::ids::{RequestId, ServerId};
 use crate::overload::MILD_RELIEF;
 use crate::time::Nanos;
@@ -10,17 +10,6 @@
 /// Resets are a server's own beyond this multiple of its share; below it they are the network's.
 const OWN_RESETS_FACTOR: f64 = 2.0;
 
-/// The end of an attempt or connection.
-#[derive(Clone, Copy)]
-pub(crate) struct AttemptEnd {
-    pub(crate) request: RequestId,
-    pub(crate) attempt: u32,
-    pub(crate) outcome: AttemptOutcome,
-    pub(crate) elapsed: Nanos,
-    /// Whether the request ended with it.
-    pub(crate) is_final: bool,
-}
-
 impl Balancer {
     pub(crate) fn on_attempt_established(&mut self, now: Nanos, id: RequestId, attempt: u32) {
         let Some(current) = self.requests.current_attempt(id, attempt) else {
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -4,7 +4,6 @@
 use rand_pcg::Pcg32;
 
 use crate::action::Action;
-use crate::attempts::AttemptEnd;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::discovery_poll::MAX_CALL_INTERVAL;
 use crate::event::{ConnectRequest, Event, ListUpdate, ServerEntry};
@@ -107,22 +106,7 @@
             } => {
                 self.on_connection_measured(now, request, attempt, metric, actions);
             }
-            Event::AttemptEnded {
-                request,
-                attempt,
-                outcome,
-                elapsed,
-                is_final,
-            } => {
-                let end = AttemptEnd {
-                    request,
-                    attempt,
-                    outcome,
-                    elapsed,
-                    is_final,
-                };
-                self.on_attempt_ended(now, end, actions);
-            }
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
             Event::ProbeAnswered { server, load } => {
                 self.on_probe_answered(now, server, load, actions)
             }
@@ -147,8 +131,8 @@
         (self.requests.in_flight() as f64) < self.concurrency.get()
     }
 
-    /// Begins housekeeping, at a random phase so that balancers that start together are not in step,
-    /// and asks for the server list where it is not pushed.
+    /// Begins housekeeping, at a random phase so that balancers that start together are not in
+    /// step, and asks for the server list where it is not pushed.
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.is_started = true;
         let first = self.draw_span(1..=HOUSEKEEPING_PERIOD);
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -116,6 +116,21 @@
     }
 }
 
+/// The end of an attempt or of the connection that it became.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptEnd {
+    /// The request.
+    pub request: RequestId,
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// Time since it was sent.
+    pub elapsed: Nanos,
+    /// Whether the request ended with it.
+    pub is_final: bool,
+}
+
 /// A measurement of an established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionMetric {
@@ -135,8 +150,9 @@
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// The settings were replaced as a whole. Classes keep their index while a request of theirs may
-    /// arrive, so there are at least as many as before. Settings that fail their check are ignored.
+    /// The settings were replaced as a whole. Classes keep their index while a request of theirs
+    /// may arrive, so there are at least as many as before. Settings that fail their check are
+    /// ignored.
     SettingsReplaced(Box<Settings>),
     /// A client asked for a connection. Exactly one final answer follows.
     ConnectRequested(ConnectRequest),
@@ -164,18 +180,7 @@
         metric: ConnectionMetric,
     },
     /// An attempt, or the connection that it became, ended.
-    AttemptEnded {
-        /// The request.
-        request: RequestId,
-        /// Number of the attempt.
-        attempt: u32,
-        /// How it ended.
-        outcome: AttemptOutcome,
-        /// Time since it was sent.
-        elapsed: Nanos,
-        /// Whether the request ended with it.
-        is_final: bool,
-    },
+    AttemptEnded(AttemptEnd),
     /// A server answered a probe, or the probe failed.
     ProbeAnswered {
         /// The server.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -119,8 +119,8 @@
 pub use action::{Action, MigrationReason, OverloadSummary};
 pub use balancer::Balancer;
 pub use event::{
-    AttemptOutcome, ConnectRequest, ConnectionMetric, Event, ListUpdate, Pin, ServerEntry,
-    ServerState,
+    AttemptEnd, AttemptOutcome, ConnectRequest, ConnectionMetric, Event, ListUpdate, Pin,
+    ServerEntry, ServerState,
 };
 pub use ids::{ClassId, ClientKey, GroupId, RequestId, ServerId, TimerId, ZoneId};
 pub use settings::{
--- a/crates/policy/src/overload.rs
+++ b/crates/policy/src/overload.rs
@@ -86,8 +86,8 @@
         server.paused_until = now.saturating_add(fraction_of(PAUSE, factor));
     }
 
-    /// Migrates part of this balancer's connections off a slow server, the heaviest first. Less than
-    /// one connection is a probability, so that not every balancer migrates its only one.
+    /// Migrates part of this balancer's connections off a slow server, the heaviest first. Less
+    /// than one connection is a probability, so that not every balancer migrates its only one.
     fn migrate_off_slow_server(&mut self, id: ServerId, actions: &mut Vec<Action>) {
         let connections = self.connections_by_load(id);
         let total: f64 = connections.iter().map(|connection| connection.load).sum();
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -243,7 +243,7 @@
         let first = &self.servers.listed(execution.server).entry;
         let shares_keys = match self.settings.class(request.connect.class).retry_safety {
             RetrySafety::Idempotent | RetrySafety::NonIdempotent => true,
-            RetrySafety::IdempotencyKey { scope, .. } => match scope {
+            RetrySafety::IdempotencyKey { dedup_scope, .. } => match dedup_scope {
                 DedupScope::All => true,
                 DedupScope::Zone => server.entry.zone == first.zone,
                 DedupScope::Cell => server.entry.cell == first.cell,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -24,7 +24,7 @@
     /// Servers in `scope` discard a repeated request for `window` after the first send.
     IdempotencyKey {
         /// Servers that share their record of keys.
-        scope: DedupScope,
+        dedup_scope: DedupScope,
         /// How long a key is remembered.
         window: Nanos,
     },
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -21,8 +21,8 @@
         message_latency_objective: 120 * MS,
         priority_weight: 1.0,
     };
-    let keyed = |scope| RetrySafety::IdempotencyKey {
-        scope,
+    let keyed = |dedup_scope| RetrySafety::IdempotencyKey {
+        dedup_scope,
         window: SECOND,
     };
     Settings {
@@ -199,23 +199,23 @@
     }
 
     pub fn end(&mut self, request: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
-        self.tell(Event::AttemptEnded {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: RequestId(request),
             attempt,
             outcome,
             elapsed: 10 * MS,
             is_final: false,
-        })
+        }))
     }
 
     pub fn close(&mut self, request: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
-        self.tell(Event::AttemptEnded {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: RequestId(request),
             attempt,
             outcome,
             elapsed: 10 * MS,
             is_final: true,
-        })
+        }))
     }
 
     /// Lets time pass and fires what comes due.
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -166,7 +166,7 @@
     };
     assert_eq!(
         none.check().expect_err("no gateway").to_string(),
-        "setting out of range: gateways"
+        "setting out of range: balancers"
     );
     none.balancers = u32::MAX;
     let mut gateway = Gateway::with_servers(none, 0);
--- a/crates/policy/tests/herd.rs
+++ b/crates/policy/tests/herd.rs
@@ -418,13 +418,13 @@
                 ..arrival(id, SAFE, gateway.now)
             }));
             assert_eq!(attempts(&asked), [ServerId(at)]);
-            gateway.tell(Event::AttemptEnded {
+            gateway.tell(Event::AttemptEnded(AttemptEnd {
                 request: RequestId(id),
                 attempt: 0,
                 outcome: AttemptOutcome::TimedOut,
                 elapsed: 400 * MS,
                 is_final: false,
-            });
+            }));
             gateway.tell(Event::ClientLeft(RequestId(id)));
             gateway.pass(5 * MS);
         }
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -166,13 +166,13 @@
         let is_final = seen.over || seen.stood || outcome == AttemptOutcome::Served;
         seen.over |= is_final;
         let attempt = seen.attempts - 1;
-        self.tell(Event::AttemptEnded {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt,
             outcome,
             elapsed: MS,
             is_final,
-        });
+        }));
     }
 
     fn pass(&mut self, span: Nanos) {
@@ -346,13 +346,13 @@
             &mut actions,
         );
         actions.clear();
-        let full = Event::AttemptEnded {
+        let full = Event::AttemptEnded(AttemptEnd {
             request: RequestId(1),
             attempt: 0,
             outcome: AttemptOutcome::Rejected,
             elapsed: MS,
             is_final: false,
-        };
+        });
         balancer.handle(MS, full, &mut actions);
         let [Action::SetTimer { after, .. }] = actions[..] else {
             panic!("{actions:?}")
--- a/crates/policy/tests/list.rs
+++ b/crates/policy/tests/list.rs
@@ -180,7 +180,10 @@
     let error = beaconflow_policy::Balancer::new(wrong, 1)
         .err()
         .expect("refused");
-    assert_eq!(error.to_string(), "setting out of range: rules.cold_share");
+    assert_eq!(
+        error.to_string(),
+        "setting out of range: rules.initial_capacity"
+    );
     let mut none = settings();
     none.classes.clear();
     assert!(beaconflow_policy::Balancer::new(none, 1).is_err());
--- a/crates/policy/tests/robustness.rs
+++ b/crates/policy/tests/robustness.rs
@@ -38,13 +38,13 @@
             attempt: u32::MAX,
             metric: load,
         },
-        Event::AttemptEnded {
+        Event::AttemptEnded(AttemptEnd {
             request,
             attempt: u32::MAX,
             outcome: AttemptOutcome::Reset,
             elapsed,
             is_final: false,
-        },
+        }),
         Event::ClientLeft(request),
         Event::TimerFired(TimerId(12_345)),
     ];
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -40,13 +40,13 @@
         let (request, elapsed) = (RequestId(number), 5 * MS);
         tell(
             now + MS,
-            Event::AttemptEnded {
+            Event::AttemptEnded(AttemptEnd {
                 request,
                 attempt: 0,
                 outcome,
                 elapsed,
                 is_final: false,
-            },
+            }),
         );
     }
     actions
--- /dev/null
+++ b/crates/recovery/src/accessors.rs
@@ -0,0 +1,106 @@
+//! Queries by the host.
+
+use crate::clock::WallClock;
+use crate::recovery::Recovery;
+use crate::{Entry, Millis, OutageScope, RecoveryState, RememberedKind, Validity};
+
+impl Recovery {
+    /// The present state.
+    pub fn state(&self) -> RecoveryState {
+        self.state
+    }
+
+    /// The servers by name, with held drains applied.
+    pub fn servers(&self) -> impl Iterator<Item = Entry> {
+        self.servers.effective_entries()
+    }
+
+    /// Validity of a kind of remembered knowledge.
+    pub fn validity(&self, kind: RememberedKind) -> Validity {
+        self.validities
+            .get(&kind)
+            .map_or(Validity::Discarded, |(verdict, _)| *verdict)
+    }
+
+    /// The extent of the outage, as far as it is decided.
+    pub fn scope(&self) -> OutageScope {
+        self.finding
+            .as_ref()
+            .map_or(OutageScope::Unknown, |finding| finding.scope)
+    }
+
+    /// Whether the wall clock is reliable, for [`crate::PeerStatus::wall_clock`].
+    pub fn clock_is_sound(&self) -> bool {
+        self.clock.as_ref().is_some_and(WallClock::is_sound)
+    }
+
+    /// Whether a placement from this wall time is valid: its server has not restarted and accepts
+    /// new connections.
+    pub fn is_placement_valid(&self, server: &str, placed_at: Millis) -> bool {
+        let Some(server) = self
+            .servers
+            .get(server)
+            .filter(|server| server.accepts_new())
+        else {
+            return false;
+        };
+        let Some(clock) = &self.clock else {
+            return false;
+        };
+        let age = clock.age(self.last_event_at, placed_at);
+        let is_young = age.is_some_and(|age| age <= self.config.retention.placements);
+        let before = server.has_restarted
+            && self
+                .memory
+                .as_ref()
+                .is_some_and(|kept| placed_at <= kept.written_at);
+        is_young && !before && server.entry.started_at_ms <= placed_at
+    }
+
+    /// Whether a remembered override is valid. One that `restricts` a server stays valid for a time
+    /// if its expiry can't be computed.
+    pub fn is_override_valid(&self, expires_at: Millis, restricts: bool) -> bool {
+        match self.validity(RememberedKind::Overrides) {
+            Validity::Valid => self
+                .clock
+                .as_ref()
+                .is_some_and(|clock| clock.wall_time(self.last_event_at) < expires_at),
+            Validity::Hint(_) => {
+                restricts
+                    && self.last_event_at
+                        < self
+                            .outage_started_at
+                            .saturating_add(self.config.timeouts.drain_hold)
+            }
+            Validity::Discarded => false,
+        }
+    }
+
+    /// Whether the present clients may replace the remembered ones. During a recovery a second
+    /// power loss would otherwise leave only those admitted so far.
+    pub fn may_remember(&self) -> bool {
+        self.state == RecoveryState::Serving
+    }
+
+    /// Clients per second deferred although their position has come, for
+    /// [`crate::PeerStatus::deferred_per_s`].
+    pub fn deferred_per_s(&self) -> f64 {
+        self.quota.deferred_per_s()
+    }
+
+    /// Former clients of the whole fleet, for [`crate::PeerStatus::former_clients`], if they are
+    /// remembered here.
+    pub fn former_clients(&self) -> Option<f64> {
+        let kept = self
+            .memory
+            .as_ref()
+            .filter(|_| self.validity(RememberedKind::FormerClients) == Validity::Hint(1.0))?;
+        Some(
+            kept.former_clients
+                .iter()
+                .map(|one| one.clients)
+                .sum::<f64>(),
+        )
+        .filter(|all| *all > 0.0)
+    }
+}
--- /dev/null
+++ b/crates/recovery/src/admission_curve.rs
@@ -0,0 +1,165 @@
+//! The admission curve: how many clients of the fleet may be admitted by each time while servers
+//! are in slow start.
+
+use crate::config::SlowStartRules;
+use crate::{Nanos, SECOND};
+
+/// Points of the curve per warm-up, and in all.
+const POINTS_PER_WARM_UP: u64 = 64;
+const MAX_POINTS: u64 = 1_024;
+/// The odds against a server being overloaded by chance during one recovery.
+const OVERLOAD_ODDS: f64 = 1_000.0;
+/// Least fraction of a limit that is used: for a limit of one or two clients no fraction would be
+/// safe.
+const MIN_USED_FRACTION: f64 = 0.15;
+
+/// Cumulative admissions at equal steps; linear after the last one.
+#[derive(Clone, Debug)]
+pub(crate) struct AdmissionCurve {
+    start: Nanos,
+    step: Nanos,
+    totals: Vec<f64>,
+}
+
+/// A server's weight and start.
+pub(crate) type WarmingServer = (f64, i64);
+
+/// The fraction of its capacity that a server has.
+pub(crate) fn capacity_fraction(cold: &SlowStartRules, born: i64, now: i64) -> f64 {
+    let age = now.saturating_sub(born);
+    if age < 0 {
+        return 0.0;
+    }
+    let part = if cold.warm_up_time == 0 {
+        1.0
+    } else {
+        (age as f64 / cold.warm_up_time as f64).min(1.0)
+    };
+    cold.initial_capacity + (1.0 - cold.initial_capacity) * part
+}
+
+/// The fraction of a limit that can be used if clients choose servers at random and arrive in
+/// groups of `clump`, so that the overload limit is exceeded with probability `exp(-rarity)`
+/// (Chernoff bound).
+fn usable_fraction(allowed: f64, slack: f64, rarity: f64, clump: f64) -> f64 {
+    let tips = (allowed + slack * (allowed.sqrt() + 1.0)) / clump;
+    let allowed = allowed / clump;
+    let is_rare = |used: f64| {
+        // The probability above the limit, from the tail of the Poisson distribution.
+        let part = (2.0 * std::f64::consts::PI * tips).sqrt() * (1.0 - used / tips);
+        used - tips + tips * (tips / used).ln() + part.max(1.0).ln() >= rarity
+    };
+    let (mut low, mut high) = (0.0, allowed);
+    for _ in 0..32 {
+        let middle = (low + high) / 2.0;
+        if is_rare(middle) {
+            low = middle
+        } else {
+            high = middle
+        }
+    }
+    if allowed > 0.0 {
+        (low / allowed).max(MIN_USED_FRACTION)
+    } else {
+        MIN_USED_FRACTION
+    }
+}
+
+impl AdmissionCurve {
+    /// Computes the curve from a time at which `base` clients had been admitted. The pair gives the
+    /// clients per second that a warm server of weight 1 can take, and the size of groups.
+    pub(crate) fn new(
+        start: Nanos,
+        base: f64,
+        servers: &[WarmingServer],
+        cold: &SlowStartRules,
+        (borne, clump): (f64, f64),
+    ) -> AdmissionCurve {
+        let last = servers
+            .iter()
+            .map(|(_, born)| born.saturating_add(cold.warm_up_time as i64))
+            .max()
+            .unwrap_or(0);
+        let until = u64::try_from(last)
+            .unwrap_or(0)
+            .saturating_sub(start)
+            .max(cold.warm_up_time.max(SECOND));
+        let step = (cold.warm_up_time / POINTS_PER_WARM_UP)
+            .max(until / MAX_POINTS)
+            .max(1);
+        let rarity = (OVERLOAD_ODDS * servers.len() as f64).ln();
+        // The smallest server has the greatest relative variance.
+        let small = servers
+            .iter()
+            .map(|(weight, _)| *weight)
+            .fold(f64::INFINITY, f64::min);
+        let rate = |at: Nanos| {
+            let sum = servers
+                .iter()
+                .map(|(weight, born)| weight * capacity_fraction(cold, *born, at as i64))
+                .sum::<f64>();
+            let all = servers
+                .iter()
+                .map(|(weight, _)| weight)
+                .sum::<f64>()
+                .max(f64::MIN_POSITIVE);
+            let each = cold.overload_multiple * borne * cold.overload_window as f64 / SECOND as f64;
+            cold.overload_multiple
+                * borne
+                * sum
+                * usable_fraction(
+                    each * small * sum / all,
+                    cold.chance_allowance,
+                    rarity,
+                    clump,
+                )
+        };
+        let mut totals = vec![base];
+        let (mut sum, mut now, mut here) = (base, start, rate(start));
+        while now < start.saturating_add(until) {
+            now = now.saturating_add(step);
+            let there = rate(now);
+            sum += (here + there) / 2.0 * step as f64 / SECOND as f64;
+            totals.push(sum);
+            here = there;
+        }
+        AdmissionCurve {
+            start,
+            step,
+            totals,
+        }
+    }
+
+    /// The span until so many clients are admitted, or the whole span if never.
+    pub(crate) fn time_to_admit(&self, clients: f64) -> Nanos {
+        let whole = self.step.saturating_mul(self.totals.len() as u64);
+        self.time_of(clients).map_or(whole, |at| at - self.start)
+    }
+
+    /// Clients admitted by a time.
+    pub(crate) fn admitted_by(&self, now: Nanos) -> f64 {
+        let since = now.saturating_sub(self.start) as f64 / self.step as f64;
+        let last = self.totals.len() - 1;
+        let place = (since as usize).min(last - 1);
+        self.totals[place] + (self.totals[place + 1] - self.totals[place]) * (since - place as f64)
+    }
+
+    /// When so many clients are admitted, if ever.
+    pub(crate) fn time_of(&self, clients: f64) -> Option<Nanos> {
+        let last = self.totals.len() - 1;
+        let place = self
+            .totals
+            .partition_point(|sum| *sum < clients)
+            .clamp(1, last)
+            - 1;
+        let rise = self.totals[place + 1] - self.totals[place];
+        if clients <= self.totals[place] {
+            return Some(self.start.saturating_add(place as u64 * self.step));
+        }
+        (rise > 0.0).then(|| {
+            let steps = place as f64 + (clients - self.totals[place]) / rise;
+            self.start
+                .saturating_add((steps * self.step as f64) as Nanos)
+        })
+    }
+}
--- /dev/null
+++ b/crates/recovery/src/admission_order.rs
@@ -0,0 +1,200 @@
+//! The admission order: one order of all clients that every balancer computes alike from class,
+//! account and group, so that no coordination is needed.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::{AdmissionRequest, FormerClients, RecoveryConfig};
+
+/// Most clients counted one by one; more count as if they were like these.
+const MAX_COUNTED_CLIENTS: usize = 65_536;
+/// Least clients from which the distribution over classes and accounts is estimated.
+const MIN_SAMPLE: usize = 50;
+
+/// The order. Positions count clients of the whole fleet.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct AdmissionOrder {
+    bands: BTreeMap<usize, PriorityBand>,
+    total: f64,
+    /// Fraction of an account's positions over which a group is spread.
+    group_spread: f64,
+}
+
+/// The classes of one priority.
+#[derive(Clone, Debug, Default)]
+struct PriorityBand {
+    start: f64,
+    clients: f64,
+    /// By account: its clients, and the rounds until all are admitted, in which each account gets
+    /// its quota.
+    accounts: BTreeMap<u64, (f64, f64)>,
+    /// By the end of an account's rounds: clients of accounts that are done, and the quotas of the
+    /// others.
+    rounds: Vec<(f64, f64, f64)>,
+}
+
+/// Clients counted before the order is known.
+#[derive(Default)]
+pub(crate) struct ClientCount {
+    keys: BTreeSet<u64>,
+    counts: BTreeMap<(usize, u64), f64>,
+}
+
+impl ClientCount {
+    pub(crate) fn count(&mut self, arrival: &AdmissionRequest) {
+        let key = arrival.client_key.unwrap_or(arrival.id);
+        if self.keys.len() < MAX_COUNTED_CLIENTS && self.keys.insert(key) {
+            *self
+                .counts
+                .entry((arrival.class, arrival.account))
+                .or_insert(0.0) += 1.0;
+        }
+    }
+
+    /// Number of own clients.
+    pub(crate) fn len(&self) -> usize {
+        self.keys.len()
+    }
+
+    /// The distribution scaled to so many clients; empty if the sample is too small.
+    pub(crate) fn scaled_to(&self, all: f64) -> Vec<FormerClients> {
+        if self.keys.len() < MIN_SAMPLE {
+            return Vec::new();
+        }
+        let factor = all / self.keys.len() as f64;
+        let scaled = |((class, account), count): (&(usize, u64), &f64)| FormerClients {
+            class: *class,
+            account: *account,
+            clients: count * factor,
+        };
+        self.counts.iter().map(scaled).collect()
+    }
+}
+
+/// A uniform number from 0 to 1, equal at every balancer.
+fn uniform_hash(of: u64) -> f64 {
+    let mut mixed = of.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
+}
+
+impl AdmissionOrder {
+    /// Computes the order of so many clients. Without `former` all of them are in one band.
+    pub(crate) fn new(
+        config: &RecoveryConfig,
+        former: &[FormerClients],
+        total: f64,
+    ) -> AdmissionOrder {
+        let mut bands: BTreeMap<usize, PriorityBand> = BTreeMap::new();
+        for one in former
+            .iter()
+            .filter(|one| one.clients.is_finite() && one.clients > 0.0)
+        {
+            let band = bands.entry(rank(config, one.class)).or_default();
+            band.clients += one.clients;
+            band.accounts.entry(one.account).or_insert((0.0, 0.0)).0 += one.clients;
+        }
+        if bands.is_empty() {
+            let one = PriorityBand {
+                clients: total,
+                ..PriorityBand::default()
+            };
+            return AdmissionOrder {
+                bands: BTreeMap::from([(0, one)]),
+                total: total,
+                group_spread: 0.0,
+            };
+        }
+        let mut begins = 0.0;
+        for band in bands.values_mut() {
+            band.start = begins;
+            begins += band.clients;
+            band.divide_by_quota(config);
+        }
+        AdmissionOrder {
+            bands,
+            total: begins,
+            group_spread: 0.0,
+        }
+    }
+
+    /// Number of clients.
+    pub(crate) fn all(&self) -> f64 {
+        self.total
+    }
+
+    /// Sets the fraction of an account's positions over which a group is spread.
+    pub(crate) fn spread(&mut self, part: f64) {
+        self.group_spread = part.clamp(0.0, 1.0);
+    }
+
+    /// The position of a client. The clients of a group are together, or spread as configured.
+    pub(crate) fn position(&self, config: &RecoveryConfig, arrival: &AdmissionRequest) -> f64 {
+        let own = uniform_hash(arrival.client_key.unwrap_or(arrival.id));
+        // Wraps around, so that positions stay uniform.
+        let luck = arrival.group.map_or(own, |group| {
+            (uniform_hash(group) + self.group_spread * own).fract()
+        });
+        let priority_rank = rank(config, arrival.class);
+        // An unknown class comes after the last one that is not less urgent.
+        match self.bands.range(..=priority_rank).next_back() {
+            Some((at, band)) if *at == priority_rank || self.bands.len() == 1 => {
+                band.position(arrival.account, luck)
+            }
+            Some((_, band)) => band.start + band.clients,
+            None => 0.0,
+        }
+    }
+}
+
+/// The rank of a class by priority, 0 the highest; equal ones share a rank.
+fn rank(config: &RecoveryConfig, class: usize) -> usize {
+    let Some(own) = config.classes.get(class).or(config.classes.last()) else {
+        return 0;
+    };
+    config
+        .classes
+        .iter()
+        .filter(|other| other.queue_weight() > own.queue_weight())
+        .count()
+}
+
+fn account_quota(config: &RecoveryConfig, account: u64) -> f64 {
+    config
+        .accounts
+        .iter()
+        .find(|one| one.account == account)
+        .map_or(1.0, |one| one.quota)
+}
+
+impl PriorityBand {
+    fn divide_by_quota(&mut self, config: &RecoveryConfig) {
+        let mut ends = Vec::new();
+        for (account, (clients, rounds)) in &mut self.accounts {
+            let share = account_quota(config, *account);
+            *rounds = *clients / share;
+            ends.push((*rounds, *clients, share));
+        }
+        ends.sort_by(|one, other| one.0.total_cmp(&other.0));
+        let (mut done, mut shares) = (0.0, ends.iter().map(|end| end.2).sum::<f64>());
+        for (rounds, clients, share) in ends {
+            self.rounds.push((rounds, done, shares));
+            done += clients;
+            shares = (shares - share).max(0.0);
+        }
+    }
+
+    /// An unknown account is spread over the whole band.
+    fn position(&self, account: u64, luck: f64) -> f64 {
+        let Some((_, rounds)) = self.accounts.get(&account) else {
+            return self.start + luck * self.clients;
+        };
+        let round = luck * rounds;
+        let at = self
+            .rounds
+            .partition_point(|(end, ..)| *end <= round)
+            .min(self.rounds.len() - 1);
+        let (_, done, shares) = self.rounds[at];
+        self.start + done + shares * round
+    }
+}
--- a/crates/recovery/src/api.rs
+++ b/crates/recovery/src/api.rs
@@ -1,15 +1,15 @@
-//! What a host tells the machine and what it answers.
+//! Events, actions and states of the recovery.
 
 use std::fmt;
 
 use crate::{Millis, Nanos};
 
-/// Whom something is asked of, in this order.
+/// A source of evidence, in the order in which it is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Whom {
-    /// The peers of the own site.
+pub enum EvidenceSource {
+    /// Peers of the own site.
     SitePeers,
-    /// The peers of all other sites.
+    /// Peers of the other sites.
     OtherSites,
     /// Discovery.
     Discovery,
@@ -17,22 +17,22 @@
     Store,
 }
 
-impl Whom {
-    /// All, in the order in which they are asked.
-    pub const ALL: [Whom; 4] = [
-        Whom::SitePeers,
-        Whom::OtherSites,
-        Whom::Discovery,
-        Whom::Store,
+impl EvidenceSource {
+    /// All sources in query order.
+    pub const ALL: [EvidenceSource; 4] = [
+        EvidenceSource::SitePeers,
+        EvidenceSource::OtherSites,
+        EvidenceSource::Discovery,
+        EvidenceSource::Store,
     ];
 }
 
-/// Where a list is from. A later one in this order is believed before an earlier one.
+/// Origin of a list. A later one in this order is believed before an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// The configuration's known list.
+    /// The configured list.
     Known,
-    /// The process's own memory.
+    /// The stored memory.
     Memory,
     /// A peer of another site.
     OtherSite,
@@ -44,363 +44,363 @@
     Discovery,
 }
 
-/// Whether a listed server takes new work.
+/// Whether a listed server accepts new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It does.
+    /// It accepts new connections.
     Ready,
-    /// It finishes what it has, or an operator took it out.
+    /// It is finishing its connections, or is out of service.
     Draining,
-    /// It is gone.
+    /// It has been removed.
     Gone,
 }
 
 /// A server in a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// When it last started by wall time; 0 if it is not told.
+    /// Wall time of its last start; 0 if not known.
     pub started_at_ms: Millis,
-    /// Whether it takes new work.
+    /// Whether it accepts new connections.
     pub lifecycle: Lifecycle,
-    /// Its weight; what is no number above 0 counts as 1.
+    /// Weight; counts as 1 if it is not a positive number.
     pub weight: f64,
 }
 
-/// A list of the farm.
+/// A server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
-    /// Where it is from.
+    /// Origin.
     pub source: Source,
-    /// Discovery's count of changes in it.
+    /// Discovery's generation of the list.
     pub generation: u64,
-    /// Which life of discovery counted; a discovery that lost its state begins a new one. 0 if it does not tell.
-    pub life: u64,
-    /// How old it was when it came, as far as whoever told it knows.
+    /// Epoch of discovery, which changes when it loses its state; 0 if not known.
+    pub epoch: u64,
+    /// Age when it was received.
     pub age: Nanos,
-    /// Discovery's own wall clock as it spoke, if it told it.
-    pub said_at: Option<Millis>,
-    /// Its servers, all of them.
+    /// Discovery's wall clock when it sent the list, if known.
+    pub reported_at: Option<Millis>,
+    /// All servers.
     pub entries: Vec<Entry>,
 }
 
-/// How many clients of a class and an account the whole fleet served before.
+/// Clients of a class and account that the whole fleet served before.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Former {
-    /// Class, by its place in the configuration.
+pub struct FormerClients {
+    /// Index of the class.
     pub class: usize,
-    /// A hash of the account.
+    /// Hash of the account.
     pub account: u64,
-    /// Clients that stood.
+    /// Number of clients.
     pub clients: f64,
 }
 
-/// What the process finds in its own memory.
+/// The stored memory of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Memory {
     /// The process that wrote it.
     pub owner: String,
-    /// Its boot number then.
-    pub boot: u64,
-    /// Wall time of its last writing.
+    /// Its incarnation number then.
+    pub incarnation: u64,
+    /// Wall time of the last write.
     pub written_at: Millis,
-    /// The list it had.
+    /// Its server list.
     pub list: Option<List>,
-    /// What the fleet served when this process last served in full; not what stood in the midst of a recovery.
-    pub former: Vec<Former>,
-    /// Clients a second that a warm server of weight 1 was seen to bear, if that was ever seen.
-    pub borne: Option<f64>,
+    /// What the fleet served when this process last served in full, not during a recovery.
+    pub former_clients: Vec<FormerClients>,
+    /// Clients per second that a warm server of weight 1 was seen to take, if known.
+    pub clients_per_server_s: Option<f64>,
 }
 
-/// What a peer says of itself. It is a hint, never a command.
+/// A peer's report on itself. It is a hint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeerWord {
-    /// Its name.
+pub struct PeerStatus {
+    /// Name.
     pub name: String,
-    /// Its site.
+    /// Site.
     pub site: String,
-    /// Its boot number.
-    pub boot: u64,
+    /// Incarnation number.
+    pub incarnation: u64,
     /// How long it has run.
-    pub up_for: Nanos,
-    /// How long it has let clients in at a pace or in full; nothing if it does not yet.
-    pub serving_for: Option<Nanos>,
+    pub uptime: Nanos,
+    /// How long it has admitted clients, if it does.
+    pub serving_time: Option<Nanos>,
     /// Whether it serves in full.
-    pub in_full: bool,
-    /// Its wall clock, if its own state lets it trust that.
-    pub wall: Option<Millis>,
-    /// Clients of the whole fleet before, as it knows.
-    pub former: Option<f64>,
-    /// Clients a second that it must tell to come again though their turn has come.
-    pub short: f64,
+    pub serves_in_full: bool,
+    /// Its wall clock, if it considers it reliable.
+    pub wall_clock: Option<Millis>,
+    /// Former clients of the whole fleet, as it remembers.
+    pub former_clients: Option<f64>,
+    /// Clients per second that it defers although their position has come.
+    pub deferred_per_s: f64,
 }
 
-/// A client that wants in.
+/// A client that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Arrival {
-    /// Its number, which comes back in the answer.
+pub struct AdmissionRequest {
+    /// Id that comes back in the answer.
     pub id: u64,
-    /// Its class, by place; one that is not known counts as the last.
+    /// Index of its class; an unknown one counts as the last.
     pub class: usize,
-    /// A hash of its account.
+    /// Hash of its account.
     pub account: u64,
-    /// A hash of its group.
+    /// Hash of its group.
     pub group: Option<u64>,
-    /// A hash of itself.
-    pub key: Option<u64>,
-    /// It stood before, or was told to come again.
-    pub returns: bool,
+    /// Key of the client.
+    pub client_key: Option<u64>,
+    /// Whether it was connected before or was deferred.
+    pub is_reconnect: bool,
 }
 
-/// What happened.
+/// Something that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The process has started and has read its memory, if there is one.
+    /// The process started and has read its memory.
     Started {
-        /// Its boot number; above all it had before.
-        boot: u64,
-        /// What its memory holds.
+        /// Its incarnation number, higher than any before.
+        incarnation: u64,
+        /// The memory, if there is one.
         memory: Option<Memory>,
     },
-    /// A peer's word.
-    Peer(PeerWord),
-    /// A list.
-    List(List),
-    /// Whoever was asked has answered, with or without anything of use. A list is an answer by itself.
-    Answered(Whom),
-    /// Whoever was asked can't be reached or does not answer.
-    Failed(Whom),
-    /// One server was seen to start, by its own word or by a change of the list.
+    /// A peer reported.
+    PeerReported(PeerStatus),
+    /// A list was received.
+    ListReceived(List),
+    /// A queried source answered. A list is an answer by itself.
+    Answered(EvidenceSource),
+    /// A queried source can't be reached or did not answer.
+    Failed(EvidenceSource),
+    /// A server started, by its own report or by a change of the list.
     ServerStarted {
-        /// Which.
+        /// Name of the server.
         name: String,
-        /// When, by wall time; 0 for just now.
+        /// Wall time of the start; 0 for just now.
         at: Millis,
     },
-    /// A client comes.
-    Arrived(Arrival),
-    /// A peer leaves clients of its own part to this process.
-    Lent {
-        /// Who.
+    /// A client asks for admission.
+    AdmissionRequested(AdmissionRequest),
+    /// A peer lends quota to this process.
+    QuotaLent {
+        /// Name of the peer.
         from: String,
-        /// Its count of loans; a loan told twice counts once.
+        /// Number of the loan; a repeated one counts once.
         number: u64,
-        /// How many clients.
+        /// Number of clients.
         clients: f64,
     },
     /// Time has passed.
     Tick,
 }
 
-/// A kind of what was known before.
+/// A kind of remembered knowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// The farm's list.
+pub enum RememberedKind {
+    /// The server list.
     List,
-    /// That servers drain.
+    /// Draining servers.
     Drains,
-    /// Where clients and groups stood.
+    /// Placements of clients and groups.
     Placements,
     /// Operators' overrides.
     Overrides,
-    /// What servers were seen to bear.
-    Pace,
-    /// Servers' standing by evidence.
-    Standing,
-    /// How many connections stand where.
-    Counts,
-    /// How many clients there were.
-    Former,
+    /// Rates of clients that servers can take.
+    ServerRates,
+    /// Health of servers by evidence.
+    ServerHealth,
+    /// Numbers of connections by server.
+    ConnectionCounts,
+    /// Number of former clients.
+    FormerClients,
 }
 
-impl Kind {
-    /// All of them.
-    pub const ALL: [Kind; 8] = [
-        Kind::List,
-        Kind::Drains,
-        Kind::Placements,
-        Kind::Overrides,
-        Kind::Pace,
-        Kind::Standing,
-        Kind::Counts,
-        Kind::Former,
+impl RememberedKind {
+    /// All kinds.
+    pub const ALL: [RememberedKind; 8] = [
+        RememberedKind::List,
+        RememberedKind::Drains,
+        RememberedKind::Placements,
+        RememberedKind::Overrides,
+        RememberedKind::ServerRates,
+        RememberedKind::ServerHealth,
+        RememberedKind::ConnectionCounts,
+        RememberedKind::FormerClients,
     ];
 }
 
-/// How far something known from before is believed.
+/// How far remembered knowledge is believed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    /// It holds.
-    Holds,
-    /// It is a starting point until somebody says otherwise; by this part of its weight, 0 to 1.
+pub enum Validity {
+    /// It is valid.
+    Valid,
+    /// It is a starting point, with this weight from 0 to 1.
     Hint(f64),
     /// It is not used.
-    Void,
+    Discarded,
 }
 
-/// What went dark.
+/// The extent of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Scope {
+pub enum OutageScope {
     /// This process alone.
-    Alone,
-    /// Its site.
+    Process,
+    /// The site.
     Site,
     /// The whole fleet.
     Fleet,
-    /// It can't be told; handled as the whole fleet.
+    /// Not known; handled like the whole fleet.
     Unknown,
 }
 
-/// Where a process is on its way.
+/// State of the recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
-    /// It has not started.
-    Dark,
-    /// It asks; clients are told to come again.
-    Asking(Whom),
-    /// It lets clients in by their turns, at the pace that the cold servers bear.
-    Refilling,
-    /// It serves.
+pub enum RecoveryState {
+    /// The process has not started.
+    NotStarted,
+    /// A source is being queried; clients are deferred.
+    Querying(EvidenceSource),
+    /// Clients are admitted in stages, at the rate that servers in slow start can take.
+    StagedAdmission,
+    /// The process serves in full.
     Serving,
 }
 
-impl State {
-    /// What `PING` says.
-    pub fn how(self) -> How {
+impl RecoveryState {
+    /// How clients are served in this state.
+    pub fn service_mode(self) -> ServiceMode {
         match self {
-            State::Dark | State::Asking(_) => How::NotYet,
-            State::Refilling => How::Paced,
-            State::Serving => How::Full,
+            RecoveryState::NotStarted | RecoveryState::Querying(_) => ServiceMode::Unavailable,
+            RecoveryState::StagedAdmission => ServiceMode::Staged,
+            RecoveryState::Serving => ServiceMode::Full,
         }
     }
 }
 
-/// How a process serves.
+/// How clients are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    /// Not yet: `PING` says no.
-    NotYet,
-    /// By turns: `PING` says yes.
-    Paced,
-    /// In full: `PING` says yes.
+pub enum ServiceMode {
+    /// Not at all; the process is not ready.
+    Unavailable,
+    /// In stages; the process is ready.
+    Staged,
+    /// In full; the process is ready.
     Full,
 }
 
-/// A step, for the log.
+/// A step of the recovery, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Its memory was read.
-    Remembers,
-    /// It asks somebody.
-    Asks(Whom),
-    /// The wall clock was judged.
+pub enum RecoveryStep {
+    /// The memory was read.
+    MemoryRead,
+    /// A source is queried.
+    Query(EvidenceSource),
+    /// The wall clock was assessed.
     Clock,
-    /// Scope was decided, or decided anew.
+    /// The extent of the outage was decided.
     Scope,
-    /// A list was taken in or left out.
+    /// A list was applied or rejected.
     List,
-    /// A former drain's hold has begun or ended.
+    /// Former drains are held or released.
     Drain,
-    /// The process was stopped and woke.
-    Woke,
-    /// It serves by turns.
-    Refills,
-    /// It serves in full.
-    Serves,
+    /// The process resumed after a suspension.
+    Resumed,
+    /// Staged admission began.
+    StagedAdmission,
+    /// Full service began.
+    Serving,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask, so long from now.
-    Ask {
-        /// Whom.
-        whom: Whom,
-        /// How long from now; drawn so that the fleet's calls are spread.
+    /// Query a source after a span.
+    Query {
+        /// The source.
+        source: EvidenceSource,
+        /// The span, drawn so that the fleet's queries are spread.
         after: Nanos,
     },
-    /// What is known of a kind from before, and how far it is believed.
-    Trust {
-        /// Which kind.
-        kind: Kind,
-        /// How far.
-        verdict: Verdict,
-        /// Why.
-        why: &'static str,
+    /// The validity of remembered knowledge was decided.
+    RememberedStateJudged {
+        /// The kind of knowledge.
+        kind: RememberedKind,
+        /// Its validity.
+        validity: Validity,
+        /// The reason.
+        reason: &'static str,
         /// When it was last known, by the wall clock of then.
         as_of: Option<Millis>,
     },
-    /// The list that [`crate::Recovery::servers`] gives has changed.
+    /// The list of [`crate::Recovery::servers`] has changed.
     ListChanged,
-    /// From now on clients are served so; `PING` follows.
-    Serve {
-        /// How.
-        how: How,
-        /// Why.
+    /// Serve clients in this mode from now on; readiness follows.
+    SetServiceMode {
+        /// The mode.
+        mode: ServiceMode,
+        /// The reason.
         reason: String,
     },
-    /// Let this client in.
+    /// Admit a client.
     Admit {
-        /// Which.
+        /// Its id.
         id: u64,
     },
-    /// Tell this client to come again.
+    /// Defer a client.
     Defer {
-        /// Which.
+        /// Its id.
         id: u64,
-        /// After how long.
+        /// When it should return.
         retry_after: Nanos,
-        /// It is the client's turn by then, as far as can be told; if not, it learns then when that is.
-        firm: bool,
+        /// Whether its position is expected to have come by then.
+        is_final: bool,
     },
-    /// What went dark.
-    Scope {
-        /// What.
-        scope: Scope,
-        /// How likely that is, 0 to 1.
+    /// The extent of the outage was decided.
+    ScopeDecided {
+        /// The extent.
+        scope: OutageScope,
+        /// Its likelihood, from 0 to 1.
         likelihood: f64,
-        /// By what it was told.
+        /// The evidence.
         evidence: Vec<String>,
     },
-    /// Leave clients of the own part, which would lapse, to a peer that is short of it.
-    Lend {
-        /// Whom.
+    /// Lend unused quota to a peer that defers clients.
+    LendQuota {
+        /// Name of the peer.
         to: String,
-        /// The own count of loans.
+        /// Number of the loan.
         number: u64,
-        /// How many clients.
+        /// Number of clients.
         clients: f64,
     },
-    /// A line for the log.
-    Say {
-        /// Which step.
-        step: Step,
-        /// Why.
+    /// Log a step.
+    LogStep {
+        /// The step.
+        step: RecoveryStep,
+        /// The reason.
         reason: String,
-        /// Until when at most the step lasts, on the clock of `now`; nothing if it is over at once.
+        /// When the step ends at the latest, on the host's clock.
         bound: Option<Nanos>,
     },
 }
 
-impl fmt::Display for Whom {
+impl fmt::Display for EvidenceSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Whom::SitePeers => "site's peers",
-            Whom::OtherSites => "other sites' peers",
-            Whom::Discovery => "discovery",
-            Whom::Store => "shared store",
+            EvidenceSource::SitePeers => "site's peers",
+            EvidenceSource::OtherSites => "other sites' peers",
+            EvidenceSource::Discovery => "discovery",
+            EvidenceSource::Store => "shared store",
         })
     }
 }
 
-impl fmt::Display for Scope {
+impl fmt::Display for OutageScope {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Scope::Alone => "alone",
-            Scope::Site => "site",
-            Scope::Fleet => "fleet",
-            Scope::Unknown => "unknown",
+            OutageScope::Process => "alone",
+            OutageScope::Site => "site",
+            OutageScope::Fleet => "fleet",
+            OutageScope::Unknown => "unknown",
         })
     }
 }
--- a/crates/recovery/src/clock.rs
+++ b/crates/recovery/src/clock.rs
@@ -1,114 +1,121 @@
-//! Whether the wall clock can be believed. After a power loss it may have jumped back to 1970 or ahead by a year.
+//! Assessment of the wall clock, which may be wrong by years after a power loss.
 
 use std::collections::BTreeMap;
 
-use crate::config::Ages;
+use crate::config::Retention;
 use crate::{MS, Millis, Nanos};
 
-/// What is known of the wall clock. Other clocks are kept as what they showed at moment 0 of the own monotonic one, so
-/// that a step of the own clock changes none of them.
-pub(crate) struct Clock {
-    own: i64,
+/// The wall clock. Each clock is stored as its reading at monotonic time 0, so that a step of one
+/// changes no other.
+pub(crate) struct WallClock {
+    own_base: i64,
     written_at: Option<Millis>,
-    others: BTreeMap<String, i64>,
+    peer_bases: BTreeMap<String, i64>,
     newest_start: Millis,
-    judged: Option<Judged>,
+    quality: Option<ClockQuality>,
 }
 
-/// What came of it.
+/// Quality of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Judged {
-    /// Ages by it count.
+pub(crate) enum ClockQuality {
+    /// Ages can be computed, with the reason.
     Sound(&'static str),
-    /// Ages by it are unknown.
+    /// Ages can't be computed, with the reason.
     Unknown(&'static str),
 }
 
-/// What a wall clock showed at moment 0.
-fn base(now: Nanos, wall: Millis) -> i64 {
+/// The reading of a wall clock at monotonic time 0.
+fn clock_base(now: Nanos, wall: Millis) -> i64 {
     i64::try_from(wall)
         .unwrap_or(i64::MAX)
         .saturating_sub((now / MS) as i64)
 }
 
-impl Clock {
-    pub(crate) fn new(now: Nanos, wall: Millis, written_at: Option<Millis>) -> Clock {
-        let own = base(now, wall);
-        Clock {
-            own,
+impl WallClock {
+    pub(crate) fn new(now: Nanos, wall: Millis, written_at: Option<Millis>) -> WallClock {
+        let own_base = clock_base(now, wall);
+        WallClock {
+            own_base,
             written_at,
-            others: BTreeMap::new(),
+            peer_bases: BTreeMap::new(),
             newest_start: 0,
-            judged: None,
+            quality: None,
         }
     }
 
-    /// Follows the own clock; says by how much it was stepped, if it was.
-    pub(crate) fn look(&mut self, now: Nanos, wall: Millis, ages: &Ages) -> Option<i64> {
-        let step = base(now, wall).saturating_sub(self.own);
-        (step.unsigned_abs() > ages.tolerance).then(|| {
-            self.own = self.own.saturating_add(step);
+    /// Follows the own clock; returns its step in milliseconds, if it was stepped.
+    pub(crate) fn detect_step(
+        &mut self,
+        now: Nanos,
+        wall: Millis,
+        ages: &Retention,
+    ) -> Option<i64> {
+        let step = clock_base(now, wall).saturating_sub(self.own_base);
+        (step.unsigned_abs() > ages.clock_tolerance).then(|| {
+            self.own_base = self.own_base.saturating_add(step);
             step
         })
     }
 
-    /// Another clock was told.
-    pub(crate) fn told(&mut self, now: Nanos, whose: &str, wall: Millis) {
-        self.others.insert(whose.to_string(), base(now, wall));
+    /// Records the reading of another clock.
+    pub(crate) fn record_peer(&mut self, now: Nanos, whose: &str, wall: Millis) {
+        self.peer_bases
+            .insert(whose.to_string(), clock_base(now, wall));
     }
 
-    /// A server started then, by its own clock.
-    pub(crate) fn started(&mut self, at: Millis) {
+    /// Records the start of a server.
+    pub(crate) fn record_server_start(&mut self, at: Millis) {
         self.newest_start = self.newest_start.max(at);
     }
 
-    /// How much older something is by now than its wall time says; nothing if that can't be told.
+    /// The age of a wall time, if it can be computed.
     pub(crate) fn age(&self, now: Nanos, at: Millis) -> Option<Millis> {
-        matches!(self.judged, Some(Judged::Sound(_))).then(|| self.wall(now).saturating_sub(at))
+        matches!(self.quality, Some(ClockQuality::Sound(_)))
+            .then(|| self.wall_time(now).saturating_sub(at))
     }
 
     pub(crate) fn is_sound(&self) -> bool {
-        matches!(self.judged, Some(Judged::Sound(_)))
+        matches!(self.quality, Some(ClockQuality::Sound(_)))
     }
 
-    /// What it shows.
-    pub(crate) fn wall(&self, now: Nanos) -> Millis {
-        u64::try_from(self.own.saturating_add((now / MS) as i64)).unwrap_or(0)
+    /// The present wall time.
+    pub(crate) fn wall_time(&self, now: Nanos) -> Millis {
+        u64::try_from(self.own_base.saturating_add((now / MS) as i64)).unwrap_or(0)
     }
 
-    /// Judges anew; gives the judgement if it has changed.
-    pub(crate) fn judge(&mut self, now: Nanos, ages: &Ages) -> Option<Judged> {
-        let judged = self.judgement(now, ages);
-        (self.judged != Some(judged)).then(|| {
-            self.judged = Some(judged);
+    /// Assesses the clock again; returns its quality if it changed.
+    pub(crate) fn reassess(&mut self, now: Nanos, ages: &Retention) -> Option<ClockQuality> {
+        let judged = self.assess(now, ages);
+        (self.quality != Some(judged)).then(|| {
+            self.quality = Some(judged);
             judged
         })
     }
 
-    /// Others' clocks go first, since they were not all dark; then what the own memory and the servers' starts allow.
-    fn judgement(&self, now: Nanos, ages: &Ages) -> Judged {
-        let wall = self.wall(now);
-        let mut others: Vec<i64> = self.others.values().copied().collect();
+    /// Other clocks count most, then the own memory and the servers' starts.
+    fn assess(&self, now: Nanos, ages: &Retention) -> ClockQuality {
+        let wall = self.wall_time(now);
+        let mut others: Vec<i64> = self.peer_bases.values().copied().collect();
         others.sort_unstable();
         if let Some(median) = others.get(others.len() / 2) {
-            return if median.abs_diff(self.own) <= ages.tolerance {
-                Judged::Sound("others' clocks agree")
+            return if median.abs_diff(self.own_base) <= ages.clock_tolerance {
+                ClockQuality::Sound("others' clocks agree")
             } else {
-                Judged::Unknown("others' clocks disagree")
+                ClockQuality::Unknown("others' clocks disagree")
             };
         }
-        if self.newest_start > wall.saturating_add(ages.tolerance) {
-            return Judged::Unknown("a server started later than now");
+        if self.newest_start > wall.saturating_add(ages.clock_tolerance) {
+            return ClockQuality::Unknown("a server started later than now");
         }
         match self.written_at {
-            Some(at) if wall.saturating_add(ages.tolerance) < at => {
-                Judged::Unknown("memory was written later than now")
+            Some(at) if wall.saturating_add(ages.clock_tolerance) < at => {
+                ClockQuality::Unknown("memory was written later than now")
             }
-            Some(at) if wall.saturating_sub(at) > ages.longest_dark => {
-                Judged::Unknown("memory says that it was dark for too long to be believed")
+            Some(at) if wall.saturating_sub(at) > ages.max_outage => {
+                ClockQuality::Unknown("memory says that it was dark for too long to be believed")
             }
-            Some(_) => Judged::Sound("it goes on from where memory was written"),
-            None => Judged::Unknown("no other clock confirms it"),
+            Some(_) => ClockQuality::Sound("it goes on from where memory was written"),
+            None => ClockQuality::Unknown("no other clock confirms it"),
         }
     }
 }
--- a/crates/recovery/src/config.rs
+++ b/crates/recovery/src/config.rs
@@ -1,273 +1,285 @@
-//! What a process is told before it starts.
+//! Configuration of the recovery.
 
-use crate::{MS, Millis, Nanos, SECOND, Whom};
+use crate::{EvidenceSource, MS, Millis, Nanos, SECOND};
 
-/// All that the machine is told of its site and fleet.
+/// Configuration of the recovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Config {
-    /// This process's name.
+pub struct RecoveryConfig {
+    /// Name of this process.
     pub name: String,
     /// Its site.
     pub site: String,
-    /// How many balancers there are in all sites. Allowances are divided by it, never by how many are seen: halves that
-    /// don't see each other must not both take the whole.
-    pub fleet: u32,
+    /// Number of balancers in all sites. Quotas are divided by it and not by the number of visible
+    /// peers, so that both halves of a partition together keep the allowance.
+    pub fleet_size: u32,
     /// Peers expected in the own site.
     pub site_peers: u32,
-    /// Other sites, of which peers are expected.
+    /// Other sites with peers.
     pub other_sites: Vec<String>,
-    /// Whether a shared store is set up.
-    pub store: bool,
-    /// Bounds in time.
-    pub bounds: Bounds,
-    /// How old what is known may be.
-    pub ages: Ages,
-    /// Figures of the cold rule.
-    pub cold: Cold,
-    /// The classes of clients; there is at least one.
-    pub classes: Vec<Class>,
-    /// Accounts whose share is not 1.
-    pub accounts: Vec<Account>,
-    /// Clients that the fleet usually serves, if nobody remembers; 0 if that is not known.
-    pub clients: u32,
-    /// Clients of a group on average, which all go to one server; 0 or 1 where there are no groups.
-    pub group: f64,
+    /// Whether there is a shared store.
+    pub has_store: bool,
+    /// Timeouts.
+    pub timeouts: Timeouts,
+    /// How long knowledge is valid.
+    pub retention: Retention,
+    /// Slow-start rules.
+    pub slow_start: SlowStartRules,
+    /// The request classes; at least one.
+    pub classes: Vec<RequestClass>,
+    /// Accounts with a quota other than 1.
+    pub accounts: Vec<AccountQuota>,
+    /// Usual clients of the fleet, if nothing is remembered; 0 if not known.
+    pub usual_clients: u32,
+    /// Mean clients of a group, which all go to one server; 0 or 1 without groups.
+    pub group_size: f64,
 }
 
-/// How long each step may last.
+/// Timeouts of the steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Timeouts {
     /// For the site's peers.
     pub site_peers: Nanos,
-    /// For the other sites' peers.
+    /// For other sites' peers.
     pub other_sites: Nanos,
-    /// For discovery, beside the span over which the fleet's calls are spread.
+    /// For discovery, in addition to the spread of the fleet's calls.
     pub discovery: Nanos,
-    /// For the shared store, beside that span.
+    /// For the shared store, in addition to that spread.
     pub store: Nanos,
-    /// Until service is in full, from when clients are let in by turns.
-    pub refill: Nanos,
-    /// Time that each call of one process is left at discovery or the store.
-    pub call: Nanos,
-    /// Longest span over which the fleet's first calls are spread.
-    pub spread: Nanos,
-    /// Longest time between repeats to one that does not answer.
-    pub repeat: Nanos,
-    /// A process that heard nothing, not even a tick, for so long was stopped.
-    pub stopped: Nanos,
-    /// How long a former drain holds against a discovery that has lost its state.
+    /// From the start of staged admission to full service.
+    pub staged_admission: Nanos,
+    /// Time that one call takes at discovery or the store.
+    pub call_spacing: Nanos,
+    /// Longest spread of the fleet's first calls.
+    pub max_spread: Nanos,
+    /// Longest interval between retries.
+    pub max_retry_interval: Nanos,
+    /// A process without any event for this long was suspended.
+    pub suspended_after: Nanos,
+    /// How long former drains are held against a discovery that lost its state.
     pub drain_hold: Nanos,
 }
 
-/// How old a kind of knowledge may be.
+/// How long remembered knowledge is valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ages {
-    /// The list, as a starting point, and its drains.
+pub struct Retention {
+    /// The server list and its drains.
     pub list: Millis,
-    /// Where clients stood.
+    /// Placements.
     pub placements: Millis,
-    /// What servers bear and how they stand: in so long its weight is halved.
-    pub fades: Millis,
-    /// How many clients there were.
-    pub former: Millis,
-    /// A darkness longer than this is only believed if another clock confirms it.
-    pub longest_dark: Millis,
-    /// Clocks this far apart agree.
-    pub tolerance: Millis,
+    /// Half-life of server rates and health.
+    pub half_life: Millis,
+    /// Former clients.
+    pub former_clients: Millis,
+    /// A longer outage must be confirmed by another clock.
+    pub max_outage: Millis,
+    /// Clocks within this span agree.
+    pub clock_tolerance: Millis,
 }
 
-/// Figures of the cold rule.
+/// Slow-start rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
-    /// A started server is warm after this.
-    pub cold_time: Nanos,
-    /// Part of its capacity that it starts with.
-    pub cold_share: f64,
-    /// Times its present capacity that tip it over.
-    pub tip_multiple: f64,
-    /// For this long.
-    pub fall_time: Nanos,
-    /// Beyond the limit that comes of that, a server bears so many roots of it, and so many clients, more: room that the
-    /// rule itself leaves to chance. 0 where it leaves none.
-    pub slack: f64,
-    /// Clients a second that a warm server of weight 1 bears, if nobody has seen it.
-    pub borne: f64,
+pub struct SlowStartRules {
+    /// Time from the start of a server to its full capacity.
+    pub warm_up_time: Nanos,
+    /// Fraction of its capacity that a server starts with.
+    pub initial_capacity: f64,
+    /// Multiple of its present capacity that overloads it.
+    pub overload_multiple: f64,
+    /// Span over which the load is counted.
+    pub overload_window: Nanos,
+    /// Tolerance of the overload rule: so many square roots of the limit, and so many clients, in
+    /// addition.
+    pub chance_allowance: f64,
+    /// Clients per second that a warm server of weight 1 can take, if not remembered.
+    pub clients_per_server_s: f64,
 }
 
-/// A class of clients.
+/// A request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Class {
-    /// What a client is worth.
-    pub worth: f64,
-    /// Wanted time of a set-up.
-    pub aim: Nanos,
+pub struct RequestClass {
+    /// Relative value of one request.
+    pub priority_weight: f64,
+    /// Objective for the set-up time.
+    pub latency_objective: Nanos,
 }
 
-/// An account's share.
+/// An account's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Account {
-    /// A hash of its name.
+pub struct AccountQuota {
+    /// Hash of the account's name.
     pub account: u64,
-    /// Its part of what is let in, against the others'.
-    pub share: f64,
+    /// Quota relative to other accounts.
+    pub quota: f64,
 }
 
-/// A field that is out of its range.
+/// A field is outside its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Which.
+pub struct ConfigError {
+    /// Path of the field.
     pub field: &'static str,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for Timeouts {
+    fn default() -> Timeouts {
+        Timeouts {
             site_peers: 500 * MS,
             other_sites: SECOND,
             discovery: 2 * SECOND,
             store: SECOND,
-            refill: 600 * SECOND,
-            call: 10 * MS,
-            spread: 3 * SECOND,
-            repeat: 15 * SECOND,
-            stopped: 5 * SECOND,
+            staged_admission: 600 * SECOND,
+            call_spacing: 10 * MS,
+            max_spread: 3 * SECOND,
+            max_retry_interval: 15 * SECOND,
+            suspended_after: 5 * SECOND,
             drain_hold: 30 * SECOND,
         }
     }
 }
 
-impl Default for Ages {
-    fn default() -> Ages {
+impl Default for Retention {
+    fn default() -> Retention {
         const HOUR: Millis = 3_600_000;
-        Ages {
+        Retention {
             list: 24 * HOUR,
             placements: HOUR,
-            fades: HOUR,
-            former: 7 * 24 * HOUR,
-            longest_dark: 7 * 24 * HOUR,
-            tolerance: 5_000,
+            half_life: HOUR,
+            former_clients: 7 * 24 * HOUR,
+            max_outage: 7 * 24 * HOUR,
+            clock_tolerance: 5_000,
         }
     }
 }
 
-impl Default for Cold {
-    fn default() -> Cold {
-        Cold {
-            cold_time: 20 * SECOND,
-            cold_share: 0.2,
-            tip_multiple: 3.0,
-            fall_time: 1_500 * MS,
-            slack: 0.0,
-            borne: 1.0,
+impl Default for SlowStartRules {
+    fn default() -> SlowStartRules {
+        SlowStartRules {
+            warm_up_time: 20 * SECOND,
+            initial_capacity: 0.2,
+            overload_multiple: 3.0,
+            overload_window: 1_500 * MS,
+            chance_allowance: 0.0,
+            clients_per_server_s: 1.0,
         }
     }
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config {
+impl Default for RecoveryConfig {
+    fn default() -> RecoveryConfig {
+        RecoveryConfig {
             name: String::new(),
             site: String::new(),
-            fleet: 1,
+            fleet_size: 1,
             site_peers: 0,
             other_sites: Vec::new(),
-            store: false,
-            bounds: Bounds::default(),
-            ages: Ages::default(),
-            cold: Cold::default(),
-            classes: vec![Class {
-                worth: 1.0,
-                aim: SECOND,
+            has_store: false,
+            timeouts: Timeouts::default(),
+            retention: Retention::default(),
+            slow_start: SlowStartRules::default(),
+            classes: vec![RequestClass {
+                priority_weight: 1.0,
+                latency_objective: SECOND,
             }],
             accounts: Vec::new(),
-            clients: 0,
-            group: 0.0,
+            usual_clients: 0,
+            group_size: 0.0,
         }
     }
 }
 
-impl Class {
-    /// What a client is worth for each second in which it is wanted.
-    pub(crate) fn urgency(&self) -> f64 {
-        self.worth / (self.aim as f64 / SECOND as f64)
+impl RequestClass {
+    /// Priority per second of latency objective.
+    pub(crate) fn queue_weight(&self) -> f64 {
+        self.priority_weight / (self.latency_objective as f64 / SECOND as f64)
     }
 }
 
-impl Config {
-    /// All fields that are out of their range.
-    pub fn faults(&self) -> Vec<Fault> {
-        let (bounds, ages, cold) = (&self.bounds, &self.ages, &self.cold);
+impl RecoveryConfig {
+    /// All fields that are outside their range.
+    pub fn errors(&self) -> Vec<ConfigError> {
+        let (bounds, ages, cold) = (&self.timeouts, &self.retention, &self.slow_start);
         let is_part = |part: f64| part > 0.0 && part <= 1.0;
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         let faults = [
             ("name", self.name.is_empty()),
-            ("fleet", self.fleet == 0),
-            ("bounds.refill", bounds.refill == 0),
-            ("bounds.repeat", bounds.repeat < MS),
-            ("bounds.stopped", bounds.stopped < TICK.saturating_mul(4)),
-            ("ages.fades", ages.fades == 0),
-            ("cold.cold_share", !is_part(cold.cold_share)),
-            ("cold.tip_multiple", !is_positive(cold.tip_multiple)),
-            ("cold.fall_time", cold.fall_time == 0),
-            ("cold.slack", !(cold.slack.is_finite() && cold.slack >= 0.0)),
-            ("cold.borne", !is_positive(cold.borne)),
-            ("group", !(self.group.is_finite() && self.group >= 0.0)),
+            ("fleet", self.fleet_size == 0),
+            ("bounds.refill", bounds.staged_admission == 0),
+            ("bounds.repeat", bounds.max_retry_interval < MS),
+            (
+                "bounds.stopped",
+                bounds.suspended_after < TICK_INTERVAL.saturating_mul(4),
+            ),
+            ("ages.fades", ages.half_life == 0),
+            ("cold.cold_share", !is_part(cold.initial_capacity)),
+            ("cold.tip_multiple", !is_positive(cold.overload_multiple)),
+            ("cold.fall_time", cold.overload_window == 0),
+            (
+                "cold.slack",
+                !(cold.chance_allowance.is_finite() && cold.chance_allowance >= 0.0),
+            ),
+            ("cold.borne", !is_positive(cold.clients_per_server_s)),
+            (
+                "group",
+                !(self.group_size.is_finite() && self.group_size >= 0.0),
+            ),
             ("classes", self.classes.is_empty()),
             (
                 "classes.worth",
                 self.classes
                     .iter()
-                    .any(|class| !class.worth.is_finite() || class.worth < 0.0),
+                    .any(|class| !class.priority_weight.is_finite() || class.priority_weight < 0.0),
             ),
             (
                 "classes.aim",
-                self.classes.iter().any(|class| class.aim == 0),
+                self.classes
+                    .iter()
+                    .any(|class| class.latency_objective == 0),
             ),
             (
                 "accounts.share",
                 self.accounts
                     .iter()
-                    .any(|account| !is_positive(account.share)),
+                    .any(|account| !is_positive(account.quota)),
             ),
         ];
         faults
             .into_iter()
             .filter(|(_, bad)| *bad)
-            .map(|(field, _)| Fault { field })
+            .map(|(field, _)| ConfigError { field })
             .collect()
     }
 
-    /// The span over which the whole fleet's first calls to one service are spread.
-    pub fn herd(&self) -> Nanos {
-        self.bounds
-            .call
-            .saturating_mul(u64::from(self.fleet))
-            .min(self.bounds.spread)
+    /// The span over which the fleet's first calls to one service are spread.
+    pub fn call_spread(&self) -> Nanos {
+        self.timeouts
+            .call_spacing
+            .saturating_mul(u64::from(self.fleet_size))
+            .min(self.timeouts.max_spread)
     }
 
-    /// So long asking one of them lasts at most.
-    pub(crate) fn step_within(&self, whom: Whom) -> Nanos {
+    /// Timeout of the queries to one source.
+    pub(crate) fn query_timeout(&self, whom: EvidenceSource) -> Nanos {
         match whom {
-            Whom::SitePeers => self.bounds.site_peers,
-            Whom::OtherSites => self.bounds.other_sites,
-            Whom::Discovery => self.bounds.discovery.saturating_add(self.herd()),
-            Whom::Store => self.bounds.store.saturating_add(self.herd()),
+            EvidenceSource::SitePeers => self.timeouts.site_peers,
+            EvidenceSource::OtherSites => self.timeouts.other_sites,
+            EvidenceSource::Discovery => self.timeouts.discovery.saturating_add(self.call_spread()),
+            EvidenceSource::Store => self.timeouts.store.saturating_add(self.call_spread()),
         }
     }
 
-    /// Within so long from its start every process lets clients in, whoever answers or not.
-    pub fn lets_in_within(&self) -> Nanos {
-        Whom::ALL
+    /// Every process admits clients within this span of its start.
+    pub fn admits_within(&self) -> Nanos {
+        EvidenceSource::ALL
             .into_iter()
-            .map(|whom| self.step_within(whom))
+            .map(|whom| self.query_timeout(whom))
             .fold(0, Nanos::saturating_add)
     }
 
-    /// Within so long from its start every process serves in full, whoever answers or not.
+    /// Every process serves in full within this span of its start.
     pub fn serves_within(&self) -> Nanos {
-        self.lets_in_within().saturating_add(self.bounds.refill)
+        self.admits_within()
+            .saturating_add(self.timeouts.staged_admission)
     }
 }
 
-/// How often the machine looks at what only time changes.
-pub(crate) const TICK: Nanos = 250 * MS;
+/// Interval of ticks.
+pub(crate) const TICK_INTERVAL: Nanos = 250 * MS;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,60 +1,67 @@
-//! From dark to serving: what a balancer's process does between its start, or its waking, and ordinary service, without
-//! I/O, clock or globals.
+//! Recovery of a balancer process, from its start or its resumption to full service, without I/O,
+//! clock or globals.
 //!
-//! A host tells [`Recovery::handle`] what happens and carries out the [`Action`]s it gets back. Each step has its reason
-//! and a bound in time, so that every process ends up serving whatever is missing. The host calls again with
-//! [`Event::Tick`] at [`Recovery::due`].
+//! A host reports events to [`Recovery::handle`] and carries out the [`Action`]s it returns. Each
+//! step has a reason and a timeout, so that every process serves whatever is missing. The host
+//! reports [`Event::Tick`] at [`Recovery::next_tick_at`].
 //!
 //! ```
 //! use beaconflow_recovery::*;
 //!
-//! let config = Config { name: "b1".into(), site: "north".into(), fleet: 2, ..Config::default() };
-//! let bound = config.serves_within();
+//! let config = RecoveryConfig {
+//!     name: "b1".into(),
+//!     site: "north".into(),
+//!     fleet_size: 2,
+//!     ..RecoveryConfig::default()
+//! };
+//! let serves_within = config.serves_within();
 //! let mut recovery = Recovery::new(config, 7)?;
-//! let (mut now, mut out) = (0, Vec::new());
-//! recovery.handle(now, 1_700_000_000_000, Event::Started { boot: 1, memory: None }, &mut out);
-//! // Nobody ever answers: it serves all the same, within the bound.
-//! while let Some(due) = recovery.due() {
-//!     now = due;
-//!     recovery.handle(now, 1_700_000_000_000, Event::Tick, &mut out);
-//!     if recovery.state() == State::Serving {
+//! let (mut now, mut actions) = (0, Vec::new());
+//! let started = Event::Started { incarnation: 1, memory: None };
+//! recovery.handle(now, 1_700_000_000_000, started, &mut actions);
+//! // No source ever answers: the process serves all the same, within the bound.
+//! while let Some(next) = recovery.next_tick_at() {
+//!     now = next;
+//!     recovery.handle(now, 1_700_000_000_000, Event::Tick, &mut actions);
+//!     if recovery.state() == RecoveryState::Serving {
 //!         break;
 //!     }
 //! }
-//! assert!(recovery.state() == State::Serving && now <= bound);
-//! # Ok::<(), Vec<Fault>>(())
+//! assert!(recovery.state() == RecoveryState::Serving && now <= serves_within);
+//! # Ok::<(), Vec<ConfigError>>(())
 //! ```
 
-#![forbid(unsafe_code)]
-
+mod accessors;
+mod admission_curve;
+mod admission_order;
+mod admission_quota;
 mod api;
-mod ask;
 mod clock;
 mod config;
-mod curve;
-mod farm;
-mod machine;
-mod order;
-mod part;
-mod refill;
+mod queries;
+mod recovery;
 mod scope;
-mod trust;
-mod view;
+mod server_table;
+mod staged_admission;
+mod validity;
 
 pub use api::{
-    Action, Arrival, Entry, Event, Former, How, Kind, Lifecycle, List, Memory, PeerWord, Scope,
-    Source, State, Step, Verdict, Whom,
+    Action, AdmissionRequest, Entry, Event, EvidenceSource, FormerClients, Lifecycle, List, Memory,
+    OutageScope, PeerStatus, RecoveryState, RecoveryStep, RememberedKind, ServiceMode, Source,
+    Validity,
+};
+pub use config::{
+    AccountQuota, ConfigError, RecoveryConfig, RequestClass, Retention, SlowStartRules, Timeouts,
 };
-pub use config::{Account, Ages, Bounds, Class, Cold, Config, Fault};
-pub use machine::Recovery;
+pub use recovery::Recovery;
 
-/// A moment or a span on the host's own clock, which only goes forward, in nanoseconds.
+/// A time or a span on the host's monotonic clock, in nanoseconds.
 pub type Nanos = u64;
 
-/// A moment of wall time (Unix), or a span of it, in milliseconds.
+/// A Unix time or a span, in milliseconds.
 pub type Millis = u64;
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds per millisecond.
 pub(crate) const MS: Nanos = 1_000_000;
-/// Nanoseconds of a second.
+/// Nanoseconds per second.
 pub(crate) const SECOND: Nanos = 1_000_000_000;
--- /dev/null
+++ b/crates/recovery/src/queries.rs
@@ -0,0 +1,196 @@
+//! Queries: their order, retries and spread over the fleet.
+
+use rand::Rng;
+
+use crate::recovery::Recovery;
+use crate::{Action, EvidenceSource, MS, Nanos, OutageScope, RecoveryState, RecoveryStep, Source};
+
+/// Least span over which a retry is spread.
+const MIN_RETRY_SPREAD: Nanos = 200 * MS;
+
+/// State of the queries to one source.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct QueryState {
+    pub(crate) is_answered: bool,
+    attempts: u32,
+    /// When the latest call was or will be made.
+    call_at: Nanos,
+    /// When it is retried without an answer.
+    pub(crate) retry_at: Option<Nanos>,
+}
+
+impl Recovery {
+    /// Queries the next configured source from this index on, or begins admission.
+    pub(crate) fn query_next(&mut self, now: Nanos, from: usize, out: &mut Vec<Action>) {
+        match EvidenceSource::ALL
+            .into_iter()
+            .skip(from)
+            .find(|whom| self.is_configured(*whom))
+        {
+            Some(whom) => {
+                self.state = RecoveryState::Querying(whom);
+                self.step_deadline_at = now.saturating_add(self.config.query_timeout(whom));
+                self.log_step(
+                    out,
+                    RecoveryStep::Query(whom),
+                    format!("what is known at the {whom}"),
+                    Some(self.step_deadline_at),
+                );
+                if !self.queries[whom as usize].is_answered {
+                    let after = self.rng.random_range(0..=self.first_call_spread(whom));
+                    self.call(now, whom, after, out);
+                }
+            }
+            None => self.start_admission(now, out),
+        }
+    }
+
+    fn is_configured(&self, whom: EvidenceSource) -> bool {
+        match whom {
+            EvidenceSource::SitePeers => self.config.site_peers > 0,
+            EvidenceSource::OtherSites => !self.config.other_sites.is_empty(),
+            EvidenceSource::Discovery => true,
+            EvidenceSource::Store => self.config.has_store,
+        }
+    }
+
+    fn answer_timeout(&self, whom: EvidenceSource) -> Nanos {
+        let bounds = &self.config.timeouts;
+        match whom {
+            EvidenceSource::SitePeers => bounds.site_peers,
+            EvidenceSource::OtherSites => bounds.other_sites,
+            EvidenceSource::Discovery => bounds.discovery,
+            EvidenceSource::Store => bounds.store,
+        }
+    }
+
+    /// The span over which the fleet's first calls are spread. Peers also report unasked.
+    fn first_call_spread(&self, whom: EvidenceSource) -> Nanos {
+        match whom {
+            EvidenceSource::SitePeers | EvidenceSource::OtherSites => self.answer_timeout(whom) / 4,
+            EvidenceSource::Discovery | EvidenceSource::Store => self.config.call_spread(),
+        }
+    }
+
+    fn call(&mut self, now: Nanos, source: EvidenceSource, after: Nanos, out: &mut Vec<Action>) {
+        out.push(Action::Query { source, after });
+        let call_at = now.saturating_add(after);
+        let retry_at =
+            Some(call_at.saturating_add(self.answer_timeout(source).max(MIN_RETRY_SPREAD)));
+        let asked = &mut self.queries[source as usize];
+        *asked = QueryState {
+            attempts: asked.attempts.saturating_add(1),
+            call_at,
+            retry_at,
+            ..*asked
+        };
+    }
+
+    /// Retries after a capped exponential backoff with full jitter, never faster than the fleet's
+    /// calls allow.
+    fn retry_call(&mut self, now: Nanos, whom: EvidenceSource, out: &mut Vec<Action>) {
+        let tries = self.queries[whom as usize].attempts.min(16);
+        let most = self
+            .config
+            .timeouts
+            .max_retry_interval
+            .max(self.first_call_spread(whom));
+        let span = self
+            .first_call_spread(whom)
+            .max(MIN_RETRY_SPREAD)
+            .saturating_mul(1 << tries)
+            .min(most);
+        let after = self.rng.random_range(0..=span);
+        self.call(now, whom, after, out);
+    }
+
+    /// Retries the calls that are due, whatever the state: a source that comes back last is heard
+    /// too.
+    pub(crate) fn retry_due_calls(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        for whom in EvidenceSource::ALL {
+            if self.queries[whom as usize]
+                .retry_at
+                .is_some_and(|next| now >= next)
+            {
+                self.retry_call(now, whom, out);
+            }
+        }
+    }
+
+    pub(crate) fn on_answered(&mut self, whom: EvidenceSource) {
+        let asked = &mut self.queries[whom as usize];
+        *asked = QueryState {
+            is_answered: true,
+            retry_at: None,
+            ..*asked
+        };
+    }
+
+    /// A list is an answer of its source.
+    pub(crate) fn on_list_source(&mut self, source: Source) {
+        match source {
+            Source::Known | Source::Memory => {}
+            Source::Peer => self.on_answered(EvidenceSource::SitePeers),
+            Source::OtherSite => self.on_answered(EvidenceSource::OtherSites),
+            Source::Discovery => self.on_answered(EvidenceSource::Discovery),
+            Source::Store => self.on_answered(EvidenceSource::Store),
+        }
+    }
+
+    /// Handles a failed call. A failure without a call is ignored.
+    pub(crate) fn on_query_failed(
+        &mut self,
+        now: Nanos,
+        whom: EvidenceSource,
+        out: &mut Vec<Action>,
+    ) {
+        self.evidence.record_silence(whom);
+        let asked = &self.queries[whom as usize];
+        if asked.retry_at.is_some() && now >= asked.call_at {
+            self.retry_call(now, whom, out);
+        }
+    }
+
+    /// Whether the query is done: answered, timed out, or not needed.
+    pub(crate) fn is_query_done(&self, now: Nanos, whom: EvidenceSource) -> bool {
+        let is_told = whom == EvidenceSource::Discovery && self.has_fresh_list();
+        self.queries[whom as usize].is_answered
+            || now >= self.step_deadline_at
+            || is_told
+            || self.can_skip_queries(now)
+    }
+
+    /// Whether a list is newer than the outage. A peer's list shows that the peer has asked
+    /// discovery.
+    pub(crate) fn has_fresh_list(&self) -> bool {
+        self.servers
+            .as_of()
+            .is_some_and(|as_of| as_of >= self.outage_started_at as i64)
+    }
+
+    /// Whether no more queries are needed: this process alone restarted and has its peers' list.
+    fn can_skip_queries(&self, now: Nanos) -> bool {
+        let is_told = self
+            .servers
+            .source()
+            .is_some_and(|source| source >= Source::OtherSite);
+        is_told && self.assess_scope(now).scope == OutageScope::Process
+    }
+
+    pub(crate) fn finish_query(&mut self, now: Nanos, whom: EvidenceSource, out: &mut Vec<Action>) {
+        if !self.queries[whom as usize].is_answered {
+            self.evidence.record_silence(whom);
+        }
+        if !self.can_skip_queries(now) {
+            return self.query_next(now, whom as usize + 1, out);
+        }
+        // The remaining sources are still queried.
+        for later in EvidenceSource::ALL.into_iter().skip(whom as usize + 1) {
+            if self.is_configured(later) && !self.queries[later as usize].is_answered {
+                let after = self.rng.random_range(0..=self.first_call_spread(later));
+                self.call(now, later, after, out);
+            }
+        }
+        self.start_admission(now, out);
+    }
+}
--- /dev/null
+++ b/crates/recovery/src/recovery.rs
@@ -0,0 +1,615 @@
+//! The state machine.
+
+use std::collections::BTreeMap;
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use crate::admission_curve::AdmissionCurve;
+use crate::admission_order::{AdmissionOrder, ClientCount};
+use crate::admission_quota::AdmissionQuota;
+use crate::clock::{ClockQuality, WallClock};
+use crate::config::TICK_INTERVAL;
+use crate::queries::QueryState;
+use crate::scope::{ScopeEvidence, ScopeFinding};
+use crate::server_table::{ListContext, ListOutcome, ServerTable};
+use crate::validity::{self, MemoryOwner};
+use crate::{
+    Action, AdmissionRequest, ConfigError, Event, EvidenceSource, FormerClients, List, Memory,
+    Millis, Nanos, PeerStatus, RecoveryConfig, RecoveryState, RecoveryStep, RememberedKind, SECOND,
+    ServiceMode, Source, Validity,
+};
+
+/// Offset of the internal clock, so that times before the start of the host's clock are not
+/// negative.
+const EPOCH_OFFSET: Nanos = 86_400 * SECOND;
+/// Greatest rate of deferred clients that a peer is believed to have.
+const MAX_DEFERRED_PER_S: f64 = 1e9;
+
+/// The recovery of one process.
+pub struct Recovery {
+    pub(crate) config: RecoveryConfig,
+    pub(crate) rng: Pcg64Mcg,
+    pub(crate) state: RecoveryState,
+    incarnation: u64,
+    /// When the process started, or had its last event before a suspension.
+    pub(crate) outage_started_at: Nanos,
+    /// The latest event.
+    pub(crate) last_event_at: Nanos,
+    pub(crate) clock: Option<WallClock>,
+    pub(crate) memory: Option<RememberedState>,
+    pub(crate) validities: BTreeMap<RememberedKind, (Validity, &'static str)>,
+    pub(crate) evidence: ScopeEvidence,
+    pub(crate) finding: Option<ScopeFinding>,
+    pub(crate) servers: ServerTable,
+    /// Indexed like [`EvidenceSource::ALL`].
+    pub(crate) queries: [QueryState; 4],
+    /// When the present step ends at the latest.
+    pub(crate) step_deadline_at: Nanos,
+    /// The wall clock went ahead of the monotonic one; a peer's restart by then shows a suspension.
+    clock_doubted_until: Nanos,
+    pub(crate) client_count: ClientCount,
+    pub(crate) peers_former_clients: BTreeMap<String, f64>,
+    /// Peers that defer clients: the rate, and when it was reported.
+    pub(crate) deferring_peers: BTreeMap<String, (f64, Nanos)>,
+    /// When the first of the processes that started together admitted clients.
+    pub(crate) admission_started_at: Option<Nanos>,
+    pub(crate) order: AdmissionOrder,
+    pub(crate) curve: Option<AdmissionCurve>,
+    pub(crate) admitted_position: f64,
+    pub(crate) quota: AdmissionQuota,
+    /// When the quota was last updated.
+    pub(crate) quota_updated_at: Nanos,
+    pub(crate) lent_count: u64,
+}
+
+/// The remembered state.
+pub(crate) struct RememberedState {
+    owner: MemoryOwner,
+    pub(crate) written_at: Millis,
+    /// The list, until it is used.
+    list: Option<List>,
+    pub(crate) former_clients: Vec<FormerClients>,
+    clients_per_server_s: Option<f64>,
+}
+
+impl Recovery {
+    /// Creates the recovery of a process that has not started. Equal seeds and events give equal
+    /// actions.
+    ///
+    /// # Errors
+    ///
+    /// Returns all fields outside their range.
+    pub fn new(config: RecoveryConfig, seed: u64) -> Result<Recovery, Vec<ConfigError>> {
+        let faults = config.errors();
+        if !faults.is_empty() {
+            return Err(faults);
+        }
+        Ok(Recovery {
+            config,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            state: RecoveryState::NotStarted,
+            incarnation: 0,
+            outage_started_at: 0,
+            last_event_at: 0,
+            clock: None,
+            memory: None,
+            validities: BTreeMap::new(),
+            evidence: ScopeEvidence::default(),
+            finding: None,
+            servers: ServerTable::default(),
+            queries: Default::default(),
+            step_deadline_at: 0,
+            clock_doubted_until: 0,
+            client_count: ClientCount::default(),
+            peers_former_clients: BTreeMap::new(),
+            deferring_peers: BTreeMap::new(),
+            admission_started_at: None,
+            order: AdmissionOrder::default(),
+            curve: None,
+            admitted_position: 0.0,
+            quota: AdmissionQuota::default(),
+            quota_updated_at: 0,
+            lent_count: 0,
+        })
+    }
+
+    /// Handles one event, with the readings of both clocks.
+    pub fn handle(&mut self, now: Nanos, wall: Millis, event: Event, out: &mut Vec<Action>) {
+        let now = now.saturating_add(EPOCH_OFFSET).max(self.last_event_at);
+        let gap = now - self.last_event_at;
+        match self.state {
+            RecoveryState::NotStarted => self.start(now, wall, &event, out),
+            _ => self.follow_clocks(now, wall, gap, out),
+        }
+        self.last_event_at = now;
+        self.advance_time(now, out);
+        match event {
+            Event::Started {
+                memory: Some(memory),
+                ..
+            } => self.remember(now, memory, out),
+            Event::Started { memory: None, .. } | Event::Tick => {}
+            Event::PeerReported(word) => self.on_peer_status(now, &word, out),
+            Event::ListReceived(list) => self.apply_list(now, &list, out),
+            Event::Answered(whom) => self.on_answered(whom),
+            Event::Failed(whom) => self.on_query_failed(now, whom, out),
+            Event::ServerStarted { name, at } => self.on_server_started(now, &name, at, out),
+            Event::AdmissionRequested(arrival) => {
+                return self.on_admission_requested(now, &arrival, out);
+            }
+            Event::QuotaLent {
+                from,
+                number,
+                clients,
+            } => self.quota.receive_lent(&from, number, clients),
+        }
+        self.advance_time(now, out);
+    }
+
+    /// When [`Event::Tick`] is due.
+    pub fn next_tick_at(&self) -> Option<Nanos> {
+        let asks = self.queries.iter().filter_map(|asked| asked.retry_at).min();
+        let step = match self.state {
+            RecoveryState::NotStarted => return None,
+            RecoveryState::Querying(_) => self
+                .step_deadline_at
+                .min(self.last_event_at.saturating_add(TICK_INTERVAL)),
+            RecoveryState::StagedAdmission => self.last_event_at.saturating_add(TICK_INTERVAL),
+            // A suspension has to be noticed.
+            RecoveryState::Serving => self
+                .last_event_at
+                .saturating_add(self.config.timeouts.suspended_after / 2),
+        };
+        let let_go = self.servers.next_drain_release().unwrap_or(Nanos::MAX);
+        Some(
+            step.min(asks.unwrap_or(Nanos::MAX))
+                .min(let_go)
+                .max(self.last_event_at)
+                .saturating_sub(EPOCH_OFFSET),
+        )
+    }
+
+    fn start(&mut self, now: Nanos, wall: Millis, event: &Event, out: &mut Vec<Action>) {
+        self.outage_started_at = now;
+        let (boot, written_at) = match event {
+            Event::Started {
+                incarnation,
+                memory,
+            } => (
+                *incarnation,
+                memory.as_ref().map(|memory| memory.written_at),
+            ),
+            _ => (0, None),
+        };
+        self.incarnation = boot;
+        self.clock = Some(WallClock::new(now, wall, written_at));
+        if written_at.is_none() {
+            self.log_step(
+                out,
+                RecoveryStep::MemoryRead,
+                "there is no memory".into(),
+                None,
+            );
+        }
+        self.assess_clock(now, out);
+        self.query_next(now, 0, out);
+    }
+
+    /// Follows both clocks and notices a suspension.
+    fn follow_clocks(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
+        let stopped = self.config.timeouts.suspended_after;
+        let stepped = self
+            .clock
+            .as_mut()
+            .and_then(|clock| clock.detect_step(now, wall, &self.config.retention));
+        if let Some(step) = stepped {
+            self.log_step(
+                out,
+                RecoveryStep::Clock,
+                format!("the wall clock was stepped by {step} ms"),
+                None,
+            );
+            if step > 0 && step as u64 >= stopped / crate::MS {
+                self.clock_doubted_until = now.saturating_add(stopped);
+            }
+            self.assess_clock(now, out);
+        }
+        if gap > stopped {
+            self.resume(
+                now,
+                self.last_event_at,
+                format!("nothing was heard for {} s: it was stopped", gap / SECOND),
+                out,
+            );
+        }
+    }
+
+    /// Starts again after a suspension: everything known is old.
+    fn resume(&mut self, now: Nanos, since: Nanos, why: String, out: &mut Vec<Action>) {
+        self.outage_started_at = since;
+        self.clock_doubted_until = 0;
+        self.servers.demote_to_memory();
+        self.finding = None;
+        self.curve = None;
+        self.admitted_position = 0.0;
+        self.admission_started_at = None;
+        self.quota = AdmissionQuota::default();
+        self.queries = Default::default();
+        self.log_step(
+            out,
+            RecoveryStep::Resumed,
+            why,
+            Some(now.saturating_add(self.config.admits_within())),
+        );
+        let (kind, validity) = (RememberedKind::ConnectionCounts, Validity::Discarded);
+        out.push(Action::RememberedStateJudged {
+            kind,
+            validity,
+            reason: "it was stopped meanwhile",
+            as_of: None,
+        });
+        out.push(Action::SetServiceMode {
+            mode: ServiceMode::Unavailable,
+            reason: "it was stopped, and asks what happened".into(),
+        });
+        self.query_next(now, 0, out);
+    }
+
+    fn remember(&mut self, now: Nanos, memory: Memory, out: &mut Vec<Action>) {
+        if self.memory.is_some() {
+            return;
+        }
+        let owner = validity::memory_owner(&self.config, self.incarnation, &memory);
+        let reason = match owner {
+            MemoryOwner::Own => format!("memory of boot {}", memory.incarnation),
+            MemoryOwner::Foreign => {
+                format!(
+                    "memory of {} boot {}: not this process's own",
+                    memory.owner, memory.incarnation
+                )
+            }
+        };
+        self.log_step(out, RecoveryStep::MemoryRead, reason, None);
+        let Memory {
+            written_at,
+            list,
+            former_clients,
+            clients_per_server_s: client_rate_per_server,
+            ..
+        } = memory;
+        self.memory = Some(RememberedState {
+            owner,
+            written_at,
+            list,
+            former_clients,
+            clients_per_server_s: client_rate_per_server,
+        });
+        self.assess_remembered(now, out);
+        if self.validity(RememberedKind::List) == Validity::Hint(1.0) {
+            self.apply_remembered_list(now, out);
+        }
+    }
+
+    /// Applies the remembered list, unless it was used.
+    pub(crate) fn apply_remembered_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let Some(kept) = &mut self.memory else { return };
+        let Some(list) = kept.list.take() else { return };
+        let age = self
+            .clock
+            .as_ref()
+            .and_then(|clock| clock.age(now, kept.written_at));
+        let age = age.map_or(Nanos::MAX / 4, |age| {
+            age.saturating_mul(crate::MS).min(Nanos::MAX / 4)
+        });
+        self.apply_list(
+            now,
+            &List {
+                source: Source::Memory,
+                age: list.age.saturating_add(age),
+                reported_at: None,
+                ..list
+            },
+            out,
+        );
+    }
+
+    fn on_peer_status(&mut self, now: Nanos, word: &PeerStatus, out: &mut Vec<Action>) {
+        if word.name == self.config.name {
+            return;
+        }
+        let began_anew = self.evidence.record_peer(now, &self.config.site, word);
+        if let (Some(wall), Some(clock)) = (word.wall_clock, self.clock.as_mut()) {
+            clock.record_peer(now, &word.name, wall);
+        }
+        if let Some(former) = word
+            .former_clients
+            .filter(|former| former.is_finite() && *former > 0.0)
+        {
+            self.peers_former_clients.insert(word.name.clone(), former);
+        }
+        let short = if word.deferred_per_s.is_finite() {
+            word.deferred_per_s.clamp(0.0, MAX_DEFERRED_PER_S)
+        } else {
+            0.0
+        };
+        self.deferring_peers.insert(word.name.clone(), (short, now));
+        if self.evidence.site_peers() >= self.config.site_peers as usize {
+            self.on_answered(EvidenceSource::SitePeers);
+        }
+        if began_anew && now < self.clock_doubted_until && self.state == RecoveryState::Serving {
+            let since = now.saturating_sub(word.uptime);
+            self.resume(
+                now,
+                since,
+                format!(
+                    "the wall clock went ahead, and {} has begun anew",
+                    word.name
+                ),
+                out,
+            );
+        }
+        self.align_admission_start(now, word);
+        self.assess_clock(now, out);
+        self.reassess_scope(now, out);
+    }
+
+    fn apply_list(&mut self, now: Nanos, list: &List, out: &mut Vec<Action>) {
+        if let (Some(wall), Some(clock)) = (list.reported_at, self.clock.as_mut()) {
+            clock.record_peer(now, "discovery", wall);
+        }
+        for entry in list
+            .entries
+            .iter()
+            .filter(|_| list.source != Source::Memory)
+        {
+            self.clock
+                .iter_mut()
+                .for_each(|clock| clock.record_server_start(entry.started_at_ms));
+        }
+        self.assess_clock(now, out);
+        self.on_list_source(list.source);
+        let of_memory = (list.source == Source::Memory)
+            .then(|| self.memory.as_ref().map(|kept| kept.written_at));
+        let list_context = hearing(&self.config, self.clock.as_ref(), now, of_memory.flatten());
+        let (source, entries) = (list.source, list.entries.len());
+        match self.servers.apply(list, list_context) {
+            ListOutcome::Rejected => self.log_step(
+                out,
+                RecoveryStep::List,
+                format!("left out: what is held is newer than {source:?}'s"),
+                None,
+            ),
+            ListOutcome::Applied { held, is_new_epoch } => {
+                let lost = if is_new_epoch {
+                    "; discovery counts anew"
+                } else {
+                    ""
+                };
+                self.log_step(
+                    out,
+                    RecoveryStep::List,
+                    format!("{entries} servers by {source:?}{lost}"),
+                    None,
+                );
+                if held > 0 && is_new_epoch {
+                    let until = now.saturating_add(self.config.timeouts.drain_hold);
+                    let reason =
+                        format!("{held} former drains hold until discovery says otherwise");
+                    self.log_step(out, RecoveryStep::Drain, reason, Some(until));
+                }
+                self.on_servers_changed(now, out);
+            }
+        }
+    }
+
+    fn on_server_started(&mut self, now: Nanos, name: &str, at: Millis, out: &mut Vec<Action>) {
+        let hearing = hearing(&self.config, self.clock.as_ref(), now, None);
+        if self.servers.record_start(name, at, hearing) {
+            self.on_servers_changed(now, out);
+        }
+    }
+
+    fn on_servers_changed(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        out.push(Action::ListChanged);
+        self.limit_server_starts();
+        self.plan_admission(now);
+        self.reassess_scope(now, out);
+    }
+
+    fn assess_clock(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let judged = self
+            .clock
+            .as_mut()
+            .and_then(|clock| clock.reassess(now, &self.config.retention));
+        let Some(judged) = judged else { return };
+        let reason = match judged {
+            ClockQuality::Sound(why) => format!("ages count: {why}"),
+            ClockQuality::Unknown(why) => format!("ages are unknown: {why}"),
+        };
+        self.log_step(out, RecoveryStep::Clock, reason, None);
+        self.assess_remembered(now, out);
+    }
+
+    /// Assesses all kinds of remembered knowledge and reports changes.
+    fn assess_remembered(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let Some(kept) = &self.memory else { return };
+        let age = self
+            .clock
+            .as_ref()
+            .and_then(|clock| clock.age(now, kept.written_at));
+        for kind in RememberedKind::ALL {
+            let (validity, reason) =
+                validity::assess(kind, kept.owner, age, &self.config.retention);
+            if self.validities.insert(kind, (validity, reason)) != Some((validity, reason)) {
+                out.push(Action::RememberedStateJudged {
+                    kind,
+                    validity,
+                    reason,
+                    as_of: Some(kept.written_at),
+                });
+            }
+        }
+    }
+
+    /// The remembered former clients, and their sum.
+    pub(crate) fn remembered(&self) -> (&[FormerClients], f64) {
+        let former = self
+            .memory
+            .as_ref()
+            .map_or(&[][..], |kept| &kept.former_clients);
+        (
+            former,
+            former
+                .iter()
+                .map(|one| one.clients)
+                .filter(|clients| *clients > 0.0)
+                .sum(),
+        )
+    }
+
+    /// Clients per second that a warm server of weight 1 can take: the remembered rate fades to the
+    /// configured one.
+    pub(crate) fn borne(&self) -> f64 {
+        let seen = self
+            .memory
+            .as_ref()
+            .and_then(|kept| kept.clients_per_server_s)
+            .filter(|seen| seen.is_finite() && *seen > 0.0);
+        match (self.validity(RememberedKind::ServerRates), seen) {
+            (Validity::Hint(weight), Some(seen)) => {
+                weight * seen + (1.0 - weight) * self.config.slow_start.clients_per_server_s
+            }
+            _ => self.config.slow_start.clients_per_server_s,
+        }
+    }
+
+    /// Assesses the extent of the outage again once it was decided.
+    fn reassess_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        if self.finding.is_some() {
+            self.decide_scope(now, out);
+        }
+    }
+
+    pub(crate) fn assess_scope(&self, now: Nanos) -> ScopeFinding {
+        let told = self
+            .has_fresh_list()
+            .then(|| self.servers.cold_fraction(now, &self.config.slow_start));
+        let cold = told.flatten();
+        self.evidence.assess(
+            now,
+            now.saturating_sub(self.outage_started_at),
+            &self.config,
+            cold,
+        )
+    }
+
+    /// Decides the extent of the outage and reports a change.
+    pub(crate) fn decide_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let found = self.assess_scope(now);
+        if self.state == RecoveryState::Serving
+            || self
+                .finding
+                .as_ref()
+                .is_some_and(|old| old.scope == found.scope)
+        {
+            return;
+        }
+        let ScopeFinding {
+            scope,
+            likelihood,
+            evidence,
+        } = found.clone();
+        let by = if evidence.is_empty() {
+            "nothing".into()
+        } else {
+            evidence.join("; ")
+        };
+        self.log_step(out, RecoveryStep::Scope, format!("{scope}, by {by}"), None);
+        out.push(Action::ScopeDecided {
+            scope,
+            likelihood,
+            evidence,
+        });
+        self.finding = Some(found);
+        self.limit_server_starts();
+    }
+
+    /// Handles everything that depends on time alone.
+    fn advance_time(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        self.retry_due_calls(now, out);
+        if self.servers.release_drains(now) > 0 {
+            self.log_step(
+                out,
+                RecoveryStep::Drain,
+                "former drains hold no longer".into(),
+                None,
+            );
+            self.on_servers_changed(now, out);
+        }
+        while let RecoveryState::Querying(whom) = self.state {
+            if !self.is_query_done(now, whom) {
+                return;
+            }
+            self.finish_query(now, whom, out);
+        }
+        if self.state == RecoveryState::StagedAdmission {
+            self.refill(now, out);
+        }
+    }
+
+    fn on_admission_requested(
+        &mut self,
+        now: Nanos,
+        arrival: &AdmissionRequest,
+        out: &mut Vec<Action>,
+    ) {
+        match self.state {
+            RecoveryState::Serving => out.push(Action::Admit { id: arrival.id }),
+            RecoveryState::StagedAdmission => self.admit_or_defer(now, arrival, out),
+            RecoveryState::NotStarted | RecoveryState::Querying(_) => {
+                self.client_count.count(arrival);
+                let left = self.step_deadline_at.saturating_sub(now).min(SECOND);
+                let retry_after = left.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
+                out.push(Action::Defer {
+                    id: arrival.id,
+                    retry_after,
+                    is_final: false,
+                });
+            }
+        }
+    }
+
+    pub(crate) fn log_step(
+        &self,
+        out: &mut Vec<Action>,
+        step: RecoveryStep,
+        reason: String,
+        bound: Option<Nanos>,
+    ) {
+        out.push(Action::LogStep {
+            step,
+            reason,
+            bound: bound.map(|bound| bound.saturating_sub(EPOCH_OFFSET)),
+        });
+    }
+}
+
+/// The clocks for a list received now.
+fn hearing<'a>(
+    config: &'a RecoveryConfig,
+    clock: Option<&WallClock>,
+    now: Nanos,
+    written_at: Option<Millis>,
+) -> ListContext<'a> {
+    let wall_clock = clock
+        .filter(|clock| clock.is_sound())
+        .map(|clock| clock.wall_time(now));
+    ListContext {
+        now,
+        wall_clock,
+        written_at,
+        slow_start: &config.slow_start,
+        drain_hold: config.timeouts.drain_hold,
+    }
+}
--- a/crates/recovery/src/scope.rs
+++ b/crates/recovery/src/scope.rs
@@ -1,87 +1,93 @@
-//! Alone, the site or the whole fleet: told apart by peers' boots and servers' starts.
+//! The extent of an outage, from peers' restarts and servers' starts.
 
 use std::collections::BTreeMap;
 
-use crate::{Config, Nanos, PeerWord, SECOND, Scope, Whom};
+use crate::{EvidenceSource, Nanos, OutageScope, PeerStatus, RecoveryConfig, SECOND};
 
-/// Processes that started within so long of each other started together.
-pub(crate) const TOGETHER: Nanos = 30 * SECOND;
-/// Most that one kind of evidence counts, in words.
-const MOST_WORDS: usize = 8;
-/// Less likely than this is not known.
-const LIKELY: f64 = 0.6;
-/// Shares of the farm that are cold from which it says something.
-const MOSTLY_COLD: f64 = 0.8;
-const MOSTLY_WARM: f64 = 0.2;
+/// Processes that started within this span started together.
+pub(crate) const SIMULTANEOUS_START: Nanos = 30 * SECOND;
+/// Most peers that one kind of evidence counts.
+const MAX_PEERS_COUNTED: usize = 8;
+/// Least likelihood of a decision.
+const MIN_LIKELIHOOD: f64 = 0.6;
+/// Fractions of the servers in slow start from which they count as evidence.
+const MOSTLY_COLD_FRACTION: f64 = 0.8;
+const MOSTLY_WARM_FRACTION: f64 = 0.2;
 
-/// A peer as last heard.
+/// A peer's latest report.
 #[derive(Clone, Copy)]
-struct Heard {
-    boot: u64,
-    up_for: Nanos,
-    at: Nanos,
-    own_site: bool,
-    /// It was heard before under a smaller boot number.
-    began_anew: bool,
+struct PeerReport {
+    incarnation: u64,
+    uptime: Nanos,
+    received_at: Nanos,
+    is_own_site: bool,
+    /// Whether it was known before under a lower incarnation number.
+    has_restarted: bool,
 }
 
-/// Who was heard, and who was silent.
+/// The evidence.
 #[derive(Default)]
-pub(crate) struct Evidence {
-    peers: BTreeMap<String, Heard>,
+pub(crate) struct ScopeEvidence {
+    peers: BTreeMap<String, PeerReport>,
     silent: [bool; 2],
 }
 
-/// What came of it.
+/// The finding.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Finding {
-    pub(crate) scope: Scope,
+pub(crate) struct ScopeFinding {
+    pub(crate) scope: OutageScope,
     pub(crate) likelihood: f64,
     pub(crate) evidence: Vec<String>,
 }
 
-impl Evidence {
-    /// Takes in a word; says whether the peer has begun anew since it was last heard.
-    pub(crate) fn heard(&mut self, now: Nanos, own_site: &str, word: &PeerWord) -> bool {
+impl ScopeEvidence {
+    /// Records a peer's report; returns whether the peer has restarted.
+    pub(crate) fn record_peer(&mut self, now: Nanos, own_site: &str, word: &PeerStatus) -> bool {
         let before = self.peers.get(&word.name);
-        if before.is_some_and(|before| word.boot < before.boot) {
-            // A late word of a former life.
+        if before.is_some_and(|before| word.incarnation < before.incarnation) {
+            // A late report of a former incarnation.
             return false;
         }
-        let is_new_boot = before.is_some_and(|before| word.boot > before.boot);
-        let began_anew = is_new_boot || before.is_some_and(|before| before.began_anew);
-        let own_site = word.site == own_site;
-        let heard = Heard {
-            boot: word.boot,
-            up_for: word.up_for,
-            at: now,
-            own_site,
-            began_anew,
+        let is_new_boot = before.is_some_and(|before| word.incarnation > before.incarnation);
+        let has_restarted = is_new_boot || before.is_some_and(|before| before.has_restarted);
+        let is_own_site = word.site == own_site;
+        let heard = PeerReport {
+            incarnation: word.incarnation,
+            uptime: word.uptime,
+            received_at: now,
+            is_own_site,
+            has_restarted,
         };
         self.peers.insert(word.name.clone(), heard);
         is_new_boot
     }
 
-    pub(crate) fn silent(&mut self, whom: Whom) {
+    pub(crate) fn record_silence(&mut self, whom: EvidenceSource) {
         match whom {
-            Whom::SitePeers => self.silent[0] = true,
-            Whom::OtherSites => self.silent[1] = true,
-            Whom::Discovery | Whom::Store => {}
+            EvidenceSource::SitePeers => self.silent[0] = true,
+            EvidenceSource::OtherSites => self.silent[1] = true,
+            EvidenceSource::Discovery | EvidenceSource::Store => {}
         }
     }
 
-    /// Peers of the own site that were heard.
-    pub(crate) fn in_site(&self) -> usize {
-        self.peers.values().filter(|peer| peer.own_site).count()
+    /// Number of peers of the own site.
+    pub(crate) fn site_peers(&self) -> usize {
+        self.peers.values().filter(|peer| peer.is_own_site).count()
     }
 
-    /// Peers that ran on, and that started together with this process, among those of the own site or of the others.
-    /// One that ran before is no peer that ran on, even if its word came before its end.
-    fn counts(&self, now: Nanos, up_for: Nanos, own_site: bool) -> (usize, usize) {
-        let of_kind = self.peers.values().filter(|peer| peer.own_site == own_site);
+    /// Peers that kept running, and peers that started together with this process, of the own site
+    /// or of the others. One that has restarted since did not keep running.
+    fn count_peers(&self, now: Nanos, up_for: Nanos, own_site: bool) -> (usize, usize) {
+        let of_kind = self
+            .peers
+            .values()
+            .filter(|peer| peer.is_own_site == own_site);
         of_kind.fold((0, 0), |(ran_on, together), peer| {
-            let since = peer.up_for.saturating_add(now.saturating_sub(peer.at));
-            let is_together = peer.began_anew || since <= up_for.saturating_add(TOGETHER);
+            let since = peer
+                .uptime
+                .saturating_add(now.saturating_sub(peer.received_at));
+            let is_together =
+                peer.has_restarted || since <= up_for.saturating_add(SIMULTANEOUS_START);
             (
                 ran_on + usize::from(!is_together),
                 together + usize::from(is_together),
@@ -89,20 +95,20 @@
         })
     }
 
-    /// Weighs all of it. `cold` is the part of the farm that is cold or has started since it was last known.
-    pub(crate) fn weigh(
+    /// Assesses the evidence. `cold` is the fraction of the servers in slow start.
+    pub(crate) fn assess(
         &self,
         now: Nanos,
         up_for: Nanos,
-        config: &Config,
+        config: &RecoveryConfig,
         cold: Option<f64>,
-    ) -> Finding {
-        // How much each speaks for alone, site and fleet.
+    ) -> ScopeFinding {
+        // Scores for the process alone, the site and the fleet.
         let mut score = [0.0, 0.0, 0.0];
         let mut evidence = Vec::new();
         let mut add = |times: usize, weights: [f64; 3], what: String| {
             if times > 0 {
-                let times = times.min(MOST_WORDS) as f64;
+                let times = times.min(MAX_PEERS_COUNTED) as f64;
                 score
                     .iter_mut()
                     .zip(weights)
@@ -110,7 +116,7 @@
                 evidence.push(what);
             }
         };
-        let (ran_on, together) = self.counts(now, up_for, true);
+        let (ran_on, together) = self.count_peers(now, up_for, true);
         add(
             ran_on,
             [3.0, -3.0, -3.0],
@@ -121,7 +127,7 @@
             [-2.0, 1.0, 1.0],
             format!("{together} of the site started together with this one"),
         );
-        let (ran_on, together) = self.counts(now, up_for, false);
+        let (ran_on, together) = self.count_peers(now, up_for, false);
         add(
             ran_on,
             [0.5, 1.5, -3.0],
@@ -133,14 +139,14 @@
             format!("{together} of other sites started together with this one"),
         );
         let [site, others] = self.silent;
-        let silent_site = site && config.site_peers > 0 && self.in_site() == 0;
+        let silent_site = site && config.site_peers > 0 && self.site_peers() == 0;
         add(
             usize::from(silent_site),
             [-1.0, 0.5, 0.5],
             "nobody of the site answers".into(),
         );
         let silent_others =
-            others && !config.other_sites.is_empty() && self.in_site() == self.peers.len();
+            others && !config.other_sites.is_empty() && self.site_peers() == self.peers.len();
         add(
             usize::from(silent_others),
             [0.0, 0.0, 0.5],
@@ -149,28 +155,28 @@
         if let Some(cold) = cold {
             let percent = (cold * 100.0).round();
             add(
-                usize::from(cold >= MOSTLY_COLD),
+                usize::from(cold >= MOSTLY_COLD_FRACTION),
                 [-2.0, 0.5, 2.0],
                 format!("{percent}% of the farm is cold"),
             );
             add(
-                usize::from(cold <= MOSTLY_WARM),
+                usize::from(cold <= MOSTLY_WARM_FRACTION),
                 [1.5, 0.5, -1.5],
                 format!("{percent}% of the farm is cold"),
             );
         }
         if evidence.is_empty() {
-            return Finding {
-                scope: Scope::Unknown,
+            return ScopeFinding {
+                scope: OutageScope::Unknown,
                 likelihood: 1.0 / 3.0,
                 evidence,
             };
         }
         let has_sites = !config.other_sites.is_empty();
         let kinds = [
-            (Scope::Alone, true),
-            (Scope::Site, has_sites),
-            (Scope::Fleet, true),
+            (OutageScope::Process, true),
+            (OutageScope::Site, has_sites),
+            (OutageScope::Fleet, true),
         ];
         let weight = |at: usize| {
             if kinds[at].1 {
@@ -184,12 +190,12 @@
             .max_by(|one, other| weight(*one).total_cmp(&weight(*other)))
             .unwrap_or(2);
         let likelihood = weight(best) / all;
-        let scope = if likelihood >= LIKELY {
+        let scope = if likelihood >= MIN_LIKELIHOOD {
             kinds[best].0
         } else {
-            Scope::Unknown
+            OutageScope::Unknown
         };
-        Finding {
+        ScopeFinding {
             scope,
             likelihood,
             evidence,
--- /dev/null
+++ b/crates/recovery/src/server_table.rs
@@ -0,0 +1,347 @@
+//! The servers as recovery believes them: lists of several origins, held drains and slow start.
+
+use std::collections::BTreeMap;
+
+use crate::config::SlowStartRules;
+use crate::{Entry, Lifecycle, List, MS, Millis, Nanos, Source};
+
+/// A server.
+pub(crate) struct Server {
+    pub(crate) entry: Entry,
+    /// When it started, on the monotonic clock; negative if before its zero.
+    started_at: i64,
+    /// Whether it has restarted since it was last known.
+    pub(crate) has_restarted: bool,
+    /// End of the hold of a former drain.
+    drain_held_until: Option<Nanos>,
+}
+
+/// The servers with the origin of the list.
+#[derive(Default)]
+pub(crate) struct ServerTable {
+    servers: BTreeMap<String, Server>,
+    origin: Option<ListOrigin>,
+    /// No server counts as started before then.
+    earliest_start: Option<i64>,
+    /// Next release of a drain, and the first and last start of accepting servers; cached since
+    /// every event reads them.
+    next_drain_release_at: Option<Nanos>,
+    start_range: Option<(i64, i64)>,
+}
+
+#[derive(Clone, Copy)]
+struct ListOrigin {
+    source: Source,
+    epoch: u64,
+    generation: u64,
+    /// When the list was true.
+    as_of: i64,
+}
+
+/// The clocks when a list is received.
+#[derive(Clone, Copy)]
+pub(crate) struct ListContext<'a> {
+    pub(crate) now: Nanos,
+    /// Wall time, if it is reliable.
+    pub(crate) wall_clock: Option<Millis>,
+    /// When the memory was written, for a list from the memory.
+    pub(crate) written_at: Option<Millis>,
+    pub(crate) slow_start: &'a SlowStartRules,
+    pub(crate) drain_hold: Nanos,
+}
+
+/// Result of applying a list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ListOutcome {
+    /// It is believed now.
+    Applied { held: usize, is_new_epoch: bool },
+    /// The present list is newer or better founded.
+    Rejected,
+}
+
+impl Server {
+    fn weight(&self) -> f64 {
+        let weight = self.entry.weight;
+        if weight.is_finite() && weight > 0.0 {
+            weight
+        } else {
+            1.0
+        }
+    }
+
+    pub(crate) fn accepts_new(&self) -> bool {
+        self.entry.lifecycle == Lifecycle::Ready && self.drain_held_until.is_none()
+    }
+
+    /// The entry with a held drain applied.
+    fn effective_entry(&self) -> Entry {
+        let held = self.drain_held_until.is_some() && self.entry.lifecycle == Lifecycle::Ready;
+        let lifecycle = if held {
+            Lifecycle::Draining
+        } else {
+            self.entry.lifecycle
+        };
+        Entry {
+            lifecycle,
+            ..self.entry.clone()
+        }
+    }
+}
+
+impl ServerTable {
+    /// Applies a list unless the present one is newer. Within an epoch the generation decides;
+    /// between epochs discovery goes first, then the younger list.
+    pub(crate) fn apply(&mut self, list: &List, hearing: ListContext<'_>) -> ListOutcome {
+        let as_of = (hearing.now as i64).saturating_sub(list.age as i64);
+        let new = ListOrigin {
+            source: list.source,
+            epoch: list.epoch,
+            generation: list.generation,
+            as_of,
+        };
+        let Some(old) = self.origin else {
+            return self.replace(list, new, hearing, false);
+        };
+        let counts_anew =
+            list.epoch == old.epoch && list.epoch == 0 && list.generation < old.generation;
+        let same_life = list.epoch == old.epoch && !counts_anew;
+        let is_discovery = list.source == Source::Discovery;
+        let is_better = if old.source == Source::Known || list.source == Source::Known {
+            list.source != Source::Known
+        } else if same_life {
+            (list.generation, list.source) >= (old.generation, old.source)
+        } else {
+            is_discovery || (old.source != Source::Discovery && as_of > old.as_of)
+        };
+        if !is_better {
+            return ListOutcome::Rejected;
+        }
+        self.replace(
+            list,
+            new,
+            hearing,
+            !same_life && is_discovery && old.source != Source::Known,
+        )
+    }
+
+    /// Replaces all servers. Former drains are held against a discovery that lost its state.
+    fn replace(
+        &mut self,
+        list: &List,
+        new: ListOrigin,
+        hearing: ListContext<'_>,
+        is_new_epoch: bool,
+    ) -> ListOutcome {
+        self.origin = Some(new);
+        let mut before = std::mem::take(&mut self.servers);
+        for entry in &list.entries {
+            let known = before.remove(&entry.name);
+            self.servers.insert(
+                entry.name.clone(),
+                merge_entry(entry, known, hearing, is_new_epoch),
+            );
+        }
+        self.update_summary();
+        let held_drains = self
+            .servers
+            .values()
+            .filter(|server| server.drain_held_until.is_some())
+            .count();
+        ListOutcome::Applied {
+            held: held_drains,
+            is_new_epoch,
+        }
+    }
+
+    /// Records the start of a server; returns whether it is news.
+    pub(crate) fn record_start(
+        &mut self,
+        name: &str,
+        at: Millis,
+        hearing: ListContext<'_>,
+    ) -> bool {
+        let Some(server) = self.servers.get_mut(name) else {
+            return false;
+        };
+        if at != 0 && at <= server.entry.started_at_ms {
+            return false;
+        }
+        server.entry.started_at_ms = at.max(server.entry.started_at_ms);
+        server.started_at = born(at, hearing);
+        server.has_restarted = true;
+        self.update_summary();
+        true
+    }
+
+    /// Updates the cached summary after a change.
+    fn update_summary(&mut self) {
+        self.next_drain_release_at = self
+            .servers
+            .values()
+            .filter_map(|server| server.drain_held_until)
+            .min();
+        let accepting = || {
+            self.servers
+                .values()
+                .filter(|server| server.accepts_new())
+                .map(|server| server.started_at)
+        };
+        self.start_range = accepting().min().zip(accepting().max());
+    }
+
+    /// Releases held drains whose time is over; returns their number.
+    pub(crate) fn release_drains(&mut self, now: Nanos) -> usize {
+        if self.next_drain_release_at.is_none_or(|next| now < next) {
+            return 0;
+        }
+        let mut gone = 0;
+        for server in self.servers.values_mut() {
+            if server.drain_held_until.is_some_and(|until| now >= until) {
+                server.drain_held_until = None;
+                gone += 1;
+            }
+        }
+        self.update_summary();
+        gone
+    }
+
+    /// The next release of a held drain.
+    pub(crate) fn next_drain_release(&self) -> Option<Nanos> {
+        self.next_drain_release_at
+    }
+
+    /// Treats the present list like the memory after a suspension.
+    pub(crate) fn demote_to_memory(&mut self) {
+        if let Some(from) = &mut self.origin {
+            from.source = from.source.min(Source::Memory);
+        }
+    }
+
+    pub(crate) fn source(&self) -> Option<Source> {
+        self.origin.map(|from| from.source)
+    }
+
+    /// When the present list was true, on the monotonic clock, if a peer or discovery sent it.
+    pub(crate) fn as_of(&self) -> Option<i64> {
+        self.origin
+            .filter(|from| from.source >= Source::OtherSite)
+            .map(|from| from.as_of)
+    }
+
+    pub(crate) fn get(&self, name: &str) -> Option<&Server> {
+        self.servers.get(name)
+    }
+
+    pub(crate) fn effective_entries(&self) -> impl Iterator<Item = Entry> {
+        self.servers.values().map(Server::effective_entry)
+    }
+
+    /// Limits how old servers count while no list is newer than an outage that they may have
+    /// shared.
+    pub(crate) fn set_earliest_start(&mut self, since: Option<Nanos>) {
+        self.earliest_start = since.map(|since| since as i64);
+    }
+
+    /// Weights and starts of the servers that accept new connections.
+    pub(crate) fn able(&self) -> impl Iterator<Item = (f64, i64)> {
+        let floor = self.earliest_start.unwrap_or(i64::MIN);
+        let able = self.servers.values().filter(|server| server.accepts_new());
+        able.map(move |server| (server.weight(), server.started_at.max(floor)))
+    }
+
+    /// The fraction of the accepting weight in slow start, if any server accepts.
+    pub(crate) fn cold_fraction(&self, now: Nanos, cold: &SlowStartRules) -> Option<f64> {
+        let (floor, is_cold) = (self.earliest_start.unwrap_or(i64::MIN), |born: i64| {
+            (now as i64).saturating_sub(born) < cold.warm_up_time as i64
+        });
+        match self.start_range {
+            Some((first, _)) if is_cold(first.max(floor)) => return Some(1.0),
+            Some((_, last)) if !is_cold(last.max(floor)) => return Some(0.0),
+            _ => {}
+        }
+        let (mut all, mut cold_ones) = (0.0, 0.0);
+        for (weight, born) in self.able() {
+            all += weight;
+            if is_cold(born) {
+                cold_ones += weight;
+            }
+        }
+        (all > 0.0).then_some(cold_ones / all)
+    }
+}
+
+/// Merges a listed entry with what is known of the server.
+fn merge_entry(
+    entry: &Entry,
+    known: Option<Server>,
+    hearing: ListContext<'_>,
+    reborn: bool,
+) -> Server {
+    let Some(known) = known else {
+        let start_time = first_start_time(entry, hearing);
+        return Server {
+            entry: entry.clone(),
+            started_at: start_time,
+            has_restarted: false,
+            drain_held_until: None,
+        };
+    };
+    let is_same = entry.started_at_ms == 0 || entry.started_at_ms == known.entry.started_at_ms;
+    let drained = known.entry.lifecycle == Lifecycle::Draining;
+    let drain_held_until = match known.drain_held_until {
+        _ if entry.lifecycle != Lifecycle::Ready => None,
+        // A server that restarted has nothing left to drain.
+        _ if !is_same => None,
+        None if reborn && drained => Some(hearing.now.saturating_add(hearing.drain_hold)),
+        held => held,
+    };
+    let (started_at, has_restarted) = match is_same {
+        true => (
+            known.started_at.min(born(entry.started_at_ms, hearing)),
+            known.has_restarted,
+        ),
+        false => (born(entry.started_at_ms, hearing), true),
+    };
+    let started_at_ms = entry.started_at_ms.max(if is_same {
+        known.entry.started_at_ms
+    } else {
+        0
+    });
+    Server {
+        entry: Entry {
+            started_at_ms,
+            ..entry.clone()
+        },
+        started_at,
+        has_restarted,
+        drain_held_until,
+    }
+}
+
+/// The monotonic start time of a server. One that can't be computed counts as now, since a wrong
+/// wall clock must not make a new server look warm.
+fn born(started_at: Millis, hearing: ListContext<'_>) -> i64 {
+    let now = hearing.now as i64;
+    let Some(wall) = hearing.wall_clock.filter(|_| started_at != 0) else {
+        return now;
+    };
+    let age = wall
+        .saturating_sub(started_at)
+        .min(hearing.slow_start.warm_up_time / MS + 1);
+    now.saturating_sub((age * MS) as i64)
+}
+
+/// The start time of a server not known before. One that was warm when the memory was written
+/// counts as warm until a list says otherwise.
+fn first_start_time(entry: &Entry, hearing: ListContext<'_>) -> i64 {
+    match hearing.written_at {
+        Some(written_at) => born(
+            entry.started_at_ms,
+            ListContext {
+                wall_clock: Some(written_at),
+                ..hearing
+            },
+        ),
+        None => born(entry.started_at_ms, hearing),
+    }
+}
--- /dev/null
+++ b/crates/recovery/src/staged_admission.rs
@@ -0,0 +1,295 @@
+//! Staged admission: clients are admitted in order, at the rate that servers in slow start can
+//! take.
+
+use rand::Rng;
+
+use crate::admission_curve::AdmissionCurve;
+use crate::admission_order::AdmissionOrder;
+use crate::config::TICK_INTERVAL;
+use crate::recovery::Recovery;
+use crate::scope::SIMULTANEOUS_START;
+use crate::{
+    Action, AdmissionRequest, MS, Nanos, OutageScope, PeerStatus, RecoveryState, RecoveryStep,
+    SECOND, ServiceMode,
+};
+
+/// Fraction of the admissions that is planned; the rest is for clients that missed their position.
+const PLANNED_FRACTION: f64 = 0.95;
+/// Fraction of a server's limit that one group may take.
+const MAX_GROUP_FRACTION: f64 = 0.05;
+/// Jitter of a client's return after its position.
+const RETRY_JITTER: Nanos = 500 * MS;
+/// Least retry-after of a deferred client.
+const MIN_RETRY_AFTER: Nanos = 250 * MS;
+/// Lifetime of a peer's report of deferred clients.
+const DEFERRED_REPORT_TTL: Nanos = 2 * SECOND;
+
+impl Recovery {
+    /// Begins admission after the queries.
+    pub(crate) fn start_admission(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        if self.servers.source().is_none() {
+            self.apply_remembered_list(now, out);
+        }
+        self.state = RecoveryState::StagedAdmission;
+        self.decide_scope(now, out);
+        self.limit_server_starts();
+        self.admission_started_at =
+            Some(self.admission_started_at.map_or(now, |from| from.min(now)));
+        self.step_deadline_at = now.saturating_add(self.config.timeouts.staged_admission);
+        self.quota_updated_at = now;
+        self.plan_admission(now);
+        if self.full_service_reason(now).is_none() {
+            let servers = self.servers.able().count();
+            let reason = format!(
+                "{} clients by turns, {servers} servers, {}",
+                self.order.all().round(),
+                self.scope()
+            );
+            self.log_step(
+                out,
+                RecoveryStep::StagedAdmission,
+                reason.clone(),
+                Some(self.step_deadline_at),
+            );
+            out.push(Action::SetServiceMode {
+                mode: ServiceMode::Staged,
+                reason,
+            });
+        }
+    }
+
+    /// Limits how old servers count if the outage was not this process's alone and no list is
+    /// newer.
+    pub(crate) fn limit_server_starts(&mut self) {
+        let is_doubted = self.scope() != OutageScope::Process && !self.has_fresh_list();
+        self.servers
+            .set_earliest_start(is_doubted.then_some(self.outage_started_at));
+    }
+
+    /// Adopts the beginning of admission from a peer that started together with this process, so
+    /// that all count alike.
+    pub(crate) fn align_admission_start(&mut self, now: Nanos, word: &PeerStatus) {
+        let together = word.uptime
+            <= now
+                .saturating_sub(self.outage_started_at)
+                .saturating_add(SIMULTANEOUS_START);
+        let Some(from) = word
+            .serving_time
+            .filter(|_| together)
+            .map(|span| now.saturating_sub(span))
+        else {
+            return;
+        };
+        // Smaller differences are transmission delays.
+        if self
+            .admission_started_at
+            .is_none_or(|own| from.saturating_add(MIN_RETRY_AFTER) < own)
+        {
+            self.admission_started_at = Some(from);
+            self.plan_admission(now);
+        }
+    }
+
+    /// Plans the admission again after a change. Clients admitted so far stay counted.
+    pub(crate) fn plan_admission(&mut self, now: Nanos) {
+        let (RecoveryState::StagedAdmission, Some(from)) = (self.state, self.admission_started_at)
+        else {
+            return;
+        };
+        let servers: Vec<_> = self.servers.able().collect();
+        let before = self.curve.take().map(|curve| curve.admitted_by(now));
+        if servers.is_empty() {
+            self.order = AdmissionOrder::default();
+            return;
+        }
+        self.plan_order(servers.iter().map(|(weight, _)| weight).sum());
+        let (cold, borne) = (&self.config.slow_start, self.borne());
+        let (mut clump, mut span) = self.group_batch(&servers);
+        let mut begun = AdmissionCurve::new(from, 0.0, &servers, cold, (borne, clump));
+        let advance_admission = begun.time_to_admit(self.order.all()).max(1);
+        if span > advance_admission {
+            (clump, span) = (
+                (clump * span as f64 / advance_admission as f64).min(self.config.group_size),
+                advance_admission,
+            );
+            begun = AdmissionCurve::new(from, 0.0, &servers, cold, (borne, clump));
+        }
+        self.order.spread(span as f64 / advance_admission as f64);
+        self.curve = Some(match before {
+            Some(before) if before > begun.admitted_by(now) => {
+                AdmissionCurve::new(now, before, &servers, cold, (borne, clump))
+            }
+            _ => begun,
+        });
+    }
+
+    /// How many clients of a group may reach one server within the overload window, and the span
+    /// over which the group is spread for that.
+    fn group_batch(&self, servers: &[(f64, i64)]) -> (f64, Nanos) {
+        let cold = &self.config.slow_start;
+        let small = servers
+            .iter()
+            .map(|(weight, _)| *weight)
+            .fold(f64::INFINITY, f64::min);
+        let least = cold.overload_multiple
+            * self.borne()
+            * small
+            * cold.initial_capacity
+            * cold.overload_window as f64
+            / SECOND as f64;
+        let clump = (MAX_GROUP_FRACTION * least).max(1.0);
+        if self.config.group_size <= clump {
+            return (self.config.group_size.max(1.0), 0);
+        }
+        (
+            clump,
+            (self.config.group_size / clump * cold.overload_window as f64) as Nanos,
+        )
+    }
+
+    /// Plans the admission order from what is known of former clients.
+    fn plan_order(&mut self, weight: f64) {
+        let (remembered, sum) = self.remembered();
+        let by_farm =
+            weight * self.borne() * self.config.slow_start.warm_up_time as f64 / SECOND as f64;
+        let counted = (self.client_count.len() * self.config.fleet_size as usize) as f64;
+        let mut peers: Vec<f64> = self.peers_former_clients.values().copied().collect();
+        peers.sort_by(f64::total_cmp);
+        let known = [
+            self.former_clients(),
+            peers.get(peers.len() / 2).copied(),
+            Some(f64::from(self.config.usual_clients)),
+            Some(sum),
+            Some(counted),
+        ];
+        let all = known
+            .into_iter()
+            .flatten()
+            .find(|all| *all > 0.0)
+            .unwrap_or(by_farm);
+        let order = match sum > 0.0 {
+            true => AdmissionOrder::new(&self.config, remembered, all),
+            false => AdmissionOrder::new(&self.config, &self.client_count.scaled_to(all), all),
+        };
+        self.order = order;
+    }
+
+    /// Why service is in full, if it is.
+    fn full_service_reason(&self, now: Nanos) -> Option<&'static str> {
+        let cold = self.servers.cold_fraction(now, &self.config.slow_start);
+        if now >= self.step_deadline_at {
+            return Some("the bound of the refill is reached");
+        }
+        if self.scope() == OutageScope::Process && cold.is_some() {
+            return Some("it was alone");
+        }
+        // If all servers are warm at the beginning, everyone is admitted at once.
+        let is_through =
+            self.admitted_position >= self.order.all() || self.admitted_position == 0.0;
+        (cold == Some(0.0) && is_through).then_some("no server is cold, and all turns have come")
+    }
+
+    /// Advances the staged admission.
+    pub(crate) fn refill(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let span = now - self.quota_updated_at;
+        if self.admitted_position > 0.0 && span < TICK_INTERVAL / 16 {
+            return;
+        }
+        if let Some(why) = self.full_service_reason(now) {
+            self.state = RecoveryState::Serving;
+            self.curve = None;
+            self.log_step(out, RecoveryStep::Serving, why.into(), None);
+            return out.push(Action::SetServiceMode {
+                mode: ServiceMode::Full,
+                reason: why.into(),
+            });
+        }
+        let Some(curve) = &self.curve else {
+            self.quota_updated_at = now;
+            return;
+        };
+        self.admitted_position = self
+            .admitted_position
+            .max(PLANNED_FRACTION * curve.admitted_by(now));
+        let fleet = curve.admitted_by(now) - curve.admitted_by(self.quota_updated_at);
+        self.quota.accrue(
+            fleet / f64::from(self.config.fleet_size),
+            span,
+            self.config.slow_start.overload_window,
+        );
+        self.quota_updated_at = now;
+        self.lend_unused_quota(now, out);
+    }
+
+    /// Lends unused quota to a peer that defers clients, at random by their rates.
+    fn lend_unused_quota(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        if self.quota.lendable < 1.0 {
+            return;
+        }
+        self.deferring_peers
+            .retain(|_, (short, at)| *short > 0.0 && now < at.saturating_add(DEFERRED_REPORT_TTL));
+        let all: f64 = self.deferring_peers.values().map(|(short, _)| short).sum();
+        if all <= 0.0 {
+            return;
+        }
+        let mut drawn = self.rng.random_range(0.0..all);
+        for (peer, (short, _)) in &self.deferring_peers {
+            drawn -= short;
+            if drawn < 0.0 {
+                self.lent_count += 1;
+                let clients = std::mem::take(&mut self.quota.lendable);
+                return out.push(Action::LendQuota {
+                    to: peer.clone(),
+                    number: self.lent_count,
+                    clients,
+                });
+            }
+        }
+    }
+
+    /// Admits or defers a client.
+    pub(crate) fn admit_or_defer(
+        &mut self,
+        now: Nanos,
+        arrival: &AdmissionRequest,
+        out: &mut Vec<Action>,
+    ) {
+        let id = arrival.id;
+        let Some(curve) = &self.curve else {
+            let retry_after = self.rng.random_range(SECOND..3 * SECOND);
+            return out.push(Action::Defer {
+                id,
+                retry_after,
+                is_final: false,
+            });
+        };
+        let turn = self.order.position(&self.config, arrival);
+        if turn > self.admitted_position {
+            let left = curve
+                .time_of(turn / PLANNED_FRACTION)
+                .map_or(self.step_deadline_at, |at| at.min(self.step_deadline_at))
+                .saturating_sub(now);
+            let retry_after = left
+                .max(MIN_RETRY_AFTER)
+                .saturating_add(self.rng.random_range(0..RETRY_JITTER));
+            return out.push(Action::Defer {
+                id,
+                retry_after,
+                is_final: true,
+            });
+        }
+        if self.quota.try_admit(&mut self.rng) {
+            return out.push(Action::Admit { id });
+        }
+        // The time until the deferred clients are admitted, if they keep coming.
+        let line = self.quota.deferred_per_s() / self.quota.rate().max(f64::MIN_POSITIVE);
+        let line = ((line * SECOND as f64) as Nanos)
+            .clamp(MIN_RETRY_AFTER, self.config.timeouts.max_retry_interval);
+        let retry_after = MIN_RETRY_AFTER + self.rng.random_range(0..=2 * line);
+        out.push(Action::Defer {
+            id,
+            retry_after,
+            is_final: true,
+        });
+    }
+}
--- a/crates/recovery/tests/any_order.rs
+++ b/crates/recovery/tests/any_order.rs
@@ -7,19 +7,19 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 
-fn config() -> Config {
-    Config {
+fn config() -> RecoveryConfig {
+    RecoveryConfig {
         name: "b1".into(),
         site: "north".into(),
-        fleet: 4,
+        fleet_size: 4,
         site_peers: 2,
         other_sites: vec!["south".into()],
-        store: true,
-        bounds: Bounds {
-            refill: 40 * SECOND,
-            ..Bounds::default()
+        has_store: true,
+        timeouts: Timeouts {
+            staged_admission: 40 * SECOND,
+            ..Timeouts::default()
         },
-        ..Config::default()
+        ..RecoveryConfig::default()
     }
 }
 
@@ -75,12 +75,12 @@
         proptest::option::of(wall()),
     );
     (about, proptest::collection::vec(entry, 0..6)).prop_map(
-        |((source, generation, life, age, said_at), entries)| List {
+        |((source, generation, epoch, age, reported_at), entries)| List {
             source,
             generation,
-            life,
+            epoch,
             age,
-            said_at,
+            reported_at,
             entries,
         },
     )
@@ -88,7 +88,7 @@
 
 fn memory() -> impl Strategy<Value = Memory> {
     let former = (0..3_usize, 0..3_u64, weight());
-    let former = former.prop_map(|(class, account, clients)| Former {
+    let former = former.prop_map(|(class, account, clients)| FormerClients {
         class,
         account,
         clients,
@@ -96,22 +96,22 @@
     let former = proptest::collection::vec(former, 0..4);
     let about = ("b[12]", 0..4_u64, wall(), proptest::option::of(weight()));
     (about, proptest::option::of(list()), former).prop_map(
-        |((owner, boot, written_at, borne), list, former)| Memory {
+        |((owner, incarnation, written_at, clients_per_server_s), list, former_clients)| Memory {
             owner,
-            boot,
+            incarnation,
             written_at,
             list,
-            former,
-            borne,
+            former_clients,
+            clients_per_server_s,
         },
     )
 }
 
-fn whom() -> impl Strategy<Value = Whom> {
-    proptest::sample::select(Whom::ALL.to_vec())
+fn whom() -> impl Strategy<Value = EvidenceSource> {
+    proptest::sample::select(EvidenceSource::ALL.to_vec())
 }
 
-fn word() -> impl Strategy<Value = PeerWord> {
+fn word() -> impl Strategy<Value = PeerStatus> {
     let who = ("b[0-4]", "north|south", 0..4_u64, any::<u64>());
     let what = (
         proptest::option::of(any::<u64>()),
@@ -121,16 +121,19 @@
         weight(),
     );
     (who, what).prop_map(
-        |((name, site, boot, up_for), (serving_for, in_full, wall, former, short))| PeerWord {
+        |(
+            (name, site, incarnation, uptime),
+            (serving_time, serves_in_full, wall_clock, former, deferred_per_s),
+        )| PeerStatus {
             name,
             site,
-            boot,
-            up_for,
-            serving_for,
-            in_full,
-            wall,
-            former: Some(former),
-            short,
+            incarnation,
+            uptime,
+            serving_time,
+            serves_in_full,
+            wall_clock,
+            former_clients: Some(former),
+            deferred_per_s,
         },
     )
 }
@@ -143,15 +146,15 @@
         any::<bool>(),
     );
     prop_oneof![
-        1 => (0..5_u64, proptest::option::of(memory())).prop_map(|(boot, memory)| Event::Started { boot, memory }),
-        3 => word().prop_map(Event::Peer),
-        3 => list().prop_map(Event::List),
+        1 => (0..5_u64, proptest::option::of(memory())).prop_map(|(incarnation, memory)| Event::Started { incarnation, memory }),
+        3 => word().prop_map(Event::PeerReported),
+        3 => list().prop_map(Event::ListReceived),
         2 => whom().prop_map(Event::Answered),
         2 => whom().prop_map(Event::Failed),
         1 => ("s[0-9]", wall()).prop_map(|(name, at)| Event::ServerStarted { name, at }),
-        1 => ("b[0-4]", 0..9_u64, weight()).prop_map(|(from, number, clients)| Event::Lent { from, number, clients }),
-        6 => arrival.prop_map(|(class, account, key, returns)| {
-            Event::Arrived(Arrival { id: 0, class, account, group: None, key, returns })
+        1 => ("b[0-4]", 0..9_u64, weight()).prop_map(|(from, number, clients)| Event::QuotaLent { from, number, clients }),
+        6 => arrival.prop_map(|(class, account, client_key, is_reconnect)| {
+            Event::AdmissionRequested(AdmissionRequest { id: 0, class, account, group: None, client_key, is_reconnect })
         }),
     ]
 }
@@ -163,16 +166,16 @@
         seed in any::<u64>(),
     ) {
         let config = config();
-        let (lets_in, bound) = (config.lets_in_within() + MS, config.serves_within() + MS);
+        let (lets_in, bound) = (config.admits_within() + MS, config.serves_within() + MS);
         let mut machine = Recovery::new(config, seed).expect("these settings are in range");
         let (mut now, mut began, mut calls, mut out) = (0, None, 0, Vec::new());
         let mut tell = |machine: &mut Recovery, now: Nanos, wall: Millis, event: Event, began: &mut Option<Nanos>| {
             calls += 1;
             assert!(calls < 5_000, "ticks are asked for without end in {:?}", machine.state());
-            let arrives = matches!(event, Event::Arrived(_));
+            let arrives = matches!(event, Event::AdmissionRequested(_));
             out.clear();
             machine.handle(now, wall, event, &mut out);
-            if began.is_none() || out.iter().any(|action| matches!(action, Action::Say { step: Step::Woke, .. })) {
+            if began.is_none() || out.iter().any(|action| matches!(action, Action::LogStep { step: RecoveryStep::Resumed, .. })) {
                 *began = Some(now);
             }
             let answers = out.iter().filter(|one| matches!(one, Action::Admit { .. } | Action::Defer { .. })).count();
@@ -183,13 +186,13 @@
                 }
             }
             let since = now - began.unwrap_or(now);
-            assert!(since < lets_in || machine.state().how() != How::NotYet, "{:?} after {since}", machine.state());
-            assert!(since < bound || machine.state() == State::Serving, "{:?} after {since}", machine.state());
+            assert!(since < lets_in || machine.state().service_mode() != ServiceMode::Unavailable, "{:?} after {since}", machine.state());
+            assert!(since < bound || machine.state() == RecoveryState::Serving, "{:?} after {since}", machine.state());
         };
         for (event, span, wall) in events {
             let until = now + span;
             // Ticks come when they are asked for.
-            while let Some(due) = machine.due().filter(|due| *due < until) {
+            while let Some(due) = machine.next_tick_at().filter(|due| *due < until) {
                 now = due.max(now + 1);
                 tell(&mut machine, now, wall, Event::Tick, &mut began);
             }
@@ -199,9 +202,9 @@
         let end = now + bound;
         tell(&mut machine, now, 0, Event::Tick, &mut began);
         while now < end {
-            now = machine.due().expect("a started process has a next moment").clamp(now + 1, end);
+            now = machine.next_tick_at().expect("a started process has a next moment").clamp(now + 1, end);
             tell(&mut machine, now, 0, Event::Tick, &mut began);
         }
-        prop_assert_eq!(machine.state(), State::Serving);
+        prop_assert_eq!(machine.state(), RecoveryState::Serving);
     }
 }
--- a/crates/recovery/tests/blackout.rs
+++ b/crates/recovery/tests/blackout.rs
@@ -3,7 +3,7 @@
 
 mod toy;
 
-use beaconflow_recovery::Scope;
+use beaconflow_recovery::OutageScope;
 use toy::*;
 
 /// Plays a day; says what came of it, and its time over that of a refill that sees all and goes to the rule's limit.
@@ -44,7 +44,7 @@
             ..Day::default()
         });
         assert!(ratio <= 1.3, "{fleet}: {ratio}");
-        assert_eq!(told.scopes, [(Scope::Fleet, fleet)].into());
+        assert_eq!(told.scopes, [(OutageScope::Fleet, fleet)].into());
         // Promises are honest: who comes as it was told is let in.
         assert!(share_kept(&told) >= 0.85, "{fleet}: {told:?}");
         // Discovery is called at its pace, 100 a second.
--- a/crates/recovery/tests/toy/mod.rs
+++ b/crates/recovery/tests/toy/mod.rs
@@ -71,7 +71,7 @@
     pub class_half: Vec<Nanos>,
     pub account_half: Vec<Nanos>,
     pub lent: f64,
-    pub scopes: BTreeMap<Scope, usize>,
+    pub scopes: BTreeMap<OutageScope, usize>,
     /// Mean span between the first and the last of a group.
     pub group_span: Nanos,
     pub digest: u64,
@@ -108,7 +108,7 @@
 
 #[derive(Clone, Copy)]
 struct Client {
-    arrival: Arrival,
+    arrival: AdmissionRequest,
     at: usize,
     firm: bool,
     in_at: Nanos,
@@ -122,7 +122,7 @@
 
 pub struct Toy {
     day: Day,
-    config: Config,
+    config: RecoveryConfig,
     rng: Pcg64Mcg,
     machines: Vec<Recovery>,
     begun: Vec<Nanos>,
@@ -140,45 +140,45 @@
 
 const SHARES: [f64; 2] = [3.0, 1.0];
 
-fn config(day: &Day, weight: f64) -> Config {
-    let cold = Cold::default();
+fn config(day: &Day, weight: f64) -> RecoveryConfig {
+    let cold = SlowStartRules::default();
     let stood = day.clients as f64 / weight;
-    Config {
+    RecoveryConfig {
         name: "b".into(),
         site: "site".into(),
-        fleet: day.fleet as u32,
+        fleet_size: day.fleet as u32,
         site_peers: if day.peers == Peers::None {
             0
         } else {
             day.fleet as u32 - 1
         },
-        cold: Cold {
-            borne: stood / (cold.cold_time as f64 / 1e9),
-            slack: day.slack,
+        slow_start: SlowStartRules {
+            clients_per_server_s: stood / (cold.warm_up_time as f64 / 1e9),
+            chance_allowance: day.slack,
             ..cold
         },
         classes: vec![
-            Class {
-                worth: 1.0,
-                aim: SECOND,
+            RequestClass {
+                priority_weight: 1.0,
+                latency_objective: SECOND,
             },
-            Class {
-                worth: 4.0,
-                aim: SECOND / 2,
+            RequestClass {
+                priority_weight: 4.0,
+                latency_objective: SECOND / 2,
             },
         ],
         accounts: vec![
-            Account {
+            AccountQuota {
                 account: 0,
-                share: SHARES[0],
+                quota: SHARES[0],
             },
-            Account {
+            AccountQuota {
                 account: 1,
-                share: SHARES[1],
+                quota: SHARES[1],
             },
         ],
-        clients: (day.clients as f64 * day.told) as u32,
-        ..Config::default()
+        usual_clients: (day.clients as f64 * day.told) as u32,
+        ..RecoveryConfig::default()
     }
 }
 
@@ -194,7 +194,7 @@
         let servers: Vec<Server> = (0..day.servers).map(server).collect();
         let config = config(&day, servers.iter().map(|server| server.weight).sum());
         let machines = (0..day.fleet).map(|at| {
-            let config = Config {
+            let config = RecoveryConfig {
                 name: format!("b{at}"),
                 ..config.clone()
             };
@@ -220,15 +220,15 @@
         };
         for at in 0..toy.day.clients {
             let class = usize::from(rng.random_bool(0.2));
-            let (group, key) = (Some(at as u64 / 8 * 2 + class as u64), Some(at as u64));
+            let (group, client_key) = (Some(at as u64 / 8 * 2 + class as u64), Some(at as u64));
             let account = u64::from(rng.random_bool(0.5));
-            let arrival = Arrival {
+            let arrival = AdmissionRequest {
                 id: at as u64,
                 class,
                 account,
                 group,
-                key,
-                returns: true,
+                client_key,
+                is_reconnect: true,
             };
             let home = toy.pick_balancer();
             toy.clients.push(Client {
@@ -265,8 +265,8 @@
     }
 
     fn warmth(&self, now: Nanos) -> f64 {
-        let age =
-            (now as i64 - self.day.servers_from).max(0) as f64 / self.config.cold.cold_time as f64;
+        let age = (now as i64 - self.day.servers_from).max(0) as f64
+            / self.config.slow_start.warm_up_time as f64;
         0.2 + 0.8 * age.min(1.0)
     }
 
@@ -282,9 +282,9 @@
         List {
             source,
             generation: 9,
-            life: 1,
+            epoch: 1,
             age: 0,
-            said_at: Some(WALL),
+            reported_at: Some(WALL),
             entries,
         }
     }
@@ -300,7 +300,7 @@
                 .entry((client.arrival.class, client.arrival.account))
                 .or_insert(0.0) += self.day.told;
         }
-        let one = |((class, account), clients): ((usize, u64), f64)| Former {
+        let one = |((class, account), clients): ((usize, u64), f64)| FormerClients {
             class,
             account,
             clients,
@@ -311,17 +311,17 @@
             .for_each(|entry| entry.started_at_ms = WALL - 90_000_000);
         Some(Memory {
             owner: format!("b{at}"),
-            boot: 4,
+            incarnation: 4,
             written_at: WALL - 60_000,
             list: Some(list),
-            former: former.into_iter().map(one).collect(),
-            borne: None,
+            former_clients: former.into_iter().map(one).collect(),
+            clients_per_server_s: None,
         })
     }
 
     /// Sends one client to a server by weight, as many balancers that know nothing of each other do.
     fn send(&mut self, now: Nanos) {
-        let (warmth, cold) = (self.warmth(now), self.config.cold);
+        let (warmth, cold) = (self.warmth(now), self.config.slow_start);
         let at = loop {
             let at = self.rng.random_range(0..self.servers.len());
             if self.rng.random_range(0.0..2.0) < self.servers[at].weight {
@@ -333,13 +333,18 @@
         while server
             .sent
             .front()
-            .is_some_and(|at| *at + cold.fall_time <= now)
+            .is_some_and(|at| *at + cold.overload_window <= now)
         {
             server.sent.pop_front();
         }
-        let limit =
-            cold.tip_multiple * cold.borne * server.weight * warmth * cold.fall_time as f64 / 1e9;
-        let over = server.sent.len() as f64 / (limit + cold.slack * (limit.sqrt() + 1.0));
+        let limit = cold.overload_multiple
+            * cold.clients_per_server_s
+            * server.weight
+            * warmth
+            * cold.overload_window as f64
+            / 1e9;
+        let over =
+            server.sent.len() as f64 / (limit + cold.chance_allowance * (limit.sqrt() + 1.0));
         if warmth < 1.0 {
             self.told.worst = self.told.worst.max(over);
             if over > 1.0 && !std::mem::replace(&mut server.tipped, true) {
@@ -360,8 +365,8 @@
 
     fn obey(&mut self, now: Nanos, at: usize, action: Action) {
         match action {
-            Action::Ask {
-                whom: Whom::Discovery,
+            Action::Query {
+                source: EvidenceSource::Discovery,
                 after,
             } => {
                 *self.calls.entry((now + after) / (100 * MS)).or_insert(0) += 1;
@@ -369,7 +374,7 @@
                     self.push(now + after + WAY, What::Discovery(at));
                 }
             }
-            Action::Serve { how, .. } if how != How::NotYet => {
+            Action::SetServiceMode { mode, .. } if mode != ServiceMode::Unavailable => {
                 self.serving_since[at].get_or_insert(now);
             }
             Action::Admit { id } => {
@@ -383,14 +388,14 @@
             Action::Defer {
                 id,
                 retry_after,
-                firm,
+                is_final,
             } => {
                 self.told.deferred += 1;
-                self.told.promised += usize::from(firm);
-                self.clients[id as usize].firm = firm;
+                self.told.promised += usize::from(is_final);
+                self.clients[id as usize].firm = is_final;
                 self.push(now + retry_after + 2 * WAY, What::Client(id as usize));
             }
-            Action::Lend {
+            Action::LendQuota {
                 to,
                 number,
                 clients,
@@ -399,7 +404,7 @@
                 let to = to[1..].parse().expect("a balancer's name");
                 self.push(now + WAY, What::Lent(to, at, number, clients.to_bits()));
             }
-            Action::Scope { scope, .. } => *self.told.scopes.entry(scope).or_insert(0) += 1,
+            Action::ScopeDecided { scope, .. } => *self.told.scopes.entry(scope).or_insert(0) += 1,
             _ => {}
         }
     }
@@ -408,16 +413,16 @@
     fn words(&mut self, now: Nanos, at: usize) {
         let machine = &self.machines[at];
         let state = machine.state();
-        let word = PeerWord {
+        let word = PeerStatus {
             name: format!("b{at}"),
             site: "site".into(),
-            boot: 5,
-            up_for: now - self.begun[at],
-            serving_for: self.serving_since[at].map(|since| now - since),
-            in_full: state == State::Serving,
-            wall: machine.clock_is_sound().then_some(WALL + now / MS),
-            former: machine.former(),
-            short: machine.short(),
+            incarnation: 5,
+            uptime: now - self.begun[at],
+            serving_time: self.serving_since[at].map(|since| now - since),
+            serves_in_full: state == RecoveryState::Serving,
+            wall_clock: machine.clock_is_sound().then_some(WALL + now / MS),
+            former_clients: machine.former_clients(),
+            deferred_per_s: machine.deferred_per_s(),
         };
         for _ in 0..WORDS_TO {
             let to = self.rng.random_range(0..self.day.fleet);
@@ -428,14 +433,14 @@
                 Peers::None => false,
             };
             if hears && to != at && now >= self.begun[to] {
-                self.tell(now, to, Event::Peer(word.clone()));
+                self.tell(now, to, Event::PeerReported(word.clone()));
                 if let Some(heard) = self.heard[at].filter(|_| self.heard[to].is_none()) {
                     let list = List {
                         age: now - heard,
-                        said_at: None,
+                        reported_at: None,
                         ..self.list(Source::Peer)
                     };
-                    self.tell(now, to, Event::List(list));
+                    self.tell(now, to, Event::ListReceived(list));
                     self.heard[to].get_or_insert(heard);
                 }
             }
@@ -452,7 +457,7 @@
         if now < self.begun[at] {
             return self.push(now + SECOND, What::Client(id));
         }
-        self.tell(now, at, Event::Arrived(self.clients[id].arrival));
+        self.tell(now, at, Event::AdmissionRequested(self.clients[id].arrival));
     }
 
     /// Plays until so long after the power's return.
@@ -463,15 +468,18 @@
             }
             match what {
                 What::Tick(at) => {
-                    let is_first = self.machines[at].state() == State::Dark;
+                    let is_first = self.machines[at].state() == RecoveryState::NotStarted;
                     let memory = is_first.then(|| self.memory(at)).flatten();
                     let event = if is_first {
-                        Event::Started { boot: 5, memory }
+                        Event::Started {
+                            incarnation: 5,
+                            memory,
+                        }
                     } else {
                         Event::Tick
                     };
                     self.tell(now, at, event);
-                    if let Some(due) = self.machines[at].due() {
+                    if let Some(due) = self.machines[at].next_tick_at() {
                         self.push((self.begun[at] + due).max(now + MS), What::Tick(at));
                     }
                 }
@@ -479,16 +487,23 @@
                 What::Client(id) => self.comes(now, id),
                 What::Discovery(at) => {
                     let list = self.list(Source::Discovery);
-                    let said_at = Some(WALL + now / MS);
+                    let reported_at = Some(WALL + now / MS);
                     self.heard[at] = Some(now);
-                    self.tell(now, at, Event::List(List { said_at, ..list }));
+                    self.tell(
+                        now,
+                        at,
+                        Event::ListReceived(List {
+                            reported_at,
+                            ..list
+                        }),
+                    );
                 }
                 What::Lent(to, from, number, bits) => {
                     let (from, clients) = (format!("b{from}"), f64::from_bits(bits));
                     self.tell(
                         now,
                         to,
-                        Event::Lent {
+                        Event::QuotaLent {
                             from,
                             number,
                             clients,
@@ -501,7 +516,7 @@
     }
 
     fn sum_up(mut self) -> Told {
-        let worth = |client: &Client| self.config.classes[client.arrival.class].worth;
+        let worth = |client: &Client| self.config.classes[client.arrival.class].priority_weight;
         let all: f64 = self.clients.iter().map(worth).sum();
         let mut order: Vec<(Nanos, f64)> = self
             .clients
@@ -557,9 +572,11 @@
         let (mut now, mut sum) = (0, 0.0);
         while sum < 0.99 * self.clients.len() as f64 {
             now += MS;
-            sum +=
-                self.config.cold.tip_multiple * self.config.cold.borne * weight * self.warmth(now)
-                    / 1e3;
+            sum += self.config.slow_start.overload_multiple
+                * self.config.slow_start.clients_per_server_s
+                * weight
+                * self.warmth(now)
+                / 1e3;
         }
         now
     }
--- a/crates/settings/src/in_force.rs
+++ b/crates/settings/src/active.rs
@@ -9,106 +9,114 @@
 
 use beaconflow_policy::{DedupScope, Nanos, RequestClass, RetrySafety, Settings};
 
-use crate::{Lane, Setup};
+use crate::{NamedClass, SiteSettings};
 
 /// The settings in force, and the classes of all that were in force before them.
 #[derive(Clone, Debug)]
-pub struct InForce {
-    setup: Setup,
+pub struct ActiveSettings {
+    current: SiteSettings,
     /// Each class that ever was, by its number.
-    known: Vec<Lane>,
+    classes: Vec<NamedClass>,
     /// The numbers of the present classes, in the order of the present settings.
-    present: Vec<usize>,
+    current_classes: Vec<usize>,
 }
 
-impl InForce {
+impl ActiveSettings {
     /// The first settings of a process.
-    pub fn new(setup: Setup) -> InForce {
-        let (known, present) = (setup.lanes.clone(), (0..setup.lanes.len()).collect());
-        InForce {
-            setup,
-            known,
-            present,
+    pub fn new(current: SiteSettings) -> ActiveSettings {
+        let (classes, current_classes) = (
+            current.classes.clone(),
+            (0..current.classes.len()).collect(),
+        );
+        ActiveSettings {
+            current,
+            classes,
+            current_classes,
         }
     }
 
     /// These settings hold from now on, as a whole.
-    pub fn replaced_by(&self, setup: Setup) -> InForce {
-        let mut known = self.known.clone();
-        let number = |lane: &Lane| match known.iter().position(|class| class == lane) {
+    pub fn replaced_with(&self, current: SiteSettings) -> ActiveSettings {
+        let mut classes = self.classes.clone();
+        let number = |lane: &NamedClass| match classes.iter().position(|class| class == lane) {
             Some(number) => number,
             None => {
-                known.push(lane.clone());
-                known.len() - 1
+                classes.push(lane.clone());
+                classes.len() - 1
             }
         };
-        let present = setup.lanes.iter().map(number).collect();
-        InForce {
-            setup,
-            known,
-            present,
+        let current_classes = current.classes.iter().map(number).collect();
+        ActiveSettings {
+            current,
+            classes,
+            current_classes,
         }
     }
 
     /// The settings as they stand in the file.
-    pub fn setup(&self) -> &Setup {
-        &self.setup
+    pub fn setup(&self) -> &SiteSettings {
+        &self.current
     }
 
     /// The number of the class with this name, if the present settings have one.
     pub fn class(&self, name: &str) -> Option<usize> {
-        self.present.get(self.setup.class(name)?).copied()
+        self.current_classes.get(self.current.class(name)?).copied()
     }
 
     /// How long a client of this class waits; nothing for a class there never was.
-    pub fn patience(&self, class: usize) -> Duration {
-        self.known
+    pub fn client_timeout(&self, class: usize) -> Duration {
+        self.classes
             .get(class)
             .map_or(Duration::ZERO, |lane| Duration::from_nanos(lane.deadline))
     }
 
     /// The place of a class among the present ones; one of earlier settings has the place of the class that bears its
     /// name now, and the last where none does.
-    pub fn place(&self, class: usize) -> usize {
-        let present = self.present.iter().position(|number| *number == class);
-        let by_name = || self.setup.class(&self.known.get(class)?.name);
+    pub fn current_index(&self, class: usize) -> usize {
+        let present = self
+            .current_classes
+            .iter()
+            .position(|number| *number == class);
+        let by_name = || self.current.class(&self.classes.get(class)?.name);
         present
             .or_else(by_name)
-            .unwrap_or_else(|| self.present.len().saturating_sub(1))
+            .unwrap_or_else(|| self.current_classes.len().saturating_sub(1))
     }
 
     /// What the decision module has of them: the classes by their numbers, those of earlier settings among them.
-    pub fn module(&self) -> Settings {
-        let classes = (0..self.known.len())
+    pub fn policy_settings(&self) -> Settings {
+        let classes = (0..self.classes.len())
             .map(|number| self.class_of(number))
             .collect();
         Settings {
             classes,
-            ..self.setup.module()
+            ..self.current.policy_settings()
         }
     }
 
     fn class_of(&self, number: usize) -> RequestClass {
-        let own = self.known[number].class();
-        if self.present.contains(&number) {
+        let own = self.classes[number].class();
+        if self.current_classes.contains(&number) {
             return own;
         }
-        self.earlier(own, &self.known[number].name)
+        self.former_class(own, &self.classes[number].name)
     }
 
     /// What holds for requests that were admitted under earlier settings: their own class's promise, with the stricter
     /// repeat of both, and no say in what is asked of all classes together.
-    fn earlier(&self, own: RequestClass, name: &str) -> RequestClass {
-        let present = || self.setup.lanes.iter();
+    fn former_class(&self, own: RequestClass, name: &str) -> RequestClass {
+        let present = || self.current.classes.iter();
         let longest = present()
             .map(|lane| lane.deadline)
             .max()
             .unwrap_or(own.deadline);
-        let dearest = present().map(|lane| lane.worth).fold(0.0, f64::max);
+        let dearest = present()
+            .map(|lane| lane.priority_weight)
+            .fold(0.0, f64::max);
         let named = present().find(|lane| lane.name == name);
         RequestClass {
             retry_safety: named.map_or(own.retry_safety, |lane| {
-                stricter(own.retry_safety, lane.repeat)
+                stricter(own.retry_safety, lane.retry_safety)
             }),
             deadline: own.deadline.min(longest),
             priority_weight: own.priority_weight.min(dearest),
@@ -127,11 +135,11 @@
         }
         (
             RetrySafety::IdempotencyKey {
-                scope: one,
+                dedup_scope: one,
                 window: first,
             },
             RetrySafety::IdempotencyKey {
-                scope: other,
+                dedup_scope: other,
                 window: second,
             },
         ) => narrower((one, other), first.min(second)),
@@ -141,10 +149,16 @@
 /// Servers that are in both scopes. Whether those of one zone and those of one cell have any in common is not said.
 fn narrower(scopes: (DedupScope, DedupScope), window: Nanos) -> RetrySafety {
     match scopes {
-        (DedupScope::All, scope) | (scope, DedupScope::All) => {
-            RetrySafety::IdempotencyKey { scope, window }
+        (DedupScope::All, dedup_scope) | (dedup_scope, DedupScope::All) => {
+            RetrySafety::IdempotencyKey {
+                dedup_scope,
+                window,
+            }
         }
-        (one, other) if one == other => RetrySafety::IdempotencyKey { scope: one, window },
+        (one, other) if one == other => RetrySafety::IdempotencyKey {
+            dedup_scope: one,
+            window,
+        },
         _ => RetrySafety::NonIdempotent,
     }
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -8,53 +8,53 @@
 
 /// What is wrong with one field.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// Where the field stands, such as `settings.lanes[1].effect`.
     pub path: String,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 /// All that is wrong with an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.why)
+        write!(f, "{}: {}", self.path, self.reason)
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let all: Vec<String> = self.0.iter().map(Fault::to_string).collect();
+        let all: Vec<String> = self.0.iter().map(ConfigError::to_string).collect();
         f.write_str(&all.join("; "))
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
 
 /// The faults met so far.
 #[derive(Debug, Default)]
-pub struct Met(RefCell<Vec<Fault>>);
+pub struct ErrorCollector(RefCell<Vec<ConfigError>>);
 
-impl Met {
+impl ErrorCollector {
     /// Keeps one more.
     pub fn add(&self, path: String, why: impl Into<String>) {
-        self.0.borrow_mut().push(Fault {
+        self.0.borrow_mut().push(ConfigError {
             path,
-            why: why.into(),
+            reason: why.into(),
         });
     }
 
     /// What was read, unless a fault was met; nothing is read only where one was.
-    pub fn or<T>(self, read: Option<T>) -> Result<T, Faults> {
+    pub fn finish<T>(self, read: Option<T>) -> Result<T, ConfigErrors> {
         let faults = self.0.into_inner();
         match read {
             Some(read) if faults.is_empty() => Ok(read),
-            _ => Err(Faults(faults)),
+            _ => Err(ConfigErrors(faults)),
         }
     }
 }
@@ -64,26 +64,30 @@
 pub struct Fields<'v> {
     object: Option<&'v Map<String, Value>>,
     path: &'v str,
-    met: &'v Met,
+    errors: &'v ErrorCollector,
 }
 
 impl<'v> Fields<'v> {
     /// The fields of a value; one that is no object is a fault.
-    pub fn of(value: &'v Value, path: &'v str, met: &'v Met) -> Fields<'v> {
+    pub fn new(value: &'v Value, path: &'v str, errors: &'v ErrorCollector) -> Fields<'v> {
         let object = value.as_object();
         if object.is_none() {
             let path = if path.is_empty() { "the whole" } else { path };
-            met.add(path.to_owned(), "is no object");
+            errors.add(path.to_owned(), "is no object");
+        }
+        Fields {
+            object,
+            path,
+            errors,
         }
-        Fields { object, path, met }
     }
 
     /// The fields of an object that is not there: each optional one is absent.
-    pub fn none(path: &'v str, met: &'v Met) -> Fields<'v> {
+    pub fn absent(path: &'v str, errors: &'v ErrorCollector) -> Fields<'v> {
         Fields {
             object: None,
             path,
-            met,
+            errors,
         }
     }
 
@@ -97,14 +101,14 @@
     }
 
     /// Keeps a fault of one of its fields.
-    pub fn fault(&self, key: &str, why: impl Into<String>) {
-        self.met.add(self.path_of(key), why);
+    pub fn error(&self, key: &str, why: impl Into<String>) {
+        self.errors.add(self.path_of(key), why);
     }
 
     /// Keeps a fault of a field where it is bad.
-    pub fn refuse(&self, key: &str, bad: bool, why: &str) {
+    pub fn error_if(&self, key: &str, bad: bool, why: &str) {
         if bad {
-            self.fault(key, why);
+            self.error(key, why);
         }
     }
 
@@ -114,33 +118,33 @@
     }
 
     /// The value of a field that has to be there. Where there is no object, that is a fault already.
-    pub fn needed_value(&self, key: &str) -> Option<&'v Value> {
+    pub fn required_value(&self, key: &str) -> Option<&'v Value> {
         let value = self.object?.get(key);
         if value.is_none() {
-            self.fault(key, "is missing");
+            self.error(key, "is missing");
         }
         value
     }
 
     /// A field that has to be there.
-    pub fn need<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
-        self.read(key, self.needed_value(key)?)
+    pub fn required<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
+        self.read(key, self.required_value(key)?)
     }
 
     /// A field that has to be there and within a range.
-    pub fn need_if<T: DeserializeOwned>(
+    pub fn required_if<T: DeserializeOwned>(
         &self,
         key: &str,
         sound: impl Fn(&T) -> bool,
         why: &str,
     ) -> Option<T> {
-        let value = self.need(key)?;
-        self.refuse(key, !sound(&value), why);
+        let value = self.required(key)?;
+        self.error_if(key, !sound(&value), why);
         Some(value)
     }
 
     /// A field, or what it is where it is absent.
-    pub fn or<T: DeserializeOwned>(&self, key: &str, absent: T) -> Option<T> {
+    pub fn optional<T: DeserializeOwned>(&self, key: &str, absent: T) -> Option<T> {
         match self.value(key) {
             None => Some(absent),
             Some(value) => self.read(key, value),
@@ -148,13 +152,13 @@
     }
 
     /// The same, where what it is when absent is its type's own default.
-    pub fn or_default<T: DeserializeOwned + Default>(&self, key: &str) -> Option<T> {
-        self.or(key, T::default())
+    pub fn optional_or_default<T: DeserializeOwned + Default>(&self, key: &str) -> Option<T> {
+        self.optional(key, T::default())
     }
 
     fn read<T: DeserializeOwned>(&self, key: &str, value: &Value) -> Option<T> {
         let read = T::deserialize(value);
-        read.map_err(|error| self.fault(key, error.to_string()))
+        read.map_err(|error| self.error(key, error.to_string()))
             .ok()
     }
 
@@ -167,12 +171,12 @@
     }
 
     /// The same of a list that has to be there.
-    pub fn needed_list<T>(
+    pub fn required_list<T>(
         &self,
         key: &str,
         read: impl Fn(Fields<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
-        self.objects(key, self.needed_value(key)?, read)
+        self.objects(key, self.required_value(key)?, read)
     }
 
     fn objects<T>(
@@ -182,12 +186,12 @@
         read: impl Fn(Fields<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         let Some(rows) = value.as_array() else {
-            self.fault(key, "is no list");
+            self.error(key, "is no list");
             return None;
         };
         let row = |(at, row): (usize, &Value)| {
             let path = format!("{}[{at}]", self.path_of(key));
-            read(Fields::of(row, &path, self.met))
+            read(Fields::new(row, &path, self.errors))
         };
         // Every row is read, so that no fault hides another.
         let rows: Vec<Option<T>> = rows.iter().enumerate().map(row).collect();
@@ -195,17 +199,21 @@
     }
 
     /// The object that a field holds, by `read`; an absent one has no fields.
-    pub fn inner<T>(&self, key: &str, read: impl Fn(Fields<'_>) -> Option<T>) -> Option<T> {
+    pub fn object<T>(&self, key: &str, read: impl Fn(Fields<'_>) -> Option<T>) -> Option<T> {
         let path = self.path_of(key);
         match self.value(key) {
-            None => read(Fields::none(&path, self.met)),
-            Some(value) => read(Fields::of(value, &path, self.met)),
+            None => read(Fields::absent(&path, self.errors)),
+            Some(value) => read(Fields::new(value, &path, self.errors)),
         }
     }
 
     /// The same of an object that has to be there.
-    pub fn needed_inner<T>(&self, key: &str, read: impl Fn(Fields<'_>) -> Option<T>) -> Option<T> {
-        self.needed_value(key)?;
-        self.inner(key, read)
+    pub fn required_object<T>(
+        &self,
+        key: &str,
+        read: impl Fn(Fields<'_>) -> Option<T>,
+    ) -> Option<T> {
+        self.required_value(key)?;
+        self.object(key, read)
     }
 }
