--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -67,14 +67,14 @@
 }
 
 /// Every override that holds, and where they are kept.
-pub(super) fn list(keeper: &OverrideManager) -> Reply {
-    let about = keeper.about();
-    let limits = keeper.limits();
-    let all: Vec<Value> = keeper.list().iter().map(row).collect();
+pub(super) fn list(override_manager: &OverrideManager) -> Reply {
+    let about = override_manager.about();
+    let limits = override_manager.limits();
+    let all: Vec<Value> = override_manager.list().iter().map(row).collect();
     Reply::new(
         200,
         json!({
-            "kept": about.is_persistent, "notes": about.notes, "wall_ahead_s": keeper.wall_ahead() as f64 / 1e3,
+            "kept": about.is_persistent, "notes": about.notes, "wall_ahead_s": override_manager.wall_ahead() as f64 / 1e3,
             "longest_s": limits.longest / 1_000, "most": limits.most, "ramp_s": limits.ramp as f64 / 1e3,
             "overrides": all,
         }),
@@ -82,13 +82,15 @@
 }
 
 /// One of them.
-pub(super) fn read(keeper: &OverrideManager, id: &str) -> Result<Reply, Reply> {
-    let shown = keeper.get(number(id)?).ok_or(OverrideError::Unknown)?;
+pub(super) fn read(override_manager: &OverrideManager, id: &str) -> Result<Reply, Reply> {
+    let shown = override_manager
+        .get(number(id)?)
+        .ok_or(OverrideError::Unknown)?;
     Ok(tagged(200, &shown))
 }
 
 /// Enters one.
-pub(super) fn add(keeper: &OverrideManager, request: &Request) -> Result<Reply, Reply> {
+pub(super) fn add(override_manager: &OverrideManager, request: &Request) -> Result<Reply, Reply> {
     let mut fields = Fields::of(&request.body)?;
     let key = request.idempotency_key.as_deref();
     if key.is_some_and(|key| !(1..=MAX_KEY_BYTES).contains(&key.len())) {
@@ -103,7 +105,7 @@
     });
     let kind = fields.kind();
     let (who, why) = (fields.text("who"), fields.text("why"));
-    let expires_at = fields.expiry(keeper);
+    let expires_at = fields.expiry(override_manager);
     let force = fields.flag("force");
     let faults = fields.end();
     let draft = match (kind, who, why, expires_at) {
@@ -119,7 +121,7 @@
         view,
         is_in_effect,
         is_replay,
-    } = keeper.add(draft, force, replay)?;
+    } = override_manager.add(draft, force, replay)?;
     let status = if is_in_effect { 201 } else { 202 };
     let reply = tagged(status, &view).with("Location", format!("/v1/overrides/{}", view.record.id));
     Ok(if is_replay {
@@ -131,27 +133,29 @@
 
 /// Changes when one ends.
 pub(super) fn extend(
-    keeper: &OverrideManager,
+    override_manager: &OverrideManager,
     id: &str,
     request: &Request,
 ) -> Result<Reply, Reply> {
     let (id, revision) = (number(id)?, revision(request)?);
     let mut fields = Fields::of(&request.body)?;
-    let expires_at = fields.expiry(keeper);
+    let expires_at = fields.expiry(override_manager);
     let faults = fields.end();
     let Some(expires_at) = expires_at.filter(|_| faults.is_empty()) else {
         return Err(invalid_fields(&faults));
     };
-    Ok(changed(&keeper.extend(id, expires_at, revision)?))
+    Ok(changed(&override_manager.extend(id, expires_at, revision)?))
 }
 
 /// Ends one.
 pub(super) fn remove(
-    keeper: &OverrideManager,
+    override_manager: &OverrideManager,
     id: &str,
     request: &Request,
 ) -> Result<Reply, Reply> {
-    Ok(changed(&keeper.remove(number(id)?, revision(request)?)?))
+    Ok(changed(
+        &override_manager.remove(number(id)?, revision(request)?)?,
+    ))
 }
 
 fn changed(changed: &ChangeResult) -> Reply {
--- a/crates/balancer/src/admin/overrides/fields.rs
+++ b/crates/balancer/src/admin/overrides/fields.rs
@@ -122,7 +122,7 @@
     }
 
     /// When an override ends, on the program's clock: `expires_in_s` from now, or `expires_at` by the wall clock.
-    pub(super) fn expiry(&mut self, keeper: &OverrideManager) -> Option<Millis> {
+    pub(super) fn expiry(&mut self, override_manager: &OverrideManager) -> Option<Millis> {
         match (
             self.left.contains_key("expires_in_s"),
             self.left.contains_key("expires_at"),
@@ -130,7 +130,7 @@
             (true, false) => {
                 let seconds = self.number("expires_in_s")?;
                 if seconds.is_finite() && seconds > 0.0 {
-                    Some(keeper.after((seconds * 1e3) as Millis))
+                    Some(override_manager.after((seconds * 1e3) as Millis))
                 } else {
                     self.fault("expires_in_s", "more than 0")
                 }
@@ -140,7 +140,7 @@
                 let at = humantime::parse_rfc3339_weak(&text).ok();
                 let at = at.and_then(|at: SystemTime| at.duration_since(UNIX_EPOCH).ok());
                 match at.and_then(|at| Millis::try_from(at.as_millis()).ok()) {
-                    Some(at) => Some(keeper.from_wall(at)),
+                    Some(at) => Some(override_manager.from_wall(at)),
                     None => self.fault("expires_at", "a time as 2026-12-01T18:00:00Z"),
                 }
             }
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -25,11 +25,11 @@
 pub(super) fn counts(cores: &[NamedCore], tenants: Option<&Arc<Tenants>>) -> Result<Reply, Reply> {
     let mut fronts = serde_json::Map::new();
     for core @ (front, _) in cores {
-        let look = core_snapshot(core)?;
-        let ends: BTreeMap<&str, u64> = look.counts.outcomes_by_name().collect();
-        let counts = &look.counts;
+        let snapshot = core_snapshot(core)?;
+        let ends: BTreeMap<&str, u64> = snapshot.counts.outcomes_by_name().collect();
+        let counts = &snapshot.counts;
         let row = json!({
-            "open": look.open_requests, "standing": look.established, "opened": counts.opened, "adopted": counts.adopted,
+            "open": snapshot.open_requests, "standing": snapshot.established, "opened": counts.opened, "adopted": counts.adopted,
             "served": counts.served, "unavailable": counts.rejected, "failed": counts.failed,
             "left": counts.left, "moved": counts.migrated, "pinned": counts.pinned, "passes": counts.attempts,
             "ends": ends,
@@ -47,10 +47,10 @@
 /// Every listed server, as it is listed and as the decisions see it, and why the two differ.
 pub(super) fn list(
     cores: &[NamedCore],
-    keeper: &OverrideManager,
+    override_manager: &OverrideManager,
     fleet: Option<&Way>,
 ) -> Result<Reply, Reply> {
-    let overrides = keeper.list();
+    let overrides = override_manager.list();
     let mut by_server: HashMap<&str, Vec<&OverrideView>> = HashMap::new();
     for shown in &overrides {
         by_server
@@ -60,17 +60,18 @@
     }
     let (mut servers, mut warnings) = (Vec::new(), Vec::new());
     for core @ (front, _) in cores {
-        let look = core_snapshot(core)?;
-        if !look.coverage.is_sound() {
-            warnings.push(format!("{}: overrides leave {}", front, look.coverage));
+        let snapshot = core_snapshot(core)?;
+        if !snapshot.coverage.is_sound() {
+            warnings.push(format!("{}: overrides leave {}", front, snapshot.coverage));
         }
-        if look.has_lost_overrides {
+        if snapshot.has_lost_overrides {
             warnings.push(format!(
                 "{front}: a fault in the overrides was met; none hold there until a restart"
             ));
         }
         servers.extend(
-            look.servers
+            snapshot
+                .servers
                 .iter()
                 .map(|server| row(front, server, by_server.get(server.name.as_str()))),
         );
--- a/crates/balancer/src/connections/acceptor.rs
+++ b/crates/balancer/src/connections/acceptor.rs
@@ -55,7 +55,7 @@
     (core, descriptors): (&CoreHandle, &Descriptors),
     connections: &ConnectionsHandle<F>,
 ) {
-    let mut door = Acceptor {
+    let mut acceptor = Acceptor {
         front,
         core,
         descriptors,
@@ -67,25 +67,31 @@
         drain_started_at: None,
     };
     loop {
-        door.follow_lifecycle();
-        let accepts = door.should_accept(listener);
-        let has_room = accepts && door.can_accept_one();
-        let patience = door.wait_timeout(has_room || !accepts);
-        let waiting = door.handshakes.iter().map(|waiting| Some(&waiting.client));
-        let lingering = door.lingering.iter().map(LingeringClose::stream_to_read);
+        acceptor.follow_lifecycle();
+        let accepts = acceptor.should_accept(listener);
+        let has_room = accepts && acceptor.can_accept_one();
+        let patience = acceptor.wait_timeout(has_room || !accepts);
+        let waiting = acceptor
+            .handshakes
+            .iter()
+            .map(|waiting| Some(&waiting.client));
+        let lingering = acceptor
+            .lingering
+            .iter()
+            .map(LingeringClose::stream_to_read);
         let streams = waiting.chain(lingering);
         let (clients, ready) =
             net::wait_listener_or_streams(has_room.then_some(&listener.socket), streams, patience);
-        let (heard, ended) = ready.split_at(door.handshakes.len());
-        door.read_lingering(ended);
+        let (heard, ended) = ready.split_at(acceptor.handshakes.len());
+        acceptor.read_lingering(ended);
         // Handshakes go before new clients: one that is complete makes room without being evicted.
-        door.read_handshakes(heard);
-        door.expire_handshakes();
-        if clients && door.should_accept(listener) {
-            door.accept(&listener.socket);
+        acceptor.read_handshakes(heard);
+        acceptor.expire_handshakes();
+        if clients && acceptor.should_accept(listener) {
+            acceptor.accept(&listener.socket);
         }
-        door.publish_handshakes();
-        door.rejections.flush(front.name());
+        acceptor.publish_handshakes();
+        acceptor.rejections.flush(front.name());
     }
 }
 
@@ -349,9 +355,9 @@
             );
             return self.reject(client, &self.front.encode(ClientMessage::Rejected(None)));
         };
-        let link = ClientConnection::new(&**self.front, client, intake.into_rest());
+        let client_connection = ClientConnection::new(&**self.front, client, intake.into_rest());
         let admission = CompletedHandshake {
-            link,
+            client_connection,
             request,
             slot,
         };
@@ -369,12 +375,12 @@
 
     /// Admits a client on a thread of its own, where the front may block.
     fn admit_on_a_thread(&mut self, admission: CompletedHandshake<F>) {
-        let (front, refusals) = (Arc::clone(self.front), Arc::clone(&self.rejections));
+        let (front, rejections) = (Arc::clone(self.front), Arc::clone(&self.rejections));
         let transactions = self.connections.clone();
         let (give, take) = bounded::<CompletedHandshake<F>>(1);
         let run = move || {
             let Ok(admission) = take.recv() else { return };
-            if let Some(refused) = admit(&*front, admission, (&transactions, &refusals)) {
+            if let Some(refused) = admit(&*front, admission, (&transactions, &rejections)) {
                 net::discard_until_end(refused.stream(), REJECTED_LINGER);
             }
         };
@@ -388,8 +394,13 @@
                 Some(admission)
             }
         };
-        if let Some(CompletedHandshake { link, .. }) = unserved {
-            self.linger(link.close_with(&self.front.encode(ClientMessage::Rejected(None))));
+        if let Some(CompletedHandshake {
+            client_connection, ..
+        }) = unserved
+        {
+            self.linger(
+                client_connection.close_with(&self.front.encode(ClientMessage::Rejected(None))),
+            );
         }
     }
 
@@ -440,7 +451,7 @@
 
 /// A completed handshake.
 struct CompletedHandshake<F: Front> {
-    link: ClientConnection,
+    client_connection: ClientConnection,
     request: F::Request,
     slot: ConnectionSlot,
 }
@@ -449,24 +460,24 @@
 fn admit<F: Front>(
     front: &F,
     CompletedHandshake {
-        link: client,
+        client_connection: client,
         request,
         slot,
     }: CompletedHandshake<F>,
-    (transactions, refusals): (&ConnectionsHandle<F>, &RateLimitedLog),
+    (transactions, rejections): (&ConnectionsHandle<F>, &RateLimitedLog),
 ) -> Option<LingeringClose> {
     match front.admit(request) {
-        Ok((request, greeting)) => {
+        Ok((request, server_handshake)) => {
             transactions.admit(AdmittedClient {
                 client,
                 request,
-                greeting,
+                server_handshake,
                 slot,
             });
             None
         }
         Err(Rejection { answer, why }) => {
-            refusals.warn(front.name(), "handshake rejected", &why);
+            rejections.warn(front.name(), "handshake rejected", &why);
             Some(client.close_with(&answer))
         }
     }
--- a/crates/balancer/src/connections/connect.rs
+++ b/crates/balancer/src/connections/connect.rs
@@ -31,17 +31,17 @@
 /// Returns how far the attempt had come.
 pub fn attempt<F: Front>(
     front: &F,
-    link: &mut ClientConnection,
-    greeting: &F::ServerHandshake,
+    client_connection: &mut ClientConnection,
+    server_handshake: &F::ServerHandshake,
     to: &Endpoint,
     times: AttemptTiming,
     connect_timeout: Duration,
 ) -> Result<EstablishedServer, AttemptError> {
-    let server = connect(to.address, link, times, connect_timeout)?;
+    let server = connect(to.address, client_connection, times, connect_timeout)?;
     net::configure_stream(&server).map_err(AttemptError::NotConnected)?;
-    let mut asking = ServerExchange::new(server, to, link, times);
-    let answer = front.request_connection(&mut asking, greeting)?;
-    let (server, read_ahead) = asking.into_parts();
+    let mut exchange = ServerExchange::new(server, to, client_connection, times);
+    let answer = front.request_connection(&mut exchange, server_handshake)?;
+    let (server, read_ahead) = exchange.into_parts();
     Ok(EstablishedServer {
         server,
         answer,
--- a/crates/balancer/src/connections/connect/tests.rs
+++ b/crates/balancer/src/connections/connect/tests.rs
@@ -145,10 +145,10 @@
             begin_by,
             deadline_at: Instant::now() + LONG,
         };
-        let mut asking = ServerExchange::new(server, &to, &mut client, times);
-        let ended = asking.write_request(&[b"OPEN\r\n"]);
+        let mut exchange = ServerExchange::new(server, &to, &mut client, times);
+        let ended = exchange.write_request(&[b"OPEN\r\n"]);
         assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
-        drop(asking);
+        drop(exchange);
         let mut words = String::new();
         listener
             .accept()
--- a/crates/balancer/src/connections/event_loop/attempt_thread.rs
+++ b/crates/balancer/src/connections/event_loop/attempt_thread.rs
@@ -15,32 +15,47 @@
 /// Makes an attempt on a thread of its own. Returns the client if the thread can't be created.
 pub(super) fn start<F: Front>(
     shared: &FrontContext<F>,
-    desk: &Arc<ConnectionsHandle<F>>,
-    (id, link, greeting): (u64, ClientConnection, Arc<F::ServerHandshake>),
+    connections_handle: &Arc<ConnectionsHandle<F>>,
+    (id, client_connection, server_handshake): (u64, ClientConnection, Arc<F::ServerHandshake>),
     to: Arc<Endpoint>,
     times: AttemptTiming,
 ) -> Result<(), Box<(ClientConnection, io::Error)>> {
-    let (front, desk, connect) = (
+    let (front, connections_handle, connect) = (
         Arc::clone(&shared.front),
-        Arc::clone(desk),
+        Arc::clone(connections_handle),
         shared.core.connect_timeout(),
     );
     let (give, take) = bounded::<ClientConnection>(1);
     let run = move || {
-        let Ok(mut link) = take.recv() else { return };
-        let made = || connect::attempt(&*front, &mut link, &greeting, &to, times, connect);
+        let Ok(mut client_connection) = take.recv() else {
+            return;
+        };
+        let made = || {
+            connect::attempt(
+                &*front,
+                &mut client_connection,
+                &server_handshake,
+                &to,
+                times,
+                connect,
+            )
+        };
         let passed = catch_unwind(AssertUnwindSafe(made)).ok();
-        drop(greeting);
-        desk.send_input(ConnectionInput::AttemptFinished(id, link, passed));
+        drop(server_handshake);
+        connections_handle.send_input(ConnectionInput::AttemptFinished(
+            id,
+            client_connection,
+            passed,
+        ));
     };
     match std::thread::Builder::new()
-        .name("pass".into())
+        .name("attempt".into())
         .stack_size(shared.front.thread_stack_bytes())
         .spawn(run)
     {
         Ok(_) => give
-            .send(link)
+            .send(client_connection)
             .map_err(|error| Box::new((error.into_inner(), io::ErrorKind::Other.into()))),
-        Err(error) => Err(Box::new((link, error))),
+        Err(error) => Err(Box::new((client_connection, error))),
     }
 }
--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -45,7 +45,7 @@
     id: u64,
     /// Released before the client learns of its end, so that one that returns at once finds its id
     /// and its place among its tenant's connections free.
-    pub(super) greeting: Option<Arc<F::ServerHandshake>>,
+    pub(super) server_handshake: Option<Arc<F::ServerHandshake>>,
     pub(super) state: ConnectionState,
     /// Name of the server of the latest attempt.
     pub(super) server_name: Option<Arc<str>>,
@@ -60,20 +60,20 @@
     /// Creates a connection in its first state.
     pub(super) fn new(
         id: u64,
-        greeting: Option<F::ServerHandshake>,
+        server_handshake: Option<F::ServerHandshake>,
         (state, server_name): (ConnectionState, Option<Arc<str>>),
-        counted: ConnectionSlot,
+        slot: ConnectionSlot,
     ) -> Connection<F> {
-        let (greeting, attempted_at) = (greeting.map(Arc::new), Instant::now());
+        let (server_handshake, attempted_at) = (server_handshake.map(Arc::new), Instant::now());
         let watched = (EventFlags::empty(), EventFlags::empty());
         Connection {
             id,
-            greeting,
+            server_handshake,
             state,
             server_name,
             attempted_at,
             watched,
-            _slot: counted,
+            _slot: slot,
         }
     }
 
@@ -88,28 +88,36 @@
         poller: &Poller,
         to: &Endpoint,
     ) -> io::Result<AttemptClient<F>> {
-        let (ConnectionState::Waiting(link), Some(greeting)) = (&self.state, &self.greeting) else {
+        let (ConnectionState::Waiting(client_connection), Some(server_handshake)) =
+            (&self.state, &self.server_handshake)
+        else {
             return Ok(None);
         };
-        let greeting = Arc::clone(greeting);
+        let server_handshake = Arc::clone(server_handshake);
         let nothing = EventFlags::empty();
         // The client must not be polled while the attempt reads it.
-        poller.set_interest(link.stream(), self.id * 2, (self.watched.0, nothing))?;
+        poller.set_interest(
+            client_connection.stream(),
+            self.id * 2,
+            (self.watched.0, nothing),
+        )?;
         self.watched = (nothing, nothing);
         self.attempted_at = Instant::now();
         self.server_name = Some(Arc::clone(&to.name));
-        let passing = ConnectionState::InAttempt(None, link.abandon_flag());
-        let ConnectionState::Waiting(link) = std::mem::replace(&mut self.state, passing) else {
+        let passing = ConnectionState::InAttempt(None, client_connection.abandon_flag());
+        let ConnectionState::Waiting(client_connection) =
+            std::mem::replace(&mut self.state, passing)
+        else {
             return Ok(None);
         };
-        Ok(Some((link, greeting)))
+        Ok(Some((client_connection, server_handshake)))
     }
 
     /// Handles a side that is ready.
     pub(super) fn on_ready(&mut self, side: Side, shared: &FrontContext<F>) {
         match &mut self.state {
-            ConnectionState::Waiting(link) => {
-                if let Err(why) = link.read_early() {
+            ConnectionState::Waiting(client_connection) => {
+                if let Err(why) = client_connection.read_early() {
                     self.on_client_left(&why, shared);
                 }
             }
@@ -193,14 +201,15 @@
     /// Handles the end of an attempt.
     pub(super) fn on_attempt_finished(
         &mut self,
-        link: ClientConnection,
+        client_connection: ClientConnection,
         passed: Option<Result<EstablishedServer, AttemptError>>,
         shared: &FrontContext<F>,
     ) {
-        let answer = match std::mem::replace(&mut self.state, ConnectionState::Waiting(link)) {
-            ConnectionState::InAttempt(answer, _) => answer,
-            _ => None,
-        };
+        let answer =
+            match std::mem::replace(&mut self.state, ConnectionState::Waiting(client_connection)) {
+                ConnectionState::InAttempt(answer, _) => answer,
+                _ => None,
+            };
         let Some(passed) = passed else {
             return self.on_panic(shared);
         };
@@ -227,14 +236,14 @@
         }: EstablishedServer,
         shared: &FrontContext<F>,
     ) {
-        let ConnectionState::Waiting(link) =
+        let ConnectionState::Waiting(client_connection) =
             std::mem::replace(&mut self.state, ConnectionState::Closed)
         else {
             return;
         };
         let mut standing = Box::new(EstablishedConnection::new(
             &*shared.front,
-            link,
+            client_connection,
             server,
             &shared.core,
             self.id,
@@ -247,7 +256,7 @@
     /// Continues an established connection, or ends it.
     fn continue_or_end(&mut self, went: Result<(), ConnectionEnd>, shared: &FrontContext<F>) {
         let Err(end) = went else { return };
-        self.greeting = None;
+        self.server_handshake = None;
         if !matches!(
             end,
             ConnectionEnd::Served
@@ -304,12 +313,14 @@
     }
 
     fn answer(&mut self, word: ClientMessage, shared: &FrontContext<F>) {
-        self.greeting = None;
-        if let ConnectionState::Waiting(link) =
+        self.server_handshake = None;
+        if let ConnectionState::Waiting(client_connection) =
             std::mem::replace(&mut self.state, ConnectionState::Closed)
         {
-            self.state =
-                ConnectionState::Lingering(link.close_with(&shared.front.encode(word)), None);
+            self.state = ConnectionState::Lingering(
+                client_connection.close_with(&shared.front.encode(word)),
+                None,
+            );
         }
     }
 
@@ -353,7 +364,9 @@
     pub(super) fn update_interest(&mut self, poller: &Poller) -> io::Result<()> {
         let nothing = EventFlags::empty();
         let (client, server, wanted) = match &self.state {
-            ConnectionState::Waiting(link) => (link.stream(), None, (EventFlags::IN, nothing)),
+            ConnectionState::Waiting(client_connection) => {
+                (client_connection.stream(), None, (EventFlags::IN, nothing))
+            }
             ConnectionState::Lingering(client, server) => {
                 let wants_server = server.as_ref().map_or(nothing, LingeringClose::interest);
                 (
--- a/crates/balancer/src/connections/event_loop/handover.rs
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -28,17 +28,17 @@
             awaiting_handover,
             ..
         } = self;
-        let Some(transaction) = connections.get_mut(&id) else {
+        let Some(connection) = connections.get_mut(&id) else {
             return;
         };
-        let (ConnectionState::Established(standing), Some(greeting), Some(at)) = (
-            &transaction.state,
-            transaction.greeting.as_deref(),
-            transaction.server_name.as_deref(),
+        let (ConnectionState::Established(standing), Some(server_handshake), Some(at)) = (
+            &connection.state,
+            connection.server_handshake.as_deref(),
+            connection.server_name.as_deref(),
         ) else {
             return;
         };
-        let Some(line) = context.front.handover_line(greeting) else {
+        let Some(line) = context.front.handover_line(server_handshake) else {
             return;
         };
         let found = handover_sender.get_or_insert_with(|| {
@@ -51,7 +51,7 @@
                 None
             })
         });
-        let Some(giver) = found else { return };
+        let Some(handover_sender) = found else { return };
         if !standing.can_be_handed_over() {
             return awaiting_handover.push(id);
         }
@@ -59,17 +59,17 @@
         // The other process polls the same sockets; this one would wake for its input.
         let nothing = EventFlags::empty();
         let unwatched = poller
-            .set_interest(client, id * 2, (transaction.watched.0, nothing))
+            .set_interest(client, id * 2, (connection.watched.0, nothing))
             .and_then(|()| {
-                poller.set_interest(server, id * 2 + 1, (transaction.watched.1, nothing))
+                poller.set_interest(server, id * 2 + 1, (connection.watched.1, nothing))
             });
         if unwatched.is_err() {
             return;
         }
-        transaction.watched = (nothing, nothing);
-        match giver.send((client, server), at, line) {
+        connection.watched = (nothing, nothing);
+        match handover_sender.send((client, server), at, line) {
             Ok(()) => {
-                transaction.report_end(
+                connection.report_end(
                     &AttemptError::ConnectionEnded(ConnectionEnd::HandedOver),
                     context,
                 );
@@ -87,13 +87,13 @@
     }
 
     /// Takes over a connection from another process. One whose request can't be parsed is migrated.
-    pub(super) fn take_over(&mut self, given: TransferredConnection, counted: ConnectionSlot) {
+    pub(super) fn take_over(&mut self, transferred: TransferredConnection, slot: ConnectionSlot) {
         let TransferredConnection {
             client,
             server,
             server_name,
             request_line,
-        } = given;
+        } = transferred;
         let FrontContext {
             front,
             core,
@@ -104,36 +104,38 @@
             HandshakeLine::Connect(request) => front.admit(request).ok(),
             _ => None,
         };
-        let link = ClientConnection::new(&**front, client, Vec::new());
-        let Some((opening, greeting)) = read else {
+        let client_connection = ClientConnection::new(&**front, client, Vec::new());
+        let Some((client_request, server_handshake)) = read else {
             warn!(
                 part = front.name(),
                 "a connection handed over could not be read"
             );
             let server = LingeringClose::start(server, WriteBuffer::default(), b"");
-            let phase =
-                ConnectionState::Lingering(link.close_with(migration_message), Some(server));
+            let phase = ConnectionState::Lingering(
+                client_connection.close_with(migration_message),
+                Some(server),
+            );
             self.last_local_id -= 1;
-            return self.insert(self.last_local_id, None, (phase, None), counted);
+            return self.insert(self.last_local_id, None, (phase, None), slot);
         };
-        let (opening, at) = (
+        let (client_request, at) = (
             ClientRequest {
                 resumed_server: None,
-                ..opening
+                ..client_request
             },
             Arc::from(server_name),
         );
         let id = core.adopt(
-            opening,
+            client_request,
             Arc::clone(&at),
             Arc::clone(&self.handle) as Arc<dyn CommandSender>,
         );
-        let standing = EstablishedConnection::new(&**front, link, server, core, id);
+        let standing = EstablishedConnection::new(&**front, client_connection, server, core, id);
         self.insert(
             id,
-            Some(greeting),
+            Some(server_handshake),
             (ConnectionState::Established(Box::new(standing)), Some(at)),
-            counted,
+            slot,
         );
     }
 }
--- a/crates/balancer/src/connections/event_loop/mod.rs
+++ b/crates/balancer/src/connections/event_loop/mod.rs
@@ -31,7 +31,7 @@
     /// What it asks for.
     pub request: ClientRequest,
     /// The handshake for the server.
-    pub greeting: F::ServerHandshake,
+    pub server_handshake: F::ServerHandshake,
     /// Its place among the open connections.
     pub slot: ConnectionSlot,
 }
@@ -79,8 +79,8 @@
     }
 
     /// Takes over a connection from another process.
-    pub fn take_over(&self, given: TransferredConnection, counted: ConnectionSlot) {
-        self.send_input(ConnectionInput::HandedOver(given, counted));
+    pub fn take_over(&self, transferred: TransferredConnection, slot: ConnectionSlot) {
+        self.send_input(ConnectionInput::HandedOver(transferred, slot));
     }
 
     /// Serves an admitted client.
@@ -117,7 +117,7 @@
 ) -> io::Result<ConnectionsHandle<F>> {
     let poller = Poller::new()?;
     let (inputs, inbox) = unbounded();
-    let desk = ConnectionsHandle {
+    let connections_handle = ConnectionsHandle {
         inputs,
         waker: poller.waker(),
     };
@@ -127,11 +127,11 @@
         migration_message: front.encode(ClientMessage::Migrate),
         handover,
     };
-    let server = EventLoop::new(shared, poller, (inbox, desk.clone()));
+    let server = EventLoop::new(shared, poller, (inbox, connections_handle.clone()));
     std::thread::Builder::new()
-        .name("transactions".into())
+        .name("connections".into())
         .spawn(move || server.run())?;
-    Ok(desk)
+    Ok(connections_handle)
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/connections/event_loop/run.rs
+++ b/crates/balancer/src/connections/event_loop/run.rs
@@ -42,9 +42,9 @@
     pub(super) fn new(
         context: FrontContext<F>,
         poller: Poller,
-        (inbox, desk): (Receiver<ConnectionInput<F>>, ConnectionsHandle<F>),
+        (inbox, connections_handle): (Receiver<ConnectionInput<F>>, ConnectionsHandle<F>),
     ) -> EventLoop<F> {
-        let handle = Arc::new(desk);
+        let handle = Arc::new(connections_handle);
         let (connections, last_local_id, handover_sender, awaiting_handover) =
             (HashMap::new(), LAST_LOCAL_ID, None, Vec::new());
         EventLoop {
@@ -74,8 +74,8 @@
                 } else {
                     Side::Server
                 };
-                self.with(token / 2, |transaction, shared| {
-                    transaction.on_ready(side, shared)
+                self.with(token / 2, |connection, shared| {
+                    connection.on_ready(side, shared)
                 });
             }
             while let Ok(brought) = self.inbox.try_recv() {
@@ -106,7 +106,7 @@
                 let AdmittedClient {
                     client,
                     request,
-                    greeting,
+                    server_handshake,
                     slot,
                 } = *admitted;
                 let id = self
@@ -115,7 +115,7 @@
                     .open(request, Arc::clone(&self.handle) as Arc<dyn CommandSender>);
                 self.insert(
                     id,
-                    Some(greeting),
+                    Some(server_handshake),
                     (ConnectionState::Waiting(client), None),
                     slot,
                 );
@@ -127,12 +127,12 @@
                 let lent = self
                     .connections
                     .get_mut(&id)
-                    .map(|transaction| transaction.start_attempt(&self.poller, &endpoint));
-                let (link, greeting) = match lent {
+                    .map(|connection| connection.start_attempt(&self.poller, &endpoint));
+                let (client_connection, server_handshake) = match lent {
                     Some(Ok(Some(lent))) => lent,
                     // The request must not stay in flight without an attempt.
                     Some(Err(_)) => {
-                        return self.with(id, |transaction, shared| transaction.on_panic(shared));
+                        return self.with(id, |connection, shared| connection.on_panic(shared));
                     }
                     // The client left or was answered; the core is told of it.
                     Some(Ok(None)) | None => return,
@@ -140,27 +140,27 @@
                 if let Err(failed) = attempt_thread::start(
                     &self.context,
                     &self.handle,
-                    (id, link, greeting),
+                    (id, client_connection, server_handshake),
                     endpoint,
                     timing,
                 ) {
-                    let (link, error) = *failed;
+                    let (client_connection, error) = *failed;
                     let error = AttemptError::NotConnected(error);
-                    self.with(id, |transaction, shared| {
-                        transaction.on_attempt_finished(link, Some(Err(error)), shared)
+                    self.with(id, |connection, shared| {
+                        connection.on_attempt_finished(client_connection, Some(Err(error)), shared)
                     });
                 }
             }
             ConnectionInput::Commanded(id, ConnectionCommand::HandOver) => self.hand_over(id),
-            ConnectionInput::HandedOver(given, counted) => self.take_over(given, counted),
+            ConnectionInput::HandedOver(transferred, slot) => self.take_over(transferred, slot),
             ConnectionInput::Commanded(id, order) => {
-                self.with(id, |transaction, shared| {
-                    transaction.on_command(order, shared)
+                self.with(id, |connection, shared| {
+                    connection.on_command(order, shared)
                 });
             }
-            ConnectionInput::AttemptFinished(id, link, passed) => {
-                self.with(id, |transaction, shared| {
-                    transaction.on_attempt_finished(link, passed, shared)
+            ConnectionInput::AttemptFinished(id, client_connection, passed) => {
+                self.with(id, |connection, shared| {
+                    connection.on_attempt_finished(client_connection, passed, shared)
                 });
             }
         }
@@ -170,30 +170,30 @@
     pub(super) fn insert(
         &mut self,
         id: u64,
-        greeting: Option<F::ServerHandshake>,
+        server_handshake: Option<F::ServerHandshake>,
         (phase, at): (ConnectionState, Option<Arc<str>>),
-        counted: ConnectionSlot,
+        slot: ConnectionSlot,
     ) {
         self.connections
-            .insert(id, Connection::new(id, greeting, (phase, at), counted));
+            .insert(id, Connection::new(id, server_handshake, (phase, at), slot));
         self.with(id, |_, _| ());
     }
 
     /// Runs code on a connection and updates what it is polled for.
     pub(super) fn with(&mut self, id: u64, act: impl FnOnce(&mut Connection<F>, &FrontContext<F>)) {
-        let Some(transaction) = self.connections.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         let shared = &self.context;
         // A panic in one connection's code must neither end the others nor leave its client without
         // an answer.
-        if catch_unwind(AssertUnwindSafe(|| act(transaction, shared))).is_err() {
-            transaction.on_panic(shared);
+        if catch_unwind(AssertUnwindSafe(|| act(connection, shared))).is_err() {
+            connection.on_panic(shared);
         }
-        if transaction.update_interest(&self.poller).is_err() {
-            transaction.on_panic(shared);
+        if connection.update_interest(&self.poller).is_err() {
+            connection.on_panic(shared);
         }
-        if transaction.is_closed() {
+        if connection.is_closed() {
             self.connections.remove(&id);
         }
     }
--- a/crates/balancer/src/connections/event_loop/tests.rs
+++ b/crates/balancer/src/connections/event_loop/tests.rs
@@ -47,7 +47,7 @@
 
 /// The thread that serves connections, a client that has opened, and its server's listener.
 struct Scene {
-    desk: ConnectionsHandle<Platform>,
+    connections_handle: ConnectionsHandle<Platform>,
     client: Speaker,
     server: TcpListener,
 }
@@ -64,10 +64,10 @@
         let core = core(server.local_addr().expect("bound"));
         let setup = serde_json::from_str(SETTINGS).expect("settings");
         let front = Arc::new(Platform::new(SharedSettings::new(setup)));
-        let desk = serve(&front, &core, None).expect("a thread");
+        let connections_handle = serve(&front, &core, None).expect("a thread");
         let (client, own) = pair();
         let now = core.clock().now();
-        let HandshakeLine::Connect((request, greeting)) =
+        let HandshakeLine::Connect((request, server_handshake)) =
             front.parse_handshake(b"OPEN a1 02 c=chat,d=60000\r\n", now)
         else {
             panic!("an opening");
@@ -75,14 +75,14 @@
         net::configure_stream(&own).expect("open");
         let connection = ClientConnection::new(&*front, own, Vec::new());
         let slot = core.reserve_connection(1).expect("room");
-        desk.admit(AdmittedClient {
+        connections_handle.admit(AdmittedClient {
             client: connection,
             request,
-            greeting,
+            server_handshake,
             slot,
         });
         Scene {
-            desk,
+            connections_handle,
             client: Speaker::new(client),
             server,
         }
@@ -133,7 +133,7 @@
         server.says("UP r1\r\n");
         assert_eq!(scene.client.hears(), "UP r1", "it stands");
         let named = format!("{last_word:?}");
-        scene.desk.send(ONLY, last_word);
+        scene.connections_handle.send(ONLY, last_word);
         assert_eq!(scene.client.hears(), "MOVE", "{named}");
         assert_eq!(
             (scene.client.hears(), server.hears()),
@@ -147,7 +147,9 @@
 fn an_answer_that_crosses_the_last_word_reaches_nobody_and_its_connection_ends() {
     let mut scene = Scene::new();
     let mut server = scene.opened();
-    scene.desk.send(ONLY, ConnectionCommand::AbandonAttempt);
+    scene
+        .connections_handle
+        .send(ONLY, ConnectionCommand::AbandonAttempt);
     assert_eq!(scene.client.hears(), "ERR", "it may have run");
     // The server's answer comes after its connection was ended.
     assert_eq!(server.hears(), "");
@@ -165,7 +167,9 @@
         assert!(Instant::now() < until, "no attempt");
         std::thread::sleep(Duration::from_millis(5));
     }
-    scene.desk.send(ONLY, ConnectionCommand::AbandonAttempt);
+    scene
+        .connections_handle
+        .send(ONLY, ConnectionCommand::AbandonAttempt);
     assert_eq!(scene.client.hears(), "BUSY", "it never ran");
     assert!(!is_connecting_to(address), "its attempt has ended before");
     drop(filler);
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -335,13 +335,16 @@
 
     /// Relays what the client sent, up to the last complete message.
     fn relay_to_server(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
-        let link = &mut self.client;
-        link.unforwarded.extend_from_slice(bytes);
+        let client_connection = &mut self.client;
+        client_connection.unforwarded.extend_from_slice(bytes);
         let mut questions = 0;
-        let followed = link.framer.advance(&link.unforwarded, &mut |seen| {
-            questions += usize::from(seen == MessageKind::Request);
-            true
-        });
+        let followed =
+            client_connection
+                .framer
+                .advance(&client_connection.unforwarded, &mut |seen| {
+                    questions += usize::from(seen == MessageKind::Request);
+                    true
+                });
         let FrameProgress { consumed, .. } = followed
             .map_err(|ProtocolError { answer }| ConnectionEnd::ClientProtocolError(answer))?;
         if self.monitor.pending.len() + questions > MAX_UNANSWERED {
@@ -354,7 +357,7 @@
                 asked_at: Instant::now(),
                 is_keepalive: false,
             }));
-        let message: Vec<u8> = link.unforwarded.drain(..consumed).collect();
+        let message: Vec<u8> = client_connection.unforwarded.drain(..consumed).collect();
         self.write_to_server(&[&message]);
         Ok(())
     }
--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -112,8 +112,8 @@
 
     /// The quota of an account: from the operator's file, else its own record, else the site's
     /// settings. An account without any gets the least of the listed ones.
-    fn quota(&self, opening: &ClientRequest) -> f64 {
-        let account_id = opening.account.as_deref();
+    fn quota(&self, client_request: &ClientRequest) -> f64 {
+        let account_id = client_request.account.as_deref();
         let configured = || self.config.quotas.get(account_id?).copied();
         let listed = || self.in_force.setup().tenant_shares();
         let named = || {
@@ -123,7 +123,7 @@
         };
         let least = || listed().map(|(_, share)| share).reduce(f64::min);
         configured()
-            .or(opening.quota)
+            .or(client_request.quota)
             .or_else(named)
             .or_else(least)
             .unwrap_or(1.0)
@@ -133,35 +133,43 @@
     pub(super) fn entry(
         &mut self,
         id: u64,
-        opening: &ClientRequest,
+        client_request: &ClientRequest,
         give_up_at: Nanos,
         now: Nanos,
     ) -> Entry {
-        let client = opening.client_key.or(opening.group).unwrap_or(id);
+        let client = client_request
+            .client_key
+            .or(client_request.group)
+            .unwrap_or(id);
         // The expectation is used up even if the client reports the reconnect itself.
-        let known = opening
+        let known = client_request
             .client_key
             .is_some_and(|key| self.reconnects.comes(now, key));
         let quickest = self
             .fastest_setups
-            .get(opening.class)
+            .get(client_request.class)
             .map_or(0, Quickest::get);
         Entry {
             id,
-            account: account(opening),
-            share: self.quota(opening),
-            class: self.in_force.current_index(opening.class),
+            account: account(client_request),
+            share: self.quota(client_request),
+            class: self.in_force.current_index(client_request.class),
             // A group of ten thousand sites is one flow and fills no more queues than any other.
-            flow: opening.group.unwrap_or(client),
+            flow: client_request.group.unwrap_or(client),
             give_up_at: give_up_at.saturating_sub(quickest),
-            returns: known || opening.is_reconnect,
-            bytes: u32::try_from(size_of::<RequestState>() + opening.buffered_bytes)
+            returns: known || client_request.is_reconnect,
+            bytes: u32::try_from(size_of::<RequestState>() + client_request.buffered_bytes)
                 .unwrap_or(u32::MAX),
         }
     }
 
-    pub(super) fn count_request(&mut self, now: Nanos, opening: &ClientRequest, entry: &Entry) {
-        let name = opening.account.as_deref().unwrap_or(DEFAULT_ACCOUNT);
+    pub(super) fn count_request(
+        &mut self,
+        now: Nanos,
+        client_request: &ClientRequest,
+        entry: &Entry,
+    ) {
+        let name = client_request.account.as_deref().unwrap_or(DEFAULT_ACCOUNT);
         self.accounts.asked(now, entry.account, name, entry.share);
     }
 
@@ -203,7 +211,7 @@
     pub(super) fn replace_settings(
         &mut self,
         in_force: &Arc<ActiveSettings>,
-        ledger: &mut RequestTable,
+        requests: &mut RequestTable,
     ) {
         let before = std::mem::replace(&mut self.in_force, Arc::clone(in_force));
         let classes = in_force.policy_settings().classes.len();
@@ -211,20 +219,20 @@
         if before.setup().has_same_queue(in_force.setup()) {
             return;
         }
-        ledger.update_queue_entries(|opening, entry| Entry {
-            share: self.quota(opening),
-            class: in_force.current_index(opening.class),
+        requests.update_queue_entries(|client_request, entry| Entry {
+            share: self.quota(client_request),
+            class: in_force.current_index(client_request.class),
             ..entry
         });
         let queue_weights = urgencies(&in_force.setup().policy_settings().classes);
         let door = Door::new(&queue_weights, self.queue.limits(), self.seed);
         let mut before = std::mem::replace(&mut self.queue, door);
         while let Some(waits) = before.admit() {
-            if let Some(transaction) = ledger.get(waits.id) {
-                self.enqueue(transaction.entry);
+            if let Some(request_state) = requests.get(waits.id) {
+                self.enqueue(request_state.entry);
             }
         }
-        ledger
+        requests
             .queue_entries()
             .for_each(|entry| self.accounts.weigh(entry.account, entry.share));
     }
@@ -260,8 +268,8 @@
 }
 
 /// The id of an account.
-fn account(opening: &ClientRequest) -> u64 {
-    opening.account.as_deref().map_or(0, digest)
+fn account(client_request: &ClientRequest) -> u64 {
+    client_request.account.as_deref().map_or(0, digest)
 }
 
 impl Core {
--- a/crates/balancer/src/core/affinity.rs
+++ b/crates/balancer/src/core/affinity.rs
@@ -66,11 +66,11 @@
     }
 }
 
-fn affinity_client(opening: &ClientRequest) -> Option<Client> {
+fn affinity_client(client_request: &ClientRequest) -> Option<Client> {
     Some(Client {
-        key: Key(opening.client_key?),
-        group: opening.group.map(Group),
-        tenant: opening.tenant,
+        key: Key(client_request.client_key?),
+        group: client_request.group.map(Group),
+        tenant: client_request.tenant,
     })
 }
 
@@ -82,25 +82,25 @@
         act: impl FnOnce(&mut SessionAffinity, &EndpointRegistry, Millis) -> T,
     ) -> Option<T> {
         let now = self.now_ms();
-        let (farm, ties) = (&self.endpoints, self.fleet.as_mut()?.affinity.as_mut()?);
-        let done = catch_unwind(AssertUnwindSafe(|| act(ties, farm, now)));
+        let (endpoints, ties) = (&self.endpoints, self.fleet.as_mut()?.affinity.as_mut()?);
+        let done = catch_unwind(AssertUnwindSafe(|| act(ties, endpoints, now)));
         if done.is_err() {
             error!(
                 part = "affinity",
                 "panicked; no client is led back until a restart"
             );
-            if let Some(bond) = &mut self.fleet {
-                bond.affinity = None;
+            if let Some(fleet_link) = &mut self.fleet {
+                fleet_link.affinity = None;
             }
         }
         done.ok()
     }
 
     /// The affinity pin of a request.
-    pub(super) fn affinity_pin(&mut self, id: u64, opening: &ClientRequest) -> Option<Pin> {
-        let client = affinity_client(opening)?;
+    pub(super) fn affinity_pin(&mut self, id: u64, client_request: &ClientRequest) -> Option<Pin> {
+        let client = affinity_client(client_request)?;
         let advice =
-            self.with_affinity(|ties, farm, now| ties.memory.place(&client, farm, now))??;
+            self.with_affinity(|ties, endpoints, now| ties.memory.place(&client, endpoints, now))??;
         let server = self.endpoints.by_hash(advice.server.0)?;
         let name = self
             .endpoints
@@ -118,7 +118,7 @@
         let Some(client) = self
             .requests
             .get(id)
-            .and_then(|transaction| affinity_client(&transaction.request))
+            .and_then(|request_state| affinity_client(&request_state.request))
         else {
             return;
         };
@@ -157,16 +157,16 @@
 
     /// Drops what was remembered of servers that have restarted.
     pub(super) fn record_server_starts(&mut self) {
-        self.with_affinity(|ties, farm, _| {
-            for (tag, started_at) in farm.starts() {
+        self.with_affinity(|ties, endpoints, _| {
+            for (tag, started_at) in endpoints.starts() {
                 ties.memory.restarted(Tag(tag), started_at);
             }
         });
     }
 
     /// Handles an event from peers or the stored memory.
-    pub(super) fn on_affinity_event(&mut self, news: AffinityEvent) {
-        match news {
+    pub(super) fn on_affinity_event(&mut self, event: AffinityEvent) {
+        match event {
             AffinityEvent::Placements(told) => {
                 self.with_affinity(|ties, _, now| ties.memory.heard_all(&told, now));
                 self.publish_placement_count();
--- a/crates/balancer/src/core/attempts.rs
+++ b/crates/balancer/src/core/attempts.rs
@@ -101,7 +101,7 @@
             let name = self
                 .requests
                 .get(id)
-                .and_then(|transaction| transaction.request.resumed_server.as_deref());
+                .and_then(|request_state| request_state.request.resumed_server.as_deref());
             let name = name.unwrap_or_default();
             warn!(part = self.name, server = name, how = ?outcome, "resumed connection not established");
             // A server may be unreachable while this balancer starts.
--- a/crates/balancer/src/core/connect.rs
+++ b/crates/balancer/src/core/connect.rs
@@ -18,42 +18,47 @@
     pub(super) fn on_connect_requested(
         &mut self,
         id: u64,
-        opening: ClientRequest,
+        client_request: ClientRequest,
         orders: Arc<dyn CommandSender>,
     ) {
-        let held = opening.resumed_server.is_some();
+        let held = client_request.resumed_server.is_some();
         let now = self.now_ms();
         let pin = self
-            .with_overrides(|core| core.endpoints.pin(opening.group, opening.tenant, now))
+            .with_overrides(|core| {
+                core.endpoints
+                    .pin(client_request.group, client_request.tenant, now)
+            })
             .flatten();
-        let tie = if held || pin.is_some() {
+        let link_config = if held || pin.is_some() {
             None
         } else {
-            self.affinity_pin(id, &opening)
+            self.affinity_pin(id, &client_request)
         };
-        let give_up_at = opening
+        let give_up_at = client_request
             .received_at
-            .saturating_add(nanos(opening.client_timeout));
+            .saturating_add(nanos(client_request.client_timeout));
         let entry = self
             .admission
-            .entry(id, &opening, give_up_at, self.clock.now());
+            .entry(id, &client_request, give_up_at, self.clock.now());
         if !held {
             self.admission
-                .count_request(self.clock.now(), &opening, &entry);
+                .count_request(self.clock.now(), &client_request, &entry);
         }
         debug!(
             part = self.name,
             request = id,
-            key = opening.client_key,
-            group = opening.group,
-            class = opening.class,
-            load = opening.expected_load,
-            again = opening.is_reconnect,
-            held_by = opening.resumed_server.as_deref(),
-            patience_ms = opening.client_timeout.as_millis(),
+            key = client_request.client_key,
+            group = client_request.group,
+            class = client_request.class,
+            load = client_request.expected_load,
+            again = client_request.is_reconnect,
+            held_by = client_request.resumed_server.as_deref(),
+            patience_ms = client_request.client_timeout.as_millis(),
             "opened"
         );
-        let arrival = self.requests.open(id, opening, orders, (pin, tie), entry);
+        let arrival = self
+            .requests
+            .open(id, client_request, orders, (pin, link_config), entry);
         if !self.accepts_new_requests() {
             // A connection placed now would have to be migrated at once.
             self.send_final_answer(id, ConnectionCommand::Reject(None));
@@ -68,14 +73,18 @@
     pub(super) fn on_connection_adopted(
         &mut self,
         id: u64,
-        opening: ClientRequest,
+        client_request: ClientRequest,
         server: &str,
         orders: Arc<dyn CommandSender>,
     ) {
-        let entry = self
-            .admission
-            .entry(id, &opening, opening.received_at, self.clock.now());
-        self.requests.open(id, opening, orders, (None, None), entry);
+        let entry = self.admission.entry(
+            id,
+            &client_request,
+            client_request.received_at,
+            self.clock.now(),
+        );
+        self.requests
+            .open(id, client_request, orders, (None, None), entry);
         let Some((server, _)) = self.endpoints.by_name(server) else {
             self.migrate(id, "its server is not known here");
             return drop(self.requests.close(id));
@@ -89,16 +98,16 @@
 
     /// Sends a connection from before the start back to its server.
     pub(super) fn resume_connection(&mut self, id: u64) {
-        let Some(transaction) = self.requests.get(id) else {
+        let Some(request_state) = self.requests.get(id) else {
             return;
         };
         let now = self.clock.now();
-        if now >= transaction.deadline_at {
+        if now >= request_state.deadline_at {
             return self.send_final_answer(id, ConnectionCommand::Fail);
         }
         // One attempt must not use up an unlimited client timeout.
         let deadline_at = self.clock.instant(
-            transaction
+            request_state
                 .deadline_at
                 .min(now.saturating_add(nanos(RESUME_ATTEMPT_TIMEOUT))),
         );
@@ -106,7 +115,7 @@
             begin_by: deadline_at,
             deadline_at,
         };
-        let name = transaction
+        let name = request_state
             .request
             .resumed_server
             .as_deref()
--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -83,7 +83,7 @@
                 if let Some(entry) = self
                     .requests
                     .get(request.0)
-                    .map(|transaction| transaction.entry)
+                    .map(|request_state| request_state.entry)
                 {
                     self.admission.enqueue(entry);
                 }
@@ -110,8 +110,8 @@
             _ => self.requests.counts.failed += 1,
         }
         self.requests.send_command(id, order);
-        if let Some(transaction) = self.requests.close(id) {
-            self.close_in_queue(&transaction, None);
+        if let Some(request_state) = self.requests.close(id) {
+            self.close_in_queue(&request_state, None);
         }
     }
 
@@ -123,13 +123,13 @@
     }
 
     /// Removes a request from the admission queue; counts it if it never had an attempt.
-    pub(super) fn close_in_queue(&mut self, transaction: &RequestState, how: Option<Miss>) {
-        self.admission.remove(transaction.entry.id);
-        if transaction.has_no_attempt() {
+    pub(super) fn close_in_queue(&mut self, request_state: &RequestState, how: Option<Miss>) {
+        self.admission.remove(request_state.entry.id);
+        if request_state.has_no_attempt() {
             let late =
-                transaction.has_expired_in_queue || self.clock.now() >= transaction.deadline_at;
+                request_state.has_expired_in_queue || self.clock.now() >= request_state.deadline_at;
             let how = how.unwrap_or(if late { Miss::GivenUp } else { Miss::Refused });
-            self.admission.count_missed(&transaction.entry, how);
+            self.admission.count_missed(&request_state.entry, how);
         }
     }
 
@@ -140,7 +140,7 @@
         if let Some(key) = self
             .requests
             .get(id)
-            .and_then(|transaction| transaction.request.client_key)
+            .and_then(|request_state| request_state.request.client_key)
         {
             self.admission.expect_reconnect(self.clock.now(), key);
         }
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -271,7 +271,7 @@
             .servers()
             .filter_map(|name| self.ids.get(name).copied());
         let servers: BTreeSet<ServerId> = named.chain(self.adjusted.iter().copied()).collect();
-        let mut news = Vec::new();
+        let mut event = Vec::new();
         for id in servers {
             let known = &mut self.servers[id.0 as usize];
             let standing = self.overrides.server(&known.endpoint.name, now);
@@ -290,10 +290,10 @@
                     .store(told.state != ServerState::Ready, Ordering::SeqCst);
                 known.ready_since = ready_since(told.state, Some(known.ready_since), now);
                 known.effective = told.clone();
-                news.push(told);
+                event.push(told);
             }
         }
-        news
+        event
     }
 
     /// Replaces the site assessments; [`EndpointRegistry::refresh`] follows.
--- a/crates/balancer/src/core/endpoints/tests.rs
+++ b/crates/balancer/src/core/endpoints/tests.rs
@@ -12,10 +12,10 @@
 
 #[test]
 fn a_server_that_a_whole_list_names_again_is_not_taken_for_a_leaving_one_in_between() {
-    let mut farm = EndpointRegistry::new(Set::new(0));
+    let mut endpoints = EndpointRegistry::new(Set::new(0));
     let rows: Vec<String> = (0..50).map(|number| row(&format!("s{number}"))).collect();
-    farm.apply_list(list(&rows.join(",")), 0, |_| Some(0));
-    let (_, server) = farm.by_name("s49").expect("it is listed");
+    endpoints.apply_list(list(&rows.join(",")), 0, |_| Some(0));
+    let (_, server) = endpoints.by_name("s49").expect("it is listed");
     let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let looks = scope.spawn(|| {
@@ -26,7 +26,7 @@
             withheld
         });
         for _ in 0..LISTS / rows.len() {
-            farm.apply_list(list(&rows.join(",")), 0, |_| Some(0));
+            endpoints.apply_list(list(&rows.join(",")), 0, |_| Some(0));
         }
         is_over.store(true, Ordering::Relaxed);
         assert_eq!(looks.join().expect("it ran"), 0);
@@ -35,10 +35,10 @@
 
 #[test]
 fn a_server_that_a_whole_list_leaves_out_gets_nothing_new() {
-    let mut farm = EndpointRegistry::new(Set::new(0));
-    farm.apply_list(list(&[row("s0"), row("s1")].join(",")), 0, |_| Some(0));
-    let (_, server) = farm.by_name("s0").expect("it is listed");
+    let mut endpoints = EndpointRegistry::new(Set::new(0));
+    endpoints.apply_list(list(&[row("s0"), row("s1")].join(",")), 0, |_| Some(0));
+    let (_, server) = endpoints.by_name("s0").expect("it is listed");
     assert!(server.begin_write().is_some());
-    farm.apply_list(list(&row("s1")), 0, |_| Some(0));
+    endpoints.apply_list(list(&row("s1")), 0, |_| Some(0));
     assert!(server.begin_write().is_none());
 }
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -61,21 +61,26 @@
 
 impl CoreHandle {
     /// Registers a client's request; returns its id.
-    pub fn open(&self, opening: ClientRequest, orders: Arc<dyn CommandSender>) -> u64 {
+    pub fn open(&self, client_request: ClientRequest, orders: Arc<dyn CommandSender>) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        self.send(CoreInput::ConnectRequested(id, opening, orders));
+        self.send(CoreInput::ConnectRequested(id, client_request, orders));
         id
     }
 
     /// Registers an established connection that was taken over; returns its id.
     pub fn adopt(
         &self,
-        opening: ClientRequest,
+        client_request: ClientRequest,
         server: Arc<str>,
         orders: Arc<dyn CommandSender>,
     ) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        self.send(CoreInput::ConnectionAdopted(id, opening, server, orders));
+        self.send(CoreInput::ConnectionAdopted(
+            id,
+            client_request,
+            server,
+            orders,
+        ));
         id
     }
 
@@ -85,8 +90,8 @@
     }
 
     /// Sends what discovery reported, ahead of the inputs that are queued.
-    pub fn send_discovery(&self, news: DiscoveryEvent) {
-        let _ = self.inputs.discovery.send(news);
+    pub fn send_discovery(&self, event: DiscoveryEvent) {
+        let _ = self.inputs.discovery.send(event);
         self.send(CoreInput::DiscoveryPending);
     }
 
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -138,27 +138,27 @@
 }
 
 impl Core {
-    fn run(&mut self, inbox: &CoreReceiver) {
+    fn run(&mut self, receiver: &CoreReceiver) {
         self.set_timer(COUNTS_LOG_INTERVAL, TimerKind::LogCounts);
         self.set_timer(OVER_QUOTA_CHECK_INTERVAL, TimerKind::LogOverQuota);
-        while self.run_once(inbox) && !self.has_exited() {}
+        while self.run_once(receiver) && !self.has_exited() {}
     }
 
     /// Waits for the next input or timer and handles it. Returns false once all senders are gone.
-    fn run_once(&mut self, inbox: &CoreReceiver) -> bool {
+    fn run_once(&mut self, receiver: &CoreReceiver) -> bool {
         let due = self
             .timers
             .peek()
             .map(|Reverse((at, ..))| self.clock.instant(*at));
         let event = match due {
             Some(due) if due <= Instant::now() => Err(RecvTimeoutError::Timeout),
-            Some(due) => inbox.inputs.recv_deadline(due),
-            None => inbox
+            Some(due) => receiver.inputs.recv_deadline(due),
+            None => receiver
                 .inputs
                 .recv()
                 .map_err(|_| RecvTimeoutError::Disconnected),
         };
-        self.apply_discovery(inbox);
+        self.apply_discovery(receiver);
         match event {
             Ok(event) => self.handle_input(event),
             Err(RecvTimeoutError::Timeout) => self.fire_timer(),
@@ -170,7 +170,7 @@
             .peek()
             .is_some_and(|Reverse((at, ..))| *at <= self.clock.now())
         {
-            self.apply_discovery(inbox);
+            self.apply_discovery(receiver);
             self.fire_timer();
         }
         self.lifecycle_view.record_heartbeat();
@@ -179,14 +179,14 @@
 
     /// Applies what discovery reported before any other input: a server drains from the moment at
     /// which its list was received, however many inputs are queued.
-    fn apply_discovery(&mut self, inbox: &CoreReceiver) {
-        while let Ok(news) = inbox.discovery.try_recv() {
-            self.on_discovery(news);
+    fn apply_discovery(&mut self, receiver: &CoreReceiver) {
+        while let Ok(event) = receiver.discovery.try_recv() {
+            self.on_discovery(event);
         }
     }
 
-    fn on_discovery(&mut self, news: DiscoveryEvent) {
-        match news {
+    fn on_discovery(&mut self, event: DiscoveryEvent) {
+        match event {
             DiscoveryEvent::List(list) => self.apply_list(list, false),
             DiscoveryEvent::Failed(quiet) => {
                 self.on_list_lost(policy::ListUpdate::Failed(nanos(quiet)))
@@ -199,20 +199,20 @@
 
     fn handle_input(&mut self, event: CoreInput) {
         match event {
-            CoreInput::ConnectRequested(id, opening, orders) => {
-                self.on_connect_requested(id, opening, orders)
+            CoreInput::ConnectRequested(id, client_request, orders) => {
+                self.on_connect_requested(id, client_request, orders)
             }
-            CoreInput::ConnectionAdopted(id, opening, server, orders) => {
-                self.on_connection_adopted(id, opening, &server, orders)
+            CoreInput::ConnectionAdopted(id, client_request, server, orders) => {
+                self.on_connection_adopted(id, client_request, &server, orders)
             }
             CoreInput::AttemptEstablished(id) => self.on_attempt_established(id),
             CoreInput::AttemptEnded(id, outcome, took) => self.on_attempt_ended(id, outcome, took),
             CoreInput::ServerSentAway(id) => self.publish_server_draining(id),
             CoreInput::ConnectionMeasured(id, note) => self.on_connection_measured(id, note),
             CoreInput::ClientLeft(id) | CoreInput::ConnectionPanicked(id) => {
-                if let Some(transaction) = self.requests.close(id) {
+                if let Some(request_state) = self.requests.close(id) {
                     self.requests.counts.left += 1;
-                    self.close_in_queue(&transaction, Some(Miss::Left));
+                    self.close_in_queue(&request_state, Some(Miss::Left));
                     self.run_policy(policy::Event::ClientLeft(RequestId(id)));
                 }
             }
@@ -238,7 +238,7 @@
                 self.grant_permits();
             }
             CoreInput::SettingsReplaced(in_force) => self.replace_settings(in_force),
-            CoreInput::Fleet(news) => self.on_fleet_event(news),
+            CoreInput::Fleet(event) => self.on_fleet_event(event),
             CoreInput::OverridesChanged(changes, answer) => {
                 self.on_overrides_changed(changes, answer)
             }
--- /dev/null
+++ b/crates/balancer/src/core/overrides/tests.rs
@@ -0,0 +1,95 @@
+//! Tests of overrides in the core.
+
+use beaconflow_overrides::{Draft, Kind, Strictness, Subject};
+use beaconflow_policy::ServerState;
+use beaconflow_settings::digest;
+
+use super::super::testing::{core, list, row};
+use super::*;
+use crate::clock::Clock;
+
+fn told(core: &Core) -> Vec<ServerState> {
+    core.snapshot()
+        .servers
+        .iter()
+        .map(|server| server.state.1)
+        .collect()
+}
+
+#[test]
+fn a_list_or_a_placement_in_the_instant_of_an_end_finds_it_ended_before_its_timer_fires() {
+    let clock = Clock::start();
+    let now = clock.now() / 1_000_000;
+    let mut overrides = Set::new(0);
+    for (id, kind) in [
+        Kind::Out {
+            server: "s0".into(),
+            moves_per_s: None,
+        },
+        Kind::Pin {
+            subject: Subject::Group("north".into()),
+            server: "s0".into(),
+            strictness: Strictness::Strict,
+        },
+    ]
+    .into_iter()
+    .enumerate()
+    {
+        let draft = Draft {
+            kind,
+            who: "ada".into(),
+            why: "why".into(),
+            expires_at: now + 40,
+        };
+        overrides.put(draft.into_override(Id(id as u64 + 1), now));
+    }
+    let mut core = core(clock, overrides);
+    let pin = |core: &Core| {
+        core.endpoints
+            .pin(Some(digest("north")), None, core.now_ms())
+    };
+    assert_eq!(
+        (told(&core), pin(&core).is_some()),
+        (vec![ServerState::OutOfService], true)
+    );
+    // No timer of the core fires here: nobody runs it.
+    while core.now_ms() < now + 40 {
+        std::thread::sleep(Duration::from_millis(1));
+    }
+    assert_eq!(pin(&core), None);
+    assert_eq!(told(&core), [ServerState::OutOfService], "it was told so");
+    core.apply_list(list(&row("s0")), false);
+    assert_eq!(told(&core), [ServerState::Ready]);
+    core.on_overrides_timer();
+    assert_eq!(told(&core), [ServerState::Ready]);
+}
+
+#[test]
+fn a_fault_in_the_overrides_costs_the_overrides_and_not_the_core() {
+    let clock = Clock::start();
+    let mut overrides = Set::new(1_000);
+    let kind = Kind::Out {
+        server: "s0".into(),
+        moves_per_s: Some(1.0),
+    };
+    let now = clock.now() / 1_000_000;
+    let draft = Draft {
+        kind,
+        who: "ada".into(),
+        why: "why".into(),
+        expires_at: now + 60_000,
+    };
+    overrides.put(draft.into_override(Id(1), now));
+    let mut core = core(clock, overrides);
+    assert_eq!(told(&core), [ServerState::OutOfService]);
+    assert!(!core.emptied_servers.is_empty() && core.coverage.whole_farm);
+    assert_eq!(core.with_overrides(|_| -> u8 { panic!("a fault") }), None);
+    assert_eq!(told(&core), [ServerState::Ready], "as it is listed");
+    assert!(core.snapshot().has_lost_overrides && core.emptied_servers.is_empty());
+    // What comes later is not followed, and whoever waits for it is not told that it is.
+    let (answer, told_of) = crossbeam_channel::bounded(1);
+    core.on_overrides_changed(vec![OverrideChange::Forget(vec![Id(1)])], Some(answer));
+    assert!(told_of.try_recv().is_err());
+    core.apply_list(list(&[row("s0"), row("s1")].join(",")), false);
+    assert_eq!(told(&core), [ServerState::Ready, ServerState::Ready]);
+}
--- a/crates/balancer/src/core/requests.rs
+++ b/crates/balancer/src/core/requests.rs
@@ -133,7 +133,7 @@
         let deadline_at = request
             .received_at
             .saturating_add(nanos(request.client_timeout));
-        let transaction = RequestState {
+        let request_state = RequestState {
             request,
             deadline_at,
             entry,
@@ -147,8 +147,8 @@
             pin: pin.or(affinity_pin),
             affinity_pin,
         };
-        let connect_request = transaction.connect_request(id);
-        self.open.insert(id, transaction);
+        let connect_request = request_state.connect_request(id);
+        self.open.insert(id, request_state);
         connect_request
     }
 
@@ -160,7 +160,7 @@
     pub(super) fn arrival(&self, id: u64) -> Option<ConnectRequest> {
         self.open
             .get(&id)
-            .map(|transaction| transaction.connect_request(id))
+            .map(|request_state| request_state.connect_request(id))
     }
 
     pub(super) fn len(&self) -> usize {
@@ -169,12 +169,12 @@
 
     /// Sends a command. A request that is gone has reported its end or is about to.
     pub(super) fn send_command(&mut self, id: u64, order: ConnectionCommand) {
-        if let Some(transaction) = self.open.get_mut(&id) {
+        if let Some(request_state) = self.open.get_mut(&id) {
             if matches!(order, ConnectionCommand::Migrate) {
                 self.counts.migrated += 1;
-                transaction.is_migrating = true;
+                request_state.is_migrating = true;
             }
-            transaction.commands.send(id, order);
+            request_state.commands.send(id, order);
         }
     }
 
@@ -187,22 +187,22 @@
         order: ConnectionCommand,
         now: Nanos,
     ) -> Option<(Entry, Nanos)> {
-        let transaction = self.open.get_mut(&id)?;
-        let first = (transaction.attempts == 0 && transaction.request.resumed_server.is_none())
+        let request_state = self.open.get_mut(&id)?;
+        let first = (request_state.attempts == 0 && request_state.request.resumed_server.is_none())
             .then(|| {
                 (
-                    transaction.entry,
-                    now.saturating_sub(transaction.request.received_at),
+                    request_state.entry,
+                    now.saturating_sub(request_state.request.received_at),
                 )
             });
-        transaction.attempted_at = now;
-        let held = transaction.request.resumed_server.is_some();
-        transaction.phase = if held {
+        request_state.attempted_at = now;
+        let held = request_state.request.resumed_server.is_some();
+        request_state.phase = if held {
             RequestPhase::Resuming(server)
         } else {
             RequestPhase::InFlight(server)
         };
-        transaction.attempts += 1;
+        request_state.attempts += 1;
         self.counts.attempts += 1;
         self.send_command(id, order);
         first
@@ -210,27 +210,27 @@
 
     /// Marks a request as expired in the admission queue.
     pub(super) fn expire_in_queue(&mut self, id: u64) {
-        if let Some(transaction) = self.open.get_mut(&id) {
-            transaction.has_expired_in_queue = true;
+        if let Some(request_state) = self.open.get_mut(&id) {
+            request_state.has_expired_in_queue = true;
         }
     }
 
     /// Marks an attempt as established.
     pub(super) fn establish(&mut self, id: u64, now: Nanos) -> Option<EstablishedAttempt> {
-        let transaction = self.open.get_mut(&id)?;
-        let (server, was_resuming) = match transaction.phase {
+        let request_state = self.open.get_mut(&id)?;
+        let (server, was_resuming) = match request_state.phase {
             RequestPhase::InFlight(server) => (server, false),
             RequestPhase::Resuming(server) => (server, true),
             RequestPhase::Waiting | RequestPhase::Established(_) => return None,
         };
-        transaction.phase = RequestPhase::Established(server);
+        request_state.phase = RequestPhase::Established(server);
         self.counts.served += 1;
-        let elapsed = now.saturating_sub(transaction.attempted_at);
+        let elapsed = now.saturating_sub(request_state.attempted_at);
         Some(EstablishedAttempt {
-            attempt: transaction.attempts - 1,
+            attempt: request_state.attempts - 1,
             server,
             was_resuming,
-            class: transaction.request.class,
+            class: request_state.request.class,
             elapsed,
         })
     }
@@ -244,20 +244,20 @@
 
     /// Renumbers the attempts of an established connection for a policy that adopts it.
     pub(super) fn renumber_attempt(&mut self, id: u64) -> Option<ConnectRequest> {
-        let transaction = self.open.get_mut(&id)?;
-        transaction.attempts = 1;
-        Some(transaction.connect_request(id))
+        let request_state = self.open.get_mut(&id)?;
+        request_state.attempts = 1;
+        Some(request_state.connect_request(id))
     }
 
     /// The queue entries of all open requests.
     pub(super) fn queue_entries(&self) -> impl Iterator<Item = &Entry> {
-        self.open.values().map(|transaction| &transaction.entry)
+        self.open.values().map(|request_state| &request_state.entry)
     }
 
     /// Replaces the queue entries of all open requests.
     pub(super) fn update_queue_entries(&mut self, entry: impl Fn(&ClientRequest, Entry) -> Entry) {
-        for transaction in self.open.values_mut() {
-            transaction.entry = entry(&transaction.request, transaction.entry);
+        for request_state in self.open.values_mut() {
+            request_state.entry = entry(&request_state.request, request_state.entry);
         }
     }
 
@@ -283,18 +283,18 @@
     }
 
     pub(super) fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Option<EndedAttempt> {
-        let transaction = self.open.get_mut(&id)?;
-        let (server, was_established, was_resuming) = match transaction.phase {
+        let request_state = self.open.get_mut(&id)?;
+        let (server, was_established, was_resuming) = match request_state.phase {
             RequestPhase::Waiting => return None,
             RequestPhase::InFlight(server) => (server, false, false),
             RequestPhase::Resuming(server) => (server, false, true),
             RequestPhase::Established(server) => (server, true, false),
         };
-        transaction.phase = RequestPhase::Waiting;
-        transaction.may_have_executed |= !outcome.proves_not_executed();
+        request_state.phase = RequestPhase::Waiting;
+        request_state.may_have_executed |= !outcome.proves_not_executed();
         self.counts.outcomes[outcome as usize] += 1;
         Some(EndedAttempt {
-            attempt: transaction.attempts - 1,
+            attempt: request_state.attempts - 1,
             server,
             was_established,
             was_resuming,
@@ -308,7 +308,7 @@
     pub(super) fn phases(&self) -> Vec<(u64, RequestPhase)> {
         self.open
             .iter()
-            .map(|(id, transaction)| (*id, transaction.phase))
+            .map(|(id, request_state)| (*id, request_state.phase))
             .collect()
     }
 
@@ -316,8 +316,8 @@
     pub(super) fn migratable(&self) -> impl Iterator<Item = (u64, ServerId)> {
         self.open
             .iter()
-            .filter_map(|(id, transaction)| match transaction.phase {
-                RequestPhase::Established(server) if !transaction.is_migrating => {
+            .filter_map(|(id, request_state)| match request_state.phase {
+                RequestPhase::Established(server) if !request_state.is_migrating => {
                     Some((*id, server))
                 }
                 _ => None,
@@ -337,16 +337,16 @@
         pin: impl Fn(&ClientRequest) -> Option<Pin>,
     ) -> Vec<(u64, Option<Pin>)> {
         let mut changed = Vec::new();
-        for (id, transaction) in &mut self.open {
+        for (id, request_state) in &mut self.open {
             if !matches!(
-                transaction.phase,
+                request_state.phase,
                 RequestPhase::Waiting | RequestPhase::InFlight(_)
             ) {
                 continue;
             }
-            let now = pin(&transaction.request).or(transaction.affinity_pin);
-            if transaction.pin != now {
-                transaction.pin = now;
+            let now = pin(&request_state.request).or(request_state.affinity_pin);
+            if request_state.pin != now {
+                request_state.pin = now;
                 changed.push((*id, now));
             }
         }
@@ -355,8 +355,8 @@
 
     pub(super) fn established_by_server(&self) -> BTreeMap<ServerId, usize> {
         let mut counts = BTreeMap::new();
-        for transaction in self.open.values() {
-            if let RequestPhase::Established(server) = transaction.phase {
+        for request_state in self.open.values() {
+            if let RequestPhase::Established(server) = request_state.phase {
                 *counts.entry(server).or_insert(0) += 1;
             }
         }
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -45,7 +45,7 @@
 }
 
 /// An opening of that class, as a front made it.
-fn opening(core: &Core, class: usize, client_timeout: Duration) -> ClientRequest {
+fn client_request(core: &Core, class: usize, client_timeout: Duration) -> ClientRequest {
     ClientRequest {
         class,
         client_key: None,
@@ -63,10 +63,10 @@
 }
 
 fn admits(core: &mut Core, orders: &Arc<Orders>, id: u64, class: usize) {
-    let opening = opening(core, class, LONG);
+    let client_request = client_request(core, class, LONG);
     core.handle_input(CoreInput::ConnectRequested(
         id,
-        opening,
+        client_request,
         Arc::<Orders>::clone(orders),
     ));
 }
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -72,8 +72,8 @@
 /// Fails if a setting is outside its range or the thread can't be created.
 pub fn start(start: CoreConfig) -> Result<(CoreHandle, JoinHandle<()>), StartError> {
     let name = start.name;
-    let (handle, mut core, inbox) = build(start)?;
-    let run = move || core.run(&inbox);
+    let (handle, mut core, receiver) = build(start)?;
+    let run = move || core.run(&receiver);
     let thread = std::thread::Builder::new()
         .name(format!("core-{name}"))
         .spawn(run);
@@ -83,7 +83,7 @@
 pub(super) fn build(start: CoreConfig) -> Result<(CoreHandle, Core, CoreReceiver), StartError> {
     let in_force = Arc::new(ActiveSettings::new(start.site));
     let settings = settings::policy_settings(&in_force, start.prober.is_some());
-    let (inputs, inbox) = handle::channel();
+    let (inputs, receiver) = handle::channel();
     let handle = CoreHandle {
         inputs,
         next_id: Arc::default(),
@@ -121,9 +121,9 @@
         has_lost_overrides: false,
         fleet: None,
     };
-    if let Some(tie) = start.fleet {
-        core.attach_fleet(tie);
+    if let Some(link_config) = start.fleet {
+        core.attach_fleet(link_config);
     }
     core.apply_list(start.cached_list, true);
-    Ok((handle, core, inbox))
+    Ok((handle, core, receiver))
 }
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -110,12 +110,12 @@
     account: &str,
     patience: Duration,
 ) {
-    let opening = opening(id, account, patience, core.clock.now());
-    core.on_connect_requested(id, opening, Arc::<Orders>::clone(orders));
+    let client_request = client_request(id, account, patience, core.clock.now());
+    core.on_connect_requested(id, client_request, Arc::<Orders>::clone(orders));
 }
 
 /// Such a request.
-pub(super) fn opening(
+pub(super) fn client_request(
     id: u64,
     account: &str,
     client_timeout: Duration,
--- a/crates/balancer/src/core/tests.rs
+++ b/crates/balancer/src/core/tests.rs
@@ -19,24 +19,24 @@
 
 #[test]
 fn a_list_is_taken_before_the_events_that_wait() {
-    let (handle, mut core, inbox) = testing::told_core(Clock::start(), Set::default());
+    let (handle, mut core, receiver) = testing::told_core(Clock::start(), Set::default());
     let orders = Arc::new(Orders::default());
     let server = core.endpoints.by_name("s0").expect("listed").1;
     for id in 0..50 {
-        let opening = testing::opening(id, "acme", LONG, core.clock.now());
+        let client_request = testing::client_request(id, "acme", LONG, core.clock.now());
         handle.open(
-            opening,
+            client_request,
             Arc::<Orders>::clone(&orders) as Arc<dyn CommandSender>,
         );
     }
     handle.send_discovery(DiscoveryEvent::List(drains("s0", "s1")));
-    assert!(core.run_once(&inbox));
+    assert!(core.run_once(&receiver));
     assert!(
         server.begin_write().is_none(),
         "nobody begins to send there any more"
     );
-    while !inbox.inputs.is_empty() {
-        assert!(core.run_once(&inbox));
+    while !receiver.inputs.is_empty() {
+        assert!(core.run_once(&receiver));
     }
     let words = orders.words();
     assert!(
@@ -47,26 +47,26 @@
 
 #[test]
 fn a_list_and_the_failure_after_it_are_taken_in_their_order() {
-    let (handle, mut core, inbox) = testing::told_core(Clock::start(), Set::default());
+    let (handle, mut core, receiver) = testing::told_core(Clock::start(), Set::default());
     let (watch, asked) = crossbeam_channel::unbounded();
     core.discovery_polls = watch;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
     handle.send_discovery(DiscoveryEvent::List(drains("s0", "s1")));
     handle.send_discovery(DiscoveryEvent::TimedOut(Duration::from_millis(100)));
-    assert!(core.run_once(&inbox));
-    assert!(inbox.discovery.is_empty());
+    assert!(core.run_once(&receiver));
+    assert!(receiver.discovery.is_empty());
     while asked.is_empty() {
-        assert!(core.run_once(&inbox), "it is asked for again");
+        assert!(core.run_once(&receiver), "it is asked for again");
     }
 }
 
 #[test]
 fn a_module_that_panics_while_the_next_call_is_due_does_not_cost_the_watch() {
-    let (handle, mut core, inbox) = testing::told_core(Clock::start(), Set::default());
+    let (handle, mut core, receiver) = testing::told_core(Clock::start(), Set::default());
     let (watch, asked) = crossbeam_channel::unbounded();
     core.discovery_polls = watch;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
-    assert!(core.run_once(&inbox));
+    assert!(core.run_once(&receiver));
     assert!(asked.is_empty(), "the call waits for its time");
     // The timer of that call goes with the module that set it.
     core.restart_policy();
@@ -75,7 +75,7 @@
 
 #[test]
 fn while_a_whole_list_is_read_the_servers_that_it_names_can_be_written_to() {
-    let mut farm = EndpointRegistry::new(Set::default());
+    let mut endpoints = EndpointRegistry::new(Set::default());
     let rows = |names: &[&str]| {
         names
             .iter()
@@ -83,12 +83,12 @@
             .collect::<Vec<_>>()
             .join(",")
     };
-    farm.apply_list(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
-    let at = |name| farm.by_name(name).expect("listed").1;
+    endpoints.apply_list(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
+    let at = |name| endpoints.by_name(name).expect("listed").1;
     let (gone, stay) = (at("s0"), ["s1", "s2"].map(at));
     // The zone is looked up for each entry, in the midst of the list.
     let looks = std::cell::Cell::new(0);
-    farm.apply_list(testing::list(&rows(&["s1", "s2"])), 1, |_| {
+    endpoints.apply_list(testing::list(&rows(&["s1", "s2"])), 1, |_| {
         looks.set(looks.get() + 1);
         assert!(
             stay.iter().all(|server| server.begin_write().is_some()),
--- a/crates/balancer/src/fleet/mod.rs
+++ b/crates/balancer/src/fleet/mod.rs
@@ -5,13 +5,13 @@
 //!
 //! - `setup` prepares and starts it, `handle` is its interface, `thread` its event loop;
 //! - `core_events` handles events of the core, `peer_events` those of the peers, `server_list`
-//! lists of either;
+//!   lists of either;
 //! - `restore` and `recovery_commands` lead from the stored memory to service, driven by
-//! `recovery_driver`;
+//!   `recovery_driver`;
 //! - `site_evidence` and `uplink` act on what the site observes; `periodic` publishes this
-//! process's status;
+//!   process's status;
 //! - `memory_writer` writes the memory; `records` and `messages` are the stored and the sent forms;
-//! `shared_gossip` sends.
+//!   `shared_gossip` sends.
 
 mod core_events;
 mod handle;
--- a/crates/balancer/src/front/mod.rs
+++ b/crates/balancer/src/front/mod.rs
@@ -84,8 +84,8 @@
     /// Returns how far the attempt had come.
     fn request_connection(
         &self,
-        asking: &mut ServerExchange<'_>,
-        greeting: &Self::ServerHandshake,
+        exchange: &mut ServerExchange<'_>,
+        server_handshake: &Self::ServerHandshake,
     ) -> Result<Vec<u8>, AttemptError>;
 
     /// Encodes a final answer or a migration.
--- a/crates/balancer/src/front/nats/mod.rs
+++ b/crates/balancer/src/front/nats/mod.rs
@@ -132,7 +132,7 @@
         options.insert("user".into(), tenant.upstream.user.clone().into());
         options.insert("pass".into(), tenant.upstream.password.clone().into());
         let connect = format!("CONNECT {}\r\n", Value::Object(options)).into_bytes();
-        let opening = ClientRequest {
+        let client_request = ClientRequest {
             class,
             client_key: Some(key),
             group: None,
@@ -147,7 +147,7 @@
             resumed_server: None,
         };
         Ok((
-            opening,
+            client_request,
             ConnectLine {
                 connect,
                 verbose,
@@ -224,10 +224,10 @@
 
     fn request_connection(
         &self,
-        asking: &mut ServerExchange<'_>,
-        greeting: &ConnectLine,
+        exchange: &mut ServerExchange<'_>,
+        server_handshake: &ConnectLine,
     ) -> Result<Vec<u8>, AttemptError> {
-        let info = asking.read_line(AttemptError::before_request)?;
+        let info = exchange.read_line(AttemptError::before_request)?;
         let (verb, info) = framing::verb(trim_line_end(&info));
         if !verb.eq_ignore_ascii_case(b"INFO") {
             return Err(AttemptError::before_request(ReadError::Ended));
@@ -239,15 +239,15 @@
         if info["ldm"] == true {
             return Err(AttemptError::NotServed(ServerAnswer::Rejected));
         }
-        asking.write_request(&[&greeting.connect, b"PING\r\n"])?;
+        exchange.write_request(&[&server_handshake.connect, b"PING\r\n"])?;
         loop {
-            let line = asking.read_line(AttemptError::RequestWritten)?;
+            let line = exchange.read_line(AttemptError::RequestWritten)?;
             let (verb, rest) = framing::verb(trim_line_end(&line));
             match verb.to_ascii_uppercase().as_slice() {
                 b"PONG" => break,
                 b"+OK" => {}
                 // A keepalive may arrive at any time.
-                b"PING" => asking
+                b"PING" => exchange
                     .write(&[b"PONG\r\n"])
                     .map_err(|(_, error)| AttemptError::RequestWritten(ReadError::Broken(error)))?,
                 b"INFO" if framing::is_lame_duck(rest) => {
@@ -259,7 +259,7 @@
             }
         }
         // The server's +OK to CONNECT was read here; the client waits for it.
-        Ok(if greeting.verbose {
+        Ok(if server_handshake.verbose {
             b"+OK\r\n".to_vec()
         } else {
             Vec::new()
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -189,7 +189,7 @@
         };
         // Taken last, so that a rejected line leaves no id behind.
         let id = OpenId::take(id, &self.open).ok_or("the id of an open request")?;
-        let opening = ClientRequest {
+        let client_request = ClientRequest {
             class,
             client_key: Some(digest(key)),
             group,
@@ -204,7 +204,7 @@
             resumed_server,
         };
         Ok((
-            opening,
+            client_request,
             OpenLine {
                 line: line.to_vec(),
                 deadline_field,
@@ -281,20 +281,20 @@
 
     fn request_connection(
         &self,
-        asking: &mut ServerExchange<'_>,
-        greeting: &OpenLine,
+        exchange: &mut ServerExchange<'_>,
+        server_handshake: &OpenLine,
     ) -> Result<Vec<u8>, AttemptError> {
-        let wait = asking
+        let wait = exchange
             .deadline_at()
             .saturating_duration_since(Instant::now())
             .as_millis()
             .to_string();
         let (before, after) = (
-            &greeting.line[..greeting.deadline_field.start],
-            &greeting.line[greeting.deadline_field.end..],
+            &server_handshake.line[..server_handshake.deadline_field.start],
+            &server_handshake.line[server_handshake.deadline_field.end..],
         );
-        asking.write_request(&[before, wait.as_bytes(), after, b"\r\n"])?;
-        let line = asking.read_line(AttemptError::RequestWritten)?;
+        exchange.write_request(&[before, wait.as_bytes(), after, b"\r\n"])?;
+        let line = exchange.read_line(AttemptError::RequestWritten)?;
         // A longer answer is not valid in this protocol.
         if line.len() > MAX_LINE_BYTES {
             return Err(AttemptError::NotServed(ServerAnswer::Error));
--- a/crates/balancer/src/handover.rs
+++ b/crates/balancer/src/handover.rs
@@ -71,17 +71,17 @@
         listener.listen(4)?;
         std::fs::rename(&own, &self.0)?;
         let take = Arc::new(take);
-        let begin = move |giver: Socket| {
+        let begin = move |sender: Socket| {
             let take = Arc::clone(&take);
             let run = move || {
-                let taken = receive_all(&giver, &*take);
+                let taken = receive_all(&sender, &*take);
                 info!(part = "handover", taken, "taken over");
             };
             if let Err(error) = thread().spawn(run) {
                 warn!(part = "handover", why = %error, "no thread");
             }
         };
-        let accept = move || accept_senders(|| listener.accept().map(|(giver, _)| giver), begin);
+        let accept = move || accept_senders(|| listener.accept().map(|(sender, _)| sender), begin);
         thread().spawn(accept).map(drop)
     }
 
@@ -156,7 +156,7 @@
 fn accept_senders(mut accept: impl FnMut() -> io::Result<Socket>, begin: impl Fn(Socket)) {
     loop {
         match accept() {
-            Ok(giver) => begin(giver),
+            Ok(sender) => begin(sender),
             Err(error) => {
                 warn!(part = "handover", why = %error, "accept failed");
                 std::thread::sleep(ACCEPT_PAUSE);
@@ -166,13 +166,13 @@
 }
 
 /// Receives from one sender until it ends; returns the number of connections.
-fn receive_all(giver: &Socket, take: &impl Fn(TransferredConnection)) -> usize {
+fn receive_all(sender: &Socket, take: &impl Fn(TransferredConnection)) -> usize {
     let mut taken = 0;
     loop {
-        match receive_one(giver) {
-            Ok(Some(given)) => {
+        match receive_one(sender) {
+            Ok(Some(transferred)) => {
                 taken += 1;
-                take(given);
+                take(transferred);
             }
             Ok(None) => return taken,
             Err(error) => {
@@ -186,20 +186,20 @@
 }
 
 /// Receives the next connection, or `None` at the end.
-fn receive_one(giver: &Socket) -> io::Result<Option<TransferredConnection>> {
+fn receive_one(sender: &Socket) -> io::Result<Option<TransferredConnection>> {
     let mut bytes = vec![0; MAX_MESSAGE];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut with = RecvAncillaryBuffer::new(&mut space);
     let got = recvmsg(
-        giver,
+        sender,
         &mut [IoSliceMut::new(&mut bytes)],
         &mut with,
         RecvFlags::CMSG_CLOEXEC,
     )?;
     let mut sockets: Vec<OwnedFd> = Vec::new();
     for message in with.drain() {
-        if let RecvAncillaryMessage::ScmRights(given) = message {
-            sockets.extend(given);
+        if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+            sockets.extend(descriptors);
         }
     }
     if got.bytes == 0 {
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -111,7 +111,7 @@
         .map(|(_, operator)| operator.admission.clone())
         .unwrap_or_default();
     let (mut serving, mut reloads) = (Vec::new(), Vec::new());
-    let given = SharedCoreConfig {
+    let shared = SharedCoreConfig {
         clock,
         overrides: &set,
         admission: &door,
@@ -129,14 +129,14 @@
         .map(listen)
         .transpose()?;
     if let Some(config) = config {
-        let (front, reload) = start_platform(config, inherited, given)?;
+        let (front, reload) = start_platform(config, inherited, shared)?;
         serving.push(front);
         reloads.push(reload);
     }
     if let Some((path, operator)) = operator {
         let mut nats = None;
         if let Some(file) = &operator.nats {
-            let (front, parts) = start_nats(file, given)?;
+            let (front, parts) = start_nats(file, shared)?;
             serving.push(front);
             nats = Some(parts);
         }
@@ -146,15 +146,20 @@
             .map(|front| (front.front, front.core.clone()))
             .collect();
         if let (Some(admin), Some(restored)) = (&operator.admin, restored) {
-            let keeper = Arc::new(OverrideManager::new(
+            let overrides_manager = Arc::new(OverrideManager::new(
                 restored,
                 cores.clone(),
                 clock,
                 operator.overrides.limits,
                 Box::new(overrides::wall_clock_ms),
             ));
-            start_admin(admin, &keeper, &cores, (nats.as_ref(), fleet.clone()))?;
-            spawn("overrides", move || keeper.run())?;
+            start_admin(
+                admin,
+                &overrides_manager,
+                &cores,
+                (nats.as_ref(), fleet.clone()),
+            )?;
+            spawn("overrides", move || overrides_manager.run())?;
         }
         let (target, sockets) = nats
             .map(|nats| (nats.target, nats.sockets))
@@ -209,11 +214,11 @@
     fn prepare_fleet(
         self,
         setup: &SiteSettings,
-        farm: Option<&EndpointSource>,
+        endpoints: Option<&EndpointSource>,
     ) -> Result<(Option<fleet::PreparedFleet>, Option<FleetLinkConfig>), String> {
         let fleet = self
             .fleet
-            .map(|file| fleet::prepare(file.clone(), (setup, farm), self.clock))
+            .map(|file| fleet::prepare(file.clone(), (setup, endpoints), self.clock))
             .transpose()?;
         Ok(fleet.unzip())
     }
@@ -222,7 +227,7 @@
 fn start_platform(
     file: PlatformConfig,
     inherited: Option<TcpListener>,
-    given: SharedCoreConfig<'_>,
+    shared: SharedCoreConfig<'_>,
 ) -> Result<(RunningFront, Reload), String> {
     let config = file.clone().with_environment()?;
     let (watcher, discovery_polls) = Watcher::new(config.discovery, config.cached_list.version());
@@ -239,11 +244,11 @@
     let front = Arc::new(Platform::new(settings.clone()));
     let (cached_list, clock, overrides, admission) = (
         config.cached_list,
-        given.clock,
-        given.overrides.clone(),
-        given.admission.clone(),
+        shared.clock,
+        shared.overrides.clone(),
+        shared.admission.clone(),
     );
-    let (fleet, tie) = given.prepare_fleet(&site, None)?;
+    let (fleet, link_config) = shared.prepare_fleet(&site, None)?;
     let question = front.load_probe().filter(|_| site.can_probe());
     let asked = settings.clone();
     let patience = move || asked.current().setup().probe_timeout();
@@ -263,7 +268,7 @@
         prober: prober_handle,
         overrides,
         admission,
-        fleet: tie,
+        fleet: link_config,
     };
     let (core, thread) = start_core(start, Some(watcher))?;
     let fleet = fleet.map(|fleet| fleet.start(core.clone())).transpose()?;
@@ -287,8 +292,9 @@
     }
     // Only processes that share the listener replace one another.
     let folder = std::env::var_os("TMPDIR").filter(|_| shared);
-    let place = folder.map(|folder| HandoverAddress::new(Path::new(&folder), &config.name));
-    start_front(front, (listener, place), descriptors, &core)?;
+    let handover_address =
+        folder.map(|folder| HandoverAddress::new(Path::new(&folder), &config.name));
+    start_front(front, (listener, handover_address), descriptors, &core)?;
     info!(part = "main", front = "platform", name = config.name, on = %config.listen, shared, "serves");
     let reload = Reload::Platform {
         file: Box::new(file),
@@ -312,7 +318,7 @@
 
 fn start_nats(
     nats: &NatsConfig,
-    given: SharedCoreConfig<'_>,
+    shared: SharedCoreConfig<'_>,
 ) -> Result<(RunningFront, NatsState), String> {
     let setup = Arc::new(nats.settings.clone());
     let tenants = Arc::new(Tenants::new(
@@ -327,8 +333,8 @@
         EndpointSource::Servers(_) => (None, crossbeam_channel::unbounded().0),
     };
     let target = watcher.as_ref().map(Watcher::target);
-    let (clock, seed, cached_list) = (given.clock, given.clock.now(), nats.endpoints.list(1));
-    let (fleet, tie) = given.prepare_fleet(&setup, Some(&nats.endpoints))?;
+    let (clock, seed, cached_list) = (shared.clock, shared.clock.now(), nats.endpoints.list(1));
+    let (fleet, link_config) = shared.prepare_fleet(&setup, Some(&nats.endpoints))?;
     let start = CoreConfig {
         name: "nats-core",
         site: SiteSettings::clone(&setup),
@@ -337,9 +343,9 @@
         cached_list,
         discovery_polls,
         prober: None,
-        overrides: given.overrides.clone(),
-        admission: given.admission.clone(),
-        fleet: tie,
+        overrides: shared.overrides.clone(),
+        admission: shared.admission.clone(),
+        fleet: link_config,
     };
     let (core, thread) = start_core(start, watcher)?;
     let fleet = fleet.map(|fleet| fleet.start(core.clone())).transpose()?;
@@ -372,7 +378,7 @@
 /// Starts the administration API.
 fn start_admin(
     admin: &operator::AdminConfig,
-    keeper: &Arc<OverrideManager>,
+    overrides_manager: &Arc<OverrideManager>,
     cores: &[NamedCore],
     (nats, fleet): (Option<&NatsState>, Option<Way>),
 ) -> Result<(), String> {
@@ -381,7 +387,7 @@
     let tenants = nats.map(|nats| (Arc::clone(&nats.tenants), Arc::clone(&nats.setup)));
     let api = Arc::new(Admin::new(
         cores.to_vec(),
-        Arc::clone(keeper),
+        Arc::clone(overrides_manager),
         tenants,
         fleet,
         &admin.token,
@@ -404,10 +410,10 @@
     };
     let watcher = if pushed { watcher.for_agent() } else { watcher };
     let (told, (heard, first)) = (core.clone(), crossbeam_channel::bounded(1));
-    spawn("farm", move || {
-        watcher.run(|news| {
-            let is_word = matches!(news, DiscoveryEvent::List(_));
-            told.send_discovery(news);
+    spawn("discovery", move || {
+        watcher.run(|event| {
+            let is_word = matches!(event, DiscoveryEvent::List(_));
+            told.send_discovery(event);
             if is_word {
                 // Only the first one is waited for.
                 let _ = heard.try_send(());
@@ -425,29 +431,36 @@
 
 fn start_front<F: crate::front::Front>(
     front: Arc<F>,
-    (listener, place): (Listener, Option<HandoverAddress>),
+    (listener, handover_address): (Listener, Option<HandoverAddress>),
     descriptors: Descriptors,
     core: &CoreHandle,
 ) -> Result<(), String> {
     let core = core.clone();
-    let desk = connections::event_loop::serve(&front, &core, place.clone());
-    let desk = desk.map_err(|error| format!("transactions: {error}"))?;
-    if let Some(place) = place {
-        let (core, desk) = (core.clone(), desk.clone());
+    let connections_handle =
+        connections::event_loop::serve(&front, &core, handover_address.clone());
+    let connections_handle =
+        connections_handle.map_err(|error| format!("transactions: {error}"))?;
+    if let Some(handover_address) = handover_address {
+        let (core, connections_handle) = (core.clone(), connections_handle.clone());
         // The sender has closed its sockets; the connection is taken over whatever the limit.
-        let taken = place.receive(move |given| {
+        let taken = handover_address.receive(move |shared| {
             if let Some(counted) = core.reserve_connection(usize::MAX) {
-                desk.take_over(given, counted);
+                connections_handle.take_over(shared, counted);
             }
         });
         if let Err(error) = taken {
             warn!(part = "handover", why = %error, "nothing is taken over; a process that leaves moves its clients");
         }
     }
-    spawn("take-in", move || {
+    spawn("acceptor", move || {
         // The process must not be ready without an acceptor.
         let _listens = ListeningGuard::start(&core);
-        connections::acceptor::listen(&front, &listener, (&core, &descriptors), &desk);
+        connections::acceptor::listen(
+            &front,
+            &listener,
+            (&core, &descriptors),
+            &connections_handle,
+        );
     })
 }
 
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -12,6 +12,7 @@
 pub mod program;
 pub mod site;
 
+use beaconflow_fault_injection::ReservedAddress;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
@@ -58,9 +59,13 @@
     TcpListener::bind((address, 0)).expect("loopback")
 }
 
-/// An address that is free.
+/// An address that is free, and stays reserved for as long as the test's process lives: a port that
+/// was only looked up may be taken before the program listens there.
 pub fn free() -> SocketAddr {
-    listener().local_addr().expect("bound")
+    let reserved = ReservedAddress::default();
+    let address = reserved.at;
+    std::mem::forget(reserved);
+    address
 }
 
 /// The platform's configuration file: where clients connect, where discovery is, what was known of the farm.
--- a/crates/recovery/src/admission_order.rs
+++ b/crates/recovery/src/admission_order.rs
@@ -101,7 +101,7 @@
             };
             return AdmissionOrder {
                 bands: BTreeMap::from([(0, one)]),
-                total: total,
+                total,
                 group_spread: 0.0,
             };
         }
