--- a/crates/admission/benches/door.rs
+++ b/crates/admission/benches/door.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use beaconflow_admission::{Bound, Door, Entry, Limits};
+use beaconflow_admission::{AdmissionQueue, Bound, Entry, Limits};
 use criterion::{BenchmarkId, Criterion};
 
 fn entry(id: u64) -> Entry {
@@ -12,26 +12,30 @@
         share: [0.58, 0.42][(id % 2) as usize],
         class: (id % 3) as usize,
         flow: id.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        give_up_at: 5_000_000_000 + id,
-        returns: false,
+        deadline: 5_000_000_000 + id,
+        is_returning: false,
         bytes: 500,
     }
 }
 
-fn filled(waiting: u64) -> Door {
+fn filled(waiting: u64) -> AdmissionQueue {
     let limits = Limits {
         all: Bound::NONE,
         account: Bound::NONE,
         queue: Bound::NONE,
         ..Limits::default()
     };
-    let (mut door, mut gone) = (Door::new(&[1.0, 1.0, 4.0], limits, 7), Vec::new());
+    let (mut door, mut gone) = (AdmissionQueue::new(&[1.0, 1.0, 4.0], limits, 7), Vec::new());
     (0..waiting).for_each(|id| door.enter(entry(id), &mut gone));
     door
 }
 
 /// One in, and one out of it again, so that as many wait after it as before.
-fn in_and(criterion: &mut Criterion, what: &str, out: impl Fn(&mut Door, u64) -> Option<Entry>) {
+fn in_and(
+    criterion: &mut Criterion,
+    what: &str,
+    out: impl Fn(&mut AdmissionQueue, u64) -> Option<Entry>,
+) {
     let mut group = criterion.benchmark_group(what);
     for waiting in [10, 1_000, 100_000] {
         let (mut door, mut gone, mut next) = (filled(waiting), Vec::new(), waiting);
@@ -60,7 +64,7 @@
             queue: all,
             ..Limits::default()
         };
-        let (mut door, mut gone) = (Door::new(&[1.0], limits, 7), Vec::new());
+        let (mut door, mut gone) = (AdmissionQueue::new(&[1.0], limits, 7), Vec::new());
         let of = |id: u64| Entry {
             account: id % accounts,
             share: 1.0,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -22,17 +22,17 @@
 
 #![forbid(unsafe_code)]
 
-mod door;
 mod fair;
+mod queue;
 mod quickest;
-mod returning;
+mod rejected_clients;
 mod slab;
-mod tally;
+mod statistics;
 
-pub use door::{Bound, Door, Entry, Limits};
+pub use queue::{AdmissionQueue, Bound, Entry, Limits};
 pub use quickest::Quickest;
-pub use returning::Returning;
-pub use tally::{Counts, Miss, OverShare, Tallies, Tally};
+pub use rejected_clients::RejectedClients;
+pub use statistics::{AccountStatistics, AccountTable, Counts, NotAdmitted, QuotaExcess};
 
 /// A moment or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/queue.rs
@@ -20,7 +20,7 @@
     /// Queues of one class of one account.
     pub queues: usize,
     /// Queues among which a client's entry takes the shortest.
-    pub hand: usize,
+    pub choices: usize,
 }
 
 /// Entries and their bytes.
@@ -48,7 +48,7 @@
                 bytes: 4 << 20,
             },
             queues: 64,
-            hand: 4,
+            choices: 4,
         }
     }
 }
@@ -89,9 +89,9 @@
     /// A hash of its client or group.
     pub flow: u64,
     /// It is of no use after this.
-    pub give_up_at: Nanos,
+    pub deadline: Nanos,
     /// It was here before and was told to come again: it waits behind no flood of its account's, and gives way last.
-    pub returns: bool,
+    pub is_returning: bool,
     /// Bytes that wait with it.
     pub bytes: u32,
 }
@@ -113,7 +113,7 @@
 }
 
 /// The door.
-pub struct Door {
+pub struct AdmissionQueue {
     limits: Limits,
     /// Each class's part of an account's turns; the last one is of those who return.
     urgencies: Vec<f64>,
@@ -129,10 +129,10 @@
     waiting: Bound,
 }
 
-impl Door {
+impl AdmissionQueue {
     /// A door without a line. `urgencies` are the classes' parts of an account's turns; there is at least one class
     /// and queue, and an urgency that is no number above 0 counts as 1.
-    pub fn new(urgencies: &[f64], limits: Limits, seed: u64) -> Door {
+    pub fn new(urgencies: &[f64], limits: Limits, seed: u64) -> AdmissionQueue {
         let mut urgencies: Vec<f64> = urgencies.iter().map(|urgency| sound(*urgency)).collect();
         if urgencies.is_empty() {
             urgencies.push(1.0);
@@ -142,10 +142,10 @@
         let queues = limits.queues.max(1);
         let limits = Limits {
             queues,
-            hand: limits.hand.clamp(1, queues.min(MOST_HAND)),
+            choices: limits.choices.clamp(1, queues.min(MAX_CHOICES)),
             ..limits
         };
-        Door {
+        AdmissionQueue {
             limits,
             urgencies,
             seed,
@@ -204,18 +204,20 @@
         let queue = self.queue_of(slot, &entry);
         let place = self.slab.push(queue, entry);
         self.places.insert(entry.id, place);
-        self.by_end.insert((entry.give_up_at, entry.id));
+        self.by_end.insert((entry.deadline, entry.id));
         self.waiting.add(&entry);
         let account = &mut self.accounts[slot];
         account.waiting.add(&entry);
-        let length = self.slab.queues[queue].held.entries as u32;
-        account.lengths.remove(&(!entry.returns, length - 1, queue));
-        account.lengths.insert((!entry.returns, length, queue));
+        let length = self.slab.queues[queue].usage.entries as u32;
+        account
+            .lengths
+            .remove(&(!entry.is_returning, length - 1, queue));
+        account.lengths.insert((!entry.is_returning, length, queue));
         let lane = (queue / self.limits.queues) % self.urgencies.len();
         account.among_classes.wants(lane);
         account.among_queues[lane].wants(queue % self.limits.queues);
         self.among_accounts.wants(slot);
-        while self.slab.queues[queue].held.is_over(&self.limits.queue) {
+        while self.slab.queues[queue].usage.is_over(&self.limits.queue) {
             gone.extend(self.slab.last(queue).and_then(|place| self.take_out(place)));
         }
         while self.accounts[slot].waiting.is_over(&self.limits.account) {
@@ -231,11 +233,11 @@
     pub fn limit(&mut self, limits: Limits, gone: &mut Vec<Entry>) {
         self.limits = Limits {
             queues: self.limits.queues,
-            hand: self.limits.hand,
+            choices: self.limits.choices,
             ..limits
         };
         for queue in 0..self.slab.queues.len() {
-            while self.slab.queues[queue].held.is_over(&self.limits.queue) {
+            while self.slab.queues[queue].usage.is_over(&self.limits.queue) {
                 gone.extend(self.slab.last(queue).and_then(|place| self.take_out(place)));
             }
         }
@@ -313,7 +315,7 @@
             class: entry.class.min(self.urgencies.len() - 2),
             ..*entry
         };
-        let own = self.slab.queues[self.queue_of(slot, &entry)].held.entries + 1;
+        let own = self.slab.queues[self.queue_of(slot, &entry)].usage.entries + 1;
         let account = &self.accounts[slot];
         1 + account
             .waiting
@@ -376,10 +378,10 @@
     /// The queues of its class among which a client's entries take the shortest: the cards of a hand that its flow is
     /// dealt. The deal is keyed by the seed. Guards against names that are chosen to meet in one queue, and against one
     /// loud name that fills all of them.
-    pub fn hand_of(&self, flow: u64) -> impl Iterator<Item = usize> {
+    pub fn candidate_queues(&self, flow: u64) -> impl Iterator<Item = usize> {
         let mut deck = mixed(flow ^ self.seed);
-        let mut dealt: [usize; MOST_HAND] = [usize::MAX; MOST_HAND];
-        for card in 0..self.limits.hand {
+        let mut dealt: [usize; MAX_CHOICES] = [usize::MAX; MAX_CHOICES];
+        for card in 0..self.limits.choices {
             // Without repeats, as cards are dealt: the k-th of those not dealt yet.
             let left = (self.limits.queues - card) as u64;
             let mut pick = (deck % left) as usize;
@@ -391,20 +393,20 @@
             }
             dealt[card] = pick;
         }
-        dealt.into_iter().take(self.limits.hand)
+        dealt.into_iter().take(self.limits.choices)
     }
 
     /// The queue that an entry goes to.
     fn queue_of(&self, slot: usize, entry: &Entry) -> usize {
-        let lane = if entry.returns {
+        let lane = if entry.is_returning {
             self.urgencies.len() - 1
         } else {
             entry.class
         };
         let base = (slot * self.urgencies.len() + lane) * self.limits.queues;
         let shortest = self
-            .hand_of(entry.flow)
-            .min_by_key(|card| self.slab.queues[base + card].held.entries);
+            .candidate_queues(entry.flow)
+            .min_by_key(|card| self.slab.queues[base + card].usage.entries);
         base + shortest.unwrap_or(0)
     }
 
@@ -415,17 +417,19 @@
     fn take_out(&mut self, place: Place) -> Option<Entry> {
         let (entry, queue) = self.slab.remove(place)?;
         self.places.remove(&entry.id);
-        self.by_end.remove(&(entry.give_up_at, entry.id));
+        self.by_end.remove(&(entry.deadline, entry.id));
         self.waiting.take(&entry);
         let lanes = self.urgencies.len();
         let pair = queue / self.limits.queues;
         let (slot, lane) = (pair / lanes, pair % lanes);
         let account = &mut self.accounts[slot];
         account.waiting.take(&entry);
-        let length = self.slab.queues[queue].held.entries as u32;
-        account.lengths.remove(&(!entry.returns, length + 1, queue));
+        let length = self.slab.queues[queue].usage.entries as u32;
+        account
+            .lengths
+            .remove(&(!entry.is_returning, length + 1, queue));
         if length > 0 {
-            account.lengths.insert((!entry.returns, length, queue));
+            account.lengths.insert((!entry.is_returning, length, queue));
             return Some(entry);
         }
         account.among_queues[lane].rests(queue % self.limits.queues);
@@ -444,7 +448,7 @@
 }
 
 /// Largest hand.
-const MOST_HAND: usize = 16;
+const MAX_CHOICES: usize = 16;
 
 fn sound(weight: f64) -> f64 {
     if weight.is_finite() && weight > 0.0 {
--- a/crates/admission/src/slab.rs
+++ b/crates/admission/src/slab.rs
@@ -1,6 +1,6 @@
 //! Entries in one block of memory, linked into queues, so that any of them leaves at a fixed cost.
 
-use crate::door::{Bound, Entry};
+use crate::queue::{Bound, Entry};
 
 /// A place in the slab.
 pub(crate) type Place = u32;
@@ -19,14 +19,14 @@
 pub(crate) struct Queue {
     first: Place,
     last: Place,
-    pub(crate) held: Bound,
+    pub(crate) usage: Bound,
 }
 
 impl Queue {
     const EMPTY: Queue = Queue {
         first: NONE,
         last: NONE,
-        held: Bound {
+        usage: Bound {
             entries: 0,
             bytes: 0,
         },
@@ -70,7 +70,7 @@
             None => self.queues[queue].first = place,
         }
         self.queues[queue].last = place;
-        self.queues[queue].held.add(&entry);
+        self.queues[queue].usage.add(&entry);
         place
     }
 
@@ -99,7 +99,7 @@
             Some(node) => node.before = before,
             None => self.queues[queue].last = before,
         }
-        self.queues[queue].held.take(&entry);
+        self.queues[queue].usage.take(&entry);
         self.free.push(place);
         Some((entry, queue))
     }
--- a/crates/admission/src/tally.rs
+++ b/crates/admission/src/statistics.rs
@@ -33,7 +33,7 @@
 
 /// All that is kept of an account.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct AccountStatistics {
     /// Its name, as the host gives it.
     pub name: Box<str>,
     /// Its part of the service, against the others'.
@@ -53,26 +53,26 @@
 
 /// How a request that did not get its attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum NotAdmitted {
     /// It was told to come again.
-    Refused,
+    Rejected,
     /// Its time was up.
-    GivenUp,
+    TimedOut,
     /// Its client left.
-    Left,
+    ClientLeft,
 }
 
 /// An account that went over its share for long, or came back within it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OverShare {
+pub struct QuotaExcess {
     /// Which.
     pub name: Box<str>,
     /// Its part of all turns lately.
-    pub part: f64,
+    pub fraction: f64,
     /// Its part by its share.
-    pub due: f64,
+    pub entitled_fraction: f64,
     /// For how long; nothing once it is over.
-    pub lasts: Option<Nanos>,
+    pub duration: Option<Nanos>,
 }
 
 /// Events for each second, fading.
@@ -98,14 +98,14 @@
 
 /// All accounts' counts.
 #[derive(Default)]
-pub struct Tallies {
-    by_account: FxHashMap<u64, Tally>,
+pub struct AccountTable {
+    by_account: FxHashMap<u64, AccountStatistics>,
     /// Sum of the shares of those that are counted. Guards against a sum over all accounts at each first attempt.
     whole: f64,
     all: Rate,
 }
 
-impl Tallies {
+impl AccountTable {
     /// A request of an account came.
     pub fn asked(&mut self, now: Nanos, account: u64, name: &str, share: f64) {
         if !self.by_account.contains_key(&account) && self.by_account.len() >= MOST_ACCOUNTS {
@@ -120,7 +120,7 @@
         let tally = self
             .by_account
             .entry(account)
-            .or_insert_with(|| Tally::new(name));
+            .or_insert_with(|| AccountStatistics::new(name));
         self.whole += share - tally.share;
         (tally.share, tally.asked_at) = (share, now);
         tally.counts.asked += 1;
@@ -137,14 +137,14 @@
 
     /// A request got its first attempt after this wait.
     pub fn admitted(&mut self, now: Nanos, account: u64, waited: Nanos) {
-        let due = self.due(account);
+        let entitled_fraction = self.due(account);
         let all = self.all.at(now);
         self.all.add(now);
         let Some(tally) = self.by_account.get_mut(&account) else {
             return;
         };
         tally.counts.admitted += 1;
-        tally.counts.lent += u64::from(all > 0.0 && tally.rate.at(now) > due * all);
+        tally.counts.lent += u64::from(all > 0.0 && tally.rate.at(now) > entitled_fraction * all);
         tally.rate.add(now);
         tally
             .waits
@@ -152,14 +152,14 @@
     }
 
     /// A request did not get an attempt.
-    pub fn missed(&mut self, account: u64, how: Miss) {
+    pub fn missed(&mut self, account: u64, how: NotAdmitted) {
         let Some(tally) = self.by_account.get_mut(&account) else {
             return;
         };
         match how {
-            Miss::Refused => tally.counts.refused += 1,
-            Miss::GivenUp => tally.counts.given_up += 1,
-            Miss::Left => tally.counts.left += 1,
+            NotAdmitted::Rejected => tally.counts.refused += 1,
+            NotAdmitted::TimedOut => tally.counts.given_up += 1,
+            NotAdmitted::ClientLeft => tally.counts.left += 1,
         }
     }
 
@@ -184,25 +184,27 @@
 
     /// The accounts that have been over their shares for longer than a bound, and those that are so no more: each is
     /// given once.
-    pub fn over_share(&mut self, now: Nanos, bound: Nanos) -> Vec<OverShare> {
+    pub fn over_share(&mut self, now: Nanos, bound: Nanos) -> Vec<QuotaExcess> {
         // What was added and taken away leaves a trace of rounding, which is not to grow.
         self.whole = self.by_account.values().map(|tally| tally.share).sum();
         let (whole, all) = (self.whole, self.all.at(now));
         let mut news = Vec::new();
         for tally in self.by_account.values_mut() {
-            let (due, part) = (
+            let (entitled_fraction, fraction) = (
                 tally.share / whole,
                 tally.rate.at(now) / all.max(f64::MIN_POSITIVE),
             );
             // Guards against word of an account that is alone: it takes nothing from anybody.
-            let over = all * RATE_SECONDS >= 1.0 && part > OVER * due && part < 1.0 - 1e-9;
+            let over = all * RATE_SECONDS >= 1.0
+                && fraction > OVER * entitled_fraction
+                && fraction < 1.0 - 1e-9;
             let since = *tally.over_since.get_or_insert(now);
             let lasts = now.saturating_sub(since);
-            let word = |lasts| OverShare {
+            let word = |duration| QuotaExcess {
                 name: tally.name.clone(),
-                part,
-                due,
-                lasts,
+                fraction,
+                entitled_fraction,
+                duration,
             };
             if over && lasts >= bound && !tally.told {
                 news.push(word(Some(lasts)));
@@ -220,8 +222,8 @@
     }
 
     /// All of them, by name.
-    pub fn all(&self) -> Vec<(u64, &Tally)> {
-        let mut all: Vec<(u64, &Tally)> = self
+    pub fn all(&self) -> Vec<(u64, &AccountStatistics)> {
+        let mut all: Vec<(u64, &AccountStatistics)> = self
             .by_account
             .iter()
             .map(|(id, tally)| (*id, tally))
@@ -231,9 +233,9 @@
     }
 }
 
-impl Tally {
-    fn new(name: &str) -> Tally {
-        Tally {
+impl AccountStatistics {
+    fn new(name: &str) -> AccountStatistics {
+        AccountStatistics {
             name: name.into(),
             share: 0.0,
             counts: Counts::default(),
--- a/crates/admission/tests/door.rs
+++ b/crates/admission/tests/door.rs
@@ -14,8 +14,8 @@
         share: 1.0,
         class: 0,
         flow,
-        give_up_at: u64::MAX,
-        returns: false,
+        deadline: u64::MAX,
+        is_returning: false,
         bytes: 100,
     }
 }
@@ -33,11 +33,11 @@
     }
 }
 
-fn door(limits: Limits) -> Door {
-    Door::new(&[1.0, 4.0], limits, 7)
+fn door(limits: Limits) -> AdmissionQueue {
+    AdmissionQueue::new(&[1.0, 4.0], limits, 7)
 }
 
-fn enter(door: &mut Door, entry: Entry) -> Vec<Entry> {
+fn enter(door: &mut AdmissionQueue, entry: Entry) -> Vec<Entry> {
     let mut gone = Vec::new();
     door.enter(entry, &mut gone);
     gone
@@ -203,11 +203,11 @@
     let gone = enter(
         &mut door,
         Entry {
-            returns: true,
+            is_returning: true,
             ..entry(1_000, 0, 1_000)
         },
     );
-    assert!(gone.len() == 1 && !gone[0].returns);
+    assert!(gone.len() == 1 && !gone[0].is_returning);
     let turns = (1..)
         .find(|_| door.admit().expect("it waits").id == 1_000)
         .expect("found");
@@ -217,7 +217,7 @@
         enter(
             &mut door,
             Entry {
-                returns: true,
+                is_returning: true,
                 ..entry(id, 0, id)
             },
         );
@@ -308,14 +308,14 @@
         entries: 0,
         bytes: 0,
     };
-    let mut door = Door::new(
+    let mut door = AdmissionQueue::new(
         &[],
         Limits {
             all: none,
             account: none,
             queue: none,
             queues: 0,
-            hand: 0,
+            choices: 0,
         },
         0,
     );
@@ -324,10 +324,10 @@
         [entry(1, 9, 1)],
         "nobody may wait"
     );
-    let mut door = Door::new(
+    let mut door = AdmissionQueue::new(
         &[f64::NAN],
         Limits {
-            hand: 99,
+            choices: 99,
             queues: 8,
             ..Limits::default()
         },
@@ -402,7 +402,7 @@
     ) {
         let bound = |entries| Bound { entries, bytes: usize::MAX };
         let limits = Limits {
-            all: bound(most), account: bound(of_account), queue: bound(of_queue), queues, hand: 2,
+            all: bound(most), account: bound(of_account), queue: bound(of_queue), queues, choices: 2,
         };
         let mut most = most;
         let mut door = door(limits);
@@ -415,7 +415,7 @@
                 Deed::Enter { account, class, flow, wait, returns } => {
                     next += 1;
                     let share = SHARES[account as usize];
-                    let who = Entry { class, share, give_up_at: now + wait, returns, ..entry(next, account, flow) };
+                    let who = Entry { class, share, deadline: now + wait, is_returning: returns, ..entry(next, account, flow) };
                     model.insert(next, Entry { class: class.min(1), ..who });
                     door.enter(who, &mut gone);
                     // Whoever gave way stood in the account that was too large, or in the one furthest over.
@@ -425,9 +425,9 @@
                         let worst = (0..4).map(over).fold(0.0, f64::max);
                         prop_assert!(one.account == account || over(one.account) >= worst);
                         // One that returns gives way where nobody else of its account waits, or its queue is too long.
-                        let others = model.values().any(|other| other.account == one.account && !other.returns);
+                        let others = model.values().any(|other| other.account == one.account && !other.is_returning);
                         let own_queue = one.account == account && returns;
-                        prop_assert!(!one.returns || own_queue || !others);
+                        prop_assert!(!one.is_returning || own_queue || !others);
                     }
                 }
                 Deed::Next => {
@@ -444,8 +444,8 @@
                 Deed::Expire(span) => {
                     now += span;
                     gone.extend(std::iter::from_fn(|| door.expire(now)));
-                    prop_assert!(gone.iter().all(|entry| entry.give_up_at <= now));
-                    let left = model.values().filter(|entry| entry.give_up_at <= now).count();
+                    prop_assert!(gone.iter().all(|entry| entry.deadline <= now));
+                    let left = model.values().filter(|entry| entry.deadline <= now).count();
                     prop_assert_eq!(left, gone.len());
                 }
                 Deed::Limit(entries) => {
@@ -465,7 +465,7 @@
                 prop_assert_eq!(door.waiting_of(account), there);
                 prop_assert!(there <= of_account);
             }
-            prop_assert_eq!(door.next_end(), model.values().map(|one| one.give_up_at).min());
+            prop_assert_eq!(door.next_end(), model.values().map(|one| one.deadline).min());
         }
         let left: Vec<u64> = std::iter::from_fn(|| door.admit()).map(|entry| entry.id).collect();
         prop_assert_eq!(left.len(), model.len());
--- a/crates/admission/tests/floods.rs
+++ b/crates/admission/tests/floods.rs
@@ -90,8 +90,8 @@
 }
 
 fn run(clients: &[Client], limits: Limits, seed: u64, until: Nanos) -> Told {
-    let mut door = Door::new(&[1.0], limits, seed);
-    let (mut tallies, mut told) = (Tallies::default(), Told::default());
+    let mut door = AdmissionQueue::new(&[1.0], limits, seed);
+    let (mut tallies, mut told) = (AccountTable::default(), Told::default());
     let mut events: BinaryHeap<Reverse<(Nanos, u64, What)>> = BinaryHeap::new();
     let (mut order, mut out, mut next, mut luck) = (0, 0, 0_u64, Chance(seed));
     // A client's own chance: the same with and without a flood beside it.
@@ -135,8 +135,8 @@
                     share: of.share,
                     class: 0,
                     flow: of.flow,
-                    give_up_at: now + 5 * SECOND,
-                    returns: of.returns,
+                    deadline: now + 5 * SECOND,
+                    is_returning: of.returns,
                     bytes: 500,
                 };
                 tallies.asked(now, of.account, "", of.share);
@@ -348,10 +348,10 @@
     let mut victim = steady(QUIET, 1.0, 20.0, until);
     victim.iter_mut().for_each(|client| client.flow = 1);
     // What somebody can work out who knows a door's seed: four names that hold the victim's whole hand there.
-    let door = Door::new(&[1.0], Limits::default(), known);
-    let hand: Vec<usize> = door.hand_of(1).collect();
+    let door = AdmissionQueue::new(&[1.0], Limits::default(), known);
+    let hand: Vec<usize> = door.candidate_queues(1).collect();
     let meets = |name: &u64| {
-        door.hand_of(*name)
+        door.candidate_queues(*name)
             .filter(|card| hand.contains(card))
             .count()
             >= 3
--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -1,7 +1,9 @@
 //! A million names: what the process holds at most does not grow with them. Alone in its process, so that nothing else
 //! is measured.
 
-use beaconflow_admission::{Bound, Door, Entry, Limits, Miss, Returning, Tallies};
+use beaconflow_admission::{
+    AccountTable, AdmissionQueue, Bound, Entry, Limits, NotAdmitted, RejectedClients,
+};
 
 /// The most that this process has held so far, in KiB.
 fn peak() -> u64 {
@@ -18,9 +20,9 @@
 
 fn flood(
     names: std::ops::Range<u64>,
-    door: &mut Door,
-    tallies: &mut Tallies,
-    returning: &mut Returning,
+    door: &mut AdmissionQueue,
+    tallies: &mut AccountTable,
+    returning: &mut RejectedClients,
 ) {
     let mut gone = Vec::new();
     for id in names {
@@ -32,19 +34,19 @@
             share: 1.0,
             class: 0,
             flow: id.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            give_up_at: now + 5_000_000_000,
-            returns: returning.comes(now, id),
+            deadline: now + 5_000_000_000,
+            is_returning: returning.take_return(now, id),
             bytes: 500,
         };
         tallies.asked(now, account, name, 1.0);
         door.enter(entry, &mut gone);
         gone.drain(..)
-            .for_each(|entry| tallies.missed(entry.account, Miss::Refused));
+            .for_each(|entry| tallies.missed(entry.account, NotAdmitted::Rejected));
         if id % 100 == 0
             && let Some(entry) = door.admit()
         {
             tallies.admitted(now, entry.account, 1_000_000);
-            returning.told(now, entry.id);
+            returning.record_rejection(now, entry.id);
         }
     }
 }
@@ -61,8 +63,8 @@
         queue: all,
         ..Limits::default()
     };
-    let mut door = Door::new(&[1.0, 1.0], limits, 7);
-    let (mut tallies, mut returning) = (Tallies::default(), Returning::default());
+    let mut door = AdmissionQueue::new(&[1.0, 1.0], limits, 7);
+    let (mut tallies, mut returning) = (AccountTable::default(), RejectedClients::default());
     // The bound is reached, and every table has its size.
     flood(0..500_000, &mut door, &mut tallies, &mut returning);
     let before = peak();
--- a/crates/admission/tests/tally.rs
+++ b/crates/admission/tests/tally.rs
@@ -6,7 +6,7 @@
 const SECOND: Nanos = 1_000_000_000;
 
 /// Two accounts of equal shares, of which the first gets so many attempts a second and the second so many.
-fn play(tallies: &mut Tallies, from: Nanos, seconds: u64, first: u64, second: u64) -> Nanos {
+fn play(tallies: &mut AccountTable, from: Nanos, seconds: u64, first: u64, second: u64) -> Nanos {
     for (account, rate) in [(1, first), (2, second)] {
         for at in 0..seconds * rate {
             let now = from + at * SECOND / rate;
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_line_drains_at_the_rate_that_was_measured() {
-    let mut tallies = Tallies::default();
+    let mut tallies = AccountTable::default();
     assert_eq!(tallies.drain(0, 1, 10), None, "nothing is known");
     let now = play(&mut tallies, 0, 20, 50, 10);
     for (account, rate) in [(1, 50.0), (2, 30.0)] {
@@ -51,9 +51,9 @@
 
 #[test]
 fn what_goes_beyond_a_share_is_lent_and_told_once_after_the_bound() {
-    let mut tallies = Tallies::default();
+    let mut tallies = AccountTable::default();
     let mut now = play(&mut tallies, 0, 10, 90, 10);
-    let lent = |tallies: &Tallies, at: usize| tallies.all()[at].1.counts.lent;
+    let lent = |tallies: &AccountTable, at: usize| tallies.all()[at].1.counts.lent;
     assert!(
         lent(&tallies, 0) > 800 && lent(&tallies, 1) == 0,
         "{} and {}",
@@ -64,25 +64,25 @@
     now = play(&mut tallies, now, 6, 90, 10);
     let news = tallies.over_share(now, 5 * SECOND);
     assert!(
-        news.len() == 1 && &*news[0].name == "acme" && news[0].lasts >= Some(5 * SECOND),
+        news.len() == 1 && &*news[0].name == "acme" && news[0].duration >= Some(5 * SECOND),
         "{news:?}"
     );
     assert!(
-        (news[0].part - 0.9).abs() < 0.03 && news[0].due == 0.5,
+        (news[0].fraction - 0.9).abs() < 0.03 && news[0].entitled_fraction == 0.5,
         "{news:?}"
     );
     assert_eq!(tallies.over_share(now, 5 * SECOND), [], "told once");
     now = play(&mut tallies, now, 20, 30, 30);
     let news = tallies.over_share(now, 5 * SECOND);
     assert!(
-        news.len() == 1 && news[0].lasts.is_none(),
+        news.len() == 1 && news[0].duration.is_none(),
         "it is over: {news:?}"
     );
 }
 
 #[test]
 fn an_account_that_is_alone_takes_nothing_from_anybody() {
-    let mut tallies = Tallies::default();
+    let mut tallies = AccountTable::default();
     tallies.asked(0, 2, "bright", 1.0);
     let mut now = 0;
     for _ in 0..30 {
@@ -97,10 +97,10 @@
 
 #[test]
 fn counts_are_bounded_by_the_accounts_that_asked_last() {
-    let mut tallies = Tallies::default();
+    let mut tallies = AccountTable::default();
     for account in 0..5_000 {
         tallies.asked(account, account, "a", 1.0);
-        tallies.missed(account, Miss::Refused);
+        tallies.missed(account, NotAdmitted::Rejected);
     }
     let all = tallies.all();
     assert_eq!(all.len(), 4_096);
@@ -112,19 +112,19 @@
 
 #[test]
 fn a_client_is_known_once_for_each_move_and_not_for_ever() {
-    let mut returning = Returning::default();
-    returning.told(0, 7);
-    returning.told(SECOND, 7);
-    assert!(returning.comes(2 * SECOND, 7) && returning.comes(3 * SECOND, 7));
+    let mut returning = RejectedClients::default();
+    returning.record_rejection(0, 7);
+    returning.record_rejection(SECOND, 7);
+    assert!(returning.take_return(2 * SECOND, 7) && returning.take_return(3 * SECOND, 7));
     assert!(
-        !returning.comes(3 * SECOND, 7),
+        !returning.take_return(3 * SECOND, 7),
         "a flood under its name gains nothing"
     );
-    returning.told(4 * SECOND, 7);
-    assert!(!returning.comes(40 * SECOND, 7), "it comes too late");
-    (0..10_000).for_each(|client| returning.told(50 * SECOND, client));
+    returning.record_rejection(4 * SECOND, 7);
+    assert!(!returning.take_return(40 * SECOND, 7), "it comes too late");
+    (0..10_000).for_each(|client| returning.record_rejection(50 * SECOND, client));
     assert!(
-        !returning.comes(50 * SECOND, 0) && returning.comes(50 * SECOND, 9_999),
+        !returning.take_return(50 * SECOND, 0) && returning.take_return(50 * SECOND, 9_999),
         "the latest are known"
     );
 }
@@ -156,7 +156,7 @@
     /// admitted ones.
     #[test]
     fn every_request_is_counted_once(deeds in prop::collection::vec((0..4_u64, 0..5_u8, 0..2_000_u64), 1..300)) {
-        let mut tallies = Tallies::default();
+        let mut tallies = AccountTable::default();
         let mut plain = std::collections::BTreeMap::<u64, [u64; 5]>::new();
         let mut now = 0;
         for (account, what, wait) in deeds {
@@ -169,15 +169,15 @@
                     tallies.admitted(now, account, wait * 1_000_000);
                     sums[1] += 1;
                 }
-                2 => tallies.missed(account, Miss::Refused),
-                3 => tallies.missed(account, Miss::GivenUp),
-                _ => tallies.missed(account, Miss::Left),
+                2 => tallies.missed(account, NotAdmitted::Rejected),
+                3 => tallies.missed(account, NotAdmitted::TimedOut),
+                _ => tallies.missed(account, NotAdmitted::ClientLeft),
             }
             if what > 1 {
                 sums[what as usize] += 1;
             }
             for news in tallies.over_share(now, SECOND) {
-                prop_assert!(news.lasts.is_none_or(|lasts| lasts >= SECOND));
+                prop_assert!(news.duration.is_none_or(|lasts| lasts >= SECOND));
             }
             prop_assert!(tallies.drain(now, account, 3).is_none_or(|span| span > 0));
         }
--- a/crates/affinity/benches/memory.rs
+++ b/crates/affinity/benches/memory.rs
@@ -12,7 +12,7 @@
 
 struct AllReady;
 
-impl FarmView for AllReady {
+impl EndpointView for AllReady {
     fn server(&self, _: Tag) -> Option<ServerNow> {
         Some(ServerNow {
             is_ready: true,
@@ -51,7 +51,7 @@
         state: if number.is_multiple_of(4) {
             State::Ended(How::Broke)
         } else {
-            State::Standing
+            State::Established
         },
         twins: 0,
     }
@@ -65,7 +65,7 @@
     let mut memory = Memory::new(
         Limits {
             bound,
-            life_s: 3_600,
+            ttl_s: 3_600,
             away_s: 60,
             home_most: 32,
         },
@@ -74,7 +74,7 @@
     );
     memory.adopt(Version(7), 1, NOW);
     for number in 0..count {
-        memory.heard(&fact(number, number % 600_000), NOW + number % 600_000);
+        memory.merge(&fact(number, number % 600_000), NOW + number % 600_000);
     }
     memory
 }
@@ -113,7 +113,7 @@
         group.bench_function(BenchmarkId::new("merge_known", count), |bencher| {
             bencher.iter(|| {
                 let number = walk.next();
-                black_box(memory.heard(&fact(number, number % 600_000), NOW + 600_000))
+                black_box(memory.merge(&fact(number, number % 600_000), NOW + 600_000))
             });
         });
         let mut after = 600_000;
@@ -121,7 +121,7 @@
             bencher.iter(|| {
                 // A quarter of a millisecond each: 4,000 facts a second.
                 after += u64::from(walk.at.is_multiple_of(4));
-                black_box(memory.heard(&fact(walk.next(), after), NOW + after))
+                black_box(memory.merge(&fact(walk.next(), after), NOW + after))
             });
         });
         let mut page = Vec::new();
@@ -132,7 +132,7 @@
                     after += step;
                     page.clear();
                     page.extend((0..32).map(|_| fact(walk.next(), after)));
-                    black_box(memory.heard_all(&page, NOW + after))
+                    black_box(memory.merge_all(&page, NOW + after))
                 });
             });
         }
@@ -142,7 +142,7 @@
             bencher.iter(|| {
                 next += 1;
                 after += u64::from(next.is_multiple_of(4));
-                black_box(memory.heard(&fact(next, after), NOW + after))
+                black_box(memory.merge(&fact(next, after), NOW + after))
             });
         });
         group.finish();
--- a/crates/affinity/src/place.rs
+++ b/crates/affinity/src/advice.rs
@@ -31,7 +31,7 @@
 }
 
 /// The farm as this process sees it, under the version that it runs.
-pub trait FarmView {
+pub trait EndpointView {
     /// A listed server.
     fn server(&self, server: Tag) -> Option<ServerNow>;
     /// Whether the configuration has this client on this server: zone, tenant's set of servers, class.
@@ -72,7 +72,7 @@
 
 /// Whether a placement holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holds {
+pub enum PlacementValidity {
     /// It does.
     Yes,
     /// Its server is not listed here.
@@ -89,29 +89,32 @@
     Shared,
 }
 
-impl fmt::Display for Holds {
+impl fmt::Display for PlacementValidity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Holds::Yes => "it holds",
-            Holds::NotListed => "its server is not listed",
-            Holds::Void => "its server has started since",
-            Holds::NotReady => "its server takes nothing new",
-            Holds::MovedOff => "it was moved off on purpose",
-            Holds::Shared => "several clients have its key",
-            Holds::NotPermitted => "the configuration has it there no longer",
+            PlacementValidity::Yes => "it holds",
+            PlacementValidity::NotListed => "its server is not listed",
+            PlacementValidity::Void => "its server has started since",
+            PlacementValidity::NotReady => "its server takes nothing new",
+            PlacementValidity::MovedOff => "it was moved off on purpose",
+            PlacementValidity::Shared => "several clients have its key",
+            PlacementValidity::NotPermitted => "the configuration has it there no longer",
         })
     }
 }
 
 impl Memory {
     /// Where a client is to go; nothing is the rotation's turn.
-    pub fn place(&self, client: &Client, farm: &dyn FarmView, now: Millis) -> Option<Advice> {
-        let Some((entry, listed, holds)) = self.look(client, farm, now) else {
+    pub fn place(&self, client: &Client, farm: &dyn EndpointView, now: Millis) -> Option<Advice> {
+        let Some((entry, listed, holds)) = self.find_listed(client, farm, now) else {
             return self.home(client, None, Why::GroupHome, farm);
         };
-        let had = self.names.get(self.spots.life(entry.spot())).tag;
+        let had = self
+            .names
+            .get(self.group_counts.life(entry.group_count()))
+            .tag;
         match (holds, listed) {
-            (Holds::Yes, Some(server)) => Some(Advice {
+            (PlacementValidity::Yes, Some(server)) => Some(Advice {
                 server,
                 why: Why::SameServer,
                 under: self.version_of(entry),
@@ -122,58 +125,69 @@
 
     /// Whether a client's placement holds; nothing if it has none. Those that stand and are no longer permitted are for
     /// [`crate::ReDeal`].
-    pub fn holds(&self, client: &Client, farm: &dyn FarmView, now: Millis) -> Option<Holds> {
-        self.look(client, farm, now).map(|(_, _, holds)| holds)
+    pub fn validity(
+        &self,
+        client: &Client,
+        farm: &dyn EndpointView,
+        now: Millis,
+    ) -> Option<PlacementValidity> {
+        self.find_listed(client, farm, now)
+            .map(|(_, _, holds)| holds)
     }
 
-    fn look(
+    fn find_listed(
         &self,
         client: &Client,
-        farm: &dyn FarmView,
+        farm: &dyn EndpointView,
         now: Millis,
-    ) -> Option<(&Entry, Option<Tag>, Holds)> {
+    ) -> Option<(&Entry, Option<Tag>, PlacementValidity)> {
         let entry = &self.entries[self.find(client.key)? as usize];
         if self.is_expired(entry.seen_s, now) {
             return None;
         }
-        let listed = self.listed(self.names.get(self.spots.life(entry.spot())).tag, farm);
+        let listed = self.listed(
+            self.names
+                .get(self.group_counts.life(entry.group_count()))
+                .tag,
+            farm,
+        );
         let holds = match listed {
-            Some((tag, server)) => self.judge(entry, client, tag, server, farm, now),
-            None => Holds::NotListed,
+            Some((tag, server)) => self.assess(entry, client, tag, server, farm, now),
+            None => PlacementValidity::NotListed,
         };
         Some((entry, listed.map(|(tag, _)| tag), holds))
     }
 
     /// A server in the list, under its name or one that it had. Guards against a process that has yet to hear of a new
     /// name.
-    fn listed(&self, tag: Tag, farm: &dyn FarmView) -> Option<(Tag, ServerNow)> {
+    fn listed(&self, tag: Tag, farm: &dyn EndpointView) -> Option<(Tag, ServerNow)> {
         let names = std::iter::once(tag).chain(self.names.before(tag));
         names
             .into_iter()
             .find_map(|name| Some((name, farm.server(name)?)))
     }
 
-    fn judge(
+    fn assess(
         &self,
         entry: &Entry,
         client: &Client,
         tag: Tag,
         server: ServerNow,
-        farm: &dyn FarmView,
+        farm: &dyn EndpointView,
         now: Millis,
-    ) -> Holds {
+    ) -> PlacementValidity {
         let dealt = Stamp(entry.stamp).at();
         // Its last second is over.
         let ended = (u64::from(entry.seen_s) + 1) * 1_000;
         if server.started_at > dealt {
-            return Holds::Void;
+            return PlacementValidity::Void;
         }
         if !server.is_ready {
-            return Holds::NotReady;
+            return PlacementValidity::NotReady;
         }
         // Guards against a service whose clients all have one name, and would all be led to one server.
-        if entry.is_standing() && entry.twins() == SHARED && !self.is_dead(Stamp(entry.stamp)) {
-            return Holds::Shared;
+        if entry.is_established() && entry.twins() == SHARED && !self.is_dead(Stamp(entry.stamp)) {
+            return PlacementValidity::Shared;
         }
         let is_off = match entry.state() {
             // Another process knew that it leaves. Guards against one that has yet to hear of it.
@@ -184,14 +198,14 @@
             _ => false,
         };
         if is_off {
-            return Holds::MovedOff;
+            return PlacementValidity::MovedOff;
         }
         // What a newer version dealt is not for the older one's rules. Guards against a client that two versions send
         // to and fro.
         if !self.is_beyond(self.version_of(entry), dealt, now) && !farm.permits(client, tag) {
-            return Holds::NotPermitted;
+            return PlacementValidity::NotPermitted;
         }
-        Holds::Yes
+        PlacementValidity::Yes
     }
 
     /// The ready server that has most of a group, and room for more of it. Ties go by a hash that all processes share.
@@ -200,7 +214,7 @@
         client: &Client,
         not: Option<Tag>,
         why: Why,
-        farm: &dyn FarmView,
+        farm: &dyn EndpointView,
     ) -> Option<Advice> {
         let group = client.group?.0;
         let has_room = |(_, count): &(u16, u32)| *count < self.limits.home_most;
@@ -214,7 +228,7 @@
             is_fit.then_some((count, mix(group ^ mix(life.tag.0)), tag))
         };
         let (_, _, server) = self
-            .spots
+            .group_counts
             .of_group(group)
             .filter(has_room)
             .filter_map(fit)
--- a/crates/affinity/src/ages.rs
+++ b/crates/affinity/src/ages.rs
@@ -5,42 +5,42 @@
 use crate::entry::{Entry, NONE};
 
 /// Into so many parts a life is divided: what is of one part is of one age.
-const PARTS: u32 = 1_024;
+const AGE_BUCKETS: u32 = 1_024;
 
 pub(crate) struct Ages {
     /// Seconds of one part.
     grain: u32,
     ended: BTreeMap<u32, u32>,
-    standing: BTreeMap<u32, u32>,
+    established: BTreeMap<u32, u32>,
 }
 
 /// How much an entry is worth keeping: ended before standing, then by age.
-pub(crate) type Worth = (bool, u32);
+pub(crate) type RetentionRank = (bool, u32);
 
 impl Ages {
-    pub(crate) fn of_life(life_s: u32) -> Ages {
+    pub(crate) fn with_ttl(life_s: u32) -> Ages {
         Ages {
-            grain: (life_s / PARTS).max(1),
+            grain: (life_s / AGE_BUCKETS).max(1),
             ended: BTreeMap::new(),
-            standing: BTreeMap::new(),
+            established: BTreeMap::new(),
         }
     }
 
-    pub(crate) fn worth(&self, is_standing: bool, seen_s: u32) -> Worth {
+    pub(crate) fn retention_rank(&self, is_standing: bool, seen_s: u32) -> RetentionRank {
         (is_standing, seen_s / self.grain)
     }
 
     fn list(&mut self, is_standing: bool) -> &mut BTreeMap<u32, u32> {
         if is_standing {
-            &mut self.standing
+            &mut self.established
         } else {
             &mut self.ended
         }
     }
 
     pub(crate) fn enter(&mut self, entries: &mut [Entry], id: u32) {
-        let (is_standing, age) = self.worth(
-            entries[id as usize].is_standing(),
+        let (is_standing, age) = self.retention_rank(
+            entries[id as usize].is_established(),
             entries[id as usize].seen_s,
         );
         let head = self.list(is_standing).insert(age, id).unwrap_or(NONE);
@@ -61,7 +61,7 @@
             entries[before as usize].set_after(after);
             return;
         }
-        let (is_standing, age) = self.worth(one.is_standing(), one.seen_s);
+        let (is_standing, age) = self.retention_rank(one.is_established(), one.seen_s);
         let list = self.list(is_standing);
         if after == NONE {
             list.remove(&age);
@@ -71,12 +71,12 @@
     }
 
     /// What gives way first: what ended longest ago; of those that stand, the one not seen for longest.
-    pub(crate) fn first_to_go(&self) -> Option<(Worth, u32)> {
+    pub(crate) fn first_to_go(&self) -> Option<(RetentionRank, u32)> {
         let first = |list: &BTreeMap<u32, u32>, is_standing| {
             list.first_key_value()
                 .map(|(age, id)| ((is_standing, *age), *id))
         };
-        first(&self.ended, false).or_else(|| first(&self.standing, true))
+        first(&self.ended, false).or_else(|| first(&self.established, true))
     }
 
     /// One that was last seen before this second, if there is one.
@@ -84,7 +84,7 @@
         let first = |list: &BTreeMap<u32, u32>| list.first_key_value().map(|(age, id)| (*age, *id));
         let oldest = first(&self.ended)
             .into_iter()
-            .chain(first(&self.standing))
+            .chain(first(&self.established))
             .min()?;
         // A part counts as past when all of it is.
         (oldest.0.saturating_add(1).saturating_mul(self.grain) <= seen_s).then_some(oldest.1)
--- a/crates/affinity/src/changes.rs
+++ b/crates/affinity/src/changes.rs
@@ -86,7 +86,13 @@
 }
 
 fn classes(routing: &Routing) -> BTreeMap<String, (u64, u64, u64)> {
-    let of = |one: &crate::Class| (one.aim_ms, one.deadline_ms, one.worth.to_bits());
+    let of = |one: &crate::Class| {
+        (
+            one.latency_objective_ms,
+            one.deadline_ms,
+            one.priority_weight.to_bits(),
+        )
+    };
     routing
         .classes
         .iter()
--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(crate) fn spot(&self) -> u32 {
+    pub(crate) fn group_count(&self) -> u32 {
         self.spot_state >> 8
     }
 
@@ -59,8 +59,8 @@
         self.spot_state as u8 >> TWINS_AT
     }
 
-    pub(crate) fn is_standing(&self) -> bool {
-        self.state() == State::Standing
+    pub(crate) fn is_established(&self) -> bool {
+        self.state() == State::Established
     }
 
     pub(crate) fn version(&self) -> u16 {
--- a/crates/affinity/src/spots.rs
+++ b/crates/affinity/src/group_counts.rs
@@ -10,20 +10,20 @@
 
 /// 16 bytes: the group; the server's life, the count and the next spot of the group.
 #[derive(Clone, Copy)]
-struct Spot {
+struct GroupCount {
     group: u64,
     rest: u64,
 }
 
-impl Spot {
-    fn new(group: u64, life: u16, count: u32, next: u32) -> Spot {
-        Spot {
+impl GroupCount {
+    fn new(group: u64, life: u16, count: u32, next: u32) -> GroupCount {
+        GroupCount {
             group,
             rest: u64::from(life) << 48 | u64::from(count) << 24 | u64::from(next),
         }
     }
 
-    fn life(self) -> u16 {
+    fn incarnation(self) -> u16 {
         (self.rest >> 48) as u16
     }
 
@@ -35,27 +35,27 @@
         self.rest as u32 & NONE
     }
 
-    fn with_count(self, count: u32) -> Spot {
-        Spot::new(self.group, self.life(), count, self.next())
+    fn with_count(self, count: u32) -> GroupCount {
+        GroupCount::new(self.group, self.incarnation(), count, self.next())
     }
 
-    fn with_next(self, next: u32) -> Spot {
-        Spot::new(self.group, self.life(), self.count(), next)
+    fn with_next(self, next: u32) -> GroupCount {
+        GroupCount::new(self.group, self.incarnation(), self.count(), next)
     }
 }
 
-pub(crate) struct Spots {
-    all: Vec<Spot>,
+pub(crate) struct GroupCounts {
+    all: Vec<GroupCount>,
     free: u32,
     heads: Index,
     seed: u64,
 }
 
-impl Spots {
-    pub(crate) fn for_entries(most: usize, seed: u64) -> Spots {
+impl GroupCounts {
+    pub(crate) fn for_entries(most: usize, seed: u64) -> GroupCounts {
         // One more than entries: a client's new spot is taken before the old one is given back.
         let seed = mix(seed);
-        Spots {
+        GroupCounts {
             all: Vec::with_capacity(most + 1),
             free: NONE,
             heads: Index::for_entries(most),
@@ -64,7 +64,7 @@
     }
 
     pub(crate) fn life(&self, spot: u32) -> u16 {
-        self.all[spot as usize].life()
+        self.all[spot as usize].incarnation()
     }
 
     pub(crate) fn group(&self, spot: u32) -> Option<u64> {
@@ -88,7 +88,7 @@
         std::iter::from_fn(move || {
             let spot = *self.all.get(at as usize)?;
             at = spot.next();
-            Some((spot.life(), spot.count()))
+            Some((spot.incarnation(), spot.count()))
         })
     }
 
@@ -112,7 +112,7 @@
     /// A group's spot on a server and the one before it.
     fn find(&self, group: u64, life: u16) -> (u32, u32) {
         let (mut at, mut before) = (self.head(group).unwrap_or(NONE), NONE);
-        while at != NONE && self.all[at as usize].life() != life {
+        while at != NONE && self.all[at as usize].incarnation() != life {
             (before, at) = (at, self.all[at as usize].next());
         }
         (at, before)
@@ -132,7 +132,7 @@
     fn begin(&mut self, names: &mut Names, group: Option<u64>, life: u16) -> u32 {
         let head = group.map(|group| self.head(group));
         let next = head.map_or(LOOSE, |head| head.unwrap_or(NONE));
-        let one = Spot::new(group.unwrap_or(0), life, 1, next);
+        let one = GroupCount::new(group.unwrap_or(0), life, 1, next);
         let spot = match self.free {
             NONE => {
                 self.all.push(one);
@@ -161,19 +161,19 @@
             return;
         }
         if one.next() == LOOSE {
-            names.set_loose(one.life(), NONE);
+            names.set_loose(one.incarnation(), NONE);
         } else {
             self.unlink(spot);
         }
-        self.all[spot as usize] = Spot::new(0, 0, 0, self.free);
+        self.all[spot as usize] = GroupCount::new(0, 0, 0, self.free);
         self.free = spot;
-        names.give_back(one.life());
+        names.give_back(one.incarnation());
     }
 
     fn unlink(&mut self, spot: u32) {
         let one = self.all[spot as usize];
         let hash = self.hash(one.group);
-        match self.find(one.group, one.life()) {
+        match self.find(one.group, one.incarnation()) {
             (_, NONE) if one.next() == NONE => {
                 let (all, seed) = (&self.all, self.seed);
                 self.heads
@@ -187,6 +187,6 @@
     }
 
     pub(crate) fn bytes(&self) -> usize {
-        self.all.capacity() * size_of::<Spot>() + self.heads.bytes()
+        self.all.capacity() * size_of::<GroupCount>() + self.heads.bytes()
     }
 }
--- a/crates/affinity/src/index.rs
+++ b/crates/affinity/src/index.rs
@@ -4,7 +4,7 @@
 use crate::entry::NONE;
 
 /// It is full to three fifths at most.
-const ROOM: (usize, usize) = (5, 3);
+const SLOTS_PER_ENTRY: (usize, usize) = (5, 3);
 
 pub(crate) struct Index {
     /// Eight bits of the hash, and the number plus one; 0 is empty.
@@ -14,7 +14,12 @@
 impl Index {
     pub(crate) fn for_entries(most: usize) -> Index {
         Index {
-            slots: vec![0; (most * ROOM.0).div_ceil(ROOM.1).max(8)],
+            slots: vec![
+                0;
+                (most * SLOTS_PER_ENTRY.0)
+                    .div_ceil(SLOTS_PER_ENTRY.1)
+                    .max(8)
+            ],
         }
     }
 
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -8,26 +8,26 @@
 
 #![forbid(unsafe_code)]
 
+mod advice;
 mod ages;
 mod changes;
 mod entry;
+mod group_counts;
 mod index;
 mod limits;
 mod memory;
 mod names;
-mod place;
 mod placement;
-mod redeal;
+mod rebalancing;
 mod routing;
-mod spots;
 mod versions;
 
+pub use advice::{Advice, Client, EndpointView, PlacementValidity, ServerNow, Why};
 pub use changes::Changes;
 pub use limits::{Bound, Counts, Limits};
 pub use memory::Memory;
-pub use place::{Advice, Client, FarmView, Holds, ServerNow, Why};
-pub use placement::{Heard, How, Placement, Refused, Stamp, State};
-pub use redeal::ReDeal;
+pub use placement::{How, MergeOutcome, Placement, Refused, Stamp, State};
+pub use rebalancing::Rebalancer;
 pub use routing::{Class, Fault, Routing, Server, renames};
 pub use versions::{Adopted, Version, VersionFact, Versions};
 
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -19,7 +19,7 @@
     /// How much is held at most.
     pub bound: Bound,
     /// A placement is forgotten so many seconds after it was last seen to stand, or ended.
-    pub life_s: u32,
+    pub ttl_s: u32,
     /// A client that was moved off a server for lateness or to even out is not led back for so many seconds.
     pub away_s: u32,
     /// A server that has so many of a group is no home to more of it; 0: groups have no home.
@@ -43,8 +43,8 @@
                 self.bound.entries == 0 || self.bound.entries > MOST,
             ),
             ("bytes", self.bound.bytes < BYTES_EACH),
-            ("life_s", self.life_s == 0),
-            ("away_s", self.away_s > self.life_s),
+            ("life_s", self.ttl_s == 0),
+            ("away_s", self.away_s > self.ttl_s),
         ];
         faults
             .into_iter()
@@ -58,13 +58,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Placements held.
-    pub held: usize,
+    pub entries: usize,
     /// Of these, those that stand.
-    pub standing: usize,
+    pub established: usize,
     /// Forgotten at the end of their life.
     pub expired: u64,
     /// Given way at the bound.
-    pub gave_way: u64,
+    pub evicted: u64,
     /// Not taken in, for whatever reason.
     pub refused: u64,
 }
--- a/crates/affinity/src/memory.rs
+++ b/crates/affinity/src/memory.rs
@@ -2,14 +2,16 @@
 
 use std::collections::VecDeque;
 
+use crate::advice::Client;
 use crate::ages::Ages;
 use crate::entry::{Entry, NONE};
+use crate::group_counts::GroupCounts;
 use crate::index::Index;
 use crate::limits::{Counts, Limits};
 use crate::names::{Digests, Names};
-use crate::place::Client;
-use crate::placement::{AHEAD, Heard, How, Placement, Refused, SHARED, Stamp, State, origin_of};
-use crate::spots::Spots;
+use crate::placement::{
+    AHEAD, How, MergeOutcome, Placement, Refused, SHARED, Stamp, State, origin_of,
+};
 use crate::versions::{Adopted, Version, VersionFact, Versions};
 use crate::{Group, Key, Millis, Tag, mix};
 
@@ -30,7 +32,7 @@
     free: u32,
     index: Index,
     ages: Ages,
-    pub(crate) spots: Spots,
+    pub(crate) group_counts: GroupCounts,
     pub(crate) names: Names,
     digests: Digests,
     versions: Versions,
@@ -51,8 +53,8 @@
             entries: Vec::with_capacity(most),
             free: NONE,
             index: Index::for_entries(most),
-            ages: Ages::of_life(limits.life_s),
-            spots: Spots::for_entries(most, seed),
+            ages: Ages::with_ttl(limits.ttl_s),
+            group_counts: GroupCounts::for_entries(most, seed),
             names: Names::default(),
             digests: Digests::default(),
             versions: Versions::default(),
@@ -77,8 +79,8 @@
     }
 
     /// What a peer tells of a version.
-    pub fn heard_version(&mut self, fact: &VersionFact, now: Millis) -> bool {
-        self.versions.heard(fact, now)
+    pub fn merge_version(&mut self, fact: &VersionFact, now: Millis) -> bool {
+        self.versions.merge(fact, now)
     }
 
     /// A server started anew at this moment: a group has no home there for what stood on it before. To be told with each
@@ -107,7 +109,7 @@
     }
 
     /// A client stands on a server; the fact for peers. Its stamp is the connection's, for [`Memory::ended`].
-    pub fn stood(
+    pub fn established(
         &mut self,
         client: &Client,
         server: Tag,
@@ -122,7 +124,7 @@
         let encode_version = kept
             .filter(|kept| *kept != own && self.is_beyond(*kept, now, now))
             .unwrap_or(own);
-        let again = old.filter(|old| old.state == State::Standing && !self.is_dead(old.stamp));
+        let again = old.filter(|old| old.state == State::Established && !self.is_dead(old.stamp));
         let placement = Placement {
             key: client.key,
             group: client.group,
@@ -130,18 +132,18 @@
             encode_version,
             stamp: Stamp::after(old.map(|old| old.stamp), now, self.origin),
             seen_s: seconds(now),
-            state: State::Standing,
+            state: State::Established,
             twins: again.map_or(0, |old| (old.twins + 1).min(SHARED)),
         };
         self.sweep(now);
         match self.take_in(&placement) {
-            Heard::Refused(why) => Err(why),
+            MergeOutcome::Refused(why) => Err(why),
             _ => Ok(placement),
         }
     }
 
     /// A connection still stands: to be told a few times in each life.
-    pub fn stands(&mut self, key: Key, stamp: Stamp, now: Millis) -> Option<Placement> {
+    pub fn refresh(&mut self, key: Key, stamp: Stamp, now: Millis) -> Option<Placement> {
         let standing = self.own(key, stamp)?;
         let seen = Placement {
             seen_s: seconds(now).max(standing.seen_s),
@@ -165,27 +167,27 @@
     }
 
     /// A peer's word, or one of before from the disk.
-    pub fn heard(&mut self, told: &Placement, now: Millis) -> Heard {
+    pub fn merge(&mut self, told: &Placement, now: Millis) -> MergeOutcome {
         self.sweep(now);
         let limit = now.saturating_add(AHEAD);
         let heard = if self.is_expired(told.seen_s, now) {
-            Heard::Refused(Refused::Expired)
+            MergeOutcome::Refused(Refused::Expired)
         } else if told.since() > limit || u64::from(told.seen_s) * 1_000 > limit {
-            Heard::Refused(Refused::Ahead)
+            MergeOutcome::Refused(Refused::Ahead)
         } else {
             self.take_in(told)
         };
-        self.counts.refused += u64::from(matches!(heard, Heard::Refused(_)));
+        self.counts.refused += u64::from(matches!(heard, MergeOutcome::Refused(_)));
         heard
     }
 
     /// What a peer tells at once. Many that are told together are merged faster than one by one: what they need is
     /// fetched side by side first.
-    pub fn heard_all(&mut self, told: &[Placement], now: Millis) -> Vec<Heard> {
+    pub fn merge_all(&mut self, told: &[Placement], now: Millis) -> Vec<MergeOutcome> {
         let mut heard = Vec::with_capacity(told.len());
         for some in told.chunks(TOGETHER) {
             std::hint::black_box(some.iter().map(|one| self.touch(one.key)).sum::<u32>());
-            heard.extend(some.iter().map(|one| self.heard(one, now)));
+            heard.extend(some.iter().map(|one| self.merge(one, now)));
         }
         heard
     }
@@ -200,7 +202,7 @@
                 .get(id as usize)
                 .map_or(0, |entry| entry.seen_s)
         };
-        u32::from(self.spots.life(entry.spot()))
+        u32::from(self.group_counts.life(entry.group_count()))
             .wrapping_add(link(entry.before()) ^ link(entry.after()))
             >> 16
     }
@@ -217,7 +219,7 @@
             if found.len() == most {
                 return (found, Some(id));
             }
-            if self.entries[id as usize].spot() != NONE {
+            if self.entries[id as usize].group_count() != NONE {
                 found.push(self.placement(id));
             }
         }
@@ -226,7 +228,7 @@
 
     /// Forgets up to so many that are past their life; how many it was.
     pub fn expire(&mut self, now: Millis, most: usize) -> usize {
-        let oldest = seconds(now).saturating_sub(self.limits.life_s);
+        let oldest = seconds(now).saturating_sub(self.limits.ttl_s);
         for gone in 0..most {
             let Some(id) = self.ages.older_than(oldest) else {
                 return gone;
@@ -250,11 +252,11 @@
     /// Bytes reserved for all tables.
     pub fn bytes(&self) -> usize {
         let entries = self.entries.capacity() * size_of::<Entry>();
-        entries + self.index.bytes() + self.spots.bytes() + self.names.bytes()
+        entries + self.index.bytes() + self.group_counts.bytes() + self.names.bytes()
     }
 
     pub(crate) fn is_expired(&self, seen_s: u32, now: Millis) -> bool {
-        seen_s.saturating_add(self.limits.life_s) < seconds(now)
+        seen_s.saturating_add(self.limits.ttl_s) < seconds(now)
     }
 
     /// Whether a version is newer than this process's own: its placements are not for this process to judge. One that
@@ -287,8 +289,11 @@
         let entry = &self.entries[id as usize];
         Placement {
             key: Key(entry.key),
-            group: self.spots.group(entry.spot()).map(Group),
-            server: self.names.get(self.spots.life(entry.spot())).tag,
+            group: self.group_counts.group(entry.group_count()).map(Group),
+            server: self
+                .names
+                .get(self.group_counts.life(entry.group_count()))
+                .tag,
             encode_version: self.version_of(entry),
             stamp: Stamp(entry.stamp),
             seen_s: entry.seen_s,
@@ -300,14 +305,14 @@
     /// The placement of this connection, if it stands.
     fn own(&self, key: Key, stamp: Stamp) -> Option<Placement> {
         self.get(key)
-            .filter(|known| known.stamp == stamp && known.state == State::Standing)
+            .filter(|known| known.stamp == stamp && known.state == State::Established)
     }
 
-    fn take_in(&mut self, told: &Placement) -> Heard {
+    fn take_in(&mut self, told: &Placement) -> MergeOutcome {
         let Some(id) = self.find(told.key) else {
             return self
                 .insert(told)
-                .map_or_else(Heard::Refused, |()| Heard::New);
+                .map_or_else(MergeOutcome::Refused, |()| MergeOutcome::New);
         };
         let known = self.entries[id as usize].stamp;
         let says_more = match told.stamp.0 == known {
@@ -321,10 +326,10 @@
             false => told.stamp.0 > known,
         };
         if !says_more {
-            return Heard::Known;
+            return MergeOutcome::Known;
         }
         self.replace(id, told)
-            .map_or_else(Heard::Refused, |()| Heard::Newer)
+            .map_or_else(MergeOutcome::Refused, |()| MergeOutcome::Newer)
     }
 
     /// Spot and version of a placement, one use more of each.
@@ -333,25 +338,27 @@
             .digests
             .take(told.encode_version)
             .ok_or(Refused::NoRoom)?;
-        let Some(life) = self.names.life_at(told.server, told.since()) else {
+        let Some(life) = self.names.incarnation_at(told.server, told.since()) else {
             self.digests.give_back(version);
             return Err(Refused::NoRoom);
         };
         Ok((
-            self.spots
+            self.group_counts
                 .take(&mut self.names, told.group.map(|group| group.0), life),
             version,
         ))
     }
 
     fn insert(&mut self, told: &Placement) -> Result<(), Refused> {
-        if self.counts.held == self.most {
-            let worth = self.ages.worth(told.state == State::Standing, told.seen_s);
+        if self.counts.entries == self.most {
+            let worth = self
+                .ages
+                .retention_rank(told.state == State::Established, told.seen_s);
             match self.ages.first_to_go() {
                 Some((least, id)) if least <= worth => self.remove(id),
                 _ => return Err(Refused::NoRoom),
             }
-            self.counts.gave_way += 1;
+            self.counts.evicted += 1;
         }
         let (spot, version) = self.numbers(told)?;
         let entry = Entry::new(told, spot, version);
@@ -368,32 +375,35 @@
         };
         self.index.enter(self.hash(told.key.0), id);
         self.ages.enter(&mut self.entries, id);
-        self.counts.held += 1;
-        self.counts.standing += usize::from(entry.is_standing());
+        self.counts.entries += 1;
+        self.counts.established += usize::from(entry.is_established());
         Ok(())
     }
 
     /// The numbers that an entry has already, if the placement has the same, or those of [`Memory::numbers`].
     fn numbers_after(&mut self, old: &Entry, told: &Placement) -> Result<(u32, u16), Refused> {
         let is_same = told.encode_version == self.version_of(old)
-            && told.group.map(|group| group.0) == self.spots.group(old.spot())
-            && self
-                .names
-                .is_life(self.spots.life(old.spot()), told.server, told.since());
+            && told.group.map(|group| group.0) == self.group_counts.group(old.group_count())
+            && self.names.is_incarnation(
+                self.group_counts.life(old.group_count()),
+                told.server,
+                told.since(),
+            );
         if !is_same {
             let numbers = self.numbers(told)?;
-            self.spots.give_back(&mut self.names, old.spot());
+            self.group_counts
+                .give_back(&mut self.names, old.group_count());
             self.digests.give_back(old.version());
             return Ok(numbers);
         }
-        Ok((old.spot(), old.version()))
+        Ok((old.group_count(), old.version()))
     }
 
     fn replace(&mut self, id: u32, told: &Placement) -> Result<(), Refused> {
         let old = self.entries[id as usize];
         let (spot, version) = self.numbers_after(&old, told)?;
         let mut entry = Entry::new(told, spot, version);
-        let worth = |one: &Entry| self.ages.worth(one.is_standing(), one.seen_s);
+        let worth = |one: &Entry| self.ages.retention_rank(one.is_established(), one.seen_s);
         if worth(&old) == worth(&entry) {
             entry.set_before(old.before());
             entry.set_after(old.after());
@@ -403,8 +413,8 @@
             self.entries[id as usize] = entry;
             self.ages.enter(&mut self.entries, id);
         }
-        self.counts.standing += usize::from(entry.is_standing());
-        self.counts.standing -= usize::from(old.is_standing());
+        self.counts.established += usize::from(entry.is_established());
+        self.counts.established -= usize::from(old.is_established());
         Ok(())
     }
 
@@ -419,9 +429,10 @@
         none.set_before(self.free);
         self.entries[id as usize] = none;
         self.free = id;
-        self.counts.held -= 1;
-        self.counts.standing -= usize::from(old.is_standing());
-        self.spots.give_back(&mut self.names, old.spot());
+        self.counts.entries -= 1;
+        self.counts.established -= usize::from(old.is_established());
+        self.group_counts
+            .give_back(&mut self.names, old.group_count());
         self.digests.give_back(old.version());
     }
 
--- a/crates/affinity/src/names.rs
+++ b/crates/affinity/src/names.rs
@@ -10,7 +10,7 @@
 
 /// A server in one of its lives.
 #[derive(Clone, Debug)]
-pub(crate) struct Life {
+pub(crate) struct ServerIncarnation {
     pub(crate) tag: Tag,
     /// When it started, as far as is known.
     pub(crate) from: Millis,
@@ -24,7 +24,7 @@
 /// The servers that placements name.
 #[derive(Default)]
 pub(crate) struct Names {
-    lives: Vec<Life>,
+    incarnations: Vec<ServerIncarnation>,
     free: Vec<u16>,
     /// Each server's present life, and the one before it.
     live: FxHashMap<Tag, u16>,
@@ -34,12 +34,12 @@
 }
 
 impl Names {
-    pub(crate) fn get(&self, life: u16) -> &Life {
-        &self.lives[usize::from(life)]
+    pub(crate) fn get(&self, life: u16) -> &ServerIncarnation {
+        &self.incarnations[usize::from(life)]
     }
 
     pub(crate) fn set_loose(&mut self, life: u16, spot: u32) {
-        self.lives[usize::from(life)].loose = spot;
+        self.incarnations[usize::from(life)].loose = spot;
     }
 
     /// What a server is called now.
@@ -60,7 +60,7 @@
     }
 
     /// The life that a placement of this moment belongs to.
-    pub(crate) fn life_at(&mut self, tag: Tag, at: Millis) -> Option<u16> {
+    pub(crate) fn incarnation_at(&mut self, tag: Tag, at: Millis) -> Option<u16> {
         let tag = self.now(tag);
         match self.live.get(&tag) {
             Some(life) if at >= self.get(*life).from => Some(*life),
@@ -73,13 +73,13 @@
     }
 
     /// Whether a placement of this moment belongs to this life.
-    pub(crate) fn is_life(&self, life: u16, tag: Tag, at: Millis) -> bool {
+    pub(crate) fn is_incarnation(&self, life: u16, tag: Tag, at: Millis) -> bool {
         let one = self.get(life);
         one.tag == self.now(tag) && !one.is_over && at >= one.from
     }
 
     fn begin(&mut self, tag: Tag, from: Millis, is_over: bool) -> Option<u16> {
-        let life = Life {
+        let life = ServerIncarnation {
             tag,
             from,
             is_over,
@@ -88,15 +88,15 @@
         };
         let number = match self.free.pop() {
             Some(number) => number,
-            None => match u16::try_from(self.lives.len()) {
+            None => match u16::try_from(self.incarnations.len()) {
                 Ok(number) => {
-                    self.lives.push(life.clone());
+                    self.incarnations.push(life.clone());
                     number
                 }
                 Err(_) => self.reclaim()?,
             },
         };
-        self.lives[usize::from(number)] = life;
+        self.incarnations[usize::from(number)] = life;
         let map = if is_over {
             &mut self.over
         } else {
@@ -109,10 +109,10 @@
     /// A life that is kept for its start alone.
     fn reclaim(&mut self) -> Option<u16> {
         let idle = self
-            .lives
+            .incarnations
             .iter()
             .position(|life| life.uses == 0 && !life.is_over)?;
-        self.live.remove(&self.lives[idle].tag);
+        self.live.remove(&self.incarnations[idle].tag);
         u16::try_from(idle).ok()
     }
 
@@ -123,7 +123,7 @@
             self.begin(tag, at, false);
             return;
         };
-        let one = &mut self.lives[usize::from(life)];
+        let one = &mut self.incarnations[usize::from(life)];
         if one.from >= at {
             return;
         }
@@ -149,7 +149,7 @@
             .filter(|to| **to == old)
             .for_each(|to| *to = new);
         self.renamed.insert(old, new);
-        self.lives
+        self.incarnations
             .iter_mut()
             .filter(|life| life.tag == old)
             .for_each(|life| life.tag = new);
@@ -161,11 +161,11 @@
     }
 
     pub(crate) fn take(&mut self, life: u16) {
-        self.lives[usize::from(life)].uses += 1;
+        self.incarnations[usize::from(life)].uses += 1;
     }
 
     pub(crate) fn give_back(&mut self, life: u16) {
-        let one = &mut self.lives[usize::from(life)];
+        let one = &mut self.incarnations[usize::from(life)];
         one.uses -= 1;
         // The start of a server that is in use again and again is worth knowing.
         if one.uses > 0 || !one.is_over && one.from > 0 {
@@ -186,7 +186,7 @@
     }
 
     pub(crate) fn bytes(&self) -> usize {
-        self.lives.capacity() * size_of::<Life>()
+        self.incarnations.capacity() * size_of::<ServerIncarnation>()
             + (self.live.capacity() + self.over.capacity()) * 12
     }
 }
--- a/crates/affinity/src/placement.rs
+++ b/crates/affinity/src/placement.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// The client's connection stands.
-    Standing,
+    Established,
     /// It ended.
     Ended(How),
 }
@@ -72,7 +72,7 @@
     /// Its number in messages and on the disk.
     pub fn byte(self) -> u8 {
         match self {
-            State::Standing => 0,
+            State::Established => 0,
             State::Ended(how) => how as u8,
         }
     }
@@ -91,7 +91,7 @@
         let how = usize::from(byte)
             .checked_sub(1)
             .and_then(|at| ended.get(at));
-        how.map_or(State::Standing, |how| State::Ended(*how))
+        how.map_or(State::Established, |how| State::Ended(*how))
     }
 }
 
@@ -155,7 +155,7 @@
 
 /// What became of a placement that was heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum MergeOutcome {
     /// Its client was not known.
     New,
     /// It says more than what was known.
--- a/crates/affinity/src/redeal.rs
+++ b/crates/affinity/src/rebalancing.rs
@@ -6,12 +6,12 @@
 use crate::{Group, Key, Millis, mix};
 
 /// What was not used lapses after so long, in milliseconds.
-const LAPSES: Millis = 1_000;
+const MAX_ACCRUAL: Millis = 1_000;
 
 /// Those that wait to be dealt anew, and this process's part of the fleet's allowance. A part of less than one is odds.
 /// Guards against hundreds of processes that each round up.
 #[derive(Clone, Debug)]
-pub struct ReDeal {
+pub struct Rebalancer {
     per_s: f64,
     processes: u32,
     asked: Option<Millis>,
@@ -19,15 +19,15 @@
     draws: u64,
 }
 
-impl ReDeal {
+impl Rebalancer {
     /// So many a second over so many processes; each process has a seed of its own.
-    pub fn new(per_s: f64, processes: u32, seed: u64) -> ReDeal {
+    pub fn new(per_s: f64, processes: u32, seed: u64) -> Rebalancer {
         let per_s = if per_s.is_finite() {
             per_s.max(0.0)
         } else {
             0.0
         };
-        ReDeal {
+        Rebalancer {
             per_s,
             processes: processes.max(1),
             asked: None,
@@ -54,8 +54,10 @@
     }
 
     /// Those to be moved now. Whoever ended meanwhile is passed over by the caller.
-    pub fn due(&mut self, now: Millis) -> Vec<Key> {
-        let waited = now.saturating_sub(self.asked.unwrap_or(now)).min(LAPSES);
+    pub fn take_permitted(&mut self, now: Millis) -> Vec<Key> {
+        let waited = now
+            .saturating_sub(self.asked.unwrap_or(now))
+            .min(MAX_ACCRUAL);
         self.asked = Some(now.max(self.asked.unwrap_or(now)));
         let part = self.per_s / f64::from(self.processes) * waited as f64 / 1_000.0;
         self.draws = mix(self.draws);
--- a/crates/affinity/src/routing.rs
+++ b/crates/affinity/src/routing.rs
@@ -29,11 +29,11 @@
     /// Its name.
     pub name: String,
     /// Wanted time to a standing connection, in milliseconds.
-    pub aim_ms: u64,
+    pub latency_objective_ms: u64,
     /// Whole time that a client waits, in milliseconds.
     pub deadline_ms: u64,
     /// What one is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// What a configuration says of routing.
@@ -108,9 +108,9 @@
         let class = |one: &Class| {
             vec![
                 text(&one.name),
-                whole(one.aim_ms),
+                whole(one.latency_objective_ms),
                 whole(one.deadline_ms),
-                number(one.worth),
+                number(one.priority_weight),
             ]
         };
         all.section("classes", self.classes.iter().map(class));
@@ -132,7 +132,11 @@
             .chain(twice(self.classes.iter().map(|one| one.name.as_str())));
         let mut faults: BTreeSet<Fault> = twice.map(Fault::Twice).collect();
         let weights = self.servers.iter().map(|one| (&one.name, one.weight));
-        let numbers = weights.chain(self.classes.iter().map(|one| (&one.name, one.worth)));
+        let numbers = weights.chain(
+            self.classes
+                .iter()
+                .map(|one| (&one.name, one.priority_weight)),
+        );
         let bad = numbers.filter(|(_, value)| !value.is_finite() || *value < 0.0);
         faults.extend(bad.map(|(name, _)| Fault::NoNumber(name.clone())));
         faults.extend(twice_was(was()).map(Fault::WasTwice));
--- a/crates/affinity/src/versions.rs
+++ b/crates/affinity/src/versions.rs
@@ -13,7 +13,7 @@
 
 /// A version that nobody ran for so long is over, in milliseconds. Guards against placements of a version that was taken
 /// back by restarts, and that nobody's rules would judge.
-const RUNS_HOLDS: Millis = 300_000;
+const IDLE_TIMEOUT: Millis = 300_000;
 /// Versions remembered at most; those that ran longest ago give way.
 const MOST: usize = 256;
 
@@ -45,7 +45,7 @@
 
 impl VersionFact {
     fn rank(&self, now: Millis) -> impl Ord {
-        let is_run = now <= self.runs.saturating_add(RUNS_HOLDS);
+        let is_run = now <= self.runs.saturating_add(IDLE_TIMEOUT);
         (is_run, self.reign, self.serial, self.since, self.version)
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// What a peer tells of a version; whether it was news. What is dated far ahead is not believed.
-    pub fn heard(&mut self, told: &VersionFact, now: Millis) -> bool {
+    pub fn merge(&mut self, told: &VersionFact, now: Millis) -> bool {
         if told.since.max(told.runs) > now.saturating_add(AHEAD)
             || told.reign > self.last_reign() + u32::from(u16::MAX)
         {
--- a/crates/affinity/tests/memory.rs
+++ b/crates/affinity/tests/memory.rs
@@ -12,7 +12,7 @@
 
 fn state(at: usize) -> State {
     [
-        State::Standing,
+        State::Established,
         State::Ended(How::Broke),
         State::Ended(How::MovedLeaving),
     ][at % 3]
@@ -74,20 +74,20 @@
         let now = T0 + 250_000;
         let (mut one, mut two, mut three) = (memory(1), memory(2), memory(3));
         for fact in &facts {
-            one.heard(fact, now);
+            one.merge(fact, now);
         }
         let at = if facts.is_empty() { 0 } else { turn.index(facts.len()) };
         for fact in facts[at..].iter().chain(facts.iter().rev()) {
-            two.heard(fact, now);
+            two.merge(fact, now);
         }
-        two.heard_all(&facts, now);
-        three.heard_all(&all(&two)[..all(&two).len() / 2], now);
-        three.heard_all(&all(&one), now);
+        two.merge_all(&facts, now);
+        three.merge_all(&all(&two)[..all(&two).len() / 2], now);
+        three.merge_all(&all(&one), now);
         let expected = merged(facts.iter());
         for memory in [&one, &two, &three] {
             prop_assert_eq!(&all(memory), &expected);
-            let standing = expected.iter().filter(|one| one.state == State::Standing).count();
-            prop_assert_eq!((memory.counts().held, memory.counts().standing), (expected.len(), standing));
+            let standing = expected.iter().filter(|one| one.state == State::Established).count();
+            prop_assert_eq!((memory.counts().entries, memory.counts().established), (expected.len(), standing));
             for group in 1..3 {
                 let of = |name: &&str| expected.iter()
                     .filter(|one| one.group == Some(Group(group)) && one.server == tag(name)).count();
@@ -102,9 +102,9 @@
     /// Small bounds, deaths and restarts: what is held is what the model holds.
     #[test]
     fn what_gives_way_is_what_ended_longest_ago(facts in placements(40, 120), restart in 0..40_u64) {
-        let mut memory = Memory::new(Limits { life_s: 150, ..limits(8) }, 1, 9);
+        let mut memory = Memory::new(Limits { ttl_s: 150, ..limits(8) }, 1, 9);
         let mut model: BTreeMap<Key, Placement> = BTreeMap::new();
-        let worth = |one: &Placement| (one.state == State::Standing, one.seen_s);
+        let worth = |one: &Placement| (one.state == State::Established, one.seen_s);
         for (at, fact) in facts.iter().enumerate() {
             // The clock goes on; whatever is past its life goes first.
             let now = T0 + at as Millis * 3_000;
@@ -113,37 +113,37 @@
             if at == 20 {
                 memory.restarted(tag("a"), T0 + restart);
             }
-            let heard = memory.heard(fact, now);
+            let heard = memory.merge(fact, now);
             let known = model.get(&fact.key).copied();
             let least = model.values().map(worth).min();
             let expected = if fact.seen_s + 150 < (now / 1_000) as u32 {
-                Heard::Refused(Refused::Expired)
+                MergeOutcome::Refused(Refused::Expired)
             } else if u64::from(fact.seen_s) * 1_000 > now + 60_000 {
-                Heard::Refused(Refused::Ahead)
+                MergeOutcome::Refused(Refused::Ahead)
             } else if known.is_some_and(|known| fact.order(&known).is_le()) {
-                Heard::Known
+                MergeOutcome::Known
             } else if known.is_some() {
-                Heard::Newer
+                MergeOutcome::Newer
             } else if model.len() == 8 && least > Some(worth(fact)) {
-                Heard::Refused(Refused::NoRoom)
+                MergeOutcome::Refused(Refused::NoRoom)
             } else {
-                Heard::New
+                MergeOutcome::New
             };
             prop_assert_eq!(heard, expected);
-            if heard == Heard::New && model.len() == 8 {
+            if heard == MergeOutcome::New && model.len() == 8 {
                 // Of those of one age any may have gone.
                 let gone: Vec<Key> = model.keys().copied().filter(|key| memory.get(*key).is_none()).collect();
                 prop_assert_eq!(gone.len(), 1);
                 prop_assert_eq!(model.remove(&gone[0]).as_ref().map(worth), least);
             }
-            if matches!(heard, Heard::New | Heard::Newer) {
+            if matches!(heard, MergeOutcome::New | MergeOutcome::Newer) {
                 model.insert(fact.key, *fact);
             }
             prop_assert_eq!(all(&memory), model.values().copied().collect::<Vec<_>>());
         }
         // All leave: nothing is counted any more.
         memory.expire(T0 + 10_000_000, usize::MAX);
-        prop_assert_eq!((memory.counts().held, memory.counts().standing), (0, 0));
+        prop_assert_eq!((memory.counts().entries, memory.counts().established), (0, 0));
         for group in 1..3 {
             prop_assert_eq!(memory.place(&client(99, Some(group)), &Farm::of(&SERVERS), T0 + 10_000_000), None);
         }
@@ -162,7 +162,7 @@
             for key in 0..count as u64 {
                 let of = client(key, Some(key / group_of));
                 memory
-                    .stood(&of, Tag(key / 3 % 1_000), T0 + key / 2)
+                    .established(&of, Tag(key / 3 % 1_000), T0 + key / 2)
                     .expect("room");
             }
             held = Some(memory);
@@ -173,7 +173,7 @@
             "groups of {group_of}: {each:.1} bytes a placement, {:.1} at the peak",
             taken.bytes_max as f64 / count as f64
         );
-        assert_eq!(memory.counts().held, count);
+        assert_eq!(memory.counts().entries, count);
         assert!(each <= 64.0, "{each}");
         assert!(memory.bytes() as i64 <= taken.bytes_current + 4_096);
     }
@@ -192,7 +192,7 @@
             entries: 0,
             bytes: 63,
         },
-        life_s: 0,
+        ttl_s: 0,
         away_s: 1,
         home_most: 0,
     };
@@ -202,45 +202,47 @@
         for key in 0..1_000 {
             let one = client(key << 54, Some(key << 54));
             memory
-                .stood(&one, tag("a"), T0 + round * 1_000)
+                .established(&one, tag("a"), T0 + round * 1_000)
                 .expect("room");
         }
     }
     assert_eq!(
         memory.counts(),
         Counts {
-            held: 1_000,
-            standing: 1_000,
+            entries: 1_000,
+            established: 1_000,
             ..Counts::default()
         }
     );
     // Those that stand do not make way for what has ended, but for those that are seen later.
     let mut peer = support::memory(2);
     let stood = peer
-        .stood(&client(5_000, None), tag("a"), T0 + 9_000)
+        .established(&client(5_000, None), tag("a"), T0 + 9_000)
         .expect("room");
     let ended = peer
         .ended(Key(5_000), stood.stamp, How::Left, T0 + 9_000)
         .expect("it stood");
     assert_eq!(
-        memory.heard(&ended, T0 + 9_000),
-        Heard::Refused(Refused::NoRoom)
+        memory.merge(&ended, T0 + 9_000),
+        MergeOutcome::Refused(Refused::NoRoom)
     );
-    assert_eq!(memory.heard(&stood, T0 + 9_000), Heard::New);
-    assert_eq!(memory.counts().gave_way, 1);
+    assert_eq!(memory.merge(&stood, T0 + 9_000), MergeOutcome::New);
+    assert_eq!(memory.counts().evicted, 1);
 }
 
 #[test]
 fn what_stands_lives_on_as_long_as_it_is_seen() {
     let mut memory = memory(1);
     let stamp = memory
-        .stood(&client(1, None), tag("a"), T0)
+        .established(&client(1, None), tag("a"), T0)
         .expect("room")
         .stamp;
-    memory.stood(&client(2, None), tag("a"), T0).expect("room");
+    memory
+        .established(&client(2, None), tag("a"), T0)
+        .expect("room");
     let hour = 3_600_000;
     memory
-        .stands(Key(1), stamp, T0 + hour / 2)
+        .refresh(Key(1), stamp, T0 + hour / 2)
         .expect("it stands");
     let farm = Farm::of(&["a"]);
     let later = T0 + hour + 5_000;
@@ -255,5 +257,8 @@
         stamp: Stamp((later + 61_000) << 20),
         ..memory.get(Key(1)).expect("held")
     };
-    assert_eq!(memory.heard(&far, later), Heard::Refused(Refused::Ahead));
+    assert_eq!(
+        memory.merge(&far, later),
+        MergeOutcome::Refused(Refused::Ahead)
+    );
 }
--- a/crates/affinity/tests/place.rs
+++ b/crates/affinity/tests/place.rs
@@ -14,7 +14,7 @@
 fn stood_on_a() -> (Memory, Stamp) {
     let mut memory = memory(1);
     let stamp = memory
-        .stood(&client(ONE, None), tag("a"), T0)
+        .established(&client(ONE, None), tag("a"), T0)
         .expect("room")
         .stamp;
     (memory, stamp)
@@ -48,19 +48,25 @@
 #[test]
 fn nobody_is_led_where_they_may_not_be() {
     let (memory, _) = stood_on_a();
-    let cases: [(Holds, Change); 4] = [
-        (Holds::NotListed, |farm| {
+    let cases: [(PlacementValidity, Change); 4] = [
+        (PlacementValidity::NotListed, |farm| {
             farm.servers.retain(|server, _| *server != tag("a"))
         }),
-        (Holds::NotReady, |farm| farm.at("a").is_ready = false),
-        (Holds::Void, |farm| farm.at("a").started_at = T0 + 1),
-        (Holds::NotPermitted, |farm| farm.barred = [tag("a")].into()),
+        (PlacementValidity::NotReady, |farm| {
+            farm.at("a").is_ready = false
+        }),
+        (PlacementValidity::Void, |farm| {
+            farm.at("a").started_at = T0 + 1
+        }),
+        (PlacementValidity::NotPermitted, |farm| {
+            farm.barred = [tag("a")].into()
+        }),
     ];
     for (holds, change) in cases {
         let mut farm = Farm::of(&["a", "b"]);
         change(&mut farm);
         assert_eq!(
-            memory.holds(&client(ONE, None), &farm, T0 + 20),
+            memory.validity(&client(ONE, None), &farm, T0 + 20),
             Some(holds)
         );
         assert_eq!(memory.place(&client(ONE, None), &farm, T0 + 20), None);
@@ -77,8 +83,8 @@
     // This process has not heard that it leaves, nor does it for an hour.
     for later in [600, 60_000, 3_500_000] {
         assert_eq!(
-            memory.holds(&client(ONE, None), &farm, T0 + later),
-            Some(Holds::MovedOff)
+            memory.validity(&client(ONE, None), &farm, T0 + later),
+            Some(PlacementValidity::MovedOff)
         );
     }
     farm.at("a").ready_since = T0 + 5_000;
@@ -93,9 +99,12 @@
     for how in [How::MovedLate, How::MovedUneven] {
         let mut memory = memory(1);
         let mate = |key| client(key, Some(7));
-        let stamp = memory.stood(&mate(ONE), tag("a"), T0).expect("room").stamp;
-        memory.stood(&mate(2), tag("a"), T0).expect("room");
-        memory.stood(&mate(3), tag("b"), T0).expect("room");
+        let stamp = memory
+            .established(&mate(ONE), tag("a"), T0)
+            .expect("room")
+            .stamp;
+        memory.established(&mate(2), tag("a"), T0).expect("room");
+        memory.established(&mate(3), tag("b"), T0).expect("room");
         memory
             .ended(Key(ONE), stamp, how, T0 + 500)
             .expect("it stood");
@@ -119,7 +128,7 @@
     for (server, count) in homes {
         for _ in 0..count {
             memory
-                .stood(&client(key, Some(7)), tag(server), T0)
+                .established(&client(key, Some(7)), tag(server), T0)
                 .expect("room");
             key += 1;
         }
@@ -151,7 +160,7 @@
     assert_eq!(home(&memory, &farm), Some((tag("c"), Why::GroupHome)));
     for key in 30..33 {
         memory
-            .stood(&client(key, Some(7)), tag("a"), T0 + 60)
+            .established(&client(key, Some(7)), tag("a"), T0 + 60)
             .expect("room");
     }
     assert_eq!(home(&memory, &farm), Some((tag("a"), Why::GroupHome)));
@@ -169,7 +178,7 @@
         let mut memory = Memory::new(full, 1, 9);
         for at in order {
             memory
-                .stood(&client(at as u64, Some(7)), tag(names[at]), T0)
+                .established(&client(at as u64, Some(7)), tag(names[at]), T0)
                 .expect("room");
         }
         homes.push(advised(
@@ -180,7 +189,7 @@
         ));
         for at in order {
             memory
-                .stood(&client(20 + at as u64, Some(7)), tag(names[at]), T0)
+                .established(&client(20 + at as u64, Some(7)), tag(names[at]), T0)
                 .expect("room");
         }
         assert_eq!(
@@ -198,44 +207,48 @@
     let (mut old_farm, mut new_farm) = (Farm::of(&["a", "b"]), Farm::of(&["a", "b"]));
     old_farm.barred.insert(tag("b"));
     new_farm.barred.insert(tag("a"));
-    let first = old.stood(&client(ONE, None), tag("a"), T0).expect("room");
+    let first = old
+        .established(&client(ONE, None), tag("a"), T0)
+        .expect("room");
     new.adopt(Version(2), 0, T0 + 100);
-    new.heard(&first, T0 + 100);
+    new.merge(&first, T0 + 100);
     for fact in old.versions().facts().copied().collect::<Vec<_>>() {
-        new.heard_version(&fact, T0 + 100);
+        new.merge_version(&fact, T0 + 100);
     }
     assert_eq!(
-        new.holds(&client(ONE, None), &new_farm, T0 + 100),
-        Some(Holds::NotPermitted)
+        new.validity(&client(ONE, None), &new_farm, T0 + 100),
+        Some(PlacementValidity::NotPermitted)
     );
     let dealt = new
-        .stood(&client(ONE, None), tag("b"), T0 + 110)
+        .established(&client(ONE, None), tag("b"), T0 + 110)
         .expect("room");
-    old.heard(&dealt, T0 + 120);
+    old.merge(&dealt, T0 + 120);
     // Before the old process has heard of the version, and after; and after the client has stood through it.
     assert_eq!(
         advised(&old, &client(ONE, None), &old_farm, T0 + 130),
         Some((tag("b"), Why::SameServer))
     );
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
-        old.heard_version(&fact, T0 + 130);
+        old.merge_version(&fact, T0 + 130);
     }
     for now in [T0 + 140, T0 + 5_000] {
         assert_eq!(
             advised(&old, &client(ONE, None), &old_farm, now),
             Some((tag("b"), Why::SameServer))
         );
-        let stood = old.stood(&client(ONE, None), tag("b"), now).expect("room");
+        let stood = old
+            .established(&client(ONE, None), tag("b"), now)
+            .expect("room");
         assert_eq!(stood.encode_version, Version(2));
     }
     // It is taken back: the old version's rules hold again.
     assert_eq!(new.adopt(Version(1), 0, T0 + 9_000), Adopted::Rollback);
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
-        old.heard_version(&fact, T0 + 9_000);
+        old.merge_version(&fact, T0 + 9_000);
     }
     assert_eq!(
-        old.holds(&client(ONE, None), &old_farm, T0 + 9_100),
-        Some(Holds::NotPermitted)
+        old.validity(&client(ONE, None), &old_farm, T0 + 9_100),
+        Some(PlacementValidity::NotPermitted)
     );
 }
 
@@ -243,7 +256,7 @@
 fn placements_follow_a_server_that_is_renamed_also_in_a_process_that_lists_the_old_name() {
     let (mut memory, _) = stood_on_a();
     memory
-        .stood(&client(2, Some(7)), tag("a"), T0)
+        .established(&client(2, Some(7)), tag("a"), T0)
         .expect("room");
     memory.renamed(tag("a"), tag("z"));
     let (old, new) = (Farm::of(&["a", "b"]), Farm::of(&["z", "b"]));
@@ -260,10 +273,10 @@
     // A peer that has yet to hear of it tells the old name; a second new name is followed too.
     let mut peer = support::memory(2);
     let told = peer
-        .stood(&client(4, None), tag("a"), T0 + 5)
+        .established(&client(4, None), tag("a"), T0 + 5)
         .expect("room");
     memory.renamed(tag("z"), tag("zz"));
-    assert_eq!(memory.heard(&told, T0 + 10), Heard::New);
+    assert_eq!(memory.merge(&told, T0 + 10), MergeOutcome::New);
     for key in [ONE, 4] {
         assert_eq!(
             memory.get(Key(key)).map(|placement| placement.server),
@@ -283,18 +296,18 @@
     let (mut memory, first) = stood_on_a();
     let mut peer = support::memory(2);
     // The peer's clock is a second slow; it has heard of the first connection, so that its own is later all the same.
-    peer.heard(&memory.get(Key(ONE)).expect("known"), T0);
+    peer.merge(&memory.get(Key(ONE)).expect("known"), T0);
     let second = peer
-        .stood(&client(ONE, None), tag("b"), T0 - 1_000)
+        .established(&client(ONE, None), tag("b"), T0 - 1_000)
         .expect("room");
-    assert_eq!(memory.heard(&second, T0 + 10), Heard::Newer);
+    assert_eq!(memory.merge(&second, T0 + 10), MergeOutcome::Newer);
     assert_eq!(
         memory.ended(Key(ONE), first, How::MovedLeaving, T0 + 20),
         None
     );
     assert_eq!(
         memory.get(Key(ONE)).map(|now| (now.server, now.state)),
-        Some((tag("b"), State::Standing))
+        Some((tag("b"), State::Established))
     );
 }
 
@@ -308,27 +321,33 @@
         let advice = memories[at as usize % 2].place(&one, &two, now);
         led += u32::from(advice.is_some());
         let fact = memories[at as usize % 2]
-            .stood(&one, tag("a"), now)
+            .established(&one, tag("a"), now)
             .expect("room");
-        memories[1 - at as usize % 2].heard(&fact, now);
+        memories[1 - at as usize % 2].merge(&fact, now);
     }
     assert_eq!(led, 5);
     // Whoever of them ends last is led back; and all are, one by one, when the process that they stood through died.
     assert_eq!(
-        memories[0].holds(&one, &two, T0 + 10_000),
-        Some(Holds::Shared)
+        memories[0].validity(&one, &two, T0 + 10_000),
+        Some(PlacementValidity::Shared)
     );
     memories[0].balancer_died(2);
-    assert_eq!(memories[0].holds(&one, &two, T0 + 10_000), Some(Holds::Yes));
+    assert_eq!(
+        memories[0].validity(&one, &two, T0 + 10_000),
+        Some(PlacementValidity::Yes)
+    );
     let fact = memories[0]
-        .stood(&one, tag("a"), T0 + 10_010)
+        .established(&one, tag("a"), T0 + 10_010)
         .expect("room");
     assert_eq!(fact.twins, 0);
     let fact = memories[1].get(Key(ONE)).expect("held");
     memories[1]
         .ended(Key(ONE), fact.stamp, How::Broke, T0 + 10_020)
         .expect("it stood");
-    assert_eq!(memories[1].holds(&one, &two, T0 + 10_030), Some(Holds::Yes));
+    assert_eq!(
+        memories[1].validity(&one, &two, T0 + 10_030),
+        Some(PlacementValidity::Yes)
+    );
 }
 
 #[test]
--- a/crates/affinity/tests/redeal.rs
+++ b/crates/affinity/tests/redeal.rs
@@ -7,7 +7,7 @@
 fn moved(processes: u32, per_s: f64, span_s: u64, seed: u64) -> u64 {
     let mut moved = 0;
     for rank in 0..processes {
-        let mut one = ReDeal::new(per_s, processes, seed ^ u64::from(rank) << 20);
+        let mut one = Rebalancer::new(per_s, processes, seed ^ u64::from(rank) << 20);
         let clients = if rank < processes.div_ceil(3) {
             5_000
         } else {
@@ -17,7 +17,7 @@
         let step = 37 + u64::from(rank) * 131 % 900;
         let mut now = 1_000_000 + u64::from(rank) * 7;
         while now < 1_000_000 + span_s * 1_000 {
-            moved += one.due(now).len() as u64;
+            moved += one.take_permitted(now).len() as u64;
             now += step;
         }
     }
@@ -49,11 +49,11 @@
 
 #[test]
 fn what_was_not_used_lapses_and_groups_go_together() {
-    let mut one = ReDeal::new(10.0, 1, 3);
+    let mut one = Rebalancer::new(10.0, 1, 3);
     let group = |key: u64| Some(Group(key % 3));
     one.begin((0..90).map(|key| (Key(key), group(key))));
-    assert!(one.due(1_000_000).is_empty(), "nobody at once");
-    let first = one.due(1_000_000 + 3_600_000);
+    assert!(one.take_permitted(1_000_000).is_empty(), "nobody at once");
+    let first = one.take_permitted(1_000_000 + 3_600_000);
     assert_eq!(
         (first.len(), one.left()),
         (10, 80),
@@ -61,9 +61,9 @@
     );
     assert!(first.iter().all(|key| group(key.0) == Some(Group(0))));
     assert!(
-        one.due(1_000_000).is_empty(),
+        one.take_permitted(1_000_000).is_empty(),
         "a clock that goes back gives nothing"
     );
     one.shared_by(1_000_000);
-    assert!(one.due(1_000_000 + 3_601_000).len() <= 1);
+    assert!(one.take_permitted(1_000_000 + 3_601_000).len() <= 1);
 }
--- a/crates/affinity/tests/support/fleet.rs
+++ b/crates/affinity/tests/support/fleet.rs
@@ -96,13 +96,13 @@
     seen: Vec<ServerNow>,
     recent: VecDeque<(Millis, Placement)>,
     cursor: u32,
-    redeal: ReDeal,
+    redeal: Rebalancer,
 }
 
 /// A process's view.
 struct View<'a>(&'a Process);
 
-impl FarmView for View<'_> {
+impl EndpointView for View<'_> {
     fn server(&self, server: Tag) -> Option<ServerNow> {
         (0..SERVERS)
             .find(|id| name(self.0.config, *id) == server)
@@ -156,7 +156,7 @@
     let mut memory = Memory::new(
         Limits {
             bound,
-            life_s: 3_600,
+            ttl_s: 3_600,
             away_s: 60,
             home_most: 8,
         },
@@ -173,7 +173,7 @@
         seen: servers.to_vec(),
         recent: VecDeque::new(),
         cursor: 0,
-        redeal: ReDeal::new(REDEALT_PER_S, PROCESSES as u32, origin),
+        redeal: Rebalancer::new(REDEALT_PER_S, PROCESSES as u32, origin),
     }
 }
 
@@ -255,7 +255,7 @@
             Event::End(..) => {}
             Event::Placement(to, fact) => self.hear(to, &fact),
             Event::Version(to, fact) => {
-                self.processes[to].memory.heard_version(&fact, self.now);
+                self.processes[to].memory.merge_version(&fact, self.now);
             }
             Event::Seen(process, server, now) => self.processes[process].seen[server] = now,
             Event::Serve(process) => self.processes[process].serves = true,
@@ -283,8 +283,8 @@
     fn hear(&mut self, to: usize, fact: &Placement) {
         let process = &mut self.processes[to];
         if matches!(
-            process.memory.heard(fact, self.now),
-            Heard::New | Heard::Newer
+            process.memory.merge(fact, self.now),
+            MergeOutcome::New | MergeOutcome::Newer
         ) {
             process.recent.push_back((self.now, *fact));
         }
@@ -392,7 +392,8 @@
         let view = View(process);
         let moved = |id: &usize| {
             self.clients[*id].process == Some(at)
-                && process.memory.holds(&client(*id), &view, self.now) == Some(Holds::NotPermitted)
+                && process.memory.validity(&client(*id), &view, self.now)
+                    == Some(PlacementValidity::NotPermitted)
         };
         let moved: Vec<_> = (0..CLIENTS)
             .filter(moved)
@@ -426,7 +427,7 @@
 
     fn redeal(&mut self) {
         for at in 0..PROCESSES {
-            for key in self.processes[at].redeal.due(self.now) {
+            for key in self.processes[at].redeal.take_permitted(self.now) {
                 let id = key.0 as usize;
                 if self.clients[id].process == Some(at) {
                     self.moves.push(self.now);
@@ -552,7 +553,7 @@
         let process = &mut self.processes[at];
         let fact = process
             .memory
-            .stood(&client(id), name(process.config, server), self.now)
+            .established(&client(id), name(process.config, server), self.now)
             .expect("room");
         let had = self.clients[id];
         let before = if had.server == Some(server) {
--- a/crates/affinity/tests/support/mod.rs
+++ b/crates/affinity/tests/support/mod.rs
@@ -28,7 +28,7 @@
     };
     Limits {
         bound,
-        life_s: 3_600,
+        ttl_s: 3_600,
         away_s: 60,
         home_most: 1_000,
     }
@@ -66,7 +66,7 @@
     }
 }
 
-impl FarmView for Farm {
+impl EndpointView for Farm {
     fn server(&self, server: Tag) -> Option<ServerNow> {
         self.servers.get(&server).copied()
     }
--- a/crates/affinity/tests/versions.rs
+++ b/crates/affinity/tests/versions.rs
@@ -10,7 +10,7 @@
 
 fn tell(from: &Versions, to: &mut Versions, now: Millis) {
     for fact in from.facts() {
-        to.heard(fact, now);
+        to.merge(fact, now);
     }
 }
 
@@ -48,10 +48,10 @@
         since: T0 + 50,
         runs: T0 + 50,
     };
-    one.heard(&late, T0 + 50);
+    one.merge(&late, T0 + 50);
     assert!(one.is_newer(NEW, OLD, T0 + 60));
     // The old content under a higher number is newer without a rollback.
-    one.heard(&VersionFact { serial: 9, ..late }, T0 + 50);
+    one.merge(&VersionFact { serial: 9, ..late }, T0 + 50);
     assert_eq!(one.adopt(OLD, 9, T0 + 70), Adopted::Newer);
     assert_eq!(Versions::default().adopt(OLD, 1, T0), Adopted::Newer);
 }
@@ -77,7 +77,7 @@
 fn what_nobody_runs_is_over_and_what_is_dated_ahead_is_not_believed() {
     let mut one = Versions::default();
     one.adopt(OLD, 0, T0);
-    one.heard(
+    one.merge(
         &VersionFact {
             version: NEW,
             reign: 0,
@@ -98,7 +98,7 @@
         since: T0 + year,
         runs: T0,
     };
-    assert!(!one.heard(&ahead, T0) && one.get(NEWER).is_none());
+    assert!(!one.merge(&ahead, T0) && one.get(NEWER).is_none());
     let facts = (0..1_000).map(|at| VersionFact {
         version: Version(1_000 + at),
         since: T0,
@@ -106,7 +106,7 @@
         ..ahead
     });
     for fact in facts {
-        one.heard(&fact, T0);
+        one.merge(&fact, T0);
     }
     assert!(one.facts().count() <= 256 && one.get(OLD).is_some());
 }
@@ -129,14 +129,14 @@
     fn facts_in_any_order_and_doubled_come_to_the_same(facts in facts(), turn in any::<prop::sample::Index>()) {
         let (mut one, mut two) = (Versions::default(), Versions::default());
         for fact in &facts {
-            one.heard(fact, T0);
+            one.merge(fact, T0);
         }
         let mut turned = facts.clone();
         if !turned.is_empty() {
             turned.rotate_left(turn.index(facts.len()));
         }
         for fact in turned.iter().rev().chain(&facts) {
-            two.heard(fact, T0);
+            two.merge(fact, T0);
         }
         prop_assert_eq!(one.facts().collect::<Vec<_>>(), two.facts().collect::<Vec<_>>());
     }
@@ -162,8 +162,8 @@
             |to| to.zones.push("west".into()),
             |to| drop(to.tenants[0].1.pop()),
             |to| drop(to.tenants.pop()),
-            |to| to.classes[0].aim_ms += 1,
-            |to| to.classes[0].worth += 1.0,
+            |to| to.classes[0].latency_objective_ms += 1,
+            |to| to.classes[0].priority_weight += 1.0,
             // The same words with the bounds between them elsewhere.
 |to| (to.servers[0].name, to.servers[0].zone) = ("an".into(), "orth".into()),
         ];
@@ -190,9 +190,9 @@
     };
     let class = |name: &str| Class {
         name: name.into(),
-        aim_ms: 800,
+        latency_objective_ms: 800,
         deadline_ms: 4_800,
-        worth: 1.0,
+        priority_weight: 1.0,
     };
     Routing {
         zones: vec!["north".into(), "south".into()],
@@ -259,7 +259,7 @@
         ..Server::default()
     };
     after.tenants[1].1[0] = "d".into();
-    after.classes[0].aim_ms = 5;
+    after.classes[0].latency_objective_ms = 5;
     let said = "servers added: d; servers removed: c; servers renamed: a now x; weights changed: b; \
                 servers in another zone: b; zones gone: south; tenants with other servers: others; \
                 classes changed: telemetry";
--- a/crates/balancer/src/admin/admission.rs
+++ b/crates/balancer/src/admin/admission.rs
@@ -32,7 +32,7 @@
             "entries": limits.all.entries, "bytes": limits.all.bytes,
             "account_entries": limits.account.entries, "account_bytes": limits.account.bytes,
             "queue_entries": limits.queue.entries, "queue_bytes": limits.queue.bytes,
-            "queues": limits.queues, "hand": limits.hand,
+            "queues": limits.queues, "hand": limits.choices,
         },
         "accounts": queue.accounts.iter().map(account).collect::<Vec<Value>>(),
     })
--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use beaconflow_admission::{
-    Counts, Door, Entry, Limits, Miss, OverShare, Quickest, Returning, Tallies, Tally,
+    AccountStatistics, AccountTable, AdmissionQueue, Counts, Entry, Limits, NotAdmitted, Quickest,
+    QuotaExcess, RejectedClients,
 };
 use beaconflow_policy::{self as policy, Nanos, RequestClass, RequestId};
 use beaconflow_settings::{ActiveSettings, digest};
@@ -74,9 +75,9 @@
 
 /// The admission queue with its accounts and counters.
 pub(super) struct AdmissionControl {
-    queue: Door,
-    accounts: Tallies,
-    reconnects: Returning,
+    queue: AdmissionQueue,
+    accounts: AccountTable,
+    reconnects: RejectedClients,
     /// By class.
     fastest_setups: Vec<Quickest>,
     config: AdmissionConfig,
@@ -98,9 +99,9 @@
     ) -> AdmissionControl {
         let settings = in_force.setup().policy_settings();
         AdmissionControl {
-            queue: Door::new(&urgencies(&settings.classes), config.limits, seed),
-            accounts: Tallies::default(),
-            reconnects: Returning::default(),
+            queue: AdmissionQueue::new(&urgencies(&settings.classes), config.limits, seed),
+            accounts: AccountTable::default(),
+            reconnects: RejectedClients::default(),
             fastest_setups: vec![Quickest::default(); settings.classes.len()],
             config,
             in_force,
@@ -144,7 +145,7 @@
         // The expectation is used up even if the client reports the reconnect itself.
         let known = client_request
             .client_key
-            .is_some_and(|key| self.reconnects.comes(now, key));
+            .is_some_and(|key| self.reconnects.take_return(now, key));
         let quickest = self
             .fastest_setups
             .get(client_request.class)
@@ -156,8 +157,8 @@
             class: self.in_force.current_index(client_request.class),
             // A group of ten thousand sites is one flow and fills no more queues than any other.
             flow: client_request.group.unwrap_or(client),
-            give_up_at: give_up_at.saturating_sub(quickest),
-            returns: known || client_request.is_reconnect,
+            deadline: give_up_at.saturating_sub(quickest),
+            is_returning: known || client_request.is_reconnect,
             bytes: u32::try_from(size_of::<RequestState>() + client_request.buffered_bytes)
                 .unwrap_or(u32::MAX),
         }
@@ -186,7 +187,7 @@
         self.accounts.admitted(now, entry.account, waited);
     }
 
-    pub(super) fn count_missed(&mut self, entry: &Entry, how: Miss) {
+    pub(super) fn count_missed(&mut self, entry: &Entry, how: NotAdmitted) {
         self.accounts.missed(entry.account, how);
     }
 
@@ -197,7 +198,7 @@
     }
 
     pub(super) fn expect_reconnect(&mut self, now: Nanos, client: u64) {
-        self.reconnects.told(now, client);
+        self.reconnects.record_rejection(now, client);
     }
 
     /// Applies changed settings of the queue; the number of queues stays.
@@ -225,7 +226,7 @@
             ..entry
         });
         let queue_weights = urgencies(&in_force.setup().policy_settings().classes);
-        let door = Door::new(&queue_weights, self.queue.limits(), self.seed);
+        let door = AdmissionQueue::new(&queue_weights, self.queue.limits(), self.seed);
         let mut before = std::mem::replace(&mut self.queue, door);
         while let Some(waits) = before.admit() {
             if let Some(request_state) = requests.get(waits.id) {
@@ -244,7 +245,7 @@
 
     pub(super) fn snapshot(&self, now: Nanos) -> AdmissionSnapshot {
         let all = self.accounts.all();
-        let row = |(id, tally): &(u64, &Tally)| AccountSnapshot {
+        let row = |(id, tally): &(u64, &AccountStatistics)| AccountSnapshot {
             name: tally.name.clone().into(),
             quota: self.accounts.due(*id),
             admitted_per_s: tally.per_second(now),
@@ -324,18 +325,18 @@
     pub(super) fn log_over_quota(&mut self) {
         let bound = self.admission.config.over_quota_after;
         let bound = Nanos::try_from(bound.as_nanos()).unwrap_or(Nanos::MAX);
-        for OverShare {
+        for QuotaExcess {
             name,
-            part,
-            due,
-            lasts,
+            fraction,
+            entitled_fraction,
+            duration,
         } in self.admission.accounts.over_share(self.clock.now(), bound)
         {
             let (part, due) = (
-                format!("{:.0}%", part * 100.0),
-                format!("{:.0}%", due * 100.0),
+                format!("{:.0}%", fraction * 100.0),
+                format!("{:.0}%", entitled_fraction * 100.0),
             );
-            match lasts {
+            match duration {
                 Some(lasts) => {
                     let for_s = lasts / 1_000_000_000;
                     warn!(part = self.name, account = %name, of_all = part, due, for_s, "account over its quota");
--- a/crates/balancer/src/core/affinity.rs
+++ b/crates/balancer/src/core/affinity.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{
-    Client, FarmView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag, Version,
-    VersionFact,
+    Client, EndpointView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag,
+    Version, VersionFact,
 };
 use beaconflow_policy::{AttemptOutcome, MigrationReason, Pin, ServerId};
 use tracing::{debug, error, info};
@@ -55,7 +55,7 @@
     VersionAdopted(Version, u64),
 }
 
-impl FarmView for EndpointRegistry {
+impl EndpointView for EndpointRegistry {
     fn server(&self, server: Tag) -> Option<ServerNow> {
         self.affinity_target(server.0)
     }
@@ -126,7 +126,7 @@
             return;
         };
         let placed = self.with_affinity(|ties, _, now| {
-            let placed = ties.memory.stood(&client, Tag(tag), now).ok()?;
+            let placed = ties.memory.established(&client, Tag(tag), now).ok()?;
             ties.established.insert(id, (placed.key, placed.stamp));
             Some(placed)
         });
@@ -151,7 +151,9 @@
     fn publish_placement_count(&self) {
         self.publish(|core| {
             let ties = core.fleet.as_ref()?.affinity.as_ref()?;
-            Some(CoreEvent::RememberedPlacements(ties.memory.counts().held))
+            Some(CoreEvent::RememberedPlacements(
+                ties.memory.counts().entries,
+            ))
         });
     }
 
@@ -168,13 +170,13 @@
     pub(super) fn on_affinity_event(&mut self, event: AffinityEvent) {
         match event {
             AffinityEvent::Placements(told) => {
-                self.with_affinity(|ties, _, now| ties.memory.heard_all(&told, now));
+                self.with_affinity(|ties, _, now| ties.memory.merge_all(&told, now));
                 self.publish_placement_count();
             }
             AffinityEvent::Versions(facts) => {
                 self.with_affinity(|ties, _, now| {
                     for fact in &facts {
-                        if ties.memory.heard_version(fact, now) {
+                        if ties.memory.merge_version(fact, now) {
                             info!(part = "affinity", version = %fact.version, serial = fact.serial, "a version is run elsewhere");
                         }
                     }
@@ -208,7 +210,7 @@
             let stands = ties
                 .established
                 .values()
-                .filter_map(|(key, stamp)| ties.memory.stands(*key, *stamp, now));
+                .filter_map(|(key, stamp)| ties.memory.refresh(*key, *stamp, now));
             (stands.collect::<Vec<Placement>>(), ties.refresh_interval)
         });
         let Some((standing, again)) = standing else {
--- a/crates/balancer/src/core/attempts.rs
+++ b/crates/balancer/src/core/attempts.rs
@@ -66,13 +66,10 @@
         };
         debug!(part = self.name, request = id, was_resuming, took = ?Duration::from_nanos(elapsed), "established");
         if was_resuming {
-            let Some(arrival) = self.requests.renumber_attempt(id) else {
+            let Some(request) = self.requests.renumber_attempt(id) else {
                 return;
             };
-            self.run_policy(policy::Event::ConnectionAdopted {
-                request: arrival,
-                server,
-            });
+            self.run_policy(policy::Event::ConnectionAdopted { request, server });
         } else {
             self.admission.record_setup(class, elapsed);
             self.run_policy(policy::Event::AttemptEstablished {
@@ -148,7 +145,7 @@
             counts: self.requests.counts.clone(),
             open_requests: self.requests.len(),
             established: standing.values().sum(),
-            servers: self.endpoints.look(&standing),
+            servers: self.endpoints.snapshots(&standing),
             coverage: self.coverage.clone(),
             queued: self.admission.queued(),
             has_lost_overrides: self.has_lost_overrides,
--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -4,7 +4,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-use beaconflow_admission::Miss;
+use beaconflow_admission::NotAdmitted;
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{self as policy, Action, Nanos};
 use tracing::{debug, error, info};
@@ -123,12 +123,20 @@
     }
 
     /// Removes a request from the admission queue; counts it if it never had an attempt.
-    pub(super) fn close_in_queue(&mut self, request_state: &RequestState, how: Option<Miss>) {
+    pub(super) fn close_in_queue(
+        &mut self,
+        request_state: &RequestState,
+        how: Option<NotAdmitted>,
+    ) {
         self.admission.remove(request_state.entry.id);
         if request_state.has_no_attempt() {
             let late =
                 request_state.has_expired_in_queue || self.clock.now() >= request_state.deadline_at;
-            let how = how.unwrap_or(if late { Miss::GivenUp } else { Miss::Refused });
+            let how = how.unwrap_or(if late {
+                NotAdmitted::TimedOut
+            } else {
+                NotAdmitted::Rejected
+            });
             self.admission.count_missed(&request_state.entry, how);
         }
     }
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use beaconflow_affinity::ServerNow;
-use beaconflow_overrides::{Id, Judgement, Millis, Set, Standing, Strictness, judge};
+use beaconflow_overrides::{Id, Judgement, Millis, ServerAdjustment, Set, Strictness, assess};
 use beaconflow_policy::{Nanos, Pin, ServerEntry, ServerId, ServerState, ZoneId};
 use beaconflow_settings::digest;
 
@@ -204,9 +204,9 @@
             target_weight: None,
             started_at: listed.started_at_ms.saturating_mul(1_000_000),
         };
-        let override_effect = self.standing(&listed.instance_id, now);
+        let override_effect = self.adjustment(&listed.instance_id, now);
         let part = self.assessments.get(&listed.instance_id);
-        if override_effect != Standing::AS_LISTED || part.is_some() {
+        if override_effect != ServerAdjustment::AS_LISTED || part.is_some() {
             self.adjusted.insert(number);
         }
         let told = effective_entry(&entry, override_effect, part);
@@ -259,9 +259,9 @@
     }
 
     /// The effect of overrides on a server. A panic in them must not lose a list.
-    fn standing(&self, name: &str, now: Millis) -> Standing {
+    fn adjustment(&self, name: &str, now: Millis) -> ServerAdjustment {
         let snapshot = AssertUnwindSafe(|| self.overrides.server(name, now));
-        catch_unwind(snapshot).unwrap_or(Standing::AS_LISTED)
+        catch_unwind(snapshot).unwrap_or(ServerAdjustment::AS_LISTED)
     }
 
     /// Evaluates overrides and assessments again; returns the entries that changed.
@@ -276,7 +276,7 @@
             let known = &mut self.servers[id.0 as usize];
             let standing = self.overrides.server(&known.endpoint.name, now);
             let part = self.assessments.get(&*known.endpoint.name);
-            if standing == Standing::AS_LISTED && part.is_none() {
+            if standing == ServerAdjustment::AS_LISTED && part.is_none() {
                 self.adjusted.remove(&id);
             } else {
                 self.adjusted.insert(id);
@@ -335,7 +335,7 @@
             .servers
             .iter()
             .filter(|known| known.listed.state == ServerState::Ready);
-        judge(
+        assess(
             ready.map(|known| (&*known.endpoint.name, known.zone.as_str())),
             &self.overrides,
             now,
@@ -452,7 +452,7 @@
             .all(|known| known.listed.state == ServerState::Removed)
     }
 
-    pub(super) fn look(&self, standing: &BTreeMap<ServerId, usize>) -> Vec<ServerSnapshot> {
+    pub(super) fn snapshots(&self, standing: &BTreeMap<ServerId, usize>) -> Vec<ServerSnapshot> {
         let row = |known: &KnownServer| ServerSnapshot {
             name: known.endpoint.name.to_string(),
             address: known.endpoint.address,
@@ -479,12 +479,12 @@
 /// A listed entry under overrides and site assessment. A missing weight counts as 1.
 fn effective_entry(
     listed: &ServerEntry,
-    standing: Standing,
+    standing: ServerAdjustment,
     site: Option<&SiteAssessment>,
 ) -> ServerEntry {
     let mut told = listed.clone();
     let part = site.map_or(1.0, |site| site.weight_factor);
-    let standing = Standing {
+    let standing = ServerAdjustment {
         factor: standing.factor * part,
         ..standing
     };
--- a/crates/balancer/src/core/fleet_link.rs
+++ b/crates/balancer/src/core/fleet_link.rs
@@ -205,7 +205,7 @@
             .fleet
             .as_mut()
             .is_some_and(|fleet_link| fleet_link.awaiting_admission.remove(&id));
-        if let Some(arrival) = self.requests.arrival(id).filter(|_| waited) {
+        if let Some(arrival) = self.requests.connect_request(id).filter(|_| waited) {
             self.run_policy(policy::Event::ConnectRequested(arrival));
         }
     }
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -29,7 +29,7 @@
 use std::sync::atomic::AtomicUsize;
 use std::time::{Duration, Instant};
 
-use beaconflow_admission::Miss;
+use beaconflow_admission::NotAdmitted;
 use beaconflow_overrides::{Id, Judgement, Pace};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{self as policy, Action, Nanos, RequestId, ServerId, Settings, TimerId};
@@ -212,7 +212,7 @@
             CoreInput::ClientLeft(id) | CoreInput::ConnectionPanicked(id) => {
                 if let Some(request_state) = self.requests.close(id) {
                     self.requests.counts.left += 1;
-                    self.close_in_queue(&request_state, Some(Miss::Left));
+                    self.close_in_queue(&request_state, Some(NotAdmitted::ClientLeft));
                     self.run_policy(policy::Event::ClientLeft(RequestId(id)));
                 }
             }
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -185,7 +185,7 @@
         let (mut wait, mut moved) = (MAX_MIGRATION_INTERVAL, Vec::new());
         for (server, (_, pace)) in &mut self.emptied_servers {
             let there: Vec<u64> = self.requests.migratable_at(*server).collect();
-            let due = pace.due(now, there.len());
+            let due = pace.permitted(now, there.len());
             moved.extend(there.into_iter().take(due));
             wait = wait.min(Duration::from_millis(pace.wait()));
         }
--- a/crates/balancer/src/core/overrides/tests.rs
+++ b/crates/balancer/src/core/overrides/tests.rs
@@ -82,7 +82,7 @@
     overrides.put(draft.into_override(Id(1), now));
     let mut core = core(clock, overrides);
     assert_eq!(told(&core), [ServerState::OutOfService]);
-    assert!(!core.emptied_servers.is_empty() && core.coverage.whole_farm);
+    assert!(!core.emptied_servers.is_empty() && core.coverage.all_servers);
     assert_eq!(core.with_overrides(|_| -> u8 { panic!("a fault") }), None);
     assert_eq!(told(&core), [ServerState::Ready], "as it is listed");
     assert!(core.snapshot().has_lost_overrides && core.emptied_servers.is_empty());
--- a/crates/balancer/src/core/requests.rs
+++ b/crates/balancer/src/core/requests.rs
@@ -157,7 +157,7 @@
     }
 
     /// A request as the policy sees it.
-    pub(super) fn arrival(&self, id: u64) -> Option<ConnectRequest> {
+    pub(super) fn connect_request(&self, id: u64) -> Option<ConnectRequest> {
         self.open
             .get(&id)
             .map(|request_state| request_state.connect_request(id))
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -236,12 +236,12 @@
         moves: u64,
         tell: &impl Fn(DiscoveryEvent),
     ) -> DiscoveryEvent {
-        let hearing = WatchActivity::start();
-        let watch = AssertUnwindSafe(|| self.watch(discovery, moves, &hearing, tell));
+        let activity = WatchActivity::start();
+        let watch = AssertUnwindSafe(|| self.watch(discovery, moves, &activity, tell));
         let ended =
             catch_unwind(watch).unwrap_or_else(|_| Err(io::Error::other("the watch panicked")));
         self.target.lock().open_watch = None;
-        let quiet = hearing.quiet_for();
+        let quiet = activity.quiet_for();
         let Err(error) = ended else {
             return DiscoveryEvent::Failed(quiet);
         };
@@ -257,7 +257,7 @@
         &mut self,
         discovery: SocketAddr,
         moves: u64,
-        hearing: &WatchActivity,
+        activity: &WatchActivity,
         tell: &impl Fn(DiscoveryEvent),
     ) -> io::Result<()> {
         let client = self.client();
@@ -269,7 +269,7 @@
             // Set before connecting, so that a change of the address ends the call wherever it is.
             aim.open_watch = Some(client.clone());
         }
-        self.read_watch(&client, discovery, hearing, tell)
+        self.read_watch(&client, discovery, activity, tell)
     }
 
     /// A client for one watch: no name resolution, no connection reuse.
--- a/crates/balancer/src/discovery/reading.rs
+++ b/crates/balancer/src/discovery/reading.rs
@@ -49,15 +49,15 @@
 }
 
 /// The body of a watch, for a parser that reads byte by byte.
-pub(super) fn bounded_lists<R: Read>(body: R, hearing: &WatchActivity) -> impl Read {
+pub(super) fn bounded_lists<R: Read>(body: R, activity: &WatchActivity) -> impl Read {
     let bounded = BoundedReader {
         inner: body,
-        hearing,
+        hearing: activity,
         has_failed: false,
     };
     ListStartReader {
         inner: BufReader::new(bounded),
-        hearing,
+        activity,
     }
 }
 
@@ -107,16 +107,16 @@
 /// Notices the first byte of a list.
 struct ListStartReader<'a, R> {
     inner: R,
-    hearing: &'a WatchActivity,
+    activity: &'a WatchActivity,
 }
 
 impl<R: Read> Read for ListStartReader<'_, R> {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let count = self.inner.read(into)?;
-        if self.hearing.list_started_at.get().is_none() && !into[..count].trim_ascii().is_empty() {
-            self.hearing
+        if self.activity.list_started_at.get().is_none() && !into[..count].trim_ascii().is_empty() {
+            self.activity
                 .list_started_at
-                .set(Some(self.hearing.received_at.get()));
+                .set(Some(self.activity.received_at.get()));
         }
         Ok(count)
     }
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -2,7 +2,7 @@
 
 use beaconflow_affinity::{Placement, VersionFact};
 use beaconflow_edge::Outcome::{Answered, Failed};
-use beaconflow_edge::{Evidence, Judged};
+use beaconflow_edge::{Evidence, ServerHealth};
 use beaconflow_gossip::{Evidence as Weighed, Seen as Sight, Subject, Value};
 use beaconflow_policy::AttemptOutcome;
 use beaconflow_recovery::{Event as RecoveryEvent, EvidenceSource};
@@ -39,7 +39,7 @@
             CoreEvent::EstablishedConnections(standing) => {
                 self.established = standing;
                 if self.recovery.recovery().may_remember() {
-                    self.memory.store(records::encode_former_clients(
+                    self.memory.store(records::encode_previous_clients(
                         self.estimate_fleet_clients(),
                         self.now_ms(),
                     ));
@@ -48,12 +48,12 @@
             CoreEvent::AttemptFinished(server, key, how) => {
                 self.publish_attempt_outcome(&server, how);
                 self.count_client_outcome(key, how);
-                if let Some(judged) = site_evidence::judged(how) {
+                if let Some(judged) = site_evidence::health_from_outcome(how) {
                     self.publish_server_evidence(&server, judged);
                 }
             }
             CoreEvent::ServerDraining(server) => {
-                self.publish_server_evidence(&server, Judged::Drains)
+                self.publish_server_evidence(&server, ServerHealth::Drains)
             }
             CoreEvent::AdmissionRequested(arrival) => {
                 self.on_recovery_event(RecoveryEvent::AdmissionRequested(arrival))
@@ -86,13 +86,13 @@
             let sent = known
                 .knowledge
                 .get(&subject, &known.knowledge.me().name.clone(), now);
-            let before = match sent.map(|fact| (fact.value, fact.witnessed)) {
+            let before = match sent.map(|fact| (fact.value, fact.observed_at)) {
                 Some((Value::ColdSent(sent), at)) => {
                     sent * 0.5_f64.powf((now - at.min(now)) as f64 / SLOW_START_HALF_LIFE_MS)
                 }
                 _ => 0.0,
             };
-            let _ = known.knowledge.witness(
+            let _ = known.knowledge.observe(
                 &subject,
                 &Value::ColdSent(before + 1.0),
                 EVIDENCE_TTL_MS,
@@ -135,7 +135,7 @@
         let entered = shared_gossip::lock(&self.gossip, |known| {
             known
                 .knowledge
-                .witness(&subject, &Value::Unknown(value), good_for, now)
+                .observe(&subject, &Value::Unknown(value), good_for, now)
         });
         if let Err(why) = entered {
             warn!(part = "peers", kind, why = ?why, "not told to the others");
@@ -143,11 +143,14 @@
     }
 
     /// Publishes evidence on a server to the site, where the uplink is monitored.
-    fn publish_server_evidence(&mut self, server: &ServerIdentity, judged: Judged) {
+    fn publish_server_evidence(&mut self, server: &ServerIdentity, judged: ServerHealth) {
         if self.uplink.is_none() {
             return;
         }
-        let is_answer = !matches!(judged, Judged::Hung | Judged::Refused | Judged::Gone);
+        let is_answer = !matches!(
+            judged,
+            ServerHealth::Hung | ServerHealth::Refused | ServerHealth::Gone
+        );
         let outcome = if is_answer {
             Answered { took_ms: 0 }
         } else {
@@ -204,7 +207,7 @@
             let before = known
                 .knowledge
                 .get(&subject, &known.knowledge.me().name.clone(), now);
-            let weight = match before.map(|fact| (fact.value, fact.witnessed)) {
+            let weight = match before.map(|fact| (fact.value, fact.observed_at)) {
                 Some((Value::Standing(Weighed { seen: same, weight }), at)) if same == seen => {
                     // A healthy server is not reported for every connection.
                     if seen == Sight::Well && now.saturating_sub(at) < EVIDENCE_TTL_MS / 4 {
@@ -214,7 +217,7 @@
                 }
                 _ => 1.0,
             };
-            let _ = known.knowledge.witness(
+            let _ = known.knowledge.observe(
                 &subject,
                 &Value::Standing(Weighed { seen, weight }),
                 EVIDENCE_TTL_MS,
--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -30,7 +30,7 @@
     pub(super) list: Option<(ServerList, u64)>,
     pub(super) placements: Vec<Placement>,
     pub(super) versions: Vec<VersionFact>,
-    pub(super) former_clients: Option<f64>,
+    pub(super) previous_clients: Option<f64>,
     /// Whether the site was isolated, and when discovery last confirmed the list.
     pub(super) uplink: Option<(bool, Option<u64>)>,
 }
@@ -86,7 +86,7 @@
         );
     }
     let mut restored = RestoredMemory {
-        incarnation: found.boot,
+        incarnation: found.incarnation,
         written_at: found.last_written_ms,
         ..RestoredMemory::default()
     };
@@ -96,7 +96,7 @@
     }
     info!(
         part = "memory",
-        boot = found.boot,
+        boot = found.incarnation,
         list = restored
             .list
             .as_ref()
@@ -134,9 +134,9 @@
                 self.list = list.or(self.list.take());
                 read
             }
-            records::FORMER_CLIENTS_RECORD => {
-                self.former_clients = records::decode_former_clients(record);
-                self.former_clients.is_some()
+            records::PREVIOUS_CLIENTS_RECORD => {
+                self.previous_clients = records::decode_previous_clients(record);
+                self.previous_clients.is_some()
             }
             records::UPLINK_RECORD => {
                 self.uplink = records::decode_uplink(record);
@@ -162,7 +162,7 @@
     pub(super) fn is_persistent(&self) -> bool {
         self.writer
             .as_ref()
-            .is_some_and(|writer| !writer.counts().ailing)
+            .is_some_and(|writer| !writer.counts().degraded)
     }
 
     /// Stores a record without blocking.
--- a/crates/balancer/src/fleet/messages.rs
+++ b/crates/balancer/src/fleet/messages.rs
@@ -1,7 +1,10 @@
 //! Messages between processes, as protocol buffers that the gossip crate carries unread. Fields are
 //! only added; numbers keep their meaning.
 
-use beaconflow_edge::{Before, Force, Judged, Judgement, Place, Says, Seen, State, Word};
+use beaconflow_edge::{
+    Before, Force, HealthReport, OperatorMode, Place, Reachability, ServerHealth, State,
+    UplinkReport,
+};
 use beaconflow_recovery::PeerStatus;
 use prost::Message;
 
@@ -24,7 +27,7 @@
     #[prost(uint64, optional, tag = "7")]
     wall_ms: Option<u64>,
     #[prost(double, optional, tag = "8")]
-    former: Option<f64>,
+    previous_clients: Option<f64>,
     #[prost(double, tag = "9")]
     short: f64,
 }
@@ -39,7 +42,7 @@
         serving_for_ms: word.serving_time.map(|span| span / NANOS_PER_MS),
         in_full: word.serves_in_full,
         wall_ms: word.wall_clock,
-        former: word.former_clients,
+        previous_clients: word.previous_clients,
         short: word.deferred_per_s,
     }
     .encode_to_vec()
@@ -58,7 +61,7 @@
         serving_time: read.serving_for_ms.map(grown),
         serves_in_full: read.in_full,
         wall_clock: read.wall_ms.map(|wall| wall.saturating_add(age_ms)),
-        former_clients: read.former.filter(sound),
+        previous_clients: read.previous_clients.filter(sound),
         deferred_per_s: if sound(&read.short) { read.short } else { 0.0 },
     })
 }
@@ -119,28 +122,28 @@
 }
 
 /// Indexed by their numbers.
-const SERVER_HEALTH_NUMBERS: [Judged; 6] = [
-    Judged::Well,
-    Judged::Busy,
-    Judged::Hung,
-    Judged::Refused,
-    Judged::Drains,
-    Judged::Gone,
+const SERVER_HEALTH_NUMBERS: [ServerHealth; 6] = [
+    ServerHealth::Well,
+    ServerHealth::Busy,
+    ServerHealth::Hung,
+    ServerHealth::Refused,
+    ServerHealth::Drains,
+    ServerHealth::Gone,
 ];
 
 /// Encodes own evidence on a server.
-pub(super) fn encode_server_evidence(one: &Judgement) -> Vec<u8> {
-    let age = |at: u64| one.witnessed_ms.saturating_sub(at);
+pub(super) fn encode_server_evidence(one: &HealthReport) -> Vec<u8> {
+    let age = |at: u64| one.observed_at_ms.saturating_sub(at);
     ServerEvidenceRecord {
         server: one.server.clone(),
         origin: one.origin.clone(),
-        judged: number(&one.judged, &SERVER_HEALTH_NUMBERS),
+        judged: number(&one.health, &SERVER_HEALTH_NUMBERS),
         weight: one.weight,
         since_age_ms: age(one.since_ms),
         started_ms: one.started_ms,
         before: one.before.map(|before| BeforeRecord {
             until_age_ms: age(before.until_ms),
-            judged: number(&before.judged, &SERVER_HEALTH_NUMBERS),
+            judged: number(&before.health, &SERVER_HEALTH_NUMBERS),
             weight: before.weight,
         }),
     }
@@ -148,21 +151,21 @@
 }
 
 /// Decodes a peer's evidence. `None` if it can't be parsed.
-pub(super) fn decode_server_evidence(bytes: &[u8], witnessed_ms: u64) -> Option<Judgement> {
+pub(super) fn decode_server_evidence(bytes: &[u8], observed_at_ms: u64) -> Option<HealthReport> {
     let read = ServerEvidenceRecord::decode(bytes).ok()?;
     let kind = |number: u32| SERVER_HEALTH_NUMBERS.get(number as usize).copied();
-    let ago = |age: u64| witnessed_ms.saturating_sub(age);
+    let ago = |age: u64| observed_at_ms.saturating_sub(age);
     let before = |before: BeforeRecord| {
-        let (until_ms, judged) = (ago(before.until_age_ms), kind(before.judged)?);
+        let (until_ms, health) = (ago(before.until_age_ms), kind(before.judged)?);
         Some(Before {
             until_ms,
-            judged,
+            health,
             weight: before.weight,
         })
     };
-    Some(Judgement {
-        witnessed_ms,
-        judged: kind(read.judged)?,
+    Some(HealthReport {
+        observed_at_ms,
+        health: kind(read.judged)?,
         weight: read.weight,
         since_ms: ago(read.since_age_ms),
         before: read.before.and_then(before),
@@ -185,7 +188,7 @@
     #[prost(message, repeated, tag = "5")]
     probes: Vec<PlaceRecord>,
     #[prost(message, optional, tag = "6")]
-    word: Option<OperatorModeRecord>,
+    operator_mode: Option<OperatorModeRecord>,
 }
 
 /// A place with a number: its reachability, or the probes sent to it.
@@ -223,7 +226,11 @@
     State::Islanded,
     State::Rejoining,
 ];
-const REACHABILITY_NUMBERS: [Seen; 3] = [Seen::Stands, Seen::Hears, Seen::Lost];
+const REACHABILITY_NUMBERS: [Reachability; 3] = [
+    Reachability::Reachable,
+    Reachability::OneWay,
+    Reachability::Lost,
+];
 const OPERATOR_MODE_NUMBERS: [Force; 3] = [Force::Automatic, Force::Island, Force::Linked];
 
 fn number<T: PartialEq>(of: &T, all: &[T]) -> u32 {
@@ -254,15 +261,15 @@
 }
 
 /// Encodes this process's uplink status.
-pub(super) fn encode_uplink_status(says: &Says) -> Vec<u8> {
-    let force = |word: &Word| OperatorModeRecord {
+pub(super) fn encode_uplink_status(says: &UplinkReport) -> Vec<u8> {
+    let force = |word: &OperatorMode| OperatorModeRecord {
         given_at: word.given_at,
         force: number(&word.force, &OPERATOR_MODE_NUMBERS),
         ends_at: word.ends_at,
         who: word.who.clone(),
         why: word.why.clone(),
     };
-    let seen = |(at, seen, age): &(Place, Seen, u64)| {
+    let seen = |(at, seen, age): &(Place, Reachability, u64)| {
         encode_place(at, number(seen, &REACHABILITY_NUMBERS), *age)
     };
     UplinkStatusRecord {
@@ -275,13 +282,13 @@
             .iter()
             .map(|(at, tries, age)| encode_place(at, *tries, *age))
             .collect(),
-        word: says.word.as_ref().map(force),
+        operator_mode: says.operator_mode.as_ref().map(force),
     }
     .encode_to_vec()
 }
 
 /// Decodes an uplink status of the given age. `None` if it can't be parsed.
-pub(super) fn decode_uplink_status(bytes: &[u8], age_ms: u64) -> Option<Says> {
+pub(super) fn decode_uplink_status(bytes: &[u8], age_ms: u64) -> Option<UplinkReport> {
     let read = UplinkStatusRecord::decode(bytes).ok()?;
     let aged = |one: &PlaceRecord| one.age_ms.saturating_add(age_ms);
     let seen = |one: &PlaceRecord| {
@@ -295,7 +302,7 @@
     let force = |word: &OperatorModeRecord| {
         let force = *OPERATOR_MODE_NUMBERS.get(word.force as usize)?;
         let (who, why) = (word.who.clone(), word.why.clone());
-        Some(Word {
+        Some(OperatorMode {
             given_at: word.given_at,
             force,
             ends_at: word.ends_at,
@@ -303,11 +310,11 @@
             why,
         })
     };
-    Some(Says {
+    Some(UplinkReport {
         state: *UPLINK_STATE_NUMBERS.get(read.state as usize)?,
         places: read.places.iter().filter_map(seen).collect(),
         probes: read.probes.iter().filter_map(probe).collect(),
-        word: read.word.as_ref().and_then(force),
+        operator_mode: read.operator_mode.as_ref().and_then(force),
         name: read.name,
         site: read.site,
     })
--- a/crates/balancer/src/fleet/messages/tests.rs
+++ b/crates/balancer/src/fleet/messages/tests.rs
@@ -2,14 +2,14 @@
 
 #[test]
 fn a_judgement_is_read_back_by_the_clock_of_whoever_hears_it() {
-    let judgement = |now: u64| Judgement {
-        witnessed_ms: now,
-        judged: Judged::Well,
+    let judgement = |now: u64| HealthReport {
+        observed_at_ms: now,
+        health: ServerHealth::Well,
         weight: 3,
         since_ms: now - 40,
         before: Some(Before {
             until_ms: now - 50,
-            judged: Judged::Hung,
+            health: ServerHealth::Hung,
             weight: 2,
         }),
         started_ms: 77,
@@ -29,23 +29,23 @@
 
 #[test]
 fn what_a_process_sees_of_the_uplink_is_read_back_and_has_grown_older() {
-    let word = Word {
+    let word = OperatorMode {
         given_at: 5,
         force: Force::Island,
         ends_at: 9,
         who: "ada".into(),
         why: "the line is being dug up".into(),
     };
-    let says = |age| Says {
+    let says = |age| UplinkReport {
         name: "a".into(),
         site: "north".into(),
         state: State::Islanded,
         places: vec![
-            (Place::Discovery, Seen::Lost, 40 + age),
-            (Place::Site("south".into()), Seen::Hears, age),
+            (Place::Discovery, Reachability::Lost, 40 + age),
+            (Place::Site("south".into()), Reachability::OneWay, age),
         ],
         probes: vec![(Place::Store, 3, 70 + age)],
-        word: Some(word.clone()),
+        operator_mode: Some(word.clone()),
     };
     assert_eq!(
         decode_uplink_status(&encode_uplink_status(&says(0)), 0),
@@ -70,40 +70,40 @@
         serving_time: Some(2_000 * NANOS_PER_MS),
         serves_in_full: true,
         wall_clock: Some(1_700_000_000_000),
-        former_clients: Some(120.5),
+        previous_clients: Some(120.5),
         deferred_per_s: 0.25,
     };
-    let judgement = Judgement {
-        witnessed_ms: 1_000,
-        judged: Judged::Drains,
+    let judgement = HealthReport {
+        observed_at_ms: 1_000,
+        health: ServerHealth::Drains,
         weight: 3,
         since_ms: 960,
         before: Some(Before {
             until_ms: 950,
-            judged: Judged::Hung,
+            health: ServerHealth::Hung,
             weight: 2,
         }),
         started_ms: 77,
         server: "s1".into(),
         origin: "a".into(),
     };
-    let word = Word {
+    let word = OperatorMode {
         given_at: 5,
         force: Force::Linked,
         ends_at: 9,
         who: "ada".into(),
         why: "dug up".into(),
     };
-    let uplink = Says {
+    let uplink = UplinkReport {
         name: "a".into(),
         site: "north".into(),
         state: State::Rejoining,
         places: vec![
-            (Place::Discovery, Seen::Lost, 40),
-            (Place::Site("south".into()), Seen::Hears, 1),
+            (Place::Discovery, Reachability::Lost, 40),
+            (Place::Site("south".into()), Reachability::OneWay, 1),
         ],
         probes: vec![(Place::Store, 3, 70)],
-        word: Some(word),
+        operator_mode: Some(word),
     };
     let sent = [
         encode_recovery_status(&status),
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -31,7 +31,7 @@
         for fact in changes.iter().filter_map(Change::after) {
             match shared_gossip::custom_fact(&fact) {
                 Some((kind, key, bytes)) => {
-                    self.on_custom_fact(kind, (key, bytes), fact.witnessed, &mut gathered)
+                    self.on_custom_fact(kind, (key, bytes), fact.observed_at, &mut gathered)
                 }
                 None => self.on_fact(&fact.subject, &mut gathered),
             }
@@ -156,7 +156,8 @@
     pub(super) fn on_membership_event(&mut self, event: PeerEvent) {
         if let PeerEvent::Down(was) | PeerEvent::Restarted { was, .. } = &event {
             self.send_affinity_event(AffinityEvent::BalancerDied(super::placement_origin(
-                &was.name, was.boot,
+                &was.name,
+                was.incarnation,
             )));
         }
         match event {
--- a/crates/balancer/src/fleet/periodic.rs
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -59,7 +59,7 @@
                 .map(|since| self.now.saturating_sub(since)),
             serves_in_full: self.serves_in_full,
             wall_clock: recovery.clock_is_sound().then(wall_clock_ms),
-            former_clients: recovery.former_clients(),
+            previous_clients: recovery.previous_clients(),
             deferred_per_s: recovery.deferred_per_s(),
         };
         self.publish_fact(
@@ -69,7 +69,7 @@
             STATUS_TTL_MS,
         );
         if let Some(uplink) = &self.uplink {
-            let says = messages::encode_uplink_status(&uplink.edge().says(self.now_ms()));
+            let says = messages::encode_uplink_status(&uplink.edge().report(self.now_ms()));
             self.publish_fact(
                 shared_gossip::UPLINK_STATUS_FACT,
                 (Vec::new(), true),
--- a/crates/balancer/src/fleet/records.rs
+++ b/crates/balancer/src/fleet/records.rs
@@ -12,7 +12,7 @@
 /// Record kinds; the lowest is dropped last if the disk can't keep up.
 pub(super) const LIST_RECORD: u32 = 1;
 pub(super) const VERSION_RECORD: u32 = 2;
-pub(super) const FORMER_CLIENTS_RECORD: u32 = 3;
+pub(super) const PREVIOUS_CLIENTS_RECORD: u32 = 3;
 pub(super) const PLACEMENT_RECORD: u32 = 4;
 pub(super) const UPLINK_RECORD: u32 = 5;
 
@@ -79,7 +79,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct FormerClientsRecord {
+struct PreviousClientsRecord {
     #[prost(double, tag = "1")]
     clients: f64,
 }
@@ -103,7 +103,7 @@
         kind,
         subject: subject.to_vec(),
         value,
-        witnessed_ms: now,
+        observed_at_ms: now,
     }
 }
 
@@ -237,19 +237,19 @@
 }
 
 /// Encodes the number of clients when the process last served in full.
-pub(super) fn encode_former_clients(clients: f64, now: u64) -> Record {
+pub(super) fn encode_previous_clients(clients: f64, now: u64) -> Record {
     record(
-        FORMER_CLIENTS_RECORD,
+        PREVIOUS_CLIENTS_RECORD,
         b"",
-        FormerClientsRecord { clients }.encode_to_vec(),
+        PreviousClientsRecord { clients }.encode_to_vec(),
         now,
     )
 }
 
 /// Decodes that number.
-pub(super) fn decode_former_clients(record: &Record) -> Option<f64> {
-    let FormerClientsRecord { clients } =
-        FormerClientsRecord::decode(record.value.as_slice()).ok()?;
+pub(super) fn decode_previous_clients(record: &Record) -> Option<f64> {
+    let PreviousClientsRecord { clients } =
+        PreviousClientsRecord::decode(record.value.as_slice()).ok()?;
     (clients.is_finite() && clients >= 0.0).then_some(clients)
 }
 
--- a/crates/balancer/src/fleet/records/tests.rs
+++ b/crates/balancer/src/fleet/records/tests.rs
@@ -23,7 +23,7 @@
     let (read, life) = decode_list(&kept).expect("whole");
     assert_eq!((format!("{read:?}"), life), (format!("{whole:?}"), 2));
     for state in [
-        State::Standing,
+        State::Established,
         State::Ended(How::Broke),
         State::Ended(How::MovedUneven),
     ] {
@@ -55,7 +55,7 @@
         Some(fact)
     );
     assert_eq!(
-        decode_former_clients(&encode_former_clients(40.0, 5)),
+        decode_previous_clients(&encode_previous_clients(40.0, 5)),
         Some(40.0)
     );
 }
@@ -105,7 +105,7 @@
         .value,
         encode_placement(&placed),
         version(&fact),
-        encode_former_clients(40.0, 5).value,
+        encode_previous_clients(40.0, 5).value,
         encode_uplink(true, Some(9), 5).value,
     ];
     let hex = |bytes: &Vec<u8>| {
@@ -122,7 +122,7 @@
         [
             LIST_RECORD,
             VERSION_RECORD,
-            FORMER_CLIENTS_RECORD,
+            PREVIOUS_CLIENTS_RECORD,
             PLACEMENT_RECORD,
             UPLINK_RECORD
         ],
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -96,18 +96,18 @@
             self.core
                 .send(CoreInput::Fleet(FleetEvent::CachedList(list)));
         }
-        self.apply_held_drains();
+        self.apply_retained_drains();
     }
 
     /// Holds drains of servers that a list calls ready although its sender may have lost its state.
-    pub(super) fn apply_held_drains(&mut self) {
+    pub(super) fn apply_retained_drains(&mut self) {
         let drains = self.recovery.recovery().servers().filter(|entry| {
             let told = self.servers.get(&entry.name).map(|listed| listed.lifecycle);
             entry.lifecycle == recovery::Lifecycle::Draining
                 && told == Some(ServerLifecycle::Serving)
         });
         let drains: BTreeSet<String> = drains.map(|entry| entry.name).collect();
-        if self.site_evidence.set_held_drains(drains) {
+        if self.site_evidence.set_retained_drains(drains) {
             self.apply_site_evidence();
         }
     }
--- a/crates/balancer/src/fleet/recovery_driver.rs
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -80,7 +80,7 @@
             clients_per_server_s: fleet
                 .clients_per_server_s
                 .unwrap_or(usual.clients_per_server_s),
-            chance_allowance: usual.chance_allowance,
+            variance_margin: usual.variance_margin,
         },
         classes: settings.classes.iter().map(class).collect(),
         usual_clients: fleet.clients,
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -1,7 +1,7 @@
 //! Restoring the stored memory.
 
 use beaconflow_affinity::Placement;
-use beaconflow_gossip::{Position, Told, Value};
+use beaconflow_gossip::{ListAnnouncement, Position, Value};
 use beaconflow_recovery::{
     self as recovery, Event as RecoveryEvent, RememberedKind, Source, Validity,
 };
@@ -22,7 +22,7 @@
         self.now = self.clock.now();
         // A list that discovery sends under a lower generation belongs to another epoch.
         let life = restored.list.as_ref().map_or(0, |(list, _)| {
-            let told = Told {
+            let told = ListAnnouncement {
                 generation: list.generation,
                 digest: list_digest(list),
                 complete_list: true,
@@ -31,7 +31,7 @@
             let held = shared_gossip::lock(&self.gossip, |known| {
                 known.knowledge.hear_list(told, LIST_TTL_MS, now)
             });
-            held.map_or(0, |position| position.life)
+            held.map_or(0, |position| position.incarnation)
         });
         let memory = restored.written_at.map(|written_at| recovery::Memory {
             owner: self.config.name.clone(),
@@ -41,9 +41,9 @@
                 .list
                 .as_ref()
                 .map(|(list, _)| recovery_list(list, life, Source::Memory)),
-            former_clients: restored
-                .former_clients
-                .map(|clients| recovery::FormerClients {
+            previous_clients: restored
+                .previous_clients
+                .map(|clients| recovery::PreviousClients {
                     class: 0,
                     account: 0,
                     clients,
@@ -52,14 +52,14 @@
                 .collect(),
             clients_per_server_s: None,
         });
-        let remembered = restored.list.map(|(list, life)| {
+        let remembered = restored.list.map(|(list, incarnation)| {
             self.servers = list
                 .instances
                 .iter()
                 .map(|one| (one.instance_id.clone(), one.clone()))
                 .collect();
             Position {
-                life,
+                incarnation,
                 generation: list.generation,
             }
         });
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -2,7 +2,7 @@
 
 use beaconflow_edge::Evidence;
 use beaconflow_gossip::{
-    Lifecycle as KnownAs, Listed as KnownEntry, Position, Subject, Told, Value,
+    Lifecycle as KnownAs, ListAnnouncement, Listed as KnownEntry, Position, Subject, Value,
 };
 use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, Source};
 
@@ -22,7 +22,7 @@
         for one in &list.instances {
             self.servers.insert(one.instance_id.clone(), one.clone());
         }
-        let (now, whole) = (self.now_ms(), self.whole(list.generation));
+        let (now, whole) = (self.now_ms(), self.complete_snapshot(list.generation));
         if known {
             // A configured list counts from the start.
             self.with_uplink(Uplink::on_configured_list);
@@ -31,9 +31,9 @@
                 0,
                 Source::Known,
             )));
-            return self.apply_held_drains();
+            return self.apply_retained_drains();
         }
-        let told = Told {
+        let told = ListAnnouncement {
             generation: list.generation,
             digest: list_digest(&whole),
             complete_list: list.reset,
@@ -43,7 +43,9 @@
         })
         .ok();
         self.list_position = position.or(self.list_position);
-        let life = self.list_position.map_or(0, |position| position.life);
+        let life = self
+            .list_position
+            .map_or(0, |position| position.incarnation);
         if let Some(position) = self.list_position {
             self.publish_entries(position, &list.instances);
         }
@@ -74,7 +76,7 @@
                     started_at_ms: one.started_at_ms,
                     machine_type: one.machine_type.clone(),
                 });
-                let _ = known.knowledge.witness(
+                let _ = known.knowledge.observe(
                     &Subject::Listed(one.instance_id.clone()),
                     &value,
                     LIST_TTL_MS,
@@ -85,7 +87,7 @@
     }
 
     /// The complete list as known here.
-    fn whole(&self, generation: u64) -> ServerList {
+    fn complete_snapshot(&self, generation: u64) -> ServerList {
         ServerList {
             generation,
             reset: true,
@@ -113,11 +115,14 @@
             let listed_server = listed(name.clone(), &entry, self.servers.get(&name));
             self.servers.insert(name, listed_server);
         }
-        let Position { life, generation } = latest;
-        let list = self.whole(generation);
+        let Position {
+            incarnation,
+            generation,
+        } = latest;
+        let list = self.complete_snapshot(generation);
         self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
             &list,
-            life,
+            incarnation,
             Source::Peer,
         )));
         self.publish_list_to_core();
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{Bound, Class, Limits, Memory as Placements, Routing, Server, Version};
-use beaconflow_gossip::{Change, Knowledge, Origin};
+use beaconflow_gossip::{Change, FactStore, Origin};
 use beaconflow_membership::{self as peers, Configuration, Key, Keys, Node, Profile, driver};
 use beaconflow_policy::Settings;
 use beaconflow_settings::{SiteSettings, digest};
@@ -129,14 +129,14 @@
             entries: file.affinity.max_placements,
             bytes: usize::MAX,
         },
-        life_s: u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX),
+        ttl_s: u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX),
         away_s: AFFINITY_SUSPENSION_S,
         home_most: 0,
     };
     let mut memory = Placements::new(limits, placement_origin(&file.name, boot), driver::random());
     memory.balancer_died(placement_origin(&file.name, boot.saturating_sub(1)));
     for fact in &restored.versions {
-        memory.heard_version(fact, now);
+        memory.merge_version(fact, now);
     }
     let serial = file.affinity.serial;
     let adopted = memory.adopt(version, serial, now);
@@ -153,9 +153,9 @@
 pub(super) fn version(settings: &Settings, farm: Option<&EndpointSource>) -> Version {
     let class = |(at, class): (usize, &beaconflow_policy::RequestClass)| Class {
         name: at.to_string(),
-        aim_ms: class.latency_objective / 1_000_000,
+        latency_objective_ms: class.latency_objective / 1_000_000,
         deadline_ms: class.deadline / 1_000_000,
-        worth: class.priority_weight,
+        priority_weight: class.priority_weight,
     };
     let server = |server: &operator::FixedServer| Server {
         name: server.name.clone(),
@@ -217,9 +217,9 @@
         );
         let origin = Origin {
             name: self.config.name.clone(),
-            boot: self.incarnation,
+            incarnation: self.incarnation,
         };
-        SharedGossip::shared(Knowledge::new(origin, bounds), news)
+        SharedGossip::shared(FactStore::new(origin, bounds), news)
     }
 
     fn start_membership(
@@ -296,7 +296,7 @@
         let profile = Profile {
             name: self.config.name.as_str().into(),
             address: self.config.advertise.unwrap_or(self.config.listen),
-            boot: self.incarnation,
+            incarnation: self.incarnation,
             seed: driver::random(),
             site: self.config.site.as_str().into(),
             peer_configuration: configuration(self.routing_version, self.config.affinity.serial),
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use beaconflow_gossip::{Change, Fact, Kind, Knowledge, Subject, Value};
+use beaconflow_gossip::{Change, Fact, FactStore, Kind, Subject, Value};
 use beaconflow_membership::{Body, Member};
 use crossbeam_channel::Sender;
 use tracing::warn;
@@ -23,7 +23,7 @@
 
 /// The gossip state, and who is told what peers added to it.
 pub(super) struct SharedGossip {
-    pub(super) knowledge: Knowledge,
+    pub(super) knowledge: FactStore,
     changes: Sender<Vec<Change>>,
     /// Number of processes in the fleet, including this one.
     pub(super) members: usize,
@@ -32,7 +32,7 @@
 }
 
 impl SharedGossip {
-    pub(super) fn shared(knowledge: Knowledge, changes: Sender<Vec<Change>>) -> SharedGossipHandle {
+    pub(super) fn shared(knowledge: FactStore, changes: Sender<Vec<Change>>) -> SharedGossipHandle {
         Arc::new(Mutex::new(SharedGossip {
             knowledge,
             changes,
@@ -48,8 +48,8 @@
 }
 
 impl Body for SharedGossip {
-    fn rumours(&mut self, room: usize, now: Millis) -> Vec<u8> {
-        self.knowledge.rumours(room, now)
+    fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
+        self.knowledge.gossip_payload(room, now)
     }
 
     fn summary(&mut self, room: usize, _: Millis) -> Vec<u8> {
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beaconflow_edge::{Judged, Judgement, Judgements, Known, standings};
+use beaconflow_edge::{HealthReport, HealthReports, Known, ServerHealth, standings};
 use beaconflow_policy::AttemptOutcome;
 use tracing::info;
 
@@ -22,22 +22,22 @@
 /// The site's evidence and assessments.
 #[derive(Default)]
 pub(super) struct SiteEvidence {
-    judgements: Judgements,
+    judgements: HealthReports,
     /// Assessments last sent to the core.
     published: BTreeMap<String, SiteAssessment>,
     /// Servers whose former drains are held, whatever the uplink.
-    held_drains: BTreeSet<String>,
+    retained_drains: BTreeSet<String>,
     /// Servers with established connections here.
     pub(super) servers_in_use: BTreeSet<String>,
 }
 
 /// What the end of an attempt says about its server, if anything.
-pub(super) fn judged(how: Option<AttemptOutcome>) -> Option<Judged> {
+pub(super) fn health_from_outcome(how: Option<AttemptOutcome>) -> Option<ServerHealth> {
     match how {
-        None | Some(AttemptOutcome::Served) => Some(Judged::Well),
-        Some(AttemptOutcome::Rejected) => Some(Judged::Busy),
-        Some(AttemptOutcome::TimedOut) => Some(Judged::Hung),
-        Some(AttemptOutcome::ConnectFailed | AttemptOutcome::Reset) => Some(Judged::Refused),
+        None | Some(AttemptOutcome::Served) => Some(ServerHealth::Well),
+        Some(AttemptOutcome::Rejected) => Some(ServerHealth::Busy),
+        Some(AttemptOutcome::TimedOut) => Some(ServerHealth::Hung),
+        Some(AttemptOutcome::ConnectFailed | AttemptOutcome::Reset) => Some(ServerHealth::Refused),
         Some(AttemptOutcome::ServerError | AttemptOutcome::Cancelled | AttemptOutcome::NotSent) => {
             None
         }
@@ -51,34 +51,34 @@
         now: Millis,
         me: &str,
         server: &ServerIdentity,
-        server_health: Judged,
-    ) -> Option<Judgement> {
+        server_health: ServerHealth,
+    ) -> Option<HealthReport> {
         let known = self
             .judgements
             .of(&server.name)
             .find(|one| one.origin == me);
         let is_same = known.is_some_and(|one| {
-            one.judged == server_health
-                && now.saturating_sub(one.witnessed_ms) < HEALTHY_REPORT_INTERVAL_MS
+            one.health == server_health
+                && now.saturating_sub(one.observed_at_ms) < HEALTHY_REPORT_INTERVAL_MS
         });
-        if is_same && server_health == Judged::Well {
+        if is_same && server_health == ServerHealth::Well {
             return None;
         }
         Some(
             self.judgements
-                .witness(now, me, &server.name, server.started_at_ms, server_health),
+                .observe(now, me, &server.name, server.started_at_ms, server_health),
         )
     }
 
     /// Records a peer's evidence.
-    pub(super) fn record_peer(&mut self, one: Judgement) {
+    pub(super) fn record_peer(&mut self, one: HealthReport) {
         self.judgements.put(one);
     }
 
     /// Replaces the servers whose former drains are held; returns whether they changed.
-    pub(super) fn set_held_drains(&mut self, drains: BTreeSet<String>) -> bool {
-        let is_news = drains != self.held_drains;
-        self.held_drains = drains;
+    pub(super) fn set_retained_drains(&mut self, drains: BTreeSet<String>) -> bool {
+        let is_news = drains != self.retained_drains;
+        self.retained_drains = drains;
         is_news
     }
 
@@ -92,7 +92,7 @@
         (apart, unproven): (bool, Option<&str>),
         cold_ms: Millis,
     ) -> Option<BTreeMap<String, SiteAssessment>> {
-        if !apart && self.published.is_empty() && self.held_drains.is_empty() {
+        if !apart && self.published.is_empty() && self.retained_drains.is_empty() {
             return None;
         }
         self.judgements
@@ -103,20 +103,21 @@
         let known: Vec<Known> = serving.map(known).collect();
         let mut parts = BTreeMap::new();
         for (server, standing) in standings(&known, &self.judgements, now, cold_ms) {
-            let drains = self.held_drains.contains(&server) && self.held_drains.len() < known.len();
+            let drains =
+                self.retained_drains.contains(&server) && self.retained_drains.len() < known.len();
             if !apart && !drains && !self.published.contains_key(&server) {
                 continue;
             }
             let unproven = unproven.filter(|_| apart && !self.is_healthy(&server, now));
             let judged = standing
-                .passed
+                .ejected_for
                 .filter(|_| apart || self.is_still_skipped(&server))
                 .map(describe);
             let held = drains.then_some("it drained when it was last heard of");
             let part = SiteAssessment {
                 skip_reason: judged.or(held).or(unproven).map(str::to_owned),
-                weight_factor: standing.part as f64 / 1_000.0,
-                restarted_at: standing.cold_since.unwrap_or(0),
+                weight_factor: standing.weight_permille as f64 / 1_000.0,
+                restarted_at: standing.slow_start_since.unwrap_or(0),
             };
             if part.skip_reason.is_some() || part.weight_factor < 1.0 || part.restarted_at > 0 {
                 parts.insert(server, part);
@@ -132,13 +133,13 @@
 
     /// Whether a server is still skipped by evidence, and not for a former drain.
     fn is_still_skipped(&self, server: &str) -> bool {
-        !self.held_drains.contains(server) && self.published.contains_key(server)
+        !self.retained_drains.contains(server) && self.published.contains_key(server)
     }
 
     fn is_healthy(&self, server: &str, now: Millis) -> bool {
-        let is_well = |one: &Judgement| {
-            one.judged == Judged::Well
-                && now.saturating_sub(one.witnessed_ms) <= HEALTHY_EVIDENCE_MS
+        let is_well = |one: &HealthReport| {
+            one.health == ServerHealth::Well
+                && now.saturating_sub(one.observed_at_ms) <= HEALTHY_EVIDENCE_MS
         };
         self.servers_in_use.contains(server) || self.judgements.of(server).any(is_well)
     }
@@ -174,14 +175,14 @@
 }
 
 /// A server's health in words for people.
-fn describe(judged: Judged) -> &'static str {
+fn describe(judged: ServerHealth) -> &'static str {
     match judged {
-        Judged::Well => "it is well",
-        Judged::Busy => "it says that it is busy",
-        Judged::Hung => "it does not answer",
-        Judged::Refused => "it takes no connection",
-        Judged::Drains => "it says itself that it drains",
-        Judged::Gone => "it is gone",
+        ServerHealth::Well => "it is well",
+        ServerHealth::Busy => "it says that it is busy",
+        ServerHealth::Hung => "it does not answer",
+        ServerHealth::Refused => "it takes no connection",
+        ServerHealth::Drains => "it says itself that it drains",
+        ServerHealth::Gone => "it is gone",
     }
 }
 
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -116,7 +116,7 @@
         self.restore(restored);
         if self.config.edge.mode != operator::EdgeMode::Automatic {
             let word = self.config.edge.mode;
-            self.with_uplink(|uplink, now| uplink.word(now, word));
+            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, word));
         }
         loop {
             self.now = self.clock.now();
@@ -199,7 +199,7 @@
             self.adopt_version(file.affinity.serial);
         }
         if file.edge.mode != self.config.edge.mode {
-            self.with_uplink(|uplink, now| uplink.word(now, file.edge.mode));
+            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, file.edge.mode));
         }
         (
             self.config.peers,
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use beaconflow_edge::{
-    Action, Config, Decision, Edge, Evidence, Force, Place, Start, State, Step, Verdict, Word,
+    Action, Config, Decision, Edge, Evidence, Force, OperatorMode, Permission, Place, Start, State,
+    Step,
 };
 use beaconflow_membership::Member;
 use tracing::{info, warn};
@@ -46,8 +47,8 @@
 
 /// The configuration of the state machine.
 pub(super) fn config(fleet: &operator::FleetConfig, seed: u64) -> Config {
-    let (usual, patience_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
-    let within = |span: Millis| span.min(patience_ms);
+    let (usual, answer_timeout_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
+    let within = |span: Millis| span.min(answer_timeout_ms);
     Config {
         site: fleet.site.clone(),
         name: fleet.name.clone(),
@@ -56,7 +57,7 @@
         confirm_ms: within(usual.confirm_ms),
         steady_ms: within(usual.steady_ms),
         damp_cap_ms: within(usual.damp_cap_ms),
-        patience_ms,
+        answer_timeout_ms,
         trust_for_ms: millis(fleet.edge.trust_period),
         ..usual
     }
@@ -223,7 +224,11 @@
     }
 
     /// Applies the operator's mode.
-    pub(super) fn word(&mut self, now: Millis, word: EdgeMode) -> Vec<UplinkCommand> {
+    pub(super) fn apply_operator_mode(
+        &mut self,
+        now: Millis,
+        word: EdgeMode,
+    ) -> Vec<UplinkCommand> {
         let force = match word {
             EdgeMode::Automatic => Force::Automatic,
             EdgeMode::Isolated => Force::Island,
@@ -232,7 +237,7 @@
         let (who, why) = ("the operator's file".into(), "edge.word".into());
         self.on_evidence(
             now,
-            Evidence::OperatorsWord(Word {
+            Evidence::OperatorsWord(OperatorMode {
                 given_at: now,
                 force,
                 ends_at: UNTIL_CHANGED_MS,
@@ -256,8 +261,8 @@
     /// evidence of health, if there is one.
     pub(super) fn isolation(&self, now: Millis) -> (bool, Option<&'static str>) {
         let is_no = |decision: Decision| match self.edge.may(now, &decision) {
-            Verdict::No { why, .. } => Some(why),
-            Verdict::Yes => None,
+            Permission::Denied { why, .. } => Some(why),
+            Permission::Granted => None,
         };
         let site = self.edge.config().site.clone();
         let unproven = is_no(Decision::Place {
@@ -270,6 +275,6 @@
 
     /// The state in words for people.
     pub(super) fn describe(&self, now: Millis) -> String {
-        self.edge.look(now).lines().join("; ")
+        self.edge.snapshot(now).lines().join("; ")
     }
 }
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -210,7 +210,7 @@
     );
     let wire = file.section("wire").map(wire).unwrap_or_default();
     let store = file.required_section("store").and_then(store);
-    let endpoint_source = file.required_section("farm").and_then(farm);
+    let endpoint_source = file.required_section("farm").and_then(read_endpoint_source);
     let settings = settings(file);
     Some(NatsConfig {
         name: name?,
@@ -285,7 +285,7 @@
     })
 }
 
-fn farm(mut section: Section<'_>) -> Option<EndpointSource> {
+fn read_endpoint_source(mut section: Section<'_>) -> Option<EndpointSource> {
     let discovery = section.table.contains_key("discovery");
     if discovery == section.table.contains_key("servers") {
         section.error_if("discovery", true, "either discovery or servers");
@@ -377,14 +377,14 @@
             ..account
         },
     );
-    let (queues, hand) = (
+    let (queues, choices) = (
         section.optional("queues", usual.limits.queues),
-        section.optional("hand", usual.limits.hand),
+        section.optional("hand", usual.limits.choices),
     );
     section.error_if("queues", !(1..=1_024).contains(&queues), "from 1 to 1024");
     section.error_if(
         "hand",
-        !(1..=queues.min(16)).contains(&hand),
+        !(1..=queues.min(16)).contains(&choices),
         "from 1 to 16 and to queues",
     );
     let over_share_s: f64 = section.optional("over_share_s", usual.over_quota_after.as_secs_f64());
@@ -407,7 +407,7 @@
             account,
             queue,
             queues,
-            hand,
+            choices,
         },
         quotas,
         over_quota_after: if span_is_bad {
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -230,7 +230,7 @@
     pub fn get(&self, id: Id) -> Option<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
-        let one = state.set.get(id).filter(|one| one.holds(now))?;
+        let one = state.set.get(id).filter(|one| one.is_active_at(now))?;
         Some(view_of(&state, one, &fronts, now))
     }
 
@@ -334,7 +334,7 @@
         let mut one = state
             .set
             .get(id)
-            .filter(|one| one.holds(now))
+            .filter(|one| one.is_active_at(now))
             .ok_or(OverrideError::Unknown)?
             .clone();
         if revision.is_some_and(|revision| revision != one.revision) {
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -49,7 +49,7 @@
 
     /// Has the store hold what is read back right after a restart, which goes by the wall clock as it is then.
     fn follow_wall_clock(&self, state: &mut OverrideState, now: Millis) {
-        let Some(step) = state.clock_steps.look(now, (self.wall_clock)()) else {
+        let Some(step) = state.clock_steps.check(now, (self.wall_clock)()) else {
             return;
         };
         warn!(
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -80,11 +80,11 @@
     let (mut holding, mut spent) = (0, Vec::new());
     for mut one in contents.overrides {
         notes.extend(bound_times(&mut one, now));
-        if one.removed_at.is_none() && !one.holds(now) {
+        if one.removed_at.is_none() && !one.is_active_at(now) {
             audit("found expired", &one, now);
         }
         if one.end().saturating_add(config.limits.ramp) > now {
-            holding += usize::from(one.holds(now));
+            holding += usize::from(one.is_active_at(now));
             set.put(one);
         } else {
             spent.push(one.id);
@@ -111,7 +111,7 @@
 /// What was amiss with the file as a whole.
 fn store_notes(contents: &Contents) -> Vec<String> {
     let mut notes = Vec::new();
-    if let Some((aside, why)) = &contents.kept_aside {
+    if let Some((aside, why)) = &contents.moved_aside {
         notes.push(format!(
             "the store was damaged ({why}): it is kept as {}, and none of its overrides are restored",
             aside.display()
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use beaconflow_overrides::{Effect, Judgement, Listed, Millis, Override, Set, judge, shifted};
+use beaconflow_overrides::{Effect, Judgement, Listed, Millis, Override, Set, assess, shifted};
 use beaconflow_policy::ServerState;
 
 use super::OverrideState;
@@ -101,7 +101,7 @@
     let at_front = |look: &Option<CoreSnapshot>| {
         let servers = look.iter().flat_map(|look| &look.servers);
         let ready = servers.filter(|server| server.state.0 == ServerState::Ready);
-        judge(
+        assess(
             ready.map(|server| (server.name.as_str(), server.zone.as_str())),
             set,
             now,
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -159,11 +159,11 @@
         changes.fleet(fleet.as_ref(), &mut others.fleet, read.fleet);
         let (old, new) = (&mut others.admission, read.admission);
         changes.fixed("admission.queues", old.limits.queues == new.limits.queues);
-        changes.fixed("admission.hand", old.limits.hand == new.limits.hand);
+        changes.fixed("admission.hand", old.limits.choices == new.limits.choices);
         let taken = DoorConfig {
             limits: Limits {
                 queues: old.limits.queues,
-                hand: old.limits.hand,
+                choices: old.limits.choices,
                 ..new.limits
             },
             ..new
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -55,7 +55,7 @@
 }
 
 impl Body for Words {
-    fn rumours(&mut self, room: usize, _: Millis) -> Vec<u8> {
+    fn gossip(&mut self, room: usize, _: Millis) -> Vec<u8> {
         let mut waiting = self.waiting.lock();
         let mut bytes = Vec::new();
         while let Some(next) = waiting.front() {
@@ -140,7 +140,7 @@
             let profile = Profile {
                 name: names[end].as_str().into(),
                 address: known[end],
-                boot: 1,
+                incarnation: 1,
                 seed: random(),
                 site: "north".into(),
                 peer_configuration: Configuration::default(),
--- a/crates/contracts/tests/subjects/mod.rs
+++ b/crates/contracts/tests/subjects/mod.rs
@@ -118,7 +118,7 @@
                 kind: KIND,
                 subject,
                 value: value.clone().into_bytes(),
-                witnessed_ms: NOW_MS,
+                observed_at_ms: NOW_MS,
             })
         };
         self.write(&rows.iter().map(keep).collect::<Vec<Change>>())
--- a/crates/edge/src/config.rs
+++ b/crates/edge/src/config.rs
@@ -26,7 +26,7 @@
     /// Answers from beyond the link have to come for so long before the site rejoins.
     pub steady_ms: Millis,
     /// The longest doubt.
-    pub patience_ms: Millis,
+    pub answer_timeout_ms: Millis,
     /// The longest rejoining.
     pub rejoin_ms: Millis,
     /// Each change of state within a minute doubles the spans, up to this.
@@ -59,7 +59,7 @@
             fresh_ms: 6_000,
             confirm_ms: 2_000,
             steady_ms: 3_000,
-            patience_ms: 20_000,
+            answer_timeout_ms: 20_000,
             rejoin_ms: 30_000,
             damp_cap_ms: 20_000,
             slow_ms: 2_000,
@@ -135,7 +135,7 @@
             "no less than confirm and steady".into(),
         );
         want(
-            cap <= self.patience_ms,
+            cap <= self.answer_timeout_ms,
             "patience",
             "no less than damp_cap".into(),
         );
@@ -168,7 +168,7 @@
             ("fresh", self.fresh_ms),
             ("confirm", self.confirm_ms),
             ("steady", self.steady_ms),
-            ("patience", self.patience_ms),
+            ("patience", self.answer_timeout_ms),
             ("rejoin", self.rejoin_ms),
             ("damp_cap", self.damp_cap_ms),
             ("slow", self.slow_ms),
--- a/crates/edge/src/decide.rs
+++ b/crates/edge/src/decide.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 use crate::evidence::{Place, State};
-use crate::machine::Edge;
+use crate::state_machine::Edge;
 
 /// Something that is to be decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,11 +52,11 @@
 
 /// What comes of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Permission {
     /// It is done.
-    Yes,
+    Granted,
     /// It is refused.
-    No {
+    Denied {
         /// Why, in words for whoever asked.
         why: &'static str,
         /// When to ask again at the earliest; whoever passes it on adds jitter.
@@ -82,13 +82,13 @@
     }
 
     /// Whether this may be decided now.
-    pub fn may(&self, now: Millis, decision: &Decision) -> Verdict {
+    pub fn may(&self, now: Millis, decision: &Decision) -> Permission {
         if !self.apart() {
-            return Verdict::Yes;
+            return Permission::Granted;
         }
         match self.refusal(now, decision) {
-            None => Verdict::Yes,
-            Some(why) => Verdict::No {
+            None => Permission::Granted,
+            Some(why) => Permission::Denied {
                 why,
                 again_ms: self.config.probe_cap_ms,
             },
--- a/crates/edge/src/evidence.rs
+++ b/crates/edge/src/evidence.rs
@@ -74,7 +74,7 @@
 
 /// The operator's word. The latest given holds, at all processes alike, until its end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Word {
+pub struct OperatorMode {
     /// When it was given.
     pub given_at: Millis,
     /// What it is.
@@ -89,18 +89,18 @@
 
 /// How a place stands, by one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Seen {
+pub enum Reachability {
     /// It answers what it is asked.
-    Stands,
+    Reachable,
     /// It is heard, but answers nothing: the link carries one way.
-    Hears,
+    OneWay,
     /// It does not answer.
     Lost,
 }
 
 /// What a process tells those of its site. Moments are told as ages, so that no two clocks need agree.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Says {
+pub struct UplinkReport {
     /// Its name.
     pub name: String,
     /// Its site.
@@ -108,11 +108,11 @@
     /// Its state.
     pub state: State,
     /// How each place stands by its own evidence, and how old that is.
-    pub places: Vec<(Place, Seen, Millis)>,
+    pub places: Vec<(Place, Reachability, Millis)>,
     /// The last probe of each place that it knows of: how many came before, and how long ago it was.
     pub probes: Vec<(Place, u32, Millis)>,
     /// The operator's word that it holds to.
-    pub word: Option<Word>,
+    pub operator_mode: Option<OperatorMode>,
 }
 
 /// What a process saw or was told.
@@ -157,7 +157,7 @@
         site: String,
     },
     /// What another process of this site sees.
-    PeerSays(Says),
+    PeerSays(UplinkReport),
     /// How a question to a server of another site ended.
     ServerBeyond {
         /// The server's site.
@@ -176,7 +176,7 @@
         at: Millis,
     },
     /// The operator's word.
-    OperatorsWord(Word),
+    OperatorsWord(OperatorMode),
     /// A step of the rejoining is done.
     Done(Step),
 }
--- a/crates/edge/src/judge.rs
+++ b/crates/edge/src/health_reports.rs
@@ -20,7 +20,7 @@
 
 /// What a server was found to be; the graver last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Judged {
+pub enum ServerHealth {
     /// It took a new connection.
     Well,
     /// It said `BUSY`.
@@ -41,18 +41,18 @@
     /// When it was last witnessed.
     pub until_ms: Millis,
     /// What it was.
-    pub judged: Judged,
+    pub health: ServerHealth,
     /// How much evidence there was.
     pub weight: u32,
 }
 
 /// One process's judgement of one server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Judgement {
+pub struct HealthReport {
     /// When it was last witnessed.
-    pub witnessed_ms: Millis,
+    pub observed_at_ms: Millis,
     /// What the server was found to be.
-    pub judged: Judged,
+    pub health: ServerHealth,
     /// How much evidence there is.
     pub weight: u32,
     /// Since when it has been found so without a break.
@@ -69,51 +69,51 @@
 
 /// The judgements of all processes of a site.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Judgements {
-    of: BTreeMap<String, BTreeMap<String, Judgement>>,
+pub struct HealthReports {
+    of: BTreeMap<String, BTreeMap<String, HealthReport>>,
 }
 
-impl Judgements {
+impl HealthReports {
     /// None.
-    pub fn new() -> Judgements {
-        Judgements::default()
+    pub fn new() -> HealthReports {
+        HealthReports::default()
     }
 
     /// This process has found a server, of this start, to be something; gives what others are to be told.
-    pub fn witness(
+    pub fn observe(
         &mut self,
         now: Millis,
         origin: &str,
         server: &str,
         started_ms: Millis,
-        judged: Judged,
-    ) -> Judgement {
+        health: ServerHealth,
+    ) -> HealthReport {
         let known = self.of.get(server).and_then(|origins| origins.get(origin));
         let known = known.filter(|known| known.started_ms == started_ms);
         // A judgement is felt for as long as its end is.
-        let known = known.filter(|known| now.saturating_sub(known.witnessed_ms) <= FADE + RAMP);
+        let known = known.filter(|known| now.saturating_sub(known.observed_at_ms) <= FADE + RAMP);
         let (mut since_ms, mut weight, mut before) = (now, 1, None);
         match known {
-            Some(known) if known.judged == judged => {
-                let lasting = now.saturating_sub(known.witnessed_ms) <= FADE;
+            Some(known) if known.health == health => {
+                let lasting = now.saturating_sub(known.observed_at_ms) <= FADE;
                 let piled = if lasting { known.weight } else { 0 };
                 weight = piled.saturating_add(1).min(HEAVIEST);
                 (since_ms, before) = (known.since_ms, known.before);
             }
-            Some(known) if known.judged != Judged::Well => {
-                let (until_ms, judged, weight) = (known.witnessed_ms, known.judged, known.weight);
+            Some(known) if known.health != ServerHealth::Well => {
+                let (until_ms, health, weight) = (known.observed_at_ms, known.health, known.weight);
                 before = Some(Before {
                     until_ms,
-                    judged,
+                    health,
                     weight,
                 });
             }
             _ => {}
         }
         let (server, origin) = (server.to_owned(), origin.to_owned());
-        let told = Judgement {
-            witnessed_ms: now,
-            judged,
+        let told = HealthReport {
+            observed_at_ms: now,
+            health,
             weight,
             since_ms,
             before,
@@ -126,7 +126,7 @@
     }
 
     /// Takes a judgement in; gives whether it said anything new.
-    pub fn put(&mut self, one: Judgement) -> bool {
+    pub fn put(&mut self, one: HealthReport) -> bool {
         let origins = self.of.entry(one.server.clone()).or_default();
         match origins.get(&one.origin) {
             Some(known) if *known >= one => return false,
@@ -147,26 +147,26 @@
     }
 
     /// Takes in all that another process knows.
-    pub fn merge(&mut self, other: &Judgements) {
+    pub fn merge(&mut self, other: &HealthReports) {
         for one in other.iter() {
             self.put(one.clone());
         }
     }
 
     /// All of them, in order.
-    pub fn iter(&self) -> impl Iterator<Item = &Judgement> {
+    pub fn iter(&self) -> impl Iterator<Item = &HealthReport> {
         self.of.values().flat_map(BTreeMap::values)
     }
 
     /// Those of a server.
-    pub fn of(&self, server: &str) -> impl Iterator<Item = &Judgement> {
+    pub fn of(&self, server: &str) -> impl Iterator<Item = &HealthReport> {
         self.of.get(server).into_iter().flat_map(BTreeMap::values)
     }
 
     /// Forgets what says nothing any more: all that was last witnessed before.
     pub fn prune(&mut self, before: Millis) {
         for origins in self.of.values_mut() {
-            origins.retain(|_, one| one.witnessed_ms >= before);
+            origins.retain(|_, one| one.observed_at_ms >= before);
         }
         self.of.retain(|_, origins| !origins.is_empty());
     }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -17,8 +17,8 @@
 //!     edge.handle(now, Evidence::StoreFailed, &mut actions);
 //! }
 //! assert_eq!(edge.state(), State::Islanded);
-//! assert!(matches!(edge.may(20_000, &Decision::ChangeShare), Verdict::No { .. }));
-//! assert_eq!(edge.may(20_000, &Decision::GoOn), Verdict::Yes);
+//! assert!(matches!(edge.may(20_000, &Decision::ChangeShare), Permission::Denied { .. }));
+//! assert_eq!(edge.may(20_000, &Decision::GoOn), Permission::Granted);
 //! ```
 
 #![forbid(unsafe_code)]
@@ -26,27 +26,29 @@
 mod config;
 mod decide;
 mod evidence;
-mod farm;
-mod judge;
-mod look;
-mod machine;
+mod health_reports;
 mod merge;
 mod pace;
 mod probe;
 mod rejoin;
-mod sight;
+mod server_assessment;
+mod snapshot;
+mod state_machine;
 mod transit;
+mod uplink_view;
 
 pub use config::{Config, Fault};
-pub use decide::{Decision, Verdict};
-pub use evidence::{Action, Evidence, Force, Outcome, Place, Says, Seen, State, Step, Word};
-pub use farm::{Known, Standing, standings};
-pub use judge::{Before, Judged, Judgement, Judgements};
-pub use look::{Look, PlaceLook};
-pub use machine::{Edge, Start};
+pub use decide::{Decision, Permission};
+pub use evidence::{
+    Action, Evidence, Force, OperatorMode, Outcome, Place, Reachability, State, Step, UplinkReport,
+};
+pub use health_reports::{Before, HealthReport, HealthReports, ServerHealth};
 pub use merge::{Change, Doing, MergedOverrides, merge_overrides};
-pub use pace::{ColdPart, Counts, Pace};
-pub use rejoin::{Held, Keep, Listed, Move, Plan, Ready, Whole, Why, plan_rejoin};
+pub use pace::{Counts, Pace, SlowStartQuota};
+pub use rejoin::{IslandServer, Keep, ListOrigin, Listed, Move, Plan, Ready, Why, plan_rejoin};
+pub use server_assessment::{Known, ServerAssessment, standings};
+pub use snapshot::{EdgeSnapshot, PlaceSnapshot};
+pub use state_machine::{Edge, Start};
 
 /// A moment on the program's clock: Unix time in milliseconds as it was at the program's start, and followed
 /// monotonically from then on. Spans are in milliseconds too.
--- a/crates/edge/src/pace.rs
+++ b/crates/edge/src/pace.rs
@@ -30,7 +30,7 @@
     }
 
     /// How many are due, of so many that there are. What was not used lapses beyond one.
-    pub fn due(&mut self, now: Millis, there: usize) -> usize {
+    pub fn permitted(&mut self, now: Millis, there: usize) -> usize {
         let passed = now.saturating_sub(self.at);
         self.at = self.at.max(now);
         // A process that was stopped for a while has not saved its moves up.
@@ -44,14 +44,14 @@
 
 /// A part of what cold servers may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ColdPart {
+pub struct SlowStartQuota {
     /// So many parts
     pub of: u32,
     /// of so many.
     pub all: u32,
 }
 
-impl ColdPart {
+impl SlowStartQuota {
     /// The part of a budget.
     pub fn share(&self, budget: f64) -> f64 {
         budget * f64::from(self.of) / f64::from(self.all.max(1))
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct Counts {
     site: String,
-    sites: BTreeMap<String, Heard>,
+    sites: BTreeMap<String, SiteReport>,
     apart_ms: Millis,
     cold_ms: Millis,
     /// What this site had when all were heard for long enough.
@@ -77,7 +77,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct SiteReport {
     /// How many are heard now.
     now: u32,
     /// The most lately, and since when there are fewer.
@@ -90,7 +90,7 @@
     /// for the second.
     pub fn new(site: &str, processes: u32, apart_ms: Millis, cold_ms: Millis) -> Counts {
         let processes = processes.max(1);
-        let own = Heard {
+        let own = SiteReport {
             now: processes,
             most: processes,
             fewer: None,
@@ -107,8 +107,8 @@
     }
 
     /// So many processes of a site are heard, 0 where it is silent.
-    pub fn heard(&mut self, now: Millis, site: &str, processes: u32) {
-        let known = self.sites.entry(site.to_owned()).or_insert(Heard {
+    pub fn site_reported(&mut self, now: Millis, site: &str, processes: u32) {
+        let known = self.sites.entry(site.to_owned()).or_insert(SiteReport {
             now: 0,
             most: 0,
             fewer: None,
@@ -163,8 +163,8 @@
     }
 
     /// This process's part of what cold servers may be sent by the fleet: the site's part, divided by its processes.
-    pub fn part(&self) -> ColdPart {
-        ColdPart {
+    pub fn slow_start_quota(&self) -> SlowStartQuota {
+        SlowStartQuota {
             of: self.agreed.min(self.own()),
             all: self.fleet().saturating_mul(self.own()),
         }
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -103,7 +103,7 @@
     }
 
     /// Another process of the site has asked, so long after so many tries.
-    pub(crate) fn heard(
+    pub(crate) fn record(
         &mut self,
         place: &Place,
         tries: u32,
--- a/crates/edge/src/rejoin.rs
+++ b/crates/edge/src/rejoin.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 
 use crate::Millis;
-use crate::judge::Judged;
+use crate::health_reports::ServerHealth;
 
 /// Whether a server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// A server as the island has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct IslandServer {
     /// Its name.
     pub server: String,
     /// As last listed.
@@ -41,9 +41,9 @@
     /// Its weight, in thousandths.
     pub weight: u64,
     /// Why the site passes it over, if it does.
-    pub passed: Option<Judged>,
+    pub ejected_for: Option<ServerHealth>,
     /// This process's connections on it.
-    pub standing: usize,
+    pub established: usize,
 }
 
 /// A server of discovery's list.
@@ -74,7 +74,7 @@
     /// Off which.
     pub server: String,
     /// How many stand there.
-    pub standing: usize,
+    pub established: usize,
     /// Why.
     pub why: Why,
 }
@@ -87,9 +87,9 @@
     /// Its weight from now on.
     pub weight: u64,
     /// Why the site's evidence passes it over still.
-    pub passed: Option<Judged>,
+    pub ejected_for: Option<ServerHealth>,
     /// It is cold from this start on.
-    pub cold_since: Option<Millis>,
+    pub slow_start_since: Option<Millis>,
     /// In a sentence, where it is not simply as listed.
     pub why: Option<&'static str>,
 }
@@ -105,49 +105,50 @@
 
 /// What the list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct ListOrigin {
     /// Whether it is the whole list, not changes alone.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Whether it comes from the same discovery as before: one that has not lost its state since.
-    pub same_life: bool,
+    pub same_incarnation: bool,
 }
 
 /// Compares both sides.
 pub fn plan_rejoin(
     now: Millis,
-    held: &[Held],
+    held: &[IslandServer],
     listed: &[Listed],
-    list: Whole,
+    list: ListOrigin,
     cold_ms: Millis,
 ) -> Plan {
     let by_name: BTreeMap<&str, &Listed> = listed
         .iter()
         .map(|one| (one.server.as_str(), one))
         .collect();
-    let known: BTreeMap<&str, &Held> = held.iter().map(|one| (one.server.as_str(), one)).collect();
+    let known: BTreeMap<&str, &IslandServer> =
+        held.iter().map(|one| (one.server.as_str(), one)).collect();
     let mut plan = Plan::default();
     for (name, held) in &known {
         match by_name.get(name) {
             Some(one) => plan.known(now, held, one, cold_ms),
-            None if list.whole && list.same_life => plan.leave(held, Ready::Gone),
+            None if list.is_complete && list.same_incarnation => plan.leave(held, Ready::Gone),
             None => plan.keep.push(Keep {
                 server: held.server.clone(),
                 weight: held.weight,
-                passed: held.passed,
-                cold_since: None,
+                ejected_for: held.ejected_for,
+                slow_start_since: None,
                 why: Some("not listed yet; what stands stays until the list says that it is gone"),
             }),
         }
     }
     for one in by_name.values().filter(|one| one.ready == Ready::Serving) {
         if !known.contains_key(one.server.as_str()) {
-            let cold_since = cold(now, one.started_ms, cold_ms);
+            let slow_start_since = slow_start_since(now, one.started_ms, cold_ms);
             let why = Some("new since the link was lost");
             plan.keep.push(Keep {
                 server: one.server.clone(),
                 weight: one.weight,
-                passed: None,
-                cold_since,
+                ejected_for: None,
+                slow_start_since,
                 why,
             });
         }
@@ -157,41 +158,42 @@
 }
 
 impl Plan {
-    fn known(&mut self, now: Millis, held: &Held, listed: &Listed, cold_ms: Millis) {
+    fn known(&mut self, now: Millis, held: &IslandServer, listed: &Listed, cold_ms: Millis) {
         if listed.ready != Ready::Serving {
             return self.leave(held, listed.ready);
         }
         let anew = listed.started_ms > held.started_ms;
-        let passed = held.passed.filter(|_| !anew);
-        let why = match (anew, passed) {
+        let ejected_for = held.ejected_for.filter(|_| !anew);
+        let why = match (anew, ejected_for) {
             (true, _) => Some("it started anew while the link was lost"),
-            (false, Some(Judged::Drains)) => {
+            (false, Some(ServerHealth::Drains)) => {
                 Some("it said itself that it drains, and has not started since")
             }
             (false, Some(_)) => Some("the site's evidence is against it still"),
             (false, None) => None,
         };
-        let cold_since = cold(now, listed.started_ms.max(held.started_ms), cold_ms);
+        let slow_start_since =
+            slow_start_since(now, listed.started_ms.max(held.started_ms), cold_ms);
         self.keep.push(Keep {
             server: held.server.clone(),
             weight: listed.weight,
-            passed,
-            cold_since,
+            ejected_for,
+            slow_start_since,
             why,
         });
     }
 
     /// A server that drains, or is gone: what stands there is moved, if anything does.
-    fn leave(&mut self, held: &Held, ready: Ready) {
+    fn leave(&mut self, held: &IslandServer, ready: Ready) {
         let why = if ready == Ready::Gone {
             Why::Gone
         } else {
             Why::Drains
         };
-        if held.standing > 0 {
+        if held.established > 0 {
             self.moves.push(Move {
                 server: held.server.clone(),
-                standing: held.standing,
+                established: held.established,
                 why,
             });
         }
@@ -199,6 +201,6 @@
 }
 
 /// Since when a server is cold, if it is.
-fn cold(now: Millis, started_ms: Millis, cold_ms: Millis) -> Option<Millis> {
+fn slow_start_since(now: Millis, started_ms: Millis, cold_ms: Millis) -> Option<Millis> {
     (started_ms > 0 && now < started_ms.saturating_add(cold_ms)).then_some(started_ms)
 }
