--- a/crates/edge/src/look.rs
+++ b/crates/edge/src/snapshot.rs
@@ -1,25 +1,25 @@
 //! What an operator is shown.
 
-use crate::evidence::{Force, Place, Seen, State};
-use crate::machine::Edge;
-use crate::{Millis, Says};
+use crate::evidence::{Force, Place, Reachability, State};
+use crate::state_machine::Edge;
+use crate::{Millis, UplinkReport};
 
 /// A place beyond the link, as it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceLook {
+pub struct PlaceSnapshot {
     /// Which.
     pub place: Place,
     /// How it stands by this process's own evidence, and how old that is.
-    pub seen: Option<(Seen, Millis)>,
+    pub seen: Option<(Reachability, Millis)>,
     /// What another process of this site says of it, which one, and how old that is.
-    pub said: Option<(Seen, String, Millis)>,
+    pub peer_report: Option<(Reachability, String, Millis)>,
     /// How long its last answer took, where that is slow.
     pub slow_ms: Option<Millis>,
 }
 
 /// All that there is to see.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct EdgeSnapshot {
     /// The state.
     pub state: State,
     /// For how long.
@@ -35,67 +35,67 @@
     /// Whether it is trusted still.
     pub trusted: bool,
     /// The operator's word that holds, and for how long it does.
-    pub word: Option<(String, Millis)>,
+    pub operator_mode: Option<(String, Millis)>,
     /// The places beyond the link.
-    pub places: Vec<PlaceLook>,
+    pub places: Vec<PlaceSnapshot>,
     /// The other processes of this site that were heard lately, and their states.
     pub others: Vec<(String, State)>,
 }
 
 impl Edge {
     /// What there is to see at this moment.
-    pub fn look(&self, now: Millis) -> Look {
-        let places: Vec<PlaceLook> = self
-            .sight
+    pub fn snapshot(&self, now: Millis) -> EdgeSnapshot {
+        let places: Vec<PlaceSnapshot> = self
+            .view
             .places()
             .into_iter()
-            .map(|place| self.look_at(place, now))
+            .map(|place| self.place_snapshot(place, now))
             .collect();
-        let stands = |seen: Option<Seen>| seen == Some(Seen::Stands);
+        let is_reachable = |seen: Option<Reachability>| seen == Some(Reachability::Reachable);
         let own = places
             .iter()
-            .any(|one| stands(one.seen.map(|(seen, _)| seen)));
+            .any(|one| is_reachable(one.seen.map(|(seen, _)| seen)));
         let others = places
             .iter()
-            .any(|one| stands(one.said.as_ref().map(|(seen, ..)| *seen)));
+            .any(|one| is_reachable(one.peer_report.as_ref().map(|(seen, ..)| *seen)));
         let holding = self
-            .word
+            .operator_mode
             .as_ref()
             .filter(|_| self.force(now) != Force::Automatic);
-        Look {
+        EdgeSnapshot {
             state: self.state,
             for_ms: now.saturating_sub(self.since),
             why: self.why.clone(),
-            odds: self.sight.odds(now, true),
+            odds: self.view.odds(now, true),
             alone: self.state == State::Islanded && others && !own,
             list_ms: self.list_age(now),
             trusted: self.trusted(now),
-            word: holding.map(|word| {
-                let text = format!("{} says: {}", word.who, self.word_text(word));
+            operator_mode: holding.map(|word| {
+                let text = format!("{} says: {}", word.who, self.operator_mode_text(word));
                 (text, word.ends_at.saturating_sub(now))
             }),
             places,
             others: self
-                .sight
+                .view
                 .states(now)
                 .map(|(name, state)| (name.to_owned(), state))
                 .collect(),
         }
     }
 
-    fn look_at(&self, place: Place, now: Millis) -> PlaceLook {
-        let said = self.sight.said(&place, now);
-        let took = self.sight.took(&place);
-        PlaceLook {
-            seen: self.sight.seen(&place, now),
-            said: said.map(|(seen, who, age)| (seen, who.to_owned(), age)),
+    fn place_snapshot(&self, place: Place, now: Millis) -> PlaceSnapshot {
+        let said = self.view.said(&place, now);
+        let took = self.view.took(&place);
+        PlaceSnapshot {
+            seen: self.view.seen(&place, now),
+            peer_report: said.map(|(seen, who, age)| (seen, who.to_owned(), age)),
             slow_ms: (took > self.config.slow_ms).then_some(took),
             place,
         }
     }
 }
 
-impl Look {
+impl EdgeSnapshot {
     /// The same in plain sentences, one a line.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!(
@@ -111,7 +111,7 @@
             );
         }
         lines.extend(
-            self.word
+            self.operator_mode
                 .as_ref()
                 .map(|(word, left)| format!("{word}, for {} more", span(*left))),
         );
@@ -123,7 +123,7 @@
                 span(age)
             ),
         });
-        lines.extend(self.places.iter().map(PlaceLook::line));
+        lines.extend(self.places.iter().map(PlaceSnapshot::line));
         for state in [
             State::Linked,
             State::Doubtful,
@@ -144,27 +144,27 @@
     }
 }
 
-impl PlaceLook {
+impl PlaceSnapshot {
     fn line(&self) -> String {
         let mut line = match self.seen {
-            Some((seen, age)) => format!("{} {}, {} ago", self.place, words(seen), span(age)),
+            Some((seen, age)) => format!("{} {}, {} ago", self.place, describe(seen), span(age)),
             None => format!("{} was not asked lately", self.place),
         };
         if let Some(took) = self.slow_ms {
             line += &format!(", slowly: {}", span(took));
         }
-        if let Some((seen, who, age)) = &self.said {
-            line += &format!("; by {who} it {}, {} ago", words(*seen), span(*age));
+        if let Some((seen, who, age)) = &self.peer_report {
+            line += &format!("; by {who} it {}, {} ago", describe(*seen), span(*age));
         }
         line
     }
 }
 
-fn words(seen: Seen) -> &'static str {
+fn describe(seen: Reachability) -> &'static str {
     match seen {
-        Seen::Stands => "answered",
-        Seen::Hears => "was heard but does not hear",
-        Seen::Lost => "did not answer",
+        Reachability::Reachable => "answered",
+        Reachability::OneWay => "was heard but does not hear",
+        Reachability::Lost => "did not answer",
     }
 }
 
@@ -177,9 +177,11 @@
     }
 }
 
-impl Says {
+impl UplinkReport {
     /// Whether it says that anything answers from beyond the link.
     pub fn stands(&self) -> bool {
-        self.places.iter().any(|(_, seen, _)| *seen == Seen::Stands)
+        self.places
+            .iter()
+            .any(|(_, seen, _)| *seen == Reachability::Reachable)
     }
 }
--- a/crates/edge/src/machine.rs
+++ b/crates/edge/src/state_machine.rs
@@ -2,10 +2,12 @@
 
 use std::collections::VecDeque;
 
-use crate::evidence::{Action, Evidence, Force, Outcome, Place, Says, Seen, State, Step, Word};
+use crate::evidence::{
+    Action, Evidence, Force, OperatorMode, Outcome, Place, Reachability, State, Step, UplinkReport,
+};
 use crate::probe::{Probes, rank};
-use crate::sight::Sight;
 use crate::transit::Toward;
+use crate::uplink_view::UplinkView;
 use crate::{Config, Millis};
 
 /// Longest span between two looks at the time.
@@ -23,7 +25,7 @@
         /// When discovery last confirmed the list in hand. Its age goes on: a restart makes nothing fresh.
         confirmed_at: Option<Millis>,
         /// The operator's word that held.
-        set_operator_mode: Option<Word>,
+        set_operator_mode: Option<OperatorMode>,
     },
 }
 
@@ -34,9 +36,9 @@
     pub(crate) state: State,
     pub(crate) since: Millis,
     pub(crate) why: String,
-    pub(crate) word: Option<Word>,
+    pub(crate) operator_mode: Option<OperatorMode>,
     pub(crate) confirmed: Option<Millis>,
-    pub(crate) sight: Sight,
+    pub(crate) view: UplinkView,
     pub(crate) merged: bool,
     pub(crate) started: bool,
     pub(crate) toward: Option<(Toward, Millis)>,
@@ -44,26 +46,26 @@
     pub(crate) changes: VecDeque<Millis>,
     /// When what answered stopped to, within the last minute.
     pub(crate) flaps: VecDeque<Millis>,
-    pub(crate) stood: bool,
+    pub(crate) was_reachable: bool,
     /// Odds that were looked into and found to say nothing of the link, and when.
     pub(crate) settled: Option<(i32, Millis)>,
-    pub(crate) word_over: bool,
+    pub(crate) operator_mode_expired: bool,
     /// When the last rejoining began, until its merge has been asked for.
-    pub(crate) merge_due: Option<Millis>,
+    pub(crate) pending_merge: Option<Millis>,
     pub(crate) probes: Probes,
     pub(crate) hurried: Option<Millis>,
     last: Millis,
 }
 
 /// By what a process has its turn with a place.
-struct Turn {
+struct ProbeOrder {
     name: String,
     doubtful: bool,
 }
 
-impl Turn {
+impl ProbeOrder {
     /// While it is in doubt the first two ask at once.
-    fn rank(&self, sight: &Sight, place: &Place, now: Millis) -> u64 {
+    fn rank(&self, sight: &UplinkView, place: &Place, now: Millis) -> u64 {
         rank(&self.name, place, sight.alive(now)).saturating_sub(u64::from(self.doubtful))
     }
 }
@@ -71,7 +73,7 @@
 impl Edge {
     /// A process that starts at this moment.
     pub fn new(config: Config, now: Millis, start: Start) -> Edge {
-        let (state, confirmed, word, why) = match start {
+        let (state, confirmed, operator_mode, why) = match start {
             Start::Anew => (
                 State::Doubtful,
                 None,
@@ -97,23 +99,23 @@
             }
         };
         Edge {
-            sight: Sight::new(&config),
+            view: UplinkView::new(&config),
             probes: Probes::new(&config),
             config,
             state,
             since: now,
             why: why.into(),
-            word,
+            operator_mode,
             confirmed,
             merged: true,
             started: true,
             toward: None,
             changes: VecDeque::new(),
             flaps: VecDeque::new(),
-            stood: false,
+            was_reachable: false,
             settled: None,
-            word_over: false,
-            merge_due: None,
+            operator_mode_expired: false,
+            pending_merge: None,
             hurried: None,
             last: now,
         }
@@ -137,7 +139,7 @@
             name,
             ..config
         };
-        self.sight.set_up(&self.config);
+        self.view.set_up(&self.config);
         self.probes.set_up(&self.config);
     }
 
@@ -145,7 +147,7 @@
     pub fn handle(&mut self, now: Millis, evidence: Evidence, actions: &mut Vec<Action>) {
         let now = now.max(self.last);
         if now - self.last > 2 * self.config.fresh_ms.max(STRIDE) {
-            self.sight.forget(&self.config);
+            self.view.forget(&self.config);
             self.toward = None;
             actions.push(Action::Say(format!(
                 "nothing happened here for {} s: what was seen before says nothing of the link",
@@ -154,7 +156,7 @@
         }
         self.last = now;
         self.take(now, evidence, actions);
-        self.judge(now, actions);
+        self.evaluate(now, actions);
         self.probe(now, actions);
     }
 
@@ -169,98 +171,106 @@
     }
 
     /// What it tells the other processes of its site, again and again.
-    pub fn says(&self, now: Millis) -> Says {
+    pub fn report(&self, now: Millis) -> UplinkReport {
         let now = now.max(self.last);
         let seen = |place: Place| {
-            self.sight
+            self.view
                 .seen(&place, now)
                 .map(|(seen, age)| (place, seen, age))
         };
-        Says {
+        UplinkReport {
             name: self.config.name.clone(),
             site: self.config.site.clone(),
             state: self.state,
-            places: self.sight.places().into_iter().filter_map(seen).collect(),
+            places: self.view.places().into_iter().filter_map(seen).collect(),
             probes: self.probes.known(now),
-            word: self.word.clone(),
+            operator_mode: self.operator_mode.clone(),
         }
     }
 
     fn take(&mut self, now: Millis, evidence: Evidence, actions: &mut Vec<Action>) {
         match evidence {
             Evidence::Tick => {}
-            Evidence::WatchLost => self.sight.watch(now, false),
+            Evidence::WatchLost => self.view.watch(now, false),
             Evidence::WatchStands => {
-                self.sight.watch(now, true);
+                self.view.watch(now, true);
                 self.confirmed = Some(now);
             }
-            Evidence::DiscoveryFailed => self.sight.ask(now, None),
-            Evidence::DiscoveryAnswered { took_ms } => self.sight.ask(now, Some(took_ms)),
+            Evidence::DiscoveryFailed => self.view.ask(now, None),
+            Evidence::DiscoveryAnswered { took_ms } => self.view.ask(now, Some(took_ms)),
             Evidence::DiscoveryMoved => {
-                self.sight.discovery_moved();
+                self.view.discovery_moved();
                 self.probes.at_once(&Place::Discovery, now);
             }
-            Evidence::StoreFailed => self.sight.store(now, None),
-            Evidence::StoreAnswered { took_ms } => self.sight.store(now, Some(took_ms)),
+            Evidence::StoreFailed => self.view.store(now, None),
+            Evidence::StoreAnswered { took_ms } => self.view.store(now, Some(took_ms)),
             Evidence::PeerHeard {
                 name,
                 site,
                 both_ways,
             } if site != self.config.site => {
-                let seen = if both_ways { Seen::Stands } else { Seen::Hears };
-                self.sight.peer(now, &site, &name, seen);
+                let seen = if both_ways {
+                    Reachability::Reachable
+                } else {
+                    Reachability::OneWay
+                };
+                self.view.peer(now, &site, &name, seen);
             }
             Evidence::PeerSilent { name, site } if site != self.config.site => {
-                self.sight.peer(now, &site, &name, Seen::Lost);
+                self.view.peer(now, &site, &name, Reachability::Lost);
             }
             Evidence::PeerHeard { .. } | Evidence::PeerSilent { .. } => {}
-            Evidence::PeerSays(says) => self.take_says(now, says, actions),
+            Evidence::PeerSays(says) => self.apply_report(now, says, actions),
             Evidence::ServerBeyond { site, outcome } if site != self.config.site => {
-                self.sight.servers(now, &site, took(outcome));
+                self.view.servers(now, &site, took(outcome));
             }
             Evidence::ServerBeyond { outcome, .. } | Evidence::ServerHere { outcome } => {
-                self.sight.here(now, took(outcome));
+                self.view.here(now, took(outcome));
             }
             Evidence::Confirmed { at } => self.confirmed = self.confirmed.max(Some(at.min(now))),
-            Evidence::OperatorsWord(word) => self.take_word(now, word, actions),
+            Evidence::OperatorsWord(word) => self.apply_operator_mode(now, word, actions),
             // One that belongs to a former rejoining is none.
-            Evidence::Done(Step::Merge) => self.merged |= self.merge_due.is_none(),
+            Evidence::Done(Step::Merge) => self.merged |= self.pending_merge.is_none(),
             Evidence::Done(Step::Ask { .. }) => {}
         }
     }
 
-    fn take_says(&mut self, now: Millis, says: Says, actions: &mut Vec<Action>) {
+    fn apply_report(&mut self, now: Millis, says: UplinkReport, actions: &mut Vec<Action>) {
         if says.site != self.config.site || says.name == self.config.name {
             return;
         }
-        self.sight.says(now, &says);
+        self.view.record_report(now, &says);
         for (place, tries, age) in &says.probes {
-            let (turn, at) = (self.turn(), now.saturating_sub(*age));
+            let (turn, at) = (self.probe_order(), now.saturating_sub(*age));
             self.probes
-                .heard(place, *tries, at, || turn.rank(&self.sight, place, now));
+                .record(place, *tries, at, || turn.rank(&self.view, place, now));
         }
-        if let Some(word) = says.word {
-            self.take_word(now, word, actions);
+        if let Some(word) = says.operator_mode {
+            self.apply_operator_mode(now, word, actions);
         }
     }
 
     /// The latest word holds; of two that were given at once all take the same one.
-    fn take_word(&mut self, now: Millis, word: Word, actions: &mut Vec<Action>) {
-        if self.word.as_ref().is_some_and(|known| *known >= word) {
+    fn apply_operator_mode(&mut self, now: Millis, word: OperatorMode, actions: &mut Vec<Action>) {
+        if self
+            .operator_mode
+            .as_ref()
+            .is_some_and(|known| *known >= word)
+        {
             return;
         }
         if word.ends_at > now {
             actions.push(Action::Say(format!(
                 "{} says: {}",
                 word.who,
-                self.word_text(&word)
+                self.operator_mode_text(&word)
             )));
             actions.push(Action::Tell);
         }
-        (self.word, self.word_over) = (Some(word), false);
+        (self.operator_mode, self.operator_mode_expired) = (Some(word), false);
     }
 
-    pub(crate) fn word_text(&self, word: &Word) -> String {
+    pub(crate) fn operator_mode_text(&self, word: &OperatorMode) -> String {
         let what = match word.force {
             Force::Automatic => "the evidence decides",
             Force::Island => "this site is an island",
@@ -271,12 +281,15 @@
 
     /// The operator's word at this moment.
     pub(crate) fn force(&self, now: Millis) -> Force {
-        let holding = self.word.as_ref().filter(|word| word.ends_at > now);
+        let holding = self
+            .operator_mode
+            .as_ref()
+            .filter(|word| word.ends_at > now);
         holding.map_or(Force::Automatic, |word| word.force)
     }
 
-    fn turn(&self) -> Turn {
-        Turn {
+    fn probe_order(&self) -> ProbeOrder {
+        ProbeOrder {
             name: self.config.name.clone(),
             doubtful: self.state == State::Doubtful,
         }
@@ -284,7 +297,7 @@
 
     /// This process's turn with a place.
     pub(crate) fn rank(&self, place: &Place, now: Millis) -> u64 {
-        self.turn().rank(&self.sight, place, now)
+        self.probe_order().rank(&self.view, place, now)
     }
 
     fn probe(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -292,23 +305,23 @@
         if !looks || self.force(now) != Force::Automatic {
             return;
         }
-        let mut confirms = !self.stood;
-        for place in self.sight.places() {
-            let seen = self.sight.seen(&place, now);
+        let mut confirms = !self.was_reachable;
+        for place in self.view.places() {
+            let seen = self.view.seen(&place, now);
             let asks = match seen {
-                Some((Seen::Stands, age)) if age < self.config.fresh_ms / 2 => false,
-                Some((Seen::Stands, _)) => self.probes.take_confirm(&place, now),
+                Some((Reachability::Reachable, age)) if age < self.config.fresh_ms / 2 => false,
+                Some((Reachability::Reachable, _)) => self.probes.take_confirm(&place, now),
                 _ if self
-                    .sight
+                    .view
                     .said(&place, now)
-                    .is_some_and(|(seen, ..)| seen == Seen::Stands) =>
+                    .is_some_and(|(seen, ..)| seen == Reachability::Reachable) =>
                 {
                     std::mem::take(&mut confirms) && self.probes.take_confirm(&place, now)
                 }
                 _ => {
-                    let turn = self.turn();
+                    let turn = self.probe_order();
                     self.probes
-                        .take_due(&place, now, || turn.rank(&self.sight, &place, now))
+                        .take_due(&place, now, || turn.rank(&self.view, &place, now))
                 }
             };
             if asks {
@@ -320,18 +333,20 @@
     /// What is lost, in a sentence.
     pub(crate) fn losses(&self, now: Millis) -> String {
         let mut lost: Vec<String> = Vec::new();
-        for place in self.sight.places() {
-            match self.sight.seen(&place, now) {
-                Some((Seen::Lost, _)) => lost.push(format!("{place} does not answer")),
-                Some((Seen::Hears, _)) => lost.push(format!("{place} is heard but does not hear")),
+        for place in self.view.places() {
+            match self.view.seen(&place, now) {
+                Some((Reachability::Lost, _)) => lost.push(format!("{place} does not answer")),
+                Some((Reachability::OneWay, _)) => {
+                    lost.push(format!("{place} is heard but does not hear"))
+                }
                 _ => {}
             }
         }
         if lost.is_empty() {
             return "nothing is seen to be lost".into();
         }
-        let here = match self.sight.here_seen(now) {
-            Some(Seen::Lost) => "; nor do the servers here",
+        let here = match self.view.here_seen(now) {
+            Some(Reachability::Lost) => "; nor do the servers here",
             Some(_) => "; the servers here do",
             None => "",
         };
--- a/crates/edge/src/transit.rs
+++ b/crates/edge/src/transit.rs
@@ -2,8 +2,8 @@
 
 use crate::Millis;
 use crate::evidence::{Action, Force, Place, State, Step};
-use crate::machine::Edge;
-use crate::sight::{DOUBT, LOST};
+use crate::state_machine::Edge;
+use crate::uplink_view::{DOUBT, LOST};
 
 /// Changes within this span make the next one slower.
 const MINUTE: Millis = 60_000;
@@ -27,26 +27,34 @@
             .min(self.config.damp_cap_ms)
     }
 
-    pub(crate) fn judge(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let ended = self.word.as_ref().is_some_and(|word| word.ends_at <= now) && !self.word_over;
+    pub(crate) fn evaluate(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let ended = self
+            .operator_mode
+            .as_ref()
+            .is_some_and(|word| word.ends_at <= now)
+            && !self.operator_mode_expired;
         if ended {
-            self.word_over = true;
+            self.operator_mode_expired = true;
             actions.push(Action::Say(
                 "the operator's word is over: the evidence decides".into(),
             ));
         }
-        let stands = self.sight.stands(now).is_some();
+        let stands = self.view.reachable_place(now).is_some();
         self.note_flaps(now, stands);
         let force = self.force(now);
         match (force, self.state) {
-            (Force::Automatic, _) => self.judge_by_evidence(now, stands, actions),
+            (Force::Automatic, _) => self.evaluate_evidence(now, stands, actions),
             (Force::Island, State::Islanded) | (Force::Linked, State::Linked) => {}
-            (Force::Island, _) => self.go_by_word(now, State::Islanded, actions),
-            (Force::Linked, State::Doubtful) => self.go_by_word(now, State::Linked, actions),
-            (Force::Linked, State::Islanded) => self.go_by_word(now, State::Rejoining, actions),
+            (Force::Island, _) => self.apply_forced_state(now, State::Islanded, actions),
+            (Force::Linked, State::Doubtful) => {
+                self.apply_forced_state(now, State::Linked, actions)
+            }
+            (Force::Linked, State::Islanded) => {
+                self.apply_forced_state(now, State::Rejoining, actions)
+            }
             (Force::Linked, State::Rejoining) => {
                 if self.merged || now - self.since >= self.config.rejoin_ms {
-                    self.go_by_word(now, State::Linked, actions);
+                    self.apply_forced_state(now, State::Linked, actions);
                 }
             }
         }
@@ -54,7 +62,7 @@
     }
 
     fn note_flaps(&mut self, now: Millis, stands: bool) {
-        if self.stood && !stands {
+        if self.was_reachable && !stands {
             self.flaps.push_back(now);
         }
         while self.flaps.front().is_some_and(|at| now - at > MINUTE)
@@ -65,10 +73,10 @@
         while self.changes.front().is_some_and(|at| now - at >= MINUTE) {
             self.changes.pop_front();
         }
-        if !self.stood && stands && self.state == State::Islanded {
+        if !self.was_reachable && stands && self.state == State::Islanded {
             self.hurry(now);
         }
-        self.stood = stands;
+        self.was_reachable = stands;
     }
 
     /// Something answers: the other places are asked soon, but not each time that a link comes and goes.
@@ -80,14 +88,14 @@
             return;
         }
         self.hurried = Some(now);
-        for place in self.sight.places() {
+        for place in self.view.places() {
             let rank = self.rank(&place, now);
             self.probes.begin(&place, now, rank);
         }
     }
 
     /// Whether the evidence has pointed there without a break for the span.
-    fn held(&mut self, now: Millis, toward: Toward, points: bool, span: Millis) -> bool {
+    fn has_persisted(&mut self, now: Millis, toward: Toward, points: bool, span: Millis) -> bool {
         let since = match self.toward {
             Some((known, since)) if known == toward => since,
             _ => now,
@@ -96,18 +104,18 @@
         points && now - since >= span
     }
 
-    fn judge_by_evidence(&mut self, now: Millis, stands: bool, actions: &mut Vec<Action>) {
-        if self.state == State::Linked && !self.sight.lost(now) {
+    fn evaluate_evidence(&mut self, now: Millis, stands: bool, actions: &mut Vec<Action>) {
+        if self.state == State::Linked && !self.view.lost(now) {
             return;
         }
-        let odds = self.sight.odds(now, true);
+        let odds = self.view.odds(now, true);
         let dwelt = now - self.since >= self.damped(self.config.confirm_ms);
         match self.state {
-            State::Linked => self.judge_linked(now, odds, dwelt, actions),
-            State::Doubtful => self.judge_doubt(now, odds, stands, dwelt, actions),
+            State::Linked => self.evaluate_linked(now, odds, dwelt, actions),
+            State::Doubtful => self.evaluate_doubt(now, odds, stands, dwelt, actions),
             State::Islanded => {
                 let steady = self.damped(self.config.steady_ms);
-                if self.held(now, Toward::Back, stands, steady) && dwelt {
+                if self.has_persisted(now, Toward::Back, stands, steady) && dwelt {
                     let why = format!(
                         "answers from beyond the link have come for {} s",
                         steady.div_ceil(1_000)
@@ -117,7 +125,7 @@
             }
             State::Rejoining => {
                 let lost = odds >= LOST && !stands;
-                if self.held(now, Toward::Lost, lost, self.config.confirm_ms) && dwelt {
+                if self.has_persisted(now, Toward::Lost, lost, self.config.confirm_ms) && dwelt {
                     let why = format!("lost again: {}", self.losses(now));
                     self.go(now, State::Islanded, why, actions);
                 } else if self.merged && stands && dwelt {
@@ -150,19 +158,19 @@
         self.go(now, to, why, actions);
     }
 
-    fn judge_linked(&mut self, now: Millis, odds: i32, dwelt: bool, actions: &mut Vec<Action>) {
+    fn evaluate_linked(&mut self, now: Millis, odds: i32, dwelt: bool, actions: &mut Vec<Action>) {
         if self.settled.is_some_and(|(_, at)| now - at > MINUTE) && odds < DOUBT {
             self.settled = None;
         }
         let news = self.settled.is_none_or(|(known, _)| odds > known);
-        let alone = self.sight.odds(now, false) >= LOST;
+        let alone = self.view.odds(now, false) >= LOST;
         if (odds >= DOUBT || alone) && news && dwelt {
             let why = self.losses(now);
             self.go(now, State::Doubtful, why, actions);
         }
     }
 
-    fn judge_doubt(
+    fn evaluate_doubt(
         &mut self,
         now: Millis,
         odds: i32,
@@ -178,7 +186,7 @@
                 actions,
             );
         }
-        let alone = self.sight.odds(now, false) >= LOST;
+        let alone = self.view.odds(now, false) >= LOST;
         let (lost, back) = (
             odds >= LOST,
             odds < DOUBT && !alone && (!self.started || stands),
@@ -189,7 +197,7 @@
         } else {
             self.damped(self.config.steady_ms)
         };
-        if self.held(now, toward, lost || back, span) && dwelt {
+        if self.has_persisted(now, toward, lost || back, span) && dwelt {
             if lost {
                 let why = self.losses(now);
                 return self.go(now, State::Islanded, why, actions);
@@ -197,7 +205,7 @@
             let why = "the link stands: what was lost was lost for itself".into();
             return self.go(now, State::Linked, why, actions);
         }
-        if now - self.since >= self.config.patience_ms {
+        if now - self.since >= self.config.answer_timeout_ms {
             self.end_doubt(now, odds, actions);
         }
     }
@@ -207,12 +215,12 @@
         let flaps = self.flaps.iter().filter(|at| **at >= self.since).count();
         // What comes and goes alone comes and goes for itself.
         let seen = self
-            .sight
+            .view
             .places()
             .into_iter()
-            .filter(|place| self.sight.seen(place, now).is_some());
+            .filter(|place| self.view.seen(place, now).is_some());
         let several = seen.count() > 1;
-        if self.sight.odds(now, false) >= LOST {
+        if self.view.odds(now, false) >= LOST {
             let why = format!(
                 "{}; others of this site say otherwise: this process is cut off",
                 self.losses(now)
@@ -230,11 +238,11 @@
         }
     }
 
-    fn go_by_word(&mut self, now: Millis, to: State, actions: &mut Vec<Action>) {
+    fn apply_forced_state(&mut self, now: Millis, to: State, actions: &mut Vec<Action>) {
         let word = self
-            .word
+            .operator_mode
             .as_ref()
-            .map(|word| format!("{} says: {}", word.who, self.word_text(word)));
+            .map(|word| format!("{} says: {}", word.who, self.operator_mode_text(word)));
         self.enter(now, to, word.unwrap_or_default(), actions);
     }
 
@@ -263,7 +271,7 @@
     }
 
     fn begin_probes(&mut self, now: Millis) {
-        for place in self.sight.places() {
+        for place in self.view.places() {
             let rank = self.rank(&place, now);
             self.probes.begin(&place, now, rank);
         }
@@ -272,9 +280,9 @@
     /// Guards against a herd: discovery and the store are asked over a span that grows with the fleet.
     fn begin_rejoining(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.probes.stop();
-        (self.merged, self.merge_due) = (false, Some(now));
+        (self.merged, self.pending_merge) = (false, Some(now));
         let span = self.config.spread_ms * Millis::from(self.config.processes);
-        for place in self.sight.places() {
+        for place in self.view.places() {
             if matches!(place, Place::Discovery | Place::Store) {
                 let in_ms = self.probes.within(span);
                 actions.push(Action::Rejoin(Step::Ask { place, in_ms }));
@@ -287,10 +295,10 @@
         let usable = matches!(self.state, State::Linked | State::Rejoining);
         if usable
             && self
-                .merge_due
+                .pending_merge
                 .is_some_and(|began| self.confirmed >= Some(began))
         {
-            self.merge_due = None;
+            self.pending_merge = None;
             actions.push(Action::Rejoin(Step::Merge));
         }
     }
--- a/crates/edge/src/sight.rs
+++ b/crates/edge/src/uplink_view.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::evidence::{Place, Says, Seen, State};
+use crate::evidence::{Place, Reachability, State, UplinkReport};
 use crate::{Config, Millis};
 
 /// The odds of a lost link before anything was seen: one to a hundred.
@@ -19,17 +19,17 @@
 /// A site that is heard and does not hear.
 const ONE_WAY: i32 = 6;
 /// What another process of this site says it lost, where this one has not looked.
-const SAID_LOST: i32 = 8;
+const PEER_REPORTED_LOST: i32 = 8;
 /// An answer from beyond the link.
 const ANSWERED: i32 = -40;
 /// One that another process of this site says it had.
-const SAID_ANSWERED: i32 = -30;
+const PEER_REPORTED_ANSWER: i32 = -30;
 /// From here on it is doubted that the link stands.
 pub(crate) const DOUBT: i32 = -10;
 /// From here on it is taken for lost.
 pub(crate) const LOST: i32 = 5;
 /// A loss that was not seen again for so long says nothing any more.
-const LOSS_HOLDS: Millis = 60_000;
+const LOSS_VALID_FOR: Millis = 60_000;
 /// Most processes that are remembered for a site, and most sites. Guards against names without end.
 const MOST_NAMES: usize = 512;
 const MOST_SITES: usize = 64;
@@ -59,11 +59,11 @@
         };
     }
 
-    fn seen(&self, now: Millis, fresh: Millis, fails: u32) -> Option<(Seen, Millis)> {
+    fn seen(&self, now: Millis, fresh: Millis, fails: u32) -> Option<(Reachability, Millis)> {
         let age = now - self.at?;
         match self.fails {
-            0 if age <= fresh => Some((Seen::Stands, age)),
-            n if n >= fails && age <= LOSS_HOLDS => Some((Seen::Lost, age)),
+            0 if age <= fresh => Some((Reachability::Reachable, age)),
+            n if n >= fails && age <= LOSS_VALID_FOR => Some((Reachability::Lost, age)),
             _ => None,
         }
     }
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     at: Millis,
-    seen: Seen,
+    seen: Reachability,
 }
 
 /// Another site.
@@ -87,23 +87,23 @@
 const SERVER_FAILS: u32 = 2;
 
 impl Other {
-    fn peers_seen(&self, now: Millis, fresh: Millis) -> Option<(Seen, Millis)> {
+    fn peers_seen(&self, now: Millis, fresh: Millis) -> Option<(Reachability, Millis)> {
         let aged = |peer: &Peer| match (peer.seen, now - peer.at) {
-            (Seen::Lost, age) if age <= LOSS_HOLDS => Some((Seen::Lost, age)),
-            (seen, age) if seen != Seen::Lost && age <= fresh => Some((seen, age)),
+            (Reachability::Lost, age) if age <= LOSS_VALID_FOR => Some((Reachability::Lost, age)),
+            (seen, age) if seen != Reachability::Lost && age <= fresh => Some((seen, age)),
             _ => None,
         };
         self.peers.values().filter_map(aged).min()
     }
 
-    fn servers_seen(&self, now: Millis, fresh: Millis) -> Option<(Seen, Millis)> {
+    fn servers_seen(&self, now: Millis, fresh: Millis) -> Option<(Reachability, Millis)> {
         self.servers.seen(now, fresh, SERVER_FAILS)
     }
 
     fn points(&self, now: Millis, fresh: Millis) -> i32 {
-        let weigh = |seen: Option<(Seen, Millis)>| match seen {
-            Some((Seen::Lost, _)) => SITE_LOST,
-            Some((Seen::Hears, _)) => ONE_WAY,
+        let weigh = |seen: Option<(Reachability, Millis)>| match seen {
+            Some((Reachability::Lost, _)) => SITE_LOST,
+            Some((Reachability::OneWay, _)) => ONE_WAY,
             _ => 0,
         };
         let both = [
@@ -116,15 +116,15 @@
 
 /// What another process of this site said last.
 #[derive(Clone, Debug)]
-struct Said {
+struct PeerReport {
     at: Millis,
     state: State,
-    places: BTreeMap<Place, (Seen, Millis)>,
+    places: BTreeMap<Place, (Reachability, Millis)>,
 }
 
 /// All that a process has seen and was told.
 #[derive(Clone, Debug)]
-pub(crate) struct Sight {
+pub(crate) struct UplinkView {
     fresh: Millis,
     discovery: bool,
     store: bool,
@@ -133,12 +133,12 @@
     kept: Party,
     here: Party,
     others: BTreeMap<String, Other>,
-    said: BTreeMap<String, Said>,
+    peer_reports: BTreeMap<String, PeerReport>,
 }
 
-impl Sight {
-    pub(crate) fn new(config: &Config) -> Sight {
-        Sight {
+impl UplinkView {
+    pub(crate) fn new(config: &Config) -> UplinkView {
+        UplinkView {
             fresh: config.fresh_ms,
             discovery: !config.discovery_here,
             store: !config.store_here,
@@ -147,7 +147,7 @@
             kept: Party::default(),
             here: Party::default(),
             others: BTreeMap::new(),
-            said: BTreeMap::new(),
+            peer_reports: BTreeMap::new(),
         }
     }
 
@@ -182,7 +182,7 @@
         }
     }
 
-    pub(crate) fn peer(&mut self, now: Millis, site: &str, name: &str, seen: Seen) {
+    pub(crate) fn peer(&mut self, now: Millis, site: &str, name: &str, seen: Reachability) {
         let Some(other) = self.other(site) else {
             return;
         };
@@ -201,8 +201,8 @@
     /// What was seen of discovery is of another one.
     pub(crate) fn discovery_moved(&mut self) {
         (self.watch, self.ask) = (Party::default(), Party::default());
-        for said in self.said.values_mut() {
-            said.places.remove(&Place::Discovery);
+        for peer_reachability in self.peer_reports.values_mut() {
+            peer_reachability.places.remove(&Place::Discovery);
         }
     }
 
@@ -210,24 +210,24 @@
     /// own sleep for the silence of all others.
     pub(crate) fn forget(&mut self, config: &Config) {
         let others = std::mem::take(&mut self.others);
-        *self = Sight::new(config);
+        *self = UplinkView::new(config);
         self.others = others
             .into_keys()
             .map(|site| (site, Other::default()))
             .collect();
     }
 
-    pub(crate) fn says(&mut self, now: Millis, says: &Says) {
-        if !self.said.contains_key(&says.name) && self.said.len() >= MOST_NAMES {
-            self.said.pop_first();
+    pub(crate) fn record_report(&mut self, now: Millis, says: &UplinkReport) {
+        if !self.peer_reports.contains_key(&says.name) && self.peer_reports.len() >= MOST_NAMES {
+            self.peer_reports.pop_first();
         }
-        let place = |(place, seen, age): &(Place, Seen, Millis)| {
+        let place = |(place, seen, age): &(Place, Reachability, Millis)| {
             (place.clone(), (*seen, now.saturating_sub(*age)))
         };
         let places = says.places.iter().take(MOST_SITES + 2).map(place).collect();
-        self.said.insert(
+        self.peer_reports.insert(
             says.name.clone(),
-            Said {
+            PeerReport {
                 at: now,
                 state: says.state,
                 places,
@@ -238,15 +238,16 @@
     /// Those of this site who said something lately.
     pub(crate) fn alive(&self, now: Millis) -> impl Iterator<Item = &str> {
         let fresh = self.fresh;
-        self.said
+        self.peer_reports
             .iter()
-            .filter(move |(_, said)| now - said.at <= fresh)
+            .filter(move |(_, peer_reachability)| now - peer_reachability.at <= fresh)
             .map(|(name, _)| name.as_str())
     }
 
     /// In which states they are.
     pub(crate) fn states(&self, now: Millis) -> impl Iterator<Item = (&str, State)> {
-        self.alive(now).map(|name| (name, self.said[name].state))
+        self.alive(now)
+            .map(|name| (name, self.peer_reports[name].state))
     }
 
     fn other(&mut self, site: &str) -> Option<&mut Other> {
@@ -271,7 +272,7 @@
     }
 
     /// How a place stands by this process's own evidence, and how old that is.
-    pub(crate) fn seen(&self, place: &Place, now: Millis) -> Option<(Seen, Millis)> {
+    pub(crate) fn seen(&self, place: &Place, now: Millis) -> Option<(Reachability, Millis)> {
         match place {
             Place::Discovery => {
                 let both = [&self.watch, &self.ask];
@@ -295,12 +296,12 @@
     }
 
     /// How a place stands by what others of this site said lately: the best of it.
-    pub(crate) fn said(&self, place: &Place, now: Millis) -> Option<(Seen, &str, Millis)> {
-        let told = self.said.iter().filter_map(|(name, said)| {
+    pub(crate) fn said(&self, place: &Place, now: Millis) -> Option<(Reachability, &str, Millis)> {
+        let told = self.peer_reports.iter().filter_map(|(name, said)| {
             let (seen, at) = *said.places.get(place)?;
             let age = now.saturating_sub(at);
-            let holds = if seen == Seen::Lost {
-                LOSS_HOLDS
+            let holds = if seen == Reachability::Lost {
+                LOSS_VALID_FOR
             } else {
                 self.fresh
             };
@@ -319,10 +320,10 @@
     }
 
     /// A place that answers this process itself.
-    pub(crate) fn stands(&self, now: Millis) -> Option<Place> {
+    pub(crate) fn reachable_place(&self, now: Millis) -> Option<Place> {
         self.places().into_iter().find(|place| {
             self.seen(place, now)
-                .is_some_and(|(seen, _)| seen == Seen::Stands)
+                .is_some_and(|(seen, _)| seen == Reachability::Reachable)
         })
     }
 
@@ -330,12 +331,12 @@
     pub(crate) fn lost(&self, now: Millis) -> bool {
         self.places().iter().any(|place| {
             self.seen(place, now)
-                .is_some_and(|(seen, _)| seen == Seen::Lost)
+                .is_some_and(|(seen, _)| seen == Reachability::Lost)
         })
     }
 
     /// How the servers of this site answer this process.
-    pub(crate) fn here_seen(&self, now: Millis) -> Option<Seen> {
+    pub(crate) fn here_seen(&self, now: Millis) -> Option<Reachability> {
         self.here
             .seen(now, self.fresh, SERVER_FAILS)
             .map(|(seen, _)| seen)
@@ -345,7 +346,10 @@
     pub(crate) fn odds(&self, now: Millis, with_others: bool) -> i32 {
         let mut places = self.places();
         if with_others {
-            let told = self.said.values().flat_map(|said| said.places.keys());
+            let told = self
+                .peer_reports
+                .values()
+                .flat_map(|said| said.places.keys());
             let sites = told.filter(|place| matches!(place, Place::Site(_)));
             let news: BTreeSet<&Place> = sites.filter(|place| !places.contains(place)).collect();
             places.extend(news.into_iter().cloned());
@@ -365,17 +369,17 @@
             None
         };
         match (own, said) {
-            (Some(Seen::Stands), _) => ANSWERED,
-            (_, Some(Seen::Stands)) => SAID_ANSWERED,
+            (Some(Reachability::Reachable), _) => ANSWERED,
+            (_, Some(Reachability::Reachable)) => PEER_REPORTED_ANSWER,
             (Some(_), said) => {
-                let seconded = if said == Some(Seen::Lost) {
-                    SAID_LOST
+                let seconded = if said == Some(Reachability::Lost) {
+                    PEER_REPORTED_LOST
                 } else {
                     0
                 };
                 self.own_loss(place, now).max(seconded)
             }
-            (None, Some(Seen::Lost)) => SAID_LOST,
+            (None, Some(Reachability::Lost)) => PEER_REPORTED_LOST,
             (None, _) => 0,
         }
     }
@@ -384,7 +388,7 @@
         let lost = |party: &Party| {
             party
                 .seen(now, self.fresh, 1)
-                .is_some_and(|(seen, _)| seen == Seen::Lost)
+                .is_some_and(|(seen, _)| seen == Reachability::Lost)
         };
         match place {
             Place::Discovery if lost(&self.ask) => ASK_LOST,
--- a/crates/edge/tests/any_order.rs
+++ b/crates/edge/tests/any_order.rs
@@ -25,8 +25,12 @@
     ]
 }
 
-fn says() -> impl Strategy<Value = Says> {
-    let seen = prop::sample::select(vec![Seen::Stands, Seen::Hears, Seen::Lost]);
+fn says() -> impl Strategy<Value = UplinkReport> {
+    let seen = prop::sample::select(vec![
+        Reachability::Reachable,
+        Reachability::OneWay,
+        Reachability::Lost,
+    ]);
     let states = vec![
         State::Linked,
         State::Doubtful,
@@ -40,13 +44,15 @@
         prop::sample::select(&NAMES[..]),
         prop::sample::select(&SITES[..]),
     );
-    (name, site, state, places, probes).prop_map(|(name, site, state, places, probes)| Says {
-        name: name.into(),
-        site: site.into(),
-        state,
-        places,
-        probes,
-        word: None,
+    (name, site, state, places, probes).prop_map(|(name, site, state, places, probes)| {
+        UplinkReport {
+            name: name.into(),
+            site: site.into(),
+            state,
+            places,
+            probes,
+            operator_mode: None,
+        }
     })
 }
 
@@ -141,7 +147,7 @@
         let ends = begins.iter().skip(1).map(|(at, _)| *at).chain([end]);
         for ((at, state), until) in begins.iter().zip(ends) {
             let bound = match state {
-                State::Doubtful => config.patience_ms,
+                State::Doubtful => config.answer_timeout_ms,
                 State::Rejoining => config.rejoin_ms,
                 State::Linked | State::Islanded => continue,
             };
@@ -167,7 +173,7 @@
             one.tell(Evidence::Done(Step::Merge));
         });
         let expected = if lost { State::Islanded } else { State::Linked };
-        prop_assert_eq!(one.edge.state(), expected, "{}", one.edge.look(one.now).lines().join("\n"));
+        prop_assert_eq!(one.edge.state(), expected, "{}", one.edge.snapshot(one.now).lines().join("\n"));
     }
 
     #[test]
--- a/crates/edge/tests/model/mod.rs
+++ b/crates/edge/tests/model/mod.rs
@@ -38,7 +38,7 @@
     site: &'static str,
     edge: Edge,
     list: Vec<Listed>,
-    judgements: Judgements,
+    judgements: HealthReports,
     counts: Counts,
     watch: bool,
     asks_at: Millis,
@@ -124,13 +124,13 @@
                 let mut counts = Counts::new(site, per_site as u32, 3_600_000, COLD);
                 SITES
                     .iter()
-                    .for_each(|other| counts.heard(T, other, per_site as u32));
+                    .for_each(|other| counts.site_reported(T, other, per_site as u32));
                 processes.push(Process {
                     name,
                     site,
                     edge: Edge::new(config, T, Start::Anew),
                     list: list.clone(),
-                    judgements: Judgements::new(),
+                    judgements: HealthReports::new(),
                     counts,
                     watch: true,
                     asks_at: T + rng.random_range(0..2_000),
@@ -245,7 +245,7 @@
                     place: Place::Site(other.into()),
                 };
                 // Membership has given up on what is silent: on the island only the site's probes find it again.
-                if self.processes[n].edge.may(now, &place) == Verdict::Yes {
+                if self.processes[n].edge.may(now, &place) == Permission::Granted {
                     told.push(self.ping(site, other));
                 }
             }
@@ -256,7 +256,7 @@
             &Decision::Ask {
                 place: Place::Discovery,
             },
-        ) == Verdict::Yes;
+        ) == Permission::Granted;
         if self.processes[n].watch && due(now, 2_000) {
             told.push(if up {
                 Evidence::WatchStands
@@ -365,25 +365,27 @@
         let (now, listed) = (self.now, self.listed());
         let process = &mut self.processes[n];
         let seen = standings(&known(&process.list), &process.judgements, now, COLD);
-        let held: Vec<Held> = process
+        let held: Vec<IslandServer> = process
             .list
             .iter()
-            .map(|one| Held {
+            .map(|one| IslandServer {
                 server: one.server.clone(),
                 ready: one.ready,
                 started_ms: one.started_ms,
                 weight: one.weight,
-                passed: seen.get(&one.server).and_then(|standing| standing.passed),
-                standing: process.standing.get(&one.server).copied().unwrap_or(0),
+                ejected_for: seen
+                    .get(&one.server)
+                    .and_then(|standing| standing.ejected_for),
+                established: process.standing.get(&one.server).copied().unwrap_or(0),
             })
             .collect();
         let plan = plan_rejoin(
             now,
             &held,
             &listed,
-            Whole {
-                whole: true,
-                same_life: true,
+            ListOrigin {
+                is_complete: true,
+                same_incarnation: true,
             },
             COLD,
         );
@@ -424,11 +426,11 @@
         let Some(pace) = &mut process.pace else {
             return;
         };
-        let there = process.leaving.iter().map(|one| one.standing).sum();
-        let mut due = pace.due(now, there);
+        let there = process.leaving.iter().map(|one| one.established).sum();
+        let mut due = pace.permitted(now, there);
         for one in &mut process.leaving {
-            let moved = due.min(one.standing);
-            (one.standing, due) = (one.standing - moved, due - moved);
+            let moved = due.min(one.established);
+            (one.established, due) = (one.established - moved, due - moved);
             *process.standing.entry(one.server.clone()).or_default() -= moved;
             *self.out.moved.entry(one.server.clone()).or_default() += moved;
             *self.moves.entry(now / 1_000).or_default() += moved;
@@ -440,7 +442,7 @@
         let now = self.now;
         let of: Vec<&'static str> = self.processes.iter().map(|one| one.site).collect();
         for n in 0..of.len() {
-            let says = self.processes[n].edge.says(now);
+            let says = self.processes[n].edge.report(now);
             let peers: Vec<usize> = (0..of.len())
                 .filter(|m| *m != n && of[*m] == of[n])
                 .collect();
@@ -449,8 +451,8 @@
                     self.tell(*m, Evidence::PeerSays(says.clone()));
                 }
             }
-            let recent = |one: &&Judgement| one.witnessed_ms + 5_000 > now;
-            let news: Vec<Judgement> = self.processes[n]
+            let recent = |one: &&HealthReport| one.observed_at_ms + 5_000 > now;
+            let news: Vec<HealthReport> = self.processes[n]
                 .judgements
                 .iter()
                 .filter(recent)
@@ -486,15 +488,15 @@
             };
             let truth = self.servers[&server].truth;
             let judged = match truth {
-                Truth::Well => Judged::Well,
-                Truth::Hangs => Judged::Hung,
-                Truth::SaysMove => Judged::Drains,
-                Truth::Away => Judged::Refused,
+                Truth::Well => ServerHealth::Well,
+                Truth::Hangs => ServerHealth::Hung,
+                Truth::SaysMove => ServerHealth::Drains,
+                Truth::Away => ServerHealth::Refused,
             };
             let (now, process) = (self.now, &mut self.processes[n]);
             process
                 .judgements
-                .witness(now, &process.name.clone(), &server, 0, judged);
+                .observe(now, &process.name.clone(), &server, 0, judged);
             if truth == Truth::Well {
                 *process.standing.entry(server.clone()).or_default() += 1;
                 self.send(&server);
@@ -511,7 +513,7 @@
         let now = self.now;
         let process = &mut self.processes[n];
         let seen = standings(&known(&process.list), &process.judgements, now, COLD);
-        let part = process.counts.part().share(COLD_RATE);
+        let part = process.counts.slow_start_quota().share(COLD_RATE);
         process.cold_credit = (process.cold_credit + part * STEP as f64 / 1_000.0).min(1.0);
         let listed_cold = |one: &Listed| now < one.started_ms + COLD;
         let mut open: Vec<(&Listed, u64, bool)> = Vec::new();
@@ -521,9 +523,9 @@
             .filter(|one| one.ready == Ready::Serving && !tried.contains(&one.server))
         {
             let standing = &seen[&one.server];
-            let cold = standing.cold_since.is_some() || listed_cold(one);
-            if standing.passed.is_none() && (!cold || process.cold_credit >= 1.0) {
-                open.push((one, one.weight * standing.part, cold));
+            let cold = standing.slow_start_since.is_some() || listed_cold(one);
+            if standing.ejected_for.is_none() && (!cold || process.cold_credit >= 1.0) {
+                open.push((one, one.weight * standing.weight_permille, cold));
             }
         }
         let total: u64 = open.iter().map(|(_, weight, _)| weight).sum();
--- a/crates/edge/tests/rejoin.rs
+++ b/crates/edge/tests/rejoin.rs
@@ -5,19 +5,19 @@
 
 const T: Millis = 10_000_000;
 const COLD: Millis = 60_000;
-const LIST: Whole = Whole {
-    whole: true,
-    same_life: true,
+const LIST: ListOrigin = ListOrigin {
+    is_complete: true,
+    same_incarnation: true,
 };
 
-fn held(server: &str) -> Held {
-    Held {
+fn held(server: &str) -> IslandServer {
+    IslandServer {
         server: server.into(),
         ready: Ready::Serving,
         started_ms: 5,
         weight: 1_000,
-        passed: None,
-        standing: 9,
+        ejected_for: None,
+        established: 9,
     }
 }
 
@@ -64,7 +64,7 @@
     let keep: Vec<(&str, u64, Option<Millis>)> = plan
         .keep
         .iter()
-        .map(|one| (one.server.as_str(), one.weight, one.cold_since))
+        .map(|one| (one.server.as_str(), one.weight, one.slow_start_since))
         .collect();
     assert_eq!(
         keep,
@@ -79,12 +79,12 @@
 #[test]
 fn what_is_not_listed_stays_where_the_list_can_not_know() {
     for list in [
-        Whole {
-            same_life: false,
+        ListOrigin {
+            same_incarnation: false,
             ..LIST
         },
-        Whole {
-            whole: false,
+        ListOrigin {
+            is_complete: false,
             ..LIST
         },
     ] {
@@ -102,8 +102,8 @@
 
 #[test]
 fn a_drain_by_its_own_word_outlives_the_list_but_not_a_new_start() {
-    let drained = Held {
-        passed: Some(Judged::Drains),
+    let drained = IslandServer {
+        ejected_for: Some(ServerHealth::Drains),
         ..held("a")
     };
     let plan = |start| {
@@ -115,10 +115,10 @@
             COLD,
         )
     };
-    assert_eq!(plan(5).keep[0].passed, Some(Judged::Drains));
+    assert_eq!(plan(5).keep[0].ejected_for, Some(ServerHealth::Drains));
     let anew = plan(T - 10);
     assert_eq!(
-        (anew.keep[0].passed, anew.keep[0].cold_since),
+        (anew.keep[0].ejected_for, anew.keep[0].slow_start_since),
         (None, Some(T - 10))
     );
     assert_eq!(anew.moves, []);
@@ -268,15 +268,15 @@
 
     #[test]
     fn nobody_is_moved_because_the_list_looks_different(
-        list in listed_any(), ids in prop::collection::btree_set(0..8_u32, 0..8), whole in any::<bool>(),
-        same_life in any::<bool>(),
+        list in listed_any(), ids in prop::collection::btree_set(0..8_u32, 0..8), is_complete in any::<bool>(),
+        same_incarnation in any::<bool>(),
     ) {
-        let island: Vec<Held> = ids.iter().map(|id| held(&id.to_string())).collect();
-        let plan = plan_rejoin(T, &island, &list, Whole { whole, same_life }, COLD);
+        let island: Vec<IslandServer> = ids.iter().map(|id| held(&id.to_string())).collect();
+        let plan = plan_rejoin(T, &island, &list, ListOrigin { is_complete, same_incarnation }, COLD);
         for one in &plan.moves {
             let asked = match list.iter().rfind(|listed| listed.server == one.server) {
                 Some(listed) => listed.ready != Ready::Serving,
-                None => whole && same_life,
+                None => is_complete && same_incarnation,
             };
             prop_assert!(asked, "{:?} by {:?}", one, list);
         }
@@ -293,7 +293,7 @@
         let (mut moved, mut worst) = (0, 0_usize);
         let span = 60_000;
         for now in (0..=span).step_by(every as usize) {
-            let step: usize = all.iter_mut().map(|pace| pace.due(now, 1_000)).sum();
+            let step: usize = all.iter_mut().map(|pace| pace.permitted(now, 1_000)).sum();
             (moved, worst) = (moved + step, worst.max(step));
         }
         let due = rate * span as f64 / 1_000.0;
@@ -319,7 +319,7 @@
                     // Of another site it is heard a second late.
                     let there = if own == other { live[other] } else { before[other] };
                     let heard = if groups[own] == groups[other] { there } else { 0 };
-                    counts[own].heard(now, sites[other], heard);
+                    counts[own].site_reported(now, sites[other], heard);
                 }
             }
         };
@@ -331,7 +331,7 @@
                 let before = live;
                 if second == 40 { live = lives; }
                 hear(&mut counts, now, groups, live, before);
-                let sum: f64 = (0..3).map(|own| counts[own].part().share(1.0) * f64::from(live[own])).sum();
+                let sum: f64 = (0..3).map(|own| counts[own].slow_start_quota().share(1.0) * f64::from(live[own])).sum();
                 prop_assert!(sum <= 1.0 + 1e-9, "{} at {} by {:?} of {:?}", sum, now, groups, live);
             }
         }
@@ -341,15 +341,15 @@
 #[test]
 fn a_long_island_ends_its_hold_on_the_cold_budget() {
     let mut counts = Counts::new("moy", 5, 600_000, COLD);
-    counts.heard(0, "ard", 5);
-    counts.heard(1_000, "ard", 0);
-    assert_eq!(counts.part(), ColdPart { of: 5, all: 50 });
+    counts.site_reported(0, "ard", 5);
+    counts.site_reported(1_000, "ard", 0);
+    assert_eq!(counts.slow_start_quota(), SlowStartQuota { of: 5, all: 50 });
     counts.settle(1_000 + 600_000 + COLD);
-    assert_eq!(counts.part(), ColdPart { of: 5, all: 25 });
+    assert_eq!(counts.slow_start_quota(), SlowStartQuota { of: 5, all: 25 });
 }
 
 #[test]
 fn a_process_that_slept_has_not_saved_its_moves_up() {
     let mut pace = Pace::new(5.0, 1, 7, 0);
-    assert!(pace.due(3_600_000, 1_000) <= 6);
+    assert!(pace.permitted(3_600_000, 1_000) <= 6);
 }
--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -103,7 +103,7 @@
         });
     });
     assert_eq!(one.states(), [Doubtful, Islanded]);
-    let lines = one.edge.look(one.now).lines().join("\n");
+    let lines = one.edge.snapshot(one.now).lines().join("\n");
     assert!(
         lines.contains("site ard was heard but does not hear"),
         "{lines}"
@@ -124,7 +124,7 @@
     assert_eq!(one.states(), []);
     assert!(
         one.edge
-            .look(one.now)
+            .snapshot(one.now)
             .lines()
             .iter()
             .any(|line| line.contains("slowly: 3.5 s"))
@@ -135,7 +135,7 @@
 fn a_restart_on_the_island_inherits_the_age_of_its_list() {
     let mut one = One::linked("n1");
     one.run(30_000, |one, _| one.all_lost());
-    let confirmed_at = one.edge.look(one.now).list_ms.map(|age| one.now - age);
+    let confirmed_at = one.edge.snapshot(one.now).list_ms.map(|age| one.now - age);
     let memory = Start::Remembered {
         state: Islanded,
         confirmed_at,
@@ -179,7 +179,8 @@
         well,
     };
     let tenant = |read_ms| Decision::Tenant { read_ms };
-    let yes = |one: &One, now, decision: &Decision| one.edge.may(now, decision) == Verdict::Yes;
+    let yes =
+        |one: &One, now, decision: &Decision| one.edge.may(now, decision) == Permission::Granted;
     assert!(yes(&one, one.now, &place(false)) && yes(&one, one.now, &tenant(Some(60_000))));
     let later = one.now + one.edge.config().trust_for_ms;
     assert!(
@@ -224,20 +225,20 @@
         refused
             .iter()
             .chain(&granted)
-            .all(|what| one.edge.may(one.now, what) == Verdict::Yes)
+            .all(|what| one.edge.may(one.now, what) == Permission::Granted)
     );
     one.run(30_000, |one, _| one.all_lost());
     for what in &refused {
         let verdict = one.edge.may(one.now, what);
         assert!(
-            matches!(verdict, Verdict::No { why, again_ms: 1.. } if !why.is_empty()),
+            matches!(verdict, Permission::Denied { why, again_ms: 1.. } if !why.is_empty()),
             "{what:?}: {verdict:?}"
         );
     }
     assert!(
         granted
             .iter()
-            .all(|what| one.edge.may(one.now, what) == Verdict::Yes)
+            .all(|what| one.edge.may(one.now, what) == Permission::Granted)
     );
 }
 
@@ -283,7 +284,7 @@
     assert_eq!((one.edge.state(), one.probes()), (Islanded, 0));
     assert!(
         one.edge
-            .look(one.now)
+            .snapshot(one.now)
             .lines()
             .join("\n")
             .contains("ada says: this site is an island (cable work)")
@@ -328,7 +329,7 @@
     for says in [late.clone(), early, late] {
         other.tell(Evidence::PeerSays(says));
     }
-    assert_eq!(other.says().word, one.says().word);
+    assert_eq!(other.says().operator_mode, one.says().operator_mode);
     assert_eq!(other.edge.state(), Linked);
 }
 
@@ -342,7 +343,7 @@
     let said = one.count(|action| matches!(action, Action::Say(text) if text.contains("for 15 s")));
     assert_eq!(said, 1);
     assert_eq!(
-        one.edge.look(one.now).odds,
+        one.edge.snapshot(one.now).odds,
         -20,
         "what was seen before says nothing"
     );
@@ -371,7 +372,7 @@
         (Linked, Islanded),
         "a word alone changes neither"
     );
-    assert!(far.edge.look(far.now).alone);
+    assert!(far.edge.snapshot(far.now).alone);
     assert!(
         (1..=25).contains(&far.probes()),
         "asked {} times in two minutes",
@@ -395,7 +396,7 @@
     assert!(came >= 20_000, "not before its patience is over: {came}");
     assert!(
         far.edge
-            .look(far.now)
+            .snapshot(far.now)
             .lines()
             .join("\n")
             .contains("this process alone is cut off")
@@ -433,13 +434,13 @@
     for _ in 0..30 {
         for name in peers {
             let (site, probes) = ("moy".into(), probes.clone());
-            let says = Says {
+            let says = UplinkReport {
                 name: name.into(),
                 site,
                 state: Islanded,
                 places: Vec::new(),
                 probes,
-                word: None,
+                operator_mode: None,
             };
             one.tell(Evidence::PeerSays(says));
         }
@@ -474,7 +475,7 @@
         fresh_ms: 0,
         confirm_ms: 30_000,
         steady_ms: u64::MAX,
-        patience_ms: 1_000,
+        answer_timeout_ms: 1_000,
         rejoin_ms: 1_000,
         slow_ms: 1,
         trust_for_ms: 0,
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -113,13 +113,13 @@
             .map(|(at, _)| *at)
     }
 
-    pub fn says(&self) -> Says {
-        self.edge.says(self.now)
+    pub fn says(&self) -> UplinkReport {
+        self.edge.report(self.now)
     }
 
     pub fn word(&mut self, force: Force, for_ms: Millis) {
         let (given_at, ends_at) = (self.now, self.now + for_ms);
-        self.tell(Evidence::OperatorsWord(Word {
+        self.tell(Evidence::OperatorsWord(OperatorMode {
             given_at,
             force,
             ends_at,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -3,7 +3,7 @@
 
 #![forbid(unsafe_code)]
 
-use beaconflow_admission::{Door, Entry, Limits};
+use beaconflow_admission::{AdmissionQueue, Entry, Limits};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{
     Action, AttemptEnd, ConnectRequest, Event, Nanos, RequestClass, RequestId, Settings,
@@ -17,7 +17,7 @@
     fn on_connect_requested(
         &mut self,
         now: Nanos,
-        arrival: ConnectRequest,
+        request: ConnectRequest,
         account: usize,
         returns: bool,
         out: &mut Vec<Action>,
@@ -31,7 +31,7 @@
 /// One balancer.
 pub struct Engine {
     policy: Balancer,
-    queue: Door,
+    queue: AdmissionQueue,
     /// The accounts' shares, by place.
     shares: Vec<f64>,
     /// What the line is told of each request that is owed an answer.
@@ -51,7 +51,7 @@
             .iter()
             .map(RequestClass::queue_weight)
             .collect();
-        let queue = Door::new(&urgencies, limits, seed);
+        let queue = AdmissionQueue::new(&urgencies, limits, seed);
         let policy = Balancer::new(settings, seed)?;
         Ok(Engine {
             policy,
@@ -73,7 +73,7 @@
         now: Nanos,
         arrival: ConnectRequest,
         account: usize,
-        returns: bool,
+        is_returning: bool,
         out: &mut Vec<Action>,
     ) {
         let client = arrival.client_key.map_or(arrival.request.0, |key| key.0);
@@ -83,8 +83,8 @@
             share: self.shares.get(account).copied().unwrap_or(1.0),
             class: arrival.class.0,
             flow: arrival.group.map_or(client, |group| group.0),
-            give_up_at: arrival.deadline_at,
-            returns,
+            deadline: arrival.deadline_at,
+            is_returning,
             bytes: 0,
         };
         self.entries.insert(arrival.request.0, entry);
--- a/crates/gossip/benches/merge.rs
+++ b/crates/gossip/benches/merge.rs
@@ -11,26 +11,26 @@
 /// Facts in a datagram.
 const DATAGRAM: u64 = 12;
 
-fn process(name: &str) -> Knowledge {
+fn process(name: &str) -> FactStore {
     let mut bounds = Bounds::default();
     bounds.of_mut(Kind::Placement).bytes = usize::MAX;
-    Knowledge::new(
+    FactStore::new(
         Origin {
             name: name.into(),
-            boot: 1,
+            incarnation: 1,
         },
         bounds,
     )
 }
 
-fn place(one: &mut Knowledge, key: u64, now: Millis) {
+fn place(one: &mut FactStore, key: u64, now: Millis) {
     let server = format!("server-{:04}", key % 1_000);
     let value = Value::Placement(Some(Placement {
         server,
         configuration: 7,
         since: now,
     }));
-    one.witness(
+    one.observe(
         &Subject::Placement(Holder::Client(spread(key))),
         &value,
         LONG,
@@ -44,9 +44,9 @@
     key.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-fn packet(writer: &mut Knowledge, keys: impl Iterator<Item = u64>, now: Millis) -> Vec<u8> {
+fn packet(writer: &mut FactStore, keys: impl Iterator<Item = u64>, now: Millis) -> Vec<u8> {
     keys.for_each(|key| place(writer, key, now));
-    writer.rumours(1 << 16, now)
+    writer.gossip_payload(1 << 16, now)
 }
 
 fn main() {
--- a/crates/gossip/examples/spread.rs
+++ b/crates/gossip/examples/spread.rs
@@ -16,7 +16,7 @@
 const GOOD: Millis = 10 * 60_000;
 
 struct Fleet {
-    all: Vec<Knowledge>,
+    all: Vec<FactStore>,
     now: Millis,
     loss: f64,
     rng: Pcg32,
@@ -42,7 +42,10 @@
         self.now += ROUND;
         for from in 0..self.all.len() {
             for _ in 0..FANOUT {
-                let (to, bytes) = (self.other(from), self.all[from].rumours(ROOM, self.now));
+                let (to, bytes) = (
+                    self.other(from),
+                    self.all[from].gossip_payload(ROOM, self.now),
+                );
                 if !bytes.is_empty() {
                     self.deliver(to, &bytes);
                 }
@@ -75,17 +78,17 @@
             number: 1,
         });
         self.all[at]
-            .witness(&Subject::Configuration, &runs, GOOD, now)
+            .observe(&Subject::Configuration, &runs, GOOD, now)
             .expect("taken");
-        let held = Held {
+        let held = ListVersion {
             position: Position {
-                life: 1,
+                incarnation: 1,
                 generation: 1,
             },
             digest: 1,
         };
         self.all[at]
-            .witness(&Subject::List, &Value::List(held), GOOD, now)
+            .observe(&Subject::List, &Value::List(held), GOOD, now)
             .expect("taken");
     }
 
@@ -123,15 +126,15 @@
         .and_then(|word| word.parse().ok())
         .unwrap_or(0.05);
     let one = |at| {
-        Knowledge::new(
+        FactStore::new(
             Origin {
                 name: format!("process-{at:03}"),
-                boot: 1,
+                incarnation: 1,
             },
             Bounds::default(),
         )
     };
-    let all: Vec<Knowledge> = (0..count).map(one).collect();
+    let all: Vec<FactStore> = (0..count).map(one).collect();
     let now = 1_800_000_000_000;
     let mut fleet = Fleet {
         all,
@@ -146,7 +149,7 @@
         for server in 0..1_000 {
             let listed = Listed {
                 position: Position {
-                    life: 1,
+                    incarnation: 1,
                     generation: 1,
                 },
                 lifecycle: Lifecycle::Serving,
@@ -159,7 +162,7 @@
             };
             let subject = Subject::Listed(format!("server-{server:04}"));
             fleet.all[at]
-                .witness(&subject, &Value::Listed(listed), 24 * GOOD, now)
+                .observe(&subject, &Value::Listed(listed), 24 * GOOD, now)
                 .expect("taken");
         }
         fleet.refresh(at, now);
@@ -189,7 +192,7 @@
         let (at, told) = (fleet.rng.random_range(0..count), fleet.now);
         let subject = Subject::Placement(Holder::Client(key));
         fleet.all[at]
-            .witness(&subject, &Value::Placement(Some(placed)), GOOD, told)
+            .observe(&subject, &Value::Placement(Some(placed)), GOOD, told)
             .expect("taken");
         let knows = |fleet: &Fleet, at: usize| {
             fleet.all[at]
--- a/crates/gossip/src/bounds.rs
+++ b/crates/gossip/src/bounds.rs
@@ -18,7 +18,7 @@
     /// By kind, in the order of [`Kind::ALL`].
     pub kinds: [Bound; Kind::ALL.len()],
     /// Most facts that are told as rumours at once. What is heard beyond them is left to the pages.
-    pub rumours: usize,
+    pub gossiped_facts: usize,
     /// Evidence on a server counts for half after so long.
     pub evidence_half: Millis,
     /// No process's evidence on a server counts for more than this.
@@ -26,7 +26,7 @@
     /// Evidence that counts for less than this in all says nothing.
     pub evidence_thin: f64,
     /// What was sent to a cold server counts for half after so long.
-    pub cold_half: Millis,
+    pub slow_start_half_life: Millis,
     /// Drawn anew at each start. Guards against client keys chosen to meet in the table.
     pub seed: u64,
 }
@@ -50,11 +50,11 @@
         };
         Bounds {
             kinds: Kind::ALL.map(of),
-            rumours: 4_096,
+            gossiped_facts: 4_096,
             evidence_half: 15_000,
             evidence_most: 4.0,
             evidence_thin: 0.5,
-            cold_half: 10_000,
+            slow_start_half_life: 10_000,
             seed: 0,
         }
     }
--- a/crates/gossip/src/rumour.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -7,15 +7,15 @@
 
 use crate::Millis;
 use crate::fact::{Fact, Kind, Subject};
-use crate::knowledge::{Knowledge, carried};
-use crate::record::{Carried, Packet, Stretch, Summary, View, read_carried};
-use crate::shelf::Merged;
+use crate::fact_store::{FactStore, carried};
+use crate::fact_table::Merged;
+use crate::record::{Carried, HashRange, Packet, Summary, View, read_carried};
 use crate::slot::{LEAF_BITS, Raw};
 use crate::wire::{Field, Fields};
 
 /// Longest packet that is read.
 const LONGEST: usize = 1 << 20;
-/// A stretch of so many facts is sent as it is; a fuller one is first compared in parts.
+/// A range of so many facts is sent as it is; a fuller one is first compared in parts.
 const FEW: usize = 64;
 /// Stretches that an answer names, and that a process keeps in mind, to be compared in parts.
 const GAPS: usize = 16;
@@ -48,12 +48,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Noted {
     pub raw: Raw,
-    pub witnessed: Millis,
+    pub observed_at: Millis,
 }
 
 impl Noted {
     fn fact(&self) -> Option<Fact> {
-        Some(View::new(&self.raw)?.fact(self.witnessed))
+        Some(View::new(&self.raw)?.fact(self.observed_at))
     }
 }
 
@@ -86,7 +86,7 @@
 pub(crate) struct Gossip {
     members: usize,
     /// Stretches to be compared in parts.
-    gaps: VecDeque<Stretch>,
+    gaps: VecDeque<HashRange>,
     turn: u32,
     refused: u64,
     pub outrun: Option<u64>,
@@ -101,7 +101,7 @@
 
     /// As how often told an own observation begins. Guards against a fleet in which each process tells at length what
     /// all have just heard from discovery: who had not tells it on in full.
-    pub fn told_of(&self, kind: Kind) -> u8 {
+    pub fn transmissions_of(&self, kind: Kind) -> u8 {
         if kind == Kind::Listed {
             self.enough() - LISTED_TELLINGS
         } else {
@@ -117,7 +117,7 @@
     1 + prost::length_delimiter_len(len) + len
 }
 
-impl Knowledge {
+impl FactStore {
     /// So many processes there are, with this one.
     pub fn members(&mut self, n: usize) {
         self.gossip.members = n;
@@ -130,15 +130,15 @@
 
     /// Rumours for one peer in at most so many bytes, least often told first; nothing if there are none. Each call
     /// counts as one telling of what it hands out.
-    pub fn rumours(&mut self, room: usize, now: Millis) -> Vec<u8> {
+    pub fn gossip_payload(&mut self, room: usize, now: Millis) -> Vec<u8> {
         let (enough, mut left) = (self.gossip.enough(), room.saturating_sub(FRAME));
         let (mut facts, mut told, mut missed) = (Vec::new(), Vec::new(), 0);
-        for (at, slot) in self.shelf.hot() {
+        for (at, slot) in self.facts.hot() {
             let weight = weight(&slot.raw);
             if weight <= left {
                 left -= weight;
                 facts.push(carried(slot, now));
-                told.push((at, slot.turn.map_or(0, |turn| turn.0) + 1));
+                told.push((at, slot.gossip_order.map_or(0, |turn| turn.0) + 1));
                 continue;
             }
             if weight > room.saturating_sub(FRAME) {
@@ -151,9 +151,9 @@
             }
         }
         for (at, times) in told {
-            self.shelf.cool(at);
+            self.facts.cool(at);
             if times < enough {
-                self.shelf.heat(at, times);
+                self.facts.heat(at, times);
             }
         }
         if facts.is_empty() {
@@ -167,27 +167,27 @@
         }
     }
 
-    /// Digests to be compared by a peer, in at most so many bytes: of all facts, or in turn with that of a stretch
+    /// Digests to be compared by a peer, in at most so many bytes: of all facts, or in turn with that of a range
     /// that was found to differ.
     pub fn summary(&mut self, room: usize) -> Vec<u8> {
         self.gossip.turn = self.gossip.turn.wrapping_add(1);
-        let turn = self.gossip.turn;
-        let gap = if turn.is_multiple_of(2) {
+        let sequence = self.gossip.turn;
+        let gap = if sequence.is_multiple_of(2) {
             self.gossip.gaps.pop_front()
         } else {
             None
         };
-        let stretch = gap.unwrap_or_default();
+        let range = gap.unwrap_or_default();
         let most = (room.saturating_sub(FRAME) / 4).max(1).ilog2();
-        let parts = most.min(LEAF_BITS - stretch.bits);
+        let parts = most.min(LEAF_BITS - range.bits);
         let digests = (0..1 << parts).flat_map(|part| {
-            let digest = self.shelf.digest(part_of(stretch, parts, part));
+            let digest = self.facts.digest(subrange(range, parts, part));
             (digest as u32).to_le_bytes()
         });
         Summary {
-            stretch,
+            range,
             digests: digests.collect(),
-            turn,
+            sequence,
         }
         .encode_to_vec()
     }
@@ -201,7 +201,7 @@
         most: usize,
         now: Millis,
     ) -> Result<Vec<Vec<u8>>, Unreadable> {
-        let (stretch, parts, theirs) = read_summary(summary)?;
+        let (range, parts, theirs) = read_summary(summary)?;
         let count = 1_u32 << parts;
         let mut pages = Pages {
             room: room.saturating_sub(FRAME),
@@ -211,23 +211,23 @@
         };
         pages.open.page = true;
         let mut left = pages.room;
-        let turn = theirs.turn.wrapping_mul(0x9e37_79b9);
+        let turn = theirs.sequence.wrapping_mul(0x9e37_79b9);
         for step in 0..count {
             let at = step.wrapping_add(turn) % count;
-            let part = part_of(stretch, parts, at);
+            let part = subrange(range, parts, at);
             let told = &theirs.digests[4 * at as usize..][..4];
-            if self.shelf.digest(part).to_le_bytes()[..4] == *told {
+            if self.facts.digest(part).to_le_bytes()[..4] == *told {
                 continue;
             }
             let empty = told == [0; 4];
-            if part.bits < LEAF_BITS && !empty && self.shelf.count(part) > FEW {
+            if part.bits < LEAF_BITS && !empty && self.facts.count(part) > FEW {
                 if pages.open.gaps.len() < GAPS && left > FRAME {
                     pages.open.gaps.push(part);
                     left -= FRAME / 2;
                 }
                 continue;
             }
-            for slot in self.shelf.within(part).filter(|slot| now < slot.until) {
+            for slot in self.facts.within(part).filter(|slot| now < slot.until) {
                 let fact = carried(slot, now);
                 if !pages.put(fact, &mut left) {
                     return Ok(pages.finish());
@@ -268,14 +268,14 @@
                 &mut changes,
             );
             if let (Merged::Same(at), false) = (merged, page) {
-                self.heard_again(at, enough);
+                self.count_duplicate(at, enough);
             }
         }
         let gaps = fields()
             .filter(|(number, _)| *number == 3)
             .filter_map(|(_, held)| held.bytes());
         for gap in gaps
-            .filter_map(|gap| Stretch::decode(gap).ok())
+            .filter_map(|gap| HashRange::decode(gap).ok())
             .filter(|gap| sound(*gap))
         {
             if self.gossip.gaps.len() < GAPS && !self.gossip.gaps.contains(&gap) {
@@ -286,47 +286,47 @@
     }
 
     /// A rumour that comes back counts as told: the more know it, the sooner it rests.
-    fn heard_again(&mut self, at: u32, enough: u8) {
-        if let Some(told) = self.shelf.cool(at)
+    fn count_duplicate(&mut self, at: u32, enough: u8) {
+        if let Some(told) = self.facts.cool(at)
             && told + 1 < enough
         {
-            self.shelf.heat(at, told + 1);
+            self.facts.heat(at, told + 1);
         }
     }
 
     /// Notes an own word of a boot that is not this one's yet.
     fn meet(&mut self, view: &View<'_>) {
-        if view.owned && view.epoch > self.me.boot && view.name == self.me.name.as_bytes() {
+        if view.owned && view.epoch > self.me.incarnation && view.name == self.me.name.as_bytes() {
             self.gossip.outrun = self.gossip.outrun.max(Some(view.epoch));
         }
     }
 }
 
-fn part_of(stretch: Stretch, parts: u32, part: u32) -> Stretch {
-    Stretch {
-        bits: stretch.bits + parts,
-        prefix: (stretch.prefix << parts) | part,
+fn subrange(range: HashRange, parts: u32, part: u32) -> HashRange {
+    HashRange {
+        bits: range.bits + parts,
+        prefix: (range.prefix << parts) | part,
     }
 }
 
-fn sound(stretch: Stretch) -> bool {
-    stretch.bits <= LEAF_BITS && stretch.prefix < 1 << stretch.bits
+fn sound(range: HashRange) -> bool {
+    range.bits <= LEAF_BITS && range.prefix < 1 << range.bits
 }
 
-fn read_summary(bytes: &[u8]) -> Result<(Stretch, u32, Summary), Unreadable> {
+fn read_summary(bytes: &[u8]) -> Result<(HashRange, u32, Summary), Unreadable> {
     if bytes.len() > LONGEST {
         return Err(Unreadable::TooLong);
     }
     let summary = Summary::decode(bytes).map_err(|_| Unreadable::Malformed)?;
-    let (stretch, parts) = (summary.stretch, summary.digests.len() / 4);
+    let (range, parts) = (summary.range, summary.digests.len() / 4);
     let parts = if parts.is_power_of_two() && summary.digests.len() % 4 == 0 {
         parts.ilog2()
     } else {
         32
     };
-    let sound = sound(stretch) && stretch.bits + parts <= LEAF_BITS;
+    let sound = sound(range) && range.bits + parts <= LEAF_BITS;
     if sound {
-        Ok((stretch, parts, summary))
+        Ok((range, parts, summary))
     } else {
         Err(Unreadable::Malformed)
     }
@@ -345,7 +345,7 @@
     fn put(&mut self, fact: Carried, left: &mut usize) -> bool {
         let weight = weight(&fact.fact);
         if weight > *left && weight <= self.room {
-            self.turn_over();
+            self.rotate();
             *left = self.room;
         }
         if self.done.len() >= self.most {
@@ -358,7 +358,7 @@
         true
     }
 
-    fn turn_over(&mut self) {
+    fn rotate(&mut self) {
         let page = std::mem::take(&mut self.open);
         self.open.page = true;
         if !(page.facts.is_empty() && page.gaps.is_empty()) && self.done.len() < self.most {
@@ -367,7 +367,7 @@
     }
 
     fn finish(mut self) -> Vec<Vec<u8>> {
-        self.turn_over();
+        self.rotate();
         self.done
     }
 }
--- a/crates/gossip/src/fact.rs
+++ b/crates/gossip/src/fact.rs
@@ -10,7 +10,7 @@
     /// Its name in the fleet. A listed server's facts are discovery's word and have `discovery` here.
     pub name: String,
     /// Grows with each start of it. For discovery's word, the life of that discovery.
-    pub boot: u64,
+    pub incarnation: u64,
 }
 
 /// What facts are about, by sort. Each has bounds of its own.
@@ -151,7 +151,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     /// Which life of discovery, from 1.
-    pub life: u64,
+    pub incarnation: u64,
     /// Discovery's own count, which begins anew with each life.
     pub generation: u64,
 }
@@ -179,7 +179,7 @@
 
 /// Which list a process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ListVersion {
     /// How far it is.
     pub position: Position,
     /// A digest of what it says, without addresses, the same at all processes.
@@ -266,7 +266,7 @@
     /// Of a [`Subject::Listed`].
     Listed(Listed),
     /// Of a [`Subject::List`].
-    List(Held),
+    List(ListVersion),
     /// Of a [`Subject::Standing`].
     Standing(Evidence),
     /// Of a [`Subject::ColdSent`]: set-ups, as of the moment witnessed.
@@ -315,9 +315,9 @@
     /// Grows with each fact on the subject.
     pub version: u64,
     /// When it was witnessed, by this process's clock: the moment of receipt less the age that it came with.
-    pub witnessed: Millis,
+    pub observed_at: Millis,
     /// The same moment by the origin's clock, which may be wrong. No life or age hangs on it.
-    pub told: Millis,
+    pub origin_time: Millis,
     /// It is good for so long from then on.
-    pub good_for: Millis,
+    pub valid_for: Millis,
 }
--- a/crates/gossip/src/knowledge.rs
+++ b/crates/gossip/src/fact_store.rs
@@ -4,13 +4,13 @@
 
 use crate::Millis;
 use crate::bounds::Bounds;
+use crate::dissemination::{Change, Gossip, Noted};
 use crate::fact::*;
-use crate::life::{Known, Told, judge};
+use crate::fact_table::{FactTable, Merged};
+use crate::list_incarnation::{KnownList, ListAnnouncement, list_incarnation};
 use crate::record::{
     Carried, LAST_VERSION, LONGEST_FACT, Record, View, encode_key, encode_value, read_carried,
 };
-use crate::rumour::{Change, Gossip, Noted};
-use crate::shelf::{Merged, Shelf};
 use crate::slot::Raw;
 use crate::slot::{Id, Slot};
 
@@ -27,8 +27,8 @@
 
 /// The list that discovery told last.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    told: Told,
+struct CurrentList {
+    announcement: ListAnnouncement,
     at: Millis,
     position: Position,
     /// It follows on one that this process held before.
@@ -37,11 +37,11 @@
 
 /// All facts that a process knows.
 #[derive(Clone, Debug)]
-pub struct Knowledge {
+pub struct FactStore {
     pub(crate) me: Origin,
-    pub(crate) shelf: Shelf,
+    pub(crate) facts: FactTable,
     pub(crate) gossip: Gossip,
-    heard: Option<Heard>,
+    current_list: Option<CurrentList>,
 }
 
 /// The key and kind of a subject, for a look-up.
@@ -53,14 +53,14 @@
     }
 }
 
-impl Knowledge {
+impl FactStore {
     /// Nothing is known yet.
-    pub fn new(me: Origin, bounds: Bounds) -> Knowledge {
-        Knowledge {
+    pub fn new(me: Origin, bounds: Bounds) -> FactStore {
+        FactStore {
             me,
-            shelf: Shelf::new(bounds),
+            facts: FactTable::new(bounds),
             gossip: Gossip::default(),
-            heard: None,
+            current_list: None,
         }
     }
 
@@ -71,24 +71,26 @@
 
     /// The process goes by another boot number from now on; see [`Knowledge::outrun`].
     pub fn renumber(&mut self, boot: u64) {
-        self.me.boot = boot;
+        self.me.incarnation = boot;
     }
 
     /// A boot of this process that others remember and that is later than its own: its memory is lost or old, and
     /// its own words are passed over until it goes by a later number.
     pub fn outrun(&self) -> Option<u64> {
-        self.gossip.outrun.filter(|boot| *boot > self.me.boot)
+        self.gossip
+            .outrun
+            .filter(|boot| *boot > self.me.incarnation)
     }
 
     fn slot(&self, subject: &Subject, process: &str) -> Option<(u32, &Slot)> {
         let key = encode_key(subject);
         let name = subject.owned().then_some(process.as_bytes());
-        let at = self.shelf.find(Id {
+        let at = self.facts.find(Id {
             kind: number_of(subject),
             key: &key,
             name,
         })?;
-        Some((at, self.shelf.slot(at)?))
+        Some((at, self.facts.slot(at)?))
     }
 
     /// What is known of a subject now. Where each process has its own word, it is that process's.
@@ -102,7 +104,7 @@
     /// All of a kind that is good now, by subject and then by process; placements in no order but the same one
     /// after the same calls.
     pub fn iter(&self, kind: Kind, now: Millis) -> impl Iterator<Item = Fact> {
-        self.shelf
+        self.facts
             .of_kind(kind)
             .filter(move |slot| slot.is_good(now))
             .filter_map(Slot::fact)
@@ -110,22 +112,22 @@
 
     /// Bytes that a kind takes, and how many facts.
     pub fn size(&self, kind: Kind) -> (usize, usize) {
-        self.shelf.size(kind)
+        self.facts.size(kind)
     }
 
     /// Has room for so many facts at once, so that none of them waits while tables grow.
     pub fn reserve(&mut self, facts: usize) {
-        self.shelf.reserve(facts);
+        self.facts.reserve(facts);
     }
 
     /// Removes what is kept no longer.
     pub fn expire(&mut self, now: Millis) {
-        self.shelf.expire(now);
+        self.facts.expire(now);
     }
 
     /// Enters an observation of this process's own, and says what is known of the subject then: the observation,
     /// unless something later is known.
-    pub fn witness(
+    pub fn observe(
         &mut self,
         subject: &Subject,
         value: &Value,
@@ -133,14 +135,15 @@
         now: Millis,
     ) -> Result<Fact, Refused> {
         let known = self.slot(subject, &self.me.name).map(|(_, slot)| slot);
-        if let Some(fact) = known.and_then(|slot| no_news(slot, value, now)) {
+        if let Some(fact) = known.and_then(|slot| unchanged_fact(slot, value, now)) {
             return Ok(fact);
         }
         let record = self.record(subject, value, good_for, known, now);
         if let Merged::New(at) | Merged::Replaced(at, ..) =
             self.enter(subject, value, &record, (now, now))?
         {
-            self.shelf.heat(at, self.gossip.told_of(subject.kind()));
+            self.facts
+                .heat(at, self.gossip.transmissions_of(subject.kind()));
         }
         self.slot(subject, &self.me.name)
             .and_then(|(_, slot)| slot.fact())
@@ -182,7 +185,7 @@
         }
         let raw = record.encode_to_vec();
         let view = View::new(&raw).ok_or(Refused::TooLong)?;
-        Ok(self.shelf.merge(&view, witnessed, now))
+        Ok(self.facts.merge(&view, witnessed, now))
     }
 
     /// The record of an own observation that comes after what is known.
@@ -200,32 +203,33 @@
             key: encode_key(subject),
             owned,
             name: self.me.name.clone().into_bytes(),
-            boot: self.me.boot,
-            epoch: if owned { self.me.boot } else { 0 },
+            incarnation: self.me.incarnation,
+            epoch: if owned { self.me.incarnation } else { 0 },
             version: now,
-            told: now,
-            good_for: good_for.min(self.shelf.bounds().of(subject.kind()).longest),
-            kept_for: known.map_or(0, |slot| slot.until.saturating_sub(now)),
+            origin_time: now,
+            valid_for: good_for.min(self.facts.bounds().of(subject.kind()).longest),
+            retained_for: known.map_or(0, |slot| slot.until.saturating_sub(now)),
             value: encode_value(value),
         };
         if let Value::Listed(listed) = value {
             // Discovery's own word, so that all who hear it write the same: guards against a fleet that tells itself
             // each entry once for each process.
             record.name = b"discovery".to_vec();
-            (record.epoch, record.version) = (listed.position.life, listed.position.generation);
-            record.boot = record.epoch;
-            record.told = now - now % (good_for / 4).max(1);
+            (record.epoch, record.version) =
+                (listed.position.incarnation, listed.position.generation);
+            record.incarnation = record.epoch;
+            record.origin_time = now - now % (good_for / 4).max(1);
         } else if let Some(slot) = known.filter(|slot| slot.epoch == record.epoch) {
             record.version = now.max(slot.version + 1);
         }
         record.version = record.version.min(LAST_VERSION);
         record.epoch = record.epoch.min(LAST_VERSION);
         // Left out where they say nothing: each fact is told some thousand times.
-        if record.kept_for <= record.good_for {
-            record.kept_for = 0;
+        if record.retained_for <= record.valid_for {
+            record.retained_for = 0;
         }
-        if record.told == record.version {
-            record.told = 0;
+        if record.origin_time == record.version {
+            record.origin_time = 0;
         }
         record
     }
@@ -234,57 +238,59 @@
     /// process holds it.
     pub fn hear_list(
         &mut self,
-        told: Told,
+        told: ListAnnouncement,
         good_for: Millis,
         now: Millis,
     ) -> Result<Position, Refused> {
         let held = self
-            .heard
+            .current_list
             .map(|heard| heard.position)
             .or_else(|| self.own_position(now));
-        let life = judge(held, told, &self.lists(now), now);
-        self.heard_list(told, life, held.is_some(), good_for, now)
+        let life = list_incarnation(held, told, &self.lists(now), now);
+        self.set_current_list(told, life, held.is_some(), good_for, now)
     }
 
     /// Judges the last list anew, after more was heard from peers. Tells a position if it is another one than before:
     /// then the entries are to be witnessed again. Only a process that held no list before that one has cause to.
     pub fn settle_list(&mut self, good_for: Millis, now: Millis) -> Option<Position> {
-        let heard = self.heard.filter(|heard| !heard.follows)?;
-        let told = Told {
+        let heard = self.current_list.filter(|heard| !heard.follows)?;
+        let told = ListAnnouncement {
             complete_list: true,
-            ..heard.told
+            ..heard.announcement
         };
-        let life = judge(Some(heard.position), told, &self.lists(now), heard.at);
-        if life == heard.position.life {
+        let life = list_incarnation(Some(heard.position), told, &self.lists(now), heard.at);
+        if life == heard.position.incarnation {
             return None;
         }
-        let position = self.heard_list(told, life, false, good_for, now).ok()?;
-        self.heard = self.heard.map(|last| Heard {
+        let position = self
+            .set_current_list(told, life, false, good_for, now)
+            .ok()?;
+        self.current_list = self.current_list.map(|last| CurrentList {
             at: heard.at,
             ..last
         });
         Some(position)
     }
 
-    fn heard_list(
+    fn set_current_list(
         &mut self,
-        told: Told,
-        life: u64,
+        announcement: ListAnnouncement,
+        incarnation: u64,
         follows: bool,
         good_for: Millis,
         now: Millis,
     ) -> Result<Position, Refused> {
         let position = Position {
-            life,
-            generation: told.generation,
+            incarnation,
+            generation: announcement.generation,
         };
-        let value = Value::List(Held {
+        let value = Value::List(ListVersion {
             position,
-            digest: told.digest,
+            digest: announcement.digest,
         });
-        self.witness(&Subject::List, &value, good_for, now)?;
-        self.heard = Some(Heard {
-            told,
+        self.observe(&Subject::List, &value, good_for, now)?;
+        self.current_list = Some(CurrentList {
+            announcement,
             at: now,
             position,
             follows,
@@ -302,14 +308,14 @@
         }
     }
 
-    fn lists(&self, now: Millis) -> Vec<Known> {
+    fn lists(&self, now: Millis) -> Vec<KnownList> {
         let others = self
             .iter(Kind::List, now)
             .filter(|fact| fact.origin.name != self.me.name);
         let known = others.filter_map(|fact| match fact.value {
-            Value::List(held) => Some(Known {
-                held,
-                witnessed: fact.witnessed,
+            Value::List(list) => Some(KnownList {
+                list,
+                observed_at: fact.observed_at,
             }),
             _ => None,
         });
@@ -320,7 +326,7 @@
     pub fn export(&self, kinds: &[Kind], now: Millis) -> Vec<Vec<u8>> {
         let all = kinds
             .iter()
-            .flat_map(|kind| self.shelf.of_kind(*kind))
+            .flat_map(|kind| self.facts.of_kind(*kind))
             .filter(|slot| now < slot.until);
         all.map(|slot| carried(slot, now).encode_to_vec()).collect()
     }
@@ -360,32 +366,32 @@
     pub(crate) fn merged(
         &mut self,
         view: &View<'_>,
-        witnessed: Millis,
+        observed_at: Millis,
         told: Option<u8>,
         now: Millis,
         changes: &mut Vec<Change>,
     ) -> Merged {
-        let merged = self.shelf.merge(view, witnessed, now);
+        let merged = self.facts.merge(view, observed_at, now);
         let (at, old, known) = match merged {
             Merged::New(at) => (at, None, Merged::New(at)),
             Merged::Replaced(at, raw, then) => (
                 at,
                 Some(Noted {
                     raw,
-                    witnessed: then,
+                    observed_at: then,
                 }),
                 Merged::New(at),
             ),
             Merged::Same(_) | Merged::Nothing => return merged,
         };
         if let Some(told) = told {
-            self.shelf.heat(at, told);
+            self.facts.heat(at, told);
         }
         changes.push(Change {
             old,
             new: Noted {
                 raw: Raw::from_slice(view.raw),
-                witnessed,
+                observed_at,
             },
         });
         known
@@ -396,13 +402,13 @@
 pub(crate) fn carried(slot: &Slot, now: Millis) -> Carried {
     Carried {
         fact: slot.raw.to_vec(),
-        age: now.saturating_sub(slot.witnessed),
+        age: now.saturating_sub(slot.observed_at),
     }
 }
 
 /// What is known, where an entry of the list says nothing beyond it: it is known from the same life of discovery, and
 /// is good for a while yet.
-fn no_news(slot: &Slot, value: &Value, now: Millis) -> Option<Fact> {
+fn unchanged_fact(slot: &Slot, value: &Value, now: Millis) -> Option<Fact> {
     let Value::Listed(entry) = value else {
         return None;
     };
@@ -410,14 +416,18 @@
     let Value::Listed(known) = &fact.value else {
         return None;
     };
-    let Position { life, generation } = known.position;
-    let earlier = life == entry.position.life && generation <= entry.position.generation;
+    let Position {
+        incarnation,
+        generation,
+    } = known.position;
+    let earlier =
+        incarnation == entry.position.incarnation && generation <= entry.position.generation;
     let same = Listed {
         position: entry.position,
         address: entry.address,
         ..known.clone()
     } == *entry;
-    (earlier && same && now.saturating_sub(fact.witnessed) < fact.good_for / 2).then_some(fact)
+    (earlier && same && now.saturating_sub(fact.observed_at) < fact.valid_for / 2).then_some(fact)
 }
 
 const _: () = assert!(LONGEST_FACT < u16::MAX as usize);
--- a/crates/gossip/src/shelf.rs
+++ b/crates/gossip/src/fact_table.rs
@@ -9,7 +9,7 @@
 use crate::bounds::Bounds;
 use crate::calendar::{Calendar, day};
 use crate::fact::Kind;
-use crate::record::{Stretch, View};
+use crate::record::{HashRange, View};
 use crate::slot::{Id, LEAF_BITS, Raw, Slot};
 
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
 
 /// What is kept of one kind.
 #[derive(Clone, Debug, Default)]
-struct Tally {
+struct KindUsage {
     bytes: usize,
     count: usize,
     by_age: Calendar,
@@ -41,7 +41,7 @@
 
 /// All facts.
 #[derive(Clone, Debug)]
-pub(crate) struct Shelf {
+pub(crate) struct FactTable {
     slots: Vec<Option<Slot>>,
     free: Vec<u32>,
     table: HashTable<u32>,
@@ -49,16 +49,16 @@
     /// All but placements, in the order of their names; for each name by process.
     index: BTreeMap<(u32, Box<[u8]>), Vec<u32>>,
     ends: Calendar,
-    kinds: [Tally; Kind::ALL.len()],
+    kinds: [KindUsage; Kind::ALL.len()],
     /// Those that are told as rumours: how often they were, and their turn among equals.
     hot: BTreeSet<(u8, u32, u32)>,
     turns: u32,
     bounds: Bounds,
 }
 
-impl Shelf {
-    pub fn new(bounds: Bounds) -> Shelf {
-        Shelf {
+impl FactTable {
+    pub fn new(bounds: Bounds) -> FactTable {
+        FactTable {
             slots: Vec::new(),
             free: Vec::new(),
             table: HashTable::new(),
@@ -139,7 +139,7 @@
     }
 
     /// All words on one subject, by process.
-    pub fn words(&self, kind: Kind, key: &[u8]) -> impl Iterator<Item = &Slot> {
+    pub fn slots_of(&self, kind: Kind, key: &[u8]) -> impl Iterator<Item = &Slot> {
         let slots = self.index.get(&(kind.number(), key.into()));
         slots.into_iter().flatten().filter_map(|at| self.slot(*at))
     }
@@ -147,12 +147,12 @@
     /// Takes a fact in, if it is later than what is known of its subject.
     pub fn merge(&mut self, view: &View<'_>, witnessed: Millis, now: Millis) -> Merged {
         let longest = self.bounds.of(Kind::of(view.kind)).longest;
-        if witnessed.saturating_add(view.kept_for.max(view.good_for).min(longest)) <= now {
+        if witnessed.saturating_add(view.retained_for.max(view.valid_for).min(longest)) <= now {
             return Merged::Nothing;
         }
         let Some(at) = self.find(Id::of(view)) else {
             let slot = Slot::new(view, witnessed, longest);
-            return if self.make_room(&slot, now) {
+            return if self.ensure_capacity(&slot, now) {
                 Merged::New(self.insert(slot))
             } else {
                 Merged::Nothing
@@ -181,12 +181,12 @@
         let Some(kept) = self.slots[at as usize].as_mut() else {
             return;
         };
-        let before = (day(kept.witnessed), day(kept.until));
-        let younger = kept.witnessed.saturating_sub(witnessed);
-        kept.witnessed -= younger;
-        kept.good_until = kept.good_until.saturating_sub(younger);
+        let before = (day(kept.observed_at), day(kept.until));
+        let younger = kept.observed_at.saturating_sub(witnessed);
+        kept.observed_at -= younger;
+        kept.valid_until = kept.valid_until.saturating_sub(younger);
         kept.until = kept.until.saturating_sub(younger);
-        if before != (day(kept.witnessed), day(kept.until)) {
+        if before != (day(kept.observed_at), day(kept.until)) {
             self.note(at);
         }
     }
@@ -203,11 +203,11 @@
         let tally = &mut self.kinds[kind as usize];
         tally.bytes = tally.bytes + cost - before;
         self.note(at);
-        self.give_way(kind, now);
+        self.evict(kind, now);
         if self.slot(at).is_none() {
             Merged::Nothing
         } else {
-            Merged::Replaced(at, old.raw, old.witnessed)
+            Merged::Replaced(at, old.raw, old.observed_at)
         }
     }
 
@@ -292,9 +292,9 @@
                 .sweep(|at, on| of(at).is_some_and(|slot| day(slot.until) == on));
         }
         let tally = &mut self.kinds[kind as usize];
-        tally.by_age.note(slot.witnessed, at);
+        tally.by_age.note(slot.observed_at, at);
         if tally.by_age.is_stale(tally.count) {
-            let holds = |slot: &Slot, on| slot.kind() == kind && day(slot.witnessed) == on;
+            let holds = |slot: &Slot, on| slot.kind() == kind && day(slot.observed_at) == on;
             tally
                 .by_age
                 .sweep(|at, on| of(at).is_some_and(|slot| holds(slot, on)));
@@ -311,7 +311,7 @@
     }
 
     /// Whether there is room for one more of its kind, once what is over and what was witnessed earlier gave way.
-    fn make_room(&mut self, slot: &Slot, now: Millis) -> bool {
+    fn ensure_capacity(&mut self, slot: &Slot, now: Millis) -> bool {
         let (kind, cost) = (slot.kind(), slot.cost());
         let most = self.bounds.of(kind).bytes;
         if cost > most {
@@ -324,7 +324,7 @@
             let Some((at, witnessed)) = self.oldest(kind) else {
                 return false;
             };
-            if witnessed > slot.witnessed {
+            if witnessed > slot.observed_at {
                 self.kinds[kind as usize].by_age.note(witnessed, at);
                 return false;
             }
@@ -334,7 +334,7 @@
     }
 
     /// Has what is over and then the oldest of a kind give way, after one of them grew.
-    fn give_way(&mut self, kind: Kind, now: Millis) {
+    fn evict(&mut self, kind: Kind, now: Millis) {
         let most = self.bounds.of(kind).bytes;
         if self.kinds[kind as usize].bytes > most {
             self.expire(now);
@@ -353,9 +353,9 @@
             let (at, on) = self.kinds[kind as usize].by_age.pop(None)?;
             let slot = self
                 .slot(at)
-                .filter(|slot| slot.kind() == kind && day(slot.witnessed) <= on);
+                .filter(|slot| slot.kind() == kind && day(slot.observed_at) <= on);
             if let Some(slot) = slot {
-                return Some((at, slot.witnessed));
+                return Some((at, slot.observed_at));
             }
         }
     }
@@ -363,7 +363,7 @@
     /// Has a slot told as a rumour that was told so often already.
     pub fn heat(&mut self, at: u32, told: u8) {
         self.cool(at);
-        if self.hot.len() >= self.bounds.rumours {
+        if self.hot.len() >= self.bounds.gossiped_facts {
             // The one that most have heard gives way.
             match self.hot.last() {
                 Some((most, _, last)) if *most > told => self.cool(*last),
@@ -372,7 +372,7 @@
         }
         self.turns = self.turns.wrapping_add(1);
         if let Some(slot) = self.slots[at as usize].as_mut() {
-            slot.turn = Some((told, self.turns));
+            slot.gossip_order = Some((told, self.turns));
             self.hot.insert((told, self.turns, at));
         }
     }
@@ -380,7 +380,7 @@
     /// Has it told no more.
     pub fn cool(&mut self, at: u32) -> Option<u8> {
         let slot = self.slots.get_mut(at as usize)?.as_mut()?;
-        let (told, turn) = slot.turn.take()?;
+        let (told, turn) = slot.gossip_order.take()?;
         self.hot.remove(&(told, turn, at));
         Some(told)
     }
@@ -393,27 +393,27 @@
     }
 
     /// The digest of a stretch.
-    pub fn digest(&self, stretch: Stretch) -> u64 {
+    pub fn digest(&self, stretch: HashRange) -> u64 {
         self.leaves_of(stretch)
             .iter()
             .fold(0, |all, leaf| all ^ leaf.digest)
     }
 
     /// All in a stretch.
-    pub fn within(&self, stretch: Stretch) -> impl Iterator<Item = &Slot> {
+    pub fn within(&self, stretch: HashRange) -> impl Iterator<Item = &Slot> {
         let slots = self.leaves_of(stretch).iter().flat_map(|leaf| &leaf.slots);
         slots.filter_map(|at| self.slot(*at))
     }
 
     /// How many are in a stretch.
-    pub fn count(&self, stretch: Stretch) -> usize {
+    pub fn count(&self, stretch: HashRange) -> usize {
         self.leaves_of(stretch)
             .iter()
             .map(|leaf| leaf.slots.len())
             .sum()
     }
 
-    fn leaves_of(&self, stretch: Stretch) -> &[Leaf] {
+    fn leaves_of(&self, stretch: HashRange) -> &[Leaf] {
         let bits = LEAF_BITS - stretch.bits.min(LEAF_BITS);
         let from = ((stretch.prefix as usize) << bits).min(self.leaves.len());
         &self.leaves[from..(from + (1 << bits)).min(self.leaves.len())]
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -90,26 +90,26 @@
 
 mod bounds;
 mod calendar;
+mod dissemination;
 mod fact;
-mod knowledge;
-mod life;
+mod fact_store;
+mod fact_table;
+mod list_incarnation;
 mod own;
 mod record;
-mod rumour;
-mod shelf;
 mod slot;
 mod views;
 mod wire;
 
 pub use bounds::{Bound, Bounds};
+pub use dissemination::{Change, Unreadable};
 pub use fact::{
-    Configuration, Evidence, Fact, Failures, Held, Holder, Kind, Lifecycle, Listed, Origin,
+    Configuration, Evidence, Fact, Failures, Holder, Kind, Lifecycle, ListVersion, Listed, Origin,
     Override, Placement, PlacementView, Position, Seen, Subject, Value,
 };
-pub use knowledge::{Knowledge, Refused};
-pub use life::{SKEW, Told};
-pub use rumour::{Change, Unreadable};
-pub use views::{MOST_FAILURES, Standing};
+pub use fact_store::{FactStore, Refused};
+pub use list_incarnation::{ListAnnouncement, SKEW};
+pub use views::{MOST_FAILURES, ServerAssessment};
 
 /// A moment on the process's clock: Unix time in milliseconds as it was at its start, and followed monotonically from
 /// then on. Moments of two processes are never compared to tell an age.
--- a/crates/gossip/src/life.rs
+++ b/crates/gossip/src/list_incarnation.rs
@@ -1,14 +1,14 @@
 //! Which life of discovery a list belongs to.
 
 use crate::Millis;
-use crate::fact::{Held, Position};
+use crate::fact::{ListVersion, Position};
 
 /// Clocks of two processes may differ by so much, and a list may be under way for so long.
 pub const SKEW: Millis = 10_000;
 
 /// A list as discovery has just told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ListAnnouncement {
     /// Its generation.
     pub generation: u64,
     /// A digest of all that it says, without addresses, the same at all processes.
@@ -18,36 +18,41 @@
 }
 
 /// What is known of a list that a process holds, and when that was witnessed.
-pub(crate) struct Known {
-    pub held: Held,
-    pub witnessed: Millis,
+pub(crate) struct KnownList {
+    pub list: ListVersion,
+    pub observed_at: Millis,
 }
 
 /// The life of a list that was told now: see the crate's page.
-pub(crate) fn judge(own: Option<Position>, told: Told, known: &[Known], now: Millis) -> u64 {
-    let own_life = own.map_or(0, |own| own.life);
-    let same = |known: &&Known| {
-        known.held.position.generation == told.generation && known.held.digest == told.digest
+pub(crate) fn list_incarnation(
+    own: Option<Position>,
+    told: ListAnnouncement,
+    known: &[KnownList],
+    now: Millis,
+) -> u64 {
+    let own_life = own.map_or(0, |own| own.incarnation);
+    let same = |known: &&KnownList| {
+        known.list.position.generation == told.generation && known.list.digest == told.digest
     };
     let joined = known
         .iter()
         .filter(same)
-        .map(|known| known.held.position.life)
+        .map(|known| known.list.position.incarnation)
         .max();
     if let Some(life) = joined.filter(|life| *life > own_life) {
         return life;
     }
     let highest = known
         .iter()
-        .max_by_key(|known| (known.held.position, known.witnessed));
-    let beyond = highest.filter(|known| own.is_none_or(|own| known.held.position > own));
+        .max_by_key(|known| (known.list.position, known.observed_at));
+    let beyond = highest.filter(|known| own.is_none_or(|own| known.list.position > own));
     let mut life = own_life.max(1);
     if let Some(known) = beyond.filter(|_| told.complete_list || own.is_none()) {
         let Position {
-            life: other,
+            incarnation: other,
             generation,
-        } = known.held.position;
-        let long_ago = known.witnessed.saturating_add(SKEW) < now;
+        } = known.list.position;
+        let long_ago = known.observed_at.saturating_add(SKEW) < now;
         life = if told.generation < generation && long_ago {
             other + 1
         } else {
--- a/crates/gossip/src/own.rs
+++ b/crates/gossip/src/own.rs
@@ -2,14 +2,14 @@
 
 use crate::Millis;
 use crate::fact::*;
-use crate::knowledge::{Knowledge, Refused};
+use crate::fact_store::{FactStore, Refused};
 use crate::views::{MOST_FAILURES, faded};
 
-impl Knowledge {
+impl FactStore {
     /// This process's own word on a subject, and its age.
     fn own(&self, subject: &Subject, now: Millis) -> Option<(Value, Millis)> {
         let fact = self.get(subject, &self.me.name, now)?;
-        Some((fact.value, now.saturating_sub(fact.witnessed)))
+        Some((fact.value, now.saturating_sub(fact.observed_at)))
     }
 
     /// A placement of that client key failed here.
@@ -23,7 +23,7 @@
             _ => 0,
         };
         let count = (count + 1).min(MOST_FAILURES);
-        self.witness(
+        self.observe(
             &subject,
             &Value::Failures(Failures { count, voided }),
             good_for,
@@ -37,11 +37,11 @@
             count: 0,
             voided: Some(0),
         });
-        self.witness(&Subject::Failures(key), &value, good_for, now)
+        self.observe(&Subject::Failures(key), &value, good_for, now)
     }
 
     /// So many set-ups were sent from here to a server that is cold.
-    pub fn sent_cold(
+    pub fn record_slow_start_send(
         &mut self,
         server: &str,
         sent: f64,
@@ -49,12 +49,12 @@
         now: Millis,
     ) -> Result<Fact, Refused> {
         let subject = Subject::ColdSent(server.to_owned());
-        let half = self.shelf.bounds().cold_half;
+        let half = self.facts.bounds().slow_start_half_life;
         let before = match self.own(&subject, now) {
             Some((Value::ColdSent(before), age)) => faded(before, age, half),
             _ => 0.0,
         };
-        self.witness(&subject, &Value::ColdSent(before + sent), good_for, now)
+        self.observe(&subject, &Value::ColdSent(before + sent), good_for, now)
     }
 
     /// A server was seen to do that, with so much evidence. It adds to what this process saw before, or takes its
@@ -67,7 +67,7 @@
         now: Millis,
     ) -> Result<Fact, Refused> {
         let subject = Subject::Standing(server.to_owned());
-        let bounds = self.shelf.bounds();
+        let bounds = self.facts.bounds();
         let (half, most) = (bounds.evidence_half, bounds.evidence_most);
         let before = match self.own(&subject, now) {
             Some((Value::Standing(before), age)) if before.seen == evidence.seen => {
@@ -76,7 +76,7 @@
             _ => 0.0,
         };
         let weight = (before + evidence.weight).min(most);
-        self.witness(
+        self.observe(
             &subject,
             &Value::Standing(Evidence { weight, ..evidence }),
             good_for,
--- a/crates/gossip/src/record.rs
+++ b/crates/gossip/src/record.rs
@@ -29,19 +29,19 @@
     #[prost(bytes = "vec", tag = "4")]
     pub name: Vec<u8>,
     #[prost(uint64, tag = "5")]
-    pub boot: u64,
+    pub incarnation: u64,
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
     #[prost(uint64, tag = "7")]
     pub version: u64,
     /// The moment witnessed, by the origin's clock; 0 where the version says it.
     #[prost(uint64, tag = "8")]
-    pub told: u64,
+    pub origin_time: u64,
     #[prost(uint64, tag = "9")]
-    pub good_for: u64,
+    pub valid_for: u64,
     /// It is kept for at least so long, beyond being good, that what it replaced cannot come back.
     #[prost(uint64, tag = "10")]
-    pub kept_for: u64,
+    pub retained_for: u64,
     #[prost(bytes = "vec", tag = "11")]
     pub value: Vec<u8>,
 }
@@ -55,12 +55,12 @@
     pub key: &'a [u8],
     pub owned: bool,
     pub name: &'a [u8],
-    pub boot: u64,
+    pub incarnation: u64,
     pub epoch: u64,
     pub version: u64,
-    pub told: u64,
-    pub good_for: u64,
-    pub kept_for: u64,
+    pub origin_time: u64,
+    pub valid_for: u64,
+    pub retained_for: u64,
     pub value: &'a [u8],
 }
 
@@ -81,12 +81,12 @@
                 2 => view.key = held.bytes()?,
                 3 => view.owned = held.number()? != 0,
                 4 => view.name = held.bytes()?,
-                5 => view.boot = held.number()?,
+                5 => view.incarnation = held.number()?,
                 6 => view.epoch = held.number()?,
                 7 => view.version = held.number()?,
-                8 => view.told = held.number()?,
-                9 => view.good_for = held.number()?,
-                10 => view.kept_for = held.number()?,
+                8 => view.origin_time = held.number()?,
+                9 => view.valid_for = held.number()?,
+                10 => view.retained_for = held.number()?,
                 11 => view.value = held.bytes()?,
                 // A newer program's.
                 _ => {}
@@ -98,14 +98,14 @@
 
     /// What settles, after epoch and version, which of two facts on a subject stands.
     pub fn settles(&self) -> (u64, u64, &[u8]) {
-        (self.told, self.boot, self.name)
+        (self.origin_time, self.incarnation, self.name)
     }
 
     /// The fact that it tells. What this program cannot read of it comes as unknown.
-    pub fn fact(&self, witnessed: Millis) -> Fact {
+    pub fn fact(&self, observed_at: Millis) -> Fact {
         let kind = Kind::of(self.kind);
         let position = Position {
-            life: self.epoch,
+            incarnation: self.epoch,
             generation: self.version,
         };
         let value = decode_value(kind, position, self.value);
@@ -120,17 +120,17 @@
             value: value.unwrap_or_else(|| Value::Unknown(self.value.to_vec())),
             origin: Origin {
                 name,
-                boot: self.boot,
+                incarnation: self.incarnation,
             },
             epoch: self.epoch,
             version: self.version,
-            witnessed,
-            told: if self.told == 0 {
+            observed_at,
+            origin_time: if self.origin_time == 0 {
                 self.version
             } else {
-                self.told
+                self.origin_time
             },
-            good_for: self.good_for,
+            valid_for: self.valid_for,
         }
     }
 }
@@ -167,12 +167,12 @@
     pub page: bool,
     /// Stretches that differ and are too full to be sent unasked.
     #[prost(message, repeated, tag = "3")]
-    pub gaps: Vec<Stretch>,
+    pub gaps: Vec<HashRange>,
 }
 
 /// All facts whose subject's hash begins with these bits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Message)]
-pub(crate) struct Stretch {
+pub(crate) struct HashRange {
     #[prost(uint32, tag = "1")]
     pub bits: u32,
     #[prost(uint32, tag = "2")]
@@ -183,13 +183,13 @@
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Summary {
     #[prost(message, required, tag = "1")]
-    pub stretch: Stretch,
+    pub range: HashRange,
     /// Four bytes for each part, whose number is a power of two.
     #[prost(bytes = "vec", tag = "2")]
     pub digests: Vec<u8>,
     /// Counts the summaries of the process, so that answers begin elsewhere each time.
     #[prost(uint32, tag = "3")]
-    pub turn: u32,
+    pub sequence: u32,
 }
 
 macro_rules! value_records {
@@ -261,10 +261,13 @@
             machine_type: entry.machine_type.clone(),
         }
         .encode_to_vec(),
-        Value::List(Held { position, digest }) => {
-            let Position { life, generation } = *position;
+        Value::List(ListVersion { position, digest }) => {
+            let Position {
+                incarnation,
+                generation,
+            } = *position;
             HeldRecord {
-                life,
+                life: incarnation,
                 generation,
                 digest: *digest,
             }
@@ -337,12 +340,15 @@
         }
         Kind::List => {
             let HeldRecord {
-                life,
+                life: incarnation,
                 generation,
                 digest,
             } = HeldRecord::decode(bytes).ok()?;
-            Value::List(Held {
-                position: Position { life, generation },
+            Value::List(ListVersion {
+                position: Position {
+                    incarnation,
+                    generation,
+                },
                 digest,
             })
         }
--- a/crates/gossip/src/record/tests.rs
+++ b/crates/gossip/src/record/tests.rs
@@ -3,22 +3,22 @@
 
 fn same(view: View<'_>, record: &Record) -> bool {
     let numbers = [
-        view.boot,
+        view.incarnation,
         view.epoch,
         view.version,
-        view.told,
-        view.good_for,
-        view.kept_for,
+        view.origin_time,
+        view.valid_for,
+        view.retained_for,
     ];
     let parts = [view.key, view.name, view.value];
     numbers
         == [
-            record.boot,
+            record.incarnation,
             record.epoch,
             record.version,
-            record.told,
-            record.good_for,
-            record.kept_for,
+            record.origin_time,
+            record.valid_for,
+            record.retained_for,
         ]
         && parts == [&record.key[..], &record.name, &record.value]
         && (view.kind, view.owned) == (record.kind, record.owned)
@@ -40,8 +40,8 @@
         (kind, owned) in (any::<u32>(), any::<bool>()),
         (at, byte) in (any::<prop::sample::Index>(), any::<u8>()),
     ) {
-        let [boot, epoch, version, told, good_for, kept_for] = numbers;
-        let record = Record { kind, key, owned, name, boot, epoch, version, told, good_for, kept_for, value };
+        let [incarnation, epoch, version, origin_time, valid_for, retained_for] = numbers;
+        let record = Record { kind, key, owned, name, incarnation, epoch, version, origin_time, valid_for, retained_for, value };
         let mut raw = record.encode_to_vec();
         prop_assert!(View::new(&raw).is_some_and(|view| same(view, &record)));
         let at = at.index(raw.len().max(1));
--- a/crates/gossip/src/slot.rs
+++ b/crates/gossip/src/slot.rs
@@ -21,20 +21,20 @@
 
 /// A part of a slot's view.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Span {
     at: u16,
     len: u16,
 }
 
-impl Part {
-    fn new(raw: &[u8], part: &[u8]) -> Part {
+impl Span {
+    fn new(raw: &[u8], part: &[u8]) -> Span {
         // A part is a slice of the record; one that is empty may point anywhere.
         let at = if part.is_empty() {
             0
         } else {
             part.as_ptr() as usize - raw.as_ptr() as usize
         };
-        Part {
+        Span {
             at: at as u16,
             len: part.len() as u16,
         }
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub raw: Raw,
-    key: Part,
-    name: Part,
-    value: Part,
+    key: Span,
+    name: Span,
+    value: Span,
     /// The number of its kind.
     pub number: u32,
     /// Its place in its leaf.
@@ -59,12 +59,12 @@
     pub epoch: u64,
     pub version: u64,
     /// By this process's clock.
-    pub witnessed: Millis,
-    pub good_until: Millis,
+    pub observed_at: Millis,
+    pub valid_until: Millis,
     /// It is kept until then.
     pub until: Millis,
     /// Its turn among the rumours, while it is one.
-    pub turn: Option<(u8, u32)>,
+    pub gossip_order: Option<(u8, u32)>,
     owned: bool,
 }
 
@@ -92,7 +92,7 @@
 
     /// Whether what it says holds still.
     pub fn is_good(&self, now: Millis) -> bool {
-        now < self.good_until
+        now < self.valid_until
     }
 
     /// What it counts for in its kind's bytes.
@@ -116,28 +116,28 @@
 
     /// The fact that it keeps.
     pub fn fact(&self) -> Option<Fact> {
-        Some(View::new(&self.raw)?.fact(self.witnessed))
+        Some(View::new(&self.raw)?.fact(self.observed_at))
     }
 
     /// A slot for a fact, which is kept for the kind's longest span at most.
-    pub fn new(view: &View<'_>, witnessed: Millis, longest: Millis) -> Slot {
+    pub fn new(view: &View<'_>, observed_at: Millis, longest: Millis) -> Slot {
         let raw = view.raw;
-        let good_until = witnessed.saturating_add(view.good_for.min(longest));
+        let valid_until = observed_at.saturating_add(view.valid_for.min(longest));
         Slot {
             raw: SmallVec::from_slice(raw),
-            key: Part::new(raw, view.key),
-            name: Part::new(raw, view.name),
-            value: Part::new(raw, view.value),
+            key: Span::new(raw, view.key),
+            name: Span::new(raw, view.name),
+            value: Span::new(raw, view.value),
             number: view.kind,
             leaf_at: 0,
             epoch: view.epoch,
             version: view.version,
-            witnessed,
-            good_until,
-            until: witnessed
-                .saturating_add(view.kept_for.min(longest))
-                .max(good_until),
-            turn: None,
+            observed_at,
+            valid_until,
+            until: observed_at
+                .saturating_add(view.retained_for.min(longest))
+                .max(valid_until),
+            gossip_order: None,
             owned: view.owned,
         }
     }
--- a/crates/gossip/src/views.rs
+++ b/crates/gossip/src/views.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 use crate::fact::*;
-use crate::knowledge::Knowledge;
+use crate::fact_store::FactStore;
 use crate::record::{decode_value, holder_key, read_placement};
 use crate::slot::{Id, Slot};
 
@@ -11,7 +11,7 @@
 
 /// What the processes' evidence on a server comes to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ServerAssessment {
     /// What most speaks for.
     pub seen: Seen,
     /// How much speaks for it, aged and bounded by process.
@@ -26,7 +26,7 @@
 
 fn value(slot: &Slot) -> Option<Value> {
     let position = Position {
-        life: slot.epoch,
+        incarnation: slot.epoch,
         generation: slot.version,
     };
     decode_value(slot.kind(), position, slot.value())
@@ -37,18 +37,18 @@
     amount * (-(age as f64) / half.max(1) as f64).exp2()
 }
 
-impl Knowledge {
-    fn good_words(
+impl FactStore {
+    fn valid_values(
         &self,
         kind: Kind,
         key: &[u8],
         now: Millis,
     ) -> impl Iterator<Item = (Value, Millis)> {
         let words = self
-            .shelf
-            .words(kind, key)
+            .facts
+            .slots_of(kind, key)
             .filter(move |slot| slot.is_good(now));
-        words.filter_map(move |slot| Some((value(slot)?, now.saturating_sub(slot.witnessed))))
+        words.filter_map(move |slot| Some((value(slot)?, now.saturating_sub(slot.observed_at))))
     }
 
     /// A client key's failed placements at all processes, at most 6. Where a placement succeeded, all that was counted
@@ -60,7 +60,7 @@
     /// Failures that count, and how long ago a placement last succeeded.
     pub(crate) fn counted(&self, key: u64, now: Millis) -> (u32, Option<Millis>) {
         let words: Vec<(Failures, Millis)> = self
-            .good_words(Kind::Failures, &key.to_be_bytes(), now)
+            .valid_values(Kind::Failures, &key.to_be_bytes(), now)
             .filter_map(|(value, age)| {
                 if let Value::Failures(word) = value {
                     Some((word, age))
@@ -83,9 +83,9 @@
     }
 
     /// Set-ups sent lately to a cold server by all processes, faded by age.
-    pub fn cold_sent(&self, server: &str, now: Millis) -> f64 {
-        let half = self.shelf.bounds().cold_half;
-        let words = self.good_words(Kind::ColdSent, server.as_bytes(), now);
+    pub fn slow_start_sent(&self, server: &str, now: Millis) -> f64 {
+        let half = self.facts.bounds().slow_start_half_life;
+        let words = self.valid_values(Kind::ColdSent, server.as_bytes(), now);
         let left = words.map(|(value, age)| {
             if let Value::ColdSent(sent) = value {
                 faded(sent, age, half)
@@ -97,10 +97,10 @@
     }
 
     /// What the processes have seen of a server, if there is more than thin evidence.
-    pub fn standing(&self, server: &str, now: Millis) -> Option<Standing> {
-        let bounds = self.shelf.bounds();
+    pub fn assess_server(&self, server: &str, now: Millis) -> Option<ServerAssessment> {
+        let bounds = self.facts.bounds();
         let (mut sums, mut ages, mut witnesses) = ([0.0; 3], [Millis::MAX; 3], 0);
-        for (value, age) in self.good_words(Kind::Standing, server.as_bytes(), now) {
+        for (value, age) in self.valid_values(Kind::Standing, server.as_bytes(), now) {
             let Value::Standing(Evidence { seen, weight }) = value else {
                 continue;
             };
@@ -115,7 +115,7 @@
             .into_iter()
             .max_by(|a, b| sums[*a as usize].total_cmp(&sums[*b as usize]))?;
         let weight = sums[first as usize];
-        let standing = Standing {
+        let standing = ServerAssessment {
             seen: first,
             weight,
             against: all - weight,
@@ -128,12 +128,12 @@
     /// Where a client or group stands.
     pub fn placement(&self, holder: Holder, now: Millis) -> Option<PlacementView<'_>> {
         let key = holder_key(holder);
-        let at = self.shelf.find(Id {
+        let at = self.facts.find(Id {
             kind: Kind::Placement.number(),
             key: &key,
             name: None,
         })?;
-        let slot = self.shelf.slot(at).filter(|slot| slot.is_good(now))?;
+        let slot = self.facts.slot(at).filter(|slot| slot.is_good(now))?;
         read_placement(slot.value())
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Which list each process holds, by name of the process.
-    pub fn positions(&self, now: Millis) -> Vec<(Origin, Held)> {
+    pub fn positions(&self, now: Millis) -> Vec<(Origin, ListVersion)> {
         let all = self
             .iter(Kind::List, now)
             .filter_map(|fact| match fact.value {
--- a/crates/gossip/tests/bounds.rs
+++ b/crates/gossip/tests/bounds.rs
@@ -8,19 +8,19 @@
 const LONG: Millis = 3_600_000;
 const BYTES: usize = 100_000;
 
-fn small(kind: Kind) -> Knowledge {
+fn small(kind: Kind) -> FactStore {
     let mut bounds = Bounds::default();
     bounds.of_mut(kind).bytes = BYTES;
-    Knowledge::new(
+    FactStore::new(
         Origin {
             name: "a".into(),
-            boot: 1,
+            incarnation: 1,
         },
         bounds,
     )
 }
 
-fn has(one: &Knowledge, key: u64, now: Millis) -> bool {
+fn has(one: &FactStore, key: u64, now: Millis) -> bool {
     one.placement(Holder::Client(key), now).is_some()
 }
 
@@ -28,7 +28,7 @@
 fn the_oldest_give_way_and_the_bound_holds() {
     let mut one = small(Kind::Placement);
     for key in 0..5_000 {
-        one.witness(&client(key), &stands("s1"), LONG, START + key * 1_100)
+        one.observe(&client(key), &stands("s1"), LONG, START + key * 1_100)
             .expect("the newest has room");
         assert!(one.size(Kind::Placement).0 <= BYTES);
     }
@@ -45,19 +45,19 @@
 #[test]
 fn what_is_over_gives_way_before_what_is_older() {
     let mut one = small(Kind::Placement);
-    one.witness(&client(0), &stands("s1"), LONG, START)
+    one.observe(&client(0), &stands("s1"), LONG, START)
         .expect("taken");
     let mut key = 0;
     // Good for a short while, and younger than the first.
     while one.size(Kind::Placement).0 + 400 < BYTES {
         key += 1;
-        one.witness(&client(key), &stands("s1"), 5_000, START + 2_000)
+        one.observe(&client(key), &stands("s1"), 5_000, START + 2_000)
             .expect("taken");
     }
     let later = START + 60_000;
     (1_000..1_100).for_each(|key| {
         drop(
-            one.witness(&client(key), &stands("s1"), LONG, later)
+            one.observe(&client(key), &stands("s1"), LONG, later)
                 .expect("taken"),
         )
     });
@@ -69,9 +69,9 @@
 fn what_is_older_than_all_that_is_kept_finds_no_room() {
     let (mut one, mut other) = (small(Kind::Placement), process("b", 1));
     other
-        .witness(&client(9_999), &stands("s1"), LONG, START)
+        .observe(&client(9_999), &stands("s1"), LONG, START)
         .expect("taken");
-    (0..2_000).for_each(|key| drop(one.witness(&client(key), &stands("s1"), LONG, START + 9_000)));
+    (0..2_000).for_each(|key| drop(one.observe(&client(key), &stands("s1"), LONG, START + 9_000)));
     let before = one.size(Kind::Placement);
     assert_eq!(tell(&mut other, &mut one, START + 10_000), []);
     assert_eq!(
@@ -91,7 +91,7 @@
         })
     };
     for id in 0..200_u8 {
-        one.witness(
+        one.observe(
             &Subject::Override(vec![id]),
             &made(300),
             LONG,
@@ -100,7 +100,7 @@
         .expect("taken");
     }
     for id in 150..200_u8 {
-        one.witness(
+        one.observe(
             &Subject::Override(vec![id]),
             &made(4_000),
             LONG,
@@ -109,7 +109,7 @@
         .expect("taken");
         assert!(one.size(Kind::Override).0 <= BYTES);
     }
-    let too_long = one.witness(&Subject::Override(vec![1]), &made(9_000), LONG, START);
+    let too_long = one.observe(&Subject::Override(vec![1]), &made(9_000), LONG, START);
     assert_eq!(too_long, Err(Refused::TooLong));
 }
 
@@ -118,8 +118,8 @@
     let mut one = small(Kind::Placement);
     let removed = Value::Override(Override::Removed);
     (0..50_u8)
-        .for_each(|id| drop(one.witness(&Subject::Override(vec![id]), &removed, LONG, START)));
-    (0..20_000).for_each(|key| drop(one.witness(&client(key), &stands("s1"), LONG, START + key)));
+        .for_each(|id| drop(one.observe(&Subject::Override(vec![id]), &removed, LONG, START)));
+    (0..20_000).for_each(|key| drop(one.observe(&client(key), &stands("s1"), LONG, START + key)));
     assert_eq!(one.iter(Kind::Override, START + 20_000).count(), 50);
 }
 
@@ -131,10 +131,10 @@
         expires_at: START + LONG,
         bytes: vec![1],
     });
-    one.witness(&subject, &made, LONG, START).expect("taken");
+    one.observe(&subject, &made, LONG, START).expect("taken");
     tell(&mut one, &mut other, START);
     // The removal itself is said to be good for a second only.
-    one.witness(
+    one.observe(
         &subject,
         &Value::Override(Override::Removed),
         1_000,
@@ -161,24 +161,24 @@
 #[test]
 fn rumours_are_bounded_and_the_most_told_rest_first() {
     let bounds = Bounds {
-        rumours: 10,
+        gossiped_facts: 10,
         ..Bounds::default()
     };
-    let mut one = Knowledge::new(
+    let mut one = FactStore::new(
         Origin {
             name: "a".into(),
-            boot: 1,
+            incarnation: 1,
         },
         bounds,
     );
-    (0..10).for_each(|key| drop(one.witness(&client(key), &stands("s1"), LONG, START)));
-    assert!(!one.rumours(400, START).is_empty());
-    one.witness(&client(10), &stands("s1"), LONG, START)
+    (0..10).for_each(|key| drop(one.observe(&client(key), &stands("s1"), LONG, START)));
+    assert!(!one.gossip_payload(400, START).is_empty());
+    one.observe(&client(10), &stands("s1"), LONG, START)
         .expect("taken");
     let mut told = std::collections::BTreeSet::new();
     let mut peer = process("b", 1);
     for _ in 0..100 {
-        let packet = one.rumours(400, START);
+        let packet = one.gossip_payload(400, START);
         assert!(packet.len() <= 400);
         told.extend(
             peer.take(&packet, START)
@@ -193,7 +193,7 @@
     );
     assert_eq!(told.len(), 10);
     assert_eq!(
-        one.rumours(400, START),
+        one.gossip_payload(400, START),
         Vec::<u8>::new(),
         "all have been told often enough"
     );
--- a/crates/gossip/tests/bytes.rs
+++ b/crates/gossip/tests/bytes.rs
@@ -9,15 +9,15 @@
 const LONG: Millis = 600_000;
 
 /// A process that knows something of each kind.
-fn filled() -> Knowledge {
+fn filled() -> FactStore {
     let mut one = process("a", 1);
     let made = Override::Made {
         expires_at: START + LONG,
         bytes: vec![9; 30],
     };
-    let held = Held {
+    let held = ListVersion {
         position: Position {
-            life: 1,
+            incarnation: 1,
             generation: 4,
         },
         digest: 3,
@@ -65,7 +65,7 @@
         (unknown, Value::Unknown(vec![1, 2, 3])),
     ];
     for (subject, value) in all {
-        let fact = one.witness(&subject, &value, LONG, START).expect("taken");
+        let fact = one.observe(&subject, &value, LONG, START).expect("taken");
         assert_eq!(
             (fact.subject, fact.value),
             (subject, value),
@@ -108,7 +108,7 @@
         let (packet, record) = newer(kind);
         let (mut older, mut other) = (process("older", 1), process("other", 1));
         assert_eq!(older.take(&packet, START).expect("sound").len(), 1);
-        let told = older.rumours(ROOM, START);
+        let told = older.gossip_payload(ROOM, START);
         assert!(
             told.windows(record.len()).any(|window| window == record),
             "kind {kind} byte for byte"
@@ -152,13 +152,13 @@
 fn senseless_observations_are_refused() {
     let mut one = process("a", 1);
     assert_eq!(
-        one.witness(&client(1), &Value::ColdSent(1.0), LONG, START),
+        one.observe(&client(1), &Value::ColdSent(1.0), LONG, START),
         Err(Refused::Senseless)
     );
     for amount in [f64::NAN, f64::INFINITY, -1.0] {
         let cold = Subject::ColdSent("s".into());
         assert_eq!(
-            one.witness(&cold, &Value::ColdSent(amount), LONG, START),
+            one.observe(&cold, &Value::ColdSent(amount), LONG, START),
             Err(Refused::Senseless)
         );
     }
@@ -168,11 +168,11 @@
         owned: true,
     };
     assert_eq!(
-        one.witness(&known, &Value::Unknown(vec![]), LONG, START),
+        one.observe(&known, &Value::Unknown(vec![]), LONG, START),
         Err(Refused::Senseless)
     );
     assert_eq!(
-        one.witness(&client(1), &stands("s"), 0, START),
+        one.observe(&client(1), &stands("s"), 0, START),
         Err(Refused::NotKept)
     );
 }
@@ -182,7 +182,7 @@
     let mut one = filled();
     let _ = one.take(bytes, START);
     let _ = one.import([bytes], 5, START);
-    let _ = Knowledge::read(bytes, 5, START);
+    let _ = FactStore::read(bytes, 5, START);
     if let Ok(pages) = one.answer(bytes, ROOM, 3, START) {
         assert!(pages.len() <= 3 && pages.iter().all(|page| page.len() <= ROOM));
     }
@@ -192,14 +192,14 @@
     }
     let _ = (
         one.list(START),
-        one.standing("s1", START),
-        one.cold_sent("s1", START),
+        one.assess_server("s1", START),
+        one.slow_start_sent("s1", START),
         one.failures(5, START),
     );
     // It still tells and compares, also in a stretch that a stranger named.
     let peer = process("peer", 1);
     for _ in 0..4 {
-        assert!(one.rumours(ROOM, START).len() <= ROOM);
+        assert!(one.gossip_payload(ROOM, START).len() <= ROOM);
         let summary = one.summary(ROOM);
         assert!(summary.len() <= ROOM && peer.answer(&summary, ROOM, 3, START).is_ok());
     }
@@ -222,7 +222,7 @@
     ) {
         let mut one = filled();
         let mut bytes = match what {
-            0 => one.rumours(ROOM, START),
+            0 => one.gossip_payload(ROOM, START),
             1 => one.summary(ROOM),
             2 => one.answer(&process("b", 1).summary(ROOM), ROOM, 1, START).expect("sound").remove(0),
             _ => one.export(&Kind::ALL, START).remove(changes.len()),
--- a/crates/gossip/tests/clocks.rs
+++ b/crates/gossip/tests/clocks.rs
@@ -14,7 +14,7 @@
     net.ahead[0] = ahead;
     let clock = net.clock(0);
     net.all[0]
-        .witness(&client(1), &stands("s1"), GOOD, clock)
+        .observe(&client(1), &stands("s1"), GOOD, clock)
         .expect("taken");
     net
 }
@@ -54,7 +54,7 @@
         assert!(net.until_all_agree(20).is_some());
         let (one, other) = (net.clock(2), net.clock(0));
         net.all[2]
-            .witness(&client(1), &stands("s2"), GOOD, one)
+            .observe(&client(1), &stands("s2"), GOOD, one)
             .expect("taken");
         assert!(net.until_all_agree(20).is_some());
         assert_eq!(
@@ -65,7 +65,7 @@
         );
         // And it has its say again.
         net.all[0]
-            .witness(&client(1), &stands("s3"), GOOD, other)
+            .observe(&client(1), &stands("s3"), GOOD, other)
             .expect("taken");
         assert!(net.until_all_agree(20).is_some());
         assert_eq!(
@@ -81,14 +81,14 @@
 fn a_fact_that_says_it_is_good_for_ever_is_not() {
     let mut bounds = Bounds::default();
     bounds.of_mut(Kind::Placement).longest = Millis::MAX;
-    let mut liar = Knowledge::new(
+    let mut liar = FactStore::new(
         Origin {
             name: "liar".into(),
-            boot: 1,
+            incarnation: 1,
         },
         bounds,
     );
-    liar.witness(&client(1), &stands("s1"), Millis::MAX, START)
+    liar.observe(&client(1), &stands("s1"), Millis::MAX, START)
         .expect("taken");
     let mut one = process("one", 1);
     tell(&mut liar, &mut one, START);
@@ -106,15 +106,15 @@
 fn the_greater_of_two_ages_is_believed() {
     let (mut first, mut one) = (process("first", 1), process("one", 1));
     first
-        .witness(&client(1), &stands("s1"), GOOD, START)
+        .observe(&client(1), &stands("s1"), GOOD, START)
         .expect("taken");
-    let early = first.rumours(ROOM, START);
-    let late = first.rumours(ROOM, START + 40_000);
+    let early = first.gossip_payload(ROOM, START);
+    let late = first.gossip_payload(ROOM, START + 40_000);
     // The early datagram was held up, so that its age says too little.
     one.take(&early, START + 40_000).expect("sound");
     assert_eq!(
         one.get(&client(1), "", START + 40_000)
-            .map(|fact| fact.witnessed),
+            .map(|fact| fact.observed_at),
         Some(START + 40_000)
     );
     one.take(&late, START + 40_000).expect("sound");
@@ -128,7 +128,7 @@
 fn what_lay_on_a_disk_is_as_old_as_the_dark_was_long() {
     let mut before = process("a", 1);
     before
-        .witness(&client(1), &stands("s1"), GOOD, START)
+        .observe(&client(1), &stands("s1"), GOOD, START)
         .expect("taken");
     let records = before.export(&[Kind::Placement], START + 20_000);
     // The clock came up in 1970; how long it was dark is told by whoever read the disk.
@@ -141,9 +141,9 @@
             "dark for {dark} ms"
         );
     }
-    let read = Knowledge::read(&records[0], 30_000, 100_000).expect("readable");
+    let read = FactStore::read(&records[0], 30_000, 100_000).expect("readable");
     assert_eq!(
-        (read.subject, read.witnessed, read.told),
+        (read.subject, read.observed_at, read.origin_time),
         (client(1), 50_000, START)
     );
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -10,11 +10,11 @@
 /// A datagram's room.
 pub const ROOM: usize = 1_200;
 
-pub fn process(name: &str, boot: u64) -> Knowledge {
-    Knowledge::new(
+pub fn process(name: &str, incarnation: u64) -> FactStore {
+    FactStore::new(
         Origin {
             name: name.into(),
-            boot,
+            incarnation,
         },
         Bounds::default(),
     )
@@ -32,8 +32,11 @@
     Subject::Placement(Holder::Client(key))
 }
 
-pub fn entry(life: u64, generation: u64, lifecycle: Lifecycle) -> Value {
-    let position = Position { life, generation };
+pub fn entry(incarnation: u64, generation: u64, lifecycle: Lifecycle) -> Value {
+    let position = Position {
+        incarnation,
+        generation,
+    };
     Value::Listed(Listed {
         position,
         lifecycle,
@@ -47,14 +50,14 @@
 }
 
 /// All that a process keeps, in an order that hangs on nothing but what it is, without ages.
-pub fn all_of(knowledge: &Knowledge, now: Millis) -> Vec<String> {
+pub fn all_of(knowledge: &FactStore, now: Millis) -> Vec<String> {
     let facts = Kind::ALL.iter().flat_map(|kind| knowledge.iter(*kind, now));
     let mut all: Vec<String> = facts
         .map(|fact| {
             format!(
                 "{:?}",
                 Fact {
-                    witnessed: 0,
+                    observed_at: 0,
                     ..fact
                 }
             )
@@ -65,8 +68,8 @@
 }
 
 /// One pass of rumours from one to the other.
-pub fn tell(from: &mut Knowledge, to: &mut Knowledge, now: Millis) -> Vec<Change> {
-    let bytes = from.rumours(ROOM, now);
+pub fn tell(from: &mut FactStore, to: &mut FactStore, now: Millis) -> Vec<Change> {
+    let bytes = from.gossip_payload(ROOM, now);
     if bytes.is_empty() {
         Vec::new()
     } else {
@@ -75,7 +78,7 @@
 }
 
 /// Tells the other by comparing digests until nothing comes any more.
-pub fn catch_up(from: &mut Knowledge, to: &mut Knowledge, now: Millis) -> usize {
+pub fn catch_up(from: &mut FactStore, to: &mut FactStore, now: Millis) -> usize {
     let mut pages = 0;
     // A stretch is compared every second time.
     let mut quiet = 0;
@@ -95,7 +98,7 @@
 
 /// Processes that tell each other in rounds, over links that lose datagrams.
 pub struct Net {
-    pub all: Vec<Knowledge>,
+    pub all: Vec<FactStore>,
     pub now: Millis,
     /// Parts of a process's clock: what it is ahead by.
     pub ahead: Vec<i64>,
@@ -107,7 +110,7 @@
 
 impl Net {
     pub fn new(count: usize, loss: f64, seed: u64) -> Net {
-        let mut all: Vec<Knowledge> = (0..count).map(|at| process(&format!("p{at}"), 1)).collect();
+        let mut all: Vec<FactStore> = (0..count).map(|at| process(&format!("p{at}"), 1)).collect();
         all.iter_mut().for_each(|one| one.members(count));
         let rng = Pcg32::seed_from_u64(seed);
         Net {
@@ -139,7 +142,7 @@
         for from in 0..self.all.len() {
             for _ in 0..2 {
                 let (to, clock) = (self.other(from), self.clock(from));
-                let bytes = self.all[from].rumours(ROOM, clock);
+                let bytes = self.all[from].gossip_payload(ROOM, clock);
                 self.deliver(from, to, &bytes);
             }
             let peer = self.other(from);
--- a/crates/gossip/tests/lives.rs
+++ b/crates/gossip/tests/lives.rs
@@ -7,20 +7,23 @@
 
 const LONG: Millis = 3_600_000;
 
-fn whole(generation: u64, digest: u64) -> Told {
-    Told {
+fn whole(generation: u64, digest: u64) -> ListAnnouncement {
+    ListAnnouncement {
         generation,
         digest,
         complete_list: true,
     }
 }
 
-fn hear(one: &mut Knowledge, told: Told, now: Millis) -> (u64, u64) {
-    let Position { life, generation } = one.hear_list(told, LONG, now).expect("taken");
-    (life, generation)
+fn hear(one: &mut FactStore, told: ListAnnouncement, now: Millis) -> (u64, u64) {
+    let Position {
+        incarnation,
+        generation,
+    } = one.hear_list(told, LONG, now).expect("taken");
+    (incarnation, generation)
 }
 
-fn meet(one: &mut Knowledge, other: &mut Knowledge, now: Millis) {
+fn meet(one: &mut FactStore, other: &mut FactStore, now: Millis) {
     tell(one, other, now);
     tell(other, one, now);
 }
@@ -32,7 +35,7 @@
     assert_eq!(
         hear(
             &mut one,
-            Told {
+            ListAnnouncement {
                 generation: 21,
                 digest: 2,
                 complete_list: false
@@ -50,7 +53,7 @@
     assert_eq!(
         hear(
             &mut one,
-            Told {
+            ListAnnouncement {
                 generation: 2,
                 digest: 4,
                 complete_list: false
@@ -93,7 +96,7 @@
     assert_eq!(
         hear(
             &mut b,
-            Told {
+            ListAnnouncement {
                 generation: 8,
                 digest: 9,
                 complete_list: false
@@ -142,7 +145,7 @@
     assert_eq!(
         new.settle_list(LONG, START + 60_100),
         Some(Position {
-            life: 2,
+            incarnation: 2,
             generation: 3
         })
     );
@@ -162,7 +165,7 @@
     assert_eq!(
         held,
         [Position {
-            life: 2,
+            incarnation: 2,
             generation: 3
         }; 2]
     );
@@ -172,9 +175,9 @@
 fn the_later_life_stands_and_equal_words_are_no_news() {
     let (mut a, mut b) = (process("a", 1), process("b", 1));
     let subject = Subject::Listed("s1".into());
-    a.witness(&subject, &entry(1, 20, Lifecycle::Draining), LONG, START)
+    a.observe(&subject, &entry(1, 20, Lifecycle::Draining), LONG, START)
         .expect("taken");
-    b.witness(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START)
+    b.observe(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START)
         .expect("taken");
     meet(&mut a, &mut b, START);
     assert_eq!(all_of(&a, START), all_of(&b, START));
@@ -186,14 +189,14 @@
     // All hear the same from discovery: nothing is to be told.
     let (mut c, mut d) = (process("c", 1), process("d", 1));
     for one in [&mut c, &mut d] {
-        one.witness(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START)
+        one.observe(&subject, &entry(2, 1, Lifecycle::Serving), LONG, START)
             .expect("taken");
     }
     assert_eq!(tell(&mut c, &mut d, START), []);
     assert_eq!(catch_up(&mut c, &mut d, START), 0);
-    while !c.rumours(ROOM, START).is_empty() {}
+    while !c.gossip_payload(ROOM, START).is_empty() {}
     let again = c
-        .witness(
+        .observe(
             &subject,
             &entry(2, 9, Lifecycle::Serving),
             LONG,
@@ -201,9 +204,9 @@
         )
         .expect("known");
     assert_eq!(again.version, 1, "the whole list, told again");
-    assert!(c.rumours(ROOM, START + LONG / 4).is_empty());
+    assert!(c.gossip_payload(ROOM, START + LONG / 4).is_empty());
     let fresh = c
-        .witness(
+        .observe(
             &subject,
             &entry(2, 9, Lifecycle::Serving),
             LONG,
@@ -211,7 +214,7 @@
         )
         .expect("taken");
     assert_eq!(
-        (fresh.version, fresh.witnessed),
+        (fresh.version, fresh.observed_at),
         (9, START + LONG / 2),
         "before it ends it is told anew"
     );
@@ -227,18 +230,18 @@
         })
     };
     before
-        .witness(&Subject::Configuration, &runs(1), LONG, START)
+        .observe(&Subject::Configuration, &runs(1), LONG, START)
         .expect("taken");
     tell(&mut before, &mut peer, START);
     after
-        .witness(&Subject::Configuration, &runs(2), LONG, START + 9_000)
+        .observe(&Subject::Configuration, &runs(2), LONG, START + 9_000)
         .expect("taken");
     tell(&mut peer, &mut after, START + 9_000);
     assert_eq!(after.outrun(), Some(7));
     after.renumber(8);
     assert_eq!(after.outrun(), None);
     after
-        .witness(&Subject::Configuration, &runs(2), LONG, START + 9_000)
+        .observe(&Subject::Configuration, &runs(2), LONG, START + 9_000)
         .expect("taken");
     tell(&mut after, &mut peer, START + 9_000);
     let told = peer.configurations(START + 9_000);
@@ -247,7 +250,7 @@
         [(
             Origin {
                 name: "a".into(),
-                boot: 8
+                incarnation: 8
             },
             Configuration {
                 digest: 2,
--- a/crates/gossip/tests/merging.rs
+++ b/crates/gossip/tests/merging.rs
@@ -34,7 +34,7 @@
 /// Nothing ends within a story: what ends is another test's matter.
 const LONG: Millis = 600_000;
 
-fn act(one: &mut Knowledge, deed: &Deed, now: Millis) {
+fn act(one: &mut FactStore, deed: &Deed, now: Millis) {
     let Deed {
         what, key, number, ..
     } = deed;
@@ -50,9 +50,9 @@
             entry(1 + number / 3, *number, lifecycle),
         ),
         1 => {
-            let held = Held {
+            let held = ListVersion {
                 position: Position {
-                    life: 1,
+                    incarnation: 1,
                     generation: *number,
                 },
                 digest: *key,
@@ -70,7 +70,7 @@
                 now,
             ));
         }
-        3 => return drop(one.sent_cold(&server, 1.0, LONG, now)),
+        3 => return drop(one.record_slow_start_send(&server, 1.0, LONG, now)),
         4 => return drop(one.failed(*key, LONG, now)),
         5 => return drop(one.succeeded(*key, LONG, now)),
         6 => (client(*key), stands(&format!("s{number}"))),
@@ -94,12 +94,12 @@
             }),
         ),
     };
-    one.witness(&subject, &value, LONG, now)
+    one.observe(&subject, &value, LONG, now)
         .expect("it is later than what it knows, or passed over");
 }
 
 fn records(deeds: &[Deed]) -> (Vec<Vec<u8>>, Millis) {
-    let mut all: Vec<Knowledge> = (0..7)
+    let mut all: Vec<FactStore> = (0..7)
         .map(|at| process(&format!("p{at}"), at % 3))
         .collect();
     let (mut now, mut records) = (START, Vec::new());
@@ -112,7 +112,7 @@
 }
 
 /// All that is known, with ages.
-fn state(one: &Knowledge, now: Millis) -> Vec<Vec<u8>> {
+fn state(one: &FactStore, now: Millis) -> Vec<Vec<u8>> {
     let mut all = one.export(&Kind::ALL, now);
     all.sort();
     all
@@ -177,7 +177,7 @@
     net.cut = 2;
     let now = net.now;
     net.all[0]
-        .witness(&client(1), &stands("s1"), LONG, now)
+        .observe(&client(1), &stands("s1"), LONG, now)
         .expect("taken");
     assert_eq!(net.until_all_agree(100), None);
     net.cut = 0;
@@ -187,12 +187,12 @@
 #[test]
 fn later_words_stand_whoever_hears_them_first() {
     let (mut a, mut b, mut c) = (process("a", 1), process("b", 1), process("c", 1));
-    a.witness(&client(1), &stands("s1"), LONG, START)
+    a.observe(&client(1), &stands("s1"), LONG, START)
         .expect("taken");
     tell(&mut a, &mut b, START);
     // Its clock is behind, but it knows what it goes beyond.
     let later = b
-        .witness(&client(1), &stands("s2"), LONG, START - 5_000)
+        .observe(&client(1), &stands("s2"), LONG, START - 5_000)
         .expect("taken");
     assert_eq!(later.version, START + 1);
     tell(&mut b, &mut c, START);
@@ -216,20 +216,20 @@
 
 #[test]
 fn what_was_heard_is_told_on_until_enough_know() {
-    let mut all: Vec<Knowledge> = (0..4).map(|at| process(&format!("p{at}"), 1)).collect();
+    let mut all: Vec<FactStore> = (0..4).map(|at| process(&format!("p{at}"), 1)).collect();
     all.iter_mut().for_each(|one| one.members(4));
     all[0]
-        .witness(&client(1), &stands("s1"), LONG, START)
+        .observe(&client(1), &stands("s1"), LONG, START)
         .expect("taken");
     for at in 0..3 {
         let (from, to) = all.split_at_mut(at + 1);
         assert_eq!(tell(&mut from[at], &mut to[0], START).len(), 1);
     }
     // 3 log2(4) + 2 tellings in all; a rumour that comes back counts as one.
-    let back = all[3].rumours(ROOM, START);
+    let back = all[3].gossip_payload(ROOM, START);
     (0..3).for_each(|_| assert_eq!(all[2].take(&back, START), Ok(vec![])));
     let left = (0..20)
-        .take_while(|_| !all[2].rumours(ROOM, START).is_empty())
+        .take_while(|_| !all[2].gossip_payload(ROOM, START).is_empty())
         .count();
     assert_eq!(left, 8 - 1 - 3);
 }
@@ -238,11 +238,11 @@
 fn two_processes_of_one_name_and_boot_still_come_to_one_word() {
     let [mut a, mut b] = ["s1", "s2"].map(|server| {
         let mut one = process("doubled", 1);
-        one.witness(&client(1), &stands(server), LONG, START)
+        one.observe(&client(1), &stands(server), LONG, START)
             .expect("taken");
         one
     });
-    let (from_a, from_b) = (a.rumours(ROOM, START), b.rumours(ROOM, START));
+    let (from_a, from_b) = (a.gossip_payload(ROOM, START), b.gossip_payload(ROOM, START));
     a.take(&from_b, START).expect("sound");
     b.take(&from_a, START).expect("sound");
     assert_eq!(all_of(&a, START), all_of(&b, START));
--- a/crates/gossip/tests/stored_form.rs
+++ b/crates/gossip/tests/stored_form.rs
@@ -9,15 +9,15 @@
 const RECORDS: &str = include_str!("data/records.hex");
 const LONG: Millis = 600_000;
 
-fn known() -> Knowledge {
+fn known() -> FactStore {
     let mut known = process("a", 1);
     let made = Override::Made {
         expires_at: START + LONG,
         bytes: vec![9; 30],
     };
-    let held = Held {
+    let held = ListVersion {
         position: Position {
-            life: 1,
+            incarnation: 1,
             generation: 4,
         },
         digest: 3,
@@ -66,7 +66,7 @@
     ];
     for (subject, value) in facts {
         known
-            .witness(&subject, &value, LONG, START)
+            .observe(&subject, &value, LONG, START)
             .expect("a valid fact");
     }
     known
--- a/crates/gossip/tests/sums.rs
+++ b/crates/gossip/tests/sums.rs
@@ -8,13 +8,13 @@
 const LONG: Millis = 60_000;
 
 /// Three processes, and a way for all to hear all.
-fn three() -> [Knowledge; 3] {
+fn three() -> [FactStore; 3] {
     ["a", "b", "c"].map(|name| process(name, 1))
 }
 
-fn hear_all(all: &mut [Knowledge; 3], now: Millis) {
+fn hear_all(all: &mut [FactStore; 3], now: Millis) {
     for from in 0..3 {
-        let bytes = all[from].rumours(ROOM, now);
+        let bytes = all[from].gossip_payload(ROOM, now);
         for to in (0..3).filter(|to| *to != from && !bytes.is_empty()) {
             all[to].take(&bytes, now).expect("sound");
         }
@@ -24,7 +24,7 @@
 #[test]
 fn failures_are_summed_capped_voided_and_forgotten() {
     let mut all = three();
-    let fail = |one: &mut Knowledge, now| drop(one.failed(5, LONG, now).expect("taken"));
+    let fail = |one: &mut FactStore, now| drop(one.failed(5, LONG, now).expect("taken"));
     fail(&mut all[0], START);
     fail(&mut all[0], START + 1);
     fail(&mut all[1], START + 2);
@@ -61,16 +61,22 @@
 #[test]
 fn what_cold_servers_were_sent_is_summed_and_fades() {
     let mut all = three();
-    all[0].sent_cold("s1", 4.0, LONG, START).expect("taken");
-    all[1].sent_cold("s1", 2.0, LONG, START).expect("taken");
+    all[0]
+        .record_slow_start_send("s1", 4.0, LONG, START)
+        .expect("taken");
+    all[1]
+        .record_slow_start_send("s1", 2.0, LONG, START)
+        .expect("taken");
     hear_all(&mut all, START);
-    let sent = |all: &[Knowledge; 3], now| all.each_ref().map(|one| one.cold_sent("s1", now));
+    let sent = |all: &[FactStore; 3], now| all.each_ref().map(|one| one.slow_start_sent("s1", now));
     assert_eq!(sent(&all, START), [6.0; 3]);
-    let half = START + Bounds::default().cold_half;
+    let half = START + Bounds::default().slow_start_half_life;
     assert_eq!(sent(&all, half), [3.0; 3]);
-    all[0].sent_cold("s1", 1.0, LONG, half).expect("taken");
+    all[0]
+        .record_slow_start_send("s1", 1.0, LONG, half)
+        .expect("taken");
     assert_eq!(
-        all[0].cold_sent("s1", half),
+        all[0].slow_start_sent("s1", half),
         4.0,
         "its own count goes on from what is left"
     );
@@ -82,19 +88,19 @@
 #[test]
 fn standing_is_what_most_evidence_says_aged_and_bounded() {
     let mut all = three();
-    let saw = |one: &mut Knowledge, seen, weight, now| {
+    let saw = |one: &mut FactStore, seen, weight, now| {
         one.saw("s1", Evidence { seen, weight }, LONG, now)
             .expect("taken");
     };
     saw(&mut all[0], Seen::Hung, 0.4, START);
     hear_all(&mut all, START);
-    assert_eq!(all[1].standing("s1", START), None, "thin");
+    assert_eq!(all[1].assess_server("s1", START), None, "thin");
     // One that shouts is not heard above two others.
     saw(&mut all[0], Seen::Hung, 1_000.0, START);
     saw(&mut all[1], Seen::Well, 3.0, START);
     saw(&mut all[2], Seen::Well, 3.0, START);
     hear_all(&mut all, START);
-    let told = Standing {
+    let told = ServerAssessment {
         seen: Seen::Well,
         weight: 6.0,
         against: 4.0,
@@ -103,22 +109,22 @@
     };
     assert!(
         all.iter()
-            .all(|one| one.standing("s1", START) == Some(told))
+            .all(|one| one.assess_server("s1", START) == Some(told))
     );
     // The newer word of one process replaces its older one, and evidence fades.
     let half = Bounds::default().evidence_half;
     saw(&mut all[1], Seen::Hung, 1.0, START + half);
     hear_all(&mut all, START + half);
-    let told = Standing {
+    let told = ServerAssessment {
         seen: Seen::Hung,
         weight: 3.0,
         against: 1.5,
         witnesses: 3,
         age: 0,
     };
-    assert_eq!(all[2].standing("s1", START + half), Some(told));
+    assert_eq!(all[2].assess_server("s1", START + half), Some(told));
     assert_eq!(
-        all[2].standing("s1", START + half + 4 * half),
+        all[2].assess_server("s1", START + half + 4 * half),
         None,
         "too old to say anything"
     );
--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -38,7 +38,7 @@
             let profile = Profile {
                 name: format!("p{at}").into(),
                 address: seeds[at],
-                boot: 1,
+                incarnation: 1,
                 seed: random(),
                 site: "north".into(),
                 peer_configuration: Configuration::default(),
--- a/crates/membership/src/body.rs
+++ b/crates/membership/src/body.rs
@@ -7,7 +7,7 @@
 /// What a node carries for another part of the program. All bytes are opaque to the node.
 pub trait Body {
     /// What is new, in `room` bytes at most; nothing to tell is an empty answer.
-    fn rumours(&mut self, room: usize, now: Millis) -> Vec<u8>;
+    fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8>;
     /// What is known, so that another can tell what is missing, in `room` bytes at most; empty asks nothing.
     fn summary(&mut self, room: usize, now: Millis) -> Vec<u8>;
     /// What a member with this summary lacks: `most` pages at most, each in `room` bytes.
@@ -20,10 +20,10 @@
 
 /// A body that other threads use too: locked for each call, never across two.
 impl<B: Body> Body for Arc<Mutex<B>> {
-    fn rumours(&mut self, room: usize, now: Millis) -> Vec<u8> {
+    fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
         self.lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .rumours(room, now)
+            .gossip(room, now)
     }
 
     fn summary(&mut self, room: usize, now: Millis) -> Vec<u8> {
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -38,7 +38,7 @@
 
 /// Another life under this process's own name that the others speak of.
 #[derive(Clone, Debug)]
-pub(crate) struct Rival {
+pub(crate) struct ConflictingMember {
     pub member: Member,
     pub is_there: bool,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct Own {
     pub me: Member,
-    pub rival: Option<Rival>,
+    pub conflict: Option<ConflictingMember>,
 }
 
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
 
 impl OwnName {
     pub fn new(me: Member) -> Self {
-        Self(Arc::new(Mutex::new(Own { me, rival: None })))
+        Self(Arc::new(Mutex::new(Own { me, conflict: None })))
     }
 
     pub fn lock(&self) -> MutexGuard<'_, Own> {
@@ -96,7 +96,7 @@
     ) -> Result<(), CodecFault> {
         let (kind, third, probe) = parts(&header.message);
         let record = HeaderRecord {
-            from: Some(Identity::whole(&header.src)),
+            from: Some(Identity::full(&header.src)),
             incarnation: header.src_incarnation.into(),
             to: Some(Identity::short(&header.dst)),
             kind,
@@ -123,8 +123,8 @@
     ) -> Result<(), CodecFault> {
         let id = member.id();
         let (identity, state) = match member.state() {
-            State::Alive => (Identity::whole(id), 1),
-            State::Suspect => (Identity::whole(id), 2),
+            State::Alive => (Identity::full(id), 1),
+            State::Suspect => (Identity::full(id), 2),
             State::Down => (Identity::short(id), 3),
         };
         put(
@@ -160,11 +160,11 @@
             return foca::Member::new(member, incarnation, state);
         }
         let is_later = own
-            .rival
+            .conflict
             .as_ref()
             .is_none_or(|rival| member.rank() > rival.member.rank());
         if member.born() > own.me.born() && is_later {
-            own.rival = Some(Rival {
+            own.conflict = Some(ConflictingMember {
                 member,
                 is_there: state != State::Down,
             });
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -54,7 +54,7 @@
     Woke(Millis),
     /// The others had declared this process down: it announces itself anew.
     Returned,
-    /// Datagrams of this address are refused. Told at most once a minute for each address.
+    /// Datagrams of this address are refused. NameConflict at most once a minute for each address.
     Refused {
         /// Where they come from.
         from: SocketAddr,
@@ -84,7 +84,11 @@
             Self::Up(member) => write!(out, "peer {member} of site `{}` is there", member.site),
             Self::Down(member) => write!(out, "peer {member} is gone"),
             Self::Restarted { was, now } => {
-                write!(out, "peer {now} started anew, it was boot {}", was.boot)
+                write!(
+                    out,
+                    "peer {now} started anew, it was boot {}",
+                    was.incarnation
+                )
             }
             Self::Changed { was, now } => write!(
                 out,
@@ -123,7 +127,7 @@
                 write!(
                     out,
                     "{count} datagrams from {from} were refused, the last: {}",
-                    why.word()
+                    why.label()
                 )
             }
         }
@@ -146,7 +150,7 @@
     /// Datagrams that said nothing this program knows, or came from nobody it knows to be there.
     pub unheard: u64,
     /// Pages and rumours held back since there were too many bytes already.
-    pub held_back: u64,
+    pub rate_limited: u64,
     /// Members suspected by this node's own probes.
     pub suspected: u64,
     /// How often this process announced itself anew.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -20,9 +20,9 @@
 mod node;
 mod senders;
 mod settings;
-mod strangers;
 #[cfg(feature = "testing")]
 pub mod testing;
+mod unknown_senders;
 mod wire;
 
 pub use body::Body;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -25,10 +25,10 @@
     /// Where its datagrams come from and go to.
     pub address: SocketAddr,
     /// Grows with each start of the process under this name.
-    pub boot: u64,
+    pub incarnation: u64,
     /// Drawn at random at each start: guards against a boot number that was used before (a disk that was restored,
     /// copied or could not be written).
-    pub life: u64,
+    pub start_nonce: u64,
     /// How often the process had to announce itself anew since its start: after it was declared down, after a pause,
     /// and whenever its configuration changes.
     pub renewal: u32,
@@ -40,18 +40,18 @@
 
 impl Member {
     /// Whether both are one life of one process, whatever it announced since.
-    pub fn is_same_life(&self, other: &Self) -> bool {
+    pub fn is_same_incarnation(&self, other: &Self) -> bool {
         self.name == other.name && self.born() == other.born()
     }
 
     /// What tells a life from the one before: the later counts.
     pub(crate) fn born(&self) -> (u64, u64) {
-        (self.boot, self.life)
+        (self.incarnation, self.start_nonce)
     }
 
     /// Of two that bear one name the higher counts. The same for all who compare them.
     pub(crate) fn rank(&self) -> (u64, u64, u32) {
-        (self.boot, self.life, self.renewal)
+        (self.incarnation, self.start_nonce, self.renewal)
     }
 
     pub(crate) fn renewed(&self) -> Self {
@@ -75,7 +75,7 @@
         write!(
             out,
             "{} at {} (boot {})",
-            self.name, self.address, self.boot
+            self.name, self.address, self.incarnation
         )
     }
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,10 +1,10 @@
 //! One process's part in the fleet, without socket or clock.
 
+mod datagrams;
 mod names;
 mod roster;
 mod swim;
 mod timers;
-mod words;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 
 use crate::codec::OwnName;
 use crate::senders::Senders;
-use crate::strangers::Strangers;
-use crate::wire::{self, Content, Identity, Word};
+use crate::unknown_senders::UnknownSenders;
+use crate::wire::{self, Content, Identity, WireMessage};
 use crate::{
     Body, Configuration, Counts, Event, Keys, Member, Millis, Profile, ProfileFault, Settings,
 };
@@ -93,7 +93,7 @@
 
 /// When what is done next.
 #[derive(Clone, Copy, Debug, Default)]
-struct Due {
+struct Schedule {
     round: Millis,
     summary: Millis,
     hello: Millis,
@@ -122,14 +122,14 @@
     ask: Option<Arc<str>>,
     asked_first: usize,
     senders: Senders,
-    strangers: Strangers,
+    unknown_senders: UnknownSenders,
     naming: Naming,
     budget: Budget,
     counts: Counts,
     counter: u64,
     room: usize,
     rng: Pcg64Mcg,
-    due: Due,
+    schedule: Schedule,
     last: Millis,
     wake: Option<Millis>,
 }
@@ -150,8 +150,8 @@
         let me = Member {
             name: profile.name,
             address: profile.address,
-            boot: profile.boot,
-            life: rng.random(),
+            incarnation: profile.incarnation,
+            start_nonce: rng.random(),
             renewal: 0,
             site: profile.site,
             configuration: profile.peer_configuration,
@@ -177,13 +177,13 @@
             ask: None,
             asked_first: 0,
             senders: Senders::default(),
-            strangers: Strangers::default(),
+            unknown_senders: UnknownSenders::default(),
             naming: Naming::default(),
             counts: Counts::default(),
             counter: 0,
             room,
             rng,
-            due: Due::default(),
+            schedule: Schedule::default(),
             last: 0,
             wake: None,
         })
@@ -228,15 +228,15 @@
         match input {
             Input::Start => self.start(now),
             Input::Datagram { from, bytes } => self.datagram(from, bytes, now, out),
-            Input::Tick => self.run_due(now, out),
-            Input::Say => self.due.round = self.due.round.min(self.said(now)),
+            Input::Tick => self.run_scheduled(now, out),
+            Input::Say => self.schedule.round = self.schedule.round.min(self.next_reply_at(now)),
             Input::Configured(configuration) => self.configured(configuration, now, out),
             Input::Seeds(seeds) => self.seeds = seeds,
             Input::Keys(keys) => self.keys = *keys,
             Input::Leave => self.leave(now, out),
         }
         self.count_members();
-        let wake = self.next_due(now);
+        let wake = self.next_scheduled(now);
         self.wake = Some(wake);
         out.push(Output::Wake(wake));
     }
@@ -252,21 +252,21 @@
         self.doubts.iter_mut().for_each(|doubt| doubt.put_off(late));
         if late >= self.settings.pause && self.phase == Phase::Within {
             self.tell(Event::Woke(late), out);
-            self.due.hello = now;
+            self.schedule.hello = now;
             self.announce_anew(self.me.renewed(), now, out);
         }
     }
 
     fn start(&mut self, now: Millis) {
-        self.due.hello_gap = FIRST_HELLO;
+        self.schedule.hello_gap = FIRST_HELLO;
         // Guards against a fleet in step, all of which starts in one moment.
-        self.due.hello = now + self.rng.random_range(0..FIRST_HELLO);
-        self.due.round = now + self.jittered(self.settings.round);
-        self.due.summary = now + self.jittered(self.settings.summary);
+        self.schedule.hello = now + self.rng.random_range(0..FIRST_HELLO);
+        self.schedule.round = now + self.jittered(self.settings.round);
+        self.schedule.summary = now + self.jittered(self.settings.summary);
     }
 
-    fn said(&mut self, now: Millis) -> Millis {
-        now.max(self.due.last_round + SAY_WITHIN) + self.rng.random_range(0..SAY_WITHIN)
+    fn next_reply_at(&mut self, now: Millis) -> Millis {
+        now.max(self.schedule.last_round + SAY_WITHIN) + self.rng.random_range(0..SAY_WITHIN)
     }
 
     fn configured(&mut self, configuration: Configuration, now: Millis, out: &mut Vec<Output>) {
@@ -284,49 +284,49 @@
         }
     }
 
-    fn run_due(&mut self, now: Millis, out: &mut Vec<Output>) {
+    fn run_scheduled(&mut self, now: Millis, out: &mut Vec<Output>) {
         if self.phase == Phase::Left {
             return;
         }
         if self.phase == Phase::Within {
             self.run_timers(now, out);
             self.voice_doubts(now, out);
-            if now >= self.due.round {
+            if now >= self.schedule.round {
                 self.round(now, out);
             }
-            if now >= self.due.summary {
+            if now >= self.schedule.summary {
                 self.summary(now, out);
             }
-            if now >= self.due.roster {
+            if now >= self.schedule.roster {
                 self.ask_for_roster(now, out);
             }
         }
-        if now >= self.due.hello {
+        if now >= self.schedule.hello {
             self.hello(now, out);
         }
     }
 
     fn round(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.due.last_round = now;
-        self.due.round = now + self.jittered(self.settings.round);
-        for name in self.some(self.settings.told) {
+        self.schedule.last_round = now;
+        self.schedule.round = now + self.jittered(self.settings.round);
+        for name in self.some(self.settings.gossip_fanout) {
             let Some(to) = self.present.get(&name).map(|member| member.address) else {
                 continue;
             };
             if !self.budget.has(self.room, now) {
-                self.counts.held_back += 1;
+                self.counts.rate_limited += 1;
                 break;
             }
-            let bytes = self.body.rumours(self.room, now);
+            let bytes = self.body.gossip(self.room, now);
             if bytes.is_empty() {
                 break;
             }
             // Guards against a datagram that no other would take.
             if bytes.len() > self.room {
-                self.counts.held_back += 1;
+                self.counts.rate_limited += 1;
                 continue;
             }
-            self.say_bytes(to, Word::Rumours(bytes), out);
+            self.say_bytes(to, WireMessage::Rumours(bytes), out);
         }
         if let Some(name) = self.ask.take() {
             self.ask_for_pages(&name, now, out);
@@ -334,9 +334,9 @@
     }
 
     fn summary(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.due.summary = now + self.jittered(self.settings.summary);
+        self.schedule.summary = now + self.jittered(self.settings.summary);
         self.timers
-            .forget_due(now)
+            .take_forget_timers(now)
             .into_iter()
             .for_each(|timer| self.fire(timer, now, out));
         for name in self.some(1) {
@@ -349,23 +349,23 @@
             return;
         };
         if !self.budget.has(self.room, now) {
-            self.counts.held_back += 1;
+            self.counts.rate_limited += 1;
             return;
         }
         let bytes = self.body.summary(self.room, now);
         if !bytes.is_empty() {
-            self.say_bytes(to, Word::Summary(bytes), out);
+            self.say_bytes(to, WireMessage::Summary(bytes), out);
         }
     }
 
     fn hello(&mut self, now: Millis, out: &mut Vec<Output>) {
         let alone = self.present.is_empty();
-        self.due.hello_gap = match (alone, &self.phase) {
+        self.schedule.hello_gap = match (alone, &self.phase) {
             (_, Phase::Outside(_)) => names::ASK_AGAIN,
-            (true, _) => (self.due.hello_gap * 2).clamp(FIRST_HELLO, ALONE_HELLO),
+            (true, _) => (self.schedule.hello_gap * 2).clamp(FIRST_HELLO, ALONE_HELLO),
             (false, _) => SPARE_HELLO,
         };
-        self.due.hello = now + self.jittered(self.due.hello_gap);
+        self.schedule.hello = now + self.jittered(self.schedule.hello_gap);
         let known: Vec<_> = self.present.values().map(|member| member.address).collect();
         let mut ask = match &self.phase {
             Phase::Outside(addresses) => addresses.clone(),
@@ -377,7 +377,7 @@
                 break;
             }
             let to = ask.swap_remove(self.rng.random_range(0..ask.len()));
-            self.say(to, Word::Hello(Identity::whole(&self.me)), out);
+            self.say(to, WireMessage::Hello(Identity::full(&self.me)), out);
         }
     }
 
@@ -417,26 +417,30 @@
         }
     }
 
-    fn next_due(&self, now: Millis) -> Millis {
+    fn next_scheduled(&self, now: Millis) -> Millis {
         let others = [
             self.timers.next(),
-            self.doubts.iter().map(Doubted::due).min(),
+            self.doubts.iter().map(Doubted::next_timer).min(),
             self.next_talk(),
         ];
         let due = match self.phase {
             Phase::Left => now + ALONE_HELLO,
-            Phase::Outside(_) => self.due.hello,
+            Phase::Outside(_) => self.schedule.hello,
             Phase::Within => others
                 .into_iter()
                 .flatten()
-                .fold(self.due.hello, Millis::min),
+                .fold(self.schedule.hello, Millis::min),
         };
         due.max(now)
     }
 
     fn next_talk(&self) -> Option<Millis> {
-        (!self.present.is_empty())
-            .then(|| self.due.round.min(self.due.summary).min(self.due.roster))
+        (!self.present.is_empty()).then(|| {
+            self.schedule
+                .round
+                .min(self.schedule.summary)
+                .min(self.schedule.roster)
+        })
     }
 
     fn tell(&self, event: Event, out: &mut Vec<Output>) {
@@ -444,21 +448,21 @@
     }
 
     /// Sends what counts against the bytes that bodies may fill.
-    fn say_bytes(&mut self, to: SocketAddr, word: Word, out: &mut Vec<Output>) {
+    fn say_bytes(&mut self, to: SocketAddr, word: WireMessage, out: &mut Vec<Output>) {
         let before = self.counts.sent_bytes;
         self.say(to, word, out);
         self.budget.spend(self.counts.sent_bytes - before);
     }
 
-    fn say(&mut self, to: SocketAddr, word: Word, out: &mut Vec<Output>) {
+    fn say(&mut self, to: SocketAddr, word: WireMessage, out: &mut Vec<Output>) {
         self.counter += 1;
-        let (boot, life) = self.me.born();
+        let (incarnation, start_nonce) = self.me.born();
         let content = Content {
             name: self.me.name.to_string(),
-            boot,
-            life,
+            incarnation,
+            start_nonce,
             counter: self.counter,
-            word: Some(word),
+            message: Some(word),
         };
         let bytes = wire::seal(&self.keys, &content);
         self.counts.sent += 1;
--- a/crates/membership/src/node/words.rs
+++ b/crates/membership/src/node/datagrams.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use super::{Node, Output, Phase};
-use crate::senders::Heard;
-use crate::wire::{self, Content, Identity, Page, Word};
+use crate::senders::DatagramOrder;
+use crate::wire::{self, Content, Identity, Page, WireMessage};
 use crate::{Body, Member, Millis, Refusal};
 
 impl<B: Body> Node<B> {
@@ -21,19 +21,19 @@
             Ok(content) => content,
             Err(why) => return self.refuse(from, why, now, out),
         };
-        let born = (content.boot, content.life);
+        let born = (content.incarnation, content.start_nonce);
         let heard = self.senders.hear(&content.name, born, content.counter, now);
-        if heard == Heard::Again || self.phase == Phase::Left {
+        if heard == DatagramOrder::Duplicate || self.phase == Phase::Left {
             return self.refuse(from, Refusal::Replay, now, out);
         }
         if *content.name == *self.me.name {
-            return self.own_name_heard(from, &content, now, out);
+            return self.own_name_received(from, &content, now, out);
         }
-        if let Heard::Earlier { is_fresh } = heard {
+        if let DatagramOrder::Earlier { is_fresh } = heard {
             self.refuse(from, Refusal::Replay, now, out);
-            return self.earlier_life_heard(from, &content, is_fresh, now, out);
+            return self.earlier_incarnation_received(from, &content, is_fresh, now, out);
         }
-        self.word(from, content, now, out);
+        self.handle_message(from, content, now, out);
     }
 
     pub(super) fn refuse(
@@ -44,64 +44,76 @@
         out: &mut Vec<Output>,
     ) {
         self.counts.refused[why as usize] += 1;
-        let event = self.strangers.refused(from, why, now);
+        let event = self.unknown_senders.refused(from, why, now);
         event.into_iter().for_each(|event| self.tell(event, out));
     }
 
-    fn word(&mut self, from: SocketAddr, content: Content, now: Millis, out: &mut Vec<Output>) {
+    fn handle_message(
+        &mut self,
+        from: SocketAddr,
+        content: Content,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let Content {
             name,
-            boot,
-            life,
-            word,
+            incarnation,
+            start_nonce,
+            message,
             ..
         } = content;
         let speaker = self
             .present
             .get(&name[..])
-            .filter(|member| member.born() == (boot, life))
+            .filter(|member| member.born() == (incarnation, start_nonce))
             .cloned();
         let is_speaker = |identity: &Identity| {
-            identity
-                .member()
-                .filter(|member| *member.name == name && member.born() == (boot, life))
+            identity.member().filter(|member| {
+                *member.name == name && member.born() == (incarnation, start_nonce)
+            })
         };
-        match (word, speaker) {
-            (Some(Word::Told(told)), _) => self.told(&told, now, out),
-            (Some(Word::Welcome(identity)), _) => {
+        match (message, speaker) {
+            (Some(WireMessage::NameConflict(told)), _) => {
+                self.name_conflict_reported(&told, now, out)
+            }
+            (Some(WireMessage::Welcome(identity)), _) => {
                 if let Some(member) = is_speaker(&identity) {
                     self.welcomed(member, now, out);
                 }
             }
             // Outside the fleet nothing else is heard.
             _ if self.phase != Phase::Within => {}
-            (Some(Word::Swim(bytes)), _) => self.swim_message(from, &name, &bytes, now, out),
-            (Some(Word::Hello(identity)), _) => {
+            (Some(WireMessage::Swim(bytes)), _) => self.swim_message(from, &name, &bytes, now, out),
+            (Some(WireMessage::Hello(identity)), _) => {
                 if let Some(member) = is_speaker(&identity) {
                     self.greeted(from, member, now, out);
                 }
             }
-            (Some(Word::Doubt(doubt)), speaker) => self.doubted(&doubt, speaker, now, out),
-            (Some(Word::Rumours(bytes)), Some(speaker)) => self.body.take(&speaker, &bytes, now),
-            (Some(Word::Summary(bytes)), Some(speaker)) => self.asked(&speaker, &bytes, now, out),
-            (Some(Word::Page(page)), Some(speaker)) => {
+            (Some(WireMessage::Doubt(doubt)), speaker) => self.doubted(&doubt, speaker, now, out),
+            (Some(WireMessage::Rumours(bytes)), Some(speaker)) => {
+                self.body.take(&speaker, &bytes, now)
+            }
+            (Some(WireMessage::Summary(bytes)), Some(speaker)) => {
+                self.asked(&speaker, &bytes, now, out)
+            }
+            (Some(WireMessage::Page(page)), Some(speaker)) => {
                 self.body.take(&speaker, &page.bytes, now);
                 if page.more {
                     self.ask = Some(speaker.name);
                 }
             }
-            (Some(Word::RosterAsk(ask)), Some(speaker)) => {
+            (Some(WireMessage::RosterAsk(ask)), Some(speaker)) => {
                 self.roster_asked(&speaker, &ask, now, out)
             }
-            (Some(Word::Roster(page)), Some(_)) => self.roster_came(&page, now, out),
+            (Some(WireMessage::Roster(page)), Some(_)) => self.roster_came(&page, now, out),
             (
                 None
                 | Some(
-                    Word::RosterAsk(_)
-                    | Word::Roster(_)
-                    | Word::Rumours(_)
-                    | Word::Summary(_)
-                    | Word::Page(_),
+                    WireMessage::RosterAsk(_)
+                    | WireMessage::Roster(_)
+                    | WireMessage::Rumours(_)
+                    | WireMessage::Summary(_)
+                    | WireMessage::Page(_),
                 ),
                 _,
             ) => self.counts.unheard += 1,
@@ -116,7 +128,7 @@
             swim.apply_many(std::iter::once(update), true, runtime)
         });
         self.speaker = None;
-        self.say(to, Word::Welcome(Identity::whole(&self.me)), out);
+        self.say(to, WireMessage::Welcome(Identity::full(&self.me)), out);
     }
 
     fn welcomed(&mut self, by: Member, now: Millis, out: &mut Vec<Output>) {
@@ -136,10 +148,10 @@
         let more = pages.len() >= most;
         for bytes in pages.into_iter().take(most) {
             if bytes.is_empty() || bytes.len() > self.room || !self.budget.has(self.room, now) {
-                self.counts.held_back += 1;
+                self.counts.rate_limited += 1;
                 continue;
             }
-            self.say_bytes(by.address, Word::Page(Page { bytes, more }), out);
+            self.say_bytes(by.address, WireMessage::Page(Page { bytes, more }), out);
         }
     }
 }
--- a/crates/membership/src/node/names.rs
+++ b/crates/membership/src/node/names.rs
@@ -6,9 +6,9 @@
 
 use super::swim;
 use super::{Node, Output, Phase};
-use crate::codec::Rival;
-use crate::strangers::TELL_EVERY;
-use crate::wire::{Content, Identity, Told, Word};
+use crate::codec::ConflictingMember;
+use crate::unknown_senders::TELL_EVERY;
+use crate::wire::{Content, Identity, NameConflict, WireMessage};
 use crate::{Body, Event, Member, Millis};
 
 /// A process outside the fleet asks this often whether its name is still another's.
@@ -48,23 +48,23 @@
 
 impl<B: Body> Node<B> {
     /// A datagram under this process's own name, which it did not send itself.
-    pub(super) fn own_name_heard(
+    pub(super) fn own_name_received(
         &mut self,
         from: SocketAddr,
         content: &Content,
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let born = (content.boot, content.life);
+        let born = (content.incarnation, content.start_nonce);
         if born > self.me.born() {
             let member = Member {
                 address: from,
-                boot: content.boot,
-                life: content.life,
+                incarnation: content.incarnation,
+                start_nonce: content.start_nonce,
                 ..self.me.clone()
             };
             self.contest(
-                Rival {
+                ConflictingMember {
                     member,
                     is_there: true,
                 },
@@ -72,12 +72,12 @@
                 out,
             );
         } else if born < self.me.born() && from != self.me.address && self.phase == Phase::Within {
-            self.tell_loser(from, self.me.clone(), content.boot, true, now, out);
+            self.tell_loser(from, self.me.clone(), content.incarnation, true, now, out);
         }
     }
 
     /// A datagram of another's earlier life. A fresh one, from elsewhere, means that it lives on beside the later.
-    pub(super) fn earlier_life_heard(
+    pub(super) fn earlier_incarnation_received(
         &mut self,
         from: SocketAddr,
         content: &Content,
@@ -85,7 +85,7 @@
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let born = (content.boot, content.life);
+        let born = (content.incarnation, content.start_nonce);
         let known = self
             .swim
             .iter_membership_state()
@@ -100,7 +100,7 @@
             self.tell_loser(
                 from,
                 holder,
-                content.boot,
+                content.incarnation,
                 self.present.contains_key(&content.name[..]),
                 now,
                 out,
@@ -130,8 +130,8 @@
         if tell {
             self.say(
                 from,
-                Word::Told(Told {
-                    holder: Some(Identity::whole(&holder)),
+                WireMessage::NameConflict(NameConflict {
+                    holder: Some(Identity::full(&holder)),
                     is_there,
                 }),
                 out,
@@ -139,13 +139,18 @@
         }
     }
 
-    pub(super) fn told(&mut self, told: &Told, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn name_conflict_reported(
+        &mut self,
+        told: &NameConflict,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
         let holder = told.holder.as_ref().and_then(Identity::member);
         let Some(member) = holder.filter(|member| member.name == self.me.name) else {
             return;
         };
         self.contest(
-            Rival {
+            ConflictingMember {
                 member,
                 is_there: told.is_there,
             },
@@ -156,23 +161,23 @@
 
     /// Another life under this process's own name. The later counts; but one that is over, or that was at this very
     /// address, was an earlier one of this process, whose boot number was lost.
-    pub(super) fn contest(&mut self, rival: Rival, now: Millis, out: &mut Vec<Output>) {
-        let Rival { member, is_there } = rival;
+    pub(super) fn contest(&mut self, rival: ConflictingMember, now: Millis, out: &mut Vec<Output>) {
+        let ConflictingMember { member, is_there } = rival;
         if member.born() <= self.me.born() || self.phase == Phase::Left {
             return;
         }
         if is_there && member.address != self.me.address {
             return self.step_out(member, now, out);
         }
-        let boot = member.boot.saturating_add(1);
-        self.tell(Event::BootRaised(boot), out);
+        let incarnation = member.incarnation.saturating_add(1);
+        self.tell(Event::BootRaised(incarnation), out);
         let me = Member {
-            boot,
+            incarnation,
             renewal: 0,
             ..self.me.clone()
         };
         if self.phase == Phase::Within {
-            self.due.hello = now;
+            self.schedule.hello = now;
             self.announce_anew(me, now, out);
         } else {
             self.step_in(me, now, out);
@@ -190,7 +195,7 @@
         self.phase = Phase::Outside(self.seeds.iter().copied().chain(known).collect());
         self.present.clear();
         self.ask = None;
-        self.due.hello = now + self.jittered(ASK_AGAIN);
+        self.schedule.hello = now + self.jittered(ASK_AGAIN);
     }
 
     /// Begins anew as this member, with nothing known of the others.
@@ -208,10 +213,10 @@
                 .filter(|to| *to != own)
                 .take(super::HELLOS)
             {
-                self.say(to, Word::Hello(Identity::whole(&self.me)), out);
+                self.say(to, WireMessage::Hello(Identity::full(&self.me)), out);
             }
         }
-        self.due.hello_gap = 0;
-        self.due.hello = now + super::FIRST_HELLO;
+        self.schedule.hello_gap = 0;
+        self.schedule.hello = now + super::FIRST_HELLO;
     }
 }
--- a/crates/membership/src/node/roster.rs
+++ b/crates/membership/src/node/roster.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 
 use super::{Node, Output};
-use crate::wire::{Identity, Roster, RosterAsk, Word};
+use crate::wire::{Identity, Roster, RosterAsk, WireMessage};
 use crate::{Body, Member, Millis};
 
 /// After something changed another is asked within this, then ever more seldom.
@@ -21,8 +21,11 @@
 impl<B: Body> Node<B> {
     /// Something changed: there may be more.
     pub(super) fn roster_soon(&mut self, now: Millis, within: Millis) {
-        self.due.roster_gap = FIRST;
-        self.due.roster = self.due.roster.min(now + self.rng.random_range(0..=within));
+        self.schedule.roster_gap = FIRST;
+        self.schedule.roster = self
+            .schedule
+            .roster
+            .min(now + self.rng.random_range(0..=within));
     }
 
     pub(super) fn roster_changed(&mut self, now: Millis) {
@@ -30,14 +33,14 @@
     }
 
     pub(super) fn ask_for_roster(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.due.roster = now + self.jittered(self.due.roster_gap);
-        self.due.roster_gap = (self.due.roster_gap * 2).min(SELDOM);
+        self.schedule.roster = now + self.jittered(self.schedule.roster_gap);
+        self.schedule.roster_gap = (self.schedule.roster_gap * 2).min(SELDOM);
         for name in self.some(1) {
             let Some(to) = self.present.get(&name).map(|member| member.address) else {
                 continue;
             };
             let known = self.known();
-            self.say(to, Word::RosterAsk(RosterAsk { known }), out);
+            self.say(to, WireMessage::RosterAsk(RosterAsk { known }), out);
         }
     }
 
@@ -76,10 +79,10 @@
         let pages = paged(told, self.room);
         for page in pages {
             if !self.budget.has(self.room, now) {
-                self.counts.held_back += 1;
+                self.counts.rate_limited += 1;
                 return;
             }
-            self.say_bytes(by.address, Word::Roster(page), out);
+            self.say_bytes(by.address, WireMessage::Roster(page), out);
         }
     }
 
@@ -114,7 +117,7 @@
         let identity = if is_gone {
             Identity::short(known.id())
         } else {
-            Identity::whole(known.id())
+            Identity::full(known.id())
         };
         if identity.width() > left {
             pages.push(std::mem::take(&mut page));
--- a/crates/membership/src/node/swim.rs
+++ b/crates/membership/src/node/swim.rs
@@ -13,7 +13,7 @@
 
 use super::{Node, Output, Phase};
 use crate::codec::{OwnName, Records};
-use crate::wire::{Doubt, Identity, Word};
+use crate::wire::{Doubt, Identity, WireMessage};
 use crate::{Body, Event, Member, Millis, Settings};
 
 pub(super) type Swim = Foca<Member, Records, Pcg64Mcg, NoCustomBroadcast>;
@@ -46,7 +46,7 @@
         }),
         periodic_gossip: Some(PeriodicParams {
             frequency: Duration::from_millis(settings.round),
-            num_members: NonZeroUsize::new(settings.told).unwrap_or(one),
+            num_members: NonZeroUsize::new(settings.gossip_fanout).unwrap_or(one),
         }),
     };
     let me = own.lock().me.clone();
@@ -68,7 +68,7 @@
 }
 
 impl Doubted {
-    pub fn due(&self) -> Millis {
+    pub fn next_timer(&self) -> Millis {
         self.next
     }
 
@@ -92,7 +92,7 @@
             self.schedule(timer, after.as_millis() as Millis, now);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            self.say(to.address, Word::Swim(bytes.into()), out);
+            self.say(to.address, WireMessage::Swim(bytes.into()), out);
         }
         let mut notices = Vec::new();
         while let Some(notice) = self.runtime.to_notify() {
@@ -101,7 +101,7 @@
         notices
             .into_iter()
             .for_each(|notice| self.noticed(notice, now, out));
-        let rival = self.own.lock().rival.take();
+        let rival = self.own.lock().conflict.take();
         if let Some(rival) = rival {
             self.contest(rival, now, out);
         }
@@ -176,7 +176,7 @@
         for doubt in doubts.iter_mut().filter(|doubt| doubt.next <= now) {
             doubt.next = now + DOUBT_EVERY;
             let suspect = Some(Identity::short(&doubt.member));
-            let word = Word::Doubt(Doubt {
+            let word = WireMessage::Doubt(Doubt {
                 suspect,
                 incarnation: doubt.incarnation.into(),
             });
@@ -206,7 +206,7 @@
         };
         // Whoever suspects what this process was before it announced itself anew has missed that.
         if suspect != self.me {
-            let answer = by.filter(|_| suspect.is_same_life(&self.me));
+            let answer = by.filter(|_| suspect.is_same_incarnation(&self.me));
             answer.into_iter().for_each(|by| {
                 self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime))
             });
@@ -249,12 +249,12 @@
             Notice::Rename(_, member) => self.announced_anew(member, now, out),
             Notice::Active => self.joined(now),
             Notice::Idle => {
-                self.due.hello_gap = 0;
-                self.due.hello = now;
+                self.schedule.hello_gap = 0;
+                self.schedule.hello = now;
             }
             Notice::Rejoin(_) => {
                 self.tell(Event::Returned, out);
-                self.due.hello = now;
+                self.schedule.hello = now;
                 self.roster_changed(now);
             }
             Notice::Defunct => {}
@@ -264,13 +264,13 @@
     /// Guards against waiting a second for what the others know: whoever joins asks for it in the next moment.
     fn joined(&mut self, now: Millis) {
         if self.phase == Phase::Within {
-            self.due.summary = now;
+            self.schedule.summary = now;
         }
     }
 
     /// A newcomer asks the first few that it finds. Guards against asking only one, who may know as little.
     fn ask_first(&mut self, member: &Member, now: Millis, out: &mut Vec<Output>) {
-        if self.asked_first < self.settings.told && self.phase == Phase::Within {
+        if self.asked_first < self.settings.gossip_fanout && self.phase == Phase::Within {
             self.asked_first += 1;
             self.ask_for_pages(&member.name, now, out);
         }
@@ -285,7 +285,7 @@
         self.present.insert(member.name.clone(), member.clone());
         self.roster_changed(now);
         let is_changed = was.configuration != member.configuration || was.site != member.site;
-        if !was.is_same_life(&member) {
+        if !was.is_same_incarnation(&member) {
             self.tell(
                 Event::Restarted {
                     was,
--- a/crates/membership/src/node/timers.rs
+++ b/crates/membership/src/node/timers.rs
@@ -47,7 +47,7 @@
             .collect();
     }
 
-    pub fn forget_due(&mut self, now: Millis) -> Vec<Timer<Member>> {
+    pub fn take_forget_timers(&mut self, now: Millis) -> Vec<Timer<Member>> {
         self.forget
             .extract_if(.., |_, (due, _)| *due <= now)
             .map(|(_, (_, timer))| timer)
