--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -17,7 +17,7 @@
 use sha2::{Digest, Sha256};
 use tracing::warn;
 
-use crate::fleet::Way;
+use crate::fleet::FleetHandle;
 use crate::front::nats::tenants::Tenants;
 use crate::http::{self, Reply, Request, RequestError};
 use crate::net;
@@ -33,7 +33,7 @@
     /// The tenants of the NATS front and their classes, where that front runs.
     tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
     /// The fleet's thread, where a fleet is set up.
-    fleet: Option<Way>,
+    fleet: Option<FleetHandle>,
     /// Digest of the token: what is compared takes as long whatever is sent.
     token: [u8; 32],
     requests: AtomicUsize,
@@ -45,7 +45,7 @@
         cores: Vec<NamedCore>,
         overrides: Arc<OverrideManager>,
         tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
-        fleet: Option<Way>,
+        fleet: Option<FleetHandle>,
         token: &str,
     ) -> Admin {
         Admin {
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::core::{CoreSnapshot, ServerSnapshot};
-use crate::fleet::{self, Way};
+use crate::fleet::{self, FleetHandle};
 use crate::front::nats::tenants::Tenants;
 use crate::http::Reply;
 use crate::overrides::{NamedCore, OverrideManager, OverrideView};
@@ -48,7 +48,7 @@
 pub(super) fn list(
     cores: &[NamedCore],
     override_manager: &OverrideManager,
-    fleet: Option<&Way>,
+    fleet: Option<&FleetHandle>,
 ) -> Result<Reply, Reply> {
     let overrides = override_manager.list();
     let mut by_server: HashMap<&str, Vec<&OverrideView>> = HashMap::new();
--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -353,11 +353,11 @@
         ) {
             shared.core.send(CoreInput::ServerSentAway(self.id));
         }
-        shared.core.send(CoreInput::AttemptEnded(
-            self.id,
-            error.outcome(),
-            self.attempted_at.elapsed(),
-        ));
+        shared.core.send(CoreInput::AttemptEnded {
+            id: self.id,
+            outcome: error.outcome(),
+            duration: self.attempted_at.elapsed(),
+        });
     }
 
     /// Updates what both sides are polled for.
--- a/crates/balancer/src/connections/event_loop/handover.rs
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -1,5 +1,6 @@
 //! Handover of established connections to and from other processes.
 
+use std::io;
 use std::sync::Arc;
 
 use tracing::warn;
@@ -12,7 +13,7 @@
 use crate::connections::relay::{ClientConnection, EstablishedConnection};
 use crate::core::{ClientRequest, CommandSender, ConnectionSlot};
 use crate::front::{Front, HandshakeLine};
-use crate::handover::{HandoverAddress, TransferredConnection};
+use crate::handover::{HandoverSender, TransferredConnection};
 use crate::net::{self, WriteBuffer};
 use crate::poller::EventFlags;
 
@@ -31,7 +32,7 @@
         let Some(connection) = connections.get_mut(&id) else {
             return;
         };
-        let (ConnectionState::Established(standing), Some(server_handshake), Some(at)) = (
+        let (ConnectionState::Established(established), Some(server_handshake), Some(server_name)) = (
             &connection.state,
             connection.server_handshake.as_deref(),
             connection.server_name.as_deref(),
@@ -41,21 +42,12 @@
         let Some(line) = context.front.handover_line(server_handshake) else {
             return;
         };
-        let found = handover_sender.get_or_insert_with(|| {
-            let found = context
-                .handover
-                .as_ref()
-                .map_or(Ok(None), HandoverAddress::connect);
-            found.unwrap_or_else(|error| {
-                warn!(part = context.front.name(), why = %error, "nobody to hand over to");
-                None
-            })
-        });
-        let Some(handover_sender) = found else { return };
-        if !standing.can_be_handed_over() {
+        let sender = handover_sender.get_or_insert_with(|| find_successor(context));
+        let Some(sender) = sender else { return };
+        if !established.can_be_handed_over() {
             return awaiting_handover.push(id);
         }
-        let (client, server) = standing.sides();
+        let (client, server) = established.sides();
         // The other process polls the same sockets; this one would wake for its input.
         let nothing = EventFlags::empty();
         let unwatched = poller
@@ -67,19 +59,25 @@
             return;
         }
         connection.watched = (nothing, nothing);
-        match handover_sender.send((client, server), at, line) {
+        let sent = sender.send((client, server), server_name, line);
+        self.on_handover_sent(id, sent);
+    }
+
+    /// Closes a connection that was sent, and retries one for which the sender has no room.
+    fn on_handover_sent(&mut self, id: u64, sent: io::Result<()>) {
+        match sent {
             Ok(()) => {
-                connection.report_end(
-                    &AttemptError::ConnectionEnded(ConnectionEnd::HandedOver),
-                    context,
-                );
+                let end = AttemptError::ConnectionEnded(ConnectionEnd::HandedOver);
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.report_end(&end, &self.context);
+                }
                 self.connections.remove(&id);
             }
             Err(error) => {
                 if net::is_would_block(&error) {
-                    awaiting_handover.push(id);
+                    self.awaiting_handover.push(id);
                 } else {
-                    warn!(part = context.front.name(), request = id, why = %error, "not handed over");
+                    warn!(part = self.context.front.name(), request = id, why = %error, "not handed over");
                 }
                 self.with(id, |_, _| ());
             }
@@ -139,3 +137,12 @@
         );
     }
 }
+
+/// Connects to the process that replaces this one, if there is one.
+fn find_successor<F: Front>(context: &FrontContext<F>) -> Option<HandoverSender> {
+    let address = context.handover.as_ref()?;
+    address.connect().unwrap_or_else(|error| {
+        warn!(part = context.front.name(), why = %error, "nobody to hand over to");
+        None
+    })
+}
--- a/crates/balancer/src/connections/event_loop/run.rs
+++ b/crates/balancer/src/connections/event_loop/run.rs
@@ -12,13 +12,15 @@
 use super::{AdmittedClient, ConnectionInput, ConnectionsHandle, FrontContext, attempt_thread};
 use crate::attempt::AttemptError;
 use crate::connections::relay::Side;
-use crate::core::{CommandSender, ConnectionCommand, ConnectionSlot};
+use crate::core::{AttemptTiming, CommandSender, ConnectionCommand, ConnectionSlot, Endpoint};
 use crate::front::Front;
 use crate::handover::HandoverSender;
 use crate::poller::Poller;
 
 /// Interval of the timeout checks.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait of a thread without connections.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Ids of connections that the core does not know count down from here. Each id makes two poll
 /// tokens.
 const LAST_LOCAL_ID: u64 = u64::MAX / 2;
@@ -61,14 +63,17 @@
 
     /// Runs until the program ends.
     pub(super) fn run(mut self) {
-        let mut looked = Instant::now();
+        let mut ticked_at = Instant::now();
         loop {
-            let idle = if self.connections.is_empty() {
-                Duration::from_secs(1)
+            let timeout = if self.connections.is_empty() {
+                IDLE_TIMEOUT
             } else {
                 TICK_INTERVAL
             };
-            for token in self.poller.wait(idle.saturating_sub(looked.elapsed())) {
+            for token in self
+                .poller
+                .wait(timeout.saturating_sub(ticked_at.elapsed()))
+            {
                 let side = if token % 2 == 0 {
                     Side::Client
                 } else {
@@ -78,94 +83,106 @@
                     connection.on_ready(side, shared)
                 });
             }
-            while let Ok(brought) = self.inbox.try_recv() {
-                // A panic in one connection's code must not end the others.
-                if catch_unwind(AssertUnwindSafe(|| self.handle_input(brought))).is_err() {
-                    error!(
-                        part = self.context.front.name(),
-                        "an input of the connections panicked"
-                    );
-                }
-            }
-            if looked.elapsed() >= TICK_INTERVAL {
-                looked = Instant::now();
-                let all: Vec<u64> = self.connections.keys().copied().collect();
-                for id in all {
-                    self.with(id, Connection::on_tick);
-                }
-                for id in std::mem::take(&mut self.awaiting_handover) {
-                    self.hand_over(id);
-                }
+            self.handle_inputs();
+            if ticked_at.elapsed() >= TICK_INTERVAL {
+                ticked_at = Instant::now();
+                self.on_tick();
             }
         }
     }
 
-    fn handle_input(&mut self, brought: ConnectionInput<F>) {
-        match brought {
-            ConnectionInput::Admitted(admitted) => {
-                let AdmittedClient {
-                    client,
-                    request,
-                    server_handshake,
-                    slot,
-                } = *admitted;
-                let id = self
-                    .context
-                    .core
-                    .open(request, Arc::clone(&self.handle) as Arc<dyn CommandSender>);
-                self.insert(
-                    id,
-                    Some(server_handshake),
-                    (ConnectionState::Waiting(client), None),
-                    slot,
+    fn handle_inputs(&mut self) {
+        while let Ok(input) = self.inbox.try_recv() {
+            // A panic in one connection's code must not end the others.
+            if catch_unwind(AssertUnwindSafe(|| self.handle_input(input))).is_err() {
+                error!(
+                    part = self.context.front.name(),
+                    "an input of the connections panicked"
                 );
             }
+        }
+    }
+
+    fn on_tick(&mut self) {
+        let ids: Vec<u64> = self.connections.keys().copied().collect();
+        for id in ids {
+            self.with(id, Connection::on_tick);
+        }
+        for id in std::mem::take(&mut self.awaiting_handover) {
+            self.hand_over(id);
+        }
+    }
+
+    fn handle_input(&mut self, input: ConnectionInput<F>) {
+        match input {
+            ConnectionInput::Admitted(admitted) => self.on_admitted(*admitted),
             ConnectionInput::Commanded(
                 id,
                 ConnectionCommand::StartAttempt { endpoint, timing },
-            ) => {
-                let lent = self
-                    .connections
-                    .get_mut(&id)
-                    .map(|connection| connection.start_attempt(&self.poller, &endpoint));
-                let (client_connection, server_handshake) = match lent {
-                    Some(Ok(Some(lent))) => lent,
-                    // The request must not stay in flight without an attempt.
-                    Some(Err(_)) => {
-                        return self.with(id, |connection, shared| connection.on_panic(shared));
-                    }
-                    // The client left or was answered; the core is told of it.
-                    Some(Ok(None)) | None => return,
-                };
-                if let Err(failed) = attempt_thread::start(
-                    &self.context,
-                    &self.handle,
-                    (id, client_connection, server_handshake),
-                    endpoint,
-                    timing,
-                ) {
-                    let (client_connection, error) = *failed;
-                    let error = AttemptError::NotConnected(error);
-                    self.with(id, |connection, shared| {
-                        connection.on_attempt_finished(client_connection, Some(Err(error)), shared)
-                    });
-                }
-            }
+            ) => self.start_attempt(id, endpoint, timing),
             ConnectionInput::Commanded(id, ConnectionCommand::HandOver) => self.hand_over(id),
             ConnectionInput::HandedOver(transferred, slot) => self.take_over(transferred, slot),
-            ConnectionInput::Commanded(id, order) => {
+            ConnectionInput::Commanded(id, command) => {
                 self.with(id, |connection, shared| {
-                    connection.on_command(order, shared)
+                    connection.on_command(command, shared)
                 });
             }
-            ConnectionInput::AttemptFinished(id, client_connection, passed) => {
+            ConnectionInput::AttemptFinished(id, client_connection, result) => {
                 self.with(id, |connection, shared| {
-                    connection.on_attempt_finished(client_connection, passed, shared)
+                    connection.on_attempt_finished(client_connection, result, shared)
                 });
             }
         }
     }
 
+    /// Registers a client's request with the core.
+    fn on_admitted(&mut self, admitted: AdmittedClient<F>) {
+        let AdmittedClient {
+            client,
+            request,
+            server_handshake,
+            slot,
+        } = admitted;
+        let commands = Arc::clone(&self.handle) as Arc<dyn CommandSender>;
+        let id = self.context.core.open(request, commands);
+        self.insert(
+            id,
+            Some(server_handshake),
+            (ConnectionState::Waiting(client), None),
+            slot,
+        );
+    }
+
+    /// Lends the client to the thread of an attempt.
+    fn start_attempt(&mut self, id: u64, endpoint: Arc<Endpoint>, timing: AttemptTiming) {
+        let lent = self
+            .connections
+            .get_mut(&id)
+            .map(|connection| connection.start_attempt(&self.poller, &endpoint));
+        let (client_connection, server_handshake) = match lent {
+            Some(Ok(Some(lent))) => lent,
+            // The request must not stay in flight without an attempt.
+            Some(Err(_)) => {
+                return self.with(id, |connection, shared| connection.on_panic(shared));
+            }
+            // The client left or was answered; the core is told of it.
+            Some(Ok(None)) | None => return,
+        };
+        if let Err(failed) = attempt_thread::start(
+            &self.context,
+            &self.handle,
+            (id, client_connection, server_handshake),
+            endpoint,
+            timing,
+        ) {
+            let (client_connection, error) = *failed;
+            let error = AttemptError::NotConnected(error);
+            self.with(id, |connection, shared| {
+                connection.on_attempt_finished(client_connection, Some(Err(error)), shared)
+            });
+        }
+    }
+
     /// Adds a connection.
     pub(super) fn insert(
         &mut self,
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -560,10 +560,10 @@
             }
             MessageKind::AnswerToOldest => self.pending.pop_front(),
             MessageKind::Load(load) => {
-                self.core.send(CoreInput::ConnectionMeasured(
-                    self.id,
-                    ConnectionMetric::Load(load),
-                ));
+                self.core.send(CoreInput::ConnectionMeasured {
+                    id: self.id,
+                    metric: ConnectionMetric::Load(load),
+                });
                 return true;
             }
             MessageKind::ShutdownNotice => {
@@ -586,10 +586,10 @@
         // Reported once more when messages are no longer slow, so that the core learns of it.
         if slow || self.was_slow {
             self.was_slow = slow;
-            self.core.send(CoreInput::ConnectionMeasured(
-                self.id,
-                ConnectionMetric::MessageLatency(nanos(took)),
-            ));
+            self.core.send(CoreInput::ConnectionMeasured {
+                id: self.id,
+                metric: ConnectionMetric::MessageLatency(nanos(took)),
+            });
         }
         !is_keepalive
     }
--- a/crates/balancer/src/core/connect.rs
+++ b/crates/balancer/src/core/connect.rs
@@ -19,7 +19,7 @@
         &mut self,
         id: u64,
         client_request: ClientRequest,
-        orders: Arc<dyn CommandSender>,
+        commands: Arc<dyn CommandSender>,
     ) {
         let held = client_request.resumed_server.is_some();
         let now = self.now_ms();
@@ -29,21 +29,36 @@
                     .pin(client_request.group, client_request.tenant, now)
             })
             .flatten();
-        let link_config = if held || pin.is_some() {
+        let affinity_pin = if held || pin.is_some() {
             None
         } else {
             self.affinity_pin(id, &client_request)
         };
-        let give_up_at = client_request
+        let deadline_at = client_request
             .received_at
             .saturating_add(nanos(client_request.client_timeout));
         let entry = self
             .admission
-            .entry(id, &client_request, give_up_at, self.clock.now());
+            .entry(id, &client_request, deadline_at, self.clock.now());
         if !held {
             self.admission
                 .count_request(self.clock.now(), &client_request, &entry);
         }
+        self.log_request(id, &client_request);
+        let connect_request =
+            self.requests
+                .open(id, client_request, commands, (pin, affinity_pin), entry);
+        if !self.accepts_new_requests() {
+            // A connection placed now would have to be migrated at once.
+            self.send_final_answer(id, ConnectionCommand::Reject(None));
+        } else if held {
+            self.resume_connection(id);
+        } else if !self.request_staged_admission(id) {
+            self.run_policy(policy::Event::ConnectRequested(connect_request));
+        }
+    }
+
+    fn log_request(&self, id: u64, client_request: &ClientRequest) {
         debug!(
             part = self.name,
             request = id,
@@ -56,17 +71,6 @@
             patience_ms = client_request.client_timeout.as_millis(),
             "opened"
         );
-        let arrival = self
-            .requests
-            .open(id, client_request, orders, (pin, link_config), entry);
-        if !self.accepts_new_requests() {
-            // A connection placed now would have to be migrated at once.
-            self.send_final_answer(id, ConnectionCommand::Reject(None));
-        } else if held {
-            self.resume_connection(id);
-        } else if !self.request_staged_admission(id) {
-            self.run_policy(policy::Event::ConnectRequested(arrival));
-        }
     }
 
     /// Registers an established connection. One on an unknown server is migrated.
@@ -75,7 +79,7 @@
         id: u64,
         client_request: ClientRequest,
         server: &str,
-        orders: Arc<dyn CommandSender>,
+        commands: Arc<dyn CommandSender>,
     ) {
         let entry = self.admission.entry(
             id,
@@ -84,7 +88,7 @@
             self.clock.now(),
         );
         self.requests
-            .open(id, client_request, orders, (None, None), entry);
+            .open(id, client_request, commands, (None, None), entry);
         let Some((server, _)) = self.endpoints.by_name(server) else {
             self.migrate(id, "its server is not known here");
             return drop(self.requests.close(id));
--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -6,7 +6,7 @@
 
 use beaconflow_admission::NotAdmitted;
 use beaconflow_policy::Balancer;
-use beaconflow_policy::{self as policy, Action, Nanos};
+use beaconflow_policy::{self as policy, Action, Nanos, ServerId};
 use tracing::{debug, error, info};
 
 use super::requests::{RequestPhase, RequestState};
@@ -43,28 +43,14 @@
                 server,
                 begin_within,
                 timeout,
-            } => match self.endpoints.endpoint(server) {
-                Some(endpoint) => {
-                    let within = Duration::from_nanos(timeout);
-                    debug!(part = self.name, request = request.0, server = %endpoint.name, ?within, "attempt");
-                    let moment = |span| self.clock.instant(decided_at.saturating_add(span));
-                    let timing = AttemptTiming {
-                        begin_by: moment(begin_within),
-                        deadline_at: moment(timeout),
-                    };
-                    let (now, order) = (
-                        self.clock.now(),
-                        ConnectionCommand::StartAttempt { endpoint, timing },
-                    );
-                    self.publish_slow_start_attempt(server, now);
-                    if let Some((entry, waited)) =
-                        self.requests.start_attempt(request.0, server, order, now)
-                    {
-                        self.admission.count_admitted(now, &entry, waited);
-                    }
-                }
-                None => self.give_up_on(request.0),
-            },
+            } => {
+                let instant = |span| self.clock.instant(decided_at.saturating_add(span));
+                let timing = AttemptTiming {
+                    begin_by: instant(begin_within),
+                    deadline_at: instant(timeout),
+                };
+                self.start_attempt(request.0, server, Duration::from_nanos(timeout), timing);
+            }
             Action::Reject {
                 request,
                 retry_after,
@@ -80,12 +66,8 @@
                 self.migrate(request.0, migration_reason(why));
             }
             Action::Enqueue(request) => {
-                if let Some(entry) = self
-                    .requests
-                    .get(request.0)
-                    .map(|request_state| request_state.entry)
-                {
-                    self.admission.enqueue(entry);
+                if let Some(request_state) = self.requests.get(request.0) {
+                    self.admission.enqueue(request_state.entry);
                 }
             }
             Action::SetTimer { after, timer } => {
@@ -103,6 +85,26 @@
         }
     }
 
+    /// Starts an attempt, or rejects the request if the server is not known.
+    fn start_attempt(
+        &mut self,
+        id: u64,
+        server: ServerId,
+        within: Duration,
+        timing: AttemptTiming,
+    ) {
+        let Some(endpoint) = self.endpoints.endpoint(server) else {
+            return self.give_up_on(id);
+        };
+        debug!(part = self.name, request = id, server = %endpoint.name, ?within, "attempt");
+        let now = self.clock.now();
+        let command = ConnectionCommand::StartAttempt { endpoint, timing };
+        self.publish_slow_start_attempt(server, now);
+        if let Some((entry, waited)) = self.requests.start_attempt(id, server, command, now) {
+            self.admission.count_admitted(now, &entry, waited);
+        }
+    }
+
     pub(super) fn send_final_answer(&mut self, id: u64, order: ConnectionCommand) {
         debug!(part = self.name, request = id, answer = ?order, "final answer");
         match order {
--- a/crates/balancer/src/core/decisions/tests.rs
+++ b/crates/balancer/src/core/decisions/tests.rs
@@ -32,16 +32,16 @@
     for id in 0..2 {
         opens(core, orders, id, "acme", LONG);
     }
-    core.handle_input(CoreInput::AttemptEnded(
-        0,
-        AttemptOutcome::Reset,
-        Duration::from_millis(1),
-    ));
-    core.handle_input(CoreInput::AttemptEnded(
-        1,
-        AttemptOutcome::Rejected,
-        Duration::from_millis(1),
-    ));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 0,
+        outcome: AttemptOutcome::Reset,
+        duration: Duration::from_millis(1),
+    });
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 1,
+        outcome: AttemptOutcome::Rejected,
+        duration: Duration::from_millis(1),
+    });
     for id in 2..=2 + WINDOW {
         opens(core, orders, id, "acme", LONG);
     }
--- /dev/null
+++ b/crates/balancer/src/core/effective_entry.rs
@@ -0,0 +1,59 @@
+//! A server's effective entry: as listed, under overrides and site assessment.
+
+use beaconflow_overrides::{Millis, ServerAdjustment};
+use beaconflow_policy::{ServerEntry, ServerState};
+
+/// The assessment of a server by the site's own evidence while the uplink is lost.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SiteAssessment {
+    /// Why it gets no new connections, if it does not.
+    pub skip_reason: Option<String>,
+    /// Factor on its weight.
+    pub weight_factor: f64,
+    /// When it restarted unlisted, in Unix milliseconds; 0 if it did not.
+    pub restarted_at: Millis,
+}
+
+/// Since when a server has been ready, from the previous value.
+pub(super) fn ready_since(
+    state: ServerState,
+    before: Option<Option<Millis>>,
+    now: Millis,
+) -> Option<Millis> {
+    let is_ready = state == ServerState::Ready;
+    is_ready.then(|| before.map_or(0, |since| since.unwrap_or(now)))
+}
+
+/// A listed entry under overrides and site assessment. A missing weight counts as 1.
+pub(super) fn effective_entry(
+    listed: &ServerEntry,
+    adjustment: ServerAdjustment,
+    site: Option<&SiteAssessment>,
+) -> ServerEntry {
+    let mut entry = listed.clone();
+    let site_factor = site.map_or(1.0, |site| site.weight_factor);
+    let adjustment = ServerAdjustment {
+        factor: adjustment.factor * site_factor,
+        ..adjustment
+    };
+    let out = adjustment.out || site.is_some_and(|site| site.skip_reason.is_some());
+    let restarted_at = site
+        .map_or(0, |site| site.restarted_at)
+        .saturating_mul(1_000_000);
+    entry.started_at = entry.started_at.max(restarted_at);
+    if out && entry.state == ServerState::Ready {
+        entry.state = ServerState::OutOfService;
+    }
+    if !out && adjustment.factor != 1.0 {
+        // Its weight no longer says anything about the size of its machine type.
+        entry.machine_type = listed.name_hash;
+        let weight = if entry.weight.is_finite() && entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
+        entry.weight = weight * adjustment.factor;
+        entry.target_weight = (adjustment.factor < adjustment.to).then_some(weight * adjustment.to);
+    }
+    entry
+}
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -4,69 +4,17 @@
 use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use beaconflow_affinity::ServerNow;
 use beaconflow_overrides::{Id, Judgement, Millis, ServerAdjustment, Set, Strictness, assess};
 use beaconflow_policy::{Nanos, Pin, ServerEntry, ServerId, ServerState, ZoneId};
 use beaconflow_settings::digest;
 
+use super::effective_entry::{SiteAssessment, effective_entry, ready_since};
+use super::endpoint::{DrainState, Endpoint};
 use super::fleet_link::ServerIdentity;
 use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
 
-/// A server's address, for whoever connects to it.
-#[derive(Debug)]
-pub struct Endpoint {
-    /// Name in the list.
-    pub name: Arc<str>,
-    /// Address.
-    pub address: SocketAddr,
-    drain_state: Arc<DrainState>,
-}
-
-/// Whether a server is draining, and how many attempts are writing their first byte to it.
-#[derive(Debug, Default)]
-pub struct DrainState {
-    is_leaving: AtomicBool,
-    writers: AtomicUsize,
-}
-
-impl DrainState {
-    /// Whether no first byte is being written. Once true after the drain began, it stays true.
-    pub fn has_no_writers(&self) -> bool {
-        self.writers.load(Ordering::SeqCst) == 0
-    }
-}
-
-/// Permission to write a first byte, while it lives.
-pub struct WritePermit<'a>(&'a DrainState);
-
-impl Drop for WritePermit<'_> {
-    fn drop(&mut self) {
-        self.0.writers.fetch_sub(1, Ordering::SeqCst);
-    }
-}
-
-impl Endpoint {
-    /// Creates an endpoint that accepts new connections.
-    pub fn new(name: String, address: SocketAddr) -> Endpoint {
-        Endpoint {
-            name: name.into(),
-            address,
-            drain_state: Arc::default(),
-        }
-    }
-
-    /// Permission to write the first byte of an attempt, or `None` if the server drains, was
-    /// removed or is out of service. The writer is counted before the state is read, so that nobody
-    /// who began the drain misses it.
-    pub fn begin_write(&self) -> Option<WritePermit<'_>> {
-        self.drain_state.writers.fetch_add(1, Ordering::SeqCst);
-        let leave = WritePermit(&self.drain_state);
-        (!self.drain_state.is_leaving.load(Ordering::SeqCst)).then_some(leave)
-    }
-}
-
 struct KnownServer {
     endpoint: Arc<Endpoint>,
     /// As listed.
@@ -80,17 +28,6 @@
     slow_reported_at: Option<Nanos>,
 }
 
-/// The assessment of a server by the site's own evidence while the uplink is lost.
-#[derive(Clone, Debug, PartialEq)]
-pub struct SiteAssessment {
-    /// Why it gets no new connections, if it does not.
-    pub skip_reason: Option<String>,
-    /// Factor on its weight.
-    pub weight_factor: f64,
-    /// When it restarted unlisted, in Unix milliseconds; 0 if it did not.
-    pub restarted_at: Millis,
-}
-
 /// All servers that were ever listed.
 pub(super) struct EndpointRegistry {
     servers: Vec<KnownServer>,
@@ -165,11 +102,7 @@
             for known in gone {
                 known.ready_since = None;
                 // Only now: a server that is listed again is never marked in between.
-                known
-                    .endpoint
-                    .drain_state
-                    .is_leaving
-                    .store(true, Ordering::SeqCst);
+                known.endpoint.drain_state.set_leaving(true);
             }
         }
         entries
@@ -181,65 +114,52 @@
         now: Millis,
         zone: &impl Fn(&str) -> Option<u32>,
     ) -> Option<ServerEntry> {
-        let number = self.ids.get(&listed.instance_id).copied();
-        let before = number.and_then(|number| self.servers.get(number.0 as usize));
+        let known_id = self.ids.get(&listed.instance_id).copied();
+        let before = known_id.and_then(|id| self.servers.get(id.0 as usize));
         let address = listed
             .host_port
             .or_else(|| before.map(|known| known.endpoint.address))?;
-        let number = number.unwrap_or(ServerId(
-            u32::try_from(self.servers.len()).unwrap_or(u32::MAX),
-        ));
-        let entry = ServerEntry {
-            server: number,
-            name_hash: digest(&listed.instance_id),
-            state: match listed.lifecycle {
-                ServerLifecycle::Serving => ServerState::Ready,
-                ServerLifecycle::Draining => ServerState::Draining,
-                ServerLifecycle::Deleted => ServerState::Removed,
-            },
-            zone: ZoneId(zone(&listed.zone).unwrap_or(u32::MAX)),
-            cell: listed.cell,
-            machine_type: digest(&listed.machine_type),
-            weight: listed.weight,
-            target_weight: None,
-            started_at: listed.started_at_ms.saturating_mul(1_000_000),
-        };
-        let override_effect = self.adjustment(&listed.instance_id, now);
-        let part = self.assessments.get(&listed.instance_id);
-        if override_effect != ServerAdjustment::AS_LISTED || part.is_some() {
-            self.adjusted.insert(number);
+        let next_id = ServerId(u32::try_from(self.servers.len()).unwrap_or(u32::MAX));
+        let id = known_id.unwrap_or(next_id);
+        let entry = policy_entry(&listed, id, zone);
+        let adjustment = self.adjustment(&listed.instance_id, now);
+        let assessment = self.assessments.get(&listed.instance_id);
+        if adjustment != ServerAdjustment::AS_LISTED || assessment.is_some() {
+            self.adjusted.insert(id);
         }
-        let told = effective_entry(&entry, override_effect, part);
+        let effective = effective_entry(&entry, adjustment, assessment);
         // Attempts in flight share the drain state and see the change.
         let drain_state = before
             .map(|known| Arc::clone(&known.endpoint.drain_state))
             .unwrap_or_default();
-        drain_state
-            .is_leaving
-            .store(told.state != ServerState::Ready, Ordering::SeqCst);
-        let endpoint = Arc::new(Endpoint {
+        drain_state.set_leaving(effective.state != ServerState::Ready);
+        let ready_before = before.map(|known| known.ready_since);
+        let endpoint = Endpoint {
             name: listed.instance_id.as_str().into(),
             address,
             drain_state,
-        });
-        let ready_before = before.map(|known| known.ready_since);
-        let known = KnownServer {
-            endpoint,
+        };
+        let server = KnownServer {
+            endpoint: Arc::new(endpoint),
             listed: entry,
-            effective: told.clone(),
+            effective: effective.clone(),
             zone: listed.zone,
-            ready_since: ready_since(told.state, ready_before, now),
+            ready_since: ready_since(effective.state, ready_before, now),
             slow_reported_at: None,
         };
-        match self.servers.get_mut(number.0 as usize) {
-            Some(old) => *old = known,
+        self.insert(id, listed.instance_id, server);
+        Some(effective)
+    }
+
+    fn insert(&mut self, id: ServerId, name: String, server: KnownServer) {
+        match self.servers.get_mut(id.0 as usize) {
+            Some(old) => *old = server,
             None => {
-                self.ids_by_hash.insert(known.listed.name_hash, number);
-                self.ids.insert(listed.instance_id, number);
-                self.servers.push(known);
+                self.ids_by_hash.insert(server.listed.name_hash, id);
+                self.ids.insert(name, id);
+                self.servers.push(server);
             }
         }
-        Some(told)
     }
 
     /// Applies other zone numbers; returns the entries that changed.
@@ -271,29 +191,26 @@
             .servers()
             .filter_map(|name| self.ids.get(name).copied());
         let servers: BTreeSet<ServerId> = named.chain(self.adjusted.iter().copied()).collect();
-        let mut event = Vec::new();
+        let mut changed = Vec::new();
         for id in servers {
             let known = &mut self.servers[id.0 as usize];
-            let standing = self.overrides.server(&known.endpoint.name, now);
-            let part = self.assessments.get(&*known.endpoint.name);
-            if standing == ServerAdjustment::AS_LISTED && part.is_none() {
+            let adjustment = self.overrides.server(&known.endpoint.name, now);
+            let assessment = self.assessments.get(&*known.endpoint.name);
+            if adjustment == ServerAdjustment::AS_LISTED && assessment.is_none() {
                 self.adjusted.remove(&id);
             } else {
                 self.adjusted.insert(id);
             }
-            let told = effective_entry(&known.listed, standing, part);
-            if told != known.effective {
-                known
-                    .endpoint
-                    .drain_state
-                    .is_leaving
-                    .store(told.state != ServerState::Ready, Ordering::SeqCst);
-                known.ready_since = ready_since(told.state, Some(known.ready_since), now);
-                known.effective = told.clone();
-                event.push(told);
+            let effective = effective_entry(&known.listed, adjustment, assessment);
+            if effective != known.effective {
+                let is_leaving = effective.state != ServerState::Ready;
+                known.endpoint.drain_state.set_leaving(is_leaving);
+                known.ready_since = ready_since(effective.state, Some(known.ready_since), now);
+                known.effective = effective.clone();
+                changed.push(effective);
             }
         }
-        event
+        changed
     }
 
     /// Replaces the site assessments; [`EndpointRegistry::refresh`] follows.
@@ -418,7 +335,7 @@
         present.map(|known| known.effective.clone()).collect()
     }
 
-    /// Whether the policy wants to hear of a message's latency: once per period while messages are
+    /// Whether the policy is told of a message's latency: once per period while messages are
     /// slow, and once when they no longer are.
     pub(super) fn should_report_latency(
         &mut self,
@@ -452,14 +369,14 @@
             .all(|known| known.listed.state == ServerState::Removed)
     }
 
-    pub(super) fn snapshots(&self, standing: &BTreeMap<ServerId, usize>) -> Vec<ServerSnapshot> {
+    pub(super) fn snapshots(&self, established: &BTreeMap<ServerId, usize>) -> Vec<ServerSnapshot> {
         let row = |known: &KnownServer| ServerSnapshot {
             name: known.endpoint.name.to_string(),
             address: known.endpoint.address,
             zone: known.zone.clone(),
             state: (known.listed.state, known.effective.state),
             weight: (known.listed.weight, known.effective.weight),
-            established: standing.get(&known.listed.server).copied().unwrap_or(0),
+            established: established.get(&known.listed.server).copied().unwrap_or(0),
             assessment: self.assessments.get(&*known.endpoint.name).cloned(),
         };
         self.servers
@@ -470,44 +387,27 @@
     }
 }
 
-/// Since when a server has been ready, from the previous value.
-fn ready_since(state: ServerState, before: Option<Option<Millis>>, now: Millis) -> Option<Millis> {
-    let is_ready = state == ServerState::Ready;
-    is_ready.then(|| before.map_or(0, |since| since.unwrap_or(now)))
-}
-
-/// A listed entry under overrides and site assessment. A missing weight counts as 1.
-fn effective_entry(
-    listed: &ServerEntry,
-    standing: ServerAdjustment,
-    site: Option<&SiteAssessment>,
+/// The policy's entry of a listed server.
+fn policy_entry(
+    listed: &ListedServer,
+    id: ServerId,
+    zone: impl Fn(&str) -> Option<u32>,
 ) -> ServerEntry {
-    let mut told = listed.clone();
-    let part = site.map_or(1.0, |site| site.weight_factor);
-    let standing = ServerAdjustment {
-        factor: standing.factor * part,
-        ..standing
-    };
-    let out = standing.out || site.is_some_and(|site| site.skip_reason.is_some());
-    let cold_since = site
-        .map_or(0, |site| site.restarted_at)
-        .saturating_mul(1_000_000);
-    told.started_at = told.started_at.max(cold_since);
-    if out && told.state == ServerState::Ready {
-        told.state = ServerState::OutOfService;
-    }
-    if !out && standing.factor != 1.0 {
-        // Its weight no longer says anything about the size of its machine type.
-        told.machine_type = listed.name_hash;
-        let weight = if told.weight.is_finite() && told.weight > 0.0 {
-            told.weight
-        } else {
-            1.0
-        };
-        told.weight = weight * standing.factor;
-        told.target_weight = (standing.factor < standing.to).then_some(weight * standing.to);
+    ServerEntry {
+        server: id,
+        name_hash: digest(&listed.instance_id),
+        state: match listed.lifecycle {
+            ServerLifecycle::Serving => ServerState::Ready,
+            ServerLifecycle::Draining => ServerState::Draining,
+            ServerLifecycle::Deleted => ServerState::Removed,
+        },
+        zone: ZoneId(zone(&listed.zone).unwrap_or(u32::MAX)),
+        cell: listed.cell,
+        machine_type: digest(&listed.machine_type),
+        weight: listed.weight,
+        target_weight: None,
+        started_at: listed.started_at_ms.saturating_mul(1_000_000),
     }
-    told
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/core/fleet_link.rs
+++ b/crates/balancer/src/core/fleet_link.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::Sender;
 
 use super::affinity::{AffinityEvent, SessionAffinity, end_by_outcome};
-use super::endpoints::SiteAssessment;
+use super::effective_entry::SiteAssessment;
 use super::lifecycle::LifecycleCommand;
 use super::requests::EndedAttempt;
 use super::{ConnectionCommand, Core, TimerKind};
--- a/crates/balancer/src/core/fleet_link/tests.rs
+++ b/crates/balancer/src/core/fleet_link/tests.rs
@@ -26,16 +26,16 @@
     for id in 0..8 {
         core.handle_input(CoreInput::AttemptEstablished(id));
     }
-    core.handle_input(CoreInput::AttemptEnded(
-        3,
-        AttemptOutcome::Reset,
-        Duration::from_millis(900),
-    ));
-    core.handle_input(CoreInput::AttemptEnded(
-        8,
-        AttemptOutcome::ConnectFailed,
-        Duration::from_millis(2),
-    ));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 3,
+        outcome: AttemptOutcome::Reset,
+        duration: Duration::from_millis(900),
+    });
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 8,
+        outcome: AttemptOutcome::ConnectFailed,
+        duration: Duration::from_millis(2),
+    });
     core.on_discovery(DiscoveryEvent::Failed(Duration::ZERO));
     core.handle_input(CoreInput::ClientLeft(9));
     (orders.words(), core)
@@ -145,11 +145,11 @@
 fn delay(core: &mut Core, id: u64) -> Nanos {
     testing::opens(core, &Arc::new(Orders::default()), id, "acme", LONG);
     let now = core.clock.now();
-    core.handle_input(CoreInput::AttemptEnded(
+    core.handle_input(CoreInput::AttemptEnded {
         id,
-        AttemptOutcome::Rejected,
-        Duration::from_millis(1),
-    ));
+        outcome: AttemptOutcome::Rejected,
+        duration: Duration::from_millis(1),
+    });
     let last = core
         .timers
         .iter()
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -63,7 +63,11 @@
     /// Registers a client's request; returns its id.
     pub fn open(&self, client_request: ClientRequest, orders: Arc<dyn CommandSender>) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        self.send(CoreInput::ConnectRequested(id, client_request, orders));
+        self.send(CoreInput::ConnectRequested {
+            id,
+            client_request,
+            commands: orders,
+        });
         id
     }
 
@@ -75,12 +79,12 @@
         orders: Arc<dyn CommandSender>,
     ) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        self.send(CoreInput::ConnectionAdopted(
+        self.send(CoreInput::ConnectionAdopted {
             id,
             client_request,
-            server,
-            orders,
-        ));
+            server_name: server,
+            commands: orders,
+        });
         id
     }
 
--- a/crates/balancer/src/core/messages.rs
+++ b/crates/balancer/src/core/messages.rs
@@ -47,17 +47,45 @@
 #[derive(Debug)]
 pub enum CoreInput {
     /// A client asks for a connection.
-    ConnectRequested(u64, ClientRequest, Arc<dyn CommandSender>),
+    ConnectRequested {
+        /// Id of the request.
+        id: u64,
+        /// The request.
+        client_request: ClientRequest,
+        /// Receives the commands for this connection.
+        commands: Arc<dyn CommandSender>,
+    },
     /// An established connection was taken over from another process.
-    ConnectionAdopted(u64, ClientRequest, Arc<str>, Arc<dyn CommandSender>),
+    ConnectionAdopted {
+        /// Id of the connection.
+        id: u64,
+        /// The request that it began with.
+        client_request: ClientRequest,
+        /// Name of the server that it is connected to.
+        server_name: Arc<str>,
+        /// Receives the commands for this connection.
+        commands: Arc<dyn CommandSender>,
+    },
     /// The attempt's connection is established.
     AttemptEstablished(u64),
     /// The attempt, or the connection that it became, ended.
-    AttemptEnded(u64, AttemptOutcome, Duration),
+    AttemptEnded {
+        /// Id of the request.
+        id: u64,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// Time since the attempt started.
+        duration: Duration,
+    },
     /// The server told its client to go elsewhere; the end follows.
     ServerSentAway(u64),
     /// An established connection was measured.
-    ConnectionMeasured(u64, ConnectionMetric),
+    ConnectionMeasured {
+        /// Id of the connection.
+        id: u64,
+        /// What was measured.
+        metric: ConnectionMetric,
+    },
     /// The client left before its final answer.
     ClientLeft(u64),
     /// The connection's code panicked; the client has been answered.
@@ -66,9 +94,19 @@
     /// event itself has been applied by the time that this input is handled.
     DiscoveryPending,
     /// A server answered a probe, or the probe failed.
-    ProbeAnswered(ServerId, Option<ProbeAnswer>),
-    /// A lifecycle command, and who is told its result.
-    LifecycleCommanded(LifecycleCommand, Option<LifecycleReply>),
+    ProbeAnswered {
+        /// The server.
+        server: ServerId,
+        /// Its answer; `None` if the probe failed.
+        answer: Option<ProbeAnswer>,
+    },
+    /// A lifecycle command.
+    LifecycleCommanded {
+        /// The command.
+        command: LifecycleCommand,
+        /// Receives the result.
+        reply: Option<LifecycleReply>,
+    },
     /// A request for a snapshot of the core.
     GetSnapshot(Sender<CoreSnapshot>),
     /// A request for a snapshot of the admission queue.
@@ -77,8 +115,13 @@
     AdmissionConfigured(DoorConfig),
     /// The site's settings were replaced as a whole.
     SettingsReplaced(Arc<ActiveSettings>),
-    /// Overrides changed. The reply is sent once the policy has been updated.
-    OverridesChanged(Vec<OverrideChange>, Option<Sender<OverridesApplied>>),
+    /// Overrides changed.
+    OverridesChanged {
+        /// The changes, in order.
+        changes: Vec<OverrideChange>,
+        /// Receives the result once the policy has been updated.
+        reply: Option<Sender<OverridesApplied>>,
+    },
     /// An event of the fleet thread. It is a hint.
     Fleet(FleetEvent),
 }
@@ -91,15 +134,15 @@
 impl LifecycleReply {
     /// Creates a reply from a callback that does not block.
     pub fn new(
-        hear: impl FnOnce(Result<LifecycleState, CommandRefused>) + Send + 'static,
+        callback: impl FnOnce(Result<LifecycleState, CommandRefused>) + Send + 'static,
     ) -> LifecycleReply {
-        LifecycleReply(Box::new(hear))
+        LifecycleReply(Box::new(callback))
     }
 }
 
 impl std::fmt::Debug for LifecycleReply {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Told")
+        f.write_str("LifecycleReply")
     }
 }
 
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -9,6 +9,8 @@
 mod connect;
 mod decisions;
 mod drain;
+mod effective_entry;
+mod endpoint;
 mod endpoints;
 mod fleet_link;
 mod handle;
@@ -41,8 +43,10 @@
 pub use admission::{AccountSnapshot, AdmissionConfig as DoorConfig, AdmissionSnapshot};
 pub use affinity::{AffinityEvent, SessionAffinity};
 use drain::Drain;
+pub use effective_entry::SiteAssessment;
+pub use endpoint::{DrainState, Endpoint};
 use endpoints::EndpointRegistry;
-pub use endpoints::{DrainState, Endpoint, ServerSnapshot, SiteAssessment};
+pub use endpoints::ServerSnapshot;
 use fleet_link::FleetLink;
 pub use fleet_link::{CoreEvent, FleetEvent, FleetLinkConfig, ServerIdentity};
 use handle::CoreReceiver;
@@ -197,40 +201,36 @@
         }
     }
 
-    fn handle_input(&mut self, event: CoreInput) {
-        match event {
-            CoreInput::ConnectRequested(id, client_request, orders) => {
-                self.on_connect_requested(id, client_request, orders)
-            }
-            CoreInput::ConnectionAdopted(id, client_request, server, orders) => {
-                self.on_connection_adopted(id, client_request, &server, orders)
-            }
+    fn handle_input(&mut self, input: CoreInput) {
+        match input {
+            CoreInput::ConnectRequested {
+                id,
+                client_request,
+                commands,
+            } => self.on_connect_requested(id, client_request, commands),
+            CoreInput::ConnectionAdopted {
+                id,
+                client_request,
+                server_name,
+                commands,
+            } => self.on_connection_adopted(id, client_request, &server_name, commands),
             CoreInput::AttemptEstablished(id) => self.on_attempt_established(id),
-            CoreInput::AttemptEnded(id, outcome, took) => self.on_attempt_ended(id, outcome, took),
+            CoreInput::AttemptEnded {
+                id,
+                outcome,
+                duration,
+            } => self.on_attempt_ended(id, outcome, duration),
             CoreInput::ServerSentAway(id) => self.publish_server_draining(id),
-            CoreInput::ConnectionMeasured(id, note) => self.on_connection_measured(id, note),
+            CoreInput::ConnectionMeasured { id, metric } => self.on_connection_measured(id, metric),
             CoreInput::ClientLeft(id) | CoreInput::ConnectionPanicked(id) => {
-                if let Some(request_state) = self.requests.close(id) {
-                    self.requests.counts.left += 1;
-                    self.close_in_queue(&request_state, Some(NotAdmitted::ClientLeft));
-                    self.run_policy(policy::Event::ClientLeft(RequestId(id)));
-                }
+                self.on_client_left(id);
             }
             CoreInput::DiscoveryPending => {}
-            CoreInput::ProbeAnswered(server, answer) => {
-                debug!(part = self.name, server = server.0, ?answer, "probed");
-                let load = match answer {
-                    Some(ProbeAnswer::Load(load)) => Some(load),
-                    // A server that reports no load is not known to be overloaded.
-                    Some(ProbeAnswer::NoLoad) => Some(0.0),
-                    Some(ProbeAnswer::Unhealthy) | None => None,
-                };
-                self.run_policy(policy::Event::ProbeAnswered { server, load });
-            }
-            CoreInput::LifecycleCommanded(word, told) => {
-                let answer = self.on_lifecycle_command(word);
-                if let Some(LifecycleReply(told)) = told {
-                    told(answer);
+            CoreInput::ProbeAnswered { server, answer } => self.on_probe_answered(server, answer),
+            CoreInput::LifecycleCommanded { command, reply } => {
+                let result = self.on_lifecycle_command(command);
+                if let Some(LifecycleReply(callback)) = reply {
+                    callback(result);
                 }
             }
             CoreInput::AdmissionConfigured(config) => {
@@ -239,35 +239,54 @@
             }
             CoreInput::SettingsReplaced(in_force) => self.replace_settings(in_force),
             CoreInput::Fleet(event) => self.on_fleet_event(event),
-            CoreInput::OverridesChanged(changes, answer) => {
-                self.on_overrides_changed(changes, answer)
+            CoreInput::OverridesChanged { changes, reply } => {
+                self.on_overrides_changed(changes, reply);
             }
-            CoreInput::GetSnapshot(answer) => {
+            CoreInput::GetSnapshot(reply) => {
                 // The requester may have timed out.
-                let _ = answer.try_send(self.snapshot());
+                let _ = reply.try_send(self.snapshot());
             }
-            CoreInput::GetAdmission(answer) => {
-                let _ = answer.try_send(self.admission.snapshot(self.clock.now()));
+            CoreInput::GetAdmission(reply) => {
+                let _ = reply.try_send(self.admission.snapshot(self.clock.now()));
             }
         }
     }
 
+    fn on_client_left(&mut self, id: u64) {
+        if let Some(request_state) = self.requests.close(id) {
+            self.requests.counts.left += 1;
+            self.close_in_queue(&request_state, Some(NotAdmitted::ClientLeft));
+            self.run_policy(policy::Event::ClientLeft(RequestId(id)));
+        }
+    }
+
+    fn on_probe_answered(&mut self, server: ServerId, answer: Option<ProbeAnswer>) {
+        debug!(part = self.name, server = server.0, ?answer, "probed");
+        let load = match answer {
+            Some(ProbeAnswer::Load(load)) => Some(load),
+            // A server that reports no load is not known to be overloaded.
+            Some(ProbeAnswer::NoLoad) => Some(0.0),
+            Some(ProbeAnswer::Unhealthy) | None => None,
+        };
+        self.run_policy(policy::Event::ProbeAnswered { server, load });
+    }
+
     // ---- timers ----
 
-    fn set_timer(&mut self, after: Duration, due: TimerKind) {
+    fn set_timer(&mut self, after: Duration, kind: TimerKind) {
         self.timers_set += 1;
         self.timers.push(Reverse((
             self.clock.now().saturating_add(nanos(after)),
             self.timers_set,
-            due,
+            kind,
         )));
     }
 
     fn fire_timer(&mut self) {
-        let Some(Reverse((_, _, due))) = self.timers.pop() else {
+        let Some(Reverse((_, _, kind))) = self.timers.pop() else {
             return;
         };
-        match due {
+        match kind {
             TimerKind::Policy(timer) => self.run_policy(policy::Event::TimerFired(timer)),
             TimerKind::ResumeConnection(id) => self.resume_connection(id),
             TimerKind::DrainMigration(number, id) => self.migrate_in_drain(number, id),
@@ -280,9 +299,9 @@
             TimerKind::RecoveryTimeout => self.on_recovery_timeout(),
             TimerKind::StagedAdmissionTimeout(id) => self.admit_staged(id),
             TimerKind::LogCounts => {
-                let look = self.snapshot();
-                self.publish(|_| Some(CoreEvent::EstablishedConnections(look.established)));
-                self.log_counts(&look);
+                let snapshot = self.snapshot();
+                self.publish(|_| Some(CoreEvent::EstablishedConnections(snapshot.established)));
+                self.log_counts(&snapshot);
                 self.set_timer(COUNTS_LOG_INTERVAL, TimerKind::LogCounts);
             }
             TimerKind::LogOverQuota => {
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -13,7 +13,8 @@
 use crossbeam_channel::Sender;
 use tracing::{error, info, warn};
 
-use super::endpoints::{DrainState, SiteAssessment};
+use super::effective_entry::SiteAssessment;
+use super::endpoint::DrainState;
 use super::{Core, TimerKind};
 
 /// Interval between migrations off an emptied server.
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -64,11 +64,11 @@
 
 fn admits(core: &mut Core, orders: &Arc<Orders>, id: u64, class: usize) {
     let client_request = client_request(core, class, LONG);
-    core.handle_input(CoreInput::ConnectRequested(
+    core.handle_input(CoreInput::ConnectRequested {
         id,
         client_request,
-        Arc::<Orders>::clone(orders),
-    ));
+        commands: Arc::<Orders>::clone(orders),
+    });
 }
 
 #[test]
@@ -91,7 +91,11 @@
     for (id, class) in [(1, chat), (2, once)] {
         admits(&mut core, &orders, id, class);
         assert_eq!(orders.of(id), (1, 0));
-        core.handle_input(CoreInput::AttemptEnded(id, AttemptOutcome::Reset, SOON));
+        core.handle_input(CoreInput::AttemptEnded {
+            id,
+            outcome: AttemptOutcome::Reset,
+            duration: SOON,
+        });
         // Neither may be repeated by both settings.
         assert_eq!(
             orders.of(id),
@@ -101,7 +105,11 @@
     }
     let now = Arc::clone(&core.in_force);
     admits(&mut core, &orders, 3, now.class("once").expect("there"));
-    core.handle_input(CoreInput::AttemptEnded(3, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 3,
+        outcome: AttemptOutcome::Reset,
+        duration: SOON,
+    });
     assert_eq!(
         orders.of(3).1,
         0,
@@ -117,7 +125,11 @@
     admits(&mut core, &orders, 1, class);
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
     assert_eq!(orders.of(1), (1, 0), "it stays out");
-    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 1,
+        outcome: AttemptOutcome::Reset,
+        duration: SOON,
+    });
     assert_eq!(orders.of(1), (1, 1));
 }
 
@@ -131,7 +143,11 @@
     let now = replace(&mut core, site(&[("other", "fragile")], |_| {}));
     assert_eq!(now.class("chat"), None);
     core.handle_input(CoreInput::AttemptEstablished(1));
-    core.handle_input(CoreInput::AttemptEnded(2, AttemptOutcome::Rejected, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 2,
+        outcome: AttemptOutcome::Rejected,
+        duration: SOON,
+    });
     assert_eq!(
         (0..4).map(|id| orders.of(id)).collect::<Vec<_>>(),
         [(1, 0); 4],
@@ -142,8 +158,16 @@
         0,
         "nobody is moved for it"
     );
-    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Served, SOON));
-    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Served, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 0,
+        outcome: AttemptOutcome::Served,
+        duration: SOON,
+    });
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 1,
+        outcome: AttemptOutcome::Served,
+        duration: SOON,
+    });
     core.handle_input(CoreInput::ClientLeft(2));
     core.handle_input(CoreInput::ClientLeft(3));
     assert_eq!((core.requests.len(), core.admission.queued()), (0, 0));
@@ -236,7 +260,11 @@
     for id in 0..3 {
         opens(&mut core, &orders, id, "acme", LONG);
     }
-    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Rejected, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 0,
+        outcome: AttemptOutcome::Rejected,
+        duration: SOON,
+    });
     replace(
         &mut core,
         site(&[("chat", "retryable")], |site| {
@@ -245,7 +273,11 @@
     );
     assert_eq!(orders.of(0), (1, 1), "it waited for a second attempt");
     assert_eq!([orders.of(1), orders.of(2)], [(1, 0); 2]);
-    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Rejected, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 1,
+        outcome: AttemptOutcome::Rejected,
+        duration: SOON,
+    });
     assert_eq!(orders.of(1), (1, 1));
     core.handle_input(CoreInput::AttemptEstablished(2));
     assert_eq!(orders.of(2), (1, 0));
@@ -319,9 +351,17 @@
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     core.restart_policy();
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
-    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 1,
+        outcome: AttemptOutcome::Reset,
+        duration: SOON,
+    });
     assert_eq!(orders.of(1), (1, 1));
-    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Served, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 0,
+        outcome: AttemptOutcome::Served,
+        duration: SOON,
+    });
     assert_eq!(core.requests.len(), 0);
 }
 
@@ -348,8 +388,16 @@
     core.on_lifecycle_command(LifecycleCommand::LeaveStandby)
         .expect("it stands by");
     admits(&mut core, &orders, 1, now.class("once").expect("there"));
-    core.handle_input(CoreInput::AttemptEnded(1, AttemptOutcome::Reset, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 1,
+        outcome: AttemptOutcome::Reset,
+        duration: SOON,
+    });
     assert_eq!(orders.of(1), (1, 1));
-    core.handle_input(CoreInput::AttemptEnded(0, AttemptOutcome::Served, SOON));
+    core.handle_input(CoreInput::AttemptEnded {
+        id: 0,
+        outcome: AttemptOutcome::Served,
+        duration: SOON,
+    });
     assert_eq!(core.requests.len(), 0);
 }
--- a/crates/balancer/src/fleet/handle.rs
+++ b/crates/balancer/src/fleet/handle.rs
@@ -6,7 +6,7 @@
 use beaconflow_settings::SiteSettings;
 use crossbeam_channel::Sender;
 
-use super::setup::version;
+use super::setup::routing_version;
 use crate::operator::{self, EndpointSource};
 
 /// The status of the fleet, for people.
@@ -64,7 +64,7 @@
 
     /// Reports another source of endpoints, which changes the version of the configuration.
     pub fn set_endpoint_source(&self, setup: &SiteSettings, farm: &EndpointSource) {
-        let _ = self.commands.send(FleetCommand::SetVersion(version(
+        let _ = self.commands.send(FleetCommand::SetVersion(routing_version(
             &setup.policy_settings(),
             Some(farm),
         )));
--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{Placement, VersionFact};
-use beaconflow_store::memory::{self, Record, Writer};
+use beaconflow_store::memory::{self, Record, Remembered, Writer};
 use tracing::{error, info, warn};
 
 use super::{Millis, records};
@@ -51,25 +51,42 @@
 /// Opens the memory. Faults are logged, and the process serves without it.
 pub(super) fn open(file: &operator::FleetConfig, wall: Millis) -> (MemoryWriter, RestoredMemory) {
     let retention_s = u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX);
-    let none = |path| MemoryWriter {
-        writer: None,
-        path,
-        max_bytes: 0,
-        retention_s,
-        last_seen_s: HashMap::new(),
-        is_full: false,
-        housekeeping_at: 0,
-    };
-    let Some(set) = &file.memory else {
-        return (none(PathBuf::new()), RestoredMemory::default());
+    let Some(config) = &file.memory else {
+        return (
+            MemoryWriter::disabled(PathBuf::new(), retention_s),
+            RestoredMemory::default(),
+        );
     };
-    let (memory, found) = match memory::open(&set.path, &file.name, wall) {
+    let (memory, found) = match memory::open(&config.path, &file.name, wall) {
         Ok(opened) => opened,
         Err(why) => {
-            error!(part = "memory", file = %set.path.display(), why = %why, "nothing is remembered or kept");
-            return (none(set.path.clone()), RestoredMemory::default());
+            error!(part = "memory", file = %config.path.display(), why = %why, "nothing is remembered or kept");
+            return (
+                MemoryWriter::disabled(config.path.clone(), retention_s),
+                RestoredMemory::default(),
+            );
         }
     };
+    log_faults(&found);
+    let restored = RestoredMemory::read(&found);
+    let writer = Writer::spawn(memory)
+        .inspect_err(|why| error!(part = "memory", why, "nothing is kept"))
+        .ok();
+    let last_seen_s = restored
+        .placements
+        .iter()
+        .map(|placement| (placement.key.0, placement.seen_s))
+        .collect();
+    let memory_writer = MemoryWriter {
+        writer,
+        max_bytes: config.max_bytes,
+        last_seen_s,
+        ..MemoryWriter::disabled(config.path.clone(), retention_s)
+    };
+    (memory_writer, restored)
+}
+
+fn log_faults(found: &Remembered) {
     if let Some(aside) = &found.aside {
         warn!(part = "memory", what = %aside, "a file is not read");
     }
@@ -85,46 +102,32 @@
             "the wall clock stands before the last writing: no age can be told from it"
         );
     }
-    let mut restored = RestoredMemory {
-        incarnation: found.incarnation,
-        written_at: found.last_written_ms,
-        ..RestoredMemory::default()
-    };
-    let mut unreadable = found.unreadable;
-    for record in &found.records {
-        unreadable += u64::from(!restored.read_record(record));
-    }
-    info!(
-        part = "memory",
-        boot = found.incarnation,
-        list = restored
-            .list
-            .as_ref()
-            .map_or(0, |(list, _)| list.instances.len()),
-        placements = restored.placements.len(),
-        unreadable,
-        "remembered"
-    );
-    let writer = Writer::spawn(memory)
-        .inspect_err(|why| error!(part = "memory", why, "nothing is kept"))
-        .ok();
-    let last_seen_s = restored
-        .placements
-        .iter()
-        .map(|one| (one.key.0, one.seen_s))
-        .collect();
-    (
-        MemoryWriter {
-            writer,
-            max_bytes: set.max_bytes,
-            last_seen_s,
-            ..none(set.path.clone())
-        },
-        restored,
-    )
 }
 
 impl RestoredMemory {
+    /// Reads all records, and logs how many there were.
+    fn read(found: &Remembered) -> RestoredMemory {
+        let mut restored = RestoredMemory {
+            incarnation: found.incarnation,
+            written_at: found.last_written_ms,
+            ..RestoredMemory::default()
+        };
+        let mut unreadable = found.unreadable;
+        for record in &found.records {
+            unreadable += u64::from(!restored.read_record(record));
+        }
+        let list = restored.list.as_ref();
+        info!(
+            part = "memory",
+            boot = found.incarnation,
+            list = list.map_or(0, |(list, _)| list.instances.len()),
+            placements = restored.placements.len(),
+            unreadable,
+            "remembered"
+        );
+        restored
+    }
+
     /// Reads a record; returns whether it could be parsed.
     fn read_record(&mut self, record: &Record) -> bool {
         match record.kind {
@@ -158,6 +161,19 @@
 }
 
 impl MemoryWriter {
+    /// A writer that stores nothing.
+    fn disabled(path: PathBuf, retention_s: u32) -> MemoryWriter {
+        MemoryWriter {
+            writer: None,
+            path,
+            max_bytes: 0,
+            retention_s,
+            last_seen_s: HashMap::new(),
+            is_full: false,
+            housekeeping_at: 0,
+        }
+    }
+
     /// Whether anything is stored.
     pub(super) fn is_persistent(&self) -> bool {
         self.writer
@@ -198,13 +214,13 @@
         let oldest = u32::try_from(now / 1_000)
             .unwrap_or(u32::MAX)
             .saturating_sub(self.retention_s);
-        let spent = self
+        let expired = self
             .last_seen_s
             .iter()
             .filter(|(_, seen)| **seen < oldest)
             .map(|(key, _)| *key);
-        let spent: Vec<u64> = spent.take(MAX_EXPIRED_PER_PASS).collect();
-        for key in spent {
+        let expired: Vec<u64> = expired.take(MAX_EXPIRED_PER_PASS).collect();
+        for key in expired {
             self.last_seen_s.remove(&key);
             writer.forget(records::PLACEMENT_RECORD, key.to_be_bytes().to_vec());
         }
--- a/crates/balancer/src/fleet/mod.rs
+++ b/crates/balancer/src/fleet/mod.rs
@@ -32,7 +32,7 @@
 
 use std::time::Duration;
 
-pub use handle::{FleetHandle as Way, FleetStatus};
+pub use handle::{FleetHandle, FleetStatus};
 use setup::placement_origin;
 pub use setup::{PreparedFleet, prepare};
 use thread::FleetThread;
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -11,7 +11,7 @@
 use super::server_list::{LIST_TTL_MS, list_digest, recovery_list};
 use super::{FleetThread, millis, records, shared_gossip};
 use crate::core::AffinityEvent;
-use crate::discovery::ListedServer;
+use crate::discovery::{ListedServer, ServerList};
 
 /// Placements per message to the core, so that it stays responsive.
 const PLACEMENTS_PER_MESSAGE: usize = 1_000;
@@ -20,46 +20,12 @@
     /// Restores what the memory held.
     pub(super) fn restore(&mut self, restored: RestoredMemory) {
         self.now = self.clock.now();
-        // A list that discovery sends under a lower generation belongs to another epoch.
-        let life = restored.list.as_ref().map_or(0, |(list, _)| {
-            let told = ListAnnouncement {
-                generation: list.generation,
-                digest: list_digest(list),
-                complete_list: true,
-            };
-            let now = self.now_ms();
-            let held = shared_gossip::lock(&self.gossip, |known| {
-                known.knowledge.hear_list(told, LIST_TTL_MS, now)
-            });
-            held.map_or(0, |position| position.incarnation)
-        });
-        let memory = restored.written_at.map(|written_at| recovery::Memory {
-            owner: self.config.name.clone(),
-            incarnation: self.incarnation.saturating_sub(1),
-            written_at,
-            list: restored
-                .list
-                .as_ref()
-                .map(|(list, _)| recovery_list(list, life, Source::Memory)),
-            previous_clients: restored
-                .previous_clients
-                .map(|clients| recovery::PreviousClients {
-                    class: 0,
-                    account: 0,
-                    clients,
-                })
-                .into_iter()
-                .collect(),
-            clients_per_server_s: None,
-        });
-        let remembered = restored.list.map(|(list, incarnation)| {
-            self.servers = list
-                .instances
-                .iter()
-                .map(|one| (one.instance_id.clone(), one.clone()))
-                .collect();
+        let memory = self.recovery_memory(&restored);
+        let position = restored.list.map(|(list, epoch)| {
+            let by_name = |server: &ListedServer| (server.instance_id.clone(), server.clone());
+            self.servers = list.instances.iter().map(by_name).collect();
             Position {
-                incarnation,
+                incarnation: epoch,
                 generation: list.generation,
             }
         });
@@ -68,31 +34,77 @@
             memory,
         });
         // Peers without a list begin with it too; it does not count as discovery's.
-        let list = self.recovery.recovery().validity(RememberedKind::List);
-        if let Some(position) = remembered.filter(|_| list == Validity::Hint(1.0)) {
+        let validity = self.recovery.recovery().validity(RememberedKind::List);
+        if let Some(position) = position.filter(|_| validity == Validity::Hint(1.0)) {
             let entries: Vec<ListedServer> = self.servers.values().cloned().collect();
             self.publish_entries(position, &entries);
         }
-        let verdict = self
+        self.restore_placements(&restored.placements);
+    }
+
+    /// The memory as the recovery state machine takes it, if the file has been written before.
+    fn recovery_memory(&self, restored: &RestoredMemory) -> Option<recovery::Memory> {
+        let epoch = restored
+            .list
+            .as_ref()
+            .map_or(0, |(list, _)| self.list_epoch(list));
+        let list = restored
+            .list
+            .as_ref()
+            .map(|(list, _)| recovery_list(list, epoch, Source::Memory));
+        let previous_clients = restored
+            .previous_clients
+            .map(|clients| recovery::PreviousClients {
+                class: 0,
+                account: 0,
+                clients,
+            });
+        Some(recovery::Memory {
+            owner: self.config.name.clone(),
+            incarnation: self.incarnation.saturating_sub(1),
+            written_at: restored.written_at?,
+            list,
+            previous_clients: previous_clients.into_iter().collect(),
+            clients_per_server_s: None,
+        })
+    }
+
+    /// The epoch of a remembered list. A list that discovery sends under a lower generation belongs
+    /// to another one.
+    fn list_epoch(&self, list: &ServerList) -> u64 {
+        let announcement = ListAnnouncement {
+            generation: list.generation,
+            digest: list_digest(list),
+            complete_list: true,
+        };
+        let now = self.now_ms();
+        let position = shared_gossip::lock(&self.gossip, |known| {
+            known.knowledge.hear_list(announcement, LIST_TTL_MS, now)
+        });
+        position.map_or(0, |position| position.incarnation)
+    }
+
+    fn restore_placements(&self, placements: &[Placement]) {
+        let validity = self
             .recovery
             .recovery()
             .validity(RememberedKind::Placements);
-        let (held, count) = (verdict != Validity::Discarded, restored.placements.len());
+        let is_valid = validity != Validity::Discarded;
+        let count = placements.len();
         if count > 0 {
-            info!(part = "recovery", placements = count, taken = held, verdict = ?verdict, "placements of before");
+            info!(part = "recovery", placements = count, taken = is_valid, verdict = ?validity, "placements of before");
         }
-        if held {
-            self.send_placements_to_core(&restored.placements);
-            restored
-                .placements
+        if is_valid {
+            self.send_placements_to_core(placements);
+            placements
                 .iter()
-                .for_each(|one| self.recall_placement(one));
+                .for_each(|placement| self.recall_placement(placement));
         }
     }
 
     /// Publishes a stored placement to peers that remember none.
     fn recall_placement(&self, placement: &Placement) {
-        let life = millis(self.config.affinity.retention);
+        let retention = millis(self.config.affinity.retention);
         let subject = shared_gossip::custom_subject(
             shared_gossip::PLACEMENT_FACT,
             placement.key.0.to_be_bytes().to_vec(),
@@ -107,7 +119,7 @@
             known.knowledge.recall(
                 &subject,
                 &value,
-                life,
+                retention,
                 (seen.min(self.now_ms()), self.now_ms()),
             )
         });
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -56,43 +56,34 @@
 /// without.
 pub fn prepare(
     config: operator::FleetConfig,
-    (setup, farm): (&SiteSettings, Option<&EndpointSource>),
+    (site, endpoints): (&SiteSettings, Option<&EndpointSource>),
     clock: Clock,
 ) -> Result<(PreparedFleet, FleetLinkConfig), String> {
-    let settings = setup.policy_settings();
+    let settings = site.policy_settings();
     let (memory, restored) = memory_writer::open(&config, wall_clock_ms());
-    let incarnation = if restored.incarnation > 0 {
-        restored.incarnation
-    } else {
-        wall_clock_ms() / 1_000
-    };
-    let routing_version = version(&settings, farm);
-    let recovery_config = recovery_driver::config(&config, setup, &settings);
+    let now = clock.now() / 1_000_000;
+    let incarnation = incarnation(&restored);
+    let routing_version = routing_version(&settings, endpoints);
+    let recovery_config = recovery_driver::config(&config, site, &settings);
     let recovery_timeout = Duration::from_nanos(recovery_config.admits_within());
     let recovery = RecoveryDriver::new(recovery_config, driver::random())?;
     let edge_config = uplink::config(&config, driver::random());
     let uplink = config
         .edge
         .is_enabled
-        .then(|| Uplink::new(edge_config, clock.now() / 1_000_000, restored.uplink));
-    let uplink = uplink.transpose()?;
+        .then(|| Uplink::new(edge_config, now, restored.uplink))
+        .transpose()?;
     let (events, core_events) = unbounded();
-    let now = clock.now() / 1_000_000;
     let affinity = config.affinity.is_enabled.then(|| {
         let memory = affinity_memory(&config, (incarnation, routing_version), &restored, now);
         SessionAffinity::new(memory, config.affinity.retention)
     });
-    let staged_admission = config.clients_per_server_s.is_some();
-    let longest = settings
-        .classes
-        .iter()
-        .map(|class| class.deadline)
-        .max()
-        .unwrap_or(0);
-    let (warm_up_ms, failure_ttl_ms) = (
-        settings.rules.warm_up_time / 1_000_000,
-        longest / 1_000_000 * FAILURE_RETENTION_DEADLINES,
-    );
+    let link_config = FleetLinkConfig {
+        events,
+        recovery_timeout: Some(recovery_timeout),
+        staged_admission: config.clients_per_server_s.is_some(),
+        affinity,
+    };
     let fleet = PreparedFleet {
         config,
         clock,
@@ -103,18 +94,24 @@
         recovery,
         uplink,
         core_events,
-        warm_up_ms,
-        failure_ttl_ms,
+        warm_up_ms: settings.rules.warm_up_time / 1_000_000,
+        failure_ttl_ms: failure_ttl_ms(&settings),
     };
-    Ok((
-        fleet,
-        FleetLinkConfig {
-            events,
-            recovery_timeout: Some(recovery_timeout),
-            staged_admission,
-            affinity,
-        },
-    ))
+    Ok((fleet, link_config))
+}
+
+/// The incarnation number: the memory's, or else the time of the start.
+fn incarnation(restored: &RestoredMemory) -> u64 {
+    if restored.incarnation > 0 {
+        restored.incarnation
+    } else {
+        wall_clock_ms() / 1_000
+    }
+}
+
+fn failure_ttl_ms(settings: &Settings) -> Millis {
+    let deadlines = settings.classes.iter().map(|class| class.deadline);
+    deadlines.max().unwrap_or(0) / 1_000_000 * FAILURE_RETENTION_DEADLINES
 }
 
 /// Session affinity at the start: the known versions without placements.
@@ -150,7 +147,7 @@
 }
 
 /// The version of the routing configuration; equal at all processes that run it.
-pub(super) fn version(settings: &Settings, farm: Option<&EndpointSource>) -> Version {
+pub(super) fn routing_version(settings: &Settings, endpoints: Option<&EndpointSource>) -> Version {
     let class = |(at, class): (usize, &beaconflow_policy::RequestClass)| Class {
         name: at.to_string(),
         latency_objective_ms: class.latency_objective / 1_000_000,
@@ -164,7 +161,7 @@
         address: server.address.to_string(),
         was: None,
     };
-    let servers = match farm {
+    let servers = match endpoints {
         Some(EndpointSource::Servers(servers)) => servers.iter().map(server).collect(),
         _ => Vec::new(),
     };
--- a/crates/balancer/src/front/nats/mod.rs
+++ b/crates/balancer/src/front/nats/mod.rs
@@ -85,7 +85,7 @@
 
     /// Authenticates a CONNECT and prepares the one for the server.
     fn connect(&self, options: &[u8], now: u64) -> Result<(ClientRequest, ConnectLine), Rejection> {
-        let Ok(mut options) = serde_json::from_slice::<Map<String, Value>>(options) else {
+        let Ok(options) = serde_json::from_slice::<Map<String, Value>>(options) else {
             return Err(refuse("Parser Error", "CONNECT without a JSON object"));
         };
         if options.get("tls_required").and_then(Value::as_bool) == Some(true) {
@@ -98,26 +98,10 @@
                 .unwrap_or_default()
         };
         let (user, password) = (text("user"), text("pass"));
-        let (tenant, admitted) = match self.tenants.admit(user, password) {
-            Ok(admitted) => admitted,
-            Err(tenants::AdmitError::Unknown) => {
-                return Err(refuse(
-                    "Authorization Violation",
-                    "not a tenant's credentials",
-                ));
-            }
-            Err(tenants::AdmitError::TooMany) => {
-                return Err(refuse(
-                    "Maximum Connections Exceeded",
-                    "a tenant's limit is reached",
-                ));
-            }
-            Err(tenants::AdmitError::StoreAway) => {
-                let after = self.wire.store_retry().as_millis();
-                let words = format!("Service Unavailable; try again in {after} ms");
-                return Err(refuse(&words, "the store is away and the tenant not known"));
-            }
-        };
+        let (tenant, admitted) = self
+            .tenants
+            .admit(user, password)
+            .map_err(|error| self.reject_admission(error))?;
         let Some(class) = self.setup.class(&tenant.class) else {
             return Err(refuse(
                 "Authorization Violation",
@@ -126,12 +110,7 @@
         };
         let key = digest(&format!("{user}/{}", text("name")));
         let verbose = options.get("verbose").and_then(Value::as_bool) == Some(true);
-        for secret in ["user", "pass", "auth_token", "jwt", "nkey", "sig"] {
-            options.remove(secret);
-        }
-        options.insert("user".into(), tenant.upstream.user.clone().into());
-        options.insert("pass".into(), tenant.upstream.password.clone().into());
-        let connect = format!("CONNECT {}\r\n", Value::Object(options)).into_bytes();
+        let connect = upstream_connect(options, &tenant.upstream);
         let client_request = ClientRequest {
             class,
             client_key: Some(key),
@@ -155,10 +134,38 @@
             },
         ))
     }
+
+    fn reject_admission(&self, error: tenants::AdmitError) -> Rejection {
+        match error {
+            tenants::AdmitError::Unknown => {
+                refuse("Authorization Violation", "not a tenant's credentials")
+            }
+            tenants::AdmitError::TooMany => refuse(
+                "Maximum Connections Exceeded",
+                "a tenant's limit is reached",
+            ),
+            tenants::AdmitError::StoreAway => {
+                let after = self.wire.store_retry().as_millis();
+                let text = format!("Service Unavailable; try again in {after} ms");
+                refuse(&text, "the store is away and the tenant not known")
+            }
+        }
+    }
+}
+
+/// The CONNECT for a server: the client's options with the tenant's credentials in place of its
+/// own.
+fn upstream_connect(mut options: Map<String, Value>, upstream: &tenants::Identity) -> Vec<u8> {
+    for secret in ["user", "pass", "auth_token", "jwt", "nkey", "sig"] {
+        options.remove(secret);
+    }
+    options.insert("user".into(), upstream.user.clone().into());
+    options.insert("pass".into(), upstream.password.clone().into());
+    format!("CONNECT {}\r\n", Value::Object(options)).into_bytes()
 }
 
-fn refuse(words: &str, why: &str) -> Rejection {
-    Rejection::new(format!("-ERR '{words}'\r\n").as_bytes(), why)
+fn refuse(text: &str, why: &str) -> Rejection {
+    Rejection::new(format!("-ERR '{text}'\r\n").as_bytes(), why)
 }
 
 impl Front for Nats {
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use beaconflow_settings::digest;
+use beaconflow_settings::{ActiveSettings, digest};
 
 use super::{
     ClientMessage, FrameProgress, Framer, Front, HandshakeError, HandshakeLine, MessageKind,
@@ -119,101 +119,130 @@
     /// Parses an `OPEN` line. An unknown field is forwarded unchanged.
     fn parse_open(&self, line: &[u8], now: u64) -> Result<(ClientRequest, OpenLine), &'static str> {
         let text = std::str::from_utf8(line).map_err(|_| "not text")?;
-        if text
-            .bytes()
-            .any(|byte| !(byte == b' ' || byte.is_ascii_graphic()))
-        {
+        let is_printable = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
+        if !text.bytes().all(is_printable) {
             return Err("not text");
         }
         let words: Vec<&str> = text.split(' ').collect();
         let ["OPEN", id, key, list] = words[..] else {
             return Err("not an opening");
         };
-        let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-        let is_id = named(id) && id.bytes().all(|byte| byte.is_ascii_alphanumeric());
-        if !is_id || !named(key) || key.contains(['=', ',']) {
+        let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+        let is_id = is_name(id) && id.bytes().all(|byte| byte.is_ascii_alphanumeric());
+        if !is_id || !is_name(key) || key.contains(['=', ',']) {
             return Err("no id or no key");
         }
         // The whole line is parsed under one version of the settings.
         let settings = self.settings.current();
-        let mut names = HashSet::new();
-        let (mut class, mut wait) = (None, None);
-        let (mut group, mut tenant, mut expected_load, mut resumed_server) =
-            (None, None, None, None);
-        let mut is_reconnect = false;
-        for pair in list.split(',') {
-            let (name, value) = pair.split_once('=').ok_or("a field without a value")?;
-            if name.is_empty() || value.is_empty() {
-                return Err("a field without a name or a value");
-            }
-            if !names.insert(name) {
-                return Err("a field twice");
-            }
-            match name {
-                "c" => class = Some(settings.class(value).ok_or("no such class")?),
-                "t" if !settings.setup().knows_tenant(value) => return Err("no such tenant"),
-                "t" => tenant = Some(value),
-                "d" => {
-                    let digits = value.bytes().all(|byte| byte.is_ascii_digit());
-                    let millis = value
-                        .parse()
-                        .ok()
-                        .filter(|_| digits)
-                        .map(Duration::from_millis);
-                    let millis = millis.ok_or("no time to wait")?;
-                    let start = value.as_ptr() as usize - text.as_ptr() as usize;
-                    wait = Some((millis, start..start + value.len()));
-                }
-                "g" => group = Some(digest(value)),
-                "h" => {
-                    let guess = value
-                        .parse()
-                        .ok()
-                        .filter(|load: &f64| load.is_finite() && *load >= 0.0);
-                    expected_load = Some(guess.ok_or("no load")?);
-                }
-                "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
-                "again" => is_reconnect = value == "1",
-                "at" => resumed_server = Some(value.to_owned()),
-                _ => {}
-            }
-        }
-        let (patience, deadline_field) = wait.ok_or("no time to wait")?;
-        let class = class.ok_or("no class")?;
+        let fields = OpenFields::parse(list, text, &settings)?;
+        let (timeout, deadline_field) = fields.timeout.ok_or("no time to wait")?;
+        let class = fields.class.ok_or("no class")?;
         // The settings limit how long a client waits, except for a resumed connection, which names
         // an unlimited time.
-        let client_timeout = if resumed_server.is_some() {
-            patience
+        let client_timeout = if fields.resumed_server.is_some() {
+            timeout
         } else {
-            patience.min(settings.client_timeout(class))
+            timeout.min(settings.client_timeout(class))
         };
         // Taken last, so that a rejected line leaves no id behind.
         let id = OpenId::take(id, &self.open).ok_or("the id of an open request")?;
         let client_request = ClientRequest {
             class,
             client_key: Some(digest(key)),
-            group,
-            tenant: tenant.map(digest),
-            account: tenant.map(Arc::from),
+            group: fields.group,
+            tenant: fields.tenant.map(digest),
+            account: fields.tenant.map(Arc::from),
             quota: None,
-            is_reconnect,
+            is_reconnect: fields.is_reconnect,
             buffered_bytes: line.len(),
-            expected_load,
+            expected_load: fields.expected_load,
             received_at: now,
             client_timeout,
-            resumed_server,
+            resumed_server: fields.resumed_server,
+        };
+        let open_line = OpenLine {
+            line: line.to_vec(),
+            deadline_field,
+            _id: id,
         };
-        Ok((
-            client_request,
-            OpenLine {
-                line: line.to_vec(),
-                deadline_field,
-                _id: id,
-            },
-        ))
+        Ok((client_request, open_line))
     }
 }
 
+/// The fields of an `OPEN` line.
+#[derive(Default)]
+struct OpenFields<'l> {
+    class: Option<usize>,
+    /// How long the client waits, and the range of the value in the line.
+    timeout: Option<(Duration, Range<usize>)>,
+    group: Option<u64>,
+    tenant: Option<&'l str>,
+    expected_load: Option<f64>,
+    is_reconnect: bool,
+    resumed_server: Option<String>,
+}
+
+impl<'l> OpenFields<'l> {
+    /// Parses a list of `name=value`, which is a part of `line`.
+    fn parse(
+        list: &'l str,
+        line: &str,
+        settings: &ActiveSettings,
+    ) -> Result<OpenFields<'l>, &'static str> {
+        let mut fields = OpenFields::default();
+        let mut names = HashSet::new();
+        for pair in list.split(',') {
+            let (name, value) = pair.split_once('=').ok_or("a field without a value")?;
+            if name.is_empty() || value.is_empty() {
+                return Err("a field without a name or a value");
+            }
+            if !names.insert(name) {
+                return Err("a field twice");
+            }
+            fields.set(name, value, line, settings)?;
+        }
+        Ok(fields)
+    }
+
+    fn set(
+        &mut self,
+        name: &str,
+        value: &'l str,
+        line: &str,
+        settings: &ActiveSettings,
+    ) -> Result<(), &'static str> {
+        match name {
+            "c" => self.class = Some(settings.class(value).ok_or("no such class")?),
+            "t" if !settings.setup().knows_tenant(value) => return Err("no such tenant"),
+            "t" => self.tenant = Some(value),
+            "d" => {
+                let timeout = parse_millis(value).ok_or("no time to wait")?;
+                let start = value.as_ptr() as usize - line.as_ptr() as usize;
+                self.timeout = Some((timeout, start..start + value.len()));
+            }
+            "g" => self.group = Some(digest(value)),
+            "h" => self.expected_load = Some(parse_expected_load(value).ok_or("no load")?),
+            "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
+            "again" => self.is_reconnect = value == "1",
+            "at" => self.resumed_server = Some(value.to_owned()),
+            _ => {}
+        }
+        Ok(())
+    }
+}
+
+/// Parses a span in milliseconds: digits only.
+fn parse_millis(value: &str) -> Option<Duration> {
+    let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
+    let millis = value.parse().ok().filter(|_| is_number)?;
+    Some(Duration::from_millis(millis))
+}
+
+fn parse_expected_load(value: &str) -> Option<f64> {
+    let load: f64 = value.parse().ok()?;
+    (load.is_finite() && load >= 0.0).then_some(load)
+}
+
 impl Front for Platform {
     type Request = (ClientRequest, OpenLine);
     type ServerHandshake = OpenLine;
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -263,10 +263,10 @@
         });
         for core in &self.cores {
             let told = Arc::clone(&told);
-            core.send(CoreInput::LifecycleCommanded(
+            core.send(CoreInput::LifecycleCommanded {
                 command,
-                Some(LifecycleReply::new(move |followed| told.record(followed))),
-            ));
+                reply: Some(LifecycleReply::new(move |followed| told.record(followed))),
+            });
         }
     }
 
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -2,20 +2,18 @@
 //!
 //! It is read field by field, so that all errors are reported at once.
 
+mod admission;
 mod fleet;
+mod section;
 
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
 
-use beaconflow_admission::{Bound, Limits};
 use beaconflow_overrides::Limits as OverrideLimits;
 use beaconflow_settings::SiteSettings;
-use serde::de::DeserializeOwned;
-use toml::{Table, Value};
+use toml::Table;
 
 use crate::core::DoorConfig;
 use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
@@ -23,14 +21,14 @@
 use crate::front::nats::wire::Wire;
 use crate::log::LogFormat;
 use crate::overrides;
+use admission::admission;
 pub use fleet::{AffinityConfig, EdgeConfig, EdgeMode, FleetConfig, MemoryConfig};
+use section::Section;
 
 /// The token or password of the sample file, which is refused.
 const PLACEHOLDER: &str = "CHANGE-ME";
 /// Least length of the token.
 const MIN_TOKEN_LENGTH: usize = 16;
-/// Least bytes of the admission queue: one entry fits.
-const MIN_QUEUE_BYTES: usize = 4_096;
 /// Longest override that may be granted: ten years, in seconds.
 const MAX_OVERRIDE_S: u64 = 10 * 366 * 24 * 3_600;
 
@@ -291,7 +289,7 @@
         section.error_if("discovery", true, "either discovery or servers");
         return None;
     }
-    let farm = if discovery {
+    let source = if discovery {
         section.required("discovery").map(EndpointSource::Discovery)
     } else {
         let servers: Option<Vec<Table>> = section.required("servers");
@@ -303,7 +301,7 @@
         servers.map(EndpointSource::Servers)
     };
     section.reject_unknown_fields();
-    farm
+    source
 }
 
 fn server(mut section: Section<'_>) -> Option<FixedServer> {
@@ -356,68 +354,6 @@
     overrides::OverridesConfig { file, limits }
 }
 
-fn admission(mut section: Section<'_>) -> DoorConfig {
-    let usual = DoorConfig::default();
-    let mut bound = |name: &str, usual: Bound| {
-        let (entries, bytes) = (format!("{name}entries"), format!("{name}bytes"));
-        let bound = Bound {
-            entries: section.optional(&entries, usual.entries),
-            bytes: section.optional(&bytes, usual.bytes),
-        };
-        section.error_if(&entries, bound.entries == 0, "at least 1");
-        section.error_if(&bytes, bound.bytes < MIN_QUEUE_BYTES, "at least 4096");
-        bound
-    };
-    let all = bound("", usual.limits.all);
-    let account = bound("account_", all);
-    let queue = bound(
-        "queue_",
-        Bound {
-            entries: account.entries.min(usual.limits.queue.entries),
-            ..account
-        },
-    );
-    let (queues, choices) = (
-        section.optional("queues", usual.limits.queues),
-        section.optional("hand", usual.limits.choices),
-    );
-    section.error_if("queues", !(1..=1_024).contains(&queues), "from 1 to 1024");
-    section.error_if(
-        "hand",
-        !(1..=queues.min(16)).contains(&choices),
-        "from 1 to 16 and to queues",
-    );
-    let over_share_s: f64 = section.optional("over_share_s", usual.over_quota_after.as_secs_f64());
-    let span_is_bad = !(1.0..=86_400.0).contains(&over_share_s);
-    section.error_if("over_share_s", span_is_bad, "from 1 to 86400");
-    let mut quotas = HashMap::new();
-    if let Some(mut listed) = section.section("shares") {
-        let names: Vec<String> = listed.table.keys().cloned().collect();
-        for name in names {
-            let share: Option<f64> = listed.required(&name);
-            let bad = share.is_some_and(|share| !(0.001..=1e6).contains(&share));
-            listed.error_if(&name, bad, "from 0.001 to 1000000");
-            quotas.extend(share.map(|share| (name, share)));
-        }
-    }
-    section.reject_unknown_fields();
-    DoorConfig {
-        limits: Limits {
-            all,
-            account,
-            queue,
-            queues,
-            choices,
-        },
-        quotas,
-        over_quota_after: if span_is_bad {
-            usual.over_quota_after
-        } else {
-            Duration::from_secs_f64(over_share_s)
-        },
-    }
-}
-
 fn log(mut section: Section<'_>) -> LogFormat {
     let form: String = section.optional("form", "text".to_owned());
     section.error_if(
@@ -433,94 +369,6 @@
     }
 }
 
-/// A table of the file, from which fields are taken one by one.
-struct Section<'f> {
-    path: String,
-    table: Table,
-    faults: &'f RefCell<Vec<String>>,
-}
-
-impl<'f> Section<'f> {
-    fn named(&self, field: &str) -> String {
-        if self.path.is_empty() {
-            field.to_owned()
-        } else {
-            format!("{}.{field}", self.path)
-        }
-    }
-
-    fn error(&self, field: &str, why: &str) {
-        self.faults
-            .borrow_mut()
-            .push(format!("{}: {why}", self.named(field)));
-    }
-
-    fn error_if(&self, field: &str, bad: bool, why: &str) {
-        if bad {
-            self.error(field, why);
-        }
-    }
-
-    fn subsection(&self, name: &str, table: Table) -> Section<'f> {
-        Section {
-            path: self.named(name),
-            table,
-            faults: self.faults,
-        }
-    }
-
-    /// A required field.
-    fn required<T: DeserializeOwned>(&mut self, field: &str) -> Option<T> {
-        match self.table.remove(field) {
-            None => {
-                self.error(field, "is missing");
-                None
-            }
-            Some(value) => self.read(field, value),
-        }
-    }
-
-    /// An optional field with a default.
-    fn optional<T: DeserializeOwned>(&mut self, field: &str, usual: T) -> T {
-        match self.table.remove(field) {
-            None => usual,
-            Some(value) => self.read(field, value).unwrap_or(usual),
-        }
-    }
-
-    fn read<T: DeserializeOwned>(&self, field: &str, value: Value) -> Option<T> {
-        let secret = matches!(field, "token" | "url");
-        match value.try_into() {
-            Ok(value) => Some(value),
-            Err(error) => {
-                let why = error.message().to_owned();
-                self.error(field, if secret { "has the wrong type" } else { &why });
-                None
-            }
-        }
-    }
-
-    fn section(&mut self, field: &str) -> Option<Section<'f>> {
-        let table: Table = self
-            .table
-            .remove(field)
-            .and_then(|value| self.read(field, value))?;
-        Some(self.subsection(field, table))
-    }
-
-    fn required_section(&mut self, field: &str) -> Option<Section<'f>> {
-        let table: Table = self.required(field)?;
-        Some(self.subsection(field, table))
-    }
-
-    /// Reports the fields that are left as unknown.
-    fn reject_unknown_fields(&self) {
-        for field in self.table.keys() {
-            self.error(field, "no such field");
-        }
-    }
-}
-
 impl EndpointSource {
     /// The servers in the file; empty where discovery is used.
     pub fn list(&self, generation: u64) -> ServerList {
--- /dev/null
+++ b/crates/balancer/src/operator/admission.rs
@@ -0,0 +1,91 @@
+//! The section `[admission]`: limits of the admission queue and the accounts' quotas.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use beaconflow_admission::{Bound, Limits};
+
+use super::section::Section;
+use crate::core::DoorConfig;
+
+/// Least bytes of the admission queue: one entry fits.
+const MIN_QUEUE_BYTES: usize = 4_096;
+/// Most queues of one class of one account.
+const MAX_QUEUES: usize = 1_024;
+/// Most queues that a client's entry chooses among.
+const MAX_CHOICES: usize = 16;
+
+/// Reads the section.
+pub(super) fn admission(mut section: Section<'_>) -> DoorConfig {
+    let default = DoorConfig::default();
+    let limits = limits(&mut section, default.limits);
+    let over_quota_after = over_quota_after(&mut section, default.over_quota_after);
+    let quotas = section.section("shares").map(quotas).unwrap_or_default();
+    section.reject_unknown_fields();
+    DoorConfig {
+        limits,
+        quotas,
+        over_quota_after,
+    }
+}
+
+fn limits(section: &mut Section<'_>, default: Limits) -> Limits {
+    let all = bound(section, "", default.all);
+    let account = bound(section, "account_", all);
+    let queue_default = Bound {
+        entries: account.entries.min(default.queue.entries),
+        ..account
+    };
+    let queue = bound(section, "queue_", queue_default);
+    let queues = section.optional("queues", default.queues);
+    let choices = section.optional("hand", default.choices);
+    section.error_if(
+        "queues",
+        !(1..=MAX_QUEUES).contains(&queues),
+        "from 1 to 1024",
+    );
+    section.error_if(
+        "hand",
+        !(1..=queues.min(MAX_CHOICES)).contains(&choices),
+        "from 1 to 16 and to queues",
+    );
+    Limits {
+        all,
+        account,
+        queue,
+        queues,
+        choices,
+    }
+}
+
+fn bound(section: &mut Section<'_>, prefix: &str, default: Bound) -> Bound {
+    let (entries, bytes) = (format!("{prefix}entries"), format!("{prefix}bytes"));
+    let bound = Bound {
+        entries: section.optional(&entries, default.entries),
+        bytes: section.optional(&bytes, default.bytes),
+    };
+    section.error_if(&entries, bound.entries == 0, "at least 1");
+    section.error_if(&bytes, bound.bytes < MIN_QUEUE_BYTES, "at least 4096");
+    bound
+}
+
+fn over_quota_after(section: &mut Section<'_>, default: Duration) -> Duration {
+    let seconds: f64 = section.optional("over_share_s", default.as_secs_f64());
+    if (1.0..=86_400.0).contains(&seconds) {
+        return Duration::from_secs_f64(seconds);
+    }
+    section.error("over_share_s", "from 1 to 86400");
+    default
+}
+
+fn quotas(mut section: Section<'_>) -> HashMap<String, f64> {
+    let names: Vec<String> = section.table.keys().cloned().collect();
+    let mut quotas = HashMap::new();
+    for name in names {
+        let quota: Option<f64> = section.required(&name);
+        let is_bad = quota.is_some_and(|quota| !(0.001..=1e6).contains(&quota));
+        section.error_if(&name, is_bad, "from 0.001 to 1000000");
+        quotas.extend(quota.map(|quota| (name, quota)));
+    }
+    quotas
+}
--- a/crates/balancer/src/operator/fleet.rs
+++ b/crates/balancer/src/operator/fleet.rs
@@ -7,7 +7,7 @@
 
 use beaconflow_membership::{Key, LONGEST_NAME, LONGEST_SITE};
 
-use super::Section;
+use super::section::Section;
 
 /// Most processes of a fleet.
 const MAX_PROCESSES: usize = 1_000;
@@ -153,126 +153,175 @@
 fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
     let name = named(&mut section, "name", LONGEST_NAME);
     let site = named(&mut section, "site", LONGEST_SITE);
-    let listen = section.required("listen");
-    let advertise: Option<SocketAddr> = section
-        .table
-        .contains_key("advertise")
-        .then(|| section.required("advertise"))
-        .flatten();
-    let peers: Option<Vec<SocketAddr>> = section.required("peers");
-    let open = |at: &SocketAddr| !at.ip().is_loopback();
-    section.error_if(
-        "listen",
-        listen.as_ref().is_some_and(open),
-        "is not a loopback address",
-    );
-    let no_port = |at: &SocketAddr| at.port() == 0;
-    section.error_if(
-        "listen",
-        listen.as_ref().is_some_and(no_port),
-        "needs a port that the others are told",
-    );
-    section.error_if(
-        "advertise",
-        advertise.as_ref().is_some_and(open),
-        "is not a loopback address",
-    );
-    section.error_if(
-        "advertise",
-        advertise.as_ref().is_some_and(no_port),
-        "needs a port",
-    );
-    for (at, peer) in (0..).zip(peers.iter().flatten()) {
+    let addresses = Addresses::read(&mut section);
+    let keys = Keys::read(&mut section);
+    let sizes = FleetSizes::read(&mut section, addresses.other_peers(), site.as_deref());
+    let clients_per_server_s = clients_per_server_s(&mut section);
+    let clients = section.optional("clients", 0);
+    section.reject_unknown_fields();
+    let keys = keys?;
+    Some(FleetConfig {
+        name: name?,
+        site: site?,
+        listen: addresses.listen?,
+        advertise: addresses.advertise,
+        key_file: keys.current,
+        previous_key_file: keys.previous,
+        peers: addresses.peers?,
+        size: sizes.fleet,
+        site_size: sizes.site,
+        other_sites: sizes.other_sites,
+        clients_per_server_s,
+        clients,
+        memory: None,
+        edge: EdgeConfig::default(),
+        affinity: AffinityConfig::default(),
+    })
+}
+
+/// Addresses of this process and of its peers.
+struct Addresses {
+    listen: Option<SocketAddr>,
+    advertise: Option<SocketAddr>,
+    peers: Option<Vec<SocketAddr>>,
+}
+
+impl Addresses {
+    fn read(section: &mut Section<'_>) -> Addresses {
+        let listen: Option<SocketAddr> = section.required("listen");
+        let advertise: Option<SocketAddr> = section
+            .table
+            .contains_key("advertise")
+            .then(|| section.required("advertise"))
+            .flatten();
+        let peers: Option<Vec<SocketAddr>> = section.required("peers");
+        if let Some(listen) = &listen {
+            check_address(
+                section,
+                "listen",
+                listen,
+                "needs a port that the others are told",
+            );
+        }
+        if let Some(advertise) = &advertise {
+            check_address(section, "advertise", advertise, "needs a port");
+        }
+        for (at, peer) in (0..).zip(peers.iter().flatten()) {
+            check_address(section, &format!("peers[{at}]"), peer, "needs a port");
+        }
+        Addresses {
+            listen,
+            advertise,
+            peers,
+        }
+    }
+
+    /// Number of peers without this process.
+    fn other_peers(&self) -> usize {
+        let own = self.advertise.or(self.listen);
+        let peers = self.peers.iter().flatten();
+        peers.filter(|peer| Some(**peer) != own).count()
+    }
+}
+
+fn check_address(section: &Section<'_>, field: &str, address: &SocketAddr, no_port: &str) {
+    let is_open = !address.ip().is_loopback();
+    section.error_if(field, is_open, "is not a loopback address");
+    section.error_if(field, address.port() == 0, no_port);
+}
+
+/// Files with the keys of datagrams.
+struct Keys {
+    current: PathBuf,
+    previous: Option<PathBuf>,
+}
+
+impl Keys {
+    fn read(section: &mut Section<'_>) -> Option<Keys> {
+        let current = key(section, "key_file");
+        let has_previous = section.table.contains_key("previous_key_file");
+        let previous = has_previous
+            .then(|| key(section, "previous_key_file"))
+            .flatten();
+        let is_same = current.is_some() && current == previous;
+        section.error_if("previous_key_file", is_same, "is key_file too");
+        if has_previous && previous.is_none() {
+            return None;
+        }
+        Some(Keys {
+            current: current?,
+            previous,
+        })
+    }
+}
+
+/// Numbers of processes, and the other sites.
+struct FleetSizes {
+    fleet: usize,
+    site: usize,
+    other_sites: Vec<String>,
+}
+
+impl FleetSizes {
+    fn read(section: &mut Section<'_>, other_peers: usize, own_site: Option<&str>) -> FleetSizes {
+        let size = section.optional("size", other_peers + 1);
+        section.error_if(
+            "size",
+            !(1..=MAX_PROCESSES).contains(&size),
+            "from 1 to 1000",
+        );
         section.error_if(
-            &format!("peers[{at}]"),
-            open(peer),
-            "is not a loopback address",
+            "size",
+            size < other_peers + 1,
+            "is less than the peers that are named, and this one",
         );
-        section.error_if(&format!("peers[{at}]"), no_port(peer), "needs a port");
+        let other_sites = other_sites(section, own_site);
+        let default = size.saturating_sub(other_sites.len()).max(1);
+        let site_size = section.optional("site_size", default);
+        section.error_if(
+            "site_size",
+            !(1..=size).contains(&site_size),
+            "from 1 to size",
+        );
+        let is_alone = other_sites.is_empty() && site_size != size;
+        section.error_if(
+            "site_size",
+            is_alone,
+            "is less than size, and other_sites names none",
+        );
+        FleetSizes {
+            fleet: size,
+            site: site_size,
+            other_sites,
+        }
     }
-    let key_file = key(&mut section, "key_file");
-    let has_previous = section.table.contains_key("previous_key_file");
-    let previous_key_file = has_previous
-        .then(|| key(&mut section, "previous_key_file"))
-        .flatten();
-    let same = key_file.is_some() && key_file == previous_key_file;
-    section.error_if("previous_key_file", same, "is key_file too");
-    let own = advertise.or(listen);
-    let others = peers
-        .iter()
-        .flatten()
-        .filter(|peer| Some(**peer) != own)
-        .count();
-    let size = section.optional("size", others + 1);
-    section.error_if(
-        "size",
-        !(1..=MAX_PROCESSES).contains(&size),
-        "from 1 to 1000",
-    );
-    section.error_if(
-        "size",
-        size < others + 1,
-        "is less than the peers that are named, and this one",
-    );
-    let other_sites: Vec<String> = section.optional("other_sites", Vec::new());
-    for (at, other) in (0..).zip(&other_sites) {
+}
+
+fn other_sites(section: &mut Section<'_>, own_site: Option<&str>) -> Vec<String> {
+    let sites: Vec<String> = section.optional("other_sites", Vec::new());
+    for (at, site) in (0..).zip(&sites) {
         let field = format!("other_sites[{at}]");
         section.error_if(
             &field,
-            !fits(other, LONGEST_SITE),
+            !fits(site, LONGEST_SITE),
             &format!("1 to {LONGEST_SITE} {NAME_CHARACTERS}"),
         );
-        section.error_if(&field, Some(other) == site.as_ref(), "is this site");
-        section.error_if(
-            &field,
-            other_sites[..at].contains(other),
-            "stands there twice",
-        );
+        let is_own = Some(site.as_str()) == own_site;
+        section.error_if(&field, is_own, "is this site");
+        let is_repeated = sites[..at].contains(site);
+        section.error_if(&field, is_repeated, "stands there twice");
     }
-    let site_size = section.optional("site_size", size.saturating_sub(other_sites.len()).max(1));
-    section.error_if(
-        "site_size",
-        !(1..=size).contains(&site_size),
-        "from 1 to size",
-    );
-    let alone = other_sites.is_empty() && site_size != size;
-    section.error_if(
-        "site_size",
-        alone,
-        "is less than size, and other_sites names none",
-    );
-    let clients_per_server_s: Option<f64> = section
+    sites
+}
+
+fn clients_per_server_s(section: &mut Section<'_>) -> Option<f64> {
+    let rate: Option<f64> = section
         .table
         .contains_key("borne")
         .then(|| section.optional("borne", 0.0));
-    let no_pace = |borne: f64| !(0.001..=1e6).contains(&borne);
-    section.error_if(
-        "borne",
-        clients_per_server_s.is_some_and(no_pace),
-        "from 0.001 to 1000000",
-    );
-    let clients = section.optional("clients", 0);
-    section.reject_unknown_fields();
-    if has_previous && previous_key_file.is_none() {
-        return None;
-    }
-    Some(FleetConfig {
-        name: name?,
-        site: site?,
-        listen: listen?,
-        advertise,
-        key_file: key_file?,
-        previous_key_file,
-        peers: peers?,
-        size,
-        site_size,
-        other_sites,
-        clients_per_server_s,
-        clients,
-        memory: None,
-        edge: EdgeConfig::default(),
-        affinity: AffinityConfig::default(),
-    })
+    let is_bad = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
+    section.error_if("borne", is_bad, "from 0.001 to 1000000");
+    rate
 }
 
 /// A name is sent in every datagram and logged.
--- a/crates/balancer/src/overrides/follow.rs
+++ b/crates/balancer/src/overrides/follow.rs
@@ -20,10 +20,10 @@
             .iter()
             .map(|(_, core)| {
                 let (answer, receiver) = bounded(1);
-                core.send(CoreInput::OverridesChanged(
-                    vec![change.clone()],
-                    Some(answer),
-                ));
+                core.send(CoreInput::OverridesChanged {
+                    changes: vec![change.clone()],
+                    reply: Some(answer),
+                });
                 receiver
             })
             .collect();
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -76,7 +76,10 @@
         state.by_key.retain(|_, id| !spent.contains(id));
         let change = OverrideChange::Forget(spent);
         for (_, core) in &self.cores {
-            core.send(CoreInput::OverridesChanged(vec![change.clone()], None));
+            core.send(CoreInput::OverridesChanged {
+                changes: vec![change.clone()],
+                reply: None,
+            });
         }
     }
 }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -13,8 +13,10 @@
 
 use crate::core::{CoreHandle, CoreInput, DoorConfig};
 use crate::discovery::{DiscoveryAddress, DiscoveryEvent};
-use crate::fleet::Way;
-use crate::operator::{EndpointSource, FleetConfig, NatsConfig, OperatorConfig};
+use crate::fleet::FleetHandle;
+use crate::operator::{
+    AffinityConfig, EdgeConfig, EndpointSource, FleetConfig, NatsConfig, OperatorConfig,
+};
 use crate::overrides::NamedCore;
 
 /// A limit on descriptors that a reload may change.
@@ -54,7 +56,7 @@
         /// The cores.
         cores: Vec<NamedCore>,
         /// The fleet thread, where a fleet is configured.
-        fleet: Option<Way>,
+        fleet: Option<FleetHandle>,
         /// Number of reloads of configured endpoints.
         farms: u64,
     },
@@ -157,41 +159,16 @@
         changes.fixed("overrides", others.overrides == read.overrides);
         changes.fixed("log", others.log == read.log);
         changes.fleet(fleet.as_ref(), &mut others.fleet, read.fleet);
-        let (old, new) = (&mut others.admission, read.admission);
-        changes.fixed("admission.queues", old.limits.queues == new.limits.queues);
-        changes.fixed("admission.hand", old.limits.choices == new.limits.choices);
-        let taken = DoorConfig {
-            limits: Limits {
-                queues: old.limits.queues,
-                choices: old.limits.choices,
-                ..new.limits
-            },
-            ..new
-        };
-        if *old != taken {
-            *old = taken.clone();
-            cores
-                .iter()
-                .for_each(|(_, core)| core.send(CoreInput::AdmissionConfigured(taken.clone())));
-            changes.taken.push("admission".into());
-        }
+        changes.admission(cores, &mut others.admission, read.admission);
         let (Some(new), Some(file)) = (read.nats, file) else {
             return Ok(changes);
         };
-        match (&new.endpoints, &file.endpoints, target) {
-            (new, old, _) if new == old => {}
-            (EndpointSource::Discovery(discovery), _, Some(target)) => {
-                changes.discovery(target, *discovery)
+        changes.endpoints(&file.endpoints, &new.endpoints, target.as_ref(), || {
+            *farms += 1;
+            if let Some((_, core)) = cores.iter().find(|(front, _)| *front == "nats") {
+                core.send_discovery(DiscoveryEvent::List(new.endpoints.list(1 + *farms)));
             }
-            (EndpointSource::Servers(_), EndpointSource::Servers(_), _) => {
-                *farms += 1;
-                if let Some((_, core)) = cores.iter().find(|(front, _)| *front == "nats") {
-                    core.send_discovery(DiscoveryEvent::List(new.endpoints.list(1 + *farms)));
-                }
-                changes.taken.push("farm".into());
-            }
-            _ => changes.restart.push("farm"),
-        }
+        });
         changes.sockets(sockets, (file.sockets, new.sockets));
         changes.fixed("name", file.name == new.name);
         changes.fixed("listen", file.listen == new.listen);
@@ -201,8 +178,8 @@
         if !changes.restart.contains(&"farm") {
             let is_new = file.endpoints != new.endpoints;
             file.endpoints = new.endpoints;
-            if let Some(way) = fleet.as_ref().filter(|_| is_new) {
-                way.set_endpoint_source(&file.settings, &file.endpoints);
+            if let Some(fleet) = fleet.as_ref().filter(|_| is_new) {
+                fleet.set_endpoint_source(&file.settings, &file.endpoints);
             }
         }
         file.sockets = new.sockets;
@@ -230,14 +207,58 @@
         }
     }
 
+    /// Applies the address of discovery, or the configured servers. A change from one to the other
+    /// takes a restart.
+    fn endpoints(
+        &mut self,
+        old: &EndpointSource,
+        new: &EndpointSource,
+        target: Option<&DiscoveryAddress>,
+        send_list: impl FnOnce(),
+    ) {
+        match (new, old, target) {
+            (new, old, _) if new == old => {}
+            (EndpointSource::Discovery(discovery), _, Some(target)) => {
+                self.discovery(target, *discovery);
+            }
+            (EndpointSource::Servers(_), EndpointSource::Servers(_), _) => {
+                send_list();
+                self.taken.push("farm".into());
+            }
+            _ => self.restart.push("farm"),
+        }
+    }
+
+    /// Applies the limits and quotas of admission; the queues keep their number.
+    fn admission(&mut self, cores: &[NamedCore], old: &mut DoorConfig, new: DoorConfig) {
+        self.fixed("admission.queues", old.limits.queues == new.limits.queues);
+        self.fixed("admission.hand", old.limits.choices == new.limits.choices);
+        let applied = DoorConfig {
+            limits: Limits {
+                queues: old.limits.queues,
+                choices: old.limits.choices,
+                ..new.limits
+            },
+            ..new
+        };
+        if *old == applied {
+            return;
+        }
+        *old = applied.clone();
+        for (_, core) in cores {
+            core.send(CoreInput::AdmissionConfigured(applied.clone()));
+        }
+        self.taken.push("admission".into());
+    }
+
     /// Applies the addresses of peers, the uplink mode and the serial number.
     fn fleet(
         &mut self,
-        way: Option<&Way>,
+        handle: Option<&FleetHandle>,
         old: &mut Option<FleetConfig>,
         new: Option<FleetConfig>,
     ) {
-        let (Some(way), Some(old), Some(new)) = (way, old.as_mut(), new.as_ref()) else {
+        let (Some(handle), Some(old), Some(new)) = (handle, old.as_mut(), new.as_ref()) else {
             return self.fixed("fleet", old.is_none() && new.is_none());
         };
         let mut taken = Vec::new();
@@ -252,7 +273,7 @@
             taken.extend((!same).then(|| name.to_owned()));
         }
         if !taken.is_empty() {
-            way.reconfigure(new.clone());
+            handle.reconfigure(new.clone());
             self.taken.append(&mut taken);
         }
         old.peers.clone_from(&new.peers);
@@ -260,30 +281,7 @@
         self.fixed("memory", old.memory == new.memory);
         self.fixed("edge", old.edge == new.edge);
         self.fixed("affinity", old.affinity == new.affinity);
-        let of_its_own = |fleet: &FleetConfig| {
-            let FleetConfig {
-                name,
-                site,
-                listen,
-                advertise,
-                key_file,
-                previous_key_file,
-                ..
-            } = fleet.clone();
-            let FleetConfig {
-                size,
-                site_size,
-                other_sites,
-                clients_per_server_s,
-                clients,
-                ..
-            } = fleet.clone();
-            (
-                (name, site, listen, advertise, key_file, previous_key_file),
-                (size, site_size, other_sites, clients_per_server_s, clients),
-            )
-        };
-        self.fixed("fleet", of_its_own(old) == of_its_own(new));
+        self.fixed("fleet", is_same_section(old, new));
     }
 
     fn fixed(&mut self, name: &'static str, same: bool) {
@@ -292,3 +290,15 @@
         }
     }
 }
+
+/// Whether the section `[fleet]` is the same, apart from the peers' addresses.
+fn is_same_section(old: &FleetConfig, new: &FleetConfig) -> bool {
+    let only_section = |config: &FleetConfig| FleetConfig {
+        peers: Vec::new(),
+        memory: None,
+        edge: EdgeConfig::default(),
+        affinity: AffinityConfig::default(),
+        ..config.clone()
+    };
+    only_section(old) == only_section(new)
+}
--- /dev/null
+++ b/crates/balancer/src/serve/threads.rs
@@ -0,0 +1,117 @@
+//! Threads of a front: its core, its watch on discovery, its connections and its acceptor.
+
+use std::sync::Arc;
+use std::thread::{Builder, JoinHandle};
+use std::time::Duration;
+
+use tracing::{info, warn};
+
+use crate::connections;
+use crate::connections::descriptors::Descriptors;
+use crate::core::lifecycle::LifecycleCommand;
+use crate::core::{self, CoreConfig, CoreHandle, CoreInput};
+use crate::discovery::{DiscoveryEvent, Watcher};
+use crate::front::Front;
+use crate::handover::HandoverAddress;
+use crate::net::Listener;
+
+/// Time to wait for the agent's first list, which arrives at once unless discovery is down.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Starts a core and its watch. Where lists are pushed, waits for the agent's first list, which
+/// counts as known from the start.
+pub(super) fn start_core(
+    config: CoreConfig,
+    watcher: Option<Watcher>,
+) -> Result<(CoreHandle, JoinHandle<()>), String> {
+    let is_pushed = config.site.is_pushed();
+    let (core, thread) = core::start(config).map_err(|error| format!("settings: {error}"))?;
+    let Some(watcher) = watcher else {
+        return Ok((core, thread));
+    };
+    let watcher = if is_pushed {
+        watcher.for_agent()
+    } else {
+        watcher
+    };
+    let (list_sender, first_list) = crossbeam_channel::bounded(1);
+    let event_core = core.clone();
+    spawn("discovery", move || {
+        watcher.run(|event| {
+            let is_list = matches!(event, DiscoveryEvent::List(_));
+            event_core.send_discovery(event);
+            if is_list {
+                // Only the first one is waited for.
+                let _ = list_sender.try_send(());
+            }
+        });
+    })?;
+    if is_pushed && first_list.recv_timeout(FIRST_LIST_TIMEOUT).is_err() {
+        info!(
+            part = "discovery",
+            "nothing new is told; the known list serves"
+        );
+    }
+    Ok((core, thread))
+}
+
+/// Starts the connections' thread, the receiver of handed-over connections and the acceptor.
+pub(super) fn start_front<F: Front>(
+    front: Arc<F>,
+    (listener, handover_address): (Listener, Option<HandoverAddress>),
+    descriptors: Descriptors,
+    core: &CoreHandle,
+) -> Result<(), String> {
+    let core = core.clone();
+    let connections = connections::event_loop::serve(&front, &core, handover_address.clone())
+        .map_err(|error| format!("transactions: {error}"))?;
+    if let Some(handover_address) = handover_address {
+        let (core, connections) = (core.clone(), connections.clone());
+        // The sender has closed its sockets; the connection is taken over whatever the limit.
+        let received = handover_address.receive(move |transferred| {
+            if let Some(slot) = core.reserve_connection(usize::MAX) {
+                connections.take_over(transferred, slot);
+            }
+        });
+        if let Err(error) = received {
+            warn!(part = "handover", why = %error, "nothing is taken over; a process that leaves moves its clients");
+        }
+    }
+    spawn("acceptor", move || {
+        // The process must not be ready without an acceptor.
+        let _listening = ListeningGuard::start(&core);
+        connections::acceptor::listen(&front, &listener, (&core, &descriptors), &connections);
+    })
+}
+
+/// Starts a thread.
+pub(super) fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), String> {
+    Builder::new()
+        .name(name.to_owned())
+        .spawn(run)
+        .map(drop)
+        .map_err(|error| format!("thread {name}: {error}"))
+}
+
+/// Tells the core that the listener is served, while this lives.
+struct ListeningGuard(CoreHandle);
+
+impl ListeningGuard {
+    fn start(core: &CoreHandle) -> ListeningGuard {
+        set_listening(core, true);
+        ListeningGuard(core.clone())
+    }
+}
+
+impl Drop for ListeningGuard {
+    fn drop(&mut self) {
+        set_listening(&self.0, false);
+    }
+}
+
+fn set_listening(core: &CoreHandle, is_listening: bool) {
+    core.send(CoreInput::LifecycleCommanded {
+        command: LifecycleCommand::SetListening(is_listening),
+        reply: None,
+    });
+}
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -93,7 +93,7 @@
     server.say("k\r\nLOAD 12.5\r\n");
     client.hears("k");
     client.hears("LOAD 12.5");
-    let noted = |lines: &[String]| lines.iter().filter(|line| line.contains("Delay(")).count();
+    let noted = |lines: &[String]| lines.iter().filter(|line| line.contains("MessageLatency(")).count();
     assert_eq!(
         noted(&site.program.says_up_to("Load(12.5)")),
         0,
@@ -108,7 +108,7 @@
     server.say("D 13.5\r\nok\r\n");
     client.hears("D 13.5");
     client.hears("ok");
-    site.program.says("Delay(");
+    site.program.says("MessageLatency(");
     // The same in one piece or in two.
     for pieces in [&["ok\r\n"][..], &["o", "k\r\n"]] {
         client.say("M 2\r\n");
@@ -118,6 +118,6 @@
             server.say(piece);
             client.bytes(piece.len());
         }
-        site.program.says("Delay(");
+        site.program.says("MessageLatency(");
     }
 }
--- a/crates/recovery/src/scope.rs
+++ b/crates/recovery/src/scope.rs
@@ -42,28 +42,29 @@
 
 impl ScopeEvidence {
     /// Records a peer's report; returns whether the peer has restarted.
-    pub(crate) fn record_peer(&mut self, now: Nanos, own_site: &str, word: &PeerStatus) -> bool {
-        let before = self.peers.get(&word.name);
-        if before.is_some_and(|before| word.incarnation < before.incarnation) {
+    pub(crate) fn record_peer(&mut self, now: Nanos, own_site: &str, status: &PeerStatus) -> bool {
+        let before = self.peers.get(&status.name);
+        if before.is_some_and(|before| status.incarnation < before.incarnation) {
             // A late report of a former incarnation.
             return false;
         }
-        let is_new_boot = before.is_some_and(|before| word.incarnation > before.incarnation);
-        let has_restarted = is_new_boot || before.is_some_and(|before| before.has_restarted);
-        let is_own_site = word.site == own_site;
-        let heard = PeerReport {
-            incarnation: word.incarnation,
-            uptime: word.uptime,
+        let is_new_incarnation =
+            before.is_some_and(|before| status.incarnation > before.incarnation);
+        let has_restarted = is_new_incarnation || before.is_some_and(|before| before.has_restarted);
+        let is_own_site = status.site == own_site;
+        let report = PeerReport {
+            incarnation: status.incarnation,
+            uptime: status.uptime,
             received_at: now,
             is_own_site,
             has_restarted,
         };
-        self.peers.insert(word.name.clone(), heard);
-        is_new_boot
+        self.peers.insert(status.name.clone(), report);
+        is_new_incarnation
     }
 
-    pub(crate) fn record_silence(&mut self, whom: EvidenceSource) {
-        match whom {
+    pub(crate) fn record_silence(&mut self, source: EvidenceSource) {
+        match source {
             EvidenceSource::SitePeers => self.silent[0] = true,
             EvidenceSource::OtherSites => self.silent[1] = true,
             EvidenceSource::Discovery | EvidenceSource::Store => {}
@@ -95,110 +96,134 @@
         })
     }
 
-    /// Assesses the evidence. `cold` is the fraction of the servers in slow start.
+    /// Assesses the evidence. `warming` is the fraction of the servers in slow start.
     pub(crate) fn assess(
         &self,
         now: Nanos,
         up_for: Nanos,
         config: &RecoveryConfig,
-        cold: Option<f64>,
+        warming: Option<f64>,
     ) -> ScopeFinding {
-        // Scores for the process alone, the site and the fleet.
-        let mut score = [0.0, 0.0, 0.0];
-        let mut evidence = Vec::new();
-        let mut add = |times: usize, weights: [f64; 3], what: String| {
-            if times > 0 {
-                let times = times.min(MAX_PEERS_COUNTED) as f64;
-                score
-                    .iter_mut()
-                    .zip(weights)
-                    .for_each(|(sum, weight)| *sum += times * weight);
-                evidence.push(what);
-            }
-        };
+        let mut scores = ScopeScores::default();
+        self.score_peers(now, up_for, &mut scores);
+        self.score_silence(config, &mut scores);
+        if let Some(warming) = warming {
+            score_servers(warming, &mut scores);
+        }
+        scores.finding(!config.other_sites.is_empty())
+    }
+
+    fn score_peers(&self, now: Nanos, up_for: Nanos, scores: &mut ScopeScores) {
         let (ran_on, together) = self.count_peers(now, up_for, true);
-        add(
+        scores.add(
             ran_on,
             [3.0, -3.0, -3.0],
             format!("{ran_on} of the site ran on"),
         );
-        add(
+        scores.add(
             together,
             [-2.0, 1.0, 1.0],
             format!("{together} of the site started together with this one"),
         );
         let (ran_on, together) = self.count_peers(now, up_for, false);
-        add(
+        scores.add(
             ran_on,
             [0.5, 1.5, -3.0],
             format!("{ran_on} of other sites ran on"),
         );
-        add(
+        scores.add(
             together,
             [-2.0, -2.0, 2.0],
             format!("{together} of other sites started together with this one"),
         );
+    }
+
+    fn score_silence(&self, config: &RecoveryConfig, scores: &mut ScopeScores) {
         let [site, others] = self.silent;
         let silent_site = site && config.site_peers > 0 && self.site_peers() == 0;
-        add(
+        scores.add(
             usize::from(silent_site),
             [-1.0, 0.5, 0.5],
             "nobody of the site answers".into(),
         );
         let silent_others =
             others && !config.other_sites.is_empty() && self.site_peers() == self.peers.len();
-        add(
+        scores.add(
             usize::from(silent_others),
             [0.0, 0.0, 0.5],
             "nobody of other sites answers".into(),
         );
-        if let Some(cold) = cold {
-            let percent = (cold * 100.0).round();
-            add(
-                usize::from(cold >= MOSTLY_WARMING_FRACTION),
-                [-2.0, 0.5, 2.0],
-                format!("{percent}% of the farm is cold"),
-            );
-            add(
-                usize::from(cold <= MOSTLY_WARM_FRACTION),
-                [1.5, 0.5, -1.5],
-                format!("{percent}% of the farm is cold"),
-            );
+    }
+}
+
+fn score_servers(warming: f64, scores: &mut ScopeScores) {
+    let percent = (warming * 100.0).round();
+    scores.add(
+        usize::from(warming >= MOSTLY_WARMING_FRACTION),
+        [-2.0, 0.5, 2.0],
+        format!("{percent}% of the farm is cold"),
+    );
+    scores.add(
+        usize::from(warming <= MOSTLY_WARM_FRACTION),
+        [1.5, 0.5, -1.5],
+        format!("{percent}% of the farm is cold"),
+    );
+}
+
+/// Log odds of an outage of the process alone, the site and the fleet, and the evidence for them.
+#[derive(Default)]
+struct ScopeScores {
+    log_odds: [f64; 3],
+    evidence: Vec<String>,
+}
+
+impl ScopeScores {
+    /// Adds evidence that was seen `times` times.
+    fn add(&mut self, times: usize, weights: [f64; 3], text: String) {
+        if times == 0 {
+            return;
+        }
+        let times = times.min(MAX_PEERS_COUNTED) as f64;
+        for (sum, weight) in self.log_odds.iter_mut().zip(weights) {
+            *sum += times * weight;
         }
-        if evidence.is_empty() {
+        self.evidence.push(text);
+    }
+
+    fn finding(self, has_sites: bool) -> ScopeFinding {
+        if self.evidence.is_empty() {
             return ScopeFinding {
                 scope: OutageScope::Unknown,
                 likelihood: 1.0 / 3.0,
-                evidence,
+                evidence: self.evidence,
             };
         }
-        let has_sites = !config.other_sites.is_empty();
-        let kinds = [
+        let scopes = [
             (OutageScope::Process, true),
             (OutageScope::Site, has_sites),
             (OutageScope::Fleet, true),
         ];
         let weight = |at: usize| {
-            if kinds[at].1 {
-                f64::exp(score[at])
+            if scopes[at].1 {
+                f64::exp(self.log_odds[at])
             } else {
                 0.0
             }
         };
-        let all: f64 = (0..3).map(weight).sum();
+        let sum: f64 = (0..3).map(weight).sum();
         let best = (0..3)
             .max_by(|one, other| weight(*one).total_cmp(&weight(*other)))
             .unwrap_or(2);
-        let likelihood = weight(best) / all;
+        let likelihood = weight(best) / sum;
         let scope = if likelihood >= MIN_LIKELIHOOD {
-            kinds[best].0
+            scopes[best].0
         } else {
             OutageScope::Unknown
         };
         ScopeFinding {
             scope,
             likelihood,
-            evidence,
+            evidence: self.evidence,
         }
     }
 }
