--- a/crates/affinity/src/advice.rs
+++ b/crates/affinity/src/advice.rs
@@ -105,9 +105,14 @@
 
 impl Memory {
     /// Where a client is to go; nothing is the rotation's turn.
-    pub fn place(&self, client: &Client, farm: &dyn EndpointView, now: Millis) -> Option<Advice> {
-        let Some((entry, listed, holds)) = self.find_listed(client, farm, now) else {
-            return self.home(client, None, Why::GroupHome, farm);
+    pub fn place(
+        &self,
+        client: &Client,
+        endpoints: &dyn EndpointView,
+        now: Millis,
+    ) -> Option<Advice> {
+        let Some((entry, listed, holds)) = self.find_listed(client, endpoints, now) else {
+            return self.home(client, None, Why::GroupHome, endpoints);
         };
         let had = self
             .names
@@ -119,7 +124,7 @@
                 why: Why::SameServer,
                 under: self.version_of(entry),
             }),
-            _ => self.home(client, Some(had), Why::ReDealt, farm),
+            _ => self.home(client, Some(had), Why::ReDealt, endpoints),
         }
     }
 
@@ -128,17 +133,17 @@
     pub fn validity(
         &self,
         client: &Client,
-        farm: &dyn EndpointView,
+        endpoints: &dyn EndpointView,
         now: Millis,
     ) -> Option<PlacementValidity> {
-        self.find_listed(client, farm, now)
+        self.find_listed(client, endpoints, now)
             .map(|(_, _, holds)| holds)
     }
 
     fn find_listed(
         &self,
         client: &Client,
-        farm: &dyn EndpointView,
+        endpoints: &dyn EndpointView,
         now: Millis,
     ) -> Option<(&Entry, Option<Tag>, PlacementValidity)> {
         let entry = &self.entries[self.find(client.key)? as usize];
@@ -149,10 +154,10 @@
             self.names
                 .get(self.group_counts.life(entry.group_count()))
                 .tag,
-            farm,
+            endpoints,
         );
         let holds = match listed {
-            Some((tag, server)) => self.assess(entry, client, tag, server, farm, now),
+            Some((tag, server)) => self.assess(entry, client, tag, server, endpoints, now),
             None => PlacementValidity::NotListed,
         };
         Some((entry, listed.map(|(tag, _)| tag), holds))
@@ -160,11 +165,11 @@
 
     /// A server in the list, under its name or one that it had. Guards against a process that has yet to hear of a new
     /// name.
-    fn listed(&self, tag: Tag, farm: &dyn EndpointView) -> Option<(Tag, ServerNow)> {
+    fn listed(&self, tag: Tag, endpoints: &dyn EndpointView) -> Option<(Tag, ServerNow)> {
         let names = std::iter::once(tag).chain(self.names.before(tag));
         names
             .into_iter()
-            .find_map(|name| Some((name, farm.server(name)?)))
+            .find_map(|name| Some((name, endpoints.server(name)?)))
     }
 
     fn assess(
@@ -173,7 +178,7 @@
         client: &Client,
         tag: Tag,
         server: ServerNow,
-        farm: &dyn EndpointView,
+        endpoints: &dyn EndpointView,
         now: Millis,
     ) -> PlacementValidity {
         let dealt = Stamp(entry.stamp).at();
@@ -202,7 +207,7 @@
         }
         // What a newer version dealt is not for the older one's rules. Guards against a client that two versions send
         // to and fro.
-        if !self.is_beyond(self.version_of(entry), dealt, now) && !farm.permits(client, tag) {
+        if !self.is_beyond(self.version_of(entry), dealt, now) && !endpoints.permits(client, tag) {
             return PlacementValidity::NotPermitted;
         }
         PlacementValidity::Yes
@@ -214,17 +219,17 @@
         client: &Client,
         not: Option<Tag>,
         why: Why,
-        farm: &dyn EndpointView,
+        endpoints: &dyn EndpointView,
     ) -> Option<Advice> {
         let group = client.group?.0;
         let has_room = |(_, count): &(u16, u32)| *count < self.limits.home_most;
         let fit = |(life, count): (u16, u32)| {
             let life = self.names.get(life);
             let (tag, server) = self
-                .listed(life.tag, farm)
+                .listed(life.tag, endpoints)
                 .filter(|_| !life.is_over && Some(life.tag) != not)?;
             let is_fit =
-                server.is_ready && server.started_at <= life.from && farm.permits(client, tag);
+                server.is_ready && server.started_at <= life.from && endpoints.permits(client, tag);
             is_fit.then_some((count, mix(group ^ mix(life.tag.0)), tag))
         };
         let (_, _, server) = self
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -209,16 +209,16 @@
     /// # Errors
     ///
     /// Returns how far the attempt had come.
-    pub fn write_request(&mut self, parts: &[&[u8]]) -> Result<(), AttemptError> {
+    pub fn write_request(&mut self, buffers: &[&[u8]]) -> Result<(), AttemptError> {
         self.client.read_early().map_err(AttemptError::ClientLeft)?;
         if self.client.is_abandoned() || Instant::now() >= self.timing.begin_by {
             return Err(AttemptError::NotSent);
         }
         let begun = {
             let _leave = self.endpoint.begin_write().ok_or(AttemptError::NotSent)?;
-            net::write_gathered(&self.server, parts)
+            net::write_gathered(&self.server, buffers)
         };
-        self.finish_write(begun, parts)
+        self.finish_write(begun, buffers)
             .map_err(AttemptError::partly_written)
     }
 
@@ -227,19 +227,19 @@
     /// # Errors
     ///
     /// Returns the number of bytes written.
-    pub fn write(&self, parts: &[&[u8]]) -> Result<(), (usize, io::Error)> {
-        self.finish_write(net::write_gathered(&self.server, parts), parts)
+    pub fn write(&self, buffers: &[&[u8]]) -> Result<(), (usize, io::Error)> {
+        self.finish_write(net::write_gathered(&self.server, buffers), buffers)
     }
 
     /// Finishes a write that would block.
     fn finish_write(
         &self,
         begun: Result<(), (usize, io::Error)>,
-        parts: &[&[u8]],
+        buffers: &[&[u8]],
     ) -> Result<(), (usize, io::Error)> {
         match begun {
             Err((written, error)) if net::is_would_block(&error) => {
-                let whole = parts.concat();
+                let whole = buffers.concat();
                 net::write_until(&self.server, &[&whole[written..]], self.timing.deadline_at)
                     .map_err(|(more, error)| (written + more, error))
             }
--- a/crates/balancer/src/connections/acceptor.rs
+++ b/crates/balancer/src/connections/acceptor.rs
@@ -2,27 +2,28 @@
 //!
 //! One thread serves both, so that an idle or invalid client costs one descriptor and no thread.
 
+mod admission;
+mod handshake;
+
 use std::collections::VecDeque;
 use std::net::{TcpListener, TcpStream};
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::bounded;
 
 use crate::connections::descriptors::{DescriptorBudget, Descriptors};
-use crate::connections::event_loop::{AdmittedClient, ConnectionsHandle};
+use crate::connections::event_loop::ConnectionsHandle;
 use crate::connections::lingering::LingeringClose;
 use crate::connections::relay::ClientConnection;
+use crate::core::CoreHandle;
 use crate::core::lifecycle::LifecycleState;
-use crate::core::{ConnectionSlot, CoreHandle};
-use crate::front::{ClientMessage, Front, HandshakeError, HandshakeLine, Rejection};
+use crate::front::{ClientMessage, Front, HandshakeError, Rejection};
 use crate::log::RateLimitedLog;
-use crate::net::{self, Listener, ReadBuffer, ReadError, WriteBuffer};
+use crate::net::{self, Listener, ReadBuffer, WriteBuffer};
+use admission::{CompletedHandshake, admit};
+use handshake::{Handshake, HandshakeOutcome, MIN_HANDSHAKE_TIME, read_handshake_guarded};
 
-/// A client is not evicted for a new one before this time. Clients that arrive together would
-/// otherwise evict one another.
-const MIN_HANDSHAKE_TIME: Duration = Duration::from_millis(100);
 /// Interval of lifecycle checks while handshakes are pending.
 const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The same during a shutdown.
@@ -31,23 +32,9 @@
 const ACCEPT_BATCH: usize = 32;
 /// Pause after a failed accept, which avoids a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// An idle client is closed this long after a drain began: new requests arrive for 0.4 s, and a
-/// shutdown takes at least 0.7 s.
-const IDLE_TIMEOUT_IN_DRAIN: Duration = Duration::from_millis(500);
 /// Time for which a rejected client is read on its admission thread.
 const REJECTED_LINGER: Duration = Duration::from_millis(200);
 
-/// A client with an incomplete handshake.
-struct Handshake {
-    client: TcpStream,
-    intake: ReadBuffer,
-    accepted_at: Instant,
-    /// Start of its timeout: the accept, its last readiness query, or the first byte after that.
-    timeout_from: Instant,
-    /// Whether it sent a readiness query.
-    has_asked: bool,
-}
-
 /// Accepts clients and reads their handshakes until the program ends.
 pub fn listen<F: Front>(
     front: &Arc<F>,
@@ -111,49 +98,6 @@
     drain_started_at: Option<Instant>,
 }
 
-impl Handshake {
-    fn new(client: TcpStream, longest: usize) -> Handshake {
-        let now = Instant::now();
-        Handshake {
-            client,
-            intake: ReadBuffer::new(longest),
-            accepted_at: now,
-            timeout_from: now,
-            has_asked: false,
-        }
-    }
-
-    /// Whether it has sent nothing since its last query.
-    fn is_idle(&self) -> bool {
-        self.has_asked && self.intake.bytes().is_empty()
-    }
-
-    /// Whether it has had its minimum time.
-    fn has_had_min_time(&self) -> bool {
-        self.accepted_at.elapsed() >= MIN_HANDSHAKE_TIME
-    }
-
-    /// When it is closed.
-    fn deadline_at(&self, front: &impl Front, drains_since: Option<Instant>) -> Instant {
-        if !self.intake.bytes().is_empty() {
-            return self.timeout_from + front.begun_handshake_timeout();
-        }
-        let until = self.timeout_from + front.handshake_timeout();
-        let drains = drains_since.filter(|_| self.has_asked);
-        drains.map_or(until, |since| {
-            until.min((since + IDLE_TIMEOUT_IN_DRAIN).max(self.accepted_at + MIN_HANDSHAKE_TIME))
-        })
-    }
-}
-
-/// The result of reading a handshake.
-enum HandshakeOutcome<R> {
-    Incomplete,
-    Closed,
-    Rejected(Rejection),
-    Complete(R),
-}
-
 impl<F: Front> Acceptor<'_, F> {
     /// Time until the next handshake expires or may be evicted, or accepting resumes.
     fn wait_timeout(&self, has_room: bool) -> Duration {
@@ -448,100 +392,3 @@
         self.reject(waiting.client, &answer);
     }
 }
-
-/// A completed handshake.
-struct CompletedHandshake<F: Front> {
-    client_connection: ClientConnection,
-    request: F::Request,
-    slot: ConnectionSlot,
-}
-
-/// Passes a client on to the connections, or returns it with its rejection.
-fn admit<F: Front>(
-    front: &F,
-    CompletedHandshake {
-        client_connection: client,
-        request,
-        slot,
-    }: CompletedHandshake<F>,
-    (transactions, rejections): (&ConnectionsHandle<F>, &RateLimitedLog),
-) -> Option<LingeringClose> {
-    match front.admit(request) {
-        Ok((request, server_handshake)) => {
-            transactions.admit(AdmittedClient {
-                client,
-                request,
-                server_handshake,
-                slot,
-            });
-            None
-        }
-        Err(Rejection { answer, why }) => {
-            rejections.warn(front.name(), "handshake rejected", &why);
-            Some(client.close_with(&answer))
-        }
-    }
-}
-
-/// A panic in reading one handshake must not end the acceptor.
-fn read_handshake_guarded<F: Front>(
-    front: &F,
-    waiting: &mut Handshake,
-    core: &CoreHandle,
-) -> HandshakeOutcome<F::Request> {
-    let became = catch_unwind(AssertUnwindSafe(|| read_handshake(front, waiting, core)));
-    became.unwrap_or_else(|_| {
-        HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong))
-    })
-}
-
-/// Reads once and parses what has arrived.
-fn read_handshake<F: Front>(
-    front: &F,
-    waiting: &mut Handshake,
-    core: &CoreHandle,
-) -> HandshakeOutcome<F::Request> {
-    let rested = waiting.is_idle();
-    let Handshake {
-        client,
-        intake,
-        timeout_from,
-        has_asked,
-        ..
-    } = waiting;
-    match intake.read(client, Instant::now()) {
-        Ok(()) => {}
-        Err(ReadError::TimedOut) => return HandshakeOutcome::Incomplete,
-        Err(ReadError::Ended | ReadError::Broken(_)) => return HandshakeOutcome::Closed,
-        Err(ReadError::TooLong) => {
-            return HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong));
-        }
-    }
-    if rested {
-        *timeout_from = Instant::now();
-    }
-    while let Some(line) = intake.next_line() {
-        let reply = match front.parse_handshake(&line, core.clock().now()) {
-            HandshakeLine::Reply(words) => words,
-            HandshakeLine::ReadinessQuery => {
-                front.readiness_answer(core.lifecycle().state(), core.lifecycle().is_ready())
-            }
-            HandshakeLine::Rejected(refusal) => return HandshakeOutcome::Rejected(refusal),
-            HandshakeLine::Connect(_) if intake.bytes().len() > front.max_early_bytes() => {
-                return HandshakeOutcome::Rejected(
-                    front.handshake_error(HandshakeError::ExtraBytes),
-                );
-            }
-            HandshakeLine::Connect(request) => return HandshakeOutcome::Complete(request),
-        };
-        *has_asked = true;
-        if net::write_gathered(client, &[reply]).is_err() {
-            return HandshakeOutcome::Closed;
-        }
-    }
-    if intake.is_full() {
-        HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong))
-    } else {
-        HandshakeOutcome::Incomplete
-    }
-}
--- /dev/null
+++ b/crates/balancer/src/connections/acceptor/admission.rs
@@ -0,0 +1,42 @@
+//! Admission of a client whose handshake is complete.
+
+use crate::connections::event_loop::{AdmittedClient, ConnectionsHandle};
+use crate::connections::lingering::LingeringClose;
+use crate::connections::relay::ClientConnection;
+use crate::core::ConnectionSlot;
+use crate::front::{Front, Rejection};
+use crate::log::RateLimitedLog;
+
+/// A completed handshake.
+pub(super) struct CompletedHandshake<F: Front> {
+    pub(super) client_connection: ClientConnection,
+    pub(super) request: F::Request,
+    pub(super) slot: ConnectionSlot,
+}
+
+/// Passes a client on to the connections, or returns it with its rejection.
+pub(super) fn admit<F: Front>(
+    front: &F,
+    CompletedHandshake {
+        client_connection: client,
+        request,
+        slot,
+    }: CompletedHandshake<F>,
+    (transactions, rejections): (&ConnectionsHandle<F>, &RateLimitedLog),
+) -> Option<LingeringClose> {
+    match front.admit(request) {
+        Ok((request, server_handshake)) => {
+            transactions.admit(AdmittedClient {
+                client,
+                request,
+                server_handshake,
+                slot,
+            });
+            None
+        }
+        Err(Rejection { answer, why }) => {
+            rejections.warn(front.name(), "handshake rejected", &why);
+            Some(client.close_with(&answer))
+        }
+    }
+}
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -2,22 +2,23 @@
 //!
 //! Nothing here blocks: the owner of a connection polls both sides and reports which one is ready.
 
+mod client;
+mod ending;
+mod migration;
+mod monitor;
+
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use beaconflow_policy::ConnectionMetric;
-
-use crate::attempt::{ConnectionEnd, WaitingClient};
-use crate::clock::nanos;
-use crate::connections::lingering::LingeringClose;
+use crate::attempt::ConnectionEnd;
 use crate::core::{CoreHandle, CoreInput};
-use crate::front::{FrameProgress, Framer, Front, Keepalive, MessageKind, ProtocolError};
-use crate::net::{self, ReadError, WriteBuffer};
+use crate::front::{FrameProgress, Framer, Front, MessageKind, ProtocolError};
+use crate::net::{self, WriteBuffer};
 use crate::poller::EventFlags;
+pub use client::ClientConnection;
+use monitor::{PendingRequest, ServerMonitor};
 
 /// A migration waits this long for the end of a message that has begun.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(700);
@@ -26,86 +27,6 @@
 /// Most unanswered messages of one connection; a client that sends more violates the protocol.
 const MAX_UNANSWERED: usize = 1024;
 
-/// A client's connection with its buffers.
-pub struct ClientConnection {
-    client: TcpStream,
-    framer: Box<dyn Framer>,
-    /// Early bytes, then the beginning of an incomplete message.
-    unforwarded: Vec<u8>,
-    /// Bytes that it has not taken yet.
-    outgoing: WriteBuffer,
-    max_early: usize,
-    probe: Option<Keepalive>,
-    /// Whether its final message has been written.
-    has_final_message: bool,
-    /// Set by the owner to abandon an attempt in flight.
-    is_abandoned: Arc<AtomicBool>,
-}
-
-impl WaitingClient for ClientConnection {
-    fn is_abandoned(&self) -> bool {
-        self.is_abandoned.load(Ordering::Relaxed)
-    }
-
-    fn stream(&self) -> &TcpStream {
-        &self.client
-    }
-
-    fn read_early(&mut self) -> Result<(), ReadError> {
-        let mut chunk = [0; READ_SIZE];
-        loop {
-            match (&self.client).read(&mut chunk) {
-                Ok(0) => return Err(ReadError::Ended),
-                Ok(count) if self.unforwarded.len() + count > self.max_early => {
-                    return Err(ReadError::TooLong);
-                }
-                Ok(count) => self.unforwarded.extend_from_slice(&chunk[..count]),
-                Err(error) if net::is_would_block(&error) => return Ok(()),
-                Err(error) => return Err(ReadError::Broken(error)),
-            }
-        }
-    }
-}
-
-struct PendingRequest {
-    asked_at: Instant,
-    /// Whether the balancer sent it as a keepalive.
-    is_keepalive: bool,
-}
-
-impl ClientConnection {
-    /// Creates a connection whose handshake is complete; `early` are the bytes after it.
-    pub fn new<F: Front>(front: &F, client: TcpStream, early: Vec<u8>) -> ClientConnection {
-        let (framer, max_early, probe) = (
-            front.client_framer(),
-            front.max_early_bytes(),
-            front.keepalive(),
-        );
-        let outgoing = WriteBuffer::default();
-        let is_abandoned = Arc::default();
-        ClientConnection {
-            client,
-            framer,
-            unforwarded: early,
-            outgoing,
-            max_early,
-            probe,
-            has_final_message: false,
-            is_abandoned,
-        }
-    }
-
-    /// The flag that abandons an attempt in flight.
-    pub fn abandon_flag(&self) -> Arc<AtomicBool> {
-        Arc::clone(&self.is_abandoned)
-    }
-
-    /// Writes the final message and begins the lingering close.
-    pub fn close_with(self, words: &[u8]) -> LingeringClose {
-        LingeringClose::start(self.client, self.outgoing, words)
-    }
-}
-
 /// An established connection.
 pub struct EstablishedConnection {
     client: ClientConnection,
@@ -126,23 +47,6 @@
     monitor: ServerMonitor,
 }
 
-/// What was observed of the server.
-struct ServerMonitor {
-    core: CoreHandle,
-    id: u64,
-    /// The unanswered messages, the oldest first.
-    pending: VecDeque<PendingRequest>,
-    was_slow: bool,
-    /// When the first byte of the present message arrived.
-    message_started_at: Instant,
-    /// When the present bytes arrived.
-    received_at: Instant,
-    /// The latest message.
-    last_message: Option<MessageKind>,
-    /// Since when and why the client is to migrate.
-    migration: Option<(Instant, ConnectionEnd)>,
-}
-
 /// A side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
@@ -193,14 +97,14 @@
     pub fn join(
         &mut self,
         (answer, ahead): (&[u8], &[u8]),
-        words: &[u8],
+        migration_message: &[u8],
     ) -> Result<(), ConnectionEnd> {
         self.write_to_client(&[answer]);
         self.relay_to_server(&[])?;
         self.monitor
             .core
             .send(CoreInput::AttemptEstablished(self.monitor.id));
-        self.relay_to_client(ahead, words)
+        self.relay_to_client(ahead, migration_message)
     }
 
     /// The client's and the server's socket.
@@ -230,7 +134,7 @@
     }
 
     /// Handles a side that is ready: writes what is outgoing and relays what was read.
-    pub fn on_ready(&mut self, side: Side, words: &[u8]) -> Result<(), ConnectionEnd> {
+    pub fn on_ready(&mut self, side: Side, migration_message: &[u8]) -> Result<(), ConnectionEnd> {
         self.flush(side);
         let mut chunk = [0; READ_SIZE];
         match side {
@@ -245,7 +149,7 @@
             Side::Server if self.client.outgoing.is_empty() => {
                 match (&self.server).read(&mut chunk) {
                     Ok(0) => return Err(self.server_end()),
-                    Ok(count) => self.relay_to_client(&chunk[..count], words)?,
+                    Ok(count) => self.relay_to_client(&chunk[..count], migration_message)?,
                     Err(error)
                         if net::is_would_block(&error) && self.server_write_error.is_none() => {}
                     Err(_) => {
@@ -255,7 +159,7 @@
             }
             Side::Client | Side::Server => {}
         }
-        self.continue_migration(words)
+        self.continue_migration(migration_message)
     }
 
     /// Writes what is outgoing to a side.
@@ -290,7 +194,7 @@
     }
 
     /// Handles timeouts.
-    pub fn on_tick(&mut self, words: &[u8]) -> Result<(), ConnectionEnd> {
+    pub fn on_tick(&mut self, migration_message: &[u8]) -> Result<(), ConnectionEnd> {
         self.send_keepalive();
         if self.client.outgoing.is_empty() && self.to_server.is_empty() {
             self.last_drained_at = Instant::now();
@@ -304,13 +208,13 @@
         }
         if self.monitor.oldest_pending_age() >= self.response_timeout {
             // An answer may lie unread because this process was suspended.
-            self.on_ready(Side::Server, words)?;
+            self.on_ready(Side::Server, migration_message)?;
             if self.monitor.oldest_pending_age() >= self.response_timeout {
-                self.write_migration(words);
+                self.write_migration(migration_message);
                 return Err(ConnectionEnd::ServerUnresponsive);
             }
         }
-        self.continue_migration(words)
+        self.continue_migration(migration_message)
     }
 
     /// Whether nothing of the connection is buffered here and both sides are between messages.
@@ -327,12 +231,6 @@
             && self.monitor.migration.is_none()
     }
 
-    /// Migrates the client, inside a message at its end.
-    pub fn migrate(&mut self, words: &[u8]) -> Result<(), ConnectionEnd> {
-        self.monitor.start_migration(ConnectionEnd::Migrated);
-        self.continue_migration(words)
-    }
-
     /// Relays what the client sent, up to the last complete message.
     fn relay_to_server(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         let client_connection = &mut self.client;
@@ -383,7 +281,11 @@
 
     /// Relays what the server sent, up to the last complete message. A pending migration is written
     /// at the last boundary.
-    fn relay_to_client(&mut self, bytes: &[u8], words: &[u8]) -> Result<(), ConnectionEnd> {
+    fn relay_to_client(
+        &mut self,
+        bytes: &[u8],
+        migration_message: &[u8],
+    ) -> Result<(), ConnectionEnd> {
         self.monitor.received_at = Instant::now();
         if self.unforwarded.is_empty() && self.framer.is_at_boundary() {
             self.monitor.message_started_at = self.monitor.received_at;
@@ -411,111 +313,12 @@
         }
         parts.push(&message[from..end]);
         if last.is_some() {
-            parts.push(words);
+            parts.push(migration_message);
             self.client.has_final_message = true;
         }
         self.write_to_client(&parts);
         Ok(())
     }
-
-    /// The end that the server's last message announced.
-    fn announced_end(&self) -> Option<ConnectionEnd> {
-        match self.monitor.last_message {
-            Some(MessageKind::Goodbye) => Some(ConnectionEnd::Served),
-            Some(MessageKind::Redirect) => Some(ConnectionEnd::Redirected),
-            _ => None,
-        }
-    }
-
-    fn server_end(&self) -> ConnectionEnd {
-        let plain = if was_reset(self.server_write_error) {
-            ConnectionEnd::ServerReset
-        } else {
-            ConnectionEnd::ServerClosed
-        };
-        self.announced_end().unwrap_or(plain)
-    }
-
-    fn client_end(&self) -> ConnectionEnd {
-        if was_reset(self.client_write_error) {
-            ConnectionEnd::ClientReset
-        } else {
-            ConnectionEnd::ClientClosed
-        }
-    }
-
-    /// Migrates a client if possible; the connection has then ended.
-    fn continue_migration(&mut self, words: &[u8]) -> Result<(), ConnectionEnd> {
-        let Some((since, why)) = self.monitor.migration else {
-            return Ok(());
-        };
-        if self.write_migration(words) {
-            return Err(why);
-        }
-        if since.elapsed() >= MIGRATION_TIMEOUT {
-            Err(ConnectionEnd::MigrationTimedOut)
-        } else {
-            Ok(())
-        }
-    }
-
-    /// Asks the client to migrate, but not inside a message. Returns whether it was asked.
-    fn write_migration(&mut self, words: &[u8]) -> bool {
-        if !self.client.has_final_message && self.framer.is_at_boundary() {
-            self.client.has_final_message = true;
-            self.write_to_client(&[words]);
-        }
-        self.client.has_final_message
-    }
-
-    /// Relays what the server still sends to a client that has half-closed. Fails once the
-    /// connection has ended.
-    pub fn relay_remaining(&mut self, side: Side, words: &[u8]) -> Result<(), ConnectionEnd> {
-        if self.client.has_final_message {
-            return Err(ConnectionEnd::Migrated);
-        }
-        match side {
-            // The client has half-closed; only outgoing bytes are left.
-            Side::Client => self.flush(Side::Client),
-            Side::Server => self.on_ready(Side::Server, words)?,
-        }
-        if self.client_write_error.is_some() {
-            Err(ConnectionEnd::ClientReset)
-        } else {
-            Ok(())
-        }
-    }
-
-    /// Closes both sides the way that the connection ended. Returns the client and the server to
-    /// linger, or `None` if both were reset.
-    pub fn close(mut self, end: ConnectionEnd) -> Option<(LingeringClose, LingeringClose)> {
-        match end {
-            ConnectionEnd::ClientReset => {
-                net::reset_on_close(&self.server);
-                net::reset_on_close(&self.client.client);
-                return None;
-            }
-            ConnectionEnd::ServerReset => {
-                net::reset_on_close(&self.client.client);
-                return None;
-            }
-            ConnectionEnd::ClientProtocolError(words)
-                if !self.client.has_final_message && self.framer.is_at_boundary() =>
-            {
-                self.write_to_client(&[words.as_bytes()]);
-            }
-            _ => {}
-        }
-        // What the server has not taken belongs to a client that closes or migrates.
-        let server = LingeringClose::start(self.server, WriteBuffer::default(), b"");
-        Some((self.client.close_with(b""), server))
-    }
-
-    /// Shuts down the write side to a server whose client has half-closed.
-    pub fn finish_server(&mut self) {
-        self.flush(Side::Server);
-        net::shutdown_write(&self.server);
-    }
 }
 
 /// Writes what can be written now. A side whose writes fail gets no more.
@@ -538,64 +341,3 @@
 fn was_reset(lost: Option<ErrorKind>) -> bool {
     lost.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
 }
-
-impl ServerMonitor {
-    /// Age of the oldest unanswered message.
-    fn oldest_pending_age(&self) -> Duration {
-        self.pending
-            .front()
-            .map_or(Duration::ZERO, |asked| asked.asked_at.elapsed())
-    }
-
-    /// Evaluates a server's message; returns whether it is relayed.
-    fn on_server_message(&mut self, seen: MessageKind) -> bool {
-        self.last_message = Some(seen);
-        // The next message begins with the same bytes.
-        let began = std::mem::replace(&mut self.message_started_at, self.received_at);
-        let answered = match seen {
-            MessageKind::AnswerToAll => {
-                let oldest = self.pending.pop_front();
-                self.pending.clear();
-                oldest
-            }
-            MessageKind::AnswerToOldest => self.pending.pop_front(),
-            MessageKind::Load(load) => {
-                self.core.send(CoreInput::ConnectionMeasured {
-                    id: self.id,
-                    metric: ConnectionMetric::Load(load),
-                });
-                return true;
-            }
-            MessageKind::ShutdownNotice => {
-                self.start_migration(ConnectionEnd::ServerLeaving);
-                return false;
-            }
-            MessageKind::BalancerOnly => return false,
-            MessageKind::Request | MessageKind::Goodbye | MessageKind::Redirect => return true,
-        };
-        let Some(PendingRequest {
-            asked_at,
-            is_keepalive,
-        }) = answered
-        else {
-            return true;
-        };
-        // Latency counts to the first byte of the answer, which may arrive in pieces.
-        let took = began.saturating_duration_since(asked_at);
-        let slow = took >= self.core.slow_message_threshold();
-        // Reported once more when messages are no longer slow, so that the core learns of it.
-        if slow || self.was_slow {
-            self.was_slow = slow;
-            self.core.send(CoreInput::ConnectionMeasured {
-                id: self.id,
-                metric: ConnectionMetric::MessageLatency(nanos(took)),
-            });
-        }
-        !is_keepalive
-    }
-
-    /// Records that the client is to migrate.
-    fn start_migration(&mut self, why: ConnectionEnd) {
-        self.migration.get_or_insert_with(|| (Instant::now(), why));
-    }
-}
--- /dev/null
+++ b/crates/balancer/src/connections/relay/migration.rs
@@ -0,0 +1,39 @@
+//! Migration of a client between two messages.
+
+use super::{EstablishedConnection, MIGRATION_TIMEOUT};
+use crate::attempt::ConnectionEnd;
+
+impl EstablishedConnection {
+    /// Migrates the client, inside a message at its end.
+    pub fn migrate(&mut self, migration_message: &[u8]) -> Result<(), ConnectionEnd> {
+        self.monitor.start_migration(ConnectionEnd::Migrated);
+        self.continue_migration(migration_message)
+    }
+
+    /// Migrates a client if possible; the connection has then ended.
+    pub(super) fn continue_migration(
+        &mut self,
+        migration_message: &[u8],
+    ) -> Result<(), ConnectionEnd> {
+        let Some((since, why)) = self.monitor.migration else {
+            return Ok(());
+        };
+        if self.write_migration(migration_message) {
+            return Err(why);
+        }
+        if since.elapsed() >= MIGRATION_TIMEOUT {
+            Err(ConnectionEnd::MigrationTimedOut)
+        } else {
+            Ok(())
+        }
+    }
+
+    /// Asks the client to migrate, but not inside a message. Returns whether it was asked.
+    pub(super) fn write_migration(&mut self, migration_message: &[u8]) -> bool {
+        if !self.client.has_final_message && self.framer.is_at_boundary() {
+            self.client.has_final_message = true;
+            self.write_to_client(&[migration_message]);
+        }
+        self.client.has_final_message
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/connections/relay/monitor.rs
@@ -0,0 +1,93 @@
+//! Observation of the server: unanswered messages, latencies and announced ends.
+
+use crate::attempt::ConnectionEnd;
+use crate::clock::nanos;
+use crate::core::{CoreHandle, CoreInput};
+use crate::front::MessageKind;
+use beaconflow_policy::ConnectionMetric;
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+
+pub(super) struct PendingRequest {
+    pub(super) asked_at: Instant,
+    /// Whether the balancer sent it as a keepalive.
+    pub(super) is_keepalive: bool,
+}
+
+/// What was observed of the server.
+pub(super) struct ServerMonitor {
+    pub(super) core: CoreHandle,
+    pub(super) id: u64,
+    /// The unanswered messages, the oldest first.
+    pub(super) pending: VecDeque<PendingRequest>,
+    pub(super) was_slow: bool,
+    /// When the first byte of the present message arrived.
+    pub(super) message_started_at: Instant,
+    /// When the present bytes arrived.
+    pub(super) received_at: Instant,
+    /// The latest message.
+    pub(super) last_message: Option<MessageKind>,
+    /// Since when and why the client is to migrate.
+    pub(super) migration: Option<(Instant, ConnectionEnd)>,
+}
+
+impl ServerMonitor {
+    /// Age of the oldest unanswered message.
+    pub(super) fn oldest_pending_age(&self) -> Duration {
+        self.pending
+            .front()
+            .map_or(Duration::ZERO, |asked| asked.asked_at.elapsed())
+    }
+
+    /// Evaluates a server's message; returns whether it is relayed.
+    pub(super) fn on_server_message(&mut self, seen: MessageKind) -> bool {
+        self.last_message = Some(seen);
+        // The next message begins with the same bytes.
+        let began = std::mem::replace(&mut self.message_started_at, self.received_at);
+        let answered = match seen {
+            MessageKind::AnswerToAll => {
+                let oldest = self.pending.pop_front();
+                self.pending.clear();
+                oldest
+            }
+            MessageKind::AnswerToOldest => self.pending.pop_front(),
+            MessageKind::Load(load) => {
+                self.core.send(CoreInput::ConnectionMeasured {
+                    id: self.id,
+                    metric: ConnectionMetric::Load(load),
+                });
+                return true;
+            }
+            MessageKind::ShutdownNotice => {
+                self.start_migration(ConnectionEnd::ServerLeaving);
+                return false;
+            }
+            MessageKind::BalancerOnly => return false,
+            MessageKind::Request | MessageKind::Goodbye | MessageKind::Redirect => return true,
+        };
+        let Some(PendingRequest {
+            asked_at,
+            is_keepalive,
+        }) = answered
+        else {
+            return true;
+        };
+        // Latency counts to the first byte of the answer, which may arrive in pieces.
+        let took = began.saturating_duration_since(asked_at);
+        let slow = took >= self.core.slow_message_threshold();
+        // Reported once more when messages are no longer slow, so that the core learns of it.
+        if slow || self.was_slow {
+            self.was_slow = slow;
+            self.core.send(CoreInput::ConnectionMeasured {
+                id: self.id,
+                metric: ConnectionMetric::MessageLatency(nanos(took)),
+            });
+        }
+        !is_keepalive
+    }
+
+    /// Records that the client is to migrate.
+    pub(super) fn start_migration(&mut self, why: ConnectionEnd) {
+        self.migration.get_or_insert_with(|| (Instant::now(), why));
+    }
+}
--- a/crates/balancer/src/core/drain.rs
+++ b/crates/balancer/src/core/drain.rs
@@ -74,10 +74,10 @@
     /// Applies a lifecycle command.
     pub(super) fn on_lifecycle_command(
         &mut self,
-        word: LifecycleCommand,
+        command: LifecycleCommand,
     ) -> Result<LifecycleState, CommandRefused> {
         let before = self.lifecycle.state();
-        let after = self.lifecycle.apply(word)?;
+        let after = self.lifecycle.apply(command)?;
         if after == before {
             return Ok(after);
         }
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -61,12 +61,12 @@
 
 impl CoreHandle {
     /// Registers a client's request; returns its id.
-    pub fn open(&self, client_request: ClientRequest, orders: Arc<dyn CommandSender>) -> u64 {
+    pub fn open(&self, client_request: ClientRequest, commands: Arc<dyn CommandSender>) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         self.send(CoreInput::ConnectRequested {
             id,
             client_request,
-            commands: orders,
+            commands,
         });
         id
     }
@@ -76,14 +76,14 @@
         &self,
         client_request: ClientRequest,
         server: Arc<str>,
-        orders: Arc<dyn CommandSender>,
+        commands: Arc<dyn CommandSender>,
     ) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         self.send(CoreInput::ConnectionAdopted {
             id,
             client_request,
             server_name: server,
-            commands: orders,
+            commands,
         });
         id
     }
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -7,6 +7,7 @@
 mod affinity;
 mod attempts;
 mod connect;
+mod counts;
 mod decisions;
 mod drain;
 mod effective_entry;
@@ -42,6 +43,7 @@
 use admission::AdmissionControl;
 pub use admission::{AccountSnapshot, AdmissionConfig as DoorConfig, AdmissionSnapshot};
 pub use affinity::{AffinityEvent, SessionAffinity};
+pub use counts::Counts;
 use drain::Drain;
 pub use effective_entry::SiteAssessment;
 pub use endpoint::{DrainState, Endpoint};
@@ -57,7 +59,6 @@
     LifecycleReply, LoadProber, ProbeAnswer,
 };
 pub use overrides::{OverrideChange, OverridesApplied};
-pub use requests::Counts;
 use requests::RequestTable;
 pub use settings::SharedTimeouts;
 pub use start::{CoreConfig, StartError, start};
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -294,17 +294,17 @@
         &mut self,
         client: &Agent,
         discovery: SocketAddr,
-        hearing: &WatchActivity,
+        activity: &WatchActivity,
         tell: &impl Fn(DiscoveryEvent),
     ) -> io::Result<()> {
         let from = self.generation;
         let body = ask(client, discovery, from)?;
         info!(part = "discovery", %discovery, from, "watch open");
-        let lists = reading::bounded_lists(body.into_reader(), hearing);
+        let lists = reading::bounded_lists(body.into_reader(), activity);
         // Lists may be indented over many lines, and a chunk may end anywhere.
         for list in serde_json::Deserializer::from_reader(lists).into_iter::<ServerList>() {
             let list = list?;
-            hearing.list_ended();
+            activity.list_ended();
             if !list.reset && list.generation < self.generation {
                 // A late delta would bring back removed servers. A snapshot is always applied,
                 // since discovery may count anew.
--- a/crates/balancer/src/discovery/reading.rs
+++ b/crates/balancer/src/discovery/reading.rs
@@ -52,7 +52,7 @@
 pub(super) fn bounded_lists<R: Read>(body: R, activity: &WatchActivity) -> impl Read {
     let bounded = BoundedReader {
         inner: body,
-        hearing: activity,
+        activity,
         has_failed: false,
     };
     ListStartReader {
@@ -67,20 +67,20 @@
 /// open object and wait again.
 struct BoundedReader<'a, R> {
     inner: R,
-    hearing: &'a WatchActivity,
+    activity: &'a WatchActivity,
     has_failed: bool,
 }
 
 impl<R: Read> BoundedReader<'_, R> {
     fn read_bounded(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let count = self.inner.read(into)?;
-        let (hearing, now) = (self.hearing, Instant::now());
-        hearing.received_at.set(now);
-        hearing.bytes.set(hearing.bytes.get() + count as u64);
-        if hearing.bytes.get() > MAX_LIST_BYTES {
+        let (activity, now) = (self.activity, Instant::now());
+        activity.received_at.set(now);
+        activity.bytes.set(activity.bytes.get() + count as u64);
+        if activity.bytes.get() > MAX_LIST_BYTES {
             return Err(io::Error::other("a list without an end"));
         }
-        if hearing
+        if activity
             .list_started_at
             .get()
             .is_some_and(|since| now - since > MAX_LIST_SPAN)
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -60,10 +60,10 @@
         &mut self,
         kind: u32,
         (key, bytes): (&[u8], &[u8]),
-        witnessed: Millis,
+        observed_at: Millis,
         gathered: &mut ChangeSummary,
     ) {
-        let age = self.now_ms().saturating_sub(witnessed);
+        let age = self.now_ms().saturating_sub(observed_at);
         match kind {
             shared_gossip::PLACEMENT_FACT => gathered
                 .placements
@@ -82,7 +82,7 @@
                 }
             }
             shared_gossip::SERVER_EVIDENCE_FACT => {
-                if let Some(one) = messages::decode_server_evidence(bytes, witnessed) {
+                if let Some(one) = messages::decode_server_evidence(bytes, observed_at) {
                     self.site_evidence.record_peer(one);
                 }
             }
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -88,21 +88,21 @@
     pub(super) fn assess(
         &mut self,
         now: Millis,
-        farm: &BTreeMap<String, ListedServer>,
+        endpoints: &BTreeMap<String, ListedServer>,
         (apart, unproven): (bool, Option<&str>),
-        cold_ms: Millis,
+        slow_start_ms: Millis,
     ) -> Option<BTreeMap<String, SiteAssessment>> {
         if !apart && self.published.is_empty() && self.retained_drains.is_empty() {
             return None;
         }
         self.judgements
             .prune(now.saturating_sub(EVIDENCE_RETENTION_MS));
-        let serving = farm
+        let serving = endpoints
             .values()
             .filter(|one| one.lifecycle == ServerLifecycle::Serving);
         let known: Vec<Known> = serving.map(known).collect();
         let mut parts = BTreeMap::new();
-        for (server, standing) in standings(&known, &self.judgements, now, cold_ms) {
+        for (server, standing) in standings(&known, &self.judgements, now, slow_start_ms) {
             let drains =
                 self.retained_drains.contains(&server) && self.retained_drains.len() < known.len();
             if !apart && !drains && !self.published.contains_key(&server) {
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -227,9 +227,9 @@
     pub(super) fn apply_operator_mode(
         &mut self,
         now: Millis,
-        word: EdgeMode,
+        mode: EdgeMode,
     ) -> Vec<UplinkCommand> {
-        let force = match word {
+        let force = match mode {
             EdgeMode::Automatic => Force::Automatic,
             EdgeMode::Isolated => Force::Island,
             EdgeMode::Linked => Force::Linked,
--- a/crates/balancer/src/front/nats/tenants.rs
+++ b/crates/balancer/src/front/nats/tenants.rs
@@ -3,6 +3,8 @@
 //! The store is called on the threads of admissions and of the administration API, never on the
 //! core's.
 
+mod store;
+
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,19 +13,13 @@
 use argon2::password_hash::{PasswordHash, PasswordHasher, PasswordVerifier, SaltString};
 use argon2::{Algorithm, Argon2, Params, Version};
 use crossbeam_channel::{Sender, bounded};
-use redis::{Commands, Connection, RedisError, RedisResult};
+use redis::Commands;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
-use tracing::{info, warn};
+use store::{Done, Store};
 
 /// The Redis hash with the tenants' records by name.
 const RECORDS: &str = "beaconflow:tenants";
-/// Timeout of one call to the store.
-const STORE_TIMEOUT: Duration = Duration::from_millis(300);
-/// After a failed call the store is not called for this long, so that connections do not each wait
-/// for it.
-const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-
 /// Most passwords that wait to be hashed; more wait at their connections.
 const MAX_PENDING_HASHES: usize = 64;
 
@@ -404,89 +400,3 @@
         .hash_password(password.as_bytes(), &salt)?
         .to_string())
 }
-
-/// Whether the store answered that it refuses writes.
-fn takes_nothing(error: &RedisError) -> bool {
-    matches!(
-        error.code(),
-        Some("OOM" | "READONLY" | "MISCONF" | "NOREPLICAS")
-    )
-}
-
-struct Store {
-    client: redis::Client,
-    state: Mutex<StoreState>,
-}
-
-#[derive(Default)]
-struct StoreState {
-    connection: Option<Connection>,
-    away_until: Option<Instant>,
-}
-
-/// Result of a call.
-struct Done<T> {
-    value: T,
-    /// Whether it was made twice; the first one may have been executed.
-    again: bool,
-}
-
-impl Store {
-    fn call<T>(&self, run: impl Fn(&mut Connection) -> RedisResult<T>) -> Result<T, StoreError> {
-        self.attempt(run).map(|done| done.value)
-    }
-
-    /// Makes a call on the one connection, which is opened as needed. A connection that broke since
-    /// the last call is opened again once, as after a restart of the store.
-    fn attempt<T>(
-        &self,
-        run: impl Fn(&mut Connection) -> RedisResult<T>,
-    ) -> Result<Done<T>, StoreError> {
-        let mut state = lock(&self.state);
-        if state.away_until.is_some_and(|until| Instant::now() < until) {
-            return Err(StoreError::Away);
-        }
-        let kept = state.connection.take();
-        let was_kept = kept.is_some();
-        let mut done = self.once(kept, &run);
-        let again = was_kept && done.as_ref().is_err_and(|error| !takes_nothing(error));
-        if again {
-            done = self.once(None, &run);
-        }
-        let is_away = done.as_ref().is_err_and(|error| !takes_nothing(error));
-        if !is_away && state.away_until.take().is_some() {
-            info!(part = "store", "back");
-        }
-        match done {
-            Ok((value, connection)) => {
-                state.connection = Some(connection);
-                Ok(Done { value, again })
-            }
-            // Reads must continue while the store is full.
-            Err(_) if !is_away => Err(StoreError::TakesNothing),
-            Err(error) => {
-                if state.away_until.is_none() {
-                    // The kind alone: an error's text may quote what was sent to the store.
-                    warn!(part = "store", why = ?error.kind(), "away");
-                }
-                state.away_until = Some(Instant::now() + STORE_RETRY_INTERVAL);
-                Err(StoreError::Away)
-            }
-        }
-    }
-
-    fn once<T>(
-        &self,
-        kept: Option<Connection>,
-        run: impl Fn(&mut Connection) -> RedisResult<T>,
-    ) -> RedisResult<(T, Connection)> {
-        let mut connection = match kept {
-            Some(connection) => connection,
-            None => self.client.get_connection_with_timeout(STORE_TIMEOUT)?,
-        };
-        connection.set_read_timeout(Some(STORE_TIMEOUT))?;
-        connection.set_write_timeout(Some(STORE_TIMEOUT))?;
-        let value = run(&mut connection)?;
-        Ok((value, connection))
-    }
-}
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -1,22 +1,22 @@
 //! The platform's protocol: lines of text that end in CRLF.
 
-use std::collections::HashSet;
-use std::ops::Range;
-use std::sync::{Arc, Mutex, PoisonError};
+mod framer;
+mod open;
+
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use beaconflow_settings::{ActiveSettings, digest};
+use beaconflow_settings::digest;
 
-use super::{
-    ClientMessage, FrameProgress, Framer, Front, HandshakeError, HandshakeLine, MessageKind,
-    ProtocolError, Rejection,
-};
+use super::{ClientMessage, Framer, Front, HandshakeError, HandshakeLine, Rejection};
 use crate::attempt::{AttemptError, ServerAnswer, ServerExchange};
 use crate::config::SharedSettings;
 use crate::core::lifecycle::LifecycleState;
 use crate::core::{ClientRequest, ProbeAnswer};
 use crate::net::trim_line_end;
 use crate::prober::LoadProbe;
+use framer::LineFramer;
+use open::{OpenFields, OpenId, OpenIds, OpenLine};
 
 /// Longest line, with its end.
 const MAX_LINE_BYTES: usize = 4096;
@@ -66,47 +66,6 @@
     open: OpenIds,
 }
 
-/// Ids of all open requests.
-type OpenIds = Arc<Mutex<HashSet<String>>>;
-
-/// An id in use while this lives. Servers would take a second request under an id in use for a
-/// retry of the first.
-pub struct OpenId {
-    id: String,
-    open: OpenIds,
-}
-
-impl OpenId {
-    fn take(id: &str, open: &OpenIds) -> Option<OpenId> {
-        // The set is valid even if a thread panicked while holding the lock.
-        let is_new = open
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .insert(id.to_owned());
-        is_new.then(|| OpenId {
-            id: id.to_owned(),
-            open: Arc::clone(open),
-        })
-    }
-}
-
-impl Drop for OpenId {
-    fn drop(&mut self) {
-        self.open
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .remove(&self.id);
-    }
-}
-
-/// A client's `OPEN` line.
-pub struct OpenLine {
-    line: Vec<u8>,
-    /// The range of the value of `d`, the time left.
-    deadline_field: Range<usize>,
-    _id: OpenId,
-}
-
 impl Platform {
     /// Creates the front of a site.
     pub fn new(settings: SharedSettings) -> Platform {
@@ -169,80 +128,6 @@
     }
 }
 
-/// The fields of an `OPEN` line.
-#[derive(Default)]
-struct OpenFields<'l> {
-    class: Option<usize>,
-    /// How long the client waits, and the range of the value in the line.
-    timeout: Option<(Duration, Range<usize>)>,
-    group: Option<u64>,
-    tenant: Option<&'l str>,
-    expected_load: Option<f64>,
-    is_reconnect: bool,
-    resumed_server: Option<String>,
-}
-
-impl<'l> OpenFields<'l> {
-    /// Parses a list of `name=value`, which is a part of `line`.
-    fn parse(
-        list: &'l str,
-        line: &str,
-        settings: &ActiveSettings,
-    ) -> Result<OpenFields<'l>, &'static str> {
-        let mut fields = OpenFields::default();
-        let mut names = HashSet::new();
-        for pair in list.split(',') {
-            let (name, value) = pair.split_once('=').ok_or("a field without a value")?;
-            if name.is_empty() || value.is_empty() {
-                return Err("a field without a name or a value");
-            }
-            if !names.insert(name) {
-                return Err("a field twice");
-            }
-            fields.set(name, value, line, settings)?;
-        }
-        Ok(fields)
-    }
-
-    fn set(
-        &mut self,
-        name: &str,
-        value: &'l str,
-        line: &str,
-        settings: &ActiveSettings,
-    ) -> Result<(), &'static str> {
-        match name {
-            "c" => self.class = Some(settings.class(value).ok_or("no such class")?),
-            "t" if !settings.setup().knows_tenant(value) => return Err("no such tenant"),
-            "t" => self.tenant = Some(value),
-            "d" => {
-                let timeout = parse_millis(value).ok_or("no time to wait")?;
-                let start = value.as_ptr() as usize - line.as_ptr() as usize;
-                self.timeout = Some((timeout, start..start + value.len()));
-            }
-            "g" => self.group = Some(digest(value)),
-            "h" => self.expected_load = Some(parse_expected_load(value).ok_or("no load")?),
-            "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
-            "again" => self.is_reconnect = value == "1",
-            "at" => self.resumed_server = Some(value.to_owned()),
-            _ => {}
-        }
-        Ok(())
-    }
-}
-
-/// Parses a span in milliseconds: digits only.
-fn parse_millis(value: &str) -> Option<Duration> {
-    let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
-    let millis = value.parse().ok().filter(|_| is_number)?;
-    Some(Duration::from_millis(millis))
-}
-
-fn parse_expected_load(value: &str) -> Option<f64> {
-    let load: f64 = value.parse().ok()?;
-    (load.is_finite() && load >= 0.0).then_some(load)
-}
-
 impl Front for Platform {
     type Request = (ClientRequest, OpenLine);
     type ServerHandshake = OpenLine;
@@ -371,74 +256,5 @@
     }
 }
 
-/// Frames lines. Only the beginning of an incomplete line is kept, as far as it may carry a
-/// meaning.
-#[derive(Default)]
-struct LineFramer {
-    is_client: bool,
-    /// Beginning of the incomplete line.
-    head: Vec<u8>,
-    /// Its length so far.
-    length: usize,
-}
-
-/// Bytes of a line that are classified.
-const CLASSIFIED_BYTES: usize = 64;
-
-impl LineFramer {
-    fn classify(&self, line: &[u8]) -> MessageKind {
-        if self.is_client {
-            return MessageKind::Request;
-        }
-        let load = line
-            .strip_prefix(b"LOAD ")
-            .and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
-        match line {
-            b"BYE" => MessageKind::Goodbye,
-            b"MOVE" => MessageKind::Redirect,
-            _ => load.map_or(MessageKind::AnswerToAll, MessageKind::Load),
-        }
-    }
-}
-
-impl Framer for LineFramer {
-    fn advance(
-        &mut self,
-        bytes: &[u8],
-        seen: &mut dyn FnMut(MessageKind) -> bool,
-    ) -> Result<FrameProgress, ProtocolError> {
-        let mut followed = FrameProgress {
-            consumed: bytes.len(),
-            ..FrameProgress::default()
-        };
-        let mut rest = bytes;
-        while !rest.is_empty() {
-            let end = rest.iter().position(|byte| *byte == b'\n').map(|at| at + 1);
-            let piece = &rest[..end.unwrap_or(rest.len())];
-            rest = &rest[piece.len()..];
-            self.length += piece.len();
-            if self.length > MAX_LINE_BYTES {
-                return Err(ProtocolError { answer: "" });
-            }
-            let room = CLASSIFIED_BYTES
-                .saturating_sub(self.head.len())
-                .min(piece.len());
-            self.head.extend_from_slice(&piece[..room]);
-            if end.is_some() {
-                // Every line is relayed.
-                seen(self.classify(trim_line_end(&self.head)));
-                self.head.clear();
-                self.length = 0;
-                followed.boundary = Some(bytes.len() - rest.len());
-            }
-        }
-        Ok(followed)
-    }
-
-    fn is_at_boundary(&self) -> bool {
-        self.length == 0
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/balancer/src/front/platform/open.rs
@@ -0,0 +1,122 @@
+//! The `OPEN` line with which a client asks for a connection.
+
+use beaconflow_settings::{ActiveSettings, digest};
+use std::collections::HashSet;
+use std::ops::Range;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+/// Ids of all open requests.
+pub(super) type OpenIds = Arc<Mutex<HashSet<String>>>;
+
+/// An id in use while this lives. Servers would take a second request under an id in use for a
+/// retry of the first.
+pub struct OpenId {
+    pub(super) id: String,
+    pub(super) open: OpenIds,
+}
+
+impl OpenId {
+    pub(super) fn take(id: &str, open: &OpenIds) -> Option<OpenId> {
+        // The set is valid even if a thread panicked while holding the lock.
+        let is_new = open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(id.to_owned());
+        is_new.then(|| OpenId {
+            id: id.to_owned(),
+            open: Arc::clone(open),
+        })
+    }
+}
+
+impl Drop for OpenId {
+    fn drop(&mut self) {
+        self.open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&self.id);
+    }
+}
+
+/// A client's `OPEN` line.
+pub struct OpenLine {
+    pub(super) line: Vec<u8>,
+    /// The range of the value of `d`, the time left.
+    pub(super) deadline_field: Range<usize>,
+    pub(super) _id: OpenId,
+}
+
+/// The fields of an `OPEN` line.
+#[derive(Default)]
+pub(super) struct OpenFields<'l> {
+    pub(super) class: Option<usize>,
+    /// How long the client waits, and the range of the value in the line.
+    pub(super) timeout: Option<(Duration, Range<usize>)>,
+    pub(super) group: Option<u64>,
+    pub(super) tenant: Option<&'l str>,
+    pub(super) expected_load: Option<f64>,
+    pub(super) is_reconnect: bool,
+    pub(super) resumed_server: Option<String>,
+}
+
+impl<'l> OpenFields<'l> {
+    /// Parses a list of `name=value`, which is a part of `line`.
+    pub(super) fn parse(
+        list: &'l str,
+        line: &str,
+        settings: &ActiveSettings,
+    ) -> Result<OpenFields<'l>, &'static str> {
+        let mut fields = OpenFields::default();
+        let mut names = HashSet::new();
+        for pair in list.split(',') {
+            let (name, value) = pair.split_once('=').ok_or("a field without a value")?;
+            if name.is_empty() || value.is_empty() {
+                return Err("a field without a name or a value");
+            }
+            if !names.insert(name) {
+                return Err("a field twice");
+            }
+            fields.set(name, value, line, settings)?;
+        }
+        Ok(fields)
+    }
+
+    pub(super) fn set(
+        &mut self,
+        name: &str,
+        value: &'l str,
+        line: &str,
+        settings: &ActiveSettings,
+    ) -> Result<(), &'static str> {
+        match name {
+            "c" => self.class = Some(settings.class(value).ok_or("no such class")?),
+            "t" if !settings.setup().knows_tenant(value) => return Err("no such tenant"),
+            "t" => self.tenant = Some(value),
+            "d" => {
+                let timeout = parse_millis(value).ok_or("no time to wait")?;
+                let start = value.as_ptr() as usize - line.as_ptr() as usize;
+                self.timeout = Some((timeout, start..start + value.len()));
+            }
+            "g" => self.group = Some(digest(value)),
+            "h" => self.expected_load = Some(parse_expected_load(value).ok_or("no load")?),
+            "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
+            "again" => self.is_reconnect = value == "1",
+            "at" => self.resumed_server = Some(value.to_owned()),
+            _ => {}
+        }
+        Ok(())
+    }
+}
+
+/// Parses a span in milliseconds: digits only.
+pub(super) fn parse_millis(value: &str) -> Option<Duration> {
+    let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
+    let millis = value.parse().ok().filter(|_| is_number)?;
+    Some(Duration::from_millis(millis))
+}
+
+pub(super) fn parse_expected_load(value: &str) -> Option<f64> {
+    let load: f64 = value.parse().ok()?;
+    (load.is_finite() && load >= 0.0).then_some(load)
+}
--- a/crates/balancer/src/front/platform/tests.rs
+++ b/crates/balancer/src/front/platform/tests.rs
@@ -1,5 +1,6 @@
 //! Lines of the platform's wire.
 
+use super::super::MessageKind;
 use super::*;
 
 #[test]
--- a/crates/balancer/src/net.rs
+++ b/crates/balancer/src/net.rs
@@ -2,6 +2,8 @@
 //!
 //! Sockets of connections do not block; one thread serves both sides of a connection.
 
+mod buffers;
+
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -9,6 +11,8 @@
 use rustix::event::{PollFd, Timespec, poll};
 use socket2::{Domain, SockRef, Socket, Type};
 
+use buffers::MAX_DISCARDED;
+pub use buffers::{ReadBuffer, ReadError, WriteBuffer};
 pub use rustix::event::PollFlags;
 
 /// Stack of a connection's thread; its buffers of a few KiB are on it.
@@ -82,13 +86,13 @@
 /// every wait.
 pub fn wait_ready<const N: usize>(
     wants: [(&TcpStream, PollFlags); N],
-    patience: Duration,
+    timeout: Duration,
 ) -> [bool; N] {
     let wanted = wants.iter().filter(|(_, flags)| !flags.is_empty());
     let mut asked: Vec<PollFd<'_>> = wanted
         .map(|(stream, flags)| PollFd::new(*stream, *flags))
         .collect();
-    let any = poll_for(&mut asked, patience);
+    let any = poll_for(&mut asked, timeout);
     let mut told = asked.iter().map(|fd| any && !fd.revents().is_empty());
     wants.map(|(_, flags)| !flags.is_empty() && told.next().unwrap_or(false))
 }
@@ -97,7 +101,7 @@
 pub fn wait_listener_or_streams<'a>(
     listener: Option<&'a TcpListener>,
     streams: impl Iterator<Item = Option<&'a TcpStream>>,
-    patience: Duration,
+    timeout: Duration,
 ) -> (bool, Vec<bool>) {
     let streams: Vec<Option<&TcpStream>> = streams.collect();
     let mut asked: Vec<PollFd<'_>> = listener
@@ -110,7 +114,7 @@
             .flatten()
             .map(|stream| PollFd::new(*stream, PollFlags::IN)),
     );
-    let any = poll_for(&mut asked, patience);
+    let any = poll_for(&mut asked, timeout);
     let mut told = asked.iter().map(|fd| any && !fd.revents().is_empty());
     let clients = listener.is_some() && told.next().unwrap_or(false);
     (
@@ -123,28 +127,15 @@
 }
 
 /// Whether anything is ready. May return early.
-fn poll_for(asked: &mut [PollFd<'_>], patience: Duration) -> bool {
-    let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
+fn poll_for(asked: &mut [PollFd<'_>], timeout: Duration) -> bool {
+    let seconds = i64::try_from(timeout.as_secs()).unwrap_or(i64::MAX);
     let until = Timespec {
         tv_sec: seconds,
-        tv_nsec: patience.subsec_nanos().into(),
+        tv_nsec: timeout.subsec_nanos().into(),
     };
     poll(asked, Some(&until)).unwrap_or(0) > 0
 }
 
-/// Why a read returned nothing.
-#[derive(Debug)]
-pub enum ReadError {
-    /// The time is over.
-    TimedOut,
-    /// The peer has closed its write side.
-    Ended,
-    /// The buffer is full.
-    TooLong,
-    /// The connection broke.
-    Broken(io::Error),
-}
-
 /// Whether an error only says that an operation would block or was interrupted.
 pub fn is_would_block(error: &io::Error) -> bool {
     matches!(
@@ -153,97 +144,6 @@
     )
 }
 
-/// A bounded buffer of bytes read from a peer.
-pub struct ReadBuffer {
-    bytes: Vec<u8>,
-    limit: usize,
-}
-
-impl ReadBuffer {
-    /// Creates an empty buffer for `most` bytes.
-    pub fn new(limit: usize) -> ReadBuffer {
-        ReadBuffer {
-            bytes: Vec::new(),
-            limit,
-        }
-    }
-
-    /// Creates a buffer for `most` bytes that holds some.
-    pub fn with_bytes(bytes: Vec<u8>, limit: usize) -> ReadBuffer {
-        ReadBuffer { bytes, limit }
-    }
-
-    /// The buffered bytes.
-    pub fn bytes(&self) -> &[u8] {
-        &self.bytes
-    }
-
-    /// Whether the buffer is full.
-    pub fn is_full(&self) -> bool {
-        self.bytes.len() >= self.limit
-    }
-
-    /// Takes the first `count` bytes.
-    pub fn take(&mut self, count: usize) -> Vec<u8> {
-        let rest = self.bytes.split_off(count.min(self.bytes.len()));
-        std::mem::replace(&mut self.bytes, rest)
-    }
-
-    /// All buffered bytes.
-    pub fn into_rest(self) -> Vec<u8> {
-        self.bytes
-    }
-
-    /// Reads once, until the deadline at the latest.
-    ///
-    /// # Errors
-    ///
-    /// Returns why nothing was read.
-    pub fn read(&mut self, mut from: &TcpStream, until: Instant) -> Result<(), ReadError> {
-        loop {
-            if self.bytes.len() >= self.limit {
-                return Err(ReadError::TooLong);
-            }
-            let mut chunk = [0; 2048];
-            let room = chunk.len().min(self.limit - self.bytes.len());
-            match from.read(&mut chunk[..room]) {
-                Ok(0) => return Err(ReadError::Ended),
-                Ok(count) => {
-                    self.bytes.extend_from_slice(&chunk[..count]);
-                    return Ok(());
-                }
-                Err(error) if is_would_block(&error) => {}
-                Err(error) => return Err(ReadError::Broken(error)),
-            }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err(ReadError::TimedOut);
-            }
-            wait_ready([(from, PollFlags::IN)], left);
-        }
-    }
-
-    /// Takes the next line with its end, CRLF or LF, if it is complete.
-    pub fn next_line(&mut self) -> Option<Vec<u8>> {
-        let shutdown_both = self.bytes.iter().position(|byte| *byte == b'\n')?;
-        Some(self.take(shutdown_both + 1))
-    }
-
-    /// Reads and takes the next line with its end.
-    ///
-    /// # Errors
-    ///
-    /// Returns why there is no complete line.
-    pub fn read_line(&mut self, from: &TcpStream, until: Instant) -> Result<Vec<u8>, ReadError> {
-        loop {
-            if let Some(line) = self.next_line() {
-                return Ok(line);
-            }
-            self.read(from, until)?;
-        }
-    }
-}
-
 /// A line without its end.
 pub fn trim_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
@@ -255,8 +155,8 @@
 /// # Errors
 ///
 /// Returns the number of bytes written before the error, also if the peer takes no more just now.
-pub fn write_gathered(mut to: &TcpStream, parts: &[&[u8]]) -> Result<(), (usize, io::Error)> {
-    let mut slices: Vec<IoSlice<'_>> = parts.iter().map(|part| IoSlice::new(part)).collect();
+pub fn write_gathered(mut to: &TcpStream, buffers: &[&[u8]]) -> Result<(), (usize, io::Error)> {
+    let mut slices: Vec<IoSlice<'_>> = buffers.iter().map(|part| IoSlice::new(part)).collect();
     let (mut left, mut written) = (slices.as_mut_slice(), 0);
     IoSlice::advance_slices(&mut left, 0);
     while !left.is_empty() {
@@ -280,10 +180,10 @@
 /// Returns the number of bytes written before the error.
 pub fn write_until(
     to: &TcpStream,
-    parts: &[&[u8]],
+    buffers: &[&[u8]],
     until: Instant,
 ) -> Result<(), (usize, io::Error)> {
-    let whole = parts.concat();
+    let whole = buffers.concat();
     let mut written = 0;
     loop {
         match write_gathered(to, &[&whole[written..]]) {
@@ -300,96 +200,6 @@
     }
 }
 
-/// Bytes that a peer has not taken yet.
-#[derive(Default)]
-pub struct WriteBuffer {
-    bytes: Vec<u8>,
-    /// Bytes discarded since its final message.
-    discarded: usize,
-    /// Whether it has closed its write side since its final message.
-    has_ended: bool,
-}
-
-impl WriteBuffer {
-    /// Whether everything has been taken.
-    pub fn is_empty(&self) -> bool {
-        self.bytes.is_empty()
-    }
-
-    /// Writes what can be written now and buffers the rest.
-    ///
-    /// # Errors
-    ///
-    /// Fails if the connection broke.
-    pub fn send(&mut self, to: &TcpStream, parts: &[&[u8]]) -> io::Result<()> {
-        let mut written = 0;
-        if self.bytes.is_empty() {
-            match write_gathered(to, parts) {
-                Ok(()) => return Ok(()),
-                Err((count, error)) if is_would_block(&error) => written = count,
-                Err((_, error)) => return Err(error),
-            }
-        }
-        for part in parts {
-            let skipped = written.min(part.len());
-            written -= skipped;
-            self.bytes.extend_from_slice(&part[skipped..]);
-        }
-        Ok(())
-    }
-
-    /// Writes the final message, and shuts down the write side once it has been taken.
-    pub fn finish_with(&mut self, to: &TcpStream, words: &[u8]) {
-        // A peer that is gone needs no answer.
-        let _ = self.send(to, &[words]);
-        if self.is_empty() {
-            shutdown_write(to);
-        }
-    }
-
-    /// Discards input of a peer after its final message, up to a bound. Returns false once it has
-    /// closed and has taken everything. Closing with unread input would reset the connection and
-    /// destroy that message.
-    pub fn discard_input(&mut self, mut of: &TcpStream) -> bool {
-        if !self.is_empty() {
-            if self.flush(of).is_err() {
-                return false;
-            }
-            if self.is_empty() {
-                shutdown_write(of);
-            }
-        }
-        if self.is_reading() {
-            match of.read(&mut [0; 4096]) {
-                Ok(0) => self.has_ended = true,
-                Ok(count) => self.discarded += count,
-                Err(error) if is_would_block(&error) => {}
-                Err(_) => return false,
-            }
-        }
-        !(self.has_ended && self.is_empty())
-    }
-
-    /// Whether a peer is still to be read after its final message.
-    pub fn is_reading(&self) -> bool {
-        !self.has_ended && self.discarded < MAX_DISCARDED
-    }
-
-    /// Writes what is buffered.
-    ///
-    /// # Errors
-    ///
-    /// Fails if the connection broke.
-    pub fn flush(&mut self, to: &TcpStream) -> io::Result<()> {
-        let kept = std::mem::take(&mut self.bytes);
-        if kept.is_empty() {
-            Ok(())
-        } else {
-            self.send(to, &[&kept])
-        }
-    }
-}
-
 /// Shuts down the write side. The connection may be gone already.
 pub fn shutdown_write(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Write);
@@ -397,8 +207,8 @@
 
 /// Discards input of a peer after its final message until it closes, for a bounded time and at most
 /// 64 KiB.
-pub fn discard_until_end(mut stream: &TcpStream, patience: Duration) {
-    let until = Instant::now() + patience;
+pub fn discard_until_end(mut stream: &TcpStream, timeout: Duration) {
+    let until = Instant::now() + timeout;
     let (mut chunk, mut left) = ([0; 2048], MAX_DISCARDED);
     loop {
         match stream.read(&mut chunk) {
@@ -415,9 +225,6 @@
     }
 }
 
-/// Most bytes discarded after a final message.
-const MAX_DISCARDED: usize = 64 * 1024;
-
 /// Closes a connection after its final message; unread input is discarded first.
 pub fn close(stream: &TcpStream) {
     shutdown_write(stream);
--- /dev/null
+++ b/crates/balancer/src/net/buffers.rs
@@ -0,0 +1,204 @@
+//! Bounded buffers between a socket and its reader or writer.
+
+use super::{is_would_block, shutdown_write, wait_ready, write_gathered};
+use rustix::event::PollFlags;
+use std::io::{self, Read};
+use std::net::TcpStream;
+use std::time::Instant;
+
+/// Why a read returned nothing.
+#[derive(Debug)]
+pub enum ReadError {
+    /// The time is over.
+    TimedOut,
+    /// The peer has closed its write side.
+    Ended,
+    /// The buffer is full.
+    TooLong,
+    /// The connection broke.
+    Broken(io::Error),
+}
+
+/// A bounded buffer of bytes read from a peer.
+pub struct ReadBuffer {
+    pub(super) bytes: Vec<u8>,
+    pub(super) limit: usize,
+}
+
+impl ReadBuffer {
+    /// Creates an empty buffer for `most` bytes.
+    pub fn new(limit: usize) -> ReadBuffer {
+        ReadBuffer {
+            bytes: Vec::new(),
+            limit,
+        }
+    }
+
+    /// Creates a buffer for `most` bytes that holds some.
+    pub fn with_bytes(bytes: Vec<u8>, limit: usize) -> ReadBuffer {
+        ReadBuffer { bytes, limit }
+    }
+
+    /// The buffered bytes.
+    pub fn bytes(&self) -> &[u8] {
+        &self.bytes
+    }
+
+    /// Whether the buffer is full.
+    pub fn is_full(&self) -> bool {
+        self.bytes.len() >= self.limit
+    }
+
+    /// Takes the first `count` bytes.
+    pub fn take(&mut self, count: usize) -> Vec<u8> {
+        let rest = self.bytes.split_off(count.min(self.bytes.len()));
+        std::mem::replace(&mut self.bytes, rest)
+    }
+
+    /// All buffered bytes.
+    pub fn into_rest(self) -> Vec<u8> {
+        self.bytes
+    }
+
+    /// Reads once, until the deadline at the latest.
+    ///
+    /// # Errors
+    ///
+    /// Returns why nothing was read.
+    pub fn read(&mut self, mut from: &TcpStream, until: Instant) -> Result<(), ReadError> {
+        loop {
+            if self.bytes.len() >= self.limit {
+                return Err(ReadError::TooLong);
+            }
+            let mut chunk = [0; 2048];
+            let room = chunk.len().min(self.limit - self.bytes.len());
+            match from.read(&mut chunk[..room]) {
+                Ok(0) => return Err(ReadError::Ended),
+                Ok(count) => {
+                    self.bytes.extend_from_slice(&chunk[..count]);
+                    return Ok(());
+                }
+                Err(error) if is_would_block(&error) => {}
+                Err(error) => return Err(ReadError::Broken(error)),
+            }
+            let left = until.saturating_duration_since(Instant::now());
+            if left.is_zero() {
+                return Err(ReadError::TimedOut);
+            }
+            wait_ready([(from, PollFlags::IN)], left);
+        }
+    }
+
+    /// Takes the next line with its end, CRLF or LF, if it is complete.
+    pub fn next_line(&mut self) -> Option<Vec<u8>> {
+        let shutdown_both = self.bytes.iter().position(|byte| *byte == b'\n')?;
+        Some(self.take(shutdown_both + 1))
+    }
+
+    /// Reads and takes the next line with its end.
+    ///
+    /// # Errors
+    ///
+    /// Returns why there is no complete line.
+    pub fn read_line(&mut self, from: &TcpStream, until: Instant) -> Result<Vec<u8>, ReadError> {
+        loop {
+            if let Some(line) = self.next_line() {
+                return Ok(line);
+            }
+            self.read(from, until)?;
+        }
+    }
+}
+
+/// Bytes that a peer has not taken yet.
+#[derive(Default)]
+pub struct WriteBuffer {
+    pub(super) bytes: Vec<u8>,
+    /// Bytes discarded since its final message.
+    pub(super) discarded: usize,
+    /// Whether it has closed its write side since its final message.
+    pub(super) has_ended: bool,
+}
+
+impl WriteBuffer {
+    /// Whether everything has been taken.
+    pub fn is_empty(&self) -> bool {
+        self.bytes.is_empty()
+    }
+
+    /// Writes what can be written now and buffers the rest.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection broke.
+    pub fn send(&mut self, to: &TcpStream, buffers: &[&[u8]]) -> io::Result<()> {
+        let mut written = 0;
+        if self.bytes.is_empty() {
+            match write_gathered(to, buffers) {
+                Ok(()) => return Ok(()),
+                Err((count, error)) if is_would_block(&error) => written = count,
+                Err((_, error)) => return Err(error),
+            }
+        }
+        for part in buffers {
+            let skipped = written.min(part.len());
+            written -= skipped;
+            self.bytes.extend_from_slice(&part[skipped..]);
+        }
+        Ok(())
+    }
+
+    /// Writes the final message, and shuts down the write side once it has been taken.
+    pub fn finish_with(&mut self, to: &TcpStream, words: &[u8]) {
+        // A peer that is gone needs no answer.
+        let _ = self.send(to, &[words]);
+        if self.is_empty() {
+            shutdown_write(to);
+        }
+    }
+
+    /// Discards input of a peer after its final message, up to a bound. Returns false once it has
+    /// closed and has taken everything. Closing with unread input would reset the connection and
+    /// destroy that message.
+    pub fn discard_input(&mut self, mut of: &TcpStream) -> bool {
+        if !self.is_empty() {
+            if self.flush(of).is_err() {
+                return false;
+            }
+            if self.is_empty() {
+                shutdown_write(of);
+            }
+        }
+        if self.is_reading() {
+            match of.read(&mut [0; 4096]) {
+                Ok(0) => self.has_ended = true,
+                Ok(count) => self.discarded += count,
+                Err(error) if is_would_block(&error) => {}
+                Err(_) => return false,
+            }
+        }
+        !(self.has_ended && self.is_empty())
+    }
+
+    /// Whether a peer is still to be read after its final message.
+    pub fn is_reading(&self) -> bool {
+        !self.has_ended && self.discarded < MAX_DISCARDED
+    }
+
+    /// Writes what is buffered.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection broke.
+    pub fn flush(&mut self, to: &TcpStream) -> io::Result<()> {
+        let kept = std::mem::take(&mut self.bytes);
+        if kept.is_empty() {
+            Ok(())
+        } else {
+            self.send(to, &[&kept])
+        }
+    }
+}
+
+/// Most bytes discarded after a final message.
+pub(super) const MAX_DISCARDED: usize = 64 * 1024;
--- a/crates/balancer/src/operator/fleet.rs
+++ b/crates/balancer/src/operator/fleet.rs
@@ -1,20 +1,16 @@
 //! The sections `[fleet]`, `[memory]`, `[edge]` and `[affinity]`. Without `[fleet]` none of them
 //! applies.
 
+mod processes;
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-use beaconflow_membership::{Key, LONGEST_NAME, LONGEST_SITE};
-
 use super::section::Section;
+use processes::processes;
 
-/// Most processes of a fleet.
-const MAX_PROCESSES: usize = 1_000;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
-/// Characters allowed in a name.
-const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
-
 /// The fleet and what each process keeps.
 #[derive(Clone, PartialEq)]
 pub struct FleetConfig {
@@ -150,203 +146,6 @@
     })
 }
 
-fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
-    let name = named(&mut section, "name", LONGEST_NAME);
-    let site = named(&mut section, "site", LONGEST_SITE);
-    let addresses = Addresses::read(&mut section);
-    let keys = Keys::read(&mut section);
-    let sizes = FleetSizes::read(&mut section, addresses.other_peers(), site.as_deref());
-    let clients_per_server_s = clients_per_server_s(&mut section);
-    let clients = section.optional("clients", 0);
-    section.reject_unknown_fields();
-    let keys = keys?;
-    Some(FleetConfig {
-        name: name?,
-        site: site?,
-        listen: addresses.listen?,
-        advertise: addresses.advertise,
-        key_file: keys.current,
-        previous_key_file: keys.previous,
-        peers: addresses.peers?,
-        size: sizes.fleet,
-        site_size: sizes.site,
-        other_sites: sizes.other_sites,
-        clients_per_server_s,
-        clients,
-        memory: None,
-        edge: EdgeConfig::default(),
-        affinity: AffinityConfig::default(),
-    })
-}
-
-/// Addresses of this process and of its peers.
-struct Addresses {
-    listen: Option<SocketAddr>,
-    advertise: Option<SocketAddr>,
-    peers: Option<Vec<SocketAddr>>,
-}
-
-impl Addresses {
-    fn read(section: &mut Section<'_>) -> Addresses {
-        let listen: Option<SocketAddr> = section.required("listen");
-        let advertise: Option<SocketAddr> = section
-            .table
-            .contains_key("advertise")
-            .then(|| section.required("advertise"))
-            .flatten();
-        let peers: Option<Vec<SocketAddr>> = section.required("peers");
-        if let Some(listen) = &listen {
-            check_address(
-                section,
-                "listen",
-                listen,
-                "needs a port that the others are told",
-            );
-        }
-        if let Some(advertise) = &advertise {
-            check_address(section, "advertise", advertise, "needs a port");
-        }
-        for (at, peer) in (0..).zip(peers.iter().flatten()) {
-            check_address(section, &format!("peers[{at}]"), peer, "needs a port");
-        }
-        Addresses {
-            listen,
-            advertise,
-            peers,
-        }
-    }
-
-    /// Number of peers without this process.
-    fn other_peers(&self) -> usize {
-        let own = self.advertise.or(self.listen);
-        let peers = self.peers.iter().flatten();
-        peers.filter(|peer| Some(**peer) != own).count()
-    }
-}
-
-fn check_address(section: &Section<'_>, field: &str, address: &SocketAddr, no_port: &str) {
-    let is_open = !address.ip().is_loopback();
-    section.error_if(field, is_open, "is not a loopback address");
-    section.error_if(field, address.port() == 0, no_port);
-}
-
-/// Files with the keys of datagrams.
-struct Keys {
-    current: PathBuf,
-    previous: Option<PathBuf>,
-}
-
-impl Keys {
-    fn read(section: &mut Section<'_>) -> Option<Keys> {
-        let current = key(section, "key_file");
-        let has_previous = section.table.contains_key("previous_key_file");
-        let previous = has_previous
-            .then(|| key(section, "previous_key_file"))
-            .flatten();
-        let is_same = current.is_some() && current == previous;
-        section.error_if("previous_key_file", is_same, "is key_file too");
-        if has_previous && previous.is_none() {
-            return None;
-        }
-        Some(Keys {
-            current: current?,
-            previous,
-        })
-    }
-}
-
-/// Numbers of processes, and the other sites.
-struct FleetSizes {
-    fleet: usize,
-    site: usize,
-    other_sites: Vec<String>,
-}
-
-impl FleetSizes {
-    fn read(section: &mut Section<'_>, other_peers: usize, own_site: Option<&str>) -> FleetSizes {
-        let size = section.optional("size", other_peers + 1);
-        section.error_if(
-            "size",
-            !(1..=MAX_PROCESSES).contains(&size),
-            "from 1 to 1000",
-        );
-        section.error_if(
-            "size",
-            size < other_peers + 1,
-            "is less than the peers that are named, and this one",
-        );
-        let other_sites = other_sites(section, own_site);
-        let default = size.saturating_sub(other_sites.len()).max(1);
-        let site_size = section.optional("site_size", default);
-        section.error_if(
-            "site_size",
-            !(1..=size).contains(&site_size),
-            "from 1 to size",
-        );
-        let is_alone = other_sites.is_empty() && site_size != size;
-        section.error_if(
-            "site_size",
-            is_alone,
-            "is less than size, and other_sites names none",
-        );
-        FleetSizes {
-            fleet: size,
-            site: site_size,
-            other_sites,
-        }
-    }
-}
-
-fn other_sites(section: &mut Section<'_>, own_site: Option<&str>) -> Vec<String> {
-    let sites: Vec<String> = section.optional("other_sites", Vec::new());
-    for (at, site) in (0..).zip(&sites) {
-        let field = format!("other_sites[{at}]");
-        section.error_if(
-            &field,
-            !fits(site, LONGEST_SITE),
-            &format!("1 to {LONGEST_SITE} {NAME_CHARACTERS}"),
-        );
-        let is_own = Some(site.as_str()) == own_site;
-        section.error_if(&field, is_own, "is this site");
-        let is_repeated = sites[..at].contains(site);
-        section.error_if(&field, is_repeated, "stands there twice");
-    }
-    sites
-}
-
-fn clients_per_server_s(section: &mut Section<'_>) -> Option<f64> {
-    let rate: Option<f64> = section
-        .table
-        .contains_key("borne")
-        .then(|| section.optional("borne", 0.0));
-    let is_bad = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
-    section.error_if("borne", is_bad, "from 0.001 to 1000000");
-    rate
-}
-
-/// A name is sent in every datagram and logged.
-fn named(section: &mut Section<'_>, field: &str, longest: usize) -> Option<String> {
-    let name: Option<String> = section.required(field);
-    let bad = name.as_ref().is_some_and(|name| !fits(name, longest));
-    section.error_if(field, bad, &format!("1 to {longest} {NAME_CHARACTERS}"));
-    name
-}
-
-fn fits(name: &str, longest: usize) -> bool {
-    let sound = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    (1..=longest).contains(&name.len()) && name.chars().all(sound)
-}
-
-/// A key is in a file of its own, so that the operator's file holds no secret.
-fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
-    let path: PathBuf = section.required(field)?;
-    if let Err(fault) = Key::read(&path) {
-        section.error(field, &fault.to_string());
-        return None;
-    }
-    Some(path)
-}
-
 fn memory(mut section: Section<'_>) -> Option<MemoryConfig> {
     let path: Option<PathBuf> = section.required("path");
     let nameless = path.as_ref().is_some_and(|path| path.file_name().is_none());
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -74,18 +74,18 @@
 pub(super) fn fronts_left_empty(
     set: &mut Set,
     one: &Override,
-    looks: &[(&'static str, Option<CoreSnapshot>)],
+    snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<(&'static str, Judgement)> {
-    let before = coverage_by_front(set, looks, now);
+    let before = coverage_by_front(set, snapshots, now);
     set.put(one.clone());
-    let after = coverage_by_front(set, looks, now);
+    let after = coverage_by_front(set, snapshots, now);
     set.forget(one.id);
     let worse = after
         .iter()
         .zip(&before)
         .map(|(after, before)| after.beyond(before));
-    let fronts = looks.iter().map(|(front, _)| *front);
+    let fronts = snapshots.iter().map(|(front, _)| *front);
     fronts
         .zip(worse)
         .filter(|(_, judgement)| !judgement.is_sound())
@@ -95,7 +95,7 @@
 /// What the overrides leave of each front's ready servers.
 fn coverage_by_front(
     set: &Set,
-    looks: &[(&'static str, Option<CoreSnapshot>)],
+    snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<Judgement> {
     let at_front = |look: &Option<CoreSnapshot>| {
@@ -107,5 +107,5 @@
             now,
         )
     };
-    looks.iter().map(|(_, look)| at_front(look)).collect()
+    snapshots.iter().map(|(_, look)| at_front(look)).collect()
 }
--- a/crates/balancer/src/prober.rs
+++ b/crates/balancer/src/prober.rs
@@ -88,12 +88,12 @@
     /// Fails if the poller can't be created.
     pub fn new(
         probe: LoadProbe,
-        patience: impl Fn() -> Duration + Send + 'static,
+        timeout: impl Fn() -> Duration + Send + 'static,
     ) -> io::Result<(Prober, ProberHandle)> {
-        let timeout = Box::new(patience);
+        let timeout = Box::new(timeout);
         let (ask, probes) = unbounded();
         let poller = Poller::new()?;
-        let way = ProberHandle {
+        let handle = ProberHandle {
             probes: ask,
             waker: poller.waker(),
         };
@@ -109,7 +109,7 @@
                 connection_count,
                 max_connections,
             },
-            way,
+            handle,
         ))
     }
 
@@ -118,11 +118,11 @@
     pub fn with_limit(
         self,
         connection_count: Arc<AtomicUsize>,
-        room: impl Fn() -> usize + Send + 'static,
+        max_connections: impl Fn() -> usize + Send + 'static,
     ) -> Prober {
         Prober {
             connection_count,
-            max_connections: Box::new(room),
+            max_connections: Box::new(max_connections),
             ..self
         }
     }
@@ -155,8 +155,8 @@
     /// Closes connections without a pending probe, the longest unused first, while there are more
     /// than the limit allows beside `more`. Returns whether the limit is kept.
     fn close_idle_beyond(&mut self, more: usize) -> bool {
-        let room = (self.max_connections)();
-        while self.connections.len() + more > room {
+        let max_connections = (self.max_connections)();
+        while self.connections.len() + more > max_connections {
             let idle = self
                 .connections
                 .iter()
@@ -166,7 +166,7 @@
             };
             self.connections.remove(&id);
         }
-        self.connections.len() + more <= room
+        self.connections.len() + more <= max_connections
     }
 
     fn wait_timeout(&self) -> Duration {
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -93,7 +93,12 @@
     server.say("k\r\nLOAD 12.5\r\n");
     client.hears("k");
     client.hears("LOAD 12.5");
-    let noted = |lines: &[String]| lines.iter().filter(|line| line.contains("MessageLatency(")).count();
+    let noted = |lines: &[String]| {
+        lines
+            .iter()
+            .filter(|line| line.contains("MessageLatency("))
+            .count()
+    };
     assert_eq!(
         noted(&site.program.says_up_to("Load(12.5)")),
         0,
--- a/crates/edge/src/pace.rs
+++ b/crates/edge/src/pace.rs
@@ -69,7 +69,7 @@
     site: String,
     sites: BTreeMap<String, SiteReport>,
     apart_ms: Millis,
-    cold_ms: Millis,
+    slow_start_ms: Millis,
     /// What this site had when all were heard for long enough.
     agreed: u32,
     /// Since when it has had another number, with all heard.
@@ -88,7 +88,7 @@
 impl Counts {
     /// Counts for a site of so many processes; one that is silent is counted for the first span, and a server is cold
     /// for the second.
-    pub fn new(site: &str, processes: u32, apart_ms: Millis, cold_ms: Millis) -> Counts {
+    pub fn new(site: &str, processes: u32, apart_ms: Millis, slow_start_ms: Millis) -> Counts {
         let processes = processes.max(1);
         let own = SiteReport {
             now: processes,
@@ -100,7 +100,7 @@
             site: site.to_owned(),
             sites,
             apart_ms,
-            cold_ms,
+            slow_start_ms,
             agreed: processes,
             differs: None,
         }
@@ -129,9 +129,9 @@
         {
             let since = *known.fewer.get_or_insert(now);
             let holds = if known.now == 0 {
-                self.apart_ms + self.cold_ms
+                self.apart_ms + self.slow_start_ms
             } else {
-                self.cold_ms
+                self.slow_start_ms
             };
             if now.saturating_sub(since) >= holds {
                 (known.most, known.fewer) = (known.now, None);
@@ -147,7 +147,7 @@
             return;
         }
         let since = *self.differs.get_or_insert(now);
-        if now.saturating_sub(since) >= self.cold_ms {
+        if now.saturating_sub(since) >= self.slow_start_ms {
             (self.agreed, self.differs) = (own, None);
         }
     }
--- a/crates/edge/src/rejoin.rs
+++ b/crates/edge/src/rejoin.rs
@@ -115,26 +115,28 @@
 /// Compares both sides.
 pub fn plan_rejoin(
     now: Millis,
-    held: &[IslandServer],
+    island: &[IslandServer],
     listed: &[Listed],
     list: ListOrigin,
-    cold_ms: Millis,
+    slow_start_ms: Millis,
 ) -> Plan {
     let by_name: BTreeMap<&str, &Listed> = listed
         .iter()
         .map(|one| (one.server.as_str(), one))
         .collect();
-    let known: BTreeMap<&str, &IslandServer> =
-        held.iter().map(|one| (one.server.as_str(), one)).collect();
+    let known: BTreeMap<&str, &IslandServer> = island
+        .iter()
+        .map(|one| (one.server.as_str(), one))
+        .collect();
     let mut plan = Plan::default();
-    for (name, held) in &known {
+    for (name, island) in &known {
         match by_name.get(name) {
-            Some(one) => plan.known(now, held, one, cold_ms),
-            None if list.is_complete && list.same_incarnation => plan.leave(held, Ready::Gone),
+            Some(one) => plan.known(now, island, one, slow_start_ms),
+            None if list.is_complete && list.same_incarnation => plan.leave(island, Ready::Gone),
             None => plan.keep.push(Keep {
-                server: held.server.clone(),
-                weight: held.weight,
-                ejected_for: held.ejected_for,
+                server: island.server.clone(),
+                weight: island.weight,
+                ejected_for: island.ejected_for,
                 slow_start_since: None,
                 why: Some("not listed yet; what stands stays until the list says that it is gone"),
             }),
@@ -142,7 +144,7 @@
     }
     for one in by_name.values().filter(|one| one.ready == Ready::Serving) {
         if !known.contains_key(one.server.as_str()) {
-            let slow_start_since = slow_start_since(now, one.started_ms, cold_ms);
+            let slow_start_since = slow_start_since(now, one.started_ms, slow_start_ms);
             let why = Some("new since the link was lost");
             plan.keep.push(Keep {
                 server: one.server.clone(),
@@ -158,12 +160,18 @@
 }
 
 impl Plan {
-    fn known(&mut self, now: Millis, held: &IslandServer, listed: &Listed, cold_ms: Millis) {
+    fn known(
+        &mut self,
+        now: Millis,
+        island: &IslandServer,
+        listed: &Listed,
+        slow_start_ms: Millis,
+    ) {
         if listed.ready != Ready::Serving {
-            return self.leave(held, listed.ready);
+            return self.leave(island, listed.ready);
         }
-        let anew = listed.started_ms > held.started_ms;
-        let ejected_for = held.ejected_for.filter(|_| !anew);
+        let anew = listed.started_ms > island.started_ms;
+        let ejected_for = island.ejected_for.filter(|_| !anew);
         let why = match (anew, ejected_for) {
             (true, _) => Some("it started anew while the link was lost"),
             (false, Some(ServerHealth::Drains)) => {
@@ -173,9 +181,9 @@
             (false, None) => None,
         };
         let slow_start_since =
-            slow_start_since(now, listed.started_ms.max(held.started_ms), cold_ms);
+            slow_start_since(now, listed.started_ms.max(island.started_ms), slow_start_ms);
         self.keep.push(Keep {
-            server: held.server.clone(),
+            server: island.server.clone(),
             weight: listed.weight,
             ejected_for,
             slow_start_since,
@@ -184,16 +192,16 @@
     }
 
     /// A server that drains, or is gone: what stands there is moved, if anything does.
-    fn leave(&mut self, held: &IslandServer, ready: Ready) {
+    fn leave(&mut self, island: &IslandServer, ready: Ready) {
         let why = if ready == Ready::Gone {
             Why::Gone
         } else {
             Why::Drains
         };
-        if held.established > 0 {
+        if island.established > 0 {
             self.moves.push(Move {
-                server: held.server.clone(),
-                established: held.established,
+                server: island.server.clone(),
+                established: island.established,
                 why,
             });
         }
@@ -201,6 +209,6 @@
 }
 
 /// Since when a server is cold, if it is.
-fn slow_start_since(now: Millis, started_ms: Millis, cold_ms: Millis) -> Option<Millis> {
-    (started_ms > 0 && now < started_ms.saturating_add(cold_ms)).then_some(started_ms)
+fn slow_start_since(now: Millis, started_ms: Millis, slow_start_ms: Millis) -> Option<Millis> {
+    (started_ms > 0 && now < started_ms.saturating_add(slow_start_ms)).then_some(started_ms)
 }
--- a/crates/edge/src/server_assessment.rs
+++ b/crates/edge/src/server_assessment.rs
@@ -52,11 +52,11 @@
     known: &[Known],
     judgements: &HealthReports,
     now: Millis,
-    cold_ms: Millis,
+    slow_start_ms: Millis,
 ) -> BTreeMap<String, ServerAssessment> {
     let mut cases: Vec<Case> = known
         .iter()
-        .map(|one| case(one, judgements, now, cold_ms))
+        .map(|one| case(one, judgements, now, slow_start_ms))
         .collect();
     // The gravest first; by name where there is nothing between two.
     cases.sort_by(|a, b| {
@@ -95,7 +95,7 @@
     known: &'a Known,
     judgements: &HealthReports,
     now: Millis,
-    cold_ms: Millis,
+    slow_start_ms: Millis,
 ) -> Case<'a> {
     let all: Vec<&HealthReport> = judgements.of(&known.server).collect();
     let life = all
@@ -112,7 +112,7 @@
     let restarted = (life > known.started_ms).then_some(life);
     let slow_start_since = restarted
         .max(returned(&all))
-        .filter(|at| now < at.saturating_add(cold_ms));
+        .filter(|at| now < at.saturating_add(slow_start_ms));
     let (finding, points) = weigh(&all, now);
     Case {
         known,
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -132,25 +132,25 @@
     /// counts as one telling of what it hands out.
     pub fn gossip_payload(&mut self, room: usize, now: Millis) -> Vec<u8> {
         let (enough, mut left) = (self.gossip.enough(), room.saturating_sub(FRAME));
-        let (mut facts, mut told, mut missed) = (Vec::new(), Vec::new(), 0);
+        let (mut facts, mut announcement, mut missed) = (Vec::new(), Vec::new(), 0);
         for (at, slot) in self.facts.hot() {
             let weight = weight(&slot.raw);
             if weight <= left {
                 left -= weight;
                 facts.push(carried(slot, now));
-                told.push((at, slot.gossip_order.map_or(0, |turn| turn.0) + 1));
+                announcement.push((at, slot.gossip_order.map_or(0, |turn| turn.0) + 1));
                 continue;
             }
             if weight > room.saturating_sub(FRAME) {
                 // It fits no packet and is left to larger pages.
-                told.push((at, enough));
+                announcement.push((at, enough));
             }
             missed += 1;
             if missed > MISSES {
                 break;
             }
         }
-        for (at, times) in told {
+        for (at, times) in announcement {
             self.facts.cool(at);
             if times < enough {
                 self.facts.heat(at, times);
@@ -215,11 +215,11 @@
         for step in 0..count {
             let at = step.wrapping_add(turn) % count;
             let part = subrange(range, parts, at);
-            let told = &theirs.digests[4 * at as usize..][..4];
-            if self.facts.digest(part).to_le_bytes()[..4] == *told {
+            let announcement = &theirs.digests[4 * at as usize..][..4];
+            if self.facts.digest(part).to_le_bytes()[..4] == *announcement {
                 continue;
             }
-            let empty = told == [0; 4];
+            let empty = announcement == [0; 4];
             if part.bits < LEAF_BITS && !empty && self.facts.count(part) > FEW {
                 if pages.open.gaps.len() < GAPS && left > FRAME {
                     pages.open.gaps.push(part);
@@ -259,11 +259,11 @@
             };
             self.meet(&view);
             // A page tells what most know already.
-            let told = if page { enough / 2 } else { 0 };
+            let announcement = if page { enough / 2 } else { 0 };
             let merged = self.merged(
                 &view,
                 now.saturating_sub(age),
-                Some(told),
+                Some(announcement),
                 now,
                 &mut changes,
             );
@@ -287,10 +287,10 @@
 
     /// A rumour that comes back counts as told: the more know it, the sooner it rests.
     fn count_duplicate(&mut self, at: u32, enough: u8) {
-        if let Some(told) = self.facts.cool(at)
-            && told + 1 < enough
+        if let Some(announcement) = self.facts.cool(at)
+            && announcement + 1 < enough
         {
-            self.facts.heat(at, told + 1);
+            self.facts.heat(at, announcement + 1);
         }
     }
 
--- a/crates/gossip/src/fact_store.rs
+++ b/crates/gossip/src/fact_store.rs
@@ -69,7 +69,7 @@
         &self.me
     }
 
-    /// The process goes by another boot number from now on; see [`Knowledge::outrun`].
+    /// The process goes by another boot number from now on; see [`FactStore::outrun`].
     pub fn renumber(&mut self, boot: u64) {
         self.me.incarnation = boot;
     }
@@ -238,7 +238,7 @@
     /// process holds it.
     pub fn hear_list(
         &mut self,
-        told: ListAnnouncement,
+        announcement: ListAnnouncement,
         good_for: Millis,
         now: Millis,
     ) -> Result<Position, Refused> {
@@ -246,24 +246,29 @@
             .current_list
             .map(|heard| heard.position)
             .or_else(|| self.own_position(now));
-        let life = list_incarnation(held, told, &self.lists(now), now);
-        self.set_current_list(told, life, held.is_some(), good_for, now)
+        let life = list_incarnation(held, announcement, &self.lists(now), now);
+        self.set_current_list(announcement, life, held.is_some(), good_for, now)
     }
 
     /// Judges the last list anew, after more was heard from peers. Tells a position if it is another one than before:
     /// then the entries are to be witnessed again. Only a process that held no list before that one has cause to.
     pub fn settle_list(&mut self, good_for: Millis, now: Millis) -> Option<Position> {
         let heard = self.current_list.filter(|heard| !heard.follows)?;
-        let told = ListAnnouncement {
+        let announcement = ListAnnouncement {
             complete_list: true,
             ..heard.announcement
         };
-        let life = list_incarnation(Some(heard.position), told, &self.lists(now), heard.at);
+        let life = list_incarnation(
+            Some(heard.position),
+            announcement,
+            &self.lists(now),
+            heard.at,
+        );
         if life == heard.position.incarnation {
             return None;
         }
         let position = self
-            .set_current_list(told, life, false, good_for, now)
+            .set_current_list(announcement, life, false, good_for, now)
             .ok()?;
         self.current_list = self.current_list.map(|last| CurrentList {
             at: heard.at,
@@ -367,7 +372,7 @@
         &mut self,
         view: &View<'_>,
         observed_at: Millis,
-        told: Option<u8>,
+        transmissions: Option<u8>,
         now: Millis,
         changes: &mut Vec<Change>,
     ) -> Merged {
@@ -384,8 +389,8 @@
             ),
             Merged::Same(_) | Merged::Nothing => return merged,
         };
-        if let Some(told) = told {
-            self.facts.heat(at, told);
+        if let Some(transmissions) = transmissions {
+            self.facts.heat(at, transmissions);
         }
         changes.push(Change {
             old,
--- a/crates/gossip/src/fact_table.rs
+++ b/crates/gossip/src/fact_table.rs
@@ -361,28 +361,28 @@
     }
 
     /// Has a slot told as a rumour that was told so often already.
-    pub fn heat(&mut self, at: u32, told: u8) {
+    pub fn heat(&mut self, at: u32, announcement: u8) {
         self.cool(at);
         if self.hot.len() >= self.bounds.gossiped_facts {
             // The one that most have heard gives way.
             match self.hot.last() {
-                Some((most, _, last)) if *most > told => self.cool(*last),
+                Some((most, _, last)) if *most > announcement => self.cool(*last),
                 _ => return,
             };
         }
         self.turns = self.turns.wrapping_add(1);
         if let Some(slot) = self.slots[at as usize].as_mut() {
-            slot.gossip_order = Some((told, self.turns));
-            self.hot.insert((told, self.turns, at));
+            slot.gossip_order = Some((announcement, self.turns));
+            self.hot.insert((announcement, self.turns, at));
         }
     }
 
     /// Has it told no more.
     pub fn cool(&mut self, at: u32) -> Option<u8> {
         let slot = self.slots.get_mut(at as usize)?.as_mut()?;
-        let (told, turn) = slot.gossip_order.take()?;
-        self.hot.remove(&(told, turn, at));
-        Some(told)
+        let (announcement, turn) = slot.gossip_order.take()?;
+        self.hot.remove(&(announcement, turn, at));
+        Some(announcement)
     }
 
     /// Rumours, least often told first.
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,14 +1,14 @@
 //! What the processes of a fleet know together.
 //!
-//! There is no I/O, clock or global here. A host [enters](Knowledge::witness) what its process observes, hands the
-//! bytes of [rumours](Knowledge::rumours), [summaries](Knowledge::summary) and [answers](Knowledge::answer) to whatever
-//! carries them, [takes](Knowledge::take) what comes, and asks what all of it comes to. What a peer says is a hint with
+//! There is no I/O, clock or global here. A host [enters](FactStore::observe) what its process observes, hands the
+//! bytes of [rumours](FactStore::gossip_payload), [summaries](FactStore::summary) and [answers](FactStore::answer) to whatever
+//! carries them, [takes](FactStore::take) what comes, and asks what all of it comes to. What a peer says is a hint with
 //! an age, never a command.
 //!
 //! ```
 //! use beaconflow_gossip::*;
 //!
-//! let process = |name: &str| Knowledge::new(Origin { name: name.into(), boot: 1 }, Bounds::default());
+//! let process = |name: &str| FactStore::new(Origin { name: name.into(), boot: 1 }, Bounds::default());
 //! let (mut a, mut b) = (process("a"), process("b"));
 //! let stands = Placement { server: "s1".into(), configuration: 7, since: 1_000 };
 //! let subject = Subject::Placement(Holder::Client(42));
@@ -40,7 +40,7 @@
 //! # Lives of discovery
 //!
 //! Discovery that lost its state counts its generations from 1 again. Lives are numbers that processes give
-//! ([`Knowledge::hear_list`]), in this order:
+//! ([`FactStore::hear_list`]), in this order:
 //! 1. A list that some process holds under a later life, by generation and digest, is of that life.
 //! 2. A whole list, where a peer holds one that is further than one's own: it is of that peer's life. But where its
 //!    generation is lower and the peer's was witnessed more than [`SKEW`] before, it is of one life more.
@@ -49,7 +49,7 @@
 //! 4. All else goes on in one's own life; the first life is 1.
 //!
 //! Two that see the same loss count from the same life to the same next one, and the higher number is the later life. A
-//! process that had held no list judges its last one again once it hears peers ([`Knowledge::settle_list`]). Doubtful: a
+//! process that had held no list judges its last one again once it hears peers ([`FactStore::settle_list`]). Doubtful: a
 //! list that takes longer than [`SKEW`] to come to a newcomer can open a life that is none; the next list of the others
 //! joins it by rule 1, and until then older entries may stand among hints. A loss that nobody can tell from going on (the
 //! count is beyond the old one, unseen by all) is none.
--- a/crates/gossip/src/list_incarnation.rs
+++ b/crates/gossip/src/list_incarnation.rs
@@ -26,13 +26,14 @@
 /// The life of a list that was told now: see the crate's page.
 pub(crate) fn list_incarnation(
     own: Option<Position>,
-    told: ListAnnouncement,
+    announcement: ListAnnouncement,
     known: &[KnownList],
     now: Millis,
 ) -> u64 {
     let own_life = own.map_or(0, |own| own.incarnation);
     let same = |known: &&KnownList| {
-        known.list.position.generation == told.generation && known.list.digest == told.digest
+        known.list.position.generation == announcement.generation
+            && known.list.digest == announcement.digest
     };
     let joined = known
         .iter()
@@ -47,19 +48,20 @@
         .max_by_key(|known| (known.list.position, known.observed_at));
     let beyond = highest.filter(|known| own.is_none_or(|own| known.list.position > own));
     let mut life = own_life.max(1);
-    if let Some(known) = beyond.filter(|_| told.complete_list || own.is_none()) {
+    if let Some(known) = beyond.filter(|_| announcement.complete_list || own.is_none()) {
         let Position {
             incarnation: other,
             generation,
         } = known.list.position;
         let long_ago = known.observed_at.saturating_add(SKEW) < now;
-        life = if told.generation < generation && long_ago {
+        life = if announcement.generation < generation && long_ago {
             other + 1
         } else {
             other
         };
     }
     // The own watch saw the count begin anew; no clock is compared.
-    let anew = own.is_some_and(|own| told.complete_list && told.generation < own.generation);
+    let anew = own
+        .is_some_and(|own| announcement.complete_list && announcement.generation < own.generation);
     if anew { life.max(own_life + 1) } else { life }
 }
--- a/crates/recovery/src/admission_curve.rs
+++ b/crates/recovery/src/admission_curve.rs
@@ -25,17 +25,17 @@
 pub(crate) type WarmingServer = (f64, i64);
 
 /// The fraction of its capacity that a server has.
-pub(crate) fn capacity_fraction(cold: &SlowStartRules, born: i64, now: i64) -> f64 {
+pub(crate) fn capacity_fraction(slow_start: &SlowStartRules, born: i64, now: i64) -> f64 {
     let age = now.saturating_sub(born);
     if age < 0 {
         return 0.0;
     }
-    let part = if cold.warm_up_time == 0 {
+    let part = if slow_start.warm_up_time == 0 {
         1.0
     } else {
-        (age as f64 / cold.warm_up_time as f64).min(1.0)
+        (age as f64 / slow_start.warm_up_time as f64).min(1.0)
     };
-    cold.initial_capacity + (1.0 - cold.initial_capacity) * part
+    slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * part
 }
 
 /// The fraction of a limit that can be used if clients choose servers at random and arrive in
@@ -72,19 +72,19 @@
         start: Nanos,
         base: f64,
         servers: &[WarmingServer],
-        cold: &SlowStartRules,
-        (borne, clump): (f64, f64),
+        slow_start: &SlowStartRules,
+        (sustainable_arrivals, clump): (f64, f64),
     ) -> AdmissionCurve {
         let last = servers
             .iter()
-            .map(|(_, born)| born.saturating_add(cold.warm_up_time as i64))
+            .map(|(_, born)| born.saturating_add(slow_start.warm_up_time as i64))
             .max()
             .unwrap_or(0);
         let until = u64::try_from(last)
             .unwrap_or(0)
             .saturating_sub(start)
-            .max(cold.warm_up_time.max(SECOND));
-        let step = (cold.warm_up_time / POINTS_PER_WARM_UP)
+            .max(slow_start.warm_up_time.max(SECOND));
+        let step = (slow_start.warm_up_time / POINTS_PER_WARM_UP)
             .max(until / MAX_POINTS)
             .max(1);
         let rarity = (OVERLOAD_ODDS * servers.len() as f64).ln();
@@ -96,20 +96,23 @@
         let rate = |at: Nanos| {
             let sum = servers
                 .iter()
-                .map(|(weight, born)| weight * capacity_fraction(cold, *born, at as i64))
+                .map(|(weight, born)| weight * capacity_fraction(slow_start, *born, at as i64))
                 .sum::<f64>();
             let all = servers
                 .iter()
                 .map(|(weight, _)| weight)
                 .sum::<f64>()
                 .max(f64::MIN_POSITIVE);
-            let each = cold.overload_multiple * borne * cold.overload_window as f64 / SECOND as f64;
-            cold.overload_multiple
-                * borne
+            let each = slow_start.overload_multiple
+                * sustainable_arrivals
+                * slow_start.overload_window as f64
+                / SECOND as f64;
+            slow_start.overload_multiple
+                * sustainable_arrivals
                 * sum
                 * usable_fraction(
                     each * small * sum / all,
-                    cold.variance_margin,
+                    slow_start.variance_margin,
                     rarity,
                     clump,
                 )
--- a/crates/recovery/src/admission_order.rs
+++ b/crates/recovery/src/admission_order.rs
@@ -40,12 +40,12 @@
 }
 
 impl ClientCount {
-    pub(crate) fn count(&mut self, arrival: &AdmissionRequest) {
-        let key = arrival.client_key.unwrap_or(arrival.id);
+    pub(crate) fn count(&mut self, request: &AdmissionRequest) {
+        let key = request.client_key.unwrap_or(request.id);
         if self.keys.len() < MAX_COUNTED_CLIENTS && self.keys.insert(key) {
             *self
                 .counts
-                .entry((arrival.class, arrival.account))
+                .entry((request.class, request.account))
                 .or_insert(0.0) += 1.0;
         }
     }
@@ -82,11 +82,11 @@
     /// Computes the order of so many clients. Without `former` all of them are in one band.
     pub(crate) fn new(
         config: &RecoveryConfig,
-        former: &[PreviousClients],
+        previous_clients: &[PreviousClients],
         total: f64,
     ) -> AdmissionOrder {
         let mut bands: BTreeMap<usize, PriorityBand> = BTreeMap::new();
-        for one in former
+        for one in previous_clients
             .iter()
             .filter(|one| one.clients.is_finite() && one.clients > 0.0)
         {
@@ -129,17 +129,17 @@
     }
 
     /// The position of a client. The clients of a group are together, or spread as configured.
-    pub(crate) fn position(&self, config: &RecoveryConfig, arrival: &AdmissionRequest) -> f64 {
-        let own = uniform_hash(arrival.client_key.unwrap_or(arrival.id));
+    pub(crate) fn position(&self, config: &RecoveryConfig, request: &AdmissionRequest) -> f64 {
+        let own = uniform_hash(request.client_key.unwrap_or(request.id));
         // Wraps around, so that positions stay uniform.
-        let luck = arrival.group.map_or(own, |group| {
+        let luck = request.group.map_or(own, |group| {
             (uniform_hash(group) + self.group_spread * own).fract()
         });
-        let priority_rank = rank(config, arrival.class);
+        let priority_rank = rank(config, request.class);
         // An unknown class comes after the last one that is not less urgent.
         match self.bands.range(..=priority_rank).next_back() {
             Some((at, band)) if *at == priority_rank || self.bands.len() == 1 => {
-                band.position(arrival.account, luck)
+                band.position(request.account, luck)
             }
             Some((_, band)) => band.start + band.clients,
             None => 0.0,
--- a/crates/recovery/src/config.rs
+++ b/crates/recovery/src/config.rs
@@ -196,7 +196,7 @@
 impl RecoveryConfig {
     /// All fields that are outside their range.
     pub fn errors(&self) -> Vec<ConfigError> {
-        let (bounds, ages, cold) = (&self.timeouts, &self.retention, &self.slow_start);
+        let (bounds, ages, slow_start) = (&self.timeouts, &self.retention, &self.slow_start);
         let is_part = |part: f64| part > 0.0 && part <= 1.0;
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         let faults = [
@@ -209,14 +209,17 @@
                 bounds.suspended_after < TICK_INTERVAL.saturating_mul(4),
             ),
             ("ages.fades", ages.half_life == 0),
-            ("cold.cold_share", !is_part(cold.initial_capacity)),
-            ("cold.tip_multiple", !is_positive(cold.overload_multiple)),
-            ("cold.fall_time", cold.overload_window == 0),
+            ("cold.cold_share", !is_part(slow_start.initial_capacity)),
+            (
+                "cold.tip_multiple",
+                !is_positive(slow_start.overload_multiple),
+            ),
+            ("cold.fall_time", slow_start.overload_window == 0),
             (
                 "cold.slack",
-                !(cold.variance_margin.is_finite() && cold.variance_margin >= 0.0),
+                !(slow_start.variance_margin.is_finite() && slow_start.variance_margin >= 0.0),
             ),
-            ("cold.borne", !is_positive(cold.clients_per_server_s)),
+            ("cold.borne", !is_positive(slow_start.clients_per_server_s)),
             (
                 "group",
                 !(self.group_size.is_finite() && self.group_size >= 0.0),
@@ -257,8 +260,8 @@
     }
 
     /// Timeout of the queries to one source.
-    pub(crate) fn query_timeout(&self, whom: EvidenceSource) -> Nanos {
-        match whom {
+    pub(crate) fn query_timeout(&self, source: EvidenceSource) -> Nanos {
+        match source {
             EvidenceSource::SitePeers => self.timeouts.site_peers,
             EvidenceSource::OtherSites => self.timeouts.other_sites,
             EvidenceSource::Discovery => self.timeouts.discovery.saturating_add(self.call_spread()),
@@ -270,7 +273,7 @@
     pub fn admits_within(&self) -> Nanos {
         EvidenceSource::ALL
             .into_iter()
-            .map(|whom| self.query_timeout(whom))
+            .map(|source| self.query_timeout(source))
             .fold(0, Nanos::saturating_add)
     }
 
--- a/crates/recovery/src/queries.rs
+++ b/crates/recovery/src/queries.rs
@@ -25,28 +25,28 @@
         match EvidenceSource::ALL
             .into_iter()
             .skip(from)
-            .find(|whom| self.is_configured(*whom))
+            .find(|source| self.is_configured(*source))
         {
-            Some(whom) => {
-                self.state = RecoveryState::Querying(whom);
-                self.step_deadline_at = now.saturating_add(self.config.query_timeout(whom));
+            Some(source) => {
+                self.state = RecoveryState::Querying(source);
+                self.step_deadline_at = now.saturating_add(self.config.query_timeout(source));
                 self.log_step(
                     out,
-                    RecoveryStep::Query(whom),
-                    format!("what is known at the {whom}"),
+                    RecoveryStep::Query(source),
+                    format!("what is known at the {source}"),
                     Some(self.step_deadline_at),
                 );
-                if !self.queries[whom as usize].is_answered {
-                    let after = self.rng.random_range(0..=self.first_call_spread(whom));
-                    self.call(now, whom, after, out);
+                if !self.queries[source as usize].is_answered {
+                    let after = self.rng.random_range(0..=self.first_call_spread(source));
+                    self.call(now, source, after, out);
                 }
             }
             None => self.start_admission(now, out),
         }
     }
 
-    fn is_configured(&self, whom: EvidenceSource) -> bool {
-        match whom {
+    fn is_configured(&self, source: EvidenceSource) -> bool {
+        match source {
             EvidenceSource::SitePeers => self.config.site_peers > 0,
             EvidenceSource::OtherSites => !self.config.other_sites.is_empty(),
             EvidenceSource::Discovery => true,
@@ -54,9 +54,9 @@
         }
     }
 
-    fn answer_timeout(&self, whom: EvidenceSource) -> Nanos {
+    fn answer_timeout(&self, source: EvidenceSource) -> Nanos {
         let bounds = &self.config.timeouts;
-        match whom {
+        match source {
             EvidenceSource::SitePeers => bounds.site_peers,
             EvidenceSource::OtherSites => bounds.other_sites,
             EvidenceSource::Discovery => bounds.discovery,
@@ -65,9 +65,11 @@
     }
 
     /// The span over which the fleet's first calls are spread. Peers also report unasked.
-    fn first_call_spread(&self, whom: EvidenceSource) -> Nanos {
-        match whom {
-            EvidenceSource::SitePeers | EvidenceSource::OtherSites => self.answer_timeout(whom) / 4,
+    fn first_call_spread(&self, source: EvidenceSource) -> Nanos {
+        match source {
+            EvidenceSource::SitePeers | EvidenceSource::OtherSites => {
+                self.answer_timeout(source) / 4
+            }
             EvidenceSource::Discovery | EvidenceSource::Store => self.config.call_spread(),
         }
     }
@@ -88,37 +90,37 @@
 
     /// Retries after a capped exponential backoff with full jitter, never faster than the fleet's
     /// calls allow.
-    fn retry_call(&mut self, now: Nanos, whom: EvidenceSource, out: &mut Vec<Action>) {
-        let tries = self.queries[whom as usize].attempts.min(16);
+    fn retry_call(&mut self, now: Nanos, source: EvidenceSource, out: &mut Vec<Action>) {
+        let tries = self.queries[source as usize].attempts.min(16);
         let most = self
             .config
             .timeouts
             .max_retry_interval
-            .max(self.first_call_spread(whom));
+            .max(self.first_call_spread(source));
         let span = self
-            .first_call_spread(whom)
+            .first_call_spread(source)
             .max(MIN_RETRY_SPREAD)
             .saturating_mul(1 << tries)
             .min(most);
         let after = self.rng.random_range(0..=span);
-        self.call(now, whom, after, out);
+        self.call(now, source, after, out);
     }
 
     /// Retries the calls that are due, whatever the state: a source that comes back last is heard
     /// too.
     pub(crate) fn retry_due_calls(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        for whom in EvidenceSource::ALL {
-            if self.queries[whom as usize]
+        for source in EvidenceSource::ALL {
+            if self.queries[source as usize]
                 .retry_at
                 .is_some_and(|next| now >= next)
             {
-                self.retry_call(now, whom, out);
+                self.retry_call(now, source, out);
             }
         }
     }
 
-    pub(crate) fn on_answered(&mut self, whom: EvidenceSource) {
-        let asked = &mut self.queries[whom as usize];
+    pub(crate) fn on_answered(&mut self, source: EvidenceSource) {
+        let asked = &mut self.queries[source as usize];
         *asked = QueryState {
             is_answered: true,
             retry_at: None,
@@ -141,20 +143,20 @@
     pub(crate) fn on_query_failed(
         &mut self,
         now: Nanos,
-        whom: EvidenceSource,
+        source: EvidenceSource,
         out: &mut Vec<Action>,
     ) {
-        self.evidence.record_silence(whom);
-        let asked = &self.queries[whom as usize];
+        self.evidence.record_silence(source);
+        let asked = &self.queries[source as usize];
         if asked.retry_at.is_some() && now >= asked.call_at {
-            self.retry_call(now, whom, out);
+            self.retry_call(now, source, out);
         }
     }
 
     /// Whether the query is done: answered, timed out, or not needed.
-    pub(crate) fn is_query_done(&self, now: Nanos, whom: EvidenceSource) -> bool {
-        let is_told = whom == EvidenceSource::Discovery && self.has_fresh_list();
-        self.queries[whom as usize].is_answered
+    pub(crate) fn is_query_done(&self, now: Nanos, source: EvidenceSource) -> bool {
+        let is_told = source == EvidenceSource::Discovery && self.has_fresh_list();
+        self.queries[source as usize].is_answered
             || now >= self.step_deadline_at
             || is_told
             || self.can_skip_queries(now)
@@ -177,15 +179,20 @@
         is_told && self.assess_scope(now).scope == OutageScope::Process
     }
 
-    pub(crate) fn finish_query(&mut self, now: Nanos, whom: EvidenceSource, out: &mut Vec<Action>) {
-        if !self.queries[whom as usize].is_answered {
-            self.evidence.record_silence(whom);
+    pub(crate) fn finish_query(
+        &mut self,
+        now: Nanos,
+        source: EvidenceSource,
+        out: &mut Vec<Action>,
+    ) {
+        if !self.queries[source as usize].is_answered {
+            self.evidence.record_silence(source);
         }
         if !self.can_skip_queries(now) {
-            return self.query_next(now, whom as usize + 1, out);
+            return self.query_next(now, source as usize + 1, out);
         }
         // The remaining sources are still queried.
-        for later in EvidenceSource::ALL.into_iter().skip(whom as usize + 1) {
+        for later in EvidenceSource::ALL.into_iter().skip(source as usize + 1) {
             if self.is_configured(later) && !self.queries[later as usize].is_answered {
                 let after = self.rng.random_range(0..=self.first_call_spread(later));
                 self.call(now, later, after, out);
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -1,5 +1,9 @@
 //! The state machine.
 
+mod lists;
+mod outage_scope;
+mod remembered;
+
 use std::collections::BTreeMap;
 
 use rand::{Rng, SeedableRng};
@@ -8,16 +12,16 @@
 use crate::admission_curve::AdmissionCurve;
 use crate::admission_order::{AdmissionOrder, ClientCount};
 use crate::admission_quota::AdmissionQuota;
-use crate::clock::{ClockQuality, WallClock};
+use crate::clock::WallClock;
 use crate::config::TICK_INTERVAL;
 use crate::queries::QueryState;
 use crate::scope::{ScopeEvidence, ScopeFinding};
-use crate::server_table::{ListContext, ListOutcome, ServerTable};
-use crate::validity::{self, MemoryOwner};
+use crate::server_table::{ListContext, ServerTable};
+use crate::validity::MemoryOwner;
 use crate::{
-    Action, AdmissionRequest, ConfigError, Event, EvidenceSource, List, Memory, Millis, Nanos,
-    PeerStatus, PreviousClients, RecoveryConfig, RecoveryState, RecoveryStep, RememberedKind,
-    SECOND, ServiceMode, Source, Validity,
+    Action, AdmissionRequest, ConfigError, Event, EvidenceSource, List, Millis, Nanos, PeerStatus,
+    PreviousClients, RecoveryConfig, RecoveryState, RecoveryStep, RememberedKind, SECOND,
+    ServiceMode, Validity,
 };
 
 /// Offset of the internal clock, so that times before the start of the host's clock are not
@@ -132,11 +136,11 @@
             Event::Started { memory: None, .. } | Event::Tick => {}
             Event::PeerReported(word) => self.on_peer_status(now, &word, out),
             Event::ListReceived(list) => self.apply_list(now, &list, out),
-            Event::Answered(whom) => self.on_answered(whom),
-            Event::Failed(whom) => self.on_query_failed(now, whom, out),
+            Event::Answered(source) => self.on_answered(source),
+            Event::Failed(source) => self.on_query_failed(now, source, out),
             Event::ServerStarted { name, at } => self.on_server_started(now, &name, at, out),
-            Event::AdmissionRequested(arrival) => {
-                return self.on_admission_requested(now, &arrival, out);
+            Event::AdmissionRequested(request) => {
+                return self.on_admission_requested(now, &request, out);
             }
             Event::QuotaLent {
                 from,
@@ -256,64 +260,6 @@
         self.query_next(now, 0, out);
     }
 
-    fn remember(&mut self, now: Nanos, memory: Memory, out: &mut Vec<Action>) {
-        if self.memory.is_some() {
-            return;
-        }
-        let owner = validity::memory_owner(&self.config, self.incarnation, &memory);
-        let reason = match owner {
-            MemoryOwner::Own => format!("memory of boot {}", memory.incarnation),
-            MemoryOwner::Foreign => {
-                format!(
-                    "memory of {} boot {}: not this process's own",
-                    memory.owner, memory.incarnation
-                )
-            }
-        };
-        self.log_step(out, RecoveryStep::MemoryRead, reason, None);
-        let Memory {
-            written_at,
-            list,
-            previous_clients,
-            clients_per_server_s: client_rate_per_server,
-            ..
-        } = memory;
-        self.memory = Some(RememberedState {
-            owner,
-            written_at,
-            list,
-            previous_clients,
-            clients_per_server_s: client_rate_per_server,
-        });
-        self.assess_remembered(now, out);
-        if self.validity(RememberedKind::List) == Validity::Hint(1.0) {
-            self.apply_remembered_list(now, out);
-        }
-    }
-
-    /// Applies the remembered list, unless it was used.
-    pub(crate) fn apply_remembered_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let Some(kept) = &mut self.memory else { return };
-        let Some(list) = kept.list.take() else { return };
-        let age = self
-            .clock
-            .as_ref()
-            .and_then(|clock| clock.age(now, kept.written_at));
-        let age = age.map_or(Nanos::MAX / 4, |age| {
-            age.saturating_mul(crate::MS).min(Nanos::MAX / 4)
-        });
-        self.apply_list(
-            now,
-            &List {
-                source: Source::Memory,
-                age: list.age.saturating_add(age),
-                reported_at: None,
-                ..list
-            },
-            out,
-        );
-    }
-
     fn on_peer_status(&mut self, now: Nanos, word: &PeerStatus, out: &mut Vec<Action>) {
         if word.name == self.config.name {
             return;
@@ -322,12 +268,12 @@
         if let (Some(wall), Some(clock)) = (word.wall_clock, self.clock.as_mut()) {
             clock.record_peer(now, &word.name, wall);
         }
-        if let Some(former) = word
+        if let Some(previous_clients) = word
             .previous_clients
-            .filter(|former| former.is_finite() && *former > 0.0)
+            .filter(|previous_clients| previous_clients.is_finite() && *previous_clients > 0.0)
         {
             self.peers_previous_clients
-                .insert(word.name.clone(), former);
+                .insert(word.name.clone(), previous_clients);
         }
         let short = if word.deferred_per_s.is_finite() {
             word.deferred_per_s.clamp(0.0, MAX_DEFERRED_PER_S)
@@ -355,187 +301,6 @@
         self.reassess_scope(now, out);
     }
 
-    fn apply_list(&mut self, now: Nanos, list: &List, out: &mut Vec<Action>) {
-        if let (Some(wall), Some(clock)) = (list.reported_at, self.clock.as_mut()) {
-            clock.record_peer(now, "discovery", wall);
-        }
-        for entry in list
-            .entries
-            .iter()
-            .filter(|_| list.source != Source::Memory)
-        {
-            self.clock
-                .iter_mut()
-                .for_each(|clock| clock.record_server_start(entry.started_at_ms));
-        }
-        self.assess_clock(now, out);
-        self.on_list_source(list.source);
-        let of_memory = (list.source == Source::Memory)
-            .then(|| self.memory.as_ref().map(|kept| kept.written_at));
-        let list_context = hearing(&self.config, self.clock.as_ref(), now, of_memory.flatten());
-        let (source, entries) = (list.source, list.entries.len());
-        match self.servers.apply(list, list_context) {
-            ListOutcome::Rejected => self.log_step(
-                out,
-                RecoveryStep::List,
-                format!("left out: what is held is newer than {source:?}'s"),
-                None,
-            ),
-            ListOutcome::Applied { held, is_new_epoch } => {
-                let lost = if is_new_epoch {
-                    "; discovery counts anew"
-                } else {
-                    ""
-                };
-                self.log_step(
-                    out,
-                    RecoveryStep::List,
-                    format!("{entries} servers by {source:?}{lost}"),
-                    None,
-                );
-                if held > 0 && is_new_epoch {
-                    let until = now.saturating_add(self.config.timeouts.drain_hold);
-                    let reason =
-                        format!("{held} former drains hold until discovery says otherwise");
-                    self.log_step(out, RecoveryStep::Drain, reason, Some(until));
-                }
-                self.on_servers_changed(now, out);
-            }
-        }
-    }
-
-    fn on_server_started(&mut self, now: Nanos, name: &str, at: Millis, out: &mut Vec<Action>) {
-        let hearing = hearing(&self.config, self.clock.as_ref(), now, None);
-        if self.servers.record_start(name, at, hearing) {
-            self.on_servers_changed(now, out);
-        }
-    }
-
-    fn on_servers_changed(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::ListChanged);
-        self.limit_server_starts();
-        self.plan_admission(now);
-        self.reassess_scope(now, out);
-    }
-
-    fn assess_clock(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let judged = self
-            .clock
-            .as_mut()
-            .and_then(|clock| clock.reassess(now, &self.config.retention));
-        let Some(judged) = judged else { return };
-        let reason = match judged {
-            ClockQuality::Sound(why) => format!("ages count: {why}"),
-            ClockQuality::Unknown(why) => format!("ages are unknown: {why}"),
-        };
-        self.log_step(out, RecoveryStep::Clock, reason, None);
-        self.assess_remembered(now, out);
-    }
-
-    /// Assesses all kinds of remembered knowledge and reports changes.
-    fn assess_remembered(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let Some(kept) = &self.memory else { return };
-        let age = self
-            .clock
-            .as_ref()
-            .and_then(|clock| clock.age(now, kept.written_at));
-        for kind in RememberedKind::ALL {
-            let (validity, reason) =
-                validity::assess(kind, kept.owner, age, &self.config.retention);
-            if self.validities.insert(kind, (validity, reason)) != Some((validity, reason)) {
-                out.push(Action::RememberedStateJudged {
-                    kind,
-                    validity,
-                    reason,
-                    as_of: Some(kept.written_at),
-                });
-            }
-        }
-    }
-
-    /// The remembered former clients, and their sum.
-    pub(crate) fn remembered(&self) -> (&[PreviousClients], f64) {
-        let former = self
-            .memory
-            .as_ref()
-            .map_or(&[][..], |kept| &kept.previous_clients);
-        (
-            former,
-            former
-                .iter()
-                .map(|one| one.clients)
-                .filter(|clients| *clients > 0.0)
-                .sum(),
-        )
-    }
-
-    /// Clients per second that a warm server of weight 1 can take: the remembered rate fades to the
-    /// configured one.
-    pub(crate) fn sustainable_arrivals(&self) -> f64 {
-        let seen = self
-            .memory
-            .as_ref()
-            .and_then(|kept| kept.clients_per_server_s)
-            .filter(|seen| seen.is_finite() && *seen > 0.0);
-        match (self.validity(RememberedKind::ServerRates), seen) {
-            (Validity::Hint(weight), Some(seen)) => {
-                weight * seen + (1.0 - weight) * self.config.slow_start.clients_per_server_s
-            }
-            _ => self.config.slow_start.clients_per_server_s,
-        }
-    }
-
-    /// Assesses the extent of the outage again once it was decided.
-    fn reassess_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        if self.finding.is_some() {
-            self.decide_scope(now, out);
-        }
-    }
-
-    pub(crate) fn assess_scope(&self, now: Nanos) -> ScopeFinding {
-        let told = self
-            .has_fresh_list()
-            .then(|| self.servers.warming_fraction(now, &self.config.slow_start));
-        let cold = told.flatten();
-        self.evidence.assess(
-            now,
-            now.saturating_sub(self.outage_started_at),
-            &self.config,
-            cold,
-        )
-    }
-
-    /// Decides the extent of the outage and reports a change.
-    pub(crate) fn decide_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let found = self.assess_scope(now);
-        if self.state == RecoveryState::Serving
-            || self
-                .finding
-                .as_ref()
-                .is_some_and(|old| old.scope == found.scope)
-        {
-            return;
-        }
-        let ScopeFinding {
-            scope,
-            likelihood,
-            evidence,
-        } = found.clone();
-        let by = if evidence.is_empty() {
-            "nothing".into()
-        } else {
-            evidence.join("; ")
-        };
-        self.log_step(out, RecoveryStep::Scope, format!("{scope}, by {by}"), None);
-        out.push(Action::ScopeDecided {
-            scope,
-            likelihood,
-            evidence,
-        });
-        self.finding = Some(found);
-        self.limit_server_starts();
-    }
-
     /// Handles everything that depends on time alone.
     fn advance_time(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.retry_due_calls(now, out);
@@ -548,11 +313,11 @@
             );
             self.on_servers_changed(now, out);
         }
-        while let RecoveryState::Querying(whom) = self.state {
-            if !self.is_query_done(now, whom) {
+        while let RecoveryState::Querying(source) = self.state {
+            if !self.is_query_done(now, source) {
                 return;
             }
-            self.finish_query(now, whom, out);
+            self.finish_query(now, source, out);
         }
         if self.state == RecoveryState::StagedAdmission {
             self.refill(now, out);
@@ -562,18 +327,18 @@
     fn on_admission_requested(
         &mut self,
         now: Nanos,
-        arrival: &AdmissionRequest,
+        request: &AdmissionRequest,
         out: &mut Vec<Action>,
     ) {
         match self.state {
-            RecoveryState::Serving => out.push(Action::Admit { id: arrival.id }),
-            RecoveryState::StagedAdmission => self.admit_or_defer(now, arrival, out),
+            RecoveryState::Serving => out.push(Action::Admit { id: request.id }),
+            RecoveryState::StagedAdmission => self.admit_or_defer(now, request, out),
             RecoveryState::NotStarted | RecoveryState::Querying(_) => {
-                self.client_count.count(arrival);
+                self.client_count.count(request);
                 let left = self.step_deadline_at.saturating_sub(now).min(SECOND);
                 let retry_after = left.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
                 out.push(Action::Defer {
-                    id: arrival.id,
+                    id: request.id,
                     retry_after,
                     is_final: false,
                 });
@@ -597,7 +362,7 @@
 }
 
 /// The clocks for a list received now.
-fn hearing<'a>(
+fn list_context<'a>(
     config: &'a RecoveryConfig,
     clock: Option<&WallClock>,
     now: Nanos,
--- /dev/null
+++ b/crates/recovery/src/recovery/remembered.rs
@@ -0,0 +1,135 @@
+//! Remembered state: its validity and its use.
+
+use super::{Recovery, RememberedState};
+use crate::clock::ClockQuality;
+use crate::validity::{self, MemoryOwner};
+use crate::{
+    Action, List, Memory, Nanos, PreviousClients, RecoveryStep, RememberedKind, Source, Validity,
+};
+
+impl Recovery {
+    pub(super) fn remember(&mut self, now: Nanos, memory: Memory, out: &mut Vec<Action>) {
+        if self.memory.is_some() {
+            return;
+        }
+        let owner = validity::memory_owner(&self.config, self.incarnation, &memory);
+        let reason = match owner {
+            MemoryOwner::Own => format!("memory of boot {}", memory.incarnation),
+            MemoryOwner::Foreign => {
+                format!(
+                    "memory of {} boot {}: not this process's own",
+                    memory.owner, memory.incarnation
+                )
+            }
+        };
+        self.log_step(out, RecoveryStep::MemoryRead, reason, None);
+        let Memory {
+            written_at,
+            list,
+            previous_clients,
+            clients_per_server_s: client_rate_per_server,
+            ..
+        } = memory;
+        self.memory = Some(RememberedState {
+            owner,
+            written_at,
+            list,
+            previous_clients,
+            clients_per_server_s: client_rate_per_server,
+        });
+        self.assess_remembered(now, out);
+        if self.validity(RememberedKind::List) == Validity::Hint(1.0) {
+            self.apply_remembered_list(now, out);
+        }
+    }
+
+    /// Applies the remembered list, unless it was used.
+    pub(crate) fn apply_remembered_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let Some(kept) = &mut self.memory else { return };
+        let Some(list) = kept.list.take() else { return };
+        let age = self
+            .clock
+            .as_ref()
+            .and_then(|clock| clock.age(now, kept.written_at));
+        let age = age.map_or(Nanos::MAX / 4, |age| {
+            age.saturating_mul(crate::MS).min(Nanos::MAX / 4)
+        });
+        self.apply_list(
+            now,
+            &List {
+                source: Source::Memory,
+                age: list.age.saturating_add(age),
+                reported_at: None,
+                ..list
+            },
+            out,
+        );
+    }
+
+    pub(super) fn assess_clock(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let judged = self
+            .clock
+            .as_mut()
+            .and_then(|clock| clock.reassess(now, &self.config.retention));
+        let Some(judged) = judged else { return };
+        let reason = match judged {
+            ClockQuality::Sound(why) => format!("ages count: {why}"),
+            ClockQuality::Unknown(why) => format!("ages are unknown: {why}"),
+        };
+        self.log_step(out, RecoveryStep::Clock, reason, None);
+        self.assess_remembered(now, out);
+    }
+
+    /// Assesses all kinds of remembered knowledge and reports changes.
+    pub(super) fn assess_remembered(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let Some(kept) = &self.memory else { return };
+        let age = self
+            .clock
+            .as_ref()
+            .and_then(|clock| clock.age(now, kept.written_at));
+        for kind in RememberedKind::ALL {
+            let (validity, reason) =
+                validity::assess(kind, kept.owner, age, &self.config.retention);
+            if self.validities.insert(kind, (validity, reason)) != Some((validity, reason)) {
+                out.push(Action::RememberedStateJudged {
+                    kind,
+                    validity,
+                    reason,
+                    as_of: Some(kept.written_at),
+                });
+            }
+        }
+    }
+
+    /// The remembered former clients, and their sum.
+    pub(crate) fn remembered(&self) -> (&[PreviousClients], f64) {
+        let previous_clients = self
+            .memory
+            .as_ref()
+            .map_or(&[][..], |kept| &kept.previous_clients);
+        (
+            previous_clients,
+            previous_clients
+                .iter()
+                .map(|one| one.clients)
+                .filter(|clients| *clients > 0.0)
+                .sum(),
+        )
+    }
+
+    /// Clients per second that a warm server of weight 1 can take: the remembered rate fades to the
+    /// configured one.
+    pub(crate) fn sustainable_arrivals(&self) -> f64 {
+        let seen = self
+            .memory
+            .as_ref()
+            .and_then(|kept| kept.clients_per_server_s)
+            .filter(|seen| seen.is_finite() && *seen > 0.0);
+        match (self.validity(RememberedKind::ServerRates), seen) {
+            (Validity::Hint(weight), Some(seen)) => {
+                weight * seen + (1.0 - weight) * self.config.slow_start.clients_per_server_s
+            }
+            _ => self.config.slow_start.clients_per_server_s,
+        }
+    }
+}
--- a/crates/recovery/src/server_table.rs
+++ b/crates/recovery/src/server_table.rs
@@ -91,8 +91,8 @@
 impl ServerTable {
     /// Applies a list unless the present one is newer. Within an epoch the generation decides;
     /// between epochs discovery goes first, then the younger list.
-    pub(crate) fn apply(&mut self, list: &List, hearing: ListContext<'_>) -> ListOutcome {
-        let as_of = (hearing.now as i64).saturating_sub(list.age as i64);
+    pub(crate) fn apply(&mut self, list: &List, list_context: ListContext<'_>) -> ListOutcome {
+        let as_of = (list_context.now as i64).saturating_sub(list.age as i64);
         let new = ListOrigin {
             source: list.source,
             epoch: list.epoch,
@@ -100,7 +100,7 @@
             as_of,
         };
         let Some(old) = self.origin else {
-            return self.replace(list, new, hearing, false);
+            return self.replace(list, new, list_context, false);
         };
         let counts_anew =
             list.epoch == old.epoch && list.epoch == 0 && list.generation < old.generation;
@@ -119,7 +119,7 @@
         self.replace(
             list,
             new,
-            hearing,
+            list_context,
             !same_life && is_discovery && old.source != Source::Known,
         )
     }
@@ -129,7 +129,7 @@
         &mut self,
         list: &List,
         new: ListOrigin,
-        hearing: ListContext<'_>,
+        list_context: ListContext<'_>,
         is_new_epoch: bool,
     ) -> ListOutcome {
         self.origin = Some(new);
@@ -138,7 +138,7 @@
             let known = before.remove(&entry.name);
             self.servers.insert(
                 entry.name.clone(),
-                merge_entry(entry, known, hearing, is_new_epoch),
+                merge_entry(entry, known, list_context, is_new_epoch),
             );
         }
         self.update_summary();
@@ -158,7 +158,7 @@
         &mut self,
         name: &str,
         at: Millis,
-        hearing: ListContext<'_>,
+        list_context: ListContext<'_>,
     ) -> bool {
         let Some(server) = self.servers.get_mut(name) else {
             return false;
@@ -167,7 +167,7 @@
             return false;
         }
         server.entry.started_at_ms = at.max(server.entry.started_at_ms);
-        server.started_at = born(at, hearing);
+        server.started_at = born(at, list_context);
         server.has_restarted = true;
         self.update_summary();
         true
@@ -253,9 +253,9 @@
     }
 
     /// The fraction of the accepting weight in slow start, if any server accepts.
-    pub(crate) fn warming_fraction(&self, now: Nanos, cold: &SlowStartRules) -> Option<f64> {
+    pub(crate) fn warming_fraction(&self, now: Nanos, slow_start: &SlowStartRules) -> Option<f64> {
         let (floor, is_cold) = (self.earliest_start.unwrap_or(i64::MIN), |born: i64| {
-            (now as i64).saturating_sub(born) < cold.warm_up_time as i64
+            (now as i64).saturating_sub(born) < slow_start.warm_up_time as i64
         });
         match self.start_range {
             Some((first, _)) if is_cold(first.max(floor)) => return Some(1.0),
@@ -277,11 +277,11 @@
 fn merge_entry(
     entry: &Entry,
     known: Option<Server>,
-    hearing: ListContext<'_>,
+    list_context: ListContext<'_>,
     reborn: bool,
 ) -> Server {
     let Some(known) = known else {
-        let start_time = first_start_time(entry, hearing);
+        let start_time = first_start_time(entry, list_context);
         return Server {
             entry: entry.clone(),
             started_at: start_time,
@@ -295,15 +295,17 @@
         _ if entry.lifecycle != Lifecycle::Ready => None,
         // A server that restarted has nothing left to drain.
         _ if !is_same => None,
-        None if reborn && drained => Some(hearing.now.saturating_add(hearing.drain_hold)),
+        None if reborn && drained => Some(list_context.now.saturating_add(list_context.drain_hold)),
         held => held,
     };
     let (started_at, has_restarted) = match is_same {
         true => (
-            known.started_at.min(born(entry.started_at_ms, hearing)),
+            known
+                .started_at
+                .min(born(entry.started_at_ms, list_context)),
             known.has_restarted,
         ),
-        false => (born(entry.started_at_ms, hearing), true),
+        false => (born(entry.started_at_ms, list_context), true),
     };
     let started_at_ms = entry.started_at_ms.max(if is_same {
         known.entry.started_at_ms
@@ -323,28 +325,28 @@
 
 /// The monotonic start time of a server. One that can't be computed counts as now, since a wrong
 /// wall clock must not make a new server look warm.
-fn born(started_at: Millis, hearing: ListContext<'_>) -> i64 {
-    let now = hearing.now as i64;
-    let Some(wall) = hearing.wall_clock.filter(|_| started_at != 0) else {
+fn born(started_at: Millis, list_context: ListContext<'_>) -> i64 {
+    let now = list_context.now as i64;
+    let Some(wall) = list_context.wall_clock.filter(|_| started_at != 0) else {
         return now;
     };
     let age = wall
         .saturating_sub(started_at)
-        .min(hearing.slow_start.warm_up_time / MS + 1);
+        .min(list_context.slow_start.warm_up_time / MS + 1);
     now.saturating_sub((age * MS) as i64)
 }
 
 /// The start time of a server not known before. One that was warm when the memory was written
 /// counts as warm until a list says otherwise.
-fn first_start_time(entry: &Entry, hearing: ListContext<'_>) -> i64 {
-    match hearing.written_at {
+fn first_start_time(entry: &Entry, list_context: ListContext<'_>) -> i64 {
+    match list_context.written_at {
         Some(written_at) => born(
             entry.started_at_ms,
             ListContext {
                 wall_clock: Some(written_at),
-                ..hearing
+                ..list_context
             },
         ),
-        None => born(entry.started_at_ms, hearing),
+        None => born(entry.started_at_ms, list_context),
     }
 }
--- a/crates/recovery/src/staged_admission.rs
+++ b/crates/recovery/src/staged_admission.rs
@@ -103,22 +103,39 @@
             return;
         }
         self.plan_order(servers.iter().map(|(weight, _)| weight).sum());
-        let (cold, borne) = (&self.config.slow_start, self.sustainable_arrivals());
+        let (slow_start, sustainable_arrivals) =
+            (&self.config.slow_start, self.sustainable_arrivals());
         let (mut clump, mut span) = self.group_batch(&servers);
-        let mut begun = AdmissionCurve::new(from, 0.0, &servers, cold, (borne, clump));
+        let mut begun = AdmissionCurve::new(
+            from,
+            0.0,
+            &servers,
+            slow_start,
+            (sustainable_arrivals, clump),
+        );
         let advance_admission = begun.time_to_admit(self.order.all()).max(1);
         if span > advance_admission {
             (clump, span) = (
                 (clump * span as f64 / advance_admission as f64).min(self.config.group_size),
                 advance_admission,
             );
-            begun = AdmissionCurve::new(from, 0.0, &servers, cold, (borne, clump));
+            begun = AdmissionCurve::new(
+                from,
+                0.0,
+                &servers,
+                slow_start,
+                (sustainable_arrivals, clump),
+            );
         }
         self.order.spread(span as f64 / advance_admission as f64);
         self.curve = Some(match before {
-            Some(before) if before > begun.admitted_by(now) => {
-                AdmissionCurve::new(now, before, &servers, cold, (borne, clump))
-            }
+            Some(before) if before > begun.admitted_by(now) => AdmissionCurve::new(
+                now,
+                before,
+                &servers,
+                slow_start,
+                (sustainable_arrivals, clump),
+            ),
             _ => begun,
         });
     }
@@ -126,16 +143,16 @@
     /// How many clients of a group may reach one server within the overload window, and the span
     /// over which the group is spread for that.
     fn group_batch(&self, servers: &[(f64, i64)]) -> (f64, Nanos) {
-        let cold = &self.config.slow_start;
+        let slow_start = &self.config.slow_start;
         let small = servers
             .iter()
             .map(|(weight, _)| *weight)
             .fold(f64::INFINITY, f64::min);
-        let least = cold.overload_multiple
+        let least = slow_start.overload_multiple
             * self.sustainable_arrivals()
             * small
-            * cold.initial_capacity
-            * cold.overload_window as f64
+            * slow_start.initial_capacity
+            * slow_start.overload_window as f64
             / SECOND as f64;
         let clump = (MAX_GROUP_FRACTION * least).max(1.0);
         if self.config.group_size <= clump {
@@ -143,7 +160,7 @@
         }
         (
             clump,
-            (self.config.group_size / clump * cold.overload_window as f64) as Nanos,
+            (self.config.group_size / clump * slow_start.overload_window as f64) as Nanos,
         )
     }
 
@@ -177,17 +194,17 @@
 
     /// Why service is in full, if it is.
     fn full_service_reason(&self, now: Nanos) -> Option<&'static str> {
-        let cold = self.servers.warming_fraction(now, &self.config.slow_start);
+        let warming = self.servers.warming_fraction(now, &self.config.slow_start);
         if now >= self.step_deadline_at {
             return Some("the bound of the refill is reached");
         }
-        if self.scope() == OutageScope::Process && cold.is_some() {
+        if self.scope() == OutageScope::Process && warming.is_some() {
             return Some("it was alone");
         }
         // If all servers are warm at the beginning, everyone is admitted at once.
         let is_through =
             self.admitted_position >= self.order.all() || self.admitted_position == 0.0;
-        (cold == Some(0.0) && is_through).then_some("no server is cold, and all turns have come")
+        (warming == Some(0.0) && is_through).then_some("no server is cold, and all turns have come")
     }
 
     /// Advances the staged admission.
@@ -252,10 +269,10 @@
     pub(crate) fn admit_or_defer(
         &mut self,
         now: Nanos,
-        arrival: &AdmissionRequest,
+        request: &AdmissionRequest,
         out: &mut Vec<Action>,
     ) {
-        let id = arrival.id;
+        let id = request.id;
         let Some(curve) = &self.curve else {
             let retry_after = self.rng.random_range(SECOND..3 * SECOND);
             return out.push(Action::Defer {
@@ -264,7 +281,7 @@
                 is_final: false,
             });
         };
-        let turn = self.order.position(&self.config, arrival);
+        let turn = self.order.position(&self.config, request);
         if turn > self.admitted_position {
             let left = curve
                 .time_of(turn / PLANNED_FRACTION)
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -76,12 +76,12 @@
 pub(crate) fn keep_aside(
     disk: &dyn Disk,
     path: &Path,
-    word: &str,
+    suffix: &str,
     now_ms: u64,
 ) -> io::Result<PathBuf> {
     let named = |count: u32| {
         let mut name = path.as_os_str().to_owned();
-        name.push(format!(".{word}-{now_ms}"));
+        name.push(format!(".{suffix}-{now_ms}"));
         if count > 0 {
             name.push(format!("-{count}"));
         }
