--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,4 +1,4 @@
-//! Fair queues at the door, without I/O, clock or globals.
+//! Fair queues at the queue, without I/O, clock or globals.
 //!
 //! A request that has to wait for its set-up waits here, and nowhere else. Three levels share the turns: accounts by
 //! their shares, an account's classes by their urgency, and a class's clients over a fixed number of queues. Memory is
@@ -7,16 +7,16 @@
 //! ```
 //! use beaconflow_admission::*;
 //!
-//! let mut door = Door::new(&[1.0], Limits::default(), 7);
+//! let mut queue = AdmissionQueue::new(&[1.0], Limits::default(), 7);
 //! let mut gone = Vec::new();
 //! for id in 0..8 {
 //!     let (account, share) = if id % 2 == 0 { (10, 3.0) } else { (20, 1.0) };
-//!     let who = Entry { id, account, share, class: 0, flow: id, give_up_at: 1_000, returns: false, bytes: 1 };
-//!     door.enter(who, &mut gone);
+//!     let who = Entry { id, account, share, class: 0, flow: id, deadline: 1_000, is_returning: false, bytes: 1 };
+//!     queue.enter(who, &mut gone);
 //! }
 //! assert!(gone.is_empty());
 //! // The first account has three of each four turns while both wait.
-//! let first: Vec<u64> = (0..4).filter_map(|_| door.admit()).map(|entry| entry.account).collect();
+//! let first: Vec<u64> = (0..4).filter_map(|_| queue.admit()).map(|entry| entry.account).collect();
 //! assert_eq!(first.iter().filter(|account| **account == 10).count(), 3);
 //! ```
 
--- a/crates/affinity/src/advice.rs
+++ b/crates/affinity/src/advice.rs
@@ -129,7 +129,7 @@
     }
 
     /// Whether a client's placement holds; nothing if it has none. Those that stand and are no longer permitted are for
-    /// [`crate::ReDeal`].
+    /// [`crate::Rebalancer`].
     pub fn validity(
         &self,
         client: &Client,
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -2,7 +2,7 @@
 //! process, gets it again for as long as that server stands and is ready, while configurations change.
 //!
 //! A [`Memory`] holds one [`Placement`] for each client. The host tells it what stood and what ended here, and what
-//! peers say ([`Memory::heard`]); it asks [`Memory::place`] for each arrival and makes the [`Advice`] a pin that is not
+//! peers say ([`Memory::merge`]); it asks [`Memory::place`] for each arrival and makes the [`Advice`] a pin that is not
 //! strict. No advice is the rotation's turn. No I/O, no clock, no globals: moments are Unix milliseconds by the host's
 //! own clock, and equal calls give equal answers.
 
--- a/crates/balancer/src/core/counts.rs
+++ b/crates/balancer/src/core/counts.rs
@@ -21,7 +21,7 @@
     pub pinned: u64,
     /// Attempts started.
     pub attempts: u64,
-    /// Ends of attempts and connections, in the order of [`AttemptOutcome`].
+    /// Ends of attempts and connections, in the order of [`AttemptOutcome`](beaconflow_policy::AttemptOutcome).
     pub outcomes: [u64; 8],
 }
 
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -774,9 +774,10 @@
         let mut watch = site.discovery.watch();
         tell(&mut watch, 1, true, &rows(&[(&server, "SERVING")]));
         site.program.says("generation=1");
-        site.redis.manner(beaconflow_contracts::redis::Manner::Slow(
-            Duration::from_millis(200),
-        ));
+        site.redis
+            .manner(beaconflow_contracts::redis::RedisBehaviour::Slow(
+                Duration::from_millis(200),
+            ));
         leaves(site.client("gone"), by_reset);
         let mut after = site.client("after");
         after.hears("PONG");
--- a/crates/cli/tests/stories/affinity.rs
+++ b/crates/cli/tests/stories/affinity.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beaconflow_fault_injection::{
-    Disk, Fault, Fleet, Leaves, Lifecycle, Rules, Version, Way, standing,
+    Direction, Disk, Fault, Fleet, Leaves, Lifecycle, Rules, Version, established,
 };
 
 use super::{all_know, all_stayed, all_there, serving, shape, stay};
@@ -12,7 +12,7 @@
 /// Whoever came again since, and where to.
 fn came_again(fleet: &Fleet, since: usize, count: usize) -> BTreeMap<String, String> {
     fleet.record.wait("enough came again", |events| {
-        let again = standing(&events[since..]);
+        let again = established(&events[since..]);
         (again.len() >= count).then_some(again)
     })
 }
@@ -26,14 +26,14 @@
     let after = fleet.all_stand();
     came_again(&fleet, killed, 1);
     stay(&fleet, &before, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
 fn a_version_is_rolled_over_all_processes_with_loss_and_a_partition_and_nobody_changes_its_server()
 {
     let (mut fleet, before) = serving(shape(22), 40);
-    fleet.datagrams(Fault::Lose(Way::Both, 0.05));
+    fleet.datagrams(Fault::Lose(Direction::Both, 0.05));
     for number in 0..5 {
         if number == 2 {
             fleet
@@ -42,7 +42,7 @@
             (0..4).for_each(|other| {
                 fleet
                     .net
-                    .fault(&format!("b{other}~b4"), Fault::Cut(Way::Both))
+                    .fault(&format!("b{other}~b4"), Fault::Cut(Direction::Both))
             });
         }
         fleet.roll(
@@ -115,7 +115,7 @@
             aftermath: Duration::from_secs(10),
             ..Rules::default()
         })
-        .kept();
+        .assert_held();
 }
 
 #[test]
@@ -171,7 +171,7 @@
     fleet.kill(&[0, 1]);
     fleet.are_open(3);
     fleet.record.wait("nobody is on it", |events| {
-        let placed = standing(events);
+        let placed = established(events);
         (placed.len() == 40 && placed.values().all(|server| server != "s0")).then_some(())
     });
     let after = fleet.all_stand();
@@ -180,7 +180,7 @@
         .filter(|(_, server)| server != "s0")
         .collect();
     stay(&fleet, &rest, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -202,5 +202,5 @@
         .filter(|(client, server)| server != "s2" && !moved.contains(client))
         .collect();
     stay(&fleet, &rest, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
--- a/crates/cli/tests/stories/combined.rs
+++ b/crates/cli/tests/stories/combined.rs
@@ -1,7 +1,7 @@
 //! Faults that come together.
 
 use beaconflow_fault_injection::{
-    Disk, Fault, Leaves, Lifecycle, Rules, Shape, Version, Way, standing,
+    Direction, Disk, Fault, Leaves, Lifecycle, Rules, Shape, Version, established,
 };
 
 use super::edge::site_is;
@@ -47,7 +47,7 @@
 fn an_island_during_a_release() {
     let (fleet, before) = serving(shape_at(42, &SITES), 40);
     site_is(&fleet, "south", "linked");
-    fleet.uplink("south", Fault::Cut(Way::Both));
+    fleet.uplink("south", Fault::Cut(Direction::Both));
     site_is(&fleet, "south", "islanded");
     fleet
         .record
@@ -55,7 +55,7 @@
     fleet.discovery.lists_as("s1", Lifecycle::Draining);
     fleet.servers[1].drains(Leaves::AtOnce);
     fleet.record.wait("nobody is on it", |events| {
-        let placed = standing(events);
+        let placed = established(events);
         (placed.len() == 40 && placed.values().all(|server| server != "s1")).then_some(())
     });
     fleet.record.step("the uplink is back");
@@ -67,13 +67,13 @@
         .filter(|(_, server)| server != "s1")
         .collect();
     stay(&fleet, &rest, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
 fn a_peer_that_is_stopped_while_its_site_rejoins() {
     let (fleet, before) = serving(shape_at(43, &[("north", 2), ("south", 3)]), 40);
-    fleet.uplink("south", Fault::Cut(Way::Both));
+    fleet.uplink("south", Fault::Cut(Direction::Both));
     site_is(&fleet, "south", "islanded");
     fleet
         .record
@@ -103,7 +103,7 @@
         },
         40,
     );
-    fleet.uplink("south", Fault::Cut(Way::Both));
+    fleet.uplink("south", Fault::Cut(Direction::Both));
     site_is(&fleet, "south", "islanded");
     fleet
         .record
@@ -148,16 +148,16 @@
     fleet.discovery.comes_back();
     let after = fleet.all_stand_since(dark);
     stay(&fleet, &before, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
 fn processes_die_while_datagrams_are_lost_doubled_and_late() {
     let (mut fleet, before) = serving(shape(46), 40);
-    fleet.datagrams(Fault::Lose(Way::Both, 0.2));
-    fleet.datagrams(Fault::Double(Way::Both, 0.2));
+    fleet.datagrams(Fault::Lose(Direction::Both, 0.2));
+    fleet.datagrams(Fault::Double(Direction::Both, 0.2));
     fleet.datagrams(Fault::Delay(
-        Way::Both,
+        Direction::Both,
         std::time::Duration::from_millis(40),
     ));
     for which in [[0, 1], [2, 3]] {
@@ -203,7 +203,7 @@
         },
         40,
     );
-    fleet.uplink("south", Fault::Cut(Way::Both));
+    fleet.uplink("south", Fault::Cut(Direction::Both));
     site_is(&fleet, "south", "islanded");
     fleet.roll(0, SECOND);
     fleet.roll(3, SECOND);
--- a/crates/cli/tests/stories/edge.rs
+++ b/crates/cli/tests/stories/edge.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beaconflow_fault_injection::{Disk, Fault, Fleet, Rules, Shape, Way, What};
+use beaconflow_fault_injection::{Direction, Disk, Fault, Fleet, Rules, Shape, What};
 
 use super::{all_stayed, serving, shape_at, stay};
 
@@ -24,7 +24,7 @@
     let (mut fleet, before) = serving(shape_at(31, &SITES), 40);
     site_is(&fleet, "south", "linked");
     fleet.record.step("the south loses its uplink");
-    fleet.uplink("south", Fault::Cut(Way::Both));
+    fleet.uplink("south", Fault::Cut(Direction::Both));
     site_is(&fleet, "south", "islanded");
     site_is(&fleet, "north", "linked");
     fleet.record.step("new clients come meanwhile");
@@ -40,7 +40,7 @@
         .filter(|(client, _)| before.contains_key(client))
         .collect();
     stay(&fleet, &before, &old);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -52,7 +52,7 @@
         },
         40,
     );
-    fleet.uplink("south", Fault::Cut(Way::Both));
+    fleet.uplink("south", Fault::Cut(Direction::Both));
     site_is(&fleet, "south", "islanded");
     fleet.record.step("one restarts with its disk, one without");
     fleet.kill(&[3]);
@@ -67,7 +67,7 @@
     stay(&fleet, &before, &after);
     fleet.uplink("south", Fault::Heal);
     site_is(&fleet, "south", "linked");
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 /// How often the processes of a site said that they became an island.
@@ -85,7 +85,7 @@
         .record
         .step("the uplink of the south comes and goes, every second for ten");
     for turn in 0..5 {
-        fleet.uplink("south", Fault::Cut(Way::Both));
+        fleet.uplink("south", Fault::Cut(Direction::Both));
         std::thread::sleep(Duration::from_secs(1));
         fleet.uplink(
             "south",
@@ -114,7 +114,7 @@
     fleet
         .record
         .step("nothing comes in over the uplink of the south any more; what goes out arrives");
-    fleet.uplink("south", Fault::Cut(Way::Back));
+    fleet.uplink("south", Fault::Cut(Direction::Back));
     site_is(&fleet, "south", "islanded");
     site_is(&fleet, "north", "linked");
     fleet.uplink("south", Fault::HealWithReset);
@@ -158,7 +158,7 @@
     let links: Vec<String> = fleet.net.links_of("b0").into_iter().filter(of_it).collect();
     links
         .iter()
-        .for_each(|link| fleet.net.fault(link, Fault::Cut(Way::Both)));
+        .for_each(|link| fleet.net.fault(link, Fault::Cut(Direction::Both)));
     for number in 1..5 {
         fleet.until(number, "one is gone", |said| said["processes"] == 4);
     }
--- a/crates/cli/tests/stories/main.rs
+++ b/crates/cli/tests/stories/main.rs
@@ -122,5 +122,5 @@
 fn all_stayed(fleet: Fleet, before: &BTreeMap<String, String>) {
     let after = fleet.all_stand();
     stay(&fleet, before, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
--- a/crates/cli/tests/stories/power.rs
+++ b/crates/cli/tests/stories/power.rs
@@ -1,6 +1,6 @@
 //! Power losses.
 
-use beaconflow_fault_injection::{Ability, Disk, Fault, Lifecycle, Rules, Shape, Way};
+use beaconflow_fault_injection::{Ability, Direction, Disk, Fault, Lifecycle, Rules, Shape};
 
 use super::{
     ALL, all_know, all_stayed, all_stayed_since, all_there, clients, power_is_lost, serving, shape,
@@ -18,7 +18,7 @@
     fleet.are_open(3);
     let after = fleet.all_stand();
     assert_eq!(before.len(), after.len());
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -38,7 +38,7 @@
     all_stayed_since(&fleet, dark, &before);
     fleet.record.step("discovery is back");
     fleet.discovery.comes_back();
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -58,7 +58,7 @@
     fleet.start(&[3, 4], Disk::Kept);
     all_stayed_since(&fleet, dark, &before);
     fleet.discovery.comes_back();
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -84,7 +84,7 @@
     fleet.start(&ALL, Disk::Kept);
     all_stayed_since(&fleet, dark, &before);
     fleet.discovery.comes_back();
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let served = fleet.stand_within(bound, dark);
     fleet.record.step("discovery is back");
     fleet.discovery.comes_back();
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
     assert!(
         served * 100 >= before.len() * 99,
         "{served} of {} are served after {bound:?}",
@@ -162,7 +162,7 @@
         .filter(|(client, _)| before.contains_key(client))
         .collect();
     stay(&fleet, &before, &old);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -192,7 +192,7 @@
         .filter(|(_, server)| server != "s5")
         .collect();
     stay(&fleet, &rest, &after);
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -219,7 +219,7 @@
     }
     all_stayed_since(&fleet, dark, &before);
     fleet.discovery.comes_back();
-    fleet.finish(&Rules::default()).kept();
+    fleet.finish(&Rules::default()).assert_held();
 }
 
 #[test]
@@ -243,7 +243,7 @@
     let between: Vec<String> = between.collect();
     between
         .iter()
-        .for_each(|link| fleet.net.fault(link, Fault::Cut(Way::Both)));
+        .for_each(|link| fleet.net.fault(link, Fault::Cut(Direction::Both)));
     fleet.start(&ALL, Disk::Kept);
     fleet.are_open(5);
     let apart = fleet.all_stand_since(dark);
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use beaconflow_contracts::transports::{End, Heard, PATIENCE, Pair, Subject, Traits, Weather};
+use beaconflow_contracts::transports::{End, LinkFault, Pair, Received, Subject, TIMEOUT, Traits};
 use beaconflow_fault_injection::{Net, Record, listening};
 use beaconflow_membership::driver::{Handle, Udp, random, spawn};
 use beaconflow_membership::{
@@ -23,7 +23,7 @@
 /// Two nodes a pair, each with its own socket, and a link between them.
 pub struct Peers {
     net: Net,
-    weather: Weather,
+    weather: LinkFault,
     pairs: usize,
     waiting: Vec<Waiting>,
 }
@@ -43,7 +43,7 @@
         let wait = self
             .0
             .1
-            .wait_timeout_while(self.lock(), PATIENCE, |waiting| !waiting.is_empty());
+            .wait_timeout_while(self.lock(), TIMEOUT, |waiting| !waiting.is_empty());
         wait.unwrap_or_else(PoisonError::into_inner).0.is_empty()
     }
 }
@@ -104,7 +104,7 @@
         let net = Net::start(&Record::default(), 4);
         Peers {
             net,
-            weather: Weather::Fair,
+            weather: LinkFault::Fair,
             pairs: 0,
             waiting: Vec::new(),
         }
@@ -167,7 +167,7 @@
         for end in &ends {
             let met = |event: Event| matches!(event, Event::Up(_));
             assert!(
-                end.told.recv_timeout(PATIENCE).is_ok_and(met),
+                end.told.recv_timeout(TIMEOUT).is_ok_and(met),
                 "they do not meet"
             );
         }
@@ -178,7 +178,7 @@
         (Box::new(near), Box::new(far))
     }
 
-    fn weather(&mut self, weather: Weather) {
+    fn weather(&mut self, weather: LinkFault) {
         // What was sent goes out in the weather that it was sent in.
         assert!(
             self.waiting.iter().all(Waiting::is_out),
@@ -198,15 +198,15 @@
         Ok(())
     }
 
-    fn send_part(&mut self, _: &str, _: usize) {
+    fn send_partial(&mut self, _: &str, _: usize) {
         unreachable!("a datagram has no parts");
     }
 
-    fn hear(&mut self, within: Duration) -> Heard {
+    fn hear(&mut self, within: Duration) -> Received {
         match self.heard.recv_timeout(within) {
-            Ok(message) => Heard::Message(message),
-            Err(RecvTimeoutError::Timeout) => Heard::Nothing,
-            Err(RecvTimeoutError::Disconnected) => Heard::Ended,
+            Ok(message) => Received::Message(message),
+            Err(RecvTimeoutError::Timeout) => Received::Nothing,
+            Err(RecvTimeoutError::Disconnected) => Received::Ended,
         }
     }
 
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use beaconflow_contracts::transports::{End, Heard, Pair, Subject, Traits, Weather};
+use beaconflow_contracts::transports::{End, LinkFault, Pair, Received, Subject, Traits};
 use beaconflow_fault_injection::{Link, Net, Record};
 
 use crate::fault;
@@ -209,7 +209,7 @@
         (Box::new(Conn::new(near, self.wire, true)), Box::new(far))
     }
 
-    fn weather(&mut self, weather: Weather) {
+    fn weather(&mut self, weather: LinkFault) {
         for link in ["clients>program", "program>server"] {
             self.net.fault(link, fault(weather));
         }
@@ -225,7 +225,7 @@
     wire: Wire,
     near: bool,
     silent: Arc<AtomicBool>,
-    heard: Option<Receiver<Heard>>,
+    heard: Option<Receiver<Received>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -294,18 +294,18 @@
 }
 
 /// Reads to the end, and tells what was heard.
-fn read(mut stream: &TcpStream, wire: Wire, silent: &AtomicBool, tell: &SyncSender<Heard>) {
+fn read(mut stream: &TcpStream, wire: Wire, silent: &AtomicBool, tell: &SyncSender<Received>) {
     let mut reader = BufReader::new(stream);
-    let mut next = || -> std::io::Result<Heard> {
+    let mut next = || -> std::io::Result<Received> {
         loop {
             let mut line = String::new();
             reader.read_line(&mut line)?;
             if !line.ends_with('\n') {
-                return Ok(Heard::Ended);
+                return Ok(Received::Ended);
             }
             match wire.read(line.trim_end()) {
-                Line::Message(message) => return Ok(Heard::Message(message)),
-                Line::Moved => return Ok(Heard::Moved),
+                Line::Message(message) => return Ok(Received::Message(message)),
+                Line::Moved => return Ok(Received::Moved),
                 Line::Payload(size) => {
                     let mut payload = Vec::new();
                     (&mut reader)
@@ -314,9 +314,9 @@
                     let message = String::from_utf8_lossy(&payload).trim_end().to_owned();
                     let is_whole = payload.len() == size + 2;
                     return Ok(if is_whole {
-                        Heard::Message(message)
+                        Received::Message(message)
                     } else {
-                        Heard::Ended
+                        Received::Ended
                     });
                 }
                 Line::Asks if !silent.load(Ordering::Relaxed) => stream.write_all(b"PONG\r\n")?,
@@ -325,8 +325,8 @@
         }
     };
     loop {
-        let heard = next().unwrap_or(Heard::Reset);
-        let is_last = matches!(heard, Heard::Ended | Heard::Reset);
+        let heard = next().unwrap_or(Received::Reset);
+        let is_last = matches!(heard, Received::Ended | Received::Reset);
         if tell.send(heard).is_err() || is_last {
             return;
         }
@@ -341,7 +341,7 @@
             .map_err(|error| error.to_string())
     }
 
-    fn send_part(&mut self, message: &str, bytes: usize) {
+    fn send_partial(&mut self, message: &str, bytes: usize) {
         let words = self.wire.written(message, self.near);
         let head = self.wire.head(message, self.near);
         self.stream
@@ -349,9 +349,9 @@
             .expect("open");
     }
 
-    fn hear(&mut self, within: Duration) -> Heard {
+    fn hear(&mut self, within: Duration) -> Received {
         let heard = self.heard.as_ref().expect("not over").recv_timeout(within);
-        heard.unwrap_or(Heard::Nothing)
+        heard.unwrap_or(Received::Nothing)
     }
 
     fn falls_silent(&mut self) {
--- a/crates/cli/tests/transports/main.rs
+++ b/crates/cli/tests/transports/main.rs
@@ -7,33 +7,35 @@
 
 use std::time::Duration;
 
-use beaconflow_contracts::transports::{Weather, passes};
-use beaconflow_fault_injection::{Fault, Way};
+use beaconflow_contracts::transports::{LinkFault, assert_conforms};
+use beaconflow_fault_injection::{Direction, Fault};
 use datagrams::Peers;
 use fronts::{Front, Wire};
 
 #[test]
 fn the_platforms_front() {
-    passes(|| Front::start(Wire::Platform));
+    assert_conforms(|| Front::start(Wire::Platform));
 }
 
 #[test]
 fn the_nats_front() {
-    passes(|| Front::start(Wire::Nats));
+    assert_conforms(|| Front::start(Wire::Nats));
 }
 
 #[test]
 fn peers_datagrams() {
-    passes(Peers::default);
+    assert_conforms(Peers::default);
 }
 
 /// The weather as it is made of a link.
-fn fault(weather: Weather) -> Fault {
+fn fault(weather: LinkFault) -> Fault {
     match weather {
-        Weather::Fair => Fault::Heal,
-        Weather::Cut => Fault::Cut(Way::Both),
-        Weather::Pieces(size) => Fault::Dribble(Way::Both, size, Duration::from_micros(200)),
-        Weather::Doubled => Fault::Double(Way::Both, 1.0),
-        Weather::Uneven => Fault::Delay(Way::Both, Duration::from_millis(5)),
+        LinkFault::Fair => Fault::Heal,
+        LinkFault::Cut => Fault::Cut(Direction::Both),
+        LinkFault::Pieces(size) => {
+            Fault::Dribble(Direction::Both, size, Duration::from_micros(200))
+        }
+        LinkFault::Doubled => Fault::Double(Direction::Both, 1.0),
+        LinkFault::Uneven => Fault::Delay(Direction::Both, Duration::from_millis(5)),
     }
 }
--- a/crates/contracts/src/disk.rs
+++ b/crates/contracts/src/disk.rs
@@ -14,7 +14,7 @@
 
 /// How the disk fares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weather {
+pub enum DiskFault {
     /// It does what it is told.
     #[default]
     Fair,
@@ -68,7 +68,7 @@
 struct State {
     names: BTreeMap<PathBuf, u64>,
     files: BTreeMap<u64, FileState>,
-    weather: Weather,
+    set_fault: DiskFault,
     writes: u64,
     /// The power goes at this write.
     cut_at: Option<u64>,
@@ -108,8 +108,8 @@
     }
 
     /// Changes how the disk fares.
-    pub fn weather(&self, weather: Weather) {
-        self.lock().weather = weather;
+    pub fn set_fault(&self, weather: DiskFault) {
+        self.lock().set_fault = weather;
         self.0.changed.notify_all();
     }
 
@@ -212,7 +212,7 @@
         if !there && !writing {
             return Err(Error::from(ErrorKind::NotFound).into());
         }
-        if writing && state.weather == Weather::ReadOnly {
+        if writing && state.set_fault == DiskFault::ReadOnly {
             return Err(Error::from(ErrorKind::ReadOnlyFilesystem).into());
         }
         let number = number_of(&mut state, path);
@@ -280,7 +280,7 @@
         if state.dark {
             return Err(no_power());
         }
-        if state.weather == Weather::ReadOnly {
+        if state.set_fault == DiskFault::ReadOnly {
             return Err(ErrorKind::ReadOnlyFilesystem.into());
         }
         let number = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
@@ -313,7 +313,7 @@
     /// Waits, fails or goes dark as the weather has it, before something is written to pages.
     fn weather(&self, mut pages: impl Iterator<Item = u64>) -> io::Result<()> {
         let mut state = self.disk.lock();
-        while state.weather == Weather::Stuck {
+        while state.set_fault == DiskFault::Stuck {
             state = self
                 .disk
                 .0
@@ -323,19 +323,19 @@
         }
         state.writes += 1;
         state.dark |= state.cut_at.is_some_and(|at| state.writes >= at);
-        let weather = state.weather;
+        let weather = state.set_fault;
         let taken = |page| {
             state
                 .files
                 .get(&self.number)
                 .is_some_and(|file| file.taken.contains(&page))
         };
-        let full = weather == Weather::Full && !pages.all(taken);
+        let full = weather == DiskFault::Full && !pages.all(taken);
         drop(state);
         match weather {
-            Weather::ReadOnly => Err(ErrorKind::ReadOnlyFilesystem.into()),
-            Weather::Full if full => Err(ErrorKind::StorageFull.into()),
-            Weather::Slow(time) => {
+            DiskFault::ReadOnly => Err(ErrorKind::ReadOnlyFilesystem.into()),
+            DiskFault::Full if full => Err(ErrorKind::StorageFull.into()),
+            DiskFault::Slow(time) => {
                 std::thread::sleep(time);
                 Ok(())
             }
--- a/crates/contracts/src/redis.rs
+++ b/crates/contracts/src/redis.rs
@@ -8,7 +8,7 @@
 
 /// How it answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum RedisBehaviour {
     /// It does what it is asked.
     #[default]
     Serve,
@@ -39,7 +39,7 @@
     hashes: Hashes,
     /// As it was before the last write: what it wakes with when that was not saved.
     saved: Hashes,
-    manner: Manner,
+    behaviour: RedisBehaviour,
     away: bool,
     writes: u64,
     /// It dies at this write, after it was done or before.
@@ -112,8 +112,8 @@
     }
 
     /// Changes how it answers.
-    pub fn manner(&self, manner: Manner) {
-        lock(&self.state).manner = manner;
+    pub fn manner(&self, manner: RedisBehaviour) {
+        lock(&self.state).behaviour = manner;
     }
 
     /// It dies at this write from now on, before that is done.
@@ -165,28 +165,28 @@
         let Some(reply) = answer(&mut state, &words) else {
             return;
         };
-        let manner = state.manner;
+        let manner = state.behaviour;
         drop(state);
         let writes = writes(words[0]);
         let about_data = words[0].to_ascii_uppercase().starts_with('H');
         let half = &reply.as_bytes()[..reply.len() / 2];
         let said = match manner {
-            Manner::Silent => Ok(()),
-            Manner::HalfAnswer if about_data => out.write_all(half),
-            Manner::Reset | Manner::ResetOnce
-                if about_data && (writes || manner == Manner::Reset) =>
+            RedisBehaviour::Silent => Ok(()),
+            RedisBehaviour::HalfAnswer if about_data => out.write_all(half),
+            RedisBehaviour::Reset | RedisBehaviour::ResetOnce
+                if about_data && (writes || manner == RedisBehaviour::Reset) =>
             {
-                if manner == Manner::ResetOnce {
-                    lock(shared).manner = Manner::Serve;
+                if manner == RedisBehaviour::ResetOnce {
+                    lock(shared).behaviour = RedisBehaviour::Serve;
                 }
                 let _ = out.write_all(half);
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
-            Manner::Late if about_data => {
+            RedisBehaviour::Late if about_data => {
                 out.write_all(&std::mem::replace(&mut held_back, reply.into_bytes()))
             }
-            Manner::Slow(time) if about_data => {
+            RedisBehaviour::Slow(time) if about_data => {
                 std::thread::sleep(time);
                 out.write_all(reply.as_bytes())
             }
@@ -208,14 +208,14 @@
 fn answer(state: &mut State, words: &[&str]) -> Option<String> {
     let name = words[0].to_ascii_uppercase();
     let writes = writes(&name);
-    let refusal = match (state.manner, name.as_str()) {
-        (Manner::Loading, "HGET" | "HGETALL" | "HSET" | "HSETNX" | "HDEL") => {
+    let refusal = match (state.behaviour, name.as_str()) {
+        (RedisBehaviour::Loading, "HGET" | "HGETALL" | "HSET" | "HSETNX" | "HDEL") => {
             "-LOADING Redis is loading the dataset in memory\r\n"
         }
-        (Manner::Full, "HSET" | "HSETNX") => {
+        (RedisBehaviour::Full, "HSET" | "HSETNX") => {
             "-OOM command not allowed when used memory > 'maxmemory'.\r\n"
         }
-        (Manner::ReadOnly, _) if writes => {
+        (RedisBehaviour::ReadOnly, _) if writes => {
             "-READONLY You can't write against a read only replica.\r\n"
         }
         _ => "",
--- a/crates/contracts/src/stores/cases.rs
+++ b/crates/contracts/src/stores/cases.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::{
-    Durable, Emptied, Failed, Loss, Make, Newer, Rows, Run, Store, Subject, Verdict, Weather,
+    CaseResult, Durable, Emptied, Failed, Loss, Make, Newer, Rows, Run, Store, StoreFault, Subject,
 };
 
 pub(super) const ALL: &[(&str, Run)] = &[
@@ -12,9 +12,9 @@
     ("all or none", all_or_none),
     ("killed at each write", killed_at_each_write),
     ("killed while it opens", killed_while_it_opens),
-    ("full", |make| refuses_and_heals(make, Weather::Full)),
+    ("full", |make| refuses_and_heals(make, StoreFault::Full)),
     ("read-only", |make| {
-        refuses_and_heals(make, Weather::ReadOnly)
+        refuses_and_heals(make, StoreFault::ReadOnly)
     }),
     ("slow", slow),
     ("emptied under its reader", emptied),
@@ -23,7 +23,7 @@
 ];
 
 /// Longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 /// More writes than a case makes.
 const MANY: u64 = 10_000;
 
@@ -56,7 +56,7 @@
     what: &str,
     mut run: impl FnMut() -> Result<T, Failed>,
 ) -> Result<T, String> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match run() {
             Err(Failed::Unable(_)) if Instant::now() < deadline => {
@@ -68,7 +68,7 @@
 }
 
 /// Puts rows in fair weather. On a machine with much to do, a server may have to be asked again.
-pub(super) fn put(subject: &dyn Subject, store: &mut dyn Store, rows: &Rows) -> Verdict {
+pub(super) fn put(subject: &dyn Subject, store: &mut dyn Store, rows: &Rows) -> CaseResult {
     match subject.traits().wire {
         true => settled("put", || store.put(rows)),
         false => fine("put", store.put(rows)),
@@ -76,7 +76,7 @@
 }
 
 /// Removes a row in fair weather.
-fn remove(subject: &dyn Subject, store: &mut dyn Store, key: u64) -> Verdict {
+fn remove(subject: &dyn Subject, store: &mut dyn Store, key: u64) -> CaseResult {
     match subject.traits().wire {
         true => settled("remove", || store.remove(key)),
         false => fine("remove", store.remove(key)),
@@ -89,7 +89,7 @@
 }
 
 /// What one that is opened in bad weather finds is right, or it is not opened.
-fn finds_or_refuses(subject: &dyn Subject, right: &Rows) -> Verdict {
+fn finds_or_refuses(subject: &dyn Subject, right: &Rows) -> CaseResult {
     match subject.open() {
         Ok((_, found)) => {
             ensure!(
@@ -112,7 +112,7 @@
     all.into_iter().take(most).collect()
 }
 
-fn the_last_put_holds(make: Make<'_>) -> Verdict {
+fn the_last_put_holds(make: Make<'_>) -> CaseResult {
     let subject = make();
     let (mut store, before) = opened(&*subject)?;
     ensure!(before.is_empty(), "a new store holds {before:?}");
@@ -128,7 +128,7 @@
     Ok(())
 }
 
-fn durable_on_return(make: Make<'_>) -> Verdict {
+fn durable_on_return(make: Make<'_>) -> CaseResult {
     for puts in 1..=3_u64 {
         let subject = make();
         let (mut store, _) = opened(&*subject)?;
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-fn all_or_none(make: Make<'_>) -> Verdict {
+fn all_or_none(make: Make<'_>) -> CaseResult {
     let many = |value: &str| {
         (1..=300)
             .map(|key| (key, value.repeat(100)))
@@ -222,7 +222,7 @@
     |writes| Loss::Some(writes + MANY),
 ];
 
-fn killed_at_each_write(make: Make<'_>) -> Verdict {
+fn killed_at_each_write(make: Make<'_>) -> CaseResult {
     for writes in 1..MANY {
         for loss in LOSSES {
             let subject = make();
@@ -266,7 +266,7 @@
     Err("it never ends to write".into())
 }
 
-fn killed_while_it_opens(make: Make<'_>) -> Verdict {
+fn killed_while_it_opens(make: Make<'_>) -> CaseResult {
     let right = rows([(1, "a")]);
     for writes in 1..MANY {
         for loss in LOSSES {
@@ -297,7 +297,7 @@
 }
 
 /// A ground that takes no writing: what is put is refused, what is there stays, and it is served again afterwards.
-fn refuses_and_heals(make: Make<'_>, weather: Weather) -> Verdict {
+fn refuses_and_heals(make: Make<'_>, weather: StoreFault) -> CaseResult {
     let subject = make();
     let (mut store, _) = opened(&*subject)?;
     let mut right = rows([(1, "a"), (2, "b")]);
@@ -321,7 +321,7 @@
     }
     drop(store);
     finds_or_refuses(&*subject, &right)?;
-    subject.weather(Weather::Fair);
+    subject.weather(StoreFault::Fair);
     let (mut store, found) = opened(&*subject)?;
     ensure!(
         found == right,
@@ -332,7 +332,7 @@
     subject.weather(weather);
     let big = Rows::from([(40, "much".repeat(500_000))]);
     ensure!(store.put(&big).is_err(), "a big row is taken");
-    subject.weather(Weather::Fair);
+    subject.weather(StoreFault::Fair);
     settled("a put by the one that was refused, afterwards", || {
         store.put(&rows([(3, "c")]))
     })?;
@@ -348,21 +348,21 @@
     Ok(())
 }
 
-fn slow(make: Make<'_>) -> Verdict {
+fn slow(make: Make<'_>) -> CaseResult {
     let subject = make();
     let (mut store, _) = opened(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
-    subject.weather(Weather::Slow);
+    subject.weather(StoreFault::Slow);
     let began = Instant::now();
     let done = store.put(&rows([(2, "b")]));
     ensure!(
-        began.elapsed() < PATIENCE,
+        began.elapsed() < TIMEOUT,
         "a put takes {:?}",
         began.elapsed()
     );
     subject.cut_after(0);
     drop(store);
-    subject.weather(Weather::Fair);
+    subject.weather(StoreFault::Fair);
     subject.power_back(Loss::Everything);
     let found = found(&*subject)?;
     let (without, with) = (rows([(1, "a")]), rows([(1, "a"), (2, "b")]));
@@ -376,7 +376,7 @@
 }
 
 /// What is put afterwards is refused, or is there; what was emptied does not come back by itself.
-fn emptied(make: Make<'_>) -> Verdict {
+fn emptied(make: Make<'_>) -> CaseResult {
     for how in [Emptied::Cut, Emptied::Removed] {
         let subject = make();
         let (mut store, _) = opened(&*subject)?;
@@ -402,7 +402,7 @@
     Ok(())
 }
 
-fn newer_schema(make: Make<'_>) -> Verdict {
+fn newer_schema(make: Make<'_>) -> CaseResult {
     let subject = make();
     let (mut store, _) = opened(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
@@ -421,13 +421,13 @@
         }
     }
     ensure!(
-        subject.newer_stands(),
+        subject.is_newer_intact(),
         "what the newer program wrote is changed"
     );
     Ok(())
 }
 
-fn opened_twice(make: Make<'_>) -> Verdict {
+fn opened_twice(make: Make<'_>) -> CaseResult {
     let subject = make();
     let (mut first, _) = opened(&*subject)?;
     put(&*subject, &mut *first, &rows([(1, "a")]))?;
--- a/crates/contracts/src/stores/file.rs
+++ b/crates/contracts/src/stores/file.rs
@@ -8,7 +8,7 @@
 use beaconflow_store::disk::Disk;
 use redb::{Database, TableDefinition};
 
-use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, Subject, Traits, Weather};
+use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, StoreFault, Subject, Traits};
 use crate::disk::{self, BreakingDisk};
 
 /// An open store, and the rows it found.
@@ -77,12 +77,12 @@
         (self.open)(Arc::new(self.disk.clone()), path())
     }
 
-    fn weather(&self, weather: Weather) {
-        self.disk.weather(match weather {
-            Weather::Full => disk::Weather::Full,
-            Weather::ReadOnly => disk::Weather::ReadOnly,
-            Weather::Slow => disk::Weather::Slow(Duration::from_millis(2)),
-            _ => disk::Weather::Fair,
+    fn weather(&self, weather: StoreFault) {
+        self.disk.set_fault(match weather {
+            StoreFault::Full => disk::DiskFault::Full,
+            StoreFault::ReadOnly => disk::DiskFault::ReadOnly,
+            StoreFault::Slow => disk::DiskFault::Slow(Duration::from_millis(2)),
+            _ => disk::DiskFault::Fair,
         });
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn newer_stands(&self) -> bool {
+    fn is_newer_intact(&self) -> bool {
         let kept = self.bytes();
         !kept.is_empty() && self.newer.lock().is_ok_and(|newer| *newer == kept)
     }
--- a/crates/contracts/src/stores/mod.rs
+++ b/crates/contracts/src/stores/mod.rs
@@ -82,7 +82,7 @@
 
 /// How the ground fares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weather {
+pub enum StoreFault {
     /// As it should.
     Fair,
     /// There is no room.
@@ -112,7 +112,7 @@
     fn open(&self) -> Result<(Box<dyn Store>, Rows), Failed>;
 
     /// Changes how the ground fares.
-    fn weather(&self, weather: Weather);
+    fn weather(&self, weather: StoreFault);
 
     /// The power goes at this write from now on; at once if it is 0.
     fn cut_after(&self, writes: u64);
@@ -130,17 +130,17 @@
     fn newer_writes(&self);
 
     /// Whether all that the newer program wrote, and this one does not know, is still there.
-    fn newer_stands(&self) -> bool;
+    fn is_newer_intact(&self) -> bool;
 }
 
 /// Makes stores, each new and empty.
 pub type Make<'a> = &'a dyn Fn() -> Box<dyn Subject>;
 
 /// What is wrong with a store, if anything is.
-pub type Verdict = Result<(), String>;
+pub type CaseResult = Result<(), String>;
 
 /// Puts stores through a case.
-pub type Run = fn(Make<'_>) -> Verdict;
+pub type Run = fn(Make<'_>) -> CaseResult;
 
 /// One case of the suite.
 pub struct Case {
@@ -164,7 +164,7 @@
 /// # Panics
 ///
 /// If it fails one, with all that it failed.
-pub fn passes<S: Subject + 'static>(make: impl Fn() -> S) {
+pub fn assert_conforms<S: Subject + 'static>(make: impl Fn() -> S) {
     let make = || Box::new(make()) as Box<dyn Subject>;
     let verdicts = cases()
         .into_iter()
--- a/crates/contracts/src/stores/model.rs
+++ b/crates/contracts/src/stores/model.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, Subject, Traits, Weather};
+use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, StoreFault, Subject, Traits};
 
 /// What is wrong with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     newer: bool,
     unclean: bool,
     open: u32,
-    weather: Weather,
+    weather: StoreFault,
     writes: u64,
     cut_at: Option<u64>,
     dark: bool,
@@ -121,7 +121,7 @@
             newer: false,
             unclean: false,
             open: 0,
-            weather: Weather::Fair,
+            weather: StoreFault::Fair,
             writes: 0,
             cut_at: None,
             dark: false,
@@ -153,7 +153,13 @@
             _ if state.open > 0 && self.defect != Defect::OpensTwice => {
                 return unable("it is open");
             }
-            (Weather::Silent | Weather::HalfAnswer | Weather::Loading | Weather::Late, _) => {
+            (
+                StoreFault::Silent
+                | StoreFault::HalfAnswer
+                | StoreFault::Loading
+                | StoreFault::Late,
+                _,
+            ) => {
                 return unable("no answer");
             }
             _ => {}
@@ -183,7 +189,7 @@
         Ok((Box::new(handle), state.rows.clone()))
     }
 
-    fn weather(&self, weather: Weather) {
+    fn weather(&self, weather: StoreFault) {
         lock(&self.state).weather = weather;
     }
 
@@ -218,7 +224,7 @@
         lock(&self.state).newer = true;
     }
 
-    fn newer_stands(&self) -> bool {
+    fn is_newer_intact(&self) -> bool {
         lock(&self.state).newer
     }
 }
@@ -234,12 +240,12 @@
         let behind = match (self.defect, state.weather) {
             (Defect::WritesBehind, _) => !removes,
             (Defect::RemovesBehind, _) => removes,
-            (Defect::BehindWhenSlow, Weather::Slow) => true,
+            (Defect::BehindWhenSlow, StoreFault::Slow) => true,
             (Defect::HoldsTheRemoved, _) if state.emptied != self.emptied => return Ok(()),
-            (Defect::TakesAllWhenFull, Weather::Full) => return Ok(()),
-            (Defect::TakesAllWhenReadOnly, Weather::ReadOnly) => return Ok(()),
-            (_, Weather::Full | Weather::ReadOnly) => return unable("nothing is written"),
-            (_, Weather::Loading) => return unable("loading"),
+            (Defect::TakesAllWhenFull, StoreFault::Full) => return Ok(()),
+            (Defect::TakesAllWhenReadOnly, StoreFault::ReadOnly) => return Ok(()),
+            (_, StoreFault::Full | StoreFault::ReadOnly) => return unable("nothing is written"),
+            (_, StoreFault::Loading) => return unable("loading"),
             _ => false,
         };
         if behind {
@@ -267,11 +273,13 @@
     /// What its caller hears of a change that is done.
     fn answer(&self, state: &mut State) -> Result<(), Failed> {
         match (state.weather, self.defect) {
-            (Weather::Silent, Defect::SilenceIsYes)
-            | (Weather::HalfAnswer, Defect::HalfIsWhole) => Ok(()),
-            (Weather::Silent | Weather::HalfAnswer | Weather::Late, _) => unable("no answer"),
-            (Weather::Reset, defect) => {
-                state.weather = Weather::Fair;
+            (StoreFault::Silent, Defect::SilenceIsYes)
+            | (StoreFault::HalfAnswer, Defect::HalfIsWhole) => Ok(()),
+            (StoreFault::Silent | StoreFault::HalfAnswer | StoreFault::Late, _) => {
+                unable("no answer")
+            }
+            (StoreFault::Reset, defect) => {
+                state.weather = StoreFault::Fair;
                 match defect {
                     Defect::RepeatIsRefused => Err(Failed::Refused("there is such a row".into())),
                     _ => Ok(()),
@@ -298,11 +306,15 @@
     fn rows(&mut self) -> Result<Rows, Failed> {
         let state = lock(&self.state);
         match (state.weather, self.defect) {
-            (Weather::Late, Defect::AnyAnswerDoes) => Ok(Rows::new()),
-            (Weather::Loading, Defect::LoadingIsEmpty) => Ok(Rows::new()),
-            (Weather::Silent | Weather::HalfAnswer | Weather::Late | Weather::Loading, _) => {
-                unable("no answer")
-            }
+            (StoreFault::Late, Defect::AnyAnswerDoes) => Ok(Rows::new()),
+            (StoreFault::Loading, Defect::LoadingIsEmpty) => Ok(Rows::new()),
+            (
+                StoreFault::Silent
+                | StoreFault::HalfAnswer
+                | StoreFault::Late
+                | StoreFault::Loading,
+                _,
+            ) => unable("no answer"),
             _ => Ok(state.rows.clone()),
         }
     }
--- a/crates/contracts/src/stores/wire.rs
+++ b/crates/contracts/src/stores/wire.rs
@@ -3,17 +3,19 @@
 use std::time::{Duration, Instant};
 
 use super::cases::{ensure, found, opened, put, rows, settled};
-use super::{Failed, Make, Run, Store, Subject, Verdict, Weather};
+use super::{CaseResult, Failed, Make, Run, Store, StoreFault, Subject};
 
 pub(super) const ALL: &[(&str, Run)] = &[
-    ("a silent server", |make| unreachable(make, Weather::Silent)),
+    ("a silent server", |make| {
+        unreachable(make, StoreFault::Silent)
+    }),
     ("half an answer", |make| {
-        unreachable(make, Weather::HalfAnswer)
+        unreachable(make, StoreFault::HalfAnswer)
     }),
     ("a reset in the middle", a_reset_in_the_middle),
     ("late answers", late_answers),
     ("a loading server", |make| {
-        unreachable(make, Weather::Loading)
+        unreachable(make, StoreFault::Loading)
     }),
 ];
 
@@ -42,7 +44,7 @@
 }
 
 /// No call waits for long, none is answered that was not, and the store is served again afterwards.
-fn unreachable(make: Make<'_>, weather: Weather) -> Verdict {
+fn unreachable(make: Make<'_>, weather: StoreFault) -> CaseResult {
     let subject = make();
     if !subject.traits().wire {
         return Ok(());
@@ -58,7 +60,7 @@
     ensure!(read.is_err(), "reading is answered {read:?}");
     let anew = in_time("opening", || subject.open().map(|(_, found)| found))?;
     ensure!(anew.is_err(), "opened anew it shows {anew:?}");
-    subject.weather(Weather::Fair);
+    subject.weather(StoreFault::Fair);
     settled("a put afterwards", || store.put(&rows([(2, "c")])))?;
     drop(store);
     let found = found(&*subject)?;
@@ -67,20 +69,20 @@
 }
 
 /// A put that was done, but whose answer was lost, is not refused as if another had done it.
-fn a_reset_in_the_middle(make: Make<'_>) -> Verdict {
+fn a_reset_in_the_middle(make: Make<'_>) -> CaseResult {
     let subject = make();
     if !subject.traits().wire {
         return Ok(());
     }
     let mut store = begun(&*subject)?;
-    subject.weather(Weather::Reset);
+    subject.weather(StoreFault::Reset);
     let put = in_time("a put", || store.put(&rows([(2, "b")])))?;
     ensure!(
         !matches!(put, Err(Failed::Refused(_))),
         "a put whose answer broke off is {put:?}"
     );
     settled("the same put again", || store.put(&rows([(2, "b")])))?;
-    subject.weather(Weather::Reset);
+    subject.weather(StoreFault::Reset);
     let removed = in_time("a removal", || store.remove(1))?;
     ensure!(
         !matches!(removed, Err(Failed::Refused(_))),
@@ -93,13 +95,13 @@
 }
 
 /// No call takes the answer to another for its own.
-fn late_answers(make: Make<'_>) -> Verdict {
+fn late_answers(make: Make<'_>) -> CaseResult {
     let subject = make();
     if !subject.traits().wire {
         return Ok(());
     }
     let mut store = begun(&*subject)?;
-    subject.weather(Weather::Late);
+    subject.weather(StoreFault::Late);
     for value in ["b", "c"] {
         let put = in_time("a put", || store.put(&rows([(2, value)])))?;
         ensure!(
@@ -109,7 +111,7 @@
         let read = in_time("reading", || store.rows())?;
         ensure!(read.is_err(), "reading is answered {read:?}");
     }
-    subject.weather(Weather::Fair);
+    subject.weather(StoreFault::Fair);
     settled("a put afterwards", || store.put(&rows([(2, "d")])))?;
     let read = settled("reading afterwards", || store.rows())?;
     ensure!(read == rows([(1, "a"), (2, "d")]), "reading shows {read:?}");
--- a/crates/contracts/src/transports/cases.rs
+++ b/crates/contracts/src/transports/cases.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use super::{Case, End, Heard, NEVER, Subject, Verdict, Weather};
+use super::{Case, CaseResult, End, LinkFault, NEVER, Received, Subject};
 
 /// So many messages are on their way at once.
 const MANY: usize = 200;
@@ -26,7 +26,7 @@
     ]
 }
 
-fn check(holds: bool, why: impl FnOnce() -> String) -> Verdict {
+fn check(holds: bool, why: impl FnOnce() -> String) -> CaseResult {
     if holds { Ok(()) } else { Err(why()) }
 }
 
@@ -34,7 +34,7 @@
     format!("message-{number}")
 }
 
-fn send(end: &mut dyn End, messages: &[String]) -> Verdict {
+fn send(end: &mut dyn End, messages: &[String]) -> CaseResult {
     messages.iter().try_for_each(|message| end.send(message))
 }
 
@@ -43,7 +43,7 @@
     let mut heard = Vec::new();
     while heard.len() < wanted {
         match end.hear(patience) {
-            Heard::Message(message) => heard.push(message),
+            Received::Message(message) => heard.push(message),
             other => {
                 return Err(format!(
                     "{other:?} after {} of {wanted} messages",
@@ -55,7 +55,11 @@
     Ok(heard)
 }
 
-fn exactly(end: &mut dyn End, sent: &[String], (ordered, patience): (bool, Duration)) -> Verdict {
+fn exactly(
+    end: &mut dyn End,
+    sent: &[String],
+    (ordered, patience): (bool, Duration),
+) -> CaseResult {
     let mut heard = hear(end, sent.len(), patience)?;
     let mut sent = sent.to_vec();
     if !ordered {
@@ -73,7 +77,7 @@
 }
 
 /// Words go both ways.
-fn works(near: &mut dyn End, far: &mut dyn End, patience: Duration) -> Verdict {
+fn works(near: &mut dyn End, far: &mut dyn End, patience: Duration) -> CaseResult {
     let [ask, answer] = ["ask", "answer"].map(|word| vec![word.to_owned()]);
     send(near, &ask)?;
     exactly(far, &ask, (true, patience))?;
@@ -81,7 +85,7 @@
     exactly(near, &answer, (true, patience))
 }
 
-fn both_ways(subject: &mut dyn Subject, count: usize) -> Verdict {
+fn both_ways(subject: &mut dyn Subject, count: usize) -> CaseResult {
     let patience = subject.patience();
     let ordered = subject.traits().ordered;
     let (mut near, mut far) = subject.pair();
@@ -91,53 +95,53 @@
     send(&mut *far, &messages)?;
     exactly(&mut *near, &messages, (ordered, patience))?;
     let more = near.hear(NEVER);
-    check(more == Heard::Nothing, || {
+    check(more == Received::Nothing, || {
         format!("{more:?} that nobody sent")
     })
 }
 
-fn order(subject: &mut dyn Subject) -> Verdict {
+fn order(subject: &mut dyn Subject) -> CaseResult {
     both_ways(subject, MANY)
 }
 
-fn uneven(subject: &mut dyn Subject) -> Verdict {
-    subject.weather(Weather::Uneven);
+fn uneven(subject: &mut dyn Subject) -> CaseResult {
+    subject.weather(LinkFault::Uneven);
     both_ways(subject, MANY / 4)
 }
 
 /// What is reliable brings all after a cut; what is not brings what is sent after it.
-fn loss(subject: &mut dyn Subject) -> Verdict {
+fn loss(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     let traits = subject.traits();
     let (mut near, mut far) = subject.pair();
     works(&mut *near, &mut *far, patience)?;
-    subject.weather(Weather::Cut);
+    subject.weather(LinkFault::Cut);
     let lost: Vec<String> = (0..5).map(name).collect();
     send(&mut *near, &lost)?;
     let through = far.hear(NEVER);
-    check(through == Heard::Nothing, || {
+    check(through == Received::Nothing, || {
         format!("{through:?} through a cut")
     })?;
-    subject.weather(Weather::Fair);
+    subject.weather(LinkFault::Fair);
     if traits.reliable {
         exactly(&mut *far, &lost, (traits.ordered, patience))?;
     }
     works(&mut *near, &mut *far, patience)
 }
 
-fn half(subject: &mut dyn Subject) -> Verdict {
+fn half(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     let traits = subject.traits();
-    subject.weather(Weather::Pieces(3));
+    subject.weather(LinkFault::Pieces(3));
     both_ways(subject, 10)?;
-    subject.weather(Weather::Fair);
+    subject.weather(LinkFault::Fair);
     if !traits.ends {
         return Ok(());
     }
     let (mut near, mut far) = subject.pair();
-    near.send_part("whole", 3);
+    near.send_partial("whole", 3);
     let early = far.hear(NEVER);
-    check(early == Heard::Nothing, || {
+    check(early == Received::Nothing, || {
         format!("{early:?} of half a message")
     })?;
     // The other way is not held up by it.
@@ -145,30 +149,30 @@
     exactly(&mut *near, &["meanwhile".to_owned()], (true, patience))
 }
 
-fn half_and_end(subject: &mut dyn Subject) -> Verdict {
+fn half_and_end(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     if !subject.traits().ends {
         return Ok(());
     }
     let (mut near, mut far) = subject.pair();
-    near.send_part("whole", 3);
+    near.send_partial("whole", 3);
     near.finish();
     let heard = far.hear(patience);
-    check(heard == Heard::Ended, || {
+    check(heard == Received::Ended, || {
         format!("{heard:?} of half a message and an end")
     })
 }
 
-fn doubled(subject: &mut dyn Subject) -> Verdict {
+fn doubled(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     let traits = subject.traits();
     let (mut near, mut far) = subject.pair();
     works(&mut *near, &mut *far, patience)?;
-    subject.weather(Weather::Doubled);
+    subject.weather(LinkFault::Doubled);
     let messages: Vec<String> = (0..20).map(name).collect();
     send(&mut *near, &messages)?;
     let mut heard = Vec::new();
-    while let Heard::Message(message) = far.hear(NEVER) {
+    while let Received::Message(message) = far.hear(NEVER) {
         heard.push(message);
     }
     let unlike: BTreeSet<&String> = heard.iter().collect();
@@ -187,7 +191,7 @@
 }
 
 /// The longest message passes, and a longer one ends nothing but its own pair.
-fn oversized(subject: &mut dyn Subject) -> Verdict {
+fn oversized(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     let traits = subject.traits();
     let (mut near, mut far) = subject.pair();
@@ -201,12 +205,12 @@
     } else {
         patience
     });
-    check(!matches!(came, Heard::Message(_)), || {
+    check(!matches!(came, Received::Message(_)), || {
         "too long, and came".into()
     })?;
     if !refused && traits.ends {
         let told = other.hear(patience);
-        check(matches!(told, Heard::Ended | Heard::Reset), || {
+        check(matches!(told, Received::Ended | Received::Reset), || {
             format!("{told:?} to whoever sent too much")
         })?;
     }
@@ -214,7 +218,7 @@
 }
 
 /// A far end that takes nothing for a while holds up nobody else, and gets all of it.
-fn slow(subject: &mut dyn Subject) -> Verdict {
+fn slow(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     let traits = subject.traits();
     if !traits.reliable {
@@ -239,7 +243,7 @@
 }
 
 /// A far end that says nothing is given up where the transport says so, and not before.
-fn silent(subject: &mut dyn Subject) -> Verdict {
+fn silent(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     let traits = subject.traits();
     let (mut near, mut far) = subject.pair();
@@ -248,17 +252,19 @@
     let asked = Instant::now();
     near.send("anybody")?;
     let heard = far.hear(patience);
-    check(heard == Heard::Message("anybody".into()), || {
+    check(heard == Received::Message("anybody".into()), || {
         format!("{heard:?}")
     })?;
     let Some(silence) = traits.silence else {
         let heard = near.hear(NEVER);
-        check(heard == Heard::Nothing, || format!("{heard:?} of silence"))?;
+        check(heard == Received::Nothing, || {
+            format!("{heard:?} of silence")
+        })?;
         far.send("late")?;
         return exactly(&mut *near, &["late".to_owned()], (true, patience));
     };
     let heard = near.hear(silence + patience);
-    check(heard == Heard::Moved, || {
+    check(heard == Received::Moved, || {
         format!("{heard:?} of a silent far end")
     })?;
     let waited = asked.elapsed();
@@ -266,11 +272,11 @@
         format!("given up after {waited:?}")
     })?;
     let end = near.hear(patience);
-    check(end == Heard::Ended, || format!("{end:?} after the move"))?;
+    check(end == Received::Ended, || format!("{end:?} after the move"))?;
     works(&mut *other, &mut *other_far, patience)
 }
 
-fn end_for_end(subject: &mut dyn Subject) -> Verdict {
+fn end_for_end(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     if !subject.traits().ends {
         return Ok(());
@@ -280,7 +286,7 @@
     near.finish();
     exactly(&mut *far, &["last".to_owned()], (true, patience))?;
     let heard = far.hear(patience);
-    check(heard == Heard::Ended, || {
+    check(heard == Received::Ended, || {
         format!("{heard:?} for the near end's end")
     })?;
     far.finish();
@@ -289,12 +295,12 @@
     far.finish();
     exactly(&mut *near, &["bye".to_owned()], (true, patience))?;
     let heard = near.hear(patience);
-    check(heard == Heard::Ended, || {
+    check(heard == Received::Ended, || {
         format!("{heard:?} for the far end's end")
     })
 }
 
-fn reset_for_reset(subject: &mut dyn Subject) -> Verdict {
+fn reset_for_reset(subject: &mut dyn Subject) -> CaseResult {
     let patience = subject.patience();
     if !subject.traits().ends {
         return Ok(());
@@ -302,13 +308,13 @@
     let (near, mut far) = subject.pair();
     near.reset();
     let heard = far.hear(patience);
-    check(heard == Heard::Reset, || {
+    check(heard == Received::Reset, || {
         format!("{heard:?} for the near end's reset")
     })?;
     let (mut near, far) = subject.pair();
     far.reset();
     let heard = near.hear(patience);
-    check(heard == Heard::Reset, || {
+    check(heard == Received::Reset, || {
         format!("{heard:?} for the far end's reset")
     })
 }
--- a/crates/contracts/src/transports/mod.rs
+++ b/crates/contracts/src/transports/mod.rs
@@ -11,7 +11,7 @@
 pub use cases::cases;
 
 /// Longer than anything here takes on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 /// For what must not come. It costs a good run this long.
 pub const NEVER: Duration = Duration::from_millis(150);
 
@@ -35,7 +35,7 @@
 
 /// What lies between two ends. It holds for all of a subject's pairs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weather {
+pub enum LinkFault {
     /// Nothing does.
     Fair,
     /// Nothing passes, and nobody is told.
@@ -50,7 +50,7 @@
 
 /// What an end hears.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     /// A whole message.
     Message(String),
     /// Nothing in the time given.
@@ -69,10 +69,10 @@
     fn send(&mut self, message: &str) -> Result<(), String>;
 
     /// Sends so many bytes of what a message is on the wire, and no more. Only asked of transports with ends.
-    fn send_part(&mut self, message: &str, bytes: usize);
+    fn send_partial(&mut self, message: &str, bytes: usize);
 
     /// The next thing that is heard in a time.
-    fn hear(&mut self, within: Duration) -> Heard;
+    fn hear(&mut self, within: Duration) -> Received;
 
     /// From now on it answers nothing by itself, as far as its wire has such answers.
     fn falls_silent(&mut self) {}
@@ -94,29 +94,29 @@
 
     /// What has not come by then never comes.
     fn patience(&self) -> Duration {
-        PATIENCE
+        TIMEOUT
     }
 
     /// Two ends, joined.
     fn pair(&mut self) -> Pair;
 
     /// Makes the weather.
-    fn weather(&mut self, weather: Weather);
+    fn weather(&mut self, weather: LinkFault);
 }
 
 /// What was found wrong.
-pub type Verdict = Result<(), String>;
+pub type CaseResult = Result<(), String>;
 
 /// One case of the suite.
 pub struct Case {
     /// Its name.
     pub name: &'static str,
     /// Puts a transport through it.
-    pub run: fn(&mut dyn Subject) -> Verdict,
+    pub run: fn(&mut dyn Subject) -> CaseResult,
 }
 
 /// Puts a transport through every case, each time a new one; tells all that it fails.
-pub fn passes<S: Subject>(make: impl Fn() -> S) {
+pub fn assert_conforms<S: Subject>(make: impl Fn() -> S) {
     let fails = |case: Case| {
         (case.run)(&mut make())
             .err()
--- a/crates/contracts/src/transports/model.rs
+++ b/crates/contracts/src/transports/model.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use super::{End, Heard, Pair, Subject, Traits, Weather};
+use super::{End, LinkFault, Pair, Received, Subject, Traits};
 
 /// What is wrong with a transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 const LONGEST: usize = 100;
 const SILENCE: Duration = Duration::from_millis(60);
 /// What one that overflows holds.
-const ROOM: usize = 250;
+const CAPACITY: usize = 250;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Over {
@@ -48,7 +48,7 @@
 }
 
 /// One direction of a pair.
-struct Way {
+struct ModelDirection {
     messages: VecDeque<String>,
     held: VecDeque<String>,
     part: String,
@@ -58,8 +58,8 @@
 }
 
 struct State {
-    weather: Weather,
-    ways: Vec<Way>,
+    weather: LinkFault,
+    ways: Vec<ModelDirection>,
 }
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
@@ -74,7 +74,7 @@
     /// One with this defect.
     pub fn new(defect: Defect) -> InMemory {
         let state = State {
-            weather: Weather::Fair,
+            weather: LinkFault::Fair,
             ways: Vec::new(),
         };
         InMemory {
@@ -109,7 +109,7 @@
     fn pair(&mut self) -> Pair {
         let first = {
             let mut state = lock(&self.shared);
-            let way = || Way {
+            let way = || ModelDirection {
                 messages: VecDeque::new(),
                 held: VecDeque::new(),
                 part: String::new(),
@@ -133,10 +133,10 @@
         )
     }
 
-    fn weather(&mut self, weather: Weather) {
+    fn weather(&mut self, weather: LinkFault) {
         let mut state = lock(&self.shared);
         state.weather = weather;
-        if weather != Weather::Cut {
+        if weather != LinkFault::Cut {
             for way in &mut state.ways {
                 let held = std::mem::take(&mut way.held);
                 way.messages.extend(held);
@@ -181,25 +181,25 @@
         let way = &mut state.ways[out];
         way.asked.get_or_insert_with(Instant::now);
         let message = match weather {
-            Weather::Pieces(size) if defect == Defect::CutsShort => message[..size].to_owned(),
+            LinkFault::Pieces(size) if defect == Defect::CutsShort => message[..size].to_owned(),
             _ => message.to_owned(),
         };
-        if weather == Weather::Cut {
+        if weather == LinkFault::Cut {
             if defect != Defect::Loses {
                 way.held.push_back(message);
             }
             return Ok(());
         }
-        if defect == Defect::Overflows && way.messages.len() >= ROOM {
+        if defect == Defect::Overflows && way.messages.len() >= CAPACITY {
             return Ok(());
         }
-        if weather == Weather::Doubled && defect == Defect::Doubles {
+        if weather == LinkFault::Doubled && defect == Defect::Doubles {
             way.messages.push_back(message.clone());
         }
         way.messages.push_back(message);
         let count = way.messages.len();
         let swaps = defect == Defect::Swaps
-            || defect == Defect::SwapsWhenUneven && weather == Weather::Uneven;
+            || defect == Defect::SwapsWhenUneven && weather == LinkFault::Uneven;
         if swaps && count.is_multiple_of(2) {
             way.messages.swap(count - 1, count - 2);
         }
@@ -207,29 +207,29 @@
         Ok(())
     }
 
-    fn send_part(&mut self, message: &str, bytes: usize) {
+    fn send_partial(&mut self, message: &str, bytes: usize) {
         lock(&self.shared).ways[self.out].part = message[..bytes].to_owned();
     }
 
-    fn hear(&mut self, within: Duration) -> Heard {
+    fn hear(&mut self, within: Duration) -> Received {
         let until = Instant::now() + within;
         let mut state = lock(&self.shared);
         loop {
             let asked = state.ways[self.out].asked;
             let way = &mut state.ways[self.into];
             if way.over == Over::Broken {
-                return Heard::Reset;
+                return Received::Reset;
             }
             if let Some(message) = way.messages.pop_front() {
-                return Heard::Message(message);
+                return Received::Message(message);
             }
             let part = std::mem::take(&mut way.part);
             if way.over == Over::InOrder && self.defect == Defect::GivesHalf && !part.is_empty() {
-                return Heard::Message(part);
+                return Received::Message(part);
             }
             way.part = part;
             if way.over == Over::InOrder || self.moved {
-                return Heard::Ended;
+                return Received::Ended;
             }
             let now = Instant::now();
             let gives_up = asked
@@ -237,10 +237,10 @@
                 .map(|asked| asked + SILENCE);
             if gives_up.is_some_and(|at| at <= now) {
                 self.moved = true;
-                return Heard::Moved;
+                return Received::Moved;
             }
             if until <= now {
-                return Heard::Nothing;
+                return Received::Nothing;
             }
             let wait = gives_up.map_or(until, |at| at.min(until)) - now;
             state = self
--- a/crates/contracts/tests/broken_transports.rs
+++ b/crates/contracts/tests/broken_transports.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use beaconflow_contracts::transports::model::{Defect, InMemory};
-use beaconflow_contracts::transports::{Case, cases, passes};
+use beaconflow_contracts::transports::{Case, assert_conforms, cases};
 
 const TABLE: &[(Defect, &str)] = &[
     (Defect::Swaps, "order"),
@@ -31,7 +31,7 @@
 
 #[test]
 fn in_memory() {
-    passes(|| InMemory::new(Defect::None));
+    assert_conforms(|| InMemory::new(Defect::None));
 }
 
 #[test]
--- a/crates/contracts/tests/stores.rs
+++ b/crates/contracts/tests/stores.rs
@@ -3,31 +3,31 @@
 mod subjects;
 
 use beaconflow_contracts::stores::model::{Defect, InMemory};
-use beaconflow_contracts::stores::{FileSubject, passes};
+use beaconflow_contracts::stores::{FileSubject, assert_conforms};
 
 use subjects::{MemoryFile, Overrides, RedisTenants};
 
 #[test]
 fn in_memory() {
-    passes(|| InMemory::new(Defect::None));
+    assert_conforms(|| InMemory::new(Defect::None));
 }
 
 #[test]
 fn overrides_in_a_file() {
-    passes(FileSubject::new::<Overrides>);
+    assert_conforms(FileSubject::new::<Overrides>);
 }
 
 #[test]
 fn a_memory_in_a_file() {
-    passes(FileSubject::new::<MemoryFile<{ 16 << 20 }>>);
+    assert_conforms(FileSubject::new::<MemoryFile<{ 16 << 20 }>>);
 }
 
 #[test]
 fn a_memory_in_a_file_without_a_journal() {
-    passes(FileSubject::new::<MemoryFile<0>>);
+    assert_conforms(FileSubject::new::<MemoryFile<0>>);
 }
 
 #[test]
 fn tenants_in_redis() {
-    passes(RedisTenants::new);
+    assert_conforms(RedisTenants::new);
 }
--- a/crates/contracts/tests/subjects/tenants.rs
+++ b/crates/contracts/tests/subjects/tenants.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use beaconflow_balancer::front::nats::tenants::{Identity, StoreError, Tenant, Tenants};
-use beaconflow_contracts::redis::{Manner, Redis};
+use beaconflow_contracts::redis::{Redis, RedisBehaviour};
 use beaconflow_contracts::stores::{
-    Durable, Emptied, Failed, Loss, Newer, Opened, Rows, Store, Subject, Traits, Weather,
+    Durable, Emptied, Failed, Loss, Newer, Opened, Rows, Store, StoreFault, Subject, Traits,
 };
 
 const HASH: &str = "beaconflow:tenants";
@@ -100,17 +100,17 @@
         Ok((Box::new(open), rows))
     }
 
-    fn weather(&self, weather: Weather) {
+    fn weather(&self, weather: StoreFault) {
         self.0.manner(match weather {
-            Weather::Fair => Manner::Serve,
-            Weather::Full => Manner::Full,
-            Weather::ReadOnly => Manner::ReadOnly,
-            Weather::Slow => Manner::Slow(Duration::from_millis(100)),
-            Weather::Silent => Manner::Silent,
-            Weather::HalfAnswer => Manner::HalfAnswer,
-            Weather::Reset => Manner::ResetOnce,
-            Weather::Late => Manner::Late,
-            Weather::Loading => Manner::Loading,
+            StoreFault::Fair => RedisBehaviour::Serve,
+            StoreFault::Full => RedisBehaviour::Full,
+            StoreFault::ReadOnly => RedisBehaviour::ReadOnly,
+            StoreFault::Slow => RedisBehaviour::Slow(Duration::from_millis(100)),
+            StoreFault::Silent => RedisBehaviour::Silent,
+            StoreFault::HalfAnswer => RedisBehaviour::HalfAnswer,
+            StoreFault::Reset => RedisBehaviour::ResetOnce,
+            StoreFault::Late => RedisBehaviour::Late,
+            StoreFault::Loading => RedisBehaviour::Loading,
         });
     }
 
@@ -144,7 +144,7 @@
         }
     }
 
-    fn newer_stands(&self) -> bool {
+    fn is_newer_intact(&self) -> bool {
         self.0
             .field(HASH, "t1")
             .is_some_and(|text| text.contains(NEWER))
--- a/crates/contracts/tests/tenants.rs
+++ b/crates/contracts/tests/tenants.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use beaconflow_balancer::front::nats::tenants::{Identity, StoreError, Tenant, Tenants};
-use beaconflow_contracts::redis::{Manner, Redis};
+use beaconflow_contracts::redis::{Redis, RedisBehaviour};
 
 fn tenant() -> Tenant {
     let upstream = Identity {
@@ -60,7 +60,7 @@
 #[test]
 fn a_store_without_room_is_not_away_and_one_that_has_room_again_takes_the_change() {
     let (redis, tenants) = begin();
-    redis.manner(Manner::Full);
+    redis.manner(RedisBehaviour::Full);
     let change = |tenant: &mut Tenant| tenant.connections = 9;
     assert_eq!(
         heard(|| tenants.change("north", change)).map(drop),
@@ -68,7 +68,7 @@
     );
     assert!(!tenants.store_is_away());
     assert_eq!(tenants.get("north").map(|tenant| tenant.connections), Ok(5));
-    redis.manner(Manner::Serve);
+    redis.manner(RedisBehaviour::Serve);
     assert_eq!(
         heard(|| tenants.change("north", change)).map(|tenant| tenant.connections),
         Ok(9)
--- a/crates/edge/src/evidence.rs
+++ b/crates/edge/src/evidence.rs
@@ -212,7 +212,7 @@
         /// What is asked.
         place: Place,
     },
-    /// Tell the site's other processes at once what this one says ([`crate::Edge::says`]).
+    /// Tell the site's other processes at once what this one says ([`crate::Edge::report`]).
     Tell,
     /// A line for the log.
     Say(String),
--- a/crates/fault-injection/src/address.rs
+++ b/crates/fault-injection/src/address.rs
@@ -30,7 +30,7 @@
     /// The address.
     pub at: SocketAddr,
     /// Bound and never listening. Guards against the port being given away while its owner is down.
-    _keeper: Socket,
+    _reservation: Socket,
 }
 
 impl Default for ReservedAddress {
@@ -43,7 +43,7 @@
             .expect("bound");
         ReservedAddress {
             at,
-            _keeper: keeper,
+            _reservation: keeper,
         }
     }
 }
--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -70,7 +70,7 @@
 
 impl Checked {
     /// Fails the story where a rule was broken, or where nothing was asked that could have broken one.
-    pub fn kept(&self) {
+    pub fn assert_held(&self) {
         println!(
             "{} asked, {} served, {} attempts: {:?}",
             self.asked, self.served, self.attempts, self.ends
@@ -91,7 +91,7 @@
     /// A send may begin so long after the word that its server drains.
     pub grace: Duration,
     /// A line may be held for so long.
-    pub held: Duration,
+    pub max_attempt: Duration,
     /// What a fault does is felt for so long after it.
     pub aftermath: Duration,
 }
@@ -102,7 +102,7 @@
         Rules {
             late: Duration::from_millis(550),
             grace: Duration::from_millis(1_050),
-            held: Duration::from_millis(1_050),
+            max_attempt: Duration::from_millis(1_050),
             aftermath: Duration::from_secs(7),
         }
     }
@@ -110,53 +110,53 @@
 
 /// When a party or a link was at fault.
 #[derive(Default)]
-struct Troubles(BTreeMap<String, Vec<(Moment, Moment)>>);
+struct FaultPeriods(BTreeMap<String, Vec<(Moment, Moment)>>);
 
-impl Troubles {
-    fn of(events: &[Event]) -> Troubles {
-        let mut troubles = Troubles::default();
+impl FaultPeriods {
+    fn of(events: &[Event]) -> FaultPeriods {
+        let mut fault_periods = FaultPeriods::default();
         for Event { at, what } in events {
             match what {
                 What::Link {
                     link,
                     fault: Fault::Heal | Fault::HealWithReset,
                     ..
-                } => troubles.ends(link, *at),
+                } => fault_periods.ends(link, *at),
                 What::Link {
                     link,
                     fault: Fault::Reset,
                     ..
                 } => {
-                    troubles.begins(link, *at);
-                    troubles.ends(link, *at);
+                    fault_periods.begins(link, *at);
+                    fault_periods.ends(link, *at);
                 }
-                What::Link { link, .. } => troubles.begins(link, *at),
+                What::Link { link, .. } => fault_periods.begins(link, *at),
                 What::Process {
                     process,
                     did: Did::Killed | Did::Stopped | Did::Ended(_),
                 } => {
-                    troubles.begins(process, *at);
+                    fault_periods.begins(process, *at);
                 }
                 What::Process {
                     process,
                     did: Did::Started | Did::Continued,
-                } => troubles.ends(process, *at),
+                } => fault_periods.ends(process, *at),
                 What::Server {
                     server,
                     did: ServerDid::Killed | ServerDid::Hangs | ServerDid::Tipped { .. },
                 } => {
-                    troubles.begins(server, *at);
+                    fault_periods.begins(server, *at);
                 }
                 What::Server {
                     server,
                     did: ServerDid::Started { .. } | ServerDid::Recovers,
                 } => {
-                    troubles.ends(server, *at);
+                    fault_periods.ends(server, *at);
                 }
                 _ => {}
             }
         }
-        troubles
+        fault_periods
     }
 
     fn begins(&mut self, who: &str, at: Moment) {
@@ -189,7 +189,7 @@
 
 struct Check<'a> {
     rules: &'a Rules,
-    troubles: Troubles,
+    troubles: FaultPeriods,
     breaches: Vec<Breach>,
 }
 
@@ -205,7 +205,7 @@
         let events = record.ordered();
         let mut check = Check {
             rules: self,
-            troubles: Troubles::of(&events),
+            troubles: FaultPeriods::of(&events),
             breaches: Vec::new(),
         };
         check.answers(&events);
@@ -462,7 +462,7 @@
                     ),
                 )),
                 ClientDid::Heard(took) | ClientDid::Unheard(took)
-                    if *took > self.rules.held && !excused(at.saturating_sub(*took)) =>
+                    if *took > self.rules.max_attempt && !excused(at.saturating_sub(*took)) =>
                 {
                     let took = took.as_millis();
                     Some((
--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -19,7 +19,7 @@
 /// It goes on listening for so long after its time, so that a late answer is seen.
 const LATE: Duration = Duration::from_secs(2);
 /// A line unanswered for so long is told as held.
-pub const HELD: Duration = Duration::from_secs(1);
+pub const MIN_ESTABLISHED: Duration = Duration::from_secs(1);
 
 /// What a client is.
 #[derive(Clone, Debug)]
@@ -78,13 +78,13 @@
         seed: u64,
     ) -> Client {
         let over = Arc::new(AtomicBool::new(false));
-        let life = Life {
+        let life = ClientLoop {
             plan,
             front: front.clone(),
             record: record.clone(),
             ids: Arc::clone(ids),
             over: Arc::clone(&over),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             again: false,
             id: String::new(),
             process: String::new(),
@@ -113,20 +113,20 @@
     }
 }
 
-struct Life {
+struct ClientLoop {
     plan: Plan,
     front: Front,
     record: Record,
     ids: Arc<AtomicU64>,
     over: Arc<AtomicBool>,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     again: bool,
     id: String,
     process: String,
 }
 
 /// What was heard.
-enum Heard {
+enum Reply {
     Line(String),
     Nothing,
     Ended(bool),
@@ -139,30 +139,30 @@
 }
 
 impl Lines {
-    fn hear(&mut self) -> Heard {
+    fn hear(&mut self) -> Reply {
         match self.reader.read_until(b'\n', &mut self.partial) {
-            Ok(0) => Heard::Ended(true),
+            Ok(0) => Reply::Ended(true),
             Ok(_) if self.partial.ends_with(b"\n") => {
                 let line = String::from_utf8_lossy(&self.partial).trim_end().to_owned();
                 self.partial.clear();
-                Heard::Line(line)
+                Reply::Line(line)
             }
             // The end of the connection comes next.
-            Ok(_) => Heard::Nothing,
+            Ok(_) => Reply::Nothing,
             Err(error)
                 if matches!(
                     error.kind(),
                     ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
                 ) =>
             {
-                Heard::Nothing
+                Reply::Nothing
             }
-            Err(_) => Heard::Ended(false),
+            Err(_) => Reply::Ended(false),
         }
     }
 }
 
-impl Life {
+impl ClientLoop {
     fn is_over(&self) -> bool {
         self.over.load(Ordering::Relaxed)
     }
@@ -180,7 +180,7 @@
     /// Comes again for as long as it is wanted.
     fn run(mut self) {
         while !self.is_over() {
-            let pause = match self.front.deal(&mut self.chance) {
+            let pause = match self.front.deal(&mut self.rng) {
                 Some((process, at)) => {
                     self.process = process;
                     self.id = format!("{:x}", self.ids.fetch_add(1, Ordering::Relaxed));
@@ -197,7 +197,7 @@
 
     /// A time, and up to as much again.
     fn about(&mut self, time: Duration) -> Duration {
-        time.mul_f64(self.chance.random_range(1.0..2.0))
+        time.mul_f64(self.rng.random_range(1.0..2.0))
     }
 
     /// One connection to its end; gives how long it waits before the next.
@@ -212,7 +212,7 @@
         self.note(ClientDid::Asked(self.plan.waits));
         loop {
             match lines.hear() {
-                Heard::Line(line) => {
+                Reply::Line(line) => {
                     self.note(ClientDid::Answered(line.clone()));
                     if let Some(receipt) = line.strip_prefix("UP ") {
                         let server = receipt.split('.').next().unwrap_or_default();
@@ -223,19 +223,19 @@
                     let told = line
                         .strip_prefix("BUSY ")
                         .and_then(|millis| millis.parse().ok());
-                    let late = self.chance.random_range(1.0..1.1);
+                    let late = self.rng.random_range(1.0..1.1);
                     let told = told.map(|millis| Duration::from_millis(millis).mul_f64(late));
                     return told.unwrap_or_else(|| self.about(Duration::from_millis(200)));
                 }
-                Heard::Ended(in_order) => {
+                Reply::Ended(in_order) => {
                     self.note(ClientDid::Ended(in_order));
                     return short;
                 }
-                Heard::Nothing if self.is_over() || asked.elapsed() > self.plan.waits + LATE => {
+                Reply::Nothing if self.is_over() || asked.elapsed() > self.plan.waits + LATE => {
                     self.note(ClientDid::Left);
                     return short;
                 }
-                Heard::Nothing => {}
+                Reply::Nothing => {}
             }
         }
     }
@@ -272,7 +272,7 @@
     /// Speaks lines until the connection ends.
     fn stand(&mut self, lines: &mut Lines) -> Duration {
         let soon = self.about(Duration::from_millis(30));
-        let mut next = Instant::now() + self.plan.every.mul_f64(self.chance.random_range(0.0..1.0));
+        let mut next = Instant::now() + self.plan.every.mul_f64(self.rng.random_range(0.0..1.0));
         let (mut sent, mut told) = (None::<Instant>, false);
         loop {
             if self.is_over() {
@@ -287,24 +287,24 @@
                 told = false;
             }
             match lines.hear() {
-                Heard::Line(line) if line == "MOVE" => {
+                Reply::Line(line) if line == "MOVE" => {
                     self.note(ClientDid::Moved);
                     return soon;
                 }
-                Heard::Line(line) if line.starts_with("OK ") => {
+                Reply::Line(line) if line.starts_with("OK ") => {
                     if let Some(sent) = sent.take() {
                         self.note(ClientDid::Heard(sent.elapsed()));
                     }
                 }
-                Heard::Line(_) => {}
-                Heard::Ended(in_order) => {
+                Reply::Line(_) => {}
+                Reply::Ended(in_order) => {
                     self.note(ClientDid::Ended(in_order));
                     return soon;
                 }
-                Heard::Nothing => {
+                Reply::Nothing => {
                     if let Some(waited) = sent
                         .map(|sent| sent.elapsed())
-                        .filter(|waited| !told && *waited > HELD)
+                        .filter(|waited| !told && *waited > MIN_ESTABLISHED)
                     {
                         told = true;
                         self.note(ClientDid::Unheard(waited));
--- a/crates/fault-injection/src/discovery.rs
+++ b/crates/fault-injection/src/discovery.rs
@@ -27,7 +27,7 @@
 
 impl Lifecycle {
     /// Its word on the wire.
-    pub fn word(self) -> &'static str {
+    pub fn wire_name(self) -> &'static str {
         match self {
             Lifecycle::Serving => "SERVING",
             Lifecycle::Draining => "DRAINING",
@@ -159,7 +159,7 @@
     }
 
     /// The present list as a balancer is given it.
-    pub fn whole(&self, balancer: &str) -> Value {
+    pub fn snapshot(&self, balancer: &str) -> Value {
         lock(&self.shared.0).changes(balancer, 0)
     }
 
@@ -228,7 +228,7 @@
                 "instanceId": row.name,
                 "hostPort": self.places.get(&(balancer.to_owned(), row.name.clone())),
                 "zone": row.zone,
-                "lifecycle": row.lifecycle.word(),
+                "lifecycle": row.lifecycle.wire_name(),
                 "weight": row.weight,
                 "startedAtMs": row.started_at_ms,
             })
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -7,7 +7,7 @@
 
 /// Which way of a link. `There` is from who connects to who is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From near to far.
     There,
     /// From far to near.
@@ -16,12 +16,12 @@
     Both,
 }
 
-impl Way {
+impl Direction {
     /// Whether it covers a direction: 0 is there, 1 is back.
     pub fn covers(self, direction: usize) -> bool {
         matches!(
             (self, direction),
-            (Way::Both, _) | (Way::There, 0) | (Way::Back, 1)
+            (Direction::Both, _) | (Direction::There, 0) | (Direction::Back, 1)
         )
     }
 }
@@ -30,17 +30,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// What comes is passed on later: by a time, and by chance up to as much again. Order is kept on connections only.
-    Delay(Way, Duration),
+    Delay(Direction, Duration),
     /// So many bytes more are passed on, then nothing, so that a message stops in its middle. Connections stay open.
-    Stall(Way, usize),
+    Stall(Direction, usize),
     /// What comes is passed on in pieces of so many bytes, one each time.
-    Dribble(Way, usize, Duration),
+    Dribble(Direction, usize, Duration),
     /// A share of datagrams is lost.
-    Lose(Way, f64),
+    Lose(Direction, f64),
     /// A share of datagrams arrives twice.
-    Double(Way, f64),
+    Double(Direction, f64),
     /// Cut in silence: connections stay open and silent, new ones never come up, datagrams are lost.
-    Cut(Way),
+    Cut(Direction),
     /// All connections are reset; new ones come up.
     Reset,
     /// All connections are reset, and new ones are refused, as where the process at the far end has died.
@@ -56,9 +56,9 @@
     #[must_use]
     pub fn turned(self) -> Fault {
         let turned = |way| match way {
-            Way::There => Way::Back,
-            Way::Back => Way::There,
-            Way::Both => Way::Both,
+            Direction::There => Direction::Back,
+            Direction::Back => Direction::There,
+            Direction::Both => Direction::Both,
         };
         match self {
             Fault::Delay(way, time) => Fault::Delay(turned(way), time),
@@ -109,7 +109,8 @@
             let link = &links[chance.random_range(0..links.len())];
             let begins = span.mul_f64(chance.random_range(0.0..0.75));
             let lasts = span.mul_f64(chance.random_range(0.02..0.25));
-            let way = [Way::There, Way::Back, Way::Both][chance.random_range(0..3)];
+            let way =
+                [Direction::There, Direction::Back, Direction::Both][chance.random_range(0..3)];
             let fault = match chance.random_range(0..6) {
                 0 => Fault::Delay(way, Duration::from_millis(chance.random_range(1..200))),
                 1 => Fault::Stall(way, chance.random_range(0..200)),
--- a/crates/fault-injection/src/fleet/balancer.rs
+++ b/crates/fault-injection/src/fleet/balancer.rs
@@ -29,7 +29,7 @@
     pub listens: SocketAddr,
     /// What its configuration says where versions of it differ.
     pub version: Version,
-    _kept: ReservedAddress,
+    _reservation: ReservedAddress,
     pub(super) admin: ReservedAddress,
     rank: usize,
     discovery: SocketAddr,
@@ -60,7 +60,7 @@
                 serial: 1,
                 worth: 1.0,
             },
-            _kept: kept,
+            _reservation: kept,
             admin: ReservedAddress::default(),
             rank,
             discovery,
@@ -140,7 +140,7 @@
             "limits": {"sockets": 2_048}, "settings": self.shape.settings((of.rank, of.version.worth)),
         });
         if self.shape.told {
-            platform["known"] = self.discovery.whole(&of.name);
+            platform["known"] = self.discovery.snapshot(&of.name);
         }
         platform.to_string()
     }
--- a/crates/fault-injection/src/fleet/waits.rs
+++ b/crates/fault-injection/src/fleet/waits.rs
@@ -6,13 +6,13 @@
 use serde_json::Value;
 
 use super::Fleet;
-use crate::record::{Event, PATIENCE, What, standing};
+use crate::record::{Event, WAIT_TIMEOUT, What, established};
 use crate::together;
 
 impl Fleet {
     /// Waits until the front has so many processes.
     pub fn are_open(&self, count: usize) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while self.front.open().len() != count {
             assert!(
                 Instant::now() < until,
@@ -26,7 +26,7 @@
 
     /// Waits until what a process says of itself under `fleet` is so; gives it.
     pub fn until(&self, number: usize, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let said =
                 together::ask(self.balancers[number].admin.at).map(|farm| farm["fleet"].clone());
@@ -47,7 +47,7 @@
     pub fn all_stand_since(&self, since: usize) -> BTreeMap<String, String> {
         let clients = self.clients.len();
         self.record.wait("each client stands", |events| {
-            let placed = standing(&events[since.min(events.len())..]);
+            let placed = established(&events[since.min(events.len())..]);
             (placed.len() == clients).then_some(placed)
         })
     }
@@ -57,7 +57,7 @@
     pub fn stand_within(&self, time: Duration, since: usize) -> usize {
         let mut most = 0;
         self.record.wait_for(time, |events| {
-            most = standing(&events[since.min(events.len())..]).len();
+            most = established(&events[since.min(events.len())..]).len();
             (most == self.clients.len()).then_some(())
         });
         most
--- a/crates/fault-injection/src/front.rs
+++ b/crates/fault-injection/src/front.rs
@@ -15,20 +15,20 @@
 /// Whoever has not answered by then has not answered.
 const ANSWER: Duration = Duration::from_millis(1_000);
 
-struct Door {
+struct FrontDoor {
     at: SocketAddr,
     taken_in: bool,
 }
 
 struct Shared {
-    doors: Mutex<BTreeMap<String, Door>>,
+    doors: Mutex<BTreeMap<String, FrontDoor>>,
     /// A process that has not answered for so long is taken out.
     notice: Duration,
     over: AtomicBool,
 }
 
 impl Shared {
-    fn doors(&self) -> MutexGuard<'_, BTreeMap<String, Door>> {
+    fn doors(&self) -> MutexGuard<'_, BTreeMap<String, FrontDoor>> {
         // Plain values, sound at every moment.
         self.doors.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -52,7 +52,7 @@
     pub fn watches(&self, process: &str, at: SocketAddr) {
         self.0.doors().insert(
             process.to_owned(),
-            Door {
+            FrontDoor {
                 at,
                 taken_in: false,
             },
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```no_run
 //! use std::time::Duration;
 //!
-//! use beaconflow_fault_injection::{Disk, Fault, Fleet, Plan, Rules, Shape, Way};
+//! use beaconflow_fault_injection::{Disk, Fault, Fleet, Plan, Rules, Shape, Direction};
 //!
 //! let shape = Shape::new("target/release/beaconflow", 7); // env!("CARGO_BIN_EXE_beaconflow") in a test
 //! let mut fleet = Fleet::new(shape);
@@ -16,7 +16,7 @@
 //! let before = fleet.all_stand_since(begun);
 //!
 //! // Links are named `near>far`: `clients>b0`, `b0>s1`, `b0>discovery`.
-//! fleet.net.fault("b0>s1", Fault::Cut(Way::Both));
+//! fleet.net.fault("b0>s1", Fault::Cut(Direction::Both));
 //! fleet.net.fault("b0>s1", Fault::Heal);
 //!
 //! let killed = fleet.record.step("two processes die, and come back with an empty disk");
@@ -24,7 +24,7 @@
 //! fleet.start(&[0, 1], Disk::Lost);
 //! let after = fleet.all_stand_since(killed);
 //! assert!(before.len() == after.len());
-//! fleet.finish(&Rules::default()).kept();
+//! fleet.finish(&Rules::default()).assert_held();
 //! ```
 //!
 //! Datagrams between processes go through [`Net::party`], which gives the address that all others are to know a party
@@ -51,12 +51,14 @@
 pub use checker::{Breach, Checked, Rule, Rules};
 pub use client::{Client, Plan};
 pub use discovery::{Discovery, Lifecycle, Listed, Style};
-pub use fault::{Fault, Line, Script, Way};
+pub use fault::{Direction, Fault, Line, Script};
 pub use fleet::{Balancer, Fleet, Shape, Version};
 pub use flow::Observation;
 pub use front::Front;
 pub use net::{Link, LinkObserver, MakeObserver, Net};
 pub use process::{Disk, Process};
-pub use record::{ClientDid, Did, Event, Moment, PATIENCE, Record, Row, ServerDid, What, standing};
+pub use record::{
+    ClientDid, Did, Event, Moment, Record, Row, ServerDid, WAIT_TIMEOUT, What, established,
+};
 pub use server::{Ability, Leaves, Server};
 pub use together::Together;
--- a/crates/fault-injection/src/net/connections.rs
+++ b/crates/fault-injection/src/net/connections.rs
@@ -9,8 +9,8 @@
 use mio::net::{TcpListener, TcpStream};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-use super::relay::{LinkState, Owner, Relay, by_chance};
-use super::timers::Due;
+use super::relay::{LinkState, Owner, Relay, random_duration};
+use super::timers::TimerKind;
 use super::{Link, LinkObserver, MakeObserver};
 use crate::address::ReservedAddress;
 use crate::flow::{Connection, Impairment, Observation, Progress};
@@ -21,7 +21,7 @@
 /// Where a link's connections come in, and where they lead.
 pub(super) struct Listening {
     /// The link's address, which stays its own while nothing listens there.
-    pub(super) kept: Arc<ReservedAddress>,
+    pub(super) reservation: Arc<ReservedAddress>,
     /// Nothing where new connections are refused.
     pub(super) listener: Option<TcpListener>,
     target: SocketAddr,
@@ -77,11 +77,11 @@
             source,
             make_observer,
         } = link;
-        let kept = Arc::new(ReservedAddress::default());
-        let (listener, at) = (self.listen(&name, &kept), kept.at);
+        let reservation = Arc::new(ReservedAddress::default());
+        let (listener, at) = (self.listen(&name, &reservation), reservation.at);
         let listener = Some(listener);
         let listening = Listening {
-            kept,
+            reservation,
             listener,
             target,
             source,
@@ -174,8 +174,8 @@
         let Some(state) = self.links.get_mut(link) else {
             return;
         };
-        let chance = &mut self.chance;
-        let mut delay = |impairment: &Impairment| by_chance(chance, impairment.delay);
+        let chance = &mut self.rng;
+        let mut delay = |impairment: &Impairment| random_duration(chance, impairment.delay);
         let mut observe = |observation: Observation<'_>| {
             observer
                 .iter_mut()
@@ -183,7 +183,7 @@
         };
         match connection.pump(&mut state.impairments, &mut delay, &mut observe) {
             Progress::Over => self.forget(number),
-            Progress::Wait(Some(at)) => self.timers.enter(at, Due::Pump(number)),
+            Progress::Wait(Some(at)) => self.timers.enter(at, TimerKind::Pump(number)),
             Progress::Wait(None) => {}
         }
     }
--- a/crates/fault-injection/src/net/datagrams.rs
+++ b/crates/fault-injection/src/net/datagrams.rs
@@ -7,8 +7,8 @@
 use mio::net::UdpSocket;
 use rand::Rng as _;
 
-use super::relay::{LinkState, Owner, Relay, by_chance};
-use super::timers::Due;
+use super::relay::{LinkState, Owner, Relay, random_duration};
+use super::timers::TimerKind;
 use crate::address;
 use crate::flow::Impairment;
 
@@ -72,15 +72,15 @@
     /// Has a datagram arrive later, once, twice or not at all, as its way is.
     fn send_on(&mut self, from: &str, to: &str, bytes: &[u8]) {
         let impairment = self.impairment(from, to);
-        if impairment.cut || self.chance.random_bool(impairment.lose) {
+        if impairment.cut || self.rng.random_bool(impairment.lose) {
             return;
         }
-        let copies = 1 + usize::from(self.chance.random_bool(impairment.double));
+        let copies = 1 + usize::from(self.rng.random_bool(impairment.double));
         for _ in 0..copies {
-            let due = Instant::now() + by_chance(&mut self.chance, impairment.delay);
+            let due = Instant::now() + random_duration(&mut self.rng, impairment.delay);
             self.timers.enter(
                 due,
-                Due::Deliver(from.to_owned(), to.to_owned(), bytes.to_vec()),
+                TimerKind::Deliver(from.to_owned(), to.to_owned(), bytes.to_vec()),
             );
         }
     }
--- a/crates/fault-injection/src/net/faults.rs
+++ b/crates/fault-injection/src/net/faults.rs
@@ -45,7 +45,7 @@
     /// Fills the listener's queue, so that the system answers no further opening: new connections never come up.
     fn fill_backlog(&mut self, name: &str) {
         let Some(Listening {
-            kept,
+            reservation,
             listener: Some(listener),
             backlog_fillers,
             ..
@@ -58,7 +58,7 @@
             let filler =
                 Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("a socket");
             filler.set_nonblocking(true).expect("open");
-            let _ = filler.connect(&kept.at.into());
+            let _ = filler.connect(&reservation.at.into());
             backlog_fillers.push(filler);
         }
     }
@@ -87,7 +87,7 @@
                 .extend(drained.filter_map(|filler| filler.local_addr().ok()?.as_socket()));
             return self.accept(name);
         }
-        let kept = Arc::clone(&listening.kept);
+        let kept = Arc::clone(&listening.reservation);
         let listener = self.listen(name, &kept);
         if let Some(listening) = self.listening(name) {
             listening.listener = Some(listener);
--- a/crates/fault-injection/src/net/relay.rs
+++ b/crates/fault-injection/src/net/relay.rs
@@ -12,7 +12,7 @@
 
 use super::connections::{Carried, Listening};
 use super::datagrams::Party;
-use super::timers::{Due, Timers};
+use super::timers::{TimerKind, Timers};
 use crate::fault::Script;
 use crate::flow::Impairment;
 use crate::record::Record;
@@ -51,7 +51,7 @@
 pub(super) struct Relay {
     poll: Poll,
     pub(super) record: Record,
-    pub(super) chance: Pcg64Mcg,
+    pub(super) rng: Pcg64Mcg,
     pub(super) links: BTreeMap<String, LinkState>,
     pub(super) parties: BTreeMap<String, Party>,
     pub(super) connections: BTreeMap<usize, Carried>,
@@ -69,7 +69,7 @@
         let relay = Relay {
             poll,
             record,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             links: BTreeMap::new(),
             parties: BTreeMap::new(),
             connections: BTreeMap::new(),
@@ -92,8 +92,8 @@
                 let Some(order) = order else { return };
                 order(self);
             }
-            while let Some(due) = self.timers.take_due() {
-                self.is_due(due);
+            while let Some(due) = self.timers.take_expired() {
+                self.run_timer(due);
             }
         }
     }
@@ -131,11 +131,11 @@
         }
     }
 
-    fn is_due(&mut self, due: Due) {
+    fn run_timer(&mut self, due: TimerKind) {
         match due {
-            Due::Pump(number) => self.pump(number),
-            Due::Deliver(from, to, bytes) => self.deliver(&from, &to, &bytes),
-            Due::Play(link, fault) => self.apply(&link, fault),
+            TimerKind::Pump(number) => self.pump(number),
+            TimerKind::Deliver(from, to, bytes) => self.deliver(&from, &to, &bytes),
+            TimerKind::Play(link, fault) => self.apply(&link, fault),
         }
     }
 
@@ -144,7 +144,7 @@
         let now = Instant::now();
         for line in script.0 {
             self.timers
-                .enter(now + line.after, Due::Play(line.link, line.fault));
+                .enter(now + line.after, TimerKind::Play(line.link, line.fault));
         }
     }
 
@@ -183,7 +183,7 @@
 }
 
 /// A time, and up to as much again.
-pub(super) fn by_chance(chance: &mut Pcg64Mcg, time: Duration) -> Duration {
+pub(super) fn random_duration(chance: &mut Pcg64Mcg, time: Duration) -> Duration {
     if time.is_zero() {
         time
     } else {
--- a/crates/fault-injection/src/net/timers.rs
+++ b/crates/fault-injection/src/net/timers.rs
@@ -7,7 +7,7 @@
 use crate::fault::Fault;
 
 /// Something that is due at a moment.
-pub(super) enum Due {
+pub(super) enum TimerKind {
     /// A connection has something to forward.
     Pump(usize),
     /// A datagram arrives: from whom, to whom, and its bytes.
@@ -19,7 +19,7 @@
 struct Timer {
     at: Instant,
     number: u64,
-    due: Due,
+    due: TimerKind,
 }
 
 impl PartialEq for Timer {
@@ -51,7 +51,7 @@
 
 impl Timers {
     /// Enters something that is due at a moment.
-    pub(super) fn enter(&mut self, at: Instant, due: Due) {
+    pub(super) fn enter(&mut self, at: Instant, due: TimerKind) {
         self.entered += 1;
         self.waiting.push(Reverse(Timer {
             at,
@@ -67,7 +67,7 @@
     }
 
     /// Takes out the first one that is due by now.
-    pub(super) fn take_due(&mut self) -> Option<Due> {
+    pub(super) fn take_expired(&mut self) -> Option<TimerKind> {
         let Reverse(first) = self.waiting.peek()?;
         if first.at > Instant::now() {
             return None;
--- a/crates/fault-injection/src/observers.rs
+++ b/crates/fault-injection/src/observers.rs
@@ -56,7 +56,7 @@
         }
         self.body.drain(..read);
         for list in whole {
-            self.record.note(told(&self.balancer, &list));
+            self.record.note(list_sent(&self.balancer, &list));
         }
     }
 }
@@ -78,7 +78,7 @@
     Some(chunk)
 }
 
-fn told(balancer: &str, list: &Value) -> What {
+fn list_sent(balancer: &str, list: &Value) -> What {
     let text = |row: &Value, field: &str| row[field].as_str().unwrap_or_default().to_owned();
     let row = |row: &Value| Row {
         server: text(row, "instanceId"),
@@ -149,7 +149,7 @@
         self.at = At::Over;
     }
 
-    fn head_is_whole(&mut self) {
+    fn on_complete_head(&mut self) {
         let head = String::from_utf8_lossy(&self.head);
         let Some(id) = head
             .strip_prefix("OPEN ")
@@ -181,7 +181,7 @@
                 self.head.extend_from_slice(bytes);
                 if let Some(end) = self.head.iter().position(|byte| *byte == b'\n') {
                     self.head.truncate(end);
-                    self.head_is_whole();
+                    self.on_complete_head();
                 }
             }
             (Observation::ToNear(bytes), At::Waits(_)) => {
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-use crate::record::{Did, PATIENCE, Record, What};
+use crate::record::{Did, Record, WAIT_TIMEOUT, What};
 
 /// What outlives a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -176,7 +176,7 @@
         let Some((mut child, reader)) = self.running.take() else {
             return true;
         };
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let status = loop {
             match child.try_wait().expect("a child") {
                 Some(status) => break status,
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -9,15 +9,15 @@
 use crate::fault::Fault;
 
 /// Longer than anything here takes on a loaded machine; what waits for so long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// A condition over the record is looked at no more often. Guards against waits that cost more than what they wait
 /// for.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// So many of the last events are shown where a wait has failed.
 const SHOWN: usize = 60;
 
 /// What these parts of a process say belongs to a client's story.
-const TOLD: [&str; 5] = ["recovery", "memory", "edge", "affinity", "peers"];
+const LOGGED_PARTS: [&str; 5] = ["recovery", "memory", "edge", "affinity", "peers"];
 
 /// A moment: the time since the record began.
 pub type Moment = Duration;
@@ -269,7 +269,7 @@
 
     /// Waits until something holds of the record, and gives it. Where it does not come to hold, the last events are told.
     pub fn wait<T>(&self, what: &str, holds: impl FnMut(&[Event]) -> Option<T>) -> T {
-        let reached = self.wait_for(PATIENCE, holds);
+        let reached = self.wait_for(WAIT_TIMEOUT, holds);
         reached.unwrap_or_else(|| {
             panic!(
                 "never came: {what}; the last of the record:\n{}",
@@ -299,7 +299,7 @@
             }
             drop(events);
             // Let others write meanwhile.
-            std::thread::sleep(LOOK.min(left));
+            std::thread::sleep(POLL_INTERVAL.min(left));
             events = self.events();
             if events.len() == seen {
                 let waited = self
@@ -358,7 +358,7 @@
                 did: ServerDid::Took(key),
                 ..
             } => key == name,
-            What::Log { line, .. } => TOLD.iter().any(|part| line["part"] == *part),
+            What::Log { line, .. } => LOGGED_PARTS.iter().any(|part| line["part"] == *part),
             _ => false,
         };
         let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.what);
@@ -383,7 +383,7 @@
 }
 
 /// Who stands by these events, and at which server.
-pub fn standing(events: &[Event]) -> BTreeMap<String, String> {
+pub fn established(events: &[Event]) -> BTreeMap<String, String> {
     let mut placed = BTreeMap::new();
     for event in events {
         match &event.what {
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -25,7 +25,7 @@
     /// Set-ups a second once it is warm.
     pub rate: f64,
     /// Most connections.
-    pub room: usize,
+    pub capacity: usize,
     /// The share of its rate that it starts with.
     pub cold_share: f64,
     /// It is warm after so long.
@@ -41,7 +41,7 @@
     fn default() -> Ability {
         Ability {
             rate: 100.0,
-            room: 1_000,
+            capacity: 1_000,
             cold_share: 0.2,
             cold: Duration::from_secs(5),
             tip_multiple: 3.0,
@@ -52,7 +52,7 @@
 
 impl Ability {
     /// The share of its rate that it has so long after a cold start.
-    pub fn warmth(&self, since: Duration) -> f64 {
+    pub fn capacity_fraction(&self, since: Duration) -> f64 {
         let part = (since.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
         self.cold_share + (1.0 - self.cold_share) * part
     }
@@ -62,7 +62,7 @@
         let step = Duration::from_millis(10);
         let (mut done, mut took) = (0.0, Duration::ZERO);
         while done < set_ups as f64 {
-            done += self.rate * self.warmth(took) * step.as_secs_f64();
+            done += self.rate * self.capacity_fraction(took) * step.as_secs_f64();
             took += step;
         }
         took
@@ -88,7 +88,7 @@
     /// Grows with each start and each end: a connection of another life is over.
     life: u64,
     running: bool,
-    cold_since: Option<Instant>,
+    started_at: Option<Instant>,
     draining: bool,
     hanging: bool,
     tipped: bool,
@@ -117,7 +117,7 @@
 pub struct Server {
     /// Where it listens while it runs.
     pub at: SocketAddr,
-    kept: ReservedAddress,
+    reservation: ReservedAddress,
     shared: Arc<Shared>,
 }
 
@@ -138,12 +138,12 @@
 impl Server {
     /// Starts it warm.
     pub fn start(name: &str, ability: Ability, record: &Record) -> Server {
-        let kept = ReservedAddress::default();
-        let listener = kept.listen(BACKLOG);
+        let reservation = ReservedAddress::default();
+        let listener = reservation.listen(BACKLOG);
         let state = State {
             life: 0,
             running: true,
-            cold_since: None,
+            started_at: None,
             draining: false,
             hanging: false,
             tipped: false,
@@ -164,8 +164,8 @@
             changed: Condvar::new(),
         };
         let server = Server {
-            at: kept.at,
-            kept,
+            at: reservation.at,
+            reservation,
             shared: Arc::new(shared),
         };
         server.shared.note(ServerDid::Started { cold: false });
@@ -226,13 +226,13 @@
             assert!(!state.running, "{} runs", self.shared.name);
             state.life += 1;
             state.running = true;
-            state.cold_since = Some(Instant::now());
+            state.started_at = Some(Instant::now());
             state.came.clear();
             (state.draining, state.hanging, state.tipped) = (false, false, false);
             state.life
         };
         self.shared.note(ServerDid::Started { cold: true });
-        self.take(self.kept.listen(BACKLOG), life);
+        self.take(self.reservation.listen(BACKLOG), life);
         self.shared.record.unix_ms(self.shared.record.now())
     }
 
@@ -289,22 +289,22 @@
 }
 
 /// What is made of an opening.
-enum Verdict {
+enum Admission {
     Serve { number: u64, at: Instant },
     Busy,
     Hang,
     Over,
 }
 
-fn judge(shared: &Shared, key: &str, stream: &TcpStream, life: u64) -> Verdict {
+fn admit(shared: &Shared, key: &str, stream: &TcpStream, life: u64) -> Admission {
     let mut state = shared.lock();
     let now = Instant::now();
     if state.life != life {
-        return Verdict::Over;
+        return Admission::Over;
     }
     let warmth = state
-        .cold_since
-        .map_or(1.0, |since| shared.ability.warmth(now - since));
+        .started_at
+        .map_or(1.0, |since| shared.ability.capacity_fraction(now - since));
     state.came.push_back(now);
     while state
         .came
@@ -320,10 +320,10 @@
     }
     if state.hanging || state.tipped {
         state.unheard.extend(stream.try_clone());
-        return Verdict::Hang;
+        return Admission::Hang;
     }
-    if state.draining || state.streams.len() >= shared.ability.room {
-        return Verdict::Busy;
+    if state.draining || state.streams.len() >= shared.ability.capacity {
+        return Admission::Busy;
     }
     let gap = Duration::from_secs_f64(1.0 / (shared.ability.rate * warmth));
     // A few are done at once; what comes beyond that takes its turn.
@@ -339,7 +339,7 @@
     }
     state.keys.insert(number, key.to_owned());
     shared.note(ServerDid::Took(key.to_owned()));
-    Verdict::Serve {
+    Admission::Serve {
         number,
         at: state.free_at,
     }
@@ -357,11 +357,11 @@
         let _ = stream.write_all(b"SYNTAX\r\n");
         return;
     };
-    match judge(shared, key, stream, life) {
-        Verdict::Serve { number, at } => serve_from(at, number, &mut reader, shared, life),
-        Verdict::Busy => drop(stream.write_all(b"BUSY\r\n")),
-        Verdict::Hang => hang(&mut reader, shared, life),
-        Verdict::Over => {}
+    match admit(shared, key, stream, life) {
+        Admission::Serve { number, at } => serve_from(at, number, &mut reader, shared, life),
+        Admission::Busy => drop(stream.write_all(b"BUSY\r\n")),
+        Admission::Hang => hang(&mut reader, shared, life),
+        Admission::Over => {}
     }
 }
 
--- a/crates/fault-injection/tests/links.rs
+++ b/crates/fault-injection/tests/links.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-use beaconflow_fault_injection::{Fault, Link, Net, Record, Script, Way, What, listening};
+use beaconflow_fault_injection::{Direction, Fault, Link, Net, Record, Script, What, listening};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 /// For what must not come. It costs a good run this long.
@@ -98,7 +98,7 @@
         .expect("open");
     drop(near);
     is_reset(&mut far);
-    pair.fault(Fault::Delay(Way::Back, Duration::from_millis(60)));
+    pair.fault(Fault::Delay(Direction::Back, Duration::from_millis(60)));
     let (mut near, mut far) = pair.connect();
     near.write_all(b"x").expect("open");
     hears(&mut far, b"x");
@@ -112,7 +112,7 @@
 fn a_stall_stops_in_the_middle_and_a_dribble_comes_in_pieces() {
     let pair = Pair::new();
     let (mut near, mut far) = pair.connect();
-    pair.fault(Fault::Stall(Way::There, 3));
+    pair.fault(Fault::Stall(Direction::There, 3));
     near.write_all(b"half").expect("open");
     hears(&mut far, b"hal");
     hears_nothing(&mut far);
@@ -120,7 +120,11 @@
     hears(&mut near, b"back");
     pair.fault(Fault::Heal);
     hears(&mut far, b"f");
-    pair.fault(Fault::Dribble(Way::There, 2, Duration::from_millis(20)));
+    pair.fault(Fault::Dribble(
+        Direction::There,
+        2,
+        Duration::from_millis(20),
+    ));
     let sent = Instant::now();
     near.write_all(b"123456").expect("open");
     hears(&mut far, b"123456");
@@ -131,7 +135,7 @@
 fn a_cut_is_silent_new_connections_never_come_up_and_a_heal_brings_all_back() {
     let pair = Pair::new();
     let (mut near, mut far) = pair.connect();
-    pair.fault(Fault::Cut(Way::Both));
+    pair.fault(Fault::Cut(Direction::Both));
     near.write_all(b"there").expect("the system takes it");
     far.write_all(b"back").expect("the system takes it");
     hears_nothing(&mut far);
@@ -145,7 +149,7 @@
     let (mut near, mut far) = pair.connect();
     near.write_all(b"new").expect("open");
     hears(&mut far, b"new");
-    pair.fault(Fault::Cut(Way::Back));
+    pair.fault(Fault::Cut(Direction::Back));
     near.write_all(b"one way").expect("open");
     hears(&mut far, b"one way");
     far.write_all(b"lost").expect("the system takes it");
@@ -192,10 +196,10 @@
     assert_eq!(hear(&b, PATIENCE), Some((b"hello".to_vec(), a_of_b)));
     b.send_to(b"you", a_of_b).expect("sent");
     assert_eq!(hear(&a, PATIENCE), Some((b"you".to_vec(), b_of_a)));
-    net.fault("a~b", Fault::Double(Way::There, 1.0));
+    net.fault("a~b", Fault::Double(Direction::There, 1.0));
     a.send_to(b"2", b_of_a).expect("sent");
     assert!(hear(&b, PATIENCE).is_some() && hear(&b, PATIENCE).is_some());
-    net.fault("a~b", Fault::Cut(Way::There));
+    net.fault("a~b", Fault::Cut(Direction::There));
     a.send_to(b"lost", b_of_a).expect("sent");
     b.send_to(b"back", a_of_b).expect("sent");
     assert_eq!(
@@ -203,7 +207,7 @@
         Some(b"back".to_vec())
     );
     net.fault("a~b", Fault::Heal);
-    net.fault("a~b", Fault::Lose(Way::There, 0.5));
+    net.fault("a~b", Fault::Lose(Direction::There, 0.5));
     // One at a time, each followed by a word that the other way can't lose: nothing is lost for want of room.
     let came = (0..200).filter(|_| {
         a.send_to(b"x", b_of_a).expect("sent");
@@ -223,7 +227,7 @@
         .then(
             Duration::ZERO,
             "a>b",
-            Fault::Delay(Way::Both, Duration::from_millis(1)),
+            Fault::Delay(Direction::Both, Duration::from_millis(1)),
         );
     pair.net.play(script);
     is_reset(&mut near);
--- a/crates/fault-injection/tests/rules.rs
+++ b/crates/fault-injection/tests/rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use beaconflow_fault_injection::{
-    ClientDid, Did, Fault, Record, Row, Rule, Rules, ServerDid, Way, What,
+    ClientDid, Did, Direction, Fault, Record, Row, Rule, Rules, ServerDid, What,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -112,7 +112,11 @@
         []
     );
     assert_eq!(
-        broken(&[(0, link(Fault::Cut(Way::Both))), asked(), ended.clone()]),
+        broken(&[
+            (0, link(Fault::Cut(Direction::Both))),
+            asked(),
+            ended.clone()
+        ]),
         []
     );
     let healed = [
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -8,12 +8,12 @@
 //! ```
 //! use beaconflow_gossip::*;
 //!
-//! let process = |name: &str| FactStore::new(Origin { name: name.into(), boot: 1 }, Bounds::default());
+//! let process = |name: &str| FactStore::new(Origin { name: name.into(), incarnation: 1 }, Bounds::default());
 //! let (mut a, mut b) = (process("a"), process("b"));
 //! let stands = Placement { server: "s1".into(), configuration: 7, since: 1_000 };
 //! let subject = Subject::Placement(Holder::Client(42));
-//! a.witness(&subject, &Value::Placement(Some(stands)), 60_000, 1_000).expect("sound");
-//! let changes = b.take(&a.rumours(1_200, 1_500), 90_000).expect("readable");
+//! a.observe(&subject, &Value::Placement(Some(stands)), 60_000, 1_000).expect("sound");
+//! let changes = b.take(&a.gossip_payload(1_200, 1_500), 90_000).expect("readable");
 //! assert_eq!(changes[0].subject(), Some(subject));
 //! // Its age came with it; the clocks of the two need not agree.
 //! assert_eq!(b.placement(Holder::Client(42), 90_000).map(|at| at.server), Some("s1"));
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -19,13 +19,13 @@
 //!
 //! let mut set = Set::new(limits.ramp);
 //! set.put(draft.into_override(Id(1), 1_000));
-//! assert_eq!(set.server("g4", 2_000), Standing { out: true, factor: 0.0, to: 0.0 });
-//! assert_eq!(set.server("g5", 2_000), Standing::AS_LISTED);
+//! assert_eq!(set.server("g4", 2_000), ServerAdjustment { out: true, factor: 0.0, to: 0.0 });
+//! assert_eq!(set.server("g5", 2_000), ServerAdjustment::AS_LISTED);
 //! // It ends by itself, and the server's weight comes back step by step.
 //! assert_eq!(set.next_change(2_000), Some(61_000));
 //! let back = set.server("g4", 61_000);
 //! assert!(!back.out && back.factor < 0.2);
-//! assert_eq!(set.server("g4", 61_000 + limits.ramp), Standing::AS_LISTED);
+//! assert_eq!(set.server("g4", 61_000 + limits.ramp), ServerAdjustment::AS_LISTED);
 //! # Ok::<(), Vec<Fault>>(())
 //! ```
 
--- a/crates/recovery/src/accessors.rs
+++ b/crates/recovery/src/accessors.rs
@@ -88,7 +88,7 @@
         self.quota.deferred_per_s()
     }
 
-    /// Former clients of the whole fleet, for [`crate::PeerStatus::former_clients`], if they are
+    /// Former clients of the whole fleet, for [`crate::PeerStatus::previous_clients`], if they are
     /// remembered here.
     pub fn previous_clients(&self) -> Option<f64> {
         let kept = self
--- a/crates/simulator/examples/quiet.rs
+++ b/crates/simulator/examples/quiet.rs
@@ -8,20 +8,20 @@
 use beaconflow_gossip::{Holder, Kind, Lifecycle, Listed, Placement, Position, Subject, Value};
 use beaconflow_membership::testing::{Fleet, Rules};
 use beaconflow_recovery::PeerStatus;
-use beaconflow_simulator::mesh::{self, Letters, Said, Talk};
+use beaconflow_simulator::mesh::{self, Letters, StatusMessage, Talk};
 
 /// Seconds of quiet that are measured.
 const QUIET: u64 = 20;
 /// Facts that are told, one after the other.
 const FACTS: u64 = 40;
 
-fn word(rank: u32, now: u64) -> Said {
+fn word(rank: u32, now: u64) -> StatusMessage {
     let uptime = now * 1_000_000;
     let (name, site) = (mesh::name(rank), "site".into());
     let wall_clock = Some(now);
-    Said {
-        says: None,
-        word: PeerStatus {
+    StatusMessage {
+        uplink_report: None,
+        peer_status: PeerStatus {
             name,
             site,
             incarnation: 1,
--- a/crates/simulator/src/chance.rs
+++ b/crates/simulator/src/chance.rs
@@ -5,12 +5,12 @@
 
 /// A stream of random numbers.
 #[derive(Clone, Debug)]
-pub struct Chance(Pcg64Mcg);
+pub struct RandomSource(Pcg64Mcg);
 
-impl Chance {
+impl RandomSource {
     /// A stream of its own for each purpose, so that more draws for one leave the others as they were.
-    pub fn new(seed: u64, purpose: u64) -> Chance {
-        Chance(Pcg64Mcg::seed_from_u64(
+    pub fn new(seed: u64, purpose: u64) -> RandomSource {
+        RandomSource(Pcg64Mcg::seed_from_u64(
             seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         ))
     }
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -48,7 +48,7 @@
 pub struct Checker {
     open: FxHashMap<u64, Open>,
     /// When a balancer heard that a gateway drains or is gone.
-    heard: FxHashMap<(u32, u32), Nanos>,
+    last_list_at: FxHashMap<(u32, u32), Nanos>,
     broken: Vec<Broken>,
     /// How many were broken; of very many not all are kept.
     pub count: u64,
@@ -84,20 +84,20 @@
     /// A balancer hears whether a gateway takes new work.
     pub fn listed(&mut self, at: Nanos, balancer: u32, gateway: u32, ready: bool) {
         if ready {
-            self.heard.remove(&(balancer, gateway));
+            self.last_list_at.remove(&(balancer, gateway));
         } else {
-            self.heard.entry((balancer, gateway)).or_insert(at);
+            self.last_list_at.entry((balancer, gateway)).or_insert(at);
         }
     }
 
     /// A balancer starts anew and remembers nothing.
     pub fn restarted(&mut self, balancer: u32) {
-        self.heard.retain(|(of, _), _| *of != balancer);
+        self.last_list_at.retain(|(of, _), _| *of != balancer);
     }
 
     /// An attempt is made.
     pub fn attempts(&mut self, at: Nanos, request: u64, balancer: u32, gateway: u32) {
-        if let Some(told) = self.heard.get(&(balancer, gateway))
+        if let Some(told) = self.last_list_at.get(&(balancer, gateway))
             && at > told + DRAIN_GRACE + SLACK
         {
             let late = (at - told) / 1_000_000;
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use crate::chance::Chance;
+use crate::chance::RandomSource;
 use crate::engine::Engine;
 use crate::policies::Policy;
 use crate::scenario::Scenario;
@@ -147,7 +147,7 @@
         return (0.0, 0.0, 0.0);
     }
     let mean = differences.iter().sum::<f64>() / count as f64;
-    let mut chance = Chance::new(seed, 77);
+    let mut chance = RandomSource::new(seed, 77);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
             (0..count)
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -23,7 +23,7 @@
 use beaconflow_policy::Action;
 use rustc_hash::FxHashMap;
 
-use crate::chance::Chance;
+use crate::chance::RandomSource;
 use crate::checker::Checker;
 use crate::measures::Measures;
 use crate::mesh;
@@ -45,10 +45,10 @@
     now: Nanos,
     events: BinaryHeap<Reverse<(Nanos, u32, u64, Occurrence)>>,
     count: u64,
-    order: Chance,
-    chance: Chance,
-    habits: Chance,
-    net: Chance,
+    order: RandomSource,
+    rng: RandomSource,
+    habits: RandomSource,
+    net: RandomSource,
     clients: FxHashMap<u64, Client>,
     next_client: u64,
     requests: FxHashMap<u64, Request>,
@@ -78,7 +78,7 @@
     letters: mesh::Letters,
     posts: FxHashMap<u64, peers::Post>,
     next_post: u64,
-    wire: Chance,
+    wire: RandomSource,
     /// What a run came to so far.
     pub measures: Measures,
     /// The rules.
@@ -95,10 +95,10 @@
             now: 0,
             events: BinaryHeap::new(),
             count: 0,
-            order: Chance::new(seed, 1),
-            chance: Chance::new(seed, 2),
-            habits: Chance::new(seed, 3),
-            net: Chance::new(seed, 4),
+            order: RandomSource::new(seed, 1),
+            rng: RandomSource::new(seed, 2),
+            habits: RandomSource::new(seed, 3),
+            net: RandomSource::new(seed, 4),
             clients: FxHashMap::default(),
             next_client: 0,
             requests: FxHashMap::default(),
@@ -130,7 +130,7 @@
             letters: mesh::Letters::default(),
             posts: FxHashMap::default(),
             next_post: 0,
-            wire: Chance::new(seed, 5),
+            wire: RandomSource::new(seed, 5),
             measures: Measures::new(scenario),
             checker: Checker::default(),
         };
@@ -193,7 +193,7 @@
     }
 
     /// One way through the network: the mean, and half of it again by chance.
-    fn way(&mut self, mean_ms: f64) -> f64 {
+    fn link_delay(&mut self, mean_ms: f64) -> f64 {
         mean_ms / 1e3 * (0.75 + self.net.exponential(0.25))
     }
 }
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -22,7 +22,7 @@
 /// Clients that a version causes to be dealt anew, over all balancers, in a second.
 const REDEALT: f64 = 40.0;
 /// What a balancer runs is told anew after so many seconds.
-const TELLS_VERSION: u64 = 20;
+const VERSION_PERIOD: u64 = 20;
 
 /// What a balancer knows of placements.
 pub(super) struct Places {
@@ -30,7 +30,7 @@
     /// Since when it has seen each gateway ready.
     ready_since: Vec<Option<u64>>,
     stamps: FxHashMap<u64, Stamp>,
-    redeal: Rebalancer,
+    rebalancer: Rebalancer,
     redealt: FxHashMap<Key, u64>,
 }
 
@@ -89,10 +89,10 @@
             memory,
             ready_since: vec![Some(0); self.machines.len()],
             stamps: FxHashMap::default(),
-            redeal: Rebalancer::new(REDEALT, self.scenario.balancers, origin),
+            rebalancer: Rebalancer::new(REDEALT, self.scenario.balancers, origin),
             redealt: FxHashMap::default(),
         });
-        self.tells_versions(balancer);
+        self.publish_versions(balancer);
     }
 
     /// The gateways that a balancer has heard to be ready.
@@ -156,7 +156,7 @@
         };
         if let Ok(placed) = places.memory.established(&who, tag, wall) {
             places.stamps.insert(request, placed.stamp);
-            self.tells(balancer, &placed);
+            self.publish_placement(balancer, &placed);
         }
     }
 
@@ -200,7 +200,7 @@
             return;
         };
         if let Some(ended) = places.memory.ended(key, stamp, how, wall) {
-            self.tells(balancer, &ended);
+            self.publish_placement(balancer, &ended);
         }
     }
 
@@ -214,7 +214,7 @@
         )
     }
 
-    fn tells(&mut self, balancer: u32, placed: &Placement) {
+    fn publish_placement(&mut self, balancer: u32, placed: &Placement) {
         let (bytes, wall) = (encode(placed), mesh::wall(self.now));
         if let Some(knowledge) = self.knowledge(balancer) {
             // One that finds no room is not told.
@@ -223,7 +223,7 @@
     }
 
     /// A balancer tells what it knows of versions.
-    pub(super) fn tells_versions(&mut self, balancer: u32) {
+    pub(super) fn publish_versions(&mut self, balancer: u32) {
         let wall = mesh::wall(self.now);
         let Some(places) = &mut self.hosts[balancer as usize].places else {
             return;
@@ -245,7 +245,7 @@
     }
 
     /// What peers told of placements and versions.
-    pub(super) fn hears(&mut self, balancer: u32, news: &[Change]) {
+    pub(super) fn on_changes(&mut self, balancer: u32, news: &[Change]) {
         let wall = mesh::wall(self.now);
         let Some(places) = &mut self.hosts[balancer as usize].places else {
             return;
@@ -268,7 +268,7 @@
     }
 
     /// A balancer's peers find that another life of a balancer is over.
-    pub(super) fn hears_of_death(&mut self, balancer: u32, of: u32, boot: u64) {
+    pub(super) fn on_balancer_died(&mut self, balancer: u32, of: u32, boot: u64) {
         if let Some(places) = &mut self.hosts[balancer as usize].places {
             places.memory.balancer_died(origin(of, boot));
         }
@@ -293,14 +293,14 @@
             renames
                 .iter()
                 .for_each(|(old, new)| places.memory.renamed(*old, *new));
-            self.tells_versions(balancer);
-            self.begins_redeal(balancer);
+            self.publish_versions(balancer);
+            self.start_rebalancing(balancer);
         }
         self.tell_module(balancer, ListUpdate::Snapshot);
     }
 
     /// Those that stand where the new configuration has them no longer are to be dealt anew.
-    fn begins_redeal(&mut self, balancer: u32) {
+    fn start_rebalancing(&mut self, balancer: u32) {
         let gateways = &self.configurations.all[self.hosts[balancer as usize].runs].gateways;
         let stands = |one: &super::Request| match one.phase {
             Phase::Stands { gateway } => {
@@ -323,7 +323,7 @@
             .map(|(key, _, request)| (*key, *request))
             .collect();
         places
-            .redeal
+            .rebalancer
             .begin(barred.into_iter().map(|(key, group, _)| (key, group)));
     }
 
@@ -334,7 +334,7 @@
             let Some(places) = &mut self.hosts[balancer as usize].places else {
                 continue;
             };
-            let due = places.redeal.take_permitted(wall);
+            let due = places.rebalancer.take_permitted(wall);
             let requests: Vec<u64> = due
                 .iter()
                 .filter_map(|key| places.redealt.remove(key))
@@ -348,8 +348,8 @@
                     self.moves(request, MigrationReason::ServerLeaving, true);
                 }
             }
-            if (wall / 1_000 + u64::from(balancer)).is_multiple_of(TELLS_VERSION) {
-                self.tells_versions(balancer);
+            if (wall / 1_000 + u64::from(balancer)).is_multiple_of(VERSION_PERIOD) {
+                self.publish_versions(balancer);
             }
         }
     }
@@ -403,7 +403,7 @@
     bytes
 }
 
-fn words<const N: usize>(bytes: &[u8]) -> Option<([u64; N], &[u8])> {
+fn decode_u64s<const N: usize>(bytes: &[u8]) -> Option<([u64; N], &[u8])> {
     let (head, rest) = bytes.split_at_checked(8 * N)?;
     let word = |at: usize| {
         head[8 * at..8 * at + 8]
@@ -414,7 +414,7 @@
 }
 
 fn decode(bytes: &[u8]) -> Option<Placement> {
-    let ([key, group, server, stamp, seen_s, low, high], rest) = words(bytes)?;
+    let ([key, group, server, stamp, seen_s, low, high], rest) = decode_u64s(bytes)?;
     let [state, twins, has_group] = *rest else {
         return None;
     };
@@ -444,7 +444,7 @@
 }
 
 fn decode_version(bytes: &[u8]) -> Option<VersionFact> {
-    let ([low, high, reign, serial, since, runs], _) = words(bytes)?;
+    let ([low, high, reign, serial, since, runs], _) = decode_u64s(bytes)?;
     let version = Version(u128::from(high) << 64 | u128::from(low));
     Some(VersionFact {
         version,
--- a/crates/simulator/src/engine/arrivals.rs
+++ b/crates/simulator/src/engine/arrivals.rs
@@ -4,7 +4,7 @@
 
 use super::model::{Client, Had, Phase, Request};
 use super::{Engine, Occurrence};
-use crate::gateway::Standing;
+use crate::gateway::EstablishedConnection;
 use crate::{Nanos, SECOND};
 
 impl Engine<'_> {
@@ -17,9 +17,9 @@
         }
         for class in 0..self.scenario.classes.len() {
             for _ in 0..self.scenario.classes[class].standing {
-                self.stands_from_the_start(class as u32);
+                self.place_initial_clients(class as u32);
             }
-            self.next_arrival(class as u32);
+            self.schedule_request(class as u32);
         }
         for failure in 0..self.scenario.failures.len() {
             let at = self.scenario.failures[failure].get_ref().at_s();
@@ -33,10 +33,10 @@
         self.push(SECOND - 1, Occurrence::Second);
     }
 
-    pub(super) fn next_arrival(&mut self, class: u32) {
+    pub(super) fn schedule_request(&mut self, class: u32) {
         let rate = self.scenario.classes[class as usize].a_second;
         if rate > 0.0 {
-            let wait = self.chance.exponential(1.0 / rate);
+            let wait = self.rng.exponential(1.0 / rate);
             self.after(wait, Occurrence::Arrives { class });
         }
     }
@@ -49,7 +49,7 @@
             .map(|account| account.part)
             .sum();
         let account = account.unwrap_or_else(|| {
-            let mut at = self.chance.even() * parts;
+            let mut at = self.rng.even() * parts;
             let found = self.scenario.accounts.iter().position(|account| {
                 at -= account.part;
                 at < 0.0
@@ -57,7 +57,7 @@
             found.unwrap_or(0) as u32
         });
         let groups = self.scenario.clients.groups;
-        let group = (groups > 0).then(|| self.chance.pick(groups as usize) as u32);
+        let group = (groups > 0).then(|| self.rng.pick(groups as usize) as u32);
         let id = self.next_client;
         self.next_client += 1;
         let key = id.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.scenario.seed;
@@ -78,33 +78,33 @@
 
     pub(super) fn draw_load(&mut self, class: u32) -> f64 {
         let class = &self.scenario.classes[class as usize];
-        self.chance.log_normal(class.load_us, class.load_sigma)
+        self.rng.log_normal(class.load_us, class.load_sigma)
     }
 
     /// A connection that stands when the run begins: on a gateway by chance, at a balancer by chance.
-    pub(super) fn stands_from_the_start(&mut self, class: u32) {
+    pub(super) fn place_initial_clients(&mut self, class: u32) {
         let client = self.client(class, None);
-        let mut balancer = self.chance.pick(self.nodes.len()) as u32;
+        let mut balancer = self.rng.pick(self.nodes.len()) as u32;
         let home = self.home(client);
         while home.is_some_and(|home| self.zone(balancer) != home) {
-            balancer = self.chance.pick(self.nodes.len()) as u32;
+            balancer = self.rng.pick(self.nodes.len()) as u32;
         }
-        let mut gateway = self.chance.pick(self.machines.len()) as u32;
+        let mut gateway = self.rng.pick(self.machines.len()) as u32;
         while self.configurations.all[0].gateways[gateway as usize].is_none()
             || home.is_some_and(|home| self.zone(gateway) != home)
         {
-            gateway = self.chance.pick(self.machines.len()) as u32;
+            gateway = self.rng.pick(self.machines.len()) as u32;
         }
         let load = self.draw_load(class);
         let request = self.open(client, balancer, load);
-        let arrival = self.arrival(request, client, Nanos::MAX);
+        let connect_request = self.arrival(request, client, Nanos::MAX);
         self.settle(request, gateway);
         self.requests.get_mut(&request).expect("opened").attempts = 1;
         self.was_placed(balancer, request, client, gateway);
         self.tell(
             balancer,
             Event::ConnectionAdopted {
-                request: arrival,
+                request: connect_request,
                 server: ServerId(gateway),
             },
         );
@@ -170,13 +170,13 @@
         let machine = &mut self.machines[gateway as usize];
         machine
             .gateway
-            .stands(self.now, request, Standing { load, group });
+            .establish(self.now, request, EstablishedConnection { load, group });
         let class = &self.scenario.classes[class as usize];
         let (life, changes) = (class.life_s, class.changes_s);
-        let life = self.chance.exponential(life);
+        let life = self.rng.exponential(life);
         self.after(life, Occurrence::Over { request });
         if changes > 0.0 {
-            let wait = self.chance.exponential(changes);
+            let wait = self.rng.exponential(changes);
             self.after(wait, Occurrence::Changes { request });
         }
     }
--- a/crates/simulator/src/engine/attempts.rs
+++ b/crates/simulator/src/engine/attempts.rs
@@ -14,7 +14,7 @@
     }
 
     pub(super) fn reports(&mut self, request: u64, attempt: u32, outcome: AttemptOutcome) {
-        let way = self.way(self.scenario.net.gateway_ms);
+        let way = self.link_delay(self.scenario.net.gateway_ms);
         self.after(
             way,
             Occurrence::Ends {
@@ -43,7 +43,7 @@
             .filter(|(until, ..)| *until > self.now)
             .map(|(.., set_ups)| *set_ups)
             .sum();
-        if self.chance.happens(reset) {
+        if self.rng.happens(reset) {
             return self.reports(request, attempt, AttemptOutcome::Reset);
         }
         let machine = &mut self.machines[gateway as usize];
@@ -59,7 +59,7 @@
         let machine = &mut self.machines[gateway as usize];
         let set_up = self.next_set_up;
         let start = machine.start;
-        match machine.gateway.offer(self.now, set_up, &mut self.chance) {
+        match machine.gateway.offer(self.now, set_up, &mut self.rng) {
             Offer::Full => return self.reports(request, attempt, AttemptOutcome::Rejected),
             Offer::Waits => {}
             Offer::Until(at) => self.push(
@@ -100,7 +100,7 @@
                 },
             );
         }
-        if let Some((next, at)) = machine.gateway.set_up_done(self.now, &mut self.chance) {
+        if let Some((next, at)) = machine.gateway.set_up_done(self.now, &mut self.rng) {
             self.push(
                 at,
                 Occurrence::Worked {
@@ -113,7 +113,7 @@
         match &mut self.store {
             None => self.stored(set_up),
             Some(store) => {
-                if let Some(at) = store.call(self.now, set_up, &mut self.chance) {
+                if let Some(at) = store.call(self.now, set_up, &mut self.rng) {
                     self.push(at, Occurrence::Stored { set_up });
                 }
             }
@@ -122,7 +122,7 @@
 
     pub(super) fn stored(&mut self, set_up: u64) {
         if let Some(store) = &mut self.store
-            && let Some((next, at)) = store.ended(self.now, &mut self.chance)
+            && let Some((next, at)) = store.ended(self.now, &mut self.rng)
         {
             self.push(at, Occurrence::Stored { set_up: next });
         }
@@ -138,7 +138,7 @@
         if self.machines[gateway as usize].start != start || !self.current(request, attempt) {
             return;
         }
-        let way = self.way(self.scenario.net.gateway_ms);
+        let way = self.link_delay(self.scenario.net.gateway_ms);
         self.after(
             way,
             Occurrence::Stands {
@@ -149,7 +149,7 @@
         );
     }
 
-    pub(super) fn stands(&mut self, request: u64, attempt: u32, gateway: u32) {
+    pub(super) fn on_established(&mut self, request: u64, attempt: u32, gateway: u32) {
         if !self.current(request, attempt) {
             return;
         }
@@ -170,7 +170,7 @@
         let one = self.clients.get_mut(&client).expect("it waits");
         let took = self.now - one.since;
         one.returns = false;
-        self.counts_island(client, Some(took));
+        self.count_isolated(client, Some(took));
         let one = &self.clients[&client];
         let (class, account) = (one.class as usize, one.account as usize);
         let in_time = took <= nanos(self.scenario.classes[class].aim_ms / 1e3);
--- a/crates/simulator/src/engine/balancers.rs
+++ b/crates/simulator/src/engine/balancers.rs
@@ -76,7 +76,7 @@
         let balancer = one.balancer;
         self.checker.attempts(self.now, request, balancer, gateway);
         self.measures.at(self.now).attempts += 1;
-        let way = self.way(self.scenario.net.gateway_ms);
+        let way = self.link_delay(self.scenario.net.gateway_ms);
         self.after(
             way,
             Occurrence::Reaches {
@@ -135,7 +135,7 @@
     /// Discovery is asked: its word comes after a while, or that it is away.
     pub(super) fn watches(&mut self, balancer: u32) {
         let start = self.nodes[balancer as usize].start;
-        let wait = self.way(self.scenario.net.discovery_ms);
+        let wait = self.link_delay(self.scenario.net.discovery_ms);
         let at = self
             .now
             .max(self.discovery_back_at)
@@ -191,7 +191,13 @@
             return;
         };
         // What paces clients over the whole fleet is not to be held against each gateway once more.
-        let warmth = |listed: &Listed| if paced { self.warmth(listed) } else { 1.0 };
+        let warmth = |listed: &Listed| {
+            if paced {
+                self.capacity_fraction(listed)
+            } else {
+                1.0
+            }
+        };
         let host = &self.hosts[balancer as usize];
         let (runs, follows) = (&self.configurations.all[host.runs], host.places.is_some());
         // Whoever does not follow a gateway under its new name takes it for another one.
@@ -247,7 +253,7 @@
         self.generation += 1;
         for balancer in 0..self.nodes.len() as u32 {
             let start = self.nodes[balancer as usize].start;
-            let wait = self.way(self.scenario.net.discovery_ms);
+            let wait = self.link_delay(self.scenario.net.discovery_ms);
             self.after(
                 wait,
                 Occurrence::Listed {
--- a/crates/simulator/src/engine/clients.rs
+++ b/crates/simulator/src/engine/clients.rs
@@ -18,8 +18,8 @@
         let (class, account) = (one.class as usize, one.account as usize);
         self.measures.classes[class].wanted += 1;
         self.measures.accounts[account].wanted += 1;
-        self.counts_island(client, None);
-        let way = self.way(self.scenario.net.client_ms);
+        self.count_isolated(client, None);
+        let way = self.link_delay(self.scenario.net.client_ms);
         self.after(way, Occurrence::Comes { client });
     }
 
@@ -40,7 +40,7 @@
         if alive.is_empty() {
             return self.tries_again(client, None);
         }
-        let balancer = alive[self.chance.pick(alive.len())];
+        let balancer = alive[self.rng.pick(alive.len())];
         let load = self.draw_load(class);
         let request = self.open(client, balancer, load);
         let deadline = nanos(self.scenario.classes[class as usize].deadline_ms / 1e3);
@@ -84,7 +84,7 @@
             (Habit::Waits, Some(told)) => told as f64 / 1e9,
             _ => self.habits.even() * own,
         };
-        let way = self.way(self.scenario.net.client_ms);
+        let way = self.link_delay(self.scenario.net.client_ms);
         self.after(wait + way, Occurrence::Comes { client });
     }
 
@@ -186,7 +186,7 @@
         let (class, account) = (one.class as usize, one.account as usize);
         self.measures.classes[class].wanted += 1;
         self.measures.accounts[account].wanted += 1;
-        self.counts_island(client, None);
+        self.count_isolated(client, None);
         let mean = self.scenario.clients.move_ms / 1e3;
         let wait = self.habits.exponential(mean);
         self.after(wait, Occurrence::Comes { client });
@@ -222,7 +222,7 @@
             );
         }
         let wait = self
-            .chance
+            .rng
             .exponential(self.scenario.classes[class as usize].changes_s);
         self.after(wait, Occurrence::Changes { request });
     }
--- a/crates/simulator/src/engine/edge.rs
+++ b/crates/simulator/src/engine/edge.rs
@@ -109,7 +109,7 @@
         for balancer in 0..self.nodes.len() as u32 {
             if self.zone(balancer) == zone && !self.scenario.fleet.edge {
                 let start = self.nodes[balancer as usize].start;
-                let wait = self.way(self.scenario.net.discovery_ms);
+                let wait = self.link_delay(self.scenario.net.discovery_ms);
                 self.after(
                     wait,
                     Occurrence::Listed {
@@ -271,7 +271,7 @@
             let Some(node) = &self.hosts[balancer as usize].node else {
                 return;
             };
-            let Some((name, at)) = node.body().heard_of.get(&site).cloned() else {
+            let Some((name, at)) = node.body().last_seen.get(&site).cloned() else {
                 continue;
             };
             let both_ways = node.members().any(|member| *member.name == *name);
@@ -318,7 +318,7 @@
     }
 
     /// A client of the zone whose uplink is lost begins to want a connection, or has it, within the span that counts.
-    pub(super) fn counts_island(&mut self, client: u64, stood: Option<Nanos>) {
+    pub(super) fn count_isolated(&mut self, client: u64, stood: Option<Nanos>) {
         let Some((zone, from, until)) = self.measures.fleet.island else {
             return;
         };
--- a/crates/simulator/src/engine/events.rs
+++ b/crates/simulator/src/engine/events.rs
@@ -101,7 +101,7 @@
 
 impl Engine<'_> {
     /// Whether a balancer is still in that life.
-    pub(super) fn lives(&self, balancer: u32, start: u32) -> bool {
+    pub(super) fn is_running(&self, balancer: u32, start: u32) -> bool {
         let node = &self.nodes[balancer as usize];
         node.alive && node.start == start
     }
@@ -112,7 +112,7 @@
                 if self.now < self.scenario.length() {
                     let client = self.client(class, None);
                     self.wants(client);
-                    self.next_arrival(class);
+                    self.schedule_request(class);
                 }
             }
             Occurrence::Comes { client } => self.comes(client),
@@ -131,7 +131,7 @@
                 request,
                 attempt,
                 gateway,
-            } => self.stands(request, attempt, gateway),
+            } => self.on_established(request, attempt, gateway),
             Occurrence::Ends {
                 request,
                 attempt,
@@ -157,7 +157,7 @@
                 full,
             } => {
                 if self.nodes[balancer as usize].start == start && self.is_watching(balancer) {
-                    self.hears_list(balancer);
+                    self.on_list(balancer);
                     self.tell_list(balancer, full);
                 }
             }
@@ -167,7 +167,7 @@
             Occurrence::Drops { request } => self.cut_off(request, false),
             Occurrence::Leaves { request } => self.leaves(request),
             Occurrence::Adopts { balancer, failure } => self.adopts(balancer, failure),
-            Occurrence::Judges { balancer, start } if self.lives(balancer, start) => {
+            Occurrence::Judges { balancer, start } if self.is_running(balancer, start) => {
                 self.judges(balancer, start)
             }
             Occurrence::Probed {
@@ -176,27 +176,27 @@
                 beyond,
                 discovery,
                 lost,
-            } if self.lives(balancer, start) => {
+            } if self.is_running(balancer, start) => {
                 self.probed(balancer, beyond, discovery, lost);
             }
-            Occurrence::AsksAgain { balancer, start } if self.lives(balancer, start) => {
+            Occurrence::AsksAgain { balancer, start } if self.is_running(balancer, start) => {
                 self.asks_again(balancer)
             }
             Occurrence::Judges { .. }
             | Occurrence::Probed { .. }
             | Occurrence::AsksAgain { .. } => {}
             Occurrence::Rises { gateway, start } => self.rises(gateway, start),
-            Occurrence::Talks { balancer, start } if self.lives(balancer, start) => {
+            Occurrence::Talks { balancer, start } if self.is_running(balancer, start) => {
                 self.talks(balancer)
             }
             Occurrence::Datagram { post } => self.delivers(post),
-            Occurrence::Recovers { balancer, start } if self.lives(balancer, start) => {
+            Occurrence::Recovers { balancer, start } if self.is_running(balancer, start) => {
                 self.recovers(balancer, recovery::TICK);
             }
-            Occurrence::Asks { balancer, start } if self.lives(balancer, start) => {
+            Occurrence::Asks { balancer, start } if self.is_running(balancer, start) => {
                 self.asks(balancer)
             }
-            Occurrence::AskFails { balancer, start } if self.lives(balancer, start) => {
+            Occurrence::AskFails { balancer, start } if self.is_running(balancer, start) => {
                 self.recovers(balancer, recovery::ASK_FAILED);
             }
             Occurrence::Lent {
--- a/crates/simulator/src/engine/falls.rs
+++ b/crates/simulator/src/engine/falls.rs
@@ -15,7 +15,7 @@
         }
         let (now, borne) = (self.now, self.scenario.borne());
         let machine = &mut self.machines[gateway as usize];
-        let warmth = machine.gateway.warmth(now);
+        let warmth = machine.gateway.capacity_fraction(now);
         if warmth >= 1.0 {
             return false;
         }
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -5,11 +5,11 @@
 use beaconflow_recovery::{Event as Step, PeerStatus, RecoveryState as Stage};
 
 use super::{Engine, Occurrence};
-use crate::mesh::{self, Said};
+use crate::mesh::{self, StatusMessage};
 use crate::{Nanos, SECOND};
 
 /// A word of one's own is made anew after so long.
-const WORD_LASTS: Nanos = SECOND / 10;
+const STATUS_PERIOD: Nanos = SECOND / 10;
 /// How long a balancer has run that was there when the run began.
 const LONG: Nanos = 86_400 * SECOND;
 
@@ -37,7 +37,7 @@
             seed,
         );
         let host = &mut self.hosts[balancer as usize];
-        (host.node, host.said_at, host.wake) = (Some(node), None, None);
+        (host.node, host.published_at, host.wake) = (Some(node), None, None);
         self.hands(balancer, Input::Start);
     }
 
@@ -52,8 +52,8 @@
         let (heard, news) = {
             let talk = node.body_mut();
             (
-                std::mem::take(&mut talk.heard),
-                std::mem::take(&mut talk.news),
+                std::mem::take(&mut talk.received),
+                std::mem::take(&mut talk.changes),
             )
         };
         for output in out {
@@ -63,16 +63,16 @@
                     if let Event::Down(was) | Event::Restarted { was, .. } = *event
                         && let Some(of) = mesh::rank(&was.name)
                     {
-                        self.hears_of_death(balancer, of, was.incarnation);
+                        self.on_balancer_died(balancer, of, was.incarnation);
                     }
                 }
                 Output::Wake(at) => self.wakes(balancer, at),
             }
         }
-        self.hears(balancer, &news);
+        self.on_changes(balancer, &news);
         for said in heard {
-            self.recovers(balancer, Step::PeerReported(said.word.clone()));
-            if let Some(says) = &said.says {
+            self.recovers(balancer, Step::PeerReported(said.peer_status.clone()));
+            if let Some(says) = &said.uplink_report {
                 self.sees(balancer, Evidence::PeerSays(says.clone()));
             }
         }
@@ -132,18 +132,21 @@
         if host.wake.is_none_or(|wake| wake > mesh::wall(self.now)) {
             return;
         }
-        if host.said_at.is_none_or(|at| self.now >= at + WORD_LASTS) {
+        if host
+            .published_at
+            .is_none_or(|at| self.now >= at + STATUS_PERIOD)
+        {
             let wall = mesh::wall(self.now);
-            let says = self.hosts[balancer as usize]
+            let uplink_report = self.hosts[balancer as usize]
                 .edge
                 .as_ref()
                 .map(|edge| edge.report(wall));
-            let said = Said {
-                word: self.word(balancer),
-                says,
+            let said = StatusMessage {
+                peer_status: self.word(balancer),
+                uplink_report,
             };
             let host = &mut self.hosts[balancer as usize];
-            host.said_at = Some(self.now);
+            host.published_at = Some(self.now);
             if let Some(node) = &mut host.node {
                 node.body_mut().say(said);
             }
@@ -174,7 +177,7 @@
             wall_clock: sound.then_some(mesh::wall(self.now)),
             previous_clients: match machine {
                 Some(machine) => machine.previous_clients(),
-                None => Some(self.former().iter().map(|one| one.clients).sum()),
+                None => Some(self.previous_clients().iter().map(|one| one.clients).sum()),
             },
             deferred_per_s: machine.map_or(0.0, |machine| machine.deferred_per_s()),
         }
--- a/crates/simulator/src/engine/recovery.rs
+++ b/crates/simulator/src/engine/recovery.rs
@@ -37,13 +37,13 @@
 #[derive(Default)]
 pub(super) struct Host {
     pub(super) node: Option<Node<Talk>>,
-    pub(super) said_at: Option<Nanos>,
+    pub(super) published_at: Option<Nanos>,
     pub(super) wake: Option<u64>,
     pub(super) recovery: Option<Recovery>,
     /// When its present life began.
     pub(super) begun: Nanos,
     pub(super) lets_in_since: Option<Nanos>,
-    pub(super) due: Option<Nanos>,
+    pub(super) next_timer: Option<Nanos>,
     /// The list that it holds.
     pub(super) list: Option<Rc<Vec<Listed>>>,
     /// Which configuration it runs, by number, and what it knows of placements.
@@ -57,7 +57,7 @@
 
 impl Engine<'_> {
     /// Clients that stand, by class and account.
-    pub(super) fn former(&self) -> Vec<PreviousClients> {
+    pub(super) fn previous_clients(&self) -> Vec<PreviousClients> {
         let accounts = self.scenario.accounts.len().max(1);
         let one = |(at, clients): (usize, &u32)| PreviousClients {
             class: at / accounts,
@@ -131,7 +131,7 @@
                 source: Source::Memory,
                 ..self.list_now()
             }),
-            previous_clients: self.former(),
+            previous_clients: self.previous_clients(),
             clients_per_server_s: None,
         })
     }
@@ -169,7 +169,7 @@
     }
 
     /// The part of its capacity that a listed gateway has by its listed start.
-    pub(super) fn warmth(&self, listed: &Listed) -> f64 {
+    pub(super) fn capacity_fraction(&self, listed: &Listed) -> f64 {
         let make = &self.scenario.make;
         let Some(started_at) = listed.started_at else {
             return 1.0;
@@ -189,7 +189,7 @@
         let host = &mut self.hosts[balancer as usize];
         let memory = host.disk.clone();
         (host.recovery, host.begun, host.lets_in_since) = (Some(machine), self.now, None);
-        host.due = None;
+        host.next_timer = None;
         self.recovers(
             balancer,
             Event::Started {
@@ -211,8 +211,10 @@
         let due = machine
             .next_tick_at()
             .map(|due| (host.begun + due).max(now + 1_000_000));
-        if let Some(at) = due.filter(|due| host.due.is_none_or(|old| old <= now || *due < old)) {
-            host.due = Some(at);
+        if let Some(at) =
+            due.filter(|due| host.next_timer.is_none_or(|old| old <= now || *due < old))
+        {
+            host.next_timer = Some(at);
             let start = self.nodes[balancer as usize].start;
             self.push(at, Occurrence::Recovers { balancer, start });
         }
@@ -276,7 +278,7 @@
             return self.after(FAILS_AFTER, Occurrence::AskFails { balancer, start });
         }
         let start = self.nodes[balancer as usize].start;
-        let wait = self.way(self.scenario.net.discovery_ms);
+        let wait = self.link_delay(self.scenario.net.discovery_ms);
         self.after(
             wait,
             Occurrence::Listed {
@@ -288,7 +290,7 @@
     }
 
     /// Discovery's list is there.
-    pub(super) fn hears_list(&mut self, balancer: u32) {
+    pub(super) fn on_list(&mut self, balancer: u32) {
         let list = self.list_now();
         self.recovers(balancer, Event::ListReceived(list));
     }
@@ -328,7 +330,7 @@
         let warmth: Vec<f64> = self
             .machines
             .iter()
-            .map(|one| one.gateway.warmth(self.now))
+            .map(|one| one.gateway.capacity_fraction(self.now))
             .collect();
         let (low, high) = warmth.iter().fold((1.0_f64, 0.0_f64), |(low, high), one| {
             (low.min(*one), high.max(*one))
@@ -367,7 +369,7 @@
             sum += self
                 .machines
                 .iter()
-                .map(|one| rate * one.gateway.warmth(self.now + at))
+                .map(|one| rate * one.gateway.capacity_fraction(self.now + at))
                 .sum::<f64>();
         }
         at
--- a/crates/simulator/src/engine/troubles.rs
+++ b/crates/simulator/src/engine/troubles.rs
@@ -9,7 +9,7 @@
 use crate::{Nanos, SECOND, nanos};
 
 /// A connection whose messages take longer than this part of the aim is told of.
-const SLOW_OF_AIM: f64 = 0.33;
+const SLOW_FRACTION: f64 = 0.33;
 
 impl<'s> Engine<'s> {
     pub(super) fn second(&mut self) {
@@ -44,7 +44,7 @@
             }
             highest = highest.max(machine.gateway.load(now));
             let delay = machine.gateway.message_s(now);
-            let slow = delay > aim * SLOW_OF_AIM;
+            let slow = delay > aim * SLOW_FRACTION;
             if slow || machine.slow {
                 machine.slow = slow;
                 self.tell_delay(at as u32, nanos(delay));
@@ -93,8 +93,8 @@
     pub(super) fn drop_some(&mut self, part: f64, within: Nanos, by_client: bool) {
         for at in 0..self.machines.len() {
             for request in self.machines[at].gateway.ids() {
-                if self.chance.happens(part) {
-                    let wait = self.chance.even() * within as f64;
+                if self.rng.happens(part) {
+                    let wait = self.rng.even() * within as f64;
                     let what = if by_client {
                         Occurrence::Leaves { request }
                     } else {
@@ -198,7 +198,7 @@
                     };
                     self.hosts[*balancer as usize].disk = kept;
                 }
-                let stood: f64 = self.former().iter().map(|one| one.clients).sum();
+                let stood: f64 = self.previous_clients().iter().map(|one| one.clients).sum();
                 self.measures.fleet.loses(self.worth_now, stood);
                 self.kill(&all, *for_s);
                 of.iter()
--- a/crates/simulator/src/gateway.rs
+++ b/crates/simulator/src/gateway.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 
-use crate::chance::Chance;
+use crate::chance::RandomSource;
 use crate::{Nanos, SECOND, nanos};
 
 /// What a gateway is made of.
@@ -65,7 +65,7 @@
 
 /// A connection that stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct EstablishedConnection {
     /// Work that it asks for, in microseconds a second.
     pub load: f64,
     /// The group with which it shares work.
@@ -77,7 +77,7 @@
 pub struct Gateway {
     make: Make,
     started_at: Option<Nanos>,
-    standing: FxHashMap<u64, Standing>,
+    standing: FxHashMap<u64, EstablishedConnection>,
     groups: FxHashMap<u32, u32>,
     /// Work asked for by what stands, in microseconds a second.
     demand: f64,
@@ -115,7 +115,7 @@
     }
 
     /// Part of its full capacity that it has at a moment: a straight ramp from the cold share.
-    pub fn warmth(&self, now: Nanos) -> f64 {
+    pub fn capacity_fraction(&self, now: Nanos) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
         };
@@ -126,7 +126,7 @@
 
     /// Work that it does at a moment, in microseconds a second.
     pub fn capacity(&self, now: Nanos) -> f64 {
-        f64::from(self.make.cores) * self.make.speed * 1e6 * self.warmth(now)
+        f64::from(self.make.cores) * self.make.speed * 1e6 * self.capacity_fraction(now)
     }
 
     /// Work asked for by what stands, over what it can do.
@@ -181,7 +181,7 @@
     }
 
     /// A set-up comes.
-    pub fn offer(&mut self, now: Nanos, id: u64, chance: &mut Chance) -> Offer {
+    pub fn offer(&mut self, now: Nanos, id: u64, chance: &mut RandomSource) -> Offer {
         self.advance(now);
         if self.standing.len() + self.busy as usize + self.waiting.len() >= self.make.connections {
             return Offer::Full;
@@ -198,7 +198,7 @@
     }
 
     /// A set-up's work is done: the next one that is worked on, and until when.
-    pub fn set_up_done(&mut self, now: Nanos, chance: &mut Chance) -> Option<(u64, Nanos)> {
+    pub fn set_up_done(&mut self, now: Nanos, chance: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
             return None;
@@ -206,16 +206,16 @@
         Some((next, self.set_up_ends(now, chance)))
     }
 
-    fn set_up_ends(&self, now: Nanos, chance: &mut Chance) -> Nanos {
+    fn set_up_ends(&self, now: Nanos, chance: &mut RandomSource) -> Nanos {
         // Work that is piled up takes its part of the cores.
         let slower = 1.0 + self.piled_s(now);
-        let work =
-            chance.exponential(self.make.set_up_ms / 1e3) / (self.make.speed * self.warmth(now));
+        let work = chance.exponential(self.make.set_up_ms / 1e3)
+            / (self.make.speed * self.capacity_fraction(now));
         now.saturating_add(nanos(work * slower))
     }
 
     /// A connection stands from now on.
-    pub fn stands(&mut self, now: Nanos, id: u64, one: Standing) {
+    pub fn establish(&mut self, now: Nanos, id: u64, one: EstablishedConnection) {
         self.advance(now);
         if self.standing.insert(id, one).is_some() {
             return;
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -18,7 +18,7 @@
 /// Wall time at the start of each run.
 pub const WALL: Millis = 1_800_000_000_000;
 /// Bytes that a balancer's own word takes in a datagram.
-const WORD: usize = 200;
+const STATUS_BYTES: usize = 200;
 /// Bytes of facts that only hosts read.
 const HOSTS_OWN: usize = 256 << 20;
 /// Ports of the balancers, which are all at one address.
@@ -26,15 +26,15 @@
 
 /// What a balancer says of itself. It travels by number, and takes as many bytes as it would.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct StatusMessage {
     /// Where it is on its way from dark to serving.
-    pub word: PeerStatus,
+    pub peer_status: PeerStatus,
     /// What it sees of its zone's uplink.
-    pub says: Option<UplinkReport>,
+    pub uplink_report: Option<UplinkReport>,
 }
 
 /// All that was said in a run, by number.
-pub type Letters = Rc<RefCell<Vec<Rc<Said>>>>;
+pub type Letters = Rc<RefCell<Vec<Rc<StatusMessage>>>>;
 
 /// What a node carries.
 pub struct Talk {
@@ -43,16 +43,16 @@
     letters: Letters,
     own: Option<u32>,
     /// What came, for the host to read.
-    pub heard: Vec<Rc<Said>>,
+    pub received: Vec<Rc<StatusMessage>>,
     /// What became known, for the host to read.
-    pub news: Vec<Change>,
+    pub changes: Vec<Change>,
     /// Who was last heard from each site, and when.
-    pub heard_of: BTreeMap<String, (String, Millis)>,
+    pub last_seen: BTreeMap<String, (String, Millis)>,
 }
 
 impl Talk {
     /// The balancer says this of itself from now on.
-    pub fn say(&mut self, said: Said) {
+    pub fn say(&mut self, said: StatusMessage) {
         let mut letters = self.letters.borrow_mut();
         self.own = Some(letters.len() as u32);
         letters.push(Rc::new(said));
@@ -64,7 +64,7 @@
         let mut bytes = Vec::new();
         if let Some(own) = self.own {
             bytes.extend_from_slice(&own.to_le_bytes());
-            bytes.resize(WORD, 0);
+            bytes.resize(STATUS_BYTES, 0);
         }
         let facts = self
             .knowledge
@@ -91,21 +91,26 @@
     }
 
     fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
-        self.heard_of
+        self.last_seen
             .insert(from.site.to_string(), (from.name.to_string(), now));
         let Some((with_word, mut facts)) = bytes.split_first() else {
             return;
         };
         if *with_word == 1
-            && let Some((word, rest)) = facts.split_at_checked(WORD)
+            && let Some((peer_status, rest)) = facts.split_at_checked(STATUS_BYTES)
         {
-            let number = u32::from_le_bytes([word[0], word[1], word[2], word[3]]);
-            self.heard
+            let number = u32::from_le_bytes([
+                peer_status[0],
+                peer_status[1],
+                peer_status[2],
+                peer_status[3],
+            ]);
+            self.received
                 .extend(self.letters.borrow().get(number as usize).cloned());
             facts = rest;
         }
         if let Ok(news) = self.knowledge.take(facts, now) {
-            self.news.extend(news);
+            self.changes.extend(news);
         }
     }
 
@@ -161,14 +166,14 @@
         },
         bounds,
     );
-    let (heard, news) = (Vec::new(), Vec::new());
+    let (received, changes) = (Vec::new(), Vec::new());
     Talk {
         knowledge,
         letters: letters.clone(),
         own: None,
-        heard,
-        news,
-        heard_of: BTreeMap::new(),
+        received,
+        changes,
+        last_seen: BTreeMap::new(),
     }
 }
 
--- a/crates/simulator/src/policies.rs
+++ b/crates/simulator/src/policies.rs
@@ -12,7 +12,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
-use crate::chance::Chance;
+use crate::chance::RandomSource;
 
 /// A policy by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -91,29 +91,29 @@
     settings: Settings,
     ready: Vec<ServerId>,
     turn: usize,
-    held: FxHashMap<u32, u32>,
+    connections: FxHashMap<u32, u32>,
     open: FxHashMap<u64, Open>,
-    chance: Chance,
+    rng: RandomSource,
     watches: bool,
 }
 
 impl Plain {
     fn new(kind: Policy, settings: Settings, seed: u64) -> Plain {
-        let (ready, held, open) = (Vec::new(), FxHashMap::default(), FxHashMap::default());
+        let (ready, connections, open) = (Vec::new(), FxHashMap::default(), FxHashMap::default());
         Plain {
             kind,
             settings,
             ready,
             turn: 0,
-            held,
+            connections,
             open,
-            chance: Chance::new(seed, 9),
+            rng: RandomSource::new(seed, 9),
             watches: false,
         }
     }
 
-    fn held(&self, server: ServerId) -> u32 {
-        self.held.get(&server.0).copied().unwrap_or(0)
+    fn connections(&self, server: ServerId) -> u32 {
+        self.connections.get(&server.0).copied().unwrap_or(0)
     }
 
     fn pick(&mut self) -> Option<ServerId> {
@@ -126,14 +126,14 @@
                 // From its own place on, so that equal ones are not always the first.
                 self.turn = (self.turn + 1) % count;
                 let places = (0..count).map(|at| self.ready[(self.turn + at) % count]);
-                places.min_by_key(|server| self.held(*server))?
+                places.min_by_key(|server| self.connections(*server))?
             }
             Policy::RandomOfTwo => {
                 let (one, other) = (
-                    self.ready[self.chance.pick(count)],
-                    self.ready[self.chance.pick(count)],
+                    self.ready[self.rng.pick(count)],
+                    self.ready[self.rng.pick(count)],
                 );
-                if self.held(other) < self.held(one) {
+                if self.connections(other) < self.connections(one) {
                     other
                 } else {
                     one
@@ -171,7 +171,7 @@
                 }
             });
         };
-        *self.held.entry(server.0).or_insert(0) += 1;
+        *self.connections.entry(server.0).or_insert(0) += 1;
         let one = self.open.get_mut(&request.0).expect("it is open");
         one.attempts += 1;
         one.at = Some(server);
@@ -184,7 +184,7 @@
     }
 
     fn lets_go(&mut self, server: ServerId) {
-        if let Some(held) = self.held.get_mut(&server.0) {
+        if let Some(held) = self.connections.get_mut(&server.0) {
             *held = held.saturating_sub(1);
         }
     }
@@ -222,7 +222,7 @@
                 self.ready = ready.map(|entry| entry.server).collect();
             }
             Event::ConnectionAdopted { request, server } => {
-                *self.held.entry(server.0).or_insert(0) += 1;
+                *self.connections.entry(server.0).or_insert(0) += 1;
                 let (class, give_up_at) = (request.class.0, request.deadline_at);
                 let open = Open {
                     class,
--- a/crates/simulator/src/show.rs
+++ b/crates/simulator/src/show.rs
@@ -140,18 +140,18 @@
             |side: fn(&(f64, f64)) -> f64| of.iter().map(side).sum::<f64>() / of.len() as f64;
         let (first, second) = (mean(|pair| pair.0), mean(|pair| pair.1));
         let (difference, low, high) = compare::difference(&of, seeds);
-        let verdict = verdict((low, high), more_is_better);
+        let compare = verdict((low, high), more_is_better);
         table.add_row([
             name.to_owned(),
             format!("{first:.4}"),
             format!("{second:.4}"),
             format!("{difference:+.4}"),
             format!("{low:+.4} to {high:+.4}"),
-            verdict.to_owned(),
+            compare.to_owned(),
         ]);
         rows.push(json!({
             "figure": name, "first": first, "second": second, "difference": difference, "low": low, "high": high,
-            "verdict": verdict,
+            "verdict": compare,
         }));
     }
     (table.trim_fmt(), rows)
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::chance::Chance;
+use crate::chance::RandomSource;
 use crate::{Nanos, nanos};
 
 /// The store. A call is known by its number.
@@ -38,7 +38,7 @@
     }
 
     /// A call comes: when it ends, if it is worked on at once.
-    pub fn call(&mut self, now: Nanos, call: u64, chance: &mut Chance) -> Option<Nanos> {
+    pub fn call(&mut self, now: Nanos, call: u64, chance: &mut RandomSource) -> Option<Nanos> {
         if self.busy < self.at_once {
             self.busy += 1;
             return Some(self.ends(now, chance));
@@ -48,7 +48,7 @@
     }
 
     /// A call has ended: the next one that is worked on, and when that ends.
-    pub fn ended(&mut self, now: Nanos, chance: &mut Chance) -> Option<(u64, Nanos)> {
+    pub fn ended(&mut self, now: Nanos, chance: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
             return None;
@@ -56,7 +56,7 @@
         Some((next, self.ends(now, chance)))
     }
 
-    fn ends(&self, now: Nanos, chance: &mut Chance) -> Nanos {
+    fn ends(&self, now: Nanos, chance: &mut RandomSource) -> Nanos {
         now.max(self.stalled_until)
             .saturating_add(nanos(chance.exponential(self.mean_s)))
     }
--- a/crates/simulator/tests/model.rs
+++ b/crates/simulator/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model against closed forms.
 
-use beaconflow_simulator::chance::Chance;
-use beaconflow_simulator::gateway::{Gateway, Make, Offer, Standing};
+use beaconflow_simulator::chance::RandomSource;
+use beaconflow_simulator::gateway::{EstablishedConnection, Gateway, Make, Offer};
 use beaconflow_simulator::store::Store;
 use beaconflow_simulator::{Nanos, SECOND, nanos};
 
@@ -9,10 +9,10 @@
 fn mean_wait(
     rate: f64,
     seconds: u64,
-    mut begin: impl FnMut(Nanos, u64, &mut Chance) -> Option<Nanos>,
-    mut done: impl FnMut(Nanos, &mut Chance) -> Option<(u64, Nanos)>,
+    mut begin: impl FnMut(Nanos, u64, &mut RandomSource) -> Option<Nanos>,
+    mut done: impl FnMut(Nanos, &mut RandomSource) -> Option<(u64, Nanos)>,
 ) -> (f64, f64) {
-    let (mut arrivals, mut chance) = (Chance::new(1, 1), Chance::new(1, 2));
+    let (mut arrivals, mut chance) = (RandomSource::new(1, 1), RandomSource::new(1, 2));
     let mut ends = std::collections::BinaryHeap::new();
     let mut came = Vec::new();
     let (mut next, mut waited, mut begun, mut ended) = (0, 0.0, 0_u64, 0_u64);
@@ -60,7 +60,9 @@
             ..Make::default()
         };
         let gateway = std::cell::RefCell::new(Gateway::new(make, 0, true));
-        let begin = |now, id, chance: &mut Chance| match gateway.borrow_mut().offer(now, id, chance)
+        let begin = |now, id, chance: &mut RandomSource| match gateway
+            .borrow_mut()
+            .offer(now, id, chance)
         {
             Offer::Until(at) => Some(at),
             Offer::Waits => None,
@@ -80,14 +82,14 @@
 #[test]
 fn a_store_waits_as_erlang_says_and_gives_its_most_when_saturated() {
     let store = std::cell::RefCell::new(Store::new(10, 0.01));
-    let begin = |now, id, chance: &mut Chance| store.borrow_mut().call(now, id, chance);
+    let begin = |now, id, chance: &mut RandomSource| store.borrow_mut().call(now, id, chance);
     let (wait, _) = mean_wait(900.0, 1_000, begin, |now, chance| {
         store.borrow_mut().ended(now, chance)
     });
     let due = erlang_c(10, 900.0, 0.01);
     assert!((wait / due - 1.0).abs() < 0.05, "{wait} s for {due} s");
     let store = std::cell::RefCell::new(Store::new(10, 0.01));
-    let begin = |now, id, chance: &mut Chance| store.borrow_mut().call(now, id, chance);
+    let begin = |now, id, chance: &mut RandomSource| store.borrow_mut().call(now, id, chance);
     let (_, ended) = mean_wait(3_000.0, 60, begin, |now, chance| {
         store.borrow_mut().ended(now, chance)
     });
@@ -129,10 +131,10 @@
         ..Make::default()
     };
     let mut gateway = Gateway::new(make, 0, false);
-    gateway.stands(
+    gateway.establish(
         0,
         1,
-        Standing {
+        EstablishedConnection {
             load: 600_000.0,
             group: None,
         },
@@ -161,10 +163,10 @@
         ..Make::default()
     };
     let mut gateway = Gateway::new(make, 0, true);
-    gateway.stands(
+    gateway.establish(
         0,
         1,
-        Standing {
+        EstablishedConnection {
             load: 900_000.0,
             group: None,
         },
@@ -188,10 +190,10 @@
         true,
     );
     (0..10).for_each(|id| {
-        gateway.stands(
+        gateway.establish(
             0,
             id,
-            Standing {
+            EstablishedConnection {
                 load: 10_000.0,
                 group: Some(id as u32 % 2),
             },
@@ -212,10 +214,10 @@
     };
     let mut gateway = Gateway::new(make, 0, true);
     (0..20).for_each(|id| {
-        gateway.stands(
+        gateway.establish(
             0,
             id,
-            Standing {
+            EstablishedConnection {
                 load: 10_000.0 * id as f64,
                 group: None,
             },
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use beaconflow_contracts::disk::{BreakingDisk, Weather};
+use beaconflow_contracts::disk::{BreakingDisk, DiskFault};
 use beaconflow_store::OpenError;
 use beaconflow_store::disk::Disk;
 use beaconflow_store::memory::{
@@ -171,8 +171,8 @@
     }
     let before = disk.bytes(path()).expect("there");
     // Also where nothing can be written.
-    for weather in [Weather::Fair, Weather::ReadOnly] {
-        disk.weather(weather);
+    for weather in [DiskFault::Fair, DiskFault::ReadOnly] {
+        disk.set_fault(weather);
         let refused = on(&disk, "east-1", NOW).map(drop);
         assert_eq!(
             refused,
@@ -224,14 +224,14 @@
     drop(on(&disk, "east-1", NOW));
     disk.power_back(beaconflow_contracts::disk::Loss::Nothing);
     // After a crash, too: it is mended in memory.
-    disk.weather(Weather::ReadOnly);
+    disk.set_fault(DiskFault::ReadOnly);
     let before = disk.bytes(path()).expect("there");
     let (mut memory, found) = on(&disk, "east-1", NOW + 10).expect("read");
     assert!(found.unwritable.is_some());
     assert_eq!((found.incarnation, found.records), (2, records.clone()));
     assert!(memory.write(&[keep(1, "z", "z")], NOW).is_err());
     assert!(disk.bytes(path()).expect("there") == before);
-    disk.weather(Weather::Fair);
+    disk.set_fault(DiskFault::Fair);
     assert_eq!(
         memory
             .write(&[keep(1, "z", "z")], NOW)
@@ -246,7 +246,7 @@
         (3, records.len() + 1)
     );
     // What is torn or another's and can't be moved is named where it is, and no word of it is believed.
-    disk.weather(Weather::ReadOnly);
+    disk.set_fault(DiskFault::ReadOnly);
     let found = on(&disk, "west-2", NOW).expect("nothing").1;
     assert_eq!(
         (found.aside.map(|aside| aside.path), found.records.len()),
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_contracts::disk::{BreakingDisk, Emptied, Loss, Weather};
+use beaconflow_contracts::disk::{BreakingDisk, DiskFault, Emptied, Loss};
 use beaconflow_store::memory::{DiskEvent, Limits, Record, Remembered, Writer, open_on};
 use crossbeam_channel::{Receiver, unbounded};
 
@@ -84,7 +84,7 @@
             ..limits()
         },
     );
-    disk.weather(Weather::Stuck);
+    disk.set_fault(DiskFault::Stuck);
     writer.remember(record(1, 0, "list"));
     while writer.counts().waiting > 0 {
         std::thread::yield_now();
@@ -106,7 +106,7 @@
         "it is bounded in time"
     );
     assert!(!writer.wants_all(), "asked for when the disk is well");
-    disk.weather(Weather::Fair);
+    disk.set_fault(DiskFault::Fair);
     assert!(writer.flush(PATIENCE));
     // The turn after the batch asks.
     assert!(writer.flush(PATIENCE));
@@ -128,18 +128,18 @@
 fn an_end_on_a_disk_that_stands_still_is_bounded_in_time() {
     let disk = BreakingDisk::default();
     let (writer, _said) = begin(&disk, limits());
-    disk.weather(Weather::Stuck);
+    disk.set_fault(DiskFault::Stuck);
     writer.remember(record(1, 0, "list"));
     assert!(!writer.end(Duration::from_millis(20)));
-    disk.weather(Weather::Fair);
+    disk.set_fault(DiskFault::Fair);
 }
 
 #[test]
 fn an_ill_disk_is_said_once_and_so_is_a_well_one_and_then_all_is_written() {
-    for weather in [Weather::Full, Weather::ReadOnly] {
+    for weather in [DiskFault::Full, DiskFault::ReadOnly] {
         let disk = BreakingDisk::default();
         let (writer, said) = begin(&disk, limits());
-        disk.weather(weather);
+        disk.set_fault(weather);
         let big = "much".repeat(200_000);
         (0..9).for_each(|subject| writer.remember(record(1, subject, &big)));
         let first = said.recv_timeout(PATIENCE).expect("it is said");
@@ -151,7 +151,7 @@
         writer.remember(record(1, 3, "later"));
         writer.forget(1, 4_u32.to_be_bytes().to_vec());
         assert!(said.is_empty() && writer.counts().degraded);
-        disk.weather(Weather::Fair);
+        disk.set_fault(DiskFault::Fair);
         assert_eq!(said.recv_timeout(PATIENCE), Ok(DiskEvent::Recovered));
         assert!(writer.flush(PATIENCE) && !writer.counts().degraded);
         assert!(!writer.wants_all(), "nothing gave way");
