--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs the instances: reads batches, hands their events to the module, writes its actions.
+//! Runs the instances: reads batches, hands their events to the policy, writes its actions.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,7 +27,7 @@
     }
 }
 
-/// One gateway, with the names of the servers it has heard of.
+/// One balancer, with the names of the servers that it knows.
 struct Instance {
     engine: Engine,
     server_names: Vec<String>,
@@ -92,7 +92,7 @@
 }
 
 impl Host {
-    /// Takes one line; true once a reply is whole.
+    /// Handles one line; true once a reply is complete.
     fn handle_line(&mut self, line: u64, message: &Line) -> Result<bool, String> {
         if message.what == "TICK" {
             if self.now.is_some() {
@@ -159,7 +159,7 @@
             .get_mut(name)
             .ok_or_else(|| format!("{name} was never started"))?;
         let Some(event) = read_event(instance, &self.tables, message)? else {
-            // Nothing is left to try if standard error is closed.
+            // Nothing can be done if standard error is closed.
             let _ = writeln!(
                 std::io::stderr(),
                 "beaconflow-adapter: line {line}: skipped event {}",
@@ -191,7 +191,7 @@
     }
 }
 
-/// Turns a line into an event of the module; nothing for an event that it does not know.
+/// Parses a line into an event of the policy; `None` for an unknown event.
 fn read_event(
     instance: &mut Instance,
     tables: &BTreeMap<u8, Vec<Item>>,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages of the wire, read with borrowed text.
+//! The messages of the simulator's wire, parsed without copying text.
 
 use std::borrow::Cow;
 
@@ -47,7 +47,7 @@
     pub gauge: Option<Gauge>,
 }
 
-/// The part of a load report that is acted upon.
+/// The part of a load report that is used.
 #[derive(Deserialize)]
 pub struct Gauge {
     pub x0: Option<f64>,
@@ -142,7 +142,7 @@
             out.extend_from_slice(b",\"on\":true");
             Ok(())
         }
-        // The host keeps the line at the door.
+        // The host keeps the request in its admission queue.
         Action::Enqueue(_) => return,
         Action::LogOverload(summary) => {
             head(out, "WRITE_LOG", instance);
@@ -154,7 +154,7 @@
     out.extend_from_slice(b"}\n");
 }
 
-/// Writes the line that says the module failed.
+/// Writes the line that reports a panic of the policy.
 pub fn write_fault(out: &mut Vec<u8>, instance: &str, message: &str) {
     head(out, "FAULT", instance);
     out.extend_from_slice(b",\"body-text\":");
--- a/crates/balancer/src/admin/admission.rs
+++ b/crates/balancer/src/admin/admission.rs
@@ -7,7 +7,7 @@
 use crate::http::Reply;
 use crate::overrides::NamedCore;
 
-/// Who waits in each front's admission queue, and what each account got.
+/// The admission queue of each front, and what each account got.
 pub(super) fn read(cores: &[NamedCore]) -> Result<Reply, Reply> {
     let fronts = cores
         .iter()
--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -1,5 +1,4 @@
-//! The administration API: HTTP and JSON on a loopback listener of its own, opened by a bearer token. It serves
-//! whichever fronts run.
+//! The administration API: HTTP and JSON on a loopback listener of its own, with a bearer token.
 
 mod admission;
 mod overrides;
@@ -23,7 +22,7 @@
 use crate::net;
 use crate::overrides::{NamedCore, OverrideManager};
 
-/// Requests at once.
+/// Most requests at once.
 const MAX_REQUESTS: usize = 16;
 
 /// The administration API.
@@ -32,15 +31,15 @@
     overrides: Arc<OverrideManager>,
     /// The tenants of the NATS front and their classes, where that front runs.
     tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
-    /// The fleet's thread, where a fleet is set up.
+    /// The fleet thread, where a fleet is configured.
     fleet: Option<FleetHandle>,
-    /// Digest of the token: what is compared takes as long whatever is sent.
+    /// Digest of the token, so that a comparison takes the same time whatever is sent.
     token: [u8; 32],
     requests: AtomicUsize,
 }
 
 impl Admin {
-    /// An API over these cores, overrides, tenants and fleet.
+    /// Creates an API over these cores, overrides, tenants and fleet.
     pub fn new(
         cores: Vec<NamedCore>,
         overrides: Arc<OverrideManager>,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Serves requests for as long as the program runs, each on a thread of its own.
+    /// Serves requests until the program ends, each on a thread of its own.
     pub fn listen(self: &Arc<Self>, listener: &TcpListener) {
         loop {
             let client = match listener.accept() {
@@ -73,7 +72,7 @@
             let admin = Arc::clone(self);
             let run = move || {
                 let reply = if before < MAX_REQUESTS {
-                    // Guards against a fault in one request that would keep its place among those at once for good.
+                    // A panic in one request must not use up its place for good.
                     catch_unwind(AssertUnwindSafe(|| admin.serve(&client))).unwrap_or_else(|_| {
                         Some(Reply::error(500, "a fault was met; it is in the log"))
                     })
@@ -85,7 +84,7 @@
                 }
                 admin.requests.fetch_sub(1, Ordering::Relaxed);
             };
-            // The standard stack: hashing a password takes more than a connection's.
+            // The standard stack: hashing a password needs more than a connection's.
             if std::thread::Builder::new()
                 .name("admin".into())
                 .spawn(run)
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Nothing where the peer has left without a request.
+    /// Serves one request; `None` if the peer left without one.
     fn serve(&self, client: &TcpStream) -> Option<Reply> {
         net::configure_stream(client).ok()?;
         match http::read(client) {
@@ -160,7 +159,7 @@
     }
 }
 
-/// What a path names.
+/// The resource that a path names.
 #[derive(Clone, Copy)]
 enum Call<'a> {
     Tenants,
@@ -204,7 +203,7 @@
 
 fn parse<'b, T: Deserialize<'b>>(body: &'b [u8]) -> Result<T, Reply> {
     serde_json::from_slice(body).map_err(|error| {
-        // Where it is wrong, but not its words: they may be a secret.
+        // The position of the error without its text, which may be a secret.
         let status = if error.is_data() { 422 } else { 400 };
         Reply::error(
             status,
--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -12,7 +12,7 @@
 use crate::overrides::{ChangeResult, OverrideError, OverrideManager, OverrideView};
 use fields::Fields;
 
-/// Longest key of a request.
+/// Longest idempotency key.
 const MAX_KEY_BYTES: usize = 128;
 
 impl From<OverrideError> for Reply {
@@ -66,7 +66,7 @@
     Reply::new(422, json!({ "error": words.join("; "), "faults": rows }))
 }
 
-/// Every override that holds, and where they are kept.
+/// All overrides in effect, and the state of their store.
 pub(super) fn list(override_manager: &OverrideManager) -> Reply {
     let about = override_manager.about();
     let limits = override_manager.limits();
@@ -81,7 +81,7 @@
     )
 }
 
-/// One of them.
+/// One override.
 pub(super) fn read(override_manager: &OverrideManager, id: &str) -> Result<Reply, Reply> {
     let shown = override_manager
         .get(number(id)?)
@@ -89,7 +89,7 @@
     Ok(tagged(200, &shown))
 }
 
-/// Enters one.
+/// Creates an override.
 pub(super) fn add(override_manager: &OverrideManager, request: &Request) -> Result<Reply, Reply> {
     let mut fields = Fields::of(&request.body)?;
     let key = request.idempotency_key.as_deref();
@@ -131,7 +131,7 @@
     })
 }
 
-/// Changes when one ends.
+/// Changes the expiry of an override.
 pub(super) fn extend(
     override_manager: &OverrideManager,
     id: &str,
@@ -147,7 +147,7 @@
     Ok(changed(&override_manager.extend(id, expires_at, revision)?))
 }
 
-/// Ends one.
+/// Ends an override.
 pub(super) fn remove(
     override_manager: &OverrideManager,
     id: &str,
@@ -182,7 +182,7 @@
     }
 }
 
-/// An override in the API's form.
+/// An override in the API's format.
 fn row(shown: &OverrideView) -> Value {
     let one = &shown.record;
     let time = |at: Millis| {
@@ -220,5 +220,5 @@
     row
 }
 
-/// The last moment that can be written as a date: the end of the year 9999.
+/// The last time that can be written as a date: the end of the year 9999.
 const MAX_DATE_MS: Millis = 253_402_300_799_000;
--- a/crates/balancer/src/admin/overrides/fields.rs
+++ b/crates/balancer/src/admin/overrides/fields.rs
@@ -8,7 +8,7 @@
 use crate::http::Reply;
 use crate::overrides::OverrideManager;
 
-/// The fields of a body. Every fault is kept, not the first only.
+/// The fields of a body. All errors are collected.
 pub(super) struct Fields {
     left: Map<String, Value>,
     faults: Vec<Fault>,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A pin; `server` is read already.
+    /// Reads a pin; `server` has been read already.
     fn pin(&mut self, server: Option<String>) -> Option<Kind> {
         let subject = match (
             self.left.contains_key("group"),
@@ -121,7 +121,8 @@
         })
     }
 
-    /// When an override ends, on the program's clock: `expires_in_s` from now, or `expires_at` by the wall clock.
+    /// Reads the expiry on the program's clock: `expires_in_s` from now, or `expires_at` by the
+    /// wall clock.
     pub(super) fn expiry(&mut self, override_manager: &OverrideManager) -> Option<Millis> {
         match (
             self.left.contains_key("expires_in_s"),
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Every fault, with the fields that nobody asked for.
+    /// All errors, including unknown fields.
     pub(super) fn end(mut self) -> Vec<Fault> {
         let unknown: Vec<String> = self.left.keys().cloned().collect();
         if !unknown.is_empty() {
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -21,7 +21,7 @@
     core.snapshot().ok_or_else(|| no_answer(front))
 }
 
-/// What has been counted, by front.
+/// The counters, by front.
 pub(super) fn counts(cores: &[NamedCore], tenants: Option<&Arc<Tenants>>) -> Result<Reply, Reply> {
     let mut fronts = serde_json::Map::new();
     for core @ (front, _) in cores {
@@ -44,7 +44,7 @@
     Ok(Reply::new(200, body))
 }
 
-/// Every listed server, as it is listed and as the decisions see it, and why the two differ.
+/// Every listed server, as listed and as the policy sees it, and why the two differ.
 pub(super) fn list(
     cores: &[NamedCore],
     override_manager: &OverrideManager,
@@ -83,7 +83,7 @@
     Ok(Reply::new(200, body))
 }
 
-/// What this process knows together with the others.
+/// The state that this process shares with its peers.
 fn fleet_status(status: &fleet::FleetStatus) -> Value {
     let (processes, size) = status.processes;
     json!({
@@ -94,7 +94,7 @@
     })
 }
 
-/// A server as it is listed and as the decisions see it.
+/// A server as listed and as the policy sees it.
 fn row(front: &str, server: &ServerSnapshot, overrides: Option<&Vec<&OverrideView>>) -> Value {
     let side = |state: ServerState, weight: f64| json!({ "state": name(state), "weight": weight });
     json!({
@@ -105,7 +105,8 @@
     })
 }
 
-/// Why a server is not as it is listed: overrides, the site's own evidence, or what is left of either.
+/// Why a server differs from its listed state: overrides, the site's evidence, or the ramp after
+/// one of them.
 fn why_they_differ(
     front: &str,
     server: &ServerSnapshot,
--- a/crates/balancer/src/admin/tenants.rs
+++ b/crates/balancer/src/admin/tenants.rs
@@ -14,13 +14,13 @@
 };
 use crate::http::Reply;
 
-/// Bounds of a password.
+/// Allowed lengths of a password.
 const PASSWORD_LENGTHS: std::ops::RangeInclusive<usize> = 12..=256;
 
-/// Bounds of a share.
+/// Allowed values of a share.
 const SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e6;
 
-/// The tenants, and the settings that name their classes.
+/// The tenants, and the settings that their classes refer to.
 type Here = (Arc<Tenants>, Arc<SiteSettings>);
 
 impl From<StoreError> for Reply {
@@ -80,7 +80,7 @@
     ))
 }
 
-/// Enters a tenant.
+/// Creates a tenant.
 pub(super) fn create((tenants, setup): &Here, body: &[u8]) -> Result<Reply, Reply> {
     let asked: Create = parse(body)?;
     if !is_name(&asked.name) {
@@ -118,7 +118,7 @@
     Ok(Reply::new(201, tenant_json(&made, &BTreeMap::new())))
 }
 
-/// Changes what is given.
+/// Changes the given fields of a tenant.
 pub(super) fn change((tenants, setup): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
     let Change {
         class,
@@ -150,7 +150,7 @@
     Ok(Reply::new(204, Value::Null))
 }
 
-/// Gives a tenant another password.
+/// Replaces a tenant's password.
 pub(super) fn rotate((tenants, _): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
     let asked: Credentials = parse(body)?;
     let secret = hashed(&asked.password)?;
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as the administration API and the operations port need it: one request a connection, a head and a body of
-//! bounded length.
+//! HTTP/1.1 for the administration API and the operations port: one request a connection, with a
+//! head and a body of bounded length.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -8,41 +8,41 @@
 
 use crate::net::{self, ReadBuffer, ReadError};
 
-/// Longest head and longest body of a request to the administration API.
+/// Longest head and longest body of a request to the administration API, in bytes.
 const MAX_REQUEST_BYTES: (usize, usize) = (8 * 1024, 16 * 1024);
-/// A request is whole by then or is given up.
+/// Time for a complete request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// An answered peer is read for so long.
+/// Time for which a peer is read after its answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request as it was read.
+/// A parsed request.
 pub struct Request {
-    /// GET and so on.
+    /// The method, such as GET.
     pub method: String,
     /// The path, with its query.
     pub path: String,
     /// The bearer token.
     pub token: Option<String>,
-    /// The revision that a change is meant for.
+    /// The revision that a change applies to.
     pub if_match: Option<String>,
-    /// The client's key for a request that must not be carried out twice.
+    /// The client's idempotency key.
     pub idempotency_key: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// An answer: status, further headers, and a body.
+/// An answer.
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Headers that the status does not bring.
+    /// Headers beside those that every answer has.
     pub headers: Vec<(&'static str, String)>,
-    /// The body; none where it is null.
+    /// The body; empty if it is null.
     pub body: Value,
 }
 
 impl Reply {
-    /// An answer.
+    /// Creates an answer.
     pub fn new(status: u16, body: Value) -> Reply {
         Reply {
             status,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// An answer that says what is wrong.
+    /// Creates an answer with an error message.
     pub fn error(status: u16, why: impl Into<String>) -> Reply {
         Reply::new(status, json!({ "error": why.into() }))
     }
 
-    /// With one more header.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Reply {
         self.headers.push((name, value.into()));
         self
@@ -67,7 +67,7 @@
 pub enum RequestError {
     /// The peer has left.
     Disconnected,
-    /// It is told this.
+    /// The request is rejected with this answer.
     Rejected(Reply),
 }
 
@@ -83,16 +83,16 @@
     }
 }
 
-/// A request on its way in.
+/// Reads one request.
 pub struct RequestReader {
     buffer: ReadBuffer,
     max_body: usize,
-    /// Its head, once whole, and how long its body is to be.
+    /// The head, once complete, and the length of the body.
     head: Option<(Request, usize)>,
 }
 
 impl RequestReader {
-    /// Nothing has come yet; so much is kept of a head, and so much of a body.
+    /// Creates a reader for the given lengths of head and body.
     pub fn new((head, body): (usize, usize)) -> RequestReader {
         RequestReader {
             buffer: ReadBuffer::new(head),
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Reads on once, until the deadline at the latest.
+    /// Reads once, until the deadline at the latest.
     pub fn read(&mut self, client: &TcpStream, until: Instant) -> Result<(), ReadError> {
         self.buffer.read(client, until)
     }
 
-    /// The request, if it is whole.
+    /// The request, if it is complete.
     pub fn parse(&mut self) -> Result<Option<Request>, RequestError> {
         if self.head.is_none() {
             let Some((request, head, length)) = parse_head(self.buffer.bytes())? else {
@@ -119,7 +119,7 @@
                 )));
             }
             self.buffer.take(head);
-            // What came with the head may be more than the body.
+            // The bytes after the head may be more than the body.
             let rest = std::mem::replace(&mut self.buffer, ReadBuffer::new(0)).into_rest();
             self.buffer = ReadBuffer::with_bytes(rest, self.max_body);
             self.head = Some((request, length));
@@ -137,7 +137,7 @@
     }
 }
 
-/// Reads a whole request.
+/// Reads a complete request.
 pub fn read(client: &TcpStream) -> Result<Request, RequestError> {
     let until = Instant::now() + REQUEST_TIMEOUT;
     let mut incoming = RequestReader::new(MAX_REQUEST_BYTES);
@@ -149,7 +149,7 @@
     }
 }
 
-/// The request, the length of its head and that of its body; nothing while the head is not whole.
+/// The request, the length of its head and that of its body; `None` while the head is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<(Request, usize, usize)>, RequestError> {
     let refuse = |status, why| RequestError::Rejected(Reply::error(status, why));
     let mut headers = [httparse::EMPTY_HEADER; 32];
@@ -213,7 +213,7 @@
 }
 
 impl Reply {
-    /// The answer as it is written.
+    /// The answer's bytes.
     pub fn bytes(&self) -> Vec<u8> {
         let body = if self.body.is_null() {
             String::new()
@@ -243,7 +243,7 @@
     }
 }
 
-/// Writes an answer and ends the connection.
+/// Writes an answer and closes the connection.
 pub fn write(client: &TcpStream, reply: &Reply) {
     // A peer that is gone needs no answer.
     let _ = net::write_until(
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -1,7 +1,6 @@
-//! The log: one event a line on standard error, as text for people or as JSON, with fields of stable names.
-//!
-//! Every event has `part`, who speaks, and a message that never changes; what varies stands in its fields. As text a
-//! line is `unix-seconds level part message field=value ...`.
+//! The log: one event a line on standard error, as text or as JSON, with stable field names.
+//! Every event has a `part` and a constant message; what varies is in its fields. As text a line is
+//! `unix-seconds level part message field=value ...`.
 
 use std::fmt::{self, Debug, Display, Write as _};
 use std::io::Write as _;
@@ -14,17 +13,17 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt as _};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The form of the log's lines.
+/// Format of the log's lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text.
     #[default]
     Text,
     /// One JSON object a line.
     Json,
 }
 
-/// Begins the log in a form; it keeps the form that it was first given.
+/// Starts the log; later calls have no effect.
 pub fn start(form: LogFormat) {
     let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|word| word == "debug") {
         Level::DEBUG
@@ -38,7 +37,7 @@
 /// Writes events of the program's own crates as lines.
 struct LogLayer {
     form: LogFormat,
-    /// The least grave level that is written: `debug` follows each transaction, for a look at a farm in trouble.
+    /// Most verbose level that is written; `debug` follows each request.
     max_level: Level,
 }
 
@@ -64,12 +63,12 @@
             LogFormat::Json => told.json(now, level),
         };
         text.push('\n');
-        // A closed standard error is no reason to stop serving.
+        // A closed standard error must not stop the program.
         let _ = std::io::stderr().write_all(text.as_bytes());
     }
 }
 
-/// The fields of an event, in their order.
+/// The fields of an event, in order.
 #[derive(Default)]
 struct LogRecord {
     part: String,
@@ -99,7 +98,7 @@
             self.message
         );
         for (name, value) in &self.fields {
-            // Writing to a text does not fail.
+            // Writing to a string does not fail.
             let _ = match value {
                 Value::String(text) if is_plain(text) => write!(line, " {name}={text}"),
                 value => write!(line, " {name}={value}"),
@@ -128,7 +127,7 @@
     }
 }
 
-/// Whether a text needs no quotes in a line: it has no space, quote or control character, and is not empty.
+/// Whether a text needs no quotes: it is not empty and has no space, quote or control character.
 fn is_plain(text: &str) -> bool {
     !text.is_empty()
         && !text
@@ -162,11 +161,10 @@
     }
 }
 
-/// Lines of one kind that are written in a second; the rest is counted. Guards against a log that clients fill at full
-/// speed.
+/// Most lines of one kind per second; the rest is counted. Clients could otherwise fill the log.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// A log of what clients can cause as often as they like.
+/// A log of events that clients can cause at will.
 #[derive(Default)]
 pub struct RateLimitedLog(Mutex<RateWindow>);
 
@@ -190,7 +188,7 @@
         }
     }
 
-    /// Begins a new second once one is over, and tells what was left out in it.
+    /// Starts a new second once one is over, and logs how many lines were left out.
     pub fn flush(&self, part: &str) {
         let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if spell
--- a/crates/balancer/src/overrides/audit.rs
+++ b/crates/balancer/src/overrides/audit.rs
@@ -1,9 +1,9 @@
-//! The audit's events: who did what, for whoever asks later.
+//! Audit events: who did what.
 
 use beaconflow_overrides::{Millis, Override};
 use tracing::info;
 
-/// An event for whoever asks later who did what.
+/// Writes an audit event.
 pub(super) fn audit(what: &str, one: &Override, now: Millis) {
     info!(
         part = "audit",
--- a/crates/balancer/src/overrides/follow.rs
+++ b/crates/balancer/src/overrides/follow.rs
@@ -1,4 +1,4 @@
-//! How the cores follow a change.
+//! Application of a change to the cores.
 
 use std::time::{Duration, Instant};
 
@@ -7,13 +7,14 @@
 use super::OverrideManager;
 use crate::core::{CoreInput, OverrideChange, OverridesApplied};
 
-/// A core that has not followed by then is answered for as late.
+/// A core that takes longer is reported as late.
 const CORE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Passes that write a first byte just now are waited for so long.
+/// Longest wait for attempts that are writing their first byte.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl OverrideManager {
-    /// Tells the cores, and waits until each follows and no first byte is being written to a server that is out.
+    /// Sends a change to the cores, and waits until each has applied it and no first byte is being
+    /// written to a server that is out of service.
     pub(super) fn apply_to_cores(&self, change: OverrideChange) -> bool {
         let answers: Vec<Receiver<OverridesApplied>> = self
             .cores
@@ -40,7 +41,7 @@
                 .flat_map(|effect| &effect.out_of_service)
         };
         let until = Instant::now() + WRITE_TIMEOUT;
-        // A write that does not block takes microseconds; there is no event that tells of its end.
+        // A non-blocking write takes microseconds; no event reports its end.
         while !marks().all(|mark| mark.has_no_writers()) && Instant::now() < until {
             std::thread::sleep(Duration::from_micros(50));
         }
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -1,5 +1,4 @@
-//! What the overrides' thread does by itself: it tells what ends, forgets what is no longer felt, and watches the
-//! wall clock.
+//! Housekeeping of overrides: logs expiries, removes spent overrides, and watches the wall clock.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -13,15 +12,14 @@
 use super::{OverrideManager, OverrideState};
 use crate::core::{CoreInput, OverrideChange};
 
-/// The wall clock is compared this often.
+/// Interval of the comparison with the wall clock.
 const WALL_CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl OverrideManager {
-    /// Tells of overrides that end, forgets those that are no longer felt, and watches the wall clock, for as long as
-    /// the program runs.
+    /// Runs the housekeeping until the program ends.
     pub fn run(&self) {
         loop {
-            // Guards against a fault that would end this thread, and with it every word of what expires.
+            // A panic must not end this thread, which logs all expiries.
             let next =
                 catch_unwind(AssertUnwindSafe(|| self.run_due_tasks())).unwrap_or_else(|_| {
                     error!(part = "overrides", "housekeeping panicked; it goes on");
@@ -37,7 +35,7 @@
         }
     }
 
-    /// Does what is due; gives the moment at which something will be.
+    /// Runs what is due; returns when something is due next.
     pub fn run_due_tasks(&self) -> Option<Millis> {
         let mut state = self.lock();
         let now = self.now();
@@ -47,7 +45,7 @@
         state.set.next_change(now)
     }
 
-    /// Has the store hold what is read back right after a restart, which goes by the wall clock as it is then.
+    /// Updates the stored times after a step of the wall clock, which a restart goes by.
     fn follow_wall_clock(&self, state: &mut OverrideState, now: Millis) {
         let Some(step) = state.clock_steps.check(now, (self.wall_clock)()) else {
             return;
@@ -65,7 +63,7 @@
         state.write(|store| store.put(&all));
     }
 
-    /// Forgets, here and at the cores, what is no longer felt.
+    /// Removes spent overrides here and at the cores.
     fn forget_spent(&self, state: &mut OverrideState, now: Millis) {
         let spent = state.set.spent(now);
         if spent.is_empty() {
@@ -85,7 +83,7 @@
 }
 
 impl OverrideState {
-    /// Writes to the store, where there is one. A fault there is logged, and costs what is read back at most.
+    /// Writes to the store, where there is one. An error is logged.
     fn write(&mut self, write: impl FnOnce(&mut dyn OverrideStore) -> Result<(), StoreError>) {
         if let Some(store) = &mut self.store
             && let Err(error) = write(store.as_mut())
@@ -95,7 +93,7 @@
     }
 }
 
-/// Tells of the overrides that have ended by themselves since the last time.
+/// Logs the overrides that have expired since the last call.
 fn audit_expired(state: &mut OverrideState, now: Millis) {
     for id in state.set.ended_between(state.reported_until, now) {
         if let Some(one) = state.set.get(id).filter(|one| one.removed_at.is_none()) {
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -1,4 +1,4 @@
-//! What the program finds in its store at the start.
+//! Restoring overrides from the store at the start.
 
 use beaconflow_overrides::{Limits, Millis, Override, Set, bounded_expiry};
 use beaconflow_store::{Contents, OpenError, OverrideStore};
@@ -8,7 +8,7 @@
 use super::{OverridesConfig, StoreStatus};
 use crate::clock::Clock;
 
-/// What was found at the start.
+/// What was restored.
 pub struct RestoredOverrides {
     pub(super) store: Option<Box<dyn OverrideStore>>,
     pub(super) store_status: StoreStatus,
@@ -17,7 +17,7 @@
 }
 
 impl RestoredOverrides {
-    /// Nothing, to be kept in this store from now on.
+    /// Nothing, with a store for later changes.
     pub fn empty(store: Box<dyn OverrideStore>, limits: Limits) -> RestoredOverrides {
         let store_status = StoreStatus {
             is_persistent: true,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Opens the store that the operator's file names. Whatever is wrong with it is said, and the program serves.
+/// Opens the configured store. Errors are logged, and the program serves without it.
 pub fn restore(config: &OverridesConfig, clock: Clock) -> RestoredOverrides {
     let Some(file) = &config.file else {
         let store_status = StoreStatus {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Takes back what a store held.
+/// Restores the contents of a store.
 fn restore_contents(
     mut store: Box<dyn OverrideStore>,
     contents: Contents,
@@ -90,7 +90,7 @@
             spent.push(one.id);
         }
     }
-    // Guards against a file that grows with every override that ended while no program ran.
+    // Spent overrides are removed, so that the file does not grow without end.
     if let Err(error) = store.forget(&spent) {
         error!(part = "overrides", why = %error, "not written");
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// What was amiss with the file as a whole.
+/// Notes on the file as a whole.
 fn store_notes(contents: &Contents) -> Vec<String> {
     let mut notes = Vec::new();
     if let Some((aside, why)) = &contents.moved_aside {
@@ -126,7 +126,8 @@
     notes
 }
 
-/// Has no moment of an override lie in the future, but for its end; tells where that was cut.
+/// Moves times of an override that are in the future to now, except its expiry; returns a note
+/// where the expiry was cut.
 fn bound_times(one: &mut Override, now: Millis) -> Option<String> {
     let (expires_at, cut) = bounded_expiry(one, now);
     (one.created_at, one.expires_at) = (one.created_at.min(now), expires_at);
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -1,4 +1,4 @@
-//! Overrides as people are shown them, and what they would leave of the servers.
+//! Overrides as they are shown, and the servers that they leave ready.
 
 use std::collections::HashMap;
 
@@ -8,25 +8,25 @@
 use super::OverrideState;
 use crate::core::CoreSnapshot;
 
-/// An override as people see it: its moments are the wall clock's.
+/// An override as it is shown, with times of the wall clock.
 #[derive(Clone, Debug)]
 pub struct OverrideView {
     /// The override.
     pub record: Override,
-    /// How long it still holds, in milliseconds.
+    /// Remaining time, in milliseconds.
     pub remaining_ms: Millis,
-    /// What it does now at each front.
+    /// Its effect at each front.
     pub effects: Vec<(&'static str, Effect)>,
 }
 
-/// What a front's servers are by the list, without overrides.
+/// A front's servers as listed, without overrides.
 pub(super) struct ListedServers {
     front: &'static str,
     states: HashMap<String, ServerState>,
 }
 
 impl ListedServers {
-    /// As a look at the front's core has them; none where it gave no look.
+    /// The servers of a core's snapshot; empty if it gave none.
     pub(super) fn from_snapshot(front: &'static str, look: Option<CoreSnapshot>) -> ListedServers {
         let servers = look.into_iter().flat_map(|look| look.servers);
         ListedServers {
@@ -46,7 +46,7 @@
     }
 }
 
-/// An override as it is shown at a moment.
+/// An override as it is shown at a time.
 pub(super) fn view_of(
     state: &OverrideState,
     one: &Override,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Where a new override leaves no ready server that was one before.
+/// Fronts and zones that a new override leaves without a ready server.
 pub(super) fn fronts_left_empty(
     set: &mut Set,
     one: &Override,
--- a/crates/cli/tests/on_call_page.rs
+++ b/crates/cli/tests/on_call_page.rs
@@ -67,9 +67,18 @@
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     let cells = rows.map(|row| row.split('|').map(str::trim).collect::<Vec<&str>>());
     // Rows of messages have a part and a message; the table of ends has neither.
-    let of_messages = cells.filter(|cells| !cells[1].contains("Server") && !cells[1].contains("Client") && !cells[1].contains("Migration"));
+    let of_messages = cells.filter(|cells| {
+        !cells[1].contains("Server")
+            && !cells[1].contains("Client")
+            && !cells[1].contains("Migration")
+    });
     of_messages
-        .flat_map(|cells| cells[2].split("`, `").map(|text| text.trim_matches('`').to_owned()).collect::<Vec<String>>())
+        .flat_map(|cells| {
+            cells[2]
+                .split("`, `")
+                .map(|text| text.trim_matches('`').to_owned())
+                .collect::<Vec<String>>()
+        })
         .collect()
 }
 
@@ -81,11 +90,24 @@
         sources(&root().join("crates").join(package).join("src"), &mut files);
     }
     let read = |path: &PathBuf| std::fs::read_to_string(path).expect("a source file");
-    let logged: BTreeSet<String> = files.iter().flat_map(|path| messages(&read(path))).collect();
-    let rate_limited = ["handshake rejected", "too many handshakes", "too many connections", "no thread"];
-    let composed = ["created", "extended", "removed", "expired"].map(|what| format!("override {what}"));
+    let logged: BTreeSet<String> = files
+        .iter()
+        .flat_map(|path| messages(&read(path)))
+        .collect();
+    let rate_limited = [
+        "handshake rejected",
+        "too many handshakes",
+        "too many connections",
+        "no thread",
+    ];
+    let composed =
+        ["created", "extended", "removed", "expired"].map(|what| format!("override {what}"));
     // These are written by a rate limiter, whose calls are no log macros.
-    let is_in_code = |message: &&str| files.iter().any(|path| read(path).contains(&format!("\"{message}\"")));
+    let is_in_code = |message: &&str| {
+        files
+            .iter()
+            .any(|path| read(path).contains(&format!("\"{message}\"")))
+    };
     assert!(rate_limited.iter().all(is_in_code), "{rate_limited:?}");
     let mut expected = logged;
     expected.extend(rate_limited.map(str::to_owned));
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,5 +1,5 @@
-//! One balancer's decisions without I/O: the module, and the door at which its requests wait. The adapter plays it on the
-//! simulator's wire, the laboratory on its own clock.
+//! One balancer's decisions without I/O: the policy and the admission queue. The adapter runs it on
+//! the simulator's wire, the simulator on a virtual clock.
 
 #![forbid(unsafe_code)]
 
@@ -11,9 +11,9 @@
 };
 use rustc_hash::FxHashMap;
 
-/// One balancer's decisions, by whatever policy.
+/// A balancer's decisions, by any policy.
 pub trait BalancerEngine {
-    /// A request comes; `account` is its account's place.
+    /// Handles a request; `account` is the index of its account.
     fn on_connect_requested(
         &mut self,
         now: Nanos,
@@ -22,9 +22,9 @@
         returns: bool,
         out: &mut Vec<Action>,
     );
-    /// Anything else happens.
+    /// Handles any other event.
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
-    /// Requests that wait at the door.
+    /// Number of requests in the admission queue.
     fn queued(&self) -> usize;
 }
 
@@ -32,14 +32,14 @@
 pub struct Engine {
     policy: Balancer,
     queue: AdmissionQueue,
-    /// The accounts' shares, by place.
+    /// The accounts' shares, by index.
     shares: Vec<f64>,
-    /// What the line is told of each request that is owed an answer.
+    /// The queue entries of requests that are owed an answer.
     entries: FxHashMap<u64, Entry>,
 }
 
 impl Engine {
-    /// A balancer that knows nothing yet.
+    /// Creates a balancer without servers.
     pub fn new(
         settings: Settings,
         shares: Vec<f64>,
--- a/crates/overrides/src/clock.rs
+++ b/crates/overrides/src/clock.rs
@@ -1,26 +1,26 @@
-//! Wall time beside the program's own clock.
+//! The wall clock beside the program's own clock.
 
 use crate::{Millis, Override};
 
-/// Differences below this are no step: the two clocks are not read in one instant.
+/// Smaller differences are no step: the two clocks are not read at the same instant.
 const TOLERANCE: u64 = 1_000;
 
-/// The wall clock has been stepped.
+/// A step of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// By so much since the program's start, in milliseconds; below 0 where it was put back.
+    /// Total lead since the program's start, in milliseconds; negative if it was set back.
     pub ahead_by: i64,
 }
 
-/// Notices steps of the wall clock. Overrides follow the program's clock, so that a step neither ends one early nor
-/// keeps one on; but people read the wall clock, and so it is said.
+/// Detects steps of the wall clock. Overrides follow the program's clock, so that a step does not
+/// change their duration; people read the wall clock, so steps are reported.
 #[derive(Clone, Debug, Default)]
 pub struct StepWatch {
     ahead_by: i64,
 }
 
 impl StepWatch {
-    /// Compares the clocks; a step that has not been told yet comes back once.
+    /// Compares the clocks; returns each step once.
     pub fn check(&mut self, program: Millis, wall: Millis) -> Option<Step> {
         let ahead_by = wall
             .checked_signed_diff(program)
@@ -32,13 +32,13 @@
         Some(Step { ahead_by })
     }
 
-    /// How far the wall clock was ahead when last told.
+    /// The reported lead of the wall clock, in milliseconds.
     pub fn ahead_by(&self) -> i64 {
         self.ahead_by
     }
 }
 
-/// An override with its moments on another clock, which is ahead by so much.
+/// An override with its times on another clock that is ahead by `by`.
 pub fn shifted(one: &Override, by: i64) -> Override {
     let shift = |at: Millis| at.saturating_add_signed(by);
     Override {
@@ -49,8 +49,8 @@
     }
 }
 
-/// The expiry of an override that is read back from a disk, by a clock that may have been put back meanwhile: none
-/// lasts longer from now than it was granted in all. Says by how much it had to be cut.
+/// Expiry of an override that is read from a disk, after the clock may have been set back: it is
+/// never later than its granted duration from now. Returns by how much it was cut.
 pub fn bounded_expiry(one: &Override, now: Millis) -> (Millis, Option<Millis>) {
     let latest = now.saturating_add(one.expires_at.saturating_sub(one.created_at));
     if one.expires_at > latest {
--- a/crates/overrides/src/effect.rs
+++ b/crates/overrides/src/effect.rs
@@ -1,4 +1,4 @@
-//! What overrides come to: for a server, for a person who looks at one, and for the farm as a whole.
+//! Effects of overrides: on a server, on coverage, and as they are shown.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,19 +7,19 @@
 use crate::kind::Id;
 use crate::set::Set;
 
-/// What a server is under the overrides.
+/// The effect of all overrides on one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerAdjustment {
-    /// It gets nothing new.
+    /// Whether it gets no new connections.
     pub out: bool,
-    /// What its listed weight is multiplied by; 0 where it is out.
+    /// Factor on its listed weight; 0 if it is out of service.
     pub factor: f64,
-    /// The factor that it comes to in the end, if it rises.
+    /// The factor at the end of the ramp.
     pub to: f64,
 }
 
 impl ServerAdjustment {
-    /// No override concerns it.
+    /// No override applies.
     pub const AS_LISTED: ServerAdjustment = ServerAdjustment {
         out: false,
         factor: 1.0,
@@ -27,29 +27,29 @@
     };
 }
 
-/// What is listed under a server's name.
+/// The listed state of a server by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// Nothing.
+    /// Not listed.
     Absent,
-    /// A server that takes new work.
+    /// Accepts new connections.
     Ready,
-    /// A server that drains.
+    /// Draining.
     Leaving,
 }
 
-/// What an override does now.
+/// The present effect of an override.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// What it says.
+    /// In effect.
     InEffect,
-    /// Nothing, until a server of that name is listed.
+    /// No effect until a server of that name is listed.
     NotListed,
-    /// Nothing, as long as the other one holds.
+    /// No effect while the other one is active.
     Shadowed(Id),
-    /// A pin to a server that drains or is out.
+    /// A pin to a server that drains or is out of service.
     TakesNothing,
-    /// It has ended; a weight may still be on its way back.
+    /// It has ended; a weight may still be ramping up.
     Ended,
 }
 
@@ -65,22 +65,22 @@
     }
 }
 
-/// Where overrides leave no server that takes new work, though the list has some.
+/// Places that overrides leave without a ready server although the list has some.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Judgement {
-    /// In all the farm.
+    /// The whole list.
     pub all_servers: bool,
-    /// In these zones.
+    /// These zones.
     pub zones: Vec<String>,
 }
 
 impl Judgement {
-    /// Whether there is a server everywhere.
+    /// Whether there is a ready server everywhere.
     pub fn is_sound(&self) -> bool {
         !self.all_servers && self.zones.is_empty()
     }
 
-    /// What it finds at fault beyond another one.
+    /// What is missing here but not in another assessment.
     pub fn beyond(&self, before: &Judgement) -> Judgement {
         let zones = self
             .zones
@@ -103,7 +103,7 @@
     }
 }
 
-/// Looks for places without a ready server, among those that are listed as ready: name and zone of each.
+/// Finds places without a ready server among those that are listed as ready: name and zone of each.
 pub fn assess<'a>(
     ready: impl Iterator<Item = (&'a str, &'a str)>,
     set: &Set,
--- a/crates/overrides/src/kind.rs
+++ b/crates/overrides/src/kind.rs
@@ -1,19 +1,19 @@
-//! What an override is, and which ones are refused.
+//! Overrides and their validation.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// Longest name of a server, group or tenant, and of who asks.
+/// Longest name of a server, group, tenant or author.
 const LONGEST_NAME: usize = 128;
 /// Longest reason.
 const LONGEST_WHY: usize = 512;
-/// Factors of a weight.
+/// Allowed factors of a weight.
 const FACTORS: std::ops::RangeInclusive<f64> = 0.001..=100.0;
-/// Moves a second.
+/// Allowed migrations per second.
 const MOVES: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
 
-/// The number of an override; never given twice by one store.
+/// Id of an override; never reused by a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
@@ -48,39 +48,39 @@
     }
 }
 
-/// What becomes of a pinned connection that its server can't take.
+/// What happens to a pinned request that its server can't take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strictness {
-    /// It goes where the rotation sends it.
+    /// It is placed by the rotation.
     Prefer,
-    /// It is refused, with a time to come back.
+    /// It is rejected, with a time to retry.
     Strict,
 }
 
 /// What an override does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// A server gets nothing new.
+    /// A server gets no new connections.
     Out {
         /// The server's name in the list.
         server: String,
-        /// Its standing connections are moved at this rate; they stay where there is none.
+        /// Rate at which its established connections are migrated; `None` keeps them.
         moves_per_s: Option<f64>,
     },
     /// A server's listed weight is multiplied.
     Weight {
         /// The server's name in the list.
         server: String,
-        /// By this.
+        /// The factor.
         factor: f64,
     },
     /// New connections of a group or tenant go to one server.
     Pin {
-        /// Whose.
+        /// Whose connections.
         subject: Subject,
         /// The server's name in the list.
         server: String,
-        /// Whether they may go elsewhere.
+        /// Whether they may use other servers.
         strictness: Strictness,
     },
 }
@@ -103,14 +103,14 @@
     }
 }
 
-/// How far overrides may go.
+/// Limits on overrides.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Longest span from now to an expiry.
+    /// Longest time to an expiry.
     pub longest: Millis,
-    /// Most overrides that are kept at once.
+    /// Most overrides at once.
     pub most: usize,
-    /// A server whose weight rises is brought back over this span.
+    /// Duration of the ramp of a weight that rises.
     pub ramp: Millis,
 }
 
@@ -124,12 +124,12 @@
     }
 }
 
-/// What is wrong with an override that is asked for.
+/// An error in a requested override.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// The field, by its name in the API.
     pub field: &'static str,
-    /// What it has to be.
+    /// What it must be.
     pub why: String,
 }
 
@@ -148,21 +148,21 @@
     }
 }
 
-/// An override that is asked for.
+/// A requested override.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
     /// What it does.
     pub kind: Kind,
-    /// Who asks.
+    /// The author.
     pub who: String,
-    /// What for.
+    /// The reason.
     pub why: String,
     /// When it ends.
     pub expires_at: Millis,
 }
 
 impl Draft {
-    /// Every fault of it; none if it may be entered now.
+    /// Checks it; returns all errors.
     pub fn check(&self, now: Millis, limits: &Limits) -> Result<(), Vec<Fault>> {
         let mut faults = Vec::new();
         let mut text = |field, text: &str, most: usize| {
@@ -223,7 +223,7 @@
     }
 }
 
-/// Whether an override may end then.
+/// Checks an expiry.
 pub(crate) fn check_expiry(expires_at: Millis, now: Millis, limits: &Limits) -> Result<(), Fault> {
     if expires_at <= now {
         return Err(Fault::new("expires", "lies in the past"));
@@ -238,10 +238,10 @@
     Ok(())
 }
 
-/// The request that made an override, so that it is known again when it is sent twice.
+/// The request that created an override, by which a repetition is recognized.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replay {
-    /// The client's key for it.
+    /// The client's idempotency key.
     pub key: String,
     /// A digest of its body.
     pub body: Vec<u8>,
@@ -254,19 +254,19 @@
     pub id: Id,
     /// What it does.
     pub kind: Kind,
-    /// Who asked.
+    /// The author.
     pub who: String,
-    /// What for.
+    /// The reason.
     pub why: String,
-    /// Since when it holds.
+    /// When it took effect.
     pub created_at: Millis,
     /// When it ends.
     pub expires_at: Millis,
     /// When it was removed, if it was.
     pub removed_at: Option<Millis>,
-    /// Grows with each change, from 1.
+    /// Revision; grows with each change, from 1.
     pub revision: u64,
-    /// It was entered although it leaves no ready server somewhere.
+    /// Whether it was created although it leaves a place without a ready server.
     pub forced: bool,
     /// The request that made it, if that had a key.
     pub replay: Option<Replay>,
@@ -280,7 +280,7 @@
             .max(self.created_at)
     }
 
-    /// Whether it holds at that moment.
+    /// Whether it is in effect at a time.
     pub fn is_active_at(&self, at: Millis) -> bool {
         self.created_at <= at && at < self.end()
     }
--- a/crates/overrides/src/pace.rs
+++ b/crates/overrides/src/pace.rs
@@ -1,9 +1,8 @@
-//! Moves at a given rate.
+//! Migrations at a given rate.
 
 use crate::Millis;
 
-/// Tells how many moves are due. What was not used lapses after a second. Guards against a burst after a spell in
-/// which there was nobody to move.
+/// Counts permitted migrations. Unused permits expire after a second, so that they cause no burst.
 #[derive(Clone, Debug)]
 pub struct Pace {
     rate: f64,
@@ -12,7 +11,7 @@
 }
 
 impl Pace {
-    /// So many a second from now on; the first is due at once.
+    /// Starts at a rate per second; the first is permitted at once.
     pub fn new(rate: f64, now: Millis) -> Pace {
         Pace {
             rate,
@@ -26,7 +25,7 @@
         self.rate
     }
 
-    /// How many are due, of so many that there are.
+    /// Number permitted now, at most `there`.
     pub fn permitted(&mut self, now: Millis, there: usize) -> usize {
         let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
         self.at = now;
@@ -36,7 +35,7 @@
         due
     }
 
-    /// How long until the next one is due, if it is asked then.
+    /// Time until the next one is permitted.
     pub fn wait(&self) -> Millis {
         ((1.0 - self.credit).max(0.0) / self.rate * 1_000.0)
             .ceil()
--- a/crates/overrides/src/set.rs
+++ b/crates/overrides/src/set.rs
@@ -1,4 +1,4 @@
-//! The set of overrides, and what it says of a server, an arrival and the time to come.
+//! The set of overrides, and its effect on servers and requests over time.
 
 use std::borrow::Borrow;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -12,38 +12,37 @@
 use crate::kind::{Id, Kind, Override, Strictness, Subject};
 use crate::{Effect, Listed, Millis};
 
-/// Steps in which a weight that rises is brought back.
+/// Steps of the ramp of a weight that rises.
 const STEPS: u64 = 20;
-/// A weight that rises begins with this part of what it comes to. Guards against a first turn that lies many rounds
-/// ahead, as it does for a server of hardly any weight.
+/// First step of the ramp. A smaller weight would put the server's next turn many rounds ahead.
 const INITIAL_FRACTION: f64 = 0.1;
 
-/// Where a pinned arrival goes.
+/// The pin of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pin<'a> {
-    /// The override that says so.
+    /// The override that pins it.
     pub id: Id,
     /// The server's name.
     pub server: &'a str,
-    /// Whether it may go elsewhere.
+    /// Whether it may use another server.
     pub strictness: Strictness,
 }
 
-/// All overrides that hold, and those whose end is still felt.
+/// All overrides in effect, and those that still have an effect after their end.
 #[derive(Clone, Debug, Default)]
 pub struct Set {
     all: BTreeMap<Id, Override>,
-    /// Those that concern a server itself, by its name.
+    /// Those that apply to a server itself, by its name.
     by_server: HashMap<String, Vec<Id>>,
     by_group: FxHashMap<u64, Vec<Id>>,
     by_tenant: FxHashMap<u64, Vec<Id>>,
-    /// Every moment at which one begins or ends.
+    /// All times at which one begins or ends.
     bounds: BTreeSet<(Millis, Id)>,
     ramp: Millis,
 }
 
 impl Set {
-    /// An empty set; weights that rise do so over the span.
+    /// Creates an empty set with this ramp.
     pub fn new(ramp: Millis) -> Set {
         Set {
             ramp,
@@ -51,7 +50,7 @@
         }
     }
 
-    /// How many there are, with those that have ended and are still felt.
+    /// Number of overrides, including those that ended and still have an effect.
     pub fn len(&self) -> usize {
         self.all.len()
     }
@@ -71,17 +70,17 @@
         self.all.values()
     }
 
-    /// Those that hold.
+    /// Those in effect.
     pub fn holding(&self, now: Millis) -> impl Iterator<Item = &Override> {
         self.all.values().filter(move |one| one.is_active_at(now))
     }
 
-    /// Whether any pin is known; arrivals need not be looked up where none is.
+    /// Whether there is any pin; without one, requests need no lookup.
     pub fn has_pins(&self) -> bool {
         !(self.by_group.is_empty() && self.by_tenant.is_empty())
     }
 
-    /// Enters an override, or what it has become.
+    /// Adds an override, or replaces it by a changed one.
     pub fn put(&mut self, one: Override) {
         self.forget(one.id);
         self.bounds.insert((one.created_at, one.id));
@@ -104,7 +103,7 @@
         self.all.insert(one.id, one);
     }
 
-    /// Forgets an override without a trace.
+    /// Removes an override at once.
     pub fn forget(&mut self, id: Id) -> Option<Override> {
         let one = self.all.remove(&id)?;
         self.bounds.remove(&(one.created_at, id));
@@ -129,7 +128,7 @@
         Some(one)
     }
 
-    /// Those whose end is no longer felt.
+    /// Those that no longer have an effect.
     pub fn spent(&self, now: Millis) -> Vec<Id> {
         let ended = self
             .bounds
@@ -140,7 +139,7 @@
         ids.into_iter().collect()
     }
 
-    /// Those that ended after the one moment and not after the other.
+    /// Those that ended after one time and not after the other.
     pub fn ended_between(&self, after: Millis, until: Millis) -> Vec<Id> {
         if after >= until {
             return Vec::new();
@@ -162,12 +161,13 @@
         }
     }
 
-    /// The servers that any override concerns itself.
+    /// The servers that overrides apply to.
     pub fn servers(&self) -> impl Iterator<Item = &str> {
         self.by_server.keys().map(String::as_str)
     }
 
-    /// The rate at which a server's standing connections are moved off it, and the override that says so.
+    /// The rate at which a server's established connections are migrated, and the override that
+    /// says so.
     pub fn moves(&self, name: &str, now: Millis) -> Option<(Id, f64)> {
         let winner = self.winner(self.by_server.get(name)?, now)?;
         match self.all[&winner].kind {
@@ -179,7 +179,8 @@
         }
     }
 
-    /// Where an arrival goes, by the hashes of its group and tenant. The group's pin comes first: it says more.
+    /// The pin of a request, by the hashes of its group and tenant. The group's pin takes
+    /// precedence.
     pub fn pin(&self, group: Option<u64>, tenant: Option<u64>, now: Millis) -> Option<Pin<'_>> {
         let of =
             |map: &FxHashMap<u64, Vec<Id>>, key: Option<u64>| self.latest(map.get(&key?)?, now);
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The next moment at which anything that this set says changes by itself.
+    /// The next time at which any effect changes by itself.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
         let next = self
             .bounds
@@ -212,14 +213,14 @@
             }
             Kind::Pin { .. } => false,
         };
-        // Without a ramp nothing is felt, and a range that begins behind its end would be a panic.
+        // Without a ramp nothing lasts, and an inverted range would panic.
         let felt = (self.ramp > 0).then(|| self.bounds.range(felt));
         let steps = felt.into_iter().flatten().filter(|(_, id)| rises(id));
         let steps = steps.map(|(at, _)| next_step(*at, now, self.ramp));
         next.into_iter().chain(steps).min()
     }
 
-    /// What an override does now, where this is what is listed under its server's name.
+    /// The present effect of an override, given the listed state of its server.
     pub fn effect(&self, id: Id, listed: Listed, now: Millis) -> Option<Effect> {
         let one = self.all.get(&id)?;
         if !one.is_active_at(now) {
@@ -250,7 +251,7 @@
         })
     }
 
-    /// The latest that holds.
+    /// The latest one in effect.
     fn latest(&self, ids: &[Id], now: Millis) -> Option<Id> {
         ids.iter()
             .rev()
@@ -258,7 +259,7 @@
             .find(|id| self.all[id].is_active_at(now))
     }
 
-    /// The one that holds for a server: the latest `out`, else the latest weight.
+    /// The one that applies to a server: the latest `out`, else the latest weight.
     fn winner(&self, ids: &[Id], now: Millis) -> Option<Id> {
         let is_out = |id: &Id| matches!(self.all[id].kind, Kind::Out { .. });
         let holding = || {
@@ -270,7 +271,7 @@
         holding().find(is_out).or_else(|| holding().next())
     }
 
-    /// The factor that these come to, without regard to what was before; 0 is out.
+    /// The factor at the end of the ramp; 0 if out of service.
     fn target(&self, ids: &[Id], now: Millis) -> f64 {
         match self.winner(ids, now).map(|id| &self.all[&id].kind) {
             Some(Kind::Out { .. }) => 0.0,
@@ -279,8 +280,8 @@
         }
     }
 
-    /// A weight that falls does so at once; one that rises does so in steps, from what it was before. Guards against
-    /// a herd that turns to a server the moment it is back, and tips it over.
+    /// A weight falls at once and rises in steps from its previous value. A returning server would
+    /// otherwise be overloaded at once.
     fn standing(&self, ids: &[Id], now: Millis) -> ServerAdjustment {
         let to = self.target(ids, now);
         if to == 0.0 {
@@ -312,7 +313,7 @@
     }
 }
 
-/// Takes an override out of those of a name, and the name with the last of them.
+/// Removes an override from those of a name, and the name with the last one.
 fn strike<K, Q, S>(map: &mut HashMap<K, Vec<Id>, S>, key: &Q, id: Id)
 where
     K: Hash + Eq + Borrow<Q>,
@@ -327,13 +328,13 @@
     }
 }
 
-/// How much of the way back lies behind, in steps.
+/// Elapsed fraction of the ramp, in steps.
 fn ramp_fraction(passed: Millis, ramp: Millis) -> f64 {
     let steps = passed.saturating_mul(STEPS) / ramp.max(1);
     steps.min(STEPS) as f64 / STEPS as f64
 }
 
-/// When the next step comes of a rise that began then.
+/// When the next step of a ramp takes place.
 fn next_step(began: Millis, now: Millis, ramp: Millis) -> Millis {
     let done = (now - began).saturating_mul(STEPS) / ramp.max(1);
     began.saturating_add((ramp * (done + 1)).div_ceil(STEPS))
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -56,7 +56,7 @@
         let (timeout, probes_sent) = (self.attempt_timeout(now, request), request.probes_sent);
         if !self
             .load_limit
-            .allows(self.servers.total_load() + self.needed_room(request))
+            .allows(self.servers.total_load() + self.required_load(request))
         {
             return self.back_off(now, id, actions);
         }
@@ -199,7 +199,7 @@
         candidates: impl Iterator<Item = ServerId>,
     ) -> Option<ServerId> {
         let load_per_weight = self.load_per_weight_limit();
-        let required_load = self.needed_room(request);
+        let required_load = self.required_load(request);
         let mut has_healthy = false;
         let mut best: Option<(Objections, ServerId)> = None;
         for id in candidates {
@@ -254,16 +254,16 @@
 
     /// Whether a server has room. A load report replaces the pause after overload, but not the load
     /// ceiling.
-    fn has_capacity_for(&self, now: Nanos, server: &Server, needed_room: f64) -> bool {
+    fn has_capacity_for(&self, now: Nanos, server: &Server, required_load: f64) -> bool {
         let report = server.recent_load_report(now, LOAD_REPORT_VALIDITY);
         let is_open = report.map_or(now >= server.paused_until, |report| !report.is_full);
         let load = self.servers.load_on(server);
-        is_open && (load <= 0.0 || load + needed_room <= server.load_ceiling)
+        is_open && (load <= 0.0 || load + required_load <= server.load_ceiling)
     }
 
     /// The room that a request needs under a ceiling: part of its load, more for classes of low
     /// priority, so that these are rejected first.
-    fn needed_room(&self, request: &RequestState) -> f64 {
+    fn required_load(&self, request: &RequestState) -> f64 {
         let weights = self
             .settings
             .classes
--- a/crates/store/src/memory/mod.rs
+++ b/crates/store/src/memory/mod.rs
@@ -22,28 +22,28 @@
 use file::{Found, OpenFile};
 pub use writer::{Counts, DiskEvent, Limits, Writer};
 
-/// The newest schema of a memory's file that this program reads, and the one that it writes.
+/// Newest schema of the file that this program reads, and the one that it writes.
 pub const SCHEMA: u64 = 1;
 
-/// One thing that is remembered. Its meaning is its writer's.
+/// A record. Its meaning is its writer's.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Record {
-    /// What kind of thing; also its weight, as [`Writer`] tells: the lowest number gives way last.
+    /// Its kind; also its priority: records of the lowest number are evicted last ([`Writer`]).
     pub kind: u32,
-    /// Whom or what it is about. A later record of the same kind and subject takes its place.
+    /// Its subject. A later record of the same kind and subject replaces it.
     pub subject: Vec<u8>,
-    /// What is known.
+    /// The value.
     pub value: Vec<u8>,
-    /// When it was seen to be so, in Unix milliseconds.
+    /// When it was observed, in Unix milliseconds.
     pub observed_at_ms: u64,
 }
 
-/// A change of what is remembered.
+/// A change of the memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Remember this.
+    /// Store a record.
     Keep(Record),
-    /// Forget what stands under this kind and subject.
+    /// Remove the record of a kind and subject.
     Forget {
         /// The kind.
         kind: u32,
@@ -52,21 +52,21 @@
     },
 }
 
-/// A file that is not read, and was kept under another name.
+/// A file that could not be used and was moved aside.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Aside {
-    /// Where it is now. It is still in its place if the disk takes no writing.
+    /// Its new path; its old one if the disk is read-only.
     pub path: PathBuf,
-    /// Why it is not read.
+    /// Why it could not be used.
     pub why: AsideWhy,
 }
 
-/// Why a file is not read.
+/// Why a file could not be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AsideWhy {
-    /// It is torn or damaged: in the database's words.
+    /// It is damaged; with the database's message.
     Damaged(String),
-    /// It is the memory of the process of this name.
+    /// It belongs to the process of this name.
     Foreign(String),
 }
 
@@ -80,26 +80,26 @@
     }
 }
 
-/// What a memory held when it was opened.
+/// What a memory contained when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Remembered {
-    /// This process's boot number: one more than the last.
+    /// Incarnation number of this process: one more than the last.
     pub incarnation: u64,
-    /// Why the boot number is not on the disk: the disk takes no writing. The next start may get the same number.
+    /// Why the incarnation number could not be written; the next start may get the same one.
     pub unwritable: Option<String>,
-    /// All that was remembered, by kind and subject.
+    /// All records, by kind and subject.
     pub records: Vec<Record>,
-    /// Records that could not be read. They stay in the file.
+    /// Number of unreadable records. They stay in the file.
     pub unreadable: u64,
-    /// The file that stood there and is not read.
+    /// The file that was moved aside.
     pub aside: Option<Aside>,
     /// When the file was last written, by the wall clock of then, in Unix milliseconds.
     pub last_written_ms: Option<u64>,
-    /// The wall clock stands before that moment: one of the two is wrong, and no age can be told from them.
+    /// Whether the wall clock is before that time; no age can be derived then.
     pub clock_went_back: bool,
 }
 
-/// The memory of a process. One at a time has its file.
+/// The memory of a process, which has its file exclusively.
 #[derive(Debug)]
 pub struct Memory {
     disk: Arc<dyn Disk>,
@@ -107,16 +107,16 @@
     owner: String,
     incarnation: u64,
     journal_bytes: u64,
-    /// None while the disk is ill.
+    /// `None` while the disk fails.
     file: Option<Box<OpenFile>>,
-    /// The file that was open last. Guards against one that was removed, cut or changed for another.
+    /// The identity of the open file, by which a removed, truncated or replaced one is detected.
     mark: Option<Mark>,
 }
 
-/// Why changes were not written. None of them was, then.
+/// Why changes were not written. None of them was.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteError(
-    /// In the system's words.
+    /// The system's message.
     pub String,
 );
 
@@ -128,17 +128,16 @@
 
 impl std::error::Error for WriteError {}
 
-/// What a write found besides.
+/// What was noticed during a write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Written {
-    /// Why the file had to be begun anew: what was written before is no longer in it.
+    /// Why the file was recreated; its former contents are lost.
     pub begun_anew: Option<String>,
 }
 
-/// Opens the memory of a process, and makes it where there is none. The boot number is raised, durably, by one.
-///
-/// A file that is damaged or another process's is kept aside, and the memory begins empty. One of a newer program is
-/// left as it is, with an error. From a disk that takes no writing, what is there is read and [`Remembered`] says so.
+/// Opens the memory of a process, or creates it. The incarnation number is raised durably by one.
+/// A damaged or foreign file is moved aside, and the memory starts empty. A file of a newer program
+/// is left alone and causes an error. A read-only disk is read, which [`Remembered`] reports.
 pub fn open(path: &Path, owner: &str, now_ms: u64) -> Result<(Memory, Remembered), OpenError> {
     open_on(Arc::new(Files), path, owner, now_ms)
 }
@@ -169,20 +168,20 @@
 }
 
 impl Memory {
-    /// The boot number of this run.
+    /// The incarnation number of this run.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Sets the bytes of the journal that go over into the snapshot.
+    /// Sets the size of the journal at which it is merged into the snapshot.
     pub fn bound_journal(&mut self, bytes: u64) {
         self.journal_bytes = bytes;
     }
 
-    /// Writes changes, all or none, in their order. They are durable when this returns.
+    /// Writes changes in order, all or none. They are durable on return.
     pub fn write(&mut self, changes: &[Change], now_ms: u64) -> Result<Written, WriteError> {
         let written = self.well(now_ms)?;
-        // The database refuses everything after a failure, until it is opened anew: it is let go of then.
+        // After a failure the database refuses everything until it is opened again.
         let Some(mut held) = self.file.take() else {
             return Err(WriteError("no file".into()));
         };
@@ -194,7 +193,7 @@
         Ok(written)
     }
 
-    /// Sees to it that the file is open and still the one that was opened.
+    /// Ensures that the file is open and unchanged.
     fn well(&mut self, now_ms: u64) -> Result<Written, WriteError> {
         let (before, here) = (self.mark, self.disk.mark(&self.path).ok());
         if self.file.is_some() && here == before {
@@ -218,7 +217,7 @@
         Ok(Written { begun_anew })
     }
 
-    /// Opens what is there.
+    /// Opens the existing file.
     fn find(&mut self, now_ms: u64) -> Result<Remembered, OpenError> {
         let mut aside: Option<Aside> = None;
         loop {
@@ -262,7 +261,7 @@
         }
     }
 
-    /// Opens the file for writing, if it is not the one of another owner.
+    /// Opens the file for writing, unless it belongs to another owner.
     fn try_open(&mut self, now_ms: u64) -> Result<Result<Remembered, String>, Unread> {
         let found = crate::database::read(|| OpenFile::open(&*self.disk, &self.path, &self.owner))?;
         let (mut held, mut remembered) = match found {
@@ -277,7 +276,7 @@
         Ok(Ok(remembered))
     }
 
-    /// Reads what is on a disk that takes no writing.
+    /// Reads the file from a read-only disk.
     fn read_only(&self, why: String) -> Result<Remembered, OpenError> {
         let bytes = match self.disk.bytes(&self.path) {
             Ok(bytes) => bytes,
@@ -302,7 +301,8 @@
         }
     }
 
-    /// The boot number after the one in a file; a file that is opened again in one run gets the run's.
+    /// The incarnation number after the one in a file; a file that is opened again in one run gets
+    /// the same.
     fn raised(&self, found: u64) -> u64 {
         if self.incarnation > 0 {
             self.incarnation.max(found)
--- a/crates/store/src/memory/queue.rs
+++ b/crates/store/src/memory/queue.rs
@@ -1,10 +1,10 @@
-//! Changes that wait for the disk, the last of each subject, within a bound in bytes.
+//! Changes that wait for the disk, the last of each subject, bounded in bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Change, Record};
 
-/// What a waiting change costs beside its bytes: its place in the tree and two allocations.
+/// Overhead of a waiting change: its tree node and two allocations, in bytes.
 const OVERHEAD: usize = 96;
 
 type Key = (u32, Vec<u8>);
@@ -22,9 +22,10 @@
 }
 
 impl Queue {
-    /// Puts a change in the place of what waits for the same subject, and makes room within the bound: tells how
-    /// many changes gave way. First go records of the kind with the highest number, and in it those of the greatest
-    /// subject; what is to be forgotten goes last, as it would be read again as if it held.
+    /// Adds a change in place of an earlier one of its subject, and evicts changes beyond the
+    /// bound; returns how many. Records of the highest kind number are evicted first, and among
+    /// them the greatest subject; removals are evicted last, since the removed records would
+    /// otherwise be read again.
     pub(super) fn put(&mut self, change: Change, bound: usize) -> u64 {
         match change {
             Change::Keep(Record {
@@ -70,7 +71,7 @@
         gone.inspect(|key| self.bytes -= cost(key, &[])).is_some()
     }
 
-    /// Puts later changes over these.
+    /// Adds later changes over these.
     pub(super) fn take_over(&mut self, later: Queue, bound: usize) -> u64 {
         later
             .into_changes()
@@ -86,7 +87,7 @@
         self.bytes
     }
 
-    /// All that waits.
+    /// All waiting changes.
     pub(super) fn into_changes(self) -> impl Iterator<Item = Change> {
         let forgotten = self
             .forgotten
--- a/crates/store/src/memory/writer.rs
+++ b/crates/store/src/memory/writer.rs
@@ -1,4 +1,4 @@
-//! Takes changes from the core without waiting, and writes them on a thread of its own.
+//! A writer that accepts changes without blocking and writes them on a thread of its own.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,18 +12,18 @@
 use super::queue::Queue;
 use super::{Change, Memory, Record};
 
-/// Bounds of a writer.
+/// Limits of a writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of changes that wait for the disk; as many again may be at the disk.
+    /// Bytes of waiting changes; as many again may be being written.
     pub queue_bytes: usize,
-    /// Bytes of the journal that go over into the snapshot.
+    /// Size of the journal at which it is merged into the snapshot, in bytes.
     pub journal_bytes: u64,
-    /// From one batch to the next.
+    /// Interval of batches.
     pub every: Duration,
-    /// From a failed batch to the next attempt.
+    /// Interval of retries after a failed batch.
     pub retry: Duration,
-    /// A batch that takes longer is said.
+    /// A batch that takes longer is logged.
     pub slow: Duration,
 }
 
@@ -39,16 +39,16 @@
     }
 }
 
-/// What a writer says, each once until the opposite is so.
+/// State changes of the disk, each reported once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskEvent {
-    /// The disk does not take what is written.
+    /// Writes fail.
     Ailing(String),
-    /// It takes its time.
+    /// A write is slow.
     Slow(Duration),
-    /// It is well again.
+    /// Writes succeed again.
     Recovered,
-    /// The file had to be begun anew: why.
+    /// The file was recreated, with the reason.
     BegunAnew(String),
 }
 
@@ -69,25 +69,25 @@
     }
 }
 
-/// What a writer has done so far.
+/// Counters of a writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Changes that are on the disk.
+    /// Changes written.
     pub written: u64,
-    /// Changes that gave way to others for the bound in bytes.
+    /// Changes evicted beyond the bound.
     pub evicted: u64,
-    /// Batches that failed.
+    /// Failed batches.
     pub failed: u64,
-    /// Changes that wait, without those that are at the disk.
+    /// Waiting changes, without those being written.
     pub waiting: u64,
-    /// Their bytes, with what each costs beside.
+    /// Their bytes, with overhead.
     pub waiting_bytes: u64,
     /// Whether the last batch failed or was slow.
     pub degraded: bool,
 }
 
-/// What the callers and the thread share. The lock is held for one change or for the swap of a queue, never while
-/// the disk is at work.
+/// State shared with the thread. The lock is held for one change or one swap of the queue, never
+/// during a write.
 #[derive(Default)]
 struct Shared {
     waiting: Mutex<Waiting>,
@@ -101,36 +101,35 @@
 #[derive(Default)]
 struct Waiting {
     queue: Queue,
-    /// Those who wait for the next batch, with whether it succeeded.
+    /// Senders that wait for the next batch, told whether it succeeded.
     flushes: Vec<Sender<bool>>,
     ending: bool,
 }
 
 impl Shared {
-    /// What is held here is replaced whole, so that a panic elsewhere leaves it sound.
+    /// The contents are replaced as a whole, so they are valid even after a panic.
     fn lock(&self) -> MutexGuard<'_, Waiting> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Takes changes of a memory. Nothing here waits for the disk but [`Writer::flush`] and [`Writer::end`].
-///
-/// While the disk is slow or ill a later change takes the place of an earlier one of the same subject. Beyond the
-/// bound in bytes records of the kind with the highest number give way first, and among them those of the greatest
-/// subject; what is to be forgotten gives way last. What gave way is counted, and asked for again when the disk is
-/// well ([`Writer::wants_all`]).
+/// Accepts changes of a memory. Only [`Writer::flush`] and [`Writer::end`] wait for the disk.
+/// A later change replaces a waiting one of the same subject. Beyond the bound, records of the
+/// highest kind number are evicted first, and among them the greatest subject; removals are evicted
+/// last. Evicted changes are counted, and requested again once the disk has recovered
+/// ([`Writer::wants_all`]).
 pub struct Writer {
     shared: Arc<Shared>,
     bound: usize,
-    /// Something waits.
+    /// Signals that changes wait.
     waker: Sender<()>,
-    /// Something waits that can't wait for the next batch.
+    /// Signals that changes wait that must be written at once.
     urgent: Sender<()>,
     ended: Receiver<()>,
 }
 
 impl Writer {
-    /// Writes what this memory is told, and logs what befalls its disk.
+    /// Starts the writer of a memory; events of its disk are logged.
     pub fn spawn(memory: Memory) -> Result<Writer, String> {
         Writer::spawn_with(memory, Limits::default(), |notice| match notice {
             DiskEvent::Recovered => info!(part = "memory", "{notice}"),
@@ -138,7 +137,7 @@
         })
     }
 
-    /// The same within given bounds; `say` gets what befalls the disk, on the writer's thread.
+    /// The same within given limits; `say` receives events of the disk, on the writer's thread.
     pub fn spawn_with(
         mut memory: Memory,
         limits: Limits,
@@ -158,7 +157,7 @@
             say,
         };
         let run = move || {
-            // The file is let go of before the end is told.
+            // The file is closed before the end is reported.
             work.run();
             let _ = end.send(());
         };
@@ -173,12 +172,12 @@
         })
     }
 
-    /// Remembers a record in the place of what is known of its subject.
+    /// Stores a record in place of an earlier one of its subject.
     pub fn remember(&self, record: Record) {
         self.change(Change::Keep(record));
     }
 
-    /// Forgets what is known of a subject.
+    /// Removes the record of a subject.
     pub fn forget(&self, kind: u32, subject: Vec<u8>) {
         self.change(Change::Forget { kind, subject });
     }
@@ -196,13 +195,13 @@
         }
     }
 
-    /// Whether all that is known must be told anew, since something gave way or the file was lost; asked once, it
-    /// is taken as done.
+    /// Whether everything must be stored again, because changes were evicted or the file was lost.
+    /// Reset by the call.
     pub fn wants_all(&self) -> bool {
         self.shared.wants_all.swap(false, Ordering::Relaxed)
     }
 
-    /// What has been done so far.
+    /// The counters.
     pub fn counts(&self) -> Counts {
         let Shared {
             written,
@@ -222,7 +221,7 @@
         }
     }
 
-    /// Waits until all that was told is on the disk, but no longer than this; tells whether it is.
+    /// Waits until everything is written, at most this long; returns whether it is.
     pub fn flush(&self, within: Duration) -> bool {
         let (done, told) = bounded(1);
         self.shared.lock().flushes.push(done);
@@ -230,7 +229,8 @@
         told.recv_timeout(within).unwrap_or(false)
     }
 
-    /// Writes what waits and lets go of the file, but waits no longer than this; tells whether all is written.
+    /// Writes what waits and closes the file, waiting at most this long; returns whether everything
+    /// is written.
     pub fn end(self, within: Duration) -> bool {
         let deadline = Instant::now() + within;
         let (done, told) = bounded(1);
@@ -252,7 +252,7 @@
     }
 }
 
-/// A full bell rings already.
+/// A full channel has a signal already.
 fn ring(bell: &Sender<()>) {
     let _ = bell.try_send(());
 }
@@ -285,7 +285,7 @@
                 ending,
             } = std::mem::take(&mut *self.shared.lock());
             let done = queue.len() == 0 || self.write(queue);
-            // One who has left waits no longer.
+            // A receiver may have stopped waiting.
             for flush in flushes {
                 let _ = flush.try_send(done);
             }
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Says once that the disk ails, and once that it is well.
+    /// Reports once that the disk fails, and once that it has recovered.
     fn ails(&mut self, ails: bool, notice: impl FnOnce() -> DiskEvent) {
         let before = self.shared.degraded.swap(ails, Ordering::Relaxed);
         match (before, ails) {
@@ -354,7 +354,7 @@
         }
     }
 
-    /// Puts a batch that failed back under what was told since.
+    /// Puts a failed batch back under later changes.
     fn put_back(&mut self, changes: Vec<Change>) {
         let bound = self.limits.queue_bytes;
         let mut batch = Queue::default();
@@ -362,7 +362,7 @@
             .into_iter()
             .map(|change| batch.put(change, bound))
             .sum();
-        // Guards against a caller that waits while much is put together: but for the last few, it is done unlocked.
+        // Most of the merge runs without the lock, so that callers do not wait for it.
         for _ in 0..4 {
             let later = std::mem::take(&mut self.shared.lock().queue);
             let few = later.len() <= 16;
