--- a/crates/cli/tests/on_call_page.rs
+++ b/crates/cli/tests/on_call_page.rs
@@ -62,24 +62,22 @@
         .collect()
 }
 
-/// The messages that the page's tables list.
+/// The messages in the page's tables, whose second column has them.
 fn listed(page: &str) -> BTreeSet<String> {
-    let rows = page.lines().filter(|line| line.starts_with("| `"));
-    let cells = rows.map(|row| row.split('|').map(str::trim).collect::<Vec<&str>>());
-    // Rows of messages have a part and a message; the table of ends has neither.
-    let of_messages = cells.filter(|cells| {
-        !cells[1].contains("Server")
-            && !cells[1].contains("Client")
-            && !cells[1].contains("Migration")
-    });
-    of_messages
-        .flat_map(|cells| {
-            cells[2]
-                .split("`, `")
-                .map(|text| text.trim_matches('`').to_owned())
-                .collect::<Vec<String>>()
-        })
-        .collect()
+    let mut found = BTreeSet::new();
+    let mut is_message_table = false;
+    for line in page.lines() {
+        if line.starts_with("| part | message |") {
+            is_message_table = true;
+        } else if !line.starts_with('|') {
+            is_message_table = false;
+        } else if is_message_table && line.starts_with("| `") {
+            let column = line.split('|').nth(2).expect("a second column").trim();
+            let messages = column.split("`, `");
+            found.extend(messages.map(|message| message.trim_matches('`').to_owned()));
+        }
+    }
+    found
 }
 
 #[test]
