--- a/crates/balancer/src/core/decisions/tests.rs
+++ b/crates/balancer/src/core/decisions/tests.rs
@@ -48,15 +48,9 @@
     2 + WINDOW
 }
 
-#[test]
-fn after_a_panic_only_what_may_have_run_is_failed() {
-    let (mut core, orders) = (
-        core(Clock::start(), Set::new(0)),
-        Arc::new(Orders::default()),
-    );
-    let queued = in_each_state(&mut core, &orders);
-    core.restart_policy();
-    let answers = [0, 1, 2, queued].map(|id| last(&orders, id));
+/// Requests 0 to 2 and the queued one had their answers, and every request had one.
+fn assert_only_what_may_have_run_failed(orders: &Orders, queued: u64) {
+    let answers = [0, 1, 2, queued].map(|id| last(orders, id));
     assert_eq!(
         answers,
         ["Fail", "Reject(None)", "AbandonAttempt", "Reject(None)"]
@@ -67,6 +61,17 @@
     );
 }
 
+#[test]
+fn after_a_panic_only_what_may_have_run_is_failed() {
+    let (mut core, orders) = (
+        core(Clock::start(), Set::new(0)),
+        Arc::new(Orders::default()),
+    );
+    let queued = in_each_state(&mut core, &orders);
+    core.restart_policy();
+    assert_only_what_may_have_run_failed(&orders, queued);
+}
+
 #[test]
 fn at_the_end_of_a_drain_only_what_may_have_run_is_failed() {
     let (mut core, orders) = (
@@ -75,13 +80,5 @@
     );
     let queued = in_each_state(&mut core, &orders);
     core.end_drain_now();
-    let answers = [0, 1, 2, queued].map(|id| last(&orders, id));
-    assert_eq!(
-        answers,
-        ["Fail", "Reject(None)", "AbandonAttempt", "Reject(None)"]
-    );
-    assert!(
-        (0..=queued).all(|id| orders.of(id).1 == 1),
-        "one answer each"
-    );
+    assert_only_what_may_have_run_failed(&orders, queued);
 }
--- a/crates/gossip/tests/stored_form.rs
+++ b/crates/gossip/tests/stored_form.rs
@@ -11,60 +11,7 @@
 
 fn known() -> FactStore {
     let mut known = process("a", 1);
-    let made = Override::Made {
-        expires_at: START + LONG,
-        bytes: vec![9; 30],
-    };
-    let held = ListVersion {
-        position: Position {
-            incarnation: 1,
-            generation: 4,
-        },
-        digest: 3,
-    };
-    let unknown = Subject::Unknown {
-        kind: 77,
-        key: vec![1, 2],
-        owned: true,
-    };
-    let facts = [
-        (
-            Subject::Listed("s1".into()),
-            entry(1, 4, Lifecycle::Draining),
-        ),
-        (Subject::List, Value::List(held)),
-        (
-            Subject::Standing("s1".into()),
-            Value::Standing(Evidence {
-                seen: Seen::Refused,
-                weight: 2.0,
-            }),
-        ),
-        (Subject::ColdSent("s1".into()), Value::ColdSent(3.5)),
-        (
-            Subject::Failures(5),
-            Value::Failures(Failures {
-                count: 2,
-                voided: Some(10),
-            }),
-        ),
-        (client(5), stands("s1")),
-        (Subject::Placement(Holder::Group(5)), Value::Placement(None)),
-        (Subject::Override(vec![1]), Value::Override(made)),
-        (
-            Subject::Override(vec![2]),
-            Value::Override(Override::Removed),
-        ),
-        (
-            Subject::Configuration,
-            Value::Configuration(Configuration {
-                digest: 1,
-                number: 2,
-            }),
-        ),
-        (unknown, Value::Unknown(vec![1, 2, 3])),
-    ];
-    for (subject, value) in facts {
+    for (subject, value) in one_of_each_kind() {
         known
             .observe(&subject, &value, LONG, START)
             .expect("a valid fact");
