--- a/crates/balancer/src/connections/acceptor/admission.rs
+++ b/crates/balancer/src/connections/acceptor/admission.rs
@@ -22,11 +22,11 @@
         request,
         slot,
     }: CompletedHandshake<F>,
-    (transactions, rejections): (&ConnectionsHandle<F>, &RateLimitedLog),
+    (connections, rejections): (&ConnectionsHandle<F>, &RateLimitedLog),
 ) -> Option<LingeringClose> {
     match front.admit(request) {
         Ok((request, server_handshake)) => {
-            transactions.admit(AdmittedClient {
+            connections.admit(AdmittedClient {
                 client,
                 request,
                 server_handshake,
--- a/crates/balancer/src/connections/acceptor/handshake.rs
+++ b/crates/balancer/src/connections/acceptor/handshake.rs
@@ -1,19 +1,20 @@
 //! Handshakes that are not complete, and how they are read.
 
-use crate::core::CoreHandle;
-use crate::front::{Front, HandshakeError, HandshakeLine, Rejection};
-use crate::net::{self, ReadBuffer, ReadError};
 use std::net::TcpStream;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::{Duration, Instant};
 
+use crate::core::CoreHandle;
+use crate::front::{Front, HandshakeError, HandshakeLine, Rejection};
+use crate::net::{self, ReadBuffer, ReadError};
+
 /// A client is not evicted for a new one before this time. Clients that arrive together would
 /// otherwise evict one another.
 pub(super) const MIN_HANDSHAKE_TIME: Duration = Duration::from_millis(100);
 
 /// An idle client is closed this long after a drain began: new requests arrive for 0.4 s, and a
 /// shutdown takes at least 0.7 s.
-pub(super) const IDLE_TIMEOUT_IN_DRAIN: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT_IN_DRAIN: Duration = Duration::from_millis(500);
 
 /// A client with an incomplete handshake.
 pub(super) struct Handshake {
@@ -21,9 +22,9 @@
     pub(super) intake: ReadBuffer,
     pub(super) accepted_at: Instant,
     /// Start of its timeout: the accept, its last readiness query, or the first byte after that.
-    pub(super) timeout_from: Instant,
+    timeout_from: Instant,
     /// Whether it sent a readiness query.
-    pub(super) has_asked: bool,
+    has_asked: bool,
 }
 
 impl Handshake {
@@ -82,7 +83,7 @@
 }
 
 /// Reads once and parses what has arrived.
-pub(super) fn read_handshake<F: Front>(
+fn read_handshake<F: Front>(
     front: &F,
     waiting: &mut Handshake,
     core: &CoreHandle,
--- a/crates/balancer/src/connections/relay/client.rs
+++ b/crates/balancer/src/connections/relay/client.rs
@@ -1,14 +1,15 @@
 //! A client's connection, from its handshake to its close.
 
+use std::io::Read;
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
 use super::READ_SIZE;
 use crate::attempt::WaitingClient;
 use crate::connections::lingering::LingeringClose;
 use crate::front::{Framer, Front, Keepalive};
 use crate::net::{self, ReadError, WriteBuffer};
-use std::io::Read;
-use std::net::TcpStream;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
 
 /// A client's connection with its buffers.
 pub struct ClientConnection {
@@ -18,12 +19,12 @@
     pub(super) unforwarded: Vec<u8>,
     /// Bytes that it has not taken yet.
     pub(super) outgoing: WriteBuffer,
-    pub(super) max_early: usize,
+    max_early: usize,
     pub(super) probe: Option<Keepalive>,
     /// Whether its final message has been written.
     pub(super) has_final_message: bool,
     /// Set by the owner to abandon an attempt in flight.
-    pub(super) is_abandoned: Arc<AtomicBool>,
+    is_abandoned: Arc<AtomicBool>,
 }
 
 impl WaitingClient for ClientConnection {
--- a/crates/balancer/src/connections/relay/monitor.rs
+++ b/crates/balancer/src/connections/relay/monitor.rs
@@ -1,12 +1,14 @@
 //! Observation of the server: unanswered messages, latencies and announced ends.
 
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+
+use beaconflow_policy::ConnectionMetric;
+
 use crate::attempt::ConnectionEnd;
 use crate::clock::nanos;
 use crate::core::{CoreHandle, CoreInput};
 use crate::front::MessageKind;
-use beaconflow_policy::ConnectionMetric;
-use std::collections::VecDeque;
-use std::time::{Duration, Instant};
 
 pub(super) struct PendingRequest {
     pub(super) asked_at: Instant,
--- a/crates/balancer/src/core/messages.rs
+++ b/crates/balancer/src/core/messages.rs
@@ -10,8 +10,8 @@
 
 use super::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
 use super::{
-    AdmissionSnapshot, Counts, DoorConfig, Endpoint, FleetEvent, OverrideChange, OverridesApplied,
-    ServerSnapshot,
+    AdmissionConfig, AdmissionSnapshot, Counts, Endpoint, FleetEvent, OverrideChange,
+    OverridesApplied, ServerSnapshot,
 };
 
 /// A client's request for a connection.
@@ -112,7 +112,7 @@
     /// A request for a snapshot of the admission queue.
     GetAdmission(Sender<AdmissionSnapshot>),
     /// The admission settings of the operator's file changed.
-    AdmissionConfigured(DoorConfig),
+    AdmissionConfigured(AdmissionConfig),
     /// The site's settings were replaced as a whole.
     SettingsReplaced(Arc<ActiveSettings>),
     /// Overrides changed.
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -41,7 +41,7 @@
 use tracing::debug;
 
 use admission::AdmissionControl;
-pub use admission::{AccountSnapshot, AdmissionConfig as DoorConfig, AdmissionSnapshot};
+pub use admission::{AccountSnapshot, AdmissionConfig, AdmissionSnapshot};
 pub use affinity::{AffinityEvent, SessionAffinity};
 pub use counts::Counts;
 use drain::Drain;
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -17,7 +17,7 @@
 use super::handle::{self, CoreReceiver};
 use super::lifecycle::{Lifecycle, LifecycleView};
 use super::requests::RequestTable;
-use super::{Core, CoreHandle, DoorConfig, LoadProber, SharedTimeouts, settings};
+use super::{AdmissionConfig, Core, CoreHandle, LoadProber, SharedTimeouts, settings};
 use crate::clock::Clock;
 use crate::discovery::ServerList;
 
@@ -40,7 +40,7 @@
     /// The restored overrides.
     pub overrides: Set,
     /// The admission settings.
-    pub admission: DoorConfig,
+    pub admission: AdmissionConfig,
     /// Link to the fleet thread, where a fleet is configured.
     pub fleet: Option<FleetLinkConfig>,
 }
--- a/crates/balancer/src/front/nats/tenants/store.rs
+++ b/crates/balancer/src/front/nats/tenants/store.rs
@@ -1,20 +1,22 @@
 //! Access to the shared store, and what is done while it is out of reach.
 
-use super::{StoreError, lock};
-use redis::{Connection, RedisError, RedisResult};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
+
+use redis::{Connection, RedisError, RedisResult};
 use tracing::{info, warn};
 
+use super::{StoreError, lock};
+
 /// Timeout of one call to the store.
-pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(300);
+const STORE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// After a failed call the store is not called for this long, so that connections do not each wait
 /// for it.
-pub(super) const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Whether the store answered that it refuses writes.
-pub(super) fn takes_nothing(error: &RedisError) -> bool {
+fn takes_nothing(error: &RedisError) -> bool {
     matches!(
         error.code(),
         Some("OOM" | "READONLY" | "MISCONF" | "NOREPLICAS")
@@ -28,7 +30,7 @@
 
 #[derive(Default)]
 pub(super) struct StoreState {
-    pub(super) connection: Option<Connection>,
+    connection: Option<Connection>,
     pub(super) away_until: Option<Instant>,
 }
 
@@ -86,7 +88,7 @@
         }
     }
 
-    pub(super) fn once<T>(
+    fn once<T>(
         &self,
         cached: Option<Connection>,
         run: impl Fn(&mut Connection) -> RedisResult<T>,
--- a/crates/balancer/src/front/platform/framer.rs
+++ b/crates/balancer/src/front/platform/framer.rs
@@ -16,10 +16,10 @@
 }
 
 /// Bytes of a line that are classified.
-pub(super) const CLASSIFIED_BYTES: usize = 64;
+const CLASSIFIED_BYTES: usize = 64;
 
 impl LineFramer {
-    pub(super) fn classify(&self, line: &[u8]) -> MessageKind {
+    fn classify(&self, line: &[u8]) -> MessageKind {
         if self.is_client {
             return MessageKind::Request;
         }
--- a/crates/balancer/src/front/platform/open.rs
+++ b/crates/balancer/src/front/platform/open.rs
@@ -1,11 +1,12 @@
 //! The `OPEN` line with which a client asks for a connection.
 
-use beaconflow_settings::{ActiveSettings, digest};
 use std::collections::HashSet;
 use std::ops::Range;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
+use beaconflow_settings::{ActiveSettings, digest};
+
 /// Ids of all open requests.
 pub(super) type OpenIds = Arc<Mutex<HashSet<String>>>;
 
@@ -13,7 +14,7 @@
 /// retry of the first.
 pub struct OpenId {
     pub(super) id: String,
-    pub(super) open: OpenIds,
+    open: OpenIds,
 }
 
 impl OpenId {
@@ -82,7 +83,7 @@
         Ok(fields)
     }
 
-    pub(super) fn set(
+    fn set(
         &mut self,
         name: &str,
         value: &'l str,
@@ -110,13 +111,13 @@
 }
 
 /// Parses a span in milliseconds: digits only.
-pub(super) fn parse_millis(value: &str) -> Option<Duration> {
+fn parse_millis(value: &str) -> Option<Duration> {
     let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
     let millis = value.parse().ok().filter(|_| is_number)?;
     Some(Duration::from_millis(millis))
 }
 
-pub(super) fn parse_expected_load(value: &str) -> Option<f64> {
+fn parse_expected_load(value: &str) -> Option<f64> {
     let load: f64 = value.parse().ok()?;
     (load.is_finite() && load >= 0.0).then_some(load)
 }
--- a/crates/balancer/src/net/buffers.rs
+++ b/crates/balancer/src/net/buffers.rs
@@ -1,11 +1,13 @@
 //! Bounded buffers between a socket and its reader or writer.
 
-use super::{is_would_block, shutdown_write, wait_ready, write_gathered};
-use rustix::event::PollFlags;
 use std::io::{self, Read};
 use std::net::TcpStream;
 use std::time::Instant;
 
+use rustix::event::PollFlags;
+
+use super::{is_would_block, shutdown_write, wait_ready, write_gathered};
+
 /// Why a read returned nothing.
 #[derive(Debug)]
 pub enum ReadError {
@@ -21,8 +23,8 @@
 
 /// A bounded buffer of bytes read from a peer.
 pub struct ReadBuffer {
-    pub(super) bytes: Vec<u8>,
-    pub(super) limit: usize,
+    bytes: Vec<u8>,
+    limit: usize,
 }
 
 impl ReadBuffer {
@@ -113,11 +115,11 @@
 /// Bytes that a peer has not taken yet.
 #[derive(Default)]
 pub struct WriteBuffer {
-    pub(super) bytes: Vec<u8>,
+    bytes: Vec<u8>,
     /// Bytes discarded since its final message.
-    pub(super) discarded: usize,
+    discarded: usize,
     /// Whether it has closed its write side since its final message.
-    pub(super) has_ended: bool,
+    has_ended: bool,
 }
 
 impl WriteBuffer {
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -15,7 +15,7 @@
 use beaconflow_settings::SiteSettings;
 use toml::Table;
 
-use crate::core::DoorConfig;
+use crate::core::AdmissionConfig;
 use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
 use crate::front::nats::framing::MAX_CONTROL_LINE;
 use crate::front::nats::wire::Wire;
@@ -42,7 +42,7 @@
     /// Overrides.
     pub overrides: overrides::OverridesConfig,
     /// Admission.
-    pub admission: DoorConfig,
+    pub admission: AdmissionConfig,
     /// The fleet, if it is configured.
     pub fleet: Option<FleetConfig>,
     /// Format of the log.
--- a/crates/balancer/src/operator/admission.rs
+++ b/crates/balancer/src/operator/admission.rs
@@ -6,7 +6,7 @@
 use beaconflow_admission::{Bound, Limits};
 
 use super::section::Section;
-use crate::core::DoorConfig;
+use crate::core::AdmissionConfig;
 
 /// Least bytes of the admission queue: one entry fits.
 const MIN_QUEUE_BYTES: usize = 4_096;
@@ -16,13 +16,13 @@
 const MAX_CHOICES: usize = 16;
 
 /// Reads the section.
-pub(super) fn admission(mut section: Section<'_>) -> DoorConfig {
-    let default = DoorConfig::default();
+pub(super) fn admission(mut section: Section<'_>) -> AdmissionConfig {
+    let default = AdmissionConfig::default();
     let limits = limits(&mut section, default.limits);
     let over_quota_after = over_quota_after(&mut section, default.over_quota_after);
     let quotas = section.section("shares").map(quotas).unwrap_or_default();
     section.reject_unknown_fields();
-    DoorConfig {
+    AdmissionConfig {
         limits,
         quotas,
         over_quota_after,
--- a/crates/balancer/src/operator/fleet/processes.rs
+++ b/crates/balancer/src/operator/fleet/processes.rs
@@ -1,16 +1,18 @@
 //! The section `[fleet]`: this process, its peers and its sites.
 
-use super::super::section::Section;
-use super::{AffinityConfig, EdgeConfig, FleetConfig};
-use beaconflow_membership::{Key, LONGEST_NAME, LONGEST_SITE};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+use beaconflow_membership::{Key, LONGEST_NAME, LONGEST_SITE};
+
+use super::super::section::Section;
+use super::{AffinityConfig, EdgeConfig, FleetConfig};
+
 /// Most processes of a fleet.
-pub(super) const MAX_PROCESSES: usize = 1_000;
+const MAX_PROCESSES: usize = 1_000;
 
 /// Characters allowed in a name.
-pub(super) const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
+const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
 
 pub(super) fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
     let name = named(&mut section, "name", LONGEST_NAME);
@@ -43,13 +45,13 @@
 
 /// Addresses of this process and of its peers.
 pub(super) struct Addresses {
-    pub(super) listen: Option<SocketAddr>,
-    pub(super) advertise: Option<SocketAddr>,
-    pub(super) peers: Option<Vec<SocketAddr>>,
+    listen: Option<SocketAddr>,
+    advertise: Option<SocketAddr>,
+    peers: Option<Vec<SocketAddr>>,
 }
 
 impl Addresses {
-    pub(super) fn read(section: &mut Section<'_>) -> Addresses {
+    fn read(section: &mut Section<'_>) -> Addresses {
         let listen: Option<SocketAddr> = section.required("listen");
         let advertise: Option<SocketAddr> = section
             .table
@@ -79,19 +81,14 @@
     }
 
     /// Number of peers without this process.
-    pub(super) fn other_peers(&self) -> usize {
+    fn other_peers(&self) -> usize {
         let own = self.advertise.or(self.listen);
         let peers = self.peers.iter().flatten();
         peers.filter(|peer| Some(**peer) != own).count()
     }
 }
 
-pub(super) fn check_address(
-    section: &Section<'_>,
-    field: &str,
-    address: &SocketAddr,
-    no_port: &str,
-) {
+fn check_address(section: &Section<'_>, field: &str, address: &SocketAddr, no_port: &str) {
     let is_open = !address.ip().is_loopback();
     section.error_if(field, is_open, "is not a loopback address");
     section.error_if(field, address.port() == 0, no_port);
@@ -99,12 +96,12 @@
 
 /// Files with the keys of datagrams.
 pub(super) struct Keys {
-    pub(super) current: PathBuf,
-    pub(super) previous: Option<PathBuf>,
+    current: PathBuf,
+    previous: Option<PathBuf>,
 }
 
 impl Keys {
-    pub(super) fn read(section: &mut Section<'_>) -> Option<Keys> {
+    fn read(section: &mut Section<'_>) -> Option<Keys> {
         let current = key(section, "key_file");
         let has_previous = section.table.contains_key("previous_key_file");
         let previous = has_previous
@@ -124,17 +121,13 @@
 
 /// Numbers of processes, and the other sites.
 pub(super) struct FleetSizes {
-    pub(super) fleet: usize,
-    pub(super) site: usize,
-    pub(super) other_sites: Vec<String>,
+    fleet: usize,
+    site: usize,
+    other_sites: Vec<String>,
 }
 
 impl FleetSizes {
-    pub(super) fn read(
-        section: &mut Section<'_>,
-        other_peers: usize,
-        own_site: Option<&str>,
-    ) -> FleetSizes {
+    fn read(section: &mut Section<'_>, other_peers: usize, own_site: Option<&str>) -> FleetSizes {
         let size = section.optional("size", other_peers + 1);
         section.error_if(
             "size",
@@ -168,7 +161,7 @@
     }
 }
 
-pub(super) fn other_sites(section: &mut Section<'_>, own_site: Option<&str>) -> Vec<String> {
+fn other_sites(section: &mut Section<'_>, own_site: Option<&str>) -> Vec<String> {
     let sites: Vec<String> = section.optional("other_sites", Vec::new());
     for (at, site) in (0..).zip(&sites) {
         let field = format!("other_sites[{at}]");
@@ -185,7 +178,7 @@
     sites
 }
 
-pub(super) fn clients_per_server_s(section: &mut Section<'_>) -> Option<f64> {
+fn clients_per_server_s(section: &mut Section<'_>) -> Option<f64> {
     let rate: Option<f64> = section
         .table
         .contains_key("borne")
@@ -196,20 +189,20 @@
 }
 
 /// A name is sent in every datagram and logged.
-pub(super) fn named(section: &mut Section<'_>, field: &str, longest: usize) -> Option<String> {
+fn named(section: &mut Section<'_>, field: &str, longest: usize) -> Option<String> {
     let name: Option<String> = section.required(field);
     let bad = name.as_ref().is_some_and(|name| !fits(name, longest));
     section.error_if(field, bad, &format!("1 to {longest} {NAME_CHARACTERS}"));
     name
 }
 
-pub(super) fn fits(name: &str, longest: usize) -> bool {
+fn fits(name: &str, longest: usize) -> bool {
     let sound = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
     (1..=longest).contains(&name.len()) && name.chars().all(sound)
 }
 
 /// A key is in a file of its own, so that the operator's file holds no secret.
-pub(super) fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
+fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
     let path: PathBuf = section.required(field)?;
     if let Err(fault) = Key::read(&path) {
         section.error(field, &fault.to_string());
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -11,7 +11,7 @@
 use crate::config::{PlatformConfig, SharedSettings};
 use beaconflow_admission::Limits;
 
-use crate::core::{CoreHandle, CoreInput, DoorConfig};
+use crate::core::{AdmissionConfig, CoreHandle, CoreInput};
 use crate::discovery::{DiscoveryAddress, DiscoveryEvent};
 use crate::fleet::FleetHandle;
 use crate::operator::{
@@ -230,10 +230,10 @@
     }
 
     /// Applies the limits and quotas of admission; the queues keep their number.
-    fn admission(&mut self, cores: &[NamedCore], old: &mut DoorConfig, new: DoorConfig) {
+    fn admission(&mut self, cores: &[NamedCore], old: &mut AdmissionConfig, new: AdmissionConfig) {
         self.fixed("admission.queues", old.limits.queues == new.limits.queues);
         self.fixed("admission.hand", old.limits.choices == new.limits.choices);
-        let applied = DoorConfig {
+        let applied = AdmissionConfig {
             limits: Limits {
                 queues: old.limits.queues,
                 choices: old.limits.choices,
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::clock::Clock;
 use crate::config::PlatformConfig;
 use crate::core::lifecycle::LifecycleCommand;
-use crate::core::{CoreHandle, CoreInput, DoorConfig, FleetLinkConfig};
+use crate::core::{AdmissionConfig, CoreHandle, CoreInput, FleetLinkConfig};
 use crate::fleet::{self, FleetHandle};
 use crate::inherited;
 use crate::net::{self, Listener};
@@ -95,7 +95,7 @@
 struct SharedCoreConfig<'a> {
     clock: Clock,
     overrides: &'a Set,
-    admission: &'a DoorConfig,
+    admission: &'a AdmissionConfig,
     fleet: Option<&'a operator::FleetConfig>,
 }
 
