--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -3,7 +3,7 @@
 use beaconflow_affinity::{Placement, VersionFact};
 use beaconflow_edge::Outcome::{Answered, Failed};
 use beaconflow_edge::{Evidence, ServerHealth};
-use beaconflow_gossip::{Evidence as Weighed, Seen as Sight, Subject, Value};
+use beaconflow_gossip::{ObservedHealth, ServerEvidence, Subject, Value};
 use beaconflow_policy::AttemptOutcome;
 use beaconflow_recovery::{Event as RecoveryEvent, EvidenceSource};
 use tracing::warn;
@@ -81,20 +81,23 @@
 
     /// Counts a placement on a server in slow start; former ones decay.
     fn count_slow_start_placement(&self, server: &ServerIdentity) {
-        let (subject, now) = (Subject::ColdSent(server.name.to_string()), self.now_ms());
+        let (subject, now) = (
+            Subject::SlowStartSends(server.name.to_string()),
+            self.now_ms(),
+        );
         shared_gossip::lock(&self.gossip, |known| {
             let sent = known
                 .knowledge
-                .get(&subject, &known.knowledge.me().name.clone(), now);
+                .get(&subject, &known.knowledge.origin().name.clone(), now);
             let before = match sent.map(|fact| (fact.value, fact.observed_at)) {
-                Some((Value::ColdSent(sent), at)) => {
+                Some((Value::SlowStartSends(sent), at)) => {
                     sent * 0.5_f64.powf((now - at.min(now)) as f64 / SLOW_START_HALF_LIFE_MS)
                 }
                 _ => 0.0,
             };
             let _ = known.knowledge.observe(
                 &subject,
-                &Value::ColdSent(before + 1.0),
+                &Value::SlowStartSends(before + 1.0),
                 EVIDENCE_TTL_MS,
                 now,
             );
@@ -181,9 +184,10 @@
         let told = shared_gossip::lock(&self.gossip, |known| {
             let known = &mut known.knowledge;
             if has_failed {
-                return known.failed(key, good, now).is_ok();
+                return known.record_placement_failure(key, good, now).is_ok();
             }
-            known.failures(key, now) > 0 && known.succeeded(key, good, now).is_ok()
+            known.failure_count(key, now) > 0
+                && known.record_placement_success(key, good, now).is_ok()
         });
         if told {
             self.membership.say();
@@ -191,26 +195,37 @@
     }
 
     fn publish_attempt_outcome(&mut self, server: &ServerIdentity, how: Option<AttemptOutcome>) {
-        let seen = match how {
-            None | Some(AttemptOutcome::Served) => Sight::Well,
-            Some(AttemptOutcome::TimedOut) => Sight::Hung,
+        let observed = match how {
+            None | Some(AttemptOutcome::Served) => ObservedHealth::Healthy,
+            Some(AttemptOutcome::TimedOut) => ObservedHealth::Hung,
             Some(
                 AttemptOutcome::ConnectFailed
                 | AttemptOutcome::Rejected
                 | AttemptOutcome::Reset
                 | AttemptOutcome::ServerError,
-            ) => Sight::Refused,
+            ) => ObservedHealth::Refused,
             Some(AttemptOutcome::Cancelled | AttemptOutcome::NotSent) => return,
         };
-        let (subject, now) = (Subject::Standing(server.name.to_string()), self.now_ms());
+        let (subject, now) = (
+            Subject::ServerEvidence(server.name.to_string()),
+            self.now_ms(),
+        );
         shared_gossip::lock(&self.gossip, |known| {
             let before = known
                 .knowledge
-                .get(&subject, &known.knowledge.me().name.clone(), now);
+                .get(&subject, &known.knowledge.origin().name.clone(), now);
             let weight = match before.map(|fact| (fact.value, fact.observed_at)) {
-                Some((Value::Standing(Weighed { seen: same, weight }), at)) if same == seen => {
+                Some((
+                    Value::ServerEvidence(ServerEvidence {
+                        observed: same,
+                        weight,
+                    }),
+                    at,
+                )) if same == observed => {
                     // A healthy server is not reported for every connection.
-                    if seen == Sight::Well && now.saturating_sub(at) < EVIDENCE_TTL_MS / 4 {
+                    if observed == ObservedHealth::Healthy
+                        && now.saturating_sub(at) < EVIDENCE_TTL_MS / 4
+                    {
                         return;
                     }
                     (weight + 1.0).min(MAX_EVIDENCE_WEIGHT)
@@ -219,7 +234,7 @@
             };
             let _ = known.knowledge.observe(
                 &subject,
-                &Value::Standing(Weighed { seen, weight }),
+                &Value::ServerEvidence(ServerEvidence { observed, weight }),
                 EVIDENCE_TTL_MS,
                 now,
             );
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -2,7 +2,7 @@
 
 use beaconflow_affinity::{Placement, VersionFact};
 use beaconflow_edge::Evidence;
-use beaconflow_gossip::{Change, Subject};
+use beaconflow_gossip::{FactChange, Subject};
 use beaconflow_membership::Event as PeerEvent;
 use beaconflow_recovery::{Event as RecoveryEvent, EvidenceSource, PeerStatus};
 
@@ -26,9 +26,9 @@
 
 impl FleetThread {
     /// Handles facts that peers added.
-    pub(super) fn on_gossip_changes(&mut self, changes: &[Change]) {
+    pub(super) fn on_gossip_changes(&mut self, changes: &[FactChange]) {
         let mut gathered = ChangeSummary::default();
-        for fact in changes.iter().filter_map(Change::after) {
+        for fact in changes.iter().filter_map(FactChange::after) {
             match shared_gossip::custom_fact(&fact) {
                 Some((kind, key, bytes)) => {
                     self.on_custom_fact(kind, (key, bytes), fact.observed_at, &mut gathered)
@@ -113,12 +113,13 @@
     /// Handles a fact that the gossip crate interprets.
     fn on_fact(&mut self, subject: &Subject, gathered: &mut ChangeSummary) {
         match subject {
-            Subject::Listed(_) => gathered.has_entries = true,
-            Subject::List => gathered.has_list_position = true,
-            Subject::Failures(key) => {
+            Subject::ServerEntry(_) => gathered.has_entries = true,
+            Subject::ListVersion => gathered.has_list_position = true,
+            Subject::PlacementFailures(key) => {
                 let (key, now) = (*key, self.now_ms());
-                let count =
-                    shared_gossip::lock(&self.gossip, |known| known.knowledge.failures(key, now));
+                let count = shared_gossip::lock(&self.gossip, |known| {
+                    known.knowledge.failure_count(key, now)
+                });
                 self.core
                     .send(CoreInput::Fleet(FleetEvent::FailuresCounted(key, count)));
             }
@@ -130,7 +131,7 @@
     fn adopt_list_epoch(&mut self) {
         let now = self.now_ms();
         let finish_settling = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.settle_list(LIST_TTL_MS, now)
+            known.knowledge.reassess_list(LIST_TTL_MS, now)
         });
         self.list_position = finish_settling
             .filter(|_| self.list_position.is_some())
@@ -164,7 +165,7 @@
             PeerEvent::BootRaised(boot) => {
                 self.incarnation = boot;
                 self.status.incarnation = boot;
-                shared_gossip::lock(&self.gossip, |known| known.knowledge.renumber(boot));
+                shared_gossip::lock(&self.gossip, |known| known.knowledge.set_incarnation(boot));
             }
             PeerEvent::Up(_) | PeerEvent::Restarted { .. } | PeerEvent::Changed { .. } => {
                 self.publish_status_at = self.now
--- a/crates/balancer/src/fleet/periodic.rs
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::PoisonError;
 
-use beaconflow_gossip::{Kind, Subject};
+use beaconflow_gossip::{FactKind, Subject};
 use beaconflow_membership::Member;
 use beaconflow_recovery::PeerStatus;
 
@@ -102,14 +102,14 @@
         self.status.failing_clients = shared_gossip::lock(&self.gossip, |known| {
             let keys = known
                 .knowledge
-                .iter(Kind::Failures, now)
+                .iter(FactKind::PlacementFailures, now)
                 .filter_map(|fact| match fact.subject {
-                    Subject::Failures(key) => Some(key),
+                    Subject::PlacementFailures(key) => Some(key),
                     _ => None,
                 });
             let keys: BTreeSet<u64> = keys.collect();
             keys.into_iter()
-                .filter(|key| known.knowledge.failures(*key, now) > 0)
+                .filter(|key| known.knowledge.failure_count(*key, now) > 0)
                 .count()
         });
         self.status.uplink = self
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -1,7 +1,7 @@
 //! Restoring the stored memory.
 
 use beaconflow_affinity::Placement;
-use beaconflow_gossip::{ListAnnouncement, Position, Value};
+use beaconflow_gossip::{ListAnnouncement, ListPosition, Value};
 use beaconflow_recovery::{
     self as recovery, Event as RecoveryEvent, RememberedKind, Source, Validity,
 };
@@ -24,7 +24,7 @@
         let position = restored.list.map(|(list, epoch)| {
             let by_name = |server: &ListedServer| (server.instance_id.clone(), server.clone());
             self.servers = list.instances.iter().map(by_name).collect();
-            Position {
+            ListPosition {
                 incarnation: epoch,
                 generation: list.generation,
             }
@@ -75,11 +75,11 @@
         let announcement = ListAnnouncement {
             generation: list.generation,
             digest: list_digest(list),
-            complete_list: true,
+            is_complete: true,
         };
         let now = self.now_ms();
         let position = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.hear_list(announcement, LIST_TTL_MS, now)
+            known.knowledge.record_list(announcement, LIST_TTL_MS, now)
         });
         position.map_or(0, |position| position.incarnation)
     }
@@ -116,7 +116,7 @@
         );
         // Expired or superseded placements are refused.
         let _ = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.recall(
+            known.knowledge.restore_observation(
                 &subject,
                 &value,
                 retention,
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -2,7 +2,7 @@
 
 use beaconflow_edge::Evidence;
 use beaconflow_gossip::{
-    Lifecycle as KnownAs, ListAnnouncement, Listed as KnownEntry, Position, Subject, Value,
+    Lifecycle as KnownAs, ListAnnouncement, ListPosition, ServerEntry as KnownEntry, Subject, Value,
 };
 use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, Source};
 
@@ -36,10 +36,10 @@
         let told = ListAnnouncement {
             generation: list.generation,
             digest: list_digest(&whole),
-            complete_list: list.reset,
+            is_complete: list.reset,
         };
         let position = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.hear_list(told, LIST_TTL_MS, now)
+            known.knowledge.record_list(told, LIST_TTL_MS, now)
         })
         .ok();
         self.list_position = position.or(self.list_position);
@@ -58,11 +58,11 @@
         self.with_uplink(|uplink, now| uplink.on_evidence(now, Evidence::WatchStands));
     }
 
-    pub(super) fn publish_entries(&self, position: Position, entries: &[ListedServer]) {
+    pub(super) fn publish_entries(&self, position: ListPosition, entries: &[ListedServer]) {
         let now = self.now_ms();
         shared_gossip::lock(&self.gossip, |known| {
             for one in entries {
-                let value = Value::Listed(KnownEntry {
+                let value = Value::ServerEntry(KnownEntry {
                     position,
                     lifecycle: match one.lifecycle {
                         ServerLifecycle::Serving => KnownAs::Serving,
@@ -77,7 +77,7 @@
                     machine_type: one.machine_type.clone(),
                 });
                 let _ = known.knowledge.observe(
-                    &Subject::Listed(one.instance_id.clone()),
+                    &Subject::ServerEntry(one.instance_id.clone()),
                     &value,
                     LIST_TTL_MS,
                     now,
@@ -105,7 +105,8 @@
             return self.start_settling();
         }
         let now = self.now_ms();
-        let entries = shared_gossip::lock(&self.gossip, |known| known.knowledge.list(now));
+        let entries =
+            shared_gossip::lock(&self.gossip, |known| known.knowledge.server_entries(now));
         let latest = entries
             .iter()
             .map(|(_, entry)| entry.position)
@@ -115,7 +116,7 @@
             let listed_server = listed(name.clone(), &entry, self.servers.get(&name));
             self.servers.insert(name, listed_server);
         }
-        let Position {
+        let ListPosition {
             incarnation,
             generation,
         } = latest;
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{Bound, Class, Limits, Memory as Placements, Routing, Server, Version};
-use beaconflow_gossip::{Change, FactStore, Origin};
+use beaconflow_gossip::{FactChange, FactStore, Origin};
 use beaconflow_membership::{self as peers, Configuration, Key, Keys, Node, Profile, driver};
 use beaconflow_policy::Settings;
 use beaconflow_settings::{SiteSettings, digest};
@@ -206,7 +206,7 @@
     }
 
     /// The gossip state at the start.
-    fn gossip_state(&self, news: Sender<Vec<Change>>) -> SharedGossipHandle {
+    fn gossip_state(&self, news: Sender<Vec<FactChange>>) -> SharedGossipHandle {
         let bounds = shared_gossip::bounds(
             self.config.affinity.max_placements,
             millis(self.config.affinity.retention),
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use beaconflow_gossip::{Change, Fact, FactStore, Kind, Subject, Value};
+use beaconflow_gossip::{Fact, FactChange, FactKind, FactStore, Subject, Value};
 use beaconflow_membership::{Body, Member};
 use crossbeam_channel::Sender;
 use tracing::warn;
@@ -24,7 +24,7 @@
 /// The gossip state, and who is told what peers added to it.
 pub(super) struct SharedGossip {
     pub(super) knowledge: FactStore,
-    changes: Sender<Vec<Change>>,
+    changes: Sender<Vec<FactChange>>,
     /// Number of processes in the fleet, including this one.
     pub(super) members: usize,
     /// Packets that could not be parsed.
@@ -32,7 +32,10 @@
 }
 
 impl SharedGossip {
-    pub(super) fn shared(knowledge: FactStore, changes: Sender<Vec<Change>>) -> SharedGossipHandle {
+    pub(super) fn shared(
+        knowledge: FactStore,
+        changes: Sender<Vec<FactChange>>,
+    ) -> SharedGossipHandle {
         Arc::new(Mutex::new(SharedGossip {
             knowledge,
             changes,
@@ -58,7 +61,7 @@
 
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
         self.knowledge
-            .answer(summary, room, most, now)
+            .answer_summary(summary, room, most, now)
             .unwrap_or_else(|_| {
                 self.unreadable += 1;
                 Vec::new()
@@ -66,7 +69,7 @@
     }
 
     fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
-        match self.knowledge.take(bytes, now) {
+        match self.knowledge.merge_packet(bytes, now) {
             Ok(changes) if changes.is_empty() => {}
             // A fleet thread that has stopped has logged that.
             Ok(changes) => drop(self.changes.send(changes)),
@@ -81,13 +84,17 @@
 
     fn members(&mut self, n: usize) {
         self.members = n;
-        self.knowledge.members(n);
+        self.knowledge.set_member_count(n);
     }
 }
 
 /// The subject of a fact of this program's own kinds.
-pub(super) fn custom_subject(kind: u32, key: Vec<u8>, owned: bool) -> Subject {
-    Subject::Unknown { kind, key, owned }
+pub(super) fn custom_subject(kind: u32, key: Vec<u8>, is_per_process: bool) -> Subject {
+    Subject::Unknown {
+        kind,
+        key,
+        is_per_process,
+    }
 }
 
 /// Kind, key and value of a fact, if it is of one of those kinds.
@@ -101,12 +108,12 @@
 /// Bounds that leave room for so many placements.
 pub(super) fn bounds(most: usize, keep: Millis, seed: u64) -> beaconflow_gossip::Bounds {
     let mut bounds = beaconflow_gossip::Bounds {
-        seed,
+        hash_seed: seed,
         ..Default::default()
     };
-    let own = bounds.of_mut(Kind::Unknown);
-    own.bytes = own.bytes.max(most.saturating_mul(BYTES_PER_PLACEMENT));
-    own.longest = own.longest.max(keep);
+    let own = bounds.of_kind_mut(FactKind::Unknown);
+    own.max_bytes = own.max_bytes.max(most.saturating_mul(BYTES_PER_PLACEMENT));
+    own.max_lifetime_ms = own.max_lifetime_ms.max(keep);
     bounds
 }
 
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::Version;
-use beaconflow_gossip::Change;
+use beaconflow_gossip::FactChange;
 use beaconflow_membership::{self as peers, driver};
 use crossbeam_channel::{Receiver, never, select};
 use tracing::{info, warn};
@@ -29,7 +29,7 @@
 /// The receivers of the fleet thread.
 pub(super) struct FleetReceiver {
     pub(super) core_events: Receiver<CoreEvent>,
-    pub(super) gossip_changes: Receiver<Vec<Change>>,
+    pub(super) gossip_changes: Receiver<Vec<FactChange>>,
     pub(super) membership_events: Receiver<peers::Event>,
     pub(super) commands: Receiver<FleetCommand>,
 }
@@ -37,7 +37,7 @@
 /// An input of the fleet thread.
 enum FleetInput {
     Core(CoreEvent),
-    Gossip(Vec<Change>),
+    Gossip(Vec<FactChange>),
     Membership(peers::Event),
     Command(FleetCommand),
     CoreStopped,
@@ -87,7 +87,7 @@
     pub(super) is_admission_staged: bool,
     /// The list as the core has it, by name.
     pub(super) servers: BTreeMap<String, ListedServer>,
-    pub(super) list_position: Option<beaconflow_gossip::Position>,
+    pub(super) list_position: Option<beaconflow_gossip::ListPosition>,
     pub(super) established: usize,
     /// When this process's status is published next.
     pub(super) publish_status_at: u64,
--- a/crates/gossip/benches/merge.rs
+++ b/crates/gossip/benches/merge.rs
@@ -4,18 +4,18 @@
 use std::hint::black_box;
 
 use beaconflow_gossip::{
-    Bounds, FactStore, Holder, Kind, Millis, Origin, Placement, Subject, Value,
+    Bounds, FactKind, FactStore, Millis, Origin, Placement, PlacementKey, Subject, Value,
 };
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput};
 
 const NOW: Millis = 1_800_000_000_000;
-const LONG: Millis = 3_600_000;
+const VALIDITY_MS: Millis = 3_600_000;
 /// Facts in a datagram.
-const DATAGRAM: u64 = 12;
+const FACTS_PER_DATAGRAM: u64 = 12;
 
 fn process(name: &str) -> FactStore {
     let mut bounds = Bounds::default();
-    bounds.of_mut(Kind::Placement).bytes = usize::MAX;
+    bounds.of_kind_mut(FactKind::Placement).max_bytes = usize::MAX;
     FactStore::new(
         Origin {
             name: name.into(),
@@ -25,48 +25,52 @@
     )
 }
 
-fn place(one: &mut FactStore, key: u64, now: Millis) {
+fn observe_placement(store: &mut FactStore, key: u64, now: Millis) {
     let server = format!("server-{:04}", key % 1_000);
     let value = Value::Placement(Some(Placement {
         server,
-        configuration: 7,
-        since: now,
+        configuration_digest: 7,
+        placed_at: now,
     }));
-    one.observe(
-        &Subject::Placement(Holder::Client(spread(key))),
-        &value,
-        LONG,
-        now,
-    )
-    .expect("taken");
+    store
+        .observe(
+            &Subject::Placement(PlacementKey::Client(client_key(key))),
+            &value,
+            VALIDITY_MS,
+            now,
+        )
+        .expect("taken");
 }
 
 /// Keys are hashes.
-fn spread(key: u64) -> u64 {
+fn client_key(key: u64) -> u64 {
     key.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
 fn packet(writer: &mut FactStore, keys: impl Iterator<Item = u64>, now: Millis) -> Vec<u8> {
-    keys.for_each(|key| place(writer, key, now));
+    keys.for_each(|key| observe_placement(writer, key, now));
     writer.gossip_payload(1 << 16, now)
 }
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
     for count in [1_000_u64, 100_000, 1_000_000] {
-        let mut one = process("one");
-        (0..count).for_each(|key| place(&mut one, key, NOW));
-        let (bytes, held) = one.size(Kind::Placement);
-        println!("{held} placements count for {} bytes each", bytes / held);
+        let mut store = process("one");
+        (0..count).for_each(|key| observe_placement(&mut store, key, NOW));
+        let (bytes, count_held) = store.usage(FactKind::Placement);
+        println!(
+            "{count_held} placements count for {} bytes each",
+            bytes / count_held
+        );
         let mut next = 0;
         criterion.bench_function(&format!("look up/{count}"), |bencher| {
             bencher.iter(|| {
                 next = (next + 7_919) % count;
-                black_box(one.placement(Holder::Client(spread(black_box(next))), NOW))
+                black_box(store.placement(PlacementKey::Client(client_key(black_box(next))), NOW))
             });
         });
         let mut group = criterion.benchmark_group("merge, each of 12");
-        group.throughput(Throughput::Elements(DATAGRAM));
+        group.throughput(Throughput::Elements(FACTS_PER_DATAGRAM));
         let now = Cell::new(NOW);
         group.bench_function(BenchmarkId::new("later", count), |bencher| {
             bencher.iter_batched(
@@ -75,26 +79,28 @@
                     now.set(now.get() + 1);
                     packet(
                         &mut process("peer"),
-                        (0..DATAGRAM).map(|step| (next + step * 997) % count),
+                        (0..FACTS_PER_DATAGRAM).map(|step| (next + step * 997) % count),
                         now.get(),
                     )
                 },
                 |bytes| {
-                    one.take(&bytes, now.get())
-                        .map(|changes| assert_eq!(changes.len(), DATAGRAM as usize))
+                    store
+                        .merge_packet(&bytes, now.get())
+                        .map(|changes| assert_eq!(changes.len(), FACTS_PER_DATAGRAM as usize))
                 },
                 BatchSize::SmallInput,
             );
         });
         let known = packet(
             &mut process("peer"),
-            (0..DATAGRAM).map(|step| (step * 997) % count),
+            (0..FACTS_PER_DATAGRAM).map(|step| (step * 997) % count),
             now.get(),
         );
-        one.take(&known, now.get()).expect("sound");
+        store.merge_packet(&known, now.get()).expect("sound");
         group.bench_function(BenchmarkId::new("known", count), |bencher| {
             bencher.iter(|| {
-                one.take(black_box(&known), now.get())
+                store
+                    .merge_packet(black_box(&known), now.get())
                     .map(|changes| assert_eq!(changes.len(), 0))
             });
         });
--- a/crates/gossip/src/bounds.rs
+++ b/crates/gossip/src/bounds.rs
@@ -1,34 +1,34 @@
 //! How much is kept of each kind, how long, and how it fades.
 
 use crate::Millis;
-use crate::fact::Kind;
+use crate::fact::FactKind;
 
 /// The bound of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound {
+pub struct KindBounds {
     /// Most bytes, with what each fact costs beside its record.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// No fact of the kind is good, or kept, for longer than this, whatever it says itself.
-    pub longest: Millis,
+    pub max_lifetime_ms: Millis,
 }
 
 /// The bounds of all kinds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// By kind, in the order of [`Kind::ALL`].
-    pub kinds: [Bound; Kind::ALL.len()],
+    /// By kind, in the order of [`FactKind::ALL`].
+    pub by_kind: [KindBounds; FactKind::ALL.len()],
     /// Most facts that are told as rumours at once. What is heard beyond them is left to the pages.
-    pub gossiped_facts: usize,
+    pub max_gossiped_facts: usize,
     /// Evidence on a server counts for half after so long.
-    pub evidence_half: Millis,
+    pub evidence_half_life_ms: Millis,
     /// No process's evidence on a server counts for more than this.
-    pub evidence_most: f64,
+    pub max_evidence_weight: f64,
     /// Evidence that counts for less than this in all says nothing.
-    pub evidence_thin: f64,
+    pub min_evidence_weight: f64,
     /// What was sent to a cold server counts for half after so long.
-    pub slow_start_half_life: Millis,
+    pub slow_start_half_life_ms: Millis,
     /// Drawn anew at each start. Guards against client keys chosen to meet in the table.
-    pub seed: u64,
+    pub hash_seed: u64,
 }
 
 const MINUTE: Millis = 60_000;
@@ -37,37 +37,40 @@
 impl Default for Bounds {
     fn default() -> Bounds {
         let of = |kind| {
-            let (bytes, longest) = match kind {
-                Kind::Listed => (8 << 20, 7 * 24 * HOUR),
-                Kind::List | Kind::Configuration => (1 << 20, 24 * HOUR),
-                Kind::Standing | Kind::ColdSent => (8 << 20, 10 * MINUTE),
-                Kind::Failures => (16 << 20, 10 * MINUTE),
-                Kind::Placement => (320 << 20, 24 * HOUR),
-                Kind::Override => (16 << 20, 8 * 24 * HOUR),
-                Kind::Unknown => (8 << 20, 24 * HOUR),
+            let (max_bytes, max_lifetime_ms) = match kind {
+                FactKind::ServerEntry => (8 << 20, 7 * 24 * HOUR),
+                FactKind::ListVersion | FactKind::Configuration => (1 << 20, 24 * HOUR),
+                FactKind::ServerEvidence | FactKind::SlowStartSends => (8 << 20, 10 * MINUTE),
+                FactKind::PlacementFailures => (16 << 20, 10 * MINUTE),
+                FactKind::Placement => (320 << 20, 24 * HOUR),
+                FactKind::Override => (16 << 20, 8 * 24 * HOUR),
+                FactKind::Unknown => (8 << 20, 24 * HOUR),
             };
-            Bound { bytes, longest }
+            KindBounds {
+                max_bytes,
+                max_lifetime_ms,
+            }
         };
         Bounds {
-            kinds: Kind::ALL.map(of),
-            gossiped_facts: 4_096,
-            evidence_half: 15_000,
-            evidence_most: 4.0,
-            evidence_thin: 0.5,
-            slow_start_half_life: 10_000,
-            seed: 0,
+            by_kind: FactKind::ALL.map(of),
+            max_gossiped_facts: 4_096,
+            evidence_half_life_ms: 15_000,
+            max_evidence_weight: 4.0,
+            min_evidence_weight: 0.5,
+            slow_start_half_life_ms: 10_000,
+            hash_seed: 0,
         }
     }
 }
 
 impl Bounds {
     /// The bound of that kind.
-    pub fn of(&self, kind: Kind) -> Bound {
-        self.kinds[kind as usize]
+    pub fn of_kind(&self, kind: FactKind) -> KindBounds {
+        self.by_kind[kind as usize]
     }
 
     /// The bound of that kind, to be changed.
-    pub fn of_mut(&mut self, kind: Kind) -> &mut Bound {
-        &mut self.kinds[kind as usize]
+    pub fn of_kind_mut(&mut self, kind: FactKind) -> &mut KindBounds {
+        &mut self.by_kind[kind as usize]
     }
 }
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,4 +1,5 @@
-//! How facts spread: as rumours while they are new, and by comparing digests, page by page, where a rumour got lost.
+//! Dissemination: new facts spread as gossip, and anti-entropy repairs what gossip lost by comparing digests of hash
+//! ranges and sending pages of facts for ranges that differ.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -6,154 +7,157 @@
 use prost::Message;
 
 use crate::Millis;
-use crate::fact::{Fact, Kind, Subject};
-use crate::fact_store::{FactStore, carried};
-use crate::fact_table::Merged;
-use crate::record::{Carried, HashRange, Packet, Summary, View, read_carried};
-use crate::slot::{LEAF_BITS, Raw};
+use crate::fact::{Fact, FactKind, Subject};
+use crate::fact_store::{FactStore, aged_record};
+use crate::fact_table::MergeResult;
+use crate::record::{AgedRecord, HashRange, Packet, RecordView, Summary, read_aged_record};
+use crate::slot::{LEAF_BITS, RawRecord};
 use crate::wire::{Field, Fields};
 
-/// Longest packet that is read.
-const LONGEST: usize = 1 << 20;
-/// A range of so many facts is sent as it is; a fuller one is first compared in parts.
-const FEW: usize = 64;
-/// Stretches that an answer names, and that a process keeps in mind, to be compared in parts.
-const GAPS: usize = 16;
-/// How often a process tells an entry that it has from discovery.
-const LISTED_TELLINGS: u8 = 3;
-/// Rumours that do not fit any more, after which no shorter one is looked for.
-const MISSES: usize = 8;
-/// Bytes of a packet or summary beside what it carries.
-const FRAME: usize = 32;
+/// Longer packets and summaries are rejected unread.
+const MAX_PACKET_BYTES: usize = 1 << 20;
+/// A differing range with at most this many facts is sent in full; a fuller one is first compared in parts.
+const MAX_UNSPLIT_RANGE_FACTS: usize = 64;
+/// Bounds the differing ranges named by one answer, and those a process queues for comparison in parts.
+const MAX_DIFFERING_RANGES: usize = 16;
+/// Transmissions of a server entry by a process that received it from discovery.
+const SERVER_ENTRY_TRANSMISSIONS: u8 = 3;
+/// After this many gossiped facts that did not fit, the search for a shorter one ends; the one over the limit ends it.
+const MAX_SKIPPED_FACTS: usize = 8;
+/// Bytes reserved in each packet or summary for fields other than facts and digests.
+const FRAME_OVERHEAD_BYTES: usize = 32;
 
-/// Bytes that are no packet or summary.
+/// Error for bytes that are not a valid packet or summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
-    /// Longer than any is.
+pub enum DecodeError {
+    /// Longer than the limit of 1 MiB.
     TooLong,
-    /// Not in the form of one.
+    /// Not a valid encoding.
     Malformed,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unreadable::TooLong => "longer than 1 MiB",
-            Unreadable::Malformed => "not in the form of facts or of a summary",
+            DecodeError::TooLong => "longer than 1 MiB",
+            DecodeError::Malformed => "not in the form of facts or of a summary",
         })
     }
 }
 
-/// A fact as it was noted, read when it is asked for.
+/// An encoded fact and its time of observation; decoded on request.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Noted {
-    pub raw: Raw,
+pub(crate) struct TimedRecord {
+    pub raw: RawRecord,
     pub observed_at: Millis,
 }
 
-impl Noted {
+impl TimedRecord {
     fn fact(&self) -> Option<Fact> {
-        Some(View::new(&self.raw)?.fact(self.observed_at))
+        Some(RecordView::new(&self.raw)?.fact(self.observed_at))
     }
 }
 
-/// Something became known.
+/// A fact that a merge added or replaced.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
-    pub(crate) old: Option<Noted>,
-    pub(crate) new: Noted,
+pub struct FactChange {
+    pub(crate) previous: Option<TimedRecord>,
+    pub(crate) current: TimedRecord,
 }
 
-impl Change {
-    /// What it is about.
+impl FactChange {
+    /// Subject of the fact.
     pub fn subject(&self) -> Option<Subject> {
         self.after().map(|fact| fact.subject)
     }
 
-    /// What was known of it before.
+    /// The replaced fact; `None` if the subject was unknown.
     pub fn before(&self) -> Option<Fact> {
-        self.old.as_ref()?.fact()
+        self.previous.as_ref()?.fact()
     }
 
-    /// What is known now.
+    /// The merged fact.
     pub fn after(&self) -> Option<Fact> {
-        self.new.fact()
+        self.current.fact()
     }
 }
 
-/// How far the telling is.
+/// State of gossip and anti-entropy.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gossip {
-    members: usize,
-    /// Stretches to be compared in parts.
-    gaps: VecDeque<HashRange>,
-    turn: u32,
-    refused: u64,
-    pub outrun: Option<u64>,
+pub(crate) struct GossipState {
+    member_count: usize,
+    /// Ranges to be compared in parts.
+    differing_ranges: VecDeque<HashRange>,
+    summary_sequence: u32,
+    rejected_facts: u64,
+    pub later_incarnation: Option<u64>,
 }
 
-impl Gossip {
-    /// A fact that was told so often is no rumour any more.
-    fn enough(&self) -> u8 {
-        let members = self.members.max(2);
+impl GossipState {
+    /// Transmissions after which a fact is no longer gossiped.
+    fn max_transmissions(&self) -> u8 {
+        let members = self.member_count.max(2);
         (3 * (usize::BITS - (members - 1).leading_zeros()) + 2) as u8
     }
 
-    /// As how often told an own observation begins. Guards against a fleet in which each process tells at length what
-    /// all have just heard from discovery: who had not tells it on in full.
-    pub fn transmissions_of(&self, kind: Kind) -> u8 {
-        if kind == Kind::Listed {
-            self.enough() - LISTED_TELLINGS
+    /// Transmission count at which an own observation starts. Server entries start near the maximum, as otherwise every
+    /// process would gossip at length what all have just received from discovery; a process that receives an entry by
+    /// gossip passes it on in full.
+    pub fn initial_transmissions(&self, kind: FactKind) -> u8 {
+        if kind == FactKind::ServerEntry {
+            self.max_transmissions() - SERVER_ENTRY_TRANSMISSIONS
         } else {
             0
         }
     }
 }
 
-/// Bytes in a packet of a record of that length.
-fn weight(raw: &[u8]) -> usize {
-    // The longest age takes 10 bytes; each field has one byte for its number.
+/// Most bytes that a record takes in a packet.
+fn packet_cost(raw: &[u8]) -> usize {
+    // The longest age takes 10 bytes, and each field has one byte for its tag.
     let len = 1 + prost::length_delimiter_len(raw.len()) + raw.len() + 11;
     1 + prost::length_delimiter_len(len) + len
 }
 
 impl FactStore {
-    /// So many processes there are, with this one.
-    pub fn members(&mut self, n: usize) {
-        self.gossip.members = n;
+    /// Sets the number of processes in the fleet, including this one.
+    pub fn set_member_count(&mut self, count: usize) {
+        self.gossip.member_count = count;
     }
 
-    /// Facts that peers sent and that no program would write, so far.
-    pub fn refused(&self) -> u64 {
-        self.gossip.refused
+    /// Number of facts from peers rejected so far because no version of this program would write them.
+    pub fn rejected_facts(&self) -> u64 {
+        self.gossip.rejected_facts
     }
 
-    /// Rumours for one peer in at most so many bytes, least often told first; nothing if there are none. Each call
-    /// counts as one telling of what it hands out.
-    pub fn gossip_payload(&mut self, room: usize, now: Millis) -> Vec<u8> {
-        let (enough, mut left) = (self.gossip.enough(), room.saturating_sub(FRAME));
-        let (mut facts, mut announcement, mut missed) = (Vec::new(), Vec::new(), 0);
-        for (at, slot) in self.facts.hot() {
-            let weight = weight(&slot.raw);
-            if weight <= left {
-                left -= weight;
-                facts.push(carried(slot, now));
-                announcement.push((at, slot.gossip_order.map_or(0, |turn| turn.0) + 1));
+    /// A packet of gossip for one peer, in at most `max_bytes`, with the least transmitted facts first; empty if there
+    /// are none. Each call counts as one transmission of the facts it returns.
+    pub fn gossip_payload(&mut self, max_bytes: usize, now: Millis) -> Vec<u8> {
+        let max_transmissions = self.gossip.max_transmissions();
+        let mut remaining_bytes = max_bytes.saturating_sub(FRAME_OVERHEAD_BYTES);
+        let (mut facts, mut transmitted, mut skipped) = (Vec::new(), Vec::new(), 0);
+        for (slot_index, slot) in self.facts.gossip_queue() {
+            let cost = packet_cost(&slot.raw);
+            if cost <= remaining_bytes {
+                remaining_bytes -= cost;
+                facts.push(aged_record(slot, now));
+                let transmissions = slot.gossip_order.map_or(0, |(count, _)| count);
+                transmitted.push((slot_index, transmissions + 1));
                 continue;
             }
-            if weight > room.saturating_sub(FRAME) {
-                // It fits no packet and is left to larger pages.
-                announcement.push((at, enough));
+            if cost > max_bytes.saturating_sub(FRAME_OVERHEAD_BYTES) {
+                // It fits no gossip packet and is left to the larger anti-entropy pages.
+                transmitted.push((slot_index, max_transmissions));
             }
-            missed += 1;
-            if missed > MISSES {
+            skipped += 1;
+            if skipped > MAX_SKIPPED_FACTS {
                 break;
             }
         }
-        for (at, times) in announcement {
-            self.facts.cool(at);
-            if times < enough {
-                self.facts.heat(at, times);
+        for (slot_index, transmissions) in transmitted {
+            self.facts.dequeue_gossip(slot_index);
+            if transmissions < max_transmissions {
+                self.facts.enqueue_gossip(slot_index, transmissions);
             }
         }
         if facts.is_empty() {
@@ -167,21 +171,23 @@
         }
     }
 
-    /// Digests to be compared by a peer, in at most so many bytes: of all facts, or in turn with that of a range
-    /// that was found to differ.
-    pub fn summary(&mut self, room: usize) -> Vec<u8> {
-        self.gossip.turn = self.gossip.turn.wrapping_add(1);
-        let sequence = self.gossip.turn;
-        let gap = if sequence.is_multiple_of(2) {
-            self.gossip.gaps.pop_front()
+    /// Digests for a peer to compare, in at most `max_bytes`: alternately of all facts, and of a range that was found to
+    /// differ, if one is queued.
+    pub fn summary(&mut self, max_bytes: usize) -> Vec<u8> {
+        self.gossip.summary_sequence = self.gossip.summary_sequence.wrapping_add(1);
+        let sequence = self.gossip.summary_sequence;
+        let differing_range = if sequence.is_multiple_of(2) {
+            self.gossip.differing_ranges.pop_front()
         } else {
             None
         };
-        let range = gap.unwrap_or_default();
-        let most = (room.saturating_sub(FRAME) / 4).max(1).ilog2();
-        let parts = most.min(LEAF_BITS - range.bits);
-        let digests = (0..1 << parts).flat_map(|part| {
-            let digest = self.facts.digest(subrange(range, parts, part));
+        let range = differing_range.unwrap_or_default();
+        let max_bits = (max_bytes.saturating_sub(FRAME_OVERHEAD_BYTES) / 4)
+            .max(1)
+            .ilog2();
+        let bits = max_bits.min(LEAF_BITS - range.bits);
+        let digests = (0..1 << bits).flat_map(|part| {
+            let digest = self.facts.digest(subrange(range, bits, part));
             (digest as u32).to_le_bytes()
         });
         Summary {
@@ -192,44 +198,53 @@
         .encode_to_vec()
     }
 
-    /// Pages for the peer that sent this summary, each of at most so many bytes and no more of them than `most`:
-    /// facts in parts that differ, and which parts are too full for that.
-    pub fn answer(
+    /// At most `max_pages` pages, each of at most `max_bytes`, for the peer that sent this summary: the facts of parts
+    /// that differ, and the names of parts that are too full to be sent before they are compared in detail.
+    pub fn answer_summary(
         &self,
         summary: &[u8],
-        room: usize,
-        most: usize,
+        max_bytes: usize,
+        max_pages: usize,
         now: Millis,
-    ) -> Result<Vec<Vec<u8>>, Unreadable> {
-        let (range, parts, theirs) = read_summary(summary)?;
-        let count = 1_u32 << parts;
-        let mut pages = Pages {
-            room: room.saturating_sub(FRAME),
-            most,
-            done: Vec::new(),
-            open: Packet::default(),
+    ) -> Result<Vec<Vec<u8>>, DecodeError> {
+        let (range, bits, summary) = read_summary(summary)?;
+        let count = 1_u32 << bits;
+        let mut pages = PageWriter {
+            max_bytes: max_bytes.saturating_sub(FRAME_OVERHEAD_BYTES),
+            max_pages,
+            finished: Vec::new(),
+            current: Packet::default(),
         };
-        pages.open.page = true;
-        let mut left = pages.room;
-        let turn = theirs.sequence.wrapping_mul(0x9e37_79b9);
+        pages.current.is_page = true;
+        let mut remaining_bytes = pages.max_bytes;
+        let start = summary.sequence.wrapping_mul(0x9e37_79b9);
         for step in 0..count {
-            let at = step.wrapping_add(turn) % count;
-            let part = subrange(range, parts, at);
-            let announcement = &theirs.digests[4 * at as usize..][..4];
-            if self.facts.digest(part).to_le_bytes()[..4] == *announcement {
+            let part_index = step.wrapping_add(start) % count;
+            let part = subrange(range, bits, part_index);
+            let peer_digest = &summary.digests[4 * part_index as usize..][..4];
+            if self.facts.digest(part).to_le_bytes()[..4] == *peer_digest {
                 continue;
             }
-            let empty = announcement == [0; 4];
-            if part.bits < LEAF_BITS && !empty && self.facts.count(part) > FEW {
-                if pages.open.gaps.len() < GAPS && left > FRAME {
-                    pages.open.gaps.push(part);
-                    left -= FRAME / 2;
+            let is_empty_at_peer = peer_digest == [0; 4];
+            if part.bits < LEAF_BITS
+                && !is_empty_at_peer
+                && self.facts.count_in(part) > MAX_UNSPLIT_RANGE_FACTS
+            {
+                if pages.current.differing_ranges.len() < MAX_DIFFERING_RANGES
+                    && remaining_bytes > FRAME_OVERHEAD_BYTES
+                {
+                    pages.current.differing_ranges.push(part);
+                    remaining_bytes -= FRAME_OVERHEAD_BYTES / 2;
                 }
                 continue;
             }
-            for slot in self.facts.within(part).filter(|slot| now < slot.until) {
-                let fact = carried(slot, now);
-                if !pages.put(fact, &mut left) {
+            for slot in self
+                .facts
+                .slots_in(part)
+                .filter(|slot| now < slot.retained_until)
+            {
+                let fact = aged_record(slot, now);
+                if !pages.push(fact, &mut remaining_bytes) {
                     return Ok(pages.finish());
                 }
             }
@@ -237,137 +252,150 @@
         Ok(pages.finish())
     }
 
-    /// Merges what a peer sent, rumours or a page, and says what became known by it.
-    pub fn take(&mut self, bytes: &[u8], now: Millis) -> Result<Vec<Change>, Unreadable> {
-        if bytes.len() > LONGEST {
-            return Err(Unreadable::TooLong);
+    /// Merges a packet from a peer, either gossip or a page, and returns the facts that it added or replaced.
+    pub fn merge_packet(
+        &mut self,
+        bytes: &[u8],
+        now: Millis,
+    ) -> Result<Vec<FactChange>, DecodeError> {
+        if bytes.len() > MAX_PACKET_BYTES {
+            return Err(DecodeError::TooLong);
         }
         let fields = || Fields(bytes).filter_map(Result::ok);
         if Fields(bytes).any(|field| field.is_err()) {
-            return Err(Unreadable::Malformed);
+            return Err(DecodeError::Malformed);
         }
-        let page = fields().any(|(number, held)| number == 2 && held != Field::Number(0));
-        let enough = self.gossip.enough();
+        let is_page = fields().any(|(number, value)| number == 2 && value != Field::Number(0));
+        let max_transmissions = self.gossip.max_transmissions();
         let mut changes = Vec::new();
-        for held in fields()
+        for encoded_fact in fields()
             .filter(|(number, _)| *number == 1)
-            .filter_map(|(_, held)| held.bytes())
+            .filter_map(|(_, value)| value.bytes())
         {
-            let Ok((Some(view), age)) = read_carried(held) else {
-                self.gossip.refused += 1;
+            let Ok((Some(view), age)) = read_aged_record(encoded_fact) else {
+                self.gossip.rejected_facts += 1;
                 continue;
             };
-            self.meet(&view);
-            // A page tells what most know already.
-            let announcement = if page { enough / 2 } else { 0 };
-            let merged = self.merged(
+            self.detect_later_incarnation(&view);
+            // Most processes already know the facts of a page.
+            let transmissions = if is_page { max_transmissions / 2 } else { 0 };
+            let result = self.merge_and_report(
                 &view,
                 now.saturating_sub(age),
-                Some(announcement),
+                Some(transmissions),
                 now,
                 &mut changes,
             );
-            if let (Merged::Same(at), false) = (merged, page) {
-                self.count_duplicate(at, enough);
+            if let (MergeResult::Duplicate(slot_index), false) = (result, is_page) {
+                self.count_duplicate(slot_index, max_transmissions);
             }
         }
-        let gaps = fields()
+        let encoded_ranges = fields()
             .filter(|(number, _)| *number == 3)
-            .filter_map(|(_, held)| held.bytes());
-        for gap in gaps
-            .filter_map(|gap| HashRange::decode(gap).ok())
-            .filter(|gap| sound(*gap))
+            .filter_map(|(_, value)| value.bytes());
+        for range in encoded_ranges
+            .filter_map(|encoded| HashRange::decode(encoded).ok())
+            .filter(|range| is_valid_range(*range))
         {
-            if self.gossip.gaps.len() < GAPS && !self.gossip.gaps.contains(&gap) {
-                self.gossip.gaps.push_back(gap);
+            if self.gossip.differing_ranges.len() < MAX_DIFFERING_RANGES
+                && !self.gossip.differing_ranges.contains(&range)
+            {
+                self.gossip.differing_ranges.push_back(range);
             }
         }
         Ok(changes)
     }
 
-    /// A rumour that comes back counts as told: the more know it, the sooner it rests.
-    fn count_duplicate(&mut self, at: u32, enough: u8) {
-        if let Some(announcement) = self.facts.cool(at)
-            && announcement + 1 < enough
+    /// Counts a received duplicate as a transmission, so that a fact is gossiped less the more processes know it.
+    fn count_duplicate(&mut self, slot_index: u32, max_transmissions: u8) {
+        if let Some(transmissions) = self.facts.dequeue_gossip(slot_index)
+            && transmissions + 1 < max_transmissions
         {
-            self.facts.heat(at, announcement + 1);
+            self.facts.enqueue_gossip(slot_index, transmissions + 1);
         }
     }
 
-    /// Notes an own word of a boot that is not this one's yet.
-    fn meet(&mut self, view: &View<'_>) {
-        if view.owned && view.epoch > self.me.incarnation && view.name == self.me.name.as_bytes() {
-            self.gossip.outrun = self.gossip.outrun.max(Some(view.epoch));
+    /// Records that a peer knows a fact of this process from an incarnation later than the current one.
+    fn detect_later_incarnation(&mut self, view: &RecordView<'_>) {
+        if view.is_per_process
+            && view.epoch > self.origin.incarnation
+            && view.name == self.origin.name.as_bytes()
+        {
+            self.gossip.later_incarnation = self.gossip.later_incarnation.max(Some(view.epoch));
         }
     }
 }
 
-fn subrange(range: HashRange, parts: u32, part: u32) -> HashRange {
+/// Part number `part` of a range that is split into 2^`bits` equal parts.
+fn subrange(range: HashRange, bits: u32, part: u32) -> HashRange {
     HashRange {
-        bits: range.bits + parts,
-        prefix: (range.prefix << parts) | part,
+        bits: range.bits + bits,
+        prefix: (range.prefix << bits) | part,
     }
 }
 
-fn sound(range: HashRange) -> bool {
+fn is_valid_range(range: HashRange) -> bool {
     range.bits <= LEAF_BITS && range.prefix < 1 << range.bits
 }
 
-fn read_summary(bytes: &[u8]) -> Result<(HashRange, u32, Summary), Unreadable> {
-    if bytes.len() > LONGEST {
-        return Err(Unreadable::TooLong);
+/// The range of a summary, the binary logarithm of its number of parts, and the summary.
+fn read_summary(bytes: &[u8]) -> Result<(HashRange, u32, Summary), DecodeError> {
+    if bytes.len() > MAX_PACKET_BYTES {
+        return Err(DecodeError::TooLong);
     }
-    let summary = Summary::decode(bytes).map_err(|_| Unreadable::Malformed)?;
+    let summary = Summary::decode(bytes).map_err(|_| DecodeError::Malformed)?;
     let (range, parts) = (summary.range, summary.digests.len() / 4);
-    let parts = if parts.is_power_of_two() && summary.digests.len() % 4 == 0 {
+    let bits = if parts.is_power_of_two() && summary.digests.len() % 4 == 0 {
         parts.ilog2()
     } else {
         32
     };
-    let sound = sound(range) && range.bits + parts <= LEAF_BITS;
-    if sound {
-        Ok((range, parts, summary))
+    let is_valid = is_valid_range(range) && range.bits + bits <= LEAF_BITS;
+    if is_valid {
+        Ok((range, bits, summary))
     } else {
-        Err(Unreadable::Malformed)
+        Err(DecodeError::Malformed)
     }
 }
 
-/// Pages that are being filled.
-struct Pages {
-    room: usize,
-    most: usize,
-    done: Vec<Vec<u8>>,
-    open: Packet,
+/// Distributes facts over pages of bounded number and size.
+struct PageWriter {
+    max_bytes: usize,
+    max_pages: usize,
+    finished: Vec<Vec<u8>>,
+    current: Packet,
 }
 
-impl Pages {
-    /// Adds a fact; says no once all pages are full.
-    fn put(&mut self, fact: Carried, left: &mut usize) -> bool {
-        let weight = weight(&fact.fact);
-        if weight > *left && weight <= self.room {
-            self.rotate();
-            *left = self.room;
+impl PageWriter {
+    /// Adds a fact; returns `false` once all pages are full.
+    fn push(&mut self, fact: AgedRecord, remaining_bytes: &mut usize) -> bool {
+        let cost = packet_cost(&fact.record);
+        if cost > *remaining_bytes && cost <= self.max_bytes {
+            self.finish_page();
+            *remaining_bytes = self.max_bytes;
         }
-        if self.done.len() >= self.most {
+        if self.finished.len() >= self.max_pages {
             return false;
         }
-        if weight <= *left {
-            *left -= weight;
-            self.open.facts.push(fact);
+        if cost <= *remaining_bytes {
+            *remaining_bytes -= cost;
+            self.current.facts.push(fact);
         }
         true
     }
 
-    fn rotate(&mut self) {
-        let page = std::mem::take(&mut self.open);
-        self.open.page = true;
-        if !(page.facts.is_empty() && page.gaps.is_empty()) && self.done.len() < self.most {
-            self.done.push(page.encode_to_vec());
+    fn finish_page(&mut self) {
+        let page = std::mem::take(&mut self.current);
+        self.current.is_page = true;
+        if !(page.facts.is_empty() && page.differing_ranges.is_empty())
+            && self.finished.len() < self.max_pages
+        {
+            self.finished.push(page.encode_to_vec());
         }
     }
 
     fn finish(mut self) -> Vec<Vec<u8>> {
-        self.rotate();
-        self.done
+        self.finish_page();
+        self.finished
     }
 }
--- a/crates/gossip/src/fact.rs
+++ b/crates/gossip/src/fact.rs
@@ -15,17 +15,17 @@
 
 /// What facts are about, by sort. Each has bounds of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FactKind {
     /// An entry of the farm's list.
-    Listed,
+    ServerEntry,
     /// Which list a process holds.
-    List,
+    ListVersion,
     /// What a process has seen of a server.
-    Standing,
+    ServerEvidence,
     /// What a process sent to a cold server lately.
-    ColdSent,
+    SlowStartSends,
     /// What a process saw fail of a client's placements.
-    Failures,
+    PlacementFailures,
     /// Where a client or a group stands.
     Placement,
     /// An operator's override, or that it was removed.
@@ -36,23 +36,23 @@
     Unknown,
 }
 
-impl Kind {
+impl FactKind {
     /// All of them.
-    pub const ALL: [Kind; 9] = [
-        Kind::Listed,
-        Kind::List,
-        Kind::Standing,
-        Kind::ColdSent,
-        Kind::Failures,
-        Kind::Placement,
-        Kind::Override,
-        Kind::Configuration,
-        Kind::Unknown,
+    pub const ALL: [FactKind; 9] = [
+        FactKind::ServerEntry,
+        FactKind::ListVersion,
+        FactKind::ServerEvidence,
+        FactKind::SlowStartSends,
+        FactKind::PlacementFailures,
+        FactKind::Placement,
+        FactKind::Override,
+        FactKind::Configuration,
+        FactKind::Unknown,
     ];
 
     /// Its number in records; none for what is unknown.
-    pub(crate) fn number(self) -> u32 {
-        if self == Kind::Unknown {
+    pub(crate) fn wire_number(self) -> u32 {
+        if self == FactKind::Unknown {
             0
         } else {
             self as u32 + 1
@@ -60,41 +60,41 @@
     }
 
     /// The kind of that number.
-    pub(crate) fn of(number: u32) -> Kind {
-        let known = &Kind::ALL[..Kind::Unknown as usize];
+    pub(crate) fn from_number(number: u32) -> FactKind {
+        let known = &FactKind::ALL[..FactKind::Unknown as usize];
         known
             .iter()
             .copied()
-            .find(|kind| kind.number() == number)
-            .unwrap_or(Kind::Unknown)
+            .find(|kind| kind.wire_number() == number)
+            .unwrap_or(FactKind::Unknown)
     }
 }
 
 /// Who is placed, by the hash that all processes give it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Holder {
+pub enum PlacementKey {
     /// A client key.
     Client(u64),
     /// A group of connections.
     Group(u64),
 }
 
-/// What a fact is about. Where each process has its own word (see [`Subject::owned`]), the process is told by the
+/// What a fact is about. Where each process has its own word (see [`Subject::is_per_process`]), the process is told by the
 /// fact's origin.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// An entry of the farm's list, by the server's name.
-    Listed(String),
+    ServerEntry(String),
     /// The list that the origin holds.
-    List,
+    ListVersion,
     /// What the origin has seen of that server.
-    Standing(String),
+    ServerEvidence(String),
     /// What the origin sent to that server while it was cold.
-    ColdSent(String),
+    SlowStartSends(String),
     /// What the origin saw fail under that client key.
-    Failures(u64),
+    PlacementFailures(u64),
     /// Where that client or group stands.
-    Placement(Holder),
+    Placement(PlacementKey),
     /// The override of that number.
     Override(Vec<u8>),
     /// What the origin runs.
@@ -106,31 +106,31 @@
         /// Its name within the kind.
         key: Vec<u8>,
         /// Whether each process has its own word on it.
-        owned: bool,
+        is_per_process: bool,
     },
 }
 
 impl Subject {
     /// Its kind.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> FactKind {
         match self {
-            Subject::Listed(_) => Kind::Listed,
-            Subject::List => Kind::List,
-            Subject::Standing(_) => Kind::Standing,
-            Subject::ColdSent(_) => Kind::ColdSent,
-            Subject::Failures(_) => Kind::Failures,
-            Subject::Placement(_) => Kind::Placement,
-            Subject::Override(_) => Kind::Override,
-            Subject::Configuration => Kind::Configuration,
-            Subject::Unknown { .. } => Kind::Unknown,
+            Subject::ServerEntry(_) => FactKind::ServerEntry,
+            Subject::ListVersion => FactKind::ListVersion,
+            Subject::ServerEvidence(_) => FactKind::ServerEvidence,
+            Subject::SlowStartSends(_) => FactKind::SlowStartSends,
+            Subject::PlacementFailures(_) => FactKind::PlacementFailures,
+            Subject::Placement(_) => FactKind::Placement,
+            Subject::Override(_) => FactKind::Override,
+            Subject::Configuration => FactKind::Configuration,
+            Subject::Unknown { .. } => FactKind::Unknown,
         }
     }
 
     /// Whether each process has its own word on it, which no other one's replaces.
-    pub fn owned(&self) -> bool {
+    pub fn is_per_process(&self) -> bool {
         match self {
-            Subject::Listed(_) | Subject::Placement(_) | Subject::Override(_) => false,
-            Subject::Unknown { owned, .. } => *owned,
+            Subject::ServerEntry(_) | Subject::Placement(_) | Subject::Override(_) => false,
+            Subject::Unknown { is_per_process, .. } => *is_per_process,
             _ => true,
         }
     }
@@ -149,7 +149,7 @@
 
 /// How far a list is: the life of the discovery that told it, then its generation within that life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Position {
+pub struct ListPosition {
     /// Which life of discovery, from 1.
     pub incarnation: u64,
     /// Discovery's own count, which begins anew with each life.
@@ -158,9 +158,9 @@
 
 /// An entry of the farm's list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     /// The list that told it.
-    pub position: Position,
+    pub position: ListPosition,
     /// Whether the server takes new work.
     pub lifecycle: Lifecycle,
     /// Its zone.
@@ -181,38 +181,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersion {
     /// How far it is.
-    pub position: Position,
+    pub position: ListPosition,
     /// A digest of what it says, without addresses, the same at all processes.
     pub digest: u64,
 }
 
 /// What a server was seen to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Seen {
+pub enum ObservedHealth {
     /// It takes connections and does not answer.
     Hung,
     /// It takes none.
     Refused,
     /// It serves.
-    Well,
+    Healthy,
 }
 
 /// What a process has seen of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Evidence {
+pub struct ServerEvidence {
     /// What it was seen to do.
-    pub seen: Seen,
+    pub observed: ObservedHealth,
     /// How much speaks for that, in observations as of the moment witnessed.
     pub weight: f64,
 }
 
 /// What a process saw fail of a client key's placements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Failures {
+pub struct PlacementFailures {
     /// How many.
     pub count: u32,
     /// Some placement succeeded so long before the moment witnessed: what any process had counted by then is void.
-    pub voided: Option<Millis>,
+    pub last_success_age: Option<Millis>,
 }
 
 /// Where a client or group stands.
@@ -221,9 +221,9 @@
     /// The server, by name.
     pub server: String,
     /// The digest of the configuration under which it was dealt.
-    pub configuration: u64,
+    pub configuration_digest: u64,
     /// Since when, in Unix milliseconds by the clock of the process that placed it.
-    pub since: Millis,
+    pub placed_at: Millis,
 }
 
 /// A placement, read where it lies.
@@ -232,16 +232,16 @@
     /// The server, by name.
     pub server: &'a str,
     /// The digest of the configuration under which it was dealt.
-    pub configuration: u64,
+    pub configuration_digest: u64,
     /// Since when, in Unix milliseconds by the clock of the process that placed it.
-    pub since: Millis,
+    pub placed_at: Millis,
 }
 
 /// What is known of an override.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Override {
     /// It was made, or changed.
-    Made {
+    Set {
         /// When it ends, in Unix milliseconds.
         expires_at: Millis,
         /// What it says, in the form of those who act on it.
@@ -263,16 +263,16 @@
 /// What a fact says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Of a [`Subject::Listed`].
-    Listed(Listed),
-    /// Of a [`Subject::List`].
-    List(ListVersion),
-    /// Of a [`Subject::Standing`].
-    Standing(Evidence),
-    /// Of a [`Subject::ColdSent`]: set-ups, as of the moment witnessed.
-    ColdSent(f64),
-    /// Of a [`Subject::Failures`].
-    Failures(Failures),
+    /// Of a [`Subject::ServerEntry`].
+    ServerEntry(ServerEntry),
+    /// Of a [`Subject::ListVersion`].
+    ListVersion(ListVersion),
+    /// Of a [`Subject::ServerEvidence`].
+    ServerEvidence(ServerEvidence),
+    /// Of a [`Subject::SlowStartSends`]: set-ups, as of the moment witnessed.
+    SlowStartSends(f64),
+    /// Of a [`Subject::PlacementFailures`].
+    PlacementFailures(PlacementFailures),
     /// Of a [`Subject::Placement`]; nothing when it left.
     Placement(Option<Placement>),
     /// Of a [`Subject::Override`].
@@ -285,17 +285,17 @@
 
 impl Value {
     /// The kind of subjects it is about.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> FactKind {
         match self {
-            Value::Listed(_) => Kind::Listed,
-            Value::List(_) => Kind::List,
-            Value::Standing(_) => Kind::Standing,
-            Value::ColdSent(_) => Kind::ColdSent,
-            Value::Failures(_) => Kind::Failures,
-            Value::Placement(_) => Kind::Placement,
-            Value::Override(_) => Kind::Override,
-            Value::Configuration(_) => Kind::Configuration,
-            Value::Unknown(_) => Kind::Unknown,
+            Value::ServerEntry(_) => FactKind::ServerEntry,
+            Value::ListVersion(_) => FactKind::ListVersion,
+            Value::ServerEvidence(_) => FactKind::ServerEvidence,
+            Value::SlowStartSends(_) => FactKind::SlowStartSends,
+            Value::PlacementFailures(_) => FactKind::PlacementFailures,
+            Value::Placement(_) => FactKind::Placement,
+            Value::Override(_) => FactKind::Override,
+            Value::Configuration(_) => FactKind::Configuration,
+            Value::Unknown(_) => FactKind::Unknown,
         }
     }
 }
@@ -317,7 +317,7 @@
     /// When it was witnessed, by this process's clock: the moment of receipt less the age that it came with.
     pub observed_at: Millis,
     /// The same moment by the origin's clock, which may be wrong. No life or age hangs on it.
-    pub origin_time: Millis,
+    pub origin_observed_at: Millis,
     /// It is good for so long from then on.
     pub valid_for: Millis,
 }
--- a/crates/gossip/src/fact_table.rs
+++ b/crates/gossip/src/fact_table.rs
@@ -7,10 +7,10 @@
 
 use crate::Millis;
 use crate::bounds::Bounds;
-use crate::calendar::{Calendar, day};
-use crate::fact::Kind;
-use crate::record::{HashRange, View};
-use crate::slot::{Id, LEAF_BITS, Raw, Slot};
+use crate::fact::FactKind;
+use crate::record::{HashRange, RecordView};
+use crate::slot::{FactId, LEAF_BITS, RawRecord, Slot};
+use crate::time_index::{TimeIndex, bucket_of};
 
 #[derive(Clone, Debug, Default)]
 struct Leaf {
@@ -23,20 +23,20 @@
 struct KindUsage {
     bytes: usize,
     count: usize,
-    by_age: Calendar,
+    by_age: TimeIndex,
 }
 
 /// What merging a fact came to.
 #[derive(Debug)]
-pub(crate) enum Merged {
+pub(crate) enum MergeResult {
     /// Nothing was known of the subject.
     New(u32),
     /// It took the place of an earlier one, which was witnessed then.
-    Replaced(u32, Raw, Millis),
+    Replaced(u32, RawRecord, Millis),
     /// It was known.
-    Same(u32),
+    Duplicate(u32),
     /// A later one is known, its life is over, or all that is kept of its kind was witnessed later.
-    Nothing,
+    Ignored,
 }
 
 /// All facts.
@@ -48,11 +48,11 @@
     leaves: Vec<Leaf>,
     /// All but placements, in the order of their names; for each name by process.
     index: BTreeMap<(u32, Box<[u8]>), Vec<u32>>,
-    ends: Calendar,
-    kinds: [KindUsage; Kind::ALL.len()],
+    expirations: TimeIndex,
+    kinds: [KindUsage; FactKind::ALL.len()],
     /// Those that are told as rumours: how often they were, and their turn among equals.
-    hot: BTreeSet<(u8, u32, u32)>,
-    turns: u32,
+    gossip_queue: BTreeSet<(u8, u32, u32)>,
+    last_gossip_order: u32,
     bounds: Bounds,
 }
 
@@ -64,248 +64,285 @@
             table: HashTable::new(),
             leaves: vec![Leaf::default(); 1 << LEAF_BITS],
             index: BTreeMap::new(),
-            ends: Calendar::default(),
+            expirations: TimeIndex::default(),
             kinds: Default::default(),
-            hot: BTreeSet::new(),
-            turns: 0,
+            gossip_queue: BTreeSet::new(),
+            last_gossip_order: 0,
             bounds,
         }
     }
 
     /// Has room for so many at once.
     pub fn reserve(&mut self, facts: usize) {
-        let more = facts.saturating_sub(self.table.len());
-        self.slots.reserve(more);
-        let (slots, seed) = (&self.slots, self.bounds.seed);
-        self.table.reserve(more, |at| hash_of(slots, *at, seed));
+        let additional = facts.saturating_sub(self.table.len());
+        self.slots.reserve(additional);
+        let (slots, seed) = (&self.slots, self.bounds.hash_seed);
+        self.table
+            .reserve(additional, |slot_index| hash_of(slots, *slot_index, seed));
     }
 
     pub fn bounds(&self) -> &Bounds {
         &self.bounds
     }
 
-    pub fn slot(&self, at: u32) -> Option<&Slot> {
-        self.slots.get(at as usize)?.as_ref()
+    pub fn slot(&self, slot_index: u32) -> Option<&Slot> {
+        self.slots.get(slot_index as usize)?.as_ref()
     }
 
     /// Finds a subject's slot.
-    pub fn find(&self, id: Id<'_>) -> Option<u32> {
+    pub fn find(&self, id: FactId<'_>) -> Option<u32> {
         self.table
-            .find(id.hash(self.bounds.seed), |at| self.is(*at, id))
+            .find(id.hash(self.bounds.hash_seed), |slot_index| {
+                self.matches(*slot_index, id)
+            })
             .copied()
     }
 
-    fn is(&self, at: u32, id: Id<'_>) -> bool {
-        self.slot(at).is_some_and(|slot| slot.id() == id)
+    fn matches(&self, slot_index: u32, id: FactId<'_>) -> bool {
+        self.slot(slot_index).is_some_and(|slot| slot.id() == id)
     }
 
     /// Bytes and number of what is kept of a kind.
-    pub fn size(&self, kind: Kind) -> (usize, usize) {
-        let tally = &self.kinds[kind as usize];
-        (tally.bytes, tally.count)
+    pub fn usage(&self, kind: FactKind) -> (usize, usize) {
+        let usage = &self.kinds[kind as usize];
+        (usage.bytes, usage.count)
     }
 
     /// All of a kind, by name and then by process; placements in the order of their slots.
-    pub fn of_kind(&self, kind: Kind) -> Box<dyn Iterator<Item = &Slot> + '_> {
-        let known = move |number: u32| Kind::of(number) == kind;
+    pub fn of_kind(&self, kind: FactKind) -> Box<dyn Iterator<Item = &Slot> + '_> {
+        let is_of_kind = move |number: u32| FactKind::from_number(number) == kind;
         match kind {
-            Kind::Placement => Box::new(
+            FactKind::Placement => Box::new(
                 self.slots
                     .iter()
                     .flatten()
                     .filter(move |slot| slot.kind() == kind),
             ),
-            Kind::Unknown => {
-                let held = self
+            FactKind::Unknown => {
+                let entries = self
                     .index
                     .iter()
-                    .filter(move |((number, _), _)| known(*number));
+                    .filter(move |((number, _), _)| is_of_kind(*number));
                 Box::new(
-                    held.flat_map(|(_, slots)| slots)
-                        .filter_map(|at| self.slot(*at)),
+                    entries
+                        .flat_map(|(_, slots)| slots)
+                        .filter_map(|slot_index| self.slot(*slot_index)),
                 )
             }
             _ => {
-                let (from, to) = (kind.number(), kind.number() + 1);
-                let held = self
+                let (from, to) = (kind.wire_number(), kind.wire_number() + 1);
+                let entries = self
                     .index
                     .range((from, Box::default())..(to, Box::default()));
                 Box::new(
-                    held.flat_map(|(_, slots)| slots)
-                        .filter_map(|at| self.slot(*at)),
+                    entries
+                        .flat_map(|(_, slots)| slots)
+                        .filter_map(|slot_index| self.slot(*slot_index)),
                 )
             }
         }
     }
 
     /// All words on one subject, by process.
-    pub fn slots_of(&self, kind: Kind, key: &[u8]) -> impl Iterator<Item = &Slot> {
-        let slots = self.index.get(&(kind.number(), key.into()));
-        slots.into_iter().flatten().filter_map(|at| self.slot(*at))
+    pub fn slots_of(&self, kind: FactKind, key: &[u8]) -> impl Iterator<Item = &Slot> {
+        let slots = self.index.get(&(kind.wire_number(), key.into()));
+        slots
+            .into_iter()
+            .flatten()
+            .filter_map(|slot_index| self.slot(*slot_index))
     }
 
     /// Takes a fact in, if it is later than what is known of its subject.
-    pub fn merge(&mut self, view: &View<'_>, witnessed: Millis, now: Millis) -> Merged {
-        let longest = self.bounds.of(Kind::of(view.kind)).longest;
-        if witnessed.saturating_add(view.retained_for.max(view.valid_for).min(longest)) <= now {
-            return Merged::Nothing;
+    pub fn merge(
+        &mut self,
+        view: &RecordView<'_>,
+        observed_at: Millis,
+        now: Millis,
+    ) -> MergeResult {
+        let max_lifetime_ms = self
+            .bounds
+            .of_kind(FactKind::from_number(view.kind))
+            .max_lifetime_ms;
+        if observed_at.saturating_add(view.retained_for.max(view.valid_for).min(max_lifetime_ms))
+            <= now
+        {
+            return MergeResult::Ignored;
         }
-        let Some(at) = self.find(Id::of(view)) else {
-            let slot = Slot::new(view, witnessed, longest);
+        let Some(slot_index) = self.find(FactId::of(view)) else {
+            let slot = Slot::new(view, observed_at, max_lifetime_ms);
             return if self.ensure_capacity(&slot, now) {
-                Merged::New(self.insert(slot))
+                MergeResult::New(self.insert(slot))
             } else {
-                Merged::Nothing
+                MergeResult::Ignored
             };
         };
-        let Some(kept) = self.slots[at as usize].as_mut() else {
-            return Merged::Nothing;
+        let Some(kept) = self.slots[slot_index as usize].as_mut() else {
+            return MergeResult::Ignored;
         };
-        if kept.until <= now {
+        if kept.retained_until <= now {
             // It is over and only waits to be swept.
-            self.remove(at);
-            return self.merge(view, witnessed, now);
+            self.remove(slot_index);
+            return self.merge(view, observed_at, now);
         }
-        match kept.against(view) {
-            Ordering::Less => Merged::Nothing,
+        match kept.compare_to(view) {
+            Ordering::Less => MergeResult::Ignored,
             Ordering::Equal => {
-                self.grow_older(at, witnessed);
-                Merged::Same(at)
+                self.raise_age(slot_index, observed_at);
+                MergeResult::Duplicate(slot_index)
             }
-            Ordering::Greater => self.replace(at, Slot::new(view, witnessed, longest), now),
+            Ordering::Greater => self.replace(
+                slot_index,
+                Slot::new(view, observed_at, max_lifetime_ms),
+                now,
+            ),
         }
     }
 
     /// Guards against an age that got lost on the way: of two ages of a fact the greater one is believed.
-    fn grow_older(&mut self, at: u32, witnessed: Millis) {
-        let Some(kept) = self.slots[at as usize].as_mut() else {
+    fn raise_age(&mut self, slot_index: u32, observed_at: Millis) {
+        let Some(kept) = self.slots[slot_index as usize].as_mut() else {
             return;
         };
-        let before = (day(kept.observed_at), day(kept.until));
-        let younger = kept.observed_at.saturating_sub(witnessed);
-        kept.observed_at -= younger;
-        kept.valid_until = kept.valid_until.saturating_sub(younger);
-        kept.until = kept.until.saturating_sub(younger);
-        if before != (day(kept.observed_at), day(kept.until)) {
-            self.note(at);
+        let before = (bucket_of(kept.observed_at), bucket_of(kept.retained_until));
+        let missing_age = kept.observed_at.saturating_sub(observed_at);
+        kept.observed_at -= missing_age;
+        kept.valid_until = kept.valid_until.saturating_sub(missing_age);
+        kept.retained_until = kept.retained_until.saturating_sub(missing_age);
+        if before != (bucket_of(kept.observed_at), bucket_of(kept.retained_until)) {
+            self.index_times(slot_index);
         }
     }
 
-    fn replace(&mut self, at: u32, mut slot: Slot, now: Millis) -> Merged {
-        self.cool(at);
-        let Some(kept) = self.slots[at as usize].as_mut() else {
-            return Merged::Nothing;
+    fn replace(&mut self, slot_index: u32, mut slot: Slot, now: Millis) -> MergeResult {
+        self.dequeue_gossip(slot_index);
+        let Some(kept) = self.slots[slot_index as usize].as_mut() else {
+            return MergeResult::Ignored;
         };
         let (kind, cost, before) = (slot.kind(), slot.cost(), kept.cost());
-        slot.leaf_at = kept.leaf_at;
+        slot.leaf_index = kept.leaf_index;
         self.leaves[slot.id().leaf()].digest ^= kept.digest() ^ slot.digest();
         let old = std::mem::replace(kept, slot);
-        let tally = &mut self.kinds[kind as usize];
-        tally.bytes = tally.bytes + cost - before;
-        self.note(at);
-        self.evict(kind, now);
-        if self.slot(at).is_none() {
-            Merged::Nothing
+        let usage = &mut self.kinds[kind as usize];
+        usage.bytes = usage.bytes + cost - before;
+        self.index_times(slot_index);
+        self.evict_over_limit(kind, now);
+        if self.slot(slot_index).is_none() {
+            MergeResult::Ignored
         } else {
-            Merged::Replaced(at, old.raw, old.observed_at)
+            MergeResult::Replaced(slot_index, old.raw, old.observed_at)
         }
     }
 
     fn insert(&mut self, mut slot: Slot) -> u32 {
-        let at = self.free.pop().unwrap_or(self.slots.len() as u32);
+        let slot_index = self.free.pop().unwrap_or(self.slots.len() as u32);
         let leaf = &mut self.leaves[slot.id().leaf()];
-        slot.leaf_at = leaf.slots.len() as u32;
-        leaf.slots.push(at);
+        slot.leaf_index = leaf.slots.len() as u32;
+        leaf.slots.push(slot_index);
         leaf.digest ^= slot.digest();
-        let tally = &mut self.kinds[slot.kind() as usize];
-        tally.bytes += slot.cost();
-        tally.count += 1;
-        let hash = slot.id().hash(self.bounds.seed);
-        if slot.kind() != Kind::Placement {
-            let words = self
+        let usage = &mut self.kinds[slot.kind() as usize];
+        usage.bytes += slot.cost();
+        usage.count += 1;
+        let hash = slot.id().hash(self.bounds.hash_seed);
+        if slot.kind() != FactKind::Placement {
+            let slots = self
                 .index
-                .entry((slot.number, slot.key().into()))
+                .entry((slot.kind_number, slot.key().into()))
                 .or_default();
-            let named = |at: &u32| {
+            let name_of = |slot_index: &u32| {
                 self.slots
-                    .get(*at as usize)
+                    .get(*slot_index as usize)
                     .and_then(Option::as_ref)
                     .map(Slot::name)
             };
-            let place = words.partition_point(|word| named(word) < Some(slot.name()));
-            words.insert(place, at);
+            let position = slots.partition_point(|other| name_of(other) < Some(slot.name()));
+            slots.insert(position, slot_index);
         }
-        if at as usize == self.slots.len() {
+        if slot_index as usize == self.slots.len() {
             self.slots.push(Some(slot))
         } else {
-            self.slots[at as usize] = Some(slot)
+            self.slots[slot_index as usize] = Some(slot)
         }
-        let (slots, seed) = (&self.slots, self.bounds.seed);
-        self.table
-            .insert_unique(hash, at, |at| hash_of(slots, *at, seed));
-        self.note(at);
-        at
+        let (slots, seed) = (&self.slots, self.bounds.hash_seed);
+        self.table.insert_unique(hash, slot_index, |slot_index| {
+            hash_of(slots, *slot_index, seed)
+        });
+        self.index_times(slot_index);
+        slot_index
     }
 
-    fn remove(&mut self, at: u32) {
-        self.cool(at);
-        let Some(slot) = self.slots.get_mut(at as usize).and_then(Option::take) else {
+    fn remove(&mut self, slot_index: u32) {
+        self.dequeue_gossip(slot_index);
+        let Some(slot) = self
+            .slots
+            .get_mut(slot_index as usize)
+            .and_then(Option::take)
+        else {
             return;
         };
         if let Ok(found) = self
             .table
-            .find_entry(slot.id().hash(self.bounds.seed), |other| *other == at)
+            .find_entry(slot.id().hash(self.bounds.hash_seed), |other| {
+                *other == slot_index
+            })
         {
             found.remove();
         }
         let leaf = &mut self.leaves[slot.id().leaf()];
         leaf.digest ^= slot.digest();
-        leaf.slots.swap_remove(slot.leaf_at as usize);
-        if let Some(moved) = leaf.slots.get(slot.leaf_at as usize)
+        leaf.slots.swap_remove(slot.leaf_index as usize);
+        if let Some(moved) = leaf.slots.get(slot.leaf_index as usize)
             && let Some(moved) = self.slots[*moved as usize].as_mut()
         {
-            moved.leaf_at = slot.leaf_at;
+            moved.leaf_index = slot.leaf_index;
         }
-        let tally = &mut self.kinds[slot.kind() as usize];
-        tally.bytes -= slot.cost();
-        tally.count -= 1;
-        let name = (slot.number, slot.key().into());
-        if let Some(words) = self.index.get_mut(&name) {
-            words.retain(|word| *word != at);
-            if words.is_empty() {
-                self.index.remove(&name);
+        let usage = &mut self.kinds[slot.kind() as usize];
+        usage.bytes -= slot.cost();
+        usage.count -= 1;
+        let index_key = (slot.kind_number, slot.key().into());
+        if let Some(slots) = self.index.get_mut(&index_key) {
+            slots.retain(|other| *other != slot_index);
+            if slots.is_empty() {
+                self.index.remove(&index_key);
             }
         }
-        self.free.push(at);
+        self.free.push(slot_index);
     }
 
     /// Notes when a slot ends and how old it is.
-    fn note(&mut self, at: u32) {
-        let Some(slot) = self.slots[at as usize].as_ref() else {
+    fn index_times(&mut self, slot_index: u32) {
+        let Some(slot) = self.slots[slot_index as usize].as_ref() else {
             return;
         };
         let (kind, slots) = (slot.kind(), &self.slots);
-        let of = |at: u32| slots[at as usize].as_ref();
-        self.ends.note(slot.until, at);
-        if self.ends.is_stale(self.slots.len() - self.free.len()) {
-            self.ends
-                .sweep(|at, on| of(at).is_some_and(|slot| day(slot.until) == on));
+        let slot_at = |slot_index: u32| slots[slot_index as usize].as_ref();
+        self.expirations.insert(slot.retained_until, slot_index);
+        if self
+            .expirations
+            .needs_sweep(self.slots.len() - self.free.len())
+        {
+            self.expirations.sweep(|slot_index, bucket| {
+                slot_at(slot_index).is_some_and(|slot| bucket_of(slot.retained_until) == bucket)
+            });
         }
-        let tally = &mut self.kinds[kind as usize];
-        tally.by_age.note(slot.observed_at, at);
-        if tally.by_age.is_stale(tally.count) {
-            let holds = |slot: &Slot, on| slot.kind() == kind && day(slot.observed_at) == on;
-            tally
-                .by_age
-                .sweep(|at, on| of(at).is_some_and(|slot| holds(slot, on)));
+        let usage = &mut self.kinds[kind as usize];
+        usage.by_age.insert(slot.observed_at, slot_index);
+        if usage.by_age.needs_sweep(usage.count) {
+            let is_current =
+                |slot: &Slot, bucket| slot.kind() == kind && bucket_of(slot.observed_at) == bucket;
+            usage.by_age.sweep(|slot_index, bucket| {
+                slot_at(slot_index).is_some_and(|slot| is_current(slot, bucket))
+            });
         }
     }
 
     /// Removes what is kept no longer.
     pub fn expire(&mut self, now: Millis) {
-        while let Some((at, _)) = self.ends.pop(Some(now)) {
-            if self.slot(at).is_some_and(|slot| slot.until <= now) {
-                self.remove(at);
+        while let Some((slot_index, _)) = self.expirations.pop_earliest(Some(now)) {
+            if self
+                .slot(slot_index)
+                .is_some_and(|slot| slot.retained_until <= now)
+            {
+                self.remove(slot_index);
             }
         }
     }
@@ -313,116 +350,122 @@
     /// Whether there is room for one more of its kind, once what is over and what was witnessed earlier gave way.
     fn ensure_capacity(&mut self, slot: &Slot, now: Millis) -> bool {
         let (kind, cost) = (slot.kind(), slot.cost());
-        let most = self.bounds.of(kind).bytes;
-        if cost > most {
+        let max_bytes = self.bounds.of_kind(kind).max_bytes;
+        if cost > max_bytes {
             return false;
         }
-        if self.kinds[kind as usize].bytes + cost > most {
+        if self.kinds[kind as usize].bytes + cost > max_bytes {
             self.expire(now);
         }
-        while self.kinds[kind as usize].bytes + cost > most {
-            let Some((at, witnessed)) = self.oldest(kind) else {
+        while self.kinds[kind as usize].bytes + cost > max_bytes {
+            let Some((slot_index, observed_at)) = self.pop_oldest(kind) else {
                 return false;
             };
-            if witnessed > slot.observed_at {
-                self.kinds[kind as usize].by_age.note(witnessed, at);
+            if observed_at > slot.observed_at {
+                self.kinds[kind as usize]
+                    .by_age
+                    .insert(observed_at, slot_index);
                 return false;
             }
-            self.remove(at);
+            self.remove(slot_index);
         }
         true
     }
 
     /// Has what is over and then the oldest of a kind give way, after one of them grew.
-    fn evict(&mut self, kind: Kind, now: Millis) {
-        let most = self.bounds.of(kind).bytes;
-        if self.kinds[kind as usize].bytes > most {
+    fn evict_over_limit(&mut self, kind: FactKind, now: Millis) {
+        let max_bytes = self.bounds.of_kind(kind).max_bytes;
+        if self.kinds[kind as usize].bytes > max_bytes {
             self.expire(now);
         }
-        while self.kinds[kind as usize].bytes > most {
-            let Some((at, _)) = self.oldest(kind) else {
+        while self.kinds[kind as usize].bytes > max_bytes {
+            let Some((slot_index, _)) = self.pop_oldest(kind) else {
                 return;
             };
-            self.remove(at);
+            self.remove(slot_index);
         }
     }
 
     /// Takes the note of the oldest of a kind, to the second, and tells when it was witnessed.
-    fn oldest(&mut self, kind: Kind) -> Option<(u32, Millis)> {
+    fn pop_oldest(&mut self, kind: FactKind) -> Option<(u32, Millis)> {
         loop {
-            let (at, on) = self.kinds[kind as usize].by_age.pop(None)?;
+            let (slot_index, bucket) = self.kinds[kind as usize].by_age.pop_earliest(None)?;
             let slot = self
-                .slot(at)
-                .filter(|slot| slot.kind() == kind && day(slot.observed_at) <= on);
+                .slot(slot_index)
+                .filter(|slot| slot.kind() == kind && bucket_of(slot.observed_at) <= bucket);
             if let Some(slot) = slot {
-                return Some((at, slot.observed_at));
+                return Some((slot_index, slot.observed_at));
             }
         }
     }
 
     /// Has a slot told as a rumour that was told so often already.
-    pub fn heat(&mut self, at: u32, announcement: u8) {
-        self.cool(at);
-        if self.hot.len() >= self.bounds.gossiped_facts {
+    pub fn enqueue_gossip(&mut self, slot_index: u32, transmissions: u8) {
+        self.dequeue_gossip(slot_index);
+        if self.gossip_queue.len() >= self.bounds.max_gossiped_facts {
             // The one that most have heard gives way.
-            match self.hot.last() {
-                Some((most, _, last)) if *most > announcement => self.cool(*last),
+            match self.gossip_queue.last() {
+                Some((max_transmissions, _, last)) if *max_transmissions > transmissions => {
+                    self.dequeue_gossip(*last)
+                }
                 _ => return,
             };
         }
-        self.turns = self.turns.wrapping_add(1);
-        if let Some(slot) = self.slots[at as usize].as_mut() {
-            slot.gossip_order = Some((announcement, self.turns));
-            self.hot.insert((announcement, self.turns, at));
+        self.last_gossip_order = self.last_gossip_order.wrapping_add(1);
+        if let Some(slot) = self.slots[slot_index as usize].as_mut() {
+            slot.gossip_order = Some((transmissions, self.last_gossip_order));
+            self.gossip_queue
+                .insert((transmissions, self.last_gossip_order, slot_index));
         }
     }
 
     /// Has it told no more.
-    pub fn cool(&mut self, at: u32) -> Option<u8> {
-        let slot = self.slots.get_mut(at as usize)?.as_mut()?;
-        let (announcement, turn) = slot.gossip_order.take()?;
-        self.hot.remove(&(announcement, turn, at));
-        Some(announcement)
+    pub fn dequeue_gossip(&mut self, slot_index: u32) -> Option<u8> {
+        let slot = self.slots.get_mut(slot_index as usize)?.as_mut()?;
+        let (transmissions, order) = slot.gossip_order.take()?;
+        self.gossip_queue
+            .remove(&(transmissions, order, slot_index));
+        Some(transmissions)
     }
 
     /// Rumours, least often told first.
-    pub fn hot(&self) -> impl Iterator<Item = (u32, &Slot)> {
-        self.hot
+    pub fn gossip_queue(&self) -> impl Iterator<Item = (u32, &Slot)> {
+        self.gossip_queue
             .iter()
-            .filter_map(|(_, _, at)| Some((*at, self.slot(*at)?)))
+            .filter_map(|(_, _, slot_index)| Some((*slot_index, self.slot(*slot_index)?)))
     }
 
     /// The digest of a stretch.
-    pub fn digest(&self, stretch: HashRange) -> u64 {
-        self.leaves_of(stretch)
+    pub fn digest(&self, range: HashRange) -> u64 {
+        self.leaves_in(range)
             .iter()
             .fold(0, |all, leaf| all ^ leaf.digest)
     }
 
     /// All in a stretch.
-    pub fn within(&self, stretch: HashRange) -> impl Iterator<Item = &Slot> {
-        let slots = self.leaves_of(stretch).iter().flat_map(|leaf| &leaf.slots);
-        slots.filter_map(|at| self.slot(*at))
+    pub fn slots_in(&self, range: HashRange) -> impl Iterator<Item = &Slot> {
+        let slots = self.leaves_in(range).iter().flat_map(|leaf| &leaf.slots);
+        slots.filter_map(|slot_index| self.slot(*slot_index))
     }
 
     /// How many are in a stretch.
-    pub fn count(&self, stretch: HashRange) -> usize {
-        self.leaves_of(stretch)
+    pub fn count_in(&self, range: HashRange) -> usize {
+        self.leaves_in(range)
             .iter()
             .map(|leaf| leaf.slots.len())
             .sum()
     }
 
-    fn leaves_of(&self, stretch: HashRange) -> &[Leaf] {
-        let bits = LEAF_BITS - stretch.bits.min(LEAF_BITS);
-        let from = ((stretch.prefix as usize) << bits).min(self.leaves.len());
+    fn leaves_in(&self, range: HashRange) -> &[Leaf] {
+        let bits = LEAF_BITS - range.bits.min(LEAF_BITS);
+        let from = ((range.prefix as usize) << bits).min(self.leaves.len());
         &self.leaves[from..(from + (1 << bits)).min(self.leaves.len())]
     }
 }
 
-fn hash_of(slots: &[Option<Slot>], at: u32, seed: u64) -> u64 {
+fn hash_of(slots: &[Option<Slot>], slot_index: u32, seed: u64) -> u64 {
     slots
-        .get(at as usize)
+        .get(slot_index as usize)
         .and_then(Option::as_ref)
         .map_or(0, |slot| slot.id().hash(seed))
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,8 +1,8 @@
 //! What the processes of a fleet know together.
 //!
 //! There is no I/O, clock or global here. A host [enters](FactStore::observe) what its process observes, hands the
-//! bytes of [rumours](FactStore::gossip_payload), [summaries](FactStore::summary) and [answers](FactStore::answer) to whatever
-//! carries them, [takes](FactStore::take) what comes, and asks what all of it comes to. What a peer says is a hint with
+//! bytes of [rumours](FactStore::gossip_payload), [summaries](FactStore::summary) and [answers](FactStore::answer_summary) to whatever
+//! carries them, [takes](FactStore::merge_packet) what comes, and asks what all of it comes to. What a peer says is a hint with
 //! an age, never a command.
 //!
 //! ```
@@ -10,14 +10,14 @@
 //!
 //! let process = |name: &str| FactStore::new(Origin { name: name.into(), incarnation: 1 }, Bounds::default());
 //! let (mut a, mut b) = (process("a"), process("b"));
-//! let stands = Placement { server: "s1".into(), configuration: 7, since: 1_000 };
-//! let subject = Subject::Placement(Holder::Client(42));
-//! a.observe(&subject, &Value::Placement(Some(stands)), 60_000, 1_000).expect("sound");
-//! let changes = b.take(&a.gossip_payload(1_200, 1_500), 90_000).expect("readable");
+//! let placement = Placement { server: "s1".into(), configuration_digest: 7, placed_at: 1_000 };
+//! let subject = Subject::Placement(PlacementKey::Client(42));
+//! a.observe(&subject, &Value::Placement(Some(placement)), 60_000, 1_000).expect("sound");
+//! let changes = b.merge_packet(&a.gossip_payload(1_200, 1_500), 90_000).expect("readable");
 //! assert_eq!(changes[0].subject(), Some(subject));
 //! // Its age came with it; the clocks of the two need not agree.
-//! assert_eq!(b.placement(Holder::Client(42), 90_000).map(|at| at.server), Some("s1"));
-//! assert_eq!(b.placement(Holder::Client(42), 90_000 + 59_500), None);
+//! assert_eq!(b.placement(PlacementKey::Client(42), 90_000).map(|placement| placement.server), Some("s1"));
+//! assert_eq!(b.placement(PlacementKey::Client(42), 90_000 + 59_500), None);
 //! ```
 //!
 //! # Which fact stands
@@ -40,17 +40,17 @@
 //! # Lives of discovery
 //!
 //! Discovery that lost its state counts its generations from 1 again. Lives are numbers that processes give
-//! ([`FactStore::hear_list`]), in this order:
+//! ([`FactStore::record_list`]), in this order:
 //! 1. A list that some process holds under a later life, by generation and digest, is of that life.
 //! 2. A whole list, where a peer holds one that is further than one's own: it is of that peer's life. But where its
-//!    generation is lower and the peer's was witnessed more than [`SKEW`] before, it is of one life more.
+//!    generation is lower and the peer's was witnessed more than [`MAX_CLOCK_SKEW_MS`] before, it is of one life more.
 //! 3. A whole list with a lower generation than this process held begins a new life, one more than its own (no clock is
 //!    compared); it is the life that 2 gives if that is later.
 //! 4. All else goes on in one's own life; the first life is 1.
 //!
 //! Two that see the same loss count from the same life to the same next one, and the higher number is the later life. A
-//! process that had held no list judges its last one again once it hears peers ([`FactStore::settle_list`]). Doubtful: a
-//! list that takes longer than [`SKEW`] to come to a newcomer can open a life that is none; the next list of the others
+//! process that had held no list judges its last one again once it hears peers ([`FactStore::reassess_list`]). Doubtful: a
+//! list that takes longer than [`MAX_CLOCK_SKEW_MS`] to come to a newcomer can open a life that is none; the next list of the others
 //! joins it by rule 1, and until then older entries may stand among hints. A loss that nobody can tell from going on (the
 //! count is beyond the old one, unseen by all) is none.
 //!
@@ -89,27 +89,28 @@
 #![forbid(unsafe_code)]
 
 mod bounds;
-mod calendar;
 mod dissemination;
 mod fact;
 mod fact_store;
 mod fact_table;
 mod list_incarnation;
-mod own;
+mod own_observations;
+mod queries;
 mod record;
 mod slot;
-mod views;
+mod time_index;
 mod wire;
 
-pub use bounds::{Bound, Bounds};
-pub use dissemination::{Change, Unreadable};
+pub use bounds::{Bounds, KindBounds};
+pub use dissemination::{DecodeError, FactChange};
 pub use fact::{
-    Configuration, Evidence, Fact, Failures, Holder, Kind, Lifecycle, ListVersion, Listed, Origin,
-    Override, Placement, PlacementView, Position, Seen, Subject, Value,
+    Configuration, Fact, FactKind, Lifecycle, ListPosition, ListVersion, ObservedHealth, Origin,
+    Override, Placement, PlacementFailures, PlacementKey, PlacementView, ServerEntry,
+    ServerEvidence, Subject, Value,
 };
-pub use fact_store::{FactStore, Refused};
-pub use list_incarnation::{ListAnnouncement, SKEW};
-pub use views::{MOST_FAILURES, ServerAssessment};
+pub use fact_store::{FactStore, ObserveError};
+pub use list_incarnation::{ListAnnouncement, MAX_CLOCK_SKEW_MS};
+pub use queries::{MAX_COUNTED_FAILURES, ServerAssessment};
 
 /// A moment on the process's clock: Unix time in milliseconds as it was at its start, and followed monotonically from
 /// then on. Moments of two processes are never compared to tell an age.
--- a/crates/gossip/src/list_incarnation.rs
+++ b/crates/gossip/src/list_incarnation.rs
@@ -1,10 +1,10 @@
 //! Which life of discovery a list belongs to.
 
 use crate::Millis;
-use crate::fact::{ListVersion, Position};
+use crate::fact::{ListPosition, ListVersion};
 
 /// Clocks of two processes may differ by so much, and a list may be under way for so long.
-pub const SKEW: Millis = 10_000;
+pub const MAX_CLOCK_SKEW_MS: Millis = 10_000;
 
 /// A list as discovery has just told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,54 +14,60 @@
     /// A digest of all that it says, without addresses, the same at all processes.
     pub digest: u64,
     /// Whether it was told whole, not as changes.
-    pub complete_list: bool,
+    pub is_complete: bool,
 }
 
 /// What is known of a list that a process holds, and when that was witnessed.
-pub(crate) struct KnownList {
+pub(crate) struct PeerList {
     pub list: ListVersion,
     pub observed_at: Millis,
 }
 
 /// The life of a list that was told now: see the crate's page.
 pub(crate) fn list_incarnation(
-    own: Option<Position>,
+    own: Option<ListPosition>,
     announcement: ListAnnouncement,
-    known: &[KnownList],
+    peer_lists: &[PeerList],
     now: Millis,
 ) -> u64 {
-    let own_life = own.map_or(0, |own| own.incarnation);
-    let same = |known: &&KnownList| {
-        known.list.position.generation == announcement.generation
-            && known.list.digest == announcement.digest
+    let own_incarnation = own.map_or(0, |own| own.incarnation);
+    let is_same_list = |peer: &&PeerList| {
+        peer.list.position.generation == announcement.generation
+            && peer.list.digest == announcement.digest
     };
-    let joined = known
+    let shared_incarnation = peer_lists
         .iter()
-        .filter(same)
-        .map(|known| known.list.position.incarnation)
+        .filter(is_same_list)
+        .map(|peer| peer.list.position.incarnation)
         .max();
-    if let Some(life) = joined.filter(|life| *life > own_life) {
-        return life;
+    if let Some(incarnation) =
+        shared_incarnation.filter(|incarnation| *incarnation > own_incarnation)
+    {
+        return incarnation;
     }
-    let highest = known
+    let latest = peer_lists
         .iter()
-        .max_by_key(|known| (known.list.position, known.observed_at));
-    let beyond = highest.filter(|known| own.is_none_or(|own| known.list.position > own));
-    let mut life = own_life.max(1);
-    if let Some(known) = beyond.filter(|_| announcement.complete_list || own.is_none()) {
-        let Position {
-            incarnation: other,
+        .max_by_key(|peer| (peer.list.position, peer.observed_at));
+    let ahead_of_own = latest.filter(|peer| own.is_none_or(|own| peer.list.position > own));
+    let mut incarnation = own_incarnation.max(1);
+    if let Some(peer) = ahead_of_own.filter(|_| announcement.is_complete || own.is_none()) {
+        let ListPosition {
+            incarnation: peer_incarnation,
             generation,
-        } = known.list.position;
-        let long_ago = known.observed_at.saturating_add(SKEW) < now;
-        life = if announcement.generation < generation && long_ago {
-            other + 1
+        } = peer.list.position;
+        let is_older_than_skew = peer.observed_at.saturating_add(MAX_CLOCK_SKEW_MS) < now;
+        incarnation = if announcement.generation < generation && is_older_than_skew {
+            peer_incarnation + 1
         } else {
-            other
+            peer_incarnation
         };
     }
     // The own watch saw the count begin anew; no clock is compared.
-    let anew = own
-        .is_some_and(|own| announcement.complete_list && announcement.generation < own.generation);
-    if anew { life.max(own_life + 1) } else { life }
+    let is_restart =
+        own.is_some_and(|own| announcement.is_complete && announcement.generation < own.generation);
+    if is_restart {
+        incarnation.max(own_incarnation + 1)
+    } else {
+        incarnation
+    }
 }
--- a/crates/gossip/src/record.rs
+++ b/crates/gossip/src/record.rs
@@ -7,17 +7,18 @@
 
 use crate::Millis;
 use crate::fact::{
-    Configuration, Evidence, Fact, Failures, Holder, Kind, Lifecycle, ListVersion, Listed, Origin,
-    Override, Placement, PlacementView, Position, Seen, Subject, Value,
+    Configuration, Fact, FactKind, Lifecycle, ListPosition, ListVersion, ObservedHealth, Origin,
+    Override, Placement, PlacementFailures, PlacementKey, PlacementView, ServerEntry,
+    ServerEvidence, Subject, Value,
 };
-use crate::wire::{Fields, NoField};
+use crate::wire::{FieldError, Fields};
 
 /// Longest record of a fact.
-pub(crate) const LONGEST_FACT: usize = 8 << 10;
+pub(crate) const MAX_RECORD_BYTES: usize = 8 << 10;
 /// Longest name of a process and of a subject.
-const LONGEST_NAME: usize = 512;
+const MAX_NAME_BYTES: usize = 512;
 /// No version is counted beyond this. Guards against a fact that no later one could outdo.
-pub(crate) const LAST_VERSION: u64 = 1 << 62;
+pub(crate) const MAX_VERSION: u64 = 1 << 62;
 
 /// A fact without its age, as it is written: the same bytes at every process.
 #[derive(Clone, PartialEq, Message)]
@@ -28,7 +29,7 @@
     pub key: Vec<u8>,
     /// Each process has its own word on the subject.
     #[prost(bool, tag = "3")]
-    pub owned: bool,
+    pub is_per_process: bool,
     #[prost(bytes = "vec", tag = "4")]
     pub name: Vec<u8>,
     #[prost(uint64, tag = "5")]
@@ -39,7 +40,7 @@
     pub version: u64,
     /// The moment witnessed, by the origin's clock; 0 where the version says it.
     #[prost(uint64, tag = "8")]
-    pub origin_time: u64,
+    pub origin_observed_at: u64,
     #[prost(uint64, tag = "9")]
     pub valid_for: u64,
     /// It is kept for at least so long, beyond being good, that what it replaced cannot come back.
@@ -51,63 +52,63 @@
 
 /// A record as it is read, where it lies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct View<'a> {
+pub(crate) struct RecordView<'a> {
     /// All of it, as its origin wrote it.
     pub raw: &'a [u8],
     pub kind: u32,
     pub key: &'a [u8],
-    pub owned: bool,
+    pub is_per_process: bool,
     pub name: &'a [u8],
     pub incarnation: u64,
     pub epoch: u64,
     pub version: u64,
-    pub origin_time: u64,
+    pub origin_observed_at: u64,
     pub valid_for: u64,
     pub retained_for: u64,
     pub value: &'a [u8],
 }
 
-impl<'a> View<'a> {
+impl<'a> RecordView<'a> {
     /// Reads a record, unless something in it is beyond what any program writes.
-    pub fn new(raw: &'a [u8]) -> Option<View<'a>> {
-        if raw.len() > LONGEST_FACT {
+    pub fn new(raw: &'a [u8]) -> Option<RecordView<'a>> {
+        if raw.len() > MAX_RECORD_BYTES {
             return None;
         }
-        let mut view = View {
+        let mut view = RecordView {
             raw,
-            ..View::default()
+            ..RecordView::default()
         };
         for field in Fields(raw) {
-            let (number, held) = field.ok()?;
+            let (number, value) = field.ok()?;
             match number {
-                1 => view.kind = u32::try_from(held.number()?).ok()?,
-                2 => view.key = held.bytes()?,
-                3 => view.owned = held.number()? != 0,
-                4 => view.name = held.bytes()?,
-                5 => view.incarnation = held.number()?,
-                6 => view.epoch = held.number()?,
-                7 => view.version = held.number()?,
-                8 => view.origin_time = held.number()?,
-                9 => view.valid_for = held.number()?,
-                10 => view.retained_for = held.number()?,
-                11 => view.value = held.bytes()?,
+                1 => view.kind = u32::try_from(value.number()?).ok()?,
+                2 => view.key = value.bytes()?,
+                3 => view.is_per_process = value.number()? != 0,
+                4 => view.name = value.bytes()?,
+                5 => view.incarnation = value.number()?,
+                6 => view.epoch = value.number()?,
+                7 => view.version = value.number()?,
+                8 => view.origin_observed_at = value.number()?,
+                9 => view.valid_for = value.number()?,
+                10 => view.retained_for = value.number()?,
+                11 => view.value = value.bytes()?,
                 // A newer program's.
                 _ => {}
             }
         }
-        let short = view.key.len() <= LONGEST_NAME && view.name.len() <= LONGEST_NAME;
-        (short && view.epoch <= LAST_VERSION && view.version <= LAST_VERSION).then_some(view)
+        let names_fit = view.key.len() <= MAX_NAME_BYTES && view.name.len() <= MAX_NAME_BYTES;
+        (names_fit && view.epoch <= MAX_VERSION && view.version <= MAX_VERSION).then_some(view)
     }
 
     /// What settles, after epoch and version, which of two facts on a subject stands.
-    pub fn settles(&self) -> (u64, u64, &[u8]) {
-        (self.origin_time, self.incarnation, self.name)
+    pub fn tie_breaker(&self) -> (u64, u64, &[u8]) {
+        (self.origin_observed_at, self.incarnation, self.name)
     }
 
     /// The fact that it tells. What this program cannot read of it comes as unknown.
     pub fn fact(&self, observed_at: Millis) -> Fact {
-        let kind = Kind::of(self.kind);
-        let position = Position {
+        let kind = FactKind::from_number(self.kind);
+        let position = ListPosition {
             incarnation: self.epoch,
             generation: self.version,
         };
@@ -115,7 +116,7 @@
         let unknown = || Subject::Unknown {
             kind: self.kind,
             key: self.key.to_vec(),
-            owned: self.owned,
+            is_per_process: self.is_per_process,
         };
         let name = String::from_utf8_lossy(self.name).into_owned();
         Fact {
@@ -128,10 +129,10 @@
             epoch: self.epoch,
             version: self.version,
             observed_at,
-            origin_time: if self.origin_time == 0 {
+            origin_observed_at: if self.origin_observed_at == 0 {
                 self.version
             } else {
-                self.origin_time
+                self.origin_observed_at
             },
             valid_for: self.valid_for,
         }
@@ -140,37 +141,39 @@
 
 /// A record and how old it was when it was sent or written.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Carried {
+pub(crate) struct AgedRecord {
     #[prost(bytes = "vec", tag = "1")]
-    pub fact: Vec<u8>,
+    pub record: Vec<u8>,
     #[prost(uint64, tag = "2")]
     pub age: u64,
 }
 
 /// A record that was carried, and its age; no record if it cannot be read.
-pub(crate) fn read_carried(bytes: &[u8]) -> Result<(Option<View<'_>>, Millis), NoField> {
-    let (mut fact, mut age) = (&[][..], 0);
+pub(crate) fn read_aged_record(
+    bytes: &[u8],
+) -> Result<(Option<RecordView<'_>>, Millis), FieldError> {
+    let (mut record, mut age) = (&[][..], 0);
     for field in Fields(bytes) {
         match field? {
-            (1, held) => fact = held.bytes().ok_or(NoField)?,
-            (2, held) => age = held.number().ok_or(NoField)?,
+            (1, value) => record = value.bytes().ok_or(FieldError)?,
+            (2, value) => age = value.number().ok_or(FieldError)?,
             _ => {}
         }
     }
-    Ok((View::new(fact), age))
+    Ok((RecordView::new(record), age))
 }
 
 /// What is handed to a peer.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Packet {
     #[prost(message, repeated, tag = "1")]
-    pub facts: Vec<Carried>,
+    pub facts: Vec<AgedRecord>,
     /// An answer to a summary, no rumours.
     #[prost(bool, tag = "2")]
-    pub page: bool,
+    pub is_page: bool,
     /// Stretches that differ and are too full to be sent unasked.
     #[prost(message, repeated, tag = "3")]
-    pub gaps: Vec<HashRange>,
+    pub differing_ranges: Vec<HashRange>,
 }
 
 /// All facts whose subject's hash begins with these bits.
@@ -205,7 +208,7 @@
 }
 
 value_records! {
-    ListedRecord {
+    ServerEntryRecord {
         #[prost(uint32, tag = "1")] lifecycle: u32,
         #[prost(string, tag = "2")] zone: String,
         #[prost(uint32, tag = "3")] cell: u32,
@@ -214,26 +217,26 @@
         #[prost(uint64, tag = "6")] started_at_ms: u64,
         #[prost(string, tag = "7")] machine_type: String,
     }
-    HeldRecord {
-        #[prost(uint64, tag = "1")] life: u64,
+    ListVersionRecord {
+        #[prost(uint64, tag = "1")] incarnation: u64,
         #[prost(uint64, tag = "2")] generation: u64,
         #[prost(fixed64, tag = "3")] digest: u64,
     }
     EvidenceRecord {
-        #[prost(uint32, tag = "1")] seen: u32,
+        #[prost(uint32, tag = "1")] observed: u32,
         #[prost(double, tag = "2")] weight: f64,
     }
-    ColdRecord {
+    SlowStartSendsRecord {
         #[prost(double, tag = "1")] sent: f64,
     }
     FailuresRecord {
         #[prost(uint32, tag = "1")] count: u32,
-        #[prost(uint64, optional, tag = "2")] voided: Option<u64>,
+        #[prost(uint64, optional, tag = "2")] last_success_age: Option<u64>,
     }
     PlacementRecord {
         #[prost(string, optional, tag = "1")] server: Option<String>,
-        #[prost(fixed64, tag = "2")] configuration: u64,
-        #[prost(uint64, tag = "3")] since: u64,
+        #[prost(fixed64, tag = "2")] configuration_digest: u64,
+        #[prost(uint64, tag = "3")] placed_at: u64,
     }
     OverrideRecord {
         #[prost(uint64, tag = "1")] expires_at: u64,
@@ -249,12 +252,16 @@
 /// In the order of their numbers, from 0.
 const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Deleted];
 /// In the order of their numbers, from 0.
-const SIGHTS: [Seen; 3] = [Seen::Hung, Seen::Refused, Seen::Well];
+const HEALTH_STATES: [ObservedHealth; 3] = [
+    ObservedHealth::Hung,
+    ObservedHealth::Refused,
+    ObservedHealth::Healthy,
+];
 
 /// The bytes of a value. An entry's position is told by the record's epoch and version.
 pub(crate) fn encode_value(value: &Value) -> Vec<u8> {
     match value {
-        Value::Listed(entry) => ListedRecord {
+        Value::ServerEntry(entry) => ServerEntryRecord {
             lifecycle: entry.lifecycle as u32,
             zone: entry.zone.clone(),
             cell: entry.cell,
@@ -264,40 +271,43 @@
             machine_type: entry.machine_type.clone(),
         }
         .encode_to_vec(),
-        Value::List(ListVersion { position, digest }) => {
-            let Position {
+        Value::ListVersion(ListVersion { position, digest }) => {
+            let ListPosition {
                 incarnation,
                 generation,
             } = *position;
-            HeldRecord {
-                life: incarnation,
+            ListVersionRecord {
+                incarnation,
                 generation,
                 digest: *digest,
             }
             .encode_to_vec()
         }
-        Value::Standing(Evidence { seen, weight }) => EvidenceRecord {
-            seen: *seen as u32,
+        Value::ServerEvidence(ServerEvidence { observed, weight }) => EvidenceRecord {
+            observed: *observed as u32,
             weight: *weight,
         }
         .encode_to_vec(),
-        Value::ColdSent(sent) => ColdRecord { sent: *sent }.encode_to_vec(),
-        Value::Failures(Failures { count, voided }) => FailuresRecord {
+        Value::SlowStartSends(sent) => SlowStartSendsRecord { sent: *sent }.encode_to_vec(),
+        Value::PlacementFailures(PlacementFailures {
+            count,
+            last_success_age,
+        }) => FailuresRecord {
             count: *count,
-            voided: *voided,
+            last_success_age: *last_success_age,
         }
         .encode_to_vec(),
         Value::Placement(None) => PlacementRecord::default().encode_to_vec(),
         Value::Placement(Some(Placement {
             server,
-            configuration,
-            since,
+            configuration_digest,
+            placed_at,
         })) => {
             let server = Some(server.clone());
             PlacementRecord {
                 server,
-                configuration: *configuration,
-                since: *since,
+                configuration_digest: *configuration_digest,
+                placed_at: *placed_at,
             }
             .encode_to_vec()
         }
@@ -306,7 +316,7 @@
             ..OverrideRecord::default()
         }
         .encode_to_vec(),
-        Value::Override(Override::Made { expires_at, bytes }) => OverrideRecord {
+        Value::Override(Override::Set { expires_at, bytes }) => OverrideRecord {
             expires_at: *expires_at,
             bytes: bytes.clone(),
             removed: false,
@@ -326,136 +336,146 @@
 }
 
 /// The value that bytes of that kind hold; nothing if this program cannot read them.
-pub(crate) fn decode_value(kind: Kind, position: Position, bytes: &[u8]) -> Option<Value> {
+pub(crate) fn decode_value(kind: FactKind, position: ListPosition, bytes: &[u8]) -> Option<Value> {
     Some(match kind {
-        Kind::Listed => {
-            let read = ListedRecord::decode(bytes).ok()?;
-            Value::Listed(Listed {
+        FactKind::ServerEntry => {
+            let decoded = ServerEntryRecord::decode(bytes).ok()?;
+            Value::ServerEntry(ServerEntry {
                 position,
-                lifecycle: *LIFECYCLES.get(read.lifecycle as usize)?,
-                zone: read.zone,
-                cell: read.cell,
-                weight: amount(read.weight)?,
-                address: read.address.map(|text| text.parse()).transpose().ok()?,
-                started_at_ms: read.started_at_ms,
-                machine_type: read.machine_type,
+                lifecycle: *LIFECYCLES.get(decoded.lifecycle as usize)?,
+                zone: decoded.zone,
+                cell: decoded.cell,
+                weight: amount(decoded.weight)?,
+                address: decoded.address.map(|text| text.parse()).transpose().ok()?,
+                started_at_ms: decoded.started_at_ms,
+                machine_type: decoded.machine_type,
             })
         }
-        Kind::List => {
-            let HeldRecord {
-                life: incarnation,
+        FactKind::ListVersion => {
+            let ListVersionRecord {
+                incarnation,
                 generation,
                 digest,
-            } = HeldRecord::decode(bytes).ok()?;
-            Value::List(ListVersion {
-                position: Position {
+            } = ListVersionRecord::decode(bytes).ok()?;
+            Value::ListVersion(ListVersion {
+                position: ListPosition {
                     incarnation,
                     generation,
                 },
                 digest,
             })
         }
-        Kind::Standing => {
-            let EvidenceRecord { seen, weight } = EvidenceRecord::decode(bytes).ok()?;
-            Value::Standing(Evidence {
-                seen: *SIGHTS.get(seen as usize)?,
+        FactKind::ServerEvidence => {
+            let EvidenceRecord { observed, weight } = EvidenceRecord::decode(bytes).ok()?;
+            Value::ServerEvidence(ServerEvidence {
+                observed: *HEALTH_STATES.get(observed as usize)?,
                 weight: amount(weight)?,
             })
         }
-        Kind::ColdSent => Value::ColdSent(amount(ColdRecord::decode(bytes).ok()?.sent)?),
-        Kind::Failures => {
-            let FailuresRecord { count, voided } = FailuresRecord::decode(bytes).ok()?;
-            Value::Failures(Failures { count, voided })
+        FactKind::SlowStartSends => {
+            Value::SlowStartSends(amount(SlowStartSendsRecord::decode(bytes).ok()?.sent)?)
+        }
+        FactKind::PlacementFailures => {
+            let FailuresRecord {
+                count,
+                last_success_age,
+            } = FailuresRecord::decode(bytes).ok()?;
+            Value::PlacementFailures(PlacementFailures {
+                count,
+                last_success_age,
+            })
         }
-        Kind::Placement => {
+        FactKind::Placement => {
             let PlacementRecord {
                 server,
-                configuration,
-                since,
+                configuration_digest,
+                placed_at,
             } = PlacementRecord::decode(bytes).ok()?;
             Value::Placement(server.map(|server| Placement {
                 server,
-                configuration,
-                since,
+                configuration_digest,
+                placed_at,
             }))
         }
-        Kind::Override => match OverrideRecord::decode(bytes).ok()? {
+        FactKind::Override => match OverrideRecord::decode(bytes).ok()? {
             OverrideRecord { removed: true, .. } => Value::Override(Override::Removed),
             OverrideRecord {
                 expires_at, bytes, ..
-            } => Value::Override(Override::Made { expires_at, bytes }),
+            } => Value::Override(Override::Set { expires_at, bytes }),
         },
-        Kind::Configuration => {
+        FactKind::Configuration => {
             let ConfigurationRecord { digest, number } = ConfigurationRecord::decode(bytes).ok()?;
             Value::Configuration(Configuration { digest, number })
         }
-        Kind::Unknown => Value::Unknown(bytes.to_vec()),
+        FactKind::Unknown => Value::Unknown(bytes.to_vec()),
     })
 }
 
 /// The name of a subject within its kind.
 pub(crate) fn encode_key(subject: &Subject) -> Vec<u8> {
     match subject {
-        Subject::Listed(name) | Subject::Standing(name) | Subject::ColdSent(name) => {
-            name.clone().into_bytes()
-        }
-        Subject::List | Subject::Configuration => Vec::new(),
-        Subject::Failures(key) => key.to_be_bytes().to_vec(),
-        Subject::Placement(holder) => holder_key(*holder).to_vec(),
+        Subject::ServerEntry(name)
+        | Subject::ServerEvidence(name)
+        | Subject::SlowStartSends(name) => name.clone().into_bytes(),
+        Subject::ListVersion | Subject::Configuration => Vec::new(),
+        Subject::PlacementFailures(key) => key.to_be_bytes().to_vec(),
+        Subject::Placement(key) => encode_placement_key(*key).to_vec(),
         Subject::Override(id) => id.clone(),
         Subject::Unknown { key, .. } => key.clone(),
     }
 }
 
 /// The key of a placement.
-pub(crate) fn holder_key(holder: Holder) -> [u8; 9] {
-    let (tag, number) = match holder {
-        Holder::Client(number) => (0, number),
-        Holder::Group(number) => (1, number),
+pub(crate) fn encode_placement_key(key: PlacementKey) -> [u8; 9] {
+    let (tag, number) = match key {
+        PlacementKey::Client(number) => (0, number),
+        PlacementKey::Group(number) => (1, number),
     };
     let mut key = [tag; 9];
     key[1..].copy_from_slice(&number.to_be_bytes());
     key
 }
 
-fn decode_key(kind: Kind, key: &[u8]) -> Option<Subject> {
+fn decode_key(kind: FactKind, key: &[u8]) -> Option<Subject> {
     let name = || String::from_utf8(key.to_vec()).ok();
     Some(match kind {
-        Kind::Listed => Subject::Listed(name()?),
-        Kind::List => Subject::List,
-        Kind::Standing => Subject::Standing(name()?),
-        Kind::ColdSent => Subject::ColdSent(name()?),
-        Kind::Failures => Subject::Failures(u64::from_be_bytes(key.try_into().ok()?)),
-        Kind::Placement => {
+        FactKind::ServerEntry => Subject::ServerEntry(name()?),
+        FactKind::ListVersion => Subject::ListVersion,
+        FactKind::ServerEvidence => Subject::ServerEvidence(name()?),
+        FactKind::SlowStartSends => Subject::SlowStartSends(name()?),
+        FactKind::PlacementFailures => {
+            Subject::PlacementFailures(u64::from_be_bytes(key.try_into().ok()?))
+        }
+        FactKind::Placement => {
             let (tag, number) = key.split_first()?;
             let number = u64::from_be_bytes(number.try_into().ok()?);
             Subject::Placement(if *tag == 0 {
-                Holder::Client(number)
+                PlacementKey::Client(number)
             } else {
-                Holder::Group(number)
+                PlacementKey::Group(number)
             })
         }
-        Kind::Override => Subject::Override(key.to_vec()),
-        Kind::Configuration => Subject::Configuration,
-        Kind::Unknown => return None,
+        FactKind::Override => Subject::Override(key.to_vec()),
+        FactKind::Configuration => Subject::Configuration,
+        FactKind::Unknown => return None,
     })
 }
 
 /// Where a placement says that its holder stands, read where it lies.
 pub(crate) fn read_placement(value: &[u8]) -> Option<PlacementView<'_>> {
-    let (mut server, mut configuration, mut since) = (None, 0, 0);
+    let (mut server, mut configuration_digest, mut placed_at) = (None, 0, 0);
     for field in Fields(value) {
         match field.ok()? {
-            (1, held) => server = Some(std::str::from_utf8(held.bytes()?).ok()?),
-            (2, held) => configuration = held.number()?,
-            (3, held) => since = held.number()?,
+            (1, value) => server = Some(std::str::from_utf8(value.bytes()?).ok()?),
+            (2, value) => configuration_digest = value.number()?,
+            (3, value) => placed_at = value.number()?,
             _ => {}
         }
     }
     Some(PlacementView {
         server: server?,
-        configuration,
-        since,
+        configuration_digest,
+        placed_at,
     })
 }
 
--- a/crates/gossip/src/record/tests.rs
+++ b/crates/gossip/src/record/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
-fn same(view: View<'_>, record: &Record) -> bool {
+fn equals(view: RecordView<'_>, record: &Record) -> bool {
     let numbers = [
         view.incarnation,
         view.epoch,
         view.version,
-        view.origin_time,
+        view.origin_observed_at,
         view.valid_for,
         view.retained_for,
     ];
@@ -16,12 +16,12 @@
             record.incarnation,
             record.epoch,
             record.version,
-            record.origin_time,
+            record.origin_observed_at,
             record.valid_for,
             record.retained_for,
         ]
         && parts == [&record.key[..], &record.name, &record.value]
-        && (view.kind, view.owned) == (record.kind, record.owned)
+        && (view.kind, view.is_per_process) == (record.kind, record.is_per_process)
 }
 
 fn bytes() -> impl Strategy<Value = Vec<u8>> {
@@ -34,22 +34,22 @@
     /// What is read where it lies is what prost wrote, also with a byte changed: then both read the same, or one
     /// of them nothing.
     #[test]
-    fn reading_in_place_agrees_with_prost(
+    fn reads_in_place_as_prost_does(
         (key, name, value) in (bytes(), bytes(), bytes()),
-        numbers in prop::array::uniform6(0..LAST_VERSION),
-        (kind, owned) in (any::<u32>(), any::<bool>()),
+        numbers in prop::array::uniform6(0..MAX_VERSION),
+        (kind, is_per_process) in (any::<u32>(), any::<bool>()),
         (at, byte) in (any::<prop::sample::Index>(), any::<u8>()),
     ) {
-        let [incarnation, epoch, version, origin_time, valid_for, retained_for] = numbers;
-        let record = Record { kind, key, owned, name, incarnation, epoch, version, origin_time, valid_for, retained_for, value };
+        let [incarnation, epoch, version, origin_observed_at, valid_for, retained_for] = numbers;
+        let record = Record { kind, key, is_per_process, name, incarnation, epoch, version, origin_observed_at, valid_for, retained_for, value };
         let mut raw = record.encode_to_vec();
-        prop_assert!(View::new(&raw).is_some_and(|view| same(view, &record)));
+        prop_assert!(RecordView::new(&raw).is_some_and(|view| equals(view, &record)));
         let at = at.index(raw.len().max(1));
-        if let Some(place) = raw.get_mut(at) {
-            *place = byte;
+        if let Some(target) = raw.get_mut(at) {
+            *target = byte;
         }
-        if let (Some(view), Ok(record)) = (View::new(&raw), Record::decode(&raw[..])) {
-            prop_assert!(same(view, &record));
+        if let (Some(view), Ok(record)) = (RecordView::new(&raw), Record::decode(&raw[..])) {
+            prop_assert!(equals(view, &record));
         }
     }
 }
--- a/crates/gossip/src/slot.rs
+++ b/crates/gossip/src/slot.rs
@@ -6,83 +6,83 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::Millis;
-use crate::fact::{Fact, Kind};
-use crate::record::View;
+use crate::fact::{Fact, FactKind};
+use crate::record::RecordView;
 
 /// Bits of a subject's hash that tell the finest stretch.
 pub(crate) const LEAF_BITS: u32 = 14;
 /// What a fact costs beside its slot: its notes in table, leaf, index and calendars.
-const BESIDE: usize = 56;
+const INDEX_OVERHEAD_BYTES: usize = 56;
 /// Records of this length are kept in the slot itself.
-const INLINE: usize = 96;
+const INLINE_RECORD_BYTES: usize = 96;
 
 /// A record as it is kept.
-pub(crate) type Raw = SmallVec<[u8; INLINE]>;
+pub(crate) type RawRecord = SmallVec<[u8; INLINE_RECORD_BYTES]>;
 
 /// A part of a slot's view.
 #[derive(Clone, Copy, Debug)]
-struct Span {
-    at: u16,
+struct ByteRange {
+    start: u16,
     len: u16,
 }
 
-impl Span {
-    fn new(raw: &[u8], part: &[u8]) -> Span {
+impl ByteRange {
+    fn new(raw: &[u8], part: &[u8]) -> ByteRange {
         // A part is a slice of the record; one that is empty may point anywhere.
-        let at = if part.is_empty() {
+        let start = if part.is_empty() {
             0
         } else {
             part.as_ptr() as usize - raw.as_ptr() as usize
         };
-        Span {
-            at: at as u16,
+        ByteRange {
+            start: start as u16,
             len: part.len() as u16,
         }
     }
 
-    fn of(self, raw: &[u8]) -> &[u8] {
-        &raw[self.at as usize..][..self.len as usize]
+    fn slice(self, raw: &[u8]) -> &[u8] {
+        &raw[self.start as usize..][..self.len as usize]
     }
 }
 
 /// A fact that is kept.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
-    pub raw: Raw,
-    key: Span,
-    name: Span,
-    value: Span,
+    pub raw: RawRecord,
+    key: ByteRange,
+    name: ByteRange,
+    value: ByteRange,
     /// The number of its kind.
-    pub number: u32,
+    pub kind_number: u32,
     /// Its place in its leaf.
-    pub leaf_at: u32,
+    pub leaf_index: u32,
     pub epoch: u64,
     pub version: u64,
     /// By this process's clock.
     pub observed_at: Millis,
     pub valid_until: Millis,
     /// It is kept until then.
-    pub until: Millis,
+    pub retained_until: Millis,
     /// Its turn among the rumours, while it is one.
     pub gossip_order: Option<(u8, u32)>,
-    owned: bool,
+    is_per_process: bool,
 }
 
 impl Slot {
     pub fn key(&self) -> &[u8] {
-        self.key.of(&self.raw)
+        self.key.slice(&self.raw)
     }
 
     pub fn name(&self) -> &[u8] {
-        self.name.of(&self.raw)
+        self.name.slice(&self.raw)
     }
 
     pub fn value(&self) -> &[u8] {
-        self.value.of(&self.raw)
+        self.value.slice(&self.raw)
     }
 
-    pub fn kind(&self) -> Kind {
-        Kind::of(self.number)
+    pub fn kind(&self) -> FactKind {
+        FactKind::from_number(self.kind_number)
     }
 
     /// Digest of the record, for the leaf.
@@ -91,60 +91,60 @@
     }
 
     /// Whether what it says holds still.
-    pub fn is_good(&self, now: Millis) -> bool {
+    pub fn is_valid(&self, now: Millis) -> bool {
         now < self.valid_until
     }
 
     /// What it counts for in its kind's bytes.
     pub fn cost(&self) -> usize {
-        let apart = if self.raw.spilled() {
+        let heap_bytes = if self.raw.spilled() {
             self.raw.capacity()
         } else {
             0
         };
-        size_of::<Option<Slot>>() + apart + BESIDE
+        size_of::<Option<Slot>>() + heap_bytes + INDEX_OVERHEAD_BYTES
     }
 
     /// What tells its subject from all others.
-    pub fn id(&self) -> Id<'_> {
-        Id {
-            kind: self.number,
+    pub fn id(&self) -> FactId<'_> {
+        FactId {
+            kind: self.kind_number,
             key: self.key(),
-            name: self.owned.then(|| self.name()),
+            name: self.is_per_process.then(|| self.name()),
         }
     }
 
     /// The fact that it keeps.
     pub fn fact(&self) -> Option<Fact> {
-        Some(View::new(&self.raw)?.fact(self.observed_at))
+        Some(RecordView::new(&self.raw)?.fact(self.observed_at))
     }
 
     /// A slot for a fact, which is kept for the kind's longest span at most.
-    pub fn new(view: &View<'_>, observed_at: Millis, longest: Millis) -> Slot {
+    pub fn new(view: &RecordView<'_>, observed_at: Millis, max_lifetime_ms: Millis) -> Slot {
         let raw = view.raw;
-        let valid_until = observed_at.saturating_add(view.valid_for.min(longest));
+        let valid_until = observed_at.saturating_add(view.valid_for.min(max_lifetime_ms));
         Slot {
             raw: SmallVec::from_slice(raw),
-            key: Span::new(raw, view.key),
-            name: Span::new(raw, view.name),
-            value: Span::new(raw, view.value),
-            number: view.kind,
-            leaf_at: 0,
+            key: ByteRange::new(raw, view.key),
+            name: ByteRange::new(raw, view.name),
+            value: ByteRange::new(raw, view.value),
+            kind_number: view.kind,
+            leaf_index: 0,
             epoch: view.epoch,
             version: view.version,
             observed_at,
             valid_until,
-            until: observed_at
-                .saturating_add(view.retained_for.min(longest))
+            retained_until: observed_at
+                .saturating_add(view.retained_for.min(max_lifetime_ms))
                 .max(valid_until),
             gossip_order: None,
-            owned: view.owned,
+            is_per_process: view.is_per_process,
         }
     }
 
     /// How a fact stands to the one that is kept: by epoch and version, then by the moment told, boot and name of the
     /// origin and all bytes. A total order that needs nothing but the two facts.
-    pub fn against(&self, view: &View<'_>) -> Ordering {
+    pub fn compare_to(&self, view: &RecordView<'_>) -> Ordering {
         let raw = view.raw;
         (view.epoch, view.version)
             .cmp(&(self.epoch, self.version))
@@ -152,9 +152,9 @@
                 if *raw == self.raw[..] {
                     return Ordering::Equal;
                 }
-                let kept = View::new(&self.raw);
-                Some(view.settles())
-                    .cmp(&kept.as_ref().map(View::settles))
+                let kept = RecordView::new(&self.raw);
+                Some(view.tie_breaker())
+                    .cmp(&kept.as_ref().map(RecordView::tie_breaker))
                     .then_with(|| raw.cmp(&self.raw[..]))
             })
     }
@@ -162,19 +162,19 @@
 
 /// What tells a subject from all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Id<'a> {
+pub(crate) struct FactId<'a> {
     pub kind: u32,
     pub key: &'a [u8],
     /// The process, where each has its own word.
     pub name: Option<&'a [u8]>,
 }
 
-impl<'a> Id<'a> {
-    pub fn of(view: &View<'a>) -> Id<'a> {
-        Id {
+impl<'a> FactId<'a> {
+    pub fn of(view: &RecordView<'a>) -> FactId<'a> {
+        FactId {
             kind: view.kind,
             key: view.key,
-            name: view.owned.then_some(view.name),
+            name: view.is_per_process.then_some(view.name),
         }
     }
 
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -34,7 +34,7 @@
 
 /// Bytes that are no field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct NoField;
+pub(crate) struct FieldError;
 
 fn varint(bytes: &mut &[u8]) -> Option<u64> {
     let mut number = 0;
@@ -63,9 +63,9 @@
         bytes
             .iter()
             .rev()
-            .fold(0, |all, byte| all << 8 | u64::from(*byte))
+            .fold(0, |number, byte| number << 8 | u64::from(*byte))
     };
-    let held = match tag & 7 {
+    let value = match tag & 7 {
         0 => Field::Number(varint(bytes)?),
         1 => Field::Number(fixed(split(bytes, 8)?)),
         2 => {
@@ -75,11 +75,11 @@
         5 => Field::Number(fixed(split(bytes, 4)?)),
         _ => return None,
     };
-    (number > 0).then_some((number, held))
+    (number > 0).then_some((number, value))
 }
 
 impl<'a> Iterator for Fields<'a> {
-    type Item = Result<(u32, Field<'a>), NoField>;
+    type Item = Result<(u32, Field<'a>), FieldError>;
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.0.is_empty() {
@@ -90,6 +90,6 @@
             // Nothing can be told from what follows.
             self.0 = &[];
         }
-        Some(read.ok_or(NoField))
+        Some(read.ok_or(FieldError))
     }
 }
--- /dev/null
+++ b/crates/gossip/tests/aggregates.rs
@@ -0,0 +1,167 @@
+//! What the words of several processes come to.
+
+mod common;
+
+use beaconflow_gossip::*;
+use common::*;
+
+const VALIDITY_MS: Millis = 60_000;
+
+/// Three processes, and a way for all to hear all.
+fn three_processes() -> [FactStore; 3] {
+    ["a", "b", "c"].map(|name| process(name, 1))
+}
+
+fn gossip_to_all(stores: &mut [FactStore; 3], now: Millis) {
+    for from in 0..3 {
+        let bytes = stores[from].gossip_payload(MAX_DATAGRAM_BYTES, now);
+        for to in (0..3).filter(|to| *to != from && !bytes.is_empty()) {
+            stores[to].merge_packet(&bytes, now).expect("sound");
+        }
+    }
+}
+
+#[test]
+fn sums_caps_voids_and_expires_placement_failures() {
+    let mut stores = three_processes();
+    let fail = |store: &mut FactStore, now| {
+        drop(
+            store
+                .record_placement_failure(5, VALIDITY_MS, now)
+                .expect("taken"),
+        )
+    };
+    fail(&mut stores[0], START_MS);
+    fail(&mut stores[0], START_MS + 1);
+    fail(&mut stores[1], START_MS + 2);
+    gossip_to_all(&mut stores, START_MS + 10);
+    assert!(
+        stores
+            .iter()
+            .all(|store| store.failure_count(5, START_MS + 10) == 3
+                && store.failure_count(6, START_MS + 10) == 0)
+    );
+    (0..9).for_each(|step| fail(&mut stores[step as usize % 2], START_MS + 20 + step));
+    gossip_to_all(&mut stores, START_MS + 40);
+    assert!(
+        stores
+            .iter()
+            .all(|store| store.failure_count(5, START_MS + 40) == MAX_COUNTED_FAILURES)
+    );
+    // A placement succeeds at the third.
+    stores[2]
+        .record_placement_success(5, VALIDITY_MS, START_MS + 50)
+        .expect("taken");
+    gossip_to_all(&mut stores, START_MS + 60);
+    assert!(
+        stores
+            .iter()
+            .all(|store| store.failure_count(5, START_MS + 60) == 0)
+    );
+    // Whoever counts on does so from there.
+    fail(&mut stores[2], START_MS + 70);
+    fail(&mut stores[0], START_MS + 71);
+    gossip_to_all(&mut stores, START_MS + 80);
+    assert!(
+        stores
+            .iter()
+            .all(|store| store.failure_count(5, START_MS + 80) == 2),
+        "what was void stays so"
+    );
+    assert!(
+        stores
+            .iter()
+            .all(|store| store.failure_count(5, START_MS + 71 + VALIDITY_MS) == 0),
+        "forgotten"
+    );
+}
+
+#[test]
+fn sums_and_decays_slow_start_sends() {
+    let mut stores = three_processes();
+    stores[0]
+        .record_slow_start_send("s1", 4.0, VALIDITY_MS, START_MS)
+        .expect("taken");
+    stores[1]
+        .record_slow_start_send("s1", 2.0, VALIDITY_MS, START_MS)
+        .expect("taken");
+    gossip_to_all(&mut stores, START_MS);
+    let sent = |stores: &[FactStore; 3], now| {
+        stores
+            .each_ref()
+            .map(|store| store.slow_start_sent("s1", now))
+    };
+    assert_eq!(sent(&stores, START_MS), [6.0; 3]);
+    let after_half_life = START_MS + Bounds::default().slow_start_half_life_ms;
+    assert_eq!(sent(&stores, after_half_life), [3.0; 3]);
+    stores[0]
+        .record_slow_start_send("s1", 1.0, VALIDITY_MS, after_half_life)
+        .expect("taken");
+    assert_eq!(
+        stores[0].slow_start_sent("s1", after_half_life),
+        4.0,
+        "its own count goes on from what is left"
+    );
+    gossip_to_all(&mut stores, after_half_life);
+    gossip_to_all(&mut stores, after_half_life);
+    assert_eq!(
+        sent(&stores, after_half_life),
+        [4.0; 3],
+        "heard twice, counted once"
+    );
+}
+
+#[test]
+fn assesses_server_by_decayed_and_bounded_evidence() {
+    let mut stores = three_processes();
+    let record_evidence = |store: &mut FactStore, observed, weight, now| {
+        store
+            .record_evidence("s1", ServerEvidence { observed, weight }, VALIDITY_MS, now)
+            .expect("taken");
+    };
+    record_evidence(&mut stores[0], ObservedHealth::Hung, 0.4, START_MS);
+    gossip_to_all(&mut stores, START_MS);
+    assert_eq!(stores[1].assess_server("s1", START_MS), None, "thin");
+    // One that shouts is not heard above two others.
+    record_evidence(&mut stores[0], ObservedHealth::Hung, 1_000.0, START_MS);
+    record_evidence(&mut stores[1], ObservedHealth::Healthy, 3.0, START_MS);
+    record_evidence(&mut stores[2], ObservedHealth::Healthy, 3.0, START_MS);
+    gossip_to_all(&mut stores, START_MS);
+    let assessment = ServerAssessment {
+        observed: ObservedHealth::Healthy,
+        weight: 6.0,
+        contrary_weight: 4.0,
+        witness_count: 3,
+        age: 0,
+    };
+    assert!(
+        stores
+            .iter()
+            .all(|store| store.assess_server("s1", START_MS) == Some(assessment))
+    );
+    // The newer word of one process replaces its older one, and evidence fades.
+    let half_life = Bounds::default().evidence_half_life_ms;
+    record_evidence(
+        &mut stores[1],
+        ObservedHealth::Hung,
+        1.0,
+        START_MS + half_life,
+    );
+    gossip_to_all(&mut stores, START_MS + half_life);
+    let assessment = ServerAssessment {
+        observed: ObservedHealth::Hung,
+        weight: 3.0,
+        contrary_weight: 1.5,
+        witness_count: 3,
+        age: 0,
+    };
+    assert_eq!(
+        stores[2].assess_server("s1", START_MS + half_life),
+        Some(assessment)
+    );
+    assert_eq!(
+        stores[2].assess_server("s1", START_MS + half_life + 4 * half_life),
+        None,
+        "too old to say anything"
+    );
+}
--- a/crates/gossip/tests/bounds.rs
+++ b/crates/gossip/tests/bounds.rs
@@ -5,12 +5,12 @@
 use beaconflow_gossip::*;
 use common::*;
 
-const LONG: Millis = 3_600_000;
-const BYTES: usize = 100_000;
+const VALIDITY_MS: Millis = 3_600_000;
+const MAX_BYTES: usize = 100_000;
 
-fn small(kind: Kind) -> FactStore {
+fn store_with_small_limit(kind: FactKind) -> FactStore {
     let mut bounds = Bounds::default();
-    bounds.of_mut(kind).bytes = BYTES;
+    bounds.of_kind_mut(kind).max_bytes = MAX_BYTES;
     FactStore::new(
         Origin {
             name: "a".into(),
@@ -20,21 +20,29 @@
     )
 }
 
-fn has(one: &FactStore, key: u64, now: Millis) -> bool {
-    one.placement(Holder::Client(key), now).is_some()
+fn has_placement(store: &FactStore, key: u64, now: Millis) -> bool {
+    store.placement(PlacementKey::Client(key), now).is_some()
 }
 
 #[test]
-fn the_oldest_give_way_and_the_bound_holds() {
-    let mut one = small(Kind::Placement);
+fn evicts_oldest_facts_when_kind_is_full() {
+    let mut store = store_with_small_limit(FactKind::Placement);
     for key in 0..5_000 {
-        one.observe(&client(key), &stands("s1"), LONG, START + key * 1_100)
+        store
+            .observe(
+                &client(key),
+                &placed_on("s1"),
+                VALIDITY_MS,
+                START_MS + key * 1_100,
+            )
             .expect("the newest has room");
-        assert!(one.size(Kind::Placement).0 <= BYTES);
+        assert!(store.usage(FactKind::Placement).0 <= MAX_BYTES);
     }
-    let (now, (_, count)) = (START + 5_000 * 1_100, one.size(Kind::Placement));
+    let (now, (_, count)) = (START_MS + 5_000 * 1_100, store.usage(FactKind::Placement));
     assert!(count > 200);
-    let kept: Vec<u64> = (0..5_000).filter(|key| has(&one, *key, now)).collect();
+    let kept: Vec<u64> = (0..5_000)
+        .filter(|key| has_placement(&store, *key, now))
+        .collect();
     assert_eq!(
         kept,
         (5_000 - count as u64..5_000).collect::<Vec<_>>(),
@@ -43,157 +51,192 @@
 }
 
 #[test]
-fn what_is_over_gives_way_before_what_is_older() {
-    let mut one = small(Kind::Placement);
-    one.observe(&client(0), &stands("s1"), LONG, START)
+fn evicts_expired_facts_before_older_ones() {
+    let mut store = store_with_small_limit(FactKind::Placement);
+    store
+        .observe(&client(0), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
     let mut key = 0;
     // Good for a short while, and younger than the first.
-    while one.size(Kind::Placement).0 + 400 < BYTES {
+    while store.usage(FactKind::Placement).0 + 400 < MAX_BYTES {
         key += 1;
-        one.observe(&client(key), &stands("s1"), 5_000, START + 2_000)
+        store
+            .observe(&client(key), &placed_on("s1"), 5_000, START_MS + 2_000)
             .expect("taken");
     }
-    let later = START + 60_000;
+    let later = START_MS + 60_000;
     (1_000..1_100).for_each(|key| {
         drop(
-            one.observe(&client(key), &stands("s1"), LONG, later)
+            store
+                .observe(&client(key), &placed_on("s1"), VALIDITY_MS, later)
                 .expect("taken"),
         )
     });
-    assert!(has(&one, 0, later) && (1_000..1_100).all(|key| has(&one, key, later)));
-    assert_eq!(one.size(Kind::Placement).1, 101);
+    assert!(
+        has_placement(&store, 0, later)
+            && (1_000..1_100).all(|key| has_placement(&store, key, later))
+    );
+    assert_eq!(store.usage(FactKind::Placement).1, 101);
 }
 
 #[test]
-fn what_is_older_than_all_that_is_kept_finds_no_room() {
-    let (mut one, mut other) = (small(Kind::Placement), process("b", 1));
-    other
-        .observe(&client(9_999), &stands("s1"), LONG, START)
+fn ignores_fact_when_older_than_all_kept() {
+    let (mut store, mut peer) = (store_with_small_limit(FactKind::Placement), process("b", 1));
+    peer.observe(&client(9_999), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
-    (0..2_000).for_each(|key| drop(one.observe(&client(key), &stands("s1"), LONG, START + 9_000)));
-    let before = one.size(Kind::Placement);
-    assert_eq!(tell(&mut other, &mut one, START + 10_000), []);
+    (0..2_000).for_each(|key| {
+        drop(store.observe(
+            &client(key),
+            &placed_on("s1"),
+            VALIDITY_MS,
+            START_MS + 9_000,
+        ))
+    });
+    let before = store.usage(FactKind::Placement);
+    assert_eq!(send_gossip(&mut peer, &mut store, START_MS + 10_000), []);
     assert_eq!(
-        one.size(Kind::Placement),
+        store.usage(FactKind::Placement),
         before,
         "no younger one had to go"
     );
 }
 
 #[test]
-fn a_longer_value_makes_room_for_itself() {
-    let mut one = small(Kind::Override);
+fn evicts_other_facts_when_value_grows() {
+    let mut store = store_with_small_limit(FactKind::Override);
     let made = |len| {
-        Value::Override(Override::Made {
-            expires_at: START + LONG,
+        Value::Override(Override::Set {
+            expires_at: START_MS + VALIDITY_MS,
             bytes: vec![1; len],
         })
     };
     for id in 0..200_u8 {
-        one.observe(
-            &Subject::Override(vec![id]),
-            &made(300),
-            LONG,
-            START + u64::from(id) * 1_100,
-        )
-        .expect("taken");
+        store
+            .observe(
+                &Subject::Override(vec![id]),
+                &made(300),
+                VALIDITY_MS,
+                START_MS + u64::from(id) * 1_100,
+            )
+            .expect("taken");
     }
     for id in 150..200_u8 {
-        one.observe(
-            &Subject::Override(vec![id]),
-            &made(4_000),
-            LONG,
-            START + 500_000,
-        )
-        .expect("taken");
-        assert!(one.size(Kind::Override).0 <= BYTES);
+        store
+            .observe(
+                &Subject::Override(vec![id]),
+                &made(4_000),
+                VALIDITY_MS,
+                START_MS + 500_000,
+            )
+            .expect("taken");
+        assert!(store.usage(FactKind::Override).0 <= MAX_BYTES);
     }
-    let too_long = one.observe(&Subject::Override(vec![1]), &made(9_000), LONG, START);
-    assert_eq!(too_long, Err(Refused::TooLong));
+    let too_long = store.observe(
+        &Subject::Override(vec![1]),
+        &made(9_000),
+        VALIDITY_MS,
+        START_MS,
+    );
+    assert_eq!(too_long, Err(ObserveError::TooLong));
 }
 
 #[test]
-fn overrides_never_give_way_to_placements() {
-    let mut one = small(Kind::Placement);
+fn keeps_overrides_when_placements_are_full() {
+    let mut store = store_with_small_limit(FactKind::Placement);
     let removed = Value::Override(Override::Removed);
-    (0..50_u8)
-        .for_each(|id| drop(one.observe(&Subject::Override(vec![id]), &removed, LONG, START)));
-    (0..20_000).for_each(|key| drop(one.observe(&client(key), &stands("s1"), LONG, START + key)));
-    assert_eq!(one.iter(Kind::Override, START + 20_000).count(), 50);
+    (0..50_u8).for_each(|id| {
+        drop(store.observe(
+            &Subject::Override(vec![id]),
+            &removed,
+            VALIDITY_MS,
+            START_MS,
+        ))
+    });
+    (0..20_000).for_each(|key| {
+        drop(store.observe(&client(key), &placed_on("s1"), VALIDITY_MS, START_MS + key))
+    });
+    assert_eq!(
+        store.iter(FactKind::Override, START_MS + 20_000).count(),
+        50
+    );
 }
 
 #[test]
-fn a_removal_is_kept_as_long_as_what_it_removes() {
-    let (mut one, mut other) = (process("a", 1), process("b", 1));
+fn keeps_removal_as_long_as_removed_fact() {
+    let (mut store, mut peer) = (process("a", 1), process("b", 1));
     let subject = Subject::Override(vec![1]);
-    let made = Value::Override(Override::Made {
-        expires_at: START + LONG,
+    let made = Value::Override(Override::Set {
+        expires_at: START_MS + VALIDITY_MS,
         bytes: vec![1],
     });
-    one.observe(&subject, &made, LONG, START).expect("taken");
-    tell(&mut one, &mut other, START);
+    store
+        .observe(&subject, &made, VALIDITY_MS, START_MS)
+        .expect("taken");
+    send_gossip(&mut store, &mut peer, START_MS);
     // The removal itself is said to be good for a second only.
-    one.observe(
-        &subject,
-        &Value::Override(Override::Removed),
-        1_000,
-        START + 1,
-    )
-    .expect("taken");
-    let later = START + LONG / 2;
-    one.expire(later);
-    assert_eq!(one.get(&subject, "", later), None);
-    catch_up(&mut other, &mut one, later);
+    store
+        .observe(
+            &subject,
+            &Value::Override(Override::Removed),
+            1_000,
+            START_MS + 1,
+        )
+        .expect("taken");
+    let later = START_MS + VALIDITY_MS / 2;
+    store.expire(later);
+    assert_eq!(store.get(&subject, "", later), None);
+    run_anti_entropy(&mut peer, &mut store, later);
     assert_eq!(
-        one.get(&subject, "", later),
+        store.get(&subject, "", later),
         None,
         "what was removed does not come back"
     );
-    catch_up(&mut one, &mut other, later);
-    assert_eq!(other.get(&subject, "", later), None);
-    for knowledge in [&mut one, &mut other] {
-        knowledge.expire(START + LONG + 5_000);
-        assert_eq!(knowledge.size(Kind::Override), (0, 0));
+    run_anti_entropy(&mut store, &mut peer, later);
+    assert_eq!(peer.get(&subject, "", later), None);
+    for store in [&mut store, &mut peer] {
+        store.expire(START_MS + VALIDITY_MS + 5_000);
+        assert_eq!(store.usage(FactKind::Override), (0, 0));
     }
 }
 
 #[test]
-fn rumours_are_bounded_and_the_most_told_rest_first() {
+fn drops_most_transmitted_fact_when_gossip_queue_is_full() {
     let bounds = Bounds {
-        gossiped_facts: 10,
+        max_gossiped_facts: 10,
         ..Bounds::default()
     };
-    let mut one = FactStore::new(
+    let mut store = FactStore::new(
         Origin {
             name: "a".into(),
             incarnation: 1,
         },
         bounds,
     );
-    (0..10).for_each(|key| drop(one.observe(&client(key), &stands("s1"), LONG, START)));
-    assert!(!one.gossip_payload(400, START).is_empty());
-    one.observe(&client(10), &stands("s1"), LONG, START)
+    (0..10)
+        .for_each(|key| drop(store.observe(&client(key), &placed_on("s1"), VALIDITY_MS, START_MS)));
+    assert!(!store.gossip_payload(400, START_MS).is_empty());
+    store
+        .observe(&client(10), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
-    let mut told = std::collections::BTreeSet::new();
+    let mut received = std::collections::BTreeSet::new();
     let mut peer = process("b", 1);
     for _ in 0..100 {
-        let packet = one.gossip_payload(400, START);
+        let packet = store.gossip_payload(400, START_MS);
         assert!(packet.len() <= 400);
-        told.extend(
-            peer.take(&packet, START)
+        received.extend(
+            peer.merge_packet(&packet, START_MS)
                 .expect("sound")
                 .iter()
-                .filter_map(Change::subject),
+                .filter_map(FactChange::subject),
         );
     }
     assert!(
-        told.contains(&client(10)),
+        received.contains(&client(10)),
         "what nobody has heard displaced what some have"
     );
-    assert_eq!(told.len(), 10);
+    assert_eq!(received.len(), 10);
     assert_eq!(
-        one.gossip_payload(400, START),
+        store.gossip_payload(400, START_MS),
         Vec::<u8>::new(),
         "all have been told often enough"
     );
--- a/crates/gossip/tests/clocks.rs
+++ b/crates/gossip/tests/clocks.rs
@@ -5,145 +5,173 @@
 use beaconflow_gossip::*;
 use common::*;
 
-const YEAR: i64 = 365 * 24 * 3_600_000;
-const GOOD: Millis = 60_000;
+const YEAR_MS: i64 = 365 * 24 * 3_600_000;
+const VALIDITY_MS: Millis = 60_000;
 
 /// A process whose clock is wrong by so much, and others whose clocks are right.
-fn fleet(ahead: i64) -> Net {
-    let mut net = Net::new(5, 0.1, 3);
-    net.ahead[0] = ahead;
-    let clock = net.clock(0);
-    net.all[0]
-        .observe(&client(1), &stands("s1"), GOOD, clock)
+fn fleet_with_clock_offset(clock_offset_ms: i64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(5, 0.1, 3);
+    fleet.clock_offsets_ms[0] = clock_offset_ms;
+    let clock = fleet.clock(0);
+    fleet.stores[0]
+        .observe(&client(1), &placed_on("s1"), VALIDITY_MS, clock)
         .expect("taken");
-    net
+    fleet
 }
 
 #[test]
-fn no_clock_makes_a_fact_immortal_or_void() {
-    for ahead in [YEAR, -(START as i64), 3_000, -3_000] {
-        let mut net = fleet(ahead);
-        assert!(net.until_all_agree(20).is_some());
-        let begun = net.now;
+fn expires_facts_on_time_when_origin_clock_is_wrong() {
+    for clock_offset_ms in [YEAR_MS, -(START_MS as i64), 3_000, -3_000] {
+        let mut fleet = fleet_with_clock_offset(clock_offset_ms);
+        assert!(fleet.rounds_until_converged(20).is_some());
+        let started_at = fleet.now;
         // Told round and round while it is good, by everybody to everybody.
-        let ended = |net: &Net| net.all.iter().all(|one| one.size(Kind::Placement).1 == 0);
-        while !ended(&net) && net.now < begun + 3 * GOOD {
-            net.round();
-            let known = net.all[3]
-                .placement(Holder::Client(1), net.clock(3))
+        let all_expired = |fleet: &SimulatedFleet| {
+            fleet
+                .stores
+                .iter()
+                .all(|store| store.usage(FactKind::Placement).1 == 0)
+        };
+        while !all_expired(&fleet) && fleet.now < started_at + 3 * VALIDITY_MS {
+            fleet.round();
+            let is_known = fleet.stores[3]
+                .placement(PlacementKey::Client(1), fleet.clock(3))
                 .is_some();
             assert!(
-                known || net.now >= START + GOOD - 1_000,
+                is_known || fleet.now >= START_MS + VALIDITY_MS - 1_000,
                 "void after {} ms",
-                net.now - START
+                fleet.now - START_MS
             );
         }
         // A calendar's second, and the rounds in which it was on its way.
         assert!(
-            net.now <= START + GOOD + 5_000,
-            "kept for {} ms with a clock {ahead} ms ahead",
-            net.now - START
+            fleet.now <= START_MS + VALIDITY_MS + 5_000,
+            "kept for {} ms with a clock {clock_offset_ms} ms ahead",
+            fleet.now - START_MS
         );
     }
 }
 
 #[test]
-fn words_of_a_process_that_is_a_year_ahead_are_outdone() {
-    for ahead in [YEAR, -(START as i64)] {
-        let mut net = fleet(ahead);
-        assert!(net.until_all_agree(20).is_some());
-        let (one, other) = (net.clock(2), net.clock(0));
-        net.all[2]
-            .observe(&client(1), &stands("s2"), GOOD, one)
+fn replaces_fact_when_origin_clock_is_wrong() {
+    for clock_offset_ms in [YEAR_MS, -(START_MS as i64)] {
+        let mut fleet = fleet_with_clock_offset(clock_offset_ms);
+        assert!(fleet.rounds_until_converged(20).is_some());
+        let (right_clock, wrong_clock) = (fleet.clock(2), fleet.clock(0));
+        fleet.stores[2]
+            .observe(&client(1), &placed_on("s2"), VALIDITY_MS, right_clock)
             .expect("taken");
-        assert!(net.until_all_agree(20).is_some());
+        assert!(fleet.rounds_until_converged(20).is_some());
         assert_eq!(
-            net.all[0]
-                .placement(Holder::Client(1), other)
-                .map(|at| at.server),
+            fleet.stores[0]
+                .placement(PlacementKey::Client(1), wrong_clock)
+                .map(|placement| placement.server),
             Some("s2")
         );
         // And it has its say again.
-        net.all[0]
-            .observe(&client(1), &stands("s3"), GOOD, other)
+        fleet.stores[0]
+            .observe(&client(1), &placed_on("s3"), VALIDITY_MS, wrong_clock)
             .expect("taken");
-        assert!(net.until_all_agree(20).is_some());
+        assert!(fleet.rounds_until_converged(20).is_some());
         assert_eq!(
-            net.all[4]
-                .placement(Holder::Client(1), net.now)
-                .map(|at| at.server),
+            fleet.stores[4]
+                .placement(PlacementKey::Client(1), fleet.now)
+                .map(|placement| placement.server),
             Some("s3")
         );
     }
 }
 
 #[test]
-fn a_fact_that_says_it_is_good_for_ever_is_not() {
+fn caps_lifetime_when_fact_claims_unlimited_validity() {
     let mut bounds = Bounds::default();
-    bounds.of_mut(Kind::Placement).longest = Millis::MAX;
-    let mut liar = FactStore::new(
+    bounds.of_kind_mut(FactKind::Placement).max_lifetime_ms = Millis::MAX;
+    let mut faulty = FactStore::new(
         Origin {
             name: "liar".into(),
             incarnation: 1,
         },
         bounds,
     );
-    liar.observe(&client(1), &stands("s1"), Millis::MAX, START)
+    faulty
+        .observe(&client(1), &placed_on("s1"), Millis::MAX, START_MS)
         .expect("taken");
-    let mut one = process("one", 1);
-    tell(&mut liar, &mut one, START);
-    let longest = Bounds::default().of(Kind::Placement).longest;
+    let mut store = process("one", 1);
+    send_gossip(&mut faulty, &mut store, START_MS);
+    let max_lifetime_ms = Bounds::default()
+        .of_kind(FactKind::Placement)
+        .max_lifetime_ms;
     assert!(
-        one.placement(Holder::Client(1), START + longest - 1)
+        store
+            .placement(PlacementKey::Client(1), START_MS + max_lifetime_ms - 1)
             .is_some()
     );
-    assert!(one.placement(Holder::Client(1), START + longest).is_none());
-    one.expire(START + longest + 2_000);
-    assert_eq!(one.size(Kind::Placement), (0, 0));
+    assert!(
+        store
+            .placement(PlacementKey::Client(1), START_MS + max_lifetime_ms)
+            .is_none()
+    );
+    store.expire(START_MS + max_lifetime_ms + 2_000);
+    assert_eq!(store.usage(FactKind::Placement), (0, 0));
 }
 
 #[test]
-fn the_greater_of_two_ages_is_believed() {
-    let (mut first, mut one) = (process("first", 1), process("one", 1));
+fn keeps_greater_age_when_copies_differ() {
+    let (mut first, mut store) = (process("first", 1), process("one", 1));
     first
-        .observe(&client(1), &stands("s1"), GOOD, START)
+        .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
-    let early = first.gossip_payload(ROOM, START);
-    let late = first.gossip_payload(ROOM, START + 40_000);
+    let early = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
+    let late = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS + 40_000);
     // The early datagram was held up, so that its age says too little.
-    one.take(&early, START + 40_000).expect("sound");
+    store
+        .merge_packet(&early, START_MS + 40_000)
+        .expect("sound");
     assert_eq!(
-        one.get(&client(1), "", START + 40_000)
+        store
+            .get(&client(1), "", START_MS + 40_000)
             .map(|fact| fact.observed_at),
-        Some(START + 40_000)
+        Some(START_MS + 40_000)
+    );
+    store.merge_packet(&late, START_MS + 40_000).expect("sound");
+    assert!(
+        store
+            .placement(PlacementKey::Client(1), START_MS + VALIDITY_MS - 1)
+            .is_some()
+    );
+    assert!(
+        store
+            .placement(PlacementKey::Client(1), START_MS + VALIDITY_MS)
+            .is_none()
+    );
+    store.expire(START_MS + VALIDITY_MS + 2_000);
+    assert_eq!(
+        store.usage(FactKind::Placement),
+        (0, 0),
+        "its end was noted anew"
     );
-    one.take(&late, START + 40_000).expect("sound");
-    assert!(one.placement(Holder::Client(1), START + GOOD - 1).is_some());
-    assert!(one.placement(Holder::Client(1), START + GOOD).is_none());
-    one.expire(START + GOOD + 2_000);
-    assert_eq!(one.size(Kind::Placement), (0, 0), "its end was noted anew");
 }
 
 #[test]
-fn what_lay_on_a_disk_is_as_old_as_the_dark_was_long() {
+fn adds_downtime_to_age_when_importing_records() {
     let mut before = process("a", 1);
     before
-        .observe(&client(1), &stands("s1"), GOOD, START)
+        .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
-    let records = before.export(&[Kind::Placement], START + 20_000);
+    let records = before.export(&[FactKind::Placement], START_MS + 20_000);
     // The clock came up in 1970; how long it was dark is told by whoever read the disk.
-    for (dark, known) in [(30_000, true), (39_999, true), (40_000, false)] {
+    for (downtime_ms, is_known) in [(30_000, true), (39_999, true), (40_000, false)] {
         let mut after = process("a", 2);
-        after.import(records.iter().map(Vec::as_slice), dark, 100_000);
+        after.import(records.iter().map(Vec::as_slice), downtime_ms, 100_000);
         assert_eq!(
-            after.placement(Holder::Client(1), 100_000).is_some(),
-            known,
-            "dark for {dark} ms"
+            after.placement(PlacementKey::Client(1), 100_000).is_some(),
+            is_known,
+            "dark for {downtime_ms} ms"
         );
     }
-    let read = FactStore::read(&records[0], 30_000, 100_000).expect("readable");
+    let read = FactStore::read_exported(&records[0], 30_000, 100_000).expect("readable");
     assert_eq!(
-        (read.subject, read.observed_at, read.origin_time),
-        (client(1), 50_000, START)
+        (read.subject, read.observed_at, read.origin_observed_at),
+        (client(1), 50_000, START_MS)
     );
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use rand_pcg::Pcg32;
 
 /// A sound clock's moment at which stories begin.
-pub const START: Millis = 1_800_000_000_000;
+pub const START_MS: Millis = 1_800_000_000_000;
 /// A datagram's room.
-pub const ROOM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 pub fn process(name: &str, incarnation: u64) -> FactStore {
     FactStore::new(
@@ -20,24 +20,24 @@
     )
 }
 
-pub fn stands(server: &str) -> Value {
+pub fn placed_on(server: &str) -> Value {
     Value::Placement(Some(Placement {
         server: server.into(),
-        configuration: 7,
-        since: START,
+        configuration_digest: 7,
+        placed_at: START_MS,
     }))
 }
 
 pub fn client(key: u64) -> Subject {
-    Subject::Placement(Holder::Client(key))
+    Subject::Placement(PlacementKey::Client(key))
 }
 
 pub fn entry(incarnation: u64, generation: u64, lifecycle: Lifecycle) -> Value {
-    let position = Position {
+    let position = ListPosition {
         incarnation,
         generation,
     };
-    Value::Listed(Listed {
+    Value::ServerEntry(ServerEntry {
         position,
         lifecycle,
         zone: "a".into(),
@@ -50,9 +50,9 @@
 }
 
 /// All that a process keeps, in an order that hangs on nothing but what it is, without ages.
-pub fn all_of(knowledge: &FactStore, now: Millis) -> Vec<String> {
-    let facts = Kind::ALL.iter().flat_map(|kind| knowledge.iter(*kind, now));
-    let mut all: Vec<String> = facts
+pub fn facts_without_ages(store: &FactStore, now: Millis) -> Vec<String> {
+    let facts = FactKind::ALL.iter().flat_map(|kind| store.iter(*kind, now));
+    let mut facts: Vec<String> = facts
         .map(|fact| {
             format!(
                 "{:?}",
@@ -63,131 +63,142 @@
             )
         })
         .collect();
-    all.sort();
-    all
+    facts.sort();
+    facts
 }
 
 /// One pass of rumours from one to the other.
-pub fn tell(from: &mut FactStore, to: &mut FactStore, now: Millis) -> Vec<Change> {
-    let bytes = from.gossip_payload(ROOM, now);
+pub fn send_gossip(from: &mut FactStore, to: &mut FactStore, now: Millis) -> Vec<FactChange> {
+    let bytes = from.gossip_payload(MAX_DATAGRAM_BYTES, now);
     if bytes.is_empty() {
         Vec::new()
     } else {
-        to.take(&bytes, now).expect("a sound packet")
+        to.merge_packet(&bytes, now).expect("a sound packet")
     }
 }
 
 /// Tells the other by comparing digests until nothing comes any more.
-pub fn catch_up(from: &mut FactStore, to: &mut FactStore, now: Millis) -> usize {
+pub fn run_anti_entropy(from: &mut FactStore, to: &mut FactStore, now: Millis) -> usize {
     let mut pages = 0;
     // A stretch is compared every second time.
-    let mut quiet = 0;
-    while quiet < 4 {
+    let mut rounds_without_change = 0;
+    while rounds_without_change < 4 {
         let answer = from
-            .answer(&to.summary(ROOM), ROOM, 8, now)
+            .answer_summary(&to.summary(MAX_DATAGRAM_BYTES), MAX_DATAGRAM_BYTES, 8, now)
             .expect("a sound summary");
         pages += answer.len();
-        let learnt = answer
+        let new_facts = answer
             .iter()
-            .map(|page| to.take(page, now).expect("a sound page").len())
+            .map(|page| to.merge_packet(page, now).expect("a sound page").len())
             .sum::<usize>();
-        quiet = if learnt == 0 { quiet + 1 } else { 0 };
+        rounds_without_change = if new_facts == 0 {
+            rounds_without_change + 1
+        } else {
+            0
+        };
     }
     pages
 }
 
 /// Processes that tell each other in rounds, over links that lose datagrams.
-pub struct Net {
-    pub all: Vec<FactStore>,
+pub struct SimulatedFleet {
+    pub stores: Vec<FactStore>,
     pub now: Millis,
     /// Parts of a process's clock: what it is ahead by.
-    pub ahead: Vec<i64>,
-    pub loss: f64,
+    pub clock_offsets_ms: Vec<i64>,
+    pub loss_rate: f64,
     /// Processes below this number and the others do not hear each other.
-    pub cut: usize,
+    pub partition_size: usize,
     pub rng: Pcg32,
 }
 
-impl Net {
-    pub fn new(count: usize, loss: f64, seed: u64) -> Net {
-        let mut all: Vec<FactStore> = (0..count).map(|at| process(&format!("p{at}"), 1)).collect();
-        all.iter_mut().for_each(|one| one.members(count));
+impl SimulatedFleet {
+    pub fn new(count: usize, loss_rate: f64, seed: u64) -> SimulatedFleet {
+        let mut stores: Vec<FactStore> = (0..count)
+            .map(|index| process(&format!("p{index}"), 1))
+            .collect();
+        stores
+            .iter_mut()
+            .for_each(|store| store.set_member_count(count));
         let rng = Pcg32::seed_from_u64(seed);
-        Net {
-            all,
-            now: START,
-            ahead: vec![0; count],
-            loss,
-            cut: 0,
+        SimulatedFleet {
+            stores,
+            now: START_MS,
+            clock_offsets_ms: vec![0; count],
+            loss_rate,
+            partition_size: 0,
             rng,
         }
     }
 
-    pub fn clock(&self, at: usize) -> Millis {
-        self.now.saturating_add_signed(self.ahead[at])
+    pub fn clock(&self, index: usize) -> Millis {
+        self.now.saturating_add_signed(self.clock_offsets_ms[index])
     }
 
     fn arrives(&mut self, from: usize, to: usize) -> bool {
-        let lost = self.rng.random_bool(self.loss);
-        !lost && (from < self.cut) == (to < self.cut)
+        let is_lost = self.rng.random_bool(self.loss_rate);
+        !is_lost && (from < self.partition_size) == (to < self.partition_size)
     }
 
-    fn other(&mut self, than: usize) -> usize {
-        (than + self.rng.random_range(1..self.all.len())) % self.all.len()
+    fn random_peer(&mut self, of: usize) -> usize {
+        (of + self.rng.random_range(1..self.stores.len())) % self.stores.len()
     }
 
     /// Each tells rumours to two others and compares with one.
     pub fn round(&mut self) {
         self.now += 200;
-        for from in 0..self.all.len() {
+        for from in 0..self.stores.len() {
             for _ in 0..2 {
-                let (to, clock) = (self.other(from), self.clock(from));
-                let bytes = self.all[from].gossip_payload(ROOM, clock);
+                let (to, clock) = (self.random_peer(from), self.clock(from));
+                let bytes = self.stores[from].gossip_payload(MAX_DATAGRAM_BYTES, clock);
                 self.deliver(from, to, &bytes);
             }
-            let peer = self.other(from);
-            let summary = self.all[from].summary(ROOM);
+            let peer = self.random_peer(from);
+            let summary = self.stores[from].summary(MAX_DATAGRAM_BYTES);
             if self.arrives(from, peer) {
                 let clock = self.clock(peer);
-                let pages = self.all[peer]
-                    .answer(&summary, ROOM, 4, clock)
+                let pages = self.stores[peer]
+                    .answer_summary(&summary, MAX_DATAGRAM_BYTES, 4, clock)
                     .expect("a sound summary");
                 pages.iter().for_each(|page| self.deliver(peer, from, page));
             }
             let clock = self.clock(from);
-            self.all[from].expire(clock);
+            self.stores[from].expire(clock);
         }
     }
 
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         if !bytes.is_empty() && self.arrives(from, to) {
             let clock = self.clock(to);
-            self.all[to].take(bytes, clock).expect("a sound packet");
+            self.stores[to]
+                .merge_packet(bytes, clock)
+                .expect("a sound packet");
         }
     }
 
-    pub fn agree(&self) -> bool {
-        let first = all_of(&self.all[0], self.clock(0));
-        (1..self.all.len()).all(|at| all_of(&self.all[at], self.clock(at)) == first)
+    pub fn has_converged(&self) -> bool {
+        let first = facts_without_ages(&self.stores[0], self.clock(0));
+        (1..self.stores.len())
+            .all(|index| facts_without_ages(&self.stores[index], self.clock(index)) == first)
     }
 
     /// Goes on until all know the same; how many rounds that took.
-    pub fn until_all_agree(&mut self, most: usize) -> Option<usize> {
-        (0..most).find(|_| {
+    pub fn rounds_until_converged(&mut self, max_rounds: usize) -> Option<usize> {
+        (0..max_rounds).find(|_| {
             self.round();
-            self.agree()
+            self.has_converged()
         })
     }
 }
 
 /// A subject of every kind, with a value for it.
-pub fn one_of_each_kind() -> [(Subject, Value); 11] {
-    let made = Override::Made {
-        expires_at: START + 600_000,
+pub fn facts_of_every_kind() -> [(Subject, Value); 11] {
+    let override_set = Override::Set {
+        expires_at: START_MS + 600_000,
         bytes: vec![9; 30],
     };
-    let held = ListVersion {
-        position: Position {
+    let list_version = ListVersion {
+        position: ListPosition {
             incarnation: 1,
             generation: 4,
         },
@@ -196,32 +207,38 @@
     let unknown = Subject::Unknown {
         kind: 77,
         key: vec![1, 2],
-        owned: true,
+        is_per_process: true,
     };
     [
         (
-            Subject::Listed("s1".into()),
+            Subject::ServerEntry("s1".into()),
             entry(1, 4, Lifecycle::Draining),
         ),
-        (Subject::List, Value::List(held)),
+        (Subject::ListVersion, Value::ListVersion(list_version)),
         (
-            Subject::Standing("s1".into()),
-            Value::Standing(Evidence {
-                seen: Seen::Refused,
+            Subject::ServerEvidence("s1".into()),
+            Value::ServerEvidence(ServerEvidence {
+                observed: ObservedHealth::Refused,
                 weight: 2.0,
             }),
         ),
-        (Subject::ColdSent("s1".into()), Value::ColdSent(3.5)),
         (
-            Subject::Failures(5),
-            Value::Failures(Failures {
+            Subject::SlowStartSends("s1".into()),
+            Value::SlowStartSends(3.5),
+        ),
+        (
+            Subject::PlacementFailures(5),
+            Value::PlacementFailures(PlacementFailures {
                 count: 2,
-                voided: Some(10),
+                last_success_age: Some(10),
             }),
         ),
-        (client(5), stands("s1")),
-        (Subject::Placement(Holder::Group(5)), Value::Placement(None)),
-        (Subject::Override(vec![1]), Value::Override(made)),
+        (client(5), placed_on("s1")),
+        (
+            Subject::Placement(PlacementKey::Group(5)),
+            Value::Placement(None),
+        ),
+        (Subject::Override(vec![1]), Value::Override(override_set)),
         (
             Subject::Override(vec![2]),
             Value::Override(Override::Removed),
--- a/crates/gossip/tests/merging.rs
+++ b/crates/gossip/tests/merging.rs
@@ -8,83 +8,86 @@
 
 /// What a process observes, and after what span.
 #[derive(Clone, Debug)]
-struct Deed {
-    who: usize,
-    what: u8,
+struct Operation {
+    process_index: usize,
+    action: u8,
     key: u64,
     number: u64,
-    after: Millis,
+    delay_ms: Millis,
 }
 
-fn deeds(most: usize) -> impl Strategy<Value = Vec<Deed>> {
+fn operations(max_count: usize) -> impl Strategy<Value = Vec<Operation>> {
     // Often in the same millisecond, so that nothing but the origin and the value tells two facts apart.
-    let after = prop::sample::select([0, 0, 0, 1, 250].as_slice());
-    let deed = (0..7_usize, 0..9_u8, 0..3_u64, 0..5_u64, after).prop_map(
-        |(who, what, key, number, after)| Deed {
-            who,
-            what,
+    let delay_ms = prop::sample::select([0, 0, 0, 1, 250].as_slice());
+    let operation = (0..7_usize, 0..9_u8, 0..3_u64, 0..5_u64, delay_ms).prop_map(
+        |(process_index, action, key, number, delay_ms)| Operation {
+            process_index,
+            action,
             key,
             number,
-            after,
+            delay_ms,
         },
     );
-    prop::collection::vec(deed, 1..most)
+    prop::collection::vec(operation, 1..max_count)
 }
 
 /// Nothing ends within a story: what ends is another test's matter.
-const LONG: Millis = 600_000;
+const VALIDITY_MS: Millis = 600_000;
 
-fn act(one: &mut FactStore, deed: &Deed, now: Millis) {
-    let Deed {
-        what, key, number, ..
-    } = deed;
+fn apply(store: &mut FactStore, operation: &Operation, now: Millis) {
+    let Operation {
+        action,
+        key,
+        number,
+        ..
+    } = operation;
     let server = format!("s{key}");
     let lifecycle = if number % 2 == 0 {
         Lifecycle::Serving
     } else {
         Lifecycle::Draining
     };
-    let (subject, value) = match what {
+    let (subject, value) = match action {
         0 => (
-            Subject::Listed(server),
+            Subject::ServerEntry(server),
             entry(1 + number / 3, *number, lifecycle),
         ),
         1 => {
-            let held = ListVersion {
-                position: Position {
+            let list_version = ListVersion {
+                position: ListPosition {
                     incarnation: 1,
                     generation: *number,
                 },
                 digest: *key,
             };
-            (Subject::List, Value::List(held))
+            (Subject::ListVersion, Value::ListVersion(list_version))
         }
         2 => {
-            return drop(one.saw(
+            return drop(store.record_evidence(
                 &server,
-                Evidence {
-                    seen: Seen::Hung,
+                ServerEvidence {
+                    observed: ObservedHealth::Hung,
                     weight: 1.0,
                 },
-                LONG,
+                VALIDITY_MS,
                 now,
             ));
         }
-        3 => return drop(one.record_slow_start_send(&server, 1.0, LONG, now)),
-        4 => return drop(one.failed(*key, LONG, now)),
-        5 => return drop(one.succeeded(*key, LONG, now)),
-        6 => (client(*key), stands(&format!("s{number}"))),
+        3 => return drop(store.record_slow_start_send(&server, 1.0, VALIDITY_MS, now)),
+        4 => return drop(store.record_placement_failure(*key, VALIDITY_MS, now)),
+        5 => return drop(store.record_placement_success(*key, VALIDITY_MS, now)),
+        6 => (client(*key), placed_on(&format!("s{number}"))),
         7 => {
-            let made = Override::Made {
-                expires_at: now + LONG,
+            let override_set = Override::Set {
+                expires_at: now + VALIDITY_MS,
                 bytes: vec![*number as u8; 40],
             };
-            let over = if *number == 0 {
+            let value = if *number == 0 {
                 Override::Removed
             } else {
-                made
+                override_set
             };
-            (Subject::Override(vec![*key as u8]), Value::Override(over))
+            (Subject::Override(vec![*key as u8]), Value::Override(value))
         }
         _ => (
             Subject::Configuration,
@@ -94,28 +97,29 @@
             }),
         ),
     };
-    one.observe(&subject, &value, LONG, now)
+    store
+        .observe(&subject, &value, VALIDITY_MS, now)
         .expect("it is later than what it knows, or passed over");
 }
 
-fn records(deeds: &[Deed]) -> (Vec<Vec<u8>>, Millis) {
-    let mut all: Vec<FactStore> = (0..7)
-        .map(|at| process(&format!("p{at}"), at % 3))
+fn exported_records(operations: &[Operation]) -> (Vec<Vec<u8>>, Millis) {
+    let mut stores: Vec<FactStore> = (0..7)
+        .map(|index| process(&format!("p{index}"), index % 3))
         .collect();
-    let (mut now, mut records) = (START, Vec::new());
-    for deed in deeds {
-        now += deed.after;
-        act(&mut all[deed.who], deed, now);
-        records.extend(all[deed.who].export(&Kind::ALL, now));
+    let (mut now, mut records) = (START_MS, Vec::new());
+    for operation in operations {
+        now += operation.delay_ms;
+        apply(&mut stores[operation.process_index], operation, now);
+        records.extend(stores[operation.process_index].export(&FactKind::ALL, now));
     }
     (records, now)
 }
 
 /// All that is known, with ages.
-fn state(one: &FactStore, now: Millis) -> Vec<Vec<u8>> {
-    let mut all = one.export(&Kind::ALL, now);
-    all.sort();
-    all
+fn records_with_ages(store: &FactStore, now: Millis) -> Vec<Vec<u8>> {
+    let mut records = store.export(&FactKind::ALL, now);
+    records.sort();
+    records
 }
 
 proptest! {
@@ -123,127 +127,147 @@
 
     /// The same facts in another order, doubled, and in groups that were merged before, come to the same.
     #[test]
-    fn order_doubling_and_grouping_change_nothing(
-        deeds in deeds(30),
+    fn merges_alike_with_reordering_duplicates_and_grouping(
+        operations in operations(30),
         order in prop::collection::vec(any::<prop::sample::Index>(), 200),
-        cut in any::<prop::sample::Index>(),
+        split in any::<prop::sample::Index>(),
     ) {
-        let (records, now) = records(&deeds);
+        let (records, now) = exported_records(&operations);
         let merged = |records: &[Vec<u8>]| {
-            let mut one = process("reader", 1);
-            one.import(records.iter().map(Vec::as_slice), 0, now);
-            one
+            let mut store = process("reader", 1);
+            store.import(records.iter().map(Vec::as_slice), 0, now);
+            store
         };
-        let plain = state(&merged(&records), now);
+        let expected = records_with_ages(&merged(&records), now);
         let mut mixed = records.clone();
         for index in &order {
             let (a, b) = (index.index(mixed.len()), mixed.len() - 1);
             mixed.swap(a, b);
             mixed.push(records[index.index(records.len())].clone());
         }
-        prop_assert_eq!(&state(&merged(&mixed), now), &plain);
-        let (left, right) = records.split_at(cut.index(records.len()));
+        prop_assert_eq!(&records_with_ages(&merged(&mixed), now), &expected);
+        let (left, right) = records.split_at(split.index(records.len()));
         let mut grouped = merged(right);
-        grouped.import(state(&merged(left), now).iter().map(Vec::as_slice), 0, now);
-        prop_assert_eq!(&state(&grouped, now), &plain);
-        grouped.import(plain.iter().map(Vec::as_slice), 0, now);
-        prop_assert_eq!(&state(&grouped, now), &plain);
+        grouped.import(records_with_ages(&merged(left), now).iter().map(Vec::as_slice), 0, now);
+        prop_assert_eq!(&records_with_ages(&grouped, now), &expected);
+        grouped.import(expected.iter().map(Vec::as_slice), 0, now);
+        prop_assert_eq!(&records_with_ages(&grouped, now), &expected);
     }
 
     /// Over links that lose much, with a partition that heals, all come to know the same.
     #[test]
-    fn a_fleet_comes_to_know_the_same(
+    fn converges_with_loss_and_healed_partition(
         count in 3..8_usize,
-        loss in 0.05..0.6,
-        cut in 1..3_usize,
-        deeds in deeds(60),
+        loss_rate in 0.05..0.6,
+        split in 1..3_usize,
+        operations in operations(60),
         seed in any::<u64>(),
     ) {
-        let mut net = Net::new(count, loss, seed);
-        for (at, deed) in deeds.iter().enumerate() {
-            net.cut = if at > deeds.len() / 3 { cut } else { 0 };
-            let (who, now) = (deed.who % count, net.now);
-            act(&mut net.all[who], deed, now);
-            net.round();
+        let mut fleet = SimulatedFleet::new(count, loss_rate, seed);
+        for (index, operation) in operations.iter().enumerate() {
+            fleet.partition_size = if index > operations.len() / 3 { split } else { 0 };
+            let (process_index, now) = (operation.process_index % count, fleet.now);
+            apply(&mut fleet.stores[process_index], operation, now);
+            fleet.round();
         }
-        net.cut = 0;
-        prop_assert!(net.until_all_agree(200).is_some(), "{:#?}", net.all.iter().map(|one| all_of(one, net.now)).collect::<Vec<_>>());
+        fleet.partition_size = 0;
+        prop_assert!(fleet.rounds_until_converged(200).is_some(), "{:#?}", fleet.stores.iter().map(|store| facts_without_ages(store, fleet.now)).collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn a_cut_fleet_does_not_agree_until_it_heals() {
-    let mut net = Net::new(5, 0.05, 1);
-    net.cut = 2;
-    let now = net.now;
-    net.all[0]
-        .observe(&client(1), &stands("s1"), LONG, now)
+fn converges_only_after_partition_heals() {
+    let mut fleet = SimulatedFleet::new(5, 0.05, 1);
+    fleet.partition_size = 2;
+    let now = fleet.now;
+    fleet.stores[0]
+        .observe(&client(1), &placed_on("s1"), VALIDITY_MS, now)
         .expect("taken");
-    assert_eq!(net.until_all_agree(100), None);
-    net.cut = 0;
-    assert!(net.until_all_agree(20).is_some());
+    assert_eq!(fleet.rounds_until_converged(100), None);
+    fleet.partition_size = 0;
+    assert!(fleet.rounds_until_converged(20).is_some());
 }
 
 #[test]
-fn later_words_stand_whoever_hears_them_first() {
+fn keeps_later_fact_in_any_arrival_order() {
     let (mut a, mut b, mut c) = (process("a", 1), process("b", 1), process("c", 1));
-    a.observe(&client(1), &stands("s1"), LONG, START)
+    a.observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
-    tell(&mut a, &mut b, START);
+    send_gossip(&mut a, &mut b, START_MS);
     // Its clock is behind, but it knows what it goes beyond.
     let later = b
-        .observe(&client(1), &stands("s2"), LONG, START - 5_000)
+        .observe(&client(1), &placed_on("s2"), VALIDITY_MS, START_MS - 5_000)
         .expect("taken");
-    assert_eq!(later.version, START + 1);
-    tell(&mut b, &mut c, START);
-    tell(&mut a, &mut c, START);
+    assert_eq!(later.version, START_MS + 1);
+    send_gossip(&mut b, &mut c, START_MS);
+    send_gossip(&mut a, &mut c, START_MS);
     assert_eq!(
-        c.placement(Holder::Client(1), START).map(|at| at.server),
+        c.placement(PlacementKey::Client(1), START_MS)
+            .map(|placement| placement.server),
         Some("s2")
     );
-    let changes = tell(&mut b, &mut a, START);
+    let changes = send_gossip(&mut b, &mut a, START_MS);
     let server = |fact: Option<Fact>| match fact.map(|fact| fact.value) {
-        Some(Value::Placement(Some(at))) => at.server,
+        Some(Value::Placement(Some(placement))) => placement.server,
         other => panic!("no placement: {other:?}"),
     };
-    let told: Vec<_> = changes
+    let servers: Vec<_> = changes
         .iter()
-        .map(|one| (server(one.before()), server(one.after())))
+        .map(|change| (server(change.before()), server(change.after())))
         .collect();
-    assert_eq!(told, [("s1".to_owned(), "s2".to_owned())]);
-    assert_eq!(catch_up(&mut b, &mut a, START), 0, "they know the same");
+    assert_eq!(servers, [("s1".to_owned(), "s2".to_owned())]);
+    assert_eq!(
+        run_anti_entropy(&mut b, &mut a, START_MS),
+        0,
+        "they know the same"
+    );
 }
 
 #[test]
-fn what_was_heard_is_told_on_until_enough_know() {
-    let mut all: Vec<FactStore> = (0..4).map(|at| process(&format!("p{at}"), 1)).collect();
-    all.iter_mut().for_each(|one| one.members(4));
-    all[0]
-        .observe(&client(1), &stands("s1"), LONG, START)
+fn gossips_received_fact_until_transmission_limit() {
+    let mut stores: Vec<FactStore> = (0..4)
+        .map(|index| process(&format!("p{index}"), 1))
+        .collect();
+    stores
+        .iter_mut()
+        .for_each(|store| store.set_member_count(4));
+    stores[0]
+        .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("taken");
-    for at in 0..3 {
-        let (from, to) = all.split_at_mut(at + 1);
-        assert_eq!(tell(&mut from[at], &mut to[0], START).len(), 1);
+    for index in 0..3 {
+        let (from, to) = stores.split_at_mut(index + 1);
+        assert_eq!(send_gossip(&mut from[index], &mut to[0], START_MS).len(), 1);
     }
     // 3 log2(4) + 2 tellings in all; a rumour that comes back counts as one.
-    let back = all[3].gossip_payload(ROOM, START);
-    (0..3).for_each(|_| assert_eq!(all[2].take(&back, START), Ok(vec![])));
-    let left = (0..20)
-        .take_while(|_| !all[2].gossip_payload(ROOM, START).is_empty())
+    let duplicate = stores[3].gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
+    (0..3).for_each(|_| assert_eq!(stores[2].merge_packet(&duplicate, START_MS), Ok(vec![])));
+    let transmissions = (0..20)
+        .take_while(|_| {
+            !stores[2]
+                .gossip_payload(MAX_DATAGRAM_BYTES, START_MS)
+                .is_empty()
+        })
         .count();
-    assert_eq!(left, 8 - 1 - 3);
+    assert_eq!(transmissions, 8 - 1 - 3);
 }
 
 #[test]
-fn two_processes_of_one_name_and_boot_still_come_to_one_word() {
+fn converges_when_processes_share_name_and_incarnation() {
     let [mut a, mut b] = ["s1", "s2"].map(|server| {
-        let mut one = process("doubled", 1);
-        one.observe(&client(1), &stands(server), LONG, START)
+        let mut store = process("doubled", 1);
+        store
+            .observe(&client(1), &placed_on(server), VALIDITY_MS, START_MS)
             .expect("taken");
-        one
+        store
     });
-    let (from_a, from_b) = (a.gossip_payload(ROOM, START), b.gossip_payload(ROOM, START));
-    a.take(&from_b, START).expect("sound");
-    b.take(&from_a, START).expect("sound");
-    assert_eq!(all_of(&a, START), all_of(&b, START));
+    let (from_a, from_b) = (
+        a.gossip_payload(MAX_DATAGRAM_BYTES, START_MS),
+        b.gossip_payload(MAX_DATAGRAM_BYTES, START_MS),
+    );
+    a.merge_packet(&from_b, START_MS).expect("sound");
+    b.merge_packet(&from_a, START_MS).expect("sound");
+    assert_eq!(
+        facts_without_ages(&a, START_MS),
+        facts_without_ages(&b, START_MS)
+    );
 }
--- a/crates/gossip/tests/stored_form.rs
+++ b/crates/gossip/tests/stored_format.rs
@@ -7,13 +7,13 @@
 
 /// One record a line, in hexadecimal digits, of every kind.
 const RECORDS: &str = include_str!("data/records.hex");
-const LONG: Millis = 600_000;
+const VALIDITY_MS: Millis = 600_000;
 
 fn known() -> FactStore {
     let mut known = process("a", 1);
-    for (subject, value) in one_of_each_kind() {
+    for (subject, value) in facts_of_every_kind() {
         known
-            .observe(&subject, &value, LONG, START)
+            .observe(&subject, &value, VALIDITY_MS, START_MS)
             .expect("a valid fact");
     }
     known
@@ -31,9 +31,9 @@
 #[test]
 fn writes_every_kind_of_record_as_it_was_first_written() {
     let written: Vec<String> = known()
-        .export(&Kind::ALL, START + 7)
+        .export(&FactKind::ALL, START_MS + 7)
         .iter()
-        .map(|one| hex(one))
+        .map(|record| hex(record))
         .collect();
     assert_eq!(written.join("\n"), RECORDS.trim_end());
 }
@@ -42,6 +42,9 @@
 fn reads_every_kind_of_record_that_was_first_written() {
     let records: Vec<Vec<u8>> = RECORDS.lines().map(bytes).collect();
     let mut restored = process("b", 1);
-    restored.import(records.iter().map(Vec::as_slice), 0, START + 7);
-    assert_eq!(all_of(&restored, START + 7), all_of(&known(), START + 7));
+    restored.import(records.iter().map(Vec::as_slice), 0, START_MS + 7);
+    assert_eq!(
+        facts_without_ages(&restored, START_MS + 7),
+        facts_without_ages(&known(), START_MS + 7)
+    );
 }
--- a/crates/simulator/examples/quiet.rs
+++ b/crates/simulator/examples/quiet.rs
@@ -5,7 +5,9 @@
 
 use std::time::Instant;
 
-use beaconflow_gossip::{Holder, Kind, Lifecycle, Listed, Placement, Position, Subject, Value};
+use beaconflow_gossip::{
+    FactKind, Lifecycle, ListPosition, Placement, PlacementKey, ServerEntry, Subject, Value,
+};
 use beaconflow_membership::testing::{Fleet, Rules};
 use beaconflow_recovery::PeerStatus;
 use beaconflow_simulator::mesh::{self, Letters, StatusMessage, Talk};
@@ -45,7 +47,7 @@
         .node(at)
         .body()
         .knowledge
-        .placement(Holder::Client(key), fleet.now)
+        .placement(PlacementKey::Client(key), fleet.now)
         .is_some()
 }
 
@@ -63,8 +65,8 @@
         let mut talk = mesh::talk(rank, 1, &letters);
         talk.say(word(rank, fleet.now));
         for server in 0..1_000 {
-            let listed = Listed {
-                position: Position {
+            let listed = ServerEntry {
+                position: ListPosition {
                     incarnation: 1,
                     generation: 1,
                 },
@@ -76,9 +78,9 @@
                 address: None,
                 started_at_ms: 0,
             };
-            let subject = Subject::Listed(format!("server-{server:04}"));
+            let subject = Subject::ServerEntry(format!("server-{server:04}"));
             talk.knowledge
-                .observe(&subject, &Value::Listed(listed), 3_600_000, fleet.now)
+                .observe(&subject, &Value::ServerEntry(listed), 3_600_000, fleet.now)
                 .expect("taken");
         }
         fleet.add(mesh::profile(rank, count, 1, "site", 5), talk);
@@ -107,11 +109,11 @@
         let (at, told) = ((key as usize * 37) % count, fleet.now);
         let placed = Value::Placement(Some(Placement {
             server: "server-0001".into(),
-            configuration: 1,
-            since: told,
+            configuration_digest: 1,
+            placed_at: told,
         }));
         let node = fleet.seats[at].node.as_mut().expect("it lives");
-        let subject = Subject::Placement(Holder::Client(key));
+        let subject = Subject::Placement(PlacementKey::Client(key));
         node.body_mut()
             .knowledge
             .observe(&subject, &placed, 600_000, told)
@@ -132,6 +134,6 @@
         percentile(&mut lasts, 0.5),
         percentile(&mut lasts, 0.99)
     );
-    let (bytes, facts) = fleet.node(0).body().knowledge.size(Kind::Placement);
+    let (bytes, facts) = fleet.node(0).body().knowledge.usage(FactKind::Placement);
     println!("{facts} placements take {bytes} bytes at each");
 }
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -5,7 +5,7 @@
     Bound, Client, EndpointView, Group, How, Key, Limits, Memory, Placement, Rebalancer, ServerNow,
     Stamp, Tag, Version, VersionFact,
 };
-use beaconflow_gossip::{Change, FactStore, Subject, Value};
+use beaconflow_gossip::{FactChange, FactStore, Subject, Value};
 use beaconflow_policy::{ListUpdate, MigrationReason, Pin, ServerId, ServerState};
 use rustc_hash::FxHashMap;
 
@@ -175,7 +175,8 @@
             .node
             .as_ref()
             .map(|node| &node.body().knowledge);
-        let Some(record) = knowledge.and_then(|known| known.export_one(&subject(key), &name, wall))
+        let Some(record) =
+            knowledge.and_then(|known| known.export_fact(&subject(key), &name, wall))
         else {
             return;
         };
@@ -238,19 +239,19 @@
             let subject = Subject::Unknown {
                 kind: VERSIONS,
                 key,
-                owned: true,
+                is_per_process: true,
             };
             drop(knowledge.observe(&subject, &Value::Unknown(encode_version(&fact)), GOOD, wall));
         }
     }
 
     /// What peers told of placements and versions.
-    pub(super) fn on_changes(&mut self, balancer: u32, news: &[Change]) {
+    pub(super) fn on_changes(&mut self, balancer: u32, news: &[FactChange]) {
         let wall = mesh::wall(self.now);
         let Some(places) = &mut self.hosts[balancer as usize].places else {
             return;
         };
-        for fact in news.iter().filter_map(Change::after) {
+        for fact in news.iter().filter_map(FactChange::after) {
             match (fact.subject, fact.value) {
                 (Subject::Unknown { kind: PLACED, .. }, Value::Unknown(bytes)) => {
                     if let Some(placed) = decode(&bytes) {
@@ -378,7 +379,7 @@
     Subject::Unknown {
         kind: PLACED,
         key: key.0.to_be_bytes().to_vec(),
-        owned: false,
+        is_per_process: false,
     }
 }
 
--- a/crates/simulator/src/engine/failures.rs
+++ b/crates/simulator/src/engine/failures.rs
@@ -23,9 +23,9 @@
         let knowledge = &mut node.body_mut().knowledge;
         // One that stands and never failed is no news to anybody.
         if !stood {
-            drop(knowledge.failed(key, GOOD, wall));
-        } else if knowledge.failures(key, wall) > 0 {
-            drop(knowledge.succeeded(key, GOOD, wall));
+            drop(knowledge.record_placement_failure(key, GOOD, wall));
+        } else if knowledge.failure_count(key, wall) > 0 {
+            drop(knowledge.record_placement_success(key, GOOD, wall));
         }
     }
 
@@ -47,15 +47,19 @@
             return Some(told);
         };
         let own = knowledge
-            .get(&Subject::Failures(key), &mesh::name(balancer), wall)
+            .get(
+                &Subject::PlacementFailures(key),
+                &mesh::name(balancer),
+                wall,
+            )
             .map(|fact| fact.value);
-        let own = if let Some(Value::Failures(own)) = own {
+        let own = if let Some(Value::PlacementFailures(own)) = own {
             own.count
         } else {
             0
         };
         let more = knowledge
-            .failures(key, wall)
+            .failure_count(key, wall)
             .min(MOST)
             .saturating_sub(own.min(MOST));
         let longest = self.scenario.settings(balancer).limits.max_retry_after;
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use beaconflow_edge::UplinkReport;
-use beaconflow_gossip::{Bounds, Change, FactStore, Kind, Origin};
+use beaconflow_gossip::{Bounds, FactChange, FactKind, FactStore, Origin};
 use beaconflow_membership::{
     Body, Key, Keys, Member, Millis, Node, Profile, SHORTEST_KEY, Settings,
 };
@@ -45,7 +45,7 @@
     /// What came, for the host to read.
     pub received: Vec<Rc<StatusMessage>>,
     /// What became known, for the host to read.
-    pub changes: Vec<Change>,
+    pub changes: Vec<FactChange>,
     /// Who was last heard from each site, and when.
     pub last_seen: BTreeMap<String, (String, Millis)>,
 }
@@ -84,7 +84,7 @@
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
         let mut pages = self
             .knowledge
-            .answer(summary, room - 1, most, now)
+            .answer_summary(summary, room - 1, most, now)
             .unwrap_or_default();
         pages.iter_mut().for_each(|page| page.insert(0, 0));
         pages
@@ -109,13 +109,13 @@
                 .extend(self.letters.borrow().get(number as usize).cloned());
             facts = rest;
         }
-        if let Ok(news) = self.knowledge.take(facts, now) {
+        if let Ok(news) = self.knowledge.merge_packet(facts, now) {
             self.changes.extend(news);
         }
     }
 
     fn members(&mut self, n: usize) {
-        self.knowledge.members(n);
+        self.knowledge.set_member_count(n);
     }
 }
 
@@ -158,7 +158,7 @@
 /// What its node carries.
 pub fn talk(rank: u32, incarnation: u64, letters: &Letters) -> Talk {
     let mut bounds = Bounds::default();
-    bounds.of_mut(Kind::Unknown).bytes = HOSTS_OWN;
+    bounds.of_kind_mut(FactKind::Unknown).max_bytes = HOSTS_OWN;
     let knowledge = FactStore::new(
         Origin {
             name: name(rank),
