--- a/crates/gossip/src/bounds.rs
+++ b/crates/gossip/src/bounds.rs
@@ -1,33 +1,33 @@
-//! How much is kept of each kind, how long, and how it fades.
+//! Limits on memory and lifetime per fact kind, and decay of evidence.
 
 use crate::Millis;
 use crate::fact::FactKind;
 
-/// The bound of one kind.
+/// Limits of one fact kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindBounds {
-    /// Most bytes, with what each fact costs beside its record.
+    /// Most memory for facts of the kind, including the bookkeeping overhead of each fact.
     pub max_bytes: usize,
-    /// No fact of the kind is good, or kept, for longer than this, whatever it says itself.
+    /// No fact of the kind is valid or kept for longer than this, whatever validity its record claims.
     pub max_lifetime_ms: Millis,
 }
 
-/// The bounds of all kinds.
+/// Limits of all fact kinds, and parameters of evidence decay and hashing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// By kind, in the order of [`FactKind::ALL`].
+    /// Limits by kind, in the order of [`FactKind::ALL`].
     pub by_kind: [KindBounds; FactKind::ALL.len()],
-    /// Most facts that are told as rumours at once. What is heard beyond them is left to the pages.
+    /// Most facts gossiped at once. Facts received beyond that spread by anti-entropy pages only.
     pub max_gossiped_facts: usize,
-    /// Evidence on a server counts for half after so long.
+    /// Time after which evidence on a server counts for half.
     pub evidence_half_life_ms: Millis,
-    /// No process's evidence on a server counts for more than this.
+    /// Upper limit on the weight of one process's evidence on a server.
     pub max_evidence_weight: f64,
-    /// Evidence that counts for less than this in all says nothing.
+    /// A total weight of evidence below this yields no assessment.
     pub min_evidence_weight: f64,
-    /// What was sent to a cold server counts for half after so long.
+    /// Time after which a send to a server in slow start counts for half.
     pub slow_start_half_life_ms: Millis,
-    /// Drawn anew at each start. Guards against client keys chosen to meet in the table.
+    /// Seed of the hash table, to be chosen at random at each start. Prevents client keys that are crafted to collide.
     pub hash_seed: u64,
 }
 
@@ -64,12 +64,12 @@
 }
 
 impl Bounds {
-    /// The bound of that kind.
+    /// Limits of one kind.
     pub fn of_kind(&self, kind: FactKind) -> KindBounds {
         self.by_kind[kind as usize]
     }
 
-    /// The bound of that kind, to be changed.
+    /// Mutable limits of one kind.
     pub fn of_kind_mut(&mut self, kind: FactKind) -> &mut KindBounds {
         &mut self.by_kind[kind as usize]
     }
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -22,7 +22,7 @@
 const MAX_DIFFERING_RANGES: usize = 16;
 /// Transmissions of a server entry by a process that received it from discovery.
 const SERVER_ENTRY_TRANSMISSIONS: u8 = 3;
-/// After this many gossiped facts that did not fit, the search for a shorter one ends; the one over the limit ends it.
+/// Facts that may fail to fit into a gossip packet before the search for a shorter one ends.
 const MAX_SKIPPED_FACTS: usize = 8;
 /// Bytes reserved in each packet or summary for fields other than facts and digests.
 const FRAME_OVERHEAD_BYTES: usize = 32;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Digests for a peer to compare, in at most `max_bytes`: alternately of all facts, and of a range that was found to
-    /// differ, if one is queued.
+    /// Digests for a peer to compare, in at most `max_bytes`: alternately of all facts and, if one is queued, of a range
+    /// that was found to differ.
     pub fn summary(&mut self, max_bytes: usize) -> Vec<u8> {
         self.gossip.summary_sequence = self.gossip.summary_sequence.wrapping_add(1);
         let sequence = self.gossip.summary_sequence;
--- a/crates/gossip/src/fact.rs
+++ b/crates/gossip/src/fact.rs
@@ -1,43 +1,43 @@
-//! What a fact is: its subject, its value, and by whom, when and for how long it holds.
+//! The fact model: subject, value, origin, and the times that bound a fact's validity.
 
 use std::net::SocketAddr;
 
 use crate::Millis;
 
-/// A process, in one of its lives.
+/// A process in one of its incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Origin {
-    /// Its name in the fleet. A listed server's facts are discovery's word and have `discovery` here.
+    /// Name of the process in the fleet; `discovery` for server entries, whose author is discovery.
     pub name: String,
-    /// Grows with each start of it. For discovery's word, the life of that discovery.
+    /// Increases with each start of the process; for server entries, the incarnation of discovery.
     pub incarnation: u64,
 }
 
-/// What facts are about, by sort. Each has bounds of its own.
+/// Kinds of facts. Each has limits of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FactKind {
-    /// An entry of the farm's list.
+    /// An entry of the server list.
     ServerEntry,
-    /// Which list a process holds.
+    /// The version of the server list that a process holds.
     ListVersion,
-    /// What a process has seen of a server.
+    /// What a process observed of a server.
     ServerEvidence,
-    /// What a process sent to a cold server lately.
+    /// Recent connection set-ups that a process sent to a server in slow start.
     SlowStartSends,
-    /// What a process saw fail of a client's placements.
+    /// Failed placements of a client as seen by one process.
     PlacementFailures,
-    /// Where a client or a group stands.
+    /// The server on which a client or group is placed.
     Placement,
-    /// An operator's override, or that it was removed.
+    /// An operator's override, or its removal.
     Override,
-    /// Which configuration a process runs.
+    /// The configuration that a process runs.
     Configuration,
-    /// What only a newer program can read: kept and passed on.
+    /// A kind that only a newer version of the program can read; kept and forwarded.
     Unknown,
 }
 
 impl FactKind {
-    /// All of them.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [FactKind; 9] = [
         FactKind::ServerEntry,
         FactKind::ListVersion,
@@ -50,7 +50,7 @@
         FactKind::Unknown,
     ];
 
-    /// Its number in records; none for what is unknown.
+    /// The number of the kind in records; 0 for [`FactKind::Unknown`].
     pub(crate) fn wire_number(self) -> u32 {
         if self == FactKind::Unknown {
             0
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The kind of that number.
+    /// The kind with that number, or [`FactKind::Unknown`].
     pub(crate) fn from_number(number: u32) -> FactKind {
         let known = &FactKind::ALL[..FactKind::Unknown as usize];
         known
@@ -70,7 +70,7 @@
     }
 }
 
-/// Who is placed, by the hash that all processes give it.
+/// The client or group that is placed, by a hash that is the same at all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlacementKey {
     /// A client key.
@@ -79,39 +79,39 @@
     Group(u64),
 }
 
-/// What a fact is about. Where each process has its own word (see [`Subject::is_per_process`]), the process is told by the
-/// fact's origin.
+/// What a fact is about. For subjects on which each process has its own fact (see [`Subject::is_per_process`]), the
+/// fact's origin identifies the process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// An entry of the farm's list, by the server's name.
+    /// The entry of the server list for the server of that name.
     ServerEntry(String),
-    /// The list that the origin holds.
+    /// The server list that the origin holds.
     ListVersion,
-    /// What the origin has seen of that server.
+    /// What the origin observed of that server.
     ServerEvidence(String),
-    /// What the origin sent to that server while it was cold.
+    /// What the origin sent to that server during its slow start.
     SlowStartSends(String),
-    /// What the origin saw fail under that client key.
+    /// Placements under that client key that failed at the origin.
     PlacementFailures(u64),
-    /// Where that client or group stands.
+    /// The placement of that client or group.
     Placement(PlacementKey),
-    /// The override of that number.
+    /// The override with that identifier.
     Override(Vec<u8>),
-    /// What the origin runs.
+    /// The configuration that the origin runs.
     Configuration,
-    /// Something that only a newer program can read.
+    /// A subject that only a newer version of the program can read.
     Unknown {
-        /// The number of its kind.
+        /// Number of the kind in records.
         kind: u32,
-        /// Its name within the kind.
+        /// Key within the kind.
         key: Vec<u8>,
-        /// Whether each process has its own word on it.
+        /// Whether each process has its own fact on the subject.
         is_per_process: bool,
     },
 }
 
 impl Subject {
-    /// Its kind.
+    /// The fact kind of the subject.
     pub fn kind(&self) -> FactKind {
         match self {
             Subject::ServerEntry(_) => FactKind::ServerEntry,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether each process has its own word on it, which no other one's replaces.
+    /// Whether each process has its own fact on the subject, which no other process's fact replaces.
     pub fn is_per_process(&self) -> bool {
         match self {
             Subject::ServerEntry(_) | Subject::Placement(_) | Subject::Override(_) => false,
@@ -136,155 +136,156 @@
     }
 }
 
-/// Whether a listed server takes new work.
+/// Whether a listed server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lifecycle {
-    /// It does.
+    /// It accepts new work.
     Serving,
-    /// It finishes what it has.
+    /// It only finishes the work that it has.
     Draining,
-    /// It is gone.
+    /// It no longer exists.
     Deleted,
 }
 
-/// How far a list is: the life of the discovery that told it, then its generation within that life.
+/// Version of the server list, ordered by the incarnation of discovery that announced it and then by generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListPosition {
-    /// Which life of discovery, from 1.
+    /// Incarnation of discovery, from 1.
     pub incarnation: u64,
-    /// Discovery's own count, which begins anew with each life.
+    /// Discovery's own counter, which restarts with each incarnation.
     pub generation: u64,
 }
 
-/// An entry of the farm's list.
+/// An entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The list that told it.
+    /// The list version that the entry comes from.
     pub position: ListPosition,
-    /// Whether the server takes new work.
+    /// Whether the server accepts new work.
     pub lifecycle: Lifecycle,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its machine type; empty where a list names none, or a process of an older version told it.
+    /// Machine type; empty where the list names none or the entry comes from a process of an older version.
     pub machine_type: String,
-    /// Its cell.
+    /// Number of the cell that the server belongs to.
     pub cell: u32,
-    /// Its listed weight.
+    /// Weight from the server list.
     pub weight: f64,
-    /// Where one of the processes reaches it; others may have to go another way.
+    /// Address at which one of the processes reaches the server; other processes may need another address.
     pub address: Option<SocketAddr>,
-    /// Unix time of its last start, in milliseconds; 0 for long ago.
+    /// Unix time of the last start in milliseconds; 0 if it was long ago.
     pub started_at_ms: u64,
 }
 
-/// Which list a process holds.
+/// The version of the server list that a process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersion {
-    /// How far it is.
+    /// Incarnation and generation of the list.
     pub position: ListPosition,
-    /// A digest of what it says, without addresses, the same at all processes.
+    /// Digest of the list without addresses; the same at all processes.
     pub digest: u64,
 }
 
-/// What a server was seen to do.
+/// Health of a server as observed by a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObservedHealth {
-    /// It takes connections and does not answer.
+    /// It accepts connections and does not answer.
     Hung,
-    /// It takes none.
+    /// It accepts no connections.
     Refused,
-    /// It serves.
+    /// It serves requests.
     Healthy,
 }
 
-/// What a process has seen of a server.
+/// A process's evidence on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEvidence {
-    /// What it was seen to do.
+    /// The observed health.
     pub observed: ObservedHealth,
-    /// How much speaks for that, in observations as of the moment witnessed.
+    /// Weight of the evidence, in observations as of the time of observation.
     pub weight: f64,
 }
 
-/// What a process saw fail of a client key's placements.
+/// Failed placements of a client key, as counted by one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlacementFailures {
-    /// How many.
+    /// Number of failures.
     pub count: u32,
-    /// Some placement succeeded so long before the moment witnessed: what any process had counted by then is void.
+    /// Time between the last successful placement and the observation; `None` if there was none. Failures that any
+    /// process counted before that success are void.
     pub last_success_age: Option<Millis>,
 }
 
-/// Where a client or group stands.
+/// The placement of a client or group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The server, by name.
+    /// Name of the server.
     pub server: String,
-    /// The digest of the configuration under which it was dealt.
+    /// Digest of the configuration under which the server was chosen.
     pub configuration_digest: u64,
-    /// Since when, in Unix milliseconds by the clock of the process that placed it.
+    /// When the placement began, in Unix milliseconds by the clock of the process that made it.
     pub placed_at: Millis,
 }
 
-/// A placement, read where it lies.
+/// A placement that borrows from the stored record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementView<'a> {
-    /// The server, by name.
+    /// Name of the server.
     pub server: &'a str,
-    /// The digest of the configuration under which it was dealt.
+    /// Digest of the configuration under which the server was chosen.
     pub configuration_digest: u64,
-    /// Since when, in Unix milliseconds by the clock of the process that placed it.
+    /// When the placement began, in Unix milliseconds by the clock of the process that made it.
     pub placed_at: Millis,
 }
 
-/// What is known of an override.
+/// State of an override.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Override {
-    /// It was made, or changed.
+    /// It was created or changed.
     Set {
-        /// When it ends, in Unix milliseconds.
+        /// When the override expires, in Unix milliseconds.
         expires_at: Millis,
-        /// What it says, in the form of those who act on it.
+        /// Content of the override, in the encoding of the code that applies it.
         bytes: Vec<u8>,
     },
     /// It was removed.
     Removed,
 }
 
-/// Which configuration a process runs.
+/// The configuration that a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Configuration {
-    /// Its digest.
+    /// Digest of the configuration.
     pub digest: u64,
-    /// Its place in the order of configurations.
+    /// Position in the order of configurations.
     pub number: u64,
 }
 
-/// What a fact says.
+/// Content of a fact.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Of a [`Subject::ServerEntry`].
+    /// Value of a [`Subject::ServerEntry`].
     ServerEntry(ServerEntry),
-    /// Of a [`Subject::ListVersion`].
+    /// Value of a [`Subject::ListVersion`].
     ListVersion(ListVersion),
-    /// Of a [`Subject::ServerEvidence`].
+    /// Value of a [`Subject::ServerEvidence`].
     ServerEvidence(ServerEvidence),
-    /// Of a [`Subject::SlowStartSends`]: set-ups, as of the moment witnessed.
+    /// Value of a [`Subject::SlowStartSends`]: the number of set-ups as of the time of observation.
     SlowStartSends(f64),
-    /// Of a [`Subject::PlacementFailures`].
+    /// Value of a [`Subject::PlacementFailures`].
     PlacementFailures(PlacementFailures),
-    /// Of a [`Subject::Placement`]; nothing when it left.
+    /// Value of a [`Subject::Placement`]; `None` when the client or group has left.
     Placement(Option<Placement>),
-    /// Of a [`Subject::Override`].
+    /// Value of a [`Subject::Override`].
     Override(Override),
-    /// Of a [`Subject::Configuration`].
+    /// Value of a [`Subject::Configuration`].
     Configuration(Configuration),
-    /// Of a [`Subject::Unknown`].
+    /// Value of a [`Subject::Unknown`].
     Unknown(Vec<u8>),
 }
 
 impl Value {
-    /// The kind of subjects it is about.
+    /// The kind of the subjects that such a value belongs to.
     pub fn kind(&self) -> FactKind {
         match self {
             Value::ServerEntry(_) => FactKind::ServerEntry,
@@ -300,24 +301,24 @@
     }
 }
 
-/// A fact.
+/// An observation of a subject by an origin, with its order among facts on the subject and its validity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fact {
-    /// What it is about.
+    /// What the fact is about.
     pub subject: Subject,
-    /// What it says.
+    /// Content of the fact.
     pub value: Value,
-    /// Whose word it is.
+    /// The process that made the observation.
     pub origin: Origin,
-    /// What orders it first: the origin's boot where each process has its own word, the life of discovery for an
-    /// entry of the list, 0 for all others.
+    /// First criterion of the order: the origin's incarnation where each process has its own fact, the incarnation of
+    /// discovery for a server entry, and 0 otherwise.
     pub epoch: u64,
-    /// Grows with each fact on the subject.
+    /// Increases with each fact on the subject; orders facts of the same epoch.
     pub version: u64,
-    /// When it was witnessed, by this process's clock: the moment of receipt less the age that it came with.
+    /// Time of observation by this process's clock: the time of receipt less the age received with the fact.
     pub observed_at: Millis,
-    /// The same moment by the origin's clock, which may be wrong. No life or age hangs on it.
+    /// Time of observation by the origin's clock, which may be wrong. No lifetime or age is derived from it.
     pub origin_observed_at: Millis,
-    /// It is good for so long from then on.
+    /// Time from the observation during which the fact is valid.
     pub valid_for: Millis,
 }
--- a/crates/gossip/src/fact_store.rs
+++ b/crates/gossip/src/fact_store.rs
@@ -1,4 +1,4 @@
-//! What a process knows: its own observations and what it heard.
+//! The facts that a process knows: its own observations and those received from peers.
 
 use prost::Message;
 
@@ -17,24 +17,24 @@
 use crate::slot::RawRecord;
 use crate::slot::{FactId, Slot};
 
-/// Why an observation is not taken.
+/// Error for an observation that was not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObserveError {
-    /// The value is not about such a subject, or is no amount.
+    /// The value does not match the subject's kind, or an amount is negative or not finite.
     Senseless,
-    /// Its record would be longer than 8 KiB, or its name longer than 512 bytes.
+    /// The record would be longer than 8 KiB, or a name longer than 512 bytes.
     TooLong,
-    /// All that is kept of its kind was witnessed later, or the fact would be good for no time.
+    /// All facts kept of the kind were observed later, or the validity is zero.
     NotKept,
 }
 
-/// The list that discovery told last.
+/// The list that discovery announced last.
 #[derive(Clone, Copy, Debug)]
 struct CurrentList {
     announcement: ListAnnouncement,
     announced_at: Millis,
     position: ListPosition,
-    /// It follows on one that this process held before.
+    /// Whether this process held an earlier list when it received this one.
     continues_held_list: bool,
 }
 
@@ -47,7 +47,7 @@
     current_list: Option<CurrentList>,
 }
 
-/// The key and kind of a subject, for a look-up.
+/// The number of the subject's kind in records, for a look-up.
 pub(crate) fn kind_number(subject: &Subject) -> u32 {
     if let Subject::Unknown { kind, .. } = subject {
         *kind
@@ -57,7 +57,7 @@
 }
 
 impl FactStore {
-    /// Nothing is known yet.
+    /// An empty store.
     pub fn new(origin: Origin, bounds: Bounds) -> FactStore {
         FactStore {
             origin,
@@ -67,18 +67,18 @@
         }
     }
 
-    /// Whose knowledge it is.
+    /// The process that the store belongs to.
     pub fn origin(&self) -> &Origin {
         &self.origin
     }
 
-    /// The process goes by another boot number from now on; see [`FactStore::later_incarnation`].
+    /// Sets this process's incarnation; see [`FactStore::later_incarnation`].
     pub fn set_incarnation(&mut self, incarnation: u64) {
         self.origin.incarnation = incarnation;
     }
 
-    /// A boot of this process that others remember and that is later than its own: its memory is lost or old, and
-    /// its own words are passed over until it goes by a later number.
+    /// An incarnation of this process that peers remember and that is later than its own. The process's stored state
+    /// is then lost or outdated, and peers ignore its facts until it takes a later incarnation.
     pub fn later_incarnation(&self) -> Option<u64> {
         self.gossip
             .later_incarnation
@@ -96,7 +96,7 @@
         Some((slot_index, self.facts.slot(slot_index)?))
     }
 
-    /// What is known of a subject now. Where each process has its own word, it is that process's.
+    /// The valid fact on a subject. Where each process has its own fact, the one of `process`.
     pub fn get(&self, subject: &Subject, process: &str, now: Millis) -> Option<Fact> {
         self.slot(subject, process)
             .filter(|(_, slot)| slot.is_valid(now))?
@@ -104,8 +104,8 @@
             .fact()
     }
 
-    /// All of a kind that is good now, by subject and then by process; placements in no order but the same one
-    /// after the same calls.
+    /// All valid facts of a kind, ordered by subject and then by process. Placements come in no particular order, but
+    /// in the same one after the same calls.
     pub fn iter(&self, kind: FactKind, now: Millis) -> impl Iterator<Item = Fact> {
         self.facts
             .of_kind(kind)
@@ -113,23 +113,23 @@
             .filter_map(Slot::fact)
     }
 
-    /// Bytes that a kind takes, and how many facts.
+    /// Memory of a kind in bytes, and its number of facts.
     pub fn usage(&self, kind: FactKind) -> (usize, usize) {
         self.facts.usage(kind)
     }
 
-    /// Has room for so many facts at once, so that none of them waits while tables grow.
+    /// Reserves capacity for this many facts at once, so that no insertion waits for tables to grow.
     pub fn reserve(&mut self, facts: usize) {
         self.facts.reserve(facts);
     }
 
-    /// Removes what is kept no longer.
+    /// Removes facts that are past their retention.
     pub fn expire(&mut self, now: Millis) {
         self.facts.expire(now);
     }
 
-    /// Enters an observation of this process's own, and says what is known of the subject then: the observation,
-    /// unless something later is known.
+    /// Stores an observation of this process and returns the fact then known on the subject: the observation itself,
+    /// unless a later fact is known.
     pub fn observe(
         &mut self,
         subject: &Subject,
@@ -155,9 +155,9 @@
             .ok_or(ObserveError::NotKept)
     }
 
-    /// Enters an observation of this process's former life, made at an earlier moment, unless something later is known. It is
-    /// told to those who ask for what they lack, and not by rumour: guards against a fleet that starts and tells itself
-    /// all that it remembers.
+    /// Stores an observation that a former incarnation of this process made at an earlier time, unless a later fact is
+    /// known. It spreads by anti-entropy and not by gossip; otherwise a starting fleet would gossip everything that it
+    /// remembers.
     pub fn restore_observation(
         &mut self,
         subject: &Subject,
@@ -181,7 +181,7 @@
             Value::ServerEntry(ServerEntry { weight: amount, .. })
             | Value::ServerEvidence(ServerEvidence { weight: amount, .. })
             | Value::SlowStartSends(amount) => amount.is_finite() && *amount >= 0.0,
-            // A kind that this program knows has to be called by its name.
+            // A kind that this version knows must not be given by its number.
             Value::Unknown(_) => FactKind::from_number(kind_number(subject)) == FactKind::Unknown,
             _ => true,
         };
@@ -193,7 +193,7 @@
         Ok(self.facts.merge(&view, observed_at, now))
     }
 
-    /// The record of an own observation that comes after what is known.
+    /// Builds the record of an own observation so that it is later than the known fact.
     fn build_record(
         &self,
         subject: &Subject,
@@ -221,8 +221,8 @@
             value: encode_value(value),
         };
         if let Value::ServerEntry(entry) = value {
-            // Discovery's own word, so that all who hear it write the same: guards against a fleet that tells itself
-            // each entry once for each process.
+            // Discovery is the origin, so that all processes that receive the entry write the same record. Otherwise
+            // the fleet would gossip each entry once per process.
             record.name = b"discovery".to_vec();
             (record.epoch, record.version) =
                 (entry.position.incarnation, entry.position.generation);
@@ -233,7 +233,7 @@
         }
         record.version = record.version.min(MAX_VERSION);
         record.epoch = record.epoch.min(MAX_VERSION);
-        // Left out where they say nothing: each fact is told some thousand times.
+        // These fields are left out where they are implied, as each fact is transmitted some thousand times.
         if record.retained_for <= record.valid_for {
             record.retained_for = 0;
         }
@@ -243,8 +243,8 @@
         record
     }
 
-    /// A list came from discovery: says under which position its entries are to be witnessed, and enters that this
-    /// process holds it.
+    /// Records a list received from discovery: stores that this process holds it, and returns the position under which
+    /// its entries are to be observed.
     pub fn record_list(
         &mut self,
         announcement: ListAnnouncement,
@@ -259,8 +259,9 @@
         self.set_current_list(announcement, incarnation, held.is_some(), valid_for, now)
     }
 
-    /// Judges the last list anew, after more was heard from peers. Tells a position if it is another one than before:
-    /// then the entries are to be witnessed again. Only a process that held no list before that one has cause to.
+    /// Determines the incarnation of the last list again after more facts arrived from peers. Returns the position if
+    /// it changed; the entries are then to be observed again. Applies only to a process that held no list before that
+    /// one.
     pub fn reassess_list(&mut self, valid_for: Millis, now: Millis) -> Option<ListPosition> {
         let current = self
             .current_list
@@ -338,7 +339,7 @@
         known.collect()
     }
 
-    /// Records of all that is kept of these kinds, for a durable memory: the same bytes as on the wire.
+    /// Records of all facts kept of these kinds, for persistent storage, in the encoding used on the wire.
     pub fn export(&self, kinds: &[FactKind], now: Millis) -> Vec<Vec<u8>> {
         let all = kinds
             .iter()
@@ -348,20 +349,20 @@
             .collect()
     }
 
-    /// The record of one subject, for a durable memory that is written as things change.
+    /// The record of one subject, for persistent storage that is updated with each change.
     pub fn export_fact(&self, subject: &Subject, process: &str, now: Millis) -> Option<Vec<u8>> {
         let (_, slot) = self.slot(subject, process)?;
         Some(aged_record(slot, now).encode_to_vec())
     }
 
-    /// The fact in an exported record, with its moment as of one that was written `dark` before now.
+    /// The fact in an exported record that was written `downtime_ms` before `now`.
     pub fn read_exported(record: &[u8], downtime_ms: Millis, now: Millis) -> Option<Fact> {
         let (view, age) = read_aged_record(record).ok()?;
         Some(view?.fact(now.saturating_sub(age.saturating_add(downtime_ms))))
     }
 
-    /// Takes exported records back in, as they stand beside what is known by now. How long ago they were written is
-    /// for whoever read them to say; no clock is compared here.
+    /// Merges exported records with the facts that are known by now. The caller states how long ago they were written;
+    /// no clocks are compared here.
     pub fn import<'a>(
         &mut self,
         records: impl IntoIterator<Item = &'a [u8]>,
@@ -379,7 +380,8 @@
         changes
     }
 
-    /// Merges a fact, tells it on as one that was told so often already, and notes what changed.
+    /// Merges a fact, appends the change if there is one, and gossips the fact starting from the given number of
+    /// transmissions; `None` means no gossip.
     pub(crate) fn merge_and_report(
         &mut self,
         view: &RecordView<'_>,
@@ -415,7 +417,7 @@
     }
 }
 
-/// A slot's record with its age.
+/// The record of a slot with its current age.
 pub(crate) fn aged_record(slot: &Slot, now: Millis) -> AgedRecord {
     AgedRecord {
         record: slot.raw.to_vec(),
@@ -423,8 +425,8 @@
     }
 }
 
-/// What is known, where an entry of the list says nothing beyond it: it is known from the same life of discovery, and
-/// is good for a while yet.
+/// The known fact, if a server entry adds nothing to it: it comes from the same incarnation of discovery and more than
+/// half of its validity remains.
 fn unchanged_fact(slot: &Slot, value: &Value, now: Millis) -> Option<Fact> {
     let Value::ServerEntry(entry) = value else {
         return None;
--- a/crates/gossip/src/fact_table.rs
+++ b/crates/gossip/src/fact_table.rs
@@ -1,4 +1,4 @@
-//! Where facts are kept: found by subject, bounded by kind, and digested by stretches of their subjects' hash.
+//! Storage of facts: found by subject, limited by kind, and digested by ranges of the subjects' hashes.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     slots: Vec<u32>,
 }
 
-/// What is kept of one kind.
+/// Usage of one kind.
 #[derive(Clone, Debug, Default)]
 struct KindUsage {
     bytes: usize,
@@ -26,31 +26,31 @@
     by_age: TimeIndex,
 }
 
-/// What merging a fact came to.
+/// Result of merging a fact. Each `u32` is the index of its slot.
 #[derive(Debug)]
 pub(crate) enum MergeResult {
-    /// Nothing was known of the subject.
+    /// The subject was unknown.
     New(u32),
-    /// It took the place of an earlier one, which was witnessed then.
+    /// It replaced an earlier fact, given with its time of observation.
     Replaced(u32, RawRecord, Millis),
-    /// It was known.
+    /// The same fact was known.
     Duplicate(u32),
-    /// A later one is known, its life is over, or all that is kept of its kind was witnessed later.
+    /// A later fact is known, the fact has expired, or all facts kept of its kind were observed later.
     Ignored,
 }
 
-/// All facts.
+/// All facts, with their indexes.
 #[derive(Clone, Debug)]
 pub(crate) struct FactTable {
     slots: Vec<Option<Slot>>,
     free: Vec<u32>,
     table: HashTable<u32>,
     leaves: Vec<Leaf>,
-    /// All but placements, in the order of their names; for each name by process.
+    /// Slots of all facts but placements, by kind and key; the slots of a key are ordered by process name.
     index: BTreeMap<(u32, Box<[u8]>), Vec<u32>>,
     expirations: TimeIndex,
     kinds: [KindUsage; FactKind::ALL.len()],
-    /// Those that are told as rumours: how often they were, and their turn among equals.
+    /// The facts being gossiped: number of transmissions, order among equals, slot.
     gossip_queue: BTreeSet<(u8, u32, u32)>,
     last_gossip_order: u32,
     bounds: Bounds,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Has room for so many at once.
+    /// Reserves capacity for this many facts at once.
     pub fn reserve(&mut self, facts: usize) {
         let additional = facts.saturating_sub(self.table.len());
         self.slots.reserve(additional);
@@ -89,7 +89,7 @@
         self.slots.get(slot_index as usize)?.as_ref()
     }
 
-    /// Finds a subject's slot.
+    /// The slot of a subject.
     pub fn find(&self, id: FactId<'_>) -> Option<u32> {
         self.table
             .find(id.hash(self.bounds.hash_seed), |slot_index| {
@@ -102,13 +102,13 @@
         self.slot(slot_index).is_some_and(|slot| slot.id() == id)
     }
 
-    /// Bytes and number of what is kept of a kind.
+    /// Memory in bytes and number of facts of a kind.
     pub fn usage(&self, kind: FactKind) -> (usize, usize) {
         let usage = &self.kinds[kind as usize];
         (usage.bytes, usage.count)
     }
 
-    /// All of a kind, by name and then by process; placements in the order of their slots.
+    /// All facts of a kind, by key and then by process; placements in the order of their slots.
     pub fn of_kind(&self, kind: FactKind) -> Box<dyn Iterator<Item = &Slot> + '_> {
         let is_of_kind = move |number: u32| FactKind::from_number(number) == kind;
         match kind {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// All words on one subject, by process.
+    /// All processes' facts on one subject, by process.
     pub fn slots_of(&self, kind: FactKind, key: &[u8]) -> impl Iterator<Item = &Slot> {
         let slots = self.index.get(&(kind.wire_number(), key.into()));
         slots
@@ -152,7 +152,7 @@
             .filter_map(|slot_index| self.slot(*slot_index))
     }
 
-    /// Takes a fact in, if it is later than what is known of its subject.
+    /// Stores a fact if it is later than the known one on its subject.
     pub fn merge(
         &mut self,
         view: &RecordView<'_>,
@@ -180,7 +180,7 @@
             return MergeResult::Ignored;
         };
         if kept.retained_until <= now {
-            // It is over and only waits to be swept.
+            // It has expired and is only waiting for its removal.
             self.remove(slot_index);
             return self.merge(view, observed_at, now);
         }
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Guards against an age that got lost on the way: of two ages of a fact the greater one is believed.
+    /// Applies the greater of two ages of a fact, as part of an age can get lost in transit.
     fn raise_age(&mut self, slot_index: u32, observed_at: Millis) {
         let Some(kept) = self.slots[slot_index as usize].as_mut() else {
             return;
@@ -308,7 +308,7 @@
         self.free.push(slot_index);
     }
 
-    /// Notes when a slot ends and how old it is.
+    /// Indexes a slot by its expiry and its time of observation.
     fn index_times(&mut self, slot_index: u32) {
         let Some(slot) = self.slots[slot_index as usize].as_ref() else {
             return;
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Removes what is kept no longer.
+    /// Removes facts that are past their retention.
     pub fn expire(&mut self, now: Millis) {
         while let Some((slot_index, _)) = self.expirations.pop_earliest(Some(now)) {
             if self
@@ -347,7 +347,8 @@
         }
     }
 
-    /// Whether there is room for one more of its kind, once what is over and what was witnessed earlier gave way.
+    /// Makes room for one more fact of the kind by removing expired facts and those observed earlier. Returns `false`
+    /// if that is not enough.
     fn ensure_capacity(&mut self, slot: &Slot, now: Millis) -> bool {
         let (kind, cost) = (slot.kind(), slot.cost());
         let max_bytes = self.bounds.of_kind(kind).max_bytes;
@@ -372,7 +373,7 @@
         true
     }
 
-    /// Has what is over and then the oldest of a kind give way, after one of them grew.
+    /// Removes expired facts and then the oldest of a kind until it is within its limit, after one of them grew.
     fn evict_over_limit(&mut self, kind: FactKind, now: Millis) {
         let max_bytes = self.bounds.of_kind(kind).max_bytes;
         if self.kinds[kind as usize].bytes > max_bytes {
@@ -386,7 +387,8 @@
         }
     }
 
-    /// Takes the note of the oldest of a kind, to the second, and tells when it was witnessed.
+    /// Removes the time index entry of the oldest fact of a kind, with the resolution of a bucket, and returns its
+    /// slot and time of observation.
     fn pop_oldest(&mut self, kind: FactKind) -> Option<(u32, Millis)> {
         loop {
             let (slot_index, bucket) = self.kinds[kind as usize].by_age.pop_earliest(None)?;
@@ -399,11 +401,11 @@
         }
     }
 
-    /// Has a slot told as a rumour that was told so often already.
+    /// Gossips the fact in a slot, counting it as transmitted this many times already.
     pub fn enqueue_gossip(&mut self, slot_index: u32, transmissions: u8) {
         self.dequeue_gossip(slot_index);
         if self.gossip_queue.len() >= self.bounds.max_gossiped_facts {
-            // The one that most have heard gives way.
+            // The fact transmitted most often is dropped first.
             match self.gossip_queue.last() {
                 Some((max_transmissions, _, last)) if *max_transmissions > transmissions => {
                     self.dequeue_gossip(*last)
@@ -419,7 +421,7 @@
         }
     }
 
-    /// Has it told no more.
+    /// Stops gossiping the fact in a slot; returns how often it was transmitted.
     pub fn dequeue_gossip(&mut self, slot_index: u32) -> Option<u8> {
         let slot = self.slots.get_mut(slot_index as usize)?.as_mut()?;
         let (transmissions, order) = slot.gossip_order.take()?;
@@ -428,27 +430,27 @@
         Some(transmissions)
     }
 
-    /// Rumours, least often told first.
+    /// The facts being gossiped, least transmitted first.
     pub fn gossip_queue(&self) -> impl Iterator<Item = (u32, &Slot)> {
         self.gossip_queue
             .iter()
             .filter_map(|(_, _, slot_index)| Some((*slot_index, self.slot(*slot_index)?)))
     }
 
-    /// The digest of a stretch.
+    /// Digest of the facts in a range.
     pub fn digest(&self, range: HashRange) -> u64 {
         self.leaves_in(range)
             .iter()
             .fold(0, |all, leaf| all ^ leaf.digest)
     }
 
-    /// All in a stretch.
+    /// All facts in a range.
     pub fn slots_in(&self, range: HashRange) -> impl Iterator<Item = &Slot> {
         let slots = self.leaves_in(range).iter().flat_map(|leaf| &leaf.slots);
         slots.filter_map(|slot_index| self.slot(*slot_index))
     }
 
-    /// How many are in a stretch.
+    /// Number of facts in a range.
     pub fn count_in(&self, range: HashRange) -> usize {
         self.leaves_in(range)
             .iter()
--- a/crates/gossip/src/list_incarnation.rs
+++ b/crates/gossip/src/list_incarnation.rs
@@ -1,29 +1,29 @@
-//! Which life of discovery a list belongs to.
+//! Determines which incarnation of discovery a list belongs to.
 
 use crate::Millis;
 use crate::fact::{ListPosition, ListVersion};
 
-/// Clocks of two processes may differ by so much, and a list may be under way for so long.
+/// Upper limit on the clock difference of two processes, and on the time that a list takes to arrive.
 pub const MAX_CLOCK_SKEW_MS: Millis = 10_000;
 
-/// A list as discovery has just told it.
+/// A list announced by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListAnnouncement {
-    /// Its generation.
+    /// Discovery's counter of list changes.
     pub generation: u64,
-    /// A digest of all that it says, without addresses, the same at all processes.
+    /// Digest of the whole list without addresses; the same at all processes.
     pub digest: u64,
-    /// Whether it was told whole, not as changes.
+    /// Whether the whole list was sent, not only changes.
     pub is_complete: bool,
 }
 
-/// What is known of a list that a process holds, and when that was witnessed.
+/// The version of a list that a peer holds, and when that was observed.
 pub(crate) struct PeerList {
     pub list: ListVersion,
     pub observed_at: Millis,
 }
 
-/// The life of a list that was told now: see the crate's page.
+/// The incarnation of a list that has just been announced, by the rules in the crate documentation.
 pub(crate) fn list_incarnation(
     own: Option<ListPosition>,
     announcement: ListAnnouncement,
@@ -62,7 +62,7 @@
             peer_incarnation
         };
     }
-    // The own watch saw the count begin anew; no clock is compared.
+    // This process saw the generation restart on its own connection to discovery, so no clocks are compared.
     let is_restart =
         own.is_some_and(|own| announcement.is_complete && announcement.generation < own.generation);
     if is_restart {
--- a/crates/gossip/src/own_observations.rs
+++ b/crates/gossip/src/own_observations.rs
@@ -1,4 +1,4 @@
-//! A process's own counts, as they go on.
+//! Observations that accumulate: placement failures, slow start sends and server evidence of this process.
 
 use crate::Millis;
 use crate::fact::{Fact, PlacementFailures, ServerEvidence, Subject, Value};
@@ -6,13 +6,13 @@
 use crate::queries::{MAX_COUNTED_FAILURES, decay};
 
 impl FactStore {
-    /// This process's own word on a subject, and its age.
+    /// This process's own value for a subject, and its age.
     fn own_value(&self, subject: &Subject, now: Millis) -> Option<(Value, Millis)> {
         let fact = self.get(subject, &self.origin.name, now)?;
         Some((fact.value, now.saturating_sub(fact.observed_at)))
     }
 
-    /// A placement of that client key failed here.
+    /// Counts a failed placement of a client key.
     pub fn record_placement_failure(
         &mut self,
         key: u64,
@@ -41,7 +41,7 @@
         )
     }
 
-    /// A placement of that client key succeeded here: nothing that was counted before counts any more.
+    /// Records a successful placement of a client key, which voids all failures counted before.
     pub fn record_placement_success(
         &mut self,
         key: u64,
@@ -55,7 +55,7 @@
         self.observe(&Subject::PlacementFailures(key), &value, valid_for, now)
     }
 
-    /// So many set-ups were sent from here to a server that is cold.
+    /// Counts connection set-ups sent to a server in slow start.
     pub fn record_slow_start_send(
         &mut self,
         server: &str,
@@ -77,8 +77,8 @@
         )
     }
 
-    /// A server was seen to do that, with so much evidence. It adds to what this process saw before, or takes its
-    /// place if that was something else.
+    /// Records evidence on a server. It adds to earlier evidence of this process for the same health, and replaces
+    /// evidence for another.
     pub fn record_evidence(
         &mut self,
         server: &str,
--- a/crates/gossip/src/queries.rs
+++ b/crates/gossip/src/queries.rs
@@ -1,4 +1,4 @@
-//! What facts come to, for those who decide.
+//! Queries that combine the facts of several processes.
 
 use crate::Millis;
 use crate::fact::{
@@ -9,21 +9,21 @@
 use crate::record::{decode_value, encode_placement_key, read_placement};
 use crate::slot::{FactId, Slot};
 
-/// The design's most failures that count for a client key.
+/// Upper limit on the failures that count for a client key.
 pub const MAX_COUNTED_FAILURES: u32 = 6;
 
-/// What the processes' evidence on a server comes to.
+/// Combined evidence of all processes on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerAssessment {
-    /// What most speaks for.
+    /// The health with the most evidence.
     pub observed: ObservedHealth,
-    /// How much speaks for it, aged and bounded by process.
+    /// Weight of the evidence for it, after decay and the limit for each process.
     pub weight: f64,
-    /// How much speaks for anything else.
+    /// Weight of the evidence for any other health.
     pub contrary_weight: f64,
-    /// Processes whose evidence counts.
+    /// Number of processes whose evidence counts.
     pub witness_count: usize,
-    /// Age of the newest evidence for it.
+    /// Age of the newest evidence for the assessed health.
     pub age: Millis,
 }
 
@@ -35,7 +35,7 @@
     decode_value(slot.kind(), position, slot.value())
 }
 
-/// What is left of an amount after so long.
+/// What remains of an amount after exponential decay.
 pub(crate) fn decay(amount: f64, age: Millis, half_life: Millis) -> f64 {
     amount * (-(age as f64) / half_life.max(1) as f64).exp2()
 }
@@ -54,13 +54,13 @@
         slots.filter_map(move |slot| Some((value(slot)?, now.saturating_sub(slot.observed_at))))
     }
 
-    /// A client key's failed placements at all processes, at most 6. Where a placement succeeded, all that was counted
-    /// before is void.
+    /// Failed placements of a client key at all processes, at most 6. A successful placement voids all failures before
+    /// it.
     pub fn failure_count(&self, key: u64, now: Millis) -> u32 {
         self.failure_totals(key, now).0
     }
 
-    /// Failures that count, and how long ago a placement last succeeded.
+    /// Failures that count, and the time since the last successful placement.
     pub(crate) fn failure_totals(&self, key: u64, now: Millis) -> (u32, Option<Millis>) {
         let values: Vec<(PlacementFailures, Millis)> = self
             .valid_values(FactKind::PlacementFailures, &key.to_be_bytes(), now)
@@ -85,7 +85,7 @@
         (total, last_success_age)
     }
 
-    /// Set-ups sent lately to a cold server by all processes, faded by age.
+    /// Connection set-ups sent to a server in slow start by all processes, decayed by age.
     pub fn slow_start_sent(&self, server: &str, now: Millis) -> f64 {
         let half_life = self.facts.bounds().slow_start_half_life_ms;
         let values = self.valid_values(FactKind::SlowStartSends, server.as_bytes(), now);
@@ -99,7 +99,7 @@
         remaining.sum()
     }
 
-    /// What the processes have seen of a server, if there is more than thin evidence.
+    /// Combined evidence on a server; `None` if its weight is below the minimum.
     pub fn assess_server(&self, server: &str, now: Millis) -> Option<ServerAssessment> {
         let bounds = self.facts.bounds();
         let (mut sums, mut ages, mut witness_count) = ([0.0; 3], [Millis::MAX; 3], 0);
@@ -135,7 +135,7 @@
         (total >= bounds.min_evidence_weight && weight > 0.0).then_some(assessment)
     }
 
-    /// Where a client or group stands.
+    /// The valid placement of a client or group.
     pub fn placement(&self, key: PlacementKey, now: Millis) -> Option<PlacementView<'_>> {
         let key = encode_placement_key(key);
         let slot_index = self.facts.find(FactId {
@@ -150,7 +150,7 @@
         read_placement(slot.value())
     }
 
-    /// The farm as it is known: each server with its entry, by name. Entries tell which list they come from.
+    /// All known server entries by server name. Each entry names the list version that it comes from.
     pub fn server_entries(&self, now: Millis) -> Vec<(String, ServerEntry)> {
         let entries = self.iter(FactKind::ServerEntry, now).filter_map(|fact| {
             match (fact.subject, fact.value) {
@@ -161,7 +161,7 @@
         entries.collect()
     }
 
-    /// Which configuration each process runs, by name of the process.
+    /// The configuration that each process runs, ordered by process name.
     pub fn configurations(&self, now: Millis) -> Vec<(Origin, Configuration)> {
         let configurations = self
             .iter(FactKind::Configuration, now)
@@ -172,7 +172,7 @@
         configurations.collect()
     }
 
-    /// Which list each process holds, by name of the process.
+    /// The version of the list that each process holds, ordered by process name.
     pub fn list_versions(&self, now: Millis) -> Vec<(Origin, ListVersion)> {
         let versions = self
             .iter(FactKind::ListVersion, now)
--- a/crates/gossip/src/record.rs
+++ b/crates/gossip/src/record.rs
@@ -1,7 +1,8 @@
-//! Facts as protocol buffers, on the wire and on disk alike.
+//! Encoding of facts as protocol buffers, on the wire and on disk alike.
 //!
-//! Fields are added, never given another meaning or number. A fact's record is kept and passed on byte for byte as its
-//! origin wrote it, so that fields and kinds of a newer program reach other newer ones through this one.
+//! Fields are added, but never change their meaning or number. A fact's record is kept and forwarded byte for byte as
+//! its origin wrote it, so that fields and kinds of a newer version reach other processes of that version through this
+//! one.
 
 use prost::Message;
 
@@ -13,21 +14,21 @@
 };
 use crate::wire::{FieldError, Fields};
 
-/// Longest record of a fact.
+/// Most bytes of a fact's record.
 pub(crate) const MAX_RECORD_BYTES: usize = 8 << 10;
-/// Longest name of a process and of a subject.
+/// Most bytes of a process name and of a subject's key.
 const MAX_NAME_BYTES: usize = 512;
-/// No version is counted beyond this. Guards against a fact that no later one could outdo.
+/// Upper limit on versions and epochs. Prevents a fact that no later one could replace.
 pub(crate) const MAX_VERSION: u64 = 1 << 62;
 
-/// A fact without its age, as it is written: the same bytes at every process.
+/// A fact without its age, as it is encoded: the same bytes at every process.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Record {
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     #[prost(bytes = "vec", tag = "2")]
     pub key: Vec<u8>,
-    /// Each process has its own word on the subject.
+    /// Whether each process has its own fact on the subject.
     #[prost(bool, tag = "3")]
     pub is_per_process: bool,
     #[prost(bytes = "vec", tag = "4")]
@@ -38,22 +39,22 @@
     pub epoch: u64,
     #[prost(uint64, tag = "7")]
     pub version: u64,
-    /// The moment witnessed, by the origin's clock; 0 where the version says it.
+    /// Time of observation by the origin's clock; 0 if it equals the version.
     #[prost(uint64, tag = "8")]
     pub origin_observed_at: u64,
     #[prost(uint64, tag = "9")]
     pub valid_for: u64,
-    /// It is kept for at least so long, beyond being good, that what it replaced cannot come back.
+    /// Minimum retention, which may exceed the validity so that the fact that this one replaced cannot come back.
     #[prost(uint64, tag = "10")]
     pub retained_for: u64,
     #[prost(bytes = "vec", tag = "11")]
     pub value: Vec<u8>,
 }
 
-/// A record as it is read, where it lies.
+/// A decoded record that borrows from the encoded bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RecordView<'a> {
-    /// All of it, as its origin wrote it.
+    /// The whole record as its origin wrote it.
     pub raw: &'a [u8],
     pub kind: u32,
     pub key: &'a [u8],
@@ -69,7 +70,7 @@
 }
 
 impl<'a> RecordView<'a> {
-    /// Reads a record, unless something in it is beyond what any program writes.
+    /// Decodes a record; `None` if it is invalid or exceeds a limit that every version observes.
     pub fn new(raw: &'a [u8]) -> Option<RecordView<'a>> {
         if raw.len() > MAX_RECORD_BYTES {
             return None;
@@ -92,7 +93,7 @@
                 9 => view.valid_for = value.number()?,
                 10 => view.retained_for = value.number()?,
                 11 => view.value = value.bytes()?,
-                // A newer program's.
+                // A field of a newer version.
                 _ => {}
             }
         }
@@ -100,12 +101,12 @@
         (names_fit && view.epoch <= MAX_VERSION && view.version <= MAX_VERSION).then_some(view)
     }
 
-    /// What settles, after epoch and version, which of two facts on a subject stands.
+    /// Decides, after epoch and version, which of two facts on a subject is later.
     pub fn tie_breaker(&self) -> (u64, u64, &[u8]) {
         (self.origin_observed_at, self.incarnation, self.name)
     }
 
-    /// The fact that it tells. What this program cannot read of it comes as unknown.
+    /// The decoded fact. Parts that this version cannot read become unknown.
     pub fn fact(&self, observed_at: Millis) -> Fact {
         let kind = FactKind::from_number(self.kind);
         let position = ListPosition {
@@ -139,7 +140,7 @@
     }
 }
 
-/// A record and how old it was when it was sent or written.
+/// A record and its age when it was sent or written.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct AgedRecord {
     #[prost(bytes = "vec", tag = "1")]
@@ -148,7 +149,7 @@
     pub age: u64,
 }
 
-/// A record that was carried, and its age; no record if it cannot be read.
+/// Decodes an aged record; the view is `None` if the record in it is not valid.
 pub(crate) fn read_aged_record(
     bytes: &[u8],
 ) -> Result<(Option<RecordView<'_>>, Millis), FieldError> {
@@ -163,15 +164,15 @@
     Ok((RecordView::new(record), age))
 }
 
-/// What is handed to a peer.
+/// A message to a peer.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Packet {
     #[prost(message, repeated, tag = "1")]
     pub facts: Vec<AgedRecord>,
-    /// An answer to a summary, no rumours.
+    /// Whether it is a page that answers a summary, not gossip.
     #[prost(bool, tag = "2")]
     pub is_page: bool,
-    /// Stretches that differ and are too full to be sent unasked.
+    /// Ranges that differ and are too full to be sent unasked.
     #[prost(message, repeated, tag = "3")]
     pub differing_ranges: Vec<HashRange>,
 }
@@ -185,15 +186,15 @@
     pub prefix: u32,
 }
 
-/// Digests of the equal parts of a stretch.
+/// Digests of the equal parts of a range.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Summary {
     #[prost(message, required, tag = "1")]
     pub range: HashRange,
-    /// Four bytes for each part, whose number is a power of two.
+    /// Four bytes for each part; the number of parts is a power of two.
     #[prost(bytes = "vec", tag = "2")]
     pub digests: Vec<u8>,
-    /// Counts the summaries of the process, so that answers begin elsewhere each time.
+    /// Counts the summaries of the process, so that each answer begins at another part.
     #[prost(uint32, tag = "3")]
     pub sequence: u32,
 }
@@ -249,16 +250,16 @@
     }
 }
 
-/// In the order of their numbers, from 0.
+/// In the order of their numbers in records, from 0.
 const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Deleted];
-/// In the order of their numbers, from 0.
+/// In the order of their numbers in records, from 0.
 const HEALTH_STATES: [ObservedHealth; 3] = [
     ObservedHealth::Hung,
     ObservedHealth::Refused,
     ObservedHealth::Healthy,
 ];
 
-/// The bytes of a value. An entry's position is told by the record's epoch and version.
+/// Encodes a value. The position of a server entry is carried in the epoch and version of its record.
 pub(crate) fn encode_value(value: &Value) -> Vec<u8> {
     match value {
         Value::ServerEntry(entry) => ServerEntryRecord {
@@ -335,7 +336,7 @@
     (value.is_finite() && value >= 0.0).then_some(value)
 }
 
-/// The value that bytes of that kind hold; nothing if this program cannot read them.
+/// Decodes a value of that kind; `None` if this version cannot read it.
 pub(crate) fn decode_value(kind: FactKind, position: ListPosition, bytes: &[u8]) -> Option<Value> {
     Some(match kind {
         FactKind::ServerEntry => {
@@ -411,7 +412,7 @@
     })
 }
 
-/// The name of a subject within its kind.
+/// Encodes the key of a subject within its kind.
 pub(crate) fn encode_key(subject: &Subject) -> Vec<u8> {
     match subject {
         Subject::ServerEntry(name)
@@ -425,7 +426,7 @@
     }
 }
 
-/// The key of a placement.
+/// Encodes the key of a placement.
 pub(crate) fn encode_placement_key(key: PlacementKey) -> [u8; 9] {
     let (tag, number) = match key {
         PlacementKey::Client(number) => (0, number),
@@ -461,7 +462,7 @@
     })
 }
 
-/// Where a placement says that its holder stands, read where it lies.
+/// Decodes a placement in place; `None` if the client or group has left or the value is invalid.
 pub(crate) fn read_placement(value: &[u8]) -> Option<PlacementView<'_>> {
     let (mut server, mut configuration_digest, mut placed_at) = (None, 0, 0);
     for field in Fields(value) {
--- a/crates/gossip/src/slot.rs
+++ b/crates/gossip/src/slot.rs
@@ -1,4 +1,4 @@
-//! A fact as it is kept: its record, and what it takes to find, order and age it.
+//! A stored fact: its record, and the metadata to find, order and expire it.
 
 use std::cmp::Ordering;
 
@@ -9,17 +9,17 @@
 use crate::fact::{Fact, FactKind};
 use crate::record::RecordView;
 
-/// Bits of a subject's hash that tell the finest stretch.
+/// Number of hash bits that select a leaf, the finest range that is digested.
 pub(crate) const LEAF_BITS: u32 = 14;
-/// What a fact costs beside its slot: its notes in table, leaf, index and calendars.
+/// Memory of a fact besides its slot: its entries in the table, leaf, index and time indexes.
 const INDEX_OVERHEAD_BYTES: usize = 56;
-/// Records of this length are kept in the slot itself.
+/// Records up to this length are stored inside the slot.
 const INLINE_RECORD_BYTES: usize = 96;
 
-/// A record as it is kept.
+/// An encoded record.
 pub(crate) type RawRecord = SmallVec<[u8; INLINE_RECORD_BYTES]>;
 
-/// A part of a slot's view.
+/// A byte range within a slot's record.
 #[derive(Clone, Copy, Debug)]
 struct ByteRange {
     start: u16,
@@ -28,7 +28,7 @@
 
 impl ByteRange {
     fn new(raw: &[u8], part: &[u8]) -> ByteRange {
-        // A part is a slice of the record; one that is empty may point anywhere.
+        // A part is a slice of the record; an empty one may point anywhere.
         let start = if part.is_empty() {
             0
         } else {
@@ -45,25 +45,25 @@
     }
 }
 
-/// A fact that is kept.
+/// A stored fact.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub raw: RawRecord,
     key: ByteRange,
     name: ByteRange,
     value: ByteRange,
-    /// The number of its kind.
+    /// Number of the fact's kind in records.
     pub kind_number: u32,
-    /// Its place in its leaf.
+    /// Position within its leaf.
     pub leaf_index: u32,
     pub epoch: u64,
     pub version: u64,
-    /// By this process's clock.
+    /// Time of observation by this process's clock.
     pub observed_at: Millis,
     pub valid_until: Millis,
-    /// It is kept until then.
+    /// The fact is kept until this time.
     pub retained_until: Millis,
-    /// Its turn among the rumours, while it is one.
+    /// Number of transmissions and order among equals, while the fact is gossiped.
     pub gossip_order: Option<(u8, u32)>,
     is_per_process: bool,
 }
@@ -85,17 +85,17 @@
         FactKind::from_number(self.kind_number)
     }
 
-    /// Digest of the record, for the leaf.
+    /// Digest of the record, combined into the digest of the leaf.
     pub fn digest(&self) -> u64 {
         xxh3_64(&self.raw)
     }
 
-    /// Whether what it says holds still.
+    /// Whether the fact is still valid.
     pub fn is_valid(&self, now: Millis) -> bool {
         now < self.valid_until
     }
 
-    /// What it counts for in its kind's bytes.
+    /// Memory that counts towards the limit of the kind.
     pub fn cost(&self) -> usize {
         let heap_bytes = if self.raw.spilled() {
             self.raw.capacity()
@@ -105,7 +105,7 @@
         size_of::<Option<Slot>>() + heap_bytes + INDEX_OVERHEAD_BYTES
     }
 
-    /// What tells its subject from all others.
+    /// Identifies the subject.
     pub fn id(&self) -> FactId<'_> {
         FactId {
             kind: self.kind_number,
@@ -114,12 +114,12 @@
         }
     }
 
-    /// The fact that it keeps.
+    /// The decoded fact.
     pub fn fact(&self) -> Option<Fact> {
         Some(RecordView::new(&self.raw)?.fact(self.observed_at))
     }
 
-    /// A slot for a fact, which is kept for the kind's longest span at most.
+    /// A slot for a fact, kept for at most the maximum lifetime of its kind.
     pub fn new(view: &RecordView<'_>, observed_at: Millis, max_lifetime_ms: Millis) -> Slot {
         let raw = view.raw;
         let valid_until = observed_at.saturating_add(view.valid_for.min(max_lifetime_ms));
@@ -142,8 +142,8 @@
         }
     }
 
-    /// How a fact stands to the one that is kept: by epoch and version, then by the moment told, boot and name of the
-    /// origin and all bytes. A total order that needs nothing but the two facts.
+    /// Orders a fact relative to the stored one: by epoch and version, then by the origin's time of observation,
+    /// incarnation and name, and then by all bytes. The order is total and depends on nothing but the two facts.
     pub fn compare_to(&self, view: &RecordView<'_>) -> Ordering {
         let raw = view.raw;
         (view.epoch, view.version)
@@ -160,12 +160,12 @@
     }
 }
 
-/// What tells a subject from all others.
+/// Identifies the subject of a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FactId<'a> {
     pub kind: u32,
     pub key: &'a [u8],
-    /// The process, where each has its own word.
+    /// The process, where each has its own fact.
     pub name: Option<&'a [u8]>,
 }
 
@@ -186,7 +186,7 @@
         self.name.map_or(hash, |name| xxh3_64_with_seed(name, hash))
     }
 
-    /// The same at all processes.
+    /// Index of the subject's leaf; the same at all processes.
     pub fn leaf(self) -> usize {
         (self.hash(0) >> (64 - LEAF_BITS)) as usize
     }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,12 +1,12 @@
-//! Records read where they lie. `prost` writes them and reads what is small and seldom; what a datagram holds many of is
-//! read here without a copy, and in bounded memory whatever it holds.
+//! In-place decoding of protobuf fields. `prost` writes all records and reads the small and rare ones; the records
+//! that a datagram holds many of are read here without copying and in bounded memory, whatever the input.
 
-/// A field's contents.
+/// Content of a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Field<'a> {
-    /// A number, of variable or fixed length.
+    /// An integer of variable or fixed length.
     Number(u64),
-    /// Text, bytes or a record.
+    /// A string, bytes or a nested message.
     Bytes(&'a [u8]),
 }
 
@@ -28,11 +28,11 @@
     }
 }
 
-/// The fields of a record in turn: the number of each and what it holds.
+/// Iterates over the fields of a message as pairs of field number and content.
 #[derive(Clone, Debug)]
 pub(crate) struct Fields<'a>(pub &'a [u8]);
 
-/// Bytes that are no field.
+/// Error for bytes that are not a valid field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FieldError;
 
@@ -41,7 +41,7 @@
     for (at, byte) in bytes.iter().take(10).enumerate() {
         number |= u64::from(byte & 0x7f) << (7 * at);
         if byte & 0x80 == 0 {
-            // Ten bytes hold 70 bits: the last one may only add the 64th.
+            // Ten bytes hold 70 bits, so the last one may only add the 64th bit.
             let fits = at < 9 || *byte <= 1;
             *bytes = &bytes[at + 1..];
             return fits.then_some(number);
@@ -87,7 +87,7 @@
         }
         let read = field(&mut self.0);
         if read.is_none() {
-            // Nothing can be told from what follows.
+            // The bytes after an invalid field cannot be decoded.
             self.0 = &[];
         }
         Some(read.ok_or(FieldError))
