--- a/crates/gossip/benches/merge.rs
+++ b/crates/gossip/benches/merge.rs
@@ -1,4 +1,4 @@
-//! What knowing costs: merging facts that a peer sent, and looking up where a client stands, by how many stand.
+//! Cost of merging facts from a peer and of looking up placements, by the number of placements.
 
 use std::cell::Cell;
 use std::hint::black_box;
@@ -10,7 +10,7 @@
 
 const NOW: Millis = 1_800_000_000_000;
 const VALIDITY_MS: Millis = 3_600_000;
-/// Facts in a datagram.
+/// Number of facts in a datagram.
 const FACTS_PER_DATAGRAM: u64 = 12;
 
 fn process(name: &str) -> FactStore {
@@ -39,10 +39,10 @@
             VALIDITY_MS,
             now,
         )
-        .expect("taken");
+        .expect("the observation is stored");
 }
 
-/// Keys are hashes.
+/// Keys are hashes, so they are spread over the whole range.
 fn client_key(key: u64) -> u64 {
     key.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
@@ -96,7 +96,7 @@
             (0..FACTS_PER_DATAGRAM).map(|step| (step * 997) % count),
             now.get(),
         );
-        store.merge_packet(&known, now.get()).expect("sound");
+        store.merge_packet(&known, now.get()).expect("valid input");
         group.bench_function(BenchmarkId::new("known", count), |bencher| {
             bencher.iter(|| {
                 store
--- a/crates/gossip/examples/spread.rs
+++ b/crates/gossip/examples/spread.rs
@@ -1,5 +1,5 @@
-//! How soon a fleet knows a fact, and what telling costs, on a virtual clock: 300 processes, rounds of 200 ms, three
-//! peers told in each, 5% of datagrams lost.
+//! Measures how fast facts spread in a fleet, and the traffic that this takes, on a virtual clock: 300 processes,
+//! rounds of 200 ms, gossip to three peers in each, 5% of datagrams lost.
 //!
 //! `cargo run --release -p beaconflow-gossip --example spread [processes] [loss]`
 
@@ -13,9 +13,9 @@
 const ROUND_MS: Millis = 200;
 const FANOUT: usize = 3;
 const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Each process compares digests with one peer once in so many rounds.
+/// Each process compares digests with one peer once in this many rounds.
 const ROUNDS_PER_COMPARISON: u64 = 5;
-/// What each says of itself is good for so long, and said anew after half of it.
+/// Validity of a process's facts about itself, which are renewed after half of it.
 const VALIDITY_MS: Millis = 10 * 60_000;
 
 struct Fleet {
@@ -32,14 +32,14 @@
         (of + self.rng.random_range(1..self.stores.len())) % self.stores.len()
     }
 
-    /// A datagram, with what the transport adds: 28 bytes of headers and some 60 of its own.
+    /// Counts a datagram with the overhead of the transport: 28 bytes of headers and some 60 of its own.
     fn deliver(&mut self, to: usize, bytes: &[u8]) {
         self.sent_bytes += bytes.len() + 88;
         self.datagrams += 1;
         if !self.rng.random_bool(self.loss_rate) {
             self.stores[to]
                 .merge_packet(bytes, self.now)
-                .expect("sound");
+                .expect("valid input");
         }
     }
 
@@ -74,12 +74,12 @@
         if !self.rng.random_bool(self.loss_rate) {
             let pages = self.stores[peer]
                 .answer_summary(&summary, MAX_DATAGRAM_BYTES, 4, self.now)
-                .expect("sound");
+                .expect("valid input");
             pages.iter().for_each(|page| self.deliver(from, page));
         }
     }
 
-    /// Says what each process says of itself, when its turn has come.
+    /// Renews the facts of a process about itself.
     fn refresh(&mut self, index: usize, now: Millis) {
         let runs = Value::Configuration(Configuration {
             digest: 1,
@@ -87,7 +87,7 @@
         });
         self.stores[index]
             .observe(&Subject::Configuration, &runs, VALIDITY_MS, now)
-            .expect("taken");
+            .expect("the observation is stored");
         let list_version = ListVersion {
             position: ListPosition {
                 incarnation: 1,
@@ -102,10 +102,10 @@
                 VALIDITY_MS,
                 now,
             )
-            .expect("taken");
+            .expect("the observation is stored");
     }
 
-    /// Goes on for so long in quiet; bytes and datagrams a second of each.
+    /// Runs the fleet without new facts for a time; returns bytes and datagrams per second and process.
     fn run_idle(&mut self, span: Millis) -> (f64, f64) {
         (self.sent_bytes, self.datagrams) = (0, 0);
         let end = self.now + span;
@@ -175,7 +175,7 @@
             let subject = Subject::ServerEntry(format!("server-{server:04}"));
             fleet.stores[index]
                 .observe(&subject, &Value::ServerEntry(entry), 24 * VALIDITY_MS, now)
-                .expect("taken");
+                .expect("the observation is stored");
         }
         fleet.refresh(index, now);
     }
@@ -184,13 +184,13 @@
         fleet.round();
     }
     println!(
-        "{count} processes, {loss_rate} lost: all heard of all others after {} ms",
+        "{count} processes, loss rate {loss_rate}: all processes known to all after {} ms",
         fleet.now - started_at
     );
     fleet.run_idle(30_000);
     let (bytes, datagrams) = fleet.run_idle(60_000);
     println!(
-        "quiet, each: {:.1} KiB/s in {datagrams:.1} datagrams a second",
+        "idle, per process: {:.1} KiB/s in {datagrams:.1} datagrams a second",
         bytes / 1024.0
     );
     let (mut delays, mut last_delays) = (Vec::new(), Vec::new());
@@ -210,7 +210,7 @@
                 VALIDITY_MS,
                 observed_at,
             )
-            .expect("taken");
+            .expect("the observation is stored");
         let has_placement = |fleet: &Fleet, index: usize| {
             fleet.stores[index]
                 .placement(PlacementKey::Client(key), fleet.now)
@@ -233,5 +233,7 @@
         percentile(&mut delays, 0.99),
         percentile(&mut last_delays, 0.99),
     );
-    println!("a fact is known: p50 {p50} ms, p99 {p99} ms; by the last process p99 {last_p99} ms");
+    println!(
+        "time until a fact is known: p50 {p50} ms, p99 {p99} ms; last process: p99 {last_p99} ms"
+    );
 }
--- a/crates/gossip/src/record/tests.rs
+++ b/crates/gossip/src/record/tests.rs
@@ -31,8 +31,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(500) })]
 
-    /// What is read where it lies is what prost wrote, also with a byte changed: then both read the same, or one
-    /// of them nothing.
+    /// In-place decoding must agree with `prost`, also after one byte was changed: then both decode to the same
+    /// values, or one of them fails.
     #[test]
     fn reads_in_place_as_prost_does(
         (key, name, value) in (bytes(), bytes(), bytes()),
--- a/crates/gossip/tests/aggregates.rs
+++ b/crates/gossip/tests/aggregates.rs
@@ -1,4 +1,4 @@
-//! What the words of several processes come to.
+//! Queries that combine the facts of several processes.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 const VALIDITY_MS: Millis = 60_000;
 
-/// Three processes, and a way for all to hear all.
+/// Three processes that have not communicated yet.
 fn three_processes() -> [FactStore; 3] {
     ["a", "b", "c"].map(|name| process(name, 1))
 }
@@ -16,7 +16,7 @@
     for from in 0..3 {
         let bytes = stores[from].gossip_payload(MAX_DATAGRAM_BYTES, now);
         for to in (0..3).filter(|to| *to != from && !bytes.is_empty()) {
-            stores[to].merge_packet(&bytes, now).expect("sound");
+            stores[to].merge_packet(&bytes, now).expect("valid input");
         }
     }
 }
@@ -28,7 +28,7 @@
         drop(
             store
                 .record_placement_failure(5, VALIDITY_MS, now)
-                .expect("taken"),
+                .expect("the observation is stored"),
         )
     };
     fail(&mut stores[0], START_MS);
@@ -48,17 +48,17 @@
             .iter()
             .all(|store| store.failure_count(5, START_MS + 40) == MAX_COUNTED_FAILURES)
     );
-    // A placement succeeds at the third.
+    // A successful placement at the third process voids all failures counted so far.
     stores[2]
         .record_placement_success(5, VALIDITY_MS, START_MS + 50)
-        .expect("taken");
+        .expect("the observation is stored");
     gossip_to_all(&mut stores, START_MS + 60);
     assert!(
         stores
             .iter()
             .all(|store| store.failure_count(5, START_MS + 60) == 0)
     );
-    // Whoever counts on does so from there.
+    // Processes that count further failures start from zero.
     fail(&mut stores[2], START_MS + 70);
     fail(&mut stores[0], START_MS + 71);
     gossip_to_all(&mut stores, START_MS + 80);
@@ -66,13 +66,13 @@
         stores
             .iter()
             .all(|store| store.failure_count(5, START_MS + 80) == 2),
-        "what was void stays so"
+        "voided failures do not count again"
     );
     assert!(
         stores
             .iter()
             .all(|store| store.failure_count(5, START_MS + 71 + VALIDITY_MS) == 0),
-        "forgotten"
+        "failures expire"
     );
 }
 
@@ -81,10 +81,10 @@
     let mut stores = three_processes();
     stores[0]
         .record_slow_start_send("s1", 4.0, VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     stores[1]
         .record_slow_start_send("s1", 2.0, VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     gossip_to_all(&mut stores, START_MS);
     let sent = |stores: &[FactStore; 3], now| {
         stores
@@ -96,18 +96,18 @@
     assert_eq!(sent(&stores, after_half_life), [3.0; 3]);
     stores[0]
         .record_slow_start_send("s1", 1.0, VALIDITY_MS, after_half_life)
-        .expect("taken");
+        .expect("the observation is stored");
     assert_eq!(
         stores[0].slow_start_sent("s1", after_half_life),
         4.0,
-        "its own count goes on from what is left"
+        "the process adds to its decayed count"
     );
     gossip_to_all(&mut stores, after_half_life);
     gossip_to_all(&mut stores, after_half_life);
     assert_eq!(
         sent(&stores, after_half_life),
         [4.0; 3],
-        "heard twice, counted once"
+        "a fact received twice counts once"
     );
 }
 
@@ -117,12 +117,16 @@
     let record_evidence = |store: &mut FactStore, observed, weight, now| {
         store
             .record_evidence("s1", ServerEvidence { observed, weight }, VALIDITY_MS, now)
-            .expect("taken");
+            .expect("the observation is stored");
     };
     record_evidence(&mut stores[0], ObservedHealth::Hung, 0.4, START_MS);
     gossip_to_all(&mut stores, START_MS);
-    assert_eq!(stores[1].assess_server("s1", START_MS), None, "thin");
-    // One that shouts is not heard above two others.
+    assert_eq!(
+        stores[1].assess_server("s1", START_MS),
+        None,
+        "the evidence is below the minimum weight"
+    );
+    // The limit on the weight of one process keeps it from outvoting two others.
     record_evidence(&mut stores[0], ObservedHealth::Hung, 1_000.0, START_MS);
     record_evidence(&mut stores[1], ObservedHealth::Healthy, 3.0, START_MS);
     record_evidence(&mut stores[2], ObservedHealth::Healthy, 3.0, START_MS);
@@ -139,7 +143,7 @@
             .iter()
             .all(|store| store.assess_server("s1", START_MS) == Some(assessment))
     );
-    // The newer word of one process replaces its older one, and evidence fades.
+    // The newer fact of a process replaces its older one, and evidence decays.
     let half_life = Bounds::default().evidence_half_life_ms;
     record_evidence(
         &mut stores[1],
@@ -162,6 +166,6 @@
     assert_eq!(
         stores[2].assess_server("s1", START_MS + half_life + 4 * half_life),
         None,
-        "too old to say anything"
+        "decayed evidence is below the minimum weight"
     );
 }
--- a/crates/gossip/tests/bounds.rs
+++ b/crates/gossip/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What gives way at the bounds.
+//! Eviction when a kind or the gossip queue reaches its limit.
 
 mod common;
 
@@ -35,7 +35,7 @@
                 VALIDITY_MS,
                 START_MS + key * 1_100,
             )
-            .expect("the newest has room");
+            .expect("the newest fact is stored");
         assert!(store.usage(FactKind::Placement).0 <= MAX_BYTES);
     }
     let (now, (_, count)) = (START_MS + 5_000 * 1_100, store.usage(FactKind::Placement));
@@ -46,7 +46,7 @@
     assert_eq!(
         kept,
         (5_000 - count as u64..5_000).collect::<Vec<_>>(),
-        "the newest are kept"
+        "only the newest facts are kept"
     );
 }
 
@@ -55,21 +55,21 @@
     let mut store = store_with_small_limit(FactKind::Placement);
     store
         .observe(&client(0), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     let mut key = 0;
-    // Good for a short while, and younger than the first.
+    // These placements are valid for a short time and newer than the first one.
     while store.usage(FactKind::Placement).0 + 400 < MAX_BYTES {
         key += 1;
         store
             .observe(&client(key), &placed_on("s1"), 5_000, START_MS + 2_000)
-            .expect("taken");
+            .expect("the observation is stored");
     }
     let later = START_MS + 60_000;
     (1_000..1_100).for_each(|key| {
         drop(
             store
                 .observe(&client(key), &placed_on("s1"), VALIDITY_MS, later)
-                .expect("taken"),
+                .expect("the observation is stored"),
         )
     });
     assert!(
@@ -83,7 +83,7 @@
 fn ignores_fact_when_older_than_all_kept() {
     let (mut store, mut peer) = (store_with_small_limit(FactKind::Placement), process("b", 1));
     peer.observe(&client(9_999), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     (0..2_000).for_each(|key| {
         drop(store.observe(
             &client(key),
@@ -97,7 +97,7 @@
     assert_eq!(
         store.usage(FactKind::Placement),
         before,
-        "no younger one had to go"
+        "no newer fact is evicted"
     );
 }
 
@@ -118,7 +118,7 @@
                 VALIDITY_MS,
                 START_MS + u64::from(id) * 1_100,
             )
-            .expect("taken");
+            .expect("the observation is stored");
     }
     for id in 150..200_u8 {
         store
@@ -128,7 +128,7 @@
                 VALIDITY_MS,
                 START_MS + 500_000,
             )
-            .expect("taken");
+            .expect("the observation is stored");
         assert!(store.usage(FactKind::Override).0 <= MAX_BYTES);
     }
     let too_long = store.observe(
@@ -171,9 +171,9 @@
     });
     store
         .observe(&subject, &made, VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     send_gossip(&mut store, &mut peer, START_MS);
-    // The removal itself is said to be good for a second only.
+    // The removal itself claims to be valid for a second only.
     store
         .observe(
             &subject,
@@ -181,7 +181,7 @@
             1_000,
             START_MS + 1,
         )
-        .expect("taken");
+        .expect("the observation is stored");
     let later = START_MS + VALIDITY_MS / 2;
     store.expire(later);
     assert_eq!(store.get(&subject, "", later), None);
@@ -189,7 +189,7 @@
     assert_eq!(
         store.get(&subject, "", later),
         None,
-        "what was removed does not come back"
+        "a removed override does not come back"
     );
     run_anti_entropy(&mut store, &mut peer, later);
     assert_eq!(peer.get(&subject, "", later), None);
@@ -217,7 +217,7 @@
     assert!(!store.gossip_payload(400, START_MS).is_empty());
     store
         .observe(&client(10), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     let mut received = std::collections::BTreeSet::new();
     let mut peer = process("b", 1);
     for _ in 0..100 {
@@ -225,19 +225,19 @@
         assert!(packet.len() <= 400);
         received.extend(
             peer.merge_packet(&packet, START_MS)
-                .expect("sound")
+                .expect("valid input")
                 .iter()
                 .filter_map(FactChange::subject),
         );
     }
     assert!(
         received.contains(&client(10)),
-        "what nobody has heard displaced what some have"
+        "a new fact displaces one that was transmitted before"
     );
     assert_eq!(received.len(), 10);
     assert_eq!(
         store.gossip_payload(400, START_MS),
         Vec::<u8>::new(),
-        "all have been told often enough"
+        "every fact reached the transmission limit"
     );
 }
--- a/crates/gossip/tests/clocks.rs
+++ b/crates/gossip/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks that are wrong, and ages.
+//! Ages, and processes whose clocks are wrong.
 
 mod common;
 
@@ -8,14 +8,14 @@
 const YEAR_MS: i64 = 365 * 24 * 3_600_000;
 const VALIDITY_MS: Millis = 60_000;
 
-/// A process whose clock is wrong by so much, and others whose clocks are right.
+/// A fleet in which the clock of process 0 is wrong by this offset and process 0 has made a placement.
 fn fleet_with_clock_offset(clock_offset_ms: i64) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(5, 0.1, 3);
     fleet.clock_offsets_ms[0] = clock_offset_ms;
     let clock = fleet.clock(0);
     fleet.stores[0]
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, clock)
-        .expect("taken");
+        .expect("the observation is stored");
     fleet
 }
 
@@ -25,7 +25,7 @@
         let mut fleet = fleet_with_clock_offset(clock_offset_ms);
         assert!(fleet.rounds_until_converged(20).is_some());
         let started_at = fleet.now;
-        // Told round and round while it is good, by everybody to everybody.
+        // All processes keep forwarding the fact to each other while it is valid.
         let all_expired = |fleet: &SimulatedFleet| {
             fleet
                 .stores
@@ -39,11 +39,11 @@
                 .is_some();
             assert!(
                 is_known || fleet.now >= START_MS + VALIDITY_MS - 1_000,
-                "void after {} ms",
+                "expired after {} ms",
                 fleet.now - START_MS
             );
         }
-        // A calendar's second, and the rounds in which it was on its way.
+        // Allows for the resolution of the time index and the rounds spent in transit.
         assert!(
             fleet.now <= START_MS + VALIDITY_MS + 5_000,
             "kept for {} ms with a clock {clock_offset_ms} ms ahead",
@@ -60,7 +60,7 @@
         let (right_clock, wrong_clock) = (fleet.clock(2), fleet.clock(0));
         fleet.stores[2]
             .observe(&client(1), &placed_on("s2"), VALIDITY_MS, right_clock)
-            .expect("taken");
+            .expect("the observation is stored");
         assert!(fleet.rounds_until_converged(20).is_some());
         assert_eq!(
             fleet.stores[0]
@@ -68,10 +68,10 @@
                 .map(|placement| placement.server),
             Some("s2")
         );
-        // And it has its say again.
+        // The process with the wrong clock can replace the fact again.
         fleet.stores[0]
             .observe(&client(1), &placed_on("s3"), VALIDITY_MS, wrong_clock)
-            .expect("taken");
+            .expect("the observation is stored");
         assert!(fleet.rounds_until_converged(20).is_some());
         assert_eq!(
             fleet.stores[4]
@@ -88,14 +88,14 @@
     bounds.of_kind_mut(FactKind::Placement).max_lifetime_ms = Millis::MAX;
     let mut faulty = FactStore::new(
         Origin {
-            name: "liar".into(),
+            name: "faulty".into(),
             incarnation: 1,
         },
         bounds,
     );
     faulty
         .observe(&client(1), &placed_on("s1"), Millis::MAX, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     let mut store = process("one", 1);
     send_gossip(&mut faulty, &mut store, START_MS);
     let max_lifetime_ms = Bounds::default()
@@ -120,20 +120,22 @@
     let (mut first, mut store) = (process("first", 1), process("one", 1));
     first
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     let early = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
     let late = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS + 40_000);
-    // The early datagram was held up, so that its age says too little.
+    // The early datagram was delayed, so that the age in it is too low.
     store
         .merge_packet(&early, START_MS + 40_000)
-        .expect("sound");
+        .expect("valid input");
     assert_eq!(
         store
             .get(&client(1), "", START_MS + 40_000)
             .map(|fact| fact.observed_at),
         Some(START_MS + 40_000)
     );
-    store.merge_packet(&late, START_MS + 40_000).expect("sound");
+    store
+        .merge_packet(&late, START_MS + 40_000)
+        .expect("valid input");
     assert!(
         store
             .placement(PlacementKey::Client(1), START_MS + VALIDITY_MS - 1)
@@ -148,7 +150,7 @@
     assert_eq!(
         store.usage(FactKind::Placement),
         (0, 0),
-        "its end was noted anew"
+        "the fact expires at the time given by the greater age"
     );
 }
 
@@ -157,19 +159,19 @@
     let mut before = process("a", 1);
     before
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     let records = before.export(&[FactKind::Placement], START_MS + 20_000);
-    // The clock came up in 1970; how long it was dark is told by whoever read the disk.
+    // The clock restarts in 1970; the caller that read the disk states the downtime.
     for (downtime_ms, is_known) in [(30_000, true), (39_999, true), (40_000, false)] {
         let mut after = process("a", 2);
         after.import(records.iter().map(Vec::as_slice), downtime_ms, 100_000);
         assert_eq!(
             after.placement(PlacementKey::Client(1), 100_000).is_some(),
             is_known,
-            "dark for {downtime_ms} ms"
+            "downtime of {downtime_ms} ms"
         );
     }
-    let read = FactStore::read_exported(&records[0], 30_000, 100_000).expect("readable");
+    let read = FactStore::read_exported(&records[0], 30_000, 100_000).expect("a valid record");
     assert_eq!(
         (read.subject, read.observed_at, read.origin_observed_at),
         (client(1), 50_000, START_MS)
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! A fleet in memory: processes that know things, and what they send each other.
-#![allow(dead_code)] // Each test takes what it needs.
+//! Simulated processes and the exchange of packets between them.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 use beaconflow_gossip::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A sound clock's moment at which stories begin.
+/// The time on a correct clock at which each test starts.
 pub const START_MS: Millis = 1_800_000_000_000;
-/// A datagram's room.
+/// Limit on the bytes of a datagram's payload.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 pub fn process(name: &str, incarnation: u64) -> FactStore {
@@ -49,7 +49,7 @@
     })
 }
 
-/// All that a process keeps, in an order that hangs on nothing but what it is, without ages.
+/// All valid facts of a process without their ages, in an order that depends on nothing but the facts.
 pub fn facts_without_ages(store: &FactStore, now: Millis) -> Vec<String> {
     let facts = FactKind::ALL.iter().flat_map(|kind| store.iter(*kind, now));
     let mut facts: Vec<String> = facts
@@ -67,29 +67,29 @@
     facts
 }
 
-/// One pass of rumours from one to the other.
+/// Sends one packet of gossip from one process to the other.
 pub fn send_gossip(from: &mut FactStore, to: &mut FactStore, now: Millis) -> Vec<FactChange> {
     let bytes = from.gossip_payload(MAX_DATAGRAM_BYTES, now);
     if bytes.is_empty() {
         Vec::new()
     } else {
-        to.merge_packet(&bytes, now).expect("a sound packet")
+        to.merge_packet(&bytes, now).expect("a valid packet")
     }
 }
 
-/// Tells the other by comparing digests until nothing comes any more.
+/// Has `to` compare digests with `from` until no pages bring new facts; returns the number of pages sent.
 pub fn run_anti_entropy(from: &mut FactStore, to: &mut FactStore, now: Millis) -> usize {
     let mut pages = 0;
-    // A stretch is compared every second time.
+    // A differing range is compared in every second summary.
     let mut rounds_without_change = 0;
     while rounds_without_change < 4 {
         let answer = from
             .answer_summary(&to.summary(MAX_DATAGRAM_BYTES), MAX_DATAGRAM_BYTES, 8, now)
-            .expect("a sound summary");
+            .expect("a valid summary");
         pages += answer.len();
         let new_facts = answer
             .iter()
-            .map(|page| to.merge_packet(page, now).expect("a sound page").len())
+            .map(|page| to.merge_packet(page, now).expect("a valid page").len())
             .sum::<usize>();
         rounds_without_change = if new_facts == 0 {
             rounds_without_change + 1
@@ -100,14 +100,14 @@
     pages
 }
 
-/// Processes that tell each other in rounds, over links that lose datagrams.
+/// Processes that exchange packets in rounds, over links that lose datagrams.
 pub struct SimulatedFleet {
     pub stores: Vec<FactStore>,
     pub now: Millis,
-    /// Parts of a process's clock: what it is ahead by.
+    /// How far the clock of each process is ahead of the correct time.
     pub clock_offsets_ms: Vec<i64>,
     pub loss_rate: f64,
-    /// Processes below this number and the others do not hear each other.
+    /// Processes below this number are cut off from the others; 0 means no partition.
     pub partition_size: usize,
     pub rng: Pcg32,
 }
@@ -144,7 +144,7 @@
         (of + self.rng.random_range(1..self.stores.len())) % self.stores.len()
     }
 
-    /// Each tells rumours to two others and compares with one.
+    /// Each process sends gossip to two others and compares digests with one.
     pub fn round(&mut self) {
         self.now += 200;
         for from in 0..self.stores.len() {
@@ -159,7 +159,7 @@
                 let clock = self.clock(peer);
                 let pages = self.stores[peer]
                     .answer_summary(&summary, MAX_DATAGRAM_BYTES, 4, clock)
-                    .expect("a sound summary");
+                    .expect("a valid summary");
                 pages.iter().for_each(|page| self.deliver(peer, from, page));
             }
             let clock = self.clock(from);
@@ -172,7 +172,7 @@
             let clock = self.clock(to);
             self.stores[to]
                 .merge_packet(bytes, clock)
-                .expect("a sound packet");
+                .expect("a valid packet");
         }
     }
 
@@ -182,7 +182,8 @@
             .all(|index| facts_without_ages(&self.stores[index], self.clock(index)) == first)
     }
 
-    /// Goes on until all know the same; how many rounds that took.
+    /// Runs rounds until all processes know the same facts; returns the number of rounds before the one that achieved
+    /// it.
     pub fn rounds_until_converged(&mut self, max_rounds: usize) -> Option<usize> {
         (0..max_rounds).find(|_| {
             self.round();
@@ -191,7 +192,7 @@
     }
 }
 
-/// A subject of every kind, with a value for it.
+/// A subject and a value of every kind.
 pub fn facts_of_every_kind() -> [(Subject, Value); 11] {
     let override_set = Override::Set {
         expires_at: START_MS + 600_000,
--- a/crates/gossip/tests/list_incarnations.rs
+++ b/crates/gossip/tests/list_incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of discovery: one that lost its state counts anew.
+//! Incarnations of discovery, which restarts its generation count when it loses its state.
 
 mod common;
 
@@ -21,7 +21,7 @@
         generation,
     } = store
         .record_list(announcement, VALIDITY_MS, now)
-        .expect("taken");
+        .expect("the observation is stored");
     (incarnation, generation)
 }
 
@@ -52,7 +52,7 @@
     assert_eq!(
         record_list(&mut store, complete_list(21, 2), START_MS),
         (1, 21),
-        "the watch stood anew"
+        "a repeated list after a reconnect keeps its position"
     );
     assert_eq!(
         record_list(&mut store, complete_list(1, 3), START_MS),
@@ -86,11 +86,11 @@
         if has_gossip {
             exchange_gossip(&mut a, &mut b, START_MS + 60_000);
         }
-        // It has gone on by the time that the other one's watch stands again.
+        // Discovery has announced another generation by the time the other process has its watch back.
         assert_eq!(
             record_list(&mut b, complete_list(2, 3), START_MS + 60_500),
             (2, 2),
-            "talked: {has_gossip}"
+            "with gossip between them: {has_gossip}"
         );
     }
 }
@@ -106,7 +106,7 @@
         (2, 8)
     );
     exchange_gossip(&mut a, &mut b, START_MS + 2_000);
-    // To the other one the count merely goes on.
+    // To the other process the generations merely continue.
     assert_eq!(
         record_list(
             &mut b,
@@ -134,7 +134,7 @@
         (3, 1)
     );
     exchange_gossip(&mut a, &mut b, START_MS + 120_000);
-    // Its watch stands again only after the new life has gone beyond what it holds.
+    // This process has its watch back only after the new incarnation passed the generation that it holds.
     assert_eq!(
         record_list(&mut a, complete_list(4, 4), START_MS + 180_000),
         (3, 4)
@@ -147,12 +147,12 @@
     record_list(&mut established, complete_list(9, 1), START_MS);
     record_list(&mut established, complete_list(3, 2), START_MS);
     exchange_gossip(&mut established, &mut newcomer, START_MS);
-    // Slightly behind what the peer has just heard: discovery told both at about the same time.
+    // The list is slightly behind the one the peer has just received: discovery sent both at about the same time.
     assert_eq!(
         record_list(&mut newcomer, complete_list(2, 8), START_MS + 500),
         (2, 2)
     );
-    // Told long after the peer was: what is told now is later.
+    // The list arrives long after the peer's, so it is a later one.
     let mut later_newcomer = process("newer", 1);
     exchange_gossip(&mut established, &mut later_newcomer, START_MS);
     assert_eq!(
@@ -165,7 +165,7 @@
 fn reassesses_list_when_peers_are_heard_later() {
     let (mut remembering, mut newcomer) = (process("memory", 2), process("new", 1));
     record_list(&mut remembering, complete_list(20, 1), START_MS);
-    // Discovery lost its state in the dark; who has no memory cannot tell.
+    // Discovery lost its state while all processes were down; a process without stored state cannot tell.
     assert_eq!(
         record_list(&mut newcomer, complete_list(3, 5), START_MS + 60_000),
         (1, 3)
@@ -181,13 +181,13 @@
     assert_eq!(
         newcomer.reassess_list(VALIDITY_MS, START_MS + 60_100),
         None,
-        "once"
+        "the incarnation changes only once"
     );
     exchange_gossip(&mut remembering, &mut newcomer, START_MS + 60_200);
     assert_eq!(
         record_list(&mut remembering, complete_list(3, 5), START_MS + 60_300),
         (2, 3),
-        "and the other one joins it"
+        "the other process joins the new incarnation"
     );
     assert_eq!(
         remembering.reassess_list(VALIDITY_MS, START_MS + 60_300),
@@ -217,14 +217,14 @@
         VALIDITY_MS,
         START_MS,
     )
-    .expect("taken");
+    .expect("the observation is stored");
     b.observe(
         &subject,
         &entry(2, 1, Lifecycle::Serving),
         VALIDITY_MS,
         START_MS,
     )
-    .expect("taken");
+    .expect("the observation is stored");
     exchange_gossip(&mut a, &mut b, START_MS);
     assert_eq!(
         facts_without_ages(&a, START_MS),
@@ -235,7 +235,7 @@
         Value::ServerEntry(known[0].1.clone()),
         entry(2, 1, Lifecycle::Serving)
     );
-    // All hear the same from discovery: nothing is to be told.
+    // Both processes receive the same list from discovery, so there is nothing to send.
     let (mut c, mut d) = (process("c", 1), process("d", 1));
     for store in [&mut c, &mut d] {
         store
@@ -245,7 +245,7 @@
                 VALIDITY_MS,
                 START_MS,
             )
-            .expect("taken");
+            .expect("the observation is stored");
     }
     assert_eq!(send_gossip(&mut c, &mut d, START_MS), []);
     assert_eq!(run_anti_entropy(&mut c, &mut d, START_MS), 0);
@@ -257,8 +257,8 @@
             VALIDITY_MS,
             START_MS + VALIDITY_MS / 4,
         )
-        .expect("known");
-    assert_eq!(repeated.version, 1, "the whole list, told again");
+        .expect("a known entry is returned");
+    assert_eq!(repeated.version, 1, "an unchanged entry keeps its version");
     assert!(
         c.gossip_payload(MAX_DATAGRAM_BYTES, START_MS + VALIDITY_MS / 4)
             .is_empty()
@@ -270,11 +270,11 @@
             VALIDITY_MS,
             START_MS + VALIDITY_MS / 2,
         )
-        .expect("taken");
+        .expect("the observation is stored");
     assert_eq!(
         (renewed.version, renewed.observed_at),
         (9, START_MS + VALIDITY_MS / 2),
-        "before it ends it is told anew"
+        "an entry is renewed after half of its validity"
     );
 }
 
@@ -294,7 +294,7 @@
             VALIDITY_MS,
             START_MS,
         )
-        .expect("taken");
+        .expect("the observation is stored");
     send_gossip(&mut before, &mut peer, START_MS);
     after
         .observe(
@@ -303,7 +303,7 @@
             VALIDITY_MS,
             START_MS + 9_000,
         )
-        .expect("taken");
+        .expect("the observation is stored");
     send_gossip(&mut peer, &mut after, START_MS + 9_000);
     assert_eq!(after.later_incarnation(), Some(7));
     after.set_incarnation(8);
@@ -315,7 +315,7 @@
             VALIDITY_MS,
             START_MS + 9_000,
         )
-        .expect("taken");
+        .expect("the observation is stored");
     send_gossip(&mut after, &mut peer, START_MS + 9_000);
     let configurations = peer.configurations(START_MS + 9_000);
     assert_eq!(
--- a/crates/gossip/tests/malformed_input.rs
+++ b/crates/gossip/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Bytes of strangers, of newer programs, and none at all.
+//! Decoding of arbitrary and corrupted input, and of records of newer versions.
 
 mod common;
 
@@ -8,17 +8,17 @@
 
 const VALIDITY_MS: Millis = 600_000;
 
-/// A process that knows something of each kind.
+/// A process that knows facts of every kind.
 fn store_with_every_kind() -> FactStore {
     let mut store = process("a", 1);
     for (subject, value) in facts_of_every_kind() {
         let fact = store
             .observe(&subject, &value, VALIDITY_MS, START_MS)
-            .expect("taken");
+            .expect("the observation is stored");
         assert_eq!(
             (fact.subject, fact.value),
             (subject, value),
-            "what is written is read back"
+            "a stored fact is read back unchanged"
         );
     }
     store
@@ -34,7 +34,7 @@
     );
 }
 
-/// A length-delimited field.
+/// An encoded length-delimited field.
 fn field(number: u8, bytes: &[u8]) -> Vec<u8> {
     let mut encoded = vec![number << 3 | 2, bytes.len() as u8];
     encoded.extend(bytes);
@@ -44,7 +44,7 @@
 #[test]
 fn forwards_unknown_fields_and_kinds_unchanged() {
     let newer = |kind: u8| {
-        let value = [field(1, b"s9"), field(14, b"new in the value")].concat();
+        let value = [field(1, b"s9"), field(14, b"new field in a value")].concat();
         let known_fields = [
             vec![8, kind],
             field(2, &[0; 9]),
@@ -55,25 +55,28 @@
         let record = [
             known_fields,
             field(11, &value),
-            field(15, b"new in the fact"),
+            field(15, b"new field in a fact"),
         ]
         .concat();
         (field(1, &field(1, &record)), record)
     };
-    // A placement with more to it, a sight of a server that is none here, and a kind that is none here.
+    // A placement with additional fields, evidence that this version cannot read, and an unknown kind.
     for kind in [6, 3, 99] {
         let (packet, record) = newer(kind);
         let (mut older, mut other) = (process("older", 1), process("other", 1));
         assert_eq!(
-            older.merge_packet(&packet, START_MS).expect("sound").len(),
+            older
+                .merge_packet(&packet, START_MS)
+                .expect("valid input")
+                .len(),
             1
         );
         let gossip = older.gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
         assert!(
             gossip.windows(record.len()).any(|window| window == record),
-            "kind {kind} byte for byte"
+            "kind {kind} is forwarded byte for byte"
         );
-        other.merge_packet(&gossip, START_MS).expect("sound");
+        other.merge_packet(&gossip, START_MS).expect("valid input");
         let pages = other
             .answer_summary(
                 &process("third", 1).summary(MAX_DATAGRAM_BYTES),
@@ -81,7 +84,7 @@
                 4,
                 START_MS,
             )
-            .expect("sound");
+            .expect("valid input");
         assert!(
             pages
                 .concat()
@@ -156,7 +159,7 @@
     );
 }
 
-/// Hands bytes to all that reads any; what comes of it is bounded.
+/// Passes bytes to all code that decodes input, and checks that the state stays within its limits.
 fn read_everywhere(bytes: &[u8]) {
     let mut store = store_with_every_kind();
     let _ = store.merge_packet(bytes, START_MS);
@@ -175,7 +178,7 @@
         store.slow_start_sent("s1", START_MS),
         store.failure_count(5, START_MS),
     );
-    // It still tells and compares, also in a stretch that a stranger named.
+    // The process still gossips and compares digests, including those of a range that the input named.
     let peer = process("peer", 1);
     for _ in 0..4 {
         assert!(store.gossip_payload(MAX_DATAGRAM_BYTES, START_MS).len() <= MAX_DATAGRAM_BYTES);
@@ -208,7 +211,7 @@
         let mut bytes = match action {
             0 => store.gossip_payload(MAX_DATAGRAM_BYTES, START_MS),
             1 => store.summary(MAX_DATAGRAM_BYTES),
-            2 => store.answer_summary(&process("b", 1).summary(MAX_DATAGRAM_BYTES), MAX_DATAGRAM_BYTES, 1, START_MS).expect("sound").remove(0),
+            2 => store.answer_summary(&process("b", 1).summary(MAX_DATAGRAM_BYTES), MAX_DATAGRAM_BYTES, 1, START_MS).expect("valid input").remove(0),
             _ => store.export(&FactKind::ALL, START_MS).remove(changes.len()),
         };
         for (at, byte) in changes {
--- a/crates/gossip/tests/merging.rs
+++ b/crates/gossip/tests/merging.rs
@@ -1,4 +1,4 @@
-//! Merging over any order, doubling, loss and partition.
+//! Merging in any order, with duplicates, loss and partitions.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::*;
 use proptest::prelude::*;
 
-/// What a process observes, and after what span.
+/// An observation by one process, made some time after the previous one.
 #[derive(Clone, Debug)]
 struct Operation {
     process_index: usize,
@@ -17,7 +17,7 @@
 }
 
 fn operations(max_count: usize) -> impl Strategy<Value = Vec<Operation>> {
-    // Often in the same millisecond, so that nothing but the origin and the value tells two facts apart.
+    // Often in the same millisecond, so that only the origin and the value distinguish two facts.
     let delay_ms = prop::sample::select([0, 0, 0, 1, 250].as_slice());
     let operation = (0..7_usize, 0..9_u8, 0..3_u64, 0..5_u64, delay_ms).prop_map(
         |(process_index, action, key, number, delay_ms)| Operation {
@@ -31,7 +31,7 @@
     prop::collection::vec(operation, 1..max_count)
 }
 
-/// Nothing ends within a story: what ends is another test's matter.
+/// No fact expires during a test of this file; expiry is covered by `clocks.rs`.
 const VALIDITY_MS: Millis = 600_000;
 
 fn apply(store: &mut FactStore, operation: &Operation, now: Millis) {
@@ -99,7 +99,7 @@
     };
     store
         .observe(&subject, &value, VALIDITY_MS, now)
-        .expect("it is later than what it knows, or passed over");
+        .expect("a valid observation is stored or superseded");
 }
 
 fn exported_records(operations: &[Operation]) -> (Vec<Vec<u8>>, Millis) {
@@ -115,7 +115,7 @@
     (records, now)
 }
 
-/// All that is known, with ages.
+/// All facts of a process, with their ages.
 fn records_with_ages(store: &FactStore, now: Millis) -> Vec<Vec<u8>> {
     let mut records = store.export(&FactKind::ALL, now);
     records.sort();
@@ -125,7 +125,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(120) })]
 
-    /// The same facts in another order, doubled, and in groups that were merged before, come to the same.
+    /// Guards against a merge that depends on the order of facts: the same facts in another order, with duplicates, or
+    /// merged in groups first must give the same state.
     #[test]
     fn merges_alike_with_reordering_duplicates_and_grouping(
         operations in operations(30),
@@ -154,7 +155,8 @@
         prop_assert_eq!(&records_with_ages(&grouped, now), &expected);
     }
 
-    /// Over links that lose much, with a partition that heals, all come to know the same.
+    /// Guards against facts that neither gossip nor anti-entropy delivers: all processes must reach the same state in
+    /// spite of heavy loss and a partition that heals.
     #[test]
     fn converges_with_loss_and_healed_partition(
         count in 3..8_usize,
@@ -182,7 +184,7 @@
     let now = fleet.now;
     fleet.stores[0]
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, now)
-        .expect("taken");
+        .expect("the observation is stored");
     assert_eq!(fleet.rounds_until_converged(100), None);
     fleet.partition_size = 0;
     assert!(fleet.rounds_until_converged(20).is_some());
@@ -192,12 +194,12 @@
 fn keeps_later_fact_in_any_arrival_order() {
     let (mut a, mut b, mut c) = (process("a", 1), process("b", 1), process("c", 1));
     a.observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     send_gossip(&mut a, &mut b, START_MS);
-    // Its clock is behind, but it knows what it goes beyond.
+    // The clock of this process is behind, but the version goes beyond the one it knows.
     let later = b
         .observe(&client(1), &placed_on("s2"), VALIDITY_MS, START_MS - 5_000)
-        .expect("taken");
+        .expect("the observation is stored");
     assert_eq!(later.version, START_MS + 1);
     send_gossip(&mut b, &mut c, START_MS);
     send_gossip(&mut a, &mut c, START_MS);
@@ -209,7 +211,7 @@
     let changes = send_gossip(&mut b, &mut a, START_MS);
     let server = |fact: Option<Fact>| match fact.map(|fact| fact.value) {
         Some(Value::Placement(Some(placement))) => placement.server,
-        other => panic!("no placement: {other:?}"),
+        other => panic!("expected a placement, found {other:?}"),
     };
     let servers: Vec<_> = changes
         .iter()
@@ -219,7 +221,7 @@
     assert_eq!(
         run_anti_entropy(&mut b, &mut a, START_MS),
         0,
-        "they know the same"
+        "both processes know the same facts"
     );
 }
 
@@ -233,12 +235,12 @@
         .for_each(|store| store.set_member_count(4));
     stores[0]
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
-        .expect("taken");
+        .expect("the observation is stored");
     for index in 0..3 {
         let (from, to) = stores.split_at_mut(index + 1);
         assert_eq!(send_gossip(&mut from[index], &mut to[0], START_MS).len(), 1);
     }
-    // 3 log2(4) + 2 tellings in all; a rumour that comes back counts as one.
+    // 3 log2(4) + 2 transmissions in total; a duplicate received counts as one.
     let duplicate = stores[3].gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
     (0..3).for_each(|_| assert_eq!(stores[2].merge_packet(&duplicate, START_MS), Ok(vec![])));
     let transmissions = (0..20)
@@ -257,15 +259,15 @@
         let mut store = process("doubled", 1);
         store
             .observe(&client(1), &placed_on(server), VALIDITY_MS, START_MS)
-            .expect("taken");
+            .expect("the observation is stored");
         store
     });
     let (from_a, from_b) = (
         a.gossip_payload(MAX_DATAGRAM_BYTES, START_MS),
         b.gossip_payload(MAX_DATAGRAM_BYTES, START_MS),
     );
-    a.merge_packet(&from_b, START_MS).expect("sound");
-    b.merge_packet(&from_a, START_MS).expect("sound");
+    a.merge_packet(&from_b, START_MS).expect("valid input");
+    b.merge_packet(&from_a, START_MS).expect("valid input");
     assert_eq!(
         facts_without_ages(&a, START_MS),
         facts_without_ages(&b, START_MS)
--- a/crates/gossip/tests/stored_format.rs
+++ b/crates/gossip/tests/stored_format.rs
@@ -1,11 +1,11 @@
-//! Records as the first released program wrote them: they are read, and written byte for byte alike.
+//! Records as the first released version wrote them must stay readable and be written with the same bytes.
 
 mod common;
 
 use beaconflow_gossip::*;
 use common::*;
 
-/// One record a line, in hexadecimal digits, of every kind.
+/// One record of every kind per line, in hexadecimal digits.
 const RECORDS: &str = include_str!("data/records.hex");
 const VALIDITY_MS: Millis = 600_000;
 
