--- a/crates/gossip/benches/merge.rs
+++ b/crates/gossip/benches/merge.rs
@@ -57,10 +57,10 @@
     for count in [1_000_u64, 100_000, 1_000_000] {
         let mut store = process("one");
         (0..count).for_each(|key| observe_placement(&mut store, key, NOW));
-        let (bytes, count_held) = store.usage(FactKind::Placement);
+        let (bytes, placement_count) = store.usage(FactKind::Placement);
         println!(
-            "{count_held} placements count for {} bytes each",
-            bytes / count_held
+            "{placement_count} placements count for {} bytes each",
+            bytes / placement_count
         );
         let mut next = 0;
         criterion.bench_function(&format!("look up/{count}"), |bencher| {
--- a/crates/gossip/examples/spread.rs
+++ b/crates/gossip/examples/spread.rs
@@ -81,12 +81,12 @@
 
     /// Renews the facts of a process about itself.
     fn refresh(&mut self, index: usize, now: Millis) {
-        let runs = Value::Configuration(Configuration {
+        let configuration = Value::Configuration(Configuration {
             digest: 1,
             number: 1,
         });
         self.stores[index]
-            .observe(&Subject::Configuration, &runs, VALIDITY_MS, now)
+            .observe(&Subject::Configuration, &configuration, VALIDITY_MS, now)
             .expect("the observation is stored");
         let list_version = ListVersion {
             position: ListPosition {
@@ -106,9 +106,9 @@
     }
 
     /// Runs the fleet without new facts for a time; returns bytes and datagrams per second and process.
-    fn run_idle(&mut self, span: Millis) -> (f64, f64) {
+    fn run_idle(&mut self, duration_ms: Millis) -> (f64, f64) {
         (self.sent_bytes, self.datagrams) = (0, 0);
-        let end = self.now + span;
+        let end = self.now + duration_ms;
         while self.now < end {
             for index in 0..self.stores.len() {
                 let refresh_offset =
@@ -120,7 +120,7 @@
             }
             self.round();
         }
-        let process_seconds = self.stores.len() as f64 * span as f64 / 1_000.0;
+        let process_seconds = self.stores.len() as f64 * duration_ms as f64 / 1_000.0;
         (
             self.sent_bytes as f64 / process_seconds,
             self.datagrams as f64 / process_seconds,
@@ -128,9 +128,9 @@
     }
 }
 
-fn percentile(delays: &mut [Millis], part: f64) -> Millis {
+fn percentile(delays: &mut [Millis], fraction: f64) -> Millis {
     delays.sort_unstable();
-    delays[((delays.len() as f64 * part).ceil() as usize).clamp(1, delays.len()) - 1]
+    delays[((delays.len() as f64 * fraction).ceil() as usize).clamp(1, delays.len()) - 1]
 }
 
 fn main() {
--- a/crates/gossip/src/fact_store.rs
+++ b/crates/gossip/src/fact_store.rs
@@ -35,7 +35,7 @@
     announced_at: Millis,
     position: ListPosition,
     /// Whether this process held an earlier list when it received this one.
-    continues_held_list: bool,
+    has_previous_list: bool,
 }
 
 /// All facts that a process knows.
@@ -251,12 +251,19 @@
         valid_for: Millis,
         now: Millis,
     ) -> Result<ListPosition, ObserveError> {
-        let held = self
+        let previous_position = self
             .current_list
             .map(|current| current.position)
             .or_else(|| self.own_position(now));
-        let incarnation = list_incarnation(held, announcement, &self.peer_lists(now), now);
-        self.set_current_list(announcement, incarnation, held.is_some(), valid_for, now)
+        let incarnation =
+            list_incarnation(previous_position, announcement, &self.peer_lists(now), now);
+        self.set_current_list(
+            announcement,
+            incarnation,
+            previous_position.is_some(),
+            valid_for,
+            now,
+        )
     }
 
     /// Determines the incarnation of the last list again after more facts arrived from peers. Returns the position if
@@ -265,7 +272,7 @@
     pub fn reassess_list(&mut self, valid_for: Millis, now: Millis) -> Option<ListPosition> {
         let current = self
             .current_list
-            .filter(|current| !current.continues_held_list)?;
+            .filter(|current| !current.has_previous_list)?;
         let announcement = ListAnnouncement {
             is_complete: true,
             ..current.announcement
@@ -282,9 +289,9 @@
         let position = self
             .set_current_list(announcement, incarnation, false, valid_for, now)
             .ok()?;
-        self.current_list = self.current_list.map(|last| CurrentList {
+        self.current_list = self.current_list.map(|list| CurrentList {
             announced_at: current.announced_at,
-            ..last
+            ..list
         });
         Some(position)
     }
@@ -293,7 +300,7 @@
         &mut self,
         announcement: ListAnnouncement,
         incarnation: u64,
-        continues_held_list: bool,
+        has_previous_list: bool,
         valid_for: Millis,
         now: Millis,
     ) -> Result<ListPosition, ObserveError> {
@@ -310,42 +317,43 @@
             announcement,
             announced_at: now,
             position,
-            continues_held_list,
+            has_previous_list,
         });
         Ok(position)
     }
 
     fn own_position(&self, now: Millis) -> Option<ListPosition> {
-        let held = self
+        let value = self
             .get(&Subject::ListVersion, &self.origin.name, now)
             .map(|fact| fact.value);
-        match held {
-            Some(Value::ListVersion(held)) => Some(held.position),
+        match value {
+            Some(Value::ListVersion(list)) => Some(list.position),
             _ => None,
         }
     }
 
     fn peer_lists(&self, now: Millis) -> Vec<PeerList> {
-        let others = self
+        let peer_facts = self
             .iter(FactKind::ListVersion, now)
             .filter(|fact| fact.origin.name != self.origin.name);
-        let known = others.filter_map(|fact| match fact.value {
+        let lists = peer_facts.filter_map(|fact| match fact.value {
             Value::ListVersion(list) => Some(PeerList {
                 list,
                 observed_at: fact.observed_at,
             }),
             _ => None,
         });
-        known.collect()
+        lists.collect()
     }
 
     /// Records of all facts kept of these kinds, for persistent storage, in the encoding used on the wire.
     pub fn export(&self, kinds: &[FactKind], now: Millis) -> Vec<Vec<u8>> {
-        let all = kinds
+        let slots = kinds
             .iter()
             .flat_map(|kind| self.facts.of_kind(*kind))
             .filter(|slot| now < slot.retained_until);
-        all.map(|slot| aged_record(slot, now).encode_to_vec())
+        slots
+            .map(|slot| aged_record(slot, now).encode_to_vec())
             .collect()
     }
 
--- a/crates/gossip/src/fact_table.rs
+++ b/crates/gossip/src/fact_table.rs
@@ -176,15 +176,15 @@
                 MergeResult::Ignored
             };
         };
-        let Some(kept) = self.slots[slot_index as usize].as_mut() else {
+        let Some(stored) = self.slots[slot_index as usize].as_mut() else {
             return MergeResult::Ignored;
         };
-        if kept.retained_until <= now {
+        if stored.retained_until <= now {
             // It has expired and is only waiting for its removal.
             self.remove(slot_index);
             return self.merge(view, observed_at, now);
         }
-        match kept.compare_to(view) {
+        match stored.compare_to(view) {
             Ordering::Less => MergeResult::Ignored,
             Ordering::Equal => {
                 self.raise_age(slot_index, observed_at);
@@ -200,36 +200,44 @@
 
     /// Applies the greater of two ages of a fact, as part of an age can get lost in transit.
     fn raise_age(&mut self, slot_index: u32, observed_at: Millis) {
-        let Some(kept) = self.slots[slot_index as usize].as_mut() else {
+        let Some(stored) = self.slots[slot_index as usize].as_mut() else {
             return;
         };
-        let before = (bucket_of(kept.observed_at), bucket_of(kept.retained_until));
-        let missing_age = kept.observed_at.saturating_sub(observed_at);
-        kept.observed_at -= missing_age;
-        kept.valid_until = kept.valid_until.saturating_sub(missing_age);
-        kept.retained_until = kept.retained_until.saturating_sub(missing_age);
-        if before != (bucket_of(kept.observed_at), bucket_of(kept.retained_until)) {
+        let previous_buckets = (
+            bucket_of(stored.observed_at),
+            bucket_of(stored.retained_until),
+        );
+        let missing_age = stored.observed_at.saturating_sub(observed_at);
+        stored.observed_at -= missing_age;
+        stored.valid_until = stored.valid_until.saturating_sub(missing_age);
+        stored.retained_until = stored.retained_until.saturating_sub(missing_age);
+        if previous_buckets
+            != (
+                bucket_of(stored.observed_at),
+                bucket_of(stored.retained_until),
+            )
+        {
             self.index_times(slot_index);
         }
     }
 
     fn replace(&mut self, slot_index: u32, mut slot: Slot, now: Millis) -> MergeResult {
         self.dequeue_gossip(slot_index);
-        let Some(kept) = self.slots[slot_index as usize].as_mut() else {
+        let Some(stored) = self.slots[slot_index as usize].as_mut() else {
             return MergeResult::Ignored;
         };
-        let (kind, cost, before) = (slot.kind(), slot.cost(), kept.cost());
-        slot.leaf_index = kept.leaf_index;
-        self.leaves[slot.id().leaf()].digest ^= kept.digest() ^ slot.digest();
-        let old = std::mem::replace(kept, slot);
+        let (kind, cost, previous_cost) = (slot.kind(), slot.cost(), stored.cost());
+        slot.leaf_index = stored.leaf_index;
+        self.leaves[slot.id().leaf()].digest ^= stored.digest() ^ slot.digest();
+        let previous = std::mem::replace(stored, slot);
         let usage = &mut self.kinds[kind as usize];
-        usage.bytes = usage.bytes + cost - before;
+        usage.bytes = usage.bytes + cost - previous_cost;
         self.index_times(slot_index);
         self.evict_over_limit(kind, now);
         if self.slot(slot_index).is_none() {
             MergeResult::Ignored
         } else {
-            MergeResult::Replaced(slot_index, old.raw, old.observed_at)
+            MergeResult::Replaced(slot_index, previous.raw, previous.observed_at)
         }
     }
 
@@ -254,7 +262,7 @@
                     .and_then(Option::as_ref)
                     .map(Slot::name)
             };
-            let position = slots.partition_point(|other| name_of(other) < Some(slot.name()));
+            let position = slots.partition_point(|existing| name_of(existing) < Some(slot.name()));
             slots.insert(position, slot_index);
         }
         if slot_index as usize == self.slots.len() {
@@ -279,13 +287,13 @@
         else {
             return;
         };
-        if let Ok(found) = self
+        if let Ok(entry) = self
             .table
-            .find_entry(slot.id().hash(self.bounds.hash_seed), |other| {
-                *other == slot_index
+            .find_entry(slot.id().hash(self.bounds.hash_seed), |candidate| {
+                *candidate == slot_index
             })
         {
-            found.remove();
+            entry.remove();
         }
         let leaf = &mut self.leaves[slot.id().leaf()];
         leaf.digest ^= slot.digest();
@@ -300,7 +308,7 @@
         usage.count -= 1;
         let index_key = (slot.kind_number, slot.key().into());
         if let Some(slots) = self.index.get_mut(&index_key) {
-            slots.retain(|other| *other != slot_index);
+            slots.retain(|existing| *existing != slot_index);
             if slots.is_empty() {
                 self.index.remove(&index_key);
             }
@@ -441,7 +449,7 @@
     pub fn digest(&self, range: HashRange) -> u64 {
         self.leaves_in(range)
             .iter()
-            .fold(0, |all, leaf| all ^ leaf.digest)
+            .fold(0, |digest, leaf| digest ^ leaf.digest)
     }
 
     /// All facts in a range.
--- a/crates/gossip/src/list_incarnation.rs
+++ b/crates/gossip/src/list_incarnation.rs
@@ -25,12 +25,12 @@
 
 /// The incarnation of a list that has just been announced, by the rules in the crate documentation.
 pub(crate) fn list_incarnation(
-    own: Option<ListPosition>,
+    own_position: Option<ListPosition>,
     announcement: ListAnnouncement,
     peer_lists: &[PeerList],
     now: Millis,
 ) -> u64 {
-    let own_incarnation = own.map_or(0, |own| own.incarnation);
+    let own_incarnation = own_position.map_or(0, |own| own.incarnation);
     let is_same_list = |peer: &&PeerList| {
         peer.list.position.generation == announcement.generation
             && peer.list.digest == announcement.digest
@@ -48,9 +48,11 @@
     let latest = peer_lists
         .iter()
         .max_by_key(|peer| (peer.list.position, peer.observed_at));
-    let ahead_of_own = latest.filter(|peer| own.is_none_or(|own| peer.list.position > own));
+    let ahead_of_own =
+        latest.filter(|peer| own_position.is_none_or(|own| peer.list.position > own));
     let mut incarnation = own_incarnation.max(1);
-    if let Some(peer) = ahead_of_own.filter(|_| announcement.is_complete || own.is_none()) {
+    if let Some(peer) = ahead_of_own.filter(|_| announcement.is_complete || own_position.is_none())
+    {
         let ListPosition {
             incarnation: peer_incarnation,
             generation,
@@ -63,8 +65,8 @@
         };
     }
     // This process saw the generation restart on its own connection to discovery, so no clocks are compared.
-    let is_restart =
-        own.is_some_and(|own| announcement.is_complete && announcement.generation < own.generation);
+    let is_restart = own_position
+        .is_some_and(|own| announcement.is_complete && announcement.generation < own.generation);
     if is_restart {
         incarnation.max(own_incarnation + 1)
     } else {
--- a/crates/gossip/src/record/tests.rs
+++ b/crates/gossip/src/record/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 fn equals(view: RecordView<'_>, record: &Record) -> bool {
-    let numbers = [
+    let integers = [
         view.incarnation,
         view.epoch,
         view.version,
@@ -10,8 +10,8 @@
         view.valid_for,
         view.retained_for,
     ];
-    let parts = [view.key, view.name, view.value];
-    numbers
+    let byte_fields = [view.key, view.name, view.value];
+    integers
         == [
             record.incarnation,
             record.epoch,
@@ -20,7 +20,7 @@
             record.valid_for,
             record.retained_for,
         ]
-        && parts == [&record.key[..], &record.name, &record.value]
+        && byte_fields == [&record.key[..], &record.name, &record.value]
         && (view.kind, view.is_per_process) == (record.kind, record.is_per_process)
 }
 
--- a/crates/gossip/src/slot.rs
+++ b/crates/gossip/src/slot.rs
@@ -152,9 +152,9 @@
                 if *raw == self.raw[..] {
                     return Ordering::Equal;
                 }
-                let kept = RecordView::new(&self.raw);
+                let stored = RecordView::new(&self.raw);
                 Some(view.tie_breaker())
-                    .cmp(&kept.as_ref().map(RecordView::tie_breaker))
+                    .cmp(&stored.as_ref().map(RecordView::tie_breaker))
                     .then_with(|| raw.cmp(&self.raw[..]))
             })
     }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -85,11 +85,11 @@
         if self.0.is_empty() {
             return None;
         }
-        let read = field(&mut self.0);
-        if read.is_none() {
+        let decoded = field(&mut self.0);
+        if decoded.is_none() {
             // The bytes after an invalid field cannot be decoded.
             self.0 = &[];
         }
-        Some(read.ok_or(FieldError))
+        Some(decoded.ok_or(FieldError))
     }
 }
--- a/crates/gossip/tests/aggregates.rs
+++ b/crates/gossip/tests/aggregates.rs
@@ -24,16 +24,16 @@
 #[test]
 fn sums_caps_voids_and_expires_placement_failures() {
     let mut stores = three_processes();
-    let fail = |store: &mut FactStore, now| {
+    let record_failure = |store: &mut FactStore, now| {
         drop(
             store
                 .record_placement_failure(5, VALIDITY_MS, now)
                 .expect("the observation is stored"),
         )
     };
-    fail(&mut stores[0], START_MS);
-    fail(&mut stores[0], START_MS + 1);
-    fail(&mut stores[1], START_MS + 2);
+    record_failure(&mut stores[0], START_MS);
+    record_failure(&mut stores[0], START_MS + 1);
+    record_failure(&mut stores[1], START_MS + 2);
     gossip_to_all(&mut stores, START_MS + 10);
     assert!(
         stores
@@ -41,7 +41,7 @@
             .all(|store| store.failure_count(5, START_MS + 10) == 3
                 && store.failure_count(6, START_MS + 10) == 0)
     );
-    (0..9).for_each(|step| fail(&mut stores[step as usize % 2], START_MS + 20 + step));
+    (0..9).for_each(|step| record_failure(&mut stores[step as usize % 2], START_MS + 20 + step));
     gossip_to_all(&mut stores, START_MS + 40);
     assert!(
         stores
@@ -59,8 +59,8 @@
             .all(|store| store.failure_count(5, START_MS + 60) == 0)
     );
     // Processes that count further failures start from zero.
-    fail(&mut stores[2], START_MS + 70);
-    fail(&mut stores[0], START_MS + 71);
+    record_failure(&mut stores[2], START_MS + 70);
+    record_failure(&mut stores[0], START_MS + 71);
     gossip_to_all(&mut stores, START_MS + 80);
     assert!(
         stores
--- a/crates/gossip/tests/bounds.rs
+++ b/crates/gossip/tests/bounds.rs
@@ -40,11 +40,11 @@
     }
     let (now, (_, count)) = (START_MS + 5_000 * 1_100, store.usage(FactKind::Placement));
     assert!(count > 200);
-    let kept: Vec<u64> = (0..5_000)
+    let kept_keys: Vec<u64> = (0..5_000)
         .filter(|key| has_placement(&store, *key, now))
         .collect();
     assert_eq!(
-        kept,
+        kept_keys,
         (5_000 - count as u64..5_000).collect::<Vec<_>>(),
         "only the newest facts are kept"
     );
@@ -104,7 +104,7 @@
 #[test]
 fn evicts_other_facts_when_value_grows() {
     let mut store = store_with_small_limit(FactKind::Override);
-    let made = |len| {
+    let override_with_length = |len| {
         Value::Override(Override::Set {
             expires_at: START_MS + VALIDITY_MS,
             bytes: vec![1; len],
@@ -114,7 +114,7 @@
         store
             .observe(
                 &Subject::Override(vec![id]),
-                &made(300),
+                &override_with_length(300),
                 VALIDITY_MS,
                 START_MS + u64::from(id) * 1_100,
             )
@@ -124,7 +124,7 @@
         store
             .observe(
                 &Subject::Override(vec![id]),
-                &made(4_000),
+                &override_with_length(4_000),
                 VALIDITY_MS,
                 START_MS + 500_000,
             )
@@ -133,7 +133,7 @@
     }
     let too_long = store.observe(
         &Subject::Override(vec![1]),
-        &made(9_000),
+        &override_with_length(9_000),
         VALIDITY_MS,
         START_MS,
     );
@@ -165,12 +165,12 @@
 fn keeps_removal_as_long_as_removed_fact() {
     let (mut store, mut peer) = (process("a", 1), process("b", 1));
     let subject = Subject::Override(vec![1]);
-    let made = Value::Override(Override::Set {
+    let override_set = Value::Override(Override::Set {
         expires_at: START_MS + VALIDITY_MS,
         bytes: vec![1],
     });
     store
-        .observe(&subject, &made, VALIDITY_MS, START_MS)
+        .observe(&subject, &override_set, VALIDITY_MS, START_MS)
         .expect("the observation is stored");
     send_gossip(&mut store, &mut peer, START_MS);
     // The removal itself claims to be valid for a second only.
--- a/crates/gossip/tests/clocks.rs
+++ b/crates/gossip/tests/clocks.rs
@@ -121,11 +121,11 @@
     first
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("the observation is stored");
-    let early = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
-    let late = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS + 40_000);
+    let early_packet = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS);
+    let late_packet = first.gossip_payload(MAX_DATAGRAM_BYTES, START_MS + 40_000);
     // The early datagram was delayed, so that the age in it is too low.
     store
-        .merge_packet(&early, START_MS + 40_000)
+        .merge_packet(&early_packet, START_MS + 40_000)
         .expect("valid input");
     assert_eq!(
         store
@@ -134,7 +134,7 @@
         Some(START_MS + 40_000)
     );
     store
-        .merge_packet(&late, START_MS + 40_000)
+        .merge_packet(&late_packet, START_MS + 40_000)
         .expect("valid input");
     assert!(
         store
@@ -156,24 +156,26 @@
 
 #[test]
 fn adds_downtime_to_age_when_importing_records() {
-    let mut before = process("a", 1);
-    before
+    let mut previous_store = process("a", 1);
+    previous_store
         .observe(&client(1), &placed_on("s1"), VALIDITY_MS, START_MS)
         .expect("the observation is stored");
-    let records = before.export(&[FactKind::Placement], START_MS + 20_000);
+    let records = previous_store.export(&[FactKind::Placement], START_MS + 20_000);
     // The clock restarts in 1970; the caller that read the disk states the downtime.
     for (downtime_ms, is_known) in [(30_000, true), (39_999, true), (40_000, false)] {
-        let mut after = process("a", 2);
-        after.import(records.iter().map(Vec::as_slice), downtime_ms, 100_000);
+        let mut restarted_store = process("a", 2);
+        restarted_store.import(records.iter().map(Vec::as_slice), downtime_ms, 100_000);
         assert_eq!(
-            after.placement(PlacementKey::Client(1), 100_000).is_some(),
+            restarted_store
+                .placement(PlacementKey::Client(1), 100_000)
+                .is_some(),
             is_known,
             "downtime of {downtime_ms} ms"
         );
     }
-    let read = FactStore::read_exported(&records[0], 30_000, 100_000).expect("a valid record");
+    let fact = FactStore::read_exported(&records[0], 30_000, 100_000).expect("a valid record");
     assert_eq!(
-        (read.subject, read.observed_at, read.origin_observed_at),
+        (fact.subject, fact.observed_at, fact.origin_observed_at),
         (client(1), 50_000, START_MS)
     );
 }
--- a/crates/gossip/tests/list_incarnations.rs
+++ b/crates/gossip/tests/list_incarnations.rs
@@ -193,13 +193,13 @@
         remembering.reassess_list(VALIDITY_MS, START_MS + 60_300),
         None
     );
-    let held: Vec<ListPosition> = remembering
+    let positions: Vec<ListPosition> = remembering
         .list_versions(START_MS + 60_300)
         .iter()
-        .map(|(_, held)| held.position)
+        .map(|(_, version)| version.position)
         .collect();
     assert_eq!(
-        held,
+        positions,
         [ListPosition {
             incarnation: 2,
             generation: 3
@@ -230,9 +230,9 @@
         facts_without_ages(&a, START_MS),
         facts_without_ages(&b, START_MS)
     );
-    let known = a.server_entries(START_MS);
+    let entries = a.server_entries(START_MS);
     assert_eq!(
-        Value::ServerEntry(known[0].1.clone()),
+        Value::ServerEntry(entries[0].1.clone()),
         entry(2, 1, Lifecycle::Serving)
     );
     // Both processes receive the same list from discovery, so there is nothing to send.
--- a/crates/gossip/tests/malformed_input.rs
+++ b/crates/gossip/tests/malformed_input.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn forwards_unknown_fields_and_kinds_unchanged() {
-    let newer = |kind: u8| {
+    let newer_packet = |kind: u8| {
         let value = [field(1, b"s9"), field(14, b"new field in a value")].concat();
         let known_fields = [
             vec![8, kind],
@@ -62,7 +62,7 @@
     };
     // A placement with additional fields, evidence that this version cannot read, and an unknown kind.
     for kind in [6, 3, 99] {
-        let (packet, record) = newer(kind);
+        let (packet, record) = newer_packet(kind);
         let (mut older, mut other) = (process("older", 1), process("other", 1));
         assert_eq!(
             older
@@ -138,19 +138,24 @@
         Err(ObserveError::Senseless)
     );
     for amount in [f64::NAN, f64::INFINITY, -1.0] {
-        let cold = Subject::SlowStartSends("s".into());
+        let subject = Subject::SlowStartSends("s".into());
         assert_eq!(
-            store.observe(&cold, &Value::SlowStartSends(amount), VALIDITY_MS, START_MS),
+            store.observe(
+                &subject,
+                &Value::SlowStartSends(amount),
+                VALIDITY_MS,
+                START_MS
+            ),
             Err(ObserveError::Senseless)
         );
     }
-    let known = Subject::Unknown {
+    let known_kind = Subject::Unknown {
         kind: Subject::ListVersion.kind() as u32 + 1,
         key: vec![],
         is_per_process: true,
     };
     assert_eq!(
-        store.observe(&known, &Value::Unknown(vec![]), VALIDITY_MS, START_MS),
+        store.observe(&known_kind, &Value::Unknown(vec![]), VALIDITY_MS, START_MS),
         Err(ObserveError::Senseless)
     );
     assert_eq!(
--- a/crates/gossip/tests/merging.rs
+++ b/crates/gossip/tests/merging.rs
@@ -140,13 +140,13 @@
             store
         };
         let expected = records_with_ages(&merged(&records), now);
-        let mut mixed = records.clone();
+        let mut shuffled = records.clone();
         for index in &order {
-            let (a, b) = (index.index(mixed.len()), mixed.len() - 1);
-            mixed.swap(a, b);
-            mixed.push(records[index.index(records.len())].clone());
+            let (a, b) = (index.index(shuffled.len()), shuffled.len() - 1);
+            shuffled.swap(a, b);
+            shuffled.push(records[index.index(records.len())].clone());
         }
-        prop_assert_eq!(&records_with_ages(&merged(&mixed), now), &expected);
+        prop_assert_eq!(&records_with_ages(&merged(&shuffled), now), &expected);
         let (left, right) = records.split_at(split.index(records.len()));
         let mut grouped = merged(right);
         grouped.import(records_with_ages(&merged(left), now).iter().map(Vec::as_slice), 0, now);
--- a/crates/gossip/tests/stored_format.rs
+++ b/crates/gossip/tests/stored_format.rs
@@ -9,14 +9,14 @@
 const RECORDS: &str = include_str!("data/records.hex");
 const VALIDITY_MS: Millis = 600_000;
 
-fn known() -> FactStore {
-    let mut known = process("a", 1);
+fn store_with_every_kind() -> FactStore {
+    let mut store = process("a", 1);
     for (subject, value) in facts_of_every_kind() {
-        known
+        store
             .observe(&subject, &value, VALIDITY_MS, START_MS)
             .expect("a valid fact");
     }
-    known
+    store
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn writes_every_kind_of_record_as_it_was_first_written() {
-    let written: Vec<String> = known()
+fn writes_every_record_kind_as_first_released() {
+    let written: Vec<String> = store_with_every_kind()
         .export(&FactKind::ALL, START_MS + 7)
         .iter()
         .map(|record| hex(record))
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn reads_every_kind_of_record_that_was_first_written() {
+fn reads_every_record_kind_as_first_released() {
     let records: Vec<Vec<u8>> = RECORDS.lines().map(bytes).collect();
     let mut restored = process("b", 1);
     restored.import(records.iter().map(Vec::as_slice), 0, START_MS + 7);
     assert_eq!(
         facts_without_ages(&restored, START_MS + 7),
-        facts_without_ages(&known(), START_MS + 7)
+        facts_without_ages(&store_with_every_kind(), START_MS + 7)
     );
 }
