--- a/crates/affinity/src/advice.rs
+++ b/crates/affinity/src/advice.rs
@@ -3,10 +3,10 @@
 use std::fmt;
 
 use crate::entry::Entry;
-use crate::memory::Memory;
-use crate::placement::{How, SHARED, Stamp, State};
+use crate::placement::{EndReason, PlacementState, SHARED_KEY_OVERLAPS, Stamp};
+use crate::placement_table::PlacementTable;
 use crate::versions::Version;
-use crate::{Group, Key, Millis, Tag, mix};
+use crate::{Group, Key, Millis, Tag, mix64};
 
 /// A client as it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 
 /// What a process knows of a listed server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerNow {
+pub struct ServerStatus {
     /// It takes new work: it neither drains nor is it out or gone.
     pub is_ready: bool,
     /// Since when this process has seen it ready without a break; 0 if always.
@@ -33,14 +33,14 @@
 /// The farm as this process sees it, under the version that it runs.
 pub trait EndpointView {
     /// A listed server.
-    fn server(&self, server: Tag) -> Option<ServerNow>;
+    fn server(&self, server: Tag) -> Option<ServerStatus>;
     /// Whether the configuration has this client on this server: zone, tenant's set of servers, class.
     fn permits(&self, client: &Client, server: Tag) -> bool;
 }
 
 /// Why a server is advised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum AdviceReason {
     /// The client had it.
     SameServer,
     /// Most of its group is there; the client was nowhere.
@@ -49,12 +49,12 @@
     ReDealt,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for AdviceReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Why::SameServer => "it had this server",
-            Why::GroupHome => "its group is there",
-            Why::ReDealt => "dealt anew, to its group",
+            AdviceReason::SameServer => "it had this server",
+            AdviceReason::GroupHome => "its group is there",
+            AdviceReason::ReDealt => "dealt anew, to its group",
         })
     }
 }
@@ -65,9 +65,9 @@
     /// Which one.
     pub server: Tag,
     /// Why.
-    pub why: Why,
+    pub reason: AdviceReason,
     /// The version that it was dealt under; for a group's home the one that this process runs.
-    pub under: Version,
+    pub config_version: Version,
 }
 
 /// Whether a placement holds.
@@ -103,28 +103,33 @@
     }
 }
 
-impl Memory {
+impl PlacementTable {
     /// Where a client is to go; nothing is the rotation's turn.
-    pub fn place(
+    pub fn advise(
         &self,
         client: &Client,
         endpoints: &dyn EndpointView,
         now: Millis,
     ) -> Option<Advice> {
-        let Some((entry, listed, holds)) = self.find_listed(client, endpoints, now) else {
-            return self.home(client, None, Why::GroupHome, endpoints);
+        let Some((entry, listed, validity)) = self.find_and_assess(client, endpoints, now) else {
+            return self.group_home(client, None, AdviceReason::GroupHome, endpoints);
         };
-        let had = self
-            .names
-            .get(self.group_counts.incarnation(entry.group_count()))
+        let previous_server = self
+            .servers
+            .get(self.group_counts.incarnation(entry.group_count_id()))
             .tag;
-        match (holds, listed) {
+        match (validity, listed) {
             (PlacementValidity::Yes, Some(server)) => Some(Advice {
                 server,
-                why: Why::SameServer,
-                under: self.version_of(entry),
+                reason: AdviceReason::SameServer,
+                config_version: self.version_of(entry),
             }),
-            _ => self.home(client, Some(had), Why::ReDealt, endpoints),
+            _ => self.group_home(
+                client,
+                Some(previous_server),
+                AdviceReason::ReDealt,
+                endpoints,
+            ),
         }
     }
 
@@ -136,11 +141,11 @@
         endpoints: &dyn EndpointView,
         now: Millis,
     ) -> Option<PlacementValidity> {
-        self.find_listed(client, endpoints, now)
-            .map(|(_, _, holds)| holds)
+        self.find_and_assess(client, endpoints, now)
+            .map(|(_, _, validity)| validity)
     }
 
-    fn find_listed(
+    fn find_and_assess(
         &self,
         client: &Client,
         endpoints: &dyn EndpointView,
@@ -150,23 +155,27 @@
         if self.is_expired(entry.seen_s, now) {
             return None;
         }
-        let listed = self.listed(
-            self.names
-                .get(self.group_counts.incarnation(entry.group_count()))
+        let listed = self.resolve_server(
+            self.servers
+                .get(self.group_counts.incarnation(entry.group_count_id()))
                 .tag,
             endpoints,
         );
-        let holds = match listed {
-            Some((tag, server)) => self.assess(entry, client, tag, server, endpoints, now),
+        let validity = match listed {
+            Some((tag, status)) => self.assess(entry, client, tag, status, endpoints, now),
             None => PlacementValidity::NotListed,
         };
-        Some((entry, listed.map(|(tag, _)| tag), holds))
+        Some((entry, listed.map(|(tag, _)| tag), validity))
     }
 
     /// A server in the list, under its name or one that it had. Guards against a process that has yet to hear of a new
     /// name.
-    fn listed(&self, tag: Tag, endpoints: &dyn EndpointView) -> Option<(Tag, ServerNow)> {
-        let names = std::iter::once(tag).chain(self.names.before(tag));
+    fn resolve_server(
+        &self,
+        tag: Tag,
+        endpoints: &dyn EndpointView,
+    ) -> Option<(Tag, ServerStatus)> {
+        let names = std::iter::once(tag).chain(self.servers.former_names(tag));
         names
             .into_iter()
             .find_map(|name| Some((name, endpoints.server(name)?)))
@@ -177,68 +186,80 @@
         entry: &Entry,
         client: &Client,
         tag: Tag,
-        server: ServerNow,
+        status: ServerStatus,
         endpoints: &dyn EndpointView,
         now: Millis,
     ) -> PlacementValidity {
-        let dealt = Stamp(entry.stamp).at();
+        let placed_at = Stamp(entry.stamp).timestamp_ms();
         // Its last second is over.
-        let ended = (u64::from(entry.seen_s) + 1) * 1_000;
-        if server.started_at > dealt {
+        let ended_at_ms = (u64::from(entry.seen_s) + 1) * 1_000;
+        if status.started_at > placed_at {
             return PlacementValidity::Void;
         }
-        if !server.is_ready {
+        if !status.is_ready {
             return PlacementValidity::NotReady;
         }
         // Guards against a service whose clients all have one name, and would all be led to one server.
-        if entry.is_established() && entry.twins() == SHARED && !self.is_dead(Stamp(entry.stamp)) {
+        if entry.is_established()
+            && entry.overlap_count() == SHARED_KEY_OVERLAPS
+            && !self.is_dead(Stamp(entry.stamp))
+        {
             return PlacementValidity::Shared;
         }
-        let is_off = match entry.state() {
+        let is_suspended = match entry.state() {
             // Another process knew that it leaves. Guards against one that has yet to hear of it.
-            State::Ended(How::MovedLeaving) => server.ready_since < ended,
-            State::Ended(How::MovedLate | How::MovedUneven) => {
-                now < ended.saturating_add(u64::from(self.limits.away_s) * 1_000)
+            PlacementState::Ended(EndReason::MigratedServerLeaving) => {
+                status.ready_since < ended_at_ms
             }
+            PlacementState::Ended(
+                EndReason::MigratedSlowMessages | EndReason::MigratedRebalancing,
+            ) => now < ended_at_ms.saturating_add(u64::from(self.limits.return_delay_s) * 1_000),
             _ => false,
         };
-        if is_off {
+        if is_suspended {
             return PlacementValidity::MovedOff;
         }
         // What a newer version dealt is not for the older one's rules. Guards against a client that two versions send
         // to and fro.
-        if !self.is_beyond(self.version_of(entry), dealt, now) && !endpoints.permits(client, tag) {
+        if !self.is_newer_than_own(self.version_of(entry), placed_at, now)
+            && !endpoints.permits(client, tag)
+        {
             return PlacementValidity::NotPermitted;
         }
         PlacementValidity::Yes
     }
 
     /// The ready server that has most of a group, and room for more of it. Ties go by a hash that all processes share.
-    fn home(
+    fn group_home(
         &self,
         client: &Client,
-        not: Option<Tag>,
-        why: Why,
+        excluded: Option<Tag>,
+        reason: AdviceReason,
         endpoints: &dyn EndpointView,
     ) -> Option<Advice> {
         let group = client.group?.0;
-        let has_room = |(_, count): &(u16, u32)| *count < self.limits.home_most;
-        let fit = |(life, count): (u16, u32)| {
-            let life = self.names.get(life);
-            let (tag, server) = self
-                .listed(life.tag, endpoints)
-                .filter(|_| !life.is_over && Some(life.tag) != not)?;
-            let is_fit =
-                server.is_ready && server.started_at <= life.from && endpoints.permits(client, tag);
-            is_fit.then_some((count, mix(group ^ mix(life.tag.0)), tag))
+        let has_room = |(_, count): &(u16, u32)| *count < self.limits.max_group_per_server;
+        let candidate = |(incarnation, count): (u16, u32)| {
+            let incarnation = self.servers.get(incarnation);
+            let (tag, status) = self
+                .resolve_server(incarnation.tag, endpoints)
+                .filter(|_| !incarnation.has_restarted && Some(incarnation.tag) != excluded)?;
+            let is_eligible = status.is_ready
+                && status.started_at <= incarnation.started_at
+                && endpoints.permits(client, tag);
+            is_eligible.then_some((count, mix64(group ^ mix64(incarnation.tag.0)), tag))
         };
         let (_, _, server) = self
             .group_counts
             .of_group(group)
             .filter(has_room)
-            .filter_map(fit)
+            .filter_map(candidate)
             .max()?;
-        let under = self.versions().current().unwrap_or(Version(0));
-        Some(Advice { server, why, under })
+        let config_version = self.versions().current().unwrap_or(Version(0));
+        Some(Advice {
+            server,
+            reason,
+            config_version,
+        })
     }
 }
--- a/crates/affinity/src/ages.rs
+++ b/crates/affinity/src/ages.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::entry::{Entry, NONE};
+use crate::entry::{Entry, NO_ID};
 
 /// Into so many parts a life is divided: what is of one part is of one age.
-const AGE_BUCKETS: u32 = 1_024;
+const BUCKETS_PER_TTL: u32 = 1_024;
 
-pub(crate) struct Ages {
+pub(crate) struct AgeIndex {
     /// Seconds of one part.
-    grain: u32,
+    bucket_s: u32,
     ended: BTreeMap<u32, u32>,
     established: BTreeMap<u32, u32>,
 }
@@ -17,76 +17,82 @@
 /// How much an entry is worth keeping: ended before standing, then by age.
 pub(crate) type RetentionRank = (bool, u32);
 
-impl Ages {
-    pub(crate) fn with_ttl(life_s: u32) -> Ages {
-        Ages {
-            grain: (life_s / AGE_BUCKETS).max(1),
+impl AgeIndex {
+    pub(crate) fn with_ttl(ttl_s: u32) -> AgeIndex {
+        AgeIndex {
+            bucket_s: (ttl_s / BUCKETS_PER_TTL).max(1),
             ended: BTreeMap::new(),
             established: BTreeMap::new(),
         }
     }
 
-    pub(crate) fn retention_rank(&self, is_standing: bool, seen_s: u32) -> RetentionRank {
-        (is_standing, seen_s / self.grain)
+    pub(crate) fn retention_rank(&self, is_established: bool, seen_s: u32) -> RetentionRank {
+        (is_established, seen_s / self.bucket_s)
     }
 
-    fn list(&mut self, is_standing: bool) -> &mut BTreeMap<u32, u32> {
-        if is_standing {
+    fn buckets(&mut self, is_established: bool) -> &mut BTreeMap<u32, u32> {
+        if is_established {
             &mut self.established
         } else {
             &mut self.ended
         }
     }
 
-    pub(crate) fn enter(&mut self, entries: &mut [Entry], id: u32) {
-        let (is_standing, age) = self.retention_rank(
+    pub(crate) fn insert(&mut self, entries: &mut [Entry], id: u32) {
+        let (is_established, bucket) = self.retention_rank(
             entries[id as usize].is_established(),
             entries[id as usize].seen_s,
         );
-        let head = self.list(is_standing).insert(age, id).unwrap_or(NONE);
-        entries[id as usize].set_before(NONE);
-        entries[id as usize].set_after(head);
-        if head != NONE {
-            entries[head as usize].set_before(id);
+        let head = self
+            .buckets(is_established)
+            .insert(bucket, id)
+            .unwrap_or(NO_ID);
+        entries[id as usize].set_prev(NO_ID);
+        entries[id as usize].set_next(head);
+        if head != NO_ID {
+            entries[head as usize].set_prev(id);
         }
     }
 
-    pub(crate) fn leave(&mut self, entries: &mut [Entry], id: u32) {
-        let one = entries[id as usize];
-        let (before, after) = (one.before(), one.after());
-        if after != NONE {
-            entries[after as usize].set_before(before);
+    pub(crate) fn remove(&mut self, entries: &mut [Entry], id: u32) {
+        let entry = entries[id as usize];
+        let (prev, next) = (entry.prev(), entry.next());
+        if next != NO_ID {
+            entries[next as usize].set_prev(prev);
         }
-        if before != NONE {
-            entries[before as usize].set_after(after);
+        if prev != NO_ID {
+            entries[prev as usize].set_next(next);
             return;
         }
-        let (is_standing, age) = self.retention_rank(one.is_established(), one.seen_s);
-        let list = self.list(is_standing);
-        if after == NONE {
-            list.remove(&age);
+        let (is_established, bucket) = self.retention_rank(entry.is_established(), entry.seen_s);
+        let buckets = self.buckets(is_established);
+        if next == NO_ID {
+            buckets.remove(&bucket);
         } else {
-            list.insert(age, after);
+            buckets.insert(bucket, next);
         }
     }
 
     /// What gives way first: what ended longest ago; of those that stand, the one not seen for longest.
-    pub(crate) fn first_to_go(&self) -> Option<(RetentionRank, u32)> {
-        let first = |list: &BTreeMap<u32, u32>, is_standing| {
-            list.first_key_value()
-                .map(|(age, id)| ((is_standing, *age), *id))
+    pub(crate) fn eviction_candidate(&self) -> Option<(RetentionRank, u32)> {
+        let first = |buckets: &BTreeMap<u32, u32>, is_established| {
+            buckets
+                .first_key_value()
+                .map(|(bucket, id)| ((is_established, *bucket), *id))
         };
         first(&self.ended, false).or_else(|| first(&self.established, true))
     }
 
     /// One that was last seen before this second, if there is one.
-    pub(crate) fn older_than(&self, seen_s: u32) -> Option<u32> {
-        let first = |list: &BTreeMap<u32, u32>| list.first_key_value().map(|(age, id)| (*age, *id));
+    pub(crate) fn oldest_before(&self, seen_s: u32) -> Option<u32> {
+        let first = |buckets: &BTreeMap<u32, u32>| {
+            buckets.first_key_value().map(|(bucket, id)| (*bucket, *id))
+        };
         let oldest = first(&self.ended)
             .into_iter()
             .chain(first(&self.established))
             .min()?;
         // A part counts as past when all of it is.
-        (oldest.0.saturating_add(1).saturating_mul(self.grain) <= seen_s).then_some(oldest.1)
+        (oldest.0.saturating_add(1).saturating_mul(self.bucket_s) <= seen_s).then_some(oldest.1)
     }
 }
--- a/crates/affinity/src/changes.rs
+++ b/crates/affinity/src/changes.rs
@@ -15,11 +15,11 @@
     /// Old name and new.
     pub renamed: Vec<(String, String)>,
     /// Servers with another weight.
-    pub weights: Vec<String>,
+    pub reweighted: Vec<String>,
     /// Servers in another zone.
-    pub moved_zone: Vec<String>,
+    pub rezoned: Vec<String>,
     /// Zones that are there no longer.
-    pub zones_gone: Vec<String>,
+    pub removed_zones: Vec<String>,
     /// Tenants with other servers.
     pub tenants: Vec<String>,
     /// Classes that are other than before.
@@ -30,25 +30,28 @@
     /// From one configuration to the next.
     pub fn between(before: &Routing, after: &Routing) -> Changes {
         let renamed = renames(before, after);
-        let now = |name: &String| renamed.get(name).unwrap_or(name).clone();
+        let current_name = |name: &String| renamed.get(name).unwrap_or(name).clone();
         let old: BTreeMap<String, &Server> = before
             .servers
             .iter()
-            .map(|one| (now(&one.name), one))
+            .map(|server| (current_name(&server.name), server))
             .collect();
-        let new: BTreeMap<&String, &Server> =
-            after.servers.iter().map(|one| (&one.name, one)).collect();
-        let both = || {
+        let new: BTreeMap<&String, &Server> = after
+            .servers
+            .iter()
+            .map(|server| (&server.name, server))
+            .collect();
+        let in_both = || {
             new.iter()
-                .filter_map(|(name, one)| Some((*name, *one, *old.get(*name)?)))
+                .filter_map(|(name, server)| Some((*name, *server, *old.get(*name)?)))
         };
-        let other = |differ: fn(&Server, &Server) -> bool| {
-            both()
-                .filter(|(_, one, was)| differ(one, was))
+        let changed = |differ: fn(&Server, &Server) -> bool| {
+            in_both()
+                .filter(|(_, new, old)| differ(new, old))
                 .map(|(name, _, _)| name.clone())
                 .collect()
         };
-        let gone = |zone: &&String| !after.zones.contains(zone);
+        let is_removed = |zone: &&String| !after.zones.contains(zone);
         Changes {
             added: new
                 .keys()
@@ -60,20 +63,26 @@
                 .filter(|name| !new.contains_key(name))
                 .cloned()
                 .collect(),
-            weights: other(|one, was| one.weight != was.weight),
-            moved_zone: other(|one, was| one.zone != was.zone),
-            zones_gone: before.zones.iter().filter(gone).cloned().collect(),
-            tenants: differing(&sets(before, &now), &sets(after, &Clone::clone)),
-            classes: differing(&classes(before), &classes(after)),
+            reweighted: changed(|new, old| new.weight != old.weight),
+            rezoned: changed(|new, old| new.zone != old.zone),
+            removed_zones: before.zones.iter().filter(is_removed).cloned().collect(),
+            tenants: differing_names(
+                &tenant_servers(before, &current_name),
+                &tenant_servers(after, &Clone::clone),
+            ),
+            classes: differing_names(&classes(before), &classes(after)),
             renamed: renamed.into_iter().collect(),
         }
     }
 }
 
 /// Each tenant's servers, by the names that they have now.
-fn sets(routing: &Routing, now: &dyn Fn(&String) -> String) -> BTreeMap<String, Vec<String>> {
+fn tenant_servers(
+    routing: &Routing,
+    current_name: &dyn Fn(&String) -> String,
+) -> BTreeMap<String, Vec<String>> {
     let set = |names: &Vec<String>| {
-        let mut names: Vec<String> = names.iter().map(now).collect();
+        let mut names: Vec<String> = names.iter().map(current_name).collect();
         names.sort();
         names.dedup();
         names
@@ -86,22 +95,25 @@
 }
 
 fn classes(routing: &Routing) -> BTreeMap<String, (u64, u64, u64)> {
-    let of = |one: &crate::Class| {
+    let values = |class: &crate::Class| {
         (
-            one.latency_objective_ms,
-            one.deadline_ms,
-            one.priority_weight.to_bits(),
+            class.latency_objective_ms,
+            class.deadline_ms,
+            class.priority_weight.to_bits(),
         )
     };
     routing
         .classes
         .iter()
-        .map(|one| (one.name.clone(), of(one)))
+        .map(|class| (class.name.clone(), values(class)))
         .collect()
 }
 
 /// The names that have another value, or that just one of the two has.
-fn differing<V: PartialEq>(old: &BTreeMap<String, V>, new: &BTreeMap<String, V>) -> Vec<String> {
+fn differing_names<V: PartialEq>(
+    old: &BTreeMap<String, V>,
+    new: &BTreeMap<String, V>,
+) -> Vec<String> {
     let mut names: Vec<String> = old
         .keys()
         .chain(new.keys())
@@ -120,26 +132,26 @@
             .iter()
             .map(|(old, new)| format!("{old} now {new}"))
             .collect();
-        let parts = [
+        let sections = [
             ("servers added", &self.added),
             ("servers removed", &self.removed),
             ("servers renamed", &renamed),
-            ("weights changed", &self.weights),
-            ("servers in another zone", &self.moved_zone),
-            ("zones gone", &self.zones_gone),
+            ("weights changed", &self.reweighted),
+            ("servers in another zone", &self.rezoned),
+            ("zones gone", &self.removed_zones),
             ("tenants with other servers", &self.tenants),
             ("classes changed", &self.classes),
         ];
-        let said: Vec<String> = parts
+        let clauses: Vec<String> = sections
             .iter()
             .filter(|(_, names)| !names.is_empty())
-            .map(|(what, names)| format!("{what}: {}", names.join(", ")))
+            .map(|(label, names)| format!("{label}: {}", names.join(", ")))
             .collect();
         f.write_str(
-            if said.is_empty() {
+            if clauses.is_empty() {
                 "nothing of routing changed".into()
             } else {
-                said.join("; ")
+                clauses.join("; ")
             }
             .as_str(),
         )
--- a/crates/affinity/src/group_counts.rs
+++ b/crates/affinity/src/group_counts.rs
@@ -1,38 +1,38 @@
 //! How many clients of a group a server has: one spot for each group on each server.
 
-use crate::entry::NONE;
+use crate::entry::NO_ID;
 use crate::index::Index;
-use crate::mix;
-use crate::names::Names;
+use crate::interning::ServerIncarnations;
+use crate::mix64;
 
 /// The next spot of one that is in no group.
-const LOOSE: u32 = NONE - 1;
+const UNGROUPED: u32 = NO_ID - 1;
 
 /// 16 bytes: the group; the server's life, the count and the next spot of the group.
 #[derive(Clone, Copy)]
 struct GroupCount {
     group: u64,
-    rest: u64,
+    packed: u64,
 }
 
 impl GroupCount {
-    fn new(group: u64, life: u16, count: u32, next: u32) -> GroupCount {
+    fn new(group: u64, incarnation_id: u16, count: u32, next: u32) -> GroupCount {
         GroupCount {
             group,
-            rest: u64::from(life) << 48 | u64::from(count) << 24 | u64::from(next),
+            packed: u64::from(incarnation_id) << 48 | u64::from(count) << 24 | u64::from(next),
         }
     }
 
     fn incarnation(self) -> u16 {
-        (self.rest >> 48) as u16
+        (self.packed >> 48) as u16
     }
 
     fn count(self) -> u32 {
-        (self.rest >> 24) as u32 & NONE
+        (self.packed >> 24) as u32 & NO_ID
     }
 
     fn next(self) -> u32 {
-        self.rest as u32 & NONE
+        self.packed as u32 & NO_ID
     }
 
     fn with_count(self, count: u32) -> GroupCount {
@@ -45,148 +45,162 @@
 }
 
 pub(crate) struct GroupCounts {
-    all: Vec<GroupCount>,
+    counts: Vec<GroupCount>,
     free: u32,
-    heads: Index,
+    first_ids: Index,
     seed: u64,
 }
 
 impl GroupCounts {
-    pub(crate) fn for_entries(most: usize, seed: u64) -> GroupCounts {
+    pub(crate) fn for_entries(max_entries: usize, seed: u64) -> GroupCounts {
         // One more than entries: a client's new spot is taken before the old one is given back.
-        let seed = mix(seed);
+        let seed = mix64(seed);
         GroupCounts {
-            all: Vec::with_capacity(most + 1),
-            free: NONE,
-            heads: Index::for_entries(most),
+            counts: Vec::with_capacity(max_entries + 1),
+            free: NO_ID,
+            first_ids: Index::for_entries(max_entries),
             seed,
         }
     }
 
-    pub(crate) fn incarnation(&self, spot: u32) -> u16 {
-        self.all[spot as usize].incarnation()
+    pub(crate) fn incarnation(&self, count_id: u32) -> u16 {
+        self.counts[count_id as usize].incarnation()
     }
 
-    pub(crate) fn group(&self, spot: u32) -> Option<u64> {
-        let one = self.all[spot as usize];
-        (one.next() != LOOSE).then_some(one.group)
+    pub(crate) fn group(&self, count_id: u32) -> Option<u64> {
+        let group_count = self.counts[count_id as usize];
+        (group_count.next() != UNGROUPED).then_some(group_count.group)
     }
 
     fn hash(&self, group: u64) -> u64 {
-        mix(group ^ self.seed)
+        mix64(group ^ self.seed)
     }
 
-    fn head(&self, group: u64) -> Option<u32> {
-        self.heads.find(self.hash(group), |spot| {
-            self.all[spot as usize].group == group
+    fn first_of_group(&self, group: u64) -> Option<u32> {
+        self.first_ids.find(self.hash(group), |count_id| {
+            self.counts[count_id as usize].group == group
         })
     }
 
     /// The servers' lives that hold a group, and how many of it.
     pub(crate) fn of_group(&self, group: u64) -> impl Iterator<Item = (u16, u32)> {
-        let mut at = self.head(group).unwrap_or(NONE);
+        let mut id = self.first_of_group(group).unwrap_or(NO_ID);
         std::iter::from_fn(move || {
-            let spot = *self.all.get(at as usize)?;
-            at = spot.next();
-            Some((spot.incarnation(), spot.count()))
+            let count = *self.counts.get(id as usize)?;
+            id = count.next();
+            Some((count.incarnation(), count.count()))
         })
     }
 
     /// Counts one more of a group on a server.
-    pub(crate) fn take(&mut self, names: &mut Names, group: Option<u64>, life: u16) -> u32 {
-        let (spot, before) = match group {
-            Some(group) => self.find(group, life),
-            None => (names.get(life).loose, NONE),
+    pub(crate) fn increment(
+        &mut self,
+        servers: &mut ServerIncarnations,
+        group: Option<u64>,
+        incarnation_id: u16,
+    ) -> u32 {
+        let (count_id, prev) = match group {
+            Some(group) => self.find(group, incarnation_id),
+            None => (servers.get(incarnation_id).ungrouped_count_id, NO_ID),
         };
-        if spot == NONE {
-            return self.begin(names, group, life);
+        if count_id == NO_ID {
+            return self.add(servers, group, incarnation_id);
         }
-        let one = self.all[spot as usize];
-        self.all[spot as usize] = one.with_count(one.count() + 1);
-        if before != NONE {
-            self.bring_forward(spot, before);
+        let group_count = self.counts[count_id as usize];
+        self.counts[count_id as usize] = group_count.with_count(group_count.count() + 1);
+        if prev != NO_ID {
+            self.move_to_front(count_id, prev);
         }
-        spot
+        count_id
     }
 
     /// A group's spot on a server and the one before it.
-    fn find(&self, group: u64, life: u16) -> (u32, u32) {
-        let (mut at, mut before) = (self.head(group).unwrap_or(NONE), NONE);
-        while at != NONE && self.all[at as usize].incarnation() != life {
-            (before, at) = (at, self.all[at as usize].next());
+    fn find(&self, group: u64, incarnation_id: u16) -> (u32, u32) {
+        let (mut id, mut prev) = (self.first_of_group(group).unwrap_or(NO_ID), NO_ID);
+        while id != NO_ID && self.counts[id as usize].incarnation() != incarnation_id {
+            (prev, id) = (id, self.counts[id as usize].next());
         }
-        (at, before)
+        (id, prev)
     }
 
     /// What is asked for again is found soon.
-    fn bring_forward(&mut self, spot: u32, before: u32) {
-        let one = self.all[spot as usize];
-        let Some(head) = self.head(one.group) else {
+    fn move_to_front(&mut self, count_id: u32, prev: u32) {
+        let group_count = self.counts[count_id as usize];
+        let Some(first_id) = self.first_of_group(group_count.group) else {
             return;
         };
-        self.all[before as usize] = self.all[before as usize].with_next(one.next());
-        self.all[spot as usize] = one.with_next(head);
-        self.heads.change(self.hash(one.group), head, spot);
-    }
-
-    fn begin(&mut self, names: &mut Names, group: Option<u64>, life: u16) -> u32 {
-        let head = group.map(|group| self.head(group));
-        let next = head.map_or(LOOSE, |head| head.unwrap_or(NONE));
-        let one = GroupCount::new(group.unwrap_or(0), life, 1, next);
-        let spot = match self.free {
-            NONE => {
-                self.all.push(one);
-                self.all.len() as u32 - 1
+        self.counts[prev as usize] = self.counts[prev as usize].with_next(group_count.next());
+        self.counts[count_id as usize] = group_count.with_next(first_id);
+        self.first_ids
+            .replace(self.hash(group_count.group), first_id, count_id);
+    }
+
+    fn add(
+        &mut self,
+        servers: &mut ServerIncarnations,
+        group: Option<u64>,
+        incarnation_id: u16,
+    ) -> u32 {
+        let first_id = group.map(|group| self.first_of_group(group));
+        let next = first_id.map_or(UNGROUPED, |first_id| first_id.unwrap_or(NO_ID));
+        let group_count = GroupCount::new(group.unwrap_or(0), incarnation_id, 1, next);
+        let count_id = match self.free {
+            NO_ID => {
+                self.counts.push(group_count);
+                self.counts.len() as u32 - 1
             }
             free => {
-                self.free = self.all[free as usize].next();
-                self.all[free as usize] = one;
+                self.free = self.counts[free as usize].next();
+                self.counts[free as usize] = group_count;
                 free
             }
         };
-        names.take(life);
-        match (group, head.flatten()) {
-            (Some(group), Some(head)) => self.heads.change(self.hash(group), head, spot),
-            (Some(group), None) => self.heads.enter(self.hash(group), spot),
-            (None, _) => names.set_loose(life, spot),
+        servers.acquire(incarnation_id);
+        match (group, first_id.flatten()) {
+            (Some(group), Some(first_id)) => {
+                self.first_ids.replace(self.hash(group), first_id, count_id)
+            }
+            (Some(group), None) => self.first_ids.insert(self.hash(group), count_id),
+            (None, _) => servers.set_ungrouped_count_id(incarnation_id, count_id),
         }
-        spot
+        count_id
     }
 
     /// Counts one less.
-    pub(crate) fn give_back(&mut self, names: &mut Names, spot: u32) {
-        let one = self.all[spot as usize];
-        if one.count() > 1 {
-            self.all[spot as usize] = one.with_count(one.count() - 1);
+    pub(crate) fn decrement(&mut self, servers: &mut ServerIncarnations, count_id: u32) {
+        let group_count = self.counts[count_id as usize];
+        if group_count.count() > 1 {
+            self.counts[count_id as usize] = group_count.with_count(group_count.count() - 1);
             return;
         }
-        if one.next() == LOOSE {
-            names.set_loose(one.incarnation(), NONE);
+        if group_count.next() == UNGROUPED {
+            servers.set_ungrouped_count_id(group_count.incarnation(), NO_ID);
         } else {
-            self.unlink(spot);
+            self.unlink(count_id);
         }
-        self.all[spot as usize] = GroupCount::new(0, 0, 0, self.free);
-        self.free = spot;
-        names.give_back(one.incarnation());
-    }
-
-    fn unlink(&mut self, spot: u32) {
-        let one = self.all[spot as usize];
-        let hash = self.hash(one.group);
-        match self.find(one.group, one.incarnation()) {
-            (_, NONE) if one.next() == NONE => {
-                let (all, seed) = (&self.all, self.seed);
-                self.heads
-                    .strike(hash, spot, |id| mix(all[id as usize].group ^ seed));
+        self.counts[count_id as usize] = GroupCount::new(0, 0, 0, self.free);
+        self.free = count_id;
+        servers.release(group_count.incarnation());
+    }
+
+    fn unlink(&mut self, count_id: u32) {
+        let group_count = self.counts[count_id as usize];
+        let hash = self.hash(group_count.group);
+        match self.find(group_count.group, group_count.incarnation()) {
+            (_, NO_ID) if group_count.next() == NO_ID => {
+                let (counts, seed) = (&self.counts, self.seed);
+                self.first_ids
+                    .remove(hash, count_id, |id| mix64(counts[id as usize].group ^ seed));
             }
-            (_, NONE) => self.heads.change(hash, spot, one.next()),
-            (_, before) => {
-                self.all[before as usize] = self.all[before as usize].with_next(one.next())
+            (_, NO_ID) => self.first_ids.replace(hash, count_id, group_count.next()),
+            (_, prev) => {
+                self.counts[prev as usize] =
+                    self.counts[prev as usize].with_next(group_count.next())
             }
         }
     }
 
     pub(crate) fn bytes(&self) -> usize {
-        self.all.capacity() * size_of::<GroupCount>() + self.heads.bytes()
+        self.counts.capacity() * size_of::<GroupCount>() + self.first_ids.bytes()
     }
 }
--- a/crates/affinity/src/index.rs
+++ b/crates/affinity/src/index.rs
@@ -1,7 +1,7 @@
 //! From a hash to a 24-bit number in four bytes: open addressing, with eight bits of the hash in the slot, so that others'
 //! entries are seldom looked at.
 
-use crate::entry::NONE;
+use crate::entry::NO_ID;
 
 /// It is full to three fifths at most.
 const SLOTS_PER_ENTRY: (usize, usize) = (5, 3);
@@ -12,77 +12,79 @@
 }
 
 impl Index {
-    pub(crate) fn for_entries(most: usize) -> Index {
+    pub(crate) fn for_entries(max_entries: usize) -> Index {
         Index {
             slots: vec![
                 0;
-                (most * SLOTS_PER_ENTRY.0)
+                (max_entries * SLOTS_PER_ENTRY.0)
                     .div_ceil(SLOTS_PER_ENTRY.1)
                     .max(8)
             ],
         }
     }
 
-    fn home(&self, hash: u64) -> usize {
+    fn home_slot(&self, hash: u64) -> usize {
         ((u128::from(hash) * self.slots.len() as u128) >> 64) as usize
     }
 
-    fn next(&self, at: usize) -> usize {
-        if at + 1 == self.slots.len() {
+    fn next_slot(&self, slot_index: usize) -> usize {
+        if slot_index + 1 == self.slots.len() {
             0
         } else {
-            at + 1
+            slot_index + 1
         }
     }
 
     /// The number of this hash that is the one looked for.
-    pub(crate) fn find(&self, hash: u64, mut is_it: impl FnMut(u32) -> bool) -> Option<u32> {
-        self.place(hash, &mut is_it)
-            .map(|at| number(self.slots[at]))
+    pub(crate) fn find(&self, hash: u64, mut is_match: impl FnMut(u32) -> bool) -> Option<u32> {
+        self.position(hash, &mut is_match)
+            .map(|slot_index| id_of(self.slots[slot_index]))
     }
 
-    fn place(&self, hash: u64, is_it: &mut impl FnMut(u32) -> bool) -> Option<usize> {
-        let mut at = self.home(hash);
-        while self.slots[at] != 0 {
-            if self.slots[at] >> 24 == u32::from(hash as u8) && is_it(number(self.slots[at])) {
-                return Some(at);
+    fn position(&self, hash: u64, is_match: &mut impl FnMut(u32) -> bool) -> Option<usize> {
+        let mut slot_index = self.home_slot(hash);
+        while self.slots[slot_index] != 0 {
+            if self.slots[slot_index] >> 24 == u32::from(hash as u8)
+                && is_match(id_of(self.slots[slot_index]))
+            {
+                return Some(slot_index);
             }
-            at = self.next(at);
+            slot_index = self.next_slot(slot_index);
         }
         None
     }
 
     /// Enters a number that is not in it.
-    pub(crate) fn enter(&mut self, hash: u64, id: u32) {
-        let mut at = self.home(hash);
-        while self.slots[at] != 0 {
-            at = self.next(at);
+    pub(crate) fn insert(&mut self, hash: u64, id: u32) {
+        let mut slot_index = self.home_slot(hash);
+        while self.slots[slot_index] != 0 {
+            slot_index = self.next_slot(slot_index);
         }
-        self.slots[at] = slot(hash, id);
+        self.slots[slot_index] = pack_slot(hash, id);
     }
 
     /// Has a hash lead to another number.
-    pub(crate) fn change(&mut self, hash: u64, from: u32, to: u32) {
-        if let Some(at) = self.place(hash, &mut |id| id == from) {
-            self.slots[at] = slot(hash, to);
+    pub(crate) fn replace(&mut self, hash: u64, old_id: u32, new_id: u32) {
+        if let Some(slot_index) = self.position(hash, &mut |id| id == old_id) {
+            self.slots[slot_index] = pack_slot(hash, new_id);
         }
     }
 
     /// Takes a number out, and moves up those behind it that it kept from their place.
-    pub(crate) fn strike(&mut self, hash: u64, id: u32, hash_of: impl Fn(u32) -> u64) {
-        let Some(mut hole) = self.place(hash, &mut |other| other == id) else {
+    pub(crate) fn remove(&mut self, hash: u64, id: u32, hash_of: impl Fn(u32) -> u64) {
+        let Some(mut vacant) = self.position(hash, &mut |other| other == id) else {
             return;
         };
-        let mut at = self.next(hole);
-        while self.slots[at] != 0 {
-            let home = self.home(hash_of(number(self.slots[at])));
-            if self.distance(home, at) >= self.distance(hole, at) {
-                self.slots[hole] = self.slots[at];
-                hole = at;
+        let mut slot_index = self.next_slot(vacant);
+        while self.slots[slot_index] != 0 {
+            let home_slot = self.home_slot(hash_of(id_of(self.slots[slot_index])));
+            if self.distance(home_slot, slot_index) >= self.distance(vacant, slot_index) {
+                self.slots[vacant] = self.slots[slot_index];
+                vacant = slot_index;
             }
-            at = self.next(at);
+            slot_index = self.next_slot(slot_index);
         }
-        self.slots[hole] = 0;
+        self.slots[vacant] = 0;
     }
 
     fn distance(&self, from: usize, to: usize) -> usize {
@@ -98,10 +100,10 @@
     }
 }
 
-fn slot(hash: u64, id: u32) -> u32 {
-    (u32::from(hash as u8) << 24) | ((id + 1) & NONE)
+fn pack_slot(hash: u64, id: u32) -> u32 {
+    (u32::from(hash as u8) << 24) | ((id + 1) & NO_ID)
 }
 
-fn number(slot: u32) -> u32 {
-    (slot & NONE) - 1
+fn id_of(slot: u32) -> u32 {
+    (slot & NO_ID) - 1
 }
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -1,9 +1,9 @@
 //! What an operator sets, and what is counted.
 
-use crate::entry::MOST;
+use crate::entry::MAX_ENTRIES;
 
 /// What one placement takes at most, with its part of all tables.
-const BYTES_EACH: usize = 64;
+const BYTES_PER_PLACEMENT: usize = 64;
 /// How much is held at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
@@ -21,34 +21,34 @@
     /// A placement is forgotten so many seconds after it was last seen to stand, or ended.
     pub ttl_s: u32,
     /// A client that was moved off a server for lateness or to even out is not led back for so many seconds.
-    pub away_s: u32,
+    pub return_delay_s: u32,
     /// A server that has so many of a group is no home to more of it; 0: groups have no home.
-    pub home_most: u32,
+    pub max_group_per_server: u32,
 }
 
 impl Limits {
     /// How many placements that are.
-    pub(crate) fn most(&self) -> usize {
+    pub(crate) fn max_placements(&self) -> usize {
         self.bound
             .entries
-            .min(self.bound.bytes / BYTES_EACH)
-            .clamp(1, MOST)
+            .min(self.bound.bytes / BYTES_PER_PLACEMENT)
+            .clamp(1, MAX_ENTRIES)
     }
 
     /// The fields that are out of their range.
-    pub fn faults(&self) -> Vec<&'static str> {
-        let faults = [
+    pub fn invalid_fields(&self) -> Vec<&'static str> {
+        let checks = [
             (
                 "entries",
-                self.bound.entries == 0 || self.bound.entries > MOST,
+                self.bound.entries == 0 || self.bound.entries > MAX_ENTRIES,
             ),
-            ("bytes", self.bound.bytes < BYTES_EACH),
+            ("bytes", self.bound.bytes < BYTES_PER_PLACEMENT),
             ("life_s", self.ttl_s == 0),
-            ("away_s", self.away_s > self.ttl_s),
+            ("away_s", self.return_delay_s > self.ttl_s),
         ];
-        faults
+        checks
             .into_iter()
-            .filter(|(_, is_bad)| *is_bad)
+            .filter(|(_, is_invalid)| *is_invalid)
             .map(|(field, _)| field)
             .collect()
     }
@@ -66,5 +66,5 @@
     /// Given way at the bound.
     pub evicted: u64,
     /// Not taken in, for whatever reason.
-    pub refused: u64,
+    pub rejected: u64,
 }
--- a/crates/affinity/src/placement.rs
+++ b/crates/affinity/src/placement.rs
@@ -3,16 +3,16 @@
 use std::cmp::Ordering;
 
 use crate::versions::Version;
-use crate::{Group, Key, Millis, Tag, mix};
+use crate::{Group, Key, Millis, Tag, mix64};
 
 /// Bits of a stamp that tell processes apart.
-const ORIGIN_BITS: u32 = 20;
+const ORIGIN_BIT_COUNT: u32 = 20;
 /// A key that stood so many times while it stood already is several clients'. Of one client's ends one in 25 is not heard
 /// of in time where a twentieth of all messages is lost, five in a row once in ten million.
-pub(crate) const SHARED: u8 = 5;
+pub(crate) const SHARED_KEY_OVERLAPS: u8 = 5;
 /// What is dated further ahead than this is not believed, in milliseconds. Guards against a clock that is a year ahead
 /// and would have the last word for a year.
-pub(crate) const AHEAD: Millis = 60_000;
+pub(crate) const MAX_CLOCK_LEAD_MS: Millis = 60_000;
 
 /// When a placement was made, and by whom: the later one holds. A process makes one that is later than all that it
 /// knows of the client, so that a slow clock does not undo what it has just seen.
@@ -22,76 +22,81 @@
 impl Stamp {
     /// A stamp of this moment, later than an earlier one.
     pub(crate) fn after(earlier: Option<Stamp>, now: Millis, origin: u64) -> Stamp {
-        let at = earlier.map_or(now, |earlier| now.max(earlier.at() + 1));
-        Stamp(at << ORIGIN_BITS | u64::from(origin_of(origin)))
+        let timestamp_ms = earlier.map_or(now, |earlier| now.max(earlier.timestamp_ms() + 1));
+        Stamp(timestamp_ms << ORIGIN_BIT_COUNT | u64::from(origin_bits(origin)))
     }
 
     pub(crate) fn origin(self) -> u32 {
-        self.0 as u32 & ((1 << ORIGIN_BITS) - 1)
+        self.0 as u32 & ((1 << ORIGIN_BIT_COUNT) - 1)
     }
 
     /// Its moment.
-    pub fn at(self) -> Millis {
-        self.0 >> ORIGIN_BITS
+    pub fn timestamp_ms(self) -> Millis {
+        self.0 >> ORIGIN_BIT_COUNT
     }
 }
 
 /// What a stamp shows of a process's name.
-pub(crate) fn origin_of(process: u64) -> u32 {
-    mix(process) as u32 & ((1 << ORIGIN_BITS) - 1)
+pub(crate) fn origin_bits(process: u64) -> u32 {
+    mix64(process) as u32 & ((1 << ORIGIN_BIT_COUNT) - 1)
 }
 
 /// How a standing connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum How {
+pub enum EndReason {
     /// It broke, from whichever side.
-    Broke = 1,
+    ConnectionLost = 1,
     /// The client ended it.
-    Left,
+    ClosedByClient,
     /// The process that relayed it is no more.
     BalancerDied,
     /// It was moved: its server leaves, or a new version has it there no longer.
-    MovedLeaving,
+    MigratedServerLeaving,
     /// It was moved: messages were late there.
-    MovedLate,
+    MigratedSlowMessages,
     /// It was moved: its server had more than its part, or another had room.
-    MovedUneven,
+    MigratedRebalancing,
 }
 
 /// What a placement is now. Ended is later than standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum PlacementState {
     /// The client's connection stands.
     Established,
     /// It ended.
-    Ended(How),
+    Ended(EndReason),
 }
 
-impl State {
+impl PlacementState {
     /// Its number in messages and on the disk.
-    pub fn byte(self) -> u8 {
+    pub fn to_byte(self) -> u8 {
         match self {
-            State::Established => 0,
-            State::Ended(how) => how as u8,
+            PlacementState::Established => 0,
+            PlacementState::Ended(reason) => reason as u8,
         }
     }
 
     /// The state of a number; standing for one that means nothing here.
-    pub fn of(byte: u8) -> State {
-        use How::{BalancerDied, Broke, Left, MovedLate, MovedLeaving, MovedUneven};
-        let ended = [
-            Broke,
-            Left,
+    pub fn from_byte(byte: u8) -> PlacementState {
+        use EndReason::{
+            BalancerDied, ClosedByClient, ConnectionLost, MigratedRebalancing,
+            MigratedServerLeaving, MigratedSlowMessages,
+        };
+        let end_reasons = [
+            ConnectionLost,
+            ClosedByClient,
             BalancerDied,
-            MovedLeaving,
-            MovedLate,
-            MovedUneven,
+            MigratedServerLeaving,
+            MigratedSlowMessages,
+            MigratedRebalancing,
         ];
-        let how = usize::from(byte)
+        let reason = usize::from(byte)
             .checked_sub(1)
-            .and_then(|at| ended.get(at));
-        how.map_or(State::Established, |how| State::Ended(*how))
+            .and_then(|index| end_reasons.get(index));
+        reason.map_or(PlacementState::Established, |reason| {
+            PlacementState::Ended(*reason)
+        })
     }
 }
 
@@ -105,37 +110,37 @@
     /// The server that it got.
     pub server: Tag,
     /// The version that it was dealt under.
-    pub encode_version: Version,
+    pub config_version: Version,
     /// When, and by whom.
     pub stamp: Stamp,
     /// When it was last seen to stand, or ended: seconds since the start of 1970.
     pub seen_s: u32,
     /// What it is now.
-    pub state: State,
+    pub state: PlacementState,
     /// How often its client had come while it stood, up to 5: then the key is several clients', which nobody can tell
     /// apart.
-    pub twins: u8,
+    pub overlap_count: u8,
 }
 
 impl Placement {
     /// When it was made.
-    pub fn since(&self) -> Millis {
-        self.stamp.at()
+    pub fn placed_at(&self) -> Millis {
+        self.stamp.timestamp_ms()
     }
 
     /// Which of two says more of a client. The later stamp; of one stamp, ended before standing, then what was seen
     /// later. The rest is for a tie of two processes alone: any order does, as long as it is everybody's.
-    pub fn order(&self, other: &Placement) -> Ordering {
-        let rank = |one: &Placement| {
+    pub fn cmp_precedence(&self, other: &Placement) -> Ordering {
+        let rank = |placement: &Placement| {
             (
-                one.stamp,
-                one.state,
-                one.seen_s,
-                one.twins,
-                one.server,
-                one.encode_version,
-                one.group,
-                one.key,
+                placement.stamp,
+                placement.state,
+                placement.seen_s,
+                placement.overlap_count,
+                placement.server,
+                placement.config_version,
+                placement.group,
+                placement.key,
             )
         };
         rank(self).cmp(&rank(other))
@@ -144,13 +149,13 @@
 
 /// Why a placement is not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum PlacementError {
     /// It is past its life.
     Expired,
     /// It is dated more than a minute ahead.
-    Ahead,
+    DatedAhead,
     /// All that is held is worth more, or too many servers or versions are named.
-    NoRoom,
+    AtCapacity,
 }
 
 /// What became of a placement that was heard of.
@@ -163,5 +168,5 @@
     /// It says no more.
     Known,
     /// It was not taken in.
-    Refused(Refused),
+    Rejected(PlacementError),
 }
--- /dev/null
+++ b/crates/affinity/src/placement_table.rs
@@ -0,0 +1,487 @@
+//! The table of placements: what is taken in, what is merged, what expires and what gives way.
+
+use std::collections::VecDeque;
+
+use crate::advice::Client;
+use crate::ages::AgeIndex;
+use crate::entry::{Entry, NO_ID};
+use crate::group_counts::GroupCounts;
+use crate::index::Index;
+use crate::interning::{ServerIncarnations, VersionIds};
+use crate::limits::{Counts, Limits};
+use crate::placement::{
+    EndReason, MAX_CLOCK_LEAD_MS, MergeOutcome, Placement, PlacementError, PlacementState,
+    SHARED_KEY_OVERLAPS, Stamp, origin_bits,
+};
+use crate::versions::{AdoptOutcome, Version, VersionFact, Versions};
+use crate::{Group, Key, Millis, Tag, mix64};
+
+/// Placements past their life that each call clears away at most. Guards against a call that waits for a million.
+const MAX_EXPIRED_PER_CALL: usize = 2;
+/// Processes that died lately, of which so many are remembered.
+const MAX_DEAD_ORIGINS: usize = 64;
+/// Placements whose tables are fetched side by side.
+const PREFETCH_BATCH: usize = 16;
+
+/// Which server each client had.
+pub struct PlacementTable {
+    pub(crate) limits: Limits,
+    capacity: usize,
+    origin: u64,
+    seed: u64,
+    pub(crate) entries: Vec<Entry>,
+    free: u32,
+    index: Index,
+    ages: AgeIndex,
+    pub(crate) group_counts: GroupCounts,
+    pub(crate) servers: ServerIncarnations,
+    version_ids: VersionIds,
+    versions: Versions,
+    counts: Counts,
+    dead_origins: VecDeque<u32>,
+}
+
+impl PlacementTable {
+    /// An empty one. The origin tells processes and their lives apart; the seed keeps whoever chooses keys from choosing
+    /// such as lie in one place. Room is reserved for all that may be held, and taken as it is used.
+    pub fn new(limits: Limits, origin: u64, seed: u64) -> PlacementTable {
+        let capacity = limits.max_placements();
+        PlacementTable {
+            limits,
+            capacity,
+            origin,
+            seed: mix64(seed),
+            entries: Vec::with_capacity(capacity),
+            free: NO_ID,
+            index: Index::for_entries(capacity),
+            ages: AgeIndex::with_ttl(limits.ttl_s),
+            group_counts: GroupCounts::for_entries(capacity, seed),
+            servers: ServerIncarnations::default(),
+            version_ids: VersionIds::default(),
+            versions: Versions::default(),
+            counts: Counts::default(),
+            dead_origins: VecDeque::new(),
+        }
+    }
+
+    /// Another version of the configuration holds in this process from now on.
+    pub fn adopt(&mut self, version: Version, serial: u64, now: Millis) -> AdoptOutcome {
+        self.versions.adopt(version, serial, now)
+    }
+
+    /// The versions that are known of.
+    pub fn versions(&self) -> &Versions {
+        &self.versions
+    }
+
+    /// This process still runs its version: the fact for peers, to be asked for each half minute or so.
+    pub fn refresh_current_version(&mut self, now: Millis) -> Option<VersionFact> {
+        self.versions.refresh_current_version(now)
+    }
+
+    /// What a peer tells of a version.
+    pub fn merge_version(&mut self, fact: &VersionFact, now: Millis) -> bool {
+        self.versions.merge(fact, now)
+    }
+
+    /// A server started anew at this moment: a group has no home there for what stood on it before. To be told with each
+    /// list; what was told before changes nothing.
+    pub fn record_server_start(&mut self, server: Tag, at: Millis) {
+        self.servers.record_start(server, at);
+    }
+
+    /// A server has another name: placements follow, also those that peers tell under the old one.
+    pub fn rename_server(&mut self, old: Tag, new: Tag) {
+        self.servers.rename(old, new);
+    }
+
+    /// A process is no more, by the name that it was begun with: what stood through it has ended. The process's own former
+    /// life too.
+    pub fn record_balancer_death(&mut self, origin: u64) {
+        let origin = origin_bits(origin);
+        if !self.dead_origins.contains(&origin) {
+            self.dead_origins.truncate(MAX_DEAD_ORIGINS - 1);
+            self.dead_origins.push_front(origin);
+        }
+    }
+
+    pub(crate) fn is_dead(&self, stamp: Stamp) -> bool {
+        self.dead_origins.contains(&stamp.origin())
+    }
+
+    /// A client stands on a server; the fact for peers. Its stamp is the connection's, for [`PlacementTable::record_ended`].
+    pub fn record_established(
+        &mut self,
+        client: &Client,
+        server: Tag,
+        now: Millis,
+    ) -> Result<Placement, PlacementError> {
+        let old = self.get(client.key);
+        let own = self.versions.current().unwrap_or(Version(0));
+        // Guards against a client of the newer version that an older process would deal anew the next time.
+        let previous_version = old
+            .filter(|old| {
+                self.servers.current_name(old.server) == self.servers.current_name(server)
+            })
+            .map(|old| old.config_version);
+        let config_version = previous_version
+            .filter(|previous_version| {
+                *previous_version != own && self.is_newer_than_own(*previous_version, now, now)
+            })
+            .unwrap_or(own);
+        let previous =
+            old.filter(|old| old.state == PlacementState::Established && !self.is_dead(old.stamp));
+        let placement = Placement {
+            key: client.key,
+            group: client.group,
+            server: self.servers.current_name(server),
+            config_version,
+            stamp: Stamp::after(old.map(|old| old.stamp), now, self.origin),
+            seen_s: unix_seconds(now),
+            state: PlacementState::Established,
+            overlap_count: previous
+                .map_or(0, |old| (old.overlap_count + 1).min(SHARED_KEY_OVERLAPS)),
+        };
+        self.expire_some(now);
+        match self.apply(&placement) {
+            MergeOutcome::Rejected(error) => Err(error),
+            _ => Ok(placement),
+        }
+    }
+
+    /// A connection still stands: to be told a few times in each life.
+    pub fn refresh(&mut self, key: Key, stamp: Stamp, now: Millis) -> Option<Placement> {
+        let established = self.established_placement(key, stamp)?;
+        let seen = Placement {
+            seen_s: unix_seconds(now).max(established.seen_s),
+            ..established
+        };
+        self.apply(&seen);
+        Some(seen)
+    }
+
+    /// A connection ended; the fact for peers, unless the client has stood elsewhere since.
+    pub fn record_ended(
+        &mut self,
+        key: Key,
+        stamp: Stamp,
+        reason: EndReason,
+        now: Millis,
+    ) -> Option<Placement> {
+        let established = self.established_placement(key, stamp)?;
+        let seen_s = unix_seconds(now).max(established.seen_s);
+        let ended = Placement {
+            seen_s,
+            state: PlacementState::Ended(reason),
+            ..established
+        };
+        self.apply(&ended);
+        Some(ended)
+    }
+
+    /// A peer's word, or one of before from the disk.
+    pub fn merge(&mut self, received: &Placement, now: Millis) -> MergeOutcome {
+        self.expire_some(now);
+        let latest = now.saturating_add(MAX_CLOCK_LEAD_MS);
+        let outcome = if self.is_expired(received.seen_s, now) {
+            MergeOutcome::Rejected(PlacementError::Expired)
+        } else if received.placed_at() > latest || u64::from(received.seen_s) * 1_000 > latest {
+            MergeOutcome::Rejected(PlacementError::DatedAhead)
+        } else {
+            self.apply(received)
+        };
+        self.counts.rejected += u64::from(matches!(outcome, MergeOutcome::Rejected(_)));
+        outcome
+    }
+
+    /// What a peer tells at once. Many that are told together are merged faster than one by one: what they need is
+    /// fetched side by side first.
+    pub fn merge_all(&mut self, received: &[Placement], now: Millis) -> Vec<MergeOutcome> {
+        let mut outcomes = Vec::with_capacity(received.len());
+        for batch in received.chunks(PREFETCH_BATCH) {
+            std::hint::black_box(
+                batch
+                    .iter()
+                    .map(|placement| self.prefetch(placement.key))
+                    .sum::<u32>(),
+            );
+            outcomes.extend(batch.iter().map(|placement| self.merge(placement, now)));
+        }
+        outcomes
+    }
+
+    /// Reads all that a merge will, to no end but to have it near.
+    fn prefetch(&self, key: Key) -> u32 {
+        let Some(entry) = self.find(key).map(|id| &self.entries[id as usize]) else {
+            return 0;
+        };
+        let last_seen_of = |id: u32| {
+            self.entries
+                .get(id as usize)
+                .map_or(0, |entry| entry.seen_s)
+        };
+        u32::from(self.group_counts.incarnation(entry.group_count_id()))
+            .wrapping_add(last_seen_of(entry.prev()) ^ last_seen_of(entry.next()))
+            >> 16
+    }
+
+    /// Where a client is placed, as far as is known.
+    pub fn get(&self, key: Key) -> Option<Placement> {
+        self.find(key).map(|id| self.placement(id))
+    }
+
+    /// Up to so many placements from a position on, and the position to go on from, if there are more.
+    pub fn page(&self, start_id: u32, limit: usize) -> (Vec<Placement>, Option<u32>) {
+        let mut page = Vec::new();
+        for id in start_id..self.entries.len() as u32 {
+            if page.len() == limit {
+                return (page, Some(id));
+            }
+            if self.entries[id as usize].group_count_id() != NO_ID {
+                page.push(self.placement(id));
+            }
+        }
+        (page, None)
+    }
+
+    /// Forgets up to so many that are past their life; how many it was.
+    pub fn expire(&mut self, now: Millis, limit: usize) -> usize {
+        let cutoff_s = unix_seconds(now).saturating_sub(self.limits.ttl_s);
+        for removed in 0..limit {
+            let Some(id) = self.ages.oldest_before(cutoff_s) else {
+                return removed;
+            };
+            self.remove(id);
+            self.counts.expired += 1;
+        }
+        limit
+    }
+
+    /// What is held and what happened.
+    pub fn counts(&self) -> Counts {
+        self.counts
+    }
+
+    /// How many placements are held at most.
+    pub fn capacity(&self) -> usize {
+        self.capacity
+    }
+
+    /// Bytes reserved for all tables.
+    pub fn bytes(&self) -> usize {
+        let entries = self.entries.capacity() * size_of::<Entry>();
+        entries + self.index.bytes() + self.group_counts.bytes() + self.servers.bytes()
+    }
+
+    pub(crate) fn is_expired(&self, seen_s: u32, now: Millis) -> bool {
+        seen_s.saturating_add(self.limits.ttl_s) < unix_seconds(now)
+    }
+
+    /// Whether a version is newer than this process's own: its placements are not for this process to judge. One that
+    /// nothing is known of is taken for newer if what was dealt under it is younger than the own version.
+    pub(crate) fn is_newer_than_own(
+        &self,
+        version: Version,
+        placed_at: Millis,
+        now: Millis,
+    ) -> bool {
+        let Some(own) = self.versions.current() else {
+            return false;
+        };
+        if self.versions.get(version).is_some() {
+            return self.versions.is_newer(version, own, now);
+        }
+        self.versions
+            .get(own)
+            .is_none_or(|own| placed_at > own.adopted_at)
+    }
+
+    pub(crate) fn version_of(&self, entry: &Entry) -> Version {
+        self.version_ids.get(entry.version_id())
+    }
+
+    fn hash(&self, key: u64) -> u64 {
+        mix64(key ^ self.seed)
+    }
+
+    pub(crate) fn find(&self, key: Key) -> Option<u32> {
+        self.index.find(self.hash(key.0), |id| {
+            self.entries[id as usize].key == key.0
+        })
+    }
+
+    fn placement(&self, id: u32) -> Placement {
+        let entry = &self.entries[id as usize];
+        Placement {
+            key: Key(entry.key),
+            group: self.group_counts.group(entry.group_count_id()).map(Group),
+            server: self
+                .servers
+                .get(self.group_counts.incarnation(entry.group_count_id()))
+                .tag,
+            config_version: self.version_of(entry),
+            stamp: Stamp(entry.stamp),
+            seen_s: entry.seen_s,
+            state: entry.state(),
+            overlap_count: entry.overlap_count(),
+        }
+    }
+
+    /// The placement of this connection, if it stands.
+    fn established_placement(&self, key: Key, stamp: Stamp) -> Option<Placement> {
+        self.get(key)
+            .filter(|known| known.stamp == stamp && known.state == PlacementState::Established)
+    }
+
+    fn apply(&mut self, placement: &Placement) -> MergeOutcome {
+        let Some(id) = self.find(placement.key) else {
+            return self
+                .insert(placement)
+                .map_or_else(MergeOutcome::Rejected, |()| MergeOutcome::New);
+        };
+        let known = self.entries[id as usize].stamp;
+        let is_newer = match placement.stamp.0 == known {
+            true => {
+                let placement = Placement {
+                    server: self.servers.current_name(placement.server),
+                    ..*placement
+                };
+                placement.cmp_precedence(&self.placement(id)).is_gt()
+            }
+            false => placement.stamp.0 > known,
+        };
+        if !is_newer {
+            return MergeOutcome::Known;
+        }
+        self.replace(id, placement)
+            .map_or_else(MergeOutcome::Rejected, |()| MergeOutcome::Newer)
+    }
+
+    /// Spot and version of a placement, one use more of each.
+    fn acquire_ids(&mut self, placement: &Placement) -> Result<(u32, u16), PlacementError> {
+        let version_id = self
+            .version_ids
+            .acquire(placement.config_version)
+            .ok_or(PlacementError::AtCapacity)?;
+        let Some(incarnation) = self
+            .servers
+            .incarnation_at(placement.server, placement.placed_at())
+        else {
+            self.version_ids.release(version_id);
+            return Err(PlacementError::AtCapacity);
+        };
+        Ok((
+            self.group_counts.increment(
+                &mut self.servers,
+                placement.group.map(|group| group.0),
+                incarnation,
+            ),
+            version_id,
+        ))
+    }
+
+    fn insert(&mut self, placement: &Placement) -> Result<(), PlacementError> {
+        if self.counts.entries == self.capacity {
+            let rank = self.ages.retention_rank(
+                placement.state == PlacementState::Established,
+                placement.seen_s,
+            );
+            match self.ages.eviction_candidate() {
+                Some((lowest, id)) if lowest <= rank => self.remove(id),
+                _ => return Err(PlacementError::AtCapacity),
+            }
+            self.counts.evicted += 1;
+        }
+        let (count_id, version_id) = self.acquire_ids(placement)?;
+        let entry = Entry::new(placement, count_id, version_id);
+        let id = match self.free {
+            NO_ID => {
+                self.entries.push(entry);
+                self.entries.len() as u32 - 1
+            }
+            free => {
+                self.free = self.entries[free as usize].prev();
+                self.entries[free as usize] = entry;
+                free
+            }
+        };
+        self.index.insert(self.hash(placement.key.0), id);
+        self.ages.insert(&mut self.entries, id);
+        self.counts.entries += 1;
+        self.counts.established += usize::from(entry.is_established());
+        Ok(())
+    }
+
+    /// The numbers that an entry has already, if the placement has the same, or those of [`PlacementTable::acquire_ids`].
+    fn reuse_or_acquire_ids(
+        &mut self,
+        old: &Entry,
+        placement: &Placement,
+    ) -> Result<(u32, u16), PlacementError> {
+        let is_same = placement.config_version == self.version_of(old)
+            && placement.group.map(|group| group.0)
+                == self.group_counts.group(old.group_count_id())
+            && self.servers.is_incarnation(
+                self.group_counts.incarnation(old.group_count_id()),
+                placement.server,
+                placement.placed_at(),
+            );
+        if !is_same {
+            let ids = self.acquire_ids(placement)?;
+            self.group_counts
+                .decrement(&mut self.servers, old.group_count_id());
+            self.version_ids.release(old.version_id());
+            return Ok(ids);
+        }
+        Ok((old.group_count_id(), old.version_id()))
+    }
+
+    fn replace(&mut self, id: u32, placement: &Placement) -> Result<(), PlacementError> {
+        let old = self.entries[id as usize];
+        let (count_id, version_id) = self.reuse_or_acquire_ids(&old, placement)?;
+        let mut entry = Entry::new(placement, count_id, version_id);
+        let rank = |entry: &Entry| {
+            self.ages
+                .retention_rank(entry.is_established(), entry.seen_s)
+        };
+        if rank(&old) == rank(&entry) {
+            entry.set_prev(old.prev());
+            entry.set_next(old.next());
+            self.entries[id as usize] = entry;
+        } else {
+            self.ages.remove(&mut self.entries, id);
+            self.entries[id as usize] = entry;
+            self.ages.insert(&mut self.entries, id);
+        }
+        self.counts.established += usize::from(entry.is_established());
+        self.counts.established -= usize::from(old.is_established());
+        Ok(())
+    }
+
+    fn remove(&mut self, id: u32) {
+        let old = self.entries[id as usize];
+        self.ages.remove(&mut self.entries, id);
+        let (entries, seed) = (&self.entries, self.seed);
+        self.index.remove(mix64(old.key ^ seed), id, |id| {
+            mix64(entries[id as usize].key ^ seed)
+        });
+        let mut vacant = Entry::vacant();
+        vacant.set_prev(self.free);
+        self.entries[id as usize] = vacant;
+        self.free = id;
+        self.counts.entries -= 1;
+        self.counts.established -= usize::from(old.is_established());
+        self.group_counts
+            .decrement(&mut self.servers, old.group_count_id());
+        self.version_ids.release(old.version_id());
+    }
+
+    fn expire_some(&mut self, now: Millis) {
+        self.expire(now, MAX_EXPIRED_PER_CALL);
+    }
+}
+
+/// Whole seconds of a moment.
+pub(crate) fn unix_seconds(now: Millis) -> u32 {
+    u32::try_from(now / 1_000).unwrap_or(u32::MAX)
+}
--- a/crates/affinity/src/routing.rs
+++ b/crates/affinity/src/routing.rs
@@ -20,7 +20,7 @@
     /// Where it is reached; empty if discovery says so.
     pub address: String,
     /// Its name before. No part of the version: that it once had another name changes nothing now.
-    pub was: Option<String>,
+    pub previous_name: Option<String>,
 }
 
 /// One class of clients.
@@ -51,32 +51,34 @@
 
 /// What is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
+pub enum RoutingError {
     /// Two servers, tenants or classes have this name.
-    Twice(String),
+    DuplicateName(String),
     /// This server's weight, or this class's worth, is no number of 0 or more.
-    NoNumber(String),
+    InvalidNumber(String),
     /// Two servers say that they were this one.
-    WasTwice(String),
+    DuplicatePreviousName(String),
     /// A server says that it was this one, which is still there.
-    StillThere(String),
+    PreviousNameInUse(String),
     /// A tenant has this server, and there is none of that name.
-    NoSuchServer(String),
+    UnknownServer(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for RoutingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Twice(name) => write!(f, "{name:?} is there twice"),
-            Fault::NoNumber(name) => {
+            RoutingError::DuplicateName(name) => write!(f, "{name:?} is there twice"),
+            RoutingError::InvalidNumber(name) => {
                 write!(f, "{name:?}: weight or worth is no number of 0 or more")
             }
-            Fault::WasTwice(name) => write!(f, "two servers say that they were {name:?}"),
-            Fault::StillThere(name) => write!(
+            RoutingError::DuplicatePreviousName(name) => {
+                write!(f, "two servers say that they were {name:?}")
+            }
+            RoutingError::PreviousNameInUse(name) => write!(
                 f,
                 "a server says that it was {name:?}, which is still there"
             ),
-            Fault::NoSuchServer(name) => {
+            RoutingError::UnknownServer(name) => {
                 write!(f, "a tenant has server {name:?}, which there is not")
             }
         }
@@ -86,66 +88,86 @@
 impl Routing {
     /// Its version. The order of what is listed, and what is listed twice alike, change nothing.
     pub fn version(&self) -> Version {
-        let mut all = Canonical::default();
-        all.section("zones", self.zones.iter().map(|zone| vec![text(zone)]));
-        let server = |one: &Server| {
+        let mut hasher = CanonicalHasher::default();
+        hasher.section(
+            "zones",
+            self.zones.iter().map(|zone| vec![text_bytes(zone)]),
+        );
+        let server = |server: &Server| {
             vec![
-                text(&one.name),
-                text(&one.zone),
-                number(one.weight),
-                text(&one.address),
+                text_bytes(&server.name),
+                text_bytes(&server.zone),
+                f64_bytes(server.weight),
+                text_bytes(&server.address),
             ]
         };
-        all.section("servers", self.servers.iter().map(server));
+        hasher.section("servers", self.servers.iter().map(server));
         let tenant = |(name, names): &(String, Vec<String>)| {
             let set: BTreeSet<&str> = names.iter().map(String::as_str).collect();
-            std::iter::once(text(name))
-                .chain(set.into_iter().map(text))
+            std::iter::once(text_bytes(name))
+                .chain(set.into_iter().map(text_bytes))
                 .collect()
         };
-        all.section("tenants", self.tenants.iter().map(tenant));
-        let whole = |value: u64| value.to_be_bytes().to_vec();
-        let class = |one: &Class| {
+        hasher.section("tenants", self.tenants.iter().map(tenant));
+        let u64_bytes = |value: u64| value.to_be_bytes().to_vec();
+        let class = |class: &Class| {
             vec![
-                text(&one.name),
-                whole(one.latency_objective_ms),
-                whole(one.deadline_ms),
-                number(one.priority_weight),
+                text_bytes(&class.name),
+                u64_bytes(class.latency_objective_ms),
+                u64_bytes(class.deadline_ms),
+                f64_bytes(class.priority_weight),
             ]
         };
-        all.section("classes", self.classes.iter().map(class));
-        all.version()
+        hasher.section("classes", self.classes.iter().map(class));
+        hasher.version()
     }
 
     /// All that is wrong with it.
-    pub fn faults(&self) -> Vec<Fault> {
-        let servers: BTreeSet<&str> = self.servers.iter().map(|one| one.name.as_str()).collect();
-        let was = || {
+    pub fn errors(&self) -> Vec<RoutingError> {
+        let servers: BTreeSet<&str> = self
+            .servers
+            .iter()
+            .map(|server| server.name.as_str())
+            .collect();
+        let previous_names = || {
             self.servers
                 .iter()
-                .filter_map(|one| Some((one.name.as_str(), one.was.as_deref()?)))
+                .filter_map(|server| Some((server.name.as_str(), server.previous_name.as_deref()?)))
         };
         let tenants = self.tenants.iter().map(|(name, _)| name.as_str());
-        let twice = twice(self.servers.iter().map(|one| one.name.as_str()))
+        let duplicate_names = duplicates(self.servers.iter().map(|server| server.name.as_str()))
             .into_iter()
-            .chain(twice(tenants))
-            .chain(twice(self.classes.iter().map(|one| one.name.as_str())));
-        let mut faults: BTreeSet<Fault> = twice.map(Fault::Twice).collect();
-        let weights = self.servers.iter().map(|one| (&one.name, one.weight));
-        let numbers = weights.chain(
+            .chain(duplicates(tenants))
+            .chain(duplicates(
+                self.classes.iter().map(|class| class.name.as_str()),
+            ));
+        let mut errors: BTreeSet<RoutingError> =
+            duplicate_names.map(RoutingError::DuplicateName).collect();
+        let weights = self
+            .servers
+            .iter()
+            .map(|server| (&server.name, server.weight));
+        let values = weights.chain(
             self.classes
                 .iter()
-                .map(|one| (&one.name, one.priority_weight)),
+                .map(|class| (&class.name, class.priority_weight)),
+        );
+        let invalid = values.filter(|(_, value)| !value.is_finite() || *value < 0.0);
+        errors.extend(invalid.map(|(name, _)| RoutingError::InvalidNumber(name.clone())));
+        errors.extend(
+            duplicate_previous_names(previous_names()).map(RoutingError::DuplicatePreviousName),
+        );
+        let still_listed =
+            previous_names().filter(|(_, previous_name)| servers.contains(previous_name));
+        errors.extend(
+            still_listed.map(|(_, previous_name)| {
+                RoutingError::PreviousNameInUse(previous_name.to_owned())
+            }),
         );
-        let bad = numbers.filter(|(_, value)| !value.is_finite() || *value < 0.0);
-        faults.extend(bad.map(|(name, _)| Fault::NoNumber(name.clone())));
-        faults.extend(twice_was(was()).map(Fault::WasTwice));
-        let still = was().filter(|(_, was)| servers.contains(was));
-        faults.extend(still.map(|(_, was)| Fault::StillThere(was.to_owned())));
-        let named = self.tenants.iter().flat_map(|(_, names)| names);
-        let none = named.filter(|name| !servers.contains(name.as_str()));
-        faults.extend(none.map(|name| Fault::NoSuchServer(name.clone())));
-        faults.into_iter().collect()
+        let tenant_servers = self.tenants.iter().flat_map(|(_, names)| names);
+        let unknown = tenant_servers.filter(|name| !servers.contains(name.as_str()));
+        errors.extend(unknown.map(|name| RoutingError::UnknownServer(name.clone())));
+        errors.into_iter().collect()
     }
 }
 
@@ -156,24 +178,26 @@
         routing
             .servers
             .iter()
-            .map(|one| one.name.clone())
+            .map(|server| server.name.clone())
             .collect::<BTreeSet<_>>()
     };
     let (old_names, new_names) = (names(before), names(after));
-    let gone = |name: &str| old_names.contains(name) && !new_names.contains(name);
+    let is_removed = |name: &str| old_names.contains(name) && !new_names.contains(name);
     let mut renamed = BTreeMap::new();
-    let told = after
+    let declared = after
         .servers
         .iter()
-        .filter_map(|one| Some((one.was.as_deref()?, one)));
-    for (was, one) in told.filter(|(was, one)| gone(was) && !old_names.contains(&one.name)) {
+        .filter_map(|server| Some((server.previous_name.as_deref()?, server)));
+    for (previous_name, server) in declared.filter(|(previous_name, server)| {
+        is_removed(previous_name) && !old_names.contains(&server.name)
+    }) {
         renamed
-            .entry(was.to_owned())
-            .or_insert_with(|| one.name.clone());
+            .entry(previous_name.to_owned())
+            .or_insert_with(|| server.name.clone());
     }
-    let (had, has) = (by_address(before), by_address(after));
-    for (address, old) in had.iter().filter(|(_, old)| gone(old)) {
-        if let Some(new) = has.get(address)
+    let (old_by_address, new_by_address) = (by_unique_address(before), by_unique_address(after));
+    for (address, old) in old_by_address.iter().filter(|(_, old)| is_removed(old)) {
+        if let Some(new) = new_by_address.get(address)
             && !old_names.contains(*new)
             && !renamed.values().any(|name| name == new)
         {
@@ -186,19 +210,27 @@
 }
 
 /// The servers whose address is no other one's.
-fn by_address(routing: &Routing) -> BTreeMap<&str, &str> {
-    let mut all: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for one in routing.servers.iter().filter(|one| !one.address.is_empty()) {
-        all.entry(&one.address).or_default().push(&one.name);
+fn by_unique_address(routing: &Routing) -> BTreeMap<&str, &str> {
+    let mut names_by_address: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+    for server in routing
+        .servers
+        .iter()
+        .filter(|server| !server.address.is_empty())
+    {
+        names_by_address
+            .entry(&server.address)
+            .or_default()
+            .push(&server.name);
     }
-    all.into_iter()
+    names_by_address
+        .into_iter()
         .filter_map(|(address, names)| {
             Some((address, *names.first().filter(|_| names.len() == 1)?))
         })
         .collect()
 }
 
-fn twice<'a>(names: impl Iterator<Item = &'a str>) -> BTreeSet<String> {
+fn duplicates<'a>(names: impl Iterator<Item = &'a str>) -> BTreeSet<String> {
     let mut seen = BTreeSet::new();
     names
         .filter(|name| !seen.insert(*name))
@@ -206,24 +238,26 @@
         .collect()
 }
 
-fn twice_was<'a>(was: impl Iterator<Item = (&'a str, &'a str)>) -> impl Iterator<Item = String> {
-    twice(was.map(|(_, was)| was)).into_iter()
+fn duplicate_previous_names<'a>(
+    previous_names: impl Iterator<Item = (&'a str, &'a str)>,
+) -> impl Iterator<Item = String> {
+    duplicates(previous_names.map(|(_, previous_name)| previous_name)).into_iter()
 }
 
-fn text(text: &str) -> Vec<u8> {
+fn text_bytes(text: &str) -> Vec<u8> {
     text.as_bytes().to_vec()
 }
 
-fn number(value: f64) -> Vec<u8> {
+fn f64_bytes(value: f64) -> Vec<u8> {
     // Minus nought is nought.
     (value + 0.0).to_bits().to_be_bytes().to_vec()
 }
 
 /// Sorted rows, each field with its length before it. Guards against two meanings with the same bytes.
 #[derive(Default)]
-struct Canonical(Sha256);
+struct CanonicalHasher(Sha256);
 
-impl Canonical {
+impl CanonicalHasher {
     fn section(&mut self, name: &str, rows: impl Iterator<Item = Vec<Vec<u8>>>) {
         let rows: BTreeSet<Vec<Vec<u8>>> = rows.collect();
         self.field(name.as_bytes());
@@ -245,7 +279,7 @@
             digest
                 .iter()
                 .take(16)
-                .fold(0, |word, byte| word << 8 | u128::from(*byte)),
+                .fold(0, |value, byte| value << 8 | u128::from(*byte)),
         )
     }
 }
--- a/crates/affinity/tests/fleet.rs
+++ b/crates/affinity/tests/fleet.rs
@@ -4,83 +4,97 @@
 
 mod support;
 
-use support::fleet::{Deed, Figures, Fleet};
+use support::fleet::{Action, Fleet, Stats};
 
 /// What goes wrong in each run: a drain and a new start, a death, a cut while two versions run.
-fn usual() -> Vec<(u64, Deed)> {
+fn common_failures() -> Vec<(u64, Action)> {
     vec![
-        (40_000, Deed::Drain(1)),
-        (70_000, Deed::Restart(1)),
-        (90_000, Deed::Die(3)),
-        (95_000, Deed::Start(3, 0)),
-        (160_000, Deed::Cut(true)),
-        (163_000, Deed::Cut(false)),
+        (40_000, Action::Drain(1)),
+        (70_000, Action::Restart(1)),
+        (90_000, Action::Crash(3)),
+        (95_000, Action::Start(3, 0)),
+        (160_000, Action::SetPartition(true)),
+        (163_000, Action::SetPartition(false)),
     ]
 }
 
-fn run(name: &str, seed: u64, changes: &[(u64, Deed)]) -> Figures {
-    let mut script = usual();
+fn run_scenario(name: &str, seed: u64, changes: &[(u64, Action)]) -> Stats {
+    let mut script = common_failures();
     script.extend_from_slice(changes);
-    let figures = Fleet::new(seed).play(script, 320_000);
-    println!("{name}, seed {seed}: {figures:?}");
-    figures
+    let stats = Fleet::new(seed).run(script, 320_000);
+    println!("{name}, seed {seed}: {stats:?}");
+    stats
 }
 
-fn holds(figures: &Figures) {
-    assert!(figures.returns_owed > 10_000, "{figures:?}");
-    let landed = figures.landed as f64 / figures.returns_owed as f64;
-    assert!(landed >= 0.995, "{landed} land: {figures:?}");
+fn assert_affinity_kept(stats: &Stats) {
+    assert!(stats.expected_returns > 10_000, "{stats:?}");
+    let return_ratio = stats.successful_returns as f64 / stats.expected_returns as f64;
+    assert!(return_ratio >= 0.995, "{return_ratio} land: {stats:?}");
     assert_eq!(
-        (figures.moved_by_version, figures.flaps, figures.led_back),
+        (
+            stats.moved_by_version,
+            stats.flaps,
+            stats.returned_too_early
+        ),
         (0, 0, 0),
-        "{figures:?}"
+        "{stats:?}"
     );
     // What is lost twice can't be known.
-    assert!(figures.flaps_by_loss <= 4, "{figures:?}");
+    assert!(stats.flaps_by_loss <= 4, "{stats:?}");
 }
 
 #[test]
-fn a_roll_over_two_minutes_keeps_everybody() {
+fn keeps_affinity_during_two_minute_rollout() {
     for seed in [1, 2, 3] {
-        let at = |process: usize| (120_000 + 30_000 * process as u64, Deed::Adopt(process, 1));
-        let figures = run("roll", seed, &[0, 1, 2, 3, 4].map(at));
-        holds(&figures);
+        let adopt = |process: usize| (120_000 + 30_000 * process as u64, Action::Adopt(process, 1));
+        let stats = run_scenario("roll", seed, &[0, 1, 2, 3, 4].map(adopt));
+        assert_affinity_kept(&stats);
         // What no longer holds is moved, at 40 a second over all.
-        assert!(figures.redealt > 200, "{figures:?}");
-        assert!(figures.most_redealt_in_10_s <= 400 + 80, "{figures:?}");
-        assert_eq!(figures.left_behind, 0, "{figures:?}");
+        assert!(stats.rebalanced > 200, "{stats:?}");
+        assert!(stats.max_rebalanced_in_10_s <= 400 + 80, "{stats:?}");
+        assert_eq!(stats.not_rebalanced, 0, "{stats:?}");
     }
 }
 
 #[test]
-fn a_rollback_keeps_everybody() {
+fn keeps_affinity_during_rollback() {
     for seed in [1, 2] {
-        let on =
-            [0, 1, 2].map(|process| (120_000 + 20_000 * process as u64, Deed::Adopt(process, 1)));
-        let back =
-            [0, 1, 2].map(|process| (190_000 + 20_000 * process as u64, Deed::Adopt(process, 0)));
-        holds(&run("rollback", seed, &[on, back].concat()));
+        let rollout =
+            [0, 1, 2].map(|process| (120_000 + 20_000 * process as u64, Action::Adopt(process, 1)));
+        let rollback =
+            [0, 1, 2].map(|process| (190_000 + 20_000 * process as u64, Action::Adopt(process, 0)));
+        assert_affinity_kept(&run_scenario(
+            "rollback",
+            seed,
+            &[rollout, rollback].concat(),
+        ));
     }
 }
 
 #[test]
-fn a_version_that_skips_one_keeps_everybody() {
+fn keeps_affinity_when_rollout_skips_version() {
     for seed in [1, 2] {
-        let first = [(120_000, Deed::Adopt(0, 1)), (130_000, Deed::Adopt(1, 1))];
-        let then = [2, 0, 3, 1, 4]
-            .map(|process| (140_000 + 20_000 * process as u64, Deed::Adopt(process, 2)));
-        holds(&run("skip", seed, &[&first[..], &then[..]].concat()));
+        let first = [
+            (120_000, Action::Adopt(0, 1)),
+            (130_000, Action::Adopt(1, 1)),
+        ];
+        let rest = [2, 0, 3, 1, 4]
+            .map(|process| (140_000 + 20_000 * process as u64, Action::Adopt(process, 2)));
+        assert_affinity_kept(&run_scenario(
+            "skip",
+            seed,
+            &[&first[..], &rest[..]].concat(),
+        ));
     }
 }
 
 #[test]
-fn a_process_that_dies_and_starts_with_the_old_version_in_the_middle_of_a_roll_turns_nothing_round()
-{
-    let at = |process: usize| (120_000 + 30_000 * process as u64, Deed::Adopt(process, 1));
-    let again = [(155_000, Deed::Die(4)), (158_000, Deed::Start(4, 0))];
-    holds(&run(
+fn restart_with_old_version_keeps_rollout() {
+    let adopt = |process: usize| (120_000 + 30_000 * process as u64, Action::Adopt(process, 1));
+    let restart = [(155_000, Action::Crash(4)), (158_000, Action::Start(4, 0))];
+    assert_affinity_kept(&run_scenario(
         "old start",
         1,
-        &[&again[..], &[0, 1, 2, 3, 4].map(at)[..]].concat(),
+        &[&restart[..], &[0, 1, 2, 3, 4].map(adopt)[..]].concat(),
     ));
 }
--- a/crates/affinity/tests/place.rs
+++ b/crates/affinity/tests/place.rs
@@ -5,195 +5,240 @@
 use beaconflow_affinity::*;
 use support::*;
 
-const ONE: u64 = 1;
+const CLIENT: u64 = 1;
 
 /// What becomes of a farm.
-type Change = fn(&mut Farm);
+type EndpointChange = fn(&mut TestEndpoints);
 
 /// A memory in which client 1 stood on `a` from T0 on, and its stamp.
-fn stood_on_a() -> (Memory, Stamp) {
-    let mut memory = memory(1);
-    let stamp = memory
-        .established(&client(ONE, None), tag("a"), T0)
+fn table_with_client_on_a() -> (PlacementTable, Stamp) {
+    let mut table = table(1);
+    let stamp = table
+        .record_established(&client(CLIENT, None), tag("a"), T0)
         .expect("room")
         .stamp;
-    (memory, stamp)
+    (table, stamp)
 }
 
 #[test]
-fn one_that_returns_gets_its_server_whatever_ended() {
-    for how in [How::Broke, How::Left, How::BalancerDied] {
-        let (mut memory, stamp) = stood_on_a();
-        memory
-            .ended(Key(ONE), stamp, how, T0 + 10)
+fn returns_client_to_its_server_after_any_end() {
+    for reason in [
+        EndReason::ConnectionLost,
+        EndReason::ClosedByClient,
+        EndReason::BalancerDied,
+    ] {
+        let (mut table, stamp) = table_with_client_on_a();
+        table
+            .record_ended(Key(CLIENT), stamp, reason, T0 + 10)
             .expect("it stood");
-        let advice = memory.place(&client(ONE, None), &Farm::of(&["a", "b"]), T0 + 20);
+        let advice = table.advise(
+            &client(CLIENT, None),
+            &TestEndpoints::all_ready(&["a", "b"]),
+            T0 + 20,
+        );
         assert_eq!(
             advice,
             Some(Advice {
                 server: tag("a"),
-                why: Why::SameServer,
-                under: Version(1)
+                reason: AdviceReason::SameServer,
+                config_version: Version(1)
             })
         );
     }
-    let (memory, _) = stood_on_a();
+    let (table, _) = table_with_client_on_a();
     assert_eq!(
-        memory.place(&client(2, None), &Farm::of(&["a"]), T0),
+        table.advise(&client(2, None), &TestEndpoints::all_ready(&["a"]), T0),
         None,
         "a newcomer is the rotation's"
     );
 }
 
 #[test]
-fn nobody_is_led_where_they_may_not_be() {
-    let (memory, _) = stood_on_a();
-    let cases: [(PlacementValidity, Change); 4] = [
-        (PlacementValidity::NotListed, |farm| {
-            farm.servers.retain(|server, _| *server != tag("a"))
+fn gives_no_advice_when_server_is_unavailable() {
+    let (table, _) = table_with_client_on_a();
+    let cases: [(PlacementValidity, EndpointChange); 4] = [
+        (PlacementValidity::NotListed, |endpoints| {
+            endpoints.servers.retain(|server, _| *server != tag("a"))
         }),
-        (PlacementValidity::NotReady, |farm| {
-            farm.at("a").is_ready = false
+        (PlacementValidity::NotReady, |endpoints| {
+            endpoints.server_mut("a").is_ready = false
         }),
-        (PlacementValidity::Void, |farm| {
-            farm.at("a").started_at = T0 + 1
+        (PlacementValidity::Void, |endpoints| {
+            endpoints.server_mut("a").started_at = T0 + 1
         }),
-        (PlacementValidity::NotPermitted, |farm| {
-            farm.barred = [tag("a")].into()
+        (PlacementValidity::NotPermitted, |endpoints| {
+            endpoints.forbidden = [tag("a")].into()
         }),
     ];
-    for (holds, change) in cases {
-        let mut farm = Farm::of(&["a", "b"]);
-        change(&mut farm);
+    for (validity, change) in cases {
+        let mut endpoints = TestEndpoints::all_ready(&["a", "b"]);
+        change(&mut endpoints);
+        assert_eq!(
+            table.validity(&client(CLIENT, None), &endpoints, T0 + 20),
+            Some(validity)
+        );
         assert_eq!(
-            memory.validity(&client(ONE, None), &farm, T0 + 20),
-            Some(holds)
+            table.advise(&client(CLIENT, None), &endpoints, T0 + 20),
+            None
         );
-        assert_eq!(memory.place(&client(ONE, None), &farm, T0 + 20), None);
     }
 }
 
 #[test]
-fn one_moved_off_a_leaving_server_goes_back_only_when_it_is_seen_ready_anew() {
-    let (mut memory, stamp) = stood_on_a();
-    memory
-        .ended(Key(ONE), stamp, How::MovedLeaving, T0 + 500)
+fn avoids_leaving_server_until_ready_again() {
+    let (mut table, stamp) = table_with_client_on_a();
+    table
+        .record_ended(
+            Key(CLIENT),
+            stamp,
+            EndReason::MigratedServerLeaving,
+            T0 + 500,
+        )
         .expect("it stood");
-    let mut farm = Farm::of(&["a", "b"]);
+    let mut endpoints = TestEndpoints::all_ready(&["a", "b"]);
     // This process has not heard that it leaves, nor does it for an hour.
     for later in [600, 60_000, 3_500_000] {
         assert_eq!(
-            memory.validity(&client(ONE, None), &farm, T0 + later),
+            table.validity(&client(CLIENT, None), &endpoints, T0 + later),
             Some(PlacementValidity::MovedOff)
         );
     }
-    farm.at("a").ready_since = T0 + 5_000;
+    endpoints.server_mut("a").ready_since = T0 + 5_000;
     assert_eq!(
-        advised(&memory, &client(ONE, None), &farm, T0 + 6_000),
-        Some((tag("a"), Why::SameServer))
+        advised(&table, &client(CLIENT, None), &endpoints, T0 + 6_000),
+        Some((tag("a"), AdviceReason::SameServer))
     );
 }
 
 #[test]
-fn one_moved_for_lateness_or_evenness_stays_away_for_a_span_also_from_its_groups_home() {
-    for how in [How::MovedLate, How::MovedUneven] {
-        let mut memory = memory(1);
-        let mate = |key| client(key, Some(7));
-        let stamp = memory
-            .established(&mate(ONE), tag("a"), T0)
+fn delays_return_after_migration_for_load() {
+    for reason in [
+        EndReason::MigratedSlowMessages,
+        EndReason::MigratedRebalancing,
+    ] {
+        let mut table = table(1);
+        let member = |key| client(key, Some(7));
+        let stamp = table
+            .record_established(&member(CLIENT), tag("a"), T0)
             .expect("room")
             .stamp;
-        memory.established(&mate(2), tag("a"), T0).expect("room");
-        memory.established(&mate(3), tag("b"), T0).expect("room");
-        memory
-            .ended(Key(ONE), stamp, how, T0 + 500)
+        table
+            .record_established(&member(2), tag("a"), T0)
+            .expect("room");
+        table
+            .record_established(&member(3), tag("b"), T0)
+            .expect("room");
+        table
+            .record_ended(Key(CLIENT), stamp, reason, T0 + 500)
             .expect("it stood");
-        let farm = Farm::of(&["a", "b"]);
+        let endpoints = TestEndpoints::all_ready(&["a", "b"]);
         assert_eq!(
-            advised(&memory, &mate(ONE), &farm, T0 + 60_900),
-            Some((tag("b"), Why::ReDealt))
+            advised(&table, &member(CLIENT), &endpoints, T0 + 60_900),
+            Some((tag("b"), AdviceReason::ReDealt))
         );
         assert_eq!(
-            advised(&memory, &mate(ONE), &farm, T0 + 61_000),
-            Some((tag("a"), Why::SameServer))
+            advised(&table, &member(CLIENT), &endpoints, T0 + 61_000),
+            Some((tag("a"), AdviceReason::SameServer))
         );
     }
 }
 
 #[test]
-fn a_group_has_its_home_where_most_of_it_is_among_ready_ones_with_room() {
-    let mut memory = memory(1);
+fn selects_ready_server_with_most_group_members() {
+    let mut table = table(1);
     let homes = [("a", 4), ("b", 3), ("c", 2)];
     let mut key = 10;
     for (server, count) in homes {
         for _ in 0..count {
-            memory
-                .established(&client(key, Some(7)), tag(server), T0)
+            table
+                .record_established(&client(key, Some(7)), tag(server), T0)
                 .expect("room");
             key += 1;
         }
     }
-    let mut farm = Farm::of(&["a", "b", "c"]);
-    let home = |memory: &Memory, farm: &Farm| advised(memory, &client(ONE, Some(7)), farm, T0 + 20);
-    assert_eq!(home(&memory, &farm), Some((tag("a"), Why::GroupHome)));
-    farm.at("a").is_ready = false;
-    assert_eq!(home(&memory, &farm), Some((tag("b"), Why::GroupHome)));
+    let mut endpoints = TestEndpoints::all_ready(&["a", "b", "c"]);
+    let home = |table: &PlacementTable, endpoints: &TestEndpoints| {
+        advised(table, &client(CLIENT, Some(7)), endpoints, T0 + 20)
+    };
+    assert_eq!(
+        home(&table, &endpoints),
+        Some((tag("a"), AdviceReason::GroupHome))
+    );
+    endpoints.server_mut("a").is_ready = false;
+    assert_eq!(
+        home(&table, &endpoints),
+        Some((tag("b"), AdviceReason::GroupHome))
+    );
     // Whoever was on `a` is dealt anew to where most of the group is.
     assert_eq!(
-        advised(&memory, &client(10, Some(7)), &farm, T0 + 20),
-        Some((tag("b"), Why::ReDealt))
+        advised(&table, &client(10, Some(7)), &endpoints, T0 + 20),
+        Some((tag("b"), AdviceReason::ReDealt))
     );
-    farm.barred.insert(tag("b"));
-    assert_eq!(home(&memory, &farm), Some((tag("c"), Why::GroupHome)));
+    endpoints.forbidden.insert(tag("b"));
     assert_eq!(
-        advised(&memory, &client(ONE, Some(8)), &farm, T0 + 20),
+        home(&table, &endpoints),
+        Some((tag("c"), AdviceReason::GroupHome))
+    );
+    assert_eq!(
+        advised(&table, &client(CLIENT, Some(8)), &endpoints, T0 + 20),
         None,
         "another group"
     );
     // `a` comes back anew: what it had of the group is gone, and what comes now counts.
-    *farm.at("a") = ServerNow {
+    *endpoints.server_mut("a") = ServerStatus {
         is_ready: true,
         ready_since: T0 + 50,
         started_at: T0 + 50,
     };
-    memory.restarted(tag("a"), T0 + 50);
-    assert_eq!(home(&memory, &farm), Some((tag("c"), Why::GroupHome)));
+    table.record_server_start(tag("a"), T0 + 50);
+    assert_eq!(
+        home(&table, &endpoints),
+        Some((tag("c"), AdviceReason::GroupHome))
+    );
     for key in 30..33 {
-        memory
-            .established(&client(key, Some(7)), tag("a"), T0 + 60)
+        table
+            .record_established(&client(key, Some(7)), tag("a"), T0 + 60)
             .expect("room");
     }
-    assert_eq!(home(&memory, &farm), Some((tag("a"), Why::GroupHome)));
+    assert_eq!(
+        home(&table, &endpoints),
+        Some((tag("a"), AdviceReason::GroupHome))
+    );
 }
 
 #[test]
-fn a_home_with_its_most_takes_no_more_and_ties_are_everybodys() {
-    let full = Limits {
-        home_most: 2,
+fn limits_group_size_and_breaks_ties_consistently() {
+    let limits_of_two = Limits {
+        max_group_per_server: 2,
         ..limits(100)
     };
     let names = ["a", "b", "c", "d"];
     let mut homes = Vec::new();
     for order in [[0, 1, 2, 3], [3, 1, 0, 2]] {
-        let mut memory = Memory::new(full, 1, 9);
+        let mut table = PlacementTable::new(limits_of_two, 1, 9);
         for at in order {
-            memory
-                .established(&client(at as u64, Some(7)), tag(names[at]), T0)
+            table
+                .record_established(&client(at as u64, Some(7)), tag(names[at]), T0)
                 .expect("room");
         }
         homes.push(advised(
-            &memory,
-            &client(ONE + 50, Some(7)),
-            &Farm::of(&names),
+            &table,
+            &client(CLIENT + 50, Some(7)),
+            &TestEndpoints::all_ready(&names),
             T0,
         ));
         for at in order {
-            memory
-                .established(&client(20 + at as u64, Some(7)), tag(names[at]), T0)
+            table
+                .record_established(&client(20 + at as u64, Some(7)), tag(names[at]), T0)
                 .expect("room");
         }
         assert_eq!(
-            advised(&memory, &client(ONE + 50, Some(7)), &Farm::of(&names), T0),
+            advised(
+                &table,
+                &client(CLIENT + 50, Some(7)),
+                &TestEndpoints::all_ready(&names),
+                T0
+            ),
             None
         );
     }
@@ -201,14 +246,17 @@
 }
 
 #[test]
-fn what_a_newer_version_dealt_is_not_the_older_ones_to_judge() {
+fn keeps_placement_made_under_newer_version() {
     // The old version has this tenant on `a`, the new one on `b`.
-    let (mut old, mut new) = (memory(1), memory(2));
-    let (mut old_farm, mut new_farm) = (Farm::of(&["a", "b"]), Farm::of(&["a", "b"]));
-    old_farm.barred.insert(tag("b"));
-    new_farm.barred.insert(tag("a"));
+    let (mut old, mut new) = (table(1), table(2));
+    let (mut old_endpoints, mut new_endpoints) = (
+        TestEndpoints::all_ready(&["a", "b"]),
+        TestEndpoints::all_ready(&["a", "b"]),
+    );
+    old_endpoints.forbidden.insert(tag("b"));
+    new_endpoints.forbidden.insert(tag("a"));
     let first = old
-        .established(&client(ONE, None), tag("a"), T0)
+        .record_established(&client(CLIENT, None), tag("a"), T0)
         .expect("room");
     new.adopt(Version(2), 0, T0 + 100);
     new.merge(&first, T0 + 100);
@@ -216,142 +264,161 @@
         new.merge_version(&fact, T0 + 100);
     }
     assert_eq!(
-        new.validity(&client(ONE, None), &new_farm, T0 + 100),
+        new.validity(&client(CLIENT, None), &new_endpoints, T0 + 100),
         Some(PlacementValidity::NotPermitted)
     );
-    let dealt = new
-        .established(&client(ONE, None), tag("b"), T0 + 110)
+    let placed = new
+        .record_established(&client(CLIENT, None), tag("b"), T0 + 110)
         .expect("room");
-    old.merge(&dealt, T0 + 120);
+    old.merge(&placed, T0 + 120);
     // Before the old process has heard of the version, and after; and after the client has stood through it.
     assert_eq!(
-        advised(&old, &client(ONE, None), &old_farm, T0 + 130),
-        Some((tag("b"), Why::SameServer))
+        advised(&old, &client(CLIENT, None), &old_endpoints, T0 + 130),
+        Some((tag("b"), AdviceReason::SameServer))
     );
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
         old.merge_version(&fact, T0 + 130);
     }
     for now in [T0 + 140, T0 + 5_000] {
         assert_eq!(
-            advised(&old, &client(ONE, None), &old_farm, now),
-            Some((tag("b"), Why::SameServer))
+            advised(&old, &client(CLIENT, None), &old_endpoints, now),
+            Some((tag("b"), AdviceReason::SameServer))
         );
-        let stood = old
-            .established(&client(ONE, None), tag("b"), now)
+        let established = old
+            .record_established(&client(CLIENT, None), tag("b"), now)
             .expect("room");
-        assert_eq!(stood.encode_version, Version(2));
+        assert_eq!(established.config_version, Version(2));
     }
     // It is taken back: the old version's rules hold again.
-    assert_eq!(new.adopt(Version(1), 0, T0 + 9_000), Adopted::Rollback);
+    assert_eq!(new.adopt(Version(1), 0, T0 + 9_000), AdoptOutcome::Rollback);
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
         old.merge_version(&fact, T0 + 9_000);
     }
     assert_eq!(
-        old.validity(&client(ONE, None), &old_farm, T0 + 9_100),
+        old.validity(&client(CLIENT, None), &old_endpoints, T0 + 9_100),
         Some(PlacementValidity::NotPermitted)
     );
 }
 
 #[test]
-fn placements_follow_a_server_that_is_renamed_also_in_a_process_that_lists_the_old_name() {
-    let (mut memory, _) = stood_on_a();
-    memory
-        .established(&client(2, Some(7)), tag("a"), T0)
+fn follows_renamed_server_under_either_name() {
+    let (mut table, _) = table_with_client_on_a();
+    table
+        .record_established(&client(2, Some(7)), tag("a"), T0)
         .expect("room");
-    memory.renamed(tag("a"), tag("z"));
-    let (old, new) = (Farm::of(&["a", "b"]), Farm::of(&["z", "b"]));
-    for (farm, name) in [(&old, "a"), (&new, "z")] {
+    table.rename_server(tag("a"), tag("z"));
+    let (old, new) = (
+        TestEndpoints::all_ready(&["a", "b"]),
+        TestEndpoints::all_ready(&["z", "b"]),
+    );
+    for (endpoints, name) in [(&old, "a"), (&new, "z")] {
         assert_eq!(
-            advised(&memory, &client(ONE, None), farm, T0 + 20),
-            Some((tag(name), Why::SameServer))
+            advised(&table, &client(CLIENT, None), endpoints, T0 + 20),
+            Some((tag(name), AdviceReason::SameServer))
         );
         assert_eq!(
-            advised(&memory, &client(3, Some(7)), farm, T0 + 20),
-            Some((tag(name), Why::GroupHome))
+            advised(&table, &client(3, Some(7)), endpoints, T0 + 20),
+            Some((tag(name), AdviceReason::GroupHome))
         );
     }
     // A peer that has yet to hear of it tells the old name; a second new name is followed too.
-    let mut peer = support::memory(2);
-    let told = peer
-        .established(&client(4, None), tag("a"), T0 + 5)
+    let mut peer = support::table(2);
+    let received = peer
+        .record_established(&client(4, None), tag("a"), T0 + 5)
         .expect("room");
-    memory.renamed(tag("z"), tag("zz"));
-    assert_eq!(memory.merge(&told, T0 + 10), MergeOutcome::New);
-    for key in [ONE, 4] {
+    table.rename_server(tag("z"), tag("zz"));
+    assert_eq!(table.merge(&received, T0 + 10), MergeOutcome::New);
+    for key in [CLIENT, 4] {
         assert_eq!(
-            memory.get(Key(key)).map(|placement| placement.server),
+            table.get(Key(key)).map(|placement| placement.server),
             Some(tag("zz"))
         );
     }
     // And back to the first: the names go round, and nothing is lost.
-    memory.renamed(tag("zz"), tag("a"));
+    table.rename_server(tag("zz"), tag("a"));
     assert_eq!(
-        advised(&memory, &client(ONE, None), &old, T0 + 20),
-        Some((tag("a"), Why::SameServer))
+        advised(&table, &client(CLIENT, None), &old, T0 + 20),
+        Some((tag("a"), AdviceReason::SameServer))
     );
 }
 
 #[test]
-fn an_end_is_of_the_connection_that_stood_and_of_no_later_one() {
-    let (mut memory, first) = stood_on_a();
-    let mut peer = support::memory(2);
+fn ignores_end_of_superseded_connection() {
+    let (mut table, first) = table_with_client_on_a();
+    let mut peer = support::table(2);
     // The peer's clock is a second slow; it has heard of the first connection, so that its own is later all the same.
-    peer.merge(&memory.get(Key(ONE)).expect("known"), T0);
+    peer.merge(&table.get(Key(CLIENT)).expect("known"), T0);
     let second = peer
-        .established(&client(ONE, None), tag("b"), T0 - 1_000)
+        .record_established(&client(CLIENT, None), tag("b"), T0 - 1_000)
         .expect("room");
-    assert_eq!(memory.merge(&second, T0 + 10), MergeOutcome::Newer);
+    assert_eq!(table.merge(&second, T0 + 10), MergeOutcome::Newer);
     assert_eq!(
-        memory.ended(Key(ONE), first, How::MovedLeaving, T0 + 20),
+        table.record_ended(
+            Key(CLIENT),
+            first,
+            EndReason::MigratedServerLeaving,
+            T0 + 20
+        ),
         None
     );
     assert_eq!(
-        memory.get(Key(ONE)).map(|now| (now.server, now.state)),
-        Some((tag("b"), State::Established))
+        table.get(Key(CLIENT)).map(|now| (now.server, now.state)),
+        Some((tag("b"), PlacementState::Established))
     );
 }
 
 #[test]
-fn clients_of_one_key_are_not_all_led_to_one_server() {
-    let (one, two) = (client(ONE, None), Farm::of(&["a", "b"]));
-    let mut memories = [memory(1), memory(2)];
-    let mut led = 0;
+fn stops_advising_when_key_is_shared() {
+    let (shared_client, endpoints) = (client(CLIENT, None), TestEndpoints::all_ready(&["a", "b"]));
+    let mut tables = [table(1), table(2)];
+    let mut advised_count = 0;
     for at in 0..1_000 {
         let now = T0 + at * 10;
-        let advice = memories[at as usize % 2].place(&one, &two, now);
-        led += u32::from(advice.is_some());
-        let fact = memories[at as usize % 2]
-            .established(&one, tag("a"), now)
+        let advice = tables[at as usize % 2].advise(&shared_client, &endpoints, now);
+        advised_count += u32::from(advice.is_some());
+        let fact = tables[at as usize % 2]
+            .record_established(&shared_client, tag("a"), now)
             .expect("room");
-        memories[1 - at as usize % 2].merge(&fact, now);
+        tables[1 - at as usize % 2].merge(&fact, now);
     }
-    assert_eq!(led, 5);
+    assert_eq!(advised_count, 5);
     // Whoever of them ends last is led back; and all are, one by one, when the process that they stood through died.
     assert_eq!(
-        memories[0].validity(&one, &two, T0 + 10_000),
+        tables[0].validity(&shared_client, &endpoints, T0 + 10_000),
         Some(PlacementValidity::Shared)
     );
-    memories[0].balancer_died(2);
+    tables[0].record_balancer_death(2);
     assert_eq!(
-        memories[0].validity(&one, &two, T0 + 10_000),
+        tables[0].validity(&shared_client, &endpoints, T0 + 10_000),
         Some(PlacementValidity::Yes)
     );
-    let fact = memories[0]
-        .established(&one, tag("a"), T0 + 10_010)
+    let fact = tables[0]
+        .record_established(&shared_client, tag("a"), T0 + 10_010)
         .expect("room");
-    assert_eq!(fact.twins, 0);
-    let fact = memories[1].get(Key(ONE)).expect("held");
-    memories[1]
-        .ended(Key(ONE), fact.stamp, How::Broke, T0 + 10_020)
+    assert_eq!(fact.overlap_count, 0);
+    let fact = tables[1].get(Key(CLIENT)).expect("held");
+    tables[1]
+        .record_ended(
+            Key(CLIENT),
+            fact.stamp,
+            EndReason::ConnectionLost,
+            T0 + 10_020,
+        )
         .expect("it stood");
     assert_eq!(
-        memories[1].validity(&one, &two, T0 + 10_030),
+        tables[1].validity(&shared_client, &endpoints, T0 + 10_030),
         Some(PlacementValidity::Yes)
     );
 }
 
 #[test]
-fn names_of_accounts_and_clients_do_not_run_together() {
-    assert_ne!(Key::named("ab", "c"), Key::named("a", "bc"));
-    assert_ne!(Key::named("1", "1:a"), Key::named("11", ":a"));
+fn separates_account_and_client_names_in_key() {
+    assert_ne!(
+        Key::for_nats_client("ab", "c"),
+        Key::for_nats_client("a", "bc")
+    );
+    assert_ne!(
+        Key::for_nats_client("1", "1:a"),
+        Key::for_nats_client("11", ":a")
+    );
 }
--- a/crates/affinity/tests/support/fleet.rs
+++ b/crates/affinity/tests/support/fleet.rs
@@ -11,41 +11,41 @@
 const CLIENTS: usize = 10_000;
 const PROCESSES: usize = 5;
 const SERVERS: usize = 13;
-const LOST: f64 = 0.05;
+const MESSAGE_LOSS_PROBABILITY: f64 = 0.05;
 /// Moves a second over all processes that a version may cause.
-pub const REDEALT_PER_S: f64 = 40.0;
+pub const REBALANCED_PER_S: f64 = 40.0;
 
 /// What is done to the fleet.
 #[derive(Clone, Copy, Debug)]
-pub enum Deed {
+pub enum Action {
     Adopt(usize, usize),
-    Die(usize),
+    Crash(usize),
     Start(usize, usize),
     Drain(usize),
     Restart(usize),
-    Cut(bool),
+    SetPartition(bool),
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deed(Deed),
+    Action(Action),
     Arrive(usize),
-    End(usize, Stamp, How),
+    End(usize, Stamp, EndReason),
     Placement(usize, Placement),
     Version(usize, VersionFact),
-    Seen(usize, usize, ServerNow),
-    Serve(usize),
-    Redeal,
-    Repair,
+    ServerUpdate(usize, usize, ServerStatus),
+    StartServing(usize),
+    Rebalance,
+    AntiEntropy,
 }
 
 /// What came of it.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Stats {
     /// Returns of clients whose server stands and is theirs by the newest version.
-    pub returns_owed: u64,
+    pub expected_returns: u64,
     /// Of these, those that got it.
-    pub landed: u64,
+    pub successful_returns: u64,
     /// Of these, those that did not though the process knew where they had stood, and the newest version it had heard
     /// of has them there.
     pub moved_by_version: u64,
@@ -54,19 +54,19 @@
     /// Those that went back to the server before because word of the last one was lost or late.
     pub flaps_by_loss: u64,
     /// Those that were advised the server that they had just been moved off, by a process that knew.
-    pub led_back: u64,
+    pub returned_too_early: u64,
     /// The same by one that did not.
-    pub led_back_by_loss: u64,
-    pub redealt: usize,
-    pub most_redealt_in_10_s: usize,
+    pub returned_too_early_by_loss: u64,
+    pub rebalanced: usize,
+    pub max_rebalanced_in_10_s: usize,
     /// Those that stand, at the end, where the newest version has them no longer.
-    pub left_behind: usize,
+    pub not_rebalanced: usize,
 }
 
 /// Three configurations. The second bars server 2, renames 3, has no zone west (7), gives tenant 1 other servers and
 /// deals to 12; the third gives tenant 2 a set too. Classes and weights are a matter of the rotation.
 fn name(config: usize, server: usize) -> Tag {
-    Tag::of(&if config > 0 && server == 3 {
+    Tag::from_name(&if config > 0 && server == 3 {
         "renamed".into()
     } else {
         format!("server-{server}")
@@ -88,25 +88,25 @@
 }
 
 struct Process {
-    memory: Memory,
+    table: PlacementTable,
     config: usize,
-    serves: bool,
-    alive: bool,
+    is_serving: bool,
+    is_alive: bool,
     origin: u64,
-    seen: Vec<ServerNow>,
-    recent: VecDeque<(Millis, Placement)>,
+    server_status: Vec<ServerStatus>,
+    recent_facts: VecDeque<(Millis, Placement)>,
     cursor: u32,
-    redeal: Rebalancer,
+    rebalancer: Rebalancer,
 }
 
 /// A process's view.
-struct View<'a>(&'a Process);
+struct ProcessView<'a>(&'a Process);
 
-impl EndpointView for View<'_> {
-    fn server(&self, server: Tag) -> Option<ServerNow> {
+impl EndpointView for ProcessView<'_> {
+    fn server(&self, server: Tag) -> Option<ServerStatus> {
         (0..SERVERS)
             .find(|id| name(self.0.config, *id) == server)
-            .map(|id| self.0.seen[id])
+            .map(|id| self.0.server_status[id])
     }
 
     fn permits(&self, client: &Client, server: Tag) -> bool {
@@ -116,27 +116,27 @@
 }
 
 #[derive(Clone, Copy, Default)]
-struct Stands {
+struct ClientState {
     process: Option<usize>,
     server: Option<usize>,
-    before: Option<usize>,
+    previous_server: Option<usize>,
     stamp: Option<Stamp>,
-    moved: bool,
+    was_migrated: bool,
 }
 
 pub struct Fleet {
     now: Millis,
     events: BTreeMap<(Millis, u64), Event>,
-    count: u64,
+    event_count: u64,
     rng: Pcg64Mcg,
     processes: Vec<Process>,
-    servers: Vec<ServerNow>,
-    clients: Vec<Stands>,
-    is_cut: bool,
-    newest: usize,
-    moves: Vec<Millis>,
-    dead: Vec<u64>,
-    figures: Figures,
+    servers: Vec<ServerStatus>,
+    clients: Vec<ClientState>,
+    is_partitioned: bool,
+    newest_config: usize,
+    moved_at: Vec<Millis>,
+    dead_origins: Vec<u64>,
+    stats: Stats,
 }
 
 fn client(id: usize) -> Client {
@@ -148,39 +148,39 @@
     }
 }
 
-fn process(origin: u64, config: usize, now: Millis, servers: &[ServerNow]) -> Process {
+fn process(origin: u64, config: usize, now: Millis, servers: &[ServerStatus]) -> Process {
     let bound = Bound {
         entries: CLIENTS + 1_000,
         bytes: usize::MAX,
     };
-    let mut memory = Memory::new(
+    let mut table = PlacementTable::new(
         Limits {
             bound,
             ttl_s: 3_600,
-            away_s: 60,
-            home_most: 8,
+            return_delay_s: 60,
+            max_group_per_server: 8,
         },
         origin,
         origin,
     );
-    memory.adopt(version(config), 0, now);
+    table.adopt(version(config), 0, now);
     Process {
-        memory,
+        table,
         config,
-        serves: true,
-        alive: true,
+        is_serving: true,
+        is_alive: true,
         origin,
-        seen: servers.to_vec(),
-        recent: VecDeque::new(),
+        server_status: servers.to_vec(),
+        recent_facts: VecDeque::new(),
         cursor: 0,
-        redeal: Rebalancer::new(REDEALT_PER_S, PROCESSES as u32, origin),
+        rebalancer: Rebalancer::new(REBALANCED_PER_S, PROCESSES as u32, origin),
     }
 }
 
 impl Fleet {
     pub fn new(seed: u64) -> Fleet {
         let servers = vec![
-            ServerNow {
+            ServerStatus {
                 is_ready: true,
                 ready_since: 0,
                 started_at: 0
@@ -190,392 +190,425 @@
         Fleet {
             now: T0,
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             processes: (0..PROCESSES)
                 .map(|at| process(at as u64, 0, T0, &servers))
                 .collect(),
             servers,
-            clients: vec![Stands::default(); CLIENTS],
-            is_cut: false,
-            newest: 0,
-            moves: Vec::new(),
-            dead: Vec::new(),
-            figures: Figures::default(),
+            clients: vec![ClientState::default(); CLIENTS],
+            is_partitioned: false,
+            newest_config: 0,
+            moved_at: Vec::new(),
+            dead_origins: Vec::new(),
+            stats: Stats::default(),
         }
     }
 
-    pub fn play(mut self, script: Vec<(u64, Deed)>, span: Millis) -> Figures {
+    pub fn run(mut self, script: Vec<(u64, Action)>, run_ms: Millis) -> Stats {
         script
             .into_iter()
-            .for_each(|(at, deed)| self.after(at, Event::Deed(deed)));
+            .for_each(|(at, action)| self.schedule(at, Event::Action(action)));
         for id in 0..CLIENTS {
             let at = self.rng.random_range(0..10_000);
-            self.after(at, Event::Arrive(id));
+            self.schedule(at, Event::Arrive(id));
         }
-        self.after(0, Event::Redeal);
-        self.after(500, Event::Repair);
+        self.schedule(0, Event::Rebalance);
+        self.schedule(500, Event::AntiEntropy);
         while let Some(((at, _), event)) = self.events.pop_first() {
-            if at > T0 + span {
+            if at > T0 + run_ms {
                 break;
             }
             self.now = at;
             self.handle(event);
         }
-        let newest = self.newest;
+        let newest_config = self.newest_config;
         let ids = (0..CLIENTS).filter(|id| self.clients[*id].process.is_some());
-        let barred = |id: &usize| {
+        let forbidden = |id: &usize| {
             let server = self.clients[*id].server.expect("it stands");
-            !permits(newest, client(*id).tenant.unwrap_or(0), server)
+            !permits(newest_config, client(*id).tenant.unwrap_or(0), server)
         };
-        self.figures.left_behind = ids.filter(barred).count();
-        self.figures.redealt = self.moves.len();
-        let within = |from: &Millis| {
-            self.moves
+        self.stats.not_rebalanced = ids.filter(forbidden).count();
+        self.stats.rebalanced = self.moved_at.len();
+        let moves_in_10_s = |from: &Millis| {
+            self.moved_at
                 .iter()
                 .filter(|at| (*from..from + 10_000).contains(at))
                 .count()
         };
-        self.figures.most_redealt_in_10_s = self.moves.iter().map(within).max().unwrap_or(0);
-        self.figures
+        self.stats.max_rebalanced_in_10_s =
+            self.moved_at.iter().map(moves_in_10_s).max().unwrap_or(0);
+        self.stats
     }
 
-    fn after(&mut self, span: Millis, event: Event) {
-        self.count += 1;
-        self.events.insert((self.now + span, self.count), event);
+    fn schedule(&mut self, delay: Millis, event: Event) {
+        self.event_count += 1;
+        self.events
+            .insert((self.now + delay, self.event_count), event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Deed(deed) => self.act(deed),
-            Event::Arrive(id) => self.arrive(id),
-            Event::End(id, stamp, how) if self.clients[id].stamp == Some(stamp) => {
-                self.end(id, how)
+            Event::Action(action) => self.apply_action(action),
+            Event::Arrive(id) => self.connect(id),
+            Event::End(id, stamp, reason) if self.clients[id].stamp == Some(stamp) => {
+                self.end_connection(id, reason)
             }
             Event::End(..) => {}
-            Event::Placement(to, fact) => self.hear(to, &fact),
+            Event::Placement(to, fact) => self.receive(to, &fact),
             Event::Version(to, fact) => {
-                self.processes[to].memory.merge_version(&fact, self.now);
+                self.processes[to].table.merge_version(&fact, self.now);
             }
-            Event::Seen(process, server, now) => self.processes[process].seen[server] = now,
-            Event::Serve(process) => self.processes[process].serves = true,
-            Event::Redeal => self.redeal(),
-            Event::Repair => self.repair(),
+            Event::ServerUpdate(process, server, status) => {
+                self.processes[process].server_status[server] = status
+            }
+            Event::StartServing(process) => self.processes[process].is_serving = true,
+            Event::Rebalance => self.rebalance(),
+            Event::AntiEntropy => self.run_anti_entropy(),
         }
     }
 
     /// Whether a message gets through, and when.
-    fn passes(&mut self, from: usize, to: usize) -> Option<Millis> {
-        let is_cut = self.is_cut && (from < 2) != (to < 2);
-        let is_lost = self.rng.random_bool(LOST) || is_cut || !self.processes[to].alive;
+    fn delivery_delay(&mut self, from: usize, to: usize) -> Option<Millis> {
+        let crosses_partition = self.is_partitioned && (from < 2) != (to < 2);
+        let is_lost = self.rng.random_bool(MESSAGE_LOSS_PROBABILITY)
+            || crosses_partition
+            || !self.processes[to].is_alive;
         (!is_lost).then(|| self.rng.random_range(10..150))
     }
 
-    fn tell(&mut self, from: usize, fact: Placement) {
-        self.processes[from].recent.push_back((self.now, fact));
+    fn publish(&mut self, from: usize, fact: Placement) {
+        self.processes[from]
+            .recent_facts
+            .push_back((self.now, fact));
         for to in (0..PROCESSES).filter(|to| *to != from) {
-            if let Some(span) = self.passes(from, to) {
-                self.after(span, Event::Placement(to, fact));
+            if let Some(delay) = self.delivery_delay(from, to) {
+                self.schedule(delay, Event::Placement(to, fact));
             }
         }
     }
 
-    fn hear(&mut self, to: usize, fact: &Placement) {
+    fn receive(&mut self, to: usize, fact: &Placement) {
         let process = &mut self.processes[to];
         if matches!(
-            process.memory.merge(fact, self.now),
+            process.table.merge(fact, self.now),
             MergeOutcome::New | MergeOutcome::Newer
         ) {
-            process.recent.push_back((self.now, *fact));
+            process.recent_facts.push_back((self.now, *fact));
         }
     }
 
     /// Each second: what is new to one peer, a page from another, versions and names to all.
-    fn repair(&mut self) {
+    fn run_anti_entropy(&mut self) {
         for from in (0..PROCESSES)
-            .filter(|from| self.processes[*from].alive)
+            .filter(|from| self.processes[*from].is_alive)
             .collect::<Vec<_>>()
         {
             let now = self.now;
             let process = &mut self.processes[from];
-            process.recent.retain(|(at, _)| at + 5_000 > now);
-            let mut facts: Vec<Placement> = process.recent.iter().map(|(_, fact)| *fact).collect();
-            let (page, next) = process.memory.page(process.cursor, 500);
+            process.recent_facts.retain(|(at, _)| at + 5_000 > now);
+            let mut facts: Vec<Placement> =
+                process.recent_facts.iter().map(|(_, fact)| *fact).collect();
+            let (page, next) = process.table.page(process.cursor, 500);
             process.cursor = next.unwrap_or(0);
             facts.extend(page);
-            process.memory.still_runs(now);
-            let versions: Vec<VersionFact> = process.memory.versions().facts().copied().collect();
+            process.table.refresh_current_version(now);
+            let versions: Vec<VersionFact> = process.table.versions().facts().copied().collect();
             let is_renamed = process.config > 0;
             let to = (from + self.rng.random_range(1..PROCESSES)) % PROCESSES;
             for fact in facts {
-                if let Some(span) = self.passes(from, to) {
-                    self.after(span, Event::Placement(to, fact));
+                if let Some(delay) = self.delivery_delay(from, to) {
+                    self.schedule(delay, Event::Placement(to, fact));
                 }
             }
             for to in (0..PROCESSES).filter(|to| *to != from) {
                 for fact in &versions {
-                    if let Some(span) = self.passes(from, to) {
-                        self.after(span, Event::Version(to, *fact));
+                    if let Some(delay) = self.delivery_delay(from, to) {
+                        self.schedule(delay, Event::Version(to, *fact));
                     }
                 }
-                if is_renamed && self.passes(from, to).is_some() {
-                    self.processes[to].memory.renamed(name(0, 3), name(1, 3));
+                if is_renamed && self.delivery_delay(from, to).is_some() {
+                    self.processes[to]
+                        .table
+                        .rename_server(name(0, 3), name(1, 3));
                 }
             }
         }
-        self.after(1_000, Event::Repair);
+        self.schedule(1_000, Event::AntiEntropy);
     }
 
-    fn act(&mut self, deed: Deed) {
-        match deed {
-            Deed::Adopt(at, config) => self.adopt(at, config),
-            Deed::Cut(is_cut) => self.is_cut = is_cut,
-            Deed::Die(at) => {
-                (self.processes[at].alive, self.processes[at].serves) = (false, false);
+    fn apply_action(&mut self, action: Action) {
+        match action {
+            Action::Adopt(at, config) => self.adopt(at, config),
+            Action::SetPartition(is_partitioned) => self.is_partitioned = is_partitioned,
+            Action::Crash(at) => {
+                (self.processes[at].is_alive, self.processes[at].is_serving) = (false, false);
                 for id in (0..CLIENTS)
                     .filter(|id| self.clients[*id].process == Some(at))
                     .collect::<Vec<_>>()
                 {
-                    self.end(id, How::BalancerDied);
+                    self.end_connection(id, EndReason::BalancerDied);
                 }
             }
-            Deed::Start(at, config) => self.start(at, config),
-            Deed::Drain(server) => {
+            Action::Start(at, config) => self.start_process(at, config),
+            Action::Drain(server) => {
                 self.servers[server].is_ready = false;
-                self.show(server);
+                self.publish_server_status(server);
                 for id in (0..CLIENTS)
                     .filter(|id| self.clients[*id].server == Some(server))
                     .collect::<Vec<_>>()
                 {
                     if let Some(stamp) = self.clients[id].stamp {
-                        let span = self.rng.random_range(1_500..6_000);
-                        self.after(span, Event::End(id, stamp, How::MovedLeaving));
+                        let delay = self.rng.random_range(1_500..6_000);
+                        self.schedule(
+                            delay,
+                            Event::End(id, stamp, EndReason::MigratedServerLeaving),
+                        );
                     }
                 }
             }
-            Deed::Restart(server) => {
+            Action::Restart(server) => {
                 let now = self.now;
-                self.servers[server] = ServerNow {
+                self.servers[server] = ServerStatus {
                     is_ready: true,
                     ready_since: now,
                     started_at: now,
                 };
-                self.show(server);
+                self.publish_server_status(server);
             }
         }
     }
 
     /// Processes see a change of the list within a second and a half, each at its own time.
-    fn show(&mut self, server: usize) {
+    fn publish_server_status(&mut self, server: usize) {
         for process in 0..PROCESSES {
-            let span = self.rng.random_range(20..1_500);
-            self.after(span, Event::Seen(process, server, self.servers[server]));
+            let delay = self.rng.random_range(20..1_500);
+            self.schedule(
+                delay,
+                Event::ServerUpdate(process, server, self.servers[server]),
+            );
         }
     }
 
     fn adopt(&mut self, at: usize, config: usize) {
-        let before = self.processes[at].config;
+        let old_config = self.processes[at].config;
         let process = &mut self.processes[at];
         process.config = config;
-        process.memory.adopt(version(config), 0, self.now);
-        process.memory.renamed(name(before, 3), name(config, 3));
-        self.newest = config;
-        let facts: Vec<VersionFact> = process.memory.versions().facts().copied().collect();
+        process.table.adopt(version(config), 0, self.now);
+        process
+            .table
+            .rename_server(name(old_config, 3), name(config, 3));
+        self.newest_config = config;
+        let facts: Vec<VersionFact> = process.table.versions().facts().copied().collect();
         for to in (0..PROCESSES).filter(|to| *to != at) {
             for fact in &facts {
-                if let Some(span) = self.passes(at, to) {
-                    self.after(span, Event::Version(to, *fact));
+                if let Some(delay) = self.delivery_delay(at, to) {
+                    self.schedule(delay, Event::Version(to, *fact));
                 }
             }
         }
         let process = &self.processes[at];
-        let view = View(process);
-        let moved = |id: &usize| {
+        let view = ProcessView(process);
+        let must_move = |id: &usize| {
             self.clients[*id].process == Some(at)
-                && process.memory.validity(&client(*id), &view, self.now)
+                && process.table.validity(&client(*id), &view, self.now)
                     == Some(PlacementValidity::NotPermitted)
         };
-        let moved: Vec<_> = (0..CLIENTS)
-            .filter(moved)
+        let clients: Vec<_> = (0..CLIENTS)
+            .filter(must_move)
             .map(|id| (client(id).key, client(id).group))
             .collect();
-        self.processes[at].redeal.begin(moved);
+        self.processes[at].rebalancer.set_pending(clients);
     }
 
     /// It hears its peers before it serves.
-    fn start(&mut self, at: usize, config: usize) {
-        let origin = 100 + self.count;
+    fn start_process(&mut self, at: usize, config: usize) {
+        let origin = 100 + self.event_count;
         self.processes[at] = process(origin, config, self.now, &self.servers);
-        self.processes[at].serves = false;
-        self.dead
+        self.processes[at].is_serving = false;
+        self.dead_origins
             .iter()
-            .for_each(|dead| self.processes[at].memory.balancer_died(*dead));
+            .for_each(|dead| self.processes[at].table.record_balancer_death(*dead));
         for from in (0..PROCESSES)
             .filter(|from| *from != at)
             .take(2)
             .collect::<Vec<_>>()
         {
-            let (all, _) = self.processes[from].memory.page(0, usize::MAX);
-            for fact in all {
-                if let Some(span) = self.passes(from, at) {
-                    self.after(span, Event::Placement(at, fact));
+            let (facts, _) = self.processes[from].table.page(0, usize::MAX);
+            for fact in facts {
+                if let Some(delay) = self.delivery_delay(from, at) {
+                    self.schedule(delay, Event::Placement(at, fact));
                 }
             }
         }
-        self.after(2_000, Event::Serve(at));
+        self.schedule(2_000, Event::StartServing(at));
     }
 
-    fn redeal(&mut self) {
+    fn rebalance(&mut self) {
         for at in 0..PROCESSES {
-            for key in self.processes[at].redeal.take_permitted(self.now) {
+            for key in self.processes[at].rebalancer.take_permitted(self.now) {
                 let id = key.0 as usize;
                 if self.clients[id].process == Some(at) {
-                    self.moves.push(self.now);
-                    self.end(id, How::MovedLeaving);
+                    self.moved_at.push(self.now);
+                    self.end_connection(id, EndReason::MigratedServerLeaving);
                 }
             }
         }
-        self.after(100, Event::Redeal);
+        self.schedule(100, Event::Rebalance);
     }
 
-    fn end(&mut self, id: usize, how: How) {
-        let stands = &mut self.clients[id];
-        let (Some(at), Some(stamp)) = (stands.process.take(), stands.stamp) else {
+    fn end_connection(&mut self, id: usize, reason: EndReason) {
+        let client_state = &mut self.clients[id];
+        let (Some(at), Some(stamp)) = (client_state.process.take(), client_state.stamp) else {
             return;
         };
-        stands.moved = matches!(how, How::MovedLeaving | How::MovedLate | How::MovedUneven);
-        if self.processes[at].alive
+        client_state.was_migrated = matches!(
+            reason,
+            EndReason::MigratedServerLeaving
+                | EndReason::MigratedSlowMessages
+                | EndReason::MigratedRebalancing
+        );
+        if self.processes[at].is_alive
             && let Some(fact) =
                 self.processes[at]
-                    .memory
-                    .ended(client(id).key, stamp, how, self.now)
+                    .table
+                    .record_ended(client(id).key, stamp, reason, self.now)
         {
-            self.tell(at, fact);
+            self.publish(at, fact);
         }
-        let span = self.rng.random_range(100..2_000);
-        self.after(span, Event::Arrive(id));
+        let delay = self.rng.random_range(100..2_000);
+        self.schedule(delay, Event::Arrive(id));
     }
 
-    fn arrive(&mut self, id: usize) {
+    fn connect(&mut self, id: usize) {
         let serving: Vec<usize> = (0..PROCESSES)
-            .filter(|at| self.processes[*at].serves)
+            .filter(|at| self.processes[*at].is_serving)
             .collect();
         let at = serving[self.rng.random_range(0..serving.len())];
-        let (client, had) = (client(id), self.clients[id]);
+        let (client, last) = (client(id), self.clients[id]);
         let process = &self.processes[at];
-        let advice = process.memory.place(&client, &View(process), self.now);
+        let advice = process
+            .table
+            .advise(&client, &ProcessView(process), self.now);
         let advised = advice.and_then(|advice| {
             (0..SERVERS).find(|server| name(process.config, *server) == advice.server)
         });
         let known = process
-            .memory
+            .table
             .get(client.key)
-            .filter(|known| Some(known.stamp) == had.stamp);
-        let newest = self.newest_known(at);
+            .filter(|known| Some(known.stamp) == last.stamp);
+        let newest_config = self.newest_known(at);
         let server = match advised.filter(|server| self.servers[*server].is_ready) {
             Some(server) => server,
-            None => self.in_turn(
+            None => self.pick_by_rotation(
                 at,
                 client.tenant.unwrap_or(0),
-                had.server.filter(|_| had.moved),
+                last.server.filter(|_| last.was_migrated),
             ),
         };
-        self.judge(
+        self.record_return(
             id,
             server,
             advised,
-            known.map(|known| (known.state, newest)),
+            known.map(|known| (known.state, newest_config)),
         );
-        self.stand(id, at, server);
+        self.establish(id, at, server);
     }
 
     /// The newest version that a process has heard of.
     fn newest_known(&self, at: usize) -> usize {
-        let versions = self.processes[at].memory.versions();
+        let versions = self.processes[at].table.versions();
         let known = (0..3).filter(|config| versions.get(version(*config)).is_some());
-        let newer =
-            |one: usize, two: usize| versions.is_newer(version(two), version(one), self.now);
+        let newer = |first: usize, second: usize| {
+            versions.is_newer(version(second), version(first), self.now)
+        };
         known
-            .reduce(|one, two| if newer(one, two) { two } else { one })
+            .reduce(|first, second| if newer(first, second) { second } else { first })
             .expect("its own")
     }
 
     /// Counts a return. What the process knew is how the client's last connection is, and the newest version.
-    fn judge(
+    fn record_return(
         &mut self,
         id: usize,
-        got: usize,
+        server: usize,
         advised: Option<usize>,
-        known: Option<(State, usize)>,
+        known: Option<(PlacementState, usize)>,
     ) {
-        let (had, figures) = (self.clients[id], &mut self.figures);
-        let (Some(last), Some(stamp)) = (had.server, had.stamp) else {
+        let (last, stats) = (self.clients[id], &mut self.stats);
+        let (Some(last_server), Some(stamp)) = (last.server, last.stamp) else {
             return;
         };
-        if had.moved {
-            let is_back = u64::from(advised == Some(last));
+        if last.was_migrated {
+            let is_early = u64::from(advised == Some(last_server));
             match known {
-                Some((State::Ended(_), _)) => figures.led_back += is_back,
-                _ => figures.led_back_by_loss += is_back,
+                Some((PlacementState::Ended(_), _)) => stats.returned_too_early += is_early,
+                _ => stats.returned_too_early_by_loss += is_early,
             }
             return;
         }
-        let (now, tenant) = (self.servers[last], client(id).tenant.unwrap_or(0));
-        if !now.is_ready || now.started_at > stamp.at() || !permits(self.newest, tenant, last) {
+        let (status, tenant) = (self.servers[last_server], client(id).tenant.unwrap_or(0));
+        if !status.is_ready
+            || status.started_at > stamp.timestamp_ms()
+            || !permits(self.newest_config, tenant, last_server)
+        {
             return;
         }
-        let is_flap = u64::from(got != last && had.before == Some(got));
-        figures.returns_owed += 1;
-        figures.landed += u64::from(got == last);
-        if known.is_some_and(|(_, newest)| permits(newest, tenant, last)) {
-            figures.moved_by_version += u64::from(got != last);
-            figures.flaps += is_flap;
+        let is_flap = u64::from(server != last_server && last.previous_server == Some(server));
+        stats.expected_returns += 1;
+        stats.successful_returns += u64::from(server == last_server);
+        if known.is_some_and(|(_, newest_config)| permits(newest_config, tenant, last_server)) {
+            stats.moved_by_version += u64::from(server != last_server);
+            stats.flaps += is_flap;
         } else {
-            figures.flaps_by_loss += is_flap;
+            stats.flaps_by_loss += is_flap;
         }
     }
 
     /// The rotation: any ready server that the configuration permits. Before the second one, 12 gets nothing.
-    fn in_turn(&mut self, at: usize, tenant: u64, not: Option<usize>) -> usize {
+    fn pick_by_rotation(&mut self, at: usize, tenant: u64, excluded: Option<usize>) -> usize {
         let config = self.processes[at].config;
-        let fits = |server: &usize| {
+        let is_candidate = |server: &usize| {
             self.servers[*server].is_ready
                 && permits(config, tenant, *server)
-                && Some(*server) != not
+                && Some(*server) != excluded
                 && (config > 0 || *server != 12)
         };
-        let open: BTreeSet<usize> = (0..SERVERS).filter(fits).collect();
-        let turn = self.rng.random_range(0..open.len());
-        open.into_iter().nth(turn).expect("some are always ready")
+        let candidates: BTreeSet<usize> = (0..SERVERS).filter(is_candidate).collect();
+        let index = self.rng.random_range(0..candidates.len());
+        candidates
+            .into_iter()
+            .nth(index)
+            .expect("some are always ready")
     }
 
-    fn stand(&mut self, id: usize, at: usize, server: usize) {
+    fn establish(&mut self, id: usize, at: usize, server: usize) {
         let process = &mut self.processes[at];
         let fact = process
-            .memory
-            .established(&client(id), name(process.config, server), self.now)
+            .table
+            .record_established(&client(id), name(process.config, server), self.now)
             .expect("room");
-        let had = self.clients[id];
-        let before = if had.server == Some(server) {
-            had.before
+        let last = self.clients[id];
+        let previous_server = if last.server == Some(server) {
+            last.previous_server
         } else {
-            had.server
+            last.server
         };
-        self.clients[id] = Stands {
+        self.clients[id] = ClientState {
             process: Some(at),
             server: Some(server),
-            before,
+            previous_server,
             stamp: Some(fact.stamp),
-            moved: false,
+            was_migrated: false,
         };
-        self.tell(at, fact);
-        let how = match self.rng.random_range(0..20) {
-            0 => How::MovedLate,
-            1 | 2 => How::MovedUneven,
-            3..6 => How::Left,
-            _ => How::Broke,
+        self.publish(at, fact);
+        let reason = match self.rng.random_range(0..20) {
+            0 => EndReason::MigratedSlowMessages,
+            1 | 2 => EndReason::MigratedRebalancing,
+            3..6 => EndReason::ClosedByClient,
+            _ => EndReason::ConnectionLost,
         };
-        let span = -60_000.0 * self.rng.random_range(1e-9..1.0_f64).ln();
-        self.after(span as Millis, Event::End(id, fact.stamp, how));
+        let delay = -60_000.0 * self.rng.random_range(1e-9..1.0_f64).ln();
+        self.schedule(delay as Millis, Event::End(id, fact.stamp, reason));
     }
 }
--- a/crates/affinity/tests/support/mod.rs
+++ b/crates/affinity/tests/support/mod.rs
@@ -10,7 +10,7 @@
 pub const T0: Millis = 1_800_000_000_000;
 
 pub fn tag(name: &str) -> Tag {
-    Tag::of(name)
+    Tag::from_name(name)
 }
 
 pub fn client(key: u64, group: Option<u64>) -> Client {
@@ -29,56 +29,61 @@
     Limits {
         bound,
         ttl_s: 3_600,
-        away_s: 60,
-        home_most: 1_000,
+        return_delay_s: 60,
+        max_group_per_server: 1_000,
     }
 }
 
 /// A process's memory under version 1.
-pub fn memory(origin: u64) -> Memory {
-    let mut memory = Memory::new(limits(10_000), origin, 9);
-    memory.adopt(Version(1), 0, T0);
-    memory
+pub fn table(origin: u64) -> PlacementTable {
+    let mut table = PlacementTable::new(limits(10_000), origin, 9);
+    table.adopt(Version(1), 0, T0);
+    table
 }
 
 /// Servers as listed, and those that the configuration does not permit.
 #[derive(Clone, Default)]
-pub struct Farm {
-    pub servers: BTreeMap<Tag, ServerNow>,
-    pub barred: BTreeSet<Tag>,
+pub struct TestEndpoints {
+    pub servers: BTreeMap<Tag, ServerStatus>,
+    pub forbidden: BTreeSet<Tag>,
 }
 
-impl Farm {
-    pub fn of(names: &[&str]) -> Farm {
-        let ready = ServerNow {
+impl TestEndpoints {
+    pub fn all_ready(names: &[&str]) -> TestEndpoints {
+        let ready = ServerStatus {
             is_ready: true,
             ready_since: 0,
             started_at: 0,
         };
-        Farm {
+        TestEndpoints {
             servers: names.iter().map(|name| (tag(name), ready)).collect(),
-            barred: BTreeSet::new(),
+            forbidden: BTreeSet::new(),
         }
     }
 
-    pub fn at(&mut self, name: &str) -> &mut ServerNow {
+    pub fn server_mut(&mut self, name: &str) -> &mut ServerStatus {
         self.servers.get_mut(&tag(name)).expect("listed")
     }
 }
 
-impl EndpointView for Farm {
-    fn server(&self, server: Tag) -> Option<ServerNow> {
+impl EndpointView for TestEndpoints {
+    fn server(&self, server: Tag) -> Option<ServerStatus> {
         self.servers.get(&server).copied()
     }
 
     fn permits(&self, _: &Client, server: Tag) -> bool {
-        !self.barred.contains(&server)
+        !self.forbidden.contains(&server)
     }
 }
 
 /// What a client is advised, in short.
-pub fn advised(memory: &Memory, client: &Client, farm: &Farm, now: Millis) -> Option<(Tag, Why)> {
-    memory
-        .place(client, farm, now)
-        .map(|advice| (advice.server, advice.why))
+pub fn advised(
+    table: &PlacementTable,
+    client: &Client,
+    endpoints: &TestEndpoints,
+    now: Millis,
+) -> Option<(Tag, AdviceReason)> {
+    table
+        .advise(client, endpoints, now)
+        .map(|advice| (advice.server, advice.reason))
 }
--- a/crates/balancer/src/core/affinity.rs
+++ b/crates/balancer/src/core/affinity.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{
-    Client, EndpointView, Group, How, Key, Memory, Millis, Placement, ServerNow, Stamp, Tag,
-    Version, VersionFact,
+    Client, EndReason, EndpointView, Group, Key, Millis, Placement, PlacementTable, ServerStatus,
+    Stamp, Tag, Version, VersionFact,
 };
 use beaconflow_policy::{AttemptOutcome, MigrationReason, Pin, ServerId};
 use tracing::{debug, error, info};
@@ -22,7 +22,7 @@
 
 /// Session affinity of one core.
 pub struct SessionAffinity {
-    memory: Memory,
+    memory: PlacementTable,
     /// Placements of the connections established here.
     established: BTreeMap<u64, (Key, Stamp)>,
     /// Interval at which placements and the running version are published again.
@@ -32,7 +32,7 @@
 impl SessionAffinity {
     /// Creates session affinity over a memory that runs a version; a placement is remembered for
     /// `life` after it was last published.
-    pub fn new(memory: Memory, life: Duration) -> SessionAffinity {
+    pub fn new(memory: PlacementTable, life: Duration) -> SessionAffinity {
         let refresh_interval = (life / 4).clamp(Duration::from_secs(1), Duration::from_secs(100));
         SessionAffinity {
             memory,
@@ -56,7 +56,7 @@
 }
 
 impl EndpointView for EndpointRegistry {
-    fn server(&self, server: Tag) -> Option<ServerNow> {
+    fn server(&self, server: Tag) -> Option<ServerStatus> {
         self.affinity_target(server.0)
     }
 
@@ -99,14 +99,14 @@
     /// The affinity pin of a request.
     pub(super) fn affinity_pin(&mut self, id: u64, client_request: &ClientRequest) -> Option<Pin> {
         let client = affinity_client(client_request)?;
-        let advice =
-            self.with_affinity(|ties, endpoints, now| ties.memory.place(&client, endpoints, now))??;
+        let advice = self
+            .with_affinity(|ties, endpoints, now| ties.memory.advise(&client, endpoints, now))??;
         let server = self.endpoints.by_hash(advice.server.0)?;
         let name = self
             .endpoints
             .endpoint(server)
             .map(|server| server.name.to_string());
-        debug!(part = "affinity", request = id, server = name, why = ?advice.why, under = %advice.under, "led back");
+        debug!(part = "affinity", request = id, server = name, why = ?advice.reason, under = %advice.config_version, "led back");
         Some(Pin {
             server: Some(server),
             strict: false,
@@ -126,7 +126,10 @@
             return;
         };
         let placed = self.with_affinity(|ties, _, now| {
-            let placed = ties.memory.established(&client, Tag(tag), now).ok()?;
+            let placed = ties
+                .memory
+                .record_established(&client, Tag(tag), now)
+                .ok()?;
             ties.established.insert(id, (placed.key, placed.stamp));
             Some(placed)
         });
@@ -134,10 +137,10 @@
     }
 
     /// Records the end of a connection or its migration.
-    pub(super) fn end_placement(&mut self, id: u64, how: How) {
+    pub(super) fn end_placement(&mut self, id: u64, how: EndReason) {
         let ended = self.with_affinity(|ties, _, now| {
             let (key, stamp) = ties.established.remove(&id)?;
-            ties.memory.ended(key, stamp, how, now)
+            ties.memory.record_ended(key, stamp, how, now)
         });
         self.publish_placement(ended.flatten());
     }
@@ -161,7 +164,7 @@
     pub(super) fn record_server_starts(&mut self) {
         self.with_affinity(|ties, endpoints, _| {
             for (tag, started_at) in endpoints.starts() {
-                ties.memory.restarted(Tag(tag), started_at);
+                ties.memory.record_server_start(Tag(tag), started_at);
             }
         });
     }
@@ -183,7 +186,7 @@
                 });
             }
             AffinityEvent::BalancerDied(origin) => {
-                self.with_affinity(|ties, _, _| ties.memory.balancer_died(origin));
+                self.with_affinity(|ties, _, _| ties.memory.record_balancer_death(origin));
             }
             AffinityEvent::VersionAdopted(version, serial) => {
                 let adopted =
@@ -198,7 +201,7 @@
 
     fn publish_version(&mut self) {
         let runs = self
-            .with_affinity(|ties, _, now| ties.memory.still_runs(now))
+            .with_affinity(|ties, _, now| ties.memory.refresh_current_version(now))
             .flatten();
         self.publish(|_| runs.map(CoreEvent::VersionRuns));
     }
@@ -224,19 +227,19 @@
 }
 
 /// How a migration ends a placement.
-pub(super) fn end_by_migration(why: MigrationReason) -> How {
+pub(super) fn end_by_migration(why: MigrationReason) -> EndReason {
     match why {
-        MigrationReason::ServerLeaving => How::MovedLeaving,
-        MigrationReason::SlowMessages => How::MovedLate,
-        MigrationReason::Rebalancing | MigrationReason::SlowStart => How::MovedUneven,
+        MigrationReason::ServerLeaving => EndReason::MigratedServerLeaving,
+        MigrationReason::SlowMessages => EndReason::MigratedSlowMessages,
+        MigrationReason::Rebalancing | MigrationReason::SlowStart => EndReason::MigratedRebalancing,
     }
 }
 
 /// How the end of a connection ends a placement.
-pub(super) fn end_by_outcome(outcome: AttemptOutcome) -> How {
+pub(super) fn end_by_outcome(outcome: AttemptOutcome) -> EndReason {
     if outcome == AttemptOutcome::Served {
-        How::Left
+        EndReason::ClosedByClient
     } else {
-        How::Broke
+        EndReason::ConnectionLost
     }
 }
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -5,7 +5,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-use beaconflow_affinity::ServerNow;
+use beaconflow_affinity::ServerStatus;
 use beaconflow_overrides::{Id, Judgement, Millis, ServerAdjustment, Set, Strictness, assess};
 use beaconflow_policy::{Nanos, Pin, ServerEntry, ServerId, ServerState, ZoneId};
 use beaconflow_settings::digest;
@@ -298,14 +298,14 @@
     }
 
     /// What session affinity has to know of a server.
-    pub(super) fn affinity_target(&self, tag: u64) -> Option<ServerNow> {
+    pub(super) fn affinity_target(&self, tag: u64) -> Option<ServerStatus> {
         let known = self.servers.get(self.by_hash(tag)?.0 as usize)?;
         let (is_ready, ready_since) = (
             known.effective.state == ServerState::Ready,
             known.ready_since.unwrap_or(0),
         );
         let started_at = known.listed.started_at / 1_000_000;
-        Some(ServerNow {
+        Some(ServerStatus {
             is_ready,
             ready_since,
             started_at,
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_affinity::How;
+use beaconflow_affinity::EndReason;
 use beaconflow_overrides::{Id, Millis, Override, Pace, Set};
 use beaconflow_policy::{self as policy, RequestId};
 use crossbeam_channel::Sender;
@@ -191,7 +191,7 @@
             wait = wait.min(Duration::from_millis(pace.wait()));
         }
         for id in moved {
-            self.end_placement(id, How::MovedLeaving);
+            self.end_placement(id, EndReason::MigratedServerLeaving);
             self.migrate(id, "an operator empties its server");
         }
         self.set_timer(wait.max(MIN_MIGRATION_INTERVAL), TimerKind::EmptyServers);
--- a/crates/balancer/src/fleet/records.rs
+++ b/crates/balancer/src/fleet/records.rs
@@ -3,7 +3,9 @@
 
 use std::net::SocketAddr;
 
-use beaconflow_affinity::{Group, Key, Placement, Stamp, State, Tag, Version, VersionFact};
+use beaconflow_affinity::{
+    Group, Key, Placement, PlacementState, Stamp, Tag, Version, VersionFact,
+};
 use beaconflow_store::memory::Record;
 use prost::Message;
 
@@ -168,7 +170,7 @@
 
 /// Encodes a placement, stored under its client key.
 pub(super) fn encode_placement(placement: &Placement) -> Vec<u8> {
-    let Version(version) = placement.encode_version;
+    let Version(version) = placement.config_version;
     PlacementRecord {
         server: placement.server.0,
         group: placement.group.map(|group| group.0),
@@ -176,8 +178,8 @@
         version_low: version as u64,
         stamp: placement.stamp.0,
         seen_s: placement.seen_s,
-        state: placement.state.byte().into(),
-        replicas: placement.twins.into(),
+        state: placement.state.to_byte().into(),
+        replicas: placement.overlap_count.into(),
     }
     .encode_to_vec()
 }
@@ -186,27 +188,27 @@
 pub(super) fn decode_placement(key: &[u8], bytes: &[u8]) -> Option<Placement> {
     let read = PlacementRecord::decode(bytes).ok()?;
     let key = u64::from_be_bytes(key.try_into().ok()?);
-    let state = State::of(u8::try_from(read.state).ok()?);
-    let twins = u8::try_from(read.replicas).unwrap_or(u8::MAX);
+    let state = PlacementState::from_byte(u8::try_from(read.state).ok()?);
+    let overlap_count = u8::try_from(read.replicas).unwrap_or(u8::MAX);
     Some(Placement {
         key: Key(key),
         group: read.group.map(Group),
         server: Tag(read.server),
-        encode_version: Version(u128::from(read.version_high) << 64 | u128::from(read.version_low)),
+        config_version: Version(u128::from(read.version_high) << 64 | u128::from(read.version_low)),
         stamp: Stamp(read.stamp),
         seen_s: read.seen_s,
         state,
-        twins,
+        overlap_count,
     })
 }
 
 /// Encodes a version of the configuration, stored under its digest.
 pub(super) fn version(fact: &VersionFact) -> Vec<u8> {
     let VersionFact {
-        reign: term,
+        term,
         serial,
-        since,
-        runs,
+        adopted_at: since,
+        last_run_at: runs,
         ..
     } = *fact;
     VersionRecord {
@@ -229,10 +231,10 @@
     let version = Version(u128::from_be_bytes(digest.try_into().ok()?));
     Some(VersionFact {
         version,
-        reign: term,
+        term,
         serial,
-        since,
-        runs,
+        adopted_at: since,
+        last_run_at: runs,
     })
 }
 
--- a/crates/balancer/src/fleet/records/tests.rs
+++ b/crates/balancer/src/fleet/records/tests.rs
@@ -1,4 +1,4 @@
-use beaconflow_affinity::How;
+use beaconflow_affinity::EndReason;
 
 use super::*;
 
@@ -23,19 +23,19 @@
     let (read, life) = decode_list(&kept).expect("whole");
     assert_eq!((format!("{read:?}"), life), (format!("{whole:?}"), 2));
     for state in [
-        State::Established,
-        State::Ended(How::Broke),
-        State::Ended(How::MovedUneven),
+        PlacementState::Established,
+        PlacementState::Ended(EndReason::ConnectionLost),
+        PlacementState::Ended(EndReason::MigratedRebalancing),
     ] {
         let placed = Placement {
             key: Key(u64::MAX - 1),
             group: Some(Group(7)),
             server: Tag(9),
-            encode_version: Version(u128::MAX - 5),
+            config_version: Version(u128::MAX - 5),
             stamp: Stamp(1 << 63),
             seen_s: 12,
             state,
-            twins: 2,
+            overlap_count: 2,
         };
         let (key, bytes) = (placed.key.0.to_be_bytes(), encode_placement(&placed));
         assert_eq!(decode_placement(&key, &bytes), Some(placed));
@@ -45,10 +45,10 @@
     }
     let fact = VersionFact {
         version: Version(4),
-        reign: 1,
+        term: 1,
         serial: 2,
-        since: 3,
-        runs: 4,
+        adopted_at: 3,
+        last_run_at: 4,
     };
     assert_eq!(
         decode_version(&4_u128.to_be_bytes(), &version(&fact)),
@@ -79,18 +79,18 @@
         key: Key(5),
         group: Some(Group(7)),
         server: Tag(9),
-        encode_version: Version(1 << 64 | 11),
+        config_version: Version(1 << 64 | 11),
         stamp: Stamp(13),
         seen_s: 12,
-        state: State::Ended(How::MovedLeaving),
-        twins: 2,
+        state: PlacementState::Ended(EndReason::MigratedServerLeaving),
+        overlap_count: 2,
     };
     let fact = VersionFact {
         version: Version(4),
-        reign: 1,
+        term: 1,
         serial: 2,
-        since: 3,
-        runs: 4,
+        adopted_at: 3,
+        last_run_at: 4,
     };
     let written = [
         encode_list(
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use beaconflow_affinity::{Bound, Class, Limits, Memory as Placements, Routing, Server, Version};
+use beaconflow_affinity::{
+    Bound, Class, Limits, PlacementTable as Placements, Routing, Server, Version,
+};
 use beaconflow_gossip::{Change, FactStore, Origin};
 use beaconflow_membership::{self as peers, Configuration, Key, Keys, Node, Profile, driver};
 use beaconflow_policy::Settings;
@@ -127,11 +129,11 @@
             bytes: usize::MAX,
         },
         ttl_s: u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX),
-        away_s: AFFINITY_SUSPENSION_S,
-        home_most: 0,
+        return_delay_s: AFFINITY_SUSPENSION_S,
+        max_group_per_server: 0,
     };
     let mut memory = Placements::new(limits, placement_origin(&file.name, boot), driver::random());
-    memory.balancer_died(placement_origin(&file.name, boot.saturating_sub(1)));
+    memory.record_balancer_death(placement_origin(&file.name, boot.saturating_sub(1)));
     for fact in &restored.versions {
         memory.merge_version(fact, now);
     }
@@ -159,7 +161,7 @@
         zone: server.zone.clone(),
         weight: server.weight,
         address: server.address.to_string(),
-        was: None,
+        previous_name: None,
     };
     let servers = match endpoints {
         Some(EndpointSource::Servers(servers)) => servers.iter().map(server).collect(),
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -2,8 +2,8 @@
 //! configurations that are rolled over the balancers.
 
 use beaconflow_affinity::{
-    Bound, Client, EndpointView, Group, How, Key, Limits, Memory, Placement, Rebalancer, ServerNow,
-    Stamp, Tag, Version, VersionFact,
+    Bound, Client, EndReason, EndpointView, Group, Key, Limits, Placement, PlacementTable,
+    Rebalancer, ServerStatus, Stamp, Tag, Version, VersionFact,
 };
 use beaconflow_gossip::{Change, FactStore, Subject, Value};
 use beaconflow_policy::{ListUpdate, MigrationReason, Pin, ServerId, ServerState};
@@ -26,7 +26,7 @@
 
 /// What a balancer knows of placements.
 pub(super) struct Places {
-    memory: Memory,
+    memory: PlacementTable,
     /// Since when it has seen each gateway ready.
     ready_since: Vec<Option<u64>>,
     stamps: FxHashMap<u64, Stamp>,
@@ -43,10 +43,10 @@
 }
 
 impl EndpointView for View<'_> {
-    fn server(&self, server: Tag) -> Option<ServerNow> {
+    fn server(&self, server: Tag) -> Option<ServerStatus> {
         let at = self.all.gateway(server)? as usize;
         let known = self.all.all[self.runs].gateways[at].is_some_and(|(tag, _)| tag == server);
-        known.then(|| ServerNow {
+        known.then(|| ServerStatus {
             is_ready: self.places.ready_since[at].is_some(),
             ready_since: self.places.ready_since[at].unwrap_or(0),
             started_at: self.started[at],
@@ -77,14 +77,14 @@
         let limits = Limits {
             bound,
             ttl_s: 3_600,
-            away_s: 60,
-            home_most: 64,
+            return_delay_s: 60,
+            max_group_per_server: 64,
         };
-        let mut memory = Memory::new(limits, origin, origin);
+        let mut memory = PlacementTable::new(limits, origin, origin);
         let runs = self.hosts[balancer as usize].runs;
         memory.adopt(self.configurations.all[runs].version, 0, wall);
         // Its own former life is over.
-        memory.balancer_died(self::origin(balancer, start - 1));
+        memory.record_balancer_death(self::origin(balancer, start - 1));
         self.hosts[balancer as usize].places = Some(Places {
             memory,
             ready_since: vec![Some(0); self.machines.len()],
@@ -136,7 +136,7 @@
         };
         let advice = places
             .memory
-            .place(&self.client_of(client), &view, mesh::wall(self.now))?;
+            .advise(&self.client_of(client), &view, mesh::wall(self.now))?;
         let server = self.configurations.gateway(advice.server).map(ServerId);
         Some(Pin {
             server,
@@ -154,7 +154,7 @@
         let Some(places) = &mut self.hosts[balancer as usize].places else {
             return;
         };
-        if let Ok(placed) = places.memory.established(&who, tag, wall) {
+        if let Ok(placed) = places.memory.record_established(&who, tag, wall) {
             places.stamps.insert(request, placed.stamp);
             self.publish_placement(balancer, &placed);
         }
@@ -188,7 +188,7 @@
     }
 
     /// A connection through a balancer has ended.
-    pub(super) fn is_gone(&mut self, balancer: u32, request: u64, client: u64, how: How) {
+    pub(super) fn is_gone(&mut self, balancer: u32, request: u64, client: u64, how: EndReason) {
         let wall = mesh::wall(self.now);
         let Some(key) = self.clients.get(&client).map(|one| Key(one.key)) else {
             return;
@@ -199,7 +199,7 @@
         let Some(stamp) = places.stamps.remove(&request) else {
             return;
         };
-        if let Some(ended) = places.memory.ended(key, stamp, how, wall) {
+        if let Some(ended) = places.memory.record_ended(key, stamp, how, wall) {
             self.publish_placement(balancer, &ended);
         }
     }
@@ -228,7 +228,7 @@
         let Some(places) = &mut self.hosts[balancer as usize].places else {
             return;
         };
-        places.memory.still_runs(wall);
+        places.memory.refresh_current_version(wall);
         let facts: Vec<VersionFact> = places.memory.versions().facts().copied().collect();
         let Some(knowledge) = self.knowledge(balancer) else {
             return;
@@ -270,7 +270,7 @@
     /// A balancer's peers find that another life of a balancer is over.
     pub(super) fn on_balancer_died(&mut self, balancer: u32, of: u32, boot: u64) {
         if let Some(places) = &mut self.hosts[balancer as usize].places {
-            places.memory.balancer_died(origin(of, boot));
+            places.memory.record_balancer_death(origin(of, boot));
         }
     }
 
@@ -292,7 +292,7 @@
             places.memory.adopt(version, 0, wall);
             renames
                 .iter()
-                .for_each(|(old, new)| places.memory.renamed(*old, *new));
+                .for_each(|(old, new)| places.memory.rename_server(*old, *new));
             self.publish_versions(balancer);
             self.start_rebalancing(balancer);
         }
@@ -324,7 +324,7 @@
             .collect();
         places
             .rebalancer
-            .begin(barred.into_iter().map(|(key, group, _)| (key, group)));
+            .set_pending(barred.into_iter().map(|(key, group, _)| (key, group)));
     }
 
     /// Each second: those due are dealt anew, and what runs is told again.
@@ -394,10 +394,10 @@
     ] {
         bytes.extend_from_slice(&word.to_le_bytes());
     }
-    bytes.extend_from_slice(&placed.encode_version.0.to_le_bytes());
+    bytes.extend_from_slice(&placed.config_version.0.to_le_bytes());
     bytes.extend_from_slice(&[
-        placed.state.byte(),
-        placed.twins,
+        placed.state.to_byte(),
+        placed.overlap_count,
         u8::from(placed.group.is_some()),
     ]);
     bytes
@@ -415,18 +415,18 @@
 
 fn decode(bytes: &[u8]) -> Option<Placement> {
     let ([key, group, server, stamp, seen_s, low, high], rest) = decode_u64s(bytes)?;
-    let [state, twins, has_group] = *rest else {
+    let [state, overlap_count, has_group] = *rest else {
         return None;
     };
     Some(Placement {
         key: Key(key),
         group: (has_group == 1).then_some(Group(group)),
         server: Tag(server),
-        encode_version: Version(u128::from(high) << 64 | u128::from(low)),
+        config_version: Version(u128::from(high) << 64 | u128::from(low)),
         stamp: Stamp(stamp),
         seen_s: seen_s as u32,
-        state: beaconflow_affinity::State::of(state),
-        twins,
+        state: beaconflow_affinity::PlacementState::from_byte(state),
+        overlap_count,
     })
 }
 
@@ -435,22 +435,22 @@
     let words = [
         low,
         high,
-        u64::from(fact.reign),
+        u64::from(fact.term),
         fact.serial,
-        fact.since,
-        fact.runs,
+        fact.adopted_at,
+        fact.last_run_at,
     ];
     words.iter().flat_map(|word| word.to_le_bytes()).collect()
 }
 
 fn decode_version(bytes: &[u8]) -> Option<VersionFact> {
-    let ([low, high, reign, serial, since, runs], _) = decode_u64s(bytes)?;
+    let ([low, high, term, serial, adopted_at, last_run_at], _) = decode_u64s(bytes)?;
     let version = Version(u128::from(high) << 64 | u128::from(low));
     Some(VersionFact {
         version,
-        reign: reign as u32,
+        term: term as u32,
         serial,
-        since,
-        runs,
+        adopted_at,
+        last_run_at,
     })
 }
--- a/crates/simulator/src/engine/balancers.rs
+++ b/crates/simulator/src/engine/balancers.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use beaconflow_affinity::How;
+use beaconflow_affinity::EndReason;
 use beaconflow_policy::{
     Action, AttemptOutcome, Event, ListUpdate, MigrationReason, ServerEntry, ServerId, ServerState,
     ZoneId,
@@ -114,9 +114,11 @@
             MigrationReason::Rebalancing | MigrationReason::SlowStart
         ));
         let how = match why {
-            MigrationReason::ServerLeaving => How::MovedLeaving,
-            MigrationReason::SlowMessages => How::MovedLate,
-            MigrationReason::Rebalancing | MigrationReason::SlowStart => How::MovedUneven,
+            MigrationReason::ServerLeaving => EndReason::MigratedServerLeaving,
+            MigrationReason::SlowMessages => EndReason::MigratedSlowMessages,
+            MigrationReason::Rebalancing | MigrationReason::SlowStart => {
+                EndReason::MigratedRebalancing
+            }
         };
         self.is_gone(one.balancer, request, one.client, how);
         if let Some(had) = self
--- a/crates/simulator/src/engine/clients.rs
+++ b/crates/simulator/src/engine/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: what they want, when they try again, and how their connections end.
 
-use beaconflow_affinity::How;
+use beaconflow_affinity::EndReason;
 use beaconflow_policy::{AttemptEnd, AttemptOutcome, ConnectionMetric, Event, RequestId};
 
 use super::{Engine, Occurrence, Phase, Request};
@@ -132,7 +132,7 @@
         if flooding {
             self.wants(one.client);
         } else {
-            self.is_gone(one.balancer, request, one.client, How::Left);
+            self.is_gone(one.balancer, request, one.client, EndReason::ClosedByClient);
             self.clients.remove(&one.client);
         }
         self.tell_ended(&one, request, AttemptOutcome::Served);
@@ -160,7 +160,7 @@
         };
         self.measures.at(self.now).cut += 1;
         if !by_balancer {
-            self.is_gone(one.balancer, request, one.client, How::Broke);
+            self.is_gone(one.balancer, request, one.client, EndReason::ConnectionLost);
             self.tell_ended(&one, request, AttemptOutcome::Reset);
         }
         self.comes_back(one.client);
@@ -172,7 +172,7 @@
             return;
         };
         self.measures.at(self.now).cut += 1;
-        self.is_gone(one.balancer, request, one.client, How::Left);
+        self.is_gone(one.balancer, request, one.client, EndReason::ClosedByClient);
         self.tell_ended(&one, request, AttemptOutcome::Served);
         self.comes_back(one.client);
     }
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -88,7 +88,7 @@
         Some(Server {
             name: name.clone()?,
             weight: weights[at],
-            was,
+            previous_name: was,
             ..Server::default()
         })
     };
@@ -104,7 +104,9 @@
     weights: &[f64],
     before: &Routing,
 ) -> Configured {
-    let tag = |(at, name): (usize, &Option<String>)| Some((Tag::of(name.as_deref()?), weights[at]));
+    let tag = |(at, name): (usize, &Option<String>)| {
+        Some((Tag::from_name(name.as_deref()?), weights[at]))
+    };
     let changed = |(at, name): (usize, &Option<String>)| {
         name.as_deref().is_some_and(|name| name != format!("g{at}"))
     };
@@ -114,7 +116,7 @@
         renamed: names.iter().enumerate().map(changed).collect(),
         renames: renames(before, routing)
             .iter()
-            .map(|(old, new)| (Tag::of(old), Tag::of(new)))
+            .map(|(old, new)| (Tag::from_name(old), Tag::from_name(new)))
             .collect(),
     }
 }
