--- a/crates/affinity/benches/memory.rs
+++ b/crates/affinity/benches/memory.rs
@@ -1,5 +1,6 @@
-//! What the memory costs at 1,000, 100,000 and 1,000,000 placements: a look-up, a merge of news, a merge of what is
-//! known, a merge at the bound, where another placement gives way. Keys come in an order that no cache foresees.
+//! Cost of the placement table at 1,000, 100,000 and 1,000,000 placements: a look-up, a merge of a
+//! newer fact, a merge of a known fact, and a merge at capacity, which evicts another placement.
+//! Keys come in an order that defeats caches.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -29,7 +30,7 @@
     }
 }
 
-/// A walk over all numbers below `count`, in an order of its own.
+/// Visits all numbers below `count` in a scattered order.
 struct ShuffledNumbers {
     at: u64,
     count: u64,
@@ -42,7 +43,7 @@
     }
 }
 
-/// The fact of a client, in a group of five, that stood so many milliseconds after the start.
+/// The placement of a client in a group of five, made `after` milliseconds after the start.
 fn fact(number: u64, after: Millis) -> Placement {
     Placement {
         key: Key(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
@@ -82,7 +83,7 @@
     table
 }
 
-/// See the file's head.
+/// Runs the benchmarks at each table size.
 fn main() {
     let mut criterion = Criterion::default()
         .measurement_time(Duration::from_secs(4))
@@ -122,7 +123,7 @@
         let mut after = 600_000;
         group.bench_function(BenchmarkId::new("merge_newer", count), |bencher| {
             bencher.iter(|| {
-                // A quarter of a millisecond each: 4,000 facts a second.
+                // A quarter of a millisecond per fact: 4,000 facts a second.
                 after += u64::from(numbers.at.is_multiple_of(4));
                 black_box(table.merge(&fact(numbers.next(), after), NOW + after))
             });
--- a/crates/affinity/src/advice.rs
+++ b/crates/affinity/src/advice.rs
@@ -1,4 +1,4 @@
-//! Where a client that arrives is led, if anywhere.
+//! Selects the server that an arriving client is advised to use, if any.
 
 use std::fmt;
 
@@ -8,103 +8,113 @@
 use crate::versions::Version;
 use crate::{Group, Key, Millis, Tag, mix64};
 
-/// A client as it arrives.
+/// An arriving client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Client {
-    /// Which client.
+    /// The client, equal at every process.
     pub key: Key,
-    /// Its group.
+    /// The group of the client, if it has one.
     pub group: Option<Group>,
-    /// A hash of its tenant's name.
+    /// A hash of the name of the tenant, if the client has one.
     pub tenant: Option<u64>,
 }
 
-/// What a process knows of a listed server now.
+/// The state of a listed server as this process knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// It takes new work: it neither drains nor is it out or gone.
+    /// Whether the server accepts new connections: it is neither draining, ejected nor removed.
     pub is_ready: bool,
-    /// Since when this process has seen it ready without a break; 0 if always.
+    /// The time since which this process has seen the server ready without interruption; 0 if
+    /// always.
     pub ready_since: Millis,
-    /// When it last started; 0 if long ago.
+    /// The time of the last known start of the server; 0 if it started long ago.
     pub started_at: Millis,
 }
 
-/// The farm as this process sees it, under the version that it runs.
+/// The servers as this process sees them, under the version of the configuration that it runs.
 pub trait EndpointView {
-    /// A listed server.
+    /// The status of a server; `None` if the server is not listed.
     fn server(&self, server: Tag) -> Option<ServerStatus>;
-    /// Whether the configuration has this client on this server: zone, tenant's set of servers, class.
+    /// Whether the configuration permits the client on the server, by zone, by the set of servers
+    /// of the tenant and by class.
     fn permits(&self, client: &Client, server: Tag) -> bool;
 }
 
-/// Why a server is advised.
+/// The reason for which a server is advised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdviceReason {
-    /// The client had it.
+    /// The previous placement of the client is on this server and still valid.
     SameServer,
-    /// Most of its group is there; the client was nowhere.
+    /// Most of the group is on this server, and the client has no previous placement.
     GroupHome,
-    /// Most of its group is there; where the client was no longer holds.
+    /// Most of the group is on this server, and the previous placement of the client is no longer
+    /// valid.
     ReDealt,
 }
 
 impl fmt::Display for AdviceReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            AdviceReason::SameServer => "it had this server",
-            AdviceReason::GroupHome => "its group is there",
-            AdviceReason::ReDealt => "dealt anew, to its group",
+            AdviceReason::SameServer => "the client was last placed on this server",
+            AdviceReason::GroupHome => "most of its group is on this server",
+            AdviceReason::ReDealt => {
+                "its previous placement is no longer valid, and most of its group is on this server"
+            }
         })
     }
 }
 
-/// A server for a client: a wish, as a pin that is not strict.
+/// The server that a client should get: a preference, applied as a pin that is not strict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Advice {
-    /// Which one.
+    /// The advised server, by the name under which it is listed.
     pub server: Tag,
-    /// Why.
+    /// The rule that selected the server.
     pub reason: AdviceReason,
-    /// The version that it was dealt under; for a group's home the one that this process runs.
+    /// The version of the configuration under which the placement was made; for a group home, the
+    /// version that this process runs.
     pub config_version: Version,
 }
 
-/// Whether a placement holds.
+/// Whether a placement is still valid, or the first reason why it is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementValidity {
-    /// It does.
+    /// The placement is valid.
     Yes,
-    /// Its server is not listed here.
+    /// The server is not in the list of this process.
     NotListed,
-    /// Its server started after it.
+    /// The server has started since the placement was made.
     Void,
-    /// Its server drains, is out or gone.
+    /// The server is draining, ejected or removed.
     NotReady,
-    /// The client was moved off it on purpose, and it is too early to go back.
+    /// The client was migrated off the server, and it is too early to return.
     MovedOff,
-    /// The configuration has this client there no longer.
+    /// The configuration no longer permits the client on the server.
     NotPermitted,
-    /// Several clients have this key, and stand.
+    /// Several clients share the key, and a connection under it is established.
     Shared,
 }
 
 impl fmt::Display for PlacementValidity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PlacementValidity::Yes => "it holds",
-            PlacementValidity::NotListed => "its server is not listed",
-            PlacementValidity::Void => "its server has started since",
-            PlacementValidity::NotReady => "its server takes nothing new",
-            PlacementValidity::MovedOff => "it was moved off on purpose",
-            PlacementValidity::Shared => "several clients have its key",
-            PlacementValidity::NotPermitted => "the configuration has it there no longer",
+            PlacementValidity::Yes => "the placement is valid",
+            PlacementValidity::NotListed => "the server is not listed",
+            PlacementValidity::Void => "the server has started since the placement was made",
+            PlacementValidity::NotReady => "the server accepts no new connections",
+            PlacementValidity::MovedOff => {
+                "the client was migrated off the server and may not return yet"
+            }
+            PlacementValidity::Shared => "several clients share the key",
+            PlacementValidity::NotPermitted => {
+                "the configuration no longer permits the client on the server"
+            }
         })
     }
 }
 
 impl PlacementTable {
-    /// Where a client is to go; nothing is the rotation's turn.
+    /// The server that the client should get; `None` leaves the choice to the rotation.
     pub fn advise(
         &self,
         client: &Client,
@@ -133,7 +143,8 @@
         }
     }
 
-    /// Whether a client's placement holds; nothing if it has none. Those that stand and are no longer permitted are for
+    /// Whether the placement of a client is valid; `None` if it has no unexpired placement.
+    /// Established clients that are no longer permitted on their server are moved by
     /// [`crate::Rebalancer`].
     pub fn validity(
         &self,
@@ -168,8 +179,8 @@
         Some((entry, listed.map(|(tag, _)| tag), validity))
     }
 
-    /// A server in the list, under its name or one that it had. Guards against a process that has yet to hear of a new
-    /// name.
+    /// Finds a server in the list under its current or a former name. Guards against a process that
+    /// has not yet received the new name.
     fn resolve_server(
         &self,
         tag: Tag,
@@ -191,7 +202,8 @@
         now: Millis,
     ) -> PlacementValidity {
         let placed_at = Stamp(entry.stamp).timestamp_ms();
-        // Its last second is over.
+        // `seen_s` is in whole seconds; the end lies within that second, so the end of the second
+        // is used.
         let ended_at_ms = (u64::from(entry.seen_s) + 1) * 1_000;
         if status.started_at > placed_at {
             return PlacementValidity::Void;
@@ -199,7 +211,8 @@
         if !status.is_ready {
             return PlacementValidity::NotReady;
         }
-        // Guards against a service whose clients all have one name, and would all be led to one server.
+        // Guards against a service whose clients all use one name and would all be sent to one
+        // server.
         if entry.is_established()
             && entry.overlap_count() == SHARED_KEY_OVERLAPS
             && !self.is_dead(Stamp(entry.stamp))
@@ -207,7 +220,8 @@
             return PlacementValidity::Shared;
         }
         let is_suspended = match entry.state() {
-            // Another process knew that it leaves. Guards against one that has yet to hear of it.
+            // Another process saw that the server is leaving. Guards against returning the client
+            // through a process that has not yet received that.
             PlacementState::Ended(EndReason::MigratedServerLeaving) => {
                 status.ready_since < ended_at_ms
             }
@@ -219,8 +233,8 @@
         if is_suspended {
             return PlacementValidity::MovedOff;
         }
-        // What a newer version dealt is not for the older one's rules. Guards against a client that two versions send
-        // to and fro.
+        // The rules of an older version do not apply to a placement made under a newer one. Guards
+        // against a client that processes of two versions send back and forth.
         if !self.is_newer_than_own(self.version_of(entry), placed_at, now)
             && !endpoints.permits(client, tag)
         {
@@ -229,7 +243,8 @@
         PlacementValidity::Yes
     }
 
-    /// The ready server that has most of a group, and room for more of it. Ties go by a hash that all processes share.
+    /// The ready server with most members of the group and room for more. Ties are broken by a hash
+    /// that is equal at every process.
     fn group_home(
         &self,
         client: &Client,
--- a/crates/affinity/src/ages.rs
+++ b/crates/affinity/src/ages.rs
@@ -1,20 +1,20 @@
-//! Entries by the time at which they were last seen: those that ended apart from those that stand.
+//! Indexes entries by the time at which they were last seen, with ended and established ones apart.
 
 use std::collections::BTreeMap;
 
 use crate::entry::{Entry, NO_ID};
 
-/// Into so many parts a life is divided: what is of one part is of one age.
+/// Buckets into which the TTL is divided; entries of one bucket count as equally old.
 const BUCKETS_PER_TTL: u32 = 1_024;
 
 pub(crate) struct AgeIndex {
-    /// Seconds of one part.
+    /// Width of a bucket in seconds.
     bucket_s: u32,
     ended: BTreeMap<u32, u32>,
     established: BTreeMap<u32, u32>,
 }
 
-/// How much an entry is worth keeping: ended before standing, then by age.
+/// Order of eviction, lowest first: ended before established, then by age.
 pub(crate) type RetentionRank = (bool, u32);
 
 impl AgeIndex {
@@ -73,7 +73,8 @@
         }
     }
 
-    /// What gives way first: what ended longest ago; of those that stand, the one not seen for longest.
+    /// The entry to evict first: the one that ended longest ago, or if none has ended, the
+    /// established one not seen for longest.
     pub(crate) fn eviction_candidate(&self) -> Option<(RetentionRank, u32)> {
         let first = |buckets: &BTreeMap<u32, u32>, is_established| {
             buckets
@@ -83,7 +84,7 @@
         first(&self.ended, false).or_else(|| first(&self.established, true))
     }
 
-    /// One that was last seen before this second, if there is one.
+    /// An entry last seen before this second, if there is one.
     pub(crate) fn oldest_before(&self, seen_s: u32) -> Option<u32> {
         let first = |buckets: &BTreeMap<u32, u32>| {
             buckets.first_key_value().map(|(bucket, id)| (*bucket, *id))
@@ -92,7 +93,7 @@
             .into_iter()
             .chain(first(&self.established))
             .min()?;
-        // A part counts as past when all of it is.
+        // A bucket has expired only when all of it has.
         (oldest.0.saturating_add(1).saturating_mul(self.bucket_s) <= seen_s).then_some(oldest.1)
     }
 }
--- a/crates/affinity/src/changes.rs
+++ b/crates/affinity/src/changes.rs
@@ -1,33 +1,33 @@
-//! What a new version changes, in words for the log.
+//! Describes what a new version of the configuration changes, for the log.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::routing::{Routing, Server, renames};
 
-/// What one configuration has other than another.
+/// The differences between two versions of the routing configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Servers that were not there.
+    /// Names of the servers that only the new version has.
     pub added: Vec<String>,
-    /// Servers that are there no longer.
+    /// Names of the servers that only the old version has.
     pub removed: Vec<String>,
-    /// Old name and new.
+    /// Old and new names of the renamed servers.
     pub renamed: Vec<(String, String)>,
-    /// Servers with another weight.
+    /// Names of the servers whose weight changed.
     pub reweighted: Vec<String>,
-    /// Servers in another zone.
+    /// Names of the servers whose zone changed.
     pub rezoned: Vec<String>,
-    /// Zones that are there no longer.
+    /// Zones that only the old version has.
     pub removed_zones: Vec<String>,
-    /// Tenants with other servers.
+    /// Tenants whose set of servers changed, apart from renames.
     pub tenants: Vec<String>,
-    /// Classes that are other than before.
+    /// Names of the classes that were added, removed or changed.
     pub classes: Vec<String>,
 }
 
 impl Changes {
-    /// From one configuration to the next.
+    /// The changes from one version to the next.
     pub fn between(before: &Routing, after: &Routing) -> Changes {
         let renamed = renames(before, after);
         let current_name = |name: &String| renamed.get(name).unwrap_or(name).clone();
@@ -76,7 +76,7 @@
     }
 }
 
-/// Each tenant's servers, by the names that they have now.
+/// The servers of each tenant, by their current names.
 fn tenant_servers(
     routing: &Routing,
     current_name: &dyn Fn(&String) -> String,
@@ -109,7 +109,7 @@
         .collect()
 }
 
-/// The names that have another value, or that just one of the two has.
+/// The names whose value differs, or that only one of the two maps has.
 fn differing_names<V: PartialEq>(
     old: &BTreeMap<String, V>,
     new: &BTreeMap<String, V>,
@@ -130,16 +130,16 @@
         let renamed: Vec<String> = self
             .renamed
             .iter()
-            .map(|(old, new)| format!("{old} now {new}"))
+            .map(|(old, new)| format!("{old} to {new}"))
             .collect();
         let sections = [
             ("servers added", &self.added),
             ("servers removed", &self.removed),
             ("servers renamed", &renamed),
             ("weights changed", &self.reweighted),
-            ("servers in another zone", &self.rezoned),
-            ("zones gone", &self.removed_zones),
-            ("tenants with other servers", &self.tenants),
+            ("servers moved to another zone", &self.rezoned),
+            ("zones removed", &self.removed_zones),
+            ("tenants with changed servers", &self.tenants),
             ("classes changed", &self.classes),
         ];
         let clauses: Vec<String> = sections
@@ -149,7 +149,7 @@
             .collect();
         f.write_str(
             if clauses.is_empty() {
-                "nothing of routing changed".into()
+                "routing is unchanged".into()
             } else {
                 clauses.join("; ")
             }
--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -1,16 +1,16 @@
-//! One placement in 32 bytes.
+//! A placement packed into 32 bytes.
 
 use crate::placement::{Placement, PlacementState, SHARED_KEY_OVERLAPS};
 
-/// Numbers of entries and spots have 24 bits; this one is none.
+/// Ids of entries and group counts have 24 bits; this value stands for no id.
 pub(crate) const NO_ID: u32 = 0xff_ffff;
-/// Most entries.
+/// Maximum number of entries, below the reserved ids.
 pub(crate) const MAX_ENTRIES: usize = 0xff_fff0;
 
-/// The state's bits are below the twins'.
+/// Position of the overlap count in its byte; the bits below hold the state.
 const OVERLAP_SHIFT: u32 = 4;
 
-/// The version's number is parted over what the three 24-bit numbers leave free.
+/// The version id is split over the bytes that two of the three 24-bit ids leave free.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
     pub(crate) key: u64,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// No entry.
+    /// An unused entry.
     pub(crate) fn vacant() -> Entry {
         let [vacant, no_link] = [pack(NO_ID, 0); 2];
         Entry {
@@ -71,7 +71,7 @@
         u16::from_be_bytes([self.prev_version as u8, self.next_version as u8])
     }
 
-    /// The entry before it in its age, or the next free one.
+    /// The previous entry in the age bucket, or the next free entry if this one is unused.
     pub(crate) fn prev(&self) -> u32 {
         self.prev_version >> 8
     }
--- a/crates/affinity/src/group_counts.rs
+++ b/crates/affinity/src/group_counts.rs
@@ -1,14 +1,15 @@
-//! How many clients of a group a server has: one spot for each group on each server.
+//! Counts the clients of each group on each server incarnation.
 
 use crate::entry::NO_ID;
 use crate::index::Index;
 use crate::interning::ServerIncarnations;
 use crate::mix64;
 
-/// The next spot of one that is in no group.
+/// Value of `next` in a count of clients without a group.
 const UNGROUPED: u32 = NO_ID - 1;
 
-/// 16 bytes: the group; the server's life, the count and the next spot of the group.
+/// 16 bytes: the group, and packed into `packed` the id of the server incarnation, the count and
+/// the id of the next count of the group.
 #[derive(Clone, Copy)]
 struct GroupCount {
     group: u64,
@@ -53,7 +54,8 @@
 
 impl GroupCounts {
     pub(crate) fn for_entries(max_entries: usize, seed: u64) -> GroupCounts {
-        // One more than entries: a client's new spot is taken before the old one is given back.
+        // One more than entries, because a client's new count is acquired before the old one is
+        // released.
         let seed = mix64(seed);
         GroupCounts {
             counts: Vec::with_capacity(max_entries + 1),
@@ -82,7 +84,7 @@
         })
     }
 
-    /// The servers' lives that hold a group, and how many of it.
+    /// The server incarnations that have members of a group, and how many.
     pub(crate) fn of_group(&self, group: u64) -> impl Iterator<Item = (u16, u32)> {
         let mut id = self.first_of_group(group).unwrap_or(NO_ID);
         std::iter::from_fn(move || {
@@ -92,7 +94,7 @@
         })
     }
 
-    /// Counts one more of a group on a server.
+    /// Adds one client of a group on a server incarnation; returns the id of the count.
     pub(crate) fn increment(
         &mut self,
         servers: &mut ServerIncarnations,
@@ -114,7 +116,8 @@
         count_id
     }
 
-    /// A group's spot on a server and the one before it.
+    /// The ids of the count of a group on a server incarnation and of the count before it in the
+    /// list.
     fn find(&self, group: u64, incarnation_id: u16) -> (u32, u32) {
         let (mut id, mut prev) = (self.first_of_group(group).unwrap_or(NO_ID), NO_ID);
         while id != NO_ID && self.counts[id as usize].incarnation() != incarnation_id {
@@ -123,7 +126,7 @@
         (id, prev)
     }
 
-    /// What is asked for again is found soon.
+    /// Moves a count to the front of the list, so that it is found sooner next time.
     fn move_to_front(&mut self, count_id: u32, prev: u32) {
         let group_count = self.counts[count_id as usize];
         let Some(first_id) = self.first_of_group(group_count.group) else {
@@ -166,7 +169,7 @@
         count_id
     }
 
-    /// Counts one less.
+    /// Subtracts one client, and frees a count that reaches 0.
     pub(crate) fn decrement(&mut self, servers: &mut ServerIncarnations, count_id: u32) {
         let group_count = self.counts[count_id as usize];
         if group_count.count() > 1 {
--- a/crates/affinity/src/index.rs
+++ b/crates/affinity/src/index.rs
@@ -1,13 +1,13 @@
-//! From a hash to a 24-bit number in four bytes: open addressing, with eight bits of the hash in the slot, so that others'
-//! entries are seldom looked at.
+//! Maps a hash to a 24-bit id in four bytes: open addressing, with eight bits of the hash in the
+//! slot, so that other entries are seldom compared.
 
 use crate::entry::NO_ID;
 
-/// It is full to three fifths at most.
+/// The load factor is at most three fifths.
 const SLOTS_PER_ENTRY: (usize, usize) = (5, 3);
 
 pub(crate) struct Index {
-    /// Eight bits of the hash, and the number plus one; 0 is empty.
+    /// Eight bits of the hash and the id plus one; 0 for an empty slot.
     slots: Vec<u32>,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The number of this hash that is the one looked for.
+    /// The id under this hash for which `is_match` returns true.
     pub(crate) fn find(&self, hash: u64, mut is_match: impl FnMut(u32) -> bool) -> Option<u32> {
         self.position(hash, &mut is_match)
             .map(|slot_index| id_of(self.slots[slot_index]))
@@ -54,7 +54,7 @@
         None
     }
 
-    /// Enters a number that is not in it.
+    /// Adds an id that is not in the index yet.
     pub(crate) fn insert(&mut self, hash: u64, id: u32) {
         let mut slot_index = self.home_slot(hash);
         while self.slots[slot_index] != 0 {
@@ -63,14 +63,14 @@
         self.slots[slot_index] = pack_slot(hash, id);
     }
 
-    /// Has a hash lead to another number.
+    /// Replaces the id under a hash.
     pub(crate) fn replace(&mut self, hash: u64, old_id: u32, new_id: u32) {
         if let Some(slot_index) = self.position(hash, &mut |id| id == old_id) {
             self.slots[slot_index] = pack_slot(hash, new_id);
         }
     }
 
-    /// Takes a number out, and moves up those behind it that it kept from their place.
+    /// Removes an id, and moves later entries of the probe sequence back toward their home slots.
     pub(crate) fn remove(&mut self, hash: u64, id: u32, hash_of: impl Fn(u32) -> u64) {
         let Some(mut vacant) = self.position(hash, &mut |other| other == id) else {
             return;
--- a/crates/affinity/src/interning.rs
+++ b/crates/affinity/src/interning.rs
@@ -1,4 +1,4 @@
-//! Servers and versions by short numbers, counted by use.
+//! Maps servers and versions to short reference-counted ids.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,28 @@
 use crate::versions::Version;
 use crate::{Millis, Tag};
 
-/// A server in one of its lives.
+/// One incarnation of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerIncarnation {
     pub(crate) tag: Tag,
-    /// When it started, as far as is known.
+    /// The time of the start in Unix milliseconds; 0 if unknown.
     pub(crate) started_at: Millis,
-    /// It has started anew since.
+    /// Whether the server has started again since.
     pub(crate) has_restarted: bool,
-    /// The spot of those in no group.
+    /// The id of the count of clients without a group.
     pub(crate) ungrouped_count_id: u32,
     use_count: u32,
 }
 
-/// The servers that placements name.
+/// The server incarnations that placements refer to.
 #[derive(Default)]
 pub(crate) struct ServerIncarnations {
     incarnations: Vec<ServerIncarnation>,
     free: Vec<u16>,
-    /// Each server's present life, and the one before it.
+    /// The ids of each server's current incarnation and of the one before it.
     current: FxHashMap<Tag, u16>,
     previous: FxHashMap<Tag, u16>,
-    /// Old name to new.
+    /// Current names of renamed servers, by former name.
     new_names: BTreeMap<Tag, Tag>,
 }
 
@@ -42,7 +42,7 @@
         self.incarnations[usize::from(id)].ungrouped_count_id = count_id;
     }
 
-    /// What a server is called now.
+    /// The current name of a server.
     pub(crate) fn current_name(&self, tag: Tag) -> Tag {
         if self.new_names.is_empty() {
             tag
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What it was called before.
+    /// The former names of a server.
     pub(crate) fn former_names(&self, tag: Tag) -> impl Iterator<Item = Tag> {
         self.new_names
             .iter()
@@ -59,7 +59,8 @@
             .map(|(old, _)| *old)
     }
 
-    /// The life that a placement of this moment belongs to.
+    /// The id of the incarnation that a placement made at this time belongs to; `None` if no id is
+    /// free.
     pub(crate) fn incarnation_at(&mut self, tag: Tag, at: Millis) -> Option<u16> {
         let tag = self.current_name(tag);
         match self.current.get(&tag) {
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Whether a placement of this moment belongs to this life.
+    /// Whether a placement made at this time belongs to this incarnation, and the server has not
+    /// started again since.
     pub(crate) fn is_incarnation(&self, id: u16, tag: Tag, at: Millis) -> bool {
         let incarnation = self.get(id);
         incarnation.tag == self.current_name(tag)
@@ -108,7 +110,7 @@
         Some(id)
     }
 
-    /// A life that is kept for its start alone.
+    /// Evicts an incarnation that is kept only for its start time, and returns its id.
     fn evict_unused(&mut self) -> Option<u16> {
         let idle = self
             .incarnations
@@ -118,7 +120,7 @@
         u16::try_from(idle).ok()
     }
 
-    /// A server started anew: what was placed on it before is void.
+    /// Records a start of a server, which voids earlier placements on it.
     pub(crate) fn record_start(&mut self, tag: Tag, at: Millis) {
         let tag = self.current_name(tag);
         let Some(id) = self.current.get(&tag).copied() else {
@@ -139,7 +141,7 @@
         self.add(tag, at, false);
     }
 
-    /// A server has another name: what is placed on it follows.
+    /// Records a new name of a server; placements on it follow.
     pub(crate) fn rename(&mut self, old: Tag, new: Tag) {
         let (old, new) = (self.current_name(old), self.current_name(new));
         if old == new {
@@ -169,7 +171,8 @@
     pub(crate) fn release(&mut self, id: u16) {
         let incarnation = &mut self.incarnations[usize::from(id)];
         incarnation.use_count -= 1;
-        // The start of a server that is in use again and again is worth knowing.
+        // The start time of a current incarnation is kept, because the server is likely to be used
+        // again.
         if incarnation.use_count > 0 || !incarnation.has_restarted && incarnation.started_at > 0 {
             return;
         }
@@ -193,7 +196,7 @@
     }
 }
 
-/// The versions that placements were dealt under.
+/// The versions under which placements were made.
 #[derive(Default)]
 pub(crate) struct VersionIds {
     versions: Vec<(Version, u32)>,
@@ -206,7 +209,7 @@
         self.versions[usize::from(id)].0
     }
 
-    /// The number of a version, one use more.
+    /// Acquires a reference to a version, and returns its id; `None` if no id is free.
     pub(crate) fn acquire(&mut self, version: Version) -> Option<u16> {
         let id = match self.ids.get(&version) {
             Some(id) => *id,
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,10 +1,13 @@
-//! Which server a client had: a long-lived client that returns after a move, a break or a balancer's death, to whichever
-//! process, gets it again for as long as that server stands and is ready, while configurations change.
+//! Session affinity: a client that reconnects, at whichever balancer process, gets its previous
+//! server again for as long as that server runs and is ready. This covers migrations, lost
+//! connections, the death of a balancer and changes of the configuration.
 //!
-//! A [`PlacementTable`] holds one [`Placement`] for each client. The host tells it what stood and what ended here, and what
-//! peers say ([`PlacementTable::merge`]); it asks [`PlacementTable::advise`] for each arrival and makes the [`Advice`] a pin that is not
-//! strict. No advice is the rotation's turn. No I/O, no clock, no globals: moments are Unix milliseconds by the host's
-//! own clock, and equal calls give equal answers.
+//! A [`PlacementTable`] holds one [`Placement`] per client. The host records the connections that
+//! are established and ended here, merges the facts of its peers ([`PlacementTable::merge`]), asks
+//! [`PlacementTable::advise`] for each arriving client and turns the [`Advice`] into a pin that is
+//! not strict. Without advice the rotation selects the server. The crate has no I/O, clock or
+//! global state: times are Unix milliseconds by the host's clock, and equal calls give equal
+//! results.
 
 #![forbid(unsafe_code)]
 
@@ -33,37 +36,39 @@
 
 use beaconflow_settings::digest;
 
-/// Milliseconds; a moment is since the start of 1970.
+/// Milliseconds; a point in time is counted from the Unix epoch.
 pub type Millis = u64;
 
-/// A client: a hash of what it is, the same at every process.
+/// A client: a hash of its identity, equal at every process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
 impl Key {
-    /// The key of a NATS client: its account, and its own name there.
+    /// The key of a NATS client, from its account and its name within the account.
     pub fn for_nats_client(account: &str, name: &str) -> Key {
-        // The length parts the two. Guards against ("ab", "c") and ("a", "bc") as one client.
+        // The length separates account and name, so that ("ab", "c") and ("a", "bc") are two
+        // clients.
         Key(digest(&format!("{}:{account}{name}", account.len())))
     }
 }
 
-/// A group: a hash, the same at every process.
+/// A group of clients that are preferably placed on one server: a hash, equal at every process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Group(pub u64);
 
-/// An application server: a hash of its name, the same at every process, as the decision module has it in its list.
+/// An application server: a hash of its name, equal at every process and equal to the name hash in
+/// the list of the policy module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tag(pub u64);
 
 impl Tag {
-    /// The tag of a server of this name.
+    /// The tag of the server with this name.
     pub fn from_name(name: &str) -> Tag {
         Tag(digest(name))
     }
 }
 
-/// Spreads what is alike over all 64 bits.
+/// Mixes the bits so that similar values spread over all 64 bits.
 fn mix64(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -1,33 +1,36 @@
-//! What an operator sets, and what is counted.
+//! Limits of a table, and its counts.
 
 use crate::entry::MAX_ENTRIES;
 
-/// What one placement takes at most, with its part of all tables.
+/// Most bytes that one placement takes, including its share of all tables.
 const BYTES_PER_PLACEMENT: usize = 64;
-/// How much is held at most.
+/// The maximum size of a table; the smaller of the two bounds applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// Placements; 16,777,200 at most.
+    /// Maximum number of placements; at most 16,777,200.
     pub entries: usize,
-    /// Bytes, at 64 for each placement.
+    /// Maximum number of bytes, at 64 bytes per placement.
     pub bytes: usize,
 }
 
-/// The figures that an operator sets.
+/// The settings of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// How much is held at most.
+    /// The maximum size of the table.
     pub bound: Bound,
-    /// A placement is forgotten so many seconds after it was last seen to stand, or ended.
+    /// Seconds after which a placement expires, counted from when it was last seen established or
+    /// ended.
     pub ttl_s: u32,
-    /// A client that was moved off a server for lateness or to even out is not led back for so many seconds.
+    /// Seconds for which a client that was migrated off a server for late messages or for
+    /// rebalancing is not sent back there.
     pub return_delay_s: u32,
-    /// A server that has so many of a group is no home to more of it; 0: groups have no home.
+    /// Number of members of a group on a server from which on the server is no home for more of
+    /// them; 0 disables group homes.
     pub max_group_per_server: u32,
 }
 
 impl Limits {
-    /// How many placements that are.
+    /// The maximum number of placements by both bounds, at least 1.
     pub(crate) fn max_placements(&self) -> usize {
         self.bound
             .entries
@@ -35,7 +38,7 @@
             .clamp(1, MAX_ENTRIES)
     }
 
-    /// The fields that are out of their range.
+    /// The names of the settings that are out of range, as an operator writes them.
     pub fn invalid_fields(&self) -> Vec<&'static str> {
         let checks = [
             (
@@ -54,17 +57,17 @@
     }
 }
 
-/// What is held and what happened.
+/// The size of a table, and what has happened since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Placements held.
+    /// Placements in the table.
     pub entries: usize,
-    /// Of these, those that stand.
+    /// Placements in the table whose connection is established.
     pub established: usize,
-    /// Forgotten at the end of their life.
+    /// Placements removed because they expired.
     pub expired: u64,
-    /// Given way at the bound.
+    /// Placements evicted from a full table.
     pub evicted: u64,
-    /// Not taken in, for whatever reason.
+    /// Merged placements that were rejected, for any reason.
     pub rejected: u64,
 }
--- a/crates/affinity/src/placement.rs
+++ b/crates/affinity/src/placement.rs
@@ -1,26 +1,29 @@
-//! What is known of one client: a fact that processes tell each other, and how two of them become one.
+//! The placement of one client: a fact that processes exchange, and the order by which two facts
+//! about a client are merged.
 
 use std::cmp::Ordering;
 
 use crate::versions::Version;
 use crate::{Group, Key, Millis, Tag, mix64};
 
-/// Bits of a stamp that tell processes apart.
+/// Number of bits of a stamp that identify the process.
 const ORIGIN_BIT_COUNT: u32 = 20;
-/// A key that stood so many times while it stood already is several clients'. Of one client's ends one in 25 is not heard
-/// of in time where a twentieth of all messages is lost, five in a row once in ten million.
+/// Consecutive overlapping connections after which a key counts as shared by several clients. Where
+/// a twentieth of all messages is lost, one in 25 connection ends of a single client is not
+/// received in time, and five in a row are missed once in ten million.
 pub(crate) const SHARED_KEY_OVERLAPS: u8 = 5;
-/// What is dated further ahead than this is not believed, in milliseconds. Guards against a clock that is a year ahead
-/// and would have the last word for a year.
+/// Facts dated further ahead than this are rejected. Guards against a clock that is a year ahead,
+/// whose facts would otherwise take precedence for a year.
 pub(crate) const MAX_CLOCK_LEAD_MS: Millis = 60_000;
 
-/// When a placement was made, and by whom: the later one holds. A process makes one that is later than all that it
-/// knows of the client, so that a slow clock does not undo what it has just seen.
+/// The time at which a placement was made, and the process that made it; the later stamp takes
+/// precedence. A process gives a new placement a later stamp than any it knows for the client, so
+/// that a slow clock does not undo what the process has just observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// A stamp of this moment, later than an earlier one.
+    /// Creates a stamp for `now`, or for the millisecond after `earlier` if that is later.
     pub(crate) fn after(earlier: Option<Stamp>, now: Millis, origin: u64) -> Stamp {
         let timestamp_ms = earlier.map_or(now, |earlier| now.max(earlier.timestamp_ms() + 1));
         Stamp(timestamp_ms << ORIGIN_BIT_COUNT | u64::from(origin_bits(origin)))
@@ -30,46 +33,49 @@
         self.0 as u32 & ((1 << ORIGIN_BIT_COUNT) - 1)
     }
 
-    /// Its moment.
+    /// The time of the placement, in Unix milliseconds.
     pub fn timestamp_ms(self) -> Millis {
         self.0 >> ORIGIN_BIT_COUNT
     }
 }
 
-/// What a stamp shows of a process's name.
+/// The bits by which a stamp identifies a process.
 pub(crate) fn origin_bits(process: u64) -> u32 {
     mix64(process) as u32 & ((1 << ORIGIN_BIT_COUNT) - 1)
 }
 
-/// How a standing connection ended.
+/// The reason for which an established connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum EndReason {
-    /// It broke, from whichever side.
+    /// Either side lost or broke the connection.
     ConnectionLost = 1,
-    /// The client ended it.
+    /// The client closed the connection.
     ClosedByClient,
-    /// The process that relayed it is no more.
+    /// The balancer process that relayed the connection died.
     BalancerDied,
-    /// It was moved: its server leaves, or a new version has it there no longer.
+    /// The client was migrated because the server is leaving, or because a new version of the
+    /// configuration no longer permits the client there.
     MigratedServerLeaving,
-    /// It was moved: messages were late there.
+    /// The client was migrated because messages were late on the server.
     MigratedSlowMessages,
-    /// It was moved: its server had more than its part, or another had room.
+    /// The client was migrated because its server had more than its share of the load, or another
+    /// server had room.
     MigratedRebalancing,
 }
 
-/// What a placement is now. Ended is later than standing.
+/// Whether the connection of a placement is established. Of two states under one stamp, ended takes
+/// precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlacementState {
-    /// The client's connection stands.
+    /// The connection is established as far as is known.
     Established,
-    /// It ended.
+    /// The connection has ended.
     Ended(EndReason),
 }
 
 impl PlacementState {
-    /// Its number in messages and on the disk.
+    /// The number of the state in messages and in stored data.
     pub fn to_byte(self) -> u8 {
         match self {
             PlacementState::Established => 0,
@@ -77,7 +83,7 @@
         }
     }
 
-    /// The state of a number; standing for one that means nothing here.
+    /// The state with this number; `Established` for an unknown number.
     pub fn from_byte(byte: u8) -> PlacementState {
         use EndReason::{
             BalancerDied, ClosedByClient, ConnectionLost, MigratedRebalancing,
@@ -100,36 +106,39 @@
     }
 }
 
-/// Where a client was placed.
+/// The server on which a client was last placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Which client.
+    /// The client, equal at every process.
     pub key: Key,
-    /// Its group.
+    /// The group of the client, if it has one.
     pub group: Option<Group>,
-    /// The server that it got.
+    /// The server to which the client was connected.
     pub server: Tag,
-    /// The version that it was dealt under.
+    /// The version of the configuration under which the server was selected.
     pub config_version: Version,
-    /// When, and by whom.
+    /// The time of the placement and the process that made it.
     pub stamp: Stamp,
-    /// When it was last seen to stand, or ended: seconds since the start of 1970.
+    /// The Unix time in seconds at which the connection was last seen established, or ended.
     pub seen_s: u32,
-    /// What it is now.
+    /// The state as of `seen_s`.
     pub state: PlacementState,
-    /// How often its client had come while it stood, up to 5: then the key is several clients', which nobody can tell
+    /// Consecutive times that a client with this key connected while its previous connection was
+    /// still established, at most 5. At 5 the key is shared by several clients that cannot be told
     /// apart.
     pub overlap_count: u8,
 }
 
 impl Placement {
-    /// When it was made.
+    /// The time of the placement, in Unix milliseconds.
     pub fn placed_at(&self) -> Millis {
         self.stamp.timestamp_ms()
     }
 
-    /// Which of two says more of a client. The later stamp; of one stamp, ended before standing, then what was seen
-    /// later. The rest is for a tie of two processes alone: any order does, as long as it is everybody's.
+    /// Compares two placements of a client; the greater one takes precedence. The later stamp is
+    /// greater; under one stamp an ended placement is greater than an established one, then the one
+    /// seen later. The remaining fields only break ties between two processes, where any order does
+    /// as long as it is the same everywhere.
     pub fn cmp_precedence(&self, other: &Placement) -> Ordering {
         let rank = |placement: &Placement| {
             (
@@ -147,26 +156,27 @@
     }
 }
 
-/// Why a placement is not taken in.
+/// The reason for which a placement is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// It is past its life.
+    /// The placement is older than [`crate::Limits::ttl_s`].
     Expired,
-    /// It is dated more than a minute ahead.
+    /// The placement is dated more than a minute ahead of the local clock.
     DatedAhead,
-    /// All that is held is worth more, or too many servers or versions are named.
+    /// Every held placement has a higher retention rank, or there are too many distinct servers or
+    /// versions.
     AtCapacity,
 }
 
-/// What became of a placement that was heard of.
+/// The result of merging a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Its client was not known.
+    /// The client was unknown; the placement was added.
     New,
-    /// It says more than what was known.
+    /// The placement takes precedence over the known one and replaced it.
     Newer,
-    /// It says no more.
+    /// The known placement is equal or takes precedence; nothing changed.
     Known,
-    /// It was not taken in.
+    /// The placement was rejected; nothing was added.
     Rejected(PlacementError),
 }
--- a/crates/affinity/src/placement_table.rs
+++ b/crates/affinity/src/placement_table.rs
@@ -1,4 +1,4 @@
-//! The table of placements: what is taken in, what is merged, what expires and what gives way.
+//! The table of placements: insertion, merging, expiry and eviction.
 
 use std::collections::VecDeque;
 
@@ -16,14 +16,15 @@
 use crate::versions::{AdoptOutcome, Version, VersionFact, Versions};
 use crate::{Group, Key, Millis, Tag, mix64};
 
-/// Placements past their life that each call clears away at most. Guards against a call that waits for a million.
+/// Most expired placements that one call removes. Guards against a call that removes a million
+/// placements at once.
 const MAX_EXPIRED_PER_CALL: usize = 2;
-/// Processes that died lately, of which so many are remembered.
+/// Most processes whose death is remembered; the oldest is dropped first.
 const MAX_DEAD_ORIGINS: usize = 64;
-/// Placements whose tables are fetched side by side.
+/// Placements whose table entries are prefetched together.
 const PREFETCH_BATCH: usize = 16;
 
-/// Which server each client had.
+/// The last known placement of each client.
 pub struct PlacementTable {
     pub(crate) limits: Limits,
     capacity: usize,
@@ -42,8 +43,9 @@
 }
 
 impl PlacementTable {
-    /// An empty one. The origin tells processes and their lives apart; the seed keeps whoever chooses keys from choosing
-    /// such as lie in one place. Room is reserved for all that may be held, and taken as it is used.
+    /// Creates an empty table. `origin` identifies the process and its incarnation; `seed` prevents
+    /// clients that choose their keys from choosing keys that collide. Address space is reserved
+    /// for the full capacity; memory is used as placements are added.
     pub fn new(limits: Limits, origin: u64, seed: u64) -> PlacementTable {
         let capacity = limits.max_placements();
         PlacementTable {
@@ -64,39 +66,43 @@
         }
     }
 
-    /// Another version of the configuration holds in this process from now on.
+    /// Switches this process to a version of the configuration, with the serial number of the
+    /// operator or 0.
     pub fn adopt(&mut self, version: Version, serial: u64, now: Millis) -> AdoptOutcome {
         self.versions.adopt(version, serial, now)
     }
 
-    /// The versions that are known of.
+    /// The known versions of the configuration.
     pub fn versions(&self) -> &Versions {
         &self.versions
     }
 
-    /// This process still runs its version: the fact for peers, to be asked for each half minute or so.
+    /// Records that this process still runs its version, and returns the fact to publish to peers.
+    /// To be called about every half minute.
     pub fn refresh_current_version(&mut self, now: Millis) -> Option<VersionFact> {
         self.versions.refresh_current_version(now)
     }
 
-    /// What a peer tells of a version.
+    /// Merges a peer's fact about a version; returns whether anything changed.
     pub fn merge_version(&mut self, fact: &VersionFact, now: Millis) -> bool {
         self.versions.merge(fact, now)
     }
 
-    /// A server started anew at this moment: a group has no home there for what stood on it before. To be told with each
-    /// list; what was told before changes nothing.
+    /// Records that a server started at this time; connections to its earlier incarnations no
+    /// longer count toward group homes. To be called with each server list; a start that is already
+    /// known changes nothing.
     pub fn record_server_start(&mut self, server: Tag, at: Millis) {
         self.servers.record_start(server, at);
     }
 
-    /// A server has another name: placements follow, also those that peers tell under the old one.
+    /// Records a new name of a server. Existing placements follow, as do placements that peers
+    /// still report under the old name.
     pub fn rename_server(&mut self, old: Tag, new: Tag) {
         self.servers.rename(old, new);
     }
 
-    /// A process is no more, by the name that it was begun with: what stood through it has ended. The process's own former
-    /// life too.
+    /// Records the death of a process, by the `origin` that it passed to [`PlacementTable::new`];
+    /// connections through it count as ended. Also applies to earlier incarnations of this process.
     pub fn record_balancer_death(&mut self, origin: u64) {
         let origin = origin_bits(origin);
         if !self.dead_origins.contains(&origin) {
@@ -109,7 +115,9 @@
         self.dead_origins.contains(&stamp.origin())
     }
 
-    /// A client stands on a server; the fact for peers. Its stamp is the connection's, for [`PlacementTable::record_ended`].
+    /// Records that a client's connection to a server is established, and returns the fact to
+    /// publish to peers. The stamp identifies the connection in [`PlacementTable::refresh`] and
+    /// [`PlacementTable::record_ended`].
     pub fn record_established(
         &mut self,
         client: &Client,
@@ -118,7 +126,8 @@
     ) -> Result<Placement, PlacementError> {
         let old = self.get(client.key);
         let own = self.versions.current().unwrap_or(Version(0));
-        // Guards against a client of the newer version that an older process would deal anew the next time.
+        // Keeps a newer version on the placement. Otherwise this older process would place the
+        // client again the next time.
         let previous_version = old
             .filter(|old| {
                 self.servers.current_name(old.server) == self.servers.current_name(server)
@@ -149,7 +158,9 @@
         }
     }
 
-    /// A connection still stands: to be told a few times in each life.
+    /// Records that a connection is still established, and returns the fact to publish. To be
+    /// called several times within the TTL. `None` if the connection is no longer the known
+    /// placement.
     pub fn refresh(&mut self, key: Key, stamp: Stamp, now: Millis) -> Option<Placement> {
         let established = self.established_placement(key, stamp)?;
         let seen = Placement {
@@ -160,7 +171,8 @@
         Some(seen)
     }
 
-    /// A connection ended; the fact for peers, unless the client has stood elsewhere since.
+    /// Records the end of a connection, and returns the fact to publish. `None` if the connection
+    /// is no longer the known placement.
     pub fn record_ended(
         &mut self,
         key: Key,
@@ -179,7 +191,7 @@
         Some(ended)
     }
 
-    /// A peer's word, or one of before from the disk.
+    /// Merges a placement received from a peer or read from stored data.
     pub fn merge(&mut self, received: &Placement, now: Millis) -> MergeOutcome {
         self.expire_some(now);
         let latest = now.saturating_add(MAX_CLOCK_LEAD_MS);
@@ -194,8 +206,8 @@
         outcome
     }
 
-    /// What a peer tells at once. Many that are told together are merged faster than one by one: what they need is
-    /// fetched side by side first.
+    /// Merges several placements, with one result for each in order. Faster than merging one by
+    /// one, because the table entries of a batch are prefetched together.
     pub fn merge_all(&mut self, received: &[Placement], now: Millis) -> Vec<MergeOutcome> {
         let mut outcomes = Vec::with_capacity(received.len());
         for batch in received.chunks(PREFETCH_BATCH) {
@@ -210,7 +222,7 @@
         outcomes
     }
 
-    /// Reads all that a merge will, to no end but to have it near.
+    /// Reads the table entries that a merge of this key needs, only to load them into the cache.
     fn prefetch(&self, key: Key) -> u32 {
         let Some(entry) = self.find(key).map(|id| &self.entries[id as usize]) else {
             return 0;
@@ -225,12 +237,13 @@
             >> 16
     }
 
-    /// Where a client is placed, as far as is known.
+    /// The known placement of a client, expired or not.
     pub fn get(&self, key: Key) -> Option<Placement> {
         self.find(key).map(|id| self.placement(id))
     }
 
-    /// Up to so many placements from a position on, and the position to go on from, if there are more.
+    /// Up to `limit` placements from position `start_id` on, and the position of the next page if
+    /// there are more.
     pub fn page(&self, start_id: u32, limit: usize) -> (Vec<Placement>, Option<u32>) {
         let mut page = Vec::new();
         for id in start_id..self.entries.len() as u32 {
@@ -244,7 +257,7 @@
         (page, None)
     }
 
-    /// Forgets up to so many that are past their life; how many it was.
+    /// Removes up to `limit` expired placements; returns how many were removed.
     pub fn expire(&mut self, now: Millis, limit: usize) -> usize {
         let cutoff_s = unix_seconds(now).saturating_sub(self.limits.ttl_s);
         for removed in 0..limit {
@@ -257,17 +270,17 @@
         limit
     }
 
-    /// What is held and what happened.
+    /// The current and cumulative counts.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How many placements are held at most.
+    /// The maximum number of placements.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Bytes reserved for all tables.
+    /// Bytes reserved for entries, index, group counts and server incarnations.
     pub fn bytes(&self) -> usize {
         let entries = self.entries.capacity() * size_of::<Entry>();
         entries + self.index.bytes() + self.group_counts.bytes() + self.servers.bytes()
@@ -277,8 +290,9 @@
         seen_s.saturating_add(self.limits.ttl_s) < unix_seconds(now)
     }
 
-    /// Whether a version is newer than this process's own: its placements are not for this process to judge. One that
-    /// nothing is known of is taken for newer if what was dealt under it is younger than the own version.
+    /// Whether a version is newer than the version of this process, which then does not judge its
+    /// placements. An unknown version counts as newer if the placement was made after this
+    /// process's version became current.
     pub(crate) fn is_newer_than_own(
         &self,
         version: Version,
@@ -327,7 +341,7 @@
         }
     }
 
-    /// The placement of this connection, if it stands.
+    /// The placement of this connection, if the connection is still established.
     fn established_placement(&self, key: Key, stamp: Stamp) -> Option<Placement> {
         self.get(key)
             .filter(|known| known.stamp == stamp && known.state == PlacementState::Established)
@@ -357,7 +371,8 @@
             .map_or_else(MergeOutcome::Rejected, |()| MergeOutcome::Newer)
     }
 
-    /// Spot and version of a placement, one use more of each.
+    /// Acquires a reference to the group count and the version of a placement, and returns their
+    /// ids.
     fn acquire_ids(&mut self, placement: &Placement) -> Result<(u32, u16), PlacementError> {
         let version_id = self
             .version_ids
@@ -412,7 +427,8 @@
         Ok(())
     }
 
-    /// The numbers that an entry has already, if the placement has the same, or those of [`PlacementTable::acquire_ids`].
+    /// The ids of the old entry if the placement has the same server, group and version; otherwise
+    /// releases those and acquires new ones.
     fn reuse_or_acquire_ids(
         &mut self,
         old: &Entry,
@@ -481,7 +497,7 @@
     }
 }
 
-/// Whole seconds of a moment.
+/// Converts milliseconds to whole seconds, saturating at `u32::MAX`.
 pub(crate) fn unix_seconds(now: Millis) -> u32 {
     u32::try_from(now / 1_000).unwrap_or(u32::MAX)
 }
--- a/crates/affinity/src/rebalancing.rs
+++ b/crates/affinity/src/rebalancing.rs
@@ -1,15 +1,16 @@
-//! At what rate clients are moved that stand where a new version no longer has them: so many a second over all
-//! processes.
+//! Limits the rate at which clients are moved off servers that a new version of the configuration
+//! no longer permits them on. The limit applies to all processes together.
 
 use std::collections::VecDeque;
 
 use crate::{Group, Key, Millis, mix64};
 
-/// What was not used lapses after so long, in milliseconds.
+/// Time for which unused allowance accrues at most.
 const MAX_ACCRUAL_MS: Millis = 1_000;
 
-/// Those that wait to be dealt anew, and this process's part of the fleet's allowance. A part of less than one is odds.
-/// Guards against hundreds of processes that each round up.
+/// The clients that wait to be moved, and this process's share of the fleet's allowance. The
+/// fraction of a share below one is applied as a probability. Guards against hundreds of processes
+/// that each round up.
 #[derive(Clone, Debug)]
 pub struct Rebalancer {
     per_s: f64,
@@ -20,7 +21,8 @@
 }
 
 impl Rebalancer {
-    /// So many a second over so many processes; each process has a seed of its own.
+    /// Creates a limiter of `per_s` moves per second over all processes; `seed` must differ between
+    /// processes.
     pub fn new(per_s: f64, processes: u32, seed: u64) -> Rebalancer {
         let per_s = if per_s.is_finite() {
             per_s.max(0.0)
@@ -36,24 +38,26 @@
         }
     }
 
-    /// How many processes there are now.
+    /// Sets the number of processes that share the allowance.
     pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1);
     }
 
-    /// Those that stand where they no longer may, in place of those before. A group goes together.
+    /// Replaces the waiting clients with those that are no longer permitted on their server.
+    /// Clients of a group are moved one after another.
     pub fn set_pending(&mut self, clients: impl IntoIterator<Item = (Key, Option<Group>)>) {
         let mut clients: Vec<(Key, Option<Group>)> = clients.into_iter().collect();
         clients.sort_unstable_by_key(|(key, group)| (*group, *key));
         self.pending = clients.into_iter().map(|(key, _)| key).collect();
     }
 
-    /// How many wait.
+    /// The number of waiting clients.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Those to be moved now. Whoever ended meanwhile is passed over by the caller.
+    /// Takes the clients to move now. The caller skips clients whose connection has ended
+    /// meanwhile.
     pub fn take_permitted(&mut self, now: Millis) -> Vec<Key> {
         let elapsed_ms = now
             .saturating_sub(self.last_drawn_at.unwrap_or(now))
--- a/crates/affinity/src/routing.rs
+++ b/crates/affinity/src/routing.rs
@@ -1,5 +1,5 @@
-//! What a configuration says of routing, in a form in which equal meaning is equal bytes, and what became of its servers'
-//! names.
+//! The routing part of a configuration, its digest, in which equal meaning gives equal bytes, and
+//! the detection of renamed servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -8,85 +8,89 @@
 
 use crate::versions::Version;
 
-/// One application server.
+/// An application server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Server {
-    /// Its name.
+    /// The name, unique among servers.
     pub name: String,
-    /// Its zone.
+    /// The zone, one of [`Routing::zones`].
     pub zone: String,
-    /// Its weight.
+    /// The weight in the rotation, at least 0.
     pub weight: f64,
-    /// Where it is reached; empty if discovery says so.
+    /// The address; empty if it comes from discovery.
     pub address: String,
-    /// Its name before. No part of the version: that it once had another name changes nothing now.
+    /// The former name. Not part of the version, because a former name does not change the routing.
     pub previous_name: Option<String>,
 }
 
-/// One class of clients.
+/// A class of clients.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name, unique among classes.
     pub name: String,
-    /// Wanted time to a standing connection, in milliseconds.
+    /// Objective for the time to an established connection, in milliseconds.
     pub latency_objective_ms: u64,
-    /// Whole time that a client waits, in milliseconds.
+    /// Total time that a client waits for a connection, in milliseconds.
     pub deadline_ms: u64,
-    /// What one is worth.
+    /// The priority weight of one request, at least 0.
     pub priority_weight: f64,
 }
 
-/// What a configuration says of routing.
+/// The routing part of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routing {
-    /// The zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// The servers.
+    /// The servers, in any order.
     pub servers: Vec<Server>,
-    /// The servers that a tenant may use; one that is not named may use all.
+    /// The servers that each tenant may use; a tenant without an entry may use all.
     pub tenants: Vec<(String, Vec<String>)>,
-    /// The classes.
+    /// The classes, in any order.
     pub classes: Vec<Class>,
 }
 
-/// What is wrong with it.
+/// An error in the routing part of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RoutingError {
     /// Two servers, tenants or classes have this name.
     DuplicateName(String),
-    /// This server's weight, or this class's worth, is no number of 0 or more.
+    /// The weight of this server or the priority weight of this class is negative or not finite.
     InvalidNumber(String),
-    /// Two servers say that they were this one.
+    /// Two servers declare this previous name.
     DuplicatePreviousName(String),
-    /// A server says that it was this one, which is still there.
+    /// A server declares this previous name, which a listed server still has.
     PreviousNameInUse(String),
-    /// A tenant has this server, and there is none of that name.
+    /// A tenant lists this server, which does not exist.
     UnknownServer(String),
 }
 
 impl fmt::Display for RoutingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RoutingError::DuplicateName(name) => write!(f, "{name:?} is there twice"),
+            RoutingError::DuplicateName(name) => write!(f, "{name:?} is defined more than once"),
             RoutingError::InvalidNumber(name) => {
-                write!(f, "{name:?}: weight or worth is no number of 0 or more")
+                write!(
+                    f,
+                    "{name:?}: the weight or priority weight must be a finite number of at least 0"
+                )
             }
             RoutingError::DuplicatePreviousName(name) => {
-                write!(f, "two servers say that they were {name:?}")
+                write!(f, "two servers declare the previous name {name:?}")
             }
             RoutingError::PreviousNameInUse(name) => write!(
                 f,
-                "a server says that it was {name:?}, which is still there"
+                "a server declares the previous name {name:?}, which is still in use"
             ),
             RoutingError::UnknownServer(name) => {
-                write!(f, "a tenant has server {name:?}, which there is not")
+                write!(f, "a tenant lists server {name:?}, which does not exist")
             }
         }
     }
 }
 
 impl Routing {
-    /// Its version. The order of what is listed, and what is listed twice alike, change nothing.
+    /// The version: a digest that does not depend on the order of lists or on repeated equal
+    /// entries.
     pub fn version(&self) -> Version {
         let mut hasher = CanonicalHasher::default();
         hasher.section(
@@ -122,7 +126,7 @@
         hasher.version()
     }
 
-    /// All that is wrong with it.
+    /// All errors, sorted and without repetition.
     pub fn errors(&self) -> Vec<RoutingError> {
         let servers: BTreeSet<&str> = self
             .servers
@@ -171,8 +175,9 @@
     }
 }
 
-/// The servers that have another name now: old to new. By the new one's word, else by the address, where just one server
-/// had it and just one has it now. A name that is still there was not renamed.
+/// The renamed servers, from old to new name. A rename is declared by the new server, or else
+/// detected by its address if exactly one server had the address before and exactly one has it now.
+/// A name that is still listed was not renamed.
 pub fn renames(before: &Routing, after: &Routing) -> BTreeMap<String, String> {
     let names = |routing: &Routing| {
         routing
@@ -209,7 +214,7 @@
     renamed
 }
 
-/// The servers whose address is no other one's.
+/// The names of servers by address, without the addresses that several servers share.
 fn by_unique_address(routing: &Routing) -> BTreeMap<&str, &str> {
     let mut names_by_address: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for server in routing
@@ -249,11 +254,12 @@
 }
 
 fn f64_bytes(value: f64) -> Vec<u8> {
-    // Minus nought is nought.
+    // Maps -0.0 to 0.0, which have different bits.
     (value + 0.0).to_bits().to_be_bytes().to_vec()
 }
 
-/// Sorted rows, each field with its length before it. Guards against two meanings with the same bytes.
+/// Hashes sorted rows, with the length before each field. Guards against equal bytes for different
+/// meanings.
 #[derive(Default)]
 struct CanonicalHasher(Sha256);
 
--- a/crates/affinity/src/versions.rs
+++ b/crates/affinity/src/versions.rs
@@ -1,9 +1,10 @@
-//! Versions of the configuration, and which of two is the newer: an order that all processes come to alike.
+//! Versions of the configuration and their order, which all processes agree on.
 //!
-//! A version is newer if its reign is later, else if the operator's serial number is higher, else if it was seen first
-//! later, else by its digest. A process that changes over to a version older than its own begins a new reign: that is a
-//! rollback, and the version is current again. One that starts with an old version begins none. A version that nobody
-//! was seen to run for five minutes is older than any that runs.
+//! The newer of two versions is the one with the later term, then the higher serial number of the
+//! operator, then the later first adoption, then the greater digest. A process that switches to a
+//! version older than its own starts a new term: this is a rollback, and the version becomes
+//! current again. A process that starts with an old version starts no term. A version that no
+//! process was seen to run for five minutes is older than any running one.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,35 +12,36 @@
 use crate::Millis;
 use crate::placement::MAX_CLOCK_LEAD_MS;
 
-/// A version that nobody ran for so long is over, in milliseconds. Guards against placements of a version that was taken
-/// back by restarts, and that nobody's rules would judge.
+/// Time after which a version that no process runs is older than any running one. Guards against
+/// placements made under a version that was taken back by restarts, which otherwise no running
+/// process would check against its rules.
 const IDLE_TIMEOUT_MS: Millis = 300_000;
-/// Versions remembered at most; those that ran longest ago give way.
+/// Most versions remembered; those last run longest ago are dropped first.
 const MAX_VERSIONS: usize = 256;
 
-/// A digest of what a configuration says of routing.
+/// A digest of the routing part of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u128);
 
 impl fmt::Display for Version {
-    /// The first eight digits: enough to tell versions apart in a log.
+    /// Writes the first eight hexadecimal digits, which tell versions apart in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}", self.0 >> 96)
     }
 }
 
-/// What processes tell each other of a version.
+/// What processes publish to each other about a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionFact {
-    /// Which.
+    /// The version that the fact is about.
     pub version: Version,
-    /// How many rollbacks there were before it became current.
+    /// The number of rollbacks before the version became current.
     pub term: u32,
-    /// The operator's serial number; 0 if none is given.
+    /// The serial number of the operator; 0 if none is given.
     pub serial: u64,
-    /// When it became current, by the first to see it.
+    /// The time at which the version became current, as first seen by any process.
     pub adopted_at: Millis,
-    /// When somebody was last seen to run it.
+    /// The time at which any process was last seen to run the version.
     pub last_run_at: Millis,
 }
 
@@ -55,7 +57,7 @@
         )
     }
 
-    /// The later reign, and its first sight; the highest serial number and the last run.
+    /// Keeps the later term with its first adoption, the highest serial number and the last run.
     fn merge(&mut self, other: &VersionFact) {
         if other.term > self.term {
             (self.term, self.adopted_at) = (other.term, other.adopted_at);
@@ -67,51 +69,52 @@
     }
 }
 
-/// What a change of version is.
+/// The result of switching to a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptOutcome {
-    /// None: it was current.
+    /// The version was already current.
     Same,
-    /// To a newer one, or a start with the newest known.
+    /// The version is newer than the previous one or, at the start, the newest known.
     Newer,
-    /// A start with an older one than is known.
+    /// The process started with a version older than a known one.
     Older,
-    /// Back to an older one, which is the newest from now on.
+    /// The version is older than the previous one, and the newest from now on.
     Rollback,
 }
 
 impl fmt::Display for AdoptOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            AdoptOutcome::Same => "the same as before",
-            AdoptOutcome::Newer => "the newest known",
-            AdoptOutcome::Older => "older than one that is known",
-            AdoptOutcome::Rollback => "a version from before, the newest from now on",
+            AdoptOutcome::Same => "already the current version",
+            AdoptOutcome::Newer => "the newest known version",
+            AdoptOutcome::Older => "older than a known version",
+            AdoptOutcome::Rollback => "a rollback to an earlier version, which is now the newest",
         })
     }
 }
 
-/// The versions that a process knows of.
+/// The versions that a process knows.
 #[derive(Clone, Debug, Default)]
 pub struct Versions {
     facts_by_version: BTreeMap<Version, VersionFact>,
     current: Option<Version>,
-    /// Nobody else has told of the current one: it is new, or it is too early to know.
+    /// No other process has reported the current version: it is new, or facts of peers have not
+    /// arrived yet.
     is_current_unconfirmed: bool,
 }
 
 impl Versions {
-    /// The version that this process runs.
+    /// The version that this process runs; `None` before the first adoption.
     pub fn current(&self) -> Option<Version> {
         self.current
     }
 
-    /// All facts, to be told to peers and kept.
+    /// All facts, to publish to peers and to store.
     pub fn facts(&self) -> impl Iterator<Item = &VersionFact> {
         self.facts_by_version.values()
     }
 
-    /// This process runs another version from now on, with the operator's serial number or 0.
+    /// Switches this process to a version, with the serial number of the operator or 0.
     pub fn adopt(&mut self, version: Version, serial: u64, now: Millis) -> AdoptOutcome {
         let before = self.current.replace(version);
         let term = self.max_term();
@@ -151,14 +154,15 @@
         adopted
     }
 
-    /// This process still runs its version.
+    /// Records that this process still runs its version, and returns the fact to publish.
     pub fn refresh_current_version(&mut self, now: Millis) -> Option<VersionFact> {
         let fact = self.facts_by_version.get_mut(&self.current?)?;
         fact.last_run_at = fact.last_run_at.max(now);
         Some(*fact)
     }
 
-    /// What a peer tells of a version; whether it was news. What is dated far ahead is not believed.
+    /// Merges a peer's fact about a version; returns whether anything changed. Facts dated too far
+    /// ahead are ignored.
     pub fn merge(&mut self, received: &VersionFact, now: Millis) -> bool {
         if received.adopted_at.max(received.last_run_at) > now.saturating_add(MAX_CLOCK_LEAD_MS)
             || received.term > self.max_term() + u32::from(u16::MAX)
@@ -177,7 +181,8 @@
         let before = *fact;
         fact.merge(received);
         let has_changed = before != *fact;
-        // A start that had heard of nobody could not know how many rollbacks there were.
+        // A process that started without facts from peers did not know how many rollbacks there
+        // were.
         if self.is_current_unconfirmed
             && let Some(own) = self
                 .current
@@ -189,7 +194,7 @@
         has_changed
     }
 
-    /// Whether one version is newer than another. What is not known here is older than what is.
+    /// Whether `one` is newer than `than`. An unknown version is older than a known one.
     pub fn is_newer(&self, one: Version, than: Version, now: Millis) -> bool {
         let rank = |version| {
             self.facts_by_version
@@ -199,7 +204,7 @@
         one != than && rank(one) > rank(than)
     }
 
-    /// What is known of a version.
+    /// The known facts about a version.
     pub fn get(&self, version: Version) -> Option<&VersionFact> {
         self.facts_by_version.get(&version)
     }
--- a/crates/affinity/tests/fleet.rs
+++ b/crates/affinity/tests/fleet.rs
@@ -1,12 +1,14 @@
-//! Five processes and 10,000 clients on a virtual clock: a twentieth of what they tell each other is lost, a process
-//! dies, servers drain and start anew, the network is cut in two for 3 s, and meanwhile the version rolls on, is taken
-//! back, or skips one.
+//! Simulates five processes and 10,000 clients on a virtual clock. A twentieth of the messages
+//! between processes is lost, a process dies, servers drain and restart, and the network is
+//! partitioned for 3 s, while a new version of the configuration is rolled out, rolled back or
+//! skips one.
 
 mod support;
 
 use support::fleet::{Action, Fleet, Stats};
 
-/// What goes wrong in each run: a drain and a new start, a death, a cut while two versions run.
+/// The failures of every run: a server drains and restarts, a process dies and starts again, and
+/// the network is partitioned while two versions run.
 fn common_failures() -> Vec<(u64, Action)> {
     vec![
         (40_000, Action::Drain(1)),
@@ -29,7 +31,10 @@
 fn assert_affinity_kept(stats: &Stats) {
     assert!(stats.expected_returns > 10_000, "{stats:?}");
     let return_ratio = stats.successful_returns as f64 / stats.expected_returns as f64;
-    assert!(return_ratio >= 0.995, "{return_ratio} land: {stats:?}");
+    assert!(
+        return_ratio >= 0.995,
+        "too few clients returned to their server ({return_ratio}): {stats:?}"
+    );
     assert_eq!(
         (
             stats.moved_by_version,
@@ -39,7 +44,7 @@
         (0, 0, 0),
         "{stats:?}"
     );
-    // What is lost twice can't be known.
+    // A process cannot know a fact that was lost twice.
     assert!(stats.flaps_by_loss <= 4, "{stats:?}");
 }
 
@@ -49,8 +54,12 @@
         let adopt = |process: usize| (120_000 + 30_000 * process as u64, Action::Adopt(process, 1));
         let stats = run_scenario("roll", seed, &[0, 1, 2, 3, 4].map(adopt));
         assert_affinity_kept(&stats);
-        // What no longer holds is moved, at 40 a second over all.
-        assert!(stats.rebalanced > 200, "{stats:?}");
+        // Clients that are no longer permitted on their server are moved, at 40 a second over all
+        // processes.
+        assert!(
+            stats.rebalanced > 200,
+            "expected more than 200 moved clients: {stats:?}"
+        );
         assert!(stats.max_rebalanced_in_10_s <= 400 + 80, "{stats:?}");
         assert_eq!(stats.not_rebalanced, 0, "{stats:?}");
     }
--- a/crates/affinity/tests/memory.rs
+++ b/crates/affinity/tests/memory.rs
@@ -1,4 +1,5 @@
-//! The table against a plain model: merging in any order, expiry, what gives way, counts of groups.
+//! Checks the placement table against a plain model: merging in any order, expiry, eviction and
+//! group counts.
 
 mod support;
 
@@ -55,7 +56,7 @@
     all_placements
 }
 
-/// By the order of placements alone.
+/// The placements that remain by precedence alone.
 fn expected_merge<'a>(facts: impl Iterator<Item = &'a Placement>) -> Vec<Placement> {
     let mut all_placements: BTreeMap<Key, Placement> = BTreeMap::new();
     for fact in facts {
@@ -68,7 +69,8 @@
 }
 
 proptest! {
-    /// Any order, doubled, through a peer or in pages; and the home of each group is where most of it is.
+    /// Merging gives the same table in any order, with repeated facts, through a peer or in pages,
+    /// and the home of each group is the server with most of its members.
     #[test]
     fn merging_converges_in_any_order(facts in placements(12, 60), split in any::<prop::sample::Index>()) {
         let now = T0 + 250_000;
@@ -99,14 +101,14 @@
         }
     }
 
-    /// Small bounds, deaths and restarts: what is held is what the model holds.
+    /// With a small capacity, expiry and a server restart, the table holds what the model holds.
     #[test]
     fn evicts_longest_ended_placement_first(facts in placements(40, 120), restart in 0..40_u64) {
         let mut table = PlacementTable::new(Limits { ttl_s: 150, ..limits(8) }, 1, 9);
         let mut model: BTreeMap<Key, Placement> = BTreeMap::new();
         let retention_rank = |placement: &Placement| (placement.state == PlacementState::Established, placement.seen_s);
         for (at, fact) in facts.iter().enumerate() {
-            // The clock goes on; whatever is past its life goes first.
+            // The clock advances with each fact; expired placements are removed first.
             let now = T0 + at as Millis * 3_000;
             table.expire(now, usize::MAX);
             model.retain(|_, placement| placement.seen_s + 150 >= (now / 1_000) as u32);
@@ -131,7 +133,7 @@
             };
             prop_assert_eq!(outcome, expected);
             if outcome == MergeOutcome::New && model.len() == 8 {
-                // Of those of one age any may have gone.
+                // Any one of the equally ranked placements may have been evicted.
                 let evicted: Vec<Key> = model.keys().copied().filter(|key| table.get(*key).is_none()).collect();
                 prop_assert_eq!(evicted.len(), 1);
                 prop_assert_eq!(model.remove(&evicted[0]).as_ref().map(retention_rank), lowest_rank);
@@ -141,7 +143,7 @@
             }
             prop_assert_eq!(all_placements(&table), model.values().copied().collect::<Vec<_>>());
         }
-        // All leave: nothing is counted any more.
+        // After everything has expired, no counts remain.
         table.expire(T0 + 10_000_000, usize::MAX);
         prop_assert_eq!((table.counts().entries, table.counts().established), (0, 0));
         for group in 1..3 {
@@ -150,7 +152,7 @@
     }
 }
 
-/// A million clients, each in a group of its own, which takes most; all that is allocated counts.
+/// A million clients; a group per client takes the most memory. All allocations count.
 #[test]
 fn uses_at_most_64_bytes_per_placement() {
     let count = 1_000_000;
@@ -163,18 +165,21 @@
                 let member = client(key, Some(key / group_size));
                 table
                     .record_established(&member, Tag(key / 3 % 1_000), T0 + key / 2)
-                    .expect("room");
+                    .expect("the table accepts the placement");
             }
             filled = Some(table);
         });
-        let table = filled.expect("filled");
+        let table = filled.expect("the closure filled the table");
         let bytes_per_placement = allocated.bytes_current as f64 / count as f64;
         println!(
-            "groups of {group_size}: {bytes_per_placement:.1} bytes a placement, {:.1} at the peak",
+            "groups of {group_size}: {bytes_per_placement:.1} bytes per placement, {:.1} at the peak",
             allocated.bytes_max as f64 / count as f64
         );
         assert_eq!(table.counts().entries, count);
-        assert!(bytes_per_placement <= 64.0, "{bytes_per_placement}");
+        assert!(
+            bytes_per_placement <= 64.0,
+            "expected at most 64 bytes per placement, got {bytes_per_placement}"
+        );
         assert!(table.bytes() as i64 <= allocated.bytes_current + 4_096);
     }
 }
@@ -206,7 +211,7 @@
             let clustered = client(key << 54, Some(key << 54));
             table
                 .record_established(&clustered, tag("a"), T0 + round * 1_000)
-                .expect("room");
+                .expect("the table accepts the placement");
         }
     }
     assert_eq!(
@@ -217,11 +222,12 @@
             ..Counts::default()
         }
     );
-    // Those that stand do not make way for what has ended, but for those that are seen later.
+    // An established placement is not evicted for an ended one, but for an established one seen
+    // later.
     let mut peer = support::table(2);
     let established = peer
         .record_established(&client(5_000, None), tag("a"), T0 + 9_000)
-        .expect("room");
+        .expect("the table accepts the placement");
     let ended = peer
         .record_ended(
             Key(5_000),
@@ -229,7 +235,7 @@
             EndReason::ClosedByClient,
             T0 + 9_000,
         )
-        .expect("it stood");
+        .expect("the connection is established");
     assert_eq!(
         table.merge(&ended, T0 + 9_000),
         MergeOutcome::Rejected(PlacementError::AtCapacity)
@@ -243,27 +249,27 @@
     let mut table = table(1);
     let stamp = table
         .record_established(&client(1, None), tag("a"), T0)
-        .expect("room")
+        .expect("the table accepts the placement")
         .stamp;
     table
         .record_established(&client(2, None), tag("a"), T0)
-        .expect("room");
+        .expect("the table accepts the placement");
     let hour_ms = 3_600_000;
     table
         .refresh(Key(1), stamp, T0 + hour_ms / 2)
-        .expect("it stands");
+        .expect("the connection is established");
     let endpoints = TestEndpoints::all_ready(&["a"]);
     let later = T0 + hour_ms + 5_000;
     assert_eq!(
         advised(&table, &client(2, None), &endpoints, later),
         None,
-        "past its life, cleared away or not"
+        "expected no advice from an expired placement that is still in the table"
     );
     assert!(advised(&table, &client(1, None), &endpoints, later).is_some());
     assert_eq!((table.expire(later, 10), table.counts().expired), (1, 1));
     let dated_ahead = Placement {
         stamp: Stamp((later + 61_000) << 20),
-        ..table.get(Key(1)).expect("held")
+        ..table.get(Key(1)).expect("the placement is in the table")
     };
     assert_eq!(
         table.merge(&dated_ahead, later),
--- a/crates/affinity/tests/place.rs
+++ b/crates/affinity/tests/place.rs
@@ -1,4 +1,4 @@
-//! Which server is advised, and when none is.
+//! Checks which server is advised, and when none is.
 
 mod support;
 
@@ -7,15 +7,15 @@
 
 const CLIENT: u64 = 1;
 
-/// What becomes of a farm.
+/// A change to the test endpoints.
 type EndpointChange = fn(&mut TestEndpoints);
 
-/// A memory in which client 1 stood on `a` from T0 on, and its stamp.
+/// A table in which client 1 is established on `a` since T0, and the stamp of its placement.
 fn table_with_client_on_a() -> (PlacementTable, Stamp) {
     let mut table = table(1);
     let stamp = table
         .record_established(&client(CLIENT, None), tag("a"), T0)
-        .expect("room")
+        .expect("the table accepts the placement")
         .stamp;
     (table, stamp)
 }
@@ -30,7 +30,7 @@
         let (mut table, stamp) = table_with_client_on_a();
         table
             .record_ended(Key(CLIENT), stamp, reason, T0 + 10)
-            .expect("it stood");
+            .expect("the connection is established");
         let advice = table.advise(
             &client(CLIENT, None),
             &TestEndpoints::all_ready(&["a", "b"]),
@@ -49,7 +49,7 @@
     assert_eq!(
         table.advise(&client(2, None), &TestEndpoints::all_ready(&["a"]), T0),
         None,
-        "a newcomer is the rotation's"
+        "expected no advice for a new client"
     );
 }
 
@@ -94,9 +94,9 @@
             EndReason::MigratedServerLeaving,
             T0 + 500,
         )
-        .expect("it stood");
+        .expect("the connection is established");
     let mut endpoints = TestEndpoints::all_ready(&["a", "b"]);
-    // This process has not heard that it leaves, nor does it for an hour.
+    // This process does not learn within an hour that the server is leaving.
     for later in [600, 60_000, 3_500_000] {
         assert_eq!(
             table.validity(&client(CLIENT, None), &endpoints, T0 + later),
@@ -120,17 +120,17 @@
         let member = |key| client(key, Some(7));
         let stamp = table
             .record_established(&member(CLIENT), tag("a"), T0)
-            .expect("room")
+            .expect("the table accepts the placement")
             .stamp;
         table
             .record_established(&member(2), tag("a"), T0)
-            .expect("room");
+            .expect("the table accepts the placement");
         table
             .record_established(&member(3), tag("b"), T0)
-            .expect("room");
+            .expect("the table accepts the placement");
         table
             .record_ended(Key(CLIENT), stamp, reason, T0 + 500)
-            .expect("it stood");
+            .expect("the connection is established");
         let endpoints = TestEndpoints::all_ready(&["a", "b"]);
         assert_eq!(
             advised(&table, &member(CLIENT), &endpoints, T0 + 60_900),
@@ -152,7 +152,7 @@
         for _ in 0..count {
             table
                 .record_established(&client(key, Some(7)), tag(server), T0)
-                .expect("room");
+                .expect("the table accepts the placement");
             key += 1;
         }
     }
@@ -169,7 +169,7 @@
         home(&table, &endpoints),
         Some((tag("b"), AdviceReason::GroupHome))
     );
-    // Whoever was on `a` is dealt anew to where most of the group is.
+    // A client whose server `a` is not ready goes to the server with most of its group.
     assert_eq!(
         advised(&table, &client(10, Some(7)), &endpoints, T0 + 20),
         Some((tag("b"), AdviceReason::ReDealt))
@@ -182,9 +182,9 @@
     assert_eq!(
         advised(&table, &client(CLIENT, Some(8)), &endpoints, T0 + 20),
         None,
-        "another group"
+        "expected no advice for a client of another group"
     );
-    // `a` comes back anew: what it had of the group is gone, and what comes now counts.
+    // `a` restarts: its earlier members of the group no longer count, new ones do.
     *endpoints.server_mut("a") = ServerStatus {
         is_ready: true,
         ready_since: T0 + 50,
@@ -198,7 +198,7 @@
     for key in 30..33 {
         table
             .record_established(&client(key, Some(7)), tag("a"), T0 + 60)
-            .expect("room");
+            .expect("the table accepts the placement");
     }
     assert_eq!(
         home(&table, &endpoints),
@@ -219,7 +219,7 @@
         for at in order {
             table
                 .record_established(&client(at as u64, Some(7)), tag(names[at]), T0)
-                .expect("room");
+                .expect("the table accepts the placement");
         }
         homes.push(advised(
             &table,
@@ -230,7 +230,7 @@
         for at in order {
             table
                 .record_established(&client(20 + at as u64, Some(7)), tag(names[at]), T0)
-                .expect("room");
+                .expect("the table accepts the placement");
         }
         assert_eq!(
             advised(
@@ -242,12 +242,15 @@
             None
         );
     }
-    assert!(homes[0].is_some() && homes[0] == homes[1], "{homes:?}");
+    assert!(
+        homes[0].is_some() && homes[0] == homes[1],
+        "expected the same home in both tables: {homes:?}"
+    );
 }
 
 #[test]
 fn keeps_placement_made_under_newer_version() {
-    // The old version has this tenant on `a`, the new one on `b`.
+    // The old version permits the client on `a` only, the new one on `b` only.
     let (mut old, mut new) = (table(1), table(2));
     let (mut old_endpoints, mut new_endpoints) = (
         TestEndpoints::all_ready(&["a", "b"]),
@@ -257,7 +260,7 @@
     new_endpoints.forbidden.insert(tag("a"));
     let first = old
         .record_established(&client(CLIENT, None), tag("a"), T0)
-        .expect("room");
+        .expect("the table accepts the placement");
     new.adopt(Version(2), 0, T0 + 100);
     new.merge(&first, T0 + 100);
     for fact in old.versions().facts().copied().collect::<Vec<_>>() {
@@ -269,9 +272,10 @@
     );
     let placed = new
         .record_established(&client(CLIENT, None), tag("b"), T0 + 110)
-        .expect("room");
+        .expect("the table accepts the placement");
     old.merge(&placed, T0 + 120);
-    // Before the old process has heard of the version, and after; and after the client has stood through it.
+    // The old process keeps the placement before and after it receives the new version, and after
+    // the client has connected through it.
     assert_eq!(
         advised(&old, &client(CLIENT, None), &old_endpoints, T0 + 130),
         Some((tag("b"), AdviceReason::SameServer))
@@ -286,10 +290,10 @@
         );
         let established = old
             .record_established(&client(CLIENT, None), tag("b"), now)
-            .expect("room");
+            .expect("the table accepts the placement");
         assert_eq!(established.config_version, Version(2));
     }
-    // It is taken back: the old version's rules hold again.
+    // After a rollback the rules of the old version apply again.
     assert_eq!(new.adopt(Version(1), 0, T0 + 9_000), AdoptOutcome::Rollback);
     for fact in new.versions().facts().copied().collect::<Vec<_>>() {
         old.merge_version(&fact, T0 + 9_000);
@@ -305,7 +309,7 @@
     let (mut table, _) = table_with_client_on_a();
     table
         .record_established(&client(2, Some(7)), tag("a"), T0)
-        .expect("room");
+        .expect("the table accepts the placement");
     table.rename_server(tag("a"), tag("z"));
     let (old, new) = (
         TestEndpoints::all_ready(&["a", "b"]),
@@ -321,11 +325,12 @@
             Some((tag(name), AdviceReason::GroupHome))
         );
     }
-    // A peer that has yet to hear of it tells the old name; a second new name is followed too.
+    // A peer that has not received the rename still reports the old name; a second rename is
+    // followed too.
     let mut peer = support::table(2);
     let received = peer
         .record_established(&client(4, None), tag("a"), T0 + 5)
-        .expect("room");
+        .expect("the table accepts the placement");
     table.rename_server(tag("z"), tag("zz"));
     assert_eq!(table.merge(&received, T0 + 10), MergeOutcome::New);
     for key in [CLIENT, 4] {
@@ -334,7 +339,7 @@
             Some(tag("zz"))
         );
     }
-    // And back to the first: the names go round, and nothing is lost.
+    // A rename back to the first name closes a cycle, and the placement is still found.
     table.rename_server(tag("zz"), tag("a"));
     assert_eq!(
         advised(&table, &client(CLIENT, None), &old, T0 + 20),
@@ -346,11 +351,17 @@
 fn ignores_end_of_superseded_connection() {
     let (mut table, first) = table_with_client_on_a();
     let mut peer = support::table(2);
-    // The peer's clock is a second slow; it has heard of the first connection, so that its own is later all the same.
-    peer.merge(&table.get(Key(CLIENT)).expect("known"), T0);
+    // The peer's clock is a second slow, but it knows the first connection, so its stamp is still
+    // later.
+    peer.merge(
+        &table
+            .get(Key(CLIENT))
+            .expect("the placement is in the table"),
+        T0,
+    );
     let second = peer
         .record_established(&client(CLIENT, None), tag("b"), T0 - 1_000)
-        .expect("room");
+        .expect("the table accepts the placement");
     assert_eq!(table.merge(&second, T0 + 10), MergeOutcome::Newer);
     assert_eq!(
         table.record_ended(
@@ -378,11 +389,12 @@
         advised_count += u32::from(advice.is_some());
         let fact = tables[at as usize % 2]
             .record_established(&shared_client, tag("a"), now)
-            .expect("room");
+            .expect("the table accepts the placement");
         tables[1 - at as usize % 2].merge(&fact, now);
     }
     assert_eq!(advised_count, 5);
-    // Whoever of them ends last is led back; and all are, one by one, when the process that they stood through died.
+    // The client whose connection ends last is advised again; all are, one at a time, once the
+    // process that relayed them has died.
     assert_eq!(
         tables[0].validity(&shared_client, &endpoints, T0 + 10_000),
         Some(PlacementValidity::Shared)
@@ -394,9 +406,11 @@
     );
     let fact = tables[0]
         .record_established(&shared_client, tag("a"), T0 + 10_010)
-        .expect("room");
+        .expect("the table accepts the placement");
     assert_eq!(fact.overlap_count, 0);
-    let fact = tables[1].get(Key(CLIENT)).expect("held");
+    let fact = tables[1]
+        .get(Key(CLIENT))
+        .expect("the placement is in the table");
     tables[1]
         .record_ended(
             Key(CLIENT),
@@ -404,7 +418,7 @@
             EndReason::ConnectionLost,
             T0 + 10_020,
         )
-        .expect("it stood");
+        .expect("the connection is established");
     assert_eq!(
         tables[1].validity(&shared_client, &endpoints, T0 + 10_030),
         Some(PlacementValidity::Yes)
--- a/crates/affinity/tests/rebalancing.rs
+++ b/crates/affinity/tests/rebalancing.rs
@@ -1,9 +1,10 @@
-//! What no longer holds is moved at a rate that all processes keep together, however many there are.
+//! Clients that are no longer permitted on their server are moved at a rate that holds over all
+//! processes, however many there are.
 
 use beaconflow_affinity::*;
 
-/// Moves of a fleet in so many seconds, with most of the clients at the first few processes and calls at times of each
-/// one's own.
+/// The moves of a fleet within `span_s` seconds. The first third of the processes has most of the
+/// clients, and each process calls at its own interval.
 fn total_moved(processes: u32, per_s: f64, span_s: u64, seed: u64) -> u64 {
     let mut total_moved = 0;
     for process in 0..processes {
@@ -36,12 +37,12 @@
             let tolerance = 4.0 * max_moves.sqrt();
             assert!(
                 (total as f64) < max_moves + tolerance,
-                "{processes} processes, {per_s}/s: {total} of {max_moves}"
+                "{processes} processes, {per_s}/s: {total} moves, allowance {max_moves}"
             );
-            // And it is used, by those that have whom to move.
+            // The processes that have clients to move use a good part of the allowance.
             assert!(
                 total as f64 > max_moves / 4.0 - tolerance,
-                "{processes} processes, {per_s}/s: {total} of {max_moves}"
+                "{processes} processes, {per_s}/s: {total} moves, allowance {max_moves}"
             );
         }
     }
@@ -54,18 +55,18 @@
     rebalancer.set_pending((0..90).map(|key| (Key(key), group(key))));
     assert!(
         rebalancer.take_permitted(1_000_000).is_empty(),
-        "nobody at once"
+        "expected no moves at the first call"
     );
     let first = rebalancer.take_permitted(1_000_000 + 3_600_000);
     assert_eq!(
         (first.len(), rebalancer.pending_count()),
         (10, 80),
-        "a second's worth after an hour"
+        "expected the allowance of one second after an hour"
     );
     assert!(first.iter().all(|key| group(key.0) == Some(Group(0))));
     assert!(
         rebalancer.take_permitted(1_000_000).is_empty(),
-        "a clock that goes back gives nothing"
+        "expected no moves when the clock goes backwards"
     );
     rebalancer.set_process_count(1_000_000);
     assert!(rebalancer.take_permitted(1_000_000 + 3_601_000).len() <= 1);
--- a/crates/affinity/tests/support/fleet.rs
+++ b/crates/affinity/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet of the model: processes with a memory each, servers, clients, and the messages between.
+//! A model of a fleet: processes with a placement table each, servers, clients, and the messages
+//! between processes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,10 +13,10 @@
 const PROCESSES: usize = 5;
 const SERVERS: usize = 13;
 const MESSAGE_LOSS_PROBABILITY: f64 = 0.05;
-/// Moves a second over all processes that a version may cause.
+/// Clients per second, over all processes, that a new version may move.
 pub const REBALANCED_PER_S: f64 = 40.0;
 
-/// What is done to the fleet.
+/// A failure or an operation in the script of a run.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Adopt(usize, usize),
@@ -39,32 +40,35 @@
     AntiEntropy,
 }
 
-/// What came of it.
+/// The counts of a run.
 #[derive(Debug, Default)]
 pub struct Stats {
-    /// Returns of clients whose server stands and is theirs by the newest version.
+    /// Returns of clients whose server runs and is permitted by the newest version.
     pub expected_returns: u64,
-    /// Of these, those that got it.
+    /// Expected returns that got their server.
     pub successful_returns: u64,
-    /// Of these, those that did not though the process knew where they had stood, and the newest version it had heard
-    /// of has them there.
+    /// Expected returns that did not get their server although the process knew the last placement,
+    /// and the newest version it knew permits it.
     pub moved_by_version: u64,
-    /// Those of these that went back to the server before.
+    /// Of `moved_by_version`, clients that went to the server before their last one.
     pub flaps: u64,
-    /// Those that went back to the server before because word of the last one was lost or late.
+    /// Clients that went to the server before their last one because the fact about the last one
+    /// was lost or late.
     pub flaps_by_loss: u64,
-    /// Those that were advised the server that they had just been moved off, by a process that knew.
+    /// Clients that were advised the server they had just been migrated off, by a process that knew
+    /// of the migration.
     pub returned_too_early: u64,
-    /// The same by one that did not.
+    /// The same by a process that did not know of the migration.
     pub returned_too_early_by_loss: u64,
     pub rebalanced: usize,
     pub max_rebalanced_in_10_s: usize,
-    /// Those that stand, at the end, where the newest version has them no longer.
+    /// Clients established at the end on a server that the newest version does not permit.
     pub not_rebalanced: usize,
 }
 
-/// Three configurations. The second bars server 2, renames 3, has no zone west (7), gives tenant 1 other servers and
-/// deals to 12; the third gives tenant 2 a set too. Classes and weights are a matter of the rotation.
+/// The three configurations. The second forbids server 2, renames server 3, removes zone west
+/// (server 7), gives tenant 1 other servers and adds server 12; the third restricts tenant 2 too.
+/// Classes and weights only matter to the rotation.
 fn name(config: usize, server: usize) -> Tag {
     Tag::from_name(&if config > 0 && server == 3 {
         "renamed".into()
@@ -99,7 +103,7 @@
     rebalancer: Rebalancer,
 }
 
-/// A process's view.
+/// The servers as a process sees them.
 struct ProcessView<'a>(&'a Process);
 
 impl EndpointView for ProcessView<'_> {
@@ -225,7 +229,9 @@
         let newest_config = self.newest_config;
         let ids = (0..CLIENTS).filter(|id| self.clients[*id].process.is_some());
         let forbidden = |id: &usize| {
-            let server = self.clients[*id].server.expect("it stands");
+            let server = self.clients[*id]
+                .server
+                .expect("an established client has a server");
             !permits(newest_config, client(*id).tenant.unwrap_or(0), server)
         };
         self.stats.not_rebalanced = ids.filter(forbidden).count();
@@ -268,7 +274,7 @@
         }
     }
 
-    /// Whether a message gets through, and when.
+    /// The delay of a message, or `None` if it is lost.
     fn delivery_delay(&mut self, from: usize, to: usize) -> Option<Millis> {
         let crosses_partition = self.is_partitioned && (from < 2) != (to < 2);
         let is_lost = self.rng.random_bool(MESSAGE_LOSS_PROBABILITY)
@@ -298,7 +304,8 @@
         }
     }
 
-    /// Each second: what is new to one peer, a page from another, versions and names to all.
+    /// Every second each process sends its recent facts and a page of its table to one peer, and
+    /// versions and renames to all.
     fn run_anti_entropy(&mut self) {
         for from in (0..PROCESSES)
             .filter(|from| self.processes[*from].is_alive)
@@ -379,7 +386,7 @@
         }
     }
 
-    /// Processes see a change of the list within a second and a half, each at its own time.
+    /// Each process sees a change of the list within 1.5 s, at its own time.
     fn publish_server_status(&mut self, server: usize) {
         for process in 0..PROCESSES {
             let delay = self.rng.random_range(20..1_500);
@@ -421,7 +428,7 @@
         self.processes[at].rebalancer.set_pending(clients);
     }
 
-    /// It hears its peers before it serves.
+    /// The process receives facts from two peers before it serves.
     fn start_process(&mut self, at: usize, config: usize) {
         let origin = 100 + self.event_count;
         self.processes[at] = process(origin, config, self.now, &self.servers);
@@ -515,7 +522,7 @@
         self.establish(id, at, server);
     }
 
-    /// The newest version that a process has heard of.
+    /// The newest version that a process knows.
     fn newest_known(&self, at: usize) -> usize {
         let versions = self.processes[at].table.versions();
         let known = (0..3).filter(|config| versions.get(version(*config)).is_some());
@@ -524,10 +531,11 @@
         };
         known
             .reduce(|first, second| if newer(first, second) { second } else { first })
-            .expect("its own")
+            .expect("a process knows its own version")
     }
 
-    /// Counts a return. What the process knew is how the client's last connection is, and the newest version.
+    /// Counts a return. `known` is what the process knew: the state of the client's last placement
+    /// and the newest version.
     fn record_return(
         &mut self,
         id: usize,
@@ -565,7 +573,8 @@
         }
     }
 
-    /// The rotation: any ready server that the configuration permits. Before the second one, 12 gets nothing.
+    /// The rotation: any ready server that the configuration permits. The first configuration
+    /// places no client on server 12.
     fn pick_by_rotation(&mut self, at: usize, tenant: u64, excluded: Option<usize>) -> usize {
         let config = self.processes[at].config;
         let is_candidate = |server: &usize| {
@@ -579,7 +588,7 @@
         candidates
             .into_iter()
             .nth(index)
-            .expect("some are always ready")
+            .expect("some servers are always ready")
     }
 
     fn establish(&mut self, id: usize, at: usize, server: usize) {
@@ -587,7 +596,7 @@
         let fact = process
             .table
             .record_established(&client(id), name(process.config, server), self.now)
-            .expect("room");
+            .expect("the table accepts the placement");
         let last = self.clients[id];
         let previous_server = if last.server == Some(server) {
             last.previous_server
--- a/crates/affinity/tests/support/mod.rs
+++ b/crates/affinity/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A farm for tests, and short ways to say things.
+//! Endpoints for tests, and helpers that build clients and tables.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -34,14 +34,14 @@
     }
 }
 
-/// A process's memory under version 1.
+/// The table of a process that runs version 1.
 pub fn table(origin: u64) -> PlacementTable {
     let mut table = PlacementTable::new(limits(10_000), origin, 9);
     table.adopt(Version(1), 0, T0);
     table
 }
 
-/// Servers as listed, and those that the configuration does not permit.
+/// The listed servers, and those that the configuration does not permit.
 #[derive(Clone, Default)]
 pub struct TestEndpoints {
     pub servers: BTreeMap<Tag, ServerStatus>,
@@ -62,7 +62,9 @@
     }
 
     pub fn server_mut(&mut self, name: &str) -> &mut ServerStatus {
-        self.servers.get_mut(&tag(name)).expect("listed")
+        self.servers
+            .get_mut(&tag(name))
+            .expect("the server is listed")
     }
 }
 
@@ -76,7 +78,7 @@
     }
 }
 
-/// What a client is advised, in short.
+/// The server that a client is advised, and the reason.
 pub fn advised(
     table: &PlacementTable,
     client: &Client,
--- a/crates/affinity/tests/versions.rs
+++ b/crates/affinity/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions: their order, what a rollback is, and the digest of what a configuration says.
+//! Checks the order of versions, rollbacks, and the digest of a configuration.
 
 use beaconflow_affinity::*;
 use proptest::prelude::*;
@@ -20,17 +20,19 @@
     assert_eq!(first.adopt(OLD, 0, T0), AdoptOutcome::Newer);
     assert_eq!(first.adopt(OLD, 0, T0 + 1), AdoptOutcome::Same);
     assert_eq!(first.adopt(NEW, 0, T0 + 10), AdoptOutcome::Newer);
-    // A process that starts late with the old file, and has heard of nobody, does not make it the newest.
+    // A process that starts late with the old file, without facts from peers, does not make it the
+    // newest version.
     assert_eq!(second.adopt(OLD, 0, T0 + 5_000), AdoptOutcome::Newer);
     send_facts(&second, &mut first, T0 + 5_000);
     send_facts(&first, &mut second, T0 + 5_000);
     for side in [&first, &second] {
         assert!(side.is_newer(NEW, OLD, T0 + 5_000) && !side.is_newer(OLD, NEW, T0 + 5_000));
     }
-    // It skips one.
+    // The second process skips a version.
     assert_eq!(second.adopt(NEWER, 0, T0 + 6_000), AdoptOutcome::Newer);
     assert!(second.is_newer(NEWER, NEW, T0 + 6_000));
-    // Back to the first: the newest from now on, also for one that then starts with it or comes back to it.
+    // A rollback to the first version makes it the newest, also for a process that switches back to
+    // it later.
     assert_eq!(second.adopt(OLD, 0, T0 + 7_000), AdoptOutcome::Rollback);
     send_facts(&second, &mut first, T0 + 7_000);
     assert_eq!(first.adopt(OLD, 0, T0 + 8_000), AdoptOutcome::Newer);
@@ -50,7 +52,7 @@
     };
     first.merge(&later_fact, T0 + 50);
     assert!(first.is_newer(NEW, OLD, T0 + 60));
-    // The old content under a higher number is newer without a rollback.
+    // The old content under a higher serial number is newer without a rollback.
     first.merge(
         &VersionFact {
             serial: 9,
@@ -73,7 +75,7 @@
     send_facts(&second, &mut first, T0 + 100);
     assert!(first.is_newer(NEWER, OLD, T0 + 100) && second.is_newer(NEWER, OLD, T0 + 100));
     assert_eq!(first.adopt(NEWER, 0, T0 + 200), AdoptOutcome::Newer);
-    // One that starts with what is no longer the newest says so.
+    // A start with a version that is no longer the newest is reported as such.
     let mut third = Versions::default();
     send_facts(&first, &mut third, T0 + 300);
     assert_eq!(third.adopt(OLD, 0, T0 + 300), AdoptOutcome::Older);
@@ -170,8 +172,8 @@
             |routing| drop(routing.tenants.pop()),
             |routing| routing.classes[0].latency_objective_ms += 1,
             |routing| routing.classes[0].priority_weight += 1.0,
-            // The same words with the bounds between them elsewhere.
-|routing| (routing.servers[0].name, routing.servers[0].zone) = ("an".into(), "orth".into()),
+            // The same text, split differently between name and zone.
+            |routing| (routing.servers[0].name, routing.servers[0].zone) = ("an".into(), "orth".into()),
         ];
         let mut versions = vec![original.version()];
         for change in changes {
@@ -228,14 +230,15 @@
     assert_eq!(
         renamed_pairs(&after),
         [("a".into(), "x".into())],
-        "by its address"
+        "expected the rename to be detected by address"
     );
     after.servers[1].previous_name = Some("b".into());
     assert_eq!(
         renamed_pairs(&after),
         [("a".into(), "x".into()), ("b".into(), "y".into())]
     );
-    // Two at one address: nobody knows which. One that is still there was not renamed.
+    // Two servers at one address leave the rename undecided. A server that is still listed was not
+    // renamed.
     after.servers.push(Server {
         name: "x2".into(),
         address: "127.0.0.1:1".into(),
@@ -247,7 +250,7 @@
     after.servers[3].previous_name = Some("c".into());
     after.classes[0].name = "fleet".into();
     let messages: Vec<String> = after.errors().iter().map(ToString::to_string).collect();
-    assert_eq!(messages.len(), 6, "{messages:?}");
+    assert_eq!(messages.len(), 6, "expected six errors: {messages:?}");
     assert!(before.errors().is_empty());
 }
 
@@ -256,7 +259,7 @@
     let before = routing(1.0);
     assert_eq!(
         Changes::between(&before, &before).to_string(),
-        "nothing of routing changed"
+        "routing is unchanged"
     );
     let mut after = before.clone();
     after.zones.pop();
@@ -270,8 +273,8 @@
     };
     after.tenants[1].1[0] = "d".into();
     after.classes[0].latency_objective_ms = 5;
-    let expected = "servers added: d; servers removed: c; servers renamed: a now x; weights changed: b; \
-                servers in another zone: b; zones gone: south; tenants with other servers: others; \
+    let expected = "servers added: d; servers removed: c; servers renamed: a to x; weights changed: b; \
+                servers moved to another zone: b; zones removed: south; tenants with changed servers: others; \
                 classes changed: telemetry";
     assert_eq!(Changes::between(&before, &after).to_string(), expected);
 }
