--- a/crates/affinity/src/advice.rs
+++ b/crates/affinity/src/advice.rs
@@ -202,7 +202,7 @@
         now: Millis,
     ) -> PlacementValidity {
         let placed_at = Stamp(entry.stamp).timestamp_ms();
-        // `seen_s` is in whole seconds; the end lies within that second, so the end of the second
+        // `seen_s` is in whole seconds; the end falls within that second, so the end of the second
         // is used.
         let ended_at_ms = (u64::from(entry.seen_s) + 1) * 1_000;
         if status.started_at > placed_at {
--- a/crates/affinity/src/placement_table.rs
+++ b/crates/affinity/src/placement_table.rs
@@ -124,31 +124,32 @@
         server: Tag,
         now: Millis,
     ) -> Result<Placement, PlacementError> {
-        let old = self.get(client.key);
-        let own = self.versions.current().unwrap_or(Version(0));
+        let known = self.get(client.key);
+        let own_version = self.versions.current().unwrap_or(Version(0));
         // Keeps a newer version on the placement. Otherwise this older process would place the
         // client again the next time.
-        let previous_version = old
+        let previous_version = known
             .filter(|old| {
                 self.servers.current_name(old.server) == self.servers.current_name(server)
             })
             .map(|old| old.config_version);
         let config_version = previous_version
             .filter(|previous_version| {
-                *previous_version != own && self.is_newer_than_own(*previous_version, now, now)
+                *previous_version != own_version
+                    && self.is_newer_than_own(*previous_version, now, now)
             })
-            .unwrap_or(own);
-        let previous =
-            old.filter(|old| old.state == PlacementState::Established && !self.is_dead(old.stamp));
+            .unwrap_or(own_version);
+        let overlapping = known
+            .filter(|old| old.state == PlacementState::Established && !self.is_dead(old.stamp));
         let placement = Placement {
             key: client.key,
             group: client.group,
             server: self.servers.current_name(server),
             config_version,
-            stamp: Stamp::after(old.map(|old| old.stamp), now, self.origin),
+            stamp: Stamp::after(known.map(|old| old.stamp), now, self.origin),
             seen_s: unix_seconds(now),
             state: PlacementState::Established,
-            overlap_count: previous
+            overlap_count: overlapping
                 .map_or(0, |old| (old.overlap_count + 1).min(SHARED_KEY_OVERLAPS)),
         };
         self.expire_some(now);
@@ -163,12 +164,12 @@
     /// placement.
     pub fn refresh(&mut self, key: Key, stamp: Stamp, now: Millis) -> Option<Placement> {
         let established = self.established_placement(key, stamp)?;
-        let seen = Placement {
+        let refreshed = Placement {
             seen_s: unix_seconds(now).max(established.seen_s),
             ..established
         };
-        self.apply(&seen);
-        Some(seen)
+        self.apply(&refreshed);
+        Some(refreshed)
     }
 
     /// Records the end of a connection, and returns the fact to publish. `None` if the connection
@@ -299,15 +300,15 @@
         placed_at: Millis,
         now: Millis,
     ) -> bool {
-        let Some(own) = self.versions.current() else {
+        let Some(own_version) = self.versions.current() else {
             return false;
         };
         if self.versions.get(version).is_some() {
-            return self.versions.is_newer(version, own, now);
+            return self.versions.is_newer(version, own_version, now);
         }
         self.versions
-            .get(own)
-            .is_none_or(|own| placed_at > own.adopted_at)
+            .get(own_version)
+            .is_none_or(|fact| placed_at > fact.adopted_at)
     }
 
     pub(crate) fn version_of(&self, entry: &Entry) -> Version {
@@ -353,8 +354,8 @@
                 .insert(placement)
                 .map_or_else(MergeOutcome::Rejected, |()| MergeOutcome::New);
         };
-        let known = self.entries[id as usize].stamp;
-        let is_newer = match placement.stamp.0 == known {
+        let known_stamp = self.entries[id as usize].stamp;
+        let is_newer = match placement.stamp.0 == known_stamp {
             true => {
                 let placement = Placement {
                     server: self.servers.current_name(placement.server),
@@ -362,7 +363,7 @@
                 };
                 placement.cmp_precedence(&self.placement(id)).is_gt()
             }
-            false => placement.stamp.0 > known,
+            false => placement.stamp.0 > known_stamp,
         };
         if !is_newer {
             return MergeOutcome::Known;
--- a/crates/affinity/src/versions.rs
+++ b/crates/affinity/src/versions.rs
@@ -116,13 +116,13 @@
 
     /// Switches this process to a version, with the serial number of the operator or 0.
     pub fn adopt(&mut self, version: Version, serial: u64, now: Millis) -> AdoptOutcome {
-        let before = self.current.replace(version);
+        let previous = self.current.replace(version);
         let term = self.max_term();
-        let adopted_at = before
-            .and_then(|before| self.facts_by_version.get(&before))
+        let adopted_at = previous
+            .and_then(|previous| self.facts_by_version.get(&previous))
             .map_or(now, |old| now.max(old.adopted_at + 1));
         self.is_current_unconfirmed = !self.facts_by_version.contains_key(&version)
-            || before == Some(version) && self.is_current_unconfirmed;
+            || previous == Some(version) && self.is_current_unconfirmed;
         let new_fact = VersionFact {
             version,
             term,
@@ -133,9 +133,9 @@
         let fact = self.facts_by_version.entry(version).or_insert(new_fact);
         fact.serial = fact.serial.max(serial);
         fact.last_run_at = fact.last_run_at.max(now);
-        let adopted = match before {
-            Some(before) if before == version => AdoptOutcome::Same,
-            Some(before) if !self.is_newer(version, before, now) => {
+        let outcome = match previous {
+            Some(previous) if previous == version => AdoptOutcome::Same,
+            Some(previous) if !self.is_newer(version, previous, now) => {
                 if let Some(fact) = self.facts_by_version.get_mut(&version) {
                     (fact.term, fact.adopted_at) = (term + 1, now);
                 }
@@ -151,7 +151,7 @@
             _ => AdoptOutcome::Newer,
         };
         self.prune();
-        adopted
+        outcome
     }
 
     /// Records that this process still runs its version, and returns the fact to publish.
@@ -184,11 +184,11 @@
         // A process that started without facts from peers did not know how many rollbacks there
         // were.
         if self.is_current_unconfirmed
-            && let Some(own) = self
+            && let Some(own_fact) = self
                 .current
-                .and_then(|own| self.facts_by_version.get_mut(&own))
+                .and_then(|version| self.facts_by_version.get_mut(&version))
         {
-            own.term = own.term.max(received.term);
+            own_fact.term = own_fact.term.max(received.term);
         }
         self.prune();
         has_changed
--- a/crates/affinity/tests/support/fleet.rs
+++ b/crates/affinity/tests/support/fleet.rs
@@ -197,7 +197,7 @@
             event_count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             processes: (0..PROCESSES)
-                .map(|at| process(at as u64, 0, T0, &servers))
+                .map(|process_id| process(process_id as u64, 0, T0, &servers))
                 .collect(),
             servers,
             clients: vec![ClientState::default(); CLIENTS],
@@ -346,18 +346,21 @@
 
     fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Adopt(at, config) => self.adopt(at, config),
+            Action::Adopt(process_id, config) => self.adopt(process_id, config),
             Action::SetPartition(is_partitioned) => self.is_partitioned = is_partitioned,
-            Action::Crash(at) => {
-                (self.processes[at].is_alive, self.processes[at].is_serving) = (false, false);
+            Action::Crash(process_id) => {
+                (
+                    self.processes[process_id].is_alive,
+                    self.processes[process_id].is_serving,
+                ) = (false, false);
                 for id in (0..CLIENTS)
-                    .filter(|id| self.clients[*id].process == Some(at))
+                    .filter(|id| self.clients[*id].process == Some(process_id))
                     .collect::<Vec<_>>()
                 {
                     self.end_connection(id, EndReason::BalancerDied);
                 }
             }
-            Action::Start(at, config) => self.start_process(at, config),
+            Action::Start(process_id, config) => self.start_process(process_id, config),
             Action::Drain(server) => {
                 self.servers[server].is_ready = false;
                 self.publish_server_status(server);
@@ -397,9 +400,9 @@
         }
     }
 
-    fn adopt(&mut self, at: usize, config: usize) {
-        let old_config = self.processes[at].config;
-        let process = &mut self.processes[at];
+    fn adopt(&mut self, process_id: usize, config: usize) {
+        let old_config = self.processes[process_id].config;
+        let process = &mut self.processes[process_id];
         process.config = config;
         process.table.adopt(version(config), 0, self.now);
         process
@@ -407,17 +410,17 @@
             .rename_server(name(old_config, 3), name(config, 3));
         self.newest_config = config;
         let facts: Vec<VersionFact> = process.table.versions().facts().copied().collect();
-        for to in (0..PROCESSES).filter(|to| *to != at) {
+        for to in (0..PROCESSES).filter(|to| *to != process_id) {
             for fact in &facts {
-                if let Some(delay) = self.delivery_delay(at, to) {
+                if let Some(delay) = self.delivery_delay(process_id, to) {
                     self.schedule(delay, Event::Version(to, *fact));
                 }
             }
         }
-        let process = &self.processes[at];
+        let process = &self.processes[process_id];
         let view = ProcessView(process);
         let must_move = |id: &usize| {
-            self.clients[*id].process == Some(at)
+            self.clients[*id].process == Some(process_id)
                 && process.table.validity(&client(*id), &view, self.now)
                     == Some(PlacementValidity::NotPermitted)
         };
@@ -425,37 +428,42 @@
             .filter(must_move)
             .map(|id| (client(id).key, client(id).group))
             .collect();
-        self.processes[at].rebalancer.set_pending(clients);
+        self.processes[process_id].rebalancer.set_pending(clients);
     }
 
     /// The process receives facts from two peers before it serves.
-    fn start_process(&mut self, at: usize, config: usize) {
+    fn start_process(&mut self, process_id: usize, config: usize) {
         let origin = 100 + self.event_count;
-        self.processes[at] = process(origin, config, self.now, &self.servers);
-        self.processes[at].is_serving = false;
-        self.dead_origins
-            .iter()
-            .for_each(|dead| self.processes[at].table.record_balancer_death(*dead));
+        self.processes[process_id] = process(origin, config, self.now, &self.servers);
+        self.processes[process_id].is_serving = false;
+        self.dead_origins.iter().for_each(|dead| {
+            self.processes[process_id]
+                .table
+                .record_balancer_death(*dead)
+        });
         for from in (0..PROCESSES)
-            .filter(|from| *from != at)
+            .filter(|from| *from != process_id)
             .take(2)
             .collect::<Vec<_>>()
         {
             let (facts, _) = self.processes[from].table.page(0, usize::MAX);
             for fact in facts {
-                if let Some(delay) = self.delivery_delay(from, at) {
-                    self.schedule(delay, Event::Placement(at, fact));
+                if let Some(delay) = self.delivery_delay(from, process_id) {
+                    self.schedule(delay, Event::Placement(process_id, fact));
                 }
             }
         }
-        self.schedule(2_000, Event::StartServing(at));
+        self.schedule(2_000, Event::StartServing(process_id));
     }
 
     fn rebalance(&mut self) {
-        for at in 0..PROCESSES {
-            for key in self.processes[at].rebalancer.take_permitted(self.now) {
+        for process_id in 0..PROCESSES {
+            for key in self.processes[process_id]
+                .rebalancer
+                .take_permitted(self.now)
+            {
                 let id = key.0 as usize;
-                if self.clients[id].process == Some(at) {
+                if self.clients[id].process == Some(process_id) {
                     self.moved_at.push(self.now);
                     self.end_connection(id, EndReason::MigratedServerLeaving);
                 }
@@ -466,7 +474,8 @@
 
     fn end_connection(&mut self, id: usize, reason: EndReason) {
         let client_state = &mut self.clients[id];
-        let (Some(at), Some(stamp)) = (client_state.process.take(), client_state.stamp) else {
+        let (Some(process_id), Some(stamp)) = (client_state.process.take(), client_state.stamp)
+        else {
             return;
         };
         client_state.was_migrated = matches!(
@@ -475,13 +484,15 @@
                 | EndReason::MigratedSlowMessages
                 | EndReason::MigratedRebalancing
         );
-        if self.processes[at].is_alive
-            && let Some(fact) =
-                self.processes[at]
-                    .table
-                    .record_ended(client(id).key, stamp, reason, self.now)
+        if self.processes[process_id].is_alive
+            && let Some(fact) = self.processes[process_id].table.record_ended(
+                client(id).key,
+                stamp,
+                reason,
+                self.now,
+            )
         {
-            self.publish(at, fact);
+            self.publish(process_id, fact);
         }
         let delay = self.rng.random_range(100..2_000);
         self.schedule(delay, Event::Arrive(id));
@@ -489,11 +500,11 @@
 
     fn connect(&mut self, id: usize) {
         let serving: Vec<usize> = (0..PROCESSES)
-            .filter(|at| self.processes[*at].is_serving)
+            .filter(|process_id| self.processes[*process_id].is_serving)
             .collect();
-        let at = serving[self.rng.random_range(0..serving.len())];
+        let process_id = serving[self.rng.random_range(0..serving.len())];
         let (client, last) = (client(id), self.clients[id]);
-        let process = &self.processes[at];
+        let process = &self.processes[process_id];
         let advice = process
             .table
             .advise(&client, &ProcessView(process), self.now);
@@ -504,11 +515,11 @@
             .table
             .get(client.key)
             .filter(|known| Some(known.stamp) == last.stamp);
-        let newest_config = self.newest_known(at);
+        let newest_config = self.newest_known(process_id);
         let server = match advised.filter(|server| self.servers[*server].is_ready) {
             Some(server) => server,
             None => self.pick_by_rotation(
-                at,
+                process_id,
                 client.tenant.unwrap_or(0),
                 last.server.filter(|_| last.was_migrated),
             ),
@@ -519,12 +530,12 @@
             advised,
             known.map(|known| (known.state, newest_config)),
         );
-        self.establish(id, at, server);
+        self.establish(id, process_id, server);
     }
 
     /// The newest version that a process knows.
-    fn newest_known(&self, at: usize) -> usize {
-        let versions = self.processes[at].table.versions();
+    fn newest_known(&self, process_id: usize) -> usize {
+        let versions = self.processes[process_id].table.versions();
         let known = (0..3).filter(|config| versions.get(version(*config)).is_some());
         let newer = |first: usize, second: usize| {
             versions.is_newer(version(second), version(first), self.now)
@@ -575,8 +586,13 @@
 
     /// The rotation: any ready server that the configuration permits. The first configuration
     /// places no client on server 12.
-    fn pick_by_rotation(&mut self, at: usize, tenant: u64, excluded: Option<usize>) -> usize {
-        let config = self.processes[at].config;
+    fn pick_by_rotation(
+        &mut self,
+        process_id: usize,
+        tenant: u64,
+        excluded: Option<usize>,
+    ) -> usize {
+        let config = self.processes[process_id].config;
         let is_candidate = |server: &usize| {
             self.servers[*server].is_ready
                 && permits(config, tenant, *server)
@@ -591,8 +607,8 @@
             .expect("some servers are always ready")
     }
 
-    fn establish(&mut self, id: usize, at: usize, server: usize) {
-        let process = &mut self.processes[at];
+    fn establish(&mut self, id: usize, process_id: usize, server: usize) {
+        let process = &mut self.processes[process_id];
         let fact = process
             .table
             .record_established(&client(id), name(process.config, server), self.now)
@@ -604,13 +620,13 @@
             last.server
         };
         self.clients[id] = ClientState {
-            process: Some(at),
+            process: Some(process_id),
             server: Some(server),
             previous_server,
             stamp: Some(fact.stamp),
             was_migrated: false,
         };
-        self.publish(at, fact);
+        self.publish(process_id, fact);
         let reason = match self.rng.random_range(0..20) {
             0 => EndReason::MigratedSlowMessages,
             1 | 2 => EndReason::MigratedRebalancing,
