--- a/crates/affinity/src/placement.rs
+++ b/crates/affinity/src/placement.rs
@@ -1,167 +1,182 @@
-//! What is known of one client: a fact that processes tell each other, and how two of them become one.
+//! The placement of one client: a fact that processes exchange, and the order by which two facts
+//! about a client are merged.
 
 use std::cmp::Ordering;
 
 use crate::versions::Version;
-use crate::{Group, Key, Millis, Tag, mix};
-
-/// Bits of a stamp that tell processes apart.
-const ORIGIN_BITS: u32 = 20;
-/// A key that stood so many times while it stood already is several clients'. Of one client's ends one in 25 is not heard
-/// of in time where a twentieth of all messages is lost, five in a row once in ten million.
-pub(crate) const SHARED: u8 = 5;
-/// What is dated further ahead than this is not believed, in milliseconds. Guards against a clock that is a year ahead
-/// and would have the last word for a year.
-pub(crate) const AHEAD: Millis = 60_000;
-
-/// When a placement was made, and by whom: the later one holds. A process makes one that is later than all that it
-/// knows of the client, so that a slow clock does not undo what it has just seen.
+use crate::{Group, Key, Millis, Tag, mix64};
+
+/// Number of bits of a stamp that identify the process.
+const ORIGIN_BIT_COUNT: u32 = 20;
+/// Consecutive overlapping connections after which a key counts as shared by several clients. Where
+/// a twentieth of all messages is lost, one in 25 connection ends of a single client is not
+/// received in time, and five in a row are missed once in ten million.
+pub(crate) const SHARED_KEY_OVERLAPS: u8 = 5;
+/// Facts dated further ahead than this are rejected. Guards against a clock that is a year ahead,
+/// whose facts would otherwise take precedence for a year.
+pub(crate) const MAX_CLOCK_LEAD_MS: Millis = 60_000;
+
+/// The time at which a placement was made, and the process that made it; the later stamp takes
+/// precedence. A process gives a new placement a later stamp than any it knows for the client, so
+/// that a slow clock does not undo what the process has just observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// A stamp of this moment, later than an earlier one.
+    /// Creates a stamp for `now`, or for the millisecond after `earlier` if that is later.
     pub(crate) fn after(earlier: Option<Stamp>, now: Millis, origin: u64) -> Stamp {
-        let at = earlier.map_or(now, |earlier| now.max(earlier.at() + 1));
-        Stamp(at << ORIGIN_BITS | u64::from(origin_of(origin)))
+        let timestamp_ms = earlier.map_or(now, |earlier| now.max(earlier.timestamp_ms() + 1));
+        Stamp(timestamp_ms << ORIGIN_BIT_COUNT | u64::from(origin_bits(origin)))
     }
 
     pub(crate) fn origin(self) -> u32 {
-        self.0 as u32 & ((1 << ORIGIN_BITS) - 1)
+        self.0 as u32 & ((1 << ORIGIN_BIT_COUNT) - 1)
     }
 
-    /// Its moment.
-    pub fn at(self) -> Millis {
-        self.0 >> ORIGIN_BITS
+    /// The time of the placement, in Unix milliseconds.
+    pub fn timestamp_ms(self) -> Millis {
+        self.0 >> ORIGIN_BIT_COUNT
     }
 }
 
-/// What a stamp shows of a process's name.
-pub(crate) fn origin_of(process: u64) -> u32 {
-    mix(process) as u32 & ((1 << ORIGIN_BITS) - 1)
+/// The bits by which a stamp identifies a process.
+pub(crate) fn origin_bits(process: u64) -> u32 {
+    mix64(process) as u32 & ((1 << ORIGIN_BIT_COUNT) - 1)
 }
 
-/// How a standing connection ended.
+/// The reason for which an established connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum How {
-    /// It broke, from whichever side.
-    Broke = 1,
-    /// The client ended it.
-    Left,
-    /// The process that relayed it is no more.
+pub enum EndReason {
+    /// Either side lost or broke the connection.
+    ConnectionLost = 1,
+    /// The client closed the connection.
+    ClosedByClient,
+    /// The balancer process that relayed the connection died.
     BalancerDied,
-    /// It was moved: its server leaves, or a new version has it there no longer.
-    MovedLeaving,
-    /// It was moved: messages were late there.
-    MovedLate,
-    /// It was moved: its server had more than its part, or another had room.
-    MovedUneven,
+    /// The client was migrated because the server is leaving, or because a new version of the
+    /// configuration no longer permits the client there.
+    MigratedServerLeaving,
+    /// The client was migrated because messages were late on the server.
+    MigratedSlowMessages,
+    /// The client was migrated because its server had more than its share of the load, or another
+    /// server had room.
+    MigratedRebalancing,
 }
 
-/// What a placement is now. Ended is later than standing.
+/// Whether the connection of a placement is established. Of two states under one stamp, ended takes
+/// precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
-    /// The client's connection stands.
+pub enum PlacementState {
+    /// The connection is established as far as is known.
     Established,
-    /// It ended.
-    Ended(How),
+    /// The connection has ended.
+    Ended(EndReason),
 }
 
-impl State {
-    /// Its number in messages and on the disk.
-    pub fn byte(self) -> u8 {
+impl PlacementState {
+    /// The number of the state in messages and in stored data.
+    pub fn to_byte(self) -> u8 {
         match self {
-            State::Established => 0,
-            State::Ended(how) => how as u8,
+            PlacementState::Established => 0,
+            PlacementState::Ended(reason) => reason as u8,
         }
     }
 
-    /// The state of a number; standing for one that means nothing here.
-    pub fn of(byte: u8) -> State {
-        use How::{BalancerDied, Broke, Left, MovedLate, MovedLeaving, MovedUneven};
-        let ended = [
-            Broke,
-            Left,
+    /// The state with this number; `Established` for an unknown number.
+    pub fn from_byte(byte: u8) -> PlacementState {
+        use EndReason::{
+            BalancerDied, ClosedByClient, ConnectionLost, MigratedRebalancing,
+            MigratedServerLeaving, MigratedSlowMessages,
+        };
+        let end_reasons = [
+            ConnectionLost,
+            ClosedByClient,
             BalancerDied,
-            MovedLeaving,
-            MovedLate,
-            MovedUneven,
+            MigratedServerLeaving,
+            MigratedSlowMessages,
+            MigratedRebalancing,
         ];
-        let how = usize::from(byte)
+        let reason = usize::from(byte)
             .checked_sub(1)
-            .and_then(|at| ended.get(at));
-        how.map_or(State::Established, |how| State::Ended(*how))
+            .and_then(|index| end_reasons.get(index));
+        reason.map_or(PlacementState::Established, |reason| {
+            PlacementState::Ended(*reason)
+        })
     }
 }
 
-/// Where a client was placed.
+/// The server on which a client was last placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Which client.
+    /// The client, equal at every process.
     pub key: Key,
-    /// Its group.
+    /// The group of the client, if it has one.
     pub group: Option<Group>,
-    /// The server that it got.
+    /// The server to which the client was connected.
     pub server: Tag,
-    /// The version that it was dealt under.
-    pub encode_version: Version,
-    /// When, and by whom.
+    /// The version of the configuration under which the server was selected.
+    pub config_version: Version,
+    /// The time of the placement and the process that made it.
     pub stamp: Stamp,
-    /// When it was last seen to stand, or ended: seconds since the start of 1970.
+    /// The Unix time in seconds at which the connection was last seen established, or ended.
     pub seen_s: u32,
-    /// What it is now.
-    pub state: State,
-    /// How often its client had come while it stood, up to 5: then the key is several clients', which nobody can tell
+    /// The state as of `seen_s`.
+    pub state: PlacementState,
+    /// Consecutive times that a client with this key connected while its previous connection was
+    /// still established, at most 5. At 5 the key is shared by several clients that cannot be told
     /// apart.
-    pub twins: u8,
+    pub overlap_count: u8,
 }
 
 impl Placement {
-    /// When it was made.
-    pub fn since(&self) -> Millis {
-        self.stamp.at()
+    /// The time of the placement, in Unix milliseconds.
+    pub fn placed_at(&self) -> Millis {
+        self.stamp.timestamp_ms()
     }
 
-    /// Which of two says more of a client. The later stamp; of one stamp, ended before standing, then what was seen
-    /// later. The rest is for a tie of two processes alone: any order does, as long as it is everybody's.
-    pub fn order(&self, other: &Placement) -> Ordering {
-        let rank = |one: &Placement| {
+    /// Compares two placements of a client; the greater one takes precedence. The later stamp is
+    /// greater; under one stamp an ended placement is greater than an established one, then the one
+    /// seen later. The remaining fields only break ties between two processes, where any order does
+    /// as long as it is the same everywhere.
+    pub fn cmp_precedence(&self, other: &Placement) -> Ordering {
+        let rank = |placement: &Placement| {
             (
-                one.stamp,
-                one.state,
-                one.seen_s,
-                one.twins,
-                one.server,
-                one.encode_version,
-                one.group,
-                one.key,
+                placement.stamp,
+                placement.state,
+                placement.seen_s,
+                placement.overlap_count,
+                placement.server,
+                placement.config_version,
+                placement.group,
+                placement.key,
             )
         };
         rank(self).cmp(&rank(other))
     }
 }
 
-/// Why a placement is not taken in.
+/// The reason for which a placement is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// It is past its life.
+pub enum PlacementError {
+    /// The placement is older than [`crate::Limits::ttl_s`].
     Expired,
-    /// It is dated more than a minute ahead.
-    Ahead,
-    /// All that is held is worth more, or too many servers or versions are named.
-    NoRoom,
+    /// The placement is dated more than a minute ahead of the local clock.
+    DatedAhead,
+    /// Every held placement has a higher retention rank, or there are too many distinct servers or
+    /// versions.
+    AtCapacity,
 }
 
-/// What became of a placement that was heard of.
+/// The result of merging a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Its client was not known.
+    /// The client was unknown; the placement was added.
     New,
-    /// It says more than what was known.
+    /// The placement takes precedence over the known one and replaced it.
     Newer,
-    /// It says no more.
+    /// The known placement is equal or takes precedence; nothing changed.
     Known,
-    /// It was not taken in.
-    Refused(Refused),
+    /// The placement was rejected; nothing was added.
+    Rejected(PlacementError),
 }
