--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -117,7 +117,7 @@
             life,
         );
         // A client may return to another process before the next gossip round.
-        self.membership.say();
+        self.membership.gossip_soon();
     }
 
     /// Publishes a fact of this program's own kinds.
@@ -168,7 +168,7 @@
                 messages::encode_server_evidence(&told),
                 SITE_EVIDENCE_TTL_MS,
             );
-            self.membership.say();
+            self.membership.gossip_soon();
         }
     }
 
@@ -186,7 +186,7 @@
             known.failures(key, now) > 0 && known.succeeded(key, good, now).is_ok()
         });
         if told {
-            self.membership.say();
+            self.membership.gossip_soon();
         }
     }
 
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -154,14 +154,14 @@
 
     /// Handles a membership event; the membership thread has logged it.
     pub(super) fn on_membership_event(&mut self, event: PeerEvent) {
-        if let PeerEvent::Down(was) | PeerEvent::Restarted { was, .. } = &event {
+        if let PeerEvent::Down(was) | PeerEvent::Restarted { previous: was, .. } = &event {
             self.send_affinity_event(AffinityEvent::BalancerDied(super::placement_origin(
                 &was.name,
                 was.incarnation,
             )));
         }
         match event {
-            PeerEvent::BootRaised(boot) => {
+            PeerEvent::IncarnationRaised(boot) => {
                 self.incarnation = boot;
                 self.status.incarnation = boot;
                 shared_gossip::lock(&self.gossip, |known| known.knowledge.renumber(boot));
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -47,7 +47,7 @@
                         value,
                         LENT_QUOTA_TTL_MS,
                     );
-                    self.membership.say();
+                    self.membership.gossip_soon();
                 }
             }
         }
@@ -59,7 +59,7 @@
             EvidenceSource::SitePeers if self.is_settled => {
                 self.on_recovery_event(RecoveryEvent::Answered(whom))
             }
-            EvidenceSource::SitePeers | EvidenceSource::OtherSites => self.membership.say(),
+            EvidenceSource::SitePeers | EvidenceSource::OtherSites => self.membership.gossip_soon(),
             EvidenceSource::Discovery => {}
             EvidenceSource::Store => self.on_recovery_event(RecoveryEvent::Failed(whom)),
         }
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -66,8 +66,8 @@
     let routing_version = routing_version(&settings, endpoints);
     let recovery_config = recovery_driver::config(&config, site, &settings);
     let recovery_timeout = Duration::from_nanos(recovery_config.admits_within());
-    let recovery = RecoveryDriver::new(recovery_config, driver::random())?;
-    let edge_config = uplink::config(&config, driver::random());
+    let recovery = RecoveryDriver::new(recovery_config, driver::random_seed())?;
+    let edge_config = uplink::config(&config, driver::random_seed());
     let uplink = config
         .edge
         .is_enabled
@@ -130,7 +130,11 @@
         away_s: AFFINITY_SUSPENSION_S,
         home_most: 0,
     };
-    let mut memory = Placements::new(limits, placement_origin(&file.name, boot), driver::random());
+    let mut memory = Placements::new(
+        limits,
+        placement_origin(&file.name, boot),
+        driver::random_seed(),
+    );
     memory.balancer_died(placement_origin(&file.name, boot.saturating_sub(1)));
     for fact in &restored.versions {
         memory.merge_version(fact, now);
@@ -210,7 +214,7 @@
         let bounds = shared_gossip::bounds(
             self.config.affinity.max_placements,
             millis(self.config.affinity.retention),
-            driver::random(),
+            driver::random_seed(),
         );
         let origin = Origin {
             name: self.config.name.clone(),
@@ -294,7 +298,7 @@
             name: self.config.name.as_str().into(),
             address: self.config.advertise.unwrap_or(self.config.listen),
             incarnation: self.incarnation,
-            seed: driver::random(),
+            seed: driver::random_seed(),
             site: self.config.site.as_str().into(),
             peer_configuration: configuration(self.routing_version, self.config.affinity.serial),
             seeds: self.config.peers.clone(),
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use beaconflow_gossip::{Change, Fact, FactStore, Kind, Subject, Value};
-use beaconflow_membership::{Body, Member};
+use beaconflow_membership::{Member, Payload};
 use crossbeam_channel::Sender;
 use tracing::warn;
 
@@ -47,7 +47,7 @@
     act(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-impl Body for SharedGossip {
+impl Payload for SharedGossip {
     fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
         self.knowledge.gossip_payload(room, now)
     }
@@ -65,7 +65,7 @@
             })
     }
 
-    fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
+    fn receive(&mut self, from: &Member, bytes: &[u8], now: Millis) {
         match self.knowledge.take(bytes, now) {
             Ok(changes) if changes.is_empty() => {}
             // A fleet thread that has stopped has logged that.
@@ -79,7 +79,7 @@
         }
     }
 
-    fn members(&mut self, n: usize) {
+    fn set_member_count(&mut self, n: usize) {
         self.members = n;
         self.knowledge.members(n);
     }
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -193,7 +193,7 @@
         };
         if file.peers != self.config.peers {
             info!(part = "peers", peers = ?file.peers, "other addresses are asked from now on");
-            self.membership.seeds(file.peers.clone());
+            self.membership.set_seeds(file.peers.clone());
         }
         if file.affinity.serial != self.config.affinity.serial {
             self.adopt_version(file.affinity.serial);
@@ -211,7 +211,7 @@
     /// Adopts the present version under the operator's serial number.
     fn adopt_version(&mut self, serial: u64) {
         self.membership
-            .configured(configuration(self.version, serial));
+            .set_configuration(configuration(self.version, serial));
         self.send_affinity_event(AffinityEvent::VersionAdopted(self.version, serial));
     }
 
--- a/crates/balancer/src/operator/fleet/processes.rs
+++ b/crates/balancer/src/operator/fleet/processes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use beaconflow_membership::{Key, LONGEST_NAME, LONGEST_SITE};
+use beaconflow_membership::{Key, MAX_NAME_BYTES, MAX_SITE_BYTES};
 
 use super::super::section::Section;
 use super::{AffinityConfig, EdgeConfig, FleetConfig};
@@ -15,8 +15,8 @@
 const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
 
 pub(super) fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
-    let name = named(&mut section, "name", LONGEST_NAME);
-    let site = named(&mut section, "site", LONGEST_SITE);
+    let name = named(&mut section, "name", MAX_NAME_BYTES);
+    let site = named(&mut section, "site", MAX_SITE_BYTES);
     let addresses = Addresses::read(&mut section);
     let keys = Keys::read(&mut section);
     let sizes = FleetSizes::read(&mut section, addresses.other_peers(), site.as_deref());
@@ -167,8 +167,8 @@
         let field = format!("other_sites[{at}]");
         section.error_if(
             &field,
-            !fits(site, LONGEST_SITE),
-            &format!("1 to {LONGEST_SITE} {NAME_CHARACTERS}"),
+            !fits(site, MAX_SITE_BYTES),
+            &format!("1 to {MAX_SITE_BYTES} {NAME_CHARACTERS}"),
         );
         let is_own = Some(site.as_str()) == own_site;
         section.error_if(&field, is_own, "is this site");
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -7,9 +7,10 @@
 
 use beaconflow_contracts::transports::{End, LinkFault, Pair, Received, Subject, TIMEOUT, Traits};
 use beaconflow_fault_injection::{Net, Record, listening};
-use beaconflow_membership::driver::{Handle, Udp, random, spawn};
+use beaconflow_membership::driver::{Handle, Udp, random_seed, spawn};
 use beaconflow_membership::{
-    Body, Configuration, Event, Key, Keys, Member, Millis, Node, Profile, SHORTEST_KEY, Settings,
+    Configuration, Event, Key, Keys, MIN_KEY_BYTES, Member, Millis, Node, Payload, Profile,
+    Settings,
 };
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 
@@ -54,7 +55,7 @@
     heard: Sender<String>,
 }
 
-impl Body for Words {
+impl Payload for Words {
     fn gossip(&mut self, room: usize, _: Millis) -> Vec<u8> {
         let mut waiting = self.waiting.lock();
         let mut bytes = Vec::new();
@@ -78,7 +79,7 @@
         Vec::new()
     }
 
-    fn take(&mut self, _: &Member, bytes: &[u8], _: Millis) {
+    fn receive(&mut self, _: &Member, bytes: &[u8], _: Millis) {
         for message in bytes
             .split(|byte| *byte == MARK)
             .filter(|message| !message.is_empty())
@@ -89,7 +90,7 @@
         }
     }
 
-    fn members(&mut self, _: usize) {}
+    fn set_member_count(&mut self, _: usize) {}
 }
 
 struct Process {
@@ -141,12 +142,12 @@
                 name: names[end].as_str().into(),
                 address: known[end],
                 incarnation: 1,
-                seed: random(),
+                seed: random_seed(),
                 site: "north".into(),
                 peer_configuration: Configuration::default(),
                 seeds: known.to_vec(),
             };
-            let keys = Keys::only(Key::new(&[7; SHORTEST_KEY]).expect("long enough"));
+            let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("long enough"));
             let body = Words {
                 waiting: waiting.clone(),
                 heard: tell,
@@ -194,7 +195,7 @@
 impl End for Process {
     fn send(&mut self, message: &str) -> Result<(), String> {
         self.waiting.lock().push_back(message.to_owned());
-        self.node.say();
+        self.node.gossip_soon();
         Ok(())
     }
 
--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -3,12 +3,12 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-use beaconflow_membership::driver::{Udp, random, spawn};
-use beaconflow_membership::testing::{Silent, keys};
+use beaconflow_membership::driver::{Udp, random_seed, spawn};
+use beaconflow_membership::testing::{SilentPayload, keys};
 use beaconflow_membership::{Configuration, Millis, Node, Profile, Settings};
 
 /// Of this process until now, in ticks of a hundredth of a second.
-fn ticks() -> u64 {
+fn cpu_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").expect("on Linux");
     let fields: Vec<_> = stat
         .rsplit(") ")
@@ -39,13 +39,18 @@
                 name: format!("p{at}").into(),
                 address: seeds[at],
                 incarnation: 1,
-                seed: random(),
+                seed: random_seed(),
                 site: "north".into(),
                 peer_configuration: Configuration::default(),
                 seeds: seeds.clone(),
             };
-            let node = Node::new(profile, keys(1), Settings::default(), Silent::default())
-                .expect("a good profile");
+            let node = Node::new(
+                profile,
+                keys(1),
+                Settings::default(),
+                SilentPayload::default(),
+            )
+            .expect("a good profile");
             let clock = move || start.elapsed().as_millis() as Millis;
             spawn(
                 node,
@@ -57,16 +62,16 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(2));
-    let (before, sent) = (ticks(), handles[0].counts());
+    let (ticks_before, counts_before) = (cpu_ticks(), handles[0].counts());
     std::thread::sleep(Duration::from_secs(10));
-    let after = handles[0].counts();
+    let counts_after = handles[0].counts();
     println!(
         "five nodes: {} ms of a core in 10 s together",
-        (ticks() - before) * 10
+        (cpu_ticks() - ticks_before) * 10
     );
     println!(
         "each sends {} bytes/s",
-        (after.sent_bytes - sent.sent_bytes) / 10
+        (counts_after.sent_bytes - counts_before.sent_bytes) / 10
     );
     println!(
         "members known: {:?}",
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -21,7 +21,7 @@
     #[prost(uint32, tag = "4")]
     kind: u32,
     #[prost(message, optional, tag = "5")]
-    third: Option<Identity>,
+    third_party: Option<Identity>,
     #[prost(uint32, tag = "6")]
     probe: u32,
 }
@@ -40,79 +40,86 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ConflictingMember {
     pub member: Member,
-    pub is_there: bool,
+    pub is_alive: bool,
 }
 
 /// Who this process is now, and what was said of its name. Shared with the codec, which sees all that is said.
 #[derive(Debug)]
-pub(crate) struct Own {
-    pub me: Member,
+pub(crate) struct OwnNameState {
+    pub local: Member,
     pub conflict: Option<ConflictingMember>,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct OwnName(Arc<Mutex<Own>>);
+pub(crate) struct OwnName(Arc<Mutex<OwnNameState>>);
 
 impl OwnName {
-    pub fn new(me: Member) -> Self {
-        Self(Arc::new(Mutex::new(Own { me, conflict: None })))
+    pub fn new(local: Member) -> Self {
+        Self(Arc::new(Mutex::new(OwnNameState {
+            local,
+            conflict: None,
+        })))
     }
 
-    pub fn lock(&self) -> MutexGuard<'_, Own> {
+    pub fn lock(&self) -> MutexGuard<'_, OwnNameState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Why a message could not be written or read.
 #[derive(Debug)]
-pub(crate) enum CodecFault {
-    NoRoom(prost::EncodeError),
-    Garbled(prost::DecodeError),
+pub(crate) enum CodecError {
+    Encode(prost::EncodeError),
+    Decode(prost::DecodeError),
     /// A field has a value that this program does not know.
-    Unknown,
+    UnknownValue,
 }
 
-impl fmt::Display for CodecFault {
+impl fmt::Display for CodecError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoRoom(error) => error.fmt(out),
-            Self::Garbled(error) => error.fmt(out),
-            Self::Unknown => out.write_str("a field has an unknown value"),
+            Self::Encode(error) => error.fmt(out),
+            Self::Decode(error) => error.fmt(out),
+            Self::UnknownValue => out.write_str("a field has an unknown value"),
         }
     }
 }
 
-impl std::error::Error for CodecFault {}
+impl std::error::Error for CodecError {}
 
-pub(crate) struct Records(pub OwnName);
+pub(crate) struct RecordCodec(pub OwnName);
 
-impl Codec<Member> for Records {
-    type Error = CodecFault;
+impl Codec<Member> for RecordCodec {
+    type Error = CodecError;
 
     fn encode_header(
         &mut self,
         header: &Header<Member>,
         buf: impl BufMut,
-    ) -> Result<(), CodecFault> {
-        let (kind, third, probe) = parts(&header.message);
+    ) -> Result<(), CodecError> {
+        let (kind, third_party, probe) = message_fields(&header.message);
         let record = HeaderRecord {
             from: Some(Identity::full(&header.src)),
             incarnation: header.src_incarnation.into(),
             to: Some(Identity::short(&header.dst)),
             kind,
-            third: third.map(Identity::short),
+            third_party: third_party.map(Identity::short),
             probe: probe.into(),
         };
-        put(&record, buf)
+        encode(&record, buf)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, CodecFault> {
-        let record = HeaderRecord::decode_length_delimited(buf).map_err(CodecFault::Garbled)?;
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, CodecError> {
+        let record = HeaderRecord::decode_length_delimited(buf).map_err(CodecError::Decode)?;
         Ok(Header {
-            src: known(record.from.as_ref())?,
+            src: required_member(record.from.as_ref())?,
             src_incarnation: narrow(record.incarnation)?,
-            dst: known(record.to.as_ref())?,
-            message: message(record.kind, record.third.as_ref(), narrow(record.probe)?)?,
+            dst: required_member(record.to.as_ref())?,
+            message: message_from_fields(
+                record.kind,
+                record.third_party.as_ref(),
+                narrow(record.probe)?,
+            )?,
         })
     }
 
@@ -120,14 +127,14 @@
         &mut self,
         member: &foca::Member<Member>,
         buf: impl BufMut,
-    ) -> Result<(), CodecFault> {
+    ) -> Result<(), CodecError> {
         let id = member.id();
         let (identity, state) = match member.state() {
             State::Alive => (Identity::full(id), 1),
             State::Suspect => (Identity::full(id), 2),
             State::Down => (Identity::short(id), 3),
         };
-        put(
+        encode(
             &MemberRecord {
                 member: Some(identity),
                 incarnation: member.incarnation().into(),
@@ -137,59 +144,64 @@
         )
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, CodecFault> {
-        let record = MemberRecord::decode_length_delimited(buf).map_err(CodecFault::Garbled)?;
+    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, CodecError> {
+        let record = MemberRecord::decode_length_delimited(buf).map_err(CodecError::Decode)?;
         let state = match record.state {
             1 => State::Alive,
             2 => State::Suspect,
             3 => State::Down,
-            _ => return Err(CodecFault::Unknown),
+            _ => return Err(CodecError::UnknownValue),
         };
-        let member = known(record.member.as_ref())?;
-        Ok(self.guarded(member, narrow(record.incarnation)?, state))
+        let member = required_member(record.member.as_ref())?;
+        Ok(self.guard_own_name(member, narrow(record.incarnation)?, state))
     }
 }
 
-impl Records {
+impl RecordCodec {
     /// Guards against a war of words: the library declares down whoever else bears this process's name, so that two
     /// processes of one name would do so to each other for ever. It is told of itself instead, and the node deals
     /// with the rival.
-    fn guarded(&self, member: Member, incarnation: u16, state: State) -> foca::Member<Member> {
+    fn guard_own_name(
+        &self,
+        member: Member,
+        incarnation: u16,
+        state: State,
+    ) -> foca::Member<Member> {
         let mut own = self.0.lock();
-        if member.name != own.me.name || member == own.me {
+        if member.name != own.local.name || member == own.local {
             return foca::Member::new(member, incarnation, state);
         }
         let is_later = own
             .conflict
             .as_ref()
-            .is_none_or(|rival| member.rank() > rival.member.rank());
-        if member.born() > own.me.born() && is_later {
+            .is_none_or(|conflict| member.rank() > conflict.member.rank());
+        if member.incarnation_id() > own.local.incarnation_id() && is_later {
             own.conflict = Some(ConflictingMember {
                 member,
-                is_there: state != State::Down,
+                is_alive: state != State::Down,
             });
         }
-        foca::Member::alive(own.me.clone())
+        foca::Member::alive(own.local.clone())
     }
 }
 
-fn put(record: &impl Message, mut buf: impl BufMut) -> Result<(), CodecFault> {
+fn encode(record: &impl Message, mut buf: impl BufMut) -> Result<(), CodecError> {
     record
         .encode_length_delimited(&mut buf)
-        .map_err(CodecFault::NoRoom)
+        .map_err(CodecError::Encode)
 }
 
-fn known(identity: Option<&Identity>) -> Result<Member, CodecFault> {
+fn required_member(identity: Option<&Identity>) -> Result<Member, CodecError> {
     identity
         .and_then(Identity::member)
-        .ok_or(CodecFault::Unknown)
+        .ok_or(CodecError::UnknownValue)
 }
 
-fn narrow<T: TryFrom<u32>>(value: u32) -> Result<T, CodecFault> {
-    T::try_from(value).map_err(|_| CodecFault::Unknown)
+fn narrow<T: TryFrom<u32>>(value: u32) -> Result<T, CodecError> {
+    T::try_from(value).map_err(|_| CodecError::UnknownValue)
 }
 
-fn parts(message: &Swim<Member>) -> (u32, Option<&Member>, u8) {
+fn message_fields(message: &Swim<Member>) -> (u32, Option<&Member>, u8) {
     match message {
         Swim::Ping(probe) => (1, None, *probe),
         Swim::Ack(probe) => (2, None, *probe),
@@ -217,28 +229,28 @@
     }
 }
 
-fn message(
+fn message_from_fields(
     kind: u32,
-    third: Option<&Identity>,
+    third_party: Option<&Identity>,
     probe_number: u8,
-) -> Result<Swim<Member>, CodecFault> {
+) -> Result<Swim<Member>, CodecError> {
     Ok(match kind {
         1 => Swim::Ping(probe_number),
         2 => Swim::Ack(probe_number),
         3 => Swim::PingReq {
-            target: known(third)?,
+            target: required_member(third_party)?,
             probe_number,
         },
         4 => Swim::IndirectPing {
-            origin: known(third)?,
+            origin: required_member(third_party)?,
             probe_number,
         },
         5 => Swim::IndirectAck {
-            target: known(third)?,
+            target: required_member(third_party)?,
             probe_number,
         },
         6 => Swim::ForwardedAck {
-            origin: known(third)?,
+            origin: required_member(third_party)?,
             probe_number,
         },
         7 => Swim::Announce,
@@ -246,6 +258,6 @@
         9 => Swim::Gossip,
         10 => Swim::Broadcast,
         11 => Swim::TurnUndead,
-        _ => return Err(CodecFault::Unknown),
+        _ => return Err(CodecError::UnknownValue),
     })
 }
--- a/crates/membership/src/driver.rs
+++ b/crates/membership/src/driver.rs
@@ -12,15 +12,16 @@
 use tracing::{info, warn};
 
 use crate::{
-    Body, Configuration, Counts, Event, Input, Keys, LARGEST, Member, Millis, Node, Output,
+    Configuration, Counts, Event, Input, Keys, MAX_DATAGRAM_BYTES, Member, Millis, Node, Output,
+    Payload,
 };
 
 /// What the thread needs; debug builds need the most.
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 /// Datagrams handled in a row when the node wants to be run: guards against a flood that keeps it from its turns.
-const DRAINED: usize = 64;
+const MAX_CONSECUTIVE_DATAGRAMS: usize = 64;
 /// After a fault of the link the thread waits this long: guards against a loop that burns a core.
-const FAULT_PAUSE: Duration = Duration::from_millis(200);
+const RECEIVE_ERROR_DELAY: Duration = Duration::from_millis(200);
 
 /// Wakes a thread that waits in [`Link::receive`].
 pub type Waker = Box<dyn Fn() + Send + Sync>;
@@ -64,12 +65,12 @@
     pub fn new(socket: UdpSocket) -> Self {
         Self {
             socket,
-            secret: random().to_be_bytes(),
+            secret: random_seed().to_be_bytes(),
             timeout: None,
         }
     }
 
-    fn wait_for(&mut self, wait: Duration) -> io::Result<()> {
+    fn set_timeout(&mut self, wait: Duration) -> io::Result<()> {
         if self.timeout != Some(wait) {
             self.socket.set_read_timeout(Some(wait))?;
             self.timeout = Some(wait);
@@ -94,26 +95,26 @@
             self.socket.set_nonblocking(false)?;
             received
         } else {
-            self.wait_for(wait)?;
+            self.set_timeout(wait)?;
             self.socket.recv_from(buffer)
         };
         match received {
             Ok((bytes, _)) if buffer[..bytes] == self.secret => Ok(None),
             Ok(received) => Ok(Some(received)),
-            Err(error) if is_in_vain(error.kind()) => Ok(None),
+            Err(error) if is_transient(error.kind()) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
     fn waker(&self) -> io::Result<Waker> {
         let (socket, secret) = (self.socket.try_clone()?, self.secret);
-        let own = socket.local_addr()?;
+        let own_address = socket.local_addr()?;
         // When it is lost the thread comes round by itself a little later.
-        Ok(Box::new(move || drop(socket.send_to(&secret, own))))
+        Ok(Box::new(move || drop(socket.send_to(&secret, own_address))))
     }
 }
 
-fn is_in_vain(kind: io::ErrorKind) -> bool {
+fn is_transient(kind: io::ErrorKind) -> bool {
     matches!(
         kind,
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted
@@ -121,14 +122,14 @@
 }
 
 /// A number that is another at each start, for [`crate::Profile::seed`].
-pub fn random() -> u64 {
+pub fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
 /// What the host reads of a running node.
 #[derive(Debug)]
 struct View {
-    me: Member,
+    local: Member,
     is_displaced: bool,
     members: Vec<Member>,
     counts: Counts,
@@ -136,7 +137,7 @@
 
 /// A running node. It leaves the fleet when this is dropped.
 pub struct Handle {
-    orders: Sender<Input<'static>>,
+    commands: Sender<Input<'static>>,
     waker: Waker,
     view: Arc<Mutex<View>>,
     thread: Option<JoinHandle<()>>,
@@ -144,8 +145,8 @@
 
 impl Handle {
     /// This process as it announces itself.
-    pub fn me(&self) -> Member {
-        self.view(|view| view.me.clone())
+    pub fn local_member(&self) -> Member {
+        self.view(|view| view.local.clone())
     }
 
     /// The other processes that are there, by name.
@@ -164,41 +165,41 @@
     }
 
     /// The body has news that should not wait for the next round.
-    pub fn say(&self) {
-        self.order(Input::Say);
+    pub fn gossip_soon(&self) {
+        self.send_command(Input::GossipSoon);
     }
 
     /// The process runs this configuration from now on.
-    pub fn configured(&self, configuration: Configuration) {
-        self.order(Input::Configured(configuration));
+    pub fn set_configuration(&self, configuration: Configuration) {
+        self.send_command(Input::SetConfiguration(configuration));
     }
 
     /// These addresses are asked from now on.
-    pub fn seeds(&self, seeds: Vec<SocketAddr>) {
-        self.order(Input::Seeds(seeds));
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
+        self.send_command(Input::SetSeeds(seeds));
     }
 
     /// These keys hold from now on.
-    pub fn keys(&self, keys: Keys) {
-        self.order(Input::Keys(Box::new(keys)));
+    pub fn set_keys(&self, keys: Keys) {
+        self.send_command(Input::SetKeys(Box::new(keys)));
     }
 
     /// Tells the others that this process ends, and waits for the thread.
     pub fn stop(mut self) {
-        self.end();
+        self.shut_down();
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         if let Some(thread) = self.thread.take() {
-            self.order(Input::Leave);
+            self.send_command(Input::Leave);
             // A thread that panicked has nothing more to tell.
             drop(thread.join());
         }
     }
 
-    fn order(&self, input: Input<'static>) {
+    fn send_command(&self, input: Input<'static>) {
         // Fails only when the thread has ended, which nothing can be done about.
-        drop(self.orders.send(input));
+        drop(self.commands.send(input));
         (self.waker)();
     }
 
@@ -209,7 +210,7 @@
 
 impl Drop for Handle {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
@@ -220,14 +221,14 @@
 /// When the thread cannot be started or the link not be waited on.
 pub fn spawn<B, L, C>(node: Node<B>, link: L, clock: C, events: Sender<Event>) -> io::Result<Handle>
 where
-    B: Body + Send + 'static,
+    B: Payload + Send + 'static,
     L: Link + 'static,
     C: FnMut() -> Millis + Send + 'static,
 {
     let waker = link.waker()?;
-    let (orders, inbox) = unbounded();
+    let (commands, command_inputs) = unbounded();
     let view = View {
-        me: node.me().clone(),
+        local: node.local_member().clone(),
         is_displaced: false,
         members: Vec::new(),
         counts: node.counts(),
@@ -238,18 +239,18 @@
         link,
         clock,
         events,
-        inbox,
+        command_inputs,
         view: view.clone(),
-        wake: 0,
-        out: Vec::new(),
-        untold: 0,
+        wake_at: 0,
+        outputs: Vec::new(),
+        dropped_events: 0,
     };
     let thread = std::thread::Builder::new()
         .name("peers".into())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(|| driver.run())?;
     Ok(Handle {
-        orders,
+        commands,
         waker,
         view,
         thread: Some(thread),
@@ -261,53 +262,54 @@
     link: L,
     clock: C,
     events: Sender<Event>,
-    inbox: Receiver<Input<'static>>,
+    command_inputs: Receiver<Input<'static>>,
     view: Arc<Mutex<View>>,
-    wake: Millis,
-    out: Vec<Output>,
-    untold: u64,
+    wake_at: Millis,
+    outputs: Vec<Output>,
+    dropped_events: u64,
 }
 
-impl<B: Body, L: Link, C: FnMut() -> Millis> Driver<B, L, C> {
+impl<B: Payload, L: Link, C: FnMut() -> Millis> Driver<B, L, C> {
     fn run(mut self) {
-        self.step(Input::Start);
+        self.handle_input(Input::Start);
         // One byte more than is ever sent tells what is too large.
-        let mut buffer = [0; LARGEST + 1];
-        let mut drained = 0;
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        let mut consecutive_datagrams = 0;
         loop {
-            let wait = Duration::from_millis(self.wake.saturating_sub((self.clock)()));
+            let wait = Duration::from_millis(self.wake_at.saturating_sub((self.clock)()));
             let received = self.link.receive(&mut buffer, wait);
             if let Ok(Some((bytes, from))) = received {
-                self.step(Input::Datagram {
+                self.handle_input(Input::Datagram {
                     from,
                     bytes: &buffer[..bytes],
                 });
-                drained += 1;
+                consecutive_datagrams += 1;
             }
-            if !self.follow_orders() {
+            if !self.handle_commands() {
                 return;
             }
             if let Err(error) = &received {
                 warn!("datagrams from peers cannot be received: {error}");
-                std::thread::sleep(FAULT_PAUSE);
+                std::thread::sleep(RECEIVE_ERROR_DELAY);
             }
             // What was sent before the node's turn is heard before it: guards against blaming a peer whose answer
             // lies in the socket.
-            if matches!(received, Ok(Some(_))) && drained < DRAINED {
+            if matches!(received, Ok(Some(_))) && consecutive_datagrams < MAX_CONSECUTIVE_DATAGRAMS
+            {
                 continue;
             }
-            drained = 0;
-            if (self.clock)() >= self.wake {
-                self.step(Input::Tick);
+            consecutive_datagrams = 0;
+            if (self.clock)() >= self.wake_at {
+                self.handle_input(Input::Tick);
             }
         }
     }
 
     /// Whether to go on.
-    fn follow_orders(&mut self) -> bool {
-        while let Ok(input) = self.inbox.try_recv() {
+    fn handle_commands(&mut self) -> bool {
+        while let Ok(input) = self.command_inputs.try_recv() {
             let is_last = matches!(input, Input::Leave);
-            self.step(input);
+            self.handle_input(input);
             if is_last {
                 return false;
             }
@@ -315,48 +317,50 @@
         true
     }
 
-    fn step(&mut self, input: Input<'_>) {
+    fn handle_input(&mut self, input: Input<'_>) {
         let now = (self.clock)();
-        let mut out = std::mem::take(&mut self.out);
-        self.node.handle(now, input, &mut out);
+        let mut outputs = std::mem::take(&mut self.outputs);
+        self.node.handle(now, input, &mut outputs);
         let mut events = Vec::new();
-        for output in out.drain(..) {
+        for output in outputs.drain(..) {
             match output {
                 // What is lost here is made up for like what is lost on the way.
                 Output::Send { to, bytes } => drop(self.link.send(to, &bytes)),
                 Output::Event(event) => events.push(*event),
-                Output::Wake(at) => self.wake = at,
+                Output::Wake(at) => self.wake_at = at,
             }
         }
-        self.out = out;
+        self.outputs = outputs;
         // Before the events: whoever hears of one finds it shown.
-        self.show(!events.is_empty());
-        events.into_iter().for_each(|event| self.tell(event));
+        self.update_view(!events.is_empty());
+        events
+            .into_iter()
+            .for_each(|event| self.report_event(event));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn report_event(&mut self, event: Event) {
         if event.is_fault() {
             warn!("{event}");
         } else {
             info!("{event}");
         }
         if self.events.try_send(event).is_err() {
-            self.untold += 1;
+            self.dropped_events += 1;
         }
     }
 
-    fn show(&mut self, is_news: bool) {
+    fn update_view(&mut self, has_events: bool) {
         let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
         view.counts = Counts {
-            untold: self.untold,
+            dropped_events: self.dropped_events,
             ..self.node.counts()
         };
-        if is_news || view.is_displaced != self.node.is_displaced() {
+        if has_events || view.is_displaced != self.node.is_displaced() {
             view.is_displaced = self.node.is_displaced();
             view.members = self.node.members().cloned().collect();
         }
-        if *self.node.me() != view.me {
-            view.me = self.node.me().clone();
+        if *self.node.local_member() != view.local {
+            view.local = self.node.local_member().clone();
         }
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -15,51 +15,51 @@
     /// A process started anew; the life before is over.
     Restarted {
         /// As it was.
-        was: Member,
+        previous: Member,
         /// As it is.
-        now: Member,
+        current: Member,
     },
     /// A process runs another configuration, or is of another site, than before.
     Changed {
         /// As it was.
-        was: Member,
+        previous: Member,
         /// As it is.
-        now: Member,
+        current: Member,
     },
     /// A process took another name: at its address there is another now.
     Renamed {
         /// The name that is gone.
-        was: Member,
+        previous: Member,
         /// The one that took its place.
-        now: Member,
+        current: Member,
     },
     /// Two living processes bear one name: a fault of their set-up.
-    Doubled {
+    NameConflictFound {
         /// The one that counts: of the later boot.
         holder: Member,
         /// Where the other is.
-        other: SocketAddr,
+        other_address: SocketAddr,
         /// The other's boot number.
-        other_boot: u64,
+        other_incarnation: u64,
     },
     /// This process's own name is a later one's: it stands outside the fleet until the other is gone, or it gets
     /// another name.
     Displaced {
         /// The process that bears the name.
-        by: Member,
+        holder: Member,
     },
     /// The fleet knew a later life of this process than its boot number said: keep this number.
-    BootRaised(u64),
+    IncarnationRaised(u64),
     /// This process was not run for that long, and announces itself anew.
-    Woke(Millis),
+    PauseDetected(Millis),
     /// The others had declared this process down: it announces itself anew.
-    Returned,
+    Rejoined,
     /// Datagrams of this address are refused. NameConflict at most once a minute for each address.
-    Refused {
+    DatagramsRefused {
         /// Where they come from.
         from: SocketAddr,
         /// Why the last was.
-        why: Refusal,
+        reason: Refusal,
         /// How many since it was told the last time.
         count: u64,
     },
@@ -70,10 +70,10 @@
     pub fn is_fault(&self) -> bool {
         matches!(
             self,
-            Self::Doubled { .. }
+            Self::NameConflictFound { .. }
                 | Self::Displaced { .. }
-                | Self::Refused { .. }
-                | Self::BootRaised(_)
+                | Self::DatagramsRefused { .. }
+                | Self::IncarnationRaised(_)
         )
     }
 }
@@ -83,51 +83,58 @@
         match self {
             Self::Up(member) => write!(out, "peer {member} of site `{}` is there", member.site),
             Self::Down(member) => write!(out, "peer {member} is gone"),
-            Self::Restarted { was, now } => {
+            Self::Restarted { previous, current } => {
                 write!(
                     out,
-                    "peer {now} started anew, it was boot {}",
-                    was.incarnation
+                    "peer {current} started anew, it was boot {}",
+                    previous.incarnation
                 )
             }
-            Self::Changed { was, now } => write!(
+            Self::Changed { previous, current } => write!(
                 out,
-                "peer {now} runs configuration {} of site `{}`, it was {} of site `{}`",
-                now.configuration.order, now.site, was.configuration.order, was.site
+                "peer {current} runs configuration {} of site `{}`, it was {} of site `{}`",
+                current.configuration.order,
+                current.site,
+                previous.configuration.order,
+                previous.site
             ),
-            Self::Renamed { was, now } => write!(out, "peer {was} is {now} now"),
-            Self::Doubled {
+            Self::Renamed { previous, current } => write!(out, "peer {previous} is {current} now"),
+            Self::NameConflictFound {
                 holder,
-                other,
-                other_boot,
+                other_address,
+                other_incarnation,
             } => write!(
                 out,
-                "two processes bear one name: {holder}, which counts, and the one at {other} (boot {other_boot}): \
+                "two processes bear one name: {holder}, which counts, and the one at {other_address} (boot {other_incarnation}): \
                  give each its own"
             ),
-            Self::Displaced { by } => write!(
+            Self::Displaced { holder } => write!(
                 out,
-                "this process's name is another's: {by}. It stands outside the fleet until the other is gone"
+                "this process's name is another's: {holder}. It stands outside the fleet until the other is gone"
             ),
-            Self::BootRaised(boot) => {
+            Self::IncarnationRaised(incarnation) => {
                 write!(
                     out,
-                    "the fleet knew a later life of this process: its boot number is {boot} now"
+                    "the fleet knew a later life of this process: its boot number is {incarnation} now"
                 )
             }
-            Self::Woke(gap) => write!(
+            Self::PauseDetected(pause_ms) => write!(
                 out,
-                "this process was not run for {gap} ms, it announces itself anew"
+                "this process was not run for {pause_ms} ms, it announces itself anew"
             ),
-            Self::Returned => write!(
+            Self::Rejoined => write!(
                 out,
                 "the others took this process for gone, it announces itself anew"
             ),
-            Self::Refused { from, why, count } => {
+            Self::DatagramsRefused {
+                from,
+                reason,
+                count,
+            } => {
                 write!(
                     out,
                     "{count} datagrams from {from} were refused, the last: {}",
-                    why.label()
+                    reason.label()
                 )
             }
         }
@@ -148,7 +155,7 @@
     /// Datagrams refused, in the order of [`Refusal::ALL`].
     pub refused: [u64; Refusal::ALL.len()],
     /// Datagrams that said nothing this program knows, or came from nobody it knows to be there.
-    pub unheard: u64,
+    pub ignored: u64,
     /// Pages and rumours held back since there were too many bytes already.
     pub rate_limited: u64,
     /// Members suspected by this node's own probes.
@@ -156,5 +163,5 @@
     /// How often this process announced itself anew.
     pub renewals: u64,
     /// Events that the host did not take in time.
-    pub untold: u64,
+    pub dropped_events: u64,
 }
--- a/crates/membership/src/key.rs
+++ b/crates/membership/src/key.rs
@@ -10,11 +10,11 @@
 use sha2::Sha256;
 
 /// A key has at least this many bytes.
-pub const SHORTEST_KEY: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 /// Of the keyed digest this many bytes travel.
-pub(crate) const DIGEST: usize = 16;
+pub(crate) const DIGEST_BYTES: usize = 16;
 /// A key file is not read beyond this.
-const LARGEST_FILE: u64 = 4_096;
+const MAX_KEY_FILE_BYTES: u64 = 4_096;
 
 /// A key that all processes of the fleet hold.
 #[derive(Clone)]
@@ -32,20 +32,20 @@
 
 /// Why a key cannot be used.
 #[derive(Debug)]
-pub enum KeyFault {
+pub enum KeyError {
     /// The file cannot be read.
     Unreadable(PathBuf, io::Error),
     /// Others than the owner and the group may read the file; its mode is told.
-    Open(PathBuf, u32),
+    WorldReadable(PathBuf, u32),
     /// The file holds something else than hexadecimal digits, two a byte.
     NotHex(PathBuf),
     /// The key is too short; its length in bytes is told.
-    Short(PathBuf, usize),
+    TooShort(PathBuf, usize),
     /// The file is larger than any key.
-    Large(PathBuf),
+    TooLarge(PathBuf),
 }
 
-impl fmt::Display for KeyFault {
+impl fmt::Display for KeyError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(path, error) => {
@@ -55,7 +55,7 @@
                     path.display()
                 )
             }
-            Self::Open(path, mode) => write!(
+            Self::WorldReadable(path, mode) => write!(
                 out,
                 "the key file {} may be read by everybody (mode {mode:04o}): `chmod o= {}`",
                 path.display(),
@@ -68,15 +68,15 @@
                     path.display()
                 )
             }
-            Self::Short(path, bytes) => write!(
+            Self::TooShort(path, bytes) => write!(
                 out,
-                "the key in {} has {bytes} bytes, at least {SHORTEST_KEY} are wanted (`openssl rand -hex 32`)",
+                "the key in {} has {bytes} bytes, at least {MIN_KEY_BYTES} are wanted (`openssl rand -hex 32`)",
                 path.display()
             ),
-            Self::Large(path) => {
+            Self::TooLarge(path) => {
                 write!(
                     out,
-                    "the key file {} has over {LARGEST_FILE} bytes: no key",
+                    "the key file {} has over {MAX_KEY_FILE_BYTES} bytes: no key",
                     path.display()
                 )
             }
@@ -84,23 +84,23 @@
     }
 }
 
-impl std::error::Error for KeyFault {}
+impl std::error::Error for KeyError {}
 
 impl Key {
     /// Takes a key as it is. `None` when it is too short.
     pub fn new(bytes: &[u8]) -> Option<Self> {
-        if bytes.len() < SHORTEST_KEY {
+        if bytes.len() < MIN_KEY_BYTES {
             return None;
         }
         let mac = Hmac::<Sha256>::new_from_slice(bytes).ok()?;
-        let name = mac
+        let id_digest = mac
             .clone()
             .chain_update(b"beaconflow peers: name of the key")
             .finalize()
             .into_bytes();
         Some(Self {
             mac,
-            id: u32::from_be_bytes([name[0], name[1], name[2], name[3]]),
+            id: u32::from_be_bytes([id_digest[0], id_digest[1], id_digest[2], id_digest[3]]),
         })
     }
 
@@ -109,46 +109,46 @@
     ///
     /// # Errors
     /// When it cannot be read, everybody may read it, or it holds no key.
-    pub fn read(path: &Path) -> Result<Self, KeyFault> {
-        let unreadable = |error| KeyFault::Unreadable(path.into(), error);
+    pub fn read(path: &Path) -> Result<Self, KeyError> {
+        let unreadable = |error| KeyError::Unreadable(path.into(), error);
         let file = std::fs::File::open(path).map_err(unreadable)?;
         let mode = file.metadata().map_err(unreadable)?.permissions().mode() & 0o7777;
         if mode & 0o007 != 0 {
-            return Err(KeyFault::Open(path.into(), mode));
+            return Err(KeyError::WorldReadable(path.into(), mode));
         }
         let mut text = Vec::new();
-        file.take(LARGEST_FILE + 1)
+        file.take(MAX_KEY_FILE_BYTES + 1)
             .read_to_end(&mut text)
             .map_err(unreadable)?;
-        if text.len() as u64 > LARGEST_FILE {
-            return Err(KeyFault::Large(path.into()));
+        if text.len() as u64 > MAX_KEY_FILE_BYTES {
+            return Err(KeyError::TooLarge(path.into()));
         }
-        let bytes = from_hex(&text).ok_or_else(|| KeyFault::NotHex(path.into()))?;
-        Self::new(&bytes).ok_or_else(|| KeyFault::Short(path.into(), bytes.len()))
+        let bytes = from_hex(&text).ok_or_else(|| KeyError::NotHex(path.into()))?;
+        Self::new(&bytes).ok_or_else(|| KeyError::TooShort(path.into(), bytes.len()))
     }
 
-    pub(crate) fn digest(&self, version: u32, sealed: &[u8]) -> [u8; DIGEST] {
-        let whole = self
-            .started(version)
+    pub(crate) fn digest(&self, version: u32, sealed: &[u8]) -> [u8; DIGEST_BYTES] {
+        let full_digest = self
+            .mac_for_version(version)
             .chain_update(sealed)
             .finalize()
             .into_bytes();
-        let mut digest = [0; DIGEST];
-        digest.copy_from_slice(&whole[..DIGEST]);
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&full_digest[..DIGEST_BYTES]);
         digest
     }
 
     /// Whether the digest is this key's, found in a time that does not depend on where it differs.
-    pub(crate) fn fits(&self, version: u32, sealed: &[u8], digest: &[u8]) -> bool {
-        digest.len() == DIGEST
+    pub(crate) fn verify(&self, version: u32, sealed: &[u8], digest: &[u8]) -> bool {
+        digest.len() == DIGEST_BYTES
             && self
-                .started(version)
+                .mac_for_version(version)
                 .chain_update(sealed)
                 .verify_truncated_left(digest)
                 .is_ok()
     }
 
-    fn started(&self, version: u32) -> Hmac<Sha256> {
+    fn mac_for_version(&self, version: u32) -> Hmac<Sha256> {
         self.mac.clone().chain_update(version.to_be_bytes())
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,13 +11,13 @@
 
 #![forbid(unsafe_code)]
 
-mod body;
 mod codec;
 pub mod driver;
 mod event;
 mod key;
 mod member;
 mod node;
+mod payload;
 mod senders;
 mod settings;
 #[cfg(feature = "testing")]
@@ -25,12 +25,14 @@
 mod unknown_senders;
 mod wire;
 
-pub use body::Body;
 pub use event::{Counts, Event};
-pub use key::{Key, KeyFault, Keys, SHORTEST_KEY};
+pub use key::{Key, KeyError, Keys, MIN_KEY_BYTES};
 pub use member::{Configuration, Member};
 pub use node::{Input, Node, Output};
-pub use settings::{LARGEST, LONGEST_NAME, LONGEST_SITE, Profile, ProfileFault, Settings};
+pub use payload::Payload;
+pub use settings::{
+    MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_SITE_BYTES, Profile, ProfileError, Settings,
+};
 pub use wire::Refusal;
 
 /// A moment on the program's clock, in milliseconds. It never runs backwards.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -41,11 +41,11 @@
 impl Member {
     /// Whether both are one life of one process, whatever it announced since.
     pub fn is_same_incarnation(&self, other: &Self) -> bool {
-        self.name == other.name && self.born() == other.born()
+        self.name == other.name && self.incarnation_id() == other.incarnation_id()
     }
 
     /// What tells a life from the one before: the later counts.
-    pub(crate) fn born(&self) -> (u64, u64) {
+    pub(crate) fn incarnation_id(&self) -> (u64, u64) {
         (self.incarnation, self.start_nonce)
     }
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -19,26 +19,26 @@
 use crate::unknown_senders::UnknownSenders;
 use crate::wire::{self, Content, Identity, WireMessage};
 use crate::{
-    Body, Configuration, Counts, Event, Keys, Member, Millis, Profile, ProfileFault, Settings,
+    Configuration, Counts, Event, Keys, Member, Millis, Payload, Profile, ProfileError, Settings,
 };
-use names::Naming;
-use swim::{Doubted, Swim};
+use names::ConflictReports;
+use swim::{Suspicion, Swim};
 use timers::{Budget, Timers};
 
 /// A node alone asks around for the first time after this, then ever more seldom.
-const FIRST_HELLO: Millis = 200;
+const INITIAL_HELLO_INTERVAL_MS: Millis = 200;
 /// A node alone asks around at least this often.
-const ALONE_HELLO: Millis = 5_000;
+const MAX_ALONE_HELLO_INTERVAL_MS: Millis = 5_000;
 /// A node among others asks an address where nobody is known to be this often: guards against two fleets that know
 /// nothing of each other.
-const SPARE_HELLO: Millis = 20_000;
+const HELLO_INTERVAL_MS: Millis = 20_000;
 /// So many addresses are asked at a time.
-const HELLOS: usize = 3;
+const HELLO_FANOUT: usize = 3;
 /// A node run later than this after it wanted to be gives its probes that much longer: guards against blaming others
 /// for its own lateness.
-const LATE: Millis = 200;
+const MAX_LATENESS_MS: Millis = 200;
 /// After news are said the next round comes within this, and not sooner than this after the last.
-const SAY_WITHIN: Millis = 20;
+const EXPEDITED_GOSSIP_DELAY_MS: Millis = 20;
 
 /// What a node is handed.
 #[derive(Clone, Debug)]
@@ -55,13 +55,13 @@
     /// The moment came that was wanted. Datagrams that came before it are to be handed in first.
     Tick,
     /// The body has news that should not wait for the next round.
-    Say,
+    GossipSoon,
     /// The process runs this configuration from now on.
-    Configured(Configuration),
+    SetConfiguration(Configuration),
     /// These addresses are asked from now on.
-    Seeds(Vec<SocketAddr>),
+    SetSeeds(Vec<SocketAddr>),
     /// These keys hold from now on.
-    Keys(Box<Keys>),
+    SetKeys(Box<Keys>),
     /// The process is about to end: the others are told.
     Leave,
 }
@@ -85,56 +85,56 @@
 /// Where a node stands to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
-    Within,
+    Joined,
     /// Its name is another's; these addresses are asked whether it still is.
-    Outside(Vec<SocketAddr>),
+    Displaced(Vec<SocketAddr>),
     Left,
 }
 
 /// When what is done next.
 #[derive(Clone, Copy, Debug, Default)]
 struct Schedule {
-    round: Millis,
-    summary: Millis,
-    hello: Millis,
-    hello_gap: Millis,
-    roster: Millis,
-    roster_gap: Millis,
-    last_round: Millis,
+    gossip_at: Millis,
+    summary_at: Millis,
+    hello_at: Millis,
+    hello_interval_ms: Millis,
+    roster_at: Millis,
+    roster_interval_ms: Millis,
+    last_gossip_at: Millis,
 }
 
 /// One process's part in the fleet.
 pub struct Node<B> {
-    body: B,
+    payload: B,
     settings: Settings,
     keys: Keys,
     seeds: Vec<SocketAddr>,
-    own: OwnName,
-    me: Member,
+    own_name: OwnName,
+    local: Member,
     phase: Phase,
     swim: Swim,
     runtime: AccumulatingRuntime<Member>,
     timers: Timers,
-    doubts: Vec<Doubted>,
-    present: BTreeMap<Arc<str>, Member>,
-    speaker: Option<(Arc<str>, SocketAddr)>,
-    told_members: usize,
-    ask: Option<Arc<str>>,
-    asked_first: usize,
+    suspicions: Vec<Suspicion>,
+    live_members: BTreeMap<Arc<str>, Member>,
+    sender: Option<(Arc<str>, SocketAddr)>,
+    reported_member_count: usize,
+    next_page_source: Option<Arc<str>>,
+    initial_requests_sent: usize,
     senders: Senders,
     unknown_senders: UnknownSenders,
-    naming: Naming,
+    conflict_reports: ConflictReports,
     budget: Budget,
     counts: Counts,
     counter: u64,
-    room: usize,
+    payload_capacity: usize,
     rng: Pcg64Mcg,
     schedule: Schedule,
-    last: Millis,
-    wake: Option<Millis>,
+    last_handled_at: Millis,
+    wake_at: Option<Millis>,
 }
 
-impl<B: Body> Node<B> {
+impl<B: Payload> Node<B> {
     /// A node that has done nothing yet: hand it [`Input::Start`].
     ///
     /// # Errors
@@ -143,11 +143,11 @@
         profile: Profile,
         keys: Keys,
         settings: Settings,
-        body: B,
-    ) -> Result<Self, Vec<ProfileFault>> {
+        payload: B,
+    ) -> Result<Self, Vec<ProfileError>> {
         profile.check()?;
         let mut rng = Pcg64Mcg::seed_from_u64(profile.seed);
-        let me = Member {
+        let local = Member {
             name: profile.name,
             address: profile.address,
             incarnation: profile.incarnation,
@@ -156,52 +156,52 @@
             site: profile.site,
             configuration: profile.peer_configuration,
         };
-        let own = OwnName::new(me.clone());
-        let room = wire::payload_capacity(&me.name);
+        let own_name = OwnName::new(local.clone());
+        let payload_capacity = wire::payload_capacity(&local.name);
         Ok(Self {
-            body,
-            swim: swim::library(&settings, room, own.clone(), &mut rng),
-            budget: Budget::new(settings.bytes_per_s),
+            payload,
+            swim: swim::new_swim(&settings, payload_capacity, own_name.clone(), &mut rng),
+            budget: Budget::new(settings.payload_bytes_per_s),
             settings,
             keys,
             seeds: profile.seeds,
-            own,
-            me,
-            phase: Phase::Within,
+            own_name,
+            local,
+            phase: Phase::Joined,
             runtime: AccumulatingRuntime::default(),
             timers: Timers::default(),
-            doubts: Vec::new(),
-            present: BTreeMap::new(),
-            speaker: None,
-            told_members: 0,
-            ask: None,
-            asked_first: 0,
+            suspicions: Vec::new(),
+            live_members: BTreeMap::new(),
+            sender: None,
+            reported_member_count: 0,
+            next_page_source: None,
+            initial_requests_sent: 0,
             senders: Senders::default(),
             unknown_senders: UnknownSenders::default(),
-            naming: Naming::default(),
+            conflict_reports: ConflictReports::default(),
             counts: Counts::default(),
             counter: 0,
-            room,
+            payload_capacity,
             rng,
             schedule: Schedule::default(),
-            last: 0,
-            wake: None,
+            last_handled_at: 0,
+            wake_at: None,
         })
     }
 
     /// This process as it announces itself.
-    pub fn me(&self) -> &Member {
-        &self.me
+    pub fn local_member(&self) -> &Member {
+        &self.local
     }
 
     /// The other processes that are there, by name.
     pub fn members(&self) -> impl ExactSizeIterator<Item = &Member> {
-        self.present.values()
+        self.live_members.values()
     }
 
     /// Whether this process's name is another's, so that it stands outside the fleet.
     pub fn is_displaced(&self) -> bool {
-        matches!(self.phase, Phase::Outside(_))
+        matches!(self.phase, Phase::Displaced(_))
     }
 
     /// What passed through since the start.
@@ -210,77 +210,91 @@
     }
 
     /// The body that it carries.
-    pub fn body(&self) -> &B {
-        &self.body
+    pub fn payload(&self) -> &B {
+        &self.payload
     }
 
     /// The body that it carries, to be changed.
-    pub fn body_mut(&mut self) -> &mut B {
-        &mut self.body
+    pub fn payload_mut(&mut self) -> &mut B {
+        &mut self.payload
     }
 
     /// Takes what happened and answers with what to do.
     pub fn handle(&mut self, now: Millis, input: Input<'_>, out: &mut Vec<Output>) {
         // Guards against a clock that was set back: time stands still until it has caught up.
-        let now = now.max(self.last);
-        self.notice_gap(now, out);
-        self.last = now;
+        let now = now.max(self.last_handled_at);
+        self.detect_pause(now, out);
+        self.last_handled_at = now;
         match input {
             Input::Start => self.start(now),
-            Input::Datagram { from, bytes } => self.datagram(from, bytes, now, out),
+            Input::Datagram { from, bytes } => self.handle_datagram(from, bytes, now, out),
             Input::Tick => self.run_scheduled(now, out),
-            Input::Say => self.schedule.round = self.schedule.round.min(self.next_reply_at(now)),
-            Input::Configured(configuration) => self.configured(configuration, now, out),
-            Input::Seeds(seeds) => self.seeds = seeds,
-            Input::Keys(keys) => self.keys = *keys,
+            Input::GossipSoon => {
+                self.schedule.gossip_at = self.schedule.gossip_at.min(self.expedited_gossip_at(now))
+            }
+            Input::SetConfiguration(configuration) => {
+                self.set_configuration(configuration, now, out)
+            }
+            Input::SetSeeds(seeds) => self.seeds = seeds,
+            Input::SetKeys(keys) => self.keys = *keys,
             Input::Leave => self.leave(now, out),
         }
-        self.count_members();
-        let wake = self.next_scheduled(now);
-        self.wake = Some(wake);
-        out.push(Output::Wake(wake));
+        self.report_member_count();
+        let wake_at = self.next_scheduled(now);
+        self.wake_at = Some(wake_at);
+        out.push(Output::Wake(wake_at));
     }
 
     /// Guards against false words after a pause: what this node believes of the others may be long over, and they
     /// may have declared it down.
-    fn notice_gap(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let late = self.wake.map_or(0, |wake| now.saturating_sub(wake));
-        if late <= LATE {
+    fn detect_pause(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let lateness_ms = self
+            .wake_at
+            .map_or(0, |wake_at| now.saturating_sub(wake_at));
+        if lateness_ms <= MAX_LATENESS_MS {
             return;
         }
-        self.timers.put_off(late);
-        self.doubts.iter_mut().for_each(|doubt| doubt.put_off(late));
-        if late >= self.settings.pause && self.phase == Phase::Within {
-            self.tell(Event::Woke(late), out);
-            self.schedule.hello = now;
-            self.announce_anew(self.me.renewed(), now, out);
+        self.timers.postpone(lateness_ms);
+        self.suspicions
+            .iter_mut()
+            .for_each(|suspicion| suspicion.postpone(lateness_ms));
+        if lateness_ms >= self.settings.pause_threshold_ms && self.phase == Phase::Joined {
+            self.emit(Event::PauseDetected(lateness_ms), out);
+            self.schedule.hello_at = now;
+            self.announce_identity(self.local.renewed(), now, out);
         }
     }
 
     fn start(&mut self, now: Millis) {
-        self.schedule.hello_gap = FIRST_HELLO;
+        self.schedule.hello_interval_ms = INITIAL_HELLO_INTERVAL_MS;
         // Guards against a fleet in step, all of which starts in one moment.
-        self.schedule.hello = now + self.rng.random_range(0..FIRST_HELLO);
-        self.schedule.round = now + self.jittered(self.settings.round);
-        self.schedule.summary = now + self.jittered(self.settings.summary);
+        self.schedule.hello_at = now + self.rng.random_range(0..INITIAL_HELLO_INTERVAL_MS);
+        self.schedule.gossip_at = now + self.jittered(self.settings.gossip_interval_ms);
+        self.schedule.summary_at = now + self.jittered(self.settings.summary_interval_ms);
     }
 
-    fn next_reply_at(&mut self, now: Millis) -> Millis {
-        now.max(self.schedule.last_round + SAY_WITHIN) + self.rng.random_range(0..SAY_WITHIN)
+    fn expedited_gossip_at(&mut self, now: Millis) -> Millis {
+        now.max(self.schedule.last_gossip_at + EXPEDITED_GOSSIP_DELAY_MS)
+            + self.rng.random_range(0..EXPEDITED_GOSSIP_DELAY_MS)
     }
 
-    fn configured(&mut self, configuration: Configuration, now: Millis, out: &mut Vec<Output>) {
-        if configuration == self.me.configuration || self.phase == Phase::Left {
+    fn set_configuration(
+        &mut self,
+        configuration: Configuration,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        if configuration == self.local.configuration || self.phase == Phase::Left {
             return;
         }
-        let me = Member {
+        let local = Member {
             configuration,
-            ..self.me.renewed()
+            ..self.local.renewed()
         };
-        if self.phase == Phase::Within {
-            self.announce_anew(me, now, out);
+        if self.phase == Phase::Joined {
+            self.announce_identity(local, now, out);
         } else {
-            self.me = me;
+            self.local = local;
         }
     }
 
@@ -288,181 +302,187 @@
         if self.phase == Phase::Left {
             return;
         }
-        if self.phase == Phase::Within {
+        if self.phase == Phase::Joined {
             self.run_timers(now, out);
-            self.voice_doubts(now, out);
-            if now >= self.schedule.round {
-                self.round(now, out);
+            self.notify_suspects(now, out);
+            if now >= self.schedule.gossip_at {
+                self.run_gossip_round(now, out);
             }
-            if now >= self.schedule.summary {
-                self.summary(now, out);
+            if now >= self.schedule.summary_at {
+                self.send_summary(now, out);
             }
-            if now >= self.schedule.roster {
-                self.ask_for_roster(now, out);
+            if now >= self.schedule.roster_at {
+                self.request_roster(now, out);
             }
         }
-        if now >= self.schedule.hello {
-            self.hello(now, out);
+        if now >= self.schedule.hello_at {
+            self.send_hellos(now, out);
         }
     }
 
-    fn round(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.schedule.last_round = now;
-        self.schedule.round = now + self.jittered(self.settings.round);
-        for name in self.some(self.settings.gossip_fanout) {
-            let Some(to) = self.present.get(&name).map(|member| member.address) else {
+    fn run_gossip_round(&mut self, now: Millis, out: &mut Vec<Output>) {
+        self.schedule.last_gossip_at = now;
+        self.schedule.gossip_at = now + self.jittered(self.settings.gossip_interval_ms);
+        for name in self.random_members(self.settings.gossip_fanout) {
+            let Some(to) = self.live_members.get(&name).map(|member| member.address) else {
                 continue;
             };
-            if !self.budget.has(self.room, now) {
+            if !self.budget.allows(self.payload_capacity, now) {
                 self.counts.rate_limited += 1;
                 break;
             }
-            let bytes = self.body.gossip(self.room, now);
+            let bytes = self.payload.gossip(self.payload_capacity, now);
             if bytes.is_empty() {
                 break;
             }
             // Guards against a datagram that no other would take.
-            if bytes.len() > self.room {
+            if bytes.len() > self.payload_capacity {
                 self.counts.rate_limited += 1;
                 continue;
             }
-            self.say_bytes(to, WireMessage::Rumours(bytes), out);
+            self.send_payload(to, WireMessage::Gossip(bytes), out);
         }
-        if let Some(name) = self.ask.take() {
-            self.ask_for_pages(&name, now, out);
+        if let Some(name) = self.next_page_source.take() {
+            self.request_pages(&name, now, out);
         }
     }
 
-    fn summary(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.schedule.summary = now + self.jittered(self.settings.summary);
+    fn send_summary(&mut self, now: Millis, out: &mut Vec<Output>) {
+        self.schedule.summary_at = now + self.jittered(self.settings.summary_interval_ms);
         self.timers
             .take_forget_timers(now)
             .into_iter()
-            .for_each(|timer| self.fire(timer, now, out));
-        for name in self.some(1) {
-            self.ask_for_pages(&name, now, out);
+            .for_each(|timer| self.fire_timer(timer, now, out));
+        for name in self.random_members(1) {
+            self.request_pages(&name, now, out);
         }
     }
 
-    fn ask_for_pages(&mut self, name: &str, now: Millis, out: &mut Vec<Output>) {
-        let Some(to) = self.present.get(name).map(|member| member.address) else {
+    fn request_pages(&mut self, name: &str, now: Millis, out: &mut Vec<Output>) {
+        let Some(to) = self.live_members.get(name).map(|member| member.address) else {
             return;
         };
-        if !self.budget.has(self.room, now) {
+        if !self.budget.allows(self.payload_capacity, now) {
             self.counts.rate_limited += 1;
             return;
         }
-        let bytes = self.body.summary(self.room, now);
+        let bytes = self.payload.summary(self.payload_capacity, now);
         if !bytes.is_empty() {
-            self.say_bytes(to, WireMessage::Summary(bytes), out);
+            self.send_payload(to, WireMessage::Summary(bytes), out);
         }
     }
 
-    fn hello(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let alone = self.present.is_empty();
-        self.schedule.hello_gap = match (alone, &self.phase) {
-            (_, Phase::Outside(_)) => names::ASK_AGAIN,
-            (true, _) => (self.schedule.hello_gap * 2).clamp(FIRST_HELLO, ALONE_HELLO),
-            (false, _) => SPARE_HELLO,
+    fn send_hellos(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let is_alone = self.live_members.is_empty();
+        self.schedule.hello_interval_ms = match (is_alone, &self.phase) {
+            (_, Phase::Displaced(_)) => names::DISPLACED_HELLO_INTERVAL_MS,
+            (true, _) => (self.schedule.hello_interval_ms * 2)
+                .clamp(INITIAL_HELLO_INTERVAL_MS, MAX_ALONE_HELLO_INTERVAL_MS),
+            (false, _) => HELLO_INTERVAL_MS,
         };
-        self.schedule.hello = now + self.jittered(self.schedule.hello_gap);
-        let known: Vec<_> = self.present.values().map(|member| member.address).collect();
-        let mut ask = match &self.phase {
-            Phase::Outside(addresses) => addresses.clone(),
+        self.schedule.hello_at = now + self.jittered(self.schedule.hello_interval_ms);
+        let known: Vec<_> = self
+            .live_members
+            .values()
+            .map(|member| member.address)
+            .collect();
+        let mut candidates = match &self.phase {
+            Phase::Displaced(addresses) => addresses.clone(),
             _ => self.seeds.clone(),
         };
-        ask.retain(|address| *address != self.me.address && !known.contains(address));
-        for _ in 0..if alone { HELLOS } else { 1 } {
-            if ask.is_empty() {
+        candidates.retain(|address| *address != self.local.address && !known.contains(address));
+        for _ in 0..if is_alone { HELLO_FANOUT } else { 1 } {
+            if candidates.is_empty() {
                 break;
             }
-            let to = ask.swap_remove(self.rng.random_range(0..ask.len()));
-            self.say(to, WireMessage::Hello(Identity::full(&self.me)), out);
+            let to = candidates.swap_remove(self.rng.random_range(0..candidates.len()));
+            self.send(to, WireMessage::Hello(Identity::full(&self.local)), out);
         }
     }
 
     fn leave(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if self.phase == Phase::Within {
+        if self.phase == Phase::Joined {
             self.with_swim(now, out, |swim, runtime| swim.leave_cluster(runtime));
         }
         self.phase = Phase::Left;
     }
 
     /// Some members at random, none twice.
-    fn some(&mut self, most: usize) -> Vec<Arc<str>> {
-        let picked = rand::seq::index::sample(
+    fn random_members(&mut self, count: usize) -> Vec<Arc<str>> {
+        let sampled = rand::seq::index::sample(
             &mut self.rng,
-            self.present.len(),
-            most.min(self.present.len()),
+            self.live_members.len(),
+            count.min(self.live_members.len()),
         );
-        let mut places = picked.into_vec();
-        places.sort_unstable();
-        let mut names = self.present.keys().enumerate();
-        places
+        let mut indices = sampled.into_vec();
+        indices.sort_unstable();
+        let mut names = self.live_members.keys().enumerate();
+        indices
             .iter()
-            .filter_map(|place| names.find(|(at, _)| at == place))
+            .filter_map(|index| names.find(|(position, _)| position == index))
             .map(|(_, name)| name.clone())
             .collect()
     }
 
-    fn jittered(&mut self, gap: Millis) -> Millis {
-        self.rng.random_range(gap - gap / 4..=gap + gap / 4)
+    fn jittered(&mut self, interval_ms: Millis) -> Millis {
+        self.rng
+            .random_range(interval_ms - interval_ms / 4..=interval_ms + interval_ms / 4)
     }
 
-    fn count_members(&mut self) {
-        let members = self.present.len() + 1;
-        if members != self.told_members {
-            self.told_members = members;
-            self.body.members(members);
+    fn report_member_count(&mut self) {
+        let member_count = self.live_members.len() + 1;
+        if member_count != self.reported_member_count {
+            self.reported_member_count = member_count;
+            self.payload.set_member_count(member_count);
         }
     }
 
     fn next_scheduled(&self, now: Millis) -> Millis {
-        let others = [
-            self.timers.next(),
-            self.doubts.iter().map(Doubted::next_timer).min(),
-            self.next_talk(),
+        let timers = [
+            self.timers.next_due_at(),
+            self.suspicions.iter().map(Suspicion::next_notice_at).min(),
+            self.next_exchange(),
         ];
-        let due = match self.phase {
-            Phase::Left => now + ALONE_HELLO,
-            Phase::Outside(_) => self.schedule.hello,
-            Phase::Within => others
+        let due_at = match self.phase {
+            Phase::Left => now + MAX_ALONE_HELLO_INTERVAL_MS,
+            Phase::Displaced(_) => self.schedule.hello_at,
+            Phase::Joined => timers
                 .into_iter()
                 .flatten()
-                .fold(self.schedule.hello, Millis::min),
+                .fold(self.schedule.hello_at, Millis::min),
         };
-        due.max(now)
+        due_at.max(now)
     }
 
-    fn next_talk(&self) -> Option<Millis> {
-        (!self.present.is_empty()).then(|| {
+    fn next_exchange(&self) -> Option<Millis> {
+        (!self.live_members.is_empty()).then(|| {
             self.schedule
-                .round
-                .min(self.schedule.summary)
-                .min(self.schedule.roster)
+                .gossip_at
+                .min(self.schedule.summary_at)
+                .min(self.schedule.roster_at)
         })
     }
 
-    fn tell(&self, event: Event, out: &mut Vec<Output>) {
+    fn emit(&self, event: Event, out: &mut Vec<Output>) {
         out.push(Output::Event(Box::new(event)));
     }
 
     /// Sends what counts against the bytes that bodies may fill.
-    fn say_bytes(&mut self, to: SocketAddr, word: WireMessage, out: &mut Vec<Output>) {
-        let before = self.counts.sent_bytes;
-        self.say(to, word, out);
-        self.budget.spend(self.counts.sent_bytes - before);
+    fn send_payload(&mut self, to: SocketAddr, message: WireMessage, out: &mut Vec<Output>) {
+        let sent_before = self.counts.sent_bytes;
+        self.send(to, message, out);
+        self.budget.spend(self.counts.sent_bytes - sent_before);
     }
 
-    fn say(&mut self, to: SocketAddr, word: WireMessage, out: &mut Vec<Output>) {
+    fn send(&mut self, to: SocketAddr, message: WireMessage, out: &mut Vec<Output>) {
         self.counter += 1;
-        let (incarnation, start_nonce) = self.me.born();
+        let (incarnation, start_nonce) = self.local.incarnation_id();
         let content = Content {
-            name: self.me.name.to_string(),
+            name: self.local.name.to_string(),
             incarnation,
             start_nonce,
             counter: self.counter,
-            message: Some(word),
+            message: Some(message),
         };
         let bytes = wire::seal(&self.keys, &content);
         self.counts.sent += 1;
--- a/crates/membership/src/node/names.rs
+++ b/crates/membership/src/node/names.rs
@@ -7,30 +7,30 @@
 use super::swim;
 use super::{Node, Output, Phase};
 use crate::codec::ConflictingMember;
-use crate::unknown_senders::TELL_EVERY;
+use crate::unknown_senders::REPORT_INTERVAL_MS;
 use crate::wire::{Content, Identity, NameConflict, WireMessage};
-use crate::{Body, Event, Member, Millis};
+use crate::{Event, Member, Millis, Payload};
 
 /// A process outside the fleet asks this often whether its name is still another's.
-pub(super) const ASK_AGAIN: Millis = 15_000;
+pub(super) const DISPLACED_HELLO_INTERVAL_MS: Millis = 15_000;
 /// Whoever bears another's name is told so at most this often.
-const TELL_LOSER_EVERY: Millis = 1_000;
+const CONFLICT_NOTICE_INTERVAL_MS: Millis = 1_000;
 /// At most this many names are remembered as told.
-const MOST: usize = 256;
+const MAX_TRACKED_NAMES: usize = 256;
 
 #[derive(Debug, Default)]
-struct Times {
-    loser: Option<Millis>,
-    log: Option<Millis>,
+struct ReportTimes {
+    notified_at: Option<Millis>,
+    logged_at: Option<Millis>,
 }
 
 /// When which name's trouble was last told.
 #[derive(Debug, Default)]
-pub(super) struct Naming(BTreeMap<Arc<str>, Times>);
+pub(super) struct ConflictReports(BTreeMap<Arc<str>, ReportTimes>);
 
-impl Naming {
-    fn of(&mut self, name: &str) -> &mut Times {
-        if self.0.len() >= MOST && !self.0.contains_key(name) {
+impl ConflictReports {
+    fn times_for(&mut self, name: &str) -> &mut ReportTimes {
+        if self.0.len() >= MAX_TRACKED_NAMES && !self.0.contains_key(name) {
             self.0.pop_first();
         }
         self.0.entry(name.into()).or_default()
@@ -38,15 +38,15 @@
 }
 
 /// Whether so much time has gone since; if so it counts from now.
-fn again(last: &mut Option<Millis>, every: Millis, now: Millis) -> bool {
-    let is_due = last.is_none_or(|last| now >= last + every);
+fn mark_if_due(last: &mut Option<Millis>, interval_ms: Millis, now: Millis) -> bool {
+    let is_due = last.is_none_or(|last| now >= last + interval_ms);
     if is_due {
         *last = Some(now);
     }
     is_due
 }
 
-impl<B: Body> Node<B> {
+impl<B: Payload> Node<B> {
     /// A datagram under this process's own name, which it did not send itself.
     pub(super) fn own_name_received(
         &mut self,
@@ -55,24 +55,34 @@
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let born = (content.incarnation, content.start_nonce);
-        if born > self.me.born() {
+        let incarnation_id = (content.incarnation, content.start_nonce);
+        if incarnation_id > self.local.incarnation_id() {
             let member = Member {
                 address: from,
                 incarnation: content.incarnation,
                 start_nonce: content.start_nonce,
-                ..self.me.clone()
+                ..self.local.clone()
             };
-            self.contest(
+            self.resolve_name_conflict(
                 ConflictingMember {
                     member,
-                    is_there: true,
+                    is_alive: true,
                 },
                 now,
                 out,
             );
-        } else if born < self.me.born() && from != self.me.address && self.phase == Phase::Within {
-            self.tell_loser(from, self.me.clone(), content.incarnation, true, now, out);
+        } else if incarnation_id < self.local.incarnation_id()
+            && from != self.local.address
+            && self.phase == Phase::Joined
+        {
+            self.report_name_conflict(
+                from,
+                self.local.clone(),
+                content.incarnation,
+                true,
+                now,
+                out,
+            );
         }
     }
 
@@ -85,54 +95,57 @@
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let born = (content.incarnation, content.start_nonce);
+        let incarnation_id = (content.incarnation, content.start_nonce);
         let known = self
             .swim
             .iter_membership_state()
             .find(|known| *known.id().name == *content.name);
         let Some(holder) = known
             .map(|known| known.id().clone())
-            .filter(|holder| holder.born() > born)
+            .filter(|holder| holder.incarnation_id() > incarnation_id)
         else {
             return;
         };
-        if self.phase == Phase::Within && is_fresh {
-            self.tell_loser(
+        if self.phase == Phase::Joined && is_fresh {
+            self.report_name_conflict(
                 from,
                 holder,
                 content.incarnation,
-                self.present.contains_key(&content.name[..]),
+                self.live_members.contains_key(&content.name[..]),
                 now,
                 out,
             );
         }
     }
 
-    fn tell_loser(
+    fn report_name_conflict(
         &mut self,
         from: SocketAddr,
         holder: Member,
-        other_boot: u64,
-        is_there: bool,
+        other_incarnation: u64,
+        is_alive: bool,
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let times = self.naming.of(&holder.name);
-        let tell = again(&mut times.loser, TELL_LOSER_EVERY, now);
-        if is_there && from != holder.address && again(&mut times.log, TELL_EVERY, now) {
-            let doubled = Event::Doubled {
+        let times = self.conflict_reports.times_for(&holder.name);
+        let should_notify = mark_if_due(&mut times.notified_at, CONFLICT_NOTICE_INTERVAL_MS, now);
+        if is_alive
+            && from != holder.address
+            && mark_if_due(&mut times.logged_at, REPORT_INTERVAL_MS, now)
+        {
+            let event = Event::NameConflictFound {
                 holder: holder.clone(),
-                other: from,
-                other_boot,
+                other_address: from,
+                other_incarnation,
             };
-            self.tell(doubled, out);
+            self.emit(event, out);
         }
-        if tell {
-            self.say(
+        if should_notify {
+            self.send(
                 from,
                 WireMessage::NameConflict(NameConflict {
                     holder: Some(Identity::full(&holder)),
-                    is_there,
+                    is_alive,
                 }),
                 out,
             );
@@ -141,18 +154,18 @@
 
     pub(super) fn name_conflict_reported(
         &mut self,
-        told: &NameConflict,
+        notice: &NameConflict,
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let holder = told.holder.as_ref().and_then(Identity::member);
-        let Some(member) = holder.filter(|member| member.name == self.me.name) else {
+        let holder = notice.holder.as_ref().and_then(Identity::member);
+        let Some(member) = holder.filter(|member| member.name == self.local.name) else {
             return;
         };
-        self.contest(
+        self.resolve_name_conflict(
             ConflictingMember {
                 member,
-                is_there: told.is_there,
+                is_alive: notice.is_alive,
             },
             now,
             out,
@@ -161,62 +174,76 @@
 
     /// Another life under this process's own name. The later counts; but one that is over, or that was at this very
     /// address, was an earlier one of this process, whose boot number was lost.
-    pub(super) fn contest(&mut self, rival: ConflictingMember, now: Millis, out: &mut Vec<Output>) {
-        let ConflictingMember { member, is_there } = rival;
-        if member.born() <= self.me.born() || self.phase == Phase::Left {
+    pub(super) fn resolve_name_conflict(
+        &mut self,
+        conflict: ConflictingMember,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        let ConflictingMember { member, is_alive } = conflict;
+        if member.incarnation_id() <= self.local.incarnation_id() || self.phase == Phase::Left {
             return;
         }
-        if is_there && member.address != self.me.address {
-            return self.step_out(member, now, out);
+        if is_alive && member.address != self.local.address {
+            return self.become_displaced(member, now, out);
         }
         let incarnation = member.incarnation.saturating_add(1);
-        self.tell(Event::BootRaised(incarnation), out);
-        let me = Member {
+        self.emit(Event::IncarnationRaised(incarnation), out);
+        let local = Member {
             incarnation,
             renewal: 0,
-            ..self.me.clone()
+            ..self.local.clone()
         };
-        if self.phase == Phase::Within {
-            self.schedule.hello = now;
-            self.announce_anew(me, now, out);
+        if self.phase == Phase::Joined {
+            self.schedule.hello_at = now;
+            self.announce_identity(local, now, out);
         } else {
-            self.step_in(me, now, out);
+            self.rejoin_as(local, now, out);
         }
     }
 
-    fn step_out(&mut self, by: Member, now: Millis, out: &mut Vec<Output>) {
-        if again(&mut self.naming.of(&by.name).log, TELL_EVERY, now) {
-            self.tell(Event::Displaced { by }, out);
+    fn become_displaced(&mut self, holder: Member, now: Millis, out: &mut Vec<Output>) {
+        if mark_if_due(
+            &mut self.conflict_reports.times_for(&holder.name).logged_at,
+            REPORT_INTERVAL_MS,
+            now,
+        ) {
+            self.emit(Event::Displaced { holder }, out);
         }
-        if self.phase != Phase::Within {
+        if self.phase != Phase::Joined {
             return;
         }
-        let known = self.present.values().map(|member| member.address);
-        self.phase = Phase::Outside(self.seeds.iter().copied().chain(known).collect());
-        self.present.clear();
-        self.ask = None;
-        self.schedule.hello = now + self.jittered(ASK_AGAIN);
+        let known = self.live_members.values().map(|member| member.address);
+        self.phase = Phase::Displaced(self.seeds.iter().copied().chain(known).collect());
+        self.live_members.clear();
+        self.next_page_source = None;
+        self.schedule.hello_at = now + self.jittered(DISPLACED_HELLO_INTERVAL_MS);
     }
 
     /// Begins anew as this member, with nothing known of the others.
-    pub(super) fn step_in(&mut self, me: Member, now: Millis, out: &mut Vec<Output>) {
-        self.own.lock().me = me.clone();
-        self.me = me;
-        self.swim = swim::library(&self.settings, self.room, self.own.clone(), &mut self.rng);
+    pub(super) fn rejoin_as(&mut self, local: Member, now: Millis, out: &mut Vec<Output>) {
+        self.own_name.lock().local = local.clone();
+        self.local = local;
+        self.swim = swim::new_swim(
+            &self.settings,
+            self.payload_capacity,
+            self.own_name.clone(),
+            &mut self.rng,
+        );
         self.timers = super::Timers::default();
-        self.doubts.clear();
-        let before = std::mem::replace(&mut self.phase, Phase::Within);
-        if let Phase::Outside(addresses) = before {
-            let own = self.me.address;
+        self.suspicions.clear();
+        let previous = std::mem::replace(&mut self.phase, Phase::Joined);
+        if let Phase::Displaced(addresses) = previous {
+            let own_address = self.local.address;
             for to in addresses
                 .into_iter()
-                .filter(|to| *to != own)
-                .take(super::HELLOS)
+                .filter(|to| *to != own_address)
+                .take(super::HELLO_FANOUT)
             {
-                self.say(to, WireMessage::Hello(Identity::full(&self.me)), out);
+                self.send(to, WireMessage::Hello(Identity::full(&self.local)), out);
             }
         }
-        self.schedule.hello_gap = 0;
-        self.schedule.hello = now + super::FIRST_HELLO;
+        self.schedule.hello_interval_ms = 0;
+        self.schedule.hello_at = now + super::INITIAL_HELLO_INTERVAL_MS;
     }
 }
--- a/crates/membership/src/node/swim.rs
+++ b/crates/membership/src/node/swim.rs
@@ -5,155 +5,160 @@
 use std::time::Duration;
 
 use foca::{
-    AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification as Notice, PeriodicParams,
-    State, Timer,
+    AccumulatingRuntime, Foca, NoCustomBroadcast, OwnedNotification as Notification,
+    PeriodicParams, State, Timer,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 use super::{Node, Output, Phase};
-use crate::codec::{OwnName, Records};
-use crate::wire::{Doubt, Identity, WireMessage};
-use crate::{Body, Event, Member, Millis, Settings};
+use crate::codec::{OwnName, RecordCodec};
+use crate::wire::{Identity, SuspicionNotice, WireMessage};
+use crate::{Event, Member, Millis, Payload, Settings};
 
-pub(super) type Swim = Foca<Member, Records, Pcg64Mcg, NoCustomBroadcast>;
+pub(super) type Swim = Foca<Member, RecordCodec, Pcg64Mcg, NoCustomBroadcast>;
 
 /// Others asked to probe whom this node cannot reach.
-const INDIRECT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
+const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// Each change is passed on this often by each member that hears of it.
-const TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(10).unwrap();
+const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(10).unwrap();
 /// One that is down is asked whether it is back in this time: so two halves meet again.
-const ANNOUNCE_DOWN: Duration = Duration::from_secs(2);
+const ANNOUNCE_DOWN_INTERVAL: Duration = Duration::from_secs(2);
 /// A suspect is told so this often until it speaks up.
-const DOUBT_EVERY: Millis = 500;
+const SUSPICION_NOTICE_INTERVAL_MS: Millis = 500;
 
-pub(super) fn library(settings: &Settings, room: usize, own: OwnName, rng: &mut Pcg64Mcg) -> Swim {
+pub(super) fn new_swim(
+    settings: &Settings,
+    max_packet_bytes: usize,
+    own_name: OwnName,
+    rng: &mut Pcg64Mcg,
+) -> Swim {
     let one = NonZeroUsize::MIN;
     let config = foca::Config {
-        probe_period: Duration::from_millis(settings.probe),
-        probe_rtt: Duration::from_millis(settings.answer),
-        num_indirect_probes: INDIRECT,
-        max_transmissions: TRANSMISSIONS,
-        suspect_to_down_after: Duration::from_millis(settings.suspect),
-        remove_down_after: Some(Duration::from_millis(settings.forget)),
-        max_packet_size: NonZeroUsize::new(room).unwrap_or(one),
+        probe_period: Duration::from_millis(settings.probe_interval_ms),
+        probe_rtt: Duration::from_millis(settings.probe_timeout_ms),
+        num_indirect_probes: INDIRECT_PROBES,
+        max_transmissions: MAX_TRANSMISSIONS,
+        suspect_to_down_after: Duration::from_millis(settings.suspicion_timeout_ms),
+        remove_down_after: Some(Duration::from_millis(settings.forget_down_after_ms)),
+        max_packet_size: NonZeroUsize::new(max_packet_bytes).unwrap_or(one),
         notify_down_members: true,
         // Rosters do this, and do not answer whoever knows all.
         periodic_announce: None,
         periodic_announce_to_down_members: Some(PeriodicParams {
-            frequency: ANNOUNCE_DOWN,
+            frequency: ANNOUNCE_DOWN_INTERVAL,
             num_members: one,
         }),
         periodic_gossip: Some(PeriodicParams {
-            frequency: Duration::from_millis(settings.round),
+            frequency: Duration::from_millis(settings.gossip_interval_ms),
             num_members: NonZeroUsize::new(settings.gossip_fanout).unwrap_or(one),
         }),
     };
-    let me = own.lock().me.clone();
+    let local = own_name.lock().local.clone();
     Foca::new(
-        me,
+        local,
         config,
         Pcg64Mcg::seed_from_u64(rng.random()),
-        Records(own),
+        RecordCodec(own_name),
     )
 }
 
 /// A member that did not answer and is declared down at the end, unless it speaks up.
 #[derive(Debug)]
-pub(super) struct Doubted {
+pub(super) struct Suspicion {
     member: Member,
     incarnation: u16,
-    next: Millis,
-    end: Millis,
+    next_notice_at: Millis,
+    expires_at: Millis,
 }
 
-impl Doubted {
-    pub fn next_timer(&self) -> Millis {
-        self.next
+impl Suspicion {
+    pub fn next_notice_at(&self) -> Millis {
+        self.next_notice_at
     }
 
-    pub fn put_off(&mut self, by: Millis) {
-        self.next += by;
-        self.end += by;
+    pub fn postpone(&mut self, by: Millis) {
+        self.next_notice_at += by;
+        self.expires_at += by;
     }
 }
 
-impl<B: Body> Node<B> {
+impl<B: Payload> Node<B> {
     /// Lets the library act, and does what it asks for.
     pub(super) fn with_swim<F>(&mut self, now: Millis, out: &mut Vec<Output>, act: F)
     where
         F: FnOnce(&mut Swim, &mut AccumulatingRuntime<Member>) -> Result<(), foca::Error>,
     {
         if act(&mut self.swim, &mut self.runtime).is_err() {
-            self.counts.unheard += 1;
+            self.counts.ignored += 1;
         }
-        self.keep_name();
-        while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.schedule(timer, after.as_millis() as Millis, now);
+        self.sync_identity();
+        while let Some((delay_ms, timer)) = self.runtime.to_schedule() {
+            self.schedule_timer(timer, delay_ms.as_millis() as Millis, now);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            self.say(to.address, WireMessage::Swim(bytes.into()), out);
+            self.send(to.address, WireMessage::Swim(bytes.into()), out);
         }
-        let mut notices = Vec::new();
-        while let Some(notice) = self.runtime.to_notify() {
-            notices.push(notice);
+        let mut notifications = Vec::new();
+        while let Some(notification) = self.runtime.to_notify() {
+            notifications.push(notification);
         }
-        notices
+        notifications
             .into_iter()
-            .for_each(|notice| self.noticed(notice, now, out));
-        let rival = self.own.lock().conflict.take();
-        if let Some(rival) = rival {
-            self.contest(rival, now, out);
+            .for_each(|notification| self.handle_notification(notification, now, out));
+        let conflict = self.own_name.lock().conflict.take();
+        if let Some(conflict) = conflict {
+            self.resolve_name_conflict(conflict, now, out);
         }
     }
 
     /// The library may have announced this process anew.
-    fn keep_name(&mut self) {
-        if *self.swim.identity() != self.me {
-            self.me = self.swim.identity().clone();
-            self.own.lock().me = self.me.clone();
+    fn sync_identity(&mut self) {
+        if *self.swim.identity() != self.local {
+            self.local = self.swim.identity().clone();
+            self.own_name.lock().local = self.local.clone();
             self.counts.renewals += 1;
         }
     }
 
-    fn schedule(&mut self, timer: Timer<Member>, after: Millis, now: Millis) {
-        let after = match &timer {
+    fn schedule_timer(&mut self, timer: Timer<Member>, delay_ms: Millis, now: Millis) {
+        let delay_ms = match &timer {
             // Guards against a fleet in step. The probe's own steps keep their order.
             Timer::ProbeRandomMember(_) => self
                 .rng
-                .random_range(after - after / 10..=after + after / 10),
+                .random_range(delay_ms - delay_ms / 10..=delay_ms + delay_ms / 10),
             Timer::PeriodicAnnounce(_)
             | Timer::PeriodicAnnounceDown(_)
-            | Timer::PeriodicGossip(_) => self.jittered(after),
+            | Timer::PeriodicGossip(_) => self.jittered(delay_ms),
             Timer::ChangeSuspectToDown {
                 member_id,
                 incarnation,
                 ..
             } => {
                 self.counts.suspected += 1;
-                self.doubts
-                    .retain(|doubt| doubt.member.name != member_id.name);
+                self.suspicions
+                    .retain(|suspicion| suspicion.member.name != member_id.name);
                 let (member, incarnation) = (member_id.clone(), *incarnation);
-                self.doubts.push(Doubted {
+                self.suspicions.push(Suspicion {
                     member,
                     incarnation,
-                    next: now,
-                    end: now + after,
+                    next_notice_at: now,
+                    expires_at: now + delay_ms,
                 });
-                after
+                delay_ms
             }
-            Timer::SendIndirectProbe { .. } | Timer::RemoveDown(_) => after,
+            Timer::SendIndirectProbe { .. } | Timer::RemoveDown(_) => delay_ms,
         };
-        self.timers.add(now + after, timer);
+        self.timers.add(now + delay_ms, timer);
     }
 
     pub(super) fn run_timers(&mut self, now: Millis, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop(now) {
-            self.fire(timer, now, out);
+            self.fire_timer(timer, now, out);
         }
     }
 
-    pub(super) fn fire(&mut self, timer: Timer<Member>, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn fire_timer(&mut self, timer: Timer<Member>, now: Millis, out: &mut Vec<Output>) {
         // Guards against telling a member that it is down which spoke up in time: the library tells it all the same,
         // and it would have to announce itself anew.
         if let Timer::ChangeSuspectToDown {
@@ -170,19 +175,24 @@
 
     /// Tells suspects to their face, again and again: guards against declaring down whoever is well, since word of
     /// the suspicion, or of its answer, was lost on its way round.
-    pub(super) fn voice_doubts(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let mut doubts = std::mem::take(&mut self.doubts);
-        doubts.retain(|doubt| now < doubt.end && self.is_suspect(&doubt.member, doubt.incarnation));
-        for doubt in doubts.iter_mut().filter(|doubt| doubt.next <= now) {
-            doubt.next = now + DOUBT_EVERY;
-            let suspect = Some(Identity::short(&doubt.member));
-            let word = WireMessage::Doubt(Doubt {
+    pub(super) fn notify_suspects(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let mut suspicions = std::mem::take(&mut self.suspicions);
+        suspicions.retain(|suspicion| {
+            now < suspicion.expires_at && self.is_suspect(&suspicion.member, suspicion.incarnation)
+        });
+        for suspicion in suspicions
+            .iter_mut()
+            .filter(|suspicion| suspicion.next_notice_at <= now)
+        {
+            suspicion.next_notice_at = now + SUSPICION_NOTICE_INTERVAL_MS;
+            let suspect = Some(Identity::short(&suspicion.member));
+            let message = WireMessage::SuspicionNotice(SuspicionNotice {
                 suspect,
-                incarnation: doubt.incarnation.into(),
+                incarnation: suspicion.incarnation.into(),
             });
-            self.say(doubt.member.address, word, out);
+            self.send(suspicion.member.address, message, out);
         }
-        self.doubts = doubts;
+        self.suspicions = suspicions;
     }
 
     fn is_suspect(&self, member: &Member, incarnation: u16) -> bool {
@@ -193,22 +203,22 @@
     }
 
     /// This process is suspected: it speaks up, to all and to whoever suspects it.
-    pub(super) fn doubted(
+    pub(super) fn suspicion_received(
         &mut self,
-        doubt: &Doubt,
-        by: Option<Member>,
+        notice: &SuspicionNotice,
+        reporter: Option<Member>,
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        let suspect = doubt.suspect.as_ref().and_then(Identity::member);
-        let (Some(suspect), Ok(incarnation)) = (suspect, u16::try_from(doubt.incarnation)) else {
+        let suspect = notice.suspect.as_ref().and_then(Identity::member);
+        let (Some(suspect), Ok(incarnation)) = (suspect, u16::try_from(notice.incarnation)) else {
             return;
         };
         // Whoever suspects what this process was before it announced itself anew has missed that.
-        if suspect != self.me {
-            let answer = by.filter(|_| suspect.is_same_incarnation(&self.me));
-            answer.into_iter().for_each(|by| {
-                self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime))
+        if suspect != self.local {
+            let reporter = reporter.filter(|_| suspect.is_same_incarnation(&self.local));
+            reporter.into_iter().for_each(|reporter| {
+                self.with_swim(now, out, |swim, runtime| swim.announce(reporter, runtime))
             });
             return;
         }
@@ -216,105 +226,118 @@
         self.with_swim(now, out, |swim, runtime| {
             swim.apply_many(std::iter::once(update), true, runtime)
         });
-        if let Some(by) = by {
-            self.with_swim(now, out, |swim, runtime| swim.announce(by, runtime));
+        if let Some(reporter) = reporter {
+            self.with_swim(now, out, |swim, runtime| swim.announce(reporter, runtime));
         }
     }
 
     /// Takes another identity, and tells the others.
-    pub(super) fn announce_anew(&mut self, me: Member, now: Millis, out: &mut Vec<Output>) {
-        self.doubts.clear();
+    pub(super) fn announce_identity(&mut self, local: Member, now: Millis, out: &mut Vec<Output>) {
+        self.suspicions.clear();
         self.with_swim(now, out, |swim, runtime| {
-            swim.change_identity(me, &mut *runtime)?;
+            swim.change_identity(local, &mut *runtime)?;
             // Guards against waiting for a word from others, who may still speak to the identity before.
             swim.apply_many(std::iter::empty(), true, runtime)
         });
     }
 
-    fn noticed(&mut self, notice: Notice<Member>, now: Millis, out: &mut Vec<Output>) {
-        match notice {
-            Notice::MemberUp(member) => {
-                self.present.insert(member.name.clone(), member.clone());
+    fn handle_notification(
+        &mut self,
+        notification: Notification<Member>,
+        now: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        match notification {
+            Notification::MemberUp(member) => {
+                self.live_members
+                    .insert(member.name.clone(), member.clone());
                 self.roster_changed(now);
-                self.tell(Event::Up(member.clone()), out);
-                self.settle_address(&member, now, out);
-                self.ask_first(&member, now, out);
+                self.emit(Event::Up(member.clone()), out);
+                self.resolve_address_conflict(&member, now, out);
+                self.request_initial_pages(&member, now, out);
             }
             // What came over the wire of one that is down is short: the host is told all that was known.
-            Notice::MemberDown(member) => {
-                if let Some(gone) = self.present.remove(&member.name) {
-                    self.tell(Event::Down(gone), out);
+            Notification::MemberDown(member) => {
+                if let Some(member) = self.live_members.remove(&member.name) {
+                    self.emit(Event::Down(member), out);
                 }
             }
-            Notice::Rename(_, member) => self.announced_anew(member, now, out),
-            Notice::Active => self.joined(now),
-            Notice::Idle => {
-                self.schedule.hello_gap = 0;
-                self.schedule.hello = now;
+            Notification::Rename(_, member) => self.identity_changed(member, now, out),
+            Notification::Active => self.on_joined(now),
+            Notification::Idle => {
+                self.schedule.hello_interval_ms = 0;
+                self.schedule.hello_at = now;
             }
-            Notice::Rejoin(_) => {
-                self.tell(Event::Returned, out);
-                self.schedule.hello = now;
+            Notification::Rejoin(_) => {
+                self.emit(Event::Rejoined, out);
+                self.schedule.hello_at = now;
                 self.roster_changed(now);
             }
-            Notice::Defunct => {}
+            Notification::Defunct => {}
         }
     }
 
     /// Guards against waiting a second for what the others know: whoever joins asks for it in the next moment.
-    fn joined(&mut self, now: Millis) {
-        if self.phase == Phase::Within {
-            self.schedule.summary = now;
+    fn on_joined(&mut self, now: Millis) {
+        if self.phase == Phase::Joined {
+            self.schedule.summary_at = now;
         }
     }
 
     /// A newcomer asks the first few that it finds. Guards against asking only one, who may know as little.
-    fn ask_first(&mut self, member: &Member, now: Millis, out: &mut Vec<Output>) {
-        if self.asked_first < self.settings.gossip_fanout && self.phase == Phase::Within {
-            self.asked_first += 1;
-            self.ask_for_pages(&member.name, now, out);
+    fn request_initial_pages(&mut self, member: &Member, now: Millis, out: &mut Vec<Output>) {
+        if self.initial_requests_sent < self.settings.gossip_fanout && self.phase == Phase::Joined {
+            self.initial_requests_sent += 1;
+            self.request_pages(&member.name, now, out);
         }
     }
 
-    fn announced_anew(&mut self, member: Member, now: Millis, out: &mut Vec<Output>) {
-        let is_there = self.swim.iter_members().any(|known| *known.id() == member);
+    fn identity_changed(&mut self, member: Member, now: Millis, out: &mut Vec<Output>) {
+        let is_alive = self.swim.iter_members().any(|known| *known.id() == member);
         // One that was gone comes up next, and one that is gone goes down next.
-        let Some(was) = self.present.get(&member.name).filter(|_| is_there).cloned() else {
+        let Some(previous) = self
+            .live_members
+            .get(&member.name)
+            .filter(|_| is_alive)
+            .cloned()
+        else {
             return;
         };
-        self.present.insert(member.name.clone(), member.clone());
+        self.live_members
+            .insert(member.name.clone(), member.clone());
         self.roster_changed(now);
-        let is_changed = was.configuration != member.configuration || was.site != member.site;
-        if !was.is_same_incarnation(&member) {
-            self.tell(
+        let is_changed =
+            previous.configuration != member.configuration || previous.site != member.site;
+        if !previous.is_same_incarnation(&member) {
+            self.emit(
                 Event::Restarted {
-                    was,
-                    now: member.clone(),
+                    previous,
+                    current: member.clone(),
                 },
                 out,
             );
         } else if is_changed {
-            self.tell(
+            self.emit(
                 Event::Changed {
-                    was,
-                    now: member.clone(),
+                    previous,
+                    current: member.clone(),
                 },
                 out,
             );
         }
-        self.settle_address(&member, now, out);
+        self.resolve_address_conflict(&member, now, out);
     }
 
     /// Whoever speaks from an address has it: another that was there under another name is gone.
-    fn settle_address(&mut self, member: &Member, now: Millis, out: &mut Vec<Output>) {
-        let speaks = self.speaker == Some((member.name.clone(), member.address));
-        let same_place =
+    fn resolve_address_conflict(&mut self, member: &Member, now: Millis, out: &mut Vec<Output>) {
+        let is_sender_address = self.sender == Some((member.name.clone(), member.address));
+        let has_same_address =
             |other: &&Member| other.address == member.address && other.name != member.name;
-        let Some(was) = self
-            .present
+        let Some(previous) = self
+            .live_members
             .values()
-            .find(same_place)
-            .filter(|_| speaks)
+            .find(has_same_address)
+            .filter(|_| is_sender_address)
             .cloned()
         else {
             return;
@@ -322,18 +345,18 @@
         let incarnation = self
             .swim
             .iter_members()
-            .find(|known| *known.id() == was)
+            .find(|known| *known.id() == previous)
             .map(foca::Member::incarnation);
-        self.tell(
+        self.emit(
             Event::Renamed {
-                was: was.clone(),
-                now: member.clone(),
+                previous: previous.clone(),
+                current: member.clone(),
             },
             out,
         );
-        let gone = foca::Member::new(was, incarnation.unwrap_or_default(), State::Down);
+        let update = foca::Member::new(previous, incarnation.unwrap_or_default(), State::Down);
         self.with_swim(now, out, |swim, runtime| {
-            swim.apply_many(std::iter::once(gone), true, runtime)
+            swim.apply_many(std::iter::once(update), true, runtime)
         });
     }
 
@@ -345,8 +368,8 @@
         now: Millis,
         out: &mut Vec<Output>,
     ) {
-        self.speaker = Some((name.into(), from));
+        self.sender = Some((name.into(), from));
         self.with_swim(now, out, |swim, runtime| swim.handle_data(bytes, runtime));
-        self.speaker = None;
+        self.sender = None;
     }
 }
--- a/crates/membership/src/senders.rs
+++ b/crates/membership/src/senders.rs
@@ -6,9 +6,9 @@
 use crate::Millis;
 
 /// A datagram this far behind the sender's last is refused.
-pub(crate) const WINDOW: u64 = 256;
+pub(crate) const REPLAY_WINDOW: u64 = 256;
 /// At most this many senders are remembered: those heard last.
-const MOST: usize = 4_096;
+const MAX_SENDERS: usize = 4_096;
 
 /// What a datagram is by its sender's life and counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,16 +25,16 @@
 /// The counters of one life.
 #[derive(Clone, Debug, Default)]
 struct Window {
-    born: (u64, u64),
+    incarnation_id: (u64, u64),
     last: u64,
     /// Bit `n` stands for the counter `last - n`.
-    seen: [u64; (WINDOW / 64) as usize],
+    seen: [u64; (REPLAY_WINDOW / 64) as usize],
 }
 
 #[derive(Debug, Default)]
 struct Sender {
-    now: Window,
-    before: Window,
+    current: Window,
+    previous: Window,
     received_at: Millis,
 }
 
@@ -42,34 +42,38 @@
 pub(crate) struct Senders(BTreeMap<Arc<str>, Sender>);
 
 impl Senders {
-    pub fn hear(
+    pub fn record(
         &mut self,
         name: &str,
-        born: (u64, u64),
+        incarnation_id: (u64, u64),
         counter: u64,
         now: Millis,
     ) -> DatagramOrder {
         let Some(sender) = self.0.get_mut(name) else {
             self.evict_oldest();
             let sender = Sender {
-                now: Window::of(born, counter),
+                current: Window::starting_at(incarnation_id, counter),
                 received_at: now,
                 ..Sender::default()
             };
             self.0.insert(name.into(), sender);
             return DatagramOrder::Fresh;
         };
-        if born < sender.now.born {
-            let is_fresh = born > sender.before.born
-                || born == sender.before.born && sender.before.take(counter);
-            if born > sender.before.born {
-                sender.before = Window::of(born, counter);
+        if incarnation_id < sender.current.incarnation_id {
+            let is_fresh = incarnation_id > sender.previous.incarnation_id
+                || incarnation_id == sender.previous.incarnation_id
+                    && sender.previous.accept(counter);
+            if incarnation_id > sender.previous.incarnation_id {
+                sender.previous = Window::starting_at(incarnation_id, counter);
             }
             return DatagramOrder::Earlier { is_fresh };
         }
-        if born > sender.now.born {
-            sender.before = std::mem::replace(&mut sender.now, Window::of(born, counter));
-        } else if !sender.now.take(counter) {
+        if incarnation_id > sender.current.incarnation_id {
+            sender.previous = std::mem::replace(
+                &mut sender.current,
+                Window::starting_at(incarnation_id, counter),
+            );
+        } else if !sender.current.accept(counter) {
             return DatagramOrder::Duplicate;
         }
         sender.received_at = now;
@@ -77,7 +81,7 @@
     }
 
     fn evict_oldest(&mut self) {
-        if self.0.len() < MOST {
+        if self.0.len() < MAX_SENDERS {
             return;
         }
         let oldest = self
@@ -92,9 +96,9 @@
 }
 
 impl Window {
-    fn of(born: (u64, u64), last: u64) -> Self {
+    fn starting_at(incarnation_id: (u64, u64), last: u64) -> Self {
         let mut window = Self {
-            born,
+            incarnation_id,
             last,
             ..Self::default()
         };
@@ -103,31 +107,31 @@
     }
 
     /// Whether this counter is new; it is not from then on.
-    fn take(&mut self, counter: u64) -> bool {
+    fn accept(&mut self, counter: u64) -> bool {
         if counter > self.last {
             self.shift(counter - self.last);
             self.last = counter;
         }
         let behind = self.last - counter;
-        if behind >= WINDOW {
+        if behind >= REPLAY_WINDOW {
             return false;
         }
-        let (word, bit) = ((behind / 64) as usize, 1 << (behind % 64));
-        let is_new = self.seen[word] & bit == 0;
-        self.seen[word] |= bit;
+        let (index, bit) = ((behind / 64) as usize, 1 << (behind % 64));
+        let is_new = self.seen[index] & bit == 0;
+        self.seen[index] |= bit;
         is_new
     }
 
     fn shift(&mut self, by: u64) {
         let (words, bits) = ((by / 64) as usize, by % 64);
         for to in (0..self.seen.len()).rev() {
-            let word = |from: Option<usize>| {
+            let shifted = |from: Option<usize>| {
                 from.and_then(|from| self.seen.get(from))
                     .copied()
                     .unwrap_or(0)
             };
-            let low = word(to.checked_sub(words));
-            let high = word(to.checked_sub(words.saturating_add(1)));
+            let low = shifted(to.checked_sub(words));
+            let high = shifted(to.checked_sub(words.saturating_add(1)));
             self.seen[to] = if bits == 0 {
                 low
             } else {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -6,11 +6,11 @@
 use crate::{Configuration, Millis};
 
 /// The largest datagram that is sent or taken, in bytes.
-pub const LARGEST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The longest name of a process, in bytes: up to three stand in one datagram.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// The longest name of a site, in bytes.
-pub const LONGEST_SITE: usize = 32;
+pub const MAX_SITE_BYTES: usize = 32;
 
 /// Who this process is, and whom it asks first.
 #[derive(Clone, Debug)]
@@ -34,67 +34,69 @@
 
 /// What is wrong with a [`Profile`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProfileFault {
+pub enum ProfileError {
     /// The name is empty, too long or holds control characters.
-    Name,
+    InvalidName,
     /// The site is too long or holds control characters.
-    Site,
+    InvalidSite,
     /// The address is one that nobody can send to (no port, or any address).
-    Address,
+    InvalidAddress,
 }
 
-impl std::fmt::Display for ProfileFault {
+impl std::fmt::Display for ProfileError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Name => {
+            Self::InvalidName => {
                 write!(
                     out,
-                    "the name has to have 1 to {LONGEST_NAME} bytes without control characters"
+                    "the name has to have 1 to {MAX_NAME_BYTES} bytes without control characters"
                 )
             }
-            Self::Site => {
+            Self::InvalidSite => {
                 write!(
                     out,
-                    "the site has to have {LONGEST_SITE} bytes at most, none a control character"
+                    "the site has to have {MAX_SITE_BYTES} bytes at most, none a control character"
                 )
             }
-            Self::Address => write!(out, "the address has to be one that the others can send to"),
+            Self::InvalidAddress => {
+                write!(out, "the address has to be one that the others can send to")
+            }
         }
     }
 }
 
-impl std::error::Error for ProfileFault {}
+impl std::error::Error for ProfileError {}
 
 impl Profile {
     /// Everything that is wrong with it.
     ///
     /// # Errors
     /// All faults at once.
-    pub fn check(&self) -> Result<(), Vec<ProfileFault>> {
-        let mut faults = Vec::new();
+    pub fn check(&self) -> Result<(), Vec<ProfileError>> {
+        let mut errors = Vec::new();
         if !is_name(&self.name) {
-            faults.push(ProfileFault::Name);
+            errors.push(ProfileError::InvalidName);
         }
         if !is_site(&self.site) {
-            faults.push(ProfileFault::Site);
+            errors.push(ProfileError::InvalidSite);
         }
         if !is_reachable(self.address) {
-            faults.push(ProfileFault::Address);
+            errors.push(ProfileError::InvalidAddress);
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(())
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 }
 
 pub(crate) fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= LONGEST_NAME && !name.chars().any(char::is_control)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control)
 }
 
 pub(crate) fn is_site(site: &str) -> bool {
-    site.len() <= LONGEST_SITE && !site.chars().any(char::is_control)
+    site.len() <= MAX_SITE_BYTES && !site.chars().any(char::is_control)
 }
 
 pub(crate) fn is_reachable(address: SocketAddr) -> bool {
@@ -106,40 +108,40 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Each member probes one other in this time.
-    pub probe: Millis,
+    pub probe_interval_ms: Millis,
     /// After this long without an answer others are asked to probe.
-    pub answer: Millis,
+    pub probe_timeout_ms: Millis,
     /// How long a suspect has to speak up before it is declared down.
-    pub suspect: Millis,
+    pub suspicion_timeout_ms: Millis,
     /// What is new is told in rounds this far apart, a quarter more or less.
-    pub round: Millis,
+    pub gossip_interval_ms: Millis,
     /// To this many members at random in each round.
     pub gossip_fanout: usize,
     /// One random member is asked for what is missing in this time, a quarter more or less.
-    pub summary: Millis,
+    pub summary_interval_ms: Millis,
     /// At most this many pages answer a summary.
-    pub pages: usize,
+    pub max_pages: usize,
     /// A node that was not run for this long announces itself anew: the others may have declared it down.
-    pub pause: Millis,
+    pub pause_threshold_ms: Millis,
     /// A member that is down is forgotten after this.
-    pub forget: Millis,
+    pub forget_down_after_ms: Millis,
     /// Bodies may fill this many bytes a second.
-    pub bytes_per_s: u64,
+    pub payload_bytes_per_s: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            probe: 500,
-            answer: 200,
-            suspect: 3_000,
-            round: 200,
+            probe_interval_ms: 500,
+            probe_timeout_ms: 200,
+            suspicion_timeout_ms: 3_000,
+            gossip_interval_ms: 200,
             gossip_fanout: 3,
-            summary: 1_000,
-            pages: 4,
-            pause: 3_500,
-            forget: 24 * 3_600_000,
-            bytes_per_s: 64 * 1_024,
+            summary_interval_ms: 1_000,
+            max_pages: 4,
+            pause_threshold_ms: 3_500,
+            forget_down_after_ms: 24 * 3_600_000,
+            payload_bytes_per_s: 64 * 1_024,
         }
     }
 }
--- a/crates/membership/src/testing.rs
+++ b/crates/membership/src/testing.rs
@@ -4,22 +4,22 @@
 mod net;
 mod numbers;
 
-pub use fleet::{Fleet, Seat};
-pub use net::{Net, Port, Rules};
-pub use numbers::Numbers;
+pub use fleet::{Fleet, Process};
+pub use net::{MemoryLink, MemoryNetwork, NetworkConditions};
+pub use numbers::NumberPayload;
 
-use crate::{Body, Configuration, Key, Keys, Member, Millis, Profile};
+use crate::{Configuration, Key, Keys, Member, Millis, Payload, Profile};
 
 /// A body that has nothing to tell and remembers what it was told.
 #[derive(Clone, Debug, Default)]
-pub struct Silent {
+pub struct SilentPayload {
     /// How many processes are there.
-    pub members: usize,
+    pub member_count: usize,
     /// What came, from whom.
-    pub taken: Vec<(String, Vec<u8>)>,
+    pub received: Vec<(String, Vec<u8>)>,
 }
 
-impl Body for Silent {
+impl Payload for SilentPayload {
     fn gossip(&mut self, _: usize, _: Millis) -> Vec<u8> {
         Vec::new()
     }
@@ -32,30 +32,30 @@
         Vec::new()
     }
 
-    fn take(&mut self, from: &Member, bytes: &[u8], _: Millis) {
-        self.taken.push((from.name.to_string(), bytes.to_vec()));
+    fn receive(&mut self, from: &Member, bytes: &[u8], _: Millis) {
+        self.received.push((from.name.to_string(), bytes.to_vec()));
     }
 
-    fn members(&mut self, n: usize) {
-        self.members = n;
+    fn set_member_count(&mut self, count: usize) {
+        self.member_count = count;
     }
 }
 
 /// A key for tests, another for each number.
 pub fn keys(n: u8) -> Keys {
-    Keys::only(Key::new(&[n; crate::SHORTEST_KEY]).expect("as long as a key has to be"))
+    Keys::only(Key::new(&[n; crate::MIN_KEY_BYTES]).expect("as long as a key has to be"))
 }
 
 /// The profile of the process `name` at port `port` of this machine, in its first life.
 pub fn profile(name: &str, port: u16, seeds: &[u16]) -> Profile {
-    let at = |port| ([127, 0, 0, 1], port).into();
+    let local = |port| ([127, 0, 0, 1], port).into();
     Profile {
         name: name.into(),
-        address: at(port),
+        address: local(port),
         incarnation: 1,
         seed: port.into(),
         site: "north".into(),
         peer_configuration: Configuration::default(),
-        seeds: seeds.iter().map(|port| at(*port)).collect(),
+        seeds: seeds.iter().map(|port| local(*port)).collect(),
     }
 }
--- a/crates/membership/src/testing/net.rs
+++ b/crates/membership/src/testing/net.rs
@@ -15,94 +15,96 @@
 
 /// What happens to datagrams on their way.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct NetworkConditions {
     /// So many of a thousand are lost.
-    pub lost: u32,
+    pub loss_per_mille: u32,
     /// So many of a thousand come twice.
-    pub doubled: u32,
+    pub duplicates_per_mille: u32,
     /// The shortest and the longest time on the way.
-    pub delay: (Millis, Millis),
+    pub delay_ms: (Millis, Millis),
     /// From the first address none comes to the second.
-    pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
+    pub cut_links: BTreeSet<(SocketAddr, SocketAddr)>,
     rng: Pcg64Mcg,
 }
 
-impl Rules {
+impl NetworkConditions {
     /// All come, after 0 to 2 ms, until the fields are set otherwise.
     pub fn new(seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Self {
-            lost: 0,
-            doubled: 0,
-            delay: (0, 2),
-            cut: BTreeSet::new(),
+            loss_per_mille: 0,
+            duplicates_per_mille: 0,
+            delay_ms: (0, 2),
+            cut_links: BTreeSet::new(),
             rng,
         }
     }
 
     /// Cuts all ways between two groups.
-    pub fn part(&mut self, one: &[SocketAddr], other: &[SocketAddr]) {
-        for a in one {
-            self.cut
-                .extend(other.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
+    pub fn partition(&mut self, left: &[SocketAddr], right: &[SocketAddr]) {
+        for a in left {
+            self.cut_links
+                .extend(right.iter().flat_map(|b| [(*a, *b), (*b, *a)]));
         }
     }
 
     /// After which times copies of a datagram come.
-    pub fn fate(&mut self, from: SocketAddr, to: SocketAddr) -> Vec<Millis> {
-        if self.cut.contains(&(from, to)) || self.rng.random_range(0..1_000) < self.lost {
+    pub fn delivery_delays(&mut self, from: SocketAddr, to: SocketAddr) -> Vec<Millis> {
+        if self.cut_links.contains(&(from, to))
+            || self.rng.random_range(0..1_000) < self.loss_per_mille
+        {
             return Vec::new();
         }
-        let copies = if self.rng.random_range(0..1_000) < self.doubled {
+        let copies = if self.rng.random_range(0..1_000) < self.duplicates_per_mille {
             2
         } else {
             1
         };
         (0..copies)
-            .map(|_| self.rng.random_range(self.delay.0..=self.delay.1))
+            .map(|_| self.rng.random_range(self.delay_ms.0..=self.delay_ms.1))
             .collect()
     }
 }
 
-struct Letter {
-    due: Instant,
+struct QueuedDatagram {
+    due_at: Instant,
     from: SocketAddr,
     bytes: Vec<u8>,
 }
 
 struct Inner {
-    rules: Rules,
-    ports: BTreeMap<SocketAddr, Sender<Option<Letter>>>,
+    conditions: NetworkConditions,
+    links: BTreeMap<SocketAddr, Sender<Option<QueuedDatagram>>>,
 }
 
 /// A net in memory that threads share.
 #[derive(Clone)]
-pub struct Net(Arc<Mutex<Inner>>);
+pub struct MemoryNetwork(Arc<Mutex<Inner>>);
 
-impl Net {
+impl MemoryNetwork {
     /// A net with these rules.
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(conditions: NetworkConditions) -> Self {
         Self(Arc::new(Mutex::new(Inner {
-            rules,
-            ports: BTreeMap::new(),
+            conditions,
+            links: BTreeMap::new(),
         })))
     }
 
     /// Changes the rules for what is sent from now on.
-    pub fn change(&self, change: impl FnOnce(&mut Rules)) {
-        change(&mut self.lock().rules);
+    pub fn update_conditions(&self, change: impl FnOnce(&mut NetworkConditions)) {
+        change(&mut self.lock().conditions);
     }
 
     /// A link at this address. One that was there before hears nothing any more.
-    pub fn port(&self, address: SocketAddr) -> Port {
-        let (sender, letters) = unbounded();
-        self.lock().ports.insert(address, sender.clone());
-        Port {
-            net: self.clone(),
+    pub fn link(&self, address: SocketAddr) -> MemoryLink {
+        let (sender, datagrams) = unbounded();
+        self.lock().links.insert(address, sender.clone());
+        MemoryLink {
+            network: self.clone(),
             address,
             sender,
-            letters,
-            on_the_way: Vec::new(),
+            datagrams,
+            in_flight: Vec::new(),
         }
     }
 
@@ -112,37 +114,37 @@
 }
 
 /// A [`Link`] on a [`Net`].
-pub struct Port {
-    net: Net,
+pub struct MemoryLink {
+    network: MemoryNetwork,
     address: SocketAddr,
-    sender: Sender<Option<Letter>>,
-    letters: Receiver<Option<Letter>>,
-    on_the_way: Vec<Letter>,
+    sender: Sender<Option<QueuedDatagram>>,
+    datagrams: Receiver<Option<QueuedDatagram>>,
+    in_flight: Vec<QueuedDatagram>,
 }
 
-impl Port {
-    fn due(&mut self, now: Instant) -> Option<Letter> {
-        let (at, first) = self
-            .on_the_way
+impl MemoryLink {
+    fn take_due(&mut self, now: Instant) -> Option<QueuedDatagram> {
+        let (index, first) = self
+            .in_flight
             .iter()
             .enumerate()
-            .min_by_key(|(_, letter)| letter.due)?;
-        (first.due <= now).then(|| self.on_the_way.remove(at))
+            .min_by_key(|(_, datagram)| datagram.due_at)?;
+        (first.due_at <= now).then(|| self.in_flight.remove(index))
     }
 }
 
-impl Link for Port {
+impl Link for MemoryLink {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) -> io::Result<()> {
-        let mut inner = self.net.lock();
-        let fate = inner.rules.fate(self.address, to);
-        let Some(port) = inner.ports.get(&to) else {
+        let mut inner = self.network.lock();
+        let delays = inner.conditions.delivery_delays(self.address, to);
+        let Some(link) = inner.links.get(&to) else {
             return Ok(());
         };
-        for delay in fate {
-            let due = Instant::now() + Duration::from_millis(delay);
+        for delay in delays {
+            let due_at = Instant::now() + Duration::from_millis(delay);
             // Fails when the receiver is gone: then the datagram is lost like any other.
-            drop(port.send(Some(Letter {
-                due,
+            drop(link.send(Some(QueuedDatagram {
+                due_at,
                 from: self.address,
                 bytes: bytes.to_vec(),
             })));
@@ -157,17 +159,17 @@
     ) -> io::Result<Option<(usize, SocketAddr)>> {
         let end = Instant::now() + wait;
         loop {
-            if let Some(letter) = self.due(Instant::now()) {
-                let bytes = letter.bytes.len().min(buffer.len());
-                buffer[..bytes].copy_from_slice(&letter.bytes[..bytes]);
-                return Ok(Some((bytes, letter.from)));
+            if let Some(datagram) = self.take_due(Instant::now()) {
+                let bytes = datagram.bytes.len().min(buffer.len());
+                buffer[..bytes].copy_from_slice(&datagram.bytes[..bytes]);
+                return Ok(Some((bytes, datagram.from)));
             }
-            let next = self.on_the_way.iter().map(|letter| letter.due).min();
+            let next = self.in_flight.iter().map(|datagram| datagram.due_at).min();
             match self
-                .letters
+                .datagrams
                 .recv_deadline(next.map_or(end, |next| next.min(end)))
             {
-                Ok(Some(letter)) => self.on_the_way.push(letter),
+                Ok(Some(datagram)) => self.in_flight.push(datagram),
                 Ok(None) => return Ok(None),
                 Err(_) if Instant::now() >= end => return Ok(None),
                 Err(_) => {}
--- a/crates/membership/src/unknown_senders.rs
+++ b/crates/membership/src/unknown_senders.rs
@@ -6,9 +6,9 @@
 use crate::{Event, Millis, Refusal};
 
 /// An address is named at most once in this time.
-pub(crate) const TELL_EVERY: Millis = 60_000;
+pub(crate) const REPORT_INTERVAL_MS: Millis = 60_000;
 /// At most this many addresses are remembered, so at most this many lines a minute are written.
-const MOST: usize = 256;
+const MAX_ADDRESSES: usize = 256;
 
 #[derive(Debug)]
 struct UnknownSender {
@@ -21,22 +21,31 @@
 
 impl UnknownSenders {
     /// What to tell of this refusal, if anything.
-    pub fn refused(&mut self, from: SocketAddr, why: Refusal, now: Millis) -> Option<Event> {
-        if let Some(stranger) = self.0.get_mut(&from) {
-            stranger.unreported += 1;
-            if now < stranger.reported_at + TELL_EVERY {
+    pub fn record_refusal(
+        &mut self,
+        from: SocketAddr,
+        reason: Refusal,
+        now: Millis,
+    ) -> Option<Event> {
+        if let Some(sender) = self.0.get_mut(&from) {
+            sender.unreported += 1;
+            if now < sender.reported_at + REPORT_INTERVAL_MS {
                 return None;
             }
-            let count = std::mem::take(&mut stranger.unreported);
-            stranger.reported_at = now;
-            return Some(Event::Refused { from, why, count });
+            let count = std::mem::take(&mut sender.unreported);
+            sender.reported_at = now;
+            return Some(Event::DatagramsRefused {
+                from,
+                reason,
+                count,
+            });
         }
         // Guards against a flood from made-up addresses: when all places are taken by some told within the minute,
         // the newcomer is counted and not named.
-        if self.0.len() >= MOST {
+        if self.0.len() >= MAX_ADDRESSES {
             self.0
-                .retain(|_, stranger| now < stranger.reported_at + TELL_EVERY);
-            if self.0.len() >= MOST {
+                .retain(|_, sender| now < sender.reported_at + REPORT_INTERVAL_MS);
+            if self.0.len() >= MAX_ADDRESSES {
                 return None;
             }
         }
@@ -47,9 +56,9 @@
                 unreported: 0,
             },
         );
-        Some(Event::Refused {
+        Some(Event::DatagramsRefused {
             from,
-            why,
+            reason,
             count: 1,
         })
     }
--- a/crates/membership/src/unknown_senders/tests.rs
+++ b/crates/membership/src/unknown_senders/tests.rs
@@ -1,30 +1,34 @@
 use super::*;
 
 #[test]
-fn an_address_is_named_once_a_minute() {
-    let mut strangers = UnknownSenders::default();
+fn reports_address_once_a_minute() {
+    let mut senders = UnknownSenders::default();
     let from: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let told = (0..180_000)
+    let events = (0..180_000)
         .step_by(100)
-        .filter_map(|now| strangers.refused(from, Refusal::Cut, now));
-    let counts = told.map(|event| match event {
-        Event::Refused { count, .. } => count,
+        .filter_map(|now| senders.record_refusal(from, Refusal::Malformed, now));
+    let counts = events.map(|event| match event {
+        Event::DatagramsRefused { count, .. } => count,
         other => panic!("{other:?}"),
     });
     assert_eq!(counts.collect::<Vec<_>>(), [1, 600, 600]);
 }
 
 #[test]
-fn a_flood_of_addresses_is_bounded() {
-    let mut strangers = UnknownSenders::default();
+fn limits_addresses_during_flood() {
+    let mut senders = UnknownSenders::default();
     let from = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
-    let told = (1..10_000)
-        .filter(|n| strangers.refused(from(*n), Refusal::NoKey, 5).is_some())
+    let events = (1..10_000)
+        .filter(|n| {
+            senders
+                .record_refusal(from(*n), Refusal::NoKey, 5)
+                .is_some()
+        })
         .count();
-    assert_eq!((told, strangers.0.len()), (MOST, MOST));
+    assert_eq!((events, senders.0.len()), (MAX_ADDRESSES, MAX_ADDRESSES));
     assert!(
-        strangers
-            .refused(from(9_999), Refusal::NoKey, 5 + TELL_EVERY)
+        senders
+            .record_refusal(from(9_999), Refusal::NoKey, 5 + REPORT_INTERVAL_MS)
             .is_some()
     );
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -6,7 +6,7 @@
 
 use prost::{Message, Oneof};
 
-use crate::settings::{LARGEST, is_name, is_reachable, is_site};
+use crate::settings::{MAX_DATAGRAM_BYTES, is_name, is_reachable, is_site};
 use crate::{Configuration, Keys, Member};
 
 /// Grows only when an older program can no longer make sense of what is sent.
@@ -20,11 +20,11 @@
     /// It was sealed with another key, or changed on the way.
     WrongKey,
     /// It is cut, or no datagram of this program at all.
-    Cut,
+    Malformed,
     /// It is larger than any that is sent.
-    Huge,
+    TooLarge,
     /// It is of a version that this program does not know.
-    Newer,
+    NewerVersion,
     /// It came before, is far older than the sender's last, or is of an earlier life of its sender.
     Replay,
 }
@@ -34,9 +34,9 @@
     pub const ALL: [Self; 6] = [
         Self::NoKey,
         Self::WrongKey,
-        Self::Cut,
-        Self::Huge,
-        Self::Newer,
+        Self::Malformed,
+        Self::TooLarge,
+        Self::NewerVersion,
         Self::Replay,
     ];
 
@@ -45,9 +45,9 @@
         match self {
             Self::NoKey => "no-key",
             Self::WrongKey => "wrong-key",
-            Self::Cut => "cut",
-            Self::Huge => "huge",
-            Self::Newer => "newer",
+            Self::Malformed => "cut",
+            Self::TooLarge => "huge",
+            Self::NewerVersion => "newer",
             Self::Replay => "replay",
         }
     }
@@ -96,16 +96,16 @@
     NameConflict(NameConflict),
     /// The receiver is suspected of being down and had better speak up.
     #[prost(message, tag = "9")]
-    Doubt(Doubt),
+    SuspicionNotice(SuspicionNotice),
     #[prost(bytes, tag = "10")]
-    Rumours(Vec<u8>),
+    Gossip(Vec<u8>),
     #[prost(bytes, tag = "11")]
     Summary(Vec<u8>),
     #[prost(message, tag = "12")]
     Page(Page),
     /// The sender asks for who is there.
     #[prost(message, tag = "13")]
-    RosterAsk(RosterAsk),
+    RosterRequest(RosterRequest),
     #[prost(message, tag = "14")]
     Roster(Roster),
 }
@@ -115,11 +115,11 @@
     #[prost(message, optional, tag = "1")]
     pub holder: Option<Identity>,
     #[prost(bool, tag = "2")]
-    pub is_there: bool,
+    pub is_alive: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Doubt {
+pub(crate) struct SuspicionNotice {
     #[prost(message, optional, tag = "1")]
     pub suspect: Option<Identity>,
     #[prost(uint32, tag = "2")]
@@ -132,14 +132,14 @@
     pub bytes: Vec<u8>,
     /// There were as many pages as fit: the asker should ask again.
     #[prost(bool, tag = "2")]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct RosterAsk {
+pub(crate) struct RosterRequest {
     /// What the sender knows, in a number for each part of the names: whoever knows the same does not answer.
     #[prost(fixed64, repeated, tag = "1")]
-    pub known: Vec<u64>,
+    pub fingerprints: Vec<u64>,
 }
 
 /// A page of who is there and who is no more.
@@ -148,7 +148,7 @@
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<Identity>,
     #[prost(message, repeated, tag = "2")]
-    pub gone: Vec<Identity>,
+    pub down: Vec<Identity>,
 }
 
 /// A [`Member`] as it travels.
@@ -161,9 +161,9 @@
     #[prost(uint32, tag = "3")]
     port: u32,
     #[prost(uint64, tag = "4")]
-    boot: u64,
+    incarnation: u64,
     #[prost(fixed64, tag = "5")]
-    life: u64,
+    start_nonce: u64,
     #[prost(uint32, tag = "6")]
     renewal: u32,
     #[prost(string, tag = "7")]
@@ -195,15 +195,15 @@
             name: member.name.to_string(),
             ip,
             port: member.address.port().into(),
-            boot: member.incarnation,
-            life: member.start_nonce,
+            incarnation: member.incarnation,
+            start_nonce: member.start_nonce,
             renewal: member.renewal,
             ..Self::default()
         }
     }
 
     /// The bytes that it takes in a list.
-    pub fn width(&self) -> usize {
+    pub fn list_entry_bytes(&self) -> usize {
         let bytes = self.encoded_len();
         1 + prost::length_delimiter_len(bytes) + bytes
     }
@@ -223,8 +223,8 @@
         (is_name(&self.name) && is_site(&self.site) && is_reachable(address)).then(|| Member {
             name: Arc::from(&self.name[..]),
             address,
-            incarnation: self.boot,
-            start_nonce: self.life,
+            incarnation: self.incarnation,
+            start_nonce: self.start_nonce,
             renewal: self.renewal,
             site: Arc::from(&self.site[..]),
             configuration: Configuration {
@@ -239,7 +239,7 @@
 pub(crate) fn payload_capacity(name: &str) -> usize {
     // The widest that each field can be, with its tag: version 2, key 5, digest 18, sealed 3; name 2, boot 11,
     // life 9, counter 11, word 3, a page's own fields 5.
-    LARGEST - (2 + 5 + 18 + 3) - (2 + name.len() + 11 + 9 + 11 + 3) - 5
+    MAX_DATAGRAM_BYTES - (2 + 5 + 18 + 3) - (2 + name.len() + 11 + 9 + 11 + 3) - 5
 }
 
 pub(crate) fn seal(keys: &Keys, content: &Content) -> Vec<u8> {
@@ -257,29 +257,29 @@
 
 /// What a datagram says, when it is sealed with a key that is held.
 pub(crate) fn open(keys: &Keys, bytes: &[u8]) -> Result<Content, Refusal> {
-    if bytes.len() > LARGEST {
-        return Err(Refusal::Huge);
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(Refusal::TooLarge);
     }
-    let frame = Frame::decode(bytes).map_err(|_| Refusal::Cut)?;
+    let frame = Frame::decode(bytes).map_err(|_| Refusal::Malformed)?;
     if frame.version > VERSION {
-        return Err(Refusal::Newer);
+        return Err(Refusal::NewerVersion);
     }
     if frame.version == 0 || frame.sealed.is_empty() {
-        return Err(Refusal::Cut);
+        return Err(Refusal::Malformed);
     }
     let Some(id) = frame.key.filter(|_| !frame.digest.is_empty()) else {
         return Err(Refusal::NoKey);
     };
     if !keys
         .with_id(id)
-        .any(|key| key.fits(frame.version, &frame.sealed, &frame.digest))
+        .any(|key| key.verify(frame.version, &frame.sealed, &frame.digest))
     {
         return Err(Refusal::WrongKey);
     }
     Content::decode(&frame.sealed[..])
         .ok()
         .filter(|content| is_name(&content.name))
-        .ok_or(Refusal::Cut)
+        .ok_or(Refusal::Malformed)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -7,33 +7,33 @@
     #[prost(string, tag = "1")]
     name: String,
     #[prost(uint64, tag = "2")]
-    boot: u64,
+    incarnation: u64,
     #[prost(fixed64, tag = "3")]
-    life: u64,
+    start_nonce: u64,
     #[prost(uint64, tag = "4")]
     counter: u64,
     #[prost(bytes = "vec", optional, tag = "10")]
-    rumours: Option<Vec<u8>>,
+    gossip: Option<Vec<u8>>,
     #[prost(string, tag = "40")]
-    mood: String,
+    extra: String,
     #[prost(bytes = "vec", optional, tag = "41")]
-    new_word: Option<Vec<u8>>,
+    new_message: Option<Vec<u8>>,
 }
 
 fn keys() -> Keys {
     Keys::only(Key::new(&[3; 32]).expect("long enough"))
 }
 
-fn later(rumours: Option<Vec<u8>>, new_word: Option<Vec<u8>>) -> Vec<u8> {
-    let (name, mood) = ("a".to_owned(), "bright".to_owned());
+fn later(gossip: Option<Vec<u8>>, new_message: Option<Vec<u8>>) -> Vec<u8> {
+    let (name, extra) = ("a".to_owned(), "bright".to_owned());
     let content = LaterContent {
         name,
-        boot: 5,
-        life: 6,
+        incarnation: 5,
+        start_nonce: 6,
         counter: 7,
-        rumours,
-        mood,
-        new_word,
+        gossip,
+        extra,
+        new_message,
     };
     let (sealed, key) = (content.encode_to_vec(), keys().current);
     let digest = key.digest(VERSION, &sealed).to_vec();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_a_later_program_adds_is_passed_over() {
+fn ignores_fields_of_newer_version() {
     let known = Content {
         name: "a".into(),
         incarnation: 5,
@@ -58,17 +58,17 @@
         counter: 7,
         message: None,
     };
-    let rumours = Content {
-        message: Some(WireMessage::Rumours(vec![1, 2])),
+    let gossip = Content {
+        message: Some(WireMessage::Gossip(vec![1, 2])),
         ..known.clone()
     };
-    assert_eq!(open(&keys(), &later(Some(vec![1, 2]), None)), Ok(rumours));
+    assert_eq!(open(&keys(), &later(Some(vec![1, 2]), None)), Ok(gossip));
     // A word that it does not know says nothing, and is no fault.
     assert_eq!(open(&keys(), &later(None, Some(vec![1]))), Ok(known));
 }
 
 #[test]
-fn fields_keep_their_numbers() {
+fn keeps_field_numbers() {
     let member = Member {
         name: "a".into(),
         address: ([127, 0, 0, 1], 9).into(),
@@ -106,11 +106,11 @@
 }
 
 #[test]
-fn the_widest_word_is_no_larger_than_a_datagram() {
-    let name = "n".repeat(crate::LONGEST_NAME);
+fn fits_widest_message_into_datagram() {
+    let name = "n".repeat(crate::MAX_NAME_BYTES);
     let page = Page {
         bytes: vec![1; payload_capacity(&name)],
-        more: true,
+        has_more: true,
     };
     let content = Content {
         name,
@@ -121,7 +121,7 @@
     };
     let bytes = seal(&keys(), &content);
     assert!(
-        (LARGEST - 8..=LARGEST).contains(&bytes.len()),
+        (MAX_DATAGRAM_BYTES - 8..=MAX_DATAGRAM_BYTES).contains(&bytes.len()),
         "{} bytes",
         bytes.len()
     );
--- a/crates/membership/tests/driver.rs
+++ b/crates/membership/tests/driver.rs
@@ -5,44 +5,44 @@
 use std::time::{Duration, Instant};
 
 use beaconflow_membership::driver::{Handle, Link, Udp, spawn};
-use beaconflow_membership::testing::{Net, Rules, Silent, keys};
+use beaconflow_membership::testing::{MemoryNetwork, NetworkConditions, SilentPayload, keys};
 use beaconflow_membership::{
-    Body, Configuration, Event, Member, Millis, Node, Profile, Refusal, Settings,
+    Configuration, Event, Member, Millis, Node, Payload, Profile, Refusal, Settings,
 };
 use crossbeam_channel::{Receiver, unbounded};
 
-const LONG: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-fn run(
+fn spawn_node(
     name: &str,
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
     link: impl Link + 'static,
 ) -> (Handle, Receiver<Event>) {
-    run_with(name, address, seeds, link, Silent::default())
+    spawn_node_with(name, address, seeds, link, SilentPayload::default())
 }
 
-fn run_with(
+fn spawn_node_with(
     name: &str,
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
     link: impl Link + 'static,
-    body: impl Body + Send + 'static,
+    payload: impl Payload + Send + 'static,
 ) -> (Handle, Receiver<Event>) {
     let profile = Profile {
         name: name.into(),
         address,
         incarnation: 1,
-        seed: beaconflow_membership::driver::random(),
+        seed: beaconflow_membership::driver::random_seed(),
         site: "north".into(),
         peer_configuration: Configuration::default(),
         seeds,
     };
-    let node = Node::new(profile, keys(1), Settings::default(), body).expect("a good profile");
-    let (events, told) = unbounded();
+    let node = Node::new(profile, keys(1), Settings::default(), payload).expect("a good profile");
+    let (sender, events) = unbounded();
     let start = Instant::now();
     let clock = move || start.elapsed().as_millis() as Millis;
-    (spawn(node, link, clock, events).expect("a thread"), told)
+    (spawn(node, link, clock, sender).expect("a thread"), events)
 }
 
 fn socket() -> (UdpSocket, SocketAddr) {
@@ -52,11 +52,11 @@
 }
 
 /// Waits until the log tells it.
-fn wait_for(told: &Receiver<Event>, is_it: impl Fn(&Event) -> bool) -> Event {
-    let end = Instant::now() + LONG;
+fn wait_for(events: &Receiver<Event>, is_expected: impl Fn(&Event) -> bool) -> Event {
+    let end = Instant::now() + TIMEOUT;
     loop {
-        let event = told.recv_deadline(end).expect("told within a minute");
-        if is_it(&event) {
+        let event = events.recv_deadline(end).expect("told within a minute");
+        if is_expected(&event) {
             return event;
         }
     }
@@ -67,21 +67,23 @@
 }
 
 #[test]
-fn processes_on_sockets_meet_and_part() {
-    let ((one, at_one), (two, at_two)) = (socket(), socket());
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let (a, told_a) = run("a", at_one, vec![], Udp::new(one));
-    let (b, told_b) = run("b", at_two, vec![at_one], Udp::new(two));
-    wait_for(&told_a, is_up("b"));
-    wait_for(&told_b, is_up("a"));
-    assert_eq!(a.members(), [b.me()]);
-    stranger.send_to(&[7; 3_000], at_one).expect("sent");
-    let refused = wait_for(&told_a, Event::is_fault);
+fn discovers_and_loses_peers_over_udp() {
+    let ((socket_a, address_a), (socket_b, address_b)) = (socket(), socket());
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let (a, events_a) = spawn_node("a", address_a, vec![], Udp::new(socket_a));
+    let (b, events_b) = spawn_node("b", address_b, vec![address_a], Udp::new(socket_b));
+    wait_for(&events_a, is_up("b"));
+    wait_for(&events_b, is_up("a"));
+    assert_eq!(a.members(), [b.local_member()]);
+    unknown_sender
+        .send_to(&[7; 3_000], address_a)
+        .expect("sent");
+    let refused = wait_for(&events_a, Event::is_fault);
     assert_eq!(
         refused,
-        Event::Refused {
-            from: stranger.local_addr().expect("bound"),
-            why: Refusal::Huge,
+        Event::DatagramsRefused {
+            from: unknown_sender.local_addr().expect("bound"),
+            reason: Refusal::TooLarge,
             count: 1
         }
     );
@@ -89,23 +91,23 @@
         order: 9,
         ..Configuration::default()
     };
-    b.configured(configuration);
+    b.set_configuration(configuration);
     wait_for(
-        &told_a,
-        |event| matches!(event, Event::Changed { now, .. } if now.configuration == configuration),
+        &events_a,
+        |event| matches!(event, Event::Changed { current, .. } if current.configuration == configuration),
     );
     b.stop();
     wait_for(
-        &told_a,
+        &events_a,
         |event| matches!(event, Event::Down(member) if &*member.name == "b"),
     );
     assert!(a.members().is_empty() && a.counts().sent > 0);
 }
 
 /// Has one word to tell, again and again.
-struct Word(Vec<u8>, crossbeam_channel::Sender<Vec<u8>>);
+struct FixedPayload(Vec<u8>, crossbeam_channel::Sender<Vec<u8>>);
 
-impl Body for Word {
+impl Payload for FixedPayload {
     fn gossip(&mut self, _: usize, _: Millis) -> Vec<u8> {
         self.0.clone()
     }
@@ -118,35 +120,47 @@
         Vec::new()
     }
 
-    fn take(&mut self, _: &Member, bytes: &[u8], _: Millis) {
+    fn receive(&mut self, _: &Member, bytes: &[u8], _: Millis) {
         // Nobody waits for it any more once the test is over.
         drop(self.1.send(bytes.to_vec()));
     }
 
-    fn members(&mut self, _: usize) {}
+    fn set_member_count(&mut self, _: usize) {}
 }
 
 #[test]
-fn a_body_that_the_host_shares_is_carried_over_a_net_that_loses_and_delays() {
-    let mut rules = Rules::new(3);
-    (rules.lost, rules.delay) = (100, (0, 20));
-    let net = Net::new(rules);
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let (taken, words) = unbounded();
-    let shared = Arc::new(Mutex::new(Word(Vec::new(), taken.clone())));
-    let (a, told_a) = run_with("a", at(1), vec![at(2)], net.port(at(1)), shared.clone());
-    let (b, told_b) = run_with("b", at(2), vec![], net.port(at(2)), Word(Vec::new(), taken));
-    wait_for(&told_a, is_up("b"));
-    wait_for(&told_b, is_up("a"));
+fn carries_shared_payload_over_lossy_network() {
+    let mut conditions = NetworkConditions::new(3);
+    (conditions.loss_per_mille, conditions.delay_ms) = (100, (0, 20));
+    let memory_network = MemoryNetwork::new(conditions);
+    let local = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let (received, payloads) = unbounded();
+    let shared = Arc::new(Mutex::new(FixedPayload(Vec::new(), received.clone())));
+    let (a, events_a) = spawn_node_with(
+        "a",
+        local(1),
+        vec![local(2)],
+        memory_network.link(local(1)),
+        shared.clone(),
+    );
+    let (b, events_b) = spawn_node_with(
+        "b",
+        local(2),
+        vec![],
+        memory_network.link(local(2)),
+        FixedPayload(Vec::new(), received),
+    );
+    wait_for(&events_a, is_up("b"));
+    wait_for(&events_b, is_up("a"));
     shared.lock().expect("whole").0 = b"the south is dark".to_vec();
-    a.say();
+    a.gossip_soon();
     assert_eq!(
-        words.recv_timeout(LONG).expect("carried"),
+        payloads.recv_timeout(TIMEOUT).expect("carried"),
         b"the south is dark"
     );
-    net.change(|rules| rules.part(&[at(1)], &[at(2)]));
-    wait_for(&told_b, |event| matches!(event, Event::Down(_)));
-    net.change(|rules| rules.cut.clear());
-    wait_for(&told_b, is_up("a"));
+    memory_network.update_conditions(|conditions| conditions.partition(&[local(1)], &[local(2)]));
+    wait_for(&events_b, |event| matches!(event, Event::Down(_)));
+    memory_network.update_conditions(|conditions| conditions.cut_links.clear());
+    wait_for(&events_b, is_up("a"));
     drop((a, b));
 }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,77 +1,79 @@
 //! Who is there when processes pause, die, start anew, change names, double or part.
 
-use beaconflow_membership::testing::{Fleet, Rules, Silent, keys, profile};
+use beaconflow_membership::testing::{Fleet, NetworkConditions, SilentPayload, keys, profile};
 use beaconflow_membership::{Configuration, Event, Input, Profile, Settings};
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
-const LONG: u64 = 60_000;
+const MINUTE_MS: u64 = 60_000;
 
-fn five(seed: u64) -> Fleet<Silent> {
-    let mut rules = Rules::new(seed);
-    rules.lost = 50;
-    let mut fleet = Fleet::new(rules);
+fn fleet_of_five(seed: u64) -> Fleet<SilentPayload> {
+    let mut network = NetworkConditions::new(seed);
+    network.loss_per_mille = 50;
+    let mut fleet = Fleet::new(network);
     for (at, name) in NAMES.iter().enumerate() {
-        fleet.add(place(name, at), Silent::default());
+        fleet.add(process_profile(name, at), SilentPayload::default());
     }
-    assert!(fleet.run_until(LONG, |fleet| fleet.all_know(&first_lives())));
+    assert!(fleet.run_until(MINUTE_MS, |fleet| fleet.all_know(&initial_members())));
     fleet
 }
 
-fn place(name: &str, at: usize) -> Profile {
+fn process_profile(name: &str, at: usize) -> Profile {
     profile(name, 1_000 + at as u16, &[1_000, 1_001])
 }
 
-fn first_lives() -> Vec<(&'static str, u64)> {
+fn initial_members() -> Vec<(&'static str, u64)> {
     NAMES.map(|name| (name, 1)).to_vec()
 }
 
-fn took_its_time(fleet: &mut Fleet<Silent>, members: &[(&str, u64)]) {
+fn assert_eventually_known(fleet: &mut Fleet<SilentPayload>, members: &[(&str, u64)]) {
     assert!(
-        fleet.run_until(LONG, |fleet| fleet.all_know(members)),
+        fleet.run_until(MINUTE_MS, |fleet| fleet.all_know(members)),
         "known: {:?}",
         fleet.events
     );
 }
 
 #[test]
-fn a_killed_process_is_gone_for_all_and_the_bodies_are_told() {
-    let mut fleet = five(1);
+fn removes_killed_process_and_reports_member_count() {
+    let mut fleet = fleet_of_five(1);
     fleet.kill(4);
-    took_its_time(&mut fleet, &first_lives()[..4]);
-    assert_eq!(fleet.node(0).body().members, 4);
+    assert_eventually_known(&mut fleet, &initial_members()[..4]);
+    assert_eq!(fleet.node(0).payload().member_count, 4);
 }
 
 #[test]
-fn one_that_leaves_is_gone_at_once() {
-    let mut fleet = five(2);
-    fleet.hand(4, Input::Leave);
+fn removes_leaving_process_within_two_seconds() {
+    let mut fleet = fleet_of_five(2);
+    fleet.handle_input(4, Input::Leave);
     fleet.kill(4);
-    assert!(fleet.run_until(2_000, |fleet| fleet.all_know(&first_lives()[..4])));
+    assert!(fleet.run_until(2_000, |fleet| fleet.all_know(&initial_members()[..4])));
 }
 
 #[test]
-fn a_paused_process_is_gone_and_comes_back_when_it_wakes() {
-    let mut fleet = five(3);
+fn removes_paused_process_until_it_resumes() {
+    let mut fleet = fleet_of_five(3);
     fleet.pause(2);
     fleet.run_for(10_000);
     let others = [("a", 1), ("b", 1), ("d", 1), ("e", 1)];
     assert!(fleet.all_know(&others));
-    let paused_at = fleet.now;
+    let resumed_at = fleet.now;
     fleet.resume(2);
-    assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&first_lives())));
+    assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&initial_members())));
     assert!(
         fleet
-            .told(2)
-            .any(|event| matches!(event, Event::Woke(gap) if *gap > 9_000))
+            .events_of(2)
+            .any(|event| matches!(event, Event::PauseDetected(pause_ms) if *pause_ms > 9_000))
     );
     // It blamed nobody for its own absence, and its life is the same.
-    fleet.run_for(LONG);
+    fleet.run_for(MINUTE_MS);
     let late_downs = fleet
         .events
         .iter()
-        .filter(|(at, _, event)| *at >= paused_at && is_down(event));
+        .filter(|(at, _, event)| *at >= resumed_at && is_down(event));
     assert_eq!(late_downs.count(), 0);
-    assert!(fleet.node(2).me().renewal > 0 && fleet.node(2).me().incarnation == 1);
+    assert!(
+        fleet.node(2).local_member().renewal > 0 && fleet.node(2).local_member().incarnation == 1
+    );
 }
 
 fn is_down(event: &Event) -> bool {
@@ -79,14 +81,14 @@
 }
 
 #[test]
-fn a_node_run_a_little_late_blames_nobody() {
-    let mut fleet = five(4);
-    fleet.rules.lost = 0;
+fn suspects_no_peer_when_node_runs_late() {
+    let mut fleet = fleet_of_five(4);
+    fleet.network.loss_per_mille = 0;
     for _ in 0..60 {
         fleet.pause(0);
         fleet.run_for(900);
         // What lies in the socket comes after the turn: the worst order.
-        fleet.hand(0, Input::Tick);
+        fleet.handle_input(0, Input::Tick);
         fleet.resume(0);
         fleet.run_for(300);
     }
@@ -95,130 +97,133 @@
 }
 
 #[test]
-fn a_restart_under_the_same_name_ends_the_life_before() {
+fn replaces_previous_incarnation_on_restart() {
     for address in [2, 9] {
-        let mut fleet = five(5);
+        let mut fleet = fleet_of_five(5);
         fleet.kill(2);
         fleet.run_for(300);
         fleet.add(
             Profile {
                 incarnation: 2,
                 seed: 77,
-                ..place("c", address)
+                ..process_profile("c", address)
             },
-            Silent::default(),
+            SilentPayload::default(),
         );
-        let now = [("a", 1), ("b", 1), ("c", 2), ("d", 1), ("e", 1)];
-        assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&now)));
-        let restarted = |event: &Event| match event {
-            Event::Restarted { was, now } => {
-                (was.incarnation, now.incarnation) == (1, 2) && &*now.name == "c"
+        let expected = [("a", 1), ("b", 1), ("c", 2), ("d", 1), ("e", 1)];
+        assert!(fleet.run_until(5_000, |fleet| fleet.all_know(&expected)));
+        let is_restart = |event: &Event| match event {
+            Event::Restarted { previous, current } => {
+                (previous.incarnation, current.incarnation) == (1, 2) && &*current.name == "c"
             }
             _ => false,
         };
         assert!(
             (0..5)
                 .filter(|at| *at != 2)
-                .all(|at| fleet.told(at).any(restarted))
+                .all(|at| fleet.events_of(at).any(is_restart))
         );
         assert!(
             !fleet
                 .events
                 .iter()
-                .any(|(_, _, event)| matches!(event, Event::Doubled { .. }))
+                .any(|(_, _, event)| matches!(event, Event::NameConflictFound { .. }))
         );
-        fleet.run_for(LONG);
-        assert!(fleet.all_know(&now));
+        fleet.run_for(MINUTE_MS);
+        assert!(fleet.all_know(&expected));
     }
 }
 
 #[test]
-fn a_lost_boot_number_is_found_again_from_the_fleet() {
+fn recovers_lost_incarnation_from_fleet() {
     // The number before, or a much older one.
     for incarnation in [1, 7] {
-        let mut fleet = five(6);
+        let mut fleet = fleet_of_five(6);
         fleet.kill(3);
         fleet.add(
             Profile {
                 incarnation: 7,
                 seed: 99,
-                ..place("d", 3)
+                ..process_profile("d", 3)
             },
-            Silent::default(),
+            SilentPayload::default(),
         );
-        took_its_time(
+        assert_eventually_known(
             &mut fleet,
             &[("a", 1), ("b", 1), ("c", 1), ("d", 7), ("e", 1)],
         );
         fleet.kill(5);
         // A seed that draws a lower life than 99 does: the same boot number alone does not win.
         let seed = (0..)
-            .find(|seed| fleet_life(*seed) < fleet_life(99))
+            .find(|seed| start_nonce_for_seed(*seed) < start_nonce_for_seed(99))
             .expect("one of them is lower");
-        let again = fleet.add(
+        let restarted = fleet.add(
             Profile {
                 incarnation,
                 seed,
-                ..place("d", 3)
+                ..process_profile("d", 3)
             },
-            Silent::default(),
+            SilentPayload::default(),
         );
-        took_its_time(
+        assert_eventually_known(
             &mut fleet,
             &[("a", 1), ("b", 1), ("c", 1), ("d", 8), ("e", 1)],
         );
         assert!(
             fleet
-                .told(again)
-                .any(|event| *event == Event::BootRaised(8))
+                .events_of(restarted)
+                .any(|event| *event == Event::IncarnationRaised(8))
         );
-        assert!(!fleet.node(again).is_displaced());
+        assert!(!fleet.node(restarted).is_displaced());
     }
 }
 
-fn fleet_life(seed: u64) -> u64 {
-    let mut fleet = Fleet::new(Rules::new(1));
+fn start_nonce_for_seed(seed: u64) -> u64 {
+    let mut fleet = Fleet::new(NetworkConditions::new(1));
     fleet.add(
         Profile {
             seed,
-            ..place("x", 0)
+            ..process_profile("x", 0)
         },
-        Silent::default(),
+        SilentPayload::default(),
     );
-    fleet.node(0).me().start_nonce
+    fleet.node(0).local_member().start_nonce
 }
 
 #[test]
-fn of_two_processes_of_one_name_the_later_counts_and_the_other_is_told() {
+fn displaces_earlier_incarnation_on_name_conflict() {
     for incarnation in [0, 2] {
-        let mut fleet = five(7);
+        let mut fleet = fleet_of_five(7);
         let second = fleet.add(
             Profile {
                 incarnation,
-                ..place("c", 8)
+                ..process_profile("c", 8)
             },
-            Silent::default(),
+            SilentPayload::default(),
         );
         let (winner, loser) = if incarnation > 1 {
             (second, 2)
         } else {
             (2, second)
         };
-        assert!(fleet.run_until(LONG, |fleet| fleet.node(loser).is_displaced()));
+        assert!(fleet.run_until(MINUTE_MS, |fleet| fleet.node(loser).is_displaced()));
         fleet.run_for(5_000);
-        let boots = (
-            fleet.node(winner).me().incarnation,
-            fleet.node(loser).me().incarnation,
+        let incarnations = (
+            fleet.node(winner).local_member().incarnation,
+            fleet.node(loser).local_member().incarnation,
+        );
+        let (winner_at, loser_at) = (
+            fleet.processes[winner].address,
+            fleet.processes[loser].address,
         );
-        let (winner_at, loser_at) = (fleet.seats[winner].address, fleet.seats[loser].address);
-        let is_named = |event: &Event| match event {
-            Event::Doubled {
+        let is_expected_conflict = |event: &Event| match event {
+            Event::NameConflictFound {
                 holder,
-                other,
-                other_boot,
+                other_address,
+                other_incarnation,
             } => {
-                (holder.address, *other) == (winner_at, loser_at)
-                    && (holder.incarnation, *other_boot) == boots
+                (holder.address, *other_address) == (winner_at, loser_at)
+                    && (holder.incarnation, *other_incarnation) == incarnations
             }
             _ => false,
         };
@@ -226,11 +231,10 @@
             fleet
                 .events
                 .iter()
-                .any(|(_, _, event)| is_named(event) && event.is_fault())
+                .any(|(_, _, event)| is_expected_conflict(event) && event.is_fault())
         );
-        let displaced =
-            |event: &Event| matches!(event, Event::Displaced { by } if by.address == winner_at);
-        assert!(fleet.told(loser).any(displaced));
+        let is_displacement = |event: &Event| matches!(event, Event::Displaced { holder } if holder.address == winner_at);
+        assert!(fleet.events_of(loser).any(is_displacement));
         assert_eq!(fleet.node(loser).members().len(), 0);
         for at in [0, 1, 3, 4] {
             let known = fleet
@@ -238,79 +242,95 @@
                 .members()
                 .find(|member| &*member.name == "c")
                 .expect("c is there");
-            assert_eq!((known.address, known.incarnation), (winner_at, boots.0));
+            assert_eq!(
+                (known.address, known.incarnation),
+                (winner_at, incarnations.0)
+            );
         }
         // Neither flaps, however long it lasts; and when the winner is gone the other is let in.
-        let events = fleet.events.len();
-        fleet.run_for(5 * LONG);
+        let event_count = fleet.events.len();
+        fleet.run_for(5 * MINUTE_MS);
         assert!(
-            !fleet.events[events..]
+            !fleet.events[event_count..]
                 .iter()
                 .any(|(_, _, event)| is_down(event))
         );
         fleet.kill(winner);
-        let raised = boots.0 + 1;
-        took_its_time(
+        let raised_incarnation = incarnations.0 + 1;
+        assert_eventually_known(
             &mut fleet,
-            &[("a", 1), ("b", 1), ("c", raised), ("d", 1), ("e", 1)],
+            &[
+                ("a", 1),
+                ("b", 1),
+                ("c", raised_incarnation),
+                ("d", 1),
+                ("e", 1),
+            ],
         );
     }
 }
 
 #[test]
-fn a_process_that_took_another_name_takes_the_place_of_the_one_before() {
-    let mut fleet = five(8);
+fn replaces_previous_name_at_same_address() {
+    let mut fleet = fleet_of_five(8);
     fleet.kill(4);
     fleet.add(
         Profile {
             incarnation: 2,
             seed: 55,
-            ..place("z", 4)
+            ..process_profile("z", 4)
         },
-        Silent::default(),
+        SilentPayload::default(),
     );
     // Well before the silence of the old name would tell.
-    let now = [("a", 1), ("b", 1), ("c", 1), ("d", 1), ("z", 2)];
-    assert!(fleet.run_until(2_500, |fleet| fleet.all_know(&now)));
-    let renamed = |event: &Event| matches!(event, Event::Renamed { was, now } if (&*was.name, &*now.name) == ("e", "z"));
-    assert!(fleet.events.iter().any(|(_, _, event)| renamed(event)));
+    let expected = [("a", 1), ("b", 1), ("c", 1), ("d", 1), ("z", 2)];
+    assert!(fleet.run_until(2_500, |fleet| fleet.all_know(&expected)));
+    let is_rename = |event: &Event| matches!(event, Event::Renamed { previous, current } if (&*previous.name, &*current.name) == ("e", "z"));
+    assert!(fleet.events.iter().any(|(_, _, event)| is_rename(event)));
 }
 
 #[test]
-fn two_halves_that_meet_again_know_each_other() {
-    let mut fleet = five(9);
-    let addresses: Vec<_> = fleet.seats.iter().map(|seat| seat.address).collect();
-    fleet.rules.part(&addresses[..2], &addresses[2..]);
+fn merges_halves_after_partition_heals() {
+    let mut fleet = fleet_of_five(9);
+    let addresses: Vec<_> = fleet
+        .processes
+        .iter()
+        .map(|process| process.address)
+        .collect();
+    fleet.network.partition(&addresses[..2], &addresses[2..]);
     fleet.run_for(30_000);
-    let known = |fleet: &Fleet<Silent>, at: usize| fleet.node(at).members().len();
+    let known = |fleet: &Fleet<SilentPayload>, at: usize| fleet.node(at).members().len();
     assert_eq!((known(&fleet, 0), known(&fleet, 4)), (1, 2));
-    fleet.rules.cut.clear();
-    assert!(fleet.run_until(10_000, |fleet| fleet.all_know(&first_lives())));
-    fleet.run_for(LONG);
-    assert!(fleet.all_know(&first_lives()));
+    fleet.network.cut_links.clear();
+    assert!(fleet.run_until(10_000, |fleet| fleet.all_know(&initial_members())));
+    fleet.run_for(MINUTE_MS);
+    assert!(fleet.all_know(&initial_members()));
 }
 
 #[test]
-fn halves_that_lost_each_other_while_one_was_alone_meet_by_their_seeds() {
-    let mut fleet = Fleet::new(Rules::new(10));
-    let (a, b) = (place("a", 0).address, place("b", 1).address);
-    fleet.rules.part(&[a], &[b]);
-    fleet.add(place("a", 0), Silent::default());
-    fleet.add(place("b", 1), Silent::default());
-    fleet.run_for(LONG);
-    fleet.rules.cut.clear();
+fn merges_isolated_processes_through_seeds() {
+    let mut fleet = Fleet::new(NetworkConditions::new(10));
+    let (a, b) = (
+        process_profile("a", 0).address,
+        process_profile("b", 1).address,
+    );
+    fleet.network.partition(&[a], &[b]);
+    fleet.add(process_profile("a", 0), SilentPayload::default());
+    fleet.add(process_profile("b", 1), SilentPayload::default());
+    fleet.run_for(MINUTE_MS);
+    fleet.network.cut_links.clear();
     assert!(fleet.run_until(10_000, |fleet| fleet.all_know(&[("a", 1), ("b", 1)])));
 }
 
 #[test]
-fn a_new_configuration_is_known_without_anybody_going_down() {
-    let mut fleet = five(11);
+fn announces_new_configuration_without_downs() {
+    let mut fleet = fleet_of_five(11);
     let configuration = Configuration {
         digest: [9; 32],
         order: 4,
     };
-    fleet.hand(1, Input::Configured(configuration));
-    let known = |fleet: &Fleet<Silent>| {
+    fleet.handle_input(1, Input::SetConfiguration(configuration));
+    let known = |fleet: &Fleet<SilentPayload>| {
         [0, 2, 3, 4].iter().all(|at| {
             let member = fleet
                 .node(*at)
@@ -320,23 +340,21 @@
         })
     };
     assert!(fleet.run_until(5_000, known));
-    assert!(
-        fleet.told(0).any(
-            |event| matches!(event, Event::Changed { now, .. } if now.configuration.order == 4)
-        )
-    );
-    fleet.run_for(LONG);
+    assert!(fleet.events_of(0).any(
+        |event| matches!(event, Event::Changed { current, .. } if current.configuration.order == 4)
+    ));
+    fleet.run_for(MINUTE_MS);
     assert!(known(&fleet) && !fleet.events.iter().any(|(_, _, event)| is_down(event)));
 }
 
 #[test]
-fn a_link_lost_one_way_and_a_bad_net_take_nobody_down() {
-    let mut fleet = five(12);
-    let (a, b) = (fleet.seats[0].address, fleet.seats[1].address);
-    fleet.rules.cut.insert((a, b));
-    fleet.rules.lost = 200;
-    fleet.run_for(5 * LONG);
-    assert!(fleet.all_know(&first_lives()));
+fn keeps_members_with_one_way_cut_and_loss() {
+    let mut fleet = fleet_of_five(12);
+    let (a, b) = (fleet.processes[0].address, fleet.processes[1].address);
+    fleet.network.cut_links.insert((a, b));
+    fleet.network.loss_per_mille = 200;
+    fleet.run_for(5 * MINUTE_MS);
+    assert!(fleet.all_know(&initial_members()));
     assert!(!fleet.events.iter().any(|(_, _, event)| is_down(event)));
     // Whoever was suspected spoke up, and that was the end of it.
     assert!(
@@ -351,46 +369,49 @@
 }
 
 #[test]
-fn a_newcomer_to_many_knows_them_within_two_seconds() {
-    let mut fleet = Fleet::new(Rules::new(13));
-    fleet.rules.lost = 50;
+fn new_process_learns_members_within_two_seconds() {
+    let mut fleet = Fleet::new(NetworkConditions::new(13));
+    fleet.network.loss_per_mille = 50;
     for at in 0..60 {
-        fleet.add(place(&format!("p{at}"), at), Silent::default());
+        fleet.add(
+            process_profile(&format!("p{at}"), at),
+            SilentPayload::default(),
+        );
     }
     fleet.run_for(20_000);
-    let late = fleet.add(place("late", 90), Silent::default());
-    assert!(fleet.run_until(2_000, |fleet| fleet.node(late).members().len() == 60));
+    let new_process = fleet.add(process_profile("late", 90), SilentPayload::default());
+    assert!(fleet.run_until(2_000, |fleet| fleet.node(new_process).members().len() == 60));
 }
 
 #[test]
-fn a_fleet_changes_its_key_without_losing_anybody() {
-    let mut fleet = five(14);
+fn rotates_key_without_losing_members() {
+    let mut fleet = fleet_of_five(14);
     let (old, new) = (keys(1).current, keys(2).current);
-    let both = [
+    let key_stages = [
         (old.clone(), Some(new.clone())),
         (new.clone(), Some(old)),
         (new, None),
     ];
-    for (current, other) in both {
+    for (current, other) in key_stages {
         for at in 0..5 {
             let keys = beaconflow_membership::Keys {
                 current: current.clone(),
                 other: other.clone(),
             };
-            fleet.hand(at, Input::Keys(Box::new(keys)));
+            fleet.handle_input(at, Input::SetKeys(Box::new(keys)));
             fleet.run_for(1_500);
         }
     }
     fleet.run_for(20_000);
-    assert!(fleet.all_know(&first_lives()));
+    assert!(fleet.all_know(&initial_members()));
     assert!(!fleet.events.iter().any(|(_, _, event)| is_down(event)));
     // One that still has the old key alone is outside.
-    let late = fleet.add_with(
-        place("f", 5),
+    let new_process = fleet.add_with(
+        process_profile("f", 5),
         keys(1),
         Settings::default(),
-        Silent::default(),
+        SilentPayload::default(),
     );
     fleet.run_for(20_000);
-    assert_eq!(fleet.node(late).members().len(), 0);
+    assert_eq!(fleet.node(new_process).members().len(), 0);
 }
--- a/crates/membership/tests/bodies.rs
+++ b/crates/membership/tests/payloads.rs
@@ -1,71 +1,75 @@
 //! What nodes carry for others: rumours to a few, pages to whoever lacks them, never too much.
 
-use beaconflow_membership::testing::{Fleet, Numbers, Rules, keys, profile};
-use beaconflow_membership::{Input, LARGEST, Settings};
+use beaconflow_membership::testing::{Fleet, NetworkConditions, NumberPayload, keys, profile};
+use beaconflow_membership::{Input, MAX_DATAGRAM_BYTES, Settings};
 
-fn fleet(n: u16, settings: &Settings) -> Fleet<Numbers> {
-    let mut fleet = Fleet::new(Rules::new(5));
-    fleet.rules.lost = 50;
+fn fleet(n: u16, settings: &Settings) -> Fleet<NumberPayload> {
+    let mut fleet = Fleet::new(NetworkConditions::new(5));
+    fleet.network.loss_per_mille = 50;
     for at in 0..n {
         let profile = profile(&format!("p{at:02}"), 1_000 + at, &[1_000, 1_001]);
-        fleet.add_with(profile, keys(1), settings.clone(), Numbers::default());
+        fleet.add_with(profile, keys(1), settings.clone(), NumberPayload::default());
     }
     fleet.run_for(10_000);
     fleet
 }
 
-fn knows(fleet: &Fleet<Numbers>, at: usize, numbers: usize) -> bool {
-    fleet.node(at).body().known.len() == numbers
+fn knows(fleet: &Fleet<NumberPayload>, at: usize, numbers: usize) -> bool {
+    fleet.node(at).payload().known.len() == numbers
 }
 
 #[test]
-fn what_is_said_is_known_by_all_within_two_seconds() {
+fn spreads_gossip_to_all_within_two_seconds() {
     let mut fleet = fleet(30, &Settings::default());
     for number in 0..20 {
         let at = number as usize;
-        fleet.seats[at]
+        fleet.processes[at]
             .node
             .as_mut()
             .expect("lives")
-            .body_mut()
+            .payload_mut()
             .learn(number);
-        fleet.hand(at, Input::Say);
-        let all = at + 1;
-        assert!(fleet.run_until(2_000, |fleet| (0..30).all(|at| knows(fleet, at, all))));
+        fleet.handle_input(at, Input::GossipSoon);
+        let known_count = at + 1;
+        assert!(fleet.run_until(2_000, |fleet| (0..30).all(|at| knows(
+            fleet,
+            at,
+            known_count
+        ))));
     }
 }
 
 #[test]
-fn a_newcomer_is_given_the_pages_in_a_few_rounds() {
+fn sends_missing_pages_to_new_process() {
     let mut fleet = fleet(3, &Settings::default());
     for at in 0..3 {
-        fleet.seats[at]
+        fleet.processes[at]
             .node
             .as_mut()
             .expect("lives")
-            .body_mut()
+            .payload_mut()
             .known
             .extend(0..4_000);
     }
-    let late = fleet.add(profile("late", 2_000, &[1_000]), Numbers::default());
+    let new_process = fleet.add(profile("late", 2_000, &[1_000]), NumberPayload::default());
     // 32 KB in pages of a thousand bytes: four at a time, at each round, until there are no more.
-    assert!(fleet.run_until(6_000, |fleet| knows(fleet, late, 4_000)));
+    assert!(fleet.run_until(6_000, |fleet| knows(fleet, new_process, 4_000)));
 }
 
 #[test]
-fn bodies_fill_no_more_bytes_than_they_may() {
+fn limits_payload_bytes_per_second() {
     let settings = Settings {
-        bytes_per_s: 10_000,
+        payload_bytes_per_s: 10_000,
         ..Settings::default()
     };
     let mut fleet = fleet(4, &settings);
     for at in 0..4 {
-        fleet.seats[at]
+        fleet.processes[at]
             .node
             .as_mut()
             .expect("lives")
-            .body_mut()
-            .news = (0..600).map(|n| (n, 1_000_000)).collect();
+            .payload_mut()
+            .pending = (0..600).map(|n| (n, 1_000_000)).collect();
     }
     let before = fleet.counts();
     fleet.run_for(60_000);
@@ -75,5 +79,5 @@
         assert!((8_000..12_000).contains(&per_s), "{per_s} bytes a second");
         assert!(after.rate_limited > 100);
     }
-    assert!(fleet.node(0).body().largest_room > LARGEST * 3 / 4);
+    assert!(fleet.node(0).payload().largest_capacity > MAX_DATAGRAM_BYTES * 3 / 4);
 }
--- a/crates/membership/tests/stored_form.rs
+++ b/crates/membership/tests/stored_form.rs
@@ -2,18 +2,18 @@
 
 use std::net::SocketAddr;
 
-use beaconflow_membership::testing::{Silent, keys, profile};
+use beaconflow_membership::testing::{SilentPayload, keys, profile};
 use beaconflow_membership::{Input, Keys, Node, Output, Settings};
 
 /// The first datagram of a process that is alone, in hexadecimal digits.
 const FIRST_DATAGRAM: &str = include_str!("data/first_datagram.hex");
 
-fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<Silent> {
+fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<SilentPayload> {
     let node = Node::new(
         profile(name, port, seeds),
         keys,
         Settings::default(),
-        Silent::default(),
+        SilentPayload::default(),
     );
     node.expect("a valid profile")
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn sends_the_first_datagram_as_it_was_first_sent() {
+fn sends_first_datagram_in_released_form() {
     let sent: String = first_datagram()
         .iter()
         .map(|byte| format!("{byte:02x}"))
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn accepts_the_first_datagram_that_was_first_sent() {
+fn accepts_first_datagram_in_released_form() {
     let (mut receiver, mut out) = (node("b", 2, &[], keys(1)), Vec::new());
     receiver.handle(0, Input::Start, &mut out);
     let (from, bytes) = (
--- a/crates/simulator/examples/quiet.rs
+++ b/crates/simulator/examples/quiet.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use beaconflow_gossip::{Holder, Kind, Lifecycle, Listed, Placement, Position, Subject, Value};
-use beaconflow_membership::testing::{Fleet, Rules};
+use beaconflow_membership::testing::{Fleet, NetworkConditions};
 use beaconflow_recovery::PeerStatus;
 use beaconflow_simulator::mesh::{self, Letters, StatusMessage, Talk};
 
@@ -43,7 +43,7 @@
 fn knows(fleet: &Fleet<Talk>, at: usize, key: u64) -> bool {
     fleet
         .node(at)
-        .body()
+        .payload()
         .knowledge
         .placement(Holder::Client(key), fleet.now)
         .is_some()
@@ -55,8 +55,8 @@
         .filter_map(|word| word.parse().ok());
     let (count, lost) = (words.next().unwrap_or(300), words.next().unwrap_or(50));
     let letters = Letters::default();
-    let mut rules = Rules::new(7);
-    rules.lost = lost;
+    let mut rules = NetworkConditions::new(7);
+    rules.loss_per_mille = lost;
     let mut fleet: Fleet<Talk> = Fleet::new(rules);
     fleet.now = mesh::WALL;
     for rank in 0..count {
@@ -110,9 +110,9 @@
             configuration: 1,
             since: told,
         }));
-        let node = fleet.seats[at].node.as_mut().expect("it lives");
+        let node = fleet.processes[at].node.as_mut().expect("it lives");
         let subject = Subject::Placement(Holder::Client(key));
-        node.body_mut()
+        node.payload_mut()
             .knowledge
             .observe(&subject, &placed, 600_000, told)
             .expect("taken");
@@ -132,6 +132,6 @@
         percentile(&mut lasts, 0.5),
         percentile(&mut lasts, 0.99)
     );
-    let (bytes, facts) = fleet.node(0).body().knowledge.size(Kind::Placement);
+    let (bytes, facts) = fleet.node(0).payload().knowledge.size(Kind::Placement);
     println!("{facts} placements take {bytes} bytes at each");
 }
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -174,7 +174,7 @@
         let knowledge = self.hosts[balancer as usize]
             .node
             .as_ref()
-            .map(|node| &node.body().knowledge);
+            .map(|node| &node.payload().knowledge);
         let Some(record) = knowledge.and_then(|known| known.export_one(&subject(key), &name, wall))
         else {
             return;
@@ -182,7 +182,7 @@
         for host in &mut self.hosts {
             if let (Some(places), Some(node)) = (&mut host.places, &mut host.node) {
                 places.memory.merge(&placed, wall);
-                node.body_mut().knowledge.import([&record[..]], 0, wall);
+                node.payload_mut().knowledge.import([&record[..]], 0, wall);
             }
         }
     }
@@ -209,7 +209,7 @@
             &mut self.hosts[balancer as usize]
                 .node
                 .as_mut()?
-                .body_mut()
+                .payload_mut()
                 .knowledge,
         )
     }
--- a/crates/simulator/src/engine/edge.rs
+++ b/crates/simulator/src/engine/edge.rs
@@ -271,7 +271,7 @@
             let Some(node) = &self.hosts[balancer as usize].node else {
                 return;
             };
-            let Some((name, at)) = node.body().last_seen.get(&site).cloned() else {
+            let Some((name, at)) = node.payload().last_seen.get(&site).cloned() else {
                 continue;
             };
             let both_ways = node.members().any(|member| *member.name == *name);
--- a/crates/simulator/src/engine/failures.rs
+++ b/crates/simulator/src/engine/failures.rs
@@ -20,7 +20,7 @@
         let Some(node) = &mut self.hosts[balancer as usize].node else {
             return;
         };
-        let knowledge = &mut node.body_mut().knowledge;
+        let knowledge = &mut node.payload_mut().knowledge;
         // One that stands and never failed is no news to anybody.
         if !stood {
             drop(knowledge.failed(key, GOOD, wall));
@@ -43,7 +43,7 @@
         }
         let key = self.clients[&self.requests.get(&request)?.client].key;
         let host = &self.hosts[balancer as usize];
-        let Some(knowledge) = host.node.as_ref().map(|node| &node.body().knowledge) else {
+        let Some(knowledge) = host.node.as_ref().map(|node| &node.payload().knowledge) else {
             return Some(told);
         };
         let own = knowledge
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -50,7 +50,7 @@
         };
         node.handle(wall, input, &mut out);
         let (heard, news) = {
-            let talk = node.body_mut();
+            let talk = node.payload_mut();
             (
                 std::mem::take(&mut talk.received),
                 std::mem::take(&mut talk.changes),
@@ -60,7 +60,7 @@
             match output {
                 Output::Send { to, bytes } => self.posts(balancer, mesh::at(to), bytes),
                 Output::Event(event) => {
-                    if let Event::Down(was) | Event::Restarted { was, .. } = *event
+                    if let Event::Down(was) | Event::Restarted { previous: was, .. } = *event
                         && let Some(of) = mesh::rank(&was.name)
                     {
                         self.on_balancer_died(balancer, of, was.incarnation);
@@ -148,7 +148,7 @@
             let host = &mut self.hosts[balancer as usize];
             host.published_at = Some(self.now);
             if let Some(node) = &mut host.node {
-                node.body_mut().say(said);
+                node.payload_mut().say(said);
             }
         }
         self.hands(balancer, Input::Tick);
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -9,7 +9,7 @@
 use beaconflow_edge::UplinkReport;
 use beaconflow_gossip::{Bounds, Change, FactStore, Kind, Origin};
 use beaconflow_membership::{
-    Body, Key, Keys, Member, Millis, Node, Profile, SHORTEST_KEY, Settings,
+    Key, Keys, MIN_KEY_BYTES, Member, Millis, Node, Payload, Profile, Settings,
 };
 use beaconflow_recovery::PeerStatus;
 
@@ -59,7 +59,7 @@
     }
 }
 
-impl Body for Talk {
+impl Payload for Talk {
     fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
         let mut bytes = Vec::new();
         if let Some(own) = self.own {
@@ -90,7 +90,7 @@
         pages
     }
 
-    fn take(&mut self, from: &Member, bytes: &[u8], now: Millis) {
+    fn receive(&mut self, from: &Member, bytes: &[u8], now: Millis) {
         self.last_seen
             .insert(from.site.to_string(), (from.name.to_string(), now));
         let Some((with_word, mut facts)) = bytes.split_first() else {
@@ -114,7 +114,7 @@
         }
     }
 
-    fn members(&mut self, n: usize) {
+    fn set_member_count(&mut self, n: usize) {
         self.knowledge.members(n);
     }
 }
@@ -179,7 +179,7 @@
 
 /// Its node.
 pub fn node(rank: u32, of: u32, boot: u64, site: &str, letters: &Letters, seed: u64) -> Node<Talk> {
-    let keys = Keys::only(Key::new(&[7; SHORTEST_KEY]).expect("as long as a key has to be"));
+    let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("as long as a key has to be"));
     let (profile, talk) = (
         profile(rank, of, boot, site, seed),
         talk(rank, boot, letters),
