--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -1,4 +1,5 @@
-//! What five quiet processes on sockets of this machine cost: `cargo run --release --example cpu -p beaconflow-membership`.
+//! CPU use and traffic of five idle processes on loopback sockets: `cargo run --release --example
+//! cpu -p beaconflow-membership`.
 
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -7,7 +8,7 @@
 use beaconflow_membership::testing::{SilentPayload, keys};
 use beaconflow_membership::{Configuration, Millis, Node, Profile, Settings};
 
-/// Of this process until now, in ticks of a hundredth of a second.
+/// CPU time of this process so far, in ticks of 10 ms.
 fn cpu_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").expect("on Linux");
     let fields: Vec<_> = stat
--- a/crates/membership/examples/figures.rs
+++ b/crates/membership/examples/figures.rs
@@ -1,9 +1,10 @@
-//! Figures of the membership on a virtual clock: `cargo run --release --example figures -p beaconflow-membership`.
+//! Convergence times and traffic on a virtual clock: `cargo run --release --example figures -p
+//! beaconflow-membership`.
 //!
-//! For fleets of 5, 30 and 300 processes with 5% of all datagrams lost: how long until all know each other after all
-//! start in one moment, until all know that one was killed, until two halves know each other again, until all know a fact that
-//! one tells; how many are
-//! declared down though they live; and what a quiet fleet sends.
+//! For fleets of 5, 30 and 300 processes with 5% loss, measures the time until all processes know
+//! each other after a simultaneous start, until all know that one was killed, until two partitioned
+//! halves merge, and until all know a new fact; false failure detections; and the traffic of an
+//! idle fleet.
 
 use beaconflow_membership::testing::{Fleet, NetworkConditions, NumberPayload, profile};
 use beaconflow_membership::{Event, Input, Millis};
@@ -89,7 +90,7 @@
     }
 }
 
-/// A hundred facts, one after another, each told by another process.
+/// Publishes a hundred facts, one after another, each by another process.
 fn measure_gossip(n: u16) {
     let mut fleet = start_fleet(n, LOSS_PER_MILLE, 9);
     fleet.run_for(30_000);
@@ -116,7 +117,7 @@
     println!("{n}: a fact is known by all: {}", summary(&mut durations));
 }
 
-/// Ten minutes in which nothing happens.
+/// Runs the fleet for ten minutes without changes.
 fn measure_quiet_fleet(n: u16, loss_per_mille: u32) {
     let mut fleet = start_fleet(n, loss_per_mille, 7);
     fleet.run_for(30_000);
--- a/crates/membership/src/senders/tests.rs
+++ b/crates/membership/src/senders/tests.rs
@@ -5,7 +5,8 @@
 use super::*;
 
 proptest! {
-    /// Whatever the order, each counter is fresh once at most, and at once when it is within the window.
+    /// Each counter is accepted once at most, in any order, and accepted at first sight if it is
+    /// within the window.
     #[test]
     fn accepts_each_counter_once(counters in prop::collection::vec(0u64..1_000, 1..300)) {
         let (mut senders, mut seen, mut last) = (Senders::default(), BTreeSet::new(), 0);
@@ -32,7 +33,7 @@
         DatagramOrder::Earlier { is_fresh: true }
     );
     assert_eq!(senders.record("a", (2, 3), 2, 4), DatagramOrder::Fresh);
-    // The same boot number again, by another life.
+    // The same incarnation number with another start nonce.
     assert_eq!(
         senders.record("a", (2, 2), 3, 5),
         DatagramOrder::Earlier { is_fresh: true }
--- a/crates/membership/src/testing.rs
+++ b/crates/membership/src/testing.rs
@@ -1,4 +1,4 @@
-//! Nodes on a virtual clock, and a net in memory that loses, delays and cuts: for tests.
+//! Nodes on a virtual clock, and an in-memory network with loss, delay and partitions, for tests.
 
 mod fleet;
 mod net;
@@ -10,12 +10,12 @@
 
 use crate::{Configuration, Key, Keys, Member, Millis, Payload, Profile};
 
-/// A body that has nothing to tell and remembers what it was told.
+/// A payload that sends nothing and records what it receives.
 #[derive(Clone, Debug, Default)]
 pub struct SilentPayload {
-    /// How many processes are there.
+    /// Number of live processes as last reported.
     pub member_count: usize,
-    /// What came, from whom.
+    /// Received bytes, each with its sender's name.
     pub received: Vec<(String, Vec<u8>)>,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// A key for tests, another for each number.
+/// A test key that depends on the number.
 pub fn keys(n: u8) -> Keys {
     Keys::only(Key::new(&[n; crate::MIN_KEY_BYTES]).expect("as long as a key has to be"))
 }
 
-/// The profile of the process `name` at port `port` of this machine, in its first life.
+/// Profile of a process at a port of the loopback address, in its first incarnation.
 pub fn profile(name: &str, port: u16, seeds: &[u16]) -> Profile {
     let local = |port| ([127, 0, 0, 1], port).into();
     Profile {
--- a/crates/membership/src/testing/fleet.rs
+++ b/crates/membership/src/testing/fleet.rs
@@ -1,4 +1,4 @@
-//! Many nodes on one virtual clock.
+//! A simulated fleet of nodes on a virtual clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use super::{NetworkConditions, keys};
 use crate::{Counts, Event, Input, Keys, Millis, Node, Output, Payload, Profile, Settings};
 
-/// What lies in the socket of a process that is stopped; more is lost.
+/// Capacity of a paused process's socket queue, in datagrams; further ones are lost.
 const MAX_SOCKET_DATAGRAMS: usize = 256;
 
-/// The place of one process.
+/// A simulated process.
 pub struct Process<B> {
-    /// Where it is.
+    /// Address of the process.
     pub address: SocketAddr,
-    /// What runs there; `None` after it was killed.
+    /// The node; `None` after the process was killed.
     pub node: Option<Node<B>>,
     is_paused: bool,
     socket_queue: Vec<(SocketAddr, Vec<u8>)>,
@@ -29,22 +29,22 @@
     },
 }
 
-/// Many nodes on one virtual clock and one net.
+/// A simulated fleet on one virtual clock and one network.
 pub struct Fleet<B> {
-    /// The moment it is now.
+    /// The present virtual time.
     pub now: Millis,
-    /// What happens to datagrams.
+    /// Loss, duplication, delay and partitions of the network.
     pub network: NetworkConditions,
-    /// The processes, in the order in which they were added.
+    /// The processes, in the order of their addition.
     pub processes: Vec<Process<B>>,
-    /// What they told: when, which process, what.
+    /// Reported events, each with its time and the index of the process.
     pub events: Vec<(Millis, usize, Event)>,
     queue: BTreeMap<(Millis, u64), ScheduledEvent>,
     last_sequence: u64,
 }
 
 impl<B: Payload> Fleet<B> {
-    /// A fleet of nobody.
+    /// Creates a fleet without processes.
     pub fn new(network: NetworkConditions) -> Self {
         Self {
             now: 1_000,
@@ -56,12 +56,13 @@
         }
     }
 
-    /// Starts a process with the usual key and settings, and answers with its place.
+    /// Starts a process with the default key and settings, and returns its index.
     pub fn add(&mut self, profile: Profile, payload: B) -> usize {
         self.add_with(profile, keys(1), Settings::default(), payload)
     }
 
-    /// Starts a process. One that ran at its address hears nothing any more.
+    /// Starts a process and returns its index. A process that already runs at the address receives
+    /// nothing further.
     pub fn add_with(
         &mut self,
         profile: Profile,
@@ -84,17 +85,17 @@
         index
     }
 
-    /// Ends a process in one instant.
+    /// Ends a process without a notice to its peers.
     pub fn kill(&mut self, index: usize) {
         self.processes[index].node = None;
     }
 
-    /// Stops a process: it gets no turns, and what is sent to it lies in its socket.
+    /// Suspends a process: it handles nothing, and its socket queues datagrams.
     pub fn pause(&mut self, index: usize) {
         self.processes[index].is_paused = true;
     }
 
-    /// Lets a stopped process run on.
+    /// Resumes a paused process, which first handles the queued datagrams.
     pub fn resume(&mut self, index: usize) {
         self.processes[index].is_paused = false;
         for (from, bytes) in std::mem::take(&mut self.processes[index].socket_queue) {
@@ -109,7 +110,7 @@
         self.handle_input(index, Input::Tick);
     }
 
-    /// Hands an input to a process now.
+    /// Passes an input to a process at the present time.
     pub fn handle_input(&mut self, index: usize, input: Input<'_>) {
         let mut out = Vec::new();
         let Some(node) = &mut self.processes[index].node else {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Sends a datagram by the rules.
+    /// Sends a datagram, subject to the network conditions.
     pub fn send(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         assert!(
             bytes.len() <= crate::MAX_DATAGRAM_BYTES,
@@ -152,12 +153,13 @@
         self.queue.insert((due_at, self.last_sequence), scheduled);
     }
 
-    /// Lets that much time go by.
+    /// Advances the time by this much.
     pub fn run_for(&mut self, duration_ms: Millis) {
         self.run_until(duration_ms, |_| false);
     }
 
-    /// Lets time go by until it is so, or that much has gone: whether it was so in the end.
+    /// Advances the time until the condition holds, or by `duration_ms`. Returns whether the
+    /// condition holds at the end.
     pub fn run_until(
         &mut self,
         duration_ms: Millis,
@@ -171,7 +173,7 @@
             .filter(|first| first.key().0 <= end)
         {
             let due_at = first.key().0;
-            // Asked once a moment, of what it was before.
+            // Evaluated once for each distinct time, before its events.
             if checked_at != Some(due_at) {
                 if condition(self) {
                     return true;
@@ -218,7 +220,7 @@
         }
     }
 
-    /// A process that lives.
+    /// The node of a process that was not killed.
     pub fn node(&self, index: usize) -> &Node<B> {
         self.processes[index]
             .node
@@ -226,7 +228,8 @@
             .expect("a process that lives")
     }
 
-    /// Whether every process that lives and is not stopped knows just these others, by name and boot number.
+    /// Whether each running process knows exactly these members, itself included, by name and
+    /// incarnation.
     pub fn all_know(&self, members: &[(&str, u64)]) -> bool {
         let running = self.processes.iter().filter(|process| !process.is_paused);
         running
@@ -243,7 +246,7 @@
             })
     }
 
-    /// What a process told, in its order.
+    /// The events that a process reported, in order.
     pub fn events_of(&self, index: usize) -> impl Iterator<Item = &Event> {
         self.events
             .iter()
@@ -251,7 +254,7 @@
             .map(|(_, _, event)| event)
     }
 
-    /// What passed through all that live.
+    /// The counters of all processes that were not killed.
     pub fn counts(&self) -> Vec<Counts> {
         self.processes
             .iter()
--- a/crates/membership/src/testing/net.rs
+++ b/crates/membership/src/testing/net.rs
@@ -1,4 +1,4 @@
-//! What happens to datagrams on their way, and a link that it happens to.
+//! Simulated network conditions, and an in-memory link that is subject to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -13,22 +13,22 @@
 use crate::Millis;
 use crate::driver::{Link, Waker};
 
-/// What happens to datagrams on their way.
+/// Loss, duplication, delay and partitions of a simulated network.
 #[derive(Clone, Debug)]
 pub struct NetworkConditions {
-    /// So many of a thousand are lost.
+    /// Lost datagrams per thousand.
     pub loss_per_mille: u32,
-    /// So many of a thousand come twice.
+    /// Duplicated datagrams per thousand.
     pub duplicates_per_mille: u32,
-    /// The shortest and the longest time on the way.
+    /// Minimum and maximum delay, in milliseconds.
     pub delay_ms: (Millis, Millis),
-    /// From the first address none comes to the second.
+    /// Datagrams from the first address to the second are lost.
     pub cut_links: BTreeSet<(SocketAddr, SocketAddr)>,
     rng: Pcg64Mcg,
 }
 
 impl NetworkConditions {
-    /// All come, after 0 to 2 ms, until the fields are set otherwise.
+    /// A network without loss or duplication, and with delays of 0 to 2 ms.
     pub fn new(seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Cuts all ways between two groups.
+    /// Cuts all links between two groups, in both directions.
     pub fn partition(&mut self, left: &[SocketAddr], right: &[SocketAddr]) {
         for a in left {
             self.cut_links
@@ -48,7 +48,7 @@
         }
     }
 
-    /// After which times copies of a datagram come.
+    /// Delays of the delivered copies of a datagram; empty if it is lost.
     pub fn delivery_delays(&mut self, from: SocketAddr, to: SocketAddr) -> Vec<Millis> {
         if self.cut_links.contains(&(from, to))
             || self.rng.random_range(0..1_000) < self.loss_per_mille
@@ -77,12 +77,12 @@
     links: BTreeMap<SocketAddr, Sender<Option<QueuedDatagram>>>,
 }
 
-/// A net in memory that threads share.
+/// An in-memory network shared by threads.
 #[derive(Clone)]
 pub struct MemoryNetwork(Arc<Mutex<Inner>>);
 
 impl MemoryNetwork {
-    /// A net with these rules.
+    /// Creates a network with these conditions.
     pub fn new(conditions: NetworkConditions) -> Self {
         Self(Arc::new(Mutex::new(Inner {
             conditions,
@@ -90,12 +90,12 @@
         })))
     }
 
-    /// Changes the rules for what is sent from now on.
+    /// Changes the conditions for datagrams sent from now on.
     pub fn update_conditions(&self, change: impl FnOnce(&mut NetworkConditions)) {
         change(&mut self.lock().conditions);
     }
 
-    /// A link at this address. One that was there before hears nothing any more.
+    /// A link at this address. It replaces a previous link there, which receives nothing further.
     pub fn link(&self, address: SocketAddr) -> MemoryLink {
         let (sender, datagrams) = unbounded();
         self.lock().links.insert(address, sender.clone());
@@ -113,7 +113,7 @@
     }
 }
 
-/// A [`Link`] on a [`Net`].
+/// A [`Link`] on a [`MemoryNetwork`].
 pub struct MemoryLink {
     network: MemoryNetwork,
     address: SocketAddr,
@@ -142,7 +142,7 @@
         };
         for delay in delays {
             let due_at = Instant::now() + Duration::from_millis(delay);
-            // Fails when the receiver is gone: then the datagram is lost like any other.
+            // Fails if the receiver was dropped; the datagram is lost then.
             drop(link.send(Some(QueuedDatagram {
                 due_at,
                 from: self.address,
--- a/crates/membership/src/testing/numbers.rs
+++ b/crates/membership/src/testing/numbers.rs
@@ -1,17 +1,17 @@
-//! A body that knows numbers.
+//! A payload that replicates a set of numbers.
 
 use std::collections::BTreeSet;
 
 use crate::{Member, Millis, Payload};
 
-/// Knows numbers, tells each new one a few times, and pages of them to whoever lacks them.
+/// Gossips each new number a few times, and sends pages of numbers to members that lack them.
 #[derive(Clone, Debug, Default)]
 pub struct NumberPayload {
-    /// What is known.
+    /// The known numbers.
     pub known: BTreeSet<u64>,
-    /// What is still told, and how often.
+    /// Numbers still to gossip, each with the remaining number of times.
     pub pending: Vec<(u64, u32)>,
-    /// The most that fitted into a datagram, in bytes.
+    /// Maximum capacity offered for gossip, in bytes.
     pub largest_capacity: usize,
 }
 
@@ -31,7 +31,7 @@
             .count() as u64
     }
 
-    /// Knows a number, and tells it ten times when it is new.
+    /// Adds a number, and gossips it ten times if it is new.
     pub fn learn(&mut self, number: u64) {
         if self.known.insert(number) {
             self.pending.push((number, 10));
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::Key;
 
-/// A word as a later program might send it: what is known under its numbers, and more.
+/// A message as a newer version may send it, with additional fields.
 #[derive(Clone, PartialEq, Message)]
 struct LaterContent {
     #[prost(string, tag = "1")]
@@ -44,7 +44,7 @@
         sealed,
     }
     .encode_to_vec();
-    // A field that this program's frames do not have: number 30, a varint.
+    // An unknown field of the frame: number 30, a varint.
     frame.extend([0xf0, 0x01, 0x05]);
     frame
 }
@@ -63,7 +63,7 @@
         ..known.clone()
     };
     assert_eq!(open(&keys(), &later(Some(vec![1, 2]), None)), Ok(gossip));
-    // A word that it does not know says nothing, and is no fault.
+    // A message of an unknown kind decodes to no message, without an error.
     assert_eq!(open(&keys(), &later(None, Some(vec![1]))), Ok(known));
 }
 
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! What is refused, what it is counted as, and that it steers nobody.
+//! Refused datagrams: their reasons and counts, and that they have no effect.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     .expect("a good profile")
 }
 
-/// What `a` says when it is alone and asks the address of `b`.
+/// The first datagram of `a`, which is alone and contacts the address of `b`.
 fn hello(keys: Keys) -> Vec<u8> {
     let (mut node, mut out) = (node("a", 1, &[2], keys), Vec::new());
     node.handle(0, Input::Start, &mut out);
@@ -61,7 +61,7 @@
             .expect("one of all")]
     }
 
-    /// Refused as that, and for nothing else is anybody answered or known.
+    /// Asserts that the datagram is refused for this reason, gets no answer and adds no member.
     fn assert_refused(&mut self, bytes: &[u8], reason: Refusal) {
         let before = self.refusal_count(reason);
         let out = self.receive(bytes);
@@ -109,7 +109,7 @@
 fn counts_refusals_and_reports_once_a_minute() {
     let complete = hello(keys(1));
     let mut receiver = TestReceiver::new();
-    // As it lies there: version (2 bytes), key (5), digest (18), content.
+    // The encoding begins with version (2 bytes), key (5) and digest (18); the content follows.
     let without_key = [&complete[..2], &complete[25..]].concat();
     let newer_version = [&[8, 2], &complete[2..]].concat();
     let events = |out: Vec<Output>| {
--- a/crates/membership/tests/driver.rs
+++ b/crates/membership/tests/driver.rs
@@ -1,4 +1,4 @@
-//! Nodes in threads of their own, on sockets of this machine and on a net in memory.
+//! Nodes in their own threads, on loopback sockets and on an in-memory network.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
@@ -51,7 +51,7 @@
     (socket, address)
 }
 
-/// Waits until the log tells it.
+/// Waits until the node reports an expected event.
 fn wait_for(events: &Receiver<Event>, is_expected: impl Fn(&Event) -> bool) -> Event {
     let end = Instant::now() + TIMEOUT;
     loop {
@@ -104,7 +104,7 @@
     assert!(a.members().is_empty() && a.counts().sent > 0);
 }
 
-/// Has one word to tell, again and again.
+/// Gossips the same bytes in each round, and forwards what it receives.
 struct FixedPayload(Vec<u8>, crossbeam_channel::Sender<Vec<u8>>);
 
 impl Payload for FixedPayload {
@@ -121,7 +121,7 @@
     }
 
     fn receive(&mut self, _: &Member, bytes: &[u8], _: Millis) {
-        // Nobody waits for it any more once the test is over.
+        // Fails once the test has dropped the receiver.
         drop(self.1.send(bytes.to_vec()));
     }
 
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who is there when processes pause, die, start anew, change names, double or part.
+//! Membership while processes pause, crash, restart, change names, have conflicting names or are
+//! partitioned.
 
 use beaconflow_membership::testing::{Fleet, NetworkConditions, SilentPayload, keys, profile};
 use beaconflow_membership::{Configuration, Event, Input, Profile, Settings};
@@ -64,7 +65,7 @@
             .events_of(2)
             .any(|event| matches!(event, Event::PauseDetected(pause_ms) if *pause_ms > 9_000))
     );
-    // It blamed nobody for its own absence, and its life is the same.
+    // The resumed process declared no peer down because of its own pause, and kept its incarnation.
     fleet.run_for(MINUTE_MS);
     let late_downs = fleet
         .events
@@ -87,7 +88,7 @@
     for _ in 0..60 {
         fleet.pause(0);
         fleet.run_for(900);
-        // What lies in the socket comes after the turn: the worst order.
+        // The timer fires before the queued datagrams are handled, which is the worst order.
         fleet.handle_input(0, Input::Tick);
         fleet.resume(0);
         fleet.run_for(300);
@@ -136,7 +137,8 @@
 
 #[test]
 fn recovers_lost_incarnation_from_fleet() {
-    // The number before, or a much older one.
+    // The incarnation number is lost: it repeats the previous one, or goes back to a much older
+    // one.
     for incarnation in [1, 7] {
         let mut fleet = fleet_of_five(6);
         fleet.kill(3);
@@ -153,7 +155,8 @@
             &[("a", 1), ("b", 1), ("c", 1), ("d", 7), ("e", 1)],
         );
         fleet.kill(5);
-        // A seed that draws a lower life than 99 does: the same boot number alone does not win.
+        // A seed with a lower start nonce than seed 99, so that the same incarnation alone does not
+        // win.
         let seed = (0..)
             .find(|seed| start_nonce_for_seed(*seed) < start_nonce_for_seed(99))
             .expect("one of them is lower");
@@ -247,7 +250,7 @@
                 (winner_at, incarnations.0)
             );
         }
-        // Neither flaps, however long it lasts; and when the winner is gone the other is let in.
+        // Neither process flaps in five minutes. Once the winner is gone, the other one joins.
         let event_count = fleet.events.len();
         fleet.run_for(5 * MINUTE_MS);
         assert!(
@@ -282,7 +285,7 @@
         },
         SilentPayload::default(),
     );
-    // Well before the silence of the old name would tell.
+    // Before the failure of the old name could be detected.
     let expected = [("a", 1), ("b", 1), ("c", 1), ("d", 1), ("z", 2)];
     assert!(fleet.run_until(2_500, |fleet| fleet.all_know(&expected)));
     let is_rename = |event: &Event| matches!(event, Event::Renamed { previous, current } if (&*previous.name, &*current.name) == ("e", "z"));
@@ -356,7 +359,7 @@
     fleet.run_for(5 * MINUTE_MS);
     assert!(fleet.all_know(&initial_members()));
     assert!(!fleet.events.iter().any(|(_, _, event)| is_down(event)));
-    // Whoever was suspected spoke up, and that was the end of it.
+    // All suspicions were refuted, and no process had to announce a new identity.
     assert!(
         fleet
             .counts()
@@ -405,7 +408,7 @@
     fleet.run_for(20_000);
     assert!(fleet.all_know(&initial_members()));
     assert!(!fleet.events.iter().any(|(_, _, event)| is_down(event)));
-    // One that still has the old key alone is outside.
+    // A process that has only the old key stays out.
     let new_process = fleet.add_with(
         process_profile("f", 5),
         keys(1),
--- a/crates/membership/tests/payloads.rs
+++ b/crates/membership/tests/payloads.rs
@@ -1,4 +1,5 @@
-//! What nodes carry for others: rumours to a few, pages to whoever lacks them, never too much.
+//! Replication of payloads: gossip to a few members, pages to members that lack state, and the
+//! limit on bytes.
 
 use beaconflow_membership::testing::{Fleet, NetworkConditions, NumberPayload, keys, profile};
 use beaconflow_membership::{Input, MAX_DATAGRAM_BYTES, Settings};
@@ -52,7 +53,7 @@
             .extend(0..4_000);
     }
     let new_process = fleet.add(profile("late", 2_000, &[1_000]), NumberPayload::default());
-    // 32 KB in pages of a thousand bytes: four at a time, at each round, until there are no more.
+    // 32 KB in pages of about 1000 bytes, four in each round, until none is missing.
     assert!(fleet.run_until(6_000, |fleet| knows(fleet, new_process, 4_000)));
 }
 
@@ -75,7 +76,7 @@
     fleet.run_for(60_000);
     for (before, after) in before.iter().zip(fleet.counts()) {
         let per_s = (after.sent_bytes - before.sent_bytes) / 60;
-        // What finds out who is there comes on top.
+        // The SWIM messages come on top of the limit.
         assert!((8_000..12_000).contains(&per_s), "{per_s} bytes a second");
         assert!(after.rate_limited > 100);
     }
--- a/crates/membership/tests/stored_form.rs
+++ b/crates/membership/tests/stored_form.rs
@@ -1,4 +1,5 @@
-//! A datagram as the first released program sent it: the same one is sent, and it is accepted.
+//! Compatibility with the first released version: its first datagram is sent in the same form, and
+//! is accepted.
 
 use std::net::SocketAddr;
 
