--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -10,7 +10,7 @@
 
 /// CPU time of this process so far, in ticks of 10 ms.
 fn cpu_ticks() -> u64 {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("on Linux");
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("/proc is available on Linux");
     let fields: Vec<_> = stat
         .rsplit(") ")
         .next()
@@ -25,11 +25,11 @@
 
 fn main() {
     let sockets: Vec<_> = (0..5)
-        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port"))
         .collect();
     let seeds: Vec<_> = sockets
         .iter()
-        .map(|socket| socket.local_addr().expect("bound"))
+        .map(|socket| socket.local_addr().expect("the socket is bound"))
         .collect();
     let start = Instant::now();
     let handles: Vec<_> = sockets
@@ -51,7 +51,7 @@
                 Settings::default(),
                 SilentPayload::default(),
             )
-            .expect("a good profile");
+            .expect("the profile is valid");
             let clock = move || start.elapsed().as_millis() as Millis;
             spawn(
                 node,
@@ -59,7 +59,7 @@
                 clock,
                 crossbeam_channel::unbounded().0,
             )
-            .expect("a thread")
+            .expect("the thread starts")
         })
         .collect();
     std::thread::sleep(Duration::from_secs(2));
@@ -67,11 +67,11 @@
     std::thread::sleep(Duration::from_secs(10));
     let counts_after = handles[0].counts();
     println!(
-        "five nodes: {} ms of a core in 10 s together",
+        "five nodes together: {} ms of CPU time in 10 s",
         (cpu_ticks() - ticks_before) * 10
     );
     println!(
-        "each sends {} bytes/s",
+        "each node sends {} bytes/s",
         (counts_after.sent_bytes - counts_before.sent_bytes) / 10
     );
     println!(
--- a/crates/membership/examples/figures.rs
+++ b/crates/membership/examples/figures.rs
@@ -37,7 +37,7 @@
 fn summary(durations: &mut [Millis]) -> String {
     durations.sort_unstable();
     format!(
-        "median {} ms, longest {} ms of {}",
+        "median {} ms, maximum {} ms of {} samples",
         durations[durations.len() / 2],
         durations[durations.len() - 1],
         durations.len()
@@ -47,7 +47,10 @@
 fn time_until_known(fleet: &mut Fleet<NumberPayload>, others: usize) -> Millis {
     let start = fleet.now;
     let is_reached = fleet.run_until(120_000, |fleet| all_know(fleet, others));
-    assert!(is_reached, "not so after two minutes");
+    assert!(
+        is_reached,
+        "not all processes know each other after two minutes"
+    );
     fleet.now - start
 }
 
@@ -75,13 +78,16 @@
             fleet.network.cut_links.clear();
             merge_times.push(time_until_known(&mut fleet, usize::from(n) - 1));
         }
-        println!("{n}: all start, all known: {}", summary(&mut join_times));
         println!(
-            "{n}: one killed, all know: {}",
+            "{n}: simultaneous start until all are known: {}",
+            summary(&mut join_times)
+        );
+        println!(
+            "{n}: one killed until all know: {}",
             summary(&mut detection_times)
         );
         println!(
-            "{n}: two halves after 30 s apart, all known: {}",
+            "{n}: partition of 30 s healed until all are known: {}",
             summary(&mut merge_times)
         );
         measure_gossip(n);
@@ -100,7 +106,7 @@
             fleet.processes[publisher]
                 .node
                 .as_mut()
-                .expect("lives")
+                .expect("the process is running")
                 .payload_mut()
                 .learn(number);
             fleet.handle_input(publisher, Input::GossipSoon);
@@ -114,7 +120,10 @@
             duration
         })
         .collect();
-    println!("{n}: a fact is known by all: {}", summary(&mut durations));
+    println!(
+        "{n}: fact published until all know it: {}",
+        summary(&mut durations)
+    );
 }
 
 /// Runs the fleet for ten minutes without changes.
@@ -133,7 +142,7 @@
         sum as f64 / f64::from(n) / (QUIET_PERIOD_MS / 1_000) as f64
     };
     println!(
-        "{n}: quiet ten minutes, {}% lost: {downs} false downs, {:.0} suspicions; each sends {:.0} bytes/s in {:.1} datagrams/s",
+        "{n}: ten idle minutes, {}% lost: {downs} false downs, {:.0} suspicions; each sends {:.0} bytes/s in {:.1} datagrams/s",
         loss_per_mille / 10,
         rate_per_process(|counts| counts.suspected)
             * f64::from(n)
--- a/crates/membership/src/driver.rs
+++ b/crates/membership/src/driver.rs
@@ -296,7 +296,7 @@
                 return;
             }
             if let Err(error) = &received {
-                warn!("datagrams from peers cannot be received: {error}");
+                warn!("cannot receive datagrams from peers: {error}");
                 std::thread::sleep(RECEIVE_ERROR_DELAY);
             }
             // Datagrams that are already in the socket are handled before timers fire. Otherwise a
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -82,50 +82,53 @@
 impl fmt::Display for Event {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Up(member) => write!(out, "peer {member} of site `{}` is there", member.site),
-            Self::Down(member) => write!(out, "peer {member} is gone"),
+            Self::Up(member) => write!(out, "peer {member} of site `{}` is up", member.site),
+            Self::Down(member) => write!(out, "peer {member} is down"),
             Self::Restarted { previous, current } => {
                 write!(
                     out,
-                    "peer {current} started anew, it was boot {}",
+                    "peer {current} restarted; its previous boot was {}",
                     previous.incarnation
                 )
             }
             Self::Changed { previous, current } => write!(
                 out,
-                "peer {current} runs configuration {} of site `{}`, it was {} of site `{}`",
+                "peer {current} changed to configuration {} at site `{}`, from configuration {} at site `{}`",
                 current.configuration.order,
                 current.site,
                 previous.configuration.order,
                 previous.site
             ),
-            Self::Renamed { previous, current } => write!(out, "peer {previous} is {current} now"),
+            Self::Renamed { previous, current } => write!(
+                out,
+                "peer {previous} was replaced by {current} at the same address"
+            ),
             Self::NameConflictFound {
                 holder,
                 other_address,
                 other_incarnation,
             } => write!(
                 out,
-                "two processes bear one name: {holder}, which counts, and the one at {other_address} (boot {other_incarnation}): \
-                 give each its own"
+                "two processes have the same name: {holder}, which keeps it, and the one at {other_address} \
+                 (boot {other_incarnation}); give each process its own name"
             ),
             Self::Displaced { holder } => write!(
                 out,
-                "this process's name is another's: {holder}. It stands outside the fleet until the other is gone"
+                "another process holds this process's name: {holder}; this process is excluded from the fleet until that one ends"
             ),
             Self::IncarnationRaised(incarnation) => {
                 write!(
                     out,
-                    "the fleet knew a later life of this process: its boot number is {incarnation} now"
+                    "the fleet knew a later incarnation of this process; its boot number is now {incarnation}"
                 )
             }
             Self::PauseDetected(pause_ms) => write!(
                 out,
-                "this process was not run for {pause_ms} ms, it announces itself anew"
+                "this process was not run for {pause_ms} ms; it announces a new identity"
             ),
             Self::Rejoined => write!(
                 out,
-                "the others took this process for gone, it announces itself anew"
+                "peers had declared this process down; it announces a new identity"
             ),
             Self::DatagramsRefused {
                 from,
@@ -134,7 +137,7 @@
             } => {
                 write!(
                     out,
-                    "{count} datagrams from {from} were refused, the last: {}",
+                    "{count} datagrams from {from} were refused; latest reason: {}",
                     reason.label()
                 )
             }
--- a/crates/membership/src/key.rs
+++ b/crates/membership/src/key.rs
@@ -58,26 +58,26 @@
             }
             Self::WorldReadable(path, mode) => write!(
                 out,
-                "the key file {} may be read by everybody (mode {mode:04o}): `chmod o= {}`",
+                "the key file {} is accessible to all users (mode {mode:04o}); run `chmod o= {}`",
                 path.display(),
                 path.display()
             ),
             Self::NotHex(path) => {
                 write!(
                     out,
-                    "the key file {} has to hold hexadecimal digits only, two a byte",
+                    "the key file {} must contain only pairs of hexadecimal digits",
                     path.display()
                 )
             }
             Self::TooShort(path, bytes) => write!(
                 out,
-                "the key in {} has {bytes} bytes, at least {MIN_KEY_BYTES} are wanted (`openssl rand -hex 32`)",
+                "the key in {} has {bytes} bytes; at least {MIN_KEY_BYTES} are required (`openssl rand -hex 32` generates a key)",
                 path.display()
             ),
             Self::TooLarge(path) => {
                 write!(
                     out,
-                    "the key file {} has over {MAX_KEY_FILE_BYTES} bytes: no key",
+                    "the key file {} is larger than {MAX_KEY_FILE_BYTES} bytes",
                     path.display()
                 )
             }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -49,17 +49,20 @@
             Self::InvalidName => {
                 write!(
                     out,
-                    "the name has to have 1 to {MAX_NAME_BYTES} bytes without control characters"
+                    "the name must have 1 to {MAX_NAME_BYTES} bytes and no control characters"
                 )
             }
             Self::InvalidSite => {
                 write!(
                     out,
-                    "the site has to have {MAX_SITE_BYTES} bytes at most, none a control character"
+                    "the site must have at most {MAX_SITE_BYTES} bytes and no control characters"
                 )
             }
             Self::InvalidAddress => {
-                write!(out, "the address has to be one that the others can send to")
+                write!(
+                    out,
+                    "the address must have a nonzero port and a specific IP address"
+                )
             }
         }
     }
--- a/crates/membership/src/testing.rs
+++ b/crates/membership/src/testing.rs
@@ -43,7 +43,7 @@
 
 /// A test key that depends on the number.
 pub fn keys(n: u8) -> Keys {
-    Keys::only(Key::new(&[n; crate::MIN_KEY_BYTES]).expect("as long as a key has to be"))
+    Keys::only(Key::new(&[n; crate::MIN_KEY_BYTES]).expect("the test key has the minimum length"))
 }
 
 /// Profile of a process at a port of the loopback address, in its first incarnation.
--- a/crates/membership/src/testing/fleet.rs
+++ b/crates/membership/src/testing/fleet.rs
@@ -71,7 +71,7 @@
         payload: B,
     ) -> usize {
         let address = profile.address;
-        let node = Node::new(profile, keys, settings, payload).expect("a profile without faults");
+        let node = Node::new(profile, keys, settings, payload).expect("the profile is valid");
         let process = Process {
             address,
             node: Some(node),
@@ -133,7 +133,7 @@
     pub fn send(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         assert!(
             bytes.len() <= crate::MAX_DATAGRAM_BYTES,
-            "a datagram of {} bytes was sent",
+            "a datagram of {} bytes exceeds the limit",
             bytes.len()
         );
         for delay in self.network.delivery_delays(from, to) {
@@ -225,7 +225,7 @@
         self.processes[index]
             .node
             .as_ref()
-            .expect("a process that lives")
+            .expect("the process is running")
     }
 
     /// Whether each running process knows exactly these members, itself included, by name and
--- a/crates/membership/src/testing/numbers.rs
+++ b/crates/membership/src/testing/numbers.rs
@@ -62,7 +62,7 @@
         max_pages: usize,
         _: Millis,
     ) -> Vec<Vec<u8>> {
-        let gap = u64::from_be_bytes(summary.try_into().expect("as it was made"));
+        let gap = u64::from_be_bytes(summary.try_into().expect("a summary has 8 bytes"));
         let behind: Vec<_> = self.known.range(gap..).copied().collect();
         behind
             .chunks(max_bytes / 8)
@@ -73,7 +73,9 @@
 
     fn receive(&mut self, _: &Member, bytes: &[u8], _: Millis) {
         for number in bytes.chunks_exact(8) {
-            self.learn(u64::from_be_bytes(number.try_into().expect("eight bytes")));
+            self.learn(u64::from_be_bytes(
+                number.try_into().expect("a chunk has 8 bytes"),
+            ));
         }
     }
 
--- a/crates/membership/src/unknown_senders/tests.rs
+++ b/crates/membership/src/unknown_senders/tests.rs
@@ -3,13 +3,13 @@
 #[test]
 fn reports_address_once_a_minute() {
     let mut senders = UnknownSenders::default();
-    let from: SocketAddr = "127.0.0.1:9".parse().expect("an address");
+    let from: SocketAddr = "127.0.0.1:9".parse().expect("the address is valid");
     let events = (0..180_000)
         .step_by(100)
         .filter_map(|now| senders.record_refusal(from, Refusal::Malformed, now));
     let counts = events.map(|event| match event {
         Event::DatagramsRefused { count, .. } => count,
-        other => panic!("{other:?}"),
+        other => panic!("expected a report of refused datagrams, got {other:?}"),
     });
     assert_eq!(counts.collect::<Vec<_>>(), [1, 600, 600]);
 }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -21,7 +21,7 @@
 }
 
 fn keys() -> Keys {
-    Keys::only(Key::new(&[3; 32]).expect("long enough"))
+    Keys::only(Key::new(&[3; 32]).expect("the test key has the minimum length"))
 }
 
 fn later(gossip: Option<Vec<u8>>, new_message: Option<Vec<u8>>) -> Vec<u8> {
@@ -122,7 +122,7 @@
     let bytes = seal(&keys(), &content);
     assert!(
         (MAX_DATAGRAM_BYTES - 8..=MAX_DATAGRAM_BYTES).contains(&bytes.len()),
-        "{} bytes",
+        "the datagram has {} bytes",
         bytes.len()
     );
     assert_eq!(open(&keys(), &bytes), Ok(content));
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -15,7 +15,7 @@
         Settings::default(),
         SilentPayload::default(),
     )
-    .expect("a good profile")
+    .expect("the profile is valid")
 }
 
 /// The first datagram of `a`, which is alone and contacts the address of `b`.
@@ -27,7 +27,7 @@
         Output::Send { bytes, .. } => Some(bytes),
         _ => None,
     });
-    sent.expect("a node alone asks around")
+    sent.expect("a node that is alone contacts its seeds")
 }
 
 fn is_answered(out: &[Output]) -> bool {
@@ -58,7 +58,7 @@
         self.node.counts().refused[Refusal::ALL
             .iter()
             .position(|other| *other == reason)
-            .expect("one of all")]
+            .expect("Refusal::ALL has every reason")]
     }
 
     /// Asserts that the datagram is refused for this reason, gets no answer and adds no member.
@@ -68,7 +68,7 @@
         assert_eq!(
             self.refusal_count(reason),
             before + 1,
-            "as {}: {bytes:?}",
+            "expected to be refused as {}: {bytes:?}",
             reason.label()
         );
         assert!(!is_answered(&out));
@@ -101,7 +101,7 @@
     assert_eq!(
         receiver.receive(&complete).len(),
         3,
-        "it answers, names whom it met, and when it wakes"
+        "expected an answer, an event and the wake-up time"
     );
 }
 
@@ -209,17 +209,18 @@
 #[test]
 fn reads_valid_key_files_and_rejects_others() {
     use std::os::unix::fs::PermissionsExt;
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary directory");
     let read_key = |name: &str, text: &str, mode: u32| {
         let path = folder.path().join(name);
-        std::fs::write(&path, text).expect("written");
-        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("set");
+        std::fs::write(&path, text).expect("the key file is written");
+        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode))
+            .expect("the mode is set");
         Key::read(&path)
     };
     let valid = "0123456789abcdef".repeat(4);
-    assert!(read_key("good", &format!("{valid}\n"), 0o640).is_ok());
+    assert!(read_key("valid", &format!("{valid}\n"), 0o640).is_ok());
     assert!(matches!(
-        read_key("open", &valid, 0o644),
+        read_key("world-readable", &valid, 0o644),
         Err(KeyError::WorldReadable(_, 0o644))
     ));
     assert!(matches!(
@@ -238,6 +239,6 @@
         read_key("large", &valid.repeat(100), 0o600),
         Err(KeyError::TooLarge(_))
     ));
-    let missing = Key::read(&folder.path().join("missing")).expect_err("there is none");
+    let missing = Key::read(&folder.path().join("missing")).expect_err("the file does not exist");
     assert!(missing.to_string().contains("missing cannot be read"));
 }
--- a/crates/membership/tests/driver.rs
+++ b/crates/membership/tests/driver.rs
@@ -38,16 +38,20 @@
         peer_configuration: Configuration::default(),
         seeds,
     };
-    let node = Node::new(profile, keys(1), Settings::default(), payload).expect("a good profile");
+    let node =
+        Node::new(profile, keys(1), Settings::default(), payload).expect("the profile is valid");
     let (sender, events) = unbounded();
     let start = Instant::now();
     let clock = move || start.elapsed().as_millis() as Millis;
-    (spawn(node, link, clock, sender).expect("a thread"), events)
+    (
+        spawn(node, link, clock, sender).expect("the thread starts"),
+        events,
+    )
 }
 
 fn socket() -> (UdpSocket, SocketAddr) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let address = socket.local_addr().expect("bound");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let address = socket.local_addr().expect("the socket is bound");
     (socket, address)
 }
 
@@ -55,7 +59,9 @@
 fn wait_for(events: &Receiver<Event>, is_expected: impl Fn(&Event) -> bool) -> Event {
     let end = Instant::now() + TIMEOUT;
     loop {
-        let event = events.recv_deadline(end).expect("told within a minute");
+        let event = events
+            .recv_deadline(end)
+            .expect("the event is reported within a minute");
         if is_expected(&event) {
             return event;
         }
@@ -69,7 +75,7 @@
 #[test]
 fn discovers_and_loses_peers_over_udp() {
     let ((socket_a, address_a), (socket_b, address_b)) = (socket(), socket());
-    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let (a, events_a) = spawn_node("a", address_a, vec![], Udp::new(socket_a));
     let (b, events_b) = spawn_node("b", address_b, vec![address_a], Udp::new(socket_b));
     wait_for(&events_a, is_up("b"));
@@ -77,12 +83,12 @@
     assert_eq!(a.members(), [b.local_member()]);
     unknown_sender
         .send_to(&[7; 3_000], address_a)
-        .expect("sent");
+        .expect("the datagram is sent");
     let refused = wait_for(&events_a, Event::is_fault);
     assert_eq!(
         refused,
         Event::DatagramsRefused {
-            from: unknown_sender.local_addr().expect("bound"),
+            from: unknown_sender.local_addr().expect("the socket is bound"),
             reason: Refusal::TooLarge,
             count: 1
         }
@@ -152,11 +158,13 @@
     );
     wait_for(&events_a, is_up("b"));
     wait_for(&events_b, is_up("a"));
-    shared.lock().expect("whole").0 = b"the south is dark".to_vec();
+    shared.lock().expect("the lock is not poisoned").0 = b"site south is isolated".to_vec();
     a.gossip_soon();
     assert_eq!(
-        payloads.recv_timeout(TIMEOUT).expect("carried"),
-        b"the south is dark"
+        payloads
+            .recv_timeout(TIMEOUT)
+            .expect("the payload is delivered"),
+        b"site south is isolated"
     );
     memory_network.update_conditions(|conditions| conditions.partition(&[local(1)], &[local(2)]));
     wait_for(&events_b, |event| matches!(event, Event::Down(_)));
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -29,7 +29,7 @@
 fn assert_eventually_known(fleet: &mut Fleet<SilentPayload>, members: &[(&str, u64)]) {
     assert!(
         fleet.run_until(MINUTE_MS, |fleet| fleet.all_know(members)),
-        "known: {:?}",
+        "members differ from the expected ones; events: {:?}",
         fleet.events
     );
 }
@@ -159,7 +159,7 @@
         // win.
         let seed = (0..)
             .find(|seed| start_nonce_for_seed(*seed) < start_nonce_for_seed(99))
-            .expect("one of them is lower");
+            .expect("some seed draws a lower start nonce");
         let restarted = fleet.add(
             Profile {
                 incarnation,
@@ -244,7 +244,7 @@
                 .node(at)
                 .members()
                 .find(|member| &*member.name == "c")
-                .expect("c is there");
+                .expect("c is a live member");
             assert_eq!(
                 (known.address, known.incarnation),
                 (winner_at, incarnations.0)
--- a/crates/membership/tests/payloads.rs
+++ b/crates/membership/tests/payloads.rs
@@ -27,7 +27,7 @@
         fleet.processes[at]
             .node
             .as_mut()
-            .expect("lives")
+            .expect("the process is running")
             .payload_mut()
             .learn(number);
         fleet.handle_input(at, Input::GossipSoon);
@@ -47,7 +47,7 @@
         fleet.processes[at]
             .node
             .as_mut()
-            .expect("lives")
+            .expect("the process is running")
             .payload_mut()
             .known
             .extend(0..4_000);
@@ -68,7 +68,7 @@
         fleet.processes[at]
             .node
             .as_mut()
-            .expect("lives")
+            .expect("the process is running")
             .payload_mut()
             .pending = (0..600).map(|n| (n, 1_000_000)).collect();
     }
@@ -77,7 +77,7 @@
     for (before, after) in before.iter().zip(fleet.counts()) {
         let per_s = (after.sent_bytes - before.sent_bytes) / 60;
         // The SWIM messages come on top of the limit.
-        assert!((8_000..12_000).contains(&per_s), "{per_s} bytes a second");
+        assert!((8_000..12_000).contains(&per_s), "{per_s} bytes per second");
         assert!(after.rate_limited > 100);
     }
     assert!(fleet.node(0).payload().largest_capacity > MAX_DATAGRAM_BYTES * 3 / 4);
--- a/crates/membership/tests/stored_form.rs
+++ b/crates/membership/tests/stored_form.rs
@@ -16,7 +16,7 @@
         Settings::default(),
         SilentPayload::default(),
     );
-    node.expect("a valid profile")
+    node.expect("the profile is valid")
 }
 
 fn first_datagram() -> Vec<u8> {
@@ -27,11 +27,12 @@
         Output::Send { bytes, .. } => Some(bytes),
         _ => None,
     });
-    sent.expect("a process alone contacts its seeds")
+    sent.expect("a process that is alone contacts its seeds")
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digits = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+    let digits =
+        |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("the file has hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
