--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -1,5 +1,6 @@
-//! CPU use and traffic of five idle processes on loopback sockets: `cargo run --release --example
-//! cpu -p beaconflow-membership`.
+//! CPU use and traffic of five idle processes on loopback sockets.
+//!
+//! `cargo run --release --example cpu -p beaconflow-membership`
 
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
--- a/crates/membership/examples/figures.rs
+++ b/crates/membership/examples/figures.rs
@@ -1,5 +1,6 @@
-//! Convergence times and traffic on a virtual clock: `cargo run --release --example figures -p
-//! beaconflow-membership`.
+//! Convergence times and traffic on a virtual clock.
+//!
+//! `cargo run --release --example figures -p beaconflow-membership`
 //!
 //! For fleets of 5, 30 and 300 processes with 5% loss, measures the time until all processes know
 //! each other after a simultaneous start, until all know that one was killed, until two partitioned
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -170,21 +170,21 @@
         incarnation: u16,
         state: State,
     ) -> foca::Member<Member> {
-        let mut own = self.0.lock();
-        if member.name != own.local.name || member == own.local {
+        let mut own_name = self.0.lock();
+        if member.name != own_name.local.name || member == own_name.local {
             return foca::Member::new(member, incarnation, state);
         }
-        let is_later = own
+        let is_later = own_name
             .conflict
             .as_ref()
             .is_none_or(|conflict| member.rank() > conflict.member.rank());
-        if member.incarnation_id() > own.local.incarnation_id() && is_later {
-            own.conflict = Some(ConflictingMember {
+        if member.incarnation_id() > own_name.local.incarnation_id() && is_later {
+            own_name.conflict = Some(ConflictingMember {
                 member,
                 is_alive: state != State::Down,
             });
         }
-        foca::Member::alive(own.local.clone())
+        foca::Member::alive(own_name.local.clone())
     }
 }
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -244,7 +244,7 @@
             Input::Leave => self.leave(now, out),
         }
         self.report_member_count();
-        let wake_at = self.next_scheduled(now);
+        let wake_at = self.next_call_at(now);
         self.wake_at = Some(wake_at);
         out.push(Output::Wake(wake_at));
     }
@@ -385,7 +385,7 @@
             (false, _) => HELLO_INTERVAL_MS,
         };
         self.schedule.hello_at = now + self.jittered(self.schedule.hello_interval_ms);
-        let known: Vec<_> = self
+        let known_addresses: Vec<_> = self
             .live_members
             .values()
             .map(|member| member.address)
@@ -394,7 +394,8 @@
             Phase::Displaced(addresses) => addresses.clone(),
             _ => self.seeds.clone(),
         };
-        candidates.retain(|address| *address != self.local.address && !known.contains(address));
+        candidates
+            .retain(|address| *address != self.local.address && !known_addresses.contains(address));
         for _ in 0..if is_alone { HELLO_FANOUT } else { 1 } {
             if candidates.is_empty() {
                 break;
@@ -441,7 +442,7 @@
         }
     }
 
-    fn next_scheduled(&self, now: Millis) -> Millis {
+    fn next_call_at(&self, now: Millis) -> Millis {
         let timers = [
             self.timers.next_due_at(),
             self.suspicions.iter().map(Suspicion::next_notice_at).min(),
--- a/crates/membership/src/senders.rs
+++ b/crates/membership/src/senders.rs
@@ -29,7 +29,7 @@
     incarnation_id: (u64, u64),
     last: u64,
     /// Bit `n` represents the counter `last - n`.
-    seen: [u64; (REPLAY_WINDOW / 64) as usize],
+    received_bits: [u64; (REPLAY_WINDOW / 64) as usize],
 }
 
 #[derive(Debug, Default)]
@@ -103,7 +103,7 @@
             last,
             ..Self::default()
         };
-        window.seen[0] = 1;
+        window.received_bits[0] = 1;
         window
     }
 
@@ -118,22 +118,22 @@
             return false;
         }
         let (index, bit) = ((behind / 64) as usize, 1 << (behind % 64));
-        let is_new = self.seen[index] & bit == 0;
-        self.seen[index] |= bit;
+        let is_new = self.received_bits[index] & bit == 0;
+        self.received_bits[index] |= bit;
         is_new
     }
 
     fn shift(&mut self, by: u64) {
         let (words, bits) = ((by / 64) as usize, by % 64);
-        for to in (0..self.seen.len()).rev() {
+        for to in (0..self.received_bits.len()).rev() {
             let shifted = |from: Option<usize>| {
-                from.and_then(|from| self.seen.get(from))
+                from.and_then(|from| self.received_bits.get(from))
                     .copied()
                     .unwrap_or(0)
             };
             let low = shifted(to.checked_sub(words));
             let high = shifted(to.checked_sub(words.saturating_add(1)));
-            self.seen[to] = if bits == 0 {
+            self.received_bits[to] = if bits == 0 {
                 low
             } else {
                 low << bits | high >> (64 - bits)
--- a/crates/membership/src/testing/numbers.rs
+++ b/crates/membership/src/testing/numbers.rs
@@ -15,7 +15,7 @@
     pub largest_capacity: usize,
 }
 
-fn packed(numbers: impl Iterator<Item = u64>, max_bytes: usize) -> Vec<u8> {
+fn encode_numbers(numbers: impl Iterator<Item = u64>, max_bytes: usize) -> Vec<u8> {
     numbers
         .take(max_bytes / 8)
         .flat_map(u64::to_be_bytes)
@@ -42,7 +42,7 @@
 impl Payload for NumberPayload {
     fn gossip(&mut self, max_bytes: usize, _: Millis) -> Vec<u8> {
         self.largest_capacity = self.largest_capacity.max(max_bytes);
-        let gossip = packed(self.pending.iter().map(|(number, _)| *number), max_bytes);
+        let gossip = encode_numbers(self.pending.iter().map(|(number, _)| *number), max_bytes);
         self.pending
             .iter_mut()
             .take(max_bytes / 8)
@@ -67,7 +67,7 @@
         behind
             .chunks(max_bytes / 8)
             .take(max_pages)
-            .map(|page| packed(page.iter().copied(), max_bytes))
+            .map(|page| encode_numbers(page.iter().copied(), max_bytes))
             .collect()
     }
 
