--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -120,7 +120,7 @@
             life,
         );
         // A client may return to another process before the next gossip round.
-        self.membership.say();
+        self.membership.gossip_soon();
     }
 
     /// Publishes a fact of this program's own kinds.
@@ -171,7 +171,7 @@
                 messages::encode_server_evidence(&told),
                 SITE_EVIDENCE_TTL_MS,
             );
-            self.membership.say();
+            self.membership.gossip_soon();
         }
     }
 
@@ -190,7 +190,7 @@
                 && known.record_placement_success(key, good, now).is_ok()
         });
         if told {
-            self.membership.say();
+            self.membership.gossip_soon();
         }
     }
 
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -68,8 +68,8 @@
     let routing_version = routing_version(&settings, endpoints);
     let recovery_config = recovery_driver::config(&config, site, &settings);
     let recovery_timeout = Duration::from_nanos(recovery_config.admits_within());
-    let recovery = RecoveryDriver::new(recovery_config, driver::random())?;
-    let edge_config = uplink::config(&config, driver::random());
+    let recovery = RecoveryDriver::new(recovery_config, driver::random_seed())?;
+    let edge_config = uplink::config(&config, driver::random_seed());
     let uplink = config
         .edge
         .is_enabled
@@ -132,7 +132,11 @@
         return_delay_s: AFFINITY_SUSPENSION_S,
         max_group_per_server: 0,
     };
-    let mut memory = Placements::new(limits, placement_origin(&file.name, boot), driver::random());
+    let mut memory = Placements::new(
+        limits,
+        placement_origin(&file.name, boot),
+        driver::random_seed(),
+    );
     memory.record_balancer_death(placement_origin(&file.name, boot.saturating_sub(1)));
     for fact in &restored.versions {
         memory.merge_version(fact, now);
@@ -212,7 +216,7 @@
         let bounds = shared_gossip::bounds(
             self.config.affinity.max_placements,
             millis(self.config.affinity.retention),
-            driver::random(),
+            driver::random_seed(),
         );
         let origin = Origin {
             name: self.config.name.clone(),
@@ -296,7 +300,7 @@
             name: self.config.name.as_str().into(),
             address: self.config.advertise.unwrap_or(self.config.listen),
             incarnation: self.incarnation,
-            seed: driver::random(),
+            seed: driver::random_seed(),
             site: self.config.site.as_str().into(),
             peer_configuration: configuration(self.routing_version, self.config.affinity.serial),
             seeds: self.config.peers.clone(),
--- a/crates/membership/examples/cpu.rs
+++ b/crates/membership/examples/cpu.rs
@@ -1,15 +1,17 @@
-//! What five quiet processes on sockets of this machine cost: `cargo run --release --example cpu -p beaconflow-membership`.
+//! CPU use and traffic of five idle processes on loopback sockets.
+//!
+//! `cargo run --release --example cpu -p beaconflow-membership`
 
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-use beaconflow_membership::driver::{Udp, random, spawn};
-use beaconflow_membership::testing::{Silent, keys};
+use beaconflow_membership::driver::{Udp, random_seed, spawn};
+use beaconflow_membership::testing::{SilentPayload, keys};
 use beaconflow_membership::{Configuration, Millis, Node, Profile, Settings};
 
-/// Of this process until now, in ticks of a hundredth of a second.
-fn ticks() -> u64 {
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("on Linux");
+/// CPU time of this process so far, in ticks of 10 ms.
+fn cpu_ticks() -> u64 {
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("/proc is available on Linux");
     let fields: Vec<_> = stat
         .rsplit(") ")
         .next()
@@ -24,11 +26,11 @@
 
 fn main() {
     let sockets: Vec<_> = (0..5)
-        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port"))
         .collect();
     let seeds: Vec<_> = sockets
         .iter()
-        .map(|socket| socket.local_addr().expect("bound"))
+        .map(|socket| socket.local_addr().expect("the socket is bound"))
         .collect();
     let start = Instant::now();
     let handles: Vec<_> = sockets
@@ -39,13 +41,18 @@
                 name: format!("p{at}").into(),
                 address: seeds[at],
                 incarnation: 1,
-                seed: random(),
+                seed: random_seed(),
                 site: "north".into(),
                 peer_configuration: Configuration::default(),
                 seeds: seeds.clone(),
             };
-            let node = Node::new(profile, keys(1), Settings::default(), Silent::default())
-                .expect("a good profile");
+            let node = Node::new(
+                profile,
+                keys(1),
+                Settings::default(),
+                SilentPayload::default(),
+            )
+            .expect("the profile is valid");
             let clock = move || start.elapsed().as_millis() as Millis;
             spawn(
                 node,
@@ -53,20 +60,20 @@
                 clock,
                 crossbeam_channel::unbounded().0,
             )
-            .expect("a thread")
+            .expect("the thread starts")
         })
         .collect();
     std::thread::sleep(Duration::from_secs(2));
-    let (before, sent) = (ticks(), handles[0].counts());
+    let (ticks_before, counts_before) = (cpu_ticks(), handles[0].counts());
     std::thread::sleep(Duration::from_secs(10));
-    let after = handles[0].counts();
+    let counts_after = handles[0].counts();
     println!(
-        "five nodes: {} ms of a core in 10 s together",
-        (ticks() - before) * 10
+        "five nodes together: {} ms of CPU time in 10 s",
+        (cpu_ticks() - ticks_before) * 10
     );
     println!(
-        "each sends {} bytes/s",
-        (after.sent_bytes - sent.sent_bytes) / 10
+        "each node sends {} bytes/s",
+        (counts_after.sent_bytes - counts_before.sent_bytes) / 10
     );
     println!(
         "members known: {:?}",
--- a/crates/membership/src/driver.rs
+++ b/crates/membership/src/driver.rs
@@ -1,4 +1,4 @@
-//! A node on a socket, in a thread of its own.
+//! Runs a node on a socket, in its own thread.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -12,46 +12,51 @@
 use tracing::{info, warn};
 
 use crate::{
-    Body, Configuration, Counts, Event, Input, Keys, LARGEST, Member, Millis, Node, Output,
+    Configuration, Counts, Event, Input, Keys, MAX_DATAGRAM_BYTES, Member, Millis, Node, Output,
+    Payload,
 };
 
-/// What the thread needs; debug builds need the most.
-const STACK: usize = 256 * 1024;
-/// Datagrams handled in a row when the node wants to be run: guards against a flood that keeps it from its turns.
-const DRAINED: usize = 64;
-/// After a fault of the link the thread waits this long: guards against a loop that burns a core.
-const FAULT_PAUSE: Duration = Duration::from_millis(200);
+/// Stack size of the thread. Debug builds need the most.
+const STACK_BYTES: usize = 256 * 1024;
+/// Datagrams handled in a row before due timers run. Without the limit, a flood of datagrams would
+/// starve the node's timers.
+const MAX_CONSECUTIVE_DATAGRAMS: usize = 64;
+/// Delay after a receive error. Without it, a failing link would make the thread spin on a core.
+const RECEIVE_ERROR_DELAY: Duration = Duration::from_millis(200);
 
 /// Wakes a thread that waits in [`Link::receive`].
 pub type Waker = Box<dyn Fn() + Send + Sync>;
 
-/// What datagrams travel over.
+/// An unreliable datagram transport.
 pub trait Link: Send {
-    /// Sends a datagram, or loses it.
+    /// Sends a datagram, which may get lost.
     ///
     /// # Errors
-    /// When it is known that it did not go out.
+    ///
+    /// Fails if the datagram is known not to have been sent.
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) -> io::Result<()>;
 
-    /// Waits for a datagram that long at most, not at all when that is zero. `None` when none came, or it was woken.
-    /// Of a datagram that is larger than the buffer the rest is lost.
+    /// Waits for a datagram for at most `wait`; a zero `wait` does not block. Returns `None` on a
+    /// timeout or a wake-up. A datagram larger than the buffer is truncated.
     ///
     /// # Errors
-    /// When none can be received.
+    ///
+    /// Fails if no datagram can be received.
     fn receive(
         &mut self,
         buffer: &mut [u8],
         wait: Duration,
     ) -> io::Result<Option<(usize, SocketAddr)>>;
 
-    /// What wakes whoever waits.
+    /// Returns a function that wakes a thread that waits in [`Link::receive`].
     ///
     /// # Errors
-    /// When there is no way to.
+    ///
+    /// Fails if the link does not support it.
     fn waker(&self) -> io::Result<Waker>;
 }
 
-/// Datagrams over UDP. Whoever waits is woken by a datagram to oneself with a secret content.
+/// Datagrams over UDP. The waker sends a datagram with secret content to the socket's own address.
 #[derive(Debug)]
 pub struct Udp {
     socket: UdpSocket,
@@ -60,16 +65,16 @@
 }
 
 impl Udp {
-    /// Takes a bound socket.
+    /// Uses a socket that is already bound.
     pub fn new(socket: UdpSocket) -> Self {
         Self {
             socket,
-            secret: random().to_be_bytes(),
+            secret: random_seed().to_be_bytes(),
             timeout: None,
         }
     }
 
-    fn wait_for(&mut self, wait: Duration) -> io::Result<()> {
+    fn set_timeout(&mut self, wait: Duration) -> io::Result<()> {
         if self.timeout != Some(wait) {
             self.socket.set_read_timeout(Some(wait))?;
             self.timeout = Some(wait);
@@ -94,111 +99,112 @@
             self.socket.set_nonblocking(false)?;
             received
         } else {
-            self.wait_for(wait)?;
+            self.set_timeout(wait)?;
             self.socket.recv_from(buffer)
         };
         match received {
             Ok((bytes, _)) if buffer[..bytes] == self.secret => Ok(None),
             Ok(received) => Ok(Some(received)),
-            Err(error) if is_in_vain(error.kind()) => Ok(None),
+            Err(error) if is_transient(error.kind()) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
     fn waker(&self) -> io::Result<Waker> {
         let (socket, secret) = (self.socket.try_clone()?, self.secret);
-        let own = socket.local_addr()?;
-        // When it is lost the thread comes round by itself a little later.
-        Ok(Box::new(move || drop(socket.send_to(&secret, own))))
+        let own_address = socket.local_addr()?;
+        // If this datagram is lost, the thread wakes at the node's next timer.
+        Ok(Box::new(move || drop(socket.send_to(&secret, own_address))))
     }
 }
 
-fn is_in_vain(kind: io::ErrorKind) -> bool {
+fn is_transient(kind: io::ErrorKind) -> bool {
     matches!(
         kind,
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted
     )
 }
 
-/// A number that is another at each start, for [`crate::Profile::seed`].
-pub fn random() -> u64 {
+/// A random number that differs with each start, for [`crate::Profile::seed`].
+pub fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// What the host reads of a running node.
+/// The state of a running node that its handle reads.
 #[derive(Debug)]
 struct View {
-    me: Member,
+    local: Member,
     is_displaced: bool,
     members: Vec<Member>,
     counts: Counts,
 }
 
-/// A running node. It leaves the fleet when this is dropped.
+/// A running node. It leaves the fleet when its handle is dropped.
 pub struct Handle {
-    orders: Sender<Input<'static>>,
+    commands: Sender<Input<'static>>,
     waker: Waker,
     view: Arc<Mutex<View>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Handle {
-    /// This process as it announces itself.
-    pub fn me(&self) -> Member {
-        self.view(|view| view.me.clone())
+    /// This process, as it announces itself to its peers.
+    pub fn local_member(&self) -> Member {
+        self.view(|view| view.local.clone())
     }
 
-    /// The other processes that are there, by name.
+    /// The other live processes, ordered by name.
     pub fn members(&self) -> Vec<Member> {
         self.view(|view| view.members.clone())
     }
 
-    /// Whether this process's name is another's, so that it stands outside the fleet.
+    /// Whether another process holds this process's name, which keeps this process out of the
+    /// fleet.
     pub fn is_displaced(&self) -> bool {
         self.view(|view| view.is_displaced)
     }
 
-    /// What passed through since the start.
+    /// Traffic and protocol counters since the start.
     pub fn counts(&self) -> Counts {
         self.view(|view| view.counts)
     }
 
-    /// The body has news that should not wait for the next round.
-    pub fn say(&self) {
-        self.order(Input::Say);
+    /// Runs the next gossip round early, because the payload has urgent changes.
+    pub fn gossip_soon(&self) {
+        self.send_command(Input::GossipSoon);
     }
 
-    /// The process runs this configuration from now on.
-    pub fn configured(&self, configuration: Configuration) {
-        self.order(Input::Configured(configuration));
+    /// Announces a new configuration of this process.
+    pub fn set_configuration(&self, configuration: Configuration) {
+        self.send_command(Input::SetConfiguration(configuration));
     }
 
-    /// These addresses are asked from now on.
-    pub fn seeds(&self, seeds: Vec<SocketAddr>) {
-        self.order(Input::Seeds(seeds));
+    /// Replaces the seed addresses.
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
+        self.send_command(Input::SetSeeds(seeds));
     }
 
-    /// These keys hold from now on.
-    pub fn keys(&self, keys: Keys) {
-        self.order(Input::Keys(Box::new(keys)));
+    /// Replaces the keys.
+    pub fn set_keys(&self, keys: Keys) {
+        self.send_command(Input::SetKeys(Box::new(keys)));
     }
 
-    /// Tells the others that this process ends, and waits for the thread.
+    /// Announces that this process leaves, and waits for the thread to end.
     pub fn stop(mut self) {
-        self.end();
+        self.shut_down();
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         if let Some(thread) = self.thread.take() {
-            self.order(Input::Leave);
-            // A thread that panicked has nothing more to tell.
+            self.send_command(Input::Leave);
+            // A panicked thread has already reported its panic.
             drop(thread.join());
         }
     }
 
-    fn order(&self, input: Input<'static>) {
-        // Fails only when the thread has ended, which nothing can be done about.
-        drop(self.orders.send(input));
+    fn send_command(&self, input: Input<'static>) {
+        // Fails only after the thread has ended; nothing is left to notify then.
+        drop(self.commands.send(input));
         (self.waker)();
     }
 
@@ -209,25 +215,27 @@
 
 impl Drop for Handle {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
-/// Runs a node on a link. All that it tells goes to the log, and to `events` as far as there is room. The clock is
-/// the program's; it should go on while the process is stopped.
+/// Runs a node on a link. Events are logged, and also sent to `events` unless that channel is full.
+/// The clock should be monotonic and advance while the process is suspended, so that pauses
+/// are detected.
 ///
 /// # Errors
-/// When the thread cannot be started or the link not be waited on.
+///
+/// Fails if the thread cannot be started, or if the link has no waker.
 pub fn spawn<B, L, C>(node: Node<B>, link: L, clock: C, events: Sender<Event>) -> io::Result<Handle>
 where
-    B: Body + Send + 'static,
+    B: Payload + Send + 'static,
     L: Link + 'static,
     C: FnMut() -> Millis + Send + 'static,
 {
     let waker = link.waker()?;
-    let (orders, inbox) = unbounded();
+    let (commands, command_inputs) = unbounded();
     let view = View {
-        me: node.me().clone(),
+        local: node.local_member().clone(),
         is_displaced: false,
         members: Vec::new(),
         counts: node.counts(),
@@ -238,18 +246,18 @@
         link,
         clock,
         events,
-        inbox,
+        command_inputs,
         view: view.clone(),
-        wake: 0,
-        out: Vec::new(),
-        untold: 0,
+        wake_at: 0,
+        outputs: Vec::new(),
+        dropped_events: 0,
     };
     let thread = std::thread::Builder::new()
         .name("peers".into())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(|| driver.run())?;
     Ok(Handle {
-        orders,
+        commands,
         waker,
         view,
         thread: Some(thread),
@@ -261,53 +269,54 @@
     link: L,
     clock: C,
     events: Sender<Event>,
-    inbox: Receiver<Input<'static>>,
+    command_inputs: Receiver<Input<'static>>,
     view: Arc<Mutex<View>>,
-    wake: Millis,
-    out: Vec<Output>,
-    untold: u64,
+    wake_at: Millis,
+    outputs: Vec<Output>,
+    dropped_events: u64,
 }
 
-impl<B: Body, L: Link, C: FnMut() -> Millis> Driver<B, L, C> {
+impl<B: Payload, L: Link, C: FnMut() -> Millis> Driver<B, L, C> {
     fn run(mut self) {
-        self.step(Input::Start);
-        // One byte more than is ever sent tells what is too large.
-        let mut buffer = [0; LARGEST + 1];
-        let mut drained = 0;
+        self.handle_input(Input::Start);
+        // One byte more than the limit, so that larger datagrams are detected.
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        let mut consecutive_datagrams = 0;
         loop {
-            let wait = Duration::from_millis(self.wake.saturating_sub((self.clock)()));
+            let wait = Duration::from_millis(self.wake_at.saturating_sub((self.clock)()));
             let received = self.link.receive(&mut buffer, wait);
             if let Ok(Some((bytes, from))) = received {
-                self.step(Input::Datagram {
+                self.handle_input(Input::Datagram {
                     from,
                     bytes: &buffer[..bytes],
                 });
-                drained += 1;
+                consecutive_datagrams += 1;
             }
-            if !self.follow_orders() {
+            if !self.handle_commands() {
                 return;
             }
             if let Err(error) = &received {
-                warn!("datagrams from peers cannot be received: {error}");
-                std::thread::sleep(FAULT_PAUSE);
+                warn!("cannot receive datagrams from peers: {error}");
+                std::thread::sleep(RECEIVE_ERROR_DELAY);
             }
-            // What was sent before the node's turn is heard before it: guards against blaming a peer whose answer
-            // lies in the socket.
-            if matches!(received, Ok(Some(_))) && drained < DRAINED {
+            // Datagrams that are already in the socket are handled before timers fire. Otherwise a
+            // peer would be suspected although its answer has arrived.
+            if matches!(received, Ok(Some(_))) && consecutive_datagrams < MAX_CONSECUTIVE_DATAGRAMS
+            {
                 continue;
             }
-            drained = 0;
-            if (self.clock)() >= self.wake {
-                self.step(Input::Tick);
+            consecutive_datagrams = 0;
+            if (self.clock)() >= self.wake_at {
+                self.handle_input(Input::Tick);
             }
         }
     }
 
-    /// Whether to go on.
-    fn follow_orders(&mut self) -> bool {
-        while let Ok(input) = self.inbox.try_recv() {
+    /// Returns `false` once the node has left.
+    fn handle_commands(&mut self) -> bool {
+        while let Ok(input) = self.command_inputs.try_recv() {
             let is_last = matches!(input, Input::Leave);
-            self.step(input);
+            self.handle_input(input);
             if is_last {
                 return false;
             }
@@ -315,48 +324,50 @@
         true
     }
 
-    fn step(&mut self, input: Input<'_>) {
+    fn handle_input(&mut self, input: Input<'_>) {
         let now = (self.clock)();
-        let mut out = std::mem::take(&mut self.out);
-        self.node.handle(now, input, &mut out);
+        let mut outputs = std::mem::take(&mut self.outputs);
+        self.node.handle(now, input, &mut outputs);
         let mut events = Vec::new();
-        for output in out.drain(..) {
+        for output in outputs.drain(..) {
             match output {
-                // What is lost here is made up for like what is lost on the way.
+                // A failed send is treated like a datagram lost on the network.
                 Output::Send { to, bytes } => drop(self.link.send(to, &bytes)),
                 Output::Event(event) => events.push(*event),
-                Output::Wake(at) => self.wake = at,
+                Output::Wake(at) => self.wake_at = at,
             }
         }
-        self.out = out;
-        // Before the events: whoever hears of one finds it shown.
-        self.show(!events.is_empty());
-        events.into_iter().for_each(|event| self.tell(event));
+        self.outputs = outputs;
+        // The view is updated first, so that a receiver of an event finds its effect there.
+        self.update_view(!events.is_empty());
+        events
+            .into_iter()
+            .for_each(|event| self.report_event(event));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn report_event(&mut self, event: Event) {
         if event.is_fault() {
             warn!("{event}");
         } else {
             info!("{event}");
         }
         if self.events.try_send(event).is_err() {
-            self.untold += 1;
+            self.dropped_events += 1;
         }
     }
 
-    fn show(&mut self, is_news: bool) {
+    fn update_view(&mut self, has_events: bool) {
         let mut view = self.view.lock().unwrap_or_else(PoisonError::into_inner);
         view.counts = Counts {
-            untold: self.untold,
+            dropped_events: self.dropped_events,
             ..self.node.counts()
         };
-        if is_news || view.is_displaced != self.node.is_displaced() {
+        if has_events || view.is_displaced != self.node.is_displaced() {
             view.is_displaced = self.node.is_displaced();
             view.members = self.node.members().cloned().collect();
         }
-        if *self.node.me() != view.me {
-            view.me = self.node.me().clone();
+        if *self.node.local_member() != view.local {
+            view.local = self.node.local_member().clone();
         }
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,79 +1,80 @@
-//! What a node tells its host.
+//! Events and counters that a node reports to its host.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use crate::{Member, Millis, Refusal};
 
-/// Something that the host or the log should know. Its text is the line for the log.
+/// A change for the host or the log. Its `Display` form is the log message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A process is there that was not, or is there again.
+    /// A process joined or returned.
     Up(Member),
-    /// A process is gone.
+    /// A process left or was declared down.
     Down(Member),
-    /// A process started anew; the life before is over.
+    /// A process restarted, which ends its previous incarnation.
     Restarted {
-        /// As it was.
-        was: Member,
-        /// As it is.
-        now: Member,
+        /// The incarnation that ended.
+        previous: Member,
+        /// The present incarnation.
+        current: Member,
     },
-    /// A process runs another configuration, or is of another site, than before.
+    /// A process changed its configuration or site.
     Changed {
-        /// As it was.
-        was: Member,
-        /// As it is.
-        now: Member,
+        /// The member before the change.
+        previous: Member,
+        /// The member after the change.
+        current: Member,
     },
-    /// A process took another name: at its address there is another now.
+    /// A process with another name now runs at the address of a known one.
     Renamed {
-        /// The name that is gone.
-        was: Member,
-        /// The one that took its place.
-        now: Member,
+        /// The name that was replaced.
+        previous: Member,
+        /// The name at the address now.
+        current: Member,
     },
-    /// Two living processes bear one name: a fault of their set-up.
-    Doubled {
-        /// The one that counts: of the later boot.
+    /// Two running processes have the same name, which is a deployment error.
+    NameConflictFound {
+        /// The process that keeps the name: the one of the later incarnation.
         holder: Member,
-        /// Where the other is.
-        other: SocketAddr,
-        /// The other's boot number.
-        other_boot: u64,
+        /// Address of the other process.
+        other_address: SocketAddr,
+        /// Incarnation of the other process.
+        other_incarnation: u64,
     },
-    /// This process's own name is a later one's: it stands outside the fleet until the other is gone, or it gets
-    /// another name.
+    /// A later incarnation holds this process's name. This process stays out of the fleet until
+    /// that one ends, or until it is given another name.
     Displaced {
-        /// The process that bears the name.
-        by: Member,
+        /// The process that holds the name.
+        holder: Member,
     },
-    /// The fleet knew a later life of this process than its boot number said: keep this number.
-    BootRaised(u64),
-    /// This process was not run for that long, and announces itself anew.
-    Woke(Millis),
-    /// The others had declared this process down: it announces itself anew.
-    Returned,
-    /// Datagrams of this address are refused. NameConflict at most once a minute for each address.
-    Refused {
-        /// Where they come from.
+    /// The fleet knew a later incarnation of this process than its own. The host must store this
+    /// number.
+    IncarnationRaised(u64),
+    /// This process did not run for this many milliseconds, and announces a new identity.
+    PauseDetected(Millis),
+    /// Peers had declared this process down, so it announced a new identity.
+    Rejoined,
+    /// Datagrams from this address were refused. Reported at most once a minute for each address.
+    DatagramsRefused {
+        /// Source address of the datagrams.
         from: SocketAddr,
-        /// Why the last was.
-        why: Refusal,
-        /// How many since it was told the last time.
+        /// Why the latest datagram was refused.
+        reason: Refusal,
+        /// Number of refused datagrams since the previous report.
         count: u64,
     },
 }
 
 impl Event {
-    /// Whether an operator has something to mend.
+    /// Whether the event requires action by an operator.
     pub fn is_fault(&self) -> bool {
         matches!(
             self,
-            Self::Doubled { .. }
+            Self::NameConflictFound { .. }
                 | Self::Displaced { .. }
-                | Self::Refused { .. }
-                | Self::BootRaised(_)
+                | Self::DatagramsRefused { .. }
+                | Self::IncarnationRaised(_)
         )
     }
 }
@@ -81,80 +82,91 @@
 impl fmt::Display for Event {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Up(member) => write!(out, "peer {member} of site `{}` is there", member.site),
-            Self::Down(member) => write!(out, "peer {member} is gone"),
-            Self::Restarted { was, now } => {
+            Self::Up(member) => write!(out, "peer {member} of site `{}` is up", member.site),
+            Self::Down(member) => write!(out, "peer {member} is down"),
+            Self::Restarted { previous, current } => {
                 write!(
                     out,
-                    "peer {now} started anew, it was boot {}",
-                    was.incarnation
+                    "peer {current} restarted; its previous boot was {}",
+                    previous.incarnation
                 )
             }
-            Self::Changed { was, now } => write!(
+            Self::Changed { previous, current } => write!(
+                out,
+                "peer {current} changed to configuration {} at site `{}`, from configuration {} at site `{}`",
+                current.configuration.order,
+                current.site,
+                previous.configuration.order,
+                previous.site
+            ),
+            Self::Renamed { previous, current } => write!(
                 out,
-                "peer {now} runs configuration {} of site `{}`, it was {} of site `{}`",
-                now.configuration.order, now.site, was.configuration.order, was.site
+                "peer {previous} was replaced by {current} at the same address"
             ),
-            Self::Renamed { was, now } => write!(out, "peer {was} is {now} now"),
-            Self::Doubled {
+            Self::NameConflictFound {
                 holder,
-                other,
-                other_boot,
+                other_address,
+                other_incarnation,
             } => write!(
                 out,
-                "two processes bear one name: {holder}, which counts, and the one at {other} (boot {other_boot}): \
-                 give each its own"
+                "two processes have the same name: {holder}, which keeps it, and the one at {other_address} \
+                 (boot {other_incarnation}); give each process its own name"
             ),
-            Self::Displaced { by } => write!(
+            Self::Displaced { holder } => write!(
                 out,
-                "this process's name is another's: {by}. It stands outside the fleet until the other is gone"
+                "another process holds this process's name: {holder}; this process is excluded from the fleet until that one ends"
             ),
-            Self::BootRaised(boot) => {
+            Self::IncarnationRaised(incarnation) => {
                 write!(
                     out,
-                    "the fleet knew a later life of this process: its boot number is {boot} now"
+                    "the fleet knew a later incarnation of this process; its boot number is now {incarnation}"
                 )
             }
-            Self::Woke(gap) => write!(
+            Self::PauseDetected(pause_ms) => write!(
                 out,
-                "this process was not run for {gap} ms, it announces itself anew"
+                "this process was not run for {pause_ms} ms; it announces a new identity"
             ),
-            Self::Returned => write!(
+            Self::Rejoined => write!(
                 out,
-                "the others took this process for gone, it announces itself anew"
+                "peers had declared this process down; it announces a new identity"
             ),
-            Self::Refused { from, why, count } => {
+            Self::DatagramsRefused {
+                from,
+                reason,
+                count,
+            } => {
                 write!(
                     out,
-                    "{count} datagrams from {from} were refused, the last: {}",
-                    why.label()
+                    "{count} datagrams from {from} were refused; latest reason: {}",
+                    reason.label()
                 )
             }
         }
     }
 }
 
-/// What passed through a node since its start.
+/// Counters of a node since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that came.
+    /// Datagrams received, including refused ones.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams received.
     pub received_bytes: u64,
-    /// Datagrams refused, in the order of [`Refusal::ALL`].
+    /// Datagrams refused, by reason, in the order of [`Refusal::ALL`].
     pub refused: [u64; Refusal::ALL.len()],
-    /// Datagrams that said nothing this program knows, or came from nobody it knows to be there.
-    pub unheard: u64,
-    /// Pages and rumours held back since there were too many bytes already.
+    /// Messages ignored: of an unknown kind, from a process that is not a live member, or rejected
+    /// by the SWIM library.
+    pub ignored: u64,
+    /// Gossip and pages withheld because of the byte budget.
     pub rate_limited: u64,
-    /// Members suspected by this node's own probes.
+    /// Suspicions raised after failed probes by this node.
     pub suspected: u64,
-    /// How often this process announced itself anew.
+    /// Times that this process announced a new identity.
     pub renewals: u64,
-    /// Events that the host did not take in time.
-    pub untold: u64,
+    /// Events dropped because the host's channel was full.
+    pub dropped_events: u64,
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,145 +1,152 @@
-//! What a node is told at its start, and the checks on it.
+//! Configuration of a node, and its validation.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use crate::{Configuration, Millis};
 
-/// The largest datagram that is sent or taken, in bytes.
-pub const LARGEST: usize = 1_200;
-/// The longest name of a process, in bytes: up to three stand in one datagram.
-pub const LONGEST_NAME: usize = 64;
-/// The longest name of a site, in bytes.
-pub const LONGEST_SITE: usize = 32;
+/// Maximum size of a datagram, sent or received, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// Maximum length of a process name, in bytes. One datagram holds up to three names.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Maximum length of a site name, in bytes.
+pub const MAX_SITE_BYTES: usize = 32;
 
-/// Who this process is, and whom it asks first.
+/// Identity of this process, and the addresses that it contacts first.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// Its name, one of its kind in the fleet.
+    /// Name of the process, unique in the fleet.
     pub name: Arc<str>,
-    /// The address that the others reach it at.
+    /// Address at which peers reach the process.
     pub address: SocketAddr,
-    /// Has to be higher than at the start before. When the fleet knows a higher one, [`crate::Event::BootRaised`]
-    /// tells which to keep.
+    /// Must be higher than at the previous start. If the fleet knows a higher one,
+    /// [`crate::Event::IncarnationRaised`] reports the number to store.
     pub incarnation: u64,
     /// Drawn at random at each start.
     pub seed: u64,
-    /// The site that it stands in.
+    /// Site of the process.
     pub site: Arc<str>,
-    /// The configuration that it runs.
+    /// Configuration that the process runs at its start.
     pub peer_configuration: Configuration,
-    /// Addresses of processes that may be there; its own among them is passed over.
+    /// Addresses of processes that may be running. The process's own address is ignored.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What is wrong with a [`Profile`].
+/// Why a [`Profile`] is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProfileFault {
-    /// The name is empty, too long or holds control characters.
-    Name,
-    /// The site is too long or holds control characters.
-    Site,
-    /// The address is one that nobody can send to (no port, or any address).
-    Address,
+pub enum ProfileError {
+    /// The name is empty, too long or contains control characters.
+    InvalidName,
+    /// The site is too long or contains control characters.
+    InvalidSite,
+    /// The address cannot be a destination: its port is zero or its IP address is unspecified.
+    InvalidAddress,
 }
 
-impl std::fmt::Display for ProfileFault {
+impl std::fmt::Display for ProfileError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Name => {
+            Self::InvalidName => {
                 write!(
                     out,
-                    "the name has to have 1 to {LONGEST_NAME} bytes without control characters"
+                    "the name must have 1 to {MAX_NAME_BYTES} bytes and no control characters"
                 )
             }
-            Self::Site => {
+            Self::InvalidSite => {
                 write!(
                     out,
-                    "the site has to have {LONGEST_SITE} bytes at most, none a control character"
+                    "the site must have at most {MAX_SITE_BYTES} bytes and no control characters"
+                )
+            }
+            Self::InvalidAddress => {
+                write!(
+                    out,
+                    "the address must have a nonzero port and a specific IP address"
                 )
             }
-            Self::Address => write!(out, "the address has to be one that the others can send to"),
         }
     }
 }
 
-impl std::error::Error for ProfileFault {}
+impl std::error::Error for ProfileError {}
 
 impl Profile {
-    /// Everything that is wrong with it.
+    /// Validates the profile.
     ///
     /// # Errors
-    /// All faults at once.
-    pub fn check(&self) -> Result<(), Vec<ProfileFault>> {
-        let mut faults = Vec::new();
+    ///
+    /// Returns all errors at once.
+    pub fn check(&self) -> Result<(), Vec<ProfileError>> {
+        let mut errors = Vec::new();
         if !is_name(&self.name) {
-            faults.push(ProfileFault::Name);
+            errors.push(ProfileError::InvalidName);
         }
         if !is_site(&self.site) {
-            faults.push(ProfileFault::Site);
+            errors.push(ProfileError::InvalidSite);
         }
         if !is_reachable(self.address) {
-            faults.push(ProfileFault::Address);
+            errors.push(ProfileError::InvalidAddress);
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(())
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 }
 
 pub(crate) fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= LONGEST_NAME && !name.chars().any(char::is_control)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control)
 }
 
 pub(crate) fn is_site(site: &str) -> bool {
-    site.len() <= LONGEST_SITE && !site.chars().any(char::is_control)
+    site.len() <= MAX_SITE_BYTES && !site.chars().any(char::is_control)
 }
 
 pub(crate) fn is_reachable(address: SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
 
-/// The times and bounds of a node. The defaults are those that were measured; all processes of a fleet should have
-/// the same.
+/// Intervals and limits of a node. All processes of a fleet should use the same values.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Each member probes one other in this time.
-    pub probe: Millis,
-    /// After this long without an answer others are asked to probe.
-    pub answer: Millis,
-    /// How long a suspect has to speak up before it is declared down.
-    pub suspect: Millis,
-    /// What is new is told in rounds this far apart, a quarter more or less.
-    pub round: Millis,
-    /// To this many members at random in each round.
+    /// Interval at which each member probes one other member.
+    pub probe_interval_ms: Millis,
+    /// Time without an answer after which other members are asked to probe.
+    pub probe_timeout_ms: Millis,
+    /// Time that a suspected member has to refute the suspicion before it is declared down.
+    pub suspicion_timeout_ms: Millis,
+    /// Interval between gossip rounds, with a jitter of a quarter.
+    pub gossip_interval_ms: Millis,
+    /// Random members that receive gossip in each round.
     pub gossip_fanout: usize,
-    /// One random member is asked for what is missing in this time, a quarter more or less.
-    pub summary: Millis,
-    /// At most this many pages answer a summary.
-    pub pages: usize,
-    /// A node that was not run for this long announces itself anew: the others may have declared it down.
-    pub pause: Millis,
-    /// A member that is down is forgotten after this.
-    pub forget: Millis,
-    /// Bodies may fill this many bytes a second.
-    pub bytes_per_s: u64,
+    /// Interval at which missing state is requested from one random member, with a jitter of a
+    /// quarter.
+    pub summary_interval_ms: Millis,
+    /// Maximum number of pages that answer a summary.
+    pub max_pages: usize,
+    /// A node that did not run for this long announces a new identity, because its peers may have
+    /// declared it down.
+    pub pause_threshold_ms: Millis,
+    /// Time after which a down member is forgotten.
+    pub forget_down_after_ms: Millis,
+    /// Maximum rate of payload bytes.
+    pub payload_bytes_per_s: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            probe: 500,
-            answer: 200,
-            suspect: 3_000,
-            round: 200,
+            probe_interval_ms: 500,
+            probe_timeout_ms: 200,
+            suspicion_timeout_ms: 3_000,
+            gossip_interval_ms: 200,
             gossip_fanout: 3,
-            summary: 1_000,
-            pages: 4,
-            pause: 3_500,
-            forget: 24 * 3_600_000,
-            bytes_per_s: 64 * 1_024,
+            summary_interval_ms: 1_000,
+            max_pages: 4,
+            pause_threshold_ms: 3_500,
+            forget_down_after_ms: 24 * 3_600_000,
+            payload_bytes_per_s: 64 * 1_024,
         }
     }
 }
--- a/crates/membership/src/testing.rs
+++ b/crates/membership/src/testing.rs
@@ -1,25 +1,25 @@
-//! Nodes on a virtual clock, and a net in memory that loses, delays and cuts: for tests.
+//! Nodes on a virtual clock, and an in-memory network with loss, delay and partitions, for tests.
 
 mod fleet;
 mod net;
 mod numbers;
 
-pub use fleet::{Fleet, Seat};
-pub use net::{Net, Port, Rules};
-pub use numbers::Numbers;
+pub use fleet::{Fleet, Process};
+pub use net::{MemoryLink, MemoryNetwork, NetworkConditions};
+pub use numbers::NumberPayload;
 
-use crate::{Body, Configuration, Key, Keys, Member, Millis, Profile};
+use crate::{Configuration, Key, Keys, Member, Millis, Payload, Profile};
 
-/// A body that has nothing to tell and remembers what it was told.
+/// A payload that sends nothing and records what it receives.
 #[derive(Clone, Debug, Default)]
-pub struct Silent {
-    /// How many processes are there.
-    pub members: usize,
-    /// What came, from whom.
-    pub taken: Vec<(String, Vec<u8>)>,
+pub struct SilentPayload {
+    /// Number of live processes as last reported.
+    pub member_count: usize,
+    /// Received bytes, each with its sender's name.
+    pub received: Vec<(String, Vec<u8>)>,
 }
 
-impl Body for Silent {
+impl Payload for SilentPayload {
     fn gossip(&mut self, _: usize, _: Millis) -> Vec<u8> {
         Vec::new()
     }
@@ -32,30 +32,30 @@
         Vec::new()
     }
 
-    fn take(&mut self, from: &Member, bytes: &[u8], _: Millis) {
-        self.taken.push((from.name.to_string(), bytes.to_vec()));
+    fn receive(&mut self, from: &Member, bytes: &[u8], _: Millis) {
+        self.received.push((from.name.to_string(), bytes.to_vec()));
     }
 
-    fn members(&mut self, n: usize) {
-        self.members = n;
+    fn set_member_count(&mut self, count: usize) {
+        self.member_count = count;
     }
 }
 
-/// A key for tests, another for each number.
+/// A test key that depends on the number.
 pub fn keys(n: u8) -> Keys {
-    Keys::only(Key::new(&[n; crate::SHORTEST_KEY]).expect("as long as a key has to be"))
+    Keys::only(Key::new(&[n; crate::MIN_KEY_BYTES]).expect("the test key has the minimum length"))
 }
 
-/// The profile of the process `name` at port `port` of this machine, in its first life.
+/// Profile of a process at a port of the loopback address, in its first incarnation.
 pub fn profile(name: &str, port: u16, seeds: &[u16]) -> Profile {
-    let at = |port| ([127, 0, 0, 1], port).into();
+    let local = |port| ([127, 0, 0, 1], port).into();
     Profile {
         name: name.into(),
-        address: at(port),
+        address: local(port),
         incarnation: 1,
         seed: port.into(),
         site: "north".into(),
         peer_configuration: Configuration::default(),
-        seeds: seeds.iter().map(|port| at(*port)).collect(),
+        seeds: seeds.iter().map(|port| local(*port)).collect(),
     }
 }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -1,39 +1,39 @@
 use super::*;
 use crate::Key;
 
-/// A word as a later program might send it: what is known under its numbers, and more.
+/// A message as a newer version may send it, with additional fields.
 #[derive(Clone, PartialEq, Message)]
 struct LaterContent {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(uint64, tag = "2")]
-    boot: u64,
+    incarnation: u64,
     #[prost(fixed64, tag = "3")]
-    life: u64,
+    start_nonce: u64,
     #[prost(uint64, tag = "4")]
     counter: u64,
     #[prost(bytes = "vec", optional, tag = "10")]
-    rumours: Option<Vec<u8>>,
+    gossip: Option<Vec<u8>>,
     #[prost(string, tag = "40")]
-    mood: String,
+    extra: String,
     #[prost(bytes = "vec", optional, tag = "41")]
-    new_word: Option<Vec<u8>>,
+    new_message: Option<Vec<u8>>,
 }
 
 fn keys() -> Keys {
-    Keys::only(Key::new(&[3; 32]).expect("long enough"))
+    Keys::only(Key::new(&[3; 32]).expect("the test key has the minimum length"))
 }
 
-fn later(rumours: Option<Vec<u8>>, new_word: Option<Vec<u8>>) -> Vec<u8> {
-    let (name, mood) = ("a".to_owned(), "bright".to_owned());
+fn later(gossip: Option<Vec<u8>>, new_message: Option<Vec<u8>>) -> Vec<u8> {
+    let (name, extra) = ("a".to_owned(), "bright".to_owned());
     let content = LaterContent {
         name,
-        boot: 5,
-        life: 6,
+        incarnation: 5,
+        start_nonce: 6,
         counter: 7,
-        rumours,
-        mood,
-        new_word,
+        gossip,
+        extra,
+        new_message,
     };
     let (sealed, key) = (content.encode_to_vec(), keys().current);
     let digest = key.digest(VERSION, &sealed).to_vec();
@@ -44,13 +44,13 @@
         sealed,
     }
     .encode_to_vec();
-    // A field that this program's frames do not have: number 30, a varint.
+    // An unknown field of the frame: number 30, a varint.
     frame.extend([0xf0, 0x01, 0x05]);
     frame
 }
 
 #[test]
-fn what_a_later_program_adds_is_passed_over() {
+fn ignores_fields_of_newer_version() {
     let known = Content {
         name: "a".into(),
         incarnation: 5,
@@ -58,17 +58,17 @@
         counter: 7,
         message: None,
     };
-    let rumours = Content {
-        message: Some(WireMessage::Rumours(vec![1, 2])),
+    let gossip = Content {
+        message: Some(WireMessage::Gossip(vec![1, 2])),
         ..known.clone()
     };
-    assert_eq!(open(&keys(), &later(Some(vec![1, 2]), None)), Ok(rumours));
-    // A word that it does not know says nothing, and is no fault.
+    assert_eq!(open(&keys(), &later(Some(vec![1, 2]), None)), Ok(gossip));
+    // A message of an unknown kind decodes to no message, without an error.
     assert_eq!(open(&keys(), &later(None, Some(vec![1]))), Ok(known));
 }
 
 #[test]
-fn fields_keep_their_numbers() {
+fn keeps_field_numbers() {
     let member = Member {
         name: "a".into(),
         address: ([127, 0, 0, 1], 9).into(),
@@ -106,11 +106,11 @@
 }
 
 #[test]
-fn the_widest_word_is_no_larger_than_a_datagram() {
-    let name = "n".repeat(crate::LONGEST_NAME);
+fn fits_widest_message_into_datagram() {
+    let name = "n".repeat(crate::MAX_NAME_BYTES);
     let page = Page {
         bytes: vec![1; payload_capacity(&name)],
-        more: true,
+        has_more: true,
     };
     let content = Content {
         name,
@@ -121,8 +121,8 @@
     };
     let bytes = seal(&keys(), &content);
     assert!(
-        (LARGEST - 8..=LARGEST).contains(&bytes.len()),
-        "{} bytes",
+        (MAX_DATAGRAM_BYTES - 8..=MAX_DATAGRAM_BYTES).contains(&bytes.len()),
+        "the datagram has {} bytes",
         bytes.len()
     );
     assert_eq!(open(&keys(), &bytes), Ok(content));
--- a/crates/membership/tests/stored_form.rs
+++ b/crates/membership/tests/stored_form.rs
@@ -1,21 +1,22 @@
-//! A datagram as the first released program sent it: the same one is sent, and it is accepted.
+//! Compatibility with the first released version: its first datagram is sent in the same form, and
+//! is accepted.
 
 use std::net::SocketAddr;
 
-use beaconflow_membership::testing::{Silent, keys, profile};
+use beaconflow_membership::testing::{SilentPayload, keys, profile};
 use beaconflow_membership::{Input, Keys, Node, Output, Settings};
 
 /// The first datagram of a process that is alone, in hexadecimal digits.
 const FIRST_DATAGRAM: &str = include_str!("data/first_datagram.hex");
 
-fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<Silent> {
+fn node(name: &str, port: u16, seeds: &[u16], keys: Keys) -> Node<SilentPayload> {
     let node = Node::new(
         profile(name, port, seeds),
         keys,
         Settings::default(),
-        Silent::default(),
+        SilentPayload::default(),
     );
-    node.expect("a valid profile")
+    node.expect("the profile is valid")
 }
 
 fn first_datagram() -> Vec<u8> {
@@ -26,16 +27,17 @@
         Output::Send { bytes, .. } => Some(bytes),
         _ => None,
     });
-    sent.expect("a process alone contacts its seeds")
+    sent.expect("a process that is alone contacts its seeds")
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digits = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+    let digits =
+        |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("the file has hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
 #[test]
-fn sends_the_first_datagram_as_it_was_first_sent() {
+fn sends_first_datagram_in_released_form() {
     let sent: String = first_datagram()
         .iter()
         .map(|byte| format!("{byte:02x}"))
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn accepts_the_first_datagram_that_was_first_sent() {
+fn accepts_first_datagram_in_released_form() {
     let (mut receiver, mut out) = (node("b", 2, &[], keys(1)), Vec::new());
     receiver.handle(0, Input::Start, &mut out);
     let (from, bytes) = (
