--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -3,107 +3,115 @@
 mod support;
 
 use beaconflow_edge::*;
-use support::One;
+use support::TestProcess;
 
-use State::{Doubtful, Islanded, Linked, Rejoining};
+use UplinkState::{Doubtful, Isolated, Linked, Rejoining};
 
 #[test]
-fn a_lost_link_makes_an_island_soon_and_its_return_ends_it_by_a_merge() {
-    let mut one = One::linked("n1");
-    let lost = one.now;
-    one.run(20_000, |one, _| one.all_lost());
-    assert_eq!(one.states(), [Doubtful, Islanded]);
-    let took = one.came(Islanded).expect("an island") - lost;
+fn isolates_on_uplink_loss_and_merges_on_return() {
+    let mut process = TestProcess::linked("n1");
+    let lost_at = process.now;
+    process.run(20_000, |process, _| process.all_lost());
+    assert_eq!(process.states(), [Doubtful, Isolated]);
+    let elapsed = process.entered_at(Isolated).expect("an island") - lost_at;
     assert!(
-        (2_000..=6_000).contains(&took),
-        "confirmed, and soon: {took}"
+        (2_000..=6_000).contains(&elapsed),
+        "confirmed, and soon: {elapsed}"
     );
-    one.run(60_000, |one, _| one.all_lost());
-    let back = one.now;
-    one.run(10_000, |one, _| one.all_answer());
+    process.run(60_000, |process, _| process.all_lost());
+    let restored_at = process.now;
+    process.run(10_000, |process, _| process.all_answer());
     assert_eq!(
-        one.states(),
-        [Doubtful, Islanded, Rejoining],
+        process.states(),
+        [Doubtful, Isolated, Rejoining],
         "not linked before the merge is done"
     );
     assert!(
-        (3_000..=5_000).contains(&(one.came(Rejoining).expect("back") - back)),
+        (3_000..=5_000).contains(&(process.entered_at(Rejoining).expect("back") - restored_at)),
         "steady first"
     );
     assert_eq!(
-        one.count(|action| *action == Action::Rejoin(Step::Merge)),
+        process.count(|action| *action == Action::Rejoin(RejoinStep::Merge)),
         1
     );
-    one.tell(Evidence::Done(Step::Merge));
-    one.run(2_000, |one, _| one.all_answer());
-    assert_eq!(one.edge.state(), Linked);
+    process.handle(Evidence::RejoinStepDone(RejoinStep::Merge));
+    process.run(2_000, |process, _| process.all_answer());
+    assert_eq!(process.edge.state(), Linked);
 }
 
 #[test]
-fn one_lost_watch_is_no_island_nor_is_discovery_down_for_all() {
-    for asks in [false, true] {
-        let mut one = One::linked("n1");
-        one.run(600_000, |one, _| {
-            one.tell(Evidence::WatchLost);
-            if asks {
-                one.tell(Evidence::DiscoveryFailed);
+fn stays_linked_when_only_discovery_fails() {
+    for requests_fail in [false, true] {
+        let mut process = TestProcess::linked("n1");
+        process.run(600_000, |process, _| {
+            process.handle(Evidence::WatchLost);
+            if requests_fail {
+                process.handle(Evidence::DiscoveryFailed);
             }
-            one.sites(|name, site| Evidence::PeerHeard {
+            process.each_remote_peer(|name, site| Evidence::PeerMessage {
                 name,
                 site,
-                both_ways: true,
+                is_bidirectional: true,
             });
         });
-        assert_eq!(one.states(), [], "sites beyond are heard");
+        assert_eq!(process.states(), [], "sites beyond are heard");
         // Nobody else is heard of at all: a doubt, that ends, and does not come back each time.
-        let mut one = One::start("n1", Start::Anew);
-        one.run(30_000, |one, _| one.tell(Evidence::WatchStands));
-        one.did.clear();
-        one.run(600_000, |one, _| {
-            one.tell(Evidence::WatchLost);
-            if asks {
-                one.tell(Evidence::DiscoveryFailed);
+        let mut process = TestProcess::start("n1", Start::Fresh);
+        process.run(30_000, |process, _| process.handle(Evidence::WatchAlive));
+        process.actions.clear();
+        process.run(600_000, |process, _| {
+            process.handle(Evidence::WatchLost);
+            if requests_fail {
+                process.handle(Evidence::DiscoveryFailed);
             }
         });
-        assert_eq!(one.states(), [Doubtful, Linked], "asks {asks}");
+        assert_eq!(process.states(), [Doubtful, Linked], "asks {requests_fail}");
     }
 }
 
 #[test]
-fn a_link_that_flaps_changes_little_and_moves_nobody() {
+fn limits_transitions_when_uplink_flaps() {
     // Every two seconds, and every second: too short for any loss to be confirmed.
     for period in [4, 2] {
-        let mut one = One::linked("n1");
-        one.run(60_000, |one, second| {
+        let mut process = TestProcess::linked("n1");
+        process.run(60_000, |process, second| {
             if second % period < period / 2 {
-                one.all_lost()
+                process.all_lost()
             } else {
-                one.all_answer()
+                process.all_answer()
             }
         });
-        assert_eq!(one.states(), [Doubtful, Islanded], "{:?}", one.did);
-        assert_eq!(one.count(|action| matches!(action, Action::Rejoin(_))), 0);
-        assert!(one.probes() <= 80, "{} probes", one.probes());
+        assert_eq!(
+            process.states(),
+            [Doubtful, Isolated],
+            "{:?}",
+            process.actions
+        );
+        assert_eq!(
+            process.count(|action| matches!(action, Action::Rejoin(_))),
+            0
+        );
+        assert!(process.probes() <= 80, "{} probes", process.probes());
         // It comes back when it has stood for long enough.
-        one.run(30_000, |one, _| one.all_answer());
-        assert_eq!(one.states(), [Doubtful, Islanded, Rejoining]);
+        process.run(30_000, |process, _| process.all_answer());
+        assert_eq!(process.states(), [Doubtful, Isolated, Rejoining]);
     }
 }
 
 #[test]
-fn a_link_that_carries_one_way_is_lost() {
-    let mut one = One::linked("n1");
-    one.run(30_000, |one, _| {
-        one.tell(Evidence::WatchLost);
-        one.tell(Evidence::StoreFailed);
-        one.sites(|name, site| Evidence::PeerHeard {
+fn isolates_when_uplink_is_one_way() {
+    let mut process = TestProcess::linked("n1");
+    process.run(30_000, |process, _| {
+        process.handle(Evidence::WatchLost);
+        process.handle(Evidence::StoreFailed);
+        process.each_remote_peer(|name, site| Evidence::PeerMessage {
             name,
             site,
-            both_ways: false,
+            is_bidirectional: false,
         });
     });
-    assert_eq!(one.states(), [Doubtful, Islanded]);
-    let lines = one.edge.snapshot(one.now).lines().join("\n");
+    assert_eq!(process.states(), [Doubtful, Isolated]);
+    let lines = process.edge.snapshot(process.now).lines().join("\n");
     assert!(
         lines.contains("site ard was heard but does not hear"),
         "{lines}"
@@ -111,20 +119,21 @@
 }
 
 #[test]
-fn a_slow_link_is_no_island() {
-    let mut one = One::linked("n1");
+fn stays_linked_when_uplink_is_slow() {
+    let mut process = TestProcess::linked("n1");
     // Asks run into their deadlines; what is patient is answered late.
-    one.run(300_000, |one, second| {
-        one.tell(Evidence::WatchLost);
-        one.tell(Evidence::DiscoveryFailed);
+    process.run(300_000, |process, second| {
+        process.handle(Evidence::WatchLost);
+        process.handle(Evidence::DiscoveryFailed);
         if second % 4 == 0 {
-            one.tell(Evidence::StoreAnswered { took_ms: 3_500 });
+            process.handle(Evidence::StoreAnswered { latency_ms: 3_500 });
         }
     });
-    assert_eq!(one.states(), []);
+    assert_eq!(process.states(), []);
     assert!(
-        one.edge
-            .snapshot(one.now)
+        process
+            .edge
+            .snapshot(process.now)
             .lines()
             .iter()
             .any(|line| line.contains("slowly: 3.5 s"))
@@ -132,271 +141,312 @@
 }
 
 #[test]
-fn a_restart_on_the_island_inherits_the_age_of_its_list() {
-    let mut one = One::linked("n1");
-    one.run(30_000, |one, _| one.all_lost());
-    let confirmed_at = one.edge.snapshot(one.now).list_ms.map(|age| one.now - age);
-    let memory = Start::Remembered {
-        state: Islanded,
+fn keeps_list_age_when_restarted_in_isolation() {
+    let mut process = TestProcess::linked("n1");
+    process.run(30_000, |process, _| process.all_lost());
+    let confirmed_at = process
+        .edge
+        .snapshot(process.now)
+        .list_age_ms
+        .map(|age| process.now - age);
+    let start = Start::Restored {
+        state: Isolated,
         confirmed_at,
-        set_operator_mode: None,
+        operator_mode: None,
     };
-    let mut again = One::start("n1", memory);
-    again.edge = Edge::new(
+    let mut restarted = TestProcess::start("n1", start);
+    restarted.edge = Edge::new(
         support::config("n1"),
-        one.now,
-        Start::Remembered {
-            state: Islanded,
+        process.now,
+        Start::Restored {
+            state: Isolated,
             confirmed_at,
-            set_operator_mode: None,
+            operator_mode: None,
         },
     );
-    again.now = one.now;
-    assert_eq!(again.edge.state(), Islanded, "with no evidence at all");
-    assert_eq!(again.edge.list_age(again.now), one.edge.list_age(one.now));
-    let trust = again.edge.config().trust_for_ms;
-    again.run(60_000, |one, _| one.all_lost());
-    assert_eq!(again.states(), []);
-    assert!(again.edge.trusted(confirmed_at.expect("known") + trust));
-    assert!(!again.edge.trusted(confirmed_at.expect("known") + trust + 1));
+    restarted.now = process.now;
+    assert_eq!(restarted.edge.state(), Isolated, "with no evidence at all");
+    assert_eq!(
+        restarted.edge.list_age(restarted.now),
+        process.edge.list_age(process.now)
+    );
+    let trust_ms = restarted.edge.config().trust_for_ms;
+    restarted.run(60_000, |process, _| process.all_lost());
+    assert_eq!(restarted.states(), []);
+    assert!(
+        restarted
+            .edge
+            .is_list_trusted(confirmed_at.expect("known") + trust_ms)
+    );
+    assert!(
+        !restarted
+            .edge
+            .is_list_trusted(confirmed_at.expect("known") + trust_ms + 1)
+    );
     // A memory from the future, after the clock was set back, is not trusted at all.
-    let confirmed_at = Some(again.now + 86_400_000);
-    let memory = Start::Remembered {
-        state: Islanded,
+    let confirmed_at = Some(restarted.now + 86_400_000);
+    let start = Start::Restored {
+        state: Isolated,
         confirmed_at,
-        set_operator_mode: None,
+        operator_mode: None,
     };
-    assert!(!Edge::new(support::config("n1"), again.now, memory).trusted(again.now));
+    assert!(!Edge::new(support::config("n1"), restarted.now, start).is_list_trusted(restarted.now));
 }
 
 #[test]
-fn an_island_that_outlives_its_trust_answers_honestly_and_what_is_seen_well_goes_on() {
-    let mut one = One::linked("n1");
-    one.run(30_000, |one, _| one.all_lost());
-    let place = |well| Decision::Place {
+fn denies_unproven_servers_when_list_trust_expires() {
+    let mut process = TestProcess::linked("n1");
+    process.run(30_000, |process, _| process.all_lost());
+    let place_client = |is_healthy| Decision::PlaceClient {
         site: "moy".into(),
-        listed: true,
-        well,
+        is_listed: true,
+        is_healthy,
+    };
+    let tenant = |record_age_ms| Decision::AdmitTenant { record_age_ms };
+    let is_granted = |process: &TestProcess, now, decision: &Decision| {
+        process.edge.permission(now, decision) == Permission::Granted
     };
-    let tenant = |read_ms| Decision::Tenant { read_ms };
-    let yes =
-        |one: &One, now, decision: &Decision| one.edge.may(now, decision) == Permission::Granted;
-    assert!(yes(&one, one.now, &place(false)) && yes(&one, one.now, &tenant(Some(60_000))));
-    let later = one.now + one.edge.config().trust_for_ms;
     assert!(
-        !yes(&one, later, &place(false)),
+        is_granted(&process, process.now, &place_client(false))
+            && is_granted(&process, process.now, &tenant(Some(60_000)))
+    );
+    let after_trust = process.now + process.edge.config().trust_for_ms;
+    assert!(
+        !is_granted(&process, after_trust, &place_client(false)),
         "nothing says that this one stands"
     );
-    assert!(yes(&one, later, &place(true)) && yes(&one, later, &Decision::GoOn));
-    assert!(!yes(&one, one.now, &tenant(Some(3_600_001))) && !yes(&one, one.now, &tenant(None)));
+    assert!(
+        is_granted(&process, after_trust, &place_client(true))
+            && is_granted(&process, after_trust, &Decision::KeepConnection)
+    );
+    assert!(
+        !is_granted(&process, process.now, &tenant(Some(3_600_001)))
+            && !is_granted(&process, process.now, &tenant(None))
+    );
 }
 
 #[test]
-fn what_may_not_be_decided_alone_is_refused_with_a_reason_and_only_on_the_island() {
+fn denies_fleet_decisions_only_when_isolated() {
     let refused = [
-        Decision::Tenant { read_ms: None },
+        Decision::AdmitTenant {
+            record_age_ms: None,
+        },
         Decision::ChangeTenant,
-        Decision::ChangeShare,
-        Decision::Override { site: "ard".into() },
+        Decision::ChangeAdmissionLimits,
+        Decision::SetOverride { site: "ard".into() },
         Decision::EndOverride { site: "ard".into() },
-        Decision::Place {
+        Decision::PlaceClient {
             site: "moy".into(),
-            listed: false,
-            well: true,
+            is_listed: false,
+            is_healthy: true,
         },
-        Decision::Place {
+        Decision::PlaceClient {
             site: "ard".into(),
-            listed: true,
-            well: true,
+            is_listed: true,
+            is_healthy: true,
         },
-        Decision::MoveForBalance,
+        Decision::Rebalance,
         Decision::ForgetServer,
-        Decision::Ask {
-            place: Place::Store,
+        Decision::ContactRemote {
+            target: RemoteTarget::Store,
         },
     ];
     let granted = [
-        Decision::GoOn,
-        Decision::MoveOff,
-        Decision::Override { site: "moy".into() },
+        Decision::KeepConnection,
+        Decision::MigrateOffServer,
+        Decision::SetOverride { site: "moy".into() },
     ];
-    let mut one = One::linked("n1");
+    let mut process = TestProcess::linked("n1");
     assert!(
         refused
             .iter()
             .chain(&granted)
-            .all(|what| one.edge.may(one.now, what) == Permission::Granted)
+            .all(|decision| process.edge.permission(process.now, decision) == Permission::Granted)
     );
-    one.run(30_000, |one, _| one.all_lost());
-    for what in &refused {
-        let verdict = one.edge.may(one.now, what);
+    process.run(30_000, |process, _| process.all_lost());
+    for decision in &refused {
+        let permission = process.edge.permission(process.now, decision);
         assert!(
-            matches!(verdict, Permission::Denied { why, again_ms: 1.. } if !why.is_empty()),
-            "{what:?}: {verdict:?}"
+            matches!(permission, Permission::Denied { reason, retry_after_ms: 1.. } if !reason.is_empty()),
+            "{decision:?}: {permission:?}"
         );
     }
     assert!(
         granted
             .iter()
-            .all(|what| one.edge.may(one.now, what) == Permission::Granted)
+            .all(|decision| process.edge.permission(process.now, decision) == Permission::Granted)
     );
 }
 
 #[test]
-fn discovery_that_is_moved_is_asked_at_once_and_the_island_lasts_until_it_answers() {
-    let mut one = One::linked("n1");
-    one.run(200_000, |one, _| one.all_lost());
-    one.did.clear();
-    one.tell(Evidence::DiscoveryMoved);
-    let asked = Action::Probe {
-        place: Place::Discovery,
+fn probes_discovery_at_once_when_its_address_changes() {
+    let mut process = TestProcess::linked("n1");
+    process.run(200_000, |process, _| process.all_lost());
+    process.actions.clear();
+    process.handle(Evidence::DiscoveryAddressChanged);
+    let probe = Action::Probe {
+        target: RemoteTarget::Discovery,
     };
     assert!(
-        one.did.contains(&(one.now, asked)),
+        process.actions.contains(&(process.now, probe)),
         "at once: {:?}",
-        one.did
+        process.actions
     );
     // However often somebody says so.
     for _ in 0..50 {
-        one.tell(Evidence::DiscoveryMoved);
-        one.run(100, |_, _| {});
+        process.handle(Evidence::DiscoveryAddressChanged);
+        process.run(100, |_, _| {});
     }
     assert!(
-        one.probes() <= 12,
+        process.probes() <= 12,
         "{} in five seconds, of two places",
-        one.probes()
+        process.probes()
     );
-    one.tell(Evidence::DiscoveryFailed);
-    one.run(20_000, |one, _| one.tell(Evidence::StoreFailed));
-    assert_eq!(one.edge.state(), Islanded);
-    one.run(20_000, |one, _| {
-        one.tell(Evidence::DiscoveryAnswered { took_ms: 9 })
+    process.handle(Evidence::DiscoveryFailed);
+    process.run(20_000, |process, _| process.handle(Evidence::StoreFailed));
+    assert_eq!(process.edge.state(), Isolated);
+    process.run(20_000, |process, _| {
+        process.handle(Evidence::DiscoveryAnswered { latency_ms: 9 })
     });
-    assert_eq!(one.edge.state(), Rejoining);
+    assert_eq!(process.edge.state(), Rejoining);
 }
 
 #[test]
-fn the_operators_word_goes_before_the_evidence_each_way_until_its_end() {
-    let mut one = One::linked("n1");
-    one.word(Force::Island, 60_000);
-    assert_eq!(one.edge.state(), Islanded, "at once");
-    one.run(58_000, |one, _| one.all_answer());
-    assert_eq!((one.edge.state(), one.probes()), (Islanded, 0));
+fn obeys_operator_mode_until_it_expires() {
+    let mut process = TestProcess::linked("n1");
+    process.set_operator_mode(UplinkMode::Isolated, 60_000);
+    assert_eq!(process.edge.state(), Isolated, "at once");
+    process.run(58_000, |process, _| process.all_answer());
+    assert_eq!((process.edge.state(), process.probes()), (Isolated, 0));
     assert!(
-        one.edge
-            .snapshot(one.now)
+        process
+            .edge
+            .snapshot(process.now)
             .lines()
             .join("\n")
             .contains("ada says: this site is an island (cable work)")
     );
-    one.run(10_000, |one, _| one.all_answer());
+    process.run(10_000, |process, _| process.all_answer());
     assert_eq!(
-        one.edge.state(),
+        process.edge.state(),
         Rejoining,
         "its end is no leap: what changed is merged"
     );
-    one.tell(Evidence::Done(Step::Merge));
-    one.run(60_000, |one, _| one.all_answer());
-    assert_eq!(one.edge.state(), Linked);
+    process.handle(Evidence::RejoinStepDone(RejoinStep::Merge));
+    process.run(60_000, |process, _| process.all_answer());
+    assert_eq!(process.edge.state(), Linked);
 
-    one.word(Force::Linked, 60_000);
-    one.run(58_000, |one, _| one.all_lost());
-    assert_eq!(one.edge.state(), Linked);
-    one.run(20_000, |one, _| one.all_lost());
-    assert_eq!(one.edge.state(), Islanded, "the evidence decides again");
-    one.word(Force::Linked, 60_000);
-    assert_eq!(one.edge.state(), Rejoining);
-    one.run(31_000, |one, _| one.all_lost());
+    process.set_operator_mode(UplinkMode::Linked, 60_000);
+    process.run(58_000, |process, _| process.all_lost());
+    assert_eq!(process.edge.state(), Linked);
+    process.run(20_000, |process, _| process.all_lost());
+    assert_eq!(process.edge.state(), Isolated, "the evidence decides again");
+    process.set_operator_mode(UplinkMode::Linked, 60_000);
+    assert_eq!(process.edge.state(), Rejoining);
+    process.run(31_000, |process, _| process.all_lost());
     assert_eq!(
-        one.edge.state(),
+        process.edge.state(),
         Linked,
         "after its bound, though no list came"
     );
-    one.word(Force::Automatic, 60_000);
-    one.run(30_000, |one, _| one.all_lost());
-    assert_eq!(one.edge.state(), Islanded, "taken back before its end");
+    process.set_operator_mode(UplinkMode::Automatic, 60_000);
+    process.run(30_000, |process, _| process.all_lost());
+    assert_eq!(process.edge.state(), Isolated, "taken back before its end");
 }
 
 #[test]
-fn a_word_spreads_over_the_site_and_the_latest_holds_in_any_order() {
-    let mut one = One::linked("n1");
-    let mut other = One::linked("n2");
-    one.word(Force::Island, 60_000);
-    let early = one.says();
-    one.now += 10;
-    one.word(Force::Automatic, 60_000);
-    let late = one.says();
-    for says in [late.clone(), early, late] {
-        other.tell(Evidence::PeerSays(says));
+fn applies_latest_operator_mode_in_any_order() {
+    let mut process = TestProcess::linked("n1");
+    let mut peer = TestProcess::linked("n2");
+    process.set_operator_mode(UplinkMode::Isolated, 60_000);
+    let earlier = process.report();
+    process.now += 10;
+    process.set_operator_mode(UplinkMode::Automatic, 60_000);
+    let latest = process.report();
+    for report in [latest.clone(), earlier, latest] {
+        peer.handle(Evidence::PeerReport(report));
     }
-    assert_eq!(other.says().operator_mode, one.says().operator_mode);
-    assert_eq!(other.edge.state(), Linked);
+    assert_eq!(peer.report().operator_mode, process.report().operator_mode);
+    assert_eq!(peer.edge.state(), Linked);
 }
 
 #[test]
-fn a_process_that_slept_does_not_take_its_sleep_for_silence() {
-    let mut one = One::linked("n1");
+fn discards_old_evidence_after_process_pause() {
+    let mut process = TestProcess::linked("n1");
     // A moment's loss, and then nothing is heard since nobody listens.
-    one.all_lost();
-    one.now += 15_000;
-    one.tell(Evidence::Tick);
-    let said = one.count(|action| matches!(action, Action::Say(text) if text.contains("for 15 s")));
-    assert_eq!(said, 1);
+    process.all_lost();
+    process.now += 15_000;
+    process.handle(Evidence::Tick);
+    let logged =
+        process.count(|action| matches!(action, Action::Log(text) if text.contains("for 15 s")));
+    assert_eq!(logged, 1);
     assert_eq!(
-        one.edge.snapshot(one.now).odds,
+        process.edge.snapshot(process.now).log_odds,
         -20,
         "what was seen before says nothing"
     );
-    one.run(60_000, |one, _| one.all_answer());
-    assert_eq!(one.states(), [Doubtful, Linked]);
+    process.run(60_000, |process, _| process.all_answer());
+    assert_eq!(process.states(), [Doubtful, Linked]);
 }
 
 #[test]
-fn halves_of_a_site_that_meet_again_agree_by_their_own_eyes() {
+fn ignores_peer_reports_alone_when_partition_heals() {
     // The one half has the uplink, the other has neither it nor the first half.
-    let (mut near, mut far) = (One::linked("n1"), One::linked("n2"));
-    far.run(60_000, |one, _| one.all_lost());
-    near.run(60_000, |one, _| one.all_answer());
-    assert_eq!((near.edge.state(), far.edge.state()), (Linked, Islanded));
+    let (mut connected, mut cut_off) = (TestProcess::linked("n1"), TestProcess::linked("n2"));
+    cut_off.run(60_000, |process, _| process.all_lost());
+    connected.run(60_000, |process, _| process.all_answer());
+    assert_eq!(
+        (connected.edge.state(), cut_off.edge.state()),
+        (Linked, Isolated)
+    );
     // They meet; the far one's own uplink is dead still. A word of the near one makes it ask, now and then.
-    far.did.clear();
+    cut_off.actions.clear();
     for _ in 0..120 {
-        near.run(1_000, |one, _| one.all_answer());
-        let (here, there) = (near.says(), far.says());
-        far.tell(Evidence::PeerSays(here));
-        near.tell(Evidence::PeerSays(there));
-        far.run(1_000, |one, _| one.all_lost());
+        connected.run(1_000, |process, _| process.all_answer());
+        let (connected_report, cut_off_report) = (connected.report(), cut_off.report());
+        cut_off.handle(Evidence::PeerReport(connected_report));
+        connected.handle(Evidence::PeerReport(cut_off_report));
+        cut_off.run(1_000, |process, _| process.all_lost());
     }
     assert_eq!(
-        (near.edge.state(), far.edge.state()),
-        (Linked, Islanded),
+        (connected.edge.state(), cut_off.edge.state()),
+        (Linked, Isolated),
         "a word alone changes neither"
     );
-    assert!(far.edge.snapshot(far.now).alone);
+    assert!(cut_off.edge.snapshot(cut_off.now).is_process_isolated);
     assert!(
-        (1..=25).contains(&far.probes()),
+        (1..=25).contains(&cut_off.probes()),
         "asked {} times in two minutes",
-        far.probes()
+        cut_off.probes()
     );
-    far.run(30_000, |one, _| one.all_answer());
-    assert_eq!(far.edge.state(), Rejoining);
+    cut_off.run(30_000, |process, _| process.all_answer());
+    assert_eq!(cut_off.edge.state(), Rejoining);
 }
 
 #[test]
-fn a_process_cut_off_alone_waits_for_its_site_and_then_says_so() {
-    let (mut near, mut far) = (One::linked("n1"), One::linked("n2"));
+fn reports_own_isolation_when_peers_are_linked() {
+    let (mut connected, mut cut_off) = (TestProcess::linked("n1"), TestProcess::linked("n2"));
     for _ in 0..40 {
-        near.run(1_000, |one, _| one.all_answer());
-        let says = near.says();
-        far.tell(Evidence::PeerSays(says));
-        far.run(1_000, |one, _| one.all_lost());
+        connected.run(1_000, |process, _| process.all_answer());
+        let report = connected.report();
+        cut_off.handle(Evidence::PeerReport(report));
+        cut_off.run(1_000, |process, _| process.all_lost());
     }
-    assert_eq!(far.edge.state(), Islanded, "in the end by its own evidence");
-    let came = far.came(Islanded).expect("islanded") - far.came(Doubtful).expect("in doubt");
-    assert!(came >= 20_000, "not before its patience is over: {came}");
+    assert_eq!(
+        cut_off.edge.state(),
+        Isolated,
+        "in the end by its own evidence"
+    );
+    let in_doubt_ms = cut_off.entered_at(Isolated).expect("islanded")
+        - cut_off.entered_at(Doubtful).expect("in doubt");
+    assert!(
+        in_doubt_ms >= 20_000,
+        "not before its patience is over: {in_doubt_ms}"
+    );
     assert!(
-        far.edge
-            .snapshot(far.now)
+        cut_off
+            .edge
+            .snapshot(cut_off.now)
             .lines()
             .join("\n")
             .contains("this process alone is cut off")
@@ -404,71 +454,75 @@
 }
 
 #[test]
-fn a_rejoining_without_a_list_ends_by_its_bound_and_the_merge_comes_with_the_list() {
-    let mut one = One::linked("n1");
-    one.run(60_000, |one, _| one.all_lost());
-    let answers = |one: &mut One, _| {
-        one.tell(Evidence::StoreAnswered { took_ms: 5 });
-        one.tell(Evidence::DiscoveryFailed);
+fn merges_once_when_list_arrives_after_timeout() {
+    let mut process = TestProcess::linked("n1");
+    process.run(60_000, |process, _| process.all_lost());
+    let answers = |process: &mut TestProcess, _| {
+        process.handle(Evidence::StoreAnswered { latency_ms: 5 });
+        process.handle(Evidence::DiscoveryFailed);
+    };
+    process.run(60_000, answers);
+    assert_eq!(process.states(), [Doubtful, Isolated, Rejoining, Linked]);
+    let rejoining_ms = process.entered_at(Linked).expect("linked")
+        - process.entered_at(Rejoining).expect("rejoining");
+    assert_eq!(rejoining_ms, process.edge.config().rejoin_ms);
+    let merges = |process: &TestProcess| {
+        process.count(|action| *action == Action::Rejoin(RejoinStep::Merge))
     };
-    one.run(60_000, answers);
-    assert_eq!(one.states(), [Doubtful, Islanded, Rejoining, Linked]);
-    let spent = one.came(Linked).expect("linked") - one.came(Rejoining).expect("rejoining");
-    assert_eq!(spent, one.edge.config().rejoin_ms);
-    let merges = |one: &One| one.count(|action| *action == Action::Rejoin(Step::Merge));
-    assert_eq!(merges(&one), 0);
-    one.tell(Evidence::Confirmed { at: one.now });
-    assert_eq!(merges(&one), 1, "late, but once");
+    assert_eq!(merges(&process), 0);
+    process.handle(Evidence::ListConfirmed { at: process.now });
+    assert_eq!(merges(&process), 1, "late, but once");
 }
 
 #[test]
-fn the_next_one_asks_when_the_one_before_is_silent() {
-    let mut one = One::linked("n2");
-    one.run(20_000, |one, _| one.all_lost());
-    assert_eq!(one.edge.state(), Islanded);
+fn takes_over_probing_when_peers_fall_silent() {
+    let mut process = TestProcess::linked("n2");
+    process.run(20_000, |process, _| process.all_lost());
+    assert_eq!(process.edge.state(), Isolated);
     // Those before it have asked, so that it waits; then nothing is heard of them any more.
-    let probes: Vec<(Place, u32, Millis)> = [Place::Discovery, Place::Store]
-        .map(|place| (place, 9, 0))
+    let probes: Vec<(RemoteTarget, u32, Millis)> = [RemoteTarget::Discovery, RemoteTarget::Store]
+        .map(|target| (target, 9, 0))
         .to_vec();
     let peers = ["n1", "n3", "n4", "n5", "n6"];
     for _ in 0..30 {
         for name in peers {
             let (site, probes) = ("moy".into(), probes.clone());
-            let says = UplinkReport {
+            let report = UplinkReport {
                 name: name.into(),
                 site,
-                state: Islanded,
-                places: Vec::new(),
+                state: Isolated,
+                targets: Vec::new(),
                 probes,
                 operator_mode: None,
             };
-            one.tell(Evidence::PeerSays(says));
+            process.handle(Evidence::PeerReport(report));
         }
-        one.run(1_000, |one, _| one.all_lost());
+        process.run(1_000, |process, _| process.all_lost());
     }
-    let asked = |one: &One| {
-        let of = |place: &Place| matches!(place, Place::Discovery | Place::Store);
-        one.count(|action| matches!(action, Action::Probe { place } if of(place)))
+    let probe_count = |process: &TestProcess| {
+        let is_shared =
+            |target: &RemoteTarget| matches!(target, RemoteTarget::Discovery | RemoteTarget::Store);
+        process.count(|action| matches!(action, Action::Probe { target } if is_shared(target)))
     };
-    one.did.clear();
-    let silent = one.now;
-    one.run(30_000, |one, _| one.all_lost());
-    assert!(asked(&one) >= 1, "nobody else does");
-    let first = one
-        .did
+    process.actions.clear();
+    let silent_at = process.now;
+    process.run(30_000, |process, _| process.all_lost());
+    assert!(probe_count(&process) >= 1, "nobody else does");
+    let first_probe = process
+        .actions
         .iter()
         .find(|(_, action)| matches!(action, Action::Probe { .. }))
-        .map(|(at, _)| at - silent);
+        .map(|(at, _)| at - silent_at);
     assert!(
-        first.is_some_and(|after| after >= 2_000),
-        "not before the others must have: {first:?}"
+        first_probe.is_some_and(|after| after >= 2_000),
+        "not before the others must have: {first_probe:?}"
     );
 }
 
 #[test]
-fn all_that_is_wrong_with_a_configuration_is_named_at_once() {
-    let sound = support::config("n1");
-    let wrong = Config {
+fn reports_all_configuration_errors_at_once() {
+    let valid = support::config("n1");
+    let invalid = Config {
         site: String::new(),
         name: "a\nb".into(),
         processes: 0,
@@ -483,54 +537,54 @@
         probe_base_ms: 50_000,
         spread_ms: 1_001,
         moves_per_s: f64::NAN,
-        ..sound
+        ..valid
     };
-    let mut named: Vec<&str> = wrong
-        .check()
+    let mut fields: Vec<&str> = invalid
+        .validate()
         .expect_err("all of it")
         .iter()
-        .map(|fault| fault.field)
+        .map(|error| error.field)
         .collect();
-    named.dedup();
+    fields.dedup();
     let expected = "site name processes fresh steady slow trust_for tenants_for damp_cap patience rejoin probe_cap \
                     spread moves_per_s";
-    assert_eq!(named.join(" "), expected);
+    assert_eq!(fields.join(" "), expected);
 }
 
 #[test]
-fn a_loss_of_a_moment_within_a_doubt_is_no_island() {
-    let mut one = One::linked("n1");
-    one.run(8_000, |one, second| {
-        one.tell(Evidence::WatchLost);
-        one.tell(if second < 7 {
+fn ignores_brief_loss_when_already_doubtful() {
+    let mut process = TestProcess::linked("n1");
+    process.run(8_000, |process, second| {
+        process.handle(Evidence::WatchLost);
+        process.handle(if second < 7 {
             Evidence::Tick
         } else {
             Evidence::StoreFailed
         });
     });
-    assert_eq!(one.states(), [Doubtful]);
+    assert_eq!(process.states(), [Doubtful]);
     // All is lost for half a second.
-    one.all_lost();
-    one.run(500, |_, _| {});
-    one.run(5_000, |one, _| one.all_answer());
-    assert_eq!(one.states(), [Doubtful, Linked]);
+    process.all_lost();
+    process.run(500, |_, _| {});
+    process.run(5_000, |process, _| process.all_answer());
+    assert_eq!(process.states(), [Doubtful, Linked]);
 }
 
 #[test]
-fn a_link_that_comes_back_for_just_long_enough_changes_little() {
-    let mut one = One::linked("n1");
-    one.run(600_000, |one, second| {
+fn limits_transitions_when_uplink_returns_briefly() {
+    let mut process = TestProcess::linked("n1");
+    process.run(600_000, |process, second| {
         if second % 24 < 3 {
-            one.all_lost()
+            process.all_lost()
         } else {
-            one.all_answer()
+            process.all_answer()
         }
-        one.tell(Evidence::Done(Step::Merge));
+        process.handle(Evidence::RejoinStepDone(RejoinStep::Merge));
     });
-    let at: Vec<Millis> = one
-        .did
+    let at: Vec<Millis> = process
+        .actions
         .iter()
-        .filter(|(_, did)| matches!(did, Action::State { .. }))
+        .filter(|(_, action)| matches!(action, Action::StateChanged { .. }))
         .map(|(at, _)| *at)
         .collect();
     assert!(at.len() > 3, "it is not left unseen: {at:?}");
@@ -541,72 +595,76 @@
 }
 
 #[test]
-fn a_setting_changed_on_the_island_holds_at_once_and_changes_no_state() {
-    let mut one = One::linked("n1");
-    one.run(30_000, |one, _| one.all_lost());
-    let later = one.now + 5 * 3_600_000;
-    assert!(!one.edge.trusted(later));
-    one.edge.set_up(Config {
+fn applies_reconfiguration_without_leaving_isolation() {
+    let mut process = TestProcess::linked("n1");
+    process.run(30_000, |process, _| process.all_lost());
+    let later = process.now + 5 * 3_600_000;
+    assert!(!process.edge.is_list_trusted(later));
+    process.edge.reconfigure(Config {
         trust_for_ms: 6 * 3_600_000,
         site: "ard".into(),
         ..support::config("n9")
     });
-    assert!(one.edge.trusted(later));
+    assert!(process.edge.is_list_trusted(later));
     assert_eq!(
         (
-            one.edge.state(),
-            one.says().name.as_str(),
-            one.says().site.as_str()
+            process.edge.state(),
+            process.report().name.as_str(),
+            process.report().site.as_str()
         ),
-        (Islanded, "n1", "moy")
+        (Isolated, "n1", "moy")
     );
 }
 
 #[test]
-fn a_merge_of_a_former_rejoining_ends_none() {
-    let mut one = One::linked("n1");
-    one.run(30_000, |one, _| one.all_lost());
-    one.run(12_000, |one, _| one.all_answer());
-    one.run(60_000, |one, _| one.all_lost());
-    let sites = |one: &mut One, _| {
-        one.sites(|name, site| Evidence::PeerHeard {
+fn ignores_merge_of_an_earlier_rejoin() {
+    let mut process = TestProcess::linked("n1");
+    process.run(30_000, |process, _| process.all_lost());
+    process.run(12_000, |process, _| process.all_answer());
+    process.run(60_000, |process, _| process.all_lost());
+    let hear_remote_peers = |process: &mut TestProcess, _| {
+        process.each_remote_peer(|name, site| Evidence::PeerMessage {
             name,
             site,
-            both_ways: true,
+            is_bidirectional: true,
         })
     };
-    one.run(10_000, sites);
+    process.run(10_000, hear_remote_peers);
     assert_eq!(
-        one.states(),
-        [Doubtful, Islanded, Rejoining, Islanded, Rejoining]
+        process.states(),
+        [Doubtful, Isolated, Rejoining, Isolated, Rejoining]
     );
-    one.tell(Evidence::Done(Step::Merge));
-    one.run(10_000, sites);
-    assert_eq!(one.edge.state(), Rejoining, "no list has come since");
+    process.handle(Evidence::RejoinStepDone(RejoinStep::Merge));
+    process.run(10_000, hear_remote_peers);
+    assert_eq!(process.edge.state(), Rejoining, "no list has come since");
 }
 
 #[test]
-fn processes_that_rejoin_in_one_moment_ask_one_after_the_other() {
-    let asks = |n: u64| {
+fn spreads_polls_when_processes_rejoin_together() {
+    let poll_delay = |n: u64| {
         let config = Config {
             seed: n,
             processes: 90,
             ..support::config(&format!("n{n}"))
         };
-        let mut one = One::linked("n1");
-        one.edge = Edge::new(config, one.now, Start::Anew);
-        one.word(Force::Island, 1_000);
-        one.run(6_000, |one, _| one.all_answer());
-        let of = |(_, action): &(Millis, Action)| match action {
-            Action::Rejoin(Step::Ask {
-                place: Place::Discovery,
-                in_ms,
-            }) => Some(*in_ms),
+        let mut process = TestProcess::linked("n1");
+        process.edge = Edge::new(config, process.now, Start::Fresh);
+        process.set_operator_mode(UplinkMode::Isolated, 1_000);
+        process.run(6_000, |process, _| process.all_answer());
+        let reconnect_delay = |(_, action): &(Millis, Action)| match action {
+            Action::Rejoin(RejoinStep::Reconnect {
+                target: RemoteTarget::Discovery,
+                delay_ms,
+            }) => Some(*delay_ms),
             _ => None,
         };
-        one.did.iter().find_map(of).expect("it asks for the list")
+        process
+            .actions
+            .iter()
+            .find_map(reconnect_delay)
+            .expect("it asks for the list")
     };
-    let mut all: Vec<Millis> = (0..30).map(asks).collect();
+    let mut all: Vec<Millis> = (0..30).map(poll_delay).collect();
     all.sort_unstable();
     assert!(all[29] <= 900 && all[29] - all[0] >= 450, "{all:?}");
     assert!(
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -16,88 +16,91 @@
         processes: 15,
         ..Config::default()
     };
-    assert_eq!(config.check(), Ok(()));
+    assert_eq!(config.validate(), Ok(()));
     config
 }
 
 /// A process, the time, and all that it has done since.
-pub struct One {
+pub struct TestProcess {
     pub edge: Edge,
     pub now: Millis,
-    pub did: Vec<(Millis, Action)>,
+    pub actions: Vec<(Millis, Action)>,
 }
 
-impl One {
-    pub fn start(name: &str, start: Start) -> One {
+impl TestProcess {
+    pub fn start(name: &str, start: Start) -> TestProcess {
         let now = 1_000_000;
-        One {
+        TestProcess {
             edge: Edge::new(config(name), now, start),
             now,
-            did: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
     /// One that has been linked for two minutes.
-    pub fn linked(name: &str) -> One {
-        let mut one = One::start(name, Start::Anew);
-        one.run(120_000, |one, _| one.all_answer());
-        assert_eq!(one.edge.state(), State::Linked);
-        one.did.clear();
-        one
+    pub fn linked(name: &str) -> TestProcess {
+        let mut process = TestProcess::start(name, Start::Fresh);
+        process.run(120_000, |process, _| process.all_answer());
+        assert_eq!(process.edge.state(), UplinkState::Linked);
+        process.actions.clear();
+        process
     }
 
-    pub fn tell(&mut self, evidence: Evidence) {
-        let mut actions = Vec::new();
-        self.edge.handle(self.now, evidence, &mut actions);
-        self.did
-            .extend(actions.into_iter().map(|action| (self.now, action)));
+    pub fn handle(&mut self, evidence: Evidence) {
+        let mut new_actions = Vec::new();
+        self.edge.handle(self.now, evidence, &mut new_actions);
+        self.actions
+            .extend(new_actions.into_iter().map(|action| (self.now, action)));
     }
 
     /// Lets time pass; each second the evidence comes, with the number of the second.
-    pub fn run(&mut self, span: Millis, mut each: impl FnMut(&mut One, u64)) {
+    pub fn run(&mut self, span: Millis, mut on_second: impl FnMut(&mut TestProcess, u64)) {
         for step in 0..span / STEP {
             if step % 10 == 0 {
-                each(self, step / 10);
+                on_second(self, step / 10);
             }
             self.now += STEP;
-            self.tell(Evidence::Tick);
+            self.handle(Evidence::Tick);
         }
     }
 
     /// Discovery's watch, the store and two other sites answer.
     pub fn all_answer(&mut self) {
-        self.tell(Evidence::WatchStands);
-        self.tell(Evidence::StoreAnswered { took_ms: 5 });
-        self.sites(|name, site| Evidence::PeerHeard {
+        self.handle(Evidence::WatchAlive);
+        self.handle(Evidence::StoreAnswered { latency_ms: 5 });
+        self.each_remote_peer(|name, site| Evidence::PeerMessage {
             name,
             site,
-            both_ways: true,
+            is_bidirectional: true,
         });
     }
 
     /// Nothing beyond the link does.
     pub fn all_lost(&mut self) {
-        self.tell(Evidence::WatchLost);
-        self.tell(Evidence::StoreFailed);
-        self.sites(|name, site| Evidence::PeerSilent { name, site });
+        self.handle(Evidence::WatchLost);
+        self.handle(Evidence::StoreFailed);
+        self.each_remote_peer(|name, site| Evidence::PeerSilent { name, site });
     }
 
-    pub fn sites(&mut self, what: impl Fn(String, String) -> Evidence) {
+    pub fn each_remote_peer(&mut self, evidence: impl Fn(String, String) -> Evidence) {
         for (name, site) in [("a1", "ard"), ("b1", "bray")] {
-            self.tell(what(name.into(), site.into()));
+            self.handle(evidence(name.into(), site.into()));
         }
     }
 
-    pub fn states(&self) -> Vec<State> {
+    pub fn states(&self) -> Vec<UplinkState> {
         let to = |(_, action): &(Millis, Action)| match action {
-            Action::State { to, .. } => Some(*to),
+            Action::StateChanged { to, .. } => Some(*to),
             _ => None,
         };
-        self.did.iter().filter_map(to).collect()
+        self.actions.iter().filter_map(to).collect()
     }
 
-    pub fn count(&self, of: impl Fn(&Action) -> bool) -> usize {
-        self.did.iter().filter(|(_, action)| of(action)).count()
+    pub fn count(&self, matches: impl Fn(&Action) -> bool) -> usize {
+        self.actions
+            .iter()
+            .filter(|(_, action)| matches(action))
+            .count()
     }
 
     pub fn probes(&self) -> usize {
@@ -105,26 +108,27 @@
     }
 
     /// When it first came to a state.
-    pub fn came(&self, state: State) -> Option<Millis> {
-        let came = |action: &Action| matches!(action, Action::State { to, .. } if *to == state);
-        self.did
+    pub fn entered_at(&self, state: UplinkState) -> Option<Millis> {
+        let entered_at =
+            |action: &Action| matches!(action, Action::StateChanged { to, .. } if *to == state);
+        self.actions
             .iter()
-            .find(|(_, action)| came(action))
+            .find(|(_, action)| entered_at(action))
             .map(|(at, _)| *at)
     }
 
-    pub fn says(&self) -> UplinkReport {
+    pub fn report(&self) -> UplinkReport {
         self.edge.report(self.now)
     }
 
-    pub fn word(&mut self, force: Force, for_ms: Millis) {
-        let (given_at, ends_at) = (self.now, self.now + for_ms);
-        self.tell(Evidence::OperatorsWord(OperatorMode {
-            given_at,
-            force,
-            ends_at,
-            who: "ada".into(),
-            why: "cable work".into(),
+    pub fn set_operator_mode(&mut self, mode: UplinkMode, duration_ms: Millis) {
+        let (set_at, expires_at) = (self.now, self.now + duration_ms);
+        self.handle(Evidence::OperatorModeSet(OperatorMode {
+            set_at,
+            mode,
+            expires_at,
+            set_by: "ada".into(),
+            reason: "cable work".into(),
         }));
     }
 }
--- a/crates/simulator/src/engine/edge.rs
+++ b/crates/simulator/src/engine/edge.rs
@@ -1,7 +1,8 @@
 //! Zones whose uplink is lost: what crosses it, and what each balancer makes of it.
 
 use beaconflow_edge::{
-    Action, Config, Decision, Edge, Evidence, Outcome, Permission, Place, Start, Step,
+    Action, Config, Decision, Edge, Evidence, Permission, RejoinStep, RemoteTarget, RequestOutcome,
+    Start,
 };
 use beaconflow_policy::ListUpdate;
 
@@ -132,12 +133,12 @@
             name: mesh::name(balancer),
             seed: self.scenario.seed ^ u64::from(balancer),
             processes: self.scenario.balancers,
-            discovery_here: self.zone(balancer) == 0,
-            store_here: true,
+            is_discovery_local: self.zone(balancer) == 0,
+            is_store_local: true,
             ..Config::default()
         };
         self.hosts[balancer as usize].edge =
-            Some(Edge::new(config, mesh::wall(self.now), Start::Anew));
+            Some(Edge::new(config, mesh::wall(self.now), Start::Fresh));
         let start = self.nodes[balancer as usize].start;
         // Each at its own moment of a second.
         let first = self.wire.even();
@@ -159,8 +160,8 @@
     fn acts(&mut self, balancer: u32, action: Action) {
         let start = self.nodes[balancer as usize].start;
         match action {
-            Action::State { .. } => self.tell_module(balancer, ListUpdate::Snapshot),
-            Action::Probe { place } => {
+            Action::StateChanged { .. } => self.tell_module(balancer, ListUpdate::Snapshot),
+            Action::Probe { target: place } => {
                 let beyond = self.zone_of(&place);
                 let wait = if self.is_apart(self.zone(balancer), beyond) {
                     GIVES_UP
@@ -168,7 +169,7 @@
                     0.01
                 };
                 self.measures.fleet.probes += u64::from(wait == GIVES_UP);
-                let discovery = place == Place::Discovery;
+                let discovery = place == RemoteTarget::Discovery;
                 self.after(
                     wait,
                     Occurrence::Probed {
@@ -180,32 +181,32 @@
                     },
                 );
             }
-            Action::Rejoin(Step::Ask {
-                place: Place::Discovery,
-                in_ms,
+            Action::Rejoin(RejoinStep::Reconnect {
+                target: RemoteTarget::Discovery,
+                delay_ms: in_ms,
             }) => {
                 self.after(
                     in_ms as f64 / 1e3,
                     Occurrence::AsksAgain { balancer, start },
                 );
             }
-            Action::Rejoin(Step::Merge) => {
+            Action::Rejoin(RejoinStep::Merge) => {
                 // Its list is the one that it has asked for; what it may move are those that drain or are gone.
                 self.measures.fleet.merges.push(self.now);
                 self.tell_list(balancer, true);
-                self.sees(balancer, Evidence::Done(Step::Merge));
+                self.sees(balancer, Evidence::RejoinStepDone(RejoinStep::Merge));
             }
             _ => {}
         }
     }
 
-    fn zone_of(&self, place: &Place) -> u32 {
+    fn zone_of(&self, place: &RemoteTarget) -> u32 {
         match place {
-            Place::Site(name) => name
+            RemoteTarget::Site(name) => name
                 .strip_prefix('z')
                 .and_then(|zone| zone.parse().ok())
                 .unwrap_or(0),
-            Place::Discovery | Place::Store => 0,
+            RemoteTarget::Discovery | RemoteTarget::Store => 0,
         }
     }
 
@@ -213,14 +214,14 @@
     pub(super) fn probed(&mut self, balancer: u32, beyond: u32, discovery: bool, lost: bool) {
         let evidence = match (discovery, lost) {
             (true, true) => Evidence::DiscoveryFailed,
-            (true, false) => Evidence::DiscoveryAnswered { took_ms: 10 },
+            (true, false) => Evidence::DiscoveryAnswered { latency_ms: 10 },
             (false, _) => {
                 let outcome = if lost {
-                    Outcome::Failed
+                    RequestOutcome::Failed
                 } else {
-                    Outcome::Answered { took_ms: 10 }
+                    RequestOutcome::Answered { latency_ms: 10 }
                 };
-                Evidence::ServerBeyond {
+                Evidence::RemoteServerRequest {
                     site: format!("z{beyond}"),
                     outcome,
                 }
@@ -237,7 +238,7 @@
             if apart {
                 Evidence::WatchLost
             } else {
-                Evidence::WatchStands
+                Evidence::WatchAlive
             },
         );
     }
@@ -250,10 +251,10 @@
         let Some(edge) = &self.hosts[balancer as usize].edge else {
             return;
         };
-        if edge.may(
+        if edge.permission(
             wall,
-            &Decision::Ask {
-                place: Place::Discovery,
+            &Decision::ContactRemote {
+                target: RemoteTarget::Discovery,
             },
         ) == Permission::Granted
         {
@@ -262,7 +263,7 @@
                 if apart {
                     Evidence::WatchLost
                 } else {
-                    Evidence::WatchStands
+                    Evidence::WatchAlive
                 },
             );
         }
@@ -276,10 +277,10 @@
             };
             let both_ways = node.members().any(|member| *member.name == *name);
             let evidence = match wall.saturating_sub(at) < SILENT {
-                true => Evidence::PeerHeard {
+                true => Evidence::PeerMessage {
                     name,
                     site,
-                    both_ways,
+                    is_bidirectional: both_ways,
                 },
                 false => Evidence::PeerSilent { name, site },
             };
@@ -293,12 +294,12 @@
         let Some(edge) = &self.hosts[balancer as usize].edge else {
             return true;
         };
-        let place = Decision::Place {
+        let place = Decision::PlaceClient {
             site: format!("z{}", self.zone(gateway)),
-            listed: true,
-            well: true,
+            is_listed: true,
+            is_healthy: true,
         };
-        edge.may(mesh::wall(self.now), &place) == Permission::Granted
+        edge.permission(mesh::wall(self.now), &place) == Permission::Granted
     }
 
     /// Whether a balancer's own watch brings it the list now.
@@ -306,7 +307,7 @@
         let merges = |edge: &Edge| {
             matches!(
                 edge.state(),
-                beaconflow_edge::State::Islanded | beaconflow_edge::State::Rejoining
+                beaconflow_edge::UplinkState::Isolated | beaconflow_edge::UplinkState::Rejoining
             )
         };
         let is_apart = self.is_apart(self.zone(balancer), 0);
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -73,7 +73,7 @@
         for said in heard {
             self.recovers(balancer, Step::PeerReported(said.peer_status.clone()));
             if let Some(says) = &said.uplink_report {
-                self.sees(balancer, Evidence::PeerSays(says.clone()));
+                self.sees(balancer, Evidence::PeerReport(says.clone()));
             }
         }
     }
