--- a/crates/edge/src/config.rs
+++ b/crates/edge/src/config.rs
@@ -1,49 +1,51 @@
-//! What an operator sets.
+//! Configuration of an edge site.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// What the site is, and the spans by which it changes its mind.
+/// Identity of the site and process, and the timing of state changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The site's name, the same at all of its processes.
+    /// Name of the site, the same at all of its processes.
     pub site: String,
-    /// This process's name.
+    /// Name of this process; peer reports under the same name are ignored.
     pub name: String,
-    /// Seed of all odds; different at each process.
+    /// Seed of the random number generator; has to differ between processes.
     pub seed: u64,
-    /// How many processes the whole fleet has at least; more are counted where more are heard.
+    /// Minimum number of processes in the fleet. Where more are seen, more are counted.
     pub processes: u32,
-    /// Whether discovery stands in the site itself; what it answers then tells nothing of the link.
+    /// Whether discovery runs inside the site; its answers then say nothing about the uplink.
     pub is_discovery_local: bool,
-    /// Whether the shared store stands in the site itself.
+    /// Whether the shared store runs inside the site; its answers then say nothing about the
+    /// uplink.
     pub is_store_local: bool,
-    /// An answer from beyond the link counts as fresh for so long.
+    /// How long an answer from beyond the uplink counts as current.
     pub fresh_ms: Millis,
-    /// A doubt that says the link is lost has to hold for so long.
+    /// How long the evidence has to indicate a loss before the site counts as isolated.
     pub confirm_ms: Millis,
-    /// Answers from beyond the link have to come for so long before the site rejoins.
+    /// How long answers have to arrive over the uplink before an isolated site rejoins.
     pub steady_ms: Millis,
-    /// The longest doubt.
+    /// Maximum time in [`UplinkState::Doubtful`](crate::UplinkState::Doubtful).
     pub answer_timeout_ms: Millis,
-    /// The longest rejoining.
+    /// Maximum time in [`UplinkState::Rejoining`](crate::UplinkState::Rejoining).
     pub rejoin_ms: Millis,
-    /// Each change of state within a minute doubles the spans, up to this.
+    /// Upper bound of the confirmation spans, which double with each state change within a minute.
     pub damp_cap_ms: Millis,
-    /// An answer that takes longer is slow.
+    /// Latency above which an answer is reported as slow.
     pub slow_ms: Millis,
-    /// The list in hand is trusted for so long after discovery last confirmed it.
+    /// How long the server list is trusted after discovery last confirmed it.
     pub trust_for_ms: Millis,
-    /// A tenant's record is good for so long after it was read.
+    /// How long a tenant's record may be used after it was read.
     pub tenants_for_ms: Millis,
-    /// Spacing of probes beyond the link, for the whole site: the first.
+    /// Initial interval of probes over the uplink, for the whole site.
     pub probe_base_ms: Millis,
-    /// And the longest.
+    /// Maximum interval of probes over the uplink, for the whole site.
     pub probe_cap_ms: Millis,
-    /// Calls for the list and the store after an island are spread so far for each process of the fleet.
+    /// Span for each process of the fleet over which requests for the list and the store are spread
+    /// after an isolation.
     pub spread_ms: Millis,
-    /// Clients that may be moved in a second after an island, by all processes together.
+    /// Clients that all processes together may migrate in a second after an isolation.
     pub moves_per_s: f64,
 }
 
@@ -73,12 +75,12 @@
     }
 }
 
-/// What is wrong with a configuration.
+/// A configuration field outside its range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The field, by its name in the operator's file.
+    /// Name of the field in the operator's file.
     pub field: &'static str,
-    /// What it has to be.
+    /// The values that the field accepts.
     pub reason: String,
 }
 
@@ -88,15 +90,19 @@
     }
 }
 
-/// Longest name of a site or process.
+/// Maximum length of the name of a site or process.
 const MAX_NAME_BYTES: usize = 128;
-/// Shortest and longest of the spans by which states change.
+/// Range of the spans by which states change.
 const SPAN_RANGE_MS: std::ops::RangeInclusive<Millis> = 100..=3_600_000;
-/// The longest that anything is trusted: a month.
+/// Maximum span for which a server list or tenant record is trusted: 31 days.
 const MAX_TRUST_MS: Millis = 31 * 86_400_000;
 
 impl Config {
-    /// All that is wrong with it, at once.
+    /// Checks all fields.
+    ///
+    /// # Errors
+    ///
+    /// Returns every field outside its range, not only the first.
     pub fn validate(&self) -> Result<(), Vec<ConfigError>> {
         let mut errors = Vec::new();
         let mut require = |is_valid: bool, field, reason: String| {
@@ -131,7 +137,7 @@
                 format!("1 to {MAX_TRUST_MS} ms"),
             );
         }
-        // Guards against a span that outlasts the bound of the state it is kept in.
+        // A longer span would outlast the maximum time of the state that it applies to.
         let max_damping_ms = self.damp_cap_ms;
         require(
             max_damping_ms >= self.confirm_ms.max(self.steady_ms),
--- a/crates/edge/src/decide.rs
+++ b/crates/edge/src/decide.rs
@@ -1,88 +1,89 @@
-//! What a site decides alone, and what it refuses plainly.
+//! Decisions that an isolated site may take by itself, and those that it denies.
 
 use crate::Millis;
 use crate::evidence::{RemoteTarget, UplinkState};
 use crate::state_machine::Edge;
 
-/// Something that is to be decided.
+/// A decision that the host asks permission for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// A connection that stands goes on.
+    /// Keep an established connection.
     KeepConnection,
-    /// A client, new or returning, is sent to a server.
+    /// Send a client, new or returning, to a server.
     PlaceClient {
-        /// The server's site.
+        /// Site of the server.
         site: String,
-        /// Whether the server was ever listed.
+        /// Whether discovery ever listed the server.
         is_listed: bool,
-        /// Whether the evidence of this site says that it is well.
+        /// Whether this site's evidence says that the server is healthy.
         is_healthy: bool,
     },
-    /// A tenant's client is let in by the record in hand.
+    /// Admit a tenant's client by the stored record of the tenant.
     AdmitTenant {
-        /// How long ago its record was read; `None` where there is none.
+        /// Time since the record was read; `None` if there is no record.
         record_age_ms: Option<Millis>,
     },
-    /// A tenant is made, changed or removed, or its credentials are.
+    /// Create, change or remove a tenant or its credentials.
     ChangeTenant,
-    /// A share, a class or a bound of admission is changed.
+    /// Change a share, a class or a limit of admission.
     ChangeAdmissionLimits,
-    /// An override is made or changed.
+    /// Create or change an override.
     SetOverride {
-        /// The site of the server that it names.
+        /// Site of the server that the override names.
         site: String,
     },
-    /// An override is ended before its time.
+    /// End an override before it expires.
     EndOverride {
-        /// The site of the server that it names.
+        /// Site of the server that the override names.
         site: String,
     },
-    /// A connection is moved off a server that drains or is gone.
+    /// Move a connection off a server that is draining or gone.
     MigrateOffServer,
-    /// A connection is moved for balance alone.
+    /// Move a connection only to balance load.
     Rebalance,
-    /// A server that is not heard of is forgotten.
+    /// Remove a server that is no longer heard from.
     ForgetServer,
-    /// Something beyond the link is asked, apart from the site's probes.
+    /// Contact a remote target outside the site's probes.
     ContactRemote {
-        /// What.
+        /// Target to contact.
         target: RemoteTarget,
     },
 }
 
-/// What comes of it.
+/// Answer to a [`Decision`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// It is done.
+    /// The decision may be carried out.
     Granted,
-    /// It is refused.
+    /// The decision is denied.
     Denied {
-        /// Why, in words for whoever asked.
+        /// Reason, worded for the requester.
         reason: &'static str,
-        /// When to ask again at the earliest; whoever passes it on adds jitter.
+        /// Delay before the earliest retry. The host adds jitter when it passes this on.
         retry_after_ms: Millis,
     },
 }
 
 impl Edge {
-    /// How old the list in hand is.
+    /// Age of the server list; `None` if discovery never confirmed it.
     pub fn list_age(&self, now: Millis) -> Option<Millis> {
         self.list_confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether the list in hand is young enough to be trusted.
+    /// Whether the server list is within its trust period.
     pub fn is_list_trusted(&self, now: Millis) -> bool {
         self.list_age(now)
             .is_some_and(|age| age <= self.config.trust_for_ms)
     }
 
-    /// Whether the site has to do without what lies beyond: on the island, and until both sides are merged.
+    /// Whether the site has to act without remote targets: while isolated, and until both sides are
+    /// merged.
     fn is_autonomous(&self) -> bool {
         self.state == UplinkState::Isolated
             || (self.state == UplinkState::Rejoining && !self.is_merged)
     }
 
-    /// Whether this may be decided now.
+    /// Whether the decision may be taken now.
     pub fn permission(&self, now: Millis, decision: &Decision) -> Permission {
         if !self.is_autonomous() {
             return Permission::Granted;
@@ -115,7 +116,7 @@
                 )
             }
             Decision::PlaceClient { .. } => None,
-            // Once the link is back the store answers for itself.
+            // Once the uplink is back, the store can be asked for the tenant.
             Decision::AdmitTenant { .. } if !is_isolated => None,
             Decision::AdmitTenant {
                 record_age_ms: None,
--- a/crates/edge/src/evidence.rs
+++ b/crates/edge/src/evidence.rs
@@ -1,13 +1,13 @@
-//! What a process sees and is told, and what it does about it.
+//! Inputs and outputs of the state machine.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// What lies beyond the link.
+/// A target beyond the uplink.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RemoteTarget {
-    /// Discovery.
+    /// The discovery service.
     Discovery,
     /// The shared store.
     Store,
@@ -25,16 +25,16 @@
     }
 }
 
-/// How the site stands to what lies beyond its link.
+/// State of the site's uplink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UplinkState {
-    /// All is as usual.
+    /// Remote targets are reachable.
     Linked,
-    /// Something is lost; whether it is the link is being found out.
+    /// A target is unreachable; whether the uplink is the cause is being probed.
     Doubtful,
-    /// The link is lost: the site decides alone what it may.
+    /// The uplink is lost: the site takes by itself the decisions that it may.
     Isolated,
-    /// The link is back: what changed on both sides is being merged.
+    /// The uplink is back: changes of both sides are being merged.
     Rejoining,
 }
 
@@ -49,173 +49,179 @@
     }
 }
 
-/// How a question ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was answered, after so long.
+    /// The request was answered.
     Answered {
-        /// How long it took.
+        /// Time from the request to the answer.
         latency_ms: Millis,
     },
-    /// It was not.
+    /// The request failed or timed out.
     Failed,
 }
 
-/// What the operator has decided.
+/// The operator's choice of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UplinkMode {
-    /// The evidence decides again.
+    /// The evidence decides.
     Automatic,
-    /// The site is an island, whatever answers.
+    /// The site counts as isolated, whatever answers.
     Isolated,
-    /// The site is linked, whatever does not answer.
+    /// The site counts as linked, whatever fails to answer.
     Linked,
 }
 
-/// The operator's word. The latest given holds, at all processes alike, until its end.
+/// The operator's mode. The latest one applies at all processes of the site until it expires.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperatorMode {
-    /// When it was given.
+    /// When the operator set it.
     pub set_at: Millis,
-    /// What it is.
+    /// The chosen state.
     pub mode: UplinkMode,
-    /// When it is over by itself.
+    /// When it expires.
     pub expires_at: Millis,
-    /// Who gave it.
+    /// Name of the operator.
     pub set_by: String,
-    /// Why.
+    /// The operator's reason.
     pub reason: String,
 }
 
-/// How a place stands, by one process.
+/// Reachability of a target, as seen by one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reachability {
-    /// It answers what it is asked.
+    /// The target answers requests.
     Reachable,
-    /// It is heard, but answers nothing: the link carries one way.
+    /// Messages from the target arrive, but it does not answer: the uplink works in one direction
+    /// only.
     OneWay,
-    /// It does not answer.
+    /// The target does not answer.
     Unreachable,
 }
 
-/// What a process tells those of its site. Moments are told as ages, so that no two clocks need agree.
+/// Report of a process to its peers of the same site. Times are sent as ages, which need no
+/// synchronized clocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UplinkReport {
-    /// Its name.
+    /// Name of the reporting process.
     pub name: String,
-    /// Its site.
+    /// Site of the reporting process.
     pub site: String,
-    /// Its state.
+    /// State of the reporting process.
     pub state: UplinkState,
-    /// How each place stands by its own evidence, and how old that is.
+    /// Reachability of each target by the own evidence of the process, and the age of that
+    /// evidence.
     pub targets: Vec<(RemoteTarget, Reachability, Millis)>,
-    /// The last probe of each place that it knows of: how many came before, and how long ago it was.
+    /// Last known probe of each target: the number of attempts in a row without an answer, and the
+    /// age of the last one.
     pub probes: Vec<(RemoteTarget, u32, Millis)>,
-    /// The operator's word that it holds to.
+    /// Operator mode that the process applies.
     pub operator_mode: Option<OperatorMode>,
 }
 
-/// What a process saw or was told.
+/// An observation of this process or a report to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Evidence {
-    /// Nothing: time has passed ([`crate::Edge::next_tick_at`]).
+    /// Time has passed ([`crate::Edge::next_tick_at`]).
     Tick,
-    /// The watch on discovery ended, or could not be had.
+    /// The watch on discovery ended or could not be opened.
     WatchLost,
-    /// The watch stands: told at its beginning and with each sign of life on it.
+    /// The watch is open: reported when it opens and with each sign of life on it.
     WatchAlive,
-    /// Discovery was asked and did not answer in time.
+    /// Discovery did not answer a request in time.
     DiscoveryFailed,
-    /// Discovery answered.
+    /// Discovery answered a request.
     DiscoveryAnswered {
-        /// How long it took.
+        /// Time from the request to the answer.
         latency_ms: Millis,
     },
-    /// Discovery is elsewhere from now on (SIGHUP).
+    /// Discovery has another address from now on (SIGHUP).
     DiscoveryAddressChanged,
     /// The shared store did not answer.
     StoreFailed,
-    /// It did.
+    /// The shared store answered.
     StoreAnswered {
-        /// How long it took.
+        /// Time from the request to the answer.
         latency_ms: Millis,
     },
-    /// A word of another process came.
+    /// A message from another process arrived.
     PeerMessage {
-        /// Its name.
+        /// Name of the sender.
         name: String,
-        /// Its site.
+        /// Site of the sender.
         site: String,
-        /// Whether it answered something of ours, or says that it hears us.
+        /// Whether the message answers one of ours, or states that ours arrive.
         is_bidirectional: bool,
     },
-    /// Another process is silent.
+    /// Another process has fallen silent.
     PeerSilent {
-        /// Its name.
+        /// Name of the silent process.
         name: String,
-        /// Its site.
+        /// Site of the silent process.
         site: String,
     },
-    /// What another process of this site sees.
+    /// Report of another process of this site.
     PeerReport(UplinkReport),
-    /// How a question to a server of another site ended.
+    /// Outcome of a request to a server of another site.
     RemoteServerRequest {
-        /// The server's site.
+        /// Site of the server.
         site: String,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// How a question to a server of this site ended.
+    /// Outcome of a request to a server of this site.
     LocalServerRequest {
-        /// How it ended.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// The list in hand was confirmed by discovery at that moment; another process or the memory says so.
+    /// Discovery confirmed the server list, according to another process or the stored state.
     ListConfirmed {
-        /// When it was.
+        /// When discovery confirmed it.
         at: Millis,
     },
-    /// The operator's word.
+    /// The operator set a mode.
     OperatorModeSet(OperatorMode),
-    /// A step of the rejoining is done.
+    /// A step of rejoining is done.
     RejoinStepDone(RejoinStep),
 }
 
-/// A step of the rejoining, in their order.
+/// A step of rejoining, in the order of execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RejoinStep {
-    /// Ask this again after so long: discovery for its watch, the store for what is old.
+    /// Contact the target again after a delay: discovery to open the watch, the store to refresh
+    /// old records.
     Reconnect {
-        /// What is asked.
+        /// Target to contact.
         target: RemoteTarget,
-        /// After how long.
+        /// Delay before the contact.
         delay_ms: Millis,
     },
-    /// Compare what both sides have ([`crate::plan_rejoin`], [`crate::merge_overrides`]) and take it over.
+    /// Compare the data of both sides ([`crate::plan_rejoin`], [`crate::merge_overrides`]) and
+    /// apply the result.
     Merge,
 }
 
-/// What the host does.
+/// A command for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The state has changed.
     StateChanged {
-        /// From this.
+        /// Previous state.
         from: UplinkState,
-        /// To this.
+        /// New state.
         to: UplinkState,
-        /// Why, in a plain sentence.
+        /// Reason, as a sentence for people.
         reason: String,
     },
-    /// Ask what lies beyond the link, once, for the whole site.
+    /// Probe a remote target once, for the whole site.
     Probe {
-        /// What is asked.
+        /// Target to probe.
         target: RemoteTarget,
     },
-    /// Tell the site's other processes at once what this one says ([`crate::Edge::report`]).
+    /// Publish this process's report ([`crate::Edge::report`]) to its peers of the site at once.
     PublishReport,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// Do this step of the rejoining.
+    /// Carry out a step of rejoining.
     Rejoin(RejoinStep),
 }
--- a/crates/edge/src/health_reports.rs
+++ b/crates/edge/src/health_reports.rs
@@ -1,85 +1,88 @@
-//! What the processes of a site make of its servers, put together.
+//! Reports of a site's processes on the health of its servers, merged.
 //!
-//! Of each process and server the latest judgement counts, and of two at one moment the graver. Merging is so
-//! commutative, associative and idempotent: all who heard the same know the same, in whatever order it came.
+//! The latest report of each process on each server counts; of two with the same time, the one with
+//! the more severe finding. This makes merging commutative, associative and idempotent: processes
+//! that received the same reports hold the same data, whatever the order of arrival.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 
-/// Most processes whose judgement of one server is kept; the latest are.
+/// Maximum number of processes whose reports on one server are kept; the latest reports are kept.
 const MAX_ORIGINS: usize = 64;
-/// Most servers; the first by name are kept. Guards against names without end.
+/// Maximum number of servers; the first by name are kept. Bounds memory against an unlimited number
+/// of names.
 const MAX_SERVERS: usize = 4_096;
-/// The weight of one process's evidence at most.
+/// Maximum weight of one process's report.
 const MAX_WEIGHT: u32 = 4;
-/// Evidence fades to nothing over this span.
+/// Evidence loses its weight linearly over this span.
 pub(crate) const EVIDENCE_VALID_MS: Millis = 30_000;
-/// Who is well again gets its part back over this span.
+/// A recovered server gets its weight back over this span.
 pub(crate) const RAMP_MS: Millis = 10_000;
 
-/// What a server was found to be; the graver last.
+/// Observed health of a server, in ascending order of severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerHealth {
-    /// It took a new connection.
+    /// The server accepted a new connection.
     Healthy,
-    /// It said `BUSY`.
+    /// The server answered `BUSY`.
     Busy,
-    /// It did not answer.
+    /// The server did not answer.
     Unresponsive,
-    /// It refused a connection.
+    /// The server refused a connection.
     Refused,
-    /// It said that it drains (`MOVE`).
+    /// The server announced that it is draining (`MOVE`).
     Draining,
-    /// It is gone.
+    /// The server is gone.
     Gone,
 }
 
-/// What a process found before its present judgement.
+/// Finding of a process before its present one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PreviousFinding {
-    /// When it was last witnessed.
+    /// When it was last observed.
     pub until_ms: Millis,
-    /// What it was.
+    /// Health that was observed.
     pub health: ServerHealth,
-    /// How much evidence there was.
+    /// Weight of the evidence.
     pub weight: u32,
 }
 
-/// One process's judgement of one server.
+/// One process's report on one server. Reports are ordered by their fields from first to last.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HealthReport {
-    /// When it was last witnessed.
+    /// When the finding was last observed.
     pub observed_at_ms: Millis,
-    /// What the server was found to be.
+    /// Observed health of the server.
     pub health: ServerHealth,
-    /// How much evidence there is.
+    /// Weight of the evidence: the number of observations, up to a limit.
     pub weight: u32,
-    /// Since when it has been found so without a break.
+    /// Start of the uninterrupted series of equal observations.
     pub since_ms: Millis,
-    /// What it was found to be before, where that was not well.
+    /// Previous finding, unless it was healthy.
     pub previous: Option<PreviousFinding>,
-    /// When the server started, as far as was known; what is said of an earlier start is void.
+    /// Start time of the server, as far as known. Reports on an earlier start are void.
     pub started_ms: Millis,
-    /// The server's name in the list.
+    /// Name of the server in the list.
     pub server: String,
-    /// The process that witnessed it.
+    /// Process that made the observation.
     pub origin: String,
 }
 
-/// The judgements of all processes of a site.
+/// Reports of all processes of a site.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HealthReports {
     by_server: BTreeMap<String, BTreeMap<String, HealthReport>>,
 }
 
 impl HealthReports {
-    /// None.
+    /// Creates an empty set.
     pub fn new() -> HealthReports {
         HealthReports::default()
     }
 
-    /// This process has found a server, of this start, to be something; gives what others are to be told.
+    /// Records an observation by the process `origin` of a server with the given start time;
+    /// returns the report to publish.
     pub fn observe(
         &mut self,
         now: Millis,
@@ -94,7 +97,7 @@
             .and_then(|origins| origins.get(origin));
         let previous_report =
             previous_report.filter(|previous_report| previous_report.started_ms == started_ms);
-        // A judgement is felt for as long as its end is.
+        // An earlier report has an effect until the weight of the server is fully restored.
         let previous_report = previous_report.filter(|previous_report| {
             now.saturating_sub(previous_report.observed_at_ms) <= EVIDENCE_VALID_MS + RAMP_MS
         });
@@ -140,7 +143,7 @@
         report
     }
 
-    /// Takes a judgement in; gives whether it said anything new.
+    /// Inserts a report; returns whether it changed anything.
     pub fn insert(&mut self, report: HealthReport) -> bool {
         let origins = self.by_server.entry(report.server.clone()).or_default();
         match origins.get(&report.origin) {
@@ -161,19 +164,19 @@
             .is_some_and(|origins| origins.contains_key(&origin))
     }
 
-    /// Takes in all that another process knows.
+    /// Inserts all reports of another process.
     pub fn merge(&mut self, other: &HealthReports) {
         for report in other.iter() {
             self.insert(report.clone());
         }
     }
 
-    /// All of them, in order.
+    /// All reports, ordered by server and origin.
     pub fn iter(&self) -> impl Iterator<Item = &HealthReport> {
         self.by_server.values().flat_map(BTreeMap::values)
     }
 
-    /// Those of a server.
+    /// Reports on a server, ordered by origin.
     pub fn for_server(&self, server: &str) -> impl Iterator<Item = &HealthReport> {
         self.by_server
             .get(server)
@@ -181,7 +184,7 @@
             .flat_map(BTreeMap::values)
     }
 
-    /// Forgets what says nothing any more: all that was last witnessed before.
+    /// Removes reports last observed before `min_observed_at`.
     pub fn prune(&mut self, min_observed_at: Millis) {
         for origins in self.by_server.values_mut() {
             origins.retain(|_, report| report.observed_at_ms >= min_observed_at);
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,10 @@
-//! What an edge site does while its uplink is lost: whether it is, what the site decides alone meanwhile, which of
-//! its servers it passes over, who asks beyond the link, and how it comes back without moving anybody.
+//! Behaviour of an edge site while its uplink is lost: detecting the loss, the decisions that the site
+//! takes by itself meanwhile, skipping unhealthy servers, sharing probes among its processes, and
+//! rejoining without needless migrations.
 //!
-//! There is no I/O, clock or global here. A host tells an [`Edge`] what it saw ([`Evidence`]) and at which moment,
-//! and does what it is told ([`Action`]). The same evidence at the same moments gives the same actions.
+//! There is no I/O, clock or global state here. A host passes its observations ([`Evidence`]) and the
+//! time to an [`Edge`], and carries out the resulting commands ([`Action`]). The same evidence at the
+//! same times gives the same actions.
 //!
 //! ```
 //! use beaconflow_edge::*;
@@ -11,7 +13,7 @@
 //! let (mut edge, mut actions) = (Edge::new(config, 0, Start::Fresh), Vec::new());
 //! edge.handle(0, Evidence::WatchAlive, &mut actions);
 //! assert_eq!(edge.state(), UplinkState::Linked);
-//! // Discovery and the store fall silent at once, and nobody else is heard from beyond.
+//! // Discovery and the store stop answering, and there is no other remote target.
 //! for now in (10_000..20_000).step_by(500) {
 //!     edge.handle(now, Evidence::WatchLost, &mut actions);
 //!     edge.handle(now, Evidence::StoreFailed, &mut actions);
@@ -54,6 +56,6 @@
 pub use snapshot::{EdgeSnapshot, TargetSnapshot};
 pub use state_machine::{Edge, Start};
 
-/// A moment on the program's clock: Unix time in milliseconds as it was at the program's start, and followed
-/// monotonically from then on. Spans are in milliseconds too.
+/// Unix time in milliseconds: read from the wall clock when the program starts and advanced by the
+/// monotonic clock from then on. Spans are in milliseconds too.
 pub type Millis = u64;
--- a/crates/edge/src/merge.rs
+++ b/crates/edge/src/merge.rs
@@ -1,68 +1,70 @@
-//! Overrides made on both sides of a lost link, put together by rules.
+//! Rules for merging overrides that were made on both sides of a lost uplink.
 //!
-//! | on one side | on the other | what holds |
+//! | one side | other side | result |
 //! | --- | --- | --- |
-//! | an override | the same, unchanged | it |
-//! | removed | changed, or as it was | it is removed |
-//! | changed | changed otherwise | the later record; of two at once the one that ends sooner |
-//! | its end is past | anything but a later record | it has ended |
-//! | made there, for a server of that side | nothing | it |
-//! | made there, for a server of the other side | anything | nothing: it could not be decided there |
-//! | `out` of a server | another weight of it | both; `out` shadows the weight |
-//! | two of one kind for one server or subject | | both; the one made later shadows the other |
+//! | an override | the same, unchanged | kept |
+//! | removed | changed or unchanged | removed |
+//! | changed | changed differently | the later change; of two at the same time, the one that expires sooner |
+//! | expired | anything but a later change | expired |
+//! | made there, for a server of that side | absent | kept |
+//! | made there, for a server of the other side | anything | dropped: that side could not decide it |
+//! | `out` of a server | another weight of it | both are kept; `out` shadows the weight |
+//! | two of one kind for one server or subject | | both are kept; the later one shadows the other |
 //!
-//! Nobody is moved by any of it, but by an `out` that says so, at its own rate.
+//! Merging migrates no client, except by an `out` that asks for it, at the rate of that override.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 
-/// What an override does, as far as the rules ask.
+/// Effect of an override, as far as the rules distinguish it. Variants are in ascending order of
+/// precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OverrideKind {
-    /// A new weight of a server.
+    /// Sets the weight of a server.
     Weight,
-    /// A server gets nothing new.
+    /// Sends no new work to a server.
     Out,
-    /// A group or tenant goes to a server.
+    /// Pins a group or tenant to a server.
     Pin,
 }
 
-/// An override as one side has it.
+/// An override as stored on one side.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OverrideRecord {
-    /// Its name, the same on both sides.
+    /// Identifier, the same on both sides.
     pub id: String,
-    /// What it is about: the server for a weight or `out`, the group or tenant for a pin.
+    /// Subject: the server for a weight or `out`, the group or tenant for a pin.
     pub subject: String,
-    /// What it does.
+    /// Effect of the override.
     pub kind: OverrideKind,
-    /// The site where it was made; empty where it was made before the link was lost.
+    /// Site where it was made; empty if it was made before the uplink was lost.
     pub origin_site: String,
-    /// The site of the server that it names.
+    /// Site of the server that it names.
     pub server_site: String,
     /// When it was made.
     pub created_at: Millis,
     /// When it was last changed.
     pub changed_at: Millis,
-    /// When it ends.
+    /// When it expires.
     pub expires_at: Millis,
     /// Whether it was removed.
     pub is_removed: bool,
 }
 
-/// What comes of both sides.
+/// Result of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergedOverrides {
-    /// All that go on, by their names.
+    /// Overrides that stay in effect, ordered by identifier.
     pub active: Vec<OverrideRecord>,
-    /// Those of them that another one shadows, and which one does.
+    /// Pairs of identifiers: a shadowed override and the one that shadows it.
     pub shadowed: Vec<(String, String)>,
-    /// Those that do not go on, and why.
+    /// Overrides that are dropped, and the reasons.
     pub dropped: Vec<(OverrideRecord, &'static str)>,
 }
 
-/// Puts the overrides of an island and those from outside together. Which side is named first makes no difference.
+/// Merges the overrides of an isolated site with those from outside. The order of the arguments
+/// does not matter.
 pub fn merge_overrides(
     left: &[OverrideRecord],
     right: &[OverrideRecord],
@@ -86,7 +88,7 @@
     merged
 }
 
-/// Which of two states of one override holds.
+/// The version of one override that is kept.
 fn newer(left: &OverrideRecord, right: &OverrideRecord) -> OverrideRecord {
     let order = |record: &OverrideRecord| {
         (
--- a/crates/edge/src/pace.rs
+++ b/crates/edge/src/pace.rs
@@ -1,4 +1,4 @@
-//! What is bounded over all processes, and each one's part of it.
+//! Limits for the whole fleet, and each process's share of them.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::Millis;
 
-/// Moves after an island, at this process's part of the rate.
+/// Paces migrations after an isolation to this process's share of the fleet's rate.
 ///
-/// What is a fraction of a move counts as odds: it begins with a random part of one. Guards against all processes
-/// making their first move in one moment, and against none where the part is small.
+/// The first migration comes after a random part of the interval between two. Otherwise all
+/// processes would make their first one at the same time, or none at all where the share is small.
 #[derive(Clone, Debug)]
 pub struct MigrationPacer {
     rate_per_s: f64,
@@ -19,7 +19,7 @@
 }
 
 impl MigrationPacer {
-    /// So many a second, by so many processes together.
+    /// Splits `rate_per_s` between `processes`.
     pub fn new(rate_per_s: f64, processes: u32, seed: u64, now: Millis) -> MigrationPacer {
         let credit = Pcg32::seed_from_u64(seed).random_range(0.0..1.0);
         MigrationPacer {
@@ -29,11 +29,12 @@
         }
     }
 
-    /// How many are due, of so many that there are. What was not used lapses beyond one.
+    /// Returns how many of the `available` migrations may start now. At most one unused migration
+    /// is carried over.
     pub fn permitted(&mut self, now: Millis, available: usize) -> usize {
         let elapsed_ms = now.saturating_sub(self.updated_at);
         self.updated_at = self.updated_at.max(now);
-        // A process that was stopped for a while has not saved its moves up.
+        // A process that was paused does not accumulate migrations.
         let earned = elapsed_ms.min(1_000) as f64 / 1_000.0 * self.rate_per_s;
         self.credit = self.credit.min(1.0) + earned;
         let permitted = (self.credit as usize).min(available);
@@ -42,52 +43,53 @@
     }
 }
 
-/// A part of what cold servers may be sent.
+/// Share of the clients that may be sent to servers in slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartQuota {
-    /// So many parts
+    /// Numerator of the share.
     pub numerator: u32,
-    /// of so many.
+    /// Denominator of the share.
     pub denominator: u32,
 }
 
 impl SlowStartQuota {
-    /// The part of a budget.
+    /// Applies the share to a budget.
     pub fn share(&self, budget: f64) -> f64 {
         budget * f64::from(self.numerator) / f64::from(self.denominator.max(1))
     }
 }
 
-/// How many processes each site has, as heard both ways.
+/// Number of processes at each site, counting those that are reachable in both directions.
 ///
-/// Two sites that do not hear each other may both think a cold server theirs. So a silent site is counted for as long
-/// as it may be an island and for the time that a server stays cold after, and a site's own part is what it had when
-/// all were heard: newcomers share it, and it grows only after all have been heard for that time. The parts of all
-/// sites come to one at most, however they are cut apart.
+/// Two sites that don't hear each other may both count a server in slow start as theirs. A silent
+/// site is therefore counted for as long as it may be isolated and for a slow start after that. A
+/// site's own share is the one it had when all sites were heard: new processes share it, and it
+/// grows only after all sites have been heard for that time. The shares of all sites add up to one
+/// at most, however they are partitioned.
 #[derive(Clone, Debug)]
 pub struct ProcessCounts {
     site: String,
     sites: BTreeMap<String, SiteCount>,
     max_isolation_ms: Millis,
     slow_start_ms: Millis,
-    /// What this site had when all were heard for long enough.
+    /// Number of processes of this site when all sites were last heard for long enough.
     agreed_count: u32,
-    /// Since when it has had another number, with all heard.
+    /// When this site began to have a higher number, with all sites heard.
     differs_since: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SiteCount {
-    /// How many are heard now.
+    /// Number of processes heard now.
     current: u32,
-    /// The most lately, and since when there are fewer.
+    /// Recent maximum, and when the number fell below it.
     recent_max: u32,
     below_max_since: Option<Millis>,
 }
 
 impl ProcessCounts {
-    /// Counts for a site of so many processes; one that is silent is counted for the first span, and a server is cold
-    /// for the second.
+    /// Counts for a site with `processes` processes. A silent site is counted for
+    /// `max_isolation_ms` and a slow start; a server is in slow start for `slow_start_ms`.
     pub fn new(
         site: &str,
         processes: u32,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// So many processes of a site are heard, 0 where it is silent.
+    /// Records how many processes of a site are heard; 0 if it is silent.
     pub fn record_site(&mut self, now: Millis, site: &str, processes: u32) {
         let count = self.sites.entry(site.to_owned()).or_insert(SiteCount {
             current: 0,
@@ -125,7 +127,7 @@
         self.update(now);
     }
 
-    /// Time has passed.
+    /// Applies the passage of time.
     pub fn update(&mut self, now: Millis) {
         for count in self
             .sites
@@ -142,7 +144,7 @@
                 (count.recent_max, count.below_max_since) = (count.current, None);
             }
         }
-        // What the others do not count any more is not this site's either.
+        // This site's agreed number must not exceed what other sites still count for it.
         let recent_max = self
             .sites
             .get(&self.site)
@@ -169,13 +171,14 @@
             .map_or(1, |own| own.current.max(1))
     }
 
-    /// How many processes the whole fleet has: none is left out that may be there.
+    /// Number of processes in the fleet, including all that may still be running.
     pub fn fleet_size(&self) -> u32 {
         let others = self.sites.iter().filter(|(site, _)| **site != self.site);
         others.map(|(_, count)| count.recent_max).sum::<u32>() + self.agreed_count
     }
 
-    /// This process's part of what cold servers may be sent by the fleet: the site's part, divided by its processes.
+    /// This process's share of the fleet's budget for servers in slow start: the site's share
+    /// divided by its processes.
     pub fn slow_start_quota(&self) -> SlowStartQuota {
         SlowStartQuota {
             numerator: self.agreed_count.min(self.own_count()),
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -1,7 +1,8 @@
-//! Who asks beyond the lost link, and when: few probes for the whole site.
+//! Schedules probes over the lost uplink, so that the whole site sends few of them.
 //!
-//! Each place has an order of the site's processes, by name and place alone, so that all agree on it without a word.
-//! The first asks; the others do when nothing was heard of a probe for too long.
+//! For each target the processes of the site have an order, computed from names alone, on which all
+//! agree without messages. The first process probes; the others do when no probe has been reported
+//! for too long.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +13,21 @@
 use crate::evidence::RemoteTarget;
 use crate::{Config, Millis};
 
-/// The probes of one place, as far as this process knows of the site's.
+/// Probes of one target by all processes of the site, as far as this process knows.
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeState {
-    /// How many came in a row without an answer.
+    /// Attempts in a row without an answer.
     attempts: u32,
-    /// When the last one was.
+    /// Time of the last attempt.
     last_at: Option<Millis>,
-    /// When this process asks if nothing is heard of another.
+    /// When this process probes unless another is heard to have done so.
     due_at: Option<Millis>,
-    /// This process's own questions that only confirm what another of the site says.
+    /// This process's own probes that only confirm a peer's report.
     confirm_attempts: u32,
     confirm_at: Option<Millis>,
 }
 
-/// All probes beyond the link.
+/// Probes of all targets.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeSchedule {
     base_ms: Millis,
@@ -35,7 +36,8 @@
     targets: BTreeMap<RemoteTarget, ProbeState>,
 }
 
-/// The place of a process in the order of those who ask.
+/// Position of a process in the order in which the processes probe a target. The order is a digest
+/// of the texts of target and name, which all processes of a site have to share.
 pub(crate) fn rank<'a>(
     name: &str,
     target: &RemoteTarget,
@@ -63,20 +65,21 @@
         (self.base_ms, self.cap_ms) = (config.probe_base_ms, config.probe_cap_ms);
     }
 
-    /// A moment within a span, by the odds.
+    /// A uniformly random delay of up to `max_ms`.
     pub(crate) fn random_delay(&mut self, max_ms: Millis) -> Millis {
         self.rng.random_range(0..=max_ms)
     }
 
-    /// The longest wait after so many tries.
+    /// Upper bound of the delay after a number of attempts (exponential backoff).
     fn max_delay(&self, attempts: u32) -> Millis {
         self.base_ms
             .saturating_mul(1 << attempts.min(20))
             .min(self.cap_ms)
     }
 
-    /// The wait of the process of this rank. All jitter lies over the whole span, and never below the first
-    /// spacing; who comes later waits until the one before must have asked.
+    /// Delay before the next probe by the process of this rank. The jitter covers the whole span
+    /// above the base interval; a process of a higher rank waits until the one before it must have
+    /// probed.
     fn delay(&mut self, attempts: u32, rank: u64) -> Millis {
         let max_delay = self.max_delay(attempts);
         if rank == 0 {
@@ -87,14 +90,16 @@
             + self.random_delay(self.base_ms / 2)
     }
 
-    /// Begins anew with a place: it is asked at once by the first, by the next ones if the first does not.
+    /// Restarts the schedule of a target: the first process probes at once, the next ones follow if
+    /// it does not.
     pub(crate) fn start(&mut self, target: &RemoteTarget, now: Millis, rank: u64) {
         let delay = self.random_delay(self.base_ms / 4) + rank * self.base_ms;
         let probe = self.targets.entry(target.clone()).or_default();
         (probe.attempts, probe.due_at) = (0, Some(now + delay));
     }
 
-    /// Asks at once, whatever the order says, but no sooner after the last time than the first spacing.
+    /// Schedules a probe at once, whatever the rank, but no sooner after the last one than the base
+    /// interval.
     pub(crate) fn probe_now(&mut self, target: &RemoteTarget, now: Millis) {
         let probe = self.targets.entry(target.clone()).or_default();
         let due_at = probe.last_at.map_or(now, |at| now.max(at + self.base_ms));
@@ -105,12 +110,12 @@
         };
     }
 
-    /// Asks no more.
+    /// Cancels all probes.
     pub(crate) fn clear(&mut self) {
         self.targets.clear();
     }
 
-    /// Another process of the site has asked, so long after so many tries.
+    /// Records a probe by another process of the site at `at`, its attempt number `attempts`.
     pub(crate) fn record_peer_probe(
         &mut self,
         target: &RemoteTarget,
@@ -129,7 +134,7 @@
         (probe.attempts, probe.last_at, probe.due_at) = (attempts, Some(at), Some(due_at));
     }
 
-    /// Whether the place is asked now, by its order; notes that it is.
+    /// Whether to probe the target now; if so, records the probe.
     pub(crate) fn take_due(
         &mut self,
         target: &RemoteTarget,
@@ -150,8 +155,8 @@
         true
     }
 
-    /// Whether this process asks for itself, since another of the site says that the place answers. The longer it
-    /// is in vain, the more seldom.
+    /// Whether to send an own probe because a peer reports that the target answers. The interval
+    /// grows with each unsuccessful one.
     pub(crate) fn take_due_confirmation(&mut self, target: &RemoteTarget, now: Millis) -> bool {
         let probe = self.targets.get(target).copied().unwrap_or_default();
         let Some(at) = probe.confirm_at else {
@@ -170,7 +175,7 @@
         true
     }
 
-    /// The last probe of each place that is known of.
+    /// Last known probe of each target.
     pub(crate) fn last_probes(&self, now: Millis) -> Vec<(RemoteTarget, u32, Millis)> {
         let last_probe = |(target, probe): (&RemoteTarget, &ProbeState)| {
             Some((
@@ -182,7 +187,7 @@
         self.targets.iter().filter_map(last_probe).collect()
     }
 
-    /// When the next one may be due.
+    /// Time at which the next probe may be due.
     pub(crate) fn next_due_at(&self) -> Option<Millis> {
         self.targets
             .values()
--- a/crates/edge/src/rejoin.rs
+++ b/crates/edge/src/rejoin.rs
@@ -1,17 +1,17 @@
-//! What becomes of what a site held on its island, once discovery's list is in hand.
+//! What happens to the servers known to an isolated site when discovery's list arrives.
 //!
-//! | held on the island | the list says | what happens |
+//! | known to the isolated site | in the list | result |
 //! | --- | --- | --- |
-//! | serves | the same | kept, with the list's weight |
-//! | serves | started later | kept, cold from that start on |
-//! | serves | drains | nothing new; its connections are moved, paced |
-//! | serves | gone, or not there (whole list of the same discovery) | nothing new; its connections are moved, paced |
-//! | serves | not there (a list of changes, or a discovery that lost its state) | kept until it is listed or gone |
-//! | drained by its own word | serves, same start | kept; passed over until that word has faded |
-//! | drained by its own word | serves, started later | kept, cold; the word was of its former life |
-//! | passed over for its health | serves | kept; passed over for as long as the evidence says |
-//! | nothing | serves | taken in with its part, cold where it is young; nobody is moved to it |
-//! | nothing | drains or gone | nothing |
+//! | serving | the same | kept, with the list's weight |
+//! | serving | started later | kept, in slow start from that start on |
+//! | serving | draining | no new work; its connections are migrated at a limited rate |
+//! | serving | gone, or absent from a complete list of the same discovery incarnation | no new work; its connections are migrated at a limited rate |
+//! | serving | absent from a delta, or from the list of a discovery that lost its state | kept until it is listed or gone |
+//! | announced its drain | serving, same start | kept; skipped until the announcement expires |
+//! | announced its drain | serving, started later | kept, in slow start; the announcement belongs to the former start |
+//! | ejected for its health | serving | kept; skipped for as long as the evidence lasts |
+//! | absent | serving | added with its share, in slow start if it is young; no client is migrated to it |
+//! | absent | draining or gone | nothing |
 
 use std::collections::BTreeMap;
 
@@ -21,98 +21,99 @@
 /// Whether a server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It does.
+    /// It takes new work.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its present work and takes no more.
     Draining,
     /// It is gone.
     Gone,
 }
 
-/// A server as the island has it.
+/// A server as known to the isolated site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownServer {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// As last listed.
+    /// Readiness in the last list.
     pub readiness: Readiness,
-    /// When it started, by the list or by the site's evidence.
+    /// Start time, by the list or the site's evidence.
     pub started_ms: Millis,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths.
     pub weight: u64,
-    /// Why the site passes it over, if it does.
+    /// Finding for which the site skips the server, if it does.
     pub ejected_for: Option<ServerHealth>,
-    /// This process's connections on it.
+    /// This process's established connections to it.
     pub connections: usize,
 }
 
-/// A server of discovery's list.
+/// A server in discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
     /// Whether it takes new work.
     pub readiness: Readiness,
-    /// When it started; 0 for long ago.
+    /// Start time; 0 if long ago.
     pub started_ms: Millis,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths.
     pub weight: u64,
 }
 
-/// Why connections are moved off a server.
+/// Why connections are migrated off a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MigrationReason {
-    /// It drains, which the island had not seen.
+    /// The server is draining, which the isolated site did not know.
     Draining,
-    /// It is gone.
+    /// The server is gone.
     Gone,
 }
 
-/// Connections that are moved off a server, paced.
+/// Connections to migrate off a server at a limited rate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Migration {
-    /// Off which.
+    /// Server to migrate off.
     pub server: String,
-    /// How many stand there.
+    /// Number of established connections there.
     pub connections: usize,
-    /// Why.
+    /// Reason for the migration.
     pub reason: MigrationReason,
 }
 
-/// A server that goes on, and how.
+/// A server that stays in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeptServer {
-    /// Which.
+    /// Name of the server.
     pub server: String,
-    /// Its weight from now on.
+    /// Weight from now on, in thousandths.
     pub weight: u64,
-    /// Why the site's evidence passes it over still.
+    /// Finding for which the site still skips the server, if it does.
     pub ejected_for: Option<ServerHealth>,
-    /// It is cold from this start on.
+    /// Start time from which the server is in slow start, if it is.
     pub slow_start_since: Option<Millis>,
-    /// In a sentence, where it is not simply as listed.
+    /// Explanation, if the server differs from its entry in the list.
     pub reason: Option<&'static str>,
 }
 
-/// What is done at the merge.
+/// Result of comparing both sides.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RejoinPlan {
-    /// All servers that go on, by name.
+    /// Servers that stay in use, ordered by name.
     pub kept: Vec<KeptServer>,
-    /// The only moves that the rejoining makes.
+    /// The only migrations that rejoining causes.
     pub migrations: Vec<Migration>,
 }
 
-/// What the list is.
+/// Properties of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListOrigin {
-    /// Whether it is the whole list, not changes alone.
+    /// Whether it is a complete list rather than a delta.
     pub is_complete: bool,
-    /// Whether it comes from the same discovery as before: one that has not lost its state since.
+    /// Whether it comes from the same discovery incarnation as before: one that has not lost its
+    /// state since.
     pub is_same_incarnation: bool,
 }
 
-/// Compares both sides.
+/// Compares the servers known to the isolated site with the list.
 pub fn plan_rejoin(
     now: Millis,
     known: &[KnownServer],
@@ -198,7 +199,7 @@
         });
     }
 
-    /// A server that drains, or is gone: what stands there is moved, if anything does.
+    /// Stops using a server that is draining or gone, and migrates its connections, if any.
     fn migrate_off(&mut self, known: &KnownServer, readiness: Readiness) {
         let reason = if readiness == Readiness::Gone {
             MigrationReason::Gone
@@ -215,7 +216,7 @@
     }
 }
 
-/// Since when a server is cold, if it is.
+/// Start time from which a server is in slow start, if it is.
 fn slow_start_since(now: Millis, started_ms: Millis, slow_start_ms: Millis) -> Option<Millis> {
     (started_ms > 0 && now < started_ms.saturating_add(slow_start_ms)).then_some(started_ms)
 }
--- a/crates/edge/src/server_assessment.rs
+++ b/crates/edge/src/server_assessment.rs
@@ -1,4 +1,4 @@
-//! What each server of the site gets, by the evidence of all of its processes.
+//! Assessment of each server of the site by the evidence of all its processes.
 
 use std::collections::BTreeMap;
 
@@ -7,40 +7,40 @@
     EVIDENCE_VALID_MS, HealthReport, HealthReports, RAMP_MS, ServerHealth,
 };
 
-/// `BUSY` is soon over.
+/// A `BUSY` answer is short-lived evidence.
 const BUSY_VALID_MS: Millis = 5_000;
-/// A server's own word that it drains holds until it starts anew, and for so long at most.
+/// A server's announcement of its drain applies until it restarts, and for this long at most.
 const DRAIN_NOTICE_VALID_MS: Millis = 600_000;
-/// Evidence, in hundredths of one witness, from which on a server is passed over.
+/// Weight of evidence, in hundredths of one report, from which on a server is ejected.
 const EJECTION_THRESHOLD: u64 = 150;
-/// Thousandths of the site's weight that may be passed over.
+/// Thousandths of the total weight of the site that may be ejected.
 const MAX_EJECTED_PERMILLE: u64 = 500;
-/// Steps in which a server that is well again gets its part back; it begins with the first.
+/// Steps in which a recovered server gets its weight back; it starts with the first.
 const RAMP_STEPS: u64 = 10;
 
 /// A server of the site as last listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AssessedServer {
-    /// Its name.
+    /// Name of the server.
     pub server: String,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths.
     pub weight: u64,
-    /// When it started, as the list has it; 0 for long ago.
+    /// Start time in the list; 0 if long ago.
     pub started_ms: Millis,
 }
 
-/// What a server gets.
+/// Assessment of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerAssessment {
-    /// Why it is passed over, if it is.
+    /// Finding for which it is ejected, if it is.
     pub ejected_for: Option<ServerHealth>,
     /// Thousandths of its weight that it gets.
     pub weight_permille: u64,
-    /// When it started anew while nobody could list it: it is cold from then on.
+    /// Start time from which it is in slow start, if it restarted while no list could report it.
     pub slow_start_since: Option<Millis>,
 }
 
-/// One server's evidence put together.
+/// Combined evidence on one server.
 struct EvidenceSummary<'a> {
     server: &'a AssessedServer,
     finding: Option<ServerHealth>,
@@ -49,7 +49,7 @@
     slow_start_since: Option<Millis>,
 }
 
-/// What each server gets at this moment. All who have the same evidence give the same.
+/// Assesses each server at `now`. The same evidence gives the same result at all processes.
 pub fn assess_servers(
     servers: &[AssessedServer],
     reports: &HealthReports,
@@ -60,14 +60,14 @@
         .iter()
         .map(|server| summarize(server, reports, now, slow_start_ms))
         .collect();
-    // The gravest first; by name where there is nothing between two.
+    // Most severe findings first; ties are broken by name.
     summaries.sort_by(|a, b| {
         (b.finding, b.negative_weight)
             .cmp(&(a.finding, a.negative_weight))
             .then_with(|| a.server.server.cmp(&b.server.server))
     });
     let total: u64 = servers.iter().map(|server| server.weight).sum();
-    // Guards against a fault of this site's own eyes: a farm that looks all bad is served as if all were good.
+    // If all servers look unhealthy, this site's own view is probably at fault, so none is ejected.
     let all_suspect = summaries.iter().all(|summary| summary.finding.is_some());
     let mut ejectable_weight = if all_suspect {
         0
@@ -110,7 +110,7 @@
         .max()
         .unwrap_or(0)
         .max(server.started_ms);
-    // What was said of an earlier start is void.
+    // Reports on an earlier start are void.
     let reports_of_start: Vec<&HealthReport> = all
         .into_iter()
         .filter(|report| report.started_ms == latest_start)
@@ -129,7 +129,8 @@
     }
 }
 
-/// Whether the evidence is enough to pass a server over, and how much there is.
+/// The finding for which to eject the server, if the evidence is enough, and the weight of the
+/// evidence.
 fn weigh_evidence(all: &[&HealthReport], now: Millis) -> (Option<ServerHealth>, u64) {
     let negative = || {
         all.iter().filter(|report| {
@@ -141,7 +142,8 @@
         .map(|report| report.since_ms)
         .min()
         .unwrap_or(now);
-    // Who found the server well after others had begun to find it ill speaks for it; who did before does not.
+    // A report of health counts against the finding only if it was observed after others began to
+    // report the fault.
     let counts = |report: &&&HealthReport| {
         report.health == ServerHealth::Healthy && report.observed_at_ms > first_negative_at
     };
@@ -162,7 +164,7 @@
     )
 }
 
-/// Whether the server said that it drains, and nobody has found it well since.
+/// Whether the server announced its drain and no process has found it healthy since.
 fn is_draining(report: &HealthReport, all: &[&HealthReport], now: Millis) -> bool {
     let has_recovered = |other: &&HealthReport| {
         other.health == ServerHealth::Healthy && other.since_ms > report.observed_at_ms
@@ -172,7 +174,7 @@
         && !all.iter().any(has_recovered)
 }
 
-/// How long evidence of a kind is felt.
+/// How long evidence of this kind counts.
 fn validity_ms(health: ServerHealth) -> Millis {
     if health == ServerHealth::Busy {
         BUSY_VALID_MS
@@ -181,14 +183,14 @@
     }
 }
 
-/// What is left of a judgement's weight, in hundredths.
+/// Remaining weight of a report, in hundredths.
 fn remaining_weight(report: &HealthReport, now: Millis) -> u64 {
     let valid_ms = validity_ms(report.health);
     let remaining_ms = valid_ms.saturating_sub(now.saturating_sub(report.observed_at_ms));
     u64::from(report.weight) * 100 * remaining_ms / valid_ms
 }
 
-/// What was last held against a server by a process: when, what, and by how much evidence.
+/// The last fault that a process observed: its time, kind and weight.
 fn last_negative(report: &HealthReport) -> Option<(Millis, ServerHealth, u32)> {
     match report.previous {
         _ if report.health != ServerHealth::Healthy => {
@@ -201,7 +203,7 @@
     }
 }
 
-/// The last time that a server was found ill by enough evidence of these kinds.
+/// The last time at which enough evidence showed a fault of these kinds.
 fn last_finding(all: &[&HealthReport], kinds: &[ServerHealth]) -> Option<(Millis, ServerHealth)> {
     let negative = || {
         all.iter()
@@ -216,7 +218,7 @@
     (weight >= EJECTION_THRESHOLD).then_some((last, health))
 }
 
-/// The first time that it was found well after that.
+/// The first time after `at` at which the server was found healthy.
 fn recovered_at(all: &[&HealthReport], at: Millis) -> Option<Millis> {
     let healthy = all
         .iter()
@@ -224,14 +226,15 @@
     healthy.map(|report| report.since_ms).min()
 }
 
-/// When a server that was not there was there again: it has started anew between.
+/// When an unreachable server became reachable again, which means that it restarted in between.
 fn reappeared_at(all: &[&HealthReport]) -> Option<Millis> {
     let (at, _) = last_finding(all, &[ServerHealth::Refused, ServerHealth::Gone])?;
     recovered_at(all, at)
 }
 
-/// The part of a server that is not passed over, in thousandths: it rises from the moment that it was found well
-/// again, or that the evidence against it has faded. Guards against all of a site turning to it at once.
+/// Thousandths of its weight that a server gets when it is not ejected. They rise from the time at
+/// which it was found healthy again, or at which the evidence against it expired, so that not all
+/// processes of the site send to it at once.
 fn ramp_permille(all: &[&HealthReport], now: Millis) -> u64 {
     let kinds = [
         ServerHealth::Busy,
--- a/crates/edge/src/snapshot.rs
+++ b/crates/edge/src/snapshot.rs
@@ -1,49 +1,50 @@
-//! What an operator is shown.
+//! The state as shown to an operator.
 
 use crate::evidence::{Reachability, RemoteTarget, UplinkMode, UplinkState};
 use crate::state_machine::Edge;
 use crate::{Millis, UplinkReport};
 
-/// A place beyond the link, as it stands.
+/// State of a remote target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetSnapshot {
-    /// Which.
+    /// The target.
     pub target: RemoteTarget,
-    /// How it stands by this process's own evidence, and how old that is.
+    /// Reachability by this process's own evidence, and the age of that evidence.
     pub reachability: Option<(Reachability, Millis)>,
-    /// What another process of this site says of it, which one, and how old that is.
+    /// Reachability according to another process of this site, its name, and the age of its
+    /// evidence.
     pub peer_report: Option<(Reachability, String, Millis)>,
-    /// How long its last answer took, where that is slow.
+    /// Latency of the last answer, if that was slow.
     pub slow_latency_ms: Option<Millis>,
 }
 
-/// All that there is to see.
+/// State of the uplink and the evidence behind it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EdgeSnapshot {
-    /// The state.
+    /// State of the uplink.
     pub state: UplinkState,
-    /// For how long.
+    /// Time since the state was entered.
     pub in_state_ms: Millis,
-    /// Why it came to be.
+    /// Reason for entering the state.
     pub reason: String,
-    /// The odds that the link is lost, in tenths of a power of ten, by all that the site saw.
+    /// Log odds of a lost uplink by the evidence of the whole site, in tenths of a power of ten.
     pub log_odds: i32,
-    /// Whether others of this site are answered from beyond the link while this process is not.
+    /// Whether peers of this site reach remote targets while this process does not.
     pub is_process_isolated: bool,
-    /// How old the list in hand is, where discovery ever confirmed it.
+    /// Age of the server list; `None` if discovery never confirmed it.
     pub list_age_ms: Option<Millis>,
-    /// Whether it is trusted still.
+    /// Whether the server list is within its trust period.
     pub is_list_trusted: bool,
-    /// The operator's word that holds, and for how long it does.
+    /// Description of the operator mode in effect, and the time until it expires.
     pub operator_mode: Option<(String, Millis)>,
-    /// The places beyond the link.
+    /// The remote targets.
     pub targets: Vec<TargetSnapshot>,
-    /// The other processes of this site that were heard lately, and their states.
+    /// The other processes of this site that were heard recently, and their states.
     pub peers: Vec<(String, UplinkState)>,
 }
 
 impl Edge {
-    /// What there is to see at this moment.
+    /// Captures the state at `now`.
     pub fn snapshot(&self, now: Millis) -> EdgeSnapshot {
         let targets: Vec<TargetSnapshot> = self
             .view
@@ -109,7 +110,7 @@
 }
 
 impl EdgeSnapshot {
-    /// The same in plain sentences, one a line.
+    /// The snapshot in sentences for people, one a line.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!(
             "{} for {}: {}",
@@ -200,7 +201,7 @@
 }
 
 impl UplinkReport {
-    /// Whether it says that anything answers from beyond the link.
+    /// Whether any remote target is reachable from the reporting process.
     pub fn is_reachable(&self) -> bool {
         self.targets
             .iter()
--- a/crates/edge/src/state_machine.rs
+++ b/crates/edge/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! One process: what it takes in, what it tells, and what it asks.
+//! The state machine of one process: its evidence, reports and probes.
 
 use std::collections::VecDeque;
 
@@ -11,26 +11,26 @@
 use crate::uplink_view::UplinkView;
 use crate::{Config, Millis};
 
-/// Longest span between two looks at the time.
+/// Maximum interval between two evaluations outside [`UplinkState::Linked`].
 const MAX_TICK_INTERVAL_MS: Millis = 500;
 
 /// What a process knows when it starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Nothing of what was.
+    /// Nothing is known of an earlier run.
     Fresh,
-    /// What it wrote down before, or its peers tell.
+    /// State that the process stored before, or that its peers report.
     Restored {
-        /// The state that it was in.
+        /// State before the restart.
         state: UplinkState,
-        /// When discovery last confirmed the list in hand. Its age goes on: a restart makes nothing fresh.
+        /// When discovery last confirmed the server list. A restart does not reset its age.
         confirmed_at: Option<Millis>,
-        /// The operator's word that held.
+        /// Operator mode that was in effect.
         operator_mode: Option<OperatorMode>,
     },
 }
 
-/// What one process makes of its site's link.
+/// One process's view of its site's uplink.
 #[derive(Clone, Debug)]
 pub struct Edge {
     pub(crate) config: Config,
@@ -43,36 +43,36 @@
     pub(crate) is_merged: bool,
     pub(crate) is_starting: bool,
     pub(crate) trend: Option<(Trend, Millis)>,
-    /// Changes by evidence within the last minute.
+    /// State changes caused by evidence within the last minute.
     pub(crate) recent_changes: VecDeque<Millis>,
-    /// When what answered stopped to, within the last minute.
+    /// Times within the last minute at which the last reachable target became unreachable.
     pub(crate) flaps: VecDeque<Millis>,
     pub(crate) was_reachable: bool,
-    /// Odds that were looked into and found to say nothing of the link, and when.
+    /// Log odds that were investigated without finding a lost uplink, and when.
     pub(crate) dismissed: Option<(i32, Millis)>,
     pub(crate) operator_mode_expired: bool,
-    /// When the last rejoining began, until its merge has been asked for.
+    /// When the last rejoining began, until its merge has been requested.
     pub(crate) pending_merge_since: Option<Millis>,
     pub(crate) probes: ProbeSchedule,
     pub(crate) last_reprobe_at: Option<Millis>,
     last_handled_at: Millis,
 }
 
-/// By what a process has its turn with a place.
+/// What determines this process's rank among the processes that probe a target.
 struct ProbeOrder {
     name: String,
     is_doubtful: bool,
 }
 
 impl ProbeOrder {
-    /// While it is in doubt the first two ask at once.
+    /// In doubt, the first two processes probe at once.
     fn rank(&self, view: &UplinkView, target: &RemoteTarget, now: Millis) -> u64 {
         rank(&self.name, target, view.live_peers(now)).saturating_sub(u64::from(self.is_doubtful))
     }
 }
 
 impl Edge {
-    /// A process that starts at this moment.
+    /// Starts a process at `now`.
     pub fn new(config: Config, now: Millis, start: Start) -> Edge {
         let (state, list_confirmed_at, operator_mode, reason) = match start {
             Start::Fresh => (
@@ -93,7 +93,8 @@
                         "just started, nothing has answered yet",
                     ),
                 };
-                // Guards against a clock that was set back: an age that nobody knows is no age.
+                // A confirmation in the future means that the clock was set back; the age of the
+                // list is then unknown.
                 (
                     state,
                     confirmed_at.filter(|at| *at <= now),
@@ -125,17 +126,18 @@
         }
     }
 
-    /// Its state.
+    /// State of the uplink.
     pub fn state(&self) -> UplinkState {
         self.state
     }
 
-    /// How it is set up.
+    /// Configuration in effect.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Takes other settings over (SIGHUP), but for the names of site and process, which take a restart.
+    /// Applies a new configuration (SIGHUP), except for the names of site and process, which take a
+    /// restart.
     pub fn reconfigure(&mut self, config: Config) {
         let (site, name) = (self.config.site.clone(), self.config.name.clone());
         self.config = Config {
@@ -147,7 +149,8 @@
         self.probes.reconfigure(&self.config);
     }
 
-    /// Takes the evidence in, and says what is to be done. A moment before the last one counts as the last one.
+    /// Handles evidence and appends the resulting actions. A time before that of the last call
+    /// counts as that time.
     pub fn handle(&mut self, now: Millis, evidence: Evidence, actions: &mut Vec<Action>) {
         let now = now.max(self.last_handled_at);
         if now - self.last_handled_at > 2 * self.config.fresh_ms.max(MAX_TICK_INTERVAL_MS) {
@@ -164,7 +167,7 @@
         self.issue_probes(now, actions);
     }
 
-    /// When it wants to be told of the time ([`Evidence::Tick`]), if nothing comes before.
+    /// When to pass [`Evidence::Tick`] at the latest, if no other evidence comes first.
     pub fn next_tick_at(&self, now: Millis) -> Millis {
         match self.state {
             UplinkState::Linked => now + self.config.fresh_ms.div_ceil(2),
@@ -174,7 +177,7 @@
         }
     }
 
-    /// What it tells the other processes of its site, again and again.
+    /// Report to publish periodically to the other processes of the site.
     pub fn report(&self, now: Millis) -> UplinkReport {
         let now = now.max(self.last_handled_at);
         let reachability = |target: RemoteTarget| {
@@ -247,7 +250,7 @@
             Evidence::OperatorModeSet(operator_mode) => {
                 self.apply_operator_mode(now, operator_mode, actions)
             }
-            // One that belongs to a former rejoining is none.
+            // Ignores the merge of an earlier rejoining.
             Evidence::RejoinStepDone(RejoinStep::Merge) => {
                 self.is_merged |= self.pending_merge_since.is_none()
             }
@@ -271,7 +274,7 @@
         }
     }
 
-    /// The latest word holds; of two that were given at once all take the same one.
+    /// The latest mode applies; of two set at the same time, all processes choose the same one.
     fn apply_operator_mode(
         &mut self,
         now: Millis,
@@ -305,7 +308,7 @@
         format!("{text} ({})", operator_mode.reason)
     }
 
-    /// The operator's word at this moment.
+    /// Operator mode in effect at `now`.
     pub(crate) fn current_mode(&self, now: Millis) -> UplinkMode {
         let active_mode = self
             .operator_mode
@@ -321,7 +324,7 @@
         }
     }
 
-    /// This process's turn with a place.
+    /// Position of this process in the order of probing a target.
     pub(crate) fn rank(&self, target: &RemoteTarget, now: Millis) -> u64 {
         self.probe_order().rank(&self.view, target, now)
     }
@@ -359,7 +362,7 @@
         }
     }
 
-    /// What is lost, in a sentence.
+    /// Describes the unreachable targets in a sentence.
     pub(crate) fn describe_losses(&self, now: Millis) -> String {
         let mut lost: Vec<String> = Vec::new();
         for target in self.view.targets() {
--- a/crates/edge/src/transitions.rs
+++ b/crates/edge/src/transitions.rs
@@ -1,18 +1,18 @@
-//! The states, and what takes the site from one to the next.
+//! State transitions and the conditions for them.
 
 use crate::Millis;
 use crate::evidence::{Action, RejoinStep, RemoteTarget, UplinkMode, UplinkState};
 use crate::state_machine::Edge;
 use crate::uplink_view::{DOUBT_THRESHOLD, LOSS_THRESHOLD};
 
-/// Changes within this span make the next one slower.
+/// State changes within this span delay the next one.
 const RECENT_CHANGES_MS: Millis = 60_000;
-/// So often has a link to come and go within a doubt before it counts as lost until it stands for long.
+/// Losses within one doubt from which on a flapping uplink counts as lost until it is stable.
 const MIN_FLAPS: usize = 3;
-/// Most moments of coming and going that are remembered.
+/// Maximum number of recorded losses.
 const MAX_FLAPS: usize = 64;
 
-/// Where the evidence points, and since when.
+/// Direction of the evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trend {
     Lost,
@@ -20,7 +20,8 @@
 }
 
 impl Edge {
-    /// The longest time between two changes that this many within the last minute leave.
+    /// The span, doubled for each state change within the last minute beyond the first, up to the
+    /// configured maximum.
     fn damped(&self, span: Millis) -> Millis {
         let doublings = self.recent_changes.len().saturating_sub(1).min(20);
         span.saturating_mul(1 << doublings)
@@ -89,7 +90,8 @@
         self.was_reachable = is_reachable;
     }
 
-    /// Something answers: the other places are asked soon, but not each time that a link comes and goes.
+    /// Probes the other targets soon after one became reachable, but not each time that the uplink
+    /// flaps.
     fn reprobe_all(&mut self, now: Millis) {
         if self
             .last_reprobe_at
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Whether the evidence has pointed there without a break for the span.
+    /// Whether the evidence has indicated the trend without interruption for the span.
     fn has_persisted(
         &mut self,
         now: Millis,
@@ -250,14 +252,14 @@
         }
     }
 
-    /// The time for a doubt is over: it is decided by what there is.
+    /// Decides by the evidence at hand when the maximum time in doubt has elapsed.
     fn resolve_doubt(&mut self, now: Millis, log_odds: i32, actions: &mut Vec<Action>) {
         let flaps = self
             .flaps
             .iter()
             .filter(|at| **at >= self.state_since)
             .count();
-        // What comes and goes alone comes and goes for itself.
+        // If a single target flaps, the fault is its own rather than that of the uplink.
         let contacted_targets = self
             .view
             .targets()
@@ -333,7 +335,8 @@
         }
     }
 
-    /// Guards against a herd: discovery and the store are asked over a span that grows with the fleet.
+    /// Spreads requests to discovery and the store over a span that grows with the fleet, to avoid
+    /// a request spike when all processes rejoin together.
     fn begin_rejoining(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.probes.clear();
         (self.is_merged, self.pending_merge_since) = (false, Some(now));
@@ -346,7 +349,8 @@
         }
     }
 
-    /// The merge is asked for once a list is in hand that is younger than the island, also if it comes late.
+    /// Requests the merge once the server list was confirmed after the isolation, even if that
+    /// happens late.
     fn request_merge(&mut self, actions: &mut Vec<Action>) {
         let may_merge = matches!(self.state, UplinkState::Linked | UplinkState::Rejoining);
         if may_merge
--- a/crates/edge/src/uplink_view.rs
+++ b/crates/edge/src/uplink_view.rs
@@ -1,40 +1,42 @@
-//! What a process has seen of the places beyond the link, and what that says of the link.
+//! Evidence of a process on remote targets, and what it says about the uplink.
 //!
-//! The evidence is weighed as odds, in tenths of a power of ten. Places fail by themselves, each on its own, so that
-//! their weights add up; what is seen of one place is seen of one thing, so that the second witness there counts half.
+//! Evidence is weighed as log odds, in tenths of a power of ten. Different targets fail
+//! independently, so their weights add up. Two sources on one target observe the same thing, so the
+//! second one there counts half.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::evidence::{Reachability, RemoteTarget, UplinkReport, UplinkState};
 use crate::{Config, Millis};
 
-/// The odds of a lost link before anything was seen: one to a hundred.
+/// Prior log odds of a lost uplink: one to a hundred.
 const PRIOR_LOG_ODDS: i32 = -20;
-/// A watch ends once in ten times for its own reasons.
+/// One in ten watches ends for a reason of its own.
 const WATCH_LOST_WEIGHT: i32 = 10;
-/// Discovery or the store is away for its own reasons once in thirty.
+/// One in thirty failures of discovery or the store has a reason of its own.
 const REQUEST_FAILED_WEIGHT: i32 = 15;
-/// All heard processes of a site, or its servers.
+/// All known processes of a site, or its servers, are unreachable.
 const SITE_LOST_WEIGHT: i32 = 12;
-/// A site that is heard and does not hear.
+/// A site sends messages but does not receive ours.
 const ONE_WAY_WEIGHT: i32 = 6;
-/// What another process of this site says it lost, where this one has not looked.
+/// A peer of this site reports a loss that this process has not observed itself.
 const PEER_REPORTED_LOSS_WEIGHT: i32 = 8;
-/// An answer from beyond the link.
+/// A remote target answered.
 const ANSWER_WEIGHT: i32 = -40;
-/// One that another process of this site says it had.
+/// A peer of this site reports an answer.
 const PEER_REPORTED_ANSWER_WEIGHT: i32 = -30;
-/// From here on it is doubted that the link stands.
+/// Log odds from which on the uplink is in doubt.
 pub(crate) const DOUBT_THRESHOLD: i32 = -10;
-/// From here on it is taken for lost.
+/// Log odds from which on the uplink counts as lost.
 pub(crate) const LOSS_THRESHOLD: i32 = 5;
-/// A loss that was not seen again for so long says nothing any more.
+/// A loss that is not observed again expires after this span.
 const LOSS_VALID_MS: Millis = 60_000;
-/// Most processes that are remembered for a site, and most sites. Guards against names without end.
+/// Maximum number of processes recorded for a site, and of sites. Bounds memory against an
+/// unlimited number of names.
 const MAX_PEERS: usize = 512;
 const MAX_SITES: usize = 64;
 
-/// One thing that is asked.
+/// Last contact with one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct ContactRecord {
     at: Option<Millis>,
@@ -81,14 +83,15 @@
     reachability: Reachability,
 }
 
-/// Another site.
+/// Processes and servers of another site.
 #[derive(Clone, Debug, Default)]
 struct RemoteSite {
     peers: BTreeMap<String, Peer>,
     servers: ContactRecord,
 }
 
-/// Failures in a row after which the servers of a site count as lost: one server may be away for itself.
+/// Consecutive failures after which the servers of a site count as unreachable: a single server may
+/// have failed on its own.
 const MIN_SERVER_FAILURES: u32 = 2;
 
 impl RemoteSite {
@@ -128,7 +131,7 @@
     }
 }
 
-/// What another process of this site said last.
+/// Last report of another process of this site.
 #[derive(Clone, Debug)]
 struct PeerReport {
     at: Millis,
@@ -136,7 +139,7 @@
     targets: BTreeMap<RemoteTarget, (Reachability, Millis)>,
 }
 
-/// All that a process has seen and was told.
+/// All evidence of a process, its own and reported.
 #[derive(Clone, Debug)]
 pub(crate) struct UplinkView {
     fresh_ms: Millis,
@@ -230,7 +233,7 @@
         );
     }
 
-    /// What was seen of discovery is of another one.
+    /// Discards the evidence on discovery, whose address has changed.
     pub(crate) fn reset_discovery(&mut self) {
         (self.watch, self.discovery_requests) =
             (ContactRecord::default(), ContactRecord::default());
@@ -239,8 +242,8 @@
         }
     }
 
-    /// Nothing that was seen holds any more. Guards against a process that was stopped for a while, and takes its
-    /// own sleep for the silence of all others.
+    /// Discards all evidence. Otherwise a process that was paused would take its own pause for the
+    /// silence of all others.
     pub(crate) fn reset(&mut self, config: &Config) {
         let remote_sites = std::mem::take(&mut self.remote_sites);
         *self = UplinkView::new(config);
@@ -273,7 +276,7 @@
         );
     }
 
-    /// Those of this site who said something lately.
+    /// Names of the peers of this site that reported recently.
     pub(crate) fn live_peers(&self, now: Millis) -> impl Iterator<Item = &str> {
         let fresh_ms = self.fresh_ms;
         self.peer_reports
@@ -282,7 +285,7 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// In which states they are.
+    /// States of those peers.
     pub(crate) fn peer_states(&self, now: Millis) -> impl Iterator<Item = (&str, UplinkState)> {
         self.live_peers(now)
             .map(|name| (name, self.peer_reports[name].state))
@@ -295,7 +298,7 @@
         Some(self.remote_sites.entry(site.to_owned()).or_default())
     }
 
-    /// All places that lie beyond the link, as far as is known.
+    /// All known targets beyond the uplink.
     pub(crate) fn targets(&self) -> Vec<RemoteTarget> {
         let fixed = [
             (self.is_discovery_remote, RemoteTarget::Discovery),
@@ -309,7 +312,7 @@
             .collect()
     }
 
-    /// How a place stands by this process's own evidence, and how old that is.
+    /// Reachability of a target by this process's own evidence, and the age of that evidence.
     pub(crate) fn reachability(
         &self,
         target: &RemoteTarget,
@@ -318,7 +321,7 @@
         match target {
             RemoteTarget::Discovery => {
                 let sources = [&self.watch, &self.discovery_requests];
-                // The later of the two says how discovery stands now.
+                // The later of the two sources reflects the present state.
                 let latest = sources
                     .into_iter()
                     .filter(|record| record.at.is_some())
@@ -337,7 +340,8 @@
         }
     }
 
-    /// How a place stands by what others of this site said lately: the best of it.
+    /// Best reachability of a target that peers of this site reported recently, with the name of
+    /// the peer and the age.
     pub(crate) fn peer_reachability(
         &self,
         target: &RemoteTarget,
@@ -360,7 +364,7 @@
         reported.min_by_key(|(reachability, _, age)| (*reachability, *age))
     }
 
-    /// How long the last answer of a place took.
+    /// Latency of the last answer of a target, in milliseconds; 0 if there was none.
     pub(crate) fn last_latency(&self, target: &RemoteTarget) -> Millis {
         match target {
             RemoteTarget::Discovery => self.discovery_requests.latency_ms,
@@ -372,7 +376,7 @@
         }
     }
 
-    /// A place that answers this process itself.
+    /// A target that this process can reach.
     pub(crate) fn reachable_target(&self, now: Millis) -> Option<RemoteTarget> {
         self.targets().into_iter().find(|target| {
             self.reachability(target, now)
@@ -380,7 +384,7 @@
         })
     }
 
-    /// Whether anything does not answer this process itself.
+    /// Whether this process finds any target unreachable.
     pub(crate) fn has_losses(&self, now: Millis) -> bool {
         self.targets().iter().any(|target| {
             self.reachability(target, now)
@@ -388,14 +392,14 @@
         })
     }
 
-    /// How the servers of this site answer this process.
+    /// Reachability of the servers of this site.
     pub(crate) fn local_servers_reachability(&self, now: Millis) -> Option<Reachability> {
         self.local_servers
             .reachability(now, self.fresh_ms, MIN_SERVER_FAILURES)
             .map(|(reachability, _)| reachability)
     }
 
-    /// The odds that the link is lost, by this process's own evidence or by all of the site's.
+    /// Log odds of a lost uplink, by the evidence of this process or of the whole site.
     pub(crate) fn log_odds(&self, now: Millis, with_peers: bool) -> i32 {
         let mut targets = self.targets();
         if with_peers {
--- a/crates/edge/tests/any_order.rs
+++ b/crates/edge/tests/any_order.rs
@@ -1,4 +1,5 @@
-//! Any evidence in any order: bounded changes, bounded states, the same each time.
+//! Properties that hold for any evidence in any order: few transitions, bounded states,
+//! deterministic actions.
 
 mod support;
 
@@ -86,7 +87,7 @@
     ]
 }
 
-/// Spells of some evidence, again and again, each with its own spacing: what real trouble looks like.
+/// Bursts of repeated evidence, each with its own interval, as real failures produce it.
 fn sequence() -> impl Strategy<Value = Vec<(Millis, Evidence)>> {
     let burst = (
         prop::collection::vec(evidence(), 1..6),
--- a/crates/edge/tests/model/mod.rs
+++ b/crates/edge/tests/model/mod.rs
@@ -1,5 +1,6 @@
-//! Three sites on a virtual clock. The link of one is lost for ten minutes, while servers of it hang, drain, go and
-//! start anew. Datagrams between processes are lost by the odds; whatever crosses the lost link is.
+//! Three sites on a virtual clock. One loses its uplink for ten minutes, while its servers hang,
+//! drain, stop and restart. Datagrams between processes are lost at random; whatever crosses the
+//! lost uplink is lost.
 
 use std::collections::BTreeMap;
 
@@ -10,15 +11,15 @@
 const STEP: Millis = 100;
 pub const START: Millis = 1_000_000_000;
 const SLOW_START_MS: Millis = 60_000;
-/// A hung server costs a client all of its patience; one that turns it away costs it little.
+/// A hung server costs a client its whole timeout; one that rejects it costs little.
 const CLIENT_TIMEOUT_MS: Millis = 1_000;
-/// A cold server tips over when it is sent more than this within 1.5 s.
+/// A server in slow start is overloaded by more connections than this within 1.5 s.
 const OVERLOAD_CONNECTIONS: usize = 20;
-/// What cold servers may be sent by the whole fleet, in a second.
+/// Clients per second that the whole fleet may send to servers in slow start.
 const SLOW_START_CLIENTS_PER_S: f64 = 9.0;
 const SITES: [&str; 3] = ["moy", "ard", "bray"];
 
-/// How a server is, in truth.
+/// Actual state of a server.
 #[derive(Clone, Copy, PartialEq)]
 enum ActualHealth {
     Healthy,
@@ -43,7 +44,7 @@
     watch: bool,
     poll_at: Millis,
     tick_at: Millis,
-    /// Answers that are on their way.
+    /// Answers in transit.
     answers: Vec<(Millis, Evidence)>,
     connections: BTreeMap<String, usize>,
     migrations: Vec<Migration>,
@@ -51,26 +52,27 @@
     slow_start_credit: f64,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct SimulationResult {
     pub clients: u32,
     pub served: u32,
-    /// Connections that the rejoining moved off each server.
+    /// Connections that rejoining migrated off each server.
     pub migrated: BTreeMap<String, usize>,
-    /// Most moves of all processes within one second.
+    /// Maximum number of migrations by all processes within one second.
     pub max_migrations_per_s: usize,
-    /// Questions beyond the lost link by all processes of the site, in each minute of the island.
+    /// Probes over the lost uplink by all processes of the site, in each minute of the outage.
     pub probes: BTreeMap<u64, u32>,
-    /// When each process had merged.
+    /// When each process merged.
     pub merged_at: Vec<Millis>,
-    /// Most calls for the list within 100 ms after the island.
+    /// Maximum number of requests for the list within 100 ms after the outage.
     pub max_simultaneous_polls: usize,
-    /// Processes that were islanded at the end of the island, and of other sites that ever were.
+    /// Processes that were isolated at the end of the outage, and processes of other sites that
+    /// ever were.
     pub isolated_processes: usize,
     pub isolated_processes_elsewhere: usize,
     pub overload_count: usize,
-    /// Whether all of the site had the same list in the end.
+    /// Whether all processes of the site had the same list in the end.
     pub has_converged: bool,
 }
 
@@ -88,7 +90,8 @@
 }
 
 impl Simulation {
-    /// So many processes at each of three sites; the link of the first is lost in the span.
+    /// `per_site` processes at each of three sites; the first site loses its uplink during
+    /// `outage`.
     pub fn new(
         per_site: usize,
         seed: u64,
@@ -173,7 +176,7 @@
         self.counting = span;
     }
 
-    /// Runs until the moment; what happens to the servers is the same with and without the loss.
+    /// Runs until the given time. The servers behave the same with and without an outage.
     pub fn run(&mut self, until: Millis) {
         while self.now < until {
             self.now += STEP;
@@ -249,7 +252,7 @@
         );
         set(300, "s3", ActualHealth::Stopped, Readiness::Gone, false);
         set(330, "s3", ActualHealth::Healthy, Readiness::Serving, true);
-        // A drain that the server itself says nothing of.
+        // A drain that the server itself does not announce.
         set(500, "s4", ActualHealth::Healthy, Readiness::Draining, false);
     }
 
@@ -275,7 +278,8 @@
                 let contact = Decision::ContactRemote {
                     target: RemoteTarget::Site(other.into()),
                 };
-                // Membership has given up on what is silent: on the island only the site's probes find it again.
+                // Membership has given up on silent processes: during the isolation only the site's
+                // probes find them again.
                 if self.processes[n].edge.permission(now, &contact) == Permission::Granted {
                     evidence_batch.push(self.ping_site(site, other));
                 }
@@ -330,7 +334,7 @@
         let per_site = self.processes.len() / 3;
         let name = format!("{other}-{}", self.rng.random_range(0..per_site));
         let is_path_up = self.is_linked(site) && self.is_linked(other);
-        // There and back, and once more through another process.
+        // There and back, with a second attempt through another process.
         let is_delivered = (0..2).any(|_| self.is_delivered() && self.is_delivered());
         if is_path_up && is_delivered {
             return Evidence::PeerMessage {
@@ -453,7 +457,7 @@
             .collect()
     }
 
-    /// Where the watch stands and nothing is to be merged first, the list is followed.
+    /// A process follows the list while its watch is open and no merge is pending.
     fn follow_list(&mut self, n: usize) {
         let process = &self.processes[n];
         if process.watch
@@ -481,7 +485,7 @@
         }
     }
 
-    /// Within a site, each second: what each sees to all, and what it knows of servers to three.
+    /// Once a second within a site: uplink reports to all peers, health reports to three.
     fn gossip(&mut self) {
         let now = self.now;
         let of: Vec<&'static str> = self.processes.iter().map(|one| one.site).collect();
@@ -513,7 +517,7 @@
         }
     }
 
-    /// Twenty clients a second come to the site `moy`.
+    /// Twenty clients a second arrive at the site `moy`.
     fn add_clients(&mut self) {
         let per_site = self.processes.len() / 3;
         for _ in 0..2 {
@@ -557,7 +561,8 @@
         false
     }
 
-    /// A server by weight and part, of those that are not passed over; a cold one within this process's part only.
+    /// Chooses by weight and share among servers that are not ejected; one in slow start only
+    /// within this process's quota.
     fn choose_server(&mut self, n: usize, tried: &[String]) -> Option<String> {
         let now = self.now;
         let process = &mut self.processes[n];
--- a/crates/edge/tests/rejoin.rs
+++ b/crates/edge/tests/rejoin.rs
@@ -1,4 +1,4 @@
-//! Rejoining: what is merged, who is moved, how fast, and what cold servers are sent meanwhile.
+//! Rejoining: merging, migrations and their rate, and the quota of servers in slow start.
 
 use beaconflow_edge::*;
 use proptest::prelude::*;
@@ -76,6 +76,7 @@
     );
 }
 
+/// A delta, or the list of a discovery that lost its state, does not show that a server is gone.
 #[test]
 fn keeps_unlisted_servers_when_list_is_inconclusive() {
     for list in [
@@ -100,6 +101,7 @@
     }
 }
 
+/// An announced drain outlasts the list, but not a restart of the server.
 #[test]
 fn keeps_drain_notice_when_list_says_serving() {
     let drained = KnownServer {
@@ -179,7 +181,7 @@
         merge(&[changed], std::slice::from_ref(&old)).active[0].expires_at,
         NOW + 9_000
     );
-    // Two at once: the one that ends sooner.
+    // Two changes at the same time: the one that expires sooner is kept.
     let sooner = OverrideRecord {
         expires_at: NOW + 10,
         changed_at: 30,
@@ -196,7 +198,7 @@
         ..old.clone()
     };
     assert_eq!(ids(&merge(&[ended], &[])).len(), 0);
-    // Made on the island: for a server of it, and for one beyond.
+    // Made in the isolated site: one for its own server, one for a server of another site.
     let here = OverrideRecord {
         origin_site: "moy".into(),
         ..override_record("here", OverrideKind::Weight, 50)
@@ -314,7 +316,8 @@
         prop_assert!(worst as f64 <= due_per_step * 2.0 + 4.0 * due_per_step.sqrt() + 3.0, "{} at once, {} due", worst, due_per_step);
     }
 
-    /// Sites in any groups that hear each other, changing; processes come and go.
+    /// The sum of all quotas has to stay within the budget while sites are partitioned into
+    /// changing groups, and processes start and stop.
     #[test]
     fn keeps_sum_of_slow_start_quotas_within_one(
         phases in prop::collection::vec((prop::array::uniform3(0..3_u8), prop::array::uniform3(1..9_u32)), 1..12),
@@ -327,7 +330,7 @@
         let exchange_counts = |counts: &mut [ProcessCounts; 3], now, groups: [u8; 3], live: [u32; 3], previous: [u32; 3]| {
             for own in 0..3 {
                 for other in 0..3 {
-                    // Of another site it is heard a second late.
+                    // News of another site arrives a second late.
                     let count = if own == other { live[other] } else { previous[other] };
                     let visible = if groups[own] == groups[other] { count } else { 0 };
                     counts[own].record_site(now, sites[other], visible);
@@ -338,7 +341,7 @@
         for (groups, next_live) in phases {
             for second in 0..90_u64 {
                 now += 1_000;
-                // Processes start and end in the middle of a spell.
+                // Processes start and stop in the middle of a phase.
                 let previous = live;
                 if second == 40 { live = next_live; }
                 exchange_counts(&mut counts, now, groups, live, previous);
@@ -349,6 +352,7 @@
     }
 }
 
+/// A site that is silent for longer than it may be isolated no longer holds a share of the quota.
 #[test]
 fn frees_slow_start_quota_after_long_silence() {
     let mut counts = ProcessCounts::new("moy", 5, 600_000, SLOW_START_MS);
@@ -371,6 +375,7 @@
     );
 }
 
+/// A paused process must not start all missed migrations at once when it resumes.
 #[test]
 fn accumulates_no_migrations_during_process_pause() {
     let mut pace = MigrationPacer::new(5.0, 1, 7, 0);
--- a/crates/edge/tests/servers.rs
+++ b/crates/edge/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Judgements of servers: merged in any order, aged, bounded, and given back.
+//! Health reports on servers: merging in any order, ageing, limits, and recovery.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
     )
 }
 
-/// So many processes find a server to be something.
+/// A number of processes report the same finding on a server.
 fn report_from(
     reports: &mut HealthReports,
     now: Millis,
@@ -59,7 +59,7 @@
             slow_start_since: None
         }
     );
-    // It fades, and the part comes back in steps.
+    // The evidence fades, and the weight returns in steps.
     let weight = |now| assess(&all, now)["s1"].weight_permille;
     let weights: Vec<u64> = (0..50)
         .map(|second| weight(START + second * 1_000))
@@ -75,6 +75,7 @@
     assert_eq!(weights[45], 1_000);
 }
 
+/// A recovered server must not receive the load of the whole site at once.
 #[test]
 fn ramps_weight_when_server_recovers() {
     let mut all = HealthReports::new();
@@ -87,6 +88,7 @@
     );
 }
 
+/// A process with a broken network path must not get healthy servers ejected.
 #[test]
 fn outvotes_reporter_when_its_own_path_fails() {
     let mut all = HealthReports::new();
@@ -110,6 +112,7 @@
     assert_eq!(assess(&all, START + 500)["s1"].ejected_for, None);
 }
 
+/// One report of an announced drain is enough; it applies until the server restarts.
 #[test]
 fn keeps_drain_notice_until_server_restarts() {
     let mut all = HealthReports::new();
@@ -136,7 +139,7 @@
         assess(&all, much_later + SLOW_START_MS)["s1"].slow_start_since,
         None
     );
-    // Nor does anything else that was said of its former life count.
+    // Other reports on the former start are void as well.
     for _ in 0..6 {
         all.observe(
             START,
@@ -165,12 +168,13 @@
         assess(&all, START + 4_100)["s1"].slow_start_since,
         Some(START + 4_000)
     );
-    // One that only hung has not started anew.
+    // A server that only stopped answering has not restarted.
     report_from(&mut all, START, 2, "s2", ServerHealth::Unresponsive);
     report_from(&mut all, START + 4_000, 2, "s2", ServerHealth::Healthy);
     assert_eq!(assess(&all, START + 4_100)["s2"].slow_start_since, None);
 }
 
+/// If all servers look unhealthy, none is ejected.
 #[test]
 fn ejects_half_of_weight_at_most() {
     let mut all = HealthReports::new();
@@ -185,7 +189,7 @@
         ejected(&all)
     });
     assert_eq!(ejected_counts, [1, 2, 2, 0]);
-    // The gravest go first.
+    // Servers with the most severe findings are ejected first.
     let mut all = HealthReports::new();
     report_from(&mut all, START, 3, "s1", ServerHealth::Unresponsive);
     report_from(&mut all, START, 2, "s2", ServerHealth::Gone);
@@ -212,7 +216,7 @@
         })
     });
     let times = (0..50_u64, 0..50_u64, 0..3_u64);
-    // More processes than are kept, so that what gives way is tried too.
+    // More processes than are kept, so that eviction is covered too.
     (times, health(), 1..5_u32, previous, 0..3_u32, 0..90_u32).prop_map(
         |((since_ms, observed_at_ms, started_ms), health, weight, previous, server, origin)| {
             HealthReport {
@@ -251,7 +255,7 @@
         prop_assert_eq!(&merge(&a, &a), &a);
         prop_assert_eq!(merge(&merge(&a, &b), &b), merge(&a, &b));
         prop_assert!(["s0", "s1", "s2"].iter().all(|server| merge(&a, &b).for_server(server).count() <= 64));
-        // All at once, in any order, doubled.
+        // All reports at once, in another order, and some twice.
         let mut whole: Vec<HealthReport> = [three, one.clone(), two, one].concat();
         whole.reverse();
         prop_assert_eq!(collect(&whole), merge(&merge(&a, &b), &c));
--- a/crates/edge/tests/site.rs
+++ b/crates/edge/tests/site.rs
@@ -1,4 +1,5 @@
-//! A site through ten minutes without its uplink, beside the same ten minutes with it.
+//! A site during ten minutes without its uplink, compared with the same ten minutes without an
+//! outage.
 
 mod model;
 
@@ -14,7 +15,7 @@
         if has_outage { OUTAGE } else { START..START },
     );
     if !has_outage {
-        // The clients of the same ten minutes are counted.
+        // Counts the clients of the same ten minutes.
         simulation.count_clients_during(OUTAGE);
     }
     simulation.run(START + 780_000);
@@ -25,7 +26,8 @@
     f64::from(result.served) / f64::from(result.clients)
 }
 
-/// The clients' share, the probes, the moves, and the time until all know the same.
+/// Checks the share of clients served, the probes, the migrations, and the time until all processes
+/// have merged.
 fn check_ten_minute_outage(per_site: usize, seeds: std::ops::Range<u64>) {
     let mut merge_delays: Vec<u64> = Vec::new();
     for seed in seeds {
--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -1,4 +1,4 @@
-//! The states: what takes a site from one to the next, and what does not.
+//! State transitions: what causes them, and what does not.
 
 mod support;
 
@@ -7,6 +7,7 @@
 
 use UplinkState::{Doubtful, Isolated, Linked, Rejoining};
 
+/// A site must not count as linked again before the changes of both sides are merged.
 #[test]
 fn isolates_on_uplink_loss_and_merges_on_return() {
     let mut process = TestProcess::linked("n1");
@@ -39,6 +40,7 @@
     assert_eq!(process.edge.state(), Linked);
 }
 
+/// A failed watch, or discovery being down for all, must not be taken for a lost uplink.
 #[test]
 fn stays_linked_when_only_discovery_fails() {
     for requests_fail in [false, true] {
@@ -55,7 +57,8 @@
             });
         });
         assert_eq!(process.states(), [], "sites beyond are heard");
-        // Nobody else is heard of at all: a doubt, that ends, and does not come back each time.
+        // Without any other target the site comes to doubt the uplink once, resolves the doubt, and
+        // does not doubt it again.
         let mut process = TestProcess::start("n1", Start::Fresh);
         process.run(30_000, |process, _| process.handle(Evidence::WatchAlive));
         process.actions.clear();
@@ -69,9 +72,10 @@
     }
 }
 
+/// A flapping uplink must not cause a transition, or a migration, with each flap.
 #[test]
 fn limits_transitions_when_uplink_flaps() {
-    // Every two seconds, and every second: too short for any loss to be confirmed.
+    // Every two seconds and every second: too short to confirm any loss.
     for period in [4, 2] {
         let mut process = TestProcess::linked("n1");
         process.run(60_000, |process, second| {
@@ -92,7 +96,7 @@
             0
         );
         assert!(process.probes() <= 80, "{} probes", process.probes());
-        // It comes back when it has stood for long enough.
+        // The site rejoins when the uplink has been stable for long enough.
         process.run(30_000, |process, _| process.all_answer());
         assert_eq!(process.states(), [Doubtful, Isolated, Rejoining]);
     }
@@ -121,7 +125,7 @@
 #[test]
 fn stays_linked_when_uplink_is_slow() {
     let mut process = TestProcess::linked("n1");
-    // Asks run into their deadlines; what is patient is answered late.
+    // Requests with a deadline time out; those without are answered late.
     process.run(300_000, |process, second| {
         process.handle(Evidence::WatchLost);
         process.handle(Evidence::DiscoveryFailed);
@@ -140,6 +144,7 @@
     );
 }
 
+/// A restart must not make an old server list count as fresh.
 #[test]
 fn keeps_list_age_when_restarted_in_isolation() {
     let mut process = TestProcess::linked("n1");
@@ -183,7 +188,7 @@
             .edge
             .is_list_trusted(confirmed_at.expect("known") + trust_ms + 1)
     );
-    // A memory from the future, after the clock was set back, is not trusted at all.
+    // A confirmation in the future, as after setting the clock back, is not trusted.
     let confirmed_at = Some(restarted.now + 86_400_000);
     let start = Start::Restored {
         state: Isolated,
@@ -193,6 +198,8 @@
     assert!(!Edge::new(support::config("n1"), restarted.now, start).is_list_trusted(restarted.now));
 }
 
+/// After the trust period only servers with evidence of health are used; established connections
+/// stay.
 #[test]
 fn denies_unproven_servers_when_list_trust_expires() {
     let mut process = TestProcess::linked("n1");
@@ -225,6 +232,7 @@
     );
 }
 
+/// Each denial carries a reason and a retry delay; while linked every decision is granted.
 #[test]
 fn denies_fleet_decisions_only_when_isolated() {
     let refused = [
@@ -278,6 +286,7 @@
     );
 }
 
+/// The site stays isolated until discovery answers at its new address.
 #[test]
 fn probes_discovery_at_once_when_its_address_changes() {
     let mut process = TestProcess::linked("n1");
@@ -292,7 +301,7 @@
         "at once: {:?}",
         process.actions
     );
-    // However often somebody says so.
+    // Repeated address changes do not raise the probe rate.
     for _ in 0..50 {
         process.handle(Evidence::DiscoveryAddressChanged);
         process.run(100, |_, _| {});
@@ -311,6 +320,7 @@
     assert_eq!(process.edge.state(), Rejoining);
 }
 
+/// The operator mode overrides the evidence in either direction.
 #[test]
 fn obeys_operator_mode_until_it_expires() {
     let mut process = TestProcess::linked("n1");
@@ -370,10 +380,11 @@
     assert_eq!(peer.edge.state(), Linked);
 }
 
+/// A paused process receives nothing and must not take its own pause for a lost uplink.
 #[test]
 fn discards_old_evidence_after_process_pause() {
     let mut process = TestProcess::linked("n1");
-    // A moment's loss, and then nothing is heard since nobody listens.
+    // A short loss, followed by a pause in which no event is handled.
     process.all_lost();
     process.now += 15_000;
     process.handle(Evidence::Tick);
@@ -389,9 +400,10 @@
     assert_eq!(process.states(), [Doubtful, Linked]);
 }
 
+/// After a partition within the site, each process changes state by its own evidence only.
 #[test]
 fn ignores_peer_reports_alone_when_partition_heals() {
-    // The one half has the uplink, the other has neither it nor the first half.
+    // One half of the site has the uplink; the other has neither the uplink nor the first half.
     let (mut connected, mut cut_off) = (TestProcess::linked("n1"), TestProcess::linked("n2"));
     cut_off.run(60_000, |process, _| process.all_lost());
     connected.run(60_000, |process, _| process.all_answer());
@@ -399,7 +411,8 @@
         (connected.edge.state(), cut_off.edge.state()),
         (Linked, Isolated)
     );
-    // They meet; the far one's own uplink is dead still. A word of the near one makes it ask, now and then.
+    // The halves reconnect while the second one's own uplink is still down. Reports of the first
+    // make it probe occasionally.
     cut_off.actions.clear();
     for _ in 0..120 {
         connected.run(1_000, |process, _| process.all_answer());
@@ -423,6 +436,8 @@
     assert_eq!(cut_off.edge.state(), Rejoining);
 }
 
+/// A process that alone lost the uplink waits for the maximum time in doubt before it counts as
+/// isolated.
 #[test]
 fn reports_own_isolation_when_peers_are_linked() {
     let (mut connected, mut cut_off) = (TestProcess::linked("n1"), TestProcess::linked("n2"));
@@ -453,6 +468,7 @@
     );
 }
 
+/// Rejoining ends at its limit without a list; the merge follows when the list arrives.
 #[test]
 fn merges_once_when_list_arrives_after_timeout() {
     let mut process = TestProcess::linked("n1");
@@ -474,12 +490,13 @@
     assert_eq!(merges(&process), 1, "late, but once");
 }
 
+/// Probing must not stop when the processes that rank before this one stop.
 #[test]
 fn takes_over_probing_when_peers_fall_silent() {
     let mut process = TestProcess::linked("n2");
     process.run(20_000, |process, _| process.all_lost());
     assert_eq!(process.edge.state(), Isolated);
-    // Those before it have asked, so that it waits; then nothing is heard of them any more.
+    // Processes of lower rank have probed, so this one waits; then they fall silent.
     let probes: Vec<(RemoteTarget, u32, Millis)> = [RemoteTarget::Discovery, RemoteTarget::Store]
         .map(|target| (target, 9, 0))
         .to_vec();
@@ -551,6 +568,7 @@
     assert_eq!(fields.join(" "), expected);
 }
 
+/// A loss of half a second must not be confirmed because the site was already in doubt.
 #[test]
 fn ignores_brief_loss_when_already_doubtful() {
     let mut process = TestProcess::linked("n1");
@@ -563,13 +581,14 @@
         });
     });
     assert_eq!(process.states(), [Doubtful]);
-    // All is lost for half a second.
+    // All targets are lost for half a second.
     process.all_lost();
     process.run(500, |_, _| {});
     process.run(5_000, |process, _| process.all_answer());
     assert_eq!(process.states(), [Doubtful, Linked]);
 }
 
+/// The uplink returns for just long enough to rejoin, again and again.
 #[test]
 fn limits_transitions_when_uplink_returns_briefly() {
     let mut process = TestProcess::linked("n1");
@@ -616,6 +635,7 @@
     );
 }
 
+/// The uplink was lost during a merge; its late completion must not end the next rejoining.
 #[test]
 fn ignores_merge_of_an_earlier_rejoin() {
     let mut process = TestProcess::linked("n1");
@@ -639,6 +659,7 @@
     assert_eq!(process.edge.state(), Rejoining, "no list has come since");
 }
 
+/// Processes that rejoin at the same time must not send a request spike to discovery.
 #[test]
 fn spreads_polls_when_processes_rejoin_together() {
     let poll_delay = |n: u64| {
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! One process on a virtual clock, and what it did.
+//! A process on a virtual clock that records its actions.
 
-// Each test file takes what it needs.
+// Each test file uses only some of these.
 #![allow(dead_code)]
 
 use beaconflow_edge::*;
 
 pub const STEP: Millis = 100;
 
-/// A configuration of the site `moy`.
+/// Configuration of a process of the site `moy`.
 pub fn config(name: &str) -> Config {
     let config = Config {
         site: "moy".into(),
@@ -20,7 +20,7 @@
     config
 }
 
-/// A process, the time, and all that it has done since.
+/// A process, its clock, and the actions since it started.
 pub struct TestProcess {
     pub edge: Edge,
     pub now: Millis,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// One that has been linked for two minutes.
+    /// A process that has been linked for two minutes.
     pub fn linked(name: &str) -> TestProcess {
         let mut process = TestProcess::start(name, Start::Fresh);
         process.run(120_000, |process, _| process.all_answer());
@@ -53,7 +53,7 @@
             .extend(new_actions.into_iter().map(|action| (self.now, action)));
     }
 
-    /// Lets time pass; each second the evidence comes, with the number of the second.
+    /// Advances the clock; `on_second` is called each second with the number of the second.
     pub fn run(&mut self, span: Millis, mut on_second: impl FnMut(&mut TestProcess, u64)) {
         for step in 0..span / STEP {
             if step % 10 == 0 {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Discovery's watch, the store and two other sites answer.
+    /// The watch on discovery, the store and two other sites answer.
     pub fn all_answer(&mut self) {
         self.handle(Evidence::WatchAlive);
         self.handle(Evidence::StoreAnswered { latency_ms: 5 });
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Nothing beyond the link does.
+    /// No remote target answers.
     pub fn all_lost(&mut self) {
         self.handle(Evidence::WatchLost);
         self.handle(Evidence::StoreFailed);
@@ -107,7 +107,7 @@
         self.count(|action| matches!(action, Action::Probe { .. }))
     }
 
-    /// When it first came to a state.
+    /// When the process first entered a state.
     pub fn entered_at(&self, state: UplinkState) -> Option<Millis> {
         let entered_at =
             |action: &Action| matches!(action, Action::StateChanged { to, .. } if *to == state);
