--- a/crates/edge/src/config.rs
+++ b/crates/edge/src/config.rs
@@ -116,15 +116,23 @@
             require(
                 is_valid,
                 field,
-                format!("a name of 1 to {MAX_NAME_BYTES} bytes"),
+                format!("must be 1 to {MAX_NAME_BYTES} bytes without control characters"),
             );
         }
-        require(self.processes >= 1, "processes", "at least 1".into());
+        require(
+            self.processes >= 1,
+            "processes",
+            "must be at least 1".into(),
+        );
         for (field, span_ms) in self.validated_spans() {
             require(
                 SPAN_RANGE_MS.contains(&span_ms),
                 field,
-                format!("{} to {} ms", SPAN_RANGE_MS.start(), SPAN_RANGE_MS.end()),
+                format!(
+                    "must be {} to {} ms",
+                    SPAN_RANGE_MS.start(),
+                    SPAN_RANGE_MS.end()
+                ),
             );
         }
         for (field, span_ms) in [
@@ -134,7 +142,7 @@
             require(
                 (1..=MAX_TRUST_MS).contains(&span_ms),
                 field,
-                format!("1 to {MAX_TRUST_MS} ms"),
+                format!("must be 1 to {MAX_TRUST_MS} ms"),
             );
         }
         // A longer span would outlast the maximum time of the state that it applies to.
@@ -142,29 +150,33 @@
         require(
             max_damping_ms >= self.confirm_ms.max(self.steady_ms),
             "damp_cap",
-            "no less than confirm and steady".into(),
+            "must be at least confirm and steady".into(),
         );
         require(
             max_damping_ms <= self.answer_timeout_ms,
             "patience",
-            "no less than damp_cap".into(),
+            "must be at least damp_cap".into(),
         );
         require(
             max_damping_ms <= self.rejoin_ms,
             "rejoin",
-            "no less than damp_cap".into(),
+            "must be at least damp_cap".into(),
         );
         require(
             self.probe_base_ms <= self.probe_cap_ms,
             "probe_cap",
-            "no less than probe_base".into(),
+            "must be at least probe_base".into(),
+        );
+        require(
+            self.spread_ms <= 1_000,
+            "spread",
+            "must be 0 to 1000 ms".into(),
         );
-        require(self.spread_ms <= 1_000, "spread", "0 to 1000 ms".into());
         let rate = self.moves_per_s;
         require(
             rate.is_finite() && (0.01..=10_000.0).contains(&rate),
             "moves_per_s",
-            "0.01 to 10000".into(),
+            "must be 0.01 to 10000".into(),
         );
         if errors.is_empty() {
             Ok(())
--- a/crates/edge/src/decide.rs
+++ b/crates/edge/src/decide.rs
@@ -104,15 +104,15 @@
             Decision::KeepConnection | Decision::MigrateOffServer => None,
             Decision::PlaceClient {
                 is_listed: false, ..
-            } => Some("this server was never listed"),
+            } => Some("the server was never listed by discovery"),
             Decision::PlaceClient { site, .. } if is_isolated && !is_local(site) => {
-                Some("this server lies beyond the lost link")
+                Some("the server is at another site, and this site is isolated")
             }
             Decision::PlaceClient { is_healthy, .. }
                 if !self.is_list_trusted(now) && !is_healthy =>
             {
                 Some(
-                    "the list is older than it is trusted, and nothing says that this server is well",
+                    "the server list is past its trust period, and there is no evidence that the server is healthy",
                 )
             }
             Decision::PlaceClient { .. } => None,
@@ -120,24 +120,28 @@
             Decision::AdmitTenant { .. } if !is_isolated => None,
             Decision::AdmitTenant {
                 record_age_ms: None,
-            } => Some("this tenant is not known here while the link is lost"),
+            } => Some("the site is isolated and has no record of the tenant"),
             Decision::AdmitTenant {
                 record_age_ms: Some(record_age_ms),
             } => {
                 let is_expired = *record_age_ms > self.config.tenants_for_ms;
-                is_expired.then_some("this tenant's record is too old while the link is lost")
+                is_expired
+                    .then_some("the site is isolated and its record of the tenant has expired")
             }
-            Decision::ChangeTenant => Some("tenants are not changed while the link is lost"),
+            Decision::ChangeTenant => Some("tenants can't be changed until the site has rejoined"),
             Decision::ChangeAdmissionLimits => {
-                Some("shares are not changed while the link is lost")
+                Some("admission limits can't be changed until the site has rejoined")
             }
             Decision::SetOverride { site } | Decision::EndOverride { site } => (!is_local(site))
-                .then_some("only servers of this site are overridden while the link is lost"),
-            Decision::Rebalance => Some("nobody is moved for balance while the link is lost"),
-            Decision::ForgetServer => Some("no server is forgotten while the link is lost"),
-            Decision::ContactRemote { .. } => {
-                is_isolated.then_some("the site's probes ask what lies beyond the lost link")
+                .then_some(
+                    "only servers of this site can be overridden until the site has rejoined",
+                ),
+            Decision::Rebalance => {
+                Some("connections can't be rebalanced until the site has rejoined")
             }
+            Decision::ForgetServer => Some("servers can't be removed until the site has rejoined"),
+            Decision::ContactRemote { .. } => is_isolated
+                .then_some("the site is isolated, and only its probes may contact remote targets"),
         }
     }
 }
--- a/crates/edge/src/merge.rs
+++ b/crates/edge/src/merge.rs
@@ -107,13 +107,13 @@
 
 fn drop_reason(record: &OverrideRecord, now: Millis) -> Option<&'static str> {
     if record.is_removed {
-        return Some("it was removed on one side");
+        return Some("the override was removed on one side");
     }
     if record.expires_at <= now {
-        return Some("its time is up");
+        return Some("the override has expired");
     }
     let is_foreign = !record.origin_site.is_empty() && record.origin_site != record.server_site;
-    is_foreign.then_some("it was made on an island for a server beyond it")
+    is_foreign.then_some("the override was made in an isolated site for a server of another site")
 }
 
 fn find_shadowed(active: &[OverrideRecord]) -> Vec<(String, String)> {
--- a/crates/edge/src/rejoin.rs
+++ b/crates/edge/src/rejoin.rs
@@ -141,9 +141,7 @@
                 weight: known.weight,
                 ejected_for: known.ejected_for,
                 slow_start_since: None,
-                reason: Some(
-                    "not listed yet; what stands stays until the list says that it is gone",
-                ),
+                reason: Some("not listed yet; kept until the list reports it as gone"),
             }),
         }
     }
@@ -153,7 +151,7 @@
     {
         if !known_by_name.contains_key(server.server.as_str()) {
             let slow_start_since = slow_start_since(now, server.started_ms, slow_start_ms);
-            let reason = Some("new since the link was lost");
+            let reason = Some("added since the uplink was lost");
             plan.kept.push(KeptServer {
                 server: server.server.clone(),
                 weight: server.weight,
@@ -181,11 +179,11 @@
         let has_restarted = listed.started_ms > known.started_ms;
         let ejected_for = known.ejected_for.filter(|_| !has_restarted);
         let reason = match (has_restarted, ejected_for) {
-            (true, _) => Some("it started anew while the link was lost"),
+            (true, _) => Some("restarted while the uplink was lost"),
             (false, Some(ServerHealth::Draining)) => {
-                Some("it said itself that it drains, and has not started since")
+                Some("the server announced its drain and has not restarted since")
             }
-            (false, Some(_)) => Some("the site's evidence is against it still"),
+            (false, Some(_)) => Some("the site's evidence still counts against it"),
             (false, None) => None,
         };
         let slow_start_since =
--- a/crates/edge/src/snapshot.rs
+++ b/crates/edge/src/snapshot.rs
@@ -81,7 +81,7 @@
             is_list_trusted: self.is_list_trusted(now),
             operator_mode: active_mode.map(|operator_mode| {
                 let text = format!(
-                    "{} says: {}",
+                    "operator mode set by {}: {}",
                     operator_mode.set_by,
                     self.operator_mode_text(operator_mode)
                 );
@@ -120,20 +120,19 @@
         )];
         if self.is_process_isolated {
             lines.push(
-                "others of this site are answered from beyond: this process alone is cut off"
-                    .into(),
+                "peers of this site reach remote targets: only this process is cut off".into(),
             );
         }
         lines.extend(self.operator_mode.as_ref().map(|(mode, remaining_ms)| {
-            format!("{mode}, for {} more", format_span(*remaining_ms))
+            format!("{mode}, expires in {}", format_span(*remaining_ms))
         }));
         lines.push(match self.list_age_ms {
-            None => "the list was never confirmed by discovery".into(),
+            None => "the server list was never confirmed by discovery".into(),
             Some(age) if self.is_list_trusted => {
-                format!("the list was confirmed {} ago", format_span(age))
+                format!("the server list was confirmed {} ago", format_span(age))
             }
             Some(age) => format!(
-                "the list was confirmed {} ago and is not trusted any more",
+                "the server list was confirmed {} ago and is no longer trusted",
                 format_span(age)
             ),
         });
@@ -151,7 +150,7 @@
                 .map(|(name, _)| name.as_str());
             let names: Vec<&str> = names.collect();
             if !names.is_empty() {
-                lines.push(format!("{state} by their own word: {}", names.join(", ")));
+                lines.push(format!("peers that report {state}: {}", names.join(", ")));
             }
         }
         lines
@@ -167,14 +166,14 @@
                 describe(reachability),
                 format_span(age)
             ),
-            None => format!("{} was not asked lately", self.target),
+            None => format!("{} was not contacted recently", self.target),
         };
         if let Some(latency) = self.slow_latency_ms {
-            line += &format!(", slowly: {}", format_span(latency));
+            line += &format!(", slow answer: {}", format_span(latency));
         }
         if let Some((reachability, peer, age)) = &self.peer_report {
             line += &format!(
-                "; by {peer} it {}, {} ago",
+                "; according to {peer} it {}, {} ago",
                 describe(*reachability),
                 format_span(*age)
             );
@@ -186,7 +185,7 @@
 fn describe(reachability: Reachability) -> &'static str {
     match reachability {
         Reachability::Reachable => "answered",
-        Reachability::OneWay => "was heard but does not hear",
+        Reachability::OneWay => "sent messages but did not answer",
         Reachability::Unreachable => "did not answer",
     }
 }
--- a/crates/edge/src/state_machine.rs
+++ b/crates/edge/src/state_machine.rs
@@ -79,7 +79,7 @@
                 UplinkState::Doubtful,
                 None,
                 None,
-                "just started, nothing has answered yet",
+                "just started; no remote target has answered yet",
             ),
             Start::Restored {
                 state,
@@ -87,10 +87,10 @@
                 operator_mode,
             } => {
                 let (state, reason) = match state {
-                    UplinkState::Isolated => (UplinkState::Isolated, "restarted on the island"),
+                    UplinkState::Isolated => (UplinkState::Isolated, "restarted while isolated"),
                     _ => (
                         UplinkState::Doubtful,
-                        "just started, nothing has answered yet",
+                        "just started; no remote target has answered yet",
                     ),
                 };
                 // A confirmation in the future means that the clock was set back; the age of the
@@ -157,7 +157,7 @@
             self.view.reset(&self.config);
             self.trend = None;
             actions.push(Action::Log(format!(
-                "nothing happened here for {} s: what was seen before says nothing of the link",
+                "no event was handled for {} s; earlier evidence on the uplink is discarded",
                 (now - self.last_handled_at) / 1_000
             )));
         }
@@ -290,7 +290,7 @@
         }
         if operator_mode.expires_at > now {
             actions.push(Action::Log(format!(
-                "{} says: {}",
+                "operator mode set by {}: {}",
                 operator_mode.set_by,
                 self.operator_mode_text(&operator_mode)
             )));
@@ -301,9 +301,9 @@
 
     pub(crate) fn operator_mode_text(&self, operator_mode: &OperatorMode) -> String {
         let text = match operator_mode.mode {
-            UplinkMode::Automatic => "the evidence decides",
-            UplinkMode::Isolated => "this site is an island",
-            UplinkMode::Linked => "this site is linked",
+            UplinkMode::Automatic => "the state follows the evidence",
+            UplinkMode::Isolated => "the site is isolated",
+            UplinkMode::Linked => "the site is linked",
         };
         format!("{text} ({})", operator_mode.reason)
     }
@@ -371,17 +371,17 @@
                     lost.push(format!("{target} does not answer"))
                 }
                 Some((Reachability::OneWay, _)) => {
-                    lost.push(format!("{target} is heard but does not hear"))
+                    lost.push(format!("{target} sends messages but does not answer"))
                 }
                 _ => {}
             }
         }
         if lost.is_empty() {
-            return "nothing is seen to be lost".into();
+            return "no target is known to be unreachable".into();
         }
         let local_servers = match self.view.local_servers_reachability(now) {
-            Some(Reachability::Unreachable) => "; nor do the servers here",
-            Some(_) => "; the servers here do",
+            Some(Reachability::Unreachable) => "; the servers of this site do not answer either",
+            Some(_) => "; the servers of this site answer",
             None => "",
         };
         format!("{}{local_servers}", lost.join(", "))
--- a/crates/edge/src/transitions.rs
+++ b/crates/edge/src/transitions.rs
@@ -37,7 +37,7 @@
         if has_expired {
             self.operator_mode_expired = true;
             actions.push(Action::Log(
-                "the operator's word is over: the evidence decides".into(),
+                "the operator mode expired; the state follows the evidence again".into(),
             ));
         }
         let is_reachable = self.view.reachable_target(now).is_some();
@@ -137,7 +137,7 @@
                 let steady_ms = self.damped(self.config.steady_ms);
                 if self.has_persisted(now, Trend::Restored, is_reachable, steady_ms) && has_dwelt {
                     let reason = format!(
-                        "answers from beyond the link have come for {} s",
+                        "remote targets have been reachable for {} s",
                         steady_ms.div_ceil(1_000)
                     );
                     self.transition(now, UplinkState::Rejoining, reason, actions);
@@ -148,13 +148,14 @@
                 if self.has_persisted(now, Trend::Lost, is_lost, self.config.confirm_ms)
                     && has_dwelt
                 {
-                    let reason = format!("lost again: {}", self.describe_losses(now));
+                    let reason =
+                        format!("the uplink was lost again: {}", self.describe_losses(now));
                     self.transition(now, UplinkState::Isolated, reason, actions);
                 } else if self.is_merged && is_reachable && has_dwelt {
                     self.transition(
                         now,
                         UplinkState::Linked,
-                        "what changed on both sides is merged".into(),
+                        "the changes of both sides are merged".into(),
                         actions,
                     );
                 } else if now - self.state_since >= self.config.rejoin_ms {
@@ -170,13 +171,13 @@
             (
                 UplinkState::Linked,
                 format!(
-                    "the link stands; no list has come for {waited_s} s and the old one goes on"
+                    "the uplink is available, but no server list arrived within {waited_s} s; the previous one stays in use"
                 ),
             )
         } else {
             (
                 UplinkState::Isolated,
-                format!("nothing beyond the link answers after {waited_s} s of rejoining"),
+                format!("no remote target answers after {waited_s} s of rejoining"),
             )
         };
         self.transition(now, to, reason, actions);
@@ -218,7 +219,7 @@
             return self.transition(
                 now,
                 UplinkState::Linked,
-                "beyond the link there is an answer".into(),
+                "a remote target answered".into(),
                 actions,
             );
         }
@@ -244,7 +245,8 @@
                 let reason = self.describe_losses(now);
                 return self.transition(now, UplinkState::Isolated, reason, actions);
             }
-            let reason = "the link stands: what was lost was lost for itself".into();
+            let reason =
+                "the uplink is available: the unreachable targets failed on their own".into();
             return self.transition(now, UplinkState::Linked, reason, actions);
         }
         if now - self.state_since >= self.config.answer_timeout_ms {
@@ -268,19 +270,18 @@
         let has_several_targets = contacted_targets.count() > 1;
         if self.view.log_odds(now, false) >= LOSS_THRESHOLD {
             let reason = format!(
-                "{}; others of this site say otherwise: this process is cut off",
+                "{}; peers of this site report otherwise: only this process is cut off",
                 self.describe_losses(now)
             );
             self.transition(now, UplinkState::Isolated, reason, actions);
         } else if flaps >= MIN_FLAPS && has_several_targets {
-            let reason = format!(
-                "the link came and went {flaps} times; it is not relied on until it stands"
-            );
+            let reason =
+                format!("the uplink flapped {flaps} times; it is not used until it is stable");
             self.transition(now, UplinkState::Isolated, reason, actions);
         } else {
             self.dismissed = Some((log_odds, now));
             let reason = format!(
-                "too little says that it is the link: {}",
+                "not enough evidence of an uplink failure: {}",
                 self.describe_losses(now)
             );
             self.transition(now, UplinkState::Linked, reason, actions);
@@ -290,7 +291,7 @@
     fn apply_forced_state(&mut self, now: Millis, to: UplinkState, actions: &mut Vec<Action>) {
         let reason = self.operator_mode.as_ref().map(|operator_mode| {
             format!(
-                "{} says: {}",
+                "operator mode set by {}: {}",
                 operator_mode.set_by,
                 self.operator_mode_text(operator_mode)
             )
--- a/crates/edge/tests/any_order.rs
+++ b/crates/edge/tests/any_order.rs
@@ -141,7 +141,7 @@
         let actions = replay(&sequence);
         let changes = states(&actions);
         for window in changes.windows(8) {
-            prop_assert!(window[7].0 - window[0].0 >= 60_000, "eight changes within a minute: {:?}", window);
+            prop_assert!(window[7].0 - window[0].0 >= 60_000, "at most seven transitions within a minute: {:?}", window);
         }
         let config = support::config("n1");
         let end = 1_000_000 + sequence.iter().map(|(interval_ms, _)| interval_ms).sum::<Millis>();
@@ -154,13 +154,13 @@
                 UplinkState::Rejoining => config.rejoin_ms,
                 UplinkState::Linked | UplinkState::Isolated => continue,
             };
-            prop_assert!(until - at <= bound + 500, "{} for {}", state, until - at);
+            prop_assert!(until - at <= bound + 500, "state {} lasted {} ms, longer than its limit", state, until - at);
         }
         for (_, from, to) in &changes {
             let is_allowed = matches!((from, to),
                 (UplinkState::Linked, UplinkState::Doubtful) | (UplinkState::Doubtful, UplinkState::Linked | UplinkState::Isolated)
                 | (UplinkState::Isolated, UplinkState::Rejoining) | (UplinkState::Rejoining, UplinkState::Linked | UplinkState::Isolated));
-            prop_assert!(is_allowed, "from {} to {}", from, to);
+            prop_assert!(is_allowed, "transition from {} to {} is not allowed", from, to);
         }
     }
 
@@ -206,7 +206,7 @@
         }
         for (target, at) in last {
             for window in at.windows(40) {
-                prop_assert!(window[39] - window[0] >= 30_000, "{}: {:?}", target, window);
+                prop_assert!(window[39] - window[0] >= 30_000, "40 probes of {} took less than 30 s: {:?}", target, window);
             }
         }
     }
--- a/crates/edge/tests/model/mod.rs
+++ b/crates/edge/tests/model/mod.rs
@@ -228,7 +228,10 @@
                        readiness: Readiness,
                        has_restarted: bool| {
             if self.now == START + at * 1_000 {
-                let one = self.servers.get_mut(server).expect("one of the eight");
+                let one = self
+                    .servers
+                    .get_mut(server)
+                    .expect("the script names a server of the site");
                 (one.actual, one.listed.readiness) = (actual, readiness);
                 if has_restarted {
                     one.listed.started_ms = self.now;
@@ -610,7 +613,12 @@
     }
 
     fn record_connection(&mut self, server: &str) {
-        let (now, one) = (self.now, self.servers.get_mut(server).expect("known"));
+        let (now, one) = (
+            self.now,
+            self.servers
+                .get_mut(server)
+                .expect("the client chose a server of the site"),
+        );
         if now < one.listed.started_ms + SLOW_START_MS {
             one.connected_at.retain(|at| at + 1_500 > now);
             one.connected_at.push(now);
--- a/crates/edge/tests/rejoin.rs
+++ b/crates/edge/tests/rejoin.rs
@@ -175,7 +175,7 @@
     let merged = merge(&[removed], std::slice::from_ref(&changed));
     assert_eq!(
         (ids(&merged).len(), merged.dropped[0].1),
-        (0, "it was removed on one side")
+        (0, "the override was removed on one side")
     );
     assert_eq!(
         merge(&[changed], std::slice::from_ref(&old)).active[0].expires_at,
@@ -214,7 +214,7 @@
     assert_eq!(
         merged.shadowed,
         [("here".to_owned(), "outside".to_owned())],
-        "out shadows a weight"
+        "`out` shadows a weight"
     );
     let later = OverrideRecord {
         origin_site: String::new(),
@@ -291,10 +291,10 @@
                 Some(listed) => listed.readiness != Readiness::Serving,
                 None => is_complete && is_same_incarnation,
             };
-            prop_assert!(is_requested, "{:?} by {:?}", one, list);
+            prop_assert!(is_requested, "{:?} is not justified by the list {:?}", one, list);
         }
         let kept = plan.kept.iter().filter(|keep| known.iter().any(|known| known.server == keep.server)).count();
-        prop_assert_eq!(kept + plan.migrations.len(), known.len(), "nothing is lost of what was held");
+        prop_assert_eq!(kept + plan.migrations.len(), known.len(), "every known server is kept or migrated off");
     }
 
     #[test]
@@ -310,10 +310,10 @@
             (moved, worst) = (moved + step, worst.max(step));
         }
         let due = rate * span as f64 / 1_000.0;
-        prop_assert!(moved as f64 <= due + f64::from(processes), "{} of {}", moved, due);
-        prop_assert!(every > 1_000 || moved as f64 >= due * 0.9 - f64::from(processes), "{} of {}", moved, due);
+        prop_assert!(moved as f64 <= due + f64::from(processes), "{} migrations, {} due", moved, due);
+        prop_assert!(every > 1_000 || moved as f64 >= due * 0.9 - f64::from(processes), "{} migrations, {} due", moved, due);
         let due_per_step = rate * every as f64 / 1_000.0;
-        prop_assert!(worst as f64 <= due_per_step * 2.0 + 4.0 * due_per_step.sqrt() + 3.0, "{} at once, {} due", worst, due_per_step);
+        prop_assert!(worst as f64 <= due_per_step * 2.0 + 4.0 * due_per_step.sqrt() + 3.0, "{} migrations in one step, {} due", worst, due_per_step);
     }
 
     /// The sum of all quotas has to stay within the budget while sites are partitioned into
@@ -346,7 +346,7 @@
                 if second == 40 { live = next_live; }
                 exchange_counts(&mut counts, now, groups, live, previous);
                 let sum: f64 = (0..3).map(|own| counts[own].slow_start_quota().share(1.0) * f64::from(live[own])).sum();
-                prop_assert!(sum <= 1.0 + 1e-9, "{} at {} by {:?} of {:?}", sum, now, groups, live);
+                prop_assert!(sum <= 1.0 + 1e-9, "sum of quotas is {} at {} ms, groups {:?}, processes {:?}", sum, now, groups, live);
             }
         }
     }
--- a/crates/edge/tests/servers.rs
+++ b/crates/edge/tests/servers.rs
@@ -48,7 +48,7 @@
     assert_eq!(
         assess(&all, START)["s1"].ejected_for,
         None,
-        "one time-out is little"
+        "one timeout is not enough evidence"
     );
     report_from(&mut all, START, 2, "s1", ServerHealth::Unresponsive);
     assert_eq!(
@@ -67,7 +67,7 @@
     let first = weights
         .iter()
         .position(|weight| *weight > 0)
-        .expect("it fades");
+        .expect("the weight returns when the evidence has faded");
     assert!(
         weights.is_sorted() && first < 30 && weights[first] <= 100,
         "{weights:?}"
@@ -98,7 +98,7 @@
     }
     assert!(
         assess(&all, START)["s1"].ejected_for.is_some(),
-        "what others saw before says nothing of now"
+        "healthy reports from before the fault do not count"
     );
     for n in 1..9 {
         all.observe(
@@ -133,7 +133,7 @@
     assert_eq!(
         (restarted.ejected_for, restarted.slow_start_since),
         (None, Some(much_later - 1_000)),
-        "a new start, and cold"
+        "the restarted server is used again, in slow start"
     );
     assert_eq!(
         assess(&all, much_later + SLOW_START_MS)["s1"].slow_start_since,
--- a/crates/edge/tests/site.rs
+++ b/crates/edge/tests/site.rs
@@ -38,7 +38,7 @@
         let served = served_share(&result) / served_share(&baseline);
         assert!(
             served >= 0.99 && served_share(&result) >= 0.99,
-            "served {} of {}: {result:?}",
+            "share served {}, without outage {}: {result:?}",
             served_share(&result),
             served_share(&baseline)
         );
@@ -48,14 +48,14 @@
                 result.isolated_processes_elsewhere
             ),
             (per_site, 0),
-            "all of the site, and none else"
+            "all processes of the site are isolated, and no others"
         );
         let probes_by_minute: Vec<u32> = (1..10)
             .map(|minute| result.probes.get(&minute).copied().unwrap_or(0))
             .collect();
         assert!(
             probes_by_minute.iter().all(|probes| *probes <= 40),
-            "by minute: {:?}",
+            "at most 40 probes a minute, got {:?}",
             result.probes
         );
         let migrated: Vec<&String> = result
@@ -68,19 +68,22 @@
             migrated
                 .iter()
                 .all(|name| ["s2", "s4"].contains(&name.as_str())),
-            "{:?}",
+            "only s2 and s4 are migrated off: {:?}",
             result.migrated
         );
-        assert!(!migrated.is_empty(), "what drained unseen is emptied");
+        assert!(
+            !migrated.is_empty(),
+            "servers that drained unnoticed are migrated off"
+        );
         assert!(
             result.max_migrations_per_s <= 5 + per_site / 3,
-            "{} in a second",
+            "{} migrations in a second",
             result.max_migrations_per_s
         );
-        assert_eq!(result.merged_at.len(), per_site, "each merges once");
+        assert_eq!(result.merged_at.len(), per_site, "each process merges once");
         assert!(
             result.max_simultaneous_polls <= per_site.div_ceil(3) + 2,
-            "{} calls at once",
+            "{} simultaneous polls",
             result.max_simultaneous_polls
         );
         assert_eq!(result.overload_count, 0);
@@ -88,8 +91,8 @@
         let first = result.merged_at.iter().min().copied().unwrap_or(0);
         merge_delays.extend(result.merged_at.iter().map(|at| at - first));
         println!(
-            "{per_site} processes, seed {seed}: served {:.4} of what is without loss ({:.4}), probes a minute {probes_by_minute:?}, \
-             first {:?}, moved {:?} ({} in a second at most), back after {} ms, herd {}",
+            "{per_site} processes, seed {seed}: served {:.4} of the share without outage ({:.4}), probes per minute {probes_by_minute:?}, \
+             in the first minute {:?}, migrated {:?} (at most {} a second), first merge after {} ms, at most {} polls at once",
             served,
             served_share(&baseline),
             result.probes.get(&0),
@@ -102,7 +105,7 @@
     merge_delays.sort_unstable();
     let p99 = merge_delays[(merge_delays.len() * 99).div_ceil(100) - 1];
     println!(
-        "{per_site} processes: all know the same p50 {} p99 {p99} ms after the first",
+        "{per_site} processes: merged p50 {} p99 {p99} ms after the first process",
         merge_delays[merge_delays.len() / 2]
     );
     assert!(p99 <= 5_000, "{merge_delays:?}");
--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -14,10 +14,10 @@
     let lost_at = process.now;
     process.run(20_000, |process, _| process.all_lost());
     assert_eq!(process.states(), [Doubtful, Isolated]);
-    let elapsed = process.entered_at(Isolated).expect("an island") - lost_at;
+    let elapsed = process.entered_at(Isolated).expect("the site is isolated") - lost_at;
     assert!(
         (2_000..=6_000).contains(&elapsed),
-        "confirmed, and soon: {elapsed}"
+        "isolated within 2 to 6 s, got {elapsed} ms"
     );
     process.run(60_000, |process, _| process.all_lost());
     let restored_at = process.now;
@@ -25,11 +25,12 @@
     assert_eq!(
         process.states(),
         [Doubtful, Isolated, Rejoining],
-        "not linked before the merge is done"
+        "linked only after the merge"
     );
     assert!(
-        (3_000..=5_000).contains(&(process.entered_at(Rejoining).expect("back") - restored_at)),
-        "steady first"
+        (3_000..=5_000)
+            .contains(&(process.entered_at(Rejoining).expect("the site rejoins") - restored_at)),
+        "rejoins after 3 to 5 s of answers"
     );
     assert_eq!(
         process.count(|action| *action == Action::Rejoin(RejoinStep::Merge)),
@@ -56,7 +57,7 @@
                 is_bidirectional: true,
             });
         });
-        assert_eq!(process.states(), [], "sites beyond are heard");
+        assert_eq!(process.states(), [], "other sites are reachable");
         // Without any other target the site comes to doubt the uplink once, resolves the doubt, and
         // does not doubt it again.
         let mut process = TestProcess::start("n1", Start::Fresh);
@@ -68,7 +69,11 @@
                 process.handle(Evidence::DiscoveryFailed);
             }
         });
-        assert_eq!(process.states(), [Doubtful, Linked], "asks {requests_fail}");
+        assert_eq!(
+            process.states(),
+            [Doubtful, Linked],
+            "discovery requests fail: {requests_fail}"
+        );
     }
 }
 
@@ -88,14 +93,18 @@
         assert_eq!(
             process.states(),
             [Doubtful, Isolated],
-            "{:?}",
+            "isolated once and not linked again: {:?}",
             process.actions
         );
         assert_eq!(
             process.count(|action| matches!(action, Action::Rejoin(_))),
             0
         );
-        assert!(process.probes() <= 80, "{} probes", process.probes());
+        assert!(
+            process.probes() <= 80,
+            "at most 80 probes, got {}",
+            process.probes()
+        );
         // The site rejoins when the uplink has been stable for long enough.
         process.run(30_000, |process, _| process.all_answer());
         assert_eq!(process.states(), [Doubtful, Isolated, Rejoining]);
@@ -117,7 +126,7 @@
     assert_eq!(process.states(), [Doubtful, Isolated]);
     let lines = process.edge.snapshot(process.now).lines().join("\n");
     assert!(
-        lines.contains("site ard was heard but does not hear"),
+        lines.contains("site ard sent messages but did not answer"),
         "{lines}"
     );
 }
@@ -140,7 +149,7 @@
             .snapshot(process.now)
             .lines()
             .iter()
-            .any(|line| line.contains("slowly: 3.5 s"))
+            .any(|line| line.contains("slow answer: 3.5 s"))
     );
 }
 
@@ -170,7 +179,11 @@
         },
     );
     restarted.now = process.now;
-    assert_eq!(restarted.edge.state(), Isolated, "with no evidence at all");
+    assert_eq!(
+        restarted.edge.state(),
+        Isolated,
+        "the stored state applies without evidence"
+    );
     assert_eq!(
         restarted.edge.list_age(restarted.now),
         process.edge.list_age(process.now)
@@ -181,12 +194,12 @@
     assert!(
         restarted
             .edge
-            .is_list_trusted(confirmed_at.expect("known") + trust_ms)
+            .is_list_trusted(confirmed_at.expect("discovery confirmed the list") + trust_ms)
     );
     assert!(
         !restarted
             .edge
-            .is_list_trusted(confirmed_at.expect("known") + trust_ms + 1)
+            .is_list_trusted(confirmed_at.expect("discovery confirmed the list") + trust_ms + 1)
     );
     // A confirmation in the future, as after setting the clock back, is not trusted.
     let confirmed_at = Some(restarted.now + 86_400_000);
@@ -220,7 +233,7 @@
     let after_trust = process.now + process.edge.config().trust_for_ms;
     assert!(
         !is_granted(&process, after_trust, &place_client(false)),
-        "nothing says that this one stands"
+        "a server without evidence of health is denied after the trust period"
     );
     assert!(
         is_granted(&process, after_trust, &place_client(true))
@@ -276,7 +289,7 @@
         let permission = process.edge.permission(process.now, decision);
         assert!(
             matches!(permission, Permission::Denied { reason, retry_after_ms: 1.. } if !reason.is_empty()),
-            "{decision:?}: {permission:?}"
+            "{decision:?} is denied with a reason, got {permission:?}"
         );
     }
     assert!(
@@ -298,7 +311,7 @@
     };
     assert!(
         process.actions.contains(&(process.now, probe)),
-        "at once: {:?}",
+        "discovery is probed at once: {:?}",
         process.actions
     );
     // Repeated address changes do not raise the probe rate.
@@ -308,7 +321,7 @@
     }
     assert!(
         process.probes() <= 12,
-        "{} in five seconds, of two places",
+        "{} probes of two targets in five seconds",
         process.probes()
     );
     process.handle(Evidence::DiscoveryFailed);
@@ -325,7 +338,7 @@
 fn obeys_operator_mode_until_it_expires() {
     let mut process = TestProcess::linked("n1");
     process.set_operator_mode(UplinkMode::Isolated, 60_000);
-    assert_eq!(process.edge.state(), Isolated, "at once");
+    assert_eq!(process.edge.state(), Isolated, "the mode applies at once");
     process.run(58_000, |process, _| process.all_answer());
     assert_eq!((process.edge.state(), process.probes()), (Isolated, 0));
     assert!(
@@ -334,13 +347,13 @@
             .snapshot(process.now)
             .lines()
             .join("\n")
-            .contains("ada says: this site is an island (cable work)")
+            .contains("operator mode set by ada: the site is isolated (cable work)")
     );
     process.run(10_000, |process, _| process.all_answer());
     assert_eq!(
         process.edge.state(),
         Rejoining,
-        "its end is no leap: what changed is merged"
+        "changes are merged when the mode expires"
     );
     process.handle(Evidence::RejoinStepDone(RejoinStep::Merge));
     process.run(60_000, |process, _| process.all_answer());
@@ -350,18 +363,26 @@
     process.run(58_000, |process, _| process.all_lost());
     assert_eq!(process.edge.state(), Linked);
     process.run(20_000, |process, _| process.all_lost());
-    assert_eq!(process.edge.state(), Isolated, "the evidence decides again");
+    assert_eq!(
+        process.edge.state(),
+        Isolated,
+        "the evidence decides after the mode expired"
+    );
     process.set_operator_mode(UplinkMode::Linked, 60_000);
     assert_eq!(process.edge.state(), Rejoining);
     process.run(31_000, |process, _| process.all_lost());
     assert_eq!(
         process.edge.state(),
         Linked,
-        "after its bound, though no list came"
+        "rejoining ends at its limit without a list"
     );
     process.set_operator_mode(UplinkMode::Automatic, 60_000);
     process.run(30_000, |process, _| process.all_lost());
-    assert_eq!(process.edge.state(), Isolated, "taken back before its end");
+    assert_eq!(
+        process.edge.state(),
+        Isolated,
+        "the mode is withdrawn before it expires"
+    );
 }
 
 #[test]
@@ -394,7 +415,7 @@
     assert_eq!(
         process.edge.snapshot(process.now).log_odds,
         -20,
-        "what was seen before says nothing"
+        "evidence from before the pause is discarded"
     );
     process.run(60_000, |process, _| process.all_answer());
     assert_eq!(process.states(), [Doubtful, Linked]);
@@ -424,12 +445,12 @@
     assert_eq!(
         (connected.edge.state(), cut_off.edge.state()),
         (Linked, Isolated),
-        "a word alone changes neither"
+        "reports alone change neither state"
     );
     assert!(cut_off.edge.snapshot(cut_off.now).is_process_isolated);
     assert!(
         (1..=25).contains(&cut_off.probes()),
-        "asked {} times in two minutes",
+        "{} probes in two minutes",
         cut_off.probes()
     );
     cut_off.run(30_000, |process, _| process.all_answer());
@@ -450,13 +471,17 @@
     assert_eq!(
         cut_off.edge.state(),
         Isolated,
-        "in the end by its own evidence"
-    );
-    let in_doubt_ms = cut_off.entered_at(Isolated).expect("islanded")
-        - cut_off.entered_at(Doubtful).expect("in doubt");
+        "its own evidence decides in the end"
+    );
+    let in_doubt_ms = cut_off
+        .entered_at(Isolated)
+        .expect("the process is isolated")
+        - cut_off
+            .entered_at(Doubtful)
+            .expect("the process is in doubt");
     assert!(
         in_doubt_ms >= 20_000,
-        "not before its patience is over: {in_doubt_ms}"
+        "in doubt for the maximum time, got {in_doubt_ms} ms"
     );
     assert!(
         cut_off
@@ -464,7 +489,7 @@
             .snapshot(cut_off.now)
             .lines()
             .join("\n")
-            .contains("this process alone is cut off")
+            .contains("only this process is cut off")
     );
 }
 
@@ -479,15 +504,15 @@
     };
     process.run(60_000, answers);
     assert_eq!(process.states(), [Doubtful, Isolated, Rejoining, Linked]);
-    let rejoining_ms = process.entered_at(Linked).expect("linked")
-        - process.entered_at(Rejoining).expect("rejoining");
+    let rejoining_ms = process.entered_at(Linked).expect("the site is linked")
+        - process.entered_at(Rejoining).expect("the site rejoins");
     assert_eq!(rejoining_ms, process.edge.config().rejoin_ms);
     let merges = |process: &TestProcess| {
         process.count(|action| *action == Action::Rejoin(RejoinStep::Merge))
     };
     assert_eq!(merges(&process), 0);
     process.handle(Evidence::ListConfirmed { at: process.now });
-    assert_eq!(merges(&process), 1, "late, but once");
+    assert_eq!(merges(&process), 1, "the late list is merged once");
 }
 
 /// Probing must not stop when the processes that rank before this one stop.
@@ -524,7 +549,10 @@
     process.actions.clear();
     let silent_at = process.now;
     process.run(30_000, |process, _| process.all_lost());
-    assert!(probe_count(&process) >= 1, "nobody else does");
+    assert!(
+        probe_count(&process) >= 1,
+        "this process takes over probing"
+    );
     let first_probe = process
         .actions
         .iter()
@@ -532,7 +560,7 @@
         .map(|(at, _)| at - silent_at);
     assert!(
         first_probe.is_some_and(|after| after >= 2_000),
-        "not before the others must have: {first_probe:?}"
+        "probes only after the others had to, got {first_probe:?}"
     );
 }
 
@@ -558,7 +586,7 @@
     };
     let mut fields: Vec<&str> = invalid
         .validate()
-        .expect_err("all of it")
+        .expect_err("the configuration is invalid")
         .iter()
         .map(|error| error.field)
         .collect();
@@ -606,10 +634,10 @@
         .filter(|(_, action)| matches!(action, Action::StateChanged { .. }))
         .map(|(at, _)| *at)
         .collect();
-    assert!(at.len() > 3, "it is not left unseen: {at:?}");
+    assert!(at.len() > 3, "the uplink flaps are noticed: {at:?}");
     assert!(
         at.windows(8).all(|window| window[7] - window[0] >= 60_000),
-        "{at:?}"
+        "at most seven transitions within a minute: {at:?}"
     );
 }
 
@@ -656,7 +684,7 @@
     );
     process.handle(Evidence::RejoinStepDone(RejoinStep::Merge));
     process.run(10_000, hear_remote_peers);
-    assert_eq!(process.edge.state(), Rejoining, "no list has come since");
+    assert_eq!(process.edge.state(), Rejoining, "no list has arrived since");
 }
 
 /// Processes that rejoin at the same time must not send a request spike to discovery.
@@ -683,13 +711,16 @@
             .actions
             .iter()
             .find_map(reconnect_delay)
-            .expect("it asks for the list")
+            .expect("the process requests the list")
     };
     let mut all: Vec<Millis> = (0..30).map(poll_delay).collect();
     all.sort_unstable();
-    assert!(all[29] <= 900 && all[29] - all[0] >= 450, "{all:?}");
+    assert!(
+        all[29] <= 900 && all[29] - all[0] >= 450,
+        "requests come within 900 ms and are spread over 450 ms at least: {all:?}"
+    );
     assert!(
         all.windows(10).all(|ten| ten[9] - ten[0] >= 90),
-        "ten of thirty at once: {all:?}"
+        "no ten requests within 90 ms: {all:?}"
     );
 }
