--- a/crates/edge/src/state_machine.rs
+++ b/crates/edge/src/state_machine.rs
@@ -49,8 +49,8 @@
     pub(crate) flaps: VecDeque<Millis>,
     pub(crate) was_reachable: bool,
     /// Log odds that were investigated without finding a lost uplink, and when.
-    pub(crate) dismissed: Option<(i32, Millis)>,
-    pub(crate) operator_mode_expired: bool,
+    pub(crate) dismissed_log_odds: Option<(i32, Millis)>,
+    pub(crate) has_operator_mode_expired: bool,
     /// When the last rejoining began, until its merge has been requested.
     pub(crate) pending_merge_since: Option<Millis>,
     pub(crate) probes: ProbeSchedule,
@@ -118,8 +118,8 @@
             recent_changes: VecDeque::new(),
             flaps: VecDeque::new(),
             was_reachable: false,
-            dismissed: None,
-            operator_mode_expired: false,
+            dismissed_log_odds: None,
+            has_operator_mode_expired: false,
             pending_merge_since: None,
             last_reprobe_at: None,
             last_handled_at: now,
@@ -296,7 +296,7 @@
             )));
             actions.push(Action::PublishReport);
         }
-        (self.operator_mode, self.operator_mode_expired) = (Some(operator_mode), false);
+        (self.operator_mode, self.has_operator_mode_expired) = (Some(operator_mode), false);
     }
 
     pub(crate) fn operator_mode_text(&self, operator_mode: &OperatorMode) -> String {
--- a/crates/edge/src/transitions.rs
+++ b/crates/edge/src/transitions.rs
@@ -33,9 +33,9 @@
             .operator_mode
             .as_ref()
             .is_some_and(|operator_mode| operator_mode.expires_at <= now)
-            && !self.operator_mode_expired;
+            && !self.has_operator_mode_expired;
         if has_expired {
-            self.operator_mode_expired = true;
+            self.has_operator_mode_expired = true;
             actions.push(Action::Log(
                 "the operator mode expired; the state follows the evidence again".into(),
             ));
@@ -191,14 +191,14 @@
         actions: &mut Vec<Action>,
     ) {
         if self
-            .dismissed
+            .dismissed_log_odds
             .is_some_and(|(_, at)| now - at > RECENT_CHANGES_MS)
             && log_odds < DOUBT_THRESHOLD
         {
-            self.dismissed = None;
+            self.dismissed_log_odds = None;
         }
         let is_new = self
-            .dismissed
+            .dismissed_log_odds
             .is_none_or(|(dismissed, _)| log_odds > dismissed);
         let is_lost_by_own_evidence = self.view.log_odds(now, false) >= LOSS_THRESHOLD;
         if (log_odds >= DOUBT_THRESHOLD || is_lost_by_own_evidence) && is_new && has_dwelt {
@@ -279,7 +279,7 @@
                 format!("the uplink flapped {flaps} times; it is not used until it is stable");
             self.transition(now, UplinkState::Isolated, reason, actions);
         } else {
-            self.dismissed = Some((log_odds, now));
+            self.dismissed_log_odds = Some((log_odds, now));
             let reason = format!(
                 "not enough evidence of an uplink failure: {}",
                 self.describe_losses(now)
--- a/crates/edge/tests/model/mod.rs
+++ b/crates/edge/tests/model/mod.rs
@@ -79,9 +79,9 @@
 pub struct Simulation {
     now: Millis,
     rng: Pcg64Mcg,
-    datagram_loss: f64,
+    datagram_loss_rate: f64,
     outage: std::ops::Range<Millis>,
-    counting: std::ops::Range<Millis>,
+    counted_span: std::ops::Range<Millis>,
     servers: BTreeMap<String, Server>,
     processes: Vec<Process>,
     polls: BTreeMap<Millis, usize>,
@@ -95,7 +95,7 @@
     pub fn new(
         per_site: usize,
         seed: u64,
-        datagram_loss: f64,
+        datagram_loss_rate: f64,
         outage: std::ops::Range<Millis>,
     ) -> Simulation {
         let serving = |n: u32| ListedServer {
@@ -116,7 +116,10 @@
                 )
             })
             .collect();
-        let list: Vec<ListedServer> = servers.values().map(|one| one.listed.clone()).collect();
+        let list: Vec<ListedServer> = servers
+            .values()
+            .map(|server| server.listed.clone())
+            .collect();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut processes = Vec::new();
         for site in SITES {
@@ -160,8 +163,8 @@
         Simulation {
             now: START,
             rng,
-            datagram_loss,
-            counting: outage.clone(),
+            datagram_loss_rate,
+            counted_span: outage.clone(),
             outage,
             servers,
             processes,
@@ -173,7 +176,7 @@
 
     /// Counts the clients of this span.
     pub fn count_clients_during(&mut self, span: std::ops::Range<Millis>) {
-        self.counting = span;
+        self.counted_span = span;
     }
 
     /// Runs until the given time. The servers behave the same with and without an outage.
@@ -194,15 +197,18 @@
                 let processes = |is_local: bool| {
                     self.processes
                         .iter()
-                        .filter(move |one| (one.site == "moy") == is_local)
+                        .filter(move |process| (process.site == "moy") == is_local)
                 };
                 self.result.isolated_processes = processes(true)
-                    .filter(|one| one.edge.state() == UplinkState::Isolated)
+                    .filter(|process| process.edge.state() == UplinkState::Isolated)
                     .count();
             }
-            let others = self.processes.iter().filter(|one| one.site != "moy");
+            let others = self
+                .processes
+                .iter()
+                .filter(|process| process.site != "moy");
             self.result.isolated_processes_elsewhere += others
-                .filter(|one| one.edge.state() == UplinkState::Isolated)
+                .filter(|process| process.edge.state() == UplinkState::Isolated)
                 .count();
         }
         self.result.max_migrations_per_s = self
@@ -215,8 +221,8 @@
         let mut lists = self
             .processes
             .iter()
-            .filter(|one| one.site == "moy")
-            .map(|one| one.list.clone());
+            .filter(|process| process.site == "moy")
+            .map(|process| process.list.clone());
         let first = lists.next();
         self.result.has_converged = lists.all(|list| Some(&list) == first.as_ref());
     }
@@ -228,13 +234,13 @@
                        readiness: Readiness,
                        has_restarted: bool| {
             if self.now == START + at * 1_000 {
-                let one = self
+                let server = self
                     .servers
                     .get_mut(server)
                     .expect("the script names a server of the site");
-                (one.actual, one.listed.readiness) = (actual, readiness);
+                (server.actual, server.listed.readiness) = (actual, readiness);
                 if has_restarted {
-                    one.listed.started_ms = self.now;
+                    server.listed.started_ms = self.now;
                 }
             }
         };
@@ -264,7 +270,7 @@
     }
 
     fn is_delivered(&mut self) -> bool {
-        self.rng.random::<f64>() >= self.datagram_loss
+        self.rng.random::<f64>() >= self.datagram_loss_rate
     }
 
     fn step_process(&mut self, n: usize) {
@@ -416,15 +422,19 @@
         let known: Vec<KnownServer> = process
             .list
             .iter()
-            .map(|one| KnownServer {
-                server: one.server.clone(),
-                readiness: one.readiness,
-                started_ms: one.started_ms,
-                weight: one.weight,
+            .map(|server| KnownServer {
+                server: server.server.clone(),
+                readiness: server.readiness,
+                started_ms: server.started_ms,
+                weight: server.weight,
                 ejected_for: assessments
-                    .get(&one.server)
+                    .get(&server.server)
                     .and_then(|assessment| assessment.ejected_for),
-                connections: process.connections.get(&one.server).copied().unwrap_or(0),
+                connections: process
+                    .connections
+                    .get(&server.server)
+                    .copied()
+                    .unwrap_or(0),
             })
             .collect();
         let plan = plan_rejoin(
@@ -456,7 +466,7 @@
     fn listed(&self) -> Vec<ListedServer> {
         self.servers
             .values()
-            .map(|one| one.listed.clone())
+            .map(|server| server.listed.clone())
             .collect()
     }
 
@@ -477,13 +487,24 @@
         let Some(pacer) = &mut process.pacer else {
             return;
         };
-        let available = process.migrations.iter().map(|one| one.connections).sum();
+        let available = process
+            .migrations
+            .iter()
+            .map(|migration| migration.connections)
+            .sum();
         let mut due = pacer.permitted(now, available);
-        for one in &mut process.migrations {
-            let migrated = due.min(one.connections);
-            (one.connections, due) = (one.connections - migrated, due - migrated);
-            *process.connections.entry(one.server.clone()).or_default() -= migrated;
-            *self.result.migrated.entry(one.server.clone()).or_default() += migrated;
+        for migration in &mut process.migrations {
+            let migrated = due.min(migration.connections);
+            (migration.connections, due) = (migration.connections - migrated, due - migrated);
+            *process
+                .connections
+                .entry(migration.server.clone())
+                .or_default() -= migrated;
+            *self
+                .result
+                .migrated
+                .entry(migration.server.clone())
+                .or_default() += migrated;
             *self.migrations_by_second.entry(now / 1_000).or_default() += migrated;
         }
     }
@@ -491,18 +512,18 @@
     /// Once a second within a site: uplink reports to all peers, health reports to three.
     fn gossip(&mut self) {
         let now = self.now;
-        let of: Vec<&'static str> = self.processes.iter().map(|one| one.site).collect();
-        for n in 0..of.len() {
+        let sites: Vec<&'static str> = self.processes.iter().map(|process| process.site).collect();
+        for n in 0..sites.len() {
             let report = self.processes[n].edge.report(now);
-            let peers: Vec<usize> = (0..of.len())
-                .filter(|m| *m != n && of[*m] == of[n])
+            let peers: Vec<usize> = (0..sites.len())
+                .filter(|m| *m != n && sites[*m] == sites[n])
                 .collect();
             for m in &peers {
                 if self.is_delivered() {
                     self.handle(*m, Evidence::PeerReport(report.clone()));
                 }
             }
-            let recent = |one: &&HealthReport| one.observed_at_ms + 5_000 > now;
+            let recent = |report: &&HealthReport| report.observed_at_ms + 5_000 > now;
             let recent_reports: Vec<HealthReport> = self.processes[n]
                 .reports
                 .iter()
@@ -514,7 +535,7 @@
                 if self.is_delivered() {
                     recent_reports
                         .iter()
-                        .for_each(|one| _ = self.processes[to].reports.insert(one.clone()));
+                        .for_each(|report| _ = self.processes[to].reports.insert(report.clone()));
                 }
             }
         }
@@ -525,7 +546,7 @@
         let per_site = self.processes.len() / 3;
         for _ in 0..2 {
             let n = self.rng.random_range(0..per_site);
-            let counts = self.counting.contains(&self.now);
+            let counts = self.counted_span.contains(&self.now);
             self.result.clients += u32::from(counts);
             let served = self.connect_client(n);
             self.result.served += u32::from(counts && served);
@@ -581,31 +602,30 @@
             .share(SLOW_START_CLIENTS_PER_S);
         process.slow_start_credit =
             (process.slow_start_credit + rate * STEP as f64 / 1_000.0).min(1.0);
-        let is_listed_recently = |one: &ListedServer| now < one.started_ms + SLOW_START_MS;
+        let is_listed_recently = |server: &ListedServer| now < server.started_ms + SLOW_START_MS;
         let mut candidates: Vec<(&ListedServer, u64, bool)> = Vec::new();
-        for one in process
-            .list
-            .iter()
-            .filter(|one| one.readiness == Readiness::Serving && !tried.contains(&one.server))
-        {
-            let assessment = &assessments[&one.server];
-            let is_slow_starting = assessment.slow_start_since.is_some() || is_listed_recently(one);
+        for server in process.list.iter().filter(|server| {
+            server.readiness == Readiness::Serving && !tried.contains(&server.server)
+        }) {
+            let assessment = &assessments[&server.server];
+            let is_slow_starting =
+                assessment.slow_start_since.is_some() || is_listed_recently(server);
             if assessment.ejected_for.is_none()
                 && (!is_slow_starting || process.slow_start_credit >= 1.0)
             {
                 candidates.push((
-                    one,
-                    one.weight * assessment.weight_permille,
+                    server,
+                    server.weight * assessment.weight_permille,
                     is_slow_starting,
                 ));
             }
         }
         let total: u64 = candidates.iter().map(|(_, weight, _)| weight).sum();
         let mut at = self.rng.random_range(0..total.max(1));
-        for (one, weight, is_slow_starting) in candidates {
+        for (server, weight, is_slow_starting) in candidates {
             if at < weight {
                 process.slow_start_credit -= if is_slow_starting { 1.0 } else { 0.0 };
-                return Some(one.server.clone());
+                return Some(server.server.clone());
             }
             at -= weight;
         }
@@ -613,17 +633,17 @@
     }
 
     fn record_connection(&mut self, server: &str) {
-        let (now, one) = (
+        let (now, server) = (
             self.now,
             self.servers
                 .get_mut(server)
                 .expect("the client chose a server of the site"),
         );
-        if now < one.listed.started_ms + SLOW_START_MS {
-            one.connected_at.retain(|at| at + 1_500 > now);
-            one.connected_at.push(now);
+        if now < server.listed.started_ms + SLOW_START_MS {
+            server.connected_at.retain(|at| at + 1_500 > now);
+            server.connected_at.push(now);
             self.result.overload_count +=
-                usize::from(one.connected_at.len() > OVERLOAD_CONNECTIONS);
+                usize::from(server.connected_at.len() > OVERLOAD_CONNECTIONS);
         }
     }
 }
@@ -631,11 +651,11 @@
 fn assessed_servers(list: &[ListedServer]) -> Vec<AssessedServer> {
     let serving = list
         .iter()
-        .filter(|one| one.readiness == Readiness::Serving);
+        .filter(|server| server.readiness == Readiness::Serving);
     serving
-        .map(|one| AssessedServer {
-            server: one.server.clone(),
-            weight: one.weight,
+        .map(|server| AssessedServer {
+            server: server.server.clone(),
+            weight: server.weight,
             started_ms: 0,
         })
         .collect()
--- a/crates/edge/tests/rejoin.rs
+++ b/crates/edge/tests/rejoin.rs
@@ -51,7 +51,7 @@
     let migrations: Vec<(&str, MigrationReason)> = plan
         .migrations
         .iter()
-        .map(|one| (one.server.as_str(), one.reason))
+        .map(|migration| (migration.server.as_str(), migration.reason))
         .collect();
     assert_eq!(
         migrations,
@@ -64,7 +64,13 @@
     let kept: Vec<(&str, u64, Option<Millis>)> = plan
         .kept
         .iter()
-        .map(|one| (one.server.as_str(), one.weight, one.slow_start_since))
+        .map(|server| {
+            (
+                server.server.as_str(),
+                server.weight,
+                server.slow_start_since,
+            )
+        })
         .collect();
     assert_eq!(
         kept,
@@ -150,10 +156,11 @@
         merged
             .active
             .iter()
-            .map(|one| one.id.clone())
+            .map(|record| record.id.clone())
             .collect::<Vec<_>>()
     };
-    let merge = |one: &[OverrideRecord], other: &[OverrideRecord]| merge_overrides(one, other, NOW);
+    let merge =
+        |left: &[OverrideRecord], right: &[OverrideRecord]| merge_overrides(left, right, NOW);
     assert_eq!(
         ids(&merge(
             std::slice::from_ref(&old),
@@ -232,7 +239,7 @@
         OverrideKind::Out,
         OverrideKind::Pin,
     ]);
-    let one = (
+    let record = (
         0..6_u32,
         0..2_u32,
         kind,
@@ -241,7 +248,7 @@
         0..4_u64,
         any::<bool>(),
     );
-    let one = one.prop_map(
+    let record = record.prop_map(
         |(id, subject, kind, origin, changed_at, lifetime_ms, removed)| OverrideRecord {
             id: id.to_string(),
             subject: subject.to_string(),
@@ -253,7 +260,7 @@
             ..override_record("", kind, changed_at)
         },
     );
-    prop::collection::vec(one, 0..8)
+    prop::collection::vec(record, 0..8)
 }
 
 fn listed_servers() -> impl Strategy<Value = Vec<ListedServer>> {
@@ -262,18 +269,18 @@
         Readiness::Draining,
         Readiness::Gone,
     ]);
-    let one = (0..8_u32, readiness, 0..2_u64)
+    let server = (0..8_u32, readiness, 0..2_u64)
         .prop_map(|(id, readiness, start)| listed_server(&id.to_string(), readiness, 5 + start));
-    prop::collection::vec(one, 0..8)
+    prop::collection::vec(server, 0..8)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn merges_overrides_independently_of_argument_order(one in override_records(), other in override_records()) {
-        let merged = merge_overrides(&one, &other, NOW);
-        prop_assert_eq!(&merged, &merge_overrides(&other, &one, NOW));
+    fn merges_overrides_independently_of_argument_order(left in override_records(), right in override_records()) {
+        let merged = merge_overrides(&left, &right, NOW);
+        prop_assert_eq!(&merged, &merge_overrides(&right, &left, NOW));
         let again = merge_overrides(&merged.active, &merged.active, NOW);
         prop_assert_eq!(again.active, merged.active);
         prop_assert!(merged.dropped.iter().chain(&[]).all(|(_, reason)| !reason.is_empty()));
@@ -286,12 +293,12 @@
     ) {
         let known: Vec<KnownServer> = ids.iter().map(|id| known_server(&id.to_string())).collect();
         let plan = plan_rejoin(NOW, &known, &list, ListOrigin { is_complete, is_same_incarnation }, SLOW_START_MS);
-        for one in &plan.migrations {
-            let is_requested = match list.iter().rfind(|listed| listed.server == one.server) {
+        for migration in &plan.migrations {
+            let is_requested = match list.iter().rfind(|listed| listed.server == migration.server) {
                 Some(listed) => listed.readiness != Readiness::Serving,
                 None => is_complete && is_same_incarnation,
             };
-            prop_assert!(is_requested, "{:?} is not justified by the list {:?}", one, list);
+            prop_assert!(is_requested, "{:?} is not justified by the list {:?}", migration, list);
         }
         let kept = plan.kept.iter().filter(|keep| known.iter().any(|known| known.server == keep.server)).count();
         prop_assert_eq!(kept + plan.migrations.len(), known.len(), "every known server is kept or migrated off");
--- a/crates/edge/tests/servers.rs
+++ b/crates/edge/tests/servers.rs
@@ -181,7 +181,7 @@
     let ejected = |all: &HealthReports| {
         assess(all, START)
             .values()
-            .filter(|one| one.ejected_for.is_some())
+            .filter(|assessment| assessment.ejected_for.is_some())
             .count()
     };
     let ejected_counts = ["s1", "s2", "s3", "s4"].map(|server| {
@@ -197,7 +197,7 @@
     let assessments = assess(&all, START);
     let ejected: Vec<bool> = assessments
         .values()
-        .map(|one| one.ejected_for.is_some())
+        .map(|assessment| assessment.ejected_for.is_some())
         .collect();
     assert_eq!(ejected, [false, true, true, false]);
 }
@@ -208,8 +208,8 @@
         prop::sample::select(vec![Healthy, Busy, Unresponsive, Refused, Draining, Gone])
     };
     let previous = prop::option::of((0..50_u64, health(), 1..5_u32));
-    let previous = previous.prop_map(|one| {
-        one.map(|(until_ms, health, weight)| PreviousFinding {
+    let previous = previous.prop_map(|finding| {
+        finding.map(|(until_ms, health, weight)| PreviousFinding {
             until_ms,
             health,
             weight,
@@ -235,7 +235,8 @@
 
 fn collect(all: &[HealthReport]) -> HealthReports {
     let mut reports = HealthReports::new();
-    all.iter().for_each(|one| _ = reports.insert(one.clone()));
+    all.iter()
+        .for_each(|report| _ = reports.insert(report.clone()));
     reports
 }
 
@@ -269,10 +270,10 @@
         let servers = assessed_servers(&["s0", "s1", "s2", "s3"]);
         let assessments = assess_servers(&servers, &collect(&all), now, SLOW_START_MS);
         prop_assert_eq!(assessments.len(), 4);
-        let ejected = assessments.values().filter(|one| one.ejected_for.is_some());
+        let ejected = assessments.values().filter(|assessment| assessment.ejected_for.is_some());
         prop_assert!(ejected.clone().count() <= 2);
-        prop_assert!(ejected.clone().all(|one| one.weight_permille == 0));
-        let not_ejected = assessments.values().filter(|one| one.ejected_for.is_none());
-        prop_assert!(not_ejected.clone().all(|one| (100..=1_000).contains(&one.weight_permille)));
+        prop_assert!(ejected.clone().all(|assessment| assessment.weight_permille == 0));
+        let not_ejected = assessments.values().filter(|assessment| assessment.ejected_for.is_none());
+        prop_assert!(not_ejected.clone().all(|assessment| (100..=1_000).contains(&assessment.weight_permille)));
     }
 }
--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -248,7 +248,7 @@
 /// Each denial carries a reason and a retry delay; while linked every decision is granted.
 #[test]
 fn denies_fleet_decisions_only_when_isolated() {
-    let refused = [
+    let denied = [
         Decision::AdmitTenant {
             record_age_ms: None,
         },
@@ -279,13 +279,13 @@
     ];
     let mut process = TestProcess::linked("n1");
     assert!(
-        refused
+        denied
             .iter()
             .chain(&granted)
             .all(|decision| process.edge.permission(process.now, decision) == Permission::Granted)
     );
     process.run(30_000, |process, _| process.all_lost());
-    for decision in &refused {
+    for decision in &denied {
         let permission = process.edge.permission(process.now, decision);
         assert!(
             matches!(permission, Permission::Denied { reason, retry_after_ms: 1.. } if !reason.is_empty()),
