--- a/crates/edge/src/uplink_view.rs
+++ b/crates/edge/src/uplink_view.rs
@@ -11,19 +11,20 @@
 
 /// Prior log odds of a lost uplink: one to a hundred.
 const PRIOR_LOG_ODDS: i32 = -20;
-/// One in ten watches ends for a reason of its own.
+/// Weight of a lost watch; one in ten ends for a reason of its own.
 const WATCH_LOST_WEIGHT: i32 = 10;
-/// One in thirty failures of discovery or the store has a reason of its own.
+/// Weight of a failed request to discovery or the store; one in thirty fails for a reason of its
+/// own.
 const REQUEST_FAILED_WEIGHT: i32 = 15;
-/// All known processes of a site, or its servers, are unreachable.
+/// Weight of a site whose known processes, or whose servers, are unreachable.
 const SITE_LOST_WEIGHT: i32 = 12;
-/// A site sends messages but does not receive ours.
+/// Weight of a site that sends messages but does not receive ours.
 const ONE_WAY_WEIGHT: i32 = 6;
-/// A peer of this site reports a loss that this process has not observed itself.
+/// Weight of a loss that a peer of this site reports and this process has not observed itself.
 const PEER_REPORTED_LOSS_WEIGHT: i32 = 8;
-/// A remote target answered.
+/// Weight of an answer from a remote target.
 const ANSWER_WEIGHT: i32 = -40;
-/// A peer of this site reports an answer.
+/// Weight of an answer that a peer of this site reports.
 const PEER_REPORTED_ANSWER_WEIGHT: i32 = -30;
 /// Log odds from which on the uplink is in doubt.
 pub(crate) const DOUBT_THRESHOLD: i32 = -10;
@@ -285,7 +286,7 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// States of those peers.
+    /// States of the peers of this site that reported recently.
     pub(crate) fn peer_states(&self, now: Millis) -> impl Iterator<Item = (&str, UplinkState)> {
         self.live_peers(now)
             .map(|name| (name, self.peer_reports[name].state))
