--- a/crates/edge/src/config.rs
+++ b/crates/edge/src/config.rs
@@ -1,49 +1,51 @@
-//! What an operator sets.
+//! Configuration of an edge site.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// What the site is, and the spans by which it changes its mind.
+/// Identity of the site and process, and the timing of state changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The site's name, the same at all of its processes.
+    /// Name of the site, the same at all of its processes.
     pub site: String,
-    /// This process's name.
+    /// Name of this process; peer reports under the same name are ignored.
     pub name: String,
-    /// Seed of all odds; different at each process.
+    /// Seed of the random number generator; has to differ between processes.
     pub seed: u64,
-    /// How many processes the whole fleet has at least; more are counted where more are heard.
+    /// Minimum number of processes in the fleet. Where more are seen, more are counted.
     pub processes: u32,
-    /// Whether discovery stands in the site itself; what it answers then tells nothing of the link.
-    pub discovery_here: bool,
-    /// Whether the shared store stands in the site itself.
-    pub store_here: bool,
-    /// An answer from beyond the link counts as fresh for so long.
+    /// Whether discovery runs inside the site; its answers then say nothing about the uplink.
+    pub is_discovery_local: bool,
+    /// Whether the shared store runs inside the site; its answers then say nothing about the
+    /// uplink.
+    pub is_store_local: bool,
+    /// How long an answer from beyond the uplink counts as current.
     pub fresh_ms: Millis,
-    /// A doubt that says the link is lost has to hold for so long.
+    /// How long the evidence has to indicate a loss before the site counts as isolated.
     pub confirm_ms: Millis,
-    /// Answers from beyond the link have to come for so long before the site rejoins.
+    /// How long answers have to arrive over the uplink before an isolated site rejoins.
     pub steady_ms: Millis,
-    /// The longest doubt.
+    /// Maximum time in [`UplinkState::Doubtful`](crate::UplinkState::Doubtful).
     pub answer_timeout_ms: Millis,
-    /// The longest rejoining.
+    /// Maximum time in [`UplinkState::Rejoining`](crate::UplinkState::Rejoining).
     pub rejoin_ms: Millis,
-    /// Each change of state within a minute doubles the spans, up to this.
+    /// Upper bound of the confirmation spans, which double with each state change within a minute.
     pub damp_cap_ms: Millis,
-    /// An answer that takes longer is slow.
+    /// Latency above which an answer is reported as slow.
     pub slow_ms: Millis,
-    /// The list in hand is trusted for so long after discovery last confirmed it.
+    /// How long the server list is trusted after discovery last confirmed it.
     pub trust_for_ms: Millis,
-    /// A tenant's record is good for so long after it was read.
+    /// How long a tenant's record may be used after it was read.
     pub tenants_for_ms: Millis,
-    /// Spacing of probes beyond the link, for the whole site: the first.
+    /// Initial interval of probes over the uplink, for the whole site.
     pub probe_base_ms: Millis,
-    /// And the longest.
+    /// Maximum interval of probes over the uplink, for the whole site.
     pub probe_cap_ms: Millis,
-    /// Calls for the list and the store after an island are spread so far for each process of the fleet.
+    /// Span for each process of the fleet over which requests for the list and the store are spread
+    /// after an isolation.
     pub spread_ms: Millis,
-    /// Clients that may be moved in a second after an island, by all processes together.
+    /// Clients that all processes together may migrate in a second after an isolation.
     pub moves_per_s: f64,
 }
 
@@ -54,8 +56,8 @@
             name: String::new(),
             seed: 0,
             processes: 1,
-            discovery_here: false,
-            store_here: false,
+            is_discovery_local: false,
+            is_store_local: false,
             fresh_ms: 6_000,
             confirm_ms: 2_000,
             steady_ms: 3_000,
@@ -73,97 +75,117 @@
     }
 }
 
-/// What is wrong with a configuration.
+/// A configuration field outside its range.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The field, by its name in the operator's file.
+pub struct ConfigError {
+    /// Name of the field in the operator's file.
     pub field: &'static str,
-    /// What it has to be.
-    pub why: String,
+    /// The values that the field accepts.
+    pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.why)
+        write!(f, "{}: {}", self.field, self.reason)
     }
 }
 
-/// Longest name of a site or process.
-const LONGEST_NAME: usize = 128;
-/// Shortest and longest of the spans by which states change.
-const SPANS: std::ops::RangeInclusive<Millis> = 100..=3_600_000;
-/// The longest that anything is trusted: a month.
-const LONGEST_TRUST: Millis = 31 * 86_400_000;
+/// Maximum length of the name of a site or process.
+const MAX_NAME_BYTES: usize = 128;
+/// Range of the spans by which states change.
+const SPAN_RANGE_MS: std::ops::RangeInclusive<Millis> = 100..=3_600_000;
+/// Maximum span for which a server list or tenant record is trusted: 31 days.
+const MAX_TRUST_MS: Millis = 31 * 86_400_000;
 
 impl Config {
-    /// All that is wrong with it, at once.
-    pub fn check(&self) -> Result<(), Vec<Fault>> {
-        let mut faults = Vec::new();
-        let mut want = |sound: bool, field, why: String| {
-            if !sound {
-                faults.push(Fault { field, why });
+    /// Checks all fields.
+    ///
+    /// # Errors
+    ///
+    /// Returns every field outside its range, not only the first.
+    pub fn validate(&self) -> Result<(), Vec<ConfigError>> {
+        let mut errors = Vec::new();
+        let mut require = |is_valid: bool, field, reason: String| {
+            if !is_valid {
+                errors.push(ConfigError { field, reason });
             }
         };
         for (field, name) in [("site", &self.site), ("name", &self.name)] {
-            let sound =
-                (1..=LONGEST_NAME).contains(&name.len()) && !name.chars().any(char::is_control);
-            want(sound, field, format!("a name of 1 to {LONGEST_NAME} bytes"));
+            let is_valid =
+                (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
+            require(
+                is_valid,
+                field,
+                format!("must be 1 to {MAX_NAME_BYTES} bytes without control characters"),
+            );
         }
-        want(self.processes >= 1, "processes", "at least 1".into());
-        for (field, span) in self.spans() {
-            want(
-                SPANS.contains(&span),
+        require(
+            self.processes >= 1,
+            "processes",
+            "must be at least 1".into(),
+        );
+        for (field, span_ms) in self.validated_spans() {
+            require(
+                SPAN_RANGE_MS.contains(&span_ms),
                 field,
-                format!("{} to {} ms", SPANS.start(), SPANS.end()),
+                format!(
+                    "must be {} to {} ms",
+                    SPAN_RANGE_MS.start(),
+                    SPAN_RANGE_MS.end()
+                ),
             );
         }
-        for (field, span) in [
+        for (field, span_ms) in [
             ("trust_for", self.trust_for_ms),
             ("tenants_for", self.tenants_for_ms),
         ] {
-            want(
-                (1..=LONGEST_TRUST).contains(&span),
+            require(
+                (1..=MAX_TRUST_MS).contains(&span_ms),
                 field,
-                format!("1 to {LONGEST_TRUST} ms"),
+                format!("must be 1 to {MAX_TRUST_MS} ms"),
             );
         }
-        // Guards against a span that outlasts the bound of the state it is kept in.
-        let cap = self.damp_cap_ms;
-        want(
-            cap >= self.confirm_ms.max(self.steady_ms),
+        // A longer span would outlast the maximum time of the state that it applies to.
+        let max_damping_ms = self.damp_cap_ms;
+        require(
+            max_damping_ms >= self.confirm_ms.max(self.steady_ms),
             "damp_cap",
-            "no less than confirm and steady".into(),
+            "must be at least confirm and steady".into(),
         );
-        want(
-            cap <= self.answer_timeout_ms,
+        require(
+            max_damping_ms <= self.answer_timeout_ms,
             "patience",
-            "no less than damp_cap".into(),
+            "must be at least damp_cap".into(),
         );
-        want(
-            cap <= self.rejoin_ms,
+        require(
+            max_damping_ms <= self.rejoin_ms,
             "rejoin",
-            "no less than damp_cap".into(),
+            "must be at least damp_cap".into(),
         );
-        want(
+        require(
             self.probe_base_ms <= self.probe_cap_ms,
             "probe_cap",
-            "no less than probe_base".into(),
+            "must be at least probe_base".into(),
+        );
+        require(
+            self.spread_ms <= 1_000,
+            "spread",
+            "must be 0 to 1000 ms".into(),
         );
-        want(self.spread_ms <= 1_000, "spread", "0 to 1000 ms".into());
         let rate = self.moves_per_s;
-        want(
+        require(
             rate.is_finite() && (0.01..=10_000.0).contains(&rate),
             "moves_per_s",
-            "0.01 to 10000".into(),
+            "must be 0.01 to 10000".into(),
         );
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(())
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    fn spans(&self) -> [(&'static str, Millis); 9] {
+    fn validated_spans(&self) -> [(&'static str, Millis); 9] {
         [
             ("fresh", self.fresh_ms),
             ("confirm", self.confirm_ms),
--- a/crates/edge/src/decide.rs
+++ b/crates/edge/src/decide.rs
@@ -1,131 +1,147 @@
-//! What a site decides alone, and what it refuses plainly.
+//! Decisions that an isolated site may take by itself, and those that it denies.
 
 use crate::Millis;
-use crate::evidence::{Place, State};
+use crate::evidence::{RemoteTarget, UplinkState};
 use crate::state_machine::Edge;
 
-/// Something that is to be decided.
+/// A decision that the host asks permission for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// A connection that stands goes on.
-    GoOn,
-    /// A client, new or returning, is sent to a server.
-    Place {
-        /// The server's site.
+    /// Keep an established connection.
+    KeepConnection,
+    /// Send a client, new or returning, to a server.
+    PlaceClient {
+        /// Site of the server.
         site: String,
-        /// Whether the server was ever listed.
-        listed: bool,
-        /// Whether the evidence of this site says that it is well.
-        well: bool,
+        /// Whether discovery ever listed the server.
+        is_listed: bool,
+        /// Whether this site's evidence says that the server is healthy.
+        is_healthy: bool,
     },
-    /// A tenant's client is let in by the record in hand.
-    Tenant {
-        /// How long ago its record was read; `None` where there is none.
-        read_ms: Option<Millis>,
+    /// Admit a tenant's client by the stored record of the tenant.
+    AdmitTenant {
+        /// Time since the record was read; `None` if there is no record.
+        record_age_ms: Option<Millis>,
     },
-    /// A tenant is made, changed or removed, or its credentials are.
+    /// Create, change or remove a tenant or its credentials.
     ChangeTenant,
-    /// A share, a class or a bound of admission is changed.
-    ChangeShare,
-    /// An override is made or changed.
-    Override {
-        /// The site of the server that it names.
+    /// Change a share, a class or a limit of admission.
+    ChangeAdmissionLimits,
+    /// Create or change an override.
+    SetOverride {
+        /// Site of the server that the override names.
         site: String,
     },
-    /// An override is ended before its time.
+    /// End an override before it expires.
     EndOverride {
-        /// The site of the server that it names.
+        /// Site of the server that the override names.
         site: String,
     },
-    /// A connection is moved off a server that drains or is gone.
-    MoveOff,
-    /// A connection is moved for balance alone.
-    MoveForBalance,
-    /// A server that is not heard of is forgotten.
+    /// Move a connection off a server that is draining or gone.
+    MigrateOffServer,
+    /// Move a connection only to balance load.
+    Rebalance,
+    /// Remove a server that is no longer heard from.
     ForgetServer,
-    /// Something beyond the link is asked, apart from the site's probes.
-    Ask {
-        /// What.
-        place: Place,
+    /// Contact a remote target outside the site's probes.
+    ContactRemote {
+        /// Target to contact.
+        target: RemoteTarget,
     },
 }
 
-/// What comes of it.
+/// Answer to a [`Decision`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// It is done.
+    /// The decision may be carried out.
     Granted,
-    /// It is refused.
+    /// The decision is denied.
     Denied {
-        /// Why, in words for whoever asked.
-        why: &'static str,
-        /// When to ask again at the earliest; whoever passes it on adds jitter.
-        again_ms: Millis,
+        /// Reason, worded for the requester.
+        reason: &'static str,
+        /// Delay before the earliest retry. The host adds jitter when it passes this on.
+        retry_after_ms: Millis,
     },
 }
 
 impl Edge {
-    /// How old the list in hand is.
+    /// Age of the server list; `None` if discovery never confirmed it.
     pub fn list_age(&self, now: Millis) -> Option<Millis> {
-        self.confirmed.map(|at| now.saturating_sub(at))
+        self.list_confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether the list in hand is young enough to be trusted.
-    pub fn trusted(&self, now: Millis) -> bool {
+    /// Whether the server list is within its trust period.
+    pub fn is_list_trusted(&self, now: Millis) -> bool {
         self.list_age(now)
             .is_some_and(|age| age <= self.config.trust_for_ms)
     }
 
-    /// Whether the site has to do without what lies beyond: on the island, and until both sides are merged.
-    fn apart(&self) -> bool {
-        self.state == State::Islanded || (self.state == State::Rejoining && !self.merged)
+    /// Whether the site has to act without remote targets: while isolated, and until both sides are
+    /// merged.
+    fn is_autonomous(&self) -> bool {
+        self.state == UplinkState::Isolated
+            || (self.state == UplinkState::Rejoining && !self.is_merged)
     }
 
-    /// Whether this may be decided now.
-    pub fn may(&self, now: Millis, decision: &Decision) -> Permission {
-        if !self.apart() {
+    /// Whether the decision may be taken now.
+    pub fn permission(&self, now: Millis, decision: &Decision) -> Permission {
+        if !self.is_autonomous() {
             return Permission::Granted;
         }
-        match self.refusal(now, decision) {
+        match self.denial_reason(now, decision) {
             None => Permission::Granted,
-            Some(why) => Permission::Denied {
-                why,
-                again_ms: self.config.probe_cap_ms,
+            Some(reason) => Permission::Denied {
+                reason,
+                retry_after_ms: self.config.probe_cap_ms,
             },
         }
     }
 
-    fn refusal(&self, now: Millis, decision: &Decision) -> Option<&'static str> {
-        let here = |site: &str| site == self.config.site;
-        let islanded = self.state == State::Islanded;
+    fn denial_reason(&self, now: Millis, decision: &Decision) -> Option<&'static str> {
+        let is_local = |site: &str| site == self.config.site;
+        let is_isolated = self.state == UplinkState::Isolated;
         match decision {
-            Decision::GoOn | Decision::MoveOff => None,
-            Decision::Place { listed: false, .. } => Some("this server was never listed"),
-            Decision::Place { site, .. } if islanded && !here(site) => {
-                Some("this server lies beyond the lost link")
+            Decision::KeepConnection | Decision::MigrateOffServer => None,
+            Decision::PlaceClient {
+                is_listed: false, ..
+            } => Some("the server was never listed by discovery"),
+            Decision::PlaceClient { site, .. } if is_isolated && !is_local(site) => {
+                Some("the server is at another site, and this site is isolated")
             }
-            Decision::Place { well, .. } if !self.trusted(now) && !well => Some(
-                "the list is older than it is trusted, and nothing says that this server is well",
-            ),
-            Decision::Place { .. } => None,
-            // Once the link is back the store answers for itself.
-            Decision::Tenant { .. } if !islanded => None,
-            Decision::Tenant { read_ms: None } => {
-                Some("this tenant is not known here while the link is lost")
+            Decision::PlaceClient { is_healthy, .. }
+                if !self.is_list_trusted(now) && !is_healthy =>
+            {
+                Some(
+                    "the server list is past its trust period, and there is no evidence that the server is healthy",
+                )
             }
-            Decision::Tenant { read_ms: Some(age) } => {
-                let old = *age > self.config.tenants_for_ms;
-                old.then_some("this tenant's record is too old while the link is lost")
+            Decision::PlaceClient { .. } => None,
+            // Once the uplink is back, the store can be asked for the tenant.
+            Decision::AdmitTenant { .. } if !is_isolated => None,
+            Decision::AdmitTenant {
+                record_age_ms: None,
+            } => Some("the site is isolated and has no record of the tenant"),
+            Decision::AdmitTenant {
+                record_age_ms: Some(record_age_ms),
+            } => {
+                let is_expired = *record_age_ms > self.config.tenants_for_ms;
+                is_expired
+                    .then_some("the site is isolated and its record of the tenant has expired")
             }
-            Decision::ChangeTenant => Some("tenants are not changed while the link is lost"),
-            Decision::ChangeShare => Some("shares are not changed while the link is lost"),
-            Decision::Override { site } | Decision::EndOverride { site } => (!here(site))
-                .then_some("only servers of this site are overridden while the link is lost"),
-            Decision::MoveForBalance => Some("nobody is moved for balance while the link is lost"),
-            Decision::ForgetServer => Some("no server is forgotten while the link is lost"),
-            Decision::Ask { .. } => {
-                islanded.then_some("the site's probes ask what lies beyond the lost link")
+            Decision::ChangeTenant => Some("tenants can't be changed until the site has rejoined"),
+            Decision::ChangeAdmissionLimits => {
+                Some("admission limits can't be changed until the site has rejoined")
             }
+            Decision::SetOverride { site } | Decision::EndOverride { site } => (!is_local(site))
+                .then_some(
+                    "only servers of this site can be overridden until the site has rejoined",
+                ),
+            Decision::Rebalance => {
+                Some("connections can't be rebalanced until the site has rejoined")
+            }
+            Decision::ForgetServer => Some("servers can't be removed until the site has rejoined"),
+            Decision::ContactRemote { .. } => is_isolated
+                .then_some("the site is isolated, and only its probes may contact remote targets"),
         }
     }
 }
--- a/crates/edge/src/evidence.rs
+++ b/crates/edge/src/evidence.rs
@@ -1,13 +1,13 @@
-//! What a process sees and is told, and what it does about it.
+//! Inputs and outputs of the state machine.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// What lies beyond the link.
+/// A target beyond the uplink.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
-    /// Discovery.
+pub enum RemoteTarget {
+    /// The discovery service.
     Discovery,
     /// The shared store.
     Store,
@@ -15,207 +15,213 @@
     Site(String),
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for RemoteTarget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Discovery => f.write_str("discovery"),
-            Place::Store => f.write_str("the store"),
-            Place::Site(name) => write!(f, "site {name}"),
+            RemoteTarget::Discovery => f.write_str("discovery"),
+            RemoteTarget::Store => f.write_str("the store"),
+            RemoteTarget::Site(name) => write!(f, "site {name}"),
         }
     }
 }
 
-/// How the site stands to what lies beyond its link.
+/// State of the site's uplink.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
-    /// All is as usual.
+pub enum UplinkState {
+    /// Remote targets are reachable.
     Linked,
-    /// Something is lost; whether it is the link is being found out.
+    /// A target is unreachable; whether the uplink is the cause is being probed.
     Doubtful,
-    /// The link is lost: the site decides alone what it may.
-    Islanded,
-    /// The link is back: what changed on both sides is being merged.
+    /// The uplink is lost: the site takes by itself the decisions that it may.
+    Isolated,
+    /// The uplink is back: changes of both sides are being merged.
     Rejoining,
 }
 
-impl fmt::Display for State {
+impl fmt::Display for UplinkState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            State::Linked => "linked",
-            State::Doubtful => "doubtful",
-            State::Islanded => "islanded",
-            State::Rejoining => "rejoining",
+            UplinkState::Linked => "linked",
+            UplinkState::Doubtful => "doubtful",
+            UplinkState::Isolated => "islanded",
+            UplinkState::Rejoining => "rejoining",
         })
     }
 }
 
-/// How a question ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// It was answered, after so long.
+pub enum RequestOutcome {
+    /// The request was answered.
     Answered {
-        /// How long it took.
-        took_ms: Millis,
+        /// Time from the request to the answer.
+        latency_ms: Millis,
     },
-    /// It was not.
+    /// The request failed or timed out.
     Failed,
 }
 
-/// What the operator has decided.
+/// The operator's choice of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Force {
-    /// The evidence decides again.
+pub enum UplinkMode {
+    /// The evidence decides.
     Automatic,
-    /// The site is an island, whatever answers.
-    Island,
-    /// The site is linked, whatever does not answer.
+    /// The site counts as isolated, whatever answers.
+    Isolated,
+    /// The site counts as linked, whatever fails to answer.
     Linked,
 }
 
-/// The operator's word. The latest given holds, at all processes alike, until its end.
+/// The operator's mode. The latest one applies at all processes of the site until it expires.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperatorMode {
-    /// When it was given.
-    pub given_at: Millis,
-    /// What it is.
-    pub force: Force,
-    /// When it is over by itself.
-    pub ends_at: Millis,
-    /// Who gave it.
-    pub who: String,
-    /// Why.
-    pub why: String,
+    /// When the operator set it.
+    pub set_at: Millis,
+    /// The chosen state.
+    pub mode: UplinkMode,
+    /// When it expires.
+    pub expires_at: Millis,
+    /// Name of the operator.
+    pub set_by: String,
+    /// The operator's reason.
+    pub reason: String,
 }
 
-/// How a place stands, by one process.
+/// Reachability of a target, as seen by one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reachability {
-    /// It answers what it is asked.
+    /// The target answers requests.
     Reachable,
-    /// It is heard, but answers nothing: the link carries one way.
+    /// Messages from the target arrive, but it does not answer: the uplink works in one direction
+    /// only.
     OneWay,
-    /// It does not answer.
-    Lost,
+    /// The target does not answer.
+    Unreachable,
 }
 
-/// What a process tells those of its site. Moments are told as ages, so that no two clocks need agree.
+/// Report of a process to its peers of the same site. Times are sent as ages, which need no
+/// synchronized clocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UplinkReport {
-    /// Its name.
+    /// Name of the reporting process.
     pub name: String,
-    /// Its site.
+    /// Site of the reporting process.
     pub site: String,
-    /// Its state.
-    pub state: State,
-    /// How each place stands by its own evidence, and how old that is.
-    pub places: Vec<(Place, Reachability, Millis)>,
-    /// The last probe of each place that it knows of: how many came before, and how long ago it was.
-    pub probes: Vec<(Place, u32, Millis)>,
-    /// The operator's word that it holds to.
+    /// State of the reporting process.
+    pub state: UplinkState,
+    /// Reachability of each target by the own evidence of the process, and the age of that
+    /// evidence.
+    pub targets: Vec<(RemoteTarget, Reachability, Millis)>,
+    /// Last known probe of each target: the number of attempts in a row without an answer, and the
+    /// age of the last one.
+    pub probes: Vec<(RemoteTarget, u32, Millis)>,
+    /// Operator mode that the process applies.
     pub operator_mode: Option<OperatorMode>,
 }
 
-/// What a process saw or was told.
+/// An observation of this process or a report to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Evidence {
-    /// Nothing: time has passed ([`crate::Edge::next`]).
+    /// Time has passed ([`crate::Edge::next_tick_at`]).
     Tick,
-    /// The watch on discovery ended, or could not be had.
+    /// The watch on discovery ended or could not be opened.
     WatchLost,
-    /// The watch stands: told at its beginning and with each sign of life on it.
-    WatchStands,
-    /// Discovery was asked and did not answer in time.
+    /// The watch is open: reported when it opens and with each sign of life on it.
+    WatchAlive,
+    /// Discovery did not answer a request in time.
     DiscoveryFailed,
-    /// Discovery answered.
+    /// Discovery answered a request.
     DiscoveryAnswered {
-        /// How long it took.
-        took_ms: Millis,
+        /// Time from the request to the answer.
+        latency_ms: Millis,
     },
-    /// Discovery is elsewhere from now on (SIGHUP).
-    DiscoveryMoved,
+    /// Discovery has another address from now on (SIGHUP).
+    DiscoveryAddressChanged,
     /// The shared store did not answer.
     StoreFailed,
-    /// It did.
+    /// The shared store answered.
     StoreAnswered {
-        /// How long it took.
-        took_ms: Millis,
+        /// Time from the request to the answer.
+        latency_ms: Millis,
     },
-    /// A word of another process came.
-    PeerHeard {
-        /// Its name.
+    /// A message from another process arrived.
+    PeerMessage {
+        /// Name of the sender.
         name: String,
-        /// Its site.
+        /// Site of the sender.
         site: String,
-        /// Whether it answered something of ours, or says that it hears us.
-        both_ways: bool,
+        /// Whether the message answers one of ours, or states that ours arrive.
+        is_bidirectional: bool,
     },
-    /// Another process is silent.
+    /// Another process has fallen silent.
     PeerSilent {
-        /// Its name.
+        /// Name of the silent process.
         name: String,
-        /// Its site.
+        /// Site of the silent process.
         site: String,
     },
-    /// What another process of this site sees.
-    PeerSays(UplinkReport),
-    /// How a question to a server of another site ended.
-    ServerBeyond {
-        /// The server's site.
+    /// Report of another process of this site.
+    PeerReport(UplinkReport),
+    /// Outcome of a request to a server of another site.
+    RemoteServerRequest {
+        /// Site of the server.
         site: String,
-        /// How it ended.
-        outcome: Outcome,
+        /// Outcome of the request.
+        outcome: RequestOutcome,
     },
-    /// How a question to a server of this site ended.
-    ServerHere {
-        /// How it ended.
-        outcome: Outcome,
+    /// Outcome of a request to a server of this site.
+    LocalServerRequest {
+        /// Outcome of the request.
+        outcome: RequestOutcome,
     },
-    /// The list in hand was confirmed by discovery at that moment; another process or the memory says so.
-    Confirmed {
-        /// When it was.
+    /// Discovery confirmed the server list, according to another process or the stored state.
+    ListConfirmed {
+        /// When discovery confirmed it.
         at: Millis,
     },
-    /// The operator's word.
-    OperatorsWord(OperatorMode),
-    /// A step of the rejoining is done.
-    Done(Step),
+    /// The operator set a mode.
+    OperatorModeSet(OperatorMode),
+    /// A step of rejoining is done.
+    RejoinStepDone(RejoinStep),
 }
 
-/// A step of the rejoining, in their order.
+/// A step of rejoining, in the order of execution.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Ask this again after so long: discovery for its watch, the store for what is old.
-    Ask {
-        /// What is asked.
-        place: Place,
-        /// After how long.
-        in_ms: Millis,
+pub enum RejoinStep {
+    /// Contact the target again after a delay: discovery to open the watch, the store to refresh
+    /// old records.
+    Reconnect {
+        /// Target to contact.
+        target: RemoteTarget,
+        /// Delay before the contact.
+        delay_ms: Millis,
     },
-    /// Compare what both sides have ([`crate::plan_rejoin`], [`crate::merge_overrides`]) and take it over.
+    /// Compare the data of both sides ([`crate::plan_rejoin`], [`crate::merge_overrides`]) and
+    /// apply the result.
     Merge,
 }
 
-/// What the host does.
+/// A command for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The state has changed.
-    State {
-        /// From this.
-        from: State,
-        /// To this.
-        to: State,
-        /// Why, in a plain sentence.
-        why: String,
+    StateChanged {
+        /// Previous state.
+        from: UplinkState,
+        /// New state.
+        to: UplinkState,
+        /// Reason, as a sentence for people.
+        reason: String,
     },
-    /// Ask what lies beyond the link, once, for the whole site.
+    /// Probe a remote target once, for the whole site.
     Probe {
-        /// What is asked.
-        place: Place,
+        /// Target to probe.
+        target: RemoteTarget,
     },
-    /// Tell the site's other processes at once what this one says ([`crate::Edge::report`]).
-    Tell,
-    /// A line for the log.
-    Say(String),
-    /// Do this step of the rejoining.
-    Rejoin(Step),
+    /// Publish this process's report ([`crate::Edge::report`]) to its peers of the site at once.
+    PublishReport,
+    /// Write a line to the log.
+    Log(String),
+    /// Carry out a step of rejoining.
+    Rejoin(RejoinStep),
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,24 +1,26 @@
-//! What an edge site does while its uplink is lost: whether it is, what the site decides alone meanwhile, which of
-//! its servers it passes over, who asks beyond the link, and how it comes back without moving anybody.
+//! Behaviour of an edge site while its uplink is lost: detecting the loss, the decisions that the site
+//! takes by itself meanwhile, skipping unhealthy servers, sharing probes among its processes, and
+//! rejoining without needless migrations.
 //!
-//! There is no I/O, clock or global here. A host tells an [`Edge`] what it saw ([`Evidence`]) and at which moment,
-//! and does what it is told ([`Action`]). The same evidence at the same moments gives the same actions.
+//! There is no I/O, clock or global state here. A host passes its observations ([`Evidence`]) and the
+//! time to an [`Edge`], and carries out the resulting commands ([`Action`]). The same evidence at the
+//! same times gives the same actions.
 //!
 //! ```
 //! use beaconflow_edge::*;
 //!
 //! let config = Config { site: "moy".into(), name: "n1".into(), ..Config::default() };
-//! let (mut edge, mut actions) = (Edge::new(config, 0, Start::Anew), Vec::new());
-//! edge.handle(0, Evidence::WatchStands, &mut actions);
-//! assert_eq!(edge.state(), State::Linked);
-//! // Discovery and the store fall silent at once, and nobody else is heard from beyond.
+//! let (mut edge, mut actions) = (Edge::new(config, 0, Start::Fresh), Vec::new());
+//! edge.handle(0, Evidence::WatchAlive, &mut actions);
+//! assert_eq!(edge.state(), UplinkState::Linked);
+//! // Discovery and the store stop answering, and there is no other remote target.
 //! for now in (10_000..20_000).step_by(500) {
 //!     edge.handle(now, Evidence::WatchLost, &mut actions);
 //!     edge.handle(now, Evidence::StoreFailed, &mut actions);
 //! }
-//! assert_eq!(edge.state(), State::Islanded);
-//! assert!(matches!(edge.may(20_000, &Decision::ChangeShare), Permission::Denied { .. }));
-//! assert_eq!(edge.may(20_000, &Decision::GoOn), Permission::Granted);
+//! assert_eq!(edge.state(), UplinkState::Isolated);
+//! assert!(matches!(edge.permission(20_000, &Decision::ChangeAdmissionLimits), Permission::Denied { .. }));
+//! assert_eq!(edge.permission(20_000, &Decision::KeepConnection), Permission::Granted);
 //! ```
 
 #![forbid(unsafe_code)]
@@ -34,22 +36,26 @@
 mod server_assessment;
 mod snapshot;
 mod state_machine;
-mod transit;
+mod transitions;
 mod uplink_view;
 
-pub use config::{Config, Fault};
+pub use config::{Config, ConfigError};
 pub use decide::{Decision, Permission};
 pub use evidence::{
-    Action, Evidence, Force, OperatorMode, Outcome, Place, Reachability, State, Step, UplinkReport,
+    Action, Evidence, OperatorMode, Reachability, RejoinStep, RemoteTarget, RequestOutcome,
+    UplinkMode, UplinkReport, UplinkState,
 };
-pub use health_reports::{Before, HealthReport, HealthReports, ServerHealth};
-pub use merge::{Change, Doing, MergedOverrides, merge_overrides};
-pub use pace::{Counts, Pace, SlowStartQuota};
-pub use rejoin::{IslandServer, Keep, ListOrigin, Listed, Move, Plan, Ready, Why, plan_rejoin};
-pub use server_assessment::{Known, ServerAssessment, standings};
-pub use snapshot::{EdgeSnapshot, PlaceSnapshot};
+pub use health_reports::{HealthReport, HealthReports, PreviousFinding, ServerHealth};
+pub use merge::{MergedOverrides, OverrideKind, OverrideRecord, merge_overrides};
+pub use pace::{MigrationPacer, ProcessCounts, SlowStartQuota};
+pub use rejoin::{
+    KeptServer, KnownServer, ListOrigin, ListedServer, Migration, MigrationReason, Readiness,
+    RejoinPlan, plan_rejoin,
+};
+pub use server_assessment::{AssessedServer, ServerAssessment, assess_servers};
+pub use snapshot::{EdgeSnapshot, TargetSnapshot};
 pub use state_machine::{Edge, Start};
 
-/// A moment on the program's clock: Unix time in milliseconds as it was at the program's start, and followed
-/// monotonically from then on. Spans are in milliseconds too.
+/// Unix time in milliseconds: read from the wall clock when the program starts and advanced by the
+/// monotonic clock from then on. Spans are in milliseconds too.
 pub type Millis = u64;
--- a/crates/edge/src/merge.rs
+++ b/crates/edge/src/merge.rs
@@ -1,133 +1,139 @@
-//! Overrides made on both sides of a lost link, put together by rules.
+//! Rules for merging overrides that were made on both sides of a lost uplink.
 //!
-//! | on one side | on the other | what holds |
+//! | one side | other side | result |
 //! | --- | --- | --- |
-//! | an override | the same, unchanged | it |
-//! | removed | changed, or as it was | it is removed |
-//! | changed | changed otherwise | the later change; of two at once the one that ends sooner |
-//! | its end is past | anything but a later change | it has ended |
-//! | made there, for a server of that side | nothing | it |
-//! | made there, for a server of the other side | anything | nothing: it could not be decided there |
-//! | `out` of a server | another weight of it | both; `out` shadows the weight |
-//! | two of one kind for one server or subject | | both; the one made later shadows the other |
+//! | an override | the same, unchanged | kept |
+//! | removed | changed or unchanged | removed |
+//! | changed | changed differently | the later change; of two at the same time, the one that expires sooner |
+//! | expired | anything but a later change | expired |
+//! | made there, for a server of that side | absent | kept |
+//! | made there, for a server of the other side | anything | dropped: that side could not decide it |
+//! | `out` of a server | another weight of it | both are kept; `out` shadows the weight |
+//! | two of one kind for one server or subject | | both are kept; the later one shadows the other |
 //!
-//! Nobody is moved by any of it, but by an `out` that says so, at its own rate.
+//! Merging migrates no client, except by an `out` that asks for it, at the rate of that override.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 
-/// What an override does, as far as the rules ask.
+/// Effect of an override, as far as the rules distinguish it. Variants are in ascending order of
+/// precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doing {
-    /// A new weight of a server.
+pub enum OverrideKind {
+    /// Sets the weight of a server.
     Weight,
-    /// A server gets nothing new.
+    /// Sends no new work to a server.
     Out,
-    /// A group or tenant goes to a server.
+    /// Pins a group or tenant to a server.
     Pin,
 }
 
-/// An override as one side has it.
+/// An override as stored on one side.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Change {
-    /// Its name, the same on both sides.
+pub struct OverrideRecord {
+    /// Identifier, the same on both sides.
     pub id: String,
-    /// What it is about: the server for a weight or `out`, the group or tenant for a pin.
+    /// Subject: the server for a weight or `out`, the group or tenant for a pin.
     pub subject: String,
-    /// What it does.
-    pub doing: Doing,
-    /// The site where it was made; empty where it was made before the link was lost.
-    pub made_in: String,
-    /// The site of the server that it names.
+    /// Effect of the override.
+    pub kind: OverrideKind,
+    /// Site where it was made; empty if it was made before the uplink was lost.
+    pub origin_site: String,
+    /// Site of the server that it names.
     pub server_site: String,
     /// When it was made.
-    pub made_at: Millis,
+    pub created_at: Millis,
     /// When it was last changed.
     pub changed_at: Millis,
-    /// When it ends.
-    pub ends_at: Millis,
+    /// When it expires.
+    pub expires_at: Millis,
     /// Whether it was removed.
-    pub removed: bool,
+    pub is_removed: bool,
 }
 
-/// What comes of both sides.
+/// Result of a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergedOverrides {
-    /// All that go on, by their names.
-    pub hold: Vec<Change>,
-    /// Those of them that another one shadows, and which one does.
+    /// Overrides that stay in effect, ordered by identifier.
+    pub active: Vec<OverrideRecord>,
+    /// Pairs of identifiers: a shadowed override and the one that shadows it.
     pub shadowed: Vec<(String, String)>,
-    /// Those that do not go on, and why.
-    pub dropped: Vec<(Change, &'static str)>,
+    /// Overrides that are dropped, and the reasons.
+    pub dropped: Vec<(OverrideRecord, &'static str)>,
 }
 
-/// Puts the overrides of an island and those from outside together. Which side is named first makes no difference.
-pub fn merge_overrides(one: &[Change], other: &[Change], now: Millis) -> MergedOverrides {
-    let mut by_id: BTreeMap<&str, Change> = BTreeMap::new();
-    for change in one.iter().chain(other) {
+/// Merges the overrides of an isolated site with those from outside. The order of the arguments
+/// does not matter.
+pub fn merge_overrides(
+    left: &[OverrideRecord],
+    right: &[OverrideRecord],
+    now: Millis,
+) -> MergedOverrides {
+    let mut by_id: BTreeMap<&str, OverrideRecord> = BTreeMap::new();
+    for record in left.iter().chain(right) {
         by_id
-            .entry(&change.id)
-            .and_modify(|known| *known = later(known, change))
-            .or_insert_with(|| change.clone());
+            .entry(&record.id)
+            .and_modify(|known| *known = newer(known, record))
+            .or_insert_with(|| record.clone());
     }
     let mut merged = MergedOverrides::default();
-    for change in by_id.into_values() {
-        match refused(&change, now) {
-            Some(why) => merged.dropped.push((change, why)),
-            None => merged.hold.push(change),
+    for record in by_id.into_values() {
+        match drop_reason(&record, now) {
+            Some(reason) => merged.dropped.push((record, reason)),
+            None => merged.active.push(record),
         }
     }
-    merged.shadowed = shadowed(&merged.hold);
+    merged.shadowed = find_shadowed(&merged.active);
     merged
 }
 
-/// Which of two states of one override holds.
-fn later(one: &Change, other: &Change) -> Change {
-    let order = |change: &Change| {
+/// The version of one override that is kept.
+fn newer(left: &OverrideRecord, right: &OverrideRecord) -> OverrideRecord {
+    let order = |record: &OverrideRecord| {
         (
-            change.removed,
-            change.changed_at,
-            std::cmp::Reverse(change.ends_at),
+            record.is_removed,
+            record.changed_at,
+            std::cmp::Reverse(record.expires_at),
         )
     };
-    let first = order(one).cmp(&order(other)).then_with(|| one.cmp(other));
-    if first.is_lt() {
-        other.clone()
+    let ordering = order(left).cmp(&order(right)).then_with(|| left.cmp(right));
+    if ordering.is_lt() {
+        right.clone()
     } else {
-        one.clone()
+        left.clone()
     }
 }
 
-fn refused(change: &Change, now: Millis) -> Option<&'static str> {
-    if change.removed {
-        return Some("it was removed on one side");
+fn drop_reason(record: &OverrideRecord, now: Millis) -> Option<&'static str> {
+    if record.is_removed {
+        return Some("the override was removed on one side");
     }
-    if change.ends_at <= now {
-        return Some("its time is up");
+    if record.expires_at <= now {
+        return Some("the override has expired");
     }
-    let foreign = !change.made_in.is_empty() && change.made_in != change.server_site;
-    foreign.then_some("it was made on an island for a server beyond it")
+    let is_foreign = !record.origin_site.is_empty() && record.origin_site != record.server_site;
+    is_foreign.then_some("the override was made in an isolated site for a server of another site")
 }
 
-fn shadowed(hold: &[Change]) -> Vec<(String, String)> {
-    let mut by_subject: BTreeMap<(bool, &str), Vec<&Change>> = BTreeMap::new();
-    for change in hold {
+fn find_shadowed(active: &[OverrideRecord]) -> Vec<(String, String)> {
+    let mut by_subject: BTreeMap<(bool, &str), Vec<&OverrideRecord>> = BTreeMap::new();
+    for record in active {
         by_subject
-            .entry((change.doing == Doing::Pin, &change.subject))
+            .entry((record.kind == OverrideKind::Pin, &record.subject))
             .or_default()
-            .push(change);
+            .push(record);
     }
     let mut shadowed = Vec::new();
-    for of_one in by_subject.values() {
-        let Some(winner) = of_one
+    for overrides in by_subject.values() {
+        let Some(winner) = overrides
             .iter()
-            .max_by_key(|one| (one.doing, one.made_at, &one.id))
+            .max_by_key(|record| (record.kind, record.created_at, &record.id))
         else {
             continue;
         };
-        let losers = of_one.iter().filter(|one| one.id != winner.id);
-        shadowed.extend(losers.map(|one| (one.id.clone(), winner.id.clone())));
+        let losers = overrides.iter().filter(|record| record.id != winner.id);
+        shadowed.extend(losers.map(|record| (record.id.clone(), winner.id.clone())));
     }
     shadowed.sort();
     shadowed
--- a/crates/edge/src/rejoin.rs
+++ b/crates/edge/src/rejoin.rs
@@ -1,17 +1,17 @@
-//! What becomes of what a site held on its island, once discovery's list is in hand.
+//! What happens to the servers known to an isolated site when discovery's list arrives.
 //!
-//! | held on the island | the list says | what happens |
+//! | known to the isolated site | in the list | result |
 //! | --- | --- | --- |
-//! | serves | the same | kept, with the list's weight |
-//! | serves | started later | kept, cold from that start on |
-//! | serves | drains | nothing new; its connections are moved, paced |
-//! | serves | gone, or not there (whole list of the same discovery) | nothing new; its connections are moved, paced |
-//! | serves | not there (a list of changes, or a discovery that lost its state) | kept until it is listed or gone |
-//! | drained by its own word | serves, same start | kept; passed over until that word has faded |
-//! | drained by its own word | serves, started later | kept, cold; the word was of its former life |
-//! | passed over for its health | serves | kept; passed over for as long as the evidence says |
-//! | nothing | serves | taken in with its part, cold where it is young; nobody is moved to it |
-//! | nothing | drains or gone | nothing |
+//! | serving | the same | kept, with the list's weight |
+//! | serving | started later | kept, in slow start from that start on |
+//! | serving | draining | no new work; its connections are migrated at a limited rate |
+//! | serving | gone, or absent from a complete list of the same discovery incarnation | no new work; its connections are migrated at a limited rate |
+//! | serving | absent from a delta, or from the list of a discovery that lost its state | kept until it is listed or gone |
+//! | announced its drain | serving, same start | kept; skipped until the announcement expires |
+//! | announced its drain | serving, started later | kept, in slow start; the announcement belongs to the former start |
+//! | ejected for its health | serving | kept; skipped for as long as the evidence lasts |
+//! | absent | serving | added with its share, in slow start if it is young; no client is migrated to it |
+//! | absent | draining or gone | nothing |
 
 use std::collections::BTreeMap;
 
@@ -20,195 +20,201 @@
 
 /// Whether a server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ready {
-    /// It does.
+pub enum Readiness {
+    /// It takes new work.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its present work and takes no more.
     Draining,
     /// It is gone.
     Gone,
 }
 
-/// A server as the island has it.
+/// A server as known to the isolated site.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IslandServer {
-    /// Its name.
+pub struct KnownServer {
+    /// Name of the server.
     pub server: String,
-    /// As last listed.
-    pub ready: Ready,
-    /// When it started, by the list or by the site's evidence.
+    /// Readiness in the last list.
+    pub readiness: Readiness,
+    /// Start time, by the list or the site's evidence.
     pub started_ms: Millis,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths.
     pub weight: u64,
-    /// Why the site passes it over, if it does.
+    /// Finding for which the site skips the server, if it does.
     pub ejected_for: Option<ServerHealth>,
-    /// This process's connections on it.
-    pub established: usize,
+    /// This process's established connections to it.
+    pub connections: usize,
 }
 
-/// A server of discovery's list.
+/// A server in discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
-    /// Its name.
+pub struct ListedServer {
+    /// Name of the server.
     pub server: String,
     /// Whether it takes new work.
-    pub ready: Ready,
-    /// When it started; 0 for long ago.
+    pub readiness: Readiness,
+    /// Start time; 0 if long ago.
     pub started_ms: Millis,
-    /// Its weight, in thousandths.
+    /// Weight in thousandths.
     pub weight: u64,
 }
 
-/// Why connections are moved off a server.
+/// Why connections are migrated off a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// It drains, which the island had not seen.
-    Drains,
-    /// It is gone.
+pub enum MigrationReason {
+    /// The server is draining, which the isolated site did not know.
+    Draining,
+    /// The server is gone.
     Gone,
 }
 
-/// Connections that are moved off a server, paced.
+/// Connections to migrate off a server at a limited rate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
-    /// Off which.
+pub struct Migration {
+    /// Server to migrate off.
     pub server: String,
-    /// How many stand there.
-    pub established: usize,
-    /// Why.
-    pub why: Why,
+    /// Number of established connections there.
+    pub connections: usize,
+    /// Reason for the migration.
+    pub reason: MigrationReason,
 }
 
-/// A server that goes on, and how.
+/// A server that stays in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keep {
-    /// Which.
+pub struct KeptServer {
+    /// Name of the server.
     pub server: String,
-    /// Its weight from now on.
+    /// Weight from now on, in thousandths.
     pub weight: u64,
-    /// Why the site's evidence passes it over still.
+    /// Finding for which the site still skips the server, if it does.
     pub ejected_for: Option<ServerHealth>,
-    /// It is cold from this start on.
+    /// Start time from which the server is in slow start, if it is.
     pub slow_start_since: Option<Millis>,
-    /// In a sentence, where it is not simply as listed.
-    pub why: Option<&'static str>,
+    /// Explanation, if the server differs from its entry in the list.
+    pub reason: Option<&'static str>,
 }
 
-/// What is done at the merge.
+/// Result of comparing both sides.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
-    /// All servers that go on, by name.
-    pub keep: Vec<Keep>,
-    /// The only moves that the rejoining makes.
-    pub moves: Vec<Move>,
+pub struct RejoinPlan {
+    /// Servers that stay in use, ordered by name.
+    pub kept: Vec<KeptServer>,
+    /// The only migrations that rejoining causes.
+    pub migrations: Vec<Migration>,
 }
 
-/// What the list is.
+/// Properties of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListOrigin {
-    /// Whether it is the whole list, not changes alone.
+    /// Whether it is a complete list rather than a delta.
     pub is_complete: bool,
-    /// Whether it comes from the same discovery as before: one that has not lost its state since.
-    pub same_incarnation: bool,
+    /// Whether it comes from the same discovery incarnation as before: one that has not lost its
+    /// state since.
+    pub is_same_incarnation: bool,
 }
 
-/// Compares both sides.
+/// Compares the servers known to the isolated site with the list.
 pub fn plan_rejoin(
     now: Millis,
-    island: &[IslandServer],
-    listed: &[Listed],
-    list: ListOrigin,
+    known: &[KnownServer],
+    listed: &[ListedServer],
+    origin: ListOrigin,
     slow_start_ms: Millis,
-) -> Plan {
-    let by_name: BTreeMap<&str, &Listed> = listed
+) -> RejoinPlan {
+    let listed_by_name: BTreeMap<&str, &ListedServer> = listed
         .iter()
-        .map(|one| (one.server.as_str(), one))
+        .map(|server| (server.server.as_str(), server))
         .collect();
-    let known: BTreeMap<&str, &IslandServer> = island
+    let known_by_name: BTreeMap<&str, &KnownServer> = known
         .iter()
-        .map(|one| (one.server.as_str(), one))
+        .map(|server| (server.server.as_str(), server))
         .collect();
-    let mut plan = Plan::default();
-    for (name, island) in &known {
-        match by_name.get(name) {
-            Some(one) => plan.known(now, island, one, slow_start_ms),
-            None if list.is_complete && list.same_incarnation => plan.leave(island, Ready::Gone),
-            None => plan.keep.push(Keep {
-                server: island.server.clone(),
-                weight: island.weight,
-                ejected_for: island.ejected_for,
+    let mut plan = RejoinPlan::default();
+    for (name, known) in &known_by_name {
+        match listed_by_name.get(name) {
+            Some(server) => plan.reconcile(now, known, server, slow_start_ms),
+            None if origin.is_complete && origin.is_same_incarnation => {
+                plan.migrate_off(known, Readiness::Gone)
+            }
+            None => plan.kept.push(KeptServer {
+                server: known.server.clone(),
+                weight: known.weight,
+                ejected_for: known.ejected_for,
                 slow_start_since: None,
-                why: Some("not listed yet; what stands stays until the list says that it is gone"),
+                reason: Some("not listed yet; kept until the list reports it as gone"),
             }),
         }
     }
-    for one in by_name.values().filter(|one| one.ready == Ready::Serving) {
-        if !known.contains_key(one.server.as_str()) {
-            let slow_start_since = slow_start_since(now, one.started_ms, slow_start_ms);
-            let why = Some("new since the link was lost");
-            plan.keep.push(Keep {
-                server: one.server.clone(),
-                weight: one.weight,
+    for server in listed_by_name
+        .values()
+        .filter(|server| server.readiness == Readiness::Serving)
+    {
+        if !known_by_name.contains_key(server.server.as_str()) {
+            let slow_start_since = slow_start_since(now, server.started_ms, slow_start_ms);
+            let reason = Some("added since the uplink was lost");
+            plan.kept.push(KeptServer {
+                server: server.server.clone(),
+                weight: server.weight,
                 ejected_for: None,
                 slow_start_since,
-                why,
+                reason,
             });
         }
     }
-    plan.keep.sort_by(|a, b| a.server.cmp(&b.server));
+    plan.kept.sort_by(|a, b| a.server.cmp(&b.server));
     plan
 }
 
-impl Plan {
-    fn known(
+impl RejoinPlan {
+    fn reconcile(
         &mut self,
         now: Millis,
-        island: &IslandServer,
-        listed: &Listed,
+        known: &KnownServer,
+        listed: &ListedServer,
         slow_start_ms: Millis,
     ) {
-        if listed.ready != Ready::Serving {
-            return self.leave(island, listed.ready);
+        if listed.readiness != Readiness::Serving {
+            return self.migrate_off(known, listed.readiness);
         }
-        let anew = listed.started_ms > island.started_ms;
-        let ejected_for = island.ejected_for.filter(|_| !anew);
-        let why = match (anew, ejected_for) {
-            (true, _) => Some("it started anew while the link was lost"),
-            (false, Some(ServerHealth::Drains)) => {
-                Some("it said itself that it drains, and has not started since")
+        let has_restarted = listed.started_ms > known.started_ms;
+        let ejected_for = known.ejected_for.filter(|_| !has_restarted);
+        let reason = match (has_restarted, ejected_for) {
+            (true, _) => Some("restarted while the uplink was lost"),
+            (false, Some(ServerHealth::Draining)) => {
+                Some("the server announced its drain and has not restarted since")
             }
-            (false, Some(_)) => Some("the site's evidence is against it still"),
+            (false, Some(_)) => Some("the site's evidence still counts against it"),
             (false, None) => None,
         };
         let slow_start_since =
-            slow_start_since(now, listed.started_ms.max(island.started_ms), slow_start_ms);
-        self.keep.push(Keep {
-            server: island.server.clone(),
+            slow_start_since(now, listed.started_ms.max(known.started_ms), slow_start_ms);
+        self.kept.push(KeptServer {
+            server: known.server.clone(),
             weight: listed.weight,
             ejected_for,
             slow_start_since,
-            why,
+            reason,
         });
     }
 
-    /// A server that drains, or is gone: what stands there is moved, if anything does.
-    fn leave(&mut self, island: &IslandServer, ready: Ready) {
-        let why = if ready == Ready::Gone {
-            Why::Gone
+    /// Stops using a server that is draining or gone, and migrates its connections, if any.
+    fn migrate_off(&mut self, known: &KnownServer, readiness: Readiness) {
+        let reason = if readiness == Readiness::Gone {
+            MigrationReason::Gone
         } else {
-            Why::Drains
+            MigrationReason::Draining
         };
-        if island.established > 0 {
-            self.moves.push(Move {
-                server: island.server.clone(),
-                established: island.established,
-                why,
+        if known.connections > 0 {
+            self.migrations.push(Migration {
+                server: known.server.clone(),
+                connections: known.connections,
+                reason,
             });
         }
     }
 }
 
-/// Since when a server is cold, if it is.
+/// Start time from which a server is in slow start, if it is.
 fn slow_start_since(now: Millis, started_ms: Millis, slow_start_ms: Millis) -> Option<Millis> {
     (started_ms > 0 && now < started_ms.saturating_add(slow_start_ms)).then_some(started_ms)
 }
