--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, UNIX_EPOCH};
 
-use beaconflow_overrides::{Draft, Fault, Id, Kind, Millis, Replay, Strictness};
+use beaconflow_overrides::{
+    Draft, FieldError, Millis, OverrideId, OverrideKind, Replay, Strictness,
+};
 use serde_json::{Map, Value, json};
 use sha2::{Digest, Sha256};
 
@@ -57,8 +59,8 @@
     }
 }
 
-fn invalid_fields(faults: &[Fault]) -> Reply {
-    let words: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn invalid_fields(faults: &[FieldError]) -> Reply {
+    let words: Vec<String> = faults.iter().map(FieldError::to_string).collect();
     let rows: Vec<Value> = faults
         .iter()
         .map(|fault| json!({ "field": fault.field, "why": fault.why }))
@@ -75,7 +77,7 @@
         200,
         json!({
             "kept": about.is_persistent, "notes": about.notes, "wall_ahead_s": override_manager.wall_ahead() as f64 / 1e3,
-            "longest_s": limits.longest / 1_000, "most": limits.most, "ramp_s": limits.ramp as f64 / 1e3,
+            "longest_s": limits.max_duration_ms / 1_000, "most": limits.max_count, "ramp_s": limits.ramp_ms as f64 / 1e3,
             "overrides": all,
         }),
     )
@@ -166,9 +168,9 @@
     Reply::new(status, row(shown)).with("ETag", format!("\"{}\"", shown.record.revision))
 }
 
-fn number(id: &str) -> Result<Id, Reply> {
+fn number(id: &str) -> Result<OverrideId, Reply> {
     id.parse()
-        .map(Id)
+        .map(OverrideId)
         .map_err(|_| Reply::error(404, "an override has a number"))
 }
 
@@ -196,19 +198,19 @@
         .collect();
     let mut row = json!({
         "id": one.id.0, "kind": one.kind.name(), "server": one.kind.server(), "who": one.who, "why": one.why,
-        "created_at": time(one.created_at), "expires_at": time(one.end()),
+        "created_at": time(one.created_at), "expires_at": time(one.ends_at()),
         "remaining_s": shown.remaining_ms as f64 / 1e3, "revision": one.revision, "forced": one.forced,
         "effects": effects,
     });
     match &one.kind {
-        Kind::Out { moves_per_s, .. } => row["moves_per_s"] = (*moves_per_s).into(),
-        Kind::Weight { factor, .. } => row["factor"] = (*factor).into(),
-        Kind::Pin {
+        OverrideKind::Out { moves_per_s, .. } => row["moves_per_s"] = (*moves_per_s).into(),
+        OverrideKind::Weight { factor, .. } => row["factor"] = (*factor).into(),
+        OverrideKind::Pin {
             subject,
             strictness,
             ..
         } => {
-            row[subject.what()] = subject.name().into();
+            row[subject.kind_name()] = subject.name().into();
             row["mode"] = if *strictness == Strictness::Strict {
                 "strict"
             } else {
--- a/crates/balancer/src/admin/overrides/fields.rs
+++ b/crates/balancer/src/admin/overrides/fields.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use beaconflow_overrides::{Fault, Kind, Millis, Strictness, Subject};
+use beaconflow_overrides::{FieldError, Millis, OverrideKind, Strictness, Subject};
 use serde_json::{Map, Value};
 
 use crate::http::Reply;
@@ -11,7 +11,7 @@
 /// The fields of a body. All errors are collected.
 pub(super) struct Fields {
     left: Map<String, Value>,
-    faults: Vec<Fault>,
+    faults: Vec<FieldError>,
 }
 
 impl Fields {
@@ -34,7 +34,7 @@
     }
 
     fn fault<T>(&mut self, field: &'static str, why: &str) -> Option<T> {
-        self.faults.push(Fault {
+        self.faults.push(FieldError {
             field,
             why: why.to_owned(),
         });
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(super) fn kind(&mut self) -> Option<Kind> {
+    pub(super) fn kind(&mut self) -> Option<OverrideKind> {
         let kind = self.text("kind")?;
         let server = self.text("server");
         match kind.as_str() {
@@ -76,14 +76,14 @@
                 } else {
                     None
                 };
-                Some(Kind::Out {
+                Some(OverrideKind::Out {
                     server: server?,
                     moves_per_s,
                 })
             }
             "weight" => {
                 let factor = self.number("factor");
-                Some(Kind::Weight {
+                Some(OverrideKind::Weight {
                     server: server?,
                     factor: factor?,
                 })
@@ -94,7 +94,7 @@
     }
 
     /// Reads a pin; `server` has been read already.
-    fn pin(&mut self, server: Option<String>) -> Option<Kind> {
+    fn pin(&mut self, server: Option<String>) -> Option<OverrideKind> {
         let subject = match (
             self.left.contains_key("group"),
             self.left.contains_key("tenant"),
@@ -114,7 +114,7 @@
             "strict" => Some(Strictness::Strict),
             _ => self.fault("mode", "prefer or strict"),
         };
-        Some(Kind::Pin {
+        Some(OverrideKind::Pin {
             subject: subject?,
             server: server?,
             strictness: strictness?,
@@ -150,11 +150,11 @@
     }
 
     /// All errors, including unknown fields.
-    pub(super) fn end(mut self) -> Vec<Fault> {
+    pub(super) fn end(mut self) -> Vec<FieldError> {
         let unknown: Vec<String> = self.left.keys().cloned().collect();
         if !unknown.is_empty() {
             let names = unknown.join(", ");
-            self.faults.push(Fault {
+            self.faults.push(FieldError {
                 field: "body",
                 why: format!("unknown fields here: {names}"),
             });
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -61,7 +61,7 @@
     let (mut servers, mut warnings) = (Vec::new(), Vec::new());
     for core @ (front, _) in cores {
         let snapshot = core_snapshot(core)?;
-        if !snapshot.coverage.is_sound() {
+        if !snapshot.coverage.is_empty() {
             warnings.push(format!("{}: overrides leave {}", front, snapshot.coverage));
         }
         if snapshot.has_lost_overrides {
--- a/crates/balancer/src/connections/event_loop/tests.rs
+++ b/crates/balancer/src/connections/event_loop/tests.rs
@@ -107,7 +107,7 @@
         cached_list: serde_json::from_str(&list).expect("a list"),
         discovery_polls: unbounded().0,
         prober: None,
-        overrides: beaconflow_overrides::Set::new(0),
+        overrides: beaconflow_overrides::OverrideSet::new(0),
         admission: Default::default(),
         fleet: None,
     });
--- a/crates/balancer/src/core/admission/tests.rs
+++ b/crates/balancer/src/core/admission/tests.rs
@@ -1,6 +1,6 @@
 //! A core with a full admission queue.
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 
 use super::super::CoreInput;
 use super::super::testing::{Orders, core, opens};
@@ -14,7 +14,7 @@
 /// A core at whose door eighteen of each account wait.
 fn full() -> (Core, Arc<Orders>) {
     let (mut core, orders) = (
-        core(Clock::start(), Set::new(0)),
+        core(Clock::start(), OverrideSet::new(0)),
         Arc::new(Orders::default()),
     );
     for id in 0..WINDOW + 36 {
--- a/crates/balancer/src/core/decisions/tests.rs
+++ b/crates/balancer/src/core/decisions/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 use beaconflow_policy::AttemptOutcome;
 
 use super::super::testing::{Orders, core, opens};
@@ -64,7 +64,7 @@
 #[test]
 fn after_a_panic_only_what_may_have_run_is_failed() {
     let (mut core, orders) = (
-        core(Clock::start(), Set::new(0)),
+        core(Clock::start(), OverrideSet::new(0)),
         Arc::new(Orders::default()),
     );
     let queued = in_each_state(&mut core, &orders);
@@ -75,7 +75,7 @@
 #[test]
 fn at_the_end_of_a_drain_only_what_may_have_run_is_failed() {
     let (mut core, orders) = (
-        core(Clock::start(), Set::new(0)),
+        core(Clock::start(), OverrideSet::new(0)),
         Arc::new(Orders::default()),
     );
     let queued = in_each_state(&mut core, &orders);
--- a/crates/balancer/src/core/drain/tests.rs
+++ b/crates/balancer/src/core/drain/tests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 
 use super::super::testing::{self, Orders};
 use super::*;
@@ -10,7 +10,7 @@
 
 /// A core with so many standing connections, numbered from 0.
 fn standing(count: u64) -> (Core, Arc<Orders>) {
-    let mut core = testing::core(Clock::start(), Set::default());
+    let mut core = testing::core(Clock::start(), OverrideSet::default());
     let orders = Arc::new(Orders::default());
     for word in [
         LifecycleCommand::SetListening(true),
--- a/crates/balancer/src/core/effective_entry.rs
+++ b/crates/balancer/src/core/effective_entry.rs
@@ -36,7 +36,7 @@
         factor: adjustment.factor * site_factor,
         ..adjustment
     };
-    let out = adjustment.out || site.is_some_and(|site| site.skip_reason.is_some());
+    let out = adjustment.is_out || site.is_some_and(|site| site.skip_reason.is_some());
     let restarted_at = site
         .map_or(0, |site| site.restarted_at)
         .saturating_mul(1_000_000);
@@ -53,7 +53,8 @@
             1.0
         };
         entry.weight = weight * adjustment.factor;
-        entry.target_weight = (adjustment.factor < adjustment.to).then_some(weight * adjustment.to);
+        entry.target_weight = (adjustment.factor < adjustment.target_factor)
+            .then_some(weight * adjustment.target_factor);
     }
     entry
 }
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 
 use beaconflow_affinity::ServerNow;
-use beaconflow_overrides::{Id, Judgement, Millis, ServerAdjustment, Set, Strictness, assess};
+use beaconflow_overrides::{
+    CoverageGaps, Millis, OverrideId, OverrideSet, ServerAdjustment, Strictness, find_coverage_gaps,
+};
 use beaconflow_policy::{Nanos, Pin, ServerEntry, ServerId, ServerState, ZoneId};
 use beaconflow_settings::digest;
 
@@ -34,7 +36,7 @@
     ids: BTreeMap<String, ServerId>,
     /// Ids by the hash of the name.
     ids_by_hash: BTreeMap<u64, ServerId>,
-    pub(super) overrides: Set,
+    pub(super) overrides: OverrideSet,
     /// Servers whose effective entry may differ from the listed one.
     adjusted: BTreeSet<ServerId>,
     /// Site assessments by server name.
@@ -62,7 +64,7 @@
 
 impl EndpointRegistry {
     /// Creates a registry without servers.
-    pub(super) fn new(overrides: Set) -> EndpointRegistry {
+    pub(super) fn new(overrides: OverrideSet) -> EndpointRegistry {
         EndpointRegistry {
             servers: Vec::new(),
             ids: BTreeMap::new(),
@@ -180,7 +182,7 @@
 
     /// The effect of overrides on a server. A panic in them must not lose a list.
     fn adjustment(&self, name: &str, now: Millis) -> ServerAdjustment {
-        let snapshot = AssertUnwindSafe(|| self.overrides.server(name, now));
+        let snapshot = AssertUnwindSafe(|| self.overrides.server_adjustment(name, now));
         catch_unwind(snapshot).unwrap_or(ServerAdjustment::AS_LISTED)
     }
 
@@ -188,13 +190,13 @@
     pub(super) fn refresh(&mut self, now: Millis) -> Vec<ServerEntry> {
         let named = self
             .overrides
-            .servers()
+            .affected_servers()
             .filter_map(|name| self.ids.get(name).copied());
         let servers: BTreeSet<ServerId> = named.chain(self.adjusted.iter().copied()).collect();
         let mut changed = Vec::new();
         for id in servers {
             let known = &mut self.servers[id.0 as usize];
-            let adjustment = self.overrides.server(&known.endpoint.name, now);
+            let adjustment = self.overrides.server_adjustment(&known.endpoint.name, now);
             let assessment = self.assessments.get(&*known.endpoint.name);
             if adjustment == ServerAdjustment::AS_LISTED && assessment.is_none() {
                 self.adjusted.remove(&id);
@@ -235,24 +237,24 @@
     }
 
     /// The servers that an operator empties, with their overrides and rates.
-    pub(super) fn emptied_servers(&self, now: Millis) -> BTreeMap<ServerId, (Id, f64)> {
+    pub(super) fn emptied_servers(&self, now: Millis) -> BTreeMap<ServerId, (OverrideId, f64)> {
         let rate = |id: &ServerId| {
             let name = &self.servers.get(id.0 as usize)?.endpoint.name;
-            Some((*id, self.overrides.moves(name, now)?))
+            Some((*id, self.overrides.migration_rate(name, now)?))
         };
         self.adjusted.iter().filter_map(rate).collect()
     }
 
     /// Zones that overrides leave without a ready server.
-    pub(super) fn coverage(&self, now: Millis) -> Judgement {
+    pub(super) fn coverage(&self, now: Millis) -> CoverageGaps {
         if self.adjusted.is_empty() {
-            return Judgement::default();
+            return CoverageGaps::default();
         }
         let ready = self
             .servers
             .iter()
             .filter(|known| known.listed.state == ServerState::Ready);
-        assess(
+        find_coverage_gaps(
             ready.map(|known| (&*known.endpoint.name, known.zone.as_str())),
             &self.overrides,
             now,
--- a/crates/balancer/src/core/endpoints/tests.rs
+++ b/crates/balancer/src/core/endpoints/tests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 
 use super::super::testing::{list, row};
 use super::*;
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_server_that_a_whole_list_names_again_is_not_taken_for_a_leaving_one_in_between() {
-    let mut endpoints = EndpointRegistry::new(Set::new(0));
+    let mut endpoints = EndpointRegistry::new(OverrideSet::new(0));
     let rows: Vec<String> = (0..50).map(|number| row(&format!("s{number}"))).collect();
     endpoints.apply_list(list(&rows.join(",")), 0, |_| Some(0));
     let (_, server) = endpoints.by_name("s49").expect("it is listed");
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_server_that_a_whole_list_leaves_out_gets_nothing_new() {
-    let mut endpoints = EndpointRegistry::new(Set::new(0));
+    let mut endpoints = EndpointRegistry::new(OverrideSet::new(0));
     endpoints.apply_list(list(&[row("s0"), row("s1")].join(",")), 0, |_| Some(0));
     let (_, server) = endpoints.by_name("s0").expect("it is listed");
     assert!(server.begin_write().is_some());
--- a/crates/balancer/src/core/fleet_link/tests.rs
+++ b/crates/balancer/src/core/fleet_link/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 
 use super::super::testing::{self, Orders, list, row};
 use super::super::{Core, CoreInput};
@@ -44,8 +44,8 @@
 #[test]
 fn who_listens_changes_nothing_of_what_is_decided_and_hears_all_of_it() {
     let clock = Clock::start();
-    let (alone, _) = story(testing::core(clock, Set::default()));
-    let mut core = testing::core(clock, Set::default());
+    let (alone, _) = story(testing::core(clock, OverrideSet::default()));
+    let mut core = testing::core(clock, OverrideSet::default());
     let (events, heard) = crossbeam_channel::unbounded();
     core.attach_fleet(FleetLinkConfig {
         events,
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_program_gathers_what_was_known_before_for_no_longer_than_its_bound() {
-    let mut core = testing::core(Clock::start(), Set::default());
+    let mut core = testing::core(Clock::start(), OverrideSet::default());
     let (events, _heard) = crossbeam_channel::unbounded();
     core.attach_fleet(FleetLinkConfig {
         events,
@@ -100,7 +100,7 @@
 
 #[test]
 fn discovery_is_not_asked_while_the_uplink_is_lost_but_in_turn_or_when_nobody_holds_it_back() {
-    let mut core = testing::core(Clock::start(), Set::default());
+    let mut core = testing::core(Clock::start(), OverrideSet::default());
     let (watch, asked) = crossbeam_channel::unbounded();
     core.discovery_polls = watch;
     let (events, _heard) = crossbeam_channel::unbounded();
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_list_that_is_known_elsewhere_counts_only_while_none_is_known_here() {
-    let mut core = testing::core(Clock::start(), Set::default());
+    let mut core = testing::core(Clock::start(), OverrideSet::default());
     core.handle_input(CoreInput::Fleet(FleetEvent::CachedList(list(&row("s7")))));
     assert!(core.endpoints.by_name("s7").is_none());
     core.on_discovery(DiscoveryEvent::List(list("")));
@@ -163,7 +163,7 @@
 
 #[test]
 fn what_failed_at_other_processes_lengthens_a_clients_delay_until_it_is_void() {
-    let mut core = testing::core(Clock::start(), Set::default());
+    let mut core = testing::core(Clock::start(), OverrideSet::default());
     let sum = |core: &mut Core, ids: std::ops::Range<u64>, known: Option<u32>| -> Nanos {
         let told = |core: &mut Core, id| {
             known.into_iter().for_each(|count| {
@@ -191,7 +191,7 @@
 #[test]
 fn while_clients_go_by_turns_each_waits_for_its_own_and_no_longer_than_a_bound() {
     let (mut core, orders) = (
-        testing::core(Clock::start(), Set::default()),
+        testing::core(Clock::start(), OverrideSet::default()),
         Arc::new(Orders::default()),
     );
     let (events, heard) = crossbeam_channel::unbounded();
@@ -232,7 +232,7 @@
 #[test]
 fn the_sites_evidence_passes_a_server_over_and_moves_nobody() {
     let (mut core, orders) = (
-        testing::core(Clock::start(), Set::default()),
+        testing::core(Clock::start(), OverrideSet::default()),
         Arc::new(Orders::default()),
     );
     core.on_discovery(DiscoveryEvent::List(list(
--- a/crates/balancer/src/core/messages.rs
+++ b/crates/balancer/src/core/messages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use beaconflow_overrides::Judgement;
+use beaconflow_overrides::CoverageGaps;
 use beaconflow_policy::{AttemptOutcome, ConnectionMetric, Nanos, ServerId};
 use beaconflow_settings::ActiveSettings;
 use crossbeam_channel::Sender;
@@ -214,7 +214,7 @@
     /// The listed servers.
     pub servers: Vec<ServerSnapshot>,
     /// Zones that overrides leave without a ready server.
-    pub coverage: Judgement,
+    pub coverage: CoverageGaps,
     /// Requests in the admission queue.
     pub queued: usize,
     /// Whether overrides are disabled at this front after a panic.
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -33,7 +33,7 @@
 use std::time::{Duration, Instant};
 
 use beaconflow_admission::NotAdmitted;
-use beaconflow_overrides::{Id, Judgement, Pace};
+use beaconflow_overrides::{CoverageGaps, MigrationPacer, OverrideId};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{self as policy, Action, Nanos, RequestId, ServerId, Settings, TimerId};
 use beaconflow_settings::ActiveSettings;
@@ -131,9 +131,9 @@
     drains: u64,
     actions: Vec<Action>,
     /// Servers that an operator is emptying, with the override that says so.
-    emptied_servers: BTreeMap<ServerId, (Id, Pace)>,
+    emptied_servers: BTreeMap<ServerId, (OverrideId, MigrationPacer)>,
     /// Zones that overrides leave without a ready server, when last logged.
-    coverage: Judgement,
+    coverage: CoverageGaps,
     /// When the overrides are evaluated next.
     overrides_timer_at: Option<Nanos>,
     /// Whether overrides are disabled after a panic.
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::How;
-use beaconflow_overrides::{Id, Millis, Override, Pace, Set};
+use beaconflow_overrides::{MigrationPacer, Millis, Override, OverrideId, OverrideSet};
 use beaconflow_policy::{self as policy, RequestId};
 use crossbeam_channel::Sender;
 use tracing::{error, info, warn};
@@ -27,7 +27,7 @@
     /// An override was added or changed.
     Put(Box<Override>),
     /// Overrides no longer have any effect.
-    Forget(Vec<Id>),
+    Forget(Vec<OverrideId>),
 }
 
 /// A change has been applied.
@@ -52,7 +52,7 @@
                 "overrides panicked; none hold at this front until a restart"
             );
             self.has_lost_overrides = true;
-            self.endpoints.overrides = Set::default();
+            self.endpoints.overrides = OverrideSet::default();
             self.emptied_servers.clear();
             let entries = self.endpoints.refresh(0);
             self.run_policy(policy::Event::ServerList {
@@ -75,10 +75,10 @@
         let followed = self.with_overrides(|core| {
             for change in changes {
                 match change {
-                    OverrideChange::Put(one) => core.endpoints.overrides.put(*one),
+                    OverrideChange::Put(one) => core.endpoints.overrides.insert(*one),
                     OverrideChange::Forget(ids) => {
                         ids.into_iter()
-                            .for_each(|id| drop(core.endpoints.overrides.forget(id)));
+                            .for_each(|id| drop(core.endpoints.overrides.discard(id)));
                     }
                 }
             }
@@ -144,14 +144,14 @@
         for (server, (id, rate)) in moving {
             self.emptied_servers
                 .entry(server)
-                .or_insert_with(|| (id, Pace::new(rate, now)));
+                .or_insert_with(|| (id, MigrationPacer::new(rate, now)));
         }
         if idle && !self.emptied_servers.is_empty() {
             self.set_timer(Duration::ZERO, TimerKind::EmptyServers);
         }
         let judgement = self.endpoints.coverage(now);
         if judgement != self.coverage {
-            if judgement.is_sound() {
+            if judgement.is_empty() {
                 info!(
                     part = self.name,
                     "overrides leave a ready server everywhere again"
@@ -186,9 +186,9 @@
         let (mut wait, mut moved) = (MAX_MIGRATION_INTERVAL, Vec::new());
         for (server, (_, pace)) in &mut self.emptied_servers {
             let there: Vec<u64> = self.requests.migratable_at(*server).collect();
-            let due = pace.permitted(now, there.len());
+            let due = pace.take_permits(now, there.len());
             moved.extend(there.into_iter().take(due));
-            wait = wait.min(Duration::from_millis(pace.wait()));
+            wait = wait.min(Duration::from_millis(pace.time_to_next_ms()));
         }
         for id in moved {
             self.end_placement(id, How::MovedLeaving);
--- a/crates/balancer/src/core/overrides/tests.rs
+++ b/crates/balancer/src/core/overrides/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of overrides in the core.
 
-use beaconflow_overrides::{Draft, Kind, Strictness, Subject};
+use beaconflow_overrides::{Draft, OverrideKind, Strictness, Subject};
 use beaconflow_policy::ServerState;
 use beaconflow_settings::digest;
 
@@ -20,13 +20,13 @@
 fn a_list_or_a_placement_in_the_instant_of_an_end_finds_it_ended_before_its_timer_fires() {
     let clock = Clock::start();
     let now = clock.now() / 1_000_000;
-    let mut overrides = Set::new(0);
+    let mut overrides = OverrideSet::new(0);
     for (id, kind) in [
-        Kind::Out {
+        OverrideKind::Out {
             server: "s0".into(),
             moves_per_s: None,
         },
-        Kind::Pin {
+        OverrideKind::Pin {
             subject: Subject::Group("north".into()),
             server: "s0".into(),
             strictness: Strictness::Strict,
@@ -41,7 +41,7 @@
             why: "why".into(),
             expires_at: now + 40,
         };
-        overrides.put(draft.into_override(Id(id as u64 + 1), now));
+        overrides.insert(draft.into_override(OverrideId(id as u64 + 1), now));
     }
     let mut core = core(clock, overrides);
     let pin = |core: &Core| {
@@ -67,8 +67,8 @@
 #[test]
 fn a_fault_in_the_overrides_costs_the_overrides_and_not_the_core() {
     let clock = Clock::start();
-    let mut overrides = Set::new(1_000);
-    let kind = Kind::Out {
+    let mut overrides = OverrideSet::new(1_000);
+    let kind = OverrideKind::Out {
         server: "s0".into(),
         moves_per_s: Some(1.0),
     };
@@ -79,7 +79,7 @@
         why: "why".into(),
         expires_at: now + 60_000,
     };
-    overrides.put(draft.into_override(Id(1), now));
+    overrides.insert(draft.into_override(OverrideId(1), now));
     let mut core = core(clock, overrides);
     assert_eq!(told(&core), [ServerState::OutOfService]);
     assert!(!core.emptied_servers.is_empty() && core.coverage.all_servers);
@@ -88,7 +88,10 @@
     assert!(core.snapshot().has_lost_overrides && core.emptied_servers.is_empty());
     // What comes later is not followed, and whoever waits for it is not told that it is.
     let (answer, told_of) = crossbeam_channel::bounded(1);
-    core.on_overrides_changed(vec![OverrideChange::Forget(vec![Id(1)])], Some(answer));
+    core.on_overrides_changed(
+        vec![OverrideChange::Forget(vec![OverrideId(1)])],
+        Some(answer),
+    );
     assert!(told_of.try_recv().is_err());
     core.apply_list(list(&[row("s0"), row("s1")].join(",")), false);
     assert_eq!(told(&core), [ServerState::Ready, ServerState::Ready]);
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 use beaconflow_policy::AttemptOutcome;
 use beaconflow_settings::{ActiveSettings, SiteSettings};
 use serde_json::{Value, json};
@@ -33,7 +33,7 @@
 
 fn started() -> (Core, Arc<Orders>) {
     (
-        core(Clock::start(), Set::new(0)),
+        core(Clock::start(), OverrideSet::new(0)),
         Arc::new(Orders::default()),
     )
 }
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-use beaconflow_overrides::{Judgement, Set};
+use beaconflow_overrides::{CoverageGaps, OverrideSet};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::SettingsError;
 use beaconflow_settings::{ActiveSettings, SiteSettings};
@@ -38,7 +38,7 @@
     /// Probes servers, where the wire has a probe.
     pub prober: Option<Box<dyn LoadProber>>,
     /// The restored overrides.
-    pub overrides: Set,
+    pub overrides: OverrideSet,
     /// The admission settings.
     pub admission: AdmissionConfig,
     /// Link to the fleet thread, where a fleet is configured.
@@ -116,7 +116,7 @@
         drains: 0,
         actions: Vec::new(),
         emptied_servers: BTreeMap::new(),
-        coverage: Judgement::default(),
+        coverage: CoverageGaps::default(),
         overrides_timer_at: None,
         has_lost_overrides: false,
         fleet: None,
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 use beaconflow_policy::Nanos;
 
 use super::handle::CoreReceiver;
@@ -30,12 +30,12 @@
 }
 
 /// A core with one server and these overrides.
-pub(super) fn core(clock: Clock, overrides: Set) -> Core {
+pub(super) fn core(clock: Clock, overrides: OverrideSet) -> Core {
     told_core(clock, overrides).1
 }
 
 /// The same, with its handle and its receiver.
-pub(super) fn told_core(clock: Clock, overrides: Set) -> (CoreHandle, Core, CoreReceiver) {
+pub(super) fn told_core(clock: Clock, overrides: OverrideSet) -> (CoreHandle, Core, CoreReceiver) {
     let site = serde_json::from_str(SETTINGS).expect("settings");
     let (cached_list, discovery_polls) = (list(&row("s0")), crossbeam_channel::unbounded().0);
     let start = CoreConfig {
--- a/crates/balancer/src/core/tests.rs
+++ b/crates/balancer/src/core/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 
 use super::testing::{self, Orders};
 use super::*;
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_list_is_taken_before_the_events_that_wait() {
-    let (handle, mut core, receiver) = testing::told_core(Clock::start(), Set::default());
+    let (handle, mut core, receiver) = testing::told_core(Clock::start(), OverrideSet::default());
     let orders = Arc::new(Orders::default());
     let server = core.endpoints.by_name("s0").expect("listed").1;
     for id in 0..50 {
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_list_and_the_failure_after_it_are_taken_in_their_order() {
-    let (handle, mut core, receiver) = testing::told_core(Clock::start(), Set::default());
+    let (handle, mut core, receiver) = testing::told_core(Clock::start(), OverrideSet::default());
     let (watch, asked) = crossbeam_channel::unbounded();
     core.discovery_polls = watch;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_module_that_panics_while_the_next_call_is_due_does_not_cost_the_watch() {
-    let (handle, mut core, receiver) = testing::told_core(Clock::start(), Set::default());
+    let (handle, mut core, receiver) = testing::told_core(Clock::start(), OverrideSet::default());
     let (watch, asked) = crossbeam_channel::unbounded();
     core.discovery_polls = watch;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
@@ -75,7 +75,7 @@
 
 #[test]
 fn while_a_whole_list_is_read_the_servers_that_it_names_can_be_written_to() {
-    let mut endpoints = EndpointRegistry::new(Set::default());
+    let mut endpoints = EndpointRegistry::new(OverrideSet::default());
     let rows = |names: &[&str]| {
         names
             .iter()
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -28,7 +28,7 @@
         match seen {
             CoreEvent::ListApplied(list, known) => self.on_list_applied(list, known),
             CoreEvent::DiscoveryLost => {
-                self.on_recovery_event(RecoveryEvent::Failed(EvidenceSource::Discovery));
+                self.on_recovery_event(RecoveryEvent::QueryFailed(EvidenceSource::Discovery));
                 self.with_uplink(Uplink::on_discovery_lost);
             }
             CoreEvent::PlacementsChanged(placements) => placements
@@ -38,7 +38,7 @@
             CoreEvent::RememberedPlacements(held) => self.status.placements = Some(held),
             CoreEvent::EstablishedConnections(standing) => {
                 self.established = standing;
-                if self.recovery.recovery().may_remember() {
+                if self.recovery.recovery().can_update_memory() {
                     self.memory.store(records::encode_previous_clients(
                         self.estimate_fleet_clients(),
                         self.now_ms(),
--- a/crates/balancer/src/fleet/messages/tests.rs
+++ b/crates/balancer/src/fleet/messages/tests.rs
@@ -68,7 +68,7 @@
         incarnation: 3,
         uptime: 4_000 * NANOS_PER_MS,
         serving_time: Some(2_000 * NANOS_PER_MS),
-        serves_in_full: true,
+        is_in_full_service: true,
         wall_clock: Some(1_700_000_000_000),
         previous_clients: Some(120.5),
         deferred_per_s: 0.25,
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -106,7 +106,7 @@
         if is_here {
             self.start_settling();
         } else {
-            self.on_recovery_event(RecoveryEvent::Answered(EvidenceSource::OtherSites));
+            self.on_recovery_event(RecoveryEvent::QueryAnswered(EvidenceSource::OtherSites));
         }
     }
 
@@ -149,7 +149,7 @@
     pub(super) fn settled(&mut self) {
         (self.settling, self.is_settled) = (None, true);
         self.adopt_peer_list();
-        self.on_recovery_event(RecoveryEvent::Answered(EvidenceSource::SitePeers));
+        self.on_recovery_event(RecoveryEvent::QueryAnswered(EvidenceSource::SitePeers));
     }
 
     /// Handles a membership event; the membership thread has logged it.
--- a/crates/balancer/src/fleet/periodic.rs
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -57,8 +57,8 @@
             serving_time: self
                 .serving_started_at
                 .map(|since| self.now.saturating_sub(since)),
-            serves_in_full: self.serves_in_full,
-            wall_clock: recovery.clock_is_sound().then(wall_clock_ms),
+            is_in_full_service: self.serves_in_full,
+            wall_clock: recovery.is_clock_reliable().then(wall_clock_ms),
             previous_clients: recovery.previous_clients(),
             deferred_per_s: recovery.deferred_per_s(),
         };
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -57,11 +57,11 @@
     fn query_source(&mut self, whom: EvidenceSource) {
         match whom {
             EvidenceSource::SitePeers if self.is_settled => {
-                self.on_recovery_event(RecoveryEvent::Answered(whom))
+                self.on_recovery_event(RecoveryEvent::QueryAnswered(whom))
             }
             EvidenceSource::SitePeers | EvidenceSource::OtherSites => self.membership.say(),
             EvidenceSource::Discovery => {}
-            EvidenceSource::Store => self.on_recovery_event(RecoveryEvent::Failed(whom)),
+            EvidenceSource::Store => self.on_recovery_event(RecoveryEvent::QueryFailed(whom)),
         }
     }
 
--- a/crates/balancer/src/fleet/recovery_driver.rs
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -133,10 +133,11 @@
 
     fn execute(&mut self, now: Nanos, action: Action) -> Option<RecoveryCommand> {
         match action {
-            Action::Query { source, after } => {
-                self.queries.push((now.saturating_add(after), source))
-            }
-            Action::RememberedStateJudged {
+            Action::Query {
+                source,
+                delay: after,
+            } => self.queries.push((now.saturating_add(after), source)),
+            Action::RememberedStateAssessed {
                 kind,
                 validity,
                 reason,
@@ -168,7 +169,7 @@
             Action::LogStep {
                 step,
                 reason,
-                bound,
+                deadline_at: bound,
             } => {
                 let within_ms = bound.map(|bound| bound.saturating_sub(now) / 1_000_000);
                 info!(part = "recovery", step = ?step, why = reason, within_ms, "step");
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -3,7 +3,7 @@
 use beaconflow_affinity::Placement;
 use beaconflow_gossip::{ListAnnouncement, Position, Value};
 use beaconflow_recovery::{
-    self as recovery, Event as RecoveryEvent, RememberedKind, Source, Validity,
+    self as recovery, Event as RecoveryEvent, ListSource, RememberedKind, Validity,
 };
 use tracing::info;
 
@@ -51,7 +51,7 @@
         let list = restored
             .list
             .as_ref()
-            .map(|(list, _)| recovery_list(list, epoch, Source::Memory));
+            .map(|(list, _)| recovery_list(list, epoch, ListSource::Memory));
         let previous_clients = restored
             .previous_clients
             .map(|clients| recovery::PreviousClients {
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -4,7 +4,7 @@
 use beaconflow_gossip::{
     Lifecycle as KnownAs, ListAnnouncement, Listed as KnownEntry, Position, Subject, Value,
 };
-use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, Source};
+use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, ListSource};
 
 use super::uplink::Uplink;
 use super::{FleetThread, Millis, records, shared_gossip};
@@ -29,7 +29,7 @@
             self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
                 &whole,
                 0,
-                Source::Known,
+                ListSource::Configured,
             )));
             return self.apply_retained_drains();
         }
@@ -53,7 +53,7 @@
         self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
             &whole,
             life,
-            Source::Discovery,
+            ListSource::Discovery,
         )));
         self.with_uplink(|uplink, now| uplink.on_evidence(now, Evidence::WatchStands));
     }
@@ -123,7 +123,7 @@
         self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
             &list,
             incarnation,
-            Source::Peer,
+            ListSource::Peer,
         )));
         self.publish_list_to_core();
     }
@@ -148,7 +148,7 @@
 }
 
 /// A list for the recovery state machine.
-pub(super) fn recovery_list(list: &ServerList, epoch: u64, source: Source) -> recovery::List {
+pub(super) fn recovery_list(list: &ServerList, epoch: u64, source: ListSource) -> recovery::List {
     let entry = |one: &ListedServer| recovery::Entry {
         name: one.instance_id.clone(),
         started_at_ms: one.started_at_ms,
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -65,7 +65,7 @@
     let incarnation = incarnation(&restored);
     let routing_version = routing_version(&settings, endpoints);
     let recovery_config = recovery_driver::config(&config, site, &settings);
-    let recovery_timeout = Duration::from_nanos(recovery_config.admits_within());
+    let recovery_timeout = Duration::from_nanos(recovery_config.max_time_to_admission());
     let recovery = RecoveryDriver::new(recovery_config, driver::random())?;
     let edge_config = uplink::config(&config, driver::random());
     let uplink = config
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -331,9 +331,9 @@
         .contains_key("file")
         .then(|| section.required("file"))
         .flatten();
-    let longest_s: u64 = section.optional("longest_s", usual.longest / 1_000);
-    let most = section.optional("most", usual.most);
-    let ramp_s: f64 = section.optional("ramp_s", usual.ramp as f64 / 1e3);
+    let longest_s: u64 = section.optional("longest_s", usual.max_duration_ms / 1_000);
+    let most = section.optional("most", usual.max_count);
+    let ramp_s: f64 = section.optional("ramp_s", usual.ramp_ms as f64 / 1e3);
     section.error_if(
         "longest_s",
         !(1..=MAX_OVERRIDE_S).contains(&longest_s),
@@ -347,9 +347,9 @@
     );
     section.reject_unknown_fields();
     let limits = OverrideLimits {
-        longest: longest_s.saturating_mul(1_000),
-        most,
-        ramp: (ramp_s * 1e3) as u64,
+        max_duration_ms: longest_s.saturating_mul(1_000),
+        max_count: most,
+        ramp_ms: (ramp_s * 1e3) as u64,
     };
     overrides::OverridesConfig { file, limits }
 }
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -15,7 +15,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use beaconflow_overrides::{
-    Draft, Fault, Id, Judgement, Kind, Limits, Millis, Override, Replay, Set, StepWatch, shifted,
+    ClockStepDetector, CoverageGaps, Draft, FieldError, Limits, Millis, Override, OverrideId,
+    OverrideKind, OverrideSet, Replay, with_clock_offset,
 };
 use beaconflow_store::{OverrideStore, StoreError};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -54,13 +55,13 @@
     /// There is no store, with the reason.
     NoStore(String),
     /// Fields are invalid.
-    Invalid(Vec<Fault>),
+    Invalid(Vec<FieldError>),
     /// No override in effect has this id.
     Unknown,
     /// The override has another revision.
     Stale(u64),
     /// It would leave no ready server and was not forced.
-    LeavesNoServer(Vec<(&'static str, Judgement)>),
+    LeavesNoServer(Vec<(&'static str, CoverageGaps)>),
     /// The limit on overrides is reached.
     Full(usize),
     /// The idempotency key was used for another request.
@@ -81,12 +82,12 @@
 }
 
 struct OverrideState {
-    set: Set,
+    set: OverrideSet,
     store: Option<Box<dyn OverrideStore>>,
     store_status: StoreStatus,
     /// Overrides by idempotency key.
-    by_key: HashMap<String, Id>,
-    clock_steps: StepWatch,
+    by_key: HashMap<String, OverrideId>,
+    clock_steps: ClockStepDetector,
     /// Expirations up to then have been logged.
     reported_until: Millis,
 }
@@ -159,7 +160,7 @@
             store,
             store_status,
             by_key,
-            clock_steps: StepWatch::default(),
+            clock_steps: ClockStepDetector::default(),
             reported_until,
         };
         let (changed, changes) = bounded(1);
@@ -195,7 +196,7 @@
 
     /// Total steps of the wall clock since the start, in milliseconds.
     pub fn wall_ahead(&self) -> i64 {
-        self.lock().clock_steps.ahead_by()
+        self.lock().clock_steps.ahead_by_ms()
     }
 
     /// Converts a wall clock time to the program's clock.
@@ -221,13 +222,13 @@
         let (state, now) = (self.lock(), self.now());
         state
             .set
-            .holding(now)
+            .active(now)
             .map(|one| view_of(&state, one, &fronts, now))
             .collect()
     }
 
     /// One override in effect.
-    pub fn get(&self, id: Id) -> Option<OverrideView> {
+    pub fn get(&self, id: OverrideId) -> Option<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
         let one = state.set.get(id).filter(|one| one.is_active_at(now))?;
@@ -265,8 +266,8 @@
         draft
             .check(now, &self.limits)
             .map_err(OverrideError::Invalid)?;
-        if state.set.holding(now).count() >= self.limits.most {
-            return Err(OverrideError::Full(self.limits.most));
+        if state.set.active(now).count() >= self.limits.max_count {
+            return Err(OverrideError::Full(self.limits.max_count));
         }
         let store = state
             .store
@@ -274,7 +275,7 @@
             .ok_or_else(|| state.store_status.refusal())?;
         let mut one = draft.into_override(store.next_id(), now);
         (one.forced, one.replay) = (force, replay);
-        if matches!(one.kind, Kind::Out { .. }) && !force {
+        if matches!(one.kind, OverrideKind::Out { .. }) && !force {
             let empty = fronts_left_empty(&mut state.set, &one, &self.core_snapshots(), now);
             if !empty.is_empty() {
                 return Err(OverrideError::LeavesNoServer(empty));
@@ -300,7 +301,7 @@
     /// Returns why it was refused.
     pub fn extend(
         &self,
-        id: Id,
+        id: OverrideId,
         expires_at: Millis,
         revision: Option<u64>,
     ) -> Result<ChangeResult, OverrideError> {
@@ -315,7 +316,11 @@
     /// # Errors
     ///
     /// Returns why it was refused.
-    pub fn remove(&self, id: Id, revision: Option<u64>) -> Result<ChangeResult, OverrideError> {
+    pub fn remove(
+        &self,
+        id: OverrideId,
+        revision: Option<u64>,
+    ) -> Result<ChangeResult, OverrideError> {
         self.change("removed", id, revision, |one, now| {
             one.remove(now);
             Ok(())
@@ -325,7 +330,7 @@
     fn change(
         &self,
         what: &str,
-        id: Id,
+        id: OverrideId,
         revision: Option<u64>,
         change: impl FnOnce(&mut Override, Millis) -> Result<(), OverrideError>,
     ) -> Result<ChangeResult, OverrideError> {
@@ -353,15 +358,15 @@
 
     /// Stores an override and applies it to the cores; returns whether all have applied it.
     fn apply(&self, state: &mut OverrideState, one: Override) -> Result<bool, OverrideError> {
-        let ahead = state.clock_steps.ahead_by();
+        let ahead = state.clock_steps.ahead_by_ms();
         let store = state
             .store
             .as_mut()
             .ok_or_else(|| state.store_status.refusal())?;
         store
-            .put(&[shifted(&one, ahead)])
+            .put(&[with_clock_offset(&one, ahead)])
             .map_err(OverrideError::Store)?;
-        state.set.put(one.clone());
+        state.set.insert(one.clone());
         let settled = self.apply_to_cores(OverrideChange::Put(Box::new(one)));
         let _ = self.changed.try_send(());
         Ok(settled)
--- a/crates/balancer/src/overrides/audit.rs
+++ b/crates/balancer/src/overrides/audit.rs
@@ -10,7 +10,7 @@
         id = one.id.0,
         kind = one.kind.name(),
         server = one.kind.server(),
-        remaining_s = one.end().saturating_sub(now) / 1_000,
+        remaining_s = one.ends_at().saturating_sub(now) / 1_000,
         revision = one.revision,
         forced = one.forced,
         who = one.who,
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -3,7 +3,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-use beaconflow_overrides::{Millis, Override, shifted};
+use beaconflow_overrides::{Millis, Override, with_clock_offset};
 use beaconflow_store::{OverrideStore, StoreError};
 use crossbeam_channel::RecvTimeoutError;
 use tracing::{error, warn};
@@ -52,25 +52,25 @@
         };
         warn!(
             part = "overrides",
-            ahead_ms = step.ahead_by,
+            ahead_ms = step.ahead_by_ms,
             "the wall clock was stepped; overrides keep their spans"
         );
         let all: Vec<Override> = state
             .set
             .iter()
-            .map(|one| shifted(one, step.ahead_by))
+            .map(|one| with_clock_offset(one, step.ahead_by_ms))
             .collect();
         state.write(|store| store.put(&all));
     }
 
     /// Removes spent overrides here and at the cores.
     fn forget_spent(&self, state: &mut OverrideState, now: Millis) {
-        let spent = state.set.spent(now);
+        let spent = state.set.expired_effects(now);
         if spent.is_empty() {
             return;
         }
         state.write(|store| store.forget(&spent));
-        spent.iter().for_each(|id| drop(state.set.forget(*id)));
+        spent.iter().for_each(|id| drop(state.set.discard(*id)));
         state.by_key.retain(|_, id| !spent.contains(id));
         let change = OverrideChange::Forget(spent);
         for (_, core) in &self.cores {
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -1,6 +1,6 @@
 //! Restoring overrides from the store at the start.
 
-use beaconflow_overrides::{Limits, Millis, Override, Set, bounded_expiry};
+use beaconflow_overrides::{Limits, Millis, Override, OverrideSet, bounded_expiry};
 use beaconflow_store::{Contents, OpenError, OverrideStore};
 use tracing::{error, info, warn};
 
@@ -13,7 +13,7 @@
     pub(super) store: Option<Box<dyn OverrideStore>>,
     pub(super) store_status: StoreStatus,
     /// The overrides, for the cores.
-    pub set: Set,
+    pub set: OverrideSet,
 }
 
 impl RestoredOverrides {
@@ -26,7 +26,7 @@
         RestoredOverrides {
             store: Some(store),
             store_status,
-            set: Set::new(limits.ramp),
+            set: OverrideSet::new(limits.ramp_ms),
         }
     }
 }
@@ -41,7 +41,7 @@
         return RestoredOverrides {
             store: None,
             store_status,
-            set: Set::new(config.limits.ramp),
+            set: OverrideSet::new(config.limits.ramp_ms),
         };
     };
     match beaconflow_store::open(file) {
@@ -62,7 +62,7 @@
             RestoredOverrides {
                 store: None,
                 store_status,
-                set: Set::new(config.limits.ramp),
+                set: OverrideSet::new(config.limits.ramp_ms),
             }
         }
     }
@@ -76,16 +76,16 @@
     now: Millis,
 ) -> RestoredOverrides {
     let mut notes = store_notes(&contents);
-    let mut set = Set::new(config.limits.ramp);
+    let mut set = OverrideSet::new(config.limits.ramp_ms);
     let (mut holding, mut spent) = (0, Vec::new());
     for mut one in contents.overrides {
         notes.extend(bound_times(&mut one, now));
         if one.removed_at.is_none() && !one.is_active_at(now) {
             audit("found expired", &one, now);
         }
-        if one.end().saturating_add(config.limits.ramp) > now {
+        if one.ends_at().saturating_add(config.limits.ramp_ms) > now {
             holding += usize::from(one.is_active_at(now));
-            set.put(one);
+            set.insert(one);
         } else {
             spent.push(one.id);
         }
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -2,7 +2,10 @@
 
 use std::collections::HashMap;
 
-use beaconflow_overrides::{Effect, Judgement, Listed, Millis, Override, Set, assess, shifted};
+use beaconflow_overrides::{
+    CoverageGaps, Effect, Listed, Millis, Override, OverrideSet, find_coverage_gaps,
+    with_clock_offset,
+};
 use beaconflow_policy::ServerState;
 
 use super::OverrideState;
@@ -40,7 +43,7 @@
     fn listed(&self, server: &str) -> Listed {
         match self.states.get(server) {
             Some(ServerState::Ready | ServerState::OutOfService) => Listed::Ready,
-            Some(ServerState::Draining) => Listed::Leaving,
+            Some(ServerState::Draining) => Listed::Draining,
             Some(ServerState::Removed) | None => Listed::Absent,
         }
     }
@@ -64,44 +67,44 @@
         )
     };
     OverrideView {
-        remaining_ms: one.end().saturating_sub(now),
+        remaining_ms: one.ends_at().saturating_sub(now),
         effects: fronts.iter().map(effect).collect(),
-        record: shifted(one, state.clock_steps.ahead_by()),
+        record: with_clock_offset(one, state.clock_steps.ahead_by_ms()),
     }
 }
 
 /// Fronts and zones that a new override leaves without a ready server.
 pub(super) fn fronts_left_empty(
-    set: &mut Set,
+    set: &mut OverrideSet,
     one: &Override,
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
-) -> Vec<(&'static str, Judgement)> {
+) -> Vec<(&'static str, CoverageGaps)> {
     let before = coverage_by_front(set, snapshots, now);
-    set.put(one.clone());
+    set.insert(one.clone());
     let after = coverage_by_front(set, snapshots, now);
-    set.forget(one.id);
+    set.discard(one.id);
     let worse = after
         .iter()
         .zip(&before)
-        .map(|(after, before)| after.beyond(before));
+        .map(|(after, before)| after.new_since(before));
     let fronts = snapshots.iter().map(|(front, _)| *front);
     fronts
         .zip(worse)
-        .filter(|(_, judgement)| !judgement.is_sound())
+        .filter(|(_, judgement)| !judgement.is_empty())
         .collect()
 }
 
 /// What the overrides leave of each front's ready servers.
 fn coverage_by_front(
-    set: &Set,
+    set: &OverrideSet,
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
-) -> Vec<Judgement> {
+) -> Vec<CoverageGaps> {
     let at_front = |look: &Option<CoreSnapshot>| {
         let servers = look.iter().flat_map(|look| &look.servers);
         let ready = servers.filter(|server| server.state.0 == ServerState::Ready);
-        assess(
+        find_coverage_gaps(
             ready.map(|server| (server.name.as_str(), server.zone.as_str())),
             set,
             now,
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use beaconflow_overrides::Set;
+use beaconflow_overrides::OverrideSet;
 use beaconflow_settings::SiteSettings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGXFSZ};
 use signal_hook::iterator::Signals;
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy)]
 struct SharedCoreConfig<'a> {
     clock: Clock,
-    overrides: &'a Set,
+    overrides: &'a OverrideSet,
     admission: &'a AdmissionConfig,
     fleet: Option<&'a operator::FleetConfig>,
 }
--- a/crates/balancer/tests/keeper.rs
+++ b/crates/balancer/tests/keeper.rs
@@ -6,7 +6,7 @@
 
 use beaconflow_balancer::clock::Clock;
 use beaconflow_balancer::overrides::{OverrideError, OverrideManager, OverridesConfig, restore};
-use beaconflow_overrides::{Draft, Id, Kind, Limits, Millis, Override};
+use beaconflow_overrides::{Draft, Limits, Millis, Override, OverrideId, OverrideKind};
 use beaconflow_store::{OverrideStore, StoreError};
 
 const HOUR: i64 = 3_600_000;
@@ -41,7 +41,7 @@
         OverridesConfig {
             file,
             limits: Limits {
-                ramp: 100,
+                ramp_ms: 100,
                 ..Limits::default()
             },
         }
@@ -67,7 +67,7 @@
     }
 
     fn draft(&self, server: &str, span: Millis) -> Draft {
-        let kind = Kind::Out {
+        let kind = OverrideKind::Out {
             server: server.into(),
             moves_per_s: None,
         };
@@ -166,12 +166,12 @@
         Ok(())
     }
 
-    fn forget(&mut self, _: &[Id]) -> Result<(), StoreError> {
+    fn forget(&mut self, _: &[OverrideId]) -> Result<(), StoreError> {
         Ok(())
     }
 
-    fn next_id(&self) -> Id {
-        Id(1 + self.0.lock().expect("sound").1.len() as u64)
+    fn next_id(&self) -> OverrideId {
+        OverrideId(1 + self.0.lock().expect("sound").1.len() as u64)
     }
 }
 
@@ -225,17 +225,24 @@
         expires_at: now - 30_000,
         ..desk.draft("ended", 1)
     }
-    .into_override(Id(1), now - 60_000);
+    .into_override(OverrideId(1), now - 60_000);
     store
-        .put(&[ended, desk.draft("holds", 60_000).into_override(Id(2), now)])
+        .put(&[
+            ended,
+            desk.draft("holds", 60_000)
+                .into_override(OverrideId(2), now),
+        ])
         .expect("durable");
     drop(store);
     let keeper = desk.keeper();
     assert_eq!(keeper.list().len(), 1);
     drop(keeper);
     let (store, contents) = beaconflow_store::open(&file).expect("free");
-    let left: Vec<Id> = contents.overrides.iter().map(|one| one.id).collect();
-    assert_eq!((left, store.next_id()), (vec![Id(2)], Id(3)));
+    let left: Vec<OverrideId> = contents.overrides.iter().map(|one| one.id).collect();
+    assert_eq!(
+        (left, store.next_id()),
+        (vec![OverrideId(2)], OverrideId(3))
+    );
 }
 
 #[test]
@@ -270,7 +277,7 @@
     let all: Vec<Override> = (1..=10_000)
         .map(|id| {
             desk.draft(&format!("s{id}"), 60_000)
-                .into_override(Id(id), now)
+                .into_override(OverrideId(id), now)
         })
         .collect();
     store.put(&all).expect("durable");
@@ -281,7 +288,7 @@
         keeper.add(desk.draft("one more", 60_000), false, None),
         Err(OverrideError::Full(10_000))
     ));
-    keeper.remove(Id(5_000), None).expect("kept");
+    keeper.remove(OverrideId(5_000), None).expect("kept");
     assert_eq!(
         keeper
             .add(desk.draft("one more", 60_000), false, None)
@@ -289,7 +296,7 @@
             .view
             .record
             .id,
-        Id(10_001)
+        OverrideId(10_001)
     );
     assert_eq!(keeper.list().len(), 10_000);
 }
--- a/crates/cli/tests/overrides/durable.rs
+++ b/crates/cli/tests/overrides/durable.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn what_was_durable_when_the_program_was_killed_is_in_effect_when_it_is_back() {
-    use beaconflow_overrides::{Draft, Kind};
+    use beaconflow_overrides::{Draft, OverrideKind};
     use beaconflow_store::{OverrideStore, open};
     let mut site = Site::start(2);
     // As a program leaves it that is killed after the durable write and before anything else.
@@ -64,7 +64,7 @@
             .expect("after 1970");
         let now = u64::try_from(now.as_millis()).expect("before long");
         let (mut store, _) = open(&site.store()).expect("it is free");
-        let kind = Kind::Out {
+        let kind = OverrideKind::Out {
             server: "s0".into(),
             moves_per_s: None,
         };
--- a/crates/contracts/tests/subjects/mod.rs
+++ b/crates/contracts/tests/subjects/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use beaconflow_contracts::stores::{Failed, OnDisk, Opened, Rows, Store};
-use beaconflow_overrides::{Draft, Id, Kind, Override};
+use beaconflow_overrides::{Draft, Override, OverrideId, OverrideKind};
 use beaconflow_store::disk::Disk;
 use beaconflow_store::memory::{Change, Memory, Record, open_on};
 use beaconflow_store::{FileStore, OverrideStore};
@@ -29,7 +29,7 @@
 struct OverridesOpen(FileStore);
 
 fn to_override((key, value): (&u64, &String)) -> Override {
-    let kind = Kind::Out {
+    let kind = OverrideKind::Out {
         server: value.clone(),
         moves_per_s: None,
     };
@@ -39,12 +39,12 @@
         why: "why".into(),
         expires_at: 2_000,
     };
-    draft.into_override(Id(*key), 1_000)
+    draft.into_override(OverrideId(*key), 1_000)
 }
 
 fn to_row(one: Override) -> (u64, String) {
     match one.kind {
-        Kind::Out { server, .. } => (one.id.0, server),
+        OverrideKind::Out { server, .. } => (one.id.0, server),
         other => (one.id.0, format!("{other:?}")),
     }
 }
@@ -68,7 +68,7 @@
     }
 
     fn remove(&mut self, key: u64) -> Result<(), Failed> {
-        self.0.forget(&[Id(key)]).map_err(unable)
+        self.0.forget(&[OverrideId(key)]).map_err(unable)
     }
 
     fn rows(&mut self) -> Result<Rows, Failed> {
--- a/crates/overrides/benches/effects.rs
+++ b/crates/overrides/benches/effects.rs
@@ -3,7 +3,9 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use beaconflow_overrides::{Draft, Id, Kind, Listed, Set, Strictness, Subject, assess};
+use beaconflow_overrides::{
+    Draft, Listed, OverrideId, OverrideKind, OverrideSet, Strictness, Subject, find_coverage_gaps,
+};
 use beaconflow_policy::Balancer;
 use beaconflow_policy::{
     AttemptEnd, AttemptOutcome, ClassId, ClientKey, ConnectRequest, DiscoveryMode, Event, Limits,
@@ -16,20 +18,20 @@
 const NOW: u64 = 1_000_000;
 
 /// So many overrides: a third each of servers out, weights and pins.
-fn set(count: u64) -> Set {
-    let mut set = Set::new(30_000);
+fn set(count: u64) -> OverrideSet {
+    let mut set = OverrideSet::new(30_000);
     for id in 1..=count {
         let server = format!("server-{id}");
         let kind = match id % 3 {
-            0 => Kind::Out {
+            0 => OverrideKind::Out {
                 server,
                 moves_per_s: None,
             },
-            1 => Kind::Weight {
+            1 => OverrideKind::Weight {
                 server,
                 factor: 0.5,
             },
-            _ => Kind::Pin {
+            _ => OverrideKind::Pin {
                 subject: Subject::Group(format!("group-{id}")),
                 server,
                 strictness: Strictness::Prefer,
@@ -41,7 +43,7 @@
             why: "y".into(),
             expires_at: NOW * 2,
         };
-        set.put(draft.into_override(Id(id), 1));
+        set.insert(draft.into_override(OverrideId(id), 1));
     }
     set
 }
@@ -161,10 +163,10 @@
 
 fn benches(criterion: &mut Criterion) {
     decision(criterion);
-    let mut arrivals = criterion.benchmark_group("pin of an arrival");
+    let mut pins = criterion.benchmark_group("pin of an arrival");
     for count in [0, 100, 10_000] {
         let set = set(count);
-        arrivals.bench_function(BenchmarkId::from_parameter(count), |bencher| {
+        pins.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             let (group, tenant) = (Some(digest("group-5")), Some(digest("acme")));
             bencher.iter(|| {
                 set.has_pins()
@@ -172,7 +174,7 @@
             });
         });
     }
-    arrivals.finish();
+    pins.finish();
     let mut lists = criterion.benchmark_group("effective list of 10000 servers");
     let names: Vec<String> = (1..=10_000).map(|id| format!("server-{id}")).collect();
     for count in [0, 1_000, 10_000] {
@@ -181,24 +183,30 @@
             bencher.iter(|| {
                 names
                     .iter()
-                    .filter(|name| set.server(black_box(name), NOW).out)
+                    .filter(|name| set.server_adjustment(black_box(name), NOW).is_out)
                     .count()
             });
         });
     }
     lists.finish();
-    let mut others = criterion.benchmark_group("with 10000 overrides");
-    let whole = set(10_000);
-    others.bench_function("next change", |bencher| {
-        bencher.iter(|| whole.next_change(black_box(NOW)))
+    let mut full_set_group = criterion.benchmark_group("with 10000 overrides");
+    let full_set = set(10_000);
+    full_set_group.bench_function("next change", |bencher| {
+        bencher.iter(|| full_set.next_change(black_box(NOW)))
     });
-    others.bench_function("effect of one", |bencher| {
-        bencher.iter(|| whole.effect(black_box(Id(5_000)), Listed::Ready, NOW));
+    full_set_group.bench_function("effect of one", |bencher| {
+        bencher.iter(|| full_set.effect(black_box(OverrideId(5_000)), Listed::Ready, NOW));
     });
-    others.bench_function("judgement of 10000 servers", |bencher| {
-        bencher.iter(|| assess(names.iter().map(|name| (name.as_str(), "a")), &whole, NOW));
+    full_set_group.bench_function("judgement of 10000 servers", |bencher| {
+        bencher.iter(|| {
+            find_coverage_gaps(
+                names.iter().map(|name| (name.as_str(), "a")),
+                &full_set,
+                NOW,
+            )
+        });
     });
-    others.finish();
+    full_set_group.finish();
 }
 
 fn main() {
--- a/crates/overrides/src/effect.rs
+++ b/crates/overrides/src/effect.rs
@@ -4,26 +4,26 @@
 use std::fmt;
 
 use crate::Millis;
-use crate::kind::Id;
-use crate::set::Set;
+use crate::kind::OverrideId;
+use crate::set::OverrideSet;
 
 /// The effect of all overrides on one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerAdjustment {
     /// Whether it gets no new connections.
-    pub out: bool,
+    pub is_out: bool,
     /// Factor on its listed weight; 0 if it is out of service.
     pub factor: f64,
     /// The factor at the end of the ramp.
-    pub to: f64,
+    pub target_factor: f64,
 }
 
 impl ServerAdjustment {
     /// No override applies.
     pub const AS_LISTED: ServerAdjustment = ServerAdjustment {
-        out: false,
+        is_out: false,
         factor: 1.0,
-        to: 1.0,
+        target_factor: 1.0,
     };
 }
 
@@ -35,7 +35,7 @@
     /// Accepts new connections.
     Ready,
     /// Draining.
-    Leaving,
+    Draining,
 }
 
 /// The present effect of an override.
@@ -46,9 +46,9 @@
     /// No effect until a server of that name is listed.
     NotListed,
     /// No effect while the other one is active.
-    Shadowed(Id),
+    Shadowed(OverrideId),
     /// A pin to a server that drains or is out of service.
-    TakesNothing,
+    ServerNotAccepting,
     /// It has ended; a weight may still be ramping up.
     Ended,
 }
@@ -59,7 +59,7 @@
             Effect::InEffect => f.write_str("in effect"),
             Effect::NotListed => f.write_str("server not listed"),
             Effect::Shadowed(by) => write!(f, "shadowed by {by}"),
-            Effect::TakesNothing => f.write_str("server takes nothing new"),
+            Effect::ServerNotAccepting => f.write_str("server takes nothing new"),
             Effect::Ended => f.write_str("ended"),
         }
     }
@@ -67,33 +67,33 @@
 
 /// Places that overrides leave without a ready server although the list has some.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Judgement {
+pub struct CoverageGaps {
     /// The whole list.
     pub all_servers: bool,
     /// These zones.
     pub zones: Vec<String>,
 }
 
-impl Judgement {
+impl CoverageGaps {
     /// Whether there is a ready server everywhere.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         !self.all_servers && self.zones.is_empty()
     }
 
     /// What is missing here but not in another assessment.
-    pub fn beyond(&self, before: &Judgement) -> Judgement {
+    pub fn new_since(&self, previous: &CoverageGaps) -> CoverageGaps {
         let zones = self
             .zones
             .iter()
-            .filter(|zone| !before.zones.contains(zone));
-        Judgement {
-            all_servers: self.all_servers && !before.all_servers,
+            .filter(|zone| !previous.zones.contains(zone));
+        CoverageGaps {
+            all_servers: self.all_servers && !previous.all_servers,
             zones: zones.cloned().collect(),
         }
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for CoverageGaps {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.all_servers, self.zones.as_slice()) {
             (true, _) => f.write_str("no ready server in the whole farm"),
@@ -104,20 +104,21 @@
 }
 
 /// Finds places without a ready server among those that are listed as ready: name and zone of each.
-pub fn assess<'a>(
+pub fn find_coverage_gaps<'a>(
     ready: impl Iterator<Item = (&'a str, &'a str)>,
-    set: &Set,
+    set: &OverrideSet,
     now: Millis,
-) -> Judgement {
-    let mut left: BTreeMap<&str, bool> = BTreeMap::new();
+) -> CoverageGaps {
+    let mut zone_has_ready: BTreeMap<&str, bool> = BTreeMap::new();
     for (name, zone) in ready {
-        *left.entry(zone).or_default() |= !set.server(name, now).out;
+        *zone_has_ready.entry(zone).or_default() |= !set.server_adjustment(name, now).is_out;
     }
-    let all_servers = !left.is_empty() && left.values().all(|any| !any);
-    let zones = left
+    let all_servers =
+        !zone_has_ready.is_empty() && zone_has_ready.values().all(|has_ready| !has_ready);
+    let zones = zone_has_ready
         .into_iter()
-        .filter(|(_, any)| !any)
+        .filter(|(_, has_ready)| !has_ready)
         .map(|(zone, _)| zone.to_owned())
         .collect();
-    Judgement { all_servers, zones }
+    CoverageGaps { all_servers, zones }
 }
--- a/crates/overrides/src/kind.rs
+++ b/crates/overrides/src/kind.rs
@@ -5,19 +5,19 @@
 use crate::Millis;
 
 /// Longest name of a server, group, tenant or author.
-const LONGEST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// Longest reason.
-const LONGEST_WHY: usize = 512;
+const MAX_REASON_BYTES: usize = 512;
 /// Allowed factors of a weight.
-const FACTORS: std::ops::RangeInclusive<f64> = 0.001..=100.0;
+const FACTOR_RANGE: std::ops::RangeInclusive<f64> = 0.001..=100.0;
 /// Allowed migrations per second.
-const MOVES: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
+const MOVES_PER_S_RANGE: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
 
 /// Id of an override; never reused by a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Id(pub u64);
+pub struct OverrideId(pub u64);
 
-impl fmt::Display for Id {
+impl fmt::Display for OverrideId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -40,7 +40,7 @@
     }
 
     /// What it is: `group` or `tenant`.
-    pub fn what(&self) -> &'static str {
+    pub fn kind_name(&self) -> &'static str {
         match self {
             Subject::Group(_) => "group",
             Subject::Tenant(_) => "tenant",
@@ -59,7 +59,7 @@
 
 /// What an override does.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum OverrideKind {
     /// A server gets no new connections.
     Out {
         /// The server's name in the list.
@@ -85,20 +85,21 @@
     },
 }
 
-impl Kind {
+impl OverrideKind {
     /// The server that it names.
     pub fn server(&self) -> &str {
-        let (Kind::Out { server, .. } | Kind::Weight { server, .. } | Kind::Pin { server, .. }) =
-            self;
+        let (OverrideKind::Out { server, .. }
+        | OverrideKind::Weight { server, .. }
+        | OverrideKind::Pin { server, .. }) = self;
         server
     }
 
     /// Its name: `out`, `weight` or `pin`.
     pub fn name(&self) -> &'static str {
         match self {
-            Kind::Out { .. } => "out",
-            Kind::Weight { .. } => "weight",
-            Kind::Pin { .. } => "pin",
+            OverrideKind::Out { .. } => "out",
+            OverrideKind::Weight { .. } => "weight",
+            OverrideKind::Pin { .. } => "pin",
         }
     }
 }
@@ -107,42 +108,42 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Longest time to an expiry.
-    pub longest: Millis,
+    pub max_duration_ms: Millis,
     /// Most overrides at once.
-    pub most: usize,
+    pub max_count: usize,
     /// Duration of the ramp of a weight that rises.
-    pub ramp: Millis,
+    pub ramp_ms: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            longest: 7 * 24 * 3_600_000,
-            most: 10_000,
-            ramp: 30_000,
+            max_duration_ms: 7 * 24 * 3_600_000,
+            max_count: 10_000,
+            ramp_ms: 30_000,
         }
     }
 }
 
 /// An error in a requested override.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct FieldError {
     /// The field, by its name in the API.
     pub field: &'static str,
     /// What it must be.
     pub why: String,
 }
 
-impl Fault {
-    fn new(field: &'static str, why: impl Into<String>) -> Fault {
-        Fault {
+impl FieldError {
+    fn new(field: &'static str, why: impl Into<String>) -> FieldError {
+        FieldError {
             field,
             why: why.into(),
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.field, self.why)
     }
@@ -152,7 +153,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
     /// What it does.
-    pub kind: Kind,
+    pub kind: OverrideKind,
     /// The author.
     pub who: String,
     /// The reason.
@@ -163,45 +164,50 @@
 
 impl Draft {
     /// Checks it; returns all errors.
-    pub fn check(&self, now: Millis, limits: &Limits) -> Result<(), Vec<Fault>> {
-        let mut faults = Vec::new();
-        let mut text = |field, text: &str, most: usize| {
-            if !(1..=most).contains(&text.len()) || text.chars().any(char::is_control) {
-                faults.push(Fault::new(
+    pub fn check(&self, now: Millis, limits: &Limits) -> Result<(), Vec<FieldError>> {
+        let mut errors = Vec::new();
+        let mut text = |field, text: &str, max_bytes: usize| {
+            if !(1..=max_bytes).contains(&text.len()) || text.chars().any(char::is_control) {
+                errors.push(FieldError::new(
                     field,
-                    format!("1 to {most} bytes, no control characters"),
+                    format!("1 to {max_bytes} bytes, no control characters"),
                 ));
             }
         };
-        text("who", &self.who, LONGEST_NAME);
-        text("why", &self.why, LONGEST_WHY);
-        text("server", self.kind.server(), LONGEST_NAME);
+        text("who", &self.who, MAX_NAME_BYTES);
+        text("why", &self.why, MAX_REASON_BYTES);
+        text("server", self.kind.server(), MAX_NAME_BYTES);
         match &self.kind {
-            Kind::Pin { subject, .. } => text(subject.what(), subject.name(), LONGEST_NAME),
-            Kind::Weight { factor, .. } if *factor == 0.0 => {
-                faults.push(Fault::new("factor", "0 is no weight: use the kind out"));
+            OverrideKind::Pin { subject, .. } => {
+                text(subject.kind_name(), subject.name(), MAX_NAME_BYTES)
             }
-            Kind::Weight { factor, .. } if !FACTORS.contains(factor) => {
-                faults.push(Fault::new("factor", "from 0.001 to 100"));
+            OverrideKind::Weight { factor, .. } if *factor == 0.0 => {
+                errors.push(FieldError::new(
+                    "factor",
+                    "0 is no weight: use the kind out",
+                ));
+            }
+            OverrideKind::Weight { factor, .. } if !FACTOR_RANGE.contains(factor) => {
+                errors.push(FieldError::new("factor", "from 0.001 to 100"));
             }
-            Kind::Out {
+            OverrideKind::Out {
                 moves_per_s: Some(rate),
                 ..
-            } if !MOVES.contains(rate) => {
-                faults.push(Fault::new("moves_per_s", "from 0.01 to 10000"));
+            } if !MOVES_PER_S_RANGE.contains(rate) => {
+                errors.push(FieldError::new("moves_per_s", "from 0.01 to 10000"));
             }
-            Kind::Weight { .. } | Kind::Out { .. } => {}
+            OverrideKind::Weight { .. } | OverrideKind::Out { .. } => {}
         }
-        faults.extend(check_expiry(self.expires_at, now, limits).err());
-        if faults.is_empty() {
+        errors.extend(check_expiry(self.expires_at, now, limits).err());
+        if errors.is_empty() {
             Ok(())
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
     /// The override that it becomes.
-    pub fn into_override(self, id: Id, now: Millis) -> Override {
+    pub fn into_override(self, id: OverrideId, now: Millis) -> Override {
         let Draft {
             kind,
             who,
@@ -224,15 +230,19 @@
 }
 
 /// Checks an expiry.
-pub(crate) fn check_expiry(expires_at: Millis, now: Millis, limits: &Limits) -> Result<(), Fault> {
+pub(crate) fn check_expiry(
+    expires_at: Millis,
+    now: Millis,
+    limits: &Limits,
+) -> Result<(), FieldError> {
     if expires_at <= now {
-        return Err(Fault::new("expires", "lies in the past"));
+        return Err(FieldError::new("expires", "lies in the past"));
     }
-    if expires_at - now > limits.longest {
-        let most = limits.longest / 1_000;
-        return Err(Fault::new(
+    if expires_at - now > limits.max_duration_ms {
+        let max_duration_s = limits.max_duration_ms / 1_000;
+        return Err(FieldError::new(
             "expires",
-            format!("more than {most} s from now, the longest span here"),
+            format!("more than {max_duration_s} s from now, the longest span here"),
         ));
     }
     Ok(())
@@ -251,9 +261,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
     /// Its number.
-    pub id: Id,
+    pub id: OverrideId,
     /// What it does.
-    pub kind: Kind,
+    pub kind: OverrideKind,
     /// The author.
     pub who: String,
     /// The reason.
@@ -274,7 +284,7 @@
 
 impl Override {
     /// When it ended or will end.
-    pub fn end(&self) -> Millis {
+    pub fn ends_at(&self) -> Millis {
         self.removed_at
             .map_or(self.expires_at, |at| at.min(self.expires_at))
             .max(self.created_at)
@@ -282,7 +292,7 @@
 
     /// Whether it is in effect at a time.
     pub fn is_active_at(&self, at: Millis) -> bool {
-        self.created_at <= at && at < self.end()
+        self.created_at <= at && at < self.ends_at()
     }
 
     /// Changes its expiry.
@@ -291,7 +301,7 @@
         expires_at: Millis,
         now: Millis,
         limits: &Limits,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FieldError> {
         check_expiry(expires_at, now, limits)?;
         self.expires_at = expires_at;
         self.revision += 1;
--- a/crates/overrides/src/pace.rs
+++ b/crates/overrides/src/pace.rs
@@ -4,19 +4,19 @@
 
 /// Counts permitted migrations. Unused permits expire after a second, so that they cause no burst.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct MigrationPacer {
     rate: f64,
     credit: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-impl Pace {
+impl MigrationPacer {
     /// Starts at a rate per second; the first is permitted at once.
-    pub fn new(rate: f64, now: Millis) -> Pace {
-        Pace {
+    pub fn new(rate: f64, now: Millis) -> MigrationPacer {
+        MigrationPacer {
             rate,
             credit: 1.0,
-            at: now,
+            updated_at: now,
         }
     }
 
@@ -26,17 +26,17 @@
     }
 
     /// Number permitted now, at most `there`.
-    pub fn permitted(&mut self, now: Millis, there: usize) -> usize {
-        let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
-        self.at = now;
-        self.credit = (self.credit + passed * self.rate).min(self.rate.max(1.0));
-        let due = (self.credit as usize).min(there);
-        self.credit -= due as f64;
-        due
+    pub fn take_permits(&mut self, now: Millis, available: usize) -> usize {
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1_000.0;
+        self.updated_at = now;
+        self.credit = (self.credit + elapsed_s * self.rate).min(self.rate.max(1.0));
+        let permits = (self.credit as usize).min(available);
+        self.credit -= permits as f64;
+        permits
     }
 
     /// Time until the next one is permitted.
-    pub fn wait(&self) -> Millis {
+    pub fn time_to_next_ms(&self) -> Millis {
         ((1.0 - self.credit).max(0.0) / self.rate * 1_000.0)
             .ceil()
             .max(1.0) as Millis
--- a/crates/overrides/tests/model.rs
+++ b/crates/overrides/tests/model.rs
@@ -20,71 +20,75 @@
 }
 
 impl Model {
-    fn latest(&self, at: Millis, fits: impl Fn(&Override) -> bool) -> Option<&Override> {
+    fn latest(&self, at: Millis, matches: impl Fn(&Override) -> bool) -> Option<&Override> {
         self.all
             .iter()
-            .filter(|one| one.is_active_at(at) && fits(one))
-            .max_by_key(|one| one.id)
+            .filter(|record| record.is_active_at(at) && matches(record))
+            .max_by_key(|record| record.id)
     }
 
     fn winner(&self, server: &str, at: Millis) -> Option<&Override> {
-        let out =
-            |one: &Override| matches!(&one.kind, Kind::Out { server: name, .. } if name == server);
-        let weight = |one: &Override| matches!(&one.kind, Kind::Weight { server: name, .. } if name == server);
+        let out = |record: &Override| matches!(&record.kind, OverrideKind::Out { server: name, .. } if name == server);
+        let weight = |record: &Override| matches!(&record.kind, OverrideKind::Weight { server: name, .. } if name == server);
         self.latest(at, out).or_else(|| self.latest(at, weight))
     }
 
     fn target(&self, server: &str, at: Millis) -> f64 {
-        match self.winner(server, at).map(|one| &one.kind) {
-            Some(Kind::Out { .. }) => 0.0,
-            Some(Kind::Weight { factor, .. }) => *factor,
+        match self.winner(server, at).map(|record| &record.kind) {
+            Some(OverrideKind::Out { .. }) => 0.0,
+            Some(OverrideKind::Weight { factor, .. }) => *factor,
             _ => 1.0,
         }
     }
 
     fn server(&self, server: &str, now: Millis) -> ServerAdjustment {
-        let to = self.target(server, now);
-        if to == 0.0 {
+        let target_factor = self.target(server, now);
+        if target_factor == 0.0 {
             return ServerAdjustment {
-                out: true,
+                is_out: true,
                 factor: 0.0,
-                to: 0.0,
+                target_factor: 0.0,
             };
         }
-        let mut factor = to;
+        let mut factor = target_factor;
         for at in (now + 1).saturating_sub(self.ramp).max(1)..=now {
-            let before = self.target(server, at - 1);
-            if before < to {
+            let previous = self.target(server, at - 1);
+            if previous < target_factor {
                 let steps = ((now - at) * 20 / self.ramp) as f64;
-                factor = factor.min(before + (to - before) * (steps / 20.0));
+                factor = factor.min(previous + (target_factor - previous) * (steps / 20.0));
             }
         }
         ServerAdjustment {
-            out: false,
-            factor: factor.max(to * 0.1),
-            to,
+            is_out: false,
+            factor: factor.max(target_factor * 0.1),
+            target_factor,
         }
     }
 
-    fn pin(&self, group: &str, tenant: &str, now: Millis) -> Option<(Id, String, Strictness)> {
-        let of = |wanted: Subject| {
+    fn pin(
+        &self,
+        group: &str,
+        tenant: &str,
+        now: Millis,
+    ) -> Option<(OverrideId, String, Strictness)> {
+        let latest_of = |wanted: Subject| {
             self.latest(
                 now,
-                |one| matches!(&one.kind, Kind::Pin { subject, .. } if *subject == wanted),
+                |record| matches!(&record.kind, OverrideKind::Pin { subject, .. } if *subject == wanted),
             )
         };
-        let one =
-            of(Subject::Group(group.into())).or_else(|| of(Subject::Tenant(tenant.into())))?;
-        match &one.kind {
-            Kind::Pin {
+        let record = latest_of(Subject::Group(group.into()))
+            .or_else(|| latest_of(Subject::Tenant(tenant.into())))?;
+        match &record.kind {
+            OverrideKind::Pin {
                 server, strictness, ..
-            } => Some((one.id, server.clone(), *strictness)),
+            } => Some((record.id, server.clone(), *strictness)),
             _ => None,
         }
     }
 
     /// All that can be seen at a moment.
-    fn seen(&self, now: Millis) -> Vec<String> {
+    fn observations(&self, now: Millis) -> Vec<String> {
         let servers = SERVERS
             .iter()
             .map(|server| format!("{:?}", self.server(server, now)));
@@ -97,17 +101,17 @@
     }
 }
 
-fn kind() -> impl Strategy<Value = Kind> {
+fn kind() -> impl Strategy<Value = OverrideKind> {
     let server = || prop::sample::select(SERVERS.as_slice()).prop_map(str::to_owned);
     let name = || prop::sample::select(NAMES.as_slice()).prop_map(str::to_owned);
     let strictness = prop_oneof![Just(Strictness::Prefer), Just(Strictness::Strict)];
     prop_oneof![
-        server().prop_map(|server| Kind::Out {
+        server().prop_map(|server| OverrideKind::Out {
             server,
             moves_per_s: None
         }),
         (server(), prop::sample::select(vec![0.25, 0.5, 2.0, 4.0]))
-            .prop_map(|(server, factor)| Kind::Weight { server, factor }),
+            .prop_map(|(server, factor)| OverrideKind::Weight { server, factor }),
         (name(), any::<bool>(), server(), strictness).prop_map(
             |(name, group, server, strictness)| {
                 let subject = if group {
@@ -115,7 +119,7 @@
                 } else {
                     Subject::Tenant(name)
                 };
-                Kind::Pin {
+                OverrideKind::Pin {
                     subject,
                     server,
                     strictness,
@@ -127,8 +131,8 @@
 
 /// What is done to the overrides, at a moment.
 #[derive(Clone, Debug)]
-enum Deed {
-    Add(Kind, Millis),
+enum Operation {
+    Add(OverrideKind, Millis),
     /// The one of this place among all, modulo their count, ends so much later.
     Extend(usize, Millis),
     Remove(usize),
@@ -138,33 +142,33 @@
     Prune,
 }
 
-fn deeds() -> impl Strategy<Value = Vec<(Millis, Deed)>> {
-    let deed = prop_oneof![
-        4 => (kind(), 1..150_u64).prop_map(|(kind, span)| Deed::Add(kind, span)),
-        1 => (any::<usize>(), 1..150_u64).prop_map(|(at, span)| Deed::Extend(at, span)),
-        1 => any::<usize>().prop_map(Deed::Remove),
-        1 => Just(Deed::Restart),
-        1 => Just(Deed::Prune),
+fn operations() -> impl Strategy<Value = Vec<(Millis, Operation)>> {
+    let operation = prop_oneof![
+        4 => (kind(), 1..150_u64).prop_map(|(kind, span)| Operation::Add(kind, span)),
+        1 => (any::<usize>(), 1..150_u64).prop_map(|(at, span)| Operation::Extend(at, span)),
+        1 => any::<usize>().prop_map(Operation::Remove),
+        1 => Just(Operation::Restart),
+        1 => Just(Operation::Prune),
     ];
-    prop::collection::vec((1..END, deed), 0..16).prop_map(|mut deeds| {
-        deeds.sort_by_key(|(at, _)| *at);
-        deeds
+    prop::collection::vec((1..END, operation), 0..16).prop_map(|mut operations| {
+        operations.sort_by_key(|(at, _)| *at);
+        operations
     })
 }
 
 fn limits() -> Limits {
     Limits {
-        longest: 1_000,
-        most: 100,
-        ramp: 0,
+        max_duration_ms: 1_000,
+        max_count: 100,
+        ramp_ms: 0,
     }
 }
 
 /// The set's own view of all that the model sees.
-fn seen(set: &Set, now: Millis) -> Vec<String> {
+fn observations(set: &OverrideSet, now: Millis) -> Vec<String> {
     let servers = SERVERS
         .iter()
-        .map(|server| format!("{:?}", set.server(server, now)));
+        .map(|server| format!("{:?}", set.server_adjustment(server, now)));
     let pins = NAMES
         .iter()
         .flat_map(|group| NAMES.iter().map(move |tenant| (group, tenant)));
@@ -178,9 +182,15 @@
     servers.chain(pins.map(pin)).collect()
 }
 
-fn act(set: &mut Set, model: &mut Model, next: &mut u64, now: Millis, deed: Deed) {
-    match deed {
-        Deed::Add(kind, span) => {
+fn apply(
+    set: &mut OverrideSet,
+    model: &mut Model,
+    next: &mut u64,
+    now: Millis,
+    operation: Operation,
+) {
+    match operation {
+        Operation::Add(kind, span) => {
             let draft = Draft {
                 kind,
                 who: "w".into(),
@@ -188,41 +198,41 @@
                 expires_at: now + span,
             };
             draft.check(now, &limits()).expect("a sound draft");
-            let one = draft.into_override(Id(*next), now);
+            let record = draft.into_override(OverrideId(*next), now);
             *next += 1;
-            model.all.push(one.clone());
-            set.put(one);
+            model.all.push(record.clone());
+            set.insert(record);
         }
-        Deed::Extend(at, span) if !model.all.is_empty() => {
+        Operation::Extend(at, span) if !model.all.is_empty() => {
             let at = at % model.all.len();
-            let one = &mut model.all[at];
-            if one.is_active_at(now) {
-                one.extend(now + span, now, &limits()).expect("in range");
-                set.put(one.clone());
+            let record = &mut model.all[at];
+            if record.is_active_at(now) {
+                record.extend(now + span, now, &limits()).expect("in range");
+                set.insert(record.clone());
             }
         }
-        Deed::Remove(at) if !model.all.is_empty() => {
+        Operation::Remove(at) if !model.all.is_empty() => {
             let at = at % model.all.len();
-            let one = &mut model.all[at];
-            if one.is_active_at(now) {
-                one.remove(now);
-                set.put(one.clone());
+            let record = &mut model.all[at];
+            if record.is_active_at(now) {
+                record.remove(now);
+                set.insert(record.clone());
             }
         }
         // A store gives the records back in any order.
-        Deed::Restart => {
+        Operation::Restart => {
             let mut records: Vec<Override> = set.iter().cloned().collect();
             records.reverse();
-            *set = Set::new(model.ramp);
-            records.into_iter().for_each(|one| set.put(one));
+            *set = OverrideSet::new(model.ramp);
+            records.into_iter().for_each(|record| set.insert(record));
         }
-        Deed::Prune => {
-            for id in set.spent(now) {
-                let gone = set.forget(id).expect("it was there");
-                assert!(gone.end() + model.ramp <= now, "still felt");
+        Operation::Prune => {
+            for id in set.expired_effects(now) {
+                let discarded = set.discard(id).expect("it was there");
+                assert!(discarded.ends_at() + model.ramp <= now, "still felt");
             }
         }
-        Deed::Extend(..) | Deed::Remove(_) => {}
+        Operation::Extend(..) | Operation::Remove(_) => {}
     }
 }
 
@@ -230,86 +240,86 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(120) })]
 
     #[test]
-    fn any_sequence_is_seen_as_the_model_sees_it_at_every_moment(deeds in deeds(), ramp in prop::sample::select(RAMPS.as_slice())) {
-        let (mut set, mut model, mut next) = (Set::new(ramp), Model { all: Vec::new(), ramp }, 1);
-        let mut by_time: BTreeMap<Millis, Vec<Deed>> = BTreeMap::new();
-        for (at, deed) in deeds {
-            by_time.entry(at).or_default().push(deed);
+    fn matches_model_for_any_sequence(operations in operations(), ramp in prop::sample::select(RAMPS.as_slice())) {
+        let (mut set, mut model, mut next) = (OverrideSet::new(ramp), Model { all: Vec::new(), ramp }, 1);
+        let mut by_time: BTreeMap<Millis, Vec<Operation>> = BTreeMap::new();
+        for (at, operation) in operations {
+            by_time.entry(at).or_default().push(operation);
         }
-        let mut before: Option<Vec<String>> = None;
-        let mut promised: Option<Millis> = None;
+        let mut previous: Option<Vec<String>> = None;
+        let mut announced: Option<Millis> = None;
         for now in 0..END + 200 {
-            let acted = by_time.remove(&now).into_iter().flatten().map(|deed| {
-                act(&mut set, &mut model, &mut next, now, deed);
+            let has_acted = by_time.remove(&now).into_iter().flatten().map(|operation| {
+                apply(&mut set, &mut model, &mut next, now, operation);
             }).count() > 0;
-            let (here, there) = (seen(&set, now), model.seen(now));
-            prop_assert_eq!(&here, &there, "at {}", now);
-            // Nothing changes by itself but at the moments that were promised.
-            if !acted && before.as_ref().is_some_and(|before| *before != here) {
-                prop_assert_eq!(promised, Some(now), "an unannounced change");
+            let (actual, expected) = (observations(&set, now), model.observations(now));
+            prop_assert_eq!(&actual, &expected, "at {}", now);
+            // Nothing changes by itself but at the moments that were announced.
+            if !has_acted && previous.as_ref().is_some_and(|previous| *previous != actual) {
+                prop_assert_eq!(announced, Some(now), "an unannounced change");
             }
-            let due = promised.is_some_and(|at| at <= now);
-            if acted || due || promised.is_none() {
-                promised = set.next_change(now);
-                prop_assert!(promised.is_none_or(|at| at > now));
+            let is_due = announced.is_some_and(|at| at <= now);
+            if has_acted || is_due || announced.is_none() {
+                announced = set.next_change(now);
+                prop_assert!(announced.is_none_or(|at| at > now));
             }
-            before = Some(here);
+            previous = Some(actual);
         }
         prop_assert!(set.next_change(END + 200).is_none(), "all is quiet at the end");
-        prop_assert_eq!(set.spent(END + 200).len(), set.len());
+        prop_assert_eq!(set.expired_effects(END + 200).len(), set.len());
     }
 
     #[test]
-    fn ends_are_told_once_and_none_is_missed(
-        deeds in deeds(),
+    fn reports_each_end_exactly_once(
+        operations in operations(),
         stride in 1..90_u64,
         ramp in prop::sample::select(RAMPS.as_slice()),
     ) {
-        let (mut set, mut model, mut next) = (Set::new(ramp), Model { all: Vec::new(), ramp }, 1);
-        for (at, deed) in deeds {
-            if !matches!(deed, Deed::Prune) {
-                act(&mut set, &mut model, &mut next, at, deed);
+        let (mut set, mut model, mut next) = (OverrideSet::new(ramp), Model { all: Vec::new(), ramp }, 1);
+        for (at, operation) in operations {
+            if !matches!(operation, Operation::Prune) {
+                apply(&mut set, &mut model, &mut next, at, operation);
             }
         }
-        let mut told = Vec::new();
+        let mut ended = Vec::new();
         let mut from = 0;
         while from < END + 400 {
-            told.extend(set.ended_between(from, from + stride));
+            ended.extend(set.ended_between(from, from + stride));
             from += stride;
         }
-        told.sort();
-        let all: Vec<Id> = model.all.iter().map(|one| one.id).collect();
-        prop_assert_eq!(told, all);
+        ended.sort();
+        let all: Vec<OverrideId> = model.all.iter().map(|record| record.id).collect();
+        prop_assert_eq!(ended, all);
     }
 
     #[test]
-    fn a_judgement_names_the_places_without_a_server(deeds in deeds(), zones in prop::collection::vec(0..2_usize, 3)) {
+    fn finds_zones_without_ready_server(operations in operations(), zones in prop::collection::vec(0..2_usize, 3)) {
         let ramp = 40;
-        let (mut set, mut model, mut next) = (Set::new(ramp), Model { all: Vec::new(), ramp }, 1);
-        for (at, deed) in deeds {
-            act(&mut set, &mut model, &mut next, at, deed);
+        let (mut set, mut model, mut next) = (OverrideSet::new(ramp), Model { all: Vec::new(), ramp }, 1);
+        for (at, operation) in operations {
+            apply(&mut set, &mut model, &mut next, at, operation);
         }
         let listed: Vec<(&str, &str)> = SERVERS.into_iter().zip(zones.iter().map(|zone| NAMES[*zone])).collect();
-        let found = assess(listed.iter().copied(), &set, END);
+        let found = find_coverage_gaps(listed.iter().copied(), &set, END);
         let empty = |zone: &str| {
-            let mut there = listed.iter().filter(|(_, of)| *of == zone).peekable();
-            there.peek().is_some() && there.all(|(name, _)| model.server(name, END).out)
+            let mut in_zone = listed.iter().filter(|(_, of)| *of == zone).peekable();
+            in_zone.peek().is_some() && in_zone.all(|(name, _)| model.server(name, END).is_out)
         };
         let expected: Vec<String> = NAMES.into_iter().filter(|zone| empty(zone)).map(str::to_owned).collect();
         let mut zones = found.zones.clone();
         zones.sort();
         prop_assert_eq!(zones, expected);
-        prop_assert_eq!(found.all_servers, listed.iter().all(|(name, _)| model.server(name, END).out));
+        prop_assert_eq!(found.all_servers, listed.iter().all(|(name, _)| model.server(name, END).is_out));
     }
 
     #[test]
-    fn moves_keep_to_their_rate(rate in 0.1..200.0_f64, asks in prop::collection::vec(1..400_u64, 1..80)) {
-        let mut pace = Pace::new(rate, 0);
-        let (mut now, mut moved) = (0, 0);
-        for wait in asks {
+    fn limits_migrations_to_rate(rate in 0.1..200.0_f64, waits in prop::collection::vec(1..400_u64, 1..80)) {
+        let mut pacer = MigrationPacer::new(rate, 0);
+        let (mut now, mut migrated) = (0, 0);
+        for wait in waits {
             now += wait;
-            moved += pace.permitted(now, 1_000);
-            prop_assert!(moved as f64 <= 1.0 + rate * now as f64 / 1_000.0 + 1e-6, "{} by {}", moved, now);
+            migrated += pacer.take_permits(now, 1_000);
+            prop_assert!(migrated as f64 <= 1.0 + rate * now as f64 / 1_000.0 + 1e-6, "{} by {}", migrated, now);
         }
     }
 }
--- a/crates/overrides/tests/rules.rs
+++ b/crates/overrides/tests/rules.rs
@@ -4,7 +4,7 @@
 
 const HOUR: Millis = 3_600_000;
 
-fn draft(kind: Kind, expires_at: Millis) -> Draft {
+fn draft(kind: OverrideKind, expires_at: Millis) -> Draft {
     Draft {
         kind,
         who: "ada".into(),
@@ -13,22 +13,22 @@
     }
 }
 
-fn out(server: &str) -> Kind {
-    Kind::Out {
+fn out(server: &str) -> OverrideKind {
+    OverrideKind::Out {
         server: server.into(),
         moves_per_s: None,
     }
 }
 
-fn weight(server: &str, factor: f64) -> Kind {
-    Kind::Weight {
+fn weight(server: &str, factor: f64) -> OverrideKind {
+    OverrideKind::Weight {
         server: server.into(),
         factor,
     }
 }
 
-fn pin(group: &str, server: &str) -> Kind {
-    Kind::Pin {
+fn pin(group: &str, server: &str) -> OverrideKind {
+    OverrideKind::Pin {
         subject: Subject::Group(group.into()),
         server: server.into(),
         strictness: Strictness::Prefer,
@@ -36,48 +36,51 @@
 }
 
 #[test]
-fn every_fault_is_named_by_its_field() {
+fn reports_every_invalid_field() {
     let limits = Limits::default();
     let fields = |draft: Draft| -> Vec<&str> {
         draft
             .check(1_000, &limits)
             .expect_err("refused")
             .iter()
-            .map(|fault| fault.field)
+            .map(|error| error.field)
             .collect()
     };
-    let mut all = draft(weight("", 0.0), 1_000);
-    (all.who, all.why) = (String::new(), "a\nline".into());
-    assert_eq!(fields(all), ["who", "why", "server", "factor", "expires"]);
+    let mut invalid = draft(weight("", 0.0), 1_000);
+    (invalid.who, invalid.why) = (String::new(), "a\nline".into());
+    assert_eq!(
+        fields(invalid),
+        ["who", "why", "server", "factor", "expires"]
+    );
     assert_eq!(fields(draft(weight("s", f64::NAN), 2_000)), ["factor"]);
     assert_eq!(fields(draft(weight("s", 1e9), 2_000)), ["factor"]);
     assert_eq!(fields(draft(out(&"s".repeat(129)), 2_000)), ["server"]);
     assert_eq!(
-        fields(draft(out("s"), 1_000 + limits.longest + 1)),
+        fields(draft(out("s"), 1_000 + limits.max_duration_ms + 1)),
         ["expires"]
     );
     assert_eq!(fields(draft(pin("", "s"), 2_000)), ["group"]);
-    let fast = Kind::Out {
+    let fast = OverrideKind::Out {
         server: "s".into(),
         moves_per_s: Some(f64::INFINITY),
     };
     assert_eq!(fields(draft(fast, 2_000)), ["moves_per_s"]);
     assert_eq!(
-        draft(out("s"), 1_000 + limits.longest).check(1_000, &limits),
+        draft(out("s"), 1_000 + limits.max_duration_ms).check(1_000, &limits),
         Ok(())
     );
 }
 
 #[test]
-fn effects_say_what_holds_and_what_stands_behind_it() {
-    let mut set = Set::new(1_000);
-    set.put(draft(out("a"), 9_000).into_override(Id(1), 0));
-    set.put(draft(weight("a", 0.5), 9_000).into_override(Id(2), 0));
-    set.put(draft(weight("a", 0.2), 5_000).into_override(Id(3), 0));
-    set.put(draft(pin("north", "a"), 9_000).into_override(Id(4), 0));
-    set.put(draft(pin("north", "b"), 5_000).into_override(Id(5), 0));
+fn reports_effect_and_shadowing_override() {
+    let mut set = OverrideSet::new(1_000);
+    set.insert(draft(out("a"), 9_000).into_override(OverrideId(1), 0));
+    set.insert(draft(weight("a", 0.5), 9_000).into_override(OverrideId(2), 0));
+    set.insert(draft(weight("a", 0.2), 5_000).into_override(OverrideId(3), 0));
+    set.insert(draft(pin("north", "a"), 9_000).into_override(OverrideId(4), 0));
+    set.insert(draft(pin("north", "b"), 5_000).into_override(OverrideId(5), 0));
     let effect = |id, listed, now| {
-        set.effect(Id(id), listed, now)
+        set.effect(OverrideId(id), listed, now)
             .map(|effect| effect.to_string())
     };
     assert_eq!(effect(1, Listed::Ready, 10).as_deref(), Some("in effect"));
@@ -98,7 +101,7 @@
         Some("server takes nothing new")
     );
     assert_eq!(
-        effect(5, Listed::Leaving, 10).as_deref(),
+        effect(5, Listed::Draining, 10).as_deref(),
         Some("server takes nothing new")
     );
     assert_eq!(effect(3, Listed::Ready, 6_000).as_deref(), Some("ended"));
@@ -106,25 +109,25 @@
 }
 
 #[test]
-fn a_server_that_is_back_rises_in_steps_and_never_at_once() {
-    let mut set = Set::new(20_000);
-    set.put(draft(out("a"), 100_000).into_override(Id(1), 50_000));
-    let factor = |now| set.server("a", now).factor;
+fn ramps_returning_server_in_steps() {
+    let mut set = OverrideSet::new(20_000);
+    set.insert(draft(out("a"), 100_000).into_override(OverrideId(1), 50_000));
+    let factor = |now| set.server_adjustment("a", now).factor;
     assert_eq!(
-        set.server("a", 99_999),
+        set.server_adjustment("a", 99_999),
         ServerAdjustment {
-            out: true,
+            is_out: true,
             factor: 0.0,
-            to: 0.0
+            target_factor: 0.0
         }
     );
     assert_eq!(factor(100_000), 0.1);
-    let risen: Vec<f64> = (0..=20)
+    let ramped: Vec<f64> = (0..=20)
         .map(|step| factor(100_000 + step * 1_000))
         .collect();
     assert!(
-        risen.is_sorted() && risen[10] == 0.5 && risen[20] == 1.0,
-        "{risen:?}"
+        ramped.is_sorted() && ramped[10] == 0.5 && ramped[20] == 1.0,
+        "{ramped:?}"
     );
     // The wakings in between are few: one for each step.
     let mut now = 99_999;
@@ -133,45 +136,49 @@
 }
 
 #[test]
-fn the_wall_clock_is_followed_by_word_and_not_by_deed() {
-    let mut watch = StepWatch::default();
+fn reports_each_wall_clock_step_once() {
+    let mut detector = ClockStepDetector::default();
     assert_eq!(
-        watch.check(1_000, 1_200),
+        detector.check(1_000, 1_200),
         None,
         "the two are not read in one instant"
     );
     assert_eq!(
-        watch.check(2_000, 2_000 + HOUR),
-        Some(Step {
-            ahead_by: HOUR as i64
+        detector.check(2_000, 2_000 + HOUR),
+        Some(ClockStep {
+            ahead_by_ms: HOUR as i64
         })
     );
-    assert_eq!(watch.check(3_000, 3_000 + HOUR), None, "told once");
+    assert_eq!(detector.check(3_000, 3_000 + HOUR), None, "told once");
     assert_eq!(
-        watch.check(4_000, 4_000 - 3_000),
-        Some(Step { ahead_by: -3_000 })
+        detector.check(4_000, 4_000 - 3_000),
+        Some(ClockStep {
+            ahead_by_ms: -3_000
+        })
     );
     assert_eq!(
-        watch.check(u64::MAX, 0),
-        Some(Step { ahead_by: i64::MIN }),
+        detector.check(u64::MAX, 0),
+        Some(ClockStep {
+            ahead_by_ms: i64::MIN
+        }),
         "no figure is too large"
     );
 }
 
 #[test]
-fn a_clock_put_back_before_a_restart_does_not_keep_an_override_for_longer_than_it_was_granted() {
-    let one = draft(out("a"), 10 * HOUR + 60_000).into_override(Id(1), 10 * HOUR);
+fn bounds_expiry_when_clock_is_set_back() {
+    let record = draft(out("a"), 10 * HOUR + 60_000).into_override(OverrideId(1), 10 * HOUR);
     assert_eq!(
-        bounded_expiry(&one, 10 * HOUR + 5_000),
+        bounded_expiry(&record, 10 * HOUR + 5_000),
         (10 * HOUR + 60_000, None)
     );
     assert_eq!(
-        bounded_expiry(&one, 11 * HOUR),
+        bounded_expiry(&record, 11 * HOUR),
         (10 * HOUR + 60_000, None),
         "it ended meanwhile"
     );
     assert_eq!(
-        bounded_expiry(&one, 9 * HOUR),
+        bounded_expiry(&record, 9 * HOUR),
         (9 * HOUR + 60_000, Some(HOUR))
     );
 }
--- a/crates/recovery/src/accessors.rs
+++ b/crates/recovery/src/accessors.rs
@@ -19,19 +19,19 @@
     pub fn validity(&self, kind: RememberedKind) -> Validity {
         self.validities
             .get(&kind)
-            .map_or(Validity::Discarded, |(verdict, _)| *verdict)
+            .map_or(Validity::Discarded, |(validity, _)| *validity)
     }
 
     /// The extent of the outage, as far as it is decided.
     pub fn scope(&self) -> OutageScope {
-        self.finding
+        self.scope_finding
             .as_ref()
-            .map_or(OutageScope::Unknown, |finding| finding.scope)
+            .map_or(OutageScope::Unknown, |scope_finding| scope_finding.scope)
     }
 
     /// Whether the wall clock is reliable, for [`crate::PeerStatus::wall_clock`].
-    pub fn clock_is_sound(&self) -> bool {
-        self.clock.as_ref().is_some_and(WallClock::is_sound)
+    pub fn is_clock_reliable(&self) -> bool {
+        self.clock.as_ref().is_some_and(WallClock::is_reliable)
     }
 
     /// Whether a placement from this wall time is valid: its server has not restarted and accepts
@@ -48,13 +48,13 @@
             return false;
         };
         let age = clock.age(self.last_event_at, placed_at);
-        let is_young = age.is_some_and(|age| age <= self.config.retention.placements);
-        let before = server.has_restarted
+        let is_recent = age.is_some_and(|age| age <= self.config.retention.placements);
+        let is_before_restart = server.has_restarted
             && self
                 .memory
                 .as_ref()
-                .is_some_and(|kept| placed_at <= kept.written_at);
-        is_young && !before && server.entry.started_at_ms <= placed_at
+                .is_some_and(|memory| placed_at <= memory.written_at);
+        is_recent && !is_before_restart && server.entry.started_at_ms <= placed_at
     }
 
     /// Whether a remembered override is valid. One that `restricts` a server stays valid for a time
@@ -78,7 +78,7 @@
 
     /// Whether the present clients may replace the remembered ones. During a recovery a second
     /// power loss would otherwise leave only those admitted so far.
-    pub fn may_remember(&self) -> bool {
+    pub fn can_update_memory(&self) -> bool {
         self.state == RecoveryState::Serving
     }
 
@@ -91,16 +91,17 @@
     /// Former clients of the whole fleet, for [`crate::PeerStatus::previous_clients`], if they are
     /// remembered here.
     pub fn previous_clients(&self) -> Option<f64> {
-        let kept = self
+        let memory = self
             .memory
             .as_ref()
             .filter(|_| self.validity(RememberedKind::FormerClients) == Validity::Hint(1.0))?;
         Some(
-            kept.previous_clients
+            memory
+                .previous_clients
                 .iter()
-                .map(|one| one.clients)
+                .map(|previous| previous.clients)
                 .sum::<f64>(),
         )
-        .filter(|all| *all > 0.0)
+        .filter(|total| *total > 0.0)
     }
 }
--- a/crates/recovery/src/admission_curve.rs
+++ b/crates/recovery/src/admission_curve.rs
@@ -8,7 +8,7 @@
 const POINTS_PER_WARM_UP: u64 = 64;
 const MAX_POINTS: u64 = 1_024;
 /// The odds against a server being overloaded by chance during one recovery.
-const OVERLOAD_ODDS: f64 = 1_000.0;
+const INVERSE_OVERLOAD_PROBABILITY: f64 = 1_000.0;
 /// Least fraction of a limit that is used: for a limit of one or two clients no fraction would be
 /// safe.
 const MIN_USED_FRACTION: f64 = 0.15;
@@ -25,41 +25,45 @@
 pub(crate) type WarmingServer = (f64, i64);
 
 /// The fraction of its capacity that a server has.
-pub(crate) fn capacity_fraction(slow_start: &SlowStartRules, born: i64, now: i64) -> f64 {
-    let age = now.saturating_sub(born);
+pub(crate) fn capacity_fraction(slow_start: &SlowStartRules, started_at: i64, now: i64) -> f64 {
+    let age = now.saturating_sub(started_at);
     if age < 0 {
         return 0.0;
     }
-    let part = if slow_start.warm_up_time == 0 {
+    let warm_fraction = if slow_start.warm_up_time == 0 {
         1.0
     } else {
         (age as f64 / slow_start.warm_up_time as f64).min(1.0)
     };
-    slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * part
+    slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * warm_fraction
 }
 
 /// The fraction of a limit that can be used if clients choose servers at random and arrive in
 /// groups of `clump`, so that the overload limit is exceeded with probability `exp(-rarity)`
 /// (Chernoff bound).
-fn usable_fraction(allowed: f64, slack: f64, rarity: f64, clump: f64) -> f64 {
-    let tips = (allowed + slack * (allowed.sqrt() + 1.0)) / clump;
-    let allowed = allowed / clump;
+fn usable_fraction(allowed: f64, slack: f64, rarity: f64, group_batch: f64) -> f64 {
+    let overload_limit = (allowed + slack * (allowed.sqrt() + 1.0)) / group_batch;
+    let allowed = allowed / group_batch;
     let is_rare = |used: f64| {
         // The probability above the limit, from the tail of the Poisson distribution.
-        let part = (2.0 * std::f64::consts::PI * tips).sqrt() * (1.0 - used / tips);
-        used - tips + tips * (tips / used).ln() + part.max(1.0).ln() >= rarity
+        let tail_factor =
+            (2.0 * std::f64::consts::PI * overload_limit).sqrt() * (1.0 - used / overload_limit);
+        used - overload_limit
+            + overload_limit * (overload_limit / used).ln()
+            + tail_factor.max(1.0).ln()
+            >= rarity
     };
-    let (mut low, mut high) = (0.0, allowed);
+    let (mut safe, mut unsafe_above) = (0.0, allowed);
     for _ in 0..32 {
-        let middle = (low + high) / 2.0;
+        let middle = (safe + unsafe_above) / 2.0;
         if is_rare(middle) {
-            low = middle
+            safe = middle
         } else {
-            high = middle
+            unsafe_above = middle
         }
     }
     if allowed > 0.0 {
-        (low / allowed).max(MIN_USED_FRACTION)
+        (safe / allowed).max(MIN_USED_FRACTION)
     } else {
         MIN_USED_FRACTION
     }
@@ -73,58 +77,60 @@
         base: f64,
         servers: &[WarmingServer],
         slow_start: &SlowStartRules,
-        (sustainable_arrivals, clump): (f64, f64),
+        (sustainable_arrivals, group_batch): (f64, f64),
     ) -> AdmissionCurve {
-        let last = servers
+        let last_warm_at = servers
             .iter()
-            .map(|(_, born)| born.saturating_add(slow_start.warm_up_time as i64))
+            .map(|(_, started_at)| started_at.saturating_add(slow_start.warm_up_time as i64))
             .max()
             .unwrap_or(0);
-        let until = u64::try_from(last)
+        let span = u64::try_from(last_warm_at)
             .unwrap_or(0)
             .saturating_sub(start)
             .max(slow_start.warm_up_time.max(SECOND));
         let step = (slow_start.warm_up_time / POINTS_PER_WARM_UP)
-            .max(until / MAX_POINTS)
+            .max(span / MAX_POINTS)
             .max(1);
-        let rarity = (OVERLOAD_ODDS * servers.len() as f64).ln();
+        let rarity = (INVERSE_OVERLOAD_PROBABILITY * servers.len() as f64).ln();
         // The smallest server has the greatest relative variance.
-        let small = servers
+        let min_weight = servers
             .iter()
             .map(|(weight, _)| *weight)
             .fold(f64::INFINITY, f64::min);
         let rate = |at: Nanos| {
-            let sum = servers
+            let present_weight = servers
                 .iter()
-                .map(|(weight, born)| weight * capacity_fraction(slow_start, *born, at as i64))
+                .map(|(weight, started_at)| {
+                    weight * capacity_fraction(slow_start, *started_at, at as i64)
+                })
                 .sum::<f64>();
-            let all = servers
+            let total_weight = servers
                 .iter()
                 .map(|(weight, _)| weight)
                 .sum::<f64>()
                 .max(f64::MIN_POSITIVE);
-            let each = slow_start.overload_multiple
+            let server_limit = slow_start.overload_multiple
                 * sustainable_arrivals
                 * slow_start.overload_window as f64
                 / SECOND as f64;
             slow_start.overload_multiple
                 * sustainable_arrivals
-                * sum
+                * present_weight
                 * usable_fraction(
-                    each * small * sum / all,
+                    server_limit * min_weight * present_weight / total_weight,
                     slow_start.variance_margin,
                     rarity,
-                    clump,
+                    group_batch,
                 )
         };
         let mut totals = vec![base];
-        let (mut sum, mut now, mut here) = (base, start, rate(start));
-        while now < start.saturating_add(until) {
+        let (mut total, mut now, mut rate_before) = (base, start, rate(start));
+        while now < start.saturating_add(span) {
             now = now.saturating_add(step);
-            let there = rate(now);
-            sum += (here + there) / 2.0 * step as f64 / SECOND as f64;
-            totals.push(sum);
-            here = there;
+            let rate_after = rate(now);
+            total += (rate_before + rate_after) / 2.0 * step as f64 / SECOND as f64;
+            totals.push(total);
+            rate_before = rate_after;
         }
         AdmissionCurve {
             start,
@@ -135,32 +141,32 @@
 
     /// The span until so many clients are admitted, or the whole span if never.
     pub(crate) fn time_to_admit(&self, clients: f64) -> Nanos {
-        let whole = self.step.saturating_mul(self.totals.len() as u64);
-        self.time_of(clients).map_or(whole, |at| at - self.start)
+        let span = self.step.saturating_mul(self.totals.len() as u64);
+        self.time_of(clients).map_or(span, |at| at - self.start)
     }
 
     /// Clients admitted by a time.
     pub(crate) fn admitted_by(&self, now: Nanos) -> f64 {
         let since = now.saturating_sub(self.start) as f64 / self.step as f64;
         let last = self.totals.len() - 1;
-        let place = (since as usize).min(last - 1);
-        self.totals[place] + (self.totals[place + 1] - self.totals[place]) * (since - place as f64)
+        let index = (since as usize).min(last - 1);
+        self.totals[index] + (self.totals[index + 1] - self.totals[index]) * (since - index as f64)
     }
 
     /// When so many clients are admitted, if ever.
     pub(crate) fn time_of(&self, clients: f64) -> Option<Nanos> {
         let last = self.totals.len() - 1;
-        let place = self
+        let index = self
             .totals
-            .partition_point(|sum| *sum < clients)
+            .partition_point(|total| *total < clients)
             .clamp(1, last)
             - 1;
-        let rise = self.totals[place + 1] - self.totals[place];
-        if clients <= self.totals[place] {
-            return Some(self.start.saturating_add(place as u64 * self.step));
+        let increase = self.totals[index + 1] - self.totals[index];
+        if clients <= self.totals[index] {
+            return Some(self.start.saturating_add(index as u64 * self.step));
         }
-        (rise > 0.0).then(|| {
-            let steps = place as f64 + (clients - self.totals[place]) / rise;
+        (increase > 0.0).then(|| {
+            let steps = index as f64 + (clients - self.totals[index]) / increase;
             self.start
                 .saturating_add((steps * self.step as f64) as Nanos)
         })
--- a/crates/recovery/src/admission_order.rs
+++ b/crates/recovery/src/admission_order.rs
@@ -56,11 +56,11 @@
     }
 
     /// The distribution scaled to so many clients; empty if the sample is too small.
-    pub(crate) fn scaled_to(&self, all: f64) -> Vec<PreviousClients> {
+    pub(crate) fn scaled_to(&self, total_clients: f64) -> Vec<PreviousClients> {
         if self.keys.len() < MIN_SAMPLE {
             return Vec::new();
         }
-        let factor = all / self.keys.len() as f64;
+        let factor = total_clients / self.keys.len() as f64;
         let scaled = |((class, account), count): (&(usize, u64), &f64)| PreviousClients {
             class: *class,
             account: *account,
@@ -71,8 +71,8 @@
 }
 
 /// A uniform number from 0 to 1, equal at every balancer.
-fn uniform_hash(of: u64) -> f64 {
-    let mut mixed = of.wrapping_add(0x9e37_79b9_7f4a_7c15);
+fn uniform_hash(key: u64) -> f64 {
+    let mut mixed = key.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
@@ -105,41 +105,41 @@
                 group_spread: 0.0,
             };
         }
-        let mut begins = 0.0;
+        let mut start = 0.0;
         for band in bands.values_mut() {
-            band.start = begins;
-            begins += band.clients;
+            band.start = start;
+            start += band.clients;
             band.divide_by_quota(config);
         }
         AdmissionOrder {
             bands,
-            total: begins,
+            total: start,
             group_spread: 0.0,
         }
     }
 
     /// Number of clients.
-    pub(crate) fn all(&self) -> f64 {
+    pub(crate) fn total_clients(&self) -> f64 {
         self.total
     }
 
     /// Sets the fraction of an account's positions over which a group is spread.
-    pub(crate) fn spread(&mut self, part: f64) {
-        self.group_spread = part.clamp(0.0, 1.0);
+    pub(crate) fn set_group_spread(&mut self, fraction: f64) {
+        self.group_spread = fraction.clamp(0.0, 1.0);
     }
 
     /// The position of a client. The clients of a group are together, or spread as configured.
     pub(crate) fn position(&self, config: &RecoveryConfig, request: &AdmissionRequest) -> f64 {
         let own = uniform_hash(request.client_key.unwrap_or(request.id));
         // Wraps around, so that positions stay uniform.
-        let luck = request.group.map_or(own, |group| {
+        let quantile = request.group.map_or(own, |group| {
             (uniform_hash(group) + self.group_spread * own).fract()
         });
         let priority_rank = rank(config, request.class);
         // An unknown class comes after the last one that is not less urgent.
         match self.bands.range(..=priority_rank).next_back() {
             Some((at, band)) if *at == priority_rank || self.bands.len() == 1 => {
-                band.position(request.account, luck)
+                band.position(request.account, quantile)
             }
             Some((_, band)) => band.start + band.clients,
             None => 0.0,
@@ -171,30 +171,30 @@
     fn divide_by_quota(&mut self, config: &RecoveryConfig) {
         let mut ends = Vec::new();
         for (account, (clients, rounds)) in &mut self.accounts {
-            let share = account_quota(config, *account);
-            *rounds = *clients / share;
-            ends.push((*rounds, *clients, share));
+            let quota = account_quota(config, *account);
+            *rounds = *clients / quota;
+            ends.push((*rounds, *clients, quota));
         }
         ends.sort_by(|one, other| one.0.total_cmp(&other.0));
-        let (mut done, mut shares) = (0.0, ends.iter().map(|end| end.2).sum::<f64>());
-        for (rounds, clients, share) in ends {
-            self.rounds.push((rounds, done, shares));
-            done += clients;
-            shares = (shares - share).max(0.0);
+        let (mut done_clients, mut quotas) = (0.0, ends.iter().map(|end| end.2).sum::<f64>());
+        for (rounds, clients, quota) in ends {
+            self.rounds.push((rounds, done_clients, quotas));
+            done_clients += clients;
+            quotas = (quotas - quota).max(0.0);
         }
     }
 
     /// An unknown account is spread over the whole band.
-    fn position(&self, account: u64, luck: f64) -> f64 {
+    fn position(&self, account: u64, quantile: f64) -> f64 {
         let Some((_, rounds)) = self.accounts.get(&account) else {
-            return self.start + luck * self.clients;
+            return self.start + quantile * self.clients;
         };
-        let round = luck * rounds;
+        let round = quantile * rounds;
         let at = self
             .rounds
             .partition_point(|(end, ..)| *end <= round)
             .min(self.rounds.len() - 1);
-        let (_, done, shares) = self.rounds[at];
-        self.start + done + shares * round
+        let (_, done_clients, quotas) = self.rounds[at];
+        self.start + done_clients + quotas * round
     }
 }
--- a/crates/recovery/src/admission_quota.rs
+++ b/crates/recovery/src/admission_quota.rs
@@ -31,19 +31,20 @@
 
 impl AdmissionQuota {
     /// Accrues quota over a span. Unused quota expires.
-    pub(crate) fn accrue(&mut self, clients: f64, span: Nanos, fall_time: Nanos) {
+    pub(crate) fn accrue(&mut self, clients: f64, span: Nanos, overload_window: Nanos) {
         let seconds = span as f64 / SECOND as f64;
         if seconds <= 0.0 {
             return;
         }
         self.rate = clients / seconds;
         self.available += clients;
-        let tips = self.rate * fall_time as f64 / SECOND as f64;
-        let most = (UNUSED_QUOTA_FRACTION * tips).max(tips.min(1.0));
-        self.lendable = (self.lendable + (self.available - most).max(0.0)).min(most);
-        self.available = self.available.min(most);
+        let overload_clients = self.rate * overload_window as f64 / SECOND as f64;
+        let max_unused = (UNUSED_QUOTA_FRACTION * overload_clients).max(overload_clients.min(1.0));
+        self.lendable = (self.lendable + (self.available - max_unused).max(0.0)).min(max_unused);
+        self.available = self.available.min(max_unused);
         // Borrowed quota had expired at the lender and expires here in the same time.
-        self.borrowed *= (1.0 - span as f64 / (UNUSED_QUOTA_FRACTION * fall_time as f64)).max(0.0);
+        self.borrowed *=
+            (1.0 - span as f64 / (UNUSED_QUOTA_FRACTION * overload_window as f64)).max(0.0);
         self.deferred *= (-seconds / DEFERRED_HALF_LIFE_S).exp2();
     }
 
@@ -57,22 +58,26 @@
             self.borrowed -= 1.0;
             return true;
         }
-        let odds = std::mem::take(&mut self.available) + std::mem::take(&mut self.borrowed);
-        let is_in = rng.random_range(0.0..1.0) < odds;
+        let probability = std::mem::take(&mut self.available) + std::mem::take(&mut self.borrowed);
+        let is_admitted = rng.random_range(0.0..1.0) < probability;
         // Two halves make a whole and leave the rest.
-        self.available = if is_in { (odds - 1.0).max(0.0) } else { 0.0 };
-        if !is_in {
+        self.available = if is_admitted {
+            (probability - 1.0).max(0.0)
+        } else {
+            0.0
+        };
+        if !is_admitted {
             self.deferred += 1.0;
         }
-        is_in
+        is_admitted
     }
 
     /// Receives a loan. A repeated one counts once.
     pub(crate) fn receive_lent(&mut self, from: &str, number: u64, clients: f64) {
         let loans = self.received_transfers.entry(from.to_string()).or_default();
-        let is_old =
+        let is_stale =
             loans.len() >= MAX_LENT_PER_PEER && loans.first().is_some_and(|first| number < *first);
-        if !clients.is_finite() || clients <= 0.0 || is_old || !loans.insert(number) {
+        if !clients.is_finite() || clients <= 0.0 || is_stale || !loans.insert(number) {
             return;
         }
         if loans.len() > MAX_LENT_PER_PEER {
--- a/crates/recovery/src/api.rs
+++ b/crates/recovery/src/api.rs
@@ -29,9 +29,9 @@
 
 /// Origin of a list. A later one in this order is believed before an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
+pub enum ListSource {
     /// The configured list.
-    Known,
+    Configured,
     /// The stored memory.
     Memory,
     /// A peer of another site.
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
     /// Origin.
-    pub source: Source,
+    pub source: ListSource,
     /// Discovery's generation of the list.
     pub generation: u64,
     /// Epoch of discovery, which changes when it loses its state; 0 if not known.
@@ -127,7 +127,7 @@
     /// How long it has admitted clients, if it does.
     pub serving_time: Option<Nanos>,
     /// Whether it serves in full.
-    pub serves_in_full: bool,
+    pub is_in_full_service: bool,
     /// Its wall clock, if it considers it reliable.
     pub wall_clock: Option<Millis>,
     /// Former clients of the whole fleet, as it remembers.
@@ -168,9 +168,9 @@
     /// A list was received.
     ListReceived(List),
     /// A queried source answered. A list is an answer by itself.
-    Answered(EvidenceSource),
+    QueryAnswered(EvidenceSource),
     /// A queried source can't be reached or did not answer.
-    Failed(EvidenceSource),
+    QueryFailed(EvidenceSource),
     /// A server started, by its own report or by a change of the list.
     ServerStarted {
         /// Name of the server.
@@ -318,10 +318,10 @@
         /// The source.
         source: EvidenceSource,
         /// The span, drawn so that the fleet's queries are spread.
-        after: Nanos,
+        delay: Nanos,
     },
     /// The validity of remembered knowledge was decided.
-    RememberedStateJudged {
+    RememberedStateAssessed {
         /// The kind of knowledge.
         kind: RememberedKind,
         /// Its validity.
@@ -379,7 +379,7 @@
         /// The reason.
         reason: String,
         /// When the step ends at the latest, on the host's clock.
-        bound: Option<Nanos>,
+        deadline_at: Option<Nanos>,
     },
 }
 
--- a/crates/recovery/src/clock.rs
+++ b/crates/recovery/src/clock.rs
@@ -11,7 +11,7 @@
     own_base: i64,
     written_at: Option<Millis>,
     peer_bases: BTreeMap<String, i64>,
-    newest_start: Millis,
+    latest_server_start: Millis,
     quality: Option<ClockQuality>,
 }
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClockQuality {
     /// Ages can be computed, with the reason.
-    Sound(&'static str),
+    Reliable(&'static str),
     /// Ages can't be computed, with the reason.
     Unknown(&'static str),
 }
@@ -38,7 +38,7 @@
             own_base,
             written_at,
             peer_bases: BTreeMap::new(),
-            newest_start: 0,
+            latest_server_start: 0,
             quality: None,
         }
     }
@@ -48,34 +48,34 @@
         &mut self,
         now: Nanos,
         wall: Millis,
-        ages: &Retention,
+        retention: &Retention,
     ) -> Option<i64> {
         let step = clock_base(now, wall).saturating_sub(self.own_base);
-        (step.unsigned_abs() > ages.clock_tolerance).then(|| {
+        (step.unsigned_abs() > retention.clock_tolerance).then(|| {
             self.own_base = self.own_base.saturating_add(step);
             step
         })
     }
 
     /// Records the reading of another clock.
-    pub(crate) fn record_peer(&mut self, now: Nanos, whose: &str, wall: Millis) {
+    pub(crate) fn record_peer(&mut self, now: Nanos, peer: &str, wall: Millis) {
         self.peer_bases
-            .insert(whose.to_string(), clock_base(now, wall));
+            .insert(peer.to_string(), clock_base(now, wall));
     }
 
     /// Records the start of a server.
     pub(crate) fn record_server_start(&mut self, at: Millis) {
-        self.newest_start = self.newest_start.max(at);
+        self.latest_server_start = self.latest_server_start.max(at);
     }
 
     /// The age of a wall time, if it can be computed.
     pub(crate) fn age(&self, now: Nanos, at: Millis) -> Option<Millis> {
-        matches!(self.quality, Some(ClockQuality::Sound(_)))
+        matches!(self.quality, Some(ClockQuality::Reliable(_)))
             .then(|| self.wall_time(now).saturating_sub(at))
     }
 
-    pub(crate) fn is_sound(&self) -> bool {
-        matches!(self.quality, Some(ClockQuality::Sound(_)))
+    pub(crate) fn is_reliable(&self) -> bool {
+        matches!(self.quality, Some(ClockQuality::Reliable(_)))
     }
 
     /// The present wall time.
@@ -84,37 +84,37 @@
     }
 
     /// Assesses the clock again; returns its quality if it changed.
-    pub(crate) fn reassess(&mut self, now: Nanos, ages: &Retention) -> Option<ClockQuality> {
-        let judged = self.assess(now, ages);
-        (self.quality != Some(judged)).then(|| {
-            self.quality = Some(judged);
-            judged
+    pub(crate) fn reassess(&mut self, now: Nanos, retention: &Retention) -> Option<ClockQuality> {
+        let quality = self.assess(now, retention);
+        (self.quality != Some(quality)).then(|| {
+            self.quality = Some(quality);
+            quality
         })
     }
 
     /// Other clocks count most, then the own memory and the servers' starts.
-    fn assess(&self, now: Nanos, ages: &Retention) -> ClockQuality {
+    fn assess(&self, now: Nanos, retention: &Retention) -> ClockQuality {
         let wall = self.wall_time(now);
-        let mut others: Vec<i64> = self.peer_bases.values().copied().collect();
-        others.sort_unstable();
-        if let Some(median) = others.get(others.len() / 2) {
-            return if median.abs_diff(self.own_base) <= ages.clock_tolerance {
-                ClockQuality::Sound("others' clocks agree")
+        let mut peer_bases: Vec<i64> = self.peer_bases.values().copied().collect();
+        peer_bases.sort_unstable();
+        if let Some(median) = peer_bases.get(peer_bases.len() / 2) {
+            return if median.abs_diff(self.own_base) <= retention.clock_tolerance {
+                ClockQuality::Reliable("others' clocks agree")
             } else {
                 ClockQuality::Unknown("others' clocks disagree")
             };
         }
-        if self.newest_start > wall.saturating_add(ages.clock_tolerance) {
+        if self.latest_server_start > wall.saturating_add(retention.clock_tolerance) {
             return ClockQuality::Unknown("a server started later than now");
         }
         match self.written_at {
-            Some(at) if wall.saturating_add(ages.clock_tolerance) < at => {
+            Some(at) if wall.saturating_add(retention.clock_tolerance) < at => {
                 ClockQuality::Unknown("memory was written later than now")
             }
-            Some(at) if wall.saturating_sub(at) > ages.max_outage => {
+            Some(at) if wall.saturating_sub(at) > retention.max_outage => {
                 ClockQuality::Unknown("memory says that it was dark for too long to be believed")
             }
-            Some(_) => ClockQuality::Sound("it goes on from where memory was written"),
+            Some(_) => ClockQuality::Reliable("it goes on from where memory was written"),
             None => ClockQuality::Unknown("no other clock confirms it"),
         }
     }
--- a/crates/recovery/src/config.rs
+++ b/crates/recovery/src/config.rs
@@ -196,20 +196,20 @@
 impl RecoveryConfig {
     /// All fields that are outside their range.
     pub fn errors(&self) -> Vec<ConfigError> {
-        let (bounds, ages, slow_start) = (&self.timeouts, &self.retention, &self.slow_start);
-        let is_part = |part: f64| part > 0.0 && part <= 1.0;
+        let (timeouts, retention, slow_start) = (&self.timeouts, &self.retention, &self.slow_start);
+        let is_fraction = |value: f64| value > 0.0 && value <= 1.0;
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
-        let faults = [
+        let checks = [
             ("name", self.name.is_empty()),
             ("fleet", self.fleet_size == 0),
-            ("bounds.refill", bounds.staged_admission == 0),
-            ("bounds.repeat", bounds.max_retry_interval < MS),
+            ("bounds.refill", timeouts.staged_admission == 0),
+            ("bounds.repeat", timeouts.max_retry_interval < MS),
             (
                 "bounds.stopped",
-                bounds.suspended_after < TICK_INTERVAL.saturating_mul(4),
+                timeouts.suspended_after < TICK_INTERVAL.saturating_mul(4),
             ),
-            ("ages.fades", ages.half_life == 0),
-            ("cold.cold_share", !is_part(slow_start.initial_capacity)),
+            ("ages.fades", retention.half_life == 0),
+            ("cold.cold_share", !is_fraction(slow_start.initial_capacity)),
             (
                 "cold.tip_multiple",
                 !is_positive(slow_start.overload_multiple),
@@ -244,9 +244,9 @@
                     .any(|account| !is_positive(account.quota)),
             ),
         ];
-        faults
+        checks
             .into_iter()
-            .filter(|(_, bad)| *bad)
+            .filter(|(_, is_invalid)| *is_invalid)
             .map(|(field, _)| ConfigError { field })
             .collect()
     }
@@ -270,7 +270,7 @@
     }
 
     /// Every process admits clients within this span of its start.
-    pub fn admits_within(&self) -> Nanos {
+    pub fn max_time_to_admission(&self) -> Nanos {
         EvidenceSource::ALL
             .into_iter()
             .map(|source| self.query_timeout(source))
@@ -278,8 +278,8 @@
     }
 
     /// Every process serves in full within this span of its start.
-    pub fn serves_within(&self) -> Nanos {
-        self.admits_within()
+    pub fn max_time_to_full_service(&self) -> Nanos {
+        self.max_time_to_admission()
             .saturating_add(self.timeouts.staged_admission)
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -14,7 +14,7 @@
 //!     fleet_size: 2,
 //!     ..RecoveryConfig::default()
 //! };
-//! let serves_within = config.serves_within();
+//! let max_time = config.max_time_to_full_service();
 //! let mut recovery = Recovery::new(config, 7)?;
 //! let (mut now, mut actions) = (0, Vec::new());
 //! let started = Event::Started { incarnation: 1, memory: None };
@@ -27,7 +27,7 @@
 //!         break;
 //!     }
 //! }
-//! assert!(recovery.state() == RecoveryState::Serving && now <= serves_within);
+//! assert!(recovery.state() == RecoveryState::Serving && now <= max_time);
 //! # Ok::<(), Vec<ConfigError>>(())
 //! ```
 
@@ -46,9 +46,9 @@
 mod validity;
 
 pub use api::{
-    Action, AdmissionRequest, Entry, Event, EvidenceSource, Lifecycle, List, Memory, OutageScope,
-    PeerStatus, PreviousClients, RecoveryState, RecoveryStep, RememberedKind, ServiceMode, Source,
-    Validity,
+    Action, AdmissionRequest, Entry, Event, EvidenceSource, Lifecycle, List, ListSource, Memory,
+    OutageScope, PeerStatus, PreviousClients, RecoveryState, RecoveryStep, RememberedKind,
+    ServiceMode, Validity,
 };
 pub use config::{
     AccountQuota, ConfigError, RecoveryConfig, RequestClass, Retention, SlowStartRules, Timeouts,
--- a/crates/recovery/src/queries.rs
+++ b/crates/recovery/src/queries.rs
@@ -3,7 +3,9 @@
 use rand::Rng;
 
 use crate::recovery::Recovery;
-use crate::{Action, EvidenceSource, MS, Nanos, OutageScope, RecoveryState, RecoveryStep, Source};
+use crate::{
+    Action, EvidenceSource, ListSource, MS, Nanos, OutageScope, RecoveryState, RecoveryStep,
+};
 
 /// Least span over which a retry is spread.
 const MIN_RETRY_SPREAD: Nanos = 200 * MS;
@@ -37,8 +39,8 @@
                     Some(self.step_deadline_at),
                 );
                 if !self.queries[source as usize].is_answered {
-                    let after = self.rng.random_range(0..=self.first_call_spread(source));
-                    self.call(now, source, after, out);
+                    let delay = self.rng.random_range(0..=self.first_call_spread(source));
+                    self.call(now, source, delay, out);
                 }
             }
             None => self.start_admission(now, out),
@@ -55,12 +57,12 @@
     }
 
     fn answer_timeout(&self, source: EvidenceSource) -> Nanos {
-        let bounds = &self.config.timeouts;
+        let timeouts = &self.config.timeouts;
         match source {
-            EvidenceSource::SitePeers => bounds.site_peers,
-            EvidenceSource::OtherSites => bounds.other_sites,
-            EvidenceSource::Discovery => bounds.discovery,
-            EvidenceSource::Store => bounds.store,
+            EvidenceSource::SitePeers => timeouts.site_peers,
+            EvidenceSource::OtherSites => timeouts.other_sites,
+            EvidenceSource::Discovery => timeouts.discovery,
+            EvidenceSource::Store => timeouts.store,
         }
     }
 
@@ -74,25 +76,25 @@
         }
     }
 
-    fn call(&mut self, now: Nanos, source: EvidenceSource, after: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::Query { source, after });
-        let call_at = now.saturating_add(after);
+    fn call(&mut self, now: Nanos, source: EvidenceSource, delay: Nanos, out: &mut Vec<Action>) {
+        out.push(Action::Query { source, delay });
+        let call_at = now.saturating_add(delay);
         let retry_at =
             Some(call_at.saturating_add(self.answer_timeout(source).max(MIN_RETRY_SPREAD)));
-        let asked = &mut self.queries[source as usize];
-        *asked = QueryState {
-            attempts: asked.attempts.saturating_add(1),
+        let query = &mut self.queries[source as usize];
+        *query = QueryState {
+            attempts: query.attempts.saturating_add(1),
             call_at,
             retry_at,
-            ..*asked
+            ..*query
         };
     }
 
     /// Retries after a capped exponential backoff with full jitter, never faster than the fleet's
     /// calls allow.
     fn retry_call(&mut self, now: Nanos, source: EvidenceSource, out: &mut Vec<Action>) {
-        let tries = self.queries[source as usize].attempts.min(16);
-        let most = self
+        let attempts = self.queries[source as usize].attempts.min(16);
+        let max_span = self
             .config
             .timeouts
             .max_retry_interval
@@ -100,10 +102,10 @@
         let span = self
             .first_call_spread(source)
             .max(MIN_RETRY_SPREAD)
-            .saturating_mul(1 << tries)
-            .min(most);
-        let after = self.rng.random_range(0..=span);
-        self.call(now, source, after, out);
+            .saturating_mul(1 << attempts)
+            .min(max_span);
+        let delay = self.rng.random_range(0..=span);
+        self.call(now, source, delay, out);
     }
 
     /// Retries the calls that are due, whatever the state: a source that comes back last is heard
@@ -112,7 +114,7 @@
         for source in EvidenceSource::ALL {
             if self.queries[source as usize]
                 .retry_at
-                .is_some_and(|next| now >= next)
+                .is_some_and(|retry_at| now >= retry_at)
             {
                 self.retry_call(now, source, out);
             }
@@ -120,22 +122,22 @@
     }
 
     pub(crate) fn on_answered(&mut self, source: EvidenceSource) {
-        let asked = &mut self.queries[source as usize];
-        *asked = QueryState {
+        let query = &mut self.queries[source as usize];
+        *query = QueryState {
             is_answered: true,
             retry_at: None,
-            ..*asked
+            ..*query
         };
     }
 
     /// A list is an answer of its source.
-    pub(crate) fn on_list_source(&mut self, source: Source) {
+    pub(crate) fn on_list_received(&mut self, source: ListSource) {
         match source {
-            Source::Known | Source::Memory => {}
-            Source::Peer => self.on_answered(EvidenceSource::SitePeers),
-            Source::OtherSite => self.on_answered(EvidenceSource::OtherSites),
-            Source::Discovery => self.on_answered(EvidenceSource::Discovery),
-            Source::Store => self.on_answered(EvidenceSource::Store),
+            ListSource::Configured | ListSource::Memory => {}
+            ListSource::Peer => self.on_answered(EvidenceSource::SitePeers),
+            ListSource::OtherSite => self.on_answered(EvidenceSource::OtherSites),
+            ListSource::Discovery => self.on_answered(EvidenceSource::Discovery),
+            ListSource::Store => self.on_answered(EvidenceSource::Store),
         }
     }
 
@@ -147,24 +149,24 @@
         out: &mut Vec<Action>,
     ) {
         self.evidence.record_silence(source);
-        let asked = &self.queries[source as usize];
-        if asked.retry_at.is_some() && now >= asked.call_at {
+        let query = &self.queries[source as usize];
+        if query.retry_at.is_some() && now >= query.call_at {
             self.retry_call(now, source, out);
         }
     }
 
     /// Whether the query is done: answered, timed out, or not needed.
     pub(crate) fn is_query_done(&self, now: Nanos, source: EvidenceSource) -> bool {
-        let is_told = source == EvidenceSource::Discovery && self.has_fresh_list();
+        let has_list = source == EvidenceSource::Discovery && self.has_list_since_outage();
         self.queries[source as usize].is_answered
             || now >= self.step_deadline_at
-            || is_told
+            || has_list
             || self.can_skip_queries(now)
     }
 
     /// Whether a list is newer than the outage. A peer's list shows that the peer has asked
     /// discovery.
-    pub(crate) fn has_fresh_list(&self) -> bool {
+    pub(crate) fn has_list_since_outage(&self) -> bool {
         self.servers
             .as_of()
             .is_some_and(|as_of| as_of >= self.outage_started_at as i64)
@@ -172,11 +174,11 @@
 
     /// Whether no more queries are needed: this process alone restarted and has its peers' list.
     fn can_skip_queries(&self, now: Nanos) -> bool {
-        let is_told = self
+        let has_list = self
             .servers
             .source()
-            .is_some_and(|source| source >= Source::OtherSite);
-        is_told && self.assess_scope(now).scope == OutageScope::Process
+            .is_some_and(|source| source >= ListSource::OtherSite);
+        has_list && self.assess_scope(now).scope == OutageScope::Process
     }
 
     pub(crate) fn finish_query(
@@ -194,8 +196,8 @@
         // The remaining sources are still queried.
         for later in EvidenceSource::ALL.into_iter().skip(source as usize + 1) {
             if self.is_configured(later) && !self.queries[later as usize].is_answered {
-                let after = self.rng.random_range(0..=self.first_call_spread(later));
-                self.call(now, later, after, out);
+                let delay = self.rng.random_range(0..=self.first_call_spread(later));
+                self.call(now, later, delay, out);
             }
         }
         self.start_admission(now, out);
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -44,7 +44,7 @@
     pub(crate) memory: Option<RememberedState>,
     pub(crate) validities: BTreeMap<RememberedKind, (Validity, &'static str)>,
     pub(crate) evidence: ScopeEvidence,
-    pub(crate) finding: Option<ScopeFinding>,
+    pub(crate) scope_finding: Option<ScopeFinding>,
     pub(crate) servers: ServerTable,
     /// Indexed like [`EvidenceSource::ALL`].
     pub(crate) queries: [QueryState; 4],
@@ -85,9 +85,9 @@
     ///
     /// Returns all fields outside their range.
     pub fn new(config: RecoveryConfig, seed: u64) -> Result<Recovery, Vec<ConfigError>> {
-        let faults = config.errors();
-        if !faults.is_empty() {
-            return Err(faults);
+        let errors = config.errors();
+        if !errors.is_empty() {
+            return Err(errors);
         }
         Ok(Recovery {
             config,
@@ -100,7 +100,7 @@
             memory: None,
             validities: BTreeMap::new(),
             evidence: ScopeEvidence::default(),
-            finding: None,
+            scope_finding: None,
             servers: ServerTable::default(),
             queries: Default::default(),
             step_deadline_at: 0,
@@ -124,7 +124,7 @@
         let gap = now - self.last_event_at;
         match self.state {
             RecoveryState::NotStarted => self.start(now, wall, &event, out),
-            _ => self.follow_clocks(now, wall, gap, out),
+            _ => self.check_clocks(now, wall, gap, out),
         }
         self.last_event_at = now;
         self.advance_time(now, out);
@@ -132,12 +132,12 @@
             Event::Started {
                 memory: Some(memory),
                 ..
-            } => self.remember(now, memory, out),
+            } => self.load_memory(now, memory, out),
             Event::Started { memory: None, .. } | Event::Tick => {}
-            Event::PeerReported(word) => self.on_peer_status(now, &word, out),
+            Event::PeerReported(status) => self.on_peer_status(now, &status, out),
             Event::ListReceived(list) => self.apply_list(now, &list, out),
-            Event::Answered(source) => self.on_answered(source),
-            Event::Failed(source) => self.on_query_failed(now, source, out),
+            Event::QueryAnswered(source) => self.on_answered(source),
+            Event::QueryFailed(source) => self.on_query_failed(now, source, out),
             Event::ServerStarted { name, at } => self.on_server_started(now, &name, at, out),
             Event::AdmissionRequested(request) => {
                 return self.on_admission_requested(now, &request, out);
@@ -153,7 +153,7 @@
 
     /// When [`Event::Tick`] is due.
     pub fn next_tick_at(&self) -> Option<Nanos> {
-        let asks = self.queries.iter().filter_map(|asked| asked.retry_at).min();
+        let retry_at = self.queries.iter().filter_map(|query| query.retry_at).min();
         let step = match self.state {
             RecoveryState::NotStarted => return None,
             RecoveryState::Querying(_) => self
@@ -165,10 +165,10 @@
                 .last_event_at
                 .saturating_add(self.config.timeouts.suspended_after / 2),
         };
-        let let_go = self.servers.next_drain_release().unwrap_or(Nanos::MAX);
+        let drain_release = self.servers.next_drain_release().unwrap_or(Nanos::MAX);
         Some(
-            step.min(asks.unwrap_or(Nanos::MAX))
-                .min(let_go)
+            step.min(retry_at.unwrap_or(Nanos::MAX))
+                .min(drain_release)
                 .max(self.last_event_at)
                 .saturating_sub(EPOCH_OFFSET),
         )
@@ -176,7 +176,7 @@
 
     fn start(&mut self, now: Nanos, wall: Millis, event: &Event, out: &mut Vec<Action>) {
         self.outage_started_at = now;
-        let (boot, written_at) = match event {
+        let (incarnation, written_at) = match event {
             Event::Started {
                 incarnation,
                 memory,
@@ -186,7 +186,7 @@
             ),
             _ => (0, None),
         };
-        self.incarnation = boot;
+        self.incarnation = incarnation;
         self.clock = Some(WallClock::new(now, wall, written_at));
         if written_at.is_none() {
             self.log_step(
@@ -201,25 +201,25 @@
     }
 
     /// Follows both clocks and notices a suspension.
-    fn follow_clocks(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
-        let stopped = self.config.timeouts.suspended_after;
-        let stepped = self
+    fn check_clocks(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
+        let suspended_after = self.config.timeouts.suspended_after;
+        let clock_step = self
             .clock
             .as_mut()
             .and_then(|clock| clock.detect_step(now, wall, &self.config.retention));
-        if let Some(step) = stepped {
+        if let Some(step) = clock_step {
             self.log_step(
                 out,
                 RecoveryStep::Clock,
                 format!("the wall clock was stepped by {step} ms"),
                 None,
             );
-            if step > 0 && step as u64 >= stopped / crate::MS {
-                self.clock_doubted_until = now.saturating_add(stopped);
+            if step > 0 && step as u64 >= suspended_after / crate::MS {
+                self.clock_doubted_until = now.saturating_add(suspended_after);
             }
             self.assess_clock(now, out);
         }
-        if gap > stopped {
+        if gap > suspended_after {
             self.resume(
                 now,
                 self.last_event_at,
@@ -230,11 +230,17 @@
     }
 
     /// Starts again after a suspension: everything known is old.
-    fn resume(&mut self, now: Nanos, since: Nanos, why: String, out: &mut Vec<Action>) {
-        self.outage_started_at = since;
+    fn resume(
+        &mut self,
+        now: Nanos,
+        outage_started_at: Nanos,
+        reason: String,
+        out: &mut Vec<Action>,
+    ) {
+        self.outage_started_at = outage_started_at;
         self.clock_doubted_until = 0;
         self.servers.demote_to_memory();
-        self.finding = None;
+        self.scope_finding = None;
         self.curve = None;
         self.admitted_position = 0.0;
         self.admission_started_at = None;
@@ -243,11 +249,11 @@
         self.log_step(
             out,
             RecoveryStep::Resumed,
-            why,
-            Some(now.saturating_add(self.config.admits_within())),
+            reason,
+            Some(now.saturating_add(self.config.max_time_to_admission())),
         );
         let (kind, validity) = (RememberedKind::ConnectionCounts, Validity::Discarded);
-        out.push(Action::RememberedStateJudged {
+        out.push(Action::RememberedStateAssessed {
             kind,
             validity,
             reason: "it was stopped meanwhile",
@@ -260,43 +266,44 @@
         self.query_next(now, 0, out);
     }
 
-    fn on_peer_status(&mut self, now: Nanos, word: &PeerStatus, out: &mut Vec<Action>) {
-        if word.name == self.config.name {
+    fn on_peer_status(&mut self, now: Nanos, status: &PeerStatus, out: &mut Vec<Action>) {
+        if status.name == self.config.name {
             return;
         }
-        let began_anew = self.evidence.record_peer(now, &self.config.site, word);
-        if let (Some(wall), Some(clock)) = (word.wall_clock, self.clock.as_mut()) {
-            clock.record_peer(now, &word.name, wall);
+        let has_restarted = self.evidence.record_peer(now, &self.config.site, status);
+        if let (Some(wall), Some(clock)) = (status.wall_clock, self.clock.as_mut()) {
+            clock.record_peer(now, &status.name, wall);
         }
-        if let Some(previous_clients) = word
+        if let Some(previous_clients) = status
             .previous_clients
             .filter(|previous_clients| previous_clients.is_finite() && *previous_clients > 0.0)
         {
             self.peers_previous_clients
-                .insert(word.name.clone(), previous_clients);
+                .insert(status.name.clone(), previous_clients);
         }
-        let short = if word.deferred_per_s.is_finite() {
-            word.deferred_per_s.clamp(0.0, MAX_DEFERRED_PER_S)
+        let deferred_per_s = if status.deferred_per_s.is_finite() {
+            status.deferred_per_s.clamp(0.0, MAX_DEFERRED_PER_S)
         } else {
             0.0
         };
-        self.deferring_peers.insert(word.name.clone(), (short, now));
+        self.deferring_peers
+            .insert(status.name.clone(), (deferred_per_s, now));
         if self.evidence.site_peers() >= self.config.site_peers as usize {
             self.on_answered(EvidenceSource::SitePeers);
         }
-        if began_anew && now < self.clock_doubted_until && self.state == RecoveryState::Serving {
-            let since = now.saturating_sub(word.uptime);
+        if has_restarted && now < self.clock_doubted_until && self.state == RecoveryState::Serving {
+            let outage_started_at = now.saturating_sub(status.uptime);
             self.resume(
                 now,
-                since,
+                outage_started_at,
                 format!(
                     "the wall clock went ahead, and {} has begun anew",
-                    word.name
+                    status.name
                 ),
                 out,
             );
         }
-        self.align_admission_start(now, word);
+        self.align_admission_start(now, status);
         self.assess_clock(now, out);
         self.reassess_scope(now, out);
     }
@@ -320,7 +327,7 @@
             self.finish_query(now, source, out);
         }
         if self.state == RecoveryState::StagedAdmission {
-            self.refill(now, out);
+            self.advance_admission(now, out);
         }
     }
 
@@ -335,8 +342,9 @@
             RecoveryState::StagedAdmission => self.admit_or_defer(now, request, out),
             RecoveryState::NotStarted | RecoveryState::Querying(_) => {
                 self.client_count.count(request);
-                let left = self.step_deadline_at.saturating_sub(now).min(SECOND);
-                let retry_after = left.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
+                let remaining = self.step_deadline_at.saturating_sub(now).min(SECOND);
+                let retry_after =
+                    remaining.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
                 out.push(Action::Defer {
                     id: request.id,
                     retry_after,
@@ -351,12 +359,12 @@
         out: &mut Vec<Action>,
         step: RecoveryStep,
         reason: String,
-        bound: Option<Nanos>,
+        deadline_at: Option<Nanos>,
     ) {
         out.push(Action::LogStep {
             step,
             reason,
-            bound: bound.map(|bound| bound.saturating_sub(EPOCH_OFFSET)),
+            deadline_at: deadline_at.map(|deadline_at| deadline_at.saturating_sub(EPOCH_OFFSET)),
         });
     }
 }
@@ -369,7 +377,7 @@
     written_at: Option<Millis>,
 ) -> ListContext<'a> {
     let wall_clock = clock
-        .filter(|clock| clock.is_sound())
+        .filter(|clock| clock.is_reliable())
         .map(|clock| clock.wall_time(now));
     ListContext {
         now,
--- a/crates/recovery/src/recovery/lists.rs
+++ b/crates/recovery/src/recovery/lists.rs
@@ -2,7 +2,7 @@
 
 use super::{Recovery, list_context};
 use crate::server_table::ListOutcome;
-use crate::{Action, List, Millis, Nanos, RecoveryStep, Source};
+use crate::{Action, List, ListSource, Millis, Nanos, RecoveryStep};
 
 impl Recovery {
     pub(super) fn apply_list(&mut self, now: Nanos, list: &List, out: &mut Vec<Action>) {
@@ -12,18 +12,22 @@
         for entry in list
             .entries
             .iter()
-            .filter(|_| list.source != Source::Memory)
+            .filter(|_| list.source != ListSource::Memory)
         {
             self.clock
                 .iter_mut()
                 .for_each(|clock| clock.record_server_start(entry.started_at_ms));
         }
         self.assess_clock(now, out);
-        self.on_list_source(list.source);
-        let of_memory = (list.source == Source::Memory)
-            .then(|| self.memory.as_ref().map(|kept| kept.written_at));
-        let list_context =
-            list_context(&self.config, self.clock.as_ref(), now, of_memory.flatten());
+        self.on_list_received(list.source);
+        let memory_written_at = (list.source == ListSource::Memory)
+            .then(|| self.memory.as_ref().map(|memory| memory.written_at));
+        let list_context = list_context(
+            &self.config,
+            self.clock.as_ref(),
+            now,
+            memory_written_at.flatten(),
+        );
         let (source, entries) = (list.source, list.entries.len());
         match self.servers.apply(list, list_context) {
             ListOutcome::Rejected => self.log_step(
@@ -32,8 +36,11 @@
                 format!("left out: what is held is newer than {source:?}'s"),
                 None,
             ),
-            ListOutcome::Applied { held, is_new_epoch } => {
-                let lost = if is_new_epoch {
+            ListOutcome::Applied {
+                held_drains,
+                is_new_epoch,
+            } => {
+                let epoch_note = if is_new_epoch {
                     "; discovery counts anew"
                 } else {
                     ""
@@ -41,13 +48,13 @@
                 self.log_step(
                     out,
                     RecoveryStep::List,
-                    format!("{entries} servers by {source:?}{lost}"),
+                    format!("{entries} servers by {source:?}{epoch_note}"),
                     None,
                 );
-                if held > 0 && is_new_epoch {
+                if held_drains > 0 && is_new_epoch {
                     let until = now.saturating_add(self.config.timeouts.drain_hold);
                     let reason =
-                        format!("{held} former drains hold until discovery says otherwise");
+                        format!("{held_drains} former drains hold until discovery says otherwise");
                     self.log_step(out, RecoveryStep::Drain, reason, Some(until));
                 }
                 self.on_servers_changed(now, out);
--- a/crates/recovery/src/recovery/outage_scope.rs
+++ b/crates/recovery/src/recovery/outage_scope.rs
@@ -7,32 +7,32 @@
 impl Recovery {
     /// Assesses the extent of the outage again once it was decided.
     pub(super) fn reassess_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        if self.finding.is_some() {
+        if self.scope_finding.is_some() {
             self.decide_scope(now, out);
         }
     }
 
     pub(crate) fn assess_scope(&self, now: Nanos) -> ScopeFinding {
-        let told = self
-            .has_fresh_list()
+        let list_warming_fraction = self
+            .has_list_since_outage()
             .then(|| self.servers.warming_fraction(now, &self.config.slow_start));
-        let warming = told.flatten();
+        let warming_fraction = list_warming_fraction.flatten();
         self.evidence.assess(
             now,
             now.saturating_sub(self.outage_started_at),
             &self.config,
-            warming,
+            warming_fraction,
         )
     }
 
     /// Decides the extent of the outage and reports a change.
     pub(crate) fn decide_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let found = self.assess_scope(now);
+        let finding = self.assess_scope(now);
         if self.state == RecoveryState::Serving
             || self
-                .finding
+                .scope_finding
                 .as_ref()
-                .is_some_and(|old| old.scope == found.scope)
+                .is_some_and(|previous| previous.scope == finding.scope)
         {
             return;
         }
@@ -40,19 +40,24 @@
             scope,
             likelihood,
             evidence,
-        } = found.clone();
-        let by = if evidence.is_empty() {
+        } = finding.clone();
+        let evidence_text = if evidence.is_empty() {
             "nothing".into()
         } else {
             evidence.join("; ")
         };
-        self.log_step(out, RecoveryStep::Scope, format!("{scope}, by {by}"), None);
+        self.log_step(
+            out,
+            RecoveryStep::Scope,
+            format!("{scope}, by {evidence_text}"),
+            None,
+        );
         out.push(Action::ScopeDecided {
             scope,
             likelihood,
             evidence,
         });
-        self.finding = Some(found);
+        self.scope_finding = Some(finding);
         self.limit_server_starts();
     }
 }
--- a/crates/recovery/src/recovery/remembered.rs
+++ b/crates/recovery/src/recovery/remembered.rs
@@ -4,11 +4,12 @@
 use crate::clock::ClockQuality;
 use crate::validity::{self, MemoryOwner};
 use crate::{
-    Action, List, Memory, Nanos, PreviousClients, RecoveryStep, RememberedKind, Source, Validity,
+    Action, List, ListSource, Memory, Nanos, PreviousClients, RecoveryStep, RememberedKind,
+    Validity,
 };
 
 impl Recovery {
-    pub(super) fn remember(&mut self, now: Nanos, memory: Memory, out: &mut Vec<Action>) {
+    pub(super) fn load_memory(&mut self, now: Nanos, memory: Memory, out: &mut Vec<Action>) {
         if self.memory.is_some() {
             return;
         }
@@ -27,7 +28,7 @@
             written_at,
             list,
             previous_clients,
-            clients_per_server_s: client_rate_per_server,
+            clients_per_server_s,
             ..
         } = memory;
         self.memory = Some(RememberedState {
@@ -35,7 +36,7 @@
             written_at,
             list,
             previous_clients,
-            clients_per_server_s: client_rate_per_server,
+            clients_per_server_s,
         });
         self.assess_remembered(now, out);
         if self.validity(RememberedKind::List) == Validity::Hint(1.0) {
@@ -45,19 +46,23 @@
 
     /// Applies the remembered list, unless it was used.
     pub(crate) fn apply_remembered_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let Some(kept) = &mut self.memory else { return };
-        let Some(list) = kept.list.take() else { return };
+        let Some(memory) = &mut self.memory else {
+            return;
+        };
+        let Some(list) = memory.list.take() else {
+            return;
+        };
         let age = self
             .clock
             .as_ref()
-            .and_then(|clock| clock.age(now, kept.written_at));
+            .and_then(|clock| clock.age(now, memory.written_at));
         let age = age.map_or(Nanos::MAX / 4, |age| {
             age.saturating_mul(crate::MS).min(Nanos::MAX / 4)
         });
         self.apply_list(
             now,
             &List {
-                source: Source::Memory,
+                source: ListSource::Memory,
                 age: list.age.saturating_add(age),
                 reported_at: None,
                 ..list
@@ -67,14 +72,14 @@
     }
 
     pub(super) fn assess_clock(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let judged = self
+        let quality = self
             .clock
             .as_mut()
             .and_then(|clock| clock.reassess(now, &self.config.retention));
-        let Some(judged) = judged else { return };
-        let reason = match judged {
-            ClockQuality::Sound(why) => format!("ages count: {why}"),
-            ClockQuality::Unknown(why) => format!("ages are unknown: {why}"),
+        let Some(quality) = quality else { return };
+        let reason = match quality {
+            ClockQuality::Reliable(cause) => format!("ages count: {cause}"),
+            ClockQuality::Unknown(cause) => format!("ages are unknown: {cause}"),
         };
         self.log_step(out, RecoveryStep::Clock, reason, None);
         self.assess_remembered(now, out);
@@ -82,36 +87,36 @@
 
     /// Assesses all kinds of remembered knowledge and reports changes.
     pub(super) fn assess_remembered(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let Some(kept) = &self.memory else { return };
+        let Some(memory) = &self.memory else { return };
         let age = self
             .clock
             .as_ref()
-            .and_then(|clock| clock.age(now, kept.written_at));
+            .and_then(|clock| clock.age(now, memory.written_at));
         for kind in RememberedKind::ALL {
             let (validity, reason) =
-                validity::assess(kind, kept.owner, age, &self.config.retention);
+                validity::assess(kind, memory.owner, age, &self.config.retention);
             if self.validities.insert(kind, (validity, reason)) != Some((validity, reason)) {
-                out.push(Action::RememberedStateJudged {
+                out.push(Action::RememberedStateAssessed {
                     kind,
                     validity,
                     reason,
-                    as_of: Some(kept.written_at),
+                    as_of: Some(memory.written_at),
                 });
             }
         }
     }
 
     /// The remembered former clients, and their sum.
-    pub(crate) fn remembered(&self) -> (&[PreviousClients], f64) {
+    pub(crate) fn remembered_clients(&self) -> (&[PreviousClients], f64) {
         let previous_clients = self
             .memory
             .as_ref()
-            .map_or(&[][..], |kept| &kept.previous_clients);
+            .map_or(&[][..], |memory| &memory.previous_clients);
         (
             previous_clients,
             previous_clients
                 .iter()
-                .map(|one| one.clients)
+                .map(|previous| previous.clients)
                 .filter(|clients| *clients > 0.0)
                 .sum(),
         )
@@ -120,14 +125,14 @@
     /// Clients per second that a warm server of weight 1 can take: the remembered rate fades to the
     /// configured one.
     pub(crate) fn sustainable_arrivals(&self) -> f64 {
-        let seen = self
+        let rate = self
             .memory
             .as_ref()
-            .and_then(|kept| kept.clients_per_server_s)
-            .filter(|seen| seen.is_finite() && *seen > 0.0);
-        match (self.validity(RememberedKind::ServerRates), seen) {
-            (Validity::Hint(weight), Some(seen)) => {
-                weight * seen + (1.0 - weight) * self.config.slow_start.clients_per_server_s
+            .and_then(|memory| memory.clients_per_server_s)
+            .filter(|rate| rate.is_finite() && *rate > 0.0);
+        match (self.validity(RememberedKind::ServerRates), rate) {
+            (Validity::Hint(weight), Some(rate)) => {
+                weight * rate + (1.0 - weight) * self.config.slow_start.clients_per_server_s
             }
             _ => self.config.slow_start.clients_per_server_s,
         }
--- a/crates/recovery/src/scope.rs
+++ b/crates/recovery/src/scope.rs
@@ -5,7 +5,7 @@
 use crate::{EvidenceSource, Nanos, OutageScope, PeerStatus, RecoveryConfig, SECOND};
 
 /// Processes that started within this span started together.
-pub(crate) const SIMULTANEOUS_START: Nanos = 30 * SECOND;
+pub(crate) const SIMULTANEOUS_START_WINDOW: Nanos = 30 * SECOND;
 /// Most peers that one kind of evidence counts.
 const MAX_PEERS_COUNTED: usize = 8;
 /// Least likelihood of a decision.
@@ -43,14 +43,15 @@
 impl ScopeEvidence {
     /// Records a peer's report; returns whether the peer has restarted.
     pub(crate) fn record_peer(&mut self, now: Nanos, own_site: &str, status: &PeerStatus) -> bool {
-        let before = self.peers.get(&status.name);
-        if before.is_some_and(|before| status.incarnation < before.incarnation) {
+        let previous = self.peers.get(&status.name);
+        if previous.is_some_and(|previous| status.incarnation < previous.incarnation) {
             // A late report of a former incarnation.
             return false;
         }
         let is_new_incarnation =
-            before.is_some_and(|before| status.incarnation > before.incarnation);
-        let has_restarted = is_new_incarnation || before.is_some_and(|before| before.has_restarted);
+            previous.is_some_and(|previous| status.incarnation > previous.incarnation);
+        let has_restarted =
+            is_new_incarnation || previous.is_some_and(|previous| previous.has_restarted);
         let is_own_site = status.site == own_site;
         let report = PeerReport {
             incarnation: status.incarnation,
@@ -78,20 +79,20 @@
 
     /// Peers that kept running, and peers that started together with this process, of the own site
     /// or of the others. One that has restarted since did not keep running.
-    fn count_peers(&self, now: Nanos, up_for: Nanos, own_site: bool) -> (usize, usize) {
-        let of_kind = self
+    fn count_peers(&self, now: Nanos, uptime: Nanos, own_site: bool) -> (usize, usize) {
+        let peers = self
             .peers
             .values()
             .filter(|peer| peer.is_own_site == own_site);
-        of_kind.fold((0, 0), |(ran_on, together), peer| {
-            let since = peer
+        peers.fold((0, 0), |(kept_running, started_together), peer| {
+            let peer_uptime = peer
                 .uptime
                 .saturating_add(now.saturating_sub(peer.received_at));
-            let is_together =
-                peer.has_restarted || since <= up_for.saturating_add(SIMULTANEOUS_START);
+            let has_started_together = peer.has_restarted
+                || peer_uptime <= uptime.saturating_add(SIMULTANEOUS_START_WINDOW);
             (
-                ran_on + usize::from(!is_together),
-                together + usize::from(is_together),
+                kept_running + usize::from(!has_started_together),
+                started_together + usize::from(has_started_together),
             )
         })
     }
@@ -100,12 +101,12 @@
     pub(crate) fn assess(
         &self,
         now: Nanos,
-        up_for: Nanos,
+        uptime: Nanos,
         config: &RecoveryConfig,
         warming: Option<f64>,
     ) -> ScopeFinding {
         let mut scores = ScopeScores::default();
-        self.score_peers(now, up_for, &mut scores);
+        self.score_peers(now, uptime, &mut scores);
         self.score_silence(config, &mut scores);
         if let Some(warming) = warming {
             score_servers(warming, &mut scores);
@@ -113,43 +114,43 @@
         scores.finding(!config.other_sites.is_empty())
     }
 
-    fn score_peers(&self, now: Nanos, up_for: Nanos, scores: &mut ScopeScores) {
-        let (ran_on, together) = self.count_peers(now, up_for, true);
+    fn score_peers(&self, now: Nanos, uptime: Nanos, scores: &mut ScopeScores) {
+        let (kept_running, started_together) = self.count_peers(now, uptime, true);
         scores.add(
-            ran_on,
+            kept_running,
             [3.0, -3.0, -3.0],
-            format!("{ran_on} of the site ran on"),
+            format!("{kept_running} of the site ran on"),
         );
         scores.add(
-            together,
+            started_together,
             [-2.0, 1.0, 1.0],
-            format!("{together} of the site started together with this one"),
+            format!("{started_together} of the site started together with this one"),
         );
-        let (ran_on, together) = self.count_peers(now, up_for, false);
+        let (kept_running, started_together) = self.count_peers(now, uptime, false);
         scores.add(
-            ran_on,
+            kept_running,
             [0.5, 1.5, -3.0],
-            format!("{ran_on} of other sites ran on"),
+            format!("{kept_running} of other sites ran on"),
         );
         scores.add(
-            together,
+            started_together,
             [-2.0, -2.0, 2.0],
-            format!("{together} of other sites started together with this one"),
+            format!("{started_together} of other sites started together with this one"),
         );
     }
 
     fn score_silence(&self, config: &RecoveryConfig, scores: &mut ScopeScores) {
         let [site, others] = self.silent;
-        let silent_site = site && config.site_peers > 0 && self.site_peers() == 0;
+        let is_site_silent = site && config.site_peers > 0 && self.site_peers() == 0;
         scores.add(
-            usize::from(silent_site),
+            usize::from(is_site_silent),
             [-1.0, 0.5, 0.5],
             "nobody of the site answers".into(),
         );
-        let silent_others =
+        let are_others_silent =
             others && !config.other_sites.is_empty() && self.site_peers() == self.peers.len();
         scores.add(
-            usize::from(silent_others),
+            usize::from(are_others_silent),
             [0.0, 0.0, 0.5],
             "nobody of other sites answers".into(),
         );
@@ -179,18 +180,18 @@
 
 impl ScopeScores {
     /// Adds evidence that was seen `times` times.
-    fn add(&mut self, times: usize, weights: [f64; 3], text: String) {
-        if times == 0 {
+    fn add(&mut self, count: usize, weights: [f64; 3], text: String) {
+        if count == 0 {
             return;
         }
-        let times = times.min(MAX_PEERS_COUNTED) as f64;
+        let count = count.min(MAX_PEERS_COUNTED) as f64;
         for (sum, weight) in self.log_odds.iter_mut().zip(weights) {
-            *sum += times * weight;
+            *sum += count * weight;
         }
         self.evidence.push(text);
     }
 
-    fn finding(self, has_sites: bool) -> ScopeFinding {
+    fn finding(self, has_other_sites: bool) -> ScopeFinding {
         if self.evidence.is_empty() {
             return ScopeFinding {
                 scope: OutageScope::Unknown,
@@ -200,7 +201,7 @@
         }
         let scopes = [
             (OutageScope::Process, true),
-            (OutageScope::Site, has_sites),
+            (OutageScope::Site, has_other_sites),
             (OutageScope::Fleet, true),
         ];
         let weight = |at: usize| {
--- a/crates/recovery/src/server_table.rs
+++ b/crates/recovery/src/server_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::config::SlowStartRules;
-use crate::{Entry, Lifecycle, List, MS, Millis, Nanos, Source};
+use crate::{Entry, Lifecycle, List, ListSource, MS, Millis, Nanos};
 
 /// A server.
 pub(crate) struct Server {
@@ -13,7 +13,7 @@
     /// Whether it has restarted since it was last known.
     pub(crate) has_restarted: bool,
     /// End of the hold of a former drain.
-    drain_retained_until: Option<Nanos>,
+    drain_held_until: Option<Nanos>,
 }
 
 /// The servers with the origin of the list.
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Copy)]
 struct ListOrigin {
-    source: Source,
+    source: ListSource,
     epoch: u64,
     generation: u64,
     /// When the list was true.
@@ -54,7 +54,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListOutcome {
     /// It is believed now.
-    Applied { held: usize, is_new_epoch: bool },
+    Applied {
+        held_drains: usize,
+        is_new_epoch: bool,
+    },
     /// The present list is newer or better founded.
     Rejected,
 }
@@ -70,13 +73,13 @@
     }
 
     pub(crate) fn accepts_new(&self) -> bool {
-        self.entry.lifecycle == Lifecycle::Ready && self.drain_retained_until.is_none()
+        self.entry.lifecycle == Lifecycle::Ready && self.drain_held_until.is_none()
     }
 
     /// The entry with a held drain applied.
     fn effective_entry(&self) -> Entry {
-        let held = self.drain_retained_until.is_some() && self.entry.lifecycle == Lifecycle::Ready;
-        let lifecycle = if held {
+        let is_held = self.drain_held_until.is_some() && self.entry.lifecycle == Lifecycle::Ready;
+        let lifecycle = if is_held {
             Lifecycle::Draining
         } else {
             self.entry.lifecycle
@@ -102,17 +105,18 @@
         let Some(old) = self.origin else {
             return self.replace(list, new, list_context, false);
         };
-        let counts_anew =
+        let is_count_reset =
             list.epoch == old.epoch && list.epoch == 0 && list.generation < old.generation;
-        let same_life = list.epoch == old.epoch && !counts_anew;
-        let is_discovery = list.source == Source::Discovery;
-        let is_better = if old.source == Source::Known || list.source == Source::Known {
-            list.source != Source::Known
-        } else if same_life {
-            (list.generation, list.source) >= (old.generation, old.source)
-        } else {
-            is_discovery || (old.source != Source::Discovery && as_of > old.as_of)
-        };
+        let is_same_epoch = list.epoch == old.epoch && !is_count_reset;
+        let is_discovery = list.source == ListSource::Discovery;
+        let is_better =
+            if old.source == ListSource::Configured || list.source == ListSource::Configured {
+                list.source != ListSource::Configured
+            } else if is_same_epoch {
+                (list.generation, list.source) >= (old.generation, old.source)
+            } else {
+                is_discovery || (old.source != ListSource::Discovery && as_of > old.as_of)
+            };
         if !is_better {
             return ListOutcome::Rejected;
         }
@@ -120,7 +124,7 @@
             list,
             new,
             list_context,
-            !same_life && is_discovery && old.source != Source::Known,
+            !is_same_epoch && is_discovery && old.source != ListSource::Configured,
         )
     }
 
@@ -133,22 +137,22 @@
         is_new_epoch: bool,
     ) -> ListOutcome {
         self.origin = Some(new);
-        let mut before = std::mem::take(&mut self.servers);
+        let mut known_servers = std::mem::take(&mut self.servers);
         for entry in &list.entries {
-            let known = before.remove(&entry.name);
+            let known_server = known_servers.remove(&entry.name);
             self.servers.insert(
                 entry.name.clone(),
-                merge_entry(entry, known, list_context, is_new_epoch),
+                merge_entry(entry, known_server, list_context, is_new_epoch),
             );
         }
         self.update_summary();
         let held_drains = self
             .servers
             .values()
-            .filter(|server| server.drain_retained_until.is_some())
+            .filter(|server| server.drain_held_until.is_some())
             .count();
         ListOutcome::Applied {
-            held: held_drains,
+            held_drains,
             is_new_epoch,
         }
     }
@@ -167,7 +171,7 @@
             return false;
         }
         server.entry.started_at_ms = at.max(server.entry.started_at_ms);
-        server.started_at = born(at, list_context);
+        server.started_at = monotonic_start(at, list_context);
         server.has_restarted = true;
         self.update_summary();
         true
@@ -178,7 +182,7 @@
         self.next_drain_release_at = self
             .servers
             .values()
-            .filter_map(|server| server.drain_retained_until)
+            .filter_map(|server| server.drain_held_until)
             .min();
         let accepting = || {
             self.servers
@@ -194,18 +198,15 @@
         if self.next_drain_release_at.is_none_or(|next| now < next) {
             return 0;
         }
-        let mut gone = 0;
+        let mut released = 0;
         for server in self.servers.values_mut() {
-            if server
-                .drain_retained_until
-                .is_some_and(|until| now >= until)
-            {
-                server.drain_retained_until = None;
-                gone += 1;
+            if server.drain_held_until.is_some_and(|until| now >= until) {
+                server.drain_held_until = None;
+                released += 1;
             }
         }
         self.update_summary();
-        gone
+        released
     }
 
     /// The next release of a held drain.
@@ -215,20 +216,20 @@
 
     /// Treats the present list like the memory after a suspension.
     pub(crate) fn demote_to_memory(&mut self) {
-        if let Some(from) = &mut self.origin {
-            from.source = from.source.min(Source::Memory);
+        if let Some(origin) = &mut self.origin {
+            origin.source = origin.source.min(ListSource::Memory);
         }
     }
 
-    pub(crate) fn source(&self) -> Option<Source> {
-        self.origin.map(|from| from.source)
+    pub(crate) fn source(&self) -> Option<ListSource> {
+        self.origin.map(|origin| origin.source)
     }
 
     /// When the present list was true, on the monotonic clock, if a peer or discovery sent it.
     pub(crate) fn as_of(&self) -> Option<i64> {
         self.origin
-            .filter(|from| from.source >= Source::OtherSite)
-            .map(|from| from.as_of)
+            .filter(|origin| origin.source >= ListSource::OtherSite)
+            .map(|origin| origin.as_of)
     }
 
     pub(crate) fn get(&self, name: &str) -> Option<&Server> {
@@ -246,69 +247,75 @@
     }
 
     /// Weights and starts of the servers that accept new connections.
-    pub(crate) fn ready_servers(&self) -> impl Iterator<Item = (f64, i64)> {
-        let floor = self.earliest_start.unwrap_or(i64::MIN);
-        let able = self.servers.values().filter(|server| server.accepts_new());
-        able.map(move |server| (server.weight(), server.started_at.max(floor)))
+    pub(crate) fn accepting_servers(&self) -> impl Iterator<Item = (f64, i64)> {
+        let earliest_start = self.earliest_start.unwrap_or(i64::MIN);
+        let accepting = self.servers.values().filter(|server| server.accepts_new());
+        accepting.map(move |server| (server.weight(), server.started_at.max(earliest_start)))
     }
 
     /// The fraction of the accepting weight in slow start, if any server accepts.
     pub(crate) fn warming_fraction(&self, now: Nanos, slow_start: &SlowStartRules) -> Option<f64> {
-        let (floor, is_cold) = (self.earliest_start.unwrap_or(i64::MIN), |born: i64| {
-            (now as i64).saturating_sub(born) < slow_start.warm_up_time as i64
-        });
+        let (earliest_start, is_warming) = (
+            self.earliest_start.unwrap_or(i64::MIN),
+            |started_at: i64| {
+                (now as i64).saturating_sub(started_at) < slow_start.warm_up_time as i64
+            },
+        );
         match self.start_range {
-            Some((first, _)) if is_cold(first.max(floor)) => return Some(1.0),
-            Some((_, last)) if !is_cold(last.max(floor)) => return Some(0.0),
+            Some((first, _)) if is_warming(first.max(earliest_start)) => return Some(1.0),
+            Some((_, last)) if !is_warming(last.max(earliest_start)) => return Some(0.0),
             _ => {}
         }
-        let (mut all, mut cold_ones) = (0.0, 0.0);
-        for (weight, born) in self.ready_servers() {
-            all += weight;
-            if is_cold(born) {
-                cold_ones += weight;
+        let (mut total_weight, mut warming_weight) = (0.0, 0.0);
+        for (weight, started_at) in self.accepting_servers() {
+            total_weight += weight;
+            if is_warming(started_at) {
+                warming_weight += weight;
             }
         }
-        (all > 0.0).then_some(cold_ones / all)
+        (total_weight > 0.0).then_some(warming_weight / total_weight)
     }
 }
 
 /// Merges a listed entry with what is known of the server.
 fn merge_entry(
     entry: &Entry,
-    known: Option<Server>,
+    known_server: Option<Server>,
     list_context: ListContext<'_>,
-    reborn: bool,
+    is_new_epoch: bool,
 ) -> Server {
-    let Some(known) = known else {
-        let start_time = first_start_time(entry, list_context);
+    let Some(known_server) = known_server else {
+        let started_at = initial_start(entry, list_context);
         return Server {
             entry: entry.clone(),
-            started_at: start_time,
+            started_at,
             has_restarted: false,
-            drain_retained_until: None,
+            drain_held_until: None,
         };
     };
-    let is_same = entry.started_at_ms == 0 || entry.started_at_ms == known.entry.started_at_ms;
-    let drained = known.entry.lifecycle == Lifecycle::Draining;
-    let drain_retained_until = match known.drain_retained_until {
+    let is_same_start =
+        entry.started_at_ms == 0 || entry.started_at_ms == known_server.entry.started_at_ms;
+    let was_draining = known_server.entry.lifecycle == Lifecycle::Draining;
+    let drain_held_until = match known_server.drain_held_until {
         _ if entry.lifecycle != Lifecycle::Ready => None,
         // A server that restarted has nothing left to drain.
-        _ if !is_same => None,
-        None if reborn && drained => Some(list_context.now.saturating_add(list_context.drain_hold)),
-        held => held,
+        _ if !is_same_start => None,
+        None if is_new_epoch && was_draining => {
+            Some(list_context.now.saturating_add(list_context.drain_hold))
+        }
+        until => until,
     };
-    let (started_at, has_restarted) = match is_same {
+    let (started_at, has_restarted) = match is_same_start {
         true => (
-            known
+            known_server
                 .started_at
-                .min(born(entry.started_at_ms, list_context)),
-            known.has_restarted,
+                .min(monotonic_start(entry.started_at_ms, list_context)),
+            known_server.has_restarted,
         ),
-        false => (born(entry.started_at_ms, list_context), true),
+        false => (monotonic_start(entry.started_at_ms, list_context), true),
     };
-    let started_at_ms = entry.started_at_ms.max(if is_same {
-        known.entry.started_at_ms
+    let started_at_ms = entry.started_at_ms.max(if is_same_start {
+        known_server.entry.started_at_ms
     } else {
         0
     });
@@ -319,13 +326,13 @@
         },
         started_at,
         has_restarted,
-        drain_retained_until,
+        drain_held_until,
     }
 }
 
 /// The monotonic start time of a server. One that can't be computed counts as now, since a wrong
 /// wall clock must not make a new server look warm.
-fn born(started_at: Millis, list_context: ListContext<'_>) -> i64 {
+fn monotonic_start(started_at: Millis, list_context: ListContext<'_>) -> i64 {
     let now = list_context.now as i64;
     let Some(wall) = list_context.wall_clock.filter(|_| started_at != 0) else {
         return now;
@@ -338,15 +345,15 @@
 
 /// The start time of a server not known before. One that was warm when the memory was written
 /// counts as warm until a list says otherwise.
-fn first_start_time(entry: &Entry, list_context: ListContext<'_>) -> i64 {
+fn initial_start(entry: &Entry, list_context: ListContext<'_>) -> i64 {
     match list_context.written_at {
-        Some(written_at) => born(
+        Some(written_at) => monotonic_start(
             entry.started_at_ms,
             ListContext {
                 wall_clock: Some(written_at),
                 ..list_context
             },
         ),
-        None => born(entry.started_at_ms, list_context),
+        None => monotonic_start(entry.started_at_ms, list_context),
     }
 }
--- a/crates/recovery/src/staged_admission.rs
+++ b/crates/recovery/src/staged_admission.rs
@@ -7,7 +7,7 @@
 use crate::admission_order::AdmissionOrder;
 use crate::config::TICK_INTERVAL;
 use crate::recovery::Recovery;
-use crate::scope::SIMULTANEOUS_START;
+use crate::scope::SIMULTANEOUS_START_WINDOW;
 use crate::{
     Action, AdmissionRequest, MS, Nanos, OutageScope, PeerStatus, RecoveryState, RecoveryStep,
     SECOND, ServiceMode,
@@ -39,10 +39,10 @@
         self.quota_updated_at = now;
         self.plan_admission(now);
         if self.full_service_reason(now).is_none() {
-            let servers = self.servers.ready_servers().count();
+            let servers = self.servers.accepting_servers().count();
             let reason = format!(
                 "{} clients by turns, {servers} servers, {}",
-                self.order.all().round(),
+                self.order.total_clients().round(),
                 self.scope()
             );
             self.log_step(
@@ -61,21 +61,22 @@
     /// Limits how old servers count if the outage was not this process's alone and no list is
     /// newer.
     pub(crate) fn limit_server_starts(&mut self) {
-        let is_doubted = self.scope() != OutageScope::Process && !self.has_fresh_list();
+        let are_starts_doubted =
+            self.scope() != OutageScope::Process && !self.has_list_since_outage();
         self.servers
-            .set_earliest_start(is_doubted.then_some(self.outage_started_at));
+            .set_earliest_start(are_starts_doubted.then_some(self.outage_started_at));
     }
 
     /// Adopts the beginning of admission from a peer that started together with this process, so
     /// that all count alike.
-    pub(crate) fn align_admission_start(&mut self, now: Nanos, word: &PeerStatus) {
-        let together = word.uptime
+    pub(crate) fn align_admission_start(&mut self, now: Nanos, status: &PeerStatus) {
+        let started_together = status.uptime
             <= now
                 .saturating_sub(self.outage_started_at)
-                .saturating_add(SIMULTANEOUS_START);
-        let Some(from) = word
+                .saturating_add(SIMULTANEOUS_START_WINDOW);
+        let Some(started_at) = status
             .serving_time
-            .filter(|_| together)
+            .filter(|_| started_together)
             .map(|span| now.saturating_sub(span))
         else {
             return;
@@ -83,20 +84,21 @@
         // Smaller differences are transmission delays.
         if self
             .admission_started_at
-            .is_none_or(|own| from.saturating_add(MIN_RETRY_AFTER) < own)
+            .is_none_or(|own| started_at.saturating_add(MIN_RETRY_AFTER) < own)
         {
-            self.admission_started_at = Some(from);
+            self.admission_started_at = Some(started_at);
             self.plan_admission(now);
         }
     }
 
     /// Plans the admission again after a change. Clients admitted so far stay counted.
     pub(crate) fn plan_admission(&mut self, now: Nanos) {
-        let (RecoveryState::StagedAdmission, Some(from)) = (self.state, self.admission_started_at)
+        let (RecoveryState::StagedAdmission, Some(started_at)) =
+            (self.state, self.admission_started_at)
         else {
             return;
         };
-        let servers: Vec<_> = self.servers.ready_servers().collect();
+        let servers: Vec<_> = self.servers.accepting_servers().collect();
         let before = self.curve.take().map(|curve| curve.admitted_by(now));
         if servers.is_empty() {
             self.order = AdmissionOrder::default();
@@ -105,38 +107,40 @@
         self.plan_order(servers.iter().map(|(weight, _)| weight).sum());
         let (slow_start, sustainable_arrivals) =
             (&self.config.slow_start, self.sustainable_arrivals());
-        let (mut clump, mut span) = self.group_batch(&servers);
-        let mut begun = AdmissionCurve::new(
-            from,
+        let (mut group_batch, mut group_span) = self.group_batch(&servers);
+        let mut curve = AdmissionCurve::new(
+            started_at,
             0.0,
             &servers,
             slow_start,
-            (sustainable_arrivals, clump),
+            (sustainable_arrivals, group_batch),
         );
-        let advance_admission = begun.time_to_admit(self.order.all()).max(1);
-        if span > advance_admission {
-            (clump, span) = (
-                (clump * span as f64 / advance_admission as f64).min(self.config.group_size),
-                advance_admission,
+        let admission_time = curve.time_to_admit(self.order.total_clients()).max(1);
+        if group_span > admission_time {
+            (group_batch, group_span) = (
+                (group_batch * group_span as f64 / admission_time as f64)
+                    .min(self.config.group_size),
+                admission_time,
             );
-            begun = AdmissionCurve::new(
-                from,
+            curve = AdmissionCurve::new(
+                started_at,
                 0.0,
                 &servers,
                 slow_start,
-                (sustainable_arrivals, clump),
+                (sustainable_arrivals, group_batch),
             );
         }
-        self.order.spread(span as f64 / advance_admission as f64);
+        self.order
+            .set_group_spread(group_span as f64 / admission_time as f64);
         self.curve = Some(match before {
-            Some(before) if before > begun.admitted_by(now) => AdmissionCurve::new(
+            Some(before) if before > curve.admitted_by(now) => AdmissionCurve::new(
                 now,
                 before,
                 &servers,
                 slow_start,
-                (sustainable_arrivals, clump),
+                (sustainable_arrivals, group_batch),
             ),
-            _ => begun,
+            _ => curve,
         });
     }
 
@@ -144,50 +148,54 @@
     /// over which the group is spread for that.
     fn group_batch(&self, servers: &[(f64, i64)]) -> (f64, Nanos) {
         let slow_start = &self.config.slow_start;
-        let small = servers
+        let min_weight = servers
             .iter()
             .map(|(weight, _)| *weight)
             .fold(f64::INFINITY, f64::min);
-        let least = slow_start.overload_multiple
+        let min_limit = slow_start.overload_multiple
             * self.sustainable_arrivals()
-            * small
+            * min_weight
             * slow_start.initial_capacity
             * slow_start.overload_window as f64
             / SECOND as f64;
-        let clump = (MAX_GROUP_FRACTION * least).max(1.0);
-        if self.config.group_size <= clump {
+        let group_batch = (MAX_GROUP_FRACTION * min_limit).max(1.0);
+        if self.config.group_size <= group_batch {
             return (self.config.group_size.max(1.0), 0);
         }
         (
-            clump,
-            (self.config.group_size / clump * slow_start.overload_window as f64) as Nanos,
+            group_batch,
+            (self.config.group_size / group_batch * slow_start.overload_window as f64) as Nanos,
         )
     }
 
     /// Plans the admission order from what is known of former clients.
-    fn plan_order(&mut self, weight: f64) {
-        let (remembered, sum) = self.remembered();
-        let by_farm =
-            weight * self.sustainable_arrivals() * self.config.slow_start.warm_up_time as f64
+    fn plan_order(&mut self, total_weight: f64) {
+        let (remembered_clients, sum) = self.remembered_clients();
+        let warm_up_clients =
+            total_weight * self.sustainable_arrivals() * self.config.slow_start.warm_up_time as f64
                 / SECOND as f64;
-        let counted = (self.client_count.len() * self.config.fleet_size as usize) as f64;
-        let mut peers: Vec<f64> = self.peers_previous_clients.values().copied().collect();
-        peers.sort_by(f64::total_cmp);
-        let known = [
+        let counted_clients = (self.client_count.len() * self.config.fleet_size as usize) as f64;
+        let mut peer_estimates: Vec<f64> = self.peers_previous_clients.values().copied().collect();
+        peer_estimates.sort_by(f64::total_cmp);
+        let estimates = [
             self.previous_clients(),
-            peers.get(peers.len() / 2).copied(),
+            peer_estimates.get(peer_estimates.len() / 2).copied(),
             Some(f64::from(self.config.usual_clients)),
             Some(sum),
-            Some(counted),
+            Some(counted_clients),
         ];
-        let all = known
+        let total_clients = estimates
             .into_iter()
             .flatten()
-            .find(|all| *all > 0.0)
-            .unwrap_or(by_farm);
+            .find(|clients| *clients > 0.0)
+            .unwrap_or(warm_up_clients);
         let order = match sum > 0.0 {
-            true => AdmissionOrder::new(&self.config, remembered, all),
-            false => AdmissionOrder::new(&self.config, &self.client_count.scaled_to(all), all),
+            true => AdmissionOrder::new(&self.config, remembered_clients, total_clients),
+            false => AdmissionOrder::new(
+                &self.config,
+                &self.client_count.scaled_to(total_clients),
+                total_clients,
+            ),
         };
         self.order = order;
     }
@@ -202,24 +210,25 @@
             return Some("it was alone");
         }
         // If all servers are warm at the beginning, everyone is admitted at once.
-        let is_through =
-            self.admitted_position >= self.order.all() || self.admitted_position == 0.0;
-        (warming == Some(0.0) && is_through).then_some("no server is cold, and all turns have come")
+        let are_all_positions_admitted =
+            self.admitted_position >= self.order.total_clients() || self.admitted_position == 0.0;
+        (warming == Some(0.0) && are_all_positions_admitted)
+            .then_some("no server is cold, and all turns have come")
     }
 
     /// Advances the staged admission.
-    pub(crate) fn refill(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        let span = now - self.quota_updated_at;
-        if self.admitted_position > 0.0 && span < TICK_INTERVAL / 16 {
+    pub(crate) fn advance_admission(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let elapsed = now - self.quota_updated_at;
+        if self.admitted_position > 0.0 && elapsed < TICK_INTERVAL / 16 {
             return;
         }
-        if let Some(why) = self.full_service_reason(now) {
+        if let Some(reason) = self.full_service_reason(now) {
             self.state = RecoveryState::Serving;
             self.curve = None;
-            self.log_step(out, RecoveryStep::Serving, why.into(), None);
+            self.log_step(out, RecoveryStep::Serving, reason.into(), None);
             return out.push(Action::SetServiceMode {
                 mode: ServiceMode::Full,
-                reason: why.into(),
+                reason: reason.into(),
             });
         }
         let Some(curve) = &self.curve else {
@@ -229,10 +238,10 @@
         self.admitted_position = self
             .admitted_position
             .max(PLANNED_FRACTION * curve.admitted_by(now));
-        let fleet = curve.admitted_by(now) - curve.admitted_by(self.quota_updated_at);
+        let fleet_clients = curve.admitted_by(now) - curve.admitted_by(self.quota_updated_at);
         self.quota.accrue(
-            fleet / f64::from(self.config.fleet_size),
-            span,
+            fleet_clients / f64::from(self.config.fleet_size),
+            elapsed,
             self.config.slow_start.overload_window,
         );
         self.quota_updated_at = now;
@@ -245,15 +254,21 @@
             return;
         }
         self.deferring_peers
-            .retain(|_, (short, at)| *short > 0.0 && now < at.saturating_add(DEFERRED_REPORT_TTL));
-        let all: f64 = self.deferring_peers.values().map(|(short, _)| short).sum();
-        if all <= 0.0 {
+            .retain(|_, (deferred_per_s, reported_at)| {
+                *deferred_per_s > 0.0 && now < reported_at.saturating_add(DEFERRED_REPORT_TTL)
+            });
+        let total_deferred: f64 = self
+            .deferring_peers
+            .values()
+            .map(|(deferred_per_s, _)| deferred_per_s)
+            .sum();
+        if total_deferred <= 0.0 {
             return;
         }
-        let mut drawn = self.rng.random_range(0.0..all);
-        for (peer, (short, _)) in &self.deferring_peers {
-            drawn -= short;
-            if drawn < 0.0 {
+        let mut draw = self.rng.random_range(0.0..total_deferred);
+        for (peer, (deferred_per_s, _)) in &self.deferring_peers {
+            draw -= deferred_per_s;
+            if draw < 0.0 {
                 self.lent_count += 1;
                 let clients = std::mem::take(&mut self.quota.lendable);
                 return out.push(Action::LendQuota {
@@ -281,13 +296,13 @@
                 is_final: false,
             });
         };
-        let turn = self.order.position(&self.config, request);
-        if turn > self.admitted_position {
-            let left = curve
-                .time_of(turn / PLANNED_FRACTION)
+        let position = self.order.position(&self.config, request);
+        if position > self.admitted_position {
+            let remaining = curve
+                .time_of(position / PLANNED_FRACTION)
                 .map_or(self.step_deadline_at, |at| at.min(self.step_deadline_at))
                 .saturating_sub(now);
-            let retry_after = left
+            let retry_after = remaining
                 .max(MIN_RETRY_AFTER)
                 .saturating_add(self.rng.random_range(0..RETRY_JITTER));
             return out.push(Action::Defer {
@@ -300,10 +315,10 @@
             return out.push(Action::Admit { id });
         }
         // The time until the deferred clients are admitted, if they keep coming.
-        let line = self.quota.deferred_per_s() / self.quota.rate().max(f64::MIN_POSITIVE);
-        let line = ((line * SECOND as f64) as Nanos)
+        let backlog = self.quota.deferred_per_s() / self.quota.rate().max(f64::MIN_POSITIVE);
+        let backlog = ((backlog * SECOND as f64) as Nanos)
             .clamp(MIN_RETRY_AFTER, self.config.timeouts.max_retry_interval);
-        let retry_after = MIN_RETRY_AFTER + self.rng.random_range(0..=2 * line);
+        let retry_after = MIN_RETRY_AFTER + self.rng.random_range(0..=2 * backlog);
         out.push(Action::Defer {
             id,
             retry_after,
