--- a/crates/recovery/src/validity.rs
+++ b/crates/recovery/src/validity.rs
@@ -11,8 +11,12 @@
     Foreign,
 }
 
-pub(crate) fn memory_owner(config: &RecoveryConfig, boot: u64, memory: &Memory) -> MemoryOwner {
-    if memory.owner == config.name && memory.incarnation < boot {
+pub(crate) fn memory_owner(
+    config: &RecoveryConfig,
+    incarnation: u64,
+    memory: &Memory,
+) -> MemoryOwner {
+    if memory.owner == config.name && memory.incarnation < incarnation {
         MemoryOwner::Own
     } else {
         MemoryOwner::Foreign
@@ -24,9 +28,9 @@
     kind: RememberedKind,
     owner: MemoryOwner,
     age: Option<Millis>,
-    ages: &Retention,
+    retention: &Retention,
 ) -> (Validity, &'static str) {
-    let within = |most: Millis| age.is_some_and(|age| age <= most);
+    let within = |max_age: Millis| age.is_some_and(|age| age <= max_age);
     match (kind, owner) {
         (RememberedKind::ConnectionCounts, _) => {
             (Validity::Discarded, "no connection outlives its process")
@@ -38,15 +42,15 @@
             | RememberedKind::ServerHealth,
             MemoryOwner::Foreign,
         ) => (Validity::Discarded, "another process wrote it"),
-        (RememberedKind::List, _) if within(ages.list) => {
+        (RememberedKind::List, _) if within(retention.list) => {
             (Validity::Hint(1.0), "a starting point until one is told")
         }
         (RememberedKind::List, _) => (Validity::Hint(0.0), "old: only if nobody tells one"),
-        (RememberedKind::Drains, _) if within(ages.list) => {
+        (RememberedKind::Drains, _) if within(retention.list) => {
             (Validity::Valid, "until discovery says otherwise")
         }
         (RememberedKind::Drains, _) => (Validity::Hint(0.0), "old: only with the old list"),
-        (RememberedKind::Placements, _) if within(ages.placements) => {
+        (RememberedKind::Placements, _) if within(retention.placements) => {
             (Validity::Valid, "but on servers that have started since")
         }
         (RememberedKind::Placements, _) => (Validity::Discarded, "old"),
@@ -59,12 +63,12 @@
         ),
         (RememberedKind::ServerRates | RememberedKind::ServerHealth, _) => match age {
             Some(age) => (
-                Validity::Hint(decayed_weight(age, ages)),
+                Validity::Hint(decayed_weight(age, retention)),
                 "it fades with time",
             ),
             None => (Validity::Discarded, "its age is unknown"),
         },
-        (RememberedKind::FormerClients, _) if within(ages.previous_clients) => {
+        (RememberedKind::FormerClients, _) if within(retention.previous_clients) => {
             (Validity::Hint(1.0), "it tells how many will come")
         }
         (RememberedKind::FormerClients, _) => {
@@ -74,6 +78,6 @@
 }
 
 /// The weight that is left at an age.
-fn decayed_weight(age: Millis, ages: &Retention) -> f64 {
-    (-(age as f64) / ages.half_life as f64).exp2()
+fn decayed_weight(age: Millis, retention: &Retention) -> f64 {
+    (-(age as f64) / retention.half_life as f64).exp2()
 }
--- a/crates/recovery/tests/any_order.rs
+++ b/crates/recovery/tests/any_order.rs
@@ -59,22 +59,22 @@
         weight,
     });
     let sources = [
-        Source::Known,
-        Source::Memory,
-        Source::OtherSite,
-        Source::Peer,
-        Source::Store,
-        Source::Discovery,
+        ListSource::Configured,
+        ListSource::Memory,
+        ListSource::OtherSite,
+        ListSource::Peer,
+        ListSource::Store,
+        ListSource::Discovery,
     ];
     let source = proptest::sample::select(sources.to_vec());
-    let about = (
+    let header = (
         source,
         any::<u64>(),
         0..3_u64,
         any::<u64>(),
         proptest::option::of(wall()),
     );
-    (about, proptest::collection::vec(entry, 0..6)).prop_map(
+    (header, proptest::collection::vec(entry, 0..6)).prop_map(
         |((source, generation, epoch, age, reported_at), entries)| List {
             source,
             generation,
@@ -87,15 +87,15 @@
 }
 
 fn memory() -> impl Strategy<Value = Memory> {
-    let former = (0..3_usize, 0..3_u64, weight());
-    let former = former.prop_map(|(class, account, clients)| PreviousClients {
+    let previous_clients = (0..3_usize, 0..3_u64, weight());
+    let previous_clients = previous_clients.prop_map(|(class, account, clients)| PreviousClients {
         class,
         account,
         clients,
     });
-    let former = proptest::collection::vec(former, 0..4);
-    let about = ("b[12]", 0..4_u64, wall(), proptest::option::of(weight()));
-    (about, proptest::option::of(list()), former).prop_map(
+    let previous_clients = proptest::collection::vec(previous_clients, 0..4);
+    let header = ("b[12]", 0..4_u64, wall(), proptest::option::of(weight()));
+    (header, proptest::option::of(list()), previous_clients).prop_map(
         |((owner, incarnation, written_at, clients_per_server_s), list, previous_clients)| Memory {
             owner,
             incarnation,
@@ -107,39 +107,39 @@
     )
 }
 
-fn whom() -> impl Strategy<Value = EvidenceSource> {
+fn evidence_source() -> impl Strategy<Value = EvidenceSource> {
     proptest::sample::select(EvidenceSource::ALL.to_vec())
 }
 
-fn word() -> impl Strategy<Value = PeerStatus> {
-    let who = ("b[0-4]", "north|south", 0..4_u64, any::<u64>());
-    let what = (
+fn peer_status() -> impl Strategy<Value = PeerStatus> {
+    let identity = ("b[0-4]", "north|south", 0..4_u64, any::<u64>());
+    let report = (
         proptest::option::of(any::<u64>()),
         any::<bool>(),
         proptest::option::of(wall()),
         weight(),
         weight(),
     );
-    (who, what).prop_map(
+    (identity, report).prop_map(
         |(
             (name, site, incarnation, uptime),
-            (serving_time, serves_in_full, wall_clock, former, deferred_per_s),
+            (serving_time, is_in_full_service, wall_clock, previous_clients, deferred_per_s),
         )| PeerStatus {
             name,
             site,
             incarnation,
             uptime,
             serving_time,
-            serves_in_full,
+            is_in_full_service,
             wall_clock,
-            previous_clients: Some(former),
+            previous_clients: Some(previous_clients),
             deferred_per_s,
         },
     )
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let arrival = (
+    let request = (
         0..4_usize,
         0..3_u64,
         proptest::option::of(any::<u64>()),
@@ -147,13 +147,13 @@
     );
     prop_oneof![
         1 => (0..5_u64, proptest::option::of(memory())).prop_map(|(incarnation, memory)| Event::Started { incarnation, memory }),
-        3 => word().prop_map(Event::PeerReported),
+        3 => peer_status().prop_map(Event::PeerReported),
         3 => list().prop_map(Event::ListReceived),
-        2 => whom().prop_map(Event::Answered),
-        2 => whom().prop_map(Event::Failed),
+        2 => evidence_source().prop_map(Event::QueryAnswered),
+        2 => evidence_source().prop_map(Event::QueryFailed),
         1 => ("s[0-9]", wall()).prop_map(|(name, at)| Event::ServerStarted { name, at }),
         1 => ("b[0-4]", 0..9_u64, weight()).prop_map(|(from, number, clients)| Event::QuotaLent { from, number, clients }),
-        6 => arrival.prop_map(|(class, account, client_key, is_reconnect)| {
+        6 => request.prop_map(|(class, account, client_key, is_reconnect)| {
             Event::AdmissionRequested(AdmissionRequest { id: 0, class, account, group: None, client_key, is_reconnect })
         }),
     ]
@@ -161,50 +161,50 @@
 
 proptest! {
     #[test]
-    fn every_process_serves_within_its_bound_and_answers_each_client_once(
+    fn serves_in_time_and_answers_each_client_once(
         events in proptest::collection::vec((event(), 0..400 * MS, wall()), 0..150),
         seed in any::<u64>(),
     ) {
         let config = config();
-        let (lets_in, bound) = (config.admits_within() + MS, config.serves_within() + MS);
-        let mut machine = Recovery::new(config, seed).expect("these settings are in range");
-        let (mut now, mut began, mut calls, mut out) = (0, None, 0, Vec::new());
-        let mut tell = |machine: &mut Recovery, now: Nanos, wall: Millis, event: Event, began: &mut Option<Nanos>| {
+        let (admission_bound, service_bound) = (config.max_time_to_admission() + MS, config.max_time_to_full_service() + MS);
+        let mut recovery = Recovery::new(config, seed).expect("these settings are in range");
+        let (mut now, mut started_at, mut calls, mut out) = (0, None, 0, Vec::new());
+        let mut handle_event = |recovery: &mut Recovery, now: Nanos, wall: Millis, event: Event, started_at: &mut Option<Nanos>| {
             calls += 1;
-            assert!(calls < 5_000, "ticks are asked for without end in {:?}", machine.state());
-            let arrives = matches!(event, Event::AdmissionRequested(_));
+            assert!(calls < 5_000, "ticks are asked for without end in {:?}", recovery.state());
+            let is_admission_request = matches!(event, Event::AdmissionRequested(_));
             out.clear();
-            machine.handle(now, wall, event, &mut out);
-            if began.is_none() || out.iter().any(|action| matches!(action, Action::LogStep { step: RecoveryStep::Resumed, .. })) {
-                *began = Some(now);
+            recovery.handle(now, wall, event, &mut out);
+            if started_at.is_none() || out.iter().any(|action| matches!(action, Action::LogStep { step: RecoveryStep::Resumed, .. })) {
+                *started_at = Some(now);
             }
             let answers = out.iter().filter(|one| matches!(one, Action::Admit { .. } | Action::Defer { .. })).count();
-            assert_eq!(answers, usize::from(arrives));
+            assert_eq!(answers, usize::from(is_admission_request));
             for action in &out {
                 if let Action::Defer { retry_after, .. } = action {
-                    assert!((SECOND / 4..=bound + 2 * SECOND).contains(retry_after), "{retry_after}");
+                    assert!((SECOND / 4..=service_bound + 2 * SECOND).contains(retry_after), "{retry_after}");
                 }
             }
-            let since = now - began.unwrap_or(now);
-            assert!(since < lets_in || machine.state().service_mode() != ServiceMode::Unavailable, "{:?} after {since}", machine.state());
-            assert!(since < bound || machine.state() == RecoveryState::Serving, "{:?} after {since}", machine.state());
+            let elapsed = now - started_at.unwrap_or(now);
+            assert!(elapsed < admission_bound || recovery.state().service_mode() != ServiceMode::Unavailable, "{:?} after {elapsed}", recovery.state());
+            assert!(elapsed < service_bound || recovery.state() == RecoveryState::Serving, "{:?} after {elapsed}", recovery.state());
         };
         for (event, span, wall) in events {
             let until = now + span;
             // Ticks come when they are asked for.
-            while let Some(due) = machine.next_tick_at().filter(|due| *due < until) {
+            while let Some(due) = recovery.next_tick_at().filter(|due| *due < until) {
                 now = due.max(now + 1);
-                tell(&mut machine, now, wall, Event::Tick, &mut began);
+                handle_event(&mut recovery, now, wall, Event::Tick, &mut started_at);
             }
             now = now.max(until);
-            tell(&mut machine, now, wall, event, &mut began);
+            handle_event(&mut recovery, now, wall, event, &mut started_at);
         }
-        let end = now + bound;
-        tell(&mut machine, now, 0, Event::Tick, &mut began);
+        let end = now + service_bound;
+        handle_event(&mut recovery, now, 0, Event::Tick, &mut started_at);
         while now < end {
-            now = machine.next_tick_at().expect("a started process has a next moment").clamp(now + 1, end);
-            tell(&mut machine, now, 0, Event::Tick, &mut began);
+            now = recovery.next_tick_at().expect("a started process has a next moment").clamp(now + 1, end);
+            handle_event(&mut recovery, now, 0, Event::Tick, &mut started_at);
         }
-        prop_assert_eq!(machine.state(), RecoveryState::Serving);
+        prop_assert_eq!(recovery.state(), RecoveryState::Serving);
     }
 }
--- a/crates/recovery/tests/blackout.rs
+++ b/crates/recovery/tests/blackout.rs
@@ -1,188 +1,207 @@
 //! The whole fleet comes back from a power loss, on a virtual clock: all balancers start in one instant, all servers are
 //! cold, all clients come within a second.
 
-mod toy;
+mod fleet_simulation;
 
 use beaconflow_recovery::OutageScope;
-use toy::*;
+use fleet_simulation::*;
 
 /// Plays a day; says what came of it, and its time over that of a refill that sees all and goes to the rule's limit.
-fn play(day: Day) -> (Told, f64) {
-    let toy = Toy::new(day.clone());
-    let all_seeing = toy.all_seeing();
-    let told = toy.play(90 * SECOND);
-    let served_at = told.served_at.expect("99% of the worth is served again");
-    let ratio = served_at as f64 / all_seeing as f64;
+fn simulate(scenario: Scenario) -> (SimulationResult, f64) {
+    let simulation = FleetSimulation::new(scenario.clone());
+    let ideal = simulation.ideal_admission_time();
+    let result = simulation.play(90 * SECOND);
+    let served_at = result.served_at.expect("99% of the worth is served again");
+    let ratio = served_at as f64 / ideal as f64;
     println!(
         "fleet {} peers {:?} disks {} told {} uneven {} stays {}: {ratio:.3}, worst {:.3}, kept {:.3}, lent {:.0}, herd {}",
-        day.fleet,
-        day.peers,
-        day.disks,
-        day.told,
-        day.uneven,
-        day.stays,
-        told.worst,
-        share_kept(&told),
-        told.lent,
-        told.herd
+        scenario.fleet,
+        scenario.peers,
+        scenario.disk_interval,
+        scenario.memory_scale,
+        scenario.imbalance,
+        scenario.is_sticky,
+        result.max_load_ratio,
+        kept_fraction(&result),
+        result.lent,
+        result.max_discovery_calls
     );
-    assert_eq!(told.tipped, 0, "{day:?}: {told:?}");
-    assert_eq!(told.admitted, day.clients);
-    (told, ratio)
+    assert_eq!(result.overloaded, 0, "{scenario:?}: {result:?}");
+    assert_eq!(result.admitted, scenario.clients);
+    (result, ratio)
 }
 
-fn share_kept(told: &Told) -> f64 {
-    told.kept as f64 / told.promised as f64
+fn kept_fraction(result: &SimulationResult) -> f64 {
+    result.kept_promises as f64 / result.final_deferrals as f64
 }
 
 #[test]
-fn fleets_of_any_size_are_nearly_as_fast_as_one_that_sees_all() {
+fn admits_near_ideal_speed_at_any_fleet_size() {
     for fleet in [5, 30, 100, 300] {
-        let (told, ratio) = play(Day {
+        let (result, ratio) = simulate(Scenario {
             fleet,
             clients: 200_000,
-            ..Day::default()
+            ..Scenario::default()
         });
         assert!(ratio <= 1.3, "{fleet}: {ratio}");
-        assert_eq!(told.scopes, [(OutageScope::Fleet, fleet)].into());
+        assert_eq!(result.scopes, [(OutageScope::Fleet, fleet)].into());
         // Promises are honest: who comes as it was told is let in.
-        assert!(share_kept(&told) >= 0.85, "{fleet}: {told:?}");
+        assert!(kept_fraction(&result) >= 0.85, "{fleet}: {result:?}");
         // Discovery is called at its pace, 100 a second.
-        assert!(told.herd <= 30, "{fleet}: {}", told.herd);
+        assert!(
+            result.max_discovery_calls <= 30,
+            "{fleet}: {}",
+            result.max_discovery_calls
+        );
     }
 }
 
 #[test]
-fn many_small_servers_need_more_room_for_chance() {
+fn reserves_margin_when_servers_are_small() {
     // 9 clients are the limit of one cold server in the time in which it tips.
-    let (_, ratio) = play(Day {
+    let (_, ratio) = simulate(Scenario {
         fleet: 30,
         servers: 1_000,
         clients: 200_000,
-        ..Day::default()
+        ..Scenario::default()
     });
     assert!(ratio <= 2.5, "{ratio}");
     // The rule itself leaves room.
-    let (_, ratio) = play(Day {
+    let (_, ratio) = simulate(Scenario {
         servers: 1_000,
         clients: 200_000,
-        slack: 3.0,
-        ..Day::default()
+        variance_margin: 3.0,
+        ..Scenario::default()
     });
     assert!(ratio <= 1.35, "{ratio}");
 }
 
 #[test]
-fn without_peers_it_takes_little_longer() {
+fn admits_nearly_as_fast_without_peers() {
     for fleet in [5, 300] {
-        let (_, ratio) = play(Day {
+        let (_, ratio) = simulate(Scenario {
             fleet,
             clients: 200_000,
             peers: Peers::None,
-            ..Day::default()
+            ..Scenario::default()
         });
         assert!(ratio <= 1.35, "{fleet}: {ratio}");
     }
 }
 
 #[test]
-fn the_urgent_class_the_large_share_and_whole_groups_come_first() {
-    let (told, _) = play(Day {
+fn admits_by_class_quota_and_group() {
+    let (result, _) = simulate(Scenario {
         fleet: 30,
-        ..Day::default()
+        ..Scenario::default()
     });
-    assert!(told.class_half[1] * 2 < told.class_half[0], "{told:?}");
     assert!(
-        told.account_half[0] * 4 < told.account_half[1] * 3,
-        "{told:?}"
+        result.class_median[1] * 2 < result.class_median[0],
+        "{result:?}"
     );
-    assert!(told.group_span < SECOND, "{told:?}");
+    assert!(
+        result.account_median[0] * 4 < result.account_median[1] * 3,
+        "{result:?}"
+    );
+    assert!(result.mean_group_span < SECOND, "{result:?}");
 }
 
 #[test]
-fn clients_of_few_balancers_use_the_parts_of_the_others() {
-    let (told, ratio) = play(Day {
+fn lends_quota_when_clients_are_uneven() {
+    let (result, ratio) = simulate(Scenario {
         fleet: 30,
-        uneven: 1.0,
-        stays: true,
-        ..Day::default()
+        imbalance: 1.0,
+        is_sticky: true,
+        ..Scenario::default()
     });
-    assert!(told.lent > 0.0 && ratio <= 1.5, "{ratio} {told:?}");
+    assert!(result.lent > 0.0 && ratio <= 1.5, "{ratio} {result:?}");
 }
 
 #[test]
-fn lost_disks_and_wrong_counts_tip_nobody() {
-    for (disks, told) in [(2, 1.0), (0, 1.0), (0, 0.4), (1, 0.4), (1, 2.0)] {
-        let (_, ratio) = play(Day {
+fn overloads_no_server_when_memory_is_wrong() {
+    for (disk_interval, memory_scale) in [(2, 1.0), (0, 1.0), (0, 0.4), (1, 0.4), (1, 2.0)] {
+        let (_, ratio) = simulate(Scenario {
             fleet: 30,
-            disks,
-            told,
-            ..Day::default()
+            disk_interval,
+            memory_scale,
+            ..Scenario::default()
         });
-        assert!(ratio <= 1.4 * told.max(1.0), "{disks} {told}: {ratio}");
+        assert!(
+            ratio <= 1.4 * memory_scale.max(1.0),
+            "{disk_interval} {memory_scale}: {ratio}"
+        );
     }
 }
 
 #[test]
-fn halves_that_recover_apart_and_meet_tip_nobody() {
+fn overloads_no_server_when_partition_heals() {
     let peers = Peers::Halves(6 * SECOND);
-    let (_, ratio) = play(Day {
+    let (_, ratio) = simulate(Scenario {
         fleet: 30,
         peers,
-        ..Day::default()
+        ..Scenario::default()
     });
     assert!(ratio <= 1.4, "{ratio}");
 }
 
 #[test]
-fn discovery_that_comes_back_last_is_waited_for_within_a_bound() {
-    let (told, ratio) = play(Day {
+fn bounds_wait_when_discovery_returns_last() {
+    let (result, ratio) = simulate(Scenario {
         fleet: 30,
-        discovery_from: 10 * SECOND,
-        ..Day::default()
+        discovery_back_at: 10 * SECOND,
+        ..Scenario::default()
     });
     // Memory has the list; what it says of starts is old, and the servers are cold when they are told.
-    assert!(ratio <= 2.0, "{ratio} {told:?}");
-    play(Day {
+    assert!(ratio <= 2.0, "{ratio} {result:?}");
+    simulate(Scenario {
         fleet: 30,
-        discovery_from: 10 * SECOND,
-        disks: 0,
-        ..Day::default()
+        discovery_back_at: 10 * SECOND,
+        disk_interval: 0,
+        ..Scenario::default()
     });
 }
 
 #[test]
-fn balancers_that_start_one_by_one_join_the_same_turns() {
-    let (told, ratio) = play(Day {
+fn shares_admission_order_when_starts_are_staggered() {
+    let (result, ratio) = simulate(Scenario {
         fleet: 30,
-        stagger: SECOND / 5,
-        ..Day::default()
+        start_interval: SECOND / 5,
+        ..Scenario::default()
     });
-    assert!(ratio <= 1.5 && share_kept(&told) >= 0.6, "{ratio} {told:?}");
+    assert!(
+        ratio <= 1.5 && kept_fraction(&result) >= 0.6,
+        "{ratio} {result:?}"
+    );
 }
 
 #[test]
-fn a_warm_farm_takes_everybody_at_once() {
-    let (told, _) = play(Day {
+fn admits_all_at_once_when_servers_are_warm() {
+    let (result, _) = simulate(Scenario {
         fleet: 30,
-        servers_from: -(60 * SECOND as i64),
-        ..Day::default()
+        servers_started_at: -(60 * SECOND as i64),
+        ..Scenario::default()
     });
     assert!(
-        told.served_at.expect("it is served") < 4 * SECOND,
-        "{told:?}"
+        result.served_at.expect("it is served") < 4 * SECOND,
+        "{result:?}"
     );
 }
 
 #[test]
-fn equal_seeds_give_equal_days() {
-    let day = || Day {
+fn repeats_run_when_seed_is_equal() {
+    let scenario = || Scenario {
         fleet: 30,
         clients: 20_000,
         seed: 5,
-        ..Day::default()
+        ..Scenario::default()
     };
-    let digest = |day| Toy::new(day).play(90 * SECOND).digest;
-    assert_eq!(digest(day()), digest(day()));
-    assert_ne!(digest(day()), digest(Day { seed: 6, ..day() }));
+    let digest = |scenario| FleetSimulation::new(scenario).play(90 * SECOND).digest;
+    assert_eq!(digest(scenario()), digest(scenario()));
+    assert_ne!(
+        digest(scenario()),
+        digest(Scenario {
+            seed: 6,
+            ..scenario()
+        })
+    );
 }
--- a/crates/simulator/examples/quiet.rs
+++ b/crates/simulator/examples/quiet.rs
@@ -27,7 +27,7 @@
             incarnation: 1,
             uptime,
             serving_time: Some(uptime),
-            serves_in_full: true,
+            is_in_full_service: true,
             wall_clock,
             previous_clients: Some(1.0),
             deferred_per_s: 0.0,
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -163,7 +163,7 @@
         } else {
             LONG
         };
-        let sound = machine.is_none_or(|machine| machine.clock_is_sound());
+        let sound = machine.is_none_or(|machine| machine.is_clock_reliable());
         PeerStatus {
             name: mesh::name(balancer),
             site: self.site(balancer),
@@ -173,7 +173,7 @@
                 Some(_) => host.lets_in_since.map(|since| self.now - since),
                 None => Some(uptime),
             },
-            serves_in_full: machine.is_none_or(|machine| machine.state() == Stage::Serving),
+            is_in_full_service: machine.is_none_or(|machine| machine.state() == Stage::Serving),
             wall_clock: sound.then_some(mesh::wall(self.now)),
             previous_clients: match machine {
                 Some(machine) => machine.previous_clients(),
--- a/crates/simulator/src/engine/recovery.rs
+++ b/crates/simulator/src/engine/recovery.rs
@@ -6,9 +6,9 @@
 use beaconflow_membership::Node;
 use beaconflow_policy::{ListUpdate, ServerState};
 use beaconflow_recovery::{
-    AccountQuota, Action, AdmissionRequest, Entry, Event, EvidenceSource, Lifecycle, List, Memory,
-    PreviousClients, Recovery, RecoveryConfig, RecoveryState as Stage, RequestClass, ServiceMode,
-    SlowStartRules, Source,
+    AccountQuota, Action, AdmissionRequest, Entry, Event, EvidenceSource, Lifecycle, List,
+    ListSource, Memory, PreviousClients, Recovery, RecoveryConfig, RecoveryState as Stage,
+    RequestClass, ServiceMode, SlowStartRules,
 };
 
 use super::affinity::Places;
@@ -19,7 +19,7 @@
 
 /// Time has passed; a call of discovery failed.
 pub(super) const TICK: Event = Event::Tick;
-pub(super) const ASK_FAILED: Event = Event::Failed(EvidenceSource::Discovery);
+pub(super) const ASK_FAILED: Event = Event::QueryFailed(EvidenceSource::Discovery);
 /// A call that fails does so after this.
 const FAILS_AFTER: f64 = 0.01;
 /// Gateways this far apart in warmth are not dealt to alike.
@@ -119,7 +119,7 @@
         if host
             .recovery
             .as_ref()
-            .is_some_and(|machine| !machine.may_remember())
+            .is_some_and(|machine| !machine.can_update_memory())
         {
             return host.disk.clone();
         }
@@ -128,7 +128,7 @@
             incarnation: u64::from(self.nodes[balancer as usize].start) + 1,
             written_at: mesh::wall(self.now),
             list: Some(List {
-                source: Source::Memory,
+                source: ListSource::Memory,
                 ..self.list_now()
             }),
             previous_clients: self.previous_clients(),
@@ -149,7 +149,7 @@
             weight: listed.weight,
         };
         List {
-            source: Source::Discovery,
+            source: ListSource::Discovery,
             generation: self.generation,
             epoch: 1,
             age: 0,
@@ -227,7 +227,7 @@
         match action {
             Action::Query {
                 source: EvidenceSource::Discovery,
-                after,
+                delay: after,
             } => {
                 let at = self.now.saturating_add(after);
                 self.push(at, Occurrence::Asks { balancer, start });
--- a/crates/store/benches/start.rs
+++ b/crates/store/benches/start.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use beaconflow_overrides::{Draft, Id, Kind, Override};
+use beaconflow_overrides::{Draft, Override, OverrideId, OverrideKind};
 use beaconflow_store::{OverrideStore, open};
 use criterion::{BenchmarkId, Criterion};
 
 fn out(id: u64) -> Override {
-    let kind = Kind::Out {
+    let kind = OverrideKind::Out {
         server: format!("server-{id}"),
         moves_per_s: Some(2.0),
     };
@@ -17,7 +17,7 @@
         why: "a reason of ordinary length".into(),
         expires_at: 2_000,
     };
-    draft.into_override(Id(id), 1_000)
+    draft.into_override(OverrideId(id), 1_000)
 }
 
 fn benches(criterion: &mut Criterion) {
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use beaconflow_overrides::{Id, Override};
+use beaconflow_overrides::{Override, OverrideId};
 use redb::{Database, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
 
 use crate::database::{About, SCHEMA_KEY, Unread, number, open_sound, read};
@@ -29,7 +29,7 @@
     database: Option<Database>,
     /// The file that is open. Guards against a put into one that was removed or cut, which would be lost.
     mark: Option<Mark>,
-    next: Id,
+    next: OverrideId,
 }
 
 /// Opens a store, and makes it where there is none. A damaged file is kept aside and an empty one begun.
@@ -84,7 +84,11 @@
         .chain([next, 1])
         .max();
     let mark = disk.mark(path).ok();
-    let (disk, path, next) = (Arc::clone(disk), path.to_owned(), Id(next.unwrap_or(1)));
+    let (disk, path, next) = (
+        Arc::clone(disk),
+        path.to_owned(),
+        OverrideId(next.unwrap_or(1)),
+    );
     let mut store = FileStore {
         disk,
         path,
@@ -168,8 +172,8 @@
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
         let next = all
             .iter()
-            .map(|one| Id(one.id.0.saturating_add(1)))
-            .fold(self.next, Id::max);
+            .map(|one| OverrideId(one.id.0.saturating_add(1)))
+            .fold(self.next, OverrideId::max);
         self.write(|rows, about| {
             for one in all {
                 rows.insert(one.id.0, record::encode(one).as_slice())?;
@@ -180,14 +184,14 @@
         Ok(())
     }
 
-    fn forget(&mut self, ids: &[Id]) -> Result<(), StoreError> {
+    fn forget(&mut self, ids: &[OverrideId]) -> Result<(), StoreError> {
         if ids.is_empty() {
             return Ok(());
         }
         self.write(|rows, _| ids.iter().try_for_each(|id| rows.remove(id.0).map(drop)))
     }
 
-    fn next_id(&self) -> Id {
+    fn next_id(&self) -> OverrideId {
         self.next
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -15,7 +15,7 @@
 use std::fmt;
 use std::path::PathBuf;
 
-use beaconflow_overrides::{Id, Override};
+use beaconflow_overrides::{Override, OverrideId};
 
 pub use file::{FileStore, SCHEMA, open, open_on};
 
@@ -25,11 +25,11 @@
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError>;
 
     /// Forgets overrides.
-    fn forget(&mut self, ids: &[Id]) -> Result<(), StoreError>;
+    fn forget(&mut self, ids: &[OverrideId]) -> Result<(), StoreError>;
 
     /// The number that the next new override gets; a number is never given twice, also after what had it was
     /// forgotten.
-    fn next_id(&self) -> Id;
+    fn next_id(&self) -> OverrideId;
 }
 
 /// Why a store did not take what it was given. Nothing of it is kept then.
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -2,7 +2,7 @@
 //!
 //! Fields are added, never given another meaning or number, so that each program reads what older ones wrote.
 
-use beaconflow_overrides::{Id, Kind, Override, Replay, Strictness, Subject};
+use beaconflow_overrides::{Override, OverrideId, OverrideKind, Replay, Strictness, Subject};
 use prost::{Message, Oneof};
 
 #[derive(Clone, PartialEq, Message)]
@@ -85,18 +85,18 @@
 /// The bytes of an override.
 pub(crate) fn encode(one: &Override) -> Vec<u8> {
     let kind = match &one.kind {
-        Kind::Out {
+        OverrideKind::Out {
             server,
             moves_per_s,
         } => KindRecord::Out(OutRecord {
             server: server.clone(),
             moves_per_s: *moves_per_s,
         }),
-        Kind::Weight { server, factor } => KindRecord::Weight(WeightRecord {
+        OverrideKind::Weight { server, factor } => KindRecord::Weight(WeightRecord {
             server: server.clone(),
             factor: *factor,
         }),
-        Kind::Pin {
+        OverrideKind::Pin {
             subject,
             server,
             strictness,
@@ -135,21 +135,21 @@
         KindRecord::Out(OutRecord {
             server,
             moves_per_s,
-        }) => Kind::Out {
+        }) => OverrideKind::Out {
             server,
             moves_per_s,
         },
         KindRecord::Weight(WeightRecord { server, factor })
             if factor.is_finite() && factor > 0.0 =>
         {
-            Kind::Weight { server, factor }
+            OverrideKind::Weight { server, factor }
         }
         KindRecord::Weight(_) => return None,
         KindRecord::Pin(PinRecord {
             server,
             subject,
             strict,
-        }) => Kind::Pin {
+        }) => OverrideKind::Pin {
             subject: match subject? {
                 SubjectRecord::Group(name) => Subject::Group(name),
                 SubjectRecord::Tenant(name) => Subject::Tenant(name),
@@ -163,7 +163,7 @@
         },
     };
     Some(Override {
-        id: Id(record.id),
+        id: OverrideId(record.id),
         kind,
         who: record.who,
         why: record.why,
--- a/crates/store/src/record/tests.rs
+++ b/crates/store/src/record/tests.rs
@@ -2,8 +2,8 @@
 
 fn pin() -> Override {
     Override {
-        id: Id(7),
-        kind: Kind::Pin {
+        id: OverrideId(7),
+        kind: OverrideKind::Pin {
             subject: Subject::Tenant("north".into()),
             server: "s1".into(),
             strictness: Strictness::Strict,
@@ -26,19 +26,19 @@
 fn what_is_written_is_read_back() {
     for kind in [
         pin().kind,
-        Kind::Out {
+        OverrideKind::Out {
             server: "s".into(),
             moves_per_s: Some(0.5),
         },
-        Kind::Out {
+        OverrideKind::Out {
             server: "s".into(),
             moves_per_s: None,
         },
-        Kind::Weight {
+        OverrideKind::Weight {
             server: "s".into(),
             factor: 0.25,
         },
-        Kind::Pin {
+        OverrideKind::Pin {
             subject: Subject::Group("g".into()),
             server: "s".into(),
             strictness: Strictness::Prefer,
--- a/crates/store/tests/file.rs
+++ b/crates/store/tests/file.rs
@@ -3,12 +3,12 @@
 use std::fs;
 use std::path::Path;
 
-use beaconflow_overrides::{Draft, Id, Kind, Override};
+use beaconflow_overrides::{Draft, Override, OverrideId, OverrideKind};
 use beaconflow_store::{OpenError, OverrideStore, SCHEMA, open};
 use redb::{Database, TableDefinition};
 
 fn out(id: u64) -> Override {
-    let kind = Kind::Out {
+    let kind = OverrideKind::Out {
         server: format!("s{id}"),
         moves_per_s: None,
     };
@@ -18,7 +18,7 @@
         why: "why".into(),
         expires_at: 2_000,
     }
-    .into_override(Id(id), 1_000)
+    .into_override(OverrideId(id), 1_000)
 }
 
 fn folder() -> tempfile::TempDir {
@@ -48,13 +48,13 @@
     let path = folder.path().join("overrides.redb");
     let (mut store, contents) = open(&path).expect("a new store");
     assert_eq!(contents, Default::default());
-    assert_eq!(store.next_id(), Id(1));
+    assert_eq!(store.next_id(), OverrideId(1));
     store.put(&[out(1)]).expect("durable");
     store.put(&[out(2)]).expect("durable");
     let mut changed = out(1);
     changed.remove(1_500);
     store.put(&[changed.clone()]).expect("durable");
-    store.forget(&[Id(2)]).expect("durable");
+    store.forget(&[OverrideId(2)]).expect("durable");
     assert!(
         matches!(open(&path), Err(OpenError::InUse)),
         "one program at a time"
@@ -62,7 +62,7 @@
     drop(store);
     let (store, contents) = open(&path).expect("the same store");
     assert_eq!(contents.overrides, [changed]);
-    assert_eq!(store.next_id(), Id(3), "2 was given away");
+    assert_eq!(store.next_id(), OverrideId(3), "2 was given away");
     assert!(beside(&path).is_empty());
 }
 
@@ -152,7 +152,7 @@
     let (store, contents) = open(&path).expect("sound as a whole");
     assert_eq!(contents.overrides, [out(1)]);
     assert_eq!(contents.unreadable, [5]);
-    assert_eq!(store.next_id(), Id(6));
+    assert_eq!(store.next_id(), OverrideId(6));
 }
 
 #[test]
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use beaconflow_overrides::{Draft, Id, Kind, Override, Strictness, Subject};
+use beaconflow_overrides::{Draft, Override, OverrideId, OverrideKind, Strictness, Subject};
 use beaconflow_store::memory::{self, Record};
 use beaconflow_store::{OverrideStore, open};
 
@@ -21,15 +21,15 @@
 
 fn overrides() -> Vec<Override> {
     let kinds = [
-        Kind::Out {
+        OverrideKind::Out {
             server: "s1".into(),
             moves_per_s: Some(2.5),
         },
-        Kind::Weight {
+        OverrideKind::Weight {
             server: "s2".into(),
             factor: 0.5,
         },
-        Kind::Pin {
+        OverrideKind::Pin {
             subject: Subject::Group("north".into()),
             server: "s3".into(),
             strictness: Strictness::Strict,
@@ -43,7 +43,7 @@
     };
     let numbered = (1..)
         .zip(kinds)
-        .map(|(id, kind)| draft(kind).into_override(Id(id), 1_000));
+        .map(|(id, kind)| draft(kind).into_override(OverrideId(id), 1_000));
     numbered.collect()
 }
 
@@ -62,7 +62,7 @@
     let (store, contents) = open(&path).expect("a sound file");
     assert_eq!(contents.overrides, overrides());
     assert!(contents.unreadable.is_empty() && contents.moved_aside.is_none());
-    assert_eq!(store.next_id(), Id(4));
+    assert_eq!(store.next_id(), OverrideId(4));
 }
 
 #[test]
