--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -180,7 +180,7 @@
     process.shows("held by memory alone", PATIENCE, is_held);
     let mut watch = fleet.discovery.watch();
     tell(&mut watch, 1, true, &both);
-    process.program.says("discovery counts anew");
+    process.program.says("discovery lost its state");
     process.shows("held", PATIENCE, is_held);
     tell(&mut watch, 2, false, &drains);
     process.shows("draining", PATIENCE, |farm| {
--- a/crates/recovery/src/accessors.rs
+++ b/crates/recovery/src/accessors.rs
@@ -1,41 +1,41 @@
-//! Queries by the host.
+//! Read access for the host.
 
 use crate::clock::WallClock;
 use crate::recovery::Recovery;
 use crate::{Entry, Millis, OutageScope, RecoveryState, RememberedKind, Validity};
 
 impl Recovery {
-    /// The present state.
+    /// The present state of the recovery.
     pub fn state(&self) -> RecoveryState {
         self.state
     }
 
-    /// The servers by name, with held drains applied.
+    /// The servers in order of their names; a server with a held drain is listed as draining.
     pub fn servers(&self) -> impl Iterator<Item = Entry> {
         self.servers.effective_entries()
     }
 
-    /// Validity of a kind of remembered knowledge.
+    /// The validity of a kind of remembered state; discarded if there is no memory.
     pub fn validity(&self, kind: RememberedKind) -> Validity {
         self.validities
             .get(&kind)
             .map_or(Validity::Discarded, |(validity, _)| *validity)
     }
 
-    /// The extent of the outage, as far as it is decided.
+    /// The extent of the outage; unknown until it is decided.
     pub fn scope(&self) -> OutageScope {
         self.scope_finding
             .as_ref()
             .map_or(OutageScope::Unknown, |scope_finding| scope_finding.scope)
     }
 
-    /// Whether the wall clock is reliable, for [`crate::PeerStatus::wall_clock`].
+    /// Whether the wall clock is reliable and may be sent as [`crate::PeerStatus::wall_clock`].
     pub fn is_clock_reliable(&self) -> bool {
         self.clock.as_ref().is_some_and(WallClock::is_reliable)
     }
 
-    /// Whether a placement from this wall time is valid: its server has not restarted and accepts
-    /// new connections.
+    /// Whether a placement made at this wall time is still valid: it is recent enough, and its
+    /// server has not restarted since and accepts new connections.
     pub fn is_placement_valid(&self, server: &str, placed_at: Millis) -> bool {
         let Some(server) = self
             .servers
@@ -57,8 +57,8 @@
         is_recent && !is_before_restart && server.entry.started_at_ms <= placed_at
     }
 
-    /// Whether a remembered override is valid. One that `restricts` a server stays valid for a time
-    /// if its expiry can't be computed.
+    /// Whether a remembered override is still valid. If the wall clock is unreliable, an override
+    /// that `restricts` a server stays valid for [`crate::Timeouts::drain_hold`].
     pub fn is_override_valid(&self, expires_at: Millis, restricts: bool) -> bool {
         match self.validity(RememberedKind::Overrides) {
             Validity::Valid => self
@@ -76,20 +76,20 @@
         }
     }
 
-    /// Whether the present clients may replace the remembered ones. During a recovery a second
-    /// power loss would otherwise leave only those admitted so far.
+    /// Whether the present clients may replace the remembered ones. Until service is full, a second
+    /// power loss would otherwise leave only the clients admitted so far in the memory.
     pub fn can_update_memory(&self) -> bool {
         self.state == RecoveryState::Serving
     }
 
-    /// Clients per second deferred although their position has come, for
+    /// Clients per second deferred for lack of quota although their position is admitted, for
     /// [`crate::PeerStatus::deferred_per_s`].
     pub fn deferred_per_s(&self) -> f64 {
         self.quota.deferred_per_s()
     }
 
-    /// Former clients of the whole fleet, for [`crate::PeerStatus::previous_clients`], if they are
-    /// remembered here.
+    /// Previous clients of the whole fleet, for [`crate::PeerStatus::previous_clients`]; `None`
+    /// without a recent memory of them.
     pub fn previous_clients(&self) -> Option<f64> {
         let memory = self
             .memory
--- a/crates/recovery/src/admission_curve.rs
+++ b/crates/recovery/src/admission_curve.rs
@@ -1,19 +1,20 @@
-//! The admission curve: how many clients of the fleet may be admitted by each time while servers
-//! are in slow start.
+//! The admission curve: the cumulative number of clients that the whole fleet may admit by each
+//! time while servers are in slow start.
 
 use crate::config::SlowStartRules;
 use crate::{Nanos, SECOND};
 
-/// Points of the curve per warm-up, and in all.
+/// Points of the curve within one warm-up time.
 const POINTS_PER_WARM_UP: u64 = 64;
+/// Approximate limit on the points of the whole curve.
 const MAX_POINTS: u64 = 1_024;
-/// The odds against a server being overloaded by chance during one recovery.
+/// Inverse of the accepted probability that chance overloads any server during one recovery.
 const INVERSE_OVERLOAD_PROBABILITY: f64 = 1_000.0;
-/// Least fraction of a limit that is used: for a limit of one or two clients no fraction would be
-/// safe.
+/// Smallest fraction of a limit that is used. For a limit of one or two clients no fraction would
+/// meet the accepted probability.
 const MIN_USED_FRACTION: f64 = 0.15;
 
-/// Cumulative admissions at equal steps; linear after the last one.
+/// Cumulative admissions at equal time steps, extrapolated linearly after the last one.
 #[derive(Clone, Debug)]
 pub(crate) struct AdmissionCurve {
     start: Nanos,
@@ -21,10 +22,10 @@
     totals: Vec<f64>,
 }
 
-/// A server's weight and start.
+/// A server's weight and its start on the monotonic clock.
 pub(crate) type WarmingServer = (f64, i64);
 
-/// The fraction of its capacity that a server has.
+/// The fraction of its full capacity that a server has at a time; 0 before its start.
 pub(crate) fn capacity_fraction(slow_start: &SlowStartRules, started_at: i64, now: i64) -> f64 {
     let age = now.saturating_sub(started_at);
     if age < 0 {
@@ -39,13 +40,13 @@
 }
 
 /// The fraction of a limit that can be used if clients choose servers at random and arrive in
-/// groups of `clump`, so that the overload limit is exceeded with probability `exp(-rarity)`
-/// (Chernoff bound).
+/// groups of `group_batch`, so that the overload limit is exceeded with a probability of at most
+/// `exp(-rarity)` (Chernoff bound).
 fn usable_fraction(allowed: f64, slack: f64, rarity: f64, group_batch: f64) -> f64 {
     let overload_limit = (allowed + slack * (allowed.sqrt() + 1.0)) / group_batch;
     let allowed = allowed / group_batch;
     let is_rare = |used: f64| {
-        // The probability above the limit, from the tail of the Poisson distribution.
+        // The probability of exceeding the limit, from the tail of the Poisson distribution.
         let tail_factor =
             (2.0 * std::f64::consts::PI * overload_limit).sqrt() * (1.0 - used / overload_limit);
         used - overload_limit
@@ -70,8 +71,9 @@
 }
 
 impl AdmissionCurve {
-    /// Computes the curve from a time at which `base` clients had been admitted. The pair gives the
-    /// clients per second that a warm server of weight 1 can take, and the size of groups.
+    /// Computes the curve from a time at which `base` clients had been admitted. The pair holds the
+    /// clients per second that a warm server of weight 1 can take, and the number of clients of a
+    /// group that arrive at one server within the overload window.
     pub(crate) fn new(
         start: Nanos,
         base: f64,
@@ -92,7 +94,7 @@
             .max(span / MAX_POINTS)
             .max(1);
         let rarity = (INVERSE_OVERLOAD_PROBABILITY * servers.len() as f64).ln();
-        // The smallest server has the greatest relative variance.
+        // The limit of the smallest server has the greatest relative variance.
         let min_weight = servers
             .iter()
             .map(|(weight, _)| *weight)
@@ -139,13 +141,14 @@
         }
     }
 
-    /// The span until so many clients are admitted, or the whole span if never.
+    /// The span until this number of clients is admitted, or the span of the whole curve if that
+    /// never happens.
     pub(crate) fn time_to_admit(&self, clients: f64) -> Nanos {
         let span = self.step.saturating_mul(self.totals.len() as u64);
         self.time_of(clients).map_or(span, |at| at - self.start)
     }
 
-    /// Clients admitted by a time.
+    /// The number of clients that may be admitted by a time.
     pub(crate) fn admitted_by(&self, now: Nanos) -> f64 {
         let since = now.saturating_sub(self.start) as f64 / self.step as f64;
         let last = self.totals.len() - 1;
@@ -153,7 +156,7 @@
         self.totals[index] + (self.totals[index + 1] - self.totals[index]) * (since - index as f64)
     }
 
-    /// When so many clients are admitted, if ever.
+    /// When this number of clients is admitted; `None` if the curve never reaches it.
     pub(crate) fn time_of(&self, clients: f64) -> Option<Nanos> {
         let last = self.totals.len() - 1;
         let index = self
--- a/crates/recovery/src/admission_order.rs
+++ b/crates/recovery/src/admission_order.rs
@@ -1,38 +1,38 @@
-//! The admission order: one order of all clients that every balancer computes alike from class,
-//! account and group, so that no coordination is needed.
+//! The admission order of all clients. Every balancer computes the same order from class, account
+//! and group, so that no coordination is needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{AdmissionRequest, PreviousClients, RecoveryConfig};
 
-/// Most clients counted one by one; more count as if they were like these.
+/// Limit on the clients that are counted individually; further ones are not counted.
 const MAX_COUNTED_CLIENTS: usize = 65_536;
-/// Least clients from which the distribution over classes and accounts is estimated.
+/// Smallest number of clients from which the distribution over classes and accounts is estimated.
 const MIN_SAMPLE: usize = 50;
 
-/// The order. Positions count clients of the whole fleet.
+/// The admission order. Positions count the clients of the whole fleet, from 0.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionOrder {
     bands: BTreeMap<usize, PriorityBand>,
     total: f64,
-    /// Fraction of an account's positions over which a group is spread.
+    /// Fraction of an account's positions over which the clients of a group are spread.
     group_spread: f64,
 }
 
-/// The classes of one priority.
+/// The clients of all classes with one priority.
 #[derive(Clone, Debug, Default)]
 struct PriorityBand {
     start: f64,
     clients: f64,
-    /// By account: its clients, and the rounds until all are admitted, in which each account gets
-    /// its quota.
+    /// By account: its clients, and the number of rounds until all of them are admitted. In each
+    /// round every account admits its quota.
     accounts: BTreeMap<u64, (f64, f64)>,
-    /// By the end of an account's rounds: clients of accounts that are done, and the quotas of the
-    /// others.
+    /// In order of the round in which an account ends: that round, the clients of the accounts that
+    /// ended before, and the sum of the remaining quotas.
     rounds: Vec<(f64, f64, f64)>,
 }
 
-/// Clients counted before the order is known.
+/// Clients that asked for admission before the order was computed.
 #[derive(Default)]
 pub(crate) struct ClientCount {
     keys: BTreeSet<u64>,
@@ -50,12 +50,13 @@
         }
     }
 
-    /// Number of own clients.
+    /// Number of clients that were counted by this process.
     pub(crate) fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// The distribution scaled to so many clients; empty if the sample is too small.
+    /// The distribution over classes and accounts, scaled to a total; empty if the sample is too
+    /// small.
     pub(crate) fn scaled_to(&self, total_clients: f64) -> Vec<PreviousClients> {
         if self.keys.len() < MIN_SAMPLE {
             return Vec::new();
@@ -70,7 +71,7 @@
     }
 }
 
-/// A uniform number from 0 to 1, equal at every balancer.
+/// A uniformly distributed number from 0 to 1 that is the same at every balancer.
 fn uniform_hash(key: u64) -> f64 {
     let mut mixed = key.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -79,7 +80,7 @@
 }
 
 impl AdmissionOrder {
-    /// Computes the order of so many clients. Without `former` all of them are in one band.
+    /// Computes the order of the previous clients. Without them, `total` clients are in one band.
     pub(crate) fn new(
         config: &RecoveryConfig,
         previous_clients: &[PreviousClients],
@@ -118,25 +119,27 @@
         }
     }
 
-    /// Number of clients.
+    /// Number of clients in the order.
     pub(crate) fn total_clients(&self) -> f64 {
         self.total
     }
 
-    /// Sets the fraction of an account's positions over which a group is spread.
+    /// Sets the fraction of an account's positions over which the clients of a group are spread;
+    /// limited to 0 to 1.
     pub(crate) fn set_group_spread(&mut self, fraction: f64) {
         self.group_spread = fraction.clamp(0.0, 1.0);
     }
 
-    /// The position of a client. The clients of a group are together, or spread as configured.
+    /// The position of a client. The clients of a group have neighboring positions, or positions
+    /// within the group spread.
     pub(crate) fn position(&self, config: &RecoveryConfig, request: &AdmissionRequest) -> f64 {
         let own = uniform_hash(request.client_key.unwrap_or(request.id));
-        // Wraps around, so that positions stay uniform.
+        // Wraps around, so that the positions stay uniformly distributed.
         let quantile = request.group.map_or(own, |group| {
             (uniform_hash(group) + self.group_spread * own).fract()
         });
         let priority_rank = rank(config, request.class);
-        // An unknown class comes after the last one that is not less urgent.
+        // A priority without a band comes after the last band of higher priority.
         match self.bands.range(..=priority_rank).next_back() {
             Some((at, band)) if *at == priority_rank || self.bands.len() == 1 => {
                 band.position(request.account, quantile)
@@ -147,7 +150,7 @@
     }
 }
 
-/// The rank of a class by priority, 0 the highest; equal ones share a rank.
+/// The rank of a class by priority, from 0 for the highest; classes of equal priority share one.
 fn rank(config: &RecoveryConfig, class: usize) -> usize {
     let Some(own) = config.classes.get(class).or(config.classes.last()) else {
         return 0;
@@ -184,7 +187,7 @@
         }
     }
 
-    /// An unknown account is spread over the whole band.
+    /// The position within the band. Clients of an unknown account are spread over all of it.
     fn position(&self, account: u64, quantile: f64) -> f64 {
         let Some((_, rounds)) = self.accounts.get(&account) else {
             return self.start + quantile * self.clients;
--- a/crates/recovery/src/admission_quota.rs
+++ b/crates/recovery/src/admission_quota.rs
@@ -1,7 +1,7 @@
 //! One balancer's quota of the fleet's admissions.
 //!
-//! A quota may be a fraction; it is then a probability. Nothing is rounded up, since the sum over
-//! hundreds of balancers has to keep the allowance.
+//! A quota below one client is the probability of admitting one. Quotas are never rounded up,
+//! because the sum over hundreds of balancers must stay within the fleet's allowance.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,28 +9,28 @@
 
 use crate::{Nanos, SECOND};
 
-/// Fraction of the overload window for which unused quota is kept.
+/// Fraction of the overload window after which unused quota expires.
 const UNUSED_QUOTA_FRACTION: f64 = 0.15;
 /// Half-life of the count of deferred clients, in seconds.
 const DEFERRED_HALF_LIFE_S: f64 = 1.0;
-/// Loans remembered per peer.
+/// Number of loans per peer that are remembered to detect repetitions.
 const MAX_LENT_PER_PEER: usize = 64;
 
-/// The quota.
+/// The quota of admissions that this balancer may use or lend.
 #[derive(Default)]
 pub(crate) struct AdmissionQuota {
     available: f64,
     borrowed: f64,
-    /// Expired quota that may be lent.
+    /// Expired quota that may be lent to a peer, in clients.
     pub(crate) lendable: f64,
-    /// Clients per second.
+    /// Quota that accrues per second, in clients.
     rate: f64,
     deferred: f64,
     received_transfers: BTreeMap<String, BTreeSet<u64>>,
 }
 
 impl AdmissionQuota {
-    /// Accrues quota over a span. Unused quota expires.
+    /// Accrues the quota of a span. Unused quota above a limit expires and may be lent.
     pub(crate) fn accrue(&mut self, clients: f64, span: Nanos, overload_window: Nanos) {
         let seconds = span as f64 / SECOND as f64;
         if seconds <= 0.0 {
@@ -42,13 +42,13 @@
         let max_unused = (UNUSED_QUOTA_FRACTION * overload_clients).max(overload_clients.min(1.0));
         self.lendable = (self.lendable + (self.available - max_unused).max(0.0)).min(max_unused);
         self.available = self.available.min(max_unused);
-        // Borrowed quota had expired at the lender and expires here in the same time.
+        // Borrowed quota had expired at the lender; here it expires within the same time again.
         self.borrowed *=
             (1.0 - span as f64 / (UNUSED_QUOTA_FRACTION * overload_window as f64)).max(0.0);
         self.deferred *= (-seconds / DEFERRED_HALF_LIFE_S).exp2();
     }
 
-    /// Whether one more client may be admitted.
+    /// Uses quota for one more client; returns whether it may be admitted.
     pub(crate) fn try_admit(&mut self, rng: &mut impl Rng) -> bool {
         if self.available >= 1.0 {
             self.available -= 1.0;
@@ -60,7 +60,7 @@
         }
         let probability = std::mem::take(&mut self.available) + std::mem::take(&mut self.borrowed);
         let is_admitted = rng.random_range(0.0..1.0) < probability;
-        // Two halves make a whole and leave the rest.
+        // If both fractions together exceed one client, the rest is kept.
         self.available = if is_admitted {
             (probability - 1.0).max(0.0)
         } else {
@@ -72,7 +72,7 @@
         is_admitted
     }
 
-    /// Receives a loan. A repeated one counts once.
+    /// Adds a loan from a peer. A loan that arrives repeatedly counts once.
     pub(crate) fn receive_lent(&mut self, from: &str, number: u64, clients: f64) {
         let loans = self.received_transfers.entry(from.to_string()).or_default();
         let is_stale =
@@ -86,12 +86,12 @@
         self.borrowed += clients;
     }
 
-    /// Clients per second.
+    /// Quota that accrues per second, in clients.
     pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Clients per second deferred for lack of quota although their position had come.
+    /// Clients per second that are deferred for lack of quota although their position is admitted.
     pub(crate) fn deferred_per_s(&self) -> f64 {
         self.deferred * std::f64::consts::LN_2 / DEFERRED_HALF_LIFE_S
     }
--- a/crates/recovery/src/api.rs
+++ b/crates/recovery/src/api.rs
@@ -1,4 +1,4 @@
-//! Events, actions and states of the recovery.
+//! Events, actions and states of the recovery, as the host sees them.
 
 use std::fmt;
 
@@ -11,14 +11,14 @@
     SitePeers,
     /// Peers of the other sites.
     OtherSites,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
     /// The shared store.
     Store,
 }
 
 impl EvidenceSource {
-    /// All sources in query order.
+    /// All sources in the order in which they are queried.
     pub const ALL: [EvidenceSource; 4] = [
         EvidenceSource::SitePeers,
         EvidenceSource::OtherSites,
@@ -27,12 +27,12 @@
     ];
 }
 
-/// Origin of a list. A later one in this order is believed before an earlier one.
+/// Source of a server list. A later one in this order takes precedence over an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListSource {
-    /// The configured list.
+    /// The configuration.
     Configured,
-    /// The stored memory.
+    /// The stored memory of this process.
     Memory,
     /// A peer of another site.
     OtherSite,
@@ -40,7 +40,7 @@
     Peer,
     /// The shared store.
     Store,
-    /// Discovery itself.
+    /// The discovery service itself.
     Discovery,
 }
 
@@ -49,16 +49,16 @@
 pub enum Lifecycle {
     /// It accepts new connections.
     Ready,
-    /// It is finishing its connections, or is out of service.
+    /// It finishes its connections, or is out of service.
     Draining,
-    /// It has been removed.
+    /// It was removed.
     Gone,
 }
 
-/// A server in a list.
+/// A server in a server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Name.
+    /// Name, unique in the list.
     pub name: String,
     /// Wall time of its last start; 0 if not known.
     pub started_at_ms: Millis,
@@ -68,154 +68,154 @@
     pub weight: f64,
 }
 
-/// A server list.
+/// A server list and where it comes from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
-    /// Origin.
+    /// Where the list comes from.
     pub source: ListSource,
-    /// Discovery's generation of the list.
+    /// Discovery's generation of the list; grows within an epoch.
     pub generation: u64,
-    /// Epoch of discovery, which changes when it loses its state; 0 if not known.
+    /// Epoch of discovery, which changes when discovery loses its state; 0 if not known.
     pub epoch: u64,
-    /// Age when it was received.
+    /// Age of the list when it was received.
     pub age: Nanos,
-    /// Discovery's wall clock when it sent the list, if known.
+    /// Discovery's wall clock when it sent the list; `None` if not known.
     pub reported_at: Option<Millis>,
     /// All servers.
     pub entries: Vec<Entry>,
 }
 
-/// Clients of a class and account that the whole fleet served before.
+/// Clients of one class and account that the whole fleet served before the outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PreviousClients {
-    /// Index of the class.
+    /// Index of the class in the configuration.
     pub class: usize,
-    /// Hash of the account.
+    /// Hash of the account's name.
     pub account: u64,
-    /// Number of clients.
+    /// Number of clients; ignored unless positive and finite.
     pub clients: f64,
 }
 
-/// The stored memory of a process.
+/// State that a process stored durably and reads at its next start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Memory {
-    /// The process that wrote it.
+    /// Name of the process that wrote it.
     pub owner: String,
-    /// Its incarnation number then.
+    /// Incarnation number of that process when it was written.
     pub incarnation: u64,
     /// Wall time of the last write.
     pub written_at: Millis,
-    /// Its server list.
+    /// The server list, if the process had one.
     pub list: Option<List>,
-    /// What the fleet served when this process last served in full, not during a recovery.
+    /// Clients of the fleet when the process was last in full service, not during a recovery.
     pub previous_clients: Vec<PreviousClients>,
-    /// Clients per second that a warm server of weight 1 was seen to take, if known.
+    /// Observed clients per second that a warm server of weight 1 can take, if known.
     pub clients_per_server_s: Option<f64>,
 }
 
-/// A peer's report on itself. It is a hint.
+/// A peer's report about itself. It is a hint that may be late or wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
-    /// Name.
+    /// Name of the peer.
     pub name: String,
-    /// Site.
+    /// Name of its site.
     pub site: String,
-    /// Incarnation number.
+    /// Its incarnation number; grows with each start.
     pub incarnation: u64,
-    /// How long it has run.
+    /// Time since its start.
     pub uptime: Nanos,
-    /// How long it has admitted clients, if it does.
+    /// Time since it began to admit clients; `None` if it does not.
     pub serving_time: Option<Nanos>,
-    /// Whether it serves in full.
+    /// Whether it is in full service.
     pub is_in_full_service: bool,
-    /// Its wall clock, if it considers it reliable.
+    /// Its wall clock; `None` if it considers that unreliable.
     pub wall_clock: Option<Millis>,
-    /// Former clients of the whole fleet, as it remembers.
+    /// Previous clients of the whole fleet, if it remembers them.
     pub previous_clients: Option<f64>,
-    /// Clients per second that it defers although their position has come.
+    /// Clients per second that it defers for lack of quota although their position is admitted.
     pub deferred_per_s: f64,
 }
 
-/// A client that asks for admission.
+/// A client's request for admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Id that comes back in the answer.
+    /// Id of the request, repeated in the answer.
     pub id: u64,
-    /// Index of its class; an unknown one counts as the last.
+    /// Index of its class; an unknown index counts as the last class.
     pub class: usize,
-    /// Hash of its account.
+    /// Hash of the account's name.
     pub account: u64,
-    /// Hash of its group.
+    /// Hash of its group; `None` without a group.
     pub group: Option<u64>,
-    /// Key of the client.
+    /// Key that the client keeps between connections, if it has one.
     pub client_key: Option<u64>,
-    /// Whether it was connected before or was deferred.
+    /// Whether the client was connected or deferred before.
     pub is_reconnect: bool,
 }
 
-/// Something that happened.
+/// An event that the host reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The process started and has read its memory.
     Started {
-        /// Its incarnation number, higher than any before.
+        /// Incarnation number of the process, higher than in any earlier run.
         incarnation: u64,
-        /// The memory, if there is one.
+        /// The stored memory, if there is one.
         memory: Option<Memory>,
     },
-    /// A peer reported.
+    /// A peer sent its status.
     PeerReported(PeerStatus),
-    /// A list was received.
+    /// A server list was received; it counts as an answer of its source.
     ListReceived(List),
-    /// A queried source answered. A list is an answer by itself.
+    /// A queried source answered without a list.
     QueryAnswered(EvidenceSource),
-    /// A queried source can't be reached or did not answer.
+    /// A queried source could not be reached or did not answer.
     QueryFailed(EvidenceSource),
-    /// A server started, by its own report or by a change of the list.
+    /// A server started, as it reported itself or as a list showed.
     ServerStarted {
         /// Name of the server.
         name: String,
-        /// Wall time of the start; 0 for just now.
+        /// Wall time of the start; 0 if it has just started.
         at: Millis,
     },
-    /// A client asks for admission.
+    /// A client requested admission.
     AdmissionRequested(AdmissionRequest),
-    /// A peer lends quota to this process.
+    /// A peer lent quota to this process.
     QuotaLent {
         /// Name of the peer.
         from: String,
-        /// Number of the loan; a repeated one counts once.
+        /// Number of the loan at that peer; a repeated loan counts once.
         number: u64,
-        /// Number of clients.
+        /// Quota, in clients.
         clients: f64,
     },
     /// Time has passed.
     Tick,
 }
 
-/// A kind of remembered knowledge.
+/// A kind of remembered state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RememberedKind {
     /// The server list.
     List,
-    /// Draining servers.
+    /// Which servers were draining.
     Drains,
     /// Placements of clients and groups.
     Placements,
-    /// Operators' overrides.
+    /// Operators' overrides of servers and placements.
     Overrides,
-    /// Rates of clients that servers can take.
+    /// Observed rates of clients that servers can take.
     ServerRates,
-    /// Health of servers by evidence.
+    /// Observed health of servers.
     ServerHealth,
-    /// Numbers of connections by server.
+    /// Numbers of established connections by server.
     ConnectionCounts,
-    /// Number of former clients.
+    /// Numbers of previous clients by class and account.
     FormerClients,
 }
 
 impl RememberedKind {
-    /// All kinds.
+    /// All kinds, in the order in which they are assessed.
     pub const ALL: [RememberedKind; 8] = [
         RememberedKind::List,
         RememberedKind::Drains,
@@ -228,45 +228,45 @@
     ];
 }
 
-/// How far remembered knowledge is believed.
+/// Whether and how remembered state is used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Validity {
-    /// It is valid.
+    /// It is used like present state.
     Valid,
-    /// It is a starting point, with this weight from 0 to 1.
+    /// It is used as an estimate with this weight, from 0 to 1.
     Hint(f64),
     /// It is not used.
     Discarded,
 }
 
-/// The extent of an outage.
+/// The extent of the outage before this recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OutageScope {
-    /// This process alone.
+    /// Only this process.
     Process,
-    /// The site.
+    /// The own site.
     Site,
     /// The whole fleet.
     Fleet,
-    /// Not known; handled like the whole fleet.
+    /// Not known; treated like the whole fleet.
     Unknown,
 }
 
 /// State of the recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryState {
-    /// The process has not started.
+    /// The start has not been reported yet.
     NotStarted,
     /// A source is being queried; clients are deferred.
     Querying(EvidenceSource),
     /// Clients are admitted in stages, at the rate that servers in slow start can take.
     StagedAdmission,
-    /// The process serves in full.
+    /// The process is in full service.
     Serving,
 }
 
 impl RecoveryState {
-    /// How clients are served in this state.
+    /// The service mode of this state.
     pub fn service_mode(self) -> ServiceMode {
         match self {
             RecoveryState::NotStarted | RecoveryState::Querying(_) => ServiceMode::Unavailable,
@@ -276,18 +276,18 @@
     }
 }
 
-/// How clients are served.
+/// How clients are served during a recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// Not at all; the process is not ready.
+    /// No client is admitted; the process is not ready.
     Unavailable,
-    /// In stages; the process is ready.
+    /// Clients are admitted in stages; the process is ready.
     Staged,
-    /// In full; the process is ready.
+    /// All clients are admitted; the process is ready.
     Full,
 }
 
-/// A step of the recovery, for the log.
+/// A step of the recovery, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryStep {
     /// The memory was read.
@@ -300,40 +300,41 @@
     Scope,
     /// A list was applied or rejected.
     List,
-    /// Former drains are held or released.
+    /// Former drains are held against discovery, or released.
     Drain,
     /// The process resumed after a suspension.
     Resumed,
-    /// Staged admission began.
+    /// Staged admission started.
     StagedAdmission,
-    /// Full service began.
+    /// Full service started.
     Serving,
 }
 
-/// What the host is to do.
+/// An action that the host executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Query a source after a span.
+    /// Query a source after a delay.
     Query {
         /// The source.
         source: EvidenceSource,
-        /// The span, drawn so that the fleet's queries are spread.
+        /// Random delay that spreads the fleet's queries.
         delay: Nanos,
     },
-    /// The validity of remembered knowledge was decided.
+    /// Log the validity of a kind of remembered state.
     RememberedStateAssessed {
-        /// The kind of knowledge.
+        /// The kind of remembered state.
         kind: RememberedKind,
         /// Its validity.
         validity: Validity,
         /// The reason.
         reason: &'static str,
-        /// When it was last known, by the wall clock of then.
+        /// When the memory was written, by the wall clock at that time;
+        /// `None` for state lost in a suspension.
         as_of: Option<Millis>,
     },
-    /// The list of [`crate::Recovery::servers`] has changed.
+    /// Apply the changed list of [`crate::Recovery::servers`].
     ListChanged,
-    /// Serve clients in this mode from now on; readiness follows.
+    /// Switch to this service mode and update the readiness.
     SetServiceMode {
         /// The mode.
         mode: ServiceMode,
@@ -349,27 +350,27 @@
     Defer {
         /// Its id.
         id: u64,
-        /// When it should return.
+        /// Time after which it should return.
         retry_after: Nanos,
-        /// Whether its position is expected to have come by then.
+        /// Whether its position is expected to be admitted by then.
         is_final: bool,
     },
-    /// The extent of the outage was decided.
+    /// Publish the extent of the outage, which was decided.
     ScopeDecided {
         /// The extent.
         scope: OutageScope,
-        /// Its likelihood, from 0 to 1.
+        /// Likelihood of the extent, from 0 to 1.
         likelihood: f64,
-        /// The evidence.
+        /// The evidence, one text for each kind.
         evidence: Vec<String>,
     },
     /// Lend unused quota to a peer that defers clients.
     LendQuota {
         /// Name of the peer.
         to: String,
-        /// Number of the loan.
+        /// Number of the loan, which grows with each one.
         number: u64,
-        /// Number of clients.
+        /// Quota, in clients.
         clients: f64,
     },
     /// Log a step.
@@ -378,7 +379,7 @@
         step: RecoveryStep,
         /// The reason.
         reason: String,
-        /// When the step ends at the latest, on the host's clock.
+        /// Latest end of the step on the host's monotonic clock, if it has one.
         deadline_at: Option<Nanos>,
     },
 }
--- a/crates/recovery/src/clock.rs
+++ b/crates/recovery/src/clock.rs
@@ -1,12 +1,12 @@
-//! Assessment of the wall clock, which may be wrong by years after a power loss.
+//! Assessment of the wall clock, which can be wrong by years after a power loss.
 
 use std::collections::BTreeMap;
 
 use crate::config::Retention;
 use crate::{MS, Millis, Nanos};
 
-/// The wall clock. Each clock is stored as its reading at monotonic time 0, so that a step of one
-/// changes no other.
+/// The wall clock of this process and of its peers. Each clock is stored as its reading at
+/// monotonic time 0, so that a step of one clock does not affect the others.
 pub(crate) struct WallClock {
     own_base: i64,
     written_at: Option<Millis>,
@@ -15,12 +15,12 @@
     quality: Option<ClockQuality>,
 }
 
-/// Quality of the wall clock.
+/// Whether ages can be computed from the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClockQuality {
-    /// Ages can be computed, with the reason.
+    /// Ages can be computed, for this reason.
     Reliable(&'static str),
-    /// Ages can't be computed, with the reason.
+    /// Ages can't be computed, for this reason.
     Unknown(&'static str),
 }
 
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Follows the own clock; returns its step in milliseconds, if it was stepped.
+    /// Detects a step of the own wall clock against the monotonic clock; returns it in
+    /// milliseconds.
     pub(crate) fn detect_step(
         &mut self,
         now: Nanos,
@@ -57,18 +58,18 @@
         })
     }
 
-    /// Records the reading of another clock.
+    /// Records a peer's or discovery's wall clock.
     pub(crate) fn record_peer(&mut self, now: Nanos, peer: &str, wall: Millis) {
         self.peer_bases
             .insert(peer.to_string(), clock_base(now, wall));
     }
 
-    /// Records the start of a server.
+    /// Records the wall time at which a server started.
     pub(crate) fn record_server_start(&mut self, at: Millis) {
         self.latest_server_start = self.latest_server_start.max(at);
     }
 
-    /// The age of a wall time, if it can be computed.
+    /// The age of a wall time in milliseconds; `None` if the wall clock is unreliable.
     pub(crate) fn age(&self, now: Nanos, at: Millis) -> Option<Millis> {
         matches!(self.quality, Some(ClockQuality::Reliable(_)))
             .then(|| self.wall_time(now).saturating_sub(at))
@@ -78,12 +79,12 @@
         matches!(self.quality, Some(ClockQuality::Reliable(_)))
     }
 
-    /// The present wall time.
+    /// The present time of the own wall clock; 0 if that is before 1970.
     pub(crate) fn wall_time(&self, now: Nanos) -> Millis {
         u64::try_from(self.own_base.saturating_add((now / MS) as i64)).unwrap_or(0)
     }
 
-    /// Assesses the clock again; returns its quality if it changed.
+    /// Assesses the wall clock again; returns its quality if that changed.
     pub(crate) fn reassess(&mut self, now: Nanos, retention: &Retention) -> Option<ClockQuality> {
         let quality = self.assess(now, retention);
         (self.quality != Some(quality)).then(|| {
@@ -92,30 +93,35 @@
         })
     }
 
-    /// Other clocks count most, then the own memory and the servers' starts.
+    /// The median of the other clocks decides if there is any; otherwise the servers' starts and
+    /// the memory's write time do.
     fn assess(&self, now: Nanos, retention: &Retention) -> ClockQuality {
         let wall = self.wall_time(now);
         let mut peer_bases: Vec<i64> = self.peer_bases.values().copied().collect();
         peer_bases.sort_unstable();
         if let Some(median) = peer_bases.get(peer_bases.len() / 2) {
             return if median.abs_diff(self.own_base) <= retention.clock_tolerance {
-                ClockQuality::Reliable("others' clocks agree")
+                ClockQuality::Reliable("the wall clock agrees with the median of the other clocks")
             } else {
-                ClockQuality::Unknown("others' clocks disagree")
+                ClockQuality::Unknown(
+                    "the wall clock disagrees with the median of the other clocks",
+                )
             };
         }
         if self.latest_server_start > wall.saturating_add(retention.clock_tolerance) {
-            return ClockQuality::Unknown("a server started later than now");
+            return ClockQuality::Unknown("a server's start time is ahead of the wall clock");
         }
         match self.written_at {
             Some(at) if wall.saturating_add(retention.clock_tolerance) < at => {
-                ClockQuality::Unknown("memory was written later than now")
+                ClockQuality::Unknown("the memory's write time is ahead of the wall clock")
             }
-            Some(at) if wall.saturating_sub(at) > retention.max_outage => {
-                ClockQuality::Unknown("memory says that it was dark for too long to be believed")
+            Some(at) if wall.saturating_sub(at) > retention.max_outage => ClockQuality::Unknown(
+                "the memory is older than the longest outage that is accepted without another clock",
+            ),
+            Some(_) => {
+                ClockQuality::Reliable("the wall clock continues from the memory's write time")
             }
-            Some(_) => ClockQuality::Reliable("it goes on from where memory was written"),
-            None => ClockQuality::Unknown("no other clock confirms it"),
+            None => ClockQuality::Unknown("no other clock and no memory confirm the wall clock"),
         }
     }
 }
--- a/crates/recovery/src/config.rs
+++ b/crates/recovery/src/config.rs
@@ -1,105 +1,106 @@
-//! Configuration of the recovery.
+//! Configuration of the recovery and its validation.
 
 use crate::{EvidenceSource, MS, Millis, Nanos, SECOND};
 
-/// Configuration of the recovery.
+/// Configuration of the recovery of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryConfig {
-    /// Name of this process.
+    /// Name of this process, unique in the fleet; not empty.
     pub name: String,
-    /// Its site.
+    /// Name of the site of this process.
     pub site: String,
     /// Number of balancers in all sites. Quotas are divided by it and not by the number of visible
-    /// peers, so that both halves of a partition together keep the allowance.
+    /// peers, so that both halves of a partition together stay within the allowance.
     pub fleet_size: u32,
-    /// Peers expected in the own site.
+    /// Number of peers expected in the own site.
     pub site_peers: u32,
-    /// Other sites with peers.
+    /// Names of the other sites with peers.
     pub other_sites: Vec<String>,
-    /// Whether there is a shared store.
+    /// Whether a shared store can be queried.
     pub has_store: bool,
-    /// Timeouts.
+    /// Timeouts of the steps.
     pub timeouts: Timeouts,
-    /// How long knowledge is valid.
+    /// How long remembered state is valid.
     pub retention: Retention,
-    /// Slow-start rules.
+    /// Slow start of the servers.
     pub slow_start: SlowStartRules,
-    /// The request classes; at least one.
+    /// The request classes by index; at least one.
     pub classes: Vec<RequestClass>,
     /// Accounts with a quota other than 1.
     pub accounts: Vec<AccountQuota>,
-    /// Usual clients of the fleet, if nothing is remembered; 0 if not known.
+    /// Usual number of clients of the fleet, used if none are remembered; 0 if not known.
     pub usual_clients: u32,
-    /// Mean clients of a group, which all go to one server; 0 or 1 without groups.
+    /// Mean number of clients of a group, which all go to one server; 0 or 1 without groups.
     pub group_size: f64,
 }
 
-/// Timeouts of the steps.
+/// Timeouts and intervals of the recovery steps, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// For the site's peers.
+    /// For an answer of the own site's peers.
     pub site_peers: Nanos,
-    /// For other sites' peers.
+    /// For an answer of other sites' peers.
     pub other_sites: Nanos,
-    /// For discovery, in addition to the spread of the fleet's calls.
+    /// For an answer of discovery, in addition to the spread of the fleet's calls.
     pub discovery: Nanos,
-    /// For the shared store, in addition to that spread.
+    /// For an answer of the shared store, in addition to the spread of the fleet's calls.
     pub store: Nanos,
     /// From the start of staged admission to full service.
     pub staged_admission: Nanos,
-    /// Time that one call takes at discovery or the store.
+    /// Time that discovery or the shared store needs for one call.
     pub call_spacing: Nanos,
-    /// Longest spread of the fleet's first calls.
+    /// Longest span over which the fleet's first calls are spread.
     pub max_spread: Nanos,
     /// Longest interval between retries.
     pub max_retry_interval: Nanos,
-    /// A process without any event for this long was suspended.
+    /// Time without any event after which the process counts as suspended; at least four tick
+    /// intervals (1 s).
     pub suspended_after: Nanos,
-    /// How long former drains are held against a discovery that lost its state.
+    /// How long drains from before are held if discovery has lost its state.
     pub drain_hold: Nanos,
 }
 
-/// How long remembered knowledge is valid.
+/// How long remembered state is valid, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// The server list and its drains.
+    /// Age up to which the server list and its drains are used.
     pub list: Millis,
-    /// Placements.
+    /// Age up to which placements are used.
     pub placements: Millis,
-    /// Half-life of server rates and health.
+    /// Half-life of the weight of server rates and health.
     pub half_life: Millis,
-    /// Former clients.
+    /// Age up to which the numbers of previous clients are used.
     pub previous_clients: Millis,
-    /// A longer outage must be confirmed by another clock.
+    /// Longest outage that the wall clock is trusted to show without another clock.
     pub max_outage: Millis,
-    /// Clocks within this span agree.
+    /// Greatest difference between clocks that agree.
     pub clock_tolerance: Millis,
 }
 
-/// Slow-start rules.
+/// Rules of the slow start of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRules {
     /// Time from the start of a server to its full capacity.
     pub warm_up_time: Nanos,
     /// Fraction of its capacity that a server starts with.
     pub initial_capacity: f64,
-    /// Multiple of its present capacity that overloads it.
+    /// Multiple of its present capacity at which a server is overloaded.
     pub overload_multiple: f64,
-    /// Span over which the load is counted.
+    /// Window over which new clients count towards the overload limit.
     pub overload_window: Nanos,
-    /// Tolerance of the overload rule: so many square roots of the limit, and so many clients, in
-    /// addition.
+    /// Tolerance of the overload limit for random variation: `variance_margin * (sqrt(limit) + 1)`
+    /// clients are added to the limit.
     pub variance_margin: f64,
-    /// Clients per second that a warm server of weight 1 can take, if not remembered.
+    /// Clients per second that a warm server of weight 1 can take, used if no rate is remembered.
     pub clients_per_server_s: f64,
 }
 
 /// A request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Relative value of one request.
+    /// Priority of one request relative to other classes; 0 or more.
     pub priority_weight: f64,
-    /// Objective for the set-up time.
+    /// Objective for the time to establish a connection; more than 0.
     pub latency_objective: Nanos,
 }
 
@@ -108,14 +109,14 @@
 pub struct AccountQuota {
     /// Hash of the account's name.
     pub account: u64,
-    /// Quota relative to other accounts.
+    /// Quota relative to other accounts; more than 0.
     pub quota: f64,
 }
 
-/// A field is outside its range.
+/// A configuration field that is outside its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Path of the field.
+    /// Path of the field in the configuration.
     pub field: &'static str,
 }
 
@@ -187,14 +188,14 @@
 }
 
 impl RequestClass {
-    /// Priority per second of latency objective.
+    /// Priority divided by the latency objective in seconds.
     pub(crate) fn queue_weight(&self) -> f64 {
         self.priority_weight / (self.latency_objective as f64 / SECOND as f64)
     }
 }
 
 impl RecoveryConfig {
-    /// All fields that are outside their range.
+    /// Returns all fields that are outside their range.
     pub fn errors(&self) -> Vec<ConfigError> {
         let (timeouts, retention, slow_start) = (&self.timeouts, &self.retention, &self.slow_start);
         let is_fraction = |value: f64| value > 0.0 && value <= 1.0;
@@ -251,7 +252,7 @@
             .collect()
     }
 
-    /// The span over which the fleet's first calls to one service are spread.
+    /// The span over which the fleet's first calls to discovery or the shared store are spread.
     pub fn call_spread(&self) -> Nanos {
         self.timeouts
             .call_spacing
@@ -259,7 +260,7 @@
             .min(self.timeouts.max_spread)
     }
 
-    /// Timeout of the queries to one source.
+    /// Time after which a query to a source is given up, including the spread of the calls.
     pub(crate) fn query_timeout(&self, source: EvidenceSource) -> Nanos {
         match source {
             EvidenceSource::SitePeers => self.timeouts.site_peers,
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Every process admits clients within this span of its start.
+    /// Longest time from the start of a process until it admits clients.
     pub fn max_time_to_admission(&self) -> Nanos {
         EvidenceSource::ALL
             .into_iter()
@@ -277,12 +278,12 @@
             .fold(0, Nanos::saturating_add)
     }
 
-    /// Every process serves in full within this span of its start.
+    /// Longest time from the start of a process until it is in full service.
     pub fn max_time_to_full_service(&self) -> Nanos {
         self.max_time_to_admission()
             .saturating_add(self.timeouts.staged_admission)
     }
 }
 
-/// Interval of ticks.
+/// Interval of ticks until service is full.
 pub(crate) const TICK_INTERVAL: Nanos = 250 * MS;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,9 @@
 //! Recovery of a balancer process, from its start or its resumption to full service, without I/O,
 //! clock or globals.
 //!
-//! A host reports events to [`Recovery::handle`] and carries out the [`Action`]s it returns. Each
-//! step has a reason and a timeout, so that every process serves whatever is missing. The host
-//! reports [`Event::Tick`] at [`Recovery::next_tick_at`].
+//! A host reports events to [`Recovery::handle`] and executes the [`Action`]s it returns. Each step
+//! has a reason and a timeout, so that a process reaches full service even if no source answers.
+//! The host reports [`Event::Tick`] at [`Recovery::next_tick_at`].
 //!
 //! ```
 //! use beaconflow_recovery::*;
@@ -19,7 +19,7 @@
 //! let (mut now, mut actions) = (0, Vec::new());
 //! let started = Event::Started { incarnation: 1, memory: None };
 //! recovery.handle(now, 1_700_000_000_000, started, &mut actions);
-//! // No source ever answers: the process serves all the same, within the bound.
+//! // No source ever answers; the process still reaches full service within the limit.
 //! while let Some(next) = recovery.next_tick_at() {
 //!     now = next;
 //!     recovery.handle(now, 1_700_000_000_000, Event::Tick, &mut actions);
@@ -55,10 +55,10 @@
 };
 pub use recovery::Recovery;
 
-/// A time or a span on the host's monotonic clock, in nanoseconds.
+/// A time or a duration on the host's monotonic clock, in nanoseconds.
 pub type Nanos = u64;
 
-/// A Unix time or a span, in milliseconds.
+/// A Unix time or a duration, in milliseconds.
 pub type Millis = u64;
 
 /// Nanoseconds per millisecond.
--- a/crates/recovery/src/queries.rs
+++ b/crates/recovery/src/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: their order, retries and spread over the fleet.
+//! Queries to the sources of evidence: order, retries with backoff, and spread over the fleet.
 
 use rand::Rng;
 
@@ -7,7 +7,7 @@
     Action, EvidenceSource, ListSource, MS, Nanos, OutageScope, RecoveryState, RecoveryStep,
 };
 
-/// Least span over which a retry is spread.
+/// Shortest span over which a retry is spread.
 const MIN_RETRY_SPREAD: Nanos = 200 * MS;
 
 /// State of the queries to one source.
@@ -15,14 +15,15 @@
 pub(crate) struct QueryState {
     pub(crate) is_answered: bool,
     attempts: u32,
-    /// When the latest call was or will be made.
+    /// When the latest call was made or is due.
     call_at: Nanos,
-    /// When it is retried without an answer.
+    /// When the call is retried if no answer arrives; `None` if no retry is due.
     pub(crate) retry_at: Option<Nanos>,
 }
 
 impl Recovery {
-    /// Queries the next configured source from this index on, or begins admission.
+    /// Queries the first configured source at or after index `from`, or starts admission if there
+    /// is none.
     pub(crate) fn query_next(&mut self, now: Nanos, from: usize, out: &mut Vec<Action>) {
         match EvidenceSource::ALL
             .into_iter()
@@ -35,7 +36,7 @@
                 self.log_step(
                     out,
                     RecoveryStep::Query(source),
-                    format!("what is known at the {source}"),
+                    format!("querying source: {source}"),
                     Some(self.step_deadline_at),
                 );
                 if !self.queries[source as usize].is_answered {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// The span over which the fleet's first calls are spread. Peers also report unasked.
+    /// The span over which the fleet's first calls to a source are spread. It is short for peers,
+    /// because they also report without a query.
     fn first_call_spread(&self, source: EvidenceSource) -> Nanos {
         match source {
             EvidenceSource::SitePeers | EvidenceSource::OtherSites => {
@@ -90,8 +92,8 @@
         };
     }
 
-    /// Retries after a capped exponential backoff with full jitter, never faster than the fleet's
-    /// calls allow.
+    /// Retries after a capped exponential backoff with full jitter, never faster than the spread
+    /// of the fleet's calls.
     fn retry_call(&mut self, now: Nanos, source: EvidenceSource, out: &mut Vec<Action>) {
         let attempts = self.queries[source as usize].attempts.min(16);
         let max_span = self
@@ -108,8 +110,8 @@
         self.call(now, source, delay, out);
     }
 
-    /// Retries the calls that are due, whatever the state: a source that comes back last is heard
-    /// too.
+    /// Retries the calls that are due, in every state, so that a source that becomes reachable
+    /// last is still queried.
     pub(crate) fn retry_due_calls(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for source in EvidenceSource::ALL {
             if self.queries[source as usize]
@@ -130,7 +132,7 @@
         };
     }
 
-    /// A list is an answer of its source.
+    /// Counts a received list as the answer of its source.
     pub(crate) fn on_list_received(&mut self, source: ListSource) {
         match source {
             ListSource::Configured | ListSource::Memory => {}
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Handles a failed call. A failure without a call is ignored.
+    /// Handles a failed call. A failure without an outstanding call is ignored.
     pub(crate) fn on_query_failed(
         &mut self,
         now: Nanos,
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Whether the query is done: answered, timed out, or not needed.
+    /// Whether the query to a source is answered, timed out or no longer needed.
     pub(crate) fn is_query_done(&self, now: Nanos, source: EvidenceSource) -> bool {
         let has_list = source == EvidenceSource::Discovery && self.has_list_since_outage();
         self.queries[source as usize].is_answered
@@ -164,15 +166,16 @@
             || self.can_skip_queries(now)
     }
 
-    /// Whether a list is newer than the outage. A peer's list shows that the peer has asked
-    /// discovery.
+    /// Whether the present list is newer than the start of the outage. A peer's list counts,
+    /// because the peer received it from discovery.
     pub(crate) fn has_list_since_outage(&self) -> bool {
         self.servers
             .as_of()
             .is_some_and(|as_of| as_of >= self.outage_started_at as i64)
     }
 
-    /// Whether no more queries are needed: this process alone restarted and has its peers' list.
+    /// Whether the remaining queries can be skipped: only this process restarted, and it has a
+    /// list from a peer or a better source.
     fn can_skip_queries(&self, now: Nanos) -> bool {
         let has_list = self
             .servers
@@ -193,7 +196,7 @@
         if !self.can_skip_queries(now) {
             return self.query_next(now, source as usize + 1, out);
         }
-        // The remaining sources are still queried.
+        // The remaining sources are still queried, but admission does not wait for them.
         for later in EvidenceSource::ALL.into_iter().skip(source as usize + 1) {
             if self.is_configured(later) && !self.queries[later as usize].is_answered {
                 let delay = self.rng.random_range(0..=self.first_call_spread(later));
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the recovery.
 
 mod lists;
 mod outage_scope;
@@ -24,21 +24,21 @@
     ServiceMode, Validity,
 };
 
-/// Offset of the internal clock, so that times before the start of the host's clock are not
+/// Offset of the internal clock against the host's, so that times before the host's zero are not
 /// negative.
 const EPOCH_OFFSET: Nanos = 86_400 * SECOND;
-/// Greatest rate of deferred clients that a peer is believed to have.
+/// Limit on the rate of deferred clients that is accepted from a peer.
 const MAX_DEFERRED_PER_S: f64 = 1e9;
 
-/// The recovery of one process.
+/// The recovery of one process from its start or a suspension to full service.
 pub struct Recovery {
     pub(crate) config: RecoveryConfig,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) state: RecoveryState,
     incarnation: u64,
-    /// When the process started, or had its last event before a suspension.
+    /// When the process started, or when it handled its last event before a suspension.
     pub(crate) outage_started_at: Nanos,
-    /// The latest event.
+    /// When the latest event was handled.
     pub(crate) last_event_at: Nanos,
     pub(crate) clock: Option<WallClock>,
     pub(crate) memory: Option<RememberedState>,
@@ -48,15 +48,16 @@
     pub(crate) servers: ServerTable,
     /// Indexed like [`EvidenceSource::ALL`].
     pub(crate) queries: [QueryState; 4],
-    /// When the present step ends at the latest.
+    /// Latest end of the present step.
     pub(crate) step_deadline_at: Nanos,
-    /// The wall clock went ahead of the monotonic one; a peer's restart by then shows a suspension.
+    /// Set when the wall clock jumps ahead of the monotonic one: a peer's restart reported before
+    /// this time shows that the process was suspended.
     clock_doubted_until: Nanos,
     pub(crate) client_count: ClientCount,
     pub(crate) peers_previous_clients: BTreeMap<String, f64>,
-    /// Peers that defer clients: the rate, and when it was reported.
+    /// The rate of deferred clients by peer, and when it was reported.
     pub(crate) deferring_peers: BTreeMap<String, (f64, Nanos)>,
-    /// When the first of the processes that started together admitted clients.
+    /// When the first of the processes that started together began to admit clients.
     pub(crate) admission_started_at: Option<Nanos>,
     pub(crate) order: AdmissionOrder,
     pub(crate) curve: Option<AdmissionCurve>,
@@ -67,23 +68,23 @@
     pub(crate) lent_count: u64,
 }
 
-/// The remembered state.
+/// The memory that was read at the start.
 pub(crate) struct RememberedState {
     owner: MemoryOwner,
     pub(crate) written_at: Millis,
-    /// The list, until it is used.
+    /// The remembered list; taken out when it is applied.
     list: Option<List>,
     pub(crate) previous_clients: Vec<PreviousClients>,
     clients_per_server_s: Option<f64>,
 }
 
 impl Recovery {
-    /// Creates the recovery of a process that has not started. Equal seeds and events give equal
-    /// actions.
+    /// Creates the recovery of a process that has not started. The same seed and events give the
+    /// same actions.
     ///
     /// # Errors
     ///
-    /// Returns all fields outside their range.
+    /// Returns all configuration fields that are outside their range.
     pub fn new(config: RecoveryConfig, seed: u64) -> Result<Recovery, Vec<ConfigError>> {
         let errors = config.errors();
         if !errors.is_empty() {
@@ -118,7 +119,8 @@
         })
     }
 
-    /// Handles one event, with the readings of both clocks.
+    /// Handles one event at the given readings of the monotonic and the wall clock, and appends the
+    /// resulting actions to `out`.
     pub fn handle(&mut self, now: Nanos, wall: Millis, event: Event, out: &mut Vec<Action>) {
         let now = now.saturating_add(EPOCH_OFFSET).max(self.last_event_at);
         let gap = now - self.last_event_at;
@@ -151,7 +153,7 @@
         self.advance_time(now, out);
     }
 
-    /// When [`Event::Tick`] is due.
+    /// When the next [`Event::Tick`] is due; `None` before the start.
     pub fn next_tick_at(&self) -> Option<Nanos> {
         let retry_at = self.queries.iter().filter_map(|query| query.retry_at).min();
         let step = match self.state {
@@ -160,7 +162,7 @@
                 .step_deadline_at
                 .min(self.last_event_at.saturating_add(TICK_INTERVAL)),
             RecoveryState::StagedAdmission => self.last_event_at.saturating_add(TICK_INTERVAL),
-            // A suspension has to be noticed.
+            // Ticks continue so that a gap between events shows a suspension.
             RecoveryState::Serving => self
                 .last_event_at
                 .saturating_add(self.config.timeouts.suspended_after / 2),
@@ -192,7 +194,7 @@
             self.log_step(
                 out,
                 RecoveryStep::MemoryRead,
-                "there is no memory".into(),
+                "no stored memory was found".into(),
                 None,
             );
         }
@@ -200,7 +202,7 @@
         self.query_next(now, 0, out);
     }
 
-    /// Follows both clocks and notices a suspension.
+    /// Detects steps of the wall clock and suspensions of the process.
     fn check_clocks(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
         let suspended_after = self.config.timeouts.suspended_after;
         let clock_step = self
@@ -211,7 +213,7 @@
             self.log_step(
                 out,
                 RecoveryStep::Clock,
-                format!("the wall clock was stepped by {step} ms"),
+                format!("the wall clock was stepped by {step} ms against the monotonic clock"),
                 None,
             );
             if step > 0 && step as u64 >= suspended_after / crate::MS {
@@ -223,13 +225,16 @@
             self.resume(
                 now,
                 self.last_event_at,
-                format!("nothing was heard for {} s: it was stopped", gap / SECOND),
+                format!(
+                    "no event was handled for {} s: the process was suspended",
+                    gap / SECOND
+                ),
                 out,
             );
         }
     }
 
-    /// Starts again after a suspension: everything known is old.
+    /// Starts the recovery again after a suspension. The known state counts as outdated.
     fn resume(
         &mut self,
         now: Nanos,
@@ -256,12 +261,12 @@
         out.push(Action::RememberedStateAssessed {
             kind,
             validity,
-            reason: "it was stopped meanwhile",
+            reason: "the process was suspended in the meantime",
             as_of: None,
         });
         out.push(Action::SetServiceMode {
             mode: ServiceMode::Unavailable,
-            reason: "it was stopped, and asks what happened".into(),
+            reason: "the process was suspended and queries its sources again".into(),
         });
         self.query_next(now, 0, out);
     }
@@ -297,7 +302,7 @@
                 now,
                 outage_started_at,
                 format!(
-                    "the wall clock went ahead, and {} has begun anew",
+                    "the wall clock jumped ahead and peer {} restarted: the process was suspended",
                     status.name
                 ),
                 out,
@@ -308,14 +313,14 @@
         self.reassess_scope(now, out);
     }
 
-    /// Handles everything that depends on time alone.
+    /// Handles what depends on time alone: retries, held drains, timeouts and staged admission.
     fn advance_time(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.retry_due_calls(now, out);
         if self.servers.release_drains(now) > 0 {
             self.log_step(
                 out,
                 RecoveryStep::Drain,
-                "former drains hold no longer".into(),
+                "the hold of former drains expired".into(),
                 None,
             );
             self.on_servers_changed(now, out);
@@ -369,7 +374,7 @@
     }
 }
 
-/// The clocks for a list received now.
+/// The context for a list that is received now.
 fn list_context<'a>(
     config: &'a RecoveryConfig,
     clock: Option<&WallClock>,
--- a/crates/recovery/src/recovery/lists.rs
+++ b/crates/recovery/src/recovery/lists.rs
@@ -1,4 +1,4 @@
-//! Server lists and server starts.
+//! Handling of server lists and server starts.
 
 use super::{Recovery, list_context};
 use crate::server_table::ListOutcome;
@@ -33,7 +33,9 @@
             ListOutcome::Rejected => self.log_step(
                 out,
                 RecoveryStep::List,
-                format!("left out: what is held is newer than {source:?}'s"),
+                format!(
+                    "list from {source:?} rejected: the present list is newer or has precedence"
+                ),
                 None,
             ),
             ListOutcome::Applied {
@@ -41,20 +43,21 @@
                 is_new_epoch,
             } => {
                 let epoch_note = if is_new_epoch {
-                    "; discovery counts anew"
+                    "; discovery lost its state"
                 } else {
                     ""
                 };
                 self.log_step(
                     out,
                     RecoveryStep::List,
-                    format!("{entries} servers by {source:?}{epoch_note}"),
+                    format!("list of {entries} servers from {source:?} applied{epoch_note}"),
                     None,
                 );
                 if held_drains > 0 && is_new_epoch {
                     let until = now.saturating_add(self.config.timeouts.drain_hold);
-                    let reason =
-                        format!("{held_drains} former drains hold until discovery says otherwise");
+                    let reason = format!(
+                        "{held_drains} former drains are held until discovery reports another state"
+                    );
                     self.log_step(out, RecoveryStep::Drain, reason, Some(until));
                 }
                 self.on_servers_changed(now, out);
--- a/crates/recovery/src/recovery/outage_scope.rs
+++ b/crates/recovery/src/recovery/outage_scope.rs
@@ -5,7 +5,7 @@
 use crate::{Action, Nanos, RecoveryState, RecoveryStep};
 
 impl Recovery {
-    /// Assesses the extent of the outage again once it was decided.
+    /// Updates the decision on the extent of the outage, if there is one.
     pub(super) fn reassess_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if self.scope_finding.is_some() {
             self.decide_scope(now, out);
@@ -25,7 +25,7 @@
         )
     }
 
-    /// Decides the extent of the outage and reports a change.
+    /// Decides the extent of the outage and reports a change, unless service is full already.
     pub(crate) fn decide_scope(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let finding = self.assess_scope(now);
         if self.state == RecoveryState::Serving
@@ -42,14 +42,14 @@
             evidence,
         } = finding.clone();
         let evidence_text = if evidence.is_empty() {
-            "nothing".into()
+            "none".into()
         } else {
             evidence.join("; ")
         };
         self.log_step(
             out,
             RecoveryStep::Scope,
-            format!("{scope}, by {evidence_text}"),
+            format!("scope of the outage: {scope}; evidence: {evidence_text}"),
             None,
         );
         out.push(Action::ScopeDecided {
--- a/crates/recovery/src/recovery/remembered.rs
+++ b/crates/recovery/src/recovery/remembered.rs
@@ -1,4 +1,4 @@
-//! Remembered state: its validity and its use.
+//! Use of the remembered state according to its validity.
 
 use super::{Recovery, RememberedState};
 use crate::clock::ClockQuality;
@@ -15,10 +15,13 @@
         }
         let owner = validity::memory_owner(&self.config, self.incarnation, &memory);
         let reason = match owner {
-            MemoryOwner::Own => format!("memory of boot {}", memory.incarnation),
+            MemoryOwner::Own => format!(
+                "memory of this process from incarnation {}",
+                memory.incarnation
+            ),
             MemoryOwner::Foreign => {
                 format!(
-                    "memory of {} boot {}: not this process's own",
+                    "memory of process {} from incarnation {}: not written by an earlier run of this process",
                     memory.owner, memory.incarnation
                 )
             }
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Applies the remembered list, unless it was used.
+    /// Applies the remembered list, unless it was applied before.
     pub(crate) fn apply_remembered_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let Some(memory) = &mut self.memory else {
             return;
@@ -78,14 +81,14 @@
             .and_then(|clock| clock.reassess(now, &self.config.retention));
         let Some(quality) = quality else { return };
         let reason = match quality {
-            ClockQuality::Reliable(cause) => format!("ages count: {cause}"),
-            ClockQuality::Unknown(cause) => format!("ages are unknown: {cause}"),
+            ClockQuality::Reliable(cause) => format!("ages can be computed: {cause}"),
+            ClockQuality::Unknown(cause) => format!("ages can't be computed: {cause}"),
         };
         self.log_step(out, RecoveryStep::Clock, reason, None);
         self.assess_remembered(now, out);
     }
 
-    /// Assesses all kinds of remembered knowledge and reports changes.
+    /// Assesses all kinds of remembered state and reports changes.
     pub(super) fn assess_remembered(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let Some(memory) = &self.memory else { return };
         let age = self
@@ -106,7 +109,7 @@
         }
     }
 
-    /// The remembered former clients, and their sum.
+    /// The remembered previous clients by class and account, and their sum.
     pub(crate) fn remembered_clients(&self) -> (&[PreviousClients], f64) {
         let previous_clients = self
             .memory
@@ -122,8 +125,8 @@
         )
     }
 
-    /// Clients per second that a warm server of weight 1 can take: the remembered rate fades to the
-    /// configured one.
+    /// Clients per second that a warm server of weight 1 can take. The remembered rate decays
+    /// towards the configured one with its age.
     pub(crate) fn sustainable_arrivals(&self) -> f64 {
         let rate = self
             .memory
--- a/crates/recovery/src/scope.rs
+++ b/crates/recovery/src/scope.rs
@@ -1,17 +1,18 @@
-//! The extent of an outage, from peers' restarts and servers' starts.
+//! Estimation of the extent of an outage from the restarts of peers and servers.
 
 use std::collections::BTreeMap;
 
 use crate::{EvidenceSource, Nanos, OutageScope, PeerStatus, RecoveryConfig, SECOND};
 
-/// Processes that started within this span started together.
+/// Processes that started within this span count as started together.
 pub(crate) const SIMULTANEOUS_START_WINDOW: Nanos = 30 * SECOND;
-/// Most peers that one kind of evidence counts.
+/// Limit on the peers that count for one kind of evidence.
 const MAX_PEERS_COUNTED: usize = 8;
-/// Least likelihood of a decision.
+/// Likelihood that an extent must reach; below it the extent is unknown.
 const MIN_LIKELIHOOD: f64 = 0.6;
-/// Fractions of the servers in slow start from which they count as evidence.
+/// Fraction of the servers in slow start at or above which they are evidence of a restart.
 const MOSTLY_WARMING_FRACTION: f64 = 0.8;
+/// Fraction of the servers in slow start at or below which they are evidence against a restart.
 const MOSTLY_WARM_FRACTION: f64 = 0.2;
 
 /// A peer's latest report.
@@ -21,18 +22,19 @@
     uptime: Nanos,
     received_at: Nanos,
     is_own_site: bool,
-    /// Whether it was known before under a lower incarnation number.
+    /// Whether the peer was known before under a lower incarnation number.
     has_restarted: bool,
 }
 
-/// The evidence.
+/// The collected evidence of the extent of the outage.
 #[derive(Default)]
 pub(crate) struct ScopeEvidence {
     peers: BTreeMap<String, PeerReport>,
+    /// Whether the own site's peers, and the other sites' peers, failed to answer a query.
     silent: [bool; 2],
 }
 
-/// The finding.
+/// The most likely extent of the outage and the evidence for it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ScopeFinding {
     pub(crate) scope: OutageScope,
@@ -45,7 +47,7 @@
     pub(crate) fn record_peer(&mut self, now: Nanos, own_site: &str, status: &PeerStatus) -> bool {
         let previous = self.peers.get(&status.name);
         if previous.is_some_and(|previous| status.incarnation < previous.incarnation) {
-            // A late report of a former incarnation.
+            // A delayed report of a previous incarnation.
             return false;
         }
         let is_new_incarnation =
@@ -77,8 +79,8 @@
         self.peers.values().filter(|peer| peer.is_own_site).count()
     }
 
-    /// Peers that kept running, and peers that started together with this process, of the own site
-    /// or of the others. One that has restarted since did not keep running.
+    /// Counts the peers of the own site or of the other sites that kept running, and those that
+    /// started together with this process. A peer that was seen restarting counts as the latter.
     fn count_peers(&self, now: Nanos, uptime: Nanos, own_site: bool) -> (usize, usize) {
         let peers = self
             .peers
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Assesses the evidence. `warming` is the fraction of the servers in slow start.
+    /// Assesses the evidence. `warming` is the fraction of the servers' weight in slow start.
     pub(crate) fn assess(
         &self,
         now: Nanos,
@@ -119,23 +121,23 @@
         scores.add(
             kept_running,
             [3.0, -3.0, -3.0],
-            format!("{kept_running} of the site ran on"),
+            format!("{kept_running} peers of this site kept running"),
         );
         scores.add(
             started_together,
             [-2.0, 1.0, 1.0],
-            format!("{started_together} of the site started together with this one"),
+            format!("{started_together} peers of this site started together with this process"),
         );
         let (kept_running, started_together) = self.count_peers(now, uptime, false);
         scores.add(
             kept_running,
             [0.5, 1.5, -3.0],
-            format!("{kept_running} of other sites ran on"),
+            format!("{kept_running} peers of other sites kept running"),
         );
         scores.add(
             started_together,
             [-2.0, -2.0, 2.0],
-            format!("{started_together} of other sites started together with this one"),
+            format!("{started_together} peers of other sites started together with this process"),
         );
     }
 
@@ -145,14 +147,14 @@
         scores.add(
             usize::from(is_site_silent),
             [-1.0, 0.5, 0.5],
-            "nobody of the site answers".into(),
+            "no peer of this site answered".into(),
         );
         let are_others_silent =
             others && !config.other_sites.is_empty() && self.site_peers() == self.peers.len();
         scores.add(
             usize::from(are_others_silent),
             [0.0, 0.0, 0.5],
-            "nobody of other sites answers".into(),
+            "no peer of another site answered".into(),
         );
     }
 }
@@ -162,16 +164,17 @@
     scores.add(
         usize::from(warming >= MOSTLY_WARMING_FRACTION),
         [-2.0, 0.5, 2.0],
-        format!("{percent}% of the farm is cold"),
+        format!("{percent}% of the server weight is in slow start"),
     );
     scores.add(
         usize::from(warming <= MOSTLY_WARM_FRACTION),
         [1.5, 0.5, -1.5],
-        format!("{percent}% of the farm is cold"),
+        format!("{percent}% of the server weight is in slow start"),
     );
 }
 
-/// Log odds of an outage of the process alone, the site and the fleet, and the evidence for them.
+/// Unnormalized log-likelihoods of an outage of this process alone, of the site and of the fleet,
+/// and the evidence for them.
 #[derive(Default)]
 struct ScopeScores {
     log_odds: [f64; 3],
@@ -179,7 +182,7 @@
 }
 
 impl ScopeScores {
-    /// Adds evidence that was seen `times` times.
+    /// Adds evidence that was observed `count` times.
     fn add(&mut self, count: usize, weights: [f64; 3], text: String) {
         if count == 0 {
             return;
--- a/crates/recovery/src/server_table.rs
+++ b/crates/recovery/src/server_table.rs
@@ -1,31 +1,32 @@
-//! The servers as recovery believes them: lists of several origins, held drains and slow start.
+//! The servers known to the recovery: lists from several sources, held drains and slow start.
 
 use std::collections::BTreeMap;
 
 use crate::config::SlowStartRules;
 use crate::{Entry, Lifecycle, List, ListSource, MS, Millis, Nanos};
 
-/// A server.
+/// A listed server and what is known about its start.
 pub(crate) struct Server {
     pub(crate) entry: Entry,
     /// When it started, on the monotonic clock; negative if before its zero.
     started_at: i64,
-    /// Whether it has restarted since it was last known.
+    /// Whether a restart was detected since the server was first listed.
     pub(crate) has_restarted: bool,
-    /// End of the hold of a former drain.
+    /// Until when a former drain is held against discovery; `None` without a held drain.
     drain_held_until: Option<Nanos>,
 }
 
-/// The servers with the origin of the list.
+/// The servers by name, with the origin of the present list.
 #[derive(Default)]
 pub(crate) struct ServerTable {
     servers: BTreeMap<String, Server>,
     origin: Option<ListOrigin>,
-    /// No server counts as started before then.
+    /// Servers count as started at this time at the earliest.
     earliest_start: Option<i64>,
-    /// Next release of a drain, and the first and last start of accepting servers; cached since
-    /// every event reads them.
+    /// When the next held drain is released. This and `start_range` are cached because every event
+    /// reads them.
     next_drain_release_at: Option<Nanos>,
+    /// First and last start of the servers that accept new connections.
     start_range: Option<(i64, i64)>,
 }
 
@@ -34,11 +35,11 @@
     source: ListSource,
     epoch: u64,
     generation: u64,
-    /// When the list was true.
+    /// When the list was current, on the monotonic clock.
     as_of: i64,
 }
 
-/// The clocks when a list is received.
+/// The clocks and rules by which a received list is applied.
 #[derive(Clone, Copy)]
 pub(crate) struct ListContext<'a> {
     pub(crate) now: Nanos,
@@ -53,12 +54,12 @@
 /// Result of applying a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListOutcome {
-    /// It is believed now.
+    /// The list replaced the present one.
     Applied {
         held_drains: usize,
         is_new_epoch: bool,
     },
-    /// The present list is newer or better founded.
+    /// The present list is newer or from a source with precedence.
     Rejected,
 }
 
@@ -92,8 +93,8 @@
 }
 
 impl ServerTable {
-    /// Applies a list unless the present one is newer. Within an epoch the generation decides;
-    /// between epochs discovery goes first, then the younger list.
+    /// Applies a list unless the present one is newer. Within an epoch the higher generation takes
+    /// precedence; between epochs discovery does, then the more recent list.
     pub(crate) fn apply(&mut self, list: &List, list_context: ListContext<'_>) -> ListOutcome {
         let as_of = (list_context.now as i64).saturating_sub(list.age as i64);
         let new = ListOrigin {
@@ -128,7 +129,8 @@
         )
     }
 
-    /// Replaces all servers. Former drains are held against a discovery that lost its state.
+    /// Replaces all servers. If discovery lost its state, servers that were draining before keep
+    /// their drain for a time.
     fn replace(
         &mut self,
         list: &List,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Records the start of a server; returns whether it is news.
+    /// Records the start of a server; returns whether it is new.
     pub(crate) fn record_start(
         &mut self,
         name: &str,
@@ -177,7 +179,7 @@
         true
     }
 
-    /// Updates the cached summary after a change.
+    /// Updates the cached times after a change.
     fn update_summary(&mut self) {
         self.next_drain_release_at = self
             .servers
@@ -193,7 +195,7 @@
         self.start_range = accepting().min().zip(accepting().max());
     }
 
-    /// Releases held drains whose time is over; returns their number.
+    /// Releases held drains whose hold has expired; returns their number.
     pub(crate) fn release_drains(&mut self, now: Nanos) -> usize {
         if self.next_drain_release_at.is_none_or(|next| now < next) {
             return 0;
@@ -209,12 +211,12 @@
         released
     }
 
-    /// The next release of a held drain.
+    /// When the next held drain is released.
     pub(crate) fn next_drain_release(&self) -> Option<Nanos> {
         self.next_drain_release_at
     }
 
-    /// Treats the present list like the memory after a suspension.
+    /// Gives the present list the precedence of a remembered one, after a suspension.
     pub(crate) fn demote_to_memory(&mut self) {
         if let Some(origin) = &mut self.origin {
             origin.source = origin.source.min(ListSource::Memory);
@@ -225,7 +227,8 @@
         self.origin.map(|origin| origin.source)
     }
 
-    /// When the present list was true, on the monotonic clock, if a peer or discovery sent it.
+    /// When the present list was current, on the monotonic clock; `None` unless a peer, the shared
+    /// store or discovery sent it.
     pub(crate) fn as_of(&self) -> Option<i64> {
         self.origin
             .filter(|origin| origin.source >= ListSource::OtherSite)
@@ -240,8 +243,8 @@
         self.servers.values().map(Server::effective_entry)
     }
 
-    /// Limits how old servers count while no list is newer than an outage that they may have
-    /// shared.
+    /// Sets the earliest start that a server counts with, while no list is newer than an outage
+    /// that may have restarted the servers too.
     pub(crate) fn set_earliest_start(&mut self, since: Option<Nanos>) {
         self.earliest_start = since.map(|since| since as i64);
     }
@@ -253,7 +256,8 @@
         accepting.map(move |server| (server.weight(), server.started_at.max(earliest_start)))
     }
 
-    /// The fraction of the accepting weight in slow start, if any server accepts.
+    /// The fraction of the accepting servers' weight that is in slow start; `None` if no server
+    /// accepts new connections.
     pub(crate) fn warming_fraction(&self, now: Nanos, slow_start: &SlowStartRules) -> Option<f64> {
         let (earliest_start, is_warming) = (
             self.earliest_start.unwrap_or(i64::MIN),
@@ -277,7 +281,7 @@
     }
 }
 
-/// Merges a listed entry with what is known of the server.
+/// Merges a listed entry with the known state of the server.
 fn merge_entry(
     entry: &Entry,
     known_server: Option<Server>,
@@ -298,7 +302,7 @@
     let was_draining = known_server.entry.lifecycle == Lifecycle::Draining;
     let drain_held_until = match known_server.drain_held_until {
         _ if entry.lifecycle != Lifecycle::Ready => None,
-        // A server that restarted has nothing left to drain.
+        // A restarted server has no connections left to drain.
         _ if !is_same_start => None,
         None if is_new_epoch && was_draining => {
             Some(list_context.now.saturating_add(list_context.drain_hold))
@@ -330,8 +334,8 @@
     }
 }
 
-/// The monotonic start time of a server. One that can't be computed counts as now, since a wrong
-/// wall clock must not make a new server look warm.
+/// The start of a server on the monotonic clock. If it can't be computed it is the present time,
+/// because a wrong wall clock must not make a new server look warm.
 fn monotonic_start(started_at: Millis, list_context: ListContext<'_>) -> i64 {
     let now = list_context.now as i64;
     let Some(wall) = list_context.wall_clock.filter(|_| started_at != 0) else {
@@ -343,8 +347,8 @@
     now.saturating_sub((age * MS) as i64)
 }
 
-/// The start time of a server not known before. One that was warm when the memory was written
-/// counts as warm until a list says otherwise.
+/// The start of a server that was not known before. A remembered server that was warm when the
+/// memory was written counts as warm until a list shows a later start.
 fn initial_start(entry: &Entry, list_context: ListContext<'_>) -> i64 {
     match list_context.written_at {
         Some(written_at) => monotonic_start(
--- a/crates/recovery/src/staged_admission.rs
+++ b/crates/recovery/src/staged_admission.rs
@@ -1,5 +1,5 @@
-//! Staged admission: clients are admitted in order, at the rate that servers in slow start can
-//! take.
+//! Staged admission: clients are admitted in a fixed order, at the rate that servers in slow start
+//! can take.
 
 use rand::Rng;
 
@@ -13,19 +13,19 @@
     SECOND, ServiceMode,
 };
 
-/// Fraction of the admissions that is planned; the rest is for clients that missed their position.
+/// Fraction of the admissions that follows the order; the rest is for clients that return late.
 const PLANNED_FRACTION: f64 = 0.95;
-/// Fraction of a server's limit that one group may take.
+/// Fraction of a server's overload limit that the clients of one group may use.
 const MAX_GROUP_FRACTION: f64 = 0.05;
-/// Jitter of a client's return after its position.
+/// Greatest random delay of a deferred client's return after its position is admitted.
 const RETRY_JITTER: Nanos = 500 * MS;
-/// Least retry-after of a deferred client.
+/// Shortest retry-after of a deferred client.
 const MIN_RETRY_AFTER: Nanos = 250 * MS;
-/// Lifetime of a peer's report of deferred clients.
+/// How long a peer's report of deferred clients is used.
 const DEFERRED_REPORT_TTL: Nanos = 2 * SECOND;
 
 impl Recovery {
-    /// Begins admission after the queries.
+    /// Starts staged admission after the queries.
     pub(crate) fn start_admission(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if self.servers.source().is_none() {
             self.apply_remembered_list(now, out);
@@ -41,7 +41,7 @@
         if self.full_service_reason(now).is_none() {
             let servers = self.servers.accepting_servers().count();
             let reason = format!(
-                "{} clients by turns, {servers} servers, {}",
+                "admitting {} clients in stages to {servers} servers; outage scope: {}",
                 self.order.total_clients().round(),
                 self.scope()
             );
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Limits how old servers count if the outage was not this process's alone and no list is
-    /// newer.
+    /// Treats servers as started no earlier than the outage if that may have affected more than
+    /// this process and no list is newer.
     pub(crate) fn limit_server_starts(&mut self) {
         let are_starts_doubted =
             self.scope() != OutageScope::Process && !self.has_list_since_outage();
@@ -67,8 +67,8 @@
             .set_earliest_start(are_starts_doubted.then_some(self.outage_started_at));
     }
 
-    /// Adopts the beginning of admission from a peer that started together with this process, so
-    /// that all count alike.
+    /// Adopts the start of admission of a peer that started together with this process and admitted
+    /// clients earlier, so that all use the same admission curve.
     pub(crate) fn align_admission_start(&mut self, now: Nanos, status: &PeerStatus) {
         let started_together = status.uptime
             <= now
@@ -81,7 +81,7 @@
         else {
             return;
         };
-        // Smaller differences are transmission delays.
+        // Smaller differences come from transmission delays.
         if self
             .admission_started_at
             .is_none_or(|own| started_at.saturating_add(MIN_RETRY_AFTER) < own)
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Plans the admission again after a change. Clients admitted so far stay counted.
+    /// Computes the order and the curve again after a change. The curve continues from the clients
+    /// admitted so far.
     pub(crate) fn plan_admission(&mut self, now: Nanos) {
         let (RecoveryState::StagedAdmission, Some(started_at)) =
             (self.state, self.admission_started_at)
@@ -144,8 +145,8 @@
         });
     }
 
-    /// How many clients of a group may reach one server within the overload window, and the span
-    /// over which the group is spread for that.
+    /// The number of clients of a group that may reach one server within the overload window, and
+    /// the span over which the group is spread to keep to it.
     fn group_batch(&self, servers: &[(f64, i64)]) -> (f64, Nanos) {
         let slow_start = &self.config.slow_start;
         let min_weight = servers
@@ -168,7 +169,7 @@
         )
     }
 
-    /// Plans the admission order from what is known of former clients.
+    /// Computes the admission order from the best estimate of the previous clients.
     fn plan_order(&mut self, total_weight: f64) {
         let (remembered_clients, sum) = self.remembered_clients();
         let warm_up_clients =
@@ -200,23 +201,23 @@
         self.order = order;
     }
 
-    /// Why service is in full, if it is.
+    /// The reason to end staged admission; `None` while it has to continue.
     fn full_service_reason(&self, now: Nanos) -> Option<&'static str> {
         let warming = self.servers.warming_fraction(now, &self.config.slow_start);
         if now >= self.step_deadline_at {
-            return Some("the bound of the refill is reached");
+            return Some("the time limit of staged admission was reached");
         }
         if self.scope() == OutageScope::Process && warming.is_some() {
-            return Some("it was alone");
+            return Some("the outage affected only this process");
         }
-        // If all servers are warm at the beginning, everyone is admitted at once.
+        // At position 0 admission has just started: warm servers then take all clients at once.
         let are_all_positions_admitted =
             self.admitted_position >= self.order.total_clients() || self.admitted_position == 0.0;
         (warming == Some(0.0) && are_all_positions_admitted)
-            .then_some("no server is cold, and all turns have come")
+            .then_some("no server is in slow start and no client waits for its position")
     }
 
-    /// Advances the staged admission.
+    /// Advances the admitted position and accrues quota, or switches to full service.
     pub(crate) fn advance_admission(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let elapsed = now - self.quota_updated_at;
         if self.admitted_position > 0.0 && elapsed < TICK_INTERVAL / 16 {
@@ -248,7 +249,8 @@
         self.lend_unused_quota(now, out);
     }
 
-    /// Lends unused quota to a peer that defers clients, at random by their rates.
+    /// Lends unused quota to a peer that defers clients, chosen at random in proportion to the rate
+    /// of deferred clients.
     fn lend_unused_quota(&mut self, now: Nanos, out: &mut Vec<Action>) {
         if self.quota.lendable < 1.0 {
             return;
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Admits or defers a client.
+    /// Admits a client, or defers it with a time to return.
     pub(crate) fn admit_or_defer(
         &mut self,
         now: Nanos,
@@ -314,7 +316,7 @@
         if self.quota.try_admit(&mut self.rng) {
             return out.push(Action::Admit { id });
         }
-        // The time until the deferred clients are admitted, if they keep coming.
+        // The time in which the quota admits the clients that are deferred for lack of it.
         let backlog = self.quota.deferred_per_s() / self.quota.rate().max(f64::MIN_POSITIVE);
         let backlog = ((backlog * SECOND as f64) as Nanos)
             .clamp(MIN_RETRY_AFTER, self.config.timeouts.max_retry_interval);
--- a/crates/recovery/src/validity.rs
+++ b/crates/recovery/src/validity.rs
@@ -1,13 +1,14 @@
-//! Validity of remembered knowledge, by its kind and age.
+//! Validity of remembered state, by its kind, owner and age.
 
 use crate::config::Retention;
 use crate::{Memory, Millis, RecoveryConfig, RememberedKind, Validity};
 
-/// Whose memory it is.
+/// Whether the memory was written by an earlier run of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MemoryOwner {
+    /// Written by an earlier incarnation of this process.
     Own,
-    /// Another process's, or a copy: its incarnation number is not below the present one.
+    /// Written by another process, or a copy: its incarnation number is not below the present one.
     Foreign,
 }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// Assesses one kind. An unknown age counts as old.
+/// Assesses one kind of remembered state. An unknown age counts as too old.
 pub(crate) fn assess(
     kind: RememberedKind,
     owner: MemoryOwner,
@@ -32,52 +33,68 @@
 ) -> (Validity, &'static str) {
     let within = |max_age: Millis| age.is_some_and(|age| age <= max_age);
     match (kind, owner) {
-        (RememberedKind::ConnectionCounts, _) => {
-            (Validity::Discarded, "no connection outlives its process")
-        }
+        (RememberedKind::ConnectionCounts, _) => (
+            Validity::Discarded,
+            "connections do not outlive their process",
+        ),
         (
             RememberedKind::Placements
             | RememberedKind::Overrides
             | RememberedKind::ServerRates
             | RememberedKind::ServerHealth,
             MemoryOwner::Foreign,
-        ) => (Validity::Discarded, "another process wrote it"),
-        (RememberedKind::List, _) if within(retention.list) => {
-            (Validity::Hint(1.0), "a starting point until one is told")
-        }
-        (RememberedKind::List, _) => (Validity::Hint(0.0), "old: only if nobody tells one"),
-        (RememberedKind::Drains, _) if within(retention.list) => {
-            (Validity::Valid, "until discovery says otherwise")
-        }
-        (RememberedKind::Drains, _) => (Validity::Hint(0.0), "old: only with the old list"),
-        (RememberedKind::Placements, _) if within(retention.placements) => {
-            (Validity::Valid, "but on servers that have started since")
-        }
-        (RememberedKind::Placements, _) => (Validity::Discarded, "old"),
-        (RememberedKind::Overrides, _) if age.is_some() => {
-            (Validity::Valid, "but those that ended in the dark")
-        }
+        ) => (
+            Validity::Discarded,
+            "the memory was written by another process",
+        ),
+        (RememberedKind::List, _) if within(retention.list) => (
+            Validity::Hint(1.0),
+            "used until a source sends a newer list",
+        ),
+        (RememberedKind::List, _) => (
+            Validity::Hint(0.0),
+            "too old or of unknown age: used only if no source sends a list",
+        ),
+        (RememberedKind::Drains, _) if within(retention.list) => (
+            Validity::Valid,
+            "in effect until discovery reports another state",
+        ),
+        (RememberedKind::Drains, _) => (
+            Validity::Hint(0.0),
+            "too old or of unknown age: used only together with the remembered list",
+        ),
+        (RememberedKind::Placements, _) if within(retention.placements) => (
+            Validity::Valid,
+            "valid except on servers that have restarted since",
+        ),
+        (RememberedKind::Placements, _) => (Validity::Discarded, "too old or of unknown age"),
+        (RememberedKind::Overrides, _) if age.is_some() => (
+            Validity::Valid,
+            "valid except for overrides that expired during the outage",
+        ),
         (RememberedKind::Overrides, _) => (
             Validity::Hint(0.0),
-            "ends can't be told: what takes a server out holds for a time",
+            "expiry can't be computed: overrides that restrict a server are held for a limited time",
         ),
         (RememberedKind::ServerRates | RememberedKind::ServerHealth, _) => match age {
             Some(age) => (
                 Validity::Hint(decayed_weight(age, retention)),
-                "it fades with time",
+                "the weight decays with age",
             ),
-            None => (Validity::Discarded, "its age is unknown"),
+            None => (Validity::Discarded, "the age is unknown"),
         },
-        (RememberedKind::FormerClients, _) if within(retention.previous_clients) => {
-            (Validity::Hint(1.0), "it tells how many will come")
-        }
-        (RememberedKind::FormerClients, _) => {
-            (Validity::Hint(0.0), "old: only if nobody knows better")
-        }
+        (RememberedKind::FormerClients, _) if within(retention.previous_clients) => (
+            Validity::Hint(1.0),
+            "estimates the number of returning clients",
+        ),
+        (RememberedKind::FormerClients, _) => (
+            Validity::Hint(0.0),
+            "too old or of unknown age: used only without a better estimate",
+        ),
     }
 }
 
-/// The weight that is left at an age.
+/// The weight of a rate at an age, from 1 down to 0 by the half-life.
 fn decayed_weight(age: Millis, retention: &Retention) -> f64 {
     (-(age as f64) / retention.half_life as f64).exp2()
 }
--- a/crates/recovery/tests/any_order.rs
+++ b/crates/recovery/tests/any_order.rs
@@ -1,5 +1,5 @@
-//! From any sequence of events, in any order and with any of them missing, every process serves within its bound and
-//! answers each client exactly once.
+//! Property test: after any sequence of events, in any order and with any of them missing, a process reaches full
+//! service within its time limit and answers each client exactly once.
 
 use beaconflow_recovery::*;
 use proptest::prelude::*;
@@ -167,11 +167,11 @@
     ) {
         let config = config();
         let (admission_bound, service_bound) = (config.max_time_to_admission() + MS, config.max_time_to_full_service() + MS);
-        let mut recovery = Recovery::new(config, seed).expect("these settings are in range");
+        let mut recovery = Recovery::new(config, seed).expect("the configuration is in range");
         let (mut now, mut started_at, mut calls, mut out) = (0, None, 0, Vec::new());
         let mut handle_event = |recovery: &mut Recovery, now: Nanos, wall: Millis, event: Event, started_at: &mut Option<Nanos>| {
             calls += 1;
-            assert!(calls < 5_000, "ticks are asked for without end in {:?}", recovery.state());
+            assert!(calls < 5_000, "ticks are requested without end in {:?}", recovery.state());
             let is_admission_request = matches!(event, Event::AdmissionRequested(_));
             out.clear();
             recovery.handle(now, wall, event, &mut out);
@@ -182,7 +182,7 @@
             assert_eq!(answers, usize::from(is_admission_request));
             for action in &out {
                 if let Action::Defer { retry_after, .. } = action {
-                    assert!((SECOND / 4..=service_bound + 2 * SECOND).contains(retry_after), "{retry_after}");
+                    assert!((SECOND / 4..=service_bound + 2 * SECOND).contains(retry_after), "retry-after of {retry_after} ns");
                 }
             }
             let elapsed = now - started_at.unwrap_or(now);
@@ -191,7 +191,7 @@
         };
         for (event, span, wall) in events {
             let until = now + span;
-            // Ticks come when they are asked for.
+            // Ticks arrive when they are due.
             while let Some(due) = recovery.next_tick_at().filter(|due| *due < until) {
                 now = due.max(now + 1);
                 handle_event(&mut recovery, now, wall, Event::Tick, &mut started_at);
@@ -202,7 +202,7 @@
         let end = now + service_bound;
         handle_event(&mut recovery, now, 0, Event::Tick, &mut started_at);
         while now < end {
-            now = recovery.next_tick_at().expect("a started process has a next moment").clamp(now + 1, end);
+            now = recovery.next_tick_at().expect("a started process has a next tick").clamp(now + 1, end);
             handle_event(&mut recovery, now, 0, Event::Tick, &mut started_at);
         }
         prop_assert_eq!(recovery.state(), RecoveryState::Serving);
--- a/crates/recovery/tests/blackout.rs
+++ b/crates/recovery/tests/blackout.rs
@@ -1,20 +1,24 @@
-//! The whole fleet comes back from a power loss, on a virtual clock: all balancers start in one instant, all servers are
-//! cold, all clients come within a second.
+//! Recovery of a whole fleet from a power loss, on a virtual clock: all balancers start at the same time, all servers
+//! are in slow start, and all clients arrive within a second.
 
 mod fleet_simulation;
 
 use beaconflow_recovery::OutageScope;
 use fleet_simulation::*;
 
-/// Plays a day; says what came of it, and its time over that of a refill that sees all and goes to the rule's limit.
+/// Runs a scenario, in which no server may be overloaded. Returns its result, and its time relative to an admission at
+/// the exact overload limit with full knowledge of the fleet.
 fn simulate(scenario: Scenario) -> (SimulationResult, f64) {
     let simulation = FleetSimulation::new(scenario.clone());
     let ideal = simulation.ideal_admission_time();
     let result = simulation.play(90 * SECOND);
-    let served_at = result.served_at.expect("99% of the worth is served again");
+    let served_at = result
+        .served_at
+        .expect("99% of the clients by priority weight are admitted");
     let ratio = served_at as f64 / ideal as f64;
     println!(
-        "fleet {} peers {:?} disks {} told {} uneven {} stays {}: {ratio:.3}, worst {:.3}, kept {:.3}, lent {:.0}, herd {}",
+        "fleet {} peers {:?} disk interval {} memory scale {} imbalance {} sticky {}: time ratio {ratio:.3}, \
+         max load ratio {:.3}, kept promises {:.3}, lent {:.0}, max discovery calls {}",
         scenario.fleet,
         scenario.peers,
         scenario.disk_interval,
@@ -45,9 +49,9 @@
         });
         assert!(ratio <= 1.3, "{fleet}: {ratio}");
         assert_eq!(result.scopes, [(OutageScope::Fleet, fleet)].into());
-        // Promises are honest: who comes as it was told is let in.
+        // A client that returns after a final deferral is admitted.
         assert!(kept_fraction(&result) >= 0.85, "{fleet}: {result:?}");
-        // Discovery is called at its pace, 100 a second.
+        // Calls to discovery are spread at its rate of 100 per second.
         assert!(
             result.max_discovery_calls <= 30,
             "{fleet}: {}",
@@ -56,9 +60,10 @@
     }
 }
 
+/// With many small servers, random placement overloads one of them unless a larger part of the limit stays unused.
 #[test]
 fn reserves_margin_when_servers_are_small() {
-    // 9 clients are the limit of one cold server in the time in which it tips.
+    // The overload limit of one cold server is 9 clients per overload window.
     let (_, ratio) = simulate(Scenario {
         fleet: 30,
         servers: 1_000,
@@ -66,7 +71,7 @@
         ..Scenario::default()
     });
     assert!(ratio <= 2.5, "{ratio}");
-    // The rule itself leaves room.
+    // With a tolerance in the overload rule itself, less margin is needed.
     let (_, ratio) = simulate(Scenario {
         servers: 1_000,
         clients: 200_000,
@@ -106,6 +111,7 @@
     assert!(result.mean_group_span < SECOND, "{result:?}");
 }
 
+/// Balancers with few clients leave their quota unused, while the others defer clients.
 #[test]
 fn lends_quota_when_clients_are_uneven() {
     let (result, ratio) = simulate(Scenario {
@@ -117,6 +123,7 @@
     assert!(result.lent > 0.0 && ratio <= 1.5, "{ratio} {result:?}");
 }
 
+/// Some or all balancers lose their disks, or the remembered number of clients is wrong.
 #[test]
 fn overloads_no_server_when_memory_is_wrong() {
     for (disk_interval, memory_scale) in [(2, 1.0), (0, 1.0), (0, 0.4), (1, 0.4), (1, 2.0)] {
@@ -133,6 +140,7 @@
     }
 }
 
+/// Both halves of a partitioned fleet recover on their own and exchange their status during the admission.
 #[test]
 fn overloads_no_server_when_partition_heals() {
     let peers = Peers::Halves(6 * SECOND);
@@ -151,7 +159,7 @@
         discovery_back_at: 10 * SECOND,
         ..Scenario::default()
     });
-    // Memory has the list; what it says of starts is old, and the servers are cold when they are told.
+    // The memory has the list but outdated server starts: discovery reports all servers in slow start.
     assert!(ratio <= 2.0, "{ratio} {result:?}");
     simulate(Scenario {
         fleet: 30,
@@ -161,6 +169,7 @@
     });
 }
 
+/// Balancers that start one after another must adopt the start of admission of the earlier ones.
 #[test]
 fn shares_admission_order_when_starts_are_staggered() {
     let (result, ratio) = simulate(Scenario {
@@ -182,7 +191,10 @@
         ..Scenario::default()
     });
     assert!(
-        result.served_at.expect("it is served") < 4 * SECOND,
+        result
+            .served_at
+            .expect("99% of the clients by priority weight are admitted")
+            < 4 * SECOND,
         "{result:?}"
     );
 }
--- a/crates/recovery/tests/fleet_simulation/mod.rs
+++ b/crates/recovery/tests/fleet_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A toy fleet on a virtual clock: balancers that all start in one instant, cold servers that warm and tip over, clients
-//! that all come at once and come again when they are told to, discovery, and peers' words.
+//! A simulated fleet on a virtual clock: balancers that all start at the same time, servers in slow start that can be
+//! overloaded, clients that all arrive at once and return after their retry-after, discovery, and peer status messages.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -10,36 +10,36 @@
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
-/// Wall time of the power's return.
+/// Wall time at which the power returns, in milliseconds. Virtual time 0 is the same instant.
 pub const WALL: Millis = 1_800_000_000_000;
-/// What a client's way to a balancer takes.
+/// Delay of one message between a client, a balancer and discovery.
 const CLIENT_DELAY: Nanos = 10 * MS;
 const STATUS_INTERVAL: Nanos = 400 * MS;
 const STATUS_FANOUT: usize = 6;
 
-/// What a day is like.
+/// Parameters of one simulated power loss.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub fleet: usize,
     pub servers: usize,
     pub clients: usize,
-    /// How unevenly clients fall to balancers: 0 evenly, 1 from none to twice the mean.
+    /// How unevenly clients choose balancers: 0 for evenly, 1 for none to twice the mean by balancer.
     pub imbalance: f64,
-    /// Clients come back to the balancer they had.
+    /// Whether clients return to the balancer that deferred them.
     pub is_sticky: bool,
-    /// Every so manieth balancer has kept its disk; 0 for none.
+    /// Every balancer whose number is a multiple of this has its memory; 0 if none has.
     pub disk_interval: usize,
-    /// Clients that memory and configuration speak of, over those that come.
+    /// Clients in the memory and the configuration, relative to those that arrive.
     pub memory_scale: f64,
-    /// Peers hear each other; otherwise only within halves, or not at all.
+    /// Which peers receive each other's status.
     pub peers: Peers,
-    /// Discovery answers only from then on.
+    /// Time from which discovery answers.
     pub discovery_back_at: Nanos,
-    /// Servers' starts against the power's return; below 0 before it.
+    /// Start of the servers relative to the return of the power; negative if before.
     pub servers_started_at: i64,
-    /// Every balancer begins this much later than the one before.
+    /// Delay between the starts of successive balancers.
     pub start_interval: Nanos,
-    /// Room that the rule itself leaves to chance.
+    /// Tolerance of the overload rule for random variation.
     pub variance_margin: f64,
     pub seed: u64,
 }
@@ -47,32 +47,32 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Peers {
     All,
-    /// Halves that meet at that moment.
+    /// Two halves that are partitioned until this time.
     Halves(Nanos),
     None,
 }
 
-/// What came of it.
+/// Results of one simulation.
 #[derive(Default, Debug)]
 pub struct SimulationResult {
-    /// When 99% of the worth was served again.
+    /// When 99% of the clients, weighted by priority, were admitted.
     pub served_at: Option<Nanos>,
     pub overloaded: usize,
-    /// Most that one server was sent in the time in which it tips, over its limit.
+    /// Greatest number of clients sent to one server within the overload window, relative to its limit.
     pub max_load_ratio: f64,
     pub admitted: usize,
     pub deferred: usize,
-    /// Firm promises that were kept: the client was let in as it came at the told time; and all of them.
+    /// Final deferrals after which the client was admitted on its return, and all final deferrals.
     pub kept_promises: usize,
     pub final_deferrals: usize,
-    /// Most calls of discovery in 100 ms.
+    /// Greatest number of calls to discovery within 100 ms.
     pub max_discovery_calls: usize,
-    /// Times at which half of each class, and of each account of the first class, were in.
+    /// Times at which half of each class, and half of each account of class 1, were admitted.
     pub class_median: Vec<Nanos>,
     pub account_median: Vec<Nanos>,
     pub lent: f64,
     pub scopes: BTreeMap<OutageScope, usize>,
-    /// Mean span between the first and the last of a group.
+    /// Mean time between the first and the last admission of a group.
     pub mean_group_span: Nanos,
     pub digest: u64,
 }
@@ -127,7 +127,7 @@
     recoveries: Vec<Recovery>,
     started_at: Vec<Nanos>,
     serving_since: Vec<Option<Nanos>>,
-    /// When the list was told that each has, by discovery.
+    /// By balancer: when discovery sent the list that it has.
     list_received_at: Vec<Option<Nanos>>,
     clients: Vec<ClientState>,
     servers: Vec<SimulatedServer>,
@@ -199,7 +199,7 @@
                 ..config.clone()
             };
             Recovery::new(config, scenario.seed ^ (at as u64) << 32)
-                .expect("the toy's settings are in range")
+                .expect("the simulated configuration is in range")
         });
         let recoveries: Vec<Recovery> = recoveries.collect();
         let mut simulation = FleetSimulation {
@@ -258,7 +258,7 @@
         self.queue.push(Reverse((at, self.count, event)));
     }
 
-    /// Balancers' parts of the clients rise evenly over the fleet.
+    /// Picks a balancer at random; the probability rises linearly over the fleet.
     fn pick_balancer(&mut self) -> usize {
         loop {
             let at = self.rng.random_range(0..self.scenario.fleet);
@@ -297,7 +297,7 @@
         }
     }
 
-    /// What each class and account had before.
+    /// The memory of a balancer with the clients of each class and account, if it kept its disk.
     fn memory(&self, at: usize) -> Option<Memory> {
         if self.scenario.disk_interval == 0 || !at.is_multiple_of(self.scenario.disk_interval) {
             return None;
@@ -327,7 +327,7 @@
         })
     }
 
-    /// Sends one client to a server by weight, as many balancers that know nothing of each other do.
+    /// Sends one client to a random server by weight, like balancers without shared state do.
     fn send(&mut self, now: Nanos) {
         let (capacity_fraction, slow_start) = (self.capacity_fraction(now), self.config.slow_start);
         let at = loop {
@@ -393,7 +393,7 @@
             }
             Action::Admit { id } => {
                 let client = &mut self.clients[id as usize];
-                assert_eq!(client.admitted_at, Nanos::MAX, "a client is let in once");
+                assert_eq!(client.admitted_at, Nanos::MAX, "a client is admitted once");
                 client.admitted_at = now;
                 self.result.kept_promises += usize::from(client.is_deferral_final);
                 self.result.admitted += 1;
@@ -418,7 +418,9 @@
                 clients,
             } => {
                 self.result.lent += clients;
-                let to = to[1..].parse().expect("a balancer's name");
+                let to = to[1..]
+                    .parse()
+                    .expect("the name of a peer is b and its number");
                 self.push(
                     now + CLIENT_DELAY,
                     ScheduledEvent::QuotaLent(to, at, number, clients.to_bits()),
@@ -431,7 +433,7 @@
         }
     }
 
-    /// A balancer's word to some others.
+    /// Sends a balancer's status to some of its peers, with its list if they have none.
     fn send_peer_status(&mut self, now: Nanos, at: usize) {
         let recovery = &self.recoveries[at];
         let state = recovery.state();
@@ -484,7 +486,7 @@
         self.handle_event(now, at, Event::AdmissionRequested(self.clients[id].request));
     }
 
-    /// Plays until so long after the power's return.
+    /// Runs the simulation until all clients are admitted, or until a time.
     pub fn play(mut self, until: Nanos) -> SimulationResult {
         while let Some(Reverse((now, _, event))) = self.queue.pop().filter(|next| next.0.0 < until)
         {
@@ -599,7 +601,7 @@
         self.result
     }
 
-    /// When an all-seeing refill at the cold rule's limit has let in 99%.
+    /// When 99% of the clients would be admitted at the exact overload limit, with full knowledge of the fleet.
     pub fn ideal_admission_time(&self) -> Nanos {
         let weight: f64 = self.servers.iter().map(|server| server.weight).sum();
         let (mut now, mut sum) = (0, 0.0);
--- a/crates/recovery/tests/rules.rs
+++ b/crates/recovery/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What is trusted, how scope and clocks are told, and the hard cases, one by one.
+//! Validity of remembered state, outage scope, clocks, held drains, queries and quotas, one rule at a time.
 
 use beaconflow_recovery::*;
 
@@ -10,7 +10,7 @@
 struct TestRecovery {
     recovery: Recovery,
     now: Nanos,
-    /// The wall clock at moment 0.
+    /// Wall time at monotonic time 0, in milliseconds.
     wall: Millis,
     out: Vec<Action>,
 }
@@ -36,7 +36,7 @@
             .handle(self.now, self.wall + self.now / MS, event, &mut self.out);
     }
 
-    /// Ticks as they are asked for.
+    /// Advances the clocks by a span, with ticks when they are due.
     fn advance(&mut self, span: Nanos) {
         let until = self.now + span;
         while let Some(due) = self.recovery.next_tick_at().filter(|due| *due <= until) {
@@ -49,11 +49,16 @@
     fn advance_until(&mut self, mode: ServiceMode) {
         let end = self.now + 700 * SECOND;
         while self.recovery.state().service_mode() != mode {
-            assert!(self.now < end, "{:?} is not reached: {:?}", mode, self.out);
+            assert!(
+                self.now < end,
+                "{:?} mode is not reached within 700 s: {:?}",
+                mode,
+                self.out
+            );
             self.now = self
                 .recovery
                 .next_tick_at()
-                .expect("it waits for something")
+                .expect("a started recovery has a next tick")
                 .max(self.now + 1);
             self.handle_event(Event::Tick);
         }
@@ -128,7 +133,7 @@
     list(ListSource::Memory, 1, 40, entries)
 }
 
-/// As it was written a minute before the power's return.
+/// A memory that was written one minute before the power returned.
 fn memory() -> Memory {
     let previous_clients = vec![PreviousClients {
         class: 0,
@@ -175,7 +180,7 @@
         Validity::Hint(weight) => weight,
         _ => 0.0,
     };
-    // Learnt pace fades by half in an hour.
+    // The weight of remembered server rates has a half-life of one hour.
     let later = assessed(memory(), WALL + 3_540_000);
     assert!(rate_weight(&fresh) > 0.95 && (rate_weight(&later) - 0.5).abs() < 0.01);
     let days_later = assessed(memory(), WALL + 2 * 86_400_000);
@@ -206,6 +211,8 @@
     }
 }
 
+/// After a power loss the wall clock may start in 1970 or a year ahead. Ages computed from it must not make outdated
+/// state look recent, nor cold servers look warm.
 #[test]
 fn distrusts_ages_when_wall_clock_is_wrong() {
     for wall in [0, WALL + YEAR] {
@@ -220,10 +227,10 @@
             Validity::Discarded
         );
         assert!(!host.recovery.is_placement_valid("s1", WALL - 61_000));
-        // What takes a server out holds for a time; what does not is over.
+        // Without expiry times, overrides that restrict a server are held for a time; others are dropped.
         assert!(host.recovery.is_override_valid(u64::MAX, true));
         assert!(!host.recovery.is_override_valid(u64::MAX, false));
-        // Servers that started since are cold, whatever the clock makes of their start.
+        // Servers that restarted are in slow start, even if the wrong clock makes their start look old.
         let entries = vec![
             entry("s1", WALL, Lifecycle::Ready),
             entry("s3", WALL, Lifecycle::Ready),
@@ -239,7 +246,7 @@
         host.advance(31 * SECOND);
         assert!(!host.recovery.is_override_valid(u64::MAX, true));
     }
-    // A peer's clock, or discovery's, shows a clock that nothing else does.
+    // The clock of a peer reveals a wrong clock that the memory does not.
     let mut host = TestRecovery::new(config(), WALL + 3_600_000, Some(memory()));
     assert!(host.recovery.is_clock_reliable());
     host.handle_event(Event::PeerReported(PeerStatus {
@@ -247,7 +254,7 @@
         ..peer_status("b2", "north", 3, SECOND)
     }));
     assert!(!host.recovery.is_clock_reliable());
-    // Also, without memory, a server that started later than now.
+    // Without memory, discovery's clock confirms the wall clock.
     let mut host = TestRecovery::new(config(), WALL, None);
     host.handle_event(Event::ListReceived(List {
         reported_at: Some(WALL),
@@ -256,6 +263,7 @@
     assert!(host.recovery.is_clock_reliable());
 }
 
+/// A server that restarted has lost its connections, so a placement from before its start must not send clients there.
 #[test]
 fn invalidates_placements_when_server_has_restarted() {
     let mut memory = memory();
@@ -281,28 +289,28 @@
     assert!(host.recovery.is_placement_valid("s1", WALL - 61_000));
     assert!(
         !host.recovery.is_placement_valid("s2", WALL - 61_000),
-        "it drains"
+        "s2 is draining"
     );
     assert!(
         !host.recovery.is_placement_valid("s3", WALL - 61_000),
-        "it started since"
+        "s3 has restarted since the memory was written"
     );
     assert!(
         !host.recovery.is_placement_valid("s4", WALL - 61_000),
-        "so did one that memory does not know"
+        "s4 started after the placement and is not in the memory"
     );
     assert!(
         !host.recovery.is_placement_valid("s5", WALL - 61_000),
-        "and one whose clock is behind"
+        "s5 has another start time, although its clock is behind"
     );
     assert!(
         !host.recovery.is_placement_valid("s1", WALL - 4_000_000),
-        "that is long ago"
+        "the placement is too old"
     );
     assert!(host.recovery.is_override_valid(WALL + 5_000, false));
     assert!(
         !host.recovery.is_override_valid(WALL - 5_000, false),
-        "it ended in the dark"
+        "the override expired during the outage"
     );
     host.handle_event(Event::ServerStarted {
         name: "s1".into(),
@@ -311,6 +319,7 @@
     assert!(!host.recovery.is_placement_valid("s1", WALL - 61_000));
 }
 
+/// A discovery that lost its state reports drained servers as ready. Without a hold they would receive clients again.
 #[test]
 fn holds_drains_when_discovery_loses_its_state() {
     let ready = |epoch, generation| {
@@ -320,7 +329,7 @@
             .to_vec();
         Event::ListReceived(list(ListSource::Discovery, epoch, generation, entries))
     };
-    // It counts anew from 1: all of its list is taken, but for the drain.
+    // Discovery counts from 1 again: its list is applied, except that the drain is held.
     for epoch in [2, 0] {
         let mut memory = memory();
         memory.list = memory.list.map(|list| List {
@@ -340,7 +349,7 @@
         host.advance(11 * SECOND);
         assert_eq!(host.lifecycle("s2"), Some(Lifecycle::Ready));
     }
-    // One that has kept its state is believed at once, and one that speaks of the past is not.
+    // A discovery that kept its state ends the drain at once; an older generation is rejected.
     let mut host = TestRecovery::new(config(), WALL, Some(memory()));
     host.handle_event(ready(1, 41));
     assert_eq!(host.lifecycle("s2"), Some(Lifecycle::Ready));
@@ -406,7 +415,7 @@
         ),
         OutageScope::Fleet
     );
-    // A word of a former life says nothing of who ran on.
+    // A late report of a previous incarnation is no evidence that the peer kept running.
     let both = |incarnation, uptime| {
         [
             peer_status("b2", "north", incarnation, uptime),
@@ -417,9 +426,9 @@
         decided_scope(&[both(3, SECOND), both(2, day)].concat(), cold_start),
         OutageScope::Fleet
     );
-    // Nobody answers, and the servers' starts tell.
+    // No peer answers; the starts of the servers decide.
     assert_eq!(decided_scope(&[], cold_start), OutageScope::Fleet);
-    // Nobody knows, and nobody answers.
+    // There is no evidence at all.
     let mut host = TestRecovery::new(
         RecoveryConfig {
             site_peers: 0,
@@ -449,10 +458,12 @@
     assert!(host.is_admitted(1));
     assert!(
         !host.query_delays(EvidenceSource::Discovery).is_empty(),
-        "it is asked all the same"
+        "discovery is still queried"
     );
 }
 
+/// A process that was suspended during an outage resumes with outdated state. It must query its sources again before it
+/// admits clients.
 #[test]
 fn detects_suspension_during_outage() {
     let mut host = TestRecovery::new(config(), WALL, Some(memory()));
@@ -472,9 +483,12 @@
     }));
     host.advance(SECOND);
     assert_eq!(host.recovery.state(), RecoveryState::Serving);
-    // A minute in which not even a tick was heard; then the first client.
+    // No event for a minute, not even a tick, then an admission request.
     host.now += 60 * SECOND;
-    assert!(!host.is_admitted(1), "it asks first");
+    assert!(
+        !host.is_admitted(1),
+        "a suspended process queries its sources before it admits clients"
+    );
     assert_eq!(
         host.recovery.state().service_mode(),
         ServiceMode::Unavailable
@@ -493,7 +507,7 @@
     }));
     host.advance_until(ServiceMode::Staged);
     assert_ne!(host.recovery.scope(), OutageScope::Process);
-    // The same if the monotonic clock stood still too: the wall clock went ahead, and a peer has begun anew.
+    // The monotonic clock may stop during a suspension: a jump of the wall clock and a peer's restart show it.
     let mut host = TestRecovery::new(config(), WALL, Some(memory()));
     host.handle_event(Event::PeerReported(peer_status(
         "b2",
@@ -512,7 +526,7 @@
     assert_eq!(
         host.recovery.state(),
         RecoveryState::Serving,
-        "a step alone is none"
+        "a step of the wall clock alone is no suspension"
     );
     host.handle_event(Event::PeerReported(peer_status(
         "b2",
@@ -526,6 +540,8 @@
     );
 }
 
+/// A second power loss during staged admission must find the clients from before the first one in the memory, and not
+/// only those admitted so far.
 #[test]
 fn keeps_previous_clients_when_recovery_is_interrupted() {
     let mut host = TestRecovery::new(config(), WALL, Some(memory()));
@@ -546,6 +562,7 @@
     assert!(host.recovery.can_update_memory());
 }
 
+/// Balancers that retry at the same time overload a source that has just come back.
 #[test]
 fn backs_off_with_jitter_when_queries_fail() {
     let config = RecoveryConfig {
@@ -560,13 +577,18 @@
         host.handle_event(Event::QueryFailed(EvidenceSource::Discovery));
     }
     let delays = host.query_delays(EvidenceSource::Discovery);
-    // In 200 s: the first few soon, then one in 7.5 s in the mean, or one in 15 if an answer were waited for.
-    assert!((12..60).contains(&delays.len()), "{}", delays.len());
+    // In 200 s: a few early calls, then one every 7.5 s on average, or every 15 s if it waited for the timeout.
+    assert!(
+        (12..60).contains(&delays.len()),
+        "{} calls in 200 s",
+        delays.len()
+    );
     assert!(delays[0] <= 3 * SECOND && delays.iter().all(|delay| *delay <= 15 * SECOND));
     let distinct: std::collections::BTreeSet<_> = delays.iter().collect();
-    assert!(distinct.len() > delays.len() / 2, "they are drawn");
+    assert!(distinct.len() > delays.len() / 2, "delays are random");
 }
 
+/// If each balancer rounded its quota up, the sum over a large fleet would overload the servers.
 #[test]
 fn keeps_fleet_admissions_under_limit_at_any_size() {
     for fleet_size in [2, 48, 300] {
@@ -598,13 +620,14 @@
                 reported_at: Some(WALL),
                 ..list(ListSource::Discovery, 1, 1, entries)
             }));
-            // All turns have come, and clients come as fast as they can.
+            // All positions are admitted, and each balancer gets 100 requests per second.
             for key in 0..200 {
                 host.now += 10 * MS;
                 admitted += u32::from(host.is_admitted(key));
             }
         }
-        // 100 servers of weight 1 that are cold bear 3 times 0.2 to 0.28 a second, for two seconds; chance takes most.
+        // 100 cold servers of weight 1 take 3 times 0.2 to 0.28 clients per second each, for 2 s. The margin for random
+        // variation takes most of that.
         assert!(admitted <= 144, "{fleet_size}: {admitted}");
         assert!(admitted >= 8, "{fleet_size}: {admitted}");
     }
@@ -640,6 +663,7 @@
     assert!((5..=6).contains(&admitted), "{admitted}");
 }
 
+/// Balancers that count admission from different starts would defer clients for different times.
 #[test]
 fn aligns_admission_start_with_earliest_peer() {
     let retry_after_with = |serving_time: Option<Nanos>| {
@@ -681,12 +705,13 @@
         host.handle_event(Event::AdmissionRequested(request));
         match host.out.last() {
             Some(Action::Defer { retry_after, .. }) => *retry_after,
-            other => panic!("it has to wait for its turn: {other:?}"),
+            other => panic!("the client should be deferred: {other:?}"),
         }
     };
     assert!(retry_after_with(Some(8 * SECOND)) + SECOND < retry_after_with(None));
 }
 
+/// Quota that accumulates while no client arrives would admit a burst that overloads the servers.
 #[test]
 fn expires_unused_quota() {
     let slow_start = SlowStartRules {
@@ -711,6 +736,7 @@
     host.advance_until(ServiceMode::Staged);
     host.advance(5 * SECOND);
     let admitted = (0..5_000).filter(|key| host.is_admitted(*key)).count();
-    // Four such balancers together stay under half of what tips: 3 times 0.4 times 20 times 40, for 1.5 s.
+    // Four such balancers together stay under half of the overload limit of 3 * 0.4 * 20 * 40 clients per second for
+    // 1.5 s.
     assert!(admitted > 0 && admitted * 4 <= 720, "{admitted}");
 }
