--- a/crates/overrides/benches/effects.rs
+++ b/crates/overrides/benches/effects.rs
@@ -1,4 +1,4 @@
-//! What overrides cost: a look at one arrival and one server, and an effective list of 10,000 servers.
+//! Cost of overrides: lookups for one request and one server, and the effective list of 10,000 servers.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 const NOW: u64 = 1_000_000;
 
-/// So many overrides: a third each of servers out, weights and pins.
+/// A set with this number of overrides: a third each of `out`, weight and pin.
 fn set(count: u64) -> OverrideSet {
     let mut set = OverrideSet::new(30_000);
     for id in 1..=count {
@@ -48,13 +48,13 @@
     set
 }
 
-/// One connection from its arrival to its end, as the core does it: the pin is looked up, then the module decides.
+/// One connection from its request to its end, as the core handles it: the pin is looked up, then the policy decides.
 fn decision(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("decision");
     group.measurement_time(Duration::from_secs(5));
     for count in [0, 100, 10_000] {
         let set = set(count);
-        let mut balancer = Balancer::new(settings(), 7).expect("in range");
+        let mut balancer = Balancer::new(settings(), 7).expect("the settings are valid");
         let mut out = Vec::new();
         let entries = (0..100).map(entry).collect();
         balancer.handle(
--- a/crates/overrides/src/effect.rs
+++ b/crates/overrides/src/effect.rs
@@ -1,4 +1,4 @@
-//! Effects of overrides: on a server, on coverage, and as they are shown.
+//! Effects of overrides on servers and on the coverage of zones, and their form in the API.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,16 +10,16 @@
 /// The effect of all overrides on one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerAdjustment {
-    /// Whether it gets no new connections.
+    /// Whether the server gets no new connections.
     pub is_out: bool,
-    /// Factor on its listed weight; 0 if it is out of service.
+    /// Present factor on the listed weight; 0 if the server is out of service.
     pub factor: f64,
     /// The factor at the end of the ramp.
     pub target_factor: f64,
 }
 
 impl ServerAdjustment {
-    /// No override applies.
+    /// The value for a server without overrides.
     pub const AS_LISTED: ServerAdjustment = ServerAdjustment {
         is_out: false,
         factor: 1.0,
@@ -27,29 +27,29 @@
     };
 }
 
-/// The listed state of a server by name.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// Not listed.
+    /// No server of that name is listed.
     Absent,
-    /// Accepts new connections.
+    /// The server accepts new connections.
     Ready,
-    /// Draining.
+    /// The server is draining.
     Draining,
 }
 
 /// The present effect of an override.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// In effect.
+    /// The override is in effect.
     InEffect,
     /// No effect until a server of that name is listed.
     NotListed,
-    /// No effect while the other one is active.
+    /// No effect while this other override is active.
     Shadowed(OverrideId),
-    /// A pin to a server that drains or is out of service.
+    /// No effect: the pinned server is draining or out of service.
     ServerNotAccepting,
-    /// It has ended; a weight may still be ramping up.
+    /// The override has ended; the weight of its server may still be ramping up.
     Ended,
 }
 
@@ -65,22 +65,22 @@
     }
 }
 
-/// Places that overrides leave without a ready server although the list has some.
+/// Zones that overrides leave without a ready server although ready ones are listed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CoverageGaps {
-    /// The whole list.
+    /// Whether no server of the whole list is left.
     pub all_servers: bool,
-    /// These zones.
+    /// Names of the zones without a ready server.
     pub zones: Vec<String>,
 }
 
 impl CoverageGaps {
-    /// Whether there is a ready server everywhere.
+    /// Whether every zone has a ready server.
     pub fn is_empty(&self) -> bool {
         !self.all_servers && self.zones.is_empty()
     }
 
-    /// What is missing here but not in another assessment.
+    /// The gaps that are not among `previous`.
     pub fn new_since(&self, previous: &CoverageGaps) -> CoverageGaps {
         let zones = self
             .zones
@@ -103,7 +103,8 @@
     }
 }
 
-/// Finds places without a ready server among those that are listed as ready: name and zone of each.
+/// Finds the zones whose servers are all taken out of service by overrides. `ready` gives the name
+/// and zone of each server that is listed as ready.
 pub fn find_coverage_gaps<'a>(
     ready: impl Iterator<Item = (&'a str, &'a str)>,
     set: &OverrideSet,
--- a/crates/overrides/src/kind.rs
+++ b/crates/overrides/src/kind.rs
@@ -1,19 +1,19 @@
-//! Overrides and their validation.
+//! Overrides, requests for overrides and their validation.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// Longest name of a server, group, tenant or author.
+/// Limit on the name of a server, group, tenant or author, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Longest reason.
+/// Limit on the reason of an override, in bytes.
 const MAX_REASON_BYTES: usize = 512;
-/// Allowed factors of a weight.
+/// Factors that an override may apply to a weight.
 const FACTOR_RANGE: std::ops::RangeInclusive<f64> = 0.001..=100.0;
-/// Allowed migrations per second.
+/// Migration rates that an override may set, in connections per second.
 const MOVES_PER_S_RANGE: std::ops::RangeInclusive<f64> = 0.01..=10_000.0;
 
-/// Id of an override; never reused by a store.
+/// Id of an override. A store never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OverrideId(pub u64);
 
@@ -26,20 +26,20 @@
 /// Whose connections are pinned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
-    /// A connection group, by the name that clients give.
+    /// A connection group, by the name that clients send.
     Group(String),
     /// A tenant, by name.
     Tenant(String),
 }
 
 impl Subject {
-    /// Its name.
+    /// The name of the group or tenant.
     pub fn name(&self) -> &str {
         let (Subject::Group(name) | Subject::Tenant(name)) = self;
         name
     }
 
-    /// What it is: `group` or `tenant`.
+    /// The kind of subject: `group` or `tenant`.
     pub fn kind_name(&self) -> &'static str {
         match self {
             Subject::Group(_) => "group",
@@ -48,45 +48,45 @@
     }
 }
 
-/// What happens to a pinned request that its server can't take.
+/// What happens to a pinned request if its server can't accept it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strictness {
-    /// It is placed by the rotation.
+    /// The request is placed on another server, as without a pin.
     Prefer,
-    /// It is rejected, with a time to retry.
+    /// The request is rejected with a retry-after time.
     Strict,
 }
 
-/// What an override does.
+/// What an override changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideKind {
     /// A server gets no new connections.
     Out {
-        /// The server's name in the list.
+        /// Name of the server in the list.
         server: String,
-        /// Rate at which its established connections are migrated; `None` keeps them.
+        /// Rate at which its established connections are migrated, per second; `None` keeps them.
         moves_per_s: Option<f64>,
     },
     /// A server's listed weight is multiplied.
     Weight {
-        /// The server's name in the list.
+        /// Name of the server in the list.
         server: String,
-        /// The factor.
+        /// Factor on the listed weight, from 0.001 to 100.
         factor: f64,
     },
     /// New connections of a group or tenant go to one server.
     Pin {
-        /// Whose connections.
+        /// The group or tenant.
         subject: Subject,
-        /// The server's name in the list.
+        /// Name of the server in the list.
         server: String,
-        /// Whether they may use other servers.
+        /// Whether its connections may use other servers.
         strictness: Strictness,
     },
 }
 
 impl OverrideKind {
-    /// The server that it names.
+    /// Name of the server that the override applies to.
     pub fn server(&self) -> &str {
         let (OverrideKind::Out { server, .. }
         | OverrideKind::Weight { server, .. }
@@ -94,7 +94,7 @@
         server
     }
 
-    /// Its name: `out`, `weight` or `pin`.
+    /// Name of the kind: `out`, `weight` or `pin`.
     pub fn name(&self) -> &'static str {
         match self {
             OverrideKind::Out { .. } => "out",
@@ -107,11 +107,11 @@
 /// Limits on overrides.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Longest time to an expiry.
+    /// Longest time from now to an expiry.
     pub max_duration_ms: Millis,
-    /// Most overrides at once.
+    /// Limit on the overrides that are in effect at the same time.
     pub max_count: usize,
-    /// Duration of the ramp of a weight that rises.
+    /// Duration of the ramp of a rising weight.
     pub ramp_ms: Millis,
 }
 
@@ -125,12 +125,12 @@
     }
 }
 
-/// An error in a requested override.
+/// An invalid field of a requested override.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// The field, by its name in the API.
+    /// Name of the field in the API.
     pub field: &'static str,
-    /// What it must be.
+    /// Which values are valid.
     pub why: String,
 }
 
@@ -149,28 +149,32 @@
     }
 }
 
-/// A requested override.
+/// A requested override that has no id yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
-    /// What it does.
+    /// What the override changes.
     pub kind: OverrideKind,
-    /// The author.
+    /// The author; 1 to 128 bytes.
     pub who: String,
-    /// The reason.
+    /// The reason; 1 to 512 bytes.
     pub why: String,
-    /// When it ends.
+    /// When the override expires.
     pub expires_at: Millis,
 }
 
 impl Draft {
-    /// Checks it; returns all errors.
+    /// Validates all fields.
+    ///
+    /// # Errors
+    ///
+    /// Returns all invalid fields.
     pub fn check(&self, now: Millis, limits: &Limits) -> Result<(), Vec<FieldError>> {
         let mut errors = Vec::new();
         let mut text = |field, text: &str, max_bytes: usize| {
             if !(1..=max_bytes).contains(&text.len()) || text.chars().any(char::is_control) {
                 errors.push(FieldError::new(
                     field,
-                    format!("1 to {max_bytes} bytes, no control characters"),
+                    format!("must have 1 to {max_bytes} bytes and no control characters"),
                 ));
             }
         };
@@ -184,17 +188,17 @@
             OverrideKind::Weight { factor, .. } if *factor == 0.0 => {
                 errors.push(FieldError::new(
                     "factor",
-                    "0 is no weight: use the kind out",
+                    "must not be 0: use the kind out to take a server out of service",
                 ));
             }
             OverrideKind::Weight { factor, .. } if !FACTOR_RANGE.contains(factor) => {
-                errors.push(FieldError::new("factor", "from 0.001 to 100"));
+                errors.push(FieldError::new("factor", "must be from 0.001 to 100"));
             }
             OverrideKind::Out {
                 moves_per_s: Some(rate),
                 ..
             } if !MOVES_PER_S_RANGE.contains(rate) => {
-                errors.push(FieldError::new("moves_per_s", "from 0.01 to 10000"));
+                errors.push(FieldError::new("moves_per_s", "must be from 0.01 to 10000"));
             }
             OverrideKind::Weight { .. } | OverrideKind::Out { .. } => {}
         }
@@ -206,7 +210,7 @@
         }
     }
 
-    /// The override that it becomes.
+    /// Creates the override, in effect from now on, with revision 1.
     pub fn into_override(self, id: OverrideId, now: Millis) -> Override {
         let Draft {
             kind,
@@ -229,40 +233,40 @@
     }
 }
 
-/// Checks an expiry.
+/// Validates that an expiry is in the future and within the longest duration.
 pub(crate) fn check_expiry(
     expires_at: Millis,
     now: Millis,
     limits: &Limits,
 ) -> Result<(), FieldError> {
     if expires_at <= now {
-        return Err(FieldError::new("expires", "lies in the past"));
+        return Err(FieldError::new("expires", "must be in the future"));
     }
     if expires_at - now > limits.max_duration_ms {
         let max_duration_s = limits.max_duration_ms / 1_000;
         return Err(FieldError::new(
             "expires",
-            format!("more than {max_duration_s} s from now, the longest span here"),
+            format!("must be at most {max_duration_s} s from now"),
         ));
     }
     Ok(())
 }
 
-/// The request that created an override, by which a repetition is recognized.
+/// The request that created an override, kept to recognize its repetition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replay {
     /// The client's idempotency key.
     pub key: String,
-    /// A digest of its body.
+    /// Digest of the request's body.
     pub body: Vec<u8>,
 }
 
-/// An override.
+/// An override with its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// Its number.
+    /// Id in the store.
     pub id: OverrideId,
-    /// What it does.
+    /// What the override changes.
     pub kind: OverrideKind,
     /// The author.
     pub who: String,
@@ -270,32 +274,36 @@
     pub why: String,
     /// When it took effect.
     pub created_at: Millis,
-    /// When it ends.
+    /// When it expires, unless it is removed before.
     pub expires_at: Millis,
-    /// When it was removed, if it was.
+    /// When an operator removed it; `None` if it was not removed.
     pub removed_at: Option<Millis>,
-    /// Revision; grows with each change, from 1.
+    /// Revision, from 1; grows by 1 with each change.
     pub revision: u64,
-    /// Whether it was created although it leaves a place without a ready server.
+    /// Whether it was created although it leaves a zone or the whole list without a ready server.
     pub forced: bool,
-    /// The request that made it, if that had a key.
+    /// The request that created it, if that had an idempotency key.
     pub replay: Option<Replay>,
 }
 
 impl Override {
-    /// When it ended or will end.
+    /// When it ended or will end, by its removal or its expiry; never before its creation.
     pub fn ends_at(&self) -> Millis {
         self.removed_at
             .map_or(self.expires_at, |at| at.min(self.expires_at))
             .max(self.created_at)
     }
 
-    /// Whether it is in effect at a time.
+    /// Whether it is in effect at a time. Its end is exclusive.
     pub fn is_active_at(&self, at: Millis) -> bool {
         self.created_at <= at && at < self.ends_at()
     }
 
-    /// Changes its expiry.
+    /// Changes the expiry and raises the revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the expiry is not in the future or exceeds the longest duration.
     pub fn extend(
         &mut self,
         expires_at: Millis,
@@ -308,7 +316,7 @@
         Ok(())
     }
 
-    /// Ends it.
+    /// Ends the override now and raises the revision.
     pub fn remove(&mut self, now: Millis) {
         self.removed_at = Some(now);
         self.revision += 1;
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,9 +1,10 @@
-//! Operators' overrides: what they are, which of them holds, for how long, and what a farm looks like under them.
+//! Operators' overrides of servers and placements: validation, precedence, expiry and effects.
 //!
-//! There is no I/O, clock or global here. A host hands in a [`OverrideSet`], what is listed and a moment; it gets the state
-//! and weight that each server has ([`OverrideSet::server_adjustment`]), the pin of an arrival ([`OverrideSet::pin`]) and the next moment at
-//! which any of that changes ([`OverrideSet::next_change`]). Equal sets and moments give equal answers, whatever the order
-//! in which overrides came.
+//! The crate has no I/O, clock or global state. A host keeps an [`OverrideSet`] and asks it for the
+//! effect on a server at a time ([`OverrideSet::server_adjustment`]), the pin of a request
+//! ([`OverrideSet::pin`]) and the next time at which an effect changes
+//! ([`OverrideSet::next_change`]). The answers depend only on the overrides and the time, and not on
+//! the order in which the overrides were added.
 //!
 //! ```
 //! use beaconflow_overrides::*;
@@ -21,7 +22,7 @@
 //! set.insert(draft.into_override(OverrideId(1), 1_000));
 //! assert_eq!(set.server_adjustment("g4", 2_000), ServerAdjustment { is_out: true, factor: 0.0, target_factor: 0.0 });
 //! assert_eq!(set.server_adjustment("g5", 2_000), ServerAdjustment::AS_LISTED);
-//! // It ends by itself, and the server's weight comes back step by step.
+//! // The override expires, and the server's weight rises in steps.
 //! assert_eq!(set.next_change(2_000), Some(61_000));
 //! let back = set.server_adjustment("g4", 61_000);
 //! assert!(!back.is_out && back.factor < 0.2);
@@ -45,6 +46,6 @@
 pub use pace::MigrationPacer;
 pub use set::{OverrideSet, Pin};
 
-/// A moment on the program's clock: Unix time in milliseconds as it was at the program's start, and followed
-/// monotonically from then on.
+/// A time on the program's clock or a duration, in milliseconds. The program's clock is the Unix
+/// time at the program's start, advanced by the monotonic clock.
 pub type Millis = u64;
--- a/crates/overrides/src/pace.rs
+++ b/crates/overrides/src/pace.rs
@@ -1,8 +1,9 @@
-//! Migrations at a given rate.
+//! Rate limit for migrations.
 
 use crate::Millis;
 
-/// Counts permitted migrations. Unused permits expire after a second, so that they cause no burst.
+/// Limits migrations to a rate. At most one second's permits accumulate, so that unused ones cause
+/// no burst.
 #[derive(Clone, Debug)]
 pub struct MigrationPacer {
     rate: f64,
@@ -11,7 +12,7 @@
 }
 
 impl MigrationPacer {
-    /// Starts at a rate per second; the first is permitted at once.
+    /// Creates a limit with a rate per second. The first migration is permitted at once.
     pub fn new(rate: f64, now: Millis) -> MigrationPacer {
         MigrationPacer {
             rate,
@@ -20,12 +21,12 @@
         }
     }
 
-    /// Its rate.
+    /// Rate in migrations per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Number permitted now, at most `there`.
+    /// Uses up and returns the permits that are due now, at most `available`.
     pub fn take_permits(&mut self, now: Millis, available: usize) -> usize {
         let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1_000.0;
         self.updated_at = now;
@@ -35,7 +36,7 @@
         permits
     }
 
-    /// Time until the next one is permitted.
+    /// Time until the next permit is due, at least 1 ms.
     pub fn time_to_next_ms(&self) -> Millis {
         ((1.0 - self.credit).max(0.0) / self.rate * 1_000.0)
             .ceil()
--- a/crates/overrides/src/set.rs
+++ b/crates/overrides/src/set.rs
@@ -1,4 +1,4 @@
-//! The set of overrides, and its effect on servers and requests over time.
+//! The set of overrides, and its effect on servers and requests at a time.
 
 use std::borrow::Borrow;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -12,37 +12,40 @@
 use crate::kind::{Override, OverrideId, OverrideKind, Strictness, Subject};
 use crate::{Effect, Listed, Millis};
 
-/// Steps of the ramp of a weight that rises.
+/// Number of steps of a weight's ramp.
 const RAMP_STEPS: u64 = 20;
-/// First step of the ramp. A smaller weight would put the server's next turn many rounds ahead.
+/// Smallest fraction of the target factor during a ramp. With a smaller weight the rotation would
+/// select the server only after many rounds.
 const INITIAL_FRACTION: f64 = 0.1;
 
-/// The pin of a request.
+/// The pin that applies to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pin<'a> {
-    /// The override that pins it.
+    /// Id of the override.
     pub id: OverrideId,
-    /// The server's name.
+    /// Name of the server.
     pub server: &'a str,
-    /// Whether it may use another server.
+    /// Whether the request may use another server.
     pub strictness: Strictness,
 }
 
-/// All overrides in effect, and those that still have an effect after their end.
+/// The overrides that are in effect, and ended ones whose weight is still ramping.
 #[derive(Clone, Debug, Default)]
 pub struct OverrideSet {
     overrides: BTreeMap<OverrideId, Override>,
-    /// Those that apply to a server itself, by its name.
+    /// Ids in ascending order of the `out` and weight overrides, by the name of the server.
     by_server: HashMap<String, Vec<OverrideId>>,
+    /// Ids in ascending order of the pins, by the digest of the group's name.
     by_group: FxHashMap<u64, Vec<OverrideId>>,
+    /// Ids in ascending order of the pins, by the digest of the tenant's name.
     by_tenant: FxHashMap<u64, Vec<OverrideId>>,
-    /// All times at which one begins or ends.
+    /// Times at which an override takes effect or ends.
     bounds: BTreeSet<(Millis, OverrideId)>,
     ramp_ms: Millis,
 }
 
 impl OverrideSet {
-    /// Creates an empty set with this ramp.
+    /// Creates an empty set with this duration of a weight's ramp.
     pub fn new(ramp_ms: Millis) -> OverrideSet {
         OverrideSet {
             ramp_ms,
@@ -50,39 +53,39 @@
         }
     }
 
-    /// Number of overrides, including those that ended and still have an effect.
+    /// Number of overrides, including ended ones that were not discarded.
     pub fn len(&self) -> usize {
         self.overrides.len()
     }
 
-    /// Whether there is none.
+    /// Whether the set has no overrides, including ended ones.
     pub fn is_empty(&self) -> bool {
         self.overrides.is_empty()
     }
 
-    /// One of them.
+    /// The override with this id, even if it has ended.
     pub fn get(&self, id: OverrideId) -> Option<&Override> {
         self.overrides.get(&id)
     }
 
-    /// All of them, in the order of their numbers.
+    /// All overrides in order of their ids, including ended ones.
     pub fn iter(&self) -> impl Iterator<Item = &Override> {
         self.overrides.values()
     }
 
-    /// Those in effect.
+    /// The overrides in effect at a time, in order of their ids.
     pub fn active(&self, now: Millis) -> impl Iterator<Item = &Override> {
         self.overrides
             .values()
             .filter(move |record| record.is_active_at(now))
     }
 
-    /// Whether there is any pin; without one, requests need no lookup.
+    /// Whether the set has any pin. Without pins, requests need no lookup.
     pub fn has_pins(&self) -> bool {
         !(self.by_group.is_empty() && self.by_tenant.is_empty())
     }
 
-    /// Adds an override, or replaces it by a changed one.
+    /// Adds an override, or replaces the one with the same id.
     pub fn insert(&mut self, record: Override) {
         self.discard(record.id);
         self.bounds.insert((record.created_at, record.id));
@@ -105,7 +108,7 @@
         self.overrides.insert(record.id, record);
     }
 
-    /// Removes an override at once.
+    /// Deletes an override from the set, without a ramp.
     pub fn discard(&mut self, id: OverrideId) -> Option<Override> {
         let record = self.overrides.remove(&id)?;
         self.bounds.remove(&(record.created_at, id));
@@ -130,7 +133,7 @@
         Some(record)
     }
 
-    /// Those that no longer have an effect.
+    /// Ids of the ended overrides whose ramp is over too; they may be discarded.
     pub fn expired_effects(&self, now: Millis) -> Vec<OverrideId> {
         let ended = self
             .bounds
@@ -142,7 +145,7 @@
         ids.into_iter().collect()
     }
 
-    /// Those that ended after one time and not after the other.
+    /// Ids of the overrides that ended later than `after` and not later than `until`.
     pub fn ended_between(&self, after: Millis, until: Millis) -> Vec<OverrideId> {
         if after >= until {
             return Vec::new();
@@ -156,7 +159,7 @@
             .collect()
     }
 
-    /// What a server is under the overrides.
+    /// The effect of all overrides on a server.
     pub fn server_adjustment(&self, name: &str, now: Millis) -> ServerAdjustment {
         match self.by_server.get(name) {
             None => ServerAdjustment::AS_LISTED,
@@ -164,13 +167,12 @@
         }
     }
 
-    /// The servers that overrides apply to.
+    /// Names of the servers with an `out` or weight override, in no particular order.
     pub fn affected_servers(&self) -> impl Iterator<Item = &str> {
         self.by_server.keys().map(String::as_str)
     }
 
-    /// The rate at which a server's established connections are migrated, and the override that
-    /// says so.
+    /// The override that migrates a server's established connections, and its rate per second.
     pub fn migration_rate(&self, name: &str, now: Millis) -> Option<(OverrideId, f64)> {
         let winner = self.winner(self.by_server.get(name)?, now)?;
         match self.overrides[&winner].kind {
@@ -182,8 +184,8 @@
         }
     }
 
-    /// The pin of a request, by the hashes of its group and tenant. The group's pin takes
-    /// precedence.
+    /// The pin of a request, by the digests of its group's and its tenant's name. The group's pin
+    /// takes precedence.
     pub fn pin(&self, group: Option<u64>, tenant: Option<u64>, now: Millis) -> Option<Pin<'_>> {
         let latest_of = |map: &FxHashMap<u64, Vec<OverrideId>>, key: Option<u64>| {
             self.latest(map.get(&key?)?, now)
@@ -201,7 +203,7 @@
         }
     }
 
-    /// The next time at which any effect changes by itself.
+    /// The next time at which any effect changes without a change of the set.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
         let next = self
             .bounds
@@ -220,7 +222,7 @@
             }
             OverrideKind::Pin { .. } => false,
         };
-        // Without a ramp nothing lasts, and an inverted range would panic.
+        // Without a ramp no effect outlasts an override, and the range would be inverted and panic.
         let ramp_bounds = (self.ramp_ms > 0).then(|| self.bounds.range(ramp_range));
         let steps = ramp_bounds
             .into_iter()
@@ -230,7 +232,7 @@
         next.into_iter().chain(steps).min()
     }
 
-    /// The present effect of an override, given the listed state of its server.
+    /// The effect of an override, given the listed state of its server; `None` for an unknown id.
     pub fn effect(&self, id: OverrideId, listed: Listed, now: Millis) -> Option<Effect> {
         let record = self.overrides.get(&id)?;
         if !record.is_active_at(now) {
@@ -261,7 +263,7 @@
         })
     }
 
-    /// The latest one in effect.
+    /// The latest of these overrides that is in effect.
     fn latest(&self, ids: &[OverrideId], now: Millis) -> Option<OverrideId> {
         ids.iter()
             .rev()
@@ -269,7 +271,7 @@
             .find(|id| self.overrides[id].is_active_at(now))
     }
 
-    /// The one that applies to a server: the latest `out`, else the latest weight.
+    /// The override that applies to a server: the latest `out` in effect, else the latest weight.
     fn winner(&self, ids: &[OverrideId], now: Millis) -> Option<OverrideId> {
         let is_out = |id: &OverrideId| matches!(self.overrides[id].kind, OverrideKind::Out { .. });
         let active = || {
@@ -281,7 +283,7 @@
         active().find(is_out).or_else(|| active().next())
     }
 
-    /// The factor at the end of the ramp; 0 if out of service.
+    /// The factor on a server's weight without a ramp; 0 if the server is out of service.
     fn target(&self, ids: &[OverrideId], now: Millis) -> f64 {
         match self.winner(ids, now).map(|id| &self.overrides[&id].kind) {
             Some(OverrideKind::Out { .. }) => 0.0,
@@ -290,8 +292,8 @@
         }
     }
 
-    /// A weight falls at once and rises in steps from its previous value. A returning server would
-    /// otherwise be overloaded at once.
+    /// The effect of a server's overrides with the ramp: a weight falls at once and rises in steps
+    /// from its previous value, because a returning server would otherwise be overloaded.
     fn adjustment(&self, ids: &[OverrideId], now: Millis) -> ServerAdjustment {
         let target_factor = self.target(ids, now);
         if target_factor == 0.0 {
@@ -324,7 +326,7 @@
     }
 }
 
-/// Removes an override from those of a name, and the name with the last one.
+/// Removes an override from an index, and the key if it was the last one.
 fn remove_from_index<K, Q, S>(map: &mut HashMap<K, Vec<OverrideId>, S>, key: &Q, id: OverrideId)
 where
     K: Hash + Eq + Borrow<Q>,
@@ -339,13 +341,13 @@
     }
 }
 
-/// Elapsed fraction of the ramp, in steps.
+/// Elapsed fraction of a ramp, rounded down to whole steps.
 fn ramp_fraction(elapsed: Millis, ramp_ms: Millis) -> f64 {
     let steps = elapsed.saturating_mul(RAMP_STEPS) / ramp_ms.max(1);
     steps.min(RAMP_STEPS) as f64 / RAMP_STEPS as f64
 }
 
-/// When the next step of a ramp takes place.
+/// When the next step of a ramp is due.
 fn next_step(started_at: Millis, now: Millis, ramp_ms: Millis) -> Millis {
     let steps_done = (now - started_at).saturating_mul(RAMP_STEPS) / ramp_ms.max(1);
     started_at.saturating_add((ramp_ms * (steps_done + 1)).div_ceil(RAMP_STEPS))
--- a/crates/overrides/tests/allocations.rs
+++ b/crates/overrides/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! The ordinary path, on which no override concerns anybody, takes no memory.
+//! Lookups without any override, the usual case for each request, allocate no memory.
 
 use beaconflow_overrides::{OverrideSet, ServerAdjustment};
 
--- a/crates/overrides/tests/model.rs
+++ b/crates/overrides/tests/model.rs
@@ -1,4 +1,4 @@
-//! The set against a plain model that scans all overrides and walks through every millisecond.
+//! Property tests of the set against a model that scans all overrides at every millisecond.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 use beaconflow_settings::digest;
 use proptest::prelude::*;
 
-/// Short, so that the model can walk through all of it; none at all is a ramp too.
+/// Ramps in milliseconds, short enough for the model to scan them; 0 is a valid ramp.
 const RAMPS: [Millis; 4] = [0, 1, 7, 40];
 const END: Millis = 400;
 const SERVERS: [&str; 3] = ["a", "b", "c"];
 const NAMES: [&str; 3] = ["north", "south", "west"];
 
-/// Everything that was ever entered, as it is now.
+/// All overrides that were ever added, in their present state.
 #[derive(Clone)]
 struct Model {
     all: Vec<Override>,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// All that can be seen at a moment.
+    /// The effects on all servers and pins at a time, as texts.
     fn observations(&self, now: Millis) -> Vec<String> {
         let servers = SERVERS
             .iter()
@@ -129,16 +129,16 @@
     ]
 }
 
-/// What is done to the overrides, at a moment.
+/// A change of the overrides.
 #[derive(Clone, Debug)]
 enum Operation {
     Add(OverrideKind, Millis),
-    /// The one of this place among all, modulo their count, ends so much later.
+    /// Extends the override with this index, modulo their number, to this span from now.
     Extend(usize, Millis),
     Remove(usize),
-    /// The program restarts: the set is built anew from the records.
+    /// Rebuilds the set from its records, as after a restart of the program.
     Restart,
-    /// What is spent is forgotten.
+    /// Discards the overrides without an effect.
     Prune,
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// The set's own view of all that the model sees.
+/// The same observations of the set as those of the model.
 fn observations(set: &OverrideSet, now: Millis) -> Vec<String> {
     let servers = SERVERS
         .iter()
@@ -197,7 +197,7 @@
                 why: "y".into(),
                 expires_at: now + span,
             };
-            draft.check(now, &limits()).expect("a sound draft");
+            draft.check(now, &limits()).expect("the draft is valid");
             let record = draft.into_override(OverrideId(*next), now);
             *next += 1;
             model.all.push(record.clone());
@@ -207,7 +207,9 @@
             let at = at % model.all.len();
             let record = &mut model.all[at];
             if record.is_active_at(now) {
-                record.extend(now + span, now, &limits()).expect("in range");
+                record
+                    .extend(now + span, now, &limits())
+                    .expect("the expiry is valid");
                 set.insert(record.clone());
             }
         }
@@ -219,7 +221,7 @@
                 set.insert(record.clone());
             }
         }
-        // A store gives the records back in any order.
+        // A store returns the records in any order.
         Operation::Restart => {
             let mut records: Vec<Override> = set.iter().cloned().collect();
             records.reverse();
@@ -228,8 +230,11 @@
         }
         Operation::Prune => {
             for id in set.expired_effects(now) {
-                let discarded = set.discard(id).expect("it was there");
-                assert!(discarded.ends_at() + model.ramp <= now, "still felt");
+                let discarded = set.discard(id).expect("the override is in the set");
+                assert!(
+                    discarded.ends_at() + model.ramp <= now,
+                    "the override still has an effect"
+                );
             }
         }
         Operation::Extend(..) | Operation::Remove(_) => {}
@@ -254,9 +259,9 @@
             }).count() > 0;
             let (actual, expected) = (observations(&set, now), model.observations(now));
             prop_assert_eq!(&actual, &expected, "at {}", now);
-            // Nothing changes by itself but at the moments that were announced.
+            // Without an operation, effects change only at the announced times.
             if !has_acted && previous.as_ref().is_some_and(|previous| *previous != actual) {
-                prop_assert_eq!(announced, Some(now), "an unannounced change");
+                prop_assert_eq!(announced, Some(now), "an effect changed at a time that was not announced");
             }
             let is_due = announced.is_some_and(|at| at <= now);
             if has_acted || is_due || announced.is_none() {
@@ -265,7 +270,7 @@
             }
             previous = Some(actual);
         }
-        prop_assert!(set.next_change(END + 200).is_none(), "all is quiet at the end");
+        prop_assert!(set.next_change(END + 200).is_none(), "no change is announced after the end");
         prop_assert_eq!(set.expired_effects(END + 200).len(), set.len());
     }
 
@@ -319,7 +324,7 @@
         for wait in waits {
             now += wait;
             migrated += pacer.take_permits(now, 1_000);
-            prop_assert!(migrated as f64 <= 1.0 + rate * now as f64 / 1_000.0 + 1e-6, "{} by {}", migrated, now);
+            prop_assert!(migrated as f64 <= 1.0 + rate * now as f64 / 1_000.0 + 1e-6, "{} migrations within {} ms", migrated, now);
         }
     }
 }
--- a/crates/overrides/tests/rules.rs
+++ b/crates/overrides/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What is refused, what shadows what, and what the clocks do to an expiry.
+//! Validation, precedence, ramps, and steps of the clock.
 
 use beaconflow_overrides::*;
 
@@ -41,7 +41,7 @@
     let fields = |draft: Draft| -> Vec<&str> {
         draft
             .check(1_000, &limits)
-            .expect_err("refused")
+            .expect_err("the draft is invalid")
             .iter()
             .map(|error| error.field)
             .collect()
@@ -108,6 +108,7 @@
     assert_eq!(effect(6, Listed::Ready, 10), None);
 }
 
+/// A server that returns with its full weight at once would be overloaded.
 #[test]
 fn ramps_returning_server_in_steps() {
     let mut set = OverrideSet::new(20_000);
@@ -129,19 +130,20 @@
         ramped.is_sorted() && ramped[10] == 0.5 && ramped[20] == 1.0,
         "{ramped:?}"
     );
-    // The wakings in between are few: one for each step.
+    // The host has to wake up only once for each step of the ramp.
     let mut now = 99_999;
     let wakes = std::iter::from_fn(|| set.next_change(now).inspect(|at| now = *at)).count();
     assert_eq!(wakes, 21);
 }
 
+/// Overrides keep their duration when the wall clock is stepped, so operators have to be told of the step.
 #[test]
 fn reports_each_wall_clock_step_once() {
     let mut detector = ClockStepDetector::default();
     assert_eq!(
         detector.check(1_000, 1_200),
         None,
-        "the two are not read in one instant"
+        "a difference below the tolerance is no step"
     );
     assert_eq!(
         detector.check(2_000, 2_000 + HOUR),
@@ -149,7 +151,11 @@
             ahead_by_ms: HOUR as i64
         })
     );
-    assert_eq!(detector.check(3_000, 3_000 + HOUR), None, "told once");
+    assert_eq!(
+        detector.check(3_000, 3_000 + HOUR),
+        None,
+        "a step is reported once"
+    );
     assert_eq!(
         detector.check(4_000, 4_000 - 3_000),
         Some(ClockStep {
@@ -161,10 +167,11 @@
         Some(ClockStep {
             ahead_by_ms: i64::MIN
         }),
-        "no figure is too large"
+        "the lead saturates"
     );
 }
 
+/// If the clock is set back before a restart, a stored expiry would otherwise lie further ahead than was granted.
 #[test]
 fn bounds_expiry_when_clock_is_set_back() {
     let record = draft(out("a"), 10 * HOUR + 60_000).into_override(OverrideId(1), 10 * HOUR);
@@ -175,7 +182,7 @@
     assert_eq!(
         bounded_expiry(&record, 11 * HOUR),
         (10 * HOUR + 60_000, None),
-        "it ended meanwhile"
+        "the expiry is not changed after it has passed"
     );
     assert_eq!(
         bounded_expiry(&record, 9 * HOUR),
