--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -35,7 +35,7 @@
 mod clock;
 mod effect;
 mod kind;
-mod pace;
+mod migration_pacer;
 mod set;
 
 pub use clock::{ClockStep, ClockStepDetector, bounded_expiry, with_clock_offset};
@@ -43,7 +43,7 @@
 pub use kind::{
     Draft, FieldError, Limits, Override, OverrideId, OverrideKind, Replay, Strictness, Subject,
 };
-pub use pace::MigrationPacer;
+pub use migration_pacer::MigrationPacer;
 pub use set::{OverrideSet, Pin};
 
 /// A time on the program's clock or a duration, in milliseconds. The program's clock is the Unix
--- a/crates/overrides/src/set.rs
+++ b/crates/overrides/src/set.rs
@@ -40,7 +40,7 @@
     /// Ids in ascending order of the pins, by the digest of the tenant's name.
     by_tenant: FxHashMap<u64, Vec<OverrideId>>,
     /// Times at which an override takes effect or ends.
-    bounds: BTreeSet<(Millis, OverrideId)>,
+    boundaries: BTreeSet<(Millis, OverrideId)>,
     ramp_ms: Millis,
 }
 
@@ -88,8 +88,8 @@
     /// Adds an override, or replaces the one with the same id.
     pub fn insert(&mut self, record: Override) {
         self.discard(record.id);
-        self.bounds.insert((record.created_at, record.id));
-        self.bounds.insert((record.ends_at(), record.id));
+        self.boundaries.insert((record.created_at, record.id));
+        self.boundaries.insert((record.ends_at(), record.id));
         let ids = match &record.kind {
             OverrideKind::Out { server, .. } | OverrideKind::Weight { server, .. } => {
                 self.by_server.entry(server.clone()).or_default()
@@ -111,8 +111,8 @@
     /// Deletes an override from the set, without a ramp.
     pub fn discard(&mut self, id: OverrideId) -> Option<Override> {
         let record = self.overrides.remove(&id)?;
-        self.bounds.remove(&(record.created_at, id));
-        self.bounds.remove(&(record.ends_at(), id));
+        self.boundaries.remove(&(record.created_at, id));
+        self.boundaries.remove(&(record.ends_at(), id));
         match &record.kind {
             OverrideKind::Out { server, .. } | OverrideKind::Weight { server, .. } => {
                 remove_from_index(&mut self.by_server, server, id)
@@ -136,7 +136,7 @@
     /// Ids of the ended overrides whose ramp is over too; they may be discarded.
     pub fn expired_effects(&self, now: Millis) -> Vec<OverrideId> {
         let ended = self
-            .bounds
+            .boundaries
             .iter()
             .take_while(|(at, _)| at.saturating_add(self.ramp_ms) <= now);
         let has_no_effect =
@@ -150,10 +150,10 @@
         if after >= until {
             return Vec::new();
         }
-        let bounds = self
-            .bounds
+        let boundaries = self
+            .boundaries
             .range((after + 1, OverrideId(0))..=(until, OverrideId(u64::MAX)));
-        bounds
+        boundaries
             .filter(|(at, id)| self.overrides[id].ends_at() == *at)
             .map(|(_, id)| *id)
             .collect()
@@ -174,12 +174,12 @@
 
     /// The override that migrates a server's established connections, and its rate per second.
     pub fn migration_rate(&self, name: &str, now: Millis) -> Option<(OverrideId, f64)> {
-        let winner = self.winner(self.by_server.get(name)?, now)?;
-        match self.overrides[&winner].kind {
+        let effective_id = self.effective_id(self.by_server.get(name)?, now)?;
+        match self.overrides[&effective_id].kind {
             OverrideKind::Out {
                 moves_per_s: Some(rate),
                 ..
-            } => Some((winner, rate)),
+            } => Some((effective_id, rate)),
             _ => None,
         }
     }
@@ -206,7 +206,7 @@
     /// The next time at which any effect changes without a change of the set.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
         let next = self
-            .bounds
+            .boundaries
             .range((now.saturating_add(1), OverrideId(0))..)
             .next()
             .map(|(at, _)| *at);
@@ -223,7 +223,7 @@
             OverrideKind::Pin { .. } => false,
         };
         // Without a ramp no effect outlasts an override, and the range would be inverted and panic.
-        let ramp_bounds = (self.ramp_ms > 0).then(|| self.bounds.range(ramp_range));
+        let ramp_bounds = (self.ramp_ms > 0).then(|| self.boundaries.range(ramp_range));
         let steps = ramp_bounds
             .into_iter()
             .flatten()
@@ -238,9 +238,9 @@
         if !record.is_active_at(now) {
             return Some(Effect::Ended);
         }
-        let (winner, server) = match &record.kind {
+        let (effective_id, server) = match &record.kind {
             OverrideKind::Out { server, .. } | OverrideKind::Weight { server, .. } => {
-                (self.winner(&self.by_server[server], now), server)
+                (self.effective_id(&self.by_server[server], now), server)
             }
             OverrideKind::Pin {
                 subject: Subject::Group(name),
@@ -254,8 +254,8 @@
             } => (self.latest(&self.by_tenant[&digest(name)], now), server),
         };
         let is_pin = matches!(record.kind, OverrideKind::Pin { .. });
-        Some(match (winner, listed) {
-            (Some(winner), _) if winner != id => Effect::Shadowed(winner),
+        Some(match (effective_id, listed) {
+            (Some(effective_id), _) if effective_id != id => Effect::Shadowed(effective_id),
             (_, Listed::Absent) => Effect::NotListed,
             (_, Listed::Draining) if is_pin => Effect::ServerNotAccepting,
             _ if is_pin && self.server_adjustment(server, now).is_out => Effect::ServerNotAccepting,
@@ -272,7 +272,7 @@
     }
 
     /// The override that applies to a server: the latest `out` in effect, else the latest weight.
-    fn winner(&self, ids: &[OverrideId], now: Millis) -> Option<OverrideId> {
+    fn effective_id(&self, ids: &[OverrideId], now: Millis) -> Option<OverrideId> {
         let is_out = |id: &OverrideId| matches!(self.overrides[id].kind, OverrideKind::Out { .. });
         let active = || {
             ids.iter()
@@ -285,7 +285,10 @@
 
     /// The factor on a server's weight without a ramp; 0 if the server is out of service.
     fn target(&self, ids: &[OverrideId], now: Millis) -> f64 {
-        match self.winner(ids, now).map(|id| &self.overrides[&id].kind) {
+        match self
+            .effective_id(ids, now)
+            .map(|id| &self.overrides[&id].kind)
+        {
             Some(OverrideKind::Out { .. }) => 0.0,
             Some(OverrideKind::Weight { factor, .. }) => *factor,
             Some(OverrideKind::Pin { .. }) | None => 1.0,
--- a/crates/overrides/tests/model.rs
+++ b/crates/overrides/tests/model.rs
@@ -27,14 +27,17 @@
             .max_by_key(|record| record.id)
     }
 
-    fn winner(&self, server: &str, at: Millis) -> Option<&Override> {
+    fn effective_override(&self, server: &str, at: Millis) -> Option<&Override> {
         let out = |record: &Override| matches!(&record.kind, OverrideKind::Out { server: name, .. } if name == server);
         let weight = |record: &Override| matches!(&record.kind, OverrideKind::Weight { server: name, .. } if name == server);
         self.latest(at, out).or_else(|| self.latest(at, weight))
     }
 
     fn target(&self, server: &str, at: Millis) -> f64 {
-        match self.winner(server, at).map(|record| &record.kind) {
+        match self
+            .effective_override(server, at)
+            .map(|record| &record.kind)
+        {
             Some(OverrideKind::Out { .. }) => 0.0,
             Some(OverrideKind::Weight { factor, .. }) => *factor,
             _ => 1.0,
--- a/crates/recovery/src/admission_curve.rs
+++ b/crates/recovery/src/admission_curve.rs
@@ -7,7 +7,7 @@
 /// Points of the curve within one warm-up time.
 const POINTS_PER_WARM_UP: u64 = 64;
 /// Approximate limit on the points of the whole curve.
-const MAX_POINTS: u64 = 1_024;
+const MAX_CURVE_POINTS: u64 = 1_024;
 /// Inverse of the accepted probability that chance overloads any server during one recovery.
 const INVERSE_OVERLOAD_PROBABILITY: f64 = 1_000.0;
 /// Smallest fraction of a limit that is used. For a limit of one or two clients no fraction would
@@ -41,23 +41,28 @@
 
 /// The fraction of a limit that can be used if clients choose servers at random and arrive in
 /// groups of `group_batch`, so that the overload limit is exceeded with a probability of at most
-/// `exp(-rarity)` (Chernoff bound).
-fn usable_fraction(allowed: f64, slack: f64, rarity: f64, group_batch: f64) -> f64 {
-    let overload_limit = (allowed + slack * (allowed.sqrt() + 1.0)) / group_batch;
+/// `exp(-neg_ln_probability)` (Chernoff bound).
+fn usable_fraction(
+    allowed: f64,
+    variance_margin: f64,
+    neg_ln_probability: f64,
+    group_batch: f64,
+) -> f64 {
+    let overload_limit = (allowed + variance_margin * (allowed.sqrt() + 1.0)) / group_batch;
     let allowed = allowed / group_batch;
-    let is_rare = |used: f64| {
+    let is_safe = |used: f64| {
         // The probability of exceeding the limit, from the tail of the Poisson distribution.
         let tail_factor =
             (2.0 * std::f64::consts::PI * overload_limit).sqrt() * (1.0 - used / overload_limit);
         used - overload_limit
             + overload_limit * (overload_limit / used).ln()
             + tail_factor.max(1.0).ln()
-            >= rarity
+            >= neg_ln_probability
     };
     let (mut safe, mut unsafe_above) = (0.0, allowed);
     for _ in 0..32 {
         let middle = (safe + unsafe_above) / 2.0;
-        if is_rare(middle) {
+        if is_safe(middle) {
             safe = middle
         } else {
             unsafe_above = middle
@@ -91,9 +96,9 @@
             .saturating_sub(start)
             .max(slow_start.warm_up_time.max(SECOND));
         let step = (slow_start.warm_up_time / POINTS_PER_WARM_UP)
-            .max(span / MAX_POINTS)
+            .max(span / MAX_CURVE_POINTS)
             .max(1);
-        let rarity = (INVERSE_OVERLOAD_PROBABILITY * servers.len() as f64).ln();
+        let neg_ln_probability = (INVERSE_OVERLOAD_PROBABILITY * servers.len() as f64).ln();
         // The limit of the smallest server has the greatest relative variance.
         let min_weight = servers
             .iter()
@@ -121,7 +126,7 @@
                 * usable_fraction(
                     server_limit * min_weight * present_weight / total_weight,
                     slow_start.variance_margin,
-                    rarity,
+                    neg_ln_probability,
                     group_batch,
                 )
         };
--- a/crates/recovery/src/admission_order.rs
+++ b/crates/recovery/src/admission_order.rs
@@ -133,10 +133,10 @@
     /// The position of a client. The clients of a group have neighboring positions, or positions
     /// within the group spread.
     pub(crate) fn position(&self, config: &RecoveryConfig, request: &AdmissionRequest) -> f64 {
-        let own = uniform_hash(request.client_key.unwrap_or(request.id));
+        let client_hash = uniform_hash(request.client_key.unwrap_or(request.id));
         // Wraps around, so that the positions stay uniformly distributed.
-        let quantile = request.group.map_or(own, |group| {
-            (uniform_hash(group) + self.group_spread * own).fract()
+        let quantile = request.group.map_or(client_hash, |group| {
+            (uniform_hash(group) + self.group_spread * client_hash).fract()
         });
         let priority_rank = rank(config, request.class);
         // A priority without a band comes after the last band of higher priority.
--- a/crates/recovery/src/api.rs
+++ b/crates/recovery/src/api.rs
@@ -176,7 +176,7 @@
         /// Name of the server.
         name: String,
         /// Wall time of the start; 0 if it has just started.
-        at: Millis,
+        started_at_ms: Millis,
     },
     /// A client requested admission.
     AdmissionRequested(AdmissionRequest),
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -140,7 +140,10 @@
             Event::ListReceived(list) => self.apply_list(now, &list, out),
             Event::QueryAnswered(source) => self.on_answered(source),
             Event::QueryFailed(source) => self.on_query_failed(now, source, out),
-            Event::ServerStarted { name, at } => self.on_server_started(now, &name, at, out),
+            Event::ServerStarted {
+                name,
+                started_at_ms,
+            } => self.on_server_started(now, &name, started_at_ms, out),
             Event::AdmissionRequested(request) => {
                 return self.on_admission_requested(now, &request, out);
             }
--- a/crates/recovery/src/recovery/lists.rs
+++ b/crates/recovery/src/recovery/lists.rs
@@ -69,11 +69,11 @@
         &mut self,
         now: Nanos,
         name: &str,
-        at: Millis,
+        started_at_ms: Millis,
         out: &mut Vec<Action>,
     ) {
         let list_context = list_context(&self.config, self.clock.as_ref(), now, None);
-        if self.servers.record_start(name, at, list_context) {
+        if self.servers.record_start(name, started_at_ms, list_context) {
             self.on_servers_changed(now, out);
         }
     }
--- a/crates/recovery/src/server_table.rs
+++ b/crates/recovery/src/server_table.rs
@@ -163,17 +163,17 @@
     pub(crate) fn record_start(
         &mut self,
         name: &str,
-        at: Millis,
+        started_at_ms: Millis,
         list_context: ListContext<'_>,
     ) -> bool {
         let Some(server) = self.servers.get_mut(name) else {
             return false;
         };
-        if at != 0 && at <= server.entry.started_at_ms {
+        if started_at_ms != 0 && started_at_ms <= server.entry.started_at_ms {
             return false;
         }
-        server.entry.started_at_ms = at.max(server.entry.started_at_ms);
-        server.started_at = monotonic_start(at, list_context);
+        server.entry.started_at_ms = started_at_ms.max(server.entry.started_at_ms);
+        server.started_at = monotonic_start(started_at_ms, list_context);
         server.has_restarted = true;
         self.update_summary();
         true
@@ -336,13 +336,13 @@
 
 /// The start of a server on the monotonic clock. If it can't be computed it is the present time,
 /// because a wrong wall clock must not make a new server look warm.
-fn monotonic_start(started_at: Millis, list_context: ListContext<'_>) -> i64 {
+fn monotonic_start(started_at_ms: Millis, list_context: ListContext<'_>) -> i64 {
     let now = list_context.now as i64;
-    let Some(wall) = list_context.wall_clock.filter(|_| started_at != 0) else {
+    let Some(wall) = list_context.wall_clock.filter(|_| started_at_ms != 0) else {
         return now;
     };
     let age = wall
-        .saturating_sub(started_at)
+        .saturating_sub(started_at_ms)
         .min(list_context.slow_start.warm_up_time / MS + 1);
     now.saturating_sub((age * MS) as i64)
 }
--- a/crates/recovery/tests/any_order.rs
+++ b/crates/recovery/tests/any_order.rs
@@ -151,7 +151,7 @@
         3 => list().prop_map(Event::ListReceived),
         2 => evidence_source().prop_map(Event::QueryAnswered),
         2 => evidence_source().prop_map(Event::QueryFailed),
-        1 => ("s[0-9]", wall()).prop_map(|(name, at)| Event::ServerStarted { name, at }),
+        1 => ("s[0-9]", wall()).prop_map(|(name, started_at_ms)| Event::ServerStarted { name, started_at_ms }),
         1 => ("b[0-4]", 0..9_u64, weight()).prop_map(|(from, number, clients)| Event::QuotaLent { from, number, clients }),
         6 => request.prop_map(|(class, account, client_key, is_reconnect)| {
             Event::AdmissionRequested(AdmissionRequest { id: 0, class, account, group: None, client_key, is_reconnect })
@@ -161,17 +161,17 @@
 
 proptest! {
     #[test]
-    fn serves_in_time_and_answers_each_client_once(
+    fn serves_in_time_and_answers_clients_once(
         events in proptest::collection::vec((event(), 0..400 * MS, wall()), 0..150),
         seed in any::<u64>(),
     ) {
         let config = config();
         let (admission_bound, service_bound) = (config.max_time_to_admission() + MS, config.max_time_to_full_service() + MS);
         let mut recovery = Recovery::new(config, seed).expect("the configuration is in range");
-        let (mut now, mut started_at, mut calls, mut out) = (0, None, 0, Vec::new());
+        let (mut now, mut started_at, mut handled_events, mut out) = (0, None, 0, Vec::new());
         let mut handle_event = |recovery: &mut Recovery, now: Nanos, wall: Millis, event: Event, started_at: &mut Option<Nanos>| {
-            calls += 1;
-            assert!(calls < 5_000, "ticks are requested without end in {:?}", recovery.state());
+            handled_events += 1;
+            assert!(handled_events < 5_000, "ticks are requested without end in {:?}", recovery.state());
             let is_admission_request = matches!(event, Event::AdmissionRequested(_));
             out.clear();
             recovery.handle(now, wall, event, &mut out);
--- a/crates/recovery/tests/blackout.rs
+++ b/crates/recovery/tests/blackout.rs
@@ -11,7 +11,7 @@
 fn simulate(scenario: Scenario) -> (SimulationResult, f64) {
     let simulation = FleetSimulation::new(scenario.clone());
     let ideal = simulation.ideal_admission_time();
-    let result = simulation.play(90 * SECOND);
+    let result = simulation.run(90 * SECOND);
     let served_at = result
         .served_at
         .expect("99% of the clients by priority weight are admitted");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn admits_near_ideal_speed_at_any_fleet_size() {
+fn admits_at_near_ideal_speed_for_any_fleet() {
     for fleet in [5, 30, 100, 300] {
         let (result, ratio) = simulate(Scenario {
             fleet,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn admits_all_at_once_when_servers_are_warm() {
+fn admits_everyone_at_once_with_warm_servers() {
     let (result, _) = simulate(Scenario {
         fleet: 30,
         servers_started_at: -(60 * SECOND as i64),
@@ -207,7 +207,7 @@
         seed: 5,
         ..Scenario::default()
     };
-    let digest = |scenario| FleetSimulation::new(scenario).play(90 * SECOND).digest;
+    let digest = |scenario| FleetSimulation::new(scenario).run(90 * SECOND).digest;
     assert_eq!(digest(scenario()), digest(scenario()));
     assert_ne!(
         digest(scenario()),
--- a/crates/recovery/tests/fleet_simulation/mod.rs
+++ b/crates/recovery/tests/fleet_simulation/mod.rs
@@ -13,7 +13,7 @@
 /// Wall time at which the power returns, in milliseconds. Virtual time 0 is the same instant.
 pub const WALL: Millis = 1_800_000_000_000;
 /// Delay of one message between a client, a balancer and discovery.
-const CLIENT_DELAY: Nanos = 10 * MS;
+const ONE_WAY_DELAY: Nanos = 10 * MS;
 const STATUS_INTERVAL: Nanos = 400 * MS;
 const STATUS_FANOUT: usize = 6;
 
@@ -117,7 +117,7 @@
 struct SimulatedServer {
     weight: f64,
     sent: VecDeque<Nanos>,
-    overloaded: bool,
+    is_overloaded: bool,
 }
 
 pub struct FleetSimulation {
@@ -189,7 +189,7 @@
         let server = |at| SimulatedServer {
             weight: weight(at),
             sent: VecDeque::new(),
-            overloaded: false,
+            is_overloaded: false,
         };
         let servers: Vec<SimulatedServer> = (0..scenario.servers).map(server).collect();
         let config = config(&scenario, servers.iter().map(|server| server.weight).sum());
@@ -355,7 +355,7 @@
             server.sent.len() as f64 / (limit + slow_start.variance_margin * (limit.sqrt() + 1.0));
         if capacity_fraction < 1.0 {
             self.result.max_load_ratio = self.result.max_load_ratio.max(load_ratio);
-            if load_ratio > 1.0 && !std::mem::replace(&mut server.overloaded, true) {
+            if load_ratio > 1.0 && !std::mem::replace(&mut server.is_overloaded, true) {
                 self.result.overloaded += 1;
             }
         }
@@ -383,7 +383,7 @@
                     .or_insert(0) += 1;
                 if now + delay >= self.scenario.discovery_back_at {
                     self.push(
-                        now + delay + CLIENT_DELAY,
+                        now + delay + ONE_WAY_DELAY,
                         ScheduledEvent::DiscoveryAnswer(at),
                     );
                 }
@@ -408,7 +408,7 @@
                 self.result.final_deferrals += usize::from(is_final);
                 self.clients[id as usize].is_deferral_final = is_final;
                 self.push(
-                    now + retry_after + 2 * CLIENT_DELAY,
+                    now + retry_after + 2 * ONE_WAY_DELAY,
                     ScheduledEvent::ClientArrival(id as usize),
                 );
             }
@@ -422,7 +422,7 @@
                     .parse()
                     .expect("the name of a peer is b and its number");
                 self.push(
-                    now + CLIENT_DELAY,
+                    now + ONE_WAY_DELAY,
                     ScheduledEvent::QuotaLent(to, at, number, clients.to_bits()),
                 );
             }
@@ -487,7 +487,7 @@
     }
 
     /// Runs the simulation until all clients are admitted, or until a time.
-    pub fn play(mut self, until: Nanos) -> SimulationResult {
+    pub fn run(mut self, until: Nanos) -> SimulationResult {
         while let Some(Reverse((now, _, event))) = self.queue.pop().filter(|next| next.0.0 < until)
         {
             if self.result.admitted == self.scenario.clients {
--- a/crates/recovery/tests/rules.rs
+++ b/crates/recovery/tests/rules.rs
@@ -314,7 +314,7 @@
     );
     host.handle_event(Event::ServerStarted {
         name: "s1".into(),
-        at: WALL + 1,
+        started_at_ms: WALL + 1,
     });
     assert!(!host.recovery.is_placement_valid("s1", WALL - 61_000));
 }
@@ -590,7 +590,7 @@
 
 /// If each balancer rounded its quota up, the sum over a large fleet would overload the servers.
 #[test]
-fn keeps_fleet_admissions_under_limit_at_any_size() {
+fn keeps_admissions_under_limit_for_any_fleet() {
     for fleet_size in [2, 48, 300] {
         let mut admitted = 0;
         for seed in 0..fleet_size {
