--- a/crates/recovery/src/recovery/lists.rs
+++ b/crates/recovery/src/recovery/lists.rs
@@ -50,13 +50,13 @@
                 self.log_step(
                     out,
                     RecoveryStep::List,
-                    format!("list of {entries} servers from {source:?} applied{epoch_note}"),
+                    format!("list from {source:?} applied; servers: {entries}{epoch_note}"),
                     None,
                 );
                 if held_drains > 0 && is_new_epoch {
                     let until = now.saturating_add(self.config.timeouts.drain_hold);
                     let reason = format!(
-                        "{held_drains} former drains are held until discovery reports another state"
+                        "former drains held until discovery reports another state: {held_drains}"
                     );
                     self.log_step(out, RecoveryStep::Drain, reason, Some(until));
                 }
--- a/crates/recovery/src/scope.rs
+++ b/crates/recovery/src/scope.rs
@@ -121,23 +121,27 @@
         scores.add(
             kept_running,
             [3.0, -3.0, -3.0],
-            format!("{kept_running} peers of this site kept running"),
+            format!("peers of this site that kept running: {kept_running}"),
         );
         scores.add(
             started_together,
             [-2.0, 1.0, 1.0],
-            format!("{started_together} peers of this site started together with this process"),
+            format!(
+                "peers of this site that started together with this process: {started_together}"
+            ),
         );
         let (kept_running, started_together) = self.count_peers(now, uptime, false);
         scores.add(
             kept_running,
             [0.5, 1.5, -3.0],
-            format!("{kept_running} peers of other sites kept running"),
+            format!("peers of other sites that kept running: {kept_running}"),
         );
         scores.add(
             started_together,
             [-2.0, -2.0, 2.0],
-            format!("{started_together} peers of other sites started together with this process"),
+            format!(
+                "peers of other sites that started together with this process: {started_together}"
+            ),
         );
     }
 
--- a/crates/recovery/src/staged_admission.rs
+++ b/crates/recovery/src/staged_admission.rs
@@ -41,7 +41,7 @@
         if self.full_service_reason(now).is_none() {
             let servers = self.servers.accepting_servers().count();
             let reason = format!(
-                "admitting {} clients in stages to {servers} servers; outage scope: {}",
+                "admitting clients in stages; clients: {}; servers: {servers}; outage scope: {}",
                 self.order.total_clients().round(),
                 self.scope()
             );
