--- a/crates/overrides/src/kind.rs
+++ b/crates/overrides/src/kind.rs
@@ -268,9 +268,9 @@
     pub id: OverrideId,
     /// What the override changes.
     pub kind: OverrideKind,
-    /// The author.
+    /// Who created the override.
     pub who: String,
-    /// The reason.
+    /// Why it was created, for other operators.
     pub why: String,
     /// When it took effect.
     pub created_at: Millis,
--- a/crates/recovery/src/api.rs
+++ b/crates/recovery/src/api.rs
@@ -81,7 +81,7 @@
     pub age: Nanos,
     /// Discovery's wall clock when it sent the list; `None` if not known.
     pub reported_at: Option<Millis>,
-    /// All servers.
+    /// All listed servers. Servers that are missing here are dropped.
     pub entries: Vec<Entry>,
 }
 
@@ -315,7 +315,7 @@
 pub enum Action {
     /// Query a source after a delay.
     Query {
-        /// The source.
+        /// The source to query.
         source: EvidenceSource,
         /// Random delay that spreads the fleet's queries.
         delay: Nanos,
@@ -324,9 +324,9 @@
     RememberedStateAssessed {
         /// The kind of remembered state.
         kind: RememberedKind,
-        /// Its validity.
+        /// Whether and how it is used.
         validity: Validity,
-        /// The reason.
+        /// Why it has this validity, for the log.
         reason: &'static str,
         /// When the memory was written, by the wall clock at that time;
         /// `None` for state lost in a suspension.
@@ -336,19 +336,19 @@
     ListChanged,
     /// Switch to this service mode and update the readiness.
     SetServiceMode {
-        /// The mode.
+        /// The new mode.
         mode: ServiceMode,
-        /// The reason.
+        /// Why the mode changes, for the log.
         reason: String,
     },
     /// Admit a client.
     Admit {
-        /// Its id.
+        /// Id of the client's request.
         id: u64,
     },
     /// Defer a client.
     Defer {
-        /// Its id.
+        /// Id of the client's request.
         id: u64,
         /// Time after which it should return.
         retry_after: Nanos,
@@ -357,7 +357,7 @@
     },
     /// Publish the extent of the outage, which was decided.
     ScopeDecided {
-        /// The extent.
+        /// The extent that is most likely, or unknown.
         scope: OutageScope,
         /// Likelihood of the extent, from 0 to 1.
         likelihood: f64,
@@ -377,7 +377,7 @@
     LogStep {
         /// The step.
         step: RecoveryStep,
-        /// The reason.
+        /// Why the step is taken, or its result.
         reason: String,
         /// Latest end of the step on the host's monotonic clock, if it has one.
         deadline_at: Option<Nanos>,
