--- a/crates/recovery/src/clock.rs
+++ b/crates/recovery/src/clock.rs
@@ -1,26 +1,26 @@
-//! Assessment of the wall clock, which may be wrong by years after a power loss.
+//! Assessment of the wall clock, which can be wrong by years after a power loss.
 
 use std::collections::BTreeMap;
 
 use crate::config::Retention;
 use crate::{MS, Millis, Nanos};
 
-/// The wall clock. Each clock is stored as its reading at monotonic time 0, so that a step of one
-/// changes no other.
+/// The wall clock of this process and of its peers. Each clock is stored as its reading at
+/// monotonic time 0, so that a step of one clock does not affect the others.
 pub(crate) struct WallClock {
     own_base: i64,
     written_at: Option<Millis>,
     peer_bases: BTreeMap<String, i64>,
-    newest_start: Millis,
+    latest_server_start: Millis,
     quality: Option<ClockQuality>,
 }
 
-/// Quality of the wall clock.
+/// Whether ages can be computed from the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClockQuality {
-    /// Ages can be computed, with the reason.
-    Sound(&'static str),
-    /// Ages can't be computed, with the reason.
+    /// Ages can be computed, for this reason.
+    Reliable(&'static str),
+    /// Ages can't be computed, for this reason.
     Unknown(&'static str),
 }
 
@@ -38,84 +38,90 @@
             own_base,
             written_at,
             peer_bases: BTreeMap::new(),
-            newest_start: 0,
+            latest_server_start: 0,
             quality: None,
         }
     }
 
-    /// Follows the own clock; returns its step in milliseconds, if it was stepped.
+    /// Detects a step of the own wall clock against the monotonic clock; returns it in
+    /// milliseconds.
     pub(crate) fn detect_step(
         &mut self,
         now: Nanos,
         wall: Millis,
-        ages: &Retention,
+        retention: &Retention,
     ) -> Option<i64> {
         let step = clock_base(now, wall).saturating_sub(self.own_base);
-        (step.unsigned_abs() > ages.clock_tolerance).then(|| {
+        (step.unsigned_abs() > retention.clock_tolerance).then(|| {
             self.own_base = self.own_base.saturating_add(step);
             step
         })
     }
 
-    /// Records the reading of another clock.
-    pub(crate) fn record_peer(&mut self, now: Nanos, whose: &str, wall: Millis) {
+    /// Records a peer's or discovery's wall clock.
+    pub(crate) fn record_peer(&mut self, now: Nanos, peer: &str, wall: Millis) {
         self.peer_bases
-            .insert(whose.to_string(), clock_base(now, wall));
+            .insert(peer.to_string(), clock_base(now, wall));
     }
 
-    /// Records the start of a server.
+    /// Records the wall time at which a server started.
     pub(crate) fn record_server_start(&mut self, at: Millis) {
-        self.newest_start = self.newest_start.max(at);
+        self.latest_server_start = self.latest_server_start.max(at);
     }
 
-    /// The age of a wall time, if it can be computed.
+    /// The age of a wall time in milliseconds; `None` if the wall clock is unreliable.
     pub(crate) fn age(&self, now: Nanos, at: Millis) -> Option<Millis> {
-        matches!(self.quality, Some(ClockQuality::Sound(_)))
+        matches!(self.quality, Some(ClockQuality::Reliable(_)))
             .then(|| self.wall_time(now).saturating_sub(at))
     }
 
-    pub(crate) fn is_sound(&self) -> bool {
-        matches!(self.quality, Some(ClockQuality::Sound(_)))
+    pub(crate) fn is_reliable(&self) -> bool {
+        matches!(self.quality, Some(ClockQuality::Reliable(_)))
     }
 
-    /// The present wall time.
+    /// The present time of the own wall clock; 0 if that is before 1970.
     pub(crate) fn wall_time(&self, now: Nanos) -> Millis {
         u64::try_from(self.own_base.saturating_add((now / MS) as i64)).unwrap_or(0)
     }
 
-    /// Assesses the clock again; returns its quality if it changed.
-    pub(crate) fn reassess(&mut self, now: Nanos, ages: &Retention) -> Option<ClockQuality> {
-        let judged = self.assess(now, ages);
-        (self.quality != Some(judged)).then(|| {
-            self.quality = Some(judged);
-            judged
+    /// Assesses the wall clock again; returns its quality if that changed.
+    pub(crate) fn reassess(&mut self, now: Nanos, retention: &Retention) -> Option<ClockQuality> {
+        let quality = self.assess(now, retention);
+        (self.quality != Some(quality)).then(|| {
+            self.quality = Some(quality);
+            quality
         })
     }
 
-    /// Other clocks count most, then the own memory and the servers' starts.
-    fn assess(&self, now: Nanos, ages: &Retention) -> ClockQuality {
+    /// The median of the other clocks decides if there is any; otherwise the servers' starts and
+    /// the memory's write time do.
+    fn assess(&self, now: Nanos, retention: &Retention) -> ClockQuality {
         let wall = self.wall_time(now);
-        let mut others: Vec<i64> = self.peer_bases.values().copied().collect();
-        others.sort_unstable();
-        if let Some(median) = others.get(others.len() / 2) {
-            return if median.abs_diff(self.own_base) <= ages.clock_tolerance {
-                ClockQuality::Sound("others' clocks agree")
+        let mut peer_bases: Vec<i64> = self.peer_bases.values().copied().collect();
+        peer_bases.sort_unstable();
+        if let Some(median) = peer_bases.get(peer_bases.len() / 2) {
+            return if median.abs_diff(self.own_base) <= retention.clock_tolerance {
+                ClockQuality::Reliable("the wall clock agrees with the median of the other clocks")
             } else {
-                ClockQuality::Unknown("others' clocks disagree")
+                ClockQuality::Unknown(
+                    "the wall clock disagrees with the median of the other clocks",
+                )
             };
         }
-        if self.newest_start > wall.saturating_add(ages.clock_tolerance) {
-            return ClockQuality::Unknown("a server started later than now");
+        if self.latest_server_start > wall.saturating_add(retention.clock_tolerance) {
+            return ClockQuality::Unknown("a server's start time is ahead of the wall clock");
         }
         match self.written_at {
-            Some(at) if wall.saturating_add(ages.clock_tolerance) < at => {
-                ClockQuality::Unknown("memory was written later than now")
+            Some(at) if wall.saturating_add(retention.clock_tolerance) < at => {
+                ClockQuality::Unknown("the memory's write time is ahead of the wall clock")
             }
-            Some(at) if wall.saturating_sub(at) > ages.max_outage => {
-                ClockQuality::Unknown("memory says that it was dark for too long to be believed")
+            Some(at) if wall.saturating_sub(at) > retention.max_outage => ClockQuality::Unknown(
+                "the memory is older than the longest outage that is accepted without another clock",
+            ),
+            Some(_) => {
+                ClockQuality::Reliable("the wall clock continues from the memory's write time")
             }
-            Some(_) => ClockQuality::Sound("it goes on from where memory was written"),
-            None => ClockQuality::Unknown("no other clock confirms it"),
+            None => ClockQuality::Unknown("no other clock and no memory confirm the wall clock"),
         }
     }
 }
--- a/crates/recovery/src/queries.rs
+++ b/crates/recovery/src/queries.rs
@@ -1,11 +1,13 @@
-//! Queries: their order, retries and spread over the fleet.
+//! Queries to the sources of evidence: order, retries with backoff, and spread over the fleet.
 
 use rand::Rng;
 
 use crate::recovery::Recovery;
-use crate::{Action, EvidenceSource, MS, Nanos, OutageScope, RecoveryState, RecoveryStep, Source};
+use crate::{
+    Action, EvidenceSource, ListSource, MS, Nanos, OutageScope, RecoveryState, RecoveryStep,
+};
 
-/// Least span over which a retry is spread.
+/// Shortest span over which a retry is spread.
 const MIN_RETRY_SPREAD: Nanos = 200 * MS;
 
 /// State of the queries to one source.
@@ -13,14 +15,15 @@
 pub(crate) struct QueryState {
     pub(crate) is_answered: bool,
     attempts: u32,
-    /// When the latest call was or will be made.
+    /// When the latest call was made or is due.
     call_at: Nanos,
-    /// When it is retried without an answer.
+    /// When the call is retried if no answer arrives; `None` if no retry is due.
     pub(crate) retry_at: Option<Nanos>,
 }
 
 impl Recovery {
-    /// Queries the next configured source from this index on, or begins admission.
+    /// Queries the first configured source at or after index `from`, or starts admission if there
+    /// is none.
     pub(crate) fn query_next(&mut self, now: Nanos, from: usize, out: &mut Vec<Action>) {
         match EvidenceSource::ALL
             .into_iter()
@@ -33,12 +36,12 @@
                 self.log_step(
                     out,
                     RecoveryStep::Query(source),
-                    format!("what is known at the {source}"),
+                    format!("querying source: {source}"),
                     Some(self.step_deadline_at),
                 );
                 if !self.queries[source as usize].is_answered {
-                    let after = self.rng.random_range(0..=self.first_call_spread(source));
-                    self.call(now, source, after, out);
+                    let delay = self.rng.random_range(0..=self.first_call_spread(source));
+                    self.call(now, source, delay, out);
                 }
             }
             None => self.start_admission(now, out),
@@ -55,16 +58,17 @@
     }
 
     fn answer_timeout(&self, source: EvidenceSource) -> Nanos {
-        let bounds = &self.config.timeouts;
+        let timeouts = &self.config.timeouts;
         match source {
-            EvidenceSource::SitePeers => bounds.site_peers,
-            EvidenceSource::OtherSites => bounds.other_sites,
-            EvidenceSource::Discovery => bounds.discovery,
-            EvidenceSource::Store => bounds.store,
+            EvidenceSource::SitePeers => timeouts.site_peers,
+            EvidenceSource::OtherSites => timeouts.other_sites,
+            EvidenceSource::Discovery => timeouts.discovery,
+            EvidenceSource::Store => timeouts.store,
         }
     }
 
-    /// The span over which the fleet's first calls are spread. Peers also report unasked.
+    /// The span over which the fleet's first calls to a source are spread. It is short for peers,
+    /// because they also report without a query.
     fn first_call_spread(&self, source: EvidenceSource) -> Nanos {
         match source {
             EvidenceSource::SitePeers | EvidenceSource::OtherSites => {
@@ -74,25 +78,25 @@
         }
     }
 
-    fn call(&mut self, now: Nanos, source: EvidenceSource, after: Nanos, out: &mut Vec<Action>) {
-        out.push(Action::Query { source, after });
-        let call_at = now.saturating_add(after);
+    fn call(&mut self, now: Nanos, source: EvidenceSource, delay: Nanos, out: &mut Vec<Action>) {
+        out.push(Action::Query { source, delay });
+        let call_at = now.saturating_add(delay);
         let retry_at =
             Some(call_at.saturating_add(self.answer_timeout(source).max(MIN_RETRY_SPREAD)));
-        let asked = &mut self.queries[source as usize];
-        *asked = QueryState {
-            attempts: asked.attempts.saturating_add(1),
+        let query = &mut self.queries[source as usize];
+        *query = QueryState {
+            attempts: query.attempts.saturating_add(1),
             call_at,
             retry_at,
-            ..*asked
+            ..*query
         };
     }
 
-    /// Retries after a capped exponential backoff with full jitter, never faster than the fleet's
-    /// calls allow.
+    /// Retries after a capped exponential backoff with full jitter, never faster than the spread
+    /// of the fleet's calls.
     fn retry_call(&mut self, now: Nanos, source: EvidenceSource, out: &mut Vec<Action>) {
-        let tries = self.queries[source as usize].attempts.min(16);
-        let most = self
+        let attempts = self.queries[source as usize].attempts.min(16);
+        let max_span = self
             .config
             .timeouts
             .max_retry_interval
@@ -100,19 +104,19 @@
         let span = self
             .first_call_spread(source)
             .max(MIN_RETRY_SPREAD)
-            .saturating_mul(1 << tries)
-            .min(most);
-        let after = self.rng.random_range(0..=span);
-        self.call(now, source, after, out);
+            .saturating_mul(1 << attempts)
+            .min(max_span);
+        let delay = self.rng.random_range(0..=span);
+        self.call(now, source, delay, out);
     }
 
-    /// Retries the calls that are due, whatever the state: a source that comes back last is heard
-    /// too.
+    /// Retries the calls that are due, in every state, so that a source that becomes reachable
+    /// last is still queried.
     pub(crate) fn retry_due_calls(&mut self, now: Nanos, out: &mut Vec<Action>) {
         for source in EvidenceSource::ALL {
             if self.queries[source as usize]
                 .retry_at
-                .is_some_and(|next| now >= next)
+                .is_some_and(|retry_at| now >= retry_at)
             {
                 self.retry_call(now, source, out);
             }
@@ -120,26 +124,26 @@
     }
 
     pub(crate) fn on_answered(&mut self, source: EvidenceSource) {
-        let asked = &mut self.queries[source as usize];
-        *asked = QueryState {
+        let query = &mut self.queries[source as usize];
+        *query = QueryState {
             is_answered: true,
             retry_at: None,
-            ..*asked
+            ..*query
         };
     }
 
-    /// A list is an answer of its source.
-    pub(crate) fn on_list_source(&mut self, source: Source) {
+    /// Counts a received list as the answer of its source.
+    pub(crate) fn on_list_received(&mut self, source: ListSource) {
         match source {
-            Source::Known | Source::Memory => {}
-            Source::Peer => self.on_answered(EvidenceSource::SitePeers),
-            Source::OtherSite => self.on_answered(EvidenceSource::OtherSites),
-            Source::Discovery => self.on_answered(EvidenceSource::Discovery),
-            Source::Store => self.on_answered(EvidenceSource::Store),
+            ListSource::Configured | ListSource::Memory => {}
+            ListSource::Peer => self.on_answered(EvidenceSource::SitePeers),
+            ListSource::OtherSite => self.on_answered(EvidenceSource::OtherSites),
+            ListSource::Discovery => self.on_answered(EvidenceSource::Discovery),
+            ListSource::Store => self.on_answered(EvidenceSource::Store),
         }
     }
 
-    /// Handles a failed call. A failure without a call is ignored.
+    /// Handles a failed call. A failure without an outstanding call is ignored.
     pub(crate) fn on_query_failed(
         &mut self,
         now: Nanos,
@@ -147,36 +151,37 @@
         out: &mut Vec<Action>,
     ) {
         self.evidence.record_silence(source);
-        let asked = &self.queries[source as usize];
-        if asked.retry_at.is_some() && now >= asked.call_at {
+        let query = &self.queries[source as usize];
+        if query.retry_at.is_some() && now >= query.call_at {
             self.retry_call(now, source, out);
         }
     }
 
-    /// Whether the query is done: answered, timed out, or not needed.
+    /// Whether the query to a source is answered, timed out or no longer needed.
     pub(crate) fn is_query_done(&self, now: Nanos, source: EvidenceSource) -> bool {
-        let is_told = source == EvidenceSource::Discovery && self.has_fresh_list();
+        let has_list = source == EvidenceSource::Discovery && self.has_list_since_outage();
         self.queries[source as usize].is_answered
             || now >= self.step_deadline_at
-            || is_told
+            || has_list
             || self.can_skip_queries(now)
     }
 
-    /// Whether a list is newer than the outage. A peer's list shows that the peer has asked
-    /// discovery.
-    pub(crate) fn has_fresh_list(&self) -> bool {
+    /// Whether the present list is newer than the start of the outage. A peer's list counts,
+    /// because the peer received it from discovery.
+    pub(crate) fn has_list_since_outage(&self) -> bool {
         self.servers
             .as_of()
             .is_some_and(|as_of| as_of >= self.outage_started_at as i64)
     }
 
-    /// Whether no more queries are needed: this process alone restarted and has its peers' list.
+    /// Whether the remaining queries can be skipped: only this process restarted, and it has a
+    /// list from a peer or a better source.
     fn can_skip_queries(&self, now: Nanos) -> bool {
-        let is_told = self
+        let has_list = self
             .servers
             .source()
-            .is_some_and(|source| source >= Source::OtherSite);
-        is_told && self.assess_scope(now).scope == OutageScope::Process
+            .is_some_and(|source| source >= ListSource::OtherSite);
+        has_list && self.assess_scope(now).scope == OutageScope::Process
     }
 
     pub(crate) fn finish_query(
@@ -191,11 +196,11 @@
         if !self.can_skip_queries(now) {
             return self.query_next(now, source as usize + 1, out);
         }
-        // The remaining sources are still queried.
+        // The remaining sources are still queried, but admission does not wait for them.
         for later in EvidenceSource::ALL.into_iter().skip(source as usize + 1) {
             if self.is_configured(later) && !self.queries[later as usize].is_answered {
-                let after = self.rng.random_range(0..=self.first_call_spread(later));
-                self.call(now, later, after, out);
+                let delay = self.rng.random_range(0..=self.first_call_spread(later));
+                self.call(now, later, delay, out);
             }
         }
         self.start_admission(now, out);
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the recovery.
 
 mod lists;
 mod outage_scope;
@@ -24,39 +24,40 @@
     ServiceMode, Validity,
 };
 
-/// Offset of the internal clock, so that times before the start of the host's clock are not
+/// Offset of the internal clock against the host's, so that times before the host's zero are not
 /// negative.
 const EPOCH_OFFSET: Nanos = 86_400 * SECOND;
-/// Greatest rate of deferred clients that a peer is believed to have.
+/// Limit on the rate of deferred clients that is accepted from a peer.
 const MAX_DEFERRED_PER_S: f64 = 1e9;
 
-/// The recovery of one process.
+/// The recovery of one process from its start or a suspension to full service.
 pub struct Recovery {
     pub(crate) config: RecoveryConfig,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) state: RecoveryState,
     incarnation: u64,
-    /// When the process started, or had its last event before a suspension.
+    /// When the process started, or when it handled its last event before a suspension.
     pub(crate) outage_started_at: Nanos,
-    /// The latest event.
+    /// When the latest event was handled.
     pub(crate) last_event_at: Nanos,
     pub(crate) clock: Option<WallClock>,
     pub(crate) memory: Option<RememberedState>,
     pub(crate) validities: BTreeMap<RememberedKind, (Validity, &'static str)>,
     pub(crate) evidence: ScopeEvidence,
-    pub(crate) finding: Option<ScopeFinding>,
+    pub(crate) scope_finding: Option<ScopeFinding>,
     pub(crate) servers: ServerTable,
     /// Indexed like [`EvidenceSource::ALL`].
     pub(crate) queries: [QueryState; 4],
-    /// When the present step ends at the latest.
+    /// Latest end of the present step.
     pub(crate) step_deadline_at: Nanos,
-    /// The wall clock went ahead of the monotonic one; a peer's restart by then shows a suspension.
+    /// Set when the wall clock jumps ahead of the monotonic one: a peer's restart reported before
+    /// this time shows that the process was suspended.
     clock_doubted_until: Nanos,
     pub(crate) client_count: ClientCount,
     pub(crate) peers_previous_clients: BTreeMap<String, f64>,
-    /// Peers that defer clients: the rate, and when it was reported.
+    /// The rate of deferred clients by peer, and when it was reported.
     pub(crate) deferring_peers: BTreeMap<String, (f64, Nanos)>,
-    /// When the first of the processes that started together admitted clients.
+    /// When the first of the processes that started together began to admit clients.
     pub(crate) admission_started_at: Option<Nanos>,
     pub(crate) order: AdmissionOrder,
     pub(crate) curve: Option<AdmissionCurve>,
@@ -67,27 +68,27 @@
     pub(crate) lent_count: u64,
 }
 
-/// The remembered state.
+/// The memory that was read at the start.
 pub(crate) struct RememberedState {
     owner: MemoryOwner,
     pub(crate) written_at: Millis,
-    /// The list, until it is used.
+    /// The remembered list; taken out when it is applied.
     list: Option<List>,
     pub(crate) previous_clients: Vec<PreviousClients>,
     clients_per_server_s: Option<f64>,
 }
 
 impl Recovery {
-    /// Creates the recovery of a process that has not started. Equal seeds and events give equal
-    /// actions.
+    /// Creates the recovery of a process that has not started. The same seed and events give the
+    /// same actions.
     ///
     /// # Errors
     ///
-    /// Returns all fields outside their range.
+    /// Returns all configuration fields that are outside their range.
     pub fn new(config: RecoveryConfig, seed: u64) -> Result<Recovery, Vec<ConfigError>> {
-        let faults = config.errors();
-        if !faults.is_empty() {
-            return Err(faults);
+        let errors = config.errors();
+        if !errors.is_empty() {
+            return Err(errors);
         }
         Ok(Recovery {
             config,
@@ -100,7 +101,7 @@
             memory: None,
             validities: BTreeMap::new(),
             evidence: ScopeEvidence::default(),
-            finding: None,
+            scope_finding: None,
             servers: ServerTable::default(),
             queries: Default::default(),
             step_deadline_at: 0,
@@ -118,13 +119,14 @@
         })
     }
 
-    /// Handles one event, with the readings of both clocks.
+    /// Handles one event at the given readings of the monotonic and the wall clock, and appends the
+    /// resulting actions to `out`.
     pub fn handle(&mut self, now: Nanos, wall: Millis, event: Event, out: &mut Vec<Action>) {
         let now = now.saturating_add(EPOCH_OFFSET).max(self.last_event_at);
         let gap = now - self.last_event_at;
         match self.state {
             RecoveryState::NotStarted => self.start(now, wall, &event, out),
-            _ => self.follow_clocks(now, wall, gap, out),
+            _ => self.check_clocks(now, wall, gap, out),
         }
         self.last_event_at = now;
         self.advance_time(now, out);
@@ -132,13 +134,16 @@
             Event::Started {
                 memory: Some(memory),
                 ..
-            } => self.remember(now, memory, out),
+            } => self.load_memory(now, memory, out),
             Event::Started { memory: None, .. } | Event::Tick => {}
-            Event::PeerReported(word) => self.on_peer_status(now, &word, out),
+            Event::PeerReported(status) => self.on_peer_status(now, &status, out),
             Event::ListReceived(list) => self.apply_list(now, &list, out),
-            Event::Answered(source) => self.on_answered(source),
-            Event::Failed(source) => self.on_query_failed(now, source, out),
-            Event::ServerStarted { name, at } => self.on_server_started(now, &name, at, out),
+            Event::QueryAnswered(source) => self.on_answered(source),
+            Event::QueryFailed(source) => self.on_query_failed(now, source, out),
+            Event::ServerStarted {
+                name,
+                started_at_ms,
+            } => self.on_server_started(now, &name, started_at_ms, out),
             Event::AdmissionRequested(request) => {
                 return self.on_admission_requested(now, &request, out);
             }
@@ -151,24 +156,24 @@
         self.advance_time(now, out);
     }
 
-    /// When [`Event::Tick`] is due.
+    /// When the next [`Event::Tick`] is due; `None` before the start.
     pub fn next_tick_at(&self) -> Option<Nanos> {
-        let asks = self.queries.iter().filter_map(|asked| asked.retry_at).min();
+        let retry_at = self.queries.iter().filter_map(|query| query.retry_at).min();
         let step = match self.state {
             RecoveryState::NotStarted => return None,
             RecoveryState::Querying(_) => self
                 .step_deadline_at
                 .min(self.last_event_at.saturating_add(TICK_INTERVAL)),
             RecoveryState::StagedAdmission => self.last_event_at.saturating_add(TICK_INTERVAL),
-            // A suspension has to be noticed.
+            // Ticks continue so that a gap between events shows a suspension.
             RecoveryState::Serving => self
                 .last_event_at
                 .saturating_add(self.config.timeouts.suspended_after / 2),
         };
-        let let_go = self.servers.next_drain_release().unwrap_or(Nanos::MAX);
+        let drain_release = self.servers.next_drain_release().unwrap_or(Nanos::MAX);
         Some(
-            step.min(asks.unwrap_or(Nanos::MAX))
-                .min(let_go)
+            step.min(retry_at.unwrap_or(Nanos::MAX))
+                .min(drain_release)
                 .max(self.last_event_at)
                 .saturating_sub(EPOCH_OFFSET),
         )
@@ -176,7 +181,7 @@
 
     fn start(&mut self, now: Nanos, wall: Millis, event: &Event, out: &mut Vec<Action>) {
         self.outage_started_at = now;
-        let (boot, written_at) = match event {
+        let (incarnation, written_at) = match event {
             Event::Started {
                 incarnation,
                 memory,
@@ -186,13 +191,13 @@
             ),
             _ => (0, None),
         };
-        self.incarnation = boot;
+        self.incarnation = incarnation;
         self.clock = Some(WallClock::new(now, wall, written_at));
         if written_at.is_none() {
             self.log_step(
                 out,
                 RecoveryStep::MemoryRead,
-                "there is no memory".into(),
+                "no stored memory was found".into(),
                 None,
             );
         }
@@ -200,41 +205,50 @@
         self.query_next(now, 0, out);
     }
 
-    /// Follows both clocks and notices a suspension.
-    fn follow_clocks(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
-        let stopped = self.config.timeouts.suspended_after;
-        let stepped = self
+    /// Detects steps of the wall clock and suspensions of the process.
+    fn check_clocks(&mut self, now: Nanos, wall: Millis, gap: Nanos, out: &mut Vec<Action>) {
+        let suspended_after = self.config.timeouts.suspended_after;
+        let clock_step = self
             .clock
             .as_mut()
             .and_then(|clock| clock.detect_step(now, wall, &self.config.retention));
-        if let Some(step) = stepped {
+        if let Some(step) = clock_step {
             self.log_step(
                 out,
                 RecoveryStep::Clock,
-                format!("the wall clock was stepped by {step} ms"),
+                format!("the wall clock was stepped by {step} ms against the monotonic clock"),
                 None,
             );
-            if step > 0 && step as u64 >= stopped / crate::MS {
-                self.clock_doubted_until = now.saturating_add(stopped);
+            if step > 0 && step as u64 >= suspended_after / crate::MS {
+                self.clock_doubted_until = now.saturating_add(suspended_after);
             }
             self.assess_clock(now, out);
         }
-        if gap > stopped {
+        if gap > suspended_after {
             self.resume(
                 now,
                 self.last_event_at,
-                format!("nothing was heard for {} s: it was stopped", gap / SECOND),
+                format!(
+                    "no event was handled for {} s: the process was suspended",
+                    gap / SECOND
+                ),
                 out,
             );
         }
     }
 
-    /// Starts again after a suspension: everything known is old.
-    fn resume(&mut self, now: Nanos, since: Nanos, why: String, out: &mut Vec<Action>) {
-        self.outage_started_at = since;
+    /// Starts the recovery again after a suspension. The known state counts as outdated.
+    fn resume(
+        &mut self,
+        now: Nanos,
+        outage_started_at: Nanos,
+        reason: String,
+        out: &mut Vec<Action>,
+    ) {
+        self.outage_started_at = outage_started_at;
         self.clock_doubted_until = 0;
         self.servers.demote_to_memory();
-        self.finding = None;
+        self.scope_finding = None;
         self.curve = None;
         self.admitted_position = 0.0;
         self.admission_started_at = None;
@@ -243,72 +257,73 @@
         self.log_step(
             out,
             RecoveryStep::Resumed,
-            why,
-            Some(now.saturating_add(self.config.admits_within())),
+            reason,
+            Some(now.saturating_add(self.config.max_time_to_admission())),
         );
         let (kind, validity) = (RememberedKind::ConnectionCounts, Validity::Discarded);
-        out.push(Action::RememberedStateJudged {
+        out.push(Action::RememberedStateAssessed {
             kind,
             validity,
-            reason: "it was stopped meanwhile",
+            reason: "the process was suspended in the meantime",
             as_of: None,
         });
         out.push(Action::SetServiceMode {
             mode: ServiceMode::Unavailable,
-            reason: "it was stopped, and asks what happened".into(),
+            reason: "the process was suspended and queries its sources again".into(),
         });
         self.query_next(now, 0, out);
     }
 
-    fn on_peer_status(&mut self, now: Nanos, word: &PeerStatus, out: &mut Vec<Action>) {
-        if word.name == self.config.name {
+    fn on_peer_status(&mut self, now: Nanos, status: &PeerStatus, out: &mut Vec<Action>) {
+        if status.name == self.config.name {
             return;
         }
-        let began_anew = self.evidence.record_peer(now, &self.config.site, word);
-        if let (Some(wall), Some(clock)) = (word.wall_clock, self.clock.as_mut()) {
-            clock.record_peer(now, &word.name, wall);
+        let has_restarted = self.evidence.record_peer(now, &self.config.site, status);
+        if let (Some(wall), Some(clock)) = (status.wall_clock, self.clock.as_mut()) {
+            clock.record_peer(now, &status.name, wall);
         }
-        if let Some(previous_clients) = word
+        if let Some(previous_clients) = status
             .previous_clients
             .filter(|previous_clients| previous_clients.is_finite() && *previous_clients > 0.0)
         {
             self.peers_previous_clients
-                .insert(word.name.clone(), previous_clients);
+                .insert(status.name.clone(), previous_clients);
         }
-        let short = if word.deferred_per_s.is_finite() {
-            word.deferred_per_s.clamp(0.0, MAX_DEFERRED_PER_S)
+        let deferred_per_s = if status.deferred_per_s.is_finite() {
+            status.deferred_per_s.clamp(0.0, MAX_DEFERRED_PER_S)
         } else {
             0.0
         };
-        self.deferring_peers.insert(word.name.clone(), (short, now));
+        self.deferring_peers
+            .insert(status.name.clone(), (deferred_per_s, now));
         if self.evidence.site_peers() >= self.config.site_peers as usize {
             self.on_answered(EvidenceSource::SitePeers);
         }
-        if began_anew && now < self.clock_doubted_until && self.state == RecoveryState::Serving {
-            let since = now.saturating_sub(word.uptime);
+        if has_restarted && now < self.clock_doubted_until && self.state == RecoveryState::Serving {
+            let outage_started_at = now.saturating_sub(status.uptime);
             self.resume(
                 now,
-                since,
+                outage_started_at,
                 format!(
-                    "the wall clock went ahead, and {} has begun anew",
-                    word.name
+                    "the wall clock jumped ahead and peer {} restarted: the process was suspended",
+                    status.name
                 ),
                 out,
             );
         }
-        self.align_admission_start(now, word);
+        self.align_admission_start(now, status);
         self.assess_clock(now, out);
         self.reassess_scope(now, out);
     }
 
-    /// Handles everything that depends on time alone.
+    /// Handles what depends on time alone: retries, held drains, timeouts and staged admission.
     fn advance_time(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.retry_due_calls(now, out);
         if self.servers.release_drains(now) > 0 {
             self.log_step(
                 out,
                 RecoveryStep::Drain,
-                "former drains hold no longer".into(),
+                "the hold of former drains expired".into(),
                 None,
             );
             self.on_servers_changed(now, out);
@@ -320,7 +335,7 @@
             self.finish_query(now, source, out);
         }
         if self.state == RecoveryState::StagedAdmission {
-            self.refill(now, out);
+            self.advance_admission(now, out);
         }
     }
 
@@ -335,8 +350,9 @@
             RecoveryState::StagedAdmission => self.admit_or_defer(now, request, out),
             RecoveryState::NotStarted | RecoveryState::Querying(_) => {
                 self.client_count.count(request);
-                let left = self.step_deadline_at.saturating_sub(now).min(SECOND);
-                let retry_after = left.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
+                let remaining = self.step_deadline_at.saturating_sub(now).min(SECOND);
+                let retry_after =
+                    remaining.saturating_add(self.rng.random_range(SECOND / 4..SECOND));
                 out.push(Action::Defer {
                     id: request.id,
                     retry_after,
@@ -351,17 +367,17 @@
         out: &mut Vec<Action>,
         step: RecoveryStep,
         reason: String,
-        bound: Option<Nanos>,
+        deadline_at: Option<Nanos>,
     ) {
         out.push(Action::LogStep {
             step,
             reason,
-            bound: bound.map(|bound| bound.saturating_sub(EPOCH_OFFSET)),
+            deadline_at: deadline_at.map(|deadline_at| deadline_at.saturating_sub(EPOCH_OFFSET)),
         });
     }
 }
 
-/// The clocks for a list received now.
+/// The context for a list that is received now.
 fn list_context<'a>(
     config: &'a RecoveryConfig,
     clock: Option<&WallClock>,
@@ -369,7 +385,7 @@
     written_at: Option<Millis>,
 ) -> ListContext<'a> {
     let wall_clock = clock
-        .filter(|clock| clock.is_sound())
+        .filter(|clock| clock.is_reliable())
         .map(|clock| clock.wall_time(now));
     ListContext {
         now,
--- a/crates/recovery/src/recovery/lists.rs
+++ b/crates/recovery/src/recovery/lists.rs
@@ -1,8 +1,8 @@
-//! Server lists and server starts.
+//! Handling of server lists and server starts.
 
 use super::{Recovery, list_context};
 use crate::server_table::ListOutcome;
-use crate::{Action, List, Millis, Nanos, RecoveryStep, Source};
+use crate::{Action, List, ListSource, Millis, Nanos, RecoveryStep};
 
 impl Recovery {
     pub(super) fn apply_list(&mut self, now: Nanos, list: &List, out: &mut Vec<Action>) {
@@ -12,42 +12,52 @@
         for entry in list
             .entries
             .iter()
-            .filter(|_| list.source != Source::Memory)
+            .filter(|_| list.source != ListSource::Memory)
         {
             self.clock
                 .iter_mut()
                 .for_each(|clock| clock.record_server_start(entry.started_at_ms));
         }
         self.assess_clock(now, out);
-        self.on_list_source(list.source);
-        let of_memory = (list.source == Source::Memory)
-            .then(|| self.memory.as_ref().map(|kept| kept.written_at));
-        let list_context =
-            list_context(&self.config, self.clock.as_ref(), now, of_memory.flatten());
+        self.on_list_received(list.source);
+        let memory_written_at = (list.source == ListSource::Memory)
+            .then(|| self.memory.as_ref().map(|memory| memory.written_at));
+        let list_context = list_context(
+            &self.config,
+            self.clock.as_ref(),
+            now,
+            memory_written_at.flatten(),
+        );
         let (source, entries) = (list.source, list.entries.len());
         match self.servers.apply(list, list_context) {
             ListOutcome::Rejected => self.log_step(
                 out,
                 RecoveryStep::List,
-                format!("left out: what is held is newer than {source:?}'s"),
+                format!(
+                    "list from {source:?} rejected: the present list is newer or has precedence"
+                ),
                 None,
             ),
-            ListOutcome::Applied { held, is_new_epoch } => {
-                let lost = if is_new_epoch {
-                    "; discovery counts anew"
+            ListOutcome::Applied {
+                held_drains,
+                is_new_epoch,
+            } => {
+                let epoch_note = if is_new_epoch {
+                    "; discovery lost its state"
                 } else {
                     ""
                 };
                 self.log_step(
                     out,
                     RecoveryStep::List,
-                    format!("{entries} servers by {source:?}{lost}"),
+                    format!("list from {source:?} applied; servers: {entries}{epoch_note}"),
                     None,
                 );
-                if held > 0 && is_new_epoch {
+                if held_drains > 0 && is_new_epoch {
                     let until = now.saturating_add(self.config.timeouts.drain_hold);
-                    let reason =
-                        format!("{held} former drains hold until discovery says otherwise");
+                    let reason = format!(
+                        "former drains held until discovery reports another state: {held_drains}"
+                    );
                     self.log_step(out, RecoveryStep::Drain, reason, Some(until));
                 }
                 self.on_servers_changed(now, out);
@@ -59,11 +69,11 @@
         &mut self,
         now: Nanos,
         name: &str,
-        at: Millis,
+        started_at_ms: Millis,
         out: &mut Vec<Action>,
     ) {
         let list_context = list_context(&self.config, self.clock.as_ref(), now, None);
-        if self.servers.record_start(name, at, list_context) {
+        if self.servers.record_start(name, started_at_ms, list_context) {
             self.on_servers_changed(now, out);
         }
     }
--- a/crates/recovery/src/scope.rs
+++ b/crates/recovery/src/scope.rs
@@ -1,17 +1,18 @@
-//! The extent of an outage, from peers' restarts and servers' starts.
+//! Estimation of the extent of an outage from the restarts of peers and servers.
 
 use std::collections::BTreeMap;
 
 use crate::{EvidenceSource, Nanos, OutageScope, PeerStatus, RecoveryConfig, SECOND};
 
-/// Processes that started within this span started together.
-pub(crate) const SIMULTANEOUS_START: Nanos = 30 * SECOND;
-/// Most peers that one kind of evidence counts.
+/// Processes that started within this span count as started together.
+pub(crate) const SIMULTANEOUS_START_WINDOW: Nanos = 30 * SECOND;
+/// Limit on the peers that count for one kind of evidence.
 const MAX_PEERS_COUNTED: usize = 8;
-/// Least likelihood of a decision.
+/// Likelihood that an extent must reach; below it the extent is unknown.
 const MIN_LIKELIHOOD: f64 = 0.6;
-/// Fractions of the servers in slow start from which they count as evidence.
+/// Fraction of the servers in slow start at or above which they are evidence of a restart.
 const MOSTLY_WARMING_FRACTION: f64 = 0.8;
+/// Fraction of the servers in slow start at or below which they are evidence against a restart.
 const MOSTLY_WARM_FRACTION: f64 = 0.2;
 
 /// A peer's latest report.
@@ -21,18 +22,19 @@
     uptime: Nanos,
     received_at: Nanos,
     is_own_site: bool,
-    /// Whether it was known before under a lower incarnation number.
+    /// Whether the peer was known before under a lower incarnation number.
     has_restarted: bool,
 }
 
-/// The evidence.
+/// The collected evidence of the extent of the outage.
 #[derive(Default)]
 pub(crate) struct ScopeEvidence {
     peers: BTreeMap<String, PeerReport>,
+    /// Whether the own site's peers, and the other sites' peers, failed to answer a query.
     silent: [bool; 2],
 }
 
-/// The finding.
+/// The most likely extent of the outage and the evidence for it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ScopeFinding {
     pub(crate) scope: OutageScope,
@@ -43,14 +45,15 @@
 impl ScopeEvidence {
     /// Records a peer's report; returns whether the peer has restarted.
     pub(crate) fn record_peer(&mut self, now: Nanos, own_site: &str, status: &PeerStatus) -> bool {
-        let before = self.peers.get(&status.name);
-        if before.is_some_and(|before| status.incarnation < before.incarnation) {
-            // A late report of a former incarnation.
+        let previous = self.peers.get(&status.name);
+        if previous.is_some_and(|previous| status.incarnation < previous.incarnation) {
+            // A delayed report of a previous incarnation.
             return false;
         }
         let is_new_incarnation =
-            before.is_some_and(|before| status.incarnation > before.incarnation);
-        let has_restarted = is_new_incarnation || before.is_some_and(|before| before.has_restarted);
+            previous.is_some_and(|previous| status.incarnation > previous.incarnation);
+        let has_restarted =
+            is_new_incarnation || previous.is_some_and(|previous| previous.has_restarted);
         let is_own_site = status.site == own_site;
         let report = PeerReport {
             incarnation: status.incarnation,
@@ -76,36 +79,36 @@
         self.peers.values().filter(|peer| peer.is_own_site).count()
     }
 
-    /// Peers that kept running, and peers that started together with this process, of the own site
-    /// or of the others. One that has restarted since did not keep running.
-    fn count_peers(&self, now: Nanos, up_for: Nanos, own_site: bool) -> (usize, usize) {
-        let of_kind = self
+    /// Counts the peers of the own site or of the other sites that kept running, and those that
+    /// started together with this process. A peer that was seen restarting counts as the latter.
+    fn count_peers(&self, now: Nanos, uptime: Nanos, own_site: bool) -> (usize, usize) {
+        let peers = self
             .peers
             .values()
             .filter(|peer| peer.is_own_site == own_site);
-        of_kind.fold((0, 0), |(ran_on, together), peer| {
-            let since = peer
+        peers.fold((0, 0), |(kept_running, started_together), peer| {
+            let peer_uptime = peer
                 .uptime
                 .saturating_add(now.saturating_sub(peer.received_at));
-            let is_together =
-                peer.has_restarted || since <= up_for.saturating_add(SIMULTANEOUS_START);
+            let has_started_together = peer.has_restarted
+                || peer_uptime <= uptime.saturating_add(SIMULTANEOUS_START_WINDOW);
             (
-                ran_on + usize::from(!is_together),
-                together + usize::from(is_together),
+                kept_running + usize::from(!has_started_together),
+                started_together + usize::from(has_started_together),
             )
         })
     }
 
-    /// Assesses the evidence. `warming` is the fraction of the servers in slow start.
+    /// Assesses the evidence. `warming` is the fraction of the servers' weight in slow start.
     pub(crate) fn assess(
         &self,
         now: Nanos,
-        up_for: Nanos,
+        uptime: Nanos,
         config: &RecoveryConfig,
         warming: Option<f64>,
     ) -> ScopeFinding {
         let mut scores = ScopeScores::default();
-        self.score_peers(now, up_for, &mut scores);
+        self.score_peers(now, uptime, &mut scores);
         self.score_silence(config, &mut scores);
         if let Some(warming) = warming {
             score_servers(warming, &mut scores);
@@ -113,45 +116,49 @@
         scores.finding(!config.other_sites.is_empty())
     }
 
-    fn score_peers(&self, now: Nanos, up_for: Nanos, scores: &mut ScopeScores) {
-        let (ran_on, together) = self.count_peers(now, up_for, true);
+    fn score_peers(&self, now: Nanos, uptime: Nanos, scores: &mut ScopeScores) {
+        let (kept_running, started_together) = self.count_peers(now, uptime, true);
         scores.add(
-            ran_on,
+            kept_running,
             [3.0, -3.0, -3.0],
-            format!("{ran_on} of the site ran on"),
+            format!("peers of this site that kept running: {kept_running}"),
         );
         scores.add(
-            together,
+            started_together,
             [-2.0, 1.0, 1.0],
-            format!("{together} of the site started together with this one"),
+            format!(
+                "peers of this site that started together with this process: {started_together}"
+            ),
         );
-        let (ran_on, together) = self.count_peers(now, up_for, false);
+        let (kept_running, started_together) = self.count_peers(now, uptime, false);
         scores.add(
-            ran_on,
+            kept_running,
             [0.5, 1.5, -3.0],
-            format!("{ran_on} of other sites ran on"),
+            format!("peers of other sites that kept running: {kept_running}"),
         );
         scores.add(
-            together,
+            started_together,
             [-2.0, -2.0, 2.0],
-            format!("{together} of other sites started together with this one"),
+            format!(
+                "peers of other sites that started together with this process: {started_together}"
+            ),
         );
     }
 
     fn score_silence(&self, config: &RecoveryConfig, scores: &mut ScopeScores) {
         let [site, others] = self.silent;
-        let silent_site = site && config.site_peers > 0 && self.site_peers() == 0;
+        let is_site_silent = site && config.site_peers > 0 && self.site_peers() == 0;
         scores.add(
-            usize::from(silent_site),
+            usize::from(is_site_silent),
             [-1.0, 0.5, 0.5],
-            "nobody of the site answers".into(),
+            "no peer of this site answered".into(),
         );
-        let silent_others =
+        let are_others_silent =
             others && !config.other_sites.is_empty() && self.site_peers() == self.peers.len();
         scores.add(
-            usize::from(silent_others),
+            usize::from(are_others_silent),
             [0.0, 0.0, 0.5],
-            "nobody of other sites answers".into(),
+            "no peer of another site answered".into(),
         );
     }
 }
@@ -161,16 +168,17 @@
     scores.add(
         usize::from(warming >= MOSTLY_WARMING_FRACTION),
         [-2.0, 0.5, 2.0],
-        format!("{percent}% of the farm is cold"),
+        format!("{percent}% of the server weight is in slow start"),
     );
     scores.add(
         usize::from(warming <= MOSTLY_WARM_FRACTION),
         [1.5, 0.5, -1.5],
-        format!("{percent}% of the farm is cold"),
+        format!("{percent}% of the server weight is in slow start"),
     );
 }
 
-/// Log odds of an outage of the process alone, the site and the fleet, and the evidence for them.
+/// Unnormalized log-likelihoods of an outage of this process alone, of the site and of the fleet,
+/// and the evidence for them.
 #[derive(Default)]
 struct ScopeScores {
     log_odds: [f64; 3],
@@ -178,19 +186,19 @@
 }
 
 impl ScopeScores {
-    /// Adds evidence that was seen `times` times.
-    fn add(&mut self, times: usize, weights: [f64; 3], text: String) {
-        if times == 0 {
+    /// Adds evidence that was observed `count` times.
+    fn add(&mut self, count: usize, weights: [f64; 3], text: String) {
+        if count == 0 {
             return;
         }
-        let times = times.min(MAX_PEERS_COUNTED) as f64;
+        let count = count.min(MAX_PEERS_COUNTED) as f64;
         for (sum, weight) in self.log_odds.iter_mut().zip(weights) {
-            *sum += times * weight;
+            *sum += count * weight;
         }
         self.evidence.push(text);
     }
 
-    fn finding(self, has_sites: bool) -> ScopeFinding {
+    fn finding(self, has_other_sites: bool) -> ScopeFinding {
         if self.evidence.is_empty() {
             return ScopeFinding {
                 scope: OutageScope::Unknown,
@@ -200,7 +208,7 @@
         }
         let scopes = [
             (OutageScope::Process, true),
-            (OutageScope::Site, has_sites),
+            (OutageScope::Site, has_other_sites),
             (OutageScope::Fleet, true),
         ];
         let weight = |at: usize| {
