--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -14,26 +14,26 @@
 /// for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// So many of the last events are shown where a wait has failed.
-const SHOWN: usize = 60;
+const MAX_SHOWN_EVENTS: usize = 60;
 
 /// What these parts of a process say belongs to a client's story.
-const LOGGED_PARTS: [&str; 5] = ["recovery", "memory", "edge", "affinity", "peers"];
+const CLIENT_LOG_PARTS: [&str; 5] = ["recovery", "memory", "edge", "affinity", "peers"];
 
 /// A moment: the time since the record began.
-pub type Moment = Duration;
+pub type Timestamp = Duration;
 
 /// One thing that happened.
 #[derive(Clone, Debug)]
 pub struct Event {
     /// When.
-    pub at: Moment,
+    pub at: Timestamp,
     /// What.
-    pub what: What,
+    pub kind: EventKind,
 }
 
 /// One row of a list as a balancer was told it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct ListRow {
     /// The server's name.
     pub server: String,
     /// `SERVING`, `DRAINING` or `DELETED`.
@@ -44,7 +44,7 @@
 
 /// What can happen.
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum EventKind {
     /// The story says where it is.
     Step(String),
     /// A link was broken or mended.
@@ -63,7 +63,7 @@
         /// Its name.
         process: String,
         /// What became of it.
-        did: Did,
+        event: ProcessEvent,
     },
     /// A process wrote a log line.
     Log {
@@ -73,7 +73,7 @@
         line: Value,
     },
     /// The last byte of a list was written to a balancer.
-    Told {
+    EndpointListSent {
         /// Who was told.
         balancer: String,
         /// The list's version.
@@ -81,7 +81,7 @@
         /// Whether it was the whole list.
         reset: bool,
         /// What it said.
-        rows: Vec<Row>,
+        rows: Vec<ListRow>,
     },
     /// Discovery lost its state, went away, came back or fell silent.
     Discovery(&'static str),
@@ -90,7 +90,7 @@
         /// Its name.
         server: String,
         /// What.
-        did: ServerDid,
+        event: ServerEvent,
     },
     /// A balancer's attempt reached the wire: the last byte of its head was written.
     Attempt {
@@ -103,14 +103,14 @@
         /// The request's id.
         id: String,
         /// When its first byte was written.
-        begun: Moment,
+        started_at: Timestamp,
     },
     /// An attempt is over or stands: the server's first line was written to the balancer, or one of both ended it.
-    AttemptOver {
+    AttemptEnded {
         /// Its number.
         number: u64,
         /// The server's first line, or how it ended without one.
-        how: String,
+        outcome: String,
     },
     /// Something became of a client.
     Client {
@@ -121,32 +121,32 @@
         /// The process that the front gave it.
         process: String,
         /// What.
-        did: ClientDid,
+        event: ClientEvent,
     },
 }
 
 /// What becomes of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Did {
+pub enum ProcessEvent {
     /// It was started.
     Started,
     /// SIGKILL.
     Killed,
     /// SIGTERM.
-    Told,
+    TerminationRequested,
     /// SIGSTOP.
-    Stopped,
+    Paused,
     /// SIGCONT.
-    Continued,
+    Resumed,
     /// SIGHUP.
     Reloaded,
     /// It ended by itself, well or not.
-    Ended(bool),
+    Exited(bool),
 }
 
 /// What becomes of an application server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ServerDid {
+pub enum ServerEvent {
     /// It stands, warm or cold.
     Started {
         /// Whether it has to warm up.
@@ -155,51 +155,51 @@
     /// It is gone; its connections were reset.
     Killed,
     /// It sends its clients away.
-    Drains,
+    Draining,
     /// It answers nothing any more.
-    Hangs,
+    Unresponsive,
     /// It answers again.
-    Recovers,
+    Recovered,
     /// It took a set-up of this client key.
-    Took(String),
+    Accepted(String),
     /// It fell over: so many set-ups in the window, where so many are borne.
-    Tipped {
+    Overloaded {
         /// What came.
-        came: usize,
+        setups: usize,
         /// What it bears.
-        bears: usize,
+        limit: usize,
     },
 }
 
 /// What becomes of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClientDid {
+pub enum ClientEvent {
     /// The last byte of its opening was written; it waits so long.
-    Asked(Duration),
+    RequestSent(Duration),
     /// It never got a connection, or the opening could not be written.
-    NotTaken,
+    ConnectFailed,
     /// A final answer's line.
     Answered(String),
     /// It was served: this is the server that gave the receipt.
-    Stands(String),
+    Established(String),
     /// Its line was answered after so long.
-    Heard(Duration),
+    LineAnswered(Duration),
     /// Its line has had no answer for so long.
-    Unheard(Duration),
+    LineUnanswered(Duration),
     /// It was told to move, by whoever.
-    Moved,
+    MoveReceived,
     /// Its connection ended: in order (true) or by a reset.
-    Ended(bool),
+    Disconnected(bool),
     /// It ended its connection by itself.
-    Left,
+    Closed,
 }
 
 #[derive(Debug)]
 struct Inner {
     events: Mutex<Vec<Event>>,
-    grown: Condvar,
-    start: Instant,
-    wall: SystemTime,
+    changed: Condvar,
+    started_at: Instant,
+    system_started_at: SystemTime,
 }
 
 /// The record, shared by all that write it.
@@ -208,33 +208,34 @@
 
 impl Default for Record {
     fn default() -> Record {
-        let (start, wall) = (Instant::now(), SystemTime::now());
+        let (started_at, system_started_at) = (Instant::now(), SystemTime::now());
         Record(Arc::new(Inner {
             events: Mutex::default(),
-            grown: Condvar::new(),
-            start,
-            wall,
+            changed: Condvar::new(),
+            started_at,
+            system_started_at,
         }))
     }
 }
 
 impl Record {
     /// The present moment.
-    pub fn now(&self) -> Moment {
-        self.0.start.elapsed()
+    pub fn now(&self) -> Timestamp {
+        self.0.started_at.elapsed()
     }
 
     /// The Unix time of a moment, in milliseconds.
-    pub fn unix_ms(&self, at: Moment) -> u64 {
-        let since = (self.0.wall + at)
+    pub fn unix_ms(&self, at: Timestamp) -> u64 {
+        let since = (self.0.system_started_at + at)
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
 
     /// The moment of a time that a process wrote in its log.
-    pub fn moment_of(&self, time: SystemTime) -> Moment {
-        time.duration_since(self.0.wall).unwrap_or_default()
+    pub fn timestamp_of(&self, time: SystemTime) -> Timestamp {
+        time.duration_since(self.0.system_started_at)
+            .unwrap_or_default()
     }
 
     fn events(&self) -> MutexGuard<'_, Vec<Event>> {
@@ -243,37 +244,37 @@
     }
 
     /// Writes down what has just happened.
-    pub fn note(&self, what: What) {
+    pub fn append(&self, kind: EventKind) {
         let at = self.now();
-        self.note_at(at, what);
+        self.append_at(at, kind);
     }
 
     /// Writes down what happened at a moment.
-    pub fn note_at(&self, at: Moment, what: What) {
-        self.events().push(Event { at, what });
-        self.0.grown.notify_all();
+    pub fn append_at(&self, at: Timestamp, kind: EventKind) {
+        self.events().push(Event { at, kind });
+        self.0.changed.notify_all();
     }
 
     /// The story says where it is; gives the place in the record from which on the step counts.
-    pub fn step(&self, words: &str) -> usize {
-        self.note(What::Step(words.to_owned()));
+    pub fn step(&self, description: &str) -> usize {
+        self.append(EventKind::Step(description.to_owned()));
         self.events().len()
     }
 
     /// Everything so far, in the order of its moments.
-    pub fn ordered(&self) -> Vec<Event> {
+    pub fn events_by_time(&self) -> Vec<Event> {
         let mut events = self.events().clone();
         events.sort_by_key(|event| event.at);
         events
     }
 
     /// Waits until something holds of the record, and gives it. Where it does not come to hold, the last events are told.
-    pub fn wait<T>(&self, what: &str, holds: impl FnMut(&[Event]) -> Option<T>) -> T {
-        let reached = self.wait_for(WAIT_TIMEOUT, holds);
-        reached.unwrap_or_else(|| {
+    pub fn wait<T>(&self, description: &str, condition: impl FnMut(&[Event]) -> Option<T>) -> T {
+        let result = self.wait_for(WAIT_TIMEOUT, condition);
+        result.unwrap_or_else(|| {
             panic!(
-                "never came: {what}; the last of the record:\n{}",
-                self.tail()
+                "never came: {description}; the last of the record:\n{}",
+                self.recent_events()
             )
         })
     }
@@ -281,16 +282,16 @@
     /// The same with a bound of one's own; nothing where it did not come to hold.
     pub fn wait_for<T>(
         &self,
-        patience: Duration,
-        mut holds: impl FnMut(&[Event]) -> Option<T>,
+        timeout: Duration,
+        mut condition: impl FnMut(&[Event]) -> Option<T>,
     ) -> Option<T> {
-        let until = Instant::now() + patience;
-        let (mut seen, mut events) = (usize::MAX, self.events());
+        let until = Instant::now() + timeout;
+        let (mut seen_len, mut events) = (usize::MAX, self.events());
         loop {
-            if events.len() != seen {
-                seen = events.len();
-                if let Some(reached) = holds(&events) {
-                    return Some(reached);
+            if events.len() != seen_len {
+                seen_len = events.len();
+                if let Some(result) = condition(&events) {
+                    return Some(result);
                 }
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -301,10 +302,10 @@
             // Let others write meanwhile.
             std::thread::sleep(POLL_INTERVAL.min(left));
             events = self.events();
-            if events.len() == seen {
+            if events.len() == seen_len {
                 let waited = self
                     .0
-                    .grown
+                    .changed
                     .wait_timeout(events, left)
                     .unwrap_or_else(PoisonError::into_inner);
                 events = waited.0;
@@ -313,96 +314,110 @@
     }
 
     /// Whether a balancer tried this server for the client, and it did not take it.
-    pub fn tried_in_vain(&self, name: &str, at: &str) -> bool {
+    pub fn has_failed_attempt(&self, client: &str, server: &str) -> bool {
         let events = self.events();
         let ids: BTreeSet<&str> = events
             .iter()
-            .filter_map(|event| id_of(event, name))
+            .filter_map(|event| request_id_of(event, client))
             .collect();
-        let tried = events.iter().filter_map(|event| match &event.what {
-            What::Attempt {
-                number, server, id, ..
-            } if server == at && ids.contains(id.as_str()) => Some(*number),
+        let attempts = events.iter().filter_map(|event| match &event.kind {
+            EventKind::Attempt {
+                number,
+                server: target,
+                id,
+                ..
+            } if target == server && ids.contains(id.as_str()) => Some(*number),
             _ => None,
         });
-        let tried: BTreeSet<u64> = tried.collect();
+        let attempts: BTreeSet<u64> = attempts.collect();
         events.iter().any(|event| {
-            matches!(&event.what, What::AttemptOver { number, how } if tried.contains(number) && !how.starts_with("UP"))
+            matches!(&event.kind, EventKind::AttemptEnded { number, outcome } if attempts.contains(number) && !outcome.starts_with("UP"))
         })
     }
 
     /// Whoever was told to move after a place in the record.
-    pub fn moved_since(&self, since: usize) -> BTreeSet<String> {
+    pub fn clients_moved_since(&self, since: usize) -> BTreeSet<String> {
         let events = self.events();
-        let told = events[since.min(events.len())..]
+        let moved = events[since.min(events.len())..]
             .iter()
-            .filter_map(|event| match &event.what {
-                What::Client {
+            .filter_map(|event| match &event.kind {
+                EventKind::Client {
                     client,
-                    did: ClientDid::Moved,
+                    event: ClientEvent::MoveReceived,
                     ..
                 } => Some(client.clone()),
                 _ => None,
             });
-        told.collect()
+        moved.collect()
     }
 
     /// What became of a client, one event a line, and what processes said of their way meanwhile.
-    pub fn story_of(&self, name: &str) -> String {
-        let is_its = |event: &&Event| match &event.what {
-            What::Client { client, did, .. } => {
-                client == name && !matches!(did, ClientDid::Heard(_) | ClientDid::NotTaken)
+    pub fn client_history(&self, name: &str) -> String {
+        let concerns_client = |event: &&Event| match &event.kind {
+            EventKind::Client { client, event, .. } => {
+                client == name
+                    && !matches!(
+                        event,
+                        ClientEvent::LineAnswered(_) | ClientEvent::ConnectFailed
+                    )
             }
-            What::Step(_) | What::Process { .. } => true,
-            What::Server {
-                did: ServerDid::Took(key),
+            EventKind::Step(_) | EventKind::Process { .. } => true,
+            EventKind::Server {
+                event: ServerEvent::Accepted(key),
                 ..
             } => key == name,
-            What::Log { line, .. } => LOGGED_PARTS.iter().any(|part| line["part"] == *part),
+            EventKind::Log { line, .. } => {
+                CLIENT_LOG_PARTS.iter().any(|part| line["part"] == *part)
+            }
             _ => false,
         };
-        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.what);
-        self.ordered().iter().filter(is_its).map(line).collect()
+        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.kind);
+        self.events_by_time()
+            .iter()
+            .filter(concerns_client)
+            .map(line)
+            .collect()
     }
 
     /// The last events, one a line.
-    pub fn tail(&self) -> String {
-        let events = self.ordered();
-        let from = events.len().saturating_sub(SHOWN);
-        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.what);
+    pub fn recent_events(&self) -> String {
+        let events = self.events_by_time();
+        let from = events.len().saturating_sub(MAX_SHOWN_EVENTS);
+        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.kind);
         events[from..].iter().map(line).collect()
     }
 }
 
 /// The request that this is about, if it is this client's.
-fn id_of<'a>(event: &'a Event, name: &str) -> Option<&'a str> {
-    match &event.what {
-        What::Client { client, id, .. } if client == name => Some(id),
+fn request_id_of<'a>(event: &'a Event, name: &str) -> Option<&'a str> {
+    match &event.kind {
+        EventKind::Client { client, id, .. } if client == name => Some(id),
         _ => None,
     }
 }
 
 /// Who stands by these events, and at which server.
-pub fn established(events: &[Event]) -> BTreeMap<String, String> {
-    let mut placed = BTreeMap::new();
+pub fn established_connections(events: &[Event]) -> BTreeMap<String, String> {
+    let mut servers_by_client = BTreeMap::new();
     for event in events {
-        match &event.what {
-            What::Client {
+        match &event.kind {
+            EventKind::Client {
                 client,
-                did: ClientDid::Stands(server),
+                event: ClientEvent::Established(server),
                 ..
             } => {
-                placed.insert(client.clone(), server.clone());
+                servers_by_client.insert(client.clone(), server.clone());
             }
-            What::Client {
+            EventKind::Client {
                 client,
-                did: ClientDid::Moved | ClientDid::Ended(_) | ClientDid::Left,
+                event:
+                    ClientEvent::MoveReceived | ClientEvent::Disconnected(_) | ClientEvent::Closed,
                 ..
             } => {
-                placed.remove(client);
+                servers_by_client.remove(client);
             }
             _ => {}
         }
     }
-    placed
+    servers_by_client
 }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -9,105 +9,108 @@
 use socket2::SockRef;
 
 use crate::address::ReservedAddress;
-use crate::record::{Record, ServerDid, What};
+use crate::record::{EventKind, Record, ServerEvent};
 
 /// Connections that wait to be taken.
 const BACKLOG: i32 = 1024;
 /// Stacks of a connection's thread.
-const STACK: usize = 128 << 10;
+const THREAD_STACK_BYTES: usize = 128 << 10;
 
 /// So many set-ups that come together are done at once.
-const BURST: u32 = 4;
+const SETUP_BURST: u32 = 4;
 
 /// What a server can do, and the platform's rules for cold ones.
 #[derive(Clone, Copy, Debug)]
-pub struct Ability {
+pub struct ServerProfile {
     /// Set-ups a second once it is warm.
-    pub rate: f64,
+    pub setups_per_s: f64,
     /// Most connections.
-    pub capacity: usize,
+    pub max_connections: usize,
     /// The share of its rate that it starts with.
     pub cold_share: f64,
     /// It is warm after so long.
-    pub cold: Duration,
+    pub warm_up_time: Duration,
     /// It falls over when sent more than so many times what it can do,
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// in any time of this length.
-    pub fall: Duration,
+    pub overload_window: Duration,
 }
 
-impl Default for Ability {
+impl Default for ServerProfile {
     /// Small times, so that a story sees all of it within seconds.
-    fn default() -> Ability {
-        Ability {
-            rate: 100.0,
-            capacity: 1_000,
+    fn default() -> ServerProfile {
+        ServerProfile {
+            setups_per_s: 100.0,
+            max_connections: 1_000,
             cold_share: 0.2,
-            cold: Duration::from_secs(5),
-            tip_multiple: 3.0,
-            fall: Duration::from_millis(1_500),
+            warm_up_time: Duration::from_secs(5),
+            overload_multiple: 3.0,
+            overload_window: Duration::from_millis(1_500),
         }
     }
 }
 
-impl Ability {
+impl ServerProfile {
     /// The share of its rate that it has so long after a cold start.
     pub fn capacity_fraction(&self, since: Duration) -> f64 {
-        let part = (since.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
-        self.cold_share + (1.0 - self.cold_share) * part
+        let warmed_fraction = (since.as_secs_f64() / self.warm_up_time.as_secs_f64()).min(1.0);
+        self.cold_share + (1.0 - self.cold_share) * warmed_fraction
     }
 
     /// How long it takes from a cold start to do so many set-ups, if not a moment is lost.
-    pub fn refill(&self, set_ups: usize) -> Duration {
+    pub fn refill_time(&self, setups: usize) -> Duration {
         let step = Duration::from_millis(10);
-        let (mut done, mut took) = (0.0, Duration::ZERO);
-        while done < set_ups as f64 {
-            done += self.rate * self.capacity_fraction(took) * step.as_secs_f64();
-            took += step;
+        let (mut done, mut elapsed) = (0.0, Duration::ZERO);
+        while done < setups as f64 {
+            done += self.setups_per_s * self.capacity_fraction(elapsed) * step.as_secs_f64();
+            elapsed += step;
         }
-        took
+        elapsed
     }
 
     /// So many set-ups in `fall` are borne at this warmth: N + 3 x root of N + 3.
-    pub fn bears(&self, warmth: f64) -> usize {
-        let allowed = self.tip_multiple * self.rate * warmth * self.fall.as_secs_f64();
+    pub fn max_setups(&self, capacity_share: f64) -> usize {
+        let allowed = self.overload_multiple
+            * self.setups_per_s
+            * capacity_share
+            * self.overload_window.as_secs_f64();
         (allowed + 3.0 * allowed.sqrt() + 3.0) as usize
     }
 }
 
 /// How it has its clients leave when it drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaves {
+pub enum DrainPace {
     /// All at once.
     AtOnce,
     /// One each time.
-    BitByBit(Duration),
+    Gradual(Duration),
 }
 
 struct State {
     /// Grows with each start and each end: a connection of another life is over.
-    life: u64,
+    incarnation: u64,
     running: bool,
     started_at: Option<Instant>,
     draining: bool,
-    hanging: bool,
-    tipped: bool,
-    came: VecDeque<Instant>,
+    unresponsive: bool,
+    overloaded: bool,
+    recent_setups: VecDeque<Instant>,
     /// No set-up is done before: they are done in turn.
-    free_at: Instant,
-    next: u64,
+    next_setup_at: Instant,
+    last_connection: u64,
     streams: BTreeMap<u64, TcpStream>,
     /// Connections that were taken and hear nothing.
-    unheard: Vec<TcpStream>,
+    ignored_streams: Vec<TcpStream>,
     /// Which client key stands on which connection.
-    keys: BTreeMap<u64, String>,
-    lines: u64,
-    set_ups: u64,
+    client_keys: BTreeMap<u64, String>,
+    answered_lines: u64,
+    setups: u64,
 }
 
 struct Shared {
     name: String,
-    ability: Ability,
+    profile: ServerProfile,
     record: Record,
     state: Mutex<State>,
     changed: Condvar,
@@ -116,7 +119,7 @@
 /// The server. It keeps its address over restarts.
 pub struct Server {
     /// Where it listens while it runs.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     reservation: ReservedAddress,
     shared: Arc<Shared>,
 }
@@ -127,63 +130,65 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, did: ServerDid) {
-        self.record.note(What::Server {
+    fn record_event(&self, event: ServerEvent) {
+        self.record.append(EventKind::Server {
             server: self.name.clone(),
-            did,
+            event,
         });
     }
 }
 
 impl Server {
     /// Starts it warm.
-    pub fn start(name: &str, ability: Ability, record: &Record) -> Server {
+    pub fn start(name: &str, profile: ServerProfile, record: &Record) -> Server {
         let reservation = ReservedAddress::default();
         let listener = reservation.listen(BACKLOG);
         let state = State {
-            life: 0,
+            incarnation: 0,
             running: true,
             started_at: None,
             draining: false,
-            hanging: false,
-            tipped: false,
-            came: VecDeque::new(),
-            free_at: Instant::now(),
-            next: 0,
+            unresponsive: false,
+            overloaded: false,
+            recent_setups: VecDeque::new(),
+            next_setup_at: Instant::now(),
+            last_connection: 0,
             streams: BTreeMap::new(),
-            unheard: Vec::new(),
-            keys: BTreeMap::new(),
-            lines: 0,
-            set_ups: 0,
+            ignored_streams: Vec::new(),
+            client_keys: BTreeMap::new(),
+            answered_lines: 0,
+            setups: 0,
         };
         let shared = Shared {
             name: name.to_owned(),
-            ability,
+            profile,
             record: record.clone(),
             state: Mutex::new(state),
             changed: Condvar::new(),
         };
         let server = Server {
-            at: reservation.at,
+            address: reservation.address,
             reservation,
             shared: Arc::new(shared),
         };
-        server.shared.note(ServerDid::Started { cold: false });
-        server.take(listener, 0);
+        server
+            .shared
+            .record_event(ServerEvent::Started { cold: false });
+        server.accept_connections(listener, 0);
         server
     }
 
-    fn take(&self, listener: TcpListener, life: u64) {
+    fn accept_connections(&self, listener: TcpListener, incarnation: u64) {
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                if shared.lock().life != life {
+                if shared.lock().incarnation != incarnation {
                     return;
                 }
                 let shared = Arc::clone(&shared);
-                let serve = move || serve(&stream, &shared, life);
+                let serve = move || serve(&stream, &shared, incarnation);
                 std::thread::Builder::new()
-                    .stack_size(STACK)
+                    .stack_size(THREAD_STACK_BYTES)
                     .spawn(serve)
                     .expect("a thread");
             }
@@ -197,16 +202,16 @@
 
     /// Ends as a process dies: its connections are reset, new ones are refused.
     pub fn kill(&self) {
-        self.shared.note(ServerDid::Killed);
+        self.shared.record_event(ServerEvent::Killed);
         let streams = {
             let mut state = self.shared.lock();
-            state.life += 1;
+            state.incarnation += 1;
             state.running = false;
-            state.keys.clear();
-            let unheard = std::mem::take(&mut state.unheard);
+            state.client_keys.clear();
+            let ignored_streams = std::mem::take(&mut state.ignored_streams);
             std::mem::take(&mut state.streams)
                 .into_values()
-                .chain(unheard)
+                .chain(ignored_streams)
                 .collect::<Vec<TcpStream>>()
         };
         self.shared.changed.notify_all();
@@ -216,137 +221,145 @@
             let _ = stream.shutdown(Shutdown::Read);
         }
         // The thread that accepts sees the new life at the next connection, and takes its listener with it.
-        while TcpStream::connect(self.at).is_ok() {}
+        while TcpStream::connect(self.address).is_ok() {}
     }
 
     /// Starts again under the same name, cold; gives the moment of the start in Unix milliseconds.
     pub fn restart(&self) -> u64 {
-        let life = {
+        let incarnation = {
             let mut state = self.shared.lock();
             assert!(!state.running, "{} runs", self.shared.name);
-            state.life += 1;
+            state.incarnation += 1;
             state.running = true;
             state.started_at = Some(Instant::now());
-            state.came.clear();
-            (state.draining, state.hanging, state.tipped) = (false, false, false);
-            state.life
+            state.recent_setups.clear();
+            (state.draining, state.unresponsive, state.overloaded) = (false, false, false);
+            state.incarnation
         };
-        self.shared.note(ServerDid::Started { cold: true });
-        self.take(self.reservation.listen(BACKLOG), life);
+        self.shared
+            .record_event(ServerEvent::Started { cold: true });
+        self.accept_connections(self.reservation.listen(BACKLOG), incarnation);
         self.shared.record.unix_ms(self.shared.record.now())
     }
 
     /// Answers nothing any more, neither on standing connections nor on new ones, or answers again.
-    pub fn hangs(&self, hangs: bool) {
-        self.shared.note(if hangs {
-            ServerDid::Hangs
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.shared.record_event(if unresponsive {
+            ServerEvent::Unresponsive
         } else {
-            ServerDid::Recovers
+            ServerEvent::Recovered
         });
-        self.shared.lock().hanging = hangs;
+        self.shared.lock().unresponsive = unresponsive;
         self.shared.changed.notify_all();
     }
 
     /// Takes nothing new and has its clients leave.
-    pub fn drains(&self, leaves: Leaves) {
-        self.shared.note(ServerDid::Drains);
-        let life = {
+    pub fn drain(&self, pace: DrainPace) {
+        self.shared.record_event(ServerEvent::Draining);
+        let incarnation = {
             let mut state = self.shared.lock();
             state.draining = true;
-            state.life
+            state.incarnation
         };
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
             loop {
                 let mut state = shared.lock();
-                if state.life != life {
+                if state.incarnation != incarnation {
                     return;
                 }
                 let Some((number, stream)) = state.streams.pop_first() else {
                     return;
                 };
-                state.keys.remove(&number);
+                state.client_keys.remove(&number);
                 let _ = (&stream).write_all(b"MOVE\r\n");
                 let _ = stream.shutdown(Shutdown::Write);
-                if let Leaves::BitByBit(every) = leaves {
-                    let over = |state: &mut State| state.life == life;
-                    drop(shared.changed.wait_timeout_while(state, every, over));
+                if let DrainPace::Gradual(interval) = pace {
+                    let is_running = |state: &mut State| state.incarnation == incarnation;
+                    drop(
+                        shared
+                            .changed
+                            .wait_timeout_while(state, interval, is_running),
+                    );
                 }
             }
         });
     }
 
     /// The client keys that stand here.
-    pub fn keys(&self) -> Vec<String> {
-        self.shared.lock().keys.values().cloned().collect()
+    pub fn client_keys(&self) -> Vec<String> {
+        self.shared.lock().client_keys.values().cloned().collect()
     }
 
     /// How many set-ups it has taken, and how many lines it has answered.
     pub fn counts(&self) -> (u64, u64) {
         let state = self.shared.lock();
-        (state.set_ups, state.lines)
+        (state.setups, state.answered_lines)
     }
 }
 
 /// What is made of an opening.
 enum Admission {
     Serve { number: u64, at: Instant },
-    Busy,
-    Hang,
-    Over,
+    Reject,
+    Ignore,
+    Stopped,
 }
 
-fn admit(shared: &Shared, key: &str, stream: &TcpStream, life: u64) -> Admission {
+fn admit(shared: &Shared, key: &str, stream: &TcpStream, incarnation: u64) -> Admission {
     let mut state = shared.lock();
     let now = Instant::now();
-    if state.life != life {
-        return Admission::Over;
+    if state.incarnation != incarnation {
+        return Admission::Stopped;
     }
-    let warmth = state
+    let capacity_share = state
         .started_at
-        .map_or(1.0, |since| shared.ability.capacity_fraction(now - since));
-    state.came.push_back(now);
+        .map_or(1.0, |since| shared.profile.capacity_fraction(now - since));
+    state.recent_setups.push_back(now);
     while state
-        .came
+        .recent_setups
         .front()
-        .is_some_and(|came| now - *came > shared.ability.fall)
+        .is_some_and(|arrived_at| now - *arrived_at > shared.profile.overload_window)
     {
-        state.came.pop_front();
+        state.recent_setups.pop_front();
     }
-    let (came, bears) = (state.came.len(), shared.ability.bears(warmth));
-    if warmth < 1.0 && came > bears && !state.tipped {
-        state.tipped = true;
-        shared.note(ServerDid::Tipped { came, bears });
+    let (setups, limit) = (
+        state.recent_setups.len(),
+        shared.profile.max_setups(capacity_share),
+    );
+    if capacity_share < 1.0 && setups > limit && !state.overloaded {
+        state.overloaded = true;
+        shared.record_event(ServerEvent::Overloaded { setups, limit });
     }
-    if state.hanging || state.tipped {
-        state.unheard.extend(stream.try_clone());
-        return Admission::Hang;
+    if state.unresponsive || state.overloaded {
+        state.ignored_streams.extend(stream.try_clone());
+        return Admission::Ignore;
     }
-    if state.draining || state.streams.len() >= shared.ability.capacity {
-        return Admission::Busy;
+    if state.draining || state.streams.len() >= shared.profile.max_connections {
+        return Admission::Reject;
     }
-    let gap = Duration::from_secs_f64(1.0 / (shared.ability.rate * warmth));
+    let setup_time = Duration::from_secs_f64(1.0 / (shared.profile.setups_per_s * capacity_share));
     // A few are done at once; what comes beyond that takes its turn.
-    state.free_at = state
-        .free_at
-        .max(now.checked_sub(gap * BURST).unwrap_or(now))
-        + gap;
-    state.next += 1;
-    state.set_ups += 1;
-    let number = state.next;
-    if let Ok(own) = stream.try_clone() {
-        state.streams.insert(number, own);
+    state.next_setup_at = state
+        .next_setup_at
+        .max(now.checked_sub(setup_time * SETUP_BURST).unwrap_or(now))
+        + setup_time;
+    state.last_connection += 1;
+    state.setups += 1;
+    let number = state.last_connection;
+    if let Ok(handle) = stream.try_clone() {
+        state.streams.insert(number, handle);
     }
-    state.keys.insert(number, key.to_owned());
-    shared.note(ServerDid::Took(key.to_owned()));
+    state.client_keys.insert(number, key.to_owned());
+    shared.record_event(ServerEvent::Accepted(key.to_owned()));
     Admission::Serve {
         number,
-        at: state.free_at,
+        at: state.next_setup_at,
     }
 }
 
 /// Hears an opening, and does what is made of it.
-fn serve(mut stream: &TcpStream, shared: &Shared, life: u64) {
+fn serve(mut stream: &TcpStream, shared: &Shared, incarnation: u64) {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     if reader.read_line(&mut line).unwrap_or(0) == 0 || !line.ends_with("\r\n") {
@@ -357,55 +370,59 @@
         let _ = stream.write_all(b"SYNTAX\r\n");
         return;
     };
-    match admit(shared, key, stream, life) {
-        Admission::Serve { number, at } => serve_from(at, number, &mut reader, shared, life),
-        Admission::Busy => drop(stream.write_all(b"BUSY\r\n")),
-        Admission::Hang => hang(&mut reader, shared, life),
-        Admission::Over => {}
+    match admit(shared, key, stream, incarnation) {
+        Admission::Serve { number, at } => {
+            serve_client(at, number, &mut reader, shared, incarnation)
+        }
+        Admission::Reject => drop(stream.write_all(b"BUSY\r\n")),
+        Admission::Ignore => read_and_ignore(&mut reader, shared, incarnation),
+        Admission::Stopped => {}
     }
 }
 
 /// Serves a client once its set-up is done, until either ends. Set-ups are its work: they take their turn.
-fn serve_from(
+fn serve_client(
     at: Instant,
     number: u64,
     reader: &mut BufReader<&TcpStream>,
     shared: &Shared,
-    life: u64,
+    incarnation: u64,
 ) {
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
-    if shared.lock().life != life {
+    if shared.lock().incarnation != incarnation {
         return;
     }
     let mut stream = *reader.get_ref();
-    let receipt = format!("UP {}.{life}.{number}\r\n", shared.name);
+    let receipt = format!("UP {}.{incarnation}.{number}\r\n", shared.name);
     if stream.write_all(receipt.as_bytes()).is_ok() {
-        answer_lines(reader, shared, life);
+        answer_lines(reader, shared, incarnation);
     }
     let mut state = shared.lock();
-    if state.life != life {
+    if state.incarnation != incarnation {
         return;
     }
     state.streams.remove(&number);
-    state.keys.remove(&number);
+    state.client_keys.remove(&number);
     drop(state);
     let _ = stream.shutdown(Shutdown::Both);
 }
 
 /// Answers line by line, none while it hangs, until the client ends or this life does.
-fn answer_lines(reader: &mut BufReader<&TcpStream>, shared: &Shared, life: u64) {
+fn answer_lines(reader: &mut BufReader<&TcpStream>, shared: &Shared, incarnation: u64) {
     let mut stream = *reader.get_ref();
     let mut line = String::new();
     while reader.read_line(&mut line).unwrap_or(0) > 0 {
         let state = shared.lock();
         let mut state = shared
             .changed
-            .wait_while(state, |state| state.hanging && state.life == life)
+            .wait_while(state, |state| {
+                state.unresponsive && state.incarnation == incarnation
+            })
             .unwrap_or_else(PoisonError::into_inner);
-        if state.life != life {
+        if state.incarnation != incarnation {
             return;
         }
-        state.lines += 1;
+        state.answered_lines += 1;
         drop(state);
         let answer = line.replacen("M ", "OK ", 1);
         if stream.write_all(answer.as_bytes()).is_err() {
@@ -416,9 +433,11 @@
 }
 
 /// Hears whatever comes and says nothing, until the peer has enough.
-fn hang(reader: &mut impl BufRead, shared: &Shared, life: u64) {
+fn read_and_ignore(reader: &mut impl BufRead, shared: &Shared, incarnation: u64) {
     let mut line = String::new();
-    while shared.lock().life == life && reader.read_line(&mut line).is_ok_and(|count| count > 0) {
+    while shared.lock().incarnation == incarnation
+        && reader.read_line(&mut line).is_ok_and(|count| count > 0)
+    {
         line.clear();
     }
 }
--- a/crates/fault-injection/tests/rules.rs
+++ b/crates/fault-injection/tests/rules.rs
@@ -3,44 +3,45 @@
 use std::time::Duration;
 
 use beaconflow_fault_injection::{
-    ClientDid, Did, Direction, Fault, Record, Row, Rule, Rules, ServerDid, What,
+    ClientEvent, Direction, EventKind, Fault, ListRow, ProcessEvent, Record, Rule, Rules,
+    ServerEvent,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn client(did: ClientDid) -> What {
-    What::Client {
+fn client(event: ClientEvent) -> EventKind {
+    EventKind::Client {
         client: "k".into(),
         id: "1".into(),
         process: "b0".into(),
-        did,
+        event,
     }
 }
 
-fn attempt(number: u64, server: &str, begun: Duration) -> What {
-    What::Attempt {
+fn attempt(number: u64, server: &str, started_at: Duration) -> EventKind {
+    EventKind::Attempt {
         number,
         balancer: "b0".into(),
         server: server.into(),
         id: "1".into(),
-        begun,
+        started_at,
     }
 }
 
-fn over(number: u64, how: &str) -> What {
-    What::AttemptOver {
+fn attempt_ended(number: u64, outcome: &str) -> EventKind {
+    EventKind::AttemptEnded {
         number,
-        how: how.into(),
+        outcome: outcome.into(),
     }
 }
 
-fn told(lifecycle: &str) -> What {
-    let row = Row {
+fn list_sent(lifecycle: &str) -> EventKind {
+    let row = ListRow {
         server: "s0".into(),
         lifecycle: lifecycle.into(),
         started_at_ms: 0,
     };
-    What::Told {
+    EventKind::EndpointListSent {
         balancer: "b0".into(),
         generation: 2,
         reset: false,
@@ -48,8 +49,8 @@
     }
 }
 
-fn link(fault: Fault) -> What {
-    What::Link {
+fn link(fault: Fault) -> EventKind {
+    EventKind::Link {
         link: "clients>b0".into(),
         near: "clients".into(),
         far: "b0".into(),
@@ -57,110 +58,145 @@
     }
 }
 
-fn process(did: Did) -> What {
-    What::Process {
+fn process(event: ProcessEvent) -> EventKind {
+    EventKind::Process {
         process: "b0".into(),
-        did,
+        event,
     }
 }
 
-fn server(did: ServerDid) -> What {
-    What::Server {
+fn server(event: ServerEvent) -> EventKind {
+    EventKind::Server {
         server: "s0".into(),
-        did,
+        event,
     }
 }
 
 /// The rules that a story breaks, which is told as moments in milliseconds.
-fn broken(story: &[(u64, What)]) -> Vec<Rule> {
+fn violated_rules(events: &[(u64, EventKind)]) -> Vec<Rule> {
     let record = Record::default();
     // Out of order, as logs come in.
-    for (at, what) in story.iter().rev() {
-        record.note_at(Duration::from_millis(*at), what.clone());
+    for (at, kind) in events.iter().rev() {
+        record.append_at(Duration::from_millis(*at), kind.clone());
     }
     Rules::default()
         .check(&record, 7)
-        .breaches
+        .violations
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.rule)
         .collect()
 }
 
 #[test]
-fn an_answer_has_to_come_once_and_in_time() {
-    let asked = || (0, client(ClientDid::Asked(2 * SECOND)));
-    let answer = |at| (at, client(ClientDid::Answered("BUSY 5".into())));
-    assert_eq!(broken(&[asked(), answer(2_540)]), []);
-    assert_eq!(broken(&[asked(), answer(2_560)]), [Rule::Answer]);
-    assert_eq!(broken(&[asked(), answer(10), answer(20)]), [Rule::Answer]);
+fn requires_one_timely_answer() {
+    let request_sent = || (0, client(ClientEvent::RequestSent(2 * SECOND)));
+    let answer = |at| (at, client(ClientEvent::Answered("BUSY 5".into())));
+    assert_eq!(violated_rules(&[request_sent(), answer(2_540)]), []);
     assert_eq!(
-        broken(&[asked(), (9, client(ClientDid::Ended(true)))]),
-        [Rule::Answer]
+        violated_rules(&[request_sent(), answer(2_560)]),
+        [Rule::TimelyAnswer]
     );
     assert_eq!(
-        broken(&[asked(), (4_000, client(ClientDid::Left))]),
-        [Rule::Answer]
+        violated_rules(&[request_sent(), answer(10), answer(20)]),
+        [Rule::TimelyAnswer]
     );
-    assert_eq!(broken(&[asked(), (1_000, client(ClientDid::Left))]), []);
     assert_eq!(
-        broken(&[asked(), (4_000, What::Step("and so on".into()))]),
-        [Rule::Answer]
+        violated_rules(&[request_sent(), (9, client(ClientEvent::Disconnected(true)))]),
+        [Rule::TimelyAnswer]
     );
-    let ended = (9, client(ClientDid::Ended(false)));
     assert_eq!(
-        broken(&[asked(), (5, process(Did::Killed)), ended.clone()]),
+        violated_rules(&[request_sent(), (4_000, client(ClientEvent::Closed))]),
+        [Rule::TimelyAnswer]
+    );
+    assert_eq!(
+        violated_rules(&[request_sent(), (1_000, client(ClientEvent::Closed))]),
+        []
+    );
+    assert_eq!(
+        violated_rules(&[request_sent(), (4_000, EventKind::Step("and so on".into()))]),
+        [Rule::TimelyAnswer]
+    );
+    let disconnected = (9, client(ClientEvent::Disconnected(false)));
+    assert_eq!(
+        violated_rules(&[
+            request_sent(),
+            (5, process(ProcessEvent::Killed)),
+            disconnected.clone()
+        ]),
         []
     );
     assert_eq!(
-        broken(&[
-            (0, link(Fault::Cut(Direction::Both))),
-            asked(),
-            ended.clone()
+        violated_rules(&[
+            (0, link(Fault::Partition(Direction::Both))),
+            request_sent(),
+            disconnected.clone()
         ]),
         []
     );
     let healed = [
         (0, link(Fault::Reset)),
-        (5_000, client(ClientDid::Asked(SECOND))),
+        (5_000, client(ClientEvent::RequestSent(SECOND))),
     ];
     assert_eq!(
-        broken(&[&healed[..], &[(5_001, ended.1)]].concat()),
-        [Rule::Answer]
+        violated_rules(&[&healed[..], &[(5_001, disconnected.1)]].concat()),
+        [Rule::TimelyAnswer]
     );
 }
 
 #[test]
-fn attempts_of_one_request_do_not_overlap() {
+fn rejects_overlapping_attempts_of_one_request() {
     let first = || (1, attempt(1, "s0", Duration::ZERO));
     let second = |at| (at, attempt(2, "s1", Duration::ZERO));
-    assert_eq!(broken(&[first(), (5, over(1, "BUSY")), second(6)]), []);
     assert_eq!(
-        broken(&[first(), second(6), (7, over(1, "BUSY"))]),
-        [Rule::Overlap]
+        violated_rules(&[first(), (5, attempt_ended(1, "BUSY")), second(6)]),
+        []
+    );
+    assert_eq!(
+        violated_rules(&[first(), second(6), (7, attempt_ended(1, "BUSY"))]),
+        [Rule::SingleAttempt]
     );
     assert_eq!(
-        broken(&[first(), (5, over(1, "UP s0.0.1")), second(6)]),
-        [Rule::Overlap]
+        violated_rules(&[first(), (5, attempt_ended(1, "UP s0.0.1")), second(6)]),
+        [Rule::SingleAttempt]
     );
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_after_the_grace() {
-    let send = |begun| (begun + 1, attempt(1, "s0", Duration::from_millis(begun)));
-    assert_eq!(broken(&[(0, told("DRAINING")), send(1_040)]), []);
-    assert_eq!(broken(&[(0, told("DRAINING")), send(1_060)]), [Rule::Drain]);
+fn rejects_sends_to_draining_server_after_grace() {
+    let send = |started_at| {
+        (
+            started_at + 1,
+            attempt(1, "s0", Duration::from_millis(started_at)),
+        )
+    };
+    assert_eq!(
+        violated_rules(&[(0, list_sent("DRAINING")), send(1_040)]),
+        []
+    );
+    assert_eq!(
+        violated_rules(&[(0, list_sent("DRAINING")), send(1_060)]),
+        [Rule::DrainGrace]
+    );
     assert_eq!(
-        broken(&[(0, told("DELETED")), (500, told("SERVING")), send(2_000)]),
+        violated_rules(&[
+            (0, list_sent("DELETED")),
+            (500, list_sent("SERVING")),
+            send(2_000)
+        ]),
         []
     );
     assert_eq!(
-        broken(&[(0, told("DRAINING")), (500, told("DRAINING")), send(1_100)]),
-        [Rule::Drain]
+        violated_rules(&[
+            (0, list_sent("DRAINING")),
+            (500, list_sent("DRAINING")),
+            send(1_100)
+        ]),
+        [Rule::DrainGrace]
     );
     assert_eq!(
-        broken(&[
-            (0, told("DRAINING")),
-            (9, process(Did::Started)),
+        violated_rules(&[
+            (0, list_sent("DRAINING")),
+            (9, process(ProcessEvent::Started)),
             send(2_000)
         ]),
         []
@@ -168,53 +204,84 @@
 }
 
 #[test]
-fn nobody_is_cut_off_or_kept_waiting_while_the_server_answers() {
-    let stands = || (0, client(ClientDid::Stands("s0".into())));
-    let ended = |at| (at, client(ClientDid::Ended(true)));
-    assert_eq!(broken(&[stands(), ended(100)]), [Rule::CutOff]);
+fn reports_disconnects_and_slow_lines_unless_excused() {
+    let established = || (0, client(ClientEvent::Established("s0".into())));
+    let disconnected = |at| (at, client(ClientEvent::Disconnected(true)));
     assert_eq!(
-        broken(&[stands(), (99, client(ClientDid::Moved)), ended(100)]),
+        violated_rules(&[established(), disconnected(100)]),
+        [Rule::MoveBeforeDisconnect]
+    );
+    assert_eq!(
+        violated_rules(&[
+            established(),
+            (99, client(ClientEvent::MoveReceived)),
+            disconnected(100)
+        ]),
         []
     );
     assert_eq!(
-        broken(&[stands(), (1, server(ServerDid::Killed)), ended(100)]),
+        violated_rules(&[
+            established(),
+            (1, server(ServerEvent::Killed)),
+            disconnected(100)
+        ]),
         []
     );
     let recovered = [
-        stands(),
-        (1, server(ServerDid::Hangs)),
-        (2, server(ServerDid::Recovers)),
-        ended(9_000),
+        established(),
+        (1, server(ServerEvent::Unresponsive)),
+        (2, server(ServerEvent::Recovered)),
+        disconnected(9_000),
     ];
-    assert_eq!(broken(&recovered), [Rule::CutOff]);
-    let late = |at| (at, client(ClientDid::Heard(2 * SECOND)));
-    assert_eq!(broken(&[stands(), late(9_000)]), [Rule::Line]);
+    assert_eq!(violated_rules(&recovered), [Rule::MoveBeforeDisconnect]);
+    let late = |at| (at, client(ClientEvent::LineAnswered(2 * SECOND)));
     assert_eq!(
-        broken(&[stands(), (7_500, server(ServerDid::Hangs)), late(9_000)]),
+        violated_rules(&[established(), late(9_000)]),
+        [Rule::LineLatency]
+    );
+    assert_eq!(
+        violated_rules(&[
+            established(),
+            (7_500, server(ServerEvent::Unresponsive)),
+            late(9_000)
+        ]),
         []
     );
     assert_eq!(
-        broken(&[stands(), (8_000, process(Did::Stopped)), late(9_000)]),
+        violated_rules(&[
+            established(),
+            (8_000, process(ProcessEvent::Paused)),
+            late(9_000)
+        ]),
         []
     );
 }
 
 #[test]
-fn a_tipped_server_and_a_crash_are_named() {
+fn reports_overloaded_cold_server_and_failed_process() {
+    assert_eq!(
+        violated_rules(&[(
+            1,
+            server(ServerEvent::Overloaded {
+                setups: 9,
+                limit: 8
+            })
+        )]),
+        [Rule::ColdServerLimit]
+    );
     assert_eq!(
-        broken(&[(1, server(ServerDid::Tipped { came: 9, bears: 8 }))]),
-        [Rule::Cold]
+        violated_rules(&[(1, process(ProcessEvent::Exited(false)))]),
+        [Rule::CleanExit]
     );
-    assert_eq!(broken(&[(1, process(Did::Ended(false)))]), [Rule::Crash]);
     let line = serde_json::json!({"message": "connection panicked"});
     assert_eq!(
-        broken(&[(
+        violated_rules(&[(
             1,
-            What::Log {
+            EventKind::Log {
                 process: "b0".into(),
                 line
             }
         )]),
-        [Rule::Crash]
+        [Rule::CleanExit]
     );
 }
