--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -237,8 +237,8 @@
                     return retry_after
                         .unwrap_or_else(|| self.jittered(Duration::from_millis(200)));
                 }
-                Reply::Closed(in_order) => {
-                    self.record_event(ClientEvent::Disconnected(in_order));
+                Reply::Closed(is_clean) => {
+                    self.record_event(ClientEvent::Disconnected(is_clean));
                     return retry_delay;
                 }
                 Reply::Timeout
@@ -314,8 +314,8 @@
                     }
                 }
                 Reply::Line(_) => {}
-                Reply::Closed(in_order) => {
-                    self.record_event(ClientEvent::Disconnected(in_order));
+                Reply::Closed(is_clean) => {
+                    self.record_event(ClientEvent::Disconnected(is_clean));
                     return reconnect_delay;
                 }
                 Reply::Timeout => {
--- a/crates/fault-injection/src/discovery.rs
+++ b/crates/fault-injection/src/discovery.rs
@@ -115,10 +115,10 @@
         }
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
-        let changed = change(&mut lock(&self.shared.0));
+    fn update<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
+        let result = update(&mut lock(&self.shared.0));
         self.shared.1.notify_all();
-        changed
+        result
     }
 
     /// Registers the source address of a balancer and the addresses at which it reaches the servers.
@@ -128,7 +128,7 @@
         from: IpAddr,
         addresses: &[(String, SocketAddr)],
     ) {
-        self.change(|state| {
+        self.update(|state| {
             state.balancers.insert(from, balancer.to_owned());
             for (server, address) in addresses {
                 state
@@ -140,7 +140,7 @@
 
     /// Adds or replaces a server; returns the new generation.
     pub fn upsert(&self, server: ListedServer) -> u64 {
-        self.change(|state| {
+        self.update(|state| {
             state.generation += 1;
             state
                 .rows
@@ -168,18 +168,18 @@
 
     /// The current list with the addresses that a balancer uses.
     pub fn snapshot(&self, balancer: &str) -> Value {
-        lock(&self.shared.0).changes(balancer, 0)
+        lock(&self.shared.0).list_since(balancer, 0)
     }
 
     /// Sets how lists are written from now on.
     pub fn set_list_format(&self, format: ListFormat) {
-        self.change(|state| state.format = format);
+        self.update(|state| state.format = format);
     }
 
     /// Loses its state: the rows remain, except deleted ones, but generations restart at 1 and all watches end.
     pub fn lose_state(&self) {
         self.record.append(EventKind::Discovery("lost its state"));
-        self.change(|state| {
+        self.update(|state| {
             state.incarnation += 1;
             state.generation = 1;
             state
@@ -196,7 +196,7 @@
     /// Goes down: watches end and requests are answered with status 503.
     pub fn go_down(&self) {
         self.record.append(EventKind::Discovery("went down"));
-        self.change(|state| {
+        self.update(|state| {
             state.down = true;
             state.end_watches();
         });
@@ -205,14 +205,14 @@
     /// Serves requests again.
     pub fn come_back(&self) {
         self.record.append(EventKind::Discovery("came back"));
-        self.change(|state| state.down = false);
+        self.update(|state| state.down = false);
     }
 
     /// Current watches stay open but send nothing more.
     pub fn silence_watches(&self) {
         self.record
             .append(EventKind::Discovery("stopped sending on open watches"));
-        self.change(|state| state.silenced_before = state.watches + 1);
+        self.update(|state| state.silenced_before = state.watches + 1);
     }
 }
 
@@ -223,7 +223,7 @@
         }
     }
 
-    fn changes(&self, balancer: &str, since: u64) -> Value {
+    fn list_since(&self, balancer: &str, since: u64) -> Value {
         let is_full = since == 0 || since > self.generation;
         let rows = self.rows.values().filter(|(version, row)| {
             if is_full {
@@ -281,7 +281,7 @@
     }
     let target = request_line.split(' ').nth(1).unwrap_or_default();
     let Some(from_generation) = target.strip_prefix("/api/targets?watch=1&from=") else {
-        let list = guard.changes(&balancer, 0).to_string();
+        let list = guard.list_since(&balancer, 0).to_string();
         drop(guard);
         let _ = write!(
             stream,
@@ -301,7 +301,10 @@
     let mut is_first = true;
     loop {
         if is_first || guard.generation != since {
-            output.extend(encode_list(&guard.changes(&balancer, since), guard.format));
+            output.extend(encode_list(
+                &guard.list_since(&balancer, since),
+                guard.format,
+            ));
             (since, is_first) = (guard.generation, false);
         } else if output.is_empty() {
             output = http_chunk(b"\n");
--- a/crates/fault-injection/src/fleet/balancer.rs
+++ b/crates/fault-injection/src/fleet/balancer.rs
@@ -129,7 +129,7 @@
                 (version.serial, self.config.server_profile.setups_per_s),
             )
         });
-        let operator = self.config.operator.replace("{name}", name);
+        let operator = self.config.operator_config.replace("{name}", name);
         let operator = operator
             + &options::admin_section(balancer.admin.address)
             + &sections.unwrap_or_default();
--- a/crates/fault-injection/src/fleet/config.rs
+++ b/crates/fault-injection/src/fleet/config.rs
@@ -22,7 +22,7 @@
     /// The capacity of each server; the slow start rules in the settings are derived from it.
     pub server_profile: ServerProfile,
     /// The operator's file of each process; `{disk}` stands for its directory and `{name}` for its name.
-    pub operator: String,
+    pub operator_config: String,
     /// The mechanisms that the processes share; without them, they do not form a fleet.
     pub options: Option<FleetOptions>,
     /// Whether the platform's configuration includes the endpoint list. Otherwise a starting process has only what its
@@ -50,7 +50,7 @@
             balancers: 5,
             servers: 6,
             server_profile: ServerProfile::default(),
-            operator: String::new(),
+            operator_config: String::new(),
             options: None,
             is_list_preloaded: true,
             removal_delay: Duration::from_millis(2_500),
--- a/crates/fault-injection/src/net/relay.rs
+++ b/crates/fault-injection/src/net/relay.rs
@@ -100,14 +100,14 @@
 
     fn wait(&mut self, events: &mut Events) {
         // Rounding up prevents a busy loop over polls that return just before a timer is due.
-        let left = self.timers.time_to_next().map(|left| {
-            if left.is_zero() {
-                left
+        let timeout = self.timers.time_to_next().map(|timeout| {
+            if timeout.is_zero() {
+                timeout
             } else {
-                left + POLL_ROUNDING
+                timeout + POLL_ROUNDING
             }
         });
-        match self.poll.poll(events, left) {
+        match self.poll.poll(events, timeout) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => {
                 panic!("polling sockets failed: {error}")
             }
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -286,7 +286,7 @@
         timeout: Duration,
         mut condition: impl FnMut(&[Event]) -> Option<T>,
     ) -> Option<T> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let (mut seen_len, mut events) = (usize::MAX, self.events());
         loop {
             if events.len() != seen_len {
@@ -295,19 +295,19 @@
                     return Some(result);
                 }
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return None;
             }
             drop(events);
             // The lock is released during the sleep so that other threads can append events.
-            std::thread::sleep(POLL_INTERVAL.min(left));
+            std::thread::sleep(POLL_INTERVAL.min(remaining));
             events = self.events();
             if events.len() == seen_len {
                 let waited = self
                     .0
                     .changed
-                    .wait_timeout(events, left)
+                    .wait_timeout(events, remaining)
                     .unwrap_or_else(PoisonError::into_inner);
                 events = waited.0;
             }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -366,8 +366,8 @@
     if reader.read_line(&mut line).unwrap_or(0) == 0 || !line.ends_with("\r\n") {
         return;
     }
-    let words: Vec<&str> = line.trim_end().split(' ').collect();
-    let ["OPEN", _, key, _] = words[..] else {
+    let fields: Vec<&str> = line.trim_end().split(' ').collect();
+    let ["OPEN", _, key, _] = fields[..] else {
         let _ = stream.write_all(b"SYNTAX\r\n");
         return;
     };
--- a/crates/fault-injection/tests/links.rs
+++ b/crates/fault-injection/tests/links.rs
@@ -208,8 +208,12 @@
     let net = Net::start(&record, 5);
     let [a, b] =
         [(), ()].map(|()| UdpSocket::bind(listen_address()).expect("bind a loopback socket"));
-    let at = |socket: &UdpSocket| socket.local_addr().expect("a bound socket has an address");
-    let (address_of_a, address_of_b) = (net.add_peer("a", at(&a)), net.add_peer("b", at(&b)));
+    let local_address =
+        |socket: &UdpSocket| socket.local_addr().expect("a bound socket has an address");
+    let (address_of_a, address_of_b) = (
+        net.add_peer("a", local_address(&a)),
+        net.add_peer("b", local_address(&b)),
+    );
     let receive = |socket: &UdpSocket, within: Duration| {
         socket
             .set_read_timeout(Some(within))
