--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -1,128 +1,132 @@
-//! What can be done to a link, and seeded scripts of it.
+//! Faults of links, and scripts of faults that are written by hand or generated from a seed.
 
 use std::time::Duration;
 
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-/// Which way of a link. `There` is from who connects to who is reached.
+/// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From near to far.
-    There,
-    /// From far to near.
-    Back,
-    /// Both.
+    /// From the near side, which connects, to the far side.
+    Forward,
+    /// From the far side to the near side.
+    Reverse,
+    /// Both directions.
     Both,
 }
 
 impl Direction {
-    /// Whether it covers a direction: 0 is there, 1 is back.
+    /// Whether it includes a direction by index: 0 is forward, 1 is reverse.
     pub fn covers(self, direction: usize) -> bool {
         matches!(
             (self, direction),
-            (Direction::Both, _) | (Direction::There, 0) | (Direction::Back, 1)
+            (Direction::Both, _) | (Direction::Forward, 0) | (Direction::Reverse, 1)
         )
     }
 }
 
-/// What is done to a link. All of it lasts until the link is healed, but for `Reset`, which is over at once.
+/// A fault of a link. Every fault lasts until the link is healed, except `Reset`, which is momentary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// What comes is passed on later: by a time, and by chance up to as much again. Order is kept on connections only.
+    /// Data is forwarded after a random delay between the given time and twice that. Only connections keep their order.
     Delay(Direction, Duration),
-    /// So many bytes more are passed on, then nothing, so that a message stops in its middle. Connections stay open.
+    /// Forwards this many more bytes and then nothing, which can cut a message off in its middle. Connections stay
+    /// open.
     Stall(Direction, usize),
-    /// What comes is passed on in pieces of so many bytes, one each time.
-    Dribble(Direction, usize, Duration),
-    /// A share of datagrams is lost.
-    Lose(Direction, f64),
-    /// A share of datagrams arrives twice.
-    Double(Direction, f64),
-    /// Cut in silence: connections stay open and silent, new ones never come up, datagrams are lost.
-    Cut(Direction),
-    /// All connections are reset; new ones come up.
+    /// Forwards data in pieces of at most this many bytes, one piece per interval.
+    Throttle(Direction, usize, Duration),
+    /// Drops this share of datagrams.
+    Drop(Direction, f64),
+    /// Delivers this share of datagrams twice.
+    Duplicate(Direction, f64),
+    /// Forwards nothing: connections stay open without traffic, new ones time out, datagrams are lost.
+    Partition(Direction),
+    /// Resets all connections; new ones succeed.
     Reset,
-    /// All connections are reset, and new ones are refused, as where the process at the far end has died.
+    /// Resets all connections and refuses new ones, as if the process on the far side had died.
     Refuse,
-    /// Whole again. What was held back on open connections arrives now.
+    /// Ends all faults. Data that was held back on open connections is delivered.
     Heal,
-    /// Whole again, with all connections from before reset, as where a machine has come back.
+    /// Ends all faults and resets all connections, as if a machine had restarted.
     HealWithReset,
 }
 
 impl Fault {
-    /// The same, seen from the other side.
+    /// The same fault with its direction reversed.
     #[must_use]
-    pub fn turned(self) -> Fault {
-        let turned = |way| match way {
-            Direction::There => Direction::Back,
-            Direction::Back => Direction::There,
+    pub fn reversed(self) -> Fault {
+        let reversed = |direction| match direction {
+            Direction::Forward => Direction::Reverse,
+            Direction::Reverse => Direction::Forward,
             Direction::Both => Direction::Both,
         };
         match self {
-            Fault::Delay(way, time) => Fault::Delay(turned(way), time),
-            Fault::Stall(way, bytes) => Fault::Stall(turned(way), bytes),
-            Fault::Dribble(way, bytes, time) => Fault::Dribble(turned(way), bytes, time),
-            Fault::Lose(way, share) => Fault::Lose(turned(way), share),
-            Fault::Double(way, share) => Fault::Double(turned(way), share),
-            Fault::Cut(way) => Fault::Cut(turned(way)),
+            Fault::Delay(direction, time) => Fault::Delay(reversed(direction), time),
+            Fault::Stall(direction, bytes) => Fault::Stall(reversed(direction), bytes),
+            Fault::Throttle(direction, bytes, time) => {
+                Fault::Throttle(reversed(direction), bytes, time)
+            }
+            Fault::Drop(direction, rate) => Fault::Drop(reversed(direction), rate),
+            Fault::Duplicate(direction, rate) => Fault::Duplicate(reversed(direction), rate),
+            Fault::Partition(direction) => Fault::Partition(reversed(direction)),
             Fault::Reset | Fault::Refuse | Fault::Heal | Fault::HealWithReset => self,
         }
     }
 }
 
-/// One line of a script: after how long, which links, and what is done to them.
+/// One entry of a script.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// Since the script began.
+pub struct ScriptedFault {
+    /// Time since the start of the script.
     pub after: Duration,
-    /// The link's name.
+    /// The name of the link.
     pub link: String,
-    /// What is done.
+    /// The fault to apply.
     pub fault: Fault,
 }
 
-/// A script of faults, in order of time.
+/// A script of faults, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Script(pub Vec<Line>);
+pub struct Script(pub Vec<ScriptedFault>);
 
 impl Script {
-    /// Adds a line.
+    /// Adds a fault and keeps the script sorted by time.
     #[must_use]
     pub fn then(mut self, after: Duration, link: &str, fault: Fault) -> Script {
-        self.0.push(Line {
+        self.0.push(ScriptedFault {
             after,
             link: link.to_owned(),
             fault,
         });
-        self.0.sort_by_key(|line| line.after);
+        self.0.sort_by_key(|step| step.after);
         self
     }
 
-    /// So many troubles over a span, each on one link and each healed within a quarter of it. The same seed gives the
-    /// same script.
-    pub fn seeded(seed: u64, links: &[String], troubles: usize, span: Duration) -> Script {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    /// Generates a number of faults over a time span, each on one link and healed within a quarter of the span. The
+    /// same seed gives the same script.
+    pub fn seeded(seed: u64, links: &[String], faults: usize, span: Duration) -> Script {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut script = Script::default();
-        for _ in 0..troubles {
-            let link = &links[chance.random_range(0..links.len())];
-            let begins = span.mul_f64(chance.random_range(0.0..0.75));
-            let lasts = span.mul_f64(chance.random_range(0.02..0.25));
-            let way =
-                [Direction::There, Direction::Back, Direction::Both][chance.random_range(0..3)];
-            let fault = match chance.random_range(0..6) {
-                0 => Fault::Delay(way, Duration::from_millis(chance.random_range(1..200))),
-                1 => Fault::Stall(way, chance.random_range(0..200)),
-                2 => Fault::Dribble(way, chance.random_range(1..20), Duration::from_millis(5)),
-                3 => Fault::Cut(way),
-                4 => Fault::Lose(way, chance.random_range(0.01..0.5)),
+        for _ in 0..faults {
+            let link = &links[rng.random_range(0..links.len())];
+            let starts_after = span.mul_f64(rng.random_range(0.0..0.75));
+            let duration = span.mul_f64(rng.random_range(0.02..0.25));
+            let direction =
+                [Direction::Forward, Direction::Reverse, Direction::Both][rng.random_range(0..3)];
+            let fault = match rng.random_range(0..6) {
+                0 => Fault::Delay(direction, Duration::from_millis(rng.random_range(1..200))),
+                1 => Fault::Stall(direction, rng.random_range(0..200)),
+                2 => Fault::Throttle(direction, rng.random_range(1..20), Duration::from_millis(5)),
+                3 => Fault::Partition(direction),
+                4 => Fault::Drop(direction, rng.random_range(0.01..0.5)),
                 _ => Fault::Reset,
             };
-            let heals = [Fault::Heal, Fault::HealWithReset][chance.random_range(0..2)];
-            script = script
-                .then(begins, link, fault)
-                .then(begins + lasts, link, heals);
+            let heal = [Fault::Heal, Fault::HealWithReset][rng.random_range(0..2)];
+            script =
+                script
+                    .then(starts_after, link, fault)
+                    .then(starts_after + duration, link, heal);
         }
         script
     }
--- a/crates/fault-injection/src/net/connections.rs
+++ b/crates/fault-injection/src/net/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of a link: where they come in, and what is carried on to the far side.
+//! Accepts the connections of a link and forwards them to the far side.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -15,34 +15,35 @@
 use crate::address::ReservedAddress;
 use crate::flow::{Connection, Impairment, Observation, Progress};
 
-/// Connections that a listener holds before they are taken.
+/// Length of the accept queue of a link.
 pub(super) const BACKLOG: i32 = 1024;
 
-/// Where a link's connections come in, and where they lead.
-pub(super) struct Listening {
-    /// The link's address, which stays its own while nothing listens there.
+/// The listening side of a link and its target.
+pub(super) struct LinkListener {
+    /// The link's address, reserved while nothing listens there.
     pub(super) reservation: Arc<ReservedAddress>,
-    /// Nothing where new connections are refused.
+    /// Absent while new connections are refused.
     pub(super) listener: Option<TcpListener>,
     target: SocketAddr,
     source: Option<IpAddr>,
     make_observer: Option<MakeObserver>,
-    /// Sockets that fill the listener's queue, so that nothing comes up.
+    /// Sockets that fill the listener's accept queue so that no new connection is established.
     pub(super) backlog_fillers: Vec<Socket>,
-    /// Such sockets that are gone and may stand in the queue yet.
-    pub(super) late_fillers: Vec<SocketAddr>,
+    /// Addresses of closed fillers that may still be in the accept queue.
+    pub(super) closed_fillers: Vec<SocketAddr>,
 }
 
-impl Listening {
-    /// The next connection that has come in, by both its sides; nothing where none is to be taken now.
+impl LinkListener {
+    /// The next incoming connection and its connection to the far side; `None` if there is none or the link is
+    /// partitioned.
     fn next(&mut self) -> Option<(TcpStream, io::Result<TcpStream>)> {
         if !self.backlog_fillers.is_empty() {
             return None;
         }
         loop {
             let (near, from) = self.listener.as_ref()?.accept().ok()?;
-            if self.late_fillers.contains(&from) {
-                self.late_fillers.retain(|filler| *filler != from);
+            if self.closed_fillers.contains(&from) {
+                self.closed_fillers.retain(|filler| *filler != from);
                 continue;
             }
             return Some((near, connect(self.target, self.source)));
@@ -50,15 +51,15 @@
     }
 }
 
-/// A connection on a link.
-pub(super) struct Carried {
+/// A connection that the relay forwards.
+pub(super) struct ForwardedConnection {
     link: String,
     connection: Connection,
     observer: Option<Box<dyn LinkObserver>>,
     tokens: Vec<usize>,
 }
 
-impl Carried {
+impl ForwardedConnection {
     fn observe(&mut self, observation: Observation<'_>) {
         self.observer
             .iter_mut()
@@ -67,7 +68,7 @@
 }
 
 impl Relay {
-    /// Adds a link for connections; gives its address.
+    /// Adds a link for connections; returns its address.
     pub(super) fn add_link(&mut self, link: Link) -> SocketAddr {
         let Link {
             name,
@@ -78,16 +79,16 @@
             make_observer,
         } = link;
         let reservation = Arc::new(ReservedAddress::default());
-        let (listener, at) = (self.listen(&name, &reservation), reservation.at);
+        let (listener, at) = (self.listen(&name, &reservation), reservation.address);
         let listener = Some(listener);
-        let listening = Listening {
+        let link_listener = LinkListener {
             reservation,
             listener,
             target,
             source,
             make_observer,
             backlog_fillers: Vec::new(),
-            late_fillers: Vec::new(),
+            closed_fillers: Vec::new(),
         };
         let impairments = Default::default();
         self.links.insert(
@@ -96,18 +97,20 @@
                 near,
                 far,
                 impairments,
-                listening: Some(listening),
+                listener: Some(link_listener),
             },
         );
         at
     }
 
-    /// Has new connections of a link taken.
-    pub(super) fn listen(&mut self, name: &str, kept: &ReservedAddress) -> TcpListener {
-        let listener = kept.listen(BACKLOG);
-        listener.set_nonblocking(true).expect("open");
+    /// Starts to accept new connections of a link.
+    pub(super) fn listen(&mut self, name: &str, reservation: &ReservedAddress) -> TcpListener {
+        let listener = reservation.listen(BACKLOG);
+        listener
+            .set_nonblocking(true)
+            .expect("make the listener nonblocking");
         let mut listener = TcpListener::from_std(listener);
-        self.own(
+        self.register(
             &mut listener,
             Owner::Listener(name.to_owned()),
             Interest::READABLE,
@@ -115,43 +118,43 @@
         listener
     }
 
-    /// Where a link's connections come in, if it is for connections.
-    pub(super) fn listening(&mut self, name: &str) -> Option<&mut Listening> {
-        self.links.get_mut(name)?.listening.as_mut()
+    /// The listener of a link; `None` for a link between datagram peers.
+    pub(super) fn link_listener(&mut self, name: &str) -> Option<&mut LinkListener> {
+        self.links.get_mut(name)?.listener.as_mut()
     }
 
-    /// Takes all connections that have come in at a link.
+    /// Accepts all pending connections of a link.
     pub(super) fn accept(&mut self, name: &str) {
-        while let Some(listening) = self.listening(name) {
-            let Some((near, far)) = listening.next() else {
+        while let Some(link_listener) = self.link_listener(name) {
+            let Some((near, far)) = link_listener.next() else {
                 return;
             };
-            let observer = listening.make_observer.as_ref().map(|make| make());
+            let observer = link_listener.make_observer.as_ref().map(|make| make());
             match far {
-                Ok(far) => self.carry(name, Connection::new(near, far), observer),
-                // Dropped with its linger at zero, it is reset.
+                Ok(far) => self.add_connection(name, Connection::new(near, far), observer),
+                // Closing a socket with a linger time of zero resets the connection.
                 Err(_) => drop(SockRef::from(&near).set_linger(Some(Duration::ZERO))),
             }
         }
     }
 
-    fn carry(
+    fn add_connection(
         &mut self,
         link: &str,
         mut connection: Connection,
         observer: Option<Box<dyn LinkObserver>>,
     ) {
-        let number = self.number();
+        let number = self.next_number();
         let mut tokens = Vec::new();
         for stream in &mut connection.streams {
             let _ = stream.set_nodelay(true);
             let both = Interest::READABLE | Interest::WRITABLE;
-            tokens.push(self.own(stream, Owner::Connection(number), both));
+            tokens.push(self.register(stream, Owner::Connection(number), both));
         }
-        // What it brings is taken in at the next look, which tells what ended before it began.
+        // Its data is read at the next poll, whose event order shows which connections closed before this one opened.
         self.connections.insert(
             number,
-            Carried {
+            ForwardedConnection {
                 link: link.to_owned(),
                 connection,
                 observer,
@@ -162,7 +165,7 @@
 
     /// Forwards what a connection can forward now.
     pub(super) fn pump(&mut self, number: usize) {
-        let Some(Carried {
+        let Some(ForwardedConnection {
             link,
             connection,
             observer,
@@ -174,61 +177,63 @@
         let Some(state) = self.links.get_mut(link) else {
             return;
         };
-        let chance = &mut self.rng;
-        let mut delay = |impairment: &Impairment| random_duration(chance, impairment.delay);
+        let rng = &mut self.rng;
+        let mut delay = |impairment: &Impairment| random_duration(rng, impairment.delay);
         let mut observe = |observation: Observation<'_>| {
             observer
                 .iter_mut()
                 .for_each(|observer| observer.observe(observation));
         };
         match connection.pump(&mut state.impairments, &mut delay, &mut observe) {
-            Progress::Over => self.forget(number),
-            Progress::Wait(Some(at)) => self.timers.enter(at, TimerKind::Pump(number)),
+            Progress::Done => self.remove_connection(number),
+            Progress::Wait(Some(at)) => self.timers.schedule(at, TimerKind::Pump(number)),
             Progress::Wait(None) => {}
         }
     }
 
-    fn forget(&mut self, number: usize) {
-        let Some(carried) = self.connections.remove(&number) else {
+    fn remove_connection(&mut self, number: usize) {
+        let Some(forwarded) = self.connections.remove(&number) else {
             return;
         };
-        carried
+        forwarded
             .tokens
             .into_iter()
-            .for_each(|token| self.disown(token));
+            .for_each(|token| self.deregister(token));
     }
 
-    /// The connections of a link.
+    /// The numbers of the connections of a link.
     fn connections_of(&self, link: &str) -> Vec<usize> {
-        let of = self
+        let numbers = self
             .connections
             .iter()
-            .filter(|(_, carried)| carried.link == link);
-        of.map(|(number, _)| *number).collect()
+            .filter(|(_, forwarded)| forwarded.link == link);
+        numbers.map(|(number, _)| *number).collect()
     }
 
-    /// Forwards what a link's connections can forward now.
+    /// Forwards what all connections of a link can forward now.
     pub(super) fn pump_all(&mut self, link: &str) {
         self.connections_of(link)
             .into_iter()
             .for_each(|number| self.pump(number));
     }
 
-    /// Resets a link's connections.
+    /// Resets all connections of a link.
     pub(super) fn reset_all(&mut self, link: &str) {
         let numbers = self.connections_of(link);
         for number in &numbers {
-            let Some(carried) = self.connections.get_mut(number) else {
+            let Some(forwarded) = self.connections.get_mut(number) else {
                 continue;
             };
-            carried.connection.reset();
-            carried.observe(Observation::FarEnded);
+            forwarded.connection.reset();
+            forwarded.observe(Observation::FarClosed);
         }
-        numbers.into_iter().for_each(|number| self.forget(number));
+        numbers
+            .into_iter()
+            .for_each(|number| self.remove_connection(number));
     }
 }
 
-/// A connection to the far side, on its way.
+/// Starts a nonblocking connection to the far side.
 fn connect(target: SocketAddr, source: Option<IpAddr>) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
--- a/crates/fault-injection/src/net/datagrams.rs
+++ b/crates/fault-injection/src/net/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between parties. Each party has a socket here, by which all others know it.
+//! Forwards datagrams between peers. The relay has one socket per peer, whose address all other peers use for it.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -12,28 +12,29 @@
 use crate::address;
 use crate::flow::Impairment;
 
-/// Longest datagram, in bytes.
-const LONGEST_DATAGRAM: usize = 65_536;
+/// Size of the receive buffer; no datagram is longer.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Somebody who sends datagrams and hears them.
-pub(super) struct Party {
-    /// Where the others send to, and what they hear comes from.
+/// A peer that sends and receives datagrams.
+pub(super) struct Peer {
+    /// The socket that other peers send to and receive from.
     socket: UdpSocket,
-    /// Where it is itself.
-    at: SocketAddr,
+    /// The address of the peer itself.
+    address: SocketAddr,
 }
 
 impl Relay {
-    /// Adds a party, and its links with those that are there.
-    pub(super) fn add_party(&mut self, name: &str, at: SocketAddr) -> SocketAddr {
-        let mut socket = UdpSocket::bind(address::listening()).expect("loopback");
-        let known = socket.local_addr().expect("bound");
-        self.own(
+    /// Adds a peer and its links with the existing peers.
+    pub(super) fn add_peer(&mut self, name: &str, address: SocketAddr) -> SocketAddr {
+        let mut socket =
+            UdpSocket::bind(address::listen_address()).expect("bind a loopback socket");
+        let public_address = socket.local_addr().expect("a bound socket has an address");
+        self.register(
             &mut socket,
             Owner::Datagrams(name.to_owned()),
             Interest::READABLE,
         );
-        for near in self.parties.keys() {
+        for near in self.peers.keys() {
             let (link, near, far) = (format!("{near}~{name}"), near.clone(), name.to_owned());
             self.links.insert(
                 link,
@@ -41,70 +42,71 @@
                     near,
                     far,
                     impairments: Default::default(),
-                    listening: None,
+                    listener: None,
                 },
             );
         }
-        self.parties.insert(name.to_owned(), Party { socket, at });
-        known
+        self.peers.insert(name.to_owned(), Peer { socket, address });
+        public_address
     }
 
-    /// Takes in what was sent to a party. What comes from a stranger is nobody's to break, and passes.
+    /// Receives the datagrams sent to a peer. Datagrams from an unknown sender belong to no link and pass without
+    /// faults.
     pub(super) fn receive(&mut self, to: &str) {
-        let mut buffer = vec![0; LONGEST_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let Some(party) = self.parties.get(to) else {
+            let Some(peer) = self.peers.get(to) else {
                 return;
             };
-            let Ok((count, from)) = party.socket.recv_from(&mut buffer) else {
+            let Ok((count, from)) = peer.socket.recv_from(&mut buffer) else {
                 return;
             };
-            let known = self
-                .parties
+            let sender = self
+                .peers
                 .iter()
-                .find(|(_, party)| party.at == from)
+                .find(|(_, peer)| peer.address == from)
                 .map(|(name, _)| name);
-            let from = known.cloned().unwrap_or_default();
-            self.send_on(&from, to, &buffer[..count]);
+            let from = sender.cloned().unwrap_or_default();
+            self.schedule_delivery(&from, to, &buffer[..count]);
         }
     }
 
-    /// Has a datagram arrive later, once, twice or not at all, as its way is.
-    fn send_on(&mut self, from: &str, to: &str, bytes: &[u8]) {
+    /// Schedules the delivery of a datagram once or twice, or drops it, by the impairment of its link.
+    fn schedule_delivery(&mut self, from: &str, to: &str, bytes: &[u8]) {
         let impairment = self.impairment(from, to);
-        if impairment.cut || self.rng.random_bool(impairment.lose) {
+        if impairment.partitioned || self.rng.random_bool(impairment.drop_rate) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(impairment.double));
+        let copies = 1 + usize::from(self.rng.random_bool(impairment.duplicate_rate));
         for _ in 0..copies {
             let due = Instant::now() + random_duration(&mut self.rng, impairment.delay);
-            self.timers.enter(
+            self.timers.schedule(
                 due,
                 TimerKind::Deliver(from.to_owned(), to.to_owned(), bytes.to_vec()),
             );
         }
     }
 
-    /// What is wrong with the way from one party to another.
+    /// The impairment from one peer to another.
     fn impairment(&self, from: &str, to: &str) -> Impairment {
-        let there = self
+        let forward = self
             .links
             .get(&format!("{from}~{to}"))
             .map(|link| link.impairments[0]);
-        let back = || {
+        let reverse = || {
             self.links
                 .get(&format!("{to}~{from}"))
                 .map(|link| link.impairments[1])
         };
-        there.or_else(back).unwrap_or_default()
+        forward.or_else(reverse).unwrap_or_default()
     }
 
-    /// Gives a datagram to its party. One that finds nobody is lost.
+    /// Delivers a datagram to its peer. A send error loses the datagram.
     pub(super) fn deliver(&mut self, from: &str, to: &str, bytes: &[u8]) {
-        let Some(party) = self.parties.get(to) else {
+        let Some(peer) = self.peers.get(to) else {
             return;
         };
-        let by = self.parties.get(from).unwrap_or(party);
-        let _ = by.socket.send_to(bytes, party.at);
+        let sender = self.peers.get(from).unwrap_or(peer);
+        let _ = sender.socket.send_to(bytes, peer.address);
     }
 }
--- a/crates/fault-injection/src/net/relay.rs
+++ b/crates/fault-injection/src/net/relay.rs
@@ -1,4 +1,4 @@
-//! The relay's thread: it waits for sockets, orders and timers, and hands each event to whoever owns it.
+//! The relay thread: polls sockets, commands and timers, and dispatches each event to its owner.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,87 +10,87 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use super::connections::{Carried, Listening};
-use super::datagrams::Party;
+use super::connections::{ForwardedConnection, LinkListener};
+use super::datagrams::Peer;
 use super::timers::{TimerKind, Timers};
 use crate::fault::Script;
 use crate::flow::Impairment;
 use crate::record::Record;
 
 const WAKER: Token = Token(0);
-/// Events that are taken from the system at once.
-const EVENTS_AT_ONCE: usize = 512;
-/// The wait counts whole milliseconds; it is rounded up by this.
-const ROUNDING: Duration = Duration::from_millis(1);
+/// Maximum number of events per poll.
+const MAX_EVENTS_PER_POLL: usize = 512;
+/// Added to a poll timeout, which is truncated to whole milliseconds.
+const POLL_ROUNDING: Duration = Duration::from_millis(1);
 
-/// Something that the thread is asked to do.
-pub(super) type Order = Box<dyn FnOnce(&mut Relay) + Send>;
+/// A command for the relay thread.
+pub(super) type Command = Box<dyn FnOnce(&mut Relay) + Send>;
 
-/// A link as the relay has it.
+/// The state of a link.
 pub(super) struct LinkState {
     pub(super) near: String,
     pub(super) far: String,
-    /// What is wrong with each direction: there, and back.
+    /// The impairment of each direction: forward, reverse.
     pub(super) impairments: [Impairment; 2],
-    /// Where its connections come in. A link for datagrams has none: its parties have a socket each.
-    pub(super) listening: Option<Listening>,
+    /// The listener of its connections. A link for datagrams has none: each of its peers has a socket.
+    pub(super) listener: Option<LinkListener>,
 }
 
-/// Whose events a token stands for.
+/// The owner of the events of a token.
 #[derive(Clone)]
 pub(super) enum Owner {
-    /// A link's listener.
+    /// The listener of a link.
     Listener(String),
     /// A connection, by its number.
     Connection(usize),
-    /// A party's datagrams.
+    /// The datagram socket of a peer.
     Datagrams(String),
 }
 
-/// Everything that the thread has.
+/// The state of the relay thread.
 pub(super) struct Relay {
     poll: Poll,
     pub(super) record: Record,
     pub(super) rng: Pcg64Mcg,
     pub(super) links: BTreeMap<String, LinkState>,
-    pub(super) parties: BTreeMap<String, Party>,
-    pub(super) connections: BTreeMap<usize, Carried>,
+    pub(super) peers: BTreeMap<String, Peer>,
+    pub(super) connections: BTreeMap<usize, ForwardedConnection>,
     owners: BTreeMap<usize, Owner>,
     pub(super) timers: Timers,
-    /// Tokens and connections are numbered on from here.
-    numbered: usize,
+    /// The last number given to a token or a connection.
+    last_number: usize,
 }
 
 impl Relay {
-    /// A relay without links, and what wakes its thread.
+    /// A relay without links, and the waker of its thread.
     pub(super) fn new(record: Record, seed: u64) -> (Relay, Waker) {
-        let poll = Poll::new().expect("epoll");
-        let waker = Waker::new(poll.registry(), WAKER).expect("an eventfd");
+        let poll = Poll::new().expect("create an epoll instance");
+        let waker = Waker::new(poll.registry(), WAKER).expect("create an eventfd");
         let relay = Relay {
             poll,
             record,
             rng: Pcg64Mcg::seed_from_u64(seed),
             links: BTreeMap::new(),
-            parties: BTreeMap::new(),
+            peers: BTreeMap::new(),
             connections: BTreeMap::new(),
             owners: BTreeMap::new(),
             timers: Timers::default(),
-            numbered: WAKER.0,
+            last_number: WAKER.0,
         };
         (relay, waker)
     }
 
-    /// Runs until an order without content comes.
-    pub(super) fn run(&mut self, orders: &Receiver<Option<Order>>) {
-        let mut events = Events::with_capacity(EVENTS_AT_ONCE);
+    /// Runs until it receives `None` as a command.
+    pub(super) fn run(&mut self, commands: &Receiver<Option<Command>>) {
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         loop {
             self.wait(&mut events);
             for owner in self.owners_of(&events) {
                 self.handle(&owner);
             }
-            while let Ok(order) = orders.try_recv() {
-                let Some(order) = order else { return };
-                order(self);
+            while let Ok(command) = commands.try_recv() {
+                let Some(command) = command else { return };
+                command(self);
             }
             while let Some(due) = self.timers.take_expired() {
                 self.run_timer(due);
@@ -99,22 +99,24 @@
     }
 
     fn wait(&mut self, events: &mut Events) {
-        // Guards against a wait that is cut short and would spin.
-        let left = self.timers.wait().map(|left| {
-            if left.is_zero() {
-                left
+        // Rounding up prevents a busy loop over polls that return just before a timer is due.
+        let timeout = self.timers.time_to_next().map(|timeout| {
+            if timeout.is_zero() {
+                timeout
             } else {
-                left + ROUNDING
+                timeout + POLL_ROUNDING
             }
         });
-        match self.poll.poll(events, left) {
-            Err(error) if error.kind() != io::ErrorKind::Interrupted => panic!("epoll: {error}"),
+        match self.poll.poll(events, timeout) {
+            Err(error) if error.kind() != io::ErrorKind::Interrupted => {
+                panic!("polling sockets failed: {error}")
+            }
             _ => {}
         }
     }
 
-    /// Whose events came. Ends go first. Guards against a connection that was ended before another was begun, and
-    /// seems to outlast it.
+    /// The owners of the events, closed connections first. Otherwise a connection that closed before another opened
+    /// would be observed to outlast it.
     fn owners_of(&self, events: &Events) -> Vec<Owner> {
         let mut all: Vec<&Event> = events.iter().collect();
         all.sort_by_key(|event| !(event.is_read_closed() || event.is_error()));
@@ -127,66 +129,66 @@
         match owner {
             Owner::Listener(link) => self.accept(link),
             Owner::Connection(number) => self.pump(*number),
-            Owner::Datagrams(party) => self.receive(party),
+            Owner::Datagrams(peer) => self.receive(peer),
         }
     }
 
-    fn run_timer(&mut self, due: TimerKind) {
-        match due {
+    fn run_timer(&mut self, kind: TimerKind) {
+        match kind {
             TimerKind::Pump(number) => self.pump(number),
             TimerKind::Deliver(from, to, bytes) => self.deliver(&from, &to, &bytes),
             TimerKind::Play(link, fault) => self.apply(&link, fault),
         }
     }
 
-    /// Enters the lines of a script, which begins now.
+    /// Schedules the faults of a script that starts now.
     pub(super) fn play(&mut self, script: Script) {
         let now = Instant::now();
         for line in script.0 {
             self.timers
-                .enter(now + line.after, TimerKind::Play(line.link, line.fault));
+                .schedule(now + line.after, TimerKind::Play(line.link, line.fault));
         }
     }
 
-    /// A number that nothing else has.
-    pub(super) fn number(&mut self) -> usize {
-        self.numbered += 1;
-        self.numbered
+    /// A new unique number for a token or a connection.
+    pub(super) fn next_number(&mut self) -> usize {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Has a socket's events go to an owner, until `disown`; gives their token.
-    pub(super) fn own(
+    /// Registers a socket for an owner until `deregister`; returns its token.
+    pub(super) fn register(
         &mut self,
         socket: &mut impl Source,
         owner: Owner,
         interest: Interest,
     ) -> usize {
-        let token = self.number();
+        let token = self.next_number();
         self.owners.insert(token, owner);
         self.poll
             .registry()
             .register(socket, Token(token), interest)
-            .expect("epoll");
+            .expect("register a socket with epoll");
         token
     }
 
-    /// A token's events are left out from now on.
-    pub(super) fn disown(&mut self, token: usize) {
+    /// Ignores the events of a token from now on.
+    pub(super) fn deregister(&mut self, token: usize) {
         self.owners.remove(&token);
     }
 
-    /// The events of a link's listener are left out from now on.
-    pub(super) fn disown_listener(&mut self, link: &str) {
+    /// Ignores the events of the listener of a link from now on.
+    pub(super) fn deregister_listener(&mut self, link: &str) {
         self.owners
             .retain(|_, owner| !matches!(owner, Owner::Listener(of) if of == link));
     }
 }
 
-/// A time, and up to as much again.
-pub(super) fn random_duration(chance: &mut Pcg64Mcg, time: Duration) -> Duration {
+/// A random duration between the given time and twice that.
+pub(super) fn random_duration(rng: &mut Pcg64Mcg, time: Duration) -> Duration {
     if time.is_zero() {
         time
     } else {
-        time.mul_f64(chance.random_range(1.0..2.0))
+        time.mul_f64(rng.random_range(1.0..2.0))
     }
 }
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -1,4 +1,4 @@
-//! The one record: what every link, process, stand-in and client saw, in one order.
+//! The record: what all links, processes, stand-ins and clients observed, on one clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -8,401 +8,417 @@
 
 use crate::fault::Fault;
 
-/// Longer than anything here takes on a loaded machine; what waits for so long has failed.
+/// Maximum time that a test waits for a condition. Longer than anything takes on a loaded machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// A condition over the record is looked at no more often. Guards against waits that cost more than what they wait
+/// Minimum time between two evaluations of a condition, so that waiting does not take the CPU time of what it waits
 /// for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// So many of the last events are shown where a wait has failed.
-const SHOWN: usize = 60;
+/// Number of events that are printed when a wait times out.
+const MAX_SHOWN_EVENTS: usize = 60;
 
-/// What these parts of a process say belongs to a client's story.
-const LOGGED_PARTS: [&str; 5] = ["recovery", "memory", "edge", "affinity", "peers"];
+/// Log parts that are included in a client's history.
+const CLIENT_LOG_PARTS: [&str; 5] = ["recovery", "memory", "edge", "affinity", "peers"];
 
-/// A moment: the time since the record began.
-pub type Moment = Duration;
+/// Time since the record was created.
+pub type Timestamp = Duration;
 
-/// One thing that happened.
+/// One recorded event.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// When.
-    pub at: Moment,
-    /// What.
-    pub what: What,
+    /// When it happened. Log lines carry the time that the process wrote, so events are not appended in this order.
+    pub at: Timestamp,
+    /// What happened.
+    pub kind: EventKind,
 }
 
-/// One row of a list as a balancer was told it.
+/// One row of an endpoint list as it was sent to a balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
-    /// The server's name.
+pub struct ListRow {
+    /// The server's name, `instanceId` on the wire.
     pub server: String,
     /// `SERVING`, `DRAINING` or `DELETED`.
     pub lifecycle: String,
-    /// Its last start, in Unix milliseconds.
+    /// The server's last start, in Unix milliseconds; 0 if unknown.
     pub started_at_ms: u64,
 }
 
-/// What can happen.
+/// The kinds of events.
 #[derive(Clone, Debug)]
-pub enum What {
-    /// The story says where it is.
+pub enum EventKind {
+    /// The test marks a step.
     Step(String),
-    /// A link was broken or mended.
+    /// A fault was applied to a link, or the link was healed.
     Link {
-        /// Its name.
+        /// The name of the link.
         link: String,
-        /// Who connects to it.
+        /// The side that connects.
         near: String,
-        /// Who is reached through it.
+        /// The side that is connected to.
         far: String,
-        /// How.
+        /// The fault that was applied.
         fault: Fault,
     },
-    /// A process was started, stopped or ended.
+    /// A process started, received a signal or exited.
     Process {
-        /// Its name.
+        /// The name of the process.
         process: String,
-        /// What became of it.
-        did: Did,
+        /// What happened to the process.
+        event: ProcessEvent,
     },
     /// A process wrote a log line.
     Log {
-        /// Its name.
+        /// The name of the process.
         process: String,
-        /// The line; one that is no JSON stands as a text.
+        /// The line as JSON; a line that is not JSON is a string.
         line: Value,
     },
-    /// The last byte of a list was written to a balancer.
-    Told {
-        /// Who was told.
+    /// The last byte of an endpoint list was written to a balancer.
+    EndpointListSent {
+        /// The balancer that received the list.
         balancer: String,
-        /// The list's version.
+        /// The generation of the list.
         generation: u64,
-        /// Whether it was the whole list.
+        /// Whether the list is a snapshot rather than a delta.
         reset: bool,
-        /// What it said.
-        rows: Vec<Row>,
+        /// The rows of the list.
+        rows: Vec<ListRow>,
     },
-    /// Discovery lost its state, went away, came back or fell silent.
+    /// Discovery lost its state, went down, came back or stopped sending.
     Discovery(&'static str),
-    /// Something became of an application server.
+    /// An event at an application server.
     Server {
-        /// Its name.
+        /// The name of the server.
         server: String,
-        /// What.
-        did: ServerDid,
+        /// What happened at the server.
+        event: ServerEvent,
     },
-    /// A balancer's attempt reached the wire: the last byte of its head was written.
+    /// A balancer sent an attempt: the last byte of the request's first line was written.
     Attempt {
-        /// Its number, unique in the record.
+        /// The number of the attempt, unique in the record.
         number: u64,
-        /// Whose it is.
+        /// The balancer that sent it.
         balancer: String,
-        /// To whom.
+        /// The server it was sent to.
         server: String,
-        /// The request's id.
+        /// The id of the request.
         id: String,
         /// When its first byte was written.
-        begun: Moment,
+        started_at: Timestamp,
     },
-    /// An attempt is over or stands: the server's first line was written to the balancer, or one of both ended it.
-    AttemptOver {
-        /// Its number.
+    /// An attempt got its outcome: the server's first line was written to the balancer, or either side closed the
+    /// connection.
+    AttemptEnded {
+        /// The number of the attempt.
         number: u64,
-        /// The server's first line, or how it ended without one.
-        how: String,
+        /// The server's first line, or which side closed the connection before it.
+        outcome: String,
     },
-    /// Something became of a client.
+    /// An event at a client.
     Client {
-        /// Its name.
+        /// The name of the client, its key.
         client: String,
-        /// The request's id.
+        /// The id of the request.
         id: String,
-        /// The process that the front gave it.
+        /// The process that the front chose for the connection.
         process: String,
-        /// What.
-        did: ClientDid,
+        /// What happened at the client.
+        event: ClientEvent,
     },
 }
 
-/// What becomes of a process.
+/// What happens to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Did {
-    /// It was started.
+pub enum ProcessEvent {
+    /// The process was started.
     Started,
-    /// SIGKILL.
+    /// SIGKILL was sent.
     Killed,
-    /// SIGTERM.
-    Told,
-    /// SIGSTOP.
-    Stopped,
-    /// SIGCONT.
-    Continued,
-    /// SIGHUP.
+    /// SIGTERM was sent.
+    TerminationRequested,
+    /// SIGSTOP was sent.
+    Paused,
+    /// SIGCONT was sent.
+    Resumed,
+    /// SIGHUP was sent after its configuration files changed.
     Reloaded,
-    /// It ended by itself, well or not.
-    Ended(bool),
+    /// The process exited without a signal; true if its exit status is 0.
+    Exited(bool),
 }
 
-/// What becomes of an application server.
+/// What happens at an application server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ServerDid {
-    /// It stands, warm or cold.
+pub enum ServerEvent {
+    /// The server accepts connections.
     Started {
-        /// Whether it has to warm up.
+        /// Whether it has to warm up first.
         cold: bool,
     },
-    /// It is gone; its connections were reset.
+    /// The server was killed and its connections were reset.
     Killed,
-    /// It sends its clients away.
-    Drains,
-    /// It answers nothing any more.
-    Hangs,
-    /// It answers again.
-    Recovers,
-    /// It took a set-up of this client key.
-    Took(String),
-    /// It fell over: so many set-ups in the window, where so many are borne.
-    Tipped {
-        /// What came.
-        came: usize,
-        /// What it bears.
-        bears: usize,
+    /// The server rejects new clients and asks existing ones to move.
+    Draining,
+    /// The server stopped answering; its connections stay open.
+    Unresponsive,
+    /// The server answers again.
+    Recovered,
+    /// The server accepted a connection setup for this client key.
+    Accepted(String),
+    /// The server failed under load while it was warming up.
+    Overloaded {
+        /// Setups within the overload window.
+        setups: usize,
+        /// The most setups that it withstands in that window.
+        limit: usize,
     },
 }
 
-/// What becomes of a client.
+/// What happens at a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClientDid {
-    /// The last byte of its opening was written; it waits so long.
-    Asked(Duration),
-    /// It never got a connection, or the opening could not be written.
-    NotTaken,
-    /// A final answer's line.
+pub enum ClientEvent {
+    /// The opening line was written completely; the client waits this long for the answer.
+    RequestSent(Duration),
+    /// The connection failed, or the opening line could not be written.
+    ConnectFailed,
+    /// The line of a final answer.
     Answered(String),
-    /// It was served: this is the server that gave the receipt.
-    Stands(String),
-    /// Its line was answered after so long.
-    Heard(Duration),
-    /// Its line has had no answer for so long.
-    Unheard(Duration),
-    /// It was told to move, by whoever.
-    Moved,
-    /// Its connection ended: in order (true) or by a reset.
-    Ended(bool),
-    /// It ended its connection by itself.
-    Left,
+    /// The request was accepted by this server.
+    Established(String),
+    /// A line was answered after this time.
+    LineAnswered(Duration),
+    /// A line has had no answer for this time.
+    LineUnanswered(Duration),
+    /// `MOVE` was received from the balancer or the server.
+    MoveReceived,
+    /// The connection was closed by the other side (true) or reset (false).
+    Disconnected(bool),
+    /// The client closed the connection.
+    Closed,
 }
 
 #[derive(Debug)]
 struct Inner {
     events: Mutex<Vec<Event>>,
-    grown: Condvar,
-    start: Instant,
-    wall: SystemTime,
+    changed: Condvar,
+    started_at: Instant,
+    system_started_at: SystemTime,
 }
 
-/// The record, shared by all that write it.
+/// The record. Clones share the same events.
 #[derive(Clone, Debug)]
 pub struct Record(Arc<Inner>);
 
 impl Default for Record {
     fn default() -> Record {
-        let (start, wall) = (Instant::now(), SystemTime::now());
+        let (started_at, system_started_at) = (Instant::now(), SystemTime::now());
         Record(Arc::new(Inner {
             events: Mutex::default(),
-            grown: Condvar::new(),
-            start,
-            wall,
+            changed: Condvar::new(),
+            started_at,
+            system_started_at,
         }))
     }
 }
 
 impl Record {
-    /// The present moment.
-    pub fn now(&self) -> Moment {
-        self.0.start.elapsed()
+    /// The current time on the record's clock.
+    pub fn now(&self) -> Timestamp {
+        self.0.started_at.elapsed()
     }
 
-    /// The Unix time of a moment, in milliseconds.
-    pub fn unix_ms(&self, at: Moment) -> u64 {
-        let since = (self.0.wall + at)
+    /// Converts a timestamp to Unix milliseconds.
+    pub fn unix_ms(&self, at: Timestamp) -> u64 {
+        let since = (self.0.system_started_at + at)
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The moment of a time that a process wrote in its log.
-    pub fn moment_of(&self, time: SystemTime) -> Moment {
-        time.duration_since(self.0.wall).unwrap_or_default()
+    /// Converts a time from a log line; a time before the start of the record becomes 0.
+    pub fn timestamp_of(&self, time: SystemTime) -> Timestamp {
+        time.duration_since(self.0.system_started_at)
+            .unwrap_or_default()
     }
 
     fn events(&self) -> MutexGuard<'_, Vec<Event>> {
-        // Events are whole at every moment, whoever panicked.
+        // Events are pushed whole, so the list is valid even if a thread panicked while holding the lock.
         self.0.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes down what has just happened.
-    pub fn note(&self, what: What) {
+    /// Appends an event that happened now.
+    pub fn append(&self, kind: EventKind) {
         let at = self.now();
-        self.note_at(at, what);
+        self.append_at(at, kind);
     }
 
-    /// Writes down what happened at a moment.
-    pub fn note_at(&self, at: Moment, what: What) {
-        self.events().push(Event { at, what });
-        self.0.grown.notify_all();
+    /// Appends an event that happened at a given time, which may be in the past.
+    pub fn append_at(&self, at: Timestamp, kind: EventKind) {
+        self.events().push(Event { at, kind });
+        self.0.changed.notify_all();
     }
 
-    /// The story says where it is; gives the place in the record from which on the step counts.
-    pub fn step(&self, words: &str) -> usize {
-        self.note(What::Step(words.to_owned()));
+    /// Marks a step of the test; returns the index in the record of the first event after it.
+    pub fn step(&self, description: &str) -> usize {
+        self.append(EventKind::Step(description.to_owned()));
         self.events().len()
     }
 
-    /// Everything so far, in the order of its moments.
-    pub fn ordered(&self) -> Vec<Event> {
+    /// All events so far, sorted by time.
+    pub fn events_by_time(&self) -> Vec<Event> {
         let mut events = self.events().clone();
         events.sort_by_key(|event| event.at);
         events
     }
 
-    /// Waits until something holds of the record, and gives it. Where it does not come to hold, the last events are told.
-    pub fn wait<T>(&self, what: &str, holds: impl FnMut(&[Event]) -> Option<T>) -> T {
-        let reached = self.wait_for(WAIT_TIMEOUT, holds);
-        reached.unwrap_or_else(|| {
+    /// Waits until the condition returns a value. Panics with the latest events after [`WAIT_TIMEOUT`].
+    pub fn wait<T>(&self, description: &str, condition: impl FnMut(&[Event]) -> Option<T>) -> T {
+        let result = self.wait_for(WAIT_TIMEOUT, condition);
+        result.unwrap_or_else(|| {
             panic!(
-                "never came: {what}; the last of the record:\n{}",
-                self.tail()
+                "timed out waiting for {description:?}; latest events:\n{}",
+                self.recent_events()
             )
         })
     }
 
-    /// The same with a bound of one's own; nothing where it did not come to hold.
+    /// As [`Record::wait`], but with a given timeout, after which it returns `None`.
     pub fn wait_for<T>(
         &self,
-        patience: Duration,
-        mut holds: impl FnMut(&[Event]) -> Option<T>,
+        timeout: Duration,
+        mut condition: impl FnMut(&[Event]) -> Option<T>,
     ) -> Option<T> {
-        let until = Instant::now() + patience;
-        let (mut seen, mut events) = (usize::MAX, self.events());
+        let deadline = Instant::now() + timeout;
+        let (mut seen_len, mut events) = (usize::MAX, self.events());
         loop {
-            if events.len() != seen {
-                seen = events.len();
-                if let Some(reached) = holds(&events) {
-                    return Some(reached);
+            if events.len() != seen_len {
+                seen_len = events.len();
+                if let Some(result) = condition(&events) {
+                    return Some(result);
                 }
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return None;
             }
             drop(events);
-            // Let others write meanwhile.
-            std::thread::sleep(POLL_INTERVAL.min(left));
+            // The lock is released during the sleep so that other threads can append events.
+            std::thread::sleep(POLL_INTERVAL.min(remaining));
             events = self.events();
-            if events.len() == seen {
+            if events.len() == seen_len {
                 let waited = self
                     .0
-                    .grown
-                    .wait_timeout(events, left)
+                    .changed
+                    .wait_timeout(events, remaining)
                     .unwrap_or_else(PoisonError::into_inner);
                 events = waited.0;
             }
         }
     }
 
-    /// Whether a balancer tried this server for the client, and it did not take it.
-    pub fn tried_in_vain(&self, name: &str, at: &str) -> bool {
+    /// Whether any attempt for the client at this server ended without being accepted.
+    pub fn has_failed_attempt(&self, client: &str, server: &str) -> bool {
         let events = self.events();
         let ids: BTreeSet<&str> = events
             .iter()
-            .filter_map(|event| id_of(event, name))
+            .filter_map(|event| request_id_of(event, client))
             .collect();
-        let tried = events.iter().filter_map(|event| match &event.what {
-            What::Attempt {
-                number, server, id, ..
-            } if server == at && ids.contains(id.as_str()) => Some(*number),
+        let attempts = events.iter().filter_map(|event| match &event.kind {
+            EventKind::Attempt {
+                number,
+                server: target,
+                id,
+                ..
+            } if target == server && ids.contains(id.as_str()) => Some(*number),
             _ => None,
         });
-        let tried: BTreeSet<u64> = tried.collect();
+        let attempts: BTreeSet<u64> = attempts.collect();
         events.iter().any(|event| {
-            matches!(&event.what, What::AttemptOver { number, how } if tried.contains(number) && !how.starts_with("UP"))
+            matches!(&event.kind, EventKind::AttemptEnded { number, outcome } if attempts.contains(number) && !outcome.starts_with("UP"))
         })
     }
 
-    /// Whoever was told to move after a place in the record.
-    pub fn moved_since(&self, since: usize) -> BTreeSet<String> {
+    /// The clients that received `MOVE` since an index in the record.
+    pub fn clients_moved_since(&self, since: usize) -> BTreeSet<String> {
         let events = self.events();
-        let told = events[since.min(events.len())..]
+        let moved = events[since.min(events.len())..]
             .iter()
-            .filter_map(|event| match &event.what {
-                What::Client {
+            .filter_map(|event| match &event.kind {
+                EventKind::Client {
                     client,
-                    did: ClientDid::Moved,
+                    event: ClientEvent::MoveReceived,
                     ..
                 } => Some(client.clone()),
                 _ => None,
             });
-        told.collect()
+        moved.collect()
     }
 
-    /// What became of a client, one event a line, and what processes said of their way meanwhile.
-    pub fn story_of(&self, name: &str) -> String {
-        let is_its = |event: &&Event| match &event.what {
-            What::Client { client, did, .. } => {
-                client == name && !matches!(did, ClientDid::Heard(_) | ClientDid::NotTaken)
+    /// The events that concern a client, one per line, with the steps of the test and the processes' related log lines.
+    pub fn client_history(&self, name: &str) -> String {
+        let concerns_client = |event: &&Event| match &event.kind {
+            EventKind::Client { client, event, .. } => {
+                client == name
+                    && !matches!(
+                        event,
+                        ClientEvent::LineAnswered(_) | ClientEvent::ConnectFailed
+                    )
             }
-            What::Step(_) | What::Process { .. } => true,
-            What::Server {
-                did: ServerDid::Took(key),
+            EventKind::Step(_) | EventKind::Process { .. } => true,
+            EventKind::Server {
+                event: ServerEvent::Accepted(key),
                 ..
             } => key == name,
-            What::Log { line, .. } => LOGGED_PARTS.iter().any(|part| line["part"] == *part),
+            EventKind::Log { line, .. } => {
+                CLIENT_LOG_PARTS.iter().any(|part| line["part"] == *part)
+            }
             _ => false,
         };
-        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.what);
-        self.ordered().iter().filter(is_its).map(line).collect()
+        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.kind);
+        self.events_by_time()
+            .iter()
+            .filter(concerns_client)
+            .map(line)
+            .collect()
     }
 
-    /// The last events, one a line.
-    pub fn tail(&self) -> String {
-        let events = self.ordered();
-        let from = events.len().saturating_sub(SHOWN);
-        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.what);
+    /// The latest events, one per line.
+    pub fn recent_events(&self) -> String {
+        let events = self.events_by_time();
+        let from = events.len().saturating_sub(MAX_SHOWN_EVENTS);
+        let line = |event: &Event| format!("  {:9.3} {:?}\n", event.at.as_secs_f64(), event.kind);
         events[from..].iter().map(line).collect()
     }
 }
 
-/// The request that this is about, if it is this client's.
-fn id_of<'a>(event: &'a Event, name: &str) -> Option<&'a str> {
-    match &event.what {
-        What::Client { client, id, .. } if client == name => Some(id),
+/// The request id of an event, if the event belongs to the client.
+fn request_id_of<'a>(event: &'a Event, name: &str) -> Option<&'a str> {
+    match &event.kind {
+        EventKind::Client { client, id, .. } if client == name => Some(id),
         _ => None,
     }
 }
 
-/// Who stands by these events, and at which server.
-pub fn established(events: &[Event]) -> BTreeMap<String, String> {
-    let mut placed = BTreeMap::new();
+/// The server of each client that has an established connection after these events.
+pub fn established_connections(events: &[Event]) -> BTreeMap<String, String> {
+    let mut servers_by_client = BTreeMap::new();
     for event in events {
-        match &event.what {
-            What::Client {
+        match &event.kind {
+            EventKind::Client {
                 client,
-                did: ClientDid::Stands(server),
+                event: ClientEvent::Established(server),
                 ..
             } => {
-                placed.insert(client.clone(), server.clone());
+                servers_by_client.insert(client.clone(), server.clone());
             }
-            What::Client {
+            EventKind::Client {
                 client,
-                did: ClientDid::Moved | ClientDid::Ended(_) | ClientDid::Left,
+                event:
+                    ClientEvent::MoveReceived | ClientEvent::Disconnected(_) | ClientEvent::Closed,
                 ..
             } => {
-                placed.remove(client);
+                servers_by_client.remove(client);
             }
             _ => {}
         }
     }
-    placed
+    servers_by_client
 }
