--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -196,7 +196,8 @@
             self.servers.upsert(entry);
         }
         self.update_capacity(now);
-        // Each balancer enters servers at its own place, so that not all begin with the same ones.
+        // The random lead gives each balancer its own order, so that not all begin with the same
+        // servers.
         for id in self.servers.ids() {
             let lead = self.rng.random_range(0.0..1.0) / self.local_weight(self.servers.listed(id));
             self.servers.update_rotation(id, lead);
@@ -294,13 +295,13 @@
             Some(TimerKind::Retry(id)) if self.requests.awaits_timer(id, timer) => {
                 self.place(now, id, actions);
             }
-            Some(TimerKind::Housekeeping) => self.keep_house(now, actions),
+            Some(TimerKind::Housekeeping) => self.run_housekeeping(now, actions),
             Some(TimerKind::ListPoll) => actions.push(Action::WatchServerList),
             Some(TimerKind::Retry(_)) | None => {}
         }
     }
 
-    fn keep_house(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+    fn run_housekeeping(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let retention = self
             .settings
             .longest_deadline()
--- a/crates/policy/src/rebalancing.rs
+++ b/crates/policy/src/rebalancing.rs
@@ -88,11 +88,11 @@
         let probability = self
             .slow_start
             .fleet_probability(rules, HOUSEKEEPING_PERIOD);
-        let cold_share = self
+        let warming_share = self
             .slow_start
             .capacity()
             .slow_start_quota_of(self.servers.total_load());
-        let missing_load = cold_share - self.servers.load_on_warming_servers();
+        let missing_load = warming_share - self.servers.load_on_warming_servers();
         let missing_connections = missing_load / self.mean_connection_load();
         if self.rng.random_range(0.0..1.0) < probability * missing_connections.min(1.0) {
             let candidates = self.connections_preferring_warming_servers();
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -38,7 +38,7 @@
     /// At present.
     present: f64,
     /// At present, of the servers in slow start.
-    cold: f64,
+    warming: f64,
     /// Whether each server in slow start has a budget of its own.
     has_server_budgets: bool,
 }
@@ -56,7 +56,7 @@
         self.full += size;
         self.present += size * capacity;
         if capacity < 1.0 {
-            self.cold += size * capacity;
+            self.warming += size * capacity;
         }
     }
 
@@ -67,7 +67,7 @@
 
     /// The part of a load that belongs on servers in slow start, by their present capacity.
     pub(crate) fn slow_start_quota_of(&self, load: f64) -> f64 {
-        load * self.cold / self.present.max(f64::MIN_POSITIVE)
+        load * self.warming / self.present.max(f64::MIN_POSITIVE)
     }
 
     /// Clients per second that this balancer may send to a warm server of weight 1, before the
@@ -83,7 +83,7 @@
         } else {
             LOAD_FACTOR
         };
-        let warm = self.present - self.cold;
+        let warm = self.present - self.warming;
         let by_load = if warm > 0.0 {
             connections_on_warm / warm / seconds(rules.warm_up_time.max(1))
         } else {
@@ -133,7 +133,7 @@
         connections_on_warm: f64,
     ) {
         // No budget accrues while no server is in slow start.
-        if self.capacity.cold == 0.0 {
+        if self.capacity.warming == 0.0 {
             self.considered_at = now;
         }
         self.capacity = capacity;
@@ -163,7 +163,7 @@
     /// used `unused_for` ago.
     pub(crate) fn fleet_probability(&self, rules: &ServerRules, unused_for: Nanos) -> f64 {
         let accrued = unused_for.min(rules.overload_window.max(MIN_BUDGET_SPAN));
-        self.probability(rules, self.capacity.cold, accrued)
+        self.probability(rules, self.capacity.warming, accrued)
     }
 
     fn probability(&self, rules: &ServerRules, capacity: f64, span: Nanos) -> f64 {
