--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -31,7 +31,7 @@
     pub rejected: u64,
     /// Attempts in flight that are not established.
     pub in_flight: usize,
-    /// The concurrency limit on them.
+    /// The concurrency limit on attempts in flight.
     pub concurrency_limit: f64,
 }
 
@@ -56,25 +56,25 @@
     }
 }
 
-/// What the host is to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     StartAttempt {
-        /// The request.
+        /// The request, which has no other attempt in flight.
         request: RequestId,
-        /// Its server.
+        /// The server to send it to.
         server: ServerId,
         /// Time in which its first byte must be sent; otherwise it is not sent at all.
         begin_within: Nanos,
-        /// Time allowed for the whole attempt.
+        /// Time allowed for the attempt as a whole.
         timeout: Nanos,
     },
     /// Final answer: rejected. A retry is safe.
     Reject {
-        /// The request.
+        /// The request, which was not executed.
         request: RequestId,
-        /// Time that the client is asked to stay away.
+        /// Time after which the client may retry, or `None` if the site sends no retry-after.
         retry_after: Option<Nanos>,
     },
     /// Final answer: failed. The request may have been executed.
@@ -87,9 +87,9 @@
     Migrate(RequestId, MigrationReason),
     /// Report [`Event::TimerFired`](crate::Event::TimerFired) after this span.
     SetTimer {
-        /// The span.
+        /// Time until the timer fires.
         after: Nanos,
-        /// The timer.
+        /// The timer to report.
         timer: TimerId,
     },
     /// Ask a server for its load. [`Event::ProbeAnswered`](crate::Event::ProbeAnswered) follows.
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -20,21 +20,21 @@
 /// A server in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// The number that the host gave the server.
     pub server: ServerId,
     /// A hash of its name; equal at every balancer.
     pub name_hash: u64,
-    /// Whether it accepts new connections.
+    /// Whether the server accepts new connections.
     pub state: ServerState,
-    /// Its zone.
+    /// The zone, by which the cost of traffic and the scope of idempotency keys are determined.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell, a possible scope of idempotency keys.
     pub cell: u32,
     /// A hash of its machine type. Servers of one type have one size.
     pub machine_type: u64,
     /// Listed weight, without a unit.
     pub weight: f64,
-    /// The weight that a gradual change is on its way to.
+    /// The weight at the end of a gradual change, or `None` if the weight is not changing.
     pub target_weight: Option<f64>,
     /// When it last started; 0 if long ago.
     pub started_at: Nanos,
@@ -67,21 +67,22 @@
 /// A client's request for a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectRequest {
-    /// The request.
+    /// The number of the request; a number that is in use is ignored.
     pub request: RequestId,
     /// When the client stops waiting.
     pub deadline_at: Nanos,
-    /// Its class.
+    /// The class, which must be one of the settings; otherwise the request fails.
     pub class: ClassId,
-    /// Key of the client.
+    /// Key of the client, by which failures are counted; without one, the attempts of the request
+    /// count.
     pub client_key: Option<ClientKey>,
-    /// Group that it shares work with.
+    /// Group of requests that are better served by the same server.
     pub group: Option<GroupId>,
     /// Whether the client reports that it was migrated or disconnected.
     pub is_reconnect: bool,
-    /// Expected load, in microseconds of work per second.
+    /// Expected load, in microseconds of work per second; if `None`, the mean of the class is used.
     pub expected_load: Option<f64>,
-    /// An operator's pin.
+    /// An operator's pin to one server, if there is one.
     pub pin: Option<Pin>,
 }
 
@@ -119,11 +120,11 @@
 /// The end of an attempt or of the connection that it became.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt or connection ended.
     pub outcome: AttemptOutcome,
     /// Time since it was sent.
     pub elapsed: Nanos,
@@ -140,14 +141,14 @@
     MessageLatency(Nanos),
 }
 
-/// Something that happened.
+/// An event that the host reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Discovery reported on the server list.
     ServerList {
-        /// What it reports.
+        /// The kind of report.
         update: ListUpdate,
-        /// The entries.
+        /// The entries; empty if the call failed or timed out.
         entries: Vec<ServerEntry>,
     },
     /// The settings were replaced as a whole. Classes keep their index while a request of theirs
@@ -158,23 +159,23 @@
     ConnectRequested(ConnectRequest),
     /// A connection is already established at this server.
     ConnectionAdopted {
-        /// The request that it came from.
+        /// The request that the connection came from.
         request: ConnectRequest,
-        /// Its server.
+        /// The server of the connection.
         server: ServerId,
     },
     /// The connection of an attempt is established.
     AttemptEstablished {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// An established connection was measured.
     ConnectionMeasured {
-        /// The request.
+        /// The request that the connection came from.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt that established it, from 0.
         attempt: u32,
         /// The measurement.
         metric: ConnectionMetric,
@@ -183,7 +184,7 @@
     AttemptEnded(AttemptEnd),
     /// A server answered a probe, or the probe failed.
     ProbeAnswered {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
         /// Load relative to capacity, or `None` if the server did not answer.
         load: Option<f64>,
@@ -194,23 +195,23 @@
     PermitGranted(RequestId),
     /// The admission queue is full, or can't grant a permit in time.
     QueueRejected {
-        /// The request.
+        /// The request, which gets a final answer.
         request: RequestId,
         /// Time in which the queue would drain, if known.
         queue_drain_time: Option<Nanos>,
     },
     /// An operator's pin of a waiting request was set, changed or cleared.
     PinChanged {
-        /// The request.
+        /// The request; an unknown one is ignored.
         request: RequestId,
-        /// The pin, if there is one now.
+        /// The new pin, or `None` if it was cleared.
         pin: Option<Pin>,
     },
     /// The failures of a client key over all balancers, as known here. It affects delays only.
     FleetFailuresCounted {
         /// The client.
         client_key: ClientKey,
-        /// Consecutive failures.
+        /// Consecutive failures; 0 clears them.
         count: u32,
     },
     /// A timer fired.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -21,7 +21,7 @@
 pub enum RetrySafety {
     /// A second execution has no further effect.
     Idempotent,
-    /// Servers in `scope` discard a repeated request for `window` after the first send.
+    /// Servers in `dedup_scope` discard a repeated request for `window` after the first send.
     IdempotencyKey {
         /// Servers that share their record of keys.
         dedup_scope: DedupScope,
@@ -100,7 +100,7 @@
     pub cross_zone: f64,
 }
 
-/// Everything that a balancer is told of its site.
+/// Settings of one balancer: its place in the fleet and the settings of its site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of balancers in the fleet.
