--- a/crates/adapter/tests/renamed.rs
+++ b/crates/adapter/tests/renamed.rs
@@ -1,4 +1,4 @@
-//! The same story under other names, and with lists in another order where order has no meaning: the same decisions.
+//! Names, and the order of lists where it has no meaning, do not affect the decisions.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -7,39 +7,39 @@
 
 const MS: u64 = 1_000_000;
 const SERVERS: [&str; 5] = ["SERVER-A", "SERVER-B", "SERVER-C", "SERVER-D", "SERVER-E"];
-/// Steps of the story.
+/// Steps of the scenario.
 const STEPS: u64 = 100;
 
-/// A telling of the story: the name of each thing, and the places of classes, tenants and zones.
-struct Telling {
+/// A variant of the scenario: the names, and the positions of classes, tenants and zones.
+struct Variant {
     name: fn(&str) -> String,
     classes: [usize; 3],
     tenants: [usize; 2],
     zones: [usize; 3],
 }
 
-impl Telling {
-    /// A list in this telling's order.
-    fn ordered<const N: usize>(rows: [Value; N], places: [usize; N]) -> Value {
+impl Variant {
+    /// Moves each item to its position.
+    fn ordered<const N: usize>(items: [Value; N], positions: [usize; N]) -> Value {
         let mut list = vec![Value::Null; N];
-        for (row, place) in rows.into_iter().zip(places) {
-            list[place] = row;
+        for (item, position) in items.into_iter().zip(positions) {
+            list[position] = item;
         }
         list.into()
     }
 
     fn setup(&self) -> Value {
         let name = self.name;
-        let lane = |class: &str, on_time: u64, effect: &str, value: f64| {
-            json!({"name": name(class), "on-time-ns": on_time * MS, "hard-limit-ns": on_time * 6 * MS,
+        let class = |class_name: &str, on_time: u64, effect: &str, value: f64| {
+            json!({"name": name(class_name), "on-time-ns": on_time * MS, "hard-limit-ns": on_time * 6 * MS,
                    "effect": effect, "dedup-scope": "zone", "repeat-window-ns": 900 * MS, "value": value})
         };
-        let lanes = [
-            lane("CLASS-A", 300, "retryable", 1.0),
-            lane("CLASS-B", 500, "fragile", 5.0),
-            lane("CLASS-C", 400, "dedup", 2.0),
+        let classes = [
+            class("CLASS-A", 300, "retryable", 1.0),
+            class("CLASS-B", 500, "fragile", 5.0),
+            class("CLASS-C", 400, "dedup", 2.0),
         ];
-        let aims = [json!(80 * MS), json!(120 * MS), Value::Null];
+        let message_objectives = [json!(80 * MS), json!(120 * MS), Value::Null];
         let tenants = [
             json!({"name": name("TENANT-A"), "share": 0.6}),
             json!({"name": name("TENANT-B"), "share": 0.4}),
@@ -47,9 +47,9 @@
         let zones = ["ZONE-A", "ZONE-B", "ZONE-C"].map(|zone| json!(name(zone)));
         json!({
             "balancers": 3, "rank": 1, "discovery": "automatic",
-            "zones": Telling::ordered(zones, self.zones), "zone": self.zones[1],
-            "lanes": Telling::ordered(lanes, self.classes), "projects": Telling::ordered(tenants, self.tenants),
-            "family-info": {"message-aim-ns": Telling::ordered(aims, self.classes)},
+            "zones": Variant::ordered(zones, self.zones), "zone": self.zones[1],
+            "lanes": Variant::ordered(classes, self.classes), "projects": Variant::ordered(tenants, self.tenants),
+            "family-info": {"message-aim-ns": Variant::ordered(message_objectives, self.classes)},
             "policy-limits": {"max-attempts": 3, "retry-after": true, "max-retry-after-ns": 1_000 * MS,
                               "connect-timeout-ns": 100 * MS},
             "prices": {"cross-zone": 0.009},
@@ -58,26 +58,30 @@
     }
 
     fn list(&self, drained: usize) -> Value {
-        let row = |(at, server): (usize, &&str)| {
-            json!({"server": (self.name)(server), "region-part": self.zones[at % 3], "block": at / 2, "share": 1.0,
-                   "availability": if at < drained { "leaving" } else { "on" }})
+        let item = |(index, server): (usize, &&str)| {
+            json!({"server": (self.name)(server), "region-part": self.zones[index % 3], "block": index / 2, "share": 1.0,
+                   "availability": if index < drained { "leaving" } else { "on" }})
         };
-        SERVERS.iter().enumerate().map(row).collect()
+        SERVERS.iter().enumerate().map(item).collect()
     }
 
     fn ask(&self, step: u64) -> Value {
-        let step_at = |count: u64| (step % count) as usize;
+        let step_modulo = |count: u64| (step % count) as usize;
         json!({"what": "ASK", "req": step, "give-up-at-ns": step * 20 * MS + 1_800 * MS,
-               "grade": self.classes[step_at(3)], "client-group": self.tenants[step_at(2)],
+               "grade": self.classes[step_modulo(3)], "client-group": self.tenants[step_modulo(2)],
                "resource": format!("client {}", step % 7)})
     }
 
-    /// What becomes of an attempt.
+    /// The outcome of an attempt.
     fn result(&self, step: u64, send_no: u64) -> Value {
         let (server, elapsed) = ((self.name)(SERVERS[0]), 7 * MS);
-        // Some are turned away again and again.
-        let by_turns = [1, 3, 6, 5, 4][((step + send_no) % 5) as usize];
-        let status = if step.is_multiple_of(6) { 3 } else { by_turns };
+        // All attempts of some requests are rejected.
+        let cyclic_status = [1, 3, 6, 5, 4][((step + send_no) % 5) as usize];
+        let status = if step.is_multiple_of(6) {
+            3
+        } else {
+            cyclic_status
+        };
         if status == 1 {
             return json!({"what": "ACK_FIRST", "req": step, "send-no": send_no, "server": server, "elapsed-ns": elapsed});
         }
@@ -85,8 +89,8 @@
                "elapsed-ns": elapsed})
     }
 
-    fn story(&self) -> String {
-        let hit = |mark: u64| json!({"what": "DEADLINE_HIT", "mark": mark});
+    fn transcript(&self) -> String {
+        let timer_fired = |mark: u64| json!({"what": "DEADLINE_HIT", "mark": mark});
         let id = (self.name)("BALANCER");
         let mut lines = vec![
             json!({"what": "TICK", "time-ns": 5}),
@@ -97,14 +101,14 @@
         ];
         for step in 1..STEPS {
             lines.push(json!({"what": "TICK", "time-ns": step * 20 * MS}));
-            let timers = [step, step * 2 / 3].map(hit);
+            let timers = [step, step * 2 / 3].map(timer_fired);
             let mut events = vec![
                 self.ask(step),
                 timers[0].clone(),
                 self.result(step, 0),
                 timers[1].clone(),
             ];
-            // Repeats end a step later; what is said of those that are not out means nothing.
+            // Retries end in later steps; results of attempts that are not in flight are ignored.
             let earlier = step.saturating_sub(90)..step;
             events.extend(
                 earlier.flat_map(|request| [1, 2].map(|send_no| self.result(request, send_no))),
@@ -118,11 +122,11 @@
         lines.iter().map(|line| format!("{line}\n")).collect()
     }
 
-    /// What the adapter decides, in the first telling's names.
+    /// Output of the adapter for this variant, with the names of [`PLAIN`].
     fn decisions(&self) -> String {
-        let decided = decides(self.story());
+        let decisions = run_adapter(self.transcript());
         let names = SERVERS.iter().chain(&["BALANCER"]);
-        names.fold(decided, |text, name| {
+        names.fold(decisions, |text, name| {
             text.replace(
                 &format!("\"{}\"", (self.name)(name)),
                 &format!("\"{name}\""),
@@ -131,22 +135,25 @@
     }
 }
 
-/// What the adapter decides in a story.
-fn decides(story: String) -> String {
+/// Output of the adapter for a transcript.
+fn run_adapter(transcript: String) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_beaconflow-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
-    let writes = std::thread::spawn(move || stdin.write_all(story.as_bytes()));
+    let mut stdin = child.stdin.take().expect("standard input is piped");
+    let writer = std::thread::spawn(move || stdin.write_all(transcript.as_bytes()));
     let output = child.wait_with_output().expect("the adapter ends");
-    writes.join().expect("no panic").expect("all is read");
+    writer
+        .join()
+        .expect("the writer does not panic")
+        .expect("the adapter reads all input");
     assert!(output.status.success());
-    String::from_utf8(output.stdout).expect("UTF-8")
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
-const PLAIN: Telling = Telling {
+const PLAIN: Variant = Variant {
     name: |name| name.to_owned(),
     classes: [0, 1, 2],
     tenants: [0, 1],
@@ -154,25 +161,28 @@
 };
 
 #[test]
-fn the_story_has_attempts_answers_and_delays_in_it() {
+fn scenario_contains_attempts_answers_and_timers() {
     let decisions = PLAIN.decisions();
-    for (what, least) in [
+    for (what, min_count) in [
         ("CALL_OUT", 60),
         ("DECLINE", 1),
         ("REPORT_FAILURE", 5),
         ("SLEEP", 20),
     ] {
         let count = decisions.matches(&format!("\"{what}\"")).count();
-        assert!(count >= least, "{count} of {what} in\n{decisions}");
+        assert!(
+            count >= min_count,
+            "only {count} {what} messages in\n{decisions}"
+        );
     }
     assert!(
         SERVERS.iter().all(|server| decisions.contains(server)),
-        "{decisions}"
+        "a server is never used:\n{decisions}"
     );
 }
 
 #[test]
-fn other_names_make_no_other_decisions() {
+fn names_do_not_affect_decisions() {
     let names: [fn(&str) -> String; 3] = [
         |name| name.chars().rev().collect(),
         |name| format!("retryable {name} on"),
@@ -186,12 +196,12 @@
     ];
     let plain = PLAIN.decisions();
     for name in names {
-        assert_eq!(Telling { name, ..PLAIN }.decisions(), plain);
+        assert_eq!(Variant { name, ..PLAIN }.decisions(), plain);
     }
 }
 
 #[test]
-fn classes_tenants_and_zones_in_another_order_make_no_other_decisions() {
+fn order_of_classes_tenants_and_zones_does_not_affect_decisions() {
     let plain = PLAIN.decisions();
     for classes in [[2, 0, 1], [1, 2, 0], [2, 1, 0]] {
         for (tenants, zones) in [
@@ -199,31 +209,31 @@
             ([0, 1], [2, 0, 1]),
             ([1, 0], [1, 2, 0]),
         ] {
-            let telling = Telling {
+            let variant = Variant {
                 classes,
                 tenants,
                 zones,
                 ..PLAIN
             };
             assert_eq!(
-                telling.decisions(),
+                variant.decisions(),
                 plain,
-                "{classes:?} {tenants:?} {zones:?}"
+                "positions of classes {classes:?}, tenants {tenants:?}, zones {zones:?}"
             );
         }
     }
 }
 
 #[test]
-fn another_effect_or_zone_makes_other_decisions() {
-    // Guards against a story so poor that it would be the same under any settings.
+fn effects_and_zones_affect_decisions() {
+    // Otherwise the scenario would show nothing about the settings.
     let plain = PLAIN.decisions();
     assert_ne!(
-        decides(PLAIN.story().replace("\"fragile\"", "\"retryable\"")),
+        run_adapter(PLAIN.transcript().replace("\"fragile\"", "\"retryable\"")),
         plain
     );
     assert_ne!(
-        decides(PLAIN.story().replace("\"zone\":1", "\"zone\":2")),
+        run_adapter(PLAIN.transcript().replace("\"zone\":1", "\"zone\":2")),
         plain
     );
 }
--- a/crates/adapter/tests/transcripts.rs
+++ b/crates/adapter/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! Transcripts over standard input and output, good and bad.
+//! Valid and invalid transcripts over standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,7 +12,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
     // The adapter may stop early on bad input, which closes the pipe.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
@@ -28,44 +28,44 @@
     )
 }
 
-/// The first batch of an instance, with further events.
+/// The first batch of an instance, with these events at its end.
 fn batch(events: &str) -> String {
     format!("{}{events}\n{{\"what\":\"FLUSH\"}}\n", power_on())
 }
 
 fn stdout(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).expect("UTF-8")
+    String::from_utf8(output.stdout.clone()).expect("the output is UTF-8")
 }
 
-/// Runs input that must be refused; gives the one line on standard error.
-fn refused(input: &str) -> String {
+/// Runs invalid input; returns the single line on standard error.
+fn error_of(input: &str) -> String {
     let output = run(input);
     assert_eq!(output.status.code(), Some(1));
-    let said = String::from_utf8(output.stderr).expect("UTF-8");
-    assert_eq!(said.lines().count(), 1, "{said}");
-    said
+    let message = String::from_utf8(output.stderr).expect("the output is UTF-8");
+    assert_eq!(message.lines().count(), 1, "{message}");
+    message
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_no_fault() {
+fn empty_batch_is_answered_and_end_of_input_is_no_error() {
     let output = run("{\"what\":\"TICK\",\"time-ns\":1}\n{\"what\":\"FLUSH\"}\n");
     assert!(output.status.success());
     assert_eq!(stdout(&output), "{\"what\":\"FINISHED\"}\n");
 }
 
 #[test]
-fn a_request_goes_to_the_listed_server() {
+fn request_is_sent_to_the_listed_server() {
     let ask = r#"{"what":"ASK","balancer-id":"balancer/0","req":7,"give-up-at-ns":900000000,"grade":0,"resource":"k\u0041"}"#;
     let output = run(&batch(ask));
     assert!(output.status.success());
     let reply = stdout(&output);
-    let sent = r#"{"what":"CALL_OUT","balancer-id":"balancer/0","req":7,"server":"server-a","allow-for-ns":300000000}"#;
-    assert!(reply.lines().any(|line| line == sent), "{reply}");
+    let expected = r#"{"what":"CALL_OUT","balancer-id":"balancer/0","req":7,"server":"server-a","allow-for-ns":300000000}"#;
+    assert!(reply.lines().any(|line| line == expected), "{reply}");
     assert_eq!(reply.lines().last(), Some("{\"what\":\"FINISHED\"}"));
 }
 
 #[test]
-fn every_event_is_taken_also_for_requests_that_are_over() {
+fn every_event_is_accepted_for_ended_requests() {
     let events = [
         r#"{"what":"TAKEN_OVER","balancer-id":"balancer/0","req":8,"give-up-at-ns":900000000,"server":"server-a","grade":0}"#,
         r#"{"what":"HEARTBEAT","balancer-id":"balancer/0","req":8,"kind":1,"server":"server-a","send-no":0,"value":12.5}"#,
@@ -88,67 +88,70 @@
 }
 
 #[test]
-fn an_unknown_event_is_skipped_with_a_note() {
-    let odd = r#"{"what":"WEATHER","balancer-id":"balancer/0"}"#;
-    let output = run(&batch(odd));
+fn unknown_event_is_skipped_with_a_message() {
+    let unknown = r#"{"what":"WEATHER","balancer-id":"balancer/0"}"#;
+    let output = run(&batch(unknown));
     assert!(output.status.success());
-    let said = String::from_utf8(output.stderr).expect("UTF-8");
+    let message = String::from_utf8(output.stderr).expect("the output is UTF-8");
     assert!(
-        said.contains("line 5") && said.contains("WEATHER"),
-        "{said}"
+        message.contains("line 5") && message.contains("WEATHER"),
+        "{message}"
     );
 }
 
 #[test]
-fn bad_input_ends_the_run_with_one_line_that_says_where_and_why() {
-    let said = refused("{\"what\":\"TICK\",\"time-ns\":1}\nnot json\n");
-    assert!(said.contains("line 2"), "{said}");
-    let said = refused(&format!(
+fn invalid_input_ends_the_run_with_one_error_line() {
+    let message = error_of("{\"what\":\"TICK\",\"time-ns\":1}\nnot json\n");
+    assert!(message.contains("line 2"), "{message}");
+    let message = error_of(&format!(
         "{}{{\"what\":\"ASK\",\"balancer-id\":\"balancer/0\",\"req\":1,\"grade\":0}}\n",
         power_on()
     ));
     assert!(
-        said.contains("line 5") && said.contains("give-up-at-ns"),
-        "{said}"
+        message.contains("line 5") && message.contains("give-up-at-ns"),
+        "{message}"
     );
-    let said = refused(&format!(
+    let message = error_of(&format!(
         "{}{{\"what\":\"ANNOUNCE\",\"balancer-id\":\"balancer/0\",\"mode\":\"full\",\"list\":4}}\n",
         power_on()
     ));
-    assert!(said.contains("list 4"), "{said}");
-    let said = refused(
+    assert!(message.contains("list 4"), "{message}");
+    let message = error_of(
         "{\"what\":\"TICK\",\"time-ns\":1}\n{\"what\":\"KILLED\",\"balancer-id\":\"balancer/1\"}\n",
     );
-    assert!(said.contains("never started"), "{said}");
-    let said = refused("{\"what\":\"TICK\",\"time-ns\":1}\n");
-    assert!(said.contains("inside a batch"), "{said}");
+    assert!(message.contains("never started"), "{message}");
+    let message = error_of("{\"what\":\"TICK\",\"time-ns\":1}\n");
+    assert!(message.contains("inside a batch"), "{message}");
 }
 
 #[test]
-fn a_killed_instance_is_gone_until_it_is_started_again() {
+fn event_for_a_killed_instance_is_an_error() {
     let killed = r#"{"what":"KILLED","balancer-id":"balancer/0"}"#;
-    let late = r#"{"what":"CLIENT_LEFT","balancer-id":"balancer/0","req":1}"#;
-    let said = refused(&format!("{}{killed}\n{late}\n", power_on()));
-    assert!(said.contains("line 6"), "{said}");
+    let event = r#"{"what":"CLIENT_LEFT","balancer-id":"balancer/0","req":1}"#;
+    let message = error_of(&format!("{}{killed}\n{event}\n", power_on()));
+    assert!(message.contains("line 6"), "{message}");
 }
 
 #[test]
-fn settings_out_of_range_name_the_field() {
-    let bad = power_on().replace("\"cold-share\":0.3", "\"cold-share\":7");
-    assert!(refused(&bad).contains("setup: rules.cold-share: must be"));
+fn error_for_settings_out_of_range_names_the_field() {
+    let out_of_range = power_on().replace("\"cold-share\":0.3", "\"cold-share\":7");
+    assert!(error_of(&out_of_range).contains("setup: rules.cold-share: must be"));
 }
 
 #[test]
-fn a_restarted_instance_knows_nothing_of_its_former_requests() {
-    let former = r#"{"what":"TAKEN_OVER","balancer-id":"balancer/0","req":8,"give-up-at-ns":900000000,"server":"server-a","grade":0}"#;
+fn restarted_instance_does_not_know_former_requests() {
+    let adopted = r#"{"what":"TAKEN_OVER","balancer-id":"balancer/0","req":8,"give-up-at-ns":900000000,"server":"server-a","grade":0}"#;
     let killed = r#"{"what":"KILLED","balancer-id":"balancer/0"}"#;
-    let broke = r#"{"what":"RESULT","balancer-id":"balancer/0","req":8,"send-no":0,"server":"server-a","status":6,"elapsed-ns":1}"#;
-    let again = power_on();
-    let again = again.split_once('\n').expect("more than a tick").1;
+    let reset = r#"{"what":"RESULT","balancer-id":"balancer/0","req":8,"send-no":0,"server":"server-a","status":6,"elapsed-ns":1}"#;
+    let restart = power_on();
+    let restart = restart
+        .split_once('\n')
+        .expect("the batch has more than one line")
+        .1;
     let answer = r#"{"what":"REPORT_FAILURE","balancer-id":"balancer/0","req":8}"#;
-    let kept = run(&batch(&format!("{former}\n{broke}")));
-    assert!(stdout(&kept).contains(answer));
-    let restarted = run(&batch(&format!("{former}\n{killed}\n{again}{broke}")));
+    let without_restart = run(&batch(&format!("{adopted}\n{reset}")));
+    assert!(stdout(&without_restart).contains(answer));
+    let restarted = run(&batch(&format!("{adopted}\n{killed}\n{restart}{reset}")));
     assert!(
         restarted.status.success(),
         "{}",
--- a/crates/engine/tests/interleavings.rs
+++ b/crates/engine/tests/interleavings.rs
@@ -1,35 +1,35 @@
-//! Events in every order, by chance, against the module and the admission queue together: after each step the rules
-//! hold for each request, whatever its class may repeat.
+//! Random sequences of events for the policy and the admission queue together: after each step, the
+//! rules hold for every request of every retry safety.
 
 use std::collections::BTreeMap;
 
-use beaconflow_admission::{Bound, Limits as Queues};
+use beaconflow_admission::{Bound, Limits as QueueLimits};
 use beaconflow_engine::{BalancerEngine, Engine};
 use beaconflow_policy::*;
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// Shorter than most deadlines here, so that it ends while a request still waits.
-const WINDOW: Nanos = 400 * MS;
+/// Shorter than most deadlines here, so that it ends while requests still wait.
+const IDEMPOTENCY_WINDOW: Nanos = 400 * MS;
 const MAX_ATTEMPTS: u32 = 4;
 const SERVERS: u32 = 5;
-/// Few enough that some have to give way.
-const MOST_QUEUED: usize = 6;
+/// Low enough that the queue has to reject requests.
+const MAX_QUEUED: usize = 6;
 
-const REPEATS: [RetrySafety; 5] = [
+const RETRY_SAFETIES: [RetrySafety; 5] = [
     RetrySafety::Idempotent,
     RetrySafety::NonIdempotent,
     RetrySafety::IdempotencyKey {
         dedup_scope: DedupScope::All,
-        window: WINDOW,
+        window: IDEMPOTENCY_WINDOW,
     },
     RetrySafety::IdempotencyKey {
         dedup_scope: DedupScope::Zone,
-        window: WINDOW,
+        window: IDEMPOTENCY_WINDOW,
     },
     RetrySafety::IdempotencyKey {
         dedup_scope: DedupScope::Cell,
-        window: WINDOW,
+        window: IDEMPOTENCY_WINDOW,
     },
 ];
 
@@ -45,7 +45,7 @@
         balancers: 1,
         rank: 0,
         zone: ZoneId(0),
-        classes: REPEATS.into_iter().map(class).collect(),
+        classes: RETRY_SAFETIES.into_iter().map(class).collect(),
         discovery: DiscoveryMode::Pushed,
         has_live_weights: false,
         limits: Limits {
@@ -80,10 +80,10 @@
     }
 }
 
-/// The same numbers in every run (a linear congruential generator).
-struct Chance(u64);
+/// A linear congruential generator, with the same numbers in every run.
+struct Generator(u64);
 
-impl Chance {
+impl Generator {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -93,49 +93,52 @@
     }
 }
 
-/// What a client and its servers know of a request.
-struct Seen {
-    repeat: RetrySafety,
-    give_up_at: Nanos,
+/// State of a request as its client and its servers know it.
+struct RequestModel {
+    retry_safety: RetrySafety,
+    deadline_at: Nanos,
     attempts: u32,
-    /// Where it is out, since when, and until when its first byte may be sent.
-    out: Option<(ServerId, Nanos, Nanos)>,
-    /// The first attempt that may have run.
-    ran: Option<(ServerId, Nanos)>,
-    stands: bool,
+    /// The attempt in flight: its server, when it was sent, and until when its first byte may be
+    /// sent.
+    in_flight: Option<(ServerId, Nanos, Nanos)>,
+    /// The first attempt that may have been executed: its server and when it was sent.
+    possible_execution: Option<(ServerId, Nanos)>,
+    is_established: bool,
     answers: u32,
-    left: bool,
+    has_left: bool,
 }
 
-impl Seen {
+impl RequestModel {
     fn is_over(&self) -> bool {
-        self.stands || self.left || self.answers > 0
+        self.is_established || self.has_left || self.answers > 0
     }
 }
 
-struct World {
-    instance: Engine,
-    chance: Chance,
+/// An engine, and the state that a host would keep for it.
+struct Harness {
+    engine: Engine,
+    generator: Generator,
     now: Nanos,
-    requests: BTreeMap<u64, Seen>,
+    requests: BTreeMap<u64, RequestModel>,
     states: BTreeMap<u32, ServerState>,
     timers: Vec<(Nanos, TimerId)>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let queues = Queues {
+impl Harness {
+    fn new(seed: u64) -> Harness {
+        let limits = QueueLimits {
             all: Bound {
-                entries: MOST_QUEUED,
+                entries: MAX_QUEUED,
                 bytes: usize::MAX,
             },
-            ..Queues::default()
+            ..QueueLimits::default()
         };
-        let instance = Engine::new(settings(), vec![1.0, 2.0], queues, seed).expect("in range");
+        let engine = Engine::new(settings(), vec![1.0, 2.0], limits, seed)
+            .expect("the settings are in range");
         let (requests, states, timers) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let mut world = World {
-            instance,
-            chance: Chance(seed),
+        let mut harness = Harness {
+            engine,
+            generator: Generator(seed),
             now: SECOND,
             requests,
             states,
@@ -144,23 +147,23 @@
         let entries: Vec<ServerEntry> = (0..SERVERS)
             .map(|server| entry(server, ServerState::Ready))
             .collect();
-        world
+        harness
             .states
             .extend((0..SERVERS).map(|server| (server, ServerState::Ready)));
-        world.tell(Event::ServerList {
+        harness.handle(Event::ServerList {
             update: ListUpdate::Snapshot,
             entries,
         });
-        world
+        harness
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.instance.handle(self.now, event, &mut actions);
-        self.follow(actions);
+        self.engine.handle(self.now, event, &mut actions);
+        self.execute(actions);
     }
 
-    fn follow(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::StartAttempt {
@@ -169,97 +172,111 @@
                     begin_within,
                     timeout,
                 } => {
-                    self.attempt(request.0, server, (begin_within, timeout));
+                    self.start_attempt(request.0, server, (begin_within, timeout));
                 }
                 Action::Reject { request, .. } => {
-                    let seen = self.answered(request.0);
-                    assert!(seen.ran.is_none(), "refused, but it may have run");
+                    let model = self.record_answer(request.0);
+                    assert!(
+                        model.possible_execution.is_none(),
+                        "a request that may have been executed was rejected"
+                    );
                 }
                 Action::Fail(request) => {
-                    let seen = self.answered(request.0);
-                    assert!(seen.ran.is_some(), "failed, but it never ran");
+                    let model = self.record_answer(request.0);
+                    assert!(
+                        model.possible_execution.is_some(),
+                        "a request that was not executed failed"
+                    );
                 }
                 Action::SetTimer { after, timer } => self.timers.push((self.now + after, timer)),
                 Action::Enqueue(request) => {
-                    let seen = &self.requests[&request.0];
-                    assert!(!seen.is_over() && seen.out.is_none());
+                    let model = &self.requests[&request.0];
+                    assert!(!model.is_over() && model.in_flight.is_none());
                 }
                 Action::Migrate(request, _) => drop(self.requests.remove(&request.0)),
                 Action::ProbeServer(_) | Action::WatchServerList | Action::LogOverload(_) => {}
             }
         }
-        assert!(self.instance.queued() <= MOST_QUEUED);
+        assert!(self.engine.queued() <= MAX_QUEUED);
     }
 
-    fn answered(&mut self, id: u64) -> &Seen {
-        let seen = self.requests.get_mut(&id).expect("it came");
+    fn record_answer(&mut self, id: u64) -> &RequestModel {
+        let model = self.requests.get_mut(&id).expect("the request was made");
         assert!(
-            !seen.is_over() && seen.out.is_none(),
-            "one final answer, with no attempt out"
+            !model.is_over() && model.in_flight.is_none(),
+            "a final answer needs an open request without an attempt in flight"
         );
-        seen.answers += 1;
-        seen
+        model.answers += 1;
+        model
     }
 
-    fn attempt(&mut self, id: u64, to: ServerId, (begin_within, timeout): (Nanos, Nanos)) {
+    fn start_attempt(
+        &mut self,
+        id: u64,
+        server: ServerId,
+        (begin_within, timeout): (Nanos, Nanos),
+    ) {
         let now = self.now;
-        let seen = self.requests.get_mut(&id).expect("it came");
+        let model = self.requests.get_mut(&id).expect("the request was made");
         assert!(
-            !seen.is_over(),
-            "nothing is sent for one that is over or has left"
+            !model.is_over(),
+            "an attempt was started for a request that is over"
         );
-        assert!(seen.out.is_none(), "one attempt at a time");
-        assert!(seen.attempts < MAX_ATTEMPTS);
-        assert_eq!(self.states[&to.0], ServerState::Ready);
-        assert!(begin_within > 0 && begin_within <= timeout && now + timeout <= seen.give_up_at);
-        if let Some((first, sent_at)) = seen.ran {
-            let (one, other) = (
+        assert!(
+            model.in_flight.is_none(),
+            "two attempts of one request are in flight"
+        );
+        assert!(model.attempts < MAX_ATTEMPTS);
+        assert_eq!(self.states[&server.0], ServerState::Ready);
+        assert!(begin_within > 0 && begin_within <= timeout && now + timeout <= model.deadline_at);
+        if let Some((first, sent_at)) = model.possible_execution {
+            let (first, next) = (
                 entry(first.0, ServerState::Ready),
-                entry(to.0, ServerState::Ready),
+                entry(server.0, ServerState::Ready),
             );
-            let in_window = now + begin_within <= sent_at + WINDOW;
-            assert!(match seen.repeat {
+            let is_within_window = now + begin_within <= sent_at + IDEMPOTENCY_WINDOW;
+            assert!(match model.retry_safety {
                 RetrySafety::Idempotent => true,
                 RetrySafety::NonIdempotent => false,
                 RetrySafety::IdempotencyKey {
                     dedup_scope: DedupScope::All,
                     ..
-                } => in_window,
+                } => is_within_window,
                 RetrySafety::IdempotencyKey {
                     dedup_scope: DedupScope::Zone,
                     ..
-                } => in_window && one.zone == other.zone,
+                } => is_within_window && first.zone == next.zone,
                 RetrySafety::IdempotencyKey {
                     dedup_scope: DedupScope::Cell,
                     ..
-                } => in_window && one.cell == other.cell,
+                } => is_within_window && first.cell == next.cell,
             });
         }
-        seen.attempts += 1;
-        seen.out = Some((to, now, now + begin_within));
+        model.attempts += 1;
+        model.in_flight = Some((server, now, now + begin_within));
     }
 
-    fn end(&mut self, id: u64, outcome: AttemptOutcome) {
+    fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome) {
         let now = self.now;
-        let Some(seen) = self.requests.get_mut(&id) else {
+        let Some(model) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some((server, sent_at, begin_by)) = seen.out.take() else {
+        let Some((server, sent_at, begin_by)) = model.in_flight.take() else {
             return;
         };
-        // A first byte that comes too late is withheld, whatever the server would have said.
+        // A first byte that would be sent too late is not sent, whatever the server would have answered.
         let outcome = if now >= begin_by && outcome.proves_not_executed() {
             AttemptOutcome::NotSent
         } else {
             outcome
         };
         if !outcome.proves_not_executed() {
-            seen.ran.get_or_insert((server, sent_at));
+            model.possible_execution.get_or_insert((server, sent_at));
         }
-        let attempt = seen.attempts - 1;
-        let is_final = seen.stands || outcome == AttemptOutcome::Served;
-        seen.stands |= is_final;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        let attempt = model.attempts - 1;
+        let is_final = model.is_established || outcome == AttemptOutcome::Served;
+        model.is_established |= is_final;
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt,
             outcome,
@@ -268,22 +285,22 @@
         }));
     }
 
-    fn arrive(&mut self) {
+    fn request_connection(&mut self) {
         let id = self.requests.keys().next_back().map_or(0, |last| last + 1);
-        let class = self.chance.below(REPEATS.len() as u64) as usize;
-        let deadline_at = self.now + MS * (1 + self.chance.below(1_000));
-        let seen = Seen {
-            repeat: REPEATS[class],
-            give_up_at: deadline_at,
+        let class = self.generator.below(RETRY_SAFETIES.len() as u64) as usize;
+        let deadline_at = self.now + MS * (1 + self.generator.below(1_000));
+        let model = RequestModel {
+            retry_safety: RETRY_SAFETIES[class],
+            deadline_at,
             attempts: 0,
-            out: None,
-            ran: None,
-            stands: false,
+            in_flight: None,
+            possible_execution: None,
+            is_established: false,
             answers: 0,
-            left: false,
+            has_left: false,
         };
-        self.requests.insert(id, seen);
-        let arrival = ConnectRequest {
+        self.requests.insert(id, model);
+        let connect = ConnectRequest {
             request: RequestId(id),
             deadline_at,
             class: ClassId(class),
@@ -293,56 +310,60 @@
             expected_load: None,
             pin: None,
         };
-        let (account, mut actions) = (self.chance.below(2) as usize, Vec::new());
-        self.instance
-            .on_connect_requested(self.now, arrival, account, false, &mut actions);
-        self.follow(actions);
+        let (account, mut actions) = (self.generator.below(2) as usize, Vec::new());
+        self.engine
+            .on_connect_requested(self.now, connect, account, false, &mut actions);
+        self.execute(actions);
     }
 
-    /// Lets time pass; attempts whose client's time is up are given up before later timers fire.
-    fn pass(&mut self, span: Nanos) {
+    /// Advances the clock. Attempts are ended at the deadline of their client, before later timers fire.
+    fn advance(&mut self, span: Nanos) {
         let end = self.now + span;
         loop {
-            let waits = |seen: &Seen| seen.out.is_some() && !seen.is_over();
-            let late = self.requests.iter().filter(|(_, seen)| waits(seen));
-            let late = late
-                .map(|(id, seen)| (seen.give_up_at, *id))
+            let is_attempt_pending =
+                |model: &RequestModel| model.in_flight.is_some() && !model.is_over();
+            let expiring = self
+                .requests
+                .iter()
+                .filter(|(_, model)| is_attempt_pending(model));
+            let expiring = expiring
+                .map(|(id, model)| (model.deadline_at, *id))
                 .min()
                 .filter(|(at, _)| *at <= end);
             self.timers.sort();
-            let due = self.timers.first().copied().filter(|(at, _)| *at <= end);
-            match (late, due) {
-                (Some((at, id)), due) if due.is_none_or(|(other, _)| at <= other) => {
+            let timer = self.timers.first().copied().filter(|(at, _)| *at <= end);
+            match (expiring, timer) {
+                (Some((at, id)), timer) if timer.is_none_or(|(fires_at, _)| at <= fires_at) => {
                     self.now = self.now.max(at);
-                    self.end(id, AttemptOutcome::TimedOut);
+                    self.end_attempt(id, AttemptOutcome::TimedOut);
                 }
                 (_, Some((at, timer))) => {
                     self.timers.remove(0);
                     self.now = self.now.max(at);
-                    self.tell(Event::TimerFired(timer));
+                    self.handle(Event::TimerFired(timer));
                 }
                 _ => break,
             }
         }
         self.now = end;
-        for (id, seen) in &self.requests {
+        for (id, model) in &self.requests {
             assert!(
-                seen.is_over() || end < seen.give_up_at,
-                "request {id} has no answer in time"
+                model.is_over() || end < model.deadline_at,
+                "request {id} was not answered by its deadline"
             );
         }
     }
 
-    /// One of the requests that are out.
-    fn pick(&mut self) -> Option<u64> {
-        let out: Vec<u64> = self
+    /// A random request with an attempt in flight.
+    fn pick_in_flight(&mut self) -> Option<u64> {
+        let in_flight: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, seen)| seen.out.is_some() && !seen.is_over())
+            .filter(|(_, model)| model.in_flight.is_some() && !model.is_over())
             .map(|(id, _)| *id)
             .collect();
-        let at = self.chance.below(out.len().max(1) as u64) as usize;
-        out.get(at).copied()
+        let index = self.generator.below(in_flight.len().max(1) as u64) as usize;
+        in_flight.get(index).copied()
     }
 
     fn step(&mut self) {
@@ -356,20 +377,23 @@
             AttemptOutcome::Cancelled,
             AttemptOutcome::NotSent,
         ];
-        match self.chance.below(12) {
-            0..=3 => self.arrive(),
+        match self.generator.below(12) {
+            0..=3 => self.request_connection(),
             4..=6 => {
-                let outcome = OUTCOMES[self.chance.below(8) as usize];
-                if let Some(id) = self.pick() {
-                    self.end(id, outcome);
+                let outcome = OUTCOMES[self.generator.below(8) as usize];
+                if let Some(id) = self.pick_in_flight() {
+                    self.end_attempt(id, outcome);
                 }
             }
             7 => {
-                if let Some(id) = self.pick() {
-                    let seen = self.requests.get_mut(&id).expect("just picked");
-                    seen.stands = true;
-                    let attempt = seen.attempts - 1;
-                    self.tell(Event::AttemptEstablished {
+                if let Some(id) = self.pick_in_flight() {
+                    let model = self
+                        .requests
+                        .get_mut(&id)
+                        .expect("the request was just picked");
+                    model.is_established = true;
+                    let attempt = model.attempts - 1;
+                    self.handle(Event::AttemptEstablished {
                         request: RequestId(id),
                         attempt,
                     });
@@ -377,59 +401,61 @@
             }
             8 => {
                 let last = self.requests.keys().next_back().copied().unwrap_or(0);
-                let id = last - self.chance.below(last + 1).min(20);
-                if let Some(seen) = self.requests.get_mut(&id).filter(|seen| !seen.is_over()) {
-                    (seen.left, seen.out) = (true, None);
-                    self.tell(Event::ClientLeft(RequestId(id)));
+                let id = last - self.generator.below(last + 1).min(20);
+                if let Some(model) = self.requests.get_mut(&id).filter(|model| !model.is_over()) {
+                    (model.has_left, model.in_flight) = (true, None);
+                    self.handle(Event::ClientLeft(RequestId(id)));
                 }
             }
             9 => {
-                let server = self.chance.below(u64::from(SERVERS)) as u32;
+                let server = self.generator.below(u64::from(SERVERS)) as u32;
                 let states = [
                     ServerState::Ready,
                     ServerState::Ready,
                     ServerState::Draining,
                     ServerState::Removed,
                 ];
-                let state = states[self.chance.below(4) as usize];
+                let state = states[self.generator.below(4) as usize];
                 self.states.insert(server, state);
-                self.tell(Event::ServerList {
+                self.handle(Event::ServerList {
                     update: ListUpdate::Delta,
                     entries: vec![entry(server, state)],
                 });
             }
             _ => {
-                let span = MS * self.chance.below(120);
-                self.pass(span);
+                let span = MS * self.generator.below(120);
+                self.advance(span);
             }
         }
     }
 }
 
 #[test]
-fn the_rules_hold_after_every_step_of_any_interleaving() {
-    let mut repeated = [0; REPEATS.len()];
+fn rules_hold_after_every_step_of_random_events() {
+    let mut retried = [0; RETRY_SAFETIES.len()];
     let mut queued = 0;
     for seed in 0..300 {
-        let mut world = World::new(seed);
+        let mut harness = Harness::new(seed);
         for _ in 0..300 {
-            world.step();
-            queued += usize::from(world.instance.queued() > 0);
+            harness.step();
+            queued += usize::from(harness.engine.queued() > 0);
         }
-        world.pass(2 * SECOND);
+        harness.advance(2 * SECOND);
         assert_eq!(
-            world.instance.queued(),
+            harness.engine.queued(),
             0,
-            "seed {seed}: nobody waits for ever"
+            "seed {seed}: the queue should be empty at the end"
         );
-        for (place, repeat) in REPEATS.iter().enumerate() {
-            let again = |seen: &&Seen| seen.repeat == *repeat && seen.attempts > 1;
-            repeated[place] += world.requests.values().filter(again).count();
+        for (index, retry_safety) in RETRY_SAFETIES.iter().enumerate() {
+            let is_retried =
+                |model: &&RequestModel| model.retry_safety == *retry_safety && model.attempts > 1;
+            retried[index] += harness.requests.values().filter(is_retried).count();
         }
     }
-    // The test tests something: requests of every effect were repeated, and some waited in the queue.
+    // Requests of every retry safety were retried, and some waited in the queue; otherwise the test
+    // would show nothing.
     assert!(
-        repeated.iter().all(|count| *count > 100) && queued > 1_000,
-        "{repeated:?}, queued {queued}"
+        retried.iter().all(|count| *count > 100) && queued > 1_000,
+        "retried by retry safety: {retried:?}; steps with queued requests: {queued}"
     );
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -1,9 +1,10 @@
-//! Decisions follow from what the settings say, and not from what anything is called.
+//! The settings of the policy depend on the values in the file, not on the names of classes, tenants
+//! and zones.
 
 use beaconflow_settings::SiteSettings;
 
-/// Two deployments that differ in nearly everything: one asks for its list and has no reports, the other is pushed its
-/// list and may probe.
+/// Two deployments that differ in nearly every setting: one polls for the list and has no load
+/// reports, the other has its list pushed and may probe.
 const SITES: [&str; 2] = [
     r#"{"balancers": 3, "rank": 1, "zones": ["ZONE-A", "ZONE-B", "ZONE-C"], "zone": 1, "discovery": "subscribe",
         "family": "conn", "weight-kind": "nominal", "layers": ["TIER"], "kinds": ["KIND"],
@@ -26,59 +27,59 @@
         "rules": {"cold-share": 0.13, "cold-ns": 24000000000, "tip-multiple": 3.0, "fall-ns": 2000000000}}"#,
 ];
 
-fn under(site: &str, name: impl Fn(&str) -> String) -> SiteSettings {
-    let words = [
+fn read_renamed(site: &str, rename: impl Fn(&str) -> String) -> SiteSettings {
+    let names = [
         "ZONE-A", "ZONE-B", "ZONE-C", "CLASS-A", "CLASS-B", "TENANT-A", "TENANT-B", "TIER", "KIND",
     ];
-    let text = words.iter().fold(site.to_owned(), |text, word| {
-        text.replace(word, &name(word))
+    let text = names.iter().fold(site.to_owned(), |text, name| {
+        text.replace(name, &rename(name))
     });
-    serde_json::from_str(&text).expect("settings")
+    serde_json::from_str(&text).expect("the settings are valid")
 }
 
 #[test]
-fn the_module_and_the_shares_are_the_same_under_any_names() {
+fn names_do_not_affect_policy_settings_and_shares() {
     for site in SITES {
-        let plain = under(site, str::to_owned);
-        // Names of one site's classes in another order, and names that look like words of the settings.
-        let names: [fn(&str) -> String; 3] = [
-            |word| word.chars().rev().collect(),
-            |word| format!("retryable-{word}"),
-            |word| format!("x0 {word}"),
+        let plain = read_renamed(site, str::to_owned);
+        // Names in another alphabetical order, and names that contain values or keys of the settings.
+        let renamings: [fn(&str) -> String; 3] = [
+            |name| name.chars().rev().collect(),
+            |name| format!("retryable-{name}"),
+            |name| format!("x0 {name}"),
         ];
-        for name in names {
-            let renamed = under(site, name);
+        for rename in renamings {
+            let renamed = read_renamed(site, rename);
             assert_eq!(renamed.policy_settings(), plain.policy_settings());
             assert!(renamed.policy_settings().check().is_ok());
             assert_eq!(renamed.can_probe(), plain.can_probe());
-            let shares = |setup: &SiteSettings| {
-                setup
+            let shares = |settings: &SiteSettings| {
+                settings
                     .tenant_shares()
                     .map(|(_, share)| share)
                     .collect::<Vec<f64>>()
             };
             assert_eq!(shares(&renamed), shares(&plain));
-            assert_eq!(renamed.class(&name("CLASS-B")), Some(1));
+            assert_eq!(renamed.class(&rename("CLASS-B")), Some(1));
         }
     }
 }
 
 #[test]
-fn probes_need_the_leave_and_a_load_to_be_told() {
-    let site = |leave: &str, names: &str| {
+fn probes_need_permission_and_reported_load() {
+    let can_probe = |permission: &str, reported: &str| {
         let text = SITES[1]
-            .replace("\"may-probe\": true", leave)
-            .replace("[\"x0\", \"q\"]", names);
-        under(&text, str::to_owned).can_probe()
+            .replace("\"may-probe\": true", permission)
+            .replace("[\"x0\", \"q\"]", reported);
+        read_renamed(&text, str::to_owned).can_probe()
     };
-    assert!(site("\"may-probe\": true", "[\"q\", \"x0\"]"));
+    assert!(can_probe("\"may-probe\": true", "[\"q\", \"x0\"]"));
     assert!(
-        !site("\"may-probe\": true", "[\"q\"]"),
-        "nothing is told that could be read"
+        !can_probe("\"may-probe\": true", "[\"q\"]"),
+        "no load that the balancer uses is reported"
     );
-    assert!(!site("\"may-probe\": false", "[\"x0\"]"));
+    assert!(!can_probe("\"may-probe\": false", "[\"x0\"]"));
     assert!(
-        !site("\"deep\": true", "[\"x0\"]"),
-        "an unknown key is no leave"
+        !can_probe("\"deep\": true", "[\"x0\"]"),
+        "an unknown key is no permission"
     );
 }
