--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -3,7 +3,7 @@
 use super::write_fault;
 
 #[test]
-fn fault_is_one_line_of_json_for_any_text() {
+fn fault_with_any_text_is_one_line() {
     let mut out = Vec::new();
     write_fault(&mut out, "balancer/3", "index 7\nout of \"range\"");
     let line = String::from_utf8(out).expect("the line is UTF-8");
--- a/crates/adapter/tests/renamed.rs
+++ b/crates/adapter/tests/renamed.rs
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn order_of_classes_tenants_and_zones_does_not_affect_decisions() {
+fn order_of_lists_does_not_affect_decisions() {
     let plain = PLAIN.decisions();
     for classes in [[2, 0, 1], [1, 2, 0], [2, 1, 0]] {
         for (tenants, zones) in [
--- a/crates/adapter/tests/transcripts.rs
+++ b/crates/adapter/tests/transcripts.rs
@@ -46,8 +46,9 @@
     message
 }
 
+/// The end of input after a batch is not an error.
 #[test]
-fn empty_batch_is_answered_and_end_of_input_is_no_error() {
+fn empty_batch_is_answered() {
     let output = run("{\"what\":\"TICK\",\"time-ns\":1}\n{\"what\":\"FLUSH\"}\n");
     assert!(output.status.success());
     assert_eq!(stdout(&output), "{\"what\":\"FINISHED\"}\n");
@@ -99,8 +100,9 @@
     );
 }
 
+/// The single error line gives the line number and the reason.
 #[test]
-fn invalid_input_ends_the_run_with_one_error_line() {
+fn invalid_input_ends_the_run() {
     let message = error_of("{\"what\":\"TICK\",\"time-ns\":1}\nnot json\n");
     assert!(message.contains("line 2"), "{message}");
     let message = error_of(&format!(
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn event_for_a_killed_instance_is_an_error() {
+fn event_for_killed_instance_is_error() {
     let killed = r#"{"what":"KILLED","balancer-id":"balancer/0"}"#;
     let event = r#"{"what":"CLIENT_LEFT","balancer-id":"balancer/0","req":1}"#;
     let message = error_of(&format!("{}{killed}\n{event}\n", power_on()));
@@ -133,13 +135,13 @@
 }
 
 #[test]
-fn error_for_settings_out_of_range_names_the_field() {
+fn invalid_setting_is_reported_by_field() {
     let out_of_range = power_on().replace("\"cold-share\":0.3", "\"cold-share\":7");
     assert!(error_of(&out_of_range).contains("setup: rules.cold-share: must be"));
 }
 
 #[test]
-fn restarted_instance_does_not_know_former_requests() {
+fn restarted_instance_forgets_requests() {
     let adopted = r#"{"what":"TAKEN_OVER","balancer-id":"balancer/0","req":8,"give-up-at-ns":900000000,"server":"server-a","grade":0}"#;
     let killed = r#"{"what":"KILLED","balancer-id":"balancer/0"}"#;
     let reset = r#"{"what":"RESULT","balancer-id":"balancer/0","req":8,"send-no":0,"server":"server-a","status":6,"elapsed-ns":1}"#;
--- a/crates/engine/tests/interleavings.rs
+++ b/crates/engine/tests/interleavings.rs
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn rules_hold_after_every_step_of_random_events() {
+fn rules_hold_under_random_events() {
     let mut retried = [0; RETRY_SAFETIES.len()];
     let mut queued = 0;
     for seed in 0..300 {
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn group_uses_warm_server_when_preferred_ones_restart() {
+fn group_uses_warm_server_when_others_restart() {
     let mut fleet = Fleet::new(300);
     fleet.restart_servers_from(2);
     for group in 0..200 {
--- a/crates/policy/tests/large_fleet.rs
+++ b/crates/policy/tests/large_fleet.rs
@@ -81,7 +81,7 @@
 /// A few connections of one balancer in a large fleet show chance, not imbalance; and servers that
 /// report their load are known better than by one balancer's connections.
 #[test]
-fn rebalancing_ignores_chance_and_servers_that_report_load() {
+fn rebalancing_ignores_chance_and_reported_loads() {
     let cases = [(1, 8, 1), (3, 8, 1), (48, 8, 0), (300, 8, 0), (300, 30, 1)];
     let cases = cases
         .map(|(balancers, connections, migrations)| (balancers, connections, migrations, false));
@@ -149,7 +149,7 @@
 
 /// A slow set-up waited for a shared resource; a higher limit would only lengthen that queue.
 #[test]
-fn slow_attempts_do_not_raise_the_concurrency_limit() {
+fn slow_attempts_keep_the_concurrency_limit() {
     let concurrent_after = |setup_latency: Nanos| {
         let mut balancer = one_of(3, 4);
         for id in 0..60 {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn first_list_call_is_spread_over_a_large_fleet() {
+fn large_fleet_spreads_first_list_calls() {
     let first_call_wait = |balancers, seed| {
         let (_, actions) = start_polling(balancers, seed);
         if actions.contains(&Action::WatchServerList) {
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn large_fleet_spreads_retries_of_failed_list_calls() {
+fn large_fleet_spreads_list_call_retries() {
     let first_retry = |balancers, seed| {
         let (mut balancer, mut actions) = (start_polling(balancers, seed).0, Vec::new());
         balancer.handle(
@@ -325,7 +325,7 @@
 
 /// Simultaneous calls of a fleet that starts at once would fill the queue of discovery and fail.
 #[test]
-fn fleet_started_at_once_gets_its_list_soon() {
+fn fleet_gets_list_soon_after_simultaneous_start() {
     enum Pending {
         Timer(TimerId),
         Answer { is_served: bool },
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn housekeeping_of_a_fleet_is_spread_over_its_period() {
+fn housekeeping_is_spread_over_its_period() {
     let first_housekeeping = |rank: u32| {
         let settings = Settings {
             balancers: 300,
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn attempt_timeout_grows_after_timeouts_of_several_servers() {
+fn timeouts_of_several_servers_raise_attempt_timeout() {
     let timeout_after = |unresponsive: [u32; 2]| {
         let mut balancer = one_of(300, 4);
         for (id, server) in (0..).zip(unresponsive) {
@@ -504,7 +504,7 @@
 /// Live weights fall with the load of a server, so an empty server in slow start has the greatest
 /// listed weight without being larger.
 #[test]
-fn live_weight_of_a_restarted_server_is_not_its_size() {
+fn live_weight_does_not_determine_server_size() {
     let attempts_at_restarted = |has_live_weights| {
         let mut balancer = TestBalancer::new(Settings {
             has_live_weights,
@@ -571,7 +571,7 @@
 }
 
 #[test]
-fn next_list_call_begins_before_changes_count_as_known() {
+fn next_list_call_begins_in_time() {
     /// A change counts as known 6 s after discovery had it; the last second is for the call itself.
     const MAX_CALL_INTERVAL: Nanos = 5 * SECOND;
     /// However late a failure is noticed, the calls of one balancer are not made back to back.
--- a/crates/policy/tests/pins.rs
+++ b/crates/policy/tests/pins.rs
@@ -23,8 +23,9 @@
     }
 }
 
+/// It gets no new connections, and none is migrated until it drains.
 #[test]
-fn out_of_service_server_keeps_connections_and_gets_no_new_ones() {
+fn out_of_service_server_keeps_its_connections() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     let mut on_server = 0;
     for request in 0..10 {
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn only_a_strict_pin_is_kept_after_a_failure() {
+fn strict_pin_is_kept_after_failure() {
     for strict in [false, true] {
         let mut balancer = TestBalancer::with_servers(settings(), 3);
         assert_eq!(
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn strict_pin_to_unready_server_is_rejected_with_retry_after() {
+fn strict_pin_to_unready_server_is_rejected() {
     for state in [
         ServerState::OutOfService,
         ServerState::Draining,
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn pins_do_not_exceed_the_slow_start_budget() {
+fn pins_respect_slow_start_budget() {
     let mut balancer = TestBalancer::with_servers(settings(), 4);
     balancer.connect_at_interval(0..40, 20 * MS);
     balancer.update_list(
--- a/crates/policy/tests/resets.rs
+++ b/crates/policy/tests/resets.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn resets_on_all_servers_delay_no_new_client() {
+fn network_resets_delay_no_new_client() {
     let (mut balancer, mut connections) = balancer_with_connections();
     let (mut next_request, mut delayed) = (10_000, 0);
     for index in 0..80 {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn resets_on_one_server_eject_only_that_server() {
+fn resets_eject_only_the_resetting_server() {
     let (mut balancer, mut connections) = balancer_with_connections();
     let (mut next_request, mut to_resetting) = (10_000, 0);
     for _ in 0..12 {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn server_with_excess_resets_is_found_among_network_resets() {
+fn excess_resets_are_detected_among_network_resets() {
     let (mut balancer, mut connections) = balancer_with_connections();
     let (mut next_request, mut to_resetting, mut to_others) = (10_000, 0, 0);
     for index in 0..60 {
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn unexecuted_request_is_rejected_with_bounded_retry_after() {
+fn unexecuted_request_is_rejected_with_retry_after() {
     let mut balancer = TestBalancer::with_servers(settings(), 4);
     balancer.request(1, IDEMPOTENT);
     let mut answers = Vec::new();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn idempotent_request_fails_when_all_attempts_time_out() {
+fn idempotent_request_fails_when_attempts_time_out() {
     let mut balancer = TestBalancer::with_servers(settings(), 4);
     balancer.request(1, IDEMPOTENT);
     let mut answers = Vec::new();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn keyed_retry_stays_in_its_scope_and_window() {
+fn keyed_retry_stays_in_scope_and_window() {
     for class in [KEYED_ZONE, KEYED_CELL] {
         for seed in 0..20 {
             let mut balancer = TestBalancer::with_servers(settings(), 6);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn keyed_request_fails_at_once_after_its_window() {
+fn keyed_request_fails_after_its_window() {
     let mut balancer = TestBalancer::with_servers(settings(), 6);
     balancer.request(1, KEYED_ALL);
     balancer.advance(1100 * MS);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn request_is_rejected_at_once_when_backoff_outlasts_deadline() {
+fn request_is_rejected_when_backoff_outlasts_deadline() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     let mut connect = connect_request(1, IDEMPOTENT, balancer.now);
     connect.deadline_at = balancer.now + 1;
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn request_without_servers_is_rejected_by_its_deadline() {
+fn request_without_servers_is_rejected() {
     let mut balancer = TestBalancer::with_servers(settings(), 0);
     let mut answers = balancer.request(1, IDEMPOTENT);
     answers.extend(balancer.advance(2 * SECOND));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn server_that_drains_during_backoff_gets_no_retry() {
+fn server_draining_during_backoff_gets_no_retry() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     let first = attempted_servers(&balancer.request(1, IDEMPOTENT))[0];
     balancer.end_attempt(1, 0, AttemptOutcome::Rejected);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn retry_skips_the_failed_server_when_it_is_next() {
+fn retry_skips_failed_server_when_next() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     for round in 0..60 {
         let id = 100 * round;
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn concurrency_limit_falls_with_failures_and_rises_with_successes() {
+fn concurrency_limit_follows_failures_and_successes() {
     let mut balancer = TestBalancer::with_servers(settings(), 4);
     let started: Vec<u64> = (0..100)
         .filter(|id| !attempted_servers(&balancer.request(*id, IDEMPOTENT)).is_empty())
--- a/crates/policy/tests/robustness.rs
+++ b/crates/policy/tests/robustness.rs
@@ -5,8 +5,9 @@
 use beaconflow_policy::*;
 use common::*;
 
+/// There is none without overload, and at most one per ten housekeeping periods.
 #[test]
-fn overload_summaries_are_rare_and_absent_without_overload() {
+fn overload_summaries_are_rare() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     assert!(
         balancer.advance(60 * SECOND).is_empty(),
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn events_for_unknown_or_ended_requests_are_ignored() {
+fn events_for_unknown_requests_are_ignored() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     let request = RequestId(99);
     let load = ConnectionMetric::Load(f64::NAN);
--- a/crates/policy/tests/rotation.rs
+++ b/crates/policy/tests/rotation.rs
@@ -60,8 +60,9 @@
     }
 }
 
+/// Balancers agree on the first server of a group.
 #[test]
-fn balancers_place_a_group_together_until_its_server_is_full() {
+fn group_is_placed_together_until_server_fills() {
     let mut first_servers = Vec::new();
     for seed in 0..2 {
         let mut balancer = TestBalancer::with_servers(settings(), 6);
@@ -98,8 +99,9 @@
     placed
 }
 
+/// One overloaded server is skipped; if all are overloaded, requests are rejected.
 #[test]
-fn overloaded_server_is_skipped_and_overloaded_fleet_rejects() {
+fn overloaded_servers_get_no_new_connections() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     let placed = fill(&mut balancer, 30);
     balancer.measure(0, OVERLOAD_SIGN);
@@ -163,7 +165,7 @@
 }
 
 #[test]
-fn load_limit_applies_while_many_servers_are_slow() {
+fn load_limit_applies_while_servers_are_slow() {
     let mut balancer = balancer_with_slow_connections(40, 30, 24);
     let answers = [
         balancer.request(100, IDEMPOTENT),
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn slow_server_counts_after_its_last_connection_migrates() {
+fn slow_server_counts_after_last_migration() {
     let mut balancer = balancer_with_slow_connections(20, 12, 8);
     let answers = [
         balancer.request(100, IDEMPOTENT),
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn load_limit_has_a_floor_during_a_long_shortage() {
+fn load_limit_has_floor_during_long_shortage() {
     let mut balancer = balancer_with_slow_connections(40, 30, 24);
     for _ in 0..8 {
         for id in 0..30 {
@@ -221,8 +223,9 @@
     );
 }
 
+/// With many connections on each server, the load ceilings of the servers suffice.
 #[test]
-fn load_ceilings_suffice_with_many_connections_per_server() {
+fn load_limit_is_unused_with_many_connections() {
     let mut balancer = balancer_with_slow_connections(4, 24, 3);
     assert_eq!(
         attempted_servers(&balancer.request(100, IDEMPOTENT)),
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn group_prefers_the_server_with_most_of_its_connections() {
+fn group_prefers_server_with_most_connections() {
     for holder in 0..4 {
         let mut balancer = TestBalancer::with_servers(settings(), 4);
         balancer.handle(Event::ConnectionAdopted {
@@ -267,7 +270,7 @@
 }
 
 #[test]
-fn small_group_keeps_its_few_servers_under_overload() {
+fn small_group_keeps_few_servers_under_overload() {
     let mut balancer = TestBalancer::with_servers(settings(), 20);
     balancer.advance(10 * SECOND);
     fill(&mut balancer, 60);
@@ -293,7 +296,7 @@
 }
 
 #[test]
-fn own_zone_is_preferred_when_crossing_has_a_cost() {
+fn own_zone_is_preferred_when_crossing_costs() {
     for (cost, min_share, max_share) in [(0.0, 0.45, 0.55), (0.03, 0.7, 0.9)] {
         let mut settings = settings();
         settings.costs.cross_zone = cost;
@@ -322,7 +325,7 @@
 }
 
 #[test]
-fn light_connection_fits_under_a_ceiling_where_a_heavy_one_does_not() {
+fn only_light_connection_fits_near_load_ceiling() {
     let mut balancer = balancer_with_load_ceiling(settings());
     let with_load = |id, load| ConnectRequest {
         expected_load: Some(load),
@@ -339,7 +342,7 @@
 }
 
 #[test]
-fn server_is_paused_after_overload_even_below_its_ceiling() {
+fn server_below_ceiling_is_paused_after_overload() {
     let mut balancer = TestBalancer::with_servers(settings(), 1);
     fill(&mut balancer, 10);
     balancer.measure(0, OVERLOAD_SIGN);
@@ -384,7 +387,7 @@
 
 /// While queued work drains, cuts lower the ceiling below the load that the server can carry.
 #[test]
-fn ceiling_recovers_quickly_when_cut_far_below_the_onset_load() {
+fn ceiling_recovers_quickly_when_far_below_onset() {
     let fitting = connections_that_fit_after_overload(6);
     assert!(
         (4..=8).contains(&fitting),
@@ -393,7 +396,7 @@
 }
 
 #[test]
-fn low_priority_class_needs_more_room_under_a_ceiling() {
+fn low_priority_class_needs_more_room() {
     let mut settings = settings();
     settings.classes[KEYED_ALL].priority_weight = 9.0;
     let mut balancer = balancer_with_load_ceiling(settings);
@@ -484,8 +487,9 @@
     );
 }
 
+/// Balancers that see few requests of a group begin with the same server.
 #[test]
-fn only_a_large_group_begins_at_different_servers() {
+fn large_group_begins_at_different_servers() {
     let first_servers = |of_group: u64| -> std::collections::BTreeSet<ServerId> {
         let first_server = |rank| {
             let mut balancer = TestBalancer::with_servers(
@@ -536,7 +540,7 @@
 }
 
 #[test]
-fn server_that_reports_full_load_gets_no_attempt() {
+fn server_reporting_full_load_gets_no_attempt() {
     let mut balancer = probing_balancer(3);
     let actions = balancer.request(1, IDEMPOTENT);
     assert!(attempted_servers(&actions).is_empty());
@@ -560,8 +564,9 @@
     );
 }
 
+/// A probe without an answer must not delay the final answer of its request either.
 #[test]
-fn unanswered_probe_delays_no_answer_and_failed_one_counts_as_full() {
+fn failed_probe_counts_as_full_load() {
     let mut balancer = probing_balancer(3);
     let first = probed_servers(&balancer.request(1, IDEMPOTENT))[0];
     let second = probed_servers(&balancer.handle(Event::ProbeAnswered {
@@ -585,7 +590,7 @@
 }
 
 #[test]
-fn pause_is_longer_with_fewer_connections_on_the_server() {
+fn pause_is_longer_with_few_connections() {
     let pause_s = |connections: u64| -> u64 {
         let mut balancer = TestBalancer::with_servers(settings(), 2);
         balancer.handle(Event::ConnectionAdopted {
@@ -669,7 +674,7 @@
 }
 
 #[test]
-fn group_uses_as_many_servers_as_its_recent_count_allows() {
+fn group_width_follows_its_recent_count() {
     let servers_used_after = |of_group: u64, others: u64| -> usize {
         let mut balancer = TestBalancer::with_servers(settings(), 20);
         for id in 0..of_group + others {
@@ -705,7 +710,7 @@
 }
 
 #[test]
-fn ended_connections_count_towards_the_width_of_a_group() {
+fn ended_connections_count_towards_group_width() {
     let first_server = |rank| {
         let mut balancer = TestBalancer::with_servers(
             Settings {
--- a/crates/policy/tests/server_list.rs
+++ b/crates/policy/tests/server_list.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn polled_list_is_called_for_again_with_jitter() {
+fn polled_list_calls_are_repeated_with_jitter() {
     let mut waits = std::collections::BTreeSet::new();
     for seed in 0..8 {
         let mut actions = Vec::new();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn slow_start_applies_to_every_kind_of_update() {
+fn slow_start_applies_to_every_update_kind() {
     for update in [ListUpdate::Delta, ListUpdate::Snapshot, ListUpdate::Cached] {
         let in_slow_start = placements_on_started_server(update, 0);
         let warm = placements_on_started_server(update, 30 * SECOND);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn many_new_servers_fill_at_the_rate_of_warm_ones() {
+fn new_servers_fill_at_warm_servers_rate() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     balancer.now = 100 * SECOND;
     balancer.connect_at_interval(0..100, 50 * MS);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn fleet_first_listed_in_slow_start_is_used_in_part() {
+fn fleet_in_slow_start_is_used_partly() {
     let mut balancer = TestBalancer::new(settings());
     balancer.now = 100 * SECOND;
     let started = |server| ServerEntry {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn failing_server_is_ejected_unless_it_is_the_only_one() {
+fn failing_server_is_ejected_unless_alone() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     let failing = attempted_servers(&balancer.request(0, IDEMPOTENT))[0];
     balancer.end_attempt(0, 0, AttemptOutcome::ConnectFailed);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_rejected_by_field() {
+fn invalid_settings_are_rejected_by_field() {
     let mut invalid = settings();
     invalid.rules.initial_capacity = 0.0;
     let error = Balancer::new(invalid, 1)
@@ -235,7 +235,7 @@
 
 /// Otherwise every balancer would send a client to a new server at once.
 #[test]
-fn new_server_gets_nothing_at_the_moment_of_the_update() {
+fn new_server_gets_nothing_at_first() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     balancer.now = 100 * SECOND;
     balancer.update_list(
@@ -261,8 +261,9 @@
     }
 }
 
+/// Changes count as known after 6 s; a call begins within 5 s even where deadlines allow longer backoff.
 #[test]
-fn failed_list_call_is_repeated_within_five_seconds() {
+fn failed_list_call_is_repeated_in_time() {
     let mut settings = polled_settings();
     for class in &mut settings.classes {
         class.deadline = 100 * SECOND;
@@ -278,7 +279,7 @@
 
 /// Many balancers that are left with one new server share its budget.
 #[test]
-fn balancers_share_the_budget_of_a_single_new_server() {
+fn balancers_share_budget_of_new_server() {
     let mut sent = 0;
     for seed in 0..60 {
         let mut balancer = TestBalancer::with_servers(settings(), 1);
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn waiting_request_over_the_new_attempt_limit_is_answered_at_once() {
+fn waiting_request_over_new_limit_is_answered() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     balancer.request(1, IDEMPOTENT);
     assert!(
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn attempt_in_flight_continues_under_the_new_attempt_limit() {
+fn attempt_in_flight_continues_under_new_limit() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     for request in [1, 2] {
         balancer.request(request, IDEMPOTENT);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn attempts_before_a_replacement_count_towards_the_new_limit() {
+fn former_attempts_count_towards_new_limit() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     balancer.request(1, IDEMPOTENT);
     balancer.end_attempt(1, 0, AttemptOutcome::Rejected);
@@ -141,8 +141,9 @@
     );
 }
 
+/// A request that may have been executed must not be retried under the new settings.
 #[test]
-fn possibly_executed_request_fails_when_class_becomes_non_idempotent() {
+fn executed_request_fails_when_made_non_idempotent() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
     for request in [1, 2] {
         balancer.request(request, IDEMPOTENT);
@@ -215,8 +216,9 @@
         .sum()
 }
 
+/// Other settings keep the lowered limit.
 #[test]
-fn concurrency_limit_is_reset_only_by_other_limits() {
+fn other_limits_reset_concurrency_limit() {
     let attempts_after = |change: &dyn Fn(&mut Settings)| {
         let mut balancer = TestBalancer::with_servers(settings(), 8);
         for request in 1_000..1_030 {
@@ -276,7 +278,7 @@
 }
 
 #[test]
-fn pending_list_call_is_rescheduled_by_new_settings() {
+fn new_settings_reschedule_pending_list_call() {
     let mut long_waits = Settings {
         discovery: DiscoveryMode::Polled,
         ..settings()
@@ -408,8 +410,9 @@
     );
 }
 
+/// A doubled connect timeout must not overflow, which would shorten the timeout of a retry.
 #[test]
-fn retry_gets_the_remaining_time_under_the_longest_connect_timeout() {
+fn longest_connect_timeout_leaves_retry_its_time() {
     let mut settings = settings();
     settings.limits.connect_timeout = 1 << 62;
     let mut balancer = TestBalancer::with_servers(settings, 2);
@@ -529,7 +532,7 @@
 }
 
 #[test]
-fn restarted_fleet_is_used_with_an_overload_window_of_zero() {
+fn restarted_fleet_is_used_without_overload_window() {
     let mut settings = settings();
     settings.rules.overload_window = 0;
     let mut balancer = TestBalancer::new(settings);
@@ -545,7 +548,7 @@
 
 /// The platform counts a change as known after six seconds; the last second is for the call.
 #[test]
-fn failed_list_calls_are_repeated_within_five_seconds_under_any_settings() {
+fn failed_list_calls_are_repeated_in_time() {
     let mut long_deadlines = Settings {
         discovery: DiscoveryMode::Polled,
         ..settings()
--- a/crates/policy/tests/slow_start_budget.rs
+++ b/crates/policy/tests/slow_start_budget.rs
@@ -41,7 +41,7 @@
     #![proptest_config(ProptestConfig { cases: 16, ..ProptestConfig::default() })]
 
     #[test]
-    fn slow_start_budget_holds_for_any_fleet_and_traffic(
+    fn slow_start_budget_holds_for_any_fleet(
         balancers in prop_oneof![2_u32..=3, 4_u32..=30, 31_u32..=300],
         exponent in 0.0..1.2_f64,
         restarted in 1..=SERVERS / 2,
--- a/crates/settings/tests/active_settings.rs
+++ b/crates/settings/tests/active_settings.rs
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn removed_class_affects_no_rule_of_all_classes() {
+fn removed_class_affects_no_other_class() {
     let first = ActiveSettings::new(site(&[
         ("a", "retryable", 60, 100.0),
         ("b", "fragile", 3, 2.0),
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn names_do_not_affect_policy_settings_and_shares() {
+fn names_do_not_affect_policy_settings() {
     for site in SITES {
         let plain = read_renamed(site, str::to_owned);
         // Names in another alphabetical order, and names that contain values or keys of the settings.
