--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! Runs the instances: reads batches, hands their events to the policy, writes its actions.
+//! Runs the balancer instances: reads batches, passes their events to the policy and writes its
+//! actions.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,7 +28,7 @@
     }
 }
 
-/// One balancer, with the names of the servers that it knows.
+/// One balancer, with the names and numbers of its servers.
 struct Instance {
     engine: Engine,
     server_names: Vec<String>,
@@ -63,36 +64,36 @@
     loop {
         bytes.clear();
         line += 1;
-        let stop = |reason: String| AdapterError { line, reason };
+        let error_at_line = |reason: String| AdapterError { line, reason };
         let read = input
             .read_until(b'\n', &mut bytes)
-            .map_err(|error| stop(error.to_string()))?;
+            .map_err(|error| error_at_line(error.to_string()))?;
         if read == 0 {
             return if host.now.is_none() {
                 Ok(())
             } else {
-                Err(stop("input ends inside a batch".into()))
+                Err(error_at_line("input ends inside a batch".into()))
             };
         }
         if bytes.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
         let message: Line = serde_json::from_slice(&bytes)
-            .map_err(|error| stop(format!("not a message: {error}")))?;
-        if host.handle_line(line, &message).map_err(stop)? {
+            .map_err(|error| error_at_line(format!("invalid message: {error}")))?;
+        if host.handle_line(line, &message).map_err(error_at_line)? {
             let written = output.write_all(&host.reply).and_then(|()| output.flush());
-            written.map_err(|error| stop(format!("cannot write the reply: {error}")))?;
+            written.map_err(|error| error_at_line(format!("cannot write the reply: {error}")))?;
             host.reply.clear();
         }
     }
 }
 
 fn required<T>(value: Option<T>, field: &str) -> Result<T, String> {
-    value.ok_or_else(|| format!("lacks {field}"))
+    value.ok_or_else(|| format!("{field} is missing"))
 }
 
 impl Host {
-    /// Handles one line; true once a reply is complete.
+    /// Handles one line; returns whether the reply to the batch is complete.
     fn handle_line(&mut self, line: u64, message: &Line) -> Result<bool, String> {
         if message.what == "TICK" {
             if self.now.is_some() {
@@ -116,7 +117,7 @@
                     serde_json::from_str(items.get()).map_err(|error| format!("items: {error}"))?;
                 self.tables.insert(required(message.list, "list")?, items);
             }
-            "POWER_ON" => self.start(message)?,
+            "POWER_ON" => self.start_instance(message)?,
             "KILLED" => {
                 let name = required(message.balancer_id.as_deref(), "balancer-id")?;
                 self.instances
@@ -129,19 +130,23 @@
                     .get(name)
                     .ok_or_else(|| format!("{name} was never started"))?;
             }
-            _ => self.event(line, now, message)?,
+            _ => self.handle_event(line, now, message)?,
         }
         Ok(false)
     }
 
-    fn start(&mut self, message: &Line) -> Result<(), String> {
+    fn start_instance(&mut self, message: &Line) -> Result<(), String> {
         let name = required(message.balancer_id.as_deref(), "balancer-id")?;
-        let setup: SiteSettings = serde_json::from_str(required(message.setup, "setup")?.get())
-            .map_err(|error| format!("setup: {error}"))?;
-        let settings = setup.policy_settings();
+        let site_settings: SiteSettings =
+            serde_json::from_str(required(message.setup, "setup")?.get())
+                .map_err(|error| format!("setup: {error}"))?;
+        let settings = site_settings.policy_settings();
         let seed = required(message.nonce64, "nonce64")?;
-        let shares = setup.tenant_shares().map(|(_, share)| share).collect();
-        let engine = Engine::new(settings, shares, Limits::default(), seed)
+        let account_shares = site_settings
+            .tenant_shares()
+            .map(|(_, share)| share)
+            .collect();
+        let engine = Engine::new(settings, account_shares, Limits::default(), seed)
             .map_err(|error| error.to_string())?;
         let instance = Instance {
             engine,
@@ -152,7 +157,7 @@
         Ok(())
     }
 
-    fn event(&mut self, line: u64, now: Nanos, message: &Line) -> Result<(), String> {
+    fn handle_event(&mut self, line: u64, now: Nanos, message: &Line) -> Result<(), String> {
         let name = required(message.balancer_id.as_deref(), "balancer-id")?;
         let instance = self
             .instances
@@ -162,7 +167,7 @@
             // Nothing can be done if standard error is closed.
             let _ = writeln!(
                 std::io::stderr(),
-                "beaconflow-adapter: line {line}: skipped event {}",
+                "beaconflow-adapter: line {line}: skipped unknown event {}",
                 message.what
             );
             return Ok(());
@@ -170,13 +175,13 @@
         self.actions.clear();
         let actions = &mut self.actions;
         let account = message.client_group.unwrap_or(0);
-        let handled = catch_unwind(AssertUnwindSafe(|| match event {
-            Event::ConnectRequested(arrival) => instance
+        let result = catch_unwind(AssertUnwindSafe(|| match event {
+            Event::ConnectRequested(connect) => instance
                 .engine
-                .on_connect_requested(now, arrival, account, false, actions),
+                .on_connect_requested(now, connect, account, false, actions),
             event => instance.engine.handle(now, event, actions),
         }));
-        if let Err(panic) = handled {
+        if let Err(panic) = result {
             let text = panic.downcast_ref::<&str>().copied();
             let text = text.or_else(|| panic.downcast_ref::<String>().map(String::as_str));
             wire::write_fault(&mut self.reply, name, text.unwrap_or("the module panicked"));
@@ -191,7 +196,7 @@
     }
 }
 
-/// Parses a line into an event of the policy; `None` for an unknown event.
+/// Converts a message to an event of the policy; `None` if the event is unknown.
 fn read_event(
     instance: &mut Instance,
     tables: &BTreeMap<u8, Vec<Item>>,
@@ -276,7 +281,7 @@
     let number = required(message.list, "list")?;
     let items = tables
         .get(&number)
-        .ok_or_else(|| format!("list {number} was never given"))?;
+        .ok_or_else(|| format!("list {number} was not sent in a TABLE message"))?;
     let mut entries = Vec::with_capacity(items.len());
     for item in items {
         let state = match item.availability.as_str() {
