--- a/crates/admission/benches/queue.rs
+++ b/crates/admission/benches/queue.rs
@@ -1,4 +1,4 @@
-//! What the door costs: entering and being admitted with so many waiting, and giving way when it is full.
+//! Cost of the admission queue: enqueueing with admission or removal by queue length, and eviction at the limit.
 
 use std::hint::black_box;
 
@@ -30,7 +30,7 @@
     queue
 }
 
-/// One in, and one out of it again, so that as many wait after it as before.
+/// Enqueues one entry and removes one, so that the queue keeps its length.
 fn bench_enqueue_and(
     criterion: &mut Criterion,
     name: &str,
@@ -50,7 +50,7 @@
     group.finish();
 }
 
-/// One in where there is no room, by how many accounts there are to choose from.
+/// Enqueues an entry into a full queue, by number of accounts to evict from.
 fn bench_eviction(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("give way, accounts");
     for accounts in [2, 100, 1_000] {
--- a/crates/admission/src/fair_scheduler.rs
+++ b/crates/admission/src/fair_scheduler.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeSet;
 
-/// A start tag as an ordered number: tags are finite and not negative, so their bits have the same
-/// order.
+/// Bits of a start tag. Tags are finite and not negative, so their bits sort in the same order as
+/// the numbers.
 type Tag = u64;
 
-/// Members that share service by weight. An idle member starts at the present virtual time when it
-/// returns.
+/// Divides service among members by weight. A member that becomes active again starts at the
+/// current virtual time, or at its finish tag if that is later.
 pub(crate) struct FairScheduler {
     members: Vec<Member>,
-    /// Waiting members by their start tags.
+    /// Active members by start tag.
     waiting: BTreeSet<(Tag, usize)>,
     virtual_time: f64,
 }
 
 struct Member {
     weight: f64,
-    /// End of its service so far, in virtual time.
+    /// Virtual time at which the service given to the member ends.
     finish_tag: f64,
-    /// Its start tag, while it waits.
+    /// `None` while the member is idle.
     start_tag: Option<f64>,
 }
 
@@ -36,7 +36,7 @@
         scheduler
     }
 
-    /// Adds a member.
+    /// Adds an idle member with the next index.
     pub(crate) fn add_member(&mut self, weight: f64) {
         self.members.push(Member {
             weight,
@@ -45,19 +45,19 @@
         });
     }
 
-    /// Changes a member's weight from its next service on.
+    /// Sets the weight that applies from the member's next service on.
     pub(crate) fn set_weight(&mut self, member: usize, weight: f64) {
         self.members[member].weight = weight;
     }
 
-    /// Whether an idle member has no service ahead of the virtual time, so that its place can be
-    /// reused.
+    /// Whether a member is idle and has received no service ahead of the virtual time; its index can
+    /// then be reused.
     pub(crate) fn is_caught_up(&self, member: usize) -> bool {
         let member = &self.members[member];
         member.start_tag.is_none() && member.finish_tag <= self.virtual_time
     }
 
-    /// The member waits for service.
+    /// Marks a member as waiting for service.
     pub(crate) fn activate(&mut self, member: usize) {
         let state = &mut self.members[member];
         if state.start_tag.is_none() {
@@ -67,19 +67,19 @@
         }
     }
 
-    /// The member waits no longer.
+    /// Marks a member as idle.
     pub(crate) fn deactivate(&mut self, member: usize) {
         if let Some(start_tag) = self.members[member].start_tag.take() {
             self.waiting.remove(&(start_tag.to_bits(), member));
         }
     }
 
-    /// The member that goes next.
+    /// The active member with the earliest start tag.
     pub(crate) fn next(&self) -> Option<usize> {
         self.waiting.first().map(|(_, member)| *member)
     }
 
-    /// Serves a member, which keeps waiting.
+    /// Charges one service to a member, which stays active.
     pub(crate) fn serve(&mut self, member: usize) {
         let state = &mut self.members[member];
         let Some(start_tag) = state.start_tag else {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Resets the tags of a member that waits alone, which would otherwise grow until an increment
-    /// is lost in rounding.
+    /// Resets all tags while one member is active. Otherwise they would grow until an increment is
+    /// lost in rounding.
     fn reset_tags(&mut self, member: usize) {
         const MAX_VIRTUAL_TIME: f64 = 1e9;
         if self.virtual_time < MAX_VIRTUAL_TIME {
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! The admission queue: who waits, who is admitted next, and who is shed.
+//! The admission queue: order of admission, expiry and eviction.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -8,27 +8,28 @@
 use crate::fair_scheduler::FairScheduler;
 use crate::slab::{EntryIndex, Slab};
 
-/// Limits of the queue.
+/// Limits and layout of the admission queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// For all entries.
+    /// Limit on all entries.
     pub total: QueueSize,
-    /// For one account.
+    /// Limit on the entries of one account.
     pub per_account: QueueSize,
-    /// For one queue.
+    /// Limit on one of the queues within a class.
     pub per_queue: QueueSize,
-    /// Queues of one class of one account.
+    /// Number of queues in each class of an account; at least 1.
     pub queues_per_class: usize,
-    /// Queues that a client's entry chooses the shortest of.
+    /// Number of queues assigned to a client by shuffle sharding; an entry joins the shortest. At
+    /// most 16 and at most `queues_per_class`.
     pub hand_size: usize,
 }
 
-/// Entries and their bytes.
+/// Number of entries and bytes, as a usage or a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueueSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Bytes of what waits, as the host counts them.
+    /// Sum of [`Entry::bytes`].
     pub bytes: usize,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl QueueSize {
-    /// No limit.
+    /// As a limit: never exceeded.
     pub const UNLIMITED: QueueSize = QueueSize {
         entries: usize::MAX,
         bytes: usize::MAX,
@@ -75,54 +76,56 @@
     }
 }
 
-/// An entry of the queue.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// Its id, unique among the entries that wait.
+    /// Id, unique among the queued entries.
     pub id: u64,
-    /// Hash of its account's name.
+    /// Hash of the account's name.
     pub account: u64,
-    /// Its account's weight. A value that is not positive counts as 1.
+    /// Weight of the account. A value that is not positive and finite counts as 1.
     pub share: f64,
-    /// Index of its class. An unknown one counts as the last.
+    /// Index of the request class. An unknown index counts as the last class.
     pub class: usize,
-    /// Hash of its client or group.
+    /// Hash of the client or of its group, which selects the queues of the entry.
     pub flow: u64,
-    /// It expires then.
+    /// Time at which the entry expires.
     pub deadline: Nanos,
-    /// Whether its client was rejected before: it goes ahead of others of its account, and is shed
-    /// last.
+    /// Whether the client was rejected before. Such an entry is admitted ahead of others of its
+    /// account and evicted last.
     pub is_returning: bool,
-    /// Bytes that wait with it.
+    /// Bytes of memory that the entry holds, as the caller counts them.
     pub bytes: u32,
 }
 
-/// Most idle accounts that are remembered, so that their recent service counts.
+/// Most idle accounts whose recent service is remembered; beyond it, the slot of the one idle for
+/// longest is reused.
 const MAX_IDLE_ACCOUNTS: usize = 1_024;
 
 struct Account {
     id: u64,
     share: f64,
     class_scheduler: FairScheduler,
-    /// By class.
+    /// One scheduler per class, over the queues of the class.
     queue_schedulers: Vec<FairScheduler>,
     size: QueueSize,
-    /// Its nonempty queues by length, returning clients first.
+    /// Nonempty queues as (not of returning clients, length, queue). The last one is evicted from
+    /// first.
     queues_by_length: BTreeSet<(bool, u32, usize)>,
-    /// Whether it is listed as idle; it may be in use again.
+    /// Whether `idle_accounts` contains this slot; the account may be active again.
     is_listed_idle: bool,
 }
 
-/// The admission queue.
+/// A bounded queue that divides permits fairly among accounts, classes and clients.
 pub struct AdmissionQueue {
     limits: Limits,
-    /// Each class's weight within an account; the last one is for returning clients.
+    /// Weight of each class within an account; the last one is for returning clients.
     class_weights: Vec<f64>,
     seed: u64,
     account_scheduler: FairScheduler,
     accounts: Vec<Account>,
     slot_by_account: FxHashMap<u64, usize>,
-    /// Accounts that became idle, the earliest first; some are in use again.
+    /// Slots of accounts that became idle, oldest first; some may be active again.
     idle_accounts: VecDeque<usize>,
     slab: Slab,
     index_by_id: FxHashMap<u64, EntryIndex>,
@@ -166,40 +169,40 @@
         }
     }
 
-    /// Number of entries.
+    /// Number of queued entries.
     pub fn len(&self) -> usize {
         self.index_by_id.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether no entry is queued.
     pub fn is_empty(&self) -> bool {
         self.index_by_id.is_empty()
     }
 
-    /// Number of account slots, including idle ones.
+    /// Number of allocated account slots, including those of idle accounts.
     pub fn account_slots(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Bytes of all entries.
+    /// Sum of the bytes of all queued entries.
     pub fn bytes(&self) -> usize {
         self.size.bytes
     }
 
-    /// The limits.
+    /// The limits in force, with the layout clamped to its valid range.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Number of an account's entries.
+    /// Number of queued entries of an account.
     pub fn queued_of(&self, account: u64) -> usize {
         self.slot_by_account
             .get(&account)
             .map_or(0, |slot| self.accounts[*slot].size.entries)
     }
 
-    /// Adds an entry; `gone` receives those that were shed, which may include it. An entry whose id
-    /// is present is ignored.
+    /// Adds an entry. Evicted entries are appended to `evicted`, possibly including the new one. An
+    /// entry whose id is already queued is ignored.
     pub fn enqueue(&mut self, mut entry: Entry, evicted: &mut Vec<Entry>) {
         if self.index_by_id.contains_key(&entry.id) {
             return;
@@ -241,8 +244,8 @@
         self.evict_over_total(evicted);
     }
 
-    /// Changes the limits; `gone` receives those that were shed. The number of queues and choices
-    /// stays.
+    /// Sets the limits and appends evicted entries to `evicted`. `queues_per_class` and `hand_size`
+    /// keep their values.
     pub fn set_limits(&mut self, limits: Limits, evicted: &mut Vec<Entry>) {
         self.limits = Limits {
             queues_per_class: self.limits.queues_per_class,
@@ -269,8 +272,8 @@
         self.evict_over_total(evicted);
     }
 
-    /// Sheds entries beyond the total limit, from the longest queue of the account furthest over
-    /// its share.
+    /// Evicts entries beyond the total limit, from the longest queue of the account with the most
+    /// entries for its share.
     fn evict_over_total(&mut self, evicted: &mut Vec<Entry>) {
         while self.size.exceeds(&self.limits.total) {
             let relative_load = |slot: &usize| {
@@ -286,7 +289,7 @@
         }
     }
 
-    /// Admits the next entry.
+    /// Removes and returns the entry that gets the next permit.
     pub fn admit(&mut self) -> Option<Entry> {
         let slot = self.account_scheduler.next()?;
         let account = &mut self.accounts[slot];
@@ -302,13 +305,13 @@
         self.remove_at(index)
     }
 
-    /// Removes an entry.
+    /// Removes and returns the entry with this id.
     pub fn remove(&mut self, id: u64) -> Option<Entry> {
         let index = self.index_by_id.get(&id).copied()?;
         self.remove_at(index)
     }
 
-    /// Removes the first entry that has expired.
+    /// Removes and returns the expired entry with the earliest deadline.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<Entry> {
         let (_, id) = self
             .by_deadline
@@ -318,13 +321,13 @@
         self.remove(id)
     }
 
-    /// When the next entry expires.
+    /// Earliest deadline of the queued entries.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Permits of its account until one more such entry would be admitted, assuming queues as long
-    /// as its own.
+    /// Number of permits that the account needs until one more such entry would be admitted,
+    /// assuming that its other queues are as long as the queue of this entry.
     pub fn admission_position(&self, entry: &Entry) -> usize {
         let Some(slot) = self.slot_by_account.get(&entry.account).copied() else {
             return 1;
@@ -341,8 +344,8 @@
             .min(own_length.saturating_mul(account.queues_by_length.len()))
     }
 
-    /// The slot of an entry's account, created if necessary. Slots of idle accounts are reused, so
-    /// that memory does not grow with every name.
+    /// The slot of the entry's account, allocated if necessary. Slots of idle accounts are reused,
+    /// so that memory does not grow with every account name.
     fn slot_for(&mut self, entry: &Entry) -> usize {
         let known_slot = self.slot_by_account.get(&entry.account).copied();
         let slot = known_slot.unwrap_or_else(|| match self.reusable_idle_slot() {
@@ -378,7 +381,7 @@
         slot
     }
 
-    /// The slot of an idle account that can be reused.
+    /// Takes the slot of an idle account for reuse.
     fn reusable_idle_slot(&mut self) -> Option<usize> {
         while let Some(slot) = self.idle_accounts.front().copied() {
             let has_entries = self.accounts[slot].size.entries > 0;
@@ -397,14 +400,14 @@
         None
     }
 
-    /// The queues of its class that a client's entries choose the shortest of (shuffle sharding).
-    /// They are derived from its flow and the seed, so that nobody can choose names that collide or
-    /// fill all queues under one name.
+    /// Indices of the queues within a class that a flow may use (shuffle sharding). They are derived
+    /// from the flow and the seed, so that without the seed no client can choose a name that
+    /// collides with another, and one name cannot fill all queues.
     pub fn candidate_queues(&self, flow: u64) -> impl Iterator<Item = usize> {
         let mut hash = mix_bits(flow ^ self.seed);
         let mut chosen: [usize; MAX_HAND_SIZE] = [usize::MAX; MAX_HAND_SIZE];
         for position in 0..self.limits.hand_size {
-            // Without repetition: the k-th of the queues not yet chosen.
+            // Draws without repetition: the index counts only the queues not chosen yet.
             let remaining = (self.limits.queues_per_class - position) as u64;
             let mut choice = (hash % remaining) as usize;
             hash = mix_bits((hash / remaining) ^ self.seed.rotate_left(17));
@@ -418,7 +421,7 @@
         chosen.into_iter().take(self.limits.hand_size)
     }
 
-    /// The queue for an entry.
+    /// The shortest of the queues that the entry may join.
     fn queue_for(&self, slot: usize, entry: &Entry) -> usize {
         let class = if entry.is_returning {
             self.class_weights.len() - 1
@@ -472,7 +475,7 @@
     }
 }
 
-/// Most choices.
+/// Upper limit of [`Limits::hand_size`].
 const MAX_HAND_SIZE: usize = 16;
 
 fn valid_weight(weight: f64) -> f64 {
@@ -483,7 +486,7 @@
     }
 }
 
-/// Spreads a number's bits over all of it.
+/// Mixes the bits of a number (the finalizer of SplitMix64).
 fn mix_bits(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/admission/src/rejected_clients.rs
+++ b/crates/admission/src/rejected_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that were rejected and are expected back.
+//! Clients that were rejected and are expected to reconnect.
 
 use std::collections::VecDeque;
 
@@ -6,9 +6,9 @@
 
 use crate::Nanos;
 
-/// Most clients remembered; a later one replaces the earliest.
+/// Most rejections remembered; a later one replaces the oldest.
 const MAX_REMEMBERED_REJECTIONS: usize = 4_096;
-/// A client that returns later counts as new, in nanoseconds.
+/// Time in nanoseconds after a rejection within which a client counts as returning.
 const RETURN_WINDOW_NS: Nanos = 30_000_000_000;
 
 /// Clients that had a connection here and were rejected or migrated.
@@ -21,9 +21,9 @@
 /// Rejections of one client.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rejections {
-    /// Rejections remembered.
+    /// Rejections of the client in the history.
     remembered: u32,
-    /// Those after which it has not returned yet.
+    /// Rejections after which the client has not returned yet.
     unmatched: u32,
 }
 
@@ -39,8 +39,8 @@
         self.history.push_back((now, client));
     }
 
-    /// Whether a client returns after a rejection. Each rejection counts once, so that requests
-    /// under one client's name gain no more than it lost.
+    /// Whether a client returns after a rejection. Each rejection counts for one return, so that a
+    /// flood of requests under one client's name is preferred no more often than it was rejected.
     pub fn take_return(&mut self, now: Nanos, client: u64) -> bool {
         while self
             .history
--- a/crates/admission/src/shortest_setup.rs
+++ b/crates/admission/src/shortest_setup.rs
@@ -2,10 +2,11 @@
 
 use crate::Nanos;
 
-/// Weight of a set-up that took longer than the estimate.
+/// Fraction of the difference by which a slower set-up raises the estimate.
 const INCREASE_FACTOR: f64 = 0.02;
 
-/// How long a quick set-up takes; a request with less time left is not worth an attempt.
+/// Estimate of the shortest set-up time. A request with less time left before its deadline is not
+/// attempted. The estimate falls at once to a shorter time and rises slowly.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShortestSetup(Option<Nanos>);
 
@@ -21,7 +22,7 @@
         });
     }
 
-    /// The estimate; 0 before the first set-up.
+    /// The estimate in nanoseconds; 0 before the first set-up.
     pub fn estimate(&self) -> Nanos {
         self.0.unwrap_or(0)
     }
--- a/crates/admission/src/slab.rs
+++ b/crates/admission/src/slab.rs
@@ -1,8 +1,8 @@
-//! Entries in one block of memory, linked into queues; removal has constant cost.
+//! Entries in one allocation, linked into queues. Insertion and removal take constant time.
 
 use crate::queue::{Entry, QueueSize};
 
-/// Index of an entry.
+/// Position of an entry in the slab.
 pub(crate) type EntryIndex = u32;
 
 const NO_ENTRY: EntryIndex = EntryIndex::MAX;
@@ -42,7 +42,7 @@
 }
 
 impl Slab {
-    /// Adds queues.
+    /// Appends empty queues.
     pub(crate) fn add_queues(&mut self, count: usize) {
         self.queues.resize(self.queues.len() + count, Queue::EMPTY);
     }
@@ -82,7 +82,7 @@
         Some(self.queues[queue].last).filter(|index| *index != NO_ENTRY)
     }
 
-    /// Removes an entry; returns it and its queue.
+    /// Removes an entry; returns it and the index of its queue.
     pub(crate) fn remove(&mut self, index: EntryIndex) -> Option<(Entry, usize)> {
         let Node {
             entry,
--- a/crates/admission/src/statistics.rs
+++ b/crates/admission/src/statistics.rs
@@ -1,77 +1,77 @@
-//! Statistics of each account: requests, waits, and whether it exceeds its share.
+//! Statistics of each account: request counts, waiting times, and whether it exceeds its share.
 
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
 
-/// Time constant of rates, in seconds.
+/// Time constant of the decaying rates, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 2.0;
-/// An account exceeds its share above this multiple of its entitled fraction.
+/// Multiple of the entitled fraction above which an account exceeds its share.
 const EXCESS_FACTOR: f64 = 1.1;
-/// Longest wait recorded, in milliseconds.
+/// Longest waiting time recorded, in milliseconds; longer ones count as this.
 const MAX_WAIT_MS: u64 = 600_000;
-/// Most accounts with statistics; a later one replaces the one whose last request is earliest.
+/// Most accounts with statistics. A new account replaces the one whose last request is the oldest.
 const MAX_ACCOUNTS: usize = 4_096;
 
-/// Outcomes of an account's requests since the start.
+/// Counts of an account's requests by outcome, since its statistics were created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests received.
     pub requests: u64,
-    /// Requests that got a first attempt.
+    /// Requests that were admitted to their first attempt.
     pub admitted: u64,
-    /// Those of them beyond its share, which others did not use.
+    /// Admitted requests beyond the account's share, with permits that others did not use.
     pub borrowed: u64,
     /// Requests rejected because the queue was full.
     pub rejected: u64,
     /// Requests that expired in the queue.
     pub timed_out: u64,
-    /// Requests whose client left the queue.
+    /// Requests whose client disconnected while queued.
     pub client_left: u64,
 }
 
-/// Statistics of one account.
+/// Counts, waiting times and rate of one account.
 #[derive(Clone, Debug)]
 pub struct AccountStatistics {
-    /// Its name.
+    /// Name of the account.
     pub name: Box<str>,
-    /// Its share.
+    /// Weight of the account at its last request.
     pub share: f64,
-    /// Its counters.
+    /// Counts of requests by outcome.
     pub counts: Counts,
-    /// Time from request to first attempt, in milliseconds.
+    /// Time from request to first attempt, in milliseconds from 1 to 600,000.
     pub wait_ms: Histogram<u32>,
     rate: Rate,
-    /// Time of its last request.
+    /// Time of the last request.
     last_request_at: Nanos,
-    /// When it began to exceed its share.
+    /// Since when the account has exceeded its share.
     excess_since: Option<Nanos>,
-    /// Whether that has been reported.
+    /// Whether the excess has been reported.
     is_excess_reported: bool,
 }
 
-/// Why a request got no attempt.
+/// Reason why a request was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAdmitted {
-    /// It was rejected.
+    /// The queue was full.
     Rejected,
-    /// It expired.
+    /// The entry expired in the queue.
     TimedOut,
-    /// Its client left.
+    /// The client disconnected while queued.
     ClientLeft,
 }
 
-/// An account that exceeds its share, or no longer does.
+/// A report that an account exceeds its share, or no longer does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaExcess {
-    /// Its name.
+    /// Name of the account.
     pub name: Box<str>,
-    /// Its recent fraction of all permits.
+    /// Recent fraction of all permits that the account got, from 0 to 1.
     pub fraction: f64,
-    /// The fraction that its share entitles it to.
+    /// Fraction of all permits that its share entitles it to, from 0 to 1.
     pub entitled_fraction: f64,
-    /// Since when it has exceeded it; `None` once it no longer does.
+    /// How long the account has exceeded its share; `None` once it no longer does.
     pub duration: Option<Nanos>,
 }
 
@@ -96,17 +96,17 @@
     }
 }
 
-/// Statistics of all accounts.
+/// Statistics of up to 4,096 accounts.
 #[derive(Default)]
 pub struct AccountTable {
     by_account: FxHashMap<u64, AccountStatistics>,
-    /// Sum of all shares, kept so that no permit has to compute it.
+    /// Sum of all shares, so that it is not computed for every permit.
     total_share: f64,
     total_rate: Rate,
 }
 
 impl AccountTable {
-    /// Records a request.
+    /// Records a request, and the account's name and share.
     pub fn record_request(&mut self, now: Nanos, account: u64, name: &str, share: f64) {
         if !self.by_account.contains_key(&account) && self.by_account.len() >= MAX_ACCOUNTS {
             let oldest_id = self
@@ -126,7 +126,7 @@
         statistics.counts.requests += 1;
     }
 
-    /// Changes an account's share.
+    /// Sets the share of a known account.
     pub fn set_share(&mut self, account: u64, share: f64) {
         let Some(statistics) = self.by_account.get_mut(&account) else {
             return;
@@ -135,7 +135,7 @@
         statistics.share = share;
     }
 
-    /// Records a first attempt after this wait.
+    /// Records a first attempt after a waiting time.
     pub fn record_admission(&mut self, now: Nanos, account: u64, wait: Nanos) {
         let entitled_fraction = self.entitled_fraction(account);
         let total_rate = self.total_rate.per_second_at(now);
@@ -153,7 +153,7 @@
             .saturating_record((wait / 1_000_000).clamp(1, MAX_WAIT_MS));
     }
 
-    /// Records a request that got no attempt.
+    /// Records a request that was not admitted.
     pub fn record_not_admitted(&mut self, account: u64, reason: NotAdmitted) {
         let Some(statistics) = self.by_account.get_mut(&account) else {
             return;
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Expected time until so many entries of an account are admitted, by its recent rate, or by
-    /// its share of the total rate; `None` without any rate.
+    /// Expected time until `entries` entries of an account are admitted, at the greater of its
+    /// recent rate and its share of the total rate; `None` below 0.01 entries per second.
     pub fn drain_time(&self, now: Nanos, account: u64, entries: usize) -> Option<Nanos> {
         let own_rate = self
             .by_account
@@ -174,21 +174,21 @@
             .map_or(0.0, |statistics| statistics.rate.per_second_at(now));
         let rate =
             own_rate.max(self.entitled_fraction(account) * self.total_rate.per_second_at(now));
-        // A rate that has nearly decayed would give years.
+        // A rate that has almost decayed would yield a time of years.
         (rate > 0.01).then(|| (entries as f64 / rate * 1e9) as Nanos)
     }
 
-    /// The fraction of all permits that an account's share entitles it to.
+    /// Fraction of all permits that an account's share entitles it to; 0 for an unknown account.
     pub fn entitled_fraction(&self, account: u64) -> f64 {
         self.by_account
             .get(&account)
             .map_or(0.0, |statistics| statistics.share / self.total_share)
     }
 
-    /// Accounts that have exceeded their shares for longer than a bound, and those that no longer
-    /// do; each is reported once.
+    /// Reports accounts that have exceeded their shares for at least `bound`, and those that no
+    /// longer do after such a report. Each change is reported once.
     pub fn check_quotas(&mut self, now: Nanos, bound: Nanos) -> Vec<QuotaExcess> {
-        // Recomputed, so that rounding errors do not accumulate.
+        // Recomputes the sum so that rounding errors do not accumulate.
         self.total_share = self
             .by_account
             .values()
@@ -201,7 +201,7 @@
                 statistics.share / total_share,
                 statistics.rate.per_second_at(now) / total_rate.max(f64::MIN_POSITIVE),
             );
-            // An account that is alone takes nothing from others.
+            // An account that gets all permits deprives no other.
             let is_over = total_rate * RATE_TIME_CONSTANT_S >= 1.0
                 && fraction > EXCESS_FACTOR * entitled_fraction
                 && fraction < 1.0 - 1e-9;
@@ -228,7 +228,7 @@
         excesses
     }
 
-    /// All accounts, by name.
+    /// Ids and statistics of all accounts, sorted by name.
     pub fn sorted_by_name(&self) -> Vec<(u64, &AccountStatistics)> {
         let mut accounts: Vec<(u64, &AccountStatistics)> = self
             .by_account
@@ -247,7 +247,7 @@
             share: 0.0,
             counts: Counts::default(),
             wait_ms: Histogram::new_with_bounds(1, MAX_WAIT_MS, 2)
-                .expect("bounds that the library takes"),
+                .expect("the histogram bounds are valid"),
             rate: Rate::default(),
             last_request_at: 0,
             excess_since: None,
@@ -255,7 +255,7 @@
         }
     }
 
-    /// First attempts per second.
+    /// Recent first attempts per second.
     pub fn admitted_per_s(&self, now: Nanos) -> f64 {
         self.rate.per_second_at(now)
     }
--- a/crates/admission/tests/floods.rs
+++ b/crates/admission/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Floods on a virtual clock: a door in front of a service that takes so many set-ups at once, and clients of many
-//! habits. Each run is repeated without its flood, with the same quiet clients, to tell what the flood cost them.
+//! Request floods on a virtual clock: the admission queue in front of a service with limited concurrency. Runs are
+//! repeated without the flood and with the same quiet clients, to measure the latency that the flood adds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -9,20 +9,20 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// Set-ups that the service takes at once, and how long one takes on average: 200 a second in all.
+/// Concurrent set-ups of the service, each of [`MEAN_SETUP_S`] on average: 200 per second in total.
 const CONCURRENT_SETUPS: usize = 20;
 const MEAN_SETUP_S: f64 = 0.1;
-/// A client's way to the door and back.
+/// Round trip between client and balancer.
 const ROUND_TRIP: Nanos = 25 * MS;
 
-/// What a client does when it is told to come again.
+/// What a client does when it is rejected with a retry delay.
 #[derive(Clone, Copy, PartialEq)]
 enum RetryBehavior {
-    /// It opens once, at its moment.
+    /// Sends one request and does not retry.
     Once,
-    /// It is there again at once, whatever it was told; also after it was served.
+    /// Retries at once regardless of the delay, and sends another request after it was served.
     Immediate,
-    /// It comes back at the told time until it is served.
+    /// Retries after the delay until it is served.
     ObeysDelay,
 }
 
@@ -34,7 +34,7 @@
     retry_behavior: RetryBehavior,
     arrives_at: Nanos,
     is_returning: bool,
-    /// Under which its set-ups are kept.
+    /// Key of the histogram that records its set-up times.
     histogram_key: u64,
 }
 
@@ -59,14 +59,14 @@
     }
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Default)]
 struct Outcome {
-    /// Turns as they were given: when, and to which account.
+    /// Time and account of each admission, in order.
     admissions: Vec<(Nanos, u64)>,
-    /// Whole set-up times in microseconds, by what they are kept under.
+    /// Times from request to the end of the set-up in microseconds, by histogram key.
     setup_times_us: BTreeMap<u64, Histogram<u64>>,
-    /// Clients that came back at the told time, and those of them that were then admitted.
+    /// Retries after the given delay, and how many of them were then admitted.
     retries_after_delay: u64,
     admitted_after_delay: u64,
     rejections: BTreeMap<u64, u64>,
@@ -94,7 +94,7 @@
     let (mut accounts, mut outcome) = (AccountTable::default(), Outcome::default());
     let mut events: BinaryHeap<Reverse<(Nanos, u64, Event)>> = BinaryHeap::new();
     let (mut sequence, mut running, mut next_id, mut jitter) = (0, 0, 0_u64, Rng(seed));
-    // A client's own chance: the same with and without a flood beside it.
+    // One generator per client, so that its set-up times are the same with and without the flood.
     let mut setup_time_rngs: Vec<Rng> = (0..clients.len() as u64)
         .map(|at| Rng(at * 977 + 1))
         .collect();
@@ -119,13 +119,13 @@
             } => {
                 running -= 1;
                 let histogram_key = clients[client].histogram_key;
-                let new = || Histogram::new(3).expect("three digits");
+                let new = || Histogram::new(3).expect("three significant digits are valid");
                 outcome
                     .setup_times_us
                     .entry(histogram_key)
                     .or_insert_with(new)
                     .record((now - requested_at) / 1_000)
-                    .expect("it grows");
+                    .expect("the histogram resizes itself");
                 if clients[client].retry_behavior == RetryBehavior::Immediate {
                     push(&mut events, now + ROUND_TRIP, Event::Arrives { client });
                 }
@@ -153,7 +153,7 @@
         while running < CONCURRENT_SETUPS
             && let Some(entry) = queue.admit()
         {
-            let (client, requested_at) = waiting.remove(&entry.id).expect("it came");
+            let (client, requested_at) = waiting.remove(&entry.id).expect("the entry was enqueued");
             running += 1;
             accounts.record_admission(now, entry.account, now - requested_at);
             outcome.admissions.push((now, entry.account));
@@ -169,7 +169,7 @@
             );
         }
         for entry in std::mem::take(&mut evicted) {
-            let (client, _) = waiting.remove(&entry.id).expect("it came");
+            let (client, _) = waiting.remove(&entry.id).expect("the entry was enqueued");
             *outcome
                 .rejections
                 .entry(clients[client].histogram_key)
@@ -183,7 +183,7 @@
                     let drain = accounts
                         .drain_time(now, entry.account, queue.admission_position(&entry))
                         .unwrap_or(SECOND);
-                    // Full jitter, as the module words it.
+                    // Full jitter, as in the retry delay of a rejection.
                     (drain.min(60 * SECOND) as f64 * (0.05 + 0.95 * jitter.next())) as Nanos
                 }
             };
@@ -196,7 +196,7 @@
 const QUIET: u64 = 1;
 const HEAVY: u64 = 2;
 
-/// Clients that come once each, so many a second.
+/// Clients with one request each, `per_s` per second on average.
 fn one_shot_clients(account: u64, share: f64, per_s: f64, until: Nanos) -> Vec<Client> {
     let (mut at, mut clients, mut arrivals) = (0.0, Vec::new(), Rng(account));
     while at < until as f64 / 1e9 {
@@ -219,7 +219,7 @@
 fn flood(account: u64, share: f64, count: u64, from: Nanos) -> Vec<Client> {
     let client_of = |number| {
         let flow = number + (account << 40);
-        // They begin over some time, as processes do.
+        // The clients start 10 µs apart, since processes do not start at the same instant.
         Client {
             account,
             share,
@@ -233,7 +233,7 @@
     (0..count).map(client_of).collect()
 }
 
-/// What a flood costs a quiet account: its set-up p99 in milliseconds, without and with.
+/// Set-up p99 of a quiet account in milliseconds without and with a flood, and the results with it.
 fn p99_without_and_with(
     quiet: Vec<Client>,
     heavy: Vec<Client>,
@@ -252,7 +252,7 @@
     let (without, with, outcome) =
         p99_without_and_with(quiet, flood(HEAVY, 0.58, 10_000, 0), until);
     println!(
-        "quiet p99 {without:.1} ms without, {with:.1} ms with; {:?} refused",
+        "quiet p99 {without:.1} ms without, {with:.1} ms with; {:?} rejected",
         outcome.rejections
     );
     assert!(
@@ -262,7 +262,7 @@
     assert_eq!(
         outcome.rejections.get(&QUIET),
         None,
-        "none of the quiet account gave way"
+        "no request of the quiet account is rejected"
     );
 }
 
@@ -293,7 +293,7 @@
             println!("{shares:?}: {fraction:.4} for {expected:.4}");
             assert!(
                 (fraction - expected).abs() < 0.02,
-                "{fraction} for {expected}"
+                "got {fraction} of the permits, expected {expected}"
             );
         }
     }
@@ -305,16 +305,16 @@
     let outcome = run(&clients, Limits::default(), 7, 20 * SECOND);
     assert!(
         outcome.fraction(1, SECOND, 10 * SECOND) == 1.0,
-        "what is unused is lent"
+        "an unused share is lent"
     );
     let (first, second) = (
         outcome.fraction(2, 10 * SECOND, 11 * SECOND),
         outcome.fraction(2, 11 * SECOND, 12 * SECOND),
     );
-    println!("{first:.3} of the turns in the first second, {second:.3} in the second");
+    println!("{first:.3} of the permits in the first second, {second:.3} in the second");
     assert!(
         (first - 0.42).abs() < 0.02 && (second - 0.42).abs() < 0.02,
-        "{first}, {second}"
+        "{first} of the permits in the first second, {second} in the second, expected 0.42"
     );
 }
 
@@ -331,12 +331,12 @@
         let fraction = outcome.fraction(account, SECOND, 10 * SECOND);
         assert!(
             (fraction - expected).abs() < 0.02,
-            "{fraction} for {expected}"
+            "got {fraction} of the permits, expected {expected}"
         );
     }
 }
 
-/// What a crowd in its own account costs the quiet names there: their p99 in milliseconds, without and with.
+/// Set-up p99 of quiet clients in milliseconds, without and with heavy clients in the same account.
 fn p99_within_account(heavy_clients: impl Iterator<Item = u64>, seed: u64) -> (f64, f64) {
     let until = 10 * SECOND;
     let quiet = one_shot_clients(QUIET, 1.0, 60.0, until);
@@ -355,14 +355,14 @@
 
 #[test]
 fn limits_latency_cost_of_heavy_flows() {
-    // One client that opens all; a group of ten thousand sites, which is one name here; and three of them.
+    // One client with 500 connections, a group of 10,000 sites that count as one flow, and three heavy flows.
     for (names, count) in [(1, 500), (1, 10_000), (3, 3_000)] {
         let (without, with) =
             p99_within_account((0..count).map(|number| 1_000 + number % names), 7);
         println!(
-            "{count} under {names} names: quiet p99 {without:.1} ms without, {with:.1} ms with"
+            "{count} clients in {names} flows: quiet p99 {without:.1} ms without, {with:.1} ms with"
         );
-        // A loud name holds its hand of four queues; each has a turn, of 5 ms, before a quiet name's.
+        // A heavy flow fills its four queues; each gets one permit, worth 5 ms, before a quiet client.
         let admissions = 5.0 * 4.0 * names as f64;
         assert!(
             with <= 1.05 * without + admissions + 5.0,
@@ -376,7 +376,7 @@
     let (known, other, until) = (7, 1_234, 10 * SECOND);
     let mut victim = one_shot_clients(QUIET, 1.0, 20.0, until);
     victim.iter_mut().for_each(|client| client.flow = 1);
-    // What somebody can work out who knows a door's seed: four names that hold the victim's whole hand there.
+    // An attacker that knows the seed can compute four flows that fill all queues of the victim.
     let queue = AdmissionQueue::new(&[1.0], Limits::default(), known);
     let victim_queues: Vec<usize> = queue.candidate_queues(1).collect();
     let collides = |name: &u64| {
@@ -403,9 +403,9 @@
     );
     assert!(
         known_seed_p99 > 5.0 * alone_p99,
-        "the names were chosen well: {known_seed_p99}"
+        "the flows must collide under the known seed: p99 {known_seed_p99} ms"
     );
-    // Four names reach sixteen queues at most; each has a turn of 5 ms before the victim's.
+    // Four flows reach at most 16 queues; each gets one permit, worth 5 ms, before the victim.
     assert!(
         other_seed_p99 <= 1.05 * alone_p99 + 5.0 * 16.0,
         "{other_seed_p99} ms under another seed"
@@ -414,8 +414,8 @@
 
 #[test]
 fn admits_clients_that_obey_retry_delay() {
-    // A burst of ten times what fits the door, and nothing after it: the told times are honest if most of those who
-    // keep to them find room.
+    // A burst of ten times the limit, and nothing after it. The retry delays are accurate if clients that keep to
+    // them are usually admitted.
     let all = QueueSize {
         entries: 200,
         bytes: usize::MAX,
@@ -433,16 +433,19 @@
     let outcome = run(&clients, limits, 7, 60 * SECOND);
     let fraction = outcome.admitted_after_delay as f64 / outcome.retries_after_delay as f64;
     println!(
-        "{} came back at the told time, {:.1}% of them were then admitted",
+        "{} retries after the delay, {:.1}% of them admitted",
         outcome.retries_after_delay,
         fraction * 100.0
     );
     assert_eq!(
         outcome.admissions.len(),
         2_000,
-        "each was served in the end"
+        "every client is served in the end"
+    );
+    assert!(
+        fraction > 0.3,
+        "only {fraction} of the retries were admitted"
     );
-    assert!(fraction > 0.3, "{fraction}");
 }
 
 #[test]
--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -1,21 +1,21 @@
-//! A million names: what the process holds at most does not grow with them. Alone in its process, so that nothing else
-//! is measured.
+//! Peak memory does not grow with the number of clients. The test is alone in its process, so that nothing else is
+//! measured.
 
 use beaconflow_admission::{
     AccountTable, AdmissionQueue, Entry, Limits, NotAdmitted, QueueSize, RejectedClients,
 };
 
-/// The most that this process has held so far, in KiB.
+/// Peak resident memory of this process, in KiB.
 fn peak_rss_kib() -> u64 {
-    let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
+    let status = std::fs::read_to_string("/proc/self/status").expect("/proc is readable on Linux");
     let line = status
         .lines()
         .find(|line| line.starts_with("VmHWM"))
-        .expect("a peak");
+        .expect("the status has a VmHWM line");
     line.split_whitespace()
         .nth(1)
         .and_then(|kib| kib.parse().ok())
-        .expect("a number")
+        .expect("VmHWM is a number of KiB")
 }
 
 fn flood(
@@ -67,7 +67,7 @@
     let mut queue = AdmissionQueue::new(&[1.0, 1.0], limits, 7);
     let (mut accounts, mut rejected_clients) =
         (AccountTable::default(), RejectedClients::default());
-    // The bound is reached, and every table has its size.
+    // Reaches the limit, with all tables at their final size.
     flood(0..500_000, &mut queue, &mut accounts, &mut rejected_clients);
     let before = peak_rss_kib();
     flood(
@@ -78,8 +78,8 @@
     );
     let growth_kib = peak_rss_kib() - before;
     println!(
-        "peak {before} KiB with the bound reached, {growth_kib} KiB more after a million names"
+        "peak {before} KiB with the limit reached, {growth_kib} KiB more after a million clients"
     );
-    assert!(growth_kib < 2_048, "{growth_kib} KiB more");
+    assert!(growth_kib < 2_048, "peak memory grew by {growth_kib} KiB");
     assert_eq!(queue.len(), 4_096);
 }
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,4 +1,5 @@
-//! The door against plain counts: nobody is lost or let in twice, shares hold, and who gives way is who should.
+//! The admission queue against a simple model: no entry is lost or returned twice, shares are kept, and the intended
+//! entries are evicted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,7 +54,7 @@
         let mut queue = new_queue(Limits::default());
         let (mut next_id, mut turns) = (0, vec![0_u32; shares.len()]);
         for _ in 0..100_000 {
-            // A flood: each account always has some that wait, the smallest the most.
+            // Every account always has queued entries, the first account the most.
             for (account, share) in shares.iter().enumerate() {
                 while queue.queued_of(account as u64) < 200 / (1 + account) {
                     next_id += 1;
@@ -66,14 +67,17 @@
                     );
                 }
             }
-            turns[queue.admit().expect("somebody waits").account as usize] += 1;
+            turns[queue
+                .admit()
+                .expect("every account has entries queued")
+                .account as usize] += 1;
         }
         let total: f64 = shares.iter().sum();
         for (turns, share) in turns.iter().zip(shares) {
             let error = f64::from(*turns) / 100_000.0 - share / total;
             assert!(
                 error.abs() < 0.0005,
-                "{turns} of 100000 for {share} of {total}"
+                "an account with {share} of {total} got {turns} of 100000 permits"
             );
         }
     }
@@ -87,7 +91,7 @@
     }
     assert!(
         (0..1_000).all(|_| queue.admit().is_some_and(|entry| entry.account == 0)),
-        "lent"
+        "the idle account's permits go to the other one"
     );
     for id in 2_000..2_500 {
         enter(&mut queue, entry(id, 1, id));
@@ -97,7 +101,7 @@
         .count();
     assert!(
         (49..=51).contains(&turns),
-        "taken back, and nothing made up for: {turns}"
+        "half of the permits without compensation for the past, got {turns} of 100"
     );
 }
 
@@ -116,9 +120,9 @@
         },
     );
     let turns = (1..)
-        .find(|_| queue.admit().expect("it waits").id == 5_000)
-        .expect("found");
-    assert!(turns <= 2, "{turns} turns");
+        .find(|_| queue.admit().expect("the entry is queued").id == 5_000)
+        .expect("the entry is admitted");
+    assert!(turns <= 2, "admitted after {turns} permits");
 }
 
 #[test]
@@ -131,16 +135,16 @@
         }
         enter(&mut queue, entry(9_999, 0, quiet));
         let turns = (1..)
-            .find(|_| queue.admit().expect("it waits").id == 9_999)
-            .expect("found");
+            .find(|_| queue.admit().expect("the entry is queued").id == 9_999)
+            .expect("the entry is admitted");
         max_turns = max_turns.max(turns);
         delayed_clients += u32::from(turns > 13);
     }
-    // Three names reach twelve queues of 64 at most: a quiet one has a queue without them, or all four of its own are
-    // among theirs, which about one name in two thousand meets.
+    // Three heavy clients reach at most 12 of 64 queues. A light client has a queue without them, unless all four of
+    // its queues are among the 12, which happens to about one client in two thousand.
     assert!(
         max_turns <= 13 && delayed_clients == 0,
-        "{max_turns} turns at worst, {delayed_clients} of 200 behind the loud ones"
+        "at worst admitted after {max_turns} permits; {delayed_clients} of 200 clients delayed by the heavy ones"
     );
 }
 
@@ -151,12 +155,12 @@
         assert!(enter(&mut queue, entry(id, 0, if id < 50 { 1 } else { id })).is_empty());
     }
     assert!(enter(&mut queue, entry(200, 1, 1)).is_empty());
-    // The newcomer is of the account that is under its share.
+    // The new entry belongs to the account below its share.
     let evicted = enter(&mut queue, entry(201, 1, 2));
     assert_eq!(
         (evicted[0].account, evicted[0].flow),
         (0, 1),
-        "the loud name of the loud account"
+        "evicted from the heavy client of the heavy account"
     );
     assert_eq!(
         (evicted.len(), queue.len(), queue.queued_of(1)),
@@ -184,7 +188,7 @@
     assert_eq!(
         enter(&mut queue, entry(6, 0, 6)).len(),
         1,
-        "its account has 600 bytes"
+        "the account is limited to 600 bytes"
     );
     assert_eq!(
         enter(
@@ -215,10 +219,10 @@
     );
     assert!(evicted.len() == 1 && !evicted[0].is_returning);
     let turns = (1..)
-        .find(|_| queue.admit().expect("it waits").id == 1_000)
-        .expect("found");
-    assert!(turns <= 2, "{turns} turns");
-    // A flood that calls itself returned has half of its account's turns, and nobody else's.
+        .find(|_| queue.admit().expect("the entry is queued").id == 1_000)
+        .expect("the entry is admitted");
+    assert!(turns <= 2, "admitted after {turns} permits");
+    // A flood of entries marked as returning gets at most half of its account's permits and none of another account's.
     for id in 2_000..3_000 {
         enter(
             &mut queue,
@@ -230,9 +234,9 @@
     }
     enter(&mut queue, entry(4_000, 1, 1));
     let turns = (1..)
-        .find(|_| queue.admit().expect("it waits").id == 4_000)
-        .expect("found");
-    assert!(turns <= 2, "{turns} turns");
+        .find(|_| queue.admit().expect("the entry is queued").id == 4_000)
+        .expect("the entry is admitted");
+    assert!(turns <= 2, "admitted after {turns} permits");
 }
 
 #[test]
@@ -256,10 +260,10 @@
         .map(|entry| entry.id)
         .filter(|id| *id < 90)
         .min()
-        .expect("some");
+        .expect("some of the first account were evicted");
     assert!(
         admitted.iter().all(|id| *id < first_evicted + 4),
-        "the last to come gave way: {admitted:?}, {first_evicted}"
+        "the latest entries are evicted: admitted {admitted:?}, first evicted {first_evicted}"
     );
 }
 
@@ -276,7 +280,7 @@
 #[test]
 fn reuses_idle_account_slots_without_resetting_service() {
     let mut queue = new_queue(limits(10_000));
-    // One has many turns while another waits; it leaves and comes back at once: what it had still counts.
+    // An account that got service ahead of another leaves and returns at once: its past service still counts.
     for id in 0..100 {
         enter(
             &mut queue,
@@ -297,17 +301,20 @@
         },
     );
     let turns = (1..)
-        .find(|_| queue.admit().expect("it waits").id == 500)
-        .expect("found");
-    assert!(turns > 50, "a new start after {turns} turns");
-    // Names of accounts without end use the same places again.
+        .find(|_| queue.admit().expect("the entry is queued").id == 500)
+        .expect("the entry is admitted");
+    assert!(
+        turns > 50,
+        "past service was forgotten: admitted after {turns} permits"
+    );
+    // An unlimited number of account names reuses the same slots.
     for id in 10_000..110_000 {
         enter(&mut queue, entry(id, id, id));
         assert!(queue.admit().is_some());
     }
     assert!(
         queue.account_slots() <= 2_000,
-        "{} places",
+        "{} account slots",
         queue.account_slots()
     );
 }
@@ -332,7 +339,7 @@
     assert_eq!(
         enter(&mut queue, entry(1, 9, 1)),
         [entry(1, 9, 1)],
-        "nobody may wait"
+        "an entry beyond a limit of 0 is evicted at once"
     );
     let mut queue = AdmissionQueue::new(
         &[f64::NAN],
@@ -430,13 +437,14 @@
                     let new_entry = Entry { class, share, deadline: now + wait, is_returning, ..entry(next_id, account, flow) };
                     model.insert(next_id, Entry { class: class.min(1), ..new_entry });
                     queue.enqueue(new_entry, &mut evicted);
-                    // Whoever gave way stood in the account that was too large, or in the one furthest over.
+                    // An entry is evicted from the account that exceeded its limit, or from the one with the most entries
+                    // for its share.
                     for entry in &evicted {
                         let queued_of = |account: u64| model.values().filter(|entry| entry.account == account).count();
                         let relative_load = |account: u64| queued_of(account) as f64 / SHARES[account as usize];
                         let max_load = (0..4).map(relative_load).fold(0.0, f64::max);
                         prop_assert!(entry.account == account || relative_load(entry.account) >= max_load);
-                        // One that returns gives way where nobody else of its account waits, or its queue is too long.
+                        // A returning entry is evicted only if its account has no other entries, or its queue exceeds its limit.
                         let has_other_entries = model.values().any(|other| other.account == entry.account && !other.is_returning);
                         let is_own_queue = entry.account == account && is_returning;
                         prop_assert!(!entry.is_returning || is_own_queue || !has_other_entries);
@@ -444,7 +452,7 @@
                 }
                 Operation::Next => {
                     let entry = queue.admit();
-                    prop_assert_eq!(entry.is_none(), model.is_empty(), "work-conserving");
+                    prop_assert_eq!(entry.is_none(), model.is_empty(), "an entry is admitted whenever one is queued");
                     evicted.extend(entry);
                 }
                 Operation::Leave(pick) => {
@@ -467,7 +475,7 @@
             }
             for entry in evicted {
                 prop_assert_eq!(model.remove(&entry.id), Some(entry));
-                prop_assert!(removed_ids.insert(entry.id), "twice");
+                prop_assert!(removed_ids.insert(entry.id), "entry returned twice");
             }
             prop_assert_eq!(queue.len(), model.len());
             prop_assert!(queue.len() <= limit);
--- a/crates/admission/tests/statistics.rs
+++ b/crates/admission/tests/statistics.rs
@@ -1,11 +1,11 @@
-//! Counts, rates, times to come back and word of accounts over their shares.
+//! Counts, rates, drain times and reports of accounts that exceed their shares.
 
 use beaconflow_admission::*;
 use proptest::prelude::*;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// Two accounts of equal shares, of which the first gets so many attempts a second and the second so many.
+/// Admits requests of two accounts of equal shares, `first` and `second` per second; returns the end time.
 fn simulate_load(
     accounts: &mut AccountTable,
     from: Nanos,
@@ -38,20 +38,23 @@
 #[test]
 fn estimates_drain_time_from_recent_rate() {
     let mut accounts = AccountTable::default();
-    assert_eq!(accounts.drain_time(0, 1, 10), None, "nothing is known");
+    assert_eq!(accounts.drain_time(0, 1, 10), None, "no rate is known yet");
     let now = simulate_load(&mut accounts, 0, 20, 50, 10);
     for (account, rate) in [(1, 50.0), (2, 30.0)] {
-        // The second takes few, but its share of all is 30 a second: as fast would its line be worked off.
-        let drain_s = accounts.drain_time(now, account, 100).expect("known") as f64 / SECOND as f64;
+        // The second account requests 10 per second, but its share of the total rate is 30 per second.
+        let drain_s = accounts
+            .drain_time(now, account, 100)
+            .expect("a rate is known") as f64
+            / SECOND as f64;
         assert!(
             (drain_s / (100.0 / rate) - 1.0).abs() < 0.1,
-            "{drain_s} s for 100 at {rate} a second"
+            "{drain_s} s for 100 entries at {rate} per second"
         );
     }
     assert_eq!(
         accounts.drain_time(now + 3_600 * SECOND, 1, 10),
         None,
-        "too long ago to tell"
+        "the rate has decayed"
     );
 }
 
@@ -63,14 +66,14 @@
         |accounts: &AccountTable, at: usize| accounts.sorted_by_name()[at].1.counts.borrowed;
     assert!(
         borrowed(&accounts, 0) > 800 && borrowed(&accounts, 1) == 0,
-        "{} and {}",
+        "{} and {} borrowed permits",
         borrowed(&accounts, 0),
         borrowed(&accounts, 1)
     );
     assert_eq!(
         accounts.check_quotas(now, 5 * SECOND),
         [],
-        "not for long yet"
+        "the excess is shorter than the bound"
     );
     now = simulate_load(&mut accounts, now, 6, 90, 10);
     let excesses = accounts.check_quotas(now, 5 * SECOND);
@@ -84,12 +87,16 @@
         (excesses[0].fraction - 0.9).abs() < 0.03 && excesses[0].entitled_fraction == 0.5,
         "{excesses:?}"
     );
-    assert_eq!(accounts.check_quotas(now, 5 * SECOND), [], "told once");
+    assert_eq!(
+        accounts.check_quotas(now, 5 * SECOND),
+        [],
+        "the excess is reported once"
+    );
     now = simulate_load(&mut accounts, now, 20, 30, 30);
     let excesses = accounts.check_quotas(now, 5 * SECOND);
     assert!(
         excesses.len() == 1 && excesses[0].duration.is_none(),
-        "it is over: {excesses:?}"
+        "the end of the excess is reported: {excesses:?}"
     );
 }
 
@@ -132,14 +139,17 @@
     assert!(clients.take_return(2 * SECOND, 7) && clients.take_return(3 * SECOND, 7));
     assert!(
         !clients.take_return(3 * SECOND, 7),
-        "a flood under its name gains nothing"
+        "each rejection counts for one return"
     );
     clients.record_rejection(4 * SECOND, 7);
-    assert!(!clients.take_return(40 * SECOND, 7), "it comes too late");
+    assert!(
+        !clients.take_return(40 * SECOND, 7),
+        "returned after the window"
+    );
     (0..10_000).for_each(|client| clients.record_rejection(50 * SECOND, client));
     assert!(
         !clients.take_return(50 * SECOND, 0) && clients.take_return(50 * SECOND, 9_999),
-        "the latest are known"
+        "only the latest rejections are remembered"
     );
 }
 
@@ -158,7 +168,7 @@
     (0..500).for_each(|_| shortest_setup.record(400_000));
     assert!(
         shortest_setup.estimate() > 390_000,
-        "a service that has become slow: {}",
+        "the estimate follows a service that became slow: {}",
         shortest_setup.estimate()
     );
 }
@@ -166,8 +176,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// Against plain sums: whatever comes in whatever order, each request is counted under one end and lent ones are
-    /// admitted ones.
+    /// Compares with simple sums: in any order, each request counts under one outcome, and borrowed permits are among
+    /// the admitted ones.
     #[test]
     fn counts_each_request_once(requests in prop::collection::vec((0..4_u64, 0..5_u8, 0..2_000_u64), 1..300)) {
         let mut accounts = AccountTable::default();
