--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use beaconflow_affinity::{Placement, VersionFact};
-use beaconflow_store::memory::{self, Record, Remembered, Writer};
+use beaconflow_store::memory::{self, MemoryContents, Record, Writer};
 use tracing::{error, info, warn};
 
 use super::{Millis, records};
@@ -86,11 +86,11 @@
     (memory_writer, restored)
 }
 
-fn log_faults(found: &Remembered) {
-    if let Some(aside) = &found.aside {
+fn log_faults(found: &MemoryContents) {
+    if let Some(aside) = &found.moved_aside {
         warn!(part = "memory", what = %aside, "a file is not read");
     }
-    if let Some(why) = &found.unwritable {
+    if let Some(why) = &found.write_error {
         warn!(
             part = "memory",
             why, "the disk takes nothing; what is known is not kept"
@@ -106,13 +106,13 @@
 
 impl RestoredMemory {
     /// Reads all records, and logs how many there were.
-    fn read(found: &Remembered) -> RestoredMemory {
+    fn read(found: &MemoryContents) -> RestoredMemory {
         let mut restored = RestoredMemory {
             incarnation: found.incarnation,
-            written_at: found.last_written_ms,
+            written_at: found.last_written_at_ms,
             ..RestoredMemory::default()
         };
-        let mut unreadable = found.unreadable;
+        let mut unreadable = found.unreadable_records;
         for record in &found.records {
             unreadable += u64::from(!restored.read_record(record));
         }
@@ -178,13 +178,13 @@
     pub(super) fn is_persistent(&self) -> bool {
         self.writer
             .as_ref()
-            .is_some_and(|writer| !writer.counts().degraded)
+            .is_some_and(|writer| !writer.counts().is_degraded)
     }
 
     /// Stores a record without blocking.
     pub(super) fn store(&self, record: Record) {
         if let Some(writer) = &self.writer {
-            writer.remember(record);
+            writer.put(record);
         }
     }
 
@@ -197,7 +197,7 @@
         }
         self.last_seen_s.insert(key, placement.seen_s);
         let value = records::encode_placement(placement);
-        writer.remember(records::record(
+        writer.put(records::record(
             records::PLACEMENT_RECORD,
             &key.to_be_bytes(),
             value,
@@ -222,7 +222,7 @@
         let expired: Vec<u64> = expired.take(MAX_EXPIRED_PER_PASS).collect();
         for key in expired {
             self.last_seen_s.remove(&key);
-            writer.forget(records::PLACEMENT_RECORD, key.to_be_bytes().to_vec());
+            writer.delete(records::PLACEMENT_RECORD, key.to_be_bytes().to_vec());
         }
         let size = std::fs::metadata(&self.path).map_or(0, |about| about.len());
         let is_full = size > self.max_bytes;
@@ -241,6 +241,6 @@
     /// Writes what is pending; returns whether all of it was written in time.
     pub(super) fn finish(self) -> bool {
         self.writer
-            .is_none_or(|writer| writer.end(FINAL_WRITE_TIMEOUT))
+            .is_none_or(|writer| writer.close(FINAL_WRITE_TIMEOUT))
     }
 }
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -69,7 +69,7 @@
         if spent.is_empty() {
             return;
         }
-        state.write(|store| store.forget(&spent));
+        state.write(|store| store.delete(&spent));
         spent.iter().for_each(|id| drop(state.set.forget(*id)));
         state.by_key.retain(|_, id| !spent.contains(id));
         let change = OverrideChange::Forget(spent);
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -50,7 +50,7 @@
         }
         Err(error) => {
             let what = match &error {
-                OpenError::Newer { .. } | OpenError::InUse => "is left alone",
+                OpenError::NewerSchema { .. } | OpenError::InUse => "is left alone",
                 OpenError::System(_) => "can't be opened",
             };
             let note = format!("the store {} {what}: {error}", file.display());
@@ -91,7 +91,7 @@
         }
     }
     // Spent overrides are removed, so that the file does not grow without end.
-    if let Err(error) = store.forget(&spent) {
+    if let Err(error) = store.delete(&spent) {
         error!(part = "overrides", why = %error, "not written");
     }
     for note in &notes {
@@ -117,10 +117,10 @@
             aside.display()
         ));
     }
-    if !contents.unreadable.is_empty() {
+    if !contents.unreadable_ids.is_empty() {
         notes.push(format!(
             "records that can't be read were left out: {:?}",
-            contents.unreadable
+            contents.unreadable_ids
         ));
     }
     notes
--- a/crates/balancer/tests/keeper.rs
+++ b/crates/balancer/tests/keeper.rs
@@ -126,7 +126,7 @@
             .expect("free")
             .0;
         store
-            .forget(&[long.record.id, short.record.id])
+            .delete(&[long.record.id, short.record.id])
             .expect("durable");
     }
 }
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    fn forget(&mut self, _: &[Id]) -> Result<(), StoreError> {
+    fn delete(&mut self, _: &[Id]) -> Result<(), StoreError> {
         Ok(())
     }
 
--- a/crates/contracts/src/disk.rs
+++ b/crates/contracts/src/disk.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use beaconflow_store::disk::{Disk, Mark};
+use beaconflow_store::disk::{Disk, FileIdentity};
 use redb::{Builder, Database, DatabaseError, ReadOnlyDatabase, StorageBackend};
 
 /// Room is taken by the page.
@@ -249,7 +249,7 @@
         builder.open_read_only_with_backend(self.open(path, false)?)
     }
 
-    fn bytes(&self, path: &Path) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         let state = self.lock();
         if state.dark {
             return Err(no_power());
@@ -262,16 +262,16 @@
             .ok_or(ErrorKind::NotFound.into())
     }
 
-    fn mark(&self, path: &Path) -> io::Result<Mark> {
+    fn identity(&self, path: &Path) -> io::Result<FileIdentity> {
         let state = self.lock();
         let number = state.names.get(path).ok_or(ErrorKind::NotFound)?;
         let length = state
             .files
             .get(number)
             .map_or(0, |file| file.now.len() as u64);
-        Ok(Mark {
-            file: (1, *number),
-            length,
+        Ok(FileIdentity {
+            device_and_inode: (1, *number),
+            length_bytes: length,
         })
     }
 
--- a/crates/contracts/src/stores/file.rs
+++ b/crates/contracts/src/stores/file.rs
@@ -48,7 +48,7 @@
     }
 
     fn bytes(&self) -> Vec<u8> {
-        self.disk.bytes(path()).unwrap_or_default()
+        self.disk.read(path()).unwrap_or_default()
     }
 
     fn raise_schema(&self) -> Result<(), redb::Error> {
--- a/crates/contracts/tests/subjects/mod.rs
+++ b/crates/contracts/tests/subjects/mod.rs
@@ -68,7 +68,7 @@
     }
 
     fn remove(&mut self, key: u64) -> Result<(), Failed> {
-        self.0.forget(&[Id(key)]).map_err(unable)
+        self.0.delete(&[Id(key)]).map_err(unable)
     }
 
     fn rows(&mut self) -> Result<Rows, Failed> {
@@ -89,7 +89,7 @@
 
     fn open(disk: Arc<dyn Disk>, path: &Path) -> Opened {
         let (mut memory, remembered) = open_on(disk, path, "east-1", NOW_MS).map_err(unable)?;
-        memory.bound_journal(JOURNAL);
+        memory.set_journal_limit(JOURNAL);
         let key = |subject: &[u8]| subject.try_into().map_or(u64::MAX, u64::from_be_bytes);
         let row = |record: Record| {
             (
@@ -114,7 +114,7 @@
     fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
         let keep = |(key, value): (&u64, &String)| {
             let subject = key.to_be_bytes().to_vec();
-            Change::Keep(Record {
+            Change::Put(Record {
                 kind: KIND,
                 subject,
                 value: value.clone().into_bytes(),
@@ -125,7 +125,7 @@
     }
 
     fn remove(&mut self, key: u64) -> Result<(), Failed> {
-        self.write(&[Change::Forget {
+        self.write(&[Change::Delete {
             kind: KIND,
             subject: key.to_be_bytes().to_vec(),
         }])
--- a/crates/store/benches/memory.rs
+++ b/crates/store/benches/memory.rs
@@ -12,110 +12,107 @@
 const OWNER: &str = "east-1";
 
 /// 4 bytes of kind, 16 of subject, 36 of value and 8 of time.
-fn placement(number: u64, turn: u8) -> Record {
+fn placement(number: u64, value_byte: u8) -> Record {
     // Subjects are digests: they come in no order.
-    let mixed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
-    let subject = [mixed.to_be_bytes(), number.to_be_bytes()].concat();
+    let mixed_bits = number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
+    let subject = [mixed_bits.to_be_bytes(), number.to_be_bytes()].concat();
     Record {
         kind: 9,
         subject,
-        value: vec![turn; 36],
+        value: vec![value_byte; 36],
         observed_at_ms: NOW,
     }
 }
 
-fn size(path: &Path) -> u64 {
-    std::fs::metadata(path).map_or(0, |about| about.len()) >> 20
+fn file_size_mib(path: &Path) -> u64 {
+    std::fs::metadata(path).map_or(0, |metadata| metadata.len()) >> 20
 }
 
 fn main() {
     // Cargo also starts benchmarks as tests; this one takes too long for that.
-    if !std::env::args().any(|word| word == "--bench") {
+    if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = folder.path().join("memory.redb");
     let (mut memory, _) = open(&path, OWNER, NOW).expect("new");
-    let began = Instant::now();
+    let started_at = Instant::now();
     for batch in 0..COUNT / BATCH {
         let numbers = batch * BATCH..(batch + 1) * BATCH;
         let changes: Vec<Change> = numbers
-            .map(|number| Change::Keep(placement(number, 0)))
+            .map(|number| Change::Put(placement(number, 0)))
             .collect();
         memory.write(&changes, NOW).expect("durable");
     }
-    let per_s = COUNT as f64 / began.elapsed().as_secs_f64();
+    let per_s = COUNT as f64 / started_at.elapsed().as_secs_f64();
     println!(
         "first writing: {per_s:.0} records a second, {} MiB",
-        size(&path)
+        file_size_mib(&path)
     );
     drop(memory);
     for _ in 0..3 {
-        let began = Instant::now();
-        let (memory, found) = open(&path, OWNER, NOW).expect("sound");
+        let started_at = Instant::now();
+        let (memory, contents) = open(&path, OWNER, NOW).expect("sound");
         println!(
             "start with {}: {} ms, {} MiB",
-            found.records.len(),
-            began.elapsed().as_millis(),
-            size(&path)
+            contents.records.len(),
+            started_at.elapsed().as_millis(),
+            file_size_mib(&path)
         );
-        drop((memory, found));
+        drop((memory, contents));
     }
     let copy = folder.path().join("crashed.redb");
     let (memory, _) = open(&path, OWNER, NOW).expect("sound");
     std::fs::copy(&path, &copy).expect("room");
     drop(memory);
-    let began = Instant::now();
-    let found = open(&copy, OWNER, NOW).expect("mended").1;
+    let started_at = Instant::now();
+    let contents = open(&copy, OWNER, NOW).expect("mended").1;
     println!(
         "start after a crash with {}: {} ms",
-        found.records.len(),
-        began.elapsed().as_millis()
+        contents.records.len(),
+        started_at.elapsed().as_millis()
     );
-    drop(found);
-    let usual = Limits::default();
-    sustained(&path, usual);
+    drop(contents);
+    let limits = Limits::default();
+    bench_sustained_writes(&path, limits);
     println!("without a journal, every batch into the snapshot:");
-    sustained(
+    bench_sustained_writes(
         &path,
         Limits {
             journal_bytes: 0,
-            ..usual
+            ..limits
         },
     );
 }
 
 /// Changes of random placements as fast as the writer keeps up with them: each flush waits for what was told.
-fn sustained(path: &Path, limits: Limits) {
+fn bench_sustained_writes(path: &Path, limits: Limits) {
     let (memory, _) = open(path, OWNER, NOW).expect("sound");
-    let writer =
-        Writer::spawn_with(memory, limits, |notice| println!("{notice}")).expect("a thread");
-    for told in [1_000, 10_000, 100_000] {
-        let (began, mut number, mut calls) = (Instant::now(), 0, Duration::ZERO);
-        while began.elapsed() < Duration::from_secs(5) {
-            let records: Vec<Record> = (0..told)
+    let writer = Writer::spawn_with(memory, limits, |event| println!("{event}")).expect("a thread");
+    for batch_size in [1_000, 10_000, 100_000] {
+        let (started_at, mut number, mut call_time) = (Instant::now(), 0, Duration::ZERO);
+        while started_at.elapsed() < Duration::from_secs(5) {
+            let records: Vec<Record> = (0..batch_size)
                 .map(|_| {
                     number += 1;
                     placement(number * 7_919 % COUNT, 1)
                 })
                 .collect();
-            let calling = Instant::now();
-            records
-                .into_iter()
-                .for_each(|record| writer.remember(record));
-            calls += calling.elapsed();
+            let call_started_at = Instant::now();
+            records.into_iter().for_each(|record| writer.put(record));
+            call_time += call_started_at.elapsed();
             assert!(writer.flush(Duration::from_secs(60)));
         }
-        let (per_s, call) = (
-            number as f64 / began.elapsed().as_secs_f64(),
-            calls.as_nanos() / u128::from(number),
+        let (per_s, call_ns) = (
+            number as f64 / started_at.elapsed().as_secs_f64(),
+            call_time.as_nanos() / u128::from(number),
         );
         println!(
-            "batches of {told}: {per_s:.0} records a second, {call} ns a call, {} MiB",
-            size(path)
+            "batches of {batch_size}: {per_s:.0} records a second, {call_ns} ns a call, {} MiB",
+            file_size_mib(path)
         );
     }
     let counts = writer.counts();
     println!("{} gave way", counts.evicted);
-    assert!(writer.end(Duration::from_secs(60)));
+    assert!(writer.close(Duration::from_secs(60)));
 }
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -10,95 +10,98 @@
 use crate::disk::Disk;
 
 /// Numbers about a file, by name; each store has its own table of them.
-pub(crate) type About = TableDefinition<'static, &'static str, u64>;
+pub(crate) type MetadataDefinition = TableDefinition<'static, &'static str, u64>;
 pub(crate) const SCHEMA_KEY: &str = "schema";
 
 /// Why a file could not be read.
 #[derive(Debug)]
-pub(crate) enum Unread {
+pub(crate) enum ReadError {
     /// What stands in it is no sound store.
     Damaged(String),
-    Refused(OpenError),
+    Unusable(OpenError),
 }
 
 /// Reads what may be damaged.
-pub(crate) fn read<T>(run: impl FnOnce() -> Result<T, Unread>) -> Result<T, Unread> {
+pub(crate) fn catch_panic<T>(run: impl FnOnce() -> Result<T, ReadError>) -> Result<T, ReadError> {
     // Guards against a damage that the database's own checks take for their programmer's fault.
-    let read = catch_unwind(AssertUnwindSafe(run));
-    read.unwrap_or_else(|_| Err(Unread::Damaged("the database panicked over it".into())))
+    let result = catch_unwind(AssertUnwindSafe(run));
+    result.unwrap_or_else(|_| Err(ReadError::Damaged("the database panicked over it".into())))
 }
 
 /// Opens a file of this schema or an older one, with every page checked. The schema is none in a new file.
-pub(crate) fn open_sound(
+pub(crate) fn open_checked(
     disk: &dyn Disk,
     builder: &Builder,
     path: &Path,
-    about: About,
-    known: u64,
-) -> Result<(Database, Option<u64>), Unread> {
-    refuse_newer(disk, builder, path, about, known)?;
+    metadata: MetadataDefinition,
+    supported: u64,
+) -> Result<(Database, Option<u64>), ReadError> {
+    check_schema_read_only(disk, builder, path, metadata, supported)?;
     let mut database = disk.create(builder, path)?;
-    let found = number(&database, about, SCHEMA_KEY)?;
-    refuse(found, known)?;
+    let found = read_number(&database, metadata, SCHEMA_KEY)?;
+    check_schema(found, supported)?;
     database.check_integrity()?;
     Ok((database, found))
 }
 
 /// Looks at a file without the leave to write. Guards against a newer program's file that is so much as tidied up.
-fn refuse_newer(
+fn check_schema_read_only(
     disk: &dyn Disk,
     builder: &Builder,
     path: &Path,
-    about: About,
-    known: u64,
-) -> Result<(), Unread> {
-    if disk.mark(path).is_err() {
+    metadata: MetadataDefinition,
+    supported: u64,
+) -> Result<(), ReadError> {
+    if disk.identity(path).is_err() {
         return Ok(());
     }
     match disk.open_read_only(builder, path) {
-        Ok(database) => refuse(number(&database, about, SCHEMA_KEY)?, known),
+        Ok(database) => check_schema(read_number(&database, metadata, SCHEMA_KEY)?, supported),
         // After a crash it has to be repaired before it can be read.
         Err(DatabaseError::RepairAborted) => Ok(()),
         Err(error) => Err(error.into()),
     }
 }
 
-pub(crate) fn refuse(found: Option<u64>, known: u64) -> Result<(), Unread> {
+pub(crate) fn check_schema(found: Option<u64>, supported: u64) -> Result<(), ReadError> {
     match found {
-        Some(found) if found > known => Err(Unread::Refused(OpenError::Newer { found, known })),
+        Some(found) if found > supported => Err(ReadError::Unusable(OpenError::NewerSchema {
+            found,
+            supported,
+        })),
         _ => Ok(()),
     }
 }
 
 /// A number about a file.
-pub(crate) fn number(
+pub(crate) fn read_number(
     database: &impl ReadableDatabase,
-    about: About,
+    metadata: MetadataDefinition,
     key: &str,
-) -> Result<Option<u64>, Unread> {
-    let reading = database.begin_read()?;
-    match reading.open_table(about) {
-        Ok(table) => Ok(table.get(key)?.map(|held| held.value())),
+) -> Result<Option<u64>, ReadError> {
+    let transaction = database.begin_read()?;
+    match transaction.open_table(metadata) {
+        Ok(table) => Ok(table.get(key)?.map(|number| number.value())),
         Err(redb::TableError::TableDoesNotExist(_)) => Ok(None),
         Err(error) => Err(error.into()),
     }
 }
 
-impl From<DatabaseError> for Unread {
-    fn from(error: DatabaseError) -> Unread {
+impl From<DatabaseError> for ReadError {
+    fn from(error: DatabaseError) -> ReadError {
         match error {
-            DatabaseError::DatabaseAlreadyOpen => Unread::Refused(OpenError::InUse),
+            DatabaseError::DatabaseAlreadyOpen => ReadError::Unusable(OpenError::InUse),
             DatabaseError::Storage(error) => error.into(),
-            DatabaseError::UpgradeRequired(version) => Unread::Refused(OpenError::System(format!(
-                "the database's own format {version} is not read here"
-            ))),
-            error => Unread::Damaged(error.to_string()),
+            DatabaseError::UpgradeRequired(version) => ReadError::Unusable(OpenError::System(
+                format!("the database's own format {version} is not read here"),
+            )),
+            error => ReadError::Damaged(error.to_string()),
         }
     }
 }
 
-impl From<StorageError> for Unread {
-    fn from(error: StorageError) -> Unread {
+impl From<StorageError> for ReadError {
+    fn from(error: StorageError) -> ReadError {
         match &error {
             StorageError::Io(cause)
                 if !matches!(
@@ -106,31 +109,31 @@
                     ErrorKind::InvalidData | ErrorKind::UnexpectedEof
                 ) =>
             {
-                Unread::Refused(OpenError::System(error.to_string()))
+                ReadError::Unusable(OpenError::System(error.to_string()))
             }
             // The disk failed before; it says nothing of what stands in the file.
             StorageError::PreviousIo | StorageError::DatabaseClosed => {
-                Unread::Refused(OpenError::System(error.to_string()))
+                ReadError::Unusable(OpenError::System(error.to_string()))
             }
-            _ => Unread::Damaged(error.to_string()),
+            _ => ReadError::Damaged(error.to_string()),
         }
     }
 }
 
-impl From<redb::TransactionError> for Unread {
-    fn from(error: redb::TransactionError) -> Unread {
+impl From<redb::TransactionError> for ReadError {
+    fn from(error: redb::TransactionError) -> ReadError {
         match error {
             redb::TransactionError::Storage(error) => error.into(),
-            error => Unread::Damaged(error.to_string()),
+            error => ReadError::Damaged(error.to_string()),
         }
     }
 }
 
-impl From<redb::TableError> for Unread {
-    fn from(error: redb::TableError) -> Unread {
+impl From<redb::TableError> for ReadError {
+    fn from(error: redb::TableError) -> ReadError {
         match error {
             redb::TableError::Storage(error) => error.into(),
-            error => Unread::Damaged(error.to_string()),
+            error => ReadError::Damaged(error.to_string()),
         }
     }
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -9,11 +9,11 @@
 
 /// Which file stands under a name, and how long it is. Only its store changes it while it has it open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct FileIdentity {
     /// The device and the number there.
-    pub file: (u64, u64),
+    pub device_and_inode: (u64, u64),
     /// Its bytes.
-    pub length: u64,
+    pub length_bytes: u64,
 }
 
 /// Holds files.
@@ -29,10 +29,10 @@
     ) -> Result<ReadOnlyDatabase, DatabaseError>;
 
     /// All bytes of a file.
-    fn bytes(&self, path: &Path) -> io::Result<Vec<u8>>;
+    fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
     /// What stands under a name.
-    fn mark(&self, path: &Path) -> io::Result<Mark>;
+    fn identity(&self, path: &Path) -> io::Result<FileIdentity>;
 
     /// Gives a file another name.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
@@ -40,9 +40,9 @@
 
 /// The system's files.
 #[derive(Debug)]
-pub struct Files;
+pub struct SystemDisk;
 
-impl Disk for Files {
+impl Disk for SystemDisk {
     fn create(&self, builder: &Builder, path: &Path) -> Result<Database, DatabaseError> {
         builder.create(path)
     }
@@ -55,15 +55,15 @@
         builder.open_read_only(path)
     }
 
-    fn bytes(&self, path: &Path) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         std::fs::read(path)
     }
 
-    fn mark(&self, path: &Path) -> io::Result<Mark> {
-        let about = std::fs::metadata(path)?;
-        Ok(Mark {
-            file: (about.dev(), about.ino()),
-            length: about.len(),
+    fn identity(&self, path: &Path) -> io::Result<FileIdentity> {
+        let metadata = std::fs::metadata(path)?;
+        Ok(FileIdentity {
+            device_and_inode: (metadata.dev(), metadata.ino()),
+            length_bytes: metadata.len(),
         })
     }
 
@@ -73,13 +73,13 @@
 }
 
 /// Keeps a file under another name beside its own, which nothing has.
-pub(crate) fn keep_aside(
+pub(crate) fn move_aside(
     disk: &dyn Disk,
     path: &Path,
     suffix: &str,
     now_ms: u64,
 ) -> io::Result<PathBuf> {
-    let named = |count: u32| {
+    let candidate = |count: u32| {
         let mut name = path.as_os_str().to_owned();
         name.push(format!(".{suffix}-{now_ms}"));
         if count > 0 {
@@ -87,9 +87,9 @@
         }
         PathBuf::from(name)
     };
-    let aside = (0..)
-        .map(named)
-        .find(|name| disk.mark(name).is_err())
-        .unwrap_or_else(|| named(0));
-    disk.rename(path, &aside).map(|()| aside)
+    let moved_path = (0..)
+        .map(candidate)
+        .find(|name| disk.identity(name).is_err())
+        .unwrap_or_else(|| candidate(0));
+    disk.rename(path, &moved_path).map(|()| moved_path)
 }
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -7,19 +7,21 @@
 use beaconflow_overrides::{Id, Override};
 use redb::{Database, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
 
-use crate::database::{About, SCHEMA_KEY, Unread, number, open_sound, read};
-use crate::disk::{Disk, Files, Mark, keep_aside};
+use crate::database::{
+    MetadataDefinition, ReadError, SCHEMA_KEY, catch_panic, open_checked, read_number,
+};
+use crate::disk::{Disk, FileIdentity, SystemDisk, move_aside};
 use crate::record;
 use crate::{Contents, OpenError, OverrideStore, StoreError};
 
 /// The newest schema of a file that this program reads, and the one that it writes.
 pub const SCHEMA: u64 = 1;
 
-const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("overrides");
-const ABOUT: About = TableDefinition::new("about");
-const NEXT_KEY: &str = "next-id";
+const OVERRIDES: TableDefinition<u64, &[u8]> = TableDefinition::new("overrides");
+const METADATA: MetadataDefinition = TableDefinition::new("about");
+const NEXT_ID_KEY: &str = "next-id";
 /// Bytes of the file that are kept in memory.
-const CACHE: usize = 1 << 20;
+const CACHE_BYTES: usize = 1 << 20;
 
 /// Overrides in a file.
 pub struct FileStore {
@@ -28,82 +30,82 @@
     /// None after a failure: the database refuses everything then, until it is opened anew.
     database: Option<Database>,
     /// The file that is open. Guards against a put into one that was removed or cut, which would be lost.
-    mark: Option<Mark>,
-    next: Id,
+    identity: Option<FileIdentity>,
+    next_id: Id,
 }
 
 /// Opens a store, and makes it where there is none. A damaged file is kept aside and an empty one begun.
 pub fn open(path: &Path) -> Result<(FileStore, Contents), OpenError> {
-    open_on(Arc::new(Files), path)
+    open_on(Arc::new(SystemDisk), path)
 }
 
 /// The same on a given disk.
 pub fn open_on(disk: Arc<dyn Disk>, path: &Path) -> Result<(FileStore, Contents), OpenError> {
-    let read = || read(|| read_file(&disk, path));
-    match read() {
+    let read_store = || catch_panic(|| read_file(&disk, path));
+    match read_store() {
         Ok(opened) => Ok(opened),
-        Err(Unread::Refused(why)) => Err(why),
-        Err(Unread::Damaged(why)) => {
+        Err(ReadError::Unusable(reason)) => Err(reason),
+        Err(ReadError::Damaged(reason)) => {
             let now = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
             let now_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
-            let aside = keep_aside(&*disk, path, "damaged", now_ms).map_err(|error| {
+            let moved_path = move_aside(&*disk, path, "damaged", now_ms).map_err(|error| {
                 OpenError::System(format!(
-                    "damaged ({why}), and it can't be kept aside: {error}"
+                    "damaged ({reason}), and it can't be kept aside: {error}"
                 ))
             })?;
-            match read() {
+            match read_store() {
                 Ok((store, contents)) => Ok((
                     store,
                     Contents {
-                        moved_aside: Some((aside, why)),
+                        moved_aside: Some((moved_path, reason)),
                         ..contents
                     },
                 )),
-                Err(Unread::Refused(error)) => Err(error),
-                Err(Unread::Damaged(why)) => Err(OpenError::System(why)),
+                Err(ReadError::Unusable(error)) => Err(error),
+                Err(ReadError::Damaged(reason)) => Err(OpenError::System(reason)),
             }
         }
     }
 }
 
-fn open_database(disk: &dyn Disk, path: &Path) -> Result<(Database, Option<u64>), Unread> {
+fn open_database(disk: &dyn Disk, path: &Path) -> Result<(Database, Option<u64>), ReadError> {
     let mut builder = Database::builder();
-    builder.set_cache_size(CACHE);
-    open_sound(disk, &builder, path, ABOUT, SCHEMA)
+    builder.set_cache_size(CACHE_BYTES);
+    open_checked(disk, &builder, path, METADATA, SCHEMA)
 }
 
-fn read_file(disk: &Arc<dyn Disk>, path: &Path) -> Result<(FileStore, Contents), Unread> {
+fn read_file(disk: &Arc<dyn Disk>, path: &Path) -> Result<(FileStore, Contents), ReadError> {
     let (database, found) = open_database(&**disk, path)?;
-    let next = number(&database, ABOUT, NEXT_KEY)?.unwrap_or(1);
+    let next_id = read_number(&database, METADATA, NEXT_ID_KEY)?.unwrap_or(1);
     let contents = contents(&database)?;
-    let highest = contents.overrides.iter().map(|one| one.id.0 + 1);
-    let next = highest
-        .chain(contents.unreadable.iter().map(|id| id + 1))
-        .chain([next, 1])
+    let ids_after = contents.overrides.iter().map(|record| record.id.0 + 1);
+    let next_id = ids_after
+        .chain(contents.unreadable_ids.iter().map(|id| id + 1))
+        .chain([next_id, 1])
         .max();
-    let mark = disk.mark(path).ok();
-    let (disk, path, next) = (Arc::clone(disk), path.to_owned(), Id(next.unwrap_or(1)));
+    let identity = disk.identity(path).ok();
+    let (disk, path, next_id) = (Arc::clone(disk), path.to_owned(), Id(next_id.unwrap_or(1)));
     let mut store = FileStore {
         disk,
         path,
         database: Some(database),
-        mark,
-        next,
+        identity,
+        next_id,
     };
     if found != Some(SCHEMA) {
         // Also the proof that the file can be written.
         store
-            .write(|_, about| about.insert(SCHEMA_KEY, SCHEMA).map(drop))
-            .map_err(|error| Unread::Refused(OpenError::System(error.0)))?;
+            .write(|_, metadata| metadata.insert(SCHEMA_KEY, SCHEMA).map(drop))
+            .map_err(|error| ReadError::Unusable(OpenError::System(error.0)))?;
     }
     Ok((store, contents))
 }
 
-fn contents(database: &Database) -> Result<Contents, Unread> {
-    let reading = database.begin_read()?;
-    let table = match reading.open_table(RECORDS) {
+fn contents(database: &Database) -> Result<Contents, ReadError> {
+    let transaction = database.begin_read()?;
+    let table = match transaction.open_table(OVERRIDES) {
         Ok(table) => table,
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Contents::default()),
         Err(error) => return Err(error.into()),
@@ -111,83 +113,85 @@
     let mut contents = Contents::default();
     for row in table.iter()? {
         let (id, bytes) = row?;
-        match record::decode(bytes.value()).filter(|one| one.id.0 == id.value()) {
-            Some(one) => contents.overrides.push(one),
-            None => contents.unreadable.push(id.value()),
+        match record::decode(bytes.value()).filter(|record| record.id.0 == id.value()) {
+            Some(record) => contents.overrides.push(record),
+            None => contents.unreadable_ids.push(id.value()),
         }
     }
     Ok(contents)
 }
 
-type Rows<'a> = redb::Table<'a, u64, &'static [u8]>;
-type Numbers<'a> = redb::Table<'a, &'static str, u64>;
+type OverrideTable<'a> = redb::Table<'a, u64, &'static [u8]>;
+type MetadataTable<'a> = redb::Table<'a, &'static str, u64>;
 
 impl FileStore {
     /// Writes in one transaction; it is on the disk when this returns.
     fn write(
         &mut self,
-        run: impl FnOnce(&mut Rows<'_>, &mut Numbers<'_>) -> Result<(), StorageError>,
+        run: impl FnOnce(&mut OverrideTable<'_>, &mut MetadataTable<'_>) -> Result<(), StorageError>,
     ) -> Result<(), StoreError> {
-        let database = self.well()?;
+        let database = self.take_database()?;
         let write = || -> Result<(), redb::Error> {
-            let writing = database.begin_write()?;
+            let transaction = database.begin_write()?;
             run(
-                &mut writing.open_table(RECORDS)?,
-                &mut writing.open_table(ABOUT)?,
+                &mut transaction.open_table(OVERRIDES)?,
+                &mut transaction.open_table(METADATA)?,
             )?;
-            Ok(writing.commit()?)
+            Ok(transaction.commit()?)
         };
         write().map_err(|error| StoreError(error.to_string()))?;
         self.database = Some(database);
-        self.mark = self.disk.mark(&self.path).ok();
+        self.identity = self.disk.identity(&self.path).ok();
         Ok(())
     }
 
     /// The database, if its file is the one that was opened; after a failure it is opened anew.
-    fn well(&mut self) -> Result<Database, StoreError> {
-        let here = self.disk.mark(&self.path).ok();
-        let changed = || StoreError("the file was removed, emptied or changed by someone".into());
-        let same = here.map(|mark| mark.file) == self.mark.map(|mark| mark.file);
+    fn take_database(&mut self) -> Result<Database, StoreError> {
+        let current = self.disk.identity(&self.path).ok();
+        let replaced_error =
+            || StoreError("the file was removed, emptied or changed by someone".into());
+        let is_same_file = current.map(|identity| identity.device_and_inode)
+            == self.identity.map(|identity| identity.device_and_inode);
         match self.database.take() {
-            Some(database) if here == self.mark => Ok(database),
-            None if same => match read(|| open_database(&*self.disk, &self.path)) {
+            Some(database) if current == self.identity => Ok(database),
+            None if is_same_file => match catch_panic(|| open_database(&*self.disk, &self.path)) {
                 Ok((database, Some(_))) => Ok(database),
-                Ok((_, None)) => Err(changed()),
-                Err(Unread::Damaged(why)) => Err(StoreError(format!("damaged: {why}"))),
-                Err(Unread::Refused(why)) => Err(StoreError(why.to_string())),
+                Ok((_, None)) => Err(replaced_error()),
+                Err(ReadError::Damaged(reason)) => Err(StoreError(format!("damaged: {reason}"))),
+                Err(ReadError::Unusable(reason)) => Err(StoreError(reason.to_string())),
             },
             _ => {
-                self.mark = None;
-                Err(changed())
+                self.identity = None;
+                Err(replaced_error())
             }
         }
     }
 }
 
 impl OverrideStore for FileStore {
-    fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
-        let next = all
+    fn put(&mut self, overrides: &[Override]) -> Result<(), StoreError> {
+        let next_id = overrides
             .iter()
-            .map(|one| Id(one.id.0.saturating_add(1)))
-            .fold(self.next, Id::max);
-        self.write(|rows, about| {
-            for one in all {
-                rows.insert(one.id.0, record::encode(one).as_slice())?;
+            .map(|record| Id(record.id.0.saturating_add(1)))
+            .fold(self.next_id, Id::max);
+        self.write(|table, metadata| {
+            for record in overrides {
+                table.insert(record.id.0, record::encode(record).as_slice())?;
             }
-            about.insert(NEXT_KEY, next.0).map(drop)
+            metadata.insert(NEXT_ID_KEY, next_id.0).map(drop)
         })?;
-        self.next = next;
+        self.next_id = next_id;
         Ok(())
     }
 
-    fn forget(&mut self, ids: &[Id]) -> Result<(), StoreError> {
+    fn delete(&mut self, ids: &[Id]) -> Result<(), StoreError> {
         if ids.is_empty() {
             return Ok(());
         }
-        self.write(|rows, _| ids.iter().try_for_each(|id| rows.remove(id.0).map(drop)))
+        self.write(|table, _| ids.iter().try_for_each(|id| table.remove(id.0).map(drop)))
     }
 
     fn next_id(&self) -> Id {
-        self.next
+        self.next_id
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -25,7 +25,7 @@
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError>;
 
     /// Forgets overrides.
-    fn forget(&mut self, ids: &[Id]) -> Result<(), StoreError>;
+    fn delete(&mut self, ids: &[Id]) -> Result<(), StoreError>;
 
     /// The number that the next new override gets; a number is never given twice, also after what had it was
     /// forgotten.
@@ -51,11 +51,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenError {
     /// A newer program wrote it.
-    Newer {
+    NewerSchema {
         /// Its schema.
         found: u64,
         /// The newest that this program reads.
-        known: u64,
+        supported: u64,
     },
     /// Another program has it open.
     InUse,
@@ -66,10 +66,10 @@
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OpenError::Newer { found, known } => {
+            OpenError::NewerSchema { found, supported } => {
                 write!(
                     f,
-                    "written by a newer program: schema {found}, this one reads up to {known}"
+                    "written by a newer program: schema {found}, this one reads up to {supported}"
                 )
             }
             OpenError::InUse => f.write_str("another program has it open"),
@@ -86,7 +86,7 @@
     /// The overrides that could be read.
     pub overrides: Vec<Override>,
     /// Numbers of records that could not be read. They stay in the file.
-    pub unreadable: Vec<u64>,
+    pub unreadable_ids: Vec<u64>,
     /// The file was damaged, and is kept under this name; the store begins empty.
     pub moved_aside: Option<(PathBuf, String)>,
 }
--- a/crates/store/src/memory/mod.rs
+++ b/crates/store/src/memory/mod.rs
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 
 use crate::OpenError;
-use crate::database::Unread;
-use crate::disk::{Disk, Files, Mark, keep_aside};
+use crate::database::ReadError;
+use crate::disk::{Disk, FileIdentity, SystemDisk, move_aside};
 
-use file::{Found, OpenFile};
+use file::{OpenFile, StoredMemory};
 pub use writer::{Counts, DiskEvent, Limits, Writer};
 
 /// Newest schema of the file that this program reads, and the one that it writes.
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Store a record.
-    Keep(Record),
+    Put(Record),
     /// Remove the record of a kind and subject.
-    Forget {
+    Delete {
         /// The kind.
         kind: u32,
         /// The subject.
@@ -54,27 +54,27 @@
 
 /// A file that could not be used and was moved aside.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Aside {
+pub struct MovedFile {
     /// Its new path; its old one if the disk is read-only.
     pub path: PathBuf,
     /// Why it could not be used.
-    pub why: AsideWhy,
+    pub reason: UnusableReason,
 }
 
 /// Why a file could not be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AsideWhy {
+pub enum UnusableReason {
     /// It is damaged; with the database's message.
     Damaged(String),
     /// It belongs to the process of this name.
     Foreign(String),
 }
 
-impl fmt::Display for Aside {
+impl fmt::Display for MovedFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.why {
-            AsideWhy::Damaged(why) => write!(f, "damaged ({why})")?,
-            AsideWhy::Foreign(owner) => write!(f, "the memory of {owner:?}")?,
+        match &self.reason {
+            UnusableReason::Damaged(reason) => write!(f, "damaged ({reason})")?,
+            UnusableReason::Foreign(owner) => write!(f, "the memory of {owner:?}")?,
         }
         write!(f, ", kept as {}", self.path.display())
     }
@@ -82,19 +82,19 @@
 
 /// What a memory contained when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Remembered {
+pub struct MemoryContents {
     /// Incarnation number of this process: one more than the last.
     pub incarnation: u64,
     /// Why the incarnation number could not be written; the next start may get the same one.
-    pub unwritable: Option<String>,
+    pub write_error: Option<String>,
     /// All records, by kind and subject.
     pub records: Vec<Record>,
     /// Number of unreadable records. They stay in the file.
-    pub unreadable: u64,
+    pub unreadable_records: u64,
     /// The file that was moved aside.
-    pub aside: Option<Aside>,
+    pub moved_aside: Option<MovedFile>,
     /// When the file was last written, by the wall clock of then, in Unix milliseconds.
-    pub last_written_ms: Option<u64>,
+    pub last_written_at_ms: Option<u64>,
     /// Whether the wall clock is before that time; no age can be derived then.
     pub clock_went_back: bool,
 }
@@ -106,11 +106,11 @@
     path: PathBuf,
     owner: String,
     incarnation: u64,
-    journal_bytes: u64,
+    max_journal_bytes: u64,
     /// `None` while the disk fails.
     file: Option<Box<OpenFile>>,
     /// The identity of the open file, by which a removed, truncated or replaced one is detected.
-    mark: Option<Mark>,
+    identity: Option<FileIdentity>,
 }
 
 /// Why changes were not written. None of them was.
@@ -130,16 +130,16 @@
 
 /// What was noticed during a write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Written {
+pub struct WriteOutcome {
     /// Why the file was recreated; its former contents are lost.
-    pub begun_anew: Option<String>,
+    pub recreated_reason: Option<String>,
 }
 
 /// Opens the memory of a process, or creates it. The incarnation number is raised durably by one.
 /// A damaged or foreign file is moved aside, and the memory starts empty. A file of a newer program
-/// is left alone and causes an error. A read-only disk is read, which [`Remembered`] reports.
-pub fn open(path: &Path, owner: &str, now_ms: u64) -> Result<(Memory, Remembered), OpenError> {
-    open_on(Arc::new(Files), path, owner, now_ms)
+/// is left alone and causes an error. A read-only disk is read, which [`MemoryContents`] reports.
+pub fn open(path: &Path, owner: &str, now_ms: u64) -> Result<(Memory, MemoryContents), OpenError> {
+    open_on(Arc::new(SystemDisk), path, owner, now_ms)
 }
 
 /// The same on a given disk.
@@ -148,23 +148,25 @@
     path: &Path,
     owner: &str,
     now_ms: u64,
-) -> Result<(Memory, Remembered), OpenError> {
-    let journal_bytes = Limits::default().journal_bytes;
+) -> Result<(Memory, MemoryContents), OpenError> {
+    let max_journal_bytes = Limits::default().journal_bytes;
     let (path, owner) = (path.to_owned(), owner.to_owned());
     let mut memory = Memory {
         disk,
         path,
         owner,
         incarnation: 0,
-        journal_bytes,
+        max_journal_bytes,
         file: None,
-        mark: None,
+        identity: None,
     };
-    let mut remembered = memory.find(now_ms)?;
-    memory.incarnation = remembered.incarnation;
-    let late = remembered.last_written_ms.is_some_and(|then| then > now_ms);
-    remembered.clock_went_back = late;
-    Ok((memory, remembered))
+    let mut contents = memory.open_or_recreate(now_ms)?;
+    memory.incarnation = contents.incarnation;
+    let clock_went_back = contents
+        .last_written_at_ms
+        .is_some_and(|written_at| written_at > now_ms);
+    contents.clock_went_back = clock_went_back;
+    Ok((memory, contents))
 }
 
 impl Memory {
@@ -174,87 +176,89 @@
     }
 
     /// Sets the size of the journal at which it is merged into the snapshot.
-    pub fn bound_journal(&mut self, bytes: u64) {
-        self.journal_bytes = bytes;
+    pub fn set_journal_limit(&mut self, bytes: u64) {
+        self.max_journal_bytes = bytes;
     }
 
     /// Writes changes in order, all or none. They are durable on return.
-    pub fn write(&mut self, changes: &[Change], now_ms: u64) -> Result<Written, WriteError> {
-        let written = self.well(now_ms)?;
+    pub fn write(&mut self, changes: &[Change], now_ms: u64) -> Result<WriteOutcome, WriteError> {
+        let outcome = self.ensure_open(now_ms)?;
         // After a failure the database refuses everything until it is opened again.
-        let Some(mut held) = self.file.take() else {
+        let Some(mut file) = self.file.take() else {
             return Err(WriteError("no file".into()));
         };
-        held.append(changes, now_ms).map_err(WriteError)?;
-        if held.journal_bytes <= self.journal_bytes || held.compact().is_ok() {
-            self.file = Some(held);
+        file.append(changes, now_ms).map_err(WriteError)?;
+        if file.journal_bytes <= self.max_journal_bytes || file.compact().is_ok() {
+            self.file = Some(file);
         }
-        self.mark = self.disk.mark(&self.path).ok();
-        Ok(written)
+        self.identity = self.disk.identity(&self.path).ok();
+        Ok(outcome)
     }
 
     /// Ensures that the file is open and unchanged.
-    fn well(&mut self, now_ms: u64) -> Result<Written, WriteError> {
-        let (before, here) = (self.mark, self.disk.mark(&self.path).ok());
-        if self.file.is_some() && here == before {
-            return Ok(Written::default());
+    fn ensure_open(&mut self, now_ms: u64) -> Result<WriteOutcome, WriteError> {
+        let (previous, current) = (self.identity, self.disk.identity(&self.path).ok());
+        if self.file.is_some() && current == previous {
+            return Ok(WriteOutcome::default());
         }
         self.file = None;
         let found = self
-            .find(now_ms)
+            .open_or_recreate(now_ms)
             .map_err(|error| WriteError(error.to_string()))?;
-        if let Some(why) = found.unwritable {
-            return Err(WriteError(why));
+        if let Some(reason) = found.write_error {
+            return Err(WriteError(reason));
         }
-        let same = before.is_none_or(|before| here.is_some_and(|here| here.file == before.file));
-        let begun_anew = match found.aside {
-            Some(aside) => Some(aside.to_string()),
-            None if !same || (before.is_some() && found.last_written_ms.is_none()) => {
+        let is_same_file = previous.is_none_or(|previous| {
+            current.is_some_and(|current| current.device_and_inode == previous.device_and_inode)
+        });
+        let recreated_reason = match found.moved_aside {
+            Some(moved_aside) => Some(moved_aside.to_string()),
+            None if !is_same_file || (previous.is_some() && found.last_written_at_ms.is_none()) => {
                 Some("removed or emptied by someone".to_owned())
             }
             None => None,
         };
-        Ok(Written { begun_anew })
+        Ok(WriteOutcome { recreated_reason })
     }
 
     /// Opens the existing file.
-    fn find(&mut self, now_ms: u64) -> Result<Remembered, OpenError> {
-        let mut aside: Option<Aside> = None;
+    fn open_or_recreate(&mut self, now_ms: u64) -> Result<MemoryContents, OpenError> {
+        let mut moved_aside: Option<MovedFile> = None;
         loop {
-            let why = match self.try_open(now_ms) {
-                Ok(Ok(remembered)) => {
-                    return Ok(Remembered {
-                        aside,
-                        ..remembered
+            let reason = match self.open_for_writing(now_ms) {
+                Ok(Ok(contents)) => {
+                    return Ok(MemoryContents {
+                        moved_aside,
+                        ..contents
                     });
                 }
-                Ok(Err(owner)) => AsideWhy::Foreign(owner),
-                Err(Unread::Damaged(why)) => AsideWhy::Damaged(why),
-                Err(Unread::Refused(OpenError::System(why))) => {
-                    let found = self.read_only(why)?;
-                    return Ok(Remembered {
-                        aside: aside.or(found.aside),
+                Ok(Err(owner)) => UnusableReason::Foreign(owner),
+                Err(ReadError::Damaged(reason)) => UnusableReason::Damaged(reason),
+                Err(ReadError::Unusable(OpenError::System(reason))) => {
+                    let found = self.open_read_only(reason)?;
+                    return Ok(MemoryContents {
+                        moved_aside: moved_aside.or(found.moved_aside),
                         ..found
                     });
                 }
-                Err(Unread::Refused(error)) => return Err(error),
+                Err(ReadError::Unusable(error)) => return Err(error),
             };
-            if let Some(aside) = aside {
+            if let Some(moved_aside) = moved_aside {
                 return Err(OpenError::System(format!(
-                    "the new file is bad too, after {aside}"
+                    "the new file is bad too, after {moved_aside}"
                 )));
             }
-            let word = match &why {
-                AsideWhy::Foreign(_) => "foreign",
-                AsideWhy::Damaged(_) => "damaged",
+            let suffix = match &reason {
+                UnusableReason::Foreign(_) => "foreign",
+                UnusableReason::Damaged(_) => "damaged",
             };
-            match keep_aside(&*self.disk, &self.path, word, now_ms) {
-                Ok(path) => aside = Some(Aside { path, why }),
+            match move_aside(&*self.disk, &self.path, suffix, now_ms) {
+                Ok(path) => moved_aside = Some(MovedFile { path, reason }),
                 Err(error) => {
-                    let said = format!("what is there can't be kept aside: {error}");
-                    return Ok(Remembered {
-                        aside: Some(self.unmoved(why)),
-                        ..self.nothing(said)
+                    let write_error = format!("what is there can't be kept aside: {error}");
+                    return Ok(MemoryContents {
+                        moved_aside: Some(self.file_left_in_place(reason)),
+                        ..self.empty_contents(write_error)
                     });
                 }
             }
@@ -262,48 +266,52 @@
     }
 
     /// Opens the file for writing, unless it belongs to another owner.
-    fn try_open(&mut self, now_ms: u64) -> Result<Result<Remembered, String>, Unread> {
-        let found = crate::database::read(|| OpenFile::open(&*self.disk, &self.path, &self.owner))?;
-        let (mut held, mut remembered) = match found {
-            Found::Ours(held, remembered) => (held, remembered),
-            Found::Foreign(owner) => return Ok(Err(owner)),
+    fn open_for_writing(
+        &mut self,
+        now_ms: u64,
+    ) -> Result<Result<MemoryContents, String>, ReadError> {
+        let found =
+            crate::database::catch_panic(|| OpenFile::open(&*self.disk, &self.path, &self.owner))?;
+        let (mut file, mut contents) = match found {
+            StoredMemory::Owned(file, contents) => (file, contents),
+            StoredMemory::Foreign(owner) => return Ok(Err(owner)),
         };
-        remembered.incarnation = self.raised(remembered.incarnation);
-        let begun = held.begin(&self.owner, remembered.incarnation, now_ms);
-        begun.map_err(|why| Unread::Refused(OpenError::System(why)))?;
-        self.mark = self.disk.mark(&self.path).ok();
-        self.file = Some(held);
-        Ok(Ok(remembered))
+        contents.incarnation = self.next_incarnation(contents.incarnation);
+        let header = file.write_header(&self.owner, contents.incarnation, now_ms);
+        header.map_err(|reason| ReadError::Unusable(OpenError::System(reason)))?;
+        self.identity = self.disk.identity(&self.path).ok();
+        self.file = Some(file);
+        Ok(Ok(contents))
     }
 
     /// Reads the file from a read-only disk.
-    fn read_only(&self, why: String) -> Result<Remembered, OpenError> {
-        let bytes = match self.disk.bytes(&self.path) {
+    fn open_read_only(&self, reason: String) -> Result<MemoryContents, OpenError> {
+        let bytes = match self.disk.read(&self.path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == ErrorKind::NotFound => Vec::new(),
-            Err(_) => return Err(OpenError::System(why)),
+            Err(_) => return Err(OpenError::System(reason)),
         };
-        match crate::database::read(|| OpenFile::copy_of(&bytes, &self.owner)) {
-            Ok(Found::Ours(_, found)) => Ok(Remembered {
-                incarnation: self.raised(found.incarnation),
-                unwritable: Some(why),
+        match crate::database::catch_panic(|| OpenFile::read_copy(&bytes, &self.owner)) {
+            Ok(StoredMemory::Owned(_, found)) => Ok(MemoryContents {
+                incarnation: self.next_incarnation(found.incarnation),
+                write_error: Some(reason),
                 ..found
             }),
-            Ok(Found::Foreign(owner)) => Ok(Remembered {
-                aside: Some(self.unmoved(AsideWhy::Foreign(owner))),
-                ..self.nothing(why)
+            Ok(StoredMemory::Foreign(owner)) => Ok(MemoryContents {
+                moved_aside: Some(self.file_left_in_place(UnusableReason::Foreign(owner))),
+                ..self.empty_contents(reason)
             }),
-            Err(Unread::Damaged(damage)) => Ok(Remembered {
-                aside: Some(self.unmoved(AsideWhy::Damaged(damage))),
-                ..self.nothing(why)
+            Err(ReadError::Damaged(damage)) => Ok(MemoryContents {
+                moved_aside: Some(self.file_left_in_place(UnusableReason::Damaged(damage))),
+                ..self.empty_contents(reason)
             }),
-            Err(Unread::Refused(error)) => Err(error),
+            Err(ReadError::Unusable(error)) => Err(error),
         }
     }
 
     /// The incarnation number after the one in a file; a file that is opened again in one run gets
     /// the same.
-    fn raised(&self, found: u64) -> u64 {
+    fn next_incarnation(&self, found: u64) -> u64 {
         if self.incarnation > 0 {
             self.incarnation.max(found)
         } else {
@@ -311,18 +319,18 @@
         }
     }
 
-    fn unmoved(&self, why: AsideWhy) -> Aside {
-        Aside {
+    fn file_left_in_place(&self, reason: UnusableReason) -> MovedFile {
+        MovedFile {
             path: self.path.clone(),
-            why,
+            reason,
         }
     }
 
-    fn nothing(&self, unwritable: String) -> Remembered {
-        Remembered {
-            incarnation: self.raised(0),
-            unwritable: Some(unwritable),
-            ..Remembered::default()
+    fn empty_contents(&self, write_error: String) -> MemoryContents {
+        MemoryContents {
+            incarnation: self.next_incarnation(0),
+            write_error: Some(write_error),
+            ..MemoryContents::default()
         }
     }
 }
--- a/crates/store/src/memory/queue.rs
+++ b/crates/store/src/memory/queue.rs
@@ -5,7 +5,7 @@
 use super::{Change, Record};
 
 /// Overhead of a waiting change: its tree node and two allocations, in bytes.
-const OVERHEAD: usize = 96;
+const CHANGE_OVERHEAD_BYTES: usize = 96;
 
 type Key = (u32, Vec<u8>);
 
@@ -13,12 +13,12 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     values: BTreeMap<Key, (u64, Vec<u8>)>,
-    forgotten: BTreeSet<Key>,
+    deleted: BTreeSet<Key>,
     bytes: usize,
 }
 
-fn cost(key: &Key, value: &[u8]) -> usize {
-    OVERHEAD + key.1.len() + value.len()
+fn cost_bytes(key: &Key, value: &[u8]) -> usize {
+    CHANGE_OVERHEAD_BYTES + key.1.len() + value.len()
 }
 
 impl Queue {
@@ -26,61 +26,63 @@
     /// bound; returns how many. Records of the highest kind number are evicted first, and among
     /// them the greatest subject; removals are evicted last, since the removed records would
     /// otherwise be read again.
-    pub(super) fn put(&mut self, change: Change, bound: usize) -> u64 {
+    pub(super) fn put(&mut self, change: Change, max_bytes: usize) -> u64 {
         match change {
-            Change::Keep(Record {
+            Change::Put(Record {
                 kind,
                 subject,
                 value,
                 observed_at_ms,
             }) => {
                 let key = (kind, subject);
-                self.clear(&key);
-                self.bytes += cost(&key, &value);
+                self.remove(&key);
+                self.bytes += cost_bytes(&key, &value);
                 self.values.insert(key, (observed_at_ms, value));
             }
-            Change::Forget { kind, subject } => {
+            Change::Delete { kind, subject } => {
                 let key = (kind, subject);
-                self.clear(&key);
-                self.bytes += cost(&key, &[]);
-                self.forgotten.insert(key);
+                self.remove(&key);
+                self.bytes += cost_bytes(&key, &[]);
+                self.deleted.insert(key);
             }
         }
-        let mut gave_way = 0;
-        while self.bytes > bound && self.evict_one() {
-            gave_way += 1;
+        let mut evicted = 0;
+        while self.bytes > max_bytes && self.evict_one() {
+            evicted += 1;
         }
-        gave_way
+        evicted
     }
 
-    fn clear(&mut self, key: &Key) {
+    fn remove(&mut self, key: &Key) {
         if let Some((_, value)) = self.values.remove(key) {
-            self.bytes -= cost(key, &value);
+            self.bytes -= cost_bytes(key, &value);
         }
-        if self.forgotten.remove(key) {
-            self.bytes -= cost(key, &[]);
+        if self.deleted.remove(key) {
+            self.bytes -= cost_bytes(key, &[]);
         }
     }
 
     fn evict_one(&mut self) -> bool {
         if let Some((key, (_, value))) = self.values.pop_last() {
-            self.bytes -= cost(&key, &value);
+            self.bytes -= cost_bytes(&key, &value);
             return true;
         }
-        let gone = self.forgotten.pop_last();
-        gone.inspect(|key| self.bytes -= cost(key, &[])).is_some()
+        let removed = self.deleted.pop_last();
+        removed
+            .inspect(|key| self.bytes -= cost_bytes(key, &[]))
+            .is_some()
     }
 
     /// Adds later changes over these.
-    pub(super) fn take_over(&mut self, later: Queue, bound: usize) -> u64 {
+    pub(super) fn append(&mut self, later: Queue, max_bytes: usize) -> u64 {
         later
             .into_changes()
-            .map(|change| self.put(change, bound))
+            .map(|change| self.put(change, max_bytes))
             .sum()
     }
 
     pub(super) fn len(&self) -> usize {
-        self.values.len() + self.forgotten.len()
+        self.values.len() + self.deleted.len()
     }
 
     pub(super) fn bytes(&self) -> usize {
@@ -89,22 +91,22 @@
 
     /// All waiting changes.
     pub(super) fn into_changes(self) -> impl Iterator<Item = Change> {
-        let forgotten = self
-            .forgotten
+        let deleted = self
+            .deleted
             .into_iter()
-            .map(|(kind, subject)| Change::Forget { kind, subject });
-        let kept = self
+            .map(|(kind, subject)| Change::Delete { kind, subject });
+        let stored = self
             .values
             .into_iter()
             .map(|((kind, subject), (observed_at_ms, value))| {
-                Change::Keep(Record {
+                Change::Put(Record {
                     kind,
                     subject,
                     value,
                     observed_at_ms,
                 })
             });
-        kept.chain(forgotten)
+        stored.chain(deleted)
     }
 }
 
--- a/crates/store/src/memory/record.rs
+++ b/crates/store/src/memory/record.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct Row {
     #[prost(uint64, tag = "1")]
-    witnessed_ms: u64,
+    observed_at_ms: u64,
     #[prost(bytes = "vec", tag = "2")]
     value: Vec<u8>,
 }
@@ -31,16 +31,16 @@
 }
 
 /// The bytes of a change.
-pub(super) fn entry(change: &Change) -> Vec<u8> {
+pub(super) fn encode_entry(change: &Change) -> Vec<u8> {
     let entry = match change {
-        Change::Keep(Record {
+        Change::Put(Record {
             kind,
             subject,
             value,
             observed_at_ms,
         }) => {
             let row = Row {
-                witnessed_ms: *observed_at_ms,
+                observed_at_ms: *observed_at_ms,
                 value: value.clone(),
             };
             Entry {
@@ -48,7 +48,7 @@
                 row: Some(row.encode_to_vec()),
             }
         }
-        Change::Forget { kind, subject } => Entry {
+        Change::Delete { kind, subject } => Entry {
             key: key(*kind, subject),
             row: None,
         },
@@ -57,16 +57,16 @@
 }
 
 /// The key of a change, and the row that it leaves there; nothing if the bytes hold none.
-pub(super) fn read_entry(bytes: &[u8]) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
+pub(super) fn decode_entry(bytes: &[u8]) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
     let Entry { key, row } = Entry::decode(bytes).ok()?;
     (key.len() >= 4).then_some((key, row))
 }
 
 /// The record that a row under a key holds; nothing if it holds none.
-pub(super) fn read_row(key: &[u8], row: &[u8]) -> Option<Record> {
+pub(super) fn decode_row(key: &[u8], row: &[u8]) -> Option<Record> {
     let (kind, subject) = key.split_first_chunk::<4>()?;
     let Row {
-        witnessed_ms: observed_at_ms,
+        observed_at_ms,
         value,
     } = Row::decode(row).ok()?;
     Some(Record {
--- a/crates/store/src/memory/writer.rs
+++ b/crates/store/src/memory/writer.rs
@@ -20,11 +20,11 @@
     /// Size of the journal at which it is merged into the snapshot, in bytes.
     pub journal_bytes: u64,
     /// Interval of batches.
-    pub every: Duration,
+    pub batch_interval: Duration,
     /// Interval of retries after a failed batch.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// A batch that takes longer is logged.
-    pub slow: Duration,
+    pub slow_batch_threshold: Duration,
 }
 
 impl Default for Limits {
@@ -32,9 +32,9 @@
         Limits {
             queue_bytes: 32 << 20,
             journal_bytes: 16 << 20,
-            every: Duration::from_millis(250),
-            retry: Duration::from_secs(1),
-            slow: Duration::from_secs(5),
+            batch_interval: Duration::from_millis(250),
+            retry_interval: Duration::from_secs(1),
+            slow_batch_threshold: Duration::from_secs(5),
         }
     }
 }
@@ -43,20 +43,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskEvent {
     /// Writes fail.
-    Ailing(String),
+    Failing(String),
     /// A write is slow.
     Slow(Duration),
     /// Writes succeed again.
     Recovered,
     /// The file was recreated, with the reason.
-    BegunAnew(String),
+    FileRecreated(String),
 }
 
 impl fmt::Display for DiskEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DiskEvent::Ailing(why) => {
-                write!(f, "the disk takes nothing, serving on without: {why}")
+            DiskEvent::Failing(reason) => {
+                write!(f, "the disk takes nothing, serving on without: {reason}")
             }
             DiskEvent::Slow(took) => {
                 write!(f, "the disk is slow: a batch took {} ms", took.as_millis())
@@ -64,7 +64,7 @@
             DiskEvent::Recovered => {
                 f.write_str("the disk is well again, what was kept meanwhile is written")
             }
-            DiskEvent::BegunAnew(why) => write!(f, "the file is begun anew: {why}"),
+            DiskEvent::FileRecreated(reason) => write!(f, "the file is begun anew: {reason}"),
         }
     }
 }
@@ -79,48 +79,48 @@
     /// Failed batches.
     pub failed: u64,
     /// Waiting changes, without those being written.
-    pub waiting: u64,
+    pub pending: u64,
     /// Their bytes, with overhead.
-    pub waiting_bytes: u64,
+    pub pending_bytes: u64,
     /// Whether the last batch failed or was slow.
-    pub degraded: bool,
+    pub is_degraded: bool,
 }
 
 /// State shared with the thread. The lock is held for one change or one swap of the queue, never
 /// during a write.
 #[derive(Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    pending: Mutex<PendingChanges>,
     written: AtomicU64,
     evicted: AtomicU64,
     failed: AtomicU64,
     degraded: AtomicBool,
-    wants_all: AtomicBool,
+    resync_requested: AtomicBool,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct PendingChanges {
     queue: Queue,
     /// Senders that wait for the next batch, told whether it succeeded.
     flushes: Vec<Sender<bool>>,
-    ending: bool,
+    is_closing: bool,
 }
 
 impl Shared {
     /// The contents are replaced as a whole, so they are valid even after a panic.
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PendingChanges> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Accepts changes of a memory. Only [`Writer::flush`] and [`Writer::end`] wait for the disk.
+/// Accepts changes of a memory. Only [`Writer::flush`] and [`Writer::close`] wait for the disk.
 /// A later change replaces a waiting one of the same subject. Beyond the bound, records of the
 /// highest kind number are evicted first, and among them the greatest subject; removals are evicted
 /// last. Evicted changes are counted, and requested again once the disk has recovered
-/// ([`Writer::wants_all`]).
+/// ([`Writer::take_resync_request`]).
 pub struct Writer {
     shared: Arc<Shared>,
-    bound: usize,
+    max_queue_bytes: usize,
     /// Signals that changes wait.
     waker: Sender<()>,
     /// Signals that changes wait that must be written at once.
@@ -131,9 +131,9 @@
 impl Writer {
     /// Starts the writer of a memory; events of its disk are logged.
     pub fn spawn(memory: Memory) -> Result<Writer, String> {
-        Writer::spawn_with(memory, Limits::default(), |notice| match notice {
-            DiskEvent::Recovered => info!(part = "memory", "{notice}"),
-            _ => warn!(part = "memory", "{notice}"),
+        Writer::spawn_with(memory, Limits::default(), |event| match event {
+            DiskEvent::Recovered => info!(part = "memory", "{event}"),
+            _ => warn!(part = "memory", "{event}"),
         })
     }
 
@@ -141,31 +141,31 @@
     pub fn spawn_with(
         mut memory: Memory,
         limits: Limits,
-        say: impl FnMut(DiskEvent) + Send + 'static,
+        on_event: impl FnMut(DiskEvent) + Send + 'static,
     ) -> Result<Writer, String> {
-        memory.bound_journal(limits.journal_bytes);
+        memory.set_journal_limit(limits.journal_bytes);
         let shared = Arc::new(Shared::default());
-        let (waker, bells) = bounded(1);
-        let (urgent, urgents) = bounded(1);
-        let (end, ended) = bounded(1);
-        let work = Work {
+        let (waker, wake_signals) = bounded(1);
+        let (urgent, urgent_signals) = bounded(1);
+        let (ended_sender, ended) = bounded(1);
+        let worker = WriterThread {
             memory,
             limits,
             shared: Arc::clone(&shared),
-            bells,
-            urgents,
-            say,
+            wake_signals,
+            urgent_signals,
+            on_event,
         };
         let run = move || {
             // The file is closed before the end is reported.
-            work.run();
-            let _ = end.send(());
+            worker.run();
+            let _ = ended_sender.send(());
         };
         let thread = thread::Builder::new().name("memory".into()).spawn(run);
         thread.map_err(|error| format!("thread memory: {error}"))?;
         Ok(Writer {
             shared,
-            bound: limits.queue_bytes,
+            max_queue_bytes: limits.queue_bytes,
             waker,
             urgent,
             ended,
@@ -173,32 +173,32 @@
     }
 
     /// Stores a record in place of an earlier one of its subject.
-    pub fn remember(&self, record: Record) {
-        self.change(Change::Keep(record));
+    pub fn put(&self, record: Record) {
+        self.enqueue(Change::Put(record));
     }
 
     /// Removes the record of a subject.
-    pub fn forget(&self, kind: u32, subject: Vec<u8>) {
-        self.change(Change::Forget { kind, subject });
+    pub fn delete(&self, kind: u32, subject: Vec<u8>) {
+        self.enqueue(Change::Delete { kind, subject });
     }
 
-    fn change(&self, change: Change) {
-        let mut waiting = self.shared.lock();
-        let gave_way = waiting.queue.put(change, self.bound);
-        let first = waiting.queue.len() == 1;
-        drop(waiting);
-        if gave_way > 0 {
-            self.shared.evicted.fetch_add(gave_way, Ordering::Relaxed);
+    fn enqueue(&self, change: Change) {
+        let mut pending = self.shared.lock();
+        let evicted = pending.queue.put(change, self.max_queue_bytes);
+        let is_first = pending.queue.len() == 1;
+        drop(pending);
+        if evicted > 0 {
+            self.shared.evicted.fetch_add(evicted, Ordering::Relaxed);
         }
-        if first {
-            ring(&self.waker);
+        if is_first {
+            signal(&self.waker);
         }
     }
 
     /// Whether everything must be stored again, because changes were evicted or the file was lost.
     /// Reset by the call.
-    pub fn wants_all(&self) -> bool {
-        self.shared.wants_all.swap(false, Ordering::Relaxed)
+    pub fn take_resync_request(&self) -> bool {
+        self.shared.resync_requested.swap(false, Ordering::Relaxed)
     }
 
     /// The counters.
@@ -210,55 +210,55 @@
             degraded,
             ..
         } = &*self.shared;
-        let waiting = self.shared.lock();
+        let pending = self.shared.lock();
         Counts {
             written: written.load(Ordering::Relaxed),
             evicted: evicted.load(Ordering::Relaxed),
             failed: failed.load(Ordering::Relaxed),
-            waiting: waiting.queue.len() as u64,
-            waiting_bytes: waiting.queue.bytes() as u64,
-            degraded: degraded.load(Ordering::Relaxed),
+            pending: pending.queue.len() as u64,
+            pending_bytes: pending.queue.bytes() as u64,
+            is_degraded: degraded.load(Ordering::Relaxed),
         }
     }
 
     /// Waits until everything is written, at most this long; returns whether it is.
-    pub fn flush(&self, within: Duration) -> bool {
-        let (done, told) = bounded(1);
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let (done, written) = bounded(1);
         self.shared.lock().flushes.push(done);
-        ring(&self.urgent);
-        told.recv_timeout(within).unwrap_or(false)
+        signal(&self.urgent);
+        written.recv_timeout(timeout).unwrap_or(false)
     }
 
     /// Writes what waits and closes the file, waiting at most this long; returns whether everything
     /// is written.
-    pub fn end(self, within: Duration) -> bool {
-        let deadline = Instant::now() + within;
-        let (done, told) = bounded(1);
-        let mut waiting = self.shared.lock();
-        waiting.flushes.push(done);
-        waiting.ending = true;
-        drop(waiting);
-        ring(&self.urgent);
-        let written = told.recv_timeout(within).unwrap_or(false);
+    pub fn close(self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        let (done, written) = bounded(1);
+        let mut pending = self.shared.lock();
+        pending.flushes.push(done);
+        pending.is_closing = true;
+        drop(pending);
+        signal(&self.urgent);
+        let is_written = written.recv_timeout(timeout).unwrap_or(false);
         let _ = self.ended.recv_deadline(deadline);
-        written
+        is_written
     }
 }
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        self.shared.lock().ending = true;
-        ring(&self.urgent);
+        self.shared.lock().is_closing = true;
+        signal(&self.urgent);
     }
 }
 
 /// A full channel has a signal already.
-fn ring(bell: &Sender<()>) {
-    let _ = bell.try_send(());
+fn signal(sender: &Sender<()>) {
+    let _ = sender.try_send(());
 }
 
 /// The wall clock, in Unix milliseconds.
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -266,116 +266,118 @@
 }
 
 /// The thread's side.
-struct Work<S> {
+struct WriterThread<S> {
     memory: Memory,
     limits: Limits,
     shared: Arc<Shared>,
-    bells: Receiver<()>,
-    urgents: Receiver<()>,
-    say: S,
+    wake_signals: Receiver<()>,
+    urgent_signals: Receiver<()>,
+    on_event: S,
 }
 
-impl<S: FnMut(DiskEvent)> Work<S> {
+impl<S: FnMut(DiskEvent)> WriterThread<S> {
     fn run(mut self) {
-        let mut gave_way_before = 0;
+        let mut evicted_before = 0;
         loop {
-            let Waiting {
+            let PendingChanges {
                 queue,
                 flushes,
-                ending,
+                is_closing,
             } = std::mem::take(&mut *self.shared.lock());
-            let done = queue.len() == 0 || self.write(queue);
+            let is_written = queue.len() == 0 || self.write(queue);
             // A receiver may have stopped waiting.
             for flush in flushes {
-                let _ = flush.try_send(done);
+                let _ = flush.try_send(is_written);
             }
-            if ending {
+            if is_closing {
                 return;
             }
-            let gave_way = self.shared.evicted.load(Ordering::Relaxed);
-            if done && gave_way != gave_way_before {
-                gave_way_before = gave_way;
-                self.shared.wants_all.store(true, Ordering::Relaxed);
+            let evicted = self.shared.evicted.load(Ordering::Relaxed);
+            if is_written && evicted != evicted_before {
+                evicted_before = evicted;
+                self.shared.resync_requested.store(true, Ordering::Relaxed);
             }
-            self.pause(done);
+            self.wait_for_next_batch(is_written);
         }
     }
 
     /// Waits until the next batch is due.
-    fn pause(&self, done: bool) {
-        let spacing = if done {
-            self.limits.every
+    fn wait_for_next_batch(&self, is_written: bool) {
+        let interval = if is_written {
+            self.limits.batch_interval
         } else {
-            self.limits.retry
+            self.limits.retry_interval
         };
-        if self.urgents.recv_timeout(spacing) != Err(RecvTimeoutError::Timeout) || !done {
+        if self.urgent_signals.recv_timeout(interval) != Err(RecvTimeoutError::Timeout)
+            || !is_written
+        {
             return;
         }
         select! {
-            recv(self.bells) -> _ => {}
-            recv(self.urgents) -> _ => {}
+            recv(self.wake_signals) -> _ => {}
+            recv(self.urgent_signals) -> _ => {}
         }
     }
 
     fn write(&mut self, queue: Queue) -> bool {
         let changes: Vec<Change> = queue.into_changes().collect();
-        let began = Instant::now();
-        let done = self.memory.write(&changes, wall_ms());
-        let took = began.elapsed();
-        match done {
+        let started_at = Instant::now();
+        let result = self.memory.write(&changes, unix_time_ms());
+        let duration = started_at.elapsed();
+        match result {
             Ok(written) => {
                 self.shared
                     .written
                     .fetch_add(changes.len() as u64, Ordering::Relaxed);
-                if let Some(why) = written.begun_anew {
-                    self.shared.wants_all.store(true, Ordering::Relaxed);
-                    (self.say)(DiskEvent::BegunAnew(why));
+                if let Some(reason) = written.recreated_reason {
+                    self.shared.resync_requested.store(true, Ordering::Relaxed);
+                    (self.on_event)(DiskEvent::FileRecreated(reason));
                 }
-                let slow = took > self.limits.slow;
-                self.ails(slow, || DiskEvent::Slow(took));
+                let is_slow = duration > self.limits.slow_batch_threshold;
+                self.update_disk_state(is_slow, || DiskEvent::Slow(duration));
                 true
             }
-            Err(why) => {
+            Err(reason) => {
                 self.shared.failed.fetch_add(1, Ordering::Relaxed);
-                self.ails(true, || DiskEvent::Ailing(why.0));
-                self.put_back(changes);
+                self.update_disk_state(true, || DiskEvent::Failing(reason.0));
+                self.requeue(changes);
                 false
             }
         }
     }
 
     /// Reports once that the disk fails, and once that it has recovered.
-    fn ails(&mut self, ails: bool, notice: impl FnOnce() -> DiskEvent) {
-        let before = self.shared.degraded.swap(ails, Ordering::Relaxed);
-        match (before, ails) {
-            (false, true) => (self.say)(notice()),
-            (true, false) => (self.say)(DiskEvent::Recovered),
+    fn update_disk_state(&mut self, is_degraded: bool, event: impl FnOnce() -> DiskEvent) {
+        let was_degraded = self.shared.degraded.swap(is_degraded, Ordering::Relaxed);
+        match (was_degraded, is_degraded) {
+            (false, true) => (self.on_event)(event()),
+            (true, false) => (self.on_event)(DiskEvent::Recovered),
             _ => {}
         }
     }
 
     /// Puts a failed batch back under later changes.
-    fn put_back(&mut self, changes: Vec<Change>) {
-        let bound = self.limits.queue_bytes;
+    fn requeue(&mut self, changes: Vec<Change>) {
+        let max_bytes = self.limits.queue_bytes;
         let mut batch = Queue::default();
-        let mut gave_way: u64 = changes
+        let mut evicted: u64 = changes
             .into_iter()
-            .map(|change| batch.put(change, bound))
+            .map(|change| batch.put(change, max_bytes))
             .sum();
         // Most of the merge runs without the lock, so that callers do not wait for it.
         for _ in 0..4 {
             let later = std::mem::take(&mut self.shared.lock().queue);
-            let few = later.len() <= 16;
-            gave_way += batch.take_over(later, bound);
-            if few {
+            let is_caught_up = later.len() <= 16;
+            evicted += batch.append(later, max_bytes);
+            if is_caught_up {
                 break;
             }
         }
-        let mut waiting = self.shared.lock();
-        let later = std::mem::take(&mut waiting.queue);
-        gave_way += batch.take_over(later, bound);
-        waiting.queue = batch;
-        drop(waiting);
-        self.shared.evicted.fetch_add(gave_way, Ordering::Relaxed);
+        let mut pending = self.shared.lock();
+        let later = std::mem::take(&mut pending.queue);
+        evicted += batch.append(later, max_bytes);
+        pending.queue = batch;
+        drop(pending);
+        self.shared.evicted.fetch_add(evicted, Ordering::Relaxed);
     }
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -83,8 +83,8 @@
 }
 
 /// The bytes of an override.
-pub(crate) fn encode(one: &Override) -> Vec<u8> {
-    let kind = match &one.kind {
+pub(crate) fn encode(source: &Override) -> Vec<u8> {
+    let kind = match &source.kind {
         Kind::Out {
             server,
             moves_per_s,
@@ -109,16 +109,16 @@
             strict: *strictness == Strictness::Strict,
         }),
     };
-    let replay = one.replay.as_ref();
+    let replay = source.replay.as_ref();
     let record = Record {
-        id: one.id.0,
-        who: one.who.clone(),
-        why: one.why.clone(),
-        created_at: one.created_at,
-        expires_at: one.expires_at,
-        removed_at: one.removed_at,
-        revision: one.revision,
-        forced: one.forced,
+        id: source.id.0,
+        who: source.who.clone(),
+        why: source.why.clone(),
+        created_at: source.created_at,
+        expires_at: source.expires_at,
+        removed_at: source.removed_at,
+        revision: source.revision,
+        forced: source.forced,
         replay: replay.map(|replay| ReplayRecord {
             key: replay.key.clone(),
             body: replay.body.clone(),
--- a/crates/store/src/record/tests.rs
+++ b/crates/store/src/record/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn round_trips_every_kind_of_override() {
     for kind in [
         pin().kind,
         Kind::Out {
@@ -44,21 +44,21 @@
             strictness: Strictness::Prefer,
         },
     ] {
-        let one = Override { kind, ..pin() };
-        assert_eq!(decode(&encode(&one)), Some(one));
+        let original = Override { kind, ..pin() };
+        assert_eq!(decode(&encode(&original)), Some(original));
     }
 }
 
 #[test]
-fn records_of_other_programs_are_read_or_refused_but_never_misread() {
+fn decodes_other_versions_and_rejects_malformed_records() {
     // An older one without the later fields.
     let older = Record {
         removed_at: None,
         replay: None,
         ..Record::decode(&encode(&pin())[..]).expect("sound")
     };
-    let read = decode(&older.encode_to_vec()).expect("an older record");
-    assert_eq!((read.removed_at, read.replay), (None, None));
+    let decoded = decode(&older.encode_to_vec()).expect("an older record");
+    assert_eq!((decoded.removed_at, decoded.replay), (None, None));
     // A newer one with a field that is not known here: field 99, a varint.
     let mut newer = encode(&pin());
     newer.extend([0x98, 0x06, 0x01]);
@@ -74,14 +74,14 @@
         ),
         None
     );
-    let naught = KindRecord::Weight(WeightRecord {
+    let zero_weight = KindRecord::Weight(WeightRecord {
         server: "s".into(),
         factor: 0.0,
     });
     assert_eq!(
         decode(
             &Record {
-                kind: Some(naught),
+                kind: Some(zero_weight),
                 ..older
             }
             .encode_to_vec()
--- a/crates/store/tests/file.rs
+++ b/crates/store/tests/file.rs
@@ -26,7 +26,7 @@
 }
 
 /// Files beside the store.
-fn beside(path: &Path) -> Vec<String> {
+fn other_files(path: &Path) -> Vec<String> {
     let all = fs::read_dir(path.parent().expect("a folder")).expect("it can be read");
     let names = all.map(|entry| {
         entry
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_was_put_is_there_after_the_program_and_numbers_are_never_given_twice() {
+fn keeps_overrides_and_never_reuses_ids() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
     let (mut store, contents) = open(&path).expect("a new store");
@@ -54,7 +54,7 @@
     let mut changed = out(1);
     changed.remove(1_500);
     store.put(&[changed.clone()]).expect("durable");
-    store.forget(&[Id(2)]).expect("durable");
+    store.delete(&[Id(2)]).expect("durable");
     assert!(
         matches!(open(&path), Err(OpenError::InUse)),
         "one program at a time"
@@ -63,34 +63,34 @@
     let (store, contents) = open(&path).expect("the same store");
     assert_eq!(contents.overrides, [changed]);
     assert_eq!(store.next_id(), Id(3), "2 was given away");
-    assert!(beside(&path).is_empty());
+    assert!(other_files(&path).is_empty());
 }
 
 #[test]
-fn a_damaged_file_is_kept_aside_and_an_empty_store_begins() {
+fn moves_damaged_file_aside_and_starts_empty() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
-    let whole = {
+    let intact = {
         let (mut store, _) = open(&path).expect("a new store");
         (1..200).for_each(|id| store.put(&[out(id)]).expect("durable"));
         drop(store);
         fs::read(&path).expect("it is there")
     };
-    let mut rotten = whole.clone();
-    rotten[4096..].iter_mut().for_each(|byte| *byte ^= 0x5a);
+    let mut corrupted = intact.clone();
+    corrupted[4096..].iter_mut().for_each(|byte| *byte ^= 0x5a);
     for damaged in [
         b"no database at all".to_vec(),
-        whole[..whole.len() / 2].to_vec(),
-        rotten,
+        intact[..intact.len() / 2].to_vec(),
+        corrupted,
     ] {
-        let before = beside(&path).len();
+        let before = other_files(&path).len();
         fs::write(&path, &damaged).expect("it can be written");
         let (mut store, contents) = open(&path).expect("an empty store");
-        let (aside, why) = contents.moved_aside.expect("it says so");
-        assert!(!why.is_empty() && contents.overrides.is_empty());
-        assert_eq!(beside(&path).len(), before + 1);
+        let (moved_path, reason) = contents.moved_aside.expect("it says so");
+        assert!(!reason.is_empty() && contents.overrides.is_empty());
+        assert_eq!(other_files(&path).len(), before + 1);
         assert_eq!(
-            fs::read(&aside).expect("kept").len(),
+            fs::read(&moved_path).expect("kept").len(),
             damaged.len(),
             "not cut or overwritten"
         );
@@ -99,40 +99,40 @@
 }
 
 #[test]
-fn a_newer_programs_file_is_refused_and_left_as_it_is() {
+fn rejects_newer_schema_and_leaves_file_unchanged() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
     drop(open(&path).expect("a new store"));
     {
         let database = Database::create(&path).expect("the same file");
-        let writing = database.begin_write().expect("open");
-        let about = TableDefinition::<&str, u64>::new("about");
-        writing
-            .open_table(about)
+        let transaction = database.begin_write().expect("open");
+        let metadata = TableDefinition::<&str, u64>::new("about");
+        transaction
+            .open_table(metadata)
             .expect("there")
             .insert("schema", SCHEMA + 1)
             .expect("room");
-        writing.commit().expect("durable");
+        transaction.commit().expect("durable");
     }
     let before = fs::read(&path).expect("there");
-    let refused = open(&path).map(drop).expect_err("newer");
+    let error = open(&path).map(drop).expect_err("newer");
     assert_eq!(
-        refused,
-        OpenError::Newer {
+        error,
+        OpenError::NewerSchema {
             found: SCHEMA + 1,
-            known: SCHEMA
+            supported: SCHEMA
         }
     );
-    assert!(refused.to_string().contains("newer program"), "{refused}");
+    assert!(error.to_string().contains("newer program"), "{error}");
     assert!(
         fs::read(&path).expect("there") == before,
         "not a byte has changed"
     );
-    assert!(beside(&path).is_empty());
+    assert!(other_files(&path).is_empty());
 }
 
 #[test]
-fn a_record_that_cannot_be_read_is_named_and_does_not_hide_the_others() {
+fn reports_unreadable_record_and_reads_others() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
     let (mut store, _) = open(&path).expect("a new store");
@@ -140,29 +140,29 @@
     drop(store);
     {
         let database = Database::create(&path).expect("the same file");
-        let writing = database.begin_write().expect("open");
-        let rows = TableDefinition::<u64, &[u8]>::new("overrides");
-        writing
-            .open_table(rows)
+        let transaction = database.begin_write().expect("open");
+        let table = TableDefinition::<u64, &[u8]>::new("overrides");
+        transaction
+            .open_table(table)
             .expect("there")
             .insert(5, b"\xff\xff".as_slice())
             .expect("room");
-        writing.commit().expect("durable");
+        transaction.commit().expect("durable");
     }
     let (store, contents) = open(&path).expect("sound as a whole");
     assert_eq!(contents.overrides, [out(1)]);
-    assert_eq!(contents.unreadable, [5]);
+    assert_eq!(contents.unreadable_ids, [5]);
     assert_eq!(store.next_id(), Id(6));
 }
 
 #[test]
-fn what_the_system_refuses_is_said_in_its_words() {
+fn returns_system_error_and_moves_nothing() {
     let folder = folder();
-    let nowhere = folder.path().join("no-such-folder").join("overrides.redb");
-    assert!(matches!(open(&nowhere), Err(OpenError::System(_))));
+    let missing_folder = folder.path().join("no-such-folder").join("overrides.redb");
+    assert!(matches!(open(&missing_folder), Err(OpenError::System(_))));
     assert!(matches!(open(folder.path()), Err(OpenError::System(_))));
     assert!(
-        beside(&folder.path().join("x")).is_empty(),
+        other_files(&folder.path().join("x")).is_empty(),
         "nothing was kept aside"
     );
 }
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -8,28 +8,28 @@
 use beaconflow_store::OpenError;
 use beaconflow_store::disk::Disk;
 use beaconflow_store::memory::{
-    AsideWhy, Change, Memory, Record, Remembered, SCHEMA, open, open_on,
+    Change, Memory, MemoryContents, Record, SCHEMA, UnusableReason, open, open_on,
 };
 use redb::{Database, TableDefinition};
 
-const NOW: u64 = 1_700_000_000_000;
-const YEAR: u64 = 365 * 86_400_000;
+const NOW_MS: u64 = 1_700_000_000_000;
+const YEAR_MS: u64 = 365 * 86_400_000;
 
 fn record(kind: u32, subject: &str, value: &str) -> Record {
     Record {
         kind,
         subject: subject.into(),
         value: value.into(),
-        observed_at_ms: NOW - 5,
+        observed_at_ms: NOW_MS - 5,
     }
 }
 
-fn keep(kind: u32, subject: &str, value: &str) -> Change {
-    Change::Keep(record(kind, subject, value))
+fn put(kind: u32, subject: &str, value: &str) -> Change {
+    Change::Put(record(kind, subject, value))
 }
 
-fn forget(kind: u32, subject: &str) -> Change {
-    Change::Forget {
+fn delete(kind: u32, subject: &str) -> Change {
+    Change::Delete {
         kind,
         subject: subject.into(),
     }
@@ -39,280 +39,299 @@
     Path::new("/memory.redb")
 }
 
-fn on(disk: &BreakingDisk, owner: &str, now_ms: u64) -> Result<(Memory, Remembered), OpenError> {
+fn open_at(
+    disk: &BreakingDisk,
+    owner: &str,
+    now_ms: u64,
+) -> Result<(Memory, MemoryContents), OpenError> {
     open_on(Arc::new(disk.clone()), path(), owner, now_ms)
 }
 
 /// A disk with a memory in it, and its records.
-fn written() -> (BreakingDisk, Vec<Record>) {
+fn disk_with_records() -> (BreakingDisk, Vec<Record>) {
     let disk = BreakingDisk::default();
-    let (mut memory, _) = on(&disk, "east-1", NOW).expect("new");
+    let (mut memory, _) = open_at(&disk, "east-1", NOW_MS).expect("new");
     memory
         .write(
-            &[keep(2, "b", "2"), keep(1, "a", "1"), keep(2, "c", "3")],
-            NOW,
+            &[put(2, "b", "2"), put(1, "a", "1"), put(2, "c", "3")],
+            NOW_MS,
         )
         .expect("durable");
     memory
-        .write(&[forget(2, "b"), keep(2, "c", "4")], NOW + 9)
+        .write(&[delete(2, "b"), put(2, "c", "4")], NOW_MS + 9)
         .expect("durable");
     (disk, vec![record(1, "a", "1"), record(2, "c", "4")])
 }
 
 #[test]
-fn what_was_written_is_remembered_and_each_start_has_its_number() {
+fn restores_records_and_raises_incarnation_at_each_start() {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = folder.path().join("memory.redb");
-    let (mut memory, remembered) = open(&path, "east-1", NOW).expect("new");
+    let (mut memory, contents) = open(&path, "east-1", NOW_MS).expect("new");
     assert_eq!(
-        remembered,
-        Remembered {
+        contents,
+        MemoryContents {
             incarnation: 1,
-            ..Remembered::default()
+            ..MemoryContents::default()
         }
     );
     memory
-        .write(&[keep(1, "a", "1"), keep(9, "", "")], NOW + 7)
+        .write(&[put(1, "a", "1"), put(9, "", "")], NOW_MS + 7)
         .expect("durable");
-    assert_eq!(open(&path, "east-1", NOW).map(drop), Err(OpenError::InUse));
+    assert_eq!(
+        open(&path, "east-1", NOW_MS).map(drop),
+        Err(OpenError::InUse)
+    );
     drop(memory);
-    let (memory, remembered) = open(&path, "east-1", NOW + 8).expect("the same");
-    assert_eq!((memory.incarnation(), remembered.incarnation), (2, 2));
-    assert_eq!(remembered.records, [record(1, "a", "1"), record(9, "", "")]);
+    let (memory, contents) = open(&path, "east-1", NOW_MS + 8).expect("the same");
+    assert_eq!((memory.incarnation(), contents.incarnation), (2, 2));
+    assert_eq!(contents.records, [record(1, "a", "1"), record(9, "", "")]);
     assert_eq!(
-        (remembered.last_written_ms, remembered.clock_went_back),
-        (Some(NOW + 7), false)
+        (contents.last_written_at_ms, contents.clock_went_back),
+        (Some(NOW_MS + 7), false)
     );
     drop(memory);
     // The start itself is written too: its number is never given again.
     assert_eq!(
-        open(&path, "east-1", NOW)
+        open(&path, "east-1", NOW_MS)
             .expect("the same")
             .1
-            .last_written_ms,
-        Some(NOW + 8)
+            .last_written_at_ms,
+        Some(NOW_MS + 8)
     );
 }
 
 #[test]
-fn a_clock_that_went_back_is_seen_once_and_one_that_is_ahead_hides_nothing() {
-    let (disk, records) = written();
-    let opened = |now_ms| on(&disk, "east-1", now_ms).expect("sound").1;
+fn reports_clock_that_went_back_once() {
+    let (disk, records) = disk_with_records();
+    let open_contents = |now_ms| open_at(&disk, "east-1", now_ms).expect("sound").1;
     for (now_ms, went_back) in [
         (0, true),
         (1, false),
-        (NOW + YEAR, false),
-        (NOW, true),
-        (NOW, false),
+        (NOW_MS + YEAR_MS, false),
+        (NOW_MS, true),
+        (NOW_MS, false),
     ] {
-        let found = opened(now_ms);
+        let contents = open_contents(now_ms);
         assert_eq!(
-            (found.clock_went_back, &found.records),
+            (contents.clock_went_back, &contents.records),
             (went_back, &records),
             "at {now_ms}"
         );
     }
-    assert_eq!(opened(NOW).incarnation, 7);
+    assert_eq!(open_contents(NOW_MS).incarnation, 7);
 }
 
 #[test]
-fn the_memory_of_another_process_is_kept_aside_and_named() {
-    let (disk, records) = written();
-    let (memory, found) = on(&disk, "west-2", NOW).expect("begun anew");
-    let aside = found.aside.expect("named");
-    assert_eq!(aside.why, AsideWhy::Foreign("east-1".into()));
+fn moves_memory_of_other_owner_aside() {
+    let (disk, records) = disk_with_records();
+    let (memory, contents) = open_at(&disk, "west-2", NOW_MS).expect("begun anew");
+    let moved = contents.moved_aside.expect("named");
+    assert_eq!(moved.reason, UnusableReason::Foreign("east-1".into()));
     assert_eq!(
         (
-            found.incarnation,
-            found.records.len(),
-            found.last_written_ms
+            contents.incarnation,
+            contents.records.len(),
+            contents.last_written_at_ms
         ),
         (1, 0, None)
     );
     drop(memory);
-    let (_, back) = open_on(Arc::new(disk.clone()), &aside.path, "east-1", NOW).expect("as it was");
-    assert_eq!(back.records, records);
+    let (_, restored) =
+        open_on(Arc::new(disk.clone()), &moved.path, "east-1", NOW_MS).expect("as it was");
+    assert_eq!(restored.records, records);
     assert_eq!(disk.names().len(), 2);
 }
 
 #[test]
-fn a_file_of_something_else_is_left_in_its_place() {
+fn leaves_file_of_other_store_in_place() {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = folder.path().join("overrides.redb");
     drop(beaconflow_store::open(&path).expect("new"));
-    let refused = open(&path, "east-1", NOW)
+    let error = open(&path, "east-1", NOW_MS)
         .map(drop)
         .expect_err("not a memory");
     assert!(
-        matches!(&refused, OpenError::System(why) if why.contains("no memory")),
-        "{refused}"
+        matches!(&error, OpenError::System(reason) if reason.contains("no memory")),
+        "{error}"
     );
     drop(beaconflow_store::open(&path).expect("still there"));
     assert_eq!(fs::read_dir(folder.path()).expect("a folder").count(), 1);
     assert!(matches!(
-        open(folder.path(), "east-1", NOW),
+        open(folder.path(), "east-1", NOW_MS),
         Err(OpenError::System(_))
     ));
 }
 
 #[test]
-fn a_newer_programs_memory_is_left_as_it_is() {
-    let (disk, _) = written();
+fn leaves_memory_with_newer_schema_unchanged() {
+    let (disk, _) = disk_with_records();
     {
         let database = disk.create(&Database::builder(), path()).expect("sound");
-        let writing = database.begin_write().expect("open");
-        let about = TableDefinition::<&str, u64>::new("memory-about");
-        writing
-            .open_table(about)
+        let transaction = database.begin_write().expect("open");
+        let metadata = TableDefinition::<&str, u64>::new("memory-about");
+        transaction
+            .open_table(metadata)
             .expect("there")
             .insert("schema", SCHEMA + 1)
             .expect("room");
-        writing.commit().expect("durable");
+        transaction.commit().expect("durable");
     }
-    let before = disk.bytes(path()).expect("there");
+    let before = disk.read(path()).expect("there");
     // Also where nothing can be written.
-    for weather in [DiskFault::Fair, DiskFault::ReadOnly] {
-        disk.set_fault(weather);
-        let refused = on(&disk, "east-1", NOW).map(drop);
+    for fault in [DiskFault::Fair, DiskFault::ReadOnly] {
+        disk.set_fault(fault);
+        let error = open_at(&disk, "east-1", NOW_MS).map(drop);
         assert_eq!(
-            refused,
-            Err(OpenError::Newer {
+            error,
+            Err(OpenError::NewerSchema {
                 found: SCHEMA + 1,
-                known: SCHEMA
+                supported: SCHEMA
             })
         );
     }
-    assert!(disk.bytes(path()).expect("there") == before);
+    assert!(disk.read(path()).expect("there") == before);
 }
 
 #[test]
-fn a_record_that_cannot_be_read_stays_and_does_not_hide_the_others() {
-    let (disk, mut records) = written();
+fn keeps_unreadable_records_and_reads_others() {
+    let (disk, mut records) = disk_with_records();
     {
         let database = disk.create(&Database::builder(), path()).expect("sound");
-        let writing = database.begin_write().expect("open");
+        let transaction = database.begin_write().expect("open");
         let journal = TableDefinition::<u64, &[u8]>::new("memory-journal");
-        writing
+        transaction
             .open_table(journal)
             .expect("there")
             .insert(90, b"\xff\xff".as_slice())
             .expect("room");
         let snapshot = TableDefinition::<&[u8], &[u8]>::new("memory-snapshot");
-        writing
+        transaction
             .open_table(snapshot)
             .expect("made")
             .insert(b"x".as_slice(), b"".as_slice())
             .expect("room");
-        writing.commit().expect("durable");
+        transaction.commit().expect("durable");
     }
     // Also through a journal that goes over into the snapshot.
     let large = "x".repeat(17 << 20);
     for _ in 0..2 {
-        let (mut memory, found) = on(&disk, "east-1", NOW).expect("sound");
-        assert_eq!((found.unreadable, found.records.len()), (2, records.len()));
-        assert!(found.records == records);
-        memory.write(&[keep(3, "d", &large)], NOW).expect("durable");
+        let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS).expect("sound");
+        assert_eq!(
+            (contents.unreadable_records, contents.records.len()),
+            (2, records.len())
+        );
+        assert!(contents.records == records);
+        memory
+            .write(&[put(3, "d", &large)], NOW_MS)
+            .expect("durable");
         records.truncate(2);
         records.push(record(3, "d", &large));
     }
 }
 
 #[test]
-fn a_disk_that_takes_no_writing_is_read_and_says_so() {
-    let (disk, records) = written();
+fn reads_memory_from_read_only_disk() {
+    let (disk, records) = disk_with_records();
     disk.cut_after(1);
-    drop(on(&disk, "east-1", NOW));
+    drop(open_at(&disk, "east-1", NOW_MS));
     disk.power_back(beaconflow_contracts::disk::Loss::Nothing);
     // After a crash, too: it is mended in memory.
     disk.set_fault(DiskFault::ReadOnly);
-    let before = disk.bytes(path()).expect("there");
-    let (mut memory, found) = on(&disk, "east-1", NOW + 10).expect("read");
-    assert!(found.unwritable.is_some());
-    assert_eq!((found.incarnation, found.records), (2, records.clone()));
-    assert!(memory.write(&[keep(1, "z", "z")], NOW).is_err());
-    assert!(disk.bytes(path()).expect("there") == before);
+    let before = disk.read(path()).expect("there");
+    let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS + 10).expect("read");
+    assert!(contents.write_error.is_some());
+    assert_eq!(
+        (contents.incarnation, contents.records),
+        (2, records.clone())
+    );
+    assert!(memory.write(&[put(1, "z", "z")], NOW_MS).is_err());
+    assert!(disk.read(path()).expect("there") == before);
     disk.set_fault(DiskFault::Fair);
     assert_eq!(
         memory
-            .write(&[keep(1, "z", "z")], NOW)
+            .write(&[put(1, "z", "z")], NOW_MS)
             .expect("well again")
-            .begun_anew,
+            .recreated_reason,
         None
     );
     drop(memory);
-    let found = on(&disk, "east-1", NOW).expect("sound").1;
+    let contents = open_at(&disk, "east-1", NOW_MS).expect("sound").1;
     assert_eq!(
-        (found.incarnation, found.records.len()),
+        (contents.incarnation, contents.records.len()),
         (3, records.len() + 1)
     );
     // What is torn or another's and can't be moved is named where it is, and no word of it is believed.
     disk.set_fault(DiskFault::ReadOnly);
-    let found = on(&disk, "west-2", NOW).expect("nothing").1;
+    let contents = open_at(&disk, "west-2", NOW_MS).expect("nothing").1;
     assert_eq!(
-        (found.aside.map(|aside| aside.path), found.records.len()),
+        (
+            contents.moved_aside.map(|moved| moved.path),
+            contents.records.len()
+        ),
         (Some(path().to_owned()), 0)
     );
 }
 
 /// Cut at each byte of its first and last pages and of each page's edges, and at many in between.
 #[test]
-fn a_file_cut_anywhere_begins_safely_and_tells_nothing_that_was_not_written() {
-    let (disk, records) = written();
-    let whole = disk.bytes(path()).expect("there");
+fn starts_safely_from_truncated_file() {
+    let (disk, records) = disk_with_records();
+    let intact = disk.read(path()).expect("there");
     let near_an_edge = |at: usize| at % 4096 < 2 || at % 4096 > 4094;
-    let cuts =
-        (0..whole.len()).filter(|at| *at < 600 || (near_an_edge(*at) && at % 24_576 < 8_192));
-    let (mut kept_aside, mut all) = (0, 0);
-    for cut in cuts.chain((0..whole.len()).step_by(39_989)) {
+    let cut_lengths =
+        (0..intact.len()).filter(|at| *at < 600 || (near_an_edge(*at) && at % 24_576 < 8_192));
+    let (mut moved_count, mut total) = (0, 0);
+    for cut in cut_lengths.chain((0..intact.len()).step_by(39_989)) {
         let disk = BreakingDisk::default();
-        disk.place(path(), whole[..cut].to_vec());
-        let (mut memory, found) = on(&disk, "east-1", NOW).expect("a safe start");
+        disk.place(path(), intact[..cut].to_vec());
+        let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS).expect("a safe start");
         assert!(
-            found.records.is_empty() || found.records == records,
+            contents.records.is_empty() || contents.records == records,
             "cut at {cut}: {:?}",
-            found.records
+            contents.records
         );
-        let boot = found.incarnation;
+        let incarnation = contents.incarnation;
         assert!(
-            boot == 1 || (boot == 2 && !found.records.is_empty()),
-            "cut at {cut}: boot {boot}"
+            incarnation == 1 || (incarnation == 2 && !contents.records.is_empty()),
+            "cut at {cut}: boot {incarnation}"
         );
-        kept_aside += usize::from(found.aside.is_some());
-        all += 1;
-        memory.write(&[keep(1, "on", "")], NOW).expect("it works");
+        moved_count += usize::from(contents.moved_aside.is_some());
+        total += 1;
+        memory.write(&[put(1, "on", "")], NOW_MS).expect("it works");
     }
     assert!(
-        kept_aside > all / 2,
-        "{kept_aside} of {all} were kept aside"
+        moved_count > total / 2,
+        "{moved_count} of {total} were kept aside"
     );
 }
 
 #[test]
-fn a_file_with_any_page_rotten_begins_safely() {
-    let (disk, records) = written();
-    let whole = disk.bytes(path()).expect("there");
-    for page in 0..whole.len() / 4096 {
+fn starts_safely_from_corrupted_page() {
+    let (disk, records) = disk_with_records();
+    let intact = disk.read(path()).expect("there");
+    for page in 0..intact.len() / 4096 {
         for at in [page * 4096, page * 4096 + 77, page * 4096 + 2_048] {
-            let mut rotten = whole.clone();
-            rotten[at..at + 16]
+            let mut corrupted = intact.clone();
+            corrupted[at..at + 16]
                 .iter_mut()
                 .for_each(|byte| *byte ^= 0x5a);
             let disk = BreakingDisk::default();
-            disk.place(path(), rotten);
-            match on(&disk, "east-1", NOW) {
+            disk.place(path(), corrupted);
+            match open_at(&disk, "east-1", NOW_MS) {
                 // Of the last two states, each is one that was written.
-                Ok((_, found)) if found.aside.is_none() => {
+                Ok((_, contents)) if contents.moved_aside.is_none() => {
                     let before = [
                         record(1, "a", "1"),
                         record(2, "b", "2"),
                         record(2, "c", "3"),
                     ];
-                    let known = found.records.is_empty()
-                        || found.records == records
-                        || found.records == before;
-                    assert!(known, "rotten at {at}: {:?}", found.records);
+                    let was_written = contents.records.is_empty()
+                        || contents.records == records
+                        || contents.records == before;
+                    assert!(was_written, "rotten at {at}: {:?}", contents.records);
                 }
-                Ok((_, found)) => assert!(found.records.is_empty()),
+                Ok((_, contents)) => assert!(contents.records.is_empty()),
                 Err(error) => assert!(
                     matches!(error, OpenError::System(_)),
                     "rotten at {at}: {error}"
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -9,7 +9,7 @@
 const NOW: u64 = 1_700_000_000_000;
 
 /// A copy of a stored file, in a folder of its own.
-fn copy_of(name: &str) -> (tempfile::TempDir, PathBuf) {
+fn copy_fixture(name: &str) -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = folder.path().join(name);
     let stored = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -57,28 +57,28 @@
 }
 
 #[test]
-fn reads_a_stored_file_of_overrides() {
-    let (_folder, path) = copy_of("overrides.redb");
+fn reads_stored_overrides_file() {
+    let (_folder, path) = copy_fixture("overrides.redb");
     let (store, contents) = open(&path).expect("a sound file");
     assert_eq!(contents.overrides, overrides());
-    assert!(contents.unreadable.is_empty() && contents.moved_aside.is_none());
+    assert!(contents.unreadable_ids.is_empty() && contents.moved_aside.is_none());
     assert_eq!(store.next_id(), Id(4));
 }
 
 #[test]
-fn reads_a_stored_memory_with_its_snapshot_its_journal_and_its_owner() {
-    let (_folder, path) = copy_of("memory.redb");
-    let (memory, remembered) = memory::open(&path, "east-1", NOW + 20).expect("a sound file");
+fn reads_stored_memory_with_snapshot_journal_and_owner() {
+    let (_folder, path) = copy_fixture("memory.redb");
+    let (memory, restored) = memory::open(&path, "east-1", NOW + 20).expect("a sound file");
     assert_eq!(
-        remembered.records,
+        restored.records,
         [record(1, "list", "one"), record(4, "client", "two")]
     );
     assert_eq!(
-        (remembered.incarnation, remembered.last_written_ms),
+        (restored.incarnation, restored.last_written_at_ms),
         (3, Some(NOW + 9))
     );
-    assert!(remembered.unreadable == 0 && remembered.aside.is_none());
+    assert!(restored.unreadable_records == 0 && restored.moved_aside.is_none());
     drop(memory);
     let (_, foreign) = memory::open(&path, "west-2", NOW + 30).expect("begun anew");
-    assert!(foreign.aside.is_some() && foreign.records.is_empty());
+    assert!(foreign.moved_aside.is_some() && foreign.records.is_empty());
 }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use beaconflow_contracts::disk::{BreakingDisk, DiskFault, Emptied, Loss};
-use beaconflow_store::memory::{DiskEvent, Limits, Record, Remembered, Writer, open_on};
+use beaconflow_store::memory::{DiskEvent, Limits, MemoryContents, Record, Writer, open_on};
 use crossbeam_channel::{Receiver, unbounded};
 
 const NOW: u64 = 1_700_000_000_000;
 /// Longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn record(kind: u32, subject: u32, value: &str) -> Record {
     Record {
@@ -22,62 +22,62 @@
 }
 
 fn limits() -> Limits {
-    let (every, retry) = (Duration::from_millis(1), Duration::from_millis(5));
+    let (batch_interval, retry_interval) = (Duration::from_millis(1), Duration::from_millis(5));
     Limits {
-        every,
-        retry,
-        slow: PATIENCE,
+        batch_interval,
+        retry_interval,
+        slow_batch_threshold: TIMEOUT,
         ..Limits::default()
     }
 }
 
-fn begin(disk: &BreakingDisk, limits: Limits) -> (Writer, Receiver<DiskEvent>) {
+fn spawn_writer(disk: &BreakingDisk, limits: Limits) -> (Writer, Receiver<DiskEvent>) {
     let (memory, _) =
         open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("a memory");
-    let (say, said) = unbounded();
-    let writer = Writer::spawn_with(memory, limits, move |notice| {
-        say.send(notice).unwrap_or_default()
+    let (event_sender, events) = unbounded();
+    let writer = Writer::spawn_with(memory, limits, move |event| {
+        event_sender.send(event).unwrap_or_default()
     });
-    (writer.expect("a thread"), said)
+    (writer.expect("a thread"), events)
 }
 
-fn remembered(disk: &BreakingDisk) -> Remembered {
+fn reopen(disk: &BreakingDisk) -> MemoryContents {
     open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW)
         .expect("free and sound")
         .1
 }
 
 #[test]
-fn what_was_told_is_there_after_the_end_and_the_file_is_free() {
+fn writes_all_changes_and_frees_file_on_close() {
     let disk = BreakingDisk::default();
-    let small = Limits {
+    let small_journal = Limits {
         journal_bytes: 500,
         ..limits()
     };
-    let (writer, said) = begin(&disk, small);
+    let (writer, events) = spawn_writer(&disk, small_journal);
     for turn in 0..20 {
-        (0..50).for_each(|subject| writer.remember(record(4, subject, &format!("{turn}"))));
-        writer.forget(4, (turn as u32).to_be_bytes().to_vec());
-        assert!(writer.flush(PATIENCE));
+        (0..50).for_each(|subject| writer.put(record(4, subject, &format!("{turn}"))));
+        writer.delete(4, (turn as u32).to_be_bytes().to_vec());
+        assert!(writer.flush(TIMEOUT));
     }
-    let kept: Vec<Record> = remembered_after(writer, &disk);
-    let right: Vec<Record> = (0..50)
-        .filter(|one| *one != 19)
-        .map(|one| record(4, one, "19"))
+    let records: Vec<Record> = records_after_close(writer, &disk);
+    let expected: Vec<Record> = (0..50)
+        .filter(|subject| *subject != 19)
+        .map(|subject| record(4, subject, "19"))
         .collect();
-    assert_eq!(kept, right);
-    assert!(said.is_empty());
+    assert_eq!(records, expected);
+    assert!(events.is_empty());
 }
 
-fn remembered_after(writer: Writer, disk: &BreakingDisk) -> Vec<Record> {
-    assert!(writer.end(PATIENCE));
-    remembered(disk).records
+fn records_after_close(writer: Writer, disk: &BreakingDisk) -> Vec<Record> {
+    assert!(writer.close(TIMEOUT));
+    reopen(disk).records
 }
 
 #[test]
-fn a_disk_that_stands_still_holds_nobody_up_and_the_least_gives_way() {
+fn accepts_and_evicts_changes_when_disk_hangs() {
     let disk = BreakingDisk::default();
-    let (writer, _said) = begin(
+    let (writer, _events) = spawn_writer(
         &disk,
         Limits {
             queue_bytes: 20_000,
@@ -85,19 +85,19 @@
         },
     );
     disk.set_fault(DiskFault::Stuck);
-    writer.remember(record(1, 0, "list"));
-    while writer.counts().waiting > 0 {
+    writer.put(record(1, 0, "list"));
+    while writer.counts().pending > 0 {
         std::thread::yield_now();
     }
     // These return although the disk never does.
     for turn in 0..100 {
-        (0..1_000).for_each(|subject| writer.remember(record(9, subject, &format!("{turn}"))));
-        (0..10).for_each(|subject| writer.remember(record(2, subject, &format!("{turn}"))));
-        writer.forget(1, vec![turn]);
+        (0..1_000).for_each(|subject| writer.put(record(9, subject, &format!("{turn}"))));
+        (0..10).for_each(|subject| writer.put(record(2, subject, &format!("{turn}"))));
+        writer.delete(1, vec![turn]);
     }
     let counts = writer.counts();
     assert!(
-        counts.waiting_bytes <= 20_000 && counts.evicted > 10_000,
+        counts.pending_bytes <= 20_000 && counts.evicted > 10_000,
         "{counts:?}"
     );
     assert_eq!(counts.written, 0);
@@ -105,114 +105,119 @@
         !writer.flush(Duration::from_millis(1)),
         "it is bounded in time"
     );
-    assert!(!writer.wants_all(), "asked for when the disk is well");
+    assert!(
+        !writer.take_resync_request(),
+        "asked for when the disk is well"
+    );
     disk.set_fault(DiskFault::Fair);
-    assert!(writer.flush(PATIENCE));
+    assert!(writer.flush(TIMEOUT));
     // The turn after the batch asks.
-    assert!(writer.flush(PATIENCE));
-    assert!(writer.wants_all() && !writer.wants_all());
-    let kept = remembered_after(writer, &disk);
+    assert!(writer.flush(TIMEOUT));
+    assert!(writer.take_resync_request() && !writer.take_resync_request());
+    let records = records_after_close(writer, &disk);
     for subject in 0..10 {
         assert!(
-            kept.contains(&record(2, subject, "99")),
+            records.contains(&record(2, subject, "99")),
             "the weightier kind is whole"
         );
     }
     assert!(
-        kept.iter().all(|one| one.kind != 9 || one.value == b"99"),
+        records
+            .iter()
+            .all(|record| record.kind != 9 || record.value == b"99"),
         "the last of each subject"
     );
 }
 
 #[test]
-fn an_end_on_a_disk_that_stands_still_is_bounded_in_time() {
+fn bounds_close_time_when_disk_hangs() {
     let disk = BreakingDisk::default();
-    let (writer, _said) = begin(&disk, limits());
+    let (writer, _events) = spawn_writer(&disk, limits());
     disk.set_fault(DiskFault::Stuck);
-    writer.remember(record(1, 0, "list"));
-    assert!(!writer.end(Duration::from_millis(20)));
+    writer.put(record(1, 0, "list"));
+    assert!(!writer.close(Duration::from_millis(20)));
     disk.set_fault(DiskFault::Fair);
 }
 
 #[test]
-fn an_ill_disk_is_said_once_and_so_is_a_well_one_and_then_all_is_written() {
-    for weather in [DiskFault::Full, DiskFault::ReadOnly] {
+fn reports_failing_disk_once_and_writes_after_recovery() {
+    for fault in [DiskFault::Full, DiskFault::ReadOnly] {
         let disk = BreakingDisk::default();
-        let (writer, said) = begin(&disk, limits());
-        disk.set_fault(weather);
-        let big = "much".repeat(200_000);
-        (0..9).for_each(|subject| writer.remember(record(1, subject, &big)));
-        let first = said.recv_timeout(PATIENCE).expect("it is said");
-        assert!(matches!(first, DiskEvent::Ailing(_)), "{first}");
+        let (writer, events) = spawn_writer(&disk, limits());
+        disk.set_fault(fault);
+        let large_value = "much".repeat(200_000);
+        (0..9).for_each(|subject| writer.put(record(1, subject, &large_value)));
+        let first = events.recv_timeout(TIMEOUT).expect("it is said");
+        assert!(matches!(first, DiskEvent::Failing(_)), "{first}");
         // More fail, and nothing is said of them.
         while writer.counts().failed < 4 {
-            assert!(!writer.flush(PATIENCE), "{weather:?}");
+            assert!(!writer.flush(TIMEOUT), "{fault:?}");
         }
-        writer.remember(record(1, 3, "later"));
-        writer.forget(1, 4_u32.to_be_bytes().to_vec());
-        assert!(said.is_empty() && writer.counts().degraded);
+        writer.put(record(1, 3, "later"));
+        writer.delete(1, 4_u32.to_be_bytes().to_vec());
+        assert!(events.is_empty() && writer.counts().is_degraded);
         disk.set_fault(DiskFault::Fair);
-        assert_eq!(said.recv_timeout(PATIENCE), Ok(DiskEvent::Recovered));
-        assert!(writer.flush(PATIENCE) && !writer.counts().degraded);
-        assert!(!writer.wants_all(), "nothing gave way");
-        let kept = remembered_after(writer, &disk);
-        assert_eq!(kept.len(), 8);
+        assert_eq!(events.recv_timeout(TIMEOUT), Ok(DiskEvent::Recovered));
+        assert!(writer.flush(TIMEOUT) && !writer.counts().is_degraded);
+        assert!(!writer.take_resync_request(), "nothing gave way");
+        let records = records_after_close(writer, &disk);
+        assert_eq!(records.len(), 8);
         assert!(
-            kept.contains(&record(1, 3, "later")),
+            records.contains(&record(1, 3, "later")),
             "what was told later holds"
         );
-        assert!(said.is_empty());
+        assert!(events.is_empty());
     }
 }
 
 #[test]
-fn a_slow_disk_is_said_once() {
+fn reports_slow_disk_once() {
     let disk = BreakingDisk::default();
-    let (writer, said) = begin(
+    let (writer, events) = spawn_writer(
         &disk,
         Limits {
-            slow: Duration::ZERO,
+            slow_batch_threshold: Duration::ZERO,
             ..limits()
         },
     );
     for subject in 0..3 {
-        writer.remember(record(1, subject, "x"));
-        assert!(writer.flush(PATIENCE));
+        writer.put(record(1, subject, "x"));
+        assert!(writer.flush(TIMEOUT));
     }
     assert!(matches!(
-        said.recv_timeout(PATIENCE),
+        events.recv_timeout(TIMEOUT),
         Ok(DiskEvent::Slow(_))
     ));
-    assert!(writer.end(PATIENCE) && said.is_empty());
+    assert!(writer.close(TIMEOUT) && events.is_empty());
 }
 
 #[test]
-fn a_file_that_was_lost_is_begun_anew_and_all_is_asked_for() {
-    for how in [Emptied::Cut, Emptied::Removed] {
+fn recreates_lost_file_and_requests_resync() {
+    for loss in [Emptied::Cut, Emptied::Removed] {
         let disk = BreakingDisk::default();
-        let (writer, said) = begin(&disk, limits());
-        writer.remember(record(1, 1, "before"));
-        assert!(writer.flush(PATIENCE) && !writer.wants_all());
-        disk.empty(how);
-        writer.remember(record(1, 2, "after"));
-        assert!(writer.flush(PATIENCE));
-        let notice = said.recv_timeout(PATIENCE).expect("it is said");
-        assert!(matches!(notice, DiskEvent::BegunAnew(_)), "{notice}");
-        assert!(writer.wants_all());
-        writer.remember(record(1, 1, "before"));
-        let kept = remembered_after(writer, &disk);
-        assert_eq!(kept, [record(1, 1, "before"), record(1, 2, "after")]);
+        let (writer, events) = spawn_writer(&disk, limits());
+        writer.put(record(1, 1, "before"));
+        assert!(writer.flush(TIMEOUT) && !writer.take_resync_request());
+        disk.empty(loss);
+        writer.put(record(1, 2, "after"));
+        assert!(writer.flush(TIMEOUT));
+        let event = events.recv_timeout(TIMEOUT).expect("it is said");
+        assert!(matches!(event, DiskEvent::FileRecreated(_)), "{event}");
+        assert!(writer.take_resync_request());
+        writer.put(record(1, 1, "before"));
+        let records = records_after_close(writer, &disk);
+        assert_eq!(records, [record(1, 1, "before"), record(1, 2, "after")]);
     }
 }
 
 #[test]
-fn a_writer_that_is_dropped_writes_what_waits_if_it_lives_so_long() {
+fn writes_pending_changes_when_dropped() {
     let disk = BreakingDisk::default();
-    let (writer, said) = begin(&disk, limits());
-    writer.remember(record(1, 1, "last"));
+    let (writer, events) = spawn_writer(&disk, limits());
+    writer.put(record(1, 1, "last"));
     drop(writer);
     // The thread ends, and what it says with it.
-    assert!(said.recv_timeout(PATIENCE).is_err());
+    assert!(events.recv_timeout(TIMEOUT).is_err());
     disk.power_back(Loss::Everything);
-    assert_eq!(remembered(&disk).records, [record(1, 1, "last")]);
+    assert_eq!(reopen(&disk).records, [record(1, 1, "last")]);
 }
