--- a/crates/store/benches/memory.rs
+++ b/crates/store/benches/memory.rs
@@ -1,5 +1,5 @@
-//! What a memory costs at a million placements of 64 bytes: the start, the file, and the records that its writer keeps
-//! up with. `cargo bench -p beaconflow-store --bench memory`
+//! Cost of a memory with a million placements of 64 bytes: start time, file size, and sustained write rate.
+//! `cargo bench -p beaconflow-store --bench memory`
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 
 /// 4 bytes of kind, 16 of subject, 36 of value and 8 of time.
 fn placement(number: u64, value_byte: u8) -> Record {
-    // Subjects are digests: they come in no order.
+    // Subjects are digests, so that they arrive in no particular order.
     let mixed_bits = number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
     let subject = [mixed_bits.to_be_bytes(), number.to_be_bytes()].concat();
     Record {
@@ -29,20 +29,20 @@
 }
 
 fn main() {
-    // Cargo also starts benchmarks as tests; this one takes too long for that.
+    // Cargo also runs benchmarks as tests, for which this one takes too long.
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let path = folder.path().join("memory.redb");
-    let (mut memory, _) = open(&path, OWNER, NOW).expect("new");
+    let (mut memory, _) = open(&path, OWNER, NOW).expect("a new memory opens");
     let started_at = Instant::now();
     for batch in 0..COUNT / BATCH {
         let numbers = batch * BATCH..(batch + 1) * BATCH;
         let changes: Vec<Change> = numbers
             .map(|number| Change::Put(placement(number, 0)))
             .collect();
-        memory.write(&changes, NOW).expect("durable");
+        memory.write(&changes, NOW).expect("the write succeeds");
     }
     let per_s = COUNT as f64 / started_at.elapsed().as_secs_f64();
     println!(
@@ -52,7 +52,7 @@
     drop(memory);
     for _ in 0..3 {
         let started_at = Instant::now();
-        let (memory, contents) = open(&path, OWNER, NOW).expect("sound");
+        let (memory, contents) = open(&path, OWNER, NOW).expect("the file is valid");
         println!(
             "start with {}: {} ms, {} MiB",
             contents.records.len(),
@@ -62,11 +62,11 @@
         drop((memory, contents));
     }
     let copy = folder.path().join("crashed.redb");
-    let (memory, _) = open(&path, OWNER, NOW).expect("sound");
-    std::fs::copy(&path, &copy).expect("room");
+    let (memory, _) = open(&path, OWNER, NOW).expect("the file is valid");
+    std::fs::copy(&path, &copy).expect("the file is copied");
     drop(memory);
     let started_at = Instant::now();
-    let contents = open(&copy, OWNER, NOW).expect("mended").1;
+    let contents = open(&copy, OWNER, NOW).expect("the file is repaired").1;
     println!(
         "start after a crash with {}: {} ms",
         contents.records.len(),
@@ -85,10 +85,11 @@
     );
 }
 
-/// Changes of random placements as fast as the writer keeps up with them: each flush waits for what was told.
+/// Writes random placements as fast as the writer allows; each batch is followed by a flush.
 fn bench_sustained_writes(path: &Path, limits: Limits) {
-    let (memory, _) = open(path, OWNER, NOW).expect("sound");
-    let writer = Writer::spawn_with(memory, limits, |event| println!("{event}")).expect("a thread");
+    let (memory, _) = open(path, OWNER, NOW).expect("the file is valid");
+    let writer =
+        Writer::spawn_with(memory, limits, |event| println!("{event}")).expect("the thread starts");
     for batch_size in [1_000, 10_000, 100_000] {
         let (started_at, mut number, mut call_time) = (Instant::now(), 0, Duration::ZERO);
         while started_at.elapsed() < Duration::from_secs(5) {
--- a/crates/store/benches/start.rs
+++ b/crates/store/benches/start.rs
@@ -1,4 +1,4 @@
-//! What the store costs: one durable override, and a start with many.
+//! Cost of the override store: one durable write, and a start with many records.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 fn benches(criterion: &mut Criterion) {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let mut starts = criterion.benchmark_group("start with records");
     starts
         .sample_size(10)
@@ -30,21 +30,25 @@
         let path = folder.path().join(format!("{count}.redb"));
         let all: Vec<Override> = (1..=count).map(out).collect();
         open(&path)
-            .expect("a new store")
+            .expect("a new store opens")
             .0
             .put(&all)
-            .expect("durable");
+            .expect("the write succeeds");
         starts.bench_function(BenchmarkId::from_parameter(count), |bencher| {
-            bencher.iter(|| open(&path).expect("sound").1.overrides.len());
+            bencher.iter(|| open(&path).expect("the store opens").1.overrides.len());
         });
     }
     starts.finish();
     let mut puts = criterion.benchmark_group("one durable override");
     puts.sample_size(50);
-    let (mut store, _) = open(&folder.path().join("100.redb")).expect("sound");
+    let (mut store, _) = open(&folder.path().join("100.redb")).expect("the store opens");
     let one = out(1);
     puts.bench_function("put", |bencher| {
-        bencher.iter(|| store.put(std::slice::from_ref(&one)).expect("durable"))
+        bencher.iter(|| {
+            store
+                .put(std::slice::from_ref(&one))
+                .expect("the write succeeds")
+        })
     });
     puts.finish();
 }
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -1,4 +1,4 @@
-//! What every store in a file does alike: opens it soundly, and never destroys what it can't read.
+//! Shared by all stores: opens a database file with its integrity checked, and never destroys data that cannot be read.
 
 use std::io::ErrorKind;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -9,26 +9,31 @@
 use crate::OpenError;
 use crate::disk::Disk;
 
-/// Numbers about a file, by name; each store has its own table of them.
+/// Table of named numbers about a file, such as its schema. Each store has its own.
 pub(crate) type MetadataDefinition = TableDefinition<'static, &'static str, u64>;
 pub(crate) const SCHEMA_KEY: &str = "schema";
 
-/// Why a file could not be read.
+/// A file could not be read.
 #[derive(Debug)]
 pub(crate) enum ReadError {
-    /// What stands in it is no sound store.
+    /// The contents are not a valid store.
     Damaged(String),
+    /// The contents may be valid, but the file cannot be used.
     Unusable(OpenError),
 }
 
-/// Reads what may be damaged.
+/// Runs a read of a possibly damaged file and turns a panic into an error.
 pub(crate) fn catch_panic<T>(run: impl FnOnce() -> Result<T, ReadError>) -> Result<T, ReadError> {
-    // Guards against a damage that the database's own checks take for their programmer's fault.
+    // The database panics on some damage that it takes for a programming error.
     let result = catch_unwind(AssertUnwindSafe(run));
-    result.unwrap_or_else(|_| Err(ReadError::Damaged("the database panicked over it".into())))
+    result.unwrap_or_else(|_| {
+        Err(ReadError::Damaged(
+            "the database panicked while reading the file".into(),
+        ))
+    })
 }
 
-/// Opens a file of this schema or an older one, with every page checked. The schema is none in a new file.
+/// Opens a file of at most this schema and checks every page. The returned schema is `None` for a new file.
 pub(crate) fn open_checked(
     disk: &dyn Disk,
     builder: &Builder,
@@ -44,7 +49,8 @@
     Ok((database, found))
 }
 
-/// Looks at a file without the leave to write. Guards against a newer program's file that is so much as tidied up.
+/// Checks the schema with the file opened read-only, since opening it for writing may modify the file of a newer
+/// program.
 fn check_schema_read_only(
     disk: &dyn Disk,
     builder: &Builder,
@@ -57,7 +63,7 @@
     }
     match disk.open_read_only(builder, path) {
         Ok(database) => check_schema(read_number(&database, metadata, SCHEMA_KEY)?, supported),
-        // After a crash it has to be repaired before it can be read.
+        // After a crash the file has to be repaired before it can be read.
         Err(DatabaseError::RepairAborted) => Ok(()),
         Err(error) => Err(error.into()),
     }
@@ -73,7 +79,7 @@
     }
 }
 
-/// A number about a file.
+/// Reads a number about a file; `None` if it is absent.
 pub(crate) fn read_number(
     database: &impl ReadableDatabase,
     metadata: MetadataDefinition,
@@ -93,7 +99,7 @@
             DatabaseError::DatabaseAlreadyOpen => ReadError::Unusable(OpenError::InUse),
             DatabaseError::Storage(error) => error.into(),
             DatabaseError::UpgradeRequired(version) => ReadError::Unusable(OpenError::System(
-                format!("the database's own format {version} is not read here"),
+                format!("database file format {version} is not supported"),
             )),
             error => ReadError::Damaged(error.to_string()),
         }
@@ -111,7 +117,7 @@
             {
                 ReadError::Unusable(OpenError::System(error.to_string()))
             }
-            // The disk failed before; it says nothing of what stands in the file.
+            // The disk failed earlier, which does not tell whether the file is damaged.
             StorageError::PreviousIo | StorageError::DatabaseClosed => {
                 ReadError::Unusable(OpenError::System(error.to_string()))
             }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! Where files lie: the system's disk, or one that a test breaks.
+//! Abstraction of the disk, which tests replace by one with injected faults.
 
 use std::fmt::Debug;
 use std::io;
@@ -7,38 +7,38 @@
 
 use redb::{Builder, Database, DatabaseError, ReadOnlyDatabase};
 
-/// Which file stands under a name, and how long it is. Only its store changes it while it has it open.
+/// Identity and length of the file at a path. While a store has the file open, only the store changes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileIdentity {
-    /// The device and the number there.
+    /// Device and inode number.
     pub device_and_inode: (u64, u64),
-    /// Its bytes.
+    /// Length in bytes.
     pub length_bytes: u64,
 }
 
-/// Holds files.
+/// File operations that the stores need.
 pub trait Disk: Debug + Send + Sync {
-    /// Opens a database for writing, and makes it where there is none.
+    /// Opens a database for writing, and creates it if there is none.
     fn create(&self, builder: &Builder, path: &Path) -> Result<Database, DatabaseError>;
 
-    /// Opens a database without the leave to write.
+    /// Opens an existing database read-only.
     fn open_read_only(
         &self,
         builder: &Builder,
         path: &Path,
     ) -> Result<ReadOnlyDatabase, DatabaseError>;
 
-    /// All bytes of a file.
+    /// Reads a whole file.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// What stands under a name.
+    /// Identity of the file at a path; an error if there is none.
     fn identity(&self, path: &Path) -> io::Result<FileIdentity>;
 
-    /// Gives a file another name.
+    /// Renames a file.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// The system's files.
+/// The file system of the operating system.
 #[derive(Debug)]
 pub struct SystemDisk;
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// Keeps a file under another name beside its own, which nothing has.
+/// Renames a file to an unused name in the same folder; returns the new path.
 pub(crate) fn move_aside(
     disk: &dyn Disk,
     path: &Path,
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -1,4 +1,4 @@
-//! The store as one file of an embedded database.
+//! Override store in one file of an embedded database.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,32 +14,32 @@
 use crate::record;
 use crate::{Contents, OpenError, OverrideStore, StoreError};
 
-/// The newest schema of a file that this program reads, and the one that it writes.
+/// Newest schema that this program reads, and the one that it writes.
 pub const SCHEMA: u64 = 1;
 
 const OVERRIDES: TableDefinition<u64, &[u8]> = TableDefinition::new("overrides");
 const METADATA: MetadataDefinition = TableDefinition::new("about");
 const NEXT_ID_KEY: &str = "next-id";
-/// Bytes of the file that are kept in memory.
+/// Size of the database's page cache.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Overrides in a file.
+/// Override store in a file that it opens exclusively.
 pub struct FileStore {
     disk: Arc<dyn Disk>,
     path: PathBuf,
-    /// None after a failure: the database refuses everything then, until it is opened anew.
+    /// `None` after a failure, since the database then rejects every operation until it is opened again.
     database: Option<Database>,
-    /// The file that is open. Guards against a put into one that was removed or cut, which would be lost.
+    /// Identity of the open file, by which a removed or truncated file is detected; writes to it would be lost.
     identity: Option<FileIdentity>,
     next_id: Id,
 }
 
-/// Opens a store, and makes it where there is none. A damaged file is kept aside and an empty one begun.
+/// Opens a store, and creates it if there is none. A damaged file is renamed and an empty store created.
 pub fn open(path: &Path) -> Result<(FileStore, Contents), OpenError> {
     open_on(Arc::new(SystemDisk), path)
 }
 
-/// The same on a given disk.
+/// Like [`open`], on a given disk.
 pub fn open_on(disk: Arc<dyn Disk>, path: &Path) -> Result<(FileStore, Contents), OpenError> {
     let read_store = || catch_panic(|| read_file(&disk, path));
     match read_store() {
@@ -52,7 +52,7 @@
             let now_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
             let moved_path = move_aside(&*disk, path, "damaged", now_ms).map_err(|error| {
                 OpenError::System(format!(
-                    "damaged ({reason}), and it can't be kept aside: {error}"
+                    "the file is damaged ({reason}) and cannot be renamed: {error}"
                 ))
             })?;
             match read_store() {
@@ -95,7 +95,7 @@
         next_id,
     };
     if found != Some(SCHEMA) {
-        // Also the proof that the file can be written.
+        // Also verifies that the file can be written.
         store
             .write(|_, metadata| metadata.insert(SCHEMA_KEY, SCHEMA).map(drop))
             .map_err(|error| ReadError::Unusable(OpenError::System(error.0)))?;
@@ -125,7 +125,7 @@
 type MetadataTable<'a> = redb::Table<'a, &'static str, u64>;
 
 impl FileStore {
-    /// Writes in one transaction; it is on the disk when this returns.
+    /// Writes in one transaction, which is durable on return.
     fn write(
         &mut self,
         run: impl FnOnce(&mut OverrideTable<'_>, &mut MetadataTable<'_>) -> Result<(), StorageError>,
@@ -145,11 +145,11 @@
         Ok(())
     }
 
-    /// The database, if its file is the one that was opened; after a failure it is opened anew.
+    /// Takes the database if its file is still the one that was opened. After a failure, opens it again.
     fn take_database(&mut self) -> Result<Database, StoreError> {
         let current = self.disk.identity(&self.path).ok();
         let replaced_error =
-            || StoreError("the file was removed, emptied or changed by someone".into());
+            || StoreError("the file was removed, truncated or modified by another program".into());
         let is_same_file = current.map(|identity| identity.device_and_inode)
             == self.identity.map(|identity| identity.device_and_inode);
         match self.database.take() {
@@ -157,7 +157,9 @@
             None if is_same_file => match catch_panic(|| open_database(&*self.disk, &self.path)) {
                 Ok((database, Some(_))) => Ok(database),
                 Ok((_, None)) => Err(replaced_error()),
-                Err(ReadError::Damaged(reason)) => Err(StoreError(format!("damaged: {reason}"))),
+                Err(ReadError::Damaged(reason)) => {
+                    Err(StoreError(format!("the file is damaged: {reason}")))
+                }
                 Err(ReadError::Unusable(reason)) => Err(StoreError(reason.to_string())),
             },
             _ => {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! Where what the program knows outlives it: overrides behind a trait, and the process's [`memory`], each in a file
-//! of an embedded database.
+//! Durable state: overrides behind the [`OverrideStore`] trait, and the [`memory`] of a process, each in one file of an
+//! embedded database.
 //!
-//! What [`OverrideStore::put`] has taken is on the disk when it returns. [`open`] never destroys what it can't read:
-//! a damaged file is kept aside under another name, and one of a newer program is left as it is.
+//! Overrides are on disk when [`OverrideStore::put`] returns. [`open`] never destroys data that it cannot read: a
+//! damaged file is renamed, and a file written by a newer program is left unchanged.
 
 #![forbid(unsafe_code)]
 
@@ -19,47 +19,46 @@
 
 pub use file::{FileStore, SCHEMA, open, open_on};
 
-/// Keeps overrides.
+/// Stores overrides durably.
 pub trait OverrideStore: Send {
-    /// Takes overrides, or what they have become, all or none. They are durable when this returns.
+    /// Inserts or replaces overrides by id, all or none. They are durable on return.
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError>;
 
-    /// Forgets overrides.
+    /// Deletes overrides by id, all or none. An unknown id is ignored.
     fn delete(&mut self, ids: &[Id]) -> Result<(), StoreError>;
 
-    /// The number that the next new override gets; a number is never given twice, also after what had it was
-    /// forgotten.
+    /// Id for the next new override. Ids are not reused, even after the override is deleted.
     fn next_id(&self) -> Id;
 }
 
-/// Why a store did not take what it was given. Nothing of it is kept then.
+/// A write failed. None of its changes is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(
-    /// In the system's words.
+    /// Message of the operating system or the database.
     pub String,
 );
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the store of overrides failed: {}", self.0)
+        write!(f, "write to the override store failed: {}", self.0)
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// Why a store can't be had. Its file stays as it is.
+/// A store could not be opened. Its file is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// A newer program wrote it.
+    /// The file was written by a newer program.
     NewerSchema {
-        /// Its schema.
+        /// Schema of the file.
         found: u64,
-        /// The newest that this program reads.
+        /// Newest schema that this program reads.
         supported: u64,
     },
-    /// Another program has it open.
+    /// Another program has the file open.
     InUse,
-    /// The system refuses it, or what is damaged could not be kept aside.
+    /// The operating system reported an error, or a damaged file could not be renamed.
     System(String),
 }
 
@@ -69,10 +68,10 @@
             OpenError::NewerSchema { found, supported } => {
                 write!(
                     f,
-                    "written by a newer program: schema {found}, this one reads up to {supported}"
+                    "written by a newer program: schema {found}, this program reads up to {supported}"
                 )
             }
-            OpenError::InUse => f.write_str("another program has it open"),
+            OpenError::InUse => f.write_str("another program has the file open"),
             OpenError::System(why) => f.write_str(why),
         }
     }
@@ -80,13 +79,13 @@
 
 impl std::error::Error for OpenError {}
 
-/// What an opened store held.
+/// Contents of a store when it was opened.
 #[derive(Debug, Default, PartialEq)]
 pub struct Contents {
-    /// The overrides that could be read.
+    /// All overrides that could be decoded.
     pub overrides: Vec<Override>,
-    /// Numbers of records that could not be read. They stay in the file.
+    /// Ids of records that could not be decoded. They stay in the file.
     pub unreadable_ids: Vec<u64>,
-    /// The file was damaged, and is kept under this name; the store begins empty.
+    /// New path of a damaged file and the reason, if the store was started empty because of it.
     pub moved_aside: Option<(PathBuf, String)>,
 }
--- a/crates/store/src/memory/file.rs
+++ b/crates/store/src/memory/file.rs
@@ -1,4 +1,4 @@
-//! The file of a memory: a snapshot of all records, and a journal of the changes since.
+//! The file of a memory: a snapshot of the records, and a journal of the changes since then.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -22,13 +22,13 @@
 const METADATA: MetadataDefinition = TableDefinition::new("memory-about");
 const INCARNATION_KEY: &str = "boot";
 const WRITTEN_KEY: &str = "written-ms";
-/// Bytes of the file that are kept in memory. A compaction passes over all of it.
+/// Size of the database's page cache. A compaction passes over the whole file.
 const CACHE_BYTES: usize = 8 << 20;
 
-/// What stands in a sound file.
+/// Contents of a valid file.
 pub(super) enum StoredMemory {
     Owned(Box<OpenFile>, MemoryContents),
-    /// The memory of the process of this name.
+    /// The file belongs to the process with this name.
     Foreign(String),
 }
 
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 pub(super) struct OpenFile {
     database: Database,
-    /// The number of the next change in the journal.
+    /// Sequence number of the next journal entry.
     next_sequence: u64,
-    /// Bytes of the changes in the journal.
+    /// Size of the entries in the journal.
     pub(super) journal_bytes: u64,
 }
 
@@ -48,13 +48,13 @@
     builder
 }
 
-/// What failed, in the database's words.
+/// The database's message for an error.
 fn describe_error(error: impl Into<redb::Error>) -> String {
     error.into().to_string()
 }
 
 impl OpenFile {
-    /// Opens a file, and reads all of it. Its boot number is the last one's.
+    /// Opens a file and reads all of it. The incarnation number in the result is the last one written.
     pub(super) fn open(
         disk: &dyn Disk,
         path: &Path,
@@ -64,7 +64,7 @@
         contents(database, owner)
     }
 
-    /// What a file holds, by its bytes. The file is not touched.
+    /// Reads the contents of a file from a copy of its bytes; the file itself is not modified.
     pub(super) fn read_copy(bytes: &[u8], owner: &str) -> Result<StoredMemory, ReadError> {
         let unusable =
             |error: std::io::Error| ReadError::Unusable(OpenError::System(error.to_string()));
@@ -77,7 +77,7 @@
         contents(database, owner)
     }
 
-    /// Writes whose memory it is and the boot number; also the proof that the file can be written.
+    /// Writes the owner and the incarnation number, which also verifies that the file can be written.
     pub(super) fn write_header(
         &mut self,
         owner: &str,
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Adds changes to the journal.
+    /// Appends changes to the journal, all or none.
     pub(super) fn append(&mut self, changes: &[Change], now_ms: u64) -> Result<(), String> {
         let (mut next_sequence, mut bytes) = (self.next_sequence, self.journal_bytes);
         self.write(|transaction| {
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Takes the journal over into the snapshot. A change that can't be read stays in the journal.
+    /// Merges the journal into the snapshot. Entries that cannot be decoded stay in the journal.
     pub(super) fn compact(&mut self) -> Result<(), String> {
         self.write(|transaction| {
             let mut changes = BTreeMap::new();
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Writes in one transaction; it is on the disk when this returns.
+    /// Writes in one transaction, which is durable on return.
     fn write(
         &mut self,
         run: impl FnOnce(&WriteTransaction) -> Result<(), redb::Error>,
@@ -155,7 +155,7 @@
     }
 }
 
-/// All that an open file holds, if it is this owner's.
+/// Reads the contents of an open file if it belongs to this owner.
 fn contents(database: Database, owner: &str) -> Result<StoredMemory, ReadError> {
     let transaction = database.begin_read()?;
     match transaction.open_table(OWNER) {
@@ -167,9 +167,9 @@
             }
         },
         Err(TableError::TableDoesNotExist(_)) => {
-            // Guards against a wrong path in the operator's file that would move another store away.
+            // Rejects another kind of store, which a wrong path in the configuration would otherwise rename.
             if let Some(table) = transaction.list_tables()?.next() {
-                let reason = format!("it holds {}, and no memory", table.name());
+                let reason = format!("the file contains {} and no memory", table.name());
                 return Err(ReadError::Unusable(OpenError::System(reason)));
             }
         }
--- a/crates/store/src/memory/mod.rs
+++ b/crates/store/src/memory/mod.rs
@@ -1,9 +1,8 @@
-//! What is worth trusting after darkness: opaque records of this process, in one file.
+//! Records of a process that it uses after a restart, in one file. The values are opaque to this module.
 //!
-//! [`open`] raises the process's boot number and gives back what was remembered. A [`Writer`] takes changes from
-//! the core without ever waiting for the disk, and writes them in batches. In the file a journal of changes stands
-//! beside a snapshot of all records: a small batch writes few pages, and the journal goes over into the snapshot
-//! when it passes a bound.
+//! [`open`] raises the incarnation number of the process and returns the stored records. A [`Writer`] accepts changes
+//! without waiting for the disk and writes them in batches. The file contains a snapshot of the records and a journal
+//! of changes, so that a small batch writes few pages. The journal is merged into the snapshot when it exceeds a limit.
 
 mod file;
 mod queue;
@@ -25,81 +24,81 @@
 /// Newest schema of the file that this program reads, and the one that it writes.
 pub const SCHEMA: u64 = 1;
 
-/// A record. Its meaning is its writer's.
+/// A stored record. Kind, subject and value are defined by the writer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Record {
-    /// Its kind; also its priority: records of the lowest number are evicted last ([`Writer`]).
+    /// Kind, which is also the priority: records of the lowest kind are evicted last ([`Writer`]).
     pub kind: u32,
-    /// Its subject. A later record of the same kind and subject replaces it.
+    /// Key within the kind. A later record of the same kind and subject replaces this one.
     pub subject: Vec<u8>,
-    /// The value.
+    /// Encoded contents.
     pub value: Vec<u8>,
-    /// When it was observed, in Unix milliseconds.
+    /// Time of observation, in Unix milliseconds.
     pub observed_at_ms: u64,
 }
 
-/// A change of the memory.
+/// A change of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Store a record.
+    /// Inserts or replaces a record.
     Put(Record),
-    /// Remove the record of a kind and subject.
+    /// Deletes the record of a kind and subject, if there is one.
     Delete {
-        /// The kind.
+        /// Kind of the record.
         kind: u32,
-        /// The subject.
+        /// Subject of the record.
         subject: Vec<u8>,
     },
 }
 
-/// A file that could not be used and was moved aside.
+/// A file that could not be used and was renamed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MovedFile {
-    /// Its new path; its old one if the disk is read-only.
+    /// New path of the file; the old one if it could not be renamed.
     pub path: PathBuf,
-    /// Why it could not be used.
+    /// Reason why the file could not be used.
     pub reason: UnusableReason,
 }
 
-/// Why a file could not be used.
+/// Reason why a file could not be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnusableReason {
-    /// It is damaged; with the database's message.
+    /// The file is damaged; with the database's message.
     Damaged(String),
-    /// It belongs to the process of this name.
+    /// The file belongs to the process with this name.
     Foreign(String),
 }
 
 impl fmt::Display for MovedFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.reason {
-            UnusableReason::Damaged(reason) => write!(f, "damaged ({reason})")?,
-            UnusableReason::Foreign(owner) => write!(f, "the memory of {owner:?}")?,
+            UnusableReason::Damaged(reason) => write!(f, "the file is damaged ({reason})")?,
+            UnusableReason::Foreign(owner) => write!(f, "the file belongs to {owner:?}")?,
         }
-        write!(f, ", kept as {}", self.path.display())
+        write!(f, " and was kept as {}", self.path.display())
     }
 }
 
-/// What a memory contained when it was opened.
+/// Contents of a memory when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemoryContents {
     /// Incarnation number of this process: one more than the last.
     pub incarnation: u64,
-    /// Why the incarnation number could not be written; the next start may get the same one.
+    /// Error that kept the incarnation number from being written; the next start may then get the same number.
     pub write_error: Option<String>,
-    /// All records, by kind and subject.
+    /// All records, sorted by kind and subject.
     pub records: Vec<Record>,
-    /// Number of unreadable records. They stay in the file.
+    /// Number of records that could not be decoded. They stay in the file.
     pub unreadable_records: u64,
-    /// The file that was moved aside.
+    /// The previous file, if it could not be used.
     pub moved_aside: Option<MovedFile>,
-    /// When the file was last written, by the wall clock of then, in Unix milliseconds.
+    /// Time of the last write by the wall clock at that time, in Unix milliseconds; `None` for a new file.
     pub last_written_at_ms: Option<u64>,
-    /// Whether the wall clock is before that time; no age can be derived then.
+    /// Whether the wall clock is earlier than the last write, so that ages of records are unknown.
     pub clock_went_back: bool,
 }
 
-/// The memory of a process, which has its file exclusively.
+/// The open memory of a process, which has its file exclusively.
 #[derive(Debug)]
 pub struct Memory {
     disk: Arc<dyn Disk>,
@@ -113,36 +112,37 @@
     identity: Option<FileIdentity>,
 }
 
-/// Why changes were not written. None of them was.
+/// A write failed. None of its changes is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteError(
-    /// The system's message.
+    /// Message of the operating system or the database.
     pub String,
 );
 
 impl fmt::Display for WriteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the memory was not written: {}", self.0)
+        write!(f, "write to the memory file failed: {}", self.0)
     }
 }
 
 impl std::error::Error for WriteError {}
 
-/// What was noticed during a write.
+/// Result of a successful write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteOutcome {
-    /// Why the file was recreated; its former contents are lost.
+    /// Reason why the file was recreated and its former contents are lost; `None` if it was not.
     pub recreated_reason: Option<String>,
 }
 
 /// Opens the memory of a process, or creates it. The incarnation number is raised durably by one.
-/// A damaged or foreign file is moved aside, and the memory starts empty. A file of a newer program
-/// is left alone and causes an error. A read-only disk is read, which [`MemoryContents`] reports.
+/// A damaged or foreign file is renamed, and the memory starts empty. A file of a newer program is
+/// left unchanged and causes an error. The contents are read from a read-only disk, which
+/// [`MemoryContents::write_error`] reports.
 pub fn open(path: &Path, owner: &str, now_ms: u64) -> Result<(Memory, MemoryContents), OpenError> {
     open_on(Arc::new(SystemDisk), path, owner, now_ms)
 }
 
-/// The same on a given disk.
+/// Like [`open`], on a given disk.
 pub fn open_on(
     disk: Arc<dyn Disk>,
     path: &Path,
@@ -170,12 +170,12 @@
 }
 
 impl Memory {
-    /// The incarnation number of this run.
+    /// Incarnation number of this run; greater than that of every earlier run whose number was written.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Sets the size of the journal at which it is merged into the snapshot.
+    /// Sets the size of the journal in bytes above which it is merged into the snapshot.
     pub fn set_journal_limit(&mut self, bytes: u64) {
         self.max_journal_bytes = bytes;
     }
@@ -183,9 +183,9 @@
     /// Writes changes in order, all or none. They are durable on return.
     pub fn write(&mut self, changes: &[Change], now_ms: u64) -> Result<WriteOutcome, WriteError> {
         let outcome = self.ensure_open(now_ms)?;
-        // After a failure the database refuses everything until it is opened again.
+        // After a failure the database rejects every operation until it is opened again.
         let Some(mut file) = self.file.take() else {
-            return Err(WriteError("no file".into()));
+            return Err(WriteError("the file is not open".into()));
         };
         file.append(changes, now_ms).map_err(WriteError)?;
         if file.journal_bytes <= self.max_journal_bytes || file.compact().is_ok() {
@@ -195,7 +195,7 @@
         Ok(outcome)
     }
 
-    /// Ensures that the file is open and unchanged.
+    /// Ensures that the file is open and has not been replaced; recreates a lost one.
     fn ensure_open(&mut self, now_ms: u64) -> Result<WriteOutcome, WriteError> {
         let (previous, current) = (self.identity, self.disk.identity(&self.path).ok());
         if self.file.is_some() && current == previous {
@@ -214,14 +214,15 @@
         let recreated_reason = match found.moved_aside {
             Some(moved_aside) => Some(moved_aside.to_string()),
             None if !is_same_file || (previous.is_some() && found.last_written_at_ms.is_none()) => {
-                Some("removed or emptied by someone".to_owned())
+                Some("the file was removed or truncated by another program".to_owned())
             }
             None => None,
         };
         Ok(WriteOutcome { recreated_reason })
     }
 
-    /// Opens the existing file.
+    /// Opens the file. A damaged or foreign file is renamed and replaced by a new one; a read-only
+    /// one is only read.
     fn open_or_recreate(&mut self, now_ms: u64) -> Result<MemoryContents, OpenError> {
         let mut moved_aside: Option<MovedFile> = None;
         loop {
@@ -245,7 +246,7 @@
             };
             if let Some(moved_aside) = moved_aside {
                 return Err(OpenError::System(format!(
-                    "the new file is bad too, after {moved_aside}"
+                    "the new file cannot be used either; before, {moved_aside}"
                 )));
             }
             let suffix = match &reason {
@@ -255,7 +256,7 @@
             match move_aside(&*self.disk, &self.path, suffix, now_ms) {
                 Ok(path) => moved_aside = Some(MovedFile { path, reason }),
                 Err(error) => {
-                    let write_error = format!("what is there can't be kept aside: {error}");
+                    let write_error = format!("the unusable file cannot be renamed: {error}");
                     return Ok(MemoryContents {
                         moved_aside: Some(self.file_left_in_place(reason)),
                         ..self.empty_contents(write_error)
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Opens the file for writing, unless it belongs to another owner.
+    /// Opens the file for writing; returns the owner as the inner error if it belongs to another one.
     fn open_for_writing(
         &mut self,
         now_ms: u64,
@@ -284,7 +285,7 @@
         Ok(Ok(contents))
     }
 
-    /// Reads the file from a read-only disk.
+    /// Reads the file without writing to it. `reason` is the error that prevents writing.
     fn open_read_only(&self, reason: String) -> Result<MemoryContents, OpenError> {
         let bytes = match self.disk.read(&self.path) {
             Ok(bytes) => bytes,
@@ -309,8 +310,8 @@
         }
     }
 
-    /// The incarnation number after the one in a file; a file that is opened again in one run gets
-    /// the same.
+    /// Incarnation number of this run, given the one found in the file. A file that is reopened in
+    /// the same run keeps its number.
     fn next_incarnation(&self, found: u64) -> u64 {
         if self.incarnation > 0 {
             self.incarnation.max(found)
--- a/crates/store/src/memory/queue.rs
+++ b/crates/store/src/memory/queue.rs
@@ -1,10 +1,10 @@
-//! Changes that wait for the disk, the last of each subject, bounded in bytes.
+//! Queue of changes to be written: the last change of each subject, bounded in bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Change, Record};
 
-/// Overhead of a waiting change: its tree node and two allocations, in bytes.
+/// Overhead of a queued change in bytes: its tree node and two allocations.
 const CHANGE_OVERHEAD_BYTES: usize = 96;
 
 type Key = (u32, Vec<u8>);
@@ -22,10 +22,10 @@
 }
 
 impl Queue {
-    /// Adds a change in place of an earlier one of its subject, and evicts changes beyond the
-    /// bound; returns how many. Records of the highest kind number are evicted first, and among
-    /// them the greatest subject; removals are evicted last, since the removed records would
-    /// otherwise be read again.
+    /// Adds a change in place of an earlier one of its subject, and evicts changes beyond
+    /// `max_bytes`; returns how many. Records of the highest kind are evicted first, and among them
+    /// the greatest subject. Deletions are evicted last, since the deleted records would otherwise
+    /// be read again at the next start.
     pub(super) fn put(&mut self, change: Change, max_bytes: usize) -> u64 {
         match change {
             Change::Put(Record {
@@ -73,7 +73,7 @@
             .is_some()
     }
 
-    /// Adds later changes over these.
+    /// Adds the changes of a later queue, which replace earlier ones; returns how many were evicted.
     pub(super) fn append(&mut self, later: Queue, max_bytes: usize) -> u64 {
         later
             .into_changes()
@@ -89,7 +89,7 @@
         self.bytes
     }
 
-    /// All waiting changes.
+    /// All queued changes, records before deletions.
     pub(super) fn into_changes(self) -> impl Iterator<Item = Change> {
         let deleted = self
             .deleted
--- a/crates/store/src/memory/record.rs
+++ b/crates/store/src/memory/record.rs
@@ -1,12 +1,12 @@
-//! Records and changes as protocol buffers.
+//! Encoding of records and changes as protocol buffers.
 //!
-//! Fields are added, never given another meaning or number, so that each program reads what older ones wrote.
+//! Fields may be added, but keep their meaning and number, so that each program reads the files of older ones.
 
 use prost::Message;
 
 use super::{Change, Record};
 
-/// A record in the snapshot, where its key tells kind and subject.
+/// A record in the snapshot. Its key contains kind and subject.
 #[derive(Clone, PartialEq, Message)]
 struct Row {
     #[prost(uint64, tag = "1")]
@@ -20,17 +20,17 @@
 struct Entry {
     #[prost(bytes = "vec", tag = "1")]
     key: Vec<u8>,
-    /// The row as it is in the snapshot; none where it is forgotten.
+    /// The row for the snapshot; absent for a deletion.
     #[prost(bytes = "vec", optional, tag = "2")]
     row: Option<Vec<u8>>,
 }
 
-/// The key of a kind and a subject: the kind first, so that kinds stand together.
+/// Key of a kind and subject. The kind comes first, so that records of one kind are adjacent.
 pub(super) fn key(kind: u32, subject: &[u8]) -> Vec<u8> {
     [&kind.to_be_bytes(), subject].concat()
 }
 
-/// The bytes of a change.
+/// Encodes a change as a journal entry.
 pub(super) fn encode_entry(change: &Change) -> Vec<u8> {
     let entry = match change {
         Change::Put(Record {
@@ -56,13 +56,13 @@
     entry.encode_to_vec()
 }
 
-/// The key of a change, and the row that it leaves there; nothing if the bytes hold none.
+/// Decodes a journal entry into a key and its new row, which is `None` for a deletion; `None` if it is malformed.
 pub(super) fn decode_entry(bytes: &[u8]) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
     let Entry { key, row } = Entry::decode(bytes).ok()?;
     (key.len() >= 4).then_some((key, row))
 }
 
-/// The record that a row under a key holds; nothing if it holds none.
+/// Decodes a row of the snapshot; `None` if key or row is malformed.
 pub(super) fn decode_row(key: &[u8], row: &[u8]) -> Option<Record> {
     let (kind, subject) = key.split_first_chunk::<4>()?;
     let Row {
--- a/crates/store/src/memory/writer.rs
+++ b/crates/store/src/memory/writer.rs
@@ -1,4 +1,4 @@
-//! A writer that accepts changes without blocking and writes them on a thread of its own.
+//! Accepts changes of a memory without blocking and writes them in batches on a separate thread.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,18 +12,18 @@
 use super::queue::Queue;
 use super::{Change, Memory, Record};
 
-/// Limits of a writer.
+/// Limits and intervals of a writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of waiting changes; as many again may be being written.
+    /// Limit on the bytes of queued changes. A batch being written may hold as many again.
     pub queue_bytes: usize,
-    /// Size of the journal at which it is merged into the snapshot, in bytes.
+    /// Size of the journal in bytes above which it is merged into the snapshot.
     pub journal_bytes: u64,
-    /// Interval of batches.
+    /// Minimum interval between batches, which an urgent write cuts short.
     pub batch_interval: Duration,
-    /// Interval of retries after a failed batch.
+    /// Delay of a retry after a failed batch.
     pub retry_interval: Duration,
-    /// A batch that takes longer is logged.
+    /// Duration above which a batch is reported as slow.
     pub slow_batch_threshold: Duration,
 }
 
@@ -39,16 +39,16 @@
     }
 }
 
-/// State changes of the disk, each reported once.
+/// A change of the disk's state, reported once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskEvent {
-    /// Writes fail.
+    /// Writes fail, with the error.
     Failing(String),
-    /// A write is slow.
+    /// A batch took this long, which is above the threshold.
     Slow(Duration),
     /// Writes succeed again.
     Recovered,
-    /// The file was recreated, with the reason.
+    /// The file was recreated and its former contents are lost, with the reason.
     FileRecreated(String),
 }
 
@@ -56,15 +56,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             DiskEvent::Failing(reason) => {
-                write!(f, "the disk takes nothing, serving on without: {reason}")
+                write!(
+                    f,
+                    "writes to the memory file fail, continuing without persistence: {reason}"
+                )
             }
             DiskEvent::Slow(took) => {
-                write!(f, "the disk is slow: a batch took {} ms", took.as_millis())
+                write!(
+                    f,
+                    "the disk is slow: writing a batch took {} ms",
+                    took.as_millis()
+                )
             }
             DiskEvent::Recovered => {
-                f.write_str("the disk is well again, what was kept meanwhile is written")
+                f.write_str("the disk has recovered; changes queued in the meantime are written")
+            }
+            DiskEvent::FileRecreated(reason) => {
+                write!(f, "the memory file was recreated: {reason}")
             }
-            DiskEvent::FileRecreated(reason) => write!(f, "the file is begun anew: {reason}"),
         }
     }
 }
@@ -72,21 +81,21 @@
 /// Counters of a writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Changes written.
+    /// Number of changes written.
     pub written: u64,
-    /// Changes evicted beyond the bound.
+    /// Number of changes evicted beyond the limit.
     pub evicted: u64,
-    /// Failed batches.
+    /// Number of failed batches.
     pub failed: u64,
-    /// Waiting changes, without those being written.
+    /// Number of queued changes, without those being written.
     pub pending: u64,
-    /// Their bytes, with overhead.
+    /// Bytes of the queued changes, with overhead.
     pub pending_bytes: u64,
     /// Whether the last batch failed or was slow.
     pub is_degraded: bool,
 }
 
-/// State shared with the thread. The lock is held for one change or one swap of the queue, never
+/// State shared with the writer thread. The lock is held for one change or one swap of the queue, never
 /// during a write.
 #[derive(Default)]
 struct Shared {
@@ -101,35 +110,35 @@
 #[derive(Default)]
 struct PendingChanges {
     queue: Queue,
-    /// Senders that wait for the next batch, told whether it succeeded.
+    /// Senders that receive after the next batch whether it succeeded.
     flushes: Vec<Sender<bool>>,
     is_closing: bool,
 }
 
 impl Shared {
-    /// The contents are replaced as a whole, so they are valid even after a panic.
+    /// Ignores poisoning: the contents are replaced as a whole, so they are valid even after a panic.
     fn lock(&self) -> MutexGuard<'_, PendingChanges> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Accepts changes of a memory. Only [`Writer::flush`] and [`Writer::close`] wait for the disk.
-/// A later change replaces a waiting one of the same subject. Beyond the bound, records of the
-/// highest kind number are evicted first, and among them the greatest subject; removals are evicted
-/// last. Evicted changes are counted, and requested again once the disk has recovered
+/// A later change replaces a queued one of the same subject. Beyond the limit, records of the
+/// highest kind are evicted first, and among them the greatest subject; deletions are evicted last.
+/// Evicted changes are counted, and requested again once the disk has recovered
 /// ([`Writer::take_resync_request`]).
 pub struct Writer {
     shared: Arc<Shared>,
     max_queue_bytes: usize,
-    /// Signals that changes wait.
+    /// Signals that changes are queued.
     waker: Sender<()>,
-    /// Signals that changes wait that must be written at once.
+    /// Signals that queued changes must be written at once.
     urgent: Sender<()>,
     ended: Receiver<()>,
 }
 
 impl Writer {
-    /// Starts the writer of a memory; events of its disk are logged.
+    /// Starts the writer thread of a memory, which logs the events of its disk.
     pub fn spawn(memory: Memory) -> Result<Writer, String> {
         Writer::spawn_with(memory, Limits::default(), |event| match event {
             DiskEvent::Recovered => info!(part = "memory", "{event}"),
@@ -137,7 +146,7 @@
         })
     }
 
-    /// The same within given limits; `say` receives events of the disk, on the writer's thread.
+    /// Like [`Writer::spawn`] with given limits; `on_event` is called on the writer thread.
     pub fn spawn_with(
         mut memory: Memory,
         limits: Limits,
@@ -157,12 +166,12 @@
             on_event,
         };
         let run = move || {
-            // The file is closed before the end is reported.
+            // Closes the file before the end is reported.
             worker.run();
             let _ = ended_sender.send(());
         };
         let thread = thread::Builder::new().name("memory".into()).spawn(run);
-        thread.map_err(|error| format!("thread memory: {error}"))?;
+        thread.map_err(|error| format!("cannot start the thread memory: {error}"))?;
         Ok(Writer {
             shared,
             max_queue_bytes: limits.queue_bytes,
@@ -172,12 +181,12 @@
         })
     }
 
-    /// Stores a record in place of an earlier one of its subject.
+    /// Queues a record, which replaces an earlier one of its kind and subject.
     pub fn put(&self, record: Record) {
         self.enqueue(Change::Put(record));
     }
 
-    /// Removes the record of a subject.
+    /// Queues the deletion of a record.
     pub fn delete(&self, kind: u32, subject: Vec<u8>) {
         self.enqueue(Change::Delete { kind, subject });
     }
@@ -195,13 +204,13 @@
         }
     }
 
-    /// Whether everything must be stored again, because changes were evicted or the file was lost.
-    /// Reset by the call.
+    /// Whether all records must be queued again, because changes were evicted or the file was lost.
+    /// The call resets the request.
     pub fn take_resync_request(&self) -> bool {
         self.shared.resync_requested.swap(false, Ordering::Relaxed)
     }
 
-    /// The counters.
+    /// Current values of the counters.
     pub fn counts(&self) -> Counts {
         let Shared {
             written,
@@ -221,7 +230,7 @@
         }
     }
 
-    /// Waits until everything is written, at most this long; returns whether it is.
+    /// Writes all queued changes, waiting at most `timeout`; returns whether they are written.
     pub fn flush(&self, timeout: Duration) -> bool {
         let (done, written) = bounded(1);
         self.shared.lock().flushes.push(done);
@@ -229,8 +238,8 @@
         written.recv_timeout(timeout).unwrap_or(false)
     }
 
-    /// Writes what waits and closes the file, waiting at most this long; returns whether everything
-    /// is written.
+    /// Writes all queued changes and closes the file, waiting at most `timeout`; returns whether they
+    /// are written.
     pub fn close(self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let (done, written) = bounded(1);
@@ -252,12 +261,12 @@
     }
 }
 
-/// A full channel has a signal already.
+/// Sends a signal. A full channel already contains one.
 fn signal(sender: &Sender<()>) {
     let _ = sender.try_send(());
 }
 
-/// The wall clock, in Unix milliseconds.
+/// Current time of the wall clock, in Unix milliseconds.
 fn unix_time_ms() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -265,7 +274,7 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The thread's side.
+/// State of the writer thread.
 struct WriterThread<S> {
     memory: Memory,
     limits: Limits,
@@ -346,7 +355,7 @@
         }
     }
 
-    /// Reports once that the disk fails, and once that it has recovered.
+    /// Reports once that the disk fails or is slow, and once that it has recovered.
     fn update_disk_state(&mut self, is_degraded: bool, event: impl FnOnce() -> DiskEvent) {
         let was_degraded = self.shared.degraded.swap(is_degraded, Ordering::Relaxed);
         match (was_degraded, is_degraded) {
@@ -356,7 +365,7 @@
         }
     }
 
-    /// Puts a failed batch back under later changes.
+    /// Puts a failed batch back into the queue, where later changes replace its own.
     fn requeue(&mut self, changes: Vec<Change>) {
         let max_bytes = self.limits.queue_bytes;
         let mut batch = Queue::default();
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,6 +1,6 @@
-//! Overrides as protocol buffers.
+//! Encoding of overrides as protocol buffers.
 //!
-//! Fields are added, never given another meaning or number, so that each program reads what older ones wrote.
+//! Fields may be added, but keep their meaning and number, so that each program reads the files of older ones.
 
 use beaconflow_overrides::{Id, Kind, Override, Replay, Strictness, Subject};
 use prost::{Message, Oneof};
@@ -13,7 +13,7 @@
     who: String,
     #[prost(string, tag = "3")]
     why: String,
-    /// Unix time in milliseconds, here and below.
+    /// Unix time in milliseconds, like the other times.
     #[prost(uint64, tag = "4")]
     created_at: u64,
     #[prost(uint64, tag = "5")]
@@ -82,7 +82,7 @@
     Tenant(String),
 }
 
-/// The bytes of an override.
+/// Encodes an override.
 pub(crate) fn encode(source: &Override) -> Vec<u8> {
     let kind = match &source.kind {
         Kind::Out {
@@ -128,7 +128,7 @@
     record.encode_to_vec()
 }
 
-/// The override that bytes hold; nothing if they hold none, or one of a kind that this program does not know.
+/// Decodes an override; `None` if the record is malformed or of an unknown kind.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Override> {
     let record = Record::decode(bytes).ok()?;
     let kind = match record.kind? {
--- a/crates/store/src/record/tests.rs
+++ b/crates/store/src/record/tests.rs
@@ -51,19 +51,19 @@
 
 #[test]
 fn decodes_other_versions_and_rejects_malformed_records() {
-    // An older one without the later fields.
+    // An older record without the later fields.
     let older = Record {
         removed_at: None,
         replay: None,
-        ..Record::decode(&encode(&pin())[..]).expect("sound")
+        ..Record::decode(&encode(&pin())[..]).expect("the encoded record decodes")
     };
-    let decoded = decode(&older.encode_to_vec()).expect("an older record");
+    let decoded = decode(&older.encode_to_vec()).expect("an older record decodes");
     assert_eq!((decoded.removed_at, decoded.replay), (None, None));
-    // A newer one with a field that is not known here: field 99, a varint.
+    // A newer record with an unknown field: field 99, a varint.
     let mut newer = encode(&pin());
     newer.extend([0x98, 0x06, 0x01]);
     assert_eq!(decode(&newer), Some(pin()));
-    // A kind that is not known, a weight of nothing, and no record at all.
+    // An unknown kind, a weight factor of 0, and bytes that are not a record.
     assert_eq!(
         decode(
             &Record {
--- a/crates/store/tests/file.rs
+++ b/crates/store/tests/file.rs
@@ -1,4 +1,4 @@
-//! The store on a real disk: what comes back, and what is left alone.
+//! The override store on a real disk: what is read back, and which files are left unchanged.
 
 use std::fs;
 use std::path::Path;
@@ -22,21 +22,22 @@
 }
 
 fn folder() -> tempfile::TempDir {
-    tempfile::tempdir().expect("a folder for temporary files")
+    tempfile::tempdir().expect("a temporary folder is created")
 }
 
-/// Files beside the store.
+/// Names of other files in the folder of the store.
 fn other_files(path: &Path) -> Vec<String> {
-    let all = fs::read_dir(path.parent().expect("a folder")).expect("it can be read");
+    let all = fs::read_dir(path.parent().expect("the file has a parent folder"))
+        .expect("the folder is readable");
     let names = all.map(|entry| {
         entry
-            .expect("an entry")
+            .expect("the entry is readable")
             .file_name()
             .into_string()
-            .expect("text")
+            .expect("the name is UTF-8")
     });
     let mut names: Vec<String> = names
-        .filter(|name| name.as_str() != path.file_name().expect("a name"))
+        .filter(|name| name.as_str() != path.file_name().expect("the path has a file name"))
         .collect();
     names.sort();
     names
@@ -46,23 +47,27 @@
 fn keeps_overrides_and_never_reuses_ids() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
-    let (mut store, contents) = open(&path).expect("a new store");
+    let (mut store, contents) = open(&path).expect("a new store opens");
     assert_eq!(contents, Default::default());
     assert_eq!(store.next_id(), Id(1));
-    store.put(&[out(1)]).expect("durable");
-    store.put(&[out(2)]).expect("durable");
+    store.put(&[out(1)]).expect("the write succeeds");
+    store.put(&[out(2)]).expect("the write succeeds");
     let mut changed = out(1);
     changed.remove(1_500);
-    store.put(&[changed.clone()]).expect("durable");
-    store.delete(&[Id(2)]).expect("durable");
+    store.put(&[changed.clone()]).expect("the write succeeds");
+    store.delete(&[Id(2)]).expect("the write succeeds");
     assert!(
         matches!(open(&path), Err(OpenError::InUse)),
-        "one program at a time"
+        "a second open of the same file is rejected"
     );
     drop(store);
-    let (store, contents) = open(&path).expect("the same store");
+    let (store, contents) = open(&path).expect("the store opens again");
     assert_eq!(contents.overrides, [changed]);
-    assert_eq!(store.next_id(), Id(3), "2 was given away");
+    assert_eq!(
+        store.next_id(),
+        Id(3),
+        "id 2 is not reused after its deletion"
+    );
     assert!(other_files(&path).is_empty());
 }
 
@@ -71,10 +76,10 @@
     let folder = folder();
     let path = folder.path().join("overrides.redb");
     let intact = {
-        let (mut store, _) = open(&path).expect("a new store");
-        (1..200).for_each(|id| store.put(&[out(id)]).expect("durable"));
+        let (mut store, _) = open(&path).expect("a new store opens");
+        (1..200).for_each(|id| store.put(&[out(id)]).expect("the write succeeds"));
         drop(store);
-        fs::read(&path).expect("it is there")
+        fs::read(&path).expect("the file exists")
     };
     let mut corrupted = intact.clone();
     corrupted[4096..].iter_mut().for_each(|byte| *byte ^= 0x5a);
@@ -84,17 +89,19 @@
         corrupted,
     ] {
         let before = other_files(&path).len();
-        fs::write(&path, &damaged).expect("it can be written");
-        let (mut store, contents) = open(&path).expect("an empty store");
-        let (moved_path, reason) = contents.moved_aside.expect("it says so");
+        fs::write(&path, &damaged).expect("the file is writable");
+        let (mut store, contents) = open(&path).expect("an empty store opens");
+        let (moved_path, reason) = contents.moved_aside.expect("the damaged file is reported");
         assert!(!reason.is_empty() && contents.overrides.is_empty());
         assert_eq!(other_files(&path).len(), before + 1);
         assert_eq!(
-            fs::read(&moved_path).expect("kept").len(),
+            fs::read(&moved_path)
+                .expect("the damaged file is kept")
+                .len(),
             damaged.len(),
-            "not cut or overwritten"
+            "the kept file is not truncated"
         );
-        store.put(&[out(1)]).expect("the new one works");
+        store.put(&[out(1)]).expect("the new store accepts a write");
     }
 }
 
@@ -102,20 +109,22 @@
 fn rejects_newer_schema_and_leaves_file_unchanged() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
-    drop(open(&path).expect("a new store"));
+    drop(open(&path).expect("a new store opens"));
     {
-        let database = Database::create(&path).expect("the same file");
-        let transaction = database.begin_write().expect("open");
+        let database = Database::create(&path).expect("the file opens");
+        let transaction = database.begin_write().expect("a transaction begins");
         let metadata = TableDefinition::<&str, u64>::new("about");
         transaction
             .open_table(metadata)
-            .expect("there")
+            .expect("the table opens")
             .insert("schema", SCHEMA + 1)
-            .expect("room");
-        transaction.commit().expect("durable");
+            .expect("the insert succeeds");
+        transaction.commit().expect("the write succeeds");
     }
-    let before = fs::read(&path).expect("there");
-    let error = open(&path).map(drop).expect_err("newer");
+    let before = fs::read(&path).expect("the file is readable");
+    let error = open(&path)
+        .map(drop)
+        .expect_err("a newer schema is rejected");
     assert_eq!(
         error,
         OpenError::NewerSchema {
@@ -125,8 +134,8 @@
     );
     assert!(error.to_string().contains("newer program"), "{error}");
     assert!(
-        fs::read(&path).expect("there") == before,
-        "not a byte has changed"
+        fs::read(&path).expect("the file is readable") == before,
+        "the file is unchanged"
     );
     assert!(other_files(&path).is_empty());
 }
@@ -135,21 +144,21 @@
 fn reports_unreadable_record_and_reads_others() {
     let folder = folder();
     let path = folder.path().join("overrides.redb");
-    let (mut store, _) = open(&path).expect("a new store");
-    store.put(&[out(1)]).expect("durable");
+    let (mut store, _) = open(&path).expect("a new store opens");
+    store.put(&[out(1)]).expect("the write succeeds");
     drop(store);
     {
-        let database = Database::create(&path).expect("the same file");
-        let transaction = database.begin_write().expect("open");
+        let database = Database::create(&path).expect("the file opens");
+        let transaction = database.begin_write().expect("a transaction begins");
         let table = TableDefinition::<u64, &[u8]>::new("overrides");
         transaction
             .open_table(table)
-            .expect("there")
+            .expect("the table opens")
             .insert(5, b"\xff\xff".as_slice())
-            .expect("room");
-        transaction.commit().expect("durable");
+            .expect("the insert succeeds");
+        transaction.commit().expect("the write succeeds");
     }
-    let (store, contents) = open(&path).expect("sound as a whole");
+    let (store, contents) = open(&path).expect("the file is valid as a whole");
     assert_eq!(contents.overrides, [out(1)]);
     assert_eq!(contents.unreadable_ids, [5]);
     assert_eq!(store.next_id(), Id(6));
@@ -163,6 +172,6 @@
     assert!(matches!(open(folder.path()), Err(OpenError::System(_))));
     assert!(
         other_files(&folder.path().join("x")).is_empty(),
-        "nothing was kept aside"
+        "no file was renamed"
     );
 }
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A memory on a disk: what comes back, what is kept aside, and what is never believed.
+//! The memory on a disk: what is read back, which files are renamed, and which contents are ignored.
 
 use std::fs;
 use std::path::Path;
@@ -47,27 +47,27 @@
     open_on(Arc::new(disk.clone()), path(), owner, now_ms)
 }
 
-/// A disk with a memory in it, and its records.
+/// A disk with a memory file, and the records in it.
 fn disk_with_records() -> (BreakingDisk, Vec<Record>) {
     let disk = BreakingDisk::default();
-    let (mut memory, _) = open_at(&disk, "east-1", NOW_MS).expect("new");
+    let (mut memory, _) = open_at(&disk, "east-1", NOW_MS).expect("a new memory opens");
     memory
         .write(
             &[put(2, "b", "2"), put(1, "a", "1"), put(2, "c", "3")],
             NOW_MS,
         )
-        .expect("durable");
+        .expect("the write succeeds");
     memory
         .write(&[delete(2, "b"), put(2, "c", "4")], NOW_MS + 9)
-        .expect("durable");
+        .expect("the write succeeds");
     (disk, vec![record(1, "a", "1"), record(2, "c", "4")])
 }
 
 #[test]
 fn restores_records_and_raises_incarnation_at_each_start() {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let path = folder.path().join("memory.redb");
-    let (mut memory, contents) = open(&path, "east-1", NOW_MS).expect("new");
+    let (mut memory, contents) = open(&path, "east-1", NOW_MS).expect("a new memory opens");
     assert_eq!(
         contents,
         MemoryContents {
@@ -77,13 +77,13 @@
     );
     memory
         .write(&[put(1, "a", "1"), put(9, "", "")], NOW_MS + 7)
-        .expect("durable");
+        .expect("the write succeeds");
     assert_eq!(
         open(&path, "east-1", NOW_MS).map(drop),
         Err(OpenError::InUse)
     );
     drop(memory);
-    let (memory, contents) = open(&path, "east-1", NOW_MS + 8).expect("the same");
+    let (memory, contents) = open(&path, "east-1", NOW_MS + 8).expect("the memory opens again");
     assert_eq!((memory.incarnation(), contents.incarnation), (2, 2));
     assert_eq!(contents.records, [record(1, "a", "1"), record(9, "", "")]);
     assert_eq!(
@@ -91,10 +91,10 @@
         (Some(NOW_MS + 7), false)
     );
     drop(memory);
-    // The start itself is written too: its number is never given again.
+    // The start writes its incarnation number, so that it is not reused.
     assert_eq!(
         open(&path, "east-1", NOW_MS)
-            .expect("the same")
+            .expect("the memory opens again")
             .1
             .last_written_at_ms,
         Some(NOW_MS + 8)
@@ -104,7 +104,11 @@
 #[test]
 fn reports_clock_that_went_back_once() {
     let (disk, records) = disk_with_records();
-    let open_contents = |now_ms| open_at(&disk, "east-1", now_ms).expect("sound").1;
+    let open_contents = |now_ms| {
+        open_at(&disk, "east-1", now_ms)
+            .expect("the file is valid")
+            .1
+    };
     for (now_ms, went_back) in [
         (0, true),
         (1, false),
@@ -116,7 +120,7 @@
         assert_eq!(
             (contents.clock_went_back, &contents.records),
             (went_back, &records),
-            "at {now_ms}"
+            "opened at {now_ms} ms"
         );
     }
     assert_eq!(open_contents(NOW_MS).incarnation, 7);
@@ -125,8 +129,8 @@
 #[test]
 fn moves_memory_of_other_owner_aside() {
     let (disk, records) = disk_with_records();
-    let (memory, contents) = open_at(&disk, "west-2", NOW_MS).expect("begun anew");
-    let moved = contents.moved_aside.expect("named");
+    let (memory, contents) = open_at(&disk, "west-2", NOW_MS).expect("a new memory is created");
+    let moved = contents.moved_aside.expect("the renamed file is reported");
     assert_eq!(moved.reason, UnusableReason::Foreign("east-1".into()));
     assert_eq!(
         (
@@ -137,26 +141,31 @@
         (1, 0, None)
     );
     drop(memory);
-    let (_, restored) =
-        open_on(Arc::new(disk.clone()), &moved.path, "east-1", NOW_MS).expect("as it was");
+    let (_, restored) = open_on(Arc::new(disk.clone()), &moved.path, "east-1", NOW_MS)
+        .expect("the renamed file is unchanged");
     assert_eq!(restored.records, records);
     assert_eq!(disk.names().len(), 2);
 }
 
 #[test]
 fn leaves_file_of_other_store_in_place() {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let path = folder.path().join("overrides.redb");
-    drop(beaconflow_store::open(&path).expect("new"));
+    drop(beaconflow_store::open(&path).expect("a new memory opens"));
     let error = open(&path, "east-1", NOW_MS)
         .map(drop)
-        .expect_err("not a memory");
+        .expect_err("a file of another store is rejected");
     assert!(
         matches!(&error, OpenError::System(reason) if reason.contains("no memory")),
         "{error}"
     );
-    drop(beaconflow_store::open(&path).expect("still there"));
-    assert_eq!(fs::read_dir(folder.path()).expect("a folder").count(), 1);
+    drop(beaconflow_store::open(&path).expect("the override store opens as before"));
+    assert_eq!(
+        fs::read_dir(folder.path())
+            .expect("the folder is readable")
+            .count(),
+        1
+    );
     assert!(matches!(
         open(folder.path(), "east-1", NOW_MS),
         Err(OpenError::System(_))
@@ -167,18 +176,20 @@
 fn leaves_memory_with_newer_schema_unchanged() {
     let (disk, _) = disk_with_records();
     {
-        let database = disk.create(&Database::builder(), path()).expect("sound");
-        let transaction = database.begin_write().expect("open");
+        let database = disk
+            .create(&Database::builder(), path())
+            .expect("the file is valid");
+        let transaction = database.begin_write().expect("a transaction begins");
         let metadata = TableDefinition::<&str, u64>::new("memory-about");
         transaction
             .open_table(metadata)
-            .expect("there")
+            .expect("the table opens")
             .insert("schema", SCHEMA + 1)
-            .expect("room");
-        transaction.commit().expect("durable");
+            .expect("the insert succeeds");
+        transaction.commit().expect("the write succeeds");
     }
-    let before = disk.read(path()).expect("there");
-    // Also where nothing can be written.
+    let before = disk.read(path()).expect("the file is readable");
+    // Also on a read-only disk.
     for fault in [DiskFault::Fair, DiskFault::ReadOnly] {
         disk.set_fault(fault);
         let error = open_at(&disk, "east-1", NOW_MS).map(drop);
@@ -190,33 +201,35 @@
             })
         );
     }
-    assert!(disk.read(path()).expect("there") == before);
+    assert!(disk.read(path()).expect("the file is readable") == before);
 }
 
 #[test]
 fn keeps_unreadable_records_and_reads_others() {
     let (disk, mut records) = disk_with_records();
     {
-        let database = disk.create(&Database::builder(), path()).expect("sound");
-        let transaction = database.begin_write().expect("open");
+        let database = disk
+            .create(&Database::builder(), path())
+            .expect("the file is valid");
+        let transaction = database.begin_write().expect("a transaction begins");
         let journal = TableDefinition::<u64, &[u8]>::new("memory-journal");
         transaction
             .open_table(journal)
-            .expect("there")
+            .expect("the table opens")
             .insert(90, b"\xff\xff".as_slice())
-            .expect("room");
+            .expect("the insert succeeds");
         let snapshot = TableDefinition::<&[u8], &[u8]>::new("memory-snapshot");
         transaction
             .open_table(snapshot)
-            .expect("made")
+            .expect("the table is created")
             .insert(b"x".as_slice(), b"".as_slice())
-            .expect("room");
-        transaction.commit().expect("durable");
+            .expect("the insert succeeds");
+        transaction.commit().expect("the write succeeds");
     }
-    // Also through a journal that goes over into the snapshot.
+    // The value exceeds the journal limit, so that the journal is merged into the snapshot.
     let large = "x".repeat(17 << 20);
     for _ in 0..2 {
-        let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS).expect("sound");
+        let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS).expect("the file is valid");
         assert_eq!(
             (contents.unreadable_records, contents.records.len()),
             (2, records.len())
@@ -224,7 +237,7 @@
         assert!(contents.records == records);
         memory
             .write(&[put(3, "d", &large)], NOW_MS)
-            .expect("durable");
+            .expect("the write succeeds");
         records.truncate(2);
         records.push(record(3, "d", &large));
     }
@@ -236,34 +249,39 @@
     disk.cut_after(1);
     drop(open_at(&disk, "east-1", NOW_MS));
     disk.power_back(beaconflow_contracts::disk::Loss::Nothing);
-    // After a crash, too: it is mended in memory.
+    // Also after a crash: the file is repaired in a copy in memory.
     disk.set_fault(DiskFault::ReadOnly);
-    let before = disk.read(path()).expect("there");
-    let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS + 10).expect("read");
+    let before = disk.read(path()).expect("the file is readable");
+    let (mut memory, contents) =
+        open_at(&disk, "east-1", NOW_MS + 10).expect("the contents are readable");
     assert!(contents.write_error.is_some());
     assert_eq!(
         (contents.incarnation, contents.records),
         (2, records.clone())
     );
     assert!(memory.write(&[put(1, "z", "z")], NOW_MS).is_err());
-    assert!(disk.read(path()).expect("there") == before);
+    assert!(disk.read(path()).expect("the file is readable") == before);
     disk.set_fault(DiskFault::Fair);
     assert_eq!(
         memory
             .write(&[put(1, "z", "z")], NOW_MS)
-            .expect("well again")
+            .expect("the disk has recovered")
             .recreated_reason,
         None
     );
     drop(memory);
-    let contents = open_at(&disk, "east-1", NOW_MS).expect("sound").1;
+    let contents = open_at(&disk, "east-1", NOW_MS)
+        .expect("the file is valid")
+        .1;
     assert_eq!(
         (contents.incarnation, contents.records.len()),
         (3, records.len() + 1)
     );
-    // What is torn or another's and can't be moved is named where it is, and no word of it is believed.
+    // A foreign file that cannot be renamed is reported at its path, and its records are ignored.
     disk.set_fault(DiskFault::ReadOnly);
-    let contents = open_at(&disk, "west-2", NOW_MS).expect("nothing").1;
+    let contents = open_at(&disk, "west-2", NOW_MS)
+        .expect("an empty memory opens")
+        .1;
     assert_eq!(
         (
             contents.moved_aside.map(|moved| moved.path),
@@ -273,11 +291,11 @@
     );
 }
 
-/// Cut at each byte of its first and last pages and of each page's edges, and at many in between.
+/// Truncates the file at every one of the first 600 bytes, around the edges of some pages, and at many lengths in between.
 #[test]
 fn starts_safely_from_truncated_file() {
     let (disk, records) = disk_with_records();
-    let intact = disk.read(path()).expect("there");
+    let intact = disk.read(path()).expect("the file is readable");
     let near_an_edge = |at: usize| at % 4096 < 2 || at % 4096 > 4094;
     let cut_lengths =
         (0..intact.len()).filter(|at| *at < 600 || (near_an_edge(*at) && at % 24_576 < 8_192));
@@ -285,31 +303,34 @@
     for cut in cut_lengths.chain((0..intact.len()).step_by(39_989)) {
         let disk = BreakingDisk::default();
         disk.place(path(), intact[..cut].to_vec());
-        let (mut memory, contents) = open_at(&disk, "east-1", NOW_MS).expect("a safe start");
+        let (mut memory, contents) =
+            open_at(&disk, "east-1", NOW_MS).expect("a truncated file does not prevent the start");
         assert!(
             contents.records.is_empty() || contents.records == records,
-            "cut at {cut}: {:?}",
+            "truncated to {cut} bytes: {:?}",
             contents.records
         );
         let incarnation = contents.incarnation;
         assert!(
             incarnation == 1 || (incarnation == 2 && !contents.records.is_empty()),
-            "cut at {cut}: boot {incarnation}"
+            "truncated to {cut} bytes: incarnation {incarnation}"
         );
         moved_count += usize::from(contents.moved_aside.is_some());
         total += 1;
-        memory.write(&[put(1, "on", "")], NOW_MS).expect("it works");
+        memory
+            .write(&[put(1, "on", "")], NOW_MS)
+            .expect("the memory accepts a write");
     }
     assert!(
         moved_count > total / 2,
-        "{moved_count} of {total} were kept aside"
+        "only {moved_count} of {total} files were renamed"
     );
 }
 
 #[test]
 fn starts_safely_from_corrupted_page() {
     let (disk, records) = disk_with_records();
-    let intact = disk.read(path()).expect("there");
+    let intact = disk.read(path()).expect("the file is readable");
     for page in 0..intact.len() / 4096 {
         for at in [page * 4096, page * 4096 + 77, page * 4096 + 2_048] {
             let mut corrupted = intact.clone();
@@ -319,7 +340,7 @@
             let disk = BreakingDisk::default();
             disk.place(path(), corrupted);
             match open_at(&disk, "east-1", NOW_MS) {
-                // Of the last two states, each is one that was written.
+                // Either of the last two states is one that was written.
                 Ok((_, contents)) if contents.moved_aside.is_none() => {
                     let before = [
                         record(1, "a", "1"),
@@ -329,12 +350,16 @@
                     let was_written = contents.records.is_empty()
                         || contents.records == records
                         || contents.records == before;
-                    assert!(was_written, "rotten at {at}: {:?}", contents.records);
+                    assert!(
+                        was_written,
+                        "corrupted at byte {at}: {:?}",
+                        contents.records
+                    );
                 }
                 Ok((_, contents)) => assert!(contents.records.is_empty()),
                 Err(error) => assert!(
                     matches!(error, OpenError::System(_)),
-                    "rotten at {at}: {error}"
+                    "corrupted at byte {at}: {error}"
                 ),
             }
         }
--- a/crates/store/tests/stored_form.rs
+++ b/crates/store/tests/stored_form.rs
@@ -1,4 +1,4 @@
-//! Files as the first released program wrote them: both are read in full.
+//! Files written by the first released version are read in full.
 
 use std::path::{Path, PathBuf};
 
@@ -8,14 +8,14 @@
 
 const NOW: u64 = 1_700_000_000_000;
 
-/// A copy of a stored file, in a folder of its own.
+/// Copies a stored file into a temporary folder.
 fn copy_fixture(name: &str) -> (tempfile::TempDir, PathBuf) {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let path = folder.path().join(name);
     let stored = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(name);
-    std::fs::copy(stored, &path).expect("a stored file");
+    std::fs::copy(stored, &path).expect("the stored file is copied");
     (folder, path)
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn reads_stored_overrides_file() {
     let (_folder, path) = copy_fixture("overrides.redb");
-    let (store, contents) = open(&path).expect("a sound file");
+    let (store, contents) = open(&path).expect("the file opens");
     assert_eq!(contents.overrides, overrides());
     assert!(contents.unreadable_ids.is_empty() && contents.moved_aside.is_none());
     assert_eq!(store.next_id(), Id(4));
@@ -68,7 +68,7 @@
 #[test]
 fn reads_stored_memory_with_snapshot_journal_and_owner() {
     let (_folder, path) = copy_fixture("memory.redb");
-    let (memory, restored) = memory::open(&path, "east-1", NOW + 20).expect("a sound file");
+    let (memory, restored) = memory::open(&path, "east-1", NOW + 20).expect("the file opens");
     assert_eq!(
         restored.records,
         [record(1, "list", "one"), record(4, "client", "two")]
@@ -79,6 +79,6 @@
     );
     assert!(restored.unreadable_records == 0 && restored.moved_aside.is_none());
     drop(memory);
-    let (_, foreign) = memory::open(&path, "west-2", NOW + 30).expect("begun anew");
+    let (_, foreign) = memory::open(&path, "west-2", NOW + 30).expect("a new memory is created");
     assert!(foreign.moved_aside.is_some() && foreign.records.is_empty());
 }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The writer of a memory: nobody waits for it, whatever its disk does.
+//! The writer of a memory does not block its callers, whatever the disk does.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crossbeam_channel::{Receiver, unbounded};
 
 const NOW: u64 = 1_700_000_000_000;
-/// Longer than anything here takes.
+/// Longer than any operation of these tests takes.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn record(kind: u32, subject: u32, value: &str) -> Record {
@@ -33,17 +33,17 @@
 
 fn spawn_writer(disk: &BreakingDisk, limits: Limits) -> (Writer, Receiver<DiskEvent>) {
     let (memory, _) =
-        open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("a memory");
+        open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("the memory opens");
     let (event_sender, events) = unbounded();
     let writer = Writer::spawn_with(memory, limits, move |event| {
         event_sender.send(event).unwrap_or_default()
     });
-    (writer.expect("a thread"), events)
+    (writer.expect("the thread starts"), events)
 }
 
 fn reopen(disk: &BreakingDisk) -> MemoryContents {
     open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW)
-        .expect("free and sound")
+        .expect("the file is closed and valid")
         .1
 }
 
@@ -89,7 +89,7 @@
     while writer.counts().pending > 0 {
         std::thread::yield_now();
     }
-    // These return although the disk never does.
+    // These calls return although the disk hangs.
     for turn in 0..100 {
         (0..1_000).for_each(|subject| writer.put(record(9, subject, &format!("{turn}"))));
         (0..10).for_each(|subject| writer.put(record(2, subject, &format!("{turn}"))));
@@ -103,29 +103,29 @@
     assert_eq!(counts.written, 0);
     assert!(
         !writer.flush(Duration::from_millis(1)),
-        "it is bounded in time"
+        "flush returns after its timeout"
     );
     assert!(
         !writer.take_resync_request(),
-        "asked for when the disk is well"
+        "a resync is requested only after the disk has recovered"
     );
     disk.set_fault(DiskFault::Fair);
     assert!(writer.flush(TIMEOUT));
-    // The turn after the batch asks.
+    // The iteration after the batch requests the resync.
     assert!(writer.flush(TIMEOUT));
     assert!(writer.take_resync_request() && !writer.take_resync_request());
     let records = records_after_close(writer, &disk);
     for subject in 0..10 {
         assert!(
             records.contains(&record(2, subject, "99")),
-            "the weightier kind is whole"
+            "records of the lower kind are complete"
         );
     }
     assert!(
         records
             .iter()
             .all(|record| record.kind != 9 || record.value == b"99"),
-        "the last of each subject"
+        "only the last value of each subject is written"
     );
 }
 
@@ -147,9 +147,9 @@
         disk.set_fault(fault);
         let large_value = "much".repeat(200_000);
         (0..9).for_each(|subject| writer.put(record(1, subject, &large_value)));
-        let first = events.recv_timeout(TIMEOUT).expect("it is said");
+        let first = events.recv_timeout(TIMEOUT).expect("the event is reported");
         assert!(matches!(first, DiskEvent::Failing(_)), "{first}");
-        // More fail, and nothing is said of them.
+        // Further failures are not reported.
         while writer.counts().failed < 4 {
             assert!(!writer.flush(TIMEOUT), "{fault:?}");
         }
@@ -159,12 +159,12 @@
         disk.set_fault(DiskFault::Fair);
         assert_eq!(events.recv_timeout(TIMEOUT), Ok(DiskEvent::Recovered));
         assert!(writer.flush(TIMEOUT) && !writer.counts().is_degraded);
-        assert!(!writer.take_resync_request(), "nothing gave way");
+        assert!(!writer.take_resync_request(), "no change was evicted");
         let records = records_after_close(writer, &disk);
         assert_eq!(records.len(), 8);
         assert!(
             records.contains(&record(1, 3, "later")),
-            "what was told later holds"
+            "a later change replaces the failed one"
         );
         assert!(events.is_empty());
     }
@@ -201,7 +201,7 @@
         disk.empty(loss);
         writer.put(record(1, 2, "after"));
         assert!(writer.flush(TIMEOUT));
-        let event = events.recv_timeout(TIMEOUT).expect("it is said");
+        let event = events.recv_timeout(TIMEOUT).expect("the event is reported");
         assert!(matches!(event, DiskEvent::FileRecreated(_)), "{event}");
         assert!(writer.take_resync_request());
         writer.put(record(1, 1, "before"));
@@ -216,7 +216,7 @@
     let (writer, events) = spawn_writer(&disk, limits());
     writer.put(record(1, 1, "last"));
     drop(writer);
-    // The thread ends, and what it says with it.
+    // The channel closes when the thread ends.
     assert!(events.recv_timeout(TIMEOUT).is_err());
     disk.power_back(Loss::Everything);
     assert_eq!(reopen(&disk).records, [record(1, 1, "last")]);
