--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -134,8 +134,8 @@
 }
 
 impl AdmissionQueue {
-    /// Creates an empty queue. `urgencies` are the weights of the classes within an account; a
-    /// value that is not positive counts as 1, and there is at least one class and queue.
+    /// Creates an empty queue. `class_weights` are the weights of the classes within an account; a
+    /// value that is not positive and finite counts as 1. There is at least one class and one queue.
     pub fn new(class_weights: &[f64], limits: Limits, seed: u64) -> AdmissionQueue {
         let mut class_weights: Vec<f64> = class_weights
             .iter()
--- a/crates/store/benches/memory.rs
+++ b/crates/store/benches/memory.rs
@@ -114,6 +114,6 @@
         );
     }
     let counts = writer.counts();
-    println!("{} gave way", counts.evicted);
+    println!("{} changes evicted", counts.evicted);
     assert!(writer.close(Duration::from_secs(60)));
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -22,7 +22,7 @@
 /// Stores overrides durably.
 pub trait OverrideStore: Send {
     /// Inserts or replaces overrides by id, all or none. They are durable on return.
-    fn put(&mut self, all: &[Override]) -> Result<(), StoreError>;
+    fn put(&mut self, overrides: &[Override]) -> Result<(), StoreError>;
 
     /// Deletes overrides by id, all or none. An unknown id is ignored.
     fn delete(&mut self, ids: &[Id]) -> Result<(), StoreError>;
