--- a/crates/admission/src/rejected_clients.rs
+++ b/crates/admission/src/rejected_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that were rejected and are expected back.
+//! Clients that were rejected and are expected to reconnect.
 
 use std::collections::VecDeque;
 
@@ -6,10 +6,10 @@
 
 use crate::Nanos;
 
-/// Most clients remembered; a later one replaces the earliest.
-const MOST_RETURNING: usize = 4_096;
-/// A client that returns later counts as new, in nanoseconds.
-const COMES_WITHIN: Nanos = 30_000_000_000;
+/// Most rejections remembered; a later one replaces the oldest.
+const MAX_REMEMBERED_REJECTIONS: usize = 4_096;
+/// Time in nanoseconds after a rejection within which a client counts as returning.
+const RETURN_WINDOW_NS: Nanos = 30_000_000_000;
 
 /// Clients that had a connection here and were rejected or migrated.
 #[derive(Debug, Default)]
@@ -21,17 +21,17 @@
 /// Rejections of one client.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rejections {
-    /// Rejections remembered.
+    /// Rejections of the client in the history.
     remembered: u32,
-    /// Those after which it has not returned yet.
+    /// Rejections after which the client has not returned yet.
     unmatched: u32,
 }
 
 impl RejectedClients {
     /// Records that a client was rejected.
     pub fn record_rejection(&mut self, now: Nanos, client: u64) {
-        if self.history.len() >= MOST_RETURNING {
-            self.forget_first();
+        if self.history.len() >= MAX_REMEMBERED_REJECTIONS {
+            self.forget_oldest();
         }
         let rejections = self.by_client.entry(client).or_default();
         rejections.remembered += 1;
@@ -39,15 +39,15 @@
         self.history.push_back((now, client));
     }
 
-    /// Whether a client returns after a rejection. Each rejection counts once, so that requests
-    /// under one client's name gain no more than it lost.
+    /// Whether a client returns after a rejection. Each rejection counts for one return, so that a
+    /// flood of requests under one client's name is preferred no more often than it was rejected.
     pub fn take_return(&mut self, now: Nanos, client: u64) -> bool {
         while self
             .history
             .front()
-            .is_some_and(|(at, _)| now > at.saturating_add(COMES_WITHIN))
+            .is_some_and(|(rejected_at, _)| now > rejected_at.saturating_add(RETURN_WINDOW_NS))
         {
-            self.forget_first();
+            self.forget_oldest();
         }
         let unmatched = self
             .by_client
@@ -57,7 +57,7 @@
         unmatched.map(|unmatched| *unmatched -= 1).is_some()
     }
 
-    fn forget_first(&mut self) {
+    fn forget_oldest(&mut self) {
         let Some((_, client)) = self.history.pop_front() else {
             return;
         };
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -67,7 +67,7 @@
     }
 
     fn remove(&mut self, request: RequestId) {
-        self.queue.leave(request.0);
+        self.queue.remove(request.0);
         self.entries.remove(&request.0);
     }
 }
@@ -115,7 +115,7 @@
                 match action {
                     Action::Enqueue(request) => {
                         if let Some(entry) = self.entries.get(&request.0) {
-                            self.queue.enter(*entry, &mut displaced);
+                            self.queue.enqueue(*entry, &mut displaced);
                         }
                     }
                     Action::Reject { request, .. } | Action::Fail(request) => {
--- a/crates/engine/tests/interleavings.rs
+++ b/crates/engine/tests/interleavings.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use beaconflow_admission::{Bound, Limits as QueueLimits};
+use beaconflow_admission::{Limits as QueueLimits, QueueSize};
 use beaconflow_engine::{BalancerEngine, Engine};
 use beaconflow_policy::*;
 
@@ -127,7 +127,7 @@
 impl Harness {
     fn new(seed: u64) -> Harness {
         let limits = QueueLimits {
-            all: Bound {
+            total: QueueSize {
                 entries: MAX_QUEUED,
                 bytes: usize::MAX,
             },
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! Where files lie: the system's disk, or one that a test breaks.
+//! Abstraction of the disk, which tests replace by one with injected faults.
 
 use std::fmt::Debug;
 use std::io;
@@ -7,42 +7,42 @@
 
 use redb::{Builder, Database, DatabaseError, ReadOnlyDatabase};
 
-/// Which file stands under a name, and how long it is. Only its store changes it while it has it open.
+/// Identity and length of the file at a path. While a store has the file open, only the store changes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
-    /// The device and the number there.
-    pub file: (u64, u64),
-    /// Its bytes.
-    pub length: u64,
+pub struct FileIdentity {
+    /// Device and inode number.
+    pub device_and_inode: (u64, u64),
+    /// Length in bytes.
+    pub length_bytes: u64,
 }
 
-/// Holds files.
+/// File operations that the stores need.
 pub trait Disk: Debug + Send + Sync {
-    /// Opens a database for writing, and makes it where there is none.
+    /// Opens a database for writing, and creates it if there is none.
     fn create(&self, builder: &Builder, path: &Path) -> Result<Database, DatabaseError>;
 
-    /// Opens a database without the leave to write.
+    /// Opens an existing database read-only.
     fn open_read_only(
         &self,
         builder: &Builder,
         path: &Path,
     ) -> Result<ReadOnlyDatabase, DatabaseError>;
 
-    /// All bytes of a file.
-    fn bytes(&self, path: &Path) -> io::Result<Vec<u8>>;
+    /// Reads a whole file.
+    fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// What stands under a name.
-    fn mark(&self, path: &Path) -> io::Result<Mark>;
+    /// Identity of the file at a path; an error if there is none.
+    fn identity(&self, path: &Path) -> io::Result<FileIdentity>;
 
-    /// Gives a file another name.
+    /// Renames a file.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// The system's files.
+/// The file system of the operating system.
 #[derive(Debug)]
-pub struct Files;
+pub struct SystemDisk;
 
-impl Disk for Files {
+impl Disk for SystemDisk {
     fn create(&self, builder: &Builder, path: &Path) -> Result<Database, DatabaseError> {
         builder.create(path)
     }
@@ -55,15 +55,15 @@
         builder.open_read_only(path)
     }
 
-    fn bytes(&self, path: &Path) -> io::Result<Vec<u8>> {
+    fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         std::fs::read(path)
     }
 
-    fn mark(&self, path: &Path) -> io::Result<Mark> {
-        let about = std::fs::metadata(path)?;
-        Ok(Mark {
-            file: (about.dev(), about.ino()),
-            length: about.len(),
+    fn identity(&self, path: &Path) -> io::Result<FileIdentity> {
+        let metadata = std::fs::metadata(path)?;
+        Ok(FileIdentity {
+            device_and_inode: (metadata.dev(), metadata.ino()),
+            length_bytes: metadata.len(),
         })
     }
 
@@ -72,14 +72,14 @@
     }
 }
 
-/// Keeps a file under another name beside its own, which nothing has.
-pub(crate) fn keep_aside(
+/// Renames a file to an unused name in the same folder; returns the new path.
+pub(crate) fn move_aside(
     disk: &dyn Disk,
     path: &Path,
     suffix: &str,
     now_ms: u64,
 ) -> io::Result<PathBuf> {
-    let named = |count: u32| {
+    let candidate = |count: u32| {
         let mut name = path.as_os_str().to_owned();
         name.push(format!(".{suffix}-{now_ms}"));
         if count > 0 {
@@ -87,9 +87,9 @@
         }
         PathBuf::from(name)
     };
-    let aside = (0..)
-        .map(named)
-        .find(|name| disk.mark(name).is_err())
-        .unwrap_or_else(|| named(0));
-    disk.rename(path, &aside).map(|()| aside)
+    let moved_path = (0..)
+        .map(candidate)
+        .find(|name| disk.identity(name).is_err())
+        .unwrap_or_else(|| candidate(0));
+    disk.rename(path, &moved_path).map(|()| moved_path)
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,6 +1,6 @@
-//! Overrides as protocol buffers.
+//! Encoding of overrides as protocol buffers.
 //!
-//! Fields are added, never given another meaning or number, so that each program reads what older ones wrote.
+//! Fields may be added, but keep their meaning and number, so that each program reads the files of older ones.
 
 use beaconflow_overrides::{Override, OverrideId, OverrideKind, Replay, Strictness, Subject};
 use prost::{Message, Oneof};
@@ -13,7 +13,7 @@
     who: String,
     #[prost(string, tag = "3")]
     why: String,
-    /// Unix time in milliseconds, here and below.
+    /// Unix time in milliseconds, like the other times.
     #[prost(uint64, tag = "4")]
     created_at: u64,
     #[prost(uint64, tag = "5")]
@@ -82,9 +82,9 @@
     Tenant(String),
 }
 
-/// The bytes of an override.
-pub(crate) fn encode(one: &Override) -> Vec<u8> {
-    let kind = match &one.kind {
+/// Encodes an override.
+pub(crate) fn encode(source: &Override) -> Vec<u8> {
+    let kind = match &source.kind {
         OverrideKind::Out {
             server,
             moves_per_s,
@@ -109,16 +109,16 @@
             strict: *strictness == Strictness::Strict,
         }),
     };
-    let replay = one.replay.as_ref();
+    let replay = source.replay.as_ref();
     let record = Record {
-        id: one.id.0,
-        who: one.who.clone(),
-        why: one.why.clone(),
-        created_at: one.created_at,
-        expires_at: one.expires_at,
-        removed_at: one.removed_at,
-        revision: one.revision,
-        forced: one.forced,
+        id: source.id.0,
+        who: source.who.clone(),
+        why: source.why.clone(),
+        created_at: source.created_at,
+        expires_at: source.expires_at,
+        removed_at: source.removed_at,
+        revision: source.revision,
+        forced: source.forced,
         replay: replay.map(|replay| ReplayRecord {
             key: replay.key.clone(),
             body: replay.body.clone(),
@@ -128,7 +128,7 @@
     record.encode_to_vec()
 }
 
-/// The override that bytes hold; nothing if they hold none, or one of a kind that this program does not know.
+/// Decodes an override; `None` if the record is malformed or of an unknown kind.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Override> {
     let record = Record::decode(bytes).ok()?;
     let kind = match record.kind? {
--- a/crates/store/src/record/tests.rs
+++ b/crates/store/src/record/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn round_trips_every_kind_of_override() {
     for kind in [
         pin().kind,
         OverrideKind::Out {
@@ -44,26 +44,26 @@
             strictness: Strictness::Prefer,
         },
     ] {
-        let one = Override { kind, ..pin() };
-        assert_eq!(decode(&encode(&one)), Some(one));
+        let original = Override { kind, ..pin() };
+        assert_eq!(decode(&encode(&original)), Some(original));
     }
 }
 
 #[test]
-fn records_of_other_programs_are_read_or_refused_but_never_misread() {
-    // An older one without the later fields.
+fn decodes_other_versions_and_rejects_malformed_records() {
+    // An older record without the later fields.
     let older = Record {
         removed_at: None,
         replay: None,
-        ..Record::decode(&encode(&pin())[..]).expect("sound")
+        ..Record::decode(&encode(&pin())[..]).expect("the encoded record decodes")
     };
-    let read = decode(&older.encode_to_vec()).expect("an older record");
-    assert_eq!((read.removed_at, read.replay), (None, None));
-    // A newer one with a field that is not known here: field 99, a varint.
+    let decoded = decode(&older.encode_to_vec()).expect("an older record decodes");
+    assert_eq!((decoded.removed_at, decoded.replay), (None, None));
+    // A newer record with an unknown field: field 99, a varint.
     let mut newer = encode(&pin());
     newer.extend([0x98, 0x06, 0x01]);
     assert_eq!(decode(&newer), Some(pin()));
-    // A kind that is not known, a weight of nothing, and no record at all.
+    // An unknown kind, a weight factor of 0, and bytes that are not a record.
     assert_eq!(
         decode(
             &Record {
@@ -74,14 +74,14 @@
         ),
         None
     );
-    let naught = KindRecord::Weight(WeightRecord {
+    let zero_weight = KindRecord::Weight(WeightRecord {
         server: "s".into(),
         factor: 0.0,
     });
     assert_eq!(
         decode(
             &Record {
-                kind: Some(naught),
+                kind: Some(zero_weight),
                 ..older
             }
             .encode_to_vec()
