--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -38,8 +38,8 @@
     }
     let mut body = json!({ "fronts": fronts });
     if let Some(tenants) = tenants {
-        body["tenants"] = json!(tenants.open());
-        body["store_away"] = tenants.store_is_away().into();
+        body["tenants"] = json!(tenants.open_connections());
+        body["store_away"] = tenants.is_store_unavailable().into();
     }
     Ok(Reply::new(200, body))
 }
--- a/crates/balancer/src/admin/tenants.rs
+++ b/crates/balancer/src/admin/tenants.rs
@@ -26,8 +26,8 @@
 impl From<StoreError> for Reply {
     fn from(error: StoreError) -> Reply {
         match error {
-            StoreError::Away => Reply::error(503, "the store is away"),
-            StoreError::TakesNothing => Reply::error(503, "the store takes no writing"),
+            StoreError::Unavailable => Reply::error(503, "the store is away"),
+            StoreError::WritesRefused => Reply::error(503, "the store takes no writing"),
             StoreError::Exists => Reply::error(409, "there is such a tenant"),
             StoreError::Missing => Reply::error(404, "there is no such tenant"),
         }
@@ -63,7 +63,7 @@
 
 /// All tenants.
 pub(super) fn list((tenants, _): &Here) -> Result<Reply, Reply> {
-    let open = tenants.open();
+    let open = tenants.open_connections();
     let all: Vec<Value> = tenants
         .list()?
         .iter()
@@ -76,7 +76,7 @@
 pub(super) fn read((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
     Ok(Reply::new(
         200,
-        tenant_json(&*tenants.get(name)?, &tenants.open()),
+        tenant_json(&*tenants.get(name)?, &tenants.open_connections()),
     ))
 }
 
@@ -140,7 +140,10 @@
         tenant.upstream = upstream.unwrap_or_else(|| tenant.upstream.clone());
     })?;
     info!(part = "audit", tenant = name, "tenant changed");
-    Ok(Reply::new(200, tenant_json(&changed, &tenants.open())))
+    Ok(Reply::new(
+        200,
+        tenant_json(&changed, &tenants.open_connections()),
+    ))
 }
 
 /// Removes a tenant.
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -173,7 +173,7 @@
     endpoint: &'a Endpoint,
     client: &'a mut dyn WaitingClient,
     timing: AttemptTiming,
-    intake: ReadBuffer,
+    read_buffer: ReadBuffer,
 }
 
 impl<'a> ServerExchange<'a> {
@@ -189,13 +189,13 @@
             endpoint,
             client,
             timing,
-            intake: ReadBuffer::new(MAX_READ_AHEAD),
+            read_buffer: ReadBuffer::new(MAX_READ_AHEAD),
         }
     }
 
     /// The server's socket, and the bytes that it sent beyond its answer.
     pub fn into_parts(self) -> (TcpStream, Vec<u8>) {
-        (self.server, self.intake.into_rest())
+        (self.server, self.read_buffer.into_rest())
     }
 
     /// When the attempt times out.
@@ -214,11 +214,11 @@
         if self.client.is_abandoned() || Instant::now() >= self.timing.begin_by {
             return Err(AttemptError::NotSent);
         }
-        let begun = {
-            let _leave = self.endpoint.begin_write().ok_or(AttemptError::NotSent)?;
+        let result = {
+            let _write_permit = self.endpoint.begin_write().ok_or(AttemptError::NotSent)?;
             net::write_gathered(&self.server, buffers)
         };
-        self.finish_write(begun, buffers)
+        self.finish_write(result, buffers)
             .map_err(AttemptError::partly_written)
     }
 
@@ -234,14 +234,14 @@
     /// Finishes a write that would block.
     fn finish_write(
         &self,
-        begun: Result<(), (usize, io::Error)>,
+        result: Result<(), (usize, io::Error)>,
         buffers: &[&[u8]],
     ) -> Result<(), (usize, io::Error)> {
-        match begun {
+        match result {
             Err((written, error)) if net::is_would_block(&error) => {
-                let whole = buffers.concat();
-                net::write_until(&self.server, &[&whole[written..]], self.timing.deadline_at)
-                    .map_err(|(more, error)| (written + more, error))
+                let all = buffers.concat();
+                net::write_until(&self.server, &[&all[written..]], self.timing.deadline_at)
+                    .map_err(|(additional, error)| (written + additional, error))
             }
             done => done,
         }
@@ -255,13 +255,13 @@
     /// Returns how far the attempt had come.
     pub fn read_line(
         &mut self,
-        failed: impl Fn(ReadError) -> AttemptError,
+        to_error: impl Fn(ReadError) -> AttemptError,
     ) -> Result<Vec<u8>, AttemptError> {
         loop {
-            if let Some(line) = self.intake.next_line() {
+            if let Some(line) = self.read_buffer.next_line() {
                 return Ok(line);
             }
-            let left = self
+            let remaining = self
                 .timing
                 .deadline_at
                 .saturating_duration_since(Instant::now());
@@ -270,19 +270,19 @@
                 (self.client.stream(), PollFlags::IN),
             ];
             let [server_ready, client_ready] =
-                net::wait_ready(sides, left.min(ABANDON_CHECK_INTERVAL));
+                net::wait_ready(sides, remaining.min(ABANDON_CHECK_INTERVAL));
             if self.client.is_abandoned() {
-                return Err(failed(ReadError::TimedOut));
+                return Err(to_error(ReadError::TimedOut));
             }
             if client_ready {
                 self.client.read_early().map_err(AttemptError::ClientLeft)?;
             }
-            if server_ready || left.is_zero() {
-                self.intake
+            if server_ready || remaining.is_zero() {
+                self.read_buffer
                     .read(&self.server, Instant::now())
                     .or_else(|error| match error {
-                        ReadError::TimedOut if !left.is_zero() => Ok(()),
-                        error => Err(failed(error)),
+                        ReadError::TimedOut if !remaining.is_zero() => Ok(()),
+                        error => Err(to_error(error)),
                     })?;
             }
         }
--- a/crates/balancer/src/connections/acceptor.rs
+++ b/crates/balancer/src/connections/acceptor.rs
@@ -55,26 +55,26 @@
     };
     loop {
         acceptor.follow_lifecycle();
-        let accepts = acceptor.should_accept(listener);
-        let has_room = accepts && acceptor.can_accept_one();
-        let patience = acceptor.wait_timeout(has_room || !accepts);
-        let waiting = acceptor
+        let should_accept = acceptor.should_accept(listener);
+        let has_room = should_accept && acceptor.can_accept_one();
+        let timeout = acceptor.wait_timeout(has_room || !should_accept);
+        let handshakes = acceptor
             .handshakes
             .iter()
-            .map(|waiting| Some(&waiting.client));
+            .map(|handshake| Some(&handshake.client));
         let lingering = acceptor
             .lingering
             .iter()
             .map(LingeringClose::stream_to_read);
-        let streams = waiting.chain(lingering);
-        let (clients, ready) =
-            net::wait_listener_or_streams(has_room.then_some(&listener.socket), streams, patience);
-        let (heard, ended) = ready.split_at(acceptor.handshakes.len());
-        acceptor.read_lingering(ended);
+        let streams = handshakes.chain(lingering);
+        let (listener_ready, ready) =
+            net::wait_listener_or_streams(has_room.then_some(&listener.socket), streams, timeout);
+        let (ready_handshakes, ready_lingering) = ready.split_at(acceptor.handshakes.len());
+        acceptor.read_lingering(ready_lingering);
         // Handshakes go before new clients: one that is complete makes room without being evicted.
-        acceptor.read_handshakes(heard);
+        acceptor.read_handshakes(ready_handshakes);
         acceptor.expire_handshakes();
-        if clients && acceptor.should_accept(listener) {
+        if listener_ready && acceptor.should_accept(listener) {
             acceptor.accept(&listener.socket);
         }
         acceptor.publish_handshakes();
@@ -102,21 +102,21 @@
     /// Time until the next handshake expires or may be evicted, or accepting resumes.
     fn wait_timeout(&self, has_room: bool) -> Duration {
         let now = Instant::now();
-        let heard = |waiting: &Handshake| {
+        let next_event_at = |handshake: &Handshake| {
             if has_room {
-                waiting.deadline_at(&**self.front, self.drain_started_at)
+                handshake.deadline_at(&**self.front, self.drain_started_at)
             } else {
-                waiting.accepted_at + MIN_HANDSHAKE_TIME
+                handshake.accepted_at + MIN_HANDSHAKE_TIME
             }
         };
-        let next = self
+        let next_at = self
             .handshakes
             .iter()
-            .map(heard)
+            .map(next_event_at)
             .chain(self.lingering.iter().map(LingeringClose::deadline_at))
             .min();
-        let left = next.map_or(Duration::from_secs(1), |until| {
-            until.saturating_duration_since(now)
+        let left = next_at.map_or(Duration::from_secs(1), |at| {
+            at.saturating_duration_since(now)
         });
         let paused = self.accept_resumes_at.saturating_duration_since(now);
         let left = if paused.is_zero() {
@@ -129,8 +129,8 @@
 
     /// Longest wait without a lifecycle check.
     fn max_wait(&self) -> Duration {
-        let leaves = self.core.lifecycle().state() == LifecycleState::ShuttingDown;
-        match (self.handshakes.is_empty(), leaves) {
+        let is_shutting_down = self.core.lifecycle().state() == LifecycleState::ShuttingDown;
+        match (self.handshakes.is_empty(), is_shutting_down) {
             (true, _) => Duration::from_secs(1),
             (false, true) => SHUTDOWN_CHECK_INTERVAL,
             (false, false) => STATE_CHECK_INTERVAL,
@@ -144,8 +144,8 @@
     /// Whether this process accepts clients. During a shutdown a shared listener is left to the
     /// other process.
     fn should_accept(&self, listener: &Listener) -> bool {
-        let leaves = self.core.lifecycle().state() == LifecycleState::ShuttingDown;
-        (!listener.is_shared || !leaves) && Instant::now() >= self.accept_resumes_at
+        let is_shutting_down = self.core.lifecycle().state() == LifecycleState::ShuttingDown;
+        (!listener.is_shared || !is_shutting_down) && Instant::now() >= self.accept_resumes_at
     }
 
     /// Notices the beginning and the end of a drain.
@@ -172,11 +172,12 @@
 
     /// The client to evict: the one that has been silent longest, else the oldest.
     fn eviction_candidate(&self) -> Option<usize> {
-        let silent =
-            |waiting: &Handshake| waiting.has_had_min_time() && waiting.intake.bytes().is_empty();
+        let is_silent = |handshake: &Handshake| {
+            handshake.has_had_min_time() && handshake.read_buffer.bytes().is_empty()
+        };
         self.handshakes
             .iter()
-            .position(silent)
+            .position(is_silent)
             .or_else(|| self.handshakes.iter().position(Handshake::has_had_min_time))
     }
 
@@ -208,15 +209,15 @@
 
     /// Evicts a client if there are too many handshakes.
     fn evict_one(&mut self) {
-        let openings = self.budget().handshakes;
-        let place = self
+        let max_handshakes = self.budget().handshakes;
+        let index = self
             .eviction_candidate()
-            .filter(|_| self.handshakes.len() >= openings);
-        let Some(waiting) = place.and_then(|place| self.handshakes.remove(place)) else {
+            .filter(|_| self.handshakes.len() >= max_handshakes);
+        let Some(handshake) = index.and_then(|index| self.handshakes.remove(index)) else {
             return;
         };
         self.reject(
-            waiting.client,
+            handshake.client,
             &self.front.encode(ClientMessage::Rejected(None)),
         );
         self.rejections.warn(
@@ -238,8 +239,8 @@
     /// Lets a client linger; the oldest is closed if there are too many.
     fn linger(&mut self, client: LingeringClose) {
         self.lingering.push_back(client);
-        let most = self.budget().lingering;
-        while self.lingering.len() > most {
+        let max_lingering = self.budget().lingering;
+        while self.lingering.len() > max_lingering {
             self.lingering.pop_front();
         }
     }
@@ -258,39 +259,39 @@
     }
 
     /// Reads the handshakes that are ready.
-    fn read_handshakes(&mut self, heard: &[bool]) {
-        let mut place = 0;
-        for heard in heard {
-            let Some(waiting) = self.handshakes.get_mut(place).filter(|_| *heard) else {
-                place += 1;
+    fn read_handshakes(&mut self, ready: &[bool]) {
+        let mut index = 0;
+        for is_ready in ready {
+            let Some(handshake) = self.handshakes.get_mut(index).filter(|_| *is_ready) else {
+                index += 1;
                 continue;
             };
-            let became = read_handshake_guarded(&**self.front, waiting, self.core);
-            if matches!(became, HandshakeOutcome::Incomplete) {
-                place += 1;
-            } else if let Some(waiting) = self.handshakes.remove(place) {
-                self.finish_handshake(waiting, became);
+            let outcome = read_handshake_guarded(&**self.front, handshake, self.core);
+            if matches!(outcome, HandshakeOutcome::Incomplete) {
+                index += 1;
+            } else if let Some(handshake) = self.handshakes.remove(index) {
+                self.finish_handshake(handshake, outcome);
             }
         }
     }
 
     /// Acts on a handshake that is no longer pending.
-    fn finish_handshake(&mut self, waiting: Handshake, became: HandshakeOutcome<F::Request>) {
-        match became {
-            HandshakeOutcome::Rejected(Rejection { answer, why }) => {
+    fn finish_handshake(&mut self, handshake: Handshake, outcome: HandshakeOutcome<F::Request>) {
+        match outcome {
+            HandshakeOutcome::Rejected(Rejection { answer, reason }) => {
                 self.rejections
-                    .warn(self.front.name(), "handshake rejected", &why);
-                self.reject(waiting.client, &answer);
+                    .warn(self.front.name(), "handshake rejected", &reason);
+                self.reject(handshake.client, &answer);
             }
             HandshakeOutcome::Complete(request) => {
-                self.open(waiting.client, request, waiting.intake)
+                self.admit_client(handshake.client, request, handshake.read_buffer)
             }
             HandshakeOutcome::Closed | HandshakeOutcome::Incomplete => {}
         }
     }
 
     /// Admits a client.
-    fn open(&mut self, client: TcpStream, request: F::Request, intake: ReadBuffer) {
+    fn admit_client(&mut self, client: TcpStream, request: F::Request, read_buffer: ReadBuffer) {
         let Some(slot) = self.core.reserve_connection(self.budget().connections) else {
             self.rejections.warn(
                 self.front.name(),
@@ -299,40 +300,46 @@
             );
             return self.reject(client, &self.front.encode(ClientMessage::Rejected(None)));
         };
-        let client_connection = ClientConnection::new(&**self.front, client, intake.into_rest());
+        let client_connection =
+            ClientConnection::new(&**self.front, client, read_buffer.into_rest());
         let admission = CompletedHandshake {
             client_connection,
             request,
             slot,
         };
-        if F::ADMIT_WAITS {
-            return self.admit_on_a_thread(admission);
+        if F::ADMIT_BLOCKS {
+            return self.admit_on_thread(admission);
         }
-        if let Some(refused) = admit(
+        if let Some(rejected) = admit(
             &**self.front,
             admission,
             (self.connections, &self.rejections),
         ) {
-            self.linger(refused);
+            self.linger(rejected);
         }
     }
 
     /// Admits a client on a thread of its own, where the front may block.
-    fn admit_on_a_thread(&mut self, admission: CompletedHandshake<F>) {
+    fn admit_on_thread(&mut self, admission: CompletedHandshake<F>) {
         let (front, rejections) = (Arc::clone(self.front), Arc::clone(&self.rejections));
-        let transactions = self.connections.clone();
-        let (give, take) = bounded::<CompletedHandshake<F>>(1);
+        let connections = self.connections.clone();
+        let (sender, receiver) = bounded::<CompletedHandshake<F>>(1);
         let run = move || {
-            let Ok(admission) = take.recv() else { return };
-            if let Some(refused) = admit(&*front, admission, (&transactions, &rejections)) {
-                net::discard_until_end(refused.stream(), REJECTED_LINGER);
+            let Ok(admission) = receiver.recv() else {
+                return;
+            };
+            if let Some(rejected) = admit(&*front, admission, (&connections, &rejections)) {
+                net::discard_until_end(rejected.stream(), REJECTED_LINGER);
             }
         };
-        let named = std::thread::Builder::new()
+        let builder = std::thread::Builder::new()
             .name("admit".into())
             .stack_size(self.front.thread_stack_bytes());
-        let unserved = match named.spawn(run) {
-            Ok(_) => give.send(admission).err().map(|unsent| unsent.into_inner()),
+        let unserved = match builder.spawn(run) {
+            Ok(_) => sender
+                .send(admission)
+                .err()
+                .map(|unsent| unsent.into_inner()),
             Err(error) => {
                 self.rejections.warn(self.front.name(), "no thread", &error);
                 Some(admission)
@@ -351,27 +358,30 @@
     /// Closes handshakes whose time is over.
     fn expire_handshakes(&mut self) {
         let now = Instant::now();
-        let hears = self.core.lifecycle().accepts_handshakes();
-        let mut place = 0;
-        while let Some(waiting) = self.handshakes.get_mut(place) {
-            if hears && now < waiting.deadline_at(&**self.front, self.drain_started_at) {
-                place += 1;
+        let accepts_handshakes = self.core.lifecycle().accepts_handshakes();
+        let mut index = 0;
+        while let Some(handshake) = self.handshakes.get_mut(index) {
+            if accepts_handshakes
+                && now < handshake.deadline_at(&**self.front, self.drain_started_at)
+            {
+                index += 1;
                 continue;
             }
             // A complete handshake may have arrived since the last poll.
-            let became = read_handshake_guarded(&**self.front, waiting, self.core);
-            let late = !hears || now >= waiting.deadline_at(&**self.front, self.drain_started_at);
-            if matches!(became, HandshakeOutcome::Incomplete) && !late {
-                place += 1;
+            let outcome = read_handshake_guarded(&**self.front, handshake, self.core);
+            let is_expired = !accepts_handshakes
+                || now >= handshake.deadline_at(&**self.front, self.drain_started_at);
+            if matches!(outcome, HandshakeOutcome::Incomplete) && !is_expired {
+                index += 1;
                 continue;
             }
-            let Some(waiting) = self.handshakes.remove(place) else {
+            let Some(handshake) = self.handshakes.remove(index) else {
                 return;
             };
-            if matches!(became, HandshakeOutcome::Incomplete) {
-                self.expire(waiting);
+            if matches!(outcome, HandshakeOutcome::Incomplete) {
+                self.expire(handshake);
             } else {
-                self.finish_handshake(waiting, became);
+                self.finish_handshake(handshake, outcome);
             }
         }
         self.lingering.retain(|client| !client.is_done());
@@ -379,16 +389,16 @@
 
     /// Closes a client whose handshake is late. An idle one is told to come again, which also
     /// answers a request that crosses its end.
-    fn expire(&mut self, waiting: Handshake) {
-        if waiting.is_idle() {
+    fn expire(&mut self, handshake: Handshake) {
+        if handshake.is_idle() {
             return self.reject(
-                waiting.client,
+                handshake.client,
                 &self.front.encode(ClientMessage::Rejected(None)),
             );
         }
-        let Rejection { answer, why } = self.front.handshake_error(HandshakeError::TimedOut);
+        let Rejection { answer, reason } = self.front.handshake_error(HandshakeError::TimedOut);
         self.rejections
-            .warn(self.front.name(), "handshake rejected", &why);
-        self.reject(waiting.client, &answer);
+            .warn(self.front.name(), "handshake rejected", &reason);
+        self.reject(handshake.client, &answer);
     }
 }
--- a/crates/balancer/src/connections/acceptor/admission.rs
+++ b/crates/balancer/src/connections/acceptor/admission.rs
@@ -34,8 +34,8 @@
             });
             None
         }
-        Err(Rejection { answer, why }) => {
-            rejections.warn(front.name(), "handshake rejected", &why);
+        Err(Rejection { answer, reason }) => {
+            rejections.warn(front.name(), "handshake rejected", &reason);
             Some(client.close_with(&answer))
         }
     }
--- a/crates/balancer/src/connections/acceptor/handshake.rs
+++ b/crates/balancer/src/connections/acceptor/handshake.rs
@@ -19,29 +19,29 @@
 /// A client with an incomplete handshake.
 pub(super) struct Handshake {
     pub(super) client: TcpStream,
-    pub(super) intake: ReadBuffer,
+    pub(super) read_buffer: ReadBuffer,
     pub(super) accepted_at: Instant,
     /// Start of its timeout: the accept, its last readiness query, or the first byte after that.
-    timeout_from: Instant,
+    timeout_started_at: Instant,
     /// Whether it sent a readiness query.
-    has_asked: bool,
+    has_queried: bool,
 }
 
 impl Handshake {
-    pub(super) fn new(client: TcpStream, longest: usize) -> Handshake {
+    pub(super) fn new(client: TcpStream, max_line_bytes: usize) -> Handshake {
         let now = Instant::now();
         Handshake {
             client,
-            intake: ReadBuffer::new(longest),
+            read_buffer: ReadBuffer::new(max_line_bytes),
             accepted_at: now,
-            timeout_from: now,
-            has_asked: false,
+            timeout_started_at: now,
+            has_queried: false,
         }
     }
 
     /// Whether it has sent nothing since its last query.
     pub(super) fn is_idle(&self) -> bool {
-        self.has_asked && self.intake.bytes().is_empty()
+        self.has_queried && self.read_buffer.bytes().is_empty()
     }
 
     /// Whether it has had its minimum time.
@@ -50,14 +50,20 @@
     }
 
     /// When it is closed.
-    pub(super) fn deadline_at(&self, front: &impl Front, drains_since: Option<Instant>) -> Instant {
-        if !self.intake.bytes().is_empty() {
-            return self.timeout_from + front.begun_handshake_timeout();
+    pub(super) fn deadline_at(
+        &self,
+        front: &impl Front,
+        drain_started_at: Option<Instant>,
+    ) -> Instant {
+        if !self.read_buffer.bytes().is_empty() {
+            return self.timeout_started_at + front.begun_handshake_timeout();
         }
-        let until = self.timeout_from + front.handshake_timeout();
-        let drains = drains_since.filter(|_| self.has_asked);
-        drains.map_or(until, |since| {
-            until.min((since + IDLE_TIMEOUT_IN_DRAIN).max(self.accepted_at + MIN_HANDSHAKE_TIME))
+        let deadline_at = self.timeout_started_at + front.handshake_timeout();
+        let drain_started_at = drain_started_at.filter(|_| self.has_queried);
+        drain_started_at.map_or(deadline_at, |started_at| {
+            deadline_at.min(
+                (started_at + IDLE_TIMEOUT_IN_DRAIN).max(self.accepted_at + MIN_HANDSHAKE_TIME),
+            )
         })
     }
 }
@@ -73,11 +79,11 @@
 /// A panic in reading one handshake must not end the acceptor.
 pub(super) fn read_handshake_guarded<F: Front>(
     front: &F,
-    waiting: &mut Handshake,
+    handshake: &mut Handshake,
     core: &CoreHandle,
 ) -> HandshakeOutcome<F::Request> {
-    let became = catch_unwind(AssertUnwindSafe(|| read_handshake(front, waiting, core)));
-    became.unwrap_or_else(|_| {
+    let outcome = catch_unwind(AssertUnwindSafe(|| read_handshake(front, handshake, core)));
+    outcome.unwrap_or_else(|_| {
         HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong))
     })
 }
@@ -85,18 +91,18 @@
 /// Reads once and parses what has arrived.
 fn read_handshake<F: Front>(
     front: &F,
-    waiting: &mut Handshake,
+    handshake: &mut Handshake,
     core: &CoreHandle,
 ) -> HandshakeOutcome<F::Request> {
-    let rested = waiting.is_idle();
+    let was_idle = handshake.is_idle();
     let Handshake {
         client,
-        intake,
-        timeout_from,
-        has_asked,
+        read_buffer,
+        timeout_started_at,
+        has_queried,
         ..
-    } = waiting;
-    match intake.read(client, Instant::now()) {
+    } = handshake;
+    match read_buffer.read(client, Instant::now()) {
         Ok(()) => {}
         Err(ReadError::TimedOut) => return HandshakeOutcome::Incomplete,
         Err(ReadError::Ended | ReadError::Broken(_)) => return HandshakeOutcome::Closed,
@@ -104,29 +110,29 @@
             return HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong));
         }
     }
-    if rested {
-        *timeout_from = Instant::now();
+    if was_idle {
+        *timeout_started_at = Instant::now();
     }
-    while let Some(line) = intake.next_line() {
+    while let Some(line) = read_buffer.next_line() {
         let reply = match front.parse_handshake(&line, core.clock().now()) {
-            HandshakeLine::Reply(words) => words,
+            HandshakeLine::Reply(reply) => reply,
             HandshakeLine::ReadinessQuery => {
                 front.readiness_answer(core.lifecycle().state(), core.lifecycle().is_ready())
             }
-            HandshakeLine::Rejected(refusal) => return HandshakeOutcome::Rejected(refusal),
-            HandshakeLine::Connect(_) if intake.bytes().len() > front.max_early_bytes() => {
+            HandshakeLine::Rejected(rejection) => return HandshakeOutcome::Rejected(rejection),
+            HandshakeLine::Connect(_) if read_buffer.bytes().len() > front.max_early_bytes() => {
                 return HandshakeOutcome::Rejected(
                     front.handshake_error(HandshakeError::ExtraBytes),
                 );
             }
             HandshakeLine::Connect(request) => return HandshakeOutcome::Complete(request),
         };
-        *has_asked = true;
+        *has_queried = true;
         if net::write_gathered(client, &[reply]).is_err() {
             return HandshakeOutcome::Closed;
         }
     }
-    if intake.is_full() {
+    if read_buffer.is_full() {
         HandshakeOutcome::Rejected(front.handshake_error(HandshakeError::TooLong))
     } else {
         HandshakeOutcome::Incomplete
--- a/crates/balancer/src/connections/connect.rs
+++ b/crates/balancer/src/connections/connect.rs
@@ -33,13 +33,13 @@
     front: &F,
     client_connection: &mut ClientConnection,
     server_handshake: &F::ServerHandshake,
-    to: &Endpoint,
-    times: AttemptTiming,
+    endpoint: &Endpoint,
+    timing: AttemptTiming,
     connect_timeout: Duration,
 ) -> Result<EstablishedServer, AttemptError> {
-    let server = connect(to.address, client_connection, times, connect_timeout)?;
+    let server = connect(endpoint.address, client_connection, timing, connect_timeout)?;
     net::configure_stream(&server).map_err(AttemptError::NotConnected)?;
-    let mut exchange = ServerExchange::new(server, to, client_connection, times);
+    let mut exchange = ServerExchange::new(server, endpoint, client_connection, timing);
     let answer = front.request_connection(&mut exchange, server_handshake)?;
     let (server, read_ahead) = exchange.into_parts();
     Ok(EstablishedServer {
@@ -56,43 +56,49 @@
 ///
 /// Fails if the client has left, the attempt is too late or abandoned, or the connect fails.
 pub fn connect(
-    to: SocketAddr,
+    address: SocketAddr,
     client: &mut dyn WaitingClient,
-    times: AttemptTiming,
+    timing: AttemptTiming,
     connect_timeout: Duration,
 ) -> Result<TcpStream, AttemptError> {
     client.read_early().map_err(AttemptError::ClientLeft)?;
-    if client.is_abandoned() || Instant::now() >= times.begin_by {
+    if client.is_abandoned() || Instant::now() >= timing.begin_by {
         return Err(AttemptError::NotSent);
     }
-    let given_up_at = times.begin_by.min(Instant::now() + connect_timeout);
-    let server = start_connect(to).map_err(AttemptError::NotConnected)?;
+    let connect_deadline_at = timing.begin_by.min(Instant::now() + connect_timeout);
+    let server = start_connect(address).map_err(AttemptError::NotConnected)?;
     loop {
-        let left = given_up_at.saturating_duration_since(Instant::now());
+        let remaining = connect_deadline_at.saturating_duration_since(Instant::now());
         let sides = [(&server, PollFlags::OUT), (client.stream(), PollFlags::IN)];
-        let [is_decided, client_ready] = net::wait_ready(sides, left.min(ABANDON_CHECK_INTERVAL));
+        let [is_connect_done, client_ready] =
+            net::wait_ready(sides, remaining.min(ABANDON_CHECK_INTERVAL));
         if client_ready {
             client.read_early().map_err(AttemptError::ClientLeft)?;
         }
         if client.is_abandoned() {
             return Err(AttemptError::NotSent);
         }
-        if is_decided {
-            let failure = server.take_error().unwrap_or_else(Some);
-            return failure.map_or(Ok(server), |error| Err(AttemptError::NotConnected(error)));
+        if is_connect_done {
+            let connect_error = server.take_error().unwrap_or_else(Some);
+            return connect_error
+                .map_or(Ok(server), |error| Err(AttemptError::NotConnected(error)));
         }
-        if left.is_zero() {
+        if remaining.is_zero() {
             return Err(AttemptError::NotConnected(io::ErrorKind::TimedOut.into()));
         }
     }
 }
 
 /// Starts a non-blocking connect.
-fn start_connect(to: SocketAddr) -> io::Result<TcpStream> {
+fn start_connect(address: SocketAddr) -> io::Result<TcpStream> {
     // The same system calls as `TcpStream::connect_timeout`.
-    let server = TcpStream::from(Socket::new(Domain::for_address(to), Type::STREAM, None)?);
+    let server = TcpStream::from(Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        None,
+    )?);
     server.set_nonblocking(true)?;
-    match SockRef::from(&server).connect(&to.into()) {
+    match SockRef::from(&server).connect(&address.into()) {
         Err(error) if error.raw_os_error() != Some(Errno::INPROGRESS.raw_os_error()) => Err(error),
         _ => Ok(server),
     }
--- a/crates/balancer/src/connections/connect/tests.rs
+++ b/crates/balancer/src/connections/connect/tests.rs
@@ -10,21 +10,21 @@
 use crate::testing::full_listener;
 
 /// Longer than a test waits for anything.
-const LONG: Duration = Duration::from_secs(30);
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client whose other end the test holds.
-struct Waits {
+struct TestClient {
     stream: TcpStream,
-    is_given_up: Arc<AtomicBool>,
+    is_abandoned: Arc<AtomicBool>,
 }
 
-impl WaitingClient for Waits {
+impl WaitingClient for TestClient {
     fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
     fn is_abandoned(&self) -> bool {
-        self.is_given_up.load(Ordering::Relaxed)
+        self.is_abandoned.load(Ordering::Relaxed)
     }
 
     fn read_early(&mut self) -> Result<(), ReadError> {
@@ -37,125 +37,168 @@
     }
 }
 
-fn client() -> (Waits, TcpStream) {
+fn test_client() -> (TestClient, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let far = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
+    let client_end = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
     let stream = listener.accept().expect("it came").0;
     net::configure_stream(&stream).expect("open");
     (
-        Waits {
+        TestClient {
             stream,
-            is_given_up: Arc::default(),
+            is_abandoned: Arc::default(),
         },
-        far,
+        client_end,
     )
 }
 
-fn after(span: Duration) -> AttemptTiming {
-    let moment = Instant::now() + span;
+fn timing_after(delay: Duration) -> AttemptTiming {
+    let deadline_at = Instant::now() + delay;
     AttemptTiming {
-        begin_by: moment,
-        deadline_at: moment,
+        begin_by: deadline_at,
+        deadline_at,
     }
 }
 
 #[test]
-fn a_connect_that_is_not_up_when_the_attempt_may_no_longer_begin_has_failed() {
+fn fails_when_connect_exceeds_either_deadline() {
     let (listener, _filler) = full_listener();
-    let to = listener.local_addr().expect("bound");
-    let (mut client, _far) = client();
-    let ended = connect(to, &mut client, after(Duration::from_millis(50)), LONG);
+    let address = listener.local_addr().expect("bound");
+    let (mut client, _client_end) = test_client();
+    let result = connect(
+        address,
+        &mut client,
+        timing_after(Duration::from_millis(50)),
+        LONG_TIMEOUT,
+    );
     assert!(
-        matches!(ended, Err(AttemptError::NotConnected(_))),
-        "{ended:?}"
+        matches!(result, Err(AttemptError::NotConnected(_))),
+        "{result:?}"
+    );
+    let result = connect(
+        address,
+        &mut client,
+        timing_after(LONG_TIMEOUT),
+        Duration::from_millis(50),
     );
-    let ended = connect(to, &mut client, after(LONG), Duration::from_millis(50));
     assert!(
-        matches!(ended, Err(AttemptError::NotConnected(_))),
-        "{ended:?}"
+        matches!(result, Err(AttemptError::NotConnected(_))),
+        "{result:?}"
     );
 }
 
 #[test]
-fn no_connect_is_begun_for_one_that_has_left_or_was_given_up_on_or_is_full_listener() {
+fn does_not_connect_for_departed_abandoned_or_late_client() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let to = listener.local_addr().expect("bound");
-    let (mut left, far) = client();
-    drop(far);
-    let ended = connect(to, &mut left, after(LONG), LONG);
+    let address = listener.local_addr().expect("bound");
+    let (mut departed, client_end) = test_client();
+    drop(client_end);
+    let result = connect(
+        address,
+        &mut departed,
+        timing_after(LONG_TIMEOUT),
+        LONG_TIMEOUT,
+    );
     assert!(
-        matches!(ended, Err(AttemptError::ClientLeft(ReadError::Ended))),
-        "{ended:?}"
+        matches!(result, Err(AttemptError::ClientLeft(ReadError::Ended))),
+        "{result:?}"
+    );
+    let (mut abandoned, _client_end) = test_client();
+    abandoned.is_abandoned.store(true, Ordering::Relaxed);
+    let result = connect(
+        address,
+        &mut abandoned,
+        timing_after(LONG_TIMEOUT),
+        LONG_TIMEOUT,
+    );
+    assert!(matches!(result, Err(AttemptError::NotSent)), "{result:?}");
+    let (mut late, _client_end) = test_client();
+    let result = connect(
+        address,
+        &mut late,
+        timing_after(Duration::ZERO),
+        LONG_TIMEOUT,
     );
-    let (mut given_up, _far) = client();
-    given_up.is_given_up.store(true, Ordering::Relaxed);
-    let ended = connect(to, &mut given_up, after(LONG), LONG);
-    assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
-    let (mut late, _far) = client();
-    let ended = connect(to, &mut late, after(Duration::ZERO), LONG);
-    assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
+    assert!(matches!(result, Err(AttemptError::NotSent)), "{result:?}");
     listener.set_nonblocking(true).expect("open");
     assert!(listener.accept().is_err(), "no connection came");
 }
 
 #[test]
-fn one_that_is_given_up_on_during_the_connect_ends_it() {
+fn stops_connect_when_attempt_is_abandoned() {
     let (listener, _filler) = full_listener();
-    let to = listener.local_addr().expect("bound");
-    let (mut client, _far) = client();
-    let (is_given_up, began) = (Arc::clone(&client.is_given_up), Instant::now());
-    let gives_up = std::thread::spawn(move || {
+    let address = listener.local_addr().expect("bound");
+    let (mut client, _client_end) = test_client();
+    let (is_abandoned, started_at) = (Arc::clone(&client.is_abandoned), Instant::now());
+    let abandoner = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(20));
-        is_given_up.store(true, Ordering::Relaxed);
+        is_abandoned.store(true, Ordering::Relaxed);
     });
-    let ended = connect(to, &mut client, after(LONG), LONG);
-    assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
-    assert!(began.elapsed() < LONG / 3);
-    gives_up.join().expect("it ran");
+    let result = connect(
+        address,
+        &mut client,
+        timing_after(LONG_TIMEOUT),
+        LONG_TIMEOUT,
+    );
+    assert!(matches!(result, Err(AttemptError::NotSent)), "{result:?}");
+    assert!(started_at.elapsed() < LONG_TIMEOUT / 3);
+    abandoner.join().expect("it ran");
 }
 
 #[test]
-fn a_refused_connect_has_failed_and_one_that_comes_up_is_up() {
+fn reports_refused_and_successful_connects() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let to = listener.local_addr().expect("bound");
-    let (mut client, _far) = client();
-    assert!(connect(to, &mut client, after(LONG), LONG).is_ok());
+    let address = listener.local_addr().expect("bound");
+    let (mut client, _client_end) = test_client();
+    assert!(
+        connect(
+            address,
+            &mut client,
+            timing_after(LONG_TIMEOUT),
+            LONG_TIMEOUT
+        )
+        .is_ok()
+    );
     drop(listener);
-    let ended = connect(to, &mut client, after(LONG), LONG);
+    let result = connect(
+        address,
+        &mut client,
+        timing_after(LONG_TIMEOUT),
+        LONG_TIMEOUT,
+    );
     assert!(
-        matches!(ended, Err(AttemptError::NotConnected(_))),
-        "{ended:?}"
+        matches!(result, Err(AttemptError::NotConnected(_))),
+        "{result:?}"
     );
 }
 
 #[test]
-fn no_first_byte_is_written_too_late_or_after_the_last_word() {
-    for is_given_up in [false, true] {
+fn does_not_write_request_when_late_or_abandoned() {
+    for is_abandoned in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let to = Endpoint::new("s0".into(), listener.local_addr().expect("bound"));
-        let (mut client, _far) = client();
-        client.is_given_up.store(is_given_up, Ordering::Relaxed);
-        let server = TcpStream::connect(to.address).expect("it listens");
-        let begin_by = if is_given_up {
-            Instant::now() + LONG
+        let endpoint = Endpoint::new("s0".into(), listener.local_addr().expect("bound"));
+        let (mut client, _client_end) = test_client();
+        client.is_abandoned.store(is_abandoned, Ordering::Relaxed);
+        let server = TcpStream::connect(endpoint.address).expect("it listens");
+        let begin_by = if is_abandoned {
+            Instant::now() + LONG_TIMEOUT
         } else {
             Instant::now()
         };
-        let times = AttemptTiming {
+        let timing = AttemptTiming {
             begin_by,
-            deadline_at: Instant::now() + LONG,
+            deadline_at: Instant::now() + LONG_TIMEOUT,
         };
-        let mut exchange = ServerExchange::new(server, &to, &mut client, times);
-        let ended = exchange.write_request(&[b"OPEN\r\n"]);
-        assert!(matches!(ended, Err(AttemptError::NotSent)), "{ended:?}");
+        let mut exchange = ServerExchange::new(server, &endpoint, &mut client, timing);
+        let result = exchange.write_request(&[b"OPEN\r\n"]);
+        assert!(matches!(result, Err(AttemptError::NotSent)), "{result:?}");
         drop(exchange);
-        let mut words = String::new();
+        let mut received = String::new();
         listener
             .accept()
             .expect("it came")
             .0
-            .read_to_string(&mut words)
+            .read_to_string(&mut received)
             .expect("text");
-        assert_eq!(words, "");
+        assert_eq!(received, "");
     }
 }
--- a/crates/balancer/src/connections/descriptors.rs
+++ b/crates/balancer/src/connections/descriptors.rs
@@ -20,7 +20,7 @@
 /// rejected for their sake.
 const PROBE_HEADROOM_DIVISOR: usize = 16;
 /// Least number of handshakes, and of connections.
-const LEAST: (usize, usize) = (8, 1);
+const MIN_HANDSHAKES_AND_CONNECTIONS: (usize, usize) = (8, 1);
 
 /// The parts of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,12 +38,14 @@
     /// divide the handshakes between them and leave room for each other's own descriptors.
     pub fn new(sockets: usize, shared: bool, probes: usize) -> DescriptorBudget {
         let processes = if shared { 2 } else { 1 };
-        let unopened = (sockets / HANDSHAKE_DIVISOR / processes).max(LEAST.0);
-        let lingering = unopened / LINGERING_DIVISOR;
-        let taken = processes * (RESERVED_DESCRIPTORS + unopened) + probes;
-        let connections = (sockets.saturating_sub(taken) / 2).max(LEAST.1);
+        let without_server =
+            (sockets / HANDSHAKE_DIVISOR / processes).max(MIN_HANDSHAKES_AND_CONNECTIONS.0);
+        let lingering = without_server / LINGERING_DIVISOR;
+        let reserved = processes * (RESERVED_DESCRIPTORS + without_server) + probes;
+        let connections =
+            (sockets.saturating_sub(reserved) / 2).max(MIN_HANDSHAKES_AND_CONNECTIONS.1);
         DescriptorBudget {
-            handshakes: unopened - lingering,
+            handshakes: without_server - lingering,
             lingering,
             connections,
         }
@@ -51,8 +53,8 @@
 
     /// Most descriptors that probes may hold beside the connections open now.
     pub fn max_probes(sockets: usize, shared: bool, connections: usize) -> usize {
-        let room = DescriptorBudget::new(sockets, shared, 0).connections;
-        2 * room.saturating_sub(connections + sockets / PROBE_HEADROOM_DIVISOR)
+        let max_connections = DescriptorBudget::new(sockets, shared, 0).connections;
+        2 * max_connections.saturating_sub(connections + sockets / PROBE_HEADROOM_DIVISOR)
     }
 }
 
--- a/crates/balancer/src/connections/event_loop/attempt_thread.rs
+++ b/crates/balancer/src/connections/event_loop/attempt_thread.rs
@@ -14,46 +14,46 @@
 
 /// Makes an attempt on a thread of its own. Returns the client if the thread can't be created.
 pub(super) fn start<F: Front>(
-    shared: &FrontContext<F>,
+    context: &FrontContext<F>,
     connections_handle: &Arc<ConnectionsHandle<F>>,
     (id, client_connection, server_handshake): (u64, ClientConnection, Arc<F::ServerHandshake>),
-    to: Arc<Endpoint>,
-    times: AttemptTiming,
+    endpoint: Arc<Endpoint>,
+    timing: AttemptTiming,
 ) -> Result<(), Box<(ClientConnection, io::Error)>> {
-    let (front, connections_handle, connect) = (
-        Arc::clone(&shared.front),
+    let (front, connections_handle, connect_timeout) = (
+        Arc::clone(&context.front),
         Arc::clone(connections_handle),
-        shared.core.connect_timeout(),
+        context.core.connect_timeout(),
     );
-    let (give, take) = bounded::<ClientConnection>(1);
+    let (sender, receiver) = bounded::<ClientConnection>(1);
     let run = move || {
-        let Ok(mut client_connection) = take.recv() else {
+        let Ok(mut client_connection) = receiver.recv() else {
             return;
         };
-        let made = || {
+        let attempt = || {
             connect::attempt(
                 &*front,
                 &mut client_connection,
                 &server_handshake,
-                &to,
-                times,
-                connect,
+                &endpoint,
+                timing,
+                connect_timeout,
             )
         };
-        let passed = catch_unwind(AssertUnwindSafe(made)).ok();
+        let result = catch_unwind(AssertUnwindSafe(attempt)).ok();
         drop(server_handshake);
         connections_handle.send_input(ConnectionInput::AttemptFinished(
             id,
             client_connection,
-            passed,
+            result,
         ));
     };
     match std::thread::Builder::new()
         .name("attempt".into())
-        .stack_size(shared.front.thread_stack_bytes())
+        .stack_size(context.front.thread_stack_bytes())
         .spawn(run)
     {
-        Ok(_) => give
+        Ok(_) => sender
             .send(client_connection)
             .map_err(|error| Box::new((error.into_inner(), io::ErrorKind::Other.into()))),
         Err(error) => Err(Box::new((client_connection, error))),
--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -52,7 +52,7 @@
     /// When the latest attempt began.
     attempted_at: Instant,
     /// What both sides are polled for.
-    pub(super) watched: (EventFlags, EventFlags),
+    pub(super) polled_events: (EventFlags, EventFlags),
     _slot: ConnectionSlot,
 }
 
@@ -65,14 +65,14 @@
         slot: ConnectionSlot,
     ) -> Connection<F> {
         let (server_handshake, attempted_at) = (server_handshake.map(Arc::new), Instant::now());
-        let watched = (EventFlags::empty(), EventFlags::empty());
+        let polled_events = (EventFlags::empty(), EventFlags::empty());
         Connection {
             id,
             server_handshake,
             state,
             server_name,
             attempted_at,
-            watched,
+            polled_events,
             _slot: slot,
         }
     }
@@ -86,7 +86,7 @@
     pub(super) fn start_attempt(
         &mut self,
         poller: &Poller,
-        to: &Endpoint,
+        endpoint: &Endpoint,
     ) -> io::Result<AttemptClient<F>> {
         let (ConnectionState::Waiting(client_connection), Some(server_handshake)) =
             (&self.state, &self.server_handshake)
@@ -94,19 +94,19 @@
             return Ok(None);
         };
         let server_handshake = Arc::clone(server_handshake);
-        let nothing = EventFlags::empty();
+        let no_events = EventFlags::empty();
         // The client must not be polled while the attempt reads it.
         poller.set_interest(
             client_connection.stream(),
             self.id * 2,
-            (self.watched.0, nothing),
+            (self.polled_events.0, no_events),
         )?;
-        self.watched = (nothing, nothing);
+        self.polled_events = (no_events, no_events);
         self.attempted_at = Instant::now();
-        self.server_name = Some(Arc::clone(&to.name));
-        let passing = ConnectionState::InAttempt(None, client_connection.abandon_flag());
+        self.server_name = Some(Arc::clone(&endpoint.name));
+        let in_attempt = ConnectionState::InAttempt(None, client_connection.abandon_flag());
         let ConnectionState::Waiting(client_connection) =
-            std::mem::replace(&mut self.state, passing)
+            std::mem::replace(&mut self.state, in_attempt)
         else {
             return Ok(None);
         };
@@ -114,20 +114,20 @@
     }
 
     /// Handles a side that is ready.
-    pub(super) fn on_ready(&mut self, side: Side, shared: &FrontContext<F>) {
+    pub(super) fn on_ready(&mut self, side: Side, context: &FrontContext<F>) {
         match &mut self.state {
             ConnectionState::Waiting(client_connection) => {
-                if let Err(why) = client_connection.read_early() {
-                    self.on_client_left(&why, shared);
+                if let Err(error) = client_connection.read_early() {
+                    self.on_client_left(&error, context);
                 }
             }
-            ConnectionState::Established(standing) => {
-                let went = standing.on_ready(side, &shared.migration_message);
-                self.continue_or_end(went, shared);
+            ConnectionState::Established(established) => {
+                let result = established.on_ready(side, &context.migration_message);
+                self.continue_or_end(result, context);
             }
-            ConnectionState::HalfClosed(standing, _) => {
-                if standing
-                    .relay_remaining(side, &shared.migration_message)
+            ConnectionState::HalfClosed(established, _) => {
+                if established
+                    .relay_remaining(side, &context.migration_message)
                     .is_err()
                 {
                     self.close(ConnectionEnd::ClientClosed);
@@ -146,13 +146,13 @@
     }
 
     /// Handles timeouts.
-    pub(super) fn on_tick(&mut self, shared: &FrontContext<F>) {
+    pub(super) fn on_tick(&mut self, context: &FrontContext<F>) {
         match &mut self.state {
-            ConnectionState::Established(standing) => {
-                let went = standing.on_tick(&shared.migration_message);
-                self.continue_or_end(went, shared);
+            ConnectionState::Established(established) => {
+                let result = established.on_tick(&context.migration_message);
+                self.continue_or_end(result, context);
             }
-            ConnectionState::HalfClosed(_, until) if Instant::now() >= *until => {
+            ConnectionState::HalfClosed(_, deadline_at) if Instant::now() >= *deadline_at => {
                 self.close(ConnectionEnd::ClientClosed)
             }
             ConnectionState::Lingering(..) => self.finish_lingering(),
@@ -161,19 +161,19 @@
     }
 
     /// Handles a command of the core.
-    pub(super) fn on_command(&mut self, order: ConnectionCommand, shared: &FrontContext<F>) {
-        match (&mut self.state, order) {
+    pub(super) fn on_command(&mut self, command: ConnectionCommand, context: &FrontContext<F>) {
+        match (&mut self.state, command) {
             // A final answer that crossed the server's: the core no longer knows the connection, so
             // it migrates.
             (
-                ConnectionState::Established(standing),
+                ConnectionState::Established(established),
                 ConnectionCommand::Migrate
                 | ConnectionCommand::Reject(_)
                 | ConnectionCommand::Fail
                 | ConnectionCommand::AbandonAttempt,
             ) => {
-                let went = standing.migrate(&shared.migration_message);
-                self.continue_or_end(went, shared);
+                let result = established.migrate(&context.migration_message);
+                self.continue_or_end(result, context);
             }
             // The connection has just ended, or is not established yet.
             (
@@ -183,17 +183,17 @@
                 | ConnectionCommand::HandOver,
             ) => {}
             // A final answer must not wait for an unresponsive server.
-            (ConnectionState::InAttempt(answer, give_up), order) => {
-                give_up.store(true, Ordering::Relaxed);
-                *answer = Some(order);
+            (ConnectionState::InAttempt(answer, abandon_flag), command) => {
+                abandon_flag.store(true, Ordering::Relaxed);
+                *answer = Some(command);
             }
             (ConnectionState::Waiting(_), ConnectionCommand::Reject(after)) => {
-                self.answer(ClientMessage::Rejected(after), shared)
+                self.answer(ClientMessage::Rejected(after), context)
             }
             (
                 ConnectionState::Waiting(_),
                 ConnectionCommand::Fail | ConnectionCommand::AbandonAttempt,
-            ) => self.answer(ClientMessage::Failed, shared),
+            ) => self.answer(ClientMessage::Failed, context),
             _ => {}
         }
     }
@@ -203,7 +203,7 @@
         &mut self,
         client_connection: ClientConnection,
         result: Option<Result<EstablishedServer, AttemptError>>,
-        shared: &FrontContext<F>,
+        context: &FrontContext<F>,
     ) {
         let answer =
             match std::mem::replace(&mut self.state, ConnectionState::Waiting(client_connection)) {
@@ -211,19 +211,19 @@
                 _ => None,
             };
         let Some(result) = result else {
-            return self.on_panic(shared);
+            return self.on_panic(context);
         };
         match (answer, result) {
             (Some(ConnectionCommand::AbandonAttempt), Err(error))
                 if error.outcome().proves_not_executed() =>
             {
-                self.on_command(ConnectionCommand::Reject(None), shared);
+                self.on_command(ConnectionCommand::Reject(None), context);
             }
             // The core has answered meanwhile.
-            (Some(answer), _) => self.on_command(answer, shared),
-            (None, Ok(result)) => self.establish(result, shared),
-            (None, Err(AttemptError::ClientLeft(why))) => self.on_client_left(&why, shared),
-            (None, Err(error)) => self.report_end(&error, shared),
+            (Some(answer), _) => self.on_command(answer, context),
+            (None, Ok(result)) => self.establish(result, context),
+            (None, Err(AttemptError::ClientLeft(error))) => self.on_client_left(&error, context),
+            (None, Err(error)) => self.report_end(&error, context),
         }
     }
 
@@ -234,28 +234,28 @@
             answer,
             read_ahead,
         }: EstablishedServer,
-        shared: &FrontContext<F>,
+        context: &FrontContext<F>,
     ) {
         let ConnectionState::Waiting(client_connection) =
             std::mem::replace(&mut self.state, ConnectionState::Closed)
         else {
             return;
         };
-        let mut standing = Box::new(EstablishedConnection::new(
-            &*shared.front,
+        let mut established = Box::new(EstablishedConnection::new(
+            &*context.front,
             client_connection,
             server,
-            &shared.core,
+            &context.core,
             self.id,
         ));
-        let went = standing.join((&answer, &read_ahead), &shared.migration_message);
-        self.state = ConnectionState::Established(standing);
-        self.continue_or_end(went, shared);
+        let result = established.join((&answer, &read_ahead), &context.migration_message);
+        self.state = ConnectionState::Established(established);
+        self.continue_or_end(result, context);
     }
 
     /// Continues an established connection, or ends it.
-    fn continue_or_end(&mut self, went: Result<(), ConnectionEnd>, shared: &FrontContext<F>) {
-        let Err(end) = went else { return };
+    fn continue_or_end(&mut self, result: Result<(), ConnectionEnd>, context: &FrontContext<F>) {
+        let Err(end) = result else { return };
         self.server_handshake = None;
         if !matches!(
             end,
@@ -265,16 +265,16 @@
                 | ConnectionEnd::ClientReset
                 | ConnectionEnd::Migrated
         ) {
-            warn!(part = shared.front.name(), request = self.id, how = ?end, "connection ended");
+            warn!(part = context.front.name(), request = self.id, how = ?end, "connection ended");
         }
-        self.report_end(&AttemptError::ConnectionEnded(end), shared);
+        self.report_end(&AttemptError::ConnectionEnded(end), context);
         if end == ConnectionEnd::ClientClosed {
-            if let ConnectionState::Established(mut standing) =
+            if let ConnectionState::Established(mut established) =
                 std::mem::replace(&mut self.state, ConnectionState::Closed)
             {
-                standing.finish_server();
+                established.finish_server();
                 self.state =
-                    ConnectionState::HalfClosed(standing, Instant::now() + HALF_CLOSE_TIMEOUT);
+                    ConnectionState::HalfClosed(established, Instant::now() + HALF_CLOSE_TIMEOUT);
             }
         } else {
             self.close(end);
@@ -282,12 +282,13 @@
     }
 
     fn close(&mut self, end: ConnectionEnd) {
-        let (ConnectionState::Established(standing) | ConnectionState::HalfClosed(standing, _)) =
+        let (ConnectionState::Established(established)
+        | ConnectionState::HalfClosed(established, _)) =
             std::mem::replace(&mut self.state, ConnectionState::Closed)
         else {
             return;
         };
-        if let Some((client, server)) = standing.close(end) {
+        if let Some((client, server)) = established.close(end) {
             self.state = ConnectionState::Lingering(client, Some(server));
         }
     }
@@ -303,36 +304,36 @@
     }
 
     /// The client left before its answer, or sent too much.
-    fn on_client_left(&mut self, why: &ReadError, shared: &FrontContext<F>) {
-        shared.core.send(CoreInput::ClientLeft(self.id));
-        if matches!(why, ReadError::TooLong) {
-            self.answer(ClientMessage::Failed, shared);
+    fn on_client_left(&mut self, error: &ReadError, context: &FrontContext<F>) {
+        context.core.send(CoreInput::ClientLeft(self.id));
+        if matches!(error, ReadError::TooLong) {
+            self.answer(ClientMessage::Failed, context);
         } else {
             self.state = ConnectionState::Closed;
         }
     }
 
-    fn answer(&mut self, word: ClientMessage, shared: &FrontContext<F>) {
+    fn answer(&mut self, message: ClientMessage, context: &FrontContext<F>) {
         self.server_handshake = None;
         if let ConnectionState::Waiting(client_connection) =
             std::mem::replace(&mut self.state, ConnectionState::Closed)
         {
             self.state = ConnectionState::Lingering(
-                client_connection.close_with(&shared.front.encode(word)),
+                client_connection.close_with(&context.front.encode(message)),
                 None,
             );
         }
     }
 
     /// Ends a connection after a panic in its code, with a final answer.
-    pub(super) fn on_panic(&mut self, shared: &FrontContext<F>) {
+    pub(super) fn on_panic(&mut self, context: &FrontContext<F>) {
         error!(
-            part = shared.front.name(),
+            part = context.front.name(),
             request = self.id,
             "connection panicked"
         );
-        shared.core.send(CoreInput::ConnectionPanicked(self.id));
-        self.answer(ClientMessage::Failed, shared);
+        context.core.send(CoreInput::ConnectionPanicked(self.id));
+        self.answer(ClientMessage::Failed, context);
         if matches!(
             self.state,
             ConnectionState::Established(_) | ConnectionState::HalfClosed(..)
@@ -345,15 +346,15 @@
     }
 
     /// Reports the end of an attempt or connection to the core.
-    pub(super) fn report_end(&self, error: &AttemptError, shared: &FrontContext<F>) {
+    pub(super) fn report_end(&self, error: &AttemptError, context: &FrontContext<F>) {
         if matches!(
             error,
             AttemptError::NotServed(ServerAnswer::Redirected)
                 | AttemptError::ConnectionEnded(ConnectionEnd::Redirected)
         ) {
-            shared.core.send(CoreInput::ServerSentAway(self.id));
+            context.core.send(CoreInput::ServerSentAway(self.id));
         }
-        shared.core.send(CoreInput::AttemptEnded {
+        context.core.send(CoreInput::AttemptEnded {
             id: self.id,
             outcome: error.outcome(),
             duration: self.attempted_at.elapsed(),
@@ -362,40 +363,42 @@
 
     /// Updates what both sides are polled for.
     pub(super) fn update_interest(&mut self, poller: &Poller) -> io::Result<()> {
-        let nothing = EventFlags::empty();
+        let no_events = EventFlags::empty();
         let (client, server, wanted) = match &self.state {
-            ConnectionState::Waiting(client_connection) => {
-                (client_connection.stream(), None, (EventFlags::IN, nothing))
-            }
+            ConnectionState::Waiting(client_connection) => (
+                client_connection.stream(),
+                None,
+                (EventFlags::IN, no_events),
+            ),
             ConnectionState::Lingering(client, server) => {
-                let wants_server = server.as_ref().map_or(nothing, LingeringClose::interest);
+                let server_events = server.as_ref().map_or(no_events, LingeringClose::interest);
                 (
                     client.stream(),
                     server.as_ref().map(LingeringClose::stream),
-                    (client.interest(), wants_server),
+                    (client.interest(), server_events),
                 )
             }
-            ConnectionState::Established(standing) => {
-                let (client, server) = standing.sides();
-                (client, Some(server), standing.interest())
+            ConnectionState::Established(established) => {
+                let (client, server) = established.sides();
+                (client, Some(server), established.interest())
             }
-            ConnectionState::HalfClosed(standing, _) => {
-                let (client, server) = standing.sides();
+            ConnectionState::HalfClosed(established, _) => {
+                let (client, server) = established.sides();
                 // A half-closed client is always readable.
-                let (wants_client, wants_server) = standing.interest();
+                let (client_events, server_events) = established.interest();
                 (
                     client,
                     Some(server),
-                    (wants_client & EventFlags::OUT, wants_server),
+                    (client_events & EventFlags::OUT, server_events),
                 )
             }
             ConnectionState::InAttempt(..) | ConnectionState::Closed => return Ok(()),
         };
-        poller.set_interest(client, self.id * 2, (self.watched.0, wanted.0))?;
+        poller.set_interest(client, self.id * 2, (self.polled_events.0, wanted.0))?;
         if let Some(server) = server {
-            poller.set_interest(server, self.id * 2 + 1, (self.watched.1, wanted.1))?;
+            poller.set_interest(server, self.id * 2 + 1, (self.polled_events.1, wanted.1))?;
         }
-        self.watched = wanted;
+        self.polled_events = wanted;
         Ok(())
     }
 }
--- a/crates/balancer/src/connections/event_loop/handover.rs
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -49,16 +49,16 @@
         }
         let (client, server) = established.sides();
         // The other process polls the same sockets; this one would wake for its input.
-        let nothing = EventFlags::empty();
-        let unwatched = poller
-            .set_interest(client, id * 2, (connection.watched.0, nothing))
+        let no_events = EventFlags::empty();
+        let unpolled = poller
+            .set_interest(client, id * 2, (connection.polled_events.0, no_events))
             .and_then(|()| {
-                poller.set_interest(server, id * 2 + 1, (connection.watched.1, nothing))
+                poller.set_interest(server, id * 2 + 1, (connection.polled_events.1, no_events))
             });
-        if unwatched.is_err() {
+        if unpolled.is_err() {
             return;
         }
-        connection.watched = (nothing, nothing);
+        connection.polled_events = (no_events, no_events);
         let sent = sender.send((client, server), server_name, line);
         self.on_handover_sent(id, sent);
     }
@@ -79,7 +79,7 @@
                 } else {
                     warn!(part = self.context.front.name(), request = id, why = %error, "not handed over");
                 }
-                self.with(id, |_, _| ());
+                self.with_connection(id, |_, _| ());
             }
         }
     }
@@ -98,25 +98,25 @@
             migration_message,
             ..
         } = &self.context;
-        let read = match front.parse_handshake(&request_line, core.clock().now()) {
+        let admitted = match front.parse_handshake(&request_line, core.clock().now()) {
             HandshakeLine::Connect(request) => front.admit(request).ok(),
             _ => None,
         };
         let client_connection = ClientConnection::new(&**front, client, Vec::new());
-        let Some((client_request, server_handshake)) = read else {
+        let Some((client_request, server_handshake)) = admitted else {
             warn!(
                 part = front.name(),
                 "a connection handed over could not be read"
             );
             let server = LingeringClose::start(server, WriteBuffer::default(), b"");
-            let phase = ConnectionState::Lingering(
+            let state = ConnectionState::Lingering(
                 client_connection.close_with(migration_message),
                 Some(server),
             );
             self.last_local_id -= 1;
-            return self.insert(self.last_local_id, None, (phase, None), slot);
+            return self.insert(self.last_local_id, None, (state, None), slot);
         };
-        let (client_request, at) = (
+        let (client_request, server_name) = (
             ClientRequest {
                 resumed_server: None,
                 ..client_request
@@ -125,14 +125,17 @@
         );
         let id = core.adopt(
             client_request,
-            Arc::clone(&at),
+            Arc::clone(&server_name),
             Arc::clone(&self.handle) as Arc<dyn CommandSender>,
         );
-        let standing = EstablishedConnection::new(&**front, client_connection, server, core, id);
+        let established = EstablishedConnection::new(&**front, client_connection, server, core, id);
         self.insert(
             id,
             Some(server_handshake),
-            (ConnectionState::Established(Box::new(standing)), Some(at)),
+            (
+                ConnectionState::Established(Box::new(established)),
+                Some(server_name),
+            ),
             slot,
         );
     }
--- a/crates/balancer/src/connections/event_loop/mod.rs
+++ b/crates/balancer/src/connections/event_loop/mod.rs
@@ -72,9 +72,9 @@
 }
 
 impl<F: Front> ConnectionsHandle<F> {
-    fn send_input(&self, what: ConnectionInput<F>) {
+    fn send_input(&self, input: ConnectionInput<F>) {
         // The thread is gone only when the program is about to end.
-        let _ = self.inputs.send(what);
+        let _ = self.inputs.send(input);
         self.waker.wake();
     }
 
@@ -90,8 +90,8 @@
 }
 
 impl<F: Front> CommandSender for ConnectionsHandle<F> {
-    fn send(&self, id: u64, order: ConnectionCommand) {
-        self.send_input(ConnectionInput::Commanded(id, order));
+    fn send(&self, id: u64, command: ConnectionCommand) {
+        self.send_input(ConnectionInput::Commanded(id, command));
     }
 }
 
@@ -121,13 +121,13 @@
         inputs,
         waker: poller.waker(),
     };
-    let shared = FrontContext {
+    let context = FrontContext {
         front: Arc::clone(front),
         core: core.clone(),
         migration_message: front.encode(ClientMessage::Migrate),
         handover,
     };
-    let server = EventLoop::new(shared, poller, (inbox, connections_handle.clone()));
+    let server = EventLoop::new(context, poller, (inbox, connections_handle.clone()));
     std::thread::Builder::new()
         .name("connections".into())
         .spawn(move || server.run())?;
--- a/crates/balancer/src/connections/event_loop/run.rs
+++ b/crates/balancer/src/connections/event_loop/run.rs
@@ -63,7 +63,7 @@
 
     /// Runs until the program ends.
     pub(super) fn run(mut self) {
-        let mut ticked_at = Instant::now();
+        let mut last_tick_at = Instant::now();
         loop {
             let timeout = if self.connections.is_empty() {
                 IDLE_TIMEOUT
@@ -72,20 +72,20 @@
             };
             for token in self
                 .poller
-                .wait(timeout.saturating_sub(ticked_at.elapsed()))
+                .wait(timeout.saturating_sub(last_tick_at.elapsed()))
             {
                 let side = if token % 2 == 0 {
                     Side::Client
                 } else {
                     Side::Server
                 };
-                self.with(token / 2, |connection, shared| {
-                    connection.on_ready(side, shared)
+                self.with_connection(token / 2, |connection, context| {
+                    connection.on_ready(side, context)
                 });
             }
             self.handle_inputs();
-            if ticked_at.elapsed() >= TICK_INTERVAL {
-                ticked_at = Instant::now();
+            if last_tick_at.elapsed() >= TICK_INTERVAL {
+                last_tick_at = Instant::now();
                 self.on_tick();
             }
         }
@@ -106,7 +106,7 @@
     fn on_tick(&mut self) {
         let ids: Vec<u64> = self.connections.keys().copied().collect();
         for id in ids {
-            self.with(id, Connection::on_tick);
+            self.with_connection(id, Connection::on_tick);
         }
         for id in std::mem::take(&mut self.awaiting_handover) {
             self.hand_over(id);
@@ -123,13 +123,13 @@
             ConnectionInput::Commanded(id, ConnectionCommand::HandOver) => self.hand_over(id),
             ConnectionInput::HandedOver(transferred, slot) => self.take_over(transferred, slot),
             ConnectionInput::Commanded(id, command) => {
-                self.with(id, |connection, shared| {
-                    connection.on_command(command, shared)
+                self.with_connection(id, |connection, context| {
+                    connection.on_command(command, context)
                 });
             }
             ConnectionInput::AttemptFinished(id, client_connection, result) => {
-                self.with(id, |connection, shared| {
-                    connection.on_attempt_finished(client_connection, result, shared)
+                self.with_connection(id, |connection, context| {
+                    connection.on_attempt_finished(client_connection, result, context)
                 });
             }
         }
@@ -163,7 +163,8 @@
             Some(Ok(Some(lent))) => lent,
             // The request must not stay in flight without an attempt.
             Some(Err(_)) => {
-                return self.with(id, |connection, shared| connection.on_panic(shared));
+                return self
+                    .with_connection(id, |connection, context| connection.on_panic(context));
             }
             // The client left or was answered; the core is told of it.
             Some(Ok(None)) | None => return,
@@ -177,8 +178,8 @@
         ) {
             let (client_connection, error) = *failed;
             let error = AttemptError::NotConnected(error);
-            self.with(id, |connection, shared| {
-                connection.on_attempt_finished(client_connection, Some(Err(error)), shared)
+            self.with_connection(id, |connection, context| {
+                connection.on_attempt_finished(client_connection, Some(Err(error)), context)
             });
         }
     }
@@ -188,27 +189,33 @@
         &mut self,
         id: u64,
         server_handshake: Option<F::ServerHandshake>,
-        (phase, at): (ConnectionState, Option<Arc<str>>),
+        (state, server_name): (ConnectionState, Option<Arc<str>>),
         slot: ConnectionSlot,
     ) {
-        self.connections
-            .insert(id, Connection::new(id, server_handshake, (phase, at), slot));
-        self.with(id, |_, _| ());
+        self.connections.insert(
+            id,
+            Connection::new(id, server_handshake, (state, server_name), slot),
+        );
+        self.with_connection(id, |_, _| ());
     }
 
     /// Runs code on a connection and updates what it is polled for.
-    pub(super) fn with(&mut self, id: u64, act: impl FnOnce(&mut Connection<F>, &FrontContext<F>)) {
+    pub(super) fn with_connection(
+        &mut self,
+        id: u64,
+        action: impl FnOnce(&mut Connection<F>, &FrontContext<F>),
+    ) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let shared = &self.context;
+        let context = &self.context;
         // A panic in one connection's code must neither end the others nor leave its client without
         // an answer.
-        if catch_unwind(AssertUnwindSafe(|| act(connection, shared))).is_err() {
-            connection.on_panic(shared);
+        if catch_unwind(AssertUnwindSafe(|| action(connection, context))).is_err() {
+            connection.on_panic(context);
         }
         if connection.update_interest(&self.poller).is_err() {
-            connection.on_panic(shared);
+            connection.on_panic(context);
         }
         if connection.is_closed() {
             self.connections.remove(&id);
--- a/crates/balancer/src/connections/event_loop/tests.rs
+++ b/crates/balancer/src/connections/event_loop/tests.rs
@@ -20,60 +20,62 @@
                       "max-retry-after-ns": 2000000000},
     "rules": {"cold-share": 0.2, "cold-ns": 20000000000, "tip-multiple": 3.0, "fall-ns": 1500000000}}"#;
 /// A test that waits for so long has failed.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A connection's end that speaks lines.
-struct Speaker(BufReader<TcpStream>);
-
-impl Speaker {
-    fn new(stream: TcpStream) -> Speaker {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        Speaker(BufReader::new(stream))
+struct LineStream(BufReader<TcpStream>);
+
+impl LineStream {
+    fn new(stream: TcpStream) -> LineStream {
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a socket");
+        LineStream(BufReader::new(stream))
     }
 
-    fn hears(&mut self) -> String {
+    fn receive_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line or the end");
         line.trim_end().to_owned()
     }
 
-    fn says(&mut self, words: &str) {
+    fn send_text(&mut self, text: &str) {
         self.0
             .get_mut()
-            .write_all(words.as_bytes())
+            .write_all(text.as_bytes())
             .expect("the other side reads");
     }
 }
 
 /// The thread that serves connections, a client that has opened, and its server's listener.
-struct Scene {
+struct Fixture {
     connections_handle: ConnectionsHandle<Platform>,
-    client: Speaker,
+    client: LineStream,
     server: TcpListener,
 }
 
 /// The number of the only request.
-const ONLY: u64 = 0;
+const REQUEST_ID: u64 = 0;
 
-impl Scene {
-    fn new() -> Scene {
-        Scene::on(TcpListener::bind("127.0.0.1:0").expect("loopback"))
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture::with_server(TcpListener::bind("127.0.0.1:0").expect("loopback"))
     }
 
-    fn on(server: TcpListener) -> Scene {
+    fn with_server(server: TcpListener) -> Fixture {
         let core = core(server.local_addr().expect("bound"));
-        let setup = serde_json::from_str(SETTINGS).expect("settings");
-        let front = Arc::new(Platform::new(SharedSettings::new(setup)));
+        let settings = serde_json::from_str(SETTINGS).expect("settings");
+        let front = Arc::new(Platform::new(SharedSettings::new(settings)));
         let connections_handle = serve(&front, &core, None).expect("a thread");
-        let (client, own) = pair();
+        let (client, accepted) = pair();
         let now = core.clock().now();
         let HandshakeLine::Connect((request, server_handshake)) =
             front.parse_handshake(b"OPEN a1 02 c=chat,d=60000\r\n", now)
         else {
             panic!("an opening");
         };
-        net::configure_stream(&own).expect("open");
-        let connection = ClientConnection::new(&*front, own, Vec::new());
+        net::configure_stream(&accepted).expect("open");
+        let connection = ClientConnection::new(&*front, accepted, Vec::new());
         let slot = core.reserve_connection(1).expect("room");
         connections_handle.admit(AdmittedClient {
             client: connection,
@@ -81,25 +83,25 @@
             server_handshake,
             slot,
         });
-        Scene {
+        Fixture {
             connections_handle,
-            client: Speaker::new(client),
+            client: LineStream::new(client),
             server,
         }
     }
 
     /// The server's end of the attempt, whose opening has come.
-    fn opened(&self) -> Speaker {
-        let mut server = Speaker::new(self.server.accept().expect("an attempt").0);
-        assert!(server.hears().starts_with("OPEN a1 "));
+    fn accept_attempt(&self) -> LineStream {
+        let mut server = LineStream::new(self.server.accept().expect("an attempt").0);
+        assert!(server.receive_line().starts_with("OPEN a1 "));
         server
     }
 }
 
 fn core(server: SocketAddr) -> CoreHandle {
-    let row = format!(r#"{{"instanceId":"s0","hostPort":"{server}","lifecycle":"SERVING"}}"#);
-    let list = format!(r#"{{"generation":1,"reset":true,"instances":[{row}]}}"#);
-    let begun = start(CoreConfig {
+    let instance = format!(r#"{{"instanceId":"s0","hostPort":"{server}","lifecycle":"SERVING"}}"#);
+    let list = format!(r#"{{"generation":1,"reset":true,"instances":[{instance}]}}"#);
+    let started = start(CoreConfig {
         name: "test",
         site: serde_json::from_str(SETTINGS).expect("settings"),
         seed: 7,
@@ -111,32 +113,32 @@
         admission: Default::default(),
         fleet: None,
     });
-    begun.expect("sound settings").0
+    started.expect("sound settings").0
 }
 
 /// Both ends of a connection.
 fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let one = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
-    (one, listener.accept().expect("it came").0)
+    let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
+    (client, listener.accept().expect("it came").0)
 }
 
 #[test]
-fn a_last_word_that_crosses_the_servers_answer_moves_the_client_that_stands() {
-    for last_word in [
+fn migrates_client_when_final_command_crosses_server_answer() {
+    for command in [
         ConnectionCommand::Fail,
         ConnectionCommand::Reject(None),
         ConnectionCommand::AbandonAttempt,
     ] {
-        let mut scene = Scene::new();
-        let mut server = scene.opened();
-        server.says("UP r1\r\n");
-        assert_eq!(scene.client.hears(), "UP r1", "it stands");
-        let named = format!("{last_word:?}");
-        scene.connections_handle.send(ONLY, last_word);
-        assert_eq!(scene.client.hears(), "MOVE", "{named}");
+        let mut fixture = Fixture::new();
+        let mut server = fixture.accept_attempt();
+        server.send_text("UP r1\r\n");
+        assert_eq!(fixture.client.receive_line(), "UP r1", "it stands");
+        let command_name = format!("{command:?}");
+        fixture.connections_handle.send(REQUEST_ID, command);
+        assert_eq!(fixture.client.receive_line(), "MOVE", "{command_name}");
         assert_eq!(
-            (scene.client.hears(), server.hears()),
+            (fixture.client.receive_line(), server.receive_line()),
             (String::new(), String::new()),
             "both end"
         );
@@ -144,33 +146,33 @@
 }
 
 #[test]
-fn an_answer_that_crosses_the_last_word_reaches_nobody_and_its_connection_ends() {
-    let mut scene = Scene::new();
-    let mut server = scene.opened();
-    scene
+fn drops_server_answer_after_abandoned_attempt() {
+    let mut fixture = Fixture::new();
+    let mut server = fixture.accept_attempt();
+    fixture
         .connections_handle
-        .send(ONLY, ConnectionCommand::AbandonAttempt);
-    assert_eq!(scene.client.hears(), "ERR", "it may have run");
+        .send(REQUEST_ID, ConnectionCommand::AbandonAttempt);
+    assert_eq!(fixture.client.receive_line(), "ERR", "it may have run");
     // The server's answer comes after its connection was ended.
-    assert_eq!(server.hears(), "");
+    assert_eq!(server.receive_line(), "");
     let _ = server.0.get_mut().write_all(b"UP r1\r\n");
-    assert_eq!(scene.client.hears(), "", "one answer and no more");
+    assert_eq!(fixture.client.receive_line(), "", "one answer and no more");
 }
 
 #[test]
-fn one_that_is_given_up_while_its_server_has_not_come_up_is_refused_at_once_and_not_sent_on() {
+fn rejects_client_when_attempt_is_abandoned_during_connect() {
     let (server, filler) = full_listener();
     let address = server.local_addr().expect("bound");
-    let mut scene = Scene::on(server);
-    let until = Instant::now() + PATIENCE;
+    let mut fixture = Fixture::with_server(server);
+    let deadline_at = Instant::now() + TEST_TIMEOUT;
     while !is_connecting_to(address) {
-        assert!(Instant::now() < until, "no attempt");
+        assert!(Instant::now() < deadline_at, "no attempt");
         std::thread::sleep(Duration::from_millis(5));
     }
-    scene
+    fixture
         .connections_handle
-        .send(ONLY, ConnectionCommand::AbandonAttempt);
-    assert_eq!(scene.client.hears(), "BUSY", "it never ran");
+        .send(REQUEST_ID, ConnectionCommand::AbandonAttempt);
+    assert_eq!(fixture.client.receive_line(), "BUSY", "it never ran");
     assert!(!is_connecting_to(address), "its attempt has ended before");
     drop(filler);
 }
--- a/crates/balancer/src/connections/lingering.rs
+++ b/crates/balancer/src/connections/lingering.rs
@@ -20,19 +20,23 @@
     stream: TcpStream,
     outgoing: WriteBuffer,
     /// When the final message was written, or when the peer had taken it.
-    since: Instant,
+    phase_started_at: Instant,
     is_closed: bool,
 }
 
 impl LingeringClose {
     /// Writes the final message after what is still outgoing; the write side is shut down once all
     /// of it has been taken.
-    pub fn start(stream: TcpStream, mut outgoing: WriteBuffer, words: &[u8]) -> LingeringClose {
-        outgoing.finish_with(&stream, words);
+    pub fn start(
+        stream: TcpStream,
+        mut outgoing: WriteBuffer,
+        final_message: &[u8],
+    ) -> LingeringClose {
+        outgoing.finish_with(&stream, final_message);
         LingeringClose {
             stream,
             outgoing,
-            since: Instant::now(),
+            phase_started_at: Instant::now(),
             is_closed: false,
         }
     }
@@ -44,24 +48,24 @@
 
     /// The events to poll for.
     pub fn interest(&self) -> EventFlags {
-        let mut wants = EventFlags::empty();
-        wants.set(
+        let mut interest = EventFlags::empty();
+        interest.set(
             EventFlags::IN,
             !self.is_closed && self.outgoing.is_reading(),
         );
-        wants.set(
+        interest.set(
             EventFlags::OUT,
             !self.is_closed && !self.outgoing.is_empty(),
         );
-        wants
+        interest
     }
 
     /// Reads and writes what is ready.
     pub fn on_ready(&mut self) {
-        let had_taken_all = self.outgoing.is_empty();
+        let had_drained = self.outgoing.is_empty();
         self.is_closed |= !self.outgoing.discard_input(&self.stream);
-        if !had_taken_all && self.outgoing.is_empty() {
-            self.since = Instant::now();
+        if !had_drained && self.outgoing.is_empty() {
+            self.phase_started_at = Instant::now();
         }
     }
 
@@ -72,7 +76,7 @@
 
     /// When the lingering ends at the latest.
     pub fn deadline_at(&self) -> Instant {
-        self.since
+        self.phase_started_at
             + if self.outgoing.is_empty() {
                 LINGER_TIMEOUT
             } else {
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -96,7 +96,7 @@
     /// server sent beyond its answer.
     pub fn join(
         &mut self,
-        (answer, ahead): (&[u8], &[u8]),
+        (answer, read_ahead): (&[u8], &[u8]),
         migration_message: &[u8],
     ) -> Result<(), ConnectionEnd> {
         self.write_to_client(&[answer]);
@@ -104,7 +104,7 @@
         self.monitor
             .core
             .send(CoreInput::AttemptEstablished(self.monitor.id));
-        self.relay_to_client(ahead, migration_message)
+        self.relay_to_client(read_ahead, migration_message)
     }
 
     /// The client's and the server's socket.
@@ -115,7 +115,7 @@
     /// The events to poll both sides for. A side is read only while the other one has taken
     /// everything.
     pub fn interest(&self) -> (EventFlags, EventFlags) {
-        let wants = |own: &WriteBuffer, other: &WriteBuffer| {
+        let wanted_events = |own: &WriteBuffer, other: &WriteBuffer| {
             let read = if other.is_empty() {
                 EventFlags::IN
             } else {
@@ -128,8 +128,8 @@
             }
         };
         (
-            wants(&self.client.outgoing, &self.to_server),
-            wants(&self.to_server, &self.client.outgoing),
+            wanted_events(&self.client.outgoing, &self.to_server),
+            wanted_events(&self.to_server, &self.client.outgoing),
         )
     }
 
@@ -219,14 +219,15 @@
 
     /// Whether nothing of the connection is buffered here and both sides are between messages.
     pub fn can_be_handed_over(&self) -> bool {
-        let unsent = !(self.client.outgoing.is_empty() && self.to_server.is_empty());
-        let kept = !(self.client.unforwarded.is_empty() && self.unforwarded.is_empty());
-        let between = self.client.framer.is_at_boundary() && self.framer.is_at_boundary();
-        let lost = self.client_write_error.is_some() || self.server_write_error.is_some();
-        between
-            && !unsent
-            && !kept
-            && !lost
+        let has_unsent = !(self.client.outgoing.is_empty() && self.to_server.is_empty());
+        let has_unforwarded = !(self.client.unforwarded.is_empty() && self.unforwarded.is_empty());
+        let is_at_boundary = self.client.framer.is_at_boundary() && self.framer.is_at_boundary();
+        let has_write_error =
+            self.client_write_error.is_some() || self.server_write_error.is_some();
+        is_at_boundary
+            && !has_unsent
+            && !has_unforwarded
+            && !has_write_error
             && !self.client.has_final_message
             && self.monitor.migration.is_none()
     }
@@ -235,24 +236,24 @@
     fn relay_to_server(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         let client_connection = &mut self.client;
         client_connection.unforwarded.extend_from_slice(bytes);
-        let mut questions = 0;
-        let followed =
+        let mut request_count = 0;
+        let progress =
             client_connection
                 .framer
-                .advance(&client_connection.unforwarded, &mut |seen| {
-                    questions += usize::from(seen == MessageKind::Request);
+                .advance(&client_connection.unforwarded, &mut |kind| {
+                    request_count += usize::from(kind == MessageKind::Request);
                     true
                 });
-        let FrameProgress { consumed, .. } = followed
+        let FrameProgress { consumed, .. } = progress
             .map_err(|ProtocolError { answer }| ConnectionEnd::ClientProtocolError(answer))?;
-        if self.monitor.pending.len() + questions > MAX_UNANSWERED {
+        if self.monitor.pending.len() + request_count > MAX_UNANSWERED {
             return Err(ConnectionEnd::ClientProtocolError(""));
         }
         self.last_request_at = Instant::now();
         self.monitor
             .pending
-            .extend((0..questions).map(|_| PendingRequest {
-                asked_at: Instant::now(),
+            .extend((0..request_count).map(|_| PendingRequest {
+                sent_at: Instant::now(),
                 is_keepalive: false,
             }));
         let message: Vec<u8> = client_connection.unforwarded.drain(..consumed).collect();
@@ -263,20 +264,20 @@
     /// Sends a keepalive between two messages if nothing was sent for a while. Otherwise an
     /// unresponsive server with an idle client would stay unnoticed.
     fn send_keepalive(&mut self) {
-        let Some(probe) = self.client.probe else {
+        let Some(keepalive) = self.client.keepalive else {
             return;
         };
-        let idle = self.last_request_at.elapsed() >= probe.idle_interval
+        let is_idle = self.last_request_at.elapsed() >= keepalive.idle_interval
             && self.monitor.pending.is_empty();
-        if !idle || !self.client.framer.is_at_boundary() {
+        if !is_idle || !self.client.framer.is_at_boundary() {
             return;
         }
         self.last_request_at = Instant::now();
         self.monitor.pending.push_back(PendingRequest {
-            asked_at: Instant::now(),
+            sent_at: Instant::now(),
             is_keepalive: true,
         });
-        self.write_to_server(&[probe.request]);
+        self.write_to_server(&[keepalive.request]);
     }
 
     /// Relays what the server sent, up to the last complete message. A pending migration is written
@@ -293,26 +294,26 @@
         self.unforwarded.extend_from_slice(bytes);
         // A message in the same bytes as the migration request has begun; the migration waits for
         // its end.
-        let waits = self.monitor.migration.is_some();
-        let notes = &mut self.monitor;
-        let followed = self
-            .framer
-            .advance(&self.unforwarded, &mut |seen| notes.on_server_message(seen));
+        let is_migrating = self.monitor.migration.is_some();
+        let monitor = &mut self.monitor;
+        let progress = self.framer.advance(&self.unforwarded, &mut |kind| {
+            monitor.on_server_message(kind)
+        });
         let FrameProgress {
             consumed,
             boundary,
             dropped,
-        } = followed.map_err(|_| ConnectionEnd::ServerProtocolError)?;
-        let last = boundary.filter(|_| waits);
-        let end = last.unwrap_or(consumed);
+        } = progress.map_err(|_| ConnectionEnd::ServerProtocolError)?;
+        let migration_boundary = boundary.filter(|_| is_migrating);
+        let end = migration_boundary.unwrap_or(consumed);
         let message: Vec<u8> = self.unforwarded.drain(..consumed).collect();
-        let (mut parts, mut from) = (Vec::with_capacity(dropped.len() + 2), 0);
+        let (mut parts, mut start) = (Vec::with_capacity(dropped.len() + 2), 0);
         for gap in dropped.iter().filter(|gap| gap.end <= end) {
-            parts.push(&message[from..gap.start]);
-            from = gap.end;
+            parts.push(&message[start..gap.start]);
+            start = gap.end;
         }
-        parts.push(&message[from..end]);
-        if last.is_some() {
+        parts.push(&message[start..end]);
+        if migration_boundary.is_some() {
             parts.push(migration_message);
             self.client.has_final_message = true;
         }
@@ -322,8 +323,13 @@
 }
 
 /// Writes what can be written now. A side whose writes fail gets no more.
-fn write(to: &TcpStream, out: &mut WriteBuffer, parts: &[&[u8]], lost: &mut Option<ErrorKind>) {
-    if lost.is_some() {
+fn write(
+    to: &TcpStream,
+    out: &mut WriteBuffer,
+    parts: &[&[u8]],
+    write_error: &mut Option<ErrorKind>,
+) {
+    if write_error.is_some() {
         return;
     }
     let written = if parts.is_empty() {
@@ -332,12 +338,12 @@
         out.send(to, parts)
     };
     if let Err(error) = written {
-        *lost = Some(error.kind());
+        *write_error = Some(error.kind());
         *out = WriteBuffer::default();
     }
 }
 
 /// Whether a side was reset. One that had closed in order fails with a broken pipe.
-fn was_reset(lost: Option<ErrorKind>) -> bool {
-    lost.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
+fn was_reset(write_error: Option<ErrorKind>) -> bool {
+    write_error.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
 }
--- a/crates/balancer/src/connections/relay/client.rs
+++ b/crates/balancer/src/connections/relay/client.rs
@@ -20,7 +20,7 @@
     /// Bytes that it has not taken yet.
     pub(super) outgoing: WriteBuffer,
     max_early: usize,
-    pub(super) probe: Option<Keepalive>,
+    pub(super) keepalive: Option<Keepalive>,
     /// Whether its final message has been written.
     pub(super) has_final_message: bool,
     /// Set by the owner to abandon an attempt in flight.
@@ -55,7 +55,7 @@
 impl ClientConnection {
     /// Creates a connection whose handshake is complete; `early` are the bytes after it.
     pub fn new<F: Front>(front: &F, client: TcpStream, early: Vec<u8>) -> ClientConnection {
-        let (framer, max_early, probe) = (
+        let (framer, max_early, keepalive) = (
             front.client_framer(),
             front.max_early_bytes(),
             front.keepalive(),
@@ -68,7 +68,7 @@
             unforwarded: early,
             outgoing,
             max_early,
-            probe,
+            keepalive,
             has_final_message: false,
             is_abandoned,
         }
@@ -80,7 +80,7 @@
     }
 
     /// Writes the final message and begins the lingering close.
-    pub fn close_with(self, migration_message: &[u8]) -> LingeringClose {
-        LingeringClose::start(self.client, self.outgoing, migration_message)
+    pub fn close_with(self, final_message: &[u8]) -> LingeringClose {
+        LingeringClose::start(self.client, self.outgoing, final_message)
     }
 }
--- a/crates/balancer/src/connections/relay/ending.rs
+++ b/crates/balancer/src/connections/relay/ending.rs
@@ -17,12 +17,12 @@
     }
 
     pub(super) fn server_end(&self) -> ConnectionEnd {
-        let plain = if was_reset(self.server_write_error) {
+        let unannounced_end = if was_reset(self.server_write_error) {
             ConnectionEnd::ServerReset
         } else {
             ConnectionEnd::ServerClosed
         };
-        self.announced_end().unwrap_or(plain)
+        self.announced_end().unwrap_or(unannounced_end)
     }
 
     pub(super) fn client_end(&self) -> ConnectionEnd {
@@ -68,10 +68,10 @@
                 net::reset_on_close(&self.client.client);
                 return None;
             }
-            ConnectionEnd::ClientProtocolError(migration_message)
+            ConnectionEnd::ClientProtocolError(answer)
                 if !self.client.has_final_message && self.framer.is_at_boundary() =>
             {
-                self.write_to_client(&[migration_message.as_bytes()]);
+                self.write_to_client(&[answer.as_bytes()]);
             }
             _ => {}
         }
--- a/crates/balancer/src/connections/relay/migration.rs
+++ b/crates/balancer/src/connections/relay/migration.rs
@@ -15,13 +15,13 @@
         &mut self,
         migration_message: &[u8],
     ) -> Result<(), ConnectionEnd> {
-        let Some((since, why)) = self.monitor.migration else {
+        let Some((requested_at, end)) = self.monitor.migration else {
             return Ok(());
         };
         if self.write_migration(migration_message) {
-            return Err(why);
+            return Err(end);
         }
-        if since.elapsed() >= MIGRATION_TIMEOUT {
+        if requested_at.elapsed() >= MIGRATION_TIMEOUT {
             Err(ConnectionEnd::MigrationTimedOut)
         } else {
             Ok(())
--- a/crates/balancer/src/connections/relay/monitor.rs
+++ b/crates/balancer/src/connections/relay/monitor.rs
@@ -11,7 +11,7 @@
 use crate::front::MessageKind;
 
 pub(super) struct PendingRequest {
-    pub(super) asked_at: Instant,
+    pub(super) sent_at: Instant,
     /// Whether the balancer sent it as a keepalive.
     pub(super) is_keepalive: bool,
 }
@@ -38,15 +38,15 @@
     pub(super) fn oldest_pending_age(&self) -> Duration {
         self.pending
             .front()
-            .map_or(Duration::ZERO, |asked| asked.asked_at.elapsed())
+            .map_or(Duration::ZERO, |request| request.sent_at.elapsed())
     }
 
     /// Evaluates a server's message; returns whether it is relayed.
-    pub(super) fn on_server_message(&mut self, seen: MessageKind) -> bool {
-        self.last_message = Some(seen);
+    pub(super) fn on_server_message(&mut self, kind: MessageKind) -> bool {
+        self.last_message = Some(kind);
         // The next message begins with the same bytes.
-        let began = std::mem::replace(&mut self.message_started_at, self.received_at);
-        let answered = match seen {
+        let message_started_at = std::mem::replace(&mut self.message_started_at, self.received_at);
+        let answered = match kind {
             MessageKind::AnswerToAll => {
                 let oldest = self.pending.pop_front();
                 self.pending.clear();
@@ -68,28 +68,28 @@
             MessageKind::Request | MessageKind::Goodbye | MessageKind::Redirect => return true,
         };
         let Some(PendingRequest {
-            asked_at,
+            sent_at,
             is_keepalive,
         }) = answered
         else {
             return true;
         };
         // Latency counts to the first byte of the answer, which may arrive in pieces.
-        let took = began.saturating_duration_since(asked_at);
-        let slow = took >= self.core.slow_message_threshold();
+        let latency = message_started_at.saturating_duration_since(sent_at);
+        let is_slow = latency >= self.core.slow_message_threshold();
         // Reported once more when messages are no longer slow, so that the core learns of it.
-        if slow || self.was_slow {
-            self.was_slow = slow;
+        if is_slow || self.was_slow {
+            self.was_slow = is_slow;
             self.core.send(CoreInput::ConnectionMeasured {
                 id: self.id,
-                metric: ConnectionMetric::MessageLatency(nanos(took)),
+                metric: ConnectionMetric::MessageLatency(nanos(latency)),
             });
         }
         !is_keepalive
     }
 
     /// Records that the client is to migrate.
-    pub(super) fn start_migration(&mut self, why: ConnectionEnd) {
-        self.migration.get_or_insert_with(|| (Instant::now(), why));
+    pub(super) fn start_migration(&mut self, end: ConnectionEnd) {
+        self.migration.get_or_insert_with(|| (Instant::now(), end));
     }
 }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -27,9 +27,9 @@
 /// agent's list counts as known.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Longest head of a response.
-const MAX_RESPONSE_HEAD: usize = 8 << 10;
+const MAX_RESPONSE_HEAD_BYTES: usize = 8 << 10;
 /// Buffers for reading a response and writing a request; a process holds one of each.
-const BUFFERS: (usize, usize) = (16 << 10, 1 << 10);
+const HTTP_BUFFER_BYTES: (usize, usize) = (16 << 10, 1 << 10);
 
 /// A server list in discovery's form: a snapshot or a delta.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -141,12 +141,12 @@
 
     /// Changes the address: ends the watch, which may be blocked in a read, and has the new address
     /// watched at once.
-    pub fn move_to(&self, discovery: SocketAddr) {
+    pub fn set_address(&self, discovery: SocketAddr) {
         {
-            let mut aim = self.lock();
-            aim.address = discovery;
-            aim.generation += 1;
-            if let Some(watch) = aim.open_watch.take() {
+            let mut target = self.lock();
+            target.address = discovery;
+            target.generation += 1;
+            if let Some(watch) = target.open_watch.take() {
                 watch.shutdown();
             }
         }
@@ -167,7 +167,7 @@
 
 impl Watcher {
     /// Creates a watcher that continues from a version, and the sender that requests watches.
-    pub fn new(address: SocketAddr, known: u64) -> (Watcher, Sender<()>) {
+    pub fn new(address: SocketAddr, known_version: u64) -> (Watcher, Sender<()>) {
         let (request_watch, polls) = unbounded();
         let target = Arc::new(Mutex::new(WatchTarget {
             address,
@@ -182,7 +182,7 @@
             Watcher {
                 polls,
                 target,
-                generation: known,
+                generation: known_version,
                 response_timeout: WATCH_TIMEOUT,
             },
             request_watch,
@@ -206,26 +206,26 @@
     }
 
     /// Opens watches on request until the core is gone.
-    pub fn run(mut self, tell: impl Fn(DiscoveryEvent)) {
-        let mut seen = 0;
+    pub fn run(mut self, on_event: impl Fn(DiscoveryEvent)) {
+        let mut seen_generation = 0;
         while self.polls.recv().is_ok() {
-            let ended = loop {
-                let (discovery, moves) = {
-                    let aim = self.target.lock();
-                    (aim.address, aim.generation)
+            let result = loop {
+                let (discovery, target_generation) = {
+                    let target = self.target.lock();
+                    (target.address, target.generation)
                 };
-                if moves != seen {
+                if target_generation != seen_generation {
                     // Another service counts its versions differently: the snapshot is requested.
-                    (seen, self.generation) = (moves, 0);
+                    (seen_generation, self.generation) = (target_generation, 0);
                 }
-                let ended = self.watch_once(discovery, moves, &tell);
+                let result = self.watch_once(discovery, target_generation, &on_event);
                 // Requests that came during a watch are answered by its end.
                 while self.polls.try_recv().is_ok() {}
-                if self.target.lock().generation == seen {
-                    break ended;
+                if self.target.lock().generation == seen_generation {
+                    break result;
                 }
             };
-            tell(ended);
+            on_event(result);
         }
     }
 
@@ -233,16 +233,17 @@
     fn watch_once(
         &mut self,
         discovery: SocketAddr,
-        moves: u64,
-        tell: &impl Fn(DiscoveryEvent),
+        target_generation: u64,
+        on_event: &impl Fn(DiscoveryEvent),
     ) -> DiscoveryEvent {
         let activity = WatchActivity::start();
-        let watch = AssertUnwindSafe(|| self.watch(discovery, moves, &activity, tell));
-        let ended =
+        let watch =
+            AssertUnwindSafe(|| self.watch(discovery, target_generation, &activity, on_event));
+        let result =
             catch_unwind(watch).unwrap_or_else(|_| Err(io::Error::other("the watch panicked")));
         self.target.lock().open_watch = None;
         let quiet = activity.quiet_for();
-        let Err(error) = ended else {
+        let Err(error) = result else {
             return DiscoveryEvent::Failed(quiet);
         };
         warn!(part = "discovery", why = %error, ?quiet, "watch ended");
@@ -256,33 +257,33 @@
     fn watch(
         &mut self,
         discovery: SocketAddr,
-        moves: u64,
+        target_generation: u64,
         activity: &WatchActivity,
-        tell: &impl Fn(DiscoveryEvent),
+        on_event: &impl Fn(DiscoveryEvent),
     ) -> io::Result<()> {
         let client = self.client();
         {
-            let mut aim = self.target.lock();
-            if aim.generation != moves {
+            let mut target = self.target.lock();
+            if target.generation != target_generation {
                 return Ok(());
             }
             // Set before connecting, so that a change of the address ends the call wherever it is.
-            aim.open_watch = Some(client.clone());
+            target.open_watch = Some(client.clone());
         }
-        self.read_watch(&client, discovery, activity, tell)
+        self.read_watch(&client, discovery, activity, on_event)
     }
 
     /// A client for one watch: no name resolution, no connection reuse.
     fn client(&self) -> Agent {
-        let (read, written) = BUFFERS;
+        let (read_bytes, write_bytes) = HTTP_BUFFER_BYTES;
         let config = Agent::config_builder()
             .proxy(None)
             .max_redirects(0)
             .http_status_as_error(false)
             .max_idle_connections(0)
-            .max_response_header_size(MAX_RESPONSE_HEAD)
-            .input_buffer_size(read)
-            .output_buffer_size(written)
+            .max_response_header_size(MAX_RESPONSE_HEAD_BYTES)
+            .input_buffer_size(read_bytes)
+            .output_buffer_size(write_bytes)
             .timeout_connect(Some(self.response_timeout.min(CONNECT_TIMEOUT)))
             .timeout_recv_response(Some(self.response_timeout))
             .timeout_per_read(Some(WATCH_TIMEOUT))
@@ -295,10 +296,10 @@
         client: &Agent,
         discovery: SocketAddr,
         activity: &WatchActivity,
-        tell: &impl Fn(DiscoveryEvent),
+        on_event: &impl Fn(DiscoveryEvent),
     ) -> io::Result<()> {
         let from = self.generation;
-        let body = ask(client, discovery, from)?;
+        let body = request_watch(client, discovery, from)?;
         info!(part = "discovery", %discovery, from, "watch open");
         let lists = reading::bounded_lists(body.into_reader(), activity);
         // Lists may be indented over many lines, and a chunk may end anywhere.
@@ -308,15 +309,16 @@
             if !list.reset && list.generation < self.generation {
                 // A late delta would bring back removed servers. A snapshot is always applied,
                 // since discovery may count anew.
-                let (told, held) = (list.generation, self.generation);
                 warn!(
                     part = "discovery",
-                    told, held, "changes older than the list held are passed over"
+                    told = list.generation,
+                    held = self.generation,
+                    "changes older than the list held are passed over"
                 );
                 continue;
             }
             self.generation = list.generation;
-            tell(DiscoveryEvent::List(list));
+            on_event(DiscoveryEvent::List(list));
         }
         Err(io::Error::other("discovery ended it"))
     }
@@ -332,7 +334,7 @@
 }
 
 /// Requests a watch. Anything but a chunked 200 is an error.
-fn ask(client: &Agent, discovery: SocketAddr, from: u64) -> io::Result<Body> {
+fn request_watch(client: &Agent, discovery: SocketAddr, from: u64) -> io::Result<Body> {
     let call = client.get(format!(
         "http://{discovery}/api/targets?watch=1&from={from}"
     ));
@@ -346,8 +348,8 @@
             answer.status()
         )));
     }
-    let coding = answer.headers().get("transfer-encoding");
-    if !coding.is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
+    let encoding = answer.headers().get("transfer-encoding");
+    if !encoding.is_some_and(|encoding| encoding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
         // A list that is not a watch would end and be requested again and again.
         return Err(io::Error::other("a watch that is not chunked"));
     }
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -6,45 +6,45 @@
 use super::*;
 
 /// A discovery that is asked: the stream that takes its answer.
-fn asked(listener: &std::net::TcpListener) -> TcpStream {
+fn accept_request(listener: &std::net::TcpListener) -> TcpStream {
     let (stream, _) = listener.accept().expect("a watch");
     // Read to its end: a close with bytes left unread is a reset, and takes what was sent along.
-    let mut asked = BufReader::new(stream.try_clone().expect("open")).lines();
-    while asked
+    let mut lines = BufReader::new(stream.try_clone().expect("open")).lines();
+    while lines
         .next()
         .is_some_and(|line| !line.expect("open").is_empty())
     {}
     stream
 }
 
-fn say(stream: &mut TcpStream, text: &str) {
+fn send_chunk(stream: &mut TcpStream, text: &str) {
     write!(stream, "{:x}\r\n{text}\r\n", text.len()).expect("open");
 }
 
 /// A watch that stands, and what is told of it.
-fn stands() -> (TcpStream, Receiver<DiscoveryEvent>) {
+fn open_watch() -> (TcpStream, Receiver<DiscoveryEvent>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (watcher, ask) = Watcher::new(listener.local_addr().expect("bound"), 0);
-    let (told, news) = unbounded();
-    std::thread::spawn(move || watcher.run(|list| drop(told.send(list))));
-    ask.send(()).expect("it listens");
-    let mut stream = asked(&listener);
-    stream.write_all(HEAD).expect("open");
-    (stream, news)
+    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("bound"), 0);
+    let (event_sender, events) = unbounded();
+    std::thread::spawn(move || watcher.run(|event| drop(event_sender.send(event))));
+    watch_requests.send(()).expect("it listens");
+    let mut stream = accept_request(&listener);
+    stream.write_all(RESPONSE_HEAD).expect("open");
+    (stream, events)
 }
 
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const LONG: Duration = Duration::from_secs(10);
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const LONG_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
-fn an_indented_list_over_several_chunks_is_one_list() {
-    let (mut stream, news) = stands();
+fn parses_indented_list_across_chunks() {
+    let (mut stream, events) = open_watch();
     let list = "\r\n{\n  \"generation\": 7,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"s1\",\n\
         \x20     \"lifecycle\": \"SERVING\"\n    }\n  ]\n}\n{\"generation\": 8}\n\n";
     list.as_bytes()
         .chunks(5)
-        .for_each(|piece| say(&mut stream, std::str::from_utf8(piece).expect("ASCII")));
-    let next = || match news.recv_timeout(LONG) {
+        .for_each(|piece| send_chunk(&mut stream, std::str::from_utf8(piece).expect("ASCII")));
+    let next = || match events.recv_timeout(LONG_TIMEOUT) {
         Ok(DiscoveryEvent::List(list)) => (list.generation, list.instances.len()),
         other => panic!("no list: {other:?}"),
     };
@@ -52,43 +52,47 @@
 }
 
 #[test]
-fn a_list_without_an_end_is_an_error_also_where_it_is_all_blanks() {
+fn rejects_endless_list_and_endless_white_space() {
     for byte in *b" x" {
-        let (begun, hearing) = (&b"{\"more\":\""[..], WatchActivity::start());
-        let from = reading::bounded_lists(begun.chain(io::repeat(byte)), &hearing);
+        let (prefix, activity) = (&b"{\"more\":\""[..], WatchActivity::start());
+        let from = reading::bounded_lists(prefix.chain(io::repeat(byte)), &activity);
         assert!(ServerList::deserialize(&mut serde_json::Deserializer::from_reader(from)).is_err());
     }
 }
 
 #[test]
-fn an_agent_is_asked_without_a_word_of_the_module_and_its_silence_is_told_soon() {
+fn agent_watch_opens_unasked_and_times_out_early() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (watcher, ask) = Watcher::new(listener.local_addr().expect("bound"), 3);
-    let (told, news) = unbounded();
-    std::thread::spawn(move || watcher.for_agent().run(|list| drop(told.send(list))));
+    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("bound"), 3);
+    let (event_sender, events) = unbounded();
+    std::thread::spawn(move || {
+        watcher
+            .for_agent()
+            .run(|event| drop(event_sender.send(event)))
+    });
     // Discovery is down: the agent says nothing, and is asked anew when the module says so.
-    let silent = asked(&listener);
+    let silent = accept_request(&listener);
     assert!(
         matches!(
-            news.recv_timeout(WATCH_TIMEOUT / 2),
+            events.recv_timeout(WATCH_TIMEOUT / 2),
             Ok(DiscoveryEvent::TimedOut(_))
         ),
         "long before a watch is given up"
     );
-    ask.send(()).expect("it listens");
-    let mut stream = asked(&listener);
+    watch_requests.send(()).expect("it listens");
+    let mut stream = accept_request(&listener);
     drop(silent);
-    stream.write_all(HEAD).expect("open");
-    say(&mut stream, "{\"generation\":4}\n");
+    stream.write_all(RESPONSE_HEAD).expect("open");
+    send_chunk(&mut stream, "{\"generation\":4}\n");
     assert!(matches!(
-        news.recv_timeout(LONG),
+        events.recv_timeout(LONG_TIMEOUT),
         Ok(DiscoveryEvent::List(ServerList { generation: 4, .. }))
     ));
     // Half an entry, and silence from then on: one wait, however deep the parser is.
-    say(&mut stream, "{\"instances\":[{\"instanceId\":");
+    send_chunk(&mut stream, "{\"instances\":[{\"instanceId\":");
     assert!(
         matches!(
-            news.recv_timeout(WATCH_TIMEOUT * 3 / 2),
+            events.recv_timeout(WATCH_TIMEOUT * 3 / 2),
             Ok(DiscoveryEvent::TimedOut(_))
         ),
         "it ends once it is found silent"
@@ -96,36 +100,37 @@
 }
 
 #[test]
-fn changes_older_than_the_list_held_are_passed_over_and_an_older_whole_list_is_not() {
+fn ignores_older_delta_but_applies_older_snapshot() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let discovery = listener.local_addr().expect("bound");
-    let (watcher, ask) = Watcher::new(discovery, 0);
-    let (told, news) = unbounded();
-    std::thread::spawn(move || watcher.run(|list| drop(told.send(list))));
-    ask.send(()).expect("it listens");
-    let mut stream = asked(&listener);
-    stream.write_all(HEAD).expect("open");
+    let (watcher, watch_requests) = Watcher::new(discovery, 0);
+    let (event_sender, events) = unbounded();
+    std::thread::spawn(move || watcher.run(|event| drop(event_sender.send(event))));
+    watch_requests.send(()).expect("it listens");
+    let mut stream = accept_request(&listener);
+    stream.write_all(RESPONSE_HEAD).expect("open");
     for (generation, reset) in [(5, true), (4, false), (6, false), (2, true), (3, false)] {
-        say(
+        send_chunk(
             &mut stream,
             &format!("{{\"generation\":{generation},\"reset\":{reset}}}\n"),
         );
     }
     drop(stream);
     // The end of the watch is told as a failure.
-    let taken: Vec<u64> = std::iter::from_fn(|| match news.recv_timeout(Duration::from_secs(10)) {
-        Ok(DiscoveryEvent::List(list)) => Some(list.generation),
-        _ => None,
-    })
-    .collect();
-    assert_eq!(taken, [5, 6, 2, 3]);
+    let generations: Vec<u64> =
+        std::iter::from_fn(|| match events.recv_timeout(Duration::from_secs(10)) {
+            Ok(DiscoveryEvent::List(list)) => Some(list.generation),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(generations, [5, 6, 2, 3]);
 }
 
 #[test]
-fn an_answer_that_is_no_watch_is_an_error() {
+fn rejects_response_that_is_not_a_watch() {
     let long = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: {}\r\n\r\n",
-        "x".repeat(MAX_RESPONSE_HEAD)
+        "x".repeat(MAX_RESPONSE_HEAD_BYTES)
     );
     for answer in [
         &b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"[..],
@@ -138,16 +143,16 @@
     ] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
         let discovery = listener.local_addr().expect("bound");
-        let (watcher, _ask) = Watcher::new(discovery, 0);
+        let (watcher, _watch_requests) = Watcher::new(discovery, 0);
         let text = answer.to_vec();
         let answers = std::thread::spawn(move || {
-            let mut stream = asked(&listener);
+            let mut stream = accept_request(&listener);
             // One that is refused half way may be closed by then.
             let _ = stream.write_all(&text);
         });
         let client = watcher.client();
         assert!(
-            super::ask(&client, discovery, 0).is_err(),
+            super::request_watch(&client, discovery, 0).is_err(),
             "{}",
             String::from_utf8_lossy(answer)
         );
@@ -156,9 +161,9 @@
 }
 
 #[test]
-fn a_chunk_that_is_none_ends_the_watch_and_what_came_before_it_holds() {
-    let endless = "1".repeat(BUFFERS.0 + 1);
-    for spoilt in [
+fn invalid_chunk_ends_watch_and_keeps_earlier_lists() {
+    let endless = "1".repeat(HTTP_BUFFER_BYTES.0 + 1);
+    for invalid_chunk in [
         "x\r\n{}\r\n",
         "ffffffffffffffffff\r\n{}\r\n",
         "2\r\n{}no end\r\n",
@@ -166,35 +171,35 @@
         "0\r\n\r\n",
         &endless,
     ] {
-        let (mut stream, news) = stands();
-        say(&mut stream, "{\"generation\":4}\n");
+        let (mut stream, events) = open_watch();
+        send_chunk(&mut stream, "{\"generation\":4}\n");
         assert!(
             matches!(
-                news.recv_timeout(LONG),
+                events.recv_timeout(LONG_TIMEOUT),
                 Ok(DiscoveryEvent::List(ServerList { generation: 4, .. }))
             ),
-            "{spoilt:?}"
+            "{invalid_chunk:?}"
         );
-        stream.write_all(spoilt.as_bytes()).expect("open");
-        let mut ended = news.recv_timeout(WATCH_TIMEOUT / 2);
-        if let Ok(DiscoveryEvent::List(_)) = ended {
+        stream.write_all(invalid_chunk.as_bytes()).expect("open");
+        let mut event = events.recv_timeout(WATCH_TIMEOUT / 2);
+        if let Ok(DiscoveryEvent::List(_)) = event {
             // What had come whole before the fault.
-            ended = news.recv_timeout(WATCH_TIMEOUT / 2);
+            event = events.recv_timeout(WATCH_TIMEOUT / 2);
         }
         assert!(
-            matches!(ended, Ok(DiscoveryEvent::Failed(_))),
-            "{spoilt:?}: long before it is given up as silent"
+            matches!(event, Ok(DiscoveryEvent::Failed(_))),
+            "{invalid_chunk:?}: long before it is given up as silent"
         );
     }
 }
 
 /// A watcher of that discovery that has been asked once: what it tells, and the end that asks it again.
-fn watches(discovery: SocketAddr) -> (Receiver<DiscoveryEvent>, Sender<()>) {
-    let (watcher, ask) = Watcher::new(discovery, 0);
-    let (told, news) = unbounded();
-    std::thread::spawn(move || watcher.run(|list| drop(told.send(list))));
-    ask.send(()).expect("it listens");
-    (news, ask)
+fn start_watcher(discovery: SocketAddr) -> (Receiver<DiscoveryEvent>, Sender<()>) {
+    let (watcher, watch_requests) = Watcher::new(discovery, 0);
+    let (event_sender, events) = unbounded();
+    std::thread::spawn(move || watcher.run(|event| drop(event_sender.send(event))));
+    watch_requests.send(()).expect("it listens");
+    (events, watch_requests)
 }
 
 /// Sends byte after byte, none of them long after the one before, until nobody takes them.
@@ -208,120 +213,121 @@
 }
 
 #[test]
-fn a_list_that_comes_byte_by_byte_and_never_ends_is_silence_from_its_beginning() {
-    let (mut stream, news) = stands();
-    say(&mut stream, "\n");
-    say(&mut stream, "{\"generation\":");
+fn times_out_when_list_arrives_too_slowly() {
+    let (mut stream, events) = open_watch();
+    send_chunk(&mut stream, "\n");
+    send_chunk(&mut stream, "{\"generation\":");
     let blanks = std::iter::repeat_with(|| b"1\r\n \r\n".to_vec());
     std::thread::spawn(move || trickle(stream, blanks));
-    let told = news.recv_timeout(WATCH_TIMEOUT * 3 / 2);
+    let event = events.recv_timeout(WATCH_TIMEOUT * 3 / 2);
     assert!(
-        matches!(told, Ok(DiscoveryEvent::TimedOut(quiet)) if quiet >= WATCH_TIMEOUT),
-        "{told:?}"
+        matches!(event, Ok(DiscoveryEvent::TimedOut(quiet)) if quiet >= WATCH_TIMEOUT),
+        "{event:?}"
     );
 }
 
 #[test]
-fn a_head_that_comes_byte_by_byte_and_never_ends_is_silence_from_the_call() {
+fn times_out_when_response_head_arrives_too_slowly() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (news, _ask) = watches(listener.local_addr().expect("bound"));
-    let mut stream = asked(&listener);
+    let (events, _watch_requests) = start_watcher(listener.local_addr().expect("bound"));
+    let mut stream = accept_request(&listener);
     stream.write_all(b"HTTP/1.1 200 OK\r\nX: ").expect("open");
     std::thread::spawn(move || trickle(stream, std::iter::repeat_with(|| b"x".to_vec())));
-    let told = news.recv_timeout(WATCH_TIMEOUT * 3 / 2);
+    let event = events.recv_timeout(WATCH_TIMEOUT * 3 / 2);
     assert!(
-        matches!(told, Ok(DiscoveryEvent::TimedOut(quiet)) if quiet >= WATCH_TIMEOUT),
-        "{told:?}"
+        matches!(event, Ok(DiscoveryEvent::TimedOut(quiet)) if quiet >= WATCH_TIMEOUT),
+        "{event:?}"
     );
 }
 
 #[test]
-fn a_failure_that_is_known_late_is_told_with_the_time_that_it_took() {
+fn failure_reports_time_since_last_message() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let discovery = listener.local_addr().expect("bound");
-    let (news, ask) = watches(discovery);
-    let late = Duration::from_millis(300);
+    let (events, watch_requests) = start_watcher(discovery);
+    let delay = Duration::from_millis(300);
     // Refused after a while.
-    let mut stream = asked(&listener);
-    std::thread::sleep(late);
+    let mut stream = accept_request(&listener);
+    std::thread::sleep(delay);
     stream
         .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         .expect("open");
-    let told = news.recv_timeout(LONG);
+    let event = events.recv_timeout(LONG_TIMEOUT);
     assert!(
-        matches!(told, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= late),
-        "{told:?}"
+        matches!(event, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= delay),
+        "{event:?}"
     );
     // Broken off a while after the last that was heard.
-    ask.send(()).expect("it listens");
-    let mut stream = asked(&listener);
-    stream.write_all(HEAD).expect("open");
-    say(&mut stream, "{\"generation\":4}\n");
+    watch_requests.send(()).expect("it listens");
+    let mut stream = accept_request(&listener);
+    stream.write_all(RESPONSE_HEAD).expect("open");
+    send_chunk(&mut stream, "{\"generation\":4}\n");
     assert!(matches!(
-        news.recv_timeout(LONG),
+        events.recv_timeout(LONG_TIMEOUT),
         Ok(DiscoveryEvent::List(_))
     ));
-    std::thread::sleep(late);
+    std::thread::sleep(delay);
     drop(stream);
-    let told = news.recv_timeout(LONG);
+    let event = events.recv_timeout(LONG_TIMEOUT);
     assert!(
-        matches!(told, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= late),
-        "{told:?}"
+        matches!(event, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= delay),
+        "{event:?}"
     );
 }
 
 #[test]
-fn a_connection_that_never_comes_up_fails_and_takes_its_part_of_the_time() {
+fn reports_failure_when_connect_times_out() {
     // One place in its line, which is taken.
-    let full =
+    let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+    listener
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .expect("loopback");
-    full.listen(0).expect("bound");
-    let full = std::net::TcpListener::from(full);
-    let at = full.local_addr().expect("bound");
+    listener.listen(0).expect("bound");
+    let listener = std::net::TcpListener::from(listener);
+    let address = listener.local_addr().expect("bound");
     let short = Duration::from_millis(100);
-    let _line: Vec<TcpStream> =
-        std::iter::from_fn(|| TcpStream::connect_timeout(&at, short).ok()).collect();
-    let (news, _ask) = watches(at);
-    let told = news.recv_timeout(LONG);
+    let _connections: Vec<TcpStream> =
+        std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
+    let (events, _watch_requests) = start_watcher(address);
+    let event = events.recv_timeout(LONG_TIMEOUT);
     assert!(
-        matches!(told, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= CONNECT_TIMEOUT * 9 / 10),
-        "{told:?}"
+        matches!(event, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= CONNECT_TIMEOUT * 9 / 10),
+        "{event:?}"
     );
 }
 
 #[test]
-fn a_panic_in_a_watch_is_a_failure_and_the_next_ask_is_served() {
+fn continues_after_panic_in_watch() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (watcher, ask) = Watcher::new(listener.local_addr().expect("bound"), 0);
-    let (told, news) = unbounded();
+    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("bound"), 0);
+    let (event_sender, events) = unbounded();
     std::thread::spawn(move || {
-        watcher.run(|news| {
+        watcher.run(|event| {
             assert!(
                 !matches!(
-                    news,
+                    event,
                     DiscoveryEvent::List(ServerList { generation: 13, .. })
                 ),
                 "the fault that is played"
             );
-            drop(told.send(news));
+            drop(event_sender.send(event));
         });
     });
-    ask.send(()).expect("it listens");
-    let mut stream = asked(&listener);
-    stream.write_all(HEAD).expect("open");
-    say(&mut stream, "{\"generation\":13}\n");
+    watch_requests.send(()).expect("it listens");
+    let mut stream = accept_request(&listener);
+    stream.write_all(RESPONSE_HEAD).expect("open");
+    send_chunk(&mut stream, "{\"generation\":13}\n");
     assert!(matches!(
-        news.recv_timeout(LONG),
+        events.recv_timeout(LONG_TIMEOUT),
         Ok(DiscoveryEvent::Failed(_))
     ));
-    ask.send(()).expect("it listens");
-    let mut stream = asked(&listener);
-    stream.write_all(HEAD).expect("open");
-    say(&mut stream, "{\"generation\":14}\n");
+    watch_requests.send(()).expect("it listens");
+    let mut stream = accept_request(&listener);
+    stream.write_all(RESPONSE_HEAD).expect("open");
+    send_chunk(&mut stream, "{\"generation\":14}\n");
     assert!(matches!(
-        news.recv_timeout(LONG),
+        events.recv_timeout(LONG_TIMEOUT),
         Ok(DiscoveryEvent::List(ServerList { generation: 14, .. }))
     ));
 }
--- a/crates/balancer/src/front/mod.rs
+++ b/crates/balancer/src/front/mod.rs
@@ -21,7 +21,7 @@
     type ServerHandshake: Send + Sync;
 
     /// Whether [`Front::admit`] may block and needs a thread of its own.
-    const ADMIT_WAITS: bool = false;
+    const ADMIT_BLOCKS: bool = false;
 
     /// Name of the front in the log.
     fn name(&self) -> &'static str;
@@ -54,17 +54,17 @@
     fn parse_handshake(&self, line: &[u8], now: u64) -> HandshakeLine<Self::Request>;
 
     /// The answer to a readiness query.
-    fn readiness_answer(&self, _at: LifecycleState, _ready: bool) -> &'static [u8] {
+    fn readiness_answer(&self, _state: LifecycleState, _is_ready: bool) -> &'static [u8] {
         b""
     }
 
     /// The line from which another process can take over an established connection, if it can.
-    fn handover_line<'a>(&self, _of: &'a Self::ServerHandshake) -> Option<&'a [u8]> {
+    fn handover_line<'a>(&self, _handshake: &'a Self::ServerHandshake) -> Option<&'a [u8]> {
         None
     }
 
     /// The rejection of an incomplete or oversized handshake.
-    fn handshake_error(&self, why: HandshakeError) -> Rejection;
+    fn handshake_error(&self, error: HandshakeError) -> Rejection;
 
     /// Admits a client; may call a store.
     ///
@@ -89,7 +89,7 @@
     ) -> Result<Vec<u8>, AttemptError>;
 
     /// Encodes a final answer or a migration.
-    fn encode(&self, word: ClientMessage) -> Vec<u8>;
+    fn encode(&self, message: ClientMessage) -> Vec<u8>;
 
     /// A framer for what clients send on an established connection.
     fn client_framer(&self) -> Box<dyn Framer>;
@@ -151,15 +151,15 @@
     /// What the client is sent.
     pub answer: Vec<u8>,
     /// The reason, for the log.
-    pub why: String,
+    pub reason: String,
 }
 
 impl Rejection {
     /// Creates a rejection.
-    pub fn new(answer: &[u8], why: impl Into<String>) -> Rejection {
+    pub fn new(answer: &[u8], reason: impl Into<String>) -> Rejection {
         Rejection {
             answer: answer.to_vec(),
-            why: why.into(),
+            reason: reason.into(),
         }
     }
 }
@@ -207,7 +207,7 @@
     fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(MessageKind) -> bool,
+        on_message: &mut dyn FnMut(MessageKind) -> bool,
     ) -> Result<FrameProgress, ProtocolError>;
 
     /// Whether the bytes so far end between two messages.
--- a/crates/balancer/src/front/nats/framing.rs
+++ b/crates/balancer/src/front/nats/framing.rs
@@ -5,12 +5,12 @@
 use crate::net::trim_line_end;
 
 /// Longest control line, except for a server's INFO.
-pub const MAX_CONTROL_LINE: usize = 4096;
+pub const MAX_CONTROL_LINE_BYTES: usize = 4096;
 /// Longest INFO of a server, which lists the cluster's addresses.
-const MAX_INFO_LINE: usize = 32 * 1024;
+const MAX_INFO_LINE_BYTES: usize = 32 * 1024;
 
 /// Splits a control line into its verb and the rest.
-pub fn verb(line: &[u8]) -> (&[u8], &[u8]) {
+pub fn split_verb(line: &[u8]) -> (&[u8], &[u8]) {
     let end = line
         .iter()
         .position(|byte| matches!(byte, b' ' | b'\t'))
@@ -27,13 +27,13 @@
 /// What an `-ERR` during the handshake means for an attempt.
 pub fn classify_error(text: &[u8]) -> ServerAnswer {
     let text = String::from_utf8_lossy(text).to_lowercase();
-    let away = [
+    let rejection_phrases = [
         "connections exceeded",
         "shutdown",
         "shutting down",
         "lame duck",
     ];
-    if away.iter().any(|words| text.contains(words)) {
+    if rejection_phrases.iter().any(|phrase| text.contains(phrase)) {
         ServerAnswer::Rejected
     } else {
         ServerAnswer::Error
@@ -41,7 +41,7 @@
 }
 
 /// The payload size at the end of a control line.
-fn size(rest: &[u8]) -> Option<usize> {
+fn payload_size(rest: &[u8]) -> Option<usize> {
     let last = rest.rsplit(|byte| matches!(byte, b' ' | b'\t')).next()?;
     std::str::from_utf8(last).ok()?.parse().ok()
 }
@@ -56,73 +56,73 @@
 
 /// Position in a stream of control lines and payloads.
 #[derive(Default)]
-struct Frames {
+struct FramePosition {
     payload_left: usize,
 }
 
-impl Frames {
+impl FramePosition {
     /// Advances over complete control lines and available payload.
-    fn walk(
+    fn advance(
         &mut self,
         bytes: &[u8],
-        longest: usize,
-        read: impl Fn(&[u8], &[u8]) -> Result<Op, ProtocolError>,
-        seen: &mut dyn FnMut(MessageKind) -> bool,
+        max_line_bytes: usize,
+        parse_op: impl Fn(&[u8], &[u8]) -> Result<Op, ProtocolError>,
+        on_message: &mut dyn FnMut(MessageKind) -> bool,
     ) -> Result<FrameProgress, ProtocolError> {
-        let mut followed = FrameProgress::default();
-        let mut at = 0;
-        while at < bytes.len() {
+        let mut progress = FrameProgress::default();
+        let mut offset = 0;
+        while offset < bytes.len() {
             if self.payload_left > 0 {
-                let count = self.payload_left.min(bytes.len() - at);
-                at += count;
+                let count = self.payload_left.min(bytes.len() - offset);
+                offset += count;
                 self.payload_left -= count;
             } else {
-                let line = bytes[at..]
+                let line = bytes[offset..]
                     .iter()
                     .position(|byte| *byte == b'\n')
-                    .map(|end| &bytes[at..=at + end]);
-                if line.map_or(bytes.len() - at, <[u8]>::len) > longest {
+                    .map(|end| &bytes[offset..=offset + end]);
+                if line.map_or(bytes.len() - offset, <[u8]>::len) > max_line_bytes {
                     return Err(ProtocolError {
                         answer: "-ERR 'Maximum Control Line Exceeded'\r\n",
                     });
                 }
                 let Some(line) = line else { break };
-                let (verb, rest) = verb(trim_line_end(line));
-                match read(&verb.to_ascii_uppercase(), rest)? {
+                let (verb, rest) = split_verb(trim_line_end(line));
+                match parse_op(&verb.to_ascii_uppercase(), rest)? {
                     Op::Payload(size) => self.payload_left = size.saturating_add(2),
-                    Op::Line(meaning) => {
-                        if !meaning.is_none_or(&mut *seen) {
-                            followed.dropped.push(at..at + line.len());
+                    Op::Line(kind) => {
+                        if !kind.is_none_or(&mut *on_message) {
+                            progress.dropped.push(offset..offset + line.len());
                         }
                     }
                 }
-                at += line.len();
+                offset += line.len();
             }
             if self.payload_left == 0 {
-                followed.boundary = Some(at);
+                progress.boundary = Some(offset);
             }
         }
-        followed.consumed = at;
-        Ok(followed)
+        progress.consumed = offset;
+        Ok(progress)
     }
 }
 
-const UNKNOWN: ProtocolError = ProtocolError {
+const UNKNOWN_OPERATION: ProtocolError = ProtocolError {
     answer: "-ERR 'Unknown Protocol Operation'\r\n",
 };
 
 /// Frames what a client sends on an established connection.
 pub struct ClientFramer {
-    frames: Frames,
-    max_payload: usize,
+    position: FramePosition,
+    max_payload_bytes: usize,
 }
 
 impl ClientFramer {
     /// Creates a framer for payloads up to this size.
-    pub fn new(max_payload: usize) -> ClientFramer {
+    pub fn new(max_payload_bytes: usize) -> ClientFramer {
         ClientFramer {
-            frames: Frames::default(),
-            max_payload,
+            position: FramePosition::default(),
+            max_payload_bytes,
         }
     }
 }
@@ -131,12 +131,12 @@
     fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(MessageKind) -> bool,
+        on_message: &mut dyn FnMut(MessageKind) -> bool,
     ) -> Result<FrameProgress, ProtocolError> {
-        let max = self.max_payload;
-        let read = |verb: &[u8], rest: &[u8]| match verb {
-            b"PUB" | b"HPUB" => match size(rest) {
-                Some(size) if size <= max => Ok(Op::Payload(size)),
+        let max_payload_bytes = self.max_payload_bytes;
+        let parse_op = |verb: &[u8], rest: &[u8]| match verb {
+            b"PUB" | b"HPUB" => match payload_size(rest) {
+                Some(size) if size <= max_payload_bytes => Ok(Op::Payload(size)),
                 Some(_) => Err(ProtocolError {
                     answer: "-ERR 'Maximum Payload Violation'\r\n",
                 }),
@@ -148,42 +148,44 @@
             b"SUB" | b"UNSUB" | b"PONG" | b"" => Ok(Op::Line(None)),
             // A second CONNECT would carry the tenant's credentials to a server that does not know
             // them.
-            _ => Err(UNKNOWN),
+            _ => Err(UNKNOWN_OPERATION),
         };
-        self.frames.walk(bytes, MAX_CONTROL_LINE, read, seen)
+        self.position
+            .advance(bytes, MAX_CONTROL_LINE_BYTES, parse_op, on_message)
     }
 
     fn is_at_boundary(&self) -> bool {
-        self.frames.payload_left == 0
+        self.position.payload_left == 0
     }
 }
 
 /// Frames what a server sends on an established connection.
 #[derive(Default)]
 pub struct ServerFramer {
-    frames: Frames,
+    position: FramePosition,
 }
 
 impl Framer for ServerFramer {
     fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(MessageKind) -> bool,
+        on_message: &mut dyn FnMut(MessageKind) -> bool,
     ) -> Result<FrameProgress, ProtocolError> {
-        let read = |verb: &[u8], rest: &[u8]| match verb {
-            b"MSG" | b"HMSG" => size(rest).map(Op::Payload).ok_or(UNKNOWN),
+        let parse_op = |verb: &[u8], rest: &[u8]| match verb {
+            b"MSG" | b"HMSG" => payload_size(rest).map(Op::Payload).ok_or(UNKNOWN_OPERATION),
             b"PONG" => Ok(Op::Line(Some(MessageKind::AnswerToOldest))),
             b"INFO" if is_lame_duck(rest) => Ok(Op::Line(Some(MessageKind::ShutdownNotice))),
             // It names servers that clients must not reach past the balancer.
             b"INFO" => Ok(Op::Line(Some(MessageKind::BalancerOnly))),
             b"PING" | b"+OK" | b"-ERR" | b"" => Ok(Op::Line(None)),
-            _ => Err(UNKNOWN),
+            _ => Err(UNKNOWN_OPERATION),
         };
-        self.frames.walk(bytes, MAX_INFO_LINE, read, seen)
+        self.position
+            .advance(bytes, MAX_INFO_LINE_BYTES, parse_op, on_message)
     }
 
     fn is_at_boundary(&self) -> bool {
-        self.frames.payload_left == 0
+        self.position.payload_left == 0
     }
 }
 
--- a/crates/balancer/src/front/nats/framing/tests.rs
+++ b/crates/balancer/src/front/nats/framing/tests.rs
@@ -3,55 +3,55 @@
 use super::*;
 
 #[test]
-fn payloads_are_framed_by_size_whatever_they_hold_and_however_they_come() {
+fn frames_payloads_by_size_across_chunks() {
     let all = b"MSG a 1 12\r\nPING\r\nPONG\r\n\r\nPONG\r\nHMSG a 1 r 4 6\r\nPONG\r\n\r\nINFO {\"ldm\":true}\r\n";
-    for piece in [1, 2, 7, all.len()] {
-        let (mut framer, mut seen, mut kept, mut passed) =
+    for chunk_size in [1, 2, 7, all.len()] {
+        let (mut framer, mut messages, mut buffer, mut relayed) =
             (ServerFramer::default(), Vec::new(), Vec::new(), Vec::new());
-        for bytes in all.chunks(piece) {
-            kept.extend_from_slice(bytes);
-            let mut see = |what| {
-                seen.push(what);
-                what == MessageKind::AnswerToOldest
+        for bytes in all.chunks(chunk_size) {
+            buffer.extend_from_slice(bytes);
+            let mut on_message = |kind| {
+                messages.push(kind);
+                kind == MessageKind::AnswerToOldest
             };
-            let followed = framer.advance(&kept, &mut see).expect("sound");
-            let mut from = 0;
-            for gap in followed.dropped {
-                passed.extend_from_slice(&kept[from..gap.start]);
-                from = gap.end;
+            let progress = framer.advance(&buffer, &mut on_message).expect("sound");
+            let mut start = 0;
+            for gap in progress.dropped {
+                relayed.extend_from_slice(&buffer[start..gap.start]);
+                start = gap.end;
             }
-            passed.extend_from_slice(&kept[from..followed.consumed]);
-            kept.drain(..followed.consumed);
+            relayed.extend_from_slice(&buffer[start..progress.consumed]);
+            buffer.drain(..progress.consumed);
         }
         assert_eq!(
-            seen,
+            messages,
             [MessageKind::AnswerToOldest, MessageKind::ShutdownNotice],
-            "in pieces of {piece}"
+            "in pieces of {chunk_size}"
         );
         assert!(framer.is_at_boundary());
-        assert_eq!(passed, all[..all.len() - 19], "in pieces of {piece}");
+        assert_eq!(relayed, all[..all.len() - 19], "in pieces of {chunk_size}");
     }
 }
 
 #[test]
-fn what_breaks_the_rules_is_answered_by_name() {
-    let long = [b"SUB ", vec![b'x'; MAX_CONTROL_LINE].as_slice()].concat();
-    for (bytes, words) in [
+fn rejects_protocol_violations_with_named_error() {
+    let long = [b"SUB ", vec![b'x'; MAX_CONTROL_LINE_BYTES].as_slice()].concat();
+    for (bytes, expected) in [
         (&b"PUB a 9\r\n"[..], "Maximum Payload Violation"),
         (b"HPUB a 3 9\r\n", "Maximum Payload Violation"),
         (b"PUB a x\r\n", "Parser Error"),
         (b"CONNECT {}\r\n", "Unknown Protocol Operation"),
         (&long, "Maximum Control Line Exceeded"),
     ] {
-        let fault = ClientFramer::new(8)
+        let error = ClientFramer::new(8)
             .advance(bytes, &mut |_| true)
-            .expect_err(words);
-        assert!(fault.answer.contains(words), "{}", fault.answer);
+            .expect_err(expected);
+        assert!(error.answer.contains(expected), "{}", error.answer);
     }
 }
 
 #[test]
-fn errors_before_a_connection_stands_are_told_apart() {
+fn classifies_errors_before_connection_is_established() {
     for (text, answer) in [
         ("'Maximum Connections Exceeded'", ServerAnswer::Rejected),
         (
--- a/crates/balancer/src/front/nats/mod.rs
+++ b/crates/balancer/src/front/nats/mod.rs
@@ -14,8 +14,8 @@
 //! | nothing after CONNECT | timed out, retried as the class allows |
 
 pub mod framing;
+pub mod limits;
 pub mod tenants;
-pub mod wire;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,9 +24,9 @@
 use beaconflow_settings::{SiteSettings, digest};
 use serde_json::{Map, Value, json};
 
-use self::framing::{ClientFramer, MAX_CONTROL_LINE, ServerFramer};
+use self::framing::{ClientFramer, MAX_CONTROL_LINE_BYTES, ServerFramer};
+use self::limits::NatsLimits;
 use self::tenants::{TenantSlot, Tenants};
-use self::wire::Wire;
 use super::{ClientMessage, Framer, Front, HandshakeError, HandshakeLine, Keepalive, Rejection};
 use crate::attempt::{AttemptError, ServerAnswer, ServerExchange};
 use crate::core::ClientRequest;
@@ -34,9 +34,9 @@
 
 /// The NATS front.
 pub struct Nats {
-    setup: Arc<SiteSettings>,
+    settings: Arc<SiteSettings>,
     tenants: Arc<Tenants>,
-    wire: Wire,
+    limits: NatsLimits,
     name: String,
     /// Number of clients so far.
     clients: AtomicU64,
@@ -45,7 +45,7 @@
 /// A client's CONNECT.
 pub struct Connect {
     options: Vec<u8>,
-    taken_at: u64,
+    received_at: u64,
 }
 
 /// The CONNECT line for a server.
@@ -54,30 +54,35 @@
     connect: Vec<u8>,
     verbose: bool,
     /// Counts against the tenant's limit while the connection lives.
-    _admitted: TenantSlot,
+    _slot: TenantSlot,
 }
 
 impl Nats {
     /// Creates the front of a site and its tenants.
-    pub fn new(name: String, setup: Arc<SiteSettings>, tenants: Arc<Tenants>, wire: Wire) -> Nats {
+    pub fn new(
+        name: String,
+        settings: Arc<SiteSettings>,
+        tenants: Arc<Tenants>,
+        limits: NatsLimits,
+    ) -> Nats {
         Nats {
-            setup,
+            settings,
             tenants,
-            wire,
+            limits,
             name,
             clients: AtomicU64::new(0),
         }
     }
 
-    fn info(&self, leaving: bool, client: u64) -> Vec<u8> {
+    fn info(&self, is_shutting_down: bool, client: u64) -> Vec<u8> {
         let mut info = json!({
             "server_id": self.name, "server_name": self.name, "version": env!("CARGO_PKG_VERSION"),
-            "proto": 1, "headers": true, "auth_required": true, "max_payload": self.wire.max_payload,
+            "proto": 1, "headers": true, "auth_required": true, "max_payload": self.limits.max_payload_bytes,
         });
         if client > 0 {
             info["client_id"] = client.into();
         }
-        if leaving {
+        if is_shutting_down {
             info["ldm"] = true.into();
         }
         format!("INFO {info}\r\n").into_bytes()
@@ -86,10 +91,10 @@
     /// Authenticates a CONNECT and prepares the one for the server.
     fn connect(&self, options: &[u8], now: u64) -> Result<(ClientRequest, ConnectLine), Rejection> {
         let Ok(options) = serde_json::from_slice::<Map<String, Value>>(options) else {
-            return Err(refuse("Parser Error", "CONNECT without a JSON object"));
+            return Err(reject("Parser Error", "CONNECT without a JSON object"));
         };
         if options.get("tls_required").and_then(Value::as_bool) == Some(true) {
-            return Err(refuse("TLS Not Supported", "CONNECT asks for TLS"));
+            return Err(reject("TLS Not Supported", "CONNECT asks for TLS"));
         }
         let text = |name: &str| {
             options
@@ -98,12 +103,12 @@
                 .unwrap_or_default()
         };
         let (user, password) = (text("user"), text("pass"));
-        let (tenant, admitted) = self
+        let (tenant, slot) = self
             .tenants
             .admit(user, password)
             .map_err(|error| self.reject_admission(error))?;
-        let Some(class) = self.setup.class(&tenant.class) else {
-            return Err(refuse(
+        let Some(class) = self.settings.class(&tenant.class) else {
+            return Err(reject(
                 "Authorization Violation",
                 "the tenant's class is not in the settings",
             ));
@@ -122,7 +127,7 @@
             buffered_bytes: connect.len(),
             expected_load: None,
             received_at: now,
-            client_timeout: self.setup.client_timeout(class),
+            client_timeout: self.settings.client_timeout(class),
             resumed_server: None,
         };
         Ok((
@@ -130,24 +135,24 @@
             ConnectLine {
                 connect,
                 verbose,
-                _admitted: admitted,
+                _slot: slot,
             },
         ))
     }
 
     fn reject_admission(&self, error: tenants::AdmitError) -> Rejection {
         match error {
-            tenants::AdmitError::Unknown => {
-                refuse("Authorization Violation", "not a tenant's credentials")
+            tenants::AdmitError::InvalidCredentials => {
+                reject("Authorization Violation", "not a tenant's credentials")
             }
-            tenants::AdmitError::TooMany => refuse(
+            tenants::AdmitError::TooManyConnections => reject(
                 "Maximum Connections Exceeded",
                 "a tenant's limit is reached",
             ),
-            tenants::AdmitError::StoreAway => {
-                let after = self.wire.store_retry().as_millis();
-                let text = format!("Service Unavailable; try again in {after} ms");
-                refuse(&text, "the store is away and the tenant not known")
+            tenants::AdmitError::StoreUnavailable => {
+                let retry_after = self.limits.store_retry_after().as_millis();
+                let text = format!("Service Unavailable; try again in {retry_after} ms");
+                reject(&text, "the store is away and the tenant not known")
             }
         }
     }
@@ -164,8 +169,8 @@
     format!("CONNECT {}\r\n", Value::Object(options)).into_bytes()
 }
 
-fn refuse(text: &str, why: &str) -> Rejection {
-    Rejection::new(format!("-ERR '{text}'\r\n").as_bytes(), why)
+fn reject(text: &str, reason: &str) -> Rejection {
+    Rejection::new(format!("-ERR '{text}'\r\n").as_bytes(), reason)
 }
 
 impl Front for Nats {
@@ -173,7 +178,7 @@
     type ServerHandshake = ConnectLine;
 
     /// The store is called, and a password is verified.
-    const ADMIT_WAITS: bool = true;
+    const ADMIT_BLOCKS: bool = true;
 
     fn name(&self) -> &'static str {
         "nats"
@@ -185,7 +190,7 @@
     }
 
     fn max_early_bytes(&self) -> usize {
-        self.wire.most_early
+        self.limits.max_early_bytes
     }
 
     fn banner(&self) -> Vec<u8> {
@@ -193,40 +198,43 @@
     }
 
     fn handshake_timeout(&self) -> Duration {
-        self.wire.connect_wait()
+        self.limits.handshake_timeout()
     }
 
     fn max_handshake_line(&self) -> usize {
-        MAX_CONTROL_LINE
+        MAX_CONTROL_LINE_BYTES
     }
 
     fn parse_handshake(&self, line: &[u8], now: u64) -> HandshakeLine<Connect> {
-        let (verb, options) = framing::verb(trim_line_end(line));
+        let (verb, options) = framing::split_verb(trim_line_end(line));
         if !verb.eq_ignore_ascii_case(b"CONNECT") {
-            return HandshakeLine::Rejected(refuse(
+            return HandshakeLine::Rejected(reject(
                 "Authorization Violation",
                 "something else before CONNECT",
             ));
         }
         HandshakeLine::Connect(Connect {
             options: options.to_vec(),
-            taken_at: now,
+            received_at: now,
         })
     }
 
-    fn handshake_error(&self, why: HandshakeError) -> Rejection {
-        match why {
-            HandshakeError::TimedOut => refuse("Authentication Timeout", "no CONNECT in time"),
-            HandshakeError::TooLong => refuse("Maximum Control Line Exceeded", "a line too long"),
-            HandshakeError::ExtraBytes => refuse("Parser Error", "too much behind CONNECT"),
+    fn handshake_error(&self, error: HandshakeError) -> Rejection {
+        match error {
+            HandshakeError::TimedOut => reject("Authentication Timeout", "no CONNECT in time"),
+            HandshakeError::TooLong => reject("Maximum Control Line Exceeded", "a line too long"),
+            HandshakeError::ExtraBytes => reject("Parser Error", "too much behind CONNECT"),
         }
     }
 
     fn admit(
         &self,
-        Connect { options, taken_at }: Connect,
+        Connect {
+            options,
+            received_at,
+        }: Connect,
     ) -> Result<(ClientRequest, ConnectLine), Rejection> {
-        self.connect(&options, taken_at)
+        self.connect(&options, received_at)
     }
 
     fn request_connection(
@@ -235,7 +243,7 @@
         server_handshake: &ConnectLine,
     ) -> Result<Vec<u8>, AttemptError> {
         let info = exchange.read_line(AttemptError::before_request)?;
-        let (verb, info) = framing::verb(trim_line_end(&info));
+        let (verb, info) = framing::split_verb(trim_line_end(&info));
         if !verb.eq_ignore_ascii_case(b"INFO") {
             return Err(AttemptError::before_request(ReadError::Ended));
         }
@@ -249,7 +257,7 @@
         exchange.write_request(&[&server_handshake.connect, b"PING\r\n"])?;
         loop {
             let line = exchange.read_line(AttemptError::RequestWritten)?;
-            let (verb, rest) = framing::verb(trim_line_end(&line));
+            let (verb, rest) = framing::split_verb(trim_line_end(&line));
             match verb.to_ascii_uppercase().as_slice() {
                 b"PONG" => break,
                 b"+OK" => {}
@@ -273,12 +281,12 @@
         })
     }
 
-    fn encode(&self, word: ClientMessage) -> Vec<u8> {
-        match word {
+    fn encode(&self, message: ClientMessage) -> Vec<u8> {
+        match message {
             ClientMessage::Rejected(None) => b"-ERR 'Service Unavailable'\r\n".to_vec(),
-            ClientMessage::Rejected(Some(after)) => format!(
+            ClientMessage::Rejected(Some(retry_after)) => format!(
                 "-ERR 'Service Unavailable; try again in {} ms'\r\n",
-                after.as_millis()
+                retry_after.as_millis()
             )
             .into_bytes(),
             ClientMessage::Failed => b"-ERR 'Connection Failed'\r\n".to_vec(),
@@ -287,7 +295,7 @@
     }
 
     fn client_framer(&self) -> Box<dyn Framer> {
-        Box::new(ClientFramer::new(self.wire.max_payload))
+        Box::new(ClientFramer::new(self.limits.max_payload_bytes))
     }
 
     fn server_framer(&self) -> Box<dyn Framer> {
@@ -297,11 +305,11 @@
     fn keepalive(&self) -> Option<Keepalive> {
         Some(Keepalive {
             request: b"PING\r\n",
-            idle_interval: self.wire.ping_after(),
+            idle_interval: self.limits.keepalive_interval(),
         })
     }
 
     fn response_timeout(&self) -> Duration {
-        self.wire.silence()
+        self.limits.response_timeout()
     }
 }
--- a/crates/balancer/src/front/nats/tenants.rs
+++ b/crates/balancer/src/front/nats/tenants.rs
@@ -16,10 +16,10 @@
 use redis::Commands;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
-use store::{Done, Store};
+use store::{CallResult, Store};
 
 /// The Redis hash with the tenants' records by name.
-const RECORDS: &str = "beaconflow:tenants";
+const TENANTS_KEY: &str = "beaconflow:tenants";
 /// Most passwords that wait to be hashed; more wait at their connections.
 const MAX_PENDING_HASHES: usize = 64;
 
@@ -62,20 +62,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitError {
     /// No tenant has these credentials.
-    Unknown,
+    InvalidCredentials,
     /// The tenant has reached its limit of connections.
-    TooMany,
+    TooManyConnections,
     /// The store is unavailable and the tenant is not cached.
-    StoreAway,
+    StoreUnavailable,
 }
 
 /// Why the store did not do what was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// It is unavailable.
-    Away,
+    Unavailable,
     /// It refuses writes: it is full or a replica. Reads still work.
-    TakesNothing,
+    WritesRefused,
     /// There is such a tenant already.
     Exists,
     /// There is no such tenant.
@@ -90,16 +90,16 @@
 /// The tenants of a store.
 pub struct Tenants {
     store: Store,
-    fresh: Duration,
+    max_cache_age: Duration,
     cache: Mutex<BTreeMap<String, CachedTenant>>,
     /// Digests of verified passwords, so that known clients cost no hashing.
-    proven: Mutex<BTreeMap<String, [u8; 32]>>,
+    verified: Mutex<BTreeMap<String, [u8; 32]>>,
     /// Key of those digests; new with each start.
     pepper: [u8; 32],
     /// The hashing thread, which verifies one password at a time: wrong passwords must not use up
     /// the core, and a hash needs more stack than a connection's thread has.
-    hashing: Sender<PasswordCheck>,
-    open: Arc<Mutex<BTreeMap<String, usize>>>,
+    password_checks: Sender<PasswordCheck>,
+    open_connections: Arc<Mutex<BTreeMap<String, usize>>>,
 }
 
 /// A password to verify against a hash.
@@ -112,16 +112,16 @@
 /// Counts one connection of a tenant while it lives.
 pub struct TenantSlot {
     name: String,
-    open: Arc<Mutex<BTreeMap<String, usize>>>,
+    open_connections: Arc<Mutex<BTreeMap<String, usize>>>,
 }
 
 impl Drop for TenantSlot {
     fn drop(&mut self) {
-        let mut open = lock(&self.open);
-        if let Some(count) = open.get_mut(&self.name) {
+        let mut open_connections = lock(&self.open_connections);
+        if let Some(count) = open_connections.get_mut(&self.name) {
             *count -= 1;
             if *count == 0 {
-                open.remove(&self.name);
+                open_connections.remove(&self.name);
             }
         }
     }
@@ -134,38 +134,39 @@
 
 impl Tenants {
     /// Connects to a store. Records older than `fresh` are read again.
-    pub fn new(url: &str, fresh: Duration) -> Result<Tenants, String> {
+    pub fn new(url: &str, max_cache_age: Duration) -> Result<Tenants, String> {
         let client = redis::Client::open(url).map_err(|error| format!("store.url: {error}"))?;
         let mut pepper = [0; 32];
         OsRng.fill_bytes(&mut pepper);
-        let (hashing, claims) = bounded::<PasswordCheck>(MAX_PENDING_HASHES);
-        let work = move || {
+        let (password_checks, checks) = bounded::<PasswordCheck>(MAX_PENDING_HASHES);
+        let run = move || {
             for PasswordCheck {
                 password,
                 hash,
                 answer,
-            } in claims
+            } in checks
             {
-                let proves = |hash| hasher().verify_password(password.as_bytes(), &hash).is_ok();
+                let is_password_valid =
+                    |hash| hasher().verify_password(password.as_bytes(), &hash).is_ok();
                 // The client may have left.
-                let _ = answer.send(PasswordHash::new(&hash).is_ok_and(proves));
+                let _ = answer.send(PasswordHash::new(&hash).is_ok_and(is_password_valid));
             }
         };
         let thread = std::thread::Builder::new()
             .name("hashing".into())
-            .spawn(work);
+            .spawn(run);
         thread.map_err(|error| format!("thread hashing: {error}"))?;
         Ok(Tenants {
             store: Store {
                 client,
                 state: Mutex::default(),
             },
-            fresh,
+            max_cache_age,
             cache: Mutex::default(),
-            proven: Mutex::default(),
+            verified: Mutex::default(),
             pepper,
-            hashing,
-            open: Arc::default(),
+            password_checks,
+            open_connections: Arc::default(),
         })
     }
 
@@ -180,50 +181,50 @@
         password: &str,
     ) -> Result<(Arc<Tenant>, TenantSlot), AdmitError> {
         if !is_name(name) {
-            return Err(AdmitError::Unknown);
+            return Err(AdmitError::InvalidCredentials);
         }
         let tenant = match self.get(name) {
             Ok(tenant) => tenant,
-            Err(StoreError::Away) => return Err(AdmitError::StoreAway),
-            Err(StoreError::Exists | StoreError::Missing | StoreError::TakesNothing) => {
-                return Err(AdmitError::Unknown);
+            Err(StoreError::Unavailable) => return Err(AdmitError::StoreUnavailable),
+            Err(StoreError::Exists | StoreError::Missing | StoreError::WritesRefused) => {
+                return Err(AdmitError::InvalidCredentials);
             }
         };
-        if !self.proves(&tenant, password) {
-            return Err(AdmitError::Unknown);
+        if !self.is_password_valid(&tenant, password) {
+            return Err(AdmitError::InvalidCredentials);
         }
-        let mut open = lock(&self.open);
-        let count = open.entry(name.to_owned()).or_insert(0);
+        let mut open_connections = lock(&self.open_connections);
+        let count = open_connections.entry(name.to_owned()).or_insert(0);
         if *count >= tenant.connections {
-            return Err(AdmitError::TooMany);
+            return Err(AdmitError::TooManyConnections);
         }
         *count += 1;
         Ok((
             tenant,
             TenantSlot {
                 name: name.to_owned(),
-                open: Arc::clone(&self.open),
+                open_connections: Arc::clone(&self.open_connections),
             },
         ))
     }
 
     /// A tenant's record, from the cache while it is fresh or the store is unavailable.
     pub fn get(&self, name: &str) -> Result<Arc<Tenant>, StoreError> {
-        let held = lock(&self.cache)
+        let cached = lock(&self.cache)
             .get(name)
-            .map(|copy| (Arc::clone(&copy.tenant), copy.read_at.elapsed()));
-        if let Some((tenant, age)) = &held
-            && *age < self.fresh
+            .map(|cached| (Arc::clone(&cached.tenant), cached.read_at.elapsed()));
+        if let Some((tenant, age)) = &cached
+            && *age < self.max_cache_age
         {
             return Ok(Arc::clone(tenant));
         }
         match self.read(name) {
-            Ok(tenant) => Ok(self.keep(tenant)),
+            Ok(tenant) => Ok(self.update_cache(tenant)),
             Err(StoreError::Missing) => {
-                self.forget(name);
+                self.remove_from_cache(name);
                 Err(StoreError::Missing)
             }
-            Err(error) => held.map(|(tenant, _)| tenant).ok_or(error),
+            Err(error) => cached.map(|(tenant, _)| tenant).ok_or(error),
         }
     }
 
@@ -235,7 +236,7 @@
     fn read(&self, name: &str) -> Result<Tenant, StoreError> {
         let text = self
             .store
-            .call(|store| store.hget::<_, _, Option<String>>(RECORDS, name))?;
+            .call(|store| store.hget::<_, _, Option<String>>(TENANTS_KEY, name))?;
         text.and_then(|text| serde_json::from_str(&text).ok())
             .ok_or(StoreError::Missing)
     }
@@ -248,7 +249,7 @@
     pub fn list(&self) -> Result<Vec<Tenant>, StoreError> {
         let all = self
             .store
-            .call(|store| store.hgetall::<_, BTreeMap<String, String>>(RECORDS))?;
+            .call(|store| store.hgetall::<_, BTreeMap<String, String>>(TENANTS_KEY))?;
         Ok(all
             .values()
             .filter_map(|text| serde_json::from_str(text).ok())
@@ -261,21 +262,21 @@
     ///
     /// Fails if the store does not take it or has such a tenant.
     pub fn create(&self, tenant: Tenant) -> Result<Arc<Tenant>, StoreError> {
-        let text = text_of(&tenant);
-        let Done {
-            value: entered,
-            again,
+        let text = to_json(&tenant);
+        let CallResult {
+            value: was_created,
+            was_retried,
         } = self
             .store
-            .attempt(|store| store.hset_nx::<_, _, _, bool>(RECORDS, &tenant.name, &text))?;
+            .attempt(|store| store.hset_nx::<_, _, _, bool>(TENANTS_KEY, &tenant.name, &text))?;
         // A first try without an answer may have created the record.
-        let ours = !entered
-            && again
+        let is_own_record = !was_created
+            && was_retried
             && self
                 .read(&tenant.name)
-                .is_ok_and(|found| text_of(&found) == text);
-        if entered || ours {
-            Ok(self.keep(tenant))
+                .is_ok_and(|found| to_json(&found) == text);
+        if was_created || is_own_record {
+            Ok(self.update_cache(tenant))
         } else {
             Err(StoreError::Exists)
         }
@@ -295,8 +296,8 @@
         let mut tenant = self.read(name)?;
         change(&mut tenant);
         self.store
-            .call(|store| store.hset::<_, _, _, ()>(RECORDS, name, text_of(&tenant)))?;
-        Ok(self.keep(tenant))
+            .call(|store| store.hset::<_, _, _, ()>(TENANTS_KEY, name, to_json(&tenant)))?;
+        Ok(self.update_cache(tenant))
     }
 
     /// Removes a tenant. Its connections stay; it gets no new ones.
@@ -305,15 +306,15 @@
     ///
     /// Fails if the store does not take it or has no such tenant.
     pub fn remove(&self, name: &str) -> Result<(), StoreError> {
-        let Done {
+        let CallResult {
             value: removed,
-            again,
+            was_retried,
         } = self
             .store
-            .attempt(|store| store.hdel::<_, _, usize>(RECORDS, name))?;
-        self.forget(name);
+            .attempt(|store| store.hdel::<_, _, usize>(TENANTS_KEY, name))?;
+        self.remove_from_cache(name);
         // A first try without an answer may have removed it.
-        if removed == 0 && !again {
+        if removed == 0 && !was_retried {
             Err(StoreError::Missing)
         } else {
             Ok(())
@@ -321,31 +322,31 @@
     }
 
     /// Open connections by tenant.
-    pub fn open(&self) -> BTreeMap<String, usize> {
-        lock(&self.open).clone()
+    pub fn open_connections(&self) -> BTreeMap<String, usize> {
+        lock(&self.open_connections).clone()
     }
 
     /// Whether the last call failed to reach the store.
-    pub fn store_is_away(&self) -> bool {
-        lock(&self.store.state).away_until.is_some()
+    pub fn is_store_unavailable(&self) -> bool {
+        lock(&self.store.state).unavailable_until.is_some()
     }
 
-    fn keep(&self, tenant: Tenant) -> Arc<Tenant> {
+    fn update_cache(&self, tenant: Tenant) -> Arc<Tenant> {
         let tenant = Arc::new(tenant);
-        let copy = CachedTenant {
+        let cached = CachedTenant {
             tenant: Arc::clone(&tenant),
             read_at: Instant::now(),
         };
-        lock(&self.cache).insert(tenant.name.clone(), copy);
+        lock(&self.cache).insert(tenant.name.clone(), cached);
         tenant
     }
 
-    fn forget(&self, name: &str) {
+    fn remove_from_cache(&self, name: &str) {
         lock(&self.cache).remove(name);
-        lock(&self.proven).remove(name);
+        lock(&self.verified).remove(name);
     }
 
-    fn proves(&self, tenant: &Tenant, password: &str) -> bool {
+    fn is_password_valid(&self, tenant: &Tenant, password: &str) -> bool {
         let mut digest = Sha256::new();
         for part in [
             &self.pepper[..],
@@ -356,24 +357,24 @@
             digest.update(part);
         }
         let digest: [u8; 32] = digest.finalize().into();
-        if lock(&self.proven).get(&tenant.name) == Some(&digest) {
+        if lock(&self.verified).get(&tenant.name) == Some(&digest) {
             return true;
         }
         let (answer, answered) = bounded(1);
-        let claim = PasswordCheck {
+        let check = PasswordCheck {
             password: password.to_owned(),
             hash: tenant.secret.clone(),
             answer,
         };
-        let proven = self.hashing.send(claim).is_ok() && answered.recv().unwrap_or(false);
-        if proven {
-            lock(&self.proven).insert(tenant.name.clone(), digest);
+        let verified = self.password_checks.send(check).is_ok() && answered.recv().unwrap_or(false);
+        if verified {
+            lock(&self.verified).insert(tenant.name.clone(), digest);
         }
-        proven
+        verified
     }
 }
 
-fn text_of(tenant: &Tenant) -> String {
+fn to_json(tenant: &Tenant) -> String {
     serde_json::to_string(tenant).expect("a record of texts and numbers is JSON")
 }
 
--- a/crates/balancer/src/front/nats/tenants/store.rs
+++ b/crates/balancer/src/front/nats/tenants/store.rs
@@ -16,7 +16,7 @@
 const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Whether the store answered that it refuses writes.
-fn takes_nothing(error: &RedisError) -> bool {
+fn is_write_refusal(error: &RedisError) -> bool {
     matches!(
         error.code(),
         Some("OOM" | "READONLY" | "MISCONF" | "NOREPLICAS")
@@ -31,14 +31,14 @@
 #[derive(Default)]
 pub(super) struct StoreState {
     connection: Option<Connection>,
-    pub(super) away_until: Option<Instant>,
+    pub(super) unavailable_until: Option<Instant>,
 }
 
 /// Result of a call.
-pub(super) struct Done<T> {
+pub(super) struct CallResult<T> {
     pub(super) value: T,
     /// Whether it was made twice; the first one may have been executed.
-    pub(super) again: bool,
+    pub(super) was_retried: bool,
 }
 
 impl Store {
@@ -46,7 +46,7 @@
         &self,
         run: impl Fn(&mut Connection) -> RedisResult<T>,
     ) -> Result<T, StoreError> {
-        self.attempt(run).map(|done| done.value)
+        self.attempt(run).map(|result| result.value)
     }
 
     /// Makes a call on the one connection, which is opened as needed. A connection that broke since
@@ -54,41 +54,45 @@
     pub(super) fn attempt<T>(
         &self,
         run: impl Fn(&mut Connection) -> RedisResult<T>,
-    ) -> Result<Done<T>, StoreError> {
+    ) -> Result<CallResult<T>, StoreError> {
         let mut state = lock(&self.state);
-        if state.away_until.is_some_and(|until| Instant::now() < until) {
-            return Err(StoreError::Away);
+        if state
+            .unavailable_until
+            .is_some_and(|until| Instant::now() < until)
+        {
+            return Err(StoreError::Unavailable);
         }
         let cached = state.connection.take();
-        let was_kept = cached.is_some();
-        let mut done = self.once(cached, &run);
-        let again = was_kept && done.as_ref().is_err_and(|error| !takes_nothing(error));
-        if again {
-            done = self.once(None, &run);
+        let was_cached = cached.is_some();
+        let mut result = self.call_once(cached, &run);
+        let was_retried =
+            was_cached && result.as_ref().is_err_and(|error| !is_write_refusal(error));
+        if was_retried {
+            result = self.call_once(None, &run);
         }
-        let is_away = done.as_ref().is_err_and(|error| !takes_nothing(error));
-        if !is_away && state.away_until.take().is_some() {
+        let is_unavailable = result.as_ref().is_err_and(|error| !is_write_refusal(error));
+        if !is_unavailable && state.unavailable_until.take().is_some() {
             info!(part = "store", "back");
         }
-        match done {
+        match result {
             Ok((value, connection)) => {
                 state.connection = Some(connection);
-                Ok(Done { value, again })
+                Ok(CallResult { value, was_retried })
             }
             // Reads must continue while the store is full.
-            Err(_) if !is_away => Err(StoreError::TakesNothing),
+            Err(_) if !is_unavailable => Err(StoreError::WritesRefused),
             Err(error) => {
-                if state.away_until.is_none() {
+                if state.unavailable_until.is_none() {
                     // The kind alone: an error's text may quote what was sent to the store.
                     warn!(part = "store", why = ?error.kind(), "away");
                 }
-                state.away_until = Some(Instant::now() + STORE_RETRY_INTERVAL);
-                Err(StoreError::Away)
+                state.unavailable_until = Some(Instant::now() + STORE_RETRY_INTERVAL);
+                Err(StoreError::Unavailable)
             }
         }
     }
 
-    fn once<T>(
+    fn call_once<T>(
         &self,
         cached: Option<Connection>,
         run: impl Fn(&mut Connection) -> RedisResult<T>,
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -55,8 +55,8 @@
     let load = fields
         .filter_map(|field| field.strip_prefix("x0="))
         .find_map(|value| value.parse().ok());
-    let sound = |load: &f64| load.is_finite() && *load >= 0.0;
-    load.filter(sound)
+    let is_valid = |load: &f64| load.is_finite() && *load >= 0.0;
+    load.filter(is_valid)
         .map_or(ProbeAnswer::NoLoad, ProbeAnswer::Load)
 }
 
@@ -82,8 +82,8 @@
         if !text.bytes().all(is_printable) {
             return Err("not text");
         }
-        let words: Vec<&str> = text.split(' ').collect();
-        let ["OPEN", id, key, list] = words[..] else {
+        let parts: Vec<&str> = text.split(' ').collect();
+        let ["OPEN", id, key, field_list] = parts[..] else {
             return Err("not an opening");
         };
         let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
@@ -93,7 +93,7 @@
         }
         // The whole line is parsed under one version of the settings.
         let settings = self.settings.current();
-        let fields = OpenFields::parse(list, text, &settings)?;
+        let fields = OpenFields::parse(field_list, text, &settings)?;
         let (timeout, deadline_field) = fields.timeout.ok_or("no time to wait")?;
         let class = fields.class.ok_or("no class")?;
         // The settings limit how long a client waits, except for a resumed connection, which names
@@ -161,16 +161,16 @@
         }
         match self.parse_open(line, now) {
             Ok(request) => HandshakeLine::Connect(request),
-            Err(why) => {
+            Err(reason) => {
                 let shown = String::from_utf8_lossy(&line[..line.len().min(MAX_NAME_BYTES)]);
-                HandshakeLine::Rejected(Rejection::new(b"ERR\r\n", format!("{why}: {shown:?}")))
+                HandshakeLine::Rejected(Rejection::new(b"ERR\r\n", format!("{reason}: {shown:?}")))
             }
         }
     }
 
-    fn readiness_answer(&self, at: LifecycleState, ready: bool) -> &'static [u8] {
-        match at {
-            LifecycleState::Serving if ready => b"PONG\r\n",
+    fn readiness_answer(&self, state: LifecycleState, is_ready: bool) -> &'static [u8] {
+        match state {
+            LifecycleState::Serving if is_ready => b"PONG\r\n",
             LifecycleState::Serving => b"NO core\r\n",
             LifecycleState::Starting => b"NO starting\r\n",
             LifecycleState::Standby => b"NO standby\r\n",
@@ -178,12 +178,12 @@
         }
     }
 
-    fn handover_line<'a>(&self, of: &'a OpenLine) -> Option<&'a [u8]> {
-        Some(&of.line)
+    fn handover_line<'a>(&self, handshake: &'a OpenLine) -> Option<&'a [u8]> {
+        Some(&handshake.line)
     }
 
-    fn handshake_error(&self, why: HandshakeError) -> Rejection {
-        Rejection::new(b"ERR\r\n", format!("{why:?}"))
+    fn handshake_error(&self, error: HandshakeError) -> Rejection {
+        Rejection::new(b"ERR\r\n", format!("{error:?}"))
     }
 
     fn admit(
@@ -229,8 +229,8 @@
         Some(LOAD_PROBE)
     }
 
-    fn encode(&self, word: ClientMessage) -> Vec<u8> {
-        match word {
+    fn encode(&self, message: ClientMessage) -> Vec<u8> {
+        match message {
             ClientMessage::Rejected(None) => b"BUSY\r\n".to_vec(),
             ClientMessage::Rejected(Some(after)) => {
                 format!("BUSY {}\r\n", after.as_millis()).into_bytes()
--- a/crates/balancer/src/front/platform/framer.rs
+++ b/crates/balancer/src/front/platform/framer.rs
@@ -38,34 +38,34 @@
     fn advance(
         &mut self,
         bytes: &[u8],
-        seen: &mut dyn FnMut(MessageKind) -> bool,
+        on_message: &mut dyn FnMut(MessageKind) -> bool,
     ) -> Result<FrameProgress, ProtocolError> {
-        let mut followed = FrameProgress {
+        let mut progress = FrameProgress {
             consumed: bytes.len(),
             ..FrameProgress::default()
         };
         let mut rest = bytes;
         while !rest.is_empty() {
             let end = rest.iter().position(|byte| *byte == b'\n').map(|at| at + 1);
-            let piece = &rest[..end.unwrap_or(rest.len())];
-            rest = &rest[piece.len()..];
-            self.length += piece.len();
+            let chunk = &rest[..end.unwrap_or(rest.len())];
+            rest = &rest[chunk.len()..];
+            self.length += chunk.len();
             if self.length > MAX_LINE_BYTES {
                 return Err(ProtocolError { answer: "" });
             }
-            let room = CLASSIFIED_BYTES
+            let kept = CLASSIFIED_BYTES
                 .saturating_sub(self.head.len())
-                .min(piece.len());
-            self.head.extend_from_slice(&piece[..room]);
+                .min(chunk.len());
+            self.head.extend_from_slice(&chunk[..kept]);
             if end.is_some() {
                 // Every line is relayed.
-                seen(self.classify(trim_line_end(&self.head)));
+                on_message(self.classify(trim_line_end(&self.head)));
                 self.head.clear();
                 self.length = 0;
-                followed.boundary = Some(bytes.len() - rest.len());
+                progress.boundary = Some(bytes.len() - rest.len());
             }
         }
-        Ok(followed)
+        Ok(progress)
     }
 
     fn is_at_boundary(&self) -> bool {
--- a/crates/balancer/src/front/platform/tests.rs
+++ b/crates/balancer/src/front/platform/tests.rs
@@ -4,26 +4,26 @@
 use super::*;
 
 #[test]
-fn lines_in_pieces_keep_their_meaning_and_their_boundaries() {
-    let mut lines = LineFramer::default();
-    let mut all = Vec::new();
-    let mut follow = |bytes: &[u8]| {
-        let mut seen = |seen| {
-            all.push(seen);
+fn classifies_lines_received_in_pieces() {
+    let mut framer = LineFramer::default();
+    let mut messages = Vec::new();
+    let mut advance = |bytes: &[u8]| {
+        let mut on_message = |kind| {
+            messages.push(kind);
             true
         };
-        lines
-            .advance(bytes, &mut seen)
+        framer
+            .advance(bytes, &mut on_message)
             .expect("short lines")
             .boundary
     };
-    assert_eq!(follow(b"LOAD 12"), None);
-    assert_eq!(follow(b".5\r\nBY"), Some(4));
-    assert_eq!(follow(b"E\r\nok\r"), Some(3));
-    assert_eq!(follow(b"\n"), Some(1));
-    assert!(lines.is_at_boundary());
+    assert_eq!(advance(b"LOAD 12"), None);
+    assert_eq!(advance(b".5\r\nBY"), Some(4));
+    assert_eq!(advance(b"E\r\nok\r"), Some(3));
+    assert_eq!(advance(b"\n"), Some(1));
+    assert!(framer.is_at_boundary());
     assert_eq!(
-        all,
+        messages,
         [
             MessageKind::Load(12.5),
             MessageKind::Goodbye,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_report_is_read_for_its_load_and_what_is_spoilt_in_it_is_passed_over() {
+fn parses_load_and_ignores_invalid_fields() {
     use ProbeAnswer::{Load, NoLoad, Unhealthy};
     let cases = [
         ("PONG x0=0.25,queue=3", Load(0.25)),
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn a_line_over_four_kib_is_a_fault() {
-    let mut lines = LineFramer::default();
-    assert!(lines.advance(&[b'x'; 4096], &mut |_| true).is_ok());
-    assert!(lines.advance(b"x", &mut |_| true).is_err());
+fn rejects_line_over_4_kib() {
+    let mut framer = LineFramer::default();
+    assert!(framer.advance(&[b'x'; 4096], &mut |_| true).is_ok());
+    assert!(framer.advance(b"x", &mut |_| true).is_err());
 }
--- a/crates/balancer/src/handover.rs
+++ b/crates/balancer/src/handover.rs
@@ -23,7 +23,7 @@
 use crate::net;
 
 /// Longest message: a server's name and a request line.
-const MAX_MESSAGE: usize = 8 * 1024;
+const MAX_MESSAGE_BYTES: usize = 8 * 1024;
 /// Pause after a failed accept, which avoids a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 /// Messages arrive as a whole or not at all.
@@ -61,28 +61,33 @@
     /// Fails if the socket can't be created or put in place.
     pub fn receive(
         &self,
-        take: impl Fn(TransferredConnection) + Send + Sync + 'static,
+        on_connection: impl Fn(TransferredConnection) + Send + Sync + 'static,
     ) -> io::Result<()> {
-        let own = self.0.with_extension(std::process::id().to_string());
+        let own_path = self.0.with_extension(std::process::id().to_string());
         // A process that had this id before may have left one behind.
-        let _ = std::fs::remove_file(&own);
+        let _ = std::fs::remove_file(&own_path);
         let listener = Socket::new(Domain::UNIX, SOCKET_TYPE, None)?;
-        listener.bind(&SockAddr::unix(&own)?)?;
+        listener.bind(&SockAddr::unix(&own_path)?)?;
         listener.listen(4)?;
-        std::fs::rename(&own, &self.0)?;
-        let take = Arc::new(take);
-        let begin = move |sender: Socket| {
-            let take = Arc::clone(&take);
+        std::fs::rename(&own_path, &self.0)?;
+        let on_connection = Arc::new(on_connection);
+        let start_receiver = move |sender: Socket| {
+            let on_connection = Arc::clone(&on_connection);
             let run = move || {
-                let taken = receive_all(&sender, &*take);
+                let taken = receive_all(&sender, &*on_connection);
                 info!(part = "handover", taken, "taken over");
             };
-            if let Err(error) = thread().spawn(run) {
+            if let Err(error) = thread_builder().spawn(run) {
                 warn!(part = "handover", why = %error, "no thread");
             }
         };
-        let accept = move || accept_senders(|| listener.accept().map(|(sender, _)| sender), begin);
-        thread().spawn(accept).map(drop)
+        let accept = move || {
+            accept_senders(
+                || listener.accept().map(|(sender, _)| sender),
+                start_receiver,
+            )
+        };
+        thread_builder().spawn(accept).map(drop)
     }
 
     /// Connects to the process that replaces this one, if there is one.
@@ -107,8 +112,8 @@
         }
         // The sender serves all clients and must not block.
         socket.set_nonblocking(true)?;
-        let other = socket_peercred(&socket)?.pid.as_raw_nonzero().get();
-        let is_own = u32::try_from(other).is_ok_and(|other| other == std::process::id());
+        let peer_pid = socket_peercred(&socket)?.pid.as_raw_nonzero().get();
+        let is_own = u32::try_from(peer_pid).is_ok_and(|peer_pid| peer_pid == std::process::id());
         Ok((!is_own).then_some(HandoverSender(socket)))
     }
 }
@@ -126,26 +131,26 @@
     pub fn send(
         &self,
         (client, server): (&TcpStream, &TcpStream),
-        at: &str,
-        line: &[u8],
+        server_name: &str,
+        request_line: &[u8],
     ) -> io::Result<()> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-        let mut with = SendAncillaryBuffer::new(&mut space);
+        let mut ancillary_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+        let mut ancillary = SendAncillaryBuffer::new(&mut ancillary_space);
         let sockets = [client.as_fd(), server.as_fd()];
-        if !with.push(SendAncillaryMessage::ScmRights(&sockets)) {
+        if !ancillary.push(SendAncillaryMessage::ScmRights(&sockets)) {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        let parts = [
-            IoSlice::new(at.as_bytes()),
+        let message = [
+            IoSlice::new(server_name.as_bytes()),
             IoSlice::new(b"\n"),
-            IoSlice::new(line),
+            IoSlice::new(request_line),
         ];
-        sendmsg(&self.0, &parts, &mut with, SendFlags::NOSIGNAL)?;
+        sendmsg(&self.0, &message, &mut ancillary, SendFlags::NOSIGNAL)?;
         Ok(())
     }
 }
 
-fn thread() -> std::thread::Builder {
+fn thread_builder() -> std::thread::Builder {
     std::thread::Builder::new()
         .name("handover".into())
         .stack_size(net::THREAD_STACK_BYTES)
@@ -153,10 +158,10 @@
 
 /// Accepts senders while the program runs. A lack of descriptors must not end this: connections in
 /// the socket's queue would be lost with their clients.
-fn accept_senders(mut accept: impl FnMut() -> io::Result<Socket>, begin: impl Fn(Socket)) {
+fn accept_senders(mut accept: impl FnMut() -> io::Result<Socket>, start_receiver: impl Fn(Socket)) {
     loop {
         match accept() {
-            Ok(sender) => begin(sender),
+            Ok(sender) => start_receiver(sender),
             Err(error) => {
                 warn!(part = "handover", why = %error, "accept failed");
                 std::thread::sleep(ACCEPT_PAUSE);
@@ -166,19 +171,19 @@
 }
 
 /// Receives from one sender until it ends; returns the number of connections.
-fn receive_all(sender: &Socket, take: &impl Fn(TransferredConnection)) -> usize {
-    let mut taken = 0;
+fn receive_all(sender: &Socket, on_connection: &impl Fn(TransferredConnection)) -> usize {
+    let mut count = 0;
     loop {
         match receive_one(sender) {
             Ok(Some(transferred)) => {
-                taken += 1;
-                take(transferred);
+                count += 1;
+                on_connection(transferred);
             }
-            Ok(None) => return taken,
+            Ok(None) => return count,
             Err(error) => {
                 warn!(part = "handover", why = %error, "not understood");
                 if error.kind() != io::ErrorKind::InvalidData {
-                    return taken;
+                    return count;
                 }
             }
         }
@@ -187,32 +192,32 @@
 
 /// Receives the next connection, or `None` at the end.
 fn receive_one(sender: &Socket) -> io::Result<Option<TransferredConnection>> {
-    let mut bytes = vec![0; MAX_MESSAGE];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-    let mut with = RecvAncillaryBuffer::new(&mut space);
-    let got = recvmsg(
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES];
+    let mut ancillary_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+    let mut ancillary = RecvAncillaryBuffer::new(&mut ancillary_space);
+    let received = recvmsg(
         sender,
         &mut [IoSliceMut::new(&mut bytes)],
-        &mut with,
+        &mut ancillary,
         RecvFlags::CMSG_CLOEXEC,
     )?;
     let mut sockets: Vec<OwnedFd> = Vec::new();
-    for message in with.drain() {
+    for message in ancillary.drain() {
         if let RecvAncillaryMessage::ScmRights(descriptors) = message {
             sockets.extend(descriptors);
         }
     }
-    if got.bytes == 0 {
+    if received.bytes == 0 {
         return Ok(None);
     }
-    bytes.truncate(got.bytes);
-    let fault = || io::Error::from(io::ErrorKind::InvalidData);
+    bytes.truncate(received.bytes);
+    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let end = bytes
         .iter()
         .position(|byte| *byte == b'\n')
-        .ok_or_else(fault)?;
-    let server_name = String::from_utf8(bytes[..end].to_vec()).map_err(|_| fault())?;
-    let [client, server] = <[OwnedFd; 2]>::try_from(sockets).map_err(|_| fault())?;
+        .ok_or_else(invalid)?;
+    let server_name = String::from_utf8(bytes[..end].to_vec()).map_err(|_| invalid())?;
+    let [client, server] = <[OwnedFd; 2]>::try_from(sockets).map_err(|_| invalid())?;
     let (client, server) = (TcpStream::from(client), TcpStream::from(server));
     Ok(Some(TransferredConnection {
         client,
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -52,8 +52,8 @@
     }
 
     /// Creates an answer with an error message.
-    pub fn error(status: u16, why: impl Into<String>) -> Reply {
-        Reply::new(status, json!({ "error": why.into() }))
+    pub fn error(status: u16, message: impl Into<String>) -> Reply {
+        Reply::new(status, json!({ "error": message.into() }))
     }
 
     /// Adds a header.
@@ -102,8 +102,8 @@
     }
 
     /// Reads once, until the deadline at the latest.
-    pub fn read(&mut self, client: &TcpStream, until: Instant) -> Result<(), ReadError> {
-        self.buffer.read(client, until)
+    pub fn read(&mut self, client: &TcpStream, deadline_at: Instant) -> Result<(), ReadError> {
+        self.buffer.read(client, deadline_at)
     }
 
     /// The request, if it is complete.
@@ -139,26 +139,26 @@
 
 /// Reads a complete request.
 pub fn read(client: &TcpStream) -> Result<Request, RequestError> {
-    let until = Instant::now() + REQUEST_TIMEOUT;
+    let deadline_at = Instant::now() + REQUEST_TIMEOUT;
     let mut incoming = RequestReader::new(MAX_REQUEST_BYTES);
     loop {
         if let Some(request) = incoming.parse()? {
             return Ok(request);
         }
-        incoming.read(client, until)?;
+        incoming.read(client, deadline_at)?;
     }
 }
 
 /// The request, the length of its head and that of its body; `None` while the head is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<(Request, usize, usize)>, RequestError> {
-    let refuse = |status, why| RequestError::Rejected(Reply::error(status, why));
+    let reject = |status, message| RequestError::Rejected(Reply::error(status, message));
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(head)) => head,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(refuse(431, "too many headers")),
-        Err(_) => return Err(refuse(400, "not an HTTP request")),
+        Err(httparse::Error::TooManyHeaders) => return Err(reject(431, "too many headers")),
+        Err(_) => return Err(reject(400, "not an HTTP request")),
     };
     let header = |name: &str| {
         let found = parsed
@@ -168,12 +168,12 @@
         found.and_then(|header| std::str::from_utf8(header.value).ok())
     };
     if header("transfer-encoding").is_some() {
-        return Err(refuse(411, "a body needs a content-length"));
+        return Err(reject(411, "a body needs a content-length"));
     }
     let length = match header("content-length").map(str::parse) {
         None => 0,
         Some(Ok(length)) => length,
-        Some(Err(_)) => return Err(refuse(400, "a content-length that is no number")),
+        Some(Err(_)) => return Err(reject(400, "a content-length that is no number")),
     };
     let request = Request {
         method: parsed.method.unwrap_or_default().to_owned(),
@@ -188,7 +188,7 @@
     Ok(Some((request, head, length)))
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -223,7 +223,7 @@
         let mut text = format!(
             "HTTP/1.1 {} {}\r\nConnection: close\r\n",
             self.status,
-            reason(self.status)
+            reason_phrase(self.status)
         );
         if self.status != 204 {
             text.push_str(&format!(
--- a/crates/balancer/src/inherited.rs
+++ b/crates/balancer/src/inherited.rs
@@ -24,31 +24,31 @@
     let Ok(text) = std::env::var(FD_VARIABLE) else {
         return Ok(None);
     };
-    let fault = |why: String| format!("{FD_VARIABLE}: {text:?}: {why}");
+    let error_text = |reason: String| format!("{FD_VARIABLE}: {text:?}: {reason}");
     let number: i32 = text
         .parse()
         .ok()
         .filter(|number| *number >= 0)
-        .ok_or_else(|| fault("no descriptor's number".into()))?;
-    let own = std::process::id().to_string();
-    if std::env::var("LISTEN_PID").ok().as_ref() != Some(&own) {
-        let program = std::env::current_exe().map_err(|error| fault(error.to_string()))?;
-        let mut again = Command::new(program);
-        again.args(std::env::args_os().skip(1));
-        again
+        .ok_or_else(|| error_text("no descriptor's number".into()))?;
+    let own_pid = std::process::id().to_string();
+    if std::env::var("LISTEN_PID").ok().as_ref() != Some(&own_pid) {
+        let program = std::env::current_exe().map_err(|error| error_text(error.to_string()))?;
+        let mut command = Command::new(program);
+        command.args(std::env::args_os().skip(1));
+        command
             .env("LISTEN_FDS", "1")
             .env("LISTEN_FDS_FIRST_FD", number.to_string())
-            .env("LISTEN_PID", own);
+            .env("LISTEN_PID", own_pid);
         // The process id stays the same.
-        return Err(fault(format!("starting anew: {}", again.exec())));
+        return Err(error_text(format!("starting anew: {}", command.exec())));
     }
-    let taken = ListenFd::from_env()
+    let inherited = ListenFd::from_env()
         .take_tcp_listener(0)
-        .map_err(|error| fault(error.to_string()))?;
-    let listener = taken.ok_or_else(|| fault("not handed over".into()))?;
+        .map_err(|error| error_text(error.to_string()))?;
+    let listener = inherited.ok_or_else(|| error_text("not handed over".into()))?;
     match SockRef::from(&listener).is_listener() {
         Ok(true) => Ok(Some(listener)),
-        Ok(false) => Err(fault("not a listening socket".into())),
-        Err(error) => Err(fault(error.to_string())),
+        Ok(false) => Err(error_text("not a listening socket".into())),
+        Err(error) => Err(error_text(error.to_string())),
     }
 }
--- a/crates/balancer/src/net.rs
+++ b/crates/balancer/src/net.rs
@@ -29,10 +29,10 @@
 /// # Errors
 ///
 /// Fails if the socket can't be created or bound.
-pub fn listen(on: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(on), Type::STREAM, None)?;
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&on.into())?;
+    socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
@@ -51,8 +51,8 @@
     /// # Errors
     ///
     /// Fails if the socket can't be created or bound.
-    pub fn bound(on: SocketAddr) -> io::Result<Listener> {
-        Listener::nonblocking(listen(on)?, false)
+    pub fn bound(address: SocketAddr) -> io::Result<Listener> {
+        Listener::nonblocking(listen(address)?, false)
     }
 
     /// Wraps a listener that was inherited.
@@ -85,16 +85,18 @@
 /// an error counts as ready. A stream without wanted events is left out, since its end would end
 /// every wait.
 pub fn wait_ready<const N: usize>(
-    wants: [(&TcpStream, PollFlags); N],
+    interests: [(&TcpStream, PollFlags); N],
     timeout: Duration,
 ) -> [bool; N] {
-    let wanted = wants.iter().filter(|(_, flags)| !flags.is_empty());
-    let mut asked: Vec<PollFd<'_>> = wanted
+    let wanted = interests.iter().filter(|(_, flags)| !flags.is_empty());
+    let mut poll_fds: Vec<PollFd<'_>> = wanted
         .map(|(stream, flags)| PollFd::new(*stream, *flags))
         .collect();
-    let any = poll_for(&mut asked, timeout);
-    let mut told = asked.iter().map(|fd| any && !fd.revents().is_empty());
-    wants.map(|(_, flags)| !flags.is_empty() && told.next().unwrap_or(false))
+    let is_any_ready = poll_for(&mut poll_fds, timeout);
+    let mut ready = poll_fds
+        .iter()
+        .map(|fd| is_any_ready && !fd.revents().is_empty());
+    interests.map(|(_, flags)| !flags.is_empty() && ready.next().unwrap_or(false))
 }
 
 /// The same for a listener and streams to read, some of which are left out.
@@ -104,36 +106,38 @@
     timeout: Duration,
 ) -> (bool, Vec<bool>) {
     let streams: Vec<Option<&TcpStream>> = streams.collect();
-    let mut asked: Vec<PollFd<'_>> = listener
+    let mut poll_fds: Vec<PollFd<'_>> = listener
         .iter()
         .map(|listener| PollFd::new(*listener, PollFlags::IN))
         .collect();
-    asked.extend(
+    poll_fds.extend(
         streams
             .iter()
             .flatten()
             .map(|stream| PollFd::new(*stream, PollFlags::IN)),
     );
-    let any = poll_for(&mut asked, timeout);
-    let mut told = asked.iter().map(|fd| any && !fd.revents().is_empty());
-    let clients = listener.is_some() && told.next().unwrap_or(false);
+    let is_any_ready = poll_for(&mut poll_fds, timeout);
+    let mut ready = poll_fds
+        .iter()
+        .map(|fd| is_any_ready && !fd.revents().is_empty());
+    let is_listener_ready = listener.is_some() && ready.next().unwrap_or(false);
     (
-        clients,
+        is_listener_ready,
         streams
             .iter()
-            .map(|stream| stream.is_some() && told.next().unwrap_or(false))
+            .map(|stream| stream.is_some() && ready.next().unwrap_or(false))
             .collect(),
     )
 }
 
 /// Whether anything is ready. May return early.
-fn poll_for(asked: &mut [PollFd<'_>], timeout: Duration) -> bool {
+fn poll_for(poll_fds: &mut [PollFd<'_>], timeout: Duration) -> bool {
     let seconds = i64::try_from(timeout.as_secs()).unwrap_or(i64::MAX);
-    let until = Timespec {
+    let timespec = Timespec {
         tv_sec: seconds,
         tv_nsec: timeout.subsec_nanos().into(),
     };
-    poll(asked, Some(&until)).unwrap_or(0) > 0
+    poll(poll_fds, Some(&timespec)).unwrap_or(0) > 0
 }
 
 /// Whether an error only says that an operation would block or was interrupted.
@@ -156,7 +160,7 @@
 ///
 /// Returns the number of bytes written before the error, also if the peer takes no more just now.
 pub fn write_gathered(mut to: &TcpStream, buffers: &[&[u8]]) -> Result<(), (usize, io::Error)> {
-    let mut slices: Vec<IoSlice<'_>> = buffers.iter().map(|part| IoSlice::new(part)).collect();
+    let mut slices: Vec<IoSlice<'_>> = buffers.iter().map(|buffer| IoSlice::new(buffer)).collect();
     let (mut left, mut written) = (slices.as_mut_slice(), 0);
     IoSlice::advance_slices(&mut left, 0);
     while !left.is_empty() {
@@ -181,18 +185,18 @@
 pub fn write_until(
     to: &TcpStream,
     buffers: &[&[u8]],
-    until: Instant,
+    deadline_at: Instant,
 ) -> Result<(), (usize, io::Error)> {
-    let whole = buffers.concat();
+    let all = buffers.concat();
     let mut written = 0;
     loop {
-        match write_gathered(to, &[&whole[written..]]) {
+        match write_gathered(to, &[&all[written..]]) {
             Ok(()) => return Ok(()),
-            Err((count, error)) if is_would_block(&error) && Instant::now() < until => {
+            Err((count, error)) if is_would_block(&error) && Instant::now() < deadline_at => {
                 written += count;
                 wait_ready(
                     [(to, PollFlags::OUT)],
-                    until.saturating_duration_since(Instant::now()),
+                    deadline_at.saturating_duration_since(Instant::now()),
                 );
             }
             Err((count, error)) => return Err((written + count, error)),
@@ -208,7 +212,7 @@
 /// Discards input of a peer after its final message until it closes, for a bounded time and at most
 /// 64 KiB.
 pub fn discard_until_end(mut stream: &TcpStream, timeout: Duration) {
-    let until = Instant::now() + timeout;
+    let deadline_at = Instant::now() + timeout;
     let (mut chunk, mut left) = ([0; 2048], MAX_DISCARDED);
     loop {
         match stream.read(&mut chunk) {
@@ -217,7 +221,7 @@
             Err(error) if is_would_block(&error) => {}
             _ => return,
         }
-        let wait = until.saturating_duration_since(Instant::now());
+        let wait = deadline_at.saturating_duration_since(Instant::now());
         if wait.is_zero() {
             return;
         }
@@ -232,7 +236,7 @@
 }
 
 /// Shuts down both directions; a thread that reads from the socket wakes.
-pub fn end(stream: &TcpStream) {
+pub fn shutdown_both(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Both);
 }
 
