--- a/crates/balancer/src/net/buffers.rs
+++ b/crates/balancer/src/net/buffers.rs
@@ -67,14 +67,14 @@
     /// # Errors
     ///
     /// Returns why nothing was read.
-    pub fn read(&mut self, mut from: &TcpStream, until: Instant) -> Result<(), ReadError> {
+    pub fn read(&mut self, mut stream: &TcpStream, deadline_at: Instant) -> Result<(), ReadError> {
         loop {
             if self.bytes.len() >= self.limit {
                 return Err(ReadError::TooLong);
             }
             let mut chunk = [0; 2048];
-            let room = chunk.len().min(self.limit - self.bytes.len());
-            match from.read(&mut chunk[..room]) {
+            let max_read = chunk.len().min(self.limit - self.bytes.len());
+            match stream.read(&mut chunk[..max_read]) {
                 Ok(0) => return Err(ReadError::Ended),
                 Ok(count) => {
                     self.bytes.extend_from_slice(&chunk[..count]);
@@ -83,18 +83,18 @@
                 Err(error) if is_would_block(&error) => {}
                 Err(error) => return Err(ReadError::Broken(error)),
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline_at.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(ReadError::TimedOut);
             }
-            wait_ready([(from, PollFlags::IN)], left);
+            wait_ready([(stream, PollFlags::IN)], remaining);
         }
     }
 
     /// Takes the next line with its end, CRLF or LF, if it is complete.
     pub fn next_line(&mut self) -> Option<Vec<u8>> {
-        let shutdown_both = self.bytes.iter().position(|byte| *byte == b'\n')?;
-        Some(self.take(shutdown_both + 1))
+        let line_end = self.bytes.iter().position(|byte| *byte == b'\n')?;
+        Some(self.take(line_end + 1))
     }
 
     /// Reads and takes the next line with its end.
@@ -102,12 +102,16 @@
     /// # Errors
     ///
     /// Returns why there is no complete line.
-    pub fn read_line(&mut self, from: &TcpStream, until: Instant) -> Result<Vec<u8>, ReadError> {
+    pub fn read_line(
+        &mut self,
+        stream: &TcpStream,
+        deadline_at: Instant,
+    ) -> Result<Vec<u8>, ReadError> {
         loop {
             if let Some(line) = self.next_line() {
                 return Ok(line);
             }
-            self.read(from, until)?;
+            self.read(stream, deadline_at)?;
         }
     }
 }
@@ -133,46 +137,46 @@
     /// # Errors
     ///
     /// Fails if the connection broke.
-    pub fn send(&mut self, to: &TcpStream, buffers: &[&[u8]]) -> io::Result<()> {
+    pub fn send(&mut self, stream: &TcpStream, buffers: &[&[u8]]) -> io::Result<()> {
         let mut written = 0;
         if self.bytes.is_empty() {
-            match write_gathered(to, buffers) {
+            match write_gathered(stream, buffers) {
                 Ok(()) => return Ok(()),
                 Err((count, error)) if is_would_block(&error) => written = count,
                 Err((_, error)) => return Err(error),
             }
         }
-        for part in buffers {
-            let skipped = written.min(part.len());
+        for buffer in buffers {
+            let skipped = written.min(buffer.len());
             written -= skipped;
-            self.bytes.extend_from_slice(&part[skipped..]);
+            self.bytes.extend_from_slice(&buffer[skipped..]);
         }
         Ok(())
     }
 
     /// Writes the final message, and shuts down the write side once it has been taken.
-    pub fn finish_with(&mut self, to: &TcpStream, words: &[u8]) {
+    pub fn finish_with(&mut self, stream: &TcpStream, final_message: &[u8]) {
         // A peer that is gone needs no answer.
-        let _ = self.send(to, &[words]);
+        let _ = self.send(stream, &[final_message]);
         if self.is_empty() {
-            shutdown_write(to);
+            shutdown_write(stream);
         }
     }
 
     /// Discards input of a peer after its final message, up to a bound. Returns false once it has
     /// closed and has taken everything. Closing with unread input would reset the connection and
     /// destroy that message.
-    pub fn discard_input(&mut self, mut of: &TcpStream) -> bool {
+    pub fn discard_input(&mut self, mut stream: &TcpStream) -> bool {
         if !self.is_empty() {
-            if self.flush(of).is_err() {
+            if self.flush(stream).is_err() {
                 return false;
             }
             if self.is_empty() {
-                shutdown_write(of);
+                shutdown_write(stream);
             }
         }
         if self.is_reading() {
-            match of.read(&mut [0; 4096]) {
+            match stream.read(&mut [0; 4096]) {
                 Ok(0) => self.has_ended = true,
                 Ok(count) => self.discarded += count,
                 Err(error) if is_would_block(&error) => {}
@@ -192,12 +196,12 @@
     /// # Errors
     ///
     /// Fails if the connection broke.
-    pub fn flush(&mut self, to: &TcpStream) -> io::Result<()> {
-        let kept = std::mem::take(&mut self.bytes);
-        if kept.is_empty() {
+    pub fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
+        let unsent = std::mem::take(&mut self.bytes);
+        if unsent.is_empty() {
             Ok(())
         } else {
-            self.send(to, &[&kept])
+            self.send(stream, &[&unsent])
         }
     }
 }
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -17,8 +17,8 @@
 
 use crate::core::AdmissionConfig;
 use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
-use crate::front::nats::framing::MAX_CONTROL_LINE;
-use crate::front::nats::wire::Wire;
+use crate::front::nats::framing::MAX_CONTROL_LINE_BYTES;
+use crate::front::nats::limits::NatsLimits;
 use crate::log::LogFormat;
 use crate::overrides;
 use admission::admission;
@@ -59,7 +59,7 @@
     /// Most file descriptors of this front.
     pub sockets: usize,
     /// Limits of the protocol.
-    pub wire: Wire,
+    pub wire: NatsLimits,
     /// The shared store of tenants.
     pub store: StoreConfig,
     /// The NATS servers.
@@ -233,19 +233,19 @@
     .ok()
 }
 
-fn wire(mut section: Section<'_>) -> Wire {
-    let usual = Wire::default();
-    let wire = Wire {
-        max_payload: section.optional("max_payload", usual.max_payload),
-        most_early: section.optional("most_early", usual.most_early),
-        connect_wait_ms: section.optional("connect_wait_ms", usual.connect_wait_ms),
-        ping_after_ms: section.optional("ping_after_ms", usual.ping_after_ms),
-        silence_ms: section.optional("silence_ms", usual.silence_ms),
-        store_retry_ms: section.optional("store_retry_ms", usual.store_retry_ms),
+fn wire(mut section: Section<'_>) -> NatsLimits {
+    let usual = NatsLimits::default();
+    let wire = NatsLimits {
+        max_payload_bytes: section.optional("max_payload", usual.max_payload_bytes),
+        max_early_bytes: section.optional("most_early", usual.max_early_bytes),
+        handshake_timeout_ms: section.optional("connect_wait_ms", usual.handshake_timeout_ms),
+        keepalive_interval_ms: section.optional("ping_after_ms", usual.keepalive_interval_ms),
+        response_timeout_ms: section.optional("silence_ms", usual.response_timeout_ms),
+        store_retry_after_ms: section.optional("store_retry_ms", usual.store_retry_after_ms),
     };
     section.error_if(
         "most_early",
-        wire.most_early < MAX_CONTROL_LINE,
+        wire.max_early_bytes < MAX_CONTROL_LINE_BYTES,
         "does not hold a control line",
     );
     section.reject_unknown_fields();
--- a/crates/balancer/src/poller.rs
+++ b/crates/balancer/src/poller.rs
@@ -74,14 +74,14 @@
 
     /// Waits until a stream is ready, the waker is used or the time is over; returns the tokens
     /// that are ready. May return early.
-    pub fn wait(&self, patience: Duration) -> Vec<u64> {
-        let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
-        let until = Timespec {
+    pub fn wait(&self, timeout: Duration) -> Vec<u64> {
+        let seconds = i64::try_from(timeout.as_secs()).unwrap_or(i64::MAX);
+        let timespec = Timespec {
             tv_sec: seconds,
-            tv_nsec: patience.subsec_nanos().into(),
+            tv_nsec: timeout.subsec_nanos().into(),
         };
         let mut ready: Vec<Event> = Vec::with_capacity(MAX_EVENTS);
-        let _ = epoll::wait(&self.epoll, spare_capacity(&mut ready), Some(&until));
+        let _ = epoll::wait(&self.epoll, spare_capacity(&mut ready), Some(&timespec));
         let tokens: Vec<u64> = ready.iter().map(|event| event.data.u64()).collect();
         if tokens.contains(&WAKER_TOKEN) {
             let _ = rustix::io::read(&*self.waker.0, &mut [0; 8]);
--- a/crates/balancer/src/prober.rs
+++ b/crates/balancer/src/prober.rs
@@ -17,7 +17,7 @@
 use socket2::{Domain, Socket, Type};
 use tracing::debug;
 
-use crate::core::{Endpoint, LoadProber, ProbeAnswer as Answer};
+use crate::core::{Endpoint, LoadProber, ProbeAnswer};
 use crate::net::{self, ReadBuffer, ReadError};
 use crate::poller::{EventFlags, Poller, Waker};
 
@@ -34,7 +34,7 @@
     /// The request.
     pub request: &'static [u8],
     /// Parses the line that answers it.
-    pub parse: fn(&[u8]) -> Answer,
+    pub parse: fn(&[u8]) -> ProbeAnswer,
 }
 
 /// A handle to the prober.
@@ -56,7 +56,7 @@
 struct ProbeConnection {
     stream: TcpStream,
     address: SocketAddr,
-    intake: ReadBuffer,
+    read_buffer: ReadBuffer,
     /// The events it is polled for.
     interest: EventFlags,
     /// Whether the connect is pending.
@@ -91,10 +91,10 @@
         timeout: impl Fn() -> Duration + Send + 'static,
     ) -> io::Result<(Prober, ProberHandle)> {
         let timeout = Box::new(timeout);
-        let (ask, probes) = unbounded();
+        let (probe_sender, probes) = unbounded();
         let poller = Poller::new()?;
         let handle = ProberHandle {
-            probes: ask,
+            probes: probe_sender,
             waker: poller.waker(),
         };
         let (connections, connection_count) = (BTreeMap::new(), Arc::default());
@@ -128,21 +128,21 @@
     }
 
     /// Runs until all handles are gone.
-    pub fn run(mut self, tell: impl Fn(ServerId, Option<Answer>)) {
+    pub fn run(mut self, on_answer: impl Fn(ServerId, Option<ProbeAnswer>)) {
         loop {
-            let on_ready = self.poller.wait(self.wait_timeout());
-            for token in on_ready {
+            let ready_tokens = self.poller.wait(self.wait_timeout());
+            for token in ready_tokens {
                 let id = ServerId(u32::try_from(token).unwrap_or(u32::MAX));
-                self.ready(id, &tell);
+                self.on_ready(id, &on_answer);
             }
             loop {
                 match self.probes.try_recv() {
-                    Ok((id, server)) => self.start_probe(id, &server, &tell),
+                    Ok((id, server)) => self.start_probe(id, &server, &on_answer),
                     Err(error) if error.is_disconnected() => return,
                     Err(_) => break,
                 }
             }
-            self.close_expired(&tell);
+            self.close_expired(&on_answer);
             self.publish_count();
         }
     }
@@ -154,31 +154,35 @@
 
     /// Closes connections without a pending probe, the longest unused first, while there are more
     /// than the limit allows beside `more`. Returns whether the limit is kept.
-    fn close_idle_beyond(&mut self, more: usize) -> bool {
+    fn close_idle_beyond(&mut self, additional: usize) -> bool {
         let max_connections = (self.max_connections)();
-        while self.connections.len() + more > max_connections {
+        while self.connections.len() + additional > max_connections {
             let idle = self
                 .connections
                 .iter()
-                .filter(|(_, line)| line.pending_since.is_none());
-            let Some(id) = idle.min_by_key(|(_, line)| line.used_at).map(|(id, _)| *id) else {
+                .filter(|(_, connection)| connection.pending_since.is_none());
+            let Some(id) = idle
+                .min_by_key(|(_, connection)| connection.used_at)
+                .map(|(id, _)| *id)
+            else {
                 break;
             };
             self.connections.remove(&id);
         }
-        self.connections.len() + more <= max_connections
+        self.connections.len() + additional <= max_connections
     }
 
     fn wait_timeout(&self) -> Duration {
-        let asked = self
+        let pending = self
             .connections
             .values()
-            .filter_map(|line| line.pending_since);
-        let left = asked
+            .filter_map(|connection| connection.pending_since);
+        let remaining = pending
             .min()
             .map(|at| (self.timeout)().saturating_sub(at.elapsed()));
         // A zero timeout would spin where the clock stands still between two calls.
-        left.unwrap_or(MAX_WAIT)
+        remaining
+            .unwrap_or(MAX_WAIT)
             .clamp(Duration::from_millis(1), MAX_WAIT)
     }
 
@@ -186,104 +190,107 @@
         &mut self,
         id: ServerId,
         server: &Endpoint,
-        tell: &impl Fn(ServerId, Option<Answer>),
+        on_answer: &impl Fn(ServerId, Option<ProbeAnswer>),
     ) {
         // The server may have come back under another address.
         if self
             .connections
             .get(&id)
-            .is_some_and(|line| line.address != server.address)
+            .is_some_and(|connection| connection.address != server.address)
         {
             self.connections.remove(&id);
         }
         if !self.connections.contains_key(&id) && !self.close_idle_beyond(1) {
             debug!(part = "prober", server = %server.name, "no descriptor to spare");
             // A server must not be skipped because this process lacks descriptors.
-            return tell(id, Some(Answer::NoLoad));
+            return on_answer(id, Some(ProbeAnswer::NoLoad));
         }
-        let line = match self.connections.entry(id) {
-            Entry::Occupied(line) => line.into_mut(),
-            Entry::Vacant(none) => match ProbeConnection::open(server.address) {
-                Ok(line) => none.insert(line),
+        let connection = match self.connections.entry(id) {
+            Entry::Occupied(connection) => connection.into_mut(),
+            Entry::Vacant(entry) => match ProbeConnection::open(server.address) {
+                Ok(connection) => entry.insert(connection),
                 Err(error) => {
                     debug!(part = "prober", server = %server.name, why = %error, "not connected");
-                    return tell(id, None);
+                    return on_answer(id, None);
                 }
             },
         };
         // One probe at a time: its answer serves all that wait.
-        if line.pending_since.is_some() {
+        if connection.pending_since.is_some() {
             return;
         }
-        line.pending_since = Some(Instant::now());
-        line.used_at = Instant::now();
-        let asked = if line.is_connecting {
+        connection.pending_since = Some(Instant::now());
+        connection.used_at = Instant::now();
+        let written = if connection.is_connecting {
             Ok(())
         } else {
-            line.write(self.probe.request)
+            connection.write(self.probe.request)
         };
-        let watched = asked.and_then(|()| line.update_interest(id, &self.poller));
-        if watched.is_err() {
-            self.close(id, tell);
+        let updated = written.and_then(|()| connection.update_interest(id, &self.poller));
+        if updated.is_err() {
+            self.close(id, on_answer);
         }
     }
 
-    fn ready(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
-        let Some(line) = self.connections.get_mut(&id) else {
+    fn on_ready(&mut self, id: ServerId, on_answer: &impl Fn(ServerId, Option<ProbeAnswer>)) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if line.is_connecting {
-            let up = line
+        if connection.is_connecting {
+            let connected = connection
                 .stream
                 .take_error()
                 .and_then(|error| error.map_or(Ok(()), Err));
-            line.is_connecting = false;
-            let asked = up.and_then(|()| line.write(self.probe.request));
-            if asked
-                .and_then(|()| line.update_interest(id, &self.poller))
+            connection.is_connecting = false;
+            let written = connected.and_then(|()| connection.write(self.probe.request));
+            if written
+                .and_then(|()| connection.update_interest(id, &self.poller))
                 .is_err()
             {
-                self.close(id, tell);
+                self.close(id, on_answer);
             }
             return;
         }
-        match line.intake.read(&line.stream, Instant::now()) {
+        match connection
+            .read_buffer
+            .read(&connection.stream, Instant::now())
+        {
             Ok(()) | Err(ReadError::TimedOut) => {}
             // An incomplete line at the end is no answer.
-            Err(_) => return self.close(id, tell),
+            Err(_) => return self.close(id, on_answer),
         }
-        while let Some(said) = line.intake.next_line() {
-            if line.pending_since.take().is_some() {
-                tell(id, Some((self.probe.parse)(net::trim_line_end(&said))));
+        while let Some(answer) = connection.read_buffer.next_line() {
+            if connection.pending_since.take().is_some() {
+                on_answer(id, Some((self.probe.parse)(net::trim_line_end(&answer))));
             }
         }
     }
 
     /// Closes a connection; a pending probe fails.
-    fn close(&mut self, id: ServerId, tell: &impl Fn(ServerId, Option<Answer>)) {
+    fn close(&mut self, id: ServerId, on_answer: &impl Fn(ServerId, Option<ProbeAnswer>)) {
         if self
             .connections
             .remove(&id)
-            .is_some_and(|line| line.pending_since.is_some())
+            .is_some_and(|connection| connection.pending_since.is_some())
         {
-            tell(id, None);
+            on_answer(id, None);
         }
     }
 
     /// Closes connections whose probe timed out or that are idle.
-    fn close_expired(&mut self, tell: &impl Fn(ServerId, Option<Answer>)) {
+    fn close_expired(&mut self, on_answer: &impl Fn(ServerId, Option<ProbeAnswer>)) {
         self.close_idle_beyond(0);
-        let over = |line: &ProbeConnection| match line.pending_since {
+        let is_expired = |connection: &ProbeConnection| match connection.pending_since {
             Some(at) => at.elapsed() >= (self.timeout)(),
-            None => line.used_at.elapsed() >= IDLE_TIMEOUT,
+            None => connection.used_at.elapsed() >= IDLE_TIMEOUT,
         };
-        let ended: Vec<ServerId> = self
+        let expired: Vec<ServerId> = self
             .connections
             .iter()
-            .filter(|(_, line)| over(line))
+            .filter(|(_, connection)| is_expired(connection))
             .map(|(id, _)| *id)
             .collect();
-        ended.into_iter().for_each(|id| self.close(id, tell));
+        expired.into_iter().for_each(|id| self.close(id, on_answer));
     }
 }
 
@@ -304,7 +311,7 @@
         Ok(ProbeConnection {
             stream: socket.into(),
             address,
-            intake: ReadBuffer::new(MAX_ANSWER_BYTES),
+            read_buffer: ReadBuffer::new(MAX_ANSWER_BYTES),
             interest: EventFlags::empty(),
             is_connecting,
             pending_since: None,
@@ -313,8 +320,8 @@
     }
 
     /// A probe fits into any socket buffer that takes one at a time.
-    fn write(&mut self, words: &[u8]) -> io::Result<()> {
-        (&self.stream).write_all(words)
+    fn write(&mut self, request: &[u8]) -> io::Result<()> {
+        (&self.stream).write_all(request)
     }
 
     fn update_interest(&mut self, id: ServerId, poller: &Poller) -> io::Result<()> {
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -196,7 +196,7 @@
 
 impl Changes {
     fn discovery(&mut self, target: &DiscoveryAddress, to: SocketAddr) {
-        target.move_to(to);
+        target.set_address(to);
         self.taken.push(format!("discovery at {to}"));
     }
 
--- a/crates/balancer/tests/descriptors.rs
+++ b/crates/balancer/tests/descriptors.rs
@@ -3,22 +3,22 @@
 use beaconflow_balancer::connections::descriptors::{DescriptorBudget, RESERVED_DESCRIPTORS};
 
 /// The platform's limits, and half of the least one.
-const LIMITS: std::ops::RangeInclusive<usize> = 128..=1_024;
+const DESCRIPTOR_LIMITS: std::ops::RangeInclusive<usize> = 128..=1_024;
 
-fn held(budget: DescriptorBudget) -> usize {
+fn used_descriptors(budget: DescriptorBudget) -> usize {
     budget.handshakes + budget.lingering + 2 * budget.connections
 }
 
 #[test]
-fn one_process_stays_within_its_descriptors_with_all_that_it_holds_at_once() {
-    for sockets in LIMITS {
+fn single_process_stays_within_descriptor_limit() {
+    for sockets in DESCRIPTOR_LIMITS {
         for probes in [0, 1, 30, 90] {
             let budget = DescriptorBudget::new(sockets, false, probes);
-            let total = RESERVED_DESCRIPTORS + held(budget) + probes;
+            let total = RESERVED_DESCRIPTORS + used_descriptors(budget) + probes;
             // The least that is served takes a few more than a limit that has no room for it.
-            let least = RESERVED_DESCRIPTORS + sockets / 5 + probes + 2;
+            let min_total = RESERVED_DESCRIPTORS + sockets / 5 + probes + 2;
             assert!(
-                total <= sockets.max(least),
+                total <= sockets.max(min_total),
                 "{sockets} with {probes} probes: {total}"
             );
             assert!(budget.lingering > 0 && budget.handshakes > budget.lingering);
@@ -27,34 +27,37 @@
 }
 
 #[test]
-fn two_processes_on_one_listener_stay_within_the_descriptors_of_both() {
+fn two_processes_sharing_listener_stay_within_limit() {
     for sockets in [192, 256, 384, 1024, 4096] {
         let budget = DescriptorBudget::new(sockets, true, 0);
-        let unopened = budget.handshakes + budget.lingering;
+        let without_server = budget.handshakes + budget.lingering;
         // One is full, the other has all its openings and what stands there besides clients.
         assert!(
-            2 * (RESERVED_DESCRIPTORS + unopened) + 2 * budget.connections <= sockets,
+            2 * (RESERVED_DESCRIPTORS + without_server) + 2 * budget.connections <= sockets,
             "{sockets}"
         );
-        let alone = DescriptorBudget::new(sockets, false, 0);
-        assert!(alone.handshakes >= budget.handshakes && alone.connections >= budget.connections);
+        let exclusive = DescriptorBudget::new(sockets, false, 0);
+        assert!(
+            exclusive.handshakes >= budget.handshakes
+                && exclusive.connections >= budget.connections
+        );
     }
 }
 
 #[test]
-fn probes_have_what_connections_leave_and_the_next_clients_find_room() {
-    for sockets in LIMITS {
-        let most = DescriptorBudget::new(sockets, false, 0).connections;
-        for connections in 0..=most {
+fn probes_leave_room_for_new_connections() {
+    for sockets in DESCRIPTOR_LIMITS {
+        let max_connections = DescriptorBudget::new(sockets, false, 0).connections;
+        for connections in 0..=max_connections {
             let probes = DescriptorBudget::max_probes(sockets, false, connections);
-            let beside = DescriptorBudget::new(sockets, false, probes).connections;
+            let max_with_probes = DescriptorBudget::new(sockets, false, probes).connections;
             assert!(
-                probes == 0 || beside >= connections + sockets / 16,
+                probes == 0 || max_with_probes >= connections + sockets / 16,
                 "{sockets}, {connections} connections"
             );
         }
         assert_eq!(
-            DescriptorBudget::max_probes(sockets, false, most),
+            DescriptorBudget::max_probes(sockets, false, max_connections),
             0,
             "none is left"
         );
--- a/crates/contracts/tests/tenants.rs
+++ b/crates/contracts/tests/tenants.rs
@@ -27,7 +27,7 @@
     let deadline = Instant::now() + Duration::from_secs(30);
     loop {
         match ask() {
-            Err(StoreError::Away) if Instant::now() < deadline => {
+            Err(StoreError::Unavailable) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(20))
             }
             answer => return answer,
@@ -52,9 +52,9 @@
     let (redis, tenants) = begin();
     redis.goes_away(true);
     let changed = tenants.change("north", |tenant| tenant.connections = 9);
-    assert_eq!(changed.map(drop), Err(StoreError::Away));
+    assert_eq!(changed.map(drop), Err(StoreError::Unavailable));
     assert_eq!(tenants.get("north").map(|tenant| tenant.connections), Ok(5));
-    assert!(tenants.store_is_away());
+    assert!(tenants.is_store_unavailable());
 }
 
 #[test]
@@ -64,9 +64,9 @@
     let change = |tenant: &mut Tenant| tenant.connections = 9;
     assert_eq!(
         heard(|| tenants.change("north", change)).map(drop),
-        Err(StoreError::TakesNothing)
+        Err(StoreError::WritesRefused)
     );
-    assert!(!tenants.store_is_away());
+    assert!(!tenants.is_store_unavailable());
     assert_eq!(tenants.get("north").map(|tenant| tenant.connections), Ok(5));
     redis.manner(RedisBehaviour::Serve);
     assert_eq!(
