--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts and their results, and the exchange with a server.
 //!
-//! Fronts talk to a server through [`ServerExchange`].
+//! Fronts exchange the handshake with a server through [`ServerExchange`].
 
 use std::fmt;
 use std::io;
@@ -17,7 +17,7 @@
 /// Interval of the checks whether an attempt was abandoned.
 pub const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far an attempt had come when it ended. Its outcome follows from this alone.
+/// How far an attempt got before it ended. Its outcome follows from this alone.
 #[derive(Debug)]
 pub enum AttemptError {
     /// Nothing was sent: the server is draining, the attempt was too late, or the core abandoned
@@ -69,11 +69,11 @@
     ClientClosed,
     /// The client's side was reset.
     ClientReset,
-    /// The client violated the protocol; it is told this.
+    /// The client violated the protocol and is sent this error message.
     ClientProtocolError(&'static str),
     /// The client was migrated.
     Migrated,
-    /// It was handed over to another process.
+    /// The connection was handed over to another process.
     HandedOver,
     /// A migration waited too long for the end of a message.
     MigrationTimedOut,
@@ -138,28 +138,37 @@
 impl fmt::Display for AttemptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AttemptError::NotSent => write!(f, "withheld"),
-            AttemptError::ClientLeft(error) => write!(f, "client left: {error:?}"),
-            AttemptError::NotConnected(error) => write!(f, "not connected: {error}"),
+            AttemptError::NotSent => write!(f, "the request was not sent"),
+            AttemptError::ClientLeft(error) => write!(f, "the client left: {error:?}"),
+            AttemptError::NotConnected(error) => write!(f, "could not connect: {error}"),
             AttemptError::RequestPartlyWritten(bytes, error) => {
-                write!(f, "head broken after {bytes} bytes: {error}")
+                write!(
+                    f,
+                    "the connection broke after {bytes} bytes of the request: {error}"
+                )
+            }
+            AttemptError::RequestWritten(error) => {
+                write!(f, "no answer after the request was written: {error:?}")
+            }
+            AttemptError::NotServed(answer) => {
+                write!(f, "the server did not serve the request: {answer:?}")
+            }
+            AttemptError::ConnectionEnded(end) => {
+                write!(f, "the established connection ended: {end:?}")
             }
-            AttemptError::RequestWritten(error) => write!(f, "written, then {error:?}"),
-            AttemptError::NotServed(answer) => write!(f, "answered: {answer:?}"),
-            AttemptError::ConnectionEnded(end) => write!(f, "stood, then {end:?}"),
         }
     }
 }
 
 /// A client that waits for an attempt.
 pub trait WaitingClient {
-    /// Its socket.
+    /// The client's socket.
     fn stream(&self) -> &TcpStream;
 
     /// Whether the core has abandoned the attempt.
     fn is_abandoned(&self) -> bool;
 
-    /// Reads early bytes.
+    /// Reads and keeps the bytes that the client sends before it is connected.
     ///
     /// # Errors
     ///
@@ -208,7 +217,7 @@
     ///
     /// # Errors
     ///
-    /// Returns how far the attempt had come.
+    /// Returns how far the attempt got.
     pub fn write_request(&mut self, buffers: &[&[u8]]) -> Result<(), AttemptError> {
         self.client.read_early().map_err(AttemptError::ClientLeft)?;
         if self.client.is_abandoned() || Instant::now() >= self.timing.begin_by {
@@ -247,12 +256,12 @@
         }
     }
 
-    /// Reads the server's next line. Ends early if the client leaves; `failed` says how far the
-    /// attempt had come if the server sends none.
+    /// Reads the server's next line. Ends early if the client leaves; `to_error` converts the error
+    /// if the server sends none.
     ///
     /// # Errors
     ///
-    /// Returns how far the attempt had come.
+    /// Returns how far the attempt got.
     pub fn read_line(
         &mut self,
         to_error: impl Fn(ReadError) -> AttemptError,
--- a/crates/balancer/src/clock.rs
+++ b/crates/balancer/src/clock.rs
@@ -1,10 +1,11 @@
-//! The program's clock: monotonic, and set by the system's time once at the start.
+//! The program's clock: monotonic, and set from the system's time once at the start.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use beaconflow_policy::Nanos;
 
-/// Gives times as the policy counts them: Unix time in nanoseconds as of the start.
+/// Returns times in the policy's unit: nanoseconds of Unix time, as read at the start, plus the
+/// monotonic time since then.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
--- a/crates/balancer/src/connections/acceptor.rs
+++ b/crates/balancer/src/connections/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: a front's listener and the handshakes that are not complete.
+//! The acceptor: the listener of a front and its incomplete handshakes.
 //!
 //! One thread serves both, so that an idle or invalid client costs one descriptor and no thread.
 
@@ -26,7 +26,7 @@
 
 /// Interval of lifecycle checks while handshakes are pending.
 const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The same during a shutdown.
+/// Interval of lifecycle checks during a shutdown.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Clients accepted before handshakes are read again.
 const ACCEPT_BATCH: usize = 32;
@@ -71,7 +71,8 @@
             net::wait_listener_or_streams(has_room.then_some(&listener.socket), streams, timeout);
         let (ready_handshakes, ready_lingering) = ready.split_at(acceptor.handshakes.len());
         acceptor.read_lingering(ready_lingering);
-        // Handshakes go before new clients: one that is complete makes room without being evicted.
+        // Handshakes are read before new clients are accepted: a complete one makes room without an
+        // eviction.
         acceptor.read_handshakes(ready_handshakes);
         acceptor.expire_handshakes();
         if listener_ready && acceptor.should_accept(listener) {
@@ -88,7 +89,7 @@
     descriptors: &'a Descriptors,
     connections: &'a ConnectionsHandle<F>,
     rejections: Arc<RateLimitedLog>,
-    /// The oldest first.
+    /// Incomplete handshakes, the oldest first.
     handshakes: VecDeque<Handshake>,
     /// Rejected clients that are read until they close, the oldest first.
     lingering: VecDeque<LingeringClose>,
@@ -148,7 +149,7 @@
         (!listener.is_shared || !is_shutting_down) && Instant::now() >= self.accept_resumes_at
     }
 
-    /// Notices the beginning and the end of a drain.
+    /// Records when a drain began, or that there is none.
     fn follow_lifecycle(&mut self) {
         match self.core.lifecycle().state() {
             LifecycleState::Starting | LifecycleState::Serving => self.drain_started_at = None,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Publishes the clients that are not finished, so that a shutdown waits for them.
+    /// Publishes the number of unfinished clients, so that a shutdown waits for them.
     fn publish_handshakes(&self) {
         self.core
             .lifecycle()
@@ -170,7 +171,7 @@
         self.handshakes.len() < self.budget().handshakes || self.eviction_candidate().is_some()
     }
 
-    /// The client to evict: the one that has been silent longest, else the oldest.
+    /// Index of the handshake to evict: the one that has been silent longest, else the oldest.
     fn eviction_candidate(&self) -> Option<usize> {
         let is_silent = |handshake: &Handshake| {
             handshake.has_had_min_time() && handshake.read_buffer.bytes().is_empty()
@@ -200,7 +201,7 @@
             if net::configure_stream(&client).is_err() {
                 continue;
             }
-            // A client that does not take the banner expires like other silent ones.
+            // A client that does not read the banner times out like other silent ones.
             let _ = net::write_gathered(&client, &[&self.front.banner()]);
             self.handshakes
                 .push_back(Handshake::new(client, self.front.max_handshake_line()));
@@ -223,11 +224,11 @@
         self.rejections.warn(
             self.front.name(),
             "too many handshakes",
-            &"the oldest was let go",
+            &"evicted the oldest one",
         );
     }
 
-    /// Rejects a client and lets it linger.
+    /// Rejects a client and reads it until it closes.
     fn reject(&mut self, client: TcpStream, answer: &[u8]) {
         self.linger(LingeringClose::start(
             client,
@@ -236,7 +237,7 @@
         ));
     }
 
-    /// Lets a client linger; the oldest is closed if there are too many.
+    /// Adds a client that is read until it closes; the oldest one is closed if there are too many.
     fn linger(&mut self, client: LingeringClose) {
         self.lingering.push_back(client);
         let max_lingering = self.budget().lingering;
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Acts on a handshake that is no longer pending.
+    /// Admits, rejects or drops a client whose handshake has an outcome.
     fn finish_handshake(&mut self, handshake: Handshake, outcome: HandshakeOutcome<F::Request>) {
         match outcome {
             HandshakeOutcome::Rejected(Rejection { answer, reason }) => {
@@ -290,13 +291,13 @@
         }
     }
 
-    /// Admits a client.
+    /// Reserves a place for a client whose handshake is complete and admits it.
     fn admit_client(&mut self, client: TcpStream, request: F::Request, read_buffer: ReadBuffer) {
         let Some(slot) = self.core.reserve_connection(self.budget().connections) else {
             self.rejections.warn(
                 self.front.name(),
                 "too many connections",
-                &"one was turned away",
+                &"rejected a client",
             );
             return self.reject(client, &self.front.encode(ClientMessage::Rejected(None)));
         };
@@ -341,7 +342,8 @@
                 .err()
                 .map(|unsent| unsent.into_inner()),
             Err(error) => {
-                self.rejections.warn(self.front.name(), "no thread", &error);
+                self.rejections
+                    .warn(self.front.name(), "could not start a thread", &error);
                 Some(admission)
             }
         };
@@ -355,7 +357,7 @@
         }
     }
 
-    /// Closes handshakes whose time is over.
+    /// Closes handshakes that timed out, and all of them once none is accepted any more.
     fn expire_handshakes(&mut self) {
         let now = Instant::now();
         let accepts_handshakes = self.core.lifecycle().accepts_handshakes();
@@ -387,8 +389,8 @@
         self.lingering.retain(|client| !client.is_done());
     }
 
-    /// Closes a client whose handshake is late. An idle one is told to come again, which also
-    /// answers a request that crosses its end.
+    /// Closes a client whose handshake timed out. An idle one gets a rejection, after which it may
+    /// retry; the rejection also answers a request that is in transit.
     fn expire(&mut self, handshake: Handshake) {
         if handshake.is_idle() {
             return self.reject(
--- a/crates/balancer/src/connections/acceptor/handshake.rs
+++ b/crates/balancer/src/connections/acceptor/handshake.rs
@@ -1,4 +1,4 @@
-//! Handshakes that are not complete, and how they are read.
+//! Incomplete handshakes and reading them.
 
 use std::net::TcpStream;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -21,9 +21,9 @@
     pub(super) client: TcpStream,
     pub(super) read_buffer: ReadBuffer,
     pub(super) accepted_at: Instant,
-    /// Start of its timeout: the accept, its last readiness query, or the first byte after that.
+    /// Start of the timeout: the accept, the last readiness query, or the first byte after it.
     timeout_started_at: Instant,
-    /// Whether it sent a readiness query.
+    /// Whether the client has sent a readiness query.
     has_queried: bool,
 }
 
@@ -39,17 +39,17 @@
         }
     }
 
-    /// Whether it has sent nothing since its last query.
+    /// Whether the client has sent nothing since its last readiness query.
     pub(super) fn is_idle(&self) -> bool {
         self.has_queried && self.read_buffer.bytes().is_empty()
     }
 
-    /// Whether it has had its minimum time.
+    /// Whether [`MIN_HANDSHAKE_TIME`] has passed since the accept.
     pub(super) fn has_had_min_time(&self) -> bool {
         self.accepted_at.elapsed() >= MIN_HANDSHAKE_TIME
     }
 
-    /// When it is closed.
+    /// When the handshake times out, which is earlier for an idle client during a drain.
     pub(super) fn deadline_at(
         &self,
         front: &impl Front,
@@ -76,7 +76,7 @@
     Complete(R),
 }
 
-/// A panic in reading one handshake must not end the acceptor.
+/// Reads a handshake; a panic rejects that client and does not end the acceptor.
 pub(super) fn read_handshake_guarded<F: Front>(
     front: &F,
     handshake: &mut Handshake,
--- a/crates/balancer/src/connections/connect.rs
+++ b/crates/balancer/src/connections/connect.rs
@@ -15,11 +15,11 @@
 
 /// A server that accepted the connection.
 pub struct EstablishedServer {
-    /// Its socket.
+    /// The non-blocking socket of the server.
     pub server: TcpStream,
     /// The answer for the client.
     pub answer: Vec<u8>,
-    /// Bytes that it sent beyond the answer.
+    /// Bytes that the server sent beyond the answer.
     pub read_ahead: Vec<u8>,
 }
 
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Returns how far the attempt had come.
+/// Returns how far the attempt got.
 pub fn attempt<F: Front>(
     front: &F,
     client_connection: &mut ClientConnection,
--- a/crates/balancer/src/connections/descriptors.rs
+++ b/crates/balancer/src/connections/descriptors.rs
@@ -14,12 +14,13 @@
 pub const RESERVED_DESCRIPTORS: usize = 24 + operations::DESCRIPTORS;
 /// Handshakes and rejected clients may hold this fraction (1/n) of the descriptors.
 const HANDSHAKE_DIVISOR: usize = 5;
-/// Rejected clients that are still read may hold this fraction (1/n) of those.
+/// Rejected clients that are still read may hold this fraction (1/n) of the descriptors of
+/// handshakes.
 const LINGERING_DIVISOR: usize = 4;
 /// Probes leave this fraction (1/n) of the descriptors free for connections, so that no client is
-/// rejected for their sake.
+/// rejected because of them.
 const PROBE_HEADROOM_DIVISOR: usize = 16;
-/// Least number of handshakes, and of connections.
+/// Least number of handshakes with rejected clients, and of connections.
 const MIN_HANDSHAKES_AND_CONNECTIONS: (usize, usize) = (8, 1);
 
 /// The parts of the budget.
@@ -34,8 +35,8 @@
 }
 
 impl DescriptorBudget {
-    /// Divides `sockets` descriptors, of which probes hold some. Two processes on one listener
-    /// divide the handshakes between them and leave room for each other's own descriptors.
+    /// Divides `sockets` descriptors, of which `probes` are held by probes. Two processes on one
+    /// listener divide the handshakes between them and leave room for each other's own descriptors.
     pub fn new(sockets: usize, shared: bool, probes: usize) -> DescriptorBudget {
         let processes = if shared { 2 } else { 1 };
         let without_server =
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Most descriptors that probes may hold beside the connections open now.
+    /// Most descriptors that probes may hold in addition to `connections` open connections.
     pub fn max_probes(sockets: usize, shared: bool, connections: usize) -> usize {
         let max_connections = DescriptorBudget::new(sockets, shared, 0).connections;
         2 * max_connections.saturating_sub(connections + sockets / PROBE_HEADROOM_DIVISOR)
@@ -88,7 +89,7 @@
         )
     }
 
-    /// Most descriptors that probes may hold beside so many open connections.
+    /// Most descriptors that probes may hold in addition to `connections` open connections.
     pub fn max_probes(&self, connections: usize) -> usize {
         DescriptorBudget::max_probes(
             self.limit.load(Ordering::Relaxed),
--- a/crates/balancer/src/connections/event_loop/attempt_thread.rs
+++ b/crates/balancer/src/connections/event_loop/attempt_thread.rs
@@ -1,4 +1,4 @@
-//! The thread of one attempt, which owns the client while the attempt lasts.
+//! The thread of one attempt, which owns the client until the attempt ends.
 
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -26,9 +26,9 @@
     Waiting(ClientConnection),
     /// An attempt is in flight and owns the client; the core's final answer may have arrived.
     InAttempt(Option<ConnectionCommand>, Arc<AtomicBool>),
-    /// Both sides are joined.
+    /// Bytes are relayed between both sides.
     Established(Box<EstablishedConnection>),
-    /// The client has half-closed; the server may finish until then.
+    /// The client has half-closed; the server may finish until the deadline.
     HalfClosed(Box<EstablishedConnection>, Instant),
     /// The final message has been written; the client, and the server if there is one, are read
     /// until they close.
@@ -40,18 +40,18 @@
 /// The client of an attempt with its handshake for the server.
 pub(super) type AttemptClient<F> = Option<(ClientConnection, Arc<<F as Front>::ServerHandshake>)>;
 
-/// One connection.
+/// A connection of the event loop.
 pub(super) struct Connection<F: Front> {
     id: u64,
-    /// Released before the client learns of its end, so that one that returns at once finds its id
-    /// and its place among its tenant's connections free.
+    /// Released before the client sees the close, so that a client that reconnects at once finds
+    /// its id and its place among its tenant's connections free.
     pub(super) server_handshake: Option<Arc<F::ServerHandshake>>,
     pub(super) state: ConnectionState,
     /// Name of the server of the latest attempt.
     pub(super) server_name: Option<Arc<str>>,
     /// When the latest attempt began.
     attempted_at: Instant,
-    /// What both sides are polled for.
+    /// The events that the client and the server are polled for.
     pub(super) polled_events: (EventFlags, EventFlags),
     _slot: ConnectionSlot,
 }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether it is closed.
+    /// Whether the connection can be removed from the event loop.
     pub(super) fn is_closed(&self) -> bool {
         matches!(self.state, ConnectionState::Closed)
     }
@@ -163,8 +163,8 @@
     /// Handles a command of the core.
     pub(super) fn on_command(&mut self, command: ConnectionCommand, context: &FrontContext<F>) {
         match (&mut self.state, command) {
-            // A final answer that crossed the server's: the core no longer knows the connection, so
-            // it migrates.
+            // A final answer that was sent before the core knew of the server's answer: the core no
+            // longer knows the connection, so the client migrates.
             (
                 ConnectionState::Established(established),
                 ConnectionCommand::Migrate
@@ -182,7 +182,7 @@
                 | ConnectionCommand::StartAttempt { .. }
                 | ConnectionCommand::HandOver,
             ) => {}
-            // A final answer must not wait for an unresponsive server.
+            // A final answer must not wait for an unresponsive server; the attempt is abandoned.
             (ConnectionState::InAttempt(answer, abandon_flag), command) => {
                 abandon_flag.store(true, Ordering::Relaxed);
                 *answer = Some(command);
@@ -219,7 +219,7 @@
             {
                 self.on_command(ConnectionCommand::Reject(None), context);
             }
-            // The core has answered meanwhile.
+            // The core answered during the attempt.
             (Some(answer), _) => self.on_command(answer, context),
             (None, Ok(result)) => self.establish(result, context),
             (None, Err(AttemptError::ClientLeft(error))) => self.on_client_left(&error, context),
@@ -303,7 +303,7 @@
         }
     }
 
-    /// The client left before its answer, or sent too much.
+    /// Handles a client that left before its answer or sent too much.
     fn on_client_left(&mut self, error: &ReadError, context: &FrontContext<F>) {
         context.core.send(CoreInput::ClientLeft(self.id));
         if matches!(error, ReadError::TooLong) {
@@ -361,7 +361,7 @@
         });
     }
 
-    /// Updates what both sides are polled for.
+    /// Updates the events that both sides are polled for.
     pub(super) fn update_interest(&mut self, poller: &Poller) -> io::Result<()> {
         let no_events = EventFlags::empty();
         let (client, server, wanted) = match &self.state {
--- a/crates/balancer/src/connections/event_loop/handover.rs
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -18,8 +18,8 @@
 use crate::poller::EventFlags;
 
 impl<F: Front> EventLoop<F> {
-    /// Hands an established connection over to the process that replaces this one. One with
-    /// buffered bytes is retried until it is migrated.
+    /// Hands an established connection over to the process that replaces this one. A connection
+    /// with buffered bytes is retried until it is migrated.
     pub(super) fn hand_over(&mut self, id: u64) {
         let EventLoop {
             context,
@@ -48,7 +48,8 @@
             return awaiting_handover.push(id);
         }
         let (client, server) = established.sides();
-        // The other process polls the same sockets; this one would wake for its input.
+        // The other process polls the same sockets; without this, their input would wake this one
+        // too.
         let no_events = EventFlags::empty();
         let unpolled = poller
             .set_interest(client, id * 2, (connection.polled_events.0, no_events))
@@ -77,14 +78,15 @@
                 if net::is_would_block(&error) {
                     self.awaiting_handover.push(id);
                 } else {
-                    warn!(part = self.context.front.name(), request = id, why = %error, "not handed over");
+                    warn!(part = self.context.front.name(), request = id, why = %error, "connection could not be handed over");
                 }
                 self.with_connection(id, |_, _| ());
             }
         }
     }
 
-    /// Takes over a connection from another process. One whose request can't be parsed is migrated.
+    /// Takes over a connection from another process. A client whose request can't be parsed is
+    /// migrated.
     pub(super) fn take_over(&mut self, transferred: TransferredConnection, slot: ConnectionSlot) {
         let TransferredConnection {
             client,
@@ -106,7 +108,7 @@
         let Some((client_request, server_handshake)) = admitted else {
             warn!(
                 part = front.name(),
-                "a connection handed over could not be read"
+                "request of a connection that was handed over is invalid; migrating the client"
             );
             let server = LingeringClose::start(server, WriteBuffer::default(), b"");
             let state = ConnectionState::Lingering(
@@ -145,7 +147,7 @@
 fn find_successor<F: Front>(context: &FrontContext<F>) -> Option<HandoverSender> {
     let address = context.handover.as_ref()?;
     address.connect().unwrap_or_else(|error| {
-        warn!(part = context.front.name(), why = %error, "nobody to hand over to");
+        warn!(part = context.front.name(), why = %error, "could not connect to the process that replaces this one");
         None
     })
 }
--- a/crates/balancer/src/connections/event_loop/mod.rs
+++ b/crates/balancer/src/connections/event_loop/mod.rs
@@ -1,7 +1,7 @@
 //! The thread that serves all connections of a front, from admission to close.
 //!
-//! Only an attempt has a thread of its own. A thread per connection costs too much where the whole
-//! process is stopped and resumed for its share of a core.
+//! Only attempts have threads of their own. A thread per connection costs too much where the whole
+//! process is stopped and resumed to limit its share of a core.
 
 mod attempt_thread;
 mod connection;
@@ -26,13 +26,13 @@
 
 /// A client that has been admitted.
 pub struct AdmittedClient<F: Front> {
-    /// Its connection.
+    /// The client's connection, with the bytes it sent early.
     pub client: ClientConnection,
-    /// What it asks for.
+    /// The client's request for the core.
     pub request: ClientRequest,
     /// The handshake for the server.
     pub server_handshake: F::ServerHandshake,
-    /// Its place among the open connections.
+    /// The reserved place among the open connections.
     pub slot: ConnectionSlot,
 }
 
@@ -67,13 +67,13 @@
 
 impl<F: Front> fmt::Debug for ConnectionsHandle<F> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Desk")
+        f.write_str("ConnectionsHandle")
     }
 }
 
 impl<F: Front> ConnectionsHandle<F> {
     fn send_input(&self, input: ConnectionInput<F>) {
-        // The thread is gone only when the program is about to end.
+        // The thread has ended only if the program is about to end.
         let _ = self.inputs.send(input);
         self.waker.wake();
     }
@@ -95,13 +95,13 @@
     }
 }
 
-/// What all connections of a front share.
+/// State shared by all connections of a front.
 struct FrontContext<F: Front> {
     front: Arc<F>,
     core: CoreHandle,
     /// The message that asks a client to migrate.
     migration_message: Vec<u8>,
-    /// Where connections are handed over.
+    /// Where connections are handed over; `None` if this front does not hand over.
     handover: Option<HandoverAddress>,
 }
 
--- a/crates/balancer/src/connections/event_loop/run.rs
+++ b/crates/balancer/src/connections/event_loop/run.rs
@@ -31,9 +31,10 @@
     inbox: Receiver<ConnectionInput<F>>,
     pub(super) handle: Arc<ConnectionsHandle<F>>,
     pub(super) connections: HashMap<u64, Connection<F>>,
-    /// The latest of those ids.
+    /// The latest id of a connection that the core does not know; see [`LAST_LOCAL_ID`].
     pub(super) last_local_id: u64,
-    /// The process that replaces this one, once it has been looked for.
+    /// Connection to the process that replaces this one; the outer `None` means that none has been
+    /// tried yet.
     pub(super) handover_sender: Option<Option<HandoverSender>>,
     /// Connections that could not be handed over yet.
     pub(super) awaiting_handover: Vec<u64>,
@@ -97,7 +98,7 @@
             if catch_unwind(AssertUnwindSafe(|| self.handle_input(input))).is_err() {
                 error!(
                     part = self.context.front.name(),
-                    "an input of the connections panicked"
+                    "handling an input of the connections panicked"
                 );
             }
         }
@@ -153,7 +154,7 @@
         );
     }
 
-    /// Lends the client to the thread of an attempt.
+    /// Passes the client to the thread of an attempt.
     fn start_attempt(&mut self, id: u64, endpoint: Arc<Endpoint>, timing: AttemptTiming) {
         let lent = self
             .connections
@@ -161,12 +162,12 @@
             .map(|connection| connection.start_attempt(&self.poller, &endpoint));
         let (client_connection, server_handshake) = match lent {
             Some(Ok(Some(lent))) => lent,
-            // The request must not stay in flight without an attempt.
+            // The core must not wait for an attempt that was never made.
             Some(Err(_)) => {
                 return self
                     .with_connection(id, |connection, context| connection.on_panic(context));
             }
-            // The client left or was answered; the core is told of it.
+            // The client left or was answered, which is reported to the core.
             Some(Ok(None)) | None => return,
         };
         if let Err(failed) = attempt_thread::start(
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Adds a connection.
+    /// Adds a connection and polls it.
     pub(super) fn insert(
         &mut self,
         id: u64,
@@ -199,7 +200,7 @@
         self.with_connection(id, |_, _| ());
     }
 
-    /// Runs code on a connection and updates what it is polled for.
+    /// Runs `action` on a connection and updates the events it is polled for.
     pub(super) fn with_connection(
         &mut self,
         id: u64,
--- a/crates/balancer/src/connections/lingering.rs
+++ b/crates/balancer/src/connections/lingering.rs
@@ -1,4 +1,4 @@
-//! Lingering close: the one way in which a connection closes in order.
+//! Lingering close, the only way to close a connection without a reset.
 //!
 //! Closing a socket with unread input resets the connection, and the reset destroys the answer
 //! written before it. A peer that was sent its final message is read until it closes, for a bounded
@@ -10,23 +10,23 @@
 use crate::net::{self, WriteBuffer};
 use crate::poller::EventFlags;
 
-/// Time for which a peer is read after it has taken its final message.
+/// Time for which a peer is read after it has received its final message.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a peer to take its final message. Well below the time for a shutdown.
+/// Time for a peer to receive its final message. Well below the time for a shutdown.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One side of a connection after its final message.
 pub struct LingeringClose {
     stream: TcpStream,
     outgoing: WriteBuffer,
-    /// When the final message was written, or when the peer had taken it.
+    /// When the final message was written, or when the peer had read it.
     phase_started_at: Instant,
     is_closed: bool,
 }
 
 impl LingeringClose {
     /// Writes the final message after what is still outgoing; the write side is shut down once all
-    /// of it has been taken.
+    /// of it has been sent.
     pub fn start(
         stream: TcpStream,
         mut outgoing: WriteBuffer,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The connection.
+    /// The socket of the peer.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
@@ -69,12 +69,12 @@
         }
     }
 
-    /// The connection, if it is still to be read.
+    /// The socket, if it is still to be read.
     pub fn stream_to_read(&self) -> Option<&TcpStream> {
         (!self.is_closed && self.outgoing.is_reading()).then_some(&self.stream)
     }
 
-    /// When the lingering ends at the latest.
+    /// When the close ends at the latest.
     pub fn deadline_at(&self) -> Instant {
         self.phase_started_at
             + if self.outgoing.is_empty() {
@@ -84,7 +84,7 @@
             }
     }
 
-    /// Whether the peer has closed, or the time is over.
+    /// Whether the peer has closed, or the deadline has passed.
     pub fn is_done(&self) -> bool {
         self.is_closed || Instant::now() >= self.deadline_at()
     }
--- a/crates/balancer/src/connections/mod.rs
+++ b/crates/balancer/src/connections/mod.rs
@@ -1,7 +1,7 @@
 //! Connections: handshake, attempt, relay and close.
 //!
 //! One thread accepts clients and reads their handshakes, one serves all connections, and each
-//! attempt has a thread of its own. The core decides; nothing here does.
+//! attempt has a thread of its own. All decisions are made by the core.
 
 pub mod acceptor;
 pub mod connect;
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -35,7 +35,7 @@
     /// The beginning of an incomplete message of the server.
     unforwarded: Vec<u8>,
     to_server: WriteBuffer,
-    /// Why writes to the client fail. Its remaining input and its end are still read.
+    /// Why writes to the client fail. The client's remaining input and its end are still read.
     client_write_error: Option<ErrorKind>,
     /// Why writes to the server fail.
     server_write_error: Option<ErrorKind>,
@@ -171,7 +171,7 @@
     }
 
     /// Writes to the client. A failed write does not end the connection, since a client that closed
-    /// in order may have sent input that is still unread.
+    /// normally may have sent input that is still unread.
     fn write_to_client(&mut self, parts: &[&[u8]]) {
         let EstablishedConnection {
             client: ClientConnection {
@@ -183,7 +183,7 @@
         write(client, outgoing, parts, client_write_error);
     }
 
-    /// Writes to the server; its last lines still go to the client.
+    /// Writes to the server. After a failed write, the server's last lines still go to the client.
     fn write_to_server(&mut self, parts: &[&[u8]]) {
         write(
             &self.server,
@@ -199,7 +199,7 @@
         if self.client.outgoing.is_empty() && self.to_server.is_empty() {
             self.last_drained_at = Instant::now();
         } else if self.last_drained_at.elapsed() >= net::WRITE_TIMEOUT {
-            // Only one side is read while the other takes nothing, so the blocked one is known.
+            // A side is not read while the other one has unsent bytes, so the blocked one is known.
             return Err(if self.client.outgoing.is_empty() {
                 ConnectionEnd::ServerReset
             } else {
@@ -207,7 +207,7 @@
             });
         }
         if self.monitor.oldest_pending_age() >= self.response_timeout {
-            // An answer may lie unread because this process was suspended.
+            // An answer may be unread because this process was suspended.
             self.on_ready(Side::Server, migration_message)?;
             if self.monitor.oldest_pending_age() >= self.response_timeout {
                 self.write_migration(migration_message);
@@ -217,7 +217,7 @@
         self.continue_migration(migration_message)
     }
 
-    /// Whether nothing of the connection is buffered here and both sides are between messages.
+    /// Whether this process buffers no bytes of the connection and both sides are between messages.
     pub fn can_be_handed_over(&self) -> bool {
         let has_unsent = !(self.client.outgoing.is_empty() && self.to_server.is_empty());
         let has_unforwarded = !(self.client.unforwarded.is_empty() && self.unforwarded.is_empty());
@@ -261,8 +261,8 @@
         Ok(())
     }
 
-    /// Sends a keepalive between two messages if nothing was sent for a while. Otherwise an
-    /// unresponsive server with an idle client would stay unnoticed.
+    /// Sends a keepalive between two messages if nothing was sent for the idle interval. Otherwise
+    /// an unresponsive server with an idle client would not be detected.
     fn send_keepalive(&mut self) {
         let Some(keepalive) = self.client.keepalive else {
             return;
@@ -322,7 +322,7 @@
     }
 }
 
-/// Writes what can be written now. A side whose writes fail gets no more.
+/// Writes what can be written now. After a failed write, nothing more is written to that side.
 fn write(
     to: &TcpStream,
     out: &mut WriteBuffer,
@@ -343,7 +343,7 @@
     }
 }
 
-/// Whether a side was reset. One that had closed in order fails with a broken pipe.
+/// Whether a side was reset. Writes to a side that closed normally fail with a broken pipe.
 fn was_reset(write_error: Option<ErrorKind>) -> bool {
     write_error.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
 }
--- a/crates/balancer/src/connections/relay/client.rs
+++ b/crates/balancer/src/connections/relay/client.rs
@@ -17,11 +17,11 @@
     pub(super) framer: Box<dyn Framer>,
     /// Early bytes, then the beginning of an incomplete message.
     pub(super) unforwarded: Vec<u8>,
-    /// Bytes that it has not taken yet.
+    /// Bytes that the client has not received yet.
     pub(super) outgoing: WriteBuffer,
     max_early: usize,
     pub(super) keepalive: Option<Keepalive>,
-    /// Whether its final message has been written.
+    /// Whether the final message to the client has been written.
     pub(super) has_final_message: bool,
     /// Set by the owner to abandon an attempt in flight.
     is_abandoned: Arc<AtomicBool>,
--- a/crates/balancer/src/connections/relay/ending.rs
+++ b/crates/balancer/src/connections/relay/ending.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Closes both sides the way that the connection ended. Returns the client and the server to
-    /// linger, or `None` if both were reset.
+    /// Closes or resets both sides, depending on how the connection ended. Returns the client and
+    /// the server to linger, or `None` if both were reset.
     pub fn close(mut self, end: ConnectionEnd) -> Option<(LingeringClose, LingeringClose)> {
         match end {
             ConnectionEnd::ClientReset => {
@@ -75,7 +75,7 @@
             }
             _ => {}
         }
-        // What the server has not taken belongs to a client that closes or migrates.
+        // Unsent bytes for the server are dropped: their client closes or migrates.
         let server = LingeringClose::start(self.server, WriteBuffer::default(), b"");
         Some((self.client.close_with(b""), server))
     }
--- a/crates/balancer/src/connections/relay/migration.rs
+++ b/crates/balancer/src/connections/relay/migration.rs
@@ -4,7 +4,7 @@
 use crate::attempt::ConnectionEnd;
 
 impl EstablishedConnection {
-    /// Migrates the client, inside a message at its end.
+    /// Migrates the client, at the end of the present message if one has begun.
     pub fn migrate(&mut self, migration_message: &[u8]) -> Result<(), ConnectionEnd> {
         self.monitor.start_migration(ConnectionEnd::Migrated);
         self.continue_migration(migration_message)
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Asks the client to migrate, but not inside a message. Returns whether it was asked.
+    /// Asks the client to migrate, unless a message has begun. Returns whether it was asked.
     pub(super) fn write_migration(&mut self, migration_message: &[u8]) -> bool {
         if !self.client.has_final_message && self.framer.is_at_boundary() {
             self.client.has_final_message = true;
--- a/crates/balancer/src/connections/relay/monitor.rs
+++ b/crates/balancer/src/connections/relay/monitor.rs
@@ -16,7 +16,7 @@
     pub(super) is_keepalive: bool,
 }
 
-/// What was observed of the server.
+/// Observations of one server over one connection.
 pub(super) struct ServerMonitor {
     pub(super) core: CoreHandle,
     pub(super) id: u64,
@@ -29,7 +29,7 @@
     pub(super) received_at: Instant,
     /// The latest message.
     pub(super) last_message: Option<MessageKind>,
-    /// Since when and why the client is to migrate.
+    /// When and why a migration was requested.
     pub(super) migration: Option<(Instant, ConnectionEnd)>,
 }
 
@@ -77,7 +77,8 @@
         // Latency counts to the first byte of the answer, which may arrive in pieces.
         let latency = message_started_at.saturating_duration_since(sent_at);
         let is_slow = latency >= self.core.slow_message_threshold();
-        // Reported once more when messages are no longer slow, so that the core learns of it.
+        // The first fast message after slow ones is reported too, so that the core sees the
+        // recovery.
         if is_slow || self.was_slow {
             self.was_slow = is_slow;
             self.core.send(CoreInput::ConnectionMeasured {
@@ -88,7 +89,7 @@
         !is_keepalive
     }
 
-    /// Records that the client is to migrate.
+    /// Requests a migration; the first request counts.
     pub(super) fn start_migration(&mut self, end: ConnectionEnd) {
         self.migration.get_or_insert_with(|| (Instant::now(), end));
     }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -20,8 +20,8 @@
 
 /// A connect to discovery that takes longer has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Discovery sends an empty line every 2 s. A change counts as known after 6 s, however silent the
-/// watch.
+/// Discovery sends an empty line every 2 s. A change counts as known after 6 s, even if the watch
+/// is silent.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// An agent on this host answers at once. Waiting longer would delay the next call, while the
 /// agent's list counts as known.
@@ -34,13 +34,13 @@
 /// A server list in discovery's form: a snapshot or a delta.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct ServerList {
-    /// Its version.
+    /// Version of the list.
     #[serde(default)]
     pub generation: u64,
-    /// Whether it is a snapshot.
+    /// Whether the list is a snapshot; otherwise it is a delta.
     #[serde(default)]
     pub reset: bool,
-    /// The servers.
+    /// All servers of a snapshot, or the changed ones of a delta.
     #[serde(default)]
     pub instances: Vec<ListedServer>,
 }
@@ -61,23 +61,23 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ListedServer {
-    /// Name; equal at all balancers.
+    /// Name of the server, which is the same at all balancers.
     pub instance_id: String,
-    /// Address from this balancer. A removed server may have none.
+    /// Address of the server as seen from this balancer. A removed server may have none.
     #[serde(default)]
     pub host_port: Option<SocketAddr>,
-    /// Name of its zone.
+    /// Name of the server's zone; empty if it has none.
     #[serde(default)]
     pub zone: String,
-    /// Its machine type.
+    /// Name of the server's machine type; empty if unknown.
     #[serde(default)]
     pub machine_type: String,
-    /// Its cell.
+    /// Number of the server's cell; 0 by default.
     #[serde(default)]
     pub cell: u32,
     /// Whether it accepts new connections.
     pub lifecycle: ServerLifecycle,
-    /// Its weight.
+    /// Weight relative to other servers; 1 by default.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// Unix time of its last start, in milliseconds; 0 if long ago.
@@ -93,11 +93,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ServerLifecycle {
-    /// It accepts new connections.
+    /// The server accepts new connections.
     Serving,
-    /// It is finishing its connections.
+    /// The server finishes its connections and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The server has been removed.
     Deleted,
 }
 
@@ -200,12 +200,12 @@
         }
     }
 
-    /// The address, to be changed.
+    /// A handle that changes the address.
     pub fn target(&self) -> DiscoveryAddress {
         self.target.clone()
     }
 
-    /// Opens watches on request until the core is gone.
+    /// Opens watches on request until all senders of requests are dropped.
     pub fn run(mut self, on_event: impl Fn(DiscoveryEvent)) {
         let mut seen_generation = 0;
         while self.polls.recv().is_ok() {
@@ -300,27 +300,27 @@
     ) -> io::Result<()> {
         let from = self.generation;
         let body = request_watch(client, discovery, from)?;
-        info!(part = "discovery", %discovery, from, "watch open");
+        info!(part = "discovery", %discovery, from, "watch opened");
         let lists = reading::bounded_lists(body.into_reader(), activity);
-        // Lists may be indented over many lines, and a chunk may end anywhere.
+        // Lists may span many lines, and a chunk may end anywhere.
         for list in serde_json::Deserializer::from_reader(lists).into_iter::<ServerList>() {
             let list = list?;
             activity.list_ended();
             if !list.reset && list.generation < self.generation {
-                // A late delta would bring back removed servers. A snapshot is always applied,
-                // since discovery may count anew.
+                // A late delta would add removed servers again. A snapshot is always applied, since
+                // discovery may restart its versions.
                 warn!(
                     part = "discovery",
                     told = list.generation,
                     held = self.generation,
-                    "changes older than the list held are passed over"
+                    "ignored a delta that is older than the present list"
                 );
                 continue;
             }
             self.generation = list.generation;
             on_event(DiscoveryEvent::List(list));
         }
-        Err(io::Error::other("discovery ended it"))
+        Err(io::Error::other("discovery ended the watch"))
     }
 }
 
@@ -351,7 +351,7 @@
     let encoding = answer.headers().get("transfer-encoding");
     if !encoding.is_some_and(|encoding| encoding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
         // A list that is not a watch would end and be requested again and again.
-        return Err(io::Error::other("a watch that is not chunked"));
+        return Err(io::Error::other("the response to a watch is not chunked"));
     }
     Ok(answer.into_body())
 }
--- a/crates/balancer/src/discovery/reading.rs
+++ b/crates/balancer/src/discovery/reading.rs
@@ -1,4 +1,4 @@
-//! Reading of a watch: lists are bounded in size and time, and the latest activity is known.
+//! Reading of a watch: bounds lists in size and time, and records the latest activity.
 
 use std::cell::Cell;
 use std::io::{self, BufReader, Read};
@@ -8,8 +8,8 @@
 
 /// Longest list.
 const MAX_LIST_BYTES: u64 = 4 << 20;
-/// A list must be complete within this span. A discovery that sends byte by byte is never silent,
-/// and nothing after the list would arrive.
+/// A list must be complete within this span. A discovery that sends single bytes is never silent,
+/// and a list that never ends would block all later ones.
 const MAX_LIST_SPAN: Duration = WATCH_TIMEOUT;
 
 /// Activity of one call and its watch.
@@ -24,7 +24,7 @@
 }
 
 impl WatchActivity {
-    /// A call begins.
+    /// Starts at the beginning of a call.
     pub(super) fn start() -> WatchActivity {
         WatchActivity {
             received_at: Cell::new(Instant::now()),
@@ -41,7 +41,7 @@
             .elapsed()
     }
 
-    /// A list is complete.
+    /// Records that a list is complete.
     pub(super) fn list_ended(&self) {
         self.list_started_at.set(None);
         self.bytes.set(0);
@@ -78,7 +78,7 @@
         activity.received_at.set(now);
         activity.bytes.set(activity.bytes.get() + count as u64);
         if activity.bytes.get() > MAX_LIST_BYTES {
-            return Err(io::Error::other("a list without an end"));
+            return Err(io::Error::other("a list is longer than 4 MiB"));
         }
         if activity
             .list_started_at
@@ -87,7 +87,7 @@
         {
             return Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "a list that takes too long",
+                "a list was not complete within 3.5 s",
             ));
         }
         Ok(count)
@@ -97,14 +97,14 @@
 impl<R: Read> Read for BoundedReader<'_, R> {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         if self.has_failed {
-            return Err(io::Error::other("the watch is over"));
+            return Err(io::Error::other("the watch has already failed"));
         }
         self.read_bounded(into)
             .inspect_err(|_| self.has_failed = true)
     }
 }
 
-/// Notices the first byte of a list.
+/// Records when the first byte of a list arrived.
 struct ListStartReader<'a, R> {
     inner: R,
     activity: &'a WatchActivity,
--- a/crates/balancer/src/front/mod.rs
+++ b/crates/balancer/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! Fronts: the protocols that clients and servers speak. A front parses and encodes; it decides
-//! nothing.
+//! Fronts: the protocols of clients and servers. A front parses and encodes messages; decisions are
+//! made by the core.
 
 pub mod nats;
 pub mod platform;
@@ -13,11 +13,11 @@
 use crate::net;
 use crate::prober::LoadProbe;
 
-/// A protocol.
+/// A protocol, as used by the acceptor, the attempts and the relay.
 pub trait Front: Send + Sync + 'static {
     /// A client's parsed request for a connection.
     type Request: Send;
-    /// What is kept of it for the handshake with a server.
+    /// The part of the request that the handshake with a server needs.
     type ServerHandshake: Send + Sync;
 
     /// Whether [`Front::admit`] may block and needs a thread of its own.
@@ -31,15 +31,15 @@
         net::THREAD_STACK_BYTES
     }
 
-    /// What a client is sent on connect.
+    /// Bytes that a client is sent on connect.
     fn banner(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    /// A client that has sent nothing by then is closed.
+    /// Time after which a client that has sent nothing is closed.
     fn handshake_timeout(&self) -> Duration;
 
-    /// A client that has begun its handshake is closed if it is not complete by then.
+    /// Time after which a client that has begun its handshake is closed if it is not complete.
     fn begun_handshake_timeout(&self) -> Duration {
         self.handshake_timeout()
     }
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Returns how far the attempt had come.
+    /// Returns how far the attempt got.
     fn request_connection(
         &self,
         exchange: &mut ServerExchange<'_>,
@@ -107,7 +107,7 @@
         None
     }
 
-    /// A message unanswered for this long shows an unresponsive server.
+    /// A server that leaves a message unanswered for this long is unresponsive.
     fn response_timeout(&self) -> Duration;
 }
 
@@ -116,9 +116,9 @@
 pub enum ClientMessage {
     /// Rejected, with a retry-after where clients honour one.
     Rejected(Option<Duration>),
-    /// Failed.
+    /// The attempts failed, and the request may have been executed.
     Failed,
-    /// Reconnect elsewhere; the connection ends in order.
+    /// The client is to reconnect; the connection closes normally.
     Migrate,
 }
 
@@ -137,9 +137,9 @@
 /// Why a handshake is not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandshakeError {
-    /// It was not complete in time.
+    /// The handshake was not complete in time.
     TimedOut,
-    /// Its line is too long.
+    /// The line is too long.
     TooLong,
     /// More bytes came with it than a client may send before it is connected.
     ExtraBytes,
@@ -148,7 +148,7 @@
 /// A rejection before the core learns of the client.
 #[derive(Debug)]
 pub struct Rejection {
-    /// What the client is sent.
+    /// The bytes that the client is sent.
     pub answer: Vec<u8>,
     /// The reason, for the log.
     pub reason: String,
@@ -164,7 +164,7 @@
     }
 }
 
-/// A message as a framer sees it.
+/// The kind of a message, as classified by a framer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MessageKind {
     /// A message that a healthy server answers at once.
@@ -175,7 +175,7 @@
     AnswerToOldest,
     /// The connection's load, in microseconds of work per second.
     Load(f64),
-    /// The server has served the connection to its end.
+    /// The server has finished serving the connection.
     Goodbye,
     /// The server redirects its client.
     Redirect,
@@ -199,7 +199,7 @@
 
 /// Frames one direction of an established connection.
 pub trait Framer: Send {
-    /// Advances over bytes; `seen` decides of each message whether it is relayed.
+    /// Advances over bytes; `on_message` returns whether a message is relayed.
     ///
     /// # Errors
     ///
@@ -210,7 +210,7 @@
         on_message: &mut dyn FnMut(MessageKind) -> bool,
     ) -> Result<FrameProgress, ProtocolError>;
 
-    /// Whether the bytes so far end between two messages.
+    /// Whether the bytes read up to now end between two messages.
     fn is_at_boundary(&self) -> bool;
 }
 
@@ -226,6 +226,6 @@
 /// A protocol violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolError {
-    /// What the peer is told of it, if anything.
+    /// The error message for the peer; empty if the protocol has none.
     pub answer: &'static str,
 }
--- a/crates/balancer/src/front/nats/framing.rs
+++ b/crates/balancer/src/front/nats/framing.rs
@@ -4,7 +4,7 @@
 use crate::front::{FrameProgress, Framer, MessageKind, ProtocolError};
 use crate::net::trim_line_end;
 
-/// Longest control line, except for a server's INFO.
+/// Longest control line with its end, except for a server's INFO.
 pub const MAX_CONTROL_LINE_BYTES: usize = 4096;
 /// Longest INFO of a server, which lists the cluster's addresses.
 const MAX_INFO_LINE_BYTES: usize = 32 * 1024;
@@ -19,7 +19,7 @@
     (verb, rest.trim_ascii())
 }
 
-/// Whether an INFO announces a shutdown (lame duck mode).
+/// Whether the JSON of an INFO announces a shutdown (lame duck mode).
 pub fn is_lame_duck(info: &[u8]) -> bool {
     serde_json::from_slice::<serde_json::Value>(info).is_ok_and(|info| info["ldm"] == true)
 }
@@ -46,11 +46,11 @@
     std::str::from_utf8(last).ok()?.parse().ok()
 }
 
-/// What follows a control line.
+/// The payload or the kind of message that a control line announces.
 enum Op {
     /// A payload of this size and its CRLF.
     Payload(usize),
-    /// Nothing.
+    /// No payload; the kind is `None` for messages that need no evaluation.
     Line(Option<MessageKind>),
 }
 
@@ -175,7 +175,7 @@
             b"MSG" | b"HMSG" => payload_size(rest).map(Op::Payload).ok_or(UNKNOWN_OPERATION),
             b"PONG" => Ok(Op::Line(Some(MessageKind::AnswerToOldest))),
             b"INFO" if is_lame_duck(rest) => Ok(Op::Line(Some(MessageKind::ShutdownNotice))),
-            // It names servers that clients must not reach past the balancer.
+            // INFO names servers that clients must not reach without the balancer.
             b"INFO" => Ok(Op::Line(Some(MessageKind::BalancerOnly))),
             b"PING" | b"+OK" | b"-ERR" | b"" => Ok(Op::Line(None)),
             _ => Err(UNKNOWN_OPERATION),
--- a/crates/balancer/src/front/nats/limits.rs
+++ b/crates/balancer/src/front/nats/limits.rs
@@ -1,21 +1,21 @@
-//! Limits of the NATS protocol, as the operator sets them.
+//! Limits of the NATS front, as configured by the operator.
 
 use std::time::Duration;
 
-/// Limits of the protocol.
+/// Limits of the NATS front.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NatsLimits {
-    /// Largest payload of a client's message.
+    /// Largest payload of a client's message, in bytes.
     pub max_payload_bytes: usize,
     /// Most bytes kept of what a client sends before it is connected.
     pub max_early_bytes: usize,
-    /// Time for a client to send CONNECT.
+    /// Time for a client to send CONNECT, in milliseconds.
     pub handshake_timeout_ms: u64,
-    /// Idle time after which a keepalive is sent.
+    /// Idle time after which a keepalive is sent, in milliseconds.
     pub keepalive_interval_ms: u64,
-    /// A server that leaves a PING unanswered for this long is unresponsive.
+    /// A server that leaves a PING unanswered for this many milliseconds is unresponsive.
     pub response_timeout_ms: u64,
-    /// Retry-after while the store is unavailable.
+    /// Retry-after while the store is unavailable, in milliseconds.
     pub store_retry_after_ms: u64,
 }
 
--- a/crates/balancer/src/front/nats/mod.rs
+++ b/crates/balancer/src/front/nats/mod.rs
@@ -1,13 +1,13 @@
 //! The NATS client protocol.
 //!
-//! A client gets INFO and sends CONNECT; its tenant follows from the user name, its class from the
-//! tenant's record. An attempt reads the server's INFO, sends CONNECT with the tenant's identity
-//! there, and PING; the first PONG proves that the connection is established. How attempts end:
+//! A client receives INFO and sends CONNECT; its tenant follows from the user name, its class from
+//! the tenant's record. An attempt reads the server's INFO, sends CONNECT with the tenant's
+//! identity there, and PING; the first PONG proves that the connection is established. How attempts
+//! end:
 //!
 //! | what the server sends | outcome |
 //! | --- | --- |
-//! | no connection, no INFO, an end before CONNECT is written, a server that requires TLS | not
-//! executed |
+//! | no connection, no INFO, an end before CONNECT is written, TLS required | not executed |
 //! | INFO with `ldm`, `-ERR` for too many connections or a shutdown | rejected |
 //! | any other `-ERR`, an unknown line | server error |
 //! | an end after CONNECT is written | reset |
@@ -38,7 +38,7 @@
     tenants: Arc<Tenants>,
     limits: NatsLimits,
     name: String,
-    /// Number of clients so far.
+    /// Number of accepted clients, from which their ids follow.
     clients: AtomicU64,
 }
 
@@ -53,7 +53,7 @@
     /// The line, with the tenant's identity at the servers.
     connect: Vec<u8>,
     verbose: bool,
-    /// Counts against the tenant's limit while the connection lives.
+    /// Counts against the tenant's limit until it is dropped.
     _slot: TenantSlot,
 }
 
@@ -91,10 +91,13 @@
     /// Authenticates a CONNECT and prepares the one for the server.
     fn connect(&self, options: &[u8], now: u64) -> Result<(ClientRequest, ConnectLine), Rejection> {
         let Ok(options) = serde_json::from_slice::<Map<String, Value>>(options) else {
-            return Err(reject("Parser Error", "CONNECT without a JSON object"));
+            return Err(reject(
+                "Parser Error",
+                "the options of CONNECT are not a JSON object",
+            ));
         };
         if options.get("tls_required").and_then(Value::as_bool) == Some(true) {
-            return Err(reject("TLS Not Supported", "CONNECT asks for TLS"));
+            return Err(reject("TLS Not Supported", "CONNECT requires TLS"));
         }
         let text = |name: &str| {
             options
@@ -110,7 +113,7 @@
         let Some(class) = self.settings.class(&tenant.class) else {
             return Err(reject(
                 "Authorization Violation",
-                "the tenant's class is not in the settings",
+                "the tenant's request class is not in the settings",
             ));
         };
         let key = digest(&format!("{user}/{}", text("name")));
@@ -142,17 +145,21 @@
 
     fn reject_admission(&self, error: tenants::AdmitError) -> Rejection {
         match error {
-            tenants::AdmitError::InvalidCredentials => {
-                reject("Authorization Violation", "not a tenant's credentials")
-            }
+            tenants::AdmitError::InvalidCredentials => reject(
+                "Authorization Violation",
+                "unknown tenant or wrong password",
+            ),
             tenants::AdmitError::TooManyConnections => reject(
                 "Maximum Connections Exceeded",
-                "a tenant's limit is reached",
+                "the tenant has reached its limit of connections",
             ),
             tenants::AdmitError::StoreUnavailable => {
                 let retry_after = self.limits.store_retry_after().as_millis();
                 let text = format!("Service Unavailable; try again in {retry_after} ms");
-                reject(&text, "the store is away and the tenant not known")
+                reject(
+                    &text,
+                    "the store is unavailable and the tenant is not cached",
+                )
             }
         }
     }
@@ -210,7 +217,7 @@
         if !verb.eq_ignore_ascii_case(b"CONNECT") {
             return HandshakeLine::Rejected(reject(
                 "Authorization Violation",
-                "something else before CONNECT",
+                "the client sent another message before CONNECT",
             ));
         }
         HandshakeLine::Connect(Connect {
@@ -221,9 +228,18 @@
 
     fn handshake_error(&self, error: HandshakeError) -> Rejection {
         match error {
-            HandshakeError::TimedOut => reject("Authentication Timeout", "no CONNECT in time"),
-            HandshakeError::TooLong => reject("Maximum Control Line Exceeded", "a line too long"),
-            HandshakeError::ExtraBytes => reject("Parser Error", "too much behind CONNECT"),
+            HandshakeError::TimedOut => reject(
+                "Authentication Timeout",
+                "the client sent no CONNECT in time",
+            ),
+            HandshakeError::TooLong => reject(
+                "Maximum Control Line Exceeded",
+                "a control line is too long",
+            ),
+            HandshakeError::ExtraBytes => reject(
+                "Parser Error",
+                "the client sent too many bytes after CONNECT",
+            ),
         }
     }
 
--- a/crates/balancer/src/front/nats/tenants.rs
+++ b/crates/balancer/src/front/nats/tenants.rs
@@ -20,7 +20,7 @@
 
 /// The Redis hash with the tenants' records by name.
 const TENANTS_KEY: &str = "beaconflow:tenants";
-/// Most passwords that wait to be hashed; more wait at their connections.
+/// Most passwords queued for the hashing thread; further admissions block.
 const MAX_PENDING_HASHES: usize = 64;
 
 /// A tenant's record. It has no `Debug`, so that no log line can show its secrets.
@@ -69,16 +69,16 @@
     StoreUnavailable,
 }
 
-/// Why the store did not do what was asked.
+/// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// It is unavailable.
+    /// The store can't be reached.
     Unavailable,
-    /// It refuses writes: it is full or a replica. Reads still work.
+    /// The store refuses writes because it is full or a replica. Reads still work.
     WritesRefused,
-    /// There is such a tenant already.
+    /// A tenant of that name exists already.
     Exists,
-    /// There is no such tenant.
+    /// No tenant has that name, or its record can't be parsed.
     Missing,
 }
 
@@ -92,7 +92,7 @@
     store: Store,
     max_cache_age: Duration,
     cache: Mutex<BTreeMap<String, CachedTenant>>,
-    /// Digests of verified passwords, so that known clients cost no hashing.
+    /// Digests of verified passwords by tenant, so that known clients need no Argon2 hash.
     verified: Mutex<BTreeMap<String, [u8; 32]>>,
     /// Key of those digests; new with each start.
     pepper: [u8; 32],
@@ -109,7 +109,7 @@
     answer: Sender<bool>,
 }
 
-/// Counts one connection of a tenant while it lives.
+/// Counts one connection of a tenant until it is dropped.
 pub struct TenantSlot {
     name: String,
     open_connections: Arc<Mutex<BTreeMap<String, usize>>>,
@@ -127,13 +127,19 @@
     }
 }
 
-/// Values are replaced as a whole, so that a panic elsewhere leaves them valid.
+/// Locks a mutex, also a poisoned one: values are replaced as a whole, so that a panic leaves them
+/// valid.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Tenants {
-    /// Connects to a store. Records older than `fresh` are read again.
+    /// Creates a client of the store at `url`. Records cached for longer than `max_cache_age` are
+    /// read again.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the URL is invalid or the hashing thread can't be started.
     pub fn new(url: &str, max_cache_age: Duration) -> Result<Tenants, String> {
         let client = redis::Client::open(url).map_err(|error| format!("store.url: {error}"))?;
         let mut pepper = [0; 32];
@@ -155,7 +161,7 @@
         let thread = std::thread::Builder::new()
             .name("hashing".into())
             .spawn(run);
-        thread.map_err(|error| format!("thread hashing: {error}"))?;
+        thread.map_err(|error| format!("could not start the thread hashing: {error}"))?;
         Ok(Tenants {
             store: Store {
                 client,
@@ -232,7 +238,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store is unavailable or has no such tenant.
+    /// Fails if the store is unavailable or has no tenant of that name.
     fn read(&self, name: &str) -> Result<Tenant, StoreError> {
         let text = self
             .store
@@ -260,7 +266,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store does not take it or has such a tenant.
+    /// Fails if the store is unavailable, refuses writes or has a tenant of that name.
     pub fn create(&self, tenant: Tenant) -> Result<Arc<Tenant>, StoreError> {
         let text = to_json(&tenant);
         let CallResult {
@@ -286,13 +292,13 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store does not take it or has no such tenant.
+    /// Fails if the store is unavailable, refuses writes or has no tenant of that name.
     pub fn change(
         &self,
         name: &str,
         change: impl FnOnce(&mut Tenant),
     ) -> Result<Arc<Tenant>, StoreError> {
-        // The cached record stays in use meanwhile.
+        // Admissions use the cached record until the change is stored.
         let mut tenant = self.read(name)?;
         change(&mut tenant);
         self.store
@@ -300,11 +306,11 @@
         Ok(self.update_cache(tenant))
     }
 
-    /// Removes a tenant. Its connections stay; it gets no new ones.
+    /// Removes a tenant. Its open connections are kept; new ones are rejected.
     ///
     /// # Errors
     ///
-    /// Fails if the store does not take it or has no such tenant.
+    /// Fails if the store is unavailable, refuses writes or has no tenant of that name.
     pub fn remove(&self, name: &str) -> Result<(), StoreError> {
         let CallResult {
             value: removed,
@@ -321,7 +327,7 @@
         }
     }
 
-    /// Open connections by tenant.
+    /// Number of open connections by tenant; tenants without any are left out.
     pub fn open_connections(&self) -> BTreeMap<String, usize> {
         lock(&self.open_connections).clone()
     }
@@ -384,7 +390,7 @@
     (1..=64).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-/// Argon2id with 8 MiB, as much as a small machine can spare.
+/// Argon2id with 8 MiB, a size that a small machine can afford.
 fn hasher() -> Argon2<'static> {
     let params = Params::new(8 * 1024, 3, 1, None).expect("the parameters are in range");
     Argon2::new(Algorithm::Argon2id, Version::V0x13, params)
--- a/crates/balancer/src/front/nats/tenants/store.rs
+++ b/crates/balancer/src/front/nats/tenants/store.rs
@@ -1,4 +1,4 @@
-//! Access to the shared store, and what is done while it is out of reach.
+//! Access to the shared store, with a pause after each failed call.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -34,10 +34,10 @@
     pub(super) unavailable_until: Option<Instant>,
 }
 
-/// Result of a call.
+/// Result of a successful call.
 pub(super) struct CallResult<T> {
     pub(super) value: T,
-    /// Whether it was made twice; the first one may have been executed.
+    /// Whether the call was made twice; the first one may have been executed.
     pub(super) was_retried: bool,
 }
 
@@ -72,7 +72,7 @@
         }
         let is_unavailable = result.as_ref().is_err_and(|error| !is_write_refusal(error));
         if !is_unavailable && state.unavailable_until.take().is_some() {
-            info!(part = "store", "back");
+            info!(part = "store", "the store is available again");
         }
         match result {
             Ok((value, connection)) => {
@@ -83,8 +83,9 @@
             Err(_) if !is_unavailable => Err(StoreError::WritesRefused),
             Err(error) => {
                 if state.unavailable_until.is_none() {
-                    // The kind alone: an error's text may quote what was sent to the store.
-                    warn!(part = "store", why = ?error.kind(), "away");
+                    // Only the kind is logged: the error's text may quote what was sent to the
+                    // store.
+                    warn!(part = "store", why = ?error.kind(), "the store is unavailable");
                 }
                 state.unavailable_until = Some(Instant::now() + STORE_RETRY_INTERVAL);
                 Err(StoreError::Unavailable)
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -20,15 +20,15 @@
 
 /// Longest line, with its end.
 const MAX_LINE_BYTES: usize = 4096;
-/// A silent client is closed after this. It is owed an answer or a close within 3 s of connecting,
-/// and may have waited to be accepted.
+/// Time after which a silent client is closed. The platform requires an answer or a close within
+/// 3 s of connecting, and the client may have waited to be accepted.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Some clients take 2 s to write their first line; one that is never complete is owed a close
-/// within 3 s.
+/// Some clients take 2 s to write their first line; a line that is never complete must end in a
+/// close within 3 s.
 const BEGUN_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// Longest id or key.
 const MAX_NAME_BYTES: usize = 64;
-/// Well below the 7 s of the platform's rule, which begin before the line, and above what an
+/// Well below the 7 s that the platform allows from before the line, and above the time that an
 /// overloaded server takes for a message.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -77,25 +77,29 @@
 
     /// Parses an `OPEN` line. An unknown field is forwarded unchanged.
     fn parse_open(&self, line: &[u8], now: u64) -> Result<(ClientRequest, OpenLine), &'static str> {
-        let text = std::str::from_utf8(line).map_err(|_| "not text")?;
+        let text = std::str::from_utf8(line).map_err(|_| "the line is not printable ASCII")?;
         let is_printable = |byte: u8| byte == b' ' || byte.is_ascii_graphic();
         if !text.bytes().all(is_printable) {
-            return Err("not text");
+            return Err("the line is not printable ASCII");
         }
         let parts: Vec<&str> = text.split(' ').collect();
         let ["OPEN", id, key, field_list] = parts[..] else {
-            return Err("not an opening");
+            return Err("the line is not OPEN with an id, a key and fields");
         };
         let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
         let is_id = is_name(id) && id.bytes().all(|byte| byte.is_ascii_alphanumeric());
         if !is_id || !is_name(key) || key.contains(['=', ',']) {
-            return Err("no id or no key");
+            return Err("the id or the key is missing, too long or invalid");
         }
         // The whole line is parsed under one version of the settings.
         let settings = self.settings.current();
         let fields = OpenFields::parse(field_list, text, &settings)?;
-        let (timeout, deadline_field) = fields.timeout.ok_or("no time to wait")?;
-        let class = fields.class.ok_or("no class")?;
+        let (timeout, deadline_field) = fields
+            .timeout
+            .ok_or("the field d (time to wait) is missing")?;
+        let class = fields
+            .class
+            .ok_or("the field c (request class) is missing")?;
         // The settings limit how long a client waits, except for a resumed connection, which names
         // an unlimited time.
         let client_timeout = if fields.resumed_server.is_some() {
@@ -103,8 +107,8 @@
         } else {
             timeout.min(settings.client_timeout(class))
         };
-        // Taken last, so that a rejected line leaves no id behind.
-        let id = OpenId::take(id, &self.open).ok_or("the id of an open request")?;
+        // Registered last, so that a rejected line does not reserve its id.
+        let id = OpenId::take(id, &self.open).ok_or("the id belongs to another open request")?;
         let client_request = ClientRequest {
             class,
             client_key: Some(digest(key)),
@@ -148,8 +152,8 @@
         MAX_LINE_BYTES
     }
 
-    /// A client sends one line and waits: the answer to a second one would be taken for the first
-    /// one's.
+    /// A client sends one line and waits: the answer to a second line would be mistaken for the
+    /// answer to the first.
     fn max_early_bytes(&self) -> usize {
         0
     }
--- a/crates/balancer/src/front/platform/framer.rs
+++ b/crates/balancer/src/front/platform/framer.rs
@@ -4,14 +4,13 @@
 use super::MAX_LINE_BYTES;
 use crate::net::trim_line_end;
 
-/// Frames lines. Only the beginning of an incomplete line is kept, as far as it may carry a
-/// meaning.
+/// Frames lines. Only the beginning of an incomplete line is kept, as far as it is classified.
 #[derive(Default)]
 pub(super) struct LineFramer {
     pub(super) is_client: bool,
     /// Beginning of the incomplete line.
     pub(super) head: Vec<u8>,
-    /// Its length so far.
+    /// Number of bytes of the incomplete line.
     pub(super) length: usize,
 }
 
--- a/crates/balancer/src/front/platform/open.rs
+++ b/crates/balancer/src/front/platform/open.rs
@@ -10,8 +10,8 @@
 /// Ids of all open requests.
 pub(super) type OpenIds = Arc<Mutex<HashSet<String>>>;
 
-/// An id in use while this lives. Servers would take a second request under an id in use for a
-/// retry of the first.
+/// An id of an open request, released on drop. Servers would treat a second request with the same
+/// id as a retry of the first.
 pub struct OpenId {
     pub(super) id: String,
     open: OpenIds,
@@ -52,7 +52,7 @@
 #[derive(Default)]
 pub(super) struct OpenFields<'l> {
     pub(super) class: Option<usize>,
-    /// How long the client waits, and the range of the value in the line.
+    /// Time that the client waits, and the range of the value in the line.
     pub(super) timeout: Option<(Duration, Range<usize>)>,
     pub(super) group: Option<u64>,
     pub(super) tenant: Option<&'l str>,
@@ -71,12 +71,12 @@
         let mut fields = OpenFields::default();
         let mut names = HashSet::new();
         for pair in list.split(',') {
-            let (name, value) = pair.split_once('=').ok_or("a field without a value")?;
+            let (name, value) = pair.split_once('=').ok_or("a field has no value")?;
             if name.is_empty() || value.is_empty() {
-                return Err("a field without a name or a value");
+                return Err("a field has an empty name or value");
             }
             if !names.insert(name) {
-                return Err("a field twice");
+                return Err("a field occurs twice");
             }
             fields.set(name, value, line, settings)?;
         }
@@ -91,17 +91,33 @@
         settings: &ActiveSettings,
     ) -> Result<(), &'static str> {
         match name {
-            "c" => self.class = Some(settings.class(value).ok_or("no such class")?),
-            "t" if !settings.setup().knows_tenant(value) => return Err("no such tenant"),
+            "c" => {
+                self.class = Some(
+                    settings
+                        .class(value)
+                        .ok_or("the field c names an unknown request class")?,
+                )
+            }
+            "t" if !settings.setup().knows_tenant(value) => {
+                return Err("the field t names an unknown tenant");
+            }
             "t" => self.tenant = Some(value),
             "d" => {
-                let timeout = parse_millis(value).ok_or("no time to wait")?;
+                let timeout = parse_millis(value)
+                    .ok_or("the field d (time to wait) is not a number of milliseconds")?;
                 let start = value.as_ptr() as usize - line.as_ptr() as usize;
                 self.timeout = Some((timeout, start..start + value.len()));
             }
             "g" => self.group = Some(digest(value)),
-            "h" => self.expected_load = Some(parse_expected_load(value).ok_or("no load")?),
-            "r" | "again" if !matches!(value, "0" | "1") => return Err("a mark that is none"),
+            "h" => {
+                self.expected_load =
+                    Some(parse_expected_load(value).ok_or(
+                        "the field h (expected load) is not a finite number of at least 0",
+                    )?)
+            }
+            "r" | "again" if !matches!(value, "0" | "1") => {
+                return Err("the field r or again is neither 0 nor 1");
+            }
             "again" => self.is_reconnect = value == "1",
             "at" => self.resumed_server = Some(value.to_owned()),
             _ => {}
--- a/crates/balancer/src/handover.rs
+++ b/crates/balancer/src/handover.rs
@@ -1,8 +1,8 @@
 //! Handover of established connections to the process that replaces this one: two sockets and the
-//! client's request line. Neither side notices.
+//! client's request line are passed on. Client and server do not notice.
 //!
-//! The processes meet at a Unix socket in `$TMPDIR`. Each one renames its own socket into the place
-//! of the former. A process that finds none or its own migrates its clients instead.
+//! The processes connect through a Unix socket in `$TMPDIR`, which each new process replaces by its
+//! own. A process that finds no socket or its own one migrates its clients instead.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -26,10 +26,10 @@
 const MAX_MESSAGE_BYTES: usize = 8 * 1024;
 /// Pause after a failed accept, which avoids a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Messages arrive as a whole or not at all.
+/// Keeps message boundaries: a message arrives as a whole or not at all.
 const SOCKET_TYPE: Type = Type::SEQPACKET;
 
-/// A connection that is handed over.
+/// A connection received from another process.
 pub struct TransferredConnection {
     /// The client's socket.
     pub client: TcpStream,
@@ -41,12 +41,12 @@
     pub request_line: Vec<u8>,
 }
 
-/// Where the processes of one balancer meet.
+/// Path of the Unix socket of one balancer's processes.
 #[derive(Clone, Debug)]
 pub struct HandoverAddress(PathBuf);
 
 impl HandoverAddress {
-    /// The address for the balancer of that name, in a folder that all its processes see.
+    /// The address for the balancer `name`, in a folder that all its processes share.
     pub fn new(folder: &Path, name: &str) -> HandoverAddress {
         HandoverAddress(folder.join(format!(
             "handover-{:016x}",
@@ -54,7 +54,7 @@
         )))
     }
 
-    /// Receives connections from now on, each sender's on a thread of its own.
+    /// Starts receiving connections, those of each sender on a thread of its own.
     ///
     /// # Errors
     ///
@@ -64,7 +64,7 @@
         on_connection: impl Fn(TransferredConnection) + Send + Sync + 'static,
     ) -> io::Result<()> {
         let own_path = self.0.with_extension(std::process::id().to_string());
-        // A process that had this id before may have left one behind.
+        // A former process with the same id may have left its socket.
         let _ = std::fs::remove_file(&own_path);
         let listener = Socket::new(Domain::UNIX, SOCKET_TYPE, None)?;
         listener.bind(&SockAddr::unix(&own_path)?)?;
@@ -75,10 +75,10 @@
             let on_connection = Arc::clone(&on_connection);
             let run = move || {
                 let taken = receive_all(&sender, &*on_connection);
-                info!(part = "handover", taken, "taken over");
+                info!(part = "handover", taken, "connections taken over");
             };
             if let Err(error) = thread_builder().spawn(run) {
-                warn!(part = "handover", why = %error, "no thread");
+                warn!(part = "handover", why = %error, "could not start a thread");
             }
         };
         let accept = move || {
@@ -99,7 +99,7 @@
         let socket = Socket::new(Domain::UNIX, SOCKET_TYPE, None)?;
         match socket.connect(&SockAddr::unix(&self.0)?) {
             Ok(()) => {}
-            // Nobody listens there any more.
+            // The process that owned the socket has ended, or there is none.
             Err(error)
                 if matches!(
                     error.kind(),
@@ -122,7 +122,7 @@
 pub struct HandoverSender(Socket);
 
 impl HandoverSender {
-    /// Hands a connection over. Afterwards its sockets may only be closed here.
+    /// Hands a connection over. Afterwards this process may only close its sockets.
     ///
     /// # Errors
     ///
@@ -181,7 +181,7 @@
             }
             Ok(None) => return count,
             Err(error) => {
-                warn!(part = "handover", why = %error, "not understood");
+                warn!(part = "handover", why = %error, "could not receive a connection");
                 if error.kind() != io::ErrorKind::InvalidData {
                     return count;
                 }
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -12,7 +12,7 @@
 const MAX_REQUEST_BYTES: (usize, usize) = (8 * 1024, 16 * 1024);
 /// Time for a complete request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which a peer is read after its answer.
+/// Time for which a peer is read after it was sent its answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A parsed request.
@@ -35,7 +35,7 @@
 pub struct Reply {
     /// The status code.
     pub status: u16,
-    /// Headers beside those that every answer has.
+    /// Headers in addition to those of every answer.
     pub headers: Vec<(&'static str, String)>,
     /// The body; empty if it is null.
     pub body: Value,
@@ -65,7 +65,7 @@
 
 /// Why there is no request.
 pub enum RequestError {
-    /// The peer has left.
+    /// The peer closed the connection, or it broke.
     Disconnected,
     /// The request is rejected with this answer.
     Rejected(Reply),
@@ -245,7 +245,7 @@
 
 /// Writes an answer and closes the connection.
 pub fn write(client: &TcpStream, reply: &Reply) {
-    // A peer that is gone needs no answer.
+    // A peer that has closed needs no answer.
     let _ = net::write_until(
         client,
         &[&reply.bytes()],
--- a/crates/balancer/src/inherited.rs
+++ b/crates/balancer/src/inherited.rs
@@ -1,9 +1,9 @@
 //! The clients' listener inherited by descriptor number (`LB_INHERITED_FD`), so that a process can
 //! be replaced while both accept from one queue.
 //!
-//! Safe code can't make a listener of a number. The crate `listenfd` does, for numbers passed by
-//! the convention of `LISTEN_FDS`; the program executes itself again with the number under those
-//! names.
+//! Safe code can't create a listener from a descriptor number. The crate `listenfd` can, for
+//! numbers passed by the convention of `LISTEN_FDS`; the program therefore executes itself again
+//! with the number in those variables.
 
 use std::net::TcpListener;
 use std::os::unix::process::CommandExt;
@@ -29,7 +29,7 @@
         .parse()
         .ok()
         .filter(|number| *number >= 0)
-        .ok_or_else(|| error_text("no descriptor's number".into()))?;
+        .ok_or_else(|| error_text("not a descriptor number".into()))?;
     let own_pid = std::process::id().to_string();
     if std::env::var("LISTEN_PID").ok().as_ref() != Some(&own_pid) {
         let program = std::env::current_exe().map_err(|error| error_text(error.to_string()))?;
@@ -39,13 +39,18 @@
             .env("LISTEN_FDS", "1")
             .env("LISTEN_FDS_FIRST_FD", number.to_string())
             .env("LISTEN_PID", own_pid);
-        // The process id stays the same.
-        return Err(error_text(format!("starting anew: {}", command.exec())));
+        // The process id does not change, so that LISTEN_PID is still right. On success, exec does
+        // not return.
+        return Err(error_text(format!(
+            "could not execute the program again: {}",
+            command.exec()
+        )));
     }
     let inherited = ListenFd::from_env()
         .take_tcp_listener(0)
         .map_err(|error| error_text(error.to_string()))?;
-    let listener = inherited.ok_or_else(|| error_text("not handed over".into()))?;
+    let listener =
+        inherited.ok_or_else(|| error_text("the descriptor was not passed on".into()))?;
     match SockRef::from(&listener).is_listener() {
         Ok(true) => Ok(Some(listener)),
         Ok(false) => Err(error_text("not a listening socket".into())),
--- a/crates/balancer/src/net.rs
+++ b/crates/balancer/src/net.rs
@@ -17,11 +17,11 @@
 
 /// Stack of a connection's thread; its buffers of a few KiB are on it.
 pub const THREAD_STACK_BYTES: usize = 96 * 1024;
-/// A peer that takes nothing for this long is disconnected.
+/// A peer that receives nothing for this long is disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest accept queue. All of a site's clients may connect at once, and a client dropped from the
-/// queue believes that it is connected.
+/// queue assumes that it is connected.
 const BACKLOG: i32 = 4096;
 
 /// Listens on an address.
@@ -64,7 +64,8 @@
         Listener::nonblocking(socket, true)
     }
 
-    /// The flag belongs to the file description and so to all processes that share it.
+    /// Makes the listener non-blocking. The flag belongs to the file description and so to all
+    /// processes that share it.
     fn nonblocking(socket: TcpListener, is_shared: bool) -> io::Result<Listener> {
         socket.set_nonblocking(true)?;
         Ok(Listener { socket, is_shared })
@@ -81,9 +82,9 @@
     stream.set_nonblocking(true)
 }
 
-/// Waits until one of the streams is ready or the time is over; returns which ones are. An end or
-/// an error counts as ready. A stream without wanted events is left out, since its end would end
-/// every wait.
+/// Waits until one of the streams is ready or the time is over; returns which ones are. A closed
+/// stream or an error counts as ready. A stream without wanted events is left out, since it would
+/// end every wait once it is closed.
 pub fn wait_ready<const N: usize>(
     interests: [(&TcpStream, PollFlags); N],
     timeout: Duration,
@@ -99,7 +100,8 @@
     interests.map(|(_, flags)| !flags.is_empty() && ready.next().unwrap_or(false))
 }
 
-/// The same for a listener and streams to read, some of which are left out.
+/// Waits until a client can be accepted, one of the streams can be read or the time is over;
+/// returns whether the listener and which streams are ready. Absent ones are left out.
 pub fn wait_listener_or_streams<'a>(
     listener: Option<&'a TcpListener>,
     streams: impl Iterator<Item = Option<&'a TcpStream>>,
@@ -140,7 +142,7 @@
     poll(poll_fds, Some(&timespec)).unwrap_or(0) > 0
 }
 
-/// Whether an error only says that an operation would block or was interrupted.
+/// Whether an error means that an operation would block, timed out or was interrupted.
 pub fn is_would_block(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -148,7 +150,7 @@
     )
 }
 
-/// A line without its end.
+/// A line without its end, CRLF or LF.
 pub fn trim_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
@@ -158,7 +160,7 @@
 ///
 /// # Errors
 ///
-/// Returns the number of bytes written before the error, also if the peer takes no more just now.
+/// Returns the number of bytes written before the error, also if the write would block.
 pub fn write_gathered(mut to: &TcpStream, buffers: &[&[u8]]) -> Result<(), (usize, io::Error)> {
     let mut slices: Vec<IoSlice<'_>> = buffers.iter().map(|buffer| IoSlice::new(buffer)).collect();
     let (mut left, mut written) = (slices.as_mut_slice(), 0);
@@ -177,7 +179,7 @@
     Ok(())
 }
 
-/// The same, and waits for a slow peer.
+/// Writes all parts by gathered writes and waits for a slow peer until the deadline.
 ///
 /// # Errors
 ///
@@ -204,7 +206,7 @@
     }
 }
 
-/// Shuts down the write side. The connection may be gone already.
+/// Shuts down the write side. Errors are ignored, since the connection may be closed already.
 pub fn shutdown_write(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Write);
 }
@@ -240,7 +242,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Makes the following close a reset.
+/// Makes the close that follows a reset.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/balancer/src/net/buffers.rs
+++ b/crates/balancer/src/net/buffers.rs
@@ -11,7 +11,7 @@
 /// Why a read returned nothing.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The time is over.
+    /// The deadline has passed.
     TimedOut,
     /// The peer has closed its write side.
     Ended,
@@ -28,7 +28,7 @@
 }
 
 impl ReadBuffer {
-    /// Creates an empty buffer for `most` bytes.
+    /// Creates an empty buffer for at most `limit` bytes.
     pub fn new(limit: usize) -> ReadBuffer {
         ReadBuffer {
             bytes: Vec::new(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Creates a buffer for `most` bytes that holds some.
+    /// Creates a buffer for at most `limit` bytes that holds `bytes`.
     pub fn with_bytes(bytes: Vec<u8>, limit: usize) -> ReadBuffer {
         ReadBuffer { bytes, limit }
     }
@@ -116,18 +116,18 @@
     }
 }
 
-/// Bytes that a peer has not taken yet.
+/// Bytes that could not be sent to a peer yet.
 #[derive(Default)]
 pub struct WriteBuffer {
     bytes: Vec<u8>,
-    /// Bytes discarded since its final message.
+    /// Bytes of the peer discarded since its final message.
     discarded: usize,
-    /// Whether it has closed its write side since its final message.
+    /// Whether the peer has closed its write side since its final message.
     has_ended: bool,
 }
 
 impl WriteBuffer {
-    /// Whether everything has been taken.
+    /// Whether everything has been sent.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
@@ -154,18 +154,18 @@
         Ok(())
     }
 
-    /// Writes the final message, and shuts down the write side once it has been taken.
+    /// Writes the final message, and shuts down the write side if all of it was sent.
     pub fn finish_with(&mut self, stream: &TcpStream, final_message: &[u8]) {
-        // A peer that is gone needs no answer.
+        // A peer that has closed needs no answer.
         let _ = self.send(stream, &[final_message]);
         if self.is_empty() {
             shutdown_write(stream);
         }
     }
 
-    /// Discards input of a peer after its final message, up to a bound. Returns false once it has
-    /// closed and has taken everything. Closing with unread input would reset the connection and
-    /// destroy that message.
+    /// Discards input of a peer after its final message, up to a bound. Returns false once the peer
+    /// has closed and everything has been sent. Closing with unread input would reset the
+    /// connection and destroy that message.
     pub fn discard_input(&mut self, mut stream: &TcpStream) -> bool {
         if !self.is_empty() {
             if self.flush(stream).is_err() {
--- a/crates/balancer/src/poller.rs
+++ b/crates/balancer/src/poller.rs
@@ -16,7 +16,7 @@
 /// The waker's token.
 const WAKER_TOKEN: u64 = u64::MAX;
 
-/// Polls streams by token for the events that are wanted of them.
+/// Polls streams for wanted events; each stream is identified by a token.
 pub struct Poller {
     epoll: OwnedFd,
     waker: Waker,
@@ -50,13 +50,13 @@
         Ok(Poller { epoll, waker })
     }
 
-    /// Its waker.
+    /// A waker, which ends a wait from any thread.
     pub fn waker(&self) -> Waker {
         self.waker.clone()
     }
 
-    /// Changes the events that a stream is polled for. One without any is not polled, since its end
-    /// would end every wait.
+    /// Changes the events that a stream is polled for. A stream without events is not polled, since
+    /// it would end every wait once it is closed.
     pub fn set_interest(
         &self,
         stream: &impl AsFd,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Waits until a stream is ready, the waker is used or the time is over; returns the tokens
+    /// Waits until a stream is ready, a waker is used or the time is over; returns the tokens
     /// that are ready. May return early.
     pub fn wait(&self, timeout: Duration) -> Vec<u64> {
         let seconds = i64::try_from(timeout.as_secs()).unwrap_or(i64::MAX);
--- a/crates/balancer/src/prober.rs
+++ b/crates/balancer/src/prober.rs
@@ -1,4 +1,4 @@
-//! The prober: asks servers for their load, over one connection to each that is kept while it is
+//! The prober: requests the load of servers over one connection to each, which is kept while it is
 //! used.
 //!
 //! One thread serves all of them without blocking. The front defines the request and parses the
@@ -46,7 +46,7 @@
 
 impl LoadProber for ProberHandle {
     fn probe(&self, id: ServerId, server: Arc<Endpoint>) {
-        // Without a prober the policy's own timer fires.
+        // If the prober has ended, the policy's own timer fires.
         let _ = self.probes.send((id, server));
         self.waker.wake();
     }
@@ -76,7 +76,7 @@
     timeout: Box<dyn Fn() -> Duration + Send>,
     /// Number of connections, for the descriptor budget.
     connection_count: Arc<AtomicUsize>,
-    /// Most connections at present.
+    /// Most connections that are allowed at present.
     max_connections: Box<dyn Fn() -> usize + Send>,
 }
 
@@ -113,8 +113,8 @@
         ))
     }
 
-    /// Publishes the number of connections and limits it, so that clients, servers, discovery and
-    /// operators find descriptors.
+    /// Publishes the number of connections and limits it, so that descriptors are left for clients,
+    /// servers, discovery and operators.
     pub fn with_limit(
         self,
         connection_count: Arc<AtomicUsize>,
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Runs until all handles are gone.
+    /// Runs until all handles are dropped; reports the answer to each probe, or `None` if there was
+    /// none.
     pub fn run(mut self, on_answer: impl Fn(ServerId, Option<ProbeAnswer>)) {
         loop {
             let ready_tokens = self.poller.wait(self.wait_timeout());
@@ -153,7 +154,7 @@
     }
 
     /// Closes connections without a pending probe, the longest unused first, while there are more
-    /// than the limit allows beside `more`. Returns whether the limit is kept.
+    /// than the limit allows together with `additional` ones. Returns whether the limit is kept.
     fn close_idle_beyond(&mut self, additional: usize) -> bool {
         let max_connections = (self.max_connections)();
         while self.connections.len() + additional > max_connections {
@@ -180,7 +181,8 @@
         let remaining = pending
             .min()
             .map(|at| (self.timeout)().saturating_sub(at.elapsed()));
-        // A zero timeout would spin where the clock stands still between two calls.
+        // A zero timeout would cause a busy loop where the clock does not advance between two
+        // calls.
         remaining
             .unwrap_or(MAX_WAIT)
             .clamp(Duration::from_millis(1), MAX_WAIT)
@@ -192,7 +194,7 @@
         server: &Endpoint,
         on_answer: &impl Fn(ServerId, Option<ProbeAnswer>),
     ) {
-        // The server may have come back under another address.
+        // The server may have restarted under another address.
         if self
             .connections
             .get(&id)
@@ -201,7 +203,7 @@
             self.connections.remove(&id);
         }
         if !self.connections.contains_key(&id) && !self.close_idle_beyond(1) {
-            debug!(part = "prober", server = %server.name, "no descriptor to spare");
+            debug!(part = "prober", server = %server.name, "no file descriptor is left for a probe");
             // A server must not be skipped because this process lacks descriptors.
             return on_answer(id, Some(ProbeAnswer::NoLoad));
         }
@@ -210,12 +212,12 @@
             Entry::Vacant(entry) => match ProbeConnection::open(server.address) {
                 Ok(connection) => entry.insert(connection),
                 Err(error) => {
-                    debug!(part = "prober", server = %server.name, why = %error, "not connected");
+                    debug!(part = "prober", server = %server.name, why = %error, "could not connect for a probe");
                     return on_answer(id, None);
                 }
             },
         };
-        // One probe at a time: its answer serves all that wait.
+        // One probe at a time: its answer also serves the requests that arrive meanwhile.
         if connection.pending_since.is_some() {
             return;
         }
@@ -256,7 +258,7 @@
             .read(&connection.stream, Instant::now())
         {
             Ok(()) | Err(ReadError::TimedOut) => {}
-            // An incomplete line at the end is no answer.
+            // An incomplete line at the end of the connection is not an answer.
             Err(_) => return self.close(id, on_answer),
         }
         while let Some(answer) = connection.read_buffer.next_line() {
@@ -319,7 +321,7 @@
         })
     }
 
-    /// A probe fits into any socket buffer that takes one at a time.
+    /// Writes a request, which fits into the socket buffer since only one is pending at a time.
     fn write(&mut self, request: &[u8]) -> io::Result<()> {
         (&self.stream).write_all(request)
     }
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -211,8 +211,8 @@
         .expect("loopback");
     let mute = TcpListener::from(mute);
     for (descriptor, why) in [
-        ("three", "no descriptor's number"),
-        ("-1", "no descriptor's number"),
+        ("three", "not a descriptor number"),
+        ("-1", "not a descriptor number"),
         ("97", "not a socket"),
         ("0", "not a socket"),
         ("3", "not a listening socket"),
--- a/crates/cli/tests/on_call_page.rs
+++ b/crates/cli/tests/on_call_page.rs
@@ -96,7 +96,7 @@
         "handshake rejected",
         "too many handshakes",
         "too many connections",
-        "no thread",
+        "could not start a thread",
     ];
     let composed =
         ["created", "extended", "removed", "expired"].map(|what| format!("override {what}"));
