--- a/crates/balancer/src/connections/connect/tests.rs
+++ b/crates/balancer/src/connections/connect/tests.rs
@@ -1,4 +1,4 @@
-//! A connect and a first byte, beside a client that leaves, a last word and moments that go by.
+//! Connects and first writes while the client leaves, the attempt is abandoned or its time is over.
 
 use std::io::Read;
 use std::net::TcpListener;
@@ -9,10 +9,10 @@
 use crate::net::ReadError;
 use crate::testing::full_listener;
 
-/// Longer than a test waits for anything.
+/// Longer than any wait of a passing test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client whose other end the test holds.
+/// A waiting client; the test holds the other end of its connection.
 struct TestClient {
     stream: TcpStream,
     is_abandoned: Arc<AtomicBool>,
@@ -38,10 +38,11 @@
 }
 
 fn test_client() -> (TestClient, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let client_end = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
-    let stream = listener.accept().expect("it came").0;
-    net::configure_stream(&stream).expect("open");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let client_end = TcpStream::connect(listener.local_addr().expect("local address"))
+        .expect("connect to the listener");
+    let stream = listener.accept().expect("accept the connection").0;
+    net::configure_stream(&stream).expect("configure the client's socket");
     (
         TestClient {
             stream,
@@ -59,10 +60,11 @@
     }
 }
 
+/// The connect is bounded by the begin of the attempt and by the connect timeout.
 #[test]
 fn fails_when_connect_exceeds_either_deadline() {
     let (listener, _filler) = full_listener();
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("local address");
     let (mut client, _client_end) = test_client();
     let result = connect(
         address,
@@ -88,8 +90,8 @@
 
 #[test]
 fn does_not_connect_for_departed_abandoned_or_late_client() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let address = listener.local_addr().expect("local address");
     let (mut departed, client_end) = test_client();
     drop(client_end);
     let result = connect(
@@ -119,14 +121,16 @@
         LONG_TIMEOUT,
     );
     assert!(matches!(result, Err(AttemptError::NotSent)), "{result:?}");
-    listener.set_nonblocking(true).expect("open");
-    assert!(listener.accept().is_err(), "no connection came");
+    listener
+        .set_nonblocking(true)
+        .expect("make the listener non-blocking");
+    assert!(listener.accept().is_err(), "no connect was started");
 }
 
 #[test]
 fn stops_connect_when_attempt_is_abandoned() {
     let (listener, _filler) = full_listener();
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("local address");
     let (mut client, _client_end) = test_client();
     let (is_abandoned, started_at) = (Arc::clone(&client.is_abandoned), Instant::now());
     let abandoner = std::thread::spawn(move || {
@@ -140,14 +144,17 @@
         LONG_TIMEOUT,
     );
     assert!(matches!(result, Err(AttemptError::NotSent)), "{result:?}");
-    assert!(started_at.elapsed() < LONG_TIMEOUT / 3);
-    abandoner.join().expect("it ran");
+    assert!(
+        started_at.elapsed() < LONG_TIMEOUT / 3,
+        "the connect ends soon after it was abandoned"
+    );
+    abandoner.join().expect("the thread does not panic");
 }
 
 #[test]
 fn reports_refused_and_successful_connects() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let address = listener.local_addr().expect("local address");
     let (mut client, _client_end) = test_client();
     assert!(
         connect(
@@ -171,14 +178,15 @@
     );
 }
 
+/// A request written after the core has given up the attempt could be executed twice.
 #[test]
 fn does_not_write_request_when_late_or_abandoned() {
     for is_abandoned in [false, true] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let endpoint = Endpoint::new("s0".into(), listener.local_addr().expect("bound"));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+        let endpoint = Endpoint::new("s0".into(), listener.local_addr().expect("local address"));
         let (mut client, _client_end) = test_client();
         client.is_abandoned.store(is_abandoned, Ordering::Relaxed);
-        let server = TcpStream::connect(endpoint.address).expect("it listens");
+        let server = TcpStream::connect(endpoint.address).expect("connect to the listener");
         let begin_by = if is_abandoned {
             Instant::now() + LONG_TIMEOUT
         } else {
@@ -195,10 +203,10 @@
         let mut received = String::new();
         listener
             .accept()
-            .expect("it came")
+            .expect("accept the connection")
             .0
             .read_to_string(&mut received)
-            .expect("text");
-        assert_eq!(received, "");
+            .expect("read up to the close");
+        assert_eq!(received, "", "nothing was sent to the server");
     }
 }
--- a/crates/balancer/src/connections/lingering/tests.rs
+++ b/crates/balancer/src/connections/lingering/tests.rs
@@ -1,4 +1,4 @@
-//! Peers that go on sending, take nothing, or end, after their last word.
+//! Lingering close of peers that keep sending, do not read, or close after their final message.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -7,18 +7,21 @@
 
 const FINAL_MESSAGE: &[u8] = b"BUSY\r\n";
 
-/// The program's side of a connection, and the peer's, which blocks.
+/// The local end of a connection, which does not block, and the peer's, which does.
 fn connected_pair() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
-    let local = listener.accept().expect("it came").0;
-    net::configure_stream(&local).expect("open");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let peer = TcpStream::connect(listener.local_addr().expect("local address"))
+        .expect("connect to the listener");
+    let local = listener.accept().expect("accept the connection").0;
+    net::configure_stream(&local).expect("configure the local socket");
     (local, peer)
 }
 
-/// Writes until the other side takes no more; gives how many bytes that were.
+/// Writes until the send buffer is full; returns the number of bytes written.
 fn fill_send_buffer(mut stream: &TcpStream) -> usize {
-    stream.set_nonblocking(true).expect("open");
+    stream
+        .set_nonblocking(true)
+        .expect("make the peer non-blocking");
     let mut written = 0;
     while let Ok(count) = stream.write(&[b'x'; 4096]) {
         written += count;
@@ -26,6 +29,8 @@
     written
 }
 
+/// A close with unread input resets the connection, and the reset may destroy the final message. A
+/// peer that keeps sending must not be read without a bound.
 #[test]
 fn limits_discarded_input_and_delivers_final_message() {
     let (local, mut peer) = connected_pair();
@@ -35,27 +40,34 @@
         lingering.on_ready();
     }
     assert!(lingering.stream_to_read().is_none());
-    assert!(!lingering.is_done(), "no reset overtakes the word");
-    peer.set_nonblocking(false).expect("open");
+    assert!(
+        !lingering.is_done(),
+        "the socket stays open until the peer has read the final message"
+    );
+    peer.set_nonblocking(false).expect("make the peer blocking");
     let mut received = Vec::new();
-    peer.read_to_end(&mut received).expect("in order");
+    peer.read_to_end(&mut received)
+        .expect("read up to an orderly close");
     assert_eq!(received, FINAL_MESSAGE);
 }
 
+/// The end of the peer's input must not cut off output that it has not received yet.
 #[test]
 fn delivers_pending_output_when_peer_has_half_closed() {
     let (local, mut peer) = connected_pair();
-    // More than the system keeps for a peer that takes nothing.
+    // More than the system buffers for a peer that does not read.
     let pending = vec![b'x'; 16 << 20];
     let mut out = WriteBuffer::default();
-    out.send(&local, &[&pending]).expect("kept");
-    peer.shutdown(std::net::Shutdown::Write).expect("open");
+    out.send(&local, &[&pending])
+        .expect("buffer the pending output");
+    peer.shutdown(std::net::Shutdown::Write)
+        .expect("half-close the peer");
     let mut lingering = LingeringClose::start(local, out, FINAL_MESSAGE);
     lingering.on_ready();
     assert_eq!(
         lingering.interest(),
         EventFlags::OUT,
-        "it has ended, and has not taken all"
+        "the peer has half-closed and has not received all output"
     );
     let reader = std::thread::spawn(move || {
         let mut received = Vec::new();
@@ -65,22 +77,31 @@
         lingering.on_ready();
         std::thread::sleep(Duration::from_millis(1));
     }
-    let received = reader.join().expect("it reads").expect("in order");
+    let received = reader
+        .join()
+        .expect("the reader does not panic")
+        .expect("read up to an orderly close");
     assert!(
         received == [pending, FINAL_MESSAGE.to_vec()].concat(),
-        "{} bytes",
+        "expected the pending output and the final message, got {} bytes",
         received.len()
     );
 }
 
+/// Input that arrives just before the close would cause a reset if it stayed unread.
 #[test]
 fn discards_unread_input_on_close_without_reset() {
     let (local, mut peer) = connected_pair();
     let lingering = LingeringClose::start(local, WriteBuffer::default(), FINAL_MESSAGE);
-    peer.write_all(b"crossing\r\n").expect("open");
+    peer.write_all(b"crossing\r\n")
+        .expect("write before the close");
     drop(lingering);
     let mut received = Vec::new();
-    peer.read_to_end(&mut received).expect("in order");
+    peer.read_to_end(&mut received)
+        .expect("read up to an orderly close");
     assert_eq!(received, FINAL_MESSAGE);
-    assert!(peer.take_error().expect("open").is_none());
+    assert!(
+        peer.take_error().expect("read the socket error").is_none(),
+        "the peer was not reset"
+    );
 }
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -1,35 +1,40 @@
-//! Tests of the watch, with a discovery that they play.
+//! Tests of the watch against a discovery service that the test plays.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
 use super::*;
 
-/// A discovery that is asked: the stream that takes its answer.
+/// Accepts a request for a watch and reads its head; returns the stream for the response.
 fn accept_request(listener: &std::net::TcpListener) -> TcpStream {
-    let (stream, _) = listener.accept().expect("a watch");
-    // Read to its end: a close with bytes left unread is a reset, and takes what was sent along.
-    let mut lines = BufReader::new(stream.try_clone().expect("open")).lines();
+    let (stream, _) = listener.accept().expect("accept the request");
+    // The request is read to its end: a close with unread bytes would be a reset, which discards
+    // the response.
+    let mut lines = BufReader::new(stream.try_clone().expect("clone the socket")).lines();
     while lines
         .next()
-        .is_some_and(|line| !line.expect("open").is_empty())
+        .is_some_and(|line| !line.expect("read the request").is_empty())
     {}
     stream
 }
 
 fn send_chunk(stream: &mut TcpStream, text: &str) {
-    write!(stream, "{:x}\r\n{text}\r\n", text.len()).expect("open");
+    write!(stream, "{:x}\r\n{text}\r\n", text.len()).expect("write a chunk");
 }
 
-/// A watch that stands, and what is told of it.
+/// An open watch: the server's stream and the watcher's events.
 fn open_watch() -> (TcpStream, Receiver<DiscoveryEvent>) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("bound"), 0);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("local address"), 0);
     let (event_sender, events) = unbounded();
     std::thread::spawn(move || watcher.run(|event| drop(event_sender.send(event))));
-    watch_requests.send(()).expect("it listens");
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     let mut stream = accept_request(&listener);
-    stream.write_all(RESPONSE_HEAD).expect("open");
+    stream
+        .write_all(RESPONSE_HEAD)
+        .expect("write the response head");
     (stream, events)
 }
 
@@ -41,16 +46,20 @@
     let (mut stream, events) = open_watch();
     let list = "\r\n{\n  \"generation\": 7,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"s1\",\n\
         \x20     \"lifecycle\": \"SERVING\"\n    }\n  ]\n}\n{\"generation\": 8}\n\n";
-    list.as_bytes()
-        .chunks(5)
-        .for_each(|piece| send_chunk(&mut stream, std::str::from_utf8(piece).expect("ASCII")));
+    list.as_bytes().chunks(5).for_each(|piece| {
+        send_chunk(
+            &mut stream,
+            std::str::from_utf8(piece).expect("the list is ASCII"),
+        )
+    });
     let next = || match events.recv_timeout(LONG_TIMEOUT) {
         Ok(DiscoveryEvent::List(list)) => (list.generation, list.instances.len()),
-        other => panic!("no list: {other:?}"),
+        other => panic!("expected a list, got {other:?}"),
     };
     assert_eq!((next(), next()), ((7, 1), (8, 0)));
 }
 
+/// White space counts towards the bound too, else a list of blanks would be read without end.
 #[test]
 fn rejects_endless_list_and_endless_white_space() {
     for byte in *b" x" {
@@ -60,55 +69,67 @@
     }
 }
 
+/// The policy polls an agent only after a failure, so that the first watch must open without a
+/// poll.
 #[test]
 fn agent_watch_opens_unasked_and_times_out_early() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("bound"), 3);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("local address"), 3);
     let (event_sender, events) = unbounded();
     std::thread::spawn(move || {
         watcher
             .for_agent()
             .run(|event| drop(event_sender.send(event)))
     });
-    // Discovery is down: the agent says nothing, and is asked anew when the module says so.
+    // The agent does not answer, as while discovery is down, and is polled again on request.
     let silent = accept_request(&listener);
     assert!(
         matches!(
             events.recv_timeout(WATCH_TIMEOUT / 2),
             Ok(DiscoveryEvent::TimedOut(_))
         ),
-        "long before a watch is given up"
+        "the agent's timeout is far below that of a watch"
     );
-    watch_requests.send(()).expect("it listens");
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     let mut stream = accept_request(&listener);
     drop(silent);
-    stream.write_all(RESPONSE_HEAD).expect("open");
+    stream
+        .write_all(RESPONSE_HEAD)
+        .expect("write the response head");
     send_chunk(&mut stream, "{\"generation\":4}\n");
     assert!(matches!(
         events.recv_timeout(LONG_TIMEOUT),
         Ok(DiscoveryEvent::List(ServerList { generation: 4, .. }))
     ));
-    // Half an entry, and silence from then on: one wait, however deep the parser is.
+    // After half an entry the parser waits for one timeout, not once for each open object.
     send_chunk(&mut stream, "{\"instances\":[{\"instanceId\":");
     assert!(
         matches!(
             events.recv_timeout(WATCH_TIMEOUT * 3 / 2),
             Ok(DiscoveryEvent::TimedOut(_))
         ),
-        "it ends once it is found silent"
+        "a silent watch ends after one timeout"
     );
 }
 
+/// A late delta would add removed servers again; discovery may restart its versions with a
+/// snapshot.
 #[test]
 fn ignores_older_delta_but_applies_older_snapshot() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let discovery = listener.local_addr().expect("bound");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let discovery = listener.local_addr().expect("local address");
     let (watcher, watch_requests) = Watcher::new(discovery, 0);
     let (event_sender, events) = unbounded();
     std::thread::spawn(move || watcher.run(|event| drop(event_sender.send(event))));
-    watch_requests.send(()).expect("it listens");
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     let mut stream = accept_request(&listener);
-    stream.write_all(RESPONSE_HEAD).expect("open");
+    stream
+        .write_all(RESPONSE_HEAD)
+        .expect("write the response head");
     for (generation, reset) in [(5, true), (4, false), (6, false), (2, true), (3, false)] {
         send_chunk(
             &mut stream,
@@ -116,7 +137,7 @@
         );
     }
     drop(stream);
-    // The end of the watch is told as a failure.
+    // The end of the watch is reported as a failure, which ends the iterator.
     let generations: Vec<u64> =
         std::iter::from_fn(|| match events.recv_timeout(Duration::from_secs(10)) {
             Ok(DiscoveryEvent::List(list)) => Some(list.generation),
@@ -141,13 +162,13 @@
         b"no HTTP\r\n\r\n",
         long.as_bytes(),
     ] {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let discovery = listener.local_addr().expect("bound");
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+        let discovery = listener.local_addr().expect("local address");
         let (watcher, _watch_requests) = Watcher::new(discovery, 0);
         let text = answer.to_vec();
         let answers = std::thread::spawn(move || {
             let mut stream = accept_request(&listener);
-            // One that is refused half way may be closed by then.
+            // The watcher may have rejected the response and closed before all of it is written.
             let _ = stream.write_all(&text);
         });
         let client = watcher.client();
@@ -156,7 +177,7 @@
             "{}",
             String::from_utf8_lossy(answer)
         );
-        answers.join().expect("it asked once");
+        answers.join().expect("the server thread does not panic");
     }
 }
 
@@ -180,29 +201,33 @@
             ),
             "{invalid_chunk:?}"
         );
-        stream.write_all(invalid_chunk.as_bytes()).expect("open");
+        stream
+            .write_all(invalid_chunk.as_bytes())
+            .expect("write the invalid chunk");
         let mut event = events.recv_timeout(WATCH_TIMEOUT / 2);
         if let Ok(DiscoveryEvent::List(_)) = event {
-            // What had come whole before the fault.
+            // A list that was complete before the invalid chunk.
             event = events.recv_timeout(WATCH_TIMEOUT / 2);
         }
         assert!(
             matches!(event, Ok(DiscoveryEvent::Failed(_))),
-            "{invalid_chunk:?}: long before it is given up as silent"
+            "{invalid_chunk:?}: expected a failure long before the watch times out"
         );
     }
 }
 
-/// A watcher of that discovery that has been asked once: what it tells, and the end that asks it again.
+/// Starts a watcher and requests one watch; returns its events and the sender of further requests.
 fn start_watcher(discovery: SocketAddr) -> (Receiver<DiscoveryEvent>, Sender<()>) {
     let (watcher, watch_requests) = Watcher::new(discovery, 0);
     let (event_sender, events) = unbounded();
     std::thread::spawn(move || watcher.run(|event| drop(event_sender.send(event))));
-    watch_requests.send(()).expect("it listens");
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     (events, watch_requests)
 }
 
-/// Sends byte after byte, none of them long after the one before, until nobody takes them.
+/// Writes the pieces with short pauses until the connection is closed.
 fn trickle(mut stream: TcpStream, bytes: impl Iterator<Item = Vec<u8>>) {
     for piece in bytes {
         if stream.write_all(&piece).is_err() {
@@ -212,6 +237,8 @@
     }
 }
 
+/// Bytes that trickle in must not hide that no complete list arrives; the time counts from the
+/// beginning of the list.
 #[test]
 fn times_out_when_list_arrives_too_slowly() {
     let (mut stream, events) = open_watch();
@@ -226,12 +253,15 @@
     );
 }
 
+/// The time counts from the call, however slowly the head arrives.
 #[test]
 fn times_out_when_response_head_arrives_too_slowly() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (events, _watch_requests) = start_watcher(listener.local_addr().expect("bound"));
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let (events, _watch_requests) = start_watcher(listener.local_addr().expect("local address"));
     let mut stream = accept_request(&listener);
-    stream.write_all(b"HTTP/1.1 200 OK\r\nX: ").expect("open");
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nX: ")
+        .expect("write a part of the head");
     std::thread::spawn(move || trickle(stream, std::iter::repeat_with(|| b"x".to_vec())));
     let event = events.recv_timeout(WATCH_TIMEOUT * 3 / 2);
     assert!(
@@ -242,25 +272,29 @@
 
 #[test]
 fn failure_reports_time_since_last_message() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let discovery = listener.local_addr().expect("bound");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let discovery = listener.local_addr().expect("local address");
     let (events, watch_requests) = start_watcher(discovery);
     let delay = Duration::from_millis(300);
-    // Refused after a while.
+    // The request is rejected after a delay.
     let mut stream = accept_request(&listener);
     std::thread::sleep(delay);
     stream
         .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        .expect("open");
+        .expect("write the response");
     let event = events.recv_timeout(LONG_TIMEOUT);
     assert!(
         matches!(event, Ok(DiscoveryEvent::Failed(quiet)) if quiet >= delay),
         "{event:?}"
     );
-    // Broken off a while after the last that was heard.
-    watch_requests.send(()).expect("it listens");
+    // The watch is closed a while after its last message.
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     let mut stream = accept_request(&listener);
-    stream.write_all(RESPONSE_HEAD).expect("open");
+    stream
+        .write_all(RESPONSE_HEAD)
+        .expect("write the response head");
     send_chunk(&mut stream, "{\"generation\":4}\n");
     assert!(matches!(
         events.recv_timeout(LONG_TIMEOUT),
@@ -277,15 +311,15 @@
 
 #[test]
 fn reports_failure_when_connect_times_out() {
-    // One place in its line, which is taken.
-    let listener =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    // The accept queue is full, so that further connects time out.
+    let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("create a socket");
     listener
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-        .expect("loopback");
-    listener.listen(0).expect("bound");
+        .expect("bind to a loopback port");
+    listener.listen(0).expect("listen on a bound socket");
     let listener = std::net::TcpListener::from(listener);
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("local address");
     let short = Duration::from_millis(100);
     let _connections: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
@@ -299,8 +333,8 @@
 
 #[test]
 fn continues_after_panic_in_watch() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("bound"), 0);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("local address"), 0);
     let (event_sender, events) = unbounded();
     std::thread::spawn(move || {
         watcher.run(|event| {
@@ -309,22 +343,30 @@
                     event,
                     DiscoveryEvent::List(ServerList { generation: 13, .. })
                 ),
-                "the fault that is played"
+                "the panic that this test provokes"
             );
             drop(event_sender.send(event));
         });
     });
-    watch_requests.send(()).expect("it listens");
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     let mut stream = accept_request(&listener);
-    stream.write_all(RESPONSE_HEAD).expect("open");
+    stream
+        .write_all(RESPONSE_HEAD)
+        .expect("write the response head");
     send_chunk(&mut stream, "{\"generation\":13}\n");
     assert!(matches!(
         events.recv_timeout(LONG_TIMEOUT),
         Ok(DiscoveryEvent::Failed(_))
     ));
-    watch_requests.send(()).expect("it listens");
+    watch_requests
+        .send(())
+        .expect("the watcher receives requests");
     let mut stream = accept_request(&listener);
-    stream.write_all(RESPONSE_HEAD).expect("open");
+    stream
+        .write_all(RESPONSE_HEAD)
+        .expect("write the response head");
     send_chunk(&mut stream, "{\"generation\":14}\n");
     assert!(matches!(
         events.recv_timeout(LONG_TIMEOUT),
--- a/crates/balancer/src/front/nats/framing/tests.rs
+++ b/crates/balancer/src/front/nats/framing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the framing.
+//! Tests of the framing of the NATS protocol.
 
 use super::*;
 
@@ -14,7 +14,9 @@
                 messages.push(kind);
                 kind == MessageKind::AnswerToOldest
             };
-            let progress = framer.advance(&buffer, &mut on_message).expect("sound");
+            let progress = framer
+                .advance(&buffer, &mut on_message)
+                .expect("the stream is valid");
             let mut start = 0;
             for gap in progress.dropped {
                 relayed.extend_from_slice(&buffer[start..gap.start]);
@@ -26,10 +28,14 @@
         assert_eq!(
             messages,
             [MessageKind::AnswerToOldest, MessageKind::ShutdownNotice],
-            "in pieces of {chunk_size}"
+            "in chunks of {chunk_size} bytes"
         );
         assert!(framer.is_at_boundary());
-        assert_eq!(relayed, all[..all.len() - 19], "in pieces of {chunk_size}");
+        assert_eq!(
+            relayed,
+            all[..all.len() - 19],
+            "in chunks of {chunk_size} bytes"
+        );
     }
 }
 
--- a/crates/balancer/src/front/platform/tests.rs
+++ b/crates/balancer/src/front/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of the platform's wire.
+//! Tests of the platform protocol's lines.
 
 use super::super::MessageKind;
 use super::*;
@@ -14,7 +14,7 @@
         };
         framer
             .advance(bytes, &mut on_message)
-            .expect("short lines")
+            .expect("the lines are short enough")
             .boundary
     };
     assert_eq!(advance(b"LOAD 12"), None);
--- a/crates/balancer/src/handover/tests.rs
+++ b/crates/balancer/src/handover/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of handing connections over.
+//! Tests of the handover between processes over a Unix socket.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -6,45 +6,59 @@
 use super::*;
 
 fn connected_pair() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("loopback");
-    (client, listener.accept().expect("it came").0)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
+    let client = TcpStream::connect(listener.local_addr().expect("local address"))
+        .expect("connect to the listener");
+    (client, listener.accept().expect("accept the connection").0)
 }
 
 #[test]
 fn transfers_connection_with_sockets_and_request_line() {
-    let directory = tempfile::tempdir().expect("a folder");
+    let directory = tempfile::tempdir().expect("create a temporary directory");
     let address = HandoverAddress::new(directory.path(), "n0");
-    assert!(address.connect().expect("an empty folder").is_none());
-    std::fs::write(&address.0, "of another time").expect("room");
+    assert!(
+        address
+            .connect()
+            .expect("look for a process in an empty directory")
+            .is_none()
+    );
+    std::fs::write(&address.0, "of another time").expect("write a file");
     assert!(
         address.connect().is_ok_and(|sender| sender.is_none()),
-        "what is no socket is survived"
+        "a file that is not a socket counts as no process"
     );
     let (connection_sender, connections) = crossbeam_channel::unbounded();
     address
-        .receive(move |received| connection_sender.send(received).expect("the test waits"))
-        .expect("a socket");
+        .receive(move |received| {
+            connection_sender
+                .send(received)
+                .expect("the test receives connections")
+        })
+        .expect("create a socket");
     assert!(
-        address.connect().expect("its own").is_none(),
-        "nobody gives to itself"
+        address
+            .connect()
+            .expect("connect to the own socket")
+            .is_none(),
+        "a process does not hand over to itself"
     );
 
-    let socket = Socket::new(Domain::UNIX, SOCKET_TYPE, None).expect("a socket");
+    let socket = Socket::new(Domain::UNIX, SOCKET_TYPE, None).expect("create a socket");
     socket
-        .connect(&SockAddr::unix(&address.0).expect("short"))
-        .expect("it takes");
+        .connect(&SockAddr::unix(&address.0).expect("the path fits into a socket address"))
+        .expect("connect to the handover socket");
     let sender = HandoverSender(socket);
     let ((mut client, client_socket), (server_socket, mut server)) =
         (connected_pair(), connected_pair());
-    rustix::net::send(&sender.0, b"no line and no sockets", SendFlags::NOSIGNAL).expect("open");
+    rustix::net::send(&sender.0, b"no line and no sockets", SendFlags::NOSIGNAL)
+        .expect("send an invalid message");
     sender
         .send((&client_socket, &server_socket), "s0", b"OPEN 01 02 c=chat")
-        .expect("it is taken");
+        .expect("send the connection");
     drop((client_socket, server_socket));
     let received = connections
         .recv_timeout(Duration::from_secs(10))
-        .expect("it comes");
+        .expect("receive the connection");
     assert_eq!(
         (
             received.server_name.as_str(),
@@ -52,22 +66,30 @@
         ),
         ("s0", b"OPEN 01 02 c=chat".as_slice())
     );
-    client.write_all(b"to the server").expect("open");
-    server.write_all(b"to the client").expect("open");
+    client
+        .write_all(b"to the server")
+        .expect("write to the received socket");
+    server
+        .write_all(b"to the client")
+        .expect("write to the received socket");
     for (mut socket, expected) in [
         (received.client, b"to the server"),
         (received.server, b"to the client"),
     ] {
         let mut bytes = [0; 13];
-        socket.read_exact(&mut bytes).expect("open");
+        socket
+            .read_exact(&mut bytes)
+            .expect("read from the received socket");
         assert_eq!(&bytes, expected);
     }
 }
 
+/// If a failed accept ended the loop, connections in the socket's queue would be lost.
 #[test]
 fn continues_after_failed_accept() {
     let (connection_sender, connections) = crossbeam_channel::unbounded();
-    // No descriptor, then a giver, then nobody for as long as the test runs.
+    // The first accept fails for lack of descriptors, the second returns a sender, and the third
+    // blocks.
     let mut calls = 0;
     let accept = move || {
         calls += 1;
@@ -86,18 +108,21 @@
     });
     assert!(
         connections.recv_timeout(Duration::from_secs(10)).is_ok(),
-        "the second is served"
+        "a sender is accepted after the failure"
     );
 }
 
+/// Guards the bytes of a message: a process of another version must be able to parse them.
 #[test]
 fn sends_connection_in_stable_wire_format() {
-    let (local, remote) = Socket::pair(Domain::UNIX, SOCKET_TYPE, None).expect("a pair of sockets");
+    let (local, remote) =
+        Socket::pair(Domain::UNIX, SOCKET_TYPE, None).expect("create a socket pair");
     let ((_client_peer, client), (server, _server_peer)) = (connected_pair(), connected_pair());
     HandoverSender(local)
         .send((&client, &server), "s0", b"OPEN 01 02 c=chat")
-        .expect("room in the socket");
+        .expect("send the connection");
     let mut bytes = [0; 64];
-    let (count, _) = rustix::net::recv(&remote, &mut bytes, RecvFlags::empty()).expect("a message");
+    let (count, _) =
+        rustix::net::recv(&remote, &mut bytes, RecvFlags::empty()).expect("receive the message");
     assert_eq!(&bytes[..count], b"s0\nOPEN 01 02 c=chat");
 }
--- a/crates/balancer/tests/override_manager.rs
+++ b/crates/balancer/tests/override_manager.rs
@@ -1,4 +1,4 @@
-//! The keeper of overrides without a front: its store, its clocks, and what it does when the store fails.
+//! The manager of overrides without a front: its store, its clocks and failures of the store.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// A wall clock that is stepped by hand.
+/// A wall clock whose offset from the program's clock the test sets.
 #[derive(Clone, Default)]
 struct WallClock(Arc<AtomicI64>);
 
@@ -30,7 +30,7 @@
 impl Fixture {
     fn new() -> Fixture {
         Fixture {
-            directory: tempfile::tempdir().expect("a folder for temporary files"),
+            directory: tempfile::tempdir().expect("create a temporary directory"),
             clock: Clock::start(),
             wall_clock: WallClock::default(),
         }
@@ -81,6 +81,7 @@
     }
 }
 
+/// A step of the wall clock must neither end an override early nor extend it.
 #[test]
 fn wall_clock_step_does_not_change_override_duration() {
     let fixture = Fixture::new();
@@ -88,26 +89,28 @@
         let manager = fixture.manager();
         let long = manager
             .add(fixture.draft("long", 600_000), false, None)
-            .expect("kept")
+            .expect("the store accepts the change")
             .view;
         let short = manager
             .add(fixture.draft("short", 300), false, None)
-            .expect("kept")
+            .expect("the store accepts the change")
             .view;
         fixture.wall_clock.set_offset(offset_ms);
         manager.run_due_tasks();
-        // The two clocks are not read in one instant: a millisecond may begin between them.
+        // The clocks are not read at the same instant, so that the offset may differ by 1 ms.
         let reported_offset_ms = manager.wall_ahead();
         assert!(
             reported_offset_ms.abs_diff(offset_ms) < 1_000,
-            "{reported_offset_ms} is said of {offset_ms}"
+            "the reported offset is {reported_offset_ms} ms instead of {offset_ms} ms"
         );
-        let current = manager.get(long.record.id).expect("it holds on");
+        let current = manager
+            .get(long.record.id)
+            .expect("the long override is still in force");
         assert!(
             current.remaining_ms <= long.remaining_ms
                 && current.remaining_ms + 5_000 > long.remaining_ms
         );
-        // People see it end by the clock that they read.
+        // Operators see the expiry in wall-clock time.
         assert_eq!(
             current.record.expires_at,
             long.record
@@ -115,26 +118,31 @@
                 .saturating_add_signed(reported_offset_ms)
         );
         std::thread::sleep(Duration::from_millis(310));
-        assert!(manager.get(short.record.id).is_none(), "its span is over");
-        // What is on the disk ends at the same moment, by the wall clock as it is after a restart.
+        assert!(
+            manager.get(short.record.id).is_none(),
+            "the override has expired"
+        );
+        // The stored override expires at the same time, by the wall clock as read after a restart.
         drop(manager);
         let (store, contents) =
-            beaconflow_store::open(&fixture.config().file.expect("set")).expect("free");
+            beaconflow_store::open(&fixture.config().file.expect("a store file is configured"))
+                .expect("open the store");
         let stored = contents
             .overrides
             .iter()
             .find(|stored| stored.id == long.record.id)
-            .expect("kept");
+            .expect("the override is stored");
         assert_eq!(stored.expires_at, current.record.expires_at);
         drop(store);
-        // The next program reads the stepped clock at its start, so that it is not ahead of itself.
+        // The next manager reads the stepped clock at its start, so that its offset is 0.
         fixture.wall_clock.set_offset(0);
-        let mut store = beaconflow_store::open(&fixture.config().file.expect("set"))
-            .expect("free")
-            .0;
+        let mut store =
+            beaconflow_store::open(&fixture.config().file.expect("a store file is configured"))
+                .expect("open the store")
+                .0;
         store
             .forget(&[long.record.id, short.record.id])
-            .expect("durable");
+            .expect("write to the store");
     }
 }
 
@@ -144,13 +152,16 @@
     let manager = fixture.manager();
     fixture.wall_clock.set_offset(HOUR_MS);
     manager.run_due_tasks();
-    // Ten minutes from now, as a person reads it off the stepped clock.
+    // Ten minutes from now, as read from the stepped wall clock.
     let wall_expires_at = fixture.now() + HOUR_MS as Millis + 600_000;
     let draft = Draft {
         expires_at: manager.from_wall(wall_expires_at),
         ..fixture.draft("s", 1)
     };
-    let view = manager.add(draft, false, None).expect("kept").view;
+    let view = manager
+        .add(draft, false, None)
+        .expect("the store accepts the change")
+        .view;
     assert!(
         view.remaining_ms <= 600_000 && view.remaining_ms > 590_000,
         "{}",
@@ -159,13 +170,13 @@
     assert!(view.record.expires_at.abs_diff(wall_expires_at) < 1_000);
 }
 
-/// A store that fails when it is told to, and counts what it was given.
+/// A store whose writes fail on request and which records what was written.
 #[derive(Clone, Default)]
 struct FailingStore(Arc<Mutex<(bool, Vec<Override>)>>);
 
 impl OverrideStore for FailingStore {
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
-        let mut state = self.0.lock().expect("sound");
+        let mut state = self.0.lock().expect("lock the store's state");
         if state.0 {
             return Err(StoreError("no space left on device".into()));
         }
@@ -178,10 +189,11 @@
     }
 
     fn next_id(&self) -> Id {
-        Id(1 + self.0.lock().expect("sound").1.len() as u64)
+        Id(1 + self.0.lock().expect("lock the store's state").1.len() as u64)
     }
 }
 
+/// A change that is not durable would be lost at the next start, so that it must not take effect.
 #[test]
 fn failed_store_write_has_no_effect() {
     let (fixture, store) = (Fixture::new(), FailingStore::default());
@@ -191,9 +203,9 @@
     let manager = OverrideManager::new(restored, Vec::new(), fixture.clock, limits, Box::new(|| 0));
     let existing = manager
         .add(fixture.draft("a", 60_000), false, None)
-        .expect("kept")
+        .expect("the store accepts the change")
         .view;
-    store.0.lock().expect("sound").0 = true;
+    store.0.lock().expect("lock the store's state").0 = true;
     assert!(matches!(
         manager.add(fixture.draft("b", 60_000), false, None),
         Err(OverrideError::Store(_))
@@ -208,12 +220,12 @@
     ));
     let all = manager.list();
     assert_eq!((all.len(), all[0].record.revision), (1, 1));
-    // Once there is room again, all goes on.
-    store.0.lock().expect("sound").0 = false;
+    // Changes succeed again once the store accepts writes.
+    store.0.lock().expect("lock the store's state").0 = false;
     assert_eq!(
         manager
             .remove(existing.record.id, Some(1))
-            .expect("kept")
+            .expect("the store accepts the change")
             .view
             .record
             .revision,
@@ -225,8 +237,8 @@
 #[test]
 fn removes_overrides_that_expired_while_stopped() {
     let fixture = Fixture::new();
-    let file = fixture.config().file.expect("set");
-    let (mut store, _) = beaconflow_store::open(&file).expect("free");
+    let file = fixture.config().file.expect("a store file is configured");
+    let (mut store, _) = beaconflow_store::open(&file).expect("open the store");
     let now = fixture.now();
     let expired = Draft {
         expires_at: now - 30_000,
@@ -238,12 +250,12 @@
             expired,
             fixture.draft("holds", 60_000).into_override(Id(2), now),
         ])
-        .expect("durable");
+        .expect("write to the store");
     drop(store);
     let manager = fixture.manager();
     assert_eq!(manager.list().len(), 1);
     drop(manager);
-    let (store, contents) = beaconflow_store::open(&file).expect("free");
+    let (store, contents) = beaconflow_store::open(&file).expect("open the store");
     let remaining: Vec<Id> = contents.overrides.iter().map(|stored| stored.id).collect();
     assert_eq!((remaining, store.next_id()), (vec![Id(2)], Id(3)));
 }
@@ -267,7 +279,7 @@
         Err(OverrideError::NoStore(reason)) => {
             assert!(reason.contains("no store is set"), "{reason}")
         }
-        other => panic!("{other:?}"),
+        other => panic!("expected the error NoStore, got {other:?}"),
     }
 }
 
@@ -275,10 +287,11 @@
 fn handles_ten_thousand_overrides() {
     let fixture = Fixture::new();
     let manager = fixture.manager();
-    // Written in one go, as a store may hold them: one fsync each would take minutes on a slow disk.
+    // All are written in one transaction: one fsync each would take minutes on a slow disk.
     drop(manager);
     let (mut store, _) =
-        beaconflow_store::open(&fixture.config().file.expect("set")).expect("free");
+        beaconflow_store::open(&fixture.config().file.expect("a store file is configured"))
+            .expect("open the store");
     let now = fixture.now();
     let all: Vec<Override> = (1..=10_000)
         .map(|id| {
@@ -287,7 +300,7 @@
                 .into_override(Id(id), now)
         })
         .collect();
-    store.put(&all).expect("durable");
+    store.put(&all).expect("write to the store");
     drop(store);
     let manager = fixture.manager();
     assert_eq!(manager.list().len(), 10_000);
@@ -295,11 +308,13 @@
         manager.add(fixture.draft("one more", 60_000), false, None),
         Err(OverrideError::Full(10_000))
     ));
-    manager.remove(Id(5_000), None).expect("kept");
+    manager
+        .remove(Id(5_000), None)
+        .expect("the store accepts the change");
     assert_eq!(
         manager
             .add(fixture.draft("one more", 60_000), false, None)
-            .expect("kept")
+            .expect("the store accepts the change")
             .view
             .record
             .id,
