--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -13,7 +13,7 @@
 use crate::net::{self, PollFlags, ReadBuffer, ReadError};
 
 /// Most bytes read ahead from a server.
-const MAX_READ_AHEAD: usize = 8 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
 /// Interval of the checks whether an attempt was abandoned.
 pub const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -198,7 +198,7 @@
             endpoint,
             client,
             timing,
-            read_buffer: ReadBuffer::new(MAX_READ_AHEAD),
+            read_buffer: ReadBuffer::new(MAX_READ_AHEAD_BYTES),
         }
     }
 
--- a/crates/balancer/src/connections/acceptor.rs
+++ b/crates/balancer/src/connections/acceptor.rs
@@ -33,7 +33,7 @@
 /// Pause after a failed accept, which avoids a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 /// Time for which a rejected client is read on its admission thread.
-const REJECTED_LINGER: Duration = Duration::from_millis(200);
+const REJECTED_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Accepts clients and reads their handshakes until the program ends.
 pub fn listen<F: Front>(
@@ -330,7 +330,7 @@
                 return;
             };
             if let Some(rejected) = admit(&*front, admission, (&connections, &rejections)) {
-                net::discard_until_end(rejected.stream(), REJECTED_LINGER);
+                net::discard_until_end(rejected.stream(), REJECTED_LINGER_TIMEOUT);
             }
         };
         let builder = std::thread::Builder::new()
--- a/crates/balancer/src/connections/acceptor/handshake.rs
+++ b/crates/balancer/src/connections/acceptor/handshake.rs
@@ -56,7 +56,7 @@
         drain_started_at: Option<Instant>,
     ) -> Instant {
         if !self.read_buffer.bytes().is_empty() {
-            return self.timeout_started_at + front.begun_handshake_timeout();
+            return self.timeout_started_at + front.partial_handshake_timeout();
         }
         let deadline_at = self.timeout_started_at + front.handshake_timeout();
         let drain_started_at = drain_started_at.filter(|_| self.has_queried);
--- a/crates/balancer/src/connections/connect/tests.rs
+++ b/crates/balancer/src/connections/connect/tests.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn does_not_connect_for_departed_abandoned_or_late_client() {
+fn skips_connect_for_departed_abandoned_or_late_client() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
     let address = listener.local_addr().expect("local address");
     let (mut departed, client_end) = test_client();
@@ -180,7 +180,7 @@
 
 /// A request written after the core has given up the attempt could be executed twice.
 #[test]
-fn does_not_write_request_when_late_or_abandoned() {
+fn withholds_request_when_late_or_abandoned() {
     for is_abandoned in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
         let endpoint = Endpoint::new("s0".into(), listener.local_addr().expect("local address"));
--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -248,7 +248,7 @@
             &context.core,
             self.id,
         ));
-        let result = established.join((&answer, &read_ahead), &context.migration_message);
+        let result = established.start_relay((&answer, &read_ahead), &context.migration_message);
         self.state = ConnectionState::Established(established);
         self.continue_or_end(result, context);
     }
@@ -272,7 +272,7 @@
             if let ConnectionState::Established(mut established) =
                 std::mem::replace(&mut self.state, ConnectionState::Closed)
             {
-                established.finish_server();
+                established.shutdown_server_write();
                 self.state =
                     ConnectionState::HalfClosed(established, Instant::now() + HALF_CLOSE_TIMEOUT);
             }
@@ -379,11 +379,11 @@
                 )
             }
             ConnectionState::Established(established) => {
-                let (client, server) = established.sides();
+                let (client, server) = established.streams();
                 (client, Some(server), established.interest())
             }
             ConnectionState::HalfClosed(established, _) => {
-                let (client, server) = established.sides();
+                let (client, server) = established.streams();
                 // A half-closed client is always readable.
                 let (client_events, server_events) = established.interest();
                 (
--- a/crates/balancer/src/connections/event_loop/handover.rs
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -47,7 +47,7 @@
         if !established.can_be_handed_over() {
             return awaiting_handover.push(id);
         }
-        let (client, server) = established.sides();
+        let (client, server) = established.streams();
         // The other process polls the same sockets; without this, their input would wake this one
         // too.
         let no_events = EventFlags::empty();
--- a/crates/balancer/src/connections/event_loop/tests.rs
+++ b/crates/balancer/src/connections/event_loop/tests.rs
@@ -130,7 +130,7 @@
 /// The core sends its final command before it learns that the server has accepted the client. The
 /// client must not stay on a connection that the core has already given up.
 #[test]
-fn migrates_client_when_final_command_crosses_server_answer() {
+fn migrates_client_when_command_crosses_server_answer() {
     for command in [
         ConnectionCommand::Fail,
         ConnectionCommand::Reject(None),
@@ -182,7 +182,7 @@
 /// The request was never sent, so that the client may retry it; the connect must not outlive the
 /// client's answer.
 #[test]
-fn rejects_client_when_attempt_is_abandoned_during_connect() {
+fn rejects_client_when_connect_is_abandoned() {
     let (server, filler) = full_listener();
     let address = server.local_addr().expect("local address");
     let mut fixture = Fixture::with_server(server);
--- a/crates/balancer/src/connections/lingering/tests.rs
+++ b/crates/balancer/src/connections/lingering/tests.rs
@@ -53,7 +53,7 @@
 
 /// The end of the peer's input must not cut off output that it has not received yet.
 #[test]
-fn delivers_pending_output_when_peer_has_half_closed() {
+fn delivers_pending_output_to_half_closed_peer() {
     let (local, mut peer) = connected_pair();
     // More than the system buffers for a peer that does not read.
     let pending = vec![b'x'; 16 << 20];
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -23,7 +23,7 @@
 /// A migration waits this long for the end of a message that has begun.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// Bytes read at a time.
-const READ_SIZE: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
 /// Most unanswered messages of one connection; a client that sends more violates the protocol.
 const MAX_UNANSWERED: usize = 1024;
 
@@ -57,8 +57,8 @@
 }
 
 impl EstablishedConnection {
-    /// Creates a connection from a successful attempt; [`EstablishedConnection::join`] begins the
-    /// relay.
+    /// Creates a connection from a successful attempt; [`EstablishedConnection::start_relay`]
+    /// begins the relay.
     pub fn new<F: Front>(
         front: &F,
         client: ClientConnection,
@@ -94,7 +94,7 @@
 
     /// Writes the answer to the client and the early bytes to the server, then relays what the
     /// server sent beyond its answer.
-    pub fn join(
+    pub fn start_relay(
         &mut self,
         (answer, read_ahead): (&[u8], &[u8]),
         migration_message: &[u8],
@@ -108,7 +108,7 @@
     }
 
     /// The client's and the server's socket.
-    pub fn sides(&self) -> (&TcpStream, &TcpStream) {
+    pub fn streams(&self) -> (&TcpStream, &TcpStream) {
         (&self.client.client, &self.server)
     }
 
@@ -136,7 +136,7 @@
     /// Handles a side that is ready: writes what is outgoing and relays what was read.
     pub fn on_ready(&mut self, side: Side, migration_message: &[u8]) -> Result<(), ConnectionEnd> {
         self.flush(side);
-        let mut chunk = [0; READ_SIZE];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         match side {
             Side::Client if self.to_server.is_empty() => match (&self.client.client)
                 .read(&mut chunk)
@@ -172,7 +172,7 @@
 
     /// Writes to the client. A failed write does not end the connection, since a client that closed
     /// normally may have sent input that is still unread.
-    fn write_to_client(&mut self, parts: &[&[u8]]) {
+    fn write_to_client(&mut self, buffers: &[&[u8]]) {
         let EstablishedConnection {
             client: ClientConnection {
                 client, outgoing, ..
@@ -180,15 +180,15 @@
             client_write_error,
             ..
         } = self;
-        write(client, outgoing, parts, client_write_error);
+        write(client, outgoing, buffers, client_write_error);
     }
 
     /// Writes to the server. After a failed write, the server's last lines still go to the client.
-    fn write_to_server(&mut self, parts: &[&[u8]]) {
+    fn write_to_server(&mut self, buffers: &[&[u8]]) {
         write(
             &self.server,
             &mut self.to_server,
-            parts,
+            buffers,
             &mut self.server_write_error,
         );
     }
@@ -307,17 +307,17 @@
         let migration_boundary = boundary.filter(|_| is_migrating);
         let end = migration_boundary.unwrap_or(consumed);
         let message: Vec<u8> = self.unforwarded.drain(..consumed).collect();
-        let (mut parts, mut start) = (Vec::with_capacity(dropped.len() + 2), 0);
+        let (mut buffers, mut start) = (Vec::with_capacity(dropped.len() + 2), 0);
         for gap in dropped.iter().filter(|gap| gap.end <= end) {
-            parts.push(&message[start..gap.start]);
+            buffers.push(&message[start..gap.start]);
             start = gap.end;
         }
-        parts.push(&message[start..end]);
+        buffers.push(&message[start..end]);
         if migration_boundary.is_some() {
-            parts.push(migration_message);
+            buffers.push(migration_message);
             self.client.has_final_message = true;
         }
-        self.write_to_client(&parts);
+        self.write_to_client(&buffers);
         Ok(())
     }
 }
@@ -326,16 +326,16 @@
 fn write(
     to: &TcpStream,
     out: &mut WriteBuffer,
-    parts: &[&[u8]],
+    buffers: &[&[u8]],
     write_error: &mut Option<ErrorKind>,
 ) {
     if write_error.is_some() {
         return;
     }
-    let written = if parts.is_empty() {
+    let written = if buffers.is_empty() {
         out.flush(to)
     } else {
-        out.send(to, parts)
+        out.send(to, buffers)
     };
     if let Err(error) = written {
         *write_error = Some(error.kind());
--- a/crates/balancer/src/connections/relay/client.rs
+++ b/crates/balancer/src/connections/relay/client.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use super::READ_SIZE;
+use super::READ_CHUNK_BYTES;
 use crate::attempt::WaitingClient;
 use crate::connections::lingering::LingeringClose;
 use crate::front::{Framer, Front, Keepalive};
@@ -19,7 +19,7 @@
     pub(super) unforwarded: Vec<u8>,
     /// Bytes that the client has not received yet.
     pub(super) outgoing: WriteBuffer,
-    max_early: usize,
+    max_early_bytes: usize,
     pub(super) keepalive: Option<Keepalive>,
     /// Whether the final message to the client has been written.
     pub(super) has_final_message: bool,
@@ -37,11 +37,11 @@
     }
 
     fn read_early(&mut self) -> Result<(), ReadError> {
-        let mut chunk = [0; READ_SIZE];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             match (&self.client).read(&mut chunk) {
                 Ok(0) => return Err(ReadError::Ended),
-                Ok(count) if self.unforwarded.len() + count > self.max_early => {
+                Ok(count) if self.unforwarded.len() + count > self.max_early_bytes => {
                     return Err(ReadError::TooLong);
                 }
                 Ok(count) => self.unforwarded.extend_from_slice(&chunk[..count]),
@@ -55,7 +55,7 @@
 impl ClientConnection {
     /// Creates a connection whose handshake is complete; `early` are the bytes after it.
     pub fn new<F: Front>(front: &F, client: TcpStream, early: Vec<u8>) -> ClientConnection {
-        let (framer, max_early, keepalive) = (
+        let (framer, max_early_bytes, keepalive) = (
             front.client_framer(),
             front.max_early_bytes(),
             front.keepalive(),
@@ -67,7 +67,7 @@
             framer,
             unforwarded: early,
             outgoing,
-            max_early,
+            max_early_bytes,
             keepalive,
             has_final_message: false,
             is_abandoned,
--- a/crates/balancer/src/connections/relay/ending.rs
+++ b/crates/balancer/src/connections/relay/ending.rs
@@ -81,7 +81,7 @@
     }
 
     /// Shuts down the write side to a server whose client has half-closed.
-    pub fn finish_server(&mut self) {
+    pub fn shutdown_server_write(&mut self) {
         self.flush(Side::Server);
         net::shutdown_write(&self.server);
     }
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -72,7 +72,7 @@
 /// The policy polls an agent only after a failure, so that the first watch must open without a
 /// poll.
 #[test]
-fn agent_watch_opens_unasked_and_times_out_early() {
+fn agent_watch_opens_unasked_and_fails_early() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
     let (watcher, watch_requests) = Watcher::new(listener.local_addr().expect("local address"), 3);
     let (event_sender, events) = unbounded();
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn invalid_chunk_ends_watch_and_keeps_earlier_lists() {
+fn invalid_chunk_ends_watch_after_earlier_lists() {
     let endless = "1".repeat(HTTP_BUFFER_BYTES.0 + 1);
     for invalid_chunk in [
         "x\r\n{}\r\n",
@@ -240,7 +240,7 @@
 /// Bytes that trickle in must not hide that no complete list arrives; the time counts from the
 /// beginning of the list.
 #[test]
-fn times_out_when_list_arrives_too_slowly() {
+fn times_out_when_list_is_slow() {
     let (mut stream, events) = open_watch();
     send_chunk(&mut stream, "\n");
     send_chunk(&mut stream, "{\"generation\":");
@@ -255,7 +255,7 @@
 
 /// The time counts from the call, however slowly the head arrives.
 #[test]
-fn times_out_when_response_head_arrives_too_slowly() {
+fn times_out_when_response_head_is_slow() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a loopback port");
     let (events, _watch_requests) = start_watcher(listener.local_addr().expect("local address"));
     let mut stream = accept_request(&listener);
--- a/crates/balancer/src/front/mod.rs
+++ b/crates/balancer/src/front/mod.rs
@@ -40,7 +40,7 @@
     fn handshake_timeout(&self) -> Duration;
 
     /// Time after which a client that has begun its handshake is closed if it is not complete.
-    fn begun_handshake_timeout(&self) -> Duration {
+    fn partial_handshake_timeout(&self) -> Duration {
         self.handshake_timeout()
     }
 
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -25,7 +25,7 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Some clients take 2 s to write their first line; a line that is never complete must end in a
 /// close within 3 s.
-const BEGUN_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_300);
+const PARTIAL_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// Longest id or key.
 const MAX_NAME_BYTES: usize = 64;
 /// Well below the 7 s that the platform allows from before the line, and above the time that an
@@ -63,7 +63,7 @@
 /// The platform's front.
 pub struct Platform {
     settings: SharedSettings,
-    open: OpenIds,
+    open_ids: OpenIds,
 }
 
 impl Platform {
@@ -71,7 +71,7 @@
     pub fn new(settings: SharedSettings) -> Platform {
         Platform {
             settings,
-            open: OpenIds::default(),
+            open_ids: OpenIds::default(),
         }
     }
 
@@ -82,8 +82,8 @@
         if !text.bytes().all(is_printable) {
             return Err("the line is not printable ASCII");
         }
-        let parts: Vec<&str> = text.split(' ').collect();
-        let ["OPEN", id, key, field_list] = parts[..] else {
+        let tokens: Vec<&str> = text.split(' ').collect();
+        let ["OPEN", id, key, field_list] = tokens[..] else {
             return Err("the line is not OPEN with an id, a key and fields");
         };
         let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
@@ -108,7 +108,8 @@
             timeout.min(settings.client_timeout(class))
         };
         // Registered last, so that a rejected line does not reserve its id.
-        let id = OpenId::take(id, &self.open).ok_or("the id belongs to another open request")?;
+        let id =
+            OpenId::register(id, &self.open_ids).ok_or("the id belongs to another open request")?;
         let client_request = ClientRequest {
             class,
             client_key: Some(digest(key)),
@@ -144,8 +145,8 @@
         HANDSHAKE_TIMEOUT
     }
 
-    fn begun_handshake_timeout(&self) -> Duration {
-        BEGUN_HANDSHAKE_TIMEOUT
+    fn partial_handshake_timeout(&self) -> Duration {
+        PARTIAL_HANDSHAKE_TIMEOUT
     }
 
     fn max_handshake_line(&self) -> usize {
--- a/crates/balancer/src/front/platform/framer.rs
+++ b/crates/balancer/src/front/platform/framer.rs
@@ -52,10 +52,10 @@
             if self.length > MAX_LINE_BYTES {
                 return Err(ProtocolError { answer: "" });
             }
-            let kept = CLASSIFIED_BYTES
+            let head_bytes = CLASSIFIED_BYTES
                 .saturating_sub(self.head.len())
                 .min(chunk.len());
-            self.head.extend_from_slice(&chunk[..kept]);
+            self.head.extend_from_slice(&chunk[..head_bytes]);
             if end.is_some() {
                 // Every line is relayed.
                 on_message(self.classify(trim_line_end(&self.head)));
--- a/crates/balancer/src/front/platform/open.rs
+++ b/crates/balancer/src/front/platform/open.rs
@@ -14,26 +14,26 @@
 /// id as a retry of the first.
 pub struct OpenId {
     pub(super) id: String,
-    open: OpenIds,
+    open_ids: OpenIds,
 }
 
 impl OpenId {
-    pub(super) fn take(id: &str, open: &OpenIds) -> Option<OpenId> {
+    pub(super) fn register(id: &str, open_ids: &OpenIds) -> Option<OpenId> {
         // The set is valid even if a thread panicked while holding the lock.
-        let is_new = open
+        let is_new = open_ids
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(id.to_owned());
         is_new.then(|| OpenId {
             id: id.to_owned(),
-            open: Arc::clone(open),
+            open_ids: Arc::clone(open_ids),
         })
     }
 }
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.open
+        self.open_ids
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&self.id);
@@ -78,12 +78,12 @@
             if !names.insert(name) {
                 return Err("a field occurs twice");
             }
-            fields.set(name, value, line, settings)?;
+            fields.set_field(name, value, line, settings)?;
         }
         Ok(fields)
     }
 
-    fn set(
+    fn set_field(
         &mut self,
         name: &str,
         value: &'l str,
--- a/crates/balancer/src/handover.rs
+++ b/crates/balancer/src/handover.rs
@@ -74,8 +74,8 @@
         let start_receiver = move |sender: Socket| {
             let on_connection = Arc::clone(&on_connection);
             let run = move || {
-                let taken = receive_all(&sender, &*on_connection);
-                info!(part = "handover", taken, "connections taken over");
+                let count = receive_all(&sender, &*on_connection);
+                info!(part = "handover", taken = count, "connections taken over");
             };
             if let Err(error) = thread_builder().spawn(run) {
                 warn!(part = "handover", why = %error, "could not start a thread");
--- a/crates/balancer/src/net.rs
+++ b/crates/balancer/src/net.rs
@@ -11,7 +11,7 @@
 use rustix::event::{PollFd, Timespec, poll};
 use socket2::{Domain, SockRef, Socket, Type};
 
-use buffers::MAX_DISCARDED;
+use buffers::MAX_DISCARDED_BYTES;
 pub use buffers::{ReadBuffer, ReadError, WriteBuffer};
 pub use rustix::event::PollFlags;
 
@@ -156,7 +156,7 @@
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
-/// Writes all parts by gathered writes.
+/// Writes all buffers by gathered writes.
 ///
 /// # Errors
 ///
@@ -179,7 +179,7 @@
     Ok(())
 }
 
-/// Writes all parts by gathered writes and waits for a slow peer until the deadline.
+/// Writes all buffers by gathered writes and waits for a slow peer until the deadline.
 ///
 /// # Errors
 ///
@@ -215,7 +215,7 @@
 /// 64 KiB.
 pub fn discard_until_end(mut stream: &TcpStream, timeout: Duration) {
     let deadline_at = Instant::now() + timeout;
-    let (mut chunk, mut left) = ([0; 2048], MAX_DISCARDED);
+    let (mut chunk, mut left) = ([0; 2048], MAX_DISCARDED_BYTES);
     loop {
         match stream.read(&mut chunk) {
             Ok(0) => return,
--- a/crates/balancer/src/net/buffers.rs
+++ b/crates/balancer/src/net/buffers.rs
@@ -188,7 +188,7 @@
 
     /// Whether a peer is still to be read after its final message.
     pub fn is_reading(&self) -> bool {
-        !self.has_ended && self.discarded < MAX_DISCARDED
+        !self.has_ended && self.discarded < MAX_DISCARDED_BYTES
     }
 
     /// Writes what is buffered.
@@ -207,4 +207,4 @@
 }
 
 /// Most bytes discarded after a final message.
-pub(super) const MAX_DISCARDED: usize = 64 * 1024;
+pub(super) const MAX_DISCARDED_BYTES: usize = 64 * 1024;
--- a/crates/balancer/tests/override_manager.rs
+++ b/crates/balancer/tests/override_manager.rs
@@ -83,7 +83,7 @@
 
 /// A step of the wall clock must neither end an override early nor extend it.
 #[test]
-fn wall_clock_step_does_not_change_override_duration() {
+fn wall_clock_step_keeps_override_duration() {
     let fixture = Fixture::new();
     for offset_ms in [HOUR_MS, -HOUR_MS, 0] {
         let manager = fixture.manager();
