--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts and their results, and the exchange with a server.
 //!
-//! Fronts talk to a server through [`ServerExchange`].
+//! Fronts exchange the handshake with a server through [`ServerExchange`].
 
 use std::fmt;
 use std::io;
@@ -13,11 +13,11 @@
 use crate::net::{self, PollFlags, ReadBuffer, ReadError};
 
 /// Most bytes read ahead from a server.
-const MAX_READ_AHEAD: usize = 8 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
 /// Interval of the checks whether an attempt was abandoned.
 pub const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far an attempt had come when it ended. Its outcome follows from this alone.
+/// How far an attempt got before it ended. Its outcome follows from this alone.
 #[derive(Debug)]
 pub enum AttemptError {
     /// Nothing was sent: the server is draining, the attempt was too late, or the core abandoned
@@ -69,11 +69,11 @@
     ClientClosed,
     /// The client's side was reset.
     ClientReset,
-    /// The client violated the protocol; it is told this.
+    /// The client violated the protocol and is sent this error message.
     ClientProtocolError(&'static str),
     /// The client was migrated.
     Migrated,
-    /// It was handed over to another process.
+    /// The connection was handed over to another process.
     HandedOver,
     /// A migration waited too long for the end of a message.
     MigrationTimedOut,
@@ -138,28 +138,37 @@
 impl fmt::Display for AttemptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AttemptError::NotSent => write!(f, "withheld"),
-            AttemptError::ClientLeft(error) => write!(f, "client left: {error:?}"),
-            AttemptError::NotConnected(error) => write!(f, "not connected: {error}"),
+            AttemptError::NotSent => write!(f, "the request was not sent"),
+            AttemptError::ClientLeft(error) => write!(f, "the client left: {error:?}"),
+            AttemptError::NotConnected(error) => write!(f, "could not connect: {error}"),
             AttemptError::RequestPartlyWritten(bytes, error) => {
-                write!(f, "head broken after {bytes} bytes: {error}")
+                write!(
+                    f,
+                    "the connection broke after {bytes} bytes of the request: {error}"
+                )
+            }
+            AttemptError::RequestWritten(error) => {
+                write!(f, "no answer after the request was written: {error:?}")
+            }
+            AttemptError::NotServed(answer) => {
+                write!(f, "the server did not serve the request: {answer:?}")
+            }
+            AttemptError::ConnectionEnded(end) => {
+                write!(f, "the established connection ended: {end:?}")
             }
-            AttemptError::RequestWritten(error) => write!(f, "written, then {error:?}"),
-            AttemptError::NotServed(answer) => write!(f, "answered: {answer:?}"),
-            AttemptError::ConnectionEnded(end) => write!(f, "stood, then {end:?}"),
         }
     }
 }
 
 /// A client that waits for an attempt.
 pub trait WaitingClient {
-    /// Its socket.
+    /// The client's socket.
     fn stream(&self) -> &TcpStream;
 
     /// Whether the core has abandoned the attempt.
     fn is_abandoned(&self) -> bool;
 
-    /// Reads early bytes.
+    /// Reads and keeps the bytes that the client sends before it is connected.
     ///
     /// # Errors
     ///
@@ -173,7 +182,7 @@
     endpoint: &'a Endpoint,
     client: &'a mut dyn WaitingClient,
     timing: AttemptTiming,
-    intake: ReadBuffer,
+    read_buffer: ReadBuffer,
 }
 
 impl<'a> ServerExchange<'a> {
@@ -189,13 +198,13 @@
             endpoint,
             client,
             timing,
-            intake: ReadBuffer::new(MAX_READ_AHEAD),
+            read_buffer: ReadBuffer::new(MAX_READ_AHEAD_BYTES),
         }
     }
 
     /// The server's socket, and the bytes that it sent beyond its answer.
     pub fn into_parts(self) -> (TcpStream, Vec<u8>) {
-        (self.server, self.intake.into_rest())
+        (self.server, self.read_buffer.into_rest())
     }
 
     /// When the attempt times out.
@@ -208,17 +217,17 @@
     ///
     /// # Errors
     ///
-    /// Returns how far the attempt had come.
+    /// Returns how far the attempt got.
     pub fn write_request(&mut self, buffers: &[&[u8]]) -> Result<(), AttemptError> {
         self.client.read_early().map_err(AttemptError::ClientLeft)?;
         if self.client.is_abandoned() || Instant::now() >= self.timing.begin_by {
             return Err(AttemptError::NotSent);
         }
-        let begun = {
-            let _leave = self.endpoint.begin_write().ok_or(AttemptError::NotSent)?;
+        let result = {
+            let _write_permit = self.endpoint.begin_write().ok_or(AttemptError::NotSent)?;
             net::write_gathered(&self.server, buffers)
         };
-        self.finish_write(begun, buffers)
+        self.finish_write(result, buffers)
             .map_err(AttemptError::partly_written)
     }
 
@@ -234,34 +243,34 @@
     /// Finishes a write that would block.
     fn finish_write(
         &self,
-        begun: Result<(), (usize, io::Error)>,
+        result: Result<(), (usize, io::Error)>,
         buffers: &[&[u8]],
     ) -> Result<(), (usize, io::Error)> {
-        match begun {
+        match result {
             Err((written, error)) if net::is_would_block(&error) => {
-                let whole = buffers.concat();
-                net::write_until(&self.server, &[&whole[written..]], self.timing.deadline_at)
-                    .map_err(|(more, error)| (written + more, error))
+                let all = buffers.concat();
+                net::write_until(&self.server, &[&all[written..]], self.timing.deadline_at)
+                    .map_err(|(additional, error)| (written + additional, error))
             }
             done => done,
         }
     }
 
-    /// Reads the server's next line. Ends early if the client leaves; `failed` says how far the
-    /// attempt had come if the server sends none.
+    /// Reads the server's next line. Ends early if the client leaves; `to_error` converts the error
+    /// if the server sends none.
     ///
     /// # Errors
     ///
-    /// Returns how far the attempt had come.
+    /// Returns how far the attempt got.
     pub fn read_line(
         &mut self,
-        failed: impl Fn(ReadError) -> AttemptError,
+        to_error: impl Fn(ReadError) -> AttemptError,
     ) -> Result<Vec<u8>, AttemptError> {
         loop {
-            if let Some(line) = self.intake.next_line() {
+            if let Some(line) = self.read_buffer.next_line() {
                 return Ok(line);
             }
-            let left = self
+            let remaining = self
                 .timing
                 .deadline_at
                 .saturating_duration_since(Instant::now());
@@ -270,19 +279,19 @@
                 (self.client.stream(), PollFlags::IN),
             ];
             let [server_ready, client_ready] =
-                net::wait_ready(sides, left.min(ABANDON_CHECK_INTERVAL));
+                net::wait_ready(sides, remaining.min(ABANDON_CHECK_INTERVAL));
             if self.client.is_abandoned() {
-                return Err(failed(ReadError::TimedOut));
+                return Err(to_error(ReadError::TimedOut));
             }
             if client_ready {
                 self.client.read_early().map_err(AttemptError::ClientLeft)?;
             }
-            if server_ready || left.is_zero() {
-                self.intake
+            if server_ready || remaining.is_zero() {
+                self.read_buffer
                     .read(&self.server, Instant::now())
                     .or_else(|error| match error {
-                        ReadError::TimedOut if !left.is_zero() => Ok(()),
-                        error => Err(failed(error)),
+                        ReadError::TimedOut if !remaining.is_zero() => Ok(()),
+                        error => Err(to_error(error)),
                     })?;
             }
         }
--- a/crates/balancer/src/connections/event_loop/handover.rs
+++ b/crates/balancer/src/connections/event_loop/handover.rs
@@ -18,8 +18,8 @@
 use crate::poller::EventFlags;
 
 impl<F: Front> EventLoop<F> {
-    /// Hands an established connection over to the process that replaces this one. One with
-    /// buffered bytes is retried until it is migrated.
+    /// Hands an established connection over to the process that replaces this one. A connection
+    /// with buffered bytes is retried until it is migrated.
     pub(super) fn hand_over(&mut self, id: u64) {
         let EventLoop {
             context,
@@ -47,18 +47,19 @@
         if !established.can_be_handed_over() {
             return awaiting_handover.push(id);
         }
-        let (client, server) = established.sides();
-        // The other process polls the same sockets; this one would wake for its input.
-        let nothing = EventFlags::empty();
-        let unwatched = poller
-            .set_interest(client, id * 2, (connection.watched.0, nothing))
+        let (client, server) = established.streams();
+        // The other process polls the same sockets; without this, their input would wake this one
+        // too.
+        let no_events = EventFlags::empty();
+        let unpolled = poller
+            .set_interest(client, id * 2, (connection.polled_events.0, no_events))
             .and_then(|()| {
-                poller.set_interest(server, id * 2 + 1, (connection.watched.1, nothing))
+                poller.set_interest(server, id * 2 + 1, (connection.polled_events.1, no_events))
             });
-        if unwatched.is_err() {
+        if unpolled.is_err() {
             return;
         }
-        connection.watched = (nothing, nothing);
+        connection.polled_events = (no_events, no_events);
         let sent = sender.send((client, server), server_name, line);
         self.on_handover_sent(id, sent);
     }
@@ -77,14 +78,15 @@
                 if net::is_would_block(&error) {
                     self.awaiting_handover.push(id);
                 } else {
-                    warn!(part = self.context.front.name(), request = id, why = %error, "not handed over");
+                    warn!(part = self.context.front.name(), request = id, why = %error, "connection could not be handed over");
                 }
-                self.with(id, |_, _| ());
+                self.with_connection(id, |_, _| ());
             }
         }
     }
 
-    /// Takes over a connection from another process. One whose request can't be parsed is migrated.
+    /// Takes over a connection from another process. A client whose request can't be parsed is
+    /// migrated.
     pub(super) fn take_over(&mut self, transferred: TransferredConnection, slot: ConnectionSlot) {
         let TransferredConnection {
             client,
@@ -98,25 +100,25 @@
             migration_message,
             ..
         } = &self.context;
-        let read = match front.parse_handshake(&request_line, core.clock().now()) {
+        let admitted = match front.parse_handshake(&request_line, core.clock().now()) {
             HandshakeLine::Connect(request) => front.admit(request).ok(),
             _ => None,
         };
         let client_connection = ClientConnection::new(&**front, client, Vec::new());
-        let Some((client_request, server_handshake)) = read else {
+        let Some((client_request, server_handshake)) = admitted else {
             warn!(
                 part = front.name(),
-                "a connection handed over could not be read"
+                "request of a connection that was handed over is invalid; migrating the client"
             );
             let server = LingeringClose::start(server, WriteBuffer::default(), b"");
-            let phase = ConnectionState::Lingering(
+            let state = ConnectionState::Lingering(
                 client_connection.close_with(migration_message),
                 Some(server),
             );
             self.last_local_id -= 1;
-            return self.insert(self.last_local_id, None, (phase, None), slot);
+            return self.insert(self.last_local_id, None, (state, None), slot);
         };
-        let (client_request, at) = (
+        let (client_request, server_name) = (
             ClientRequest {
                 resumed_server: None,
                 ..client_request
@@ -125,14 +127,17 @@
         );
         let id = core.adopt(
             client_request,
-            Arc::clone(&at),
+            Arc::clone(&server_name),
             Arc::clone(&self.handle) as Arc<dyn CommandSender>,
         );
-        let standing = EstablishedConnection::new(&**front, client_connection, server, core, id);
+        let established = EstablishedConnection::new(&**front, client_connection, server, core, id);
         self.insert(
             id,
             Some(server_handshake),
-            (ConnectionState::Established(Box::new(standing)), Some(at)),
+            (
+                ConnectionState::Established(Box::new(established)),
+                Some(server_name),
+            ),
             slot,
         );
     }
@@ -142,7 +147,7 @@
 fn find_successor<F: Front>(context: &FrontContext<F>) -> Option<HandoverSender> {
     let address = context.handover.as_ref()?;
     address.connect().unwrap_or_else(|error| {
-        warn!(part = context.front.name(), why = %error, "nobody to hand over to");
+        warn!(part = context.front.name(), why = %error, "could not connect to the process that replaces this one");
         None
     })
 }
--- a/crates/balancer/src/connections/relay.rs
+++ b/crates/balancer/src/connections/relay.rs
@@ -23,7 +23,7 @@
 /// A migration waits this long for the end of a message that has begun.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// Bytes read at a time.
-const READ_SIZE: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
 /// Most unanswered messages of one connection; a client that sends more violates the protocol.
 const MAX_UNANSWERED: usize = 1024;
 
@@ -35,7 +35,7 @@
     /// The beginning of an incomplete message of the server.
     unforwarded: Vec<u8>,
     to_server: WriteBuffer,
-    /// Why writes to the client fail. Its remaining input and its end are still read.
+    /// Why writes to the client fail. The client's remaining input and its end are still read.
     client_write_error: Option<ErrorKind>,
     /// Why writes to the server fail.
     server_write_error: Option<ErrorKind>,
@@ -57,8 +57,8 @@
 }
 
 impl EstablishedConnection {
-    /// Creates a connection from a successful attempt; [`EstablishedConnection::join`] begins the
-    /// relay.
+    /// Creates a connection from a successful attempt; [`EstablishedConnection::start_relay`]
+    /// begins the relay.
     pub fn new<F: Front>(
         front: &F,
         client: ClientConnection,
@@ -94,9 +94,9 @@
 
     /// Writes the answer to the client and the early bytes to the server, then relays what the
     /// server sent beyond its answer.
-    pub fn join(
+    pub fn start_relay(
         &mut self,
-        (answer, ahead): (&[u8], &[u8]),
+        (answer, read_ahead): (&[u8], &[u8]),
         migration_message: &[u8],
     ) -> Result<(), ConnectionEnd> {
         self.write_to_client(&[answer]);
@@ -104,18 +104,18 @@
         self.monitor
             .core
             .send(CoreInput::AttemptEstablished(self.monitor.id));
-        self.relay_to_client(ahead, migration_message)
+        self.relay_to_client(read_ahead, migration_message)
     }
 
     /// The client's and the server's socket.
-    pub fn sides(&self) -> (&TcpStream, &TcpStream) {
+    pub fn streams(&self) -> (&TcpStream, &TcpStream) {
         (&self.client.client, &self.server)
     }
 
     /// The events to poll both sides for. A side is read only while the other one has taken
     /// everything.
     pub fn interest(&self) -> (EventFlags, EventFlags) {
-        let wants = |own: &WriteBuffer, other: &WriteBuffer| {
+        let wanted_events = |own: &WriteBuffer, other: &WriteBuffer| {
             let read = if other.is_empty() {
                 EventFlags::IN
             } else {
@@ -128,15 +128,15 @@
             }
         };
         (
-            wants(&self.client.outgoing, &self.to_server),
-            wants(&self.to_server, &self.client.outgoing),
+            wanted_events(&self.client.outgoing, &self.to_server),
+            wanted_events(&self.to_server, &self.client.outgoing),
         )
     }
 
     /// Handles a side that is ready: writes what is outgoing and relays what was read.
     pub fn on_ready(&mut self, side: Side, migration_message: &[u8]) -> Result<(), ConnectionEnd> {
         self.flush(side);
-        let mut chunk = [0; READ_SIZE];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         match side {
             Side::Client if self.to_server.is_empty() => match (&self.client.client)
                 .read(&mut chunk)
@@ -171,8 +171,8 @@
     }
 
     /// Writes to the client. A failed write does not end the connection, since a client that closed
-    /// in order may have sent input that is still unread.
-    fn write_to_client(&mut self, parts: &[&[u8]]) {
+    /// normally may have sent input that is still unread.
+    fn write_to_client(&mut self, buffers: &[&[u8]]) {
         let EstablishedConnection {
             client: ClientConnection {
                 client, outgoing, ..
@@ -180,15 +180,15 @@
             client_write_error,
             ..
         } = self;
-        write(client, outgoing, parts, client_write_error);
+        write(client, outgoing, buffers, client_write_error);
     }
 
-    /// Writes to the server; its last lines still go to the client.
-    fn write_to_server(&mut self, parts: &[&[u8]]) {
+    /// Writes to the server. After a failed write, the server's last lines still go to the client.
+    fn write_to_server(&mut self, buffers: &[&[u8]]) {
         write(
             &self.server,
             &mut self.to_server,
-            parts,
+            buffers,
             &mut self.server_write_error,
         );
     }
@@ -199,7 +199,7 @@
         if self.client.outgoing.is_empty() && self.to_server.is_empty() {
             self.last_drained_at = Instant::now();
         } else if self.last_drained_at.elapsed() >= net::WRITE_TIMEOUT {
-            // Only one side is read while the other takes nothing, so the blocked one is known.
+            // A side is not read while the other one has unsent bytes, so the blocked one is known.
             return Err(if self.client.outgoing.is_empty() {
                 ConnectionEnd::ServerReset
             } else {
@@ -207,7 +207,7 @@
             });
         }
         if self.monitor.oldest_pending_age() >= self.response_timeout {
-            // An answer may lie unread because this process was suspended.
+            // An answer may be unread because this process was suspended.
             self.on_ready(Side::Server, migration_message)?;
             if self.monitor.oldest_pending_age() >= self.response_timeout {
                 self.write_migration(migration_message);
@@ -217,16 +217,17 @@
         self.continue_migration(migration_message)
     }
 
-    /// Whether nothing of the connection is buffered here and both sides are between messages.
+    /// Whether this process buffers no bytes of the connection and both sides are between messages.
     pub fn can_be_handed_over(&self) -> bool {
-        let unsent = !(self.client.outgoing.is_empty() && self.to_server.is_empty());
-        let kept = !(self.client.unforwarded.is_empty() && self.unforwarded.is_empty());
-        let between = self.client.framer.is_at_boundary() && self.framer.is_at_boundary();
-        let lost = self.client_write_error.is_some() || self.server_write_error.is_some();
-        between
-            && !unsent
-            && !kept
-            && !lost
+        let has_unsent = !(self.client.outgoing.is_empty() && self.to_server.is_empty());
+        let has_unforwarded = !(self.client.unforwarded.is_empty() && self.unforwarded.is_empty());
+        let is_at_boundary = self.client.framer.is_at_boundary() && self.framer.is_at_boundary();
+        let has_write_error =
+            self.client_write_error.is_some() || self.server_write_error.is_some();
+        is_at_boundary
+            && !has_unsent
+            && !has_unforwarded
+            && !has_write_error
             && !self.client.has_final_message
             && self.monitor.migration.is_none()
     }
@@ -235,24 +236,24 @@
     fn relay_to_server(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         let client_connection = &mut self.client;
         client_connection.unforwarded.extend_from_slice(bytes);
-        let mut questions = 0;
-        let followed =
+        let mut request_count = 0;
+        let progress =
             client_connection
                 .framer
-                .advance(&client_connection.unforwarded, &mut |seen| {
-                    questions += usize::from(seen == MessageKind::Request);
+                .advance(&client_connection.unforwarded, &mut |kind| {
+                    request_count += usize::from(kind == MessageKind::Request);
                     true
                 });
-        let FrameProgress { consumed, .. } = followed
+        let FrameProgress { consumed, .. } = progress
             .map_err(|ProtocolError { answer }| ConnectionEnd::ClientProtocolError(answer))?;
-        if self.monitor.pending.len() + questions > MAX_UNANSWERED {
+        if self.monitor.pending.len() + request_count > MAX_UNANSWERED {
             return Err(ConnectionEnd::ClientProtocolError(""));
         }
         self.last_request_at = Instant::now();
         self.monitor
             .pending
-            .extend((0..questions).map(|_| PendingRequest {
-                asked_at: Instant::now(),
+            .extend((0..request_count).map(|_| PendingRequest {
+                sent_at: Instant::now(),
                 is_keepalive: false,
             }));
         let message: Vec<u8> = client_connection.unforwarded.drain(..consumed).collect();
@@ -260,23 +261,23 @@
         Ok(())
     }
 
-    /// Sends a keepalive between two messages if nothing was sent for a while. Otherwise an
-    /// unresponsive server with an idle client would stay unnoticed.
+    /// Sends a keepalive between two messages if nothing was sent for the idle interval. Otherwise
+    /// an unresponsive server with an idle client would not be detected.
     fn send_keepalive(&mut self) {
-        let Some(probe) = self.client.probe else {
+        let Some(keepalive) = self.client.keepalive else {
             return;
         };
-        let idle = self.last_request_at.elapsed() >= probe.idle_interval
+        let is_idle = self.last_request_at.elapsed() >= keepalive.idle_interval
             && self.monitor.pending.is_empty();
-        if !idle || !self.client.framer.is_at_boundary() {
+        if !is_idle || !self.client.framer.is_at_boundary() {
             return;
         }
         self.last_request_at = Instant::now();
         self.monitor.pending.push_back(PendingRequest {
-            asked_at: Instant::now(),
+            sent_at: Instant::now(),
             is_keepalive: true,
         });
-        self.write_to_server(&[probe.request]);
+        self.write_to_server(&[keepalive.request]);
     }
 
     /// Relays what the server sent, up to the last complete message. A pending migration is written
@@ -293,51 +294,56 @@
         self.unforwarded.extend_from_slice(bytes);
         // A message in the same bytes as the migration request has begun; the migration waits for
         // its end.
-        let waits = self.monitor.migration.is_some();
-        let notes = &mut self.monitor;
-        let followed = self
-            .framer
-            .advance(&self.unforwarded, &mut |seen| notes.on_server_message(seen));
+        let is_migrating = self.monitor.migration.is_some();
+        let monitor = &mut self.monitor;
+        let progress = self.framer.advance(&self.unforwarded, &mut |kind| {
+            monitor.on_server_message(kind)
+        });
         let FrameProgress {
             consumed,
             boundary,
             dropped,
-        } = followed.map_err(|_| ConnectionEnd::ServerProtocolError)?;
-        let last = boundary.filter(|_| waits);
-        let end = last.unwrap_or(consumed);
+        } = progress.map_err(|_| ConnectionEnd::ServerProtocolError)?;
+        let migration_boundary = boundary.filter(|_| is_migrating);
+        let end = migration_boundary.unwrap_or(consumed);
         let message: Vec<u8> = self.unforwarded.drain(..consumed).collect();
-        let (mut parts, mut from) = (Vec::with_capacity(dropped.len() + 2), 0);
+        let (mut buffers, mut start) = (Vec::with_capacity(dropped.len() + 2), 0);
         for gap in dropped.iter().filter(|gap| gap.end <= end) {
-            parts.push(&message[from..gap.start]);
-            from = gap.end;
+            buffers.push(&message[start..gap.start]);
+            start = gap.end;
         }
-        parts.push(&message[from..end]);
-        if last.is_some() {
-            parts.push(migration_message);
+        buffers.push(&message[start..end]);
+        if migration_boundary.is_some() {
+            buffers.push(migration_message);
             self.client.has_final_message = true;
         }
-        self.write_to_client(&parts);
+        self.write_to_client(&buffers);
         Ok(())
     }
 }
 
-/// Writes what can be written now. A side whose writes fail gets no more.
-fn write(to: &TcpStream, out: &mut WriteBuffer, parts: &[&[u8]], lost: &mut Option<ErrorKind>) {
-    if lost.is_some() {
+/// Writes what can be written now. After a failed write, nothing more is written to that side.
+fn write(
+    to: &TcpStream,
+    out: &mut WriteBuffer,
+    buffers: &[&[u8]],
+    write_error: &mut Option<ErrorKind>,
+) {
+    if write_error.is_some() {
         return;
     }
-    let written = if parts.is_empty() {
+    let written = if buffers.is_empty() {
         out.flush(to)
     } else {
-        out.send(to, parts)
+        out.send(to, buffers)
     };
     if let Err(error) = written {
-        *lost = Some(error.kind());
+        *write_error = Some(error.kind());
         *out = WriteBuffer::default();
     }
 }
 
-/// Whether a side was reset. One that had closed in order fails with a broken pipe.
-fn was_reset(lost: Option<ErrorKind>) -> bool {
-    lost.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
+/// Whether a side was reset. Writes to a side that closed normally fail with a broken pipe.
+fn was_reset(write_error: Option<ErrorKind>) -> bool {
+    write_error.is_some_and(|kind| kind != ErrorKind::BrokenPipe)
 }
--- a/crates/balancer/src/connections/relay/ending.rs
+++ b/crates/balancer/src/connections/relay/ending.rs
@@ -17,12 +17,12 @@
     }
 
     pub(super) fn server_end(&self) -> ConnectionEnd {
-        let plain = if was_reset(self.server_write_error) {
+        let unannounced_end = if was_reset(self.server_write_error) {
             ConnectionEnd::ServerReset
         } else {
             ConnectionEnd::ServerClosed
         };
-        self.announced_end().unwrap_or(plain)
+        self.announced_end().unwrap_or(unannounced_end)
     }
 
     pub(super) fn client_end(&self) -> ConnectionEnd {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Closes both sides the way that the connection ended. Returns the client and the server to
-    /// linger, or `None` if both were reset.
+    /// Closes or resets both sides, depending on how the connection ended. Returns the client and
+    /// the server to linger, or `None` if both were reset.
     pub fn close(mut self, end: ConnectionEnd) -> Option<(LingeringClose, LingeringClose)> {
         match end {
             ConnectionEnd::ClientReset => {
@@ -68,20 +68,20 @@
                 net::reset_on_close(&self.client.client);
                 return None;
             }
-            ConnectionEnd::ClientProtocolError(migration_message)
+            ConnectionEnd::ClientProtocolError(answer)
                 if !self.client.has_final_message && self.framer.is_at_boundary() =>
             {
-                self.write_to_client(&[migration_message.as_bytes()]);
+                self.write_to_client(&[answer.as_bytes()]);
             }
             _ => {}
         }
-        // What the server has not taken belongs to a client that closes or migrates.
+        // Unsent bytes for the server are dropped: their client closes or migrates.
         let server = LingeringClose::start(self.server, WriteBuffer::default(), b"");
         Some((self.client.close_with(b""), server))
     }
 
     /// Shuts down the write side to a server whose client has half-closed.
-    pub fn finish_server(&mut self) {
+    pub fn shutdown_server_write(&mut self) {
         self.flush(Side::Server);
         net::shutdown_write(&self.server);
     }
--- a/crates/balancer/src/inherited.rs
+++ b/crates/balancer/src/inherited.rs
@@ -1,9 +1,9 @@
 //! The clients' listener inherited by descriptor number (`LB_INHERITED_FD`), so that a process can
 //! be replaced while both accept from one queue.
 //!
-//! Safe code can't make a listener of a number. The crate `listenfd` does, for numbers passed by
-//! the convention of `LISTEN_FDS`; the program executes itself again with the number under those
-//! names.
+//! Safe code can't create a listener from a descriptor number. The crate `listenfd` can, for
+//! numbers passed by the convention of `LISTEN_FDS`; the program therefore executes itself again
+//! with the number in those variables.
 
 use std::net::TcpListener;
 use std::os::unix::process::CommandExt;
@@ -24,31 +24,36 @@
     let Ok(text) = std::env::var(FD_VARIABLE) else {
         return Ok(None);
     };
-    let fault = |why: String| format!("{FD_VARIABLE}: {text:?}: {why}");
+    let error_text = |reason: String| format!("{FD_VARIABLE}: {text:?}: {reason}");
     let number: i32 = text
         .parse()
         .ok()
         .filter(|number| *number >= 0)
-        .ok_or_else(|| fault("no descriptor's number".into()))?;
-    let own = std::process::id().to_string();
-    if std::env::var("LISTEN_PID").ok().as_ref() != Some(&own) {
-        let program = std::env::current_exe().map_err(|error| fault(error.to_string()))?;
-        let mut again = Command::new(program);
-        again.args(std::env::args_os().skip(1));
-        again
+        .ok_or_else(|| error_text("not a descriptor number".into()))?;
+    let own_pid = std::process::id().to_string();
+    if std::env::var("LISTEN_PID").ok().as_ref() != Some(&own_pid) {
+        let program = std::env::current_exe().map_err(|error| error_text(error.to_string()))?;
+        let mut command = Command::new(program);
+        command.args(std::env::args_os().skip(1));
+        command
             .env("LISTEN_FDS", "1")
             .env("LISTEN_FDS_FIRST_FD", number.to_string())
-            .env("LISTEN_PID", own);
-        // The process id stays the same.
-        return Err(fault(format!("starting anew: {}", again.exec())));
+            .env("LISTEN_PID", own_pid);
+        // The process id does not change, so that LISTEN_PID is still right. On success, exec does
+        // not return.
+        return Err(error_text(format!(
+            "could not execute the program again: {}",
+            command.exec()
+        )));
     }
-    let taken = ListenFd::from_env()
+    let inherited = ListenFd::from_env()
         .take_tcp_listener(0)
-        .map_err(|error| fault(error.to_string()))?;
-    let listener = taken.ok_or_else(|| fault("not handed over".into()))?;
+        .map_err(|error| error_text(error.to_string()))?;
+    let listener =
+        inherited.ok_or_else(|| error_text("the descriptor was not passed on".into()))?;
     match SockRef::from(&listener).is_listener() {
         Ok(true) => Ok(Some(listener)),
-        Ok(false) => Err(fault("not a listening socket".into())),
-        Err(error) => Err(fault(error.to_string())),
+        Ok(false) => Err(error_text("not a listening socket".into())),
+        Err(error) => Err(error_text(error.to_string())),
     }
 }
--- a/crates/balancer/src/poller.rs
+++ b/crates/balancer/src/poller.rs
@@ -16,7 +16,7 @@
 /// The waker's token.
 const WAKER_TOKEN: u64 = u64::MAX;
 
-/// Polls streams by token for the events that are wanted of them.
+/// Polls streams for wanted events; each stream is identified by a token.
 pub struct Poller {
     epoll: OwnedFd,
     waker: Waker,
@@ -50,13 +50,13 @@
         Ok(Poller { epoll, waker })
     }
 
-    /// Its waker.
+    /// A waker, which ends a wait from any thread.
     pub fn waker(&self) -> Waker {
         self.waker.clone()
     }
 
-    /// Changes the events that a stream is polled for. One without any is not polled, since its end
-    /// would end every wait.
+    /// Changes the events that a stream is polled for. A stream without events is not polled, since
+    /// it would end every wait once it is closed.
     pub fn set_interest(
         &self,
         stream: &impl AsFd,
@@ -72,16 +72,16 @@
         }
     }
 
-    /// Waits until a stream is ready, the waker is used or the time is over; returns the tokens
+    /// Waits until a stream is ready, a waker is used or the time is over; returns the tokens
     /// that are ready. May return early.
-    pub fn wait(&self, patience: Duration) -> Vec<u64> {
-        let seconds = i64::try_from(patience.as_secs()).unwrap_or(i64::MAX);
-        let until = Timespec {
+    pub fn wait(&self, timeout: Duration) -> Vec<u64> {
+        let seconds = i64::try_from(timeout.as_secs()).unwrap_or(i64::MAX);
+        let timespec = Timespec {
             tv_sec: seconds,
-            tv_nsec: patience.subsec_nanos().into(),
+            tv_nsec: timeout.subsec_nanos().into(),
         };
         let mut ready: Vec<Event> = Vec::with_capacity(MAX_EVENTS);
-        let _ = epoll::wait(&self.epoll, spare_capacity(&mut ready), Some(&until));
+        let _ = epoll::wait(&self.epoll, spare_capacity(&mut ready), Some(&timespec));
         let tokens: Vec<u64> = ready.iter().map(|event| event.data.u64()).collect();
         if tokens.contains(&WAKER_TOKEN) {
             let _ = rustix::io::read(&*self.waker.0, &mut [0; 8]);
