--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -351,7 +351,7 @@
             AttemptError::NotServed(ServerAnswer::Redirected)
                 | AttemptError::ConnectionEnded(ConnectionEnd::Redirected)
         ) {
-            shared.core.send(CoreInput::ServerSentAway(self.id));
+            shared.core.send(CoreInput::ServerRedirectedClient(self.id));
         }
         shared.core.send(CoreInput::AttemptEnded {
             id: self.id,
--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -82,7 +82,7 @@
     fastest_setups: Vec<Quickest>,
     config: AdmissionConfig,
     /// The site's settings, which name classes, accounts and quotas.
-    in_force: Arc<ActiveSettings>,
+    active_settings: Arc<ActiveSettings>,
     /// Seed of the queue's shuffle shards, also of a queue that replaces this one.
     seed: u64,
     /// Evicted entries that have not been answered.
@@ -93,18 +93,18 @@
 
 impl AdmissionControl {
     pub(super) fn new(
-        in_force: Arc<ActiveSettings>,
+        active_settings: Arc<ActiveSettings>,
         config: AdmissionConfig,
         seed: u64,
     ) -> AdmissionControl {
-        let settings = in_force.setup().policy_settings();
+        let settings = active_settings.setup().policy_settings();
         AdmissionControl {
-            queue: AdmissionQueue::new(&urgencies(&settings.classes), config.limits, seed),
+            queue: AdmissionQueue::new(&queue_weights_of(&settings.classes), config.limits, seed),
             accounts: AccountTable::default(),
             reconnects: RejectedClients::default(),
             fastest_setups: vec![Quickest::default(); settings.classes.len()],
             config,
-            in_force,
+            active_settings,
             seed,
             evicted: Vec::new(),
             timer_at: None,
@@ -116,17 +116,17 @@
     fn quota(&self, client_request: &ClientRequest) -> f64 {
         let account_id = client_request.account.as_deref();
         let configured = || self.config.quotas.get(account_id?).copied();
-        let listed = || self.in_force.setup().tenant_shares();
+        let listed = || self.active_settings.setup().tenant_shares();
         let named = || {
             listed()
                 .find(|(name, _)| Some(*name) == account_id)
                 .map(|(_, share)| share)
         };
-        let least = || listed().map(|(_, share)| share).reduce(f64::min);
+        let min_listed = || listed().map(|(_, share)| share).reduce(f64::min);
         configured()
             .or(client_request.quota)
             .or_else(named)
-            .or_else(least)
+            .or_else(min_listed)
             .unwrap_or(1.0)
     }
 
@@ -143,7 +143,7 @@
             .or(client_request.group)
             .unwrap_or(id);
         // The expectation is used up even if the client reports the reconnect itself.
-        let known = client_request
+        let is_expected = client_request
             .client_key
             .is_some_and(|key| self.reconnects.take_return(now, key));
         let quickest = self
@@ -152,13 +152,13 @@
             .map_or(0, Quickest::get);
         Entry {
             id,
-            account: account(client_request),
+            account: account_id(client_request),
             share: self.quota(client_request),
-            class: self.in_force.current_index(client_request.class),
+            class: self.active_settings.current_index(client_request.class),
             // A group of ten thousand sites is one flow and fills no more queues than any other.
             flow: client_request.group.unwrap_or(client),
             deadline: give_up_at.saturating_sub(quickest),
-            is_returning: known || client_request.is_reconnect,
+            is_returning: is_expected || client_request.is_reconnect,
             bytes: u32::try_from(size_of::<RequestState>() + client_request.buffered_bytes)
                 .unwrap_or(u32::MAX),
         }
@@ -187,13 +187,13 @@
         self.accounts.admitted(now, entry.account, waited);
     }
 
-    pub(super) fn count_missed(&mut self, entry: &Entry, how: NotAdmitted) {
-        self.accounts.missed(entry.account, how);
+    pub(super) fn count_not_admitted(&mut self, entry: &Entry, reason: NotAdmitted) {
+        self.accounts.missed(entry.account, reason);
     }
 
-    pub(super) fn record_setup(&mut self, class: usize, took: Nanos) {
-        if let Some(quickest) = self.fastest_setups.get_mut(class) {
-            quickest.took(took);
+    pub(super) fn record_setup(&mut self, class: usize, duration: Nanos) {
+        if let Some(fastest) = self.fastest_setups.get_mut(class) {
+            fastest.took(duration);
         }
     }
 
@@ -211,25 +211,25 @@
     /// classes and quotas.
     pub(super) fn replace_settings(
         &mut self,
-        in_force: &Arc<ActiveSettings>,
+        active_settings: &Arc<ActiveSettings>,
         requests: &mut RequestTable,
     ) {
-        let before = std::mem::replace(&mut self.in_force, Arc::clone(in_force));
-        let classes = in_force.policy_settings().classes.len();
+        let previous = std::mem::replace(&mut self.active_settings, Arc::clone(active_settings));
+        let classes = active_settings.policy_settings().classes.len();
         self.fastest_setups.resize_with(classes, Quickest::default);
-        if before.setup().has_same_queue(in_force.setup()) {
+        if previous.setup().has_same_queue(active_settings.setup()) {
             return;
         }
         requests.update_queue_entries(|client_request, entry| Entry {
             share: self.quota(client_request),
-            class: in_force.current_index(client_request.class),
+            class: active_settings.current_index(client_request.class),
             ..entry
         });
-        let queue_weights = urgencies(&in_force.setup().policy_settings().classes);
-        let door = AdmissionQueue::new(&queue_weights, self.queue.limits(), self.seed);
-        let mut before = std::mem::replace(&mut self.queue, door);
-        while let Some(waits) = before.admit() {
-            if let Some(request_state) = requests.get(waits.id) {
+        let queue_weights = queue_weights_of(&active_settings.setup().policy_settings().classes);
+        let queue = AdmissionQueue::new(&queue_weights, self.queue.limits(), self.seed);
+        let mut previous_queue = std::mem::replace(&mut self.queue, queue);
+        while let Some(queued) = previous_queue.admit() {
+            if let Some(request_state) = requests.get(queued.id) {
                 self.enqueue(request_state.entry);
             }
         }
@@ -244,32 +244,32 @@
     }
 
     pub(super) fn snapshot(&self, now: Nanos) -> AdmissionSnapshot {
-        let all = self.accounts.all();
-        let row = |(id, tally): &(u64, &AccountStatistics)| AccountSnapshot {
-            name: tally.name.clone().into(),
+        let accounts = self.accounts.all();
+        let row = |(id, statistics): &(u64, &AccountStatistics)| AccountSnapshot {
+            name: statistics.name.clone().into(),
             quota: self.accounts.entitled_fraction(*id),
-            admitted_per_s: tally.per_second(now),
+            admitted_per_s: statistics.per_second(now),
             queued: self.queue.waiting_of(*id),
-            counts: tally.counts,
-            wait_p50_ms: tally.waits.value_at_quantile(0.5),
-            wait_p99_ms: tally.waits.value_at_quantile(0.99),
+            counts: statistics.counts,
+            wait_p50_ms: statistics.waits.value_at_quantile(0.5),
+            wait_p99_ms: statistics.waits.value_at_quantile(0.99),
         };
         AdmissionSnapshot {
             queued: self.queue.len(),
             bytes: self.queue.bytes(),
             limits: self.queue.limits(),
-            accounts: all.iter().map(row).collect(),
+            accounts: accounts.iter().map(row).collect(),
         }
     }
 }
 
 /// Weights of the classes in the admission queue.
-fn urgencies(classes: &[RequestClass]) -> Vec<f64> {
+fn queue_weights_of(classes: &[RequestClass]) -> Vec<f64> {
     classes.iter().map(RequestClass::queue_weight).collect()
 }
 
 /// The id of an account.
-fn account(client_request: &ClientRequest) -> u64 {
+fn account_id(client_request: &ClientRequest) -> u64 {
     client_request.account.as_deref().map_or(0, digest)
 }
 
@@ -292,13 +292,15 @@
                 break;
             }
         }
-        let end = self.admission.queue.next_end();
-        if let Some(end) =
-            end.filter(|end| self.admission.timer_at.is_none_or(|wakes| *end < wakes))
-        {
-            self.admission.timer_at = Some(end);
+        let expires_at = self.admission.queue.next_end();
+        if let Some(expires_at) = expires_at.filter(|expires_at| {
+            self.admission
+                .timer_at
+                .is_none_or(|timer_at| *expires_at < timer_at)
+        }) {
+            self.admission.timer_at = Some(expires_at);
             self.set_timer(
-                Duration::from_nanos(end.saturating_sub(self.clock.now())),
+                Duration::from_nanos(expires_at.saturating_sub(self.clock.now())),
                 TimerKind::QueueExpiry,
             );
         }
@@ -323,26 +325,29 @@
 
     /// Logs accounts that have been over their quota for long, and their return.
     pub(super) fn log_over_quota(&mut self) {
-        let bound = self.admission.config.over_quota_after;
-        let bound = Nanos::try_from(bound.as_nanos()).unwrap_or(Nanos::MAX);
+        let min_duration = self.admission.config.over_quota_after;
+        let min_duration = Nanos::try_from(min_duration.as_nanos()).unwrap_or(Nanos::MAX);
         for QuotaExcess {
             name,
             fraction,
             entitled_fraction,
             duration,
-        } in self.admission.accounts.over_share(self.clock.now(), bound)
+        } in self
+            .admission
+            .accounts
+            .over_share(self.clock.now(), min_duration)
         {
-            let (part, due) = (
+            let (fraction_text, entitled_text) = (
                 format!("{:.0}%", fraction * 100.0),
                 format!("{:.0}%", entitled_fraction * 100.0),
             );
             match duration {
-                Some(lasts) => {
-                    let for_s = lasts / 1_000_000_000;
-                    warn!(part = self.name, account = %name, of_all = part, due, for_s, "account over its quota");
+                Some(duration_ns) => {
+                    let for_s = duration_ns / 1_000_000_000;
+                    warn!(part = self.name, account = %name, of_all = fraction_text, due = entitled_text, for_s, "account over its quota");
                 }
                 None => {
-                    info!(part = self.name, account = %name, of_all = part, due, "account within its quota")
+                    info!(part = self.name, account = %name, of_all = fraction_text, due = entitled_text, "account within its quota")
                 }
             }
         }
--- a/crates/balancer/src/core/affinity.rs
+++ b/crates/balancer/src/core/affinity.rs
@@ -22,7 +22,7 @@
 
 /// Session affinity of one core.
 pub struct SessionAffinity {
-    memory: PlacementTable,
+    placements: PlacementTable,
     /// Placements of the connections established here.
     established: BTreeMap<u64, (Key, Stamp)>,
     /// Interval at which placements and the running version are published again.
@@ -31,11 +31,12 @@
 
 impl SessionAffinity {
     /// Creates session affinity over a memory that runs a version; a placement is remembered for
-    /// `life` after it was last published.
-    pub fn new(memory: PlacementTable, life: Duration) -> SessionAffinity {
-        let refresh_interval = (life / 4).clamp(Duration::from_secs(1), Duration::from_secs(100));
+    /// `retention` after it was last published.
+    pub fn new(placements: PlacementTable, retention: Duration) -> SessionAffinity {
+        let refresh_interval =
+            (retention / 4).clamp(Duration::from_secs(1), Duration::from_secs(100));
         SessionAffinity {
-            memory,
+            placements,
             established: BTreeMap::new(),
             refresh_interval,
         }
@@ -79,12 +80,12 @@
     /// continues.
     fn with_affinity<T>(
         &mut self,
-        act: impl FnOnce(&mut SessionAffinity, &EndpointRegistry, Millis) -> T,
+        action: impl FnOnce(&mut SessionAffinity, &EndpointRegistry, Millis) -> T,
     ) -> Option<T> {
         let now = self.now_ms();
-        let (endpoints, ties) = (&self.endpoints, self.fleet.as_mut()?.affinity.as_mut()?);
-        let done = catch_unwind(AssertUnwindSafe(|| act(ties, endpoints, now)));
-        if done.is_err() {
+        let (endpoints, affinity) = (&self.endpoints, self.fleet.as_mut()?.affinity.as_mut()?);
+        let result = catch_unwind(AssertUnwindSafe(|| action(affinity, endpoints, now)));
+        if result.is_err() {
             error!(
                 part = "affinity",
                 "panicked; no client is led back until a restart"
@@ -93,14 +94,15 @@
                 fleet_link.affinity = None;
             }
         }
-        done.ok()
+        result.ok()
     }
 
     /// The affinity pin of a request.
     pub(super) fn affinity_pin(&mut self, id: u64, client_request: &ClientRequest) -> Option<Pin> {
         let client = affinity_client(client_request)?;
-        let advice = self
-            .with_affinity(|ties, endpoints, now| ties.memory.advise(&client, endpoints, now))??;
+        let advice = self.with_affinity(|affinity, endpoints, now| {
+            affinity.placements.advise(&client, endpoints, now)
+        })??;
         let server = self.endpoints.by_hash(advice.server.0)?;
         let name = self
             .endpoints
@@ -125,46 +127,50 @@
         let Some(tag) = self.endpoints.name_hash(server) else {
             return;
         };
-        let placed = self.with_affinity(|ties, _, now| {
-            let placed = ties
-                .memory
+        let placement = self.with_affinity(|affinity, _, now| {
+            let placement = affinity
+                .placements
                 .record_established(&client, Tag(tag), now)
                 .ok()?;
-            ties.established.insert(id, (placed.key, placed.stamp));
-            Some(placed)
+            affinity
+                .established
+                .insert(id, (placement.key, placement.stamp));
+            Some(placement)
         });
-        self.publish_placement(placed.flatten());
+        self.publish_placement(placement.flatten());
     }
 
     /// Records the end of a connection or its migration.
-    pub(super) fn end_placement(&mut self, id: u64, how: EndReason) {
-        let ended = self.with_affinity(|ties, _, now| {
-            let (key, stamp) = ties.established.remove(&id)?;
-            ties.memory.record_ended(key, stamp, how, now)
+    pub(super) fn end_placement(&mut self, id: u64, reason: EndReason) {
+        let placement = self.with_affinity(|affinity, _, now| {
+            let (key, stamp) = affinity.established.remove(&id)?;
+            affinity.placements.record_ended(key, stamp, reason, now)
         });
-        self.publish_placement(ended.flatten());
+        self.publish_placement(placement.flatten());
     }
 
-    fn publish_placement(&self, placed: Option<Placement>) {
-        self.publish(|_| placed.map(|placed| CoreEvent::PlacementsChanged(vec![placed])));
+    fn publish_placement(&self, placement: Option<Placement>) {
+        self.publish(|_| placement.map(|placement| CoreEvent::PlacementsChanged(vec![placement])));
         self.publish_placement_count();
     }
 
     /// Publishes the number of remembered placements.
     fn publish_placement_count(&self) {
         self.publish(|core| {
-            let ties = core.fleet.as_ref()?.affinity.as_ref()?;
+            let affinity = core.fleet.as_ref()?.affinity.as_ref()?;
             Some(CoreEvent::RememberedPlacements(
-                ties.memory.counts().entries,
+                affinity.placements.counts().entries,
             ))
         });
     }
 
     /// Drops what was remembered of servers that have restarted.
     pub(super) fn record_server_starts(&mut self) {
-        self.with_affinity(|ties, endpoints, _| {
+        self.with_affinity(|affinity, endpoints, _| {
             for (tag, started_at) in endpoints.starts() {
-                ties.memory.record_server_start(Tag(tag), started_at);
+                affinity
+                    .placements
+                    .record_server_start(Tag(tag), started_at);
             }
         });
     }
@@ -172,25 +178,30 @@
     /// Handles an event from peers or the stored memory.
     pub(super) fn on_affinity_event(&mut self, event: AffinityEvent) {
         match event {
-            AffinityEvent::Placements(told) => {
-                self.with_affinity(|ties, _, now| ties.memory.merge_all(&told, now));
+            AffinityEvent::Placements(placements) => {
+                self.with_affinity(|affinity, _, now| {
+                    affinity.placements.merge_all(&placements, now)
+                });
                 self.publish_placement_count();
             }
             AffinityEvent::Versions(facts) => {
-                self.with_affinity(|ties, _, now| {
+                self.with_affinity(|affinity, _, now| {
                     for fact in &facts {
-                        if ties.memory.merge_version(fact, now) {
+                        if affinity.placements.merge_version(fact, now) {
                             info!(part = "affinity", version = %fact.version, serial = fact.serial, "a version is run elsewhere");
                         }
                     }
                 });
             }
             AffinityEvent::BalancerDied(origin) => {
-                self.with_affinity(|ties, _, _| ties.memory.record_balancer_death(origin));
+                self.with_affinity(|affinity, _, _| {
+                    affinity.placements.record_balancer_death(origin)
+                });
             }
             AffinityEvent::VersionAdopted(version, serial) => {
-                let adopted =
-                    self.with_affinity(|ties, _, now| ties.memory.adopt(version, serial, now));
+                let adopted = self.with_affinity(|affinity, _, now| {
+                    affinity.placements.adopt(version, serial, now)
+                });
                 if let Some(adopted) = adopted {
                     info!(part = "affinity", version = %version, serial, how = ?adopted, "version runs here");
                 }
@@ -200,35 +211,40 @@
     }
 
     fn publish_version(&mut self) {
-        let runs = self
-            .with_affinity(|ties, _, now| ties.memory.refresh_current_version(now))
+        let fact = self
+            .with_affinity(|affinity, _, now| affinity.placements.refresh_current_version(now))
             .flatten();
-        self.publish(|_| runs.map(CoreEvent::VersionRuns));
+        self.publish(|_| fact.map(CoreEvent::VersionRuns));
     }
 
     /// Publishes established placements again, and drops expired ones.
     pub(super) fn refresh_affinity(&mut self) {
-        let standing = self.with_affinity(|ties, _, now| {
-            ties.memory.expire(now, MAX_EXPIRED_PER_REFRESH);
-            let stands = ties
+        let placements = self.with_affinity(|affinity, _, now| {
+            affinity.placements.expire(now, MAX_EXPIRED_PER_REFRESH);
+            let refreshed = affinity
                 .established
                 .values()
-                .filter_map(|(key, stamp)| ties.memory.refresh(*key, *stamp, now));
-            (stands.collect::<Vec<Placement>>(), ties.refresh_interval)
+                .filter_map(|(key, stamp)| affinity.placements.refresh(*key, *stamp, now));
+            (
+                refreshed.collect::<Vec<Placement>>(),
+                affinity.refresh_interval,
+            )
         });
-        let Some((standing, again)) = standing else {
+        let Some((placements, refresh_interval)) = placements else {
             return;
         };
         self.publish_placement_count();
-        self.publish(|_| (!standing.is_empty()).then_some(CoreEvent::PlacementsChanged(standing)));
+        self.publish(|_| {
+            (!placements.is_empty()).then_some(CoreEvent::PlacementsChanged(placements))
+        });
         self.publish_version();
-        self.set_timer(again, TimerKind::AffinityRefresh);
+        self.set_timer(refresh_interval, TimerKind::AffinityRefresh);
     }
 }
 
 /// How a migration ends a placement.
-pub(super) fn end_by_migration(why: MigrationReason) -> EndReason {
-    match why {
+pub(super) fn end_reason_of_migration(reason: MigrationReason) -> EndReason {
+    match reason {
         MigrationReason::ServerLeaving => EndReason::MigratedServerLeaving,
         MigrationReason::SlowMessages => EndReason::MigratedSlowMessages,
         MigrationReason::Rebalancing | MigrationReason::SlowStart => EndReason::MigratedRebalancing,
@@ -236,7 +252,7 @@
 }
 
 /// How the end of a connection ends a placement.
-pub(super) fn end_by_outcome(outcome: AttemptOutcome) -> EndReason {
+pub(super) fn end_reason_of_outcome(outcome: AttemptOutcome) -> EndReason {
     if outcome == AttemptOutcome::Served {
         EndReason::ClosedByClient
     } else {
--- a/crates/balancer/src/core/attempts.rs
+++ b/crates/balancer/src/core/attempts.rs
@@ -18,16 +18,16 @@
 const SLOW_REPORT_INTERVAL: Nanos = 1_000_000_000;
 
 impl Core {
-    pub(super) fn apply_list(&mut self, list: ServerList, known: bool) {
+    pub(super) fn apply_list(&mut self, list: ServerList, is_cached: bool) {
         let (count, reset, generation) = (list.instances.len(), list.reset, list.generation);
         for listed in &list.instances {
             debug!(part = self.name, entry = ?listed, "listed");
         }
-        self.publish(|_| Some(CoreEvent::ListApplied(list.clone(), known)));
-        let entries = self
-            .endpoints
-            .apply_list(list, self.now_ms(), |zone| self.in_force.setup().zone(zone));
-        let update = match (known, reset) {
+        self.publish(|_| Some(CoreEvent::ListApplied(list.clone(), is_cached)));
+        let entries = self.endpoints.apply_list(list, self.now_ms(), |zone| {
+            self.active_settings.setup().zone(zone)
+        });
+        let update = match (is_cached, reset) {
             (true, _) => policy::ListUpdate::Cached,
             (false, true) => policy::ListUpdate::Snapshot,
             (false, false) => policy::ListUpdate::Delta,
@@ -37,17 +37,17 @@
         self.record_server_starts();
         self.apply_overrides();
         // An empty default list says nothing about the servers.
-        if !known || count > 0 {
+        if !is_cached || count > 0 {
             // The program's own commands are never refused.
             let _ = self.on_lifecycle_command(LifecycleCommand::ServersKnown);
         }
     }
 
     /// The watch ended; the policy decides when to ask again.
-    pub(super) fn on_list_lost(&mut self, kind: policy::ListUpdate) {
+    pub(super) fn on_discovery_lost(&mut self, update: policy::ListUpdate) {
         self.publish(|_| Some(CoreEvent::DiscoveryLost));
         self.run_policy(policy::Event::ServerList {
-            update: kind,
+            update,
             entries: Vec::new(),
         });
     }
@@ -122,11 +122,11 @@
         };
         debug!(part = self.name, request = id, ?metric, "measured");
         if let ConnectionMetric::MessageLatency(delay) = metric {
-            let slow = Duration::from_nanos(delay) >= self.timeouts.slow();
+            let is_slow = Duration::from_nanos(delay) >= self.timeouts.slow_message_threshold();
             if !self.endpoints.should_report_latency(
                 server,
                 self.clock.now(),
-                slow,
+                is_slow,
                 SLOW_REPORT_INTERVAL,
             ) {
                 return;
@@ -140,20 +140,20 @@
     }
 
     pub(super) fn snapshot(&self) -> CoreSnapshot {
-        let standing = self.requests.established_by_server();
+        let established = self.requests.established_by_server();
         CoreSnapshot {
             counts: self.requests.counts.clone(),
             open_requests: self.requests.len(),
-            established: standing.values().sum(),
-            servers: self.endpoints.snapshots(&standing),
+            established: established.values().sum(),
+            servers: self.endpoints.snapshots(&established),
             coverage: self.coverage.clone(),
             queued: self.admission.queued(),
             has_lost_overrides: self.has_lost_overrides,
         }
     }
 
-    pub(super) fn log_counts(&self, look: &CoreSnapshot) {
-        let counts = &look.counts;
+    pub(super) fn log_counts(&self, snapshot: &CoreSnapshot) {
+        let counts = &snapshot.counts;
         let [
             ok,
             error,
@@ -166,9 +166,9 @@
         ] = counts.outcomes;
         info!(
             part = self.name,
-            open = look.open_requests,
-            waiting = look.queued,
-            standing = look.established,
+            open = snapshot.open_requests,
+            waiting = snapshot.queued,
+            standing = snapshot.established,
             opened = counts.opened,
             adopted = counts.adopted,
             served = counts.served,
--- a/crates/balancer/src/core/connect.rs
+++ b/crates/balancer/src/core/connect.rs
@@ -21,7 +21,7 @@
         client_request: ClientRequest,
         commands: Arc<dyn CommandSender>,
     ) {
-        let held = client_request.resumed_server.is_some();
+        let is_resumed = client_request.resumed_server.is_some();
         let now = self.now_ms();
         let pin = self
             .with_overrides(|core| {
@@ -29,7 +29,7 @@
                     .pin(client_request.group, client_request.tenant, now)
             })
             .flatten();
-        let affinity_pin = if held || pin.is_some() {
+        let affinity_pin = if is_resumed || pin.is_some() {
             None
         } else {
             self.affinity_pin(id, &client_request)
@@ -40,7 +40,7 @@
         let entry = self
             .admission
             .entry(id, &client_request, deadline_at, self.clock.now());
-        if !held {
+        if !is_resumed {
             self.admission
                 .count_request(self.clock.now(), &client_request, &entry);
         }
@@ -51,7 +51,7 @@
         if !self.accepts_new_requests() {
             // A connection placed now would have to be migrated at once.
             self.send_final_answer(id, ConnectionCommand::Reject(None));
-        } else if held {
+        } else if is_resumed {
             self.resume_connection(id);
         } else if !self.request_staged_admission(id) {
             self.run_policy(policy::Event::ConnectRequested(connect_request));
--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -61,9 +61,9 @@
                 );
             }
             Action::Fail(request) => self.send_final_answer(request.0, ConnectionCommand::Fail),
-            Action::Migrate(request, why) => {
-                self.end_placement(request.0, affinity::end_by_migration(why));
-                self.migrate(request.0, migration_reason(why));
+            Action::Migrate(request, reason) => {
+                self.end_placement(request.0, affinity::end_reason_of_migration(reason));
+                self.migrate(request.0, migration_reason(reason));
             }
             Action::Enqueue(request) => {
                 if let Some(request_state) = self.requests.get(request.0) {
@@ -74,8 +74,10 @@
                 self.set_timer(Duration::from_nanos(after), TimerKind::Policy(timer))
             }
             Action::ProbeServer(server) => {
-                if let (Some(asker), Some(to)) = (&self.prober, self.endpoints.endpoint(server)) {
-                    asker.probe(server, to);
+                if let (Some(prober), Some(endpoint)) =
+                    (&self.prober, self.endpoints.endpoint(server))
+                {
+                    prober.probe(server, endpoint);
                 }
             }
             Action::WatchServerList => self.poll_discovery(),
@@ -90,13 +92,13 @@
         &mut self,
         id: u64,
         server: ServerId,
-        within: Duration,
+        timeout: Duration,
         timing: AttemptTiming,
     ) {
         let Some(endpoint) = self.endpoints.endpoint(server) else {
             return self.give_up_on(id);
         };
-        debug!(part = self.name, request = id, server = %endpoint.name, ?within, "attempt");
+        debug!(part = self.name, request = id, server = %endpoint.name, within = ?timeout, "attempt");
         let now = self.clock.now();
         let command = ConnectionCommand::StartAttempt { endpoint, timing };
         self.publish_slow_start_attempt(server, now);
@@ -105,13 +107,13 @@
         }
     }
 
-    pub(super) fn send_final_answer(&mut self, id: u64, order: ConnectionCommand) {
-        debug!(part = self.name, request = id, answer = ?order, "final answer");
-        match order {
+    pub(super) fn send_final_answer(&mut self, id: u64, answer: ConnectionCommand) {
+        debug!(part = self.name, request = id, answer = ?answer, "final answer");
+        match answer {
             ConnectionCommand::Reject(_) => self.requests.counts.rejected += 1,
             _ => self.requests.counts.failed += 1,
         }
-        self.requests.send_command(id, order);
+        self.requests.send_command(id, answer);
         if let Some(request_state) = self.requests.close(id) {
             self.close_in_queue(&request_state, None);
         }
@@ -119,8 +121,8 @@
 
     /// Sends the final answer of a request that the policy no longer decides on.
     pub(super) fn give_up_on(&mut self, id: u64) {
-        if let Some(order) = self.requests.get(id).map(RequestState::final_answer) {
-            self.send_final_answer(id, order);
+        if let Some(answer) = self.requests.get(id).map(RequestState::final_answer) {
+            self.send_final_answer(id, answer);
         }
     }
 
@@ -128,24 +130,25 @@
     pub(super) fn close_in_queue(
         &mut self,
         request_state: &RequestState,
-        how: Option<NotAdmitted>,
+        reason: Option<NotAdmitted>,
     ) {
         self.admission.remove(request_state.entry.id);
         if request_state.has_no_attempt() {
-            let late =
+            let has_timed_out =
                 request_state.has_expired_in_queue || self.clock.now() >= request_state.deadline_at;
-            let how = how.unwrap_or(if late {
+            let reason = reason.unwrap_or(if has_timed_out {
                 NotAdmitted::TimedOut
             } else {
                 NotAdmitted::Rejected
             });
-            self.admission.count_missed(&request_state.entry, how);
+            self.admission
+                .count_not_admitted(&request_state.entry, reason);
         }
     }
 
     /// Asks a client to reconnect, and expects it to come back.
-    pub(super) fn migrate(&mut self, id: u64, why: &'static str) {
-        debug!(part = self.name, request = id, why, "migrated");
+    pub(super) fn migrate(&mut self, id: u64, reason: &'static str) {
+        debug!(part = self.name, request = id, why = reason, "migrated");
         self.requests.send_command(id, ConnectionCommand::Migrate);
         if let Some(key) = self
             .requests
@@ -166,7 +169,7 @@
         };
         self.policy = balancer;
         self.timers
-            .retain(|Reverse((_, _, due))| !matches!(due, TimerKind::Policy(_)));
+            .retain(|Reverse((_, _, kind))| !matches!(kind, TimerKind::Policy(_)));
         self.run_policy(policy::Event::ServerList {
             update: policy::ListUpdate::Snapshot,
             entries: self.endpoints.entries(),
@@ -176,8 +179,8 @@
         if self.settings.discovery == policy::DiscoveryMode::Pushed {
             self.poll_discovery();
         }
-        for (id, place) in self.requests.phases() {
-            match place {
+        for (id, phase) in self.requests.phases() {
+            match phase {
                 RequestPhase::Established(server) => {
                     let Some(request) = self.requests.renumber_attempt(id) else {
                         continue;
@@ -192,8 +195,8 @@
 }
 
 /// The log's text for a migration.
-fn migration_reason(why: policy::MigrationReason) -> &'static str {
-    match why {
+fn migration_reason(reason: policy::MigrationReason) -> &'static str {
+    match reason {
         policy::MigrationReason::ServerLeaving => "its server leaves",
         policy::MigrationReason::SlowMessages => "messages at its server are late",
         policy::MigrationReason::Rebalancing => "its server holds too much",
--- a/crates/balancer/src/core/drain.rs
+++ b/crates/balancer/src/core/drain.rs
@@ -7,7 +7,7 @@
 use beaconflow_policy::Nanos;
 use tracing::info;
 
-use super::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use super::lifecycle::{CommandRefusedError, LifecycleCommand, LifecycleState};
 use super::requests::RequestPhase;
 use super::{ConnectionCommand, Core, TimerKind};
 
@@ -75,7 +75,7 @@
     pub(super) fn on_lifecycle_command(
         &mut self,
         command: LifecycleCommand,
-    ) -> Result<LifecycleState, CommandRefused> {
+    ) -> Result<LifecycleState, CommandRefusedError> {
         let before = self.lifecycle.state();
         let after = self.lifecycle.apply(command)?;
         if after == before {
@@ -106,21 +106,21 @@
             started_at: self.clock.now(),
             schedule,
         });
-        let standing: Vec<u64> = self.requests.migratable().map(|(id, _)| id).collect();
-        let count = u32::try_from(standing.len().max(1)).unwrap_or(u32::MAX);
-        for (at, id) in (0..).zip(standing) {
+        let migratable: Vec<u64> = self.requests.migratable().map(|(id, _)| id).collect();
+        let count = u32::try_from(migratable.len().max(1)).unwrap_or(u32::MAX);
+        for (index, id) in (0..).zip(migratable) {
             self.offer_handover(id);
             self.set_timer(
-                schedule.migrate * at / count,
+                schedule.migrate * index / count,
                 TimerKind::DrainMigration(self.drains, id),
             );
         }
-        let looks_after = if self.lifecycle.state() == LifecycleState::ShuttingDown {
+        let first_check_after = if self.lifecycle.state() == LifecycleState::ShuttingDown {
             CHECK_INTERVAL
         } else {
             schedule.migrate
         };
-        self.set_timer(looks_after, TimerKind::DrainProgress(self.drains));
+        self.set_timer(first_check_after, TimerKind::DrainProgress(self.drains));
     }
 
     /// A process on standby is not killed and takes its time whatever the deadlines are.
@@ -185,8 +185,8 @@
 
     /// Sends the final answer to requests that wait or are in flight.
     pub(super) fn answer_pending_requests(&mut self) {
-        for (id, place) in self.requests.phases() {
-            if !matches!(place, RequestPhase::Established(_)) {
+        for (id, phase) in self.requests.phases() {
+            if !matches!(phase, RequestPhase::Established(_)) {
                 self.give_up_on(id);
             }
         }
@@ -204,13 +204,13 @@
         else {
             return false;
         };
-        let left_for = self.drain_age(drain);
+        let drain_age = self.drain_age(drain);
         let is_empty = || {
             self.requests.len() == 0
                 && self.lifecycle_view.handshakes() == 0
                 && self.connections.load(Ordering::Relaxed) == 0
         };
-        left_for >= drain.schedule.exit || left_for >= MIN_SHUTDOWN_SPAN && is_empty()
+        drain_age >= drain.schedule.exit || drain_age >= MIN_SHUTDOWN_SPAN && is_empty()
     }
 }
 
--- a/crates/balancer/src/core/effective_entry.rs
+++ b/crates/balancer/src/core/effective_entry.rs
@@ -17,34 +17,35 @@
 /// Since when a server has been ready, from the previous value.
 pub(super) fn ready_since(
     state: ServerState,
-    before: Option<Option<Millis>>,
+    previous: Option<Option<Millis>>,
     now: Millis,
 ) -> Option<Millis> {
     let is_ready = state == ServerState::Ready;
-    is_ready.then(|| before.map_or(0, |since| since.unwrap_or(now)))
+    is_ready.then(|| previous.map_or(0, |since| since.unwrap_or(now)))
 }
 
 /// A listed entry under overrides and site assessment. A missing weight counts as 1.
 pub(super) fn effective_entry(
     listed: &ServerEntry,
     adjustment: ServerAdjustment,
-    site: Option<&SiteAssessment>,
+    assessment: Option<&SiteAssessment>,
 ) -> ServerEntry {
     let mut entry = listed.clone();
-    let site_factor = site.map_or(1.0, |site| site.weight_factor);
+    let site_factor = assessment.map_or(1.0, |assessment| assessment.weight_factor);
     let adjustment = ServerAdjustment {
         factor: adjustment.factor * site_factor,
         ..adjustment
     };
-    let out = adjustment.is_out || site.is_some_and(|site| site.skip_reason.is_some());
-    let restarted_at = site
-        .map_or(0, |site| site.restarted_at)
+    let is_out =
+        adjustment.is_out || assessment.is_some_and(|assessment| assessment.skip_reason.is_some());
+    let restarted_at = assessment
+        .map_or(0, |assessment| assessment.restarted_at)
         .saturating_mul(1_000_000);
     entry.started_at = entry.started_at.max(restarted_at);
-    if out && entry.state == ServerState::Ready {
+    if is_out && entry.state == ServerState::Ready {
         entry.state = ServerState::OutOfService;
     }
-    if !out && adjustment.factor != 1.0 {
+    if !is_out && adjustment.factor != 1.0 {
         // Its weight no longer says anything about the size of its machine type.
         entry.machine_type = listed.name_hash;
         let weight = if entry.weight.is_finite() && entry.weight > 0.0 {
--- a/crates/balancer/src/core/endpoint.rs
+++ b/crates/balancer/src/core/endpoint.rs
@@ -57,7 +57,7 @@
     /// who began the drain misses it.
     pub fn begin_write(&self) -> Option<WritePermit<'_>> {
         self.drain_state.writers.fetch_add(1, Ordering::SeqCst);
-        let leave = WritePermit(&self.drain_state);
-        (!self.drain_state.is_leaving.load(Ordering::SeqCst)).then_some(leave)
+        let permit = WritePermit(&self.drain_state);
+        (!self.drain_state.is_leaving.load(Ordering::SeqCst)).then_some(permit)
     }
 }
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -90,18 +90,18 @@
                     (ServerState::Removed, ServerState::Removed);
             }
         }
-        let reset = list.reset;
+        let is_snapshot = list.reset;
         let entries = list
             .instances
             .into_iter()
             .filter_map(|listed| self.apply_entry(listed, now, &zone))
             .collect();
-        if reset {
-            let gone = self
+        if is_snapshot {
+            let removed = self
                 .servers
                 .iter_mut()
                 .filter(|known| known.effective.state == ServerState::Removed);
-            for known in gone {
+            for known in removed {
                 known.ready_since = None;
                 // Only now: a server that is listed again is never marked in between.
                 known.endpoint.drain_state.set_leaving(true);
@@ -117,10 +117,10 @@
         zone: &impl Fn(&str) -> Option<u32>,
     ) -> Option<ServerEntry> {
         let known_id = self.ids.get(&listed.instance_id).copied();
-        let before = known_id.and_then(|id| self.servers.get(id.0 as usize));
+        let previous = known_id.and_then(|id| self.servers.get(id.0 as usize));
         let address = listed
             .host_port
-            .or_else(|| before.map(|known| known.endpoint.address))?;
+            .or_else(|| previous.map(|known| known.endpoint.address))?;
         let next_id = ServerId(u32::try_from(self.servers.len()).unwrap_or(u32::MAX));
         let id = known_id.unwrap_or(next_id);
         let entry = policy_entry(&listed, id, zone);
@@ -131,11 +131,11 @@
         }
         let effective = effective_entry(&entry, adjustment, assessment);
         // Attempts in flight share the drain state and see the change.
-        let drain_state = before
+        let drain_state = previous
             .map(|known| Arc::clone(&known.endpoint.drain_state))
             .unwrap_or_default();
         drain_state.set_leaving(effective.state != ServerState::Ready);
-        let ready_before = before.map(|known| known.ready_since);
+        let previous_ready_since = previous.map(|known| known.ready_since);
         let endpoint = Endpoint {
             name: listed.instance_id.as_str().into(),
             address,
@@ -146,7 +146,7 @@
             listed: entry,
             effective: effective.clone(),
             zone: listed.zone,
-            ready_since: ready_since(effective.state, ready_before, now),
+            ready_since: ready_since(effective.state, previous_ready_since, now),
             slow_reported_at: None,
         };
         self.insert(id, listed.instance_id, server);
@@ -182,8 +182,8 @@
 
     /// The effect of overrides on a server. A panic in them must not lose a list.
     fn adjustment(&self, name: &str, now: Millis) -> ServerAdjustment {
-        let snapshot = AssertUnwindSafe(|| self.overrides.server_adjustment(name, now));
-        catch_unwind(snapshot).unwrap_or(ServerAdjustment::AS_LISTED)
+        let evaluate = AssertUnwindSafe(|| self.overrides.server_adjustment(name, now));
+        catch_unwind(evaluate).unwrap_or(ServerAdjustment::AS_LISTED)
     }
 
     /// Evaluates overrides and assessments again; returns the entries that changed.
@@ -216,11 +216,11 @@
     }
 
     /// Replaces the site assessments; [`EndpointRegistry::refresh`] follows.
-    pub(super) fn set_assessments(&mut self, site: BTreeMap<String, SiteAssessment>) {
-        let before = std::mem::replace(&mut self.assessments, site);
-        let named = before.keys().chain(self.assessments.keys());
+    pub(super) fn set_assessments(&mut self, assessments: BTreeMap<String, SiteAssessment>) {
+        let previous = std::mem::replace(&mut self.assessments, assessments);
+        let names = previous.keys().chain(self.assessments.keys());
         self.adjusted
-            .extend(named.filter_map(|name| self.ids.get(name).copied()));
+            .extend(names.filter_map(|name| self.ids.get(name).copied()));
     }
 
     /// The pin of a request, by the hashes of its group and tenant.
@@ -263,24 +263,26 @@
 
     /// Drain states of the servers that operators have taken out of service.
     pub(super) fn drain_states_out_of_service(&self) -> Vec<Arc<DrainState>> {
-        let known = self
+        let adjusted = self
             .adjusted
             .iter()
             .filter_map(|id| self.servers.get(id.0 as usize));
-        let out = known.filter(|known| known.effective.state == ServerState::OutOfService);
-        out.map(|known| Arc::clone(&known.endpoint.drain_state))
+        let out_of_service =
+            adjusted.filter(|known| known.effective.state == ServerState::OutOfService);
+        out_of_service
+            .map(|known| Arc::clone(&known.endpoint.drain_state))
             .collect()
     }
 
-    pub(super) fn endpoint(&self, number: ServerId) -> Option<Arc<Endpoint>> {
+    pub(super) fn endpoint(&self, id: ServerId) -> Option<Arc<Endpoint>> {
         self.servers
-            .get(number.0 as usize)
+            .get(id.0 as usize)
             .map(|known| Arc::clone(&known.endpoint))
     }
 
     /// Name and start of a server.
-    pub(super) fn identity(&self, number: ServerId) -> Option<ServerIdentity> {
-        let known = self.servers.get(number.0 as usize)?;
+    pub(super) fn identity(&self, id: ServerId) -> Option<ServerIdentity> {
+        let known = self.servers.get(id.0 as usize)?;
         let name = Arc::clone(&known.endpoint.name);
         Some(ServerIdentity {
             name,
@@ -289,19 +291,19 @@
     }
 
     /// Hash of a server's name; equal at every process.
-    pub(super) fn name_hash(&self, number: ServerId) -> Option<u64> {
+    pub(super) fn name_hash(&self, id: ServerId) -> Option<u64> {
         self.servers
-            .get(number.0 as usize)
+            .get(id.0 as usize)
             .map(|known| known.listed.name_hash)
     }
 
-    pub(super) fn by_hash(&self, tag: u64) -> Option<ServerId> {
-        self.ids_by_hash.get(&tag).copied()
+    pub(super) fn by_hash(&self, name_hash: u64) -> Option<ServerId> {
+        self.ids_by_hash.get(&name_hash).copied()
     }
 
     /// What session affinity has to know of a server.
-    pub(super) fn affinity_target(&self, tag: u64) -> Option<ServerStatus> {
-        let known = self.servers.get(self.by_hash(tag)?.0 as usize)?;
+    pub(super) fn affinity_target(&self, name_hash: u64) -> Option<ServerStatus> {
+        let known = self.servers.get(self.by_hash(name_hash)?.0 as usize)?;
         let (is_ready, ready_since) = (
             known.effective.state == ServerState::Ready,
             known.ready_since.unwrap_or(0),
@@ -324,8 +326,8 @@
     }
 
     pub(super) fn by_name(&self, name: &str) -> Option<(ServerId, Arc<Endpoint>)> {
-        let number = self.ids.get(name).copied()?;
-        Some((number, self.endpoint(number)?))
+        let id = self.ids.get(name).copied()?;
+        Some((id, self.endpoint(id)?))
     }
 
     /// The effective entries of all servers that have not been removed.
@@ -341,22 +343,22 @@
     /// slow, and once when they no longer are.
     pub(super) fn should_report_latency(
         &mut self,
-        at: ServerId,
+        server: ServerId,
         now: Nanos,
-        slow: bool,
+        is_slow: bool,
         period: Nanos,
     ) -> bool {
-        let Some(known) = self.servers.get_mut(at.0 as usize) else {
+        let Some(known) = self.servers.get_mut(server.0 as usize) else {
             return false;
         };
-        let told = known.slow_reported_at;
-        match (slow, told) {
-            (true, Some(told)) if now < told.saturating_add(period) => false,
+        let reported_at = known.slow_reported_at;
+        match (is_slow, reported_at) {
+            (true, Some(reported_at)) if now < reported_at.saturating_add(period) => false,
             (true, _) => {
                 known.slow_reported_at = Some(now);
                 true
             }
-            (false, Some(told)) if now >= told.saturating_add(period) => {
+            (false, Some(reported_at)) if now >= reported_at.saturating_add(period) => {
                 known.slow_reported_at = None;
                 true
             }
--- a/crates/balancer/src/core/fleet_link.rs
+++ b/crates/balancer/src/core/fleet_link.rs
@@ -13,7 +13,7 @@
 use beaconflow_settings::digest;
 use crossbeam_channel::Sender;
 
-use super::affinity::{AffinityEvent, SessionAffinity, end_by_outcome};
+use super::affinity::{AffinityEvent, SessionAffinity, end_reason_of_outcome};
 use super::effective_entry::SiteAssessment;
 use super::lifecycle::LifecycleCommand;
 use super::requests::EndedAttempt;
@@ -117,7 +117,7 @@
 impl Core {
     /// Attaches the fleet thread.
     pub(super) fn attach_fleet(&mut self, link_config: FleetLinkConfig) {
-        let is_tied = link_config.affinity.is_some();
+        let has_affinity = link_config.affinity.is_some();
         self.fleet = Some(FleetLink {
             events: link_config.events,
             affinity: link_config.affinity,
@@ -128,7 +128,7 @@
             is_admission_staged: link_config.staged_admission,
             awaiting_admission: BTreeSet::new(),
         });
-        if is_tied {
+        if has_affinity {
             self.set_timer(Duration::ZERO, TimerKind::AffinityRefresh);
         }
         if link_config.recovery_timeout.is_some() {
@@ -137,17 +137,17 @@
     }
 
     /// Begins or ends recovery.
-    fn set_recovering(&mut self, gathers: bool) {
+    fn set_recovering(&mut self, is_recovering: bool) {
         let now = self.clock.now();
         let Some(fleet_link) = &mut self.fleet else {
             return;
         };
-        let most = fleet_link.recovery_timeout;
-        fleet_link.recovery_deadline_at = now.saturating_add(nanos(most));
+        let timeout = fleet_link.recovery_timeout;
+        fleet_link.recovery_deadline_at = now.saturating_add(nanos(timeout));
         // The program's own commands are never refused.
-        let _ = self.on_lifecycle_command(LifecycleCommand::SetRecovering(gathers));
-        if gathers {
-            self.set_timer(most, TimerKind::RecoveryTimeout);
+        let _ = self.on_lifecycle_command(LifecycleCommand::SetRecovering(is_recovering));
+        if is_recovering {
+            self.set_timer(timeout, TimerKind::RecoveryTimeout);
         }
     }
 
@@ -177,7 +177,7 @@
         self.publish(|core| {
             let client_request = &core.requests.get(id)?.request;
             let account = client_request.account.as_deref().map_or(0, digest);
-            let class = core.in_force.current_index(client_request.class);
+            let class = core.active_settings.current_index(client_request.class);
             let (group, client_key, is_reconnect) = (
                 client_request.group,
                 client_request.client_key,
@@ -201,12 +201,12 @@
 
     /// Admits a waiting request, also if the fleet thread has not answered in time.
     pub(super) fn admit_staged(&mut self, id: u64) {
-        let waited = self
+        let was_waiting = self
             .fleet
             .as_mut()
             .is_some_and(|fleet_link| fleet_link.awaiting_admission.remove(&id));
-        if let Some(arrival) = self.requests.connect_request(id).filter(|_| waited) {
-            self.run_policy(policy::Event::ConnectRequested(arrival));
+        if let Some(connect_request) = self.requests.connect_request(id).filter(|_| was_waiting) {
+            self.run_policy(policy::Event::ConnectRequested(connect_request));
         }
     }
 
@@ -217,11 +217,11 @@
             .as_mut()
             .is_some_and(|fleet_link| fleet_link.awaiting_admission.remove(&id))
         {
-            let (told, most) = (
+            let (sends_retry_after, max_retry_after) = (
                 self.settings.limits.sends_retry_after,
                 self.settings.limits.max_retry_after,
             );
-            let after = told.then(|| after.min(Duration::from_nanos(most)));
+            let after = sends_retry_after.then(|| after.min(Duration::from_nanos(max_retry_after)));
             if self.requests.get(id).is_some() {
                 self.send_final_answer(id, ConnectionCommand::Reject(after));
             }
@@ -229,14 +229,14 @@
     }
 
     /// Begins or ends staged admission. At the end all waiting requests are admitted.
-    fn set_staged_admission(&mut self, by_turns: bool) {
+    fn set_staged_admission(&mut self, is_staged: bool) {
         let Some(fleet_link) = &mut self.fleet else {
             return;
         };
-        fleet_link.is_admission_staged = by_turns;
-        if !by_turns {
-            let waits: Vec<u64> = fleet_link.awaiting_admission.iter().copied().collect();
-            waits.into_iter().for_each(|id| self.admit_staged(id));
+        fleet_link.is_admission_staged = is_staged;
+        if !is_staged {
+            let waiting: Vec<u64> = fleet_link.awaiting_admission.iter().copied().collect();
+            waiting.into_iter().for_each(|id| self.admit_staged(id));
         }
     }
 
@@ -254,9 +254,9 @@
                     count,
                 });
             }
-            FleetEvent::SiteAssessed(site) => self.apply_site_assessments(site),
-            FleetEvent::Recovering(gathers) => self.set_recovering(gathers),
-            FleetEvent::StagedAdmission(by_turns) => self.set_staged_admission(by_turns),
+            FleetEvent::SiteAssessed(assessments) => self.apply_site_assessments(assessments),
+            FleetEvent::Recovering(is_recovering) => self.set_recovering(is_recovering),
+            FleetEvent::StagedAdmission(is_staged) => self.set_staged_admission(is_staged),
             FleetEvent::Admit(id) => self.admit_staged(id),
             FleetEvent::Defer(id, after) => self.defer_staged(id, after),
             FleetEvent::PauseDiscovery(span) => {
@@ -305,12 +305,12 @@
     }
 
     /// Publishes an event, if there is a fleet. Never blocks.
-    pub(super) fn publish(&self, what: impl FnOnce(&Core) -> Option<CoreEvent>) {
+    pub(super) fn publish(&self, build_event: impl FnOnce(&Core) -> Option<CoreEvent>) {
         if let Some(fleet_link) = &self.fleet
-            && let Some(seen) = what(self)
+            && let Some(event) = build_event(self)
         {
             // A fleet thread that has stopped has logged that; the core continues.
-            let _ = fleet_link.events.send(seen);
+            let _ = fleet_link.events.send(event);
         }
     }
 
@@ -321,10 +321,11 @@
     /// Publishes an attempt on a server in slow start.
     pub(super) fn publish_slow_start_attempt(&self, server: ServerId, now: Nanos) {
         self.publish(|core| {
-            let seen = core.server_identity(server)?;
-            let warm_at = (seen.started_at_ms.saturating_mul(1_000_000))
+            let identity = core.server_identity(server)?;
+            let warm_at = (identity.started_at_ms.saturating_mul(1_000_000))
                 .saturating_add(core.settings.rules.warm_up_time);
-            (seen.started_at_ms > 0 && now < warm_at).then_some(CoreEvent::SlowStartPlacement(seen))
+            (identity.started_at_ms > 0 && now < warm_at)
+                .then_some(CoreEvent::SlowStartPlacement(identity))
         });
     }
 
@@ -345,16 +346,16 @@
         &mut self,
         id: u64,
         ended: &EndedAttempt,
-        how: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
         if ended.was_established {
-            return self.end_placement(id, end_by_outcome(how));
+            return self.end_placement(id, end_reason_of_outcome(outcome));
         }
         self.publish(|core| {
             Some(CoreEvent::AttemptFinished(
                 core.server_identity(ended.server)?,
                 core.client_key_of(id),
-                Some(how),
+                Some(outcome),
             ))
         });
     }
--- a/crates/balancer/src/core/fleet_link/tests.rs
+++ b/crates/balancer/src/core/fleet_link/tests.rs
@@ -6,22 +6,22 @@
 
 use beaconflow_overrides::OverrideSet;
 
-use super::super::testing::{self, Orders, list, row};
+use super::super::testing::{self, CommandLog, list, row};
 use super::super::{Core, CoreInput};
 use super::*;
 use crate::clock::Clock;
 use crate::discovery::DiscoveryEvent;
 
-const LONG: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The same story for a core, with what it ordered and decided.
-fn story(mut core: Core) -> (String, Core) {
-    let orders = Arc::new(Orders::default());
+fn run_scenario(mut core: Core) -> (String, Core) {
+    let commands = Arc::new(CommandLog::default());
     core.on_discovery(DiscoveryEvent::List(list(
         &[row("s0"), row("s1"), row("s2")].join(","),
     )));
     for id in 0..12 {
-        testing::opens(&mut core, &orders, id, "acme", LONG);
+        testing::open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT);
     }
     for id in 0..8 {
         core.handle_input(CoreInput::AttemptEstablished(id));
@@ -38,44 +38,47 @@
     });
     core.on_discovery(DiscoveryEvent::Failed(Duration::ZERO));
     core.handle_input(CoreInput::ClientLeft(9));
-    (orders.words(), core)
+    (commands.as_text(), core)
 }
 
 #[test]
-fn who_listens_changes_nothing_of_what_is_decided_and_hears_all_of_it() {
+fn publishes_events_without_changing_decisions() {
     let clock = Clock::start();
-    let (alone, _) = story(testing::core(clock, OverrideSet::default()));
+    let (without_fleet, _) = run_scenario(testing::core(clock, OverrideSet::default()));
     let mut core = testing::core(clock, OverrideSet::default());
-    let (events, heard) = crossbeam_channel::unbounded();
+    let (events, events_receiver) = crossbeam_channel::unbounded();
     core.attach_fleet(FleetLinkConfig {
         events,
         recovery_timeout: None,
         staged_admission: false,
         affinity: None,
     });
-    let (tied, core) = story(core);
-    assert_eq!(alone, tied);
-    assert!(alone.contains("StartAttempt"), "{alone}");
+    let (with_fleet, core) = run_scenario(core);
+    assert_eq!(without_fleet, with_fleet);
+    assert!(without_fleet.contains("StartAttempt"), "{without_fleet}");
     drop(core);
-    let heard: Vec<CoreEvent> = heard.iter().collect();
-    let count = |is: fn(&CoreEvent) -> bool| heard.iter().filter(|one| is(one)).count();
+    let published: Vec<CoreEvent> = events_receiver.iter().collect();
+    let count = |is: fn(&CoreEvent) -> bool| published.iter().filter(|event| is(event)).count();
     assert_eq!(
-        count(|one| matches!(one, CoreEvent::AttemptFinished(_, _, None))),
+        count(|event| matches!(event, CoreEvent::AttemptFinished(_, _, None))),
         8
     );
     assert_eq!(
-        count(|one| matches!(
-            one,
+        count(|event| matches!(
+            event,
             CoreEvent::AttemptFinished(_, _, Some(AttemptOutcome::ConnectFailed))
         )),
         1
     );
-    assert_eq!(count(|one| matches!(one, CoreEvent::ListApplied(..))), 1);
-    assert_eq!(count(|one| matches!(one, CoreEvent::DiscoveryLost)), 1);
+    assert_eq!(
+        count(|event| matches!(event, CoreEvent::ListApplied(..))),
+        1
+    );
+    assert_eq!(count(|event| matches!(event, CoreEvent::DiscoveryLost)), 1);
 }
 
 #[test]
-fn a_program_gathers_what_was_known_before_for_no_longer_than_its_bound() {
+fn ends_recovery_after_timeout() {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
     let (events, _heard) = crossbeam_channel::unbounded();
     core.attach_fleet(FleetLinkConfig {
@@ -99,10 +102,10 @@
 }
 
 #[test]
-fn discovery_is_not_asked_while_the_uplink_is_lost_but_in_turn_or_when_nobody_holds_it_back() {
+fn polls_paused_discovery_only_when_requested_or_expired() {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
-    let (watch, asked) = crossbeam_channel::unbounded();
-    core.discovery_polls = watch;
+    let (poll_sender, polls) = crossbeam_channel::unbounded();
+    core.discovery_polls = poll_sender;
     let (events, _heard) = crossbeam_channel::unbounded();
     core.attach_fleet(FleetLinkConfig {
         events,
@@ -111,28 +114,28 @@
         affinity: None,
     });
     core.handle_input(CoreInput::Fleet(FleetEvent::PollDiscovery));
-    assert!(asked.is_empty(), "the module has not wanted it");
-    core.handle_input(CoreInput::Fleet(FleetEvent::PauseDiscovery(LONG)));
+    assert!(polls.is_empty(), "the module has not wanted it");
+    core.handle_input(CoreInput::Fleet(FleetEvent::PauseDiscovery(LONG_TIMEOUT)));
     core.poll_discovery();
     core.poll_if_pending();
-    assert!(asked.is_empty(), "held back");
+    assert!(polls.is_empty(), "held back");
     core.handle_input(CoreInput::Fleet(FleetEvent::PollDiscovery));
-    assert_eq!(asked.len(), 1, "in turn");
+    assert_eq!(polls.len(), 1, "in turn");
     // Whoever held it back is gone, and its last word is over.
     core.handle_input(CoreInput::Fleet(FleetEvent::PauseDiscovery(
         Duration::from_millis(1),
     )));
     core.poll_discovery();
-    while asked.len() < 2 {
+    while polls.len() < 2 {
         std::thread::sleep(Duration::from_millis(1));
         core.poll_if_pending();
     }
     core.poll_discovery();
-    assert_eq!(asked.len(), 3);
+    assert_eq!(polls.len(), 3);
 }
 
 #[test]
-fn a_list_that_is_known_elsewhere_counts_only_while_none_is_known_here() {
+fn applies_cached_list_only_while_no_server_is_known() {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
     core.handle_input(CoreInput::Fleet(FleetEvent::CachedList(list(&row("s7")))));
     assert!(core.endpoints.by_name("s7").is_none());
@@ -142,124 +145,137 @@
 }
 
 /// How long the module has a client wait whose first pass has failed.
-fn delay(core: &mut Core, id: u64) -> Nanos {
-    testing::opens(core, &Arc::new(Orders::default()), id, "acme", LONG);
+fn retry_delay(core: &mut Core, id: u64) -> Nanos {
+    testing::open_request(
+        core,
+        &Arc::new(CommandLog::default()),
+        id,
+        "acme",
+        LONG_TIMEOUT,
+    );
     let now = core.clock.now();
     core.handle_input(CoreInput::AttemptEnded {
         id,
         outcome: AttemptOutcome::Rejected,
         duration: Duration::from_millis(1),
     });
-    let last = core
+    let latest_timer = core
         .timers
         .iter()
-        .map(|Reverse((at, set, due))| (*set, *at, *due))
+        .map(|Reverse((at, set, kind))| (*set, *at, *kind))
         .max();
-    let (_, at, due) = last.expect("a timer");
-    assert!(matches!(due, TimerKind::Policy(_)), "{due:?}");
+    let (_, at, kind) = latest_timer.expect("a timer");
+    assert!(matches!(kind, TimerKind::Policy(_)), "{kind:?}");
     core.handle_input(CoreInput::ClientLeft(id));
     at.saturating_sub(now)
 }
 
 #[test]
-fn what_failed_at_other_processes_lengthens_a_clients_delay_until_it_is_void() {
+fn lengthens_retry_delay_by_fleet_failures_until_success() {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
-    let sum = |core: &mut Core, ids: std::ops::Range<u64>, known: Option<u32>| -> Nanos {
-        let told = |core: &mut Core, id| {
-            known.into_iter().for_each(|count| {
-                core.handle_input(CoreInput::Fleet(FleetEvent::FailuresCounted(id, count)))
-            });
-            delay(core, id)
+    let total_delay =
+        |core: &mut Core, ids: std::ops::Range<u64>, failure_count: Option<u32>| -> Nanos {
+            let delay_with_failures = |core: &mut Core, id| {
+                failure_count.into_iter().for_each(|count| {
+                    core.handle_input(CoreInput::Fleet(FleetEvent::FailuresCounted(id, count)))
+                });
+                retry_delay(core, id)
+            };
+            ids.map(|id| delay_with_failures(core, id)).sum()
         };
-        ids.map(|id| told(core, id)).sum()
-    };
-    let none = sum(&mut core, 0..40, None);
-    let many = sum(&mut core, 100..140, Some(6));
+    let without_failures = total_delay(&mut core, 0..40, None);
+    let with_failures = total_delay(&mut core, 100..140, Some(6));
     assert!(
-        many > 2 * none,
-        "{many} with six failures elsewhere, {none} without"
+        with_failures > 2 * without_failures,
+        "{with_failures} with six failures elsewhere, {without_failures} without"
     );
     (200..240)
         .for_each(|id| core.handle_input(CoreInput::Fleet(FleetEvent::FailuresCounted(id, 6))));
-    let void = sum(&mut core, 200..240, Some(0));
+    let after_success = total_delay(&mut core, 200..240, Some(0));
     assert!(
-        void < many / 2,
-        "{void} once a placement succeeded anywhere, {many} before"
+        after_success < with_failures / 2,
+        "{after_success} once a placement succeeded anywhere, {with_failures} before"
     );
 }
 
 #[test]
-fn while_clients_go_by_turns_each_waits_for_its_own_and_no_longer_than_a_bound() {
-    let (mut core, orders) = (
+fn holds_requests_for_staged_admission_until_timeout() {
+    let (mut core, commands) = (
         testing::core(Clock::start(), OverrideSet::default()),
-        Arc::new(Orders::default()),
+        Arc::new(CommandLog::default()),
     );
-    let (events, heard) = crossbeam_channel::unbounded();
+    let (events, events_receiver) = crossbeam_channel::unbounded();
     core.attach_fleet(FleetLinkConfig {
         events,
         recovery_timeout: None,
         staged_admission: true,
         affinity: None,
     });
-    (0..4).for_each(|id| testing::opens(&mut core, &orders, id, "acme", LONG));
-    let wants = heard
+    (0..4).for_each(|id| testing::open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT));
+    let admission_requests = events_receiver
         .try_iter()
-        .filter(|one| matches!(one, CoreEvent::AdmissionRequested(_)))
+        .filter(|event| matches!(event, CoreEvent::AdmissionRequested(_)))
         .count();
-    assert_eq!((wants, orders.words().as_str()), (4, ""));
+    assert_eq!((admission_requests, commands.as_text().as_str()), (4, ""));
     core.handle_input(CoreInput::Fleet(FleetEvent::Admit(0)));
     core.handle_input(CoreInput::Fleet(FleetEvent::Defer(
         1,
         Duration::from_millis(700),
     )));
-    assert_eq!((orders.of(0), orders.of(1)), ((1, 0), (0, 1)));
+    assert_eq!(
+        (
+            commands.attempts_and_answers(0),
+            commands.attempts_and_answers(1)
+        ),
+        ((1, 0), (0, 1))
+    );
     assert!(
-        orders.words().contains("1 Reject(Some(700ms))"),
+        commands.as_text().contains("1 Reject(Some(700ms))"),
         "{}",
-        orders.words()
+        commands.as_text()
     );
     // One that was answered has had its turn; nobody speaks of the third.
     core.handle_input(CoreInput::Fleet(FleetEvent::Admit(1)));
     core.admit_staged(2);
     core.handle_input(CoreInput::Fleet(FleetEvent::StagedAdmission(false)));
-    testing::opens(&mut core, &orders, 4, "acme", LONG);
+    testing::open_request(&mut core, &commands, 4, "acme", LONG_TIMEOUT);
     assert_eq!(
-        [1, 2, 3, 4].map(|id| orders.of(id)),
+        [1, 2, 3, 4].map(|id| commands.attempts_and_answers(id)),
         [(0, 1), (1, 0), (1, 0), (1, 0)]
     );
 }
 
 #[test]
-fn the_sites_evidence_passes_a_server_over_and_moves_nobody() {
-    let (mut core, orders) = (
+fn skips_server_by_site_evidence_without_migrations() {
+    let (mut core, commands) = (
         testing::core(Clock::start(), OverrideSet::default()),
-        Arc::new(Orders::default()),
+        Arc::new(CommandLog::default()),
     );
     core.on_discovery(DiscoveryEvent::List(list(
         &[row("s0"), row("s1")].join(","),
     )));
-    (0..8).for_each(|id| testing::opens(&mut core, &orders, id, "acme", LONG));
+    (0..8).for_each(|id| testing::open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT));
     (0..8).for_each(|id| core.handle_input(CoreInput::AttemptEstablished(id)));
-    let part = SiteAssessment {
+    let assessment = SiteAssessment {
         skip_reason: Some("it hangs".into()),
         weight_factor: 1.0,
         restarted_at: 0,
     };
     core.handle_input(CoreInput::Fleet(FleetEvent::SiteAssessed(
-        [("s1".to_owned(), part)].into(),
+        [("s1".to_owned(), assessment)].into(),
     )));
-    (8..16).for_each(|id| testing::opens(&mut core, &orders, id, "acme", LONG));
-    let words = orders.words();
-    let after: Vec<&str> = words
+    (8..16).for_each(|id| testing::open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT));
+    let text = commands.as_text();
+    let later_attempts: Vec<&str> = text
         .lines()
         .filter(|line| line.contains("StartAttempt"))
         .skip(8)
         .collect();
     assert!(
-        after.len() == 8 && after.iter().all(|line| line.ends_with("to s0")),
-        "{after:?}"
+        later_attempts.len() == 8 && later_attempts.iter().all(|line| line.ends_with("to s0")),
+        "{later_attempts:?}"
     );
-    assert!(!words.contains("Migrate"), "{words}");
+    assert!(!text.contains("Migrate"), "{text}");
     core.on_discovery(DiscoveryEvent::List(list(
         &[row("s0"), row("s1")].join(","),
     )));
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -22,7 +22,7 @@
     pub(super) connections: Arc<AtomicUsize>,
     pub(super) lifecycle: LifecycleView,
     pub(super) clock: Clock,
-    pub(super) figures: Arc<SharedTimeouts>,
+    pub(super) timeouts: Arc<SharedTimeouts>,
 }
 
 /// The sending ends of the core's channels.
@@ -40,12 +40,12 @@
 
 /// Creates both ends.
 pub(super) fn channel() -> (CoreSender, CoreReceiver) {
-    let ((inputs, heard), (discovery, listed)) = (unbounded(), unbounded());
+    let ((inputs, input_receiver), (discovery, discovery_receiver)) = (unbounded(), unbounded());
     (
         CoreSender { inputs, discovery },
         CoreReceiver {
-            inputs: heard,
-            discovery: listed,
+            inputs: input_receiver,
+            discovery: discovery_receiver,
         },
     )
 }
@@ -89,8 +89,8 @@
     }
 
     /// Sends an input. Inputs to a core that has stopped are dropped.
-    pub fn send(&self, event: CoreInput) {
-        let _ = self.inputs.inputs.send(event);
+    pub fn send(&self, input: CoreInput) {
+        let _ = self.inputs.inputs.send(input);
     }
 
     /// Sends what discovery reported, ahead of the inputs that are queued.
@@ -106,19 +106,19 @@
 
     /// A connect that takes longer has failed.
     pub fn connect_timeout(&self) -> Duration {
-        self.figures.connect_timeout()
+        self.timeouts.connect_timeout()
     }
 
     /// A message that takes this long is slow.
     pub fn slow_message_threshold(&self) -> Duration {
-        self.figures.slow()
+        self.timeouts.slow_message_threshold()
     }
 
     /// Counts a connection, unless there are `most` already.
-    pub fn reserve_connection(&self, most: usize) -> Option<ConnectionSlot> {
-        let before = self.connections.fetch_add(1, Ordering::Relaxed);
-        let counted = ConnectionSlot(Arc::clone(&self.connections));
-        (before < most).then_some(counted)
+    pub fn reserve_connection(&self, max_connections: usize) -> Option<ConnectionSlot> {
+        let count_before = self.connections.fetch_add(1, Ordering::Relaxed);
+        let slot = ConnectionSlot(Arc::clone(&self.connections));
+        (count_before < max_connections).then_some(slot)
     }
 
     /// Number of open connections.
@@ -141,9 +141,9 @@
         self.request(CoreInput::GetAdmission)
     }
 
-    fn request<T>(&self, what: impl FnOnce(Sender<T>) -> CoreInput) -> Option<T> {
-        let (ask, answer) = crossbeam_channel::bounded(1);
-        self.send(what(ask));
+    fn request<T>(&self, build_input: impl FnOnce(Sender<T>) -> CoreInput) -> Option<T> {
+        let (reply, answer) = crossbeam_channel::bounded(1);
+        self.send(build_input(reply));
         answer.recv_timeout(Duration::from_secs(1)).ok()
     }
 }
--- a/crates/balancer/src/core/lifecycle.rs
+++ b/crates/balancer/src/core/lifecycle.rs
@@ -63,9 +63,9 @@
 
 /// The command is not possible in this state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CommandRefused(pub LifecycleState);
+pub struct CommandRefusedError(pub LifecycleState);
 
-impl fmt::Display for CommandRefused {
+impl fmt::Display for CommandRefusedError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the program is {}", self.0.name())
     }
@@ -108,16 +108,19 @@
     /// # Errors
     ///
     /// Fails if an operator's command comes during a shutdown.
-    pub fn apply(&mut self, word: LifecycleCommand) -> Result<LifecycleState, CommandRefused> {
-        match word {
-            LifecycleCommand::SetListening(listens) => self.is_listening = listens,
+    pub fn apply(
+        &mut self,
+        command: LifecycleCommand,
+    ) -> Result<LifecycleState, CommandRefusedError> {
+        match command {
+            LifecycleCommand::SetListening(is_listening) => self.is_listening = is_listening,
             LifecycleCommand::ServersKnown => self.knows_servers = true,
-            LifecycleCommand::SetRecovering(recovers) => self.is_recovering = recovers,
+            LifecycleCommand::SetRecovering(is_recovering) => self.is_recovering = is_recovering,
             LifecycleCommand::ShutDown => self.is_shutting_down = true,
             LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby
                 if self.is_shutting_down =>
             {
-                return Err(CommandRefused(LifecycleState::ShuttingDown));
+                return Err(CommandRefusedError(LifecycleState::ShuttingDown));
             }
             LifecycleCommand::EnterStandby => self.is_standby = true,
             LifecycleCommand::LeaveStandby => self.is_standby = false,
@@ -191,23 +194,23 @@
 
     /// Publishes a heartbeat of the core.
     pub fn record_heartbeat(&self) {
-        let since = u64::try_from(self.0.origin.elapsed().as_millis()).unwrap_or(u64::MAX);
-        self.0.heartbeat_at.store(since, Ordering::Relaxed);
+        let elapsed_ms = u64::try_from(self.0.origin.elapsed().as_millis()).unwrap_or(u64::MAX);
+        self.0.heartbeat_at.store(elapsed_ms, Ordering::Relaxed);
     }
 
     /// The present state.
     pub fn state(&self) -> LifecycleState {
-        let at = usize::from(self.0.state.load(Ordering::SeqCst));
+        let index = usize::from(self.0.state.load(Ordering::SeqCst));
         LifecycleState::ALL
-            .get(at)
+            .get(index)
             .copied()
             .unwrap_or(LifecycleState::Starting)
     }
 
     /// Whether the core has sent a heartbeat recently.
     pub fn is_core_alive(&self) -> bool {
-        let turned = Duration::from_millis(self.0.heartbeat_at.load(Ordering::Relaxed));
-        self.0.origin.elapsed().saturating_sub(turned) < STALL_TIMEOUT
+        let heartbeat_at = Duration::from_millis(self.0.heartbeat_at.load(Ordering::Relaxed));
+        self.0.origin.elapsed().saturating_sub(heartbeat_at) < STALL_TIMEOUT
     }
 
     /// Whether clients are accepted.
--- a/crates/balancer/src/core/lifecycle/tests.rs
+++ b/crates/balancer/src/core/lifecycle/tests.rs
@@ -4,33 +4,33 @@
 use proptest::prelude::*;
 
 /// The plain model: all that was ever said, read anew each time.
-fn expected(said: &[LifecycleCommand]) -> LifecycleState {
-    let leaves = said
+fn expected(commands: &[LifecycleCommand]) -> LifecycleState {
+    let shutdown_at = commands
         .iter()
-        .position(|word| *word == LifecycleCommand::ShutDown);
-    let orders = &said[..leaves.unwrap_or(said.len())];
-    let last_order = orders.iter().rev().find(|word| {
+        .position(|command| *command == LifecycleCommand::ShutDown);
+    let before_shutdown = &commands[..shutdown_at.unwrap_or(commands.len())];
+    let last_mode = before_shutdown.iter().rev().find(|command| {
         matches!(
-            word,
+            command,
             LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby
         )
     });
-    let listens = said
+    let last_listening = commands
         .iter()
         .rev()
-        .find(|word| matches!(word, LifecycleCommand::SetListening(_)));
-    let recovers = said
+        .find(|command| matches!(command, LifecycleCommand::SetListening(_)));
+    let last_recovering = commands
         .iter()
         .rev()
-        .find(|word| matches!(word, LifecycleCommand::SetRecovering(_)));
-    if leaves.is_some() {
+        .find(|command| matches!(command, LifecycleCommand::SetRecovering(_)));
+    if shutdown_at.is_some() {
         LifecycleState::ShuttingDown
-    } else if last_order == Some(&LifecycleCommand::EnterStandby) {
+    } else if last_mode == Some(&LifecycleCommand::EnterStandby) {
         LifecycleState::Standby
-    } else if recovers == Some(&LifecycleCommand::SetRecovering(true)) {
+    } else if last_recovering == Some(&LifecycleCommand::SetRecovering(true)) {
         LifecycleState::Starting
-    } else if listens == Some(&LifecycleCommand::SetListening(true))
-        && said.contains(&LifecycleCommand::ServersKnown)
+    } else if last_listening == Some(&LifecycleCommand::SetListening(true))
+        && commands.contains(&LifecycleCommand::ServersKnown)
     {
         LifecycleState::Serving
     } else {
@@ -38,8 +38,8 @@
     }
 }
 
-fn words() -> impl Strategy<Value = Vec<LifecycleCommand>> {
-    let word = prop_oneof![
+fn command_sequences() -> impl Strategy<Value = Vec<LifecycleCommand>> {
+    let command = prop_oneof![
         any::<bool>().prop_map(LifecycleCommand::SetListening),
         Just(LifecycleCommand::ServersKnown),
         any::<bool>().prop_map(LifecycleCommand::SetRecovering),
@@ -47,35 +47,35 @@
         Just(LifecycleCommand::LeaveStandby),
         Just(LifecycleCommand::ShutDown),
     ];
-    proptest::collection::vec(word, 0..24)
+    proptest::collection::vec(command, 0..24)
 }
 
 proptest! {
     #[test]
-    fn any_sequence_of_words_leads_where_the_plain_model_says(words in words()) {
+    fn matches_reference_model_for_any_command_sequence(commands in command_sequences()) {
         let mut lifecycle = Lifecycle::default();
-        for (count, word) in words.iter().enumerate() {
-            let left = words[..count].contains(&LifecycleCommand::ShutDown);
-            let refused = left && matches!(word, LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby);
-            let state = expected(&words[..=count]);
-            let answer = if refused { Err(CommandRefused(LifecycleState::ShuttingDown)) } else { Ok(state) };
-            prop_assert_eq!(lifecycle.apply(*word), answer);
+        for (count, command) in commands.iter().enumerate() {
+            let is_shutting_down = commands[..count].contains(&LifecycleCommand::ShutDown);
+            let is_refused = is_shutting_down && matches!(command, LifecycleCommand::EnterStandby | LifecycleCommand::LeaveStandby);
+            let state = expected(&commands[..=count]);
+            let expected_result = if is_refused { Err(CommandRefusedError(LifecycleState::ShuttingDown)) } else { Ok(state) };
+            prop_assert_eq!(lifecycle.apply(*command), expected_result);
             prop_assert_eq!(lifecycle.state(), state);
         }
     }
 }
 
 #[test]
-fn a_core_that_has_not_turned_for_long_is_not_ready() {
-    let shown = LifecycleView::default();
-    shown.set_state(LifecycleState::Serving);
-    assert!(shown.is_ready());
+fn is_not_ready_without_recent_heartbeat() {
+    let view = LifecycleView::default();
+    view.set_state(LifecycleState::Serving);
+    assert!(view.is_ready());
     let start = Instant::now()
         .checked_sub(STALL_TIMEOUT * 2)
         .expect("the machine runs for longer");
-    let shown = LifecycleView::with_origin(start);
-    shown.set_state(LifecycleState::Serving);
-    assert!(!shown.is_ready());
-    shown.record_heartbeat();
-    assert!(shown.is_ready());
+    let view = LifecycleView::with_origin(start);
+    view.set_state(LifecycleState::Serving);
+    assert!(!view.is_ready());
+    view.record_heartbeat();
+    assert!(view.is_ready());
 }
--- a/crates/balancer/src/core/messages.rs
+++ b/crates/balancer/src/core/messages.rs
@@ -8,7 +8,7 @@
 use beaconflow_settings::ActiveSettings;
 use crossbeam_channel::Sender;
 
-use super::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use super::lifecycle::{CommandRefusedError, LifecycleCommand, LifecycleState};
 use super::{
     AdmissionConfig, AdmissionSnapshot, Counts, Endpoint, FleetEvent, OverrideChange,
     OverridesApplied, ServerSnapshot,
@@ -78,7 +78,7 @@
         duration: Duration,
     },
     /// The server told its client to go elsewhere; the end follows.
-    ServerSentAway(u64),
+    ServerRedirectedClient(u64),
     /// An established connection was measured.
     ConnectionMeasured {
         /// Id of the connection.
@@ -128,13 +128,13 @@
 
 /// Receives the result of a lifecycle command.
 pub struct LifecycleReply(
-    pub(super) Box<dyn FnOnce(Result<LifecycleState, CommandRefused>) + Send>,
+    pub(super) Box<dyn FnOnce(Result<LifecycleState, CommandRefusedError>) + Send>,
 );
 
 impl LifecycleReply {
     /// Creates a reply from a callback that does not block.
     pub fn new(
-        callback: impl FnOnce(Result<LifecycleState, CommandRefused>) + Send + 'static,
+        callback: impl FnOnce(Result<LifecycleState, CommandRefusedError>) + Send + 'static,
     ) -> LifecycleReply {
         LifecycleReply(Box::new(callback))
     }
@@ -149,7 +149,7 @@
 /// Sends commands to the thread that serves a connection, without blocking.
 pub trait CommandSender: std::fmt::Debug + Send + Sync {
     /// Sends one command.
-    fn send(&self, id: u64, order: ConnectionCommand);
+    fn send(&self, id: u64, command: ConnectionCommand);
 }
 
 /// Probes a server for its load without blocking; [`CoreInput::ProbeAnswered`] follows.
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -106,7 +106,7 @@
 struct Core {
     name: &'static str,
     /// The site's settings in effect, and what the policy has of them.
-    in_force: Arc<ActiveSettings>,
+    active_settings: Arc<ActiveSettings>,
     settings: Settings,
     seed: u64,
     clock: Clock,
@@ -194,10 +194,10 @@
         match event {
             DiscoveryEvent::List(list) => self.apply_list(list, false),
             DiscoveryEvent::Failed(quiet) => {
-                self.on_list_lost(policy::ListUpdate::Failed(nanos(quiet)))
+                self.on_discovery_lost(policy::ListUpdate::Failed(nanos(quiet)))
             }
             DiscoveryEvent::TimedOut(quiet) => {
-                self.on_list_lost(policy::ListUpdate::TimedOut(nanos(quiet)))
+                self.on_discovery_lost(policy::ListUpdate::TimedOut(nanos(quiet)))
             }
         }
     }
@@ -221,7 +221,7 @@
                 outcome,
                 duration,
             } => self.on_attempt_ended(id, outcome, duration),
-            CoreInput::ServerSentAway(id) => self.publish_server_draining(id),
+            CoreInput::ServerRedirectedClient(id) => self.publish_server_draining(id),
             CoreInput::ConnectionMeasured { id, metric } => self.on_connection_measured(id, metric),
             CoreInput::ClientLeft(id) | CoreInput::ConnectionPanicked(id) => {
                 self.on_client_left(id);
@@ -238,7 +238,7 @@
                 self.admission.configure(config);
                 self.grant_permits();
             }
-            CoreInput::SettingsReplaced(in_force) => self.replace_settings(in_force),
+            CoreInput::SettingsReplaced(active_settings) => self.replace_settings(active_settings),
             CoreInput::Fleet(event) => self.on_fleet_event(event),
             CoreInput::OverridesChanged { changes, reply } => {
                 self.on_overrides_changed(changes, reply);
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -44,9 +44,9 @@
 
     /// Runs code on the overrides. After a panic there overrides are disabled at this front, and
     /// the core continues.
-    pub(super) fn with_overrides<T>(&mut self, act: impl FnOnce(&mut Core) -> T) -> Option<T> {
-        let done = catch_unwind(AssertUnwindSafe(|| act(self)));
-        if done.is_err() {
+    pub(super) fn with_overrides<T>(&mut self, action: impl FnOnce(&mut Core) -> T) -> Option<T> {
+        let result = catch_unwind(AssertUnwindSafe(|| action(self)));
+        if result.is_err() {
             error!(
                 part = self.name,
                 "overrides panicked; none hold at this front until a restart"
@@ -60,22 +60,22 @@
                 entries,
             });
         }
-        done.ok()
+        result.ok()
     }
 
     /// Applies changes; the reply is sent once the policy has been updated.
     pub(super) fn on_overrides_changed(
         &mut self,
         changes: Vec<OverrideChange>,
-        answer: Option<Sender<OverridesApplied>>,
+        reply: Option<Sender<OverridesApplied>>,
     ) {
         if self.has_lost_overrides {
             return;
         }
-        let followed = self.with_overrides(|core| {
+        let applied = self.with_overrides(|core| {
             for change in changes {
                 match change {
-                    OverrideChange::Put(one) => core.endpoints.overrides.insert(*one),
+                    OverrideChange::Put(entry) => core.endpoints.overrides.insert(*entry),
                     OverrideChange::Forget(ids) => {
                         ids.into_iter()
                             .for_each(|id| drop(core.endpoints.overrides.discard(id)));
@@ -84,9 +84,9 @@
             }
             core.refresh_overrides();
         });
-        if let (Some(()), Some(answer)) = (followed, answer) {
+        if let (Some(()), Some(reply)) = (applied, reply) {
             // The requester may have timed out.
-            let _ = answer.try_send(OverridesApplied {
+            let _ = reply.try_send(OverridesApplied {
                 out_of_service: self.endpoints.drain_states_out_of_service(),
             });
         }
@@ -116,8 +116,8 @@
     }
 
     /// Applies the site's assessments of servers while its uplink is lost. No client is migrated.
-    pub(super) fn apply_site_assessments(&mut self, site: BTreeMap<String, SiteAssessment>) {
-        self.endpoints.set_assessments(site);
+    pub(super) fn apply_site_assessments(&mut self, assessments: BTreeMap<String, SiteAssessment>) {
+        self.endpoints.set_assessments(assessments);
         self.with_overrides(Core::refresh_overrides);
     }
 
@@ -137,41 +137,43 @@
                 pin,
             });
         }
-        let moving = self.endpoints.emptied_servers(now);
+        let emptied = self.endpoints.emptied_servers(now);
         self.emptied_servers
-            .retain(|server, (id, pace)| moving.get(server) == Some(&(*id, pace.rate())));
-        let idle = self.emptied_servers.is_empty();
-        for (server, (id, rate)) in moving {
+            .retain(|server, (id, pacer)| emptied.get(server) == Some(&(*id, pacer.rate())));
+        let was_idle = self.emptied_servers.is_empty();
+        for (server, (id, rate)) in emptied {
             self.emptied_servers
                 .entry(server)
                 .or_insert_with(|| (id, MigrationPacer::new(rate, now)));
         }
-        if idle && !self.emptied_servers.is_empty() {
+        if was_idle && !self.emptied_servers.is_empty() {
             self.set_timer(Duration::ZERO, TimerKind::EmptyServers);
         }
-        let judgement = self.endpoints.coverage(now);
-        if judgement != self.coverage {
-            if judgement.is_empty() {
+        let coverage = self.endpoints.coverage(now);
+        if coverage != self.coverage {
+            if coverage.is_empty() {
                 info!(
                     part = self.name,
                     "overrides leave a ready server everywhere again"
                 );
             } else {
-                warn!(part = self.name, what = %judgement, "overrides leave too little");
+                warn!(part = self.name, what = %coverage, "overrides leave too little");
             }
-            self.coverage = judgement;
+            self.coverage = coverage;
         }
-        let next = self
+        let next_change_at = self
             .endpoints
             .overrides
             .next_change(now)
             .map(|at| at.saturating_mul(1_000_000));
-        if let Some(next) = next
-            && self.overrides_timer_at.is_none_or(|due| next < due)
+        if let Some(next_change_at) = next_change_at
+            && self
+                .overrides_timer_at
+                .is_none_or(|due| next_change_at < due)
         {
-            self.overrides_timer_at = Some(next);
+            self.overrides_timer_at = Some(next_change_at);
             self.set_timer(
-                Duration::from_nanos(next.saturating_sub(self.clock.now())),
+                Duration::from_nanos(next_change_at.saturating_sub(self.clock.now())),
                 TimerKind::Overrides,
             );
         }
@@ -183,14 +185,14 @@
             return;
         }
         let now = self.now_ms();
-        let (mut wait, mut moved) = (MAX_MIGRATION_INTERVAL, Vec::new());
-        for (server, (_, pace)) in &mut self.emptied_servers {
-            let there: Vec<u64> = self.requests.migratable_at(*server).collect();
-            let due = pace.take_permits(now, there.len());
-            moved.extend(there.into_iter().take(due));
-            wait = wait.min(Duration::from_millis(pace.time_to_next_ms()));
+        let (mut wait, mut migrating) = (MAX_MIGRATION_INTERVAL, Vec::new());
+        for (server, (_, pacer)) in &mut self.emptied_servers {
+            let connections: Vec<u64> = self.requests.migratable_at(*server).collect();
+            let permits = pacer.take_permits(now, connections.len());
+            migrating.extend(connections.into_iter().take(permits));
+            wait = wait.min(Duration::from_millis(pacer.time_to_next_ms()));
         }
-        for id in moved {
+        for id in migrating {
             self.end_placement(id, EndReason::MigratedServerLeaving);
             self.migrate(id, "an operator empties its server");
         }
--- a/crates/balancer/src/core/overrides/tests.rs
+++ b/crates/balancer/src/core/overrides/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::clock::Clock;
 
-fn told(core: &Core) -> Vec<ServerState> {
+fn effective_states(core: &Core) -> Vec<ServerState> {
     core.snapshot()
         .servers
         .iter()
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_list_or_a_placement_in_the_instant_of_an_end_finds_it_ended_before_its_timer_fires() {
+fn ignores_expired_override_before_its_timer_fires() {
     let clock = Clock::start();
     let now = clock.now() / 1_000_000;
     let mut overrides = OverrideSet::new(0);
@@ -49,7 +49,7 @@
             .pin(Some(digest("north")), None, core.now_ms())
     };
     assert_eq!(
-        (told(&core), pin(&core).is_some()),
+        (effective_states(&core), pin(&core).is_some()),
         (vec![ServerState::OutOfService], true)
     );
     // No timer of the core fires here: nobody runs it.
@@ -57,15 +57,19 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(pin(&core), None);
-    assert_eq!(told(&core), [ServerState::OutOfService], "it was told so");
+    assert_eq!(
+        effective_states(&core),
+        [ServerState::OutOfService],
+        "it was told so"
+    );
     core.apply_list(list(&row("s0")), false);
-    assert_eq!(told(&core), [ServerState::Ready]);
+    assert_eq!(effective_states(&core), [ServerState::Ready]);
     core.on_overrides_timer();
-    assert_eq!(told(&core), [ServerState::Ready]);
+    assert_eq!(effective_states(&core), [ServerState::Ready]);
 }
 
 #[test]
-fn a_fault_in_the_overrides_costs_the_overrides_and_not_the_core() {
+fn disables_only_overrides_after_their_panic() {
     let clock = Clock::start();
     let mut overrides = OverrideSet::new(1_000);
     let kind = OverrideKind::Out {
@@ -81,18 +85,25 @@
     };
     overrides.insert(draft.into_override(OverrideId(1), now));
     let mut core = core(clock, overrides);
-    assert_eq!(told(&core), [ServerState::OutOfService]);
+    assert_eq!(effective_states(&core), [ServerState::OutOfService]);
     assert!(!core.emptied_servers.is_empty() && core.coverage.all_servers);
     assert_eq!(core.with_overrides(|_| -> u8 { panic!("a fault") }), None);
-    assert_eq!(told(&core), [ServerState::Ready], "as it is listed");
+    assert_eq!(
+        effective_states(&core),
+        [ServerState::Ready],
+        "as it is listed"
+    );
     assert!(core.snapshot().has_lost_overrides && core.emptied_servers.is_empty());
     // What comes later is not followed, and whoever waits for it is not told that it is.
-    let (answer, told_of) = crossbeam_channel::bounded(1);
+    let (reply, replies) = crossbeam_channel::bounded(1);
     core.on_overrides_changed(
         vec![OverrideChange::Forget(vec![OverrideId(1)])],
-        Some(answer),
+        Some(reply),
     );
-    assert!(told_of.try_recv().is_err());
+    assert!(replies.try_recv().is_err());
     core.apply_list(list(&[row("s0"), row("s1")].join(",")), false);
-    assert_eq!(told(&core), [ServerState::Ready, ServerState::Ready]);
+    assert_eq!(
+        effective_states(&core),
+        [ServerState::Ready, ServerState::Ready]
+    );
 }
--- a/crates/balancer/src/core/requests.rs
+++ b/crates/balancer/src/core/requests.rs
@@ -126,13 +126,13 @@
     }
 
     /// Sends a command. A request that is gone has reported its end or is about to.
-    pub(super) fn send_command(&mut self, id: u64, order: ConnectionCommand) {
+    pub(super) fn send_command(&mut self, id: u64, command: ConnectionCommand) {
         if let Some(request_state) = self.open.get_mut(&id) {
-            if matches!(order, ConnectionCommand::Migrate) {
+            if matches!(command, ConnectionCommand::Migrate) {
                 self.counts.migrated += 1;
                 request_state.is_migrating = true;
             }
-            request_state.commands.send(id, order);
+            request_state.commands.send(id, command);
         }
     }
 
@@ -142,28 +142,29 @@
         &mut self,
         id: u64,
         server: ServerId,
-        order: ConnectionCommand,
+        command: ConnectionCommand,
         now: Nanos,
     ) -> Option<(Entry, Nanos)> {
         let request_state = self.open.get_mut(&id)?;
-        let first = (request_state.attempts == 0 && request_state.request.resumed_server.is_none())
-            .then(|| {
-                (
-                    request_state.entry,
-                    now.saturating_sub(request_state.request.received_at),
-                )
-            });
+        let first_attempt = (request_state.attempts == 0
+            && request_state.request.resumed_server.is_none())
+        .then(|| {
+            (
+                request_state.entry,
+                now.saturating_sub(request_state.request.received_at),
+            )
+        });
         request_state.attempted_at = now;
-        let held = request_state.request.resumed_server.is_some();
-        request_state.phase = if held {
+        let is_resumed = request_state.request.resumed_server.is_some();
+        request_state.phase = if is_resumed {
             RequestPhase::Resuming(server)
         } else {
             RequestPhase::InFlight(server)
         };
         request_state.attempts += 1;
         self.counts.attempts += 1;
-        self.send_command(id, order);
-        first
+        self.send_command(id, command);
+        first_attempt
     }
 
     /// Marks a request as expired in the admission queue.
@@ -283,9 +284,9 @@
     }
 
     /// Those of them at one server.
-    pub(super) fn migratable_at(&self, at: ServerId) -> impl Iterator<Item = u64> {
+    pub(super) fn migratable_at(&self, server: ServerId) -> impl Iterator<Item = u64> {
         self.migratable()
-            .filter(move |(_, server)| *server == at)
+            .filter(move |(_, held_by)| *held_by == server)
             .map(|(id, _)| id)
     }
 
@@ -302,10 +303,10 @@
             ) {
                 continue;
             }
-            let now = pin(&request_state.request).or(request_state.affinity_pin);
-            if request_state.pin != now {
-                request_state.pin = now;
-                changed.push((*id, now));
+            let current_pin = pin(&request_state.request).or(request_state.affinity_pin);
+            if request_state.pin != current_pin {
+                request_state.pin = current_pin;
+                changed.push((*id, current_pin));
             }
         }
         changed
--- a/crates/balancer/src/core/settings.rs
+++ b/crates/balancer/src/core/settings.rs
@@ -25,23 +25,23 @@
 
 impl SharedTimeouts {
     pub(super) fn new(settings: &Settings) -> SharedTimeouts {
-        let figures = SharedTimeouts {
+        let timeouts = SharedTimeouts {
             connect_timeout_ns: AtomicU64::new(0),
             slow_message_threshold_ns: AtomicU64::new(0),
         };
-        figures.update(settings);
-        figures
+        timeouts.update(settings);
+        timeouts
     }
 
     fn update(&self, settings: &Settings) {
-        let aims = settings
+        let objectives = settings
             .classes
             .iter()
             .map(|class| class.message_latency_objective)
-            .filter(|aim| *aim > 0);
-        let slow_message_threshold = aims
+            .filter(|objective| *objective > 0);
+        let slow_message_threshold = objectives
             .min()
-            .map_or(Nanos::MAX, |aim| aim / SLOW_MESSAGE_DIVISOR);
+            .map_or(Nanos::MAX, |objective| objective / SLOW_MESSAGE_DIVISOR);
         self.connect_timeout_ns
             .store(settings.limits.connect_timeout, Ordering::Relaxed);
         self.slow_message_threshold_ns
@@ -54,35 +54,35 @@
     }
 
     /// A message that takes this long is slow.
-    pub(super) fn slow(&self) -> Duration {
+    pub(super) fn slow_message_threshold(&self) -> Duration {
         Duration::from_nanos(self.slow_message_threshold_ns.load(Ordering::Relaxed))
     }
 }
 
 /// The settings in effect, as the policy sees them.
-pub(super) fn policy_settings(in_force: &ActiveSettings, asks_for_load: bool) -> Settings {
-    let mut settings = in_force.policy_settings();
+pub(super) fn policy_settings(active_settings: &ActiveSettings, has_prober: bool) -> Settings {
+    let mut settings = active_settings.policy_settings();
     // Without a prober the policy would wait for answers that never come.
-    settings.limits.can_probe &= asks_for_load;
-    settings.limits.connect_timeout = in_force.setup().connect_timeout();
+    settings.limits.can_probe &= has_prober;
+    settings.limits.connect_timeout = active_settings.setup().connect_timeout();
     settings
 }
 
 impl Core {
     /// Applies replaced site settings.
-    pub(super) fn replace_settings(&mut self, in_force: Arc<ActiveSettings>) {
-        self.settings = policy_settings(&in_force, self.prober.is_some());
+    pub(super) fn replace_settings(&mut self, active_settings: Arc<ActiveSettings>) {
+        self.settings = policy_settings(&active_settings, self.prober.is_some());
         self.timeouts.update(&self.settings);
         self.admission
-            .replace_settings(&in_force, &mut self.requests);
-        self.in_force = in_force;
+            .replace_settings(&active_settings, &mut self.requests);
+        self.active_settings = active_settings;
         self.run_policy_without_permits(policy::Event::SettingsReplaced(Box::new(
             self.settings.clone(),
         )));
         // Nothing is placed in between: zones change their numbers together with the servers.
         let entries = self
             .endpoints
-            .renumber_zones(|zone| self.in_force.setup().zone(zone));
+            .renumber_zones(|zone| self.active_settings.setup().zone(zone));
         if !entries.is_empty() {
             self.run_policy_without_permits(policy::Event::ServerList {
                 update: policy::ListUpdate::Delta,
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -80,35 +80,36 @@
     Ok((handle, thread.map_err(StartError::Thread)?))
 }
 
-pub(super) fn build(start: CoreConfig) -> Result<(CoreHandle, Core, CoreReceiver), StartError> {
-    let in_force = Arc::new(ActiveSettings::new(start.site));
-    let settings = settings::policy_settings(&in_force, start.prober.is_some());
+pub(super) fn build(config: CoreConfig) -> Result<(CoreHandle, Core, CoreReceiver), StartError> {
+    let active_settings = Arc::new(ActiveSettings::new(config.site));
+    let settings = settings::policy_settings(&active_settings, config.prober.is_some());
     let (inputs, receiver) = handle::channel();
     let handle = CoreHandle {
         inputs,
         next_id: Arc::default(),
         connections: Arc::default(),
         lifecycle: LifecycleView::default(),
-        clock: start.clock,
-        figures: Arc::new(SharedTimeouts::new(&settings)),
+        clock: config.clock,
+        timeouts: Arc::new(SharedTimeouts::new(&settings)),
     };
-    let admission = AdmissionControl::new(Arc::clone(&in_force), start.admission, start.seed);
-    let policy = Balancer::new(settings.clone(), start.seed).map_err(StartError::Settings)?;
+    let admission =
+        AdmissionControl::new(Arc::clone(&active_settings), config.admission, config.seed);
+    let policy = Balancer::new(settings.clone(), config.seed).map_err(StartError::Settings)?;
     let mut core = Core {
-        name: start.name,
-        in_force,
+        name: config.name,
+        active_settings,
         settings,
-        seed: start.seed,
-        clock: start.clock,
+        seed: config.seed,
+        clock: config.clock,
         policy,
-        endpoints: EndpointRegistry::new(start.overrides),
+        endpoints: EndpointRegistry::new(config.overrides),
         requests: RequestTable::default(),
         admission,
         timers: BinaryHeap::new(),
         timers_set: 0,
-        discovery_polls: start.discovery_polls,
-        prober: start.prober,
-        timeouts: Arc::clone(&handle.figures),
+        discovery_polls: config.discovery_polls,
+        prober: config.prober,
+        timeouts: Arc::clone(&handle.timeouts),
         lifecycle: Lifecycle::default(),
         lifecycle_view: handle.lifecycle.clone(),
         connections: Arc::clone(&handle.connections),
@@ -121,9 +122,9 @@
         has_lost_overrides: false,
         fleet: None,
     };
-    if let Some(link_config) = start.fleet {
+    if let Some(link_config) = config.fleet {
         core.attach_fleet(link_config);
     }
-    core.apply_list(start.cached_list, true);
+    core.apply_list(config.cached_list, true);
     Ok((handle, core, receiver))
 }
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -31,11 +31,14 @@
 
 /// A core with one server and these overrides.
 pub(super) fn core(clock: Clock, overrides: OverrideSet) -> Core {
-    told_core(clock, overrides).1
+    core_with_channels(clock, overrides).1
 }
 
 /// The same, with its handle and its receiver.
-pub(super) fn told_core(clock: Clock, overrides: OverrideSet) -> (CoreHandle, Core, CoreReceiver) {
+pub(super) fn core_with_channels(
+    clock: Clock,
+    overrides: OverrideSet,
+) -> (CoreHandle, Core, CoreReceiver) {
     let site = serde_json::from_str(SETTINGS).expect("settings");
     let (cached_list, discovery_polls) = (list(&row("s0")), crossbeam_channel::unbounded().0);
     let start = CoreConfig {
@@ -55,63 +58,65 @@
 
 /// Records the commands of all connections.
 #[derive(Debug, Default)]
-pub(super) struct Orders(Mutex<Vec<(u64, ConnectionCommand)>>);
+pub(super) struct CommandLog(Mutex<Vec<(u64, ConnectionCommand)>>);
 
-impl CommandSender for Orders {
-    fn send(&self, id: u64, order: ConnectionCommand) {
-        self.0.lock().expect("sound").push((id, order));
+impl CommandSender for CommandLog {
+    fn send(&self, id: u64, command: ConnectionCommand) {
+        self.0.lock().expect("sound").push((id, command));
     }
 }
 
-impl Orders {
+impl CommandLog {
     /// How often a client was asked to migrate.
-    pub(super) fn moves(&self, id: u64) -> usize {
-        let orders = self.0.lock().expect("sound");
-        orders
+    pub(super) fn migration_count(&self, id: u64) -> usize {
+        let commands = self.0.lock().expect("sound");
+        commands
             .iter()
-            .filter(|(of, order)| *of == id && matches!(order, ConnectionCommand::Migrate))
+            .filter(|(request, command)| {
+                *request == id && matches!(command, ConnectionCommand::Migrate)
+            })
             .count()
     }
 
     /// All commands in a reproducible text form.
-    pub(super) fn words(&self) -> String {
-        let orders = self.0.lock().expect("sound");
-        let word = |order: &ConnectionCommand| match order {
+    pub(super) fn as_text(&self) -> String {
+        let commands = self.0.lock().expect("sound");
+        let describe = |command: &ConnectionCommand| match command {
             ConnectionCommand::StartAttempt { endpoint, .. } => {
                 format!("StartAttempt to {}", endpoint.name)
             }
             other => format!("{other:?}"),
         };
-        orders
+        commands
             .iter()
-            .map(|(id, order)| format!("{id} {}\n", word(order)))
+            .map(|(id, command)| format!("{id} {}\n", describe(command)))
             .collect()
     }
 
     /// Number of attempts and of final answers of a request.
-    pub(super) fn of(&self, id: u64) -> (usize, usize) {
-        let orders = self.0.lock().expect("sound");
-        let own = orders.iter().filter(|(of, _)| *of == id);
-        own.fold((0, 0), |(passes, answers), (_, order)| match order {
-            ConnectionCommand::StartAttempt { .. } => (passes + 1, answers),
+    pub(super) fn attempts_and_answers(&self, id: u64) -> (usize, usize) {
+        let commands = self.0.lock().expect("sound");
+        let sent = commands.iter().filter(|(request, _)| *request == id);
+        sent.fold((0, 0), |(attempts, answers), (_, command)| match command {
+            ConnectionCommand::StartAttempt { .. } => (attempts + 1, answers),
             ConnectionCommand::Reject(_)
             | ConnectionCommand::Fail
-            | ConnectionCommand::AbandonAttempt => (passes, answers + 1),
-            ConnectionCommand::Migrate | ConnectionCommand::HandOver => (passes, answers),
+            | ConnectionCommand::AbandonAttempt => (attempts, answers + 1),
+            ConnectionCommand::Migrate | ConnectionCommand::HandOver => (attempts, answers),
         })
     }
 }
 
 /// A client of an account sends a request.
-pub(super) fn opens(
+pub(super) fn open_request(
     core: &mut Core,
-    orders: &Arc<Orders>,
+    commands: &Arc<CommandLog>,
     id: u64,
     account: &str,
-    patience: Duration,
+    client_timeout: Duration,
 ) {
-    let client_request = client_request(id, account, patience, core.clock.now());
-    core.on_connect_requested(id, client_request, Arc::<Orders>::clone(orders));
+    let client_request = client_request(id, account, client_timeout, core.clock.now());
+    core.on_connect_requested(id, client_request, Arc::<CommandLog>::clone(commands));
 }
 
 /// Such a request.
@@ -140,12 +145,12 @@
 impl Core {
     /// Begins a drain and sends its final answers at once.
     pub(super) fn end_drain_now(&mut self) {
-        for word in [
+        for command in [
             LifecycleCommand::SetListening(true),
             LifecycleCommand::ServersKnown,
             LifecycleCommand::ShutDown,
         ] {
-            self.on_lifecycle_command(word)
+            self.on_lifecycle_command(command)
                 .expect("no order of an operator's");
         }
         self.answer_pending_requests();
--- a/crates/balancer/src/core/tests.rs
+++ b/crates/balancer/src/core/tests.rs
@@ -5,31 +5,32 @@
 
 use beaconflow_overrides::OverrideSet;
 
-use super::testing::{self, Orders};
+use super::testing::{self, CommandLog};
 use super::*;
 use crate::discovery::ServerList;
 
-const LONG: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A list on which a server drains and another serves.
-fn drains(server: &str, other: &str) -> ServerList {
-    let drains = testing::row(server).replace("SERVING", "DRAINING");
-    testing::list(&[drains, testing::row(other)].join(","))
+fn draining_list(server: &str, other: &str) -> ServerList {
+    let draining_list = testing::row(server).replace("SERVING", "DRAINING");
+    testing::list(&[draining_list, testing::row(other)].join(","))
 }
 
 #[test]
-fn a_list_is_taken_before_the_events_that_wait() {
-    let (handle, mut core, receiver) = testing::told_core(Clock::start(), OverrideSet::default());
-    let orders = Arc::new(Orders::default());
+fn applies_list_before_queued_inputs() {
+    let (handle, mut core, receiver) =
+        testing::core_with_channels(Clock::start(), OverrideSet::default());
+    let commands = Arc::new(CommandLog::default());
     let server = core.endpoints.by_name("s0").expect("listed").1;
     for id in 0..50 {
-        let client_request = testing::client_request(id, "acme", LONG, core.clock.now());
+        let client_request = testing::client_request(id, "acme", LONG_TIMEOUT, core.clock.now());
         handle.open(
             client_request,
-            Arc::<Orders>::clone(&orders) as Arc<dyn CommandSender>,
+            Arc::<CommandLog>::clone(&commands) as Arc<dyn CommandSender>,
         );
     }
-    handle.send_discovery(DiscoveryEvent::List(drains("s0", "s1")));
+    handle.send_discovery(DiscoveryEvent::List(draining_list("s0", "s1")));
     assert!(core.run_once(&receiver));
     assert!(
         server.begin_write().is_none(),
@@ -38,43 +39,45 @@
     while !receiver.inputs.is_empty() {
         assert!(core.run_once(&receiver));
     }
-    let words = orders.words();
+    let text = commands.as_text();
     assert!(
-        words.contains("StartAttempt to s1") && !words.contains("StartAttempt to s0"),
-        "{words}"
+        text.contains("StartAttempt to s1") && !text.contains("StartAttempt to s0"),
+        "{text}"
     );
 }
 
 #[test]
-fn a_list_and_the_failure_after_it_are_taken_in_their_order() {
-    let (handle, mut core, receiver) = testing::told_core(Clock::start(), OverrideSet::default());
-    let (watch, asked) = crossbeam_channel::unbounded();
-    core.discovery_polls = watch;
+fn applies_discovery_events_in_order() {
+    let (handle, mut core, receiver) =
+        testing::core_with_channels(Clock::start(), OverrideSet::default());
+    let (poll_sender, polls) = crossbeam_channel::unbounded();
+    core.discovery_polls = poll_sender;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
-    handle.send_discovery(DiscoveryEvent::List(drains("s0", "s1")));
+    handle.send_discovery(DiscoveryEvent::List(draining_list("s0", "s1")));
     handle.send_discovery(DiscoveryEvent::TimedOut(Duration::from_millis(100)));
     assert!(core.run_once(&receiver));
     assert!(receiver.discovery.is_empty());
-    while asked.is_empty() {
+    while polls.is_empty() {
         assert!(core.run_once(&receiver), "it is asked for again");
     }
 }
 
 #[test]
-fn a_module_that_panics_while_the_next_call_is_due_does_not_cost_the_watch() {
-    let (handle, mut core, receiver) = testing::told_core(Clock::start(), OverrideSet::default());
-    let (watch, asked) = crossbeam_channel::unbounded();
-    core.discovery_polls = watch;
+fn polls_discovery_again_after_policy_panic() {
+    let (handle, mut core, receiver) =
+        testing::core_with_channels(Clock::start(), OverrideSet::default());
+    let (poll_sender, polls) = crossbeam_channel::unbounded();
+    core.discovery_polls = poll_sender;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
     assert!(core.run_once(&receiver));
-    assert!(asked.is_empty(), "the call waits for its time");
+    assert!(polls.is_empty(), "the call waits for its time");
     // The timer of that call goes with the module that set it.
     core.restart_policy();
-    assert_eq!(asked.len(), 1, "an agent is asked at once");
+    assert_eq!(polls.len(), 1, "an agent is asked at once");
 }
 
 #[test]
-fn while_a_whole_list_is_read_the_servers_that_it_names_can_be_written_to() {
+fn keeps_listed_servers_writable_while_snapshot_is_read() {
     let mut endpoints = EndpointRegistry::new(OverrideSet::default());
     let rows = |names: &[&str]| {
         names
@@ -84,18 +87,18 @@
             .join(",")
     };
     endpoints.apply_list(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
-    let at = |name| endpoints.by_name(name).expect("listed").1;
-    let (gone, stay) = (at("s0"), ["s1", "s2"].map(at));
+    let endpoint = |name| endpoints.by_name(name).expect("listed").1;
+    let (unlisted, listed) = (endpoint("s0"), ["s1", "s2"].map(endpoint));
     // The zone is looked up for each entry, in the midst of the list.
-    let looks = std::cell::Cell::new(0);
+    let zone_lookups = std::cell::Cell::new(0);
     endpoints.apply_list(testing::list(&rows(&["s1", "s2"])), 1, |_| {
-        looks.set(looks.get() + 1);
+        zone_lookups.set(zone_lookups.get() + 1);
         assert!(
-            stay.iter().all(|server| server.begin_write().is_some()),
+            listed.iter().all(|server| server.begin_write().is_some()),
             "both go on serving"
         );
         None
     });
-    assert_eq!(looks.get(), 2);
-    assert!(gone.begin_write().is_none());
+    assert_eq!(zone_lookups.get(), 2);
+    assert!(unlisted.begin_write().is_none());
 }
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -24,20 +24,20 @@
 
 impl FleetThread {
     /// Handles an event of the core.
-    pub(super) fn on_core_event(&mut self, seen: CoreEvent) {
-        match seen {
-            CoreEvent::ListApplied(list, known) => self.on_list_applied(list, known),
+    pub(super) fn on_core_event(&mut self, event: CoreEvent) {
+        match event {
+            CoreEvent::ListApplied(list, is_cached) => self.on_list_applied(list, is_cached),
             CoreEvent::DiscoveryLost => {
                 self.on_recovery_event(RecoveryEvent::QueryFailed(EvidenceSource::Discovery));
                 self.with_uplink(Uplink::on_discovery_lost);
             }
             CoreEvent::PlacementsChanged(placements) => placements
                 .iter()
-                .for_each(|one| self.publish_placement(one)),
+                .for_each(|placement| self.publish_placement(placement)),
             CoreEvent::VersionRuns(fact) => self.publish_version(&fact),
-            CoreEvent::RememberedPlacements(held) => self.status.placements = Some(held),
-            CoreEvent::EstablishedConnections(standing) => {
-                self.established = standing;
+            CoreEvent::RememberedPlacements(count) => self.status.placements = Some(count),
+            CoreEvent::EstablishedConnections(count) => {
+                self.established = count;
                 if self.recovery.recovery().can_update_memory() {
                     self.memory.store(records::encode_previous_clients(
                         self.estimate_fleet_clients(),
@@ -45,18 +45,18 @@
                     ));
                 }
             }
-            CoreEvent::AttemptFinished(server, key, how) => {
-                self.publish_attempt_outcome(&server, how);
-                self.count_client_outcome(key, how);
-                if let Some(judged) = site_evidence::health_from_outcome(how) {
-                    self.publish_server_evidence(&server, judged);
+            CoreEvent::AttemptFinished(server, key, outcome) => {
+                self.publish_attempt_outcome(&server, outcome);
+                self.count_client_outcome(key, outcome);
+                if let Some(health) = site_evidence::health_from_outcome(outcome) {
+                    self.publish_server_evidence(&server, health);
                 }
             }
             CoreEvent::ServerDraining(server) => {
                 self.publish_server_evidence(&server, ServerHealth::Draining)
             }
-            CoreEvent::AdmissionRequested(arrival) => {
-                self.on_recovery_event(RecoveryEvent::AdmissionRequested(arrival))
+            CoreEvent::AdmissionRequested(request) => {
+                self.on_recovery_event(RecoveryEvent::AdmissionRequested(request))
             }
             CoreEvent::SlowStartPlacement(server) => self.count_slow_start_placement(&server),
         }
@@ -64,7 +64,7 @@
 
     /// Publishes a version of the configuration that runs here.
     fn publish_version(&mut self, fact: &VersionFact) {
-        let (key, value) = (fact.version.0.to_be_bytes(), records::version(fact));
+        let (key, value) = (fact.version.0.to_be_bytes(), records::encode_version(fact));
         self.memory.store(records::record(
             records::VERSION_RECORD,
             &key,
@@ -85,19 +85,22 @@
             Subject::SlowStartSends(server.name.to_string()),
             self.now_ms(),
         );
-        shared_gossip::lock(&self.gossip, |known| {
-            let sent = known
-                .knowledge
-                .get(&subject, &known.knowledge.origin().name.clone(), now);
-            let before = match sent.map(|fact| (fact.value, fact.observed_at)) {
-                Some((Value::SlowStartSends(sent), at)) => {
-                    sent * 0.5_f64.powf((now - at.min(now)) as f64 / SLOW_START_HALF_LIFE_MS)
+        shared_gossip::lock(&self.gossip, |shared| {
+            let previous =
+                shared
+                    .knowledge
+                    .get(&subject, &shared.knowledge.origin().name.clone(), now);
+            let count_before = match previous.map(|fact| (fact.value, fact.observed_at)) {
+                Some((Value::SlowStartSends(previous), observed_at)) => {
+                    previous
+                        * 0.5_f64
+                            .powf((now - observed_at.min(now)) as f64 / SLOW_START_HALF_LIFE_MS)
                 }
                 _ => 0.0,
             };
-            let _ = known.knowledge.observe(
+            let _ = shared.knowledge.observe(
                 &subject,
-                &Value::SlowStartSends(before + 1.0),
+                &Value::SlowStartSends(count_before + 1.0),
                 EVIDENCE_TTL_MS,
                 now,
             );
@@ -106,18 +109,18 @@
 
     /// Estimates the clients of the whole fleet from this process's share.
     fn estimate_fleet_clients(&self) -> f64 {
-        self.established as f64 * shared_gossip::lock(&self.gossip, |known| known.members) as f64
+        self.established as f64 * shared_gossip::lock(&self.gossip, |shared| shared.members) as f64
     }
 
     fn publish_placement(&mut self, placement: &Placement) {
         self.memory.store_placement(placement, self.now_ms());
-        let life = millis(self.config.affinity.retention);
+        let retention_ms = millis(self.config.affinity.retention);
         let key = placement.key.0.to_be_bytes().to_vec();
         self.publish_fact(
             shared_gossip::PLACEMENT_FACT,
             (key, false),
             records::encode_placement(placement),
-            life,
+            retention_ms,
         );
         // A client may return to another process before the next gossip round.
         self.membership.gossip_soon();
@@ -127,31 +130,31 @@
     pub(super) fn publish_fact(
         &self,
         kind: u32,
-        (key, owned): (Vec<u8>, bool),
+        (key, is_per_process): (Vec<u8>, bool),
         value: Vec<u8>,
-        good_for: Millis,
+        ttl_ms: Millis,
     ) {
         let (subject, now) = (
-            shared_gossip::custom_subject(kind, key, owned),
+            shared_gossip::custom_subject(kind, key, is_per_process),
             self.now_ms(),
         );
-        let entered = shared_gossip::lock(&self.gossip, |known| {
-            known
+        let result = shared_gossip::lock(&self.gossip, |shared| {
+            shared
                 .knowledge
-                .observe(&subject, &Value::Unknown(value), good_for, now)
+                .observe(&subject, &Value::Unknown(value), ttl_ms, now)
         });
-        if let Err(why) = entered {
-            warn!(part = "peers", kind, why = ?why, "not told to the others");
+        if let Err(error) = result {
+            warn!(part = "peers", kind, why = ?error, "not told to the others");
         }
     }
 
     /// Publishes evidence on a server to the site, where the uplink is monitored.
-    fn publish_server_evidence(&mut self, server: &ServerIdentity, judged: ServerHealth) {
+    fn publish_server_evidence(&mut self, server: &ServerIdentity, health: ServerHealth) {
         if self.uplink.is_none() {
             return;
         }
         let is_answer = !matches!(
-            judged,
+            health,
             ServerHealth::Unresponsive | ServerHealth::Refused | ServerHealth::Gone
         );
         let outcome = if is_answer {
@@ -162,15 +165,15 @@
         self.with_uplink(|uplink, now| {
             uplink.on_evidence(now, Evidence::LocalServerRequest { outcome })
         });
-        if let Some(told) =
+        if let Some(report) =
             self.site_evidence
-                .record_own(self.now_ms(), &self.config.name, server, judged)
+                .record_own(self.now_ms(), &self.config.name, server, health)
         {
-            let key = told.server.clone().into_bytes();
+            let key = report.server.clone().into_bytes();
             self.publish_fact(
                 shared_gossip::SERVER_EVIDENCE_FACT,
                 (key, true),
-                messages::encode_server_evidence(&told),
+                messages::encode_server_evidence(&report),
                 SITE_EVIDENCE_TTL_MS,
             );
             self.membership.gossip_soon();
@@ -178,26 +181,30 @@
     }
 
     /// Counts failed placements of a client key over all processes, until one succeeds.
-    fn count_client_outcome(&mut self, key: Option<u64>, how: Option<AttemptOutcome>) {
-        let (Some(key), now, good) = (key, self.now_ms(), self.failure_ttl_ms) else {
+    fn count_client_outcome(&mut self, key: Option<u64>, outcome: Option<AttemptOutcome>) {
+        let (Some(key), now, ttl_ms) = (key, self.now_ms(), self.failure_ttl_ms) else {
             return;
         };
-        let has_failed = !matches!(how, None | Some(AttemptOutcome::Served));
-        let told = shared_gossip::lock(&self.gossip, |known| {
-            let known = &mut known.knowledge;
+        let has_failed = !matches!(outcome, None | Some(AttemptOutcome::Served));
+        let is_published = shared_gossip::lock(&self.gossip, |shared| {
+            let knowledge = &mut shared.knowledge;
             if has_failed {
-                return known.record_placement_failure(key, good, now).is_ok();
+                return knowledge.record_placement_failure(key, ttl_ms, now).is_ok();
             }
-            known.failure_count(key, now) > 0
-                && known.record_placement_success(key, good, now).is_ok()
+            knowledge.failure_count(key, now) > 0
+                && knowledge.record_placement_success(key, ttl_ms, now).is_ok()
         });
-        if told {
+        if is_published {
             self.membership.gossip_soon();
         }
     }
 
-    fn publish_attempt_outcome(&mut self, server: &ServerIdentity, how: Option<AttemptOutcome>) {
-        let observed = match how {
+    fn publish_attempt_outcome(
+        &mut self,
+        server: &ServerIdentity,
+        outcome: Option<AttemptOutcome>,
+    ) {
+        let observed = match outcome {
             None | Some(AttemptOutcome::Served) => ObservedHealth::Healthy,
             Some(AttemptOutcome::TimedOut) => ObservedHealth::Hung,
             Some(
@@ -212,21 +219,22 @@
             Subject::ServerEvidence(server.name.to_string()),
             self.now_ms(),
         );
-        shared_gossip::lock(&self.gossip, |known| {
-            let before = known
-                .knowledge
-                .get(&subject, &known.knowledge.origin().name.clone(), now);
-            let weight = match before.map(|fact| (fact.value, fact.observed_at)) {
+        shared_gossip::lock(&self.gossip, |shared| {
+            let previous =
+                shared
+                    .knowledge
+                    .get(&subject, &shared.knowledge.origin().name.clone(), now);
+            let weight = match previous.map(|fact| (fact.value, fact.observed_at)) {
                 Some((
                     Value::ServerEvidence(ServerEvidence {
-                        observed: same,
+                        observed: previous_health,
                         weight,
                     }),
-                    at,
-                )) if same == observed => {
+                    observed_at,
+                )) if previous_health == observed => {
                     // A healthy server is not reported for every connection.
                     if observed == ObservedHealth::Healthy
-                        && now.saturating_sub(at) < EVIDENCE_TTL_MS / 4
+                        && now.saturating_sub(observed_at) < EVIDENCE_TTL_MS / 4
                     {
                         return;
                     }
@@ -234,7 +242,7 @@
                 }
                 _ => 1.0,
             };
-            let _ = known.knowledge.observe(
+            let _ = shared.knowledge.observe(
                 &subject,
                 &Value::ServerEvidence(ServerEvidence { observed, weight }),
                 EVIDENCE_TTL_MS,
--- a/crates/balancer/src/fleet/handle.rs
+++ b/crates/balancer/src/fleet/handle.rs
@@ -63,10 +63,10 @@
     }
 
     /// Reports another source of endpoints, which changes the version of the configuration.
-    pub fn set_endpoint_source(&self, setup: &SiteSettings, farm: &EndpointSource) {
+    pub fn set_endpoint_source(&self, settings: &SiteSettings, endpoints: &EndpointSource) {
         let _ = self.commands.send(FleetCommand::SetVersion(routing_version(
-            &setup.policy_settings(),
-            Some(farm),
+            &settings.policy_settings(),
+            Some(endpoints),
         )));
     }
 
--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -49,28 +49,31 @@
 }
 
 /// Opens the memory. Faults are logged, and the process serves without it.
-pub(super) fn open(file: &operator::FleetConfig, wall: Millis) -> (MemoryWriter, RestoredMemory) {
-    let retention_s = u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX);
-    let Some(config) = &file.memory else {
+pub(super) fn open(
+    fleet_config: &operator::FleetConfig,
+    wall_ms: Millis,
+) -> (MemoryWriter, RestoredMemory) {
+    let retention_s = u32::try_from(fleet_config.affinity.retention.as_secs()).unwrap_or(u32::MAX);
+    let Some(config) = &fleet_config.memory else {
         return (
             MemoryWriter::disabled(PathBuf::new(), retention_s),
             RestoredMemory::default(),
         );
     };
-    let (memory, found) = match memory::open(&config.path, &file.name, wall) {
+    let (memory, remembered) = match memory::open(&config.path, &fleet_config.name, wall_ms) {
         Ok(opened) => opened,
-        Err(why) => {
-            error!(part = "memory", file = %config.path.display(), why = %why, "nothing is remembered or kept");
+        Err(error) => {
+            error!(part = "memory", file = %config.path.display(), why = %error, "nothing is remembered or kept");
             return (
                 MemoryWriter::disabled(config.path.clone(), retention_s),
                 RestoredMemory::default(),
             );
         }
     };
-    log_faults(&found);
-    let restored = RestoredMemory::read(&found);
+    log_faults(&remembered);
+    let restored = RestoredMemory::read(&remembered);
     let writer = Writer::spawn(memory)
-        .inspect_err(|why| error!(part = "memory", why, "nothing is kept"))
+        .inspect_err(|error| error!(part = "memory", why = error, "nothing is kept"))
         .ok();
     let last_seen_s = restored
         .placements
@@ -86,17 +89,17 @@
     (memory_writer, restored)
 }
 
-fn log_faults(found: &Remembered) {
-    if let Some(aside) = &found.aside {
-        warn!(part = "memory", what = %aside, "a file is not read");
+fn log_faults(remembered: &Remembered) {
+    if let Some(moved_aside) = &remembered.aside {
+        warn!(part = "memory", what = %moved_aside, "a file is not read");
     }
-    if let Some(why) = &found.unwritable {
+    if let Some(why) = &remembered.unwritable {
         warn!(
             part = "memory",
             why, "the disk takes nothing; what is known is not kept"
         );
     }
-    if found.clock_went_back {
+    if remembered.clock_went_back {
         warn!(
             part = "memory",
             "the wall clock stands before the last writing: no age can be told from it"
@@ -106,20 +109,20 @@
 
 impl RestoredMemory {
     /// Reads all records, and logs how many there were.
-    fn read(found: &Remembered) -> RestoredMemory {
+    fn read(remembered: &Remembered) -> RestoredMemory {
         let mut restored = RestoredMemory {
-            incarnation: found.incarnation,
-            written_at: found.last_written_ms,
+            incarnation: remembered.incarnation,
+            written_at: remembered.last_written_ms,
             ..RestoredMemory::default()
         };
-        let mut unreadable = found.unreadable;
-        for record in &found.records {
+        let mut unreadable = remembered.unreadable;
+        for record in &remembered.records {
             unreadable += u64::from(!restored.read_record(record));
         }
         let list = restored.list.as_ref();
         info!(
             part = "memory",
-            boot = found.incarnation,
+            boot = remembered.incarnation,
             list = list.map_or(0, |(list, _)| list.instances.len()),
             placements = restored.placements.len(),
             unreadable,
@@ -133,9 +136,9 @@
         match record.kind {
             records::LIST_RECORD => {
                 let list = records::decode_list(record);
-                let read = list.is_some();
+                let is_valid = list.is_some();
                 self.list = list.or(self.list.take());
-                read
+                is_valid
             }
             records::PREVIOUS_CLIENTS_RECORD => {
                 self.previous_clients = records::decode_previous_clients(record);
@@ -211,20 +214,20 @@
             return;
         };
         self.housekeeping_at = now.saturating_add(HOUSEKEEPING_INTERVAL_MS);
-        let oldest = u32::try_from(now / 1_000)
+        let oldest_s = u32::try_from(now / 1_000)
             .unwrap_or(u32::MAX)
             .saturating_sub(self.retention_s);
         let expired = self
             .last_seen_s
             .iter()
-            .filter(|(_, seen)| **seen < oldest)
+            .filter(|(_, last_seen_s)| **last_seen_s < oldest_s)
             .map(|(key, _)| *key);
         let expired: Vec<u64> = expired.take(MAX_EXPIRED_PER_PASS).collect();
         for key in expired {
             self.last_seen_s.remove(&key);
             writer.forget(records::PLACEMENT_RECORD, key.to_be_bytes().to_vec());
         }
-        let size = std::fs::metadata(&self.path).map_or(0, |about| about.len());
+        let size = std::fs::metadata(&self.path).map_or(0, |metadata| metadata.len());
         let is_full = size > self.max_bytes;
         if is_full != self.is_full {
             self.is_full = is_full;
--- a/crates/balancer/src/fleet/messages.rs
+++ b/crates/balancer/src/fleet/messages.rs
@@ -17,52 +17,58 @@
     #[prost(string, tag = "2")]
     site: String,
     #[prost(uint64, tag = "3")]
-    boot: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "4")]
-    up_for_ms: u64,
+    uptime_ms: u64,
     #[prost(uint64, optional, tag = "5")]
-    serving_for_ms: Option<u64>,
+    serving_time_ms: Option<u64>,
     #[prost(bool, tag = "6")]
-    in_full: bool,
+    is_in_full_service: bool,
     #[prost(uint64, optional, tag = "7")]
-    wall_ms: Option<u64>,
+    wall_clock_ms: Option<u64>,
     #[prost(double, optional, tag = "8")]
     previous_clients: Option<f64>,
     #[prost(double, tag = "9")]
-    short: f64,
+    deferred_per_s: f64,
 }
 
 /// Encodes this process's recovery status.
-pub(super) fn encode_recovery_status(word: &PeerStatus) -> Vec<u8> {
+pub(super) fn encode_recovery_status(status: &PeerStatus) -> Vec<u8> {
     RecoveryStatusRecord {
-        name: word.name.clone(),
-        site: word.site.clone(),
-        boot: word.incarnation,
-        up_for_ms: word.uptime / NANOS_PER_MS,
-        serving_for_ms: word.serving_time.map(|span| span / NANOS_PER_MS),
-        in_full: word.is_in_full_service,
-        wall_ms: word.wall_clock,
-        previous_clients: word.previous_clients,
-        short: word.deferred_per_s,
+        name: status.name.clone(),
+        site: status.site.clone(),
+        incarnation: status.incarnation,
+        uptime_ms: status.uptime / NANOS_PER_MS,
+        serving_time_ms: status.serving_time.map(|span| span / NANOS_PER_MS),
+        is_in_full_service: status.is_in_full_service,
+        wall_clock_ms: status.wall_clock,
+        previous_clients: status.previous_clients,
+        deferred_per_s: status.deferred_per_s,
     }
     .encode_to_vec()
 }
 
 /// Decodes a recovery status of the given age; its spans grow by it. `None` if it can't be parsed.
 pub(super) fn decode_recovery_status(bytes: &[u8], age_ms: u64) -> Option<PeerStatus> {
-    let read = RecoveryStatusRecord::decode(bytes).ok()?;
-    let sound = |value: &f64| value.is_finite() && *value >= 0.0;
-    let grown = |span: u64| span.saturating_add(age_ms).saturating_mul(NANOS_PER_MS);
+    let record = RecoveryStatusRecord::decode(bytes).ok()?;
+    let is_valid = |value: &f64| value.is_finite() && *value >= 0.0;
+    let aged_ns = |span: u64| span.saturating_add(age_ms).saturating_mul(NANOS_PER_MS);
     Some(PeerStatus {
-        name: read.name,
-        site: read.site,
-        incarnation: read.boot,
-        uptime: grown(read.up_for_ms),
-        serving_time: read.serving_for_ms.map(grown),
-        is_in_full_service: read.in_full,
-        wall_clock: read.wall_ms.map(|wall| wall.saturating_add(age_ms)),
-        previous_clients: read.previous_clients.filter(sound),
-        deferred_per_s: if sound(&read.short) { read.short } else { 0.0 },
+        name: record.name,
+        site: record.site,
+        incarnation: record.incarnation,
+        uptime: aged_ns(record.uptime_ms),
+        serving_time: record.serving_time_ms.map(aged_ns),
+        is_in_full_service: record.is_in_full_service,
+        wall_clock: record
+            .wall_clock_ms
+            .map(|wall_ms| wall_ms.saturating_add(age_ms)),
+        previous_clients: record.previous_clients.filter(is_valid),
+        deferred_per_s: if is_valid(&record.deferred_per_s) {
+            record.deferred_per_s
+        } else {
+            0.0
+        },
     })
 }
 
@@ -88,8 +94,8 @@
 
 /// Decodes lent quota: the lender, the number of the loan, and the clients.
 pub(super) fn decode_lent_quota(bytes: &[u8]) -> Option<(String, u64, f64)> {
-    let read = LentQuotaRecord::decode(bytes).ok()?;
-    Some((read.from, read.number, read.clients))
+    let record = LentQuotaRecord::decode(bytes).ok()?;
+    Some((record.from, record.number, record.clients))
 }
 
 /// A process's evidence on a server. Times are sent as ages.
@@ -100,23 +106,23 @@
     #[prost(string, tag = "2")]
     origin: String,
     #[prost(uint32, tag = "3")]
-    judged: u32,
+    health: u32,
     #[prost(uint32, tag = "4")]
     weight: u32,
     #[prost(uint64, tag = "5")]
     since_age_ms: u64,
     #[prost(uint64, tag = "6")]
-    started_ms: u64,
+    started_at_ms: u64,
     #[prost(message, optional, tag = "7")]
-    before: Option<BeforeRecord>,
+    previous: Option<PreviousFindingRecord>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct BeforeRecord {
+struct PreviousFindingRecord {
     #[prost(uint64, tag = "1")]
     until_age_ms: u64,
     #[prost(uint32, tag = "2")]
-    judged: u32,
+    health: u32,
     #[prost(uint32, tag = "3")]
     weight: u32,
 }
@@ -132,19 +138,19 @@
 ];
 
 /// Encodes own evidence on a server.
-pub(super) fn encode_server_evidence(one: &HealthReport) -> Vec<u8> {
-    let age = |at: u64| one.observed_at_ms.saturating_sub(at);
+pub(super) fn encode_server_evidence(report: &HealthReport) -> Vec<u8> {
+    let age = |at: u64| report.observed_at_ms.saturating_sub(at);
     ServerEvidenceRecord {
-        server: one.server.clone(),
-        origin: one.origin.clone(),
-        judged: number(&one.health, &SERVER_HEALTH_NUMBERS),
-        weight: one.weight,
-        since_age_ms: age(one.since_ms),
-        started_ms: one.started_ms,
-        before: one.previous.map(|before| BeforeRecord {
-            until_age_ms: age(before.until_ms),
-            judged: number(&before.health, &SERVER_HEALTH_NUMBERS),
-            weight: before.weight,
+        server: report.server.clone(),
+        origin: report.origin.clone(),
+        health: number(&report.health, &SERVER_HEALTH_NUMBERS),
+        weight: report.weight,
+        since_age_ms: age(report.since_ms),
+        started_at_ms: report.started_ms,
+        previous: report.previous.map(|previous| PreviousFindingRecord {
+            until_age_ms: age(previous.until_ms),
+            health: number(&previous.health, &SERVER_HEALTH_NUMBERS),
+            weight: previous.weight,
         }),
     }
     .encode_to_vec()
@@ -152,26 +158,26 @@
 
 /// Decodes a peer's evidence. `None` if it can't be parsed.
 pub(super) fn decode_server_evidence(bytes: &[u8], observed_at_ms: u64) -> Option<HealthReport> {
-    let read = ServerEvidenceRecord::decode(bytes).ok()?;
-    let kind = |number: u32| SERVER_HEALTH_NUMBERS.get(number as usize).copied();
-    let ago = |age: u64| observed_at_ms.saturating_sub(age);
-    let before = |before: BeforeRecord| {
-        let (until_ms, health) = (ago(before.until_age_ms), kind(before.judged)?);
+    let record = ServerEvidenceRecord::decode(bytes).ok()?;
+    let health_of = |number: u32| SERVER_HEALTH_NUMBERS.get(number as usize).copied();
+    let time_of = |age: u64| observed_at_ms.saturating_sub(age);
+    let previous = |previous: PreviousFindingRecord| {
+        let (until_ms, health) = (time_of(previous.until_age_ms), health_of(previous.health)?);
         Some(PreviousFinding {
             until_ms,
             health,
-            weight: before.weight,
+            weight: previous.weight,
         })
     };
     Some(HealthReport {
         observed_at_ms,
-        health: kind(read.judged)?,
-        weight: read.weight,
-        since_ms: ago(read.since_age_ms),
-        previous: read.before.and_then(before),
-        started_ms: read.started_ms,
-        server: read.server,
-        origin: read.origin,
+        health: health_of(record.health)?,
+        weight: record.weight,
+        since_ms: time_of(record.since_age_ms),
+        previous: record.previous.and_then(previous),
+        started_ms: record.started_at_ms,
+        server: record.server,
+        origin: record.origin,
     })
 }
 
@@ -184,16 +190,16 @@
     #[prost(uint32, tag = "3")]
     state: u32,
     #[prost(message, repeated, tag = "4")]
-    places: Vec<PlaceRecord>,
+    targets: Vec<TargetRecord>,
     #[prost(message, repeated, tag = "5")]
-    probes: Vec<PlaceRecord>,
+    probes: Vec<TargetRecord>,
     #[prost(message, optional, tag = "6")]
     operator_mode: Option<OperatorModeRecord>,
 }
 
 /// A place with a number: its reachability, or the probes sent to it.
 #[derive(Clone, PartialEq, Message)]
-struct PlaceRecord {
+struct TargetRecord {
     /// 0 is discovery, 1 the store, 2 a site.
     #[prost(uint32, tag = "1")]
     kind: u32,
@@ -208,15 +214,15 @@
 #[derive(Clone, PartialEq, Message)]
 struct OperatorModeRecord {
     #[prost(uint64, tag = "1")]
-    given_at: u64,
+    set_at: u64,
     #[prost(uint32, tag = "2")]
-    force: u32,
+    mode: u32,
     #[prost(uint64, tag = "3")]
-    ends_at: u64,
+    expires_at: u64,
     #[prost(string, tag = "4")]
-    who: String,
+    set_by: String,
     #[prost(string, tag = "5")]
-    why: String,
+    reason: String,
 }
 
 /// Each indexed by its numbers.
@@ -237,17 +243,20 @@
     UplinkMode::Linked,
 ];
 
-fn number<T: PartialEq>(of: &T, all: &[T]) -> u32 {
-    all.iter().position(|one| one == of).unwrap_or(0) as u32
+fn number<T: PartialEq>(value: &T, numbered: &[T]) -> u32 {
+    numbered
+        .iter()
+        .position(|candidate| candidate == value)
+        .unwrap_or(0) as u32
 }
 
-fn encode_place(place: &RemoteTarget, number: u32, age_ms: u64) -> PlaceRecord {
-    let (kind, site) = match place {
+fn encode_target(target: &RemoteTarget, number: u32, age_ms: u64) -> TargetRecord {
+    let (kind, site) = match target {
         RemoteTarget::Discovery => (0, String::new()),
         RemoteTarget::Store => (1, String::new()),
         RemoteTarget::Site(site) => (2, site.clone()),
     };
-    PlaceRecord {
+    TargetRecord {
         kind,
         site,
         number,
@@ -255,7 +264,7 @@
     }
 }
 
-fn decode_place(record: &PlaceRecord) -> Option<RemoteTarget> {
+fn decode_target(record: &TargetRecord) -> Option<RemoteTarget> {
     match record.kind {
         0 => Some(RemoteTarget::Discovery),
         1 => Some(RemoteTarget::Store),
@@ -265,62 +274,63 @@
 }
 
 /// Encodes this process's uplink status.
-pub(super) fn encode_uplink_status(says: &UplinkReport) -> Vec<u8> {
-    let force = |word: &OperatorMode| OperatorModeRecord {
-        given_at: word.set_at,
-        force: number(&word.mode, &OPERATOR_MODE_NUMBERS),
-        ends_at: word.expires_at,
-        who: word.set_by.clone(),
-        why: word.reason.clone(),
+pub(super) fn encode_uplink_status(report: &UplinkReport) -> Vec<u8> {
+    let mode_record = |mode: &OperatorMode| OperatorModeRecord {
+        set_at: mode.set_at,
+        mode: number(&mode.mode, &OPERATOR_MODE_NUMBERS),
+        expires_at: mode.expires_at,
+        set_by: mode.set_by.clone(),
+        reason: mode.reason.clone(),
     };
-    let seen = |(at, seen, age): &(RemoteTarget, Reachability, u64)| {
-        encode_place(at, number(seen, &REACHABILITY_NUMBERS), *age)
+    let reachability = |(target, reachability, age_ms): &(RemoteTarget, Reachability, u64)| {
+        encode_target(target, number(reachability, &REACHABILITY_NUMBERS), *age_ms)
     };
     UplinkStatusRecord {
-        name: says.name.clone(),
-        site: says.site.clone(),
-        state: number(&says.state, &UPLINK_STATE_NUMBERS),
-        places: says.targets.iter().map(seen).collect(),
-        probes: says
+        name: report.name.clone(),
+        site: report.site.clone(),
+        state: number(&report.state, &UPLINK_STATE_NUMBERS),
+        targets: report.targets.iter().map(reachability).collect(),
+        probes: report
             .probes
             .iter()
-            .map(|(at, tries, age)| encode_place(at, *tries, *age))
+            .map(|(target, probes, age_ms)| encode_target(target, *probes, *age_ms))
             .collect(),
-        operator_mode: says.operator_mode.as_ref().map(force),
+        operator_mode: report.operator_mode.as_ref().map(mode_record),
     }
     .encode_to_vec()
 }
 
 /// Decodes an uplink status of the given age. `None` if it can't be parsed.
 pub(super) fn decode_uplink_status(bytes: &[u8], age_ms: u64) -> Option<UplinkReport> {
-    let read = UplinkStatusRecord::decode(bytes).ok()?;
-    let aged = |one: &PlaceRecord| one.age_ms.saturating_add(age_ms);
-    let seen = |one: &PlaceRecord| {
+    let record = UplinkStatusRecord::decode(bytes).ok()?;
+    let age_of = |target: &TargetRecord| target.age_ms.saturating_add(age_ms);
+    let reachability = |target: &TargetRecord| {
         Some((
-            decode_place(one)?,
-            *REACHABILITY_NUMBERS.get(one.number as usize)?,
-            aged(one),
+            decode_target(target)?,
+            *REACHABILITY_NUMBERS.get(target.number as usize)?,
+            age_of(target),
         ))
     };
-    let probe = |one: &PlaceRecord| Some((decode_place(one)?, one.number, aged(one)));
-    let force = |word: &OperatorModeRecord| {
-        let force = *OPERATOR_MODE_NUMBERS.get(word.force as usize)?;
-        let (who, why) = (word.who.clone(), word.why.clone());
+    let probes =
+        |target: &TargetRecord| Some((decode_target(target)?, target.number, age_of(target)));
+    let operator_mode = |mode: &OperatorModeRecord| {
+        let operator_mode = *OPERATOR_MODE_NUMBERS.get(mode.mode as usize)?;
+        let (who, why) = (mode.set_by.clone(), mode.reason.clone());
         Some(OperatorMode {
-            set_at: word.given_at,
-            mode: force,
-            expires_at: word.ends_at,
+            set_at: mode.set_at,
+            mode: operator_mode,
+            expires_at: mode.expires_at,
             set_by: who,
             reason: why,
         })
     };
     Some(UplinkReport {
-        state: *UPLINK_STATE_NUMBERS.get(read.state as usize)?,
-        targets: read.places.iter().filter_map(seen).collect(),
-        probes: read.probes.iter().filter_map(probe).collect(),
-        operator_mode: read.operator_mode.as_ref().and_then(force),
-        name: read.name,
-        site: read.site,
+        state: *UPLINK_STATE_NUMBERS.get(record.state as usize)?,
+        targets: record.targets.iter().filter_map(reachability).collect(),
+        probes: record.probes.iter().filter_map(probes).collect(),
+        operator_mode: record.operator_mode.as_ref().and_then(operator_mode),
+        name: record.name,
+        site: record.site,
     })
 }
 
--- a/crates/balancer/src/fleet/messages/tests.rs
+++ b/crates/balancer/src/fleet/messages/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn a_judgement_is_read_back_by_the_clock_of_whoever_hears_it() {
-    let judgement = |now: u64| HealthReport {
+fn decodes_server_evidence_by_receiver_clock() {
+    let report = |now: u64| HealthReport {
         observed_at_ms: now,
         health: ServerHealth::Healthy,
         weight: 3,
@@ -17,8 +17,8 @@
         origin: "a".into(),
     };
     assert_eq!(
-        decode_server_evidence(&encode_server_evidence(&judgement(1_000)), 90_000),
-        Some(judgement(90_000))
+        decode_server_evidence(&encode_server_evidence(&report(1_000)), 90_000),
+        Some(report(90_000))
     );
     assert_eq!(decode_server_evidence(b"\xff", 0), None);
     assert_eq!(
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn what_a_process_sees_of_the_uplink_is_read_back_and_has_grown_older() {
-    let word = OperatorMode {
+fn ages_decoded_uplink_status() {
+    let operator_mode = OperatorMode {
         set_at: 5,
         mode: UplinkMode::Isolated,
         expires_at: 9,
         set_by: "ada".into(),
         reason: "the line is being dug up".into(),
     };
-    let says = |age| UplinkReport {
+    let report = |age| UplinkReport {
         name: "a".into(),
         site: "north".into(),
         state: UplinkState::Isolated,
@@ -49,23 +49,23 @@
             ),
         ],
         probes: vec![(RemoteTarget::Store, 3, 70 + age)],
-        operator_mode: Some(word.clone()),
+        operator_mode: Some(operator_mode.clone()),
     };
     assert_eq!(
-        decode_uplink_status(&encode_uplink_status(&says(0)), 0),
-        Some(says(0))
+        decode_uplink_status(&encode_uplink_status(&report(0)), 0),
+        Some(report(0))
     );
     assert_eq!(
-        decode_uplink_status(&encode_uplink_status(&says(0)), 100),
-        Some(says(100))
+        decode_uplink_status(&encode_uplink_status(&report(0)), 100),
+        Some(report(100))
     );
 }
 
 /// Messages as the first released program sent them, in hexadecimal digits.
-const SENT: &str = include_str!("../data/messages.hex");
+const FIRST_RELEASE_MESSAGES: &str = include_str!("../data/messages.hex");
 
 #[test]
-fn writes_every_message_as_it_was_first_sent() {
+fn encodes_messages_as_in_first_release() {
     let status = PeerStatus {
         name: "a".into(),
         site: "north".into(),
@@ -77,7 +77,7 @@
         previous_clients: Some(120.5),
         deferred_per_s: 0.25,
     };
-    let judgement = HealthReport {
+    let report = HealthReport {
         observed_at_ms: 1_000,
         health: ServerHealth::Draining,
         weight: 3,
@@ -91,7 +91,7 @@
         server: "s1".into(),
         origin: "a".into(),
     };
-    let word = OperatorMode {
+    let operator_mode = OperatorMode {
         set_at: 5,
         mode: UplinkMode::Linked,
         expires_at: 9,
@@ -107,12 +107,12 @@
             (RemoteTarget::Site("south".into()), Reachability::OneWay, 1),
         ],
         probes: vec![(RemoteTarget::Store, 3, 70)],
-        operator_mode: Some(word),
+        operator_mode: Some(operator_mode),
     };
     let sent = [
         encode_recovery_status(&status),
         encode_lent_quota("a", 3, 0.5),
-        encode_server_evidence(&judgement),
+        encode_server_evidence(&report),
         encode_uplink_status(&uplink),
     ];
     let hex = |bytes: &Vec<u8>| {
@@ -123,9 +123,9 @@
     };
     assert_eq!(
         sent.iter().map(hex).collect::<Vec<_>>().join("\n"),
-        SENT.trim_end()
+        FIRST_RELEASE_MESSAGES.trim_end()
     );
     assert_eq!(decode_recovery_status(&sent[0], 0), Some(status));
-    assert_eq!(decode_server_evidence(&sent[2], 1_000), Some(judgement));
+    assert_eq!(decode_server_evidence(&sent[2], 1_000), Some(report));
     assert_eq!(decode_uplink_status(&sent[3], 0), Some(uplink));
 }
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -27,30 +27,33 @@
 impl FleetThread {
     /// Handles facts that peers added.
     pub(super) fn on_gossip_changes(&mut self, changes: &[FactChange]) {
-        let mut gathered = ChangeSummary::default();
+        let mut summary = ChangeSummary::default();
         for fact in changes.iter().filter_map(FactChange::after) {
             match shared_gossip::custom_fact(&fact) {
                 Some((kind, key, bytes)) => {
-                    self.on_custom_fact(kind, (key, bytes), fact.observed_at, &mut gathered)
+                    self.on_custom_fact(kind, (key, bytes), fact.observed_at, &mut summary)
                 }
-                None => self.on_fact(&fact.subject, &mut gathered),
+                None => self.on_fact(&fact.subject, &mut summary),
             }
         }
         // More facts may be on their way, so the settling starts over.
-        self.settling = self
-            .settling
-            .map(|(_, most)| (self.now.saturating_add(SETTLE_QUIET_NS).min(most), most));
-        for placement in &gathered.placements {
+        self.settling = self.settling.map(|(_, deadline)| {
+            (
+                self.now.saturating_add(SETTLE_QUIET_NS).min(deadline),
+                deadline,
+            )
+        });
+        for placement in &summary.placements {
             self.memory.store_placement(placement, self.now_ms());
         }
-        self.send_placements_to_core(&gathered.placements);
-        if !gathered.versions.is_empty() {
-            self.send_affinity_event(AffinityEvent::Versions(gathered.versions));
+        self.send_placements_to_core(&summary.placements);
+        if !summary.versions.is_empty() {
+            self.send_affinity_event(AffinityEvent::Versions(summary.versions));
         }
-        if gathered.has_list_position {
+        if summary.has_list_position {
             self.adopt_list_epoch();
         }
-        if gathered.has_entries {
+        if summary.has_entries {
             self.adopt_peer_list();
         }
     }
@@ -61,29 +64,29 @@
         kind: u32,
         (key, bytes): (&[u8], &[u8]),
         observed_at: Millis,
-        gathered: &mut ChangeSummary,
+        summary: &mut ChangeSummary,
     ) {
         let age = self.now_ms().saturating_sub(observed_at);
         match kind {
-            shared_gossip::PLACEMENT_FACT => gathered
+            shared_gossip::PLACEMENT_FACT => summary
                 .placements
                 .extend(records::decode_placement(key, bytes)),
-            shared_gossip::VERSION_FACT => gathered
-                .versions
-                .extend(records::decode_version(key, bytes)),
+            shared_gossip::VERSION_FACT => {
+                summary.versions.extend(records::decode_version(key, bytes))
+            }
             shared_gossip::RECOVERY_STATUS_FACT => messages::decode_recovery_status(bytes, age)
                 .into_iter()
-                .for_each(|word| self.on_recovery_status(word)),
+                .for_each(|status| self.on_recovery_status(status)),
             shared_gossip::UPLINK_STATUS_FACT => {
-                if let Some(says) = messages::decode_uplink_status(bytes, age) {
+                if let Some(report) = messages::decode_uplink_status(bytes, age) {
                     self.with_uplink(|uplink, now| {
-                        uplink.on_evidence(now, Evidence::PeerReport(says))
+                        uplink.on_evidence(now, Evidence::PeerReport(report))
                     });
                 }
             }
             shared_gossip::SERVER_EVIDENCE_FACT => {
-                if let Some(one) = messages::decode_server_evidence(bytes, observed_at) {
-                    self.site_evidence.record_peer(one);
+                if let Some(report) = messages::decode_server_evidence(bytes, observed_at) {
+                    self.site_evidence.record_peer(report);
                 }
             }
             shared_gossip::LENT_QUOTA_FACT if key == self.config.name.as_bytes() => {
@@ -101,9 +104,9 @@
 
     /// Handles a peer's recovery status.
     fn on_recovery_status(&mut self, peer: PeerStatus) {
-        let is_here = peer.site == self.config.site;
+        let is_same_site = peer.site == self.config.site;
         self.on_recovery_event(RecoveryEvent::PeerReported(peer));
-        if is_here {
+        if is_same_site {
             self.start_settling();
         } else {
             self.on_recovery_event(RecoveryEvent::QueryAnswered(EvidenceSource::OtherSites));
@@ -111,14 +114,14 @@
     }
 
     /// Handles a fact that the gossip crate interprets.
-    fn on_fact(&mut self, subject: &Subject, gathered: &mut ChangeSummary) {
+    fn on_fact(&mut self, subject: &Subject, summary: &mut ChangeSummary) {
         match subject {
-            Subject::ServerEntry(_) => gathered.has_entries = true,
-            Subject::ListVersion => gathered.has_list_position = true,
+            Subject::ServerEntry(_) => summary.has_entries = true,
+            Subject::ListVersion => summary.has_list_position = true,
             Subject::PlacementFailures(key) => {
                 let (key, now) = (*key, self.now_ms());
-                let count = shared_gossip::lock(&self.gossip, |known| {
-                    known.knowledge.failure_count(key, now)
+                let count = shared_gossip::lock(&self.gossip, |shared| {
+                    shared.knowledge.failure_count(key, now)
                 });
                 self.core
                     .send(CoreInput::Fleet(FleetEvent::FailuresCounted(key, count)));
@@ -130,10 +133,10 @@
     /// Adopts the list epoch that the others know, where this process had none of its own.
     fn adopt_list_epoch(&mut self) {
         let now = self.now_ms();
-        let finish_settling = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.reassess_list(LIST_TTL_MS, now)
+        let position = shared_gossip::lock(&self.gossip, |shared| {
+            shared.knowledge.reassess_list(LIST_TTL_MS, now)
         });
-        self.list_position = finish_settling
+        self.list_position = position
             .filter(|_| self.list_position.is_some())
             .or(self.list_position);
     }
@@ -147,7 +150,7 @@
     }
 
     /// Ends that wait.
-    pub(super) fn settled(&mut self) {
+    pub(super) fn finish_settling(&mut self) {
         (self.settling, self.is_settled) = (None, true);
         self.adopt_peer_list();
         self.on_recovery_event(RecoveryEvent::QueryAnswered(EvidenceSource::SitePeers));
@@ -155,17 +158,23 @@
 
     /// Handles a membership event; the membership thread has logged it.
     pub(super) fn on_membership_event(&mut self, event: PeerEvent) {
-        if let PeerEvent::Down(was) | PeerEvent::Restarted { previous: was, .. } = &event {
+        if let PeerEvent::Down(member)
+        | PeerEvent::Restarted {
+            previous: member, ..
+        } = &event
+        {
             self.send_affinity_event(AffinityEvent::BalancerDied(super::placement_origin(
-                &was.name,
-                was.incarnation,
+                &member.name,
+                member.incarnation,
             )));
         }
         match event {
-            PeerEvent::IncarnationRaised(boot) => {
-                self.incarnation = boot;
-                self.status.incarnation = boot;
-                shared_gossip::lock(&self.gossip, |known| known.knowledge.set_incarnation(boot));
+            PeerEvent::IncarnationRaised(incarnation) => {
+                self.incarnation = incarnation;
+                self.status.incarnation = incarnation;
+                shared_gossip::lock(&self.gossip, |shared| {
+                    shared.knowledge.set_incarnation(incarnation)
+                });
             }
             PeerEvent::Up(_) | PeerEvent::Restarted { .. } | PeerEvent::Changed { .. } => {
                 self.publish_status_at = self.now
--- a/crates/balancer/src/fleet/periodic.rs
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -20,27 +20,27 @@
 impl FleetThread {
     /// Runs the tasks that are due.
     pub(super) fn run_due_tasks(&mut self) {
-        let wanted = self.recovery.on_timer(self.now, wall_clock_ms());
-        self.execute_recovery_commands(wanted);
+        let commands = self.recovery.on_timer(self.now, wall_clock_ms());
+        self.execute_recovery_commands(commands);
         if self.settling.is_some_and(|(at, _)| at <= self.now) {
-            self.settled();
+            self.finish_settling();
         }
         self.memory.on_timer(self.now_ms());
         if self.now >= self.publish_status_at {
             self.publish_status_at = self.now.saturating_add(STATUS_PUBLISH_INTERVAL_NS);
             self.publish_status();
             let now = self.now_ms();
-            shared_gossip::lock(&self.gossip, |known| known.knowledge.expire(now));
+            shared_gossip::lock(&self.gossip, |shared| shared.knowledge.expire(now));
         }
         if self.now >= self.update_status_at {
             self.update_status_at = self.now.saturating_add(STATUS_UPDATE_INTERVAL_NS);
-            let others = self
+            let members_of_other_sites = self
                 .membership
                 .members()
                 .into_iter()
                 .filter(|member| *member.site != *self.config.site);
-            let others: Vec<Member> = others.collect();
-            self.with_uplink(|uplink, now| uplink.on_timer(now, &others));
+            let members_of_other_sites: Vec<Member> = members_of_other_sites.collect();
+            self.with_uplink(|uplink, now| uplink.on_timer(now, &members_of_other_sites));
             self.apply_site_evidence();
             self.update_status();
         }
@@ -49,7 +49,7 @@
     /// Publishes the recovery status of this process.
     fn publish_status(&self) {
         let recovery = self.recovery.recovery();
-        let word = PeerStatus {
+        let status = PeerStatus {
             name: self.config.name.clone(),
             site: self.config.site.clone(),
             incarnation: self.incarnation,
@@ -65,15 +65,15 @@
         self.publish_fact(
             shared_gossip::RECOVERY_STATUS_FACT,
             (Vec::new(), true),
-            messages::encode_recovery_status(&word),
+            messages::encode_recovery_status(&status),
             STATUS_TTL_MS,
         );
         if let Some(uplink) = &self.uplink {
-            let says = messages::encode_uplink_status(&uplink.edge().report(self.now_ms()));
+            let report = messages::encode_uplink_status(&uplink.edge().report(self.now_ms()));
             self.publish_fact(
                 shared_gossip::UPLINK_STATUS_FACT,
                 (Vec::new(), true),
-                says,
+                report,
                 STATUS_TTL_MS,
             );
         }
@@ -82,16 +82,16 @@
     /// Assesses servers by the site's evidence while the site is isolated.
     pub(super) fn apply_site_evidence(&mut self) {
         let now = self.now_ms();
-        let apart = self
+        let isolation = self
             .uplink
             .as_ref()
             .map_or((false, None), |uplink| uplink.isolation(now));
-        let parts = self
+        let assessments = self
             .site_evidence
-            .assess(now, &self.servers, apart, self.warm_up_ms);
-        if let Some(parts) = parts {
+            .assess(now, &self.servers, isolation, self.warm_up_ms);
+        if let Some(assessments) = assessments {
             self.core
-                .send(CoreInput::Fleet(FleetEvent::SiteAssessed(parts)));
+                .send(CoreInput::Fleet(FleetEvent::SiteAssessed(assessments)));
         }
     }
 
@@ -99,8 +99,8 @@
         self.status.processes = (self.membership.members().len() + 1, self.config.size);
         self.status.recovery = self.recovery.describe();
         let now = self.now_ms();
-        self.status.failing_clients = shared_gossip::lock(&self.gossip, |known| {
-            let keys = known
+        self.status.failing_clients = shared_gossip::lock(&self.gossip, |shared| {
+            let keys = shared
                 .knowledge
                 .iter(FactKind::PlacementFailures, now)
                 .filter_map(|fact| match fact.subject {
@@ -109,7 +109,7 @@
                 });
             let keys: BTreeSet<u64> = keys.collect();
             keys.into_iter()
-                .filter(|key| known.knowledge.failure_count(*key, now) > 0)
+                .filter(|key| shared.knowledge.failure_count(*key, now) > 0)
                 .count()
         });
         self.status.uplink = self
--- a/crates/balancer/src/fleet/records.rs
+++ b/crates/balancer/src/fleet/records.rs
@@ -65,7 +65,7 @@
     #[prost(uint32, tag = "7")]
     state: u32,
     #[prost(uint32, tag = "8")]
-    replicas: u32,
+    overlap_count: u32,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -75,9 +75,9 @@
     #[prost(uint64, tag = "2")]
     serial: u64,
     #[prost(uint64, tag = "3")]
-    since: u64,
+    adopted_at: u64,
     #[prost(uint64, tag = "4")]
-    runs: u64,
+    last_run_at: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -118,7 +118,7 @@
         cell: listed.cell,
         lifecycle: LIFECYCLES
             .iter()
-            .position(|one| *one == listed.lifecycle)
+            .position(|lifecycle| *lifecycle == listed.lifecycle)
             .unwrap_or(0) as u32,
         weight: listed.weight,
         started_at_ms: listed.started_at_ms,
@@ -140,7 +140,7 @@
 
 /// Decodes a server list with its epoch.
 pub(super) fn decode_list(record: &Record) -> Option<(ServerList, u64)> {
-    let read = ListRecord::decode(record.value.as_slice()).ok()?;
+    let decoded = ListRecord::decode(record.value.as_slice()).ok()?;
     let entry = |entry: EntryRecord| {
         Some(ListedServer {
             instance_id: entry.name,
@@ -157,14 +157,14 @@
             machine_type: entry.machine_type,
         })
     };
-    let instances: Option<Vec<ListedServer>> = read.entries.into_iter().map(entry).collect();
+    let instances: Option<Vec<ListedServer>> = decoded.entries.into_iter().map(entry).collect();
     Some((
         ServerList {
-            generation: read.generation,
+            generation: decoded.generation,
             reset: true,
             instances: instances?,
         },
-        read.epoch,
+        decoded.epoch,
     ))
 }
 
@@ -179,43 +179,45 @@
         stamp: placement.stamp.0,
         seen_s: placement.seen_s,
         state: placement.state.to_byte().into(),
-        replicas: placement.overlap_count.into(),
+        overlap_count: placement.overlap_count.into(),
     }
     .encode_to_vec()
 }
 
 /// Decodes a placement.
 pub(super) fn decode_placement(key: &[u8], bytes: &[u8]) -> Option<Placement> {
-    let read = PlacementRecord::decode(bytes).ok()?;
+    let record = PlacementRecord::decode(bytes).ok()?;
     let key = u64::from_be_bytes(key.try_into().ok()?);
-    let state = PlacementState::from_byte(u8::try_from(read.state).ok()?);
-    let overlap_count = u8::try_from(read.replicas).unwrap_or(u8::MAX);
+    let state = PlacementState::from_byte(u8::try_from(record.state).ok()?);
+    let overlap_count = u8::try_from(record.overlap_count).unwrap_or(u8::MAX);
     Some(Placement {
         key: Key(key),
-        group: read.group.map(Group),
-        server: Tag(read.server),
-        config_version: Version(u128::from(read.version_high) << 64 | u128::from(read.version_low)),
-        stamp: Stamp(read.stamp),
-        seen_s: read.seen_s,
+        group: record.group.map(Group),
+        server: Tag(record.server),
+        config_version: Version(
+            u128::from(record.version_high) << 64 | u128::from(record.version_low),
+        ),
+        stamp: Stamp(record.stamp),
+        seen_s: record.seen_s,
         state,
         overlap_count,
     })
 }
 
 /// Encodes a version of the configuration, stored under its digest.
-pub(super) fn version(fact: &VersionFact) -> Vec<u8> {
+pub(super) fn encode_version(fact: &VersionFact) -> Vec<u8> {
     let VersionFact {
         term,
         serial,
-        adopted_at: since,
-        last_run_at: runs,
+        adopted_at,
+        last_run_at,
         ..
     } = *fact;
     VersionRecord {
         term,
         serial,
-        since,
-        runs,
+        adopted_at,
+        last_run_at,
     }
     .encode_to_vec()
 }
@@ -225,16 +227,16 @@
     let VersionRecord {
         term,
         serial,
-        since,
-        runs,
+        adopted_at,
+        last_run_at,
     } = VersionRecord::decode(bytes).ok()?;
     let version = Version(u128::from_be_bytes(digest.try_into().ok()?));
     Some(VersionFact {
         version,
         term,
         serial,
-        adopted_at: since,
-        last_run_at: runs,
+        adopted_at,
+        last_run_at,
     })
 }
 
--- a/crates/balancer/src/fleet/records/tests.rs
+++ b/crates/balancer/src/fleet/records/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_written_is_read_back_and_what_is_cut_is_nothing() {
+fn decodes_records_but_no_truncated_placement() {
     let listed = ListedServer {
         instance_id: "s0".into(),
         host_port: Some(([127, 0, 0, 1], 9).into()),
@@ -14,20 +14,20 @@
         weight: 2.5,
         started_at_ms: 77,
     };
-    let whole = ServerList {
+    let list = ServerList {
         generation: 8,
         reset: true,
         instances: vec![listed],
     };
-    let kept = encode_list(&whole, 2, 5);
-    let (read, life) = decode_list(&kept).expect("whole");
-    assert_eq!((format!("{read:?}"), life), (format!("{whole:?}"), 2));
+    let record = encode_list(&list, 2, 5);
+    let (decoded, epoch) = decode_list(&record).expect("whole");
+    assert_eq!((format!("{decoded:?}"), epoch), (format!("{list:?}"), 2));
     for state in [
         PlacementState::Established,
         PlacementState::Ended(EndReason::ConnectionLost),
         PlacementState::Ended(EndReason::MigratedRebalancing),
     ] {
-        let placed = Placement {
+        let placement = Placement {
             key: Key(u64::MAX - 1),
             group: Some(Group(7)),
             server: Tag(9),
@@ -37,10 +37,10 @@
             state,
             overlap_count: 2,
         };
-        let (key, bytes) = (placed.key.0.to_be_bytes(), encode_placement(&placed));
-        assert_eq!(decode_placement(&key, &bytes), Some(placed));
+        let (key, bytes) = (placement.key.0.to_be_bytes(), encode_placement(&placement));
+        assert_eq!(decode_placement(&key, &bytes), Some(placement));
         for end in 0..bytes.len() {
-            assert_ne!(decode_placement(&key, &bytes[..end]), Some(placed));
+            assert_ne!(decode_placement(&key, &bytes[..end]), Some(placement));
         }
     }
     let fact = VersionFact {
@@ -51,7 +51,7 @@
         last_run_at: 4,
     };
     assert_eq!(
-        decode_version(&4_u128.to_be_bytes(), &version(&fact)),
+        decode_version(&4_u128.to_be_bytes(), &encode_version(&fact)),
         Some(fact)
     );
     assert_eq!(
@@ -61,10 +61,10 @@
 }
 
 /// Records as the first released program wrote them, in hexadecimal digits.
-const WRITTEN: &str = include_str!("../data/records.hex");
+const FIRST_RELEASE_RECORDS: &str = include_str!("../data/records.hex");
 
 #[test]
-fn writes_every_record_as_it_was_first_written() {
+fn encodes_records_as_in_first_release() {
     let listed = ListedServer {
         instance_id: "s0".into(),
         host_port: Some(([127, 0, 0, 1], 9).into()),
@@ -75,7 +75,7 @@
         weight: 2.5,
         started_at_ms: 77,
     };
-    let placed = Placement {
+    let placement = Placement {
         key: Key(5),
         group: Some(Group(7)),
         server: Tag(9),
@@ -92,7 +92,7 @@
         adopted_at: 3,
         last_run_at: 4,
     };
-    let written = [
+    let encoded = [
         encode_list(
             &ServerList {
                 generation: 8,
@@ -103,8 +103,8 @@
             5,
         )
         .value,
-        encode_placement(&placed),
-        version(&fact),
+        encode_placement(&placement),
+        encode_version(&fact),
         encode_previous_clients(40.0, 5).value,
         encode_uplink(true, Some(9), 5).value,
     ];
@@ -115,8 +115,8 @@
             .collect::<String>()
     };
     assert_eq!(
-        written.iter().map(hex).collect::<Vec<_>>().join("\n"),
-        WRITTEN.trim_end()
+        encoded.iter().map(hex).collect::<Vec<_>>().join("\n"),
+        FIRST_RELEASE_RECORDS.trim_end()
     );
     assert_eq!(
         [
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -17,24 +17,24 @@
 impl FleetThread {
     /// Reports an event to the recovery state machine and executes its commands.
     pub(super) fn on_recovery_event(&mut self, event: RecoveryEvent) {
-        let wanted = self.recovery.handle(self.now, wall_clock_ms(), event);
-        self.execute_recovery_commands(wanted);
+        let commands = self.recovery.handle(self.now, wall_clock_ms(), event);
+        self.execute_recovery_commands(commands);
     }
 
-    pub(super) fn execute_recovery_commands(&mut self, wanted: Vec<RecoveryCommand>) {
-        for one in wanted {
-            match one {
-                RecoveryCommand::Query(whom) => self.query_source(whom),
+    pub(super) fn execute_recovery_commands(&mut self, commands: Vec<RecoveryCommand>) {
+        for command in commands {
+            match command {
+                RecoveryCommand::Query(source) => self.query_source(source),
                 RecoveryCommand::PublishList => self.publish_list_to_core(),
-                RecoveryCommand::SetServiceMode(how) => self.set_service_mode(how),
+                RecoveryCommand::SetServiceMode(mode) => self.set_service_mode(mode),
                 RecoveryCommand::Admit(id) => {
                     self.core.send(CoreInput::Fleet(FleetEvent::Admit(id)))
                 }
-                RecoveryCommand::Defer(id, after) => {
+                RecoveryCommand::Defer(id, retry_after) => {
                     self.status.deferred += 1;
-                    let after = Duration::from_nanos(after);
+                    let retry_after = Duration::from_nanos(retry_after);
                     self.core
-                        .send(CoreInput::Fleet(FleetEvent::Defer(id, after)));
+                        .send(CoreInput::Fleet(FleetEvent::Defer(id, retry_after)));
                 }
                 RecoveryCommand::LendQuota(to, number, clients) => {
                     let (key, value) = (
@@ -54,14 +54,14 @@
     }
 
     /// Queries a source. Peers' statuses and discovery's list arrive unasked.
-    fn query_source(&mut self, whom: EvidenceSource) {
-        match whom {
+    fn query_source(&mut self, source: EvidenceSource) {
+        match source {
             EvidenceSource::SitePeers if self.is_settled => {
-                self.on_recovery_event(RecoveryEvent::QueryAnswered(whom))
+                self.on_recovery_event(RecoveryEvent::QueryAnswered(source))
             }
             EvidenceSource::SitePeers | EvidenceSource::OtherSites => self.membership.gossip_soon(),
             EvidenceSource::Discovery => {}
-            EvidenceSource::Store => self.on_recovery_event(RecoveryEvent::QueryFailed(whom)),
+            EvidenceSource::Store => self.on_recovery_event(RecoveryEvent::QueryFailed(source)),
         }
     }
 
@@ -102,9 +102,9 @@
     /// Holds drains of servers that a list calls ready although its sender may have lost its state.
     pub(super) fn apply_retained_drains(&mut self) {
         let drains = self.recovery.recovery().servers().filter(|entry| {
-            let told = self.servers.get(&entry.name).map(|listed| listed.lifecycle);
+            let listed_lifecycle = self.servers.get(&entry.name).map(|listed| listed.lifecycle);
             entry.lifecycle == recovery::Lifecycle::Draining
-                && told == Some(ServerLifecycle::Serving)
+                && listed_lifecycle == Some(ServerLifecycle::Serving)
         });
         let drains: BTreeSet<String> = drains.map(|entry| entry.name).collect();
         if self.site_evidence.set_retained_drains(drains) {
@@ -112,24 +112,26 @@
         }
     }
 
-    fn set_service_mode(&mut self, how: recovery::ServiceMode) {
-        let gathers = how == recovery::ServiceMode::Unavailable;
-        self.serving_started_at = if gathers {
+    fn set_service_mode(&mut self, mode: recovery::ServiceMode) {
+        let is_recovering = mode == recovery::ServiceMode::Unavailable;
+        self.serving_started_at = if is_recovering {
             None
         } else {
             self.serving_started_at.or(Some(self.now))
         };
-        self.serves_in_full = how == recovery::ServiceMode::Full;
-        if gathers != self.is_recovering {
-            self.is_recovering = gathers;
+        self.serves_in_full = mode == recovery::ServiceMode::Full;
+        if is_recovering != self.is_recovering {
+            self.is_recovering = is_recovering;
             self.core
-                .send(CoreInput::Fleet(FleetEvent::Recovering(gathers)));
+                .send(CoreInput::Fleet(FleetEvent::Recovering(is_recovering)));
         }
-        let by_turns = self.config.clients_per_server_s.is_some() && !self.serves_in_full;
-        if by_turns != self.is_admission_staged {
-            self.is_admission_staged = by_turns;
-            self.core
-                .send(CoreInput::Fleet(FleetEvent::StagedAdmission(by_turns)));
+        let is_admission_staged =
+            self.config.clients_per_server_s.is_some() && !self.serves_in_full;
+        if is_admission_staged != self.is_admission_staged {
+            self.is_admission_staged = is_admission_staged;
+            self.core.send(CoreInput::Fleet(FleetEvent::StagedAdmission(
+                is_admission_staged,
+            )));
         }
         // The others align their staged admission with the first process.
         self.publish_status_at = self.now;
--- a/crates/balancer/src/fleet/recovery_driver.rs
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -45,7 +45,7 @@
 /// The configuration of the state machine.
 pub(super) fn config(
     fleet: &FleetConfig,
-    setup: &SiteSettings,
+    site: &SiteSettings,
     settings: &Settings,
 ) -> RecoveryConfig {
     let class = |class: &beaconflow_policy::RequestClass| RequestClass {
@@ -53,18 +53,18 @@
         latency_objective: class.latency_objective,
     };
     let rules = &settings.rules;
-    let usual = SlowStartRules::default();
-    let others = fleet.site_size.saturating_sub(1);
+    let defaults = SlowStartRules::default();
+    let other_peers = fleet.site_size.saturating_sub(1);
     RecoveryConfig {
         name: fleet.name.clone(),
         site: fleet.site.clone(),
         fleet_size: u32::try_from(fleet.size).unwrap_or(u32::MAX),
         // One more than can report: the fleet thread says when the site's peers have answered,
         // since not all need to.
-        site_peers: if others == 0 {
+        site_peers: if other_peers == 0 {
             0
         } else {
-            u32::try_from(others + 1).unwrap_or(u32::MAX)
+            u32::try_from(other_peers + 1).unwrap_or(u32::MAX)
         },
         timeouts: Timeouts {
             site_peers: SITE_PEERS_TIMEOUT,
@@ -79,12 +79,12 @@
             overload_window: rules.overload_window.max(1),
             clients_per_server_s: fleet
                 .clients_per_server_s
-                .unwrap_or(usual.clients_per_server_s),
-            variance_margin: usual.variance_margin,
+                .unwrap_or(defaults.clients_per_server_s),
+            variance_margin: defaults.variance_margin,
         },
         classes: settings.classes.iter().map(class).collect(),
         usual_clients: fleet.clients,
-        accounts: setup
+        accounts: site
             .tenant_shares()
             .map(|(name, quota)| AccountQuota {
                 account: digest(name),
@@ -102,8 +102,8 @@
     ///
     /// Names the fields outside their range.
     pub(super) fn new(config: RecoveryConfig, seed: u64) -> Result<RecoveryDriver, String> {
-        let recovery = Recovery::new(config, seed).map_err(|faults| {
-            let fields: Vec<&str> = faults.iter().map(|fault| fault.field).collect();
+        let recovery = Recovery::new(config, seed).map_err(|errors| {
+            let fields: Vec<&str> = errors.iter().map(|error| error.field).collect();
             format!("recovery: out of range: {}", fields.join(", "))
         })?;
         Ok(RecoveryDriver {
@@ -118,25 +118,24 @@
     pub(super) fn handle(
         &mut self,
         now: Nanos,
-        wall: Millis,
+        wall_ms: Millis,
         event: Event,
     ) -> Vec<RecoveryCommand> {
         let mut out = std::mem::take(&mut self.actions);
-        self.recovery.handle(now, wall, event, &mut out);
-        let wanted = out
+        self.recovery.handle(now, wall_ms, event, &mut out);
+        let commands = out
             .drain(..)
             .filter_map(|action| self.execute(now, action))
             .collect();
         self.actions = out;
-        wanted
+        commands
     }
 
     fn execute(&mut self, now: Nanos, action: Action) -> Option<RecoveryCommand> {
         match action {
-            Action::Query {
-                source,
-                delay: after,
-            } => self.queries.push((now.saturating_add(after), source)),
+            Action::Query { source, delay } => {
+                self.queries.push((now.saturating_add(delay), source))
+            }
             Action::RememberedStateAssessed {
                 kind,
                 validity,
@@ -169,9 +168,10 @@
             Action::LogStep {
                 step,
                 reason,
-                deadline_at: bound,
+                deadline_at,
             } => {
-                let within_ms = bound.map(|bound| bound.saturating_sub(now) / 1_000_000);
+                let within_ms =
+                    deadline_at.map(|deadline_at| deadline_at.saturating_sub(now) / 1_000_000);
                 info!(part = "recovery", step = ?step, why = reason, within_ms, "step");
             }
             Action::Admit { id } => return Some(RecoveryCommand::Admit(id)),
@@ -188,19 +188,19 @@
     }
 
     /// Queries that are due, and a tick if one is due.
-    pub(super) fn on_timer(&mut self, now: Nanos, wall: Millis) -> Vec<RecoveryCommand> {
-        let due = |(at, _): &(Nanos, EvidenceSource)| *at <= now;
-        let mut wanted: Vec<RecoveryCommand> = self
+    pub(super) fn on_timer(&mut self, now: Nanos, wall_ms: Millis) -> Vec<RecoveryCommand> {
+        let is_due = |(at, _): &(Nanos, EvidenceSource)| *at <= now;
+        let mut commands: Vec<RecoveryCommand> = self
             .queries
             .iter()
-            .filter(|ask| due(ask))
-            .map(|(_, whom)| RecoveryCommand::Query(*whom))
+            .filter(|query| is_due(query))
+            .map(|(_, source)| RecoveryCommand::Query(*source))
             .collect();
-        self.queries.retain(|ask| !due(ask));
+        self.queries.retain(|query| !is_due(query));
         if self.recovery.next_tick_at().is_some_and(|at| at <= now) {
-            wanted.extend(self.handle(now, wall, Event::Tick));
+            commands.extend(self.handle(now, wall_ms, Event::Tick));
         }
-        wanted
+        commands
     }
 
     /// When something is due next.
@@ -220,7 +220,7 @@
     pub(super) fn describe(&self) -> String {
         let state = match self.recovery.state() {
             RecoveryState::NotStarted => "dark".to_owned(),
-            RecoveryState::Querying(whom) => format!("asking the {whom}"),
+            RecoveryState::Querying(source) => format!("asking the {source}"),
             RecoveryState::StagedAdmission => "taking clients by turns".to_owned(),
             RecoveryState::Serving => "serving".to_owned(),
         };
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -78,8 +78,8 @@
             is_complete: true,
         };
         let now = self.now_ms();
-        let position = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.record_list(announcement, LIST_TTL_MS, now)
+        let position = shared_gossip::lock(&self.gossip, |shared| {
+            shared.knowledge.record_list(announcement, LIST_TTL_MS, now)
         });
         position.map_or(0, |position| position.incarnation)
     }
@@ -110,17 +110,17 @@
             placement.key.0.to_be_bytes().to_vec(),
             false,
         );
-        let (value, seen) = (
+        let (value, seen_at) = (
             Value::Unknown(records::encode_placement(placement)),
             u64::from(placement.seen_s) * 1_000,
         );
         // Expired or superseded placements are refused.
-        let _ = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.restore_observation(
+        let _ = shared_gossip::lock(&self.gossip, |shared| {
+            shared.knowledge.restore_observation(
                 &subject,
                 &value,
                 retention,
-                (seen.min(self.now_ms()), self.now_ms()),
+                (seen_at.min(self.now_ms()), self.now_ms()),
             )
         });
     }
@@ -128,6 +128,6 @@
     pub(super) fn send_placements_to_core(&self, placements: &[Placement]) {
         placements
             .chunks(PLACEMENTS_PER_MESSAGE)
-            .for_each(|some| self.send_affinity_event(AffinityEvent::Placements(some.to_vec())));
+            .for_each(|chunk| self.send_affinity_event(AffinityEvent::Placements(chunk.to_vec())));
     }
 }
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -2,7 +2,8 @@
 
 use beaconflow_edge::Evidence;
 use beaconflow_gossip::{
-    Lifecycle as KnownAs, ListAnnouncement, ListPosition, ServerEntry as KnownEntry, Subject, Value,
+    Lifecycle as GossipLifecycle, ListAnnouncement, ListPosition, ServerEntry as GossipEntry,
+    Subject, Value,
 };
 use beaconflow_recovery::{self as recovery, Event as RecoveryEvent, ListSource};
 
@@ -15,44 +16,46 @@
 
 impl FleetThread {
     /// Handles a list that the core applied.
-    pub(super) fn on_list_applied(&mut self, list: ServerList, known: bool) {
-        if list.reset && !known {
+    pub(super) fn on_list_applied(&mut self, list: ServerList, is_cached: bool) {
+        if list.reset && !is_cached {
             self.servers.clear();
         }
-        for one in &list.instances {
-            self.servers.insert(one.instance_id.clone(), one.clone());
+        for server in &list.instances {
+            self.servers
+                .insert(server.instance_id.clone(), server.clone());
         }
-        let (now, whole) = (self.now_ms(), self.complete_snapshot(list.generation));
-        if known {
+        let (now, snapshot) = (self.now_ms(), self.complete_snapshot(list.generation));
+        if is_cached {
             // A configured list counts from the start.
             self.with_uplink(Uplink::on_configured_list);
             self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
-                &whole,
+                &snapshot,
                 0,
                 ListSource::Configured,
             )));
             return self.apply_retained_drains();
         }
-        let told = ListAnnouncement {
+        let announcement = ListAnnouncement {
             generation: list.generation,
-            digest: list_digest(&whole),
+            digest: list_digest(&snapshot),
             is_complete: list.reset,
         };
-        let position = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.record_list(told, LIST_TTL_MS, now)
+        let position = shared_gossip::lock(&self.gossip, |shared| {
+            shared.knowledge.record_list(announcement, LIST_TTL_MS, now)
         })
         .ok();
         self.list_position = position.or(self.list_position);
-        let life = self
+        let epoch = self
             .list_position
             .map_or(0, |position| position.incarnation);
         if let Some(position) = self.list_position {
             self.publish_entries(position, &list.instances);
         }
-        self.memory.store(records::encode_list(&whole, life, now));
+        self.memory
+            .store(records::encode_list(&snapshot, epoch, now));
         self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
-            &whole,
-            life,
+            &snapshot,
+            epoch,
             ListSource::Discovery,
         )));
         self.with_uplink(|uplink, now| uplink.on_evidence(now, Evidence::WatchAlive));
@@ -60,24 +63,24 @@
 
     pub(super) fn publish_entries(&self, position: ListPosition, entries: &[ListedServer]) {
         let now = self.now_ms();
-        shared_gossip::lock(&self.gossip, |known| {
-            for one in entries {
-                let value = Value::ServerEntry(KnownEntry {
+        shared_gossip::lock(&self.gossip, |shared| {
+            for server in entries {
+                let value = Value::ServerEntry(GossipEntry {
                     position,
-                    lifecycle: match one.lifecycle {
-                        ServerLifecycle::Serving => KnownAs::Serving,
-                        ServerLifecycle::Draining => KnownAs::Draining,
-                        ServerLifecycle::Deleted => KnownAs::Deleted,
+                    lifecycle: match server.lifecycle {
+                        ServerLifecycle::Serving => GossipLifecycle::Serving,
+                        ServerLifecycle::Draining => GossipLifecycle::Draining,
+                        ServerLifecycle::Deleted => GossipLifecycle::Deleted,
                     },
-                    zone: one.zone.clone(),
-                    cell: one.cell,
-                    weight: one.weight,
-                    address: one.host_port,
-                    started_at_ms: one.started_at_ms,
-                    machine_type: one.machine_type.clone(),
+                    zone: server.zone.clone(),
+                    cell: server.cell,
+                    weight: server.weight,
+                    address: server.host_port,
+                    started_at_ms: server.started_at_ms,
+                    machine_type: server.machine_type.clone(),
                 });
-                let _ = known.knowledge.observe(
-                    &Subject::ServerEntry(one.instance_id.clone()),
+                let _ = shared.knowledge.observe(
+                    &Subject::ServerEntry(server.instance_id.clone()),
                     &value,
                     LIST_TTL_MS,
                     now,
@@ -106,7 +109,7 @@
         }
         let now = self.now_ms();
         let entries =
-            shared_gossip::lock(&self.gossip, |known| known.knowledge.server_entries(now));
+            shared_gossip::lock(&self.gossip, |shared| shared.knowledge.server_entries(now));
         let latest = entries
             .iter()
             .map(|(_, entry)| entry.position)
@@ -131,16 +134,16 @@
 }
 
 /// A peer's entry. The address known here goes before the peer's.
-fn listed(name: String, entry: &KnownEntry, own: Option<&ListedServer>) -> ListedServer {
+fn listed(name: String, entry: &GossipEntry, own: Option<&ListedServer>) -> ListedServer {
     ListedServer {
         instance_id: name,
         host_port: own.and_then(|own| own.host_port).or(entry.address),
         zone: entry.zone.clone(),
         cell: entry.cell,
         lifecycle: match entry.lifecycle {
-            KnownAs::Serving => ServerLifecycle::Serving,
-            KnownAs::Draining => ServerLifecycle::Draining,
-            KnownAs::Deleted => ServerLifecycle::Deleted,
+            GossipLifecycle::Serving => ServerLifecycle::Serving,
+            GossipLifecycle::Draining => ServerLifecycle::Draining,
+            GossipLifecycle::Deleted => ServerLifecycle::Deleted,
         },
         machine_type: entry.machine_type.clone(),
         weight: entry.weight,
@@ -150,15 +153,15 @@
 
 /// A list for the recovery state machine.
 pub(super) fn recovery_list(list: &ServerList, epoch: u64, source: ListSource) -> recovery::List {
-    let entry = |one: &ListedServer| recovery::Entry {
-        name: one.instance_id.clone(),
-        started_at_ms: one.started_at_ms,
-        lifecycle: match one.lifecycle {
+    let entry = |server: &ListedServer| recovery::Entry {
+        name: server.instance_id.clone(),
+        started_at_ms: server.started_at_ms,
+        lifecycle: match server.lifecycle {
             ServerLifecycle::Serving => recovery::Lifecycle::Ready,
             ServerLifecycle::Draining => recovery::Lifecycle::Draining,
             ServerLifecycle::Deleted => recovery::Lifecycle::Gone,
         },
-        weight: one.weight,
+        weight: server.weight,
     };
     recovery::List {
         source,
@@ -172,16 +175,16 @@
 
 /// A digest of a list without addresses.
 pub(super) fn list_digest(list: &ServerList) -> u64 {
-    let row = |one: &ListedServer| {
+    let row = |server: &ListedServer| {
         format!(
             "{:?} {:?} {:?} {} {:?} {} {}\n",
-            one.instance_id,
-            one.zone,
-            one.machine_type,
-            one.cell,
-            one.lifecycle,
-            one.weight,
-            one.started_at_ms
+            server.instance_id,
+            server.zone,
+            server.machine_type,
+            server.cell,
+            server.lifecycle,
+            server.weight,
+            server.started_at_ms
         )
     };
     beaconflow_settings::digest(&list.instances.iter().map(row).collect::<String>())
