--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -5,9 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use beaconflow_affinity::{
-    Bound, Class, Limits, PlacementTable as Placements, Routing, Server, Version,
-};
+use beaconflow_affinity::{Bound, Class, Limits, PlacementTable, Routing, Server, Version};
 use beaconflow_gossip::{FactChange, FactStore, Origin};
 use beaconflow_membership::{self as peers, Configuration, Key, Keys, Node, Profile, driver};
 use beaconflow_policy::Settings;
@@ -29,11 +27,11 @@
 use crate::overrides::wall_clock_ms;
 
 /// A client migrated for rebalancing or slow messages is not led back for this long.
-const AFFINITY_SUSPENSION_S: u32 = 30;
+const AFFINITY_RETURN_DELAY_S: u32 = 30;
 /// Failures of a client key are kept for this multiple of the longest deadline, as in the policy.
 const FAILURE_RETENTION_DEADLINES: Millis = 4;
 /// Longest queue of membership events.
-const MEMBERSHIP_QUEUE: usize = 256;
+const MEMBERSHIP_QUEUE_LENGTH: usize = 256;
 
 /// A fleet prepared before the core runs.
 pub struct PreparedFleet {
@@ -77,8 +75,8 @@
         .transpose()?;
     let (events, core_events) = unbounded();
     let affinity = config.affinity.is_enabled.then(|| {
-        let memory = affinity_memory(&config, (incarnation, routing_version), &restored, now);
-        SessionAffinity::new(memory, config.affinity.retention)
+        let placements = placement_table(&config, (incarnation, routing_version), &restored, now);
+        SessionAffinity::new(placements, config.affinity.retention)
     });
     let link_config = FleetLinkConfig {
         events,
@@ -117,45 +115,48 @@
 }
 
 /// Session affinity at the start: the known versions without placements.
-fn affinity_memory(
-    file: &operator::FleetConfig,
-    (boot, version): (u64, Version),
+fn placement_table(
+    fleet_config: &operator::FleetConfig,
+    (incarnation, version): (u64, Version),
     restored: &RestoredMemory,
     now: Millis,
-) -> Placements {
+) -> PlacementTable {
     let limits = Limits {
         bound: Bound {
-            entries: file.affinity.max_placements,
+            entries: fleet_config.affinity.max_placements,
             bytes: usize::MAX,
         },
-        ttl_s: u32::try_from(file.affinity.retention.as_secs()).unwrap_or(u32::MAX),
-        return_delay_s: AFFINITY_SUSPENSION_S,
+        ttl_s: u32::try_from(fleet_config.affinity.retention.as_secs()).unwrap_or(u32::MAX),
+        return_delay_s: AFFINITY_RETURN_DELAY_S,
         max_group_per_server: 0,
     };
-    let mut memory = Placements::new(
+    let mut placements = PlacementTable::new(
         limits,
-        placement_origin(&file.name, boot),
+        placement_origin(&fleet_config.name, incarnation),
         driver::random_seed(),
     );
-    memory.record_balancer_death(placement_origin(&file.name, boot.saturating_sub(1)));
+    placements.record_balancer_death(placement_origin(
+        &fleet_config.name,
+        incarnation.saturating_sub(1),
+    ));
     for fact in &restored.versions {
-        memory.merge_version(fact, now);
+        placements.merge_version(fact, now);
     }
-    let serial = file.affinity.serial;
-    let adopted = memory.adopt(version, serial, now);
+    let serial = fleet_config.affinity.serial;
+    let adopted = placements.adopt(version, serial, now);
     info!(part = "affinity", version = %version, serial, how = ?adopted, "version runs here");
-    memory
+    placements
 }
 
 /// The origin of placements: a process in one incarnation.
-pub(super) fn placement_origin(name: &str, boot: u64) -> u64 {
-    digest(&format!("{name} {boot}"))
+pub(super) fn placement_origin(name: &str, incarnation: u64) -> u64 {
+    digest(&format!("{name} {incarnation}"))
 }
 
 /// The version of the routing configuration; equal at all processes that run it.
 pub(super) fn routing_version(settings: &Settings, endpoints: Option<&EndpointSource>) -> Version {
-    let class = |(at, class): (usize, &beaconflow_policy::RequestClass)| Class {
-        name: at.to_string(),
+    let class = |(index, class): (usize, &beaconflow_policy::RequestClass)| Class {
+        name: index.to_string(),
         latency_objective_ms: class.latency_objective / 1_000_000,
         deadline_ms: class.deadline / 1_000_000,
         priority_weight: class.priority_weight,
@@ -187,23 +188,24 @@
     ///
     /// Fails if the socket or a thread can't be created.
     pub fn start(self, core: CoreHandle) -> Result<FleetHandle, String> {
-        let (news, gossip_changes) = unbounded();
-        let known = self.gossip_state(news);
-        let (tell, membership_events) = bounded(MEMBERSHIP_QUEUE);
-        let peers = self.start_membership(&known, tell)?;
-        let (commands, received) = unbounded();
-        let shown: Arc<Mutex<FleetStatus>> = Arc::default();
+        let (changes_sender, gossip_changes) = unbounded();
+        let gossip = self.gossip_state(changes_sender);
+        let (events_sender, membership_events) = bounded(MEMBERSHIP_QUEUE_LENGTH);
+        let membership = self.start_membership(&gossip, events_sender)?;
+        let (commands, command_receiver) = unbounded();
+        let published_status: Arc<Mutex<FleetStatus>> = Arc::default();
         let handle = FleetHandle {
             commands,
-            status: Arc::clone(&shown),
+            status: Arc::clone(&published_status),
         };
         info!(part = "peers", name = self.config.name, site = self.config.site, boot = self.incarnation, on = %self.config.listen, "part of a fleet");
-        let (thread, restored, core_events) = self.into_thread(core, known, peers, shown);
+        let (thread, restored, core_events) =
+            self.into_thread(core, gossip, membership, published_status);
         let inputs = FleetReceiver {
             core_events,
             gossip_changes,
             membership_events,
-            commands: received,
+            commands: command_receiver,
         };
         let run = move || thread.run(restored, inputs);
         let spawned = std::thread::Builder::new().name("fleet".into()).spawn(run);
@@ -212,7 +214,7 @@
     }
 
     /// The gossip state at the start.
-    fn gossip_state(&self, news: Sender<Vec<FactChange>>) -> SharedGossipHandle {
+    fn gossip_state(&self, changes_sender: Sender<Vec<FactChange>>) -> SharedGossipHandle {
         let bounds = shared_gossip::bounds(
             self.config.affinity.max_placements,
             millis(self.config.affinity.retention),
@@ -222,20 +224,26 @@
             name: self.config.name.clone(),
             incarnation: self.incarnation,
         };
-        SharedGossip::shared(FactStore::new(origin, bounds), news)
+        SharedGossip::shared(FactStore::new(origin, bounds), changes_sender)
     }
 
     fn start_membership(
         &self,
-        known: &SharedGossipHandle,
-        tell: Sender<peers::Event>,
+        gossip: &SharedGossipHandle,
+        events_sender: Sender<peers::Event>,
     ) -> Result<driver::Handle, String> {
-        let membership_node = self.node(Arc::clone(known))?;
-        let bound = |error: std::io::Error| format!("fleet.listen {}: {error}", self.config.listen);
-        let link = driver::Udp::new(UdpSocket::bind(self.config.listen).map_err(bound)?);
+        let membership_node = self.node(Arc::clone(gossip))?;
+        let bind_error =
+            |error: std::io::Error| format!("fleet.listen {}: {error}", self.config.listen);
+        let socket = driver::Udp::new(UdpSocket::bind(self.config.listen).map_err(bind_error)?);
         let clock = self.clock;
-        driver::spawn(membership_node, link, move || clock.now() / 1_000_000, tell)
-            .map_err(|error| format!("thread peers: {error}"))
+        driver::spawn(
+            membership_node,
+            socket,
+            move || clock.now() / 1_000_000,
+            events_sender,
+        )
+        .map_err(|error| format!("thread peers: {error}"))
     }
 
     /// The fleet thread's state, the restored memory, and the receiver of the core's events.
@@ -286,11 +294,11 @@
         (thread, self.restored, self.core_events)
     }
 
-    fn node(&self, known: SharedGossipHandle) -> Result<Node<SharedGossipHandle>, String> {
+    fn node(&self, gossip: SharedGossipHandle) -> Result<Node<SharedGossipHandle>, String> {
         let read =
-            |path: &std::path::PathBuf| Key::read(path).map_err(|fault| format!("fleet: {fault}"));
+            |path: &std::path::PathBuf| Key::read(path).map_err(|error| format!("fleet: {error}"));
         let current = read(&self.config.key_file)?;
-        let other = self
+        let previous = self
             .config
             .previous_key_file
             .as_ref()
@@ -307,13 +315,16 @@
         };
         let node = Node::new(
             profile,
-            Keys { current, other },
+            Keys {
+                current,
+                other: previous,
+            },
             peers::Settings::default(),
-            known,
+            gossip,
         );
-        node.map_err(|faults| {
-            let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            format!("fleet: {}", faults.join("; "))
+        node.map_err(|errors| {
+            let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
+            format!("fleet: {}", errors.join("; "))
         })
     }
 }
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -46,8 +46,11 @@
 }
 
 /// The state is valid between any two calls.
-pub(super) fn lock<T>(shared: &SharedGossipHandle, act: impl FnOnce(&mut SharedGossip) -> T) -> T {
-    act(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
+pub(super) fn lock<T>(
+    shared: &SharedGossipHandle,
+    action: impl FnOnce(&mut SharedGossip) -> T,
+) -> T {
+    action(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 impl Payload for SharedGossip {
@@ -82,9 +85,9 @@
         }
     }
 
-    fn set_member_count(&mut self, n: usize) {
-        self.members = n;
-        self.knowledge.set_member_count(n);
+    fn set_member_count(&mut self, count: usize) {
+        self.members = count;
+        self.knowledge.set_member_count(count);
     }
 }
 
@@ -106,14 +109,20 @@
 }
 
 /// Bounds that leave room for so many placements.
-pub(super) fn bounds(most: usize, keep: Millis, seed: u64) -> beaconflow_gossip::Bounds {
+pub(super) fn bounds(
+    max_placements: usize,
+    max_lifetime_ms: Millis,
+    seed: u64,
+) -> beaconflow_gossip::Bounds {
     let mut bounds = beaconflow_gossip::Bounds {
         hash_seed: seed,
         ..Default::default()
     };
-    let own = bounds.of_kind_mut(FactKind::Unknown);
-    own.max_bytes = own.max_bytes.max(most.saturating_mul(BYTES_PER_PLACEMENT));
-    own.max_lifetime_ms = own.max_lifetime_ms.max(keep);
+    let custom = bounds.of_kind_mut(FactKind::Unknown);
+    custom.max_bytes = custom
+        .max_bytes
+        .max(max_placements.saturating_mul(BYTES_PER_PLACEMENT));
+    custom.max_lifetime_ms = custom.max_lifetime_ms.max(max_lifetime_ms);
     bounds
 }
 
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -22,7 +22,7 @@
 /// The site's evidence and assessments.
 #[derive(Default)]
 pub(super) struct SiteEvidence {
-    judgements: HealthReports,
+    reports: HealthReports,
     /// Assessments last sent to the core.
     published: BTreeMap<String, SiteAssessment>,
     /// Servers whose former drains are held, whatever the uplink.
@@ -32,8 +32,8 @@
 }
 
 /// What the end of an attempt says about its server, if anything.
-pub(super) fn health_from_outcome(how: Option<AttemptOutcome>) -> Option<ServerHealth> {
-    match how {
+pub(super) fn health_from_outcome(outcome: Option<AttemptOutcome>) -> Option<ServerHealth> {
+    match outcome {
         None | Some(AttemptOutcome::Served) => Some(ServerHealth::Healthy),
         Some(AttemptOutcome::Rejected) => Some(ServerHealth::Busy),
         Some(AttemptOutcome::TimedOut) => Some(ServerHealth::Unresponsive),
@@ -49,37 +49,37 @@
     pub(super) fn record_own(
         &mut self,
         now: Millis,
-        me: &str,
+        own_name: &str,
         server: &ServerIdentity,
-        server_health: ServerHealth,
+        health: ServerHealth,
     ) -> Option<HealthReport> {
         let known = self
-            .judgements
+            .reports
             .for_server(&server.name)
-            .find(|one| one.origin == me);
-        let is_same = known.is_some_and(|one| {
-            one.health == server_health
-                && now.saturating_sub(one.observed_at_ms) < HEALTHY_REPORT_INTERVAL_MS
+            .find(|report| report.origin == own_name);
+        let is_repeated = known.is_some_and(|report| {
+            report.health == health
+                && now.saturating_sub(report.observed_at_ms) < HEALTHY_REPORT_INTERVAL_MS
         });
-        if is_same && server_health == ServerHealth::Healthy {
+        if is_repeated && health == ServerHealth::Healthy {
             return None;
         }
         Some(
-            self.judgements
-                .observe(now, me, &server.name, server.started_at_ms, server_health),
+            self.reports
+                .observe(now, own_name, &server.name, server.started_at_ms, health),
         )
     }
 
     /// Records a peer's evidence.
-    pub(super) fn record_peer(&mut self, one: HealthReport) {
-        self.judgements.insert(one);
+    pub(super) fn record_peer(&mut self, report: HealthReport) {
+        self.reports.insert(report);
     }
 
     /// Replaces the servers whose former drains are held; returns whether they changed.
     pub(super) fn set_retained_drains(&mut self, drains: BTreeSet<String>) -> bool {
-        let is_news = drains != self.retained_drains;
+        let has_changed = drains != self.retained_drains;
         self.retained_drains = drains;
-        is_news
+        has_changed
     }
 
     /// The assessments for the core, if they changed. While the site is isolated all servers are
@@ -89,46 +89,53 @@
         &mut self,
         now: Millis,
         endpoints: &BTreeMap<String, ListedServer>,
-        (apart, unproven): (bool, Option<&str>),
+        (is_isolated, unproven_reason): (bool, Option<&str>),
         slow_start_ms: Millis,
     ) -> Option<BTreeMap<String, SiteAssessment>> {
-        if !apart && self.published.is_empty() && self.retained_drains.is_empty() {
+        if !is_isolated && self.published.is_empty() && self.retained_drains.is_empty() {
             return None;
         }
-        self.judgements
+        self.reports
             .prune(now.saturating_sub(EVIDENCE_RETENTION_MS));
         let serving = endpoints
             .values()
-            .filter(|one| one.lifecycle == ServerLifecycle::Serving);
-        let known: Vec<AssessedServer> = serving.map(known).collect();
-        let mut parts = BTreeMap::new();
-        for (server, standing) in assess_servers(&known, &self.judgements, now, slow_start_ms) {
-            let drains =
-                self.retained_drains.contains(&server) && self.retained_drains.len() < known.len();
-            if !apart && !drains && !self.published.contains_key(&server) {
+            .filter(|server| server.lifecycle == ServerLifecycle::Serving);
+        let assessed: Vec<AssessedServer> = serving.map(assessed_server).collect();
+        let mut assessments = BTreeMap::new();
+        for (server, result) in assess_servers(&assessed, &self.reports, now, slow_start_ms) {
+            let is_drain_retained = self.retained_drains.contains(&server)
+                && self.retained_drains.len() < assessed.len();
+            if !is_isolated && !is_drain_retained && !self.published.contains_key(&server) {
                 continue;
             }
-            let unproven = unproven.filter(|_| apart && !self.is_healthy(&server, now));
-            let judged = standing
+            let unproven_reason =
+                unproven_reason.filter(|_| is_isolated && !self.is_healthy(&server, now));
+            let ejection_reason = result
                 .ejected_for
-                .filter(|_| apart || self.is_still_skipped(&server))
+                .filter(|_| is_isolated || self.is_still_skipped(&server))
                 .map(describe);
-            let held = drains.then_some("it drained when it was last heard of");
-            let part = SiteAssessment {
-                skip_reason: judged.or(held).or(unproven).map(str::to_owned),
-                weight_factor: standing.weight_permille as f64 / 1_000.0,
-                restarted_at: standing.slow_start_since.unwrap_or(0),
+            let drain_reason = is_drain_retained.then_some("it drained when it was last heard of");
+            let assessment = SiteAssessment {
+                skip_reason: ejection_reason
+                    .or(drain_reason)
+                    .or(unproven_reason)
+                    .map(str::to_owned),
+                weight_factor: result.weight_permille as f64 / 1_000.0,
+                restarted_at: result.slow_start_since.unwrap_or(0),
             };
-            if part.skip_reason.is_some() || part.weight_factor < 1.0 || part.restarted_at > 0 {
-                parts.insert(server, part);
+            if assessment.skip_reason.is_some()
+                || assessment.weight_factor < 1.0
+                || assessment.restarted_at > 0
+            {
+                assessments.insert(server, assessment);
             }
         }
-        if parts == self.published {
+        if assessments == self.published {
             return None;
         }
-        self.log_changes(&parts);
-        self.published = parts.clone();
-        Some(parts)
+        self.log_changes(&assessments);
+        self.published = assessments.clone();
+        Some(assessments)
     }
 
     /// Whether a server is still skipped by evidence, and not for a former drain.
@@ -137,20 +144,26 @@
     }
 
     fn is_healthy(&self, server: &str, now: Millis) -> bool {
-        let is_well = |one: &HealthReport| {
-            one.health == ServerHealth::Healthy
-                && now.saturating_sub(one.observed_at_ms) <= HEALTHY_EVIDENCE_MS
+        let is_healthy_report = |report: &HealthReport| {
+            report.health == ServerHealth::Healthy
+                && now.saturating_sub(report.observed_at_ms) <= HEALTHY_EVIDENCE_MS
         };
-        self.servers_in_use.contains(server) || self.judgements.for_server(server).any(is_well)
+        self.servers_in_use.contains(server)
+            || self.reports.for_server(server).any(is_healthy_report)
     }
 
-    fn log_changes(&self, parts: &BTreeMap<String, SiteAssessment>) {
-        let passed = |parts: &BTreeMap<String, SiteAssessment>, server: &String| {
-            parts.get(server).and_then(|part| part.skip_reason.clone())
+    fn log_changes(&self, assessments: &BTreeMap<String, SiteAssessment>) {
+        let skip_reason = |assessments: &BTreeMap<String, SiteAssessment>, server: &String| {
+            assessments
+                .get(server)
+                .and_then(|assessment| assessment.skip_reason.clone())
         };
-        let named: BTreeSet<&String> = self.published.keys().chain(parts.keys()).collect();
-        for server in named {
-            match (passed(&self.published, server), passed(parts, server)) {
+        let names: BTreeSet<&String> = self.published.keys().chain(assessments.keys()).collect();
+        for server in names {
+            match (
+                skip_reason(&self.published, server),
+                skip_reason(assessments, server),
+            ) {
                 (before, Some(why)) if before.as_ref() != Some(&why) => {
                     info!(part = "edge", server, why, "skipped");
                 }
@@ -161,7 +174,7 @@
     }
 }
 
-fn known(listed: &ListedServer) -> AssessedServer {
+fn assessed_server(listed: &ListedServer) -> AssessedServer {
     let weight = if listed.weight.is_finite() && listed.weight > 0.0 {
         listed.weight
     } else {
@@ -175,8 +188,8 @@
 }
 
 /// A server's health in words for people.
-fn describe(judged: ServerHealth) -> &'static str {
-    match judged {
+fn describe(health: ServerHealth) -> &'static str {
+    match health {
         ServerHealth::Healthy => "it is well",
         ServerHealth::Busy => "it says that it is busy",
         ServerHealth::Unresponsive => "it does not answer",
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -46,10 +46,10 @@
 
 impl FleetReceiver {
     /// The next input within a time.
-    fn next(&mut self, wait: Duration) -> FleetInput {
+    fn next(&mut self, timeout: Duration) -> FleetInput {
         // A closed channel is always ready and must not be polled again.
         select! {
-            recv(self.core_events) -> seen => seen.map_or(FleetInput::CoreStopped, FleetInput::Core),
+            recv(self.core_events) -> event => event.map_or(FleetInput::CoreStopped, FleetInput::Core),
             recv(self.gossip_changes) -> changes => changes.map_or(FleetInput::TimedOut, FleetInput::Gossip),
             recv(self.membership_events) -> event => event.map_or_else(
                 |_| {
@@ -65,7 +65,7 @@
                 },
                 FleetInput::Command,
             ),
-            default(wait) => FleetInput::TimedOut,
+            default(timeout) => FleetInput::TimedOut,
         }
     }
 }
@@ -115,17 +115,17 @@
     pub(super) fn run(mut self, restored: RestoredMemory, mut inputs: FleetReceiver) {
         self.restore(restored);
         if self.config.edge.mode != operator::EdgeMode::Automatic {
-            let word = self.config.edge.mode;
-            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, word));
+            let mode = self.config.edge.mode;
+            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, mode));
         }
         loop {
             self.now = self.clock.now();
             self.run_due_tasks();
-            let came = inputs.next(self.wait());
+            let input = inputs.next(self.wait());
             // The wait may have been long, and times must not go backwards between events.
             self.now = self.clock.now();
-            match came {
-                FleetInput::Core(seen) => self.on_core_event(seen),
+            match input {
+                FleetInput::Core(event) => self.on_core_event(event),
                 FleetInput::Gossip(changes) => self.on_gossip_changes(&changes),
                 FleetInput::Membership(event) => self.on_membership_event(event),
                 FleetInput::Command(command) => self.on_command(command),
@@ -154,16 +154,16 @@
     /// Reports something to the uplink monitor and executes its commands.
     pub(super) fn with_uplink(
         &mut self,
-        act: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::UplinkCommand>,
+        report_to: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::UplinkCommand>,
     ) {
         let now = self.now_ms();
         let Some(uplink) = &mut self.uplink else {
             return;
         };
-        let wanted = act(uplink, now);
-        let kept = uplink.persistent_state(now);
-        for one in wanted {
-            match one {
+        let commands = report_to(uplink, now);
+        let state = uplink.persistent_state(now);
+        for command in commands {
+            match command {
                 uplink::UplinkCommand::PauseDiscovery(span) => self
                     .core
                     .send(CoreInput::Fleet(FleetEvent::PauseDiscovery(span))),
@@ -173,39 +173,44 @@
                 uplink::UplinkCommand::PublishStatus => self.publish_status_at = self.now,
                 uplink::UplinkCommand::Persist => self
                     .memory
-                    .store(records::encode_uplink(kept.0, kept.1, now)),
+                    .store(records::encode_uplink(state.0, state.1, now)),
             }
         }
     }
 
-    pub(super) fn send_affinity_event(&self, news: AffinityEvent) {
-        self.core.send(CoreInput::Fleet(FleetEvent::Affinity(news)));
+    pub(super) fn send_affinity_event(&self, event: AffinityEvent) {
+        self.core
+            .send(CoreInput::Fleet(FleetEvent::Affinity(event)));
     }
 
     /// Handles a command.
     fn on_command(&mut self, command: FleetCommand) {
-        let file = match command {
-            FleetCommand::Reconfigure(file) => file,
+        let new_config = match command {
+            FleetCommand::Reconfigure(new_config) => new_config,
             FleetCommand::SetVersion(version) => {
                 self.version = version;
                 return self.adopt_version(self.config.affinity.serial);
             }
         };
-        if file.peers != self.config.peers {
-            info!(part = "peers", peers = ?file.peers, "other addresses are asked from now on");
-            self.membership.set_seeds(file.peers.clone());
+        if new_config.peers != self.config.peers {
+            info!(part = "peers", peers = ?new_config.peers, "other addresses are asked from now on");
+            self.membership.set_seeds(new_config.peers.clone());
         }
-        if file.affinity.serial != self.config.affinity.serial {
-            self.adopt_version(file.affinity.serial);
+        if new_config.affinity.serial != self.config.affinity.serial {
+            self.adopt_version(new_config.affinity.serial);
         }
-        if file.edge.mode != self.config.edge.mode {
-            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, file.edge.mode));
+        if new_config.edge.mode != self.config.edge.mode {
+            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, new_config.edge.mode));
         }
         (
             self.config.peers,
             self.config.affinity.serial,
             self.config.edge.mode,
-        ) = (file.peers, file.affinity.serial, file.edge.mode);
+        ) = (
+            new_config.peers,
+            new_config.affinity.serial,
+            new_config.edge.mode,
+        );
     }
 
     /// Adopts the present version under the operator's serial number.
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -47,19 +47,19 @@
 
 /// The configuration of the state machine.
 pub(super) fn config(fleet: &operator::FleetConfig, seed: u64) -> Config {
-    let (usual, answer_timeout_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
-    let within = |span: Millis| span.min(answer_timeout_ms);
+    let (defaults, answer_timeout_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
+    let capped = |span: Millis| span.min(answer_timeout_ms);
     Config {
         site: fleet.site.clone(),
         name: fleet.name.clone(),
         seed,
         processes: u32::try_from(fleet.size).unwrap_or(u32::MAX),
-        confirm_ms: within(usual.confirm_ms),
-        steady_ms: within(usual.steady_ms),
-        damp_cap_ms: within(usual.damp_cap_ms),
+        confirm_ms: capped(defaults.confirm_ms),
+        steady_ms: capped(defaults.steady_ms),
+        damp_cap_ms: capped(defaults.damp_cap_ms),
         answer_timeout_ms,
         trust_for_ms: millis(fleet.edge.trust_period),
-        ..usual
+        ..defaults
     }
 }
 
@@ -72,19 +72,19 @@
     pub(super) fn new(
         config: Config,
         now: Millis,
-        before: Option<(bool, Option<Millis>)>,
+        stored: Option<(bool, Option<Millis>)>,
     ) -> Result<Uplink, String> {
-        config.validate().map_err(|faults| {
-            let faults: Vec<String> = faults
+        config.validate().map_err(|errors| {
+            let errors: Vec<String> = errors
                 .iter()
-                .map(|fault| format!("edge: {fault}"))
+                .map(|error| format!("edge: {error}"))
                 .collect();
-            faults.join("; ")
+            errors.join("; ")
         })?;
-        let start = match before {
+        let start = match stored {
             None => Start::Fresh,
-            Some((islanded, confirmed_at)) => {
-                let state = if islanded {
+            Some((was_isolated, confirmed_at)) => {
+                let state = if was_isolated {
                     UplinkState::Isolated
                 } else {
                     UplinkState::Linked
@@ -115,22 +115,22 @@
         }
         let mut out = std::mem::take(&mut self.actions);
         self.edge.handle(now, evidence, &mut out);
-        let mut wanted = Vec::new();
+        let mut commands = Vec::new();
         for action in out.drain(..) {
-            self.execute(now, action, &mut wanted);
+            self.execute(now, action, &mut commands);
         }
         self.actions = out;
-        wanted
+        commands
     }
 
     /// Reports that the watch ended. If it had not sent anything, discovery did not answer.
     pub(super) fn on_discovery_lost(&mut self, now: Millis) -> Vec<UplinkCommand> {
-        let was_asked = !self.is_watch_open;
-        let mut wanted = self.on_evidence(now, Evidence::WatchLost);
-        if was_asked {
-            wanted.extend(self.on_evidence(now, Evidence::DiscoveryFailed));
+        let was_query = !self.is_watch_open;
+        let mut commands = self.on_evidence(now, Evidence::WatchLost);
+        if was_query {
+            commands.extend(self.on_evidence(now, Evidence::DiscoveryFailed));
         }
-        wanted
+        commands
     }
 
     /// Reports a configured list, whose age counts from the start where none older is known.
@@ -142,7 +142,7 @@
         }
     }
 
-    fn execute(&mut self, now: Millis, action: Action, wanted: &mut Vec<UplinkCommand>) {
+    fn execute(&mut self, now: Millis, action: Action, commands: &mut Vec<UplinkCommand>) {
         match action {
             Action::StateChanged {
                 from,
@@ -150,7 +150,7 @@
                 reason: why,
             } => {
                 warn!(part = "edge", from = %from, to = %UplinkState::Isolated, why, "state");
-                wanted.extend([
+                commands.extend([
                     UplinkCommand::PauseDiscovery(DISCOVERY_PAUSE),
                     UplinkCommand::Persist,
                 ]);
@@ -161,23 +161,23 @@
                 reason: why,
             } => {
                 info!(part = "edge", from = %from, to = %to, why, "state");
-                wanted.push(UplinkCommand::Persist);
+                commands.push(UplinkCommand::Persist);
             }
             Action::Probe {
                 target: RemoteTarget::Discovery,
             } => {
                 info!(part = "edge", "this process asks discovery for the site");
-                wanted.push(UplinkCommand::PollDiscovery);
+                commands.push(UplinkCommand::PollDiscovery);
             }
             // The store is called by its front, and other sites are heard of through the peers.
             Action::Probe { .. } => {}
-            Action::PublishReport => wanted.push(UplinkCommand::PublishStatus),
+            Action::PublishReport => commands.push(UplinkCommand::PublishStatus),
             Action::Log(why) => info!(part = "edge", why, "says"),
             Action::Rejoin(RejoinStep::Reconnect {
                 target: RemoteTarget::Discovery,
-                delay_ms: in_ms,
+                delay_ms,
             }) => {
-                self.poll_at = Some(now.saturating_add(in_ms));
+                self.poll_at = Some(now.saturating_add(delay_ms));
             }
             Action::Rejoin(RejoinStep::Reconnect { .. }) => {}
             // The policy merges the list; no client is migrated because an entry looks different.
@@ -186,31 +186,39 @@
                     part = "edge",
                     "both sides are merged: the list goes by its entries, overrides by their ends"
                 );
-                let mut more = Vec::new();
-                self.edge
-                    .handle(now, Evidence::RejoinStepDone(RejoinStep::Merge), &mut more);
-                more.into_iter()
-                    .for_each(|action| self.execute(now, action, wanted));
+                let mut actions = Vec::new();
+                self.edge.handle(
+                    now,
+                    Evidence::RejoinStepDone(RejoinStep::Merge),
+                    &mut actions,
+                );
+                actions
+                    .into_iter()
+                    .for_each(|action| self.execute(now, action, commands));
             }
         }
     }
 
     /// Handles timeouts. `others` are the present processes of other sites.
-    pub(super) fn on_timer(&mut self, now: Millis, others: &[Member]) -> Vec<UplinkCommand> {
-        let mut wanted = Vec::new();
+    pub(super) fn on_timer(
+        &mut self,
+        now: Millis,
+        members_of_other_sites: &[Member],
+    ) -> Vec<UplinkCommand> {
+        let mut commands = Vec::new();
         if self.poll_at.is_some_and(|at| at <= now) {
             self.poll_at = None;
-            wanted.push(UplinkCommand::PollDiscovery);
+            commands.push(UplinkCommand::PollDiscovery);
         }
         if now >= self.refresh_at {
             self.refresh_at = now.saturating_add(REFRESH_INTERVAL_MS);
             // A watch counts as open until the watcher ends it.
             if self.is_watch_open {
-                wanted.extend(self.on_evidence(now, Evidence::WatchAlive));
+                commands.extend(self.on_evidence(now, Evidence::WatchAlive));
             }
-            for other in others {
-                let (name, site) = (other.name.to_string(), other.site.to_string());
-                wanted.extend(self.on_evidence(
+            for member in members_of_other_sites {
+                let (name, site) = (member.name.to_string(), member.site.to_string());
+                commands.extend(self.on_evidence(
                     now,
                     Evidence::PeerMessage {
                         name,
@@ -220,11 +228,11 @@
                 ));
             }
             if self.edge.state() == UplinkState::Isolated {
-                wanted.push(UplinkCommand::PauseDiscovery(DISCOVERY_PAUSE));
+                commands.push(UplinkCommand::PauseDiscovery(DISCOVERY_PAUSE));
             }
         }
-        wanted.extend(self.on_evidence(now, Evidence::Tick));
-        wanted
+        commands.extend(self.on_evidence(now, Evidence::Tick));
+        commands
     }
 
     /// Applies the operator's mode.
@@ -233,20 +241,20 @@
         now: Millis,
         mode: EdgeMode,
     ) -> Vec<UplinkCommand> {
-        let force = match mode {
+        let uplink_mode = match mode {
             EdgeMode::Automatic => UplinkMode::Automatic,
             EdgeMode::Isolated => UplinkMode::Isolated,
             EdgeMode::Linked => UplinkMode::Linked,
         };
-        let (who, why) = ("the operator's file".into(), "edge.word".into());
+        let (set_by, reason) = ("the operator's file".into(), "edge.word".into());
         self.on_evidence(
             now,
             Evidence::OperatorModeSet(OperatorMode {
                 set_at: now,
-                mode: force,
+                mode: uplink_mode,
                 expires_at: UNTIL_CHANGED_MS,
-                set_by: who,
-                reason: why,
+                set_by,
+                reason,
             }),
         )
     }
@@ -264,17 +272,20 @@
     /// Whether the site has to do without discovery, and the reason to skip servers without
     /// evidence of health, if there is one.
     pub(super) fn isolation(&self, now: Millis) -> (bool, Option<&'static str>) {
-        let is_no = |decision: Decision| match self.edge.permission(now, &decision) {
-            Permission::Denied { reason: why, .. } => Some(why),
+        let denial_reason = |decision: Decision| match self.edge.permission(now, &decision) {
+            Permission::Denied { reason, .. } => Some(reason),
             Permission::Granted => None,
         };
         let site = self.edge.config().site.clone();
-        let unproven = is_no(Decision::PlaceClient {
+        let unproven_reason = denial_reason(Decision::PlaceClient {
             site,
             is_listed: true,
             is_healthy: false,
         });
-        (is_no(Decision::Rebalance).is_some(), unproven)
+        (
+            denial_reason(Decision::Rebalance).is_some(),
+            unproven_reason,
+        )
     }
 
     /// The state in words for people.
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use tracing::{info, warn};
 
-use crate::core::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use crate::core::lifecycle::{CommandRefusedError, LifecycleCommand, LifecycleState};
 use crate::core::{CoreHandle, CoreInput, LifecycleReply};
 use crate::http::{Reply, Request, RequestError, RequestReader};
 use crate::net::{self, Listener, ReadError, WriteBuffer};
@@ -47,7 +47,7 @@
 }
 
 /// The result of a command, for the caller with this id.
-type CommandResult = (u64, Result<LifecycleState, CommandRefused>);
+type CommandResult = (u64, Result<LifecycleState, CommandRefusedError>);
 
 struct Caller {
     id: u64,
@@ -300,7 +300,7 @@
 
 impl CommandResults {
     /// Records a core's result. The last one, or the first refusal, answers the caller.
-    fn record(&self, followed: Result<LifecycleState, CommandRefused>) {
+    fn record(&self, followed: Result<LifecycleState, CommandRefusedError>) {
         let last = self.remaining.fetch_sub(1, Ordering::SeqCst) == 1;
         if last || followed.is_err() {
             // A caller gets no second answer.
@@ -310,7 +310,7 @@
     }
 }
 
-fn command_reply(followed: Result<LifecycleState, CommandRefused>) -> Reply {
+fn command_reply(followed: Result<LifecycleState, CommandRefusedError>) -> Reply {
     match followed {
         Ok(state) => Reply::new(200, json!({ "state": state.name() })),
         Err(refused) => Reply::error(409, refused.to_string()),
