--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -344,10 +344,10 @@
             match duration {
                 Some(duration_ns) => {
                     let for_s = duration_ns / 1_000_000_000;
-                    warn!(part = self.name, account = %name, of_all = fraction_text, due = entitled_text, for_s, "account over its quota");
+                    warn!(part = self.name, account = %name, of_all = fraction_text, due = entitled_text, for_s, "account exceeds its quota");
                 }
                 None => {
-                    info!(part = self.name, account = %name, of_all = fraction_text, due = entitled_text, "account within its quota")
+                    info!(part = self.name, account = %name, of_all = fraction_text, due = entitled_text, "account is within its quota again")
                 }
             }
         }
--- a/crates/balancer/src/core/affinity.rs
+++ b/crates/balancer/src/core/affinity.rs
@@ -88,7 +88,7 @@
         if result.is_err() {
             error!(
                 part = "affinity",
-                "panicked; no client is led back until a restart"
+                "session affinity panicked and is disabled until a restart"
             );
             if let Some(fleet_link) = &mut self.fleet {
                 fleet_link.affinity = None;
@@ -108,7 +108,7 @@
             .endpoints
             .endpoint(server)
             .map(|server| server.name.to_string());
-        debug!(part = "affinity", request = id, server = name, why = ?advice.reason, under = %advice.config_version, "led back");
+        debug!(part = "affinity", request = id, server = name, why = ?advice.reason, under = %advice.config_version, "client returns to its previous server");
         Some(Pin {
             server: Some(server),
             strict: false,
@@ -188,7 +188,7 @@
                 self.with_affinity(|affinity, _, now| {
                     for fact in &facts {
                         if affinity.placements.merge_version(fact, now) {
-                            info!(part = "affinity", version = %fact.version, serial = fact.serial, "a version is run elsewhere");
+                            info!(part = "affinity", version = %fact.version, serial = fact.serial, "another process runs this configuration version");
                         }
                     }
                 });
@@ -203,7 +203,7 @@
                     affinity.placements.adopt(version, serial, now)
                 });
                 if let Some(adopted) = adopted {
-                    info!(part = "affinity", version = %version, serial, how = ?adopted, "version runs here");
+                    info!(part = "affinity", version = %version, serial, how = ?adopted, "configuration version adopted");
                 }
                 self.publish_version();
             }
--- a/crates/balancer/src/core/attempts.rs
+++ b/crates/balancer/src/core/attempts.rs
@@ -21,7 +21,7 @@
     pub(super) fn apply_list(&mut self, list: ServerList, is_cached: bool) {
         let (count, reset, generation) = (list.instances.len(), list.reset, list.generation);
         for listed in &list.instances {
-            debug!(part = self.name, entry = ?listed, "listed");
+            debug!(part = self.name, entry = ?listed, "server listed");
         }
         self.publish(|_| Some(CoreEvent::ListApplied(list.clone(), is_cached)));
         let entries = self.endpoints.apply_list(list, self.now_ms(), |zone| {
@@ -32,7 +32,7 @@
             (false, true) => policy::ListUpdate::Snapshot,
             (false, false) => policy::ListUpdate::Delta,
         };
-        info!(part = self.name, generation, kind = ?update, entries = count, "list applied");
+        info!(part = self.name, generation, kind = ?update, entries = count, "server list applied");
         self.run_policy(policy::Event::ServerList { update, entries });
         self.record_server_starts();
         self.apply_overrides();
@@ -64,7 +64,7 @@
         else {
             return;
         };
-        debug!(part = self.name, request = id, was_resuming, took = ?Duration::from_nanos(elapsed), "established");
+        debug!(part = self.name, request = id, was_resuming, took = ?Duration::from_nanos(elapsed), "connection established");
         if was_resuming {
             let Some(request) = self.requests.renumber_attempt(id) else {
                 return;
@@ -100,7 +100,7 @@
                 .get(id)
                 .and_then(|request_state| request_state.request.resumed_server.as_deref());
             let name = name.unwrap_or_default();
-            warn!(part = self.name, server = name, how = ?outcome, "resumed connection not established");
+            warn!(part = self.name, server = name, how = ?outcome, "resuming a connection failed; it will be retried");
             // A server may be unreachable while this balancer starts.
             return self.set_timer(RESUME_RETRY_INTERVAL, TimerKind::ResumeConnection(id));
         }
@@ -120,7 +120,12 @@
         let Some((attempt, server)) = self.requests.established_attempt(id) else {
             return;
         };
-        debug!(part = self.name, request = id, ?metric, "measured");
+        debug!(
+            part = self.name,
+            request = id,
+            ?metric,
+            "connection measured"
+        );
         if let ConnectionMetric::MessageLatency(delay) = metric {
             let is_slow = Duration::from_nanos(delay) >= self.timeouts.slow_message_threshold();
             if !self.endpoints.should_report_latency(
@@ -186,7 +191,7 @@
             reset,
             cancelled,
             not_sent,
-            "counts"
+            "request counters"
         );
     }
 }
--- a/crates/balancer/src/core/connect.rs
+++ b/crates/balancer/src/core/connect.rs
@@ -69,7 +69,7 @@
             again = client_request.is_reconnect,
             held_by = client_request.resumed_server.as_deref(),
             patience_ms = client_request.client_timeout.as_millis(),
-            "opened"
+            "request opened"
         );
     }
 
@@ -90,7 +90,7 @@
         self.requests
             .open(id, client_request, commands, (None, None), entry);
         let Some((server, _)) = self.endpoints.by_name(server) else {
-            self.migrate(id, "its server is not known here");
+            self.migrate(id, "the server is not in the list of this process");
             return drop(self.requests.close(id));
         };
         if let Some(request) = self.requests.adopt(id, server) {
--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -82,7 +82,7 @@
             }
             Action::WatchServerList => self.poll_discovery(),
             Action::LogOverload(text) => {
-                info!(part = self.name, summary = %text, "policy summary")
+                info!(part = self.name, summary = %text, "overload summary")
             }
         }
     }
@@ -98,7 +98,7 @@
         let Some(endpoint) = self.endpoints.endpoint(server) else {
             return self.give_up_on(id);
         };
-        debug!(part = self.name, request = id, server = %endpoint.name, within = ?timeout, "attempt");
+        debug!(part = self.name, request = id, server = %endpoint.name, within = ?timeout, "attempt started");
         let now = self.clock.now();
         let command = ConnectionCommand::StartAttempt { endpoint, timing };
         self.publish_slow_start_attempt(server, now);
@@ -108,7 +108,7 @@
     }
 
     pub(super) fn send_final_answer(&mut self, id: u64, answer: ConnectionCommand) {
-        debug!(part = self.name, request = id, answer = ?answer, "final answer");
+        debug!(part = self.name, request = id, answer = ?answer, "final answer sent");
         match answer {
             ConnectionCommand::Reject(_) => self.requests.counts.rejected += 1,
             _ => self.requests.counts.failed += 1,
@@ -148,7 +148,12 @@
 
     /// Asks a client to reconnect, and expects it to come back.
     pub(super) fn migrate(&mut self, id: u64, reason: &'static str) {
-        debug!(part = self.name, request = id, why = reason, "migrated");
+        debug!(
+            part = self.name,
+            request = id,
+            why = reason,
+            "client asked to migrate"
+        );
         self.requests.send_command(id, ConnectionCommand::Migrate);
         if let Some(key) = self
             .requests
@@ -162,7 +167,10 @@
     /// Replaces a policy that panicked. The new one adopts established connections; requests in
     /// flight get their final answer.
     pub(super) fn restart_policy(&mut self) {
-        error!(part = self.name, "policy panicked; a new one takes over");
+        error!(
+            part = self.name,
+            "policy panicked and was replaced by a new instance"
+        );
         self.seed = self.seed.wrapping_add(1);
         let Ok(balancer) = Balancer::new(self.settings.clone(), self.seed) else {
             return;
@@ -197,10 +205,10 @@
 /// The log's text for a migration.
 fn migration_reason(reason: policy::MigrationReason) -> &'static str {
     match reason {
-        policy::MigrationReason::ServerLeaving => "its server leaves",
-        policy::MigrationReason::SlowMessages => "messages at its server are late",
-        policy::MigrationReason::Rebalancing => "its server holds too much",
-        policy::MigrationReason::SlowStart => "a cold server has room",
+        policy::MigrationReason::ServerLeaving => "the server is leaving service",
+        policy::MigrationReason::SlowMessages => "messages at the server are slow",
+        policy::MigrationReason::Rebalancing => "the server holds more than its share",
+        policy::MigrationReason::SlowStart => "a server in slow start has spare capacity",
     }
 }
 
--- a/crates/balancer/src/core/drain.rs
+++ b/crates/balancer/src/core/drain.rs
@@ -88,7 +88,7 @@
             from = before.name(),
             to = after.name(),
             clients = self.requests.len(),
-            "state"
+            "lifecycle state changed"
         );
         match after {
             LifecycleState::Standby | LifecycleState::ShuttingDown => self.begin_drain(),
@@ -162,7 +162,7 @@
     /// Migrates a client unless the drain was reverted.
     pub(super) fn migrate_in_drain(&mut self, number: u64, id: u64) {
         if self.drain.is_some_and(|drain| drain.number == number) {
-            self.migrate(id, "this balancer drains");
+            self.migrate(id, "this process is draining");
         }
     }
 
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -262,7 +262,12 @@
     }
 
     fn on_probe_answered(&mut self, server: ServerId, answer: Option<ProbeAnswer>) {
-        debug!(part = self.name, server = server.0, ?answer, "probed");
+        debug!(
+            part = self.name,
+            server = server.0,
+            ?answer,
+            "server probed"
+        );
         let load = match answer {
             Some(ProbeAnswer::Load(load)) => Some(load),
             // A server that reports no load is not known to be overloaded.
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -49,7 +49,7 @@
         if result.is_err() {
             error!(
                 part = self.name,
-                "overrides panicked; none hold at this front until a restart"
+                "overrides panicked and are disabled at this front until a restart"
             );
             self.has_lost_overrides = true;
             self.endpoints.overrides = OverrideSet::default();
@@ -154,10 +154,10 @@
             if coverage.is_empty() {
                 info!(
                     part = self.name,
-                    "overrides leave a ready server everywhere again"
+                    "overrides leave a ready server in every zone again"
                 );
             } else {
-                warn!(part = self.name, what = %coverage, "overrides leave too little");
+                warn!(part = self.name, what = %coverage, "overrides leave no ready server in some zones");
             }
             self.coverage = coverage;
         }
@@ -194,7 +194,7 @@
         }
         for id in migrating {
             self.end_placement(id, EndReason::MigratedServerLeaving);
-            self.migrate(id, "an operator empties its server");
+            self.migrate(id, "an operator is emptying the server");
         }
         self.set_timer(wait.max(MIN_MIGRATION_INTERVAL), TimerKind::EmptyServers);
     }
--- a/crates/balancer/src/core/settings.rs
+++ b/crates/balancer/src/core/settings.rs
@@ -92,7 +92,7 @@
         info!(
             part = self.name,
             clients = self.requests.len(),
-            "settings replaced"
+            "site settings replaced"
         );
         self.grant_permits();
     }
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -144,7 +144,7 @@
                 .observe(&subject, &Value::Unknown(value), ttl_ms, now)
         });
         if let Err(error) = result {
-            warn!(part = "peers", kind, why = ?error, "not told to the others");
+            warn!(part = "peers", kind, why = ?error, "fact could not be published to the peers");
         }
     }
 
--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -63,7 +63,7 @@
     let (memory, remembered) = match memory::open(&config.path, &fleet_config.name, wall_ms) {
         Ok(opened) => opened,
         Err(error) => {
-            error!(part = "memory", file = %config.path.display(), why = %error, "nothing is remembered or kept");
+            error!(part = "memory", file = %config.path.display(), why = %error, "memory could not be opened; nothing is restored or stored");
             return (
                 MemoryWriter::disabled(config.path.clone(), retention_s),
                 RestoredMemory::default(),
@@ -73,7 +73,13 @@
     log_faults(&remembered);
     let restored = RestoredMemory::read(&remembered);
     let writer = Writer::spawn(memory)
-        .inspect_err(|error| error!(part = "memory", why = error, "nothing is kept"))
+        .inspect_err(|error| {
+            error!(
+                part = "memory",
+                why = error,
+                "memory writer could not be started; nothing is stored"
+            )
+        })
         .ok();
     let last_seen_s = restored
         .placements
@@ -91,18 +97,18 @@
 
 fn log_faults(remembered: &Remembered) {
     if let Some(moved_aside) = &remembered.aside {
-        warn!(part = "memory", what = %moved_aside, "a file is not read");
+        warn!(part = "memory", what = %moved_aside, "memory file can't be used");
     }
     if let Some(why) = &remembered.unwritable {
         warn!(
             part = "memory",
-            why, "the disk takes nothing; what is known is not kept"
+            why, "memory can't be written; new state is not stored"
         );
     }
     if remembered.clock_went_back {
         warn!(
             part = "memory",
-            "the wall clock stands before the last writing: no age can be told from it"
+            "wall clock is behind the last write of the memory; ages are unknown"
         );
     }
 }
@@ -126,7 +132,7 @@
             list = list.map_or(0, |(list, _)| list.instances.len()),
             placements = restored.placements.len(),
             unreadable,
-            "remembered"
+            "records restored"
         );
         restored
     }
@@ -236,7 +242,7 @@
                 size,
                 most = self.max_bytes,
                 full = is_full,
-                "no further clients are remembered while the file is full"
+                "memory file crossed its size limit; no new placements are stored while it is full"
             );
         }
     }
--- a/crates/balancer/src/fleet/recovery_driver.rs
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -104,7 +104,7 @@
     pub(super) fn new(config: RecoveryConfig, seed: u64) -> Result<RecoveryDriver, String> {
         let recovery = Recovery::new(config, seed).map_err(|errors| {
             let fields: Vec<&str> = errors.iter().map(|error| error.field).collect();
-            format!("recovery: out of range: {}", fields.join(", "))
+            format!("recovery: settings out of range: {}", fields.join(", "))
         })?;
         Ok(RecoveryDriver {
             recovery,
@@ -142,11 +142,11 @@
                 reason,
                 as_of,
             } => {
-                info!(part = "recovery", kind = ?kind, verdict = ?validity, reason, as_of, "remembered state");
+                info!(part = "recovery", kind = ?kind, verdict = ?validity, reason, as_of, "remembered state assessed");
             }
             Action::ListChanged => return Some(RecoveryCommand::PublishList),
             Action::SetServiceMode { mode, reason } => {
-                info!(part = "recovery", how = ?mode, why = reason, "service mode");
+                info!(part = "recovery", how = ?mode, why = reason, "service mode changed");
                 return Some(RecoveryCommand::SetServiceMode(mode));
             }
             Action::ScopeDecided {
@@ -155,7 +155,7 @@
                 evidence,
             } => {
                 let evidence = evidence.join("; ");
-                info!(part = "recovery", scope = %scope, likelihood, evidence, "extent of the outage");
+                info!(part = "recovery", scope = %scope, likelihood, evidence, "outage scope decided");
                 self.scope = Some(scope);
             }
             Action::LogStep {
@@ -163,7 +163,7 @@
                 reason,
                 ..
             } => {
-                warn!(part = "recovery", step = ?RecoveryStep::Resumed, why = reason, "step");
+                warn!(part = "recovery", step = ?RecoveryStep::Resumed, why = reason, "recovery step");
             }
             Action::LogStep {
                 step,
@@ -172,7 +172,7 @@
             } => {
                 let within_ms =
                     deadline_at.map(|deadline_at| deadline_at.saturating_sub(now) / 1_000_000);
-                info!(part = "recovery", step = ?step, why = reason, within_ms, "step");
+                info!(part = "recovery", step = ?step, why = reason, within_ms, "recovery step");
             }
             Action::Admit { id } => return Some(RecoveryCommand::Admit(id)),
             Action::Defer {
@@ -220,12 +220,12 @@
     pub(super) fn describe(&self) -> String {
         let state = match self.recovery.state() {
             RecoveryState::NotStarted => "dark".to_owned(),
-            RecoveryState::Querying(source) => format!("asking the {source}"),
-            RecoveryState::StagedAdmission => "taking clients by turns".to_owned(),
+            RecoveryState::Querying(source) => format!("querying the {source}"),
+            RecoveryState::StagedAdmission => "admitting clients in stages".to_owned(),
             RecoveryState::Serving => "serving".to_owned(),
         };
         match self.scope {
-            Some(scope) => format!("{state}, after a darkness of: {scope}"),
+            Some(scope) => format!("{state}; outage scope: {scope}"),
             None => state,
         }
     }
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -92,7 +92,7 @@
         let is_valid = validity != Validity::Discarded;
         let count = placements.len();
         if count > 0 {
-            info!(part = "recovery", placements = count, taken = is_valid, verdict = ?validity, "placements of before");
+            info!(part = "recovery", placements = count, taken = is_valid, verdict = ?validity, "stored placements assessed");
         }
         if is_valid {
             self.send_placements_to_core(placements);
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -144,7 +144,7 @@
     }
     let serial = fleet_config.affinity.serial;
     let adopted = placements.adopt(version, serial, now);
-    info!(part = "affinity", version = %version, serial, how = ?adopted, "version runs here");
+    info!(part = "affinity", version = %version, serial, how = ?adopted, "configuration version adopted");
     placements
 }
 
@@ -198,7 +198,7 @@
             commands,
             status: Arc::clone(&published_status),
         };
-        info!(part = "peers", name = self.config.name, site = self.config.site, boot = self.incarnation, on = %self.config.listen, "part of a fleet");
+        info!(part = "peers", name = self.config.name, site = self.config.site, boot = self.incarnation, on = %self.config.listen, "fleet membership started");
         let (thread, restored, core_events) =
             self.into_thread(core, gossip, membership, published_status);
         let inputs = FleetReceiver {
@@ -209,7 +209,7 @@
         };
         let run = move || thread.run(restored, inputs);
         let spawned = std::thread::Builder::new().name("fleet".into()).spawn(run);
-        spawned.map_err(|error| format!("thread fleet: {error}"))?;
+        spawned.map_err(|error| format!("can't create the fleet thread: {error}"))?;
         Ok(handle)
     }
 
@@ -233,8 +233,9 @@
         events_sender: Sender<peers::Event>,
     ) -> Result<driver::Handle, String> {
         let membership_node = self.node(Arc::clone(gossip))?;
-        let bind_error =
-            |error: std::io::Error| format!("fleet.listen {}: {error}", self.config.listen);
+        let bind_error = |error: std::io::Error| {
+            format!("fleet.listen: can't bind {}: {error}", self.config.listen)
+        };
         let socket = driver::Udp::new(UdpSocket::bind(self.config.listen).map_err(bind_error)?);
         let clock = self.clock;
         driver::spawn(
@@ -243,7 +244,7 @@
             move || clock.now() / 1_000_000,
             events_sender,
         )
-        .map_err(|error| format!("thread peers: {error}"))
+        .map_err(|error| format!("can't create the membership thread: {error}"))
     }
 
     /// The fleet thread's state, the restored memory, and the receiver of the core's events.
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -79,7 +79,7 @@
             Err(error) => {
                 self.unreadable += 1;
                 if self.unreadable.is_power_of_two() {
-                    warn!(part = "peers", from = %from.name, why = %error, count = self.unreadable, "a packet was not read");
+                    warn!(part = "peers", from = %from.name, why = %error, count = self.unreadable, "gossip packet could not be decoded");
                 }
             }
         }
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -114,7 +114,8 @@
                 .ejected_for
                 .filter(|_| is_isolated || self.is_still_skipped(&server))
                 .map(describe);
-            let drain_reason = is_drain_retained.then_some("it drained when it was last heard of");
+            let drain_reason =
+                is_drain_retained.then_some("the server was draining when last heard of");
             let assessment = SiteAssessment {
                 skip_reason: ejection_reason
                     .or(drain_reason)
@@ -165,9 +166,9 @@
                 skip_reason(assessments, server),
             ) {
                 (before, Some(why)) if before.as_ref() != Some(&why) => {
-                    info!(part = "edge", server, why, "skipped");
+                    info!(part = "edge", server, why, "server skipped");
                 }
-                (Some(_), None) => info!(part = "edge", server, "skipped no longer"),
+                (Some(_), None) => info!(part = "edge", server, "server no longer skipped"),
                 _ => {}
             }
         }
@@ -190,12 +191,12 @@
 /// A server's health in words for people.
 fn describe(health: ServerHealth) -> &'static str {
     match health {
-        ServerHealth::Healthy => "it is well",
-        ServerHealth::Busy => "it says that it is busy",
-        ServerHealth::Unresponsive => "it does not answer",
-        ServerHealth::Refused => "it takes no connection",
-        ServerHealth::Draining => "it says itself that it drains",
-        ServerHealth::Gone => "it is gone",
+        ServerHealth::Healthy => "the server is healthy",
+        ServerHealth::Busy => "the server reports that it is busy",
+        ServerHealth::Unresponsive => "the server does not answer",
+        ServerHealth::Refused => "the server refuses connections",
+        ServerHealth::Draining => "the server announced that it drains",
+        ServerHealth::Gone => "the server is gone",
     }
 }
 
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -193,7 +193,7 @@
             }
         };
         if new_config.peers != self.config.peers {
-            info!(part = "peers", peers = ?new_config.peers, "other addresses are asked from now on");
+            info!(part = "peers", peers = ?new_config.peers, "seed addresses of the peers changed");
             self.membership.set_seeds(new_config.peers.clone());
         }
         if new_config.affinity.serial != self.config.affinity.serial {
@@ -223,7 +223,10 @@
     /// Writes the memory and leaves the fleet after the core has stopped.
     fn shut_down(self) {
         if !self.memory.finish() {
-            warn!(part = "memory", "not all that was known is written");
+            warn!(
+                part = "memory",
+                "memory was not completely written before the exit"
+            );
         }
         self.membership.stop();
     }
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -149,7 +149,7 @@
                 to: UplinkState::Isolated,
                 reason: why,
             } => {
-                warn!(part = "edge", from = %from, to = %UplinkState::Isolated, why, "state");
+                warn!(part = "edge", from = %from, to = %UplinkState::Isolated, why, "uplink state changed");
                 commands.extend([
                     UplinkCommand::PauseDiscovery(DISCOVERY_PAUSE),
                     UplinkCommand::Persist,
@@ -160,19 +160,19 @@
                 to,
                 reason: why,
             } => {
-                info!(part = "edge", from = %from, to = %to, why, "state");
+                info!(part = "edge", from = %from, to = %to, why, "uplink state changed");
                 commands.push(UplinkCommand::Persist);
             }
             Action::Probe {
                 target: RemoteTarget::Discovery,
             } => {
-                info!(part = "edge", "this process asks discovery for the site");
+                info!(part = "edge", "this process polls discovery for the site");
                 commands.push(UplinkCommand::PollDiscovery);
             }
             // The store is called by its front, and other sites are heard of through the peers.
             Action::Probe { .. } => {}
             Action::PublishReport => commands.push(UplinkCommand::PublishStatus),
-            Action::Log(why) => info!(part = "edge", why, "says"),
+            Action::Log(why) => info!(part = "edge", why, "uplink monitor report"),
             Action::Rejoin(RejoinStep::Reconnect {
                 target: RemoteTarget::Discovery,
                 delay_ms,
@@ -184,7 +184,7 @@
             Action::Rejoin(RejoinStep::Merge) => {
                 info!(
                     part = "edge",
-                    "both sides are merged: the list goes by its entries, overrides by their ends"
+                    "changes of both sides merged: the list by its entries, overrides by their expiry"
                 );
                 let mut actions = Vec::new();
                 self.edge.handle(
--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -425,7 +425,7 @@
                 std::thread::sleep(Duration::from_millis(40));
             }
         });
-        let line = site.program.says("account over its quota");
+        let line = site.program.says("account exceeds its quota");
         done.store(true, Ordering::Relaxed);
         line
     });
--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -110,14 +110,14 @@
             }
         }
     };
-    knows("s3", "it takes no connection");
+    knows("s3", "the server refuses connections");
     knows("s2", "drains");
     // What is well stays, and the others' drains were no reason to pass it over.
     let farm = other.api.call("GET", "/v1/farm", "").body;
     for well in ["s0", "s1"] {
         assert!(effective(&farm, well).0.contains("ready"), "{farm}");
     }
-    let said = other.program.says("skipped");
+    let said = other.program.says("server skipped");
     assert!(
         said.contains("server=s3") || said.contains("server=s2"),
         "{said}"
@@ -196,7 +196,7 @@
     }
     for process in &all[..2] {
         process.program.says("to=linked");
-        let said = process.program.says("counts");
+        let said = process.program.says("request counters");
         assert!(said.contains("moved=0"), "{said}");
     }
     // One that was sent away has heard so.
--- a/crates/cli/tests/fleet_memory.rs
+++ b/crates/cli/tests/fleet_memory.rs
@@ -30,7 +30,7 @@
     a.program.signal("TERM");
     assert!(a.program.left());
     let a = fleet.process(0, &fleet.sections(0, ""));
-    let said = a.program.says("memory remembered");
+    let said = a.program.says("memory records restored");
     assert!(
         said.contains(&format!("placements={CLIENTS}")) && said.contains("boot=2"),
         "{said}"
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -100,13 +100,13 @@
     std::thread::sleep((TOGETHER + Duration::from_secs(2)).saturating_sub(begun.elapsed()));
     all[0].program.kill();
     all[0] = start(0);
-    let said = all[0].program.says("extent of the outage");
+    let said = all[0].program.says("outage scope decided");
     assert!(said.contains("scope=alone"), "{said}");
     all[0].program.says("to=serving");
     all.iter_mut().for_each(|process| process.program.kill());
     let all: Vec<Process> = (0..3).map(start).collect();
     for process in &all {
-        let said = process.program.says("extent of the outage");
+        let said = process.program.says("outage scope decided");
         assert!(said.contains("scope=fleet"), "{said}");
         process.program.says("to=serving");
     }
@@ -134,7 +134,9 @@
     let is_held = |farm: &serde_json::Value| {
         let server = &farm["servers"][1];
         server["effective"]["state"] == "out"
-            && server["why"].to_string().contains("it drained when")
+            && server["why"]
+                .to_string()
+                .contains("the server was draining when")
     };
     let mut process = fleet.process(0, &fleet.sections(0, ""));
     let mut watch = fleet.discovery.watch();
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -101,7 +101,7 @@
         held.came(WINDOW);
         let mut gone = Peer::connect(site.at);
         gone.say("OPEN gone 02 c=chat,t=acme,d=2900,g=3\r\n");
-        (0..=WINDOW).for_each(|_| drop(site.program.says("opened")));
+        (0..=WINDOW).for_each(|_| drop(site.program.says("request opened")));
         leaves(gone, by_reset);
         held.allow(usize::MAX);
         first.iter_mut().for_each(|client| client.hears("UP r1"));
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -134,7 +134,7 @@
         200,
         "a call repeats harmlessly"
     );
-    site.program.says("counts");
+    site.program.says("request counters");
     hears_of_ping(&site, "NO standby");
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_eq!(api.call("POST", "/active", "").status, 200);
--- a/crates/cli/tests/overrides/effect.rs
+++ b/crates/cli/tests/overrides/effect.rs
@@ -111,8 +111,9 @@
     assert_eq!(site.api.overrides().len(), 1);
     let forced = out("s1", 60.0).replace("\"who\"", "\"force\":true,\"who\"");
     let second = site.api.add(&forced);
-    site.program()
-        .says("overrides leave too little what=\"no ready server in the whole farm\"");
+    site.program().says(
+        "overrides leave no ready server in some zones what=\"no ready server in the whole farm\"",
+    );
     assert!(site.api.call("GET", "/v1/farm", "").body["warnings"][0].is_string());
     // A client that comes now is told at the end when to come back, and no server hears of it.
     let answer = site.open("north").hear().expect("an answer");
@@ -123,14 +124,17 @@
             .status,
         200
     );
-    site.program().says("a ready server everywhere again");
+    site.program()
+        .says("overrides leave a ready server in every zone again");
     // Sound as it was entered, harmful since the other server left the list.
     let second = site.address(1);
     site.list(false, &[("s1", second, "DELETED")]);
-    site.program()
-        .says("overrides leave too little what=\"no ready server in the whole farm\"");
+    site.program().says(
+        "overrides leave no ready server in some zones what=\"no ready server in the whole farm\"",
+    );
     site.list(false, &[("s1", second, "SERVING")]);
-    site.program().says("a ready server everywhere again");
+    site.program()
+        .says("overrides leave a ready server in every zone again");
     assert_eq!(site.api.overrides()[0]["id"], first);
 }
 
--- a/crates/cli/tests/stories/power.rs
+++ b/crates/cli/tests/stories/power.rs
@@ -77,7 +77,7 @@
         .step("it is back, and lost again while everybody is still asking");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1", "b2", "b3", "b4"] {
-        fleet.says(again, name, "part of a fleet");
+        fleet.says(again, name, "fleet membership started");
     }
     fleet.kill(&ALL);
     let dark = fleet.record.step("and back");
@@ -215,7 +215,7 @@
     let dark = fleet.record.step("the power is back");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1"] {
-        fleet.says(dark, name, "a file is not read");
+        fleet.says(dark, name, "memory file can't be used");
     }
     all_stayed_since(&fleet, dark, &before);
     fleet.discovery.comes_back();
