--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -23,7 +23,7 @@
 /// Settings of the admission queue and of the accounts' quotas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Bounds of the queue.
+    /// Limits of the admission queue.
     pub limits: Limits,
     /// Quotas by account; they override all others.
     pub quotas: HashMap<String, f64>,
@@ -44,11 +44,11 @@
 /// A snapshot of the admission queue.
 #[derive(Clone, Debug)]
 pub struct AdmissionSnapshot {
-    /// Queued requests.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Their buffered bytes.
+    /// Bytes that are buffered for the queued requests.
     pub bytes: usize,
-    /// Bounds of the queue.
+    /// Limits of the admission queue.
     pub limits: Limits,
     /// Every account that has sent a request.
     pub accounts: Vec<AccountSnapshot>,
@@ -63,13 +63,13 @@
     pub quota: f64,
     /// Recent first attempts per second.
     pub admitted_per_s: f64,
-    /// Queued requests.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Counters of its requests.
+    /// Counters of its requests since the start.
     pub counts: Counts,
     /// Median time to the first attempt, in milliseconds.
     pub wait_p50_ms: u64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the time to the first attempt, in milliseconds.
     pub wait_p99_ms: u64,
 }
 
@@ -78,7 +78,7 @@
     queue: AdmissionQueue,
     accounts: AccountTable,
     reconnects: RejectedClients,
-    /// By class.
+    /// Shortest setup times by class.
     fastest_setups: Vec<Quickest>,
     config: AdmissionConfig,
     /// The site's settings, which name classes, accounts and quotas.
@@ -263,12 +263,12 @@
     }
 }
 
-/// Weights of the classes in the admission queue.
+/// Weights of the classes in the admission queue, by the index of the class.
 fn queue_weights_of(classes: &[RequestClass]) -> Vec<f64> {
     classes.iter().map(RequestClass::queue_weight).collect()
 }
 
-/// The id of an account.
+/// Digest of the account's name; 0 for requests that name none.
 fn account_id(client_request: &ClientRequest) -> u64 {
     client_request.account.as_deref().map_or(0, digest)
 }
--- a/crates/balancer/src/core/affinity.rs
+++ b/crates/balancer/src/core/affinity.rs
@@ -1,6 +1,7 @@
-//! Session affinity: the server that a returning client had, and the pin that leads it back.
+//! Session affinity: a returning client is pinned to its previous server.
 //!
-//! The rules are those of `beaconflow-affinity`. The pin is not strict and yields to an operator's.
+//! The rules are those of `beaconflow-affinity`. The pin is not strict, and an operator's pin
+//! has precedence.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -30,7 +31,7 @@
 }
 
 impl SessionAffinity {
-    /// Creates session affinity over a memory that runs a version; a placement is remembered for
+    /// Creates session affinity from a table that has adopted a version; a placement is kept for
     /// `retention` after it was last published.
     pub fn new(placements: PlacementTable, retention: Duration) -> SessionAffinity {
         let refresh_interval =
@@ -46,7 +47,7 @@
 /// An event that concerns remembered placements.
 #[derive(Clone, Debug)]
 pub enum AffinityEvent {
-    /// Placements from peers or from the stored memory.
+    /// Placements from peers or from the stored memory, to be merged.
     Placements(Vec<Placement>),
     /// Versions of the configuration that other processes run.
     Versions(Vec<VersionFact>),
@@ -61,7 +62,7 @@
         self.affinity_target(server.0)
     }
 
-    /// Tenants are not restricted to servers by today's settings.
+    /// No setting restricts tenants to servers.
     fn permits(&self, _: &Client, _: Tag) -> bool {
         true
     }
@@ -164,7 +165,7 @@
         });
     }
 
-    /// Drops what was remembered of servers that have restarted.
+    /// Records the start times of servers, which void placements made before a restart.
     pub(super) fn record_server_starts(&mut self) {
         self.with_affinity(|affinity, endpoints, _| {
             for (tag, started_at) in endpoints.starts() {
@@ -242,7 +243,7 @@
     }
 }
 
-/// How a migration ends a placement.
+/// The reason with which a migration ends a placement.
 pub(super) fn end_reason_of_migration(reason: MigrationReason) -> EndReason {
     match reason {
         MigrationReason::ServerLeaving => EndReason::MigratedServerLeaving,
@@ -251,7 +252,7 @@
     }
 }
 
-/// How the end of a connection ends a placement.
+/// The reason with which the end of a connection ends its placement.
 pub(super) fn end_reason_of_outcome(outcome: AttemptOutcome) -> EndReason {
     if outcome == AttemptOutcome::Served {
         EndReason::ClosedByClient
--- a/crates/balancer/src/core/attempts.rs
+++ b/crates/balancer/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! What became of attempts, connections and lists, for the policy and for people.
+//! Results of attempts, measurements of connections and server lists, for the policy and the log.
 
 use std::time::Duration;
 
@@ -38,12 +38,12 @@
         self.apply_overrides();
         // An empty default list says nothing about the servers.
         if !is_cached || count > 0 {
-            // The program's own commands are never refused.
+            // Only commands of operators can be refused.
             let _ = self.on_lifecycle_command(LifecycleCommand::ServersKnown);
         }
     }
 
-    /// The watch ended; the policy decides when to ask again.
+    /// The watch ended; the policy decides when to poll again.
     pub(super) fn on_discovery_lost(&mut self, update: policy::ListUpdate) {
         self.publish(|_| Some(CoreEvent::DiscoveryLost));
         self.run_policy(policy::Event::ServerList {
--- a/crates/balancer/src/core/connect.rs
+++ b/crates/balancer/src/core/connect.rs
@@ -1,4 +1,4 @@
-//! New requests: each is registered and goes to the policy, or back to the server that held it.
+//! New requests: each is registered and goes to the policy, or resumes its connection.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
 };
 
 impl Core {
-    /// Registers a request. One that held a connection before the start goes to its server without
-    /// a decision of the policy.
+    /// Registers a request. One that held a connection before the start resumes it at its server
+    /// without a decision of the policy.
     pub(super) fn on_connect_requested(
         &mut self,
         id: u64,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sends a connection from before the start back to its server.
+    /// Starts an attempt to resume a connection from before the start.
     pub(super) fn resume_connection(&mut self, id: u64) {
         let Some(request_state) = self.requests.get(id) else {
             return;
--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -202,7 +202,7 @@
     }
 }
 
-/// The log's text for a migration.
+/// The reason of a migration, for the log.
 fn migration_reason(reason: policy::MigrationReason) -> &'static str {
     match reason {
         policy::MigrationReason::ServerLeaving => "the server is leaving service",
--- a/crates/balancer/src/core/drain.rs
+++ b/crates/balancer/src/core/drain.rs
@@ -24,9 +24,10 @@
 const HANDSHAKE_MARGIN: Duration = Duration::from_millis(400);
 /// New requests are served for this fraction of the migration span.
 const ACCEPT_FRACTION: f64 = 5.0 / 9.0;
-/// They are served for at least this long: a load balancer in front keeps sending for 0.2 to 0.4 s.
+/// New requests are served for at least this long: a load balancer in front keeps sending for 0.2
+/// to 0.4 s.
 const MIN_ACCEPT_SPAN: Duration = Duration::from_millis(500);
-/// A process that shuts down stays at least this long, for new requests.
+/// A process that shuts down runs at least this long, to serve new requests.
 const MIN_SHUTDOWN_SPAN: Duration = Duration::from_millis(700);
 /// Interval of the checks of a shutdown's progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -43,14 +44,14 @@
 /// Schedule of a drain, with spans from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DrainSchedule {
-    /// New requests are served and later migrated.
+    /// New requests are served during this span and migrated later.
     accept: Duration,
     /// Migrations are spread over this span; open requests get their final answer at its end.
     /// Clients that reconnect together would overload the servers.
     migrate: Duration,
-    /// Handshakes are read.
+    /// Handshakes are read until the end of this span.
     handshakes: Duration,
-    /// The process exits by then.
+    /// The process exits at the end of this span at the latest.
     exit: Duration,
 }
 
@@ -123,7 +124,7 @@
         self.set_timer(first_check_after, TimerKind::DrainProgress(self.drains));
     }
 
-    /// A process on standby is not killed and takes its time whatever the deadlines are.
+    /// A process on standby is not killed, so its schedule does not depend on the deadlines.
     fn drain_schedule(&self) -> DrainSchedule {
         if self.lifecycle.state() != LifecycleState::ShuttingDown {
             return DrainSchedule::for_deadline(LONGEST_DEADLINE);
--- a/crates/balancer/src/core/effective_entry.rs
+++ b/crates/balancer/src/core/effective_entry.rs
@@ -6,7 +6,7 @@
 /// The assessment of a server by the site's own evidence while the uplink is lost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteAssessment {
-    /// Why it gets no new connections, if it does not.
+    /// Why it gets no new connections; `None` if it gets them.
     pub skip_reason: Option<String>,
     /// Factor on its weight.
     pub weight_factor: f64,
@@ -14,7 +14,7 @@
     pub restarted_at: Millis,
 }
 
-/// Since when a server has been ready, from the previous value.
+/// Time since which a server has been ready, from the previous value; `None` if it is not ready.
 pub(super) fn ready_since(
     state: ServerState,
     previous: Option<Option<Millis>>,
@@ -46,7 +46,8 @@
         entry.state = ServerState::OutOfService;
     }
     if !is_out && adjustment.factor != 1.0 {
-        // Its weight no longer says anything about the size of its machine type.
+        // An adjusted weight no longer tells the size of the machine type, so the server counts as
+        // a type of its own.
         entry.machine_type = listed.name_hash;
         let weight = if entry.weight.is_finite() && entry.weight > 0.0 {
             entry.weight
--- a/crates/balancer/src/core/endpoint.rs
+++ b/crates/balancer/src/core/endpoint.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// A server's address, for whoever connects to it.
+/// Address and drain state of a server, shared with the attempts that connect to it.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Name in the list.
+    /// Name in the server list.
     pub name: Arc<str>,
-    /// Address.
+    /// Address that attempts connect to.
     pub address: SocketAddr,
     pub(super) drain_state: Arc<DrainState>,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Permission to write a first byte, while it lives.
+/// Permission to write a first byte, valid until it is dropped.
 pub struct WritePermit<'a>(&'a DrainState);
 
 impl Drop for WritePermit<'_> {
@@ -53,8 +53,8 @@
     }
 
     /// Permission to write the first byte of an attempt, or `None` if the server drains, was
-    /// removed or is out of service. The writer is counted before the state is read, so that nobody
-    /// who began the drain misses it.
+    /// removed or is out of service. The writer is counted before the state is read, so that a
+    /// drain that has begun sees every writer.
     pub fn begin_write(&self) -> Option<WritePermit<'_>> {
         self.drain_state.writers.fetch_add(1, Ordering::SeqCst);
         let permit = WritePermit(&self.drain_state);
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -19,9 +19,9 @@
 
 struct KnownServer {
     endpoint: Arc<Endpoint>,
-    /// As listed.
+    /// Entry as listed.
     listed: ServerEntry,
-    /// As the policy sees it, with overrides and assessments.
+    /// Entry as the policy sees it, with overrides and assessments.
     effective: ServerEntry,
     zone: String,
     /// Since when it has been ready without interruption; 0 if since it was first listed.
@@ -34,7 +34,7 @@
 pub(super) struct EndpointRegistry {
     servers: Vec<KnownServer>,
     ids: BTreeMap<String, ServerId>,
-    /// Ids by the hash of the name.
+    /// Ids by the hash of the server's name.
     ids_by_hash: BTreeMap<u64, ServerId>,
     pub(super) overrides: OverrideSet,
     /// Servers whose effective entry may differ from the listed one.
@@ -46,9 +46,9 @@
 /// A snapshot of one server.
 #[derive(Clone, Debug)]
 pub struct ServerSnapshot {
-    /// Name in the list.
+    /// Name in the server list.
     pub name: String,
-    /// Address.
+    /// Address that attempts connect to.
     pub address: SocketAddr,
     /// Name of its zone.
     pub zone: String,
@@ -56,7 +56,7 @@
     pub state: (ServerState, ServerState),
     /// Weight: as listed, and in effect.
     pub weight: (f64, f64),
-    /// Established connections.
+    /// Number of established connections.
     pub established: usize,
     /// Its site assessment, if it differs from the listed state.
     pub assessment: Option<SiteAssessment>,
@@ -103,7 +103,8 @@
                 .filter(|known| known.effective.state == ServerState::Removed);
             for known in removed {
                 known.ready_since = None;
-                // Only now: a server that is listed again is never marked in between.
+                // Marked only after the whole list was applied: a server that is listed again must
+                // not be refused in between.
                 known.endpoint.drain_state.set_leaving(true);
             }
         }
@@ -180,7 +181,7 @@
         changed
     }
 
-    /// The effect of overrides on a server. A panic in them must not lose a list.
+    /// The effect of overrides on a server. A panic in their evaluation must not lose the list.
     fn adjustment(&self, name: &str, now: Millis) -> ServerAdjustment {
         let evaluate = AssertUnwindSafe(|| self.overrides.server_adjustment(name, now));
         catch_unwind(evaluate).unwrap_or(ServerAdjustment::AS_LISTED)
@@ -301,7 +302,7 @@
         self.ids_by_hash.get(&name_hash).copied()
     }
 
-    /// What session affinity has to know of a server.
+    /// Status of a server for session affinity.
     pub(super) fn affinity_target(&self, name_hash: u64) -> Option<ServerStatus> {
         let known = self.servers.get(self.by_hash(name_hash)?.0 as usize)?;
         let (is_ready, ready_since) = (
@@ -339,7 +340,7 @@
         present.map(|known| known.effective.clone()).collect()
     }
 
-    /// Whether the policy is told of a message's latency: once per period while messages are
+    /// Whether a message's latency is reported to the policy: once per period while messages are
     /// slow, and once when they no longer are.
     pub(super) fn should_report_latency(
         &mut self,
--- a/crates/balancer/src/core/fleet_link.rs
+++ b/crates/balancer/src/core/fleet_link.rs
@@ -24,10 +24,10 @@
 /// Admits a waiting client if the recovery controller has not decided by then.
 const STAGED_ADMISSION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A server as the core sees it.
+/// Name and start of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerIdentity {
-    /// Name in the list.
+    /// Name in the server list.
     pub name: Arc<str>,
     /// When it last started, in Unix milliseconds; 0 if long ago.
     pub started_at_ms: u64,
@@ -100,13 +100,13 @@
 pub(super) struct FleetLink {
     events: Sender<CoreEvent>,
     pub(super) affinity: Option<SessionAffinity>,
-    /// Discovery is not polled before then unless the fleet thread asks for it.
+    /// Discovery is not polled before this time unless the fleet thread requests it.
     discovery_paused_until: Nanos,
     /// Whether the policy wants a poll.
     is_poll_pending: bool,
-    /// Longest recovery.
+    /// Longest recovery before the core serves.
     recovery_timeout: Duration,
-    /// End of the present recovery at the latest.
+    /// Latest end of the present recovery.
     recovery_deadline_at: Nanos,
     /// Whether admission is staged.
     is_admission_staged: bool,
@@ -144,14 +144,14 @@
         };
         let timeout = fleet_link.recovery_timeout;
         fleet_link.recovery_deadline_at = now.saturating_add(nanos(timeout));
-        // The program's own commands are never refused.
+        // Only commands of operators can be refused.
         let _ = self.on_lifecycle_command(LifecycleCommand::SetRecovering(is_recovering));
         if is_recovering {
             self.set_timer(timeout, TimerKind::RecoveryTimeout);
         }
     }
 
-    /// Ends a recovery that takes too long: the process serves whatever is missing.
+    /// Ends a recovery that exceeds its timeout: the process serves with the state it has.
     pub(super) fn on_recovery_timeout(&mut self) {
         let now = self.clock.now();
         if self
@@ -275,7 +275,7 @@
     }
 
     /// Polls discovery. While the uplink is lost the poll is deferred, so that not every process of
-    /// a site polls what it can't reach.
+    /// a site polls a discovery service that it can't reach.
     pub(super) fn poll_discovery(&mut self) {
         let now = self.clock.now();
         match self
@@ -288,7 +288,7 @@
                 let wait = Duration::from_nanos(fleet_link.discovery_paused_until - now);
                 self.set_timer(wait, TimerKind::DiscoveryPoll);
             }
-            // The watcher lives as long as the program.
+            // The watcher runs as long as the process.
             None => drop(self.discovery_polls.send(())),
         }
     }
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -32,13 +32,13 @@
     discovery: Sender<DiscoveryEvent>,
 }
 
-/// The receiving ends. What discovery reports goes ahead of the other inputs.
+/// The receiving ends of the core's channels. Discovery events go ahead of the other inputs.
 pub(super) struct CoreReceiver {
     pub(super) inputs: Receiver<CoreInput>,
     pub(super) discovery: Receiver<DiscoveryEvent>,
 }
 
-/// Creates both ends.
+/// Creates both ends of the core's channels.
 pub(super) fn channel() -> (CoreSender, CoreReceiver) {
     let ((inputs, input_receiver), (discovery, discovery_receiver)) = (unbounded(), unbounded());
     (
@@ -50,7 +50,7 @@
     )
 }
 
-/// Counts one connection while it lives.
+/// Counts one connection until it is dropped.
 pub struct ConnectionSlot(Arc<AtomicUsize>);
 
 impl Drop for ConnectionSlot {
@@ -93,13 +93,13 @@
         let _ = self.inputs.inputs.send(input);
     }
 
-    /// Sends what discovery reported, ahead of the inputs that are queued.
+    /// Sends a discovery event, ahead of the inputs that are queued.
     pub fn send_discovery(&self, event: DiscoveryEvent) {
         let _ = self.inputs.discovery.send(event);
         self.send(CoreInput::DiscoveryPending);
     }
 
-    /// The program's clock.
+    /// The clock that the core runs on.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -121,7 +121,7 @@
         (count_before < max_connections).then_some(slot)
     }
 
-    /// Number of open connections.
+    /// Number of open connections, including those that linger.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
--- a/crates/balancer/src/core/lifecycle.rs
+++ b/crates/balancer/src/core/lifecycle.rs
@@ -33,7 +33,7 @@
         LifecycleState::ShuttingDown,
     ];
 
-    /// Its name for people.
+    /// Name in the log and the API.
     pub fn name(self) -> &'static str {
         match self {
             LifecycleState::Starting => "starting",
@@ -82,7 +82,7 @@
 }
 
 impl Lifecycle {
-    /// The present state.
+    /// The state that follows from the conditions.
     pub fn state(&self) -> LifecycleState {
         match self {
             Lifecycle {
@@ -172,7 +172,7 @@
         self.0.handshakes.store(count, Ordering::SeqCst);
     }
 
-    /// Has unfinished handshakes closed from now on.
+    /// Requests that unfinished handshakes are closed from now on.
     pub fn close_handshakes(&self) {
         self.0.is_closed_to_handshakes.store(true, Ordering::SeqCst);
     }
@@ -187,7 +187,7 @@
         self.0.handshakes.load(Ordering::SeqCst)
     }
 
-    /// Publishes a state.
+    /// Publishes a state to other threads.
     pub fn set_state(&self, state: LifecycleState) {
         self.0.state.store(state as u8, Ordering::SeqCst);
     }
@@ -198,7 +198,7 @@
         self.0.heartbeat_at.store(elapsed_ms, Ordering::Relaxed);
     }
 
-    /// The present state.
+    /// The state last published by the core.
     pub fn state(&self) -> LifecycleState {
         let index = usize::from(self.0.state.load(Ordering::SeqCst));
         LifecycleState::ALL
--- a/crates/balancer/src/core/messages.rs
+++ b/crates/balancer/src/core/messages.rs
@@ -21,7 +21,7 @@
     pub class: usize,
     /// Key of the client.
     pub client_key: Option<u64>,
-    /// Hash of the group that it shares work with.
+    /// Hash of the group of clients that it shares work with.
     pub group: Option<u64>,
     /// Hash of the tenant's name.
     pub tenant: Option<u64>,
@@ -50,7 +50,7 @@
     ConnectRequested {
         /// Id of the request.
         id: u64,
-        /// The request.
+        /// Parameters of the request.
         client_request: ClientRequest,
         /// Receives the commands for this connection.
         commands: Arc<dyn CommandSender>,
@@ -77,13 +77,13 @@
         /// Time since the attempt started.
         duration: Duration,
     },
-    /// The server told its client to go elsewhere; the end follows.
+    /// The server redirected its client; [`CoreInput::AttemptEnded`] follows.
     ServerRedirectedClient(u64),
     /// An established connection was measured.
     ConnectionMeasured {
         /// Id of the connection.
         id: u64,
-        /// What was measured.
+        /// The measured metric and its value.
         metric: ConnectionMetric,
     },
     /// The client left before its final answer.
@@ -95,14 +95,14 @@
     DiscoveryPending,
     /// A server answered a probe, or the probe failed.
     ProbeAnswered {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
         /// Its answer; `None` if the probe failed.
         answer: Option<ProbeAnswer>,
     },
     /// A lifecycle command.
     LifecycleCommanded {
-        /// The command.
+        /// The requested change.
         command: LifecycleCommand,
         /// Receives the result.
         reply: Option<LifecycleReply>,
@@ -117,12 +117,12 @@
     SettingsReplaced(Arc<ActiveSettings>),
     /// Overrides changed.
     OverridesChanged {
-        /// The changes, in order.
+        /// The changes, in the order in which they apply.
         changes: Vec<OverrideChange>,
         /// Receives the result once the policy has been updated.
         reply: Option<Sender<OverridesApplied>>,
     },
-    /// An event of the fleet thread. It is a hint.
+    /// An event of the fleet thread, which is a hint.
     Fleet(FleetEvent),
 }
 
@@ -148,13 +148,13 @@
 
 /// Sends commands to the thread that serves a connection, without blocking.
 pub trait CommandSender: std::fmt::Debug + Send + Sync {
-    /// Sends one command.
+    /// Sends a command for the connection `id`.
     fn send(&self, id: u64, command: ConnectionCommand);
 }
 
 /// Probes a server for its load without blocking; [`CoreInput::ProbeAnswered`] follows.
 pub trait LoadProber: Send {
-    /// Probes one server.
+    /// Starts the probe of one server.
     fn probe(&self, id: ServerId, server: Arc<Endpoint>);
 }
 
@@ -169,13 +169,13 @@
     Unhealthy,
 }
 
-/// The limits in time of an attempt. The core sets them, so that a command that was queued gains no
-/// time.
+/// Time limits of an attempt. The core sets them as instants, so that the time a command spends in
+/// a queue counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTiming {
-    /// Its first byte must be written before this.
+    /// Its first byte must be written before this instant.
     pub begin_by: Instant,
-    /// It is abandoned at this moment.
+    /// It is abandoned at this instant.
     pub deadline_at: Instant,
 }
 
@@ -184,9 +184,9 @@
 pub enum ConnectionCommand {
     /// Start an attempt.
     StartAttempt {
-        /// The server.
+        /// The server to connect to.
         endpoint: Arc<Endpoint>,
-        /// The limits in time.
+        /// Time limits of the attempt.
         timing: AttemptTiming,
     },
     /// Final answer: rejected; a retry is safe, after the given span.
@@ -205,17 +205,17 @@
 /// A snapshot of the core.
 #[derive(Clone, Debug)]
 pub struct CoreSnapshot {
-    /// The counters.
+    /// Counters since the start.
     pub counts: Counts,
-    /// Open requests and connections.
+    /// Number of open requests, including connections.
     pub open_requests: usize,
-    /// Established connections among them.
+    /// Number of established connections among them.
     pub established: usize,
     /// The listed servers.
     pub servers: Vec<ServerSnapshot>,
     /// Zones that overrides leave without a ready server.
     pub coverage: CoverageGaps,
-    /// Requests in the admission queue.
+    /// Number of requests in the admission queue.
     pub queued: usize,
     /// Whether overrides are disabled at this front after a panic.
     pub has_lost_overrides: bool,
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: one thread that owns the policy, the clock, the timers and the request table.
 //!
-//! It knows no wire and touches no socket. Inputs arrive over one channel; commands leave by the
-//! [`CommandSender`] of the connection that they concern.
+//! It is independent of wire protocols and sockets. Inputs arrive over one channel; commands leave
+//! by the [`CommandSender`] of the connection that they concern.
 
 mod admission;
 mod affinity;
@@ -70,7 +70,7 @@
 const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval of the check for accounts over their quota.
 const OVER_QUOTA_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection from before the start is retried after this span.
+/// Time between two attempts to resume a connection from before the start.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout of one attempt to resume a connection.
 const RESUME_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -93,19 +93,19 @@
     Overrides,
     /// Connections are migrated off servers taken out of service.
     EmptyServers,
-    /// A deferred call to discovery may be due.
+    /// A deferred poll of discovery may be due.
     DiscoveryPoll,
     /// Placements are published again.
     AffinityRefresh,
-    /// Recovery has taken as long as it may.
+    /// Recovery has reached its timeout.
     RecoveryTimeout,
-    /// The recovery controller has not decided on a request.
+    /// The recovery controller has not decided on a request in time.
     StagedAdmissionTimeout(u64),
 }
 
 struct Core {
     name: &'static str,
-    /// The site's settings in effect, and what the policy has of them.
+    /// The site's settings in effect, and the policy's settings derived from them.
     active_settings: Arc<ActiveSettings>,
     settings: Settings,
     seed: u64,
@@ -130,7 +130,7 @@
     /// Number of drains so far.
     drains: u64,
     actions: Vec<Action>,
-    /// Servers that an operator is emptying, with the override that says so.
+    /// Servers that an operator is emptying, with the override that requires it.
     emptied_servers: BTreeMap<ServerId, (OverrideId, MigrationPacer)>,
     /// Zones that overrides leave without a ready server, when last logged.
     coverage: CoverageGaps,
@@ -277,8 +277,6 @@
         self.run_policy(policy::Event::ProbeAnswered { server, load });
     }
 
-    // ---- timers ----
-
     fn set_timer(&mut self, after: Duration, kind: TimerKind) {
         self.timers_set += 1;
         self.timers.push(Reverse((
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -26,11 +26,11 @@
 pub enum OverrideChange {
     /// An override was added or changed.
     Put(Box<Override>),
-    /// Overrides no longer have any effect.
+    /// These overrides no longer have any effect.
     Forget(Vec<OverrideId>),
 }
 
-/// A change has been applied.
+/// Result of changes that have been applied.
 #[derive(Debug)]
 pub struct OverridesApplied {
     /// Drain states of the servers out of service: no first byte is written to one without writers.
--- a/crates/balancer/src/core/requests.rs
+++ b/crates/balancer/src/core/requests.rs
@@ -13,7 +13,7 @@
 use super::{ClientRequest, CommandSender, ConnectionCommand};
 use crate::clock::nanos;
 
-/// Where a request is.
+/// Phase of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestPhase {
     /// No attempt is in flight.
@@ -43,7 +43,7 @@
     may_have_executed: bool,
     /// Whether its client was or will be asked to migrate.
     is_migrating: bool,
-    /// The pin that the policy was last told of.
+    /// The pin last reported to the policy.
     pin: Option<Pin>,
     /// The pin by session affinity, where no operator's pin applies.
     affinity_pin: Option<Pin>,
@@ -125,7 +125,7 @@
         self.open.len()
     }
 
-    /// Sends a command. A request that is gone has reported its end or is about to.
+    /// Sends a command. A closed request is skipped: it has reported its end or is about to.
     pub(super) fn send_command(&mut self, id: u64, command: ConnectionCommand) {
         if let Some(request_state) = self.open.get_mut(&id) {
             if matches!(command, ConnectionCommand::Migrate) {
@@ -283,7 +283,7 @@
             })
     }
 
-    /// Those of them at one server.
+    /// The migratable connections at one server, the oldest first.
     pub(super) fn migratable_at(&self, server: ServerId) -> impl Iterator<Item = u64> {
         self.migratable()
             .filter(move |(_, held_by)| *held_by == server)
--- a/crates/balancer/src/core/settings.rs
+++ b/crates/balancer/src/core/settings.rs
@@ -79,7 +79,8 @@
         self.run_policy_without_permits(policy::Event::SettingsReplaced(Box::new(
             self.settings.clone(),
         )));
-        // Nothing is placed in between: zones change their numbers together with the servers.
+        // No request is placed between the two events: zones are renumbered together with their
+        // servers.
         let entries = self
             .endpoints
             .renumber_zones(|zone| self.active_settings.setup().zone(zone));
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -21,31 +21,31 @@
 use crate::clock::Clock;
 use crate::discovery::ServerList;
 
-/// What a core is started with.
+/// Configuration of a core.
 pub struct CoreConfig {
     /// Name of the core in the log.
     pub name: &'static str,
-    /// The settings of the site.
+    /// The site's settings, which may be replaced later.
     pub site: SiteSettings,
     /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// The program's clock.
+    /// The clock that the core runs on.
     pub clock: Clock,
-    /// The server list as last known.
+    /// The server list as last known; empty if there is none.
     pub cached_list: ServerList,
-    /// Receives a message for each call to discovery; [`CoreHandle::send_discovery`] follows.
+    /// Receives a message for each poll of discovery; [`CoreHandle::send_discovery`] follows.
     pub discovery_polls: Sender<()>,
     /// Probes servers, where the wire has a probe.
     pub prober: Option<Box<dyn LoadProber>>,
-    /// The restored overrides.
+    /// The overrides restored from the store.
     pub overrides: OverrideSet,
-    /// The admission settings.
+    /// Limits of the admission queue and quotas of the accounts.
     pub admission: AdmissionConfig,
     /// Link to the fleet thread, where a fleet is configured.
     pub fleet: Option<FleetLinkConfig>,
 }
 
-/// Why a core does not start.
+/// Error at the start of a core.
 #[derive(Debug)]
 pub enum StartError {
     /// A setting is outside its range.
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -19,7 +19,7 @@
 const SITE_EVIDENCE_TTL_MS: Millis = 600_000;
 /// Half-life of the count of placements on a server in slow start.
 const SLOW_START_HALF_LIFE_MS: f64 = 10_000.0;
-/// Greatest weight of repeated evidence.
+/// Largest weight of repeated evidence.
 const MAX_EVIDENCE_WEIGHT: f64 = 4.0;
 
 impl FleetThread {
@@ -79,7 +79,7 @@
         );
     }
 
-    /// Counts a placement on a server in slow start; former ones decay.
+    /// Counts a placement on a server in slow start; earlier ones decay.
     fn count_slow_start_placement(&self, server: &ServerIdentity) {
         let (subject, now) = (
             Subject::SlowStartSends(server.name.to_string()),
@@ -126,7 +126,7 @@
         self.membership.gossip_soon();
     }
 
-    /// Publishes a fact of this program's own kinds.
+    /// Publishes a fact of a kind that the gossip crate does not interpret.
     pub(super) fn publish_fact(
         &self,
         kind: u32,
--- a/crates/balancer/src/fleet/handle.rs
+++ b/crates/balancer/src/fleet/handle.rs
@@ -9,32 +9,32 @@
 use super::setup::routing_version;
 use crate::operator::{self, EndpointSource};
 
-/// The status of the fleet, for people.
+/// The status of the fleet, for operators.
 #[derive(Clone, Debug, Default)]
 pub struct FleetStatus {
     /// Name of this process.
     pub name: String,
-    /// Its site.
+    /// Name of its site.
     pub site: String,
     /// Its incarnation number.
     pub incarnation: u64,
     /// Processes present, including this one, and processes expected.
     pub processes: (usize, usize),
-    /// State of the recovery.
+    /// Description of the state of the recovery.
     pub recovery: String,
-    /// Client keys with failures, over all processes.
+    /// Number of client keys with failures, over all processes.
     pub failing_clients: usize,
-    /// Clients deferred by staged admission.
+    /// Number of clients deferred by staged admission.
     pub deferred: u64,
-    /// State of the uplink and its reason, where it is monitored.
+    /// Description of the state of the uplink, where it is monitored.
     pub uplink: Option<String>,
-    /// Remembered placements, where session affinity is enabled.
+    /// Number of remembered placements, where session affinity is enabled.
     pub placements: Option<usize>,
-    /// Version of the configuration.
+    /// Version of the routing configuration.
     pub version: String,
-    /// Datagrams refused.
+    /// Number of datagrams refused, for any reason.
     pub refused_datagrams: u64,
-    /// Whether the memory outlives the process.
+    /// Whether the memory is stored and outlives the process.
     pub is_persistent: bool,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl FleetHandle {
-    /// The present status.
+    /// The status as last published by the fleet thread.
     pub fn status_snapshot(&self) -> FleetStatus {
         self.status
             .lock()
@@ -62,7 +62,7 @@
             .clone()
     }
 
-    /// Reports another source of endpoints, which changes the version of the configuration.
+    /// Applies another endpoint source, which changes the version of the configuration.
     pub fn set_endpoint_source(&self, settings: &SiteSettings, endpoints: &EndpointSource) {
         let _ = self.commands.send(FleetCommand::SetVersion(routing_version(
             &settings.policy_settings(),
@@ -70,7 +70,7 @@
         )));
     }
 
-    /// Applies what can change at runtime of the operator's file.
+    /// Applies the settings of the operator's file that can change at runtime.
     pub fn reconfigure(&self, file: operator::FleetConfig) {
         let _ = self
             .commands
--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -19,12 +19,12 @@
 /// Most expired placements removed at once.
 const MAX_EXPIRED_PER_PASS: usize = 10_000;
 
-/// What the memory held at the start.
+/// Contents of the stored memory at the start.
 #[derive(Default)]
 pub(super) struct RestoredMemory {
     /// Incarnation number of this process; 0 if the memory has none.
     pub(super) incarnation: u64,
-    /// When the memory was last written, by the wall clock of then.
+    /// When the memory was last written, by the wall clock at that time.
     pub(super) written_at: Option<Millis>,
     /// The server list with the epoch of the discovery that sent it.
     pub(super) list: Option<(ServerList, u64)>,
@@ -35,7 +35,7 @@
     pub(super) uplink: Option<(bool, Option<u64>)>,
 }
 
-/// Writes the memory, if there is one.
+/// Writes the stored memory, where one is configured.
 pub(super) struct MemoryWriter {
     writer: Option<Writer>,
     path: PathBuf,
--- a/crates/balancer/src/fleet/messages.rs
+++ b/crates/balancer/src/fleet/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between processes, as protocol buffers that the gossip crate carries unread. Fields are
-//! only added; numbers keep their meaning.
+//! Messages between processes, as protocol buffers that the gossip crate does not decode. Fields
+//! are only added; numbers keep their meaning.
 
 use beaconflow_edge::{
     HealthReport, OperatorMode, PreviousFinding, Reachability, RemoteTarget, ServerHealth,
@@ -127,7 +127,7 @@
     weight: u32,
 }
 
-/// Indexed by their numbers.
+/// Indexed by the numbers in messages.
 const SERVER_HEALTH_NUMBERS: [ServerHealth; 6] = [
     ServerHealth::Healthy,
     ServerHealth::Busy,
@@ -197,7 +197,7 @@
     operator_mode: Option<OperatorModeRecord>,
 }
 
-/// A place with a number: its reachability, or the probes sent to it.
+/// A remote target with a number: its reachability, or the number of probes sent to it.
 #[derive(Clone, PartialEq, Message)]
 struct TargetRecord {
     /// 0 is discovery, 1 the store, 2 a site.
@@ -225,7 +225,7 @@
     reason: String,
 }
 
-/// Each indexed by its numbers.
+/// Each indexed by its numbers in messages.
 const UPLINK_STATE_NUMBERS: [UplinkState; 4] = [
     UplinkState::Linked,
     UplinkState::Doubtful,
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -10,12 +10,12 @@
 use super::{FleetThread, Millis, messages, records, shared_gossip};
 use crate::core::{AffinityEvent, CoreInput, FleetEvent};
 
-/// A site's peers have reported everything if nothing new arrives for this span.
+/// The reports of a site's peers are complete if nothing new arrives for this span.
 const SETTLE_QUIET_NS: u64 = 200_000_000;
-/// They have reported everything at the latest this long after the first report.
+/// The site's peers count as complete at the latest this long after the first report.
 const SETTLE_TIMEOUT_NS: u64 = 600_000_000;
 
-/// What several changes amount to.
+/// Summary of a batch of gossip changes.
 #[derive(Default)]
 struct ChangeSummary {
     placements: Vec<Placement>,
@@ -36,7 +36,7 @@
                 None => self.on_fact(&fact.subject, &mut summary),
             }
         }
-        // More facts may be on their way, so the settling starts over.
+        // More facts may follow, so the quiet period starts over.
         self.settling = self.settling.map(|(_, deadline)| {
             (
                 self.now.saturating_add(SETTLE_QUIET_NS).min(deadline),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Handles a fact of this program's own kinds.
+    /// Handles a fact of a kind that the gossip crate does not interpret.
     fn on_custom_fact(
         &mut self,
         kind: u32,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Adopts the list epoch that the others know, where this process had none of its own.
+    /// Adopts the list epoch that the peers know, where this process had none of its own.
     fn adopt_list_epoch(&mut self) {
         let now = self.now_ms();
         let position = shared_gossip::lock(&self.gossip, |shared| {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Ends that wait.
+    /// Ends the wait for the reports of the site's peers.
     pub(super) fn finish_settling(&mut self) {
         (self.settling, self.is_settled) = (None, true);
         self.adopt_peer_list();
--- a/crates/balancer/src/fleet/periodic.rs
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -1,4 +1,4 @@
-//! Periodic tasks: publishing this process's status and updating what people see.
+//! Periodic tasks: publishing this process's status and updating the displayed status.
 
 use std::collections::BTreeSet;
 use std::sync::PoisonError;
--- a/crates/balancer/src/fleet/records.rs
+++ b/crates/balancer/src/fleet/records.rs
@@ -11,7 +11,7 @@
 
 use crate::discovery::{ListedServer, ServerLifecycle, ServerList};
 
-/// Record kinds; the lowest is dropped last if the disk can't keep up.
+/// Record kinds; if the disk can't keep up, the lowest kind is dropped last.
 pub(super) const LIST_RECORD: u32 = 1;
 pub(super) const VERSION_RECORD: u32 = 2;
 pub(super) const PREVIOUS_CLIENTS_RECORD: u32 = 3;
@@ -94,12 +94,14 @@
     confirmed_at: Option<u64>,
 }
 
-/// Indexed by their numbers.
+/// Indexed by the numbers in records.
 const LIFECYCLES: [ServerLifecycle; 3] = [
     ServerLifecycle::Serving,
     ServerLifecycle::Draining,
     ServerLifecycle::Deleted,
 ];
+
+/// A record of the stored memory that was observed at `now`.
 pub(super) fn record(kind: u32, subject: &[u8], value: Vec<u8>, now: u64) -> Record {
     Record {
         kind,
@@ -250,7 +252,7 @@
     )
 }
 
-/// Decodes that number.
+/// Decodes the number of clients when the process last served in full.
 pub(super) fn decode_previous_clients(record: &Record) -> Option<f64> {
     let PreviousClientsRecord { clients } =
         PreviousClientsRecord::decode(record.value.as_slice()).ok()?;
@@ -271,7 +273,7 @@
     )
 }
 
-/// Decodes the same.
+/// Decodes whether the site was isolated, and when discovery last confirmed the list.
 pub(super) fn decode_uplink(record: &Record) -> Option<(bool, Option<u64>)> {
     let UplinkRecord {
         is_isolated,
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Queries a source. Peers' statuses and discovery's list arrive unasked.
+    /// Queries a source. Peers' statuses and discovery's list arrive without a query.
     fn query_source(&mut self, source: EvidenceSource) {
         match source {
             EvidenceSource::SitePeers if self.is_settled => {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends the core the server list as recovery believes it; it counts only while the core knows
+    /// Sends the core the server list as recovery has it; the core uses it only while it knows
     /// none.
     pub(super) fn publish_list_to_core(&mut self) {
         let entry = |entry: recovery::Entry| {
@@ -99,7 +99,8 @@
         self.apply_retained_drains();
     }
 
-    /// Holds drains of servers that a list calls ready although its sender may have lost its state.
+    /// Retains drains of servers that a list reports as ready although its sender may have lost its
+    /// state.
     pub(super) fn apply_retained_drains(&mut self) {
         let drains = self.recovery.recovery().servers().filter(|entry| {
             let listed_lifecycle = self.servers.get(&entry.name).map(|listed| listed.lifecycle);
@@ -133,7 +134,7 @@
                 is_admission_staged,
             )));
         }
-        // The others align their staged admission with the first process.
+        // Other processes align their staged admission with the first one.
         self.publish_status_at = self.now;
     }
 }
--- a/crates/balancer/src/fleet/recovery_driver.rs
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -1,7 +1,7 @@
 //! The driver of the recovery state machine.
 //!
-//! `beaconflow-recovery` decides. Here its steps are logged, its queries scheduled, and its other
-//! actions become commands.
+//! `beaconflow-recovery` decides. The driver logs its steps, schedules its queries and turns
+//! its other actions into commands.
 
 use beaconflow_policy::{Nanos, Settings};
 use beaconflow_recovery::{
@@ -59,8 +59,8 @@
         name: fleet.name.clone(),
         site: fleet.site.clone(),
         fleet_size: u32::try_from(fleet.size).unwrap_or(u32::MAX),
-        // One more than can report: the fleet thread says when the site's peers have answered,
-        // since not all need to.
+        // One more than can report: the fleet thread decides when the site's peers have answered,
+        // since not all have to.
         site_peers: if other_peers == 0 {
             0
         } else {
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Names the fields outside their range.
+    /// Fails if fields are outside their range, and names them.
     pub(super) fn new(config: RecoveryConfig, seed: u64) -> Result<RecoveryDriver, String> {
         let recovery = Recovery::new(config, seed).map_err(|errors| {
             let fields: Vec<&str> = errors.iter().map(|error| error.field).collect();
@@ -203,7 +203,7 @@
         commands
     }
 
-    /// When something is due next.
+    /// When the next query or tick is due.
     pub(super) fn next(&self) -> Option<Nanos> {
         self.queries
             .iter()
@@ -216,7 +216,7 @@
         &self.recovery
     }
 
-    /// The state in words for people.
+    /// Description of the state for operators.
     pub(super) fn describe(&self) -> String {
         let state = match self.recovery.state() {
             RecoveryState::NotStarted => "dark".to_owned(),
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -13,7 +13,7 @@
 use crate::core::AffinityEvent;
 use crate::discovery::{ListedServer, ServerList};
 
-/// Placements per message to the core, so that it stays responsive.
+/// Placements per message to the core, which must stay responsive.
 const PLACEMENTS_PER_MESSAGE: usize = 1_000;
 
 impl FleetThread {
@@ -33,7 +33,7 @@
             incarnation: self.incarnation,
             memory,
         });
-        // Peers without a list begin with it too; it does not count as discovery's.
+        // Peers without a list start from this one too; it does not count as discovery's.
         let validity = self.recovery.recovery().validity(RememberedKind::List);
         if let Some(position) = position.filter(|_| validity == Validity::Hint(1.0)) {
             let entries: Vec<ListedServer> = self.servers.values().cloned().collect();
@@ -42,7 +42,7 @@
         self.restore_placements(&restored.placements);
     }
 
-    /// The memory as the recovery state machine takes it, if the file has been written before.
+    /// The memory in the form of the recovery state machine, if it has been written before.
     fn recovery_memory(&self, restored: &RestoredMemory) -> Option<recovery::Memory> {
         let epoch = restored
             .list
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -103,7 +103,7 @@
         if self.list_position.is_some() {
             return;
         }
-        // The first servers heard of are not the whole list.
+        // The first entries received are not the complete list.
         if !self.is_settled {
             return self.start_settling();
         }
@@ -133,7 +133,7 @@
     }
 }
 
-/// A peer's entry. The address known here goes before the peer's.
+/// A server from a peer's entry. The address known here has precedence over the peer's.
 fn listed(name: String, entry: &GossipEntry, own: Option<&ListedServer>) -> ListedServer {
     ListedServer {
         instance_id: name,
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -26,7 +26,7 @@
 use crate::operator::{self, EndpointSource};
 use crate::overrides::wall_clock_ms;
 
-/// A client migrated for rebalancing or slow messages is not led back for this long.
+/// A client migrated for rebalancing or slow messages does not return to its server for this long.
 const AFFINITY_RETURN_DELAY_S: u32 = 30;
 /// Failures of a client key are kept for this multiple of the longest deadline, as in the policy.
 const FAILURE_RETENTION_DEADLINES: Millis = 4;
@@ -52,8 +52,8 @@
 ///
 /// # Errors
 ///
-/// Fails if a key can't be read or a setting is out of range. Whatever else is missing is served
-/// without.
+/// Fails if a key can't be read or a setting is out of range. Other faults are logged,
+/// and the process serves without the part concerned.
 pub fn prepare(
     config: operator::FleetConfig,
     (site, endpoints): (&SiteSettings, Option<&EndpointSource>),
@@ -330,7 +330,7 @@
     }
 }
 
-/// A version as peers see it.
+/// A version in the form that peers compare.
 pub(super) fn configuration(version: Version, serial: u64) -> Configuration {
     let mut digest = [0; 32];
     digest[..16].copy_from_slice(&version.0.to_be_bytes());
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -9,8 +9,7 @@
 
 use super::Millis;
 
-/// Fact kinds of this program, which the gossip crate carries unread. The numbers keep their
-/// meaning.
+/// Fact kinds that the gossip crate carries but does not interpret. The numbers keep their meaning.
 pub(super) const RECOVERY_STATUS_FACT: u32 = 101;
 pub(super) const PLACEMENT_FACT: u32 = 102;
 pub(super) const VERSION_FACT: u32 = 103;
@@ -21,7 +20,7 @@
 /// The gossip state, shared by the membership thread and the fleet thread.
 pub(super) type SharedGossipHandle = Arc<Mutex<SharedGossip>>;
 
-/// The gossip state, and who is told what peers added to it.
+/// The gossip state, with the receiver of the changes that peers made to it.
 pub(super) struct SharedGossip {
     pub(super) knowledge: FactStore,
     changes: Sender<Vec<FactChange>>,
@@ -45,7 +44,7 @@
     }
 }
 
-/// The state is valid between any two calls.
+/// Runs code on the state. A poisoned lock is ignored: the state is valid between any two calls.
 pub(super) fn lock<T>(
     shared: &SharedGossipHandle,
     action: impl FnOnce(&mut SharedGossip) -> T,
@@ -91,7 +90,7 @@
     }
 }
 
-/// The subject of a fact of this program's own kinds.
+/// The subject of a fact of one of the kinds above.
 pub(super) fn custom_subject(kind: u32, key: Vec<u8>, is_per_process: bool) -> Subject {
     Subject::Unknown {
         kind,
@@ -100,7 +99,7 @@
     }
 }
 
-/// Kind, key and value of a fact, if it is of one of those kinds.
+/// Kind, key and value of a fact, if it is of one of the kinds above.
 pub(super) fn custom_fact(fact: &Fact) -> Option<(u32, &[u8], &[u8])> {
     match (&fact.subject, &fact.value) {
         (Subject::Unknown { kind, key, .. }, Value::Unknown(bytes)) => Some((*kind, key, bytes)),
@@ -108,7 +107,7 @@
     }
 }
 
-/// Bounds that leave room for so many placements.
+/// Bounds of the gossip state that leave room for `max_placements`.
 pub(super) fn bounds(
     max_placements: usize,
     max_lifetime_ms: Millis,
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -16,7 +16,7 @@
 const HEALTHY_REPORT_INTERVAL_MS: Millis = 5_000;
 /// Evidence that a server is healthy counts for this long.
 const HEALTHY_EVIDENCE_MS: Millis = 30_000;
-/// Evidence is kept for this long; so is a server's own notice of its drain.
+/// Evidence is kept for this long, including a server's own announcement of its drain.
 const EVIDENCE_RETENTION_MS: Millis = 600_000;
 
 /// The site's evidence and assessments.
@@ -25,13 +25,13 @@
     reports: HealthReports,
     /// Assessments last sent to the core.
     published: BTreeMap<String, SiteAssessment>,
-    /// Servers whose former drains are held, whatever the uplink.
+    /// Servers whose former drains are retained, in any state of the uplink.
     retained_drains: BTreeSet<String>,
     /// Servers with established connections here.
     pub(super) servers_in_use: BTreeSet<String>,
 }
 
-/// What the end of an attempt says about its server, if anything.
+/// The health of a server as the end of an attempt shows it, if it does.
 pub(super) fn health_from_outcome(outcome: Option<AttemptOutcome>) -> Option<ServerHealth> {
     match outcome {
         None | Some(AttemptOutcome::Served) => Some(ServerHealth::Healthy),
@@ -45,7 +45,7 @@
 }
 
 impl SiteEvidence {
-    /// Records own evidence; returns what to publish, if it is news.
+    /// Records own evidence; returns the report to publish, unless it repeats a recent one.
     pub(super) fn record_own(
         &mut self,
         now: Millis,
@@ -75,7 +75,7 @@
         self.reports.insert(report);
     }
 
-    /// Replaces the servers whose former drains are held; returns whether they changed.
+    /// Replaces the servers whose former drains are retained; returns whether they changed.
     pub(super) fn set_retained_drains(&mut self, drains: BTreeSet<String>) -> bool {
         let has_changed = drains != self.retained_drains;
         self.retained_drains = drains;
@@ -188,7 +188,7 @@
     }
 }
 
-/// A server's health in words for people.
+/// Description of a server's health for operators.
 fn describe(health: ServerHealth) -> &'static str {
     match health {
         ServerHealth::Healthy => "the server is healthy",
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -45,7 +45,7 @@
 }
 
 impl FleetReceiver {
-    /// The next input within a time.
+    /// The next input, or [`FleetInput::TimedOut`] after `timeout`.
     fn next(&mut self, timeout: Duration) -> FleetInput {
         // A closed channel is always ready and must not be polled again.
         select! {
@@ -85,7 +85,7 @@
     pub(super) is_recovering: bool,
     /// Whether admission is staged.
     pub(super) is_admission_staged: bool,
-    /// The list as the core has it, by name.
+    /// The server list as the core has it, by name.
     pub(super) servers: BTreeMap<String, ListedServer>,
     pub(super) list_position: Option<beaconflow_gossip::ListPosition>,
     pub(super) established: usize,
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -64,11 +64,11 @@
 }
 
 impl Uplink {
-    /// Starts monitoring, from what was stored before if there is anything.
+    /// Starts monitoring, from the stored state if there is one.
     ///
     /// # Errors
     ///
-    /// Names the fields outside their range.
+    /// Fails if fields are outside their range, and names them.
     pub(super) fn new(
         config: Config,
         now: Millis,
@@ -169,7 +169,7 @@
                 info!(part = "edge", "this process polls discovery for the site");
                 commands.push(UplinkCommand::PollDiscovery);
             }
-            // The store is called by its front, and other sites are heard of through the peers.
+            // The front of the store polls it, and reports on other sites arrive through the peers.
             Action::Probe { .. } => {}
             Action::PublishReport => commands.push(UplinkCommand::PublishStatus),
             Action::Log(why) => info!(part = "edge", why, "uplink monitor report"),
@@ -269,7 +269,7 @@
         (self.edge.state() == UplinkState::Isolated, confirmed_at)
     }
 
-    /// Whether the site has to do without discovery, and the reason to skip servers without
+    /// Whether the site is cut off from discovery, and the reason to skip servers without
     /// evidence of health, if there is one.
     pub(super) fn isolation(&self, now: Millis) -> (bool, Option<&'static str>) {
         let denial_reason = |decision: Decision| match self.edge.permission(now, &decision) {
@@ -288,7 +288,7 @@
         )
     }
 
-    /// The state in words for people.
+    /// Description of the state for operators.
     pub(super) fn describe(&self, now: Millis) -> String {
         self.edge.snapshot(now).lines().join("; ")
     }
