--- a/crates/balancer/src/core/admission/tests.rs
+++ b/crates/balancer/src/core/admission/tests.rs
@@ -1,4 +1,4 @@
-//! A core with a full admission queue.
+//! Tests of the admission queue of a core that runs on no thread.
 
 use beaconflow_overrides::OverrideSet;
 
@@ -7,11 +7,11 @@
 use super::*;
 use crate::clock::Clock;
 
-/// Set-ups that the module lets be under way at the start.
+/// Attempts that the policy admits at once at the start.
 const INITIAL_CONCURRENCY_LIMIT: u64 = 12;
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A core at whose door eighteen of each account wait.
+/// A core whose admission queue holds 18 requests of each of two accounts.
 fn core_with_full_queue() -> (Core, Arc<CommandLog>) {
     let (mut core, commands) = (
         core(Clock::start(), OverrideSet::new(0)),
@@ -30,6 +30,7 @@
     (core, commands)
 }
 
+/// A restart of the policy must neither lose queued requests nor answer one twice.
 #[test]
 fn sends_each_request_one_answer_when_policy_panics() {
     let (mut core, commands) = core_with_full_queue();
@@ -37,9 +38,9 @@
     assert_eq!(core.admission.queued(), 0);
     assert!(
         (0..INITIAL_CONCURRENCY_LIMIT + 36).all(|id| commands.attempts_and_answers(id).1 == 1),
-        "one answer each"
+        "each request gets one final answer"
     );
-    // The new module takes newcomers, and the line works as before.
+    // The new policy admits new requests, and the queue works as before.
     for id in 100..100 + INITIAL_CONCURRENCY_LIMIT + 3 {
         open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT);
     }
@@ -63,7 +64,7 @@
     core.handle_input(CoreInput::AttemptEstablished(0));
     assert!(started_requests(&commands) > INITIAL_CONCURRENCY_LIMIT);
     let started_before = started_requests(&commands);
-    // A client that leaves while its pass is out makes a turn too.
+    // A client that leaves during its attempt frees a permit too.
     core.handle_input(CoreInput::ClientLeft(1));
     assert_eq!(started_requests(&commands), started_before + 1);
     assert_eq!(
@@ -74,25 +75,32 @@
             .map(|account| account.counts.left)
             .sum::<u64>(),
         1,
-        "at the door"
+        "only the client in the queue counts as left before an attempt"
     );
 }
 
+/// A connection from before the start has its place already and must not wait behind new requests.
 #[test]
 fn does_not_queue_resumed_connections() {
     let (mut core, commands) = core_with_full_queue();
     let resumed = ClientRequest {
         resumed_server: Some("s0".into()),
-        ..core.requests.get(0).expect("open").request.clone()
+        ..core
+            .requests
+            .get(0)
+            .expect("request 0 is open")
+            .request
+            .clone()
     };
     core.on_connect_requested(900, resumed, Arc::<CommandLog>::clone(&commands));
     assert_eq!(commands.attempts_and_answers(900), (1, 0));
 }
 
+/// A request that can't be established in time is rejected while its client still waits.
 #[test]
 fn rejects_request_early_when_setup_exceeds_deadline() {
     let (mut core, commands) = core_with_full_queue();
-    // Set-ups take half a second here at the quickest.
+    // The fastest setup took half a second.
     core.admission.record_setup(0, 500_000_000);
     open_request(
         &mut core,
@@ -102,7 +110,7 @@
         Duration::from_millis(900),
     );
     assert_eq!(commands.attempts_and_answers(500), (0, 0));
-    // No timer of the core fires here: whoever answers it is the door.
+    // No timer of the core fires here, so the answer comes from the queue.
     let started_at = std::time::Instant::now();
     while commands.attempts_and_answers(500) == (0, 0) {
         assert!(started_at.elapsed() < LONG_TIMEOUT);
--- a/crates/balancer/src/core/decisions/tests.rs
+++ b/crates/balancer/src/core/decisions/tests.rs
@@ -1,4 +1,4 @@
-//! Last words that no decision of the module's gives.
+//! Tests of final answers that are not decisions of the policy.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::clock::Clock;
 
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
-/// Set-ups that the module lets be under way at the start; more wait in the admission queue.
+/// Attempts that the policy admits at once at the start; further requests are queued.
 const INITIAL_CONCURRENCY_LIMIT: u64 = 12;
 
-/// The last order of a request, in words.
+/// The last command for a request, as text.
 fn last_command(commands: &CommandLog, id: u64) -> String {
     let prefix = format!("{id} ");
     let text = commands.as_text();
@@ -25,8 +25,8 @@
         .to_owned()
 }
 
-/// Request 0 may have run and waits for its next attempt, 1 has been turned away and waits, 2 is being sent, and one
-/// more waits in the admission queue: its number.
+/// Opens requests in all states before the end and returns the id of the queued one: 0 may have been
+/// executed and 1 was rejected, and both wait for a retry; 2 has an attempt in flight.
 fn open_request_in_each_state(core: &mut Core, commands: &Arc<CommandLog>) -> u64 {
     for id in 0..2 {
         open_request(core, commands, id, "acme", LONG_TIMEOUT);
@@ -47,7 +47,7 @@
     2 + INITIAL_CONCURRENCY_LIMIT
 }
 
-/// Requests 0 to 2 and the queued one had their answers, and every request had one.
+/// Requests 0 to 2 and the queued one got the expected answers, and every request got one.
 fn assert_only_what_may_have_run_failed(commands: &CommandLog, queued: u64) {
     let answers = [0, 1, 2, queued].map(|id| last_command(commands, id));
     assert_eq!(
@@ -56,7 +56,7 @@
     );
     assert!(
         (0..=queued).all(|id| commands.attempts_and_answers(id).1 == 1),
-        "one answer each"
+        "each request gets one final answer"
     );
 }
 
--- a/crates/balancer/src/core/drain/tests.rs
+++ b/crates/balancer/src/core/drain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of drains, on a core that nobody runs.
+//! Tests of drains, on a core that runs on no thread.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::*;
 use crate::clock::Clock;
 
-/// A core with so many standing connections, numbered from 0.
+/// A core with `count` established connections, numbered from 0.
 fn core_with_connections(count: u64) -> (Core, Arc<CommandLog>) {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
     let commands = Arc::new(CommandLog::default());
@@ -17,7 +17,7 @@
         LifecycleCommand::ServersKnown,
     ] {
         core.on_lifecycle_command(command)
-            .expect("no order of an operator's");
+            .expect("only commands of operators can be refused");
     }
     for id in 0..count {
         testing::open_request(&mut core, &commands, id, "acme", Duration::from_secs(1));
@@ -26,10 +26,10 @@
     (core, commands)
 }
 
-/// Has the drain that is on have begun so long ago.
+/// Moves the start of the drain in progress to `span` ago.
 fn set_drain_age(core: &mut Core, span: Duration) {
     let since = core.clock.now() - crate::clock::nanos(span);
-    let drain = core.drain.as_mut().expect("one is on");
+    let drain = core.drain.as_mut().expect("a drain is in progress");
     drain.started_at = since;
 }
 
@@ -47,7 +47,7 @@
     );
     core.migrate_in_drain(1, 1);
     assert_eq!([0, 1, 2].map(|id| commands.migration_count(id)), [1, 0, 0]);
-    // The next drain leaves those alone that the first one moved.
+    // The next drain skips the clients that the first one migrated.
     assert_eq!(
         core.on_lifecycle_command(LifecycleCommand::EnterStandby),
         Ok(LifecycleState::Standby)
@@ -61,7 +61,7 @@
     );
     core.migrate_in_drain(2, 1);
     assert_eq!(commands.migration_count(1), 1);
-    assert!(!core.has_exited(), "the program stays");
+    assert!(!core.has_exited(), "a process on standby keeps running");
     assert_eq!(
         core.on_lifecycle_command(LifecycleCommand::ShutDown),
         Ok(LifecycleState::ShuttingDown)
@@ -76,13 +76,13 @@
 fn migrates_connection_established_during_drain() {
     let (mut core, commands) = core_with_connections(0);
     core.on_lifecycle_command(LifecycleCommand::EnterStandby)
-        .expect("it serves");
+        .expect("a serving process accepts the command");
     assert!(core.accepts_new_requests());
     testing::open_request(&mut core, &commands, 7, "acme", Duration::from_secs(1));
     assert_eq!(
         commands.attempts_and_answers(7),
         (1, 0),
-        "a newcomer is served"
+        "a new request is served at the start of a drain"
     );
     core.on_attempt_established(7);
     assert!(
@@ -92,11 +92,12 @@
     );
 }
 
+/// A client whose handshake is unfinished must get an answer before the process exits.
 #[test]
 fn waits_for_open_handshakes_before_exit() {
     let (mut core, _) = core_with_connections(0);
     core.on_lifecycle_command(LifecycleCommand::ShutDown)
-        .expect("always");
+        .expect("a shutdown is never refused");
     let exit_after = core.drain_schedule().exit;
     core.lifecycle_view.set_handshakes(1);
     set_drain_age(&mut core, MIN_SHUTDOWN_SPAN);
@@ -105,26 +106,32 @@
     assert!(core.has_exited());
     core.lifecycle_view.set_handshakes(1);
     set_drain_age(&mut core, exit_after);
-    assert!(core.has_exited(), "it may be killed any time now");
+    assert!(
+        core.has_exited(),
+        "the process exits at the end of its schedule, before it is killed"
+    );
 }
 
 #[test]
 fn answers_pending_requests_once_at_end_of_drain() {
     let (mut core, commands) = core_with_connections(0);
-    // More than are let in at once: the rest wait at the door.
+    // More requests than are admitted at once: the rest are queued.
     for id in 0..20 {
         testing::open_request(&mut core, &commands, id, "acme", Duration::from_secs(60));
     }
     let waiting = (0..20)
         .filter(|id| commands.attempts_and_answers(*id) == (0, 0))
         .count();
-    assert!(waiting > 0 && waiting < 20, "{waiting} wait");
+    assert!(
+        waiting > 0 && waiting < 20,
+        "{waiting} of 20 requests are queued"
+    );
     core.on_lifecycle_command(LifecycleCommand::EnterStandby)
-        .expect("it serves");
+        .expect("a serving process accepts the command");
     core.continue_drain(1);
     assert!(
         (0..20).all(|id| commands.attempts_and_answers(id).1 == 0),
-        "not before their time"
+        "pending requests are answered only at the end of the migration span"
     );
     let moves = core.drain_schedule().migrate;
     set_drain_age(&mut core, moves);
@@ -134,6 +141,7 @@
     assert_eq!((core.requests.len(), core.admission.queued()), (0, 0));
 }
 
+/// The process may be killed 0.7 s after the longest deadline; all steps must be over before.
 #[test]
 fn keeps_drain_schedule_within_longest_deadline() {
     for deadline_ms in (300..=3_000).step_by(50).chain([9_000]) {
@@ -144,7 +152,7 @@
             schedule.exit + Duration::from_millis(200) <= killed_after,
             "{schedule:?}"
         );
-        // A client in the midst of a message is moved up to 0.7 s after the order.
+        // A client in the middle of a message migrates up to 0.7 s after the command.
         let has_full_margin = deadline >= Duration::from_millis(1_200);
         assert!(
             !has_full_margin || schedule.migrate + Duration::from_millis(700) < schedule.exit,
@@ -154,7 +162,7 @@
             schedule.handshakes < schedule.exit && schedule.migrate < schedule.exit,
             "{schedule:?}"
         );
-        // They come for 0.4 s.
+        // A load balancer in front sends new requests for up to 0.4 s.
         assert!(schedule.accept > Duration::from_millis(400), "{schedule:?}");
     }
     let default_schedule = DrainSchedule::for_deadline(Duration::from_secs(3));
@@ -163,25 +171,29 @@
     assert_eq!(default_schedule.exit, Duration::from_millis(3_500));
 }
 
+/// Only a process that shuts down is killed after the deadline.
 #[test]
 fn uses_configured_deadline_for_shutdown_but_not_standby() {
     let (mut core, _) = core_with_connections(3);
     core.on_lifecycle_command(LifecycleCommand::EnterStandby)
-        .expect("it serves");
+        .expect("a serving process accepts the command");
     assert_eq!(
-        core.drain.expect("one is on").schedule,
+        core.drain.expect("a drain is in progress").schedule,
         DrainSchedule::for_deadline(LONGEST_DEADLINE)
     );
     core.on_lifecycle_command(LifecycleCommand::ShutDown)
-        .expect("always");
-    // The longest deadline of the tests' settings.
+        .expect("a shutdown is never refused");
+    // The longest deadline in the settings of the tests.
     let schedule = DrainSchedule::for_deadline(Duration::from_millis(1_800));
-    assert_eq!(core.drain.expect("one is on").schedule, schedule);
+    assert_eq!(
+        core.drain.expect("a drain is in progress").schedule,
+        schedule
+    );
     assert!(core.lifecycle_view.accepts_handshakes());
     set_drain_age(&mut core, schedule.handshakes);
     core.continue_drain(2);
     assert!(
         !core.lifecycle_view.accepts_handshakes(),
-        "each is left its last answer"
+        "handshakes are closed before the exit"
     );
 }
--- a/crates/balancer/src/core/fleet_link/tests.rs
+++ b/crates/balancer/src/core/fleet_link/tests.rs
@@ -14,7 +14,7 @@
 
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The same story for a core, with what it ordered and decided.
+/// Plays the same inputs on a core; returns its commands as text, and the core.
 fn run_scenario(mut core: Core) -> (String, Core) {
     let commands = Arc::new(CommandLog::default());
     core.on_discovery(DiscoveryEvent::List(list(
@@ -41,6 +41,7 @@
     (commands.as_text(), core)
 }
 
+/// The fleet is advisory: with it, the core must take the same decisions as without it.
 #[test]
 fn publishes_events_without_changing_decisions() {
     let clock = Clock::start();
@@ -77,6 +78,7 @@
     assert_eq!(count(|event| matches!(event, CoreEvent::DiscoveryLost)), 1);
 }
 
+/// A process must serve even if the fleet thread never ends the recovery.
 #[test]
 fn ends_recovery_after_timeout() {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
@@ -88,12 +90,12 @@
         affinity: None,
     });
     core.on_lifecycle_command(LifecycleCommand::SetListening(true))
-        .expect("a word of its own");
+        .expect("only commands of operators can be refused");
     assert_eq!(
         core.lifecycle.state(),
         super::super::lifecycle::LifecycleState::Starting
     );
-    // Nobody ever says that it is over.
+    // No event ends the recovery; its timer does.
     core.fire_timer();
     assert_eq!(
         core.lifecycle.state(),
@@ -101,6 +103,7 @@
     );
 }
 
+/// A stopped fleet thread must not keep the core from polling discovery.
 #[test]
 fn polls_paused_discovery_only_when_requested_or_expired() {
     let mut core = testing::core(Clock::start(), OverrideSet::default());
@@ -114,14 +117,14 @@
         affinity: None,
     });
     core.handle_input(CoreInput::Fleet(FleetEvent::PollDiscovery));
-    assert!(polls.is_empty(), "the module has not wanted it");
+    assert!(polls.is_empty(), "the policy has not requested a poll");
     core.handle_input(CoreInput::Fleet(FleetEvent::PauseDiscovery(LONG_TIMEOUT)));
     core.poll_discovery();
     core.poll_if_pending();
-    assert!(polls.is_empty(), "held back");
+    assert!(polls.is_empty(), "the poll waits while discovery is paused");
     core.handle_input(CoreInput::Fleet(FleetEvent::PollDiscovery));
-    assert_eq!(polls.len(), 1, "in turn");
-    // Whoever held it back is gone, and its last word is over.
+    assert_eq!(polls.len(), 1, "the fleet thread requested the poll");
+    // The fleet thread has stopped, and its last pause expires.
     core.handle_input(CoreInput::Fleet(FleetEvent::PauseDiscovery(
         Duration::from_millis(1),
     )));
@@ -144,7 +147,7 @@
     assert!(core.endpoints.by_name("s7").is_some());
 }
 
-/// How long the module has a client wait whose first pass has failed.
+/// Delay before the retry of a client whose first attempt was rejected.
 fn retry_delay(core: &mut Core, id: u64) -> Nanos {
     testing::open_request(
         core,
@@ -164,7 +167,7 @@
         .iter()
         .map(|Reverse((at, set, kind))| (*set, *at, *kind))
         .max();
-    let (_, at, kind) = latest_timer.expect("a timer");
+    let (_, at, kind) = latest_timer.expect("a retry timer is set");
     assert!(matches!(kind, TimerKind::Policy(_)), "{kind:?}");
     core.handle_input(CoreInput::ClientLeft(id));
     at.saturating_sub(now)
@@ -187,14 +190,14 @@
     let with_failures = total_delay(&mut core, 100..140, Some(6));
     assert!(
         with_failures > 2 * without_failures,
-        "{with_failures} with six failures elsewhere, {without_failures} without"
+        "{with_failures} ns with six failures at other processes, {without_failures} ns without"
     );
     (200..240)
         .for_each(|id| core.handle_input(CoreInput::Fleet(FleetEvent::FailuresCounted(id, 6))));
     let after_success = total_delay(&mut core, 200..240, Some(0));
     assert!(
         after_success < with_failures / 2,
-        "{after_success} once a placement succeeded anywhere, {with_failures} before"
+        "{after_success} ns after a placement succeeded anywhere, {with_failures} ns before"
     );
 }
 
@@ -234,7 +237,8 @@
         "{}",
         commands.as_text()
     );
-    // One that was answered has had its turn; nobody speaks of the third.
+    // An admission after the final answer has no effect. Request 2 is admitted by its timeout, and
+    // request 3 by the end of staged admission.
     core.handle_input(CoreInput::Fleet(FleetEvent::Admit(1)));
     core.admit_staged(2);
     core.handle_input(CoreInput::Fleet(FleetEvent::StagedAdmission(false)));
@@ -257,7 +261,7 @@
     (0..8).for_each(|id| testing::open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT));
     (0..8).for_each(|id| core.handle_input(CoreInput::AttemptEstablished(id)));
     let assessment = SiteAssessment {
-        skip_reason: Some("it hangs".into()),
+        skip_reason: Some("the server does not answer".into()),
         weight_factor: 1.0,
         restarted_at: 0,
     };
--- a/crates/balancer/src/core/lifecycle/tests.rs
+++ b/crates/balancer/src/core/lifecycle/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the program's state.
+//! Tests of the lifecycle state.
 
 use super::*;
 use proptest::prelude::*;
 
-/// The plain model: all that was ever said, read anew each time.
+/// Reference model: derives the state from all commands so far.
 fn expected(commands: &[LifecycleCommand]) -> LifecycleState {
     let shutdown_at = commands
         .iter()
@@ -72,7 +72,7 @@
     assert!(view.is_ready());
     let start = Instant::now()
         .checked_sub(STALL_TIMEOUT * 2)
-        .expect("the machine runs for longer");
+        .expect("the machine has been up for longer");
     let view = LifecycleView::with_origin(start);
     view.set_state(LifecycleState::Serving);
     assert!(!view.is_ready());
--- a/crates/balancer/src/core/overrides/tests.rs
+++ b/crates/balancer/src/core/overrides/tests.rs
@@ -16,6 +16,7 @@
         .collect()
 }
 
+/// A list or a request may be handled after an override expired and before its timer fires.
 #[test]
 fn ignores_expired_override_before_its_timer_fires() {
     let clock = Clock::start();
@@ -52,7 +53,7 @@
         (effective_states(&core), pin(&core).is_some()),
         (vec![ServerState::OutOfService], true)
     );
-    // No timer of the core fires here: nobody runs it.
+    // No timer of the core fires here, since it runs on no thread.
     while core.now_ms() < now + 40 {
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -60,7 +61,7 @@
     assert_eq!(
         effective_states(&core),
         [ServerState::OutOfService],
-        "it was told so"
+        "the policy has not been updated yet"
     );
     core.apply_list(list(&row("s0")), false);
     assert_eq!(effective_states(&core), [ServerState::Ready]);
@@ -87,14 +88,17 @@
     let mut core = core(clock, overrides);
     assert_eq!(effective_states(&core), [ServerState::OutOfService]);
     assert!(!core.emptied_servers.is_empty() && core.coverage.all_servers);
-    assert_eq!(core.with_overrides(|_| -> u8 { panic!("a fault") }), None);
+    assert_eq!(
+        core.with_overrides(|_| -> u8 { panic!("injected panic") }),
+        None
+    );
     assert_eq!(
         effective_states(&core),
         [ServerState::Ready],
-        "as it is listed"
+        "the listed state applies without overrides"
     );
     assert!(core.snapshot().has_lost_overrides && core.emptied_servers.is_empty());
-    // What comes later is not followed, and whoever waits for it is not told that it is.
+    // Later changes are not applied, and their sender gets no confirmation.
     let (reply, replies) = crossbeam_channel::bounded(1);
     core.on_overrides_changed(
         vec![OverrideChange::Forget(vec![OverrideId(1)])],
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Settings replaced between any two events of a core that nobody runs.
+//! Tests of settings that are replaced between two events of a core that runs on no thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use super::super::{ClientRequest, Core, CoreInput};
 use crate::clock::Clock;
 
-/// Set-ups that the module lets be under way at the start.
+/// Attempts that the policy admits at once at the start.
 const INITIAL_CONCURRENCY_LIMIT: u64 = 12;
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 const ATTEMPT_DURATION: Duration = Duration::from_millis(1);
 
-/// Settings with these classes, each with its effect.
+/// Site settings with these classes and their effects.
 fn site(classes: &[(&str, &str)], change: impl Fn(&mut Value)) -> SiteSettings {
     let class_json = |(name, effect): &(&str, &str)| json!({"name": name, "on-time-ns": 300_000_000, "hard-limit-ns": 1_800_000_000, "effect": effect, "dedup-scope": "all", "repeat-window-ns": 0, "value": 1.0});
     let mut site = json!({
@@ -28,7 +28,7 @@
         "rules": {"cold-share": 0.2, "cold-ns": 20_000_000_000_u64, "tip-multiple": 3.0, "fall-ns": 1_500_000_000},
     });
     change(&mut site);
-    SiteSettings::read("", &site).expect("sound")
+    SiteSettings::read("", &site).expect("valid settings")
 }
 
 fn new_core() -> (Core, Arc<CommandLog>) {
@@ -44,7 +44,7 @@
     active_settings
 }
 
-/// An opening of that class, as a front made it.
+/// A request of a class, as a front creates it.
 fn client_request(core: &Core, class: usize, client_timeout: Duration) -> ClientRequest {
     ClientRequest {
         class,
@@ -71,6 +71,8 @@
     });
 }
 
+/// A request may be in a channel while settings are replaced. It must not be retried unless both the
+/// settings it was read with and the new ones allow it.
 #[test]
 fn applies_both_settings_to_request_read_before_replacement() {
     let (mut core, commands) = new_core();
@@ -80,10 +82,10 @@
     );
     let before = Arc::clone(&core.active_settings);
     let (chat, once) = (
-        before.class("chat").expect("there"),
-        before.class("once").expect("there"),
+        before.class("chat").expect("the class exists"),
+        before.class("once").expect("the class exists"),
     );
-    // In another order, and with the effects exchanged.
+    // The classes are in another order and have each other's effect.
     replace(
         &mut core,
         site(&[("once", "retryable"), ("chat", "fragile")], |_| {}),
@@ -96,15 +98,20 @@
             outcome: AttemptOutcome::Reset,
             duration: ATTEMPT_DURATION,
         });
-        // Neither may be repeated by both settings.
+        // Each class is fragile in one of the two settings, so neither request is retried.
         assert_eq!(
             commands.attempts_and_answers(id),
             (1, 1),
-            "{id} got its one final answer and no second attempt"
+            "request {id} gets one final answer and no second attempt"
         );
     }
     let now = Arc::clone(&core.active_settings);
-    open_request_of_class(&mut core, &commands, 3, now.class("once").expect("there"));
+    open_request_of_class(
+        &mut core,
+        &commands,
+        3,
+        now.class("once").expect("the class exists"),
+    );
     core.handle_input(CoreInput::AttemptEnded {
         id: 3,
         outcome: AttemptOutcome::Reset,
@@ -113,7 +120,7 @@
     assert_eq!(
         commands.attempts_and_answers(3).1,
         0,
-        "a class of the new settings is repeated as they say"
+        "a request of the new settings is retried as they allow"
     );
 }
 
@@ -121,10 +128,17 @@
 fn keeps_effect_of_attempt_in_flight_after_replacement() {
     let (mut core, commands) = new_core();
     replace(&mut core, site(&[("chat", "fragile")], |_| {}));
-    let class = core.active_settings.class("chat").expect("there");
+    let class = core
+        .active_settings
+        .class("chat")
+        .expect("the class exists");
     open_request_of_class(&mut core, &commands, 1, class);
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
-    assert_eq!(commands.attempts_and_answers(1), (1, 0), "it stays out");
+    assert_eq!(
+        commands.attempts_and_answers(1),
+        (1, 0),
+        "the attempt stays in flight"
+    );
     core.handle_input(CoreInput::AttemptEnded {
         id: 1,
         outcome: AttemptOutcome::Reset,
@@ -153,12 +167,12 @@
             .map(|id| commands.attempts_and_answers(id))
             .collect::<Vec<_>>(),
         [(1, 0); 4],
-        "no answer and no second pass yet"
+        "no final answer and no second attempt yet"
     );
     assert_eq!(
         (0..4).map(|id| commands.migration_count(id)).sum::<usize>(),
         0,
-        "nobody is moved for it"
+        "a replacement migrates no client"
     );
     core.handle_input(CoreInput::AttemptEnded {
         id: 0,
@@ -196,10 +210,14 @@
             |_| {},
         ),
     );
-    assert_eq!(core.admission.queued(), waiting, "nobody gave way");
+    assert_eq!(
+        core.admission.queued(),
+        waiting,
+        "no queued request is evicted"
+    );
     assert!(
         (0..INITIAL_CONCURRENCY_LIMIT + 30).all(|id| commands.attempts_and_answers(id).1 == 0),
-        "nobody was answered"
+        "no request gets a final answer"
     );
     for id in 0..INITIAL_CONCURRENCY_LIMIT {
         core.handle_input(CoreInput::AttemptEstablished(id));
@@ -209,7 +227,7 @@
         .count() as u64;
     assert!(
         started_requests > INITIAL_CONCURRENCY_LIMIT,
-        "turns are given as before: {started_requests}"
+        "permits are granted as before: {started_requests} requests started"
     );
     for id in 0..INITIAL_CONCURRENCY_LIMIT + 30 {
         core.handle_input(CoreInput::ClientLeft(id));
@@ -255,7 +273,7 @@
     let (acme, bright) = (of(0), of(1));
     assert!(
         acme + bright >= 10 && acme * 4 <= bright,
-        "{acme} of acme's, {bright} of bright's"
+        "{acme} requests of acme and {bright} of bright admitted"
     );
 }
 
@@ -285,7 +303,7 @@
     assert_eq!(
         commands.attempts_and_answers(0),
         (1, 1),
-        "it waited for a second attempt"
+        "the request that waited for a second attempt gets its final answer"
     );
     assert_eq!(
         [
@@ -331,7 +349,7 @@
         core.handle_input(CoreInput::AttemptEstablished(id));
     }
     assert!(count(&commands, 0..10, "s2") >= 9, "{}", commands.as_text());
-    // The own zone is the other one now, and has the number that the first one had.
+    // The own zone is the other one now, under the number that the first one had.
     replace(
         &mut core,
         site(&[("chat", "retryable")], zones(json!(["west", "east"]), 0)),
@@ -364,7 +382,7 @@
         Duration::from_millis(30)
     );
     assert_eq!(core.timeouts.connect_timeout(), Duration::from_millis(70));
-    // Nothing of it is left when the file says nothing any more.
+    // Without these settings the defaults apply again.
     replace(&mut core, site(&[("chat", "retryable")], |_| {}));
     assert_eq!(
         core.timeouts.slow_message_threshold(),
@@ -373,7 +391,7 @@
     assert_eq!(
         core.timeouts.connect_timeout(),
         Duration::from_millis(300),
-        "the aim of the quickest class"
+        "the default is the shortest latency objective of a class"
     );
 }
 
@@ -384,7 +402,12 @@
     core.handle_input(CoreInput::AttemptEstablished(0));
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     core.restart_policy();
-    open_request_of_class(&mut core, &commands, 1, now.class("once").expect("there"));
+    open_request_of_class(
+        &mut core,
+        &commands,
+        1,
+        now.class("once").expect("the class exists"),
+    );
     core.handle_input(CoreInput::AttemptEnded {
         id: 1,
         outcome: AttemptOutcome::Reset,
@@ -407,12 +430,12 @@
         LifecycleCommand::ServersKnown,
     ] {
         core.on_lifecycle_command(word)
-            .expect("no order of an operator's");
+            .expect("only commands of operators can be refused");
     }
     open_request(&mut core, &commands, 0, "acme", LONG_TIMEOUT);
     core.handle_input(CoreInput::AttemptEstablished(0));
     core.on_lifecycle_command(LifecycleCommand::EnterStandby)
-        .expect("it serves");
+        .expect("a serving process accepts the command");
     let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     assert_eq!(
         (
@@ -420,11 +443,16 @@
             commands.attempts_and_answers(0)
         ),
         (0, (1, 0)),
-        "moved in its turn, and not for the settings"
+        "clients are migrated by the drain, and not by the replacement"
     );
     core.on_lifecycle_command(LifecycleCommand::LeaveStandby)
-        .expect("it stands by");
-    open_request_of_class(&mut core, &commands, 1, now.class("once").expect("there"));
+        .expect("a process on standby accepts the command");
+    open_request_of_class(
+        &mut core,
+        &commands,
+        1,
+        now.class("once").expect("the class exists"),
+    );
     core.handle_input(CoreInput::AttemptEnded {
         id: 1,
         outcome: AttemptOutcome::Reset,
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -1,4 +1,4 @@
-//! A core without its thread, for tests that hand it inputs one by one.
+//! A core without its thread, for tests that pass it inputs one by one.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 pub(super) fn list(text: &str) -> ServerList {
     let rows = format!(r#"{{"generation":1,"reset":true,"instances":[{text}]}}"#);
-    serde_json::from_str(&rows).expect("a list")
+    serde_json::from_str(&rows).expect("valid list")
 }
 
 pub(super) fn row(name: &str) -> String {
@@ -34,12 +34,12 @@
     core_with_channels(clock, overrides).1
 }
 
-/// The same, with its handle and its receiver.
+/// A core with one server and these overrides, with its handle and its receiver.
 pub(super) fn core_with_channels(
     clock: Clock,
     overrides: OverrideSet,
 ) -> (CoreHandle, Core, CoreReceiver) {
-    let site = serde_json::from_str(SETTINGS).expect("settings");
+    let site = serde_json::from_str(SETTINGS).expect("valid settings");
     let (cached_list, discovery_polls) = (list(&row("s0")), crossbeam_channel::unbounded().0);
     let start = CoreConfig {
         name: "core",
@@ -53,7 +53,7 @@
         admission: Default::default(),
         fleet: None,
     };
-    build(start).expect("sound settings")
+    build(start).expect("settings within their ranges")
 }
 
 /// Records the commands of all connections.
@@ -62,14 +62,17 @@
 
 impl CommandSender for CommandLog {
     fn send(&self, id: u64, command: ConnectionCommand) {
-        self.0.lock().expect("sound").push((id, command));
+        self.0
+            .lock()
+            .expect("no thread panicked with the lock")
+            .push((id, command));
     }
 }
 
 impl CommandLog {
     /// How often a client was asked to migrate.
     pub(super) fn migration_count(&self, id: u64) -> usize {
-        let commands = self.0.lock().expect("sound");
+        let commands = self.0.lock().expect("no thread panicked with the lock");
         commands
             .iter()
             .filter(|(request, command)| {
@@ -80,7 +83,7 @@
 
     /// All commands in a reproducible text form.
     pub(super) fn as_text(&self) -> String {
-        let commands = self.0.lock().expect("sound");
+        let commands = self.0.lock().expect("no thread panicked with the lock");
         let describe = |command: &ConnectionCommand| match command {
             ConnectionCommand::StartAttempt { endpoint, .. } => {
                 format!("StartAttempt to {}", endpoint.name)
@@ -95,7 +98,7 @@
 
     /// Number of attempts and of final answers of a request.
     pub(super) fn attempts_and_answers(&self, id: u64) -> (usize, usize) {
-        let commands = self.0.lock().expect("sound");
+        let commands = self.0.lock().expect("no thread panicked with the lock");
         let sent = commands.iter().filter(|(request, _)| *request == id);
         sent.fold((0, 0), |(attempts, answers), (_, command)| match command {
             ConnectionCommand::StartAttempt { .. } => (attempts + 1, answers),
@@ -107,7 +110,7 @@
     }
 }
 
-/// A client of an account sends a request.
+/// Opens a request of a client of an account.
 pub(super) fn open_request(
     core: &mut Core,
     commands: &Arc<CommandLog>,
@@ -119,7 +122,7 @@
     core.on_connect_requested(id, client_request, Arc::<CommandLog>::clone(commands));
 }
 
-/// Such a request.
+/// A request of a client of an account.
 pub(super) fn client_request(
     id: u64,
     account: &str,
@@ -151,7 +154,7 @@
             LifecycleCommand::ShutDown,
         ] {
             self.on_lifecycle_command(command)
-                .expect("no order of an operator's");
+                .expect("only commands of operators can be refused");
         }
         self.answer_pending_requests();
     }
--- a/crates/balancer/src/core/tests.rs
+++ b/crates/balancer/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the core's turns: what it takes first, and what a panic of the module leaves.
+//! Tests of the order in which the core handles inputs, and of a panic of the policy.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,18 +11,23 @@
 
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A list on which a server drains and another serves.
+/// A list with one server that drains and another that serves.
 fn draining_list(server: &str, other: &str) -> ServerList {
     let draining_list = testing::row(server).replace("SERVING", "DRAINING");
     testing::list(&[draining_list, testing::row(other)].join(","))
 }
 
+/// A server drains from the moment its list is received, however many inputs are queued.
 #[test]
 fn applies_list_before_queued_inputs() {
     let (handle, mut core, receiver) =
         testing::core_with_channels(Clock::start(), OverrideSet::default());
     let commands = Arc::new(CommandLog::default());
-    let server = core.endpoints.by_name("s0").expect("listed").1;
+    let server = core
+        .endpoints
+        .by_name("s0")
+        .expect("the server is listed")
+        .1;
     for id in 0..50 {
         let client_request = testing::client_request(id, "acme", LONG_TIMEOUT, core.clock.now());
         handle.open(
@@ -34,7 +39,7 @@
     assert!(core.run_once(&receiver));
     assert!(
         server.begin_write().is_none(),
-        "nobody begins to send there any more"
+        "no attempt begins to write to a draining server"
     );
     while !receiver.inputs.is_empty() {
         assert!(core.run_once(&receiver));
@@ -58,7 +63,10 @@
     assert!(core.run_once(&receiver));
     assert!(receiver.discovery.is_empty());
     while polls.is_empty() {
-        assert!(core.run_once(&receiver), "it is asked for again");
+        assert!(
+            core.run_once(&receiver),
+            "discovery is polled again after a failure"
+        );
     }
 }
 
@@ -70,10 +78,10 @@
     core.discovery_polls = poll_sender;
     handle.send_discovery(DiscoveryEvent::Failed(Duration::ZERO));
     assert!(core.run_once(&receiver));
-    assert!(polls.is_empty(), "the call waits for its time");
-    // The timer of that call goes with the module that set it.
+    assert!(polls.is_empty(), "the next poll waits for its timer");
+    // The timer of that poll is lost with the policy that set it.
     core.restart_policy();
-    assert_eq!(polls.len(), 1, "an agent is asked at once");
+    assert_eq!(polls.len(), 1, "discovery is polled at once");
 }
 
 #[test]
@@ -87,15 +95,15 @@
             .join(",")
     };
     endpoints.apply_list(testing::list(&rows(&["s0", "s1", "s2"])), 0, |_| None);
-    let endpoint = |name| endpoints.by_name(name).expect("listed").1;
+    let endpoint = |name| endpoints.by_name(name).expect("the server is listed").1;
     let (unlisted, listed) = (endpoint("s0"), ["s1", "s2"].map(endpoint));
-    // The zone is looked up for each entry, in the midst of the list.
+    // The zone is looked up for each entry while the list is applied.
     let zone_lookups = std::cell::Cell::new(0);
     endpoints.apply_list(testing::list(&rows(&["s1", "s2"])), 1, |_| {
         zone_lookups.set(zone_lookups.get() + 1);
         assert!(
             listed.iter().all(|server| server.begin_write().is_some()),
-            "both go on serving"
+            "listed servers stay writable"
         );
         None
     });
--- a/crates/balancer/src/fleet/messages/tests.rs
+++ b/crates/balancer/src/fleet/messages/tests.rs
@@ -1,5 +1,8 @@
+//! Tests of the messages between processes.
+
 use super::*;
 
+/// Times are sent as ages, so the receiver computes them by its own clock.
 #[test]
 fn decodes_server_evidence_by_receiver_clock() {
     let report = |now: u64| HealthReport {
@@ -27,6 +30,7 @@
     );
 }
 
+/// An age grows by the time since the report was made.
 #[test]
 fn ages_decoded_uplink_status() {
     let operator_mode = OperatorMode {
@@ -34,7 +38,7 @@
         mode: UplinkMode::Isolated,
         expires_at: 9,
         set_by: "ada".into(),
-        reason: "the line is being dug up".into(),
+        reason: "cable maintenance".into(),
     };
     let report = |age| UplinkReport {
         name: "a".into(),
@@ -61,9 +65,10 @@
     );
 }
 
-/// Messages as the first released program sent them, in hexadecimal digits.
+/// Messages as the first release sent them, in hexadecimal digits.
 const FIRST_RELEASE_MESSAGES: &str = include_str!("../data/messages.hex");
 
+/// Processes of different versions run together during an upgrade, so the form must not change.
 #[test]
 fn encodes_messages_as_in_first_release() {
     let status = PeerStatus {
--- a/crates/balancer/src/fleet/records/tests.rs
+++ b/crates/balancer/src/fleet/records/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the stored records.
+
 use beaconflow_affinity::EndReason;
 
 use super::*;
@@ -20,7 +22,7 @@
         instances: vec![listed],
     };
     let record = encode_list(&list, 2, 5);
-    let (decoded, epoch) = decode_list(&record).expect("whole");
+    let (decoded, epoch) = decode_list(&record).expect("a complete record");
     assert_eq!((format!("{decoded:?}"), epoch), (format!("{list:?}"), 2));
     for state in [
         PlacementState::Established,
@@ -60,9 +62,10 @@
     );
 }
 
-/// Records as the first released program wrote them, in hexadecimal digits.
+/// Records as the first release wrote them, in hexadecimal digits.
 const FIRST_RELEASE_RECORDS: &str = include_str!("../data/records.hex");
 
+/// A newer version reads the memory of an older one, so the form must not change.
 #[test]
 fn encodes_records_as_in_first_release() {
     let listed = ListedServer {
--- a/crates/balancer/src/fleet/site_evidence/tests.rs
+++ b/crates/balancer/src/fleet/site_evidence/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the assessment of servers by the site's evidence.
+
 use super::*;
 
 fn servers() -> BTreeMap<String, ListedServer> {
@@ -36,25 +38,25 @@
     assert_eq!(
         site.assess(1_200, &servers, (false, None), 0),
         None,
-        "discovery's word holds"
+        "discovery decides while the site is linked"
     );
     let assessments = site
         .assess(1_200, &servers, (true, None), 0)
-        .expect("passed over");
+        .expect("the refusing server is skipped");
     assert_eq!(assessments.keys().collect::<Vec<_>>(), ["s1"]);
     assert!(assessments["s1"].skip_reason.is_some());
-    // Others fall ill after the island: no more by this evidence.
+    // Servers that fail after the isolation are not assessed by this evidence any more.
     let report = site.record_own(1_300, "me", &identity("s2"), ServerHealth::Draining);
     assert!(report.is_some());
     assert_eq!(
         site.assess(1_300, &servers, (false, None), 0),
         None,
-        "s1 still is, s2 is not"
+        "s1 is still skipped, s2 is not"
     );
     record_outcome(&mut site, 2_000, None);
     let recovering = site
         .assess(2_100, &servers, (false, None), 0)
-        .expect("well again");
+        .expect("s1 recovers");
     assert!(recovering["s1"].skip_reason.is_none() && recovering["s1"].weight_factor < 0.5);
     assert_eq!(
         site.assess(60_000, &servers, (false, None), 0),
@@ -69,7 +71,7 @@
     site.servers_in_use.insert("s2".into());
     let assessments = site
         .assess(2_000, &servers, (true, Some("too old")), 0)
-        .expect("the rest is passed over");
+        .expect("servers without evidence of health are skipped");
     assert_eq!(assessments.keys().collect::<Vec<_>>(), ["s1", "s3", "s4"]);
     assert_eq!(assessments["s1"].skip_reason.as_deref(), Some("too old"));
 }
