--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -245,7 +245,7 @@
 
     pub(super) fn snapshot(&self, now: Nanos) -> AdmissionSnapshot {
         let accounts = self.accounts.all();
-        let row = |(id, statistics): &(u64, &AccountStatistics)| AccountSnapshot {
+        let snapshot_of = |(id, statistics): &(u64, &AccountStatistics)| AccountSnapshot {
             name: statistics.name.clone().into(),
             quota: self.accounts.entitled_fraction(*id),
             admitted_per_s: statistics.per_second(now),
@@ -258,7 +258,7 @@
             queued: self.queue.len(),
             bytes: self.queue.bytes(),
             limits: self.queue.limits(),
-            accounts: accounts.iter().map(row).collect(),
+            accounts: accounts.iter().map(snapshot_of).collect(),
         }
     }
 }
--- a/crates/balancer/src/core/drain/tests.rs
+++ b/crates/balancer/src/core/drain/tests.rs
@@ -28,9 +28,9 @@
 
 /// Moves the start of the drain in progress to `span` ago.
 fn set_drain_age(core: &mut Core, span: Duration) {
-    let since = core.clock.now() - crate::clock::nanos(span);
+    let started_at = core.clock.now() - crate::clock::nanos(span);
     let drain = core.drain.as_mut().expect("a drain is in progress");
-    drain.started_at = since;
+    drain.started_at = started_at;
 }
 
 #[test]
@@ -133,8 +133,8 @@
         (0..20).all(|id| commands.attempts_and_answers(id).1 == 0),
         "pending requests are answered only at the end of the migration span"
     );
-    let moves = core.drain_schedule().migrate;
-    set_drain_age(&mut core, moves);
+    let migration_span = core.drain_schedule().migrate;
+    set_drain_age(&mut core, migration_span);
     core.continue_drain(1);
     core.continue_drain(1);
     assert!((0..20).all(|id| commands.attempts_and_answers(id).1 == 1));
--- a/crates/balancer/src/core/endpoints.rs
+++ b/crates/balancer/src/core/endpoints.rs
@@ -375,7 +375,7 @@
     }
 
     pub(super) fn snapshots(&self, established: &BTreeMap<ServerId, usize>) -> Vec<ServerSnapshot> {
-        let row = |known: &KnownServer| ServerSnapshot {
+        let snapshot_of = |known: &KnownServer| ServerSnapshot {
             name: known.endpoint.name.to_string(),
             address: known.endpoint.address,
             zone: known.zone.clone(),
@@ -387,7 +387,7 @@
         self.servers
             .iter()
             .filter(|known| known.listed.state != ServerState::Removed)
-            .map(row)
+            .map(snapshot_of)
             .collect()
     }
 }
--- a/crates/balancer/src/core/handle.rs
+++ b/crates/balancer/src/core/handle.rs
@@ -114,7 +114,7 @@
         self.timeouts.slow_message_threshold()
     }
 
-    /// Counts a connection, unless there are `most` already.
+    /// Counts a connection, unless there are `max_connections` already.
     pub fn reserve_connection(&self, max_connections: usize) -> Option<ConnectionSlot> {
         let count_before = self.connections.fetch_add(1, Ordering::Relaxed);
         let slot = ConnectionSlot(Arc::clone(&self.connections));
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -151,13 +151,15 @@
 
     /// Waits for the next input or timer and handles it. Returns false once all senders are gone.
     fn run_once(&mut self, receiver: &CoreReceiver) -> bool {
-        let due = self
+        let next_timer_at = self
             .timers
             .peek()
             .map(|Reverse((at, ..))| self.clock.instant(*at));
-        let event = match due {
-            Some(due) if due <= Instant::now() => Err(RecvTimeoutError::Timeout),
-            Some(due) => receiver.inputs.recv_deadline(due),
+        let event = match next_timer_at {
+            Some(next_timer_at) if next_timer_at <= Instant::now() => {
+                Err(RecvTimeoutError::Timeout)
+            }
+            Some(next_timer_at) => receiver.inputs.recv_deadline(next_timer_at),
             None => receiver
                 .inputs
                 .recv()
@@ -193,11 +195,11 @@
     fn on_discovery(&mut self, event: DiscoveryEvent) {
         match event {
             DiscoveryEvent::List(list) => self.apply_list(list, false),
-            DiscoveryEvent::Failed(quiet) => {
-                self.on_discovery_lost(policy::ListUpdate::Failed(nanos(quiet)))
+            DiscoveryEvent::Failed(silence) => {
+                self.on_discovery_lost(policy::ListUpdate::Failed(nanos(silence)))
             }
-            DiscoveryEvent::TimedOut(quiet) => {
-                self.on_discovery_lost(policy::ListUpdate::TimedOut(nanos(quiet)))
+            DiscoveryEvent::TimedOut(silence) => {
+                self.on_discovery_lost(policy::ListUpdate::TimedOut(nanos(silence)))
             }
         }
     }
--- a/crates/balancer/src/core/overrides.rs
+++ b/crates/balancer/src/core/overrides.rs
@@ -95,7 +95,7 @@
     pub(super) fn on_overrides_timer(&mut self) {
         if self
             .overrides_timer_at
-            .is_some_and(|due| due <= self.clock.now())
+            .is_some_and(|timer_at| timer_at <= self.clock.now())
         {
             self.overrides_timer_at = None;
         }
@@ -169,7 +169,7 @@
         if let Some(next_change_at) = next_change_at
             && self
                 .overrides_timer_at
-                .is_none_or(|due| next_change_at < due)
+                .is_none_or(|timer_at| next_change_at < timer_at)
         {
             self.overrides_timer_at = Some(next_change_at);
             self.set_timer(
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -80,10 +80,10 @@
         &mut core,
         site(&[("chat", "retryable"), ("once", "fragile")], |_| {}),
     );
-    let before = Arc::clone(&core.active_settings);
+    let first_settings = Arc::clone(&core.active_settings);
     let (chat, once) = (
-        before.class("chat").expect("the class exists"),
-        before.class("once").expect("the class exists"),
+        first_settings.class("chat").expect("the class exists"),
+        first_settings.class("once").expect("the class exists"),
     );
     // The classes are in another order and have each other's effect.
     replace(
@@ -105,12 +105,12 @@
             "request {id} gets one final answer and no second attempt"
         );
     }
-    let now = Arc::clone(&core.active_settings);
+    let new_settings = Arc::clone(&core.active_settings);
     open_request_of_class(
         &mut core,
         &commands,
         3,
-        now.class("once").expect("the class exists"),
+        new_settings.class("once").expect("the class exists"),
     );
     core.handle_input(CoreInput::AttemptEnded {
         id: 3,
@@ -154,8 +154,8 @@
         open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT);
     }
     core.handle_input(CoreInput::AttemptEstablished(0));
-    let now = replace(&mut core, site(&[("other", "fragile")], |_| {}));
-    assert_eq!(now.class("chat"), None);
+    let new_settings = replace(&mut core, site(&[("other", "fragile")], |_| {}));
+    assert_eq!(new_settings.class("chat"), None);
     core.handle_input(CoreInput::AttemptEstablished(1));
     core.handle_input(CoreInput::AttemptEnded {
         id: 2,
@@ -201,8 +201,8 @@
             LONG_TIMEOUT,
         );
     }
-    let waiting = core.admission.queued();
-    assert_eq!(waiting, 30);
+    let queued = core.admission.queued();
+    assert_eq!(queued, 30);
     replace(
         &mut core,
         site(
@@ -212,7 +212,7 @@
     );
     assert_eq!(
         core.admission.queued(),
-        waiting,
+        queued,
         "no queued request is evicted"
     );
     assert!(
@@ -265,12 +265,12 @@
             core.handle_input(CoreInput::AttemptEstablished(id));
         }
     }
-    let of = |rest: u64| {
+    let admitted = |remainder: u64| {
         (100..200)
-            .filter(|id| id % 2 == rest && commands.attempts_and_answers(*id).0 == 1)
+            .filter(|id| id % 2 == remainder && commands.attempts_and_answers(*id).0 == 1)
             .count()
     };
-    let (acme, bright) = (of(0), of(1));
+    let (acme, bright) = (admitted(0), admitted(1));
     assert!(
         acme + bright >= 10 && acme * 4 <= bright,
         "{acme} requests of acme and {bright} of bright admitted"
@@ -325,9 +325,9 @@
 #[test]
 fn renumbers_zones_together_with_their_servers() {
     let (mut core, commands) = new_core();
-    let zones = |names: Value, own: u32| {
+    let zones = |names: Value, own_zone: u32| {
         move |site: &mut Value| {
-            (site["zones"], site["zone"]) = (names.clone(), json!(own));
+            (site["zones"], site["zone"]) = (names.clone(), json!(own_zone));
             site["prices"] = json!({"cross-zone": 1.0});
         }
     };
@@ -340,8 +340,8 @@
     let rows = [with_zone("s1", "west"), with_zone("s2", "east")].join(",");
     core.apply_list(list(&rows), false);
     let count = |commands: &CommandLog, ids: std::ops::Range<u64>, server: &str| {
-        let words = commands.as_text();
-        ids.filter(|id| words.contains(&format!("{id} StartAttempt to {server}\n")))
+        let text = commands.as_text();
+        ids.filter(|id| text.contains(&format!("{id} StartAttempt to {server}\n")))
             .count()
     };
     for id in 0..10 {
@@ -400,13 +400,13 @@
     let (mut core, commands) = new_core();
     open_request(&mut core, &commands, 0, "acme", LONG_TIMEOUT);
     core.handle_input(CoreInput::AttemptEstablished(0));
-    let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
+    let new_settings = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     core.restart_policy();
     open_request_of_class(
         &mut core,
         &commands,
         1,
-        now.class("once").expect("the class exists"),
+        new_settings.class("once").expect("the class exists"),
     );
     core.handle_input(CoreInput::AttemptEnded {
         id: 1,
@@ -436,7 +436,7 @@
     core.handle_input(CoreInput::AttemptEstablished(0));
     core.on_lifecycle_command(LifecycleCommand::EnterStandby)
         .expect("a serving process accepts the command");
-    let now = replace(&mut core, site(&[("once", "fragile")], |_| {}));
+    let new_settings = replace(&mut core, site(&[("once", "fragile")], |_| {}));
     assert_eq!(
         (
             commands.migration_count(0),
@@ -451,7 +451,7 @@
         &mut core,
         &commands,
         1,
-        now.class("once").expect("the class exists"),
+        new_settings.class("once").expect("the class exists"),
     );
     core.handle_input(CoreInput::AttemptEnded {
         id: 1,
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -20,9 +20,9 @@
     "policy-limits": {"max-attempts": 4, "retry-after": true, "max-retry-after-ns": 2000000000},
     "rules": {"cold-share": 0.2, "cold-ns": 20000000000, "tip-multiple": 3.0, "fall-ns": 1500000000}}"#;
 
-pub(super) fn list(text: &str) -> ServerList {
-    let rows = format!(r#"{{"generation":1,"reset":true,"instances":[{text}]}}"#);
-    serde_json::from_str(&rows).expect("valid list")
+pub(super) fn list(rows: &str) -> ServerList {
+    let json = format!(r#"{{"generation":1,"reset":true,"instances":[{rows}]}}"#);
+    serde_json::from_str(&json).expect("valid list")
 }
 
 pub(super) fn row(name: &str) -> String {
@@ -41,7 +41,7 @@
 ) -> (CoreHandle, Core, CoreReceiver) {
     let site = serde_json::from_str(SETTINGS).expect("valid settings");
     let (cached_list, discovery_polls) = (list(&row("s0")), crossbeam_channel::unbounded().0);
-    let start = CoreConfig {
+    let config = CoreConfig {
         name: "core",
         site,
         seed: 7,
@@ -53,7 +53,7 @@
         admission: Default::default(),
         fleet: None,
     };
-    build(start).expect("settings within their ranges")
+    build(config).expect("settings within their ranges")
 }
 
 /// Records the commands of all connections.
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -85,11 +85,10 @@
             Subject::SlowStartSends(server.name.to_string()),
             self.now_ms(),
         );
-        shared_gossip::lock(&self.gossip, |shared| {
-            let previous =
-                shared
-                    .knowledge
-                    .get(&subject, &shared.knowledge.origin().name.clone(), now);
+        shared_gossip::with_gossip(&self.gossip, |shared| {
+            let previous = shared
+                .facts
+                .get(&subject, &shared.facts.origin().name.clone(), now);
             let count_before = match previous.map(|fact| (fact.value, fact.observed_at)) {
                 Some((Value::SlowStartSends(previous), observed_at)) => {
                     previous
@@ -98,7 +97,7 @@
                 }
                 _ => 0.0,
             };
-            let _ = shared.knowledge.observe(
+            let _ = shared.facts.observe(
                 &subject,
                 &Value::SlowStartSends(count_before + 1.0),
                 EVIDENCE_TTL_MS,
@@ -109,7 +108,8 @@
 
     /// Estimates the clients of the whole fleet from this process's share.
     fn estimate_fleet_clients(&self) -> f64 {
-        self.established as f64 * shared_gossip::lock(&self.gossip, |shared| shared.members) as f64
+        self.established as f64
+            * shared_gossip::with_gossip(&self.gossip, |shared| shared.members) as f64
     }
 
     fn publish_placement(&mut self, placement: &Placement) {
@@ -138,9 +138,9 @@
             shared_gossip::custom_subject(kind, key, is_per_process),
             self.now_ms(),
         );
-        let result = shared_gossip::lock(&self.gossip, |shared| {
+        let result = shared_gossip::with_gossip(&self.gossip, |shared| {
             shared
-                .knowledge
+                .facts
                 .observe(&subject, &Value::Unknown(value), ttl_ms, now)
         });
         if let Err(error) = result {
@@ -186,13 +186,13 @@
             return;
         };
         let has_failed = !matches!(outcome, None | Some(AttemptOutcome::Served));
-        let is_published = shared_gossip::lock(&self.gossip, |shared| {
-            let knowledge = &mut shared.knowledge;
+        let is_published = shared_gossip::with_gossip(&self.gossip, |shared| {
+            let facts = &mut shared.facts;
             if has_failed {
-                return knowledge.record_placement_failure(key, ttl_ms, now).is_ok();
+                return facts.record_placement_failure(key, ttl_ms, now).is_ok();
             }
-            knowledge.failure_count(key, now) > 0
-                && knowledge.record_placement_success(key, ttl_ms, now).is_ok()
+            facts.failure_count(key, now) > 0
+                && facts.record_placement_success(key, ttl_ms, now).is_ok()
         });
         if is_published {
             self.membership.gossip_soon();
@@ -219,11 +219,10 @@
             Subject::ServerEvidence(server.name.to_string()),
             self.now_ms(),
         );
-        shared_gossip::lock(&self.gossip, |shared| {
-            let previous =
-                shared
-                    .knowledge
-                    .get(&subject, &shared.knowledge.origin().name.clone(), now);
+        shared_gossip::with_gossip(&self.gossip, |shared| {
+            let previous = shared
+                .facts
+                .get(&subject, &shared.facts.origin().name.clone(), now);
             let weight = match previous.map(|fact| (fact.value, fact.observed_at)) {
                 Some((
                     Value::ServerEvidence(ServerEvidence {
@@ -242,7 +241,7 @@
                 }
                 _ => 1.0,
             };
-            let _ = shared.knowledge.observe(
+            let _ = shared.facts.observe(
                 &subject,
                 &Value::ServerEvidence(ServerEvidence { observed, weight }),
                 EVIDENCE_TTL_MS,
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -120,8 +120,8 @@
             Subject::ListVersion => summary.has_list_position = true,
             Subject::PlacementFailures(key) => {
                 let (key, now) = (*key, self.now_ms());
-                let count = shared_gossip::lock(&self.gossip, |shared| {
-                    shared.knowledge.failure_count(key, now)
+                let count = shared_gossip::with_gossip(&self.gossip, |shared| {
+                    shared.facts.failure_count(key, now)
                 });
                 self.core
                     .send(CoreInput::Fleet(FleetEvent::FailuresCounted(key, count)));
@@ -133,8 +133,8 @@
     /// Adopts the list epoch that the peers know, where this process had none of its own.
     fn adopt_list_epoch(&mut self) {
         let now = self.now_ms();
-        let position = shared_gossip::lock(&self.gossip, |shared| {
-            shared.knowledge.reassess_list(LIST_TTL_MS, now)
+        let position = shared_gossip::with_gossip(&self.gossip, |shared| {
+            shared.facts.reassess_list(LIST_TTL_MS, now)
         });
         self.list_position = position
             .filter(|_| self.list_position.is_some())
@@ -172,8 +172,8 @@
             PeerEvent::IncarnationRaised(incarnation) => {
                 self.incarnation = incarnation;
                 self.status.incarnation = incarnation;
-                shared_gossip::lock(&self.gossip, |shared| {
-                    shared.knowledge.set_incarnation(incarnation)
+                shared_gossip::with_gossip(&self.gossip, |shared| {
+                    shared.facts.set_incarnation(incarnation)
                 });
             }
             PeerEvent::Up(_) | PeerEvent::Restarted { .. } | PeerEvent::Changed { .. } => {
--- a/crates/balancer/src/fleet/periodic.rs
+++ b/crates/balancer/src/fleet/periodic.rs
@@ -30,7 +30,7 @@
             self.publish_status_at = self.now.saturating_add(STATUS_PUBLISH_INTERVAL_NS);
             self.publish_status();
             let now = self.now_ms();
-            shared_gossip::lock(&self.gossip, |shared| shared.knowledge.expire(now));
+            shared_gossip::with_gossip(&self.gossip, |shared| shared.facts.expire(now));
         }
         if self.now >= self.update_status_at {
             self.update_status_at = self.now.saturating_add(STATUS_UPDATE_INTERVAL_NS);
@@ -57,7 +57,7 @@
             serving_time: self
                 .serving_started_at
                 .map(|since| self.now.saturating_sub(since)),
-            is_in_full_service: self.serves_in_full,
+            is_in_full_service: self.is_in_full_service,
             wall_clock: recovery.is_clock_reliable().then(wall_clock_ms),
             previous_clients: recovery.previous_clients(),
             deferred_per_s: recovery.deferred_per_s(),
@@ -99,9 +99,9 @@
         self.status.processes = (self.membership.members().len() + 1, self.config.size);
         self.status.recovery = self.recovery.describe();
         let now = self.now_ms();
-        self.status.failing_clients = shared_gossip::lock(&self.gossip, |shared| {
+        self.status.failing_clients = shared_gossip::with_gossip(&self.gossip, |shared| {
             let keys = shared
-                .knowledge
+                .facts
                 .iter(FactKind::PlacementFailures, now)
                 .filter_map(|fact| match fact.subject {
                     Subject::PlacementFailures(key) => Some(key),
@@ -109,7 +109,7 @@
                 });
             let keys: BTreeSet<u64> = keys.collect();
             keys.into_iter()
-                .filter(|key| shared.knowledge.failure_count(*key, now) > 0)
+                .filter(|key| shared.facts.failure_count(*key, now) > 0)
                 .count()
         });
         self.status.uplink = self
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -120,14 +120,14 @@
         } else {
             self.serving_started_at.or(Some(self.now))
         };
-        self.serves_in_full = mode == recovery::ServiceMode::Full;
+        self.is_in_full_service = mode == recovery::ServiceMode::Full;
         if is_recovering != self.is_recovering {
             self.is_recovering = is_recovering;
             self.core
                 .send(CoreInput::Fleet(FleetEvent::Recovering(is_recovering)));
         }
         let is_admission_staged =
-            self.config.clients_per_server_s.is_some() && !self.serves_in_full;
+            self.config.clients_per_server_s.is_some() && !self.is_in_full_service;
         if is_admission_staged != self.is_admission_staged {
             self.is_admission_staged = is_admission_staged;
             self.core.send(CoreInput::Fleet(FleetEvent::StagedAdmission(
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -78,8 +78,8 @@
             is_complete: true,
         };
         let now = self.now_ms();
-        let position = shared_gossip::lock(&self.gossip, |shared| {
-            shared.knowledge.record_list(announcement, LIST_TTL_MS, now)
+        let position = shared_gossip::with_gossip(&self.gossip, |shared| {
+            shared.facts.record_list(announcement, LIST_TTL_MS, now)
         });
         position.map_or(0, |position| position.incarnation)
     }
@@ -98,12 +98,12 @@
             self.send_placements_to_core(placements);
             placements
                 .iter()
-                .for_each(|placement| self.recall_placement(placement));
+                .for_each(|placement| self.republish_placement(placement));
         }
     }
 
     /// Publishes a stored placement to peers that remember none.
-    fn recall_placement(&self, placement: &Placement) {
+    fn republish_placement(&self, placement: &Placement) {
         let retention = millis(self.config.affinity.retention);
         let subject = shared_gossip::custom_subject(
             shared_gossip::PLACEMENT_FACT,
@@ -115,8 +115,8 @@
             u64::from(placement.seen_s) * 1_000,
         );
         // Expired or superseded placements are refused.
-        let _ = shared_gossip::lock(&self.gossip, |shared| {
-            shared.knowledge.restore_observation(
+        let _ = shared_gossip::with_gossip(&self.gossip, |shared| {
+            shared.facts.restore_observation(
                 &subject,
                 &value,
                 retention,
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -40,8 +40,8 @@
             digest: list_digest(&snapshot),
             is_complete: list.reset,
         };
-        let position = shared_gossip::lock(&self.gossip, |shared| {
-            shared.knowledge.record_list(announcement, LIST_TTL_MS, now)
+        let position = shared_gossip::with_gossip(&self.gossip, |shared| {
+            shared.facts.record_list(announcement, LIST_TTL_MS, now)
         })
         .ok();
         self.list_position = position.or(self.list_position);
@@ -63,7 +63,7 @@
 
     pub(super) fn publish_entries(&self, position: ListPosition, entries: &[ListedServer]) {
         let now = self.now_ms();
-        shared_gossip::lock(&self.gossip, |shared| {
+        shared_gossip::with_gossip(&self.gossip, |shared| {
             for server in entries {
                 let value = Value::ServerEntry(GossipEntry {
                     position,
@@ -79,7 +79,7 @@
                     started_at_ms: server.started_at_ms,
                     machine_type: server.machine_type.clone(),
                 });
-                let _ = shared.knowledge.observe(
+                let _ = shared.facts.observe(
                     &Subject::ServerEntry(server.instance_id.clone()),
                     &value,
                     LIST_TTL_MS,
@@ -109,15 +109,15 @@
         }
         let now = self.now_ms();
         let entries =
-            shared_gossip::lock(&self.gossip, |shared| shared.knowledge.server_entries(now));
+            shared_gossip::with_gossip(&self.gossip, |shared| shared.facts.server_entries(now));
         let latest = entries
             .iter()
             .map(|(_, entry)| entry.position)
             .max()
             .unwrap_or_default();
         for (name, entry) in entries {
-            let listed_server = listed(name.clone(), &entry, self.servers.get(&name));
-            self.servers.insert(name, listed_server);
+            let server = listed_server(name.clone(), &entry, self.servers.get(&name));
+            self.servers.insert(name, server);
         }
         let ListPosition {
             incarnation,
@@ -134,7 +134,7 @@
 }
 
 /// A server from a peer's entry. The address known here has precedence over the peer's.
-fn listed(name: String, entry: &GossipEntry, own: Option<&ListedServer>) -> ListedServer {
+fn listed_server(name: String, entry: &GossipEntry, own: Option<&ListedServer>) -> ListedServer {
     ListedServer {
         instance_id: name,
         host_port: own.and_then(|own| own.host_port).or(entry.address),
@@ -175,7 +175,7 @@
 
 /// A digest of a list without addresses.
 pub(super) fn list_digest(list: &ServerList) -> u64 {
-    let row = |server: &ListedServer| {
+    let describe = |server: &ListedServer| {
         format!(
             "{:?} {:?} {:?} {} {:?} {} {}\n",
             server.instance_id,
@@ -187,5 +187,5 @@
             server.started_at_ms
         )
     };
-    beaconflow_settings::digest(&list.instances.iter().map(row).collect::<String>())
+    beaconflow_settings::digest(&list.instances.iter().map(describe).collect::<String>())
 }
--- a/crates/balancer/src/fleet/setup.rs
+++ b/crates/balancer/src/fleet/setup.rs
@@ -261,7 +261,7 @@
             now,
             started_at: now,
             serving_started_at: None,
-            serves_in_full: false,
+            is_in_full_service: false,
             settling: None,
             is_settled: false,
             is_recovering: true,
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -22,7 +22,7 @@
 
 /// The gossip state, with the receiver of the changes that peers made to it.
 pub(super) struct SharedGossip {
-    pub(super) knowledge: FactStore,
+    pub(super) facts: FactStore,
     changes: Sender<Vec<FactChange>>,
     /// Number of processes in the fleet, including this one.
     pub(super) members: usize,
@@ -31,12 +31,9 @@
 }
 
 impl SharedGossip {
-    pub(super) fn shared(
-        knowledge: FactStore,
-        changes: Sender<Vec<FactChange>>,
-    ) -> SharedGossipHandle {
+    pub(super) fn shared(facts: FactStore, changes: Sender<Vec<FactChange>>) -> SharedGossipHandle {
         Arc::new(Mutex::new(SharedGossip {
-            knowledge,
+            facts,
             changes,
             members: 1,
             unreadable: 0,
@@ -45,7 +42,7 @@
 }
 
 /// Runs code on the state. A poisoned lock is ignored: the state is valid between any two calls.
-pub(super) fn lock<T>(
+pub(super) fn with_gossip<T>(
     shared: &SharedGossipHandle,
     action: impl FnOnce(&mut SharedGossip) -> T,
 ) -> T {
@@ -54,15 +51,15 @@
 
 impl Payload for SharedGossip {
     fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
-        self.knowledge.gossip_payload(room, now)
+        self.facts.gossip_payload(room, now)
     }
 
     fn summary(&mut self, room: usize, _: Millis) -> Vec<u8> {
-        self.knowledge.summary(room)
+        self.facts.summary(room)
     }
 
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
-        self.knowledge
+        self.facts
             .answer_summary(summary, room, most, now)
             .unwrap_or_else(|_| {
                 self.unreadable += 1;
@@ -71,7 +68,7 @@
     }
 
     fn receive(&mut self, from: &Member, bytes: &[u8], now: Millis) {
-        match self.knowledge.merge_packet(bytes, now) {
+        match self.facts.merge_packet(bytes, now) {
             Ok(changes) if changes.is_empty() => {}
             // A fleet thread that has stopped has logged that.
             Ok(changes) => drop(self.changes.send(changes)),
@@ -86,7 +83,7 @@
 
     fn set_member_count(&mut self, count: usize) {
         self.members = count;
-        self.knowledge.set_member_count(count);
+        self.facts.set_member_count(count);
     }
 }
 
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -83,7 +83,7 @@
     }
 
     /// The assessments for the core, if they changed. While the site is isolated all servers are
-    /// assessed, and `unproven` is the reason to skip one without recent evidence of health.
+    /// assessed, and `unproven_reason` is the reason to skip one without recent evidence of health.
     /// Afterwards only servers assessed before are, until they match the list.
     pub(super) fn assess(
         &mut self,
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -76,7 +76,7 @@
     pub(super) now: u64,
     pub(super) started_at: u64,
     pub(super) serving_started_at: Option<u64>,
-    pub(super) serves_in_full: bool,
+    pub(super) is_in_full_service: bool,
     /// While the site's peers report: the end if nothing new arrives, and the end at the latest.
     pub(super) settling: Option<(u64, u64)>,
     /// Whether the site's peers have reported.
@@ -137,13 +137,13 @@
 
     /// Time until the next task is due.
     fn wait(&self) -> Duration {
-        let due = [
+        let next_due_at = [
             self.recovery.next(),
-            self.settling.map(|(at, _)| at),
+            self.settling.map(|(due_at, _)| due_at),
             Some(self.publish_status_at),
         ];
-        let due = due.into_iter().flatten().min().unwrap_or(u64::MAX);
-        Duration::from_nanos(due.saturating_sub(self.now)).min(MAX_WAIT)
+        let next_due_at = next_due_at.into_iter().flatten().min().unwrap_or(u64::MAX);
+        Duration::from_nanos(next_due_at.saturating_sub(self.now)).min(MAX_WAIT)
     }
 
     /// The present time, in milliseconds.
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -199,7 +199,8 @@
         }
     }
 
-    /// Handles timeouts. `others` are the present processes of other sites.
+    /// Handles timeouts. `members_of_other_sites` are the processes present at
+    /// other sites.
     pub(super) fn on_timer(
         &mut self,
         now: Millis,
