--- a/crates/balancer/src/core/decisions.rs
+++ b/crates/balancer/src/core/decisions.rs
@@ -167,10 +167,7 @@
     /// Replaces a policy that panicked. The new one adopts established connections; requests in
     /// flight get their final answer.
     pub(super) fn restart_policy(&mut self) {
-        error!(
-            part = self.name,
-            "policy panicked and was replaced by a new instance"
-        );
+        error!(part = self.name, "policy panicked; starting a new instance");
         self.seed = self.seed.wrapping_add(1);
         let Ok(balancer) = Balancer::new(self.settings.clone(), self.seed) else {
             return;
