--- a/crates/balancer/src/connections/event_loop/connection.rs
+++ b/crates/balancer/src/connections/event_loop/connection.rs
@@ -352,7 +352,9 @@
             AttemptError::NotServed(ServerAnswer::Redirected)
                 | AttemptError::ConnectionEnded(ConnectionEnd::Redirected)
         ) {
-            context.core.send(CoreInput::ServerSentAway(self.id));
+            context
+                .core
+                .send(CoreInput::ServerRedirectedClient(self.id));
         }
         context.core.send(CoreInput::AttemptEnded {
             id: self.id,
--- a/crates/balancer/src/core/attempts.rs
+++ b/crates/balancer/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! What became of attempts, connections and lists, for the policy and for people.
+//! Results of attempts, measurements of connections and server lists, for the policy and the log.
 
 use std::time::Duration;
 
@@ -18,36 +18,36 @@
 const SLOW_REPORT_INTERVAL: Nanos = 1_000_000_000;
 
 impl Core {
-    pub(super) fn apply_list(&mut self, list: ServerList, known: bool) {
+    pub(super) fn apply_list(&mut self, list: ServerList, is_cached: bool) {
         let (count, reset, generation) = (list.instances.len(), list.reset, list.generation);
         for listed in &list.instances {
-            debug!(part = self.name, entry = ?listed, "listed");
+            debug!(part = self.name, entry = ?listed, "server listed");
         }
-        self.publish(|_| Some(CoreEvent::ListApplied(list.clone(), known)));
+        self.publish(|_| Some(CoreEvent::ListApplied(list.clone(), is_cached)));
         let entries = self.endpoints.apply_list(list, self.now_ms(), |zone| {
-            self.in_force.site_settings().zone(zone)
+            self.active_settings.site_settings().zone(zone)
         });
-        let update = match (known, reset) {
+        let update = match (is_cached, reset) {
             (true, _) => policy::ListUpdate::Cached,
             (false, true) => policy::ListUpdate::Snapshot,
             (false, false) => policy::ListUpdate::Delta,
         };
-        info!(part = self.name, generation, kind = ?update, entries = count, "list applied");
+        info!(part = self.name, generation, kind = ?update, entries = count, "server list applied");
         self.run_policy(policy::Event::ServerList { update, entries });
         self.record_server_starts();
         self.apply_overrides();
         // An empty default list says nothing about the servers.
-        if !known || count > 0 {
-            // The program's own commands are never refused.
+        if !is_cached || count > 0 {
+            // Only commands of operators can be refused.
             let _ = self.on_lifecycle_command(LifecycleCommand::ServersKnown);
         }
     }
 
-    /// The watch ended; the policy decides when to ask again.
-    pub(super) fn on_list_lost(&mut self, kind: policy::ListUpdate) {
+    /// The watch ended; the policy decides when to poll again.
+    pub(super) fn on_discovery_lost(&mut self, update: policy::ListUpdate) {
         self.publish(|_| Some(CoreEvent::DiscoveryLost));
         self.run_policy(policy::Event::ServerList {
-            update: kind,
+            update,
             entries: Vec::new(),
         });
     }
@@ -64,7 +64,7 @@
         else {
             return;
         };
-        debug!(part = self.name, request = id, was_resuming, took = ?Duration::from_nanos(elapsed), "established");
+        debug!(part = self.name, request = id, was_resuming, took = ?Duration::from_nanos(elapsed), "connection established");
         if was_resuming {
             let Some(request) = self.requests.renumber_attempt(id) else {
                 return;
@@ -100,7 +100,7 @@
                 .get(id)
                 .and_then(|request_state| request_state.request.resumed_server.as_deref());
             let name = name.unwrap_or_default();
-            warn!(part = self.name, server = name, how = ?outcome, "resumed connection not established");
+            warn!(part = self.name, server = name, how = ?outcome, "resuming a connection failed; it will be retried");
             // A server may be unreachable while this balancer starts.
             return self.set_timer(RESUME_RETRY_INTERVAL, TimerKind::ResumeConnection(id));
         }
@@ -120,13 +120,18 @@
         let Some((attempt, server)) = self.requests.established_attempt(id) else {
             return;
         };
-        debug!(part = self.name, request = id, ?metric, "measured");
+        debug!(
+            part = self.name,
+            request = id,
+            ?metric,
+            "connection measured"
+        );
         if let ConnectionMetric::MessageLatency(delay) = metric {
-            let slow = Duration::from_nanos(delay) >= self.timeouts.slow();
+            let is_slow = Duration::from_nanos(delay) >= self.timeouts.slow_message_threshold();
             if !self.endpoints.should_report_latency(
                 server,
                 self.clock.now(),
-                slow,
+                is_slow,
                 SLOW_REPORT_INTERVAL,
             ) {
                 return;
@@ -140,20 +145,20 @@
     }
 
     pub(super) fn snapshot(&self) -> CoreSnapshot {
-        let standing = self.requests.established_by_server();
+        let established = self.requests.established_by_server();
         CoreSnapshot {
             counts: self.requests.counts.clone(),
             open_requests: self.requests.len(),
-            established: standing.values().sum(),
-            servers: self.endpoints.snapshots(&standing),
+            established: established.values().sum(),
+            servers: self.endpoints.snapshots(&established),
             coverage: self.coverage.clone(),
             queued: self.admission.queued(),
             has_lost_overrides: self.has_lost_overrides,
         }
     }
 
-    pub(super) fn log_counts(&self, look: &CoreSnapshot) {
-        let counts = &look.counts;
+    pub(super) fn log_counts(&self, snapshot: &CoreSnapshot) {
+        let counts = &snapshot.counts;
         let [
             ok,
             error,
@@ -166,9 +171,9 @@
         ] = counts.outcomes;
         info!(
             part = self.name,
-            open = look.open_requests,
-            waiting = look.queued,
-            standing = look.established,
+            open = snapshot.open_requests,
+            waiting = snapshot.queued,
+            standing = snapshot.established,
             opened = counts.opened,
             adopted = counts.adopted,
             served = counts.served,
@@ -186,7 +191,7 @@
             reset,
             cancelled,
             not_sent,
-            "counts"
+            "request counters"
         );
     }
 }
--- a/crates/balancer/src/core/connect.rs
+++ b/crates/balancer/src/core/connect.rs
@@ -1,4 +1,4 @@
-//! New requests: each is registered and goes to the policy, or back to the server that held it.
+//! New requests: each is registered and goes to the policy, or resumes its connection.
 
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 };
 
 impl Core {
-    /// Registers a request. One that held a connection before the start goes to its server without
-    /// a decision of the policy.
+    /// Registers a request. One that held a connection before the start resumes it at its server
+    /// without a decision of the policy.
     pub(super) fn on_connect_requested(
         &mut self,
         id: u64,
         client_request: ClientRequest,
         commands: Arc<dyn CommandSender>,
     ) {
-        let held = client_request.resumed_server.is_some();
+        let is_resumed = client_request.resumed_server.is_some();
         let now = self.now_ms();
         let pin = self
             .with_overrides(|core| {
@@ -29,7 +29,7 @@
                     .pin(client_request.group, client_request.tenant, now)
             })
             .flatten();
-        let affinity_pin = if held || pin.is_some() {
+        let affinity_pin = if is_resumed || pin.is_some() {
             None
         } else {
             self.affinity_pin(id, &client_request)
@@ -40,7 +40,7 @@
         let entry = self
             .admission
             .entry(id, &client_request, deadline_at, self.clock.now());
-        if !held {
+        if !is_resumed {
             self.admission
                 .count_request(self.clock.now(), &client_request, &entry);
         }
@@ -51,7 +51,7 @@
         if !self.accepts_new_requests() {
             // A connection placed now would have to be migrated at once.
             self.send_final_answer(id, ConnectionCommand::Reject(None));
-        } else if held {
+        } else if is_resumed {
             self.resume_connection(id);
         } else if !self.request_staged_admission(id) {
             self.run_policy(policy::Event::ConnectRequested(connect_request));
@@ -69,7 +69,7 @@
             again = client_request.is_reconnect,
             held_by = client_request.resumed_server.as_deref(),
             patience_ms = client_request.client_timeout.as_millis(),
-            "opened"
+            "request opened"
         );
     }
 
@@ -90,7 +90,7 @@
         self.requests
             .open(id, client_request, commands, (None, None), entry);
         let Some((server, _)) = self.endpoints.by_name(server) else {
-            self.migrate(id, "its server is not known here");
+            self.migrate(id, "the server is not in the list of this process");
             return drop(self.requests.close(id));
         };
         if let Some(request) = self.requests.adopt(id, server) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sends a connection from before the start back to its server.
+    /// Starts an attempt to resume a connection from before the start.
     pub(super) fn resume_connection(&mut self, id: u64) {
         let Some(request_state) = self.requests.get(id) else {
             return;
--- a/crates/balancer/src/core/drain.rs
+++ b/crates/balancer/src/core/drain.rs
@@ -7,7 +7,7 @@
 use beaconflow_policy::Nanos;
 use tracing::info;
 
-use super::lifecycle::{CommandRefused, LifecycleCommand, LifecycleState};
+use super::lifecycle::{CommandRefusedError, LifecycleCommand, LifecycleState};
 use super::requests::RequestPhase;
 use super::{ConnectionCommand, Core, TimerKind};
 
@@ -24,9 +24,10 @@
 const HANDSHAKE_MARGIN: Duration = Duration::from_millis(400);
 /// New requests are served for this fraction of the migration span.
 const ACCEPT_FRACTION: f64 = 5.0 / 9.0;
-/// They are served for at least this long: a load balancer in front keeps sending for 0.2 to 0.4 s.
+/// New requests are served for at least this long: a load balancer in front keeps sending for 0.2
+/// to 0.4 s.
 const MIN_ACCEPT_SPAN: Duration = Duration::from_millis(500);
-/// A process that shuts down stays at least this long, for new requests.
+/// A process that shuts down runs at least this long, to serve new requests.
 const MIN_SHUTDOWN_SPAN: Duration = Duration::from_millis(700);
 /// Interval of the checks of a shutdown's progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -43,14 +44,14 @@
 /// Schedule of a drain, with spans from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DrainSchedule {
-    /// New requests are served and later migrated.
+    /// New requests are served during this span and migrated later.
     accept: Duration,
     /// Migrations are spread over this span; open requests get their final answer at its end.
     /// Clients that reconnect together would overload the servers.
     migrate: Duration,
-    /// Handshakes are read.
+    /// Handshakes are read until the end of this span.
     handshakes: Duration,
-    /// The process exits by then.
+    /// The process exits at the end of this span at the latest.
     exit: Duration,
 }
 
@@ -75,7 +76,7 @@
     pub(super) fn on_lifecycle_command(
         &mut self,
         command: LifecycleCommand,
-    ) -> Result<LifecycleState, CommandRefused> {
+    ) -> Result<LifecycleState, CommandRefusedError> {
         let before = self.lifecycle.state();
         let after = self.lifecycle.apply(command)?;
         if after == before {
@@ -88,7 +89,7 @@
             from = before.name(),
             to = after.name(),
             clients = self.requests.len(),
-            "state"
+            "lifecycle state changed"
         );
         match after {
             LifecycleState::Standby | LifecycleState::ShuttingDown => self.begin_drain(),
@@ -106,24 +107,24 @@
             started_at: self.clock.now(),
             schedule,
         });
-        let standing: Vec<u64> = self.requests.migratable().map(|(id, _)| id).collect();
-        let count = u32::try_from(standing.len().max(1)).unwrap_or(u32::MAX);
-        for (at, id) in (0..).zip(standing) {
+        let migratable: Vec<u64> = self.requests.migratable().map(|(id, _)| id).collect();
+        let count = u32::try_from(migratable.len().max(1)).unwrap_or(u32::MAX);
+        for (index, id) in (0..).zip(migratable) {
             self.offer_handover(id);
             self.set_timer(
-                schedule.migrate * at / count,
+                schedule.migrate * index / count,
                 TimerKind::DrainMigration(self.drains, id),
             );
         }
-        let looks_after = if self.lifecycle.state() == LifecycleState::ShuttingDown {
+        let first_check_after = if self.lifecycle.state() == LifecycleState::ShuttingDown {
             CHECK_INTERVAL
         } else {
             schedule.migrate
         };
-        self.set_timer(looks_after, TimerKind::DrainProgress(self.drains));
+        self.set_timer(first_check_after, TimerKind::DrainProgress(self.drains));
     }
 
-    /// A process on standby is not killed and takes its time whatever the deadlines are.
+    /// A process on standby is not killed, so its schedule does not depend on the deadlines.
     fn drain_schedule(&self) -> DrainSchedule {
         if self.lifecycle.state() != LifecycleState::ShuttingDown {
             return DrainSchedule::for_deadline(LONGEST_DEADLINE);
@@ -162,7 +163,7 @@
     /// Migrates a client unless the drain was reverted.
     pub(super) fn migrate_in_drain(&mut self, number: u64, id: u64) {
         if self.drain.is_some_and(|drain| drain.number == number) {
-            self.migrate(id, "this balancer drains");
+            self.migrate(id, "this process is draining");
         }
     }
 
@@ -185,8 +186,8 @@
 
     /// Sends the final answer to requests that wait or are in flight.
     pub(super) fn answer_pending_requests(&mut self) {
-        for (id, place) in self.requests.phases() {
-            if !matches!(place, RequestPhase::Established(_)) {
+        for (id, phase) in self.requests.phases() {
+            if !matches!(phase, RequestPhase::Established(_)) {
                 self.give_up_on(id);
             }
         }
@@ -204,13 +205,13 @@
         else {
             return false;
         };
-        let left_for = self.drain_age(drain);
+        let drain_age = self.drain_age(drain);
         let is_empty = || {
             self.requests.len() == 0
                 && self.lifecycle_view.handshakes() == 0
                 && self.connections.load(Ordering::Relaxed) == 0
         };
-        left_for >= drain.schedule.exit || left_for >= MIN_SHUTDOWN_SPAN && is_empty()
+        drain_age >= drain.schedule.exit || drain_age >= MIN_SHUTDOWN_SPAN && is_empty()
     }
 }
 
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: one thread that owns the policy, the clock, the timers and the request table.
 //!
-//! It knows no wire and touches no socket. Inputs arrive over one channel; commands leave by the
-//! [`CommandSender`] of the connection that they concern.
+//! It is independent of wire protocols and sockets. Inputs arrive over one channel; commands leave
+//! by the [`CommandSender`] of the connection that they concern.
 
 mod admission;
 mod affinity;
@@ -70,7 +70,7 @@
 const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval of the check for accounts over their quota.
 const OVER_QUOTA_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection from before the start is retried after this span.
+/// Time between two attempts to resume a connection from before the start.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout of one attempt to resume a connection.
 const RESUME_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -93,20 +93,20 @@
     Overrides,
     /// Connections are migrated off servers taken out of service.
     EmptyServers,
-    /// A deferred call to discovery may be due.
+    /// A deferred poll of discovery may be due.
     DiscoveryPoll,
     /// Placements are published again.
     AffinityRefresh,
-    /// Recovery has taken as long as it may.
+    /// Recovery has reached its timeout.
     RecoveryTimeout,
-    /// The recovery controller has not decided on a request.
+    /// The recovery controller has not decided on a request in time.
     StagedAdmissionTimeout(u64),
 }
 
 struct Core {
     name: &'static str,
-    /// The site's settings in effect, and what the policy has of them.
-    in_force: Arc<ActiveSettings>,
+    /// The site's settings in effect, and the policy's settings derived from them.
+    active_settings: Arc<ActiveSettings>,
     settings: Settings,
     seed: u64,
     clock: Clock,
@@ -130,7 +130,7 @@
     /// Number of drains so far.
     drains: u64,
     actions: Vec<Action>,
-    /// Servers that an operator is emptying, with the override that says so.
+    /// Servers that an operator is emptying, with the override that requires it.
     emptied_servers: BTreeMap<ServerId, (OverrideId, MigrationPacer)>,
     /// Zones that overrides leave without a ready server, when last logged.
     coverage: CoverageGaps,
@@ -151,13 +151,15 @@
 
     /// Waits for the next input or timer and handles it. Returns false once all senders are gone.
     fn run_once(&mut self, receiver: &CoreReceiver) -> bool {
-        let due = self
+        let next_timer_at = self
             .timers
             .peek()
             .map(|Reverse((at, ..))| self.clock.instant(*at));
-        let event = match due {
-            Some(due) if due <= Instant::now() => Err(RecvTimeoutError::Timeout),
-            Some(due) => receiver.inputs.recv_deadline(due),
+        let event = match next_timer_at {
+            Some(next_timer_at) if next_timer_at <= Instant::now() => {
+                Err(RecvTimeoutError::Timeout)
+            }
+            Some(next_timer_at) => receiver.inputs.recv_deadline(next_timer_at),
             None => receiver
                 .inputs
                 .recv()
@@ -193,11 +195,11 @@
     fn on_discovery(&mut self, event: DiscoveryEvent) {
         match event {
             DiscoveryEvent::List(list) => self.apply_list(list, false),
-            DiscoveryEvent::Failed(quiet) => {
-                self.on_list_lost(policy::ListUpdate::Failed(nanos(quiet)))
+            DiscoveryEvent::Failed(silence) => {
+                self.on_discovery_lost(policy::ListUpdate::Failed(nanos(silence)))
             }
-            DiscoveryEvent::TimedOut(quiet) => {
-                self.on_list_lost(policy::ListUpdate::TimedOut(nanos(quiet)))
+            DiscoveryEvent::TimedOut(silence) => {
+                self.on_discovery_lost(policy::ListUpdate::TimedOut(nanos(silence)))
             }
         }
     }
@@ -221,7 +223,7 @@
                 outcome,
                 duration,
             } => self.on_attempt_ended(id, outcome, duration),
-            CoreInput::ServerSentAway(id) => self.publish_server_draining(id),
+            CoreInput::ServerRedirectedClient(id) => self.publish_server_draining(id),
             CoreInput::ConnectionMeasured { id, metric } => self.on_connection_measured(id, metric),
             CoreInput::ClientLeft(id) | CoreInput::ConnectionPanicked(id) => {
                 self.on_client_left(id);
@@ -238,7 +240,7 @@
                 self.admission.configure(config);
                 self.grant_permits();
             }
-            CoreInput::SettingsReplaced(in_force) => self.replace_settings(in_force),
+            CoreInput::SettingsReplaced(active_settings) => self.replace_settings(active_settings),
             CoreInput::Fleet(event) => self.on_fleet_event(event),
             CoreInput::OverridesChanged { changes, reply } => {
                 self.on_overrides_changed(changes, reply);
@@ -262,7 +264,12 @@
     }
 
     fn on_probe_answered(&mut self, server: ServerId, answer: Option<ProbeAnswer>) {
-        debug!(part = self.name, server = server.0, ?answer, "probed");
+        debug!(
+            part = self.name,
+            server = server.0,
+            ?answer,
+            "server probed"
+        );
         let load = match answer {
             Some(ProbeAnswer::Load(load)) => Some(load),
             // A server that reports no load is not known to be overloaded.
@@ -272,8 +279,6 @@
         self.run_policy(policy::Event::ProbeAnswered { server, load });
     }
 
-    // ---- timers ----
-
     fn set_timer(&mut self, after: Duration, kind: TimerKind) {
         self.timers_set += 1;
         self.timers.push(Reverse((
--- a/crates/balancer/src/core/requests.rs
+++ b/crates/balancer/src/core/requests.rs
@@ -13,7 +13,7 @@
 use super::{ClientRequest, CommandSender, ConnectionCommand};
 use crate::clock::nanos;
 
-/// Where a request is.
+/// Phase of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestPhase {
     /// No attempt is in flight.
@@ -43,7 +43,7 @@
     may_have_executed: bool,
     /// Whether its client was or will be asked to migrate.
     is_migrating: bool,
-    /// The pin that the policy was last told of.
+    /// The pin last reported to the policy.
     pin: Option<Pin>,
     /// The pin by session affinity, where no operator's pin applies.
     affinity_pin: Option<Pin>,
@@ -125,14 +125,14 @@
         self.open.len()
     }
 
-    /// Sends a command. A request that is gone has reported its end or is about to.
-    pub(super) fn send_command(&mut self, id: u64, order: ConnectionCommand) {
+    /// Sends a command. A closed request is skipped: it has reported its end or is about to.
+    pub(super) fn send_command(&mut self, id: u64, command: ConnectionCommand) {
         if let Some(request_state) = self.open.get_mut(&id) {
-            if matches!(order, ConnectionCommand::Migrate) {
+            if matches!(command, ConnectionCommand::Migrate) {
                 self.counts.migrated += 1;
                 request_state.is_migrating = true;
             }
-            request_state.commands.send(id, order);
+            request_state.commands.send(id, command);
         }
     }
 
@@ -142,28 +142,29 @@
         &mut self,
         id: u64,
         server: ServerId,
-        order: ConnectionCommand,
+        command: ConnectionCommand,
         now: Nanos,
     ) -> Option<(Entry, Nanos)> {
         let request_state = self.open.get_mut(&id)?;
-        let first = (request_state.attempts == 0 && request_state.request.resumed_server.is_none())
-            .then(|| {
-                (
-                    request_state.entry,
-                    now.saturating_sub(request_state.request.received_at),
-                )
-            });
+        let first_attempt = (request_state.attempts == 0
+            && request_state.request.resumed_server.is_none())
+        .then(|| {
+            (
+                request_state.entry,
+                now.saturating_sub(request_state.request.received_at),
+            )
+        });
         request_state.attempted_at = now;
-        let held = request_state.request.resumed_server.is_some();
-        request_state.phase = if held {
+        let is_resumed = request_state.request.resumed_server.is_some();
+        request_state.phase = if is_resumed {
             RequestPhase::Resuming(server)
         } else {
             RequestPhase::InFlight(server)
         };
         request_state.attempts += 1;
         self.counts.attempts += 1;
-        self.send_command(id, order);
-        first
+        self.send_command(id, command);
+        first_attempt
     }
 
     /// Marks a request as expired in the admission queue.
@@ -282,10 +283,10 @@
             })
     }
 
-    /// Those of them at one server.
-    pub(super) fn migratable_at(&self, at: ServerId) -> impl Iterator<Item = u64> {
+    /// The migratable connections at one server, the oldest first.
+    pub(super) fn migratable_at(&self, server: ServerId) -> impl Iterator<Item = u64> {
         self.migratable()
-            .filter(move |(_, server)| *server == at)
+            .filter(move |(_, held_by)| *held_by == server)
             .map(|(id, _)| id)
     }
 
@@ -302,10 +303,10 @@
             ) {
                 continue;
             }
-            let now = pin(&request_state.request).or(request_state.affinity_pin);
-            if request_state.pin != now {
-                request_state.pin = now;
-                changed.push((*id, now));
+            let current_pin = pin(&request_state.request).or(request_state.affinity_pin);
+            if request_state.pin != current_pin {
+                request_state.pin = current_pin;
+                changed.push((*id, current_pin));
             }
         }
         changed
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -13,7 +13,7 @@
 use crate::core::AffinityEvent;
 use crate::discovery::{ListedServer, ServerList};
 
-/// Placements per message to the core, so that it stays responsive.
+/// Placements per message to the core, which must stay responsive.
 const PLACEMENTS_PER_MESSAGE: usize = 1_000;
 
 impl FleetThread {
@@ -33,7 +33,7 @@
             incarnation: self.incarnation,
             memory,
         });
-        // Peers without a list begin with it too; it does not count as discovery's.
+        // Peers without a list start from this one too; it does not count as discovery's.
         let validity = self.recovery.recovery().validity(RememberedKind::List);
         if let Some(position) = position.filter(|_| validity == Validity::Hint(1.0)) {
             let entries: Vec<ListedServer> = self.servers.values().cloned().collect();
@@ -42,7 +42,7 @@
         self.restore_placements(&restored.placements);
     }
 
-    /// The memory as the recovery state machine takes it, if the file has been written before.
+    /// The memory in the form of the recovery state machine, if it has been written before.
     fn recovery_memory(&self, restored: &RestoredMemory) -> Option<recovery::Memory> {
         let epoch = restored
             .list
@@ -78,8 +78,8 @@
             is_complete: true,
         };
         let now = self.now_ms();
-        let position = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.record_list(announcement, LIST_TTL_MS, now)
+        let position = shared_gossip::with_gossip(&self.gossip, |shared| {
+            shared.facts.record_list(announcement, LIST_TTL_MS, now)
         });
         position.map_or(0, |position| position.incarnation)
     }
@@ -92,35 +92,35 @@
         let is_valid = validity != Validity::Discarded;
         let count = placements.len();
         if count > 0 {
-            info!(part = "recovery", placements = count, taken = is_valid, verdict = ?validity, "placements of before");
+            info!(part = "recovery", placements = count, taken = is_valid, verdict = ?validity, "stored placements assessed");
         }
         if is_valid {
             self.send_placements_to_core(placements);
             placements
                 .iter()
-                .for_each(|placement| self.recall_placement(placement));
+                .for_each(|placement| self.republish_placement(placement));
         }
     }
 
     /// Publishes a stored placement to peers that remember none.
-    fn recall_placement(&self, placement: &Placement) {
+    fn republish_placement(&self, placement: &Placement) {
         let retention = millis(self.config.affinity.retention);
         let subject = shared_gossip::custom_subject(
             shared_gossip::PLACEMENT_FACT,
             placement.key.0.to_be_bytes().to_vec(),
             false,
         );
-        let (value, seen) = (
+        let (value, seen_at) = (
             Value::Unknown(records::encode_placement(placement)),
             u64::from(placement.seen_s) * 1_000,
         );
         // Expired or superseded placements are refused.
-        let _ = shared_gossip::lock(&self.gossip, |known| {
-            known.knowledge.restore_observation(
+        let _ = shared_gossip::with_gossip(&self.gossip, |shared| {
+            shared.facts.restore_observation(
                 &subject,
                 &value,
                 retention,
-                (seen.min(self.now_ms()), self.now_ms()),
+                (seen_at.min(self.now_ms()), self.now_ms()),
             )
         });
     }
@@ -128,6 +128,6 @@
     pub(super) fn send_placements_to_core(&self, placements: &[Placement]) {
         placements
             .chunks(PLACEMENTS_PER_MESSAGE)
-            .for_each(|some| self.send_affinity_event(AffinityEvent::Placements(some.to_vec())));
+            .for_each(|chunk| self.send_affinity_event(AffinityEvent::Placements(chunk.to_vec())));
     }
 }
--- a/crates/balancer/src/fleet/shared_gossip.rs
+++ b/crates/balancer/src/fleet/shared_gossip.rs
@@ -9,8 +9,7 @@
 
 use super::Millis;
 
-/// Fact kinds of this program, which the gossip crate carries unread. The numbers keep their
-/// meaning.
+/// Fact kinds that the gossip crate carries but does not interpret. The numbers keep their meaning.
 pub(super) const RECOVERY_STATUS_FACT: u32 = 101;
 pub(super) const PLACEMENT_FACT: u32 = 102;
 pub(super) const VERSION_FACT: u32 = 103;
@@ -21,9 +20,9 @@
 /// The gossip state, shared by the membership thread and the fleet thread.
 pub(super) type SharedGossipHandle = Arc<Mutex<SharedGossip>>;
 
-/// The gossip state, and who is told what peers added to it.
+/// The gossip state, with the receiver of the changes that peers made to it.
 pub(super) struct SharedGossip {
-    pub(super) knowledge: FactStore,
+    pub(super) facts: FactStore,
     changes: Sender<Vec<FactChange>>,
     /// Number of processes in the fleet, including this one.
     pub(super) members: usize,
@@ -32,12 +31,9 @@
 }
 
 impl SharedGossip {
-    pub(super) fn shared(
-        knowledge: FactStore,
-        changes: Sender<Vec<FactChange>>,
-    ) -> SharedGossipHandle {
+    pub(super) fn shared(facts: FactStore, changes: Sender<Vec<FactChange>>) -> SharedGossipHandle {
         Arc::new(Mutex::new(SharedGossip {
-            knowledge,
+            facts,
             changes,
             members: 1,
             unreadable: 0,
@@ -45,22 +41,25 @@
     }
 }
 
-/// The state is valid between any two calls.
-pub(super) fn lock<T>(shared: &SharedGossipHandle, act: impl FnOnce(&mut SharedGossip) -> T) -> T {
-    act(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
+/// Runs code on the state. A poisoned lock is ignored: the state is valid between any two calls.
+pub(super) fn with_gossip<T>(
+    shared: &SharedGossipHandle,
+    action: impl FnOnce(&mut SharedGossip) -> T,
+) -> T {
+    action(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 impl Payload for SharedGossip {
     fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
-        self.knowledge.gossip_payload(room, now)
+        self.facts.gossip_payload(room, now)
     }
 
     fn summary(&mut self, room: usize, _: Millis) -> Vec<u8> {
-        self.knowledge.summary(room)
+        self.facts.summary(room)
     }
 
     fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
-        self.knowledge
+        self.facts
             .answer_summary(summary, room, most, now)
             .unwrap_or_else(|_| {
                 self.unreadable += 1;
@@ -69,26 +68,26 @@
     }
 
     fn receive(&mut self, from: &Member, bytes: &[u8], now: Millis) {
-        match self.knowledge.merge_packet(bytes, now) {
+        match self.facts.merge_packet(bytes, now) {
             Ok(changes) if changes.is_empty() => {}
             // A fleet thread that has stopped has logged that.
             Ok(changes) => drop(self.changes.send(changes)),
             Err(error) => {
                 self.unreadable += 1;
                 if self.unreadable.is_power_of_two() {
-                    warn!(part = "peers", from = %from.name, why = %error, count = self.unreadable, "a packet was not read");
+                    warn!(part = "peers", from = %from.name, why = %error, count = self.unreadable, "gossip packet could not be decoded");
                 }
             }
         }
     }
 
-    fn set_member_count(&mut self, n: usize) {
-        self.members = n;
-        self.knowledge.set_member_count(n);
+    fn set_member_count(&mut self, count: usize) {
+        self.members = count;
+        self.facts.set_member_count(count);
     }
 }
 
-/// The subject of a fact of this program's own kinds.
+/// The subject of a fact of one of the kinds above.
 pub(super) fn custom_subject(kind: u32, key: Vec<u8>, is_per_process: bool) -> Subject {
     Subject::Unknown {
         kind,
@@ -97,7 +96,7 @@
     }
 }
 
-/// Kind, key and value of a fact, if it is of one of those kinds.
+/// Kind, key and value of a fact, if it is of one of the kinds above.
 pub(super) fn custom_fact(fact: &Fact) -> Option<(u32, &[u8], &[u8])> {
     match (&fact.subject, &fact.value) {
         (Subject::Unknown { kind, key, .. }, Value::Unknown(bytes)) => Some((*kind, key, bytes)),
@@ -105,15 +104,21 @@
     }
 }
 
-/// Bounds that leave room for so many placements.
-pub(super) fn bounds(most: usize, keep: Millis, seed: u64) -> beaconflow_gossip::Bounds {
+/// Bounds of the gossip state that leave room for `max_placements`.
+pub(super) fn bounds(
+    max_placements: usize,
+    max_lifetime_ms: Millis,
+    seed: u64,
+) -> beaconflow_gossip::Bounds {
     let mut bounds = beaconflow_gossip::Bounds {
         hash_seed: seed,
         ..Default::default()
     };
-    let own = bounds.of_kind_mut(FactKind::Unknown);
-    own.max_bytes = own.max_bytes.max(most.saturating_mul(BYTES_PER_PLACEMENT));
-    own.max_lifetime_ms = own.max_lifetime_ms.max(keep);
+    let custom = bounds.of_kind_mut(FactKind::Unknown);
+    custom.max_bytes = custom
+        .max_bytes
+        .max(max_placements.saturating_mul(BYTES_PER_PLACEMENT));
+    custom.max_lifetime_ms = custom.max_lifetime_ms.max(max_lifetime_ms);
     bounds
 }
 
--- a/crates/balancer/src/fleet/thread.rs
+++ b/crates/balancer/src/fleet/thread.rs
@@ -45,11 +45,11 @@
 }
 
 impl FleetReceiver {
-    /// The next input within a time.
-    fn next(&mut self, wait: Duration) -> FleetInput {
+    /// The next input, or [`FleetInput::TimedOut`] after `timeout`.
+    fn next(&mut self, timeout: Duration) -> FleetInput {
         // A closed channel is always ready and must not be polled again.
         select! {
-            recv(self.core_events) -> seen => seen.map_or(FleetInput::CoreStopped, FleetInput::Core),
+            recv(self.core_events) -> event => event.map_or(FleetInput::CoreStopped, FleetInput::Core),
             recv(self.gossip_changes) -> changes => changes.map_or(FleetInput::TimedOut, FleetInput::Gossip),
             recv(self.membership_events) -> event => event.map_or_else(
                 |_| {
@@ -65,7 +65,7 @@
                 },
                 FleetInput::Command,
             ),
-            default(wait) => FleetInput::TimedOut,
+            default(timeout) => FleetInput::TimedOut,
         }
     }
 }
@@ -76,7 +76,7 @@
     pub(super) now: u64,
     pub(super) started_at: u64,
     pub(super) serving_started_at: Option<u64>,
-    pub(super) serves_in_full: bool,
+    pub(super) is_in_full_service: bool,
     /// While the site's peers report: the end if nothing new arrives, and the end at the latest.
     pub(super) settling: Option<(u64, u64)>,
     /// Whether the site's peers have reported.
@@ -85,7 +85,7 @@
     pub(super) is_recovering: bool,
     /// Whether admission is staged.
     pub(super) is_admission_staged: bool,
-    /// The list as the core has it, by name.
+    /// The server list as the core has it, by name.
     pub(super) servers: BTreeMap<String, ListedServer>,
     pub(super) list_position: Option<beaconflow_gossip::ListPosition>,
     pub(super) established: usize,
@@ -115,17 +115,17 @@
     pub(super) fn run(mut self, restored: RestoredMemory, mut inputs: FleetReceiver) {
         self.restore(restored);
         if self.config.edge.mode != operator::EdgeMode::Automatic {
-            let word = self.config.edge.mode;
-            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, word));
+            let mode = self.config.edge.mode;
+            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, mode));
         }
         loop {
             self.now = self.clock.now();
             self.run_due_tasks();
-            let came = inputs.next(self.wait());
+            let input = inputs.next(self.wait());
             // The wait may have been long, and times must not go backwards between events.
             self.now = self.clock.now();
-            match came {
-                FleetInput::Core(seen) => self.on_core_event(seen),
+            match input {
+                FleetInput::Core(event) => self.on_core_event(event),
                 FleetInput::Gossip(changes) => self.on_gossip_changes(&changes),
                 FleetInput::Membership(event) => self.on_membership_event(event),
                 FleetInput::Command(command) => self.on_command(command),
@@ -137,13 +137,13 @@
 
     /// Time until the next task is due.
     fn wait(&self) -> Duration {
-        let due = [
+        let next_due_at = [
             self.recovery.next(),
-            self.settling.map(|(at, _)| at),
+            self.settling.map(|(due_at, _)| due_at),
             Some(self.publish_status_at),
         ];
-        let due = due.into_iter().flatten().min().unwrap_or(u64::MAX);
-        Duration::from_nanos(due.saturating_sub(self.now)).min(MAX_WAIT)
+        let next_due_at = next_due_at.into_iter().flatten().min().unwrap_or(u64::MAX);
+        Duration::from_nanos(next_due_at.saturating_sub(self.now)).min(MAX_WAIT)
     }
 
     /// The present time, in milliseconds.
@@ -154,16 +154,16 @@
     /// Reports something to the uplink monitor and executes its commands.
     pub(super) fn with_uplink(
         &mut self,
-        act: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::UplinkCommand>,
+        report_to: impl FnOnce(&mut Uplink, Millis) -> Vec<uplink::UplinkCommand>,
     ) {
         let now = self.now_ms();
         let Some(uplink) = &mut self.uplink else {
             return;
         };
-        let wanted = act(uplink, now);
-        let kept = uplink.persistent_state(now);
-        for one in wanted {
-            match one {
+        let commands = report_to(uplink, now);
+        let state = uplink.persistent_state(now);
+        for command in commands {
+            match command {
                 uplink::UplinkCommand::PauseDiscovery(span) => self
                     .core
                     .send(CoreInput::Fleet(FleetEvent::PauseDiscovery(span))),
@@ -173,39 +173,44 @@
                 uplink::UplinkCommand::PublishStatus => self.publish_status_at = self.now,
                 uplink::UplinkCommand::Persist => self
                     .memory
-                    .store(records::encode_uplink(kept.0, kept.1, now)),
+                    .store(records::encode_uplink(state.0, state.1, now)),
             }
         }
     }
 
-    pub(super) fn send_affinity_event(&self, news: AffinityEvent) {
-        self.core.send(CoreInput::Fleet(FleetEvent::Affinity(news)));
+    pub(super) fn send_affinity_event(&self, event: AffinityEvent) {
+        self.core
+            .send(CoreInput::Fleet(FleetEvent::Affinity(event)));
     }
 
     /// Handles a command.
     fn on_command(&mut self, command: FleetCommand) {
-        let file = match command {
-            FleetCommand::Reconfigure(file) => file,
+        let new_config = match command {
+            FleetCommand::Reconfigure(new_config) => new_config,
             FleetCommand::SetVersion(version) => {
                 self.version = version;
                 return self.adopt_version(self.config.affinity.serial);
             }
         };
-        if file.peers != self.config.peers {
-            info!(part = "peers", peers = ?file.peers, "other addresses are asked from now on");
-            self.membership.set_seeds(file.peers.clone());
+        if new_config.peers != self.config.peers {
+            info!(part = "peers", peers = ?new_config.peers, "seed addresses of the peers changed");
+            self.membership.set_seeds(new_config.peers.clone());
         }
-        if file.affinity.serial != self.config.affinity.serial {
-            self.adopt_version(file.affinity.serial);
+        if new_config.affinity.serial != self.config.affinity.serial {
+            self.adopt_version(new_config.affinity.serial);
         }
-        if file.edge.mode != self.config.edge.mode {
-            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, file.edge.mode));
+        if new_config.edge.mode != self.config.edge.mode {
+            self.with_uplink(|uplink, now| uplink.apply_operator_mode(now, new_config.edge.mode));
         }
         (
             self.config.peers,
             self.config.affinity.serial,
             self.config.edge.mode,
-        ) = (file.peers, file.affinity.serial, file.edge.mode);
+        ) = (
+            new_config.peers,
+            new_config.affinity.serial,
+            new_config.edge.mode,
+        );
     }
 
     /// Adopts the present version under the operator's serial number.
@@ -218,7 +223,10 @@
     /// Writes the memory and leaves the fleet after the core has stopped.
     fn shut_down(self) {
         if !self.memory.finish() {
-            warn!(part = "memory", "not all that was known is written");
+            warn!(
+                part = "memory",
+                "memory was not completely written before the exit"
+            );
         }
         self.membership.stop();
     }
--- a/crates/cli/tests/stories/power.rs
+++ b/crates/cli/tests/stories/power.rs
@@ -79,7 +79,7 @@
         .step("it is back, and lost again while everybody is still asking");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1", "b2", "b3", "b4"] {
-        fleet.wait_for_log(again, name, "part of a fleet");
+        fleet.wait_for_log(again, name, "fleet membership started");
     }
     fleet.kill(&ALL);
     let dark = fleet.record.step("and back");
@@ -217,7 +217,7 @@
     let dark = fleet.record.step("the power is back");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1"] {
-        fleet.wait_for_log(dark, name, "a file is not read");
+        fleet.wait_for_log(dark, name, "memory file can't be used");
     }
     all_stayed_since(&fleet, dark, &before);
     fleet.discovery.come_back();
