--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -68,10 +68,10 @@
                     continue;
                 }
             };
-            let before = self.requests.fetch_add(1, Ordering::Relaxed);
+            let active_requests = self.requests.fetch_add(1, Ordering::Relaxed);
             let admin = Arc::clone(self);
-            let run = move || {
-                let reply = if before < MAX_REQUESTS {
+            let handle = move || {
+                let reply = if active_requests < MAX_REQUESTS {
                     // A panic in one request must not use up its place for good.
                     catch_unwind(AssertUnwindSafe(|| admin.serve(&client))).unwrap_or_else(|_| {
                         Some(Reply::error(500, "a fault was met; it is in the log"))
@@ -87,7 +87,7 @@
             // The standard stack: hashing a password needs more than a connection's.
             if std::thread::Builder::new()
                 .name("admin".into())
-                .spawn(run)
+                .spawn(handle)
                 .is_err()
             {
                 self.requests.fetch_sub(1, Ordering::Relaxed);
@@ -106,50 +106,50 @@
     }
 
     fn answer(&self, request: &Request) -> Reply {
-        let known = request.token.as_deref().map(digest) == Some(self.token);
-        if !known {
+        let is_authorized = request.token.as_deref().map(digest) == Some(self.token);
+        if !is_authorized {
             return Reply::error(401, "a bearer token is needed");
         }
         let path = request.path.split('?').next().unwrap_or_default();
         let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let Some(call) = Call::of(&path) else {
+        let Some(resource) = Resource::parse(&path) else {
             return Reply::error(404, "no such path");
         };
-        let reply = match (call, request.method.as_str()) {
-            (Call::Tenants, "GET") => self.tenants().and_then(tenants::list),
-            (Call::Tenants, "POST") => self
+        let reply = match (resource, request.method.as_str()) {
+            (Resource::Tenants, "GET") => self.tenants().and_then(tenants::list),
+            (Resource::Tenants, "POST") => self
                 .tenants()
-                .and_then(|here| tenants::create(here, &request.body)),
-            (Call::Tenant(name), "GET") => {
-                self.tenants().and_then(|here| tenants::read(here, name))
-            }
-            (Call::Tenant(name), "PATCH") => self
+                .and_then(|context| tenants::create(context, &request.body)),
+            (Resource::Tenant(name), "GET") => self
                 .tenants()
-                .and_then(|here| tenants::change(here, name, &request.body)),
-            (Call::Tenant(name), "DELETE") => {
-                self.tenants().and_then(|here| tenants::remove(here, name))
-            }
-            (Call::Credentials(name), "PUT") => self
+                .and_then(|context| tenants::read(context, name)),
+            (Resource::Tenant(name), "PATCH") => self
+                .tenants()
+                .and_then(|context| tenants::change(context, name, &request.body)),
+            (Resource::Tenant(name), "DELETE") => self
+                .tenants()
+                .and_then(|context| tenants::remove(context, name)),
+            (Resource::Credentials(name), "PUT") => self
                 .tenants()
-                .and_then(|here| tenants::rotate(here, name, &request.body)),
-            (Call::Overrides, "GET") => Ok(overrides::list(&self.overrides)),
-            (Call::Overrides, "POST") => overrides::add(&self.overrides, request),
-            (Call::Override(id), "GET") => overrides::read(&self.overrides, id),
-            (Call::Override(id), "PATCH") => overrides::extend(&self.overrides, id, request),
-            (Call::Override(id), "DELETE") => overrides::remove(&self.overrides, id, request),
-            (Call::Counts, "GET") => servers::counts(
+                .and_then(|context| tenants::rotate(context, name, &request.body)),
+            (Resource::Overrides, "GET") => Ok(overrides::list(&self.overrides)),
+            (Resource::Overrides, "POST") => overrides::add(&self.overrides, request),
+            (Resource::Override(id), "GET") => overrides::read(&self.overrides, id),
+            (Resource::Override(id), "PATCH") => overrides::extend(&self.overrides, id, request),
+            (Resource::Override(id), "DELETE") => overrides::remove(&self.overrides, id, request),
+            (Resource::Counts, "GET") => servers::counts(
                 &self.cores,
                 self.tenants.as_ref().map(|(tenants, _)| tenants),
             ),
-            (Call::Admission, "GET") => admission::read(&self.cores),
-            (Call::Servers, "GET") => {
+            (Resource::Admission, "GET") => admission::read(&self.cores),
+            (Resource::Servers, "GET") => {
                 servers::list(&self.cores, &self.overrides, self.fleet.as_ref())
             }
-            (call, _) => {
-                Err(Reply::error(405, "no such method here").with("Allow", call.methods()))
+            (resource, _) => {
+                Err(Reply::error(405, "no such method here").with("Allow", resource.methods()))
             }
         };
-        reply.unwrap_or_else(|refused| refused)
+        reply.unwrap_or_else(|error_reply| error_reply)
     }
 
     fn tenants(&self) -> Result<&(Arc<Tenants>, Arc<SiteSettings>), Reply> {
@@ -161,7 +161,7 @@
 
 /// The resource that a path names.
 #[derive(Clone, Copy)]
-enum Call<'a> {
+enum Resource<'a> {
     Tenants,
     Tenant(&'a str),
     Credentials(&'a str),
@@ -172,27 +172,27 @@
     Servers,
 }
 
-impl<'a> Call<'a> {
-    fn of(path: &[&'a str]) -> Option<Call<'a>> {
+impl<'a> Resource<'a> {
+    fn parse(path: &[&'a str]) -> Option<Resource<'a>> {
         match path {
-            ["v1", "tenants"] => Some(Call::Tenants),
-            ["v1", "tenants", name] => Some(Call::Tenant(name)),
-            ["v1", "tenants", name, "credentials"] => Some(Call::Credentials(name)),
-            ["v1", "overrides"] => Some(Call::Overrides),
-            ["v1", "overrides", id] => Some(Call::Override(id)),
-            ["v1", "counts"] => Some(Call::Counts),
-            ["v1", "admission"] => Some(Call::Admission),
-            ["v1", "farm"] => Some(Call::Servers),
+            ["v1", "tenants"] => Some(Resource::Tenants),
+            ["v1", "tenants", name] => Some(Resource::Tenant(name)),
+            ["v1", "tenants", name, "credentials"] => Some(Resource::Credentials(name)),
+            ["v1", "overrides"] => Some(Resource::Overrides),
+            ["v1", "overrides", id] => Some(Resource::Override(id)),
+            ["v1", "counts"] => Some(Resource::Counts),
+            ["v1", "admission"] => Some(Resource::Admission),
+            ["v1", "farm"] => Some(Resource::Servers),
             _ => None,
         }
     }
 
     fn methods(self) -> &'static str {
         match self {
-            Call::Tenants | Call::Overrides => "GET, POST",
-            Call::Tenant(_) | Call::Override(_) => "GET, PATCH, DELETE",
-            Call::Credentials(_) => "PUT",
-            Call::Counts | Call::Admission | Call::Servers => "GET",
+            Resource::Tenants | Resource::Overrides => "GET, POST",
+            Resource::Tenant(_) | Resource::Override(_) => "GET, PATCH, DELETE",
+            Resource::Credentials(_) => "PUT",
+            Resource::Counts | Resource::Admission | Resource::Servers => "GET",
         }
     }
 }
--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -18,12 +18,12 @@
 const MAX_KEY_BYTES: usize = 128;
 
 impl From<OverrideError> for Reply {
-    fn from(refused: OverrideError) -> Reply {
-        match refused {
+    fn from(error: OverrideError) -> Reply {
+        match error {
             OverrideError::NoStore(why) => {
                 Reply::error(503, format!("no overrides are kept here: {why}"))
             }
-            OverrideError::Invalid(faults) => invalid_fields(&faults),
+            OverrideError::Invalid(errors) => invalid_fields(&errors),
             OverrideError::Unknown => Reply::error(404, "no override of that number holds"),
             OverrideError::Stale(revision) => {
                 let mut reply = Reply::error(
@@ -34,19 +34,19 @@
                 reply
             }
             OverrideError::LeavesNoServer(fronts) => {
-                let words: Vec<String> = fronts
+                let messages: Vec<String> = fronts
                     .iter()
-                    .map(|(front, judgement)| format!("{front}: {judgement}"))
+                    .map(|(front, gaps)| format!("{front}: {gaps}"))
                     .collect();
                 let why = format!(
                     "it would leave {}; set force to enter it all the same",
-                    words.join("; ")
+                    messages.join("; ")
                 );
                 Reply::error(409, why)
             }
-            OverrideError::Full(most) => Reply::error(
+            OverrideError::Full(max_count) => Reply::error(
                 409,
-                format!("there are {most} overrides, as many as may be"),
+                format!("there are {max_count} overrides, as many as may be"),
             ),
             OverrideError::KeyReused => Reply::error(
                 422,
@@ -59,24 +59,27 @@
     }
 }
 
-fn invalid_fields(faults: &[FieldError]) -> Reply {
-    let words: Vec<String> = faults.iter().map(FieldError::to_string).collect();
-    let rows: Vec<Value> = faults
+fn invalid_fields(errors: &[FieldError]) -> Reply {
+    let messages: Vec<String> = errors.iter().map(FieldError::to_string).collect();
+    let error_json: Vec<Value> = errors
         .iter()
-        .map(|fault| json!({ "field": fault.field, "why": fault.why }))
+        .map(|error| json!({ "field": error.field, "why": error.why }))
         .collect();
-    Reply::new(422, json!({ "error": words.join("; "), "faults": rows }))
+    Reply::new(
+        422,
+        json!({ "error": messages.join("; "), "faults": error_json }),
+    )
 }
 
 /// All overrides in effect, and the state of their store.
 pub(super) fn list(override_manager: &OverrideManager) -> Reply {
-    let about = override_manager.about();
+    let store_status = override_manager.store_status();
     let limits = override_manager.limits();
-    let all: Vec<Value> = override_manager.list().iter().map(row).collect();
+    let all: Vec<Value> = override_manager.list().iter().map(override_json).collect();
     Reply::new(
         200,
         json!({
-            "kept": about.is_persistent, "notes": about.notes, "wall_ahead_s": override_manager.wall_ahead() as f64 / 1e3,
+            "kept": store_status.is_persistent, "notes": store_status.notes, "wall_ahead_s": override_manager.wall_clock_offset_ms() as f64 / 1e3,
             "longest_s": limits.max_duration_ms / 1_000, "most": limits.max_count, "ramp_s": limits.ramp_ms as f64 / 1e3,
             "overrides": all,
         }),
@@ -85,15 +88,15 @@
 
 /// One override.
 pub(super) fn read(override_manager: &OverrideManager, id: &str) -> Result<Reply, Reply> {
-    let shown = override_manager
-        .get(number(id)?)
+    let view = override_manager
+        .get(parse_id(id)?)
         .ok_or(OverrideError::Unknown)?;
-    Ok(tagged(200, &shown))
+    Ok(reply_with_etag(200, &view))
 }
 
 /// Creates an override.
 pub(super) fn add(override_manager: &OverrideManager, request: &Request) -> Result<Reply, Reply> {
-    let mut fields = Fields::of(&request.body)?;
+    let mut fields = Fields::parse(&request.body)?;
     let key = request.idempotency_key.as_deref();
     if key.is_some_and(|key| !(1..=MAX_KEY_BYTES).contains(&key.len())) {
         return Err(Reply::error(
@@ -109,15 +112,15 @@
     let (who, why) = (fields.text("who"), fields.text("why"));
     let expires_at = fields.expiry(override_manager);
     let force = fields.flag("force");
-    let faults = fields.end();
+    let errors = fields.finish();
     let draft = match (kind, who, why, expires_at) {
-        (Some(kind), Some(who), Some(why), Some(expires_at)) if faults.is_empty() => Draft {
+        (Some(kind), Some(who), Some(why), Some(expires_at)) if errors.is_empty() => Draft {
             kind,
             who,
             why,
             expires_at,
         },
-        _ => return Err(invalid_fields(&faults)),
+        _ => return Err(invalid_fields(&errors)),
     };
     let ChangeResult {
         view,
@@ -125,7 +128,8 @@
         is_replay,
     } = override_manager.add(draft, force, replay)?;
     let status = if is_in_effect { 201 } else { 202 };
-    let reply = tagged(status, &view).with("Location", format!("/v1/overrides/{}", view.record.id));
+    let reply = reply_with_etag(status, &view)
+        .with("Location", format!("/v1/overrides/{}", view.record.id));
     Ok(if is_replay {
         reply.with("Idempotency-Replayed", "true")
     } else {
@@ -139,14 +143,16 @@
     id: &str,
     request: &Request,
 ) -> Result<Reply, Reply> {
-    let (id, revision) = (number(id)?, revision(request)?);
-    let mut fields = Fields::of(&request.body)?;
+    let (id, revision) = (parse_id(id)?, revision(request)?);
+    let mut fields = Fields::parse(&request.body)?;
     let expires_at = fields.expiry(override_manager);
-    let faults = fields.end();
-    let Some(expires_at) = expires_at.filter(|_| faults.is_empty()) else {
-        return Err(invalid_fields(&faults));
+    let errors = fields.finish();
+    let Some(expires_at) = expires_at.filter(|_| errors.is_empty()) else {
+        return Err(invalid_fields(&errors));
     };
-    Ok(changed(&override_manager.extend(id, expires_at, revision)?))
+    Ok(change_reply(
+        &override_manager.extend(id, expires_at, revision)?,
+    ))
 }
 
 /// Ends an override.
@@ -155,20 +161,20 @@
     id: &str,
     request: &Request,
 ) -> Result<Reply, Reply> {
-    Ok(changed(
-        &override_manager.remove(number(id)?, revision(request)?)?,
+    Ok(change_reply(
+        &override_manager.remove(parse_id(id)?, revision(request)?)?,
     ))
 }
 
-fn changed(changed: &ChangeResult) -> Reply {
-    tagged(if changed.is_in_effect { 200 } else { 202 }, &changed.view)
+fn change_reply(result: &ChangeResult) -> Reply {
+    reply_with_etag(if result.is_in_effect { 200 } else { 202 }, &result.view)
 }
 
-fn tagged(status: u16, shown: &OverrideView) -> Reply {
-    Reply::new(status, row(shown)).with("ETag", format!("\"{}\"", shown.record.revision))
+fn reply_with_etag(status: u16, view: &OverrideView) -> Reply {
+    Reply::new(status, override_json(view)).with("ETag", format!("\"{}\"", view.record.revision))
 }
 
-fn number(id: &str) -> Result<OverrideId, Reply> {
+fn parse_id(id: &str) -> Result<OverrideId, Reply> {
     id.parse()
         .map(OverrideId)
         .map_err(|_| Reply::error(404, "an override has a number"))
@@ -185,33 +191,33 @@
 }
 
 /// An override in the API's format.
-fn row(shown: &OverrideView) -> Value {
-    let one = &shown.record;
+fn override_json(view: &OverrideView) -> Value {
+    let record = &view.record;
     let time = |at: Millis| {
         humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at.min(MAX_DATE_MS)))
             .to_string()
     };
-    let effects: Map<String, Value> = shown
+    let effects: Map<String, Value> = view
         .effects
         .iter()
         .map(|(front, effect)| ((*front).to_owned(), effect.to_string().into()))
         .collect();
-    let mut row = json!({
-        "id": one.id.0, "kind": one.kind.name(), "server": one.kind.server(), "who": one.who, "why": one.why,
-        "created_at": time(one.created_at), "expires_at": time(one.ends_at()),
-        "remaining_s": shown.remaining_ms as f64 / 1e3, "revision": one.revision, "forced": one.forced,
+    let mut json = json!({
+        "id": record.id.0, "kind": record.kind.name(), "server": record.kind.server(), "who": record.who, "why": record.why,
+        "created_at": time(record.created_at), "expires_at": time(record.ends_at()),
+        "remaining_s": view.remaining_ms as f64 / 1e3, "revision": record.revision, "forced": record.forced,
         "effects": effects,
     });
-    match &one.kind {
-        OverrideKind::Out { moves_per_s, .. } => row["moves_per_s"] = (*moves_per_s).into(),
-        OverrideKind::Weight { factor, .. } => row["factor"] = (*factor).into(),
+    match &record.kind {
+        OverrideKind::Out { moves_per_s, .. } => json["moves_per_s"] = (*moves_per_s).into(),
+        OverrideKind::Weight { factor, .. } => json["factor"] = (*factor).into(),
         OverrideKind::Pin {
             subject,
             strictness,
             ..
         } => {
-            row[subject.kind_name()] = subject.name().into();
-            row["mode"] = if *strictness == Strictness::Strict {
+            json[subject.kind_name()] = subject.name().into();
+            json["mode"] = if *strictness == Strictness::Strict {
                 "strict"
             } else {
                 "prefer"
@@ -219,7 +225,7 @@
             .into();
         }
     }
-    row
+    json
 }
 
 /// The last time that can be written as a date: the end of the year 9999.
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -52,11 +52,11 @@
 ) -> Result<Reply, Reply> {
     let overrides = override_manager.list();
     let mut by_server: HashMap<&str, Vec<&OverrideView>> = HashMap::new();
-    for shown in &overrides {
+    for view in &overrides {
         by_server
-            .entry(shown.record.kind.server())
+            .entry(view.record.kind.server())
             .or_default()
-            .push(shown);
+            .push(view);
     }
     let (mut servers, mut warnings) = (Vec::new(), Vec::new());
     for core @ (front, _) in cores {
@@ -73,7 +73,7 @@
             snapshot
                 .servers
                 .iter()
-                .map(|server| row(front, server, by_server.get(server.name.as_str()))),
+                .map(|server| server_json(front, server, by_server.get(server.name.as_str()))),
         );
     }
     let mut body = json!({ "servers": servers, "warnings": warnings });
@@ -95,12 +95,17 @@
 }
 
 /// A server as listed and as the policy sees it.
-fn row(front: &str, server: &ServerSnapshot, overrides: Option<&Vec<&OverrideView>>) -> Value {
-    let side = |state: ServerState, weight: f64| json!({ "state": name(state), "weight": weight });
+fn server_json(
+    front: &str,
+    server: &ServerSnapshot,
+    overrides: Option<&Vec<&OverrideView>>,
+) -> Value {
+    let state_and_weight =
+        |state: ServerState, weight: f64| json!({ "state": state_name(state), "weight": weight });
     json!({
         "front": front, "name": server.name, "address": server.address.to_string(), "zone": server.zone,
         "standing": server.established, "leaving": server.state.1 != ServerState::Ready,
-        "listed": side(server.state.0, server.weight.0), "effective": side(server.state.1, server.weight.1),
+        "listed": state_and_weight(server.state.0, server.weight.0), "effective": state_and_weight(server.state.1, server.weight.1),
         "why": why_they_differ(front, server, overrides),
     })
 }
@@ -112,38 +117,38 @@
     server: &ServerSnapshot,
     overrides: Option<&Vec<&OverrideView>>,
 ) -> Vec<String> {
-    let holds = |shown: &&OverrideView| {
-        let effect = shown.effects.iter().find(|(at, _)| *at == front);
+    let is_in_effect = |view: &&OverrideView| {
+        let effect = view.effects.iter().find(|(at, _)| *at == front);
         effect.is_some_and(|(_, effect)| *effect == Effect::InEffect)
     };
-    let words = |shown: &OverrideView| {
-        let (one, left) = (&shown.record, shown.remaining_ms / 1_000);
+    let describe = |view: &OverrideView| {
+        let (record, remaining_s) = (&view.record, view.remaining_ms / 1_000);
         format!(
-            "override {} ({}, {left} s left): {}",
-            one.id,
-            one.kind.name(),
-            one.why
+            "override {} ({}, {remaining_s} s left): {}",
+            record.id,
+            record.kind.name(),
+            record.why
         )
     };
     let mut why: Vec<String> = overrides
         .into_iter()
         .flatten()
         .copied()
-        .filter(holds)
-        .map(words)
+        .filter(is_in_effect)
+        .map(describe)
         .collect();
     if let Some(site) = &server.assessment {
-        let passed = site
+        let skipped = site
             .skip_reason
             .as_ref()
             .map(|why| format!("passed over by this site's evidence: {why}"));
-        let rises = || {
+        let reduced = || {
             format!(
                 "{:.0}% of its weight by this site's evidence",
                 site.weight_factor * 100.0
             )
         };
-        why.extend(passed.or_else(|| (site.weight_factor < 1.0).then(rises)));
+        why.extend(skipped.or_else(|| (site.weight_factor < 1.0).then(reduced)));
         why.extend(
             (site.restarted_at > 0).then(|| "started anew while the uplink was lost".to_owned()),
         );
@@ -154,7 +159,7 @@
     why
 }
 
-fn name(state: ServerState) -> &'static str {
+fn state_name(state: ServerState) -> &'static str {
     match state {
         ServerState::Ready => "ready",
         ServerState::OutOfService => "out",
--- a/crates/balancer/src/admin/tenants.rs
+++ b/crates/balancer/src/admin/tenants.rs
@@ -21,7 +21,7 @@
 const SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e6;
 
 /// The tenants, and the settings that their classes refer to.
-type Here = (Arc<Tenants>, Arc<SiteSettings>);
+type TenantContext = (Arc<Tenants>, Arc<SiteSettings>);
 
 impl From<StoreError> for Reply {
     fn from(error: StoreError) -> Reply {
@@ -36,7 +36,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Create {
+struct CreateTenant {
     name: String,
     password: String,
     class: String,
@@ -48,7 +48,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Change {
+struct TenantPatch {
     class: Option<String>,
     connections: Option<usize>,
     share: Option<f64>,
@@ -57,12 +57,12 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Credentials {
+struct PasswordChange {
     password: String,
 }
 
 /// All tenants.
-pub(super) fn list((tenants, _): &Here) -> Result<Reply, Reply> {
+pub(super) fn list((tenants, _): &TenantContext) -> Result<Reply, Reply> {
     let open = tenants.open();
     let all: Vec<Value> = tenants
         .list()?
@@ -73,7 +73,7 @@
 }
 
 /// One tenant.
-pub(super) fn read((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
+pub(super) fn read((tenants, _): &TenantContext, name: &str) -> Result<Reply, Reply> {
     Ok(Reply::new(
         200,
         tenant_json(&*tenants.get(name)?, &tenants.open()),
@@ -81,31 +81,31 @@
 }
 
 /// Creates a tenant.
-pub(super) fn create((tenants, setup): &Here, body: &[u8]) -> Result<Reply, Reply> {
-    let asked: Create = parse(body)?;
-    if !is_name(&asked.name) {
+pub(super) fn create((tenants, settings): &TenantContext, body: &[u8]) -> Result<Reply, Reply> {
+    let request: CreateTenant = parse(body)?;
+    if !is_name(&request.name) {
         return Err(Reply::error(
             422,
             "name: 1 to 64 letters, digits, '-' or '_'",
         ));
     }
     check(
-        setup,
-        Some(&asked.class),
-        Some(asked.connections),
-        Some(asked.share),
-        Some(&asked.upstream),
+        settings,
+        Some(&request.class),
+        Some(request.connections),
+        Some(request.share),
+        Some(&request.upstream),
     )?;
-    let secret = hashed(&asked.password)?;
-    let Create {
+    let secret = hash_password(&request.password)?;
+    let CreateTenant {
         name,
         class,
         connections,
         share,
         upstream,
         ..
-    } = asked;
-    let made = tenants.create(Tenant {
+    } = request;
+    let tenant = tenants.create(Tenant {
         name,
         secret,
         class,
@@ -114,20 +114,24 @@
         upstream,
         rest: Default::default(),
     })?;
-    info!(part = "audit", tenant = made.name, "tenant created");
-    Ok(Reply::new(201, tenant_json(&made, &BTreeMap::new())))
+    info!(part = "audit", tenant = tenant.name, "tenant created");
+    Ok(Reply::new(201, tenant_json(&tenant, &BTreeMap::new())))
 }
 
 /// Changes the given fields of a tenant.
-pub(super) fn change((tenants, setup): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
-    let Change {
+pub(super) fn change(
+    (tenants, settings): &TenantContext,
+    name: &str,
+    body: &[u8],
+) -> Result<Reply, Reply> {
+    let TenantPatch {
         class,
         connections,
         share,
         upstream,
     } = parse(body)?;
     check(
-        setup,
+        settings,
         class.as_deref(),
         connections,
         share,
@@ -144,29 +148,33 @@
 }
 
 /// Removes a tenant.
-pub(super) fn remove((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
+pub(super) fn remove((tenants, _): &TenantContext, name: &str) -> Result<Reply, Reply> {
     tenants.remove(name)?;
     info!(part = "audit", tenant = name, "tenant removed");
     Ok(Reply::new(204, Value::Null))
 }
 
 /// Replaces a tenant's password.
-pub(super) fn rotate((tenants, _): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
-    let asked: Credentials = parse(body)?;
-    let secret = hashed(&asked.password)?;
+pub(super) fn rotate(
+    (tenants, _): &TenantContext,
+    name: &str,
+    body: &[u8],
+) -> Result<Reply, Reply> {
+    let request: PasswordChange = parse(body)?;
+    let secret = hash_password(&request.password)?;
     tenants.change(name, |tenant| tenant.secret = secret)?;
     info!(part = "audit", tenant = name, "credentials rotated");
     Ok(Reply::new(204, Value::Null))
 }
 
 fn check(
-    setup: &SiteSettings,
+    settings: &SiteSettings,
     class: Option<&str>,
     connections: Option<usize>,
     share: Option<f64>,
     upstream: Option<&Identity>,
 ) -> Result<(), Reply> {
-    if class.is_some_and(|class| setup.class(class).is_none()) {
+    if class.is_some_and(|class| settings.class(class).is_none()) {
         return Err(Reply::error(422, "class: not in the settings"));
     }
     if share.is_some_and(|share| !SHARE_RANGE.contains(&share)) {
@@ -181,7 +189,7 @@
     Ok(())
 }
 
-fn hashed(password: &str) -> Result<String, Reply> {
+fn hash_password(password: &str) -> Result<String, Reply> {
     if !PASSWORD_LENGTHS.contains(&password.len()) {
         return Err(Reply::error(422, "password: 12 to 256 bytes"));
     }
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -45,8 +45,10 @@
 
 impl SharedSettings {
     /// Shares the first settings of a process.
-    pub fn new(setup: SiteSettings) -> SharedSettings {
-        SharedSettings(Arc::new(RwLock::new(Arc::new(ActiveSettings::new(setup)))))
+    pub fn new(site_settings: SiteSettings) -> SharedSettings {
+        SharedSettings(Arc::new(RwLock::new(Arc::new(ActiveSettings::new(
+            site_settings,
+        )))))
     }
 
     /// The settings in effect now.
@@ -56,8 +58,8 @@
     }
 
     /// Replaces the settings.
-    pub fn replace(&self, by: Arc<ActiveSettings>) {
-        *self.0.write().unwrap_or_else(PoisonError::into_inner) = by;
+    pub fn replace(&self, settings: Arc<ActiveSettings>) {
+        *self.0.write().unwrap_or_else(PoisonError::into_inner) = settings;
     }
 }
 
@@ -71,7 +73,7 @@
         let path = std::env::var("LB_CONFIG").map_err(|error| format!("LB_CONFIG: {error}"))?;
         let text = std::fs::read(&path).map_err(|error| format!("{path}: {error}"))?;
         let value = serde_json::from_slice(&text).map_err(|error| format!("{path}: {error}"))?;
-        PlatformConfig::of(&value).map_err(|faults| format!("{path}: {faults}"))
+        PlatformConfig::parse(&value).map_err(|errors| format!("{path}: {errors}"))
     }
 
     /// Reads the content of the file.
@@ -79,10 +81,10 @@
     /// # Errors
     ///
     /// Reports all errors, each with its path.
-    pub fn of(value: &Value) -> Result<PlatformConfig, ConfigErrors> {
-        let met = ErrorCollector::default();
-        let config = config(Fields::new(value, "", &met), &met);
-        met.finish(config)
+    pub fn parse(value: &Value) -> Result<PlatformConfig, ConfigErrors> {
+        let collector = ErrorCollector::default();
+        let config = read_config(Fields::new(value, "", &collector), &collector);
+        collector.finish(config)
     }
 
     /// Applies the environment variables that override the file at the start. A reload does not
@@ -114,10 +116,10 @@
         let variable = std::env::var("LB_ADMIN_ADDR")
             .ok()
             .map(|text| ("LB_ADMIN_ADDR", text));
-        let listed = file
+        let from_file = file
             .and_then(|file| file.admin_addr.clone())
             .map(|text| ("admin_addr", text));
-        let Some((name, text)) = variable.or(listed) else {
+        let Some((name, text)) = variable.or(from_file) else {
             return Ok(None);
         };
         let address = text
@@ -133,19 +135,19 @@
     }
 }
 
-fn config(fields: Fields<'_>, met: &ErrorCollector) -> Option<PlatformConfig> {
+fn read_config(fields: Fields<'_>, collector: &ErrorCollector) -> Option<PlatformConfig> {
     let (name, listen) = (fields.required("name"), fields.required("listen"));
     let (discovery, admin_addr) = (
         fields.required("discovery"),
         fields.optional_or_default("admin_addr"),
     );
-    let (seed, known) = (fields.required("seed"), known(fields));
+    let (seed, cached_list) = (fields.required("seed"), cached_list(fields));
     let sockets = fields.object("limits", |limits| {
         limits.optional("sockets", DEFAULT_SOCKETS)
     });
     let settings = fields
         .required_value("settings")
-        .and_then(|value| settings(value, met));
+        .and_then(|value| settings(value, collector));
     Some(PlatformConfig {
         name: name?,
         listen: listen?,
@@ -153,13 +155,13 @@
         admin_addr: admin_addr?,
         seed: seed?,
         limits: MachineLimits { sockets: sockets? },
-        cached_list: known?,
+        cached_list: cached_list?,
         settings: settings?,
     })
 }
 
 /// The cached list. An error is reported with the path inside it.
-fn known(fields: Fields<'_>) -> Option<ServerList> {
+fn cached_list(fields: Fields<'_>) -> Option<ServerList> {
     let Some(value) = fields.value("known") else {
         return Some(ServerList::default());
     };
@@ -173,18 +175,18 @@
     .ok()
 }
 
-fn settings(value: &Value, met: &ErrorCollector) -> Option<SiteSettings> {
-    let tell = |ConfigErrors(faults)| {
-        faults
+fn settings(value: &Value, collector: &ErrorCollector) -> Option<SiteSettings> {
+    let report = |ConfigErrors(errors)| {
+        errors
             .into_iter()
-            .for_each(|fault| met.add(fault.path, fault.reason))
+            .for_each(|error| collector.add(error.path, error.reason))
     };
-    let setup = SiteSettings::read("settings", value).map_err(tell).ok()?;
+    let site_settings = SiteSettings::read("settings", value).map_err(report).ok()?;
     // Clients name their class, so that one without a name could never be used.
-    for at in setup.unnamed_classes() {
-        met.add(format!("settings.lanes[{at}].name"), "is missing");
+    for index in site_settings.unnamed_classes() {
+        collector.add(format!("settings.lanes[{index}].name"), "is missing");
     }
-    Some(setup)
+    Some(site_settings)
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -4,7 +4,7 @@
 
 use super::PlatformConfig;
 
-fn sound() -> Value {
+fn valid_config() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:81", "seed": "ab", "novel": {"a": [1]},
         "limits": {"sockets": 64, "cores": 0.2, "novel": 1},
@@ -23,26 +23,26 @@
     })
 }
 
-fn faults(value: &Value) -> Vec<String> {
-    let faults = PlatformConfig::of(value).err().expect("refused");
-    faults.0.iter().map(|fault| fault.to_string()).collect()
+fn errors(value: &Value) -> Vec<String> {
+    let errors = PlatformConfig::parse(value).err().expect("refused");
+    errors.0.iter().map(|error| error.to_string()).collect()
 }
 
 #[test]
-fn further_keys_are_disregarded_and_what_may_be_absent_may_be() {
-    let Ok(config) = PlatformConfig::of(&sound()) else {
+fn parse_accepts_unknown_keys_and_missing_optional_fields() {
+    let Ok(config) = PlatformConfig::parse(&valid_config()) else {
         panic!("sound")
     };
     assert_eq!(config.limits.sockets, 64);
-    let mut bare = sound();
-    let fields = bare.as_object_mut().expect("an object");
+    let mut minimal = valid_config();
+    let fields = minimal.as_object_mut().expect("an object");
     fields.remove("limits");
     fields.remove("known");
-    assert!(PlatformConfig::of(&bare).is_ok());
+    assert!(PlatformConfig::parse(&minimal).is_ok());
 }
 
 #[test]
-fn each_field_that_has_to_be_there_is_refused_by_its_path_when_it_is_missing() {
+fn missing_required_field_is_reported_by_path() {
     let paths = [
         "/name",
         "/listen",
@@ -67,20 +67,20 @@
         "/settings/rules/fall-ns",
     ];
     for path in paths {
-        let (inside, key) = path.rsplit_once('/').expect("a path");
-        let mut file = sound();
-        file.pointer_mut(inside)
+        let (parent, key) = path.rsplit_once('/').expect("a path");
+        let mut file = valid_config();
+        file.pointer_mut(parent)
             .and_then(Value::as_object_mut)
             .expect("an object")
             .remove(key);
-        let shown = path[1..].replace('/', ".").replace(".1.", "[1].");
-        assert_eq!(faults(&file), [format!("{shown}: is missing")]);
+        let dotted_path = path[1..].replace('/', ".").replace(".1.", "[1].");
+        assert_eq!(errors(&file), [format!("{dotted_path}: is missing")]);
     }
 }
 
 #[test]
-fn all_faults_of_a_file_are_reported_at_once_each_by_its_path() {
-    let wrong = [
+fn all_errors_are_reported_at_once_by_path() {
+    let invalid_values = [
         ("/listen", json!("nowhere")),
         ("/limits/sockets", json!(-1)),
         ("/known/instances", json!(7)),
@@ -99,11 +99,11 @@
         ("/settings/rules/tip-multiple", json!(-3)),
         ("/settings/rules/fall-ns", json!(-1)),
     ];
-    let mut file = sound();
-    for (path, value) in &wrong {
+    let mut file = valid_config();
+    for (path, value) in &invalid_values {
         *file.pointer_mut(path).expect("it is there") = value.clone();
     }
-    let reported = faults(&file);
+    let reported = errors(&file);
     for path in [
         "listen: ",
         "limits.sockets: ",
@@ -126,29 +126,29 @@
         assert_eq!(
             reported
                 .iter()
-                .filter(|fault| fault.starts_with(path))
+                .filter(|error| error.starts_with(path))
                 .count(),
             1,
             "{path} in {reported:#?}"
         );
     }
-    assert_eq!(reported.len(), wrong.len(), "{reported:#?}");
+    assert_eq!(reported.len(), invalid_values.len(), "{reported:#?}");
 }
 
 #[test]
-fn two_classes_or_tenants_of_one_name_are_refused() {
-    let mut file = sound();
+fn duplicate_class_or_tenant_names_are_rejected() {
+    let mut file = valid_config();
     file["settings"]["lanes"][1]["name"] = json!("first");
     file["settings"]["projects"][2]["name"] = json!("p");
-    let twice = [
+    let duplicates = [
         "settings.lanes[1]: \"first\" stands there twice",
         "settings.projects[2]: \"p\" stands there twice",
     ];
-    assert_eq!(faults(&file), twice);
+    assert_eq!(errors(&file), duplicates);
 }
 
 #[test]
-fn what_is_no_object_is_a_fault_and_no_panic() {
+fn non_object_is_reported_as_error_without_panic() {
     for value in [
         json!(null),
         json!([]),
@@ -156,6 +156,6 @@
         json!({"settings": []}),
         json!({"settings": {"lanes": [1]}}),
     ] {
-        assert!(!faults(&value).is_empty());
+        assert!(!errors(&value).is_empty());
     }
 }
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -24,31 +24,31 @@
 }
 
 /// Starts the log; later calls have no effect.
-pub fn start(form: LogFormat) {
-    let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|word| word == "debug") {
+pub fn start(format: LogFormat) {
+    let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|value| value == "debug") {
         Level::DEBUG
     } else {
         Level::INFO
     };
-    let lines = tracing_subscriber::registry().with(LogLayer { form, max_level });
-    let _ = tracing::subscriber::set_global_default(lines);
+    let subscriber = tracing_subscriber::registry().with(LogLayer { format, max_level });
+    let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
 /// Writes events of the program's own crates as lines.
 struct LogLayer {
-    form: LogFormat,
+    format: LogFormat,
     /// Most verbose level that is written; `debug` follows each request.
     max_level: Level,
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for LogLayer {
-    fn enabled(&self, about: &tracing::Metadata<'_>, _: Context<'_, S>) -> bool {
-        *about.level() <= self.max_level && about.target().starts_with("beaconflow")
+    fn enabled(&self, metadata: &tracing::Metadata<'_>, _: Context<'_, S>) -> bool {
+        *metadata.level() <= self.max_level && metadata.target().starts_with("beaconflow")
     }
 
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let mut told = LogRecord::default();
-        event.record(&mut told);
+        let mut record = LogRecord::default();
+        event.record(&mut record);
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -58,9 +58,9 @@
             Level::DEBUG => "debug",
             _ => "info",
         };
-        let mut text = match self.form {
-            LogFormat::Text => told.text(now, level),
-            LogFormat::Json => told.json(now, level),
+        let mut text = match self.format {
+            LogFormat::Text => record.text(now, level),
+            LogFormat::Json => record.json(now, level),
         };
         text.push('\n');
         // A closed standard error must not stop the program.
@@ -130,9 +130,9 @@
 /// Whether a text needs no quotes: it is not empty and has no space, quote or control character.
 fn is_plain(text: &str) -> bool {
     !text.is_empty()
-        && !text
-            .chars()
-            .any(|letter| letter.is_whitespace() || letter.is_control() || letter == '"')
+        && !text.chars().any(|character| {
+            character.is_whitespace() || character.is_control() || character == '"'
+        })
 }
 
 impl Visit for LogRecord {
@@ -179,30 +179,30 @@
     /// Writes a warning, or counts it.
     pub fn warn(&self, part: &str, message: &'static str, why: &dyn Display) {
         self.flush(part);
-        let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if spell.written < MAX_LINES_PER_SECOND {
-            spell.written += 1;
+        let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if window.written < MAX_LINES_PER_SECOND {
+            window.written += 1;
             warn!(part, why = %why, "{message}");
         } else {
-            spell.suppressed += 1;
+            window.suppressed += 1;
         }
     }
 
     /// Starts a new second once one is over, and logs how many lines were left out.
     pub fn flush(&self, part: &str) {
-        let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if spell
+        let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if window
             .started_at
-            .is_none_or(|begun| begun.elapsed() >= Duration::from_secs(1))
+            .is_none_or(|started_at| started_at.elapsed() >= Duration::from_secs(1))
         {
-            if spell.suppressed > 0 {
+            if window.suppressed > 0 {
                 warn!(
                     part,
-                    left_out = spell.suppressed,
+                    left_out = window.suppressed,
                     "more like these left out"
                 );
             }
-            *spell = RateWindow {
+            *window = RateWindow {
                 started_at: Some(Instant::now()),
                 ..RateWindow::default()
             };
--- a/crates/balancer/src/log/tests.rs
+++ b/crates/balancer/src/log/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told() -> LogRecord {
+fn sample_record() -> LogRecord {
     LogRecord {
         part: "audit".into(),
         message: "override created".into(),
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_line_is_one_line_whatever_its_fields_hold() {
+fn event_stays_on_one_line_whatever_its_fields_hold() {
     let now = Duration::from_millis(1_796_129_892_047);
-    let text = told().text(now, "info");
+    let text = sample_record().text(now, "info");
     assert_eq!(
         text,
         "1796129892.047 info audit override created id=7 who=ada why=\"a \\\"new\\\"\\nsupply\" forced=false none=\"\""
     );
-    let json: Value = serde_json::from_str(&told().json(now, "info")).expect("JSON");
+    let json: Value = serde_json::from_str(&sample_record().json(now, "info")).expect("JSON");
     assert_eq!(
         (json["id"].as_u64(), json["why"].as_str()),
         (Some(7), Some("a \"new\"\nsupply"))
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -24,7 +24,7 @@
 /// Descriptors of the port: its callers, its listener and its poller's two.
 pub const DESCRIPTORS: usize = MAX_CALLERS + 3;
 /// Longest head and longest body of a request.
-const LONGEST: (usize, usize) = (4 * 1024, 1024);
+const MAX_REQUEST_BYTES: (usize, usize) = (4 * 1024, 1024);
 /// Time for a caller to send its request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for the cores to apply a command. A caller is owed an answer within 1 s.
@@ -106,32 +106,32 @@
     /// Serves callers while the program runs.
     pub fn run(mut self) {
         loop {
-            let patience = if self.callers.is_empty() {
+            let timeout = if self.callers.is_empty() {
                 Duration::from_secs(60)
             } else {
                 TICK_INTERVAL
             };
-            let ready = self.poller.wait(patience);
+            let ready = self.poller.wait(timeout);
             // Present callers go before new ones: a complete request is answered and not evicted.
-            for number in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
-                self.with_caller(*number, Self::on_ready);
+            for id in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
+                self.with_caller(*id, Self::on_ready);
             }
-            while let Ok((number, followed)) = self.results.1.try_recv() {
-                self.with_caller(number, |_, caller| {
+            while let Ok((id, result)) = self.results.1.try_recv() {
+                self.with_caller(id, |_, caller| {
                     if let CallerState::AwaitingCores(_) = caller.state {
-                        caller.answer(&command_reply(followed));
+                        caller.answer(&command_reply(result));
                     }
                 });
             }
             let now = Instant::now();
-            let due: Vec<u64> = self
+            let expired_callers: Vec<u64> = self
                 .callers
                 .iter()
                 .filter(|caller| caller.has_expired(now))
                 .map(|caller| caller.id)
                 .collect();
-            for number in due {
-                self.with_caller(number, |_, caller| caller.expire());
+            for id in expired_callers {
+                self.with_caller(id, |_, caller| caller.expire());
             }
             if ready.contains(&LISTENER_TOKEN) {
                 self.accept();
@@ -163,7 +163,7 @@
             self.callers.push(Caller {
                 id,
                 stream,
-                request: RequestReader::new(LONGEST),
+                request: RequestReader::new(MAX_REQUEST_BYTES),
                 outgoing: WriteBuffer::default(),
                 last_read_at,
                 state: CallerState::Reading(last_read_at + REQUEST_TIMEOUT),
@@ -185,8 +185,8 @@
             CallerState::Reading(_) => (1, caller.last_read_at),
             CallerState::AwaitingCores(_) => (2, caller.last_read_at),
         };
-        let first = (0..self.callers.len()).min_by_key(|at| rank(&self.callers[*at]));
-        let Some(mut caller) = first.map(|at| self.callers.swap_remove(at)) else {
+        let evicted = (0..self.callers.len()).min_by_key(|index| rank(&self.callers[*index]));
+        let Some(mut caller) = evicted.map(|index| self.callers.swap_remove(index)) else {
             return;
         };
         if !matches!(caller.state, CallerState::Answered(_)) {
@@ -196,18 +196,18 @@
     }
 
     /// Runs code on a caller and updates its poll events.
-    fn with_caller(&mut self, number: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
-        let Some(at) = self.callers.iter().position(|caller| caller.id == number) else {
+    fn with_caller(&mut self, id: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
+        let Some(index) = self.callers.iter().position(|caller| caller.id == id) else {
             return;
         };
-        let mut caller = self.callers.swap_remove(at);
+        let mut caller = self.callers.swap_remove(index);
         act(self, &mut caller);
-        let wanted = caller.interest_now();
-        let watched = self
+        let interest = caller.interest_now();
+        let updated = self
             .poller
-            .set_interest(&caller.stream, number, (caller.interest, wanted));
-        caller.interest = wanted;
-        if watched.is_ok() && caller.state != CallerState::Closed {
+            .set_interest(&caller.stream, id, (caller.interest, interest));
+        caller.interest = interest;
+        if updated.is_ok() && caller.state != CallerState::Closed {
             return self.callers.push(caller);
         }
         net::close(&caller.stream);
@@ -230,11 +230,11 @@
 
     /// Reads once; returns whether there may be more.
     fn read_once(&mut self, caller: &mut Caller) -> bool {
-        let heard = match caller.request.read(&caller.stream, Instant::now()) {
+        let read_result = match caller.request.read(&caller.stream, Instant::now()) {
             Err(ReadError::TimedOut) => return false,
-            heard => heard.map_err(RequestError::from),
+            read_result => read_result.map_err(RequestError::from),
         };
-        match heard.and_then(|()| caller.request.parse()) {
+        match read_result.and_then(|()| caller.request.parse()) {
             Ok(Some(request)) => self.dispatch(caller, &request),
             Ok(None) => caller.last_read_at = Instant::now(),
             Err(RequestError::Disconnected) => caller.state = CallerState::Closed,
@@ -255,31 +255,31 @@
         };
         info!(part = "audit", command = ?command, who = %peer_address(&caller.stream), "operator's command");
         caller.state = CallerState::AwaitingCores(Instant::now() + COMMAND_TIMEOUT);
-        let told = Arc::new(CommandResults {
+        let collector = Arc::new(CommandResults {
             remaining: AtomicUsize::new(self.cores.len()),
             caller: caller.id,
             results: self.results.0.clone(),
             waker: self.poller.waker(),
         });
         for core in &self.cores {
-            let told = Arc::clone(&told);
+            let collector = Arc::clone(&collector);
             core.send(CoreInput::LifecycleCommanded {
                 command,
-                reply: Some(LifecycleReply::new(move |followed| told.record(followed))),
+                reply: Some(LifecycleReply::new(move |result| collector.record(result))),
             });
         }
     }
 
     fn status(&self) -> Reply {
-        let shown: Vec<_> = self.cores.iter().map(CoreHandle::lifecycle).collect();
-        let ready = shown.iter().all(|shown| shown.is_ready());
+        let lifecycles: Vec<_> = self.cores.iter().map(CoreHandle::lifecycle).collect();
+        let ready = lifecycles.iter().all(|lifecycle| lifecycle.is_ready());
         // The front that keeps the program from being ready, if there is one.
-        let told = shown
+        let reported = lifecycles
             .iter()
-            .find(|shown| !shown.is_ready())
-            .or_else(|| shown.first());
-        let state = told.map_or("starting", |shown| shown.state().name());
-        let core = if shown.iter().all(|shown| shown.is_core_alive()) {
+            .find(|lifecycle| !lifecycle.is_ready())
+            .or_else(|| lifecycles.first());
+        let state = reported.map_or("starting", |lifecycle| lifecycle.state().name());
+        let core = if lifecycles.iter().all(|lifecycle| lifecycle.is_core_alive()) {
             "works"
         } else {
             "silent"
@@ -300,18 +300,18 @@
 
 impl CommandResults {
     /// Records a core's result. The last one, or the first refusal, answers the caller.
-    fn record(&self, followed: Result<LifecycleState, CommandRefused>) {
+    fn record(&self, result: Result<LifecycleState, CommandRefused>) {
         let last = self.remaining.fetch_sub(1, Ordering::SeqCst) == 1;
-        if last || followed.is_err() {
+        if last || result.is_err() {
             // A caller gets no second answer.
-            let _ = self.results.send((self.caller, followed));
+            let _ = self.results.send((self.caller, result));
             self.waker.wake();
         }
     }
 }
 
-fn command_reply(followed: Result<LifecycleState, CommandRefused>) -> Reply {
-    match followed {
+fn command_reply(result: Result<LifecycleState, CommandRefused>) -> Reply {
+    match result {
         Ok(state) => Reply::new(200, json!({ "state": state.name() })),
         Err(refused) => Reply::error(409, refused.to_string()),
     }
@@ -358,10 +358,10 @@
     fn interest_now(&self) -> EventFlags {
         match self.state {
             CallerState::Answered(_) => {
-                let mut wants = EventFlags::empty();
-                wants.set(EventFlags::IN, self.outgoing.is_reading());
-                wants.set(EventFlags::OUT, !self.outgoing.is_empty());
-                wants
+                let mut flags = EventFlags::empty();
+                flags.set(EventFlags::IN, self.outgoing.is_reading());
+                flags.set(EventFlags::OUT, !self.outgoing.is_empty());
+                flags
             }
             CallerState::Reading(_) => EventFlags::IN,
             // A caller that leaves is answered in vain.
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -125,14 +125,14 @@
     ///
     /// Reports all errors, including values that would be unsafe.
     pub fn read(path: &Path) -> Result<OperatorConfig, ConfigErrors> {
-        let shown = path.display();
+        let shown_path = path.display();
         let text = std::fs::read_to_string(path)
-            .map_err(|error| ConfigErrors(vec![format!("{shown}: {error}")]))?;
-        OperatorConfig::parse(&text).map_err(|ConfigErrors(faults)| {
+            .map_err(|error| ConfigErrors(vec![format!("{shown_path}: {error}")]))?;
+        OperatorConfig::parse(&text).map_err(|ConfigErrors(errors)| {
             ConfigErrors(
-                faults
+                errors
                     .iter()
-                    .map(|fault| format!("{shown}: {fault}"))
+                    .map(|error| format!("{shown_path}: {error}"))
                     .collect(),
             )
         })
@@ -150,11 +150,11 @@
                 .map_or(1, |span| 1 + text[..span.start].matches('\n').count());
             ConfigErrors(vec![format!("line {line}: not TOML")])
         })?;
-        let faults = RefCell::new(Vec::new());
+        let errors = RefCell::new(Vec::new());
         let mut file = Section {
             path: String::new(),
             table,
-            faults: &faults,
+            errors: &errors,
         };
         let operator = OperatorConfig {
             nats: nats(&mut file),
@@ -180,16 +180,16 @@
                 "is overrides.file too",
             );
         }
-        if operator.nats.is_some() && operator.admin.is_none() && faults.borrow().is_empty() {
-            faults
+        if operator.nats.is_some() && operator.admin.is_none() && errors.borrow().is_empty() {
+            errors
                 .borrow_mut()
                 .push("admin: is missing; the NATS front's tenants are kept through it".into());
         }
-        let faults = faults.into_inner();
-        if faults.is_empty() {
+        let errors = errors.into_inner();
+        if errors.is_empty() {
             Ok(operator)
         } else {
-            Err(ConfigErrors(faults))
+            Err(ConfigErrors(errors))
         }
     }
 }
@@ -224,24 +224,24 @@
 fn settings(file: &mut Section<'_>) -> Option<SiteSettings> {
     let value: serde_json::Value = file.required("settings")?;
     let read = SiteSettings::read("settings", &value);
-    read.map_err(|faults| {
-        faults
+    read.map_err(|errors| {
+        errors
             .0
             .iter()
-            .for_each(|fault| file.error(&fault.path, &fault.reason))
+            .for_each(|error| file.error(&error.path, &error.reason))
     })
     .ok()
 }
 
 fn wire(mut section: Section<'_>) -> Wire {
-    let usual = Wire::default();
+    let default = Wire::default();
     let wire = Wire {
-        max_payload: section.optional("max_payload", usual.max_payload),
-        most_early: section.optional("most_early", usual.most_early),
-        connect_wait_ms: section.optional("connect_wait_ms", usual.connect_wait_ms),
-        ping_after_ms: section.optional("ping_after_ms", usual.ping_after_ms),
-        silence_ms: section.optional("silence_ms", usual.silence_ms),
-        store_retry_ms: section.optional("store_retry_ms", usual.store_retry_ms),
+        max_payload: section.optional("max_payload", default.max_payload),
+        most_early: section.optional("most_early", default.most_early),
+        connect_wait_ms: section.optional("connect_wait_ms", default.connect_wait_ms),
+        ping_after_ms: section.optional("ping_after_ms", default.ping_after_ms),
+        silence_ms: section.optional("silence_ms", default.silence_ms),
+        store_retry_ms: section.optional("store_retry_ms", default.store_retry_ms),
     };
     section.error_if(
         "most_early",
@@ -254,10 +254,10 @@
 
 fn store(mut section: Section<'_>) -> Option<StoreConfig> {
     let url: Option<String> = section.required("url");
-    let bad = url
+    let is_invalid = url
         .as_deref()
         .is_some_and(|url| redis::Client::open(url).is_err());
-    section.error_if("url", bad, "redis://HOST:PORT/DB");
+    section.error_if("url", is_invalid, "redis://HOST:PORT/DB");
     let fresh_ms = section.optional("fresh_ms", 5_000);
     section.reject_unknown_fields();
     Some(StoreConfig {
@@ -268,12 +268,12 @@
 
 fn admin(mut section: Section<'_>) -> Option<AdminConfig> {
     let (listen, token) = (section.required("listen"), section.required("token"));
-    let open = listen.is_some_and(|listen: SocketAddr| !listen.ip().is_loopback());
-    section.error_if("listen", open, "is not a loopback address");
-    let weak = |token: &String| token == PLACEHOLDER || token.len() < MIN_TOKEN_LENGTH;
+    let is_not_loopback = listen.is_some_and(|listen: SocketAddr| !listen.ip().is_loopback());
+    section.error_if("listen", is_not_loopback, "is not a loopback address");
+    let is_weak = |token: &String| token == PLACEHOLDER || token.len() < MIN_TOKEN_LENGTH;
     section.error_if(
         "token",
-        token.as_ref().is_some_and(weak),
+        token.as_ref().is_some_and(is_weak),
         "is the sample's or shorter than 16 characters",
     );
     section.reject_unknown_fields();
@@ -293,11 +293,11 @@
         section.required("discovery").map(EndpointSource::Discovery)
     } else {
         let servers: Option<Vec<Table>> = section.required("servers");
-        let path_of = servers.into_iter().flatten().enumerate();
-        let read: Vec<Option<FixedServer>> = path_of
-            .map(|(at, table)| server(section.subsection(&format!("servers[{at}]"), table)))
+        let tables = servers.into_iter().flatten().enumerate();
+        let parsed: Vec<Option<FixedServer>> = tables
+            .map(|(index, table)| server(section.subsection(&format!("servers[{index}]"), table)))
             .collect();
-        let servers: Option<Vec<FixedServer>> = read.into_iter().collect();
+        let servers: Option<Vec<FixedServer>> = parsed.into_iter().collect();
         servers.map(EndpointSource::Servers)
     };
     section.reject_unknown_fields();
@@ -325,21 +325,21 @@
 }
 
 fn overrides(mut section: Section<'_>) -> overrides::OverridesConfig {
-    let usual = OverrideLimits::default();
+    let default = OverrideLimits::default();
     let file: Option<PathBuf> = section
         .table
         .contains_key("file")
         .then(|| section.required("file"))
         .flatten();
-    let longest_s: u64 = section.optional("longest_s", usual.max_duration_ms / 1_000);
-    let most = section.optional("most", usual.max_count);
-    let ramp_s: f64 = section.optional("ramp_s", usual.ramp_ms as f64 / 1e3);
+    let max_duration_s: u64 = section.optional("longest_s", default.max_duration_ms / 1_000);
+    let max_count = section.optional("most", default.max_count);
+    let ramp_s: f64 = section.optional("ramp_s", default.ramp_ms as f64 / 1e3);
     section.error_if(
         "longest_s",
-        !(1..=MAX_OVERRIDE_S).contains(&longest_s),
+        !(1..=MAX_OVERRIDE_S).contains(&max_duration_s),
         "from 1 s to ten years",
     );
-    section.error_if("most", most == 0, "at least 1");
+    section.error_if("most", max_count == 0, "at least 1");
     section.error_if(
         "ramp_s",
         !(0.0..=3_600.0).contains(&ramp_s),
@@ -347,22 +347,22 @@
     );
     section.reject_unknown_fields();
     let limits = OverrideLimits {
-        max_duration_ms: longest_s.saturating_mul(1_000),
-        max_count: most,
+        max_duration_ms: max_duration_s.saturating_mul(1_000),
+        max_count: max_count,
         ramp_ms: (ramp_s * 1e3) as u64,
     };
     overrides::OverridesConfig { file, limits }
 }
 
 fn log(mut section: Section<'_>) -> LogFormat {
-    let form: String = section.optional("form", "text".to_owned());
+    let format: String = section.optional("form", "text".to_owned());
     section.error_if(
         "form",
-        !matches!(form.as_str(), "text" | "json"),
+        !matches!(format.as_str(), "text" | "json"),
         "text or json",
     );
     section.reject_unknown_fields();
-    if form == "json" {
+    if format == "json" {
         LogFormat::Json
     } else {
         LogFormat::Text
--- a/crates/balancer/src/operator/admission.rs
+++ b/crates/balancer/src/operator/admission.rs
@@ -83,8 +83,8 @@
     let mut quotas = HashMap::new();
     for name in names {
         let quota: Option<f64> = section.required(&name);
-        let is_bad = quota.is_some_and(|quota| !(0.001..=1e6).contains(&quota));
-        section.error_if(&name, is_bad, "from 0.001 to 1000000");
+        let is_invalid = quota.is_some_and(|quota| !(0.001..=1e6).contains(&quota));
+        section.error_if(&name, is_invalid, "from 0.001 to 1000000");
         quotas.extend(quota.map(|quota| (name, quota)));
     }
     quotas
--- a/crates/balancer/src/operator/fleet.rs
+++ b/crates/balancer/src/operator/fleet.rs
@@ -119,26 +119,26 @@
 /// Reads the four sections. The others have no meaning without `[fleet]`.
 pub(super) fn fleet(file: &mut Section<'_>) -> Option<FleetConfig> {
     let section = file.section("fleet");
-    let alone = section.is_none()
+    let is_unused = section.is_none()
         && file
-            .faults
+            .errors
             .borrow()
             .iter()
-            .all(|fault| !fault.starts_with("fleet"));
+            .all(|error| !error.starts_with("fleet"));
     for other in ["memory", "edge", "affinity"] {
         file.error_if(
             other,
-            alone && file.table.contains_key(other),
+            is_unused && file.table.contains_key(other),
             "has no meaning without [fleet]",
         );
     }
     let memory = file.section("memory");
-    let asks_for_memory = memory.is_some();
+    let has_memory_section = memory.is_some();
     let memory = memory.and_then(self::memory);
     let edge = file.section("edge").map(edge).unwrap_or_default();
     let affinity = file.section("affinity").map(affinity).unwrap_or_default();
     let fleet = processes(section?)?;
-    (memory.is_some() == asks_for_memory).then_some(FleetConfig {
+    (memory.is_some() == has_memory_section).then_some(FleetConfig {
         memory,
         edge,
         affinity,
@@ -148,34 +148,34 @@
 
 fn memory(mut section: Section<'_>) -> Option<MemoryConfig> {
     let path: Option<PathBuf> = section.required("path");
-    let nameless = path.as_ref().is_some_and(|path| path.file_name().is_none());
-    section.error_if("path", nameless, "names no file");
-    let most_mb: u64 = section.optional("most_mb", 256);
+    let lacks_file_name = path.as_ref().is_some_and(|path| path.file_name().is_none());
+    section.error_if("path", lacks_file_name, "names no file");
+    let max_mb: u64 = section.optional("most_mb", 256);
     section.error_if(
         "most_mb",
-        !(1..=16_384).contains(&most_mb),
+        !(1..=16_384).contains(&max_mb),
         "from 1 to 16384",
     );
     section.reject_unknown_fields();
     Some(MemoryConfig {
         path: path?,
-        max_bytes: most_mb.saturating_mul(1 << 20),
+        max_bytes: max_mb.saturating_mul(1 << 20),
     })
 }
 
 fn edge(mut section: Section<'_>) -> EdgeConfig {
-    let usual = EdgeConfig::default();
-    let is_enabled = section.optional("on", usual.is_enabled);
-    let isolation_delay = span(
+    let default = EdgeConfig::default();
+    let is_enabled = section.optional("on", default.is_enabled);
+    let isolation_delay = duration(
         &mut section,
         ("patience_s", 1.0),
-        usual.isolation_delay,
+        default.isolation_delay,
         0.5..=3_600.0,
     );
-    let trust_period = span(
+    let trust_period = duration(
         &mut section,
         ("trust_h", SECONDS_PER_HOUR),
-        usual.trust_period,
+        default.trust_period,
         0.01..=744.0,
     );
     let mode = match section.optional("word", "automatic".to_owned()).as_str() {
@@ -184,7 +184,7 @@
         "linked" => EdgeMode::Linked,
         _ => {
             section.error("word", "automatic, island or linked");
-            usual.mode
+            default.mode
         }
     };
     section.reject_unknown_fields();
@@ -197,21 +197,21 @@
 }
 
 fn affinity(mut section: Section<'_>) -> AffinityConfig {
-    let usual = AffinityConfig::default();
-    let is_enabled = section.optional("on", usual.is_enabled);
-    let max_placements = section.optional("most", usual.max_placements);
+    let default = AffinityConfig::default();
+    let is_enabled = section.optional("on", default.is_enabled);
+    let max_placements = section.optional("most", default.max_placements);
     section.error_if(
         "most",
         !(1..=4_000_000).contains(&max_placements),
         "from 1 to 4000000",
     );
-    let retention = span(
+    let retention = duration(
         &mut section,
         ("keep_s", 1.0),
-        usual.retention,
+        default.retention,
         1.0..=604_800.0,
     );
-    let serial = section.optional("serial", usual.serial);
+    let serial = section.optional("serial", default.serial);
     section.error_if("serial", serial == 0, "at least 1");
     section.reject_unknown_fields();
     AffinityConfig {
@@ -223,16 +223,16 @@
 }
 
 /// A span given in a unit of so many seconds.
-fn span(
+fn duration(
     section: &mut Section<'_>,
     (field, unit): (&str, f64),
-    usual: Duration,
+    default: Duration,
     range: std::ops::RangeInclusive<f64>,
 ) -> Duration {
-    let given: f64 = section.optional(field, usual.as_secs_f64() / unit);
-    if range.contains(&given) {
-        return Duration::from_secs_f64(given * unit);
+    let count_in_unit: f64 = section.optional(field, default.as_secs_f64() / unit);
+    if range.contains(&count_in_unit) {
+        return Duration::from_secs_f64(count_in_unit * unit);
     }
     section.error(field, &format!("from {} to {}", range.start(), range.end()));
-    usual
+    default
 }
--- a/crates/balancer/src/operator/fleet/processes.rs
+++ b/crates/balancer/src/operator/fleet/processes.rs
@@ -15,8 +15,8 @@
 const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
 
 pub(super) fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
-    let name = named(&mut section, "name", MAX_NAME_BYTES);
-    let site = named(&mut section, "site", MAX_SITE_BYTES);
+    let name = required_name(&mut section, "name", MAX_NAME_BYTES);
+    let site = required_name(&mut section, "site", MAX_SITE_BYTES);
     let addresses = Addresses::read(&mut section);
     let keys = Keys::read(&mut section);
     let sizes = FleetSizes::read(&mut section, addresses.other_peers(), site.as_deref());
@@ -70,8 +70,8 @@
         if let Some(advertise) = &advertise {
             check_address(section, "advertise", advertise, "needs a port");
         }
-        for (at, peer) in (0..).zip(peers.iter().flatten()) {
-            check_address(section, &format!("peers[{at}]"), peer, "needs a port");
+        for (index, peer) in (0..).zip(peers.iter().flatten()) {
+            check_address(section, &format!("peers[{index}]"), peer, "needs a port");
         }
         Addresses {
             listen,
@@ -89,8 +89,8 @@
 }
 
 fn check_address(section: &Section<'_>, field: &str, address: &SocketAddr, no_port: &str) {
-    let is_open = !address.ip().is_loopback();
-    section.error_if(field, is_open, "is not a loopback address");
+    let is_not_loopback = !address.ip().is_loopback();
+    section.error_if(field, is_not_loopback, "is not a loopback address");
     section.error_if(field, address.port() == 0, no_port);
 }
 
@@ -147,10 +147,10 @@
             !(1..=size).contains(&site_size),
             "from 1 to size",
         );
-        let is_alone = other_sites.is_empty() && site_size != size;
+        let is_single_site = other_sites.is_empty() && site_size != size;
         section.error_if(
             "site_size",
-            is_alone,
+            is_single_site,
             "is less than size, and other_sites names none",
         );
         FleetSizes {
@@ -163,16 +163,16 @@
 
 fn other_sites(section: &mut Section<'_>, own_site: Option<&str>) -> Vec<String> {
     let sites: Vec<String> = section.optional("other_sites", Vec::new());
-    for (at, site) in (0..).zip(&sites) {
-        let field = format!("other_sites[{at}]");
+    for (index, site) in (0..).zip(&sites) {
+        let field = format!("other_sites[{index}]");
         section.error_if(
             &field,
-            !fits(site, MAX_SITE_BYTES),
+            !is_valid_name(site, MAX_SITE_BYTES),
             &format!("1 to {MAX_SITE_BYTES} {NAME_CHARACTERS}"),
         );
         let is_own = Some(site.as_str()) == own_site;
         section.error_if(&field, is_own, "is this site");
-        let is_repeated = sites[..at].contains(site);
+        let is_repeated = sites[..index].contains(site);
         section.error_if(&field, is_repeated, "stands there twice");
     }
     sites
@@ -183,29 +183,36 @@
         .table
         .contains_key("borne")
         .then(|| section.optional("borne", 0.0));
-    let is_bad = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
-    section.error_if("borne", is_bad, "from 0.001 to 1000000");
+    let is_invalid = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
+    section.error_if("borne", is_invalid, "from 0.001 to 1000000");
     rate
 }
 
 /// A name is sent in every datagram and logged.
-fn named(section: &mut Section<'_>, field: &str, longest: usize) -> Option<String> {
+fn required_name(section: &mut Section<'_>, field: &str, max_bytes: usize) -> Option<String> {
     let name: Option<String> = section.required(field);
-    let bad = name.as_ref().is_some_and(|name| !fits(name, longest));
-    section.error_if(field, bad, &format!("1 to {longest} {NAME_CHARACTERS}"));
+    let is_invalid = name
+        .as_ref()
+        .is_some_and(|name| !is_valid_name(name, max_bytes));
+    section.error_if(
+        field,
+        is_invalid,
+        &format!("1 to {max_bytes} {NAME_CHARACTERS}"),
+    );
     name
 }
 
-fn fits(name: &str, longest: usize) -> bool {
-    let sound = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    (1..=longest).contains(&name.len()) && name.chars().all(sound)
+fn is_valid_name(name: &str, max_bytes: usize) -> bool {
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    (1..=max_bytes).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
 /// A key is in a file of its own, so that the operator's file holds no secret.
 fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
     let path: PathBuf = section.required(field)?;
-    if let Err(fault) = Key::read(&path) {
-        section.error(field, &fault.to_string());
+    if let Err(error) = Key::read(&path) {
+        section.error(field, &error.to_string());
         return None;
     }
     Some(path)
--- a/crates/balancer/src/operator/section.rs
+++ b/crates/balancer/src/operator/section.rs
@@ -9,11 +9,11 @@
 pub(super) struct Section<'f> {
     pub(super) path: String,
     pub(super) table: Table,
-    pub(super) faults: &'f RefCell<Vec<String>>,
+    pub(super) errors: &'f RefCell<Vec<String>>,
 }
 
 impl<'f> Section<'f> {
-    pub(super) fn named(&self, field: &str) -> String {
+    pub(super) fn field_path(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
         } else {
@@ -21,23 +21,23 @@
         }
     }
 
-    pub(super) fn error(&self, field: &str, why: &str) {
-        self.faults
+    pub(super) fn error(&self, field: &str, reason: &str) {
+        self.errors
             .borrow_mut()
-            .push(format!("{}: {why}", self.named(field)));
+            .push(format!("{}: {reason}", self.field_path(field)));
     }
 
-    pub(super) fn error_if(&self, field: &str, bad: bool, why: &str) {
-        if bad {
-            self.error(field, why);
+    pub(super) fn error_if(&self, field: &str, is_invalid: bool, reason: &str) {
+        if is_invalid {
+            self.error(field, reason);
         }
     }
 
     pub(super) fn subsection(&self, name: &str, table: Table) -> Section<'f> {
         Section {
-            path: self.named(name),
+            path: self.field_path(name),
             table,
-            faults: self.faults,
+            errors: self.errors,
         }
     }
 
@@ -53,20 +53,27 @@
     }
 
     /// An optional field with a default.
-    pub(super) fn optional<T: DeserializeOwned>(&mut self, field: &str, usual: T) -> T {
+    pub(super) fn optional<T: DeserializeOwned>(&mut self, field: &str, default: T) -> T {
         match self.table.remove(field) {
-            None => usual,
-            Some(value) => self.read(field, value).unwrap_or(usual),
+            None => default,
+            Some(value) => self.read(field, value).unwrap_or(default),
         }
     }
 
     fn read<T: DeserializeOwned>(&self, field: &str, value: Value) -> Option<T> {
-        let secret = matches!(field, "token" | "url");
+        let is_secret = matches!(field, "token" | "url");
         match value.try_into() {
             Ok(value) => Some(value),
             Err(error) => {
-                let why = error.message().to_owned();
-                self.error(field, if secret { "has the wrong type" } else { &why });
+                let reason = error.message().to_owned();
+                self.error(
+                    field,
+                    if is_secret {
+                        "has the wrong type"
+                    } else {
+                        &reason
+                    },
+                );
                 None
             }
         }
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -3,8 +3,8 @@
 //! Times are the program's clock inside, and the wall clock in the store and for people, so that a
 //! step of the wall clock changes no override's duration.
 
+mod apply;
 mod audit;
-mod follow;
 mod housekeeping;
 mod restore;
 mod view;
@@ -101,13 +101,13 @@
 
 impl OverrideState {
     /// The override that an earlier request with the same key created.
-    fn made_by(&self, replay: Option<&Replay>) -> Result<Option<Override>, OverrideError> {
-        let made = replay.and_then(|replay| self.by_key.get(&replay.key));
-        let Some(one) = made.and_then(|id| self.set.get(*id)) else {
+    fn find_replayed(&self, replay: Option<&Replay>) -> Result<Option<Override>, OverrideError> {
+        let replayed = replay.and_then(|replay| self.by_key.get(&replay.key));
+        let Some(record) = replayed.and_then(|id| self.set.get(*id)) else {
             return Ok(None);
         };
-        if one.replay.as_ref() == replay {
-            Ok(Some(one.clone()))
+        if record.replay.as_ref() == replay {
+            Ok(Some(record.clone()))
         } else {
             Err(OverrideError::KeyReused)
         }
@@ -121,8 +121,8 @@
     clock: Clock,
     limits: Limits,
     wall_clock: WallClock,
-    changed: Sender<()>,
-    changes: Receiver<()>,
+    change_sender: Sender<()>,
+    change_receiver: Receiver<()>,
 }
 
 /// Reads the wall clock, in Unix milliseconds.
@@ -152,7 +152,7 @@
         } = restored;
         let keys = set
             .iter()
-            .filter_map(|one| Some((one.replay.as_ref()?.key.clone(), one.id)));
+            .filter_map(|record| Some((record.replay.as_ref()?.key.clone(), record.id)));
         let by_key = keys.collect();
         let reported_until = clock.now() / 1_000_000;
         let state = OverrideState {
@@ -163,15 +163,15 @@
             clock_steps: ClockStepDetector::default(),
             reported_until,
         };
-        let (changed, changes) = bounded(1);
+        let (change_sender, change_receiver) = bounded(1);
         OverrideManager {
             state: Mutex::new(state),
             cores,
             clock,
             limits,
             wall_clock,
-            changed,
-            changes,
+            change_sender,
+            change_receiver,
         }
     }
 
@@ -190,23 +190,23 @@
     }
 
     /// State of the store.
-    pub fn about(&self) -> StoreStatus {
+    pub fn store_status(&self) -> StoreStatus {
         self.lock().store_status.clone()
     }
 
     /// Total steps of the wall clock since the start, in milliseconds.
-    pub fn wall_ahead(&self) -> i64 {
+    pub fn wall_clock_offset_ms(&self) -> i64 {
         self.lock().clock_steps.ahead_by_ms()
     }
 
     /// Converts a wall clock time to the program's clock.
-    pub fn from_wall(&self, at: Millis) -> Millis {
-        at.saturating_add_signed(-self.wall_ahead())
+    pub fn from_wall_clock(&self, at: Millis) -> Millis {
+        at.saturating_add_signed(-self.wall_clock_offset_ms())
     }
 
     /// A time from now, by the program's clock.
-    pub fn after(&self, span: Millis) -> Millis {
-        self.now().saturating_add(span)
+    pub fn from_now(&self, duration: Millis) -> Millis {
+        self.now().saturating_add(duration)
     }
 
     fn core_snapshots(&self) -> Vec<(&'static str, Option<CoreSnapshot>)> {
@@ -223,7 +223,7 @@
         state
             .set
             .active(now)
-            .map(|one| view_of(&state, one, &fronts, now))
+            .map(|record| view_of(&state, record, &fronts, now))
             .collect()
     }
 
@@ -231,14 +231,17 @@
     pub fn get(&self, id: OverrideId) -> Option<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
-        let one = state.set.get(id).filter(|one| one.is_active_at(now))?;
-        Some(view_of(&state, one, &fronts, now))
+        let record = state
+            .set
+            .get(id)
+            .filter(|record| record.is_active_at(now))?;
+        Some(view_of(&state, record, &fronts, now))
     }
 
     fn listed_servers(&self) -> Vec<ListedServers> {
         self.core_snapshots()
             .into_iter()
-            .map(|(front, look)| ListedServers::from_snapshot(front, look))
+            .map(|(front, snapshot)| ListedServers::from_snapshot(front, snapshot))
             .collect()
     }
 
@@ -255,10 +258,10 @@
     ) -> Result<ChangeResult, OverrideError> {
         let mut state = self.lock();
         let now = self.now();
-        if let Some(one) = state.made_by(replay.as_ref())? {
+        if let Some(record) = state.find_replayed(replay.as_ref())? {
             drop(state);
             return Ok(ChangeResult {
-                view: self.view(&one),
+                view: self.view(&record),
                 is_in_effect: true,
                 is_replay: true,
             });
@@ -273,22 +276,22 @@
             .store
             .as_ref()
             .ok_or_else(|| state.store_status.refusal())?;
-        let mut one = draft.into_override(store.next_id(), now);
-        (one.forced, one.replay) = (force, replay);
-        if matches!(one.kind, OverrideKind::Out { .. }) && !force {
-            let empty = fronts_left_empty(&mut state.set, &one, &self.core_snapshots(), now);
+        let mut record = draft.into_override(store.next_id(), now);
+        (record.forced, record.replay) = (force, replay);
+        if matches!(record.kind, OverrideKind::Out { .. }) && !force {
+            let empty = fronts_left_empty(&mut state.set, &record, &self.core_snapshots(), now);
             if !empty.is_empty() {
                 return Err(OverrideError::LeavesNoServer(empty));
             }
         }
-        let is_in_effect = self.apply(&mut state, one.clone())?;
-        if let Some(replay) = &one.replay {
-            state.by_key.insert(replay.key.clone(), one.id);
+        let is_in_effect = self.apply(&mut state, record.clone())?;
+        if let Some(replay) = &record.replay {
+            state.by_key.insert(replay.key.clone(), record.id);
         }
         drop(state);
-        audit("created", &one, now);
+        audit("created", &record, now);
         Ok(ChangeResult {
-            view: self.view(&one),
+            view: self.view(&record),
             is_in_effect,
             is_replay: false,
         })
@@ -305,8 +308,9 @@
         expires_at: Millis,
         revision: Option<u64>,
     ) -> Result<ChangeResult, OverrideError> {
-        self.change("extended", id, revision, |one, now| {
-            one.extend(expires_at, now, &self.limits)
+        self.change("extended", id, revision, |record, now| {
+            record
+                .extend(expires_at, now, &self.limits)
                 .map_err(|fault| OverrideError::Invalid(vec![fault]))
         })
     }
@@ -321,8 +325,8 @@
         id: OverrideId,
         revision: Option<u64>,
     ) -> Result<ChangeResult, OverrideError> {
-        self.change("removed", id, revision, |one, now| {
-            one.remove(now);
+        self.change("removed", id, revision, |record, now| {
+            record.remove(now);
             Ok(())
         })
     }
@@ -336,44 +340,44 @@
     ) -> Result<ChangeResult, OverrideError> {
         let mut state = self.lock();
         let now = self.now();
-        let mut one = state
+        let mut record = state
             .set
             .get(id)
-            .filter(|one| one.is_active_at(now))
+            .filter(|record| record.is_active_at(now))
             .ok_or(OverrideError::Unknown)?
             .clone();
-        if revision.is_some_and(|revision| revision != one.revision) {
-            return Err(OverrideError::Stale(one.revision));
+        if revision.is_some_and(|revision| revision != record.revision) {
+            return Err(OverrideError::Stale(record.revision));
         }
-        change(&mut one, now)?;
-        let is_in_effect = self.apply(&mut state, one.clone())?;
+        change(&mut record, now)?;
+        let is_in_effect = self.apply(&mut state, record.clone())?;
         drop(state);
-        audit(what, &one, now);
+        audit(what, &record, now);
         Ok(ChangeResult {
-            view: self.view(&one),
+            view: self.view(&record),
             is_in_effect,
             is_replay: false,
         })
     }
 
     /// Stores an override and applies it to the cores; returns whether all have applied it.
-    fn apply(&self, state: &mut OverrideState, one: Override) -> Result<bool, OverrideError> {
-        let ahead = state.clock_steps.ahead_by_ms();
+    fn apply(&self, state: &mut OverrideState, record: Override) -> Result<bool, OverrideError> {
+        let offset_ms = state.clock_steps.ahead_by_ms();
         let store = state
             .store
             .as_mut()
             .ok_or_else(|| state.store_status.refusal())?;
         store
-            .put(&[with_clock_offset(&one, ahead)])
+            .put(&[with_clock_offset(&record, offset_ms)])
             .map_err(OverrideError::Store)?;
-        state.set.insert(one.clone());
-        let settled = self.apply_to_cores(OverrideChange::Put(Box::new(one)));
-        let _ = self.changed.try_send(());
-        Ok(settled)
+        state.set.insert(record.clone());
+        let is_in_effect = self.apply_to_cores(OverrideChange::Put(Box::new(record)));
+        let _ = self.change_sender.try_send(());
+        Ok(is_in_effect)
     }
 
-    fn view(&self, one: &Override) -> OverrideView {
+    fn view(&self, record: &Override) -> OverrideView {
         let fronts = self.listed_servers();
-        view_of(&self.lock(), one, &fronts, self.now())
+        view_of(&self.lock(), record, &fronts, self.now())
     }
 }
--- a/crates/balancer/src/overrides/follow.rs
+++ b/crates/balancer/src/overrides/apply.rs
@@ -28,23 +28,23 @@
                 receiver
             })
             .collect();
-        let until = Instant::now() + CORE_TIMEOUT;
-        let effects: Vec<Option<OverridesApplied>> = answers
+        let deadline = Instant::now() + CORE_TIMEOUT;
+        let results: Vec<Option<OverridesApplied>> = answers
             .iter()
-            .map(|answer| answer.recv_deadline(until).ok())
+            .map(|answer| answer.recv_deadline(deadline).ok())
             .collect();
-        let followed = effects.iter().all(Option::is_some);
+        let all_applied = results.iter().all(Option::is_some);
         let marks = || {
-            effects
+            results
                 .iter()
                 .flatten()
-                .flat_map(|effect| &effect.out_of_service)
+                .flat_map(|result| &result.out_of_service)
         };
-        let until = Instant::now() + WRITE_TIMEOUT;
+        let deadline = Instant::now() + WRITE_TIMEOUT;
         // A non-blocking write takes microseconds; no event reports its end.
-        while !marks().all(|mark| mark.has_no_writers()) && Instant::now() < until {
+        while !marks().all(|mark| mark.has_no_writers()) && Instant::now() < deadline {
             std::thread::sleep(Duration::from_micros(50));
         }
-        followed && marks().all(|mark| mark.has_no_writers())
+        all_applied && marks().all(|mark| mark.has_no_writers())
     }
 }
--- a/crates/balancer/src/overrides/audit.rs
+++ b/crates/balancer/src/overrides/audit.rs
@@ -4,17 +4,17 @@
 use tracing::info;
 
 /// Writes an audit event.
-pub(super) fn audit(what: &str, one: &Override, now: Millis) {
+pub(super) fn audit(what: &str, record: &Override, now: Millis) {
     info!(
         part = "audit",
-        id = one.id.0,
-        kind = one.kind.name(),
-        server = one.kind.server(),
-        remaining_s = one.ends_at().saturating_sub(now) / 1_000,
-        revision = one.revision,
-        forced = one.forced,
-        who = one.who,
-        why = one.why,
+        id = record.id.0,
+        kind = record.kind.name(),
+        server = record.kind.server(),
+        remaining_s = record.ends_at().saturating_sub(now) / 1_000,
+        revision = record.revision,
+        forced = record.forced,
+        who = record.who,
+        why = record.why,
         "override {what}"
     );
 }
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -29,7 +29,7 @@
                 Duration::from_millis(at.saturating_sub(self.now()).max(1))
                     .min(WALL_CLOCK_CHECK_INTERVAL)
             });
-            if self.changes.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
+            if self.change_receiver.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
                 return;
             }
         }
@@ -40,13 +40,13 @@
         let mut state = self.lock();
         let now = self.now();
         audit_expired(&mut state, now);
-        self.follow_wall_clock(&mut state, now);
-        self.forget_spent(&mut state, now);
+        self.handle_clock_step(&mut state, now);
+        self.remove_expired(&mut state, now);
         state.set.next_change(now)
     }
 
     /// Updates the stored times after a step of the wall clock, which a restart goes by.
-    fn follow_wall_clock(&self, state: &mut OverrideState, now: Millis) {
+    fn handle_clock_step(&self, state: &mut OverrideState, now: Millis) {
         let Some(step) = state.clock_steps.check(now, (self.wall_clock)()) else {
             return;
         };
@@ -58,21 +58,21 @@
         let all: Vec<Override> = state
             .set
             .iter()
-            .map(|one| with_clock_offset(one, step.ahead_by_ms))
+            .map(|record| with_clock_offset(record, step.ahead_by_ms))
             .collect();
         state.write(|store| store.put(&all));
     }
 
     /// Removes spent overrides here and at the cores.
-    fn forget_spent(&self, state: &mut OverrideState, now: Millis) {
-        let spent = state.set.expired_effects(now);
-        if spent.is_empty() {
+    fn remove_expired(&self, state: &mut OverrideState, now: Millis) {
+        let expired = state.set.expired_effects(now);
+        if expired.is_empty() {
             return;
         }
-        state.write(|store| store.forget(&spent));
-        spent.iter().for_each(|id| drop(state.set.discard(*id)));
-        state.by_key.retain(|_, id| !spent.contains(id));
-        let change = OverrideChange::Forget(spent);
+        state.write(|store| store.forget(&expired));
+        expired.iter().for_each(|id| drop(state.set.discard(*id)));
+        state.by_key.retain(|_, id| !expired.contains(id));
+        let change = OverrideChange::Forget(expired);
         for (_, core) in &self.cores {
             core.send(CoreInput::OverridesChanged {
                 changes: vec![change.clone()],
@@ -96,8 +96,12 @@
 /// Logs the overrides that have expired since the last call.
 fn audit_expired(state: &mut OverrideState, now: Millis) {
     for id in state.set.ended_between(state.reported_until, now) {
-        if let Some(one) = state.set.get(id).filter(|one| one.removed_at.is_none()) {
-            audit("expired", one, now);
+        if let Some(record) = state
+            .set
+            .get(id)
+            .filter(|record| record.removed_at.is_none())
+        {
+            audit("expired", record, now);
         }
     }
     state.reported_until = now.max(state.reported_until);
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -77,27 +77,27 @@
 ) -> RestoredOverrides {
     let mut notes = store_notes(&contents);
     let mut set = OverrideSet::new(config.limits.ramp_ms);
-    let (mut holding, mut spent) = (0, Vec::new());
-    for mut one in contents.overrides {
-        notes.extend(bound_times(&mut one, now));
-        if one.removed_at.is_none() && !one.is_active_at(now) {
-            audit("found expired", &one, now);
+    let (mut active_count, mut expired) = (0, Vec::new());
+    for mut record in contents.overrides {
+        notes.extend(bound_times(&mut record, now));
+        if record.removed_at.is_none() && !record.is_active_at(now) {
+            audit("found expired", &record, now);
         }
-        if one.ends_at().saturating_add(config.limits.ramp_ms) > now {
-            holding += usize::from(one.is_active_at(now));
-            set.insert(one);
+        if record.ends_at().saturating_add(config.limits.ramp_ms) > now {
+            active_count += usize::from(record.is_active_at(now));
+            set.insert(record);
         } else {
-            spent.push(one.id);
+            expired.push(record.id);
         }
     }
     // Spent overrides are removed, so that the file does not grow without end.
-    if let Err(error) = store.forget(&spent) {
+    if let Err(error) = store.forget(&expired) {
         error!(part = "overrides", why = %error, "not written");
     }
     for note in &notes {
         warn!(part = "overrides", what = note, "found at the start");
     }
-    info!(part = "overrides", restored = holding, "restored");
+    info!(part = "overrides", restored = active_count, "restored");
     RestoredOverrides {
         store: Some(store),
         store_status: StoreStatus {
@@ -128,14 +128,14 @@
 
 /// Moves times of an override that are in the future to now, except its expiry; returns a note
 /// where the expiry was cut.
-fn bound_times(one: &mut Override, now: Millis) -> Option<String> {
-    let (expires_at, cut) = bounded_expiry(one, now);
-    (one.created_at, one.expires_at) = (one.created_at.min(now), expires_at);
-    one.removed_at = one.removed_at.map(|at| at.min(now));
+fn bound_times(record: &mut Override, now: Millis) -> Option<String> {
+    let (expires_at, cut) = bounded_expiry(record, now);
+    (record.created_at, record.expires_at) = (record.created_at.min(now), expires_at);
+    record.removed_at = record.removed_at.map(|at| at.min(now));
     let seconds = cut? / 1_000;
     Some(format!(
         "the wall clock stands before override {} began: it ends {seconds} s earlier by that clock, after no more \
          than its whole span",
-        one.id
+        record.id
     ))
 }
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -30,8 +30,11 @@
 
 impl ListedServers {
     /// The servers of a core's snapshot; empty if it gave none.
-    pub(super) fn from_snapshot(front: &'static str, look: Option<CoreSnapshot>) -> ListedServers {
-        let servers = look.into_iter().flat_map(|look| look.servers);
+    pub(super) fn from_snapshot(
+        front: &'static str,
+        snapshot: Option<CoreSnapshot>,
+    ) -> ListedServers {
+        let servers = snapshot.into_iter().flat_map(|snapshot| snapshot.servers);
         ListedServers {
             front,
             states: servers
@@ -52,46 +55,46 @@
 /// An override as it is shown at a time.
 pub(super) fn view_of(
     state: &OverrideState,
-    one: &Override,
+    record: &Override,
     fronts: &[ListedServers],
     now: Millis,
 ) -> OverrideView {
     let effect = |servers: &ListedServers| {
-        let listed = servers.listed(one.kind.server());
+        let listed = servers.listed(record.kind.server());
         (
             servers.front,
             state
                 .set
-                .effect(one.id, listed, now)
+                .effect(record.id, listed, now)
                 .unwrap_or(Effect::Ended),
         )
     };
     OverrideView {
-        remaining_ms: one.ends_at().saturating_sub(now),
+        remaining_ms: record.ends_at().saturating_sub(now),
         effects: fronts.iter().map(effect).collect(),
-        record: with_clock_offset(one, state.clock_steps.ahead_by_ms()),
+        record: with_clock_offset(record, state.clock_steps.ahead_by_ms()),
     }
 }
 
 /// Fronts and zones that a new override leaves without a ready server.
 pub(super) fn fronts_left_empty(
     set: &mut OverrideSet,
-    one: &Override,
+    record: &Override,
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<(&'static str, CoverageGaps)> {
     let before = coverage_by_front(set, snapshots, now);
-    set.insert(one.clone());
+    set.insert(record.clone());
     let after = coverage_by_front(set, snapshots, now);
-    set.discard(one.id);
-    let worse = after
+    set.discard(record.id);
+    let new_gaps = after
         .iter()
         .zip(&before)
         .map(|(after, before)| after.new_since(before));
     let fronts = snapshots.iter().map(|(front, _)| *front);
     fronts
-        .zip(worse)
-        .filter(|(_, judgement)| !judgement.is_empty())
+        .zip(new_gaps)
+        .filter(|(_, gaps)| !gaps.is_empty())
         .collect()
 }
 
@@ -101,8 +104,8 @@
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<CoverageGaps> {
-    let at_front = |look: &Option<CoreSnapshot>| {
-        let servers = look.iter().flat_map(|look| &look.servers);
+    let at_front = |snapshot: &Option<CoreSnapshot>| {
+        let servers = snapshot.iter().flat_map(|snapshot| &snapshot.servers);
         let ready = servers.filter(|server| server.state.0 == ServerState::Ready);
         find_coverage_gaps(
             ready.map(|server| (server.name.as_str(), server.zone.as_str())),
@@ -110,5 +113,8 @@
             now,
         )
     };
-    snapshots.iter().map(|(_, look)| at_front(look)).collect()
+    snapshots
+        .iter()
+        .map(|(_, snapshot)| at_front(snapshot))
+        .collect()
 }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -27,60 +27,66 @@
     /// The platform's front.
     Platform {
         /// The file as last read.
-        file: Box<PlatformConfig>,
+        config: Box<PlatformConfig>,
         /// The address of the watch.
-        target: DiscoveryAddress,
+        discovery_address: DiscoveryAddress,
         /// The limit on descriptors.
-        sockets: SharedLimit,
+        max_descriptors: SharedLimit,
         /// The core.
         core: CoreHandle,
         /// The settings that the front parses requests by.
         settings: SharedSettings,
         /// Whether servers may be probed, as at the start.
-        probes: bool,
+        is_probing_allowed: bool,
         /// Whether a fleet is configured, which keeps its settings from the start.
-        fleet: bool,
+        has_fleet: bool,
     },
     /// The operator's file, with the NATS front if there is one.
     Operator {
         /// Path of the file.
         path: PathBuf,
         /// The file at the start; only the NATS front is compared with the latest one.
-        others: Box<OperatorConfig>,
+        config: Box<OperatorConfig>,
         /// The NATS front as last read.
-        file: Option<Box<NatsConfig>>,
+        nats: Option<Box<NatsConfig>>,
         /// The address of the watch, where there is one.
-        target: Option<DiscoveryAddress>,
+        discovery_address: Option<DiscoveryAddress>,
         /// The limit on descriptors.
-        sockets: SharedLimit,
+        max_descriptors: SharedLimit,
         /// The cores.
         cores: Vec<NamedCore>,
         /// The fleet thread, where a fleet is configured.
         fleet: Option<FleetHandle>,
         /// Number of reloads of configured endpoints.
-        farms: u64,
+        list_reloads: u64,
     },
 }
 
 impl Reload {
     /// Reads the file again and applies what can change.
     pub fn reload(&mut self) {
-        let changed = match self {
-            Reload::Platform { .. } => self.platform(),
-            Reload::Operator { .. } => self.operator(),
+        let result = match self {
+            Reload::Platform { .. } => self.reload_platform(),
+            Reload::Operator { .. } => self.reload_operator(),
         };
-        match changed {
-            Ok(Changes { taken, restart }) if taken.is_empty() && restart.is_empty() => {
+        match result {
+            Ok(Changes {
+                applied,
+                need_restart,
+            }) if applied.is_empty() && need_restart.is_empty() => {
                 info!(part = "reload", "nothing has changed");
             }
-            Ok(Changes { taken, restart }) => {
-                if !taken.is_empty() {
-                    info!(part = "reload", what = taken.join(", "), "taken over");
+            Ok(Changes {
+                applied,
+                need_restart,
+            }) => {
+                if !applied.is_empty() {
+                    info!(part = "reload", what = applied.join(", "), "taken over");
                 }
-                if !restart.is_empty() {
+                if !need_restart.is_empty() {
                     warn!(
                         part = "reload",
-                        what = restart.join(", "),
+                        what = need_restart.join(", "),
                         "takes a restart, kept as it was"
                     );
                 }
@@ -89,100 +95,113 @@
         }
     }
 
-    fn platform(&mut self) -> Result<Changes, String> {
+    fn reload_platform(&mut self) -> Result<Changes, String> {
         let Reload::Platform {
-            file,
-            target,
-            sockets,
+            config,
+            discovery_address,
+            max_descriptors,
             core,
             settings,
-            probes,
-            fleet,
+            is_probing_allowed,
+            has_fleet,
         } = self
         else {
             return Ok(Changes::default());
         };
         // A file with any error changes nothing.
-        let new = PlatformConfig::read()?;
+        let new_config = PlatformConfig::read()?;
         let mut changes = Changes::default();
-        if new.discovery != file.discovery {
-            changes.discovery(target, new.discovery);
+        if new_config.discovery != config.discovery {
+            changes.apply_discovery(discovery_address, new_config.discovery);
         }
-        changes.sockets(sockets, (file.limits.sockets, new.limits.sockets));
-        changes.fixed("name", file.name == new.name);
-        changes.fixed("listen", file.listen == new.listen);
-        changes.fixed("admin_addr", file.admin_addr == new.admin_addr);
-        changes.fixed(
+        changes.apply_descriptors(
+            max_descriptors,
+            (config.limits.sockets, new_config.limits.sockets),
+        );
+        changes.require_unchanged("name", config.name == new_config.name);
+        changes.require_unchanged("listen", config.listen == new_config.listen);
+        changes.require_unchanged("admin_addr", config.admin_addr == new_config.admin_addr);
+        changes.require_unchanged(
             "settings.discovery",
-            file.settings.is_pushed() == new.settings.is_pushed(),
+            config.settings.is_pushed() == new_config.settings.is_pushed(),
         );
-        changes.fixed(
+        changes.require_unchanged(
             "settings.policy-limits.may-probe",
-            *probes || !new.settings.can_probe(),
+            *is_probing_allowed || !new_config.settings.can_probe(),
         );
-        let replacing = new.settings.with_discovery_of(&file.settings);
-        if replacing != file.settings {
-            let in_force = Arc::new(settings.current().replaced_with(replacing.clone()));
+        let new_settings = new_config.settings.with_discovery_of(&config.settings);
+        if new_settings != config.settings {
+            let active_settings = Arc::new(settings.current().replaced_with(new_settings.clone()));
             // The core first: it knows every class before a request of it arrives.
-            core.send(CoreInput::SettingsReplaced(Arc::clone(&in_force)));
-            settings.replace(in_force);
-            changes.taken.push(format!(
+            core.send(CoreInput::SettingsReplaced(Arc::clone(&active_settings)));
+            settings.replace(active_settings);
+            changes.applied.push(format!(
                 "settings ({})",
-                replacing.differs_from(&file.settings).join(", ")
+                new_settings.differs_from(&config.settings).join(", ")
             ));
-            changes.fixed("settings, to the fleet", !*fleet);
-            file.settings = replacing;
+            changes.require_unchanged("settings, to the fleet", !*has_fleet);
+            config.settings = new_settings;
         }
         // What needs a restart is logged at each reload.
-        (file.discovery, file.limits) = (new.discovery, new.limits);
+        (config.discovery, config.limits) = (new_config.discovery, new_config.limits);
         Ok(changes)
     }
 
-    fn operator(&mut self) -> Result<Changes, String> {
+    fn reload_operator(&mut self) -> Result<Changes, String> {
         let Reload::Operator {
             path,
-            others,
-            file,
-            target,
-            sockets,
+            config,
+            nats,
+            discovery_address,
+            max_descriptors,
             cores,
             fleet,
-            farms,
+            list_reloads,
         } = self
         else {
             return Ok(Changes::default());
         };
-        let read = OperatorConfig::read(path).map_err(|faults| faults.to_string())?;
+        let new_config = OperatorConfig::read(path).map_err(|errors| errors.to_string())?;
         let mut changes = Changes::default();
-        changes.fixed("the NATS front", file.is_some() == read.nats.is_some());
-        changes.fixed("admin", others.admin == read.admin);
-        changes.fixed("overrides", others.overrides == read.overrides);
-        changes.fixed("log", others.log == read.log);
-        changes.fleet(fleet.as_ref(), &mut others.fleet, read.fleet);
-        changes.admission(cores, &mut others.admission, read.admission);
-        let (Some(new), Some(file)) = (read.nats, file) else {
+        changes.require_unchanged(
+            "the NATS front",
+            nats.is_some() == new_config.nats.is_some(),
+        );
+        changes.require_unchanged("admin", config.admin == new_config.admin);
+        changes.require_unchanged("overrides", config.overrides == new_config.overrides);
+        changes.require_unchanged("log", config.log == new_config.log);
+        changes.apply_fleet(fleet.as_ref(), &mut config.fleet, new_config.fleet);
+        changes.apply_admission(cores, &mut config.admission, new_config.admission);
+        let (Some(new_nats), Some(nats)) = (new_config.nats, nats) else {
             return Ok(changes);
         };
-        changes.endpoints(&file.endpoints, &new.endpoints, target.as_ref(), || {
-            *farms += 1;
-            if let Some((_, core)) = cores.iter().find(|(front, _)| *front == "nats") {
-                core.send_discovery(DiscoveryEvent::List(new.endpoints.list(1 + *farms)));
-            }
-        });
-        changes.sockets(sockets, (file.sockets, new.sockets));
-        changes.fixed("name", file.name == new.name);
-        changes.fixed("listen", file.listen == new.listen);
-        changes.fixed("wire", file.wire == new.wire);
-        changes.fixed("store", file.store == new.store);
-        changes.fixed("settings", file.settings == new.settings);
-        if !changes.restart.contains(&"farm") {
-            let is_new = file.endpoints != new.endpoints;
-            file.endpoints = new.endpoints;
+        changes.apply_endpoints(
+            &nats.endpoints,
+            &new_nats.endpoints,
+            discovery_address.as_ref(),
+            || {
+                *list_reloads += 1;
+                if let Some((_, core)) = cores.iter().find(|(front, _)| *front == "nats") {
+                    core.send_discovery(DiscoveryEvent::List(
+                        new_nats.endpoints.list(1 + *list_reloads),
+                    ));
+                }
+            },
+        );
+        changes.apply_descriptors(max_descriptors, (nats.sockets, new_nats.sockets));
+        changes.require_unchanged("name", nats.name == new_nats.name);
+        changes.require_unchanged("listen", nats.listen == new_nats.listen);
+        changes.require_unchanged("wire", nats.wire == new_nats.wire);
+        changes.require_unchanged("store", nats.store == new_nats.store);
+        changes.require_unchanged("settings", nats.settings == new_nats.settings);
+        if !changes.need_restart.contains(&"farm") {
+            let is_new = nats.endpoints != new_nats.endpoints;
+            nats.endpoints = new_nats.endpoints;
             if let Some(fleet) = fleet.as_ref().filter(|_| is_new) {
-                fleet.set_endpoint_source(&file.settings, &file.endpoints);
+                fleet.set_endpoint_source(&nats.settings, &nats.endpoints);
             }
         }
-        file.sockets = new.sockets;
+        nats.sockets = new_nats.sockets;
         Ok(changes)
     }
 }
@@ -190,49 +209,54 @@
 /// Differences between two files.
 #[derive(Default)]
 struct Changes {
-    taken: Vec<String>,
-    restart: Vec<&'static str>,
+    applied: Vec<String>,
+    need_restart: Vec<&'static str>,
 }
 
 impl Changes {
-    fn discovery(&mut self, target: &DiscoveryAddress, to: SocketAddr) {
-        target.move_to(to);
-        self.taken.push(format!("discovery at {to}"));
+    fn apply_discovery(&mut self, discovery_address: &DiscoveryAddress, address: SocketAddr) {
+        discovery_address.move_to(address);
+        self.applied.push(format!("discovery at {address}"));
     }
 
-    fn sockets(&mut self, sockets: &SharedLimit, (old, new): (usize, usize)) {
+    fn apply_descriptors(&mut self, max_descriptors: &SharedLimit, (old, new): (usize, usize)) {
         if new != old {
-            sockets.store(new, Ordering::Relaxed);
-            self.taken.push(format!("{new} sockets"));
+            max_descriptors.store(new, Ordering::Relaxed);
+            self.applied.push(format!("{new} sockets"));
         }
     }
 
     /// Applies the address of discovery, or the configured servers. A change from one to the other
     /// takes a restart.
-    fn endpoints(
+    fn apply_endpoints(
         &mut self,
         old: &EndpointSource,
         new: &EndpointSource,
-        target: Option<&DiscoveryAddress>,
+        discovery_address: Option<&DiscoveryAddress>,
         send_list: impl FnOnce(),
     ) {
-        match (new, old, target) {
+        match (new, old, discovery_address) {
             (new, old, _) if new == old => {}
-            (EndpointSource::Discovery(discovery), _, Some(target)) => {
-                self.discovery(target, *discovery);
+            (EndpointSource::Discovery(address), _, Some(discovery_address)) => {
+                self.apply_discovery(discovery_address, *address);
             }
             (EndpointSource::Servers(_), EndpointSource::Servers(_), _) => {
                 send_list();
-                self.taken.push("farm".into());
+                self.applied.push("farm".into());
             }
-            _ => self.restart.push("farm"),
+            _ => self.need_restart.push("farm"),
         }
     }
 
     /// Applies the limits and quotas of admission; the queues keep their number.
-    fn admission(&mut self, cores: &[NamedCore], old: &mut AdmissionConfig, new: AdmissionConfig) {
-        self.fixed("admission.queues", old.limits.queues == new.limits.queues);
-        self.fixed("admission.hand", old.limits.choices == new.limits.choices);
+    fn apply_admission(
+        &mut self,
+        cores: &[NamedCore],
+        old: &mut AdmissionConfig,
+        new: AdmissionConfig,
+    ) {
+        self.require_unchanged("admission.queues", old.limits.queues == new.limits.queues);
+        self.require_unchanged("admission.hand", old.limits.choices == new.limits.choices);
         let applied = AdmissionConfig {
             limits: Limits {
                 queues: old.limits.queues,
@@ -248,21 +272,22 @@
         for (_, core) in cores {
             core.send(CoreInput::AdmissionConfigured(applied.clone()));
         }
-        self.taken.push("admission".into());
+        self.applied.push("admission".into());
     }
 
     /// Applies the addresses of peers, the uplink mode and the serial number.
-    fn fleet(
+    fn apply_fleet(
         &mut self,
-        handle: Option<&FleetHandle>,
+        fleet_handle: Option<&FleetHandle>,
         old: &mut Option<FleetConfig>,
         new: Option<FleetConfig>,
     ) {
-        let (Some(handle), Some(old), Some(new)) = (handle, old.as_mut(), new.as_ref()) else {
-            return self.fixed("fleet", old.is_none() && new.is_none());
+        let (Some(fleet_handle), Some(old), Some(new)) = (fleet_handle, old.as_mut(), new.as_ref())
+        else {
+            return self.require_unchanged("fleet", old.is_none() && new.is_none());
         };
-        let mut taken = Vec::new();
-        for (name, same) in [
+        let mut applied = Vec::new();
+        for (name, is_same) in [
             ("fleet.peers", old.peers == new.peers),
             ("edge.word", old.edge.mode == new.edge.mode),
             (
@@ -270,35 +295,35 @@
                 old.affinity.serial == new.affinity.serial,
             ),
         ] {
-            taken.extend((!same).then(|| name.to_owned()));
+            applied.extend((!is_same).then(|| name.to_owned()));
         }
-        if !taken.is_empty() {
-            handle.reconfigure(new.clone());
-            self.taken.append(&mut taken);
+        if !applied.is_empty() {
+            fleet_handle.reconfigure(new.clone());
+            self.applied.append(&mut applied);
         }
         old.peers.clone_from(&new.peers);
         (old.edge.mode, old.affinity.serial) = (new.edge.mode, new.affinity.serial);
-        self.fixed("memory", old.memory == new.memory);
-        self.fixed("edge", old.edge == new.edge);
-        self.fixed("affinity", old.affinity == new.affinity);
-        self.fixed("fleet", is_same_section(old, new));
+        self.require_unchanged("memory", old.memory == new.memory);
+        self.require_unchanged("edge", old.edge == new.edge);
+        self.require_unchanged("affinity", old.affinity == new.affinity);
+        self.require_unchanged("fleet", is_same_section(old, new));
     }
 
-    fn fixed(&mut self, name: &'static str, same: bool) {
-        if !same {
-            self.restart.push(name);
+    fn require_unchanged(&mut self, name: &'static str, is_same: bool) {
+        if !is_same {
+            self.need_restart.push(name);
         }
     }
 }
 
 /// Whether the section `[fleet]` is the same, apart from the peers' addresses.
 fn is_same_section(old: &FleetConfig, new: &FleetConfig) -> bool {
-    let only_section = |config: &FleetConfig| FleetConfig {
+    let section_only = |config: &FleetConfig| FleetConfig {
         peers: Vec::new(),
         memory: None,
         edge: EdgeConfig::default(),
         affinity: AffinityConfig::default(),
         ..config.clone()
     };
-    only_section(old) == only_section(new)
+    section_only(old) == section_only(new)
 }
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -129,8 +129,8 @@
         self.thread
             .join()
             .map_err(|_| "the core panicked".to_owned())?;
-        let give_up_at = Instant::now() + LINGER_TIMEOUT;
-        while self.core.connections() > 0 && Instant::now() < give_up_at {
+        let deadline = Instant::now() + LINGER_TIMEOUT;
+        while self.core.connections() > 0 && Instant::now() < deadline {
             std::thread::sleep(LINGER_POLL_INTERVAL);
         }
         info!(part = "main", open = self.core.connections(), "left");
@@ -192,18 +192,18 @@
             start_admin(admin.listen, api)?;
             spawn("overrides", move || override_manager.run())?;
         }
-        let (target, sockets) = nats
-            .map(|nats| (nats.target, nats.sockets))
+        let (discovery_address, max_descriptors) = nats
+            .map(|nats| (nats.discovery_address, nats.max_descriptors))
             .unwrap_or_default();
         self.reloads.push(Reload::Operator {
             path,
-            file: file.nats.clone().map(Box::new),
-            others: Box::new(file),
-            target,
-            sockets,
+            nats: file.nats.clone().map(Box::new),
+            config: Box::new(file),
+            discovery_address,
+            max_descriptors,
             cores,
             fleet,
-            farms: 0,
+            list_reloads: 0,
         });
         Ok(())
     }
@@ -228,7 +228,7 @@
                 }
             };
             let reload = || reloads.iter_mut().for_each(Reload::reload);
-            signals::follow(&mut signals, reload, shut_down);
+            signals::handle(&mut signals, reload, shut_down);
         })?;
         self.fronts.into_iter().try_for_each(RunningFront::wait)
     }
--- a/crates/balancer/src/serve/nats.rs
+++ b/crates/balancer/src/serve/nats.rs
@@ -21,8 +21,8 @@
 pub(super) struct NatsState {
     tenants: Arc<Tenants>,
     site: Arc<SiteSettings>,
-    pub(super) target: Option<DiscoveryAddress>,
-    pub(super) sockets: SharedLimit,
+    pub(super) discovery_address: Option<DiscoveryAddress>,
+    pub(super) max_descriptors: SharedLimit,
 }
 
 impl NatsState {
@@ -42,8 +42,8 @@
         &nats.store.url,
         Duration::from_millis(nats.store.fresh_ms),
     )?);
-    let (watcher, discovery_polls) = watcher(&nats.endpoints);
-    let target = watcher.as_ref().map(Watcher::target);
+    let (discovery_watcher, discovery_polls) = discovery_watcher(&nats.endpoints);
+    let discovery_address = discovery_watcher.as_ref().map(Watcher::target);
     let seed = shared.clock.now();
     let (fleet, link_config) = shared.prepare_fleet(&site, Some(&nats.endpoints))?;
     let core_config = CoreConfig {
@@ -58,7 +58,7 @@
         admission: shared.admission.clone(),
         fleet: link_config,
     };
-    let (core, thread) = start_core(core_config, watcher)?;
+    let (core, thread) = start_core(core_config, discovery_watcher)?;
     let fleet = fleet.map(|fleet| fleet.start(core.clone())).transpose()?;
     let front = Arc::new(Nats::new(
         nats.name.clone(),
@@ -66,8 +66,8 @@
         Arc::clone(&tenants),
         nats.wire,
     ));
-    let sockets = SharedLimit::new(nats.sockets.into());
-    let descriptors = Descriptors::without_probes(Arc::clone(&sockets), false);
+    let max_descriptors = SharedLimit::new(nats.sockets.into());
+    let descriptors = Descriptors::without_probes(Arc::clone(&max_descriptors), false);
     start_front(front, (listen(nats.listen)?, None), descriptors, &core)?;
     info!(part = "main", front = "nats", name = nats.name, on = %nats.listen, "serves");
     let front = RunningFront {
@@ -79,18 +79,18 @@
     let state = NatsState {
         tenants,
         site,
-        target,
-        sockets,
+        discovery_address,
+        max_descriptors,
     };
     Ok((front, state))
 }
 
 /// The watch on discovery and the sender of polls. Servers that are configured need no watch.
-fn watcher(endpoints: &EndpointSource) -> (Option<Watcher>, Sender<()>) {
+fn discovery_watcher(endpoints: &EndpointSource) -> (Option<Watcher>, Sender<()>) {
     match endpoints {
         EndpointSource::Discovery(address) => {
-            let (watcher, polls) = Watcher::new(*address, 0);
-            (Some(watcher), polls)
+            let (discovery_watcher, polls) = Watcher::new(*address, 0);
+            (Some(discovery_watcher), polls)
         }
         EndpointSource::Servers(_) => (None, crossbeam_channel::unbounded().0),
     }
--- a/crates/balancer/src/serve/platform.rs
+++ b/crates/balancer/src/serve/platform.rs
@@ -28,15 +28,15 @@
 ) -> Result<(RunningFront, Reload), String> {
     let config = file.clone().with_environment()?;
     let (watcher, discovery_polls) = Watcher::new(config.discovery, config.cached_list.version());
-    let target = watcher.target();
+    let discovery_address = watcher.target();
     let seed = config.seed();
     let site = config.settings;
-    warn_if_alone(&site);
+    warn_without_balancer_count(&site);
     let settings = SharedSettings::new(site.clone());
     let front = Arc::new(Platform::new(settings.clone()));
     let (fleet, link_config) = shared.prepare_fleet(&site, None)?;
     let (prober, prober_handle) = prepare_prober(&front, &site, &settings)?.unzip();
-    let probes = site.can_probe();
+    let is_probing_allowed = site.can_probe();
     let core_config = CoreConfig {
         name: "core",
         site,
@@ -53,8 +53,8 @@
     let fleet = fleet.map(|fleet| fleet.start(core.clone())).transpose()?;
     let listener = listener(inherited, config.listen)?;
     let is_shared = listener.is_shared;
-    let sockets = SharedLimit::new(config.limits.sockets.into());
-    let descriptors = Descriptors::without_probes(Arc::clone(&sockets), is_shared);
+    let max_descriptors = SharedLimit::new(config.limits.sockets.into());
+    let descriptors = Descriptors::without_probes(Arc::clone(&max_descriptors), is_shared);
     if let Some(prober) = prober {
         start_prober(prober, &core, &descriptors)?;
     }
@@ -62,13 +62,13 @@
     start_front(front, (listener, handover_address), descriptors, &core)?;
     info!(part = "main", front = "platform", name = config.name, on = %config.listen, shared = is_shared, "serves");
     let reload = Reload::Platform {
-        file: Box::new(file),
-        target,
-        sockets,
+        config: Box::new(file),
+        discovery_address,
+        max_descriptors,
         core: core.clone(),
         settings,
-        probes,
-        fleet: fleet.is_some(),
+        is_probing_allowed,
+        has_fleet: fleet.is_some(),
     };
     let front = RunningFront {
         name: "platform",
@@ -88,7 +88,7 @@
     }
 }
 
-fn warn_if_alone(site: &SiteSettings) {
+fn warn_without_balancer_count(site: &SiteSettings) {
     if !site.has_balancer_count() {
         warn!(
             part = "main",
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -10,13 +10,17 @@
 
 /// Handles signals as they come. SIGHUP reloads the configuration, unless the program is shutting
 /// down; every other signal shuts it down. A panic in a reload costs that reload alone.
-pub fn follow(signals: impl IntoIterator<Item = i32>, mut reload: impl FnMut(), leave: impl Fn()) {
-    let mut leaving = false;
+pub fn handle(
+    signals: impl IntoIterator<Item = i32>,
+    mut reload: impl FnMut(),
+    shut_down: impl Fn(),
+) {
+    let mut is_shutting_down = false;
     for signal in signals {
         if signal != SIGHUP {
-            leaving = true;
-            leave();
-        } else if leaving {
+            is_shutting_down = true;
+            shut_down();
+        } else if is_shutting_down {
             info!(part = "reload", "left out: the program is leaving");
         } else if catch_unwind(AssertUnwindSafe(&mut reload)).is_err() {
             error!(
--- a/crates/balancer/src/signals/tests.rs
+++ b/crates/balancer/src/signals/tests.rs
@@ -7,37 +7,37 @@
 use super::*;
 
 /// What a program does on these signals, where the reload of that number panics.
-fn done(signals: &[i32], panics: Option<usize>) -> Vec<&'static str> {
-    let done = RefCell::new(Vec::new());
+fn actions(signals: &[i32], panicking_reload: Option<usize>) -> Vec<&'static str> {
+    let actions = RefCell::new(Vec::new());
     let mut reloads = 0;
     let reload = || {
         reloads += 1;
-        assert_ne!(Some(reloads), panics, "the fault that is played");
-        done.borrow_mut().push("reads");
+        assert_ne!(Some(reloads), panicking_reload, "the fault that is played");
+        actions.borrow_mut().push("reload");
     };
-    follow(signals.iter().copied(), reload, || {
-        done.borrow_mut().push("leaves")
+    handle(signals.iter().copied(), reload, || {
+        actions.borrow_mut().push("shut down")
     });
-    done.into_inner()
+    actions.into_inner()
 }
 
 #[test]
-fn a_reload_that_panics_costs_that_reload_alone() {
+fn panicking_reload_does_not_stop_later_signals() {
     assert_eq!(
-        done(&[SIGHUP, SIGHUP, SIGTERM], Some(1)),
-        ["reads", "leaves"]
+        actions(&[SIGHUP, SIGHUP, SIGTERM], Some(1)),
+        ["reload", "shut down"]
     );
-    assert_eq!(done(&[SIGHUP, SIGTERM], Some(1)), ["leaves"]);
+    assert_eq!(actions(&[SIGHUP, SIGTERM], Some(1)), ["shut down"]);
 }
 
 #[test]
-fn nothing_is_read_anew_once_the_program_leaves() {
+fn reload_is_skipped_after_shutdown_signal() {
     assert_eq!(
-        done(&[SIGHUP, SIGTERM, SIGHUP, SIGHUP], None),
-        ["reads", "leaves"]
+        actions(&[SIGHUP, SIGTERM, SIGHUP, SIGHUP], None),
+        ["reload", "shut down"]
     );
     assert_eq!(
-        done(&[SIGTERM, SIGTERM, SIGHUP, SIGINT], None),
-        ["leaves"; 3]
+        actions(&[SIGTERM, SIGTERM, SIGHUP, SIGINT], None),
+        ["shut down"; 3]
     );
 }
--- a/crates/balancer/tests/keeper.rs
+++ b/crates/balancer/tests/override_manager.rs
@@ -9,30 +9,30 @@
 use beaconflow_overrides::{Draft, Limits, Millis, Override, OverrideId, OverrideKind};
 use beaconflow_store::{OverrideStore, StoreError};
 
-const HOUR: i64 = 3_600_000;
+const HOUR_MS: i64 = 3_600_000;
 
 /// A wall clock that is stepped by hand.
 #[derive(Clone, Default)]
-struct Wall(Arc<AtomicI64>);
+struct TestWallClock(Arc<AtomicI64>);
 
-impl Wall {
-    fn step_to(&self, ahead: i64) {
-        self.0.store(ahead, Ordering::Relaxed);
+impl TestWallClock {
+    fn step_to(&self, step_ms: i64) {
+        self.0.store(step_ms, Ordering::Relaxed);
     }
 }
 
-struct Desk {
+struct Fixture {
     folder: tempfile::TempDir,
     clock: Clock,
-    wall: Wall,
+    wall_clock: TestWallClock,
 }
 
-impl Desk {
-    fn new() -> Desk {
-        Desk {
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture {
             folder: tempfile::tempdir().expect("a folder for temporary files"),
             clock: Clock::start(),
-            wall: Wall::default(),
+            wall_clock: TestWallClock::default(),
         }
     }
 
@@ -51,22 +51,23 @@
         self.clock.now() / 1_000_000
     }
 
-    fn keeper(&self) -> OverrideManager {
+    fn manager(&self) -> OverrideManager {
         let config = self.config();
-        let (clock, wall) = (self.clock, self.wall.clone());
-        let read =
-            move || (clock.now() / 1_000_000).saturating_add_signed(wall.0.load(Ordering::Relaxed));
+        let (clock, wall_clock) = (self.clock, self.wall_clock.clone());
+        let wall_clock_ms = move || {
+            (clock.now() / 1_000_000).saturating_add_signed(wall_clock.0.load(Ordering::Relaxed))
+        };
         let restored = restore(&config, self.clock);
         OverrideManager::new(
             restored,
             Vec::new(),
             self.clock,
             config.limits,
-            Box::new(read),
+            Box::new(wall_clock_ms),
         )
     }
 
-    fn draft(&self, server: &str, span: Millis) -> Draft {
+    fn draft(&self, server: &str, duration: Millis) -> Draft {
         let kind = OverrideKind::Out {
             server: server.into(),
             moves_per_s: None,
@@ -75,54 +76,57 @@
             kind,
             who: "ada".into(),
             why: "why".into(),
-            expires_at: self.now() + span,
+            expires_at: self.now() + duration,
         }
     }
 }
 
 #[test]
-fn a_step_of_the_wall_clock_neither_ends_an_override_nor_keeps_it() {
-    let desk = Desk::new();
-    for ahead in [HOUR, -HOUR, 0] {
-        let keeper = desk.keeper();
-        let long = keeper
-            .add(desk.draft("long", 600_000), false, None)
+fn wall_clock_step_changes_no_override_duration() {
+    let fixture = Fixture::new();
+    for step_ms in [HOUR_MS, -HOUR_MS, 0] {
+        let manager = fixture.manager();
+        let long = manager
+            .add(fixture.draft("long", 600_000), false, None)
             .expect("kept")
             .view;
-        let short = keeper
-            .add(desk.draft("short", 300), false, None)
+        let short = manager
+            .add(fixture.draft("short", 300), false, None)
             .expect("kept")
             .view;
-        desk.wall.step_to(ahead);
-        keeper.run_due_tasks();
+        fixture.wall_clock.step_to(step_ms);
+        manager.run_due_tasks();
         // The two clocks are not read in one instant: a millisecond may begin between them.
-        let said = keeper.wall_ahead();
-        assert!(said.abs_diff(ahead) < 1_000, "{said} is said of {ahead}");
-        let seen = keeper.get(long.record.id).expect("it holds on");
+        let offset_ms = manager.wall_clock_offset_ms();
+        assert!(
+            offset_ms.abs_diff(step_ms) < 1_000,
+            "{offset_ms} is said of {step_ms}"
+        );
+        let view = manager.get(long.record.id).expect("it holds on");
         assert!(
-            seen.remaining_ms <= long.remaining_ms && seen.remaining_ms + 5_000 > long.remaining_ms
+            view.remaining_ms <= long.remaining_ms && view.remaining_ms + 5_000 > long.remaining_ms
         );
         // People see it end by the clock that they read.
         assert_eq!(
-            seen.record.expires_at,
-            long.record.expires_at.saturating_add_signed(said)
+            view.record.expires_at,
+            long.record.expires_at.saturating_add_signed(offset_ms)
         );
         std::thread::sleep(Duration::from_millis(310));
-        assert!(keeper.get(short.record.id).is_none(), "its span is over");
+        assert!(manager.get(short.record.id).is_none(), "its span is over");
         // What is on the disk ends at the same moment, by the wall clock as it is after a restart.
-        drop(keeper);
+        drop(manager);
         let (store, contents) =
-            beaconflow_store::open(&desk.config().file.expect("set")).expect("free");
-        let kept = contents
+            beaconflow_store::open(&fixture.config().file.expect("set")).expect("free");
+        let stored = contents
             .overrides
             .iter()
-            .find(|one| one.id == long.record.id)
+            .find(|record| record.id == long.record.id)
             .expect("kept");
-        assert_eq!(kept.expires_at, seen.record.expires_at);
+        assert_eq!(stored.expires_at, view.record.expires_at);
         drop(store);
         // The next program reads the stepped clock at its start, so that it is not ahead of itself.
-        desk.wall.step_to(0);
-        let mut store = beaconflow_store::open(&desk.config().file.expect("set"))
+        fixture.wall_clock.step_to(0);
+        let mut store = beaconflow_store::open(&fixture.config().file.expect("set"))
             .expect("free")
             .0;
         store
@@ -132,31 +136,31 @@
 }
 
 #[test]
-fn an_end_given_by_the_wall_clock_is_meant_by_the_wall_clock() {
-    let desk = Desk::new();
-    let keeper = desk.keeper();
-    desk.wall.step_to(HOUR);
-    keeper.run_due_tasks();
+fn wall_clock_expiry_is_converted_after_clock_step() {
+    let fixture = Fixture::new();
+    let manager = fixture.manager();
+    fixture.wall_clock.step_to(HOUR_MS);
+    manager.run_due_tasks();
     // Ten minutes from now, as a person reads it off the stepped clock.
-    let given = desk.now() + HOUR as Millis + 600_000;
+    let expires_at_wall_ms = fixture.now() + HOUR_MS as Millis + 600_000;
     let draft = Draft {
-        expires_at: keeper.from_wall(given),
-        ..desk.draft("s", 1)
+        expires_at: manager.from_wall_clock(expires_at_wall_ms),
+        ..fixture.draft("s", 1)
     };
-    let shown = keeper.add(draft, false, None).expect("kept").view;
+    let shown = manager.add(draft, false, None).expect("kept").view;
     assert!(
         shown.remaining_ms <= 600_000 && shown.remaining_ms > 590_000,
         "{}",
         shown.remaining_ms
     );
-    assert!(shown.record.expires_at.abs_diff(given) < 1_000);
+    assert!(shown.record.expires_at.abs_diff(expires_at_wall_ms) < 1_000);
 }
 
 /// A store that fails when it is told to, and counts what it was given.
 #[derive(Clone, Default)]
-struct Failing(Arc<Mutex<(bool, Vec<Override>)>>);
+struct FailingStore(Arc<Mutex<(bool, Vec<Override>)>>);
 
-impl OverrideStore for Failing {
+impl OverrideStore for FailingStore {
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
         let mut state = self.0.lock().expect("sound");
         if state.0 {
@@ -176,127 +180,130 @@
 }
 
 #[test]
-fn what_could_not_be_made_durable_has_no_effect() {
-    let (desk, store) = (Desk::new(), Failing::default());
+fn change_has_no_effect_when_store_write_fails() {
+    let (fixture, store) = (Fixture::new(), FailingStore::default());
     let limits = Limits::default();
     let restored =
         beaconflow_balancer::overrides::RestoredOverrides::empty(Box::new(store.clone()), limits);
-    let keeper = OverrideManager::new(restored, Vec::new(), desk.clock, limits, Box::new(|| 0));
-    let held = keeper
-        .add(desk.draft("a", 60_000), false, None)
+    let manager = OverrideManager::new(restored, Vec::new(), fixture.clock, limits, Box::new(|| 0));
+    let view = manager
+        .add(fixture.draft("a", 60_000), false, None)
         .expect("kept")
         .view;
     store.0.lock().expect("sound").0 = true;
     assert!(matches!(
-        keeper.add(desk.draft("b", 60_000), false, None),
+        manager.add(fixture.draft("b", 60_000), false, None),
         Err(OverrideError::Store(_))
     ));
     assert!(matches!(
-        keeper.remove(held.record.id, None),
+        manager.remove(view.record.id, None),
         Err(OverrideError::Store(_))
     ));
     assert!(matches!(
-        keeper.extend(held.record.id, desk.now() + 90_000, None),
+        manager.extend(view.record.id, fixture.now() + 90_000, None),
         Err(OverrideError::Store(_))
     ));
-    let all = keeper.list();
+    let all = manager.list();
     assert_eq!((all.len(), all[0].record.revision), (1, 1));
     // Once there is room again, all goes on.
     store.0.lock().expect("sound").0 = false;
     assert_eq!(
-        keeper
-            .remove(held.record.id, Some(1))
+        manager
+            .remove(view.record.id, Some(1))
             .expect("kept")
             .view
             .record
             .revision,
         2
     );
-    assert!(keeper.list().is_empty());
+    assert!(manager.list().is_empty());
 }
 
 #[test]
-fn what_ended_while_no_program_ran_leaves_the_file_at_the_next_start() {
-    let desk = Desk::new();
-    let file = desk.config().file.expect("set");
+fn restore_deletes_overrides_expired_during_downtime() {
+    let fixture = Fixture::new();
+    let file = fixture.config().file.expect("set");
     let (mut store, _) = beaconflow_store::open(&file).expect("free");
-    let now = desk.now();
-    let ended = Draft {
+    let now = fixture.now();
+    let expired = Draft {
         expires_at: now - 30_000,
-        ..desk.draft("ended", 1)
+        ..fixture.draft("ended", 1)
     }
     .into_override(OverrideId(1), now - 60_000);
     store
         .put(&[
-            ended,
-            desk.draft("holds", 60_000)
+            expired,
+            fixture
+                .draft("holds", 60_000)
                 .into_override(OverrideId(2), now),
         ])
         .expect("durable");
     drop(store);
-    let keeper = desk.keeper();
-    assert_eq!(keeper.list().len(), 1);
-    drop(keeper);
+    let manager = fixture.manager();
+    assert_eq!(manager.list().len(), 1);
+    drop(manager);
     let (store, contents) = beaconflow_store::open(&file).expect("free");
-    let left: Vec<OverrideId> = contents.overrides.iter().map(|one| one.id).collect();
+    let remaining: Vec<OverrideId> = contents.overrides.iter().map(|record| record.id).collect();
     assert_eq!(
-        (left, store.next_id()),
+        (remaining, store.next_id()),
         (vec![OverrideId(2)], OverrideId(3))
     );
 }
 
 #[test]
-fn without_a_store_none_are_taken_and_it_is_said_why() {
-    let desk = Desk::new();
+fn add_is_refused_with_reason_without_store() {
+    let fixture = Fixture::new();
     let config = OverridesConfig {
         file: None,
         limits: Limits::default(),
     };
-    let keeper = OverrideManager::new(
-        restore(&config, desk.clock),
+    let manager = OverrideManager::new(
+        restore(&config, fixture.clock),
         Vec::new(),
-        desk.clock,
+        fixture.clock,
         config.limits,
         Box::new(|| 0),
     );
-    assert!(!keeper.about().is_persistent);
-    match keeper.add(desk.draft("a", 60_000), false, None) {
+    assert!(!manager.store_status().is_persistent);
+    match manager.add(fixture.draft("a", 60_000), false, None) {
         Err(OverrideError::NoStore(why)) => assert!(why.contains("no store is set"), "{why}"),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn ten_thousand_overrides_are_kept_listed_and_ended() {
-    let desk = Desk::new();
-    let keeper = desk.keeper();
+fn ten_thousand_overrides_are_restored_listed_and_removed() {
+    let fixture = Fixture::new();
+    let manager = fixture.manager();
     // Written in one go, as a store may hold them: one fsync each would take minutes on a slow disk.
-    drop(keeper);
-    let (mut store, _) = beaconflow_store::open(&desk.config().file.expect("set")).expect("free");
-    let now = desk.now();
+    drop(manager);
+    let (mut store, _) =
+        beaconflow_store::open(&fixture.config().file.expect("set")).expect("free");
+    let now = fixture.now();
     let all: Vec<Override> = (1..=10_000)
         .map(|id| {
-            desk.draft(&format!("s{id}"), 60_000)
+            fixture
+                .draft(&format!("s{id}"), 60_000)
                 .into_override(OverrideId(id), now)
         })
         .collect();
     store.put(&all).expect("durable");
     drop(store);
-    let keeper = desk.keeper();
-    assert_eq!(keeper.list().len(), 10_000);
+    let manager = fixture.manager();
+    assert_eq!(manager.list().len(), 10_000);
     assert!(matches!(
-        keeper.add(desk.draft("one more", 60_000), false, None),
+        manager.add(fixture.draft("one more", 60_000), false, None),
         Err(OverrideError::Full(10_000))
     ));
-    keeper.remove(OverrideId(5_000), None).expect("kept");
+    manager.remove(OverrideId(5_000), None).expect("kept");
     assert_eq!(
-        keeper
-            .add(desk.draft("one more", 60_000), false, None)
+        manager
+            .add(fixture.draft("one more", 60_000), false, None)
             .expect("kept")
             .view
             .record
             .id,
         OverrideId(10_001)
     );
-    assert_eq!(keeper.list().len(), 10_000);
+    assert_eq!(manager.list().len(), 10_000);
 }
--- a/crates/cli/benches/effect.rs
+++ b/crates/cli/benches/effect.rs
@@ -42,35 +42,36 @@
         at: admin,
         token: ADMIN_TOKEN,
     };
-    let mut adds = Histogram::<u64>::new(3).expect("three digits");
-    let mut removes = adds.clone();
+    let mut add_latencies = Histogram::<u64>::new(3).expect("three digits");
+    let mut remove_latencies = add_latencies.clone();
     for number in 0..CHANGES {
         let body = format!(
             r#"{{"kind":"out","server":"s{}","who":"bench","why":"bench","expires_in_s":600}}"#,
             number % 100
         );
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let id = api.add(&body);
-        adds.record(begun.elapsed().as_micros() as u64)
+        add_latencies
+            .record(started_at.elapsed().as_micros() as u64)
             .expect("in range");
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(
             api.call("DELETE", &format!("/v1/overrides/{id}"), "")
                 .status,
             200
         );
-        removes
-            .record(begun.elapsed().as_micros() as u64)
+        remove_latencies
+            .record(started_at.elapsed().as_micros() as u64)
             .expect("in range");
     }
     println!(
         "{CHANGES} changes one after the other, 100 servers, microseconds from the request to its answer"
     );
-    for (name, times) in [("POST", adds), ("DELETE", removes)] {
-        let [half, most] = [0.5, 0.99].map(|part| times.value_at_quantile(part));
+    for (name, latencies) in [("POST", add_latencies), ("DELETE", remove_latencies)] {
+        let [p50, p99] = [0.5, 0.99].map(|quantile| latencies.value_at_quantile(quantile));
         println!(
-            "{name:7} p50 {half:6}  p99 {most:6}  longest {}",
-            times.max()
+            "{name:7} p50 {p50:6}  p99 {p99:6}  longest {}",
+            latencies.max()
         );
     }
 }
--- a/crates/cli/benches/floods.rs
+++ b/crates/cli/benches/floods.rs
@@ -14,15 +14,15 @@
 use support::{ADMIN_TOKEN, Api, Discovery, Peer, Program, SETTINGS, free, list};
 
 /// Turns of each kind, and how long one lasts.
-const TURNS: usize = 4;
-const TURN: Duration = Duration::from_secs(10);
-/// Clients that come back at once, on each front, a round trip of [`ROUND`] after each answer. A NATS client's password
+const ROUNDS_PER_KIND: usize = 4;
+const ROUND_DURATION: Duration = Duration::from_secs(10);
+/// Clients that come back at once, on each front, a round trip of [`RECONNECT_DELAY`] after each answer. A NATS client's password
 /// is hashed at each opening, which bounds the openings that front takes in a second; its quiet account asks for less.
-const LOUD: [usize; 2] = [200, 50];
-const ROUND: Duration = Duration::from_millis(25);
-const QUIET_PER_S: [f64; 2] = [40.0, 4.0];
+const FLOOD_CLIENTS: [usize; 2] = [200, 50];
+const RECONNECT_DELAY: Duration = Duration::from_millis(25);
+const QUIET_CLIENTS_PER_S: [f64; 2] = [40.0, 4.0];
 /// Mean of the exponential time that a server takes for a set-up.
-const SET_UP: Duration = Duration::from_millis(60);
+const MEAN_SETUP_TIME: Duration = Duration::from_millis(60);
 
 fn main() {
     // Cargo also starts benchmarks as tests; this one takes too long for that.
@@ -31,17 +31,22 @@
     }
     // Both fronts, or the one that is named behind `--`.
     let named = |front: &str| std::env::args().any(|word| word == front);
-    for (wire, place, front) in [(Wire::Platform, 0, "platform"), (Wire::Nats, 1, "nats")] {
+    for (wire, index, front) in [(Wire::Platform, 0, "platform"), (Wire::Nats, 1, "nats")] {
         if named(front) || !named("platform") && !named("nats") {
-            measure(wire, place, front);
+            measure(wire, index, front);
         }
     }
 }
 
-fn measure(wire: Wire, place: usize, front: &str) {
+fn measure(wire: Wire, index: usize, front: &str) {
     let (at, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
     let servers: Vec<(String, Held)> = (0..4)
-        .map(|number| (format!("s{number}"), Held::slow(wire, SET_UP, number)))
+        .map(|number| {
+            (
+                format!("s{number}"),
+                Held::slow(wire, MEAN_SETUP_TIME, number),
+            )
+        })
         .collect();
     let rows: Vec<(&str, SocketAddr, &str)> = servers
         .iter()
@@ -63,7 +68,7 @@
         support::config(at, discovery.address, &known, &settings, 4_096),
     )
     .expect("room");
-    let mut text = format!(
+    let mut operator_text = format!(
         "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\nentries = 100\n"
     );
     if wire == Wire::Nats {
@@ -73,15 +78,15 @@
             .iter()
             .map(|(name, address, _)| format!("{{ name = \"{name}\", address = \"{address}\" }}"))
             .collect();
-        text = format!(
+        operator_text = format!(
             "name = \"front\"\nlisten = \"{at}\"\nsockets = 4096\nstore = {{ url = \"redis://{}/\" }}\n\
-             farm = {{ servers = [{}] }}\n{text}\n{}",
+             farm = {{ servers = [{}] }}\n{operator_text}\n{}",
             redis.address,
             listed.join(", "),
             toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
         );
     }
-    std::fs::write(&operator, text).expect("room");
+    std::fs::write(&operator, operator_text).expect("room");
     let env = [("LB_CONFIG", config.as_str())];
     let program = Program::start(
         &["--operator", &operator],
@@ -101,51 +106,54 @@
             assert_eq!(api.call("POST", "/v1/tenants", &body).status, 201);
         }
     }
-    let mut took: [Histogram<u64>; 2] = [(); 2].map(|()| Histogram::new(3).expect("three digits"));
+    let mut latencies: [Histogram<u64>; 2] =
+        [(); 2].map(|()| Histogram::new(3).expect("three digits"));
     let counts = [AtomicU64::new(0), AtomicU64::new(0)];
     let mut refused = [0; 2];
-    for turn in 0..2 * TURNS {
-        let flooded = turn % 2 == 1;
+    for round in 0..2 * ROUNDS_PER_KIND {
+        let is_flooded = round % 2 == 1;
         let (done, quiet) = (AtomicBool::new(false), std::sync::Mutex::new(Vec::new()));
         std::thread::scope(|scope| {
-            for _ in 0..if flooded { LOUD[place] } else { 0 } {
+            for _ in 0..if is_flooded { FLOOD_CLIENTS[index] } else { 0 } {
                 scope.spawn(|| {
                     while !done.load(Ordering::Relaxed) {
-                        let served = opens(wire, at, "acme").is_some();
+                        let served = open_connection(wire, at, "acme").is_some();
                         counts[usize::from(served)].fetch_add(1, Ordering::Relaxed);
-                        std::thread::sleep(ROUND);
+                        std::thread::sleep(RECONNECT_DELAY);
                     }
                 });
             }
-            let began = Instant::now();
+            let started_at = Instant::now();
             // Before the first quiet client the flood has reached its full height.
             std::thread::sleep(Duration::from_secs(1));
             let mut at_s = 1.0;
-            while began.elapsed() < TURN {
-                at_s += 1.0 / QUIET_PER_S[place];
-                std::thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(began.elapsed()));
+            while started_at.elapsed() < ROUND_DURATION {
+                at_s += 1.0 / QUIET_CLIENTS_PER_S[index];
+                std::thread::sleep(
+                    Duration::from_secs_f64(at_s).saturating_sub(started_at.elapsed()),
+                );
                 let quiet = &quiet;
                 scope.spawn(move || {
-                    let span = opens(wire, at, "bright");
-                    quiet.lock().expect("sound").push(span);
+                    let latency = open_connection(wire, at, "bright");
+                    quiet.lock().expect("sound").push(latency);
                 });
             }
             done.store(true, Ordering::Relaxed);
         });
-        for span in quiet.into_inner().expect("sound") {
-            match span {
-                Some(span) => took[usize::from(flooded)]
-                    .record(span.as_micros() as u64)
+        for latency in quiet.into_inner().expect("sound") {
+            match latency {
+                Some(latency) => latencies[usize::from(is_flooded)]
+                    .record(latency.as_micros() as u64)
                     .expect("it grows"),
-                None => refused[usize::from(flooded)] += 1,
+                None => refused[usize::from(is_flooded)] += 1,
             }
         }
     }
-    for ((name, took), refused) in ["without", "with"].iter().zip(&took).zip(refused) {
-        let at = |quantile| took.value_at_quantile(quantile) as f64 / 1e3;
+    for ((name, latencies), refused) in ["without", "with"].iter().zip(&latencies).zip(refused) {
+        let at = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{front}: quiet set-ups {name} the flood: {} of them, {refused} refused, p50 {:.1} ms, p90 {:.1} ms, p99 {:.1} ms",
-            took.len(),
+            latencies.len(),
             at(0.5),
             at(0.9),
             at(0.99)
@@ -159,10 +167,10 @@
 }
 
 /// A client opens, and ends its connection once it stands; gives how long that took, and nothing if it was refused.
-fn opens(wire: Wire, at: SocketAddr, account: &str) -> Option<Duration> {
+fn open_connection(wire: Wire, at: SocketAddr, account: &str) -> Option<Duration> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut client = match wire {
         Wire::Platform => {
             let mut client = Peer::connect(at);
@@ -179,5 +187,5 @@
         ),
     };
     let answer = client.hear()?;
-    (answer == "UP r1" || answer == "PONG").then(|| began.elapsed())
+    (answer == "UP r1" || answer == "PONG").then(|| started_at.elapsed())
 }
--- a/crates/cli/benches/start.rs
+++ b/crates/cli/benches/start.rs
@@ -19,8 +19,8 @@
         return;
     }
     let own = env!("CARGO_BIN_EXE_beaconflow").to_owned();
-    let other = std::env::var("PROGRAM").ok();
-    let programs: Vec<String> = other.into_iter().chain([own]).collect();
+    let other_program = std::env::var("PROGRAM").ok();
+    let programs: Vec<String> = other_program.into_iter().chain([own]).collect();
     for (kind, settings) in [
         ("asked", SETTINGS.to_owned()),
         ("pushed", SETTINGS.replace("subscribe", "automatic")),
@@ -43,10 +43,10 @@
                 "descriptors",
             ];
             for (at, name) in names.iter().enumerate() {
-                let mut column: Vec<f64> = figures.iter().map(|one| one[at]).collect();
+                let mut column: Vec<f64> = figures.iter().map(|run| run[at]).collect();
                 column.sort_by(f64::total_cmp);
-                let [least, median, most] = [0, STARTS / 2, STARTS - 1].map(|at| column[at]);
-                println!("  {name}: {median:.1} ({least:.1} to {most:.1})");
+                let [minimum, median, maximum] = [0, STARTS / 2, STARTS - 1].map(|at| column[at]);
+                println!("  {name}: {median:.1} ({minimum:.1} to {maximum:.1})");
             }
         }
     }
@@ -64,7 +64,7 @@
         "start",
         &config(at, discovery.address, &list(1, true, &rows), settings, 1024),
     );
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut command = Command::new(program);
     command
         .arg("serve")
@@ -77,7 +77,7 @@
     tell(&mut watch, 2, true, &rows);
     while serves.is_none() || listed.is_none() {
         let line = lines.next().expect("it goes on").expect("text");
-        let now = begun.elapsed().as_secs_f64() * 1e3;
+        let now = started_at.elapsed().as_secs_f64() * 1e3;
         if line.contains("to=serving") {
             serves = Some(now);
         }
@@ -85,8 +85,8 @@
             listed = Some(now);
         }
     }
-    let of = |path: &str| format!("/proc/{}/{path}", child.id());
-    let status = std::fs::read_to_string(of("status")).expect("it runs");
+    let proc_path = |path: &str| format!("/proc/{}/{path}", child.id());
+    let status = std::fs::read_to_string(proc_path("status")).expect("it runs");
     let figure = |name: &str| {
         let row = status
             .lines()
@@ -97,7 +97,7 @@
             .and_then(|word| word.parse().ok())
             .expect("a number")
     };
-    let descriptors = std::fs::read_dir(of("fd")).expect("it runs").count();
+    let descriptors = std::fs::read_dir(proc_path("fd")).expect("it runs").count();
     let figures = [
         serves.unwrap_or(0.0),
         listed.unwrap_or(0.0),
--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use ureq::http::Request;
 
-use crate::args::To;
+use crate::args::ApiOptions;
 
 /// A call takes no longer than this.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
@@ -14,56 +14,58 @@
 const TOKEN_VARIABLE: &str = "BEACONFLOW_TOKEN";
 
 /// Why a command did not do what was asked.
-pub enum Failure {
+pub enum CliError {
     /// A fault here.
     Local(String),
     /// The command line is wrong.
     Usage(String),
     /// The API was not reached.
-    Unreached(String),
+    Unreachable(String),
     /// The API refused.
-    Refused(u16, String),
+    Rejected(u16, String),
 }
 
-impl Failure {
+impl CliError {
     /// The program's exit code.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Failure::Local(_) => 1,
-            Failure::Usage(_) => 2,
-            Failure::Unreached(_) => 3,
-            Failure::Refused(401, _) => 5,
-            Failure::Refused(500.., _) => 6,
-            Failure::Refused(..) => 4,
+            CliError::Local(_) => 1,
+            CliError::Usage(_) => 2,
+            CliError::Unreachable(_) => 3,
+            CliError::Rejected(401, _) => 5,
+            CliError::Rejected(500.., _) => 6,
+            CliError::Rejected(..) => 4,
         }
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for CliError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Local(why) | Failure::Usage(why) => f.write_str(why),
-            Failure::Unreached(why) => write!(f, "the administration API was not reached: {why}"),
-            Failure::Refused(status, why) => write!(f, "{why} ({status})"),
+            CliError::Local(why) | CliError::Usage(why) => f.write_str(why),
+            CliError::Unreachable(why) => {
+                write!(f, "the administration API was not reached: {why}")
+            }
+            CliError::Rejected(status, why) => write!(f, "{why} ({status})"),
         }
     }
 }
 
 /// The administration API.
 pub struct Api {
-    at: String,
+    address: String,
     token: String,
     agent: ureq::Agent,
 }
 
 impl Api {
     /// The API that the command line names.
-    pub fn new(to: &To) -> Result<Api, Failure> {
-        let token = match &to.token_file {
+    pub fn new(api_options: &ApiOptions) -> Result<Api, CliError> {
+        let token = match &api_options.token_file {
             Some(file) => std::fs::read_to_string(file)
-                .map_err(|error| Failure::Local(format!("{}: {error}", file.display())))?,
+                .map_err(|error| CliError::Local(format!("{}: {error}", file.display())))?,
             None => std::env::var(TOKEN_VARIABLE).map_err(|_| {
-                Failure::Refused(
+                CliError::Rejected(
                     401,
                     format!("no token: name a file by --token-file, or set {TOKEN_VARIABLE}"),
                 )
@@ -75,7 +77,7 @@
             .proxy(None)
             .build();
         Ok(Api {
-            at: to.api.clone(),
+            address: api_options.api.clone(),
             token: token.trim().to_owned(),
             agent: config.into(),
         })
@@ -88,10 +90,10 @@
         path: &str,
         body: Option<&Value>,
         headers: &[(&str, &str)],
-    ) -> Result<Value, Failure> {
+    ) -> Result<Value, CliError> {
         let mut request = Request::builder()
             .method(method)
-            .uri(format!("http://{}{path}", self.at))
+            .uri(format!("http://{}{path}", self.address))
             .header("Authorization", format!("Bearer {}", self.token));
         for (name, value) in headers {
             request = request.header(*name, *value);
@@ -99,19 +101,19 @@
         let body = body.map(Value::to_string).unwrap_or_default();
         let request = request
             .body(body)
-            .map_err(|error| Failure::Usage(error.to_string()))?;
-        let answer = self
+            .map_err(|error| CliError::Usage(error.to_string()))?;
+        let response = self
             .agent
             .run(request)
-            .map_err(|error| Failure::Unreached(error.to_string()));
-        let mut answer = answer?;
-        let status = answer.status().as_u16();
-        let text = answer
+            .map_err(|error| CliError::Unreachable(error.to_string()));
+        let mut response = response?;
+        let status = response.status().as_u16();
+        let text = response
             .body_mut()
             .with_config()
             .limit(64 << 20)
             .read_to_string();
-        let text = text.map_err(|error| Failure::Unreached(error.to_string()))?;
+        let text = text.map_err(|error| CliError::Unreachable(error.to_string()))?;
         let value: Value = serde_json::from_str(&text).unwrap_or_default();
         if (200..300).contains(&status) {
             return Ok(value);
@@ -120,6 +122,6 @@
             .as_str()
             .unwrap_or("no reason was given")
             .to_owned();
-        Err(Failure::Refused(status, why))
+        Err(CliError::Rejected(status, why))
     }
 }
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -6,7 +6,7 @@
 use clap::{Args as ClapArgs, Parser, Subcommand};
 use serde_json::{Value, json};
 
-use crate::api::Failure;
+use crate::api::CliError;
 
 const EXIT_CODES: &str = "Exit codes:
   0  done
@@ -62,7 +62,7 @@
     /// Show the farm as it is listed and as the decisions see it
     Farm {
         #[command(flatten)]
-        to: To,
+        api_options: ApiOptions,
     },
     /// Show who waits at the door and what each account got
     #[command(after_help = ADMISSION_EXAMPLES)]
@@ -71,7 +71,7 @@
         #[arg(long, value_name = "SPAN", value_parser = humantime::parse_duration)]
         every: Option<Duration>,
         #[command(flatten)]
-        to: To,
+        api_options: ApiOptions,
     },
     /// Print completions for a shell
     #[command(
@@ -85,7 +85,7 @@
 
 /// Where the administration API is, and how answers are printed.
 #[derive(ClapArgs)]
-pub struct To {
+pub struct ApiOptions {
     /// The administration API's address
     #[arg(
         long,
@@ -109,41 +109,41 @@
     #[command(after_help = OVERRIDE_EXAMPLES)]
     Add {
         #[command(subcommand)]
-        what: What,
+        new_override: NewOverride,
         #[command(flatten)]
-        about: About,
+        options: AddOptions,
         #[command(flatten)]
-        to: To,
+        api_options: ApiOptions,
     },
     /// List the overrides that hold, with the time that each has left
     List {
         #[command(flatten)]
-        to: To,
+        api_options: ApiOptions,
     },
     /// Show one override
     Show {
         /// Its number
         id: u64,
         #[command(flatten)]
-        to: To,
+        api_options: ApiOptions,
     },
     /// Change when an override ends, to later or sooner
     Extend {
         #[command(flatten)]
-        change: Change,
+        target: OverrideTarget,
         #[command(flatten)]
-        until: Until,
+        expiry: ExpiryOptions,
     },
     /// End an override now
     Remove {
         #[command(flatten)]
-        change: Change,
+        target: OverrideTarget,
     },
 }
 
 /// What an override does.
 #[derive(Subcommand)]
-pub enum What {
+pub enum NewOverride {
     /// A server gets nothing new
     Out {
         /// Its name in the list
@@ -178,10 +178,10 @@
 /// When an override ends.
 #[derive(ClapArgs)]
 #[group(required = true, multiple = false)]
-pub struct Until {
+pub struct ExpiryOptions {
     /// So long from now, as 90s, 30m or 2h
     #[arg(long = "for", value_name = "SPAN", value_parser = humantime::parse_duration, global = true)]
-    pub span: Option<Duration>,
+    pub duration: Option<Duration>,
     /// At this time, as 2026-12-01T18:00:00Z
     #[arg(long, value_name = "TIME", global = true)]
     pub until: Option<String>,
@@ -189,12 +189,12 @@
 
 /// Who asks for an override, and what else there is to say of it.
 #[derive(ClapArgs)]
-pub struct About {
+pub struct AddOptions {
     /// So long from now, as 90s, 30m or 2h
     #[arg(long = "for", value_name = "SPAN", value_parser = humantime::parse_duration, global = true)]
-    pub span: Option<Duration>,
+    pub duration: Option<Duration>,
     /// Until this time, as 2026-12-01T18:00:00Z
-    #[arg(long, value_name = "TIME", conflicts_with = "span", global = true)]
+    #[arg(long, value_name = "TIME", conflicts_with = "duration", global = true)]
     pub until: Option<String>,
     /// Who asks
     #[arg(long, env = "BEACONFLOW_WHO", global = true)]
@@ -212,59 +212,59 @@
 
 /// Which override is changed.
 #[derive(ClapArgs)]
-pub struct Change {
+pub struct OverrideTarget {
     /// Its number
     pub id: u64,
     /// Only if it still has this revision
     #[arg(long)]
     pub revision: Option<u64>,
     #[command(flatten)]
-    pub to: To,
+    pub api_options: ApiOptions,
 }
 
-fn expiry(span: Option<Duration>, until: Option<&str>) -> Result<Value, Failure> {
-    match (span, until) {
-        (Some(span), _) => Ok(json!({ "expires_in_s": span.as_secs_f64() })),
+fn expiry(duration: Option<Duration>, until: Option<&str>) -> Result<Value, CliError> {
+    match (duration, until) {
+        (Some(duration), _) => Ok(json!({ "expires_in_s": duration.as_secs_f64() })),
         (None, Some(until)) => Ok(json!({ "expires_at": until })),
-        (None, None) => Err(Failure::Usage(
+        (None, None) => Err(CliError::Usage(
             "say when it ends: --for SPAN or --until TIME".into(),
         )),
     }
 }
 
-impl Until {
+impl ExpiryOptions {
     /// The body of a change.
-    pub fn body(&self) -> Result<Value, Failure> {
-        expiry(self.span, self.until.as_deref())
+    pub fn body(&self) -> Result<Value, CliError> {
+        expiry(self.duration, self.until.as_deref())
     }
 }
 
-impl What {
+impl NewOverride {
     /// The body of a new override.
-    pub fn body(&self, about: &About) -> Result<Value, Failure> {
-        let mut body = expiry(about.span, about.until.as_deref())?;
+    pub fn body(&self, options: &AddOptions) -> Result<Value, CliError> {
+        let mut body = expiry(options.duration, options.until.as_deref())?;
         let needed = |field: &str, value: &Option<String>| {
             value
                 .clone()
-                .ok_or_else(|| Failure::Usage(format!("--{field} is missing")))
+                .ok_or_else(|| CliError::Usage(format!("--{field} is missing")))
         };
-        body["who"] = needed("who", &about.who)?.into();
-        body["why"] = needed("why", &about.why)?.into();
-        if about.force {
+        body["who"] = needed("who", &options.who)?.into();
+        body["why"] = needed("why", &options.why)?.into();
+        if options.force {
             body["force"] = true.into();
         }
         match self {
-            What::Out { server, moves } => {
+            NewOverride::Out { server, moves } => {
                 (body["kind"], body["server"]) = ("out".into(), server.as_str().into());
                 if let Some(moves) = moves {
                     body["moves_per_s"] = (*moves).into();
                 }
             }
-            What::Weight { server, factor } => {
+            NewOverride::Weight { server, factor } => {
                 (body["kind"], body["server"]) = ("weight".into(), server.as_str().into());
                 body["factor"] = (*factor).into();
             }
-            What::Pin {
+            NewOverride::Pin {
                 server,
                 group,
                 tenant,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -18,15 +18,15 @@
 use serde_json::{Value, json};
 use tracing::error;
 
-use crate::api::{Api, Failure};
-use crate::args::{Args, Change, Command, OverrideCommand};
+use crate::api::{Api, CliError};
+use crate::args::{Args, Command, OverrideCommand, OverrideTarget};
 
 /// A live table is asked for no more often.
-const SHORTEST_PERIOD: Duration = Duration::from_millis(100);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
-        Command::Serve { operator } => return serving(operator.as_deref()),
+    let result = match Args::parse().command {
+        Command::Serve { operator } => return run_server(operator.as_deref()),
         Command::Check { file, json } => check(&file, json),
         Command::Completions { shell } => {
             clap_complete::generate(
@@ -37,37 +37,38 @@
             );
             Ok(())
         }
-        Command::Override(command) => overrides(command),
-        Command::Admission { every, to } => admission(every, &to),
-        Command::Farm { to } => {
-            let answer = Api::new(&to).and_then(|api| api.call("GET", "/v1/farm", None, &[]));
-            answer.and_then(|servers| print(to.json, &servers, show::server_list))
+        Command::Override(command) => run_override_command(command),
+        Command::Admission { every, api_options } => admission(every, &api_options),
+        Command::Farm { api_options } => {
+            let response =
+                Api::new(&api_options).and_then(|api| api.call("GET", "/v1/farm", None, &[]));
+            response.and_then(|servers| print(api_options.json, &servers, show::server_list))
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("beaconflow: {failure}");
-            ExitCode::from(failure.exit_code())
+        Err(error) => {
+            eprintln!("beaconflow: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn serving(operator: Option<&Path>) -> ExitCode {
-    let read =
+fn run_server(operator: Option<&Path>) -> ExitCode {
+    let config =
         operator.map(|path| OperatorConfig::read(path).map(|operator| (path.to_owned(), operator)));
-    let served = read
+    let result = config
         .transpose()
-        .map_err(|faults| faults.to_string())
+        .map_err(|errors| errors.to_string())
         .and_then(|operator| {
-            let form = operator
+            let log_format = operator
                 .as_ref()
                 .map(|(_, operator)| operator.log)
                 .unwrap_or_default();
-            log::start(form);
+            log::start(log_format);
             serve::serve(operator)
         });
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::start(Default::default());
@@ -78,104 +79,121 @@
 }
 
 /// Names every fault of an operator's file.
-fn check(file: &Path, as_json: bool) -> Result<(), Failure> {
-    let faults = OperatorConfig::read(file)
+fn check(file: &Path, as_json: bool) -> Result<(), CliError> {
+    let errors = OperatorConfig::read(file)
         .err()
-        .map(|faults| faults.0)
+        .map(|errors| errors.0)
         .unwrap_or_default();
     let mut out = std::io::stdout();
     let written = if as_json {
         writeln!(
             out,
             "{}",
-            json!({ "file": file, "ok": faults.is_empty(), "faults": faults })
+            json!({ "file": file, "ok": errors.is_empty(), "faults": errors })
         )
-    } else if faults.is_empty() {
+    } else if errors.is_empty() {
         writeln!(out, "{}: sound", file.display())
     } else {
-        faults.iter().try_for_each(|fault| writeln!(out, "{fault}"))
+        errors.iter().try_for_each(|error| writeln!(out, "{error}"))
     };
-    written.map_err(|error| Failure::Local(error.to_string()))?;
-    match faults.len() {
+    written.map_err(|error| CliError::Local(error.to_string()))?;
+    match errors.len() {
         0 => Ok(()),
-        1 => Err(Failure::Local("1 fault".into())),
-        count => Err(Failure::Local(format!("{count} faults"))),
+        1 => Err(CliError::Local("1 fault".into())),
+        count => Err(CliError::Local(format!("{count} faults"))),
     }
 }
 
-fn overrides(command: OverrideCommand) -> Result<(), Failure> {
+fn run_override_command(command: OverrideCommand) -> Result<(), CliError> {
     match command {
-        OverrideCommand::Add { what, about, to } => {
-            let body = what.body(&about)?;
-            let key: Vec<(&str, &str)> = about
+        OverrideCommand::Add {
+            new_override,
+            options,
+            api_options,
+        } => {
+            let body = new_override.body(&options)?;
+            let key: Vec<(&str, &str)> = options
                 .key
                 .iter()
                 .map(|key| ("Idempotency-Key", key.as_str()))
                 .collect();
-            let answer = Api::new(&to)?.call("POST", "/v1/overrides", Some(&body), &key)?;
-            print(to.json, &answer, show::one)
+            let response =
+                Api::new(&api_options)?.call("POST", "/v1/overrides", Some(&body), &key)?;
+            print(api_options.json, &response, show::override_details)
         }
-        OverrideCommand::List { to } => {
-            let answer = Api::new(&to)?.call("GET", "/v1/overrides", None, &[])?;
-            print(to.json, &answer, show::list)
+        OverrideCommand::List { api_options } => {
+            let response = Api::new(&api_options)?.call("GET", "/v1/overrides", None, &[])?;
+            print(api_options.json, &response, show::override_list)
         }
-        OverrideCommand::Show { id, to } => {
-            let answer = Api::new(&to)?.call("GET", &format!("/v1/overrides/{id}"), None, &[])?;
-            print(to.json, &answer, show::one)
+        OverrideCommand::Show { id, api_options } => {
+            let response =
+                Api::new(&api_options)?.call("GET", &format!("/v1/overrides/{id}"), None, &[])?;
+            print(api_options.json, &response, show::override_details)
         }
         OverrideCommand::Extend {
-            change: Change { id, revision, to },
-            until,
+            target:
+                OverrideTarget {
+                    id,
+                    revision,
+                    api_options,
+                },
+            expiry,
         } => {
-            let body = until.body()?;
-            change("PATCH", id, revision, Some(&body), &to)
+            let body = expiry.body()?;
+            change_override("PATCH", id, revision, Some(&body), &api_options)
         }
         OverrideCommand::Remove {
-            change: Change { id, revision, to },
-        } => change("DELETE", id, revision, None, &to),
+            target:
+                OverrideTarget {
+                    id,
+                    revision,
+                    api_options,
+                },
+        } => change_override("DELETE", id, revision, None, &api_options),
     }
 }
 
 /// The admission queue's table, once or again and again. A call that fails ends it: what is shown would no longer be so.
-fn admission(every: Option<Duration>, to: &args::To) -> Result<(), Failure> {
-    let api = Api::new(to)?;
+fn admission(every: Option<Duration>, api_options: &args::ApiOptions) -> Result<(), CliError> {
+    let api = Api::new(api_options)?;
     loop {
-        let answer = api.call("GET", "/v1/admission", None, &[])?;
-        if every.is_some() && !to.json && std::io::stdout().is_terminal() {
+        let response = api.call("GET", "/v1/admission", None, &[])?;
+        if every.is_some() && !api_options.json && std::io::stdout().is_terminal() {
             // From the top of a cleared screen, as people expect of a live table.
             print!("\x1b[H\x1b[2J");
         }
-        print(to.json, &answer, show::admission)?;
+        print(api_options.json, &response, show::admission)?;
         match every {
-            Some(span) => std::thread::sleep(span.max(SHORTEST_PERIOD)),
+            Some(span) => std::thread::sleep(span.max(MIN_REFRESH_INTERVAL)),
             None => return Ok(()),
         }
     }
 }
 
-fn change(
+fn change_override(
     method: &str,
     id: u64,
     revision: Option<u64>,
     body: Option<&Value>,
-    to: &args::To,
-) -> Result<(), Failure> {
+    api_options: &args::ApiOptions,
+) -> Result<(), CliError> {
     let tag = revision.map(|revision| format!("\"{revision}\""));
     let headers: Vec<(&str, &str)> = tag.iter().map(|tag| ("If-Match", tag.as_str())).collect();
-    let answer = Api::new(to)?.call(method, &format!("/v1/overrides/{id}"), body, &headers)?;
-    print(to.json, &answer, show::one)
+    let response =
+        Api::new(api_options)?.call(method, &format!("/v1/overrides/{id}"), body, &headers)?;
+    print(api_options.json, &response, show::override_details)
 }
 
 /// Prints an answer for people or for scripts. A reader that has gone away is no fault.
-fn print(as_json: bool, answer: &Value, show: impl Fn(&Value) -> String) -> Result<(), Failure> {
+fn print(as_json: bool, response: &Value, show: impl Fn(&Value) -> String) -> Result<(), CliError> {
     let text = if as_json {
-        answer.to_string()
+        response.to_string()
     } else {
-        show(answer)
+        show(response)
     };
     match writeln!(std::io::stdout(), "{}", text.trim_end()) {
         Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => {
-            Err(Failure::Local(error.to_string()))
+            Err(CliError::Local(error.to_string()))
         }
         _ => Ok(()),
     }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -15,7 +15,7 @@
 }
 
 /// A value as it is read aloud.
-fn text_of(value: &Value) -> String {
+fn display_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
@@ -24,7 +24,7 @@
 }
 
 /// `1h 30m 5s`.
-fn span(seconds: &Value) -> String {
+fn format_duration(seconds: &Value) -> String {
     let seconds = seconds
         .as_f64()
         .filter(|seconds| (0.0..1e12).contains(seconds))
@@ -33,23 +33,23 @@
 }
 
 /// What an override does, in a few words.
-fn what(one: &Value) -> String {
-    let server = text_of(&one["server"]);
-    match one["kind"].as_str() {
-        Some("out") if one["moves_per_s"].is_number() => {
-            format!("out {server}, moving {} a second", one["moves_per_s"])
+fn override_description(record: &Value) -> String {
+    let server = display_text(&record["server"]);
+    match record["kind"].as_str() {
+        Some("out") if record["moves_per_s"].is_number() => {
+            format!("out {server}, moving {} a second", record["moves_per_s"])
         }
-        Some("weight") => format!("weight {server} x {}", one["factor"]),
+        Some("weight") => format!("weight {server} x {}", record["factor"]),
         Some("pin") => {
-            let (what, name) = if one["group"].is_string() {
-                ("group", &one["group"])
+            let (subject, name) = if record["group"].is_string() {
+                ("group", &record["group"])
             } else {
-                ("tenant", &one["tenant"])
+                ("tenant", &record["tenant"])
             };
             format!(
-                "pin {what} {} to {server}, {}",
-                text_of(name),
-                text_of(&one["mode"])
+                "pin {subject} {} to {server}, {}",
+                display_text(name),
+                display_text(&record["mode"])
             )
         }
         _ => format!("out {server}"),
@@ -57,40 +57,40 @@
 }
 
 /// The effect at each front; one word where all agree.
-fn effect(one: &Value) -> String {
-    let effects: Vec<(String, String)> = one["effects"]
+fn effect_summary(record: &Value) -> String {
+    let effects: Vec<(String, String)> = record["effects"]
         .as_object()
         .into_iter()
         .flatten()
-        .map(|(front, effect)| (front.clone(), text_of(effect)))
+        .map(|(front, effect)| (front.clone(), display_text(effect)))
         .collect();
     match effects.as_slice() {
         [] => "-".into(),
         [(_, first), rest @ ..] if rest.iter().all(|(_, effect)| effect == first) => first.clone(),
         all => {
-            let words: Vec<String> = all
+            let parts: Vec<String> = all
                 .iter()
                 .map(|(front, effect)| format!("{front}: {effect}"))
                 .collect();
-            words.join(", ")
+            parts.join(", ")
         }
     }
 }
 
 /// One override.
-pub fn one(one: &Value) -> String {
+pub fn override_details(record: &Value) -> String {
     let mut table = table(["", ""]);
     for (name, value) in [
-        ("override", text_of(&one["id"])),
-        ("does", what(one)),
-        ("effect", effect(one)),
-        ("left", span(&one["remaining_s"])),
-        ("expires", text_of(&one["expires_at"])),
-        ("since", text_of(&one["created_at"])),
-        ("who", text_of(&one["who"])),
-        ("why", text_of(&one["why"])),
-        ("revision", text_of(&one["revision"])),
-        ("forced", text_of(&one["forced"])),
+        ("override", display_text(&record["id"])),
+        ("does", override_description(record)),
+        ("effect", effect_summary(record)),
+        ("left", format_duration(&record["remaining_s"])),
+        ("expires", display_text(&record["expires_at"])),
+        ("since", display_text(&record["created_at"])),
+        ("who", display_text(&record["who"])),
+        ("why", display_text(&record["why"])),
+        ("revision", display_text(&record["revision"])),
+        ("forced", display_text(&record["forced"])),
     ] {
         table.add_row([name.to_owned(), value]);
     }
@@ -98,10 +98,10 @@
 }
 
 /// All overrides, and what has to be said of where they are kept.
-pub fn list(answer: &Value) -> String {
+pub fn override_list(answer: &Value) -> String {
     let mut text = String::new();
     for note in answer["notes"].as_array().into_iter().flatten() {
-        text.push_str(&format!("note: {}\n", text_of(note)));
+        text.push_str(&format!("note: {}\n", display_text(note)));
     }
     if answer["kept"] != true {
         text.push_str("No overrides are kept here.\n");
@@ -122,14 +122,14 @@
         return text;
     }
     let mut table = table(["ID", "DOES", "EFFECT", "LEFT", "WHO", "WHY"]);
-    for one in all {
+    for record in all {
         table.add_row([
-            text_of(&one["id"]),
-            what(one),
-            effect(one),
-            span(&one["remaining_s"]),
-            text_of(&one["who"]),
-            text_of(&one["why"]),
+            display_text(&record["id"]),
+            override_description(record),
+            effect_summary(record),
+            format_duration(&record["remaining_s"]),
+            display_text(&record["who"]),
+            display_text(&record["why"]),
         ]);
     }
     text + &table.trim_fmt()
@@ -151,7 +151,7 @@
         let side = |side: &Value| {
             format!(
                 "{} {:.3}",
-                text_of(&side["state"]),
+                display_text(&side["state"]),
                 side["weight"].as_f64().unwrap_or(0.0)
             )
         };
@@ -159,14 +159,14 @@
             .as_array()
             .into_iter()
             .flatten()
-            .map(text_of)
+            .map(display_text)
             .collect();
         table.add_row([
-            text_of(&server["front"]),
-            text_of(&server["name"]),
-            text_of(&server["address"]),
-            text_of(&server["zone"]),
-            text_of(&server["standing"]),
+            display_text(&server["front"]),
+            display_text(&server["name"]),
+            display_text(&server["address"]),
+            display_text(&server["zone"]),
+            display_text(&server["standing"]),
             side(&server["listed"]),
             side(&server["effective"]),
             why.join("; "),
@@ -174,7 +174,7 @@
     }
     let warnings = answer["warnings"].as_array().into_iter().flatten();
     let warnings: String = warnings
-        .map(|warning| format!("warning: {}\n", text_of(warning)))
+        .map(|warning| format!("warning: {}\n", display_text(warning)))
         .collect();
     warnings + &fleet(&answer["fleet"]) + &table.trim_fmt()
 }
@@ -184,15 +184,15 @@
     if fleet.is_null() {
         return String::new();
     }
-    let remembers = match fleet["placements"].as_u64() {
+    let placements = match fleet["placements"].as_u64() {
         Some(count) => format!(
             ", {count} clients remembered under version {}",
-            text_of(&fleet["version"])
+            display_text(&fleet["version"])
         ),
         None => String::new(),
     };
     let uplink = match fleet["uplink"].as_str() {
-        Some(words) => format!(", {words}"),
+        Some(status) => format!(", {status}"),
         None => String::new(),
     };
     let deferred = match fleet["deferred"].as_u64() {
@@ -201,19 +201,19 @@
         }
         _ => String::new(),
     };
-    let kept = if fleet["kept"] == true {
+    let storage = if fleet["kept"] == true {
         ""
     } else {
         ", nothing kept on disk"
     };
     format!(
-        "fleet: {} of site {} (boot {}), {} of {} processes, {}{deferred}{uplink}{remembers}{kept}\n",
-        text_of(&fleet["name"]),
-        text_of(&fleet["site"]),
+        "fleet: {} of site {} (boot {}), {} of {} processes, {}{deferred}{uplink}{placements}{storage}\n",
+        display_text(&fleet["name"]),
+        display_text(&fleet["site"]),
         fleet["boot"],
         fleet["processes"],
         fleet["size"],
-        text_of(&fleet["recovery"]),
+        display_text(&fleet["recovery"]),
     )
 }
 
@@ -231,27 +231,27 @@
         );
         text.push_str(&format!(
             "{}: {} of {} wait, {bytes:.0} of {:.0} KiB\n",
-            text_of(&front["front"]),
-            text_of(&front["waiting"]),
-            text_of(&limits["entries"]),
+            display_text(&front["front"]),
+            display_text(&front["waiting"]),
+            display_text(&limits["entries"]),
             limits["bytes"].as_f64().unwrap_or_default() / 1024.0,
         ));
         for account in front["accounts"].as_array().into_iter().flatten() {
             let number = |name: &str| account[name].as_f64().unwrap_or_default();
             table.add_row([
-                text_of(&front["front"]),
-                text_of(&account["account"]),
+                display_text(&front["front"]),
+                display_text(&account["account"]),
                 format!("{:.1}%", number("due") * 100.0),
                 format!("{:.1}", number("per_second")),
-                text_of(&account["waiting"]),
-                text_of(&account["asked"]),
-                text_of(&account["admitted"]),
-                text_of(&account["lent"]),
-                text_of(&account["refused"]),
-                text_of(&account["given_up"]),
-                text_of(&account["left"]),
-                format!("{} ms", text_of(&account["wait_p50_ms"])),
-                format!("{} ms", text_of(&account["wait_p99_ms"])),
+                display_text(&account["waiting"]),
+                display_text(&account["asked"]),
+                display_text(&account["admitted"]),
+                display_text(&account["lent"]),
+                display_text(&account["refused"]),
+                display_text(&account["given_up"]),
+                display_text(&account["left"]),
+                format!("{} ms", display_text(&account["wait_p50_ms"])),
+                format!("{} ms", display_text(&account["wait_p99_ms"])),
             ]);
         }
     }
