--- a/crates/balancer/src/admin/admission.rs
+++ b/crates/balancer/src/admin/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, over the administration API.
+//! Administration API: admission.
 
 use serde_json::{Value, json};
 
@@ -7,7 +7,7 @@
 use crate::http::Reply;
 use crate::overrides::NamedCore;
 
-/// The admission queue of each front, and what each account got.
+/// The admission queue of each front, and the counters of each account.
 pub(super) fn read(cores: &[NamedCore]) -> Result<Reply, Reply> {
     let fronts = cores
         .iter()
--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The administration API: HTTP and JSON on a loopback listener of its own, with a bearer token.
+//! The administration API: JSON over HTTP on a separate loopback listener, with a bearer token.
 
 mod admission;
 mod overrides;
@@ -22,16 +22,17 @@
 use crate::net;
 use crate::overrides::{NamedCore, OverrideManager};
 
-/// Most requests at once.
+/// Maximum number of concurrent requests.
 const MAX_REQUESTS: usize = 16;
 
-/// The administration API.
+/// The administration API with its resources.
 pub struct Admin {
     cores: Vec<NamedCore>,
     overrides: Arc<OverrideManager>,
-    /// The tenants of the NATS front and their classes, where that front runs.
+    /// The tenants of the NATS front, and the settings that define their classes; absent without that
+    /// front.
     tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
-    /// The fleet thread, where a fleet is configured.
+    /// The fleet thread, if a fleet is configured.
     fleet: Option<FleetHandle>,
     /// Digest of the token, so that a comparison takes the same time whatever is sent.
     token: [u8; 32],
@@ -39,7 +40,7 @@
 }
 
 impl Admin {
-    /// Creates an API over these cores, overrides, tenants and fleet.
+    /// Creates an API for these cores, overrides, tenants and fleet. `token` is the bearer token.
     pub fn new(
         cores: Vec<NamedCore>,
         overrides: Arc<OverrideManager>,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Serves requests until the program ends, each on a thread of its own.
+    /// Serves requests until the process ends, each on its own thread.
     pub fn listen(self: &Arc<Self>, listener: &TcpListener) {
         loop {
             let client = match listener.accept() {
@@ -72,19 +73,18 @@
             let admin = Arc::clone(self);
             let handle = move || {
                 let reply = if active_requests < MAX_REQUESTS {
-                    // A panic in one request must not use up its place for good.
-                    catch_unwind(AssertUnwindSafe(|| admin.serve(&client))).unwrap_or_else(|_| {
-                        Some(Reply::error(500, "a fault was met; it is in the log"))
-                    })
+                    // A panic must not leave the request counted as active.
+                    catch_unwind(AssertUnwindSafe(|| admin.serve(&client)))
+                        .unwrap_or_else(|_| Some(Reply::error(500, "internal error; see the log")))
                 } else {
-                    Some(Reply::error(503, "too many requests at once"))
+                    Some(Reply::error(503, "too many concurrent requests"))
                 };
                 if let Some(reply) = reply {
                     http::write(&client, &reply);
                 }
                 admin.requests.fetch_sub(1, Ordering::Relaxed);
             };
-            // The standard stack: hashing a password needs more than a connection's.
+            // The default stack size: hashing a password needs more than a connection's stack.
             if std::thread::Builder::new()
                 .name("admin".into())
                 .spawn(handle)
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Serves one request; `None` if the peer left without one.
+    /// Serves one request; `None` if the client disconnected before it was complete.
     fn serve(&self, client: &TcpStream) -> Option<Reply> {
         net::configure_stream(client).ok()?;
         match http::read(client) {
@@ -108,7 +108,7 @@
     fn answer(&self, request: &Request) -> Reply {
         let is_authorized = request.token.as_deref().map(digest) == Some(self.token);
         if !is_authorized {
-            return Reply::error(401, "a bearer token is needed");
+            return Reply::error(401, "a valid bearer token is required");
         }
         let path = request.path.split('?').next().unwrap_or_default();
         let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -146,7 +146,7 @@
                 servers::list(&self.cores, &self.overrides, self.fleet.as_ref())
             }
             (resource, _) => {
-                Err(Reply::error(405, "no such method here").with("Allow", resource.methods()))
+                Err(Reply::error(405, "method not allowed").with("Allow", resource.methods()))
             }
         };
         reply.unwrap_or_else(|error_reply| error_reply)
@@ -155,11 +155,11 @@
     fn tenants(&self) -> Result<&(Arc<Tenants>, Arc<SiteSettings>), Reply> {
         self.tenants
             .as_ref()
-            .ok_or_else(|| Reply::error(404, "no front with tenants runs here"))
+            .ok_or_else(|| Reply::error(404, "no front with tenants is configured"))
     }
 }
 
-/// The resource that a path names.
+/// The resource that a request's path identifies.
 #[derive(Clone, Copy)]
 enum Resource<'a> {
     Tenants,
@@ -203,12 +203,12 @@
 
 fn parse<'b, T: Deserialize<'b>>(body: &'b [u8]) -> Result<T, Reply> {
     serde_json::from_slice(body).map_err(|error| {
-        // The position of the error without its text, which may be a secret.
+        // Only the position is reported: the error's text may contain a secret.
         let status = if error.is_data() { 422 } else { 400 };
         Reply::error(
             status,
             format!(
-                "not the JSON wanted here, at line {} column {}",
+                "invalid JSON body at line {} column {}",
                 error.line(),
                 error.column()
             ),
--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -1,4 +1,4 @@
-//! Overrides, over the administration API.
+//! Administration API: overrides.
 
 mod fields;
 
@@ -14,21 +14,21 @@
 use crate::overrides::{ChangeResult, OverrideError, OverrideManager, OverrideView};
 use fields::Fields;
 
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 128;
 
 impl From<OverrideError> for Reply {
     fn from(error: OverrideError) -> Reply {
         match error {
             OverrideError::NoStore(why) => {
-                Reply::error(503, format!("no overrides are kept here: {why}"))
+                Reply::error(503, format!("overrides are disabled: {why}"))
             }
             OverrideError::Invalid(errors) => invalid_fields(&errors),
-            OverrideError::Unknown => Reply::error(404, "no override of that number holds"),
+            OverrideError::Unknown => Reply::error(404, "no active override has this id"),
             OverrideError::Stale(revision) => {
                 let mut reply = Reply::error(
                     412,
-                    "it has changed meanwhile: If-Match names another revision",
+                    "the override has changed: If-Match names another revision",
                 );
                 reply.body["revision"] = revision.into();
                 reply
@@ -39,18 +39,18 @@
                     .map(|(front, gaps)| format!("{front}: {gaps}"))
                     .collect();
                 let why = format!(
-                    "it would leave {}; set force to enter it all the same",
+                    "the override would leave {}; set force to create it anyway",
                     messages.join("; ")
                 );
                 Reply::error(409, why)
             }
             OverrideError::Full(max_count) => Reply::error(
                 409,
-                format!("there are {max_count} overrides, as many as may be"),
+                format!("the limit of {max_count} overrides is reached"),
             ),
             OverrideError::KeyReused => Reply::error(
                 422,
-                "Idempotency-Key: it was used for a request with another body",
+                "Idempotency-Key: used before for a request with another body",
             ),
             OverrideError::Store(error) => {
                 Reply::error(507, format!("{error}; nothing was changed"))
@@ -71,7 +71,7 @@
     )
 }
 
-/// All overrides in effect, and the state of their store.
+/// Lists all active overrides, their limits and the state of their store.
 pub(super) fn list(override_manager: &OverrideManager) -> Reply {
     let store_status = override_manager.store_status();
     let limits = override_manager.limits();
@@ -86,7 +86,7 @@
     )
 }
 
-/// One override.
+/// Reads one override.
 pub(super) fn read(override_manager: &OverrideManager, id: &str) -> Result<Reply, Reply> {
     let view = override_manager
         .get(parse_id(id)?)
@@ -101,7 +101,7 @@
     if key.is_some_and(|key| !(1..=MAX_KEY_BYTES).contains(&key.len())) {
         return Err(Reply::error(
             422,
-            format!("Idempotency-Key: 1 to {MAX_KEY_BYTES} bytes"),
+            format!("Idempotency-Key: must be 1 to {MAX_KEY_BYTES} bytes"),
         ));
     }
     let replay = key.map(|key| Replay {
@@ -155,7 +155,7 @@
     ))
 }
 
-/// Ends an override.
+/// Removes an override.
 pub(super) fn remove(
     override_manager: &OverrideManager,
     id: &str,
@@ -177,7 +177,7 @@
 fn parse_id(id: &str) -> Result<OverrideId, Reply> {
     id.parse()
         .map(OverrideId)
-        .map_err(|_| Reply::error(404, "an override has a number"))
+        .map_err(|_| Reply::error(404, "the id of an override is a number"))
 }
 
 fn revision(request: &Request) -> Result<Option<u64>, Reply> {
@@ -185,7 +185,7 @@
         None | Some("*") => Ok(None),
         Some(tag) => match tag.trim_matches('"').parse() {
             Ok(revision) => Ok(Some(revision)),
-            Err(_) => Err(Reply::error(422, "If-Match: a revision, as ETag gives it")),
+            Err(_) => Err(Reply::error(422, "If-Match: must be a revision as in ETag")),
         },
     }
 }
@@ -228,5 +228,5 @@
     json
 }
 
-/// The last time that can be written as a date: the end of the year 9999.
+/// The last time that can be formatted as a date: the end of the year 9999.
 const MAX_DATE_MS: Millis = 253_402_300_799_000;
--- a/crates/balancer/src/admin/overrides/fields.rs
+++ b/crates/balancer/src/admin/overrides/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a request's body.
+//! Field-by-field reader of a request's JSON body.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 use crate::http::Reply;
 use crate::overrides::OverrideManager;
 
-/// The fields of a body. All errors are collected.
+/// The fields of a body that have not been read yet, and the errors so far.
 pub(super) struct Fields {
     remaining: Map<String, Value>,
     errors: Vec<FieldError>,
@@ -21,11 +21,11 @@
                 remaining,
                 errors: Vec::new(),
             }),
-            Ok(_) => Err(Reply::error(422, "the body is no JSON object")),
+            Ok(_) => Err(Reply::error(422, "the body is not a JSON object")),
             Err(error) => Err(Reply::error(
                 400,
                 format!(
-                    "not JSON, at line {} column {}",
+                    "invalid JSON at line {} column {}",
                     error.line(),
                     error.column()
                 ),
@@ -44,7 +44,7 @@
     pub(super) fn text(&mut self, field: &'static str) -> Option<String> {
         match self.remaining.remove(field) {
             Some(Value::String(text)) => Some(text),
-            Some(_) => self.error(field, "a text"),
+            Some(_) => self.error(field, "must be a string"),
             None => self.error(field, "is missing"),
         }
     }
@@ -52,7 +52,7 @@
     fn number(&mut self, field: &'static str) -> Option<f64> {
         match self.remaining.remove(field) {
             Some(Value::Number(number)) => number.as_f64(),
-            Some(_) => self.error(field, "a number"),
+            Some(_) => self.error(field, "must be a number"),
             None => self.error(field, "is missing"),
         }
     }
@@ -61,7 +61,9 @@
         match self.remaining.remove(field) {
             None => false,
             Some(Value::Bool(flag)) => flag,
-            Some(_) => self.error::<bool>(field, "true or false").unwrap_or(false),
+            Some(_) => self
+                .error::<bool>(field, "must be true or false")
+                .unwrap_or(false),
         }
     }
 
@@ -89,11 +91,11 @@
                 })
             }
             "pin" => self.pin(server),
-            _ => self.error("kind", "out, weight or pin"),
+            _ => self.error("kind", "must be out, weight or pin"),
         }
     }
 
-    /// Reads a pin; `server` has been read already.
+    /// Reads the remaining fields of a pin.
     fn pin(&mut self, server: Option<String>) -> Option<OverrideKind> {
         let subject = match (
             self.remaining.contains_key("group"),
@@ -101,7 +103,7 @@
         ) {
             (true, false) => self.text("group").map(Subject::Group),
             (false, true) => self.text("tenant").map(Subject::Tenant),
-            _ => self.error("group", "either group or tenant"),
+            _ => self.error("group", "needs exactly one of group and tenant"),
         };
         let has_mode = self.remaining.contains_key("mode");
         let mode = if has_mode {
@@ -112,7 +114,7 @@
         let strictness = match mode?.as_str() {
             "prefer" => Some(Strictness::Prefer),
             "strict" => Some(Strictness::Strict),
-            _ => self.error("mode", "prefer or strict"),
+            _ => self.error("mode", "must be prefer or strict"),
         };
         Some(OverrideKind::Pin {
             subject: subject?,
@@ -121,8 +123,8 @@
         })
     }
 
-    /// Reads the expiry on the program's clock: `expires_in_s` from now, or `expires_at` by the
-    /// wall clock.
+    /// Reads the expiry, on the process's monotonic clock, from either `expires_in_s` (from now) or
+    /// `expires_at` (wall clock).
     pub(super) fn expiry(&mut self, override_manager: &OverrideManager) -> Option<Millis> {
         match (
             self.remaining.contains_key("expires_in_s"),
@@ -133,7 +135,7 @@
                 if seconds.is_finite() && seconds > 0.0 {
                     Some(override_manager.from_now((seconds * 1e3) as Millis))
                 } else {
-                    self.error("expires_in_s", "more than 0")
+                    self.error("expires_in_s", "must be more than 0")
                 }
             }
             (false, true) => {
@@ -142,21 +144,24 @@
                 let at = at.and_then(|at: SystemTime| at.duration_since(UNIX_EPOCH).ok());
                 match at.and_then(|at| Millis::try_from(at.as_millis()).ok()) {
                     Some(at) => Some(override_manager.from_wall_clock(at)),
-                    None => self.error("expires_at", "a time as 2026-12-01T18:00:00Z"),
+                    None => self.error("expires_at", "must be a time such as 2026-12-01T18:00:00Z"),
                 }
             }
-            _ => self.error("expires_in_s", "either expires_in_s or expires_at"),
+            _ => self.error(
+                "expires_in_s",
+                "needs exactly one of expires_in_s and expires_at",
+            ),
         }
     }
 
-    /// All errors, including unknown fields.
+    /// Returns all errors, with the unread fields reported as unknown.
     pub(super) fn finish(mut self) -> Vec<FieldError> {
         let unknown: Vec<String> = self.remaining.keys().cloned().collect();
         if !unknown.is_empty() {
             let names = unknown.join(", ");
             self.errors.push(FieldError {
                 field: "body",
-                why: format!("unknown fields here: {names}"),
+                why: format!("unknown fields: {names}"),
             });
         }
         self.errors
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -1,4 +1,4 @@
-//! The server list and the counts, over the administration API.
+//! Administration API: the server list and the counters.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     core.snapshot().ok_or_else(|| no_answer(front))
 }
 
-/// The counters, by front.
+/// The counters of each front, and of tenants if there are any.
 pub(super) fn counts(cores: &[NamedCore], tenants: Option<&Arc<Tenants>>) -> Result<Reply, Reply> {
     let mut fronts = serde_json::Map::new();
     for core @ (front, _) in cores {
@@ -44,7 +44,7 @@
     Ok(Reply::new(200, body))
 }
 
-/// Every listed server, as listed and as the policy sees it, and why the two differ.
+/// All servers with their listed and their effective state, and why the two differ.
 pub(super) fn list(
     cores: &[NamedCore],
     override_manager: &OverrideManager,
@@ -66,7 +66,7 @@
         }
         if snapshot.has_lost_overrides {
             warnings.push(format!(
-                "{front}: a fault in the overrides was met; none hold there until a restart"
+                "{front}: an internal error disabled all overrides until a restart"
             ));
         }
         servers.extend(
@@ -83,7 +83,7 @@
     Ok(Reply::new(200, body))
 }
 
-/// The state that this process shares with its peers.
+/// The fleet as this process sees it.
 fn fleet_status(status: &fleet::FleetStatus) -> Value {
     let (processes, size) = status.processes;
     json!({
@@ -94,7 +94,7 @@
     })
 }
 
-/// A server as listed and as the policy sees it.
+/// A server with its listed and its effective state.
 fn server_json(
     front: &str,
     server: &ServerSnapshot,
@@ -110,8 +110,8 @@
     })
 }
 
-/// Why a server differs from its listed state: overrides, the site's evidence, or the ramp after
-/// one of them.
+/// Reasons why a server's effective state differs from the listed one: overrides, the site's evidence,
+/// or the ramp after one of them.
 fn why_they_differ(
     front: &str,
     server: &ServerSnapshot,
@@ -141,20 +141,20 @@
         let skipped = site
             .skip_reason
             .as_ref()
-            .map(|why| format!("passed over by this site's evidence: {why}"));
+            .map(|why| format!("skipped based on this site's evidence: {why}"));
         let reduced = || {
             format!(
-                "{:.0}% of its weight by this site's evidence",
+                "{:.0}% of its weight based on this site's evidence",
                 site.weight_factor * 100.0
             )
         };
         why.extend(skipped.or_else(|| (site.weight_factor < 1.0).then(reduced)));
         why.extend(
-            (site.restarted_at > 0).then(|| "started anew while the uplink was lost".to_owned()),
+            (site.restarted_at > 0).then(|| "restarted while the uplink was lost".to_owned()),
         );
     }
     if why.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1 {
-        why.push("its weight is on its way back after an override".into());
+        why.push("its weight is ramping up after an override".into());
     }
     why
 }
--- a/crates/balancer/src/admin/tenants.rs
+++ b/crates/balancer/src/admin/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of the NATS front, over the administration API.
+//! Administration API: tenants of the NATS front.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 };
 use crate::http::Reply;
 
-/// Allowed lengths of a password.
+/// Allowed lengths of a password, in bytes.
 const PASSWORD_LENGTHS: std::ops::RangeInclusive<usize> = 12..=256;
 
-/// Allowed values of a share.
+/// Allowed values of a tenant's share.
 const SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e6;
 
-/// The tenants, and the settings that their classes refer to.
+/// The tenants, and the settings that define their classes.
 type TenantContext = (Arc<Tenants>, Arc<SiteSettings>);
 
 impl From<StoreError> for Reply {
     fn from(error: StoreError) -> Reply {
         match error {
-            StoreError::Away => Reply::error(503, "the store is away"),
-            StoreError::TakesNothing => Reply::error(503, "the store takes no writing"),
-            StoreError::Exists => Reply::error(409, "there is such a tenant"),
-            StoreError::Missing => Reply::error(404, "there is no such tenant"),
+            StoreError::Away => Reply::error(503, "the tenant store is unavailable"),
+            StoreError::TakesNothing => Reply::error(503, "the tenant store rejects writes"),
+            StoreError::Exists => Reply::error(409, "a tenant of this name exists"),
+            StoreError::Missing => Reply::error(404, "no tenant has this name"),
         }
     }
 }
@@ -61,7 +61,7 @@
     password: String,
 }
 
-/// All tenants.
+/// Lists all tenants.
 pub(super) fn list((tenants, _): &TenantContext) -> Result<Reply, Reply> {
     let open = tenants.open();
     let all: Vec<Value> = tenants
@@ -72,7 +72,7 @@
     Ok(Reply::new(200, json!({ "tenants": all })))
 }
 
-/// One tenant.
+/// Reads one tenant.
 pub(super) fn read((tenants, _): &TenantContext, name: &str) -> Result<Reply, Reply> {
     Ok(Reply::new(
         200,
@@ -86,7 +86,7 @@
     if !is_name(&request.name) {
         return Err(Reply::error(
             422,
-            "name: 1 to 64 letters, digits, '-' or '_'",
+            "name: must be 1 to 64 letters, digits, '-' or '_'",
         ));
     }
     check(
@@ -118,7 +118,7 @@
     Ok(Reply::new(201, tenant_json(&tenant, &BTreeMap::new())))
 }
 
-/// Changes the given fields of a tenant.
+/// Changes the given fields of a tenant and keeps the others.
 pub(super) fn change(
     (tenants, settings): &TenantContext,
     name: &str,
@@ -175,28 +175,31 @@
     upstream: Option<&Identity>,
 ) -> Result<(), Reply> {
     if class.is_some_and(|class| settings.class(class).is_none()) {
-        return Err(Reply::error(422, "class: not in the settings"));
+        return Err(Reply::error(422, "class: not defined in the settings"));
     }
     if share.is_some_and(|share| !SHARE_RANGE.contains(&share)) {
-        return Err(Reply::error(422, "share: from 0.001 to 1000000"));
+        return Err(Reply::error(422, "share: must be from 0.001 to 1000000"));
     }
     if connections == Some(0) {
-        return Err(Reply::error(422, "connections: at least 1"));
+        return Err(Reply::error(422, "connections: must be at least 1"));
     }
     if upstream.is_some_and(|identity| identity.user.len() > 256 || identity.password.len() > 256) {
-        return Err(Reply::error(422, "upstream: 256 bytes at most"));
+        return Err(Reply::error(
+            422,
+            "upstream: user and password must be at most 256 bytes each",
+        ));
     }
     Ok(())
 }
 
 fn hash_password(password: &str) -> Result<String, Reply> {
     if !PASSWORD_LENGTHS.contains(&password.len()) {
-        return Err(Reply::error(422, "password: 12 to 256 bytes"));
+        return Err(Reply::error(422, "password: must be 12 to 256 bytes"));
     }
     hash(password).map_err(|_| Reply::error(500, "the password could not be hashed"))
 }
 
-/// A tenant without its secrets.
+/// A tenant in the API's format, without its secrets.
 fn tenant_json(tenant: &Tenant, open: &BTreeMap<String, usize>) -> Value {
     json!({
         "name": tenant.name, "class": tenant.class, "connections": tenant.connections,
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -8,67 +8,68 @@
 
 use crate::discovery::ServerList;
 
-/// Default number of file descriptors, as in the platform's documentation.
+/// Default limit on file descriptors, as documented by the platform.
 const DEFAULT_SOCKETS: usize = 4096;
 
-/// The platform's configuration.
+/// Content of the platform's configuration file.
 #[derive(Clone)]
 pub struct PlatformConfig {
-    /// Name of this balancer, the same after a restart.
+    /// Name of this balancer, stable across restarts.
     pub name: String,
-    /// Address for clients.
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Address of the operations port, if there is one.
+    /// Address of the operations port; absent if the port is disabled.
     pub admin_addr: Option<String>,
-    /// Seed of random numbers in hexadecimal digits; new with each start.
+    /// Seed of the random number generators in hexadecimal digits; different at each start.
     pub seed: String,
-    /// Limits of the machine.
+    /// Resource limits of the machine.
     pub limits: MachineLimits,
-    /// The server list as last known.
+    /// The last known server list; empty if the file has none.
     pub cached_list: ServerList,
     /// The settings of the site.
     pub settings: SiteSettings,
 }
 
-/// Limits of the machine.
+/// Resource limits of the machine.
 #[derive(Clone, Copy)]
 pub struct MachineLimits {
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
 }
 
-/// The settings in effect, as the front parses requests by them. They are replaced as a whole.
+/// The settings in effect, shared with the front, which parses requests with them. They are replaced
+/// as a whole.
 #[derive(Clone)]
 pub struct SharedSettings(Arc<RwLock<Arc<ActiveSettings>>>);
 
 impl SharedSettings {
-    /// Shares the first settings of a process.
+    /// Wraps the settings of the start.
     pub fn new(site_settings: SiteSettings) -> SharedSettings {
         SharedSettings(Arc::new(RwLock::new(Arc::new(ActiveSettings::new(
             site_settings,
         )))))
     }
 
-    /// The settings in effect now.
+    /// The settings in effect.
     pub fn current(&self) -> Arc<ActiveSettings> {
-        // The pointer is valid even if a thread panicked while holding the lock.
+        // The pointer remains valid even if a thread panicked while holding the lock.
         Arc::clone(&self.0.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Replaces the settings.
+    /// Replaces the settings as a whole.
     pub fn replace(&self, settings: Arc<ActiveSettings>) {
         *self.0.write().unwrap_or_else(PoisonError::into_inner) = settings;
     }
 }
 
 impl PlatformConfig {
-    /// Reads the file that `LB_CONFIG` names.
+    /// Reads the file at the path in `LB_CONFIG`.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read or has errors.
+    /// Returns an error if the variable is not set, or the file can't be read or is invalid.
     pub fn read() -> Result<PlatformConfig, String> {
         let path = std::env::var("LB_CONFIG").map_err(|error| format!("LB_CONFIG: {error}"))?;
         let text = std::fs::read(&path).map_err(|error| format!("{path}: {error}"))?;
@@ -76,23 +77,23 @@
         PlatformConfig::parse(&value).map_err(|errors| format!("{path}: {errors}"))
     }
 
-    /// Reads the content of the file.
+    /// Parses the content of the file. Unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// Reports all errors, each with its path.
+    /// Returns all errors, each with the path of its field.
     pub fn parse(value: &Value) -> Result<PlatformConfig, ConfigErrors> {
         let collector = ErrorCollector::default();
         let config = read_config(Fields::new(value, "", &collector), &collector);
         collector.finish(config)
     }
 
-    /// Applies the environment variables that override the file at the start. A reload does not
-    /// apply them, since the file is newer.
+    /// Applies `LB_LISTEN` and `LB_DISCOVERY`, which override the file at the start. A reload does not
+    /// apply them, since the file is then newer than the environment.
     ///
     /// # Errors
     ///
-    /// Names the variable that can't be parsed.
+    /// Returns an error with the name of the variable that can't be parsed.
     pub fn with_environment(mut self) -> Result<PlatformConfig, String> {
         for (variable, field) in [
             ("LB_LISTEN", &mut self.listen),
@@ -107,11 +108,11 @@
         Ok(self)
     }
 
-    /// Address of the operations port, from the environment or the file.
+    /// Address of the operations port, from `LB_ADMIN_ADDR` or else the file; `None` if neither has it.
     ///
     /// # Errors
     ///
-    /// Fails if it is not an address with a port.
+    /// Returns an error if the value is not an address with a port.
     pub fn operations_address(file: Option<&PlatformConfig>) -> Result<Option<SocketAddr>, String> {
         let variable = std::env::var("LB_ADMIN_ADDR")
             .ok()
@@ -128,7 +129,7 @@
         Ok(Some(address))
     }
 
-    /// The seed as a number; a text that is no number is hashed.
+    /// The seed as a number; a seed that is not hexadecimal is hashed.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16)
             .unwrap_or_else(|_| beaconflow_settings::digest(&self.seed))
@@ -160,7 +161,7 @@
     })
 }
 
-/// The cached list. An error is reported with the path inside it.
+/// Reads the cached server list. An error is reported with the path of the field within the list.
 fn cached_list(fields: Fields<'_>) -> Option<ServerList> {
     let Some(value) = fields.value("known") else {
         return Some(ServerList::default());
@@ -182,7 +183,7 @@
             .for_each(|error| collector.add(error.path, error.reason))
     };
     let site_settings = SiteSettings::read("settings", value).map_err(report).ok()?;
-    // Clients name their class, so that one without a name could never be used.
+    // Requests select their class by name: a class without a name could never be used.
     for index in site_settings.unnamed_classes() {
         collector.add(format!("settings.lanes[{index}].name"), "is missing");
     }
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, sound and at fault.
+//! Tests of parsing valid and invalid platform configuration files.
 
 use serde_json::{Value, json};
 
@@ -24,18 +24,20 @@
 }
 
 fn errors(value: &Value) -> Vec<String> {
-    let errors = PlatformConfig::parse(value).err().expect("refused");
+    let errors = PlatformConfig::parse(value)
+        .err()
+        .expect("configuration is rejected");
     errors.0.iter().map(|error| error.to_string()).collect()
 }
 
 #[test]
 fn parse_accepts_unknown_keys_and_missing_optional_fields() {
     let Ok(config) = PlatformConfig::parse(&valid_config()) else {
-        panic!("sound")
+        panic!("a valid configuration was rejected")
     };
     assert_eq!(config.limits.sockets, 64);
     let mut minimal = valid_config();
-    let fields = minimal.as_object_mut().expect("an object");
+    let fields = minimal.as_object_mut().expect("a JSON object");
     fields.remove("limits");
     fields.remove("known");
     assert!(PlatformConfig::parse(&minimal).is_ok());
@@ -67,11 +69,11 @@
         "/settings/rules/fall-ns",
     ];
     for path in paths {
-        let (parent, key) = path.rsplit_once('/').expect("a path");
+        let (parent, key) = path.rsplit_once('/').expect("path has a parent");
         let mut file = valid_config();
         file.pointer_mut(parent)
             .and_then(Value::as_object_mut)
-            .expect("an object")
+            .expect("a JSON object")
             .remove(key);
         let dotted_path = path[1..].replace('/', ".").replace(".1.", "[1].");
         assert_eq!(errors(&file), [format!("{dotted_path}: is missing")]);
@@ -101,7 +103,9 @@
     ];
     let mut file = valid_config();
     for (path, value) in &invalid_values {
-        *file.pointer_mut(path).expect("it is there") = value.clone();
+        *file
+            .pointer_mut(path)
+            .expect("path exists in the valid configuration") = value.clone();
     }
     let reported = errors(&file);
     for path in [
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,7 @@
-//! The balancer on real sockets, around the decisions of `beaconflow-policy`.
+//! The balancer process: sockets, threads and I/O around the decisions of `beaconflow-policy`.
 //!
-//! [`core`] owns the policy and knows no wire. A [`front`] parses and encodes a protocol and
-//! decides nothing. [`connections`] accepts, connects, relays and closes.
+//! [`core`] owns the policy and is independent of any protocol. A [`front`] parses and encodes one
+//! protocol and makes no decisions. [`connections`] accepts, connects, relays and closes.
 
 #![forbid(unsafe_code)]
 
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -1,6 +1,6 @@
-//! The log: one event a line on standard error, as text or as JSON, with stable field names.
-//! Every event has a `part` and a constant message; what varies is in its fields. As text a line is
-//! `unix-seconds level part message field=value ...`.
+//! Logging: one event per line on standard error, as text or as JSON, with stable field names.
+//! Every event has a `part` and a constant message; variable data is in its fields. The text format
+//! is `unix-seconds level part message field=value ...`.
 
 use std::fmt::{self, Debug, Display, Write as _};
 use std::io::Write as _;
@@ -13,17 +13,18 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt as _};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Format of the log's lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text.
+    /// Space-separated `field=value` pairs.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts the log; later calls have no effect.
+/// Installs the global logger; later calls have no effect. `BEACONFLOW_LOG=debug` enables debug
+/// events.
 pub fn start(format: LogFormat) {
     let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|value| value == "debug") {
         Level::DEBUG
@@ -34,10 +35,10 @@
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-/// Writes events of the program's own crates as lines.
+/// Writes events of this project's crates, one line each.
 struct LogLayer {
     format: LogFormat,
-    /// Most verbose level that is written; `debug` follows each request.
+    /// Most verbose level that is written. `debug` logs every request.
     max_level: Level,
 }
 
@@ -63,12 +64,12 @@
             LogFormat::Json => record.json(now, level),
         };
         text.push('\n');
-        // A closed standard error must not stop the program.
+        // A closed standard error must not stop the process.
         let _ = std::io::stderr().write_all(text.as_bytes());
     }
 }
 
-/// The fields of an event, in order.
+/// The fields of an event, in the order in which they were recorded.
 #[derive(Default)]
 struct LogRecord {
     part: String,
@@ -98,7 +99,7 @@
             self.message
         );
         for (name, value) in &self.fields {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = match value {
                 Value::String(text) if is_plain(text) => write!(line, " {name}={text}"),
                 value => write!(line, " {name}={value}"),
@@ -127,7 +128,8 @@
     }
 }
 
-/// Whether a text needs no quotes: it is not empty and has no space, quote or control character.
+/// Whether a value can be written without quotes: it is not empty and has no whitespace, quote or
+/// control character.
 fn is_plain(text: &str) -> bool {
     !text.is_empty()
         && !text.chars().any(|character| {
@@ -161,10 +163,11 @@
     }
 }
 
-/// Most lines of one kind per second; the rest is counted. Clients could otherwise fill the log.
+/// Maximum number of lines per second of one rate-limited log; further events are only counted.
+/// Clients could otherwise fill the log.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// A log of events that clients can cause at will.
+/// A rate-limited log for events that clients can trigger at will.
 #[derive(Default)]
 pub struct RateLimitedLog(Mutex<RateWindow>);
 
@@ -176,7 +179,7 @@
 }
 
 impl RateLimitedLog {
-    /// Writes a warning, or counts it.
+    /// Writes a warning, or counts it as suppressed once the limit of this second is reached.
     pub fn warn(&self, part: &str, message: &'static str, why: &dyn Display) {
         self.flush(part);
         let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Starts a new second once one is over, and logs how many lines were left out.
+    /// Starts a new window when the current second is over, and logs how many warnings it suppressed.
     pub fn flush(&self, part: &str) {
         let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if window
--- a/crates/balancer/src/log/tests.rs
+++ b/crates/balancer/src/log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the log's lines.
+//! Tests of the formats of log lines.
 
 use super::*;
 
@@ -24,7 +24,8 @@
         text,
         "1796129892.047 info audit override created id=7 who=ada why=\"a \\\"new\\\"\\nsupply\" forced=false none=\"\""
     );
-    let json: Value = serde_json::from_str(&sample_record().json(now, "info")).expect("JSON");
+    let json: Value =
+        serde_json::from_str(&sample_record().json(now, "info")).expect("line is JSON");
     assert_eq!(
         (json["id"].as_u64(), json["why"].as_str()),
         (Some(7), Some("a \"new\"\nsupply"))
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -1,7 +1,8 @@
-//! The operations port: status, standby and service, over HTTP. See `docs/operations.md`.
+//! The operations port: status, and entering and leaving standby, over HTTP. See
+//! `docs/operations.md`.
 //!
-//! One thread with one non-blocking loop: a caller is answered within a second whatever the load,
-//! beside callers that send nothing. Its resources are reserved at the start.
+//! A single thread runs a non-blocking event loop. A caller is answered within a second under any load,
+//! even if other callers send nothing. Its resources are reserved at the start.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -19,24 +20,26 @@
 use crate::net::{self, Listener, ReadError, WriteBuffer};
 use crate::poller::{EventFlags, Poller, Waker};
 
-/// Most callers; the one that has been silent longest is evicted for the next.
+/// Maximum number of callers. A further caller evicts the one that has been silent longest.
 const MAX_CALLERS: usize = 16;
-/// Descriptors of the port: its callers, its listener and its poller's two.
+/// File descriptors of the port: its callers, its listener and the two of its poller.
 pub const DESCRIPTORS: usize = MAX_CALLERS + 3;
-/// Longest head and longest body of a request.
+/// Maximum sizes of the head and of the body of a request.
 const MAX_REQUEST_BYTES: (usize, usize) = (4 * 1024, 1024);
-/// Time for a caller to send its request.
+/// Timeout for receiving a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the cores to apply a command. A caller is owed an answer within 1 s.
+/// Timeout for the cores to apply a command. It is below the 1 s within which every caller is
+/// answered.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for which an answered caller is read, so that no reset destroys its answer.
+/// Time for which input of an answered caller is still read. Closing with unread input would send a
+/// reset, which can destroy the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Interval of timeout checks while there are callers.
+/// Interval of timeout checks while callers are connected.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Token of the listener; callers have tokens from 1.
+/// Poll token of the listener; callers have tokens from 1.
 const LISTENER_TOKEN: u64 = 0;
 
-/// The operations port.
+/// The operations port, with its event loop.
 pub struct Operations {
     listener: TcpListener,
     poller: Poller,
@@ -46,7 +49,7 @@
     results: (Sender<CommandResult>, Receiver<CommandResult>),
 }
 
-/// The result of a command, for the caller with this id.
+/// The id of a caller, and the result of its command.
 type CommandResult = (u64, Result<LifecycleState, CommandRefused>);
 
 struct Caller {
@@ -54,30 +57,30 @@
     stream: TcpStream,
     request: RequestReader,
     outgoing: WriteBuffer,
-    /// When it last sent something.
+    /// When input was last received.
     last_read_at: Instant,
     state: CallerState,
-    /// The events it is polled for.
+    /// The events for which the stream is registered.
     interest: EventFlags,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallerState {
-    /// It has been answered and is read until then.
+    /// The answer has been queued; input is discarded until the deadline.
     Answered(Instant),
-    /// Its request is incomplete and expires then.
+    /// The request is incomplete and times out at the deadline.
     Reading(Instant),
-    /// The cores apply its command until then.
+    /// The cores are applying the command; it times out at the deadline.
     AwaitingCores(Instant),
-    /// It is closed.
+    /// To be closed.
     Closed,
 }
 
-/// Creates the port over all cores of the program.
+/// Creates the port, which commands all cores of the process.
 ///
 /// # Errors
 ///
-/// Fails if the poller can't be created.
+/// Returns an error if the poller can't be created or the listener can't be registered.
 pub fn listen(
     Listener {
         socket: listener, ..
@@ -103,7 +106,7 @@
 }
 
 impl Operations {
-    /// Serves callers while the program runs.
+    /// Serves callers until the process ends.
     pub fn run(mut self) {
         loop {
             let timeout = if self.callers.is_empty() {
@@ -112,7 +115,8 @@
                 TICK_INTERVAL
             };
             let ready = self.poller.wait(timeout);
-            // Present callers go before new ones: a complete request is answered and not evicted.
+            // Existing callers come before new ones, so that a complete request is answered rather than
+            // evicted.
             for id in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
                 self.with_caller(*id, Self::on_ready);
             }
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Accepts callers while there is room, and one by eviction.
+    /// Accepts callers until the limit is reached, and one more by eviction.
     fn accept(&mut self) {
         for accepted in 0..MAX_CALLERS {
             if accepted > 0 && self.callers.len() == MAX_CALLERS {
@@ -150,7 +154,7 @@
                 Err(error) if net::is_would_block(&error) => return,
                 Err(error) => {
                     warn!(part = "operations", why = %error, "accept failed");
-                    // Avoids a busy loop without descriptors.
+                    // Without free descriptors the listener stays readable; the pause avoids a busy loop.
                     return std::thread::sleep(Duration::from_millis(10));
                 }
             };
@@ -174,8 +178,8 @@
         }
     }
 
-    /// Evicts a caller if there is no room: one that was answered, else the one that has been
-    /// silent longest.
+    /// Evicts a caller if the limit is reached: an answered one if there is one, otherwise the one that
+    /// has been silent longest, callers that wait for the cores last.
     fn evict_one(&mut self) {
         if self.callers.len() < MAX_CALLERS {
             return;
@@ -190,12 +194,12 @@
             return;
         };
         if !matches!(caller.state, CallerState::Answered(_)) {
-            caller.answer(&Reply::error(503, "too many callers at once"));
+            caller.answer(&Reply::error(503, "too many concurrent callers"));
         }
         net::close(&caller.stream);
     }
 
-    /// Runs code on a caller and updates its poll events.
+    /// Runs `act` on a caller, updates its poll events, and closes it on an error or in state `Closed`.
     fn with_caller(&mut self, id: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
         let Some(index) = self.callers.iter().position(|caller| caller.id == id) else {
             return;
@@ -220,7 +224,7 @@
                     caller.state = CallerState::Closed;
                 }
             }
-            // Bounded by the size of a request.
+            // The loop is bounded by the maximum size of a request.
             CallerState::Reading(_) => {
                 while matches!(caller.state, CallerState::Reading(_)) && self.read_once(caller) {}
             }
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Reads once; returns whether there may be more.
+    /// Reads once; returns whether more input may be available.
     fn read_once(&mut self, caller: &mut Caller) -> bool {
         let read_result = match caller.request.read(&caller.stream, Instant::now()) {
             Err(ReadError::TimedOut) => return false,
@@ -253,7 +257,7 @@
             ("/standby" | "/active", _) => return caller.answer(&method_not_allowed("POST")),
             _ => return caller.answer(&Reply::error(404, "no such path")),
         };
-        info!(part = "audit", command = ?command, who = %peer_address(&caller.stream), "operator's command");
+        info!(part = "audit", command = ?command, who = %peer_address(&caller.stream), "operator command received");
         caller.state = CallerState::AwaitingCores(Instant::now() + COMMAND_TIMEOUT);
         let collector = Arc::new(CommandResults {
             remaining: AtomicUsize::new(self.cores.len()),
@@ -273,7 +277,7 @@
     fn status(&self) -> Reply {
         let lifecycles: Vec<_> = self.cores.iter().map(CoreHandle::lifecycle).collect();
         let ready = lifecycles.iter().all(|lifecycle| lifecycle.is_ready());
-        // The front that keeps the program from being ready, if there is one.
+        // The first front that is not ready, or else the first front.
         let reported = lifecycles
             .iter()
             .find(|lifecycle| !lifecycle.is_ready())
@@ -290,7 +294,7 @@
     }
 }
 
-/// Collects the results of one command from the cores.
+/// Collects the results of one command from all cores.
 struct CommandResults {
     remaining: AtomicUsize,
     caller: u64,
@@ -299,11 +303,11 @@
 }
 
 impl CommandResults {
-    /// Records a core's result. The last one, or the first refusal, answers the caller.
+    /// Records a core's result. The last result, or any refusal, is sent to the event loop.
     fn record(&self, result: Result<LifecycleState, CommandRefused>) {
         let last = self.remaining.fetch_sub(1, Ordering::SeqCst) == 1;
         if last || result.is_err() {
-            // A caller gets no second answer.
+            // The event loop ignores results for a caller that was already answered.
             let _ = self.results.send((self.caller, result));
             self.waker.wake();
         }
@@ -318,7 +322,7 @@
 }
 
 fn method_not_allowed(allowed: &'static str) -> Reply {
-    Reply::error(405, "no such method here").with("Allow", allowed)
+    Reply::error(405, "method not allowed").with("Allow", allowed)
 }
 
 fn peer_address(stream: &TcpStream) -> String {
@@ -345,11 +349,11 @@
     fn expire(&mut self) {
         match self.state {
             CallerState::Reading(_) => {
-                self.answer(&Reply::error(408, "the call did not come in time"))
+                self.answer(&Reply::error(408, "timed out waiting for the request"))
             }
             CallerState::AwaitingCores(_) => self.answer(&Reply::error(
                 503,
-                "not followed in time; ask for the status",
+                "timed out waiting for the cores; query /status for the outcome",
             )),
             CallerState::Answered(_) | CallerState::Closed => self.state = CallerState::Closed,
         }
@@ -364,7 +368,7 @@
                 flags
             }
             CallerState::Reading(_) => EventFlags::IN,
-            // A caller that leaves is answered in vain.
+            // No events are polled: a disconnect is noticed when the answer is written.
             CallerState::AwaitingCores(_) | CallerState::Closed => EventFlags::empty(),
         }
     }
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's file: the NATS front, the administration API, overrides, the fleet and the log.
 //!
-//! It is read field by field, so that all errors are reported at once.
+//! The file is read field by field, so that all errors are reported at once.
 
 mod admission;
 mod fleet;
@@ -25,42 +25,42 @@
 pub use fleet::{AffinityConfig, EdgeConfig, EdgeMode, FleetConfig, MemoryConfig};
 use section::Section;
 
-/// The token or password of the sample file, which is refused.
+/// Token in the sample file, which is rejected.
 const PLACEHOLDER: &str = "CHANGE-ME";
-/// Least length of the token.
+/// Minimum length of the token, in bytes.
 const MIN_TOKEN_LENGTH: usize = 16;
-/// Longest override that may be granted: ten years, in seconds.
+/// Upper bound of the configurable maximum duration of an override: ten years, in seconds.
 const MAX_OVERRIDE_S: u64 = 10 * 366 * 24 * 3_600;
 
-/// The operator's configuration.
+/// Content of the operator's file.
 #[derive(Clone, PartialEq)]
 pub struct OperatorConfig {
     /// The NATS front, if it is configured.
     pub nats: Option<NatsConfig>,
     /// The administration API, if it is configured.
     pub admin: Option<AdminConfig>,
-    /// Overrides.
+    /// Store and limits of overrides.
     pub overrides: overrides::OverridesConfig,
-    /// Admission.
+    /// Limits and quotas of admission.
     pub admission: AdmissionConfig,
     /// The fleet, if it is configured.
     pub fleet: Option<FleetConfig>,
-    /// Format of the log.
+    /// Format of log lines.
     pub log: LogFormat,
 }
 
-/// The NATS front.
+/// Configuration of the NATS front.
 #[derive(Clone, PartialEq)]
 pub struct NatsConfig {
-    /// Name shown to clients.
+    /// Server name sent to clients.
     pub name: String,
-    /// Address for clients.
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
-    /// Most file descriptors of this front.
+    /// Maximum number of file descriptors of this front.
     pub sockets: usize,
-    /// Limits of the protocol.
+    /// Limits and timeouts of the protocol.
     pub wire: Wire,
-    /// The shared store of tenants.
+    /// The store of tenants, shared by all processes.
     pub store: StoreConfig,
     /// The NATS servers.
     pub endpoints: EndpointSource,
@@ -68,47 +68,48 @@
     pub settings: SiteSettings,
 }
 
-/// The shared store of tenants.
+/// Configuration of the shared store of tenants.
 #[derive(Clone, PartialEq)]
 pub struct StoreConfig {
-    /// Redis, as `redis://HOST:PORT/DB`.
+    /// URL of the Redis database, as `redis://HOST:PORT/DB`.
     pub url: String,
-    /// Age after which a tenant's record is read again, in milliseconds.
+    /// Age after which a cached tenant record is read again, in milliseconds.
     pub fresh_ms: u64,
 }
 
-/// The administration API.
+/// Configuration of the administration API.
 #[derive(Clone, PartialEq)]
 pub struct AdminConfig {
-    /// Its loopback address.
+    /// Address of its listener, always a loopback address.
     pub listen: SocketAddr,
-    /// The bearer token.
+    /// The bearer token that every request needs.
     pub token: String,
 }
 
-/// Where the NATS servers come from.
+/// Source of the list of NATS servers.
 #[derive(Clone, PartialEq)]
 pub enum EndpointSource {
-    /// From discovery.
+    /// Discovery at this address.
     Discovery(SocketAddr),
-    /// From the file.
+    /// A fixed list in the file.
     Servers(Vec<FixedServer>),
 }
 
-/// A NATS server in the file.
+/// A NATS server listed in the file.
 #[derive(Clone, PartialEq)]
 pub struct FixedServer {
-    /// Name.
+    /// Unique name of the server.
     pub name: String,
-    /// Address.
+    /// Address for connections.
     pub address: SocketAddr,
-    /// Name of its zone.
+    /// Name of its zone; empty if it has none.
     pub zone: String,
-    /// Weight.
+    /// Relative weight, more than 0.
     pub weight: f64,
 }
 
-/// All errors of a file, each with its field. Values are not quoted, since they may be secret.
+/// All errors of a file, each with the path of its field. Values are not quoted, since they may be
+/// secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(pub Vec<String>);
 
@@ -119,11 +120,11 @@
 }
 
 impl OperatorConfig {
-    /// Reads a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// Reports all errors, including values that would be unsafe.
+    /// Returns all errors, including values that would be unsafe.
     pub fn read(path: &Path) -> Result<OperatorConfig, ConfigErrors> {
         let shown_path = path.display();
         let text = std::fs::read_to_string(path)
@@ -138,11 +139,11 @@
         })
     }
 
-    /// Reads a file's text.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
     ///
-    /// Reports all errors, including values that would be unsafe.
+    /// Returns all errors, including values that would be unsafe.
     pub fn parse(text: &str) -> Result<OperatorConfig, ConfigErrors> {
         let table: Table = text.parse().map_err(|error: toml::de::Error| {
             let line = error
@@ -177,13 +178,13 @@
             file.subsection("memory", Table::new()).error_if(
                 "path",
                 *overrides == memory.path,
-                "is overrides.file too",
+                "is the same file as overrides.file",
             );
         }
         if operator.nats.is_some() && operator.admin.is_none() && errors.borrow().is_empty() {
             errors
                 .borrow_mut()
-                .push("admin: is missing; the NATS front's tenants are kept through it".into());
+                .push("admin: is missing; the NATS front needs it to manage tenants".into());
         }
         let errors = errors.into_inner();
         if errors.is_empty() {
@@ -246,7 +247,7 @@
     section.error_if(
         "most_early",
         wire.most_early < MAX_CONTROL_LINE,
-        "does not hold a control line",
+        "is less than the maximum length of a control line",
     );
     section.reject_unknown_fields();
     wire
@@ -257,7 +258,11 @@
     let is_invalid = url
         .as_deref()
         .is_some_and(|url| redis::Client::open(url).is_err());
-    section.error_if("url", is_invalid, "redis://HOST:PORT/DB");
+    section.error_if(
+        "url",
+        is_invalid,
+        "must be a URL of the form redis://HOST:PORT/DB",
+    );
     let fresh_ms = section.optional("fresh_ms", 5_000);
     section.reject_unknown_fields();
     Some(StoreConfig {
@@ -274,7 +279,7 @@
     section.error_if(
         "token",
         token.as_ref().is_some_and(is_weak),
-        "is the sample's or shorter than 16 characters",
+        "is the token of the sample file or shorter than 16 bytes",
     );
     section.reject_unknown_fields();
     Some(AdminConfig {
@@ -286,7 +291,11 @@
 fn read_endpoint_source(mut section: Section<'_>) -> Option<EndpointSource> {
     let discovery = section.table.contains_key("discovery");
     if discovery == section.table.contains_key("servers") {
-        section.error_if("discovery", true, "either discovery or servers");
+        section.error_if(
+            "discovery",
+            true,
+            "needs exactly one of discovery and servers",
+        );
         return None;
     }
     let source = if discovery {
@@ -313,7 +322,7 @@
     section.error_if(
         "weight",
         !(weight > 0.0 && f64::is_finite(weight)),
-        "more than 0",
+        "must be finite and more than 0",
     );
     section.reject_unknown_fields();
     Some(FixedServer {
@@ -337,18 +346,18 @@
     section.error_if(
         "longest_s",
         !(1..=MAX_OVERRIDE_S).contains(&max_duration_s),
-        "from 1 s to ten years",
+        "must be from 1 s to ten years",
     );
-    section.error_if("most", max_count == 0, "at least 1");
+    section.error_if("most", max_count == 0, "must be at least 1");
     section.error_if(
         "ramp_s",
         !(0.0..=3_600.0).contains(&ramp_s),
-        "from 0 to 3600",
+        "must be from 0 to 3600",
     );
     section.reject_unknown_fields();
     let limits = OverrideLimits {
         max_duration_ms: max_duration_s.saturating_mul(1_000),
-        max_count: max_count,
+        max_count,
         ramp_ms: (ramp_s * 1e3) as u64,
     };
     overrides::OverridesConfig { file, limits }
@@ -359,7 +368,7 @@
     section.error_if(
         "form",
         !matches!(format.as_str(), "text" | "json"),
-        "text or json",
+        "must be text or json",
     );
     section.reject_unknown_fields();
     if format == "json" {
@@ -370,7 +379,7 @@
 }
 
 impl EndpointSource {
-    /// The servers in the file; empty where discovery is used.
+    /// The servers in the file as a list with this generation; empty if discovery is the source.
     pub fn list(&self, generation: u64) -> ServerList {
         let EndpointSource::Servers(servers) = self else {
             return ServerList::default();
--- a/crates/balancer/src/operator/admission.rs
+++ b/crates/balancer/src/operator/admission.rs
@@ -1,4 +1,4 @@
-//! The section `[admission]`: limits of the admission queue and the accounts' quotas.
+//! The section `[admission]`: limits of the admission queue and quotas of accounts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use super::section::Section;
 use crate::core::AdmissionConfig;
 
-/// Least bytes of the admission queue: one entry fits.
+/// Minimum size of a queue in bytes, so that at least one entry fits.
 const MIN_QUEUE_BYTES: usize = 4_096;
-/// Most queues of one class of one account.
+/// Maximum number of queues per request class of an account.
 const MAX_QUEUES: usize = 1_024;
-/// Most queues that a client's entry chooses among.
+/// Maximum number of queues among which a client's entry chooses.
 const MAX_CHOICES: usize = 16;
 
-/// Reads the section.
+/// Reads the section; missing fields have the defaults of [`AdmissionConfig`].
 pub(super) fn admission(mut section: Section<'_>) -> AdmissionConfig {
     let default = AdmissionConfig::default();
     let limits = limits(&mut section, default.limits);
@@ -42,12 +42,12 @@
     section.error_if(
         "queues",
         !(1..=MAX_QUEUES).contains(&queues),
-        "from 1 to 1024",
+        "must be from 1 to 1024",
     );
     section.error_if(
         "hand",
         !(1..=queues.min(MAX_CHOICES)).contains(&choices),
-        "from 1 to 16 and to queues",
+        "must be from 1 to 16 and at most queues",
     );
     Limits {
         all,
@@ -64,8 +64,12 @@
         entries: section.optional(&entries, default.entries),
         bytes: section.optional(&bytes, default.bytes),
     };
-    section.error_if(&entries, bound.entries == 0, "at least 1");
-    section.error_if(&bytes, bound.bytes < MIN_QUEUE_BYTES, "at least 4096");
+    section.error_if(&entries, bound.entries == 0, "must be at least 1");
+    section.error_if(
+        &bytes,
+        bound.bytes < MIN_QUEUE_BYTES,
+        "must be at least 4096",
+    );
     bound
 }
 
@@ -74,7 +78,7 @@
     if (1.0..=86_400.0).contains(&seconds) {
         return Duration::from_secs_f64(seconds);
     }
-    section.error("over_share_s", "from 1 to 86400");
+    section.error("over_share_s", "must be from 1 to 86400");
     default
 }
 
@@ -84,7 +88,7 @@
     for name in names {
         let quota: Option<f64> = section.required(&name);
         let is_invalid = quota.is_some_and(|quota| !(0.001..=1e6).contains(&quota));
-        section.error_if(&name, is_invalid, "from 0.001 to 1000000");
+        section.error_if(&name, is_invalid, "must be from 0.001 to 1000000");
         quotas.extend(quota.map(|quota| (name, quota)));
     }
     quotas
--- a/crates/balancer/src/operator/fleet.rs
+++ b/crates/balancer/src/operator/fleet.rs
@@ -1,5 +1,5 @@
-//! The sections `[fleet]`, `[memory]`, `[edge]` and `[affinity]`. Without `[fleet]` none of them
-//! applies.
+//! The sections `[fleet]`, `[memory]`, `[edge]` and `[affinity]`. The others have no effect without
+//! `[fleet]`.
 
 mod processes;
 
@@ -11,22 +11,23 @@
 use processes::processes;
 
 const SECONDS_PER_HOUR: f64 = 3_600.0;
-/// The fleet and what each process keeps.
+
+/// Configuration of the fleet, as this process sees it.
 #[derive(Clone, PartialEq)]
 pub struct FleetConfig {
-    /// Unique name of this process, the same after a restart.
+    /// Unique name of this process, stable across restarts.
     pub name: String,
-    /// Its site.
+    /// Site of this process.
     pub site: String,
-    /// Loopback address for datagrams.
+    /// Loopback address on which datagrams are received.
     pub listen: SocketAddr,
-    /// The loopback address to send to, if it differs from `listen`.
+    /// Loopback address to which peers send, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
     /// File with the key that authenticates datagrams.
     pub key_file: PathBuf,
-    /// File with the former key, accepted during a rotation.
+    /// File with the previous key, which is accepted during a key rotation.
     pub previous_key_file: Option<PathBuf>,
-    /// Addresses of the peers; this process's own may be among them.
+    /// Addresses of the peers; may include this process.
     pub peers: Vec<SocketAddr>,
     /// Number of processes in all sites.
     pub size: usize,
@@ -34,12 +35,13 @@
     pub site_size: usize,
     /// The other sites.
     pub other_sites: Vec<String>,
-    /// Clients per second that a warm server of weight 1 can take. Setting it enables staged
+    /// Clients per second that a warm server of weight 1 can accept. Setting it enables staged
     /// admission after a power loss.
     pub clients_per_server_s: Option<f64>,
-    /// Clients of the whole fleet, if nothing else tells; 0 if not known.
+    /// Expected number of clients of the whole fleet, used while no other source provides it; 0 if
+    /// unknown.
     pub clients: u32,
-    /// The stored memory, if there is one.
+    /// The stored memory, if it is configured.
     pub memory: Option<MemoryConfig>,
     /// Behaviour while the uplink is lost.
     pub edge: EdgeConfig,
@@ -47,7 +49,7 @@
     pub affinity: AffinityConfig,
 }
 
-/// The stored memory.
+/// Configuration of the stored memory, which survives restarts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemoryConfig {
     /// File of the memory.
@@ -56,40 +58,40 @@
     pub max_bytes: u64,
 }
 
-/// Behaviour while the uplink is lost.
+/// Configuration of the behaviour while the uplink is lost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EdgeConfig {
     /// Whether the uplink is monitored.
     pub is_enabled: bool,
-    /// A shorter loss does not isolate the site.
+    /// Time without an uplink after which the site is isolated.
     pub isolation_delay: Duration,
-    /// How long the last known state is trusted.
+    /// Time for which an isolated site trusts the last known state.
     pub trust_period: Duration,
-    /// The operator's mode.
+    /// Mode set by the operator.
     pub mode: EdgeMode,
 }
 
-/// The operator's mode for the uplink.
+/// Uplink mode set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EdgeMode {
-    /// Decided by evidence.
+    /// The state of the uplink is decided by evidence.
     Automatic,
-    /// Treated as lost.
+    /// The uplink is treated as lost.
     Isolated,
-    /// Treated as available.
+    /// The uplink is treated as available.
     Linked,
 }
 
-/// Session affinity.
+/// Configuration of session affinity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AffinityConfig {
-    /// Whether it is enabled.
+    /// Whether session affinity is enabled.
     pub is_enabled: bool,
-    /// Most remembered placements.
+    /// Maximum number of remembered placements.
     pub max_placements: usize,
-    /// How long a placement is remembered after its connection ended.
+    /// Time for which a placement is remembered after its connection has ended.
     pub retention: Duration,
-    /// Serial number of the configuration; a later one is higher.
+    /// Serial number of the configuration; a newer configuration has a higher one.
     pub serial: u64,
 }
 
@@ -116,7 +118,7 @@
     }
 }
 
-/// Reads the four sections. The others have no meaning without `[fleet]`.
+/// Reads the four sections. The others are rejected without `[fleet]`.
 pub(super) fn fleet(file: &mut Section<'_>) -> Option<FleetConfig> {
     let section = file.section("fleet");
     let is_unused = section.is_none()
@@ -129,7 +131,7 @@
         file.error_if(
             other,
             is_unused && file.table.contains_key(other),
-            "has no meaning without [fleet]",
+            "has no effect without [fleet]",
         );
     }
     let memory = file.section("memory");
@@ -149,12 +151,12 @@
 fn memory(mut section: Section<'_>) -> Option<MemoryConfig> {
     let path: Option<PathBuf> = section.required("path");
     let lacks_file_name = path.as_ref().is_some_and(|path| path.file_name().is_none());
-    section.error_if("path", lacks_file_name, "names no file");
+    section.error_if("path", lacks_file_name, "has no file name");
     let max_mb: u64 = section.optional("most_mb", 256);
     section.error_if(
         "most_mb",
         !(1..=16_384).contains(&max_mb),
-        "from 1 to 16384",
+        "must be from 1 to 16384",
     );
     section.reject_unknown_fields();
     Some(MemoryConfig {
@@ -183,7 +185,7 @@
         "island" => EdgeMode::Isolated,
         "linked" => EdgeMode::Linked,
         _ => {
-            section.error("word", "automatic, island or linked");
+            section.error("word", "must be automatic, island or linked");
             default.mode
         }
     };
@@ -203,7 +205,7 @@
     section.error_if(
         "most",
         !(1..=4_000_000).contains(&max_placements),
-        "from 1 to 4000000",
+        "must be from 1 to 4000000",
     );
     let retention = duration(
         &mut section,
@@ -212,7 +214,7 @@
         1.0..=604_800.0,
     );
     let serial = section.optional("serial", default.serial);
-    section.error_if("serial", serial == 0, "at least 1");
+    section.error_if("serial", serial == 0, "must be at least 1");
     section.reject_unknown_fields();
     AffinityConfig {
         is_enabled,
@@ -222,7 +224,7 @@
     }
 }
 
-/// A span given in a unit of so many seconds.
+/// Reads a duration that is given in a unit of `unit` seconds, within a range in that unit.
 fn duration(
     section: &mut Section<'_>,
     (field, unit): (&str, f64),
@@ -233,6 +235,9 @@
     if range.contains(&count_in_unit) {
         return Duration::from_secs_f64(count_in_unit * unit);
     }
-    section.error(field, &format!("from {} to {}", range.start(), range.end()));
+    section.error(
+        field,
+        &format!("must be from {} to {}", range.start(), range.end()),
+    );
     default
 }
--- a/crates/balancer/src/operator/fleet/processes.rs
+++ b/crates/balancer/src/operator/fleet/processes.rs
@@ -8,11 +8,11 @@
 use super::super::section::Section;
 use super::{AffinityConfig, EdgeConfig, FleetConfig};
 
-/// Most processes of a fleet.
+/// Maximum number of processes in a fleet.
 const MAX_PROCESSES: usize = 1_000;
 
-/// Characters allowed in a name.
-const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
+/// Characters allowed in names, for error messages.
+const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underscores";
 
 pub(super) fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
     let name = required_name(&mut section, "name", MAX_NAME_BYTES);
@@ -64,7 +64,7 @@
                 section,
                 "listen",
                 listen,
-                "needs a port that the others are told",
+                "needs a port that peers can send to",
             );
         }
         if let Some(advertise) = &advertise {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Number of peers without this process.
+    /// Number of listed peers other than this process.
     fn other_peers(&self) -> usize {
         let own = self.advertise.or(self.listen);
         let peers = self.peers.iter().flatten();
@@ -94,7 +94,7 @@
     section.error_if(field, address.port() == 0, no_port);
 }
 
-/// Files with the keys of datagrams.
+/// Files with the keys that authenticate datagrams.
 pub(super) struct Keys {
     current: PathBuf,
     previous: Option<PathBuf>,
@@ -108,7 +108,7 @@
             .then(|| key(section, "previous_key_file"))
             .flatten();
         let is_same = current.is_some() && current == previous;
-        section.error_if("previous_key_file", is_same, "is key_file too");
+        section.error_if("previous_key_file", is_same, "is the same file as key_file");
         if has_previous && previous.is_none() {
             return None;
         }
@@ -119,7 +119,7 @@
     }
 }
 
-/// Numbers of processes, and the other sites.
+/// Number of processes in the fleet and in this site, and names of the other sites.
 pub(super) struct FleetSizes {
     fleet: usize,
     site: usize,
@@ -132,12 +132,12 @@
         section.error_if(
             "size",
             !(1..=MAX_PROCESSES).contains(&size),
-            "from 1 to 1000",
+            "must be from 1 to 1000",
         );
         section.error_if(
             "size",
             size < other_peers + 1,
-            "is less than the peers that are named, and this one",
+            "is less than the number of listed peers and this process",
         );
         let other_sites = other_sites(section, own_site);
         let default = size.saturating_sub(other_sites.len()).max(1);
@@ -145,13 +145,13 @@
         section.error_if(
             "site_size",
             !(1..=size).contains(&site_size),
-            "from 1 to size",
+            "must be from 1 to size",
         );
         let is_single_site = other_sites.is_empty() && site_size != size;
         section.error_if(
             "site_size",
             is_single_site,
-            "is less than size, and other_sites names none",
+            "is less than size, but other_sites is empty",
         );
         FleetSizes {
             fleet: size,
@@ -168,12 +168,12 @@
         section.error_if(
             &field,
             !is_valid_name(site, MAX_SITE_BYTES),
-            &format!("1 to {MAX_SITE_BYTES} {NAME_CHARACTERS}"),
+            &format!("must be 1 to {MAX_SITE_BYTES} {NAME_CHARACTERS}"),
         );
         let is_own = Some(site.as_str()) == own_site;
-        section.error_if(&field, is_own, "is this site");
+        section.error_if(&field, is_own, "is the site of this process");
         let is_repeated = sites[..index].contains(site);
-        section.error_if(&field, is_repeated, "stands there twice");
+        section.error_if(&field, is_repeated, "is listed twice");
     }
     sites
 }
@@ -184,11 +184,11 @@
         .contains_key("borne")
         .then(|| section.optional("borne", 0.0));
     let is_invalid = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
-    section.error_if("borne", is_invalid, "from 0.001 to 1000000");
+    section.error_if("borne", is_invalid, "must be from 0.001 to 1000000");
     rate
 }
 
-/// A name is sent in every datagram and logged.
+/// Reads a name. Names are sent in every datagram and logged, which limits their size and characters.
 fn required_name(section: &mut Section<'_>, field: &str, max_bytes: usize) -> Option<String> {
     let name: Option<String> = section.required(field);
     let is_invalid = name
@@ -197,7 +197,7 @@
     section.error_if(
         field,
         is_invalid,
-        &format!("1 to {max_bytes} {NAME_CHARACTERS}"),
+        &format!("must be 1 to {max_bytes} {NAME_CHARACTERS}"),
     );
     name
 }
@@ -208,7 +208,8 @@
     (1..=max_bytes).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
-/// A key is in a file of its own, so that the operator's file holds no secret.
+/// Reads the path of a key file and checks the key. Keys are in separate files, so that the
+/// operator's file contains no fleet secret.
 fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
     let path: PathBuf = section.required(field)?;
     if let Err(error) = Key::read(&path) {
--- a/crates/balancer/src/operator/section.rs
+++ b/crates/balancer/src/operator/section.rs
@@ -1,11 +1,11 @@
-//! A section of the operator's file, read field by field.
+//! Field-by-field reader of a section of the operator's file.
 
 use std::cell::RefCell;
 
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
-/// A table of the file, from which fields are taken one by one.
+/// A table of the file. Each field that is read is removed from it, so that unknown fields remain.
 pub(super) struct Section<'f> {
     pub(super) path: String,
     pub(super) table: Table,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A required field.
+    /// Reads a required field; a missing or invalid one is reported.
     pub(super) fn required<T: DeserializeOwned>(&mut self, field: &str) -> Option<T> {
         match self.table.remove(field) {
             None => {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// An optional field with a default.
+    /// Reads an optional field. The default stands for a missing field, and for an invalid one, which
+    /// is reported.
     pub(super) fn optional<T: DeserializeOwned>(&mut self, field: &str, default: T) -> T {
         match self.table.remove(field) {
             None => default,
@@ -92,10 +93,10 @@
         Some(self.subsection(field, table))
     }
 
-    /// Reports the fields that are left as unknown.
+    /// Reports the remaining fields as unknown.
     pub(super) fn reject_unknown_fields(&self) {
         for field in self.table.keys() {
-            self.error(field, "no such field");
+            self.error(field, "unknown field");
         }
     }
 }
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -1,7 +1,7 @@
-//! The override manager: takes changes one by one, makes each durable, and applies it to the cores.
+//! The override manager: serializes changes, stores each one durably and applies it to the cores.
 //!
-//! Times are the program's clock inside, and the wall clock in the store and for people, so that a
-//! step of the wall clock changes no override's duration.
+//! Internal times are on the process's monotonic clock; times in the store and in views are on the wall
+//! clock. A step of the wall clock therefore changes no override's duration.
 
 mod apply;
 mod audit;
@@ -28,45 +28,45 @@
 pub use view::OverrideView;
 use view::{ListedServers, fronts_left_empty, view_of};
 
-/// The override settings of the operator's file.
+/// Configuration of overrides in the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverridesConfig {
-    /// File of the store; overrides are not persistent without one.
+    /// File of the store. Without one, changes are refused.
     pub file: Option<PathBuf>,
-    /// Limits on overrides.
+    /// Limits on the number and duration of overrides.
     pub limits: Limits,
 }
 
 /// A front's name and its core.
 pub type NamedCore = (&'static str, CoreHandle);
 
-/// State of the store, for people.
+/// State of the store, as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreStatus {
     /// Whether overrides are persistent.
     pub is_persistent: bool,
-    /// Why not, or what was found at the start.
+    /// Reasons why overrides are not persistent, or problems found while they were restored.
     pub notes: Vec<String>,
 }
 
-/// Why a change was refused. Nothing has been changed.
+/// Reason why a change was refused. A refused change has no effect.
 #[derive(Debug)]
 pub enum OverrideError {
-    /// There is no store, with the reason.
+    /// There is no store; contains the reason.
     NoStore(String),
-    /// Fields are invalid.
+    /// These fields are invalid.
     Invalid(Vec<FieldError>),
-    /// No override in effect has this id.
+    /// No active override has this id.
     Unknown,
-    /// The override has another revision.
+    /// The expected revision does not match; contains the current one.
     Stale(u64),
-    /// It would leave no ready server and was not forced.
+    /// The change would leave a front or zone without a ready server and was not forced.
     LeavesNoServer(Vec<(&'static str, CoverageGaps)>),
-    /// The limit on overrides is reached.
+    /// The maximum number of overrides, contained here, is reached.
     Full(usize),
-    /// The idempotency key was used for another request.
+    /// The idempotency key was used for a different request.
     KeyReused,
-    /// It could not be stored.
+    /// The change could not be written to the store.
     Store(StoreError),
 }
 
@@ -75,9 +75,9 @@
 pub struct ChangeResult {
     /// The override as changed.
     pub view: OverrideView,
-    /// Whether every core has applied it; the others will.
+    /// Whether every core has applied the change in time. Late cores apply it afterwards.
     pub is_in_effect: bool,
-    /// Whether the request is a repetition, which changed nothing.
+    /// Whether the request repeated an earlier one with the same idempotency key and changed nothing.
     pub is_replay: bool,
 }
 
@@ -88,19 +88,19 @@
     /// Overrides by idempotency key.
     by_key: HashMap<String, OverrideId>,
     clock_steps: ClockStepDetector,
-    /// Expirations up to then have been logged.
+    /// Expirations up to this time have been logged.
     reported_until: Millis,
 }
 
 impl StoreStatus {
-    /// The error without a store.
+    /// The error that changes return without a store.
     fn refusal(&self) -> OverrideError {
         OverrideError::NoStore(self.notes.join("; "))
     }
 }
 
 impl OverrideState {
-    /// The override that an earlier request with the same key created.
+    /// Finds the override that an earlier request with the same idempotency key created.
     fn find_replayed(&self, replay: Option<&Replay>) -> Result<Option<Override>, OverrideError> {
         let replayed = replay.and_then(|replay| self.by_key.get(&replay.key));
         let Some(record) = replayed.and_then(|id| self.set.get(*id)) else {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Manages the overrides of the program.
+/// Manages the overrides of all cores of the process.
 pub struct OverrideManager {
     state: Mutex<OverrideState>,
     cores: Vec<NamedCore>,
@@ -125,10 +125,10 @@
     change_receiver: Receiver<()>,
 }
 
-/// Reads the wall clock, in Unix milliseconds.
+/// A function that returns the wall clock time, in Unix milliseconds.
 pub type WallClock = Box<dyn Fn() -> Millis + Send + Sync>;
 
-/// The system's wall clock, in Unix milliseconds.
+/// The system's wall clock time, in Unix milliseconds.
 pub fn wall_clock_ms() -> Millis {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -137,7 +137,7 @@
 }
 
 impl OverrideManager {
-    /// Manages restored overrides for cores that were started with them.
+    /// Creates a manager of restored overrides. The cores must have been started with them.
     pub fn new(
         restored: RestoredOverrides,
         cores: Vec<NamedCore>,
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The state is valid between any two changes.
+    /// Locks the state. It is valid between any two changes, so a poisoned lock can be used.
     fn lock(&self) -> MutexGuard<'_, OverrideState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -189,22 +189,22 @@
         self.limits
     }
 
-    /// State of the store.
+    /// The state of the store.
     pub fn store_status(&self) -> StoreStatus {
         self.lock().store_status.clone()
     }
 
-    /// Total steps of the wall clock since the start, in milliseconds.
+    /// Sum of the wall clock's steps since the start, in milliseconds.
     pub fn wall_clock_offset_ms(&self) -> i64 {
         self.lock().clock_steps.ahead_by_ms()
     }
 
-    /// Converts a wall clock time to the program's clock.
+    /// Converts a wall clock time to the process's monotonic clock.
     pub fn from_wall_clock(&self, at: Millis) -> Millis {
         at.saturating_add_signed(-self.wall_clock_offset_ms())
     }
 
-    /// A time from now, by the program's clock.
+    /// The time after a duration from now, on the process's monotonic clock.
     pub fn from_now(&self, duration: Millis) -> Millis {
         self.now().saturating_add(duration)
     }
@@ -216,7 +216,7 @@
             .collect()
     }
 
-    /// All overrides in effect.
+    /// All active overrides.
     pub fn list(&self) -> Vec<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
@@ -227,7 +227,7 @@
             .collect()
     }
 
-    /// One override in effect.
+    /// The override with this id, if it is active.
     pub fn get(&self, id: OverrideId) -> Option<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
@@ -245,11 +245,11 @@
             .collect()
     }
 
-    /// Creates an override.
+    /// Creates an override. A repetition with the same idempotency key returns the existing one.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused.
+    /// Returns the reason of a refusal; nothing has changed then.
     pub fn add(
         &self,
         draft: Draft,
@@ -297,11 +297,11 @@
         })
     }
 
-    /// Changes the expiry of an override.
+    /// Changes the expiry of an active override, if it has the expected revision.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused.
+    /// Returns the reason of a refusal; nothing has changed then.
     pub fn extend(
         &self,
         id: OverrideId,
@@ -315,11 +315,11 @@
         })
     }
 
-    /// Removes an override.
+    /// Removes an active override, if it has the expected revision.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused.
+    /// Returns the reason of a refusal; nothing has changed then.
     pub fn remove(
         &self,
         id: OverrideId,
@@ -360,7 +360,7 @@
         })
     }
 
-    /// Stores an override and applies it to the cores; returns whether all have applied it.
+    /// Stores an override, then applies it to the cores; returns whether all have applied it in time.
     fn apply(&self, state: &mut OverrideState, record: Override) -> Result<bool, OverrideError> {
         let offset_ms = state.clock_steps.ahead_by_ms();
         let store = state
--- a/crates/balancer/src/overrides/apply.rs
+++ b/crates/balancer/src/overrides/apply.rs
@@ -1,4 +1,4 @@
-//! Application of a change to the cores.
+//! Applies a change of overrides to the cores.
 
 use std::time::{Duration, Instant};
 
@@ -7,14 +7,14 @@
 use super::OverrideManager;
 use crate::core::{CoreInput, OverrideChange, OverridesApplied};
 
-/// A core that takes longer is reported as late.
+/// Timeout for a core to apply a change; the change then counts as not yet in effect.
 const CORE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for attempts that are writing their first byte.
+/// Maximum wait for attempts that are writing their first byte.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl OverrideManager {
-    /// Sends a change to the cores, and waits until each has applied it and no first byte is being
-    /// written to a server that is out of service.
+    /// Sends a change to the cores, and waits until each core has applied it and no attempt is writing its
+    /// first byte to a server that is out of service. Returns whether that is so within the timeouts.
     pub(super) fn apply_to_cores(&self, change: OverrideChange) -> bool {
         let answers: Vec<Receiver<OverridesApplied>> = self
             .cores
@@ -41,7 +41,7 @@
                 .flat_map(|result| &result.out_of_service)
         };
         let deadline = Instant::now() + WRITE_TIMEOUT;
-        // A non-blocking write takes microseconds; no event reports its end.
+        // A non-blocking write takes microseconds, and no event signals its end.
         while !marks().all(|mark| mark.has_no_writers()) && Instant::now() < deadline {
             std::thread::sleep(Duration::from_micros(50));
         }
--- a/crates/balancer/src/overrides/audit.rs
+++ b/crates/balancer/src/overrides/audit.rs
@@ -1,9 +1,9 @@
-//! Audit events: who did what.
+//! Audit log of override changes.
 
 use beaconflow_overrides::{Millis, Override};
 use tracing::info;
 
-/// Writes an audit event.
+/// Logs what happened to an override, with its author and reason.
 pub(super) fn audit(what: &str, record: &Override, now: Millis) {
     info!(
         part = "audit",
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -1,4 +1,5 @@
-//! Housekeeping of overrides: logs expiries, removes spent overrides, and watches the wall clock.
+//! Housekeeping: logs expirations, removes overrides without remaining effect, and detects steps of the
+//! wall clock.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -12,17 +13,20 @@
 use super::{OverrideManager, OverrideState};
 use crate::core::{CoreInput, OverrideChange};
 
-/// Interval of the comparison with the wall clock.
+/// Interval at which the wall clock is compared with the monotonic clock.
 const WALL_CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl OverrideManager {
-    /// Runs the housekeeping until the program ends.
+    /// Runs housekeeping until the process ends.
     pub fn run(&self) {
         loop {
-            // A panic must not end this thread, which logs all expiries.
+            // A panic must not end this thread: it is the only one that logs expirations.
             let next =
                 catch_unwind(AssertUnwindSafe(|| self.run_due_tasks())).unwrap_or_else(|_| {
-                    error!(part = "overrides", "housekeeping panicked; it goes on");
+                    error!(
+                        part = "overrides",
+                        "override housekeeping panicked and continues"
+                    );
                     None
                 });
             let wait = next.map_or(WALL_CLOCK_CHECK_INTERVAL, |at| {
@@ -35,7 +39,7 @@
         }
     }
 
-    /// Runs what is due; returns when something is due next.
+    /// Runs the tasks that are due; returns when the next override changes, if one does.
     pub fn run_due_tasks(&self) -> Option<Millis> {
         let mut state = self.lock();
         let now = self.now();
@@ -45,7 +49,7 @@
         state.set.next_change(now)
     }
 
-    /// Updates the stored times after a step of the wall clock, which a restart goes by.
+    /// Rewrites the stored times after a step of the wall clock, since a restart reads them by that clock.
     fn handle_clock_step(&self, state: &mut OverrideState, now: Millis) {
         let Some(step) = state.clock_steps.check(now, (self.wall_clock)()) else {
             return;
@@ -53,7 +57,7 @@
         warn!(
             part = "overrides",
             ahead_ms = step.ahead_by_ms,
-            "the wall clock was stepped; overrides keep their spans"
+            "wall clock was stepped; override durations are unchanged"
         );
         let all: Vec<Override> = state
             .set
@@ -63,7 +67,7 @@
         state.write(|store| store.put(&all));
     }
 
-    /// Removes spent overrides here and at the cores.
+    /// Removes overrides without remaining effect from the state, the store and the cores.
     fn remove_expired(&self, state: &mut OverrideState, now: Millis) {
         let expired = state.set.expired_effects(now);
         if expired.is_empty() {
@@ -83,12 +87,12 @@
 }
 
 impl OverrideState {
-    /// Writes to the store, where there is one. An error is logged.
+    /// Writes to the store, if there is one. Errors are logged.
     fn write(&mut self, write: impl FnOnce(&mut dyn OverrideStore) -> Result<(), StoreError>) {
         if let Some(store) = &mut self.store
             && let Err(error) = write(store.as_mut())
         {
-            error!(part = "overrides", why = %error, "not written");
+            error!(part = "overrides", why = %error, "failed to write to the override store");
         }
     }
 }
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -1,4 +1,4 @@
-//! Restoring overrides from the store at the start.
+//! Restores overrides from the store at the start.
 
 use beaconflow_overrides::{Limits, Millis, Override, OverrideSet, bounded_expiry};
 use beaconflow_store::{Contents, OpenError, OverrideStore};
@@ -8,16 +8,16 @@
 use super::{OverridesConfig, StoreStatus};
 use crate::clock::Clock;
 
-/// What was restored.
+/// The restored overrides with their store.
 pub struct RestoredOverrides {
     pub(super) store: Option<Box<dyn OverrideStore>>,
     pub(super) store_status: StoreStatus,
-    /// The overrides, for the cores.
+    /// The restored overrides, with which the cores are started.
     pub set: OverrideSet,
 }
 
 impl RestoredOverrides {
-    /// Nothing, with a store for later changes.
+    /// No overrides, with a store for later changes.
     pub fn empty(store: Box<dyn OverrideStore>, limits: Limits) -> RestoredOverrides {
         let store_status = StoreStatus {
             is_persistent: true,
@@ -31,7 +31,8 @@
     }
 }
 
-/// Opens the configured store. Errors are logged, and the program serves without it.
+/// Opens the configured store. If that fails, the error is logged and the process runs without
+/// overrides.
 pub fn restore(config: &OverridesConfig, clock: Clock) -> RestoredOverrides {
     let Some(file) = &config.file else {
         let store_status = StoreStatus {
@@ -50,7 +51,7 @@
         }
         Err(error) => {
             let what = match &error {
-                OpenError::Newer { .. } | OpenError::InUse => "is left alone",
+                OpenError::Newer { .. } | OpenError::InUse => "is left unchanged",
                 OpenError::System(_) => "can't be opened",
             };
             let note = format!("the store {} {what}: {error}", file.display());
@@ -68,7 +69,7 @@
     }
 }
 
-/// Restores the contents of a store.
+/// Restores the overrides that have remaining effect, and removes the others from the store.
 fn restore_contents(
     mut store: Box<dyn OverrideStore>,
     contents: Contents,
@@ -90,14 +91,22 @@
             expired.push(record.id);
         }
     }
-    // Spent overrides are removed, so that the file does not grow without end.
+    // Overrides without remaining effect are removed, so that the file does not grow without bound.
     if let Err(error) = store.forget(&expired) {
-        error!(part = "overrides", why = %error, "not written");
+        error!(part = "overrides", why = %error, "failed to write to the override store");
     }
     for note in &notes {
-        warn!(part = "overrides", what = note, "found at the start");
+        warn!(
+            part = "overrides",
+            what = note,
+            "problem found while restoring overrides"
+        );
     }
-    info!(part = "overrides", restored = active_count, "restored");
+    info!(
+        part = "overrides",
+        restored = active_count,
+        "overrides restored"
+    );
     RestoredOverrides {
         store: Some(store),
         store_status: StoreStatus {
@@ -108,34 +117,34 @@
     }
 }
 
-/// Notes on the file as a whole.
+/// Notes on the state in which the file was found.
 fn store_notes(contents: &Contents) -> Vec<String> {
     let mut notes = Vec::new();
     if let Some((aside, why)) = &contents.moved_aside {
         notes.push(format!(
-            "the store was damaged ({why}): it is kept as {}, and none of its overrides are restored",
+            "the store was damaged ({why}); it is kept as {}, and none of its overrides are restored",
             aside.display()
         ));
     }
     if !contents.unreadable.is_empty() {
         notes.push(format!(
-            "records that can't be read were left out: {:?}",
+            "unreadable records were skipped: {:?}",
             contents.unreadable
         ));
     }
     notes
 }
 
-/// Moves times of an override that are in the future to now, except its expiry; returns a note
-/// where the expiry was cut.
+/// Moves the creation and removal times of an override to now if they are in the future, and bounds its
+/// expiry; returns a note if the expiry was shortened.
 fn bound_times(record: &mut Override, now: Millis) -> Option<String> {
     let (expires_at, cut) = bounded_expiry(record, now);
     (record.created_at, record.expires_at) = (record.created_at.min(now), expires_at);
     record.removed_at = record.removed_at.map(|at| at.min(now));
     let seconds = cut? / 1_000;
     Some(format!(
-        "the wall clock stands before override {} began: it ends {seconds} s earlier by that clock, after no more \
-         than its whole span",
+        "the wall clock is before the creation of override {}; its expiry is {seconds} s earlier on that clock, \
+         so that it lasts no longer than its full duration",
         record.id
     ))
 }
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -1,4 +1,4 @@
-//! Overrides as they are shown, and the servers that they leave ready.
+//! Views of overrides, and the check that a change leaves ready servers.
 
 use std::collections::HashMap;
 
@@ -11,25 +11,25 @@
 use super::OverrideState;
 use crate::core::CoreSnapshot;
 
-/// An override as it is shown, with times of the wall clock.
+/// A view of an override, with times on the wall clock.
 #[derive(Clone, Debug)]
 pub struct OverrideView {
-    /// The override.
+    /// The override, with its times on the wall clock.
     pub record: Override,
-    /// Remaining time, in milliseconds.
+    /// Time until it ends, in milliseconds; 0 once it has ended.
     pub remaining_ms: Millis,
-    /// Its effect at each front.
+    /// Its effect at each front, by the front's name.
     pub effects: Vec<(&'static str, Effect)>,
 }
 
-/// A front's servers as listed, without overrides.
+/// Listed states of a front's servers, without the effect of overrides.
 pub(super) struct ListedServers {
     front: &'static str,
     states: HashMap<String, ServerState>,
 }
 
 impl ListedServers {
-    /// The servers of a core's snapshot; empty if it gave none.
+    /// The servers in a core's snapshot; empty without a snapshot.
     pub(super) fn from_snapshot(
         front: &'static str,
         snapshot: Option<CoreSnapshot>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// An override as it is shown at a time.
+/// The view of an override at a point in time.
 pub(super) fn view_of(
     state: &OverrideState,
     record: &Override,
@@ -76,7 +76,8 @@
     }
 }
 
-/// Fronts and zones that a new override leaves without a ready server.
+/// Fronts, with their zones, that a new override would leave without a ready server. Existing gaps are
+/// not included.
 pub(super) fn fronts_left_empty(
     set: &mut OverrideSet,
     record: &Override,
@@ -98,7 +99,7 @@
         .collect()
 }
 
-/// What the overrides leave of each front's ready servers.
+/// Gaps in the coverage of each front's ready servers under the overrides.
 fn coverage_by_front(
     set: &OverrideSet,
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,6 +1,7 @@
-//! Reload on SIGHUP: a file is read again, and what can change at runtime is applied.
+//! Configuration reload on SIGHUP: the file is read again, and fields that can change at runtime are
+//! applied.
 //!
-//! Established connections are not affected. A file with an error changes nothing.
+//! Established connections are not affected. An invalid file changes nothing.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,51 +20,51 @@
 };
 use crate::overrides::NamedCore;
 
-/// A limit on descriptors that a reload may change.
+/// A limit on file descriptors that a reload may change.
 pub type SharedLimit = Arc<AtomicUsize>;
 
-/// What a front was started from, and handles to what can change.
+/// A configuration file, the values in effect, and handles to the components that a reload updates.
 pub enum Reload {
-    /// The platform's front.
+    /// The platform front and its file.
     Platform {
-        /// The file as last read.
+        /// The configuration in effect.
         config: Box<PlatformConfig>,
-        /// The address of the watch.
+        /// The address that the discovery watcher uses.
         discovery_address: DiscoveryAddress,
-        /// The limit on descriptors.
+        /// The limit on file descriptors of this front.
         max_descriptors: SharedLimit,
-        /// The core.
+        /// The core of the platform front.
         core: CoreHandle,
-        /// The settings that the front parses requests by.
+        /// The settings that the front parses requests with.
         settings: SharedSettings,
-        /// Whether servers may be probed, as at the start.
+        /// Whether probes were allowed at the start, which decides if the prober runs.
         is_probing_allowed: bool,
-        /// Whether a fleet is configured, which keeps its settings from the start.
+        /// Whether a fleet is configured. It keeps the settings of the start.
         has_fleet: bool,
     },
     /// The operator's file, with the NATS front if there is one.
     Operator {
         /// Path of the file.
         path: PathBuf,
-        /// The file at the start; only the NATS front is compared with the latest one.
+        /// The configuration in effect, apart from the NATS front.
         config: Box<OperatorConfig>,
-        /// The NATS front as last read.
+        /// The NATS front's configuration in effect.
         nats: Option<Box<NatsConfig>>,
-        /// The address of the watch, where there is one.
+        /// The address that the discovery watcher uses; `None` if the servers are in the file.
         discovery_address: Option<DiscoveryAddress>,
-        /// The limit on descriptors.
+        /// The limit on file descriptors of this front.
         max_descriptors: SharedLimit,
-        /// The cores.
+        /// The cores of all fronts.
         cores: Vec<NamedCore>,
         /// The fleet thread, where a fleet is configured.
         fleet: Option<FleetHandle>,
-        /// Number of reloads of configured endpoints.
+        /// Number of times that the servers in the file have changed.
         list_reloads: u64,
     },
 }
 
 impl Reload {
-    /// Reads the file again and applies what can change.
+    /// Reads the file again and applies the fields that can change. The outcome is logged.
     pub fn reload(&mut self) {
         let result = match self {
             Reload::Platform { .. } => self.reload_platform(),
@@ -108,7 +109,7 @@
         else {
             return Ok(Changes::default());
         };
-        // A file with any error changes nothing.
+        // An invalid file returns here, before anything changes.
         let new_config = PlatformConfig::read()?;
         let mut changes = Changes::default();
         if new_config.discovery != config.discovery {
@@ -132,7 +133,8 @@
         let new_settings = new_config.settings.with_discovery_of(&config.settings);
         if new_settings != config.settings {
             let active_settings = Arc::new(settings.current().replaced_with(new_settings.clone()));
-            // The core first: it knows every class before a request of it arrives.
+            // The core is updated first, so that it knows every class before a request of that class
+            // arrives.
             core.send(CoreInput::SettingsReplaced(Arc::clone(&active_settings)));
             settings.replace(active_settings);
             changes.applied.push(format!(
@@ -142,7 +144,7 @@
             changes.require_unchanged("settings, to the fleet", !*has_fleet);
             config.settings = new_settings;
         }
-        // What needs a restart is logged at each reload.
+        // Fields that need a restart keep their old values, so that every reload logs them.
         (config.discovery, config.limits) = (new_config.discovery, new_config.limits);
         Ok(changes)
     }
@@ -206,7 +208,7 @@
     }
 }
 
-/// Differences between two files.
+/// Fields that differ between two versions of a file.
 #[derive(Default)]
 struct Changes {
     applied: Vec<String>,
@@ -226,8 +228,8 @@
         }
     }
 
-    /// Applies the address of discovery, or the configured servers. A change from one to the other
-    /// takes a restart.
+    /// Applies the discovery address or the configured servers. Switching between the two needs a
+    /// restart.
     fn apply_endpoints(
         &mut self,
         old: &EndpointSource,
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Applies the limits and quotas of admission; the queues keep their number.
+    /// Applies limits and quotas of admission. The number of queues and of choices needs a restart.
     fn apply_admission(
         &mut self,
         cores: &[NamedCore],
@@ -275,7 +277,7 @@
         self.applied.push("admission".into());
     }
 
-    /// Applies the addresses of peers, the uplink mode and the serial number.
+    /// Applies the peers' addresses, the uplink mode and the configuration's serial number.
     fn apply_fleet(
         &mut self,
         fleet_handle: Option<&FleetHandle>,
@@ -316,7 +318,7 @@
     }
 }
 
-/// Whether the section `[fleet]` is the same, apart from the peers' addresses.
+/// Whether the section `[fleet]` is unchanged, apart from the peers' addresses.
 fn is_same_section(old: &FleetConfig, new: &FleetConfig) -> bool {
     let section_only = |config: &FleetConfig| FleetConfig {
         peers: Vec::new(),
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -1,4 +1,4 @@
-//! The program as a whole: its fronts, cores and threads.
+//! Startup and shutdown of the process: its fronts, cores and threads.
 
 mod nats;
 mod platform;
@@ -32,17 +32,18 @@
 use nats::NatsState;
 use threads::spawn;
 
-/// Time to wait for lingering connections after the core has stopped.
+/// Maximum time to wait for lingering connections after the core has stopped.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Interval at which lingering connections are counted.
+/// Interval at which the number of lingering connections is checked.
 const LINGER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Runs the program until it is shut down. Without an operator's file it is the platform's
-/// balancer.
+/// Runs the balancer until it is shut down. Without an operator's file, only the platform front
+/// runs.
 ///
 /// # Errors
 ///
-/// Fails if the configuration has errors, or an address, file or thread is not available.
+/// Returns an error if the configuration is invalid, an address can't be bound, a file can't be
+/// read or a thread can't be started.
 pub fn serve(operator: Option<(PathBuf, OperatorConfig)>) -> Result<(), String> {
     let inherited = inherited::take()?;
     let clock = Clock::start();
@@ -50,7 +51,7 @@
     let has_platform = std::env::var_os("LB_CONFIG").is_some();
     let file = operator.as_ref().map(|(_, file)| file);
     check_fronts(file, has_platform)?;
-    // Overrides are restored before a core places anything.
+    // Overrides are restored before any core selects a server.
     let restored = file
         .filter(|file| file.admin.is_some())
         .map(|file| overrides::restore(&file.overrides, clock));
@@ -66,12 +67,13 @@
         admission: &admission,
         fleet: fleet.as_ref(),
     };
-    // The platform starts a balancer without arguments; an operator's file may be used alone.
+    // The platform starts the balancer without arguments. With an operator's file the platform
+    // front is optional.
     let platform = (operator.is_none() || has_platform)
         .then(PlatformConfig::read)
         .transpose()?;
-    // The port is bound before a client is accepted: a program that fails must not have taken
-    // clients from a process on the same listener.
+    // The port is bound before any client is accepted: a process that fails to start must not have
+    // accepted clients on a listener that it shares with another process.
     let operations = PlatformConfig::operations_address(platform.as_ref())?
         .map(listen)
         .transpose()?;
@@ -90,7 +92,7 @@
     program.run(signals)
 }
 
-/// Configuration that all cores share.
+/// Configuration shared by all cores.
 #[derive(Clone, Copy)]
 struct SharedCoreConfig<'a> {
     clock: Clock,
@@ -100,7 +102,7 @@
 }
 
 impl SharedCoreConfig<'_> {
-    /// Prepares the configured fleet and the link of a core to it.
+    /// Prepares the fleet, if one is configured, and the core's link to it.
     fn prepare_fleet(
         self,
         site: &SiteSettings,
@@ -114,7 +116,7 @@
     }
 }
 
-/// A running front.
+/// A running front with its core.
 struct RunningFront {
     name: &'static str,
     core: CoreHandle,
@@ -124,11 +126,11 @@
 }
 
 impl RunningFront {
-    /// Waits for the core to stop, and then for lingering connections.
+    /// Waits for the core to stop, then up to [`LINGER_TIMEOUT`] for lingering connections.
     fn wait(self) -> Result<(), String> {
         self.thread
             .join()
-            .map_err(|_| "the core panicked".to_owned())?;
+            .map_err(|_| "the core thread panicked".to_owned())?;
         let deadline = Instant::now() + LINGER_TIMEOUT;
         while self.core.connections() > 0 && Instant::now() < deadline {
             std::thread::sleep(LINGER_POLL_INTERVAL);
@@ -138,7 +140,7 @@
     }
 }
 
-/// The fronts that run, and what SIGHUP reloads.
+/// The running fronts, and the files that SIGHUP reloads.
 #[derive(Default)]
 struct Program {
     fronts: Vec<RunningFront>,
@@ -157,7 +159,7 @@
             .collect()
     }
 
-    /// Starts the NATS front and the administration API, as far as the file configures them.
+    /// Starts the NATS front and the administration API, if the file configures them.
     fn start_operator_file(
         &mut self,
         path: PathBuf,
@@ -214,7 +216,7 @@
         spawn("operations", move || operations.run())
     }
 
-    /// Follows signals until all cores have stopped.
+    /// Handles signals until all cores have stopped.
     fn run(self, mut signals: Signals) -> Result<(), String> {
         let cores = self.cores();
         let mut reloads = self.reloads;
@@ -237,28 +239,30 @@
 fn register_signals() -> Result<Signals, String> {
     let signals =
         Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| format!("signals: {error}"))?;
-    // A write beyond the file size limit fails instead of ending the program.
+    // Without a handler, a write beyond the file size limit would kill the process; with one it
+    // returns an error.
     signal_hook::flag::register(SIGXFSZ, Arc::default())
         .map_err(|error| format!("signals: {error}"))?;
     Ok(signals)
 }
 
-/// Checks that there is a front, and that a fleet is beside one front only.
+/// Checks that at least one front is configured, and that a fleet has exactly one front.
 fn check_fronts(file: Option<&OperatorConfig>, has_platform: bool) -> Result<(), String> {
     let has_nats = file.is_some_and(|file| file.nats.is_some());
     if file.is_some() && !has_nats && !has_platform {
-        return Err("no front: the operator's file sets none up, and LB_CONFIG is not set".into());
+        return Err("no front is configured: the operator's file has no NATS front, and LB_CONFIG is not set".into());
     }
     let has_fleet = file.is_some_and(|file| file.fleet.is_some());
     if has_fleet && has_nats && has_platform {
         return Err(
-            "fleet: stands beside one front, and both LB_CONFIG and a NATS front are set".into(),
+            "fleet: supports one front only, but both LB_CONFIG and a NATS front are configured"
+                .into(),
         );
     }
     Ok(())
 }
 
-/// Starts the administration API.
+/// Binds the administration API and starts its thread.
 fn start_admin(address: SocketAddr, api: Admin) -> Result<(), String> {
     let listener = net::listen(address).map_err(|error| format!("listen on {address}: {error}"))?;
     let api = Arc::new(api);
--- a/crates/balancer/src/serve/nats.rs
+++ b/crates/balancer/src/serve/nats.rs
@@ -1,4 +1,4 @@
-//! Start of the NATS front.
+//! Startup of the NATS front.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::operator::{EndpointSource, NatsConfig};
 use crate::reload::SharedLimit;
 
-/// State of the NATS front that the administration API and a reload use.
+/// State of the NATS front that the administration API and reloads use.
 pub(super) struct NatsState {
     tenants: Arc<Tenants>,
     site: Arc<SiteSettings>,
@@ -26,13 +26,13 @@
 }
 
 impl NatsState {
-    /// The tenants, and the settings that their classes refer to.
+    /// The tenants, and the settings that define their request classes.
     pub(super) fn tenant_settings(&self) -> (Arc<Tenants>, Arc<SiteSettings>) {
         (Arc::clone(&self.tenants), Arc::clone(&self.site))
     }
 }
 
-/// Starts the front, its core and its threads.
+/// Starts the front with its core and threads.
 pub(super) fn start(
     nats: &NatsConfig,
     shared: SharedCoreConfig<'_>,
@@ -85,7 +85,8 @@
     Ok((front, state))
 }
 
-/// The watch on discovery and the sender of polls. Servers that are configured need no watch.
+/// The discovery watcher and the sender that requests polls. Servers listed in the file need no
+/// watcher.
 fn discovery_watcher(endpoints: &EndpointSource) -> (Option<Watcher>, Sender<()>) {
     match endpoints {
         EndpointSource::Discovery(address) => {
--- a/crates/balancer/src/serve/platform.rs
+++ b/crates/balancer/src/serve/platform.rs
@@ -1,4 +1,4 @@
-//! Start of the platform's front.
+//! Startup of the platform front.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -20,7 +20,7 @@
 use crate::prober::{Prober, ProberHandle};
 use crate::reload::{Reload, SharedLimit};
 
-/// Starts the front, its core and its threads.
+/// Starts the front with its core and threads.
 pub(super) fn start(
     file: PlatformConfig,
     inherited: Option<TcpListener>,
@@ -92,12 +92,12 @@
     if !site.has_balancer_count() {
         warn!(
             part = "main",
-            "settings.balancers is missing: this one keeps the allowances of all for itself"
+            "settings.balancers is missing; assuming 1, so this balancer uses every shared limit in full"
         );
     }
 }
 
-/// Creates the prober, where the settings allow probes.
+/// Creates the prober, if the settings allow probes.
 fn prepare_prober(
     front: &Platform,
     site: &SiteSettings,
@@ -127,8 +127,8 @@
     })
 }
 
-/// Where a process is looked up that replaces this one. Only processes that share the listener
-/// replace one another.
+/// The address at which the process that replaces this one receives connections; `None` unless the
+/// listener is shared, since only processes that share a listener replace each other.
 fn handover_address(is_shared: bool, name: &str) -> Option<HandoverAddress> {
     let folder = std::env::var_os("TMPDIR").filter(|_| is_shared)?;
     Some(HandoverAddress::new(Path::new(&folder), name))
--- a/crates/balancer/src/serve/threads.rs
+++ b/crates/balancer/src/serve/threads.rs
@@ -1,4 +1,4 @@
-//! Threads of a front: its core, its watch on discovery, its connections and its acceptor.
+//! Threads of a front: core, discovery watcher, connections and acceptor.
 
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
@@ -15,11 +15,11 @@
 use crate::handover::HandoverAddress;
 use crate::net::Listener;
 
-/// Time to wait for the agent's first list, which arrives at once unless discovery is down.
+/// Maximum wait for the agent's first list, which arrives at once unless discovery is down.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Starts a core and its watch. Where lists are pushed, waits for the agent's first list, which
-/// counts as known from the start.
+/// Starts a core and its discovery watcher. If discovery pushes lists, waits up to
+/// [`FIRST_LIST_TIMEOUT`] for the agent's first list, so that the core starts with it.
 pub(super) fn start_core(
     config: CoreConfig,
     watcher: Option<Watcher>,
@@ -41,7 +41,7 @@
             let is_list = matches!(event, DiscoveryEvent::List(_));
             event_core.send_discovery(event);
             if is_list {
-                // Only the first one is waited for.
+                // Only the first list is awaited; later sends fail harmlessly.
                 let _ = list_sender.try_send(());
             }
         });
@@ -55,7 +55,7 @@
     Ok((core, thread))
 }
 
-/// Starts the connections' thread, the receiver of handed-over connections and the acceptor.
+/// Starts the event loop of connections, the receiver of handed-over connections and the acceptor.
 pub(super) fn start_front<F: Front>(
     front: Arc<F>,
     (listener, handover_address): (Listener, Option<HandoverAddress>),
@@ -64,27 +64,28 @@
 ) -> Result<(), String> {
     let core = core.clone();
     let connections = connections::event_loop::serve(&front, &core, handover_address.clone())
-        .map_err(|error| format!("transactions: {error}"))?;
+        .map_err(|error| format!("event loop of connections: {error}"))?;
     if let Some(handover_address) = handover_address {
         let (core, connections) = (core.clone(), connections.clone());
-        // The sender has closed its sockets; the connection is taken over whatever the limit.
+        // The sending process has closed its descriptors: rejecting the connection would drop it,
+        // so it is accepted beyond the limit.
         let received = handover_address.receive(move |transferred| {
             if let Some(slot) = core.reserve_connection(usize::MAX) {
                 connections.take_over(transferred, slot);
             }
         });
         if let Err(error) = received {
-            warn!(part = "handover", why = %error, "nothing is taken over; a process that leaves moves its clients");
+            warn!(part = "handover", why = %error, "connection handover is unavailable; a process that shuts down migrates its clients instead");
         }
     }
     spawn("acceptor", move || {
-        // The process must not be ready without an acceptor.
+        // The process must not report readiness without a running acceptor.
         let _listening = ListeningGuard::start(&core);
         connections::acceptor::listen(&front, &listener, (&core, &descriptors), &connections);
     })
 }
 
-/// Starts a thread.
+/// Starts a detached thread.
 pub(super) fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), String> {
     Builder::new()
         .name(name.to_owned())
@@ -93,7 +94,7 @@
         .map_err(|error| format!("thread {name}: {error}"))
 }
 
-/// Tells the core that the listener is served, while this lives.
+/// Marks the core as listening until it is dropped.
 struct ListeningGuard(CoreHandle);
 
 impl ListeningGuard {
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: reload or shutdown.
+//! Signal handling: reload and shutdown.
 
 #[cfg(test)]
 mod tests;
@@ -8,8 +8,9 @@
 use signal_hook::consts::SIGHUP;
 use tracing::{error, info};
 
-/// Handles signals as they come. SIGHUP reloads the configuration, unless the program is shutting
-/// down; every other signal shuts it down. A panic in a reload costs that reload alone.
+/// Handles signals until the iterator ends. SIGHUP reloads the configuration, unless the program is
+/// shutting down; every other signal shuts it down. A panic in a reload is logged, and later signals
+/// are still handled.
 pub fn handle(
     signals: impl IntoIterator<Item = i32>,
     mut reload: impl FnMut(),
@@ -25,7 +26,7 @@
         } else if catch_unwind(AssertUnwindSafe(&mut reload)).is_err() {
             error!(
                 part = "reload",
-                why = "it panicked",
+                why = "the reload panicked",
                 "present configuration kept"
             );
         }
--- a/crates/balancer/src/signals/tests.rs
+++ b/crates/balancer/src/signals/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is done on signals, in every order that matters.
+//! Tests of signal handling for each relevant order of signals.
 
 use std::cell::RefCell;
 
@@ -6,13 +6,13 @@
 
 use super::*;
 
-/// What a program does on these signals, where the reload of that number panics.
+/// The actions taken on these signals. The reload with the given number, counted from 1, panics.
 fn actions(signals: &[i32], panicking_reload: Option<usize>) -> Vec<&'static str> {
     let actions = RefCell::new(Vec::new());
     let mut reloads = 0;
     let reload = || {
         reloads += 1;
-        assert_ne!(Some(reloads), panicking_reload, "the fault that is played");
+        assert_ne!(Some(reloads), panicking_reload, "injected panic");
         actions.borrow_mut().push("reload");
     };
     handle(signals.iter().copied(), reload, || {
--- a/crates/balancer/src/testing.rs
+++ b/crates/balancer/src/testing.rs
@@ -1,17 +1,22 @@
-//! Peers that several tests of this package need.
+//! Helpers shared by the tests of this crate.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use socket2::{Domain, Socket, Type};
 
-/// A listener whose queue one connection fills; the system drops other connects, which keep
-/// retrying.
+/// A listener whose backlog is filled by one connection. The kernel drops the SYNs of further
+/// connects, which stay in progress.
 pub fn full_listener() -> (TcpListener, TcpStream) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    socket.bind(&any.into()).expect("loopback");
-    socket.listen(0).expect("bound");
+    socket.bind(&any.into()).expect("bind to loopback");
+    socket.listen(0).expect("listen on the bound socket");
     let listener: TcpListener = socket.into();
-    let filler = TcpStream::connect(listener.local_addr().expect("bound")).expect("room for one");
+    let filler = TcpStream::connect(
+        listener
+            .local_addr()
+            .expect("local address of the listener"),
+    )
+    .expect("connect while the backlog is empty");
     (listener, filler)
 }
--- a/crates/balancer/tests/override_manager.rs
+++ b/crates/balancer/tests/override_manager.rs
@@ -1,4 +1,4 @@
-//! The keeper of overrides without a front: its store, its clocks, and what it does when the store fails.
+//! Tests of the override manager without a front: its store, its clocks and failures of the store.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// A wall clock that is stepped by hand.
+/// A wall clock that a test can step.
 #[derive(Clone, Default)]
 struct TestWallClock(Arc<AtomicI64>);
 
@@ -30,7 +30,7 @@
 impl Fixture {
     fn new() -> Fixture {
         Fixture {
-            folder: tempfile::tempdir().expect("a folder for temporary files"),
+            folder: tempfile::tempdir().expect("create a temporary directory"),
             clock: Clock::start(),
             wall_clock: TestWallClock::default(),
         }
@@ -88,50 +88,57 @@
         let manager = fixture.manager();
         let long = manager
             .add(fixture.draft("long", 600_000), false, None)
-            .expect("kept")
+            .expect("change is accepted")
             .view;
         let short = manager
             .add(fixture.draft("short", 300), false, None)
-            .expect("kept")
+            .expect("change is accepted")
             .view;
         fixture.wall_clock.step_to(step_ms);
         manager.run_due_tasks();
-        // The two clocks are not read in one instant: a millisecond may begin between them.
+        // The two clocks are read one after the other, so the offset may differ by a millisecond.
         let offset_ms = manager.wall_clock_offset_ms();
         assert!(
             offset_ms.abs_diff(step_ms) < 1_000,
-            "{offset_ms} is said of {step_ms}"
+            "offset {offset_ms} ms differs from the step {step_ms} ms"
         );
-        let view = manager.get(long.record.id).expect("it holds on");
+        let view = manager
+            .get(long.record.id)
+            .expect("the override is still active");
         assert!(
             view.remaining_ms <= long.remaining_ms && view.remaining_ms + 5_000 > long.remaining_ms
         );
-        // People see it end by the clock that they read.
+        // The displayed expiry follows the stepped wall clock.
         assert_eq!(
             view.record.expires_at,
             long.record.expires_at.saturating_add_signed(offset_ms)
         );
         std::thread::sleep(Duration::from_millis(310));
-        assert!(manager.get(short.record.id).is_none(), "its span is over");
-        // What is on the disk ends at the same moment, by the wall clock as it is after a restart.
+        assert!(
+            manager.get(short.record.id).is_none(),
+            "the override has expired"
+        );
+        // The stored expiry is the same moment on the stepped wall clock, which a restart reads.
         drop(manager);
         let (store, contents) =
-            beaconflow_store::open(&fixture.config().file.expect("set")).expect("free");
+            beaconflow_store::open(&fixture.config().file.expect("store file is configured"))
+                .expect("store is not in use");
         let stored = contents
             .overrides
             .iter()
             .find(|record| record.id == long.record.id)
-            .expect("kept");
+            .expect("the override is stored");
         assert_eq!(stored.expires_at, view.record.expires_at);
         drop(store);
-        // The next program reads the stepped clock at its start, so that it is not ahead of itself.
+        // A new manager starts with no offset, since it reads the stepped clock at its start.
         fixture.wall_clock.step_to(0);
-        let mut store = beaconflow_store::open(&fixture.config().file.expect("set"))
-            .expect("free")
-            .0;
+        let mut store =
+            beaconflow_store::open(&fixture.config().file.expect("store file is configured"))
+                .expect("store is not in use")
+                .0;
         store
             .forget(&[long.record.id, short.record.id])
-            .expect("durable");
+            .expect("write to the store");
     }
 }
 
@@ -141,13 +148,16 @@
     let manager = fixture.manager();
     fixture.wall_clock.step_to(HOUR_MS);
     manager.run_due_tasks();
-    // Ten minutes from now, as a person reads it off the stepped clock.
+    // Ten minutes from now on the stepped wall clock.
     let expires_at_wall_ms = fixture.now() + HOUR_MS as Millis + 600_000;
     let draft = Draft {
         expires_at: manager.from_wall_clock(expires_at_wall_ms),
         ..fixture.draft("s", 1)
     };
-    let shown = manager.add(draft, false, None).expect("kept").view;
+    let shown = manager
+        .add(draft, false, None)
+        .expect("change is accepted")
+        .view;
     assert!(
         shown.remaining_ms <= 600_000 && shown.remaining_ms > 590_000,
         "{}",
@@ -156,13 +166,13 @@
     assert!(shown.record.expires_at.abs_diff(expires_at_wall_ms) < 1_000);
 }
 
-/// A store that fails when it is told to, and counts what it was given.
+/// A store whose writes can be made to fail, and that records what was written.
 #[derive(Clone, Default)]
 struct FailingStore(Arc<Mutex<(bool, Vec<Override>)>>);
 
 impl OverrideStore for FailingStore {
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
-        let mut state = self.0.lock().expect("sound");
+        let mut state = self.0.lock().expect("lock is not poisoned");
         if state.0 {
             return Err(StoreError("no space left on device".into()));
         }
@@ -175,7 +185,7 @@
     }
 
     fn next_id(&self) -> OverrideId {
-        OverrideId(1 + self.0.lock().expect("sound").1.len() as u64)
+        OverrideId(1 + self.0.lock().expect("lock is not poisoned").1.len() as u64)
     }
 }
 
@@ -188,9 +198,9 @@
     let manager = OverrideManager::new(restored, Vec::new(), fixture.clock, limits, Box::new(|| 0));
     let view = manager
         .add(fixture.draft("a", 60_000), false, None)
-        .expect("kept")
+        .expect("change is accepted")
         .view;
-    store.0.lock().expect("sound").0 = true;
+    store.0.lock().expect("lock is not poisoned").0 = true;
     assert!(matches!(
         manager.add(fixture.draft("b", 60_000), false, None),
         Err(OverrideError::Store(_))
@@ -205,12 +215,12 @@
     ));
     let all = manager.list();
     assert_eq!((all.len(), all[0].record.revision), (1, 1));
-    // Once there is room again, all goes on.
-    store.0.lock().expect("sound").0 = false;
+    // Changes succeed again once the store accepts writes.
+    store.0.lock().expect("lock is not poisoned").0 = false;
     assert_eq!(
         manager
             .remove(view.record.id, Some(1))
-            .expect("kept")
+            .expect("change is accepted")
             .view
             .record
             .revision,
@@ -222,8 +232,8 @@
 #[test]
 fn restore_deletes_overrides_expired_during_downtime() {
     let fixture = Fixture::new();
-    let file = fixture.config().file.expect("set");
-    let (mut store, _) = beaconflow_store::open(&file).expect("free");
+    let file = fixture.config().file.expect("store file is configured");
+    let (mut store, _) = beaconflow_store::open(&file).expect("store is not in use");
     let now = fixture.now();
     let expired = Draft {
         expires_at: now - 30_000,
@@ -237,12 +247,12 @@
                 .draft("holds", 60_000)
                 .into_override(OverrideId(2), now),
         ])
-        .expect("durable");
+        .expect("write to the store");
     drop(store);
     let manager = fixture.manager();
     assert_eq!(manager.list().len(), 1);
     drop(manager);
-    let (store, contents) = beaconflow_store::open(&file).expect("free");
+    let (store, contents) = beaconflow_store::open(&file).expect("store is not in use");
     let remaining: Vec<OverrideId> = contents.overrides.iter().map(|record| record.id).collect();
     assert_eq!(
         (remaining, store.next_id()),
@@ -275,10 +285,11 @@
 fn ten_thousand_overrides_are_restored_listed_and_removed() {
     let fixture = Fixture::new();
     let manager = fixture.manager();
-    // Written in one go, as a store may hold them: one fsync each would take minutes on a slow disk.
+    // Written in one batch: one fsync for each would take minutes on a slow disk.
     drop(manager);
     let (mut store, _) =
-        beaconflow_store::open(&fixture.config().file.expect("set")).expect("free");
+        beaconflow_store::open(&fixture.config().file.expect("store file is configured"))
+            .expect("store is not in use");
     let now = fixture.now();
     let all: Vec<Override> = (1..=10_000)
         .map(|id| {
@@ -287,7 +298,7 @@
                 .into_override(OverrideId(id), now)
         })
         .collect();
-    store.put(&all).expect("durable");
+    store.put(&all).expect("write to the store");
     drop(store);
     let manager = fixture.manager();
     assert_eq!(manager.list().len(), 10_000);
@@ -295,11 +306,13 @@
         manager.add(fixture.draft("one more", 60_000), false, None),
         Err(OverrideError::Full(10_000))
     ));
-    manager.remove(OverrideId(5_000), None).expect("kept");
+    manager
+        .remove(OverrideId(5_000), None)
+        .expect("change is accepted");
     assert_eq!(
         manager
             .add(fixture.draft("one more", 60_000), false, None)
-            .expect("kept")
+            .expect("change is accepted")
             .view
             .record
             .id,
--- a/crates/cli/benches/effect.rs
+++ b/crates/cli/benches/effect.rs
@@ -1,5 +1,5 @@
-//! How long a change of overrides takes, from the request to its effect: durable, followed by the core, and no first
-//! byte on its way to the server. `cargo bench -p beaconflow-cli --bench effect`
+//! Latency of a change of overrides, from the request until it is durable, applied by the core, and no first byte is
+//! being written to the server. Run with `cargo bench -p beaconflow-cli --bench effect`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -12,12 +12,18 @@
 const CHANGES: u64 = 1_000;
 
 fn main() {
-    // Cargo also starts benchmarks as tests; this one takes too long for that.
+    // Cargo also runs benchmarks as tests; this one takes too long for that.
     if !std::env::args().any(|word| word == "--bench") {
         return;
     }
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
-    let (at, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
+    let folder = tempfile::tempdir().expect("create a temporary directory");
+    let (at, admin, server) = (
+        free(),
+        free(),
+        listener()
+            .local_addr()
+            .expect("local address of the listener"),
+    );
     let config = folder.path().join("config.json");
     let names: Vec<String> = (0..100).map(|number| format!("s{number}")).collect();
     let rows: Vec<_> = names
@@ -25,14 +31,14 @@
         .map(|name| (name.as_str(), server, "SERVING"))
         .collect();
     let text = support::config(at, free(), &list(1, true, &rows), SETTINGS, 256);
-    std::fs::write(&config, text).expect("room");
+    std::fs::write(&config, text).expect("write the file");
     let operator = folder.path().join("operator.toml");
     let store = folder.path().join("overrides.redb");
     let text = format!(
         "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {store:?}\nramp_s = 0\n"
     );
-    std::fs::write(&operator, text).expect("room");
-    let path = |path: &std::path::Path| path.to_str().expect("text").to_owned();
+    std::fs::write(&operator, text).expect("write the file");
+    let path = |path: &std::path::Path| path.to_str().expect("path is UTF-8").to_owned();
     let program = Program::start(
         &["--operator", &path(&operator)],
         &[("LB_CONFIG", &path(&config))],
@@ -42,7 +48,7 @@
         at: admin,
         token: ADMIN_TOKEN,
     };
-    let mut add_latencies = Histogram::<u64>::new(3).expect("three digits");
+    let mut add_latencies = Histogram::<u64>::new(3).expect("valid histogram precision");
     let mut remove_latencies = add_latencies.clone();
     for number in 0..CHANGES {
         let body = format!(
@@ -53,7 +59,7 @@
         let id = api.add(&body);
         add_latencies
             .record(started_at.elapsed().as_micros() as u64)
-            .expect("in range");
+            .expect("latency within the histogram's range");
         let started_at = Instant::now();
         assert_eq!(
             api.call("DELETE", &format!("/v1/overrides/{id}"), "")
@@ -62,10 +68,10 @@
         );
         remove_latencies
             .record(started_at.elapsed().as_micros() as u64)
-            .expect("in range");
+            .expect("latency within the histogram's range");
     }
     println!(
-        "{CHANGES} changes one after the other, 100 servers, microseconds from the request to its answer"
+        "{CHANGES} sequential changes, 100 servers, microseconds from the request to its response"
     );
     for (name, latencies) in [("POST", add_latencies), ("DELETE", remove_latencies)] {
         let [p50, p99] = [0.5, 0.99].map(|quantile| latencies.value_at_quantile(quantile));
--- a/crates/cli/benches/floods.rs
+++ b/crates/cli/benches/floods.rs
@@ -1,5 +1,6 @@
-//! What a flood of one account costs another's set-ups on a real front, in pairs in one run: a quiet account alone, then
-//! beside clients that come back at once, and so on in turn. `cargo bench -p beaconflow-cli --bench floods`
+//! Effect of a flood by one account on the connection setup latency of another, on a real front. Rounds alternate between
+//! a quiet account alone, and the same beside clients that reconnect at once. Run with
+//! `cargo bench -p beaconflow-cli --bench floods`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -13,7 +14,7 @@
 use support::nats::redis;
 use support::{ADMIN_TOKEN, Api, Discovery, Peer, Program, SETTINGS, free, list};
 
-/// Turns of each kind, and how long one lasts.
+/// Number of rounds with and of rounds without the flood, and the duration of each.
 const ROUNDS_PER_KIND: usize = 4;
 const ROUND_DURATION: Duration = Duration::from_secs(10);
 /// Clients that come back at once, on each front, a round trip of [`RECONNECT_DELAY`] after each answer. A NATS client's password
@@ -21,15 +22,15 @@
 const FLOOD_CLIENTS: [usize; 2] = [200, 50];
 const RECONNECT_DELAY: Duration = Duration::from_millis(25);
 const QUIET_CLIENTS_PER_S: [f64; 2] = [40.0, 4.0];
-/// Mean of the exponential time that a server takes for a set-up.
+/// Mean of the exponentially distributed time that a server takes for a connection setup.
 const MEAN_SETUP_TIME: Duration = Duration::from_millis(60);
 
 fn main() {
-    // Cargo also starts benchmarks as tests; this one takes too long for that.
+    // Cargo also runs benchmarks as tests; this one takes too long for that.
     if !std::env::args().any(|word| word == "--bench") {
         return;
     }
-    // Both fronts, or the one that is named behind `--`.
+    // Both fronts, or the one that is named after `--`.
     let named = |front: &str| std::env::args().any(|word| word == front);
     for (wire, index, front) in [(Wire::Platform, 0, "platform"), (Wire::Nats, 1, "nats")] {
         if named(front) || !named("platform") && !named("nats") {
@@ -59,21 +60,28 @@
             "\"lanes\"",
             r#""projects":[{"name":"acme","share":0.58},{"name":"bright","share":0.42}],"lanes""#,
         );
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
-    let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
+    let folder = tempfile::tempdir().expect("create a temporary directory");
+    let path = |name: &str| {
+        folder
+            .path()
+            .join(name)
+            .to_str()
+            .expect("path is UTF-8")
+            .to_owned()
+    };
     let (operator, config) = (path("operator.toml"), path("config.json"));
     let known = list(1, true, &rows);
     std::fs::write(
         &config,
         support::config(at, discovery.address, &known, &settings, 4_096),
     )
-    .expect("room");
+    .expect("write the file");
     let mut operator_text = format!(
         "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\nentries = 100\n"
     );
     if wire == Wire::Nats {
         let settings: serde_json::Value =
-            serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
+            serde_json::from_str(&settings.replace('\n', " ")).expect("settings are JSON");
         let listed: Vec<String> = rows
             .iter()
             .map(|(name, address, _)| format!("{{ name = \"{name}\", address = \"{address}\" }}"))
@@ -83,10 +91,11 @@
              farm = {{ servers = [{}] }}\n{operator_text}\n{}",
             redis.address,
             listed.join(", "),
-            toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
+            toml::to_string(&serde_json::json!({ "settings": settings }))
+                .expect("settings can be written as TOML")
         );
     }
-    std::fs::write(&operator, operator_text).expect("room");
+    std::fs::write(&operator, operator_text).expect("write the file");
     let env = [("LB_CONFIG", config.as_str())];
     let program = Program::start(
         &["--operator", &operator],
@@ -107,7 +116,7 @@
         }
     }
     let mut latencies: [Histogram<u64>; 2] =
-        [(); 2].map(|()| Histogram::new(3).expect("three digits"));
+        [(); 2].map(|()| Histogram::new(3).expect("valid histogram precision"));
     let counts = [AtomicU64::new(0), AtomicU64::new(0)];
     let mut refused = [0; 2];
     for round in 0..2 * ROUNDS_PER_KIND {
@@ -124,7 +133,7 @@
                 });
             }
             let started_at = Instant::now();
-            // Before the first quiet client the flood has reached its full height.
+            // The flood reaches its full rate before the first quiet client connects.
             std::thread::sleep(Duration::from_secs(1));
             let mut at_s = 1.0;
             while started_at.elapsed() < ROUND_DURATION {
@@ -135,16 +144,16 @@
                 let quiet = &quiet;
                 scope.spawn(move || {
                     let latency = open_connection(wire, at, "bright");
-                    quiet.lock().expect("sound").push(latency);
+                    quiet.lock().expect("lock is not poisoned").push(latency);
                 });
             }
             done.store(true, Ordering::Relaxed);
         });
-        for latency in quiet.into_inner().expect("sound") {
+        for latency in quiet.into_inner().expect("lock is not poisoned") {
             match latency {
                 Some(latency) => latencies[usize::from(is_flooded)]
                     .record(latency.as_micros() as u64)
-                    .expect("it grows"),
+                    .expect("latency within the histogram's range"),
                 None => refused[usize::from(is_flooded)] += 1,
             }
         }
@@ -152,7 +161,7 @@
     for ((name, latencies), refused) in ["without", "with"].iter().zip(&latencies).zip(refused) {
         let at = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
         println!(
-            "{front}: quiet set-ups {name} the flood: {} of them, {refused} refused, p50 {:.1} ms, p90 {:.1} ms, p99 {:.1} ms",
+            "{front}: quiet setups {name} the flood: {} completed, {refused} rejected, p50 {:.1} ms, p90 {:.1} ms, p99 {:.1} ms",
             latencies.len(),
             at(0.5),
             at(0.9),
@@ -160,13 +169,13 @@
         );
     }
     println!(
-        "{front}: the flood was served {} times and refused {} times",
+        "{front}: flood connections: {} served, {} rejected",
         counts[1].load(Ordering::Relaxed),
         counts[0].load(Ordering::Relaxed)
     );
 }
 
-/// A client opens, and ends its connection once it stands; gives how long that took, and nothing if it was refused.
+/// Opens a connection and closes it once it is established. Returns the setup latency, or `None` if it was rejected.
 fn open_connection(wire: Wire, at: SocketAddr, account: &str) -> Option<Duration> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/cli/benches/start.rs
+++ b/crates/cli/benches/start.rs
@@ -1,5 +1,6 @@
-//! What a start costs, with discovery on loopback: time until it serves and until it has the list, memory, threads and
-//! descriptors. `cargo bench -p beaconflow-cli --bench start`; `PROGRAM=path` measures another build beside it, in turn.
+//! Cost of a start with discovery on loopback: time until it serves and until it has the list, memory, threads and
+//! descriptors. Run with `cargo bench -p beaconflow-cli --bench start`; `PROGRAM=path` measures another build in
+//! alternation.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,7 +15,7 @@
 const STARTS: usize = 20;
 
 fn main() {
-    // Cargo also starts benchmarks as tests; this one is of the release program.
+    // Cargo also runs benchmarks as tests; this one measures the release build.
     if !std::env::args().any(|word| word == "--bench") {
         return;
     }
@@ -32,7 +33,9 @@
             }
         }
         for (program, figures) in programs.iter().zip(&all) {
-            let size = std::fs::metadata(program).expect("a program").len();
+            let size = std::fs::metadata(program)
+                .expect("the program exists")
+                .len();
             println!("{kind} {program}: {size} bytes");
             let names = [
                 "serves, ms",
@@ -71,12 +74,15 @@
         .env("LB_CONFIG", &path)
         .stderr(Stdio::piped());
     let mut child = command.spawn().expect("the program starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+    let mut lines = BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
     let (mut serves, mut listed) = (None, None);
     let mut watch = discovery.watch();
     tell(&mut watch, 2, true, &rows);
     while serves.is_none() || listed.is_none() {
-        let line = lines.next().expect("it goes on").expect("text");
+        let line = lines
+            .next()
+            .expect("the log continues")
+            .expect("the log is UTF-8");
         let now = started_at.elapsed().as_secs_f64() * 1e3;
         if line.contains("to=serving") {
             serves = Some(now);
@@ -86,18 +92,20 @@
         }
     }
     let proc_path = |path: &str| format!("/proc/{}/{path}", child.id());
-    let status = std::fs::read_to_string(proc_path("status")).expect("it runs");
+    let status = std::fs::read_to_string(proc_path("status")).expect("the process is running");
     let figure = |name: &str| {
         let row = status
             .lines()
             .find(|line| line.starts_with(name))
-            .expect("Linux");
+            .expect("field of /proc/PID/status");
         row.split_whitespace()
             .nth(1)
             .and_then(|word| word.parse().ok())
-            .expect("a number")
+            .expect("the value is a number")
     };
-    let descriptors = std::fs::read_dir(proc_path("fd")).expect("it runs").count();
+    let descriptors = std::fs::read_dir(proc_path("fd"))
+        .expect("the process is running")
+        .count();
     let figures = [
         serves.unwrap_or(0.0),
         listed.unwrap_or(0.0),
@@ -106,7 +114,7 @@
         figure("Threads"),
         descriptors as f64,
     ];
-    child.kill().expect("a child");
+    child.kill().expect("kill the child process");
     let _ = child.wait();
     figures
 }
--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -1,4 +1,4 @@
-//! A client of the administration API.
+//! HTTP client of the administration API.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,25 +8,26 @@
 
 use crate::args::ApiOptions;
 
-/// A call takes no longer than this.
+/// Timeout of a request, from connecting to the end of the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Where the token may stand, other than in a file.
+/// Environment variable with the token, read if no token file is given.
 const TOKEN_VARIABLE: &str = "BEACONFLOW_TOKEN";
 
-/// Why a command did not do what was asked.
+/// Reason why a command failed.
 pub enum CliError {
-    /// A fault here.
+    /// A local error, such as a file that can't be read.
     Local(String),
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
-    /// The API was not reached.
+    /// The API could not be reached, or its response could not be read.
     Unreachable(String),
-    /// The API refused.
+    /// The API rejected the request; contains the HTTP status and the error. A missing token counts as
+    /// status 401.
     Rejected(u16, String),
 }
 
 impl CliError {
-    /// The program's exit code.
+    /// Exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             CliError::Local(_) => 1,
@@ -44,14 +45,14 @@
         match self {
             CliError::Local(why) | CliError::Usage(why) => f.write_str(why),
             CliError::Unreachable(why) => {
-                write!(f, "the administration API was not reached: {why}")
+                write!(f, "could not reach the administration API: {why}")
             }
             CliError::Rejected(status, why) => write!(f, "{why} ({status})"),
         }
     }
 }
 
-/// The administration API.
+/// A client with the API's address and token.
 pub struct Api {
     address: String,
     token: String,
@@ -59,7 +60,7 @@
 }
 
 impl Api {
-    /// The API that the command line names.
+    /// Creates a client from the command line's options.
     pub fn new(api_options: &ApiOptions) -> Result<Api, CliError> {
         let token = match &api_options.token_file {
             Some(file) => std::fs::read_to_string(file)
@@ -67,7 +68,7 @@
             None => std::env::var(TOKEN_VARIABLE).map_err(|_| {
                 CliError::Rejected(
                     401,
-                    format!("no token: name a file by --token-file, or set {TOKEN_VARIABLE}"),
+                    format!("no token: give a file with --token-file or set {TOKEN_VARIABLE}"),
                 )
             })?,
         };
@@ -83,7 +84,7 @@
         })
     }
 
-    /// One call; gives the body of its answer.
+    /// Sends a request; returns the body of a successful response.
     pub fn call(
         &self,
         method: &str,
@@ -120,7 +121,7 @@
         }
         let why = value["error"]
             .as_str()
-            .unwrap_or("no reason was given")
+            .unwrap_or("the response contains no error message")
             .to_owned();
         Err(CliError::Rejected(status, why))
     }
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use crate::api::CliError;
 
 const EXIT_CODES: &str = "Exit codes:
-  0  done
-  1  a fault here: a file, or the program could not serve
-  2  the command line is wrong
-  3  the administration API was not reached
-  4  the API refused: unknown, conflicting, stale or faulty
+  0  success
+  1  local error: a file, or the balancer could not run
+  2  invalid command line
+  3  the administration API could not be reached
+  4  the API rejected the request: not found, conflict, stale revision or invalid fields
   5  the token is missing or wrong
-  6  the API could not do it now; try again";
+  6  the API is temporarily unable to handle the request; try again";
 
 const ADMISSION_EXAMPLES: &str = "Examples:
   beaconflow admission
@@ -40,14 +40,14 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve: the platform's front if LB_CONFIG is set, and whatever the operator's file sets up
+    /// Run the balancer: the platform front if LB_CONFIG is set, and what the operator's file configures
     #[command(after_help = "Example:\n  beaconflow serve --operator deploy/nats.toml")]
     Serve {
         /// The operator's file
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Check an operator's file and name everything that is wrong with it
+    /// Check an operator's file and print all errors in it
     #[command(after_help = "Example:\n  beaconflow check deploy/nats.toml")]
     Check {
         /// The operator's file
@@ -56,18 +56,18 @@
         #[arg(long)]
         json: bool,
     },
-    /// Take a server out, change its weight or pin a group or tenant, each until it expires
+    /// Take a server out of service, change its weight or pin a group or tenant, until the override expires
     #[command(subcommand, after_help = OVERRIDE_EXAMPLES)]
     Override(OverrideCommand),
-    /// Show the farm as it is listed and as the decisions see it
+    /// Show the servers with their listed and their effective state
     Farm {
         #[command(flatten)]
         api_options: ApiOptions,
     },
-    /// Show who waits at the door and what each account got
+    /// Show the admission queue and the counters of each account
     #[command(after_help = ADMISSION_EXAMPLES)]
     Admission {
-        /// Show it again every so often, as 1s or 500ms, until Ctrl-C
+        /// Refresh at this interval, such as 1s or 500ms, until Ctrl-C
         #[arg(long, value_name = "SPAN", value_parser = humantime::parse_duration)]
         every: Option<Duration>,
         #[command(flatten)]
@@ -78,15 +78,15 @@
         after_help = "Example:\n  beaconflow completions bash > /etc/bash_completion.d/beaconflow"
     )]
     Completions {
-        /// Which shell
+        /// The shell
         shell: clap_complete::Shell,
     },
 }
 
-/// Where the administration API is, and how answers are printed.
+/// Address and token of the administration API, and the output format.
 #[derive(ClapArgs)]
 pub struct ApiOptions {
-    /// The administration API's address
+    /// Address of the administration API
     #[arg(
         long,
         env = "BEACONFLOW_API",
@@ -95,7 +95,7 @@
         global = true
     )]
     pub api: String,
-    /// A file with the API's token; else the variable BEACONFLOW_TOKEN is read
+    /// File with the API's token; without it, the variable BEACONFLOW_TOKEN is used
     #[arg(long, value_name = "FILE", global = true)]
     pub token_file: Option<PathBuf>,
     /// Print JSON
@@ -115,53 +115,53 @@
         #[command(flatten)]
         api_options: ApiOptions,
     },
-    /// List the overrides that hold, with the time that each has left
+    /// List active overrides with their remaining time
     List {
         #[command(flatten)]
         api_options: ApiOptions,
     },
     /// Show one override
     Show {
-        /// Its number
+        /// Id of the override
         id: u64,
         #[command(flatten)]
         api_options: ApiOptions,
     },
-    /// Change when an override ends, to later or sooner
+    /// Change the expiry of an override to a later or an earlier time
     Extend {
         #[command(flatten)]
         target: OverrideTarget,
         #[command(flatten)]
         expiry: ExpiryOptions,
     },
-    /// End an override now
+    /// Remove an override now
     Remove {
         #[command(flatten)]
         target: OverrideTarget,
     },
 }
 
-/// What an override does.
+/// The kind of a new override, with its arguments.
 #[derive(Subcommand)]
 pub enum NewOverride {
-    /// A server gets nothing new
+    /// Take a server out of service: it gets no new connections
     Out {
-        /// Its name in the list
+        /// Name of the server in the list
         server: String,
-        /// Move its standing connections, so many a second; they stay if this is not given
+        /// Migrate its established connections at this rate per second; without it they stay
         #[arg(long, value_name = "A-SECOND")]
         moves: Option<f64>,
     },
-    /// A server's listed weight is multiplied
+    /// Multiply the listed weight of a server
     Weight {
-        /// Its name in the list
+        /// Name of the server in the list
         server: String,
-        /// By this, from 0.001 to 100
+        /// Factor, from 0.001 to 100
         factor: f64,
     },
-    /// New connections of a group or tenant go to one server
+    /// Send new connections of a group or tenant to one server
     Pin {
-        /// Its name in the list
+        /// Name of the server in the list
         server: String,
         /// The group
         #[arg(long, conflicts_with = "tenant", required_unless_present = "tenant")]
@@ -169,53 +169,53 @@
         /// The tenant
         #[arg(long)]
         tenant: Option<String>,
-        /// Refuse them, with a time to come back, where the server can't take them
+        /// If the server can't accept them, reject them with a retry delay instead of using another server
         #[arg(long)]
         strict: bool,
     },
 }
 
-/// When an override ends.
+/// The expiry of an override.
 #[derive(ClapArgs)]
 #[group(required = true, multiple = false)]
 pub struct ExpiryOptions {
-    /// So long from now, as 90s, 30m or 2h
+    /// Duration from now, such as 90s, 30m or 2h
     #[arg(long = "for", value_name = "SPAN", value_parser = humantime::parse_duration, global = true)]
     pub duration: Option<Duration>,
-    /// At this time, as 2026-12-01T18:00:00Z
+    /// Expiry time, such as 2026-12-01T18:00:00Z
     #[arg(long, value_name = "TIME", global = true)]
     pub until: Option<String>,
 }
 
-/// Who asks for an override, and what else there is to say of it.
+/// Expiry, author and reason of a new override, and options of the request.
 #[derive(ClapArgs)]
 pub struct AddOptions {
-    /// So long from now, as 90s, 30m or 2h
+    /// Duration from now, such as 90s, 30m or 2h
     #[arg(long = "for", value_name = "SPAN", value_parser = humantime::parse_duration, global = true)]
     pub duration: Option<Duration>,
-    /// Until this time, as 2026-12-01T18:00:00Z
+    /// Expiry time, such as 2026-12-01T18:00:00Z
     #[arg(long, value_name = "TIME", conflicts_with = "duration", global = true)]
     pub until: Option<String>,
-    /// Who asks
+    /// Author of the override
     #[arg(long, env = "BEACONFLOW_WHO", global = true)]
     pub who: Option<String>,
-    /// What for
+    /// Reason for the override
     #[arg(long, global = true)]
     pub why: Option<String>,
-    /// Enter it even if it leaves no ready server
+    /// Create it even if it leaves no ready server
     #[arg(long, global = true)]
     pub force: bool,
-    /// A key of your own: the same request sent twice with it is carried out once
+    /// Idempotency key: a request that is repeated with the same key takes effect once
     #[arg(long, global = true)]
     pub key: Option<String>,
 }
 
-/// Which override is changed.
+/// The override to change.
 #[derive(ClapArgs)]
 pub struct OverrideTarget {
-    /// Its number
+    /// Id of the override
     pub id: u64,
-    /// Only if it still has this revision
+    /// Change it only if it still has this revision
     #[arg(long)]
     pub revision: Option<u64>,
     #[command(flatten)]
@@ -227,20 +227,20 @@
         (Some(duration), _) => Ok(json!({ "expires_in_s": duration.as_secs_f64() })),
         (None, Some(until)) => Ok(json!({ "expires_at": until })),
         (None, None) => Err(CliError::Usage(
-            "say when it ends: --for SPAN or --until TIME".into(),
+            "no expiry: give --for SPAN or --until TIME".into(),
         )),
     }
 }
 
 impl ExpiryOptions {
-    /// The body of a change.
+    /// The body of a request that changes the expiry.
     pub fn body(&self) -> Result<Value, CliError> {
         expiry(self.duration, self.until.as_deref())
     }
 }
 
 impl NewOverride {
-    /// The body of a new override.
+    /// The body of a request that creates the override.
     pub fn body(&self, options: &AddOptions) -> Result<Value, CliError> {
         let mut body = expiry(options.duration, options.until.as_deref())?;
         let needed = |field: &str, value: &Option<String>| {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `beaconflow`: the balancer, and the commands of the people who run it.
+//! The program `beaconflow`: the balancer and its operator commands.
 
 #![forbid(unsafe_code)]
 
@@ -21,7 +21,7 @@
 use crate::api::{Api, CliError};
 use crate::args::{Args, Command, OverrideCommand, OverrideTarget};
 
-/// A live table is asked for no more often.
+/// Minimum interval at which a live table is refreshed.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Names every fault of an operator's file.
+/// Checks an operator's file and prints all errors in it.
 fn check(file: &Path, as_json: bool) -> Result<(), CliError> {
     let errors = OperatorConfig::read(file)
         .err()
@@ -92,15 +92,15 @@
             json!({ "file": file, "ok": errors.is_empty(), "faults": errors })
         )
     } else if errors.is_empty() {
-        writeln!(out, "{}: sound", file.display())
+        writeln!(out, "{}: valid", file.display())
     } else {
         errors.iter().try_for_each(|error| writeln!(out, "{error}"))
     };
     written.map_err(|error| CliError::Local(error.to_string()))?;
     match errors.len() {
         0 => Ok(()),
-        1 => Err(CliError::Local("1 fault".into())),
-        count => Err(CliError::Local(format!("{count} faults"))),
+        1 => Err(CliError::Local("1 error".into())),
+        count => Err(CliError::Local(format!("{count} errors"))),
     }
 }
 
@@ -153,13 +153,14 @@
     }
 }
 
-/// The admission queue's table, once or again and again. A call that fails ends it: what is shown would no longer be so.
+/// Prints the table of the admission queue, once or at an interval. A failed request ends the command, since the table
+/// on the screen would be out of date.
 fn admission(every: Option<Duration>, api_options: &args::ApiOptions) -> Result<(), CliError> {
     let api = Api::new(api_options)?;
     loop {
         let response = api.call("GET", "/v1/admission", None, &[])?;
         if every.is_some() && !api_options.json && std::io::stdout().is_terminal() {
-            // From the top of a cleared screen, as people expect of a live table.
+            // Clears the screen, so that the table is refreshed in place.
             print!("\x1b[H\x1b[2J");
         }
         print(api_options.json, &response, show::admission)?;
@@ -184,7 +185,7 @@
     print(api_options.json, &response, show::override_details)
 }
 
-/// Prints an answer for people or for scripts. A reader that has gone away is no fault.
+/// Prints a response as a table or as JSON. A closed pipe is not an error.
 fn print(as_json: bool, response: &Value, show: impl Fn(&Value) -> String) -> Result<(), CliError> {
     let text = if as_json {
         response.to_string()
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Answers of the API as tables for people.
+//! Formats responses of the API as tables.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     table
 }
 
-/// A value as it is read aloud.
+/// A value as plain text; `-` if it is absent.
 fn display_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -23,7 +23,7 @@
     }
 }
 
-/// `1h 30m 5s`.
+/// A duration in whole seconds, such as `1h 30m 5s`.
 fn format_duration(seconds: &Value) -> String {
     let seconds = seconds
         .as_f64()
@@ -32,12 +32,15 @@
     humantime::format_duration(Duration::from_secs(seconds as u64)).to_string()
 }
 
-/// What an override does, in a few words.
+/// A short description of what an override does.
 fn override_description(record: &Value) -> String {
     let server = display_text(&record["server"]);
     match record["kind"].as_str() {
         Some("out") if record["moves_per_s"].is_number() => {
-            format!("out {server}, moving {} a second", record["moves_per_s"])
+            format!(
+                "out {server}, migrating {} per second",
+                record["moves_per_s"]
+            )
         }
         Some("weight") => format!("weight {server} x {}", record["factor"]),
         Some("pin") => {
@@ -56,7 +59,7 @@
     }
 }
 
-/// The effect at each front; one word where all agree.
+/// The effect at each front, or a single value if all fronts have the same.
 fn effect_summary(record: &Value) -> String {
     let effects: Vec<(String, String)> = record["effects"]
         .as_object()
@@ -77,7 +80,7 @@
     }
 }
 
-/// One override.
+/// Formats one override.
 pub fn override_details(record: &Value) -> String {
     let mut table = table(["", ""]);
     for (name, value) in [
@@ -97,14 +100,14 @@
     table.trim_fmt().trim_start().to_owned()
 }
 
-/// All overrides, and what has to be said of where they are kept.
+/// Formats all overrides, with notes on their store and clock.
 pub fn override_list(answer: &Value) -> String {
     let mut text = String::new();
     for note in answer["notes"].as_array().into_iter().flatten() {
         text.push_str(&format!("note: {}\n", display_text(note)));
     }
     if answer["kept"] != true {
-        text.push_str("No overrides are kept here.\n");
+        text.push_str("Overrides are disabled.\n");
         return text;
     }
     let ahead = answer["wall_ahead_s"].as_f64().unwrap_or_default();
@@ -118,7 +121,7 @@
         .map(Vec::as_slice)
         .unwrap_or_default();
     if all.is_empty() {
-        text.push_str("No override holds.\n");
+        text.push_str("No overrides are active.\n");
         return text;
     }
     let mut table = table(["ID", "DOES", "EFFECT", "LEFT", "WHO", "WHY"]);
@@ -135,7 +138,7 @@
     text + &table.trim_fmt()
 }
 
-/// The server list.
+/// Formats the server list, with warnings and the state of the fleet.
 pub fn server_list(answer: &Value) -> String {
     let mut table = table([
         "FRONT",
@@ -179,14 +182,14 @@
     warnings + &fleet(&answer["fleet"]) + &table.trim_fmt()
 }
 
-/// A line on the fleet, where one is set up.
+/// Formats the state of the fleet in one line; empty without a fleet.
 fn fleet(fleet: &Value) -> String {
     if fleet.is_null() {
         return String::new();
     }
     let placements = match fleet["placements"].as_u64() {
         Some(count) => format!(
-            ", {count} clients remembered under version {}",
+            ", {count} client placements remembered under version {}",
             display_text(&fleet["version"])
         ),
         None => String::new(),
@@ -197,14 +200,14 @@
     };
     let deferred = match fleet["deferred"].as_u64() {
         Some(count) if count > 0 => {
-            format!(", {count} times a client was told to come in its turn")
+            format!(", {count} deferrals by staged admission")
         }
         _ => String::new(),
     };
     let storage = if fleet["kept"] == true {
         ""
     } else {
-        ", nothing kept on disk"
+        ", no stored memory"
     };
     format!(
         "fleet: {} of site {} (boot {}), {} of {} processes, {}{deferred}{uplink}{placements}{storage}\n",
@@ -217,7 +220,7 @@
     )
 }
 
-/// Who waits in the admission queue, and what each account got.
+/// Formats the admission queue of each front, and the counters of each account.
 pub fn admission(answer: &Value) -> String {
     let mut text = String::new();
     let mut table = table([
@@ -230,7 +233,7 @@
             front["bytes"].as_f64().unwrap_or_default() / 1024.0,
         );
         text.push_str(&format!(
-            "{}: {} of {} wait, {bytes:.0} of {:.0} KiB\n",
+            "{}: {} of {} queued, {bytes:.0} of {:.0} KiB\n",
             display_text(&front["front"]),
             display_text(&front["waiting"]),
             display_text(&limits["entries"]),
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -87,7 +87,7 @@
     let site = Site::start();
     assert!(
         site.prints(&["override", "list"])
-            .contains("No override holds.")
+            .contains("No overrides are active.")
     );
     let add = [
         "override",
@@ -305,7 +305,7 @@
         "admin.token",
         "admin.listen",
         "sockets",
-        "socket: no such field",
+        "socket: unknown field",
         "wire.most_early",
         "store.url",
         "farm.servers[1].weight",
@@ -364,7 +364,7 @@
     assert_eq!(code, Some(0), "{said}");
     let overrides = "[overrides]\nfile = \"/var/lib/beaconflow/gate-a.memory\"\n";
     for (field, from, to) in [
-        ("fleet.name: 1 to 64", "\"gate-a\"", "\"gate a\""),
+        ("fleet.name: must be 1 to 64", "\"gate-a\"", "\"gate a\""),
         ("fleet.name: is missing", "name = \"gate-a\"", ""),
         ("fleet.site", "\"north\"", "\"\""),
         (
@@ -411,7 +411,7 @@
             "previous_key_file",
         ),
         (
-            "fleet.previous_key_file: is key_file too",
+            "fleet.previous_key_file: is the same file as key_file",
             "# previous_key_file = \"/etc/beaconflow/old.key",
             &{ format!("previous_key_file = \"{}", path("key")) },
         ),
@@ -427,30 +427,30 @@
         ),
         ("fleet.peers", "peers = [", "peers = [3, "),
         ("fleet.size: is less", "size = 3", "size = 2"),
-        ("fleet.size: from 1", "size = 3", "size = 1001"),
-        ("fleet.sise: no such field", "size = 3", "sise = 3"),
+        ("fleet.size: must be from 1", "size = 3", "size = 1001"),
+        ("fleet.sise: unknown field", "size = 3", "sise = 3"),
         (
             "fleet.site_size: is less",
             "size = 3",
             "size = 3\nsite_size = 2",
         ),
         (
-            "fleet.site_size: from 1",
+            "fleet.site_size: must be from 1",
             "size = 3",
             "size = 3\nsite_size = 4\nother_sites = [\"b\"]",
         ),
         (
-            "fleet.other_sites[1]: stands there twice",
+            "fleet.other_sites[1]: is listed twice",
             "size = 3",
             "size = 5\nother_sites = [\"b\", \"b\"]",
         ),
         (
-            "fleet.other_sites[0]: is this site",
+            "fleet.other_sites[0]: is the site of this process",
             "size = 3",
             "size = 4\nother_sites = [\"north\"]",
         ),
         (
-            "fleet.other_sites[0]: 1 to",
+            "fleet.other_sites[0]: must be 1 to",
             "size = 3",
             "size = 4\nother_sites = [\"a b\"]",
         ),
@@ -462,9 +462,9 @@
             "path = \"/var/lib/beaconflow/gate-a.memory\"",
             "",
         ),
-        ("memory.path: names no file", "gate-a.memory", ".."),
+        ("memory.path: has no file name", "gate-a.memory", ".."),
         (
-            "memory.path: is overrides.file",
+            "memory.path: is the same file as overrides.file",
             "[edge]",
             &format!("{overrides}[edge]"),
         ),
@@ -481,9 +481,9 @@
         ("affinity.serial", "serial = 1", "serial = 0"),
         ("affinity.cereal", "serial = 1", "cereal = 1"),
         ("fleet: ", "[fleet]", "fleet = 3\n[fleets]"),
-        ("memory: has no meaning without", "[fleet]", "[fleets]"),
-        ("edge: has no meaning without", "[fleet]", "[fleets]"),
-        ("affinity: has no meaning without", "[fleet]", "[fleets]"),
+        ("memory: has no effect without", "[fleet]", "[fleets]"),
+        ("edge: has no effect without", "[fleet]", "[fleets]"),
+        ("affinity: has no effect without", "[fleet]", "[fleets]"),
     ] {
         assert!(sound.contains(from), "{from}");
         let (code, said) = check(&sound.replacen(from, to, 1));
@@ -507,7 +507,7 @@
     let site = Site::start();
     let once = site.prints(&["admission"]);
     assert!(
-        once.contains("platform: 0 of 4096 wait, 0 of 4096 KiB") && once.contains("WAIT P50"),
+        once.contains("platform: 0 of 4096 queued, 0 of 4096 KiB") && once.contains("WAIT P50"),
         "{once}"
     );
     let json: serde_json::Value =
--- a/crates/cli/tests/overrides/effect.rs
+++ b/crates/cli/tests/overrides/effect.rs
@@ -154,7 +154,7 @@
             assert!(
                 row["why"][0]
                     .as_str()
-                    .is_some_and(|why| why.contains("on its way back")),
+                    .is_some_and(|why| why.contains("ramping up after an override")),
                 "{row}"
             );
         }
