--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -202,7 +202,7 @@
                 warn!(
                     part,
                     left_out = window.suppressed,
-                    "more like these left out"
+                    "further messages of this kind suppressed"
                 );
             }
             *window = RateWindow {
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -55,7 +55,11 @@
                 OpenError::System(_) => "can't be opened",
             };
             let note = format!("the store {} {what}: {error}", file.display());
-            error!(part = "overrides", why = note, "none are restored or kept");
+            error!(
+                part = "overrides",
+                why = note,
+                "override store unavailable; overrides are disabled"
+            );
             let store_status = StoreStatus {
                 is_persistent: false,
                 notes: vec![note],
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -75,24 +75,31 @@
                 applied,
                 need_restart,
             }) if applied.is_empty() && need_restart.is_empty() => {
-                info!(part = "reload", "nothing has changed");
+                info!(part = "reload", "configuration is unchanged");
             }
             Ok(Changes {
                 applied,
                 need_restart,
             }) => {
                 if !applied.is_empty() {
-                    info!(part = "reload", what = applied.join(", "), "taken over");
+                    info!(
+                        part = "reload",
+                        what = applied.join(", "),
+                        "configuration changes applied"
+                    );
                 }
                 if !need_restart.is_empty() {
                     warn!(
                         part = "reload",
                         what = need_restart.join(", "),
-                        "takes a restart, kept as it was"
+                        "changes need a restart; running values kept"
                     );
                 }
             }
-            Err(why) => error!(part = "reload", why, "present configuration kept"),
+            Err(why) => error!(
+                part = "reload",
+                why, "reload failed; current configuration kept"
+            ),
         }
     }
 
--- a/crates/balancer/src/serve.rs
+++ b/crates/balancer/src/serve.rs
@@ -135,7 +135,11 @@
         while self.core.connections() > 0 && Instant::now() < deadline {
             std::thread::sleep(LINGER_POLL_INTERVAL);
         }
-        info!(part = "main", open = self.core.connections(), "left");
+        info!(
+            part = "main",
+            open = self.core.connections(),
+            "front stopped"
+        );
         Ok(())
     }
 }
--- a/crates/balancer/src/serve/threads.rs
+++ b/crates/balancer/src/serve/threads.rs
@@ -49,7 +49,7 @@
     if is_pushed && first_list.recv_timeout(FIRST_LIST_TIMEOUT).is_err() {
         info!(
             part = "discovery",
-            "nothing new is told; the known list serves"
+            "no list from discovery in time; the cached list is used"
         );
     }
     Ok((core, thread))
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -22,12 +22,15 @@
             is_shutting_down = true;
             shut_down();
         } else if is_shutting_down {
-            info!(part = "reload", "left out: the program is leaving");
+            info!(
+                part = "reload",
+                "reload skipped: the program is shutting down"
+            );
         } else if catch_unwind(AssertUnwindSafe(&mut reload)).is_err() {
             error!(
                 part = "reload",
                 why = "the reload panicked",
-                "present configuration kept"
+                "reload failed; current configuration kept"
             );
         }
     }
