--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -29,8 +29,8 @@
 pub struct Admin {
     cores: Vec<NamedCore>,
     overrides: Arc<OverrideManager>,
-    /// The tenants of the NATS front, and the settings that define their classes; absent without that
-    /// front.
+    /// The tenants of the NATS front, and the settings that define their classes; absent without
+    /// that front.
     tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
     /// The fleet thread, if a fleet is configured.
     fleet: Option<FleetHandle>,
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -106,13 +106,13 @@
         "front": front, "name": server.name, "address": server.address.to_string(), "zone": server.zone,
         "standing": server.established, "leaving": server.state.1 != ServerState::Ready,
         "listed": state_and_weight(server.state.0, server.weight.0), "effective": state_and_weight(server.state.1, server.weight.1),
-        "why": why_they_differ(front, server, overrides),
+        "why": difference_reasons(front, server, overrides),
     })
 }
 
-/// Reasons why a server's effective state differs from the listed one: overrides, the site's evidence,
-/// or the ramp after one of them.
-fn why_they_differ(
+/// Reasons why a server's effective state differs from the listed one: overrides, the site's
+/// evidence, or the ramp after one of them.
+fn difference_reasons(
     front: &str,
     server: &ServerSnapshot,
     overrides: Option<&Vec<&OverrideView>>,
@@ -130,7 +130,7 @@
             record.why
         )
     };
-    let mut why: Vec<String> = overrides
+    let mut reasons: Vec<String> = overrides
         .into_iter()
         .flatten()
         .copied()
@@ -148,15 +148,16 @@
                 site.weight_factor * 100.0
             )
         };
-        why.extend(skipped.or_else(|| (site.weight_factor < 1.0).then(reduced)));
-        why.extend(
+        reasons.extend(skipped.or_else(|| (site.weight_factor < 1.0).then(reduced)));
+        reasons.extend(
             (site.restarted_at > 0).then(|| "restarted while the uplink was lost".to_owned()),
         );
     }
-    if why.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1 {
-        why.push("its weight is ramping up after an override".into());
+    if reasons.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1
+    {
+        reasons.push("its weight is ramping up after an override".into());
     }
-    why
+    reasons
 }
 
 fn state_name(state: ServerState) -> &'static str {
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -39,8 +39,8 @@
     pub sockets: usize,
 }
 
-/// The settings in effect, shared with the front, which parses requests with them. They are replaced
-/// as a whole.
+/// The settings in effect, shared with the front, which parses requests with them. They are
+/// replaced as a whole.
 #[derive(Clone)]
 pub struct SharedSettings(Arc<RwLock<Arc<ActiveSettings>>>);
 
@@ -88,8 +88,8 @@
         collector.finish(config)
     }
 
-    /// Applies `LB_LISTEN` and `LB_DISCOVERY`, which override the file at the start. A reload does not
-    /// apply them, since the file is then newer than the environment.
+    /// Applies `LB_LISTEN` and `LB_DISCOVERY`, which override the file at the start. A reload does
+    /// not apply them, since the file is then newer than the environment.
     ///
     /// # Errors
     ///
@@ -108,7 +108,8 @@
         Ok(self)
     }
 
-    /// Address of the operations port, from `LB_ADMIN_ADDR` or else the file; `None` if neither has it.
+    /// Address of the operations port, from `LB_ADMIN_ADDR` or else the file; `None` if neither has
+    /// it.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Starts a new window when the current second is over, and logs how many warnings it suppressed.
+    /// Starts a new window when the current second is over, and logs how many warnings it
+    /// suppressed.
     pub fn flush(&self, part: &str) {
         let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if window
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -1,8 +1,8 @@
 //! The operations port: status, and entering and leaving standby, over HTTP. See
 //! `docs/operations.md`.
 //!
-//! A single thread runs a non-blocking event loop. A caller is answered within a second under any load,
-//! even if other callers send nothing. Its resources are reserved at the start.
+//! A single thread runs a non-blocking event loop. A caller is answered within a second under any
+//! load, even if other callers send nothing. Its resources are reserved at the start.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -115,8 +115,8 @@
                 TICK_INTERVAL
             };
             let ready = self.poller.wait(timeout);
-            // Existing callers come before new ones, so that a complete request is answered rather than
-            // evicted.
+            // Existing callers come before new ones, so that a complete request is answered rather
+            // than evicted.
             for id in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
                 self.with_caller(*id, Self::on_ready);
             }
@@ -154,7 +154,8 @@
                 Err(error) if net::is_would_block(&error) => return,
                 Err(error) => {
                     warn!(part = "operations", why = %error, "accept failed");
-                    // Without free descriptors the listener stays readable; the pause avoids a busy loop.
+                    // Without free descriptors the listener stays readable; the pause avoids a busy
+                    // loop.
                     return std::thread::sleep(Duration::from_millis(10));
                 }
             };
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Evicts a caller if the limit is reached: an answered one if there is one, otherwise the one that
-    /// has been silent longest, callers that wait for the cores last.
+    /// Evicts a caller if the limit is reached: an answered one if there is one, otherwise the one
+    /// that has been silent longest, callers that wait for the cores last.
     fn evict_one(&mut self) {
         if self.callers.len() < MAX_CALLERS {
             return;
@@ -199,7 +200,8 @@
         net::close(&caller.stream);
     }
 
-    /// Runs `act` on a caller, updates its poll events, and closes it on an error or in state `Closed`.
+    /// Runs `act` on a caller, updates its poll events, and closes it on an error or in state
+    /// `Closed`.
     fn with_caller(&mut self, id: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
         let Some(index) = self.callers.iter().position(|caller| caller.id == id) else {
             return;
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -126,14 +126,14 @@
     ///
     /// Returns all errors, including values that would be unsafe.
     pub fn read(path: &Path) -> Result<OperatorConfig, ConfigErrors> {
-        let shown_path = path.display();
+        let displayed_path = path.display();
         let text = std::fs::read_to_string(path)
-            .map_err(|error| ConfigErrors(vec![format!("{shown_path}: {error}")]))?;
+            .map_err(|error| ConfigErrors(vec![format!("{displayed_path}: {error}")]))?;
         OperatorConfig::parse(&text).map_err(|ConfigErrors(errors)| {
             ConfigErrors(
                 errors
                     .iter()
-                    .map(|error| format!("{shown_path}: {error}"))
+                    .map(|error| format!("{displayed_path}: {error}"))
                     .collect(),
             )
         })
--- a/crates/balancer/src/operator/fleet/processes.rs
+++ b/crates/balancer/src/operator/fleet/processes.rs
@@ -188,7 +188,8 @@
     rate
 }
 
-/// Reads a name. Names are sent in every datagram and logged, which limits their size and characters.
+/// Reads a name. Names are sent in every datagram and logged, which limits their size and
+/// characters.
 fn required_name(section: &mut Section<'_>, field: &str, max_bytes: usize) -> Option<String> {
     let name: Option<String> = section.required(field);
     let is_invalid = name
--- a/crates/balancer/src/operator/section.rs
+++ b/crates/balancer/src/operator/section.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Reads an optional field. The default stands for a missing field, and for an invalid one, which
-    /// is reported.
+    /// Reads an optional field. The default stands for a missing field, and for an invalid one,
+    /// which is reported.
     pub(super) fn optional<T: DeserializeOwned>(&mut self, field: &str, default: T) -> T {
         match self.table.remove(field) {
             None => default,
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -1,7 +1,7 @@
 //! The override manager: serializes changes, stores each one durably and applies it to the cores.
 //!
-//! Internal times are on the process's monotonic clock; times in the store and in views are on the wall
-//! clock. A step of the wall clock therefore changes no override's duration.
+//! Internal times are on the process's monotonic clock; times in the store and in views are on the
+//! wall clock. A step of the wall clock therefore changes no override's duration.
 
 mod apply;
 mod audit;
@@ -77,7 +77,8 @@
     pub view: OverrideView,
     /// Whether every core has applied the change in time. Late cores apply it afterwards.
     pub is_in_effect: bool,
-    /// Whether the request repeated an earlier one with the same idempotency key and changed nothing.
+    /// Whether the request repeated an earlier one with the same idempotency key and changed
+    /// nothing.
     pub is_replay: bool,
 }
 
@@ -333,7 +334,7 @@
 
     fn change(
         &self,
-        what: &str,
+        action: &str,
         id: OverrideId,
         revision: Option<u64>,
         change: impl FnOnce(&mut Override, Millis) -> Result<(), OverrideError>,
@@ -352,7 +353,7 @@
         change(&mut record, now)?;
         let is_in_effect = self.apply(&mut state, record.clone())?;
         drop(state);
-        audit(what, &record, now);
+        audit(action, &record, now);
         Ok(ChangeResult {
             view: self.view(&record),
             is_in_effect,
@@ -360,7 +361,8 @@
         })
     }
 
-    /// Stores an override, then applies it to the cores; returns whether all have applied it in time.
+    /// Stores an override, then applies it to the cores; returns whether all have applied it in
+    /// time.
     fn apply(&self, state: &mut OverrideState, record: Override) -> Result<bool, OverrideError> {
         let offset_ms = state.clock_steps.ahead_by_ms();
         let store = state
--- a/crates/balancer/src/overrides/apply.rs
+++ b/crates/balancer/src/overrides/apply.rs
@@ -13,8 +13,9 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl OverrideManager {
-    /// Sends a change to the cores, and waits until each core has applied it and no attempt is writing its
-    /// first byte to a server that is out of service. Returns whether that is so within the timeouts.
+    /// Sends a change to the cores, and waits until each core has applied it and no attempt is
+    /// writing its first byte to a server that is out of service. Returns whether that is so within
+    /// the timeouts.
     pub(super) fn apply_to_cores(&self, change: OverrideChange) -> bool {
         let answers: Vec<Receiver<OverridesApplied>> = self
             .cores
--- a/crates/balancer/src/overrides/housekeeping.rs
+++ b/crates/balancer/src/overrides/housekeeping.rs
@@ -1,5 +1,5 @@
-//! Housekeeping: logs expirations, removes overrides without remaining effect, and detects steps of the
-//! wall clock.
+//! Housekeeping: logs expirations, removes overrides without remaining effect, and detects steps of
+//! the wall clock.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -49,7 +49,8 @@
         state.set.next_change(now)
     }
 
-    /// Rewrites the stored times after a step of the wall clock, since a restart reads them by that clock.
+    /// Rewrites the stored times after a step of the wall clock, since a restart reads them by that
+    /// clock.
     fn handle_clock_step(&self, state: &mut OverrideState, now: Millis) {
         let Some(step) = state.clock_steps.check(now, (self.wall_clock)()) else {
             return;
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -50,11 +50,11 @@
             restore_contents(Box::new(store), contents, config, clock.now() / 1_000_000)
         }
         Err(error) => {
-            let what = match &error {
+            let state = match &error {
                 OpenError::Newer { .. } | OpenError::InUse => "is left unchanged",
                 OpenError::System(_) => "can't be opened",
             };
-            let note = format!("the store {} {what}: {error}", file.display());
+            let note = format!("the store {} {state}: {error}", file.display());
             error!(
                 part = "overrides",
                 why = note,
@@ -139,8 +139,8 @@
     notes
 }
 
-/// Moves the creation and removal times of an override to now if they are in the future, and bounds its
-/// expiry; returns a note if the expiry was shortened.
+/// Moves the creation and removal times of an override to now if they are in the future, and bounds
+/// its expiry; returns a note if the expiry was shortened.
 fn bound_times(record: &mut Override, now: Millis) -> Option<String> {
     let (expires_at, cut) = bounded_expiry(record, now);
     (record.created_at, record.expires_at) = (record.created_at.min(now), expires_at);
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// Fronts, with their zones, that a new override would leave without a ready server. Existing gaps are
-/// not included.
+/// Fronts, with their zones, that a new override would leave without a ready server. Existing gaps
+/// are not included.
 pub(super) fn fronts_left_empty(
     set: &mut OverrideSet,
     record: &Override,
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,5 +1,5 @@
-//! Configuration reload on SIGHUP: the file is read again, and fields that can change at runtime are
-//! applied.
+//! Configuration reload on SIGHUP: the file is read again, and fields that can change at runtime
+//! are applied.
 //!
 //! Established connections are not affected. An invalid file changes nothing.
 
@@ -140,8 +140,8 @@
         let new_settings = new_config.settings.with_discovery_of(&config.settings);
         if new_settings != config.settings {
             let active_settings = Arc::new(settings.current().replaced_with(new_settings.clone()));
-            // The core is updated first, so that it knows every class before a request of that class
-            // arrives.
+            // The core is updated first, so that it knows every class before a request of that
+            // class arrives.
             core.send(CoreInput::SettingsReplaced(Arc::clone(&active_settings)));
             settings.replace(active_settings);
             changes.applied.push(format!(
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -9,8 +9,8 @@
 use tracing::{error, info};
 
 /// Handles signals until the iterator ends. SIGHUP reloads the configuration, unless the program is
-/// shutting down; every other signal shuts it down. A panic in a reload is logged, and later signals
-/// are still handled.
+/// shutting down; every other signal shuts it down. A panic in a reload is logged, and later
+/// signals are still handled.
 pub fn handle(
     signals: impl IntoIterator<Item = i32>,
     mut reload: impl FnMut(),
--- a/crates/cli/benches/effect.rs
+++ b/crates/cli/benches/effect.rs
@@ -13,7 +13,7 @@
 
 fn main() {
     // Cargo also runs benchmarks as tests; this one takes too long for that.
-    if !std::env::args().any(|word| word == "--bench") {
+    if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
     let folder = tempfile::tempdir().expect("create a temporary directory");
--- a/crates/cli/benches/floods.rs
+++ b/crates/cli/benches/floods.rs
@@ -17,8 +17,9 @@
 /// Number of rounds with and of rounds without the flood, and the duration of each.
 const ROUNDS_PER_KIND: usize = 4;
 const ROUND_DURATION: Duration = Duration::from_secs(10);
-/// Clients that come back at once, on each front, a round trip of [`RECONNECT_DELAY`] after each answer. A NATS client's password
-/// is hashed at each opening, which bounds the openings that front takes in a second; its quiet account asks for less.
+/// Flooding clients on each front. Each one reconnects a round trip of [`RECONNECT_DELAY`] after each answer. A NATS
+/// client's password is hashed at each connection, which bounds that front's rate of connections; its quiet account
+/// therefore connects less often.
 const FLOOD_CLIENTS: [usize; 2] = [200, 50];
 const RECONNECT_DELAY: Duration = Duration::from_millis(25);
 const QUIET_CLIENTS_PER_S: [f64; 2] = [40.0, 4.0];
@@ -27,11 +28,11 @@
 
 fn main() {
     // Cargo also runs benchmarks as tests; this one takes too long for that.
-    if !std::env::args().any(|word| word == "--bench") {
+    if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
     // Both fronts, or the one that is named after `--`.
-    let named = |front: &str| std::env::args().any(|word| word == front);
+    let named = |front: &str| std::env::args().any(|arg| arg == front);
     for (wire, index, front) in [(Wire::Platform, 0, "platform"), (Wire::Nats, 1, "nats")] {
         if named(front) || !named("platform") && !named("nats") {
             measure(wire, index, front);
--- a/crates/cli/benches/start.rs
+++ b/crates/cli/benches/start.rs
@@ -16,7 +16,7 @@
 
 fn main() {
     // Cargo also runs benchmarks as tests; this one measures the release build.
-    if !std::env::args().any(|word| word == "--bench") {
+    if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
     let own = env!("CARGO_BIN_EXE_beaconflow").to_owned();
@@ -94,13 +94,13 @@
     let proc_path = |path: &str| format!("/proc/{}/{path}", child.id());
     let status = std::fs::read_to_string(proc_path("status")).expect("the process is running");
     let figure = |name: &str| {
-        let row = status
+        let line = status
             .lines()
             .find(|line| line.starts_with(name))
             .expect("field of /proc/PID/status");
-        row.split_whitespace()
+        line.split_whitespace()
             .nth(1)
-            .and_then(|word| word.parse().ok())
+            .and_then(|value| value.parse().ok())
             .expect("the value is a number")
     };
     let descriptors = std::fs::read_dir(proc_path("fd"))
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -158,7 +158,7 @@
                 side["weight"].as_f64().unwrap_or(0.0)
             )
         };
-        let why: Vec<String> = server["why"]
+        let reasons: Vec<String> = server["why"]
             .as_array()
             .into_iter()
             .flatten()
@@ -172,7 +172,7 @@
             display_text(&server["standing"]),
             side(&server["listed"]),
             side(&server["effective"]),
-            why.join("; "),
+            reasons.join("; "),
         ]);
     }
     let warnings = answer["warnings"].as_array().into_iter().flatten();
