--- a/crates/balancer/src/admin/mod.rs
+++ b/crates/balancer/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The administration API: HTTP and JSON on a loopback listener of its own, with a bearer token.
+//! The administration API: JSON over HTTP on a separate loopback listener, with a bearer token.
 
 mod admission;
 mod overrides;
@@ -22,16 +22,17 @@
 use crate::net;
 use crate::overrides::{NamedCore, OverrideManager};
 
-/// Most requests at once.
+/// Maximum number of concurrent requests.
 const MAX_REQUESTS: usize = 16;
 
-/// The administration API.
+/// The administration API with its resources.
 pub struct Admin {
     cores: Vec<NamedCore>,
     overrides: Arc<OverrideManager>,
-    /// The tenants of the NATS front and their classes, where that front runs.
+    /// The tenants of the NATS front, and the settings that define their classes; absent without
+    /// that front.
     tenants: Option<(Arc<Tenants>, Arc<SiteSettings>)>,
-    /// The fleet thread, where a fleet is configured.
+    /// The fleet thread, if a fleet is configured.
     fleet: Option<FleetHandle>,
     /// Digest of the token, so that a comparison takes the same time whatever is sent.
     token: [u8; 32],
@@ -39,7 +40,7 @@
 }
 
 impl Admin {
-    /// Creates an API over these cores, overrides, tenants and fleet.
+    /// Creates an API for these cores, overrides, tenants and fleet. `token` is the bearer token.
     pub fn new(
         cores: Vec<NamedCore>,
         overrides: Arc<OverrideManager>,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Serves requests until the program ends, each on a thread of its own.
+    /// Serves requests until the process ends, each on its own thread.
     pub fn listen(self: &Arc<Self>, listener: &TcpListener) {
         loop {
             let client = match listener.accept() {
@@ -68,26 +69,25 @@
                     continue;
                 }
             };
-            let before = self.requests.fetch_add(1, Ordering::Relaxed);
+            let active_requests = self.requests.fetch_add(1, Ordering::Relaxed);
             let admin = Arc::clone(self);
-            let run = move || {
-                let reply = if before < MAX_REQUESTS {
-                    // A panic in one request must not use up its place for good.
-                    catch_unwind(AssertUnwindSafe(|| admin.serve(&client))).unwrap_or_else(|_| {
-                        Some(Reply::error(500, "a fault was met; it is in the log"))
-                    })
+            let handle = move || {
+                let reply = if active_requests < MAX_REQUESTS {
+                    // A panic must not leave the request counted as active.
+                    catch_unwind(AssertUnwindSafe(|| admin.serve(&client)))
+                        .unwrap_or_else(|_| Some(Reply::error(500, "internal error; see the log")))
                 } else {
-                    Some(Reply::error(503, "too many requests at once"))
+                    Some(Reply::error(503, "too many concurrent requests"))
                 };
                 if let Some(reply) = reply {
                     http::write(&client, &reply);
                 }
                 admin.requests.fetch_sub(1, Ordering::Relaxed);
             };
-            // The standard stack: hashing a password needs more than a connection's.
+            // The default stack size: hashing a password needs more than a connection's stack.
             if std::thread::Builder::new()
                 .name("admin".into())
-                .spawn(run)
+                .spawn(handle)
                 .is_err()
             {
                 self.requests.fetch_sub(1, Ordering::Relaxed);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Serves one request; `None` if the peer left without one.
+    /// Serves one request; `None` if the client disconnected before it was complete.
     fn serve(&self, client: &TcpStream) -> Option<Reply> {
         net::configure_stream(client).ok()?;
         match http::read(client) {
@@ -106,62 +106,62 @@
     }
 
     fn answer(&self, request: &Request) -> Reply {
-        let known = request.token.as_deref().map(digest) == Some(self.token);
-        if !known {
-            return Reply::error(401, "a bearer token is needed");
+        let is_authorized = request.token.as_deref().map(digest) == Some(self.token);
+        if !is_authorized {
+            return Reply::error(401, "a valid bearer token is required");
         }
         let path = request.path.split('?').next().unwrap_or_default();
         let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        let Some(call) = Call::of(&path) else {
+        let Some(resource) = Resource::parse(&path) else {
             return Reply::error(404, "no such path");
         };
-        let reply = match (call, request.method.as_str()) {
-            (Call::Tenants, "GET") => self.tenants().and_then(tenants::list),
-            (Call::Tenants, "POST") => self
+        let reply = match (resource, request.method.as_str()) {
+            (Resource::Tenants, "GET") => self.tenants().and_then(tenants::list),
+            (Resource::Tenants, "POST") => self
                 .tenants()
-                .and_then(|here| tenants::create(here, &request.body)),
-            (Call::Tenant(name), "GET") => {
-                self.tenants().and_then(|here| tenants::read(here, name))
-            }
-            (Call::Tenant(name), "PATCH") => self
+                .and_then(|context| tenants::create(context, &request.body)),
+            (Resource::Tenant(name), "GET") => self
                 .tenants()
-                .and_then(|here| tenants::change(here, name, &request.body)),
-            (Call::Tenant(name), "DELETE") => {
-                self.tenants().and_then(|here| tenants::remove(here, name))
-            }
-            (Call::Credentials(name), "PUT") => self
+                .and_then(|context| tenants::read(context, name)),
+            (Resource::Tenant(name), "PATCH") => self
+                .tenants()
+                .and_then(|context| tenants::change(context, name, &request.body)),
+            (Resource::Tenant(name), "DELETE") => self
+                .tenants()
+                .and_then(|context| tenants::remove(context, name)),
+            (Resource::Credentials(name), "PUT") => self
                 .tenants()
-                .and_then(|here| tenants::rotate(here, name, &request.body)),
-            (Call::Overrides, "GET") => Ok(overrides::list(&self.overrides)),
-            (Call::Overrides, "POST") => overrides::add(&self.overrides, request),
-            (Call::Override(id), "GET") => overrides::read(&self.overrides, id),
-            (Call::Override(id), "PATCH") => overrides::extend(&self.overrides, id, request),
-            (Call::Override(id), "DELETE") => overrides::remove(&self.overrides, id, request),
-            (Call::Counts, "GET") => servers::counts(
+                .and_then(|context| tenants::rotate(context, name, &request.body)),
+            (Resource::Overrides, "GET") => Ok(overrides::list(&self.overrides)),
+            (Resource::Overrides, "POST") => overrides::add(&self.overrides, request),
+            (Resource::Override(id), "GET") => overrides::read(&self.overrides, id),
+            (Resource::Override(id), "PATCH") => overrides::extend(&self.overrides, id, request),
+            (Resource::Override(id), "DELETE") => overrides::remove(&self.overrides, id, request),
+            (Resource::Counts, "GET") => servers::counts(
                 &self.cores,
                 self.tenants.as_ref().map(|(tenants, _)| tenants),
             ),
-            (Call::Admission, "GET") => admission::read(&self.cores),
-            (Call::Servers, "GET") => {
+            (Resource::Admission, "GET") => admission::read(&self.cores),
+            (Resource::Servers, "GET") => {
                 servers::list(&self.cores, &self.overrides, self.fleet.as_ref())
             }
-            (call, _) => {
-                Err(Reply::error(405, "no such method here").with("Allow", call.methods()))
+            (resource, _) => {
+                Err(Reply::error(405, "method not allowed").with("Allow", resource.methods()))
             }
         };
-        reply.unwrap_or_else(|refused| refused)
+        reply.unwrap_or_else(|error_reply| error_reply)
     }
 
     fn tenants(&self) -> Result<&(Arc<Tenants>, Arc<SiteSettings>), Reply> {
         self.tenants
             .as_ref()
-            .ok_or_else(|| Reply::error(404, "no front with tenants runs here"))
+            .ok_or_else(|| Reply::error(404, "no front with tenants is configured"))
     }
 }
 
-/// The resource that a path names.
+/// The resource that a request's path identifies.
 #[derive(Clone, Copy)]
-enum Call<'a> {
+enum Resource<'a> {
     Tenants,
     Tenant(&'a str),
     Credentials(&'a str),
@@ -172,27 +172,27 @@
     Servers,
 }
 
-impl<'a> Call<'a> {
-    fn of(path: &[&'a str]) -> Option<Call<'a>> {
+impl<'a> Resource<'a> {
+    fn parse(path: &[&'a str]) -> Option<Resource<'a>> {
         match path {
-            ["v1", "tenants"] => Some(Call::Tenants),
-            ["v1", "tenants", name] => Some(Call::Tenant(name)),
-            ["v1", "tenants", name, "credentials"] => Some(Call::Credentials(name)),
-            ["v1", "overrides"] => Some(Call::Overrides),
-            ["v1", "overrides", id] => Some(Call::Override(id)),
-            ["v1", "counts"] => Some(Call::Counts),
-            ["v1", "admission"] => Some(Call::Admission),
-            ["v1", "farm"] => Some(Call::Servers),
+            ["v1", "tenants"] => Some(Resource::Tenants),
+            ["v1", "tenants", name] => Some(Resource::Tenant(name)),
+            ["v1", "tenants", name, "credentials"] => Some(Resource::Credentials(name)),
+            ["v1", "overrides"] => Some(Resource::Overrides),
+            ["v1", "overrides", id] => Some(Resource::Override(id)),
+            ["v1", "counts"] => Some(Resource::Counts),
+            ["v1", "admission"] => Some(Resource::Admission),
+            ["v1", "farm"] => Some(Resource::Servers),
             _ => None,
         }
     }
 
     fn methods(self) -> &'static str {
         match self {
-            Call::Tenants | Call::Overrides => "GET, POST",
-            Call::Tenant(_) | Call::Override(_) => "GET, PATCH, DELETE",
-            Call::Credentials(_) => "PUT",
-            Call::Counts | Call::Admission | Call::Servers => "GET",
+            Resource::Tenants | Resource::Overrides => "GET, POST",
+            Resource::Tenant(_) | Resource::Override(_) => "GET, PATCH, DELETE",
+            Resource::Credentials(_) => "PUT",
+            Resource::Counts | Resource::Admission | Resource::Servers => "GET",
         }
     }
 }
@@ -203,12 +203,12 @@
 
 fn parse<'b, T: Deserialize<'b>>(body: &'b [u8]) -> Result<T, Reply> {
     serde_json::from_slice(body).map_err(|error| {
-        // The position of the error without its text, which may be a secret.
+        // Only the position is reported: the error's text may contain a secret.
         let status = if error.is_data() { 422 } else { 400 };
         Reply::error(
             status,
             format!(
-                "not the JSON wanted here, at line {} column {}",
+                "invalid JSON body at line {} column {}",
                 error.line(),
                 error.column()
             ),
--- a/crates/balancer/src/admin/servers.rs
+++ b/crates/balancer/src/admin/servers.rs
@@ -1,4 +1,4 @@
-//! The server list and the counts, over the administration API.
+//! Administration API: the server list and the counters.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     core.snapshot().ok_or_else(|| no_answer(front))
 }
 
-/// The counters, by front.
+/// The counters of each front, and of tenants if there are any.
 pub(super) fn counts(cores: &[NamedCore], tenants: Option<&Arc<Tenants>>) -> Result<Reply, Reply> {
     let mut fronts = serde_json::Map::new();
     for core @ (front, _) in cores {
@@ -44,7 +44,7 @@
     Ok(Reply::new(200, body))
 }
 
-/// Every listed server, as listed and as the policy sees it, and why the two differ.
+/// All servers with their listed and their effective state, and why the two differ.
 pub(super) fn list(
     cores: &[NamedCore],
     override_manager: &OverrideManager,
@@ -52,11 +52,11 @@
 ) -> Result<Reply, Reply> {
     let overrides = override_manager.list();
     let mut by_server: HashMap<&str, Vec<&OverrideView>> = HashMap::new();
-    for shown in &overrides {
+    for view in &overrides {
         by_server
-            .entry(shown.record.kind.server())
+            .entry(view.record.kind.server())
             .or_default()
-            .push(shown);
+            .push(view);
     }
     let (mut servers, mut warnings) = (Vec::new(), Vec::new());
     for core @ (front, _) in cores {
@@ -66,14 +66,14 @@
         }
         if snapshot.has_lost_overrides {
             warnings.push(format!(
-                "{front}: a fault in the overrides was met; none hold there until a restart"
+                "{front}: an internal error disabled all overrides until a restart"
             ));
         }
         servers.extend(
             snapshot
                 .servers
                 .iter()
-                .map(|server| row(front, server, by_server.get(server.name.as_str()))),
+                .map(|server| server_json(front, server, by_server.get(server.name.as_str()))),
         );
     }
     let mut body = json!({ "servers": servers, "warnings": warnings });
@@ -83,7 +83,7 @@
     Ok(Reply::new(200, body))
 }
 
-/// The state that this process shares with its peers.
+/// The fleet as this process sees it.
 fn fleet_status(status: &fleet::FleetStatus) -> Value {
     let (processes, size) = status.processes;
     json!({
@@ -94,67 +94,73 @@
     })
 }
 
-/// A server as listed and as the policy sees it.
-fn row(front: &str, server: &ServerSnapshot, overrides: Option<&Vec<&OverrideView>>) -> Value {
-    let side = |state: ServerState, weight: f64| json!({ "state": name(state), "weight": weight });
+/// A server with its listed and its effective state.
+fn server_json(
+    front: &str,
+    server: &ServerSnapshot,
+    overrides: Option<&Vec<&OverrideView>>,
+) -> Value {
+    let state_and_weight =
+        |state: ServerState, weight: f64| json!({ "state": state_name(state), "weight": weight });
     json!({
         "front": front, "name": server.name, "address": server.address.to_string(), "zone": server.zone,
         "standing": server.established, "leaving": server.state.1 != ServerState::Ready,
-        "listed": side(server.state.0, server.weight.0), "effective": side(server.state.1, server.weight.1),
-        "why": why_they_differ(front, server, overrides),
+        "listed": state_and_weight(server.state.0, server.weight.0), "effective": state_and_weight(server.state.1, server.weight.1),
+        "why": difference_reasons(front, server, overrides),
     })
 }
 
-/// Why a server differs from its listed state: overrides, the site's evidence, or the ramp after
-/// one of them.
-fn why_they_differ(
+/// Reasons why a server's effective state differs from the listed one: overrides, the site's
+/// evidence, or the ramp after one of them.
+fn difference_reasons(
     front: &str,
     server: &ServerSnapshot,
     overrides: Option<&Vec<&OverrideView>>,
 ) -> Vec<String> {
-    let holds = |shown: &&OverrideView| {
-        let effect = shown.effects.iter().find(|(at, _)| *at == front);
+    let is_in_effect = |view: &&OverrideView| {
+        let effect = view.effects.iter().find(|(at, _)| *at == front);
         effect.is_some_and(|(_, effect)| *effect == Effect::InEffect)
     };
-    let words = |shown: &OverrideView| {
-        let (one, left) = (&shown.record, shown.remaining_ms / 1_000);
+    let describe = |view: &OverrideView| {
+        let (record, remaining_s) = (&view.record, view.remaining_ms / 1_000);
         format!(
-            "override {} ({}, {left} s left): {}",
-            one.id,
-            one.kind.name(),
-            one.why
+            "override {} ({}, {remaining_s} s left): {}",
+            record.id,
+            record.kind.name(),
+            record.why
         )
     };
-    let mut why: Vec<String> = overrides
+    let mut reasons: Vec<String> = overrides
         .into_iter()
         .flatten()
         .copied()
-        .filter(holds)
-        .map(words)
+        .filter(is_in_effect)
+        .map(describe)
         .collect();
     if let Some(site) = &server.assessment {
-        let passed = site
+        let skipped = site
             .skip_reason
             .as_ref()
-            .map(|why| format!("passed over by this site's evidence: {why}"));
-        let rises = || {
+            .map(|why| format!("skipped based on this site's evidence: {why}"));
+        let reduced = || {
             format!(
-                "{:.0}% of its weight by this site's evidence",
+                "{:.0}% of its weight based on this site's evidence",
                 site.weight_factor * 100.0
             )
         };
-        why.extend(passed.or_else(|| (site.weight_factor < 1.0).then(rises)));
-        why.extend(
-            (site.restarted_at > 0).then(|| "started anew while the uplink was lost".to_owned()),
+        reasons.extend(skipped.or_else(|| (site.weight_factor < 1.0).then(reduced)));
+        reasons.extend(
+            (site.restarted_at > 0).then(|| "restarted while the uplink was lost".to_owned()),
         );
     }
-    if why.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1 {
-        why.push("its weight is on its way back after an override".into());
+    if reasons.is_empty() && server.state.0 == server.state.1 && server.weight.0 != server.weight.1
+    {
+        reasons.push("its weight is ramping up after an override".into());
     }
-    why
+    reasons
 }
 
-fn name(state: ServerState) -> &'static str {
+fn state_name(state: ServerState) -> &'static str {
     match state {
         ServerState::Ready => "ready",
         ServerState::OutOfService => "out",
--- a/crates/balancer/src/admin/tenants.rs
+++ b/crates/balancer/src/admin/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of the NATS front, over the administration API.
+//! Administration API: tenants of the NATS front.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,29 +14,29 @@
 };
 use crate::http::Reply;
 
-/// Allowed lengths of a password.
+/// Allowed lengths of a password, in bytes.
 const PASSWORD_LENGTHS: std::ops::RangeInclusive<usize> = 12..=256;
 
-/// Allowed values of a share.
+/// Allowed values of a tenant's share.
 const SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e6;
 
-/// The tenants, and the settings that their classes refer to.
-type Here = (Arc<Tenants>, Arc<SiteSettings>);
+/// The tenants, and the settings that define their classes.
+type TenantContext = (Arc<Tenants>, Arc<SiteSettings>);
 
 impl From<StoreError> for Reply {
     fn from(error: StoreError) -> Reply {
         match error {
-            StoreError::Unavailable => Reply::error(503, "the store is away"),
-            StoreError::WritesRefused => Reply::error(503, "the store takes no writing"),
-            StoreError::Exists => Reply::error(409, "there is such a tenant"),
-            StoreError::Missing => Reply::error(404, "there is no such tenant"),
+            StoreError::Unavailable => Reply::error(503, "the tenant store is unavailable"),
+            StoreError::WritesRefused => Reply::error(503, "the tenant store rejects writes"),
+            StoreError::Exists => Reply::error(409, "a tenant of this name exists"),
+            StoreError::Missing => Reply::error(404, "no tenant has this name"),
         }
     }
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Create {
+struct CreateTenant {
     name: String,
     password: String,
     class: String,
@@ -48,7 +48,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Change {
+struct TenantPatch {
     class: Option<String>,
     connections: Option<usize>,
     share: Option<f64>,
@@ -57,12 +57,12 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Credentials {
+struct PasswordChange {
     password: String,
 }
 
-/// All tenants.
-pub(super) fn list((tenants, _): &Here) -> Result<Reply, Reply> {
+/// Lists all tenants.
+pub(super) fn list((tenants, _): &TenantContext) -> Result<Reply, Reply> {
     let open = tenants.open_connections();
     let all: Vec<Value> = tenants
         .list()?
@@ -72,8 +72,8 @@
     Ok(Reply::new(200, json!({ "tenants": all })))
 }
 
-/// One tenant.
-pub(super) fn read((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
+/// Reads one tenant.
+pub(super) fn read((tenants, _): &TenantContext, name: &str) -> Result<Reply, Reply> {
     Ok(Reply::new(
         200,
         tenant_json(&*tenants.get(name)?, &tenants.open_connections()),
@@ -81,31 +81,31 @@
 }
 
 /// Creates a tenant.
-pub(super) fn create((tenants, setup): &Here, body: &[u8]) -> Result<Reply, Reply> {
-    let asked: Create = parse(body)?;
-    if !is_name(&asked.name) {
+pub(super) fn create((tenants, settings): &TenantContext, body: &[u8]) -> Result<Reply, Reply> {
+    let request: CreateTenant = parse(body)?;
+    if !is_name(&request.name) {
         return Err(Reply::error(
             422,
-            "name: 1 to 64 letters, digits, '-' or '_'",
+            "name: must be 1 to 64 letters, digits, '-' or '_'",
         ));
     }
     check(
-        setup,
-        Some(&asked.class),
-        Some(asked.connections),
-        Some(asked.share),
-        Some(&asked.upstream),
+        settings,
+        Some(&request.class),
+        Some(request.connections),
+        Some(request.share),
+        Some(&request.upstream),
     )?;
-    let secret = hashed(&asked.password)?;
-    let Create {
+    let secret = hash_password(&request.password)?;
+    let CreateTenant {
         name,
         class,
         connections,
         share,
         upstream,
         ..
-    } = asked;
-    let made = tenants.create(Tenant {
+    } = request;
+    let tenant = tenants.create(Tenant {
         name,
         secret,
         class,
@@ -114,20 +114,24 @@
         upstream,
         rest: Default::default(),
     })?;
-    info!(part = "audit", tenant = made.name, "tenant created");
-    Ok(Reply::new(201, tenant_json(&made, &BTreeMap::new())))
+    info!(part = "audit", tenant = tenant.name, "tenant created");
+    Ok(Reply::new(201, tenant_json(&tenant, &BTreeMap::new())))
 }
 
-/// Changes the given fields of a tenant.
-pub(super) fn change((tenants, setup): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
-    let Change {
+/// Changes the given fields of a tenant and keeps the others.
+pub(super) fn change(
+    (tenants, settings): &TenantContext,
+    name: &str,
+    body: &[u8],
+) -> Result<Reply, Reply> {
+    let TenantPatch {
         class,
         connections,
         share,
         upstream,
     } = parse(body)?;
     check(
-        setup,
+        settings,
         class.as_deref(),
         connections,
         share,
@@ -147,51 +151,58 @@
 }
 
 /// Removes a tenant.
-pub(super) fn remove((tenants, _): &Here, name: &str) -> Result<Reply, Reply> {
+pub(super) fn remove((tenants, _): &TenantContext, name: &str) -> Result<Reply, Reply> {
     tenants.remove(name)?;
     info!(part = "audit", tenant = name, "tenant removed");
     Ok(Reply::new(204, Value::Null))
 }
 
 /// Replaces a tenant's password.
-pub(super) fn rotate((tenants, _): &Here, name: &str, body: &[u8]) -> Result<Reply, Reply> {
-    let asked: Credentials = parse(body)?;
-    let secret = hashed(&asked.password)?;
+pub(super) fn rotate(
+    (tenants, _): &TenantContext,
+    name: &str,
+    body: &[u8],
+) -> Result<Reply, Reply> {
+    let request: PasswordChange = parse(body)?;
+    let secret = hash_password(&request.password)?;
     tenants.change(name, |tenant| tenant.secret = secret)?;
     info!(part = "audit", tenant = name, "credentials rotated");
     Ok(Reply::new(204, Value::Null))
 }
 
 fn check(
-    setup: &SiteSettings,
+    settings: &SiteSettings,
     class: Option<&str>,
     connections: Option<usize>,
     share: Option<f64>,
     upstream: Option<&Identity>,
 ) -> Result<(), Reply> {
-    if class.is_some_and(|class| setup.class(class).is_none()) {
-        return Err(Reply::error(422, "class: not in the settings"));
+    if class.is_some_and(|class| settings.class(class).is_none()) {
+        return Err(Reply::error(422, "class: not defined in the settings"));
     }
     if share.is_some_and(|share| !SHARE_RANGE.contains(&share)) {
-        return Err(Reply::error(422, "share: from 0.001 to 1000000"));
+        return Err(Reply::error(422, "share: must be from 0.001 to 1000000"));
     }
     if connections == Some(0) {
-        return Err(Reply::error(422, "connections: at least 1"));
+        return Err(Reply::error(422, "connections: must be at least 1"));
     }
     if upstream.is_some_and(|identity| identity.user.len() > 256 || identity.password.len() > 256) {
-        return Err(Reply::error(422, "upstream: 256 bytes at most"));
+        return Err(Reply::error(
+            422,
+            "upstream: user and password must be at most 256 bytes each",
+        ));
     }
     Ok(())
 }
 
-fn hashed(password: &str) -> Result<String, Reply> {
+fn hash_password(password: &str) -> Result<String, Reply> {
     if !PASSWORD_LENGTHS.contains(&password.len()) {
-        return Err(Reply::error(422, "password: 12 to 256 bytes"));
+        return Err(Reply::error(422, "password: must be 12 to 256 bytes"));
     }
     hash(password).map_err(|_| Reply::error(500, "the password could not be hashed"))
 }
 
-/// A tenant without its secrets.
+/// A tenant in the API's format, without its secrets.
 fn tenant_json(tenant: &Tenant, open: &BTreeMap<String, usize>) -> Value {
     json!({
         "name": tenant.name, "class": tenant.class, "connections": tenant.connections,
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -1,6 +1,6 @@
-//! The log: one event a line on standard error, as text or as JSON, with stable field names.
-//! Every event has a `part` and a constant message; what varies is in its fields. As text a line is
-//! `unix-seconds level part message field=value ...`.
+//! Logging: one event per line on standard error, as text or as JSON, with stable field names.
+//! Every event has a `part` and a constant message; variable data is in its fields. The text format
+//! is `unix-seconds level part message field=value ...`.
 
 use std::fmt::{self, Debug, Display, Write as _};
 use std::io::Write as _;
@@ -13,42 +13,43 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt as _};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Format of the log's lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text.
+    /// Space-separated `field=value` pairs.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts the log; later calls have no effect.
-pub fn start(form: LogFormat) {
-    let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|word| word == "debug") {
+/// Installs the global logger; later calls have no effect. `BEACONFLOW_LOG=debug` enables debug
+/// events.
+pub fn start(format: LogFormat) {
+    let max_level = if std::env::var("BEACONFLOW_LOG").is_ok_and(|value| value == "debug") {
         Level::DEBUG
     } else {
         Level::INFO
     };
-    let lines = tracing_subscriber::registry().with(LogLayer { form, max_level });
-    let _ = tracing::subscriber::set_global_default(lines);
+    let subscriber = tracing_subscriber::registry().with(LogLayer { format, max_level });
+    let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-/// Writes events of the program's own crates as lines.
+/// Writes events of this project's crates, one line each.
 struct LogLayer {
-    form: LogFormat,
-    /// Most verbose level that is written; `debug` follows each request.
+    format: LogFormat,
+    /// Most verbose level that is written. `debug` logs every request.
     max_level: Level,
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for LogLayer {
-    fn enabled(&self, about: &tracing::Metadata<'_>, _: Context<'_, S>) -> bool {
-        *about.level() <= self.max_level && about.target().starts_with("beaconflow")
+    fn enabled(&self, metadata: &tracing::Metadata<'_>, _: Context<'_, S>) -> bool {
+        *metadata.level() <= self.max_level && metadata.target().starts_with("beaconflow")
     }
 
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let mut told = LogRecord::default();
-        event.record(&mut told);
+        let mut record = LogRecord::default();
+        event.record(&mut record);
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -58,17 +59,17 @@
             Level::DEBUG => "debug",
             _ => "info",
         };
-        let mut text = match self.form {
-            LogFormat::Text => told.text(now, level),
-            LogFormat::Json => told.json(now, level),
+        let mut text = match self.format {
+            LogFormat::Text => record.text(now, level),
+            LogFormat::Json => record.json(now, level),
         };
         text.push('\n');
-        // A closed standard error must not stop the program.
+        // A closed standard error must not stop the process.
         let _ = std::io::stderr().write_all(text.as_bytes());
     }
 }
 
-/// The fields of an event, in order.
+/// The fields of an event, in the order in which they were recorded.
 #[derive(Default)]
 struct LogRecord {
     part: String,
@@ -98,7 +99,7 @@
             self.message
         );
         for (name, value) in &self.fields {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = match value {
                 Value::String(text) if is_plain(text) => write!(line, " {name}={text}"),
                 value => write!(line, " {name}={value}"),
@@ -127,12 +128,13 @@
     }
 }
 
-/// Whether a text needs no quotes: it is not empty and has no space, quote or control character.
+/// Whether a value can be written without quotes: it is not empty and has no whitespace, quote or
+/// control character.
 fn is_plain(text: &str) -> bool {
     !text.is_empty()
-        && !text
-            .chars()
-            .any(|letter| letter.is_whitespace() || letter.is_control() || letter == '"')
+        && !text.chars().any(|character| {
+            character.is_whitespace() || character.is_control() || character == '"'
+        })
 }
 
 impl Visit for LogRecord {
@@ -161,10 +163,11 @@
     }
 }
 
-/// Most lines of one kind per second; the rest is counted. Clients could otherwise fill the log.
+/// Maximum number of lines per second of one rate-limited log; further events are only counted.
+/// Clients could otherwise fill the log.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// A log of events that clients can cause at will.
+/// A rate-limited log for events that clients can trigger at will.
 #[derive(Default)]
 pub struct RateLimitedLog(Mutex<RateWindow>);
 
@@ -176,33 +179,34 @@
 }
 
 impl RateLimitedLog {
-    /// Writes a warning, or counts it.
+    /// Writes a warning, or counts it as suppressed once the limit of this second is reached.
     pub fn warn(&self, part: &str, message: &'static str, why: &dyn Display) {
         self.flush(part);
-        let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if spell.written < MAX_LINES_PER_SECOND {
-            spell.written += 1;
+        let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if window.written < MAX_LINES_PER_SECOND {
+            window.written += 1;
             warn!(part, why = %why, "{message}");
         } else {
-            spell.suppressed += 1;
+            window.suppressed += 1;
         }
     }
 
-    /// Starts a new second once one is over, and logs how many lines were left out.
+    /// Starts a new window when the current second is over, and logs how many warnings it
+    /// suppressed.
     pub fn flush(&self, part: &str) {
-        let mut spell = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if spell
+        let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if window
             .started_at
-            .is_none_or(|begun| begun.elapsed() >= Duration::from_secs(1))
+            .is_none_or(|started_at| started_at.elapsed() >= Duration::from_secs(1))
         {
-            if spell.suppressed > 0 {
+            if window.suppressed > 0 {
                 warn!(
                     part,
-                    left_out = spell.suppressed,
-                    "more like these left out"
+                    left_out = window.suppressed,
+                    "further messages of this kind suppressed"
                 );
             }
-            *spell = RateWindow {
+            *window = RateWindow {
                 started_at: Some(Instant::now()),
                 ..RateWindow::default()
             };
--- a/crates/balancer/src/operations.rs
+++ b/crates/balancer/src/operations.rs
@@ -1,7 +1,8 @@
-//! The operations port: status, standby and service, over HTTP. See `docs/operations.md`.
+//! The operations port: status, and entering and leaving standby, over HTTP. See
+//! `docs/operations.md`.
 //!
-//! One thread with one non-blocking loop: a caller is answered within a second whatever the load,
-//! beside callers that send nothing. Its resources are reserved at the start.
+//! A single thread runs a non-blocking event loop. A caller is answered within a second under any
+//! load, even if other callers send nothing. Its resources are reserved at the start.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -19,24 +20,26 @@
 use crate::net::{self, Listener, ReadError, WriteBuffer};
 use crate::poller::{EventFlags, Poller, Waker};
 
-/// Most callers; the one that has been silent longest is evicted for the next.
+/// Maximum number of callers. A further caller evicts the one that has been silent longest.
 const MAX_CALLERS: usize = 16;
-/// Descriptors of the port: its callers, its listener and its poller's two.
+/// File descriptors of the port: its callers, its listener and the two of its poller.
 pub const DESCRIPTORS: usize = MAX_CALLERS + 3;
-/// Longest head and longest body of a request.
-const LONGEST: (usize, usize) = (4 * 1024, 1024);
-/// Time for a caller to send its request.
+/// Maximum sizes of the head and of the body of a request.
+const MAX_REQUEST_BYTES: (usize, usize) = (4 * 1024, 1024);
+/// Timeout for receiving a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the cores to apply a command. A caller is owed an answer within 1 s.
+/// Timeout for the cores to apply a command. It is below the 1 s within which every caller is
+/// answered.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for which an answered caller is read, so that no reset destroys its answer.
+/// Time for which input of an answered caller is still read. Closing with unread input would send a
+/// reset, which can destroy the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Interval of timeout checks while there are callers.
+/// Interval of timeout checks while callers are connected.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Token of the listener; callers have tokens from 1.
+/// Poll token of the listener; callers have tokens from 1.
 const LISTENER_TOKEN: u64 = 0;
 
-/// The operations port.
+/// The operations port, with its event loop.
 pub struct Operations {
     listener: TcpListener,
     poller: Poller,
@@ -46,7 +49,7 @@
     results: (Sender<CommandResult>, Receiver<CommandResult>),
 }
 
-/// The result of a command, for the caller with this id.
+/// The id of a caller, and the result of its command.
 type CommandResult = (u64, Result<LifecycleState, CommandRefusedError>);
 
 struct Caller {
@@ -54,30 +57,30 @@
     stream: TcpStream,
     request: RequestReader,
     outgoing: WriteBuffer,
-    /// When it last sent something.
+    /// When input was last received.
     last_read_at: Instant,
     state: CallerState,
-    /// The events it is polled for.
+    /// The events for which the stream is registered.
     interest: EventFlags,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallerState {
-    /// It has been answered and is read until then.
+    /// The answer has been queued; input is discarded until the deadline.
     Answered(Instant),
-    /// Its request is incomplete and expires then.
+    /// The request is incomplete and times out at the deadline.
     Reading(Instant),
-    /// The cores apply its command until then.
+    /// The cores are applying the command; it times out at the deadline.
     AwaitingCores(Instant),
-    /// It is closed.
+    /// To be closed.
     Closed,
 }
 
-/// Creates the port over all cores of the program.
+/// Creates the port, which commands all cores of the process.
 ///
 /// # Errors
 ///
-/// Fails if the poller can't be created.
+/// Returns an error if the poller can't be created or the listener can't be registered.
 pub fn listen(
     Listener {
         socket: listener, ..
@@ -103,35 +106,36 @@
 }
 
 impl Operations {
-    /// Serves callers while the program runs.
+    /// Serves callers until the process ends.
     pub fn run(mut self) {
         loop {
-            let patience = if self.callers.is_empty() {
+            let timeout = if self.callers.is_empty() {
                 Duration::from_secs(60)
             } else {
                 TICK_INTERVAL
             };
-            let ready = self.poller.wait(patience);
-            // Present callers go before new ones: a complete request is answered and not evicted.
-            for number in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
-                self.with_caller(*number, Self::on_ready);
+            let ready = self.poller.wait(timeout);
+            // Existing callers come before new ones, so that a complete request is answered rather
+            // than evicted.
+            for id in ready.iter().filter(|token| **token != LISTENER_TOKEN) {
+                self.with_caller(*id, Self::on_ready);
             }
-            while let Ok((number, followed)) = self.results.1.try_recv() {
-                self.with_caller(number, |_, caller| {
+            while let Ok((id, result)) = self.results.1.try_recv() {
+                self.with_caller(id, |_, caller| {
                     if let CallerState::AwaitingCores(_) = caller.state {
-                        caller.answer(&command_reply(followed));
+                        caller.answer(&command_reply(result));
                     }
                 });
             }
             let now = Instant::now();
-            let due: Vec<u64> = self
+            let expired_callers: Vec<u64> = self
                 .callers
                 .iter()
                 .filter(|caller| caller.has_expired(now))
                 .map(|caller| caller.id)
                 .collect();
-            for number in due {
-                self.with_caller(number, |_, caller| caller.expire());
+            for id in expired_callers {
+                self.with_caller(id, |_, caller| caller.expire());
             }
             if ready.contains(&LISTENER_TOKEN) {
                 self.accept();
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Accepts callers while there is room, and one by eviction.
+    /// Accepts callers until the limit is reached, and one more by eviction.
     fn accept(&mut self) {
         for accepted in 0..MAX_CALLERS {
             if accepted > 0 && self.callers.len() == MAX_CALLERS {
@@ -150,7 +154,8 @@
                 Err(error) if net::is_would_block(&error) => return,
                 Err(error) => {
                     warn!(part = "operations", why = %error, "accept failed");
-                    // Avoids a busy loop without descriptors.
+                    // Without free descriptors the listener stays readable; the pause avoids a busy
+                    // loop.
                     return std::thread::sleep(Duration::from_millis(10));
                 }
             };
@@ -163,7 +168,7 @@
             self.callers.push(Caller {
                 id,
                 stream,
-                request: RequestReader::new(LONGEST),
+                request: RequestReader::new(MAX_REQUEST_BYTES),
                 outgoing: WriteBuffer::default(),
                 last_read_at,
                 state: CallerState::Reading(last_read_at + REQUEST_TIMEOUT),
@@ -174,8 +179,8 @@
         }
     }
 
-    /// Evicts a caller if there is no room: one that was answered, else the one that has been
-    /// silent longest.
+    /// Evicts a caller if the limit is reached: an answered one if there is one, otherwise the one
+    /// that has been silent longest, callers that wait for the cores last.
     fn evict_one(&mut self) {
         if self.callers.len() < MAX_CALLERS {
             return;
@@ -185,29 +190,30 @@
             CallerState::Reading(_) => (1, caller.last_read_at),
             CallerState::AwaitingCores(_) => (2, caller.last_read_at),
         };
-        let first = (0..self.callers.len()).min_by_key(|at| rank(&self.callers[*at]));
-        let Some(mut caller) = first.map(|at| self.callers.swap_remove(at)) else {
+        let evicted = (0..self.callers.len()).min_by_key(|index| rank(&self.callers[*index]));
+        let Some(mut caller) = evicted.map(|index| self.callers.swap_remove(index)) else {
             return;
         };
         if !matches!(caller.state, CallerState::Answered(_)) {
-            caller.answer(&Reply::error(503, "too many callers at once"));
+            caller.answer(&Reply::error(503, "too many concurrent callers"));
         }
         net::close(&caller.stream);
     }
 
-    /// Runs code on a caller and updates its poll events.
-    fn with_caller(&mut self, number: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
-        let Some(at) = self.callers.iter().position(|caller| caller.id == number) else {
+    /// Runs `act` on a caller, updates its poll events, and closes it on an error or in state
+    /// `Closed`.
+    fn with_caller(&mut self, id: u64, act: impl FnOnce(&mut Operations, &mut Caller)) {
+        let Some(index) = self.callers.iter().position(|caller| caller.id == id) else {
             return;
         };
-        let mut caller = self.callers.swap_remove(at);
+        let mut caller = self.callers.swap_remove(index);
         act(self, &mut caller);
-        let wanted = caller.interest_now();
-        let watched = self
+        let interest = caller.interest_now();
+        let updated = self
             .poller
-            .set_interest(&caller.stream, number, (caller.interest, wanted));
-        caller.interest = wanted;
-        if watched.is_ok() && caller.state != CallerState::Closed {
+            .set_interest(&caller.stream, id, (caller.interest, interest));
+        caller.interest = interest;
+        if updated.is_ok() && caller.state != CallerState::Closed {
             return self.callers.push(caller);
         }
         net::close(&caller.stream);
@@ -220,7 +226,7 @@
                     caller.state = CallerState::Closed;
                 }
             }
-            // Bounded by the size of a request.
+            // The loop is bounded by the maximum size of a request.
             CallerState::Reading(_) => {
                 while matches!(caller.state, CallerState::Reading(_)) && self.read_once(caller) {}
             }
@@ -228,13 +234,13 @@
         }
     }
 
-    /// Reads once; returns whether there may be more.
+    /// Reads once; returns whether more input may be available.
     fn read_once(&mut self, caller: &mut Caller) -> bool {
-        let heard = match caller.request.read(&caller.stream, Instant::now()) {
+        let read_result = match caller.request.read(&caller.stream, Instant::now()) {
             Err(ReadError::TimedOut) => return false,
-            heard => heard.map_err(RequestError::from),
+            read_result => read_result.map_err(RequestError::from),
         };
-        match heard.and_then(|()| caller.request.parse()) {
+        match read_result.and_then(|()| caller.request.parse()) {
             Ok(Some(request)) => self.dispatch(caller, &request),
             Ok(None) => caller.last_read_at = Instant::now(),
             Err(RequestError::Disconnected) => caller.state = CallerState::Closed,
@@ -253,33 +259,33 @@
             ("/standby" | "/active", _) => return caller.answer(&method_not_allowed("POST")),
             _ => return caller.answer(&Reply::error(404, "no such path")),
         };
-        info!(part = "audit", command = ?command, who = %peer_address(&caller.stream), "operator's command");
+        info!(part = "audit", command = ?command, who = %peer_address(&caller.stream), "operator command received");
         caller.state = CallerState::AwaitingCores(Instant::now() + COMMAND_TIMEOUT);
-        let told = Arc::new(CommandResults {
+        let collector = Arc::new(CommandResults {
             remaining: AtomicUsize::new(self.cores.len()),
             caller: caller.id,
             results: self.results.0.clone(),
             waker: self.poller.waker(),
         });
         for core in &self.cores {
-            let told = Arc::clone(&told);
+            let collector = Arc::clone(&collector);
             core.send(CoreInput::LifecycleCommanded {
                 command,
-                reply: Some(LifecycleReply::new(move |followed| told.record(followed))),
+                reply: Some(LifecycleReply::new(move |result| collector.record(result))),
             });
         }
     }
 
     fn status(&self) -> Reply {
-        let shown: Vec<_> = self.cores.iter().map(CoreHandle::lifecycle).collect();
-        let ready = shown.iter().all(|shown| shown.is_ready());
-        // The front that keeps the program from being ready, if there is one.
-        let told = shown
+        let lifecycles: Vec<_> = self.cores.iter().map(CoreHandle::lifecycle).collect();
+        let ready = lifecycles.iter().all(|lifecycle| lifecycle.is_ready());
+        // The first front that is not ready, or else the first front.
+        let reported = lifecycles
             .iter()
-            .find(|shown| !shown.is_ready())
-            .or_else(|| shown.first());
-        let state = told.map_or("starting", |shown| shown.state().name());
-        let core = if shown.iter().all(|shown| shown.is_core_alive()) {
+            .find(|lifecycle| !lifecycle.is_ready())
+            .or_else(|| lifecycles.first());
+        let state = reported.map_or("starting", |lifecycle| lifecycle.state().name());
+        let core = if lifecycles.iter().all(|lifecycle| lifecycle.is_core_alive()) {
             "works"
         } else {
             "silent"
@@ -290,7 +296,7 @@
     }
 }
 
-/// Collects the results of one command from the cores.
+/// Collects the results of one command from all cores.
 struct CommandResults {
     remaining: AtomicUsize,
     caller: u64,
@@ -299,26 +305,26 @@
 }
 
 impl CommandResults {
-    /// Records a core's result. The last one, or the first refusal, answers the caller.
-    fn record(&self, followed: Result<LifecycleState, CommandRefusedError>) {
+    /// Records a core's result. The last result, or any refusal, is sent to the event loop.
+    fn record(&self, result: Result<LifecycleState, CommandRefusedError>) {
         let last = self.remaining.fetch_sub(1, Ordering::SeqCst) == 1;
-        if last || followed.is_err() {
-            // A caller gets no second answer.
-            let _ = self.results.send((self.caller, followed));
+        if last || result.is_err() {
+            // The event loop ignores results for a caller that was already answered.
+            let _ = self.results.send((self.caller, result));
             self.waker.wake();
         }
     }
 }
 
-fn command_reply(followed: Result<LifecycleState, CommandRefusedError>) -> Reply {
-    match followed {
+fn command_reply(result: Result<LifecycleState, CommandRefusedError>) -> Reply {
+    match result {
         Ok(state) => Reply::new(200, json!({ "state": state.name() })),
         Err(refused) => Reply::error(409, refused.to_string()),
     }
 }
 
 fn method_not_allowed(allowed: &'static str) -> Reply {
-    Reply::error(405, "no such method here").with("Allow", allowed)
+    Reply::error(405, "method not allowed").with("Allow", allowed)
 }
 
 fn peer_address(stream: &TcpStream) -> String {
@@ -345,11 +351,11 @@
     fn expire(&mut self) {
         match self.state {
             CallerState::Reading(_) => {
-                self.answer(&Reply::error(408, "the call did not come in time"))
+                self.answer(&Reply::error(408, "timed out waiting for the request"))
             }
             CallerState::AwaitingCores(_) => self.answer(&Reply::error(
                 503,
-                "not followed in time; ask for the status",
+                "timed out waiting for the cores; query /status for the outcome",
             )),
             CallerState::Answered(_) | CallerState::Closed => self.state = CallerState::Closed,
         }
@@ -358,13 +364,13 @@
     fn interest_now(&self) -> EventFlags {
         match self.state {
             CallerState::Answered(_) => {
-                let mut wants = EventFlags::empty();
-                wants.set(EventFlags::IN, self.outgoing.is_reading());
-                wants.set(EventFlags::OUT, !self.outgoing.is_empty());
-                wants
+                let mut flags = EventFlags::empty();
+                flags.set(EventFlags::IN, self.outgoing.is_reading());
+                flags.set(EventFlags::OUT, !self.outgoing.is_empty());
+                flags
             }
             CallerState::Reading(_) => EventFlags::IN,
-            // A caller that leaves is answered in vain.
+            // No events are polled: a disconnect is noticed when the answer is written.
             CallerState::AwaitingCores(_) | CallerState::Closed => EventFlags::empty(),
         }
     }
--- a/crates/balancer/src/operator/fleet/processes.rs
+++ b/crates/balancer/src/operator/fleet/processes.rs
@@ -8,15 +8,15 @@
 use super::super::section::Section;
 use super::{AffinityConfig, EdgeConfig, FleetConfig};
 
-/// Most processes of a fleet.
+/// Maximum number of processes in a fleet.
 const MAX_PROCESSES: usize = 1_000;
 
-/// Characters allowed in a name.
-const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underlines";
+/// Characters allowed in names, for error messages.
+const NAME_CHARACTERS: &str = "letters, digits, dots, dashes or underscores";
 
 pub(super) fn processes(mut section: Section<'_>) -> Option<FleetConfig> {
-    let name = named(&mut section, "name", MAX_NAME_BYTES);
-    let site = named(&mut section, "site", MAX_SITE_BYTES);
+    let name = required_name(&mut section, "name", MAX_NAME_BYTES);
+    let site = required_name(&mut section, "site", MAX_SITE_BYTES);
     let addresses = Addresses::read(&mut section);
     let keys = Keys::read(&mut section);
     let sizes = FleetSizes::read(&mut section, addresses.other_peers(), site.as_deref());
@@ -64,14 +64,14 @@
                 section,
                 "listen",
                 listen,
-                "needs a port that the others are told",
+                "needs a port that peers can send to",
             );
         }
         if let Some(advertise) = &advertise {
             check_address(section, "advertise", advertise, "needs a port");
         }
-        for (at, peer) in (0..).zip(peers.iter().flatten()) {
-            check_address(section, &format!("peers[{at}]"), peer, "needs a port");
+        for (index, peer) in (0..).zip(peers.iter().flatten()) {
+            check_address(section, &format!("peers[{index}]"), peer, "needs a port");
         }
         Addresses {
             listen,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Number of peers without this process.
+    /// Number of listed peers other than this process.
     fn other_peers(&self) -> usize {
         let own = self.advertise.or(self.listen);
         let peers = self.peers.iter().flatten();
@@ -89,12 +89,12 @@
 }
 
 fn check_address(section: &Section<'_>, field: &str, address: &SocketAddr, no_port: &str) {
-    let is_open = !address.ip().is_loopback();
-    section.error_if(field, is_open, "is not a loopback address");
+    let is_not_loopback = !address.ip().is_loopback();
+    section.error_if(field, is_not_loopback, "is not a loopback address");
     section.error_if(field, address.port() == 0, no_port);
 }
 
-/// Files with the keys of datagrams.
+/// Files with the keys that authenticate datagrams.
 pub(super) struct Keys {
     current: PathBuf,
     previous: Option<PathBuf>,
@@ -108,7 +108,7 @@
             .then(|| key(section, "previous_key_file"))
             .flatten();
         let is_same = current.is_some() && current == previous;
-        section.error_if("previous_key_file", is_same, "is key_file too");
+        section.error_if("previous_key_file", is_same, "is the same file as key_file");
         if has_previous && previous.is_none() {
             return None;
         }
@@ -119,7 +119,7 @@
     }
 }
 
-/// Numbers of processes, and the other sites.
+/// Number of processes in the fleet and in this site, and names of the other sites.
 pub(super) struct FleetSizes {
     fleet: usize,
     site: usize,
@@ -132,12 +132,12 @@
         section.error_if(
             "size",
             !(1..=MAX_PROCESSES).contains(&size),
-            "from 1 to 1000",
+            "must be from 1 to 1000",
         );
         section.error_if(
             "size",
             size < other_peers + 1,
-            "is less than the peers that are named, and this one",
+            "is less than the number of listed peers and this process",
         );
         let other_sites = other_sites(section, own_site);
         let default = size.saturating_sub(other_sites.len()).max(1);
@@ -145,13 +145,13 @@
         section.error_if(
             "site_size",
             !(1..=size).contains(&site_size),
-            "from 1 to size",
+            "must be from 1 to size",
         );
-        let is_alone = other_sites.is_empty() && site_size != size;
+        let is_single_site = other_sites.is_empty() && site_size != size;
         section.error_if(
             "site_size",
-            is_alone,
-            "is less than size, and other_sites names none",
+            is_single_site,
+            "is less than size, but other_sites is empty",
         );
         FleetSizes {
             fleet: size,
@@ -163,17 +163,17 @@
 
 fn other_sites(section: &mut Section<'_>, own_site: Option<&str>) -> Vec<String> {
     let sites: Vec<String> = section.optional("other_sites", Vec::new());
-    for (at, site) in (0..).zip(&sites) {
-        let field = format!("other_sites[{at}]");
+    for (index, site) in (0..).zip(&sites) {
+        let field = format!("other_sites[{index}]");
         section.error_if(
             &field,
-            !fits(site, MAX_SITE_BYTES),
-            &format!("1 to {MAX_SITE_BYTES} {NAME_CHARACTERS}"),
+            !is_valid_name(site, MAX_SITE_BYTES),
+            &format!("must be 1 to {MAX_SITE_BYTES} {NAME_CHARACTERS}"),
         );
         let is_own = Some(site.as_str()) == own_site;
-        section.error_if(&field, is_own, "is this site");
-        let is_repeated = sites[..at].contains(site);
-        section.error_if(&field, is_repeated, "stands there twice");
+        section.error_if(&field, is_own, "is the site of this process");
+        let is_repeated = sites[..index].contains(site);
+        section.error_if(&field, is_repeated, "is listed twice");
     }
     sites
 }
@@ -183,29 +183,38 @@
         .table
         .contains_key("borne")
         .then(|| section.optional("borne", 0.0));
-    let is_bad = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
-    section.error_if("borne", is_bad, "from 0.001 to 1000000");
+    let is_invalid = rate.is_some_and(|rate| !(0.001..=1e6).contains(&rate));
+    section.error_if("borne", is_invalid, "must be from 0.001 to 1000000");
     rate
 }
 
-/// A name is sent in every datagram and logged.
-fn named(section: &mut Section<'_>, field: &str, longest: usize) -> Option<String> {
+/// Reads a name. Names are sent in every datagram and logged, which limits their size and
+/// characters.
+fn required_name(section: &mut Section<'_>, field: &str, max_bytes: usize) -> Option<String> {
     let name: Option<String> = section.required(field);
-    let bad = name.as_ref().is_some_and(|name| !fits(name, longest));
-    section.error_if(field, bad, &format!("1 to {longest} {NAME_CHARACTERS}"));
+    let is_invalid = name
+        .as_ref()
+        .is_some_and(|name| !is_valid_name(name, max_bytes));
+    section.error_if(
+        field,
+        is_invalid,
+        &format!("must be 1 to {max_bytes} {NAME_CHARACTERS}"),
+    );
     name
 }
 
-fn fits(name: &str, longest: usize) -> bool {
-    let sound = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    (1..=longest).contains(&name.len()) && name.chars().all(sound)
+fn is_valid_name(name: &str, max_bytes: usize) -> bool {
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    (1..=max_bytes).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
-/// A key is in a file of its own, so that the operator's file holds no secret.
+/// Reads the path of a key file and checks the key. Keys are in separate files, so that the
+/// operator's file contains no fleet secret.
 fn key(section: &mut Section<'_>, field: &str) -> Option<PathBuf> {
     let path: PathBuf = section.required(field)?;
-    if let Err(fault) = Key::read(&path) {
-        section.error(field, &fault.to_string());
+    if let Err(error) = Key::read(&path) {
+        section.error(field, &error.to_string());
         return None;
     }
     Some(path)
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -1,10 +1,10 @@
-//! The override manager: takes changes one by one, makes each durable, and applies it to the cores.
+//! The override manager: serializes changes, stores each one durably and applies it to the cores.
 //!
-//! Times are the program's clock inside, and the wall clock in the store and for people, so that a
-//! step of the wall clock changes no override's duration.
+//! Internal times are on the process's monotonic clock; times in the store and in views are on the
+//! wall clock. A step of the wall clock therefore changes no override's duration.
 
+mod apply;
 mod audit;
-mod follow;
 mod housekeeping;
 mod restore;
 mod view;
@@ -28,45 +28,45 @@
 pub use view::OverrideView;
 use view::{ListedServers, fronts_left_empty, view_of};
 
-/// The override settings of the operator's file.
+/// Configuration of overrides in the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverridesConfig {
-    /// File of the store; overrides are not persistent without one.
+    /// File of the store. Without one, changes are refused.
     pub file: Option<PathBuf>,
-    /// Limits on overrides.
+    /// Limits on the number and duration of overrides.
     pub limits: Limits,
 }
 
 /// A front's name and its core.
 pub type NamedCore = (&'static str, CoreHandle);
 
-/// State of the store, for people.
+/// State of the store, as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreStatus {
     /// Whether overrides are persistent.
     pub is_persistent: bool,
-    /// Why not, or what was found at the start.
+    /// Reasons why overrides are not persistent, or problems found while they were restored.
     pub notes: Vec<String>,
 }
 
-/// Why a change was refused. Nothing has been changed.
+/// Reason why a change was refused. A refused change has no effect.
 #[derive(Debug)]
 pub enum OverrideError {
-    /// There is no store, with the reason.
+    /// There is no store; contains the reason.
     NoStore(String),
-    /// Fields are invalid.
+    /// These fields are invalid.
     Invalid(Vec<FieldError>),
-    /// No override in effect has this id.
+    /// No active override has this id.
     Unknown,
-    /// The override has another revision.
+    /// The expected revision does not match; contains the current one.
     Stale(u64),
-    /// It would leave no ready server and was not forced.
+    /// The change would leave a front or zone without a ready server and was not forced.
     LeavesNoServer(Vec<(&'static str, CoverageGaps)>),
-    /// The limit on overrides is reached.
+    /// The maximum number of overrides, contained here, is reached.
     Full(usize),
-    /// The idempotency key was used for another request.
+    /// The idempotency key was used for a different request.
     KeyReused,
-    /// It could not be stored.
+    /// The change could not be written to the store.
     Store(StoreError),
 }
 
@@ -75,9 +75,10 @@
 pub struct ChangeResult {
     /// The override as changed.
     pub view: OverrideView,
-    /// Whether every core has applied it; the others will.
+    /// Whether every core has applied the change in time. Late cores apply it afterwards.
     pub is_in_effect: bool,
-    /// Whether the request is a repetition, which changed nothing.
+    /// Whether the request repeated an earlier one with the same idempotency key and changed
+    /// nothing.
     pub is_replay: bool,
 }
 
@@ -88,47 +89,47 @@
     /// Overrides by idempotency key.
     by_key: HashMap<String, OverrideId>,
     clock_steps: ClockStepDetector,
-    /// Expirations up to then have been logged.
+    /// Expirations up to this time have been logged.
     reported_until: Millis,
 }
 
 impl StoreStatus {
-    /// The error without a store.
+    /// The error that changes return without a store.
     fn refusal(&self) -> OverrideError {
         OverrideError::NoStore(self.notes.join("; "))
     }
 }
 
 impl OverrideState {
-    /// The override that an earlier request with the same key created.
-    fn made_by(&self, replay: Option<&Replay>) -> Result<Option<Override>, OverrideError> {
-        let made = replay.and_then(|replay| self.by_key.get(&replay.key));
-        let Some(one) = made.and_then(|id| self.set.get(*id)) else {
+    /// Finds the override that an earlier request with the same idempotency key created.
+    fn find_replayed(&self, replay: Option<&Replay>) -> Result<Option<Override>, OverrideError> {
+        let replayed = replay.and_then(|replay| self.by_key.get(&replay.key));
+        let Some(record) = replayed.and_then(|id| self.set.get(*id)) else {
             return Ok(None);
         };
-        if one.replay.as_ref() == replay {
-            Ok(Some(one.clone()))
+        if record.replay.as_ref() == replay {
+            Ok(Some(record.clone()))
         } else {
             Err(OverrideError::KeyReused)
         }
     }
 }
 
-/// Manages the overrides of the program.
+/// Manages the overrides of all cores of the process.
 pub struct OverrideManager {
     state: Mutex<OverrideState>,
     cores: Vec<NamedCore>,
     clock: Clock,
     limits: Limits,
     wall_clock: WallClock,
-    changed: Sender<()>,
-    changes: Receiver<()>,
+    change_sender: Sender<()>,
+    change_receiver: Receiver<()>,
 }
 
-/// Reads the wall clock, in Unix milliseconds.
+/// A function that returns the wall clock time, in Unix milliseconds.
 pub type WallClock = Box<dyn Fn() -> Millis + Send + Sync>;
 
-/// The system's wall clock, in Unix milliseconds.
+/// The system's wall clock time, in Unix milliseconds.
 pub fn wall_clock_ms() -> Millis {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -137,7 +138,7 @@
 }
 
 impl OverrideManager {
-    /// Manages restored overrides for cores that were started with them.
+    /// Creates a manager of restored overrides. The cores must have been started with them.
     pub fn new(
         restored: RestoredOverrides,
         cores: Vec<NamedCore>,
@@ -152,7 +153,7 @@
         } = restored;
         let keys = set
             .iter()
-            .filter_map(|one| Some((one.replay.as_ref()?.key.clone(), one.id)));
+            .filter_map(|record| Some((record.replay.as_ref()?.key.clone(), record.id)));
         let by_key = keys.collect();
         let reported_until = clock.now() / 1_000_000;
         let state = OverrideState {
@@ -163,19 +164,19 @@
             clock_steps: ClockStepDetector::default(),
             reported_until,
         };
-        let (changed, changes) = bounded(1);
+        let (change_sender, change_receiver) = bounded(1);
         OverrideManager {
             state: Mutex::new(state),
             cores,
             clock,
             limits,
             wall_clock,
-            changed,
-            changes,
+            change_sender,
+            change_receiver,
         }
     }
 
-    /// The state is valid between any two changes.
+    /// Locks the state. It is valid between any two changes, so a poisoned lock can be used.
     fn lock(&self) -> MutexGuard<'_, OverrideState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -189,24 +190,24 @@
         self.limits
     }
 
-    /// State of the store.
-    pub fn about(&self) -> StoreStatus {
+    /// The state of the store.
+    pub fn store_status(&self) -> StoreStatus {
         self.lock().store_status.clone()
     }
 
-    /// Total steps of the wall clock since the start, in milliseconds.
-    pub fn wall_ahead(&self) -> i64 {
+    /// Sum of the wall clock's steps since the start, in milliseconds.
+    pub fn wall_clock_offset_ms(&self) -> i64 {
         self.lock().clock_steps.ahead_by_ms()
     }
 
-    /// Converts a wall clock time to the program's clock.
-    pub fn from_wall(&self, at: Millis) -> Millis {
-        at.saturating_add_signed(-self.wall_ahead())
+    /// Converts a wall clock time to the process's monotonic clock.
+    pub fn from_wall_clock(&self, at: Millis) -> Millis {
+        at.saturating_add_signed(-self.wall_clock_offset_ms())
     }
 
-    /// A time from now, by the program's clock.
-    pub fn after(&self, span: Millis) -> Millis {
-        self.now().saturating_add(span)
+    /// The time after a duration from now, on the process's monotonic clock.
+    pub fn from_now(&self, duration: Millis) -> Millis {
+        self.now().saturating_add(duration)
     }
 
     fn core_snapshots(&self) -> Vec<(&'static str, Option<CoreSnapshot>)> {
@@ -216,37 +217,40 @@
             .collect()
     }
 
-    /// All overrides in effect.
+    /// All active overrides.
     pub fn list(&self) -> Vec<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
         state
             .set
             .active(now)
-            .map(|one| view_of(&state, one, &fronts, now))
+            .map(|record| view_of(&state, record, &fronts, now))
             .collect()
     }
 
-    /// One override in effect.
+    /// The override with this id, if it is active.
     pub fn get(&self, id: OverrideId) -> Option<OverrideView> {
         let fronts = self.listed_servers();
         let (state, now) = (self.lock(), self.now());
-        let one = state.set.get(id).filter(|one| one.is_active_at(now))?;
-        Some(view_of(&state, one, &fronts, now))
+        let record = state
+            .set
+            .get(id)
+            .filter(|record| record.is_active_at(now))?;
+        Some(view_of(&state, record, &fronts, now))
     }
 
     fn listed_servers(&self) -> Vec<ListedServers> {
         self.core_snapshots()
             .into_iter()
-            .map(|(front, look)| ListedServers::from_snapshot(front, look))
+            .map(|(front, snapshot)| ListedServers::from_snapshot(front, snapshot))
             .collect()
     }
 
-    /// Creates an override.
+    /// Creates an override. A repetition with the same idempotency key returns the existing one.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused.
+    /// Returns the reason of a refusal; nothing has changed then.
     pub fn add(
         &self,
         draft: Draft,
@@ -255,10 +259,10 @@
     ) -> Result<ChangeResult, OverrideError> {
         let mut state = self.lock();
         let now = self.now();
-        if let Some(one) = state.made_by(replay.as_ref())? {
+        if let Some(record) = state.find_replayed(replay.as_ref())? {
             drop(state);
             return Ok(ChangeResult {
-                view: self.view(&one),
+                view: self.view(&record),
                 is_in_effect: true,
                 is_replay: true,
             });
@@ -273,107 +277,109 @@
             .store
             .as_ref()
             .ok_or_else(|| state.store_status.refusal())?;
-        let mut one = draft.into_override(store.next_id(), now);
-        (one.forced, one.replay) = (force, replay);
-        if matches!(one.kind, OverrideKind::Out { .. }) && !force {
-            let empty = fronts_left_empty(&mut state.set, &one, &self.core_snapshots(), now);
+        let mut record = draft.into_override(store.next_id(), now);
+        (record.forced, record.replay) = (force, replay);
+        if matches!(record.kind, OverrideKind::Out { .. }) && !force {
+            let empty = fronts_left_empty(&mut state.set, &record, &self.core_snapshots(), now);
             if !empty.is_empty() {
                 return Err(OverrideError::LeavesNoServer(empty));
             }
         }
-        let is_in_effect = self.apply(&mut state, one.clone())?;
-        if let Some(replay) = &one.replay {
-            state.by_key.insert(replay.key.clone(), one.id);
+        let is_in_effect = self.apply(&mut state, record.clone())?;
+        if let Some(replay) = &record.replay {
+            state.by_key.insert(replay.key.clone(), record.id);
         }
         drop(state);
-        audit("created", &one, now);
+        audit("created", &record, now);
         Ok(ChangeResult {
-            view: self.view(&one),
+            view: self.view(&record),
             is_in_effect,
             is_replay: false,
         })
     }
 
-    /// Changes the expiry of an override.
+    /// Changes the expiry of an active override, if it has the expected revision.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused.
+    /// Returns the reason of a refusal; nothing has changed then.
     pub fn extend(
         &self,
         id: OverrideId,
         expires_at: Millis,
         revision: Option<u64>,
     ) -> Result<ChangeResult, OverrideError> {
-        self.change("extended", id, revision, |one, now| {
-            one.extend(expires_at, now, &self.limits)
+        self.change("extended", id, revision, |record, now| {
+            record
+                .extend(expires_at, now, &self.limits)
                 .map_err(|fault| OverrideError::Invalid(vec![fault]))
         })
     }
 
-    /// Removes an override.
+    /// Removes an active override, if it has the expected revision.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused.
+    /// Returns the reason of a refusal; nothing has changed then.
     pub fn remove(
         &self,
         id: OverrideId,
         revision: Option<u64>,
     ) -> Result<ChangeResult, OverrideError> {
-        self.change("removed", id, revision, |one, now| {
-            one.remove(now);
+        self.change("removed", id, revision, |record, now| {
+            record.remove(now);
             Ok(())
         })
     }
 
     fn change(
         &self,
-        what: &str,
+        action: &str,
         id: OverrideId,
         revision: Option<u64>,
         change: impl FnOnce(&mut Override, Millis) -> Result<(), OverrideError>,
     ) -> Result<ChangeResult, OverrideError> {
         let mut state = self.lock();
         let now = self.now();
-        let mut one = state
+        let mut record = state
             .set
             .get(id)
-            .filter(|one| one.is_active_at(now))
+            .filter(|record| record.is_active_at(now))
             .ok_or(OverrideError::Unknown)?
             .clone();
-        if revision.is_some_and(|revision| revision != one.revision) {
-            return Err(OverrideError::Stale(one.revision));
+        if revision.is_some_and(|revision| revision != record.revision) {
+            return Err(OverrideError::Stale(record.revision));
         }
-        change(&mut one, now)?;
-        let is_in_effect = self.apply(&mut state, one.clone())?;
+        change(&mut record, now)?;
+        let is_in_effect = self.apply(&mut state, record.clone())?;
         drop(state);
-        audit(what, &one, now);
+        audit(action, &record, now);
         Ok(ChangeResult {
-            view: self.view(&one),
+            view: self.view(&record),
             is_in_effect,
             is_replay: false,
         })
     }
 
-    /// Stores an override and applies it to the cores; returns whether all have applied it.
-    fn apply(&self, state: &mut OverrideState, one: Override) -> Result<bool, OverrideError> {
-        let ahead = state.clock_steps.ahead_by_ms();
+    /// Stores an override, then applies it to the cores; returns whether all have applied it in
+    /// time.
+    fn apply(&self, state: &mut OverrideState, record: Override) -> Result<bool, OverrideError> {
+        let offset_ms = state.clock_steps.ahead_by_ms();
         let store = state
             .store
             .as_mut()
             .ok_or_else(|| state.store_status.refusal())?;
         store
-            .put(&[with_clock_offset(&one, ahead)])
+            .put(&[with_clock_offset(&record, offset_ms)])
             .map_err(OverrideError::Store)?;
-        state.set.insert(one.clone());
-        let settled = self.apply_to_cores(OverrideChange::Put(Box::new(one)));
-        let _ = self.changed.try_send(());
-        Ok(settled)
+        state.set.insert(record.clone());
+        let is_in_effect = self.apply_to_cores(OverrideChange::Put(Box::new(record)));
+        let _ = self.change_sender.try_send(());
+        Ok(is_in_effect)
     }
 
-    fn view(&self, one: &Override) -> OverrideView {
+    fn view(&self, record: &Override) -> OverrideView {
         let fronts = self.listed_servers();
-        view_of(&self.lock(), one, &fronts, self.now())
+        view_of(&self.lock(), record, &fronts, self.now())
     }
 }
--- a/crates/balancer/src/overrides/restore.rs
+++ b/crates/balancer/src/overrides/restore.rs
@@ -1,4 +1,4 @@
-//! Restoring overrides from the store at the start.
+//! Restores overrides from the store at the start.
 
 use beaconflow_overrides::{Limits, Millis, Override, OverrideSet, bounded_expiry};
 use beaconflow_store::{Contents, OpenError, OverrideStore};
@@ -8,16 +8,16 @@
 use super::{OverridesConfig, StoreStatus};
 use crate::clock::Clock;
 
-/// What was restored.
+/// The restored overrides with their store.
 pub struct RestoredOverrides {
     pub(super) store: Option<Box<dyn OverrideStore>>,
     pub(super) store_status: StoreStatus,
-    /// The overrides, for the cores.
+    /// The restored overrides, with which the cores are started.
     pub set: OverrideSet,
 }
 
 impl RestoredOverrides {
-    /// Nothing, with a store for later changes.
+    /// No overrides, with a store for later changes.
     pub fn empty(store: Box<dyn OverrideStore>, limits: Limits) -> RestoredOverrides {
         let store_status = StoreStatus {
             is_persistent: true,
@@ -31,7 +31,8 @@
     }
 }
 
-/// Opens the configured store. Errors are logged, and the program serves without it.
+/// Opens the configured store. If that fails, the error is logged and the process runs without
+/// overrides.
 pub fn restore(config: &OverridesConfig, clock: Clock) -> RestoredOverrides {
     let Some(file) = &config.file else {
         let store_status = StoreStatus {
@@ -49,12 +50,16 @@
             restore_contents(Box::new(store), contents, config, clock.now() / 1_000_000)
         }
         Err(error) => {
-            let what = match &error {
-                OpenError::NewerSchema { .. } | OpenError::InUse => "is left alone",
+            let state = match &error {
+                OpenError::NewerSchema { .. } | OpenError::InUse => "is left unchanged",
                 OpenError::System(_) => "can't be opened",
             };
-            let note = format!("the store {} {what}: {error}", file.display());
-            error!(part = "overrides", why = note, "none are restored or kept");
+            let note = format!("the store {} {state}: {error}", file.display());
+            error!(
+                part = "overrides",
+                why = note,
+                "override store unavailable; overrides are disabled"
+            );
             let store_status = StoreStatus {
                 is_persistent: false,
                 notes: vec![note],
@@ -68,7 +73,7 @@
     }
 }
 
-/// Restores the contents of a store.
+/// Restores the overrides that have remaining effect, and removes the others from the store.
 fn restore_contents(
     mut store: Box<dyn OverrideStore>,
     contents: Contents,
@@ -77,27 +82,35 @@
 ) -> RestoredOverrides {
     let mut notes = store_notes(&contents);
     let mut set = OverrideSet::new(config.limits.ramp_ms);
-    let (mut holding, mut spent) = (0, Vec::new());
-    for mut one in contents.overrides {
-        notes.extend(bound_times(&mut one, now));
-        if one.removed_at.is_none() && !one.is_active_at(now) {
-            audit("found expired", &one, now);
+    let (mut active_count, mut expired) = (0, Vec::new());
+    for mut record in contents.overrides {
+        notes.extend(bound_times(&mut record, now));
+        if record.removed_at.is_none() && !record.is_active_at(now) {
+            audit("found expired", &record, now);
         }
-        if one.ends_at().saturating_add(config.limits.ramp_ms) > now {
-            holding += usize::from(one.is_active_at(now));
-            set.insert(one);
+        if record.ends_at().saturating_add(config.limits.ramp_ms) > now {
+            active_count += usize::from(record.is_active_at(now));
+            set.insert(record);
         } else {
-            spent.push(one.id);
+            expired.push(record.id);
         }
     }
-    // Spent overrides are removed, so that the file does not grow without end.
-    if let Err(error) = store.delete(&spent) {
-        error!(part = "overrides", why = %error, "not written");
+    // Overrides without remaining effect are removed, so that the file does not grow without bound.
+    if let Err(error) = store.delete(&expired) {
+        error!(part = "overrides", why = %error, "failed to write to the override store");
     }
     for note in &notes {
-        warn!(part = "overrides", what = note, "found at the start");
+        warn!(
+            part = "overrides",
+            what = note,
+            "problem found while restoring overrides"
+        );
     }
-    info!(part = "overrides", restored = holding, "restored");
+    info!(
+        part = "overrides",
+        restored = active_count,
+        "overrides restored"
+    );
     RestoredOverrides {
         store: Some(store),
         store_status: StoreStatus {
@@ -108,34 +121,34 @@
     }
 }
 
-/// Notes on the file as a whole.
+/// Notes on the state in which the file was found.
 fn store_notes(contents: &Contents) -> Vec<String> {
     let mut notes = Vec::new();
     if let Some((aside, why)) = &contents.moved_aside {
         notes.push(format!(
-            "the store was damaged ({why}): it is kept as {}, and none of its overrides are restored",
+            "the store was damaged ({why}); it is kept as {}, and none of its overrides are restored",
             aside.display()
         ));
     }
     if !contents.unreadable_ids.is_empty() {
         notes.push(format!(
-            "records that can't be read were left out: {:?}",
+            "unreadable records were skipped: {:?}",
             contents.unreadable_ids
         ));
     }
     notes
 }
 
-/// Moves times of an override that are in the future to now, except its expiry; returns a note
-/// where the expiry was cut.
-fn bound_times(one: &mut Override, now: Millis) -> Option<String> {
-    let (expires_at, cut) = bounded_expiry(one, now);
-    (one.created_at, one.expires_at) = (one.created_at.min(now), expires_at);
-    one.removed_at = one.removed_at.map(|at| at.min(now));
+/// Moves the creation and removal times of an override to now if they are in the future, and bounds
+/// its expiry; returns a note if the expiry was shortened.
+fn bound_times(record: &mut Override, now: Millis) -> Option<String> {
+    let (expires_at, cut) = bounded_expiry(record, now);
+    (record.created_at, record.expires_at) = (record.created_at.min(now), expires_at);
+    record.removed_at = record.removed_at.map(|at| at.min(now));
     let seconds = cut? / 1_000;
     Some(format!(
-        "the wall clock stands before override {} began: it ends {seconds} s earlier by that clock, after no more \
-         than its whole span",
-        one.id
+        "the wall clock is before the creation of override {}; its expiry is {seconds} s earlier on that clock, \
+         so that it lasts no longer than its full duration",
+        record.id
     ))
 }
--- a/crates/balancer/src/overrides/view.rs
+++ b/crates/balancer/src/overrides/view.rs
@@ -1,4 +1,4 @@
-//! Overrides as they are shown, and the servers that they leave ready.
+//! Views of overrides, and the check that a change leaves ready servers.
 
 use std::collections::HashMap;
 
@@ -11,27 +11,30 @@
 use super::OverrideState;
 use crate::core::CoreSnapshot;
 
-/// An override as it is shown, with times of the wall clock.
+/// A view of an override, with times on the wall clock.
 #[derive(Clone, Debug)]
 pub struct OverrideView {
-    /// The override.
+    /// The override, with its times on the wall clock.
     pub record: Override,
-    /// Remaining time, in milliseconds.
+    /// Time until it ends, in milliseconds; 0 once it has ended.
     pub remaining_ms: Millis,
-    /// Its effect at each front.
+    /// Its effect at each front, by the front's name.
     pub effects: Vec<(&'static str, Effect)>,
 }
 
-/// A front's servers as listed, without overrides.
+/// Listed states of a front's servers, without the effect of overrides.
 pub(super) struct ListedServers {
     front: &'static str,
     states: HashMap<String, ServerState>,
 }
 
 impl ListedServers {
-    /// The servers of a core's snapshot; empty if it gave none.
-    pub(super) fn from_snapshot(front: &'static str, look: Option<CoreSnapshot>) -> ListedServers {
-        let servers = look.into_iter().flat_map(|look| look.servers);
+    /// The servers in a core's snapshot; empty without a snapshot.
+    pub(super) fn from_snapshot(
+        front: &'static str,
+        snapshot: Option<CoreSnapshot>,
+    ) -> ListedServers {
+        let servers = snapshot.into_iter().flat_map(|snapshot| snapshot.servers);
         ListedServers {
             front,
             states: servers
@@ -49,60 +52,61 @@
     }
 }
 
-/// An override as it is shown at a time.
+/// The view of an override at a point in time.
 pub(super) fn view_of(
     state: &OverrideState,
-    one: &Override,
+    record: &Override,
     fronts: &[ListedServers],
     now: Millis,
 ) -> OverrideView {
     let effect = |servers: &ListedServers| {
-        let listed = servers.listed(one.kind.server());
+        let listed = servers.listed(record.kind.server());
         (
             servers.front,
             state
                 .set
-                .effect(one.id, listed, now)
+                .effect(record.id, listed, now)
                 .unwrap_or(Effect::Ended),
         )
     };
     OverrideView {
-        remaining_ms: one.ends_at().saturating_sub(now),
+        remaining_ms: record.ends_at().saturating_sub(now),
         effects: fronts.iter().map(effect).collect(),
-        record: with_clock_offset(one, state.clock_steps.ahead_by_ms()),
+        record: with_clock_offset(record, state.clock_steps.ahead_by_ms()),
     }
 }
 
-/// Fronts and zones that a new override leaves without a ready server.
+/// Fronts, with their zones, that a new override would leave without a ready server. Existing gaps
+/// are not included.
 pub(super) fn fronts_left_empty(
     set: &mut OverrideSet,
-    one: &Override,
+    record: &Override,
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<(&'static str, CoverageGaps)> {
     let before = coverage_by_front(set, snapshots, now);
-    set.insert(one.clone());
+    set.insert(record.clone());
     let after = coverage_by_front(set, snapshots, now);
-    set.discard(one.id);
-    let worse = after
+    set.discard(record.id);
+    let new_gaps = after
         .iter()
         .zip(&before)
         .map(|(after, before)| after.new_since(before));
     let fronts = snapshots.iter().map(|(front, _)| *front);
     fronts
-        .zip(worse)
-        .filter(|(_, judgement)| !judgement.is_empty())
+        .zip(new_gaps)
+        .filter(|(_, gaps)| !gaps.is_empty())
         .collect()
 }
 
-/// What the overrides leave of each front's ready servers.
+/// Gaps in the coverage of each front's ready servers under the overrides.
 fn coverage_by_front(
     set: &OverrideSet,
     snapshots: &[(&'static str, Option<CoreSnapshot>)],
     now: Millis,
 ) -> Vec<CoverageGaps> {
-    let at_front = |look: &Option<CoreSnapshot>| {
-        let servers = look.iter().flat_map(|look| &look.servers);
+    let at_front = |snapshot: &Option<CoreSnapshot>| {
+        let servers = snapshot.iter().flat_map(|snapshot| &snapshot.servers);
         let ready = servers.filter(|server| server.state.0 == ServerState::Ready);
         find_coverage_gaps(
             ready.map(|server| (server.name.as_str(), server.zone.as_str())),
@@ -110,5 +114,8 @@
             now,
         )
     };
-    snapshots.iter().map(|(_, look)| at_front(look)).collect()
+    snapshots
+        .iter()
+        .map(|(_, snapshot)| at_front(snapshot))
+        .collect()
 }
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: reload or shutdown.
+//! Signal handling: reload and shutdown.
 
 #[cfg(test)]
 mod tests;
@@ -8,21 +8,29 @@
 use signal_hook::consts::SIGHUP;
 use tracing::{error, info};
 
-/// Handles signals as they come. SIGHUP reloads the configuration, unless the program is shutting
-/// down; every other signal shuts it down. A panic in a reload costs that reload alone.
-pub fn follow(signals: impl IntoIterator<Item = i32>, mut reload: impl FnMut(), leave: impl Fn()) {
-    let mut leaving = false;
+/// Handles signals until the iterator ends. SIGHUP reloads the configuration, unless the program is
+/// shutting down; every other signal shuts it down. A panic in a reload is logged, and later
+/// signals are still handled.
+pub fn handle(
+    signals: impl IntoIterator<Item = i32>,
+    mut reload: impl FnMut(),
+    shut_down: impl Fn(),
+) {
+    let mut is_shutting_down = false;
     for signal in signals {
         if signal != SIGHUP {
-            leaving = true;
-            leave();
-        } else if leaving {
-            info!(part = "reload", "left out: the program is leaving");
+            is_shutting_down = true;
+            shut_down();
+        } else if is_shutting_down {
+            info!(
+                part = "reload",
+                "reload skipped: the program is shutting down"
+            );
         } else if catch_unwind(AssertUnwindSafe(&mut reload)).is_err() {
             error!(
                 part = "reload",
-                why = "it panicked",
-                "present configuration kept"
+                why = "the reload panicked",
+                "reload failed; current configuration kept"
             );
         }
     }
--- a/crates/balancer/tests/override_manager.rs
+++ b/crates/balancer/tests/override_manager.rs
@@ -1,4 +1,4 @@
-//! The manager of overrides without a front: its store, its clocks and failures of the store.
+//! Tests of the override manager without a front: its store, its clocks and failures of the store.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,33 +11,33 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// A wall clock whose offset from the program's clock the test sets.
+/// A wall clock that a test can step.
 #[derive(Clone, Default)]
-struct WallClock(Arc<AtomicI64>);
+struct TestWallClock(Arc<AtomicI64>);
 
-impl WallClock {
-    fn set_offset(&self, offset_ms: i64) {
-        self.0.store(offset_ms, Ordering::Relaxed);
+impl TestWallClock {
+    fn step_to(&self, step_ms: i64) {
+        self.0.store(step_ms, Ordering::Relaxed);
     }
 }
 
 struct Fixture {
-    directory: tempfile::TempDir,
+    folder: tempfile::TempDir,
     clock: Clock,
-    wall_clock: WallClock,
+    wall_clock: TestWallClock,
 }
 
 impl Fixture {
     fn new() -> Fixture {
         Fixture {
-            directory: tempfile::tempdir().expect("create a temporary directory"),
+            folder: tempfile::tempdir().expect("create a temporary directory"),
             clock: Clock::start(),
-            wall_clock: WallClock::default(),
+            wall_clock: TestWallClock::default(),
         }
     }
 
     fn config(&self) -> OverridesConfig {
-        let file = Some(self.directory.path().join("overrides.redb"));
+        let file = Some(self.folder.path().join("overrides.redb"));
         OverridesConfig {
             file,
             limits: Limits {
@@ -54,7 +54,7 @@
     fn manager(&self) -> OverrideManager {
         let config = self.config();
         let (clock, wall_clock) = (self.clock, self.wall_clock.clone());
-        let read = move || {
+        let wall_clock_ms = move || {
             (clock.now() / 1_000_000).saturating_add_signed(wall_clock.0.load(Ordering::Relaxed))
         };
         let restored = restore(&config, self.clock);
@@ -63,11 +63,11 @@
             Vec::new(),
             self.clock,
             config.limits,
-            Box::new(read),
+            Box::new(wall_clock_ms),
         )
     }
 
-    fn draft(&self, server: &str, duration_ms: Millis) -> Draft {
+    fn draft(&self, server: &str, duration: Millis) -> Draft {
         let kind = OverrideKind::Out {
             server: server.into(),
             moves_per_s: None,
@@ -76,69 +76,65 @@
             kind,
             who: "ada".into(),
             why: "why".into(),
-            expires_at: self.now() + duration_ms,
+            expires_at: self.now() + duration,
         }
     }
 }
 
-/// A step of the wall clock must neither end an override early nor extend it.
 #[test]
-fn wall_clock_step_keeps_override_duration() {
+fn wall_clock_step_changes_no_override_duration() {
     let fixture = Fixture::new();
-    for offset_ms in [HOUR_MS, -HOUR_MS, 0] {
+    for step_ms in [HOUR_MS, -HOUR_MS, 0] {
         let manager = fixture.manager();
         let long = manager
             .add(fixture.draft("long", 600_000), false, None)
-            .expect("the store accepts the change")
+            .expect("change is accepted")
             .view;
         let short = manager
             .add(fixture.draft("short", 300), false, None)
-            .expect("the store accepts the change")
+            .expect("change is accepted")
             .view;
-        fixture.wall_clock.set_offset(offset_ms);
+        fixture.wall_clock.step_to(step_ms);
         manager.run_due_tasks();
-        // The clocks are not read at the same instant, so that the offset may differ by 1 ms.
-        let reported_offset_ms = manager.wall_ahead();
+        // The two clocks are read one after the other, so the offset may differ by a millisecond.
+        let offset_ms = manager.wall_clock_offset_ms();
         assert!(
-            reported_offset_ms.abs_diff(offset_ms) < 1_000,
-            "the reported offset is {reported_offset_ms} ms instead of {offset_ms} ms"
+            offset_ms.abs_diff(step_ms) < 1_000,
+            "offset {offset_ms} ms differs from the step {step_ms} ms"
         );
-        let current = manager
+        let view = manager
             .get(long.record.id)
-            .expect("the long override is still in force");
+            .expect("the override is still active");
         assert!(
-            current.remaining_ms <= long.remaining_ms
-                && current.remaining_ms + 5_000 > long.remaining_ms
+            view.remaining_ms <= long.remaining_ms && view.remaining_ms + 5_000 > long.remaining_ms
         );
-        // Operators see the expiry in wall-clock time.
+        // The displayed expiry follows the stepped wall clock.
         assert_eq!(
-            current.record.expires_at,
-            long.record
-                .expires_at
-                .saturating_add_signed(reported_offset_ms)
+            view.record.expires_at,
+            long.record.expires_at.saturating_add_signed(offset_ms)
         );
         std::thread::sleep(Duration::from_millis(310));
         assert!(
             manager.get(short.record.id).is_none(),
             "the override has expired"
         );
-        // The stored override expires at the same time, by the wall clock as read after a restart.
+        // The stored expiry is the same moment on the stepped wall clock, which a restart reads.
         drop(manager);
         let (store, contents) =
-            beaconflow_store::open(&fixture.config().file.expect("a store file is configured"))
-                .expect("open the store");
+            beaconflow_store::open(&fixture.config().file.expect("store file is configured"))
+                .expect("store is not in use");
         let stored = contents
             .overrides
             .iter()
-            .find(|stored| stored.id == long.record.id)
+            .find(|record| record.id == long.record.id)
             .expect("the override is stored");
-        assert_eq!(stored.expires_at, current.record.expires_at);
+        assert_eq!(stored.expires_at, view.record.expires_at);
         drop(store);
-        // The next manager reads the stepped clock at its start, so that its offset is 0.
-        fixture.wall_clock.set_offset(0);
+        // A new manager starts with no offset, since it reads the stepped clock at its start.
+        fixture.wall_clock.step_to(0);
         let mut store =
-            beaconflow_store::open(&fixture.config().file.expect("a store file is configured"))
-                .expect("open the store")
+            beaconflow_store::open(&fixture.config().file.expect("store file is configured"))
+                .expect("store is not in use")
                 .0;
         store
             .delete(&[long.record.id, short.record.id])
@@ -147,36 +143,36 @@
 }
 
 #[test]
-fn expiry_in_wall_time_follows_wall_clock() {
+fn wall_clock_expiry_is_converted_after_clock_step() {
     let fixture = Fixture::new();
     let manager = fixture.manager();
-    fixture.wall_clock.set_offset(HOUR_MS);
+    fixture.wall_clock.step_to(HOUR_MS);
     manager.run_due_tasks();
-    // Ten minutes from now, as read from the stepped wall clock.
-    let wall_expires_at = fixture.now() + HOUR_MS as Millis + 600_000;
+    // Ten minutes from now on the stepped wall clock.
+    let expires_at_wall_ms = fixture.now() + HOUR_MS as Millis + 600_000;
     let draft = Draft {
-        expires_at: manager.from_wall(wall_expires_at),
+        expires_at: manager.from_wall_clock(expires_at_wall_ms),
         ..fixture.draft("s", 1)
     };
-    let view = manager
+    let shown = manager
         .add(draft, false, None)
-        .expect("the store accepts the change")
+        .expect("change is accepted")
         .view;
     assert!(
-        view.remaining_ms <= 600_000 && view.remaining_ms > 590_000,
+        shown.remaining_ms <= 600_000 && shown.remaining_ms > 590_000,
         "{}",
-        view.remaining_ms
+        shown.remaining_ms
     );
-    assert!(view.record.expires_at.abs_diff(wall_expires_at) < 1_000);
+    assert!(shown.record.expires_at.abs_diff(expires_at_wall_ms) < 1_000);
 }
 
-/// A store whose writes fail on request and which records what was written.
+/// A store whose writes can be made to fail, and that records what was written.
 #[derive(Clone, Default)]
 struct FailingStore(Arc<Mutex<(bool, Vec<Override>)>>);
 
 impl OverrideStore for FailingStore {
     fn put(&mut self, all: &[Override]) -> Result<(), StoreError> {
-        let mut state = self.0.lock().expect("lock the store's state");
+        let mut state = self.0.lock().expect("lock is not poisoned");
         if state.0 {
             return Err(StoreError("no space left on device".into()));
         }
@@ -189,43 +185,42 @@
     }
 
     fn next_id(&self) -> OverrideId {
-        OverrideId(1 + self.0.lock().expect("lock the store's state").1.len() as u64)
+        OverrideId(1 + self.0.lock().expect("lock is not poisoned").1.len() as u64)
     }
 }
 
-/// A change that is not durable would be lost at the next start, so that it must not take effect.
 #[test]
-fn failed_store_write_has_no_effect() {
+fn change_has_no_effect_when_store_write_fails() {
     let (fixture, store) = (Fixture::new(), FailingStore::default());
     let limits = Limits::default();
     let restored =
         beaconflow_balancer::overrides::RestoredOverrides::empty(Box::new(store.clone()), limits);
     let manager = OverrideManager::new(restored, Vec::new(), fixture.clock, limits, Box::new(|| 0));
-    let existing = manager
+    let view = manager
         .add(fixture.draft("a", 60_000), false, None)
-        .expect("the store accepts the change")
+        .expect("change is accepted")
         .view;
-    store.0.lock().expect("lock the store's state").0 = true;
+    store.0.lock().expect("lock is not poisoned").0 = true;
     assert!(matches!(
         manager.add(fixture.draft("b", 60_000), false, None),
         Err(OverrideError::Store(_))
     ));
     assert!(matches!(
-        manager.remove(existing.record.id, None),
+        manager.remove(view.record.id, None),
         Err(OverrideError::Store(_))
     ));
     assert!(matches!(
-        manager.extend(existing.record.id, fixture.now() + 90_000, None),
+        manager.extend(view.record.id, fixture.now() + 90_000, None),
         Err(OverrideError::Store(_))
     ));
     let all = manager.list();
     assert_eq!((all.len(), all[0].record.revision), (1, 1));
     // Changes succeed again once the store accepts writes.
-    store.0.lock().expect("lock the store's state").0 = false;
+    store.0.lock().expect("lock is not poisoned").0 = false;
     assert_eq!(
         manager
-            .remove(existing.record.id, Some(1))
-            .expect("the store accepts the change")
+            .remove(view.record.id, Some(1))
+            .expect("change is accepted")
             .view
             .record
             .revision,
@@ -235,10 +230,10 @@
 }
 
 #[test]
-fn removes_overrides_that_expired_while_stopped() {
+fn restore_deletes_overrides_expired_during_downtime() {
     let fixture = Fixture::new();
-    let file = fixture.config().file.expect("a store file is configured");
-    let (mut store, _) = beaconflow_store::open(&file).expect("open the store");
+    let file = fixture.config().file.expect("store file is configured");
+    let (mut store, _) = beaconflow_store::open(&file).expect("store is not in use");
     let now = fixture.now();
     let expired = Draft {
         expires_at: now - 30_000,
@@ -257,8 +252,8 @@
     let manager = fixture.manager();
     assert_eq!(manager.list().len(), 1);
     drop(manager);
-    let (store, contents) = beaconflow_store::open(&file).expect("open the store");
-    let remaining: Vec<OverrideId> = contents.overrides.iter().map(|stored| stored.id).collect();
+    let (store, contents) = beaconflow_store::open(&file).expect("store is not in use");
+    let remaining: Vec<OverrideId> = contents.overrides.iter().map(|record| record.id).collect();
     assert_eq!(
         (remaining, store.next_id()),
         (vec![OverrideId(2)], OverrideId(3))
@@ -266,7 +261,7 @@
 }
 
 #[test]
-fn rejects_overrides_without_store_and_gives_reason() {
+fn add_is_refused_with_reason_without_store() {
     let fixture = Fixture::new();
     let config = OverridesConfig {
         file: None,
@@ -279,24 +274,22 @@
         config.limits,
         Box::new(|| 0),
     );
-    assert!(!manager.about().is_persistent);
+    assert!(!manager.store_status().is_persistent);
     match manager.add(fixture.draft("a", 60_000), false, None) {
-        Err(OverrideError::NoStore(reason)) => {
-            assert!(reason.contains("no store is set"), "{reason}")
-        }
-        other => panic!("expected the error NoStore, got {other:?}"),
+        Err(OverrideError::NoStore(why)) => assert!(why.contains("no store is set"), "{why}"),
+        other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn handles_ten_thousand_overrides() {
+fn ten_thousand_overrides_are_restored_listed_and_removed() {
     let fixture = Fixture::new();
     let manager = fixture.manager();
-    // All are written in one transaction: one fsync each would take minutes on a slow disk.
+    // Written in one batch: one fsync for each would take minutes on a slow disk.
     drop(manager);
     let (mut store, _) =
-        beaconflow_store::open(&fixture.config().file.expect("a store file is configured"))
-            .expect("open the store");
+        beaconflow_store::open(&fixture.config().file.expect("store file is configured"))
+            .expect("store is not in use");
     let now = fixture.now();
     let all: Vec<Override> = (1..=10_000)
         .map(|id| {
@@ -315,11 +308,11 @@
     ));
     manager
         .remove(OverrideId(5_000), None)
-        .expect("the store accepts the change");
+        .expect("change is accepted");
     assert_eq!(
         manager
             .add(fixture.draft("one more", 60_000), false, None)
-            .expect("the store accepts the change")
+            .expect("change is accepted")
             .view
             .record
             .id,
--- a/crates/cli/benches/start.rs
+++ b/crates/cli/benches/start.rs
@@ -1,5 +1,6 @@
-//! What a start costs, with discovery on loopback: time until it serves and until it has the list, memory, threads and
-//! descriptors. `cargo bench -p beaconflow-cli --bench start`; `PROGRAM=path` measures another build beside it, in turn.
+//! Cost of a start with discovery on loopback: time until it serves and until it has the list, memory, threads and
+//! descriptors. Run with `cargo bench -p beaconflow-cli --bench start`; `PROGRAM=path` measures another build in
+//! alternation.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,13 +15,13 @@
 const STARTS: usize = 20;
 
 fn main() {
-    // Cargo also starts benchmarks as tests; this one is of the release program.
-    if !std::env::args().any(|word| word == "--bench") {
+    // Cargo also runs benchmarks as tests; this one measures the release build.
+    if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
     let own = env!("CARGO_BIN_EXE_beaconflow").to_owned();
-    let other = std::env::var("PROGRAM").ok();
-    let programs: Vec<String> = other.into_iter().chain([own]).collect();
+    let other_program = std::env::var("PROGRAM").ok();
+    let programs: Vec<String> = other_program.into_iter().chain([own]).collect();
     for (kind, settings) in [
         ("asked", SETTINGS.to_owned()),
         ("pushed", SETTINGS.replace("subscribe", "automatic")),
@@ -32,7 +33,9 @@
             }
         }
         for (program, figures) in programs.iter().zip(&all) {
-            let size = std::fs::metadata(program).expect("a program").len();
+            let size = std::fs::metadata(program)
+                .expect("the program exists")
+                .len();
             println!("{kind} {program}: {size} bytes");
             let names = [
                 "serves, ms",
@@ -43,10 +46,10 @@
                 "descriptors",
             ];
             for (at, name) in names.iter().enumerate() {
-                let mut column: Vec<f64> = figures.iter().map(|one| one[at]).collect();
+                let mut column: Vec<f64> = figures.iter().map(|run| run[at]).collect();
                 column.sort_by(f64::total_cmp);
-                let [least, median, most] = [0, STARTS / 2, STARTS - 1].map(|at| column[at]);
-                println!("  {name}: {median:.1} ({least:.1} to {most:.1})");
+                let [minimum, median, maximum] = [0, STARTS / 2, STARTS - 1].map(|at| column[at]);
+                println!("  {name}: {median:.1} ({minimum:.1} to {maximum:.1})");
             }
         }
     }
@@ -64,20 +67,23 @@
         "start",
         &config(at, discovery.address, &list(1, true, &rows), settings, 1024),
     );
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut command = Command::new(program);
     command
         .arg("serve")
         .env("LB_CONFIG", &path)
         .stderr(Stdio::piped());
     let mut child = command.spawn().expect("the program starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+    let mut lines = BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
     let (mut serves, mut listed) = (None, None);
     let mut watch = discovery.watch();
     tell(&mut watch, 2, true, &rows);
     while serves.is_none() || listed.is_none() {
-        let line = lines.next().expect("it goes on").expect("text");
-        let now = begun.elapsed().as_secs_f64() * 1e3;
+        let line = lines
+            .next()
+            .expect("the log continues")
+            .expect("the log is UTF-8");
+        let now = started_at.elapsed().as_secs_f64() * 1e3;
         if line.contains("to=serving") {
             serves = Some(now);
         }
@@ -85,19 +91,21 @@
             listed = Some(now);
         }
     }
-    let of = |path: &str| format!("/proc/{}/{path}", child.id());
-    let status = std::fs::read_to_string(of("status")).expect("it runs");
+    let proc_path = |path: &str| format!("/proc/{}/{path}", child.id());
+    let status = std::fs::read_to_string(proc_path("status")).expect("the process is running");
     let figure = |name: &str| {
-        let row = status
+        let line = status
             .lines()
             .find(|line| line.starts_with(name))
-            .expect("Linux");
-        row.split_whitespace()
+            .expect("field of /proc/PID/status");
+        line.split_whitespace()
             .nth(1)
-            .and_then(|word| word.parse().ok())
-            .expect("a number")
+            .and_then(|value| value.parse().ok())
+            .expect("the value is a number")
     };
-    let descriptors = std::fs::read_dir(of("fd")).expect("it runs").count();
+    let descriptors = std::fs::read_dir(proc_path("fd"))
+        .expect("the process is running")
+        .count();
     let figures = [
         serves.unwrap_or(0.0),
         listed.unwrap_or(0.0),
@@ -106,7 +114,7 @@
         figure("Threads"),
         descriptors as f64,
     ];
-    child.kill().expect("a child");
+    child.kill().expect("kill the child process");
     let _ = child.wait();
     figures
 }
