--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -10,120 +10,123 @@
 /// Nothing new later than this after a balancer heard of a drain.
 const DRAIN_GRACE: Nanos = SECOND;
 /// Slack for a moment that is reached and not passed.
-const SLACK: Nanos = 1_000_000;
+const TIME_TOLERANCE: Nanos = 1_000_000;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// When.
     pub at: Nanos,
     /// Which rule.
     pub rule: &'static str,
     /// By what.
-    pub what: String,
+    pub detail: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{:.6} s: {}: {}",
             self.at as f64 / 1e9,
             self.rule,
-            self.what
+            self.detail
         )
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Open {
+struct OpenRequest {
     attempts: u32,
-    out: bool,
-    give_up_at: Nanos,
+    has_open_attempt: bool,
+    deadline_at: Nanos,
     may_have_run: bool,
 }
 
 /// Reads what happens.
 #[derive(Debug, Default)]
 pub struct Checker {
-    open: FxHashMap<u64, Open>,
+    open_requests: FxHashMap<u64, OpenRequest>,
     /// When a balancer heard that a gateway drains or is gone.
-    last_list_at: FxHashMap<(u32, u32), Nanos>,
-    broken: Vec<Broken>,
+    unready_since: FxHashMap<(u32, u32), Nanos>,
+    violations: Vec<Violation>,
     /// How many were broken; of very many not all are kept.
-    pub count: u64,
+    pub violation_count: u64,
 }
 
 /// Broken rules that are kept.
-const MOST_KEPT: usize = 100;
+const MAX_KEPT_VIOLATIONS: usize = 100;
 
 impl Checker {
-    fn breaks(&mut self, at: Nanos, rule: &'static str, what: String) {
-        self.count += 1;
-        if self.broken.len() < MOST_KEPT {
-            self.broken.push(Broken { at, rule, what });
+    fn record_violation(&mut self, at: Nanos, rule: &'static str, detail: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
+            self.violations.push(Violation { at, rule, detail });
         }
     }
 
     /// The rules that were broken, as far as they are kept.
-    pub fn broken(&self) -> &[Broken] {
-        &self.broken
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
     /// A request came to a balancer.
-    pub fn opened(&mut self, request: u64, give_up_at: Nanos) {
-        self.open.insert(
+    pub fn on_request_opened(&mut self, request: u64, deadline_at: Nanos) {
+        self.open_requests.insert(
             request,
-            Open {
-                give_up_at,
-                ..Open::default()
+            OpenRequest {
+                deadline_at,
+                ..OpenRequest::default()
             },
         );
     }
 
     /// A balancer hears whether a gateway takes new work.
-    pub fn listed(&mut self, at: Nanos, balancer: u32, gateway: u32, ready: bool) {
+    pub fn on_server_listed(&mut self, at: Nanos, balancer: u32, gateway: u32, ready: bool) {
         if ready {
-            self.last_list_at.remove(&(balancer, gateway));
+            self.unready_since.remove(&(balancer, gateway));
         } else {
-            self.last_list_at.entry((balancer, gateway)).or_insert(at);
+            self.unready_since.entry((balancer, gateway)).or_insert(at);
         }
     }
 
     /// A balancer starts anew and remembers nothing.
-    pub fn restarted(&mut self, balancer: u32) {
-        self.last_list_at.retain(|(of, _), _| *of != balancer);
+    pub fn on_balancer_restarted(&mut self, balancer: u32) {
+        self.unready_since.retain(|(of, _), _| *of != balancer);
     }
 
     /// An attempt is made.
-    pub fn attempts(&mut self, at: Nanos, request: u64, balancer: u32, gateway: u32) {
-        if let Some(told) = self.last_list_at.get(&(balancer, gateway))
-            && at > told + DRAIN_GRACE + SLACK
+    pub fn on_attempt_started(&mut self, at: Nanos, request: u64, balancer: u32, gateway: u32) {
+        if let Some(listed_at) = self.unready_since.get(&(balancer, gateway))
+            && at > listed_at + DRAIN_GRACE + TIME_TOLERANCE
         {
-            let late = (at - told) / 1_000_000;
-            let what = format!(
+            let late = (at - listed_at) / 1_000_000;
+            let detail = format!(
                 "request {request} to gateway {gateway}, {late} ms after balancer {balancer} knew"
             );
-            self.breaks(at, "nothing new later than the grace", what);
+            self.record_violation(at, "nothing new later than the grace", detail);
         }
-        let Some(open) = self.open.get_mut(&request) else {
-            return self.breaks(
+        let Some(open) = self.open_requests.get_mut(&request) else {
+            return self.record_violation(
                 at,
                 "no attempt after the final answer",
                 format!("request {request}"),
             );
         };
         open.attempts += 1;
-        let (attempts, overlaps) = (open.attempts, std::mem::replace(&mut open.out, true));
+        let (attempts, overlaps) = (
+            open.attempts,
+            std::mem::replace(&mut open.has_open_attempt, true),
+        );
         if overlaps {
-            self.breaks(
+            self.record_violation(
                 at,
                 "attempts never overlap",
                 format!("request {request}, attempt {attempts}"),
             );
         }
         if attempts > MAX_ATTEMPTS {
-            self.breaks(
+            self.record_violation(
                 at,
                 "attempts are bounded",
                 format!("request {request}, attempt {attempts}"),
@@ -132,32 +135,32 @@
     }
 
     /// An attempt ended without a connection.
-    pub fn ended(&mut self, request: u64, may_have_run: bool) {
-        if let Some(open) = self.open.get_mut(&request) {
-            open.out = false;
+    pub fn on_attempt_ended(&mut self, request: u64, may_have_run: bool) {
+        if let Some(open) = self.open_requests.get_mut(&request) {
+            open.has_open_attempt = false;
             open.may_have_run |= may_have_run;
         }
     }
 
     /// The final answer; `refused` promises that a new try does no harm.
-    pub fn answered(&mut self, at: Nanos, request: u64, refused: bool) {
-        let Some(open) = self.open.remove(&request) else {
-            return self.breaks(
+    pub fn on_request_answered(&mut self, at: Nanos, request: u64, is_rejected: bool) {
+        let Some(open) = self.open_requests.remove(&request) else {
+            return self.record_violation(
                 at,
                 "one final answer",
                 format!("request {request} was answered before"),
             );
         };
-        if at > open.give_up_at + SLACK {
-            let late = (at - open.give_up_at) / 1_000_000;
-            self.breaks(
+        if at > open.deadline_at + TIME_TOLERANCE {
+            let late = (at - open.deadline_at) / 1_000_000;
+            self.record_violation(
                 at,
                 "an answer in time",
                 format!("request {request}, {late} ms late"),
             );
         }
-        if refused && open.may_have_run {
-            self.breaks(
+        if is_rejected && open.may_have_run {
+            self.record_violation(
                 at,
                 "no promise where it may have run",
                 format!("request {request}"),
@@ -166,21 +169,21 @@
     }
 
     /// A request is over without an answer that anybody waits for: its balancer was killed.
-    pub fn lost(&mut self, request: u64) {
-        self.open.remove(&request);
+    pub fn on_request_lost(&mut self, request: u64) {
+        self.open_requests.remove(&request);
     }
 
     /// The run is over: nobody may be left without an answer whose time was up.
-    pub fn finishes(&mut self, at: Nanos) {
+    pub fn on_run_finished(&mut self, at: Nanos) {
         let mut late: Vec<u64> = self
-            .open
+            .open_requests
             .iter()
-            .filter(|(_, open)| at > open.give_up_at + SLACK)
+            .filter(|(_, open)| at > open.deadline_at + TIME_TOLERANCE)
             .map(|(id, _)| *id)
             .collect();
         late.sort_unstable();
         for request in late {
-            self.breaks(
+            self.record_violation(
                 at,
                 "one final answer",
                 format!("request {request} got none"),
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -3,9 +3,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use crate::chance::RandomSource;
 use crate::engine::Engine;
 use crate::policies::Policy;
+use crate::random::RandomSource;
 use crate::scenario::Scenario;
 
 /// Resamples of the bootstrap.
@@ -30,9 +30,9 @@
     pub fallen: f64,
     /// The time until 99% of the former worth stood again after a loss of power, over that of a refill that sees all;
     /// nothing where no power was lost, and the rest of the run where it never did.
-    pub power: Option<f64>,
+    pub power_recovery_ratio: Option<f64>,
     /// Rules broken.
-    pub broken: u64,
+    pub violations: u64,
 }
 
 /// The names of the figures, and whether more is better.
@@ -51,7 +51,7 @@
     /// A figure by its place in [`FIGURES`]; nothing where there is none.
     pub fn get(&self, at: usize) -> Option<f64> {
         match at {
-            7 => self.power,
+            7 => self.power_recovery_ratio,
             _ => Some(
                 [
                     self.in_time,
@@ -68,7 +68,7 @@
 }
 
 /// Plays a scenario to its end.
-pub fn play(scenario: &Scenario, policy: Policy) -> Figures {
+pub fn run_scenario(scenario: &Scenario, policy: Policy) -> Figures {
     let mut engine = Engine::new(scenario, policy);
     engine.run(|_| true);
     let measures = &engine.measures;
@@ -85,26 +85,28 @@
     Figures {
         in_time: in_time as f64 / wanted.max(1) as f64,
         p99_ms: took.value_at_quantile(0.99) as f64 / 1e3,
-        worst_account: asked.map(crate::measures::Served::part).fold(1.0, f64::min),
+        worst_account: asked
+            .map(crate::measures::ServiceCounts::fraction_in_time)
+            .fold(1.0, f64::min),
         attempts: measures.sum(|second| second.attempts) as f64 / wanted.max(1) as f64,
         landed: measures.fleet.landed as f64 / measures.fleet.owed.max(1) as f64,
         moves: measures.sum(|second| second.moved) as f64 / wanted.max(1) as f64,
         fallen: measures.fleet.fallen as f64,
-        power: measures.fleet.power.map(|power| {
+        power_recovery_ratio: measures.fleet.power.map(|power| {
             let rest = engine.now().saturating_sub(power.back_at.unwrap_or(0));
             power
                 .ratio()
-                .unwrap_or(rest as f64 / power.all_seeing.max(1) as f64)
+                .unwrap_or(rest as f64 / power.ideal_refill_time.max(1) as f64)
         }),
-        broken: engine.checker.count,
+        violations: engine.checker.violation_count,
     }
 }
 
 /// Plays both sides under the same seeds, on as many threads as there are cores; `told` hears of each pair.
-pub fn pairs(
+pub fn run_pairs(
     sides: [(&Scenario, Policy); 2],
     seeds: std::ops::Range<u64>,
-    told: impl Fn(usize) + Sync,
+    on_pair_done: impl Fn(usize) + Sync,
 ) -> Vec<[Figures; 2]> {
     let count = (seeds.end - seeds.start) as usize;
     let (next, done) = (
@@ -127,10 +129,10 @@
                             seed: seeds.start + at as u64,
                             ..scenario.clone()
                         };
-                        play(&scenario, policy)
+                        run_scenario(&scenario, policy)
                     });
                     done.lock().expect("no run panics while it holds this")[at] = pair;
-                    told(at);
+                    on_pair_done(at);
                 }
             });
         }
@@ -140,18 +142,18 @@
 }
 
 /// The mean difference of pairs, and an interval that holds it with 95% by resampling the pairs.
-pub fn difference(pairs: &[(f64, f64)], seed: u64) -> (f64, f64, f64) {
+pub fn mean_difference(pairs: &[(f64, f64)], seed: u64) -> (f64, f64, f64) {
     let differences: Vec<f64> = pairs.iter().map(|(one, other)| other - one).collect();
     let count = differences.len();
     if count == 0 {
         return (0.0, 0.0, 0.0);
     }
     let mean = differences.iter().sum::<f64>() / count as f64;
-    let mut chance = RandomSource::new(seed, 77);
+    let mut rng = RandomSource::new(seed, 77);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
             (0..count)
-                .map(|_| differences[chance.pick(count)])
+                .map(|_| differences[rng.uniform_index(count)])
                 .sum::<f64>()
                 / count as f64
         })
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -15,40 +15,40 @@
 use crate::versions::Configurations;
 
 /// Kinds of facts that only hosts read: placements, and versions.
-const PLACED: u32 = 100;
-const VERSIONS: u32 = 101;
+const PLACEMENT_FACT_KIND: u32 = 100;
+const VERSION_FACT_KIND: u32 = 101;
 /// Facts of these are good for so long, in milliseconds.
-const GOOD: u64 = 3_600_000;
+const FACT_TTL_MS: u64 = 3_600_000;
 /// Clients that a version causes to be dealt anew, over all balancers, in a second.
-const REDEALT: f64 = 40.0;
+const REBALANCED_CLIENTS_PER_S: f64 = 40.0;
 /// What a balancer runs is told anew after so many seconds.
-const VERSION_PERIOD: u64 = 20;
+const VERSION_PUBLISH_PERIOD_S: u64 = 20;
 
 /// What a balancer knows of placements.
-pub(super) struct Places {
-    memory: PlacementTable,
+pub(super) struct BalancerPlacements {
+    table: PlacementTable,
     /// Since when it has seen each gateway ready.
     ready_since: Vec<Option<u64>>,
     stamps: FxHashMap<u64, Stamp>,
     rebalancer: Rebalancer,
-    redealt: FxHashMap<Key, u64>,
+    pending_requests: FxHashMap<Key, u64>,
 }
 
 /// A balancer's view of the farm.
-struct View<'a> {
-    places: &'a Places,
+struct GatewayView<'a> {
+    placements: &'a BalancerPlacements,
     all: &'a Configurations,
     runs: usize,
     started: Vec<u64>,
 }
 
-impl EndpointView for View<'_> {
+impl EndpointView for GatewayView<'_> {
     fn server(&self, server: Tag) -> Option<ServerStatus> {
         let at = self.all.gateway(server)? as usize;
-        let known = self.all.all[self.runs].gateways[at].is_some_and(|(tag, _)| tag == server);
-        known.then(|| ServerStatus {
-            is_ready: self.places.ready_since[at].is_some(),
-            ready_since: self.places.ready_since[at].unwrap_or(0),
+        let is_known = self.all.all[self.runs].gateways[at].is_some_and(|(tag, _)| tag == server);
+        is_known.then(|| ServerStatus {
+            is_ready: self.placements.ready_since[at].is_some(),
+            ready_since: self.placements.ready_since[at].unwrap_or(0),
             started_at: self.started[at],
         })
     }
@@ -58,18 +58,18 @@
     }
 }
 
-fn origin(balancer: u32, boot: u64) -> u64 {
-    u64::from(balancer) << 32 | boot
+fn origin(balancer: u32, incarnation: u64) -> u64 {
+    u64::from(balancer) << 32 | incarnation
 }
 
 impl Engine<'_> {
     /// A balancer begins with an empty memory of placements.
-    pub(super) fn has_places(&mut self, balancer: u32) {
+    pub(super) fn init_placements(&mut self, balancer: u32) {
         if !self.scenario.fleet.affinity {
             return;
         }
-        let start = u64::from(self.nodes[balancer as usize].start) + 1;
-        let (origin, wall) = (origin(balancer, start), mesh::wall(self.now));
+        let incarnation = u64::from(self.balancers[balancer as usize].incarnation) + 1;
+        let (origin, wall) = (origin(balancer, incarnation), mesh::wall_clock_ms(self.now));
         let bound = Bound {
             entries: 400_000,
             bytes: usize::MAX,
@@ -80,29 +80,29 @@
             return_delay_s: 60,
             max_group_per_server: 64,
         };
-        let mut memory = PlacementTable::new(limits, origin, origin);
+        let mut table = PlacementTable::new(limits, origin, origin);
         let runs = self.hosts[balancer as usize].runs;
-        memory.adopt(self.configurations.all[runs].version, 0, wall);
+        table.adopt(self.configurations.all[runs].version, 0, wall);
         // Its own former life is over.
-        memory.record_balancer_death(self::origin(balancer, start - 1));
-        self.hosts[balancer as usize].places = Some(Places {
-            memory,
-            ready_since: vec![Some(0); self.machines.len()],
+        table.record_balancer_death(self::origin(balancer, incarnation - 1));
+        self.hosts[balancer as usize].placements = Some(BalancerPlacements {
+            table,
+            ready_since: vec![Some(0); self.gateways.len()],
             stamps: FxHashMap::default(),
-            rebalancer: Rebalancer::new(REDEALT, self.scenario.balancers, origin),
-            redealt: FxHashMap::default(),
+            rebalancer: Rebalancer::new(REBALANCED_CLIENTS_PER_S, self.scenario.balancers, origin),
+            pending_requests: FxHashMap::default(),
         });
         self.publish_versions(balancer);
     }
 
     /// The gateways that a balancer has heard to be ready.
-    pub(super) fn sees_ready(&mut self, balancer: u32) {
-        let wall = mesh::wall(self.now);
+    pub(super) fn update_ready_since(&mut self, balancer: u32) {
+        let wall = mesh::wall_clock_ms(self.now);
         let host = &mut self.hosts[balancer as usize];
-        let (Some(places), Some(list)) = (&mut host.places, &host.list) else {
+        let (Some(placements), Some(list)) = (&mut host.placements, &host.list) else {
             return;
         };
-        for (since, listed) in places.ready_since.iter_mut().zip(list.iter()) {
+        for (since, listed) in placements.ready_since.iter_mut().zip(list.iter()) {
             *since = if listed.state == ServerState::Ready {
                 Some(since.unwrap_or(wall))
             } else {
@@ -121,22 +121,24 @@
     }
 
     /// Where a client that comes to a balancer is led, if anywhere.
-    pub(super) fn pin(&self, balancer: u32, client: u64) -> Option<Pin> {
+    pub(super) fn affinity_pin(&self, balancer: u32, client: u64) -> Option<Pin> {
         let host = &self.hosts[balancer as usize];
-        let (places, list) = (host.places.as_ref()?, host.list.as_ref()?);
+        let (placements, list) = (host.placements.as_ref()?, host.list.as_ref()?);
         let started = list
             .iter()
-            .map(|one| one.started_at.map_or(0, mesh::wall))
+            .map(|one| one.started_at.map_or(0, mesh::wall_clock_ms))
             .collect();
-        let view = View {
-            places,
+        let view = GatewayView {
+            placements,
             all: &self.configurations,
             runs: host.runs,
             started,
         };
-        let advice = places
-            .memory
-            .advise(&self.client_of(client), &view, mesh::wall(self.now))?;
+        let advice = placements.table.advise(
+            &self.client_of(client),
+            &view,
+            mesh::wall_clock_ms(self.now),
+        )?;
         let server = self.configurations.gateway(advice.server).map(ServerId);
         Some(Pin {
             server,
@@ -145,122 +147,162 @@
     }
 
     /// A connection stands through a balancer.
-    pub(super) fn is_placed(&mut self, balancer: u32, request: u64, client: u64, gateway: u32) {
-        let (who, wall) = (self.client_of(client), mesh::wall(self.now));
+    pub(super) fn record_placement(
+        &mut self,
+        balancer: u32,
+        request: u64,
+        client: u64,
+        gateway: u32,
+    ) {
+        let (client_id, wall) = (self.client_of(client), mesh::wall_clock_ms(self.now));
         let runs = self.hosts[balancer as usize].runs;
         let Some((tag, _)) = self.configurations.all[runs].gateways[gateway as usize] else {
             return;
         };
-        let Some(places) = &mut self.hosts[balancer as usize].places else {
+        let Some(placements) = &mut self.hosts[balancer as usize].placements else {
             return;
         };
-        if let Ok(placed) = places.memory.record_established(&who, tag, wall) {
-            places.stamps.insert(request, placed.stamp);
-            self.publish_placement(balancer, &placed);
+        if let Ok(placement) = placements.table.record_established(&client_id, tag, wall) {
+            placements.stamps.insert(request, placement.stamp);
+            self.publish_placement(balancer, &placement);
         }
     }
 
     /// One that stood when the run began is known to all.
-    pub(super) fn was_placed(&mut self, balancer: u32, request: u64, client: u64, gateway: u32) {
-        self.is_placed(balancer, request, client, gateway);
+    pub(super) fn record_initial_placement(
+        &mut self,
+        balancer: u32,
+        request: u64,
+        client: u64,
+        gateway: u32,
+    ) {
+        self.record_placement(balancer, request, client, gateway);
         let key = Key(self.clients[&client].key);
-        let wall = mesh::wall(self.now);
-        let placed = self.hosts[balancer as usize]
-            .places
+        let wall = mesh::wall_clock_ms(self.now);
+        let placement = self.hosts[balancer as usize]
+            .placements
             .as_ref()
-            .and_then(|places| places.memory.get(key));
-        let Some(placed) = placed else { return };
-        let name = mesh::name(balancer);
-        let knowledge = self.hosts[balancer as usize]
+            .and_then(|placements| placements.table.get(key));
+        let Some(placement) = placement else { return };
+        let name = mesh::balancer_name(balancer);
+        let fact_store = self.hosts[balancer as usize]
             .node
             .as_ref()
-            .map(|node| &node.payload().knowledge);
+            .map(|node| &node.payload().fact_store);
         let Some(record) =
-            knowledge.and_then(|known| known.export_fact(&subject(key), &name, wall))
+            fact_store.and_then(|facts| facts.export_fact(&placement_subject(key), &name, wall))
         else {
             return;
         };
         for host in &mut self.hosts {
-            if let (Some(places), Some(node)) = (&mut host.places, &mut host.node) {
-                places.memory.merge(&placed, wall);
-                node.payload_mut().knowledge.import([&record[..]], 0, wall);
+            if let (Some(placements), Some(node)) = (&mut host.placements, &mut host.node) {
+                placements.table.merge(&placement, wall);
+                node.payload_mut().fact_store.import([&record[..]], 0, wall);
             }
         }
     }
 
     /// A connection through a balancer has ended.
-    pub(super) fn is_gone(&mut self, balancer: u32, request: u64, client: u64, how: EndReason) {
-        let wall = mesh::wall(self.now);
+    pub(super) fn record_placement_ended(
+        &mut self,
+        balancer: u32,
+        request: u64,
+        client: u64,
+        reason: EndReason,
+    ) {
+        let wall = mesh::wall_clock_ms(self.now);
         let Some(key) = self.clients.get(&client).map(|one| Key(one.key)) else {
             return;
         };
-        let Some(places) = &mut self.hosts[balancer as usize].places else {
+        let Some(placements) = &mut self.hosts[balancer as usize].placements else {
             return;
         };
-        let Some(stamp) = places.stamps.remove(&request) else {
+        let Some(stamp) = placements.stamps.remove(&request) else {
             return;
         };
-        if let Some(ended) = places.memory.record_ended(key, stamp, how, wall) {
+        if let Some(ended) = placements.table.record_ended(key, stamp, reason, wall) {
             self.publish_placement(balancer, &ended);
         }
     }
 
-    fn knowledge(&mut self, balancer: u32) -> Option<&mut FactStore> {
+    fn fact_store(&mut self, balancer: u32) -> Option<&mut FactStore> {
         Some(
             &mut self.hosts[balancer as usize]
                 .node
                 .as_mut()?
                 .payload_mut()
-                .knowledge,
+                .fact_store,
         )
     }
 
-    fn publish_placement(&mut self, balancer: u32, placed: &Placement) {
-        let (bytes, wall) = (encode(placed), mesh::wall(self.now));
-        if let Some(knowledge) = self.knowledge(balancer) {
+    fn publish_placement(&mut self, balancer: u32, placement: &Placement) {
+        let (bytes, wall) = (encode_placement(placement), mesh::wall_clock_ms(self.now));
+        if let Some(fact_store) = self.fact_store(balancer) {
             // One that finds no room is not told.
-            drop(knowledge.observe(&subject(placed.key), &Value::Unknown(bytes), GOOD, wall));
+            drop(fact_store.observe(
+                &placement_subject(placement.key),
+                &Value::Unknown(bytes),
+                FACT_TTL_MS,
+                wall,
+            ));
         }
     }
 
     /// A balancer tells what it knows of versions.
     pub(super) fn publish_versions(&mut self, balancer: u32) {
-        let wall = mesh::wall(self.now);
-        let Some(places) = &mut self.hosts[balancer as usize].places else {
+        let wall = mesh::wall_clock_ms(self.now);
+        let Some(placements) = &mut self.hosts[balancer as usize].placements else {
             return;
         };
-        places.memory.refresh_current_version(wall);
-        let facts: Vec<VersionFact> = places.memory.versions().facts().copied().collect();
-        let Some(knowledge) = self.knowledge(balancer) else {
+        placements.table.refresh_current_version(wall);
+        let facts: Vec<VersionFact> = placements.table.versions().facts().copied().collect();
+        let Some(fact_store) = self.fact_store(balancer) else {
             return;
         };
         for fact in facts {
             let key = fact.version.0.to_be_bytes().to_vec();
             let subject = Subject::Unknown {
-                kind: VERSIONS,
+                kind: VERSION_FACT_KIND,
                 key,
                 is_per_process: true,
             };
-            drop(knowledge.observe(&subject, &Value::Unknown(encode_version(&fact)), GOOD, wall));
+            drop(fact_store.observe(
+                &subject,
+                &Value::Unknown(encode_version(&fact)),
+                FACT_TTL_MS,
+                wall,
+            ));
         }
     }
 
     /// What peers told of placements and versions.
-    pub(super) fn on_changes(&mut self, balancer: u32, news: &[FactChange]) {
-        let wall = mesh::wall(self.now);
-        let Some(places) = &mut self.hosts[balancer as usize].places else {
+    pub(super) fn on_changes(&mut self, balancer: u32, changes: &[FactChange]) {
+        let wall = mesh::wall_clock_ms(self.now);
+        let Some(placements) = &mut self.hosts[balancer as usize].placements else {
             return;
         };
-        for fact in news.iter().filter_map(FactChange::after) {
+        for fact in changes.iter().filter_map(FactChange::after) {
             match (fact.subject, fact.value) {
-                (Subject::Unknown { kind: PLACED, .. }, Value::Unknown(bytes)) => {
-                    if let Some(placed) = decode(&bytes) {
-                        places.memory.merge(&placed, wall);
+                (
+                    Subject::Unknown {
+                        kind: PLACEMENT_FACT_KIND,
+                        ..
+                    },
+                    Value::Unknown(bytes),
+                ) => {
+                    if let Some(placement) = decode_placement(&bytes) {
+                        placements.table.merge(&placement, wall);
                     }
                 }
-                (Subject::Unknown { kind: VERSIONS, .. }, Value::Unknown(bytes)) => {
+                (
+                    Subject::Unknown {
+                        kind: VERSION_FACT_KIND,
+                        ..
+                    },
+                    Value::Unknown(bytes),
+                ) => {
                     if let Some(fact) = decode_version(&bytes) {
-                        places.memory.merge_version(&fact, wall);
+                        placements.table.merge_version(&fact, wall);
                     }
                 }
                 _ => {}
@@ -269,14 +311,16 @@
     }
 
     /// A balancer's peers find that another life of a balancer is over.
-    pub(super) fn on_balancer_died(&mut self, balancer: u32, of: u32, boot: u64) {
-        if let Some(places) = &mut self.hosts[balancer as usize].places {
-            places.memory.record_balancer_death(origin(of, boot));
+    pub(super) fn on_balancer_died(&mut self, balancer: u32, of: u32, incarnation: u64) {
+        if let Some(placements) = &mut self.hosts[balancer as usize].placements {
+            placements
+                .table
+                .record_balancer_death(origin(of, incarnation));
         }
     }
 
     /// A balancer takes the configuration of a roll over.
-    pub(super) fn adopts(&mut self, balancer: u32, failure: u32) {
+    pub(super) fn adopt_configuration(&mut self, balancer: u32, failure: u32) {
         let is_roll = |at: &u32| {
             matches!(
                 self.scenario.failures[*at as usize].get_ref(),
@@ -286,25 +330,25 @@
         let number = (0..=failure).filter(is_roll).count();
         self.hosts[balancer as usize].runs = number;
         let configured = &self.configurations.all[number];
-        self.newest = self.newest.max(number);
+        self.newest_configuration = self.newest_configuration.max(number);
         let (version, renames) = (configured.version, configured.renames.clone());
-        let wall = mesh::wall(self.now);
-        if let Some(places) = &mut self.hosts[balancer as usize].places {
-            places.memory.adopt(version, 0, wall);
+        let wall = mesh::wall_clock_ms(self.now);
+        if let Some(placements) = &mut self.hosts[balancer as usize].placements {
+            placements.table.adopt(version, 0, wall);
             renames
                 .iter()
-                .for_each(|(old, new)| places.memory.rename_server(*old, *new));
+                .for_each(|(old, new)| placements.table.rename_server(*old, *new));
             self.publish_versions(balancer);
             self.start_rebalancing(balancer);
         }
-        self.tell_module(balancer, ListUpdate::Snapshot);
+        self.send_server_list(balancer, ListUpdate::Snapshot);
     }
 
     /// Those that stand where the new configuration has them no longer are to be dealt anew.
     fn start_rebalancing(&mut self, balancer: u32) {
         let gateways = &self.configurations.all[self.hosts[balancer as usize].runs].gateways;
         let stands = |one: &super::Request| match one.phase {
-            Phase::Stands { gateway } => {
+            Phase::Established { gateway } => {
                 gateways[gateway as usize].is_none() && one.balancer == balancer
             }
             _ => false,
@@ -316,90 +360,92 @@
                 (client.key, client.group, *id)
             })
             .collect();
-        let Some(places) = &mut self.hosts[balancer as usize].places else {
+        let Some(placements) = &mut self.hosts[balancer as usize].placements else {
             return;
         };
-        places.redealt = barred
+        placements.pending_requests = barred
             .iter()
             .map(|(key, _, request)| (*key, *request))
             .collect();
-        places
+        placements
             .rebalancer
             .set_pending(barred.into_iter().map(|(key, group, _)| (key, group)));
     }
 
     /// Each second: those due are dealt anew, and what runs is told again.
-    pub(super) fn deals_anew(&mut self) {
-        let wall = mesh::wall(self.now);
+    pub(super) fn run_rebalancers(&mut self) {
+        let wall = mesh::wall_clock_ms(self.now);
         for balancer in 0..self.hosts.len() as u32 {
-            let Some(places) = &mut self.hosts[balancer as usize].places else {
+            let Some(placements) = &mut self.hosts[balancer as usize].placements else {
                 continue;
             };
-            let due = places.rebalancer.take_permitted(wall);
+            let due = placements.rebalancer.take_permitted(wall);
             let requests: Vec<u64> = due
                 .iter()
-                .filter_map(|key| places.redealt.remove(key))
+                .filter_map(|key| placements.pending_requests.remove(key))
                 .collect();
             for request in requests {
                 if matches!(
                     self.requests.get(&request).map(|one| one.phase),
-                    Some(Phase::Stands { .. })
+                    Some(Phase::Established { .. })
                 ) {
                     self.measures.fleet.redealt += 1;
-                    self.moves(request, MigrationReason::ServerLeaving, true);
+                    self.migrate(request, MigrationReason::ServerLeaving, true);
                 }
             }
-            if (wall / 1_000 + u64::from(balancer)).is_multiple_of(VERSION_PERIOD) {
+            if (wall / 1_000 + u64::from(balancer)).is_multiple_of(VERSION_PUBLISH_PERIOD_S) {
                 self.publish_versions(balancer);
             }
         }
     }
 
     /// A client that returned stands: whether it was owed the gateway that it had, and got it.
-    pub(super) fn judges_return(&mut self, client: u64, gateway: u32) {
-        let Some(had) = self.clients[&client].had else {
+    pub(super) fn count_return(&mut self, client: u64, gateway: u32) {
+        let Some(last_gateway) = self.clients[&client].last_gateway else {
             return;
         };
-        let machine = &self.machines[had.gateway as usize];
-        let started = machine.gateway.started_at().unwrap_or(0);
-        let stays = self.configurations.all[self.newest].gateways[had.gateway as usize].is_some();
-        if !had.moved
+        let gateway_state = &self.gateways[last_gateway.gateway as usize];
+        let started = gateway_state.gateway.started_at().unwrap_or(0);
+        let stays = self.configurations.all[self.newest_configuration].gateways
+            [last_gateway.gateway as usize]
+            .is_some();
+        if !last_gateway.was_migrated
             && stays
-            && machine.up
-            && machine.listed == ServerState::Ready
-            && started <= had.since
+            && gateway_state.is_up
+            && gateway_state.listed == ServerState::Ready
+            && started <= last_gateway.since
         {
             self.measures.fleet.owed += 1;
-            self.measures.fleet.landed += u64::from(gateway == had.gateway);
+            self.measures.fleet.landed += u64::from(gateway == last_gateway.gateway);
         }
     }
 }
 
-fn subject(key: Key) -> Subject {
+fn placement_subject(key: Key) -> Subject {
     Subject::Unknown {
-        kind: PLACED,
+        kind: PLACEMENT_FACT_KIND,
         key: key.0.to_be_bytes().to_vec(),
         is_per_process: false,
     }
 }
 
-fn encode(placed: &Placement) -> Vec<u8> {
+fn encode_placement(placement: &Placement) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64);
-    let group = placed.group.map_or(0, |group| group.0);
+    let group = placement.group.map_or(0, |group| group.0);
     for word in [
-        placed.key.0,
+        placement.key.0,
         group,
-        placed.server.0,
-        placed.stamp.0,
-        u64::from(placed.seen_s),
+        placement.server.0,
+        placement.stamp.0,
+        u64::from(placement.seen_s),
     ] {
         bytes.extend_from_slice(&word.to_le_bytes());
     }
-    bytes.extend_from_slice(&placed.config_version.0.to_le_bytes());
+    bytes.extend_from_slice(&placement.config_version.0.to_le_bytes());
     bytes.extend_from_slice(&[
-        placed.state.to_byte(),
-        placed.overlap_count,
-        u8::from(placed.group.is_some()),
+        placement.state.to_byte(),
+        placement.overlap_count,
+        u8::from(placement.group.is_some()),
     ]);
     bytes
 }
@@ -414,7 +460,7 @@
     Some((std::array::from_fn(word), rest))
 }
 
-fn decode(bytes: &[u8]) -> Option<Placement> {
+fn decode_placement(bytes: &[u8]) -> Option<Placement> {
     let ([key, group, server, stamp, seen_s, low, high], rest) = decode_u64s(bytes)?;
     let [state, overlap_count, has_group] = *rest else {
         return None;
--- a/crates/simulator/src/engine/arrivals.rs
+++ b/crates/simulator/src/engine/arrivals.rs
@@ -2,18 +2,18 @@
 
 use beaconflow_policy::{ClassId, ClientKey, ConnectRequest, Event, GroupId, RequestId, ServerId};
 
-use super::model::{Client, Had, Phase, Request};
-use super::{Engine, Occurrence};
+use super::model::{Client, LastGateway, Phase, Request};
+use super::{Engine, ScheduledEvent};
 use crate::gateway::EstablishedConnection;
 use crate::{Nanos, SECOND};
 
 impl Engine<'_> {
-    pub(super) fn begin(&mut self) {
-        for rank in 0..self.nodes.len() {
-            self.tell_list(rank as u32, true);
-            self.joins(rank as u32);
-            self.has_places(rank as u32);
-            self.has_edge(rank as u32);
+    pub(super) fn schedule_initial_events(&mut self) {
+        for rank in 0..self.balancers.len() {
+            self.deliver_server_list(rank as u32, true);
+            self.start_node(rank as u32);
+            self.init_placements(rank as u32);
+            self.init_edge(rank as u32);
         }
         for class in 0..self.scenario.classes.len() {
             for _ in 0..self.scenario.classes[class].standing {
@@ -23,25 +23,25 @@
         }
         for failure in 0..self.scenario.failures.len() {
             let at = self.scenario.failures[failure].get_ref().at_s();
-            self.after(
+            self.schedule_after(
                 at,
-                Occurrence::Fails {
+                ScheduledEvent::FailureBegan {
                     failure: failure as u32,
                 },
             );
         }
-        self.push(SECOND - 1, Occurrence::Second);
+        self.schedule_at(SECOND - 1, ScheduledEvent::SecondElapsed);
     }
 
     pub(super) fn schedule_request(&mut self, class: u32) {
         let rate = self.scenario.classes[class as usize].a_second;
         if rate > 0.0 {
             let wait = self.rng.exponential(1.0 / rate);
-            self.after(wait, Occurrence::Arrives { class });
+            self.schedule_after(wait, ScheduledEvent::ClientCreated { class });
         }
     }
 
-    pub(super) fn client(&mut self, class: u32, account: Option<u32>) -> u64 {
+    pub(super) fn new_client(&mut self, class: u32, account: Option<u32>) -> u64 {
         let parts: f64 = self
             .scenario
             .accounts
@@ -49,7 +49,7 @@
             .map(|account| account.part)
             .sum();
         let account = account.unwrap_or_else(|| {
-            let mut at = self.rng.even() * parts;
+            let mut at = self.rng.uniform() * parts;
             let found = self.scenario.accounts.iter().position(|account| {
                 at -= account.part;
                 at < 0.0
@@ -57,7 +57,7 @@
             found.unwrap_or(0) as u32
         });
         let groups = self.scenario.clients.groups;
-        let group = (groups > 0).then(|| self.rng.pick(groups as usize) as u32);
+        let group = (groups > 0).then(|| self.rng.uniform_index(groups as usize) as u32);
         let id = self.next_client;
         self.next_client += 1;
         let key = id.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.scenario.seed;
@@ -68,9 +68,9 @@
             key,
             since: self.now,
             tries: 0,
-            returns: false,
+            is_reconnect: false,
             floods_until: 0,
-            had: None,
+            last_gateway: None,
         };
         self.clients.insert(id, client);
         id
@@ -83,25 +83,25 @@
 
     /// A connection that stands when the run begins: on a gateway by chance, at a balancer by chance.
     pub(super) fn place_initial_clients(&mut self, class: u32) {
-        let client = self.client(class, None);
-        let mut balancer = self.rng.pick(self.nodes.len()) as u32;
-        let home = self.home(client);
+        let client = self.new_client(class, None);
+        let mut balancer = self.rng.uniform_index(self.balancers.len()) as u32;
+        let home = self.home_zone(client);
         while home.is_some_and(|home| self.zone(balancer) != home) {
-            balancer = self.rng.pick(self.nodes.len()) as u32;
+            balancer = self.rng.uniform_index(self.balancers.len()) as u32;
         }
-        let mut gateway = self.rng.pick(self.machines.len()) as u32;
+        let mut gateway = self.rng.uniform_index(self.gateways.len()) as u32;
         while self.configurations.all[0].gateways[gateway as usize].is_none()
             || home.is_some_and(|home| self.zone(gateway) != home)
         {
-            gateway = self.rng.pick(self.machines.len()) as u32;
+            gateway = self.rng.uniform_index(self.gateways.len()) as u32;
         }
         let load = self.draw_load(class);
-        let request = self.open(client, balancer, load);
-        let connect_request = self.arrival(request, client, Nanos::MAX);
-        self.settle(request, gateway);
+        let request = self.open_request(client, balancer, load);
+        let connect_request = self.connect_request(request, client, Nanos::MAX);
+        self.establish_connection(request, gateway);
         self.requests.get_mut(&request).expect("opened").attempts = 1;
-        self.was_placed(balancer, request, client, gateway);
-        self.tell(
+        self.record_initial_placement(balancer, request, client, gateway);
+        self.send_event(
             balancer,
             Event::ConnectionAdopted {
                 request: connect_request,
@@ -111,31 +111,36 @@
     }
 
     /// The zone whose balancers a client comes to, if it is not to all alike.
-    pub(super) fn home(&self, client: u64) -> Option<u32> {
+    pub(super) fn home_zone(&self, client: u64) -> Option<u32> {
         let zones = u64::from(self.scenario.zones);
-        self.by_zone
+        self.routes_by_zone
             .then(|| (self.clients[&client].key % zones) as u32)
     }
 
-    pub(super) fn open(&mut self, client: u64, balancer: u32, load: f64) -> u64 {
+    pub(super) fn open_request(&mut self, client: u64, balancer: u32, load: f64) -> u64 {
         let request = self.next_request;
         self.next_request += 1;
-        let start = self.nodes[balancer as usize].start;
+        let incarnation = self.balancers[balancer as usize].incarnation;
         self.requests.insert(
             request,
             Request {
                 client,
                 balancer,
-                start,
+                incarnation,
                 attempts: 0,
-                phase: Phase::Waits,
+                phase: Phase::Waiting,
                 load,
             },
         );
         request
     }
 
-    pub(super) fn arrival(&self, request: u64, client: u64, deadline_at: Nanos) -> ConnectRequest {
+    pub(super) fn connect_request(
+        &self,
+        request: u64,
+        client: u64,
+        deadline_at: Nanos,
+    ) -> ConnectRequest {
         let client = &self.clients[&client];
         ConnectRequest {
             request: RequestId(request),
@@ -145,39 +150,39 @@
             group: client
                 .group
                 .map(|group| GroupId(u64::from(group).wrapping_mul(0xbf58_476d_1ce4_e5b9))),
-            is_reconnect: client.returns,
+            is_reconnect: client.is_reconnect,
             expected_load: None,
             pin: None,
         }
     }
 
     /// A connection stands at a gateway from now on; its life and its changes are drawn.
-    pub(super) fn settle(&mut self, request: u64, gateway: u32) {
+    pub(super) fn establish_connection(&mut self, request: u64, gateway: u32) {
         let Some(one) = self.requests.get_mut(&request) else {
             return;
         };
-        one.phase = Phase::Stands { gateway };
+        one.phase = Phase::Established { gateway };
         let (client, load) = (one.client, one.load);
-        self.counts(client, true);
+        self.count_established(client, true);
         if let Some(one) = self.clients.get_mut(&client) {
-            one.had = Some(Had {
+            one.last_gateway = Some(LastGateway {
                 gateway,
                 since: self.now,
-                moved: false,
+                was_migrated: false,
             });
         }
         let (class, group) = (self.clients[&client].class, self.clients[&client].group);
-        let machine = &mut self.machines[gateway as usize];
-        machine
+        let gateway_state = &mut self.gateways[gateway as usize];
+        gateway_state
             .gateway
             .establish(self.now, request, EstablishedConnection { load, group });
         let class = &self.scenario.classes[class as usize];
         let (life, changes) = (class.life_s, class.changes_s);
         let life = self.rng.exponential(life);
-        self.after(life, Occurrence::Over { request });
+        self.schedule_after(life, ScheduledEvent::ConnectionLifetimeOver { request });
         if changes > 0.0 {
             let wait = self.rng.exponential(changes);
-            self.after(wait, Occurrence::Changes { request });
+            self.schedule_after(wait, ScheduledEvent::LoadChanged { request });
         }
     }
 }
--- a/crates/simulator/src/engine/attempts.rs
+++ b/crates/simulator/src/engine/attempts.rs
@@ -2,22 +2,28 @@
 
 use beaconflow_policy::{AttemptEnd, AttemptOutcome, ConnectionMetric, Event, RequestId};
 
-use super::{Engine, Occurrence, Phase, Request, SetUp};
-use crate::gateway::Offer;
+use super::{Engine, Phase, Request, ScheduledEvent, SetUp};
+use crate::gateway::SetUpAdmission;
 use crate::nanos;
 
 impl Engine<'_> {
-    pub(super) fn current(&self, request: u64, attempt: u32) -> bool {
-        let out =
-            |one: &Request| one.attempts == attempt + 1 && matches!(one.phase, Phase::Out { .. });
+    pub(super) fn is_current_attempt(&self, request: u64, attempt: u32) -> bool {
+        let out = |one: &Request| {
+            one.attempts == attempt + 1 && matches!(one.phase, Phase::Attempting { .. })
+        };
         self.requests.get(&request).is_some_and(out)
     }
 
-    pub(super) fn reports(&mut self, request: u64, attempt: u32, outcome: AttemptOutcome) {
-        let way = self.link_delay(self.scenario.net.gateway_ms);
-        self.after(
-            way,
-            Occurrence::Ends {
+    pub(super) fn report_attempt_end(
+        &mut self,
+        request: u64,
+        attempt: u32,
+        outcome: AttemptOutcome,
+    ) {
+        let delay_s = self.link_delay(self.scenario.net.gateway_ms);
+        self.schedule_after(
+            delay_s,
+            ScheduledEvent::AttemptEnded {
                 request,
                 attempt,
                 outcome: outcome as u8,
@@ -25,12 +31,12 @@
         );
     }
 
-    pub(super) fn reaches(&mut self, request: u64, attempt: u32, gateway: u32) {
-        if !self.current(request, attempt) {
+    pub(super) fn on_attempt_arrived(&mut self, request: u64, attempt: u32, gateway: u32) {
+        if !self.is_current_attempt(request, attempt) {
             return;
         }
-        if self.by_zone
-            && self.is_apart(
+        if self.routes_by_zone
+            && self.is_partitioned(
                 self.zone(self.requests[&request].balancer),
                 self.zone(gateway),
             )
@@ -43,30 +49,35 @@
             .filter(|(until, ..)| *until > self.now)
             .map(|(.., set_ups)| *set_ups)
             .sum();
-        if self.rng.happens(reset) {
-            return self.reports(request, attempt, AttemptOutcome::Reset);
+        if self.rng.happens_with_probability(reset) {
+            return self.report_attempt_end(request, attempt, AttemptOutcome::Reset);
         }
-        let machine = &mut self.machines[gateway as usize];
-        if !machine.up {
-            return self.reports(request, attempt, AttemptOutcome::ConnectFailed);
+        let gateway_state = &mut self.gateways[gateway as usize];
+        if !gateway_state.is_up {
+            return self.report_attempt_end(request, attempt, AttemptOutcome::ConnectFailed);
         }
-        if machine.hangs_until > self.now {
+        if gateway_state.hangs_until > self.now {
             return;
         }
-        if self.falls(gateway) {
-            return self.reports(request, attempt, AttemptOutcome::Reset);
+        if self.check_cold_overload(gateway) {
+            return self.report_attempt_end(request, attempt, AttemptOutcome::Reset);
         }
-        let machine = &mut self.machines[gateway as usize];
+        let gateway_state = &mut self.gateways[gateway as usize];
         let set_up = self.next_set_up;
-        let start = machine.start;
-        match machine.gateway.offer(self.now, set_up, &mut self.rng) {
-            Offer::Full => return self.reports(request, attempt, AttemptOutcome::Rejected),
-            Offer::Waits => {}
-            Offer::Until(at) => self.push(
+        let incarnation = gateway_state.incarnation;
+        match gateway_state
+            .gateway
+            .offer_set_up(self.now, set_up, &mut self.rng)
+        {
+            SetUpAdmission::Rejected => {
+                return self.report_attempt_end(request, attempt, AttemptOutcome::Rejected);
+            }
+            SetUpAdmission::Queued => {}
+            SetUpAdmission::RunsUntil(at) => self.schedule_at(
                 at,
-                Occurrence::Worked {
+                ScheduledEvent::SetUpWorkDone {
                     gateway,
-                    start,
+                    incarnation,
                     set_up,
                 },
             ),
@@ -78,70 +89,72 @@
                 request,
                 attempt,
                 gateway,
-                start,
+                incarnation,
             },
         );
     }
 
-    pub(super) fn worked(&mut self, gateway: u32, start: u32, set_up: u64) {
-        let machine = &mut self.machines[gateway as usize];
-        if machine.start != start {
+    pub(super) fn on_set_up_work_done(&mut self, gateway: u32, incarnation: u32, set_up: u64) {
+        let gateway_state = &mut self.gateways[gateway as usize];
+        if gateway_state.incarnation != incarnation {
             self.set_ups.remove(&set_up);
             return;
         }
-        if machine.hangs_until > self.now {
-            let at = machine.hangs_until;
-            return self.push(
+        if gateway_state.hangs_until > self.now {
+            let at = gateway_state.hangs_until;
+            return self.schedule_at(
                 at,
-                Occurrence::Worked {
+                ScheduledEvent::SetUpWorkDone {
                     gateway,
-                    start,
+                    incarnation,
                     set_up,
                 },
             );
         }
-        if let Some((next, at)) = machine.gateway.set_up_done(self.now, &mut self.rng) {
-            self.push(
+        if let Some((next, at)) = gateway_state.gateway.set_up_done(self.now, &mut self.rng) {
+            self.schedule_at(
                 at,
-                Occurrence::Worked {
+                ScheduledEvent::SetUpWorkDone {
                     gateway,
-                    start,
+                    incarnation,
                     set_up: next,
                 },
             );
         }
         match &mut self.store {
-            None => self.stored(set_up),
+            None => self.on_store_call_done(set_up),
             Some(store) => {
                 if let Some(at) = store.call(self.now, set_up, &mut self.rng) {
-                    self.push(at, Occurrence::Stored { set_up });
+                    self.schedule_at(at, ScheduledEvent::StoreCallDone { set_up });
                 }
             }
         }
     }
 
-    pub(super) fn stored(&mut self, set_up: u64) {
+    pub(super) fn on_store_call_done(&mut self, set_up: u64) {
         if let Some(store) = &mut self.store
-            && let Some((next, at)) = store.ended(self.now, &mut self.rng)
+            && let Some((next, at)) = store.call_done(self.now, &mut self.rng)
         {
-            self.push(at, Occurrence::Stored { set_up: next });
+            self.schedule_at(at, ScheduledEvent::StoreCallDone { set_up: next });
         }
         let Some(SetUp {
             request,
             attempt,
             gateway,
-            start,
+            incarnation,
         }) = self.set_ups.remove(&set_up)
         else {
             return;
         };
-        if self.machines[gateway as usize].start != start || !self.current(request, attempt) {
+        if self.gateways[gateway as usize].incarnation != incarnation
+            || !self.is_current_attempt(request, attempt)
+        {
             return;
         }
-        let way = self.link_delay(self.scenario.net.gateway_ms);
-        self.after(
-            way,
-            Occurrence::Stands {
+        let delay_s = self.link_delay(self.scenario.net.gateway_ms);
+        self.schedule_after(
+            delay_s,
+            ScheduledEvent::AttemptEstablished {
                 request,
                 attempt,
                 gateway,
@@ -150,26 +163,26 @@
     }
 
     pub(super) fn on_established(&mut self, request: u64, attempt: u32, gateway: u32) {
-        if !self.current(request, attempt) {
+        if !self.is_current_attempt(request, attempt) {
             return;
         }
-        if !self.machines[gateway as usize].up {
-            return self.ends(request, attempt, AttemptOutcome::Reset);
+        if !self.gateways[gateway as usize].is_up {
+            return self.on_attempt_ended(request, attempt, AttemptOutcome::Reset);
         }
         let (balancer, client) = (
             self.requests[&request].balancer,
             self.requests[&request].client,
         );
-        if self.clients[&client].returns {
-            self.judges_return(client, gateway);
+        if self.clients[&client].is_reconnect {
+            self.count_return(client, gateway);
         }
-        self.settle(request, gateway);
-        self.is_placed(balancer, request, client, gateway);
-        self.counts_placement(balancer, client, true);
-        self.checker.answered(self.now, request, false);
+        self.establish_connection(request, gateway);
+        self.record_placement(balancer, request, client, gateway);
+        self.record_placement_outcome(balancer, client, true);
+        self.checker.on_request_answered(self.now, request, false);
         let one = self.clients.get_mut(&client).expect("it waits");
         let took = self.now - one.since;
-        one.returns = false;
+        one.is_reconnect = false;
         self.count_isolated(client, Some(took));
         let one = &self.clients[&client];
         let (class, account) = (one.class as usize, one.account as usize);
@@ -185,10 +198,10 @@
                 &mut served.late
             } += 1;
         }
-        let second = self.measures.at(self.now);
+        let second = self.measures.second_at(self.now);
         second.stood += 1;
         second.in_time += u64::from(in_time);
-        self.tell(
+        self.send_event(
             balancer,
             Event::AttemptEstablished {
                 request: RequestId(request),
@@ -198,7 +211,7 @@
         // Its gateway tells how heavy it is.
         if let Some(one) = self.requests.get(&request) {
             let metric = ConnectionMetric::Load(one.load);
-            self.tell(
+            self.send_event(
                 balancer,
                 Event::ConnectionMeasured {
                     request: RequestId(request),
@@ -209,15 +222,16 @@
         }
     }
 
-    pub(super) fn ends(&mut self, request: u64, attempt: u32, outcome: AttemptOutcome) {
-        if !self.current(request, attempt) {
+    pub(super) fn on_attempt_ended(&mut self, request: u64, attempt: u32, outcome: AttemptOutcome) {
+        if !self.is_current_attempt(request, attempt) {
             return;
         }
         let one = self.requests.get_mut(&request).expect("it is out");
-        one.phase = Phase::Waits;
+        one.phase = Phase::Waiting;
         let (balancer, client) = (one.balancer, one.client);
-        self.counts_placement(balancer, client, false);
-        self.checker.ended(request, !outcome.proves_not_executed());
+        self.record_placement_outcome(balancer, client, false);
+        self.checker
+            .on_attempt_ended(request, !outcome.proves_not_executed());
         let ended = Event::AttemptEnded(AttemptEnd {
             request: RequestId(request),
             attempt,
@@ -225,6 +239,6 @@
             elapsed: 0,
             is_final: false,
         });
-        self.tell(balancer, ended);
+        self.send_event(balancer, ended);
     }
 }
--- a/crates/simulator/src/engine/balancers.rs
+++ b/crates/simulator/src/engine/balancers.rs
@@ -9,24 +9,24 @@
 };
 
 use super::recovery::Listed;
-use super::{Engine, Occurrence, Phase};
+use super::{Engine, Phase, ScheduledEvent};
 use crate::{Nanos, nanos};
 
 /// Part of its weight that a gateway of another zone has where clients come to the balancers of their own: those would
 /// else be led beyond the link as often as not.
-const BEYOND: f64 = 0.01;
+const REMOTE_ZONE_WEIGHT: f64 = 0.01;
 
 impl Engine<'_> {
-    pub(super) fn tell(&mut self, balancer: u32, event: Event) {
+    pub(super) fn send_event(&mut self, balancer: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.nodes[balancer as usize]
-            .decides
+        self.balancers[balancer as usize]
+            .engine
             .handle(self.now, event, &mut actions);
-        self.carry_out(balancer, actions);
+        self.apply_actions(balancer, actions);
     }
 
-    pub(super) fn carry_out(&mut self, balancer: u32, mut actions: Vec<Action>) {
-        let start = self.nodes[balancer as usize].start;
+    pub(super) fn apply_actions(&mut self, balancer: u32, mut actions: Vec<Action>) {
+        let incarnation = self.balancers[balancer as usize].incarnation;
         for action in actions.drain(..) {
             match action {
                 Action::StartAttempt {
@@ -35,29 +35,29 @@
                     timeout,
                     ..
                 } => {
-                    self.attempts(request.0, server.0 % self.scenario.gateways, timeout);
+                    self.start_attempt(request.0, server.0 % self.scenario.gateways, timeout);
                 }
                 Action::Reject {
                     request,
                     retry_after,
                 } => {
-                    let retry_after = self.stays_away(balancer, request.0, retry_after);
-                    self.answered(request.0, true, retry_after);
+                    let retry_after = self.shared_retry_after(balancer, request.0, retry_after);
+                    self.end_unplaced_request(request.0, true, retry_after);
                 }
-                Action::Fail(request) => self.answered(request.0, false, None),
-                Action::Migrate(request, why) => self.moves(request.0, why, false),
+                Action::Fail(request) => self.end_unplaced_request(request.0, false, None),
+                Action::Migrate(request, reason) => self.migrate(request.0, reason, false),
                 Action::SetTimer { after, timer } => {
                     let at = self.now.saturating_add(after);
-                    self.push(
+                    self.schedule_at(
                         at,
-                        Occurrence::Timer {
+                        ScheduledEvent::TimerFired {
                             balancer,
-                            start,
+                            incarnation,
                             timer: timer.0,
                         },
                     );
                 }
-                Action::WatchServerList => self.watches(balancer),
+                Action::WatchServerList => self.watch_server_list(balancer),
                 Action::Enqueue(_) | Action::ProbeServer(_) | Action::LogOverload(_) => {}
             }
         }
@@ -66,108 +66,114 @@
         }
     }
 
-    pub(super) fn attempts(&mut self, request: u64, gateway: u32, timeout: Nanos) {
+    pub(super) fn start_attempt(&mut self, request: u64, gateway: u32, timeout: Nanos) {
         let Some(one) = self.requests.get_mut(&request) else {
             return;
         };
         let attempt = one.attempts;
         one.attempts += 1;
-        one.phase = Phase::Out { gateway };
+        one.phase = Phase::Attempting { gateway };
         let balancer = one.balancer;
-        self.checker.attempts(self.now, request, balancer, gateway);
-        self.measures.at(self.now).attempts += 1;
-        let way = self.link_delay(self.scenario.net.gateway_ms);
-        self.after(
-            way,
-            Occurrence::Reaches {
+        self.checker
+            .on_attempt_started(self.now, request, balancer, gateway);
+        self.measures.second_at(self.now).attempts += 1;
+        let delay_s = self.link_delay(self.scenario.net.gateway_ms);
+        self.schedule_after(
+            delay_s,
+            ScheduledEvent::AttemptArrived {
                 request,
                 attempt,
                 gateway,
             },
         );
         let at = self.now.saturating_add(timeout);
-        self.push(at, Occurrence::TimesOut { request, attempt });
+        self.schedule_at(at, ScheduledEvent::AttemptTimedOut { request, attempt });
     }
 
-    pub(super) fn answered(&mut self, request: u64, refused: bool, told: Option<Nanos>) {
+    pub(super) fn end_unplaced_request(
+        &mut self,
+        request: u64,
+        refused: bool,
+        retry_after: Option<Nanos>,
+    ) {
         let Some(one) = self.requests.remove(&request) else {
             return;
         };
-        self.checker.answered(self.now, request, refused);
-        let second = self.measures.at(self.now);
+        self.checker.on_request_answered(self.now, request, refused);
+        let second = self.measures.second_at(self.now);
         if refused {
             second.refused += 1;
         } else {
             second.failed += 1;
         }
-        self.tries_again(one.client, told);
+        self.schedule_retry(one.client, retry_after);
     }
 
     /// A connection is moved off its gateway, by the decisions or by its host.
-    pub(super) fn moves(&mut self, request: u64, why: MigrationReason, by_host: bool) {
-        let Some(one) = self.lets_go(request) else {
+    pub(super) fn migrate(&mut self, request: u64, reason: MigrationReason, by_host: bool) {
+        let Some(one) = self.remove_established(request) else {
             return;
         };
-        self.measures.at(self.now).moved += 1;
+        self.measures.second_at(self.now).moved += 1;
         self.measures.fleet.evened += u64::from(matches!(
-            why,
+            reason,
             MigrationReason::Rebalancing | MigrationReason::SlowStart
         ));
-        let how = match why {
+        let end_reason = match reason {
             MigrationReason::ServerLeaving => EndReason::MigratedServerLeaving,
             MigrationReason::SlowMessages => EndReason::MigratedSlowMessages,
             MigrationReason::Rebalancing | MigrationReason::SlowStart => {
                 EndReason::MigratedRebalancing
             }
         };
-        self.is_gone(one.balancer, request, one.client, how);
-        if let Some(had) = self
+        self.record_placement_ended(one.balancer, request, one.client, end_reason);
+        if let Some(last_gateway) = self
             .clients
             .get_mut(&one.client)
-            .and_then(|client| client.had.as_mut())
+            .and_then(|client| client.last_gateway.as_mut())
         {
-            had.moved = true;
+            last_gateway.was_migrated = true;
         }
         if by_host {
-            self.tell_ended(&one, request, AttemptOutcome::Served);
+            self.send_connection_ended(&one, request, AttemptOutcome::Served);
         }
-        self.comes_back(one.client);
+        self.reconnect_client(one.client);
     }
 
     /// Discovery is asked: its word comes after a while, or that it is away.
-    pub(super) fn watches(&mut self, balancer: u32) {
-        let start = self.nodes[balancer as usize].start;
+    pub(super) fn watch_server_list(&mut self, balancer: u32) {
+        let incarnation = self.balancers[balancer as usize].incarnation;
         let wait = self.link_delay(self.scenario.net.discovery_ms);
         let at = self
             .now
             .max(self.discovery_back_at)
             .saturating_add(nanos(wait));
-        self.push(
+        self.schedule_at(
             at,
-            Occurrence::Listed {
+            ScheduledEvent::ServerListArrived {
                 balancer,
-                start,
-                full: true,
+                incarnation,
+                is_full: true,
             },
         );
     }
 
-    pub(super) fn tell_list(&mut self, balancer: u32, full: bool) {
+    pub(super) fn deliver_server_list(&mut self, balancer: u32, is_full: bool) {
         if self.now < self.discovery_back_at {
-            let start = self.nodes[balancer as usize].start;
+            let incarnation = self.balancers[balancer as usize].incarnation;
             let at = self.discovery_back_at;
-            return self.push(
+            return self.schedule_at(
                 at,
-                Occurrence::Listed {
+                ScheduledEvent::ServerListArrived {
                     balancer,
-                    start,
-                    full,
+                    incarnation,
+                    is_full,
                 },
             );
         }
         let listed = self.listed();
         for (at, one) in listed.iter().enumerate() {
-            self.checker.listed(
+            self.checker.on_server_listed(
                 self.now,
                 balancer,
                 at as u32,
@@ -175,10 +181,10 @@
             );
         }
         self.hosts[balancer as usize].list = Some(Rc::new(listed));
-        self.sees_ready(balancer);
-        self.tell_module(
+        self.update_ready_since(balancer);
+        self.send_server_list(
             balancer,
-            if full {
+            if is_full {
                 ListUpdate::Snapshot
             } else {
                 ListUpdate::Delta
@@ -187,13 +193,13 @@
     }
 
     /// The decisions are told the list.
-    pub(super) fn tell_module(&mut self, balancer: u32, update: ListUpdate) {
+    pub(super) fn send_server_list(&mut self, balancer: u32, update: ListUpdate) {
         let (zones, paced) = (self.scenario.zones, self.is_paced(balancer));
         let Some(list) = self.hosts[balancer as usize].list.clone() else {
             return;
         };
         // What paces clients over the whole fleet is not to be held against each gateway once more.
-        let warmth = |listed: &Listed| {
+        let capacity = |listed: &Listed| {
             if paced {
                 self.capacity_fraction(listed)
             } else {
@@ -201,10 +207,13 @@
             }
         };
         let host = &self.hosts[balancer as usize];
-        let (runs, follows) = (&self.configurations.all[host.runs], host.places.is_some());
+        let (configuration, follows) = (
+            &self.configurations.all[host.runs],
+            host.placements.is_some(),
+        );
         // Whoever does not follow a gateway under its new name takes it for another one.
         let id = |at: usize| {
-            let is_another = runs.renamed[at] && !follows;
+            let is_another = configuration.renamed[at] && !follows;
             at as u32
                 + if is_another {
                     self.scenario.gateways
@@ -213,9 +222,9 @@
                 }
         };
         let own = self.zone(balancer);
-        let near = |at: usize| {
-            if self.by_zone && self.zone(at as u32) != own {
-                BEYOND
+        let zone_weight = |at: usize| {
+            if self.routes_by_zone && self.zone(at as u32) != own {
+                REMOTE_ZONE_WEIGHT
             } else {
                 1.0
             }
@@ -223,11 +232,11 @@
         let entry = |(at, listed): (usize, &Listed)| ServerEntry {
             server: ServerId(id(at)),
             name_hash: (u64::from(id(at)) + 1).wrapping_mul(0x94d0_49bb_1331_11eb),
-            state: match (runs.gateways[at], listed.state) {
+            state: match (configuration.gateways[at], listed.state) {
                 // What stands stays, until it is dealt anew at the pace that is set for that.
                 (None, ServerState::Ready) if follows => ServerState::OutOfService,
                 (None, _) => ServerState::Removed,
-                (Some(_), ServerState::Ready) if !self.may_place(balancer, at as u32) => {
+                (Some(_), ServerState::Ready) if !self.can_place(balancer, at as u32) => {
                     ServerState::OutOfService
                 }
                 (Some(_), state) => state,
@@ -236,9 +245,9 @@
             cell: 0,
             machine_type: 0,
             weight: listed.weight
-                * near(at)
-                * warmth(listed)
-                * runs.gateways[at].map_or(1.0, |(_, part)| part),
+                * zone_weight(at)
+                * capacity(listed)
+                * configuration.gateways[at].map_or(1.0, |(_, part)| part),
             target_weight: None,
             started_at: if paced {
                 0
@@ -247,21 +256,21 @@
             },
         };
         let entries: Vec<ServerEntry> = list.iter().enumerate().map(entry).collect();
-        self.tell(balancer, Event::ServerList { update, entries });
+        self.send_event(balancer, Event::ServerList { update, entries });
     }
 
     /// Discovery has something new to tell to all.
-    pub(super) fn list_changes(&mut self) {
+    pub(super) fn notify_list_changed(&mut self) {
         self.generation += 1;
-        for balancer in 0..self.nodes.len() as u32 {
-            let start = self.nodes[balancer as usize].start;
+        for balancer in 0..self.balancers.len() as u32 {
+            let incarnation = self.balancers[balancer as usize].incarnation;
             let wait = self.link_delay(self.scenario.net.discovery_ms);
-            self.after(
+            self.schedule_after(
                 wait,
-                Occurrence::Listed {
+                ScheduledEvent::ServerListArrived {
                     balancer,
-                    start,
-                    full: false,
+                    incarnation,
+                    is_full: false,
                 },
             );
         }
--- /dev/null
+++ b/crates/simulator/src/engine/cold_overload.rs
@@ -0,0 +1,58 @@
+//! Cold gateways that fall over when they are sent too much.
+
+use super::{Engine, ScheduledEvent};
+use crate::nanos;
+use crate::scenario::{COLD_OVERLOAD_MULTIPLE, COLD_OVERLOAD_WINDOW_S};
+
+/// A gateway that fell over is there again after this.
+const FALLEN_RESTART_S: f64 = 5.0;
+
+impl Engine<'_> {
+    /// A set-up reaches a gateway; tells whether it falls over by that.
+    pub(super) fn check_cold_overload(&mut self, gateway: u32) -> bool {
+        if !self.scenario.fleet.falls {
+            return false;
+        }
+        let (now, clients_per_s) = (self.now, self.scenario.clients_per_warm_gateway_s());
+        let gateway_state = &mut self.gateways[gateway as usize];
+        let capacity = gateway_state.gateway.capacity_fraction(now);
+        if capacity >= 1.0 {
+            return false;
+        }
+        gateway_state.sent.push_back(now);
+        while gateway_state
+            .sent
+            .front()
+            .is_some_and(|at| at + nanos(COLD_OVERLOAD_WINDOW_S) <= now)
+        {
+            gateway_state.sent.pop_front();
+        }
+        let allowed = COLD_OVERLOAD_MULTIPLE * clients_per_s * capacity * COLD_OVERLOAD_WINDOW_S;
+        let max_set_ups = allowed + self.scenario.fleet.slack * (allowed.sqrt() + 1.0);
+        let sent = gateway_state.sent.len() as f64;
+        self.measures.fleet.most_sent = self.measures.fleet.most_sent.max(sent / max_set_ups);
+        if sent <= max_set_ups {
+            return false;
+        }
+        self.measures.fleet.fallen += 1;
+        self.stop_gateway(gateway, FALLEN_RESTART_S);
+        self.notify_list_changed();
+        let incarnation = self.gateways[gateway as usize].incarnation;
+        self.schedule_after(
+            FALLEN_RESTART_S,
+            ScheduledEvent::FallenGatewayRestarted {
+                gateway,
+                incarnation,
+            },
+        );
+        true
+    }
+
+    /// A gateway that fell over is there again.
+    pub(super) fn restart_fallen_gateway(&mut self, gateway: u32, incarnation: u32) {
+        if self.gateways[gateway as usize].incarnation == incarnation {
+            self.start_gateway(gateway);
+            self.notify_list_changed();
+        }
+    }
+}
--- a/crates/simulator/src/engine/edge.rs
+++ b/crates/simulator/src/engine/edge.rs
@@ -6,22 +6,22 @@
 };
 use beaconflow_policy::ListUpdate;
 
-use super::{Engine, Occurrence, Phase};
+use super::{Engine, Phase, ScheduledEvent};
 use crate::mesh;
-use crate::scenario::{Failure, Way};
+use crate::scenario::{Failure, LinkDirection};
 use crate::{Nanos, SECOND, nanos};
 
 /// A call beyond a lost link is given up after this.
-const GIVES_UP: f64 = 1.0;
+const LOST_PROBE_TIMEOUT_S: f64 = 1.0;
 /// What was heard from a zone so long ago says that it is silent.
-const SILENT: u64 = 3_000;
+const PEER_SILENT_AFTER_MS: u64 = 3_000;
 
 /// A lost uplink.
 pub(super) struct Uplink {
     pub(super) zone: u32,
     from: Nanos,
     pub(super) until: Nanos,
-    way: Way,
+    direction: LinkDirection,
     flap: Nanos,
 }
 
@@ -30,11 +30,11 @@
     fn loses(&self, now: Nanos, from: u32, to: u32) -> bool {
         let is_down = self.flap == 0 || ((now - self.from) / self.flap).is_multiple_of(2);
         let crosses = from != to
-            && match self.way {
-                Way::Both => from == self.zone || to == self.zone,
-                Way::Out => from == self.zone,
-                Way::In => to == self.zone,
-                Way::None => false,
+            && match self.direction {
+                LinkDirection::Both => from == self.zone || to == self.zone,
+                LinkDirection::Out => from == self.zone,
+                LinkDirection::In => to == self.zone,
+                LinkDirection::None => false,
             };
         now < self.until && is_down && crosses
     }
@@ -55,23 +55,23 @@
     }
 
     /// Whether what goes from one zone to another is lost.
-    pub(super) fn is_lost(&self, from: u32, to: u32) -> bool {
+    pub(super) fn is_link_down(&self, from: u32, to: u32) -> bool {
         self.uplinks
             .iter()
             .any(|uplink| uplink.loses(self.now, from, to))
     }
 
     /// Whether connections between two zones are lost: they need both ways.
-    pub(super) fn is_apart(&self, one: u32, other: u32) -> bool {
-        self.is_lost(one, other) || self.is_lost(other, one)
+    pub(super) fn is_partitioned(&self, one: u32, other: u32) -> bool {
+        self.is_link_down(one, other) || self.is_link_down(other, one)
     }
 
     /// A zone's uplink is lost.
-    pub(super) fn loses_uplink(&mut self, failure: u32) {
+    pub(super) fn lose_uplink(&mut self, failure: u32) {
         let Failure::UplinkLost {
             for_s,
             zone,
-            way,
+            way: direction,
             flap_s,
             ..
         } = self.scenario.failures[failure as usize].get_ref()
@@ -83,14 +83,14 @@
             zone: *zone,
             from: self.now,
             until,
-            way: *way,
+            direction: *direction,
             flap: nanos(*flap_s),
         };
         self.uplinks.push(uplink);
         self.measures.fleet.island = Some((*zone, self.now, until));
         let crosses = |engine: &Self, one: &super::Request| match one.phase {
-            Phase::Stands { gateway } => {
-                engine.is_apart(engine.zone(one.balancer), engine.zone(gateway))
+            Phase::Established { gateway } => {
+                engine.is_partitioned(engine.zone(one.balancer), engine.zone(gateway))
             }
             _ => false,
         };
@@ -102,21 +102,21 @@
             .collect();
         cut.sort_unstable();
         cut.into_iter()
-            .for_each(|request| self.cut_off(request, false));
+            .for_each(|request| self.break_connection(request, false));
     }
 
     /// The uplink is back for good: whoever judges nothing has its watch again soon.
-    pub(super) fn has_uplink(&mut self, zone: u32) {
-        for balancer in 0..self.nodes.len() as u32 {
+    pub(super) fn restore_uplink(&mut self, zone: u32) {
+        for balancer in 0..self.balancers.len() as u32 {
             if self.zone(balancer) == zone && !self.scenario.fleet.edge {
-                let start = self.nodes[balancer as usize].start;
+                let incarnation = self.balancers[balancer as usize].incarnation;
                 let wait = self.link_delay(self.scenario.net.discovery_ms);
-                self.after(
+                self.schedule_after(
                     wait,
-                    Occurrence::Listed {
+                    ScheduledEvent::ServerListArrived {
                         balancer,
-                        start,
-                        full: true,
+                        incarnation,
+                        is_full: true,
                     },
                 );
             }
@@ -124,60 +124,69 @@
     }
 
     /// A balancer begins to judge its zone's uplink.
-    pub(super) fn has_edge(&mut self, balancer: u32) {
+    pub(super) fn init_edge(&mut self, balancer: u32) {
         if !self.scenario.fleet.edge {
             return;
         }
         let config = Config {
             site: self.site(balancer),
-            name: mesh::name(balancer),
+            name: mesh::balancer_name(balancer),
             seed: self.scenario.seed ^ u64::from(balancer),
             processes: self.scenario.balancers,
             is_discovery_local: self.zone(balancer) == 0,
             is_store_local: true,
             ..Config::default()
         };
-        self.hosts[balancer as usize].edge =
-            Some(Edge::new(config, mesh::wall(self.now), Start::Fresh));
-        let start = self.nodes[balancer as usize].start;
+        self.hosts[balancer as usize].edge = Some(Edge::new(
+            config,
+            mesh::wall_clock_ms(self.now),
+            Start::Fresh,
+        ));
+        let incarnation = self.balancers[balancer as usize].incarnation;
         // Each at its own moment of a second.
-        let first = self.wire.even();
-        self.after(first, Occurrence::Judges { balancer, start });
+        let first = self.peer_rng.uniform();
+        self.schedule_after(
+            first,
+            ScheduledEvent::UplinkCheckDue {
+                balancer,
+                incarnation,
+            },
+        );
     }
 
     /// Tells a balancer's judgement something and does what it asks for.
-    pub(super) fn sees(&mut self, balancer: u32, evidence: Evidence) {
+    pub(super) fn handle_evidence(&mut self, balancer: u32, evidence: Evidence) {
         let Some(edge) = &mut self.hosts[balancer as usize].edge else {
             return;
         };
-        let (mut actions, wall) = (Vec::new(), mesh::wall(self.now));
+        let (mut actions, wall) = (Vec::new(), mesh::wall_clock_ms(self.now));
         edge.handle(wall, evidence, &mut actions);
         for action in actions {
-            self.acts(balancer, action);
+            self.apply_edge_action(balancer, action);
         }
     }
 
-    fn acts(&mut self, balancer: u32, action: Action) {
-        let start = self.nodes[balancer as usize].start;
+    fn apply_edge_action(&mut self, balancer: u32, action: Action) {
+        let incarnation = self.balancers[balancer as usize].incarnation;
         match action {
-            Action::StateChanged { .. } => self.tell_module(balancer, ListUpdate::Snapshot),
-            Action::Probe { target: place } => {
-                let beyond = self.zone_of(&place);
-                let wait = if self.is_apart(self.zone(balancer), beyond) {
-                    GIVES_UP
+            Action::StateChanged { .. } => self.send_server_list(balancer, ListUpdate::Snapshot),
+            Action::Probe { target } => {
+                let target_zone = self.zone_of(&target);
+                let wait = if self.is_partitioned(self.zone(balancer), target_zone) {
+                    LOST_PROBE_TIMEOUT_S
                 } else {
                     0.01
                 };
-                self.measures.fleet.probes += u64::from(wait == GIVES_UP);
-                let discovery = place == RemoteTarget::Discovery;
-                self.after(
+                self.measures.fleet.probes += u64::from(wait == LOST_PROBE_TIMEOUT_S);
+                let is_discovery = target == RemoteTarget::Discovery;
+                self.schedule_after(
                     wait,
-                    Occurrence::Probed {
+                    ScheduledEvent::ProbeDone {
                         balancer,
-                        start,
-                        beyond,
-                        discovery,
-                        lost: wait == GIVES_UP,
+                        incarnation,
+                        target_zone,
+                        is_discovery,
+                        is_lost: wait == LOST_PROBE_TIMEOUT_S,
                     },
                 );
             }
@@ -185,23 +194,26 @@
                 target: RemoteTarget::Discovery,
                 delay_ms: in_ms,
             }) => {
-                self.after(
+                self.schedule_after(
                     in_ms as f64 / 1e3,
-                    Occurrence::AsksAgain { balancer, start },
+                    ScheduledEvent::DiscoveryRequeryDue {
+                        balancer,
+                        incarnation,
+                    },
                 );
             }
             Action::Rejoin(RejoinStep::Merge) => {
                 // Its list is the one that it has asked for; what it may move are those that drain or are gone.
                 self.measures.fleet.merges.push(self.now);
-                self.tell_list(balancer, true);
-                self.sees(balancer, Evidence::RejoinStepDone(RejoinStep::Merge));
+                self.deliver_server_list(balancer, true);
+                self.handle_evidence(balancer, Evidence::RejoinStepDone(RejoinStep::Merge));
             }
             _ => {}
         }
     }
 
-    fn zone_of(&self, place: &RemoteTarget) -> u32 {
-        match place {
+    fn zone_of(&self, target: &RemoteTarget) -> u32 {
+        match target {
             RemoteTarget::Site(name) => name
                 .strip_prefix('z')
                 .and_then(|zone| zone.parse().ok())
@@ -211,31 +223,37 @@
     }
 
     /// What it asked beyond the link has ended.
-    pub(super) fn probed(&mut self, balancer: u32, beyond: u32, discovery: bool, lost: bool) {
-        let evidence = match (discovery, lost) {
+    pub(super) fn on_probe_done(
+        &mut self,
+        balancer: u32,
+        target_zone: u32,
+        is_discovery: bool,
+        is_lost: bool,
+    ) {
+        let evidence = match (is_discovery, is_lost) {
             (true, true) => Evidence::DiscoveryFailed,
             (true, false) => Evidence::DiscoveryAnswered { latency_ms: 10 },
             (false, _) => {
-                let outcome = if lost {
+                let outcome = if is_lost {
                     RequestOutcome::Failed
                 } else {
                     RequestOutcome::Answered { latency_ms: 10 }
                 };
                 Evidence::RemoteServerRequest {
-                    site: format!("z{beyond}"),
+                    site: format!("z{target_zone}"),
                     outcome,
                 }
             }
         };
-        self.sees(balancer, evidence);
+        self.handle_evidence(balancer, evidence);
     }
 
     /// It asks discovery again after an island.
-    pub(super) fn asks_again(&mut self, balancer: u32) {
-        let apart = self.is_apart(self.zone(balancer), 0);
-        self.sees(
+    pub(super) fn requery_discovery(&mut self, balancer: u32) {
+        let is_unreachable = self.is_partitioned(self.zone(balancer), 0);
+        self.handle_evidence(
             balancer,
-            if apart {
+            if is_unreachable {
                 Evidence::WatchLost
             } else {
                 Evidence::WatchAlive
@@ -244,10 +262,16 @@
     }
 
     /// Once a second: what its watch and its peers in other zones show.
-    pub(super) fn judges(&mut self, balancer: u32, start: u32) {
-        self.after(1.0, Occurrence::Judges { balancer, start });
-        let (own, wall) = (self.zone(balancer), mesh::wall(self.now));
-        let apart = self.is_apart(own, 0) || self.now < self.discovery_back_at;
+    pub(super) fn check_uplink(&mut self, balancer: u32, incarnation: u32) {
+        self.schedule_after(
+            1.0,
+            ScheduledEvent::UplinkCheckDue {
+                balancer,
+                incarnation,
+            },
+        );
+        let (own_zone, wall) = (self.zone(balancer), mesh::wall_clock_ms(self.now));
+        let is_unreachable = self.is_partitioned(own_zone, 0) || self.now < self.discovery_back_at;
         let Some(edge) = &self.hosts[balancer as usize].edge else {
             return;
         };
@@ -258,16 +282,16 @@
             },
         ) == Permission::Granted
         {
-            self.sees(
+            self.handle_evidence(
                 balancer,
-                if apart {
+                if is_unreachable {
                     Evidence::WatchLost
                 } else {
                     Evidence::WatchAlive
                 },
             );
         }
-        for zone in (0..self.scenario.zones).filter(|zone| *zone != own) {
+        for zone in (0..self.scenario.zones).filter(|zone| *zone != own_zone) {
             let site = format!("z{zone}");
             let Some(node) = &self.hosts[balancer as usize].node else {
                 return;
@@ -276,7 +300,7 @@
                 continue;
             };
             let both_ways = node.members().any(|member| *member.name == *name);
-            let evidence = match wall.saturating_sub(at) < SILENT {
+            let evidence = match wall.saturating_sub(at) < PEER_SILENT_AFTER_MS {
                 true => Evidence::PeerMessage {
                     name,
                     site,
@@ -284,22 +308,22 @@
                 },
                 false => Evidence::PeerSilent { name, site },
             };
-            self.sees(balancer, evidence);
+            self.handle_evidence(balancer, evidence);
         }
-        self.sees(balancer, Evidence::Tick);
+        self.handle_evidence(balancer, Evidence::Tick);
     }
 
     /// Whether a balancer may send anything new to a gateway, as far as its zone is an island.
-    pub(super) fn may_place(&self, balancer: u32, gateway: u32) -> bool {
+    pub(super) fn can_place(&self, balancer: u32, gateway: u32) -> bool {
         let Some(edge) = &self.hosts[balancer as usize].edge else {
             return true;
         };
-        let place = Decision::PlaceClient {
+        let target = Decision::PlaceClient {
             site: format!("z{}", self.zone(gateway)),
             is_listed: true,
             is_healthy: true,
         };
-        edge.permission(mesh::wall(self.now), &place) == Permission::Granted
+        edge.permission(mesh::wall_clock_ms(self.now), &target) == Permission::Granted
     }
 
     /// Whether a balancer's own watch brings it the list now.
@@ -310,7 +334,7 @@
                 beaconflow_edge::UplinkState::Isolated | beaconflow_edge::UplinkState::Rejoining
             )
         };
-        let is_apart = self.is_apart(self.zone(balancer), 0);
+        let is_apart = self.is_partitioned(self.zone(balancer), 0);
         !is_apart
             && !self.hosts[balancer as usize]
                 .edge
--- a/crates/simulator/src/engine/events.rs
+++ b/crates/simulator/src/engine/events.rs
@@ -5,93 +5,93 @@
 use super::{Engine, recovery};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Occurrence {
+pub(super) enum ScheduledEvent {
     /// A new client of a class wants a connection.
-    Arrives { class: u32 },
+    ClientCreated { class: u32 },
     /// A client's try reaches a balancer.
-    Comes { client: u64 },
+    ClientArrived { client: u64 },
     /// An attempt reaches its gateway.
-    Reaches {
+    AttemptArrived {
         request: u64,
         attempt: u32,
         gateway: u32,
     },
     /// A gateway has done the work of a set-up.
-    Worked {
+    SetUpWorkDone {
         gateway: u32,
-        start: u32,
+        incarnation: u32,
         set_up: u64,
     },
     /// The store has done a call.
-    Stored { set_up: u64 },
+    StoreCallDone { set_up: u64 },
     /// Word of an attempt's connection reaches the balancer.
-    Stands {
+    AttemptEstablished {
         request: u64,
         attempt: u32,
         gateway: u32,
     },
     /// Word of an attempt's end reaches the balancer.
-    Ends {
+    AttemptEnded {
         request: u64,
         attempt: u32,
         outcome: u8,
     },
     /// The balancer waits no longer for an attempt.
-    TimesOut { request: u64, attempt: u32 },
+    AttemptTimedOut { request: u64, attempt: u32 },
     /// A connection has lasted as long as its client wanted it.
-    Over { request: u64 },
+    ConnectionLifetimeOver { request: u64 },
     /// A connection's load changes.
-    Changes { request: u64 },
+    LoadChanged { request: u64 },
     /// A balancer's timer.
-    Timer {
+    TimerFired {
         balancer: u32,
-        start: u32,
+        incarnation: u32,
         timer: u64,
     },
     /// Discovery's word reaches a balancer.
-    Listed {
+    ServerListArrived {
         balancer: u32,
-        start: u32,
-        full: bool,
+        incarnation: u32,
+        is_full: bool,
     },
     /// A second is over.
-    Second,
+    SecondElapsed,
     /// A failure begins.
-    Fails { failure: u32 },
+    FailureBegan { failure: u32 },
     /// It has run its course, or goes on to its next part.
-    GoesOn { failure: u32, part: u8 },
+    FailureContinued { failure: u32, part: u8 },
     /// A client of a flood or of a mass reconnect drops its connection.
-    Drops { request: u64 },
+    ConnectionDropped { request: u64 },
     /// A client ends its connection and comes again.
-    Leaves { request: u64 },
+    ConnectionClosedByClient { request: u64 },
     /// A balancer takes a new configuration over.
-    Adopts { balancer: u32, failure: u32 },
+    ConfigurationAdopted { balancer: u32, failure: u32 },
     /// A balancer looks whether its zone's uplink stands.
-    Judges { balancer: u32, start: u32 },
+    UplinkCheckDue { balancer: u32, incarnation: u32 },
     /// What it asked beyond the link has ended.
-    Probed {
+    ProbeDone {
         balancer: u32,
-        start: u32,
-        beyond: u32,
-        discovery: bool,
-        lost: bool,
+        incarnation: u32,
+        target_zone: u32,
+        is_discovery: bool,
+        is_lost: bool,
     },
     /// It asks discovery again after an island.
-    AsksAgain { balancer: u32, start: u32 },
+    DiscoveryRequeryDue { balancer: u32, incarnation: u32 },
     /// A gateway that fell over is there again, cold.
-    Rises { gateway: u32, start: u32 },
+    FallenGatewayRestarted { gateway: u32, incarnation: u32 },
     /// A balancer's node has its turn.
-    Talks { balancer: u32, start: u32 },
+    NodeTickDue { balancer: u32, incarnation: u32 },
     /// A peer's datagram is there.
-    Datagram { post: u64 },
+    DatagramArrived { id: u64 },
     /// A balancer's recovery wants to be told of the time.
-    Recovers { balancer: u32, start: u32 },
+    RecoveryTickDue { balancer: u32, incarnation: u32 },
     /// It calls discovery.
-    Asks { balancer: u32, start: u32 },
+    DiscoveryQueryDue { balancer: u32, incarnation: u32 },
     /// That call fails.
-    AskFails { balancer: u32, start: u32 },
+    DiscoveryQueryFailed { balancer: u32, incarnation: u32 },
     /// A peer's unused part is there.
-    Lent {
+    QuotaLent {
         to: u32,
         from: u32,
         number: u64,
@@ -101,114 +101,133 @@
 
 impl Engine<'_> {
     /// Whether a balancer is still in that life.
-    pub(super) fn is_running(&self, balancer: u32, start: u32) -> bool {
-        let node = &self.nodes[balancer as usize];
-        node.alive && node.start == start
+    pub(super) fn is_running(&self, balancer: u32, incarnation: u32) -> bool {
+        let balancer_state = &self.balancers[balancer as usize];
+        balancer_state.is_alive && balancer_state.incarnation == incarnation
     }
 
-    pub(super) fn play(&mut self, what: Occurrence) {
-        match what {
-            Occurrence::Arrives { class } => {
-                if self.now < self.scenario.length() {
-                    let client = self.client(class, None);
-                    self.wants(client);
+    pub(super) fn handle_scheduled_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::ClientCreated { class } => {
+                if self.now < self.scenario.arrivals_duration() {
+                    let client = self.new_client(class, None);
+                    self.begin_connecting(client);
                     self.schedule_request(class);
                 }
             }
-            Occurrence::Comes { client } => self.comes(client),
-            Occurrence::Reaches {
+            ScheduledEvent::ClientArrived { client } => self.on_client_arrived(client),
+            ScheduledEvent::AttemptArrived {
                 request,
                 attempt,
                 gateway,
-            } => self.reaches(request, attempt, gateway),
-            Occurrence::Worked {
+            } => self.on_attempt_arrived(request, attempt, gateway),
+            ScheduledEvent::SetUpWorkDone {
                 gateway,
-                start,
+                incarnation,
                 set_up,
-            } => self.worked(gateway, start, set_up),
-            Occurrence::Stored { set_up } => self.stored(set_up),
-            Occurrence::Stands {
+            } => self.on_set_up_work_done(gateway, incarnation, set_up),
+            ScheduledEvent::StoreCallDone { set_up } => self.on_store_call_done(set_up),
+            ScheduledEvent::AttemptEstablished {
                 request,
                 attempt,
                 gateway,
             } => self.on_established(request, attempt, gateway),
-            Occurrence::Ends {
+            ScheduledEvent::AttemptEnded {
                 request,
                 attempt,
                 outcome,
-            } => self.ends(request, attempt, outcome_of(outcome)),
-            Occurrence::TimesOut { request, attempt } => {
-                self.ends(request, attempt, AttemptOutcome::TimedOut)
+            } => self.on_attempt_ended(request, attempt, outcome_of(outcome)),
+            ScheduledEvent::AttemptTimedOut { request, attempt } => {
+                self.on_attempt_ended(request, attempt, AttemptOutcome::TimedOut)
             }
-            Occurrence::Over { request } => self.over(request),
-            Occurrence::Changes { request } => self.changes(request),
-            Occurrence::Timer {
+            ScheduledEvent::ConnectionLifetimeOver { request } => self.on_lifetime_over(request),
+            ScheduledEvent::LoadChanged { request } => self.change_load(request),
+            ScheduledEvent::TimerFired {
                 balancer,
-                start,
+                incarnation,
                 timer,
             } => {
-                if self.nodes[balancer as usize].start == start {
-                    self.tell(balancer, Event::TimerFired(TimerId(timer)));
+                if self.balancers[balancer as usize].incarnation == incarnation {
+                    self.send_event(balancer, Event::TimerFired(TimerId(timer)));
                 }
             }
-            Occurrence::Listed {
+            ScheduledEvent::ServerListArrived {
                 balancer,
-                start,
-                full,
+                incarnation,
+                is_full,
             } => {
-                if self.nodes[balancer as usize].start == start && self.is_watching(balancer) {
-                    self.on_list(balancer);
-                    self.tell_list(balancer, full);
+                if self.balancers[balancer as usize].incarnation == incarnation
+                    && self.is_watching(balancer)
+                {
+                    self.on_list_received(balancer);
+                    self.deliver_server_list(balancer, is_full);
                 }
             }
-            Occurrence::Second => self.second(),
-            Occurrence::Fails { failure } => self.fails(failure),
-            Occurrence::GoesOn { failure, part } => self.goes_on(failure, part),
-            Occurrence::Drops { request } => self.cut_off(request, false),
-            Occurrence::Leaves { request } => self.leaves(request),
-            Occurrence::Adopts { balancer, failure } => self.adopts(balancer, failure),
-            Occurrence::Judges { balancer, start } if self.is_running(balancer, start) => {
-                self.judges(balancer, start)
+            ScheduledEvent::SecondElapsed => self.on_second_elapsed(),
+            ScheduledEvent::FailureBegan { failure } => self.begin_failure(failure),
+            ScheduledEvent::FailureContinued { failure, part } => {
+                self.continue_failure(failure, part)
             }
-            Occurrence::Probed {
-                balancer,
-                start,
-                beyond,
-                discovery,
-                lost,
-            } if self.is_running(balancer, start) => {
-                self.probed(balancer, beyond, discovery, lost);
-            }
-            Occurrence::AsksAgain { balancer, start } if self.is_running(balancer, start) => {
-                self.asks_again(balancer)
-            }
-            Occurrence::Judges { .. }
-            | Occurrence::Probed { .. }
-            | Occurrence::AsksAgain { .. } => {}
-            Occurrence::Rises { gateway, start } => self.rises(gateway, start),
-            Occurrence::Talks { balancer, start } if self.is_running(balancer, start) => {
-                self.talks(balancer)
+            ScheduledEvent::ConnectionDropped { request } => self.break_connection(request, false),
+            ScheduledEvent::ConnectionClosedByClient { request } => self.close_by_client(request),
+            ScheduledEvent::ConfigurationAdopted { balancer, failure } => {
+                self.adopt_configuration(balancer, failure)
             }
-            Occurrence::Datagram { post } => self.delivers(post),
-            Occurrence::Recovers { balancer, start } if self.is_running(balancer, start) => {
-                self.recovers(balancer, recovery::TICK);
+            ScheduledEvent::UplinkCheckDue {
+                balancer,
+                incarnation,
+            } if self.is_running(balancer, incarnation) => self.check_uplink(balancer, incarnation),
+            ScheduledEvent::ProbeDone {
+                balancer,
+                incarnation,
+                target_zone,
+                is_discovery,
+                is_lost,
+            } if self.is_running(balancer, incarnation) => {
+                self.on_probe_done(balancer, target_zone, is_discovery, is_lost);
             }
-            Occurrence::Asks { balancer, start } if self.is_running(balancer, start) => {
-                self.asks(balancer)
+            ScheduledEvent::DiscoveryRequeryDue {
+                balancer,
+                incarnation,
+            } if self.is_running(balancer, incarnation) => self.requery_discovery(balancer),
+            ScheduledEvent::UplinkCheckDue { .. }
+            | ScheduledEvent::ProbeDone { .. }
+            | ScheduledEvent::DiscoveryRequeryDue { .. } => {}
+            ScheduledEvent::FallenGatewayRestarted {
+                gateway,
+                incarnation,
+            } => self.restart_fallen_gateway(gateway, incarnation),
+            ScheduledEvent::NodeTickDue {
+                balancer,
+                incarnation,
+            } if self.is_running(balancer, incarnation) => self.tick_node(balancer),
+            ScheduledEvent::DatagramArrived { id } => self.deliver_datagram(id),
+            ScheduledEvent::RecoveryTickDue {
+                balancer,
+                incarnation,
+            } if self.is_running(balancer, incarnation) => {
+                self.handle_recovery_event(balancer, recovery::TICK);
             }
-            Occurrence::AskFails { balancer, start } if self.is_running(balancer, start) => {
-                self.recovers(balancer, recovery::ASK_FAILED);
+            ScheduledEvent::DiscoveryQueryDue {
+                balancer,
+                incarnation,
+            } if self.is_running(balancer, incarnation) => self.query_discovery(balancer),
+            ScheduledEvent::DiscoveryQueryFailed {
+                balancer,
+                incarnation,
+            } if self.is_running(balancer, incarnation) => {
+                self.handle_recovery_event(balancer, recovery::QUERY_FAILED);
             }
-            Occurrence::Lent {
+            ScheduledEvent::QuotaLent {
                 to,
                 from,
                 number,
                 bits,
-            } => self.is_lent(to, from, number, bits),
-            Occurrence::Talks { .. }
-            | Occurrence::Recovers { .. }
-            | Occurrence::Asks { .. }
-            | Occurrence::AskFails { .. } => {}
+            } => self.on_quota_lent(to, from, number, bits),
+            ScheduledEvent::NodeTickDue { .. }
+            | ScheduledEvent::RecoveryTickDue { .. }
+            | ScheduledEvent::DiscoveryQueryDue { .. }
+            | ScheduledEvent::DiscoveryQueryFailed { .. } => {}
         }
     }
 }
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -4,17 +4,17 @@
 use beaconflow_membership::{Event, Input, Output};
 use beaconflow_recovery::{Event as Step, PeerStatus, RecoveryState as Stage};
 
-use super::{Engine, Occurrence};
+use super::{Engine, ScheduledEvent};
 use crate::mesh::{self, StatusMessage};
 use crate::{Nanos, SECOND};
 
 /// A word of one's own is made anew after so long.
 const STATUS_PERIOD: Nanos = SECOND / 10;
 /// How long a balancer has run that was there when the run began.
-const LONG: Nanos = 86_400 * SECOND;
+const INITIAL_UPTIME: Nanos = 86_400 * SECOND;
 
 /// A datagram on its way.
-pub(super) struct Post {
+pub(super) struct Datagram {
     from: u32,
     to: u32,
     bytes: Vec<u8>,
@@ -22,102 +22,111 @@
 
 impl Engine<'_> {
     /// The balancer's node starts.
-    pub(super) fn joins(&mut self, balancer: u32) {
-        if !self.scenario.fleet.talks() {
+    pub(super) fn start_node(&mut self, balancer: u32) {
+        if !self.scenario.fleet.uses_gossip() {
             return;
         }
-        let start = self.nodes[balancer as usize].start;
+        let incarnation = self.balancers[balancer as usize].incarnation;
         let (of, seed) = (self.scenario.balancers, self.scenario.seed);
-        let node = mesh::node(
+        let node = mesh::new_node(
             balancer,
             of,
-            u64::from(start) + 1,
+            u64::from(incarnation) + 1,
             &self.site(balancer),
-            &self.letters,
+            &self.status_messages,
             seed,
         );
         let host = &mut self.hosts[balancer as usize];
         (host.node, host.published_at, host.wake) = (Some(node), None, None);
-        self.hands(balancer, Input::Start);
+        self.handle_node_input(balancer, Input::Start);
     }
 
     /// Hands something to a balancer's node and does what it asks for.
-    pub(super) fn hands(&mut self, balancer: u32, input: Input<'_>) {
+    pub(super) fn handle_node_input(&mut self, balancer: u32, input: Input<'_>) {
         let mut out = Vec::new();
-        let wall = mesh::wall(self.now);
+        let wall = mesh::wall_clock_ms(self.now);
         let Some(node) = &mut self.hosts[balancer as usize].node else {
             return;
         };
         node.handle(wall, input, &mut out);
-        let (heard, news) = {
-            let talk = node.payload_mut();
+        let (statuses, changes) = {
+            let payload = node.payload_mut();
             (
-                std::mem::take(&mut talk.received),
-                std::mem::take(&mut talk.changes),
+                std::mem::take(&mut payload.received_statuses),
+                std::mem::take(&mut payload.fact_changes),
             )
         };
         for output in out {
             match output {
-                Output::Send { to, bytes } => self.posts(balancer, mesh::at(to), bytes),
+                Output::Send { to, bytes } => {
+                    self.send_datagram(balancer, mesh::rank_from_address(to), bytes)
+                }
                 Output::Event(event) => {
                     if let Event::Down(was) | Event::Restarted { previous: was, .. } = *event
-                        && let Some(of) = mesh::rank(&was.name)
+                        && let Some(of) = mesh::rank_from_name(&was.name)
                     {
                         self.on_balancer_died(balancer, of, was.incarnation);
                     }
                 }
-                Output::Wake(at) => self.wakes(balancer, at),
+                Output::Wake(at) => self.schedule_wake(balancer, at),
             }
         }
-        self.on_changes(balancer, &news);
-        for said in heard {
-            self.recovers(balancer, Step::PeerReported(said.peer_status.clone()));
-            if let Some(says) = &said.uplink_report {
-                self.sees(balancer, Evidence::PeerReport(says.clone()));
+        self.on_changes(balancer, &changes);
+        for status in statuses {
+            self.handle_recovery_event(balancer, Step::PeerReported(status.peer_status.clone()));
+            if let Some(report) = &status.uplink_report {
+                self.handle_evidence(balancer, Evidence::PeerReport(report.clone()));
             }
         }
     }
 
-    fn wakes(&mut self, balancer: u32, at: u64) {
-        let start = self.nodes[balancer as usize].start;
+    fn schedule_wake(&mut self, balancer: u32, at: u64) {
+        let incarnation = self.balancers[balancer as usize].incarnation;
         let host = &mut self.hosts[balancer as usize];
         if host.wake == Some(at) {
             return;
         }
         host.wake = Some(at);
-        let at = (at - mesh::WALL) * 1_000_000;
-        self.push(at, Occurrence::Talks { balancer, start });
+        let at = (at - mesh::START_WALL_CLOCK_MS) * 1_000_000;
+        self.schedule_at(
+            at,
+            ScheduledEvent::NodeTickDue {
+                balancer,
+                incarnation,
+            },
+        );
     }
 
-    fn posts(&mut self, from: u32, to: u32, bytes: Vec<u8>) {
+    fn send_datagram(&mut self, from: u32, to: u32, bytes: Vec<u8>) {
         let fleet = &self.scenario.fleet;
-        if self.wire.happens(fleet.lost) || to as usize >= self.hosts.len() {
+        if self.peer_rng.happens_with_probability(fleet.lost) || to as usize >= self.hosts.len() {
             return;
         }
-        if self.is_lost(self.zone(from), self.zone(to)) {
+        if self.is_link_down(self.zone(from), self.zone(to)) {
             return;
         }
         let now = self.now;
         let is_cut = |(until, cut): &(Nanos, Vec<bool>)| {
             now < *until && cut[from as usize] != cut[to as usize]
         };
-        if self.cuts.iter().any(is_cut) {
+        if self.peer_partitions.iter().any(is_cut) {
             return;
         }
-        let wait = self.wire.exponential(fleet.delay_ms / 1e3 / 2.0) + fleet.delay_ms / 1e3 / 2.0;
-        let post = self.next_post;
-        self.next_post += 1;
-        self.posts.insert(post, Post { from, to, bytes });
-        self.after(wait, Occurrence::Datagram { post });
+        let wait =
+            self.peer_rng.exponential(fleet.delay_ms / 1e3 / 2.0) + fleet.delay_ms / 1e3 / 2.0;
+        let id = self.next_datagram_id;
+        self.next_datagram_id += 1;
+        self.datagrams.insert(id, Datagram { from, to, bytes });
+        self.schedule_after(wait, ScheduledEvent::DatagramArrived { id });
     }
 
     /// A datagram is there.
-    pub(super) fn delivers(&mut self, post: u64) {
-        let Some(Post { from, to, bytes }) = self.posts.remove(&post) else {
+    pub(super) fn deliver_datagram(&mut self, id: u64) {
+        let Some(Datagram { from, to, bytes }) = self.datagrams.remove(&id) else {
             return;
         };
-        let from = mesh::address(from);
-        self.hands(
+        let from = mesh::balancer_address(from);
+        self.handle_node_input(
             to,
             Input::Datagram {
                 from,
@@ -127,59 +136,62 @@
     }
 
     /// A node has its turn.
-    pub(super) fn talks(&mut self, balancer: u32) {
+    pub(super) fn tick_node(&mut self, balancer: u32) {
         let host = &self.hosts[balancer as usize];
-        if host.wake.is_none_or(|wake| wake > mesh::wall(self.now)) {
+        if host
+            .wake
+            .is_none_or(|wake| wake > mesh::wall_clock_ms(self.now))
+        {
             return;
         }
         if host
             .published_at
             .is_none_or(|at| self.now >= at + STATUS_PERIOD)
         {
-            let wall = mesh::wall(self.now);
+            let wall = mesh::wall_clock_ms(self.now);
             let uplink_report = self.hosts[balancer as usize]
                 .edge
                 .as_ref()
                 .map(|edge| edge.report(wall));
-            let said = StatusMessage {
-                peer_status: self.word(balancer),
+            let status = StatusMessage {
+                peer_status: self.peer_status(balancer),
                 uplink_report,
             };
             let host = &mut self.hosts[balancer as usize];
             host.published_at = Some(self.now);
             if let Some(node) = &mut host.node {
-                node.payload_mut().say(said);
+                node.payload_mut().publish_status(status);
             }
         }
-        self.hands(balancer, Input::Tick);
+        self.handle_node_input(balancer, Input::Tick);
     }
 
     /// What a balancer says of itself.
-    fn word(&self, balancer: u32) -> PeerStatus {
+    fn peer_status(&self, balancer: u32) -> PeerStatus {
         let host = &self.hosts[balancer as usize];
-        let machine = host.recovery.as_ref();
-        let uptime = if machine.is_some() {
-            self.now - host.begun
+        let recovery = host.recovery.as_ref();
+        let uptime = if recovery.is_some() {
+            self.now - host.started_at
         } else {
-            LONG
+            INITIAL_UPTIME
         };
-        let sound = machine.is_none_or(|machine| machine.is_clock_reliable());
+        let is_clock_reliable = recovery.is_none_or(|recovery| recovery.is_clock_reliable());
         PeerStatus {
-            name: mesh::name(balancer),
+            name: mesh::balancer_name(balancer),
             site: self.site(balancer),
-            incarnation: u64::from(self.nodes[balancer as usize].start) + 1,
+            incarnation: u64::from(self.balancers[balancer as usize].incarnation) + 1,
             uptime,
-            serving_time: match machine {
-                Some(_) => host.lets_in_since.map(|since| self.now - since),
+            serving_time: match recovery {
+                Some(_) => host.admitting_since.map(|since| self.now - since),
                 None => Some(uptime),
             },
-            is_in_full_service: machine.is_none_or(|machine| machine.state() == Stage::Serving),
-            wall_clock: sound.then_some(mesh::wall(self.now)),
-            previous_clients: match machine {
-                Some(machine) => machine.previous_clients(),
+            is_in_full_service: recovery.is_none_or(|recovery| recovery.state() == Stage::Serving),
+            wall_clock: is_clock_reliable.then_some(mesh::wall_clock_ms(self.now)),
+            previous_clients: match recovery {
+                Some(recovery) => recovery.previous_clients(),
                 None => Some(self.previous_clients().iter().map(|one| one.clients).sum()),
             },
-            deferred_per_s: machine.map_or(0.0, |machine| machine.deferred_per_s()),
+            deferred_per_s: recovery.map_or(0.0, |recovery| recovery.deferred_per_s()),
         }
     }
 }
--- a/crates/simulator/src/engine/failures.rs
+++ b/crates/simulator/src/engine/placement_failures.rs
@@ -6,50 +6,55 @@
 use crate::{Nanos, mesh};
 
 /// Counts are good for so long, in milliseconds.
-const GOOD: u64 = 60_000;
+const COUNT_TTL_MS: u64 = 60_000;
 /// More failures make no longer wait.
-const MOST: u32 = 6;
+const MAX_COUNTED_FAILURES: u32 = 6;
 
 impl Engine<'_> {
     /// A placement of a client failed or came to stand at a balancer.
-    pub(super) fn counts_placement(&mut self, balancer: u32, client: u64, stood: bool) {
+    pub(super) fn record_placement_outcome(
+        &mut self,
+        balancer: u32,
+        client: u64,
+        is_established: bool,
+    ) {
         if !self.scenario.fleet.shared_n {
             return;
         }
-        let (wall, key) = (mesh::wall(self.now), self.clients[&client].key);
+        let (wall, key) = (mesh::wall_clock_ms(self.now), self.clients[&client].key);
         let Some(node) = &mut self.hosts[balancer as usize].node else {
             return;
         };
-        let knowledge = &mut node.payload_mut().knowledge;
+        let fact_store = &mut node.payload_mut().fact_store;
         // One that stands and never failed is no news to anybody.
-        if !stood {
-            drop(knowledge.record_placement_failure(key, GOOD, wall));
-        } else if knowledge.failure_count(key, wall) > 0 {
-            drop(knowledge.record_placement_success(key, GOOD, wall));
+        if !is_established {
+            drop(fact_store.record_placement_failure(key, COUNT_TTL_MS, wall));
+        } else if fact_store.failure_count(key, wall) > 0 {
+            drop(fact_store.record_placement_success(key, COUNT_TTL_MS, wall));
         }
     }
 
     /// How long a refused client is told to stay away, by the failures that all balancers counted: the decisions know
     /// those of their own.
-    pub(super) fn stays_away(
+    pub(super) fn shared_retry_after(
         &self,
         balancer: u32,
         request: u64,
-        told: Option<Nanos>,
+        retry_after: Option<Nanos>,
     ) -> Option<Nanos> {
-        let (told, wall) = (told?, mesh::wall(self.now));
+        let (retry_after, wall) = (retry_after?, mesh::wall_clock_ms(self.now));
         if !self.scenario.fleet.shared_n {
-            return Some(told);
+            return Some(retry_after);
         }
         let key = self.clients[&self.requests.get(&request)?.client].key;
         let host = &self.hosts[balancer as usize];
-        let Some(knowledge) = host.node.as_ref().map(|node| &node.payload().knowledge) else {
-            return Some(told);
+        let Some(fact_store) = host.node.as_ref().map(|node| &node.payload().fact_store) else {
+            return Some(retry_after);
         };
-        let own = knowledge
+        let own = fact_store
             .get(
                 &Subject::PlacementFailures(key),
-                &mesh::name(balancer),
+                &mesh::balancer_name(balancer),
                 wall,
             )
             .map(|fact| fact.value);
@@ -58,11 +63,15 @@
         } else {
             0
         };
-        let more = knowledge
+        let more = fact_store
             .failure_count(key, wall)
-            .min(MOST)
-            .saturating_sub(own.min(MOST));
+            .min(MAX_COUNTED_FAILURES)
+            .saturating_sub(own.min(MAX_COUNTED_FAILURES));
         let longest = self.scenario.settings(balancer).limits.max_retry_after;
-        Some(told.saturating_mul(1 << more).min(longest.max(told)))
+        Some(
+            retry_after
+                .saturating_mul(1 << more)
+                .min(longest.max(retry_after)),
+        )
     }
 }
--- a/crates/simulator/src/engine/recovery.rs
+++ b/crates/simulator/src/engine/recovery.rs
@@ -11,19 +11,19 @@
     RequestClass, ServiceMode, SlowStartRules,
 };
 
-use super::affinity::Places;
-use super::{Engine, Machine, Occurrence};
-use crate::mesh::{self, Talk};
-use crate::scenario::{FALL_S, TIP_MULTIPLE};
+use super::affinity::BalancerPlacements;
+use super::{Engine, GatewayState, ScheduledEvent};
+use crate::mesh::{self, GossipPayload};
+use crate::scenario::{COLD_OVERLOAD_MULTIPLE, COLD_OVERLOAD_WINDOW_S};
 use crate::{Nanos, SECOND, nanos};
 
 /// Time has passed; a call of discovery failed.
 pub(super) const TICK: Event = Event::Tick;
-pub(super) const ASK_FAILED: Event = Event::QueryFailed(EvidenceSource::Discovery);
+pub(super) const QUERY_FAILED: Event = Event::QueryFailed(EvidenceSource::Discovery);
 /// A call that fails does so after this.
-const FAILS_AFTER: f64 = 0.01;
+const QUERY_FAILURE_DELAY_S: f64 = 0.01;
 /// Gateways this far apart in warmth are not dealt to alike.
-const UNEVEN: f64 = 0.05;
+const MIN_CAPACITY_SPREAD: f64 = 0.05;
 
 /// What discovery says of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,20 +35,20 @@
 
 /// What a balancer has beside its decisions: the talk with its peers, its way from dark to serving, its disk.
 #[derive(Default)]
-pub(super) struct Host {
-    pub(super) node: Option<Node<Talk>>,
+pub(super) struct BalancerHost {
+    pub(super) node: Option<Node<GossipPayload>>,
     pub(super) published_at: Option<Nanos>,
     pub(super) wake: Option<u64>,
     pub(super) recovery: Option<Recovery>,
     /// When its present life began.
-    pub(super) begun: Nanos,
-    pub(super) lets_in_since: Option<Nanos>,
+    pub(super) started_at: Nanos,
+    pub(super) admitting_since: Option<Nanos>,
     pub(super) next_timer: Option<Nanos>,
     /// The list that it holds.
     pub(super) list: Option<Rc<Vec<Listed>>>,
     /// Which configuration it runs, by number, and what it knows of placements.
     pub(super) runs: usize,
-    pub(super) places: Option<Places>,
+    pub(super) placements: Option<BalancerPlacements>,
     /// What it makes of its zone's uplink.
     pub(super) edge: Option<Edge>,
     /// What is on its disk.
@@ -64,7 +64,7 @@
             account: (at % accounts) as u64,
             clients: f64::from(*clients),
         };
-        self.stand_now
+        self.established_counts
             .iter()
             .enumerate()
             .filter(|(_, clients)| **clients > 0)
@@ -84,7 +84,7 @@
         };
         let usual_clients = scenario.classes.iter().map(|class| class.standing).sum();
         RecoveryConfig {
-            name: mesh::name(balancer),
+            name: mesh::balancer_name(balancer),
             site: self.site(balancer),
             fleet_size: scenario.balancers,
             site_peers: (0..scenario.balancers)
@@ -94,10 +94,10 @@
             slow_start: SlowStartRules {
                 warm_up_time: nanos(make.cold_s),
                 initial_capacity: make.cold_share,
-                overload_multiple: TIP_MULTIPLE,
-                overload_window: nanos(FALL_S),
+                overload_multiple: COLD_OVERLOAD_MULTIPLE,
+                overload_window: nanos(COLD_OVERLOAD_WINDOW_S),
                 variance_margin: scenario.fleet.slack,
-                clients_per_server_s: scenario.borne() / f64::from(make.cores),
+                clients_per_server_s: scenario.clients_per_warm_gateway_s() / f64::from(make.cores),
             },
             classes: scenario.classes.iter().map(class).collect(),
             accounts: scenario.accounts.iter().enumerate().map(share).collect(),
@@ -111,7 +111,7 @@
     }
 
     /// What a balancer writes down while it serves in full.
-    pub(super) fn remembers(&self, balancer: u32) -> Option<Memory> {
+    pub(super) fn memory_snapshot(&self, balancer: u32) -> Option<Memory> {
         if !self.scenario.fleet.recovery {
             return None;
         }
@@ -119,14 +119,14 @@
         if host
             .recovery
             .as_ref()
-            .is_some_and(|machine| !machine.can_update_memory())
+            .is_some_and(|recovery| !recovery.can_update_memory())
         {
             return host.disk.clone();
         }
         Some(Memory {
-            owner: mesh::name(balancer),
-            incarnation: u64::from(self.nodes[balancer as usize].start) + 1,
-            written_at: mesh::wall(self.now),
+            owner: mesh::balancer_name(balancer),
+            incarnation: u64::from(self.balancers[balancer as usize].incarnation) + 1,
+            written_at: mesh::wall_clock_ms(self.now),
             list: Some(List {
                 source: ListSource::Memory,
                 ..self.list_now()
@@ -140,7 +140,7 @@
     fn list_now(&self) -> List {
         let entry = |(at, listed): (usize, &Listed)| Entry {
             name: format!("g{at}"),
-            started_at_ms: listed.started_at.map_or(0, mesh::wall),
+            started_at_ms: listed.started_at.map_or(0, mesh::wall_clock_ms),
             lifecycle: match listed.state {
                 ServerState::Ready => Lifecycle::Ready,
                 ServerState::Removed => Lifecycle::Gone,
@@ -153,19 +153,19 @@
             generation: self.generation,
             epoch: 1,
             age: 0,
-            reported_at: Some(mesh::wall(self.now)),
+            reported_at: Some(mesh::wall_clock_ms(self.now)),
             entries: self.listed().iter().enumerate().map(entry).collect(),
         }
     }
 
     /// What discovery says of all gateways now.
     pub(super) fn listed(&self) -> Vec<Listed> {
-        let listed = |machine: &Machine| Listed {
-            state: machine.listed,
-            weight: f64::from(machine.gateway.make().cores),
-            started_at: machine.gateway.started_at(),
+        let listed = |gateway: &GatewayState| Listed {
+            state: gateway.listed,
+            weight: f64::from(gateway.gateway.make().cores),
+            started_at: gateway.gateway.started_at(),
         };
-        self.machines.iter().map(listed).collect()
+        self.gateways.iter().map(listed).collect()
     }
 
     /// The part of its capacity that a listed gateway has by its listed start.
@@ -181,84 +181,104 @@
     }
 
     /// A balancer begins its way from dark to serving.
-    pub(super) fn wakes_up(&mut self, balancer: u32) {
+    pub(super) fn start_recovery(&mut self, balancer: u32) {
         let config = self.recovery_config(balancer);
-        let start = self.nodes[balancer as usize].start;
-        let seed = self.scenario.seed ^ (u64::from(balancer) << 32) ^ u64::from(start) ^ 0x5eed;
-        let machine = Recovery::new(config, seed).expect("a scenario that was checked");
+        let incarnation = self.balancers[balancer as usize].incarnation;
+        let seed =
+            self.scenario.seed ^ (u64::from(balancer) << 32) ^ u64::from(incarnation) ^ 0x5eed;
+        let recovery = Recovery::new(config, seed).expect("a scenario that was checked");
         let host = &mut self.hosts[balancer as usize];
         let memory = host.disk.clone();
-        (host.recovery, host.begun, host.lets_in_since) = (Some(machine), self.now, None);
+        (host.recovery, host.started_at, host.admitting_since) = (Some(recovery), self.now, None);
         host.next_timer = None;
-        self.recovers(
+        self.handle_recovery_event(
             balancer,
             Event::Started {
-                incarnation: u64::from(start) + 1,
+                incarnation: u64::from(incarnation) + 1,
                 memory,
             },
         );
     }
 
     /// Tells a balancer's recovery something and does what it asks for.
-    pub(super) fn recovers(&mut self, balancer: u32, event: Event) {
-        let (now, wall) = (self.now, mesh::wall(self.now));
+    pub(super) fn handle_recovery_event(&mut self, balancer: u32, event: Event) {
+        let (now, wall) = (self.now, mesh::wall_clock_ms(self.now));
         let host = &mut self.hosts[balancer as usize];
-        let Some(machine) = &mut host.recovery else {
+        let Some(recovery) = &mut host.recovery else {
             return;
         };
         let mut out = Vec::new();
-        machine.handle(now - host.begun, wall, event, &mut out);
-        let due = machine
+        recovery.handle(now - host.started_at, wall, event, &mut out);
+        let due = recovery
             .next_tick_at()
-            .map(|due| (host.begun + due).max(now + 1_000_000));
+            .map(|due| (host.started_at + due).max(now + 1_000_000));
         if let Some(at) =
             due.filter(|due| host.next_timer.is_none_or(|old| old <= now || *due < old))
         {
             host.next_timer = Some(at);
-            let start = self.nodes[balancer as usize].start;
-            self.push(at, Occurrence::Recovers { balancer, start });
+            let incarnation = self.balancers[balancer as usize].incarnation;
+            self.schedule_at(
+                at,
+                ScheduledEvent::RecoveryTickDue {
+                    balancer,
+                    incarnation,
+                },
+            );
         }
         out.into_iter()
-            .for_each(|action| self.follows(balancer, action));
+            .for_each(|action| self.apply_recovery_action(balancer, action));
     }
 
-    fn follows(&mut self, balancer: u32, action: Action) {
-        let start = self.nodes[balancer as usize].start;
+    fn apply_recovery_action(&mut self, balancer: u32, action: Action) {
+        let incarnation = self.balancers[balancer as usize].incarnation;
         match action {
             Action::Query {
                 source: EvidenceSource::Discovery,
                 delay: after,
             } => {
                 let at = self.now.saturating_add(after);
-                self.push(at, Occurrence::Asks { balancer, start });
+                self.schedule_at(
+                    at,
+                    ScheduledEvent::DiscoveryQueryDue {
+                        balancer,
+                        incarnation,
+                    },
+                );
             }
             Action::SetServiceMode { mode, .. } if mode != ServiceMode::Unavailable => {
                 let now = self.now;
                 self.hosts[balancer as usize]
-                    .lets_in_since
+                    .admitting_since
                     .get_or_insert(now);
                 if mode == ServiceMode::Full {
                     // From here on the module's own rule on cold gateways counts.
-                    self.tell_module(balancer, ListUpdate::Snapshot);
+                    self.send_server_list(balancer, ListUpdate::Snapshot);
                 }
             }
-            Action::ListChanged => self.tell_module(balancer, ListUpdate::Snapshot),
-            Action::Admit { id } => self.is_let_in(balancer, id),
+            Action::ListChanged => self.send_server_list(balancer, ListUpdate::Snapshot),
+            Action::Admit { id } => self.admit(balancer, id),
             Action::Defer {
                 id, retry_after, ..
-            } => self.answered(id, true, Some(retry_after)),
+            } => self.end_unplaced_request(id, true, Some(retry_after)),
             Action::LendQuota {
                 to,
                 number,
                 clients,
             } => {
-                let Some(to) = mesh::rank(&to) else { return };
-                if !self.wire.happens(self.scenario.fleet.lost) {
-                    let wait = self.wire.exponential(self.scenario.fleet.delay_ms / 1e3);
+                let Some(to) = mesh::rank_from_name(&to) else {
+                    return;
+                };
+                if !self
+                    .peer_rng
+                    .happens_with_probability(self.scenario.fleet.lost)
+                {
+                    let wait = self
+                        .peer_rng
+                        .exponential(self.scenario.fleet.delay_ms / 1e3);
                     let bits = clients.to_bits();
-                    self.after(
+                    self.schedule_after(
                         wait,
-                        Occurrence::Lent {
+                        ScheduledEvent::QuotaLent {
                             to,
                             from: balancer,
                             number,
@@ -272,42 +292,48 @@
     }
 
     /// Discovery is called.
-    pub(super) fn asks(&mut self, balancer: u32) {
+    pub(super) fn query_discovery(&mut self, balancer: u32) {
         if self.now < self.discovery_back_at {
-            let start = self.nodes[balancer as usize].start;
-            return self.after(FAILS_AFTER, Occurrence::AskFails { balancer, start });
+            let incarnation = self.balancers[balancer as usize].incarnation;
+            return self.schedule_after(
+                QUERY_FAILURE_DELAY_S,
+                ScheduledEvent::DiscoveryQueryFailed {
+                    balancer,
+                    incarnation,
+                },
+            );
         }
-        let start = self.nodes[balancer as usize].start;
+        let incarnation = self.balancers[balancer as usize].incarnation;
         let wait = self.link_delay(self.scenario.net.discovery_ms);
-        self.after(
+        self.schedule_after(
             wait,
-            Occurrence::Listed {
+            ScheduledEvent::ServerListArrived {
                 balancer,
-                start,
-                full: true,
+                incarnation,
+                is_full: true,
             },
         );
     }
 
     /// Discovery's list is there.
-    pub(super) fn on_list(&mut self, balancer: u32) {
+    pub(super) fn on_list_received(&mut self, balancer: u32) {
         let list = self.list_now();
-        self.recovers(balancer, Event::ListReceived(list));
+        self.handle_recovery_event(balancer, Event::ListReceived(list));
     }
 
     /// Whether a balancer lets clients in at the pace that the cold gateways bear: its module takes them for warm then.
     pub(super) fn is_paced(&self, balancer: u32) -> bool {
-        let machine = self
+        let recovery = self
             .hosts
             .get(balancer as usize)
             .and_then(|host| host.recovery.as_ref());
-        machine.is_some_and(|machine| machine.state() != Stage::Serving)
+        recovery.is_some_and(|recovery| recovery.state() != Stage::Serving)
     }
 
     /// A peer leaves a part of its own to this one.
-    pub(super) fn is_lent(&mut self, to: u32, from: u32, number: u64, bits: u64) {
-        let (from, clients) = (mesh::name(from), f64::from_bits(bits));
-        self.recovers(
+    pub(super) fn on_quota_lent(&mut self, to: u32, from: u32, number: u64, bits: u64) {
+        let (from, clients) = (mesh::balancer_name(from), f64::from_bits(bits));
+        self.handle_recovery_event(
             to,
             Event::QuotaLent {
                 from,
@@ -318,35 +344,35 @@
     }
 
     /// A client is let in: its request goes to the decisions.
-    fn is_let_in(&mut self, balancer: u32, request: u64) {
+    fn admit(&mut self, balancer: u32, request: u64) {
         let Some(client) = self.requests.get(&request).map(|one| one.client) else {
             return;
         };
-        self.decides(balancer, request, client);
+        self.request_placement(balancer, request, client);
     }
 
     /// Weights follow the warmth of gateways that did not start together.
-    pub(super) fn evens_out(&mut self) {
+    pub(super) fn update_cold_weights(&mut self) {
         let warmth: Vec<f64> = self
-            .machines
+            .gateways
             .iter()
             .map(|one| one.gateway.capacity_fraction(self.now))
             .collect();
         let (low, high) = warmth.iter().fold((1.0_f64, 0.0_f64), |(low, high), one| {
             (low.min(*one), high.max(*one))
         });
-        if high - low < UNEVEN {
+        if high - low < MIN_CAPACITY_SPREAD {
             return;
         }
         for balancer in 0..self.hosts.len() as u32 {
             if self.is_paced(balancer) {
-                self.tell_module(balancer, ListUpdate::Snapshot);
+                self.send_server_list(balancer, ListUpdate::Snapshot);
             }
         }
     }
 
     /// A client comes to a balancer on its way.
-    pub(super) fn knocks(&mut self, balancer: u32, request: u64, client: u64) {
+    pub(super) fn request_admission(&mut self, balancer: u32, request: u64, client: u64) {
         let one = &self.clients[&client];
         let arrival = AdmissionRequest {
             id: request,
@@ -354,20 +380,20 @@
             account: u64::from(one.account),
             group: one.group.map(u64::from),
             client_key: Some(one.key),
-            is_reconnect: one.returns,
+            is_reconnect: one.is_reconnect,
         };
-        self.recovers(balancer, Event::AdmissionRequested(arrival));
+        self.handle_recovery_event(balancer, Event::AdmissionRequested(arrival));
     }
 
     /// The time that a refill takes which sees all and goes to the rule's limit, until 99% of so many are in.
-    pub(super) fn all_seeing(&self, clients: f64) -> Nanos {
+    pub(super) fn ideal_refill_time(&self, clients: f64) -> Nanos {
         const STEP: Nanos = SECOND / 1_000;
         let (mut at, mut sum) = (0, 0.0);
-        let rate = TIP_MULTIPLE * self.scenario.borne() / 1e3;
+        let rate = COLD_OVERLOAD_MULTIPLE * self.scenario.clients_per_warm_gateway_s() / 1e3;
         while sum < 0.99 * clients && at < 3_600 * SECOND {
             at += STEP;
             sum += self
-                .machines
+                .gateways
                 .iter()
                 .map(|one| rate * one.gateway.capacity_fraction(self.now + at))
                 .sum::<f64>();
--- a/crates/simulator/src/gateway.rs
+++ b/crates/simulator/src/gateway.rs
@@ -6,13 +6,13 @@
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 
-use crate::chance::RandomSource;
+use crate::random::RandomSource;
 use crate::{Nanos, SECOND, nanos};
 
 /// What a gateway is made of.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Make {
+pub struct GatewayModel {
     /// Cores.
     pub cores: u32,
     /// Work that a core does, against a core of speed 1, which does a second of work in a second.
@@ -35,9 +35,9 @@
     pub sheds_after_s: f64,
 }
 
-impl Default for Make {
-    fn default() -> Make {
-        Make {
+impl Default for GatewayModel {
+    fn default() -> GatewayModel {
+        GatewayModel {
             cores: 4,
             speed: 1.0,
             set_up_ms: 8.0,
@@ -54,13 +54,13 @@
 
 /// What becomes of a set-up that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum SetUpAdmission {
     /// It is worked on until then.
-    Until(Nanos),
+    RunsUntil(Nanos),
     /// It waits for a core.
-    Waits,
+    Queued,
     /// It is turned away unseen.
-    Full,
+    Rejected,
 }
 
 /// A connection that stands.
@@ -75,14 +75,14 @@
 /// A gateway. Moments that it is handed never go back.
 #[derive(Debug)]
 pub struct Gateway {
-    make: Make,
+    make: GatewayModel,
     started_at: Option<Nanos>,
-    standing: FxHashMap<u64, EstablishedConnection>,
+    connections: FxHashMap<u64, EstablishedConnection>,
     groups: FxHashMap<u32, u32>,
     /// Work asked for by what stands, in microseconds a second.
     demand: f64,
     /// Work that is piled up, in microseconds.
-    piled: f64,
+    backlog_us: f64,
     advanced_to: Nanos,
     busy: u32,
     waiting: VecDeque<u64>,
@@ -90,14 +90,14 @@
 
 impl Gateway {
     /// A gateway that has been warm for long, or one that starts now.
-    pub fn new(make: Make, now: Nanos, warm: bool) -> Gateway {
+    pub fn new(make: GatewayModel, now: Nanos, warm: bool) -> Gateway {
         Gateway {
             make,
             started_at: (!warm).then_some(now),
-            standing: FxHashMap::default(),
+            connections: FxHashMap::default(),
             groups: FxHashMap::default(),
             demand: 0.0,
-            piled: 0.0,
+            backlog_us: 0.0,
             advanced_to: now,
             busy: 0,
             waiting: VecDeque::new(),
@@ -105,7 +105,7 @@
     }
 
     /// What it is made of.
-    pub fn make(&self) -> &Make {
+    pub fn make(&self) -> &GatewayModel {
         &self.make
     }
 
@@ -135,20 +135,20 @@
     }
 
     /// Connections that stand.
-    pub fn standing(&self) -> usize {
-        self.standing.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// All that stand, by number.
-    pub fn ids(&self) -> Vec<u64> {
-        let mut ids: Vec<u64> = self.standing.keys().copied().collect();
+    pub fn connection_ids(&self) -> Vec<u64> {
+        let mut ids: Vec<u64> = self.connections.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
     /// How long its present work would take, in seconds.
-    pub fn piled_s(&self, now: Nanos) -> f64 {
-        self.piled / self.capacity(now)
+    pub fn backlog_s(&self, now: Nanos) -> f64 {
+        self.backlog_us / self.capacity(now)
     }
 
     /// Brings what is piled up to that moment.
@@ -157,15 +157,15 @@
         if span > 0.0 {
             // The ramp is straight between two moments, so that the mean of its ends is exact but for its knee.
             let capacity = (self.capacity(self.advanced_to) + self.capacity(now)) / 2.0;
-            self.piled = (self.piled + (self.demand - capacity) * span).max(0.0);
+            self.backlog_us = (self.backlog_us + (self.demand - capacity) * span).max(0.0);
             self.advanced_to = now;
         }
     }
 
     /// Part of the messages that are answered within `aim_s`: none while more is piled up; else as in a queue with one
     /// server, random arrivals and random work, whose sojourn time is exponential.
-    pub fn in_time(&self, now: Nanos, aim_s: f64) -> f64 {
-        let (capacity, left) = (self.capacity(now), aim_s - self.piled_s(now));
+    pub fn fraction_in_time(&self, now: Nanos, aim_s: f64) -> f64 {
+        let (capacity, left) = (self.capacity(now), aim_s - self.backlog_s(now));
         if left <= 0.0 || self.demand >= capacity {
             return 0.0;
         }
@@ -174,42 +174,43 @@
     }
 
     /// How long a message takes on average, in seconds.
-    pub fn message_s(&self, now: Nanos) -> f64 {
+    pub fn mean_message_s(&self, now: Nanos) -> f64 {
         let spare =
             (self.capacity(now) - self.demand).max(self.make.message_us) / self.make.message_us;
-        self.piled_s(now) + 1.0 / spare
+        self.backlog_s(now) + 1.0 / spare
     }
 
     /// A set-up comes.
-    pub fn offer(&mut self, now: Nanos, id: u64, chance: &mut RandomSource) -> Offer {
+    pub fn offer_set_up(&mut self, now: Nanos, id: u64, rng: &mut RandomSource) -> SetUpAdmission {
         self.advance(now);
-        if self.standing.len() + self.busy as usize + self.waiting.len() >= self.make.connections {
-            return Offer::Full;
+        if self.connections.len() + self.busy as usize + self.waiting.len() >= self.make.connections
+        {
+            return SetUpAdmission::Rejected;
         }
         if self.busy < self.make.cores {
             self.busy += 1;
-            return Offer::Until(self.set_up_ends(now, chance));
+            return SetUpAdmission::RunsUntil(self.set_up_ends(now, rng));
         }
         if self.waiting.len() >= self.make.waiting {
-            return Offer::Full;
+            return SetUpAdmission::Rejected;
         }
         self.waiting.push_back(id);
-        Offer::Waits
+        SetUpAdmission::Queued
     }
 
     /// A set-up's work is done: the next one that is worked on, and until when.
-    pub fn set_up_done(&mut self, now: Nanos, chance: &mut RandomSource) -> Option<(u64, Nanos)> {
+    pub fn set_up_done(&mut self, now: Nanos, rng: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
             return None;
         };
-        Some((next, self.set_up_ends(now, chance)))
+        Some((next, self.set_up_ends(now, rng)))
     }
 
-    fn set_up_ends(&self, now: Nanos, chance: &mut RandomSource) -> Nanos {
+    fn set_up_ends(&self, now: Nanos, rng: &mut RandomSource) -> Nanos {
         // Work that is piled up takes its part of the cores.
-        let slower = 1.0 + self.piled_s(now);
-        let work = chance.exponential(self.make.set_up_ms / 1e3)
+        let slower = 1.0 + self.backlog_s(now);
+        let work = rng.exponential(self.make.set_up_ms / 1e3)
             / (self.make.speed * self.capacity_fraction(now));
         now.saturating_add(nanos(work * slower))
     }
@@ -217,7 +218,7 @@
     /// A connection stands from now on.
     pub fn establish(&mut self, now: Nanos, id: u64, one: EstablishedConnection) {
         self.advance(now);
-        if self.standing.insert(id, one).is_some() {
+        if self.connections.insert(id, one).is_some() {
             return;
         }
         self.demand += one.load;
@@ -229,18 +230,18 @@
     }
 
     /// A connection's load is another one from now on.
-    pub fn changes(&mut self, now: Nanos, id: u64, load: f64) {
+    pub fn change_load(&mut self, now: Nanos, id: u64, load: f64) {
         self.advance(now);
-        if let Some(one) = self.standing.get_mut(&id) {
+        if let Some(one) = self.connections.get_mut(&id) {
             self.demand += load - one.load;
             one.load = load;
         }
     }
 
     /// A connection has ended; tells whether it stood here.
-    pub fn ends(&mut self, now: Nanos, id: u64) -> bool {
+    pub fn close(&mut self, now: Nanos, id: u64) -> bool {
         self.advance(now);
-        let Some(one) = self.standing.remove(&id) else {
+        let Some(one) = self.connections.remove(&id) else {
             return false;
         };
         self.demand = (self.demand - one.load).max(0.0);
@@ -257,20 +258,20 @@
     }
 
     /// The connections that it drops now since too much is piled up: the heaviest, until what is left fits.
-    pub fn sheds(&mut self, now: Nanos) -> Vec<u64> {
+    pub fn shed_connections(&mut self, now: Nanos) -> Vec<u64> {
         self.advance(now);
-        if self.piled_s(now) <= self.make.sheds_after_s {
+        if self.backlog_s(now) <= self.make.sheds_after_s {
             return Vec::new();
         }
-        let mut there: Vec<(f64, u64)> = self
-            .standing
+        let mut by_load: Vec<(f64, u64)> = self
+            .connections
             .iter()
             .map(|(id, one)| (one.load, *id))
             .collect();
-        there.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
+        by_load.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
         let mut excess = self.demand - self.capacity(now);
         let mut shed = Vec::new();
-        for (load, id) in there {
+        for (load, id) in by_load {
             if excess <= 0.0 {
                 break;
             }
@@ -278,8 +279,8 @@
             shed.push(id);
         }
         // What was piled up by them goes with them.
-        self.piled = self
-            .piled
+        self.backlog_us = self
+            .backlog_us
             .min(self.make.sheds_after_s * self.capacity(now) / 2.0);
         shed
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -7,7 +7,6 @@
 
 #![forbid(unsafe_code)]
 
-pub mod chance;
 pub mod checker;
 pub mod compare;
 pub mod engine;
@@ -15,6 +14,7 @@
 pub mod measures;
 pub mod mesh;
 pub mod policies;
+pub mod random;
 pub mod scenario;
 pub mod store;
 pub mod versions;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -13,7 +13,7 @@
 use beaconflow_simulator::SECOND;
 use beaconflow_simulator::compare;
 use beaconflow_simulator::engine::Engine;
-use beaconflow_simulator::measures::{Saved, SavedServed};
+use beaconflow_simulator::measures::{Saved, SavedServiceCounts};
 use beaconflow_simulator::policies::Policy;
 use beaconflow_simulator::scenario::Scenario;
 use clap::{Parser, Subcommand};
@@ -109,7 +109,7 @@
             seeds,
             json,
         ),
-        Command::Check { scenario } => read(&scenario).map(|_| {
+        Command::Check { scenario } => read_scenario(&scenario).map(|_| {
             println!("{}: sound", scenario.display());
             true
         }),
@@ -117,14 +117,14 @@
     match done {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(3),
-        Err(why) => {
-            eprintln!("beaconflow-simulator: {why}");
+        Err(error) => {
+            eprintln!("beaconflow-simulator: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn read(path: &Path) -> Result<Scenario, String> {
+fn read_scenario(path: &Path) -> Result<Scenario, String> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
     Scenario::parse(&text).map_err(|faults| {
@@ -145,7 +145,7 @@
     save: Option<&Path>,
     json: bool,
 ) -> Result<bool, String> {
-    let mut scenario = read(path)?;
+    let mut scenario = read_scenario(path)?;
     scenario.seed = seed.unwrap_or(scenario.seed);
     let began = Instant::now();
     let mut engine = Engine::new(&scenario, policy);
@@ -171,23 +171,26 @@
             .measures
             .classes
             .iter()
-            .map(SavedServed::from)
+            .map(SavedServiceCounts::from)
             .collect(),
         accounts: engine
             .measures
             .accounts
             .iter()
-            .map(SavedServed::from)
+            .map(SavedServiceCounts::from)
             .collect(),
         seconds: engine.measures.seconds.clone(),
         broken: engine
             .checker
-            .broken()
+            .violations()
             .iter()
             .map(ToString::to_string)
             .collect(),
         events: engine.measures.events,
-        fleet: engine.measures.fleet.saved(scenario.tells_fleet()),
+        fleet: engine
+            .measures
+            .fleet
+            .saved(scenario.reports_fleet_figures()),
     };
     let text = serde_json::to_string(&saved).map_err(|error| error.to_string())?;
     if let Some(file) = save {
@@ -196,11 +199,16 @@
     let shown = if json {
         text
     } else {
-        show::table(&engine, took, scenario.seed, scenario.tells_fleet())
+        show::table(
+            &engine,
+            took,
+            scenario.seed,
+            scenario.reports_fleet_figures(),
+        )
     };
     // A reader that has gone away is no fault.
     let _ = writeln!(std::io::stdout(), "{}", shown.trim_end());
-    Ok(engine.checker.count == 0)
+    Ok(engine.checker.violation_count == 0)
 }
 
 /// Plays both sides under the same seeds and says where they differ; tells whether every rule was kept.
@@ -211,9 +219,9 @@
     seeds: u64,
     json: bool,
 ) -> Result<bool, String> {
-    let (one, other) = (read(first)?, read(second)?);
+    let (one, other) = (read_scenario(first)?, read_scenario(second)?);
     let (live, played) = (std::io::stderr().is_terminal(), AtomicU64::new(0));
-    let pairs = compare::pairs(
+    let pairs = compare::run_pairs(
         [(&one, policies.0), (&other, policies.1)],
         1..seeds + 1,
         |_| {
@@ -227,7 +235,11 @@
         eprintln!();
     }
     let (table, rows) = show::comparison(&pairs, seeds);
-    let broken: u64 = pairs.iter().flatten().map(|figures| figures.broken).sum();
+    let broken: u64 = pairs
+        .iter()
+        .flatten()
+        .map(|figures| figures.violations)
+        .sum();
     let shown = if json {
         serde_json::json!({ "seeds": seeds, "figures": rows, "broken": broken }).to_string()
     } else {
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -8,7 +8,7 @@
 
 /// Counts of one class or account.
 #[derive(Clone, Debug)]
-pub struct Served {
+pub struct ServiceCounts {
     /// Its name.
     pub name: String,
     /// Clients that wanted a connection.
@@ -23,11 +23,11 @@
     pub took: Histogram<u64>,
 }
 
-impl Served {
+impl ServiceCounts {
     /// Nothing yet.
-    pub fn new(name: &str) -> Served {
+    pub fn new(name: &str) -> ServiceCounts {
         let took = Histogram::new(3).expect("three digits");
-        Served {
+        ServiceCounts {
             name: name.to_owned(),
             wanted: 0,
             in_time: 0,
@@ -38,14 +38,14 @@
     }
 
     /// Part of those that wanted a connection that had it in time.
-    pub fn part(&self) -> f64 {
+    pub fn fraction_in_time(&self) -> f64 {
         self.in_time as f64 / self.wanted.max(1) as f64
     }
 }
 
 /// One second of a run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Second {
+pub struct SecondFigures {
     /// Clients whose connection came to stand.
     pub stood: u64,
     /// Those of them in time.
@@ -74,11 +74,11 @@
 #[derive(Clone, Debug)]
 pub struct Measures {
     /// By class.
-    pub classes: Vec<Served>,
+    pub classes: Vec<ServiceCounts>,
     /// By account.
-    pub accounts: Vec<Served>,
+    pub accounts: Vec<ServiceCounts>,
     /// By second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondFigures>,
     /// Events that the engine played.
     pub events: u64,
     /// What became of the fleet through failures.
@@ -93,7 +93,7 @@
     /// Most that a cold one was sent, over what makes it fall.
     pub most_sent: f64,
     /// The latest loss of power.
-    pub power: Option<Power>,
+    pub power: Option<PowerLossFigures>,
     /// Clients that returned and whose gateway stood and was theirs by the newest configuration; those of them that got
     /// it.
     pub owed: u64,
@@ -119,7 +119,7 @@
 
 /// A loss of power, and the way back.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Power {
+pub struct PowerLossFigures {
     /// Worth that stood before.
     pub worth: f64,
     /// Clients that stood before.
@@ -129,47 +129,47 @@
     /// The time until 99% of the former worth stood again.
     pub took: Option<Nanos>,
     /// The time that a refill takes which sees all and goes to the limit of the rule on cold gateways.
-    pub all_seeing: Nanos,
+    pub ideal_refill_time: Nanos,
 }
 
-impl Power {
+impl PowerLossFigures {
     /// The time until 99% of the former worth stood again, over that of a refill that sees all; nothing if it never did.
     pub fn ratio(&self) -> Option<f64> {
-        Some(self.took? as f64 / self.all_seeing.max(1) as f64)
+        Some(self.took? as f64 / self.ideal_refill_time.max(1) as f64)
     }
 }
 
 /// Part of the former worth that counts as all of it.
-const ALL: f64 = 0.99;
+const RECOVERED_FRACTION: f64 = 0.99;
 
 impl FleetFigures {
     /// Power is lost, while so much stands.
-    pub fn loses(&mut self, worth: f64, clients: f64) {
-        self.power = Some(Power {
+    pub fn record_power_loss(&mut self, worth: f64, clients: f64) {
+        self.power = Some(PowerLossFigures {
             worth,
             clients,
-            ..Power::default()
+            ..PowerLossFigures::default()
         });
     }
 
     /// Clients that stood before.
-    pub fn stood(&self) -> f64 {
+    pub fn clients_before_power_loss(&self) -> f64 {
         self.power.map_or(0.0, |power| power.clients)
     }
 
     /// Power is back; a refill that sees all takes so long.
-    pub fn returns(&mut self, now: Nanos, all_seeing: Nanos) {
+    pub fn record_power_restored(&mut self, now: Nanos, ideal_refill_time: Nanos) {
         if let Some(power) = &mut self.power {
-            (power.back_at, power.all_seeing) = (Some(now), all_seeing);
+            (power.back_at, power.ideal_refill_time) = (Some(now), ideal_refill_time);
         }
     }
 
     /// So much worth stands.
-    pub fn stands(&mut self, now: Nanos, worth: f64) {
+    pub fn record_established_worth(&mut self, now: Nanos, worth: f64) {
         if let Some(power) = &mut self.power
             && power.took.is_none()
             && let Some(back_at) = power.back_at
-            && worth >= ALL * power.worth
+            && worth >= RECOVERED_FRACTION * power.worth
         {
             power.took = Some(now - back_at);
         }
@@ -182,12 +182,15 @@
         let classes = scenario
             .classes
             .iter()
-            .map(|class| Served::new(&class.name));
+            .map(|class| ServiceCounts::new(&class.name));
         let accounts = scenario
             .accounts
             .iter()
-            .map(|account| Served::new(&account.name));
-        let all = scenario.accounts.is_empty().then(|| Served::new("all"));
+            .map(|account| ServiceCounts::new(&account.name));
+        let all = scenario
+            .accounts
+            .is_empty()
+            .then(|| ServiceCounts::new("all"));
         Measures {
             classes: classes.collect(),
             accounts: all.into_iter().chain(accounts).collect(),
@@ -198,16 +201,16 @@
     }
 
     /// The second that a moment lies in.
-    pub fn at(&mut self, now: Nanos) -> &mut Second {
+    pub fn second_at(&mut self, now: Nanos) -> &mut SecondFigures {
         let second = (now / SECOND) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+            self.seconds.resize(second + 1, SecondFigures::default());
         }
         &mut self.seconds[second]
     }
 
     /// A sum over all seconds.
-    pub fn sum(&self, of: impl Fn(&Second) -> u64) -> u64 {
+    pub fn sum(&self, of: impl Fn(&SecondFigures) -> u64) -> u64 {
         self.seconds.iter().map(of).sum()
     }
 }
@@ -220,11 +223,11 @@
     /// The seed.
     pub seed: u64,
     /// By class and by account: name, wanted, in time, late, gave up, and set-up percentiles in milliseconds.
-    pub classes: Vec<SavedServed>,
+    pub classes: Vec<SavedServiceCounts>,
     /// The same by account.
-    pub accounts: Vec<SavedServed>,
+    pub accounts: Vec<SavedServiceCounts>,
     /// By second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondFigures>,
     /// Rules that were broken.
     pub broken: Vec<String>,
     /// Events that the engine played.
@@ -272,7 +275,7 @@
 
 impl FleetFigures {
     /// As it is saved, if there is something to tell.
-    pub fn saved(&self, talks: bool) -> Option<SavedFleet> {
+    pub fn saved(&self, has_fleet_figures: bool) -> Option<SavedFleet> {
         let power = self.power;
         let until = self.island.map_or(0, |(.., until)| until);
         let merged = self
@@ -281,7 +284,7 @@
             .copied()
             .min()
             .zip(self.merges.iter().copied().max());
-        (talks || self.power.is_some() || self.most_sent > 0.0).then(|| SavedFleet {
+        (has_fleet_figures || self.power.is_some() || self.most_sent > 0.0).then(|| SavedFleet {
             fallen: self.fallen,
             most_sent: self.most_sent,
             power_took_s: power
@@ -314,7 +317,7 @@
 
 /// [`Served`] as it is saved.
 #[derive(Debug, Serialize)]
-pub struct SavedServed {
+pub struct SavedServiceCounts {
     /// Its name.
     pub name: String,
     /// Clients that wanted a connection.
@@ -331,10 +334,10 @@
     pub p99_ms: f64,
 }
 
-impl From<&Served> for SavedServed {
-    fn from(served: &Served) -> SavedServed {
+impl From<&ServiceCounts> for SavedServiceCounts {
+    fn from(served: &ServiceCounts) -> SavedServiceCounts {
         let at = |quantile| served.took.value_at_quantile(quantile) as f64 / 1e3;
-        SavedServed {
+        SavedServiceCounts {
             name: served.name.clone(),
             wanted: served.wanted,
             in_time: served.in_time,
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -16,11 +16,11 @@
 use crate::Nanos;
 
 /// Wall time at the start of each run.
-pub const WALL: Millis = 1_800_000_000_000;
+pub const START_WALL_CLOCK_MS: Millis = 1_800_000_000_000;
 /// Bytes that a balancer's own word takes in a datagram.
 const STATUS_BYTES: usize = 200;
 /// Bytes of facts that only hosts read.
-const HOSTS_OWN: usize = 256 << 20;
+const MAX_UNKNOWN_FACT_BYTES: usize = 256 << 20;
 /// Ports of the balancers, which are all at one address.
 const FIRST_PORT: u16 = 10_000;
 
@@ -34,69 +34,75 @@
 }
 
 /// All that was said in a run, by number.
-pub type Letters = Rc<RefCell<Vec<Rc<StatusMessage>>>>;
+pub type StatusMessages = Rc<RefCell<Vec<Rc<StatusMessage>>>>;
 
 /// What a node carries.
-pub struct Talk {
+pub struct GossipPayload {
     /// What the balancer knows.
-    pub knowledge: FactStore,
-    letters: Letters,
-    own: Option<u32>,
+    pub fact_store: FactStore,
+    status_messages: StatusMessages,
+    current_status: Option<u32>,
     /// What came, for the host to read.
-    pub received: Vec<Rc<StatusMessage>>,
+    pub received_statuses: Vec<Rc<StatusMessage>>,
     /// What became known, for the host to read.
-    pub changes: Vec<FactChange>,
+    pub fact_changes: Vec<FactChange>,
     /// Who was last heard from each site, and when.
     pub last_seen: BTreeMap<String, (String, Millis)>,
 }
 
-impl Talk {
+impl GossipPayload {
     /// The balancer says this of itself from now on.
-    pub fn say(&mut self, said: StatusMessage) {
-        let mut letters = self.letters.borrow_mut();
-        self.own = Some(letters.len() as u32);
-        letters.push(Rc::new(said));
+    pub fn publish_status(&mut self, status: StatusMessage) {
+        let mut status_messages = self.status_messages.borrow_mut();
+        self.current_status = Some(status_messages.len() as u32);
+        status_messages.push(Rc::new(status));
     }
 }
 
-impl Payload for Talk {
+impl Payload for GossipPayload {
     fn gossip(&mut self, room: usize, now: Millis) -> Vec<u8> {
         let mut bytes = Vec::new();
-        if let Some(own) = self.own {
-            bytes.extend_from_slice(&own.to_le_bytes());
+        if let Some(current_status) = self.current_status {
+            bytes.extend_from_slice(&current_status.to_le_bytes());
             bytes.resize(STATUS_BYTES, 0);
         }
         let facts = self
-            .knowledge
+            .fact_store
             .gossip_payload(room.saturating_sub(1 + bytes.len()), now);
         if bytes.is_empty() && facts.is_empty() {
             return Vec::new();
         }
-        bytes.insert(0, u8::from(self.own.is_some()));
+        bytes.insert(0, u8::from(self.current_status.is_some()));
         bytes.extend_from_slice(&facts);
         bytes
     }
 
     fn summary(&mut self, room: usize, _: Millis) -> Vec<u8> {
-        self.knowledge.summary(room)
+        self.fact_store.summary(room)
     }
 
-    fn answer(&mut self, summary: &[u8], room: usize, most: usize, now: Millis) -> Vec<Vec<u8>> {
-        let mut pages = self
-            .knowledge
-            .answer_summary(summary, room - 1, most, now)
+    fn answer(
+        &mut self,
+        summary: &[u8],
+        room: usize,
+        max_packets: usize,
+        now: Millis,
+    ) -> Vec<Vec<u8>> {
+        let mut packets = self
+            .fact_store
+            .answer_summary(summary, room - 1, max_packets, now)
             .unwrap_or_default();
-        pages.iter_mut().for_each(|page| page.insert(0, 0));
-        pages
+        packets.iter_mut().for_each(|packet| packet.insert(0, 0));
+        packets
     }
 
     fn receive(&mut self, from: &Member, bytes: &[u8], now: Millis) {
         self.last_seen
             .insert(from.site.to_string(), (from.name.to_string(), now));
-        let Some((with_word, mut facts)) = bytes.split_first() else {
+        let Some((has_status, mut facts)) = bytes.split_first() else {
             return;
         };
-        if *with_word == 1
+        if *has_status == 1
             && let Some((peer_status, rest)) = facts.split_at_checked(STATUS_BYTES)
         {
             let number = u32::from_le_bytes([
@@ -105,89 +111,106 @@
                 peer_status[2],
                 peer_status[3],
             ]);
-            self.received
-                .extend(self.letters.borrow().get(number as usize).cloned());
+            self.received_statuses
+                .extend(self.status_messages.borrow().get(number as usize).cloned());
             facts = rest;
         }
-        if let Ok(news) = self.knowledge.merge_packet(facts, now) {
-            self.changes.extend(news);
+        if let Ok(changes) = self.fact_store.merge_packet(facts, now) {
+            self.fact_changes.extend(changes);
         }
     }
 
     fn set_member_count(&mut self, n: usize) {
-        self.knowledge.set_member_count(n);
+        self.fact_store.set_member_count(n);
     }
 }
 
 /// A balancer's name.
-pub fn name(rank: u32) -> String {
+pub fn balancer_name(rank: u32) -> String {
     format!("b{rank}")
 }
 
 /// The balancer of that name, if it is one's.
-pub fn rank(name: &str) -> Option<u32> {
+pub fn rank_from_name(name: &str) -> Option<u32> {
     name.strip_prefix('b')?.parse().ok()
 }
 
 /// A balancer's address.
-pub fn address(rank: u32) -> SocketAddr {
+pub fn balancer_address(rank: u32) -> SocketAddr {
     ([127, 0, 0, 1], FIRST_PORT + rank as u16).into()
 }
 
 /// The balancer at an address.
-pub fn at(address: SocketAddr) -> u32 {
+pub fn rank_from_address(address: SocketAddr) -> u32 {
     u32::from(address.port().saturating_sub(FIRST_PORT))
 }
 
 /// Who one of so many balancers is that starts now, under that boot number. It asks its neighbours first.
-pub fn profile(rank: u32, of: u32, incarnation: u64, site: &str, seed: u64) -> Profile {
-    let name = name(rank);
+pub fn node_profile(
+    rank: u32,
+    balancer_count: u32,
+    incarnation: u64,
+    site: &str,
+    seed: u64,
+) -> Profile {
+    let name = balancer_name(rank);
     Profile {
         name: name.as_str().into(),
-        address: address(rank),
+        address: balancer_address(rank),
         incarnation,
         seed: seed ^ (u64::from(rank) << 20) ^ incarnation,
         site: site.into(),
         peer_configuration: beaconflow_membership::Configuration::default(),
-        seeds: [1, 2, of / 3, of / 2]
-            .map(|step| address((rank + step) % of))
+        seeds: [1, 2, balancer_count / 3, balancer_count / 2]
+            .map(|step| balancer_address((rank + step) % balancer_count))
             .to_vec(),
     }
 }
 
 /// What its node carries.
-pub fn talk(rank: u32, incarnation: u64, letters: &Letters) -> Talk {
+pub fn gossip_payload(
+    rank: u32,
+    incarnation: u64,
+    status_messages: &StatusMessages,
+) -> GossipPayload {
     let mut bounds = Bounds::default();
-    bounds.of_kind_mut(FactKind::Unknown).max_bytes = HOSTS_OWN;
-    let knowledge = FactStore::new(
+    bounds.of_kind_mut(FactKind::Unknown).max_bytes = MAX_UNKNOWN_FACT_BYTES;
+    let fact_store = FactStore::new(
         Origin {
-            name: name(rank),
+            name: balancer_name(rank),
             incarnation,
         },
         bounds,
     );
-    let (received, changes) = (Vec::new(), Vec::new());
-    Talk {
-        knowledge,
-        letters: letters.clone(),
-        own: None,
-        received,
-        changes,
+    let (received_statuses, fact_changes) = (Vec::new(), Vec::new());
+    GossipPayload {
+        fact_store,
+        status_messages: status_messages.clone(),
+        current_status: None,
+        received_statuses,
+        fact_changes,
         last_seen: BTreeMap::new(),
     }
 }
 
 /// Its node.
-pub fn node(rank: u32, of: u32, boot: u64, site: &str, letters: &Letters, seed: u64) -> Node<Talk> {
+pub fn new_node(
+    rank: u32,
+    balancer_count: u32,
+    incarnation: u64,
+    site: &str,
+    status_messages: &StatusMessages,
+    seed: u64,
+) -> Node<GossipPayload> {
     let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("as long as a key has to be"));
-    let (profile, talk) = (
-        profile(rank, of, boot, site, seed),
-        talk(rank, boot, letters),
+    let (profile, payload) = (
+        node_profile(rank, balancer_count, incarnation, site, seed),
+        gossip_payload(rank, incarnation, status_messages),
     );
-    Node::new(profile, keys, Settings::default(), talk).expect("a profile without faults")
+    Node::new(profile, keys, Settings::default(), payload).expect("a profile without faults")
 }
 
 /// Unix time in milliseconds at a moment of the run.
-pub fn wall(now: Nanos) -> Millis {
-    WALL + now / 1_000_000
+pub fn wall_clock_ms(now: Nanos) -> Millis {
+    START_WALL_CLOCK_MS + now / 1_000_000
 }
--- a/crates/simulator/src/policies.rs
+++ b/crates/simulator/src/policies.rs
@@ -12,7 +12,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
-use crate::chance::RandomSource;
+use crate::random::RandomSource;
 
 /// A policy by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -70,15 +70,15 @@
                 let instance = Engine::new(settings, shares, Limits::default(), seed);
                 Box::new(instance.expect("settings of a scenario that was checked"))
             }
-            kind => Box::new(Plain::new(kind, settings, seed)),
+            kind => Box::new(BaselinePolicy::new(kind, settings, seed)),
         }
     }
 }
 
 /// What a plain policy knows of a request.
-struct Open {
+struct OpenRequest {
     class: usize,
-    give_up_at: Nanos,
+    deadline_at: Nanos,
     attempts: u32,
     at: Option<ServerId>,
     may_have_run: bool,
@@ -86,29 +86,29 @@
 
 /// A plain policy: it picks among the ready gateways, repeats at once elsewhere while attempts and time are left, and
 /// moves nobody.
-struct Plain {
+struct BaselinePolicy {
     kind: Policy,
     settings: Settings,
     ready: Vec<ServerId>,
-    turn: usize,
+    next_index: usize,
     connections: FxHashMap<u32, u32>,
-    open: FxHashMap<u64, Open>,
+    open: FxHashMap<u64, OpenRequest>,
     rng: RandomSource,
-    watches: bool,
+    watches_list: bool,
 }
 
-impl Plain {
-    fn new(kind: Policy, settings: Settings, seed: u64) -> Plain {
+impl BaselinePolicy {
+    fn new(kind: Policy, settings: Settings, seed: u64) -> BaselinePolicy {
         let (ready, connections, open) = (Vec::new(), FxHashMap::default(), FxHashMap::default());
-        Plain {
+        BaselinePolicy {
             kind,
             settings,
             ready,
-            turn: 0,
+            next_index: 0,
             connections,
             open,
             rng: RandomSource::new(seed, 9),
-            watches: false,
+            watches_list: false,
         }
     }
 
@@ -116,7 +116,7 @@
         self.connections.get(&server.0).copied().unwrap_or(0)
     }
 
-    fn pick(&mut self) -> Option<ServerId> {
+    fn pick_server(&mut self) -> Option<ServerId> {
         let count = self.ready.len();
         if count == 0 {
             return None;
@@ -124,14 +124,14 @@
         Some(match self.kind {
             Policy::LeastConnections => {
                 // From its own place on, so that equal ones are not always the first.
-                self.turn = (self.turn + 1) % count;
-                let places = (0..count).map(|at| self.ready[(self.turn + at) % count]);
+                self.next_index = (self.next_index + 1) % count;
+                let places = (0..count).map(|at| self.ready[(self.next_index + at) % count]);
                 places.min_by_key(|server| self.connections(*server))?
             }
             Policy::RandomOfTwo => {
                 let (one, other) = (
-                    self.ready[self.rng.pick(count)],
-                    self.ready[self.rng.pick(count)],
+                    self.ready[self.rng.uniform_index(count)],
+                    self.ready[self.rng.uniform_index(count)],
                 );
                 if self.connections(other) < self.connections(one) {
                     other
@@ -140,17 +140,17 @@
                 }
             }
             Policy::RoundRobin | Policy::Beaconflow => {
-                self.turn = (self.turn + 1) % count;
-                self.ready[self.turn]
+                self.next_index = (self.next_index + 1) % count;
+                self.ready[self.next_index]
             }
         })
     }
 
-    fn place(&mut self, now: Nanos, request: RequestId, out: &mut Vec<Action>) {
+    fn try_next_server(&mut self, now: Nanos, request: RequestId, out: &mut Vec<Action>) {
         let Some(one) = self.open.get(&request.0) else {
             return;
         };
-        let left = one.give_up_at.saturating_sub(now);
+        let left = one.deadline_at.saturating_sub(now);
         let (class, limits) = (&self.settings.classes[one.class], &self.settings.limits);
         let over = one.attempts >= limits.max_attempts || left == 0;
         let timeout = left.min(
@@ -158,7 +158,7 @@
                 .latency_objective
                 .max(limits.connect_timeout.saturating_mul(2)),
         );
-        let to = if over { None } else { self.pick() };
+        let to = if over { None } else { self.pick_server() };
         let Some(server) = to else {
             let one = self.open.remove(&request.0);
             let failed = one.is_some_and(|one| one.may_have_run);
@@ -183,14 +183,14 @@
         });
     }
 
-    fn lets_go(&mut self, server: ServerId) {
-        if let Some(held) = self.connections.get_mut(&server.0) {
-            *held = held.saturating_sub(1);
+    fn release_connection(&mut self, server: ServerId) {
+        if let Some(connections) = self.connections.get_mut(&server.0) {
+            *connections = connections.saturating_sub(1);
         }
     }
 }
 
-impl BalancerEngine for Plain {
+impl BalancerEngine for BaselinePolicy {
     fn on_connect_requested(
         &mut self,
         now: Nanos,
@@ -199,19 +199,19 @@
         _: bool,
         out: &mut Vec<Action>,
     ) {
-        let open = Open {
+        let open = OpenRequest {
             class: arrival.class.0,
-            give_up_at: arrival.deadline_at,
+            deadline_at: arrival.deadline_at,
             attempts: 0,
             at: None,
             may_have_run: false,
         };
         self.open.insert(arrival.request.0, open);
-        self.place(now, arrival.request, out);
+        self.try_next_server(now, arrival.request, out);
     }
 
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.watches, true) {
+        if !std::mem::replace(&mut self.watches_list, true) {
             out.push(Action::WatchServerList);
         }
         match event {
@@ -223,10 +223,10 @@
             }
             Event::ConnectionAdopted { request, server } => {
                 *self.connections.entry(server.0).or_insert(0) += 1;
-                let (class, give_up_at) = (request.class.0, request.deadline_at);
-                let open = Open {
+                let (class, deadline_at) = (request.class.0, request.deadline_at);
+                let open = OpenRequest {
                     class,
-                    give_up_at,
+                    deadline_at,
                     attempts: 1,
                     at: Some(server),
                     may_have_run: true,
@@ -236,7 +236,7 @@
             Event::AttemptEnded(AttemptEnd {
                 request,
                 outcome,
-                is_final: closed,
+                is_final,
                 ..
             }) => {
                 let Some(one) = self.open.get_mut(&request.0) else {
@@ -245,16 +245,18 @@
                 let at = one.at.take();
                 one.may_have_run |=
                     !outcome.proves_not_executed() && outcome != AttemptOutcome::Served;
-                at.into_iter().for_each(|server| self.lets_go(server));
-                if closed {
+                at.into_iter()
+                    .for_each(|server| self.release_connection(server));
+                if is_final {
                     self.open.remove(&request.0);
                 } else {
-                    self.place(now, request, out);
+                    self.try_next_server(now, request, out);
                 }
             }
             Event::ClientLeft(request) => {
                 let at = self.open.remove(&request.0).and_then(|one| one.at);
-                at.into_iter().for_each(|server| self.lets_go(server));
+                at.into_iter()
+                    .for_each(|server| self.release_connection(server));
             }
             _ => {}
         }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -7,16 +7,16 @@
 use std::ops::Range;
 
 use beaconflow_policy::{
-    DiscoveryMode, Limits, RequestClass as ModuleClass, RetrySafety, ServerRules, Settings,
+    DiscoveryMode, Limits, RequestClass as PolicyClass, RetrySafety, ServerRules, Settings,
     TrafficCosts, ZoneId,
 };
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::gateway::Make;
+use crate::gateway::GatewayModel;
 use crate::{Nanos, nanos};
 
-pub use failure::{Failure, Way, Which};
+pub use failure::{Failure, LinkDirection, Selection};
 pub use fleet::Fleet;
 
 /// A scenario. Spans are in seconds unless a name says otherwise.
@@ -34,7 +34,7 @@
     pub gateways: u32,
     /// What they are made of.
     #[serde(default)]
-    pub make: Make,
+    pub make: GatewayModel,
     /// Zones; gateways and balancers are dealt to them in turn.
     #[serde(default = "one")]
     pub zones: u32,
@@ -107,10 +107,10 @@
     /// Whole time that a client waits for one answer, in milliseconds.
     pub deadline_ms: f64,
     /// Wanted time of a message, in milliseconds.
-    #[serde(default = "usual_message_aim")]
+    #[serde(default = "default_message_aim_ms")]
     pub message_aim_ms: f64,
     /// Worth of one connection.
-    #[serde(default = "usual_worth")]
+    #[serde(default = "default_worth")]
     pub worth: f64,
     /// New clients a second, over all balancers.
     pub a_second: f64,
@@ -129,11 +129,11 @@
     pub changes_s: f64,
 }
 
-fn usual_message_aim() -> f64 {
+fn default_message_aim_ms() -> f64 {
     50.0
 }
 
-fn usual_worth() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
 
@@ -156,7 +156,7 @@
     /// Groups that share work; none if 0.
     pub groups: u32,
     /// What one does that was refused, failed or cut off.
-    pub habit: Habit,
+    pub habit: RetryHabit,
     /// The wait of those who wait, at first; it doubles up to 32 times that, by full jitter.
     pub wait_ms: f64,
     /// A client that was told to move is back after this on average.
@@ -169,7 +169,7 @@
     fn default() -> Clients {
         Clients {
             groups: 0,
-            habit: Habit::Waits,
+            habit: RetryHabit::Waits,
             wait_ms: 100.0,
             move_ms: 80.0,
             tries: 20,
@@ -180,7 +180,7 @@
 /// A client's habit when it was refused, failed or cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Habit {
+pub enum RetryHabit {
     /// It does not come again.
     None,
     /// It comes again at once, whatever it was told.
@@ -193,120 +193,120 @@
 
 /// Everything that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(pub Vec<String>);
+pub struct ScenarioError(pub Vec<String>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ScenarioError {}
 
 impl Scenario {
     /// Reads a scenario.
-    pub fn parse(text: &str) -> Result<Scenario, Faults> {
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let line =
             |span: &Range<usize>| 1 + text[..span.start.min(text.len())].matches('\n').count();
         let scenario: Scenario = toml::from_str(text).map_err(|error| {
             let at = error
                 .span()
                 .map_or(String::new(), |span| format!("line {}: ", line(&span)));
-            Faults(vec![format!("{at}{}", error.message())])
+            ScenarioError(vec![format!("{at}{}", error.message())])
         })?;
-        let mut faults = scenario.faults();
+        let mut errors = scenario.validation_errors();
         for failure in &scenario.failures {
             let at = line(&failure.span());
-            faults.extend(
+            errors.extend(
                 scenario
-                    .faults_of(failure.get_ref())
+                    .failure_validation_errors(failure.get_ref())
                     .into_iter()
                     .map(|why| format!("line {at}: {why}")),
             );
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(scenario)
         } else {
-            Err(Faults(faults))
+            Err(ScenarioError(errors))
         }
     }
 
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut need = |sound: bool, what: String| {
-            if !sound {
-                faults.push(what);
+    fn validation_errors(&self) -> Vec<String> {
+        let mut errors = Vec::new();
+        let mut require = |is_valid: bool, what: String| {
+            if !is_valid {
+                errors.push(what);
             }
         };
         let above = |value: f64| value.is_finite() && value > 0.0;
-        need(
+        require(
             above(self.seconds) && self.seconds <= 86_400.0,
             "seconds: from above 0 to a day".into(),
         );
-        need(
+        require(
             (1..=10_000).contains(&self.balancers),
             "balancers: from 1 to 10000".into(),
         );
-        need(
+        require(
             (1..=100_000).contains(&self.gateways),
             "gateways: from 1 to 100000".into(),
         );
-        need(
+        require(
             (1..=1_000).contains(&self.zones),
             "zones: from 1 to 1000".into(),
         );
-        need(
+        require(
             self.make.cores > 0 && above(self.make.speed),
             "make: cores and speed above 0".into(),
         );
-        need(
+        require(
             above(self.make.set_up_ms) && above(self.make.message_us),
             "make: works above 0".into(),
         );
-        need(
+        require(
             above(self.make.cold_share) && self.make.cold_share <= 1.0,
             "make.cold_share: above 0, to 1".into(),
         );
-        need(!self.classes.is_empty(), "class: at least one".into());
+        require(!self.classes.is_empty(), "class: at least one".into());
         for class in &self.classes {
             let name = &class.name;
-            need(
+            require(
                 above(class.aim_ms) && above(class.deadline_ms),
                 format!("class {name}: aim and deadline above 0"),
             );
-            need(
+            require(
                 above(class.life_s) && above(class.load_us),
                 format!("class {name}: life and load above 0"),
             );
-            need(
+            require(
                 class.a_second.is_finite() && class.a_second >= 0.0,
                 format!("class {name}: a_second is no rate"),
             );
-            need(
+            require(
                 class.worth.is_finite() && class.worth >= 0.0,
                 format!("class {name}: worth is below 0"),
             );
         }
         for account in &self.accounts {
-            let sound = above(account.share) && account.part.is_finite() && account.part >= 0.0;
-            need(
-                sound,
+            let is_valid = above(account.share) && account.part.is_finite() && account.part >= 0.0;
+            require(
+                is_valid,
                 format!("account {}: share above 0, part not below", account.name),
             );
         }
         if let Some(store) = &self.store {
-            need(
+            require(
                 store.at_once > 0 && above(store.mean_ms),
                 "store: at_once and mean_ms above 0".into(),
             );
         }
-        faults.extend(self.fleet.faults(self));
-        faults
+        errors.extend(self.fleet.validation_errors(self));
+        errors
     }
 
     /// What a balancer's module is told of this site.
     pub fn settings(&self, rank: u32) -> Settings {
-        let class = |class: &Class| ModuleClass {
+        let class = |class: &Class| PolicyClass {
             latency_objective: nanos(class.aim_ms / 1e3),
             deadline: nanos(class.deadline_ms / 1e3),
             retry_safety: RetrySafety::Idempotent,
@@ -330,8 +330,8 @@
             rules: ServerRules {
                 initial_capacity: self.make.cold_share,
                 warm_up_time: nanos(self.make.cold_s),
-                overload_multiple: TIP_MULTIPLE,
-                overload_window: nanos(FALL_S),
+                overload_multiple: COLD_OVERLOAD_MULTIPLE,
+                overload_window: nanos(COLD_OVERLOAD_WINDOW_S),
                 list_max_age: nanos(10.0),
             },
             costs: TrafficCosts::default(),
@@ -339,14 +339,14 @@
     }
 
     /// How long clients come.
-    pub fn length(&self) -> Nanos {
+    pub fn arrivals_duration(&self) -> Nanos {
         nanos(self.seconds)
     }
 }
 
 /// The rule on cold gateways: times what one bears that tip it over, and for how long, in seconds.
-pub const TIP_MULTIPLE: f64 = 3.0;
+pub const COLD_OVERLOAD_MULTIPLE: f64 = 3.0;
 /// See [`TIP_MULTIPLE`].
-pub const FALL_S: f64 = 1.5;
+pub const COLD_OVERLOAD_WINDOW_S: f64 = 1.5;
 /// Attempts for one request at most.
 pub const MAX_ATTEMPTS: u32 = 6;
--- a/crates/simulator/src/scenario/failure.rs
+++ b/crates/simulator/src/scenario/failure.rs
@@ -92,13 +92,13 @@
         for_s: f64,
         /// Which balancers.
         #[serde(default)]
-        balancers: Which,
+        balancers: Selection,
         /// Which gateways; they come back cold.
         #[serde(default)]
-        gateways: Which,
+        gateways: Selection,
         /// Which balancers have lost what was on their disks.
         #[serde(default)]
-        disks_lost: Which,
+        disks_lost: Selection,
     },
     /// A new configuration is rolled over the balancers in steps, each at its time.
     ConfigRoll {
@@ -130,7 +130,7 @@
         zone: u32,
         /// Which way is lost; with none the same span is counted and nothing is lost.
         #[serde(default)]
-        way: Way,
+        way: LinkDirection,
         /// It is lost for so long and back for so long, in turn; always, if 0.
         #[serde(default)]
         flap_s: f64,
@@ -142,7 +142,7 @@
         /// For how long.
         for_s: f64,
         /// Which balancers.
-        balancers: Which,
+        balancers: Selection,
     },
     /// Clients of one account come at once, and again whatever they are told.
     Flood {
@@ -181,7 +181,7 @@
 /// Which way of a link is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum LinkDirection {
     /// Both.
     #[default]
     Both,
@@ -196,38 +196,38 @@
 /// Some of the balancers or gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(untagged)]
-pub enum Which {
+pub enum Selection {
     /// These, by number from 0.
-    These(Vec<u32>),
+    Indices(Vec<u32>),
     /// A word: `all`.
-    Word(String),
+    Keyword(String),
 }
 
-impl Default for Which {
-    fn default() -> Which {
-        Which::These(Vec::new())
+impl Default for Selection {
+    fn default() -> Selection {
+        Selection::Indices(Vec::new())
     }
 }
 
-impl Which {
+impl Selection {
     /// Whether it is none.
     pub fn is_none(&self) -> bool {
-        matches!(self, Which::These(these) if these.is_empty())
+        matches!(self, Selection::Indices(these) if these.is_empty())
     }
 
     /// Their numbers, of so many.
     pub fn of(&self, count: u32) -> Vec<u32> {
         match self {
-            Which::These(these) => these.clone(),
-            Which::Word(_) => (0..count).collect(),
+            Selection::Indices(these) => these.clone(),
+            Selection::Keyword(_) => (0..count).collect(),
         }
     }
 
-    fn faults(&self, field: &str, count: u32) -> Vec<String> {
+    fn validation_errors(&self, field: &str, count: u32) -> Vec<String> {
         match self {
-            Which::Word(word) if word == "all" => Vec::new(),
-            Which::Word(word) => vec![format!("{field}: \"all\" or numbers, not {word:?}")],
-            Which::These(these) => {
+            Selection::Keyword(word) if word == "all" => Vec::new(),
+            Selection::Keyword(word) => vec![format!("{field}: \"all\" or numbers, not {word:?}")],
+            Selection::Indices(these) => {
                 let unknown = these.iter().filter(|one| **one >= count);
                 unknown
                     .map(|one| format!("{field}: there is no {one} of {count}"))
@@ -239,22 +239,22 @@
 
 impl Scenario {
     /// What a failure names that there is not.
-    pub(super) fn faults_of(&self, failure: &Failure) -> Vec<String> {
-        let mut faults = Vec::new();
+    pub(super) fn failure_validation_errors(&self, failure: &Failure) -> Vec<String> {
+        let mut errors = Vec::new();
         if !(failure.at_s() >= 0.0 && failure.at_s() <= self.seconds) {
-            faults.push(format!("at_s: within the scenario's {} s", self.seconds));
+            errors.push(format!("at_s: within the scenario's {} s", self.seconds));
         }
         match failure {
             Failure::Hang { gateways, .. }
             | Failure::Crash { gateways, .. }
             | Failure::Drain { gateways, .. } => {
                 let unknown = gateways.iter().filter(|gateway| **gateway >= self.gateways);
-                faults.extend(unknown.map(|gateway| {
+                errors.extend(unknown.map(|gateway| {
                     format!("gateways: there is no {gateway} of {}", self.gateways)
                 }));
             }
             Failure::BalancerKilled { balancer, .. } if *balancer >= self.balancers => {
-                faults.push(format!(
+                errors.push(format!(
                     "balancer: there is no {balancer} of {}",
                     self.balancers
                 ));
@@ -267,14 +267,14 @@
                 ..
             } => {
                 if !(for_s.is_finite() && *for_s > 0.0) {
-                    faults.push("for_s: above 0".into());
+                    errors.push("for_s: above 0".into());
                 }
                 if balancers.is_none() && gateways.is_none() {
-                    faults.push("balancers, gateways: one of them at least".into());
+                    errors.push("balancers, gateways: one of them at least".into());
                 }
-                faults.extend(balancers.faults("balancers", self.balancers));
-                faults.extend(gateways.faults("gateways", self.gateways));
-                faults.extend(disks_lost.faults("disks_lost", self.balancers));
+                errors.extend(balancers.validation_errors("balancers", self.balancers));
+                errors.extend(gateways.validation_errors("gateways", self.gateways));
+                errors.extend(disks_lost.validation_errors("disks_lost", self.balancers));
             }
             Failure::ConfigRoll {
                 step_s,
@@ -285,11 +285,11 @@
                 ..
             } => {
                 if !(step_s.is_finite() && *step_s >= 0.0) {
-                    faults.push("step_s: not below 0".into());
+                    errors.push("step_s: not below 0".into());
                 }
-                let sound = |(_, part): &(u32, f64)| part.is_finite() && *part > 0.0;
-                if !weights.iter().all(sound) {
-                    faults.push("weights: parts above 0".into());
+                let is_valid = |(_, part): &(u32, f64)| part.is_finite() && *part > 0.0;
+                if !weights.iter().all(is_valid) {
+                    errors.push("weights: parts above 0".into());
                 }
                 let weighted: Vec<u32> = weights.iter().map(|(gateway, _)| *gateway).collect();
                 let fields = [
@@ -299,7 +299,9 @@
                     ("renamed", renamed),
                 ];
                 for (field, these) in fields {
-                    faults.extend(Which::These(these.clone()).faults(field, self.gateways));
+                    errors.extend(
+                        Selection::Indices(these.clone()).validation_errors(field, self.gateways),
+                    );
                 }
             }
             Failure::UplinkLost {
@@ -309,47 +311,47 @@
                 ..
             } => {
                 if !(for_s.is_finite() && *for_s > 0.0) {
-                    faults.push("for_s: above 0".into());
+                    errors.push("for_s: above 0".into());
                 }
                 if *zone == 0 || *zone >= self.zones {
-                    faults.push(format!(
+                    errors.push(format!(
                         "zone: from 1 to below the {} of the scenario",
                         self.zones
                     ));
                 }
                 if !(flap_s.is_finite() && *flap_s >= 0.0) {
-                    faults.push("flap_s: not below 0".into());
+                    errors.push("flap_s: not below 0".into());
                 }
                 if self.zones > self.balancers || self.zones > self.gateways {
-                    faults.push("zones: no more than balancers and gateways".into());
+                    errors.push("zones: no more than balancers and gateways".into());
                 }
             }
             Failure::PeersCut { balancers, .. } => {
-                if !self.fleet.talks() {
-                    faults.push("peers-cut: the balancers of the scenario don't talk".into());
+                if !self.fleet.uses_gossip() {
+                    errors.push("peers-cut: the balancers of the scenario don't talk".into());
                 }
-                faults.extend(balancers.faults("balancers", self.balancers));
+                errors.extend(balancers.validation_errors("balancers", self.balancers));
             }
             Failure::StoreStalled { .. } if self.store.is_none() => {
-                faults.push("store-stalled: the scenario has no store".into());
+                errors.push("store-stalled: the scenario has no store".into());
             }
             Failure::Flood { account, .. }
                 if !self.accounts.iter().any(|known| known.name == *account) =>
             {
-                faults.push(format!("account: there is no {account:?}"));
+                errors.push(format!("account: there is no {account:?}"));
             }
             Failure::Reconnect { part, .. } if !(0.0..=1.0).contains(part) => {
-                faults.push("part: from 0 to 1".into());
+                errors.push("part: from 0 to 1".into());
             }
             Failure::Resets {
                 part_a_second,
                 set_ups,
                 ..
             } if !(0.0..=1.0).contains(part_a_second) || !(0.0..=1.0).contains(set_ups) => {
-                faults.push("part_a_second, set_ups: from 0 to 1".into());
+                errors.push("part_a_second, set_ups: from 0 to 1".into());
             }
             _ => {}
         }
-        faults
+        errors
     }
 }
--- a/crates/simulator/src/scenario/fleet.rs
+++ b/crates/simulator/src/scenario/fleet.rs
@@ -49,15 +49,15 @@
 
 impl Fleet {
     /// Whether the balancers talk to each other.
-    pub fn talks(&self) -> bool {
+    pub fn uses_gossip(&self) -> bool {
         self.recovery || self.affinity || self.shared_n || self.edge
     }
 
-    pub(super) fn faults(&self, scenario: &Scenario) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut need = |sound: bool, what: &str| {
-            if !sound {
-                faults.push(what.to_owned());
+    pub(super) fn validation_errors(&self, scenario: &Scenario) -> Vec<String> {
+        let mut errors = Vec::new();
+        let mut require = |is_valid: bool, what: &str| {
+            if !is_valid {
+                errors.push(what.to_owned());
             }
         };
         let added = scenario
@@ -68,54 +68,54 @@
                 _ => Vec::new(),
             });
         let added: BTreeSet<u32> = added.collect();
-        let zones = if scenario.by_zone() {
+        let zones = if scenario.routes_by_zone() {
             scenario.zones.max(1)
         } else {
             1
         };
         let is_there =
             |zone: u32| (0..scenario.gateways).any(|at| at % zones == zone && !added.contains(&at));
-        need(
+        require(
             (0..zones).all(is_there),
             "added: each zone has to have a gateway from the start",
         );
         let not_below = |value: f64| value.is_finite() && value >= 0.0;
-        need(
+        require(
             (0.0..1.0).contains(&self.lost),
             "fleet.lost: from 0 to below 1",
         );
-        need(
+        require(
             not_below(self.delay_ms) && self.delay_ms <= 60_000.0,
             "fleet.delay_ms: from 0 to 60000",
         );
-        need(not_below(self.borne), "fleet.borne: not below 0");
-        need(not_below(self.slack), "fleet.slack: not below 0");
+        require(not_below(self.borne), "fleet.borne: not below 0");
+        require(not_below(self.slack), "fleet.slack: not below 0");
         let knows = self.borne > 0.0 || scenario.classes.iter().any(|class| class.standing > 0);
-        need(
+        require(
             !(self.recovery || self.falls) || knows,
             "fleet.borne: above 0, or connections that stand at the start",
         );
-        faults
+        errors
     }
 }
 
 impl Scenario {
     /// Whether each zone's clients come to its own balancers: its uplink is to be lost.
-    pub fn by_zone(&self) -> bool {
+    pub fn routes_by_zone(&self) -> bool {
         self.failures
             .iter()
             .any(|failure| matches!(failure.get_ref(), Failure::UplinkLost { .. }))
     }
 
     /// Whether a run has figures of the fleet to tell.
-    pub fn tells_fleet(&self) -> bool {
+    pub fn reports_fleet_figures(&self) -> bool {
         let is_roll = |failure: &Failure| {
             matches!(
                 failure,
                 Failure::ConfigRoll { .. } | Failure::UplinkLost { .. }
             )
         };
-        self.fleet.talks()
+        self.fleet.uses_gossip()
             || self
                 .failures
                 .iter()
@@ -123,7 +123,7 @@
     }
 
     /// Clients a second that a warm gateway bears.
-    pub fn borne(&self) -> f64 {
+    pub fn clients_per_warm_gateway_s(&self) -> f64 {
         let stands: u32 = self.classes.iter().map(|class| class.standing).sum();
         let cold_s = self.make.cold_s.max(1.0);
         if self.fleet.borne > 0.0 {
