--- a/crates/simulator/src/show.rs
+++ b/crates/simulator/src/show.rs
@@ -2,7 +2,7 @@
 
 use beaconflow_simulator::compare::{self, Figures};
 use beaconflow_simulator::engine::Engine;
-use beaconflow_simulator::measures::{Measures, SavedFleet, Served};
+use beaconflow_simulator::measures::{Measures, SavedFleet, ServiceCounts};
 use comfy_table::{ContentArrangement, Table, presets};
 use serde_json::{Value, json};
 
@@ -16,21 +16,21 @@
 }
 
 /// What one run came to. `talks` says whether its balancers talked to each other.
-pub(crate) fn table(engine: &Engine<'_>, took: f64, seed: u64, talks: bool) -> String {
+pub(crate) fn table(engine: &Engine<'_>, took: f64, seed: u64, has_fleet_figures: bool) -> String {
     let measures = &engine.measures;
-    let mut text = served(measures) + &attempts(measures);
-    if let Some(fleet) = measures.fleet.saved(talks) {
-        text.push_str(&together(measures, &fleet));
+    let mut text = service_table(measures) + &attempt_totals(measures);
+    if let Some(fleet) = measures.fleet.saved(has_fleet_figures) {
+        text.push_str(&fleet_section(measures, &fleet));
     }
     text.push_str(&format!(
         "seed {seed}: {} events in {took:.2} s, {:.2} million a second\n",
         measures.events,
         measures.events as f64 / took / 1e6
     ));
-    for broken in engine.checker.broken() {
+    for broken in engine.checker.violations() {
         text.push_str(&format!("broken at {broken}\n"));
     }
-    text.push_str(&match engine.checker.count {
+    text.push_str(&match engine.checker.violation_count {
         0 => "every rule was kept\n".to_owned(),
         count => format!("{count} times a rule was broken\n"),
     });
@@ -38,9 +38,9 @@
 }
 
 /// What each class and each account got.
-fn served(measures: &Measures) -> String {
+fn service_table(measures: &Measures) -> String {
     let mut table = empty_table(&["", "WANTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
-    let mut row = |what: &str, served: &Served| {
+    let mut row = |what: &str, served: &ServiceCounts| {
         let at = |quantile| {
             format!(
                 "{:.1} ms",
@@ -50,7 +50,7 @@
         table.add_row([
             format!("{what} {}", served.name),
             served.wanted.to_string(),
-            format!("{:.2}%", served.part() * 100.0),
+            format!("{:.2}%", served.fraction_in_time() * 100.0),
             served.late.to_string(),
             served.gave_up.to_string(),
             at(0.5),
@@ -69,7 +69,7 @@
 }
 
 /// What the servers saw.
-fn attempts(measures: &Measures) -> String {
+fn attempt_totals(measures: &Measures) -> String {
     let highest = measures
         .seconds
         .iter()
@@ -86,7 +86,7 @@
 }
 
 /// What the balancers came to together.
-fn together(measures: &Measures, fleet: &SavedFleet) -> String {
+fn fleet_section(measures: &Measures, fleet: &SavedFleet) -> String {
     let mut text = format!(
         "returned while their gateway stood {}, got it {:.2}%, dealt anew by a configuration {}, \
          evened out {}\n",
@@ -139,7 +139,7 @@
         let mean =
             |side: fn(&(f64, f64)) -> f64| of.iter().map(side).sum::<f64>() / of.len() as f64;
         let (first, second) = (mean(|pair| pair.0), mean(|pair| pair.1));
-        let (difference, low, high) = compare::difference(&of, seeds);
+        let (difference, low, high) = compare::mean_difference(&of, seeds);
         let compare = verdict((low, high), more_is_better);
         table.add_row([
             name.to_owned(),
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::chance::RandomSource;
+use crate::random::RandomSource;
 use crate::{Nanos, nanos};
 
 /// The store. A call is known by its number.
@@ -28,7 +28,7 @@
     }
 
     /// Calls a second when it is never idle.
-    pub fn most_per_second(&self) -> f64 {
+    pub fn max_calls_per_s(&self) -> f64 {
         self.at_once as f64 / self.mean_s
     }
 
@@ -38,26 +38,26 @@
     }
 
     /// A call comes: when it ends, if it is worked on at once.
-    pub fn call(&mut self, now: Nanos, call: u64, chance: &mut RandomSource) -> Option<Nanos> {
+    pub fn call(&mut self, now: Nanos, call: u64, rng: &mut RandomSource) -> Option<Nanos> {
         if self.busy < self.at_once {
             self.busy += 1;
-            return Some(self.ends(now, chance));
+            return Some(self.call_end_at(now, rng));
         }
         self.waiting.push_back(call);
         None
     }
 
     /// A call has ended: the next one that is worked on, and when that ends.
-    pub fn ended(&mut self, now: Nanos, chance: &mut RandomSource) -> Option<(u64, Nanos)> {
+    pub fn call_done(&mut self, now: Nanos, rng: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
             return None;
         };
-        Some((next, self.ends(now, chance)))
+        Some((next, self.call_end_at(now, rng)))
     }
 
-    fn ends(&self, now: Nanos, chance: &mut RandomSource) -> Nanos {
+    fn call_end_at(&self, now: Nanos, rng: &mut RandomSource) -> Nanos {
         now.max(self.stalled_until)
-            .saturating_add(nanos(chance.exponential(self.mean_s)))
+            .saturating_add(nanos(rng.exponential(self.mean_s)))
     }
 }
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Failure, Scenario};
 
 /// One configuration.
-pub struct Configured {
+pub struct RolledConfiguration {
     /// Its version.
     pub version: Version,
     /// Of each gateway that it has: the tag of its name, and its weight as a part of what it has by nature.
@@ -20,13 +20,13 @@
 /// All configurations of a scenario, the first one first, then that of each roll in the order of the file.
 pub struct Configurations {
     /// Them.
-    pub all: Vec<Configured>,
+    pub all: Vec<RolledConfiguration>,
     gateway: FxHashMap<Tag, u32>,
 }
 
 impl Configurations {
     /// Those of a scenario.
-    pub fn of(scenario: &Scenario) -> Configurations {
+    pub fn from_scenario(scenario: &Scenario) -> Configurations {
         let count = scenario.gateways as usize;
         let mut names: Vec<Option<String>> = (0..count).map(|at| Some(format!("g{at}"))).collect();
         let mut weights = vec![1.0; count];
@@ -37,8 +37,8 @@
             }
         }
         let mut routing = routing(&names, &weights, &[]);
-        let first = configured(&routing, &names, &weights, &Routing::default());
-        let mut all = vec![Configured {
+        let first = rolled_configuration(&routing, &names, &weights, &Routing::default());
+        let mut all = vec![RolledConfiguration {
             renames: Vec::new(),
             ..first
         }];
@@ -53,20 +53,20 @@
             else {
                 continue;
             };
-            let mut was = vec![None; count];
+            let mut previous_names = vec![None; count];
             added
                 .iter()
                 .for_each(|at| names[*at as usize] = Some(format!("g{at}")));
             removed.iter().for_each(|at| names[*at as usize] = None);
             for at in renamed.iter().map(|at| *at as usize) {
                 if let Some(name) = &mut names[at] {
-                    was[at] = Some(std::mem::replace(name, format!("g{at}-{number}")));
+                    previous_names[at] = Some(std::mem::replace(name, format!("g{at}-{number}")));
                 }
             }
             new.iter()
                 .for_each(|(at, part)| weights[*at as usize] = *part);
-            let next = self::routing(&names, &weights, &was);
-            all.push(configured(&next, &names, &weights, &routing));
+            let next = self::routing(&names, &weights, &previous_names);
+            all.push(rolled_configuration(&next, &names, &weights, &routing));
             routing = next;
         }
         let tags = all.iter().flat_map(|one| one.gateways.iter().enumerate());
@@ -82,13 +82,17 @@
     }
 }
 
-fn routing(names: &[Option<String>], weights: &[f64], was: &[Option<String>]) -> Routing {
+fn routing(
+    names: &[Option<String>],
+    weights: &[f64],
+    previous_names: &[Option<String>],
+) -> Routing {
     let server = |(at, name): (usize, &Option<String>)| {
-        let was = was.get(at).cloned().flatten();
+        let previous_names = previous_names.get(at).cloned().flatten();
         Some(Server {
             name: name.clone()?,
             weight: weights[at],
-            previous_name: was,
+            previous_name: previous_names,
             ..Server::default()
         })
     };
@@ -98,19 +102,19 @@
     }
 }
 
-fn configured(
+fn rolled_configuration(
     routing: &Routing,
     names: &[Option<String>],
     weights: &[f64],
     before: &Routing,
-) -> Configured {
+) -> RolledConfiguration {
     let tag = |(at, name): (usize, &Option<String>)| {
         Some((Tag::from_name(name.as_deref()?), weights[at]))
     };
     let changed = |(at, name): (usize, &Option<String>)| {
         name.as_deref().is_some_and(|name| name != format!("g{at}"))
     };
-    Configured {
+    RolledConfiguration {
         version: routing.version(),
         gateways: names.iter().enumerate().map(tag).collect(),
         renamed: names.iter().enumerate().map(changed).collect(),
--- a/crates/simulator/tests/failure.rs
+++ b/crates/simulator/tests/failure.rs
@@ -21,7 +21,7 @@
     let scenario = Scenario::parse(&text).expect("sound");
     let mut engine = Engine::new(&scenario, Policy::Beaconflow);
     engine.run(|_| true);
-    assert_eq!(engine.checker.broken(), [], "{changes:?}");
+    assert_eq!(engine.checker.violations(), [], "{changes:?}");
     engine.measures.fleet.clone()
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_fleet_that_lost_power_is_back_sooner_by_turns_and_no_gateway_falls() {
+fn recovery_refills_fleet_faster_without_overloading_cold_gateways() {
     let by_turns = play(POWER, &SMALL);
     assert!(
         by_turns.fallen == 0 && ratio(&by_turns) <= 1.3,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn lost_disks_and_peers_that_are_cut_by_half_tip_nobody() {
+fn recovery_overloads_no_gateway_when_disks_and_datagrams_are_lost() {
     let lost = (
         "balancers = \"all\"",
         "balancers = \"all\"\ndisks_lost = [0, 2, 4]",
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn clients_keep_their_gateway_through_a_roll_and_a_cut_of_the_peers() {
+fn affinity_survives_config_roll_and_peer_partition() {
     let fleet = play(ROLL, &[]);
     assert!(landed(&fleet) >= 0.995 && fleet.redealt > 50, "{fleet:?}");
     // Weights alone make the decisions even gateways out; without other weights the version moves only those that it
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn failures_counted_over_all_balancers_change_how_long_refused_clients_stay_away() {
+fn shared_failure_counts_change_retry_delays() {
     // As many gateways as in the file, so that many are refused again elsewhere.
     let small = [("balancers = 30", "balancers = 3")];
     let refused = |text: &str| {
@@ -100,7 +100,7 @@
         let scenario = Scenario::parse(&text).expect("sound");
         let mut engine = Engine::new(&scenario, Policy::Beaconflow);
         engine.run(|_| true);
-        assert_eq!(engine.checker.broken(), []);
+        assert_eq!(engine.checker.violations(), []);
         assert_eq!(
             engine.measures.seconds.last().map(|second| second.standing),
             Some(10_000)
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_zone_without_uplink_serves_on_and_merges_once_when_it_is_back() {
+fn isolated_zone_serves_clients_and_merges_once() {
     let short = [
         ("seconds = 720", "seconds = 180"),
         ("for_s = 600", "for_s = 90"),
@@ -199,7 +199,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(6) })]
 
     #[test]
-    fn every_rule_is_kept_whatever_the_fleet_goes_through(failures in failures(), seed in any::<u64>()) {
+    fn no_rule_breaks_under_random_fleet_failures(failures in failures(), seed in any::<u64>()) {
         let text = format!(
             "seed = {}\nseconds = 20\nbalancers = 4\ngateways = 6\nzones = 2\n[[class]]\nname = \"a\"\naim_ms = 400\n\
              deadline_ms = 2000\na_second = 20\nstanding = 100\nlife_s = 10\nload_us = 20000\n[fleet]\nrecovery = true\n\
@@ -209,12 +209,12 @@
         let scenario = Scenario::parse(&text).expect("sound");
         let mut engine = Engine::new(&scenario, Policy::Beaconflow);
         engine.run(|_| true);
-        prop_assert_eq!(engine.checker.broken(), &[][..]);
+        prop_assert_eq!(engine.checker.violations(), &[][..]);
     }
 }
 
 #[test]
-fn what_a_file_says_wrongly_of_the_fleet_is_told_by_field() {
+fn parse_reports_invalid_fleet_fields() {
     let faults = |from: &str, to: &str| {
         assert!(POWER.contains(from), "{from} is not there");
         Scenario::parse(&POWER.replace(from, to))
--- a/crates/simulator/tests/model.rs
+++ b/crates/simulator/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model against closed forms.
 
-use beaconflow_simulator::chance::RandomSource;
-use beaconflow_simulator::gateway::{EstablishedConnection, Gateway, Make, Offer};
+use beaconflow_simulator::gateway::{EstablishedConnection, Gateway, GatewayModel, SetUpAdmission};
+use beaconflow_simulator::random::RandomSource;
 use beaconflow_simulator::store::Store;
 use beaconflow_simulator::{Nanos, SECOND, nanos};
 
@@ -12,7 +12,7 @@
     mut begin: impl FnMut(Nanos, u64, &mut RandomSource) -> Option<Nanos>,
     mut done: impl FnMut(Nanos, &mut RandomSource) -> Option<(u64, Nanos)>,
 ) -> (f64, f64) {
-    let (mut arrivals, mut chance) = (RandomSource::new(1, 1), RandomSource::new(1, 2));
+    let (mut arrivals, mut rng) = (RandomSource::new(1, 1), RandomSource::new(1, 2));
     let mut ends = std::collections::BinaryHeap::new();
     let mut came = Vec::new();
     let (mut next, mut waited, mut begun, mut ended) = (0, 0.0, 0_u64, 0_u64);
@@ -21,7 +21,7 @@
             Some(std::cmp::Reverse(at)) if at <= next => {
                 ends.pop();
                 ended += 1;
-                if let Some((id, until)) = done(at, &mut chance) {
+                if let Some((id, until)) = done(at, &mut rng) {
                     waited += (at - came[id as usize]) as f64 / 1e9;
                     begun += 1;
                     ends.push(std::cmp::Reverse(until));
@@ -29,7 +29,7 @@
             }
             _ => {
                 came.push(next);
-                if let Some(until) = begin(next, came.len() as u64 - 1, &mut chance) {
+                if let Some(until) = begin(next, came.len() as u64 - 1, &mut rng) {
                     begun += 1;
                     ends.push(std::cmp::Reverse(until));
                 }
@@ -50,50 +50,52 @@
 }
 
 #[test]
-fn set_ups_wait_as_erlang_says() {
+fn gateway_set_up_wait_matches_erlang_c() {
     for rate in [250.0, 400.0, 450.0] {
-        let make = Make {
+        let make = GatewayModel {
             cores: 4,
             set_up_ms: 8.0,
             waiting: usize::MAX,
             connections: usize::MAX,
-            ..Make::default()
+            ..GatewayModel::default()
         };
         let gateway = std::cell::RefCell::new(Gateway::new(make, 0, true));
-        let begin = |now, id, chance: &mut RandomSource| match gateway
-            .borrow_mut()
-            .offer(now, id, chance)
-        {
-            Offer::Until(at) => Some(at),
-            Offer::Waits => None,
-            Offer::Full => panic!("there is room"),
-        };
-        let (wait, _) = mean_wait(rate, 2_000, begin, |now, chance| {
-            gateway.borrow_mut().set_up_done(now, chance)
+        let begin =
+            |now, id, rng: &mut RandomSource| match gateway.borrow_mut().offer_set_up(now, id, rng)
+            {
+                SetUpAdmission::RunsUntil(at) => Some(at),
+                SetUpAdmission::Queued => None,
+                SetUpAdmission::Rejected => panic!("there is room"),
+            };
+        let (wait, _) = mean_wait(rate, 2_000, begin, |now, rng| {
+            gateway.borrow_mut().set_up_done(now, rng)
         });
-        let due = erlang_c(4, rate, 0.008);
+        let expected = erlang_c(4, rate, 0.008);
         assert!(
-            (wait / due - 1.0).abs() < 0.05,
-            "{rate} a second: {wait} s for {due} s"
+            (wait / expected - 1.0).abs() < 0.05,
+            "{rate} a second: {wait} s for {expected} s"
         );
     }
 }
 
 #[test]
-fn a_store_waits_as_erlang_says_and_gives_its_most_when_saturated() {
+fn store_wait_matches_erlang_c_and_throughput_saturates() {
     let store = std::cell::RefCell::new(Store::new(10, 0.01));
-    let begin = |now, id, chance: &mut RandomSource| store.borrow_mut().call(now, id, chance);
-    let (wait, _) = mean_wait(900.0, 1_000, begin, |now, chance| {
-        store.borrow_mut().ended(now, chance)
+    let begin = |now, id, rng: &mut RandomSource| store.borrow_mut().call(now, id, rng);
+    let (wait, _) = mean_wait(900.0, 1_000, begin, |now, rng| {
+        store.borrow_mut().call_done(now, rng)
     });
-    let due = erlang_c(10, 900.0, 0.01);
-    assert!((wait / due - 1.0).abs() < 0.05, "{wait} s for {due} s");
+    let expected = erlang_c(10, 900.0, 0.01);
+    assert!(
+        (wait / expected - 1.0).abs() < 0.05,
+        "{wait} s for {expected} s"
+    );
     let store = std::cell::RefCell::new(Store::new(10, 0.01));
-    let begin = |now, id, chance: &mut RandomSource| store.borrow_mut().call(now, id, chance);
-    let (_, ended) = mean_wait(3_000.0, 60, begin, |now, chance| {
-        store.borrow_mut().ended(now, chance)
+    let begin = |now, id, rng: &mut RandomSource| store.borrow_mut().call(now, id, rng);
+    let (_, ended) = mean_wait(3_000.0, 60, begin, |now, rng| {
+        store.borrow_mut().call_done(now, rng)
     });
-    let most = store.borrow().most_per_second();
+    let most = store.borrow().max_calls_per_s();
     assert!(
         (ended / most - 1.0).abs() < 0.02,
         "{ended} a second for {most}"
@@ -101,13 +103,13 @@
 }
 
 #[test]
-fn a_cold_gateway_warms_up_on_a_straight_ramp() {
-    let make = Make {
+fn cold_gateway_capacity_ramps_linearly() {
+    let make = GatewayModel {
         cores: 2,
         speed: 1.5,
         cold_share: 0.2,
         cold_s: 20.0,
-        ..Make::default()
+        ..GatewayModel::default()
     };
     let gateway = Gateway::new(make, 5 * SECOND, false);
     for (at, share) in [(5, 0.2), (10, 0.4), (15, 0.6), (25, 1.0), (100, 1.0)] {
@@ -121,14 +123,14 @@
 }
 
 #[test]
-fn work_piles_up_as_the_integral_of_what_is_asked_beyond_the_ramp() {
-    let make = Make {
+fn backlog_matches_integral_of_excess_demand() {
+    let make = GatewayModel {
         cores: 1,
         cold_share: 0.2,
         cold_s: 10.0,
         group_us: 0.0,
         sheds_after_s: 1e9,
-        ..Make::default()
+        ..GatewayModel::default()
     };
     let mut gateway = Gateway::new(make, 0, false);
     gateway.establish(
@@ -143,24 +145,24 @@
     for at in 1..=5_u64 {
         (1..=100).for_each(|part| gateway.advance((at - 1) * SECOND + part * SECOND / 100));
         let t = at as f64;
-        let piled = gateway.piled_s(at * SECOND) * gateway.capacity(at * SECOND);
+        let backlog = gateway.backlog_s(at * SECOND) * gateway.capacity(at * SECOND);
         assert!(
-            (piled - (0.4 * t - 0.04 * t * t) * 1e6).abs() < 10.0,
-            "{piled} after {at} s"
+            (backlog - (0.4 * t - 0.04 * t * t) * 1e6).abs() < 10.0,
+            "{backlog} after {at} s"
         );
     }
     // Worked off by the area above 0.6: another 5 s.
     (501..=1_100).for_each(|part| gateway.advance(part * SECOND / 100));
-    assert_eq!(gateway.piled_s(11 * SECOND), 0.0);
+    assert_eq!(gateway.backlog_s(11 * SECOND), 0.0);
 }
 
 #[test]
-fn messages_are_answered_in_time_as_in_a_queue_with_one_server() {
-    let make = Make {
+fn messages_in_time_match_single_server_queue() {
+    let make = GatewayModel {
         cores: 1,
         message_us: 1_000.0,
         group_us: 0.0,
-        ..Make::default()
+        ..GatewayModel::default()
     };
     let mut gateway = Gateway::new(make, 0, true);
     gateway.establish(
@@ -172,19 +174,19 @@
         },
     );
     // 1,000 a second at most, 900 asked for: 1 - e^(-100 x 0.02).
-    assert!((gateway.in_time(0, 0.02) - (1.0 - (-2.0_f64).exp())).abs() < 1e-9);
-    assert!((gateway.message_s(0) - 0.01).abs() < 1e-9);
-    gateway.changes(0, 1, 1_100_000.0);
-    assert_eq!(gateway.in_time(0, 0.02), 0.0);
+    assert!((gateway.fraction_in_time(0, 0.02) - (1.0 - (-2.0_f64).exp())).abs() < 1e-9);
+    assert!((gateway.mean_message_s(0) - 0.01).abs() < 1e-9);
+    gateway.change_load(0, 1, 1_100_000.0);
+    assert_eq!(gateway.fraction_in_time(0, 0.02), 0.0);
 }
 
 #[test]
-fn a_group_is_paid_for_once_and_what_ends_leaves_nothing_behind() {
+fn group_load_counts_once_and_closing_frees_it() {
     let mut gateway = Gateway::new(
-        Make {
+        GatewayModel {
             cores: 1,
             group_us: 50_000.0,
-            ..Make::default()
+            ..GatewayModel::default()
         },
         0,
         true,
@@ -200,17 +202,17 @@
         )
     });
     assert!((gateway.load(0) - 0.2).abs() < 1e-9);
-    assert!((0..10).all(|id| gateway.ends(SECOND, id)) && !gateway.ends(SECOND, 3));
-    assert!(gateway.load(SECOND).abs() < 1e-9 && gateway.standing() == 0);
+    assert!((0..10).all(|id| gateway.close(SECOND, id)) && !gateway.close(SECOND, 3));
+    assert!(gateway.load(SECOND).abs() < 1e-9 && gateway.connection_count() == 0);
 }
 
 #[test]
-fn an_overrun_gateway_sheds_its_heaviest_until_the_rest_fits() {
-    let make = Make {
+fn overloaded_gateway_sheds_heaviest_until_rest_fits() {
+    let make = GatewayModel {
         cores: 1,
         group_us: 0.0,
         sheds_after_s: 1.0,
-        ..Make::default()
+        ..GatewayModel::default()
     };
     let mut gateway = Gateway::new(make, 0, true);
     (0..20).for_each(|id| {
@@ -224,12 +226,12 @@
         )
     });
     assert_eq!(
-        gateway.sheds(SECOND),
+        gateway.shed_connections(SECOND),
         Vec::<u64>::new(),
         "not enough is piled up"
     );
     assert_eq!(
-        gateway.sheds(2 * SECOND),
+        gateway.shed_connections(2 * SECOND),
         [19, 18, 17, 16, 15, 14],
         "0.9 of a core too much"
     );
--- a/crates/simulator/tests/runs.rs
+++ b/crates/simulator/tests/runs.rs
@@ -1,6 +1,6 @@
 //! Whole runs on the virtual clock: the same seed gives the same run, and every rule is kept whatever goes wrong.
 
-use beaconflow_simulator::compare::{difference, pairs, play as figures};
+use beaconflow_simulator::compare::{mean_difference, run_pairs, run_scenario};
 use beaconflow_simulator::engine::Engine;
 use beaconflow_simulator::policies::Policy;
 use beaconflow_simulator::scenario::Scenario;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_and_another_one_another() {
+fn runs_are_deterministic_per_seed() {
     let mut scenario = Scenario::parse(HANG).expect("sound");
     let digest = |scenario: &Scenario| {
         let engine = play(scenario);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_scenarios_that_come_with_it_keep_every_rule_and_serve() {
+fn shipped_scenarios_break_no_rule_and_serve_clients() {
     // Under resets most clients come late today (docs/design/lab.md).
     for (name, text, least) in [
         ("hang", HANG, 0.95),
@@ -39,7 +39,7 @@
     ] {
         let scenario = Scenario::parse(text).expect("sound");
         let engine = play(&scenario);
-        assert_eq!(engine.checker.broken(), [], "{name}");
+        assert_eq!(engine.checker.violations(), [], "{name}");
         for served in engine
             .measures
             .classes
@@ -47,17 +47,17 @@
             .chain(&engine.measures.accounts)
         {
             assert!(
-                served.part() >= least,
+                served.fraction_in_time() >= least,
                 "{name}, {}: {:.3} in time",
                 served.name,
-                served.part()
+                served.fraction_in_time()
             );
         }
     }
 }
 
 #[test]
-fn everything_that_a_file_names_and_there_is_not_is_told_with_its_line() {
+fn parse_reports_unknown_references_with_line_numbers() {
     let text = "seconds = 10\nbalancers = 1\ngateways = 2\n[[class]]\nname = \"a\"\naim_ms = 1\ndeadline_ms = 1\n\
                 a_second = 1\nlife_s = 0\nload_us = 1\n[[failure]]\nkind = \"hang\"\nat_s = 1\nfor_s = 1\n\
                 gateways = [1, 5]\n[[failure]]\nkind = \"flood\"\nat_s = 11\nfor_s = 1\nclients = 1\naccount = \"x\"\n\
@@ -83,13 +83,13 @@
 }
 
 #[test]
-fn plain_policies_play_the_same_scenarios_under_the_same_rules() {
+fn baseline_policies_break_no_rule() {
     let scenario = Scenario::parse(HANG).expect("sound");
     for policy in ["round-robin", "least-connections", "random-of-two"] {
         let policy: Policy = policy.parse().expect("a name");
-        let figures = figures(&scenario, policy);
+        let figures = run_scenario(&scenario, policy);
         assert!(
-            figures.broken == 0 && figures.in_time > 0.5,
+            figures.violations == 0 && figures.in_time > 0.5,
             "{policy}: {figures:?}"
         );
     }
@@ -101,20 +101,20 @@
 }
 
 #[test]
-fn a_comparison_finds_a_difference_where_there_is_one_and_none_where_there_is_none() {
+fn comparison_detects_difference_only_where_one_exists() {
     let scenario = Scenario::parse(&HANG.replace("seconds = 60", "seconds = 40")).expect("sound");
     let sides = |other| [(&scenario, Policy::Beaconflow), (&scenario, other)];
-    let same = pairs(sides(Policy::Beaconflow), 1..5, |_| ());
+    let same = run_pairs(sides(Policy::Beaconflow), 1..5, |_| ());
     assert!(
         same.iter().all(|[one, other]| one == other),
         "the same seeds give the same runs"
     );
-    let plain = pairs(sides(Policy::RoundRobin), 1..5, |_| ());
+    let plain = run_pairs(sides(Policy::RoundRobin), 1..5, |_| ());
     let in_time: Vec<(f64, f64)> = plain
         .iter()
         .map(|[one, other]| (one.in_time, other.in_time))
         .collect();
-    let (mean, low, high) = difference(&in_time, 1);
+    let (mean, low, high) = mean_difference(&in_time, 1);
     assert!(
         low <= mean && mean <= high && high < 0.0,
         "plain turns go on to the hung gateway: {mean} {low} {high}"
@@ -127,7 +127,7 @@
         (1.0, 1.02),
         (1.0, 0.98),
     ];
-    let (_, low, high) = difference(&noise, 1);
+    let (_, low, high) = mean_difference(&noise, 1);
     assert!(low < 0.0 && high > 0.0);
 }
 
@@ -163,7 +163,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(40) })]
 
     #[test]
-    fn every_rule_is_kept_whatever_goes_wrong(failures in failures(), seed in any::<u64>()) {
+    fn no_rule_breaks_under_random_failures(failures in failures(), seed in any::<u64>()) {
         let text = format!(
             "seed = {}\nseconds = 20\nbalancers = 2\ngateways = 4\nstore = {{ at_once = 4, mean_ms = 10 }}\n\
              [[class]]\nname = \"a\"\naim_ms = 400\ndeadline_ms = 2000\na_second = 20\nstanding = 100\nlife_s = 10\n\
@@ -172,14 +172,14 @@
         );
         let scenario = Scenario::parse(&text).expect("sound");
         let engine = play(&scenario);
-        prop_assert_eq!(engine.checker.broken(), &[][..]);
+        prop_assert_eq!(engine.checker.violations(), &[][..]);
     }
 }
 
 /// What is down by two failures at once comes back when the last of them is over, and once: a start of a balancer
 /// that is up already would lose the requests that wait there, here those of a farm that hangs.
 #[test]
-fn failures_that_overlap_end_with_the_last_of_them() {
+fn overlapping_failures_end_with_the_last() {
     let failure = |kind: &str, at: u32, span: u32, which: &str| {
         format!("[[failure]]\nkind = \"{kind}\"\nat_s = {at}\nfor_s = {span}\n{which}\n")
     };
@@ -194,7 +194,7 @@
         );
         let scenario = Scenario::parse(&text).expect("sound");
         let engine = play(&scenario);
-        assert_eq!(engine.checker.broken(), [], "{kind}");
+        assert_eq!(engine.checker.violations(), [], "{kind}");
         let stood: u64 = engine.measures.seconds[3..7]
             .iter()
             .map(|second| second.stood)
