--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,4 +1,4 @@
-//! The rules that every run keeps, read off what happens: each broken one with its moment.
+//! Checks the rules that every run has to keep and records each violation with its time.
 
 use std::fmt;
 
@@ -7,19 +7,19 @@
 use crate::scenario::MAX_ATTEMPTS;
 use crate::{Nanos, SECOND};
 
-/// Nothing new later than this after a balancer heard of a drain.
+/// A balancer may start attempts on a gateway for this long after it learned that the gateway drains.
 const DRAIN_GRACE: Nanos = SECOND;
-/// Slack for a moment that is reached and not passed.
+/// Tolerance for events that happen exactly at a limit.
 const TIME_TOLERANCE: Nanos = 1_000_000;
 
-/// A rule that was broken.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When.
+    /// Virtual time of the violation.
     pub at: Nanos,
-    /// Which rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// By what.
+    /// Request, gateway and amount that show the violation.
     pub detail: String,
 }
 
@@ -43,18 +43,18 @@
     may_have_run: bool,
 }
 
-/// Reads what happens.
+/// Tracks open requests and checks each event against the rules.
 #[derive(Debug, Default)]
 pub struct Checker {
     open_requests: FxHashMap<u64, OpenRequest>,
-    /// When a balancer heard that a gateway drains or is gone.
+    /// When each balancer learned that a gateway drains or is gone, by balancer and gateway.
     unready_since: FxHashMap<(u32, u32), Nanos>,
     violations: Vec<Violation>,
-    /// How many were broken; of very many not all are kept.
+    /// Number of violations, including those beyond the limit on recorded ones.
     pub violation_count: u64,
 }
 
-/// Broken rules that are kept.
+/// Violations beyond this many are counted but not recorded.
 const MAX_KEPT_VIOLATIONS: usize = 100;
 
 impl Checker {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The rules that were broken, as far as they are kept.
+    /// The recorded violations, at most the first 100.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// A request came to a balancer.
+    /// Records that a request reached a balancer, which has to answer it by `deadline_at`.
     pub fn on_request_opened(&mut self, request: u64, deadline_at: Nanos) {
         self.open_requests.insert(
             request,
@@ -81,7 +81,7 @@
         );
     }
 
-    /// A balancer hears whether a gateway takes new work.
+    /// Records that a balancer learned whether a gateway accepts new work.
     pub fn on_server_listed(&mut self, at: Nanos, balancer: u32, gateway: u32, ready: bool) {
         if ready {
             self.unready_since.remove(&(balancer, gateway));
@@ -90,21 +90,21 @@
         }
     }
 
-    /// A balancer starts anew and remembers nothing.
+    /// Records that a balancer restarted and lost what it knew of the gateways.
     pub fn on_balancer_restarted(&mut self, balancer: u32) {
         self.unready_since.retain(|(of, _), _| *of != balancer);
     }
 
-    /// An attempt is made.
+    /// Checks an attempt that a balancer starts on a gateway.
     pub fn on_attempt_started(&mut self, at: Nanos, request: u64, balancer: u32, gateway: u32) {
         if let Some(listed_at) = self.unready_since.get(&(balancer, gateway))
             && at > listed_at + DRAIN_GRACE + TIME_TOLERANCE
         {
             let late = (at - listed_at) / 1_000_000;
             let detail = format!(
-                "request {request} to gateway {gateway}, {late} ms after balancer {balancer} knew"
+                "request {request} to gateway {gateway}, {late} ms after balancer {balancer} learned that it is not ready"
             );
-            self.record_violation(at, "nothing new later than the grace", detail);
+            self.record_violation(at, "no attempt after the drain grace period", detail);
         }
         let Some(open) = self.open_requests.get_mut(&request) else {
             return self.record_violation(
@@ -128,13 +128,13 @@
         if attempts > MAX_ATTEMPTS {
             self.record_violation(
                 at,
-                "attempts are bounded",
+                "attempts stay within the limit",
                 format!("request {request}, attempt {attempts}"),
             );
         }
     }
 
-    /// An attempt ended without a connection.
+    /// Records that an attempt ended without a connection.
     pub fn on_attempt_ended(&mut self, request: u64, may_have_run: bool) {
         if let Some(open) = self.open_requests.get_mut(&request) {
             open.has_open_attempt = false;
@@ -142,38 +142,38 @@
         }
     }
 
-    /// The final answer; `refused` promises that a new try does no harm.
+    /// Checks the final answer; `is_rejected` promises that the request did not run and a retry is safe.
     pub fn on_request_answered(&mut self, at: Nanos, request: u64, is_rejected: bool) {
         let Some(open) = self.open_requests.remove(&request) else {
             return self.record_violation(
                 at,
-                "one final answer",
-                format!("request {request} was answered before"),
+                "exactly one final answer",
+                format!("request {request} was already answered"),
             );
         };
         if at > open.deadline_at + TIME_TOLERANCE {
             let late = (at - open.deadline_at) / 1_000_000;
             self.record_violation(
                 at,
-                "an answer in time",
+                "answer before the deadline",
                 format!("request {request}, {late} ms late"),
             );
         }
         if is_rejected && open.may_have_run {
             self.record_violation(
                 at,
-                "no promise where it may have run",
+                "no rejection of a request that may have run",
                 format!("request {request}"),
             );
         }
     }
 
-    /// A request is over without an answer that anybody waits for: its balancer was killed.
+    /// Drops a request that needs no answer any more because its balancer was killed.
     pub fn on_request_lost(&mut self, request: u64) {
         self.open_requests.remove(&request);
     }
 
-    /// The run is over: nobody may be left without an answer whose time was up.
+    /// Checks at the end of the run that no request past its deadline is still unanswered.
     pub fn on_run_finished(&mut self, at: Nanos) {
         let mut late: Vec<u64> = self
             .open_requests
@@ -185,8 +185,8 @@
         for request in late {
             self.record_violation(
                 at,
-                "one final answer",
-                format!("request {request} got none"),
+                "exactly one final answer",
+                format!("request {request} was never answered"),
             );
         }
     }
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two ways of doing something, told apart: paired seeds, and an interval by bootstrap.
+//! Statistical comparison of two scenarios or policies: paired seeds and a bootstrap confidence interval.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,34 +8,34 @@
 use crate::random::RandomSource;
 use crate::scenario::Scenario;
 
-/// Resamples of the bootstrap.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 4_000;
 
-/// What one run came to, in figures that are compared.
+/// The compared figures of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// Part of all clients that had a connection in time.
+    /// Fraction of clients that were connected within their latency objective.
     pub in_time: f64,
-    /// Set-up p99 over all classes, in milliseconds.
+    /// 99th percentile of the connection set-up time over all classes, in milliseconds.
     pub p99_ms: f64,
-    /// Part in time of the worst account.
+    /// Lowest fraction of clients connected in time over all accounts.
     pub worst_account: f64,
-    /// Attempts for each client that wanted a connection.
+    /// Attempts per client that requested a connection.
     pub attempts: f64,
-    /// Part of those that returned while their gateway stood that got it.
+    /// Fraction of reconnecting clients that got their previous gateway back, of those whose gateway was available.
     pub landed: f64,
-    /// Moves for each client that wanted a connection.
+    /// Migrations per client that requested a connection.
     pub moves: f64,
-    /// Cold gateways that fell over.
+    /// Cold gateways that crashed from overload.
     pub fallen: f64,
-    /// The time until 99% of the former worth stood again after a loss of power, over that of a refill that sees all;
-    /// nothing where no power was lost, and the rest of the run where it never did.
+    /// Time until 99% of the former worth was connected again after a power loss, divided by the time of an ideal refill.
+    /// `None` without a power loss; if 99% is never reached, the rest of the run counts as the time.
     pub power_recovery_ratio: Option<f64>,
-    /// Rules broken.
+    /// Number of rule violations.
     pub violations: u64,
 }
 
-/// The names of the figures, and whether more is better.
+/// Names of the figures, and whether a higher value is better.
 pub const FIGURES: [(&str, bool); 8] = [
     ("in time", true),
     ("set-up p99, ms", false),
@@ -48,7 +48,7 @@
 ];
 
 impl Figures {
-    /// A figure by its place in [`FIGURES`]; nothing where there is none.
+    /// The figure at an index of [`FIGURES`]; `None` if the run has no such figure.
     pub fn get(&self, at: usize) -> Option<f64> {
         match at {
             7 => self.power_recovery_ratio,
@@ -67,15 +67,16 @@
     }
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end and returns its figures.
 pub fn run_scenario(scenario: &Scenario, policy: Policy) -> Figures {
     let mut engine = Engine::new(scenario, policy);
     engine.run(|_| true);
     let measures = &engine.measures;
-    let mut took = hdrhistogram::Histogram::<u64>::new(3).expect("three digits");
+    let mut took =
+        hdrhistogram::Histogram::<u64>::new(3).expect("3 significant digits are supported");
     let (mut wanted, mut in_time) = (0, 0);
     for class in &measures.classes {
-        took.add(&class.took).expect("it grows");
+        took.add(&class.took).expect("the histogram resizes itself");
         (wanted, in_time) = (wanted + class.wanted, in_time + class.in_time);
     }
     let asked = measures
@@ -102,7 +103,8 @@
     }
 }
 
-/// Plays both sides under the same seeds, on as many threads as there are cores; `told` hears of each pair.
+/// Runs both sides with the same seeds, on one thread per core; `on_pair_done` is called with the index of each
+/// finished pair.
 pub fn run_pairs(
     sides: [(&Scenario, Policy); 2],
     seeds: std::ops::Range<u64>,
@@ -131,17 +133,18 @@
                         };
                         run_scenario(&scenario, policy)
                     });
-                    done.lock().expect("no run panics while it holds this")[at] = pair;
+                    done.lock()
+                        .expect("no thread panics while it holds the lock")[at] = pair;
                     on_pair_done(at);
                 }
             });
         }
     });
     done.into_inner()
-        .expect("no run panics while it holds this")
+        .expect("no thread panics while it holds the lock")
 }
 
-/// The mean difference of pairs, and an interval that holds it with 95% by resampling the pairs.
+/// Mean difference (second minus first) of the pairs, and the lower and upper bound of its 95% bootstrap interval.
 pub fn mean_difference(pairs: &[(f64, f64)], seed: u64) -> (f64, f64, f64) {
     let differences: Vec<f64> = pairs.iter().map(|(one, other)| other - one).collect();
     let count = differences.len();
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -1,7 +1,7 @@
-//! The engine: one clock, all events in order, and real decisions in every balancer.
+//! The simulation engine: one virtual clock, one event queue, and the production decision module in every balancer.
 //!
-//! Events of one moment are ordered by a draw from the seed, so that none is always first by chance of the code, and
-//! equal seeds give equal runs, byte for byte.
+//! Events with equal timestamps are ordered by a random draw from the seed, so that the order of the code favours none
+//! of them and equal seeds give byte-identical runs.
 
 mod affinity;
 mod arrivals;
@@ -35,7 +35,7 @@
 use events::ScheduledEvent;
 use model::{BalancerState, Client, GatewayState, Phase, Request, SetUp};
 
-/// A run goes on for so long after the last client came, so that each has its answer.
+/// The run continues for this long after the last arrival, so that every client gets its answer.
 const DRAIN_TIME: Nanos = 10 * SECOND;
 
 /// One run of a scenario.
@@ -61,32 +61,34 @@
     resets: Vec<(Nanos, f64, f64)>,
     discovery_back_at: Nanos,
     actions: Vec<Action>,
-    /// Clients that stand, by class and account, and their worth.
+    /// Connected clients, indexed by class and account.
     established_counts: Vec<u32>,
+    /// Whether each zone's clients connect to the balancers of their own zone only.
     routes_by_zone: bool,
+    /// Sum of the worth of the connected clients.
     established_worth: f64,
-    /// Counts discovery's changes.
+    /// Incremented with every change of discovery's list.
     generation: u64,
-    /// What each balancer has beside its decisions.
+    /// The parts of each balancer around its decision engine: gossip node, recovery, disk.
     hosts: Vec<recovery::BalancerHost>,
     configurations: Configurations,
-    /// The newest configuration that any balancer runs.
+    /// Index of the newest configuration that any balancer runs.
     newest_configuration: usize,
-    /// The peers' talk is cut between those and the others until then.
+    /// Gossip partitions: when each ends, and for every balancer whether it is on the cut-off side.
     peer_partitions: Vec<(Nanos, Vec<bool>)>,
     uplinks: Vec<edge::Uplink>,
     status_messages: mesh::StatusMessages,
     datagrams: FxHashMap<u64, peers::Datagram>,
     next_datagram_id: u64,
     peer_rng: RandomSource,
-    /// What a run came to so far.
+    /// Results of the run so far.
     pub measures: Measures,
-    /// The rules.
+    /// Checks the rules that every run has to keep.
     pub checker: Checker,
 }
 
 impl<'s> Engine<'s> {
-    /// A run that has not begun.
+    /// Prepares a run without starting it. The scenario has been validated.
     pub fn new(scenario: &'s Scenario, policy: Policy) -> Engine<'s> {
         let seed = scenario.seed;
         let mut engine = Engine {
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Plays the scenario to its end; `each_second` is told of each second of the run and may end it by `false`.
+    /// Runs the scenario to its end. `each_second` is called after each simulated second and stops the run by returning
+    /// `false`.
     pub fn run(&mut self, mut each_second: impl FnMut(&Engine<'_>) -> bool) {
         self.schedule_initial_events();
         let end = self.scenario.arrivals_duration() + DRAIN_TIME;
@@ -176,7 +179,7 @@
         self.checker.on_run_finished(end);
     }
 
-    /// The moment that the run has come to.
+    /// Current virtual time since the start of the run.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -192,7 +195,7 @@
         self.schedule_at(self.now.saturating_add(nanos(seconds)), event);
     }
 
-    /// One way through the network: the mean, and half of it again by chance.
+    /// One-way network delay in seconds: three quarters of the mean, plus an exponential part that averages a quarter of it.
     fn link_delay(&mut self, mean_ms: f64) -> f64 {
         mean_ms / 1e3 * (0.75 + self.link_rng.exponential(0.25))
     }
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -1,5 +1,5 @@
-//! Who returns gets the gateway that it had: each balancer's memory of placements, what its peers tell of theirs, and
-//! configurations that are rolled over the balancers.
+//! Session affinity: each balancer's placement table, the placements gossiped by its peers, and configurations that are
+//! rolled out over the balancers.
 
 use beaconflow_affinity::{
     Bound, Client, EndReason, EndpointView, Group, Key, Limits, Placement, PlacementTable,
@@ -14,27 +14,27 @@
 use crate::scenario::Failure;
 use crate::versions::Configurations;
 
-/// Kinds of facts that only hosts read: placements, and versions.
+/// Fact kinds that only the simulated hosts read: placements and configuration versions.
 const PLACEMENT_FACT_KIND: u32 = 100;
 const VERSION_FACT_KIND: u32 = 101;
-/// Facts of these are good for so long, in milliseconds.
+/// Lifetime of placement and version facts, in milliseconds.
 const FACT_TTL_MS: u64 = 3_600_000;
-/// Clients that a version causes to be dealt anew, over all balancers, in a second.
+/// Clients that a configuration change may migrate per second, over all balancers.
 const REBALANCED_CLIENTS_PER_S: f64 = 40.0;
-/// What a balancer runs is told anew after so many seconds.
+/// Interval at which a balancer republishes its configuration versions, in seconds.
 const VERSION_PUBLISH_PERIOD_S: u64 = 20;
 
-/// What a balancer knows of placements.
+/// What a balancer knows about placements.
 pub(super) struct BalancerPlacements {
     table: PlacementTable,
-    /// Since when it has seen each gateway ready.
+    /// Wall clock time since which it has seen each gateway ready; `None` if it is not ready.
     ready_since: Vec<Option<u64>>,
     stamps: FxHashMap<u64, Stamp>,
     rebalancer: Rebalancer,
     pending_requests: FxHashMap<Key, u64>,
 }
 
-/// A balancer's view of the farm.
+/// A balancer's view of the gateways.
 struct GatewayView<'a> {
     placements: &'a BalancerPlacements,
     all: &'a Configurations,
@@ -63,7 +63,7 @@
 }
 
 impl Engine<'_> {
-    /// A balancer begins with an empty memory of placements.
+    /// Gives a starting balancer an empty placement table, if affinity is on.
     pub(super) fn init_placements(&mut self, balancer: u32) {
         if !self.scenario.fleet.affinity {
             return;
@@ -83,7 +83,7 @@
         let mut table = PlacementTable::new(limits, origin, origin);
         let runs = self.hosts[balancer as usize].runs;
         table.adopt(self.configurations.all[runs].version, 0, wall);
-        // Its own former life is over.
+        // Placements of the balancer's previous incarnation are no longer held by a process.
         table.record_balancer_death(self::origin(balancer, incarnation - 1));
         self.hosts[balancer as usize].placements = Some(BalancerPlacements {
             table,
@@ -95,7 +95,7 @@
         self.publish_versions(balancer);
     }
 
-    /// The gateways that a balancer has heard to be ready.
+    /// Updates since when each gateway is ready from the balancer's current list.
     pub(super) fn update_ready_since(&mut self, balancer: u32) {
         let wall = mesh::wall_clock_ms(self.now);
         let host = &mut self.hosts[balancer as usize];
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Where a client that comes to a balancer is led, if anywhere.
+    /// The gateway that affinity prefers for a client, if any.
     pub(super) fn affinity_pin(&self, balancer: u32, client: u64) -> Option<Pin> {
         let host = &self.hosts[balancer as usize];
         let (placements, list) = (host.placements.as_ref()?, host.list.as_ref()?);
@@ -146,7 +146,7 @@
         })
     }
 
-    /// A connection stands through a balancer.
+    /// Records and publishes the placement of a connection established through a balancer.
     pub(super) fn record_placement(
         &mut self,
         balancer: u32,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// One that stood when the run began is known to all.
+    /// Records the placement of a connection that exists when the run begins; all balancers know it at once.
     pub(super) fn record_initial_placement(
         &mut self,
         balancer: u32,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A connection through a balancer has ended.
+    /// Records and publishes the end of a connection through a balancer.
     pub(super) fn record_placement_ended(
         &mut self,
         balancer: u32,
@@ -238,7 +238,7 @@
     fn publish_placement(&mut self, balancer: u32, placement: &Placement) {
         let (bytes, wall) = (encode_placement(placement), mesh::wall_clock_ms(self.now));
         if let Some(fact_store) = self.fact_store(balancer) {
-            // One that finds no room is not told.
+            // A fact that exceeds the store's bounds is not published.
             drop(fact_store.observe(
                 &placement_subject(placement.key),
                 &Value::Unknown(bytes),
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A balancer tells what it knows of versions.
+    /// Publishes the configuration versions that a balancer knows.
     pub(super) fn publish_versions(&mut self, balancer: u32) {
         let wall = mesh::wall_clock_ms(self.now);
         let Some(placements) = &mut self.hosts[balancer as usize].placements else {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// What peers told of placements and versions.
+    /// Merges placements and versions received from peers.
     pub(super) fn on_changes(&mut self, balancer: u32, changes: &[FactChange]) {
         let wall = mesh::wall_clock_ms(self.now);
         let Some(placements) = &mut self.hosts[balancer as usize].placements else {
@@ -310,7 +310,7 @@
         }
     }
 
-    /// A balancer's peers find that another life of a balancer is over.
+    /// Tells a balancer that an incarnation of a peer has ended.
     pub(super) fn on_balancer_died(&mut self, balancer: u32, of: u32, incarnation: u64) {
         if let Some(placements) = &mut self.hosts[balancer as usize].placements {
             placements
@@ -319,7 +319,7 @@
         }
     }
 
-    /// A balancer takes the configuration of a roll over.
+    /// Switches a balancer to the configuration of a roll.
     pub(super) fn adopt_configuration(&mut self, balancer: u32, failure: u32) {
         let is_roll = |at: &u32| {
             matches!(
@@ -344,7 +344,7 @@
         self.send_server_list(balancer, ListUpdate::Snapshot);
     }
 
-    /// Those that stand where the new configuration has them no longer are to be dealt anew.
+    /// Queues the connections to gateways that the new configuration no longer contains for rebalancing.
     fn start_rebalancing(&mut self, balancer: u32) {
         let gateways = &self.configurations.all[self.hosts[balancer as usize].runs].gateways;
         let stands = |one: &super::Request| match one.phase {
@@ -372,7 +372,7 @@
             .set_pending(barred.into_iter().map(|(key, group, _)| (key, group)));
     }
 
-    /// Each second: those due are dealt anew, and what runs is told again.
+    /// Runs every second: migrates the connections whose turn it is and republishes versions periodically.
     pub(super) fn run_rebalancers(&mut self) {
         let wall = mesh::wall_clock_ms(self.now);
         for balancer in 0..self.hosts.len() as u32 {
@@ -399,7 +399,7 @@
         }
     }
 
-    /// A client that returned stands: whether it was owed the gateway that it had, and got it.
+    /// Counts a reconnected client whose previous gateway was still available, and whether it got that gateway.
     pub(super) fn count_return(&mut self, client: u64, gateway: u32) {
         let Some(last_gateway) = self.clients[&client].last_gateway else {
             return;
--- a/crates/simulator/src/engine/arrivals.rs
+++ b/crates/simulator/src/engine/arrivals.rs
@@ -1,4 +1,4 @@
-//! How a run begins, and how clients and their connections come about.
+//! Start of a run, and creation of clients and their connections.
 
 use beaconflow_policy::{ClassId, ClientKey, ConnectRequest, Event, GroupId, RequestId, ServerId};
 
@@ -81,7 +81,7 @@
         self.rng.log_normal(class.load_us, class.load_sigma)
     }
 
-    /// A connection that stands when the run begins: on a gateway by chance, at a balancer by chance.
+    /// Creates a connection that exists when the run begins, on a random gateway through a random balancer.
     pub(super) fn place_initial_clients(&mut self, class: u32) {
         let client = self.new_client(class, None);
         let mut balancer = self.rng.uniform_index(self.balancers.len()) as u32;
@@ -99,7 +99,10 @@
         let request = self.open_request(client, balancer, load);
         let connect_request = self.connect_request(request, client, Nanos::MAX);
         self.establish_connection(request, gateway);
-        self.requests.get_mut(&request).expect("opened").attempts = 1;
+        self.requests
+            .get_mut(&request)
+            .expect("the request was just opened")
+            .attempts = 1;
         self.record_initial_placement(balancer, request, client, gateway);
         self.send_event(
             balancer,
@@ -110,7 +113,7 @@
         );
     }
 
-    /// The zone whose balancers a client comes to, if it is not to all alike.
+    /// The zone whose balancers a client connects to; `None` if it uses the balancers of all zones.
     pub(super) fn home_zone(&self, client: u64) -> Option<u32> {
         let zones = u64::from(self.scenario.zones);
         self.routes_by_zone
@@ -156,7 +159,7 @@
         }
     }
 
-    /// A connection stands at a gateway from now on; its life and its changes are drawn.
+    /// Establishes a connection on a gateway and draws its lifetime and its first load change.
     pub(super) fn establish_connection(&mut self, request: u64, gateway: u32) {
         let Some(one) = self.requests.get_mut(&request) else {
             return;
--- a/crates/simulator/src/engine/attempts.rs
+++ b/crates/simulator/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their way to a gateway, its work, the store, and their ends.
+//! Connection attempts: the way to the gateway, the set-up work, the store call and the outcome.
 
 use beaconflow_policy::{AttemptEnd, AttemptOutcome, ConnectionMetric, Event, RequestId};
 
@@ -180,7 +180,10 @@
         self.record_placement(balancer, request, client, gateway);
         self.record_placement_outcome(balancer, client, true);
         self.checker.on_request_answered(self.now, request, false);
-        let one = self.clients.get_mut(&client).expect("it waits");
+        let one = self
+            .clients
+            .get_mut(&client)
+            .expect("the client waits for the connection");
         let took = self.now - one.since;
         one.is_reconnect = false;
         self.count_isolated(client, Some(took));
@@ -191,7 +194,10 @@
             &mut self.measures.classes[class],
             &mut self.measures.accounts[account],
         ] {
-            served.took.record(took / 1_000).expect("it grows");
+            served
+                .took
+                .record(took / 1_000)
+                .expect("the histogram resizes itself");
             *if in_time {
                 &mut served.in_time
             } else {
@@ -208,7 +214,7 @@
                 attempt,
             },
         );
-        // Its gateway tells how heavy it is.
+        // The gateway reports the load of the connection.
         if let Some(one) = self.requests.get(&request) {
             let metric = ConnectionMetric::Load(one.load);
             self.send_event(
@@ -226,7 +232,10 @@
         if !self.is_current_attempt(request, attempt) {
             return;
         }
-        let one = self.requests.get_mut(&request).expect("it is out");
+        let one = self
+            .requests
+            .get_mut(&request)
+            .expect("the attempt is in progress");
         one.phase = Phase::Waiting;
         let (balancer, client) = (one.balancer, one.client);
         self.record_placement_outcome(balancer, client, false);
--- a/crates/simulator/src/engine/balancers.rs
+++ b/crates/simulator/src/engine/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers: what they are told, what they decide, and what discovery says to them.
+//! Balancers: the events they receive, the actions they take, and the server lists from discovery.
 
 use std::rc::Rc;
 
@@ -12,8 +12,8 @@
 use super::{Engine, Phase, ScheduledEvent};
 use crate::{Nanos, nanos};
 
-/// Part of its weight that a gateway of another zone has where clients come to the balancers of their own: those would
-/// else be led beyond the link as often as not.
+/// Weight factor of gateways in other zones where clients connect to the balancers of their own zone. With full weight
+/// about every other client would be placed across the uplink.
 const REMOTE_ZONE_WEIGHT: f64 = 0.01;
 
 impl Engine<'_> {
@@ -109,7 +109,7 @@
         self.schedule_retry(one.client, retry_after);
     }
 
-    /// A connection is moved off its gateway, by the decisions or by its host.
+    /// Migrates a connection off its gateway, as decided by the policy engine or by the rebalancer of the host.
     pub(super) fn migrate(&mut self, request: u64, reason: MigrationReason, by_host: bool) {
         let Some(one) = self.remove_established(request) else {
             return;
@@ -140,7 +140,7 @@
         self.reconnect_client(one.client);
     }
 
-    /// Discovery is asked: its word comes after a while, or that it is away.
+    /// Queries discovery for the server list; the answer arrives after the network delay, once discovery is available.
     pub(super) fn watch_server_list(&mut self, balancer: u32) {
         let incarnation = self.balancers[balancer as usize].incarnation;
         let wait = self.link_delay(self.scenario.net.discovery_ms);
@@ -192,13 +192,14 @@
         );
     }
 
-    /// The decisions are told the list.
+    /// Passes the balancer's current server list to its policy engine.
     pub(super) fn send_server_list(&mut self, balancer: u32, update: ListUpdate) {
         let (zones, paced) = (self.scenario.zones, self.is_paced(balancer));
         let Some(list) = self.hosts[balancer as usize].list.clone() else {
             return;
         };
-        // What paces clients over the whole fleet is not to be held against each gateway once more.
+        // Staged admission already paces clients over the whole fleet, so that cold gateways are not limited a second
+        // time.
         let capacity = |listed: &Listed| {
             if paced {
                 self.capacity_fraction(listed)
@@ -211,7 +212,7 @@
             &self.configurations.all[host.runs],
             host.placements.is_some(),
         );
-        // Whoever does not follow a gateway under its new name takes it for another one.
+        // A balancer without affinity does not follow renames and takes a renamed gateway for a new one.
         let id = |at: usize| {
             let is_another = configuration.renamed[at] && !follows;
             at as u32
@@ -233,7 +234,7 @@
             server: ServerId(id(at)),
             name_hash: (u64::from(id(at)) + 1).wrapping_mul(0x94d0_49bb_1331_11eb),
             state: match (configuration.gateways[at], listed.state) {
-                // What stands stays, until it is dealt anew at the pace that is set for that.
+                // Existing connections stay until the rebalancer migrates them at its own pace.
                 (None, ServerState::Ready) if follows => ServerState::OutOfService,
                 (None, _) => ServerState::Removed,
                 (Some(_), ServerState::Ready) if !self.can_place(balancer, at as u32) => {
@@ -259,7 +260,7 @@
         self.send_event(balancer, Event::ServerList { update, entries });
     }
 
-    /// Discovery has something new to tell to all.
+    /// Schedules the delivery of a changed server list to all balancers.
     pub(super) fn notify_list_changed(&mut self) {
         self.generation += 1;
         for balancer in 0..self.balancers.len() as u32 {
--- a/crates/simulator/src/engine/clients.rs
+++ b/crates/simulator/src/engine/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they want, when they try again, and how their connections end.
+//! Clients: connection requests, retries, and the ends of connections.
 
 use beaconflow_affinity::EndReason;
 use beaconflow_policy::{AttemptEnd, AttemptOutcome, ConnectionMetric, Event, RequestId};
@@ -7,13 +7,13 @@
 use crate::scenario::RetryHabit;
 use crate::{Nanos, nanos};
 
-/// Doublings of a client's own wait at most.
+/// Upper limit on the doublings of a client's own retry delay.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Engine<'_> {
-    /// A client begins to want a connection.
+    /// Starts a client's connection request.
     pub(super) fn begin_connecting(&mut self, client: u64) {
-        let one = self.clients.get_mut(&client).expect("it is known");
+        let one = self.clients.get_mut(&client).expect("the client exists");
         (one.since, one.tries) = (self.now, 0);
         let (class, account) = (one.class as usize, one.account as usize);
         self.measures.classes[class].wanted += 1;
@@ -52,7 +52,7 @@
         self.request_placement(balancer, request, client);
     }
 
-    /// A request that came just now goes to its balancer's decisions.
+    /// Passes a new request to the policy engine of its balancer.
     pub(super) fn request_placement(&mut self, balancer: u32, request: u64, client: u64) {
         let one = &self.clients[&client];
         let (class, account, is_reconnect) =
@@ -72,7 +72,7 @@
         self.apply_actions(balancer, actions);
     }
 
-    /// A client that was refused, failed or cut off.
+    /// Schedules the next try of a client whose request was rejected, failed or lost, or lets it give up.
     pub(super) fn schedule_retry(&mut self, client: u64, retry_after: Option<Nanos>) {
         let Some(one) = self.clients.get(&client) else {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Counts a client that begins or ends to stand.
+    /// Updates the counts of connected clients.
     pub(super) fn count_established(&mut self, client: u64, is_established: bool) {
         let one = &self.clients[&client];
         let at = one.class as usize * self.scenario.accounts.len().max(1) + one.account as usize;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A standing connection leaves its gateway and the books.
+    /// Removes an established connection from its gateway and from the request table.
     pub(super) fn remove_established(&mut self, request: u64) -> Option<Request> {
         let Phase::Established { gateway } = self.requests.get(&request)?.phase else {
             return None;
@@ -161,7 +161,7 @@
         self.send_connection_ended(&one, request, AttemptOutcome::Served);
     }
 
-    /// Tells a balancer, if it is still the one, that a standing connection has ended.
+    /// Tells the balancer that a connection has ended, unless it has restarted since.
     pub(super) fn send_connection_ended(
         &mut self,
         one: &Request,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// A standing connection breaks, with its balancer or otherwise; its client comes again.
+    /// Breaks an established connection, because of its balancer or otherwise; its client reconnects.
     pub(super) fn break_connection(&mut self, request: u64, by_balancer: bool) {
         let Some(one) = self.remove_established(request) else {
             return;
@@ -199,7 +199,7 @@
         self.reconnect_client(one.client);
     }
 
-    /// A client ends its connection and comes again.
+    /// Closes a connection at the client's request; the client reconnects.
     pub(super) fn close_by_client(&mut self, request: u64) {
         let Some(one) = self.remove_established(request) else {
             return;
@@ -210,7 +210,7 @@
         self.reconnect_client(one.client);
     }
 
-    /// A client that had a connection wants another.
+    /// Schedules the reconnect of a client that lost its connection.
     pub(super) fn reconnect_client(&mut self, client: u64) {
         let Some(one) = self.clients.get_mut(&client) else {
             return;
@@ -240,7 +240,10 @@
         self.gateways[gateway as usize]
             .gateway
             .change_load(self.now, request, load);
-        let one = self.requests.get_mut(&request).expect("it stands");
+        let one = self
+            .requests
+            .get_mut(&request)
+            .expect("the connection is established");
         one.load = load;
         let (balancer, incarnation, attempt) = (one.balancer, one.incarnation, one.attempts - 1);
         if self.balancers[balancer as usize].incarnation == incarnation {
--- a/crates/simulator/src/engine/cold_overload.rs
+++ b/crates/simulator/src/engine/cold_overload.rs
@@ -1,14 +1,14 @@
-//! Cold gateways that fall over when they are sent too much.
+//! Cold gateways that crash when they receive too many set-ups.
 
 use super::{Engine, ScheduledEvent};
 use crate::nanos;
 use crate::scenario::{COLD_OVERLOAD_MULTIPLE, COLD_OVERLOAD_WINDOW_S};
 
-/// A gateway that fell over is there again after this.
+/// A gateway that crashed from overload restarts after this, in seconds.
 const FALLEN_RESTART_S: f64 = 5.0;
 
 impl Engine<'_> {
-    /// A set-up reaches a gateway; tells whether it falls over by that.
+    /// Counts a set-up that reaches a cold gateway. Returns whether the gateway crashes from it.
     pub(super) fn check_cold_overload(&mut self, gateway: u32) -> bool {
         if !self.scenario.fleet.falls {
             return false;
@@ -48,7 +48,7 @@
         true
     }
 
-    /// A gateway that fell over is there again.
+    /// Restarts a gateway that crashed from overload, unless it was stopped again since.
     pub(super) fn restart_fallen_gateway(&mut self, gateway: u32, incarnation: u32) {
         if self.gateways[gateway as usize].incarnation == incarnation {
             self.start_gateway(gateway);
--- a/crates/simulator/src/engine/edge.rs
+++ b/crates/simulator/src/engine/edge.rs
@@ -1,4 +1,4 @@
-//! Zones whose uplink is lost: what crosses it, and what each balancer makes of it.
+//! Zones with a failed uplink: which traffic is lost, and how each balancer judges its uplink.
 
 use beaconflow_edge::{
     Action, Config, Decision, Edge, Evidence, Permission, RejoinStep, RemoteTarget, RequestOutcome,
@@ -11,12 +11,12 @@
 use crate::scenario::{Failure, LinkDirection};
 use crate::{Nanos, SECOND, nanos};
 
-/// A call beyond a lost link is given up after this.
+/// Timeout of a probe across a failed uplink, in seconds.
 const LOST_PROBE_TIMEOUT_S: f64 = 1.0;
-/// What was heard from a zone so long ago says that it is silent.
+/// A zone counts as silent when none of its peers was heard from for this long, in milliseconds.
 const PEER_SILENT_AFTER_MS: u64 = 3_000;
 
-/// A lost uplink.
+/// A failed uplink.
 pub(super) struct Uplink {
     pub(super) zone: u32,
     from: Nanos,
@@ -26,7 +26,7 @@
 }
 
 impl Uplink {
-    /// Whether what goes from one zone to another is lost.
+    /// Whether traffic from one zone to another is lost because of this failure.
     fn loses(&self, now: Nanos, from: u32, to: u32) -> bool {
         let is_down = self.flap == 0 || ((now - self.from) / self.flap).is_multiple_of(2);
         let crosses = from != to
@@ -41,7 +41,7 @@
 }
 
 impl Engine<'_> {
-    /// The zone of a balancer, or of a gateway.
+    /// The zone of a balancer or gateway, by number.
     pub(super) fn zone(&self, of: u32) -> u32 {
         of % self.scenario.zones
     }
@@ -54,19 +54,19 @@
         }
     }
 
-    /// Whether what goes from one zone to another is lost.
+    /// Whether traffic from one zone to another is lost.
     pub(super) fn is_link_down(&self, from: u32, to: u32) -> bool {
         self.uplinks
             .iter()
             .any(|uplink| uplink.loses(self.now, from, to))
     }
 
-    /// Whether connections between two zones are lost: they need both ways.
+    /// Whether connections between two zones are lost, which need both directions.
     pub(super) fn is_partitioned(&self, one: u32, other: u32) -> bool {
         self.is_link_down(one, other) || self.is_link_down(other, one)
     }
 
-    /// A zone's uplink is lost.
+    /// Takes down a zone's uplink and breaks the connections across it.
     pub(super) fn lose_uplink(&mut self, failure: u32) {
         let Failure::UplinkLost {
             for_s,
@@ -105,7 +105,7 @@
             .for_each(|request| self.break_connection(request, false));
     }
 
-    /// The uplink is back for good: whoever judges nothing has its watch again soon.
+    /// Ends an uplink failure. Balancers without uplink detection get the server list again after the discovery delay.
     pub(super) fn restore_uplink(&mut self, zone: u32) {
         for balancer in 0..self.balancers.len() as u32 {
             if self.zone(balancer) == zone && !self.scenario.fleet.edge {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A balancer begins to judge its zone's uplink.
+    /// Starts uplink detection on a balancer, if it is on.
     pub(super) fn init_edge(&mut self, balancer: u32) {
         if !self.scenario.fleet.edge {
             return;
@@ -143,7 +143,7 @@
             Start::Fresh,
         ));
         let incarnation = self.balancers[balancer as usize].incarnation;
-        // Each at its own moment of a second.
+        // Balancers check at random offsets within a second.
         let first = self.peer_rng.uniform();
         self.schedule_after(
             first,
@@ -154,7 +154,7 @@
         );
     }
 
-    /// Tells a balancer's judgement something and does what it asks for.
+    /// Passes evidence to a balancer's uplink detection and applies the resulting actions.
     pub(super) fn handle_evidence(&mut self, balancer: u32, evidence: Evidence) {
         let Some(edge) = &mut self.hosts[balancer as usize].edge else {
             return;
@@ -203,7 +203,8 @@
                 );
             }
             Action::Rejoin(RejoinStep::Merge) => {
-                // Its list is the one that it has asked for; what it may move are those that drain or are gone.
+                // The list is the one that the balancer has just queried; only connections to draining or removed gateways
+                // may be migrated.
                 self.measures.fleet.merges.push(self.now);
                 self.deliver_server_list(balancer, true);
                 self.handle_evidence(balancer, Evidence::RejoinStepDone(RejoinStep::Merge));
@@ -222,7 +223,7 @@
         }
     }
 
-    /// What it asked beyond the link has ended.
+    /// Turns the result of a probe across the uplink into evidence.
     pub(super) fn on_probe_done(
         &mut self,
         balancer: u32,
@@ -248,7 +249,7 @@
         self.handle_evidence(balancer, evidence);
     }
 
-    /// It asks discovery again after an island.
+    /// Queries discovery again after an isolation.
     pub(super) fn requery_discovery(&mut self, balancer: u32) {
         let is_unreachable = self.is_partitioned(self.zone(balancer), 0);
         self.handle_evidence(
@@ -261,7 +262,7 @@
         );
     }
 
-    /// Once a second: what its watch and its peers in other zones show.
+    /// Runs every second: collects evidence from the discovery watch and from the peers in other zones.
     pub(super) fn check_uplink(&mut self, balancer: u32, incarnation: u32) {
         self.schedule_after(
             1.0,
@@ -313,7 +314,7 @@
         self.handle_evidence(balancer, Evidence::Tick);
     }
 
-    /// Whether a balancer may send anything new to a gateway, as far as its zone is an island.
+    /// Whether uplink detection permits a balancer to place new connections on a gateway.
     pub(super) fn can_place(&self, balancer: u32, gateway: u32) -> bool {
         let Some(edge) = &self.hosts[balancer as usize].edge else {
             return true;
@@ -326,7 +327,7 @@
         edge.permission(mesh::wall_clock_ms(self.now), &target) == Permission::Granted
     }
 
-    /// Whether a balancer's own watch brings it the list now.
+    /// Whether a balancer's own discovery watch delivers the list at present.
     pub(super) fn is_watching(&self, balancer: u32) -> bool {
         let merges = |edge: &Edge| {
             matches!(
@@ -342,8 +343,8 @@
                 .is_some_and(merges)
     }
 
-    /// A client of the zone whose uplink is lost begins to want a connection, or has it, within the span that counts.
-    pub(super) fn count_isolated(&mut self, client: u64, stood: Option<Nanos>) {
+    /// Counts clients of the isolated zone that request a connection during the uplink failure, or get one after `elapsed`.
+    pub(super) fn count_isolated(&mut self, client: u64, elapsed: Option<Nanos>) {
         let Some((zone, from, until)) = self.measures.fleet.island else {
             return;
         };
@@ -351,12 +352,12 @@
         if (from..until.max(from + SECOND)).contains(&one.since)
             && one.key % u64::from(self.scenario.zones) == u64::from(zone)
         {
-            let in_time = nanos(self.scenario.classes[one.class as usize].aim_ms / 1e3);
-            match stood {
+            let objective = nanos(self.scenario.classes[one.class as usize].aim_ms / 1e3);
+            match elapsed {
                 None => self.measures.fleet.island_wanted += 1,
-                Some(took) => {
-                    self.measures.fleet.island_served += u64::from(took <= in_time);
-                    self.measures.fleet.island_took.push(took);
+                Some(elapsed) => {
+                    self.measures.fleet.island_served += u64::from(elapsed <= objective);
+                    self.measures.fleet.island_took.push(elapsed);
                 }
             }
         }
--- a/crates/simulator/src/engine/events.rs
+++ b/crates/simulator/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! What can happen at a moment of the virtual clock, and who takes it up.
+//! Events scheduled on the virtual clock, and their dispatch.
 
 use beaconflow_policy::{AttemptOutcome, Event, TimerId};
 
@@ -6,9 +6,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ScheduledEvent {
-    /// A new client of a class wants a connection.
+    /// A new client of a class requests a connection.
     ClientCreated { class: u32 },
-    /// A client's try reaches a balancer.
+    /// A client's request reaches a balancer.
     ClientArrived { client: u64 },
     /// An attempt reaches its gateway.
     AttemptArrived {
@@ -16,59 +16,59 @@
         attempt: u32,
         gateway: u32,
     },
-    /// A gateway has done the work of a set-up.
+    /// A gateway has finished the work of a set-up.
     SetUpWorkDone {
         gateway: u32,
         incarnation: u32,
         set_up: u64,
     },
-    /// The store has done a call.
+    /// The store has completed a call.
     StoreCallDone { set_up: u64 },
-    /// Word of an attempt's connection reaches the balancer.
+    /// The balancer learns that an attempt established a connection.
     AttemptEstablished {
         request: u64,
         attempt: u32,
         gateway: u32,
     },
-    /// Word of an attempt's end reaches the balancer.
+    /// The balancer learns that an attempt ended without a connection.
     AttemptEnded {
         request: u64,
         attempt: u32,
         outcome: u8,
     },
-    /// The balancer waits no longer for an attempt.
+    /// An attempt exceeds its timeout.
     AttemptTimedOut { request: u64, attempt: u32 },
-    /// A connection has lasted as long as its client wanted it.
+    /// The lifetime of a connection is over.
     ConnectionLifetimeOver { request: u64 },
-    /// A connection's load changes.
+    /// The load of a connection changes.
     LoadChanged { request: u64 },
-    /// A balancer's timer.
+    /// A timer of a balancer's policy engine fires.
     TimerFired {
         balancer: u32,
         incarnation: u32,
         timer: u64,
     },
-    /// Discovery's word reaches a balancer.
+    /// A server list from discovery reaches a balancer.
     ServerListArrived {
         balancer: u32,
         incarnation: u32,
         is_full: bool,
     },
-    /// A second is over.
+    /// One simulated second has elapsed.
     SecondElapsed,
-    /// A failure begins.
+    /// A failure of the scenario begins.
     FailureBegan { failure: u32 },
-    /// It has run its course, or goes on to its next part.
+    /// A failure ends or enters its next phase.
     FailureContinued { failure: u32, part: u8 },
-    /// A client of a flood or of a mass reconnect drops its connection.
+    /// A connection breaks: by a reset, a mass reconnect or shedding.
     ConnectionDropped { request: u64 },
-    /// A client ends its connection and comes again.
+    /// A client closes its connection and reconnects.
     ConnectionClosedByClient { request: u64 },
-    /// A balancer takes a new configuration over.
+    /// A balancer switches to a new configuration.
     ConfigurationAdopted { balancer: u32, failure: u32 },
-    /// A balancer looks whether its zone's uplink stands.
+    /// A balancer checks its zone's uplink.
     UplinkCheckDue { balancer: u32, incarnation: u32 },
-    /// What it asked beyond the link has ended.
+    /// A balancer's probe across the uplink has ended.
     ProbeDone {
         balancer: u32,
         incarnation: u32,
@@ -76,21 +76,21 @@
         is_discovery: bool,
         is_lost: bool,
     },
-    /// It asks discovery again after an island.
+    /// A balancer queries discovery again after an isolation.
     DiscoveryRequeryDue { balancer: u32, incarnation: u32 },
-    /// A gateway that fell over is there again, cold.
+    /// A gateway that crashed from overload restarts cold.
     FallenGatewayRestarted { gateway: u32, incarnation: u32 },
-    /// A balancer's node has its turn.
+    /// A balancer's membership node is due for a tick.
     NodeTickDue { balancer: u32, incarnation: u32 },
-    /// A peer's datagram is there.
+    /// A peer's datagram arrives.
     DatagramArrived { id: u64 },
-    /// A balancer's recovery wants to be told of the time.
+    /// A balancer's recovery is due for a tick.
     RecoveryTickDue { balancer: u32, incarnation: u32 },
-    /// It calls discovery.
+    /// A balancer's recovery queries discovery.
     DiscoveryQueryDue { balancer: u32, incarnation: u32 },
-    /// That call fails.
+    /// That query fails.
     DiscoveryQueryFailed { balancer: u32, incarnation: u32 },
-    /// A peer's unused part is there.
+    /// A peer's lent admission quota arrives; `bits` is the number of clients as `f64` bits.
     QuotaLent {
         to: u32,
         from: u32,
@@ -100,7 +100,7 @@
 }
 
 impl Engine<'_> {
-    /// Whether a balancer is still in that life.
+    /// Whether a balancer is up and still in this incarnation.
     pub(super) fn is_running(&self, balancer: u32, incarnation: u32) -> bool {
         let balancer_state = &self.balancers[balancer as usize];
         balancer_state.is_alive && balancer_state.incarnation == incarnation
@@ -232,7 +232,7 @@
     }
 }
 
-/// The outcomes by the numbers that events carry.
+/// The outcome with the number that an event carries.
 fn outcome_of(number: u8) -> AttemptOutcome {
     use AttemptOutcome::{
         Cancelled, ConnectFailed, NotSent, Rejected, Reset, Served, ServerError, TimedOut,
--- a/crates/simulator/src/engine/model.rs
+++ b/crates/simulator/src/engine/model.rs
@@ -1,4 +1,4 @@
-//! Who takes part in a run: clients, requests, attempts, balancers and servers.
+//! State of the clients, requests, attempts, balancers and gateways of a run.
 
 use std::collections::VecDeque;
 
@@ -13,18 +13,18 @@
     pub(super) account: u32,
     pub(super) group: Option<u32>,
     pub(super) key: u64,
-    /// When it first wanted its present connection.
+    /// When the client first requested its present connection.
     pub(super) since: Nanos,
     pub(super) tries: u32,
-    /// It was moved or cut off.
+    /// Its previous connection was migrated or broken.
     pub(super) is_reconnect: bool,
-    /// It comes again at once for as long as its flood lasts.
+    /// Until then the client retries at once, as part of a flood.
     pub(super) floods_until: Nanos,
-    /// The gateway that it had last.
+    /// The gateway of its latest connection.
     pub(super) last_gateway: Option<LastGateway>,
 }
 
-/// The gateway that a client had, since when, and whether it was moved off it.
+/// The gateway of a client's latest connection, when it was established, and whether it was migrated away.
 #[derive(Clone, Copy)]
 pub(super) struct LastGateway {
     pub(super) gateway: u32,
@@ -48,7 +48,7 @@
     pub(super) load: f64,
 }
 
-/// An attempt that a gateway works on, as the gateway numbers it.
+/// An attempt whose set-up a gateway or the store is working on.
 #[derive(Clone, Copy)]
 pub(super) struct SetUp {
     pub(super) request: u64,
@@ -59,30 +59,30 @@
 
 pub(super) struct BalancerState {
     pub(super) engine: Box<dyn BalancerEngine>,
-    /// Counts its starts; words for an earlier one are lost.
+    /// Incremented with every stop; events for an earlier incarnation are ignored.
     pub(super) incarnation: u32,
     pub(super) is_alive: bool,
-    /// The last of the failures that keep it down is over then.
+    /// When the last of the failures that keep it down ends.
     pub(super) down_until: Nanos,
 }
 
 pub(super) struct GatewayState {
     pub(super) gateway: Gateway,
-    /// Counts its starts.
+    /// Incremented with every stop.
     pub(super) incarnation: u32,
     pub(super) listed: ServerState,
     pub(super) is_up: bool,
-    /// The last of the failures that keep it down is over then.
+    /// When the last of the failures that keep it down ends.
     pub(super) down_until: Nanos,
     pub(super) hangs_until: Nanos,
-    /// Messages there were slow when last told.
+    /// Whether its messages were slow at the last report.
     pub(super) is_slow: bool,
-    /// Set-ups that came lately, while it was cold.
+    /// Times of the set-ups received within the overload window while it is cold.
     pub(super) sent: VecDeque<Nanos>,
 }
 
 impl GatewayState {
-    /// One that has been warm for long.
+    /// A gateway that is up and fully warm.
     pub(super) fn new(make: &GatewayModel) -> GatewayState {
         GatewayState {
             gateway: Gateway::new(make.clone(), 0, true),
--- a/crates/simulator/src/engine/outages.rs
+++ b/crates/simulator/src/engine/outages.rs
@@ -1,4 +1,4 @@
-//! Each second's round, and what goes wrong.
+//! Work done every simulated second, and the failures of the scenario.
 
 use beaconflow_policy::{AttemptOutcome, ConnectionMetric, Event, RequestId, ServerState};
 
@@ -8,7 +8,7 @@
 use crate::scenario::Failure;
 use crate::{Nanos, SECOND, nanos};
 
-/// A connection whose messages take longer than this part of the aim is told of.
+/// Message latency is reported when it exceeds this fraction of the message objective.
 const SLOW_FRACTION: f64 = 0.33;
 
 impl<'s> Engine<'s> {
@@ -64,7 +64,7 @@
         second.messages_in_time = in_time / (standing.max(1) as f64);
     }
 
-    /// Each balancer hears of slow messages on one of its connections there.
+    /// Reports the message latency to each balancer on one of its connections to the gateway.
     pub(super) fn report_message_latency(&mut self, gateway: u32, delay: Nanos) {
         let mut notified = vec![false; self.balancers.len()];
         for request in self.gateways[gateway as usize].gateway.connection_ids() {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A part of what stands drops within a span.
+    /// Ends a random fraction of the established connections within a time span.
     pub(super) fn drop_connections(&mut self, part: f64, within: Nanos, by_client: bool) {
         for at in 0..self.gateways.len() {
             for request in self.gateways[at].gateway.connection_ids() {
@@ -245,7 +245,10 @@
                 for _ in 0..*clients {
                     let client = self.new_client(0, Some(index as u32));
                     let until = self.now.saturating_add(nanos(*for_s));
-                    self.clients.get_mut(&client).expect("made").floods_until = until;
+                    self.clients
+                        .get_mut(&client)
+                        .expect("the client was just created")
+                        .floods_until = until;
                     self.begin_connecting(client);
                 }
             }
@@ -302,7 +305,7 @@
         }
     }
 
-    /// A gateway is there again, cold, unless another failure keeps it down.
+    /// Starts a gateway cold, unless another failure keeps it down.
     pub(super) fn start_gateway(&mut self, gateway: u32) {
         let gateway_state = &mut self.gateways[gateway as usize];
         if gateway_state.is_up || self.now < gateway_state.down_until {
@@ -313,7 +316,7 @@
         (gateway_state.is_up, gateway_state.listed) = (true, ServerState::Ready);
     }
 
-    /// A balancer's process starts, unless another failure keeps it down.
+    /// Starts a balancer's process, unless another failure keeps it down.
     fn restart_balancer(&mut self, balancer: u32) {
         let BalancerState {
             incarnation,
@@ -321,7 +324,8 @@
             down_until,
             ..
         } = self.balancers[balancer as usize];
-        // A second one on top of it has to be over as well, or what came since would be lost unsaid.
+        // An overlapping failure has to be over as well. Restarting a balancer that is already up would silently lose the
+        // requests it has received since.
         if is_alive || self.now < down_until {
             return;
         }
@@ -337,7 +341,7 @@
         }
     }
 
-    /// A gateway's process ends: what stands there is cut off, what it works on is lost.
+    /// Stops a gateway: its connections break and its set-ups are lost.
     pub(super) fn stop_gateway(&mut self, gateway: u32, for_s: f64) {
         let gateway_state = &mut self.gateways[gateway as usize];
         gateway_state.down_until = gateway_state
@@ -349,7 +353,7 @@
         for request in connection_ids {
             self.break_connection(request, false);
         }
-        // Set-ups under way break, and nothing is kept of them.
+        // Set-ups in progress are reset.
         let mut broken_attempts = Vec::new();
         self.set_ups.retain(|_, set_up| {
             let is_elsewhere = set_up.gateway != gateway;
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' datagrams: loss, delay and cuts, and what the balancers hear.
+//! Gossip datagrams between balancers: loss, delay and partitions, and the handling of what arrives.
 
 use beaconflow_edge::Evidence;
 use beaconflow_membership::{Event, Input, Output};
@@ -8,12 +8,12 @@
 use crate::mesh::{self, StatusMessage};
 use crate::{Nanos, SECOND};
 
-/// A word of one's own is made anew after so long.
+/// Minimum interval at which a balancer refreshes its own status.
 const STATUS_PERIOD: Nanos = SECOND / 10;
-/// How long a balancer has run that was there when the run began.
+/// Reported uptime of a balancer that was running when the run began.
 const INITIAL_UPTIME: Nanos = 86_400 * SECOND;
 
-/// A datagram on its way.
+/// A datagram in transit.
 pub(super) struct Datagram {
     from: u32,
     to: u32,
@@ -21,7 +21,7 @@
 }
 
 impl Engine<'_> {
-    /// The balancer's node starts.
+    /// Starts the balancer's membership node, if the scenario uses gossip.
     pub(super) fn start_node(&mut self, balancer: u32) {
         if !self.scenario.fleet.uses_gossip() {
             return;
@@ -41,7 +41,7 @@
         self.handle_node_input(balancer, Input::Start);
     }
 
-    /// Hands something to a balancer's node and does what it asks for.
+    /// Passes an input to a balancer's membership node and applies its outputs.
     pub(super) fn handle_node_input(&mut self, balancer: u32, input: Input<'_>) {
         let mut out = Vec::new();
         let wall = mesh::wall_clock_ms(self.now);
@@ -120,7 +120,7 @@
         self.schedule_after(wait, ScheduledEvent::DatagramArrived { id });
     }
 
-    /// A datagram is there.
+    /// Delivers a datagram to its receiver.
     pub(super) fn deliver_datagram(&mut self, id: u64) {
         let Some(Datagram { from, to, bytes }) = self.datagrams.remove(&id) else {
             return;
@@ -135,7 +135,7 @@
         );
     }
 
-    /// A node has its turn.
+    /// Ticks a balancer's node if its wake-up time has come, and refreshes its status when due.
     pub(super) fn tick_node(&mut self, balancer: u32) {
         let host = &self.hosts[balancer as usize];
         if host
@@ -166,7 +166,7 @@
         self.handle_node_input(balancer, Input::Tick);
     }
 
-    /// What a balancer says of itself.
+    /// The recovery status that a balancer reports to its peers.
     fn peer_status(&self, balancer: u32) -> PeerStatus {
         let host = &self.hosts[balancer as usize];
         let recovery = host.recovery.as_ref();
--- a/crates/simulator/src/engine/placement_failures.rs
+++ b/crates/simulator/src/engine/placement_failures.rs
@@ -5,13 +5,13 @@
 use super::Engine;
 use crate::{Nanos, mesh};
 
-/// Counts are good for so long, in milliseconds.
+/// Lifetime of a failure count, in milliseconds.
 const COUNT_TTL_MS: u64 = 60_000;
-/// More failures make no longer wait.
+/// Failures beyond this many do not extend the retry delay.
 const MAX_COUNTED_FAILURES: u32 = 6;
 
 impl Engine<'_> {
-    /// A placement of a client failed or came to stand at a balancer.
+    /// Records at a balancer that the placement of a client failed or succeeded.
     pub(super) fn record_placement_outcome(
         &mut self,
         balancer: u32,
@@ -26,7 +26,7 @@
             return;
         };
         let fact_store = &mut node.payload_mut().fact_store;
-        // One that stands and never failed is no news to anybody.
+        // A success without preceding failures needs no publication.
         if !is_established {
             drop(fact_store.record_placement_failure(key, COUNT_TTL_MS, wall));
         } else if fact_store.failure_count(key, wall) > 0 {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// How long a refused client is told to stay away, by the failures that all balancers counted: the decisions know
-    /// those of their own.
+    /// Extends the retry delay of a rejected client by the failures that other balancers counted; the policy engine
+    /// already accounts for those of its own balancer.
     pub(super) fn shared_retry_after(
         &self,
         balancer: u32,
--- a/crates/simulator/src/engine/recovery.rs
+++ b/crates/simulator/src/engine/recovery.rs
@@ -1,4 +1,4 @@
-//! From dark to serving: each balancer's recovery, what it asks, and whom it lets in.
+//! Recovery of restarted balancers: discovery queries, staged admission and the return to full service.
 
 use std::rc::Rc;
 
@@ -17,15 +17,15 @@
 use crate::scenario::{COLD_OVERLOAD_MULTIPLE, COLD_OVERLOAD_WINDOW_S};
 use crate::{Nanos, SECOND, nanos};
 
-/// Time has passed; a call of discovery failed.
+/// Events for a passed timer and for a failed discovery query.
 pub(super) const TICK: Event = Event::Tick;
 pub(super) const QUERY_FAILED: Event = Event::QueryFailed(EvidenceSource::Discovery);
-/// A call that fails does so after this.
+/// A discovery query that fails does so after this, in seconds.
 const QUERY_FAILURE_DELAY_S: f64 = 0.01;
-/// Gateways this far apart in warmth are not dealt to alike.
+/// Weights follow the warm-up once the capacity fractions of the gateways differ by at least this.
 const MIN_CAPACITY_SPREAD: f64 = 0.05;
 
-/// What discovery says of a gateway.
+/// Discovery's entry for a gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Listed {
     pub(super) state: ServerState,
@@ -33,30 +33,31 @@
     pub(super) started_at: Option<Nanos>,
 }
 
-/// What a balancer has beside its decisions: the talk with its peers, its way from dark to serving, its disk.
+/// The parts of a balancer around its policy engine: gossip node, recovery, uplink detection and disk.
 #[derive(Default)]
 pub(super) struct BalancerHost {
     pub(super) node: Option<Node<GossipPayload>>,
     pub(super) published_at: Option<Nanos>,
     pub(super) wake: Option<u64>,
     pub(super) recovery: Option<Recovery>,
-    /// When its present life began.
+    /// When its present incarnation started.
     pub(super) started_at: Nanos,
     pub(super) admitting_since: Option<Nanos>,
     pub(super) next_timer: Option<Nanos>,
-    /// The list that it holds.
+    /// The server list that it currently uses.
     pub(super) list: Option<Rc<Vec<Listed>>>,
-    /// Which configuration it runs, by number, and what it knows of placements.
+    /// Index of the configuration that it runs.
     pub(super) runs: usize,
+    /// What it knows about placements; `None` without affinity.
     pub(super) placements: Option<BalancerPlacements>,
-    /// What it makes of its zone's uplink.
+    /// Detection of failures of its zone's uplink.
     pub(super) edge: Option<Edge>,
-    /// What is on its disk.
+    /// Recovery state saved on its disk, which survives restarts.
     pub(super) disk: Option<Memory>,
 }
 
 impl Engine<'_> {
-    /// Clients that stand, by class and account.
+    /// Connected clients by class and account.
     pub(super) fn previous_clients(&self) -> Vec<PreviousClients> {
         let accounts = self.scenario.accounts.len().max(1);
         let one = |(at, clients): (usize, &u32)| PreviousClients {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// What a balancer writes down while it serves in full.
+    /// The state a balancer has on disk: current if it may update it, else what it saved before; `None` without recovery.
     pub(super) fn memory_snapshot(&self, balancer: u32) -> Option<Memory> {
         if !self.scenario.fleet.recovery {
             return None;
@@ -136,7 +137,7 @@
         })
     }
 
-    /// The list as discovery has it.
+    /// Discovery's current list in the form that recovery reads.
     fn list_now(&self) -> List {
         let entry = |(at, listed): (usize, &Listed)| Entry {
             name: format!("g{at}"),
@@ -158,7 +159,7 @@
         }
     }
 
-    /// What discovery says of all gateways now.
+    /// Discovery's current entries for all gateways.
     pub(super) fn listed(&self) -> Vec<Listed> {
         let listed = |gateway: &GatewayState| Listed {
             state: gateway.listed,
@@ -168,7 +169,7 @@
         self.gateways.iter().map(listed).collect()
     }
 
-    /// The part of its capacity that a listed gateway has by its listed start.
+    /// Capacity fraction of a gateway, computed from its listed start time.
     pub(super) fn capacity_fraction(&self, listed: &Listed) -> f64 {
         let make = &self.scenario.make;
         let Some(started_at) = listed.started_at else {
@@ -180,13 +181,13 @@
         (make.cold_share + (1.0 - make.cold_share) * age).min(1.0)
     }
 
-    /// A balancer begins its way from dark to serving.
+    /// Starts the recovery of a restarted balancer.
     pub(super) fn start_recovery(&mut self, balancer: u32) {
         let config = self.recovery_config(balancer);
         let incarnation = self.balancers[balancer as usize].incarnation;
         let seed =
             self.scenario.seed ^ (u64::from(balancer) << 32) ^ u64::from(incarnation) ^ 0x5eed;
-        let recovery = Recovery::new(config, seed).expect("a scenario that was checked");
+        let recovery = Recovery::new(config, seed).expect("the scenario was validated");
         let host = &mut self.hosts[balancer as usize];
         let memory = host.disk.clone();
         (host.recovery, host.started_at, host.admitting_since) = (Some(recovery), self.now, None);
@@ -200,7 +201,7 @@
         );
     }
 
-    /// Tells a balancer's recovery something and does what it asks for.
+    /// Passes an event to a balancer's recovery and applies the resulting actions.
     pub(super) fn handle_recovery_event(&mut self, balancer: u32, event: Event) {
         let (now, wall) = (self.now, mesh::wall_clock_ms(self.now));
         let host = &mut self.hosts[balancer as usize];
@@ -251,7 +252,7 @@
                     .admitting_since
                     .get_or_insert(now);
                 if mode == ServiceMode::Full {
-                    // From here on the module's own rule on cold gateways counts.
+                    // In full service the policy engine applies its own limit on cold gateways.
                     self.send_server_list(balancer, ListUpdate::Snapshot);
                 }
             }
@@ -291,7 +292,7 @@
         }
     }
 
-    /// Discovery is called.
+    /// Queries discovery, which fails while discovery is unavailable.
     pub(super) fn query_discovery(&mut self, balancer: u32) {
         if self.now < self.discovery_back_at {
             let incarnation = self.balancers[balancer as usize].incarnation;
@@ -315,13 +316,14 @@
         );
     }
 
-    /// Discovery's list is there.
+    /// Passes discovery's list to a balancer's recovery.
     pub(super) fn on_list_received(&mut self, balancer: u32) {
         let list = self.list_now();
         self.handle_recovery_event(balancer, Event::ListReceived(list));
     }
 
-    /// Whether a balancer lets clients in at the pace that the cold gateways bear: its module takes them for warm then.
+    /// Whether staged admission limits a balancer to the pace that cold gateways can take. Its policy engine then treats
+    /// all gateways as warm.
     pub(super) fn is_paced(&self, balancer: u32) -> bool {
         let recovery = self
             .hosts
@@ -330,7 +332,7 @@
         recovery.is_some_and(|recovery| recovery.state() != Stage::Serving)
     }
 
-    /// A peer leaves a part of its own to this one.
+    /// Passes admission quota lent by a peer to a balancer's recovery.
     pub(super) fn on_quota_lent(&mut self, to: u32, from: u32, number: u64, bits: u64) {
         let (from, clients) = (mesh::balancer_name(from), f64::from_bits(bits));
         self.handle_recovery_event(
@@ -343,7 +345,7 @@
         );
     }
 
-    /// A client is let in: its request goes to the decisions.
+    /// Admits a client: passes its request to the policy engine.
     fn admit(&mut self, balancer: u32, request: u64) {
         let Some(client) = self.requests.get(&request).map(|one| one.client) else {
             return;
@@ -351,7 +353,7 @@
         self.request_placement(balancer, request, client);
     }
 
-    /// Weights follow the warmth of gateways that did not start together.
+    /// Updates the server weights of paced balancers while gateways differ in warm-up.
     pub(super) fn update_cold_weights(&mut self) {
         let warmth: Vec<f64> = self
             .gateways
@@ -371,7 +373,7 @@
         }
     }
 
-    /// A client comes to a balancer on its way.
+    /// Submits a client's request to the staged admission of a recovering balancer.
     pub(super) fn request_admission(&mut self, balancer: u32, request: u64, client: u64) {
         let one = &self.clients[&client];
         let arrival = AdmissionRequest {
@@ -385,7 +387,8 @@
         self.handle_recovery_event(balancer, Event::AdmissionRequested(arrival));
     }
 
-    /// The time that a refill takes which sees all and goes to the rule's limit, until 99% of so many are in.
+    /// Time in which an ideal refill connects 99% of the clients: one with complete information that uses the overload
+    /// limit of the cold gateways in full. The search ends after 3,600 simulated seconds.
     pub(super) fn ideal_refill_time(&self, clients: f64) -> Nanos {
         const STEP: Nanos = SECOND / 1_000;
         let (mut at, mut sum) = (0, 0.0);
--- a/crates/simulator/src/gateway.rs
+++ b/crates/simulator/src/gateway.rs
@@ -1,5 +1,4 @@
-//! One gateway: its cores, what stands on it, the set-ups that it works on, how it warms up, and what it does when it has
-//! too much.
+//! Model of one gateway: its cores, established connections, connection set-ups, warm-up and overload behaviour.
 
 use std::collections::VecDeque;
 
@@ -9,29 +8,29 @@
 use crate::random::RandomSource;
 use crate::{Nanos, SECOND, nanos};
 
-/// What a gateway is made of.
+/// Parameters of a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GatewayModel {
-    /// Cores.
+    /// Number of cores, each of which runs one set-up at a time.
     pub cores: u32,
-    /// Work that a core does, against a core of speed 1, which does a second of work in a second.
+    /// Speed of a core; a core of speed 1 does one second of work per second.
     pub speed: f64,
-    /// Work of one set-up on a core of speed 1, in milliseconds; exponential with this mean.
+    /// Mean work of one connection set-up on a core of speed 1, in milliseconds; exponentially distributed.
     pub set_up_ms: f64,
-    /// Set-ups that wait for a core; more are turned away.
+    /// Maximum number of set-ups queued for a core; further ones are rejected.
     pub waiting: usize,
-    /// Connections that may stand; more are turned away.
+    /// Maximum number of connections, including set-ups in progress; further ones are rejected.
     pub connections: usize,
-    /// Part of its capacity with which it starts cold.
+    /// Fraction of its full capacity that it has right after a cold start.
     pub cold_share: f64,
-    /// It is warm after this long, in seconds.
+    /// Duration of the warm-up, in seconds.
     pub cold_s: f64,
-    /// Work that a group costs on each gateway that holds any of it, in microseconds a second.
+    /// Work of a group on every gateway that holds at least one of its connections, in microseconds per second.
     pub group_us: f64,
     /// Work of one message, in microseconds.
     pub message_us: f64,
-    /// It sheds connections while more than this is piled up, in seconds of its capacity.
+    /// The gateway sheds connections while its backlog exceeds this, in seconds of its capacity.
     pub sheds_after_s: f64,
 }
 
@@ -52,36 +51,36 @@
     }
 }
 
-/// What becomes of a set-up that comes.
+/// Result of offering a set-up to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetUpAdmission {
-    /// It is worked on until then.
+    /// It runs on a core until this time.
     RunsUntil(Nanos),
-    /// It waits for a core.
+    /// It waits for a free core.
     Queued,
-    /// It is turned away unseen.
+    /// It is rejected before any work is done.
     Rejected,
 }
 
-/// A connection that stands.
+/// An established connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EstablishedConnection {
-    /// Work that it asks for, in microseconds a second.
+    /// Work that it demands, in microseconds per second.
     pub load: f64,
-    /// The group with which it shares work.
+    /// The group whose members share work, if it is in one.
     pub group: Option<u32>,
 }
 
-/// A gateway. Moments that it is handed never go back.
+/// A gateway. The timestamps passed to it must not decrease.
 #[derive(Debug)]
 pub struct Gateway {
     make: GatewayModel,
     started_at: Option<Nanos>,
     connections: FxHashMap<u64, EstablishedConnection>,
     groups: FxHashMap<u32, u32>,
-    /// Work asked for by what stands, in microseconds a second.
+    /// Work demanded by the established connections, in microseconds per second.
     demand: f64,
-    /// Work that is piled up, in microseconds.
+    /// Work that is waiting to be done, in microseconds.
     backlog_us: f64,
     advanced_to: Nanos,
     busy: u32,
@@ -89,7 +88,7 @@
 }
 
 impl Gateway {
-    /// A gateway that has been warm for long, or one that starts now.
+    /// A gateway that is fully warm, or one that cold-starts at `now`.
     pub fn new(make: GatewayModel, now: Nanos, warm: bool) -> Gateway {
         Gateway {
             make,
@@ -104,17 +103,17 @@
         }
     }
 
-    /// What it is made of.
+    /// The parameters it was created with.
     pub fn make(&self) -> &GatewayModel {
         &self.make
     }
 
-    /// When it last started; nothing if long ago.
+    /// Time of its cold start; `None` if it was warm when the run began.
     pub fn started_at(&self) -> Option<Nanos> {
         self.started_at
     }
 
-    /// Part of its full capacity that it has at a moment: a straight ramp from the cold share.
+    /// Fraction of its full capacity at `now`: a linear ramp from the cold share to 1.
     pub fn capacity_fraction(&self, now: Nanos) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -124,46 +123,46 @@
         (cold + (1.0 - cold) * age / self.make.cold_s.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Work that it does at a moment, in microseconds a second.
+    /// Work that it can do at `now`, in microseconds per second.
     pub fn capacity(&self, now: Nanos) -> f64 {
         f64::from(self.make.cores) * self.make.speed * 1e6 * self.capacity_fraction(now)
     }
 
-    /// Work asked for by what stands, over what it can do.
+    /// Demanded work divided by capacity; above 1 the gateway is overloaded.
     pub fn load(&self, now: Nanos) -> f64 {
         self.demand / self.capacity(now)
     }
 
-    /// Connections that stand.
+    /// Number of established connections, without set-ups in progress.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// All that stand, by number.
+    /// Ids of the established connections in ascending order.
     pub fn connection_ids(&self) -> Vec<u64> {
         let mut ids: Vec<u64> = self.connections.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// How long its present work would take, in seconds.
+    /// Time to work off the backlog at the present capacity, in seconds.
     pub fn backlog_s(&self, now: Nanos) -> f64 {
         self.backlog_us / self.capacity(now)
     }
 
-    /// Brings what is piled up to that moment.
+    /// Updates the backlog to `now`.
     pub fn advance(&mut self, now: Nanos) {
         let span = now.saturating_sub(self.advanced_to) as f64 / SECOND as f64;
         if span > 0.0 {
-            // The ramp is straight between two moments, so that the mean of its ends is exact but for its knee.
+            // The ramp is linear, so the mean of both ends is exact except where the ramp reaches full capacity.
             let capacity = (self.capacity(self.advanced_to) + self.capacity(now)) / 2.0;
             self.backlog_us = (self.backlog_us + (self.demand - capacity) * span).max(0.0);
             self.advanced_to = now;
         }
     }
 
-    /// Part of the messages that are answered within `aim_s`: none while more is piled up; else as in a queue with one
-    /// server, random arrivals and random work, whose sojourn time is exponential.
+    /// Fraction of the messages that are answered within `aim_s`: 0 while the backlog takes longer than that, otherwise
+    /// that of an M/M/1 queue, whose sojourn time is exponential.
     pub fn fraction_in_time(&self, now: Nanos, aim_s: f64) -> f64 {
         let (capacity, left) = (self.capacity(now), aim_s - self.backlog_s(now));
         if left <= 0.0 || self.demand >= capacity {
@@ -173,14 +172,14 @@
         1.0 - (-spare * left).exp()
     }
 
-    /// How long a message takes on average, in seconds.
+    /// Mean time of a message, in seconds.
     pub fn mean_message_s(&self, now: Nanos) -> f64 {
         let spare =
             (self.capacity(now) - self.demand).max(self.make.message_us) / self.make.message_us;
         self.backlog_s(now) + 1.0 / spare
     }
 
-    /// A set-up comes.
+    /// Offers a connection set-up to the gateway.
     pub fn offer_set_up(&mut self, now: Nanos, id: u64, rng: &mut RandomSource) -> SetUpAdmission {
         self.advance(now);
         if self.connections.len() + self.busy as usize + self.waiting.len() >= self.make.connections
@@ -198,7 +197,7 @@
         SetUpAdmission::Queued
     }
 
-    /// A set-up's work is done: the next one that is worked on, and until when.
+    /// Completes a set-up. Returns the queued set-up that starts next and when that one ends.
     pub fn set_up_done(&mut self, now: Nanos, rng: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
@@ -208,14 +207,14 @@
     }
 
     fn set_up_ends(&self, now: Nanos, rng: &mut RandomSource) -> Nanos {
-        // Work that is piled up takes its part of the cores.
+        // The backlog takes its share of the cores, which slows the set-up down.
         let slower = 1.0 + self.backlog_s(now);
         let work = rng.exponential(self.make.set_up_ms / 1e3)
             / (self.make.speed * self.capacity_fraction(now));
         now.saturating_add(nanos(work * slower))
     }
 
-    /// A connection stands from now on.
+    /// Adds an established connection; has no effect on the load if the id is already known.
     pub fn establish(&mut self, now: Nanos, id: u64, one: EstablishedConnection) {
         self.advance(now);
         if self.connections.insert(id, one).is_some() {
@@ -229,7 +228,7 @@
         }
     }
 
-    /// A connection's load is another one from now on.
+    /// Changes the load of a connection; ignored if the connection is unknown.
     pub fn change_load(&mut self, now: Nanos, id: u64, load: f64) {
         self.advance(now);
         if let Some(one) = self.connections.get_mut(&id) {
@@ -238,7 +237,7 @@
         }
     }
 
-    /// A connection has ended; tells whether it stood here.
+    /// Removes a connection. Returns whether it was established here.
     pub fn close(&mut self, now: Nanos, id: u64) -> bool {
         self.advance(now);
         let Some(one) = self.connections.remove(&id) else {
@@ -257,7 +256,7 @@
         true
     }
 
-    /// The connections that it drops now since too much is piled up: the heaviest, until what is left fits.
+    /// Selects the connections to drop because of the backlog: the heaviest ones, until the remaining load fits.
     pub fn shed_connections(&mut self, now: Nanos) -> Vec<u64> {
         self.advance(now);
         if self.backlog_s(now) <= self.make.sheds_after_s {
@@ -278,7 +277,7 @@
             excess -= load;
             shed.push(id);
         }
-        // What was piled up by them goes with them.
+        // The backlog that the dropped connections caused goes with them.
         self.backlog_us = self
             .backlog_us
             .min(self.make.sheds_after_s * self.capacity(now) / 2.0);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! The laboratory: a model of gateways and what goes wrong with them, and an engine that plays scenarios against it on a
-//! virtual clock, with the real decision module and the real door in every balancer.
+//! Discrete-event simulator: a model of gateways and their failures, and an engine that runs scenarios against it on a
+//! virtual clock, with the production decision module and admission queue in every balancer.
 //!
-//! Nothing of it is linked into the balancer. `gateway` and `store` are the model, pure and driven by the moments that
-//! they are handed; `scenario` is what a file says; `engine` moves the clock; `checker` reads what happened and names
-//! rules that were broken; `measures` adds it up.
+//! No part of it is linked into the balancer. `gateway` and `store` are the model: pure code driven by the timestamps
+//! passed in. `scenario` parses scenario files, `engine` advances the clock, `checker` verifies the rules that every run
+//! has to keep, and `measures` aggregates the results.
 
 #![forbid(unsafe_code)]
 
@@ -19,13 +19,13 @@
 pub mod store;
 pub mod versions;
 
-/// A moment or a span, in nanoseconds.
+/// A point on the virtual clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// One second.
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// A span in nanoseconds from seconds; what is below 0 or no number is 0.
+/// Converts seconds to nanoseconds. Negative values and NaN give 0.
 pub fn nanos(seconds: f64) -> Nanos {
     (seconds * 1e9) as Nanos
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `beaconflow-simulator`: plays scenarios and prints what they came to.
+//! The command `beaconflow-simulator`: runs scenarios and prints the results.
 
 #![forbid(unsafe_code)]
 
@@ -18,16 +18,16 @@
 use beaconflow_simulator::scenario::Scenario;
 use clap::{Parser, Subcommand};
 
-/// The form of saved results.
+/// Name and version of the format of saved results.
 const SCHEMA: &str = "beaconflow-simulator result 1";
 
 const EXIT_CODES: &str = "Exit codes:
-  0  played, and every rule was kept
-  1  a fault here: a file, or what it says
-  2  the command line is wrong
-  3  a rule was broken; the table says which, when, and the seed";
+  0  the run finished and no rule was broken
+  1  a file cannot be read or written, or a scenario is invalid
+  2  the command line is invalid
+  3  a rule was broken; the output names the rule, the time and the seed";
 
-/// The laboratory: plays scenarios of gateways and their failures against beaconflow's own decisions.
+/// Simulator: runs scenarios of gateways and their failures against beaconflow's production decision code.
 #[derive(Parser)]
 #[command(name = "beaconflow-simulator", version, about, after_help = EXIT_CODES, max_term_width = 100)]
 struct Args {
@@ -37,52 +37,52 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario on a virtual clock
+    /// Run a scenario on a virtual clock
     #[command(
         after_help = "Example:\n  beaconflow-simulator run crates/simulator/scenarios/hang.toml --save hang.json"
     )]
     Run {
-        /// The scenario's file
+        /// Scenario file
         scenario: PathBuf,
-        /// Who decides: beaconflow, round-robin, least-connections or random-of-two
+        /// Balancing policy: beaconflow, round-robin, least-connections or random-of-two
         #[arg(long, default_value_t)]
         policy: Policy,
-        /// Another seed than the file's
+        /// Seed to use instead of the one in the file
         #[arg(long)]
         seed: Option<u64>,
-        /// Save the result, as JSON
+        /// Save the result to a file as JSON
         #[arg(long, value_name = "FILE")]
         save: Option<PathBuf>,
         /// Print the result as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Compare two policies, or one policy in two scenarios, under the same seeds
+    /// Compare two policies, or one policy in two scenarios, with the same seeds
     #[command(
         after_help = "Examples:\n  beaconflow-simulator compare crates/simulator/scenarios/hang.toml --policies beaconflow round-robin\n  \
         beaconflow-simulator compare crates/simulator/scenarios/hang.toml crates/simulator/scenarios/resets.toml --seeds 40"
     )]
     Compare {
-        /// The first side's scenario
+        /// Scenario file of the first side
         first: PathBuf,
-        /// The second side's, if it is another
+        /// Scenario file of the second side; the first one if omitted
         second: Option<PathBuf>,
-        /// Who decides on either side
+        /// Balancing policy of each side
         #[arg(long, num_args = 2, value_names = ["FIRST", "SECOND"], default_values = ["beaconflow", "beaconflow"])]
         policies: Vec<Policy>,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(2..=10_000))]
         seeds: u64,
         /// Print the result as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Read a scenario and name everything that is wrong with it
+    /// Check a scenario and report everything that is wrong with it
     #[command(
         after_help = "Example:\n  beaconflow-simulator check crates/simulator/scenarios/hang.toml"
     )]
     Check {
-        /// The scenario's file
+        /// Scenario file
         scenario: PathBuf,
     },
 }
@@ -137,7 +137,7 @@
     })
 }
 
-/// Plays a scenario; tells whether every rule was kept.
+/// Runs a scenario and prints or saves the result. Returns whether no rule was broken.
 fn run(
     path: &Path,
     policy: Policy,
@@ -153,7 +153,7 @@
     engine.run(|engine| {
         if live {
             eprint!(
-                "\r{} of {:.0} s played",
+                "\r{} of {:.0} s simulated",
                 engine.now() / SECOND,
                 scenario.seconds
             );
@@ -206,12 +206,12 @@
             scenario.reports_fleet_figures(),
         )
     };
-    // A reader that has gone away is no fault.
+    // A closed pipe is not an error.
     let _ = writeln!(std::io::stdout(), "{}", shown.trim_end());
     Ok(engine.checker.violation_count == 0)
 }
 
-/// Plays both sides under the same seeds and says where they differ; tells whether every rule was kept.
+/// Runs both sides with the same seeds and prints the differences. Returns whether no rule was broken.
 fn compare(
     first: &Path,
     second: &Path,
@@ -227,7 +227,7 @@
         |_| {
             let played = played.fetch_add(1, Ordering::Relaxed) + 1;
             if live {
-                eprint!("\r{played} of {seeds} pairs played");
+                eprint!("\r{played} of {seeds} pairs finished");
             }
         },
     );
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -1,4 +1,4 @@
-//! What a run came to.
+//! Results of a run.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -6,27 +6,27 @@
 use crate::scenario::Scenario;
 use crate::{Nanos, SECOND};
 
-/// Counts of one class or account.
+/// Service counts of one class or account.
 #[derive(Clone, Debug)]
 pub struct ServiceCounts {
-    /// Its name.
+    /// Name of the class or account.
     pub name: String,
-    /// Clients that wanted a connection.
+    /// Clients that requested a connection.
     pub wanted: u64,
-    /// Those that had it within the aim, from their first try on.
+    /// Clients connected within the latency objective, measured from their first try.
     pub in_time: u64,
-    /// Those that had it later.
+    /// Clients connected after the latency objective.
     pub late: u64,
-    /// Those that gave up.
+    /// Clients that gave up.
     pub gave_up: u64,
-    /// Time from the first try to the connection, in microseconds.
+    /// Time from the first try to the established connection, in microseconds.
     pub took: Histogram<u64>,
 }
 
 impl ServiceCounts {
-    /// Nothing yet.
+    /// Counts of 0 under a name.
     pub fn new(name: &str) -> ServiceCounts {
-        let took = Histogram::new(3).expect("three digits");
+        let took = Histogram::new(3).expect("3 significant digits are supported");
         ServiceCounts {
             name: name.to_owned(),
             wanted: 0,
@@ -37,113 +37,113 @@
         }
     }
 
-    /// Part of those that wanted a connection that had it in time.
+    /// Fraction of the requesting clients that were connected in time.
     pub fn fraction_in_time(&self) -> f64 {
         self.in_time as f64 / self.wanted.max(1) as f64
     }
 }
 
-/// One second of a run.
+/// Figures of one simulated second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct SecondFigures {
-    /// Clients whose connection came to stand.
+    /// Connections established.
     pub stood: u64,
-    /// Those of them in time.
+    /// Connections established within the latency objective.
     pub in_time: u64,
-    /// Attempts.
+    /// Attempts started.
     pub attempts: u64,
-    /// Requests refused.
+    /// Requests rejected.
     pub refused: u64,
-    /// Requests failed.
+    /// Requests failed after they may have run.
     pub failed: u64,
-    /// Clients moved.
+    /// Clients migrated.
     pub moved: u64,
-    /// Connections reset, dropped or lost with their gateway or balancer.
+    /// Connections reset, dropped, closed for a reconnect, or lost with their gateway or balancer.
     pub cut: u64,
-    /// Connections that stand at its end.
+    /// Established connections at the end of the second.
     pub standing: u64,
-    /// Requests that wait at the balancers' doors at its end.
+    /// Requests in the balancers' admission queues at the end of the second.
     pub waiting: u64,
-    /// Highest load of a gateway over what it can do, at its end.
+    /// Highest ratio of load to capacity of a gateway at the end of the second.
     pub highest_load: f64,
-    /// Part of the messages of what stands that are answered in time, at its end.
+    /// Fraction of the messages on established connections that are answered in time, at the end of the second.
     pub messages_in_time: f64,
 }
 
-/// All of a run.
+/// All results of a run.
 #[derive(Clone, Debug)]
 pub struct Measures {
-    /// By class.
+    /// Counts by class, in scenario order.
     pub classes: Vec<ServiceCounts>,
-    /// By account.
+    /// Counts by account, in scenario order; a single entry `all` if the scenario names none.
     pub accounts: Vec<ServiceCounts>,
-    /// By second.
+    /// Figures by simulated second.
     pub seconds: Vec<SecondFigures>,
-    /// Events that the engine played.
+    /// Events that the engine processed.
     pub events: u64,
-    /// What became of the fleet through failures.
+    /// Figures of the fleet during failures.
     pub fleet: FleetFigures,
 }
 
-/// What became of the fleet through failures.
+/// Figures of the fleet during failures.
 #[derive(Clone, Debug, Default)]
 pub struct FleetFigures {
-    /// Cold gateways that fell over.
+    /// Cold gateways that crashed from overload.
     pub fallen: u64,
-    /// Most that a cold one was sent, over what makes it fall.
+    /// Highest number of set-ups sent to a cold gateway within the overload window, relative to the number that makes it
+    /// crash.
     pub most_sent: f64,
-    /// The latest loss of power.
+    /// The latest power loss, if there was one.
     pub power: Option<PowerLossFigures>,
-    /// Clients that returned and whose gateway stood and was theirs by the newest configuration; those of them that got
-    /// it.
+    /// Reconnected clients whose previous gateway was still available and in the newest configuration.
     pub owed: u64,
-    /// See the one before.
+    /// Clients of `owed` that got their previous gateway back.
     pub landed: u64,
-    /// The zone whose uplink is lost, and from when to when.
+    /// The zone whose uplink fails, and the start and end of the failure.
     pub island: Option<(u32, Nanos, Nanos)>,
-    /// Its clients that wanted a connection meanwhile, and those that had it in time.
+    /// Clients of that zone that requested a connection during the failure.
     pub island_wanted: u64,
-    /// See the one before.
+    /// Clients of `island_wanted` that were connected in time.
     pub island_served: u64,
-    /// How long each of them took.
+    /// Connection times of the clients of `island_wanted` that were connected.
     pub island_took: Vec<Nanos>,
-    /// Questions beyond the lost link.
+    /// Probes that were lost on the failed uplink.
     pub probes: u64,
-    /// When each balancer had merged what both sides know.
+    /// When each balancer merged its state after an isolation.
     pub merges: Vec<Nanos>,
-    /// Clients that the decisions moved to even gateways out, or since one was cold.
+    /// Clients that the policy engine migrated for rebalancing or slow start.
     pub evened: u64,
-    /// Clients that were dealt anew since a new configuration has them there no longer.
+    /// Clients that were migrated because a new configuration no longer contains their gateway.
     pub redealt: u64,
 }
 
-/// A loss of power, and the way back.
+/// A power loss and the recovery from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PowerLossFigures {
-    /// Worth that stood before.
+    /// Total worth of the connections before the loss.
     pub worth: f64,
-    /// Clients that stood before.
+    /// Connected clients before the loss.
     pub clients: f64,
-    /// When the power was back.
+    /// When power was restored; `None` until then.
     pub back_at: Option<Nanos>,
-    /// The time until 99% of the former worth stood again.
+    /// Time from the restoration until 99% of the former worth was connected again.
     pub took: Option<Nanos>,
-    /// The time that a refill takes which sees all and goes to the limit of the rule on cold gateways.
+    /// Time of an ideal refill, which has complete information and uses the overload limit of cold gateways in full.
     pub ideal_refill_time: Nanos,
 }
 
 impl PowerLossFigures {
-    /// The time until 99% of the former worth stood again, over that of a refill that sees all; nothing if it never did.
+    /// Recovery time relative to the ideal refill; `None` if 99% of the former worth was never reached.
     pub fn ratio(&self) -> Option<f64> {
         Some(self.took? as f64 / self.ideal_refill_time.max(1) as f64)
     }
 }
 
-/// Part of the former worth that counts as all of it.
+/// Fraction of the former worth at which the fleet counts as recovered.
 const RECOVERED_FRACTION: f64 = 0.99;
 
 impl FleetFigures {
-    /// Power is lost, while so much stands.
+    /// Records a power loss with the worth and number of the clients connected before it.
     pub fn record_power_loss(&mut self, worth: f64, clients: f64) {
         self.power = Some(PowerLossFigures {
             worth,
@@ -152,19 +152,19 @@
         });
     }
 
-    /// Clients that stood before.
+    /// Connected clients before the latest power loss; 0 if there was none.
     pub fn clients_before_power_loss(&self) -> f64 {
         self.power.map_or(0.0, |power| power.clients)
     }
 
-    /// Power is back; a refill that sees all takes so long.
+    /// Records that power is back, and the time of an ideal refill.
     pub fn record_power_restored(&mut self, now: Nanos, ideal_refill_time: Nanos) {
         if let Some(power) = &mut self.power {
             (power.back_at, power.ideal_refill_time) = (Some(now), ideal_refill_time);
         }
     }
 
-    /// So much worth stands.
+    /// Records the worth that is connected at present, which ends the recovery time once it suffices.
     pub fn record_established_worth(&mut self, now: Nanos, worth: f64) {
         if let Some(power) = &mut self.power
             && power.took.is_none()
@@ -177,7 +177,7 @@
 }
 
 impl Measures {
-    /// Of a run that has not begun: its classes, and its accounts or one for all.
+    /// Empty results for the classes and accounts of a scenario.
     pub fn new(scenario: &Scenario) -> Measures {
         let classes = scenario
             .classes
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The second that a moment lies in.
+    /// Figures of the second that contains a virtual time, created if needed.
     pub fn second_at(&mut self, now: Nanos) -> &mut SecondFigures {
         let second = (now / SECOND) as usize;
         if self.seconds.len() <= second {
@@ -209,72 +209,72 @@
         &mut self.seconds[second]
     }
 
-    /// A sum over all seconds.
+    /// Sum of a figure over all seconds.
     pub fn sum(&self, of: impl Fn(&SecondFigures) -> u64) -> u64 {
         self.seconds.iter().map(of).sum()
     }
 }
 
-/// A result as it is saved.
+/// The saved form of a result.
 #[derive(Debug, Serialize)]
 pub struct Saved {
-    /// Which form this is.
+    /// Name and version of this format.
     pub schema: &'static str,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// By class and by account: name, wanted, in time, late, gave up, and set-up percentiles in milliseconds.
+    /// Counts and set-up percentiles by class.
     pub classes: Vec<SavedServiceCounts>,
-    /// The same by account.
+    /// Counts and set-up percentiles by account.
     pub accounts: Vec<SavedServiceCounts>,
-    /// By second.
+    /// Figures by simulated second.
     pub seconds: Vec<SecondFigures>,
-    /// Rules that were broken.
+    /// The recorded rule violations, one text each.
     pub broken: Vec<String>,
-    /// Events that the engine played.
+    /// Events that the engine processed.
     pub events: u64,
-    /// What became of the fleet through failures, where there is something to tell.
+    /// Figures of the fleet during failures; absent if the scenario yields none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<SavedFleet>,
 }
 
-/// [`FleetFigures`] as it is saved.
+/// The saved form of [`FleetFigures`].
 #[derive(Debug, Serialize)]
 pub struct SavedFleet {
-    /// Cold gateways that fell over.
+    /// Cold gateways that crashed from overload.
     pub fallen: u64,
-    /// Most that a cold one was sent, over what makes it fall.
+    /// Highest number of set-ups sent to a cold gateway within the overload window, relative to the number that makes it
+    /// crash.
     pub most_sent: f64,
-    /// After a loss of power: seconds until 99% of the former worth stood again, and that over a refill that sees all.
+    /// Seconds from the end of a power loss until 99% of the former worth was connected again.
     pub power_took_s: Option<f64>,
-    /// See the one before.
+    /// The same time relative to an ideal refill.
     pub power_ratio: Option<f64>,
-    /// Clients that returned while their gateway stood, and the part of them that got it.
+    /// Reconnected clients whose previous gateway was still available.
     pub owed: u64,
-    /// See the one before.
+    /// Fraction of `owed` that got their previous gateway back.
     pub landed: f64,
-    /// Of the clients of a zone whose uplink was lost: how many wanted a connection meanwhile, the part that had it in
-    /// time, and the 99th percentile in milliseconds.
+    /// Clients of the zone with the failed uplink that requested a connection during the failure.
     pub island_wanted: u64,
-    /// See the one before.
+    /// Fraction of `island_wanted` that was connected in time.
     pub island_served: f64,
-    /// See the one before.
+    /// 99th percentile of their connection times, in milliseconds.
     pub island_p99_ms: f64,
-    /// Questions beyond the lost link.
+    /// Probes that were lost on the failed uplink.
     pub probes: u64,
-    /// Balancers that merged, the seconds from the link's return to the first, and from the first to the last of them.
+    /// Number of merges after the isolation, one per balancer.
     pub merged: usize,
-    /// See the one before.
+    /// Seconds from the return of the uplink to the first merge.
     pub merge_first_s: f64,
-    /// See the one before.
+    /// Seconds from the first merge to the last.
     pub merge_span_s: f64,
-    /// Clients that were moved to even gateways out.
+    /// Clients that the policy engine migrated for rebalancing or slow start.
     pub evened: u64,
-    /// Clients that were dealt anew.
+    /// Clients that were migrated because a new configuration no longer contains their gateway.
     pub redealt: u64,
 }
 
 impl FleetFigures {
-    /// As it is saved, if there is something to tell.
+    /// The saved form; `None` unless the scenario reports fleet figures, lost power or sent set-ups to cold gateways.
     pub fn saved(&self, has_fleet_figures: bool) -> Option<SavedFleet> {
         let power = self.power;
         let until = self.island.map_or(0, |(.., until)| until);
@@ -315,22 +315,22 @@
         .unwrap_or(0)
 }
 
-/// [`Served`] as it is saved.
+/// The saved form of [`ServiceCounts`].
 #[derive(Debug, Serialize)]
 pub struct SavedServiceCounts {
-    /// Its name.
+    /// Name of the class or account.
     pub name: String,
-    /// Clients that wanted a connection.
+    /// Clients that requested a connection.
     pub wanted: u64,
-    /// Those that had it within the aim.
+    /// Clients connected within the latency objective.
     pub in_time: u64,
-    /// Those that had it later.
+    /// Clients connected after the latency objective.
     pub late: u64,
-    /// Those that gave up.
+    /// Clients that gave up.
     pub gave_up: u64,
-    /// Set-up, median, in milliseconds.
+    /// Median time to connect, in milliseconds.
     pub p50_ms: f64,
-    /// The same, 99th percentile.
+    /// 99th percentile of the time to connect, in milliseconds.
     pub p99_ms: f64,
 }
 
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -1,5 +1,5 @@
-//! How the balancers of a run talk to each other: the real nodes of `peers/` with the real knowledge in them. The engine
-//! carries their datagrams.
+//! Gossip between the balancers of a run: the production membership nodes with the production fact stores. The engine
+//! delivers their datagrams.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,43 +15,43 @@
 
 use crate::Nanos;
 
-/// Wall time at the start of each run.
+/// Wall clock at the start of each run, in Unix milliseconds.
 pub const START_WALL_CLOCK_MS: Millis = 1_800_000_000_000;
-/// Bytes that a balancer's own word takes in a datagram.
+/// Bytes that a balancer's own status takes in a datagram.
 const STATUS_BYTES: usize = 200;
-/// Bytes of facts that only hosts read.
+/// Limit on the bytes of facts whose kinds only the simulated hosts read.
 const MAX_UNKNOWN_FACT_BYTES: usize = 256 << 20;
-/// Ports of the balancers, which are all at one address.
+/// Port of balancer 0; all balancers share one IP address and count up from this port.
 const FIRST_PORT: u16 = 10_000;
 
-/// What a balancer says of itself. It travels by number, and takes as many bytes as it would.
+/// The status that a balancer gossips. A datagram carries its index, padded to the size of the encoded status.
 #[derive(Clone, Debug)]
 pub struct StatusMessage {
-    /// Where it is on its way from dark to serving.
+    /// Progress of its recovery towards full service.
     pub peer_status: PeerStatus,
-    /// What it sees of its zone's uplink.
+    /// What it observes of its zone's uplink; `None` if it does not judge it.
     pub uplink_report: Option<UplinkReport>,
 }
 
-/// All that was said in a run, by number.
+/// All status messages published in a run, by index; shared by the nodes.
 pub type StatusMessages = Rc<RefCell<Vec<Rc<StatusMessage>>>>;
 
-/// What a node carries.
+/// Gossip payload of a balancer's membership node.
 pub struct GossipPayload {
-    /// What the balancer knows.
+    /// Facts known to the balancer.
     pub fact_store: FactStore,
     status_messages: StatusMessages,
     current_status: Option<u32>,
-    /// What came, for the host to read.
+    /// Status messages received since the host last took them.
     pub received_statuses: Vec<Rc<StatusMessage>>,
-    /// What became known, for the host to read.
+    /// Fact changes merged from peers since the host last took them.
     pub fact_changes: Vec<FactChange>,
-    /// Who was last heard from each site, and when.
+    /// For each site the peer that was last heard from, and the wall clock time of it.
     pub last_seen: BTreeMap<String, (String, Millis)>,
 }
 
 impl GossipPayload {
-    /// The balancer says this of itself from now on.
+    /// Replaces the status that the balancer gossips.
     pub fn publish_status(&mut self, status: StatusMessage) {
         let mut status_messages = self.status_messages.borrow_mut();
         self.current_status = Some(status_messages.len() as u32);
@@ -125,27 +125,28 @@
     }
 }
 
-/// A balancer's name.
+/// Node name of a balancer.
 pub fn balancer_name(rank: u32) -> String {
     format!("b{rank}")
 }
 
-/// The balancer of that name, if it is one's.
+/// Rank of the balancer with this name; `None` if the name is not a balancer's.
 pub fn rank_from_name(name: &str) -> Option<u32> {
     name.strip_prefix('b')?.parse().ok()
 }
 
-/// A balancer's address.
+/// Gossip address of a balancer.
 pub fn balancer_address(rank: u32) -> SocketAddr {
     ([127, 0, 0, 1], FIRST_PORT + rank as u16).into()
 }
 
-/// The balancer at an address.
+/// Rank of the balancer at an address.
 pub fn rank_from_address(address: SocketAddr) -> u32 {
     u32::from(address.port().saturating_sub(FIRST_PORT))
 }
 
-/// Who one of so many balancers is that starts now, under that boot number. It asks its neighbours first.
+/// Membership profile of a balancer that starts now with this incarnation. Its seeds are the next two ranks and those a
+/// third and a half of the fleet further on.
 pub fn node_profile(
     rank: u32,
     balancer_count: u32,
@@ -167,7 +168,7 @@
     }
 }
 
-/// What its node carries.
+/// Gossip payload of a balancer that starts with no facts.
 pub fn gossip_payload(
     rank: u32,
     incarnation: u64,
@@ -193,7 +194,7 @@
     }
 }
 
-/// Its node.
+/// Membership node of a balancer that starts now with this incarnation.
 pub fn new_node(
     rank: u32,
     balancer_count: u32,
@@ -202,15 +203,16 @@
     status_messages: &StatusMessages,
     seed: u64,
 ) -> Node<GossipPayload> {
-    let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("as long as a key has to be"));
+    let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("the key has the minimum length"));
     let (profile, payload) = (
         node_profile(rank, balancer_count, incarnation, site, seed),
         gossip_payload(rank, incarnation, status_messages),
     );
-    Node::new(profile, keys, Settings::default(), payload).expect("a profile without faults")
+    Node::new(profile, keys, Settings::default(), payload)
+        .expect("the profile and settings are valid")
 }
 
-/// Unix time in milliseconds at a moment of the run.
+/// Wall clock in Unix milliseconds at a virtual time.
 pub fn wall_clock_ms(now: Nanos) -> Millis {
     START_WALL_CLOCK_MS + now / 1_000_000
 }
--- a/crates/simulator/src/policies.rs
+++ b/crates/simulator/src/policies.rs
@@ -1,4 +1,5 @@
-//! Who decides in a run: beaconflow's module with its door, or one of the plain policies that others use, as a baseline.
+//! Balancing policies of a run: beaconflow's decision module with its admission queue, or a common simple policy as a
+//! baseline.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,17 +15,17 @@
 use crate::Nanos;
 use crate::random::RandomSource;
 
-/// A policy by name.
+/// A balancing policy, selected by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// The decision module and the door.
+    /// Beaconflow's decision module and admission queue.
     #[default]
     Beaconflow,
-    /// The ready gateways in turn.
+    /// The ready gateways in rotation.
     RoundRobin,
-    /// The one with the fewest connections of this balancer.
+    /// The gateway with the fewest connections from this balancer.
     LeastConnections,
-    /// The one with fewer of two that are drawn.
+    /// Of two random gateways the one with fewer connections from this balancer.
     RandomOfTwo,
 }
 
@@ -43,7 +44,12 @@
             .iter()
             .find(|(name, _)| *name == text)
             .map(|(_, policy)| *policy);
-        known.ok_or_else(|| format!("one of {}", NAMES.map(|(name, _)| name).join(", ")))
+        known.ok_or_else(|| {
+            format!(
+                "unknown policy; expected one of {}",
+                NAMES.map(|(name, _)| name).join(", ")
+            )
+        })
     }
 }
 
@@ -58,7 +64,7 @@
 }
 
 impl Policy {
-    /// A balancer that decides by it. The settings have been checked.
+    /// Creates a balancer engine with this policy. The settings have been validated.
     pub fn balancer(
         self,
         settings: Settings,
@@ -68,14 +74,14 @@
         match self {
             Policy::Beaconflow => {
                 let instance = Engine::new(settings, shares, Limits::default(), seed);
-                Box::new(instance.expect("settings of a scenario that was checked"))
+                Box::new(instance.expect("the scenario was validated"))
             }
             kind => Box::new(BaselinePolicy::new(kind, settings, seed)),
         }
     }
 }
 
-/// What a plain policy knows of a request.
+/// A request that a baseline policy is handling.
 struct OpenRequest {
     class: usize,
     deadline_at: Nanos,
@@ -84,8 +90,8 @@
     may_have_run: bool,
 }
 
-/// A plain policy: it picks among the ready gateways, repeats at once elsewhere while attempts and time are left, and
-/// moves nobody.
+/// A baseline policy: it picks among the ready gateways, retries at once while attempts and time are left, and never
+/// migrates connections.
 struct BaselinePolicy {
     kind: Policy,
     settings: Settings,
@@ -123,7 +129,7 @@
         }
         Some(match self.kind {
             Policy::LeastConnections => {
-                // From its own place on, so that equal ones are not always the first.
+                // Starts at a rotating index, so that ties do not always go to the first gateway.
                 self.next_index = (self.next_index + 1) % count;
                 let places = (0..count).map(|at| self.ready[(self.next_index + at) % count]);
                 places.min_by_key(|server| self.connections(*server))?
@@ -172,7 +178,7 @@
             });
         };
         *self.connections.entry(server.0).or_insert(0) += 1;
-        let one = self.open.get_mut(&request.0).expect("it is open");
+        let one = self.open.get_mut(&request.0).expect("the request is open");
         one.attempts += 1;
         one.at = Some(server);
         out.push(Action::StartAttempt {
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a scenario's file says, and everything that is wrong with it, each with its line.
+//! Scenario files: their format, and their validation with line numbers.
 
 mod failure;
 mod fleet;
@@ -19,43 +19,43 @@
 pub use failure::{Failure, LinkDirection, Selection};
 pub use fleet::Fleet;
 
-/// A scenario. Spans are in seconds unless a name says otherwise.
+/// A scenario. Durations are in seconds unless the name says otherwise.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Everything that is by chance is drawn from this.
+    /// Seed of all random draws.
     #[serde(default)]
     pub seed: u64,
-    /// How long clients come.
+    /// How long new clients arrive.
     pub seconds: f64,
-    /// Balancers that share nothing.
+    /// Number of balancers; they share nothing unless `fleet` says so.
     pub balancers: u32,
-    /// Gateways, all of one make.
+    /// Number of gateways, all with the same parameters.
     pub gateways: u32,
-    /// What they are made of.
+    /// Parameters of the gateways.
     #[serde(default)]
     pub make: GatewayModel,
-    /// Zones; gateways and balancers are dealt to them in turn.
+    /// Number of zones; gateways and balancers are assigned to them in rotation.
     #[serde(default = "one")]
     pub zones: u32,
-    /// The shared session store, if set-ups call one.
+    /// The shared session store, if connection set-ups use one.
     pub store: Option<Store>,
-    /// The network.
+    /// Network delays.
     #[serde(default)]
     pub net: Net,
-    /// Classes of clients.
+    /// Request classes of the clients.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Accounts; one if none is named.
+    /// Accounts; a single one for all clients if none is named.
     #[serde(default, rename = "account")]
     pub accounts: Vec<Account>,
-    /// How clients behave.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: Clients,
-    /// What the balancers know together, and what they do with it.
+    /// Features by which the balancers cooperate.
     #[serde(default)]
     pub fleet: Fleet,
-    /// What goes wrong.
+    /// Failures in the order of the file.
     #[serde(default, rename = "failure")]
     pub failures: Vec<Spanned<Failure>>,
 }
@@ -64,17 +64,17 @@
     1
 }
 
-/// The shared store.
+/// The shared session store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Calls that it works on at once.
+    /// Maximum number of concurrent calls.
     pub at_once: usize,
-    /// How long one takes on average, in milliseconds.
+    /// Mean duration of a call, in milliseconds.
     pub mean_ms: f64,
 }
 
-/// The network: one way, in milliseconds.
+/// Mean one-way network delays, in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Net {
@@ -82,7 +82,7 @@
     pub client_ms: f64,
     /// Between balancer and gateway.
     pub gateway_ms: f64,
-    /// Discovery's word reaches a balancer after this on average.
+    /// Between a change in discovery and its arrival at a balancer.
     pub discovery_ms: f64,
 }
 
@@ -96,35 +96,35 @@
     }
 }
 
-/// A class of clients.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name, as shown in results and errors.
     pub name: String,
-    /// Wanted time to a standing connection, in milliseconds.
+    /// Latency objective for establishing a connection, in milliseconds.
     pub aim_ms: f64,
-    /// Whole time that a client waits for one answer, in milliseconds.
+    /// Deadline of a request, in milliseconds.
     pub deadline_ms: f64,
-    /// Wanted time of a message, in milliseconds.
+    /// Latency objective of a message, in milliseconds.
     #[serde(default = "default_message_aim_ms")]
     pub message_aim_ms: f64,
-    /// Worth of one connection.
+    /// Worth of one connection, used as the priority weight of the class.
     #[serde(default = "default_worth")]
     pub worth: f64,
-    /// New clients a second, over all balancers.
+    /// New clients per second, over all balancers.
     pub a_second: f64,
-    /// Connections that stand at the start, over all balancers.
+    /// Connections that exist at the start, over all balancers.
     #[serde(default)]
     pub standing: u32,
-    /// How long a connection lasts on average.
+    /// Mean lifetime of a connection, in seconds.
     pub life_s: f64,
-    /// Work of one connection on average, in microseconds a second.
+    /// Mean work of one connection, in microseconds per second.
     pub load_us: f64,
-    /// How uneven that is: sigma of the logarithm.
+    /// Spread of that work: standard deviation of its logarithm.
     #[serde(default)]
     pub load_sigma: f64,
-    /// A connection's load changes after this long on average; never, if 0.
+    /// Mean time between load changes of a connection, in seconds; 0 for none.
     #[serde(default)]
     pub changes_s: f64,
 }
@@ -137,31 +137,31 @@
     1.0
 }
 
-/// An account.
+/// An account that clients belong to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Its name.
+    /// Name, as shown in results and errors.
     pub name: String,
-    /// Its share of the service.
+    /// Its share of the service under contention.
     pub share: f64,
-    /// Its part of the clients that come, against the others'.
+    /// Its weight in the distribution of arriving clients over the accounts.
     pub part: f64,
 }
 
-/// How clients behave.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Groups that share work; none if 0.
+    /// Number of groups whose members share work on a gateway; 0 for none.
     pub groups: u32,
-    /// What one does that was refused, failed or cut off.
+    /// What a client does after a rejection, a failure or a lost connection.
     pub habit: RetryHabit,
-    /// The wait of those who wait, at first; it doubles up to 32 times that, by full jitter.
+    /// Base retry delay in milliseconds; it doubles with each try up to 32 times the base, with full jitter.
     pub wait_ms: f64,
-    /// A client that was told to move is back after this on average.
+    /// Mean delay before a migrated or disconnected client reconnects, in milliseconds.
     pub move_ms: f64,
-    /// Tries after which a client gives up.
+    /// Number of tries after which a client gives up.
     pub tries: u32,
 }
 
@@ -177,21 +177,21 @@
     }
 }
 
-/// A client's habit when it was refused, failed or cut off.
+/// What a client does after a rejection, a failure or a lost connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryHabit {
-    /// It does not come again.
+    /// It does not retry.
     None,
-    /// It comes again at once, whatever it was told.
+    /// It retries at once and ignores the retry delay it was given.
     AtOnce,
-    /// It comes at the told time, else after a wait of its own.
+    /// It retries after the delay it was given, or after its own backoff if it was given none.
     Waits,
-    /// It takes no notice of the told time, and comes after a wait of its own.
+    /// It ignores the delay it was given and retries after its own backoff.
     IgnoresTheTime,
 }
 
-/// Everything that is wrong with a file.
+/// Everything that is wrong with a scenario, one text per error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError(pub Vec<String>);
 
@@ -204,7 +204,7 @@
 impl std::error::Error for ScenarioError {}
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses and validates a scenario. Errors start with the line or the key they refer to.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let line =
             |span: &Range<usize>| 1 + text[..span.start.min(text.len())].matches('\n').count();
@@ -304,7 +304,7 @@
         errors
     }
 
-    /// What a balancer's module is told of this site.
+    /// Settings of a balancer's policy engine.
     pub fn settings(&self, rank: u32) -> Settings {
         let class = |class: &Class| PolicyClass {
             latency_objective: nanos(class.aim_ms / 1e3),
@@ -338,15 +338,16 @@
         }
     }
 
-    /// How long clients come.
+    /// How long new clients arrive.
     pub fn arrivals_duration(&self) -> Nanos {
         nanos(self.seconds)
     }
 }
 
-/// The rule on cold gateways: times what one bears that tip it over, and for how long, in seconds.
+/// A cold gateway is overloaded when it receives more than this multiple of the clients per second it can take, over
+/// [`COLD_OVERLOAD_WINDOW_S`].
 pub const COLD_OVERLOAD_MULTIPLE: f64 = 3.0;
-/// See [`TIP_MULTIPLE`].
+/// Window of [`COLD_OVERLOAD_MULTIPLE`], in seconds.
 pub const COLD_OVERLOAD_WINDOW_S: f64 = 1.5;
-/// Attempts for one request at most.
+/// Maximum number of attempts per request.
 pub const MAX_ATTEMPTS: u32 = 6;
--- a/crates/simulator/src/scenario/failure.rs
+++ b/crates/simulator/src/scenario/failure.rs
@@ -1,164 +1,165 @@
-//! What may go wrong, and what is wrong with how a file says it.
+//! The failures that a scenario may contain, and their validation.
 
 use serde::Deserialize;
 
 use super::Scenario;
 
-/// Something that goes wrong.
+/// A failure during a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Failure {
-    /// Gateways take work and answer nothing.
+    /// Gateways accept work and do not answer.
     Hang {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
-        /// Which, by number from 0.
+        /// The affected gateways, by number from 0.
         gateways: Vec<u32>,
     },
-    /// Gateways are gone at once and come back cold.
+    /// Gateways stop without warning and restart cold.
     Crash {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// They start again after this.
+        /// Time until they restart, in seconds.
         for_s: f64,
-        /// Which, by number from 0.
+        /// The affected gateways, by number from 0.
         gateways: Vec<u32>,
     },
-    /// Gateways are listed as draining, are gone after a while, and come back cold.
+    /// Gateways are listed as draining, stop after a while, and restart cold.
     Drain {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// They are gone this long after.
+        /// Time until they stop, in seconds.
         gone_after_s: f64,
-        /// They start again this long after they are gone.
+        /// Time from the stop until they restart, in seconds.
         for_s: f64,
-        /// Which, by number from 0.
+        /// The affected gateways, by number from 0.
         gateways: Vec<u32>,
     },
-    /// The network resets connections, by chance, on all gateways alike.
+    /// The network resets random connections on all gateways alike.
     Resets {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
-        /// Part of what stands that is reset each second.
+        /// Fraction of the established connections that is reset each second.
         part_a_second: f64,
-        /// Part of the set-ups that are reset.
+        /// Fraction of the connection set-ups that is reset.
         #[serde(default)]
         set_ups: f64,
     },
-    /// The store answers nothing.
+    /// The session store does not answer.
     StoreStalled {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// A balancer is killed, and starts again with its last list.
+    /// A balancer is killed and restarts, with the server list from its disk if it has recovery.
     BalancerKilled {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// It starts again after this.
+        /// Time until it restarts, in seconds.
         for_s: f64,
-        /// Which, by number from 0.
+        /// The affected balancer, by number from 0.
         balancer: u32,
     },
-    /// Discovery tells nothing.
+    /// Discovery is unavailable.
     DiscoveryAway {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
     },
-    /// Clients drop their connections and come again.
+    /// Clients lose or close their connections and reconnect.
     Reconnect {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// Within this.
+        /// Time over which the reconnects are spread, in seconds.
         within_s: f64,
-        /// Part of what stands.
+        /// Fraction of the established connections.
         part: f64,
-        /// They end them themselves; otherwise the connections break.
+        /// Whether the clients close the connections; otherwise the connections break.
         #[serde(default)]
         by_client: bool,
     },
-    /// Power is lost: balancers and gateways are gone at once, and start again together.
+    /// Power is lost: balancers and gateways stop at once and restart together.
     PowerLoss {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// It is back after this.
+        /// Time until power is back, in seconds.
         for_s: f64,
-        /// Which balancers.
+        /// The balancers that lose power.
         #[serde(default)]
         balancers: Selection,
-        /// Which gateways; they come back cold.
+        /// The gateways that lose power; they restart cold.
         #[serde(default)]
         gateways: Selection,
-        /// Which balancers have lost what was on their disks.
+        /// The balancers that lose the contents of their disks.
         #[serde(default)]
         disks_lost: Selection,
     },
-    /// A new configuration is rolled over the balancers in steps, each at its time.
+    /// A new configuration is rolled out over the balancers one after the other.
     ConfigRoll {
-        /// When the first balancer takes it over.
+        /// When the first balancer adopts it, in seconds from the start of the run.
         at_s: f64,
-        /// Each further one takes it over so long after the one before.
+        /// Time between one balancer's adoption and the next, in seconds.
         step_s: f64,
-        /// Gateways and their new weights, as parts of what they had.
+        /// Gateways and their new weights, relative to their default weights.
         #[serde(default)]
         weights: Vec<(u32, f64)>,
-        /// Gateways that were not in the configuration before.
+        /// Gateways that the previous configuration did not contain.
         #[serde(default)]
         added: Vec<u32>,
-        /// Gateways that are in it no longer; they go on to stand.
+        /// Gateways that the configuration no longer contains; they keep running.
         #[serde(default)]
         removed: Vec<u32>,
-        /// Gateways that have another name from now on.
+        /// Gateways that get a new name.
         #[serde(default)]
         renamed: Vec<u32>,
     },
-    /// A zone's way to discovery, which is in zone 0, and to all other zones is lost. From then on each zone's clients
-    /// come to its own balancers.
+    /// The uplink of a zone fails: its connection to discovery, which is in zone 0, and to all other zones. In a scenario
+    /// with this failure the clients of each zone connect to the balancers of their own zone.
     UplinkLost {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
-        /// Which zone, from 1.
+        /// The zone, from 1; discovery's zone 0 cannot be chosen.
         zone: u32,
-        /// Which way is lost; with none the same span is counted and nothing is lost.
+        /// The direction that is lost. With `none` nothing is lost, but the same figures are counted over the same time, as a
+        /// baseline.
         #[serde(default)]
         way: LinkDirection,
-        /// It is lost for so long and back for so long, in turn; always, if 0.
+        /// The uplink alternates between down and up with this half-period, in seconds; 0 keeps it down.
         #[serde(default)]
         flap_s: f64,
     },
-    /// The peers' talk is cut between some balancers and the others.
+    /// The gossip between some balancers and the others is partitioned.
     PeersCut {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long.
+        /// Duration, in seconds.
         for_s: f64,
-        /// Which balancers.
+        /// The balancers on one side of the partition.
         balancers: Selection,
     },
-    /// Clients of one account come at once, and again whatever they are told.
+    /// Clients of one account arrive at once and retry at once whatever retry delay they are given.
     Flood {
-        /// When, from the start.
+        /// Start of the failure, in seconds from the start of the run.
         at_s: f64,
-        /// For how long they come.
+        /// How long they keep retrying, in seconds.
         for_s: f64,
-        /// How many clients.
+        /// Number of clients.
         clients: u32,
-        /// Which account, by name.
+        /// Name of the account.
         account: String,
     },
 }
 
 impl Failure {
-    /// When it begins, in seconds.
+    /// Start of the failure, in seconds from the start of the run.
     pub fn at_s(&self) -> f64 {
         match self {
             Failure::Hang { at_s, .. }
@@ -178,28 +179,28 @@
     }
 }
 
-/// Which way of a link is lost.
+/// The direction of an uplink that is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkDirection {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
-    /// What the zone sends.
+    /// Traffic from the zone.
     Out,
-    /// What is sent to it.
+    /// Traffic to the zone.
     In,
-    /// None.
+    /// Neither direction.
     None,
 }
 
-/// Some of the balancers or gateways.
+/// A selection of balancers or gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(untagged)]
 pub enum Selection {
-    /// These, by number from 0.
+    /// The listed ones, by number from 0.
     Indices(Vec<u32>),
-    /// A word: `all`.
+    /// A keyword; only `all` is valid.
     Keyword(String),
 }
 
@@ -210,12 +211,12 @@
 }
 
 impl Selection {
-    /// Whether it is none.
+    /// Whether nothing is selected.
     pub fn is_none(&self) -> bool {
         matches!(self, Selection::Indices(these) if these.is_empty())
     }
 
-    /// Their numbers, of so many.
+    /// The selected numbers, out of `count`. Every keyword counts as `all`, since validation rejects others.
     pub fn of(&self, count: u32) -> Vec<u32> {
         match self {
             Selection::Indices(these) => these.clone(),
@@ -238,7 +239,7 @@
 }
 
 impl Scenario {
-    /// What a failure names that there is not.
+    /// Errors in a failure: missing references and values out of range.
     pub(super) fn failure_validation_errors(&self, failure: &Failure) -> Vec<String> {
         let mut errors = Vec::new();
         if !(failure.at_s() >= 0.0 && failure.at_s() <= self.seconds) {
--- a/crates/simulator/src/scenario/fleet.rs
+++ b/crates/simulator/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! What the balancers of a scenario know together, and which of the fleet's features they have.
+//! Gossip between the balancers of a scenario, and the features that depend on it.
 
 use std::collections::BTreeSet;
 
@@ -6,28 +6,29 @@
 
 use super::{Failure, Scenario};
 
-/// The fleet. Everything is off unless it is switched on.
+/// Settings of the fleet. Every feature is off by default.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// Part of the peers' datagrams that is lost.
+    /// Fraction of the gossip datagrams that is lost.
     pub lost: f64,
-    /// One way between peers on average, in milliseconds.
+    /// Mean one-way delay between balancers, in milliseconds.
     pub delay_ms: f64,
-    /// Balancers come back from darkness by turns, at the pace that the cold gateways bear.
+    /// Restarted balancers admit clients in stages, at the pace that cold gateways can take.
     pub recovery: bool,
-    /// Clients that return get the gateway that they had, while configurations change.
+    /// Reconnecting clients get their previous gateway, also across configuration changes.
     pub affinity: bool,
-    /// Each zone judges its uplink, and serves on alone while that is lost.
+    /// Balancers detect failures of their zone's uplink and keep serving their zone on their own.
     pub edge: bool,
-    /// Failed placements are counted over all balancers: how long a refused client stays away goes by all of them.
+    /// Failed placements are counted over all balancers, which extends the retry delay of rejected clients.
     pub shared_n: bool,
-    /// Clients a second that a warm gateway bears, over which the rule on cold ones counts; 0: what stands at the start,
-    /// within the time in which a gateway warms up.
+    /// Clients per second that a warm gateway can take, the base of the overload limit of cold ones. With 0 it is a
+    /// gateway's share of the initial connections divided by its warm-up time.
     pub borne: f64,
-    /// Beyond what the rule allows, a cold gateway bears so many roots of it, and so many set-ups, more.
+    /// Tolerance of a cold gateway above the overload limit: this many times the square root of the limit, plus this many
+    /// set-ups.
     pub slack: f64,
-    /// A cold gateway falls over when it is sent more than the rule allows and what chance adds to it.
+    /// A cold gateway crashes when it receives more than the overload limit and the tolerance.
     pub falls: bool,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl Fleet {
-    /// Whether the balancers talk to each other.
+    /// Whether the balancers gossip, which every feature needs.
     pub fn uses_gossip(&self) -> bool {
         self.recovery || self.affinity || self.shared_n || self.edge
     }
@@ -100,14 +101,14 @@
 }
 
 impl Scenario {
-    /// Whether each zone's clients come to its own balancers: its uplink is to be lost.
+    /// Whether clients connect to the balancers of their own zone, which is so if the scenario has an uplink failure.
     pub fn routes_by_zone(&self) -> bool {
         self.failures
             .iter()
             .any(|failure| matches!(failure.get_ref(), Failure::UplinkLost { .. }))
     }
 
-    /// Whether a run has figures of the fleet to tell.
+    /// Whether the results of a run contain figures of the fleet.
     pub fn reports_fleet_figures(&self) -> bool {
         let is_roll = |failure: &Failure| {
             matches!(
@@ -122,7 +123,7 @@
                 .any(|failure| is_roll(failure.get_ref()))
     }
 
-    /// Clients a second that a warm gateway bears.
+    /// Clients per second that a warm gateway can take.
     pub fn clients_per_warm_gateway_s(&self) -> f64 {
         let stands: u32 = self.classes.iter().map(|class| class.standing).sum();
         let cold_s = self.make.cold_s.max(1.0);
--- a/crates/simulator/src/show.rs
+++ b/crates/simulator/src/show.rs
@@ -1,4 +1,4 @@
-//! What a run and a comparison of runs came to, as tables for people.
+//! Formats the results of a run or a comparison as text tables.
 
 use beaconflow_simulator::compare::{self, Figures};
 use beaconflow_simulator::engine::Engine;
@@ -15,7 +15,8 @@
     table
 }
 
-/// What one run came to. `talks` says whether its balancers talked to each other.
+/// Formats the result of a run. `took` is the wall time of the run in seconds; `has_fleet_figures` says whether the
+/// scenario reports figures of the fleet.
 pub(crate) fn table(engine: &Engine<'_>, took: f64, seed: u64, has_fleet_figures: bool) -> String {
     let measures = &engine.measures;
     let mut text = service_table(measures) + &attempt_totals(measures);
@@ -37,7 +38,7 @@
     text
 }
 
-/// What each class and each account got.
+/// Formats the service counts of each class and account.
 fn service_table(measures: &Measures) -> String {
     let mut table = empty_table(&["", "WANTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
     let mut row = |what: &str, served: &ServiceCounts| {
@@ -68,7 +69,7 @@
     table.trim_fmt()
 }
 
-/// What the servers saw.
+/// Formats totals of attempts, rejections, failures and migrations, and the highest gateway load.
 fn attempt_totals(measures: &Measures) -> String {
     let highest = measures
         .seconds
@@ -85,7 +86,7 @@
     )
 }
 
-/// What the balancers came to together.
+/// Formats the figures of the fleet: affinity, cold overload, uplink failure and power loss.
 fn fleet_section(measures: &Measures, fleet: &SavedFleet) -> String {
     let mut text = format!(
         "returned while their gateway stood {}, got it {:.2}%, dealt anew by a configuration {}, \
@@ -124,7 +125,7 @@
     text
 }
 
-/// Each figure of two scenarios or policies over pairs of runs, as a table and as rows for programs.
+/// Formats the comparison of two scenarios or policies as a text table and as JSON rows.
 pub(crate) fn comparison(pairs: &[[Figures; 2]], seeds: u64) -> (String, Vec<Value>) {
     let mut table = empty_table(&["", "FIRST", "SECOND", "DIFFERENCE", "95% INTERVAL", ""]);
     let mut rows = Vec::new();
@@ -157,7 +158,7 @@
     (table.trim_fmt(), rows)
 }
 
-/// What an interval of the difference shows.
+/// Verdict on the two sides from the confidence interval of their difference.
 fn verdict((low, high): (f64, f64), more_is_better: bool) -> &'static str {
     match (low > 0.0, high < 0.0) {
         (false, false) => "no difference shown",
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -1,11 +1,11 @@
-//! The session store that all gateways share: so many calls at once, the others wait in turn.
+//! The session store shared by all gateways: a limited number of concurrent calls, the others queue in FIFO order.
 
 use std::collections::VecDeque;
 
 use crate::random::RandomSource;
 use crate::{Nanos, nanos};
 
-/// The store. A call is known by its number.
+/// Model of the session store. Calls are identified by number.
 #[derive(Debug)]
 pub struct Store {
     at_once: usize,
@@ -16,7 +16,7 @@
 }
 
 impl Store {
-    /// A store that works on so many calls at once, each for this long on average (exponential).
+    /// A store that runs up to `at_once` calls concurrently; call times are exponential with mean `mean_s`.
     pub fn new(at_once: usize, mean_s: f64) -> Store {
         Store {
             at_once: at_once.max(1),
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Calls a second when it is never idle.
+    /// Throughput in calls per second when the store is saturated.
     pub fn max_calls_per_s(&self) -> f64 {
         self.at_once as f64 / self.mean_s
     }
 
-    /// No call ends before that moment.
+    /// Stalls the store: calls that start from now on end no earlier than `until`.
     pub fn stall(&mut self, until: Nanos) {
         self.stalled_until = self.stalled_until.max(until);
     }
 
-    /// A call comes: when it ends, if it is worked on at once.
+    /// Submits a call. Returns when it ends if it starts at once, or `None` if it is queued.
     pub fn call(&mut self, now: Nanos, call: u64, rng: &mut RandomSource) -> Option<Nanos> {
         if self.busy < self.at_once {
             self.busy += 1;
@@ -47,7 +47,7 @@
         None
     }
 
-    /// A call has ended: the next one that is worked on, and when that ends.
+    /// Completes a call. Returns the queued call that starts next and when that one ends.
     pub fn call_done(&mut self, now: Nanos, rng: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -1,31 +1,31 @@
-//! The configurations that a scenario rolls over its balancers, as `affinity/` reads them.
+//! The configurations that a scenario rolls out over its balancers, in the form that the affinity crate reads.
 
 use beaconflow_affinity::{Routing, Server, Tag, Version, renames};
 use rustc_hash::FxHashMap;
 
 use crate::scenario::{Failure, Scenario};
 
-/// One configuration.
+/// One configuration of the roll-out.
 pub struct RolledConfiguration {
-    /// Its version.
+    /// Content version, as the affinity crate computes it.
     pub version: Version,
-    /// Of each gateway that it has: the tag of its name, and its weight as a part of what it has by nature.
+    /// For each gateway the tag of its name and its weight relative to its default; `None` if it is not configured.
     pub gateways: Vec<Option<(Tag, f64)>>,
-    /// Gateways that have another name than at first.
+    /// For each gateway whether its name differs from its original name.
     pub renamed: Vec<bool>,
-    /// Old name and new, against the one before.
+    /// Old and new name tag of each gateway renamed since the previous configuration.
     pub renames: Vec<(Tag, Tag)>,
 }
 
-/// All configurations of a scenario, the first one first, then that of each roll in the order of the file.
+/// All configurations of a scenario: the initial one, then one per roll in file order.
 pub struct Configurations {
-    /// Them.
+    /// The configurations by index; 0 is the initial one.
     pub all: Vec<RolledConfiguration>,
     gateway: FxHashMap<Tag, u32>,
 }
 
 impl Configurations {
-    /// Those of a scenario.
+    /// Builds the configurations from the `config-roll` failures of a scenario.
     pub fn from_scenario(scenario: &Scenario) -> Configurations {
         let count = scenario.gateways as usize;
         let mut names: Vec<Option<String>> = (0..count).map(|at| Some(format!("g{at}"))).collect();
@@ -76,7 +76,7 @@
         Configurations { all, gateway }
     }
 
-    /// The gateway that has or had a name of that tag.
+    /// The gateway whose current or former name has this tag.
     pub fn gateway(&self, tag: Tag) -> Option<u32> {
         self.gateway.get(&tag).copied()
     }
