--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -92,7 +92,8 @@
 
     /// Records that a balancer restarted and lost what it knew of the gateways.
     pub fn on_balancer_restarted(&mut self, balancer: u32) {
-        self.unready_since.retain(|(of, _), _| *of != balancer);
+        self.unready_since
+            .retain(|(listed_by, _), _| *listed_by != balancer);
     }
 
     /// Checks an attempt that a balancer starts on a gateway.
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -49,8 +49,8 @@
 
 impl Figures {
     /// The figure at an index of [`FIGURES`]; `None` if the run has no such figure.
-    pub fn get(&self, at: usize) -> Option<f64> {
-        match at {
+    pub fn get(&self, index: usize) -> Option<f64> {
+        match index {
             7 => self.power_recovery_ratio,
             _ => Some(
                 [
@@ -61,7 +61,7 @@
                     self.landed,
                     self.moves,
                     self.fallen,
-                ][at],
+                ][index],
             ),
         }
     }
@@ -94,10 +94,10 @@
         moves: measures.sum(|second| second.moved) as f64 / wanted.max(1) as f64,
         fallen: measures.fleet.fallen as f64,
         power_recovery_ratio: measures.fleet.power.map(|power| {
-            let rest = engine.now().saturating_sub(power.back_at.unwrap_or(0));
+            let remaining_time = engine.now().saturating_sub(power.back_at.unwrap_or(0));
             power
                 .ratio()
-                .unwrap_or(rest as f64 / power.ideal_refill_time.max(1) as f64)
+                .unwrap_or(remaining_time as f64 / power.ideal_refill_time.max(1) as f64)
         }),
         violations: engine.checker.violation_count,
     }
@@ -122,20 +122,20 @@
         for _ in 0..cores {
             scope.spawn(|| {
                 loop {
-                    let at = next.fetch_add(1, Ordering::Relaxed);
-                    if at >= count {
+                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    if index >= count {
                         return;
                     }
                     let pair = sides.map(|(scenario, policy)| {
                         let scenario = Scenario {
-                            seed: seeds.start + at as u64,
+                            seed: seeds.start + index as u64,
                             ..scenario.clone()
                         };
                         run_scenario(&scenario, policy)
                     });
                     done.lock()
-                        .expect("no thread panics while it holds the lock")[at] = pair;
-                    on_pair_done(at);
+                        .expect("no thread panics while it holds the lock")[index] = pair;
+                    on_pair_done(index);
                 }
             });
         }
@@ -146,7 +146,7 @@
 
 /// Mean difference (second minus first) of the pairs, and the lower and upper bound of its 95% bootstrap interval.
 pub fn mean_difference(pairs: &[(f64, f64)], seed: u64) -> (f64, f64, f64) {
-    let differences: Vec<f64> = pairs.iter().map(|(one, other)| other - one).collect();
+    let differences: Vec<f64> = pairs.iter().map(|(first, second)| second - first).collect();
     let count = differences.len();
     if count == 0 {
         return (0.0, 0.0, 0.0);
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -36,7 +36,7 @@
 use model::{BalancerState, Client, GatewayState, Phase, Request, SetUp};
 
 /// The run continues for this long after the last arrival, so that every client gets its answer.
-const DRAIN_TIME: Nanos = 10 * SECOND;
+const POST_ARRIVAL_TIME: Nanos = 10 * SECOND;
 
 /// One run of a scenario.
 pub struct Engine<'s> {
@@ -163,7 +163,7 @@
     /// `false`.
     pub fn run(&mut self, mut each_second: impl FnMut(&Engine<'_>) -> bool) {
         self.schedule_initial_events();
-        let end = self.scenario.arrivals_duration() + DRAIN_TIME;
+        let end = self.scenario.arrivals_duration() + POST_ARRIVAL_TIME;
         while let Some(Reverse((at, _, _, event))) = self.events.pop() {
             if at > end {
                 break;
--- a/crates/simulator/src/engine/affinity.rs
+++ b/crates/simulator/src/engine/affinity.rs
@@ -37,19 +37,20 @@
 /// A balancer's view of the gateways.
 struct GatewayView<'a> {
     placements: &'a BalancerPlacements,
-    all: &'a Configurations,
-    runs: usize,
-    started: Vec<u64>,
+    configurations: &'a Configurations,
+    configuration_index: usize,
+    started_at_ms: Vec<u64>,
 }
 
 impl EndpointView for GatewayView<'_> {
     fn server(&self, server: Tag) -> Option<ServerStatus> {
-        let at = self.all.gateway(server)? as usize;
-        let is_known = self.all.all[self.runs].gateways[at].is_some_and(|(tag, _)| tag == server);
+        let index = self.configurations.gateway(server)? as usize;
+        let is_known = self.configurations.all[self.configuration_index].gateways[index]
+            .is_some_and(|(tag, _)| tag == server);
         is_known.then(|| ServerStatus {
-            is_ready: self.placements.ready_since[at].is_some(),
-            ready_since: self.placements.ready_since[at].unwrap_or(0),
-            started_at: self.started[at],
+            is_ready: self.placements.ready_since[index].is_some(),
+            ready_since: self.placements.ready_since[index].unwrap_or(0),
+            started_at: self.started_at_ms[index],
         })
     }
 
@@ -81,8 +82,12 @@
             max_group_per_server: 64,
         };
         let mut table = PlacementTable::new(limits, origin, origin);
-        let runs = self.hosts[balancer as usize].runs;
-        table.adopt(self.configurations.all[runs].version, 0, wall);
+        let configuration_index = self.hosts[balancer as usize].configuration_index;
+        table.adopt(
+            self.configurations.all[configuration_index].version,
+            0,
+            wall,
+        );
         // Placements of the balancer's previous incarnation are no longer held by a process.
         table.record_balancer_death(self::origin(balancer, incarnation - 1));
         self.hosts[balancer as usize].placements = Some(BalancerPlacements {
@@ -124,15 +129,15 @@
     pub(super) fn affinity_pin(&self, balancer: u32, client: u64) -> Option<Pin> {
         let host = &self.hosts[balancer as usize];
         let (placements, list) = (host.placements.as_ref()?, host.list.as_ref()?);
-        let started = list
+        let started_at_ms = list
             .iter()
-            .map(|one| one.started_at.map_or(0, mesh::wall_clock_ms))
+            .map(|listed| listed.started_at.map_or(0, mesh::wall_clock_ms))
             .collect();
         let view = GatewayView {
             placements,
-            all: &self.configurations,
-            runs: host.runs,
-            started,
+            configurations: &self.configurations,
+            configuration_index: host.configuration_index,
+            started_at_ms,
         };
         let advice = placements.table.advise(
             &self.client_of(client),
@@ -155,8 +160,10 @@
         gateway: u32,
     ) {
         let (client_id, wall) = (self.client_of(client), mesh::wall_clock_ms(self.now));
-        let runs = self.hosts[balancer as usize].runs;
-        let Some((tag, _)) = self.configurations.all[runs].gateways[gateway as usize] else {
+        let configuration_index = self.hosts[balancer as usize].configuration_index;
+        let Some((tag, _)) =
+            self.configurations.all[configuration_index].gateways[gateway as usize]
+        else {
             return;
         };
         let Some(placements) = &mut self.hosts[balancer as usize].placements else {
@@ -211,7 +218,11 @@
         reason: EndReason,
     ) {
         let wall = mesh::wall_clock_ms(self.now);
-        let Some(key) = self.clients.get(&client).map(|one| Key(one.key)) else {
+        let Some(key) = self
+            .clients
+            .get(&client)
+            .map(|client_state| Key(client_state.key))
+        else {
             return;
         };
         let Some(placements) = &mut self.hosts[balancer as usize].placements else {
@@ -311,11 +322,11 @@
     }
 
     /// Tells a balancer that an incarnation of a peer has ended.
-    pub(super) fn on_balancer_died(&mut self, balancer: u32, of: u32, incarnation: u64) {
+    pub(super) fn on_balancer_died(&mut self, balancer: u32, peer: u32, incarnation: u64) {
         if let Some(placements) = &mut self.hosts[balancer as usize].placements {
             placements
                 .table
-                .record_balancer_death(origin(of, incarnation));
+                .record_balancer_death(origin(peer, incarnation));
         }
     }
 
@@ -328,7 +339,7 @@
             )
         };
         let number = (0..=failure).filter(is_roll).count();
-        self.hosts[balancer as usize].runs = number;
+        self.hosts[balancer as usize].configuration_index = number;
         let configured = &self.configurations.all[number];
         self.newest_configuration = self.newest_configuration.max(number);
         let (version, renames) = (configured.version, configured.renames.clone());
@@ -346,7 +357,8 @@
 
     /// Queues the connections to gateways that the new configuration no longer contains for rebalancing.
     fn start_rebalancing(&mut self, balancer: u32) {
-        let gateways = &self.configurations.all[self.hosts[balancer as usize].runs].gateways;
+        let gateways =
+            &self.configurations.all[self.hosts[balancer as usize].configuration_index].gateways;
         let is_stranded = |request_state: &super::Request| match request_state.phase {
             Phase::Established { gateway } => {
                 gateways[gateway as usize].is_none() && request_state.balancer == balancer
@@ -382,8 +394,8 @@
             let Some(placements) = &mut self.hosts[balancer as usize].placements else {
                 continue;
             };
-            let due = placements.rebalancer.take_permitted(wall);
-            let requests: Vec<u64> = due
+            let due_keys = placements.rebalancer.take_permitted(wall);
+            let requests: Vec<u64> = due_keys
                 .iter()
                 .filter_map(|key| placements.pending_requests.remove(key))
                 .collect();
@@ -410,7 +422,7 @@
             return;
         };
         let gateway_state = &self.gateways[last_gateway.gateway as usize];
-        let started = gateway_state.gateway.started_at().unwrap_or(0);
+        let started_at = gateway_state.gateway.started_at().unwrap_or(0);
         let stays = self.configurations.all[self.newest_configuration].gateways
             [last_gateway.gateway as usize]
             .is_some();
@@ -418,7 +430,7 @@
             && stays
             && gateway_state.is_up
             && gateway_state.listed == ServerState::Ready
-            && started <= last_gateway.since
+            && started_at <= last_gateway.established_at
         {
             self.measures.fleet.owed += 1;
             self.measures.fleet.landed += u64::from(gateway == last_gateway.gateway);
--- a/crates/simulator/src/engine/arrivals.rs
+++ b/crates/simulator/src/engine/arrivals.rs
@@ -66,7 +66,7 @@
             account,
             group,
             key,
-            since: self.now,
+            requested_at: self.now,
             tries: 0,
             is_reconnect: false,
             floods_until: 0,
@@ -170,7 +170,7 @@
         if let Some(client_state) = self.clients.get_mut(&client) {
             client_state.last_gateway = Some(LastGateway {
                 gateway,
-                since: self.now,
+                established_at: self.now,
                 was_migrated: false,
             });
         }
--- a/crates/simulator/src/engine/attempts.rs
+++ b/crates/simulator/src/engine/attempts.rs
@@ -185,7 +185,7 @@
             .clients
             .get_mut(&client)
             .expect("the client waits for the connection");
-        let took = self.now - client_state.since;
+        let took = self.now - client_state.requested_at;
         client_state.is_reconnect = false;
         self.count_isolated(client, Some(took));
         let client_state = &self.clients[&client];
--- a/crates/simulator/src/engine/balancers.rs
+++ b/crates/simulator/src/engine/balancers.rs
@@ -8,7 +8,7 @@
     ZoneId,
 };
 
-use super::recovery::Listed;
+use super::recovery::ListedGateway;
 use super::{Engine, Phase, ScheduledEvent};
 use crate::{Nanos, nanos};
 
@@ -176,13 +176,13 @@
                 },
             );
         }
-        let listed = self.listed();
-        for (at, one) in listed.iter().enumerate() {
+        let listed = self.listed_gateways();
+        for (gateway, entry) in listed.iter().enumerate() {
             self.checker.on_server_listed(
                 self.now,
                 balancer,
-                at as u32,
-                one.state == ServerState::Ready,
+                gateway as u32,
+                entry.state == ServerState::Ready,
             );
         }
         self.hosts[balancer as usize].list = Some(Rc::new(listed));
@@ -205,7 +205,7 @@
         };
         // Staged admission already paces clients over the whole fleet, so that cold gateways are not limited a second
         // time.
-        let capacity = |listed: &Listed| {
+        let capacity = |listed: &ListedGateway| {
             if paced {
                 self.capacity_fraction(listed)
             } else {
@@ -214,7 +214,7 @@
         };
         let host = &self.hosts[balancer as usize];
         let (configuration, follows) = (
-            &self.configurations.all[host.runs],
+            &self.configurations.all[host.configuration_index],
             host.placements.is_some(),
         );
         // A balancer without affinity does not follow renames and takes a renamed gateway for a new one.
@@ -235,7 +235,7 @@
                 1.0
             }
         };
-        let entry = |(at, listed): (usize, &Listed)| ServerEntry {
+        let entry = |(at, listed): (usize, &ListedGateway)| ServerEntry {
             server: ServerId(id(at)),
             name_hash: (u64::from(id(at)) + 1).wrapping_mul(0x94d0_49bb_1331_11eb),
             state: match (configuration.gateways[at], listed.state) {
--- a/crates/simulator/src/engine/clients.rs
+++ b/crates/simulator/src/engine/clients.rs
@@ -14,7 +14,7 @@
     /// Starts a client's connection request.
     pub(super) fn begin_connecting(&mut self, client: u64) {
         let client_state = self.clients.get_mut(&client).expect("the client exists");
-        (client_state.since, client_state.tries) = (self.now, 0);
+        (client_state.requested_at, client_state.tries) = (self.now, 0);
         let (class, account) = (client_state.class as usize, client_state.account as usize);
         self.measures.classes[class].wanted += 1;
         self.measures.accounts[account].wanted += 1;
@@ -28,10 +28,12 @@
             return;
         }
         let home = self.home_zone(client);
-        let is_there = |at: &u32| {
+        let is_available = |at: &u32| {
             self.balancers[*at as usize].is_alive && home.is_none_or(|home| self.zone(*at) == home)
         };
-        let live_balancers: Vec<u32> = (0..self.balancers.len() as u32).filter(is_there).collect();
+        let live_balancers: Vec<u32> = (0..self.balancers.len() as u32)
+            .filter(is_available)
+            .collect();
         let Some(client_state) = self.clients.get_mut(&client) else {
             return;
         };
@@ -44,8 +46,8 @@
         let load = self.draw_load(class);
         let request = self.open_request(client, balancer, load);
         let deadline = nanos(self.scenario.classes[class as usize].deadline_ms / 1e3);
-        let give_up_at = self.now.saturating_add(deadline);
-        self.checker.on_request_opened(request, give_up_at);
+        let deadline_at = self.now.saturating_add(deadline);
+        self.checker.on_request_opened(request, deadline_at);
         if self.hosts[balancer as usize].recovery.is_some() {
             return self.request_admission(balancer, request, client);
         }
@@ -80,18 +82,21 @@
         let Some(client_state) = self.clients.get(&client) else {
             return;
         };
-        let habits = &self.scenario.clients;
-        let floods = self.now < client_state.floods_until;
-        if !floods && (client_state.tries >= habits.tries || habits.habit == RetryHabit::None) {
+        let client_settings = &self.scenario.clients;
+        let is_flooding = self.now < client_state.floods_until;
+        if !is_flooding
+            && (client_state.tries >= client_settings.tries
+                || client_settings.habit == RetryHabit::None)
+        {
             return self.give_up(client);
         }
         let doublings = client_state.tries.min(MAX_BACKOFF_DOUBLINGS);
-        let habit = if floods {
+        let habit = if is_flooding {
             RetryHabit::AtOnce
         } else {
-            habits.habit
+            client_settings.habit
         };
-        let own_delay_s = habits.wait_ms / 1e3 * f64::from(1 << doublings);
+        let own_delay_s = client_settings.wait_ms / 1e3 * f64::from(1 << doublings);
         let wait = match (habit, retry_after) {
             (RetryHabit::AtOnce, _) => 0.001,
             (RetryHabit::Waits, Some(retry_after)) => retry_after as f64 / 1e9,
@@ -111,20 +116,20 @@
     /// Updates the counts of connected clients.
     pub(super) fn count_established(&mut self, client: u64, is_established: bool) {
         let client_state = &self.clients[&client];
-        let at = client_state.class as usize * self.scenario.accounts.len().max(1)
+        let index = client_state.class as usize * self.scenario.accounts.len().max(1)
             + client_state.account as usize;
         let worth = self.scenario.classes[client_state.class as usize].worth;
         if is_established {
-            (self.established_counts[at], self.established_worth) = (
-                self.established_counts[at] + 1,
+            (self.established_counts[index], self.established_worth) = (
+                self.established_counts[index] + 1,
                 self.established_worth + worth,
             );
             self.measures
                 .fleet
                 .record_established_worth(self.now, self.established_worth);
         } else {
-            (self.established_counts[at], self.established_worth) = (
-                self.established_counts[at] - 1,
+            (self.established_counts[index], self.established_worth) = (
+                self.established_counts[index] - 1,
                 self.established_worth - worth,
             );
         }
@@ -147,11 +152,11 @@
         let Some(request_state) = self.remove_established(request) else {
             return;
         };
-        let flooding = self
+        let is_flooding = self
             .clients
             .get(&request_state.client)
             .is_some_and(|client| self.now < client.floods_until);
-        if flooding {
+        if is_flooding {
             self.begin_connecting(request_state.client);
         } else {
             self.record_placement_ended(
@@ -228,7 +233,7 @@
         (
             client_state.is_reconnect,
             client_state.tries,
-            client_state.since,
+            client_state.requested_at,
         ) = (true, 0, self.now);
         let (class, account) = (client_state.class as usize, client_state.account as usize);
         self.measures.classes[class].wanted += 1;
--- a/crates/simulator/src/engine/edge.rs
+++ b/crates/simulator/src/engine/edge.rs
@@ -19,16 +19,17 @@
 /// A failed uplink.
 pub(super) struct Uplink {
     pub(super) zone: u32,
-    from: Nanos,
+    down_from: Nanos,
     pub(super) until: Nanos,
     direction: LinkDirection,
-    flap: Nanos,
+    flap_period: Nanos,
 }
 
 impl Uplink {
     /// Whether traffic from one zone to another is lost because of this failure.
     fn loses(&self, now: Nanos, from: u32, to: u32) -> bool {
-        let is_down = self.flap == 0 || ((now - self.from) / self.flap).is_multiple_of(2);
+        let is_down =
+            self.flap_period == 0 || ((now - self.down_from) / self.flap_period).is_multiple_of(2);
         let crosses = from != to
             && match self.direction {
                 LinkDirection::Both => from == self.zone || to == self.zone,
@@ -62,8 +63,8 @@
     }
 
     /// Whether connections between two zones are lost, which need both directions.
-    pub(super) fn is_partitioned(&self, one: u32, other: u32) -> bool {
-        self.is_link_down(one, other) || self.is_link_down(other, one)
+    pub(super) fn is_partitioned(&self, first: u32, second: u32) -> bool {
+        self.is_link_down(first, second) || self.is_link_down(second, first)
     }
 
     /// Takes down a zone's uplink and breaks the connections across it.
@@ -81,10 +82,10 @@
         let until = self.now.saturating_add(nanos(*for_s));
         let uplink = Uplink {
             zone: *zone,
-            from: self.now,
+            down_from: self.now,
             until,
             direction: *direction,
-            flap: nanos(*flap_s),
+            flap_period: nanos(*flap_s),
         };
         self.uplinks.push(uplink);
         self.measures.fleet.island = Some((*zone, self.now, until));
@@ -349,7 +350,7 @@
             return;
         };
         let client_state = &self.clients[&client];
-        if (from..until.max(from + SECOND)).contains(&client_state.since)
+        if (from..until.max(from + SECOND)).contains(&client_state.requested_at)
             && client_state.key % u64::from(self.scenario.zones) == u64::from(zone)
         {
             let objective = nanos(self.scenario.classes[client_state.class as usize].aim_ms / 1e3);
--- a/crates/simulator/src/engine/model.rs
+++ b/crates/simulator/src/engine/model.rs
@@ -14,7 +14,7 @@
     pub(super) group: Option<u32>,
     pub(super) key: u64,
     /// When the client first requested its present connection.
-    pub(super) since: Nanos,
+    pub(super) requested_at: Nanos,
     pub(super) tries: u32,
     /// Its previous connection was migrated or broken.
     pub(super) is_reconnect: bool,
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct LastGateway {
     pub(super) gateway: u32,
-    pub(super) since: Nanos,
+    pub(super) established_at: Nanos,
     pub(super) was_migrated: bool,
 }
 
--- a/crates/simulator/src/engine/outages.rs
+++ b/crates/simulator/src/engine/outages.rs
@@ -202,7 +202,11 @@
                     };
                     self.hosts[*balancer as usize].disk = memory;
                 }
-                let clients: f64 = self.previous_clients().iter().map(|one| one.clients).sum();
+                let clients: f64 = self
+                    .previous_clients()
+                    .iter()
+                    .map(|entry| entry.clients)
+                    .sum();
                 self.measures
                     .fleet
                     .record_power_loss(self.established_worth, clients);
@@ -228,9 +232,9 @@
             Failure::PeersCut {
                 for_s, balancers, ..
             } => {
-                let these = balancers.of(scenario.balancers);
+                let partitioned = balancers.of(scenario.balancers);
                 let cut = (0..scenario.balancers)
-                    .map(|balancer| these.contains(&balancer))
+                    .map(|balancer| partitioned.contains(&balancer))
                     .collect();
                 self.peer_partitions
                     .push((self.now.saturating_add(nanos(*for_s)), cut));
@@ -301,7 +305,7 @@
                 balancers
                     .of(self.scenario.balancers)
                     .iter()
-                    .for_each(|one| self.restart_balancer(*one));
+                    .for_each(|balancer| self.restart_balancer(*balancer));
             }
             (Failure::UplinkLost { zone, .. }, _) => self.restore_uplink(*zone),
             (Failure::BalancerKilled { balancer, .. }, _) => self.restart_balancer(*balancer),
@@ -383,13 +387,16 @@
             balancer_state.incarnation += 1;
             dead[balancer] = true;
             let BalancerHost {
-                disk, list, runs, ..
+                disk,
+                list,
+                configuration_index,
+                ..
             } = std::mem::take(&mut self.hosts[balancer]);
             let list = list.filter(|_| disk.is_some());
             self.hosts[balancer] = BalancerHost {
                 disk,
                 list,
-                runs,
+                configuration_index,
                 ..BalancerHost::default()
             };
         }
--- a/crates/simulator/src/engine/peers.rs
+++ b/crates/simulator/src/engine/peers.rs
@@ -27,28 +27,28 @@
             return;
         }
         let incarnation = self.balancers[balancer as usize].incarnation;
-        let (of, seed) = (self.scenario.balancers, self.scenario.seed);
+        let (balancer_count, seed) = (self.scenario.balancers, self.scenario.seed);
         let node = mesh::new_node(
             balancer,
-            of,
+            balancer_count,
             u64::from(incarnation) + 1,
             &self.site(balancer),
             &self.status_messages,
             seed,
         );
         let host = &mut self.hosts[balancer as usize];
-        (host.node, host.published_at, host.wake) = (Some(node), None, None);
+        (host.node, host.published_at, host.wake_at) = (Some(node), None, None);
         self.handle_node_input(balancer, Input::Start);
     }
 
     /// Passes an input to a balancer's membership node and applies its outputs.
     pub(super) fn handle_node_input(&mut self, balancer: u32, input: Input<'_>) {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let wall = mesh::wall_clock_ms(self.now);
         let Some(node) = &mut self.hosts[balancer as usize].node else {
             return;
         };
-        node.handle(wall, input, &mut out);
+        node.handle(wall, input, &mut outputs);
         let (statuses, changes) = {
             let payload = node.payload_mut();
             (
@@ -56,16 +56,16 @@
                 std::mem::take(&mut payload.fact_changes),
             )
         };
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Send { to, bytes } => {
                     self.send_datagram(balancer, mesh::rank_from_address(to), bytes)
                 }
                 Output::Event(event) => {
-                    if let Event::Down(was) | Event::Restarted { previous: was, .. } = *event
-                        && let Some(of) = mesh::rank_from_name(&was.name)
+                    if let Event::Down(previous) | Event::Restarted { previous, .. } = *event
+                        && let Some(peer) = mesh::rank_from_name(&previous.name)
                     {
-                        self.on_balancer_died(balancer, of, was.incarnation);
+                        self.on_balancer_died(balancer, peer, previous.incarnation);
                     }
                 }
                 Output::Wake(at) => self.schedule_wake(balancer, at),
@@ -83,10 +83,10 @@
     fn schedule_wake(&mut self, balancer: u32, at: u64) {
         let incarnation = self.balancers[balancer as usize].incarnation;
         let host = &mut self.hosts[balancer as usize];
-        if host.wake == Some(at) {
+        if host.wake_at == Some(at) {
             return;
         }
-        host.wake = Some(at);
+        host.wake_at = Some(at);
         let at = (at - mesh::START_WALL_CLOCK_MS) * 1_000_000;
         self.schedule_at(
             at,
@@ -139,8 +139,8 @@
     pub(super) fn tick_node(&mut self, balancer: u32) {
         let host = &self.hosts[balancer as usize];
         if host
-            .wake
-            .is_none_or(|wake| wake > mesh::wall_clock_ms(self.now))
+            .wake_at
+            .is_none_or(|wake_at| wake_at > mesh::wall_clock_ms(self.now))
         {
             return;
         }
@@ -189,7 +189,12 @@
             wall_clock: is_clock_reliable.then_some(mesh::wall_clock_ms(self.now)),
             previous_clients: match recovery {
                 Some(recovery) => recovery.previous_clients(),
-                None => Some(self.previous_clients().iter().map(|one| one.clients).sum()),
+                None => Some(
+                    self.previous_clients()
+                        .iter()
+                        .map(|entry| entry.clients)
+                        .sum(),
+                ),
             },
             deferred_per_s: recovery.map_or(0.0, |recovery| recovery.deferred_per_s()),
         }
--- a/crates/simulator/src/engine/recovery.rs
+++ b/crates/simulator/src/engine/recovery.rs
@@ -27,7 +27,7 @@
 
 /// Discovery's entry for a gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Listed {
+pub(super) struct ListedGateway {
     pub(super) state: ServerState,
     pub(super) weight: f64,
     pub(super) started_at: Option<Nanos>,
@@ -38,16 +38,16 @@
 pub(super) struct BalancerHost {
     pub(super) node: Option<Node<GossipPayload>>,
     pub(super) published_at: Option<Nanos>,
-    pub(super) wake: Option<u64>,
+    pub(super) wake_at: Option<u64>,
     pub(super) recovery: Option<Recovery>,
     /// When its present incarnation started.
     pub(super) started_at: Nanos,
     pub(super) admitting_since: Option<Nanos>,
-    pub(super) next_timer: Option<Nanos>,
+    pub(super) next_timer_at: Option<Nanos>,
     /// The server list that it currently uses.
-    pub(super) list: Option<Rc<Vec<Listed>>>,
+    pub(super) list: Option<Rc<Vec<ListedGateway>>>,
     /// Index of the configuration that it runs.
-    pub(super) runs: usize,
+    pub(super) configuration_index: usize,
     /// What it knows about placements; `None` without affinity.
     pub(super) placements: Option<BalancerPlacements>,
     /// Detection of failures of its zone's uplink.
@@ -89,7 +89,7 @@
             site: self.site(balancer),
             fleet_size: scenario.balancers,
             site_peers: (0..scenario.balancers)
-                .filter(|one| self.site(*one) == self.site(balancer))
+                .filter(|rank| self.site(*rank) == self.site(balancer))
                 .count() as u32
                 - 1,
             slow_start: SlowStartRules {
@@ -130,7 +130,7 @@
             written_at: mesh::wall_clock_ms(self.now),
             list: Some(List {
                 source: ListSource::Memory,
-                ..self.list_now()
+                ..self.recovery_list()
             }),
             previous_clients: self.previous_clients(),
             clients_per_server_s: None,
@@ -138,8 +138,8 @@
     }
 
     /// Discovery's current list in the form that recovery reads.
-    fn list_now(&self) -> List {
-        let entry = |(at, listed): (usize, &Listed)| Entry {
+    fn recovery_list(&self) -> List {
+        let entry = |(at, listed): (usize, &ListedGateway)| Entry {
             name: format!("g{at}"),
             started_at_ms: listed.started_at.map_or(0, mesh::wall_clock_ms),
             lifecycle: match listed.state {
@@ -155,13 +155,18 @@
             epoch: 1,
             age: 0,
             reported_at: Some(mesh::wall_clock_ms(self.now)),
-            entries: self.listed().iter().enumerate().map(entry).collect(),
+            entries: self
+                .listed_gateways()
+                .iter()
+                .enumerate()
+                .map(entry)
+                .collect(),
         }
     }
 
     /// Discovery's current entries for all gateways.
-    pub(super) fn listed(&self) -> Vec<Listed> {
-        let listed = |gateway: &GatewayState| Listed {
+    pub(super) fn listed_gateways(&self) -> Vec<ListedGateway> {
+        let listed = |gateway: &GatewayState| ListedGateway {
             state: gateway.listed,
             weight: f64::from(gateway.gateway.make().cores),
             started_at: gateway.gateway.started_at(),
@@ -170,7 +175,7 @@
     }
 
     /// Capacity fraction of a gateway, computed from its listed start time.
-    pub(super) fn capacity_fraction(&self, listed: &Listed) -> f64 {
+    pub(super) fn capacity_fraction(&self, listed: &ListedGateway) -> f64 {
         let make = &self.scenario.make;
         let Some(started_at) = listed.started_at else {
             return 1.0;
@@ -191,7 +196,7 @@
         let host = &mut self.hosts[balancer as usize];
         let memory = host.disk.clone();
         (host.recovery, host.started_at, host.admitting_since) = (Some(recovery), self.now, None);
-        host.next_timer = None;
+        host.next_timer_at = None;
         self.handle_recovery_event(
             balancer,
             Event::Started {
@@ -208,15 +213,16 @@
         let Some(recovery) = &mut host.recovery else {
             return;
         };
-        let mut out = Vec::new();
-        recovery.handle(now - host.started_at, wall, event, &mut out);
-        let due = recovery
+        let mut actions = Vec::new();
+        recovery.handle(now - host.started_at, wall, event, &mut actions);
+        let due_at = recovery
             .next_tick_at()
-            .map(|due| (host.started_at + due).max(now + 1_000_000));
-        if let Some(at) =
-            due.filter(|due| host.next_timer.is_none_or(|old| old <= now || *due < old))
-        {
-            host.next_timer = Some(at);
+            .map(|due_at| (host.started_at + due_at).max(now + 1_000_000));
+        if let Some(at) = due_at.filter(|due_at| {
+            host.next_timer_at
+                .is_none_or(|old| old <= now || *due_at < old)
+        }) {
+            host.next_timer_at = Some(at);
             let incarnation = self.balancers[balancer as usize].incarnation;
             self.schedule_at(
                 at,
@@ -226,7 +232,8 @@
                 },
             );
         }
-        out.into_iter()
+        actions
+            .into_iter()
             .for_each(|action| self.apply_recovery_action(balancer, action));
     }
 
@@ -318,7 +325,7 @@
 
     /// Passes discovery's list to a balancer's recovery.
     pub(super) fn on_list_received(&mut self, balancer: u32) {
-        let list = self.list_now();
+        let list = self.recovery_list();
         self.handle_recovery_event(balancer, Event::ListReceived(list));
     }
 
@@ -359,14 +366,16 @@
 
     /// Updates the server weights of paced balancers while gateways differ in warm-up.
     pub(super) fn update_cold_weights(&mut self) {
-        let warmth: Vec<f64> = self
+        let fractions: Vec<f64> = self
             .gateways
             .iter()
-            .map(|one| one.gateway.capacity_fraction(self.now))
+            .map(|gateway_state| gateway_state.gateway.capacity_fraction(self.now))
             .collect();
-        let (low, high) = warmth.iter().fold((1.0_f64, 0.0_f64), |(low, high), one| {
-            (low.min(*one), high.max(*one))
-        });
+        let (low, high) = fractions
+            .iter()
+            .fold((1.0_f64, 0.0_f64), |(low, high), fraction| {
+                (low.min(*fraction), high.max(*fraction))
+            });
         if high - low < MIN_CAPACITY_SPREAD {
             return;
         }
@@ -402,7 +411,7 @@
             sum += self
                 .gateways
                 .iter()
-                .map(|one| rate * one.gateway.capacity_fraction(self.now + at))
+                .map(|gateway_state| rate * gateway_state.gateway.capacity_fraction(self.now + at))
                 .sum::<f64>();
         }
         at
--- a/crates/simulator/src/gateway.rs
+++ b/crates/simulator/src/gateway.rs
@@ -152,11 +152,11 @@
 
     /// Updates the backlog to `now`.
     pub fn advance(&mut self, now: Nanos) {
-        let span = now.saturating_sub(self.advanced_to) as f64 / SECOND as f64;
-        if span > 0.0 {
+        let elapsed_s = now.saturating_sub(self.advanced_to) as f64 / SECOND as f64;
+        if elapsed_s > 0.0 {
             // The ramp is linear, so the mean of both ends is exact except where the ramp reaches full capacity.
             let capacity = (self.capacity(self.advanced_to) + self.capacity(now)) / 2.0;
-            self.backlog_us = (self.backlog_us + (self.demand - capacity) * span).max(0.0);
+            self.backlog_us = (self.backlog_us + (self.demand - capacity) * elapsed_s).max(0.0);
             self.advanced_to = now;
         }
     }
@@ -215,13 +215,13 @@
     }
 
     /// Adds an established connection; has no effect on the load if the id is already known.
-    pub fn establish(&mut self, now: Nanos, id: u64, one: EstablishedConnection) {
+    pub fn establish(&mut self, now: Nanos, id: u64, connection: EstablishedConnection) {
         self.advance(now);
-        if self.connections.insert(id, one).is_some() {
+        if self.connections.insert(id, connection).is_some() {
             return;
         }
-        self.demand += one.load;
-        if let Some(group) = one.group {
+        self.demand += connection.load;
+        if let Some(group) = connection.group {
             let count = self.groups.entry(group).or_insert(0);
             *count += 1;
             self.demand += if *count == 1 { self.make.group_us } else { 0.0 };
@@ -231,20 +231,20 @@
     /// Changes the load of a connection; ignored if the connection is unknown.
     pub fn change_load(&mut self, now: Nanos, id: u64, load: f64) {
         self.advance(now);
-        if let Some(one) = self.connections.get_mut(&id) {
-            self.demand += load - one.load;
-            one.load = load;
+        if let Some(connection) = self.connections.get_mut(&id) {
+            self.demand += load - connection.load;
+            connection.load = load;
         }
     }
 
     /// Removes a connection. Returns whether it was established here.
     pub fn close(&mut self, now: Nanos, id: u64) -> bool {
         self.advance(now);
-        let Some(one) = self.connections.remove(&id) else {
+        let Some(connection) = self.connections.remove(&id) else {
             return false;
         };
-        self.demand = (self.demand - one.load).max(0.0);
-        if let Some(group) = one.group
+        self.demand = (self.demand - connection.load).max(0.0);
+        if let Some(group) = connection.group
             && let Some(count) = self.groups.get_mut(&group)
         {
             *count -= 1;
@@ -265,9 +265,9 @@
         let mut by_load: Vec<(f64, u64)> = self
             .connections
             .iter()
-            .map(|(id, one)| (one.load, *id))
+            .map(|(id, connection)| (connection.load, *id))
             .collect();
-        by_load.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
+        by_load.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
         let mut excess = self.demand - self.capacity(now);
         let mut shed = Vec::new();
         for (load, id) in by_load {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -27,7 +27,7 @@
   2  the command line is invalid
   3  a rule was broken; the output names the rule, the time and the seed";
 
-/// Simulator: runs scenarios of gateways and their failures against beaconflow's production decision code.
+/// Command line of the simulator. The help shows the package description.
 #[derive(Parser)]
 #[command(name = "beaconflow-simulator", version, about, after_help = EXIT_CODES, max_term_width = 100)]
 struct Args {
@@ -219,10 +219,13 @@
     seeds: u64,
     json: bool,
 ) -> Result<bool, String> {
-    let (one, other) = (read_scenario(first)?, read_scenario(second)?);
+    let (first_scenario, second_scenario) = (read_scenario(first)?, read_scenario(second)?);
     let (live, played) = (std::io::stderr().is_terminal(), AtomicU64::new(0));
     let pairs = compare::run_pairs(
-        [(&one, policies.0), (&other, policies.1)],
+        [
+            (&first_scenario, policies.0),
+            (&second_scenario, policies.1),
+        ],
         1..seeds + 1,
         |_| {
             let played = played.fetch_add(1, Ordering::Relaxed) + 1;
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -307,10 +307,11 @@
     }
 }
 
-fn percentile(of: &[Nanos], part: f64) -> Nanos {
-    let mut of = of.to_vec();
-    of.sort_unstable();
-    of.get(((of.len() as f64 * part) as usize).min(of.len().saturating_sub(1)))
+fn percentile(times: &[Nanos], part: f64) -> Nanos {
+    let mut times = times.to_vec();
+    times.sort_unstable();
+    times
+        .get(((times.len() as f64 * part) as usize).min(times.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0)
 }
@@ -336,15 +337,15 @@
 
 impl From<&ServiceCounts> for SavedServiceCounts {
     fn from(served: &ServiceCounts) -> SavedServiceCounts {
-        let at = |quantile| served.took.value_at_quantile(quantile) as f64 / 1e3;
+        let percentile_ms = |quantile| served.took.value_at_quantile(quantile) as f64 / 1e3;
         SavedServiceCounts {
             name: served.name.clone(),
             wanted: served.wanted,
             in_time: served.in_time,
             late: served.late,
             gave_up: served.gave_up,
-            p50_ms: at(0.5),
-            p99_ms: at(0.99),
+            p50_ms: percentile_ms(0.5),
+            p99_ms: percentile_ms(0.99),
         }
     }
 }
--- a/crates/simulator/src/policies.rs
+++ b/crates/simulator/src/policies.rs
@@ -135,14 +135,14 @@
                 rotated.min_by_key(|server| self.connections(*server))?
             }
             Policy::RandomOfTwo => {
-                let (one, other) = (
+                let (first, second) = (
                     self.ready[self.rng.uniform_index(count)],
                     self.ready[self.rng.uniform_index(count)],
                 );
-                if self.connections(other) < self.connections(one) {
-                    other
+                if self.connections(second) < self.connections(first) {
+                    second
                 } else {
-                    one
+                    first
                 }
             }
             Policy::RoundRobin | Policy::Beaconflow => {
@@ -153,21 +153,28 @@
     }
 
     fn try_next_server(&mut self, now: Nanos, request: RequestId, out: &mut Vec<Action>) {
-        let Some(one) = self.open.get(&request.0) else {
+        let Some(request_state) = self.open.get(&request.0) else {
             return;
         };
-        let left = one.deadline_at.saturating_sub(now);
-        let (class, limits) = (&self.settings.classes[one.class], &self.settings.limits);
-        let over = one.attempts >= limits.max_attempts || left == 0;
-        let timeout = left.min(
+        let remaining = request_state.deadline_at.saturating_sub(now);
+        let (class, limits) = (
+            &self.settings.classes[request_state.class],
+            &self.settings.limits,
+        );
+        let is_exhausted = request_state.attempts >= limits.max_attempts || remaining == 0;
+        let timeout = remaining.min(
             class
                 .latency_objective
                 .max(limits.connect_timeout.saturating_mul(2)),
         );
-        let to = if over { None } else { self.pick_server() };
-        let Some(server) = to else {
-            let one = self.open.remove(&request.0);
-            let failed = one.is_some_and(|one| one.may_have_run);
+        let next_server = if is_exhausted {
+            None
+        } else {
+            self.pick_server()
+        };
+        let Some(server) = next_server else {
+            let request_state = self.open.remove(&request.0);
+            let failed = request_state.is_some_and(|request_state| request_state.may_have_run);
             return out.push(if failed {
                 Action::Fail(request)
             } else {
@@ -178,9 +185,9 @@
             });
         };
         *self.connections.entry(server.0).or_insert(0) += 1;
-        let one = self.open.get_mut(&request.0).expect("the request is open");
-        one.attempts += 1;
-        one.at = Some(server);
+        let request_state = self.open.get_mut(&request.0).expect("the request is open");
+        request_state.attempts += 1;
+        request_state.at = Some(server);
         out.push(Action::StartAttempt {
             request,
             server,
@@ -245,11 +252,11 @@
                 is_final,
                 ..
             }) => {
-                let Some(one) = self.open.get_mut(&request.0) else {
+                let Some(request_state) = self.open.get_mut(&request.0) else {
                     return;
                 };
-                let at = one.at.take();
-                one.may_have_run |=
+                let at = request_state.at.take();
+                request_state.may_have_run |=
                     !outcome.proves_not_executed() && outcome != AttemptOutcome::Served;
                 at.into_iter()
                     .for_each(|server| self.release_connection(server));
@@ -260,7 +267,10 @@
                 }
             }
             Event::ClientLeft(request) => {
-                let at = self.open.remove(&request.0).and_then(|one| one.at);
+                let at = self
+                    .open
+                    .remove(&request.0)
+                    .and_then(|request_state| request_state.at);
                 at.into_iter()
                     .for_each(|server| self.release_connection(server));
             }
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -33,8 +33,8 @@
     /// Log-normally distributed with the given mean; `sigma` is the standard deviation of the logarithm.
     pub fn log_normal(&mut self, mean: f64, sigma: f64) -> f64 {
         // Box-Muller transform.
-        let (one, other) = (1.0 - self.uniform(), self.uniform());
-        let normal = (-2.0 * one.ln()).sqrt() * (2.0 * std::f64::consts::PI * other).cos();
+        let (first, second) = (1.0 - self.uniform(), self.uniform());
+        let normal = (-2.0 * first.ln()).sqrt() * (2.0 * std::f64::consts::PI * second).cos();
         mean * (sigma * normal - sigma * sigma / 2.0).exp()
     }
 
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -36,7 +36,7 @@
     #[serde(default)]
     pub make: GatewayModel,
     /// Number of zones; gateways and balancers are assigned to them in rotation.
-    #[serde(default = "one")]
+    #[serde(default = "default_zones")]
     pub zones: u32,
     /// The shared session store, if connection set-ups use one.
     pub store: Option<Store>,
@@ -60,7 +60,7 @@
     pub failures: Vec<Spanned<Failure>>,
 }
 
-fn one() -> u32 {
+fn default_zones() -> u32 {
     1
 }
 
@@ -209,19 +209,19 @@
         let line =
             |span: &Range<usize>| 1 + text[..span.start.min(text.len())].matches('\n').count();
         let scenario: Scenario = toml::from_str(text).map_err(|error| {
-            let at = error
+            let location = error
                 .span()
                 .map_or(String::new(), |span| format!("line {}: ", line(&span)));
-            ScenarioError(vec![format!("{at}{}", error.message())])
+            ScenarioError(vec![format!("{location}{}", error.message())])
         })?;
         let mut errors = scenario.validation_errors();
         for failure in &scenario.failures {
-            let at = line(&failure.span());
+            let line_number = line(&failure.span());
             errors.extend(
                 scenario
                     .failure_validation_errors(failure.get_ref())
                     .into_iter()
-                    .map(|error| format!("line {at}: {error}")),
+                    .map(|error| format!("line {line_number}: {error}")),
             );
         }
         if errors.is_empty() {
@@ -233,14 +233,14 @@
 
     fn validation_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
-        let mut require = |is_valid: bool, what: String| {
+        let mut require = |is_valid: bool, message: String| {
             if !is_valid {
-                errors.push(what);
+                errors.push(message);
             }
         };
-        let above = |value: f64| value.is_finite() && value > 0.0;
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
         require(
-            above(self.seconds) && self.seconds <= 86_400.0,
+            is_positive(self.seconds) && self.seconds <= 86_400.0,
             "seconds: must be above 0 and at most 86400".into(),
         );
         require(
@@ -256,15 +256,15 @@
             "zones: must be from 1 to 1000".into(),
         );
         require(
-            self.make.cores > 0 && above(self.make.speed),
+            self.make.cores > 0 && is_positive(self.make.speed),
             "make: cores and speed must be above 0".into(),
         );
         require(
-            above(self.make.set_up_ms) && above(self.make.message_us),
+            is_positive(self.make.set_up_ms) && is_positive(self.make.message_us),
             "make: set_up_ms and message_us must be above 0".into(),
         );
         require(
-            above(self.make.cold_share) && self.make.cold_share <= 1.0,
+            is_positive(self.make.cold_share) && self.make.cold_share <= 1.0,
             "make.cold_share: must be above 0 and at most 1".into(),
         );
         require(
@@ -274,11 +274,11 @@
         for class in &self.classes {
             let name = &class.name;
             require(
-                above(class.aim_ms) && above(class.deadline_ms),
+                is_positive(class.aim_ms) && is_positive(class.deadline_ms),
                 format!("class {name}: aim_ms and deadline_ms must be above 0"),
             );
             require(
-                above(class.life_s) && above(class.load_us),
+                is_positive(class.life_s) && is_positive(class.load_us),
                 format!("class {name}: life_s and load_us must be above 0"),
             );
             require(
@@ -291,7 +291,8 @@
             );
         }
         for account in &self.accounts {
-            let is_valid = above(account.share) && account.part.is_finite() && account.part >= 0.0;
+            let is_valid =
+                is_positive(account.share) && account.part.is_finite() && account.part >= 0.0;
             require(
                 is_valid,
                 format!(
@@ -302,7 +303,7 @@
         }
         if let Some(store) = &self.store {
             require(
-                store.at_once > 0 && above(store.mean_ms),
+                store.at_once > 0 && is_positive(store.mean_ms),
                 "store: at_once and mean_ms must be above 0".into(),
             );
         }
--- a/crates/simulator/src/scenario/failure.rs
+++ b/crates/simulator/src/scenario/failure.rs
@@ -213,13 +213,13 @@
 impl Selection {
     /// Whether nothing is selected.
     pub fn is_none(&self) -> bool {
-        matches!(self, Selection::Indices(these) if these.is_empty())
+        matches!(self, Selection::Indices(numbers) if numbers.is_empty())
     }
 
     /// The selected numbers, out of `count`. Every keyword counts as `all`, since validation rejects others.
     pub fn of(&self, count: u32) -> Vec<u32> {
         match self {
-            Selection::Indices(these) => these.clone(),
+            Selection::Indices(numbers) => numbers.clone(),
             Selection::Keyword(_) => (0..count).collect(),
         }
     }
@@ -230,8 +230,8 @@
             Selection::Keyword(keyword) => vec![format!(
                 "{field}: must be \"all\" or a list of numbers, not {keyword:?}"
             )],
-            Selection::Indices(these) => {
-                let unknown = these.iter().filter(|one| **one >= count);
+            Selection::Indices(numbers) => {
+                let unknown = numbers.iter().filter(|number| **number >= count);
                 unknown
                     .map(|number| {
                         format!("{field}: {number} is out of range, must be below {count}")
@@ -309,9 +309,9 @@
                     ("removed", removed),
                     ("renamed", renamed),
                 ];
-                for (field, these) in fields {
+                for (field, numbers) in fields {
                     errors.extend(
-                        Selection::Indices(these.clone()).validation_errors(field, self.gateways),
+                        Selection::Indices(numbers.clone()).validation_errors(field, self.gateways),
                     );
                 }
             }
--- a/crates/simulator/src/scenario/fleet.rs
+++ b/crates/simulator/src/scenario/fleet.rs
@@ -56,9 +56,9 @@
 
     pub(super) fn validation_errors(&self, scenario: &Scenario) -> Vec<String> {
         let mut errors = Vec::new();
-        let mut require = |is_valid: bool, what: &str| {
+        let mut require = |is_valid: bool, message: &str| {
             if !is_valid {
-                errors.push(what.to_owned());
+                errors.push(message.to_owned());
             }
         };
         let added = scenario
@@ -74,23 +74,29 @@
         } else {
             1
         };
-        let is_there =
+        let has_initial_gateway =
             |zone: u32| (0..scenario.gateways).any(|at| at % zones == zone && !added.contains(&at));
         require(
-            (0..zones).all(is_there),
+            (0..zones).all(has_initial_gateway),
             "added: each zone must have a gateway from the start",
         );
-        let not_below = |value: f64| value.is_finite() && value >= 0.0;
+        let is_non_negative = |value: f64| value.is_finite() && value >= 0.0;
         require(
             (0.0..1.0).contains(&self.lost),
             "fleet.lost: must be at least 0 and below 1",
         );
         require(
-            not_below(self.delay_ms) && self.delay_ms <= 60_000.0,
+            is_non_negative(self.delay_ms) && self.delay_ms <= 60_000.0,
             "fleet.delay_ms: must be from 0 to 60000",
         );
-        require(not_below(self.borne), "fleet.borne: must be at least 0");
-        require(not_below(self.slack), "fleet.slack: must be at least 0");
+        require(
+            is_non_negative(self.borne),
+            "fleet.borne: must be at least 0",
+        );
+        require(
+            is_non_negative(self.slack),
+            "fleet.slack: must be at least 0",
+        );
         let has_rate = self.borne > 0.0 || scenario.classes.iter().any(|class| class.standing > 0);
         require(
             !(self.recovery || self.falls) || has_rate,
--- a/crates/simulator/src/show.rs
+++ b/crates/simulator/src/show.rs
@@ -42,7 +42,7 @@
 fn service_table(measures: &Measures) -> String {
     let mut table = empty_table(&["", "WANTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
     let mut row = |kind: &str, served: &ServiceCounts| {
-        let at = |quantile| {
+        let percentile = |quantile| {
             format!(
                 "{:.1} ms",
                 served.took.value_at_quantile(quantile) as f64 / 1e3
@@ -54,8 +54,8 @@
             format!("{:.2}%", served.fraction_in_time() * 100.0),
             served.late.to_string(),
             served.gave_up.to_string(),
-            at(0.5),
-            at(0.99),
+            percentile(0.5),
+            percentile(0.99),
         ]);
     };
     measures
@@ -130,17 +130,18 @@
     let mut table = empty_table(&["", "FIRST", "SECOND", "DIFFERENCE", "95% INTERVAL", ""]);
     let mut rows = Vec::new();
     for (at, (name, more_is_better)) in compare::FIGURES.into_iter().enumerate() {
-        let of: Vec<(f64, f64)> = pairs
+        let values: Vec<(f64, f64)> = pairs
             .iter()
-            .filter_map(|[one, other]| one.get(at).zip(other.get(at)))
+            .filter_map(|[first, second]| first.get(at).zip(second.get(at)))
             .collect();
-        if of.is_empty() {
+        if values.is_empty() {
             continue;
         }
-        let mean =
-            |side: fn(&(f64, f64)) -> f64| of.iter().map(side).sum::<f64>() / of.len() as f64;
+        let mean = |side: fn(&(f64, f64)) -> f64| {
+            values.iter().map(side).sum::<f64>() / values.len() as f64
+        };
         let (first, second) = (mean(|pair| pair.0), mean(|pair| pair.1));
-        let (difference, low, high) = compare::mean_difference(&of, seeds);
+        let (difference, low, high) = compare::mean_difference(&values, seeds);
         let compare = verdict((low, high), more_is_better);
         table.add_row([
             name.to_owned(),
--- a/crates/simulator/src/versions.rs
+++ b/crates/simulator/src/versions.rs
@@ -69,9 +69,11 @@
             all.push(rolled_configuration(&next, &names, &weights, &routing));
             routing = next;
         }
-        let tags = all.iter().flat_map(|one| one.gateways.iter().enumerate());
+        let tags = all
+            .iter()
+            .flat_map(|configuration| configuration.gateways.iter().enumerate());
         let gateway = tags
-            .filter_map(|(at, one)| Some((one.as_ref()?.0, at as u32)))
+            .filter_map(|(at, configuration)| Some((configuration.as_ref()?.0, at as u32)))
             .collect();
         Configurations { all, gateway }
     }
--- a/crates/simulator/tests/failure.rs
+++ b/crates/simulator/tests/failure.rs
@@ -158,39 +158,43 @@
 
 /// Generates one to five fleet failures that may overlap in any order.
 fn failures() -> impl Strategy<Value = String> {
-    let one = (0..9_u32, 0..16_u32, 1..8_u32, 0..4_u32).prop_map(|(kind, at, span, which)| {
-        let head = |name: &str| format!("[[failure]]\nkind = \"{name}\"\nat_s = {at}\n");
-        match kind {
-            0 => format!(
-                "{}for_s = {span}\nbalancers = \"all\"\ngateways = \"all\"\n",
-                head("power-loss")
-            ),
-            1 => format!(
-                "{}for_s = {span}\nbalancers = [{which}]\ndisks_lost = [{which}]\n",
-                head("power-loss")
-            ),
-            2 => format!(
-                "{}for_s = {span}\nzone = 1\nflap_s = {which}\n",
-                head("uplink-lost")
-            ),
-            3 => format!(
-                "{}step_s = {span}\nremoved = [{which}]\nrenamed = [4]\n",
-                head("config-roll")
-            ),
-            4 => format!(
-                "{}for_s = {span}\nbalancers = [{which}]\n",
-                head("peers-cut")
-            ),
-            5 => format!("{}for_s = {span}\ngateways = [{which}, 5]\n", head("crash")),
-            6 => format!(
-                "{}gone_after_s = {span}\nfor_s = 3\ngateways = [{which}]\n",
-                head("drain")
-            ),
-            7 => format!("{}for_s = {span}\n", head("discovery-away")),
-            _ => format!("{}for_s = {span}\ngateways = [{which}]\n", head("hang")),
-        }
-    });
-    prop::collection::vec(one, 1..6).prop_map(|all| all.concat())
+    let failure =
+        (0..9_u32, 0..16_u32, 1..8_u32, 0..4_u32).prop_map(|(kind, at, duration, which)| {
+            let head = |name: &str| format!("[[failure]]\nkind = \"{name}\"\nat_s = {at}\n");
+            match kind {
+                0 => format!(
+                    "{}for_s = {duration}\nbalancers = \"all\"\ngateways = \"all\"\n",
+                    head("power-loss")
+                ),
+                1 => format!(
+                    "{}for_s = {duration}\nbalancers = [{which}]\ndisks_lost = [{which}]\n",
+                    head("power-loss")
+                ),
+                2 => format!(
+                    "{}for_s = {duration}\nzone = 1\nflap_s = {which}\n",
+                    head("uplink-lost")
+                ),
+                3 => format!(
+                    "{}step_s = {duration}\nremoved = [{which}]\nrenamed = [4]\n",
+                    head("config-roll")
+                ),
+                4 => format!(
+                    "{}for_s = {duration}\nbalancers = [{which}]\n",
+                    head("peers-cut")
+                ),
+                5 => format!(
+                    "{}for_s = {duration}\ngateways = [{which}, 5]\n",
+                    head("crash")
+                ),
+                6 => format!(
+                    "{}gone_after_s = {duration}\nfor_s = 3\ngateways = [{which}]\n",
+                    head("drain")
+                ),
+                7 => format!("{}for_s = {duration}\n", head("discovery-away")),
+                _ => format!("{}for_s = {duration}\ngateways = [{which}]\n", head("hang")),
+            }
+        });
+    prop::collection::vec(failure, 1..6).prop_map(|all| all.concat())
 }
 
 proptest! {
--- a/crates/simulator/tests/runs.rs
+++ b/crates/simulator/tests/runs.rs
@@ -109,13 +109,13 @@
     let sides = |other| [(&scenario, Policy::Beaconflow), (&scenario, other)];
     let same = run_pairs(sides(Policy::Beaconflow), 1..5, |_| ());
     assert!(
-        same.iter().all(|[one, other]| one == other),
+        same.iter().all(|[first, second]| first == second),
         "the same seeds give the same runs"
     );
     let round_robin = run_pairs(sides(Policy::RoundRobin), 1..5, |_| ());
     let in_time: Vec<(f64, f64)> = round_robin
         .iter()
-        .map(|[one, other]| (one.in_time, other.in_time))
+        .map(|[first, second]| (first.in_time, second.in_time))
         .collect();
     let (mean, low, high) = mean_difference(&in_time, 1);
     assert!(
@@ -136,30 +136,34 @@
 
 /// Generates up to five failures that may overlap in any order.
 fn failures() -> impl Strategy<Value = String> {
-    let one = (0..8_u32, 0..18_u32, 1..8_u32, 0..4_u32).prop_map(|(kind, at, span, which)| {
-        let head = |name: &str| format!("[[failure]]\nkind = \"{name}\"\nat_s = {at}\n");
-        match kind {
-            0 => format!("{}for_s = {span}\ngateways = [{which}]\n", head("hang")),
-            1 => format!("{}for_s = {span}\ngateways = [{which}]\n", head("crash")),
-            2 => format!(
-                "{}gone_after_s = {span}\nfor_s = 3\ngateways = [{which}]\n",
-                head("drain")
-            ),
-            3 => format!(
-                "{}for_s = {span}\npart_a_second = 0.05\nset_ups = 0.1\n",
-                head("resets")
-            ),
-            4 => format!("{}for_s = {span}\n", head("store-stalled")),
-            5 => format!(
-                "{}for_s = {span}\nbalancer = {}\n",
-                head("balancer-killed"),
-                which % 2
-            ),
-            6 => format!("{}for_s = {span}\n", head("discovery-away")),
-            _ => format!("{}within_s = 0.5\npart = 0.5\n", head("reconnect")),
-        }
-    });
-    prop::collection::vec(one, 0..6).prop_map(|all| all.concat())
+    let failure =
+        (0..8_u32, 0..18_u32, 1..8_u32, 0..4_u32).prop_map(|(kind, at, duration, which)| {
+            let head = |name: &str| format!("[[failure]]\nkind = \"{name}\"\nat_s = {at}\n");
+            match kind {
+                0 => format!("{}for_s = {duration}\ngateways = [{which}]\n", head("hang")),
+                1 => format!(
+                    "{}for_s = {duration}\ngateways = [{which}]\n",
+                    head("crash")
+                ),
+                2 => format!(
+                    "{}gone_after_s = {duration}\nfor_s = 3\ngateways = [{which}]\n",
+                    head("drain")
+                ),
+                3 => format!(
+                    "{}for_s = {duration}\npart_a_second = 0.05\nset_ups = 0.1\n",
+                    head("resets")
+                ),
+                4 => format!("{}for_s = {duration}\n", head("store-stalled")),
+                5 => format!(
+                    "{}for_s = {duration}\nbalancer = {}\n",
+                    head("balancer-killed"),
+                    which % 2
+                ),
+                6 => format!("{}for_s = {duration}\n", head("discovery-away")),
+                _ => format!("{}within_s = 0.5\npart = 0.5\n", head("reconnect")),
+            }
+        });
+    prop::collection::vec(failure, 0..6).prop_map(|all| all.concat())
 }
 
 proptest! {
@@ -183,8 +187,8 @@
 /// that is already up would lose its waiting requests, here those to gateways that hang.
 #[test]
 fn overlapping_failures_end_with_the_last() {
-    let failure = |kind: &str, at: u32, span: u32, which: &str| {
-        format!("[[failure]]\nkind = \"{kind}\"\nat_s = {at}\nfor_s = {span}\n{which}\n")
+    let failure = |kind: &str, at: u32, duration: u32, which: &str| {
+        format!("[[failure]]\nkind = \"{kind}\"\nat_s = {at}\nfor_s = {duration}\n{which}\n")
     };
     let all = "gateways = [0, 1]";
     for (kind, which) in [("balancer-killed", "balancer = 0"), ("crash", all)] {
