--- a/crates/simulator/examples/quiet.rs
+++ b/crates/simulator/examples/quiet.rs
@@ -94,20 +94,25 @@
         fleet.now - started_at
     );
     fleet.run_for(20_000);
-    let sent =
-        |fleet: &Fleet<GossipPayload>| fleet.counts().iter().map(|one| one.sent_bytes).sum::<u64>();
+    let sent = |fleet: &Fleet<GossipPayload>| {
+        fleet
+            .counts()
+            .iter()
+            .map(|counts| counts.sent_bytes)
+            .sum::<u64>()
+    };
     let (before, clock) = (sent(&fleet), Instant::now());
     fleet.run_for(MEASURED_S * 1_000);
     let each = (count as u64 * MEASURED_S) as f64;
     println!(
-        "quiet, each: {:.1} KiB/s, {:.2}% of a core at most, the play's own work among it",
+        "quiet, each: {:.1} KiB/s, {:.2}% of a core at most, including the simulation itself",
         (sent(&fleet) - before) as f64 / each / 1024.0,
         clock.elapsed().as_secs_f64() / each * 100.0
     );
     let (mut spans, mut last_spans) = (Vec::new(), Vec::new());
     for key in 0..FACT_COUNT {
         let (at, observed_at) = ((key as usize * 37) % count, fleet.now);
-        let placed = Value::Placement(Some(Placement {
+        let placement = Value::Placement(Some(Placement {
             server: "server-0001".into(),
             configuration_digest: 1,
             placed_at: observed_at,
@@ -119,7 +124,7 @@
         let subject = Subject::Placement(PlacementKey::Client(key));
         node.payload_mut()
             .fact_store
-            .observe(&subject, &placed, 600_000, observed_at)
+            .observe(&subject, &placement, 600_000, observed_at)
             .expect("the fact is stored");
         let mut unaware: Vec<usize> = (0..count).filter(|other| *other != at).collect();
         while !unaware.is_empty() && fleet.now < observed_at + 30_000 {
--- a/crates/simulator/src/engine/balancers.rs
+++ b/crates/simulator/src/engine/balancers.rs
@@ -93,15 +93,16 @@
     pub(super) fn end_unplaced_request(
         &mut self,
         request: u64,
-        refused: bool,
+        is_rejected: bool,
         retry_after: Option<Nanos>,
     ) {
         let Some(request_state) = self.requests.remove(&request) else {
             return;
         };
-        self.checker.on_request_answered(self.now, request, refused);
+        self.checker
+            .on_request_answered(self.now, request, is_rejected);
         let second = self.measures.second_at(self.now);
-        if refused {
+        if is_rejected {
             second.refused += 1;
         } else {
             second.failed += 1;
@@ -199,14 +200,14 @@
 
     /// Passes the balancer's current server list to its policy engine.
     pub(super) fn send_server_list(&mut self, balancer: u32, update: ListUpdate) {
-        let (zones, paced) = (self.scenario.zones, self.is_paced(balancer));
+        let (zones, is_paced) = (self.scenario.zones, self.is_paced(balancer));
         let Some(list) = self.hosts[balancer as usize].list.clone() else {
             return;
         };
         // Staged admission already paces clients over the whole fleet, so that cold gateways are not limited a second
         // time.
         let capacity = |listed: &ListedGateway| {
-            if paced {
+            if is_paced {
                 self.capacity_fraction(listed)
             } else {
                 1.0
@@ -255,7 +256,7 @@
                 * capacity(listed)
                 * configuration.gateways[at].map_or(1.0, |(_, part)| part),
             target_weight: None,
-            started_at: if paced {
+            started_at: if is_paced {
                 0
             } else {
                 listed.started_at.unwrap_or(0)
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -127,13 +127,13 @@
 fn read_scenario(path: &Path) -> Result<Scenario, String> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-    Scenario::parse(&text).map_err(|faults| {
-        let faults: Vec<String> = faults
+    Scenario::parse(&text).map_err(|error| {
+        let errors: Vec<String> = error
             .0
             .iter()
-            .map(|fault| format!("{shown}: {fault}"))
+            .map(|message| format!("{shown}: {message}"))
             .collect();
-        faults.join("\n")
+        errors.join("\n")
     })
 }
 
--- a/crates/simulator/tests/failure.rs
+++ b/crates/simulator/tests/failure.rs
@@ -13,7 +13,7 @@
 const POWER: &str = include_str!("../scenarios/power-loss.toml");
 
 /// Runs a scenario with the given text replacements, asserts that no rule is broken, and returns the fleet figures.
-fn play(text: &str, changes: &[(&str, &str)]) -> FleetFigures {
+fn run_fleet(text: &str, changes: &[(&str, &str)]) -> FleetFigures {
     let mut text = text.to_owned();
     for (from, to) in changes {
         assert!(text.contains(from), "the scenario contains no {from:?}");
@@ -42,14 +42,14 @@
 
 #[test]
 fn recovery_refills_fleet_faster_without_overloading_cold_gateways() {
-    let staged = play(POWER, &SMALL);
+    let staged = run_fleet(POWER, &SMALL);
     assert!(staged.fallen == 0 && ratio(&staged) <= 1.3, "{staged:?}");
     assert!(
         staged.most_sent > 0.2,
-        "cold gateways received clients: {staged:?}"
+        "expected clients to be sent to cold gateways: {staged:?}"
     );
     // Without staged admission the policy engine waits until the gateways are warm.
-    let without = play(
+    let without = run_fleet(
         POWER,
         &[&SMALL[..], &[("recovery = true", "recovery = false")]].concat(),
     );
@@ -62,29 +62,35 @@
         "balancers = \"all\"",
         "balancers = \"all\"\ndisks_lost = [0, 2, 4]",
     );
-    let fleet = play(
+    let fleet = run_fleet(
         POWER,
         &[&SMALL[..], &[lost, ("lost = 0.05", "lost = 0.5")]].concat(),
     );
     assert!(fleet.fallen == 0 && ratio(&fleet) <= 1.4, "{fleet:?}");
 }
 
-fn landed(fleet: &FleetFigures) -> f64 {
+fn regained_fraction(fleet: &FleetFigures) -> f64 {
     assert!(fleet.owed > 3_000, "{fleet:?}");
     fleet.landed as f64 / fleet.owed as f64
 }
 
 #[test]
 fn affinity_survives_config_roll_and_peer_partition() {
-    let fleet = play(ROLL, &[]);
-    assert!(landed(&fleet) >= 0.995 && fleet.redealt > 50, "{fleet:?}");
+    let fleet = run_fleet(ROLL, &[]);
+    assert!(
+        regained_fraction(&fleet) >= 0.995 && fleet.redealt > 50,
+        "{fleet:?}"
+    );
     // Only changed weights make the policy engine rebalance; without them a new configuration migrates only the clients
     // of gateways that it no longer contains.
-    let fleet = play(ROLL, &[("weights = [[3, 2.0], [4, 0.5]]", "")]);
-    assert!(landed(&fleet) >= 0.995 && fleet.evened == 0, "{fleet:?}");
+    let fleet = run_fleet(ROLL, &[("weights = [[3, 2.0], [4, 0.5]]", "")]);
+    assert!(
+        regained_fraction(&fleet) >= 0.995 && fleet.evened == 0,
+        "{fleet:?}"
+    );
     let cut = "[[failure]]\nkind = \"peers-cut\"\nat_s = 30\nfor_s = 3\nbalancers = [0, 1]\n";
-    let without = play(ROLL, &[("affinity = true", ""), (cut, "")]);
-    assert!(landed(&without) < 0.9, "{without:?}");
+    let without = run_fleet(ROLL, &[("affinity = true", ""), (cut, "")]);
+    assert!(regained_fraction(&without) < 0.9, "{without:?}");
 }
 
 #[test]
@@ -125,8 +131,8 @@
         ),
     ];
     let part = |fleet: &FleetFigures| fleet.island_served as f64 / fleet.island_wanted as f64;
-    let lost = play(UPLINK, &short);
-    let none = play(
+    let lost = run_fleet(UPLINK, &short);
+    let none = run_fleet(
         UPLINK,
         &[&short[..], &[("zone = 2", "zone = 2\nway = \"none\"")]].concat(),
     );
--- a/crates/simulator/tests/runs.rs
+++ b/crates/simulator/tests/runs.rs
@@ -10,7 +10,7 @@
 const RESETS: &str = include_str!("../scenarios/resets.toml");
 const FLOOD: &str = include_str!("../scenarios/flood.toml");
 
-fn play(scenario: &Scenario) -> Engine<'_> {
+fn run(scenario: &Scenario) -> Engine<'_> {
     let mut engine = Engine::new(scenario, Policy::Beaconflow);
     engine.run(|_| true);
     engine
@@ -20,7 +20,7 @@
 fn runs_are_deterministic_per_seed() {
     let mut scenario = Scenario::parse(HANG).expect("the scenario is valid");
     let digest = |scenario: &Scenario| {
-        let engine = play(scenario);
+        let engine = run(scenario);
         format!("{:?} {:?}", engine.measures.events, engine.measures.seconds)
     };
     let (first, second) = (digest(&scenario), digest(&scenario));
@@ -38,7 +38,7 @@
         ("flood", FLOOD, 0.95),
     ] {
         let scenario = Scenario::parse(text).expect("the scenario is valid");
-        let engine = play(&scenario);
+        let engine = run(&scenario);
         assert_eq!(engine.checker.violations(), [], "{name}");
         for served in engine
             .measures
@@ -178,7 +178,7 @@
             seed >> 1
         );
         let scenario = Scenario::parse(&text).expect("the scenario is valid");
-        let engine = play(&scenario);
+        let engine = run(&scenario);
         prop_assert_eq!(engine.checker.violations(), &[][..]);
     }
 }
@@ -200,7 +200,7 @@
             failure("hang", 6, 3, all),
         );
         let scenario = Scenario::parse(&text).expect("the scenario is valid");
-        let engine = play(&scenario);
+        let engine = run(&scenario);
         assert_eq!(engine.checker.violations(), [], "{kind}");
         let established: u64 = engine.measures.seconds[3..7]
             .iter()
