--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -474,13 +474,13 @@
             .0,
         201
     );
-    site.redis.goes_away(true);
+    site.redis.set_unavailable(true);
     assert_eq!(site.ask("GET", "/v1/tenants", "").0, 503);
     let mut known = client(site.at, "known", "once", "once's new password");
     known.hears("PONG");
     let mut unknown = client(site.at, "unknown", "stranger", PASSWORD);
     unknown.hears("-ERR 'Service Unavailable; try again in 1000 ms'");
-    site.redis.goes_away(false);
+    site.redis.set_unavailable(false);
     let back = Instant::now();
     while site.ask("GET", "/v1/tenants", "").0 != 200 {
         assert!(back.elapsed() < PATIENCE, "the store never came back");
@@ -775,7 +775,7 @@
         tell(&mut watch, 1, true, &rows(&[(&server, "SERVING")]));
         site.program.says("generation=1");
         site.redis
-            .manner(beaconflow_contracts::redis::RedisBehaviour::Slow(
+            .set_behaviour(beaconflow_contracts::redis::RedisBehaviour::Slow(
                 Duration::from_millis(200),
             ));
         leaves(site.client("gone"), by_reset);
--- a/crates/cli/tests/support/nats.rs
+++ b/crates/cli/tests/support/nats.rs
@@ -266,5 +266,5 @@
 
 /// A Redis that knows hashes.
 pub fn redis() -> Redis {
-    Redis::on(listener())
+    Redis::start_on(listener())
 }
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use beaconflow_contracts::transports::{End, LinkFault, Pair, Received, Subject, TIMEOUT, Traits};
+use beaconflow_contracts::transports::{
+    End, LinkFault, Pair, Properties, Received, Subject, TIMEOUT,
+};
 use beaconflow_fault_injection::{Net, Record, listen_address};
 use beaconflow_membership::driver::{Handle, Udp, random_seed, spawn};
 use beaconflow_membership::{
@@ -105,7 +107,7 @@
         let net = Net::start(&Record::default(), 4);
         Peers {
             net,
-            weather: LinkFault::Fair,
+            weather: LinkFault::None,
             pairs: 0,
             waiting: Vec::new(),
         }
@@ -113,15 +115,15 @@
 }
 
 impl Subject for Peers {
-    fn traits(&self) -> Traits {
+    fn properties(&self) -> Properties {
         // A datagram may be lost and overtaken, and one that is doubled is taken once.
-        Traits {
-            ordered: false,
-            reliable: false,
-            once: true,
-            ends: false,
-            longest: LONGEST,
-            silence: None,
+        Properties {
+            is_ordered: false,
+            is_reliable: false,
+            deduplicates: true,
+            signals_close: false,
+            max_message_bytes: LONGEST,
+            silence_timeout: None,
         }
     }
 
@@ -174,12 +176,12 @@
         }
         self.waiting
             .extend(ends.iter().map(|end| end.waiting.clone()));
-        self.weather(self.weather);
+        self.set_fault(self.weather);
         let [near, far] = ends;
         (Box::new(near), Box::new(far))
     }
 
-    fn weather(&mut self, weather: LinkFault) {
+    fn set_fault(&mut self, weather: LinkFault) {
         // What was sent goes out in the weather that it was sent in.
         assert!(
             self.waiting.iter().all(Waiting::is_out),
@@ -203,11 +205,11 @@
         unreachable!("a datagram has no parts");
     }
 
-    fn hear(&mut self, within: Duration) -> Received {
+    fn receive(&mut self, within: Duration) -> Received {
         match self.heard.recv_timeout(within) {
             Ok(message) => Received::Message(message),
             Err(RecvTimeoutError::Timeout) => Received::Nothing,
-            Err(RecvTimeoutError::Disconnected) => Received::Ended,
+            Err(RecvTimeoutError::Disconnected) => Received::Closed,
         }
     }
 
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use beaconflow_contracts::transports::{End, LinkFault, Pair, Received, Subject, Traits};
+use beaconflow_contracts::transports::{End, LinkFault, Pair, Properties, Received, Subject};
 use beaconflow_fault_injection::{Link, Net, Record};
 
 use crate::fault;
@@ -176,20 +176,20 @@
 }
 
 impl Subject for Front {
-    fn traits(&self) -> Traits {
+    fn properties(&self) -> Properties {
         let (longest, silence) = match self.wire {
             // 4 KiB with what is round the message.
             Wire::Platform => (4_096 - 4, 3_000),
             Wire::Nats => (MAX_PAYLOAD, 3_000),
         };
         let silence = Some(Duration::from_millis(silence));
-        Traits {
-            ordered: true,
-            reliable: true,
-            once: true,
-            ends: true,
-            longest,
-            silence,
+        Properties {
+            is_ordered: true,
+            is_reliable: true,
+            deduplicates: true,
+            signals_close: true,
+            max_message_bytes: longest,
+            silence_timeout: silence,
         }
     }
 
@@ -209,7 +209,7 @@
         (Box::new(Conn::new(near, self.wire, true)), Box::new(far))
     }
 
-    fn weather(&mut self, weather: LinkFault) {
+    fn set_fault(&mut self, weather: LinkFault) {
         for link in ["clients>program", "program>server"] {
             self.net.fault(link, fault(weather));
         }
@@ -301,11 +301,11 @@
             let mut line = String::new();
             reader.read_line(&mut line)?;
             if !line.ends_with('\n') {
-                return Ok(Received::Ended);
+                return Ok(Received::Closed);
             }
             match wire.read(line.trim_end()) {
                 Line::Message(message) => return Ok(Received::Message(message)),
-                Line::Moved => return Ok(Received::Moved),
+                Line::Moved => return Ok(Received::MoveRequested),
                 Line::Payload(size) => {
                     let mut payload = Vec::new();
                     (&mut reader)
@@ -316,7 +316,7 @@
                     return Ok(if is_whole {
                         Received::Message(message)
                     } else {
-                        Received::Ended
+                        Received::Closed
                     });
                 }
                 Line::Asks if !silent.load(Ordering::Relaxed) => stream.write_all(b"PONG\r\n")?,
@@ -326,7 +326,7 @@
     };
     loop {
         let heard = next().unwrap_or(Received::Reset);
-        let is_last = matches!(heard, Received::Ended | Received::Reset);
+        let is_last = matches!(heard, Received::Closed | Received::Reset);
         if tell.send(heard).is_err() || is_last {
             return;
         }
@@ -349,12 +349,12 @@
             .expect("open");
     }
 
-    fn hear(&mut self, within: Duration) -> Received {
+    fn receive(&mut self, within: Duration) -> Received {
         let heard = self.heard.as_ref().expect("not over").recv_timeout(within);
         heard.unwrap_or(Received::Nothing)
     }
 
-    fn falls_silent(&mut self) {
+    fn stop_answering(&mut self) {
         self.silent.store(true, Ordering::Relaxed);
     }
 
--- a/crates/cli/tests/transports/main.rs
+++ b/crates/cli/tests/transports/main.rs
@@ -30,12 +30,12 @@
 /// The weather as it is made of a link.
 fn fault(weather: LinkFault) -> Fault {
     match weather {
-        LinkFault::Fair => Fault::Heal,
-        LinkFault::Cut => Fault::Partition(Direction::Both),
-        LinkFault::Pieces(size) => {
+        LinkFault::None => Fault::Heal,
+        LinkFault::Partition => Fault::Partition(Direction::Both),
+        LinkFault::Fragments(size) => {
             Fault::Throttle(Direction::Both, size, Duration::from_micros(200))
         }
-        LinkFault::Doubled => Fault::Duplicate(Direction::Both, 1.0),
-        LinkFault::Uneven => Fault::Delay(Direction::Both, Duration::from_millis(5)),
+        LinkFault::Duplicate => Fault::Duplicate(Direction::Both, 1.0),
+        LinkFault::Jitter => Fault::Delay(Direction::Both, Duration::from_millis(5)),
     }
 }
--- a/crates/contracts/src/disk.rs
+++ b/crates/contracts/src/disk.rs
@@ -10,14 +10,14 @@
 use redb::{Builder, Database, DatabaseError, ReadOnlyDatabase, StorageBackend};
 
 /// Room is taken by the page.
-const PAGE: u64 = 4096;
+const PAGE_BYTES: u64 = 4096;
 
 /// How the disk fares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
     /// It does what it is told.
     #[default]
-    Fair,
+    None,
     /// Pages that nothing was written to get nothing.
     Full,
     /// It takes no writing.
@@ -25,56 +25,56 @@
     /// Each write takes so long.
     Slow(Duration),
     /// Writes stand still until the weather changes.
-    Stuck,
+    Stalled,
 }
 
 /// What of the writes that were not yet synced a loss of power takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum UnsyncedLoss {
     /// Nothing.
-    Nothing,
+    None,
     /// All.
-    Everything,
+    All,
     /// Some of them, and some are torn in the middle; the number draws which.
-    Some(u64),
+    Partial(u64),
 }
 
 /// How a file is emptied behind its reader's back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Emptied {
+pub enum ClearMethod {
     /// It is cut to nothing.
-    Cut,
+    Truncate,
     /// It is removed.
-    Removed,
+    Remove,
 }
 
 #[derive(Debug)]
-enum Op {
+enum WriteOp {
     Write(u64, Vec<u8>),
-    Length(u64),
+    SetLength(u64),
 }
 
 #[derive(Debug, Default)]
 struct FileState {
-    now: Vec<u8>,
+    current: Vec<u8>,
     synced: Vec<u8>,
-    unsynced: Vec<Op>,
-    taken: BTreeSet<u64>,
+    unsynced_ops: Vec<WriteOp>,
+    allocated_pages: BTreeSet<u64>,
     /// Someone has it open for writing.
-    held: bool,
+    is_open_for_writing: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    names: BTreeMap<PathBuf, u64>,
+    numbers_by_path: BTreeMap<PathBuf, u64>,
     files: BTreeMap<u64, FileState>,
-    set_fault: DiskFault,
-    writes: u64,
+    fault: DiskFault,
+    write_count: u64,
     /// The power goes at this write.
-    cut_at: Option<u64>,
-    dark: bool,
+    power_off_at_write: Option<u64>,
+    is_power_off: bool,
     /// Losses of power so far: what was opened before one is dead.
-    lives: u64,
+    power_losses: u64,
 }
 
 #[derive(Debug, Default)]
@@ -85,12 +85,12 @@
 
 /// The disk. Its clones are the same disk.
 #[derive(Clone, Debug, Default)]
-pub struct BreakingDisk(Arc<Shared>);
+pub struct FaultyDisk(Arc<Shared>);
 
-fn apply(bytes: &mut Vec<u8>, op: &Op) {
+fn apply(bytes: &mut Vec<u8>, op: &WriteOp) {
     match op {
-        Op::Length(length) => bytes.resize(*length as usize, 0),
-        Op::Write(at, data) => {
+        WriteOp::SetLength(length) => bytes.resize(*length as usize, 0),
+        WriteOp::Write(at, data) => {
             let (from, to) = (*at as usize, *at as usize + data.len());
             bytes.resize(bytes.len().max(to), 0);
             bytes[from..to].copy_from_slice(data);
@@ -98,145 +98,153 @@
     }
 }
 
-fn no_power() -> Error {
+fn power_off_error() -> Error {
     Error::other("the power is off")
 }
 
-impl BreakingDisk {
+impl FaultyDisk {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes how the disk fares.
-    pub fn set_fault(&self, weather: DiskFault) {
-        self.lock().set_fault = weather;
+    pub fn set_fault(&self, fault: DiskFault) {
+        self.lock().fault = fault;
         self.0.changed.notify_all();
     }
 
     /// Writes, cuts and syncs so far.
-    pub fn writes(&self) -> u64 {
-        self.lock().writes
+    pub fn write_count(&self) -> u64 {
+        self.lock().write_count
     }
 
     /// The power goes at this write from now on; at once if it is 0.
-    pub fn cut_after(&self, writes: u64) {
+    pub fn cut_power_after(&self, writes: u64) {
         let mut state = self.lock();
-        state.cut_at = Some(state.writes + writes);
-        state.dark = writes == 0;
+        state.power_off_at_write = Some(state.write_count + writes);
+        state.is_power_off = writes == 0;
     }
 
     /// Whether the power is off.
-    pub fn is_dark(&self) -> bool {
-        self.lock().dark
+    pub fn is_power_off(&self) -> bool {
+        self.lock().is_power_off
     }
 
     /// The power is back. What was opened before stays dead.
-    pub fn power_back(&self, loss: Loss) {
+    pub fn restore_power(&self, loss: UnsyncedLoss) {
         let mut state = self.lock();
-        (state.cut_at, state.dark, state.lives) = (None, false, state.lives + 1);
-        let mut draw = if let Loss::Some(seed) = loss {
+        (
+            state.power_off_at_write,
+            state.is_power_off,
+            state.power_losses,
+        ) = (None, false, state.power_losses + 1);
+        let mut random = if let UnsyncedLoss::Partial(seed) = loss {
             seed | 1
         } else {
             1
         };
-        let mut chance = |parts: u64| {
-            draw ^= draw << 13;
-            draw ^= draw >> 7;
-            draw ^= draw << 17;
-            draw % parts
+        let mut random_below = |parts: u64| {
+            random ^= random << 13;
+            random ^= random >> 7;
+            random ^= random << 17;
+            random % parts
         };
         for file in state.files.values_mut() {
-            file.held = false;
-            for mut op in std::mem::take(&mut file.unsynced) {
-                let kept = match loss {
-                    Loss::Nothing => true,
-                    Loss::Everything => false,
-                    Loss::Some(_) => chance(2) == 0,
+            file.is_open_for_writing = false;
+            for mut op in std::mem::take(&mut file.unsynced_ops) {
+                let is_kept = match loss {
+                    UnsyncedLoss::None => true,
+                    UnsyncedLoss::All => false,
+                    UnsyncedLoss::Partial(_) => random_below(2) == 0,
                 };
-                if let (Loss::Some(_), Op::Write(_, data)) = (loss, &mut op)
-                    && chance(4) == 0
+                if let (UnsyncedLoss::Partial(_), WriteOp::Write(_, data)) = (loss, &mut op)
+                    && random_below(4) == 0
                 {
                     data.truncate(data.len() / 2);
                 }
-                if kept {
+                if is_kept {
                     apply(&mut file.synced, &op);
                 }
             }
-            file.now.clone_from(&file.synced);
+            file.current.clone_from(&file.synced);
         }
     }
 
     /// Empties all files behind their readers' backs.
-    pub fn empty(&self, how: Emptied) {
+    pub fn clear_files(&self, method: ClearMethod) {
         let mut state = self.lock();
-        let State { names, files, .. } = &mut *state;
-        for number in names.values() {
-            if let (Emptied::Cut, Some(file)) = (how, files.get_mut(number)) {
-                let held = file.held;
+        let State {
+            numbers_by_path,
+            files,
+            ..
+        } = &mut *state;
+        for number in numbers_by_path.values() {
+            if let (ClearMethod::Truncate, Some(file)) = (method, files.get_mut(number)) {
+                let is_open_for_writing = file.is_open_for_writing;
                 *file = FileState {
-                    held,
+                    is_open_for_writing,
                     ..FileState::default()
                 };
             }
         }
-        if how == Emptied::Removed {
-            names.clear();
+        if method == ClearMethod::Remove {
+            numbers_by_path.clear();
         }
     }
 
     /// Writes a file that is durable at once.
-    pub fn place(&self, path: &Path, bytes: Vec<u8>) {
+    pub fn write_synced(&self, path: &Path, bytes: Vec<u8>) {
         let mut state = self.lock();
-        let number = number_of(&mut state, path);
-        let taken = (0..bytes.len() as u64 / PAGE + 1).collect();
+        let number = file_number(&mut state, path);
+        let allocated_pages = (0..bytes.len() as u64 / PAGE_BYTES + 1).collect();
         let file = FileState {
-            now: bytes.clone(),
+            current: bytes.clone(),
             synced: bytes,
-            taken,
+            allocated_pages,
             ..FileState::default()
         };
         state.files.insert(number, file);
     }
 
-    /// The names there are.
-    pub fn names(&self) -> Vec<PathBuf> {
-        self.lock().names.keys().cloned().collect()
+    /// The paths there are.
+    pub fn paths(&self) -> Vec<PathBuf> {
+        self.lock().numbers_by_path.keys().cloned().collect()
     }
 
-    fn open(&self, path: &Path, writing: bool) -> Result<Open, DatabaseError> {
+    fn open(&self, path: &Path, writable: bool) -> Result<OpenFile, DatabaseError> {
         let mut state = self.lock();
-        if state.dark {
-            return Err(no_power().into());
+        if state.is_power_off {
+            return Err(power_off_error().into());
         }
-        let there = state.names.contains_key(path);
-        if !there && !writing {
+        let exists = state.numbers_by_path.contains_key(path);
+        if !exists && !writable {
             return Err(Error::from(ErrorKind::NotFound).into());
         }
-        if writing && state.set_fault == DiskFault::ReadOnly {
+        if writable && state.fault == DiskFault::ReadOnly {
             return Err(Error::from(ErrorKind::ReadOnlyFilesystem).into());
         }
-        let number = number_of(&mut state, path);
-        let lives = state.lives;
+        let number = file_number(&mut state, path);
+        let power_losses = state.power_losses;
         let file = state.files.entry(number).or_default();
-        if file.held {
+        if file.is_open_for_writing {
             return Err(DatabaseError::DatabaseAlreadyOpen);
         }
-        file.held = writing;
-        Ok(Open {
+        file.is_open_for_writing = writable;
+        Ok(OpenFile {
             disk: self.clone(),
             number,
-            lives,
-            writing,
+            power_losses,
+            writable,
         })
     }
 }
 
-fn number_of(state: &mut State, path: &Path) -> u64 {
+fn file_number(state: &mut State, path: &Path) -> u64 {
     let next = state.files.keys().next_back().map_or(1, |last| last + 1);
-    *state.names.entry(path.to_owned()).or_insert(next)
+    *state.numbers_by_path.entry(path.to_owned()).or_insert(next)
 }
 
-impl Disk for BreakingDisk {
+impl Disk for FaultyDisk {
     fn create(&self, builder: &Builder, path: &Path) -> Result<Database, DatabaseError> {
         builder.create_with_backend(self.open(path, true)?)
     }
@@ -251,24 +259,24 @@
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         let state = self.lock();
-        if state.dark {
-            return Err(no_power());
+        if state.is_power_off {
+            return Err(power_off_error());
         }
         let file = state
-            .names
+            .numbers_by_path
             .get(path)
             .and_then(|number| state.files.get(number));
-        file.map(|file| file.now.clone())
+        file.map(|file| file.current.clone())
             .ok_or(ErrorKind::NotFound.into())
     }
 
     fn identity(&self, path: &Path) -> io::Result<FileIdentity> {
         let state = self.lock();
-        let number = state.names.get(path).ok_or(ErrorKind::NotFound)?;
+        let number = state.numbers_by_path.get(path).ok_or(ErrorKind::NotFound)?;
         let length = state
             .files
             .get(number)
-            .map_or(0, |file| file.now.len() as u64);
+            .map_or(0, |file| file.current.len() as u64);
         Ok(FileIdentity {
             device_and_inode: (1, *number),
             length_bytes: length,
@@ -277,32 +285,35 @@
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         let mut state = self.lock();
-        if state.dark {
-            return Err(no_power());
+        if state.is_power_off {
+            return Err(power_off_error());
         }
-        if state.set_fault == DiskFault::ReadOnly {
+        if state.fault == DiskFault::ReadOnly {
             return Err(ErrorKind::ReadOnlyFilesystem.into());
         }
-        let number = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
-        state.names.insert(to.to_owned(), number);
+        let number = state
+            .numbers_by_path
+            .remove(from)
+            .ok_or(ErrorKind::NotFound)?;
+        state.numbers_by_path.insert(to.to_owned(), number);
         Ok(())
     }
 }
 
 /// An open file.
 #[derive(Debug)]
-struct Open {
-    disk: BreakingDisk,
+struct OpenFile {
+    disk: FaultyDisk,
     number: u64,
-    lives: u64,
-    writing: bool,
+    power_losses: u64,
+    writable: bool,
 }
 
-impl Open {
+impl OpenFile {
     fn file<T>(&self, run: impl FnOnce(&mut FileState) -> io::Result<T>) -> io::Result<T> {
         let mut state = self.disk.lock();
-        if state.dark || state.lives != self.lives {
-            return Err(no_power());
+        if state.is_power_off || state.power_losses != self.power_losses {
+            return Err(power_off_error());
         }
         state
             .files
@@ -311,9 +322,9 @@
     }
 
     /// Waits, fails or goes dark as the weather has it, before something is written to pages.
-    fn weather(&self, mut pages: impl Iterator<Item = u64>) -> io::Result<()> {
+    fn prepare_write(&self, mut pages: impl Iterator<Item = u64>) -> io::Result<()> {
         let mut state = self.disk.lock();
-        while state.set_fault == DiskFault::Stuck {
+        while state.fault == DiskFault::Stalled {
             state = self
                 .disk
                 .0
@@ -321,82 +332,92 @@
                 .wait(state)
                 .unwrap_or_else(PoisonError::into_inner);
         }
-        state.writes += 1;
-        state.dark |= state.cut_at.is_some_and(|at| state.writes >= at);
-        let weather = state.set_fault;
-        let taken = |page| {
+        state.write_count += 1;
+        state.is_power_off |= state
+            .power_off_at_write
+            .is_some_and(|at| state.write_count >= at);
+        let fault = state.fault;
+        let is_allocated = |page| {
             state
                 .files
                 .get(&self.number)
-                .is_some_and(|file| file.taken.contains(&page))
+                .is_some_and(|file| file.allocated_pages.contains(&page))
         };
-        let full = weather == DiskFault::Full && !pages.all(taken);
+        let is_full = fault == DiskFault::Full && !pages.all(is_allocated);
         drop(state);
-        match weather {
+        match fault {
             DiskFault::ReadOnly => Err(ErrorKind::ReadOnlyFilesystem.into()),
-            DiskFault::Full if full => Err(ErrorKind::StorageFull.into()),
-            DiskFault::Slow(time) => {
-                std::thread::sleep(time);
+            DiskFault::Full if is_full => Err(ErrorKind::StorageFull.into()),
+            DiskFault::Slow(delay) => {
+                std::thread::sleep(delay);
                 Ok(())
             }
             _ => Ok(()),
         }
     }
 
-    fn change(&self, op: Op) -> io::Result<()> {
+    fn change(&self, op: WriteOp) -> io::Result<()> {
         let mut state = self.disk.lock();
-        if state.dark && state.cut_at == Some(state.writes) && state.lives == self.lives {
+        if state.is_power_off
+            && state.power_off_at_write == Some(state.write_count)
+            && state.power_losses == self.power_losses
+        {
             // What was being written when the power went may be there, or half of it.
             if let Some(file) = state.files.get_mut(&self.number) {
-                file.unsynced.push(op);
+                file.unsynced_ops.push(op);
             }
-            return Err(no_power());
+            return Err(power_off_error());
         }
         drop(state);
         self.file(|file| {
-            if let Op::Write(at, data) = &op {
-                file.taken
-                    .extend(at / PAGE..=(at + data.len() as u64).saturating_sub(1) / PAGE);
+            if let WriteOp::Write(at, data) = &op {
+                file.allocated_pages.extend(
+                    at / PAGE_BYTES..=(at + data.len() as u64).saturating_sub(1) / PAGE_BYTES,
+                );
             }
-            apply(&mut file.now, &op);
-            file.unsynced.push(op);
+            apply(&mut file.current, &op);
+            file.unsynced_ops.push(op);
             Ok(())
         })
     }
 }
 
-impl StorageBackend for Open {
+impl StorageBackend for OpenFile {
     fn len(&self) -> io::Result<u64> {
-        self.file(|file| Ok(file.now.len() as u64))
+        self.file(|file| Ok(file.current.len() as u64))
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         self.file(|file| {
-            let part = file.now.get(offset as usize..offset as usize + out.len());
+            let part = file
+                .current
+                .get(offset as usize..offset as usize + out.len());
             part.map(|part| out.copy_from_slice(part))
                 .ok_or(ErrorKind::UnexpectedEof.into())
         })
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.weather(std::iter::empty())?;
-        self.change(Op::Length(len))
+        self.prepare_write(std::iter::empty())?;
+        self.change(WriteOp::SetLength(len))
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.weather(std::iter::empty())?;
+        self.prepare_write(std::iter::empty())?;
         self.file(|file| {
             let FileState {
-                synced, unsynced, ..
+                synced,
+                unsynced_ops,
+                ..
             } = file;
-            unsynced.drain(..).for_each(|op| apply(synced, &op));
+            unsynced_ops.drain(..).for_each(|op| apply(synced, &op));
             Ok(())
         })
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.weather(offset / PAGE..(offset + data.len() as u64).div_ceil(PAGE))?;
-        self.change(Op::Write(offset, data.to_vec()))
+        self.prepare_write(offset / PAGE_BYTES..(offset + data.len() as u64).div_ceil(PAGE_BYTES))?;
+        self.change(WriteOp::Write(offset, data.to_vec()))
     }
 
     fn close(&self) -> io::Result<()> {
@@ -404,14 +425,14 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenFile {
     fn drop(&mut self) {
         let mut state = self.disk.lock();
-        if self.writing
-            && state.lives == self.lives
+        if self.writable
+            && state.power_losses == self.power_losses
             && let Some(file) = state.files.get_mut(&self.number)
         {
-            file.held = false;
+            file.is_open_for_writing = false;
         }
     }
 }
--- a/crates/contracts/src/redis.rs
+++ b/crates/contracts/src/redis.rs
@@ -15,13 +15,13 @@
     /// It does what it is asked and says nothing.
     Silent,
     /// It does what it is asked, and says half of the answer.
-    HalfAnswer,
+    PartialReply,
     /// The same, and hangs up in the middle.
     Reset,
     /// The same once, with the answer to a write; after that it serves.
     ResetOnce,
     /// It does what it is asked, and each answer comes when the next thing is asked.
-    Late,
+    DelayedReply,
     /// It reads its data back and refuses everything until it has.
     Loading,
     /// It has no room and refuses what writes.
@@ -38,13 +38,13 @@
 struct State {
     hashes: Hashes,
     /// As it was before the last write: what it wakes with when that was not saved.
-    saved: Hashes,
+    before_last_write: Hashes,
     behaviour: RedisBehaviour,
-    away: bool,
-    writes: u64,
+    is_unavailable: bool,
+    write_count: u64,
     /// It dies at this write, after it was done or before.
-    dies_at: Option<u64>,
-    peers: Vec<TcpStream>,
+    stops_at_write: Option<u64>,
+    connections: Vec<TcpStream>,
 }
 
 /// The server.
@@ -59,8 +59,8 @@
 }
 
 impl State {
-    fn hang_up(&mut self) {
-        for peer in self.peers.drain(..) {
+    fn disconnect_all(&mut self) {
+        for peer in self.connections.drain(..) {
             // One that is gone already has hung up.
             let _ = peer.shutdown(Shutdown::Both);
         }
@@ -74,7 +74,7 @@
     ///
     /// If loopback gives no port.
     pub fn start() -> Redis {
-        Redis::on(TcpListener::bind("127.0.0.1:0").expect("loopback has a free port"))
+        Redis::start_on(TcpListener::bind("127.0.0.1:0").expect("loopback has a free port"))
     }
 
     /// Starts it, empty, where something listens already.
@@ -82,7 +82,7 @@
     /// # Panics
     ///
     /// If the listener has no address.
-    pub fn on(listener: TcpListener) -> Redis {
+    pub fn start_on(listener: TcpListener) -> Redis {
         let address = listener.local_addr().expect("it is bound");
         let state = Arc::new(Mutex::new(State::default()));
         let shared = Arc::clone(&state);
@@ -92,10 +92,10 @@
                 let Ok(peer) = stream.try_clone() else {
                     continue;
                 };
-                if state.away {
+                if state.is_unavailable {
                     continue;
                 }
-                state.peers.push(peer);
+                state.connections.push(peer);
                 let shared = Arc::clone(&shared);
                 std::thread::spawn(move || serve(&stream, &shared));
             }
@@ -104,39 +104,39 @@
     }
 
     /// Breaks all connections and takes no new ones, or takes them again.
-    pub fn goes_away(&self, away: bool) {
+    pub fn set_unavailable(&self, is_unavailable: bool) {
         let mut state = lock(&self.state);
-        state.away = away;
-        state.dies_at = None;
-        state.hang_up();
+        state.is_unavailable = is_unavailable;
+        state.stops_at_write = None;
+        state.disconnect_all();
     }
 
     /// Changes how it answers.
-    pub fn manner(&self, manner: RedisBehaviour) {
-        lock(&self.state).behaviour = manner;
+    pub fn set_behaviour(&self, behaviour: RedisBehaviour) {
+        lock(&self.state).behaviour = behaviour;
     }
 
     /// It dies at this write from now on, before that is done.
-    pub fn dies_after(&self, writes: u64) {
+    pub fn stop_after_writes(&self, writes: u64) {
         let mut state = lock(&self.state);
-        state.dies_at = Some(state.writes + writes);
+        state.stops_at_write = Some(state.write_count + writes);
     }
 
     /// Whether it has died or gone away.
-    pub fn is_away(&self) -> bool {
-        lock(&self.state).away
+    pub fn is_unavailable(&self) -> bool {
+        lock(&self.state).is_unavailable
     }
 
     /// Loses its last write, as one that saves now and then.
-    pub fn loses_the_last_write(&self) {
+    pub fn lose_last_write(&self) {
         let mut state = lock(&self.state);
-        state.hashes = state.saved.clone();
+        state.hashes = state.before_last_write.clone();
     }
 
     /// Loses everything, while it runs.
-    pub fn is_emptied(&self) {
+    pub fn clear(&self) {
         let mut state = lock(&self.state);
-        (state.hashes, state.saved) = Default::default();
+        (state.hashes, state.before_last_write) = Default::default();
     }
 
     /// A field of a hash.
@@ -158,56 +158,56 @@
 fn serve(stream: &TcpStream, shared: &Mutex<State>) {
     let mut out = stream;
     let mut reader = BufReader::new(stream);
-    let mut held_back = Vec::new();
-    while let Some(words) = read_command(&mut reader) {
-        let words: Vec<&str> = words.iter().map(String::as_str).collect();
+    let mut delayed_reply = Vec::new();
+    while let Some(args) = read_command(&mut reader) {
+        let args: Vec<&str> = args.iter().map(String::as_str).collect();
         let mut state = lock(shared);
-        let Some(reply) = answer(&mut state, &words) else {
+        let Some(reply) = reply_to(&mut state, &args) else {
             return;
         };
-        let manner = state.behaviour;
+        let behaviour = state.behaviour;
         drop(state);
-        let writes = writes(words[0]);
-        let about_data = words[0].to_ascii_uppercase().starts_with('H');
+        let is_write = is_write_command(args[0]);
+        let is_hash_command = args[0].to_ascii_uppercase().starts_with('H');
         let half = &reply.as_bytes()[..reply.len() / 2];
-        let said = match manner {
+        let sent = match behaviour {
             RedisBehaviour::Silent => Ok(()),
-            RedisBehaviour::HalfAnswer if about_data => out.write_all(half),
+            RedisBehaviour::PartialReply if is_hash_command => out.write_all(half),
             RedisBehaviour::Reset | RedisBehaviour::ResetOnce
-                if about_data && (writes || manner == RedisBehaviour::Reset) =>
+                if is_hash_command && (is_write || behaviour == RedisBehaviour::Reset) =>
             {
-                if manner == RedisBehaviour::ResetOnce {
+                if behaviour == RedisBehaviour::ResetOnce {
                     lock(shared).behaviour = RedisBehaviour::Serve;
                 }
                 let _ = out.write_all(half);
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
-            RedisBehaviour::Late if about_data => {
-                out.write_all(&std::mem::replace(&mut held_back, reply.into_bytes()))
+            RedisBehaviour::DelayedReply if is_hash_command => {
+                out.write_all(&std::mem::replace(&mut delayed_reply, reply.into_bytes()))
             }
-            RedisBehaviour::Slow(time) if about_data => {
-                std::thread::sleep(time);
+            RedisBehaviour::Slow(delay) if is_hash_command => {
+                std::thread::sleep(delay);
                 out.write_all(reply.as_bytes())
             }
             _ => out.write_all(reply.as_bytes()),
         };
-        if said.is_err() {
+        if sent.is_err() {
             return;
         }
     }
 }
 
-fn writes(name: &str) -> bool {
+fn is_write_command(name: &str) -> bool {
     ["HSET", "HSETNX", "HDEL"]
         .iter()
-        .any(|one| name.eq_ignore_ascii_case(one))
+        .any(|command| name.eq_ignore_ascii_case(command))
 }
 
 /// The answer to a command; none if it dies of it.
-fn answer(state: &mut State, words: &[&str]) -> Option<String> {
-    let name = words[0].to_ascii_uppercase();
-    let writes = writes(&name);
+fn reply_to(state: &mut State, args: &[&str]) -> Option<String> {
+    let name = args[0].to_ascii_uppercase();
+    let is_write = is_write_command(&name);
     let refusal = match (state.behaviour, name.as_str()) {
         (RedisBehaviour::Loading, "HGET" | "HGETALL" | "HSET" | "HSETNX" | "HDEL") => {
             "-LOADING Redis is loading the dataset in memory\r\n"
@@ -215,7 +215,7 @@
         (RedisBehaviour::Full, "HSET" | "HSETNX") => {
             "-OOM command not allowed when used memory > 'maxmemory'.\r\n"
         }
-        (RedisBehaviour::ReadOnly, _) if writes => {
+        (RedisBehaviour::ReadOnly, _) if is_write => {
             "-READONLY You can't write against a read only replica.\r\n"
         }
         _ => "",
@@ -223,21 +223,24 @@
     if !refusal.is_empty() {
         return Some(refusal.to_owned());
     }
-    if writes {
-        state.writes += 1;
-        if state.dies_at.is_some_and(|at| state.writes >= at) {
-            state.away = true;
-            state.hang_up();
+    if is_write {
+        state.write_count += 1;
+        if state
+            .stops_at_write
+            .is_some_and(|at| state.write_count >= at)
+        {
+            state.is_unavailable = true;
+            state.disconnect_all();
             return None;
         }
-        state.saved = state.hashes.clone();
+        state.before_last_write = state.hashes.clone();
     }
-    Some(run(&mut state.hashes, &name, &words[1..]))
+    Some(execute(&mut state.hashes, &name, &args[1..]))
 }
 
-fn run(hashes: &mut Hashes, name: &str, words: &[&str]) -> String {
+fn execute(hashes: &mut Hashes, name: &str, args: &[&str]) -> String {
     let bulk = |text: &str| format!("${}\r\n{text}\r\n", text.len());
-    match (name, words) {
+    match (name, args) {
         ("HGET", [hash, field]) => match hashes.get(*hash).and_then(|fields| fields.get(*field)) {
             Some(value) => bulk(value),
             None => "$-1\r\n".to_owned(),
@@ -251,10 +254,10 @@
             format!(":{}\r\n", u8::from(new))
         }
         ("HDEL", [hash, field]) => {
-            let gone = hashes
+            let removed = hashes
                 .get_mut(*hash)
                 .and_then(|fields| fields.remove(*field));
-            format!(":{}\r\n", u8::from(gone.is_some()))
+            format!(":{}\r\n", u8::from(removed.is_some()))
         }
         ("HGETALL", [hash]) => {
             let fields = hashes.get(*hash).cloned().unwrap_or_default();
@@ -270,19 +273,23 @@
     }
 }
 
-fn read_command(from: &mut impl BufRead) -> Option<Vec<String>> {
-    let mut number = |mark: char| {
+fn read_command(reader: &mut impl BufRead) -> Option<Vec<String>> {
+    let mut read_part = |prefix: char| {
         let mut line = String::new();
-        from.read_line(&mut line).ok()?;
-        let count = line.strip_prefix(mark)?.trim_end().parse::<usize>().ok()?;
-        let mut bytes = vec![0; if mark == '$' { count + 2 } else { 0 }];
-        from.read_exact(&mut bytes).ok()?;
+        reader.read_line(&mut line).ok()?;
+        let count = line
+            .strip_prefix(prefix)?
+            .trim_end()
+            .parse::<usize>()
+            .ok()?;
+        let mut bytes = vec![0; if prefix == '$' { count + 2 } else { 0 }];
+        reader.read_exact(&mut bytes).ok()?;
         bytes.truncate(count);
         Some((count, String::from_utf8(bytes).ok()?))
     };
-    let (count, _) = number('*')?;
-    let words: Option<Vec<String>> = (0..count)
-        .map(|_| number('$').map(|(_, text)| text))
+    let (count, _) = read_part('*')?;
+    let args: Option<Vec<String>> = (0..count)
+        .map(|_| read_part('$').map(|(_, text)| text))
         .collect();
-    words.filter(|words| !words.is_empty())
+    args.filter(|args| !args.is_empty())
 }
--- a/crates/contracts/src/stores/cases.rs
+++ b/crates/contracts/src/stores/cases.rs
@@ -3,29 +3,32 @@
 use std::time::{Duration, Instant};
 
 use super::{
-    CaseResult, Durable, Emptied, Failed, Loss, Make, Newer, Rows, Run, Store, StoreFault, Subject,
+    CaseFn, CaseResult, ClearMethod, Durability, NewerSchema, Rows, Store, StoreError, StoreFault,
+    Subject, SubjectFactory, UnsyncedLoss,
 };
 
-pub(super) const ALL: &[(&str, Run)] = &[
-    ("the last put holds", the_last_put_holds),
-    ("durable on return", durable_on_return),
-    ("all or none", all_or_none),
-    ("killed at each write", killed_at_each_write),
-    ("killed while it opens", killed_while_it_opens),
-    ("full", |make| refuses_and_heals(make, StoreFault::Full)),
-    ("read-only", |make| {
-        refuses_and_heals(make, StoreFault::ReadOnly)
+pub(super) const CASES: &[(&str, CaseFn)] = &[
+    ("the last put holds", last_change_persists),
+    ("durable on return", put_is_durable_on_return),
+    ("all or none", batch_is_atomic),
+    ("killed at each write", power_loss_at_each_write),
+    ("killed while it opens", power_loss_while_opening),
+    ("full", |make_subject| {
+        rejects_writes_and_recovers(make_subject, StoreFault::Full)
     }),
-    ("slow", slow),
-    ("emptied under its reader", emptied),
-    ("newer schema", newer_schema),
-    ("opened twice", opened_twice),
+    ("read-only", |make_subject| {
+        rejects_writes_and_recovers(make_subject, StoreFault::ReadOnly)
+    }),
+    ("slow", slow_writes),
+    ("emptied under its reader", cleared_while_open),
+    ("newer schema", newer_schema_is_untouched),
+    ("opened twice", second_open),
 ];
 
 /// Longer than anything here takes.
 const TIMEOUT: Duration = Duration::from_secs(10);
 /// More writes than a case makes.
-const MANY: u64 = 10_000;
+const MAX_WRITES: u64 = 10_000;
 
 macro_rules! ensure {
     ($holds:expr, $($said:tt)+) => {
@@ -42,59 +45,59 @@
         .collect()
 }
 
-pub(super) fn fine<T>(what: &str, result: Result<T, Failed>) -> Result<T, String> {
-    result.map_err(|why| format!("{what}: {why}"))
+pub(super) fn with_context<T>(operation: &str, result: Result<T, StoreError>) -> Result<T, String> {
+    result.map_err(|error| format!("{operation}: {error}"))
 }
 
 /// Opens a store, again and again while it can't be had.
-pub(super) fn opened(subject: &dyn Subject) -> Result<(Box<dyn Store>, Rows), String> {
-    settled("opening it in fair weather", || subject.open())
+pub(super) fn open(subject: &dyn Subject) -> Result<(Box<dyn Store>, Rows), String> {
+    retry("opening it in fair weather", || subject.open())
 }
 
 /// Does what failed in bad weather, in fair weather: a store may take its time to see that it is fair.
-pub(super) fn settled<T>(
-    what: &str,
-    mut run: impl FnMut() -> Result<T, Failed>,
+pub(super) fn retry<T>(
+    operation: &str,
+    mut run: impl FnMut() -> Result<T, StoreError>,
 ) -> Result<T, String> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
         match run() {
-            Err(Failed::Unable(_)) if Instant::now() < deadline => {
+            Err(StoreError::Unavailable(_)) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(20))
             }
-            done => return fine(what, done),
+            result => return with_context(operation, result),
         }
     }
 }
 
 /// Puts rows in fair weather. On a machine with much to do, a server may have to be asked again.
 pub(super) fn put(subject: &dyn Subject, store: &mut dyn Store, rows: &Rows) -> CaseResult {
-    match subject.traits().wire {
-        true => settled("put", || store.put(rows)),
-        false => fine("put", store.put(rows)),
+    match subject.properties().is_remote {
+        true => retry("put", || store.put(rows)),
+        false => with_context("put", store.put(rows)),
     }
 }
 
 /// Removes a row in fair weather.
 fn remove(subject: &dyn Subject, store: &mut dyn Store, key: u64) -> CaseResult {
-    match subject.traits().wire {
-        true => settled("remove", || store.remove(key)),
-        false => fine("remove", store.remove(key)),
+    match subject.properties().is_remote {
+        true => retry("remove", || store.remove(key)),
+        false => with_context("remove", store.remove(key)),
     }
 }
 
 /// The rows that are found by one who opens it now.
-pub(super) fn found(subject: &dyn Subject) -> Result<Rows, String> {
-    opened(subject).map(|(_, rows)| rows)
+pub(super) fn read_rows(subject: &dyn Subject) -> Result<Rows, String> {
+    open(subject).map(|(_, rows)| rows)
 }
 
 /// What one that is opened in bad weather finds is right, or it is not opened.
-fn finds_or_refuses(subject: &dyn Subject, right: &Rows) -> CaseResult {
+fn ensure_rows_or_refused(subject: &dyn Subject, expected: &Rows) -> CaseResult {
     match subject.open() {
         Ok((_, found)) => {
             ensure!(
-                found == *right,
-                "opened in bad weather it shows {found:?} for {right:?}"
+                found == *expected,
+                "opened in bad weather it shows {found:?} for {expected:?}"
             );
             Ok(())
         }
@@ -103,18 +106,18 @@
 }
 
 /// Makes rows of a batch a store takes at once.
-fn batch(subject: &dyn Subject, all: Rows) -> Rows {
-    let most = if subject.traits().batches {
+fn limit_batch(subject: &dyn Subject, all: Rows) -> Rows {
+    let max_rows = if subject.properties().has_atomic_batches {
         usize::MAX
     } else {
         1
     };
-    all.into_iter().take(most).collect()
+    all.into_iter().take(max_rows).collect()
 }
 
-fn the_last_put_holds(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut store, before) = opened(&*subject)?;
+fn last_change_persists(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, before) = open(&*subject)?;
     ensure!(before.is_empty(), "a new store holds {before:?}");
     for (key, value) in [(1, "a"), (2, "b"), (1, "c"), (3, "d")] {
         put(&*subject, &mut *store, &rows([(key, value)]))?;
@@ -123,74 +126,77 @@
     put(&*subject, &mut *store, &rows([(3, "e")]))?;
     remove(&*subject, &mut *store, 2)?;
     drop(store);
-    let found = found(&*subject)?;
+    let found = read_rows(&*subject)?;
     ensure!(found == rows([(1, "c"), (3, "e")]), "it kept {found:?}");
     Ok(())
 }
 
-fn durable_on_return(make: Make<'_>) -> CaseResult {
+fn put_is_durable_on_return(make_subject: SubjectFactory<'_>) -> CaseResult {
     for puts in 1..=3_u64 {
-        let subject = make();
-        let (mut store, _) = opened(&*subject)?;
+        let subject = make_subject();
+        let (mut store, _) = open(&*subject)?;
         let mut states = vec![Rows::new()];
         for key in 1..=puts {
             put(&*subject, &mut *store, &rows([(key, "value")]))?;
             states.push((1..=key).map(|key| (key, "value".to_owned())).collect());
         }
-        subject.cut_after(0);
+        subject.cut_power_after(0);
         drop(store);
-        subject.power_back(Loss::Everything);
-        let found = found(&*subject)?;
-        let right = match subject.traits().durable {
-            Durable::OnReturn => states.last() == Some(&found),
-            Durable::ByServer => states.contains(&found),
+        subject.restore_power(UnsyncedLoss::All);
+        let found = read_rows(&*subject)?;
+        let is_expected = match subject.properties().durability {
+            Durability::OnReturn => states.last() == Some(&found),
+            Durability::ByServer => states.contains(&found),
         };
         ensure!(
-            right,
+            is_expected,
             "after {puts} puts that returned, it comes back with {found:?}"
         );
     }
     Ok(())
 }
 
-fn all_or_none(make: Make<'_>) -> CaseResult {
-    let many = |value: &str| {
+fn batch_is_atomic(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let large_batch = |value: &str| {
         (1..=300)
             .map(|key| (key, value.repeat(100)))
             .collect::<Rows>()
     };
-    for writes in 1..MANY {
-        let subject = make();
-        let (old, new) = (batch(&*subject, many("old")), batch(&*subject, many("new")));
-        let (mut store, _) = opened(&*subject)?;
+    for writes in 1..MAX_WRITES {
+        let subject = make_subject();
+        let (old, new) = (
+            limit_batch(&*subject, large_batch("old")),
+            limit_batch(&*subject, large_batch("new")),
+        );
+        let (mut store, _) = open(&*subject)?;
         put(&*subject, &mut *store, &old)?;
-        subject.cut_after(writes);
-        let done = store.put(&new);
-        let was_cut = subject.is_dark();
-        subject.cut_after(0);
+        subject.cut_power_after(writes);
+        let result = store.put(&new);
+        let lost_power = subject.is_power_off();
+        subject.cut_power_after(0);
         drop(store);
-        subject.power_back(Loss::Nothing);
-        let found = found(&*subject)?;
-        let by_server = subject.traits().durable == Durable::ByServer;
+        subject.restore_power(UnsyncedLoss::None);
+        let found = read_rows(&*subject)?;
+        let by_server = subject.properties().durability == Durability::ByServer;
         ensure!(
             found == new || found == old,
             "cut at write {writes}: neither the old rows nor the new ones"
         );
         ensure!(
-            done.is_err() || found == new || by_server,
+            result.is_err() || found == new || by_server,
             "cut at write {writes}: it said yes and kept the old"
         );
-        if !was_cut {
+        if !lost_power {
             return Ok(());
         }
     }
     Err("it never ends to write".into())
 }
 
-type Step = fn(&mut dyn Store) -> Result<(), Failed>;
+type Step = fn(&mut dyn Store) -> Result<(), StoreError>;
 
 /// Changes, and what they leave.
-fn story(subject: &dyn Subject) -> Vec<(Step, Rows)> {
+fn change_sequence(subject: &dyn Subject) -> Vec<(Step, Rows)> {
     let mut all: Vec<(Step, Rows)> = vec![
         (
             |store| store.put(&rows([(1, "a")])),
@@ -206,7 +212,7 @@
             rows([(1, "b"), (2, "c")]),
         ),
     ];
-    if subject.traits().batches {
+    if subject.properties().has_atomic_batches {
         all.push((
             |store| store.put(&rows([(2, "d"), (3, "e")])),
             rows([(1, "b"), (2, "d"), (3, "e")]),
@@ -215,50 +221,50 @@
     all
 }
 
-const LOSSES: [fn(u64) -> Loss; 4] = [
-    |_| Loss::Nothing,
-    |_| Loss::Everything,
-    |writes| Loss::Some(writes),
-    |writes| Loss::Some(writes + MANY),
+const UNSYNCED_LOSSES: [fn(u64) -> UnsyncedLoss; 4] = [
+    |_| UnsyncedLoss::None,
+    |_| UnsyncedLoss::All,
+    |writes| UnsyncedLoss::Partial(writes),
+    |writes| UnsyncedLoss::Partial(writes + MAX_WRITES),
 ];
 
-fn killed_at_each_write(make: Make<'_>) -> CaseResult {
-    for writes in 1..MANY {
-        for loss in LOSSES {
-            let subject = make();
-            let (mut store, _) = opened(&*subject)?;
+fn power_loss_at_each_write(make_subject: SubjectFactory<'_>) -> CaseResult {
+    for writes in 1..MAX_WRITES {
+        for loss in UNSYNCED_LOSSES {
+            let subject = make_subject();
+            let (mut store, _) = open(&*subject)?;
             put(&*subject, &mut *store, &rows([(9, "z")]))?;
-            subject.cut_after(writes);
+            subject.cut_power_after(writes);
             // The last of all rows there are may be lost with a server.
-            let mut right = match subject.traits().durable {
-                Durable::OnReturn => vec![rows([(9, "z")])],
-                Durable::ByServer => vec![Rows::new(), rows([(9, "z")])],
+            let mut expected = match subject.properties().durability {
+                Durability::OnReturn => vec![rows([(9, "z")])],
+                Durability::ByServer => vec![Rows::new(), rows([(9, "z")])],
             };
-            for (step, after) in story(&*subject) {
+            for (step, after) in change_sequence(&*subject) {
                 // One that fails may have come to pass, and is the last.
-                let done = step(&mut *store);
-                if done.is_ok() && subject.traits().durable == Durable::OnReturn {
-                    right.clear();
+                let result = step(&mut *store);
+                if result.is_ok() && subject.properties().durability == Durability::OnReturn {
+                    expected.clear();
                 }
-                right.push(after);
-                if done.is_err() {
+                expected.push(after);
+                if result.is_err() {
                     break;
                 }
             }
-            let was_cut = subject.is_dark();
-            subject.cut_after(0);
+            let lost_power = subject.is_power_off();
+            subject.cut_power_after(0);
             drop(store);
-            subject.power_back(loss(writes));
-            let (mut store, found) = opened(&*subject)?;
+            subject.restore_power(loss(writes));
+            let (mut store, found) = open(&*subject)?;
             ensure!(
-                right.contains(&found),
-                "cut at write {writes}, {:?}: {found:?} is none of {right:?}",
+                expected.contains(&found),
+                "cut at write {writes}, {:?}: {found:?} is none of {expected:?}",
                 loss(writes)
             );
-            settled("a put after the power is back", || {
+            retry("a put after the power is back", || {
                 store.put(&rows([(5, "on")]))
             })?;
-            if !was_cut {
+            if !lost_power {
                 return Ok(());
             }
         }
@@ -266,29 +272,29 @@
     Err("it never ends to write".into())
 }
 
-fn killed_while_it_opens(make: Make<'_>) -> CaseResult {
-    let right = rows([(1, "a")]);
-    for writes in 1..MANY {
-        for loss in LOSSES {
-            let subject = make();
-            let (mut store, _) = opened(&*subject)?;
-            put(&*subject, &mut *store, &right)?;
+fn power_loss_while_opening(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let expected = rows([(1, "a")]);
+    for writes in 1..MAX_WRITES {
+        for loss in UNSYNCED_LOSSES {
+            let subject = make_subject();
+            let (mut store, _) = open(&*subject)?;
+            put(&*subject, &mut *store, &expected)?;
             // Dark and light once: it has something to mend.
-            subject.cut_after(0);
+            subject.cut_power_after(0);
             drop(store);
-            subject.power_back(Loss::Nothing);
-            subject.cut_after(writes);
+            subject.restore_power(UnsyncedLoss::None);
+            subject.cut_power_after(writes);
             drop(subject.open());
-            let was_cut = subject.is_dark();
-            subject.cut_after(0);
-            subject.power_back(loss(writes));
-            let found = found(&*subject)?;
+            let lost_power = subject.is_power_off();
+            subject.cut_power_after(0);
+            subject.restore_power(loss(writes));
+            let found = read_rows(&*subject)?;
             ensure!(
-                found == right,
+                found == expected,
                 "cut at write {writes} of opening, {:?}: {found:?}",
                 loss(writes)
             );
-            if !was_cut {
+            if !lost_power {
                 return Ok(());
             }
         }
@@ -297,156 +303,158 @@
 }
 
 /// A ground that takes no writing: what is put is refused, what is there stays, and it is served again afterwards.
-fn refuses_and_heals(make: Make<'_>, weather: StoreFault) -> CaseResult {
-    let subject = make();
-    let (mut store, _) = opened(&*subject)?;
-    let mut right = rows([(1, "a"), (2, "b")]);
-    for (key, value) in &right {
+fn rejects_writes_and_recovers(make_subject: SubjectFactory<'_>, fault: StoreFault) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, _) = open(&*subject)?;
+    let mut expected = rows([(1, "a"), (2, "b")]);
+    for (key, value) in &expected {
         put(&*subject, &mut *store, &Rows::from([(*key, value.clone())]))?;
     }
-    subject.weather(weather);
+    subject.set_fault(fault);
     // What there is may do for small ones: they are well kept if it says so.
     let mut refused = 0;
     for key in 10..30 {
         let row = Rows::from([(key, "much".repeat(50_000))]);
         match store.put(&row) {
-            Ok(()) => right.extend(row),
+            Ok(()) => expected.extend(row),
             Err(_) => refused += 1,
         }
     }
     ensure!(refused > 0, "nothing is refused");
-    if subject.traits().wire {
-        let found = settled("reading, which needs no room", || store.rows())?;
-        ensure!(found == right, "reading shows other rows meanwhile");
+    if subject.properties().is_remote {
+        let found = retry("reading, which needs no room", || store.rows())?;
+        ensure!(found == expected, "reading shows other rows meanwhile");
     }
     drop(store);
-    finds_or_refuses(&*subject, &right)?;
-    subject.weather(StoreFault::Fair);
-    let (mut store, found) = opened(&*subject)?;
+    ensure_rows_or_refused(&*subject, &expected)?;
+    subject.set_fault(StoreFault::None);
+    let (mut store, found) = open(&*subject)?;
     ensure!(
-        found == right,
+        found == expected,
         "{} rows are there afterwards, not {}",
         found.len(),
-        right.len()
+        expected.len()
     );
-    subject.weather(weather);
+    subject.set_fault(fault);
     let big = Rows::from([(40, "much".repeat(500_000))]);
     ensure!(store.put(&big).is_err(), "a big row is taken");
-    subject.weather(StoreFault::Fair);
-    settled("a put by the one that was refused, afterwards", || {
+    subject.set_fault(StoreFault::None);
+    retry("a put by the one that was refused, afterwards", || {
         store.put(&rows([(3, "c")]))
     })?;
-    right.extend(rows([(3, "c")]));
+    expected.extend(rows([(3, "c")]));
     drop(store);
-    let found = self::found(&*subject)?;
+    let found = read_rows(&*subject)?;
     ensure!(
-        found == right,
+        found == expected,
         "{} rows are there in the end, not {}",
         found.len(),
-        right.len()
+        expected.len()
     );
     Ok(())
 }
 
-fn slow(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut store, _) = opened(&*subject)?;
+fn slow_writes(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, _) = open(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
-    subject.weather(StoreFault::Slow);
-    let began = Instant::now();
-    let done = store.put(&rows([(2, "b")]));
+    subject.set_fault(StoreFault::Slow);
+    let started_at = Instant::now();
+    let result = store.put(&rows([(2, "b")]));
     ensure!(
-        began.elapsed() < TIMEOUT,
+        started_at.elapsed() < TIMEOUT,
         "a put takes {:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
-    subject.cut_after(0);
+    subject.cut_power_after(0);
     drop(store);
-    subject.weather(StoreFault::Fair);
-    subject.power_back(Loss::Everything);
-    let found = found(&*subject)?;
+    subject.set_fault(StoreFault::None);
+    subject.restore_power(UnsyncedLoss::All);
+    let found = read_rows(&*subject)?;
     let (without, with) = (rows([(1, "a")]), rows([(1, "a"), (2, "b")]));
-    let right = match (subject.traits().durable, done) {
-        (Durable::OnReturn, Ok(())) => found == with,
-        (Durable::OnReturn, Err(_)) => found == with || found == without,
-        (Durable::ByServer, _) => found == with || found == without || found.is_empty(),
+    let is_expected = match (subject.properties().durability, result) {
+        (Durability::OnReturn, Ok(())) => found == with,
+        (Durability::OnReturn, Err(_)) => found == with || found == without,
+        (Durability::ByServer, _) => found == with || found == without || found.is_empty(),
     };
-    ensure!(right, "it comes back with {found:?}");
+    ensure!(is_expected, "it comes back with {found:?}");
     Ok(())
 }
 
 /// What is put afterwards is refused, or is there; what was emptied does not come back by itself.
-fn emptied(make: Make<'_>) -> CaseResult {
-    for how in [Emptied::Cut, Emptied::Removed] {
-        let subject = make();
-        let (mut store, _) = opened(&*subject)?;
+fn cleared_while_open(make_subject: SubjectFactory<'_>) -> CaseResult {
+    for method in [ClearMethod::Truncate, ClearMethod::Remove] {
+        let subject = make_subject();
+        let (mut store, _) = open(&*subject)?;
         put(&*subject, &mut *store, &rows([(1, "a")]))?;
-        subject.empty(how);
-        let done = store.put(&rows([(2, "b")]));
-        let after = store.put(&rows([(3, "c")]));
+        subject.clear(method);
+        let result = store.put(&rows([(2, "b")]));
+        let second_result = store.put(&rows([(3, "c")]));
         drop(store);
-        let found = found(&*subject)?;
+        let found = read_rows(&*subject)?;
         ensure!(
-            done.is_err() || found.contains_key(&2),
-            "{how:?}: it said yes and kept nothing: {found:?}"
+            result.is_err() || found.contains_key(&2),
+            "{method:?}: it said yes and kept nothing: {found:?}"
         );
         ensure!(
-            after.is_err() || found.contains_key(&3),
-            "{how:?}: it said yes twice and kept {found:?}"
+            second_result.is_err() || found.contains_key(&3),
+            "{method:?}: it said yes twice and kept {found:?}"
         );
         ensure!(
             !found.contains_key(&1),
-            "{how:?}: what was emptied is back: {found:?}"
+            "{method:?}: what was emptied is back: {found:?}"
         );
     }
     Ok(())
 }
 
-fn newer_schema(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut store, _) = opened(&*subject)?;
+fn newer_schema_is_untouched(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, _) = open(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
     drop(store);
-    subject.newer_writes();
-    match (subject.traits().newer, subject.open()) {
-        (Newer::LeftAlone, Ok((_, found))) => return Err(format!("it is opened, with {found:?}")),
-        (Newer::LeftAlone, Err(_)) => {}
-        (Newer::Carried, opened) => {
+    subject.write_newer_schema();
+    match (subject.properties().newer_schema, subject.open()) {
+        (NewerSchema::Refused, Ok((_, found))) => {
+            return Err(format!("it is opened, with {found:?}"));
+        }
+        (NewerSchema::Refused, Err(_)) => {}
+        (NewerSchema::Preserved, opened) => {
             let (mut store, found) = match opened {
-                Err(Failed::Unable(_)) => self::opened(&*subject)?,
-                opened => fine("opening it", opened)?,
+                Err(StoreError::Unavailable(_)) => open(&*subject)?,
+                opened => with_context("opening it", opened)?,
             };
             ensure!(found == rows([(1, "a")]), "it reads {found:?}");
             put(&*subject, &mut *store, &rows([(1, "b")]))?;
         }
     }
     ensure!(
-        subject.is_newer_intact(),
+        subject.is_newer_data_intact(),
         "what the newer program wrote is changed"
     );
     Ok(())
 }
 
-fn opened_twice(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut first, _) = opened(&*subject)?;
+fn second_open(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut first, _) = open(&*subject)?;
     put(&*subject, &mut *first, &rows([(1, "a")]))?;
-    match (subject.traits().exclusive, subject.open()) {
+    match (subject.properties().is_exclusive, subject.open()) {
         (true, Ok(_)) => return Err("two have it open".into()),
         (true, Err(_)) => {}
         (false, second) => {
-            let (mut second, found) = fine("opening it again", second)?;
+            let (mut second, found) = with_context("opening it again", second)?;
             ensure!(found == rows([(1, "a")]), "the second finds {found:?}");
             put(&*subject, &mut *second, &rows([(2, "b")]))?;
         }
     }
     put(&*subject, &mut *first, &rows([(3, "c")]))?;
     drop(first);
-    let mut right = rows([(1, "a"), (3, "c")]);
-    if !subject.traits().exclusive {
-        right.extend(rows([(2, "b")]));
+    let mut expected = rows([(1, "a"), (3, "c")]);
+    if !subject.properties().is_exclusive {
+        expected.extend(rows([(2, "b")]));
     }
-    let found = found(&*subject)?;
-    ensure!(found == right, "it kept {found:?}");
+    let found = read_rows(&*subject)?;
+    ensure!(found == expected, "it kept {found:?}");
     Ok(())
 }
--- a/crates/contracts/src/stores/file.rs
+++ b/crates/contracts/src/stores/file.rs
@@ -8,110 +8,117 @@
 use beaconflow_store::disk::Disk;
 use redb::{Database, TableDefinition};
 
-use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, StoreFault, Subject, Traits};
-use crate::disk::{self, BreakingDisk};
+use super::{
+    ClearMethod, Durability, NewerSchema, Properties, Rows, Store, StoreError, StoreFault, Subject,
+    UnsyncedLoss,
+};
+use crate::disk::{self, FaultyDisk};
 
 /// An open store, and the rows it found.
-pub type Opened = Result<(Box<dyn Store>, Rows), Failed>;
+pub type OpenResult = Result<(Box<dyn Store>, Rows), StoreError>;
 
 /// What is told of a store in a file of the embedded database.
-pub trait OnDisk {
+pub trait FileBackedStore {
     /// The table of the file that holds its schema under `schema`, and the schema that the program writes.
     const SCHEMA: (&'static str, u64);
 
     /// Opens it.
-    fn open(disk: Arc<dyn Disk>, path: &Path) -> Opened;
+    fn open(disk: Arc<dyn Disk>, path: &Path) -> OpenResult;
 }
 
 /// Such a store with its disk.
 pub struct FileSubject {
-    disk: BreakingDisk,
-    open: fn(Arc<dyn Disk>, &Path) -> Opened,
+    disk: FaultyDisk,
+    open: fn(Arc<dyn Disk>, &Path) -> OpenResult,
     schema: (&'static str, u64),
-    newer: Mutex<Vec<u8>>,
+    newer_bytes: Mutex<Vec<u8>>,
 }
 
-fn path() -> &'static Path {
+fn store_path() -> &'static Path {
     Path::new("/store.redb")
 }
 
 impl FileSubject {
     /// One that is empty.
-    pub fn new<S: OnDisk>() -> FileSubject {
-        let (disk, newer) = (BreakingDisk::default(), Mutex::default());
+    pub fn new<S: FileBackedStore>() -> FileSubject {
+        let (disk, newer_bytes) = (FaultyDisk::default(), Mutex::default());
         FileSubject {
             disk,
             open: S::open,
             schema: S::SCHEMA,
-            newer,
+            newer_bytes,
         }
     }
 
-    fn bytes(&self) -> Vec<u8> {
-        self.disk.read(path()).unwrap_or_default()
+    fn file_bytes(&self) -> Vec<u8> {
+        self.disk.read(store_path()).unwrap_or_default()
     }
 
     fn raise_schema(&self) -> Result<(), redb::Error> {
         let (table, schema) = self.schema;
-        let database = self.disk.create(&Database::builder(), path())?;
-        let writing = database.begin_write()?;
-        writing
+        let database = self.disk.create(&Database::builder(), store_path())?;
+        let transaction = database.begin_write()?;
+        transaction
             .open_table(TableDefinition::<&str, u64>::new(table))?
             .insert("schema", schema + 1)?;
-        Ok(writing.commit()?)
+        Ok(transaction.commit()?)
     }
 }
 
 impl Subject for FileSubject {
-    fn traits(&self) -> Traits {
-        Traits {
-            durable: Durable::OnReturn,
-            batches: true,
-            exclusive: true,
-            newer: Newer::LeftAlone,
-            wire: false,
+    fn properties(&self) -> Properties {
+        Properties {
+            durability: Durability::OnReturn,
+            has_atomic_batches: true,
+            is_exclusive: true,
+            newer_schema: NewerSchema::Refused,
+            is_remote: false,
         }
     }
 
-    fn open(&self) -> Opened {
-        (self.open)(Arc::new(self.disk.clone()), path())
+    fn open(&self) -> OpenResult {
+        (self.open)(Arc::new(self.disk.clone()), store_path())
     }
 
-    fn weather(&self, weather: StoreFault) {
-        self.disk.set_fault(match weather {
+    fn set_fault(&self, fault: StoreFault) {
+        self.disk.set_fault(match fault {
             StoreFault::Full => disk::DiskFault::Full,
             StoreFault::ReadOnly => disk::DiskFault::ReadOnly,
             StoreFault::Slow => disk::DiskFault::Slow(Duration::from_millis(2)),
-            _ => disk::DiskFault::Fair,
+            _ => disk::DiskFault::None,
         });
     }
 
-    fn cut_after(&self, writes: u64) {
-        self.disk.cut_after(writes);
+    fn cut_power_after(&self, writes: u64) {
+        self.disk.cut_power_after(writes);
     }
 
-    fn is_dark(&self) -> bool {
-        self.disk.is_dark()
+    fn is_power_off(&self) -> bool {
+        self.disk.is_power_off()
     }
 
-    fn power_back(&self, loss: Loss) {
-        self.disk.power_back(loss);
+    fn restore_power(&self, loss: UnsyncedLoss) {
+        self.disk.restore_power(loss);
     }
 
-    fn empty(&self, how: Emptied) {
-        self.disk.empty(how);
+    fn clear(&self, method: ClearMethod) {
+        self.disk.clear_files(method);
     }
 
-    fn newer_writes(&self) {
+    fn write_newer_schema(&self) {
         if self.raise_schema().is_ok()
-            && let Ok(mut newer) = self.newer.lock()
+            && let Ok(mut newer_bytes) = self.newer_bytes.lock()
         {
-            *newer = self.bytes();
+            *newer_bytes = self.file_bytes();
         }
     }
 
-    fn is_newer_intact(&self) -> bool {
-        let kept = self.bytes();
-        !kept.is_empty() && self.newer.lock().is_ok_and(|newer| *newer == kept)
+    fn is_newer_data_intact(&self) -> bool {
+        let current = self.file_bytes();
+        !current.is_empty()
+            && self
+                .newer_bytes
+                .lock()
+                .is_ok_and(|newer_bytes| *newer_bytes == current)
     }
 }
--- a/crates/contracts/src/stores/model.rs
+++ b/crates/contracts/src/stores/model.rs
@@ -5,7 +5,10 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, StoreFault, Subject, Traits};
+use super::{
+    ClearMethod, Durability, NewerSchema, Properties, Rows, Store, StoreError, StoreFault, Subject,
+    UnsyncedLoss,
+};
 
 /// What is wrong with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,55 +16,55 @@
     /// Nothing.
     None,
     /// What was removed can't be put again.
-    RemovesForGood,
+    RejectsPutAfterRemove,
     /// A put is written when the store is closed.
-    WritesBehind,
+    DefersPuts,
     /// The rows of a put are written one by one.
-    RowByRow,
+    SplitsBatches,
     /// What is removed is written when the store is closed.
-    RemovesBehind,
+    DefersRemoves,
     /// After a loss of power it clears what it holds and writes it again.
-    MendsInPlace,
+    RecoversInPlace,
     /// A put is answered with yes when there is no room.
-    TakesAllWhenFull,
+    AcknowledgesWhenFull,
     /// A put is answered with yes when nothing may be written.
-    TakesAllWhenReadOnly,
+    AcknowledgesWhenReadOnly,
     /// A put is written behind when the disk is slow.
-    BehindWhenSlow,
+    DefersWhenSlow,
     /// It goes on with what it had open after that was emptied.
-    HoldsTheRemoved,
+    IgnoresClear,
     /// It takes what a newer program wrote for its own.
-    ReadsTheNewer,
+    OpensNewerSchema,
     /// Two may have it open.
-    OpensTwice,
+    AllowsSecondOpen,
     /// No answer is taken for yes.
-    SilenceIsYes,
+    TreatsSilenceAsSuccess,
     /// Half an answer is taken for a whole one.
-    HalfIsWhole,
+    TreatsPartialReplyAsSuccess,
     /// A put that is repeated is refused, as there is such a row.
-    RepeatIsRefused,
+    RejectsRetry,
     /// The next answer is taken, whatever it answers.
-    AnyAnswerDoes,
+    AcceptsMismatchedReply,
     /// A server that loads is taken for one that holds nothing.
-    LoadingIsEmpty,
+    TreatsLoadingAsEmpty,
 }
 
 struct State {
     /// What is durable.
     rows: Rows,
     /// What is written behind, with what is removed as none.
-    behind: Vec<(u64, Option<String>)>,
+    deferred_changes: Vec<(u64, Option<String>)>,
     /// Keys that can't be put again.
-    gone: BTreeSet<u64>,
-    newer: bool,
-    unclean: bool,
-    open: u32,
-    weather: StoreFault,
-    writes: u64,
-    cut_at: Option<u64>,
-    dark: bool,
-    lives: u64,
-    emptied: u64,
+    rejected_keys: BTreeSet<u64>,
+    has_newer_schema: bool,
+    needs_recovery: bool,
+    open_handles: u32,
+    fault: StoreFault,
+    write_count: u64,
+    power_off_at_write: Option<u64>,
+    is_power_off: bool,
+    power_losses: u64,
+    clears: u64,
 }
 
 /// The store's ground.
@@ -73,38 +76,40 @@
 struct Handle {
     state: Arc<Mutex<State>>,
     defect: Defect,
-    lives: u64,
-    emptied: u64,
+    power_losses: u64,
+    clears: u64,
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn unable<T>(why: &str) -> Result<T, Failed> {
-    Err(Failed::Unable(why.to_owned()))
+fn unavailable<T>(reason: &str) -> Result<T, StoreError> {
+    Err(StoreError::Unavailable(reason.to_owned()))
 }
 
 impl State {
     /// One write; the power may go at it.
-    fn write(&mut self) -> Result<(), Failed> {
-        self.writes += 1;
-        self.dark |= self.cut_at.is_some_and(|at| self.writes >= at);
-        if self.dark {
-            unable("the power is off")
+    fn write(&mut self) -> Result<(), StoreError> {
+        self.write_count += 1;
+        self.is_power_off |= self
+            .power_off_at_write
+            .is_some_and(|at| self.write_count >= at);
+        if self.is_power_off {
+            unavailable("the power is off")
         } else {
             Ok(())
         }
     }
 
-    fn settle(&mut self) {
-        for (key, value) in std::mem::take(&mut self.behind) {
-            set(&mut self.rows, key, value);
+    fn apply_deferred(&mut self) {
+        for (key, value) in std::mem::take(&mut self.deferred_changes) {
+            apply_change(&mut self.rows, key, value);
         }
     }
 }
 
-fn set(rows: &mut Rows, key: u64, value: Option<String>) {
+fn apply_change(rows: &mut Rows, key: u64, value: Option<String>) {
     match value {
         Some(value) => drop(rows.insert(key, value)),
         None => drop(rows.remove(&key)),
@@ -116,17 +121,17 @@
     pub fn new(defect: Defect) -> InMemory {
         let state = State {
             rows: Rows::new(),
-            behind: Vec::new(),
-            gone: BTreeSet::new(),
-            newer: false,
-            unclean: false,
-            open: 0,
-            weather: StoreFault::Fair,
-            writes: 0,
-            cut_at: None,
-            dark: false,
-            lives: 0,
-            emptied: 0,
+            deferred_changes: Vec::new(),
+            rejected_keys: BTreeSet::new(),
+            has_newer_schema: false,
+            needs_recovery: false,
+            open_handles: 0,
+            fault: StoreFault::None,
+            write_count: 0,
+            power_off_at_write: None,
+            is_power_off: false,
+            power_losses: 0,
+            clears: 0,
         };
         InMemory {
             state: Arc::new(Mutex::new(state)),
@@ -136,152 +141,159 @@
 }
 
 impl Subject for InMemory {
-    fn traits(&self) -> Traits {
-        Traits {
-            durable: Durable::OnReturn,
-            batches: true,
-            exclusive: true,
-            newer: Newer::LeftAlone,
-            wire: true,
+    fn properties(&self) -> Properties {
+        Properties {
+            durability: Durability::OnReturn,
+            has_atomic_batches: true,
+            is_exclusive: true,
+            newer_schema: NewerSchema::Refused,
+            is_remote: true,
         }
     }
 
-    fn open(&self) -> Result<(Box<dyn Store>, Rows), Failed> {
+    fn open(&self) -> Result<(Box<dyn Store>, Rows), StoreError> {
         let mut state = lock(&self.state);
-        match (state.weather, self.defect) {
-            _ if state.dark => return unable("the power is off"),
-            _ if state.open > 0 && self.defect != Defect::OpensTwice => {
-                return unable("it is open");
+        match (state.fault, self.defect) {
+            _ if state.is_power_off => return unavailable("the power is off"),
+            _ if state.open_handles > 0 && self.defect != Defect::AllowsSecondOpen => {
+                return unavailable("it is open");
             }
             (
                 StoreFault::Silent
-                | StoreFault::HalfAnswer
+                | StoreFault::PartialReply
                 | StoreFault::Loading
-                | StoreFault::Late,
+                | StoreFault::DelayedReply,
                 _,
             ) => {
-                return unable("no answer");
+                return unavailable("no answer");
             }
             _ => {}
         }
-        if state.newer {
-            if self.defect != Defect::ReadsTheNewer {
-                return unable("a newer program's");
+        if state.has_newer_schema {
+            if self.defect != Defect::OpensNewerSchema {
+                return unavailable("a newer program's");
             }
-            state.newer = false;
+            state.has_newer_schema = false;
         }
-        if state.unclean {
-            if self.defect == Defect::MendsInPlace {
+        if state.needs_recovery {
+            if self.defect == Defect::RecoversInPlace {
                 let rows = std::mem::take(&mut state.rows);
                 state.write()?;
                 state.rows = rows;
             }
             state.write()?;
-            state.unclean = false;
+            state.needs_recovery = false;
         }
-        state.open += 1;
+        state.open_handles += 1;
         let handle = Handle {
             state: Arc::clone(&self.state),
             defect: self.defect,
-            lives: state.lives,
-            emptied: state.emptied,
+            power_losses: state.power_losses,
+            clears: state.clears,
         };
         Ok((Box::new(handle), state.rows.clone()))
     }
 
-    fn weather(&self, weather: StoreFault) {
-        lock(&self.state).weather = weather;
+    fn set_fault(&self, fault: StoreFault) {
+        lock(&self.state).fault = fault;
     }
 
-    fn cut_after(&self, writes: u64) {
+    fn cut_power_after(&self, writes: u64) {
         let mut state = lock(&self.state);
-        state.cut_at = Some(state.writes + writes);
-        state.dark = writes == 0;
+        state.power_off_at_write = Some(state.write_count + writes);
+        state.is_power_off = writes == 0;
     }
 
-    fn is_dark(&self) -> bool {
-        lock(&self.state).dark
+    fn is_power_off(&self) -> bool {
+        lock(&self.state).is_power_off
     }
 
-    fn power_back(&self, loss: Loss) {
+    fn restore_power(&self, loss: UnsyncedLoss) {
         let mut state = lock(&self.state);
-        (state.dark, state.cut_at, state.open, state.unclean) = (false, None, 0, true);
-        state.lives += 1;
+        (
+            state.is_power_off,
+            state.power_off_at_write,
+            state.open_handles,
+            state.needs_recovery,
+        ) = (false, None, 0, true);
+        state.power_losses += 1;
         match loss {
-            Loss::Nothing => state.settle(),
-            Loss::Everything | Loss::Some(_) => state.behind.clear(),
+            UnsyncedLoss::None => state.apply_deferred(),
+            UnsyncedLoss::All | UnsyncedLoss::Partial(_) => state.deferred_changes.clear(),
         }
     }
 
-    fn empty(&self, _: Emptied) {
+    fn clear(&self, _: ClearMethod) {
         let mut state = lock(&self.state);
         state.rows.clear();
-        state.behind.clear();
-        state.emptied += 1;
+        state.deferred_changes.clear();
+        state.clears += 1;
     }
 
-    fn newer_writes(&self) {
-        lock(&self.state).newer = true;
+    fn write_newer_schema(&self) {
+        lock(&self.state).has_newer_schema = true;
     }
 
-    fn is_newer_intact(&self) -> bool {
-        lock(&self.state).newer
+    fn is_newer_data_intact(&self) -> bool {
+        lock(&self.state).has_newer_schema
     }
 }
 
 impl Handle {
-    /// Changes rows as the weather and the defect have it.
-    fn change(&self, all: Vec<(u64, Option<String>)>) -> Result<(), Failed> {
+    /// Changes rows as the fault and the defect have it.
+    fn change(&self, changes: Vec<(u64, Option<String>)>) -> Result<(), StoreError> {
         let mut state = lock(&self.state);
-        if state.dark || state.lives != self.lives {
-            return unable("the power is off");
+        if state.is_power_off || state.power_losses != self.power_losses {
+            return unavailable("the power is off");
         }
-        let removes = all.iter().any(|(_, value)| value.is_none());
-        let behind = match (self.defect, state.weather) {
-            (Defect::WritesBehind, _) => !removes,
-            (Defect::RemovesBehind, _) => removes,
-            (Defect::BehindWhenSlow, StoreFault::Slow) => true,
-            (Defect::HoldsTheRemoved, _) if state.emptied != self.emptied => return Ok(()),
-            (Defect::TakesAllWhenFull, StoreFault::Full) => return Ok(()),
-            (Defect::TakesAllWhenReadOnly, StoreFault::ReadOnly) => return Ok(()),
-            (_, StoreFault::Full | StoreFault::ReadOnly) => return unable("nothing is written"),
-            (_, StoreFault::Loading) => return unable("loading"),
+        let has_removal = changes.iter().any(|(_, value)| value.is_none());
+        let is_deferred = match (self.defect, state.fault) {
+            (Defect::DefersPuts, _) => !has_removal,
+            (Defect::DefersRemoves, _) => has_removal,
+            (Defect::DefersWhenSlow, StoreFault::Slow) => true,
+            (Defect::IgnoresClear, _) if state.clears != self.clears => return Ok(()),
+            (Defect::AcknowledgesWhenFull, StoreFault::Full) => return Ok(()),
+            (Defect::AcknowledgesWhenReadOnly, StoreFault::ReadOnly) => return Ok(()),
+            (_, StoreFault::Full | StoreFault::ReadOnly) => {
+                return unavailable("nothing is written");
+            }
+            (_, StoreFault::Loading) => return unavailable("loading"),
             _ => false,
         };
-        if behind {
-            state.behind.extend(all);
+        if is_deferred {
+            state.deferred_changes.extend(changes);
             return Ok(());
         }
         let mut rows = state.rows.clone();
-        for (key, value) in all {
+        for (key, value) in changes {
             state.write()?;
-            if self.defect == Defect::RemovesForGood && value.is_none() {
-                state.gone.insert(key);
+            if self.defect == Defect::RejectsPutAfterRemove && value.is_none() {
+                state.rejected_keys.insert(key);
             }
-            if !state.gone.contains(&key) || value.is_none() {
-                set(&mut rows, key, value);
+            if !state.rejected_keys.contains(&key) || value.is_none() {
+                apply_change(&mut rows, key, value);
             }
-            if self.defect == Defect::RowByRow {
+            if self.defect == Defect::SplitsBatches {
                 state.rows = rows.clone();
             }
         }
         state.write()?;
         state.rows = rows;
-        self.answer(&mut state)
+        self.reply(&mut state)
     }
 
     /// What its caller hears of a change that is done.
-    fn answer(&self, state: &mut State) -> Result<(), Failed> {
-        match (state.weather, self.defect) {
-            (StoreFault::Silent, Defect::SilenceIsYes)
-            | (StoreFault::HalfAnswer, Defect::HalfIsWhole) => Ok(()),
-            (StoreFault::Silent | StoreFault::HalfAnswer | StoreFault::Late, _) => {
-                unable("no answer")
+    fn reply(&self, state: &mut State) -> Result<(), StoreError> {
+        match (state.fault, self.defect) {
+            (StoreFault::Silent, Defect::TreatsSilenceAsSuccess)
+            | (StoreFault::PartialReply, Defect::TreatsPartialReplyAsSuccess) => Ok(()),
+            (StoreFault::Silent | StoreFault::PartialReply | StoreFault::DelayedReply, _) => {
+                unavailable("no answer")
             }
             (StoreFault::Reset, defect) => {
-                state.weather = StoreFault::Fair;
+                state.fault = StoreFault::None;
                 match defect {
-                    Defect::RepeatIsRefused => Err(Failed::Refused("there is such a row".into())),
+                    Defect::RejectsRetry => Err(StoreError::Rejected("there is such a row".into())),
                     _ => Ok(()),
                 }
             }
@@ -291,7 +303,7 @@
 }
 
 impl Store for Handle {
-    fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
+    fn put(&mut self, rows: &Rows) -> Result<(), StoreError> {
         self.change(
             rows.iter()
                 .map(|(key, value)| (*key, Some(value.clone())))
@@ -299,22 +311,22 @@
         )
     }
 
-    fn remove(&mut self, key: u64) -> Result<(), Failed> {
+    fn remove(&mut self, key: u64) -> Result<(), StoreError> {
         self.change(vec![(key, None)])
     }
 
-    fn rows(&mut self) -> Result<Rows, Failed> {
+    fn rows(&mut self) -> Result<Rows, StoreError> {
         let state = lock(&self.state);
-        match (state.weather, self.defect) {
-            (StoreFault::Late, Defect::AnyAnswerDoes) => Ok(Rows::new()),
-            (StoreFault::Loading, Defect::LoadingIsEmpty) => Ok(Rows::new()),
+        match (state.fault, self.defect) {
+            (StoreFault::DelayedReply, Defect::AcceptsMismatchedReply) => Ok(Rows::new()),
+            (StoreFault::Loading, Defect::TreatsLoadingAsEmpty) => Ok(Rows::new()),
             (
                 StoreFault::Silent
-                | StoreFault::HalfAnswer
-                | StoreFault::Late
+                | StoreFault::PartialReply
+                | StoreFault::DelayedReply
                 | StoreFault::Loading,
                 _,
-            ) => unable("no answer"),
+            ) => unavailable("no answer"),
             _ => Ok(state.rows.clone()),
         }
     }
@@ -323,9 +335,9 @@
 impl Drop for Handle {
     fn drop(&mut self) {
         let mut state = lock(&self.state);
-        if !state.dark && state.lives == self.lives {
-            state.settle();
-            state.open = state.open.saturating_sub(1);
+        if !state.is_power_off && state.power_losses == self.power_losses {
+            state.apply_deferred();
+            state.open_handles = state.open_handles.saturating_sub(1);
         }
     }
 }
--- a/crates/contracts/src/transports/cases.rs
+++ b/crates/contracts/src/transports/cases.rs
@@ -3,34 +3,37 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use super::{Case, CaseResult, End, LinkFault, NEVER, Received, Subject};
+use super::{ABSENCE_WAIT, Case, CaseResult, End, LinkFault, Received, Subject};
 
 /// So many messages are on their way at once.
-const MANY: usize = 200;
+const MESSAGE_COUNT: usize = 200;
 
 /// All cases.
 pub fn cases() -> Vec<Case> {
     let case = |name, run| Case { name, run };
     vec![
-        case("order", order),
-        case("uneven times", uneven),
-        case("loss", loss),
-        case("half messages", half),
-        case("half a message and an end", half_and_end),
-        case("doubled", doubled),
-        case("oversized", oversized),
-        case("a slow peer", slow),
-        case("a silent peer", silent),
-        case("end for end", end_for_end),
-        case("reset for reset", reset_for_reset),
+        case("order", preserves_order),
+        case("uneven times", delivers_under_jitter),
+        case("loss", recovers_from_partition),
+        case("half messages", reassembles_fragments),
+        case(
+            "half a message and an end",
+            discards_partial_message_at_close,
+        ),
+        case("doubled", handles_duplicates),
+        case("oversized", refuses_oversized),
+        case("a slow peer", tolerates_slow_receiver),
+        case("a silent peer", gives_up_silent_peer),
+        case("end for end", passes_on_close),
+        case("reset for reset", passes_on_reset),
     ]
 }
 
-fn check(holds: bool, why: impl FnOnce() -> String) -> CaseResult {
-    if holds { Ok(()) } else { Err(why()) }
+fn ensure(condition: bool, reason: impl FnOnce() -> String) -> CaseResult {
+    if condition { Ok(()) } else { Err(reason()) }
 }
 
-fn name(number: usize) -> String {
+fn message_name(number: usize) -> String {
     format!("message-{number}")
 }
 
@@ -39,282 +42,309 @@
 }
 
 /// Hears until there is nothing more, or as much as is wanted.
-fn hear(end: &mut dyn End, wanted: usize, patience: Duration) -> Result<Vec<String>, String> {
-    let mut heard = Vec::new();
-    while heard.len() < wanted {
-        match end.hear(patience) {
-            Received::Message(message) => heard.push(message),
+fn receive_messages(
+    end: &mut dyn End,
+    wanted: usize,
+    delivery_timeout: Duration,
+) -> Result<Vec<String>, String> {
+    let mut received = Vec::new();
+    while received.len() < wanted {
+        match end.receive(delivery_timeout) {
+            Received::Message(message) => received.push(message),
             other => {
                 return Err(format!(
                     "{other:?} after {} of {wanted} messages",
-                    heard.len()
+                    received.len()
                 ));
             }
         }
     }
-    Ok(heard)
+    Ok(received)
 }
 
-fn exactly(
+fn expect_messages(
     end: &mut dyn End,
     sent: &[String],
-    (ordered, patience): (bool, Duration),
+    (ordered, delivery_timeout): (bool, Duration),
 ) -> CaseResult {
-    let mut heard = hear(end, sent.len(), patience)?;
+    let mut received = receive_messages(end, sent.len(), delivery_timeout)?;
     let mut sent = sent.to_vec();
     if !ordered {
-        heard.sort();
+        received.sort();
         sent.sort();
     }
-    let at = heard
+    let at = received
         .iter()
         .zip(&sent)
-        .position(|(heard, sent)| heard != sent);
-    check(at.is_none(), || {
+        .position(|(received, sent)| received != sent);
+    ensure(at.is_none(), || {
         let at = at.unwrap_or_default();
-        format!("{:.40?} came for {:.40?}", heard[at], sent[at])
+        format!("{:.40?} came for {:.40?}", received[at], sent[at])
     })
 }
 
 /// Words go both ways.
-fn works(near: &mut dyn End, far: &mut dyn End, patience: Duration) -> CaseResult {
+fn exchange_one_each_way(
+    near: &mut dyn End,
+    far: &mut dyn End,
+    delivery_timeout: Duration,
+) -> CaseResult {
     let [ask, answer] = ["ask", "answer"].map(|word| vec![word.to_owned()]);
     send(near, &ask)?;
-    exactly(far, &ask, (true, patience))?;
+    expect_messages(far, &ask, (true, delivery_timeout))?;
     send(far, &answer)?;
-    exactly(near, &answer, (true, patience))
+    expect_messages(near, &answer, (true, delivery_timeout))
 }
 
-fn both_ways(subject: &mut dyn Subject, count: usize) -> CaseResult {
-    let patience = subject.patience();
-    let ordered = subject.traits().ordered;
+fn exchange_both_ways(subject: &mut dyn Subject, count: usize) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let ordered = subject.properties().is_ordered;
     let (mut near, mut far) = subject.pair();
-    let messages: Vec<String> = (0..count).map(name).collect();
+    let messages: Vec<String> = (0..count).map(message_name).collect();
     send(&mut *near, &messages)?;
-    exactly(&mut *far, &messages, (ordered, patience))?;
+    expect_messages(&mut *far, &messages, (ordered, delivery_timeout))?;
     send(&mut *far, &messages)?;
-    exactly(&mut *near, &messages, (ordered, patience))?;
-    let more = near.hear(NEVER);
-    check(more == Received::Nothing, || {
-        format!("{more:?} that nobody sent")
+    expect_messages(&mut *near, &messages, (ordered, delivery_timeout))?;
+    let extra = near.receive(ABSENCE_WAIT);
+    ensure(extra == Received::Nothing, || {
+        format!("{extra:?} that nobody sent")
     })
 }
 
-fn order(subject: &mut dyn Subject) -> CaseResult {
-    both_ways(subject, MANY)
+fn preserves_order(subject: &mut dyn Subject) -> CaseResult {
+    exchange_both_ways(subject, MESSAGE_COUNT)
 }
 
-fn uneven(subject: &mut dyn Subject) -> CaseResult {
-    subject.weather(LinkFault::Uneven);
-    both_ways(subject, MANY / 4)
+fn delivers_under_jitter(subject: &mut dyn Subject) -> CaseResult {
+    subject.set_fault(LinkFault::Jitter);
+    exchange_both_ways(subject, MESSAGE_COUNT / 4)
 }
 
 /// What is reliable brings all after a cut; what is not brings what is sent after it.
-fn loss(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    let traits = subject.traits();
+fn recovers_from_partition(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let properties = subject.properties();
     let (mut near, mut far) = subject.pair();
-    works(&mut *near, &mut *far, patience)?;
-    subject.weather(LinkFault::Cut);
-    let lost: Vec<String> = (0..5).map(name).collect();
-    send(&mut *near, &lost)?;
-    let through = far.hear(NEVER);
-    check(through == Received::Nothing, || {
-        format!("{through:?} through a cut")
+    exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)?;
+    subject.set_fault(LinkFault::Partition);
+    let held_messages: Vec<String> = (0..5).map(message_name).collect();
+    send(&mut *near, &held_messages)?;
+    let unexpected = far.receive(ABSENCE_WAIT);
+    ensure(unexpected == Received::Nothing, || {
+        format!("{unexpected:?} through a cut")
     })?;
-    subject.weather(LinkFault::Fair);
-    if traits.reliable {
-        exactly(&mut *far, &lost, (traits.ordered, patience))?;
+    subject.set_fault(LinkFault::None);
+    if properties.is_reliable {
+        expect_messages(
+            &mut *far,
+            &held_messages,
+            (properties.is_ordered, delivery_timeout),
+        )?;
     }
-    works(&mut *near, &mut *far, patience)
+    exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)
 }
 
-fn half(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    let traits = subject.traits();
-    subject.weather(LinkFault::Pieces(3));
-    both_ways(subject, 10)?;
-    subject.weather(LinkFault::Fair);
-    if !traits.ends {
+fn reassembles_fragments(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let properties = subject.properties();
+    subject.set_fault(LinkFault::Fragments(3));
+    exchange_both_ways(subject, 10)?;
+    subject.set_fault(LinkFault::None);
+    if !properties.signals_close {
         return Ok(());
     }
     let (mut near, mut far) = subject.pair();
     near.send_partial("whole", 3);
-    let early = far.hear(NEVER);
-    check(early == Received::Nothing, || {
+    let early = far.receive(ABSENCE_WAIT);
+    ensure(early == Received::Nothing, || {
         format!("{early:?} of half a message")
     })?;
     // The other way is not held up by it.
     far.send("meanwhile")?;
-    exactly(&mut *near, &["meanwhile".to_owned()], (true, patience))
+    expect_messages(
+        &mut *near,
+        &["meanwhile".to_owned()],
+        (true, delivery_timeout),
+    )
 }
 
-fn half_and_end(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    if !subject.traits().ends {
+fn discards_partial_message_at_close(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    if !subject.properties().signals_close {
         return Ok(());
     }
     let (mut near, mut far) = subject.pair();
     near.send_partial("whole", 3);
     near.finish();
-    let heard = far.hear(patience);
-    check(heard == Received::Ended, || {
-        format!("{heard:?} of half a message and an end")
+    let received = far.receive(delivery_timeout);
+    ensure(received == Received::Closed, || {
+        format!("{received:?} of half a message and an end")
     })
 }
 
-fn doubled(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    let traits = subject.traits();
+fn handles_duplicates(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let properties = subject.properties();
     let (mut near, mut far) = subject.pair();
-    works(&mut *near, &mut *far, patience)?;
-    subject.weather(LinkFault::Doubled);
-    let messages: Vec<String> = (0..20).map(name).collect();
+    exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)?;
+    subject.set_fault(LinkFault::Duplicate);
+    let messages: Vec<String> = (0..20).map(message_name).collect();
     send(&mut *near, &messages)?;
-    let mut heard = Vec::new();
-    while let Received::Message(message) = far.hear(NEVER) {
-        heard.push(message);
+    let mut received = Vec::new();
+    while let Received::Message(message) = far.receive(ABSENCE_WAIT) {
+        received.push(message);
     }
-    let unlike: BTreeSet<&String> = heard.iter().collect();
-    check(unlike.len() == messages.len(), || {
-        format!("{} of {} came", unlike.len(), messages.len())
+    let distinct: BTreeSet<&String> = received.iter().collect();
+    ensure(distinct.len() == messages.len(), || {
+        format!("{} of {} came", distinct.len(), messages.len())
     })?;
-    let twice = heard.len() > messages.len();
-    check(twice != traits.once, || {
+    let has_duplicates = received.len() > messages.len();
+    ensure(has_duplicates != properties.deduplicates, || {
         format!(
             "{} came for {}, and once is {}",
-            heard.len(),
+            received.len(),
             messages.len(),
-            traits.once
+            properties.deduplicates
         )
     })
 }
 
 /// The longest message passes, and a longer one ends nothing but its own pair.
-fn oversized(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    let traits = subject.traits();
+fn refuses_oversized(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let properties = subject.properties();
     let (mut near, mut far) = subject.pair();
-    let longest = vec!["x".repeat(traits.longest)];
+    let longest = vec!["x".repeat(properties.max_message_bytes)];
     send(&mut *near, &longest)?;
-    exactly(&mut *far, &longest, (true, patience))?;
+    expect_messages(&mut *far, &longest, (true, delivery_timeout))?;
     let (mut other, mut other_far) = subject.pair();
-    let refused = other.send(&"x".repeat(traits.longest + 1)).is_err();
-    let came = other_far.hear(if refused || !traits.ends {
-        NEVER
+    let is_refused = other
+        .send(&"x".repeat(properties.max_message_bytes + 1))
+        .is_err();
+    let delivered = other_far.receive(if is_refused || !properties.signals_close {
+        ABSENCE_WAIT
     } else {
-        patience
+        delivery_timeout
     });
-    check(!matches!(came, Received::Message(_)), || {
+    ensure(!matches!(delivered, Received::Message(_)), || {
         "too long, and came".into()
     })?;
-    if !refused && traits.ends {
-        let told = other.hear(patience);
-        check(matches!(told, Received::Ended | Received::Reset), || {
-            format!("{told:?} to whoever sent too much")
-        })?;
+    if !is_refused && properties.signals_close {
+        let outcome = other.receive(delivery_timeout);
+        ensure(
+            matches!(outcome, Received::Closed | Received::Reset),
+            || format!("{outcome:?} to whoever sent too much"),
+        )?;
     }
-    works(&mut *near, &mut *far, patience)
+    exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)
 }
 
 /// A far end that takes nothing for a while holds up nobody else, and gets all of it.
-fn slow(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    let traits = subject.traits();
-    if !traits.reliable {
+fn tolerates_slow_receiver(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let properties = subject.properties();
+    if !properties.is_reliable {
         return Ok(());
     }
     let (mut near, mut far) = subject.pair();
     let (mut other, mut other_far) = subject.pair();
-    let size = traits.longest.min(4_000);
+    let size = properties.max_message_bytes.min(4_000);
     let messages: Vec<String> = (0..500).map(|number| format!("{number:0>size$}")).collect();
     std::thread::scope(|scope| {
         // A transport that holds its sender back does well: so it is sent from elsewhere.
-        let sends = scope.spawn(|| send(&mut *near, &messages));
-        let begun = Instant::now();
-        while !sends.is_finished() && begun.elapsed() < NEVER {
+        let sender = scope.spawn(|| send(&mut *near, &messages));
+        let started_at = Instant::now();
+        while !sender.is_finished() && started_at.elapsed() < ABSENCE_WAIT {
             std::thread::sleep(Duration::from_millis(1));
         }
-        works(&mut *other, &mut *other_far, patience)?;
-        exactly(&mut *far, &messages, (traits.ordered, patience))?;
-        sends.join().map_err(|_| "the sender panicked".to_owned())?
+        exchange_one_each_way(&mut *other, &mut *other_far, delivery_timeout)?;
+        expect_messages(
+            &mut *far,
+            &messages,
+            (properties.is_ordered, delivery_timeout),
+        )?;
+        sender
+            .join()
+            .map_err(|_| "the sender panicked".to_owned())?
     })?;
-    works(&mut *near, &mut *far, patience)
+    exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)
 }
 
 /// A far end that says nothing is given up where the transport says so, and not before.
-fn silent(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    let traits = subject.traits();
+fn gives_up_silent_peer(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    let properties = subject.properties();
     let (mut near, mut far) = subject.pair();
     let (mut other, mut other_far) = subject.pair();
-    far.falls_silent();
-    let asked = Instant::now();
+    far.stop_answering();
+    let sent_at = Instant::now();
     near.send("anybody")?;
-    let heard = far.hear(patience);
-    check(heard == Received::Message("anybody".into()), || {
-        format!("{heard:?}")
+    let received = far.receive(delivery_timeout);
+    ensure(received == Received::Message("anybody".into()), || {
+        format!("{received:?}")
     })?;
-    let Some(silence) = traits.silence else {
-        let heard = near.hear(NEVER);
-        check(heard == Received::Nothing, || {
-            format!("{heard:?} of silence")
+    let Some(silence) = properties.silence_timeout else {
+        let received = near.receive(ABSENCE_WAIT);
+        ensure(received == Received::Nothing, || {
+            format!("{received:?} of silence")
         })?;
         far.send("late")?;
-        return exactly(&mut *near, &["late".to_owned()], (true, patience));
+        return expect_messages(&mut *near, &["late".to_owned()], (true, delivery_timeout));
     };
-    let heard = near.hear(silence + patience);
-    check(heard == Received::Moved, || {
-        format!("{heard:?} of a silent far end")
+    let received = near.receive(silence + delivery_timeout);
+    ensure(received == Received::MoveRequested, || {
+        format!("{received:?} of a silent far end")
     })?;
-    let waited = asked.elapsed();
-    check(waited >= silence.mul_f64(0.9), || {
+    let waited = sent_at.elapsed();
+    ensure(waited >= silence.mul_f64(0.9), || {
         format!("given up after {waited:?}")
     })?;
-    let end = near.hear(patience);
-    check(end == Received::Ended, || format!("{end:?} after the move"))?;
-    works(&mut *other, &mut *other_far, patience)
+    let end = near.receive(delivery_timeout);
+    ensure(end == Received::Closed, || {
+        format!("{end:?} after the move")
+    })?;
+    exchange_one_each_way(&mut *other, &mut *other_far, delivery_timeout)
 }
 
-fn end_for_end(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    if !subject.traits().ends {
+fn passes_on_close(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    if !subject.properties().signals_close {
         return Ok(());
     }
     let (mut near, mut far) = subject.pair();
     send(&mut *near, &["last".to_owned()])?;
     near.finish();
-    exactly(&mut *far, &["last".to_owned()], (true, patience))?;
-    let heard = far.hear(patience);
-    check(heard == Received::Ended, || {
-        format!("{heard:?} for the near end's end")
+    expect_messages(&mut *far, &["last".to_owned()], (true, delivery_timeout))?;
+    let received = far.receive(delivery_timeout);
+    ensure(received == Received::Closed, || {
+        format!("{received:?} for the near end's end")
     })?;
     far.finish();
     let (mut near, mut far) = subject.pair();
     send(&mut *far, &["bye".to_owned()])?;
     far.finish();
-    exactly(&mut *near, &["bye".to_owned()], (true, patience))?;
-    let heard = near.hear(patience);
-    check(heard == Received::Ended, || {
-        format!("{heard:?} for the far end's end")
+    expect_messages(&mut *near, &["bye".to_owned()], (true, delivery_timeout))?;
+    let received = near.receive(delivery_timeout);
+    ensure(received == Received::Closed, || {
+        format!("{received:?} for the far end's end")
     })
 }
 
-fn reset_for_reset(subject: &mut dyn Subject) -> CaseResult {
-    let patience = subject.patience();
-    if !subject.traits().ends {
+fn passes_on_reset(subject: &mut dyn Subject) -> CaseResult {
+    let delivery_timeout = subject.delivery_timeout();
+    if !subject.properties().signals_close {
         return Ok(());
     }
     let (near, mut far) = subject.pair();
     near.reset();
-    let heard = far.hear(patience);
-    check(heard == Received::Reset, || {
-        format!("{heard:?} for the near end's reset")
+    let received = far.receive(delivery_timeout);
+    ensure(received == Received::Reset, || {
+        format!("{received:?} for the near end's reset")
     })?;
     let (mut near, far) = subject.pair();
     far.reset();
-    let heard = near.hear(patience);
-    check(heard == Received::Reset, || {
-        format!("{heard:?} for the far end's reset")
+    let received = near.receive(delivery_timeout);
+    ensure(received == Received::Reset, || {
+        format!("{received:?} for the far end's reset")
     })
 }
--- a/crates/contracts/src/transports/mod.rs
+++ b/crates/contracts/src/transports/mod.rs
@@ -1,7 +1,7 @@
 //! What every transport of messages must keep to.
 //!
 //! A transport is brought here as a [`Subject`]: how two ends are joined, how the weather between them is made, and its
-//! [`Traits`]: what it declares of itself where transports differ by design. A declared trait is tested too.
+//! [`Properties`]: what it declares of itself where transports differ by design. A declared trait is tested too.
 
 mod cases;
 pub mod model;
@@ -13,39 +13,39 @@
 /// Longer than anything here takes on a loaded machine.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 /// For what must not come. It costs a good run this long.
-pub const NEVER: Duration = Duration::from_millis(150);
+pub const ABSENCE_WAIT: Duration = Duration::from_millis(150);
 
 /// What a transport declares of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Traits {
+pub struct Properties {
     /// Whether messages come in the order in which they were sent.
-    pub ordered: bool,
+    pub is_ordered: bool,
     /// Whether what was sent comes, also after bad weather; if not, what was sent in fair weather does.
-    pub reliable: bool,
+    pub is_reliable: bool,
     /// Whether a message comes once where the weather doubles it.
-    pub once: bool,
+    pub deduplicates: bool,
     /// Whether an end has an end: in order or by a reset, which the other end hears as what it was.
-    pub ends: bool,
+    pub signals_close: bool,
     /// Longest message; a longer one is refused, and never comes.
-    pub longest: usize,
+    pub max_message_bytes: usize,
     /// A far end that leaves a message unanswered for so long is given up, and the near end is told to move. Nothing
     /// where silence is none of the transport's business.
-    pub silence: Option<Duration>,
+    pub silence_timeout: Option<Duration>,
 }
 
 /// What lies between two ends. It holds for all of a subject's pairs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
     /// Nothing does.
-    Fair,
+    None,
     /// Nothing passes, and nobody is told.
-    Cut,
+    Partition,
     /// Messages come in pieces of so many bytes.
-    Pieces(usize),
+    Fragments(usize),
     /// All that can be doubled is.
-    Doubled,
+    Duplicate,
     /// Each thing takes a time by chance.
-    Uneven,
+    Jitter,
 }
 
 /// What an end hears.
@@ -56,9 +56,9 @@
     /// Nothing in the time given.
     Nothing,
     /// It is told to come again elsewhere.
-    Moved,
+    MoveRequested,
     /// The other end has ended in order.
-    Ended,
+    Closed,
     /// It was reset.
     Reset,
 }
@@ -71,11 +71,11 @@
     /// Sends so many bytes of what a message is on the wire, and no more. Only asked of transports with ends.
     fn send_partial(&mut self, message: &str, bytes: usize);
 
-    /// The next thing that is heard in a time.
-    fn hear(&mut self, within: Duration) -> Received;
+    /// The next thing that is received in a time.
+    fn receive(&mut self, within: Duration) -> Received;
 
     /// From now on it answers nothing by itself, as far as its wire has such answers.
-    fn falls_silent(&mut self) {}
+    fn stop_answering(&mut self) {}
 
     /// Ends its sending in order.
     fn finish(&mut self);
@@ -90,10 +90,10 @@
 /// A transport under test.
 pub trait Subject {
     /// What it declares.
-    fn traits(&self) -> Traits;
+    fn properties(&self) -> Properties;
 
     /// What has not come by then never comes.
-    fn patience(&self) -> Duration {
+    fn delivery_timeout(&self) -> Duration {
         TIMEOUT
     }
 
@@ -101,7 +101,7 @@
     fn pair(&mut self) -> Pair;
 
     /// Makes the weather.
-    fn weather(&mut self, weather: LinkFault);
+    fn set_fault(&mut self, fault: LinkFault);
 }
 
 /// What was found wrong.
@@ -117,11 +117,11 @@
 
 /// Puts a transport through every case, each time a new one; tells all that it fails.
 pub fn assert_conforms<S: Subject>(make: impl Fn() -> S) {
-    let fails = |case: Case| {
+    let run_case = |case: Case| {
         (case.run)(&mut make())
             .err()
-            .map(|why| format!("{}: {why}", case.name))
+            .map(|reason| format!("{}: {reason}", case.name))
     };
-    let failed: Vec<String> = cases().into_iter().filter_map(fails).collect();
+    let failed: Vec<String> = cases().into_iter().filter_map(run_case).collect();
     assert!(failed.is_empty(), "{failed:#?}");
 }
--- a/crates/contracts/src/transports/model.rs
+++ b/crates/contracts/src/transports/model.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use super::{End, LinkFault, Pair, Received, Subject, Traits};
+use super::{End, LinkFault, Pair, Properties, Received, Subject};
 
 /// What is wrong with a transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,54 +12,54 @@
     /// Nothing.
     None,
     /// Each second message overtakes the one before.
-    Swaps,
+    Reorders,
     /// The same, where times are uneven.
-    SwapsWhenUneven,
+    ReordersUnderJitter,
     /// What is sent during a cut is gone.
-    Loses,
+    LosesDuringPartition,
     /// It takes the first piece for the whole.
-    CutsShort,
+    TruncatesFragments,
     /// At an end it gives what there is of a message for the whole.
-    GivesHalf,
+    DeliversPartialAtClose,
     /// What the weather doubles comes twice.
-    Doubles,
+    DeliversDuplicates,
     /// It takes messages of any length.
-    TakesAll,
+    AcceptsOversized,
     /// It holds only so much, and loses what is beyond.
-    Overflows,
+    DropsWhenFull,
     /// It moves nobody off a far end that is silent.
-    Waits,
+    NeverTimesOut,
     /// It says nothing of an end.
-    Lingers,
+    HidesClose,
     /// It makes a reset of an end, and an end of a reset.
-    Confuses,
+    SwapsCloseAndReset,
 }
 
-const LONGEST: usize = 100;
-const SILENCE: Duration = Duration::from_millis(60);
+const MAX_MESSAGE_BYTES: usize = 100;
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(60);
 /// What one that overflows holds.
-const CAPACITY: usize = 250;
+const CAPACITY_MESSAGES: usize = 250;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Over {
-    No,
-    InOrder,
-    Broken,
+enum CloseState {
+    Open,
+    Closed,
+    Reset,
 }
 
 /// One direction of a pair.
 struct ModelDirection {
     messages: VecDeque<String>,
-    held: VecDeque<String>,
-    part: String,
-    over: Over,
+    held_back: VecDeque<String>,
+    partial_message: String,
+    close_state: CloseState,
     /// The oldest message that has not been answered.
-    asked: Option<Instant>,
+    unanswered_since: Option<Instant>,
 }
 
 struct State {
-    weather: LinkFault,
-    ways: Vec<ModelDirection>,
+    fault: LinkFault,
+    directions: Vec<ModelDirection>,
 }
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
@@ -74,8 +74,8 @@
     /// One with this defect.
     pub fn new(defect: Defect) -> InMemory {
         let state = State {
-            weather: LinkFault::Fair,
-            ways: Vec::new(),
+            fault: LinkFault::None,
+            directions: Vec::new(),
         };
         InMemory {
             defect,
@@ -90,42 +90,42 @@
 }
 
 impl Subject for InMemory {
-    fn traits(&self) -> Traits {
-        Traits {
-            ordered: true,
-            reliable: true,
-            once: true,
-            ends: true,
-            longest: LONGEST,
-            silence: Some(SILENCE),
+    fn properties(&self) -> Properties {
+        Properties {
+            is_ordered: true,
+            is_reliable: true,
+            deduplicates: true,
+            signals_close: true,
+            max_message_bytes: MAX_MESSAGE_BYTES,
+            silence_timeout: Some(SILENCE_TIMEOUT),
         }
     }
 
     /// Nothing here has to go anywhere.
-    fn patience(&self) -> Duration {
+    fn delivery_timeout(&self) -> Duration {
         Duration::from_secs(1)
     }
 
     fn pair(&mut self) -> Pair {
         let first = {
             let mut state = lock(&self.shared);
-            let way = || ModelDirection {
+            let direction = || ModelDirection {
                 messages: VecDeque::new(),
-                held: VecDeque::new(),
-                part: String::new(),
-                over: Over::No,
-                asked: None,
+                held_back: VecDeque::new(),
+                partial_message: String::new(),
+                close_state: CloseState::Open,
+                unanswered_since: None,
             };
-            state.ways.extend([way(), way()]);
-            state.ways.len() - 2
+            state.directions.extend([direction(), direction()]);
+            state.directions.len() - 2
         };
-        let end = |out, into, is_near| MemoryEnd {
+        let end = |outgoing, incoming, is_near| MemoryEnd {
             defect: self.defect,
             shared: Arc::clone(&self.shared),
-            out,
-            into,
+            outgoing,
+            incoming,
             is_near,
-            moved: false,
+            move_requested: false,
         };
         (
             Box::new(end(first, first + 1, true)),
@@ -133,13 +133,13 @@
         )
     }
 
-    fn weather(&mut self, weather: LinkFault) {
+    fn set_fault(&mut self, fault: LinkFault) {
         let mut state = lock(&self.shared);
-        state.weather = weather;
-        if weather != LinkFault::Cut {
-            for way in &mut state.ways {
-                let held = std::mem::take(&mut way.held);
-                way.messages.extend(held);
+        state.fault = fault;
+        if fault != LinkFault::Partition {
+            for direction in &mut state.directions {
+                let held_back = std::mem::take(&mut direction.held_back);
+                direction.messages.extend(held_back);
             }
         }
         self.shared.1.notify_all();
@@ -149,100 +149,105 @@
 struct MemoryEnd {
     defect: Defect,
     shared: Shared,
-    out: usize,
-    into: usize,
+    outgoing: usize,
+    incoming: usize,
     is_near: bool,
-    moved: bool,
+    move_requested: bool,
 }
 
 impl MemoryEnd {
-    fn ends(&self, over: Over) {
+    fn set_close_state(&self, close_state: CloseState) {
         let defect = self.defect;
-        let over = match over {
-            Over::InOrder if defect == Defect::Confuses => Over::Broken,
-            Over::Broken if defect == Defect::Confuses => Over::InOrder,
-            _ if defect == Defect::Lingers => Over::No,
-            over => over,
+        let close_state = match close_state {
+            CloseState::Closed if defect == Defect::SwapsCloseAndReset => CloseState::Reset,
+            CloseState::Reset if defect == Defect::SwapsCloseAndReset => CloseState::Closed,
+            _ if defect == Defect::HidesClose => CloseState::Open,
+            close_state => close_state,
         };
-        lock(&self.shared).ways[self.out].over = over;
+        lock(&self.shared).directions[self.outgoing].close_state = close_state;
         self.shared.1.notify_all();
     }
 }
 
 impl End for MemoryEnd {
     fn send(&mut self, message: &str) -> Result<(), String> {
-        let (defect, out) = (self.defect, self.out);
-        if message.len() > LONGEST && defect != Defect::TakesAll {
+        let (defect, outgoing) = (self.defect, self.outgoing);
+        if message.len() > MAX_MESSAGE_BYTES && defect != Defect::AcceptsOversized {
             return Err("too long".into());
         }
         let mut state = lock(&self.shared);
-        let weather = state.weather;
-        state.ways[self.into].asked = None;
-        let way = &mut state.ways[out];
-        way.asked.get_or_insert_with(Instant::now);
-        let message = match weather {
-            LinkFault::Pieces(size) if defect == Defect::CutsShort => message[..size].to_owned(),
+        let fault = state.fault;
+        state.directions[self.incoming].unanswered_since = None;
+        let direction = &mut state.directions[outgoing];
+        direction.unanswered_since.get_or_insert_with(Instant::now);
+        let message = match fault {
+            LinkFault::Fragments(size) if defect == Defect::TruncatesFragments => {
+                message[..size].to_owned()
+            }
             _ => message.to_owned(),
         };
-        if weather == LinkFault::Cut {
-            if defect != Defect::Loses {
-                way.held.push_back(message);
+        if fault == LinkFault::Partition {
+            if defect != Defect::LosesDuringPartition {
+                direction.held_back.push_back(message);
             }
             return Ok(());
         }
-        if defect == Defect::Overflows && way.messages.len() >= CAPACITY {
+        if defect == Defect::DropsWhenFull && direction.messages.len() >= CAPACITY_MESSAGES {
             return Ok(());
         }
-        if weather == LinkFault::Doubled && defect == Defect::Doubles {
-            way.messages.push_back(message.clone());
+        if fault == LinkFault::Duplicate && defect == Defect::DeliversDuplicates {
+            direction.messages.push_back(message.clone());
         }
-        way.messages.push_back(message);
-        let count = way.messages.len();
-        let swaps = defect == Defect::Swaps
-            || defect == Defect::SwapsWhenUneven && weather == LinkFault::Uneven;
-        if swaps && count.is_multiple_of(2) {
-            way.messages.swap(count - 1, count - 2);
+        direction.messages.push_back(message);
+        let count = direction.messages.len();
+        let reorders = defect == Defect::Reorders
+            || defect == Defect::ReordersUnderJitter && fault == LinkFault::Jitter;
+        if reorders && count.is_multiple_of(2) {
+            direction.messages.swap(count - 1, count - 2);
         }
         self.shared.1.notify_all();
         Ok(())
     }
 
     fn send_partial(&mut self, message: &str, bytes: usize) {
-        lock(&self.shared).ways[self.out].part = message[..bytes].to_owned();
+        lock(&self.shared).directions[self.outgoing].partial_message = message[..bytes].to_owned();
     }
 
-    fn hear(&mut self, within: Duration) -> Received {
-        let until = Instant::now() + within;
+    fn receive(&mut self, within: Duration) -> Received {
+        let deadline = Instant::now() + within;
         let mut state = lock(&self.shared);
         loop {
-            let asked = state.ways[self.out].asked;
-            let way = &mut state.ways[self.into];
-            if way.over == Over::Broken {
+            let unanswered_since = state.directions[self.outgoing].unanswered_since;
+            let direction = &mut state.directions[self.incoming];
+            if direction.close_state == CloseState::Reset {
                 return Received::Reset;
             }
-            if let Some(message) = way.messages.pop_front() {
+            if let Some(message) = direction.messages.pop_front() {
                 return Received::Message(message);
             }
-            let part = std::mem::take(&mut way.part);
-            if way.over == Over::InOrder && self.defect == Defect::GivesHalf && !part.is_empty() {
-                return Received::Message(part);
+            let partial_message = std::mem::take(&mut direction.partial_message);
+            if direction.close_state == CloseState::Closed
+                && self.defect == Defect::DeliversPartialAtClose
+                && !partial_message.is_empty()
+            {
+                return Received::Message(partial_message);
             }
-            way.part = part;
-            if way.over == Over::InOrder || self.moved {
-                return Received::Ended;
+            direction.partial_message = partial_message;
+            if direction.close_state == CloseState::Closed || self.move_requested {
+                return Received::Closed;
             }
             let now = Instant::now();
-            let gives_up = asked
-                .filter(|_| self.is_near && self.defect != Defect::Waits)
-                .map(|asked| asked + SILENCE);
-            if gives_up.is_some_and(|at| at <= now) {
-                self.moved = true;
-                return Received::Moved;
+            let gives_up_at = unanswered_since
+                .filter(|_| self.is_near && self.defect != Defect::NeverTimesOut)
+                .map(|unanswered_since| unanswered_since + SILENCE_TIMEOUT);
+            if gives_up_at.is_some_and(|deadline_at| deadline_at <= now) {
+                self.move_requested = true;
+                return Received::MoveRequested;
             }
-            if until <= now {
+            if deadline <= now {
                 return Received::Nothing;
             }
-            let wait = gives_up.map_or(until, |at| at.min(until)) - now;
+            let wait = gives_up_at.map_or(deadline, |deadline_at| deadline_at.min(deadline)) - now;
             state = self
                 .shared
                 .1
@@ -253,10 +258,10 @@
     }
 
     fn finish(&mut self) {
-        self.ends(Over::InOrder);
+        self.set_close_state(CloseState::Closed);
     }
 
     fn reset(self: Box<Self>) {
-        self.ends(Over::Broken);
+        self.set_close_state(CloseState::Reset);
     }
 }
--- a/crates/contracts/tests/broken_transports.rs
+++ b/crates/contracts/tests/broken_transports.rs
@@ -5,41 +5,41 @@
 use beaconflow_contracts::transports::model::{Defect, InMemory};
 use beaconflow_contracts::transports::{Case, assert_conforms, cases};
 
-const TABLE: &[(Defect, &str)] = &[
-    (Defect::Swaps, "order"),
-    (Defect::SwapsWhenUneven, "uneven times"),
-    (Defect::Loses, "loss"),
-    (Defect::CutsShort, "half messages"),
-    (Defect::GivesHalf, "half a message and an end"),
-    (Defect::Doubles, "doubled"),
-    (Defect::TakesAll, "oversized"),
-    (Defect::Overflows, "a slow peer"),
-    (Defect::Waits, "a silent peer"),
-    (Defect::Lingers, "end for end"),
-    (Defect::Confuses, "reset for reset"),
+const DEFECTS_AND_CASES: &[(Defect, &str)] = &[
+    (Defect::Reorders, "order"),
+    (Defect::ReordersUnderJitter, "uneven times"),
+    (Defect::LosesDuringPartition, "loss"),
+    (Defect::TruncatesFragments, "half messages"),
+    (Defect::DeliversPartialAtClose, "half a message and an end"),
+    (Defect::DeliversDuplicates, "doubled"),
+    (Defect::AcceptsOversized, "oversized"),
+    (Defect::DropsWhenFull, "a slow peer"),
+    (Defect::NeverTimesOut, "a silent peer"),
+    (Defect::HidesClose, "end for end"),
+    (Defect::SwapsCloseAndReset, "reset for reset"),
 ];
 
 /// The cases that a transport with this defect fails.
-fn failed(defect: Defect) -> BTreeSet<&'static str> {
-    let fails = |case: &Case| (case.run)(&mut InMemory::new(defect)).is_err();
+fn failed_cases(defect: Defect) -> BTreeSet<&'static str> {
+    let is_failed = |case: &Case| (case.run)(&mut InMemory::new(defect)).is_err();
     cases()
         .iter()
-        .filter(|case| fails(case))
+        .filter(|case| is_failed(case))
         .map(|case| case.name)
         .collect()
 }
 
 #[test]
-fn in_memory() {
+fn in_memory_transport_conforms() {
     assert_conforms(|| InMemory::new(Defect::None));
 }
 
 #[test]
-fn a_transport_with_one_defect_fails_the_case_that_is_there_for_it() {
+fn fails_matching_case_when_transport_has_defect() {
     std::thread::scope(|scope| {
-        for (defect, case) in TABLE {
+        for (defect, case) in DEFECTS_AND_CASES {
             scope.spawn(move || {
-                let failed = failed(*defect);
+                let failed = failed_cases(*defect);
                 assert!(
                     failed.contains(case),
                     "{defect:?} fails {failed:?}, and not {case}"
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn each_case_has_a_defect() {
-    let all: Vec<&str> = cases().iter().map(|case| case.name).collect();
-    let caught: Vec<&str> = TABLE.iter().map(|(_, case)| *case).collect();
-    assert_eq!(all, caught);
+fn lists_one_defect_for_each_case() {
+    let case_names: Vec<&str> = cases().iter().map(|case| case.name).collect();
+    let covered_cases: Vec<&str> = DEFECTS_AND_CASES.iter().map(|(_, case)| *case).collect();
+    assert_eq!(case_names, covered_cases);
 }
--- a/crates/contracts/tests/stores.rs
+++ b/crates/contracts/tests/stores.rs
@@ -8,26 +8,26 @@
 use subjects::{MemoryFile, Overrides, RedisTenants};
 
 #[test]
-fn in_memory() {
+fn in_memory_store_conforms() {
     assert_conforms(|| InMemory::new(Defect::None));
 }
 
 #[test]
-fn overrides_in_a_file() {
+fn override_file_store_conforms() {
     assert_conforms(FileSubject::new::<Overrides>);
 }
 
 #[test]
-fn a_memory_in_a_file() {
+fn memory_file_store_conforms() {
     assert_conforms(FileSubject::new::<MemoryFile<{ 16 << 20 }>>);
 }
 
 #[test]
-fn a_memory_in_a_file_without_a_journal() {
+fn memory_file_store_conforms_without_journal() {
     assert_conforms(FileSubject::new::<MemoryFile<0>>);
 }
 
 #[test]
-fn tenants_in_redis() {
+fn redis_tenant_store_conforms() {
     assert_conforms(RedisTenants::new);
 }
--- a/crates/contracts/tests/subjects/mod.rs
+++ b/crates/contracts/tests/subjects/mod.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use beaconflow_contracts::stores::{Failed, OnDisk, Opened, Rows, Store};
+use beaconflow_contracts::stores::{FileBackedStore, OpenResult, Rows, Store, StoreError};
 use beaconflow_overrides::{Draft, Override, OverrideId, OverrideKind};
 use beaconflow_store::disk::Disk;
 use beaconflow_store::memory::{Change, Memory, Record, open_on};
@@ -13,12 +13,12 @@
 
 pub use tenants::RedisTenants;
 
-fn unable(why: impl ToString) -> Failed {
-    Failed::Unable(why.to_string())
+fn unavailable(error: impl ToString) -> StoreError {
+    StoreError::Unavailable(error.to_string())
 }
 
-fn only_when_opened() -> Result<Rows, Failed> {
-    Err(Failed::Refused(
+fn rows_not_supported() -> Result<Rows, StoreError> {
+    Err(StoreError::Rejected(
         "its rows are given when it is opened".into(),
     ))
 }
@@ -26,7 +26,7 @@
 /// The overrides' store in a file.
 pub struct Overrides;
 
-struct OverridesOpen(FileStore);
+struct OpenOverrides(FileStore);
 
 fn to_override((key, value): (&u64, &String)) -> Override {
     let kind = OverrideKind::Out {
@@ -42,54 +42,55 @@
     draft.into_override(OverrideId(*key), 1_000)
 }
 
-fn to_row(one: Override) -> (u64, String) {
-    match one.kind {
-        OverrideKind::Out { server, .. } => (one.id.0, server),
-        other => (one.id.0, format!("{other:?}")),
+fn to_row(entry: Override) -> (u64, String) {
+    match entry.kind {
+        OverrideKind::Out { server, .. } => (entry.id.0, server),
+        other => (entry.id.0, format!("{other:?}")),
     }
 }
 
-impl OnDisk for Overrides {
+impl FileBackedStore for Overrides {
     const SCHEMA: (&'static str, u64) = ("about", beaconflow_store::SCHEMA);
 
-    fn open(disk: Arc<dyn Disk>, path: &Path) -> Opened {
-        let (store, contents) = beaconflow_store::open_on(disk, path).map_err(unable)?;
+    fn open(disk: Arc<dyn Disk>, path: &Path) -> OpenResult {
+        let (store, contents) = beaconflow_store::open_on(disk, path).map_err(unavailable)?;
         Ok((
-            Box::new(OverridesOpen(store)),
+            Box::new(OpenOverrides(store)),
             contents.overrides.into_iter().map(to_row).collect(),
         ))
     }
 }
 
-impl Store for OverridesOpen {
-    fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
-        let all: Vec<Override> = rows.iter().map(to_override).collect();
-        self.0.put(&all).map_err(unable)
+impl Store for OpenOverrides {
+    fn put(&mut self, rows: &Rows) -> Result<(), StoreError> {
+        let overrides: Vec<Override> = rows.iter().map(to_override).collect();
+        self.0.put(&overrides).map_err(unavailable)
     }
 
-    fn remove(&mut self, key: u64) -> Result<(), Failed> {
-        self.0.delete(&[OverrideId(key)]).map_err(unable)
+    fn remove(&mut self, key: u64) -> Result<(), StoreError> {
+        self.0.delete(&[OverrideId(key)]).map_err(unavailable)
     }
 
-    fn rows(&mut self) -> Result<Rows, Failed> {
-        only_when_opened()
+    fn rows(&mut self) -> Result<Rows, StoreError> {
+        rows_not_supported()
     }
 }
 
 /// A process's memory in a file, whose journal goes over into the snapshot at so many bytes.
-pub struct MemoryFile<const JOURNAL: u64>;
+pub struct MemoryFile<const JOURNAL_LIMIT_BYTES: u64>;
 
-struct MemoryOpen(Memory);
+struct OpenMemory(Memory);
 
 const KIND: u32 = 7;
 const NOW_MS: u64 = 1_700_000_000_000;
 
-impl<const JOURNAL: u64> OnDisk for MemoryFile<JOURNAL> {
+impl<const JOURNAL_LIMIT_BYTES: u64> FileBackedStore for MemoryFile<JOURNAL_LIMIT_BYTES> {
     const SCHEMA: (&'static str, u64) = ("memory-about", beaconflow_store::memory::SCHEMA);
 
-    fn open(disk: Arc<dyn Disk>, path: &Path) -> Opened {
-        let (mut memory, remembered) = open_on(disk, path, "east-1", NOW_MS).map_err(unable)?;
-        memory.set_journal_limit(JOURNAL);
+    fn open(disk: Arc<dyn Disk>, path: &Path) -> OpenResult {
+        let (mut memory, remembered) =
+            open_on(disk, path, "east-1", NOW_MS).map_err(unavailable)?;
+        memory.set_journal_limit(JOURNAL_LIMIT_BYTES);
         let key = |subject: &[u8]| subject.try_into().map_or(u64::MAX, u64::from_be_bytes);
         let row = |record: Record| {
             (
@@ -98,21 +99,21 @@
             )
         };
         Ok((
-            Box::new(MemoryOpen(memory)),
+            Box::new(OpenMemory(memory)),
             remembered.records.into_iter().map(row).collect(),
         ))
     }
 }
 
-impl MemoryOpen {
-    fn write(&mut self, changes: &[Change]) -> Result<(), Failed> {
-        self.0.write(changes, NOW_MS).map(drop).map_err(unable)
+impl OpenMemory {
+    fn write(&mut self, changes: &[Change]) -> Result<(), StoreError> {
+        self.0.write(changes, NOW_MS).map(drop).map_err(unavailable)
     }
 }
 
-impl Store for MemoryOpen {
-    fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
-        let keep = |(key, value): (&u64, &String)| {
+impl Store for OpenMemory {
+    fn put(&mut self, rows: &Rows) -> Result<(), StoreError> {
+        let to_change = |(key, value): (&u64, &String)| {
             let subject = key.to_be_bytes().to_vec();
             Change::Put(Record {
                 kind: KIND,
@@ -121,17 +122,17 @@
                 observed_at_ms: NOW_MS,
             })
         };
-        self.write(&rows.iter().map(keep).collect::<Vec<Change>>())
+        self.write(&rows.iter().map(to_change).collect::<Vec<Change>>())
     }
 
-    fn remove(&mut self, key: u64) -> Result<(), Failed> {
+    fn remove(&mut self, key: u64) -> Result<(), StoreError> {
         self.write(&[Change::Delete {
             kind: KIND,
             subject: key.to_be_bytes().to_vec(),
         }])
     }
 
-    fn rows(&mut self) -> Result<Rows, Failed> {
-        only_when_opened()
+    fn rows(&mut self) -> Result<Rows, StoreError> {
+        rows_not_supported()
     }
 }
--- a/crates/contracts/tests/subjects/tenants.rs
+++ b/crates/contracts/tests/subjects/tenants.rs
@@ -2,20 +2,23 @@
 
 use std::time::Duration;
 
-use beaconflow_balancer::front::nats::tenants::{Identity, StoreError, Tenant, Tenants};
+use beaconflow_balancer::front::nats::tenants::{
+    Identity, StoreError as TenantStoreError, Tenant, Tenants,
+};
 use beaconflow_contracts::redis::{Redis, RedisBehaviour};
 use beaconflow_contracts::stores::{
-    Durable, Emptied, Failed, Loss, Newer, Opened, Rows, Store, StoreFault, Subject, Traits,
+    ClearMethod, Durability, NewerSchema, OpenResult, Properties, Rows, Store, StoreError,
+    StoreFault, Subject, UnsyncedLoss,
 };
 
 const HASH: &str = "beaconflow:tenants";
 /// What a newer program wrote, and this one does not know.
-const NEWER: &str = "\"tier\":\"gold\"";
+const NEWER_FIELD: &str = "\"tier\":\"gold\"";
 
 /// A server with tenants.
 pub struct RedisTenants(Redis);
 
-struct Open(Tenants);
+struct OpenTenants(Tenants);
 
 impl RedisTenants {
     /// One that is empty.
@@ -24,10 +27,12 @@
     }
 }
 
-fn failed(error: StoreError) -> Failed {
+fn to_store_error(error: TenantStoreError) -> StoreError {
     match error {
-        StoreError::Exists | StoreError::Missing => Failed::Refused(format!("{error:?}")),
-        error => Failed::Unable(format!("{error:?}")),
+        TenantStoreError::Exists | TenantStoreError::Missing => {
+            StoreError::Rejected(format!("{error:?}"))
+        }
+        error => StoreError::Unavailable(format!("{error:?}")),
     }
 }
 
@@ -43,14 +48,14 @@
     )
 }
 
-impl Store for Open {
-    fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
+impl Store for OpenTenants {
+    fn put(&mut self, rows: &Rows) -> Result<(), StoreError> {
         for (key, value) in rows {
             let changed = self
                 .0
                 .change(&name(*key), |tenant| tenant.upstream.user.clone_from(value));
             match changed {
-                Err(StoreError::Missing) => {
+                Err(TenantStoreError::Missing) => {
                     let upstream = Identity {
                         user: value.clone(),
                         password: String::new(),
@@ -67,86 +72,95 @@
                 }
                 changed => changed,
             }
-            .map_err(failed)?;
+            .map_err(to_store_error)?;
         }
         Ok(())
     }
 
-    fn remove(&mut self, key: u64) -> Result<(), Failed> {
-        self.0.remove(&name(key)).map_err(failed)
+    fn remove(&mut self, key: u64) -> Result<(), StoreError> {
+        self.0.remove(&name(key)).map_err(to_store_error)
     }
 
-    fn rows(&mut self) -> Result<Rows, Failed> {
-        Ok(self.0.list().map_err(failed)?.iter().map(to_row).collect())
+    fn rows(&mut self) -> Result<Rows, StoreError> {
+        Ok(self
+            .0
+            .list()
+            .map_err(to_store_error)?
+            .iter()
+            .map(to_row)
+            .collect())
     }
 }
 
 impl Subject for RedisTenants {
-    fn traits(&self) -> Traits {
-        Traits {
-            durable: Durable::ByServer,
-            batches: false,
-            exclusive: false,
-            newer: Newer::Carried,
-            wire: true,
+    fn properties(&self) -> Properties {
+        Properties {
+            durability: Durability::ByServer,
+            has_atomic_batches: false,
+            is_exclusive: false,
+            newer_schema: NewerSchema::Preserved,
+            is_remote: true,
         }
     }
 
-    fn open(&self) -> Opened {
+    fn open(&self) -> OpenResult {
         let url = format!("redis://{}/", self.0.address);
-        let tenants = Tenants::new(&url, Duration::ZERO).map_err(Failed::Unable)?;
-        let mut open = Open(tenants);
+        let tenants = Tenants::new(&url, Duration::ZERO).map_err(StoreError::Unavailable)?;
+        let mut open = OpenTenants(tenants);
         let rows = open.rows()?;
         Ok((Box::new(open), rows))
     }
 
-    fn weather(&self, weather: StoreFault) {
-        self.0.manner(match weather {
-            StoreFault::Fair => RedisBehaviour::Serve,
+    fn set_fault(&self, fault: StoreFault) {
+        self.0.set_behaviour(match fault {
+            StoreFault::None => RedisBehaviour::Serve,
             StoreFault::Full => RedisBehaviour::Full,
             StoreFault::ReadOnly => RedisBehaviour::ReadOnly,
             StoreFault::Slow => RedisBehaviour::Slow(Duration::from_millis(100)),
             StoreFault::Silent => RedisBehaviour::Silent,
-            StoreFault::HalfAnswer => RedisBehaviour::HalfAnswer,
+            StoreFault::PartialReply => RedisBehaviour::PartialReply,
             StoreFault::Reset => RedisBehaviour::ResetOnce,
-            StoreFault::Late => RedisBehaviour::Late,
+            StoreFault::DelayedReply => RedisBehaviour::DelayedReply,
             StoreFault::Loading => RedisBehaviour::Loading,
         });
     }
 
-    fn cut_after(&self, writes: u64) {
+    fn cut_power_after(&self, writes: u64) {
         if writes == 0 {
-            self.0.goes_away(true)
+            self.0.set_unavailable(true)
         } else {
-            self.0.dies_after(writes)
+            self.0.stop_after_writes(writes)
         }
     }
 
-    fn is_dark(&self) -> bool {
-        self.0.is_away()
+    fn is_power_off(&self) -> bool {
+        self.0.is_unavailable()
     }
 
-    fn power_back(&self, loss: Loss) {
-        if loss != Loss::Nothing {
-            self.0.loses_the_last_write();
+    fn restore_power(&self, loss: UnsyncedLoss) {
+        if loss != UnsyncedLoss::None {
+            self.0.lose_last_write();
         }
-        self.0.goes_away(false);
+        self.0.set_unavailable(false);
     }
 
-    fn empty(&self, _: Emptied) {
-        self.0.is_emptied();
+    fn clear(&self, _: ClearMethod) {
+        self.0.clear();
     }
 
-    fn newer_writes(&self) {
+    fn write_newer_schema(&self) {
         if let Some(text) = self.0.field(HASH, "t1") {
-            self.0
-                .set_field(HASH, "t1", &text.replacen('{', &format!("{{{NEWER},"), 1));
+            self.0.set_field(
+                HASH,
+                "t1",
+                &text.replacen('{', &format!("{{{NEWER_FIELD},"), 1),
+            );
         }
     }
 
-    fn is_newer_intact(&self) -> bool {
+    fn is_newer_data_intact(&self) -> bool {
         self.0
             .field(HASH, "t1")
-            .is_some_and(|text| text.contains(NEWER))
+            .is_some_and(|text| text.contains(NEWER_FIELD))
     }
 }
--- a/crates/contracts/tests/tenants.rs
+++ b/crates/contracts/tests/tenants.rs
@@ -23,34 +23,36 @@
 }
 
 /// The answer of the store, which on a machine with much to do may have to be asked again.
-fn heard<T>(mut ask: impl FnMut() -> Result<T, StoreError>) -> Result<T, StoreError> {
+fn retry_while_unavailable<T>(
+    mut call: impl FnMut() -> Result<T, StoreError>,
+) -> Result<T, StoreError> {
     let deadline = Instant::now() + Duration::from_secs(30);
     loop {
-        match ask() {
+        match call() {
             Err(StoreError::Unavailable) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(20))
             }
-            answer => return answer,
+            result => return result,
         }
     }
 }
 
-fn begin() -> (Redis, Tenants) {
+fn start_with_one_tenant() -> (Redis, Tenants) {
     let redis = Redis::start();
     let tenants =
         Tenants::new(&format!("redis://{}/", redis.address), Duration::ZERO).expect("an address");
-    let made = heard(|| tenants.create(tenant()));
+    let created = retry_while_unavailable(|| tenants.create(tenant()));
     assert!(
-        matches!(made, Ok(_) | Err(StoreError::Exists)),
+        matches!(created, Ok(_) | Err(StoreError::Exists)),
         "again, perhaps"
     );
     (redis, tenants)
 }
 
 #[test]
-fn a_change_that_the_store_does_not_take_leaves_the_copy_that_serves_on() {
-    let (redis, tenants) = begin();
-    redis.goes_away(true);
+fn serves_cached_tenant_when_store_is_unavailable() {
+    let (redis, tenants) = start_with_one_tenant();
+    redis.set_unavailable(true);
     let changed = tenants.change("north", |tenant| tenant.connections = 9);
     assert_eq!(changed.map(drop), Err(StoreError::Unavailable));
     assert_eq!(tenants.get("north").map(|tenant| tenant.connections), Ok(5));
@@ -58,19 +60,20 @@
 }
 
 #[test]
-fn a_store_without_room_is_not_away_and_one_that_has_room_again_takes_the_change() {
-    let (redis, tenants) = begin();
-    redis.manner(RedisBehaviour::Full);
+fn accepts_change_when_store_has_room_again() {
+    let (redis, tenants) = start_with_one_tenant();
+    redis.set_behaviour(RedisBehaviour::Full);
     let change = |tenant: &mut Tenant| tenant.connections = 9;
     assert_eq!(
-        heard(|| tenants.change("north", change)).map(drop),
+        retry_while_unavailable(|| tenants.change("north", change)).map(drop),
         Err(StoreError::WritesRefused)
     );
     assert!(!tenants.is_store_unavailable());
     assert_eq!(tenants.get("north").map(|tenant| tenant.connections), Ok(5));
-    redis.manner(RedisBehaviour::Serve);
+    redis.set_behaviour(RedisBehaviour::Serve);
     assert_eq!(
-        heard(|| tenants.change("north", change)).map(|tenant| tenant.connections),
+        retry_while_unavailable(|| tenants.change("north", change))
+            .map(|tenant| tenant.connections),
         Ok(9)
     );
 }
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use beaconflow_contracts::disk::{BreakingDisk, DiskFault};
+use beaconflow_contracts::disk::{DiskFault, FaultyDisk};
 use beaconflow_store::OpenError;
 use beaconflow_store::disk::Disk;
 use beaconflow_store::memory::{
@@ -40,7 +40,7 @@
 }
 
 fn open_at(
-    disk: &BreakingDisk,
+    disk: &FaultyDisk,
     owner: &str,
     now_ms: u64,
 ) -> Result<(Memory, MemoryContents), OpenError> {
@@ -48,8 +48,8 @@
 }
 
 /// A disk with a memory file, and the records in it.
-fn disk_with_records() -> (BreakingDisk, Vec<Record>) {
-    let disk = BreakingDisk::default();
+fn disk_with_records() -> (FaultyDisk, Vec<Record>) {
+    let disk = FaultyDisk::default();
     let (mut memory, _) = open_at(&disk, "east-1", NOW_MS).expect("a new memory opens");
     memory
         .write(
@@ -144,7 +144,7 @@
     let (_, restored) = open_on(Arc::new(disk.clone()), &moved.path, "east-1", NOW_MS)
         .expect("the renamed file is unchanged");
     assert_eq!(restored.records, records);
-    assert_eq!(disk.names().len(), 2);
+    assert_eq!(disk.paths().len(), 2);
 }
 
 #[test]
@@ -190,7 +190,7 @@
     }
     let before = disk.read(path()).expect("the file is readable");
     // Also on a read-only disk.
-    for fault in [DiskFault::Fair, DiskFault::ReadOnly] {
+    for fault in [DiskFault::None, DiskFault::ReadOnly] {
         disk.set_fault(fault);
         let error = open_at(&disk, "east-1", NOW_MS).map(drop);
         assert_eq!(
@@ -246,9 +246,9 @@
 #[test]
 fn reads_memory_from_read_only_disk() {
     let (disk, records) = disk_with_records();
-    disk.cut_after(1);
+    disk.cut_power_after(1);
     drop(open_at(&disk, "east-1", NOW_MS));
-    disk.power_back(beaconflow_contracts::disk::Loss::Nothing);
+    disk.restore_power(beaconflow_contracts::disk::UnsyncedLoss::None);
     // Also after a crash: the file is repaired in a copy in memory.
     disk.set_fault(DiskFault::ReadOnly);
     let before = disk.read(path()).expect("the file is readable");
@@ -261,7 +261,7 @@
     );
     assert!(memory.write(&[put(1, "z", "z")], NOW_MS).is_err());
     assert!(disk.read(path()).expect("the file is readable") == before);
-    disk.set_fault(DiskFault::Fair);
+    disk.set_fault(DiskFault::None);
     assert_eq!(
         memory
             .write(&[put(1, "z", "z")], NOW_MS)
@@ -301,8 +301,8 @@
         (0..intact.len()).filter(|at| *at < 600 || (near_an_edge(*at) && at % 24_576 < 8_192));
     let (mut moved_count, mut total) = (0, 0);
     for cut in cut_lengths.chain((0..intact.len()).step_by(39_989)) {
-        let disk = BreakingDisk::default();
-        disk.place(path(), intact[..cut].to_vec());
+        let disk = FaultyDisk::default();
+        disk.write_synced(path(), intact[..cut].to_vec());
         let (mut memory, contents) =
             open_at(&disk, "east-1", NOW_MS).expect("a truncated file does not prevent the start");
         assert!(
@@ -337,8 +337,8 @@
             corrupted[at..at + 16]
                 .iter_mut()
                 .for_each(|byte| *byte ^= 0x5a);
-            let disk = BreakingDisk::default();
-            disk.place(path(), corrupted);
+            let disk = FaultyDisk::default();
+            disk.write_synced(path(), corrupted);
             match open_at(&disk, "east-1", NOW_MS) {
                 // Either of the last two states is one that was written.
                 Ok((_, contents)) if contents.moved_aside.is_none() => {
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beaconflow_contracts::disk::{BreakingDisk, DiskFault, Emptied, Loss};
+use beaconflow_contracts::disk::{ClearMethod, DiskFault, FaultyDisk, UnsyncedLoss};
 use beaconflow_store::memory::{DiskEvent, Limits, MemoryContents, Record, Writer, open_on};
 use crossbeam_channel::{Receiver, unbounded};
 
@@ -31,7 +31,7 @@
     }
 }
 
-fn spawn_writer(disk: &BreakingDisk, limits: Limits) -> (Writer, Receiver<DiskEvent>) {
+fn spawn_writer(disk: &FaultyDisk, limits: Limits) -> (Writer, Receiver<DiskEvent>) {
     let (memory, _) =
         open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW).expect("the memory opens");
     let (event_sender, events) = unbounded();
@@ -41,7 +41,7 @@
     (writer.expect("the thread starts"), events)
 }
 
-fn reopen(disk: &BreakingDisk) -> MemoryContents {
+fn reopen(disk: &FaultyDisk) -> MemoryContents {
     open_on(Arc::new(disk.clone()), Path::new("/m"), "east-1", NOW)
         .expect("the file is closed and valid")
         .1
@@ -49,7 +49,7 @@
 
 #[test]
 fn writes_all_changes_and_frees_file_on_close() {
-    let disk = BreakingDisk::default();
+    let disk = FaultyDisk::default();
     let small_journal = Limits {
         journal_bytes: 500,
         ..limits()
@@ -69,14 +69,14 @@
     assert!(events.is_empty());
 }
 
-fn records_after_close(writer: Writer, disk: &BreakingDisk) -> Vec<Record> {
+fn records_after_close(writer: Writer, disk: &FaultyDisk) -> Vec<Record> {
     assert!(writer.close(TIMEOUT));
     reopen(disk).records
 }
 
 #[test]
 fn accepts_and_evicts_changes_when_disk_hangs() {
-    let disk = BreakingDisk::default();
+    let disk = FaultyDisk::default();
     let (writer, _events) = spawn_writer(
         &disk,
         Limits {
@@ -84,7 +84,7 @@
             ..limits()
         },
     );
-    disk.set_fault(DiskFault::Stuck);
+    disk.set_fault(DiskFault::Stalled);
     writer.put(record(1, 0, "list"));
     while writer.counts().pending > 0 {
         std::thread::yield_now();
@@ -109,7 +109,7 @@
         !writer.take_resync_request(),
         "a resync is requested only after the disk has recovered"
     );
-    disk.set_fault(DiskFault::Fair);
+    disk.set_fault(DiskFault::None);
     assert!(writer.flush(TIMEOUT));
     // The iteration after the batch requests the resync.
     assert!(writer.flush(TIMEOUT));
@@ -131,18 +131,18 @@
 
 #[test]
 fn bounds_close_time_when_disk_hangs() {
-    let disk = BreakingDisk::default();
+    let disk = FaultyDisk::default();
     let (writer, _events) = spawn_writer(&disk, limits());
-    disk.set_fault(DiskFault::Stuck);
+    disk.set_fault(DiskFault::Stalled);
     writer.put(record(1, 0, "list"));
     assert!(!writer.close(Duration::from_millis(20)));
-    disk.set_fault(DiskFault::Fair);
+    disk.set_fault(DiskFault::None);
 }
 
 #[test]
 fn reports_failing_disk_once_and_writes_after_recovery() {
     for fault in [DiskFault::Full, DiskFault::ReadOnly] {
-        let disk = BreakingDisk::default();
+        let disk = FaultyDisk::default();
         let (writer, events) = spawn_writer(&disk, limits());
         disk.set_fault(fault);
         let large_value = "much".repeat(200_000);
@@ -156,7 +156,7 @@
         writer.put(record(1, 3, "later"));
         writer.delete(1, 4_u32.to_be_bytes().to_vec());
         assert!(events.is_empty() && writer.counts().is_degraded);
-        disk.set_fault(DiskFault::Fair);
+        disk.set_fault(DiskFault::None);
         assert_eq!(events.recv_timeout(TIMEOUT), Ok(DiskEvent::Recovered));
         assert!(writer.flush(TIMEOUT) && !writer.counts().is_degraded);
         assert!(!writer.take_resync_request(), "no change was evicted");
@@ -172,7 +172,7 @@
 
 #[test]
 fn reports_slow_disk_once() {
-    let disk = BreakingDisk::default();
+    let disk = FaultyDisk::default();
     let (writer, events) = spawn_writer(
         &disk,
         Limits {
@@ -193,12 +193,12 @@
 
 #[test]
 fn recreates_lost_file_and_requests_resync() {
-    for loss in [Emptied::Cut, Emptied::Removed] {
-        let disk = BreakingDisk::default();
+    for loss in [ClearMethod::Truncate, ClearMethod::Remove] {
+        let disk = FaultyDisk::default();
         let (writer, events) = spawn_writer(&disk, limits());
         writer.put(record(1, 1, "before"));
         assert!(writer.flush(TIMEOUT) && !writer.take_resync_request());
-        disk.empty(loss);
+        disk.clear_files(loss);
         writer.put(record(1, 2, "after"));
         assert!(writer.flush(TIMEOUT));
         let event = events.recv_timeout(TIMEOUT).expect("the event is reported");
@@ -212,12 +212,12 @@
 
 #[test]
 fn writes_pending_changes_when_dropped() {
-    let disk = BreakingDisk::default();
+    let disk = FaultyDisk::default();
     let (writer, events) = spawn_writer(&disk, limits());
     writer.put(record(1, 1, "last"));
     drop(writer);
     // The channel closes when the thread ends.
     assert!(events.recv_timeout(TIMEOUT).is_err());
-    disk.power_back(Loss::Everything);
+    disk.restore_power(UnsyncedLoss::All);
     assert_eq!(reopen(&disk).records, [record(1, 1, "last")]);
 }
