--- a/crates/contracts/src/disk.rs
+++ b/crates/contracts/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses power, fills up, refuses writing or stands still.
+//! An in-memory disk that can lose power, fill up, become read-only, slow down or stall.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Error, ErrorKind};
@@ -9,42 +9,42 @@
 use beaconflow_store::disk::{Disk, FileIdentity};
 use redb::{Builder, Database, DatabaseError, ReadOnlyDatabase, StorageBackend};
 
-/// Room is taken by the page.
+/// The disk allocates space in pages of this size.
 const PAGE_BYTES: u64 = 4096;
 
-/// How the disk fares.
+/// The fault that is injected into the disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
-    /// It does what it is told.
+    /// The disk works normally.
     #[default]
     None,
-    /// Pages that nothing was written to get nothing.
+    /// Writes to pages that are not allocated yet fail; allocated pages can be rewritten.
     Full,
-    /// It takes no writing.
+    /// Writes, length changes, syncs, renames and opening for writing fail.
     ReadOnly,
-    /// Each write takes so long.
+    /// Each write, length change or sync is delayed by this time.
     Slow(Duration),
-    /// Writes stand still until the weather changes.
+    /// Writes, length changes and syncs block until another fault is set.
     Stalled,
 }
 
-/// What of the writes that were not yet synced a loss of power takes.
+/// Which of the writes that were not synced a power loss discards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsyncedLoss {
-    /// Nothing.
+    /// All writes survive.
     None,
-    /// All.
+    /// No write survives.
     All,
-    /// Some of them, and some are torn in the middle; the number draws which.
+    /// Some writes are discarded and some are torn in the middle, chosen by this random seed.
     Partial(u64),
 }
 
-/// How a file is emptied behind its reader's back.
+/// How files are cleared while a store has them open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClearMethod {
-    /// It is cut to nothing.
+    /// Files are truncated to length zero.
     Truncate,
-    /// It is removed.
+    /// Files are unlinked; open handles keep the old contents.
     Remove,
 }
 
@@ -60,7 +60,7 @@
     synced: Vec<u8>,
     unsynced_ops: Vec<WriteOp>,
     allocated_pages: BTreeSet<u64>,
-    /// Someone has it open for writing.
+    /// Whether a handle for writing exists; a file that has one cannot be opened again.
     is_open_for_writing: bool,
 }
 
@@ -70,10 +70,10 @@
     files: BTreeMap<u64, FileState>,
     fault: DiskFault,
     write_count: u64,
-    /// The power goes at this write.
+    /// The write at which the power goes off, counted as in `write_count`.
     power_off_at_write: Option<u64>,
     is_power_off: bool,
-    /// Losses of power so far: what was opened before one is dead.
+    /// Power losses so far; a handle that was opened before the last one is unusable.
     power_losses: u64,
 }
 
@@ -83,7 +83,7 @@
     changed: Condvar,
 }
 
-/// The disk. Its clones are the same disk.
+/// A disk with injectable faults. Clones share the same files and faults.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Shared>);
 
@@ -107,18 +107,18 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how the disk fares.
+    /// Sets the current fault and wakes stalled writes.
     pub fn set_fault(&self, fault: DiskFault) {
         self.lock().fault = fault;
         self.0.changed.notify_all();
     }
 
-    /// Writes, cuts and syncs so far.
+    /// Number of writes, length changes and syncs so far.
     pub fn write_count(&self) -> u64 {
         self.lock().write_count
     }
 
-    /// The power goes at this write from now on; at once if it is 0.
+    /// Turns the power off at the given write, counted from now; immediately if `writes` is 0.
     pub fn cut_power_after(&self, writes: u64) {
         let mut state = self.lock();
         state.power_off_at_write = Some(state.write_count + writes);
@@ -130,7 +130,7 @@
         self.lock().is_power_off
     }
 
-    /// The power is back. What was opened before stays dead.
+    /// Turns the power on again. Files that were opened before stay unusable and have to be reopened.
     pub fn restore_power(&self, loss: UnsyncedLoss) {
         let mut state = self.lock();
         (
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Empties all files behind their readers' backs.
+    /// Clears all files while stores may have them open.
     pub fn clear_files(&self, method: ClearMethod) {
         let mut state = self.lock();
         let State {
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Writes a file that is durable at once.
+    /// Creates or replaces a file whose contents are durable immediately.
     pub fn write_synced(&self, path: &Path, bytes: Vec<u8>) {
         let mut state = self.lock();
         let number = file_number(&mut state, path);
@@ -206,7 +206,7 @@
         state.files.insert(number, file);
     }
 
-    /// The paths there are.
+    /// Paths of all files on the disk.
     pub fn paths(&self) -> Vec<PathBuf> {
         self.lock().numbers_by_path.keys().cloned().collect()
     }
@@ -300,7 +300,7 @@
     }
 }
 
-/// An open file.
+/// A handle of an open file.
 #[derive(Debug)]
 struct OpenFile {
     disk: FaultyDisk,
@@ -321,7 +321,7 @@
             .map_or(Err(ErrorKind::NotFound.into()), run)
     }
 
-    /// Waits, fails or goes dark as the weather has it, before something is written to pages.
+    /// Counts a write to these pages, and blocks, fails or turns the power off as the fault requires.
     fn prepare_write(&self, mut pages: impl Iterator<Item = u64>) -> io::Result<()> {
         let mut state = self.disk.lock();
         while state.fault == DiskFault::Stalled {
@@ -362,7 +362,7 @@
             && state.power_off_at_write == Some(state.write_count)
             && state.power_losses == self.power_losses
         {
-            // What was being written when the power went may be there, or half of it.
+            // The write during which the power went off may be kept, torn or lost.
             if let Some(file) = state.files.get_mut(&self.number) {
                 file.unsynced_ops.push(op);
             }
--- a/crates/contracts/src/lib.rs
+++ b/crates/contracts/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every store and every transport must keep to, whatever they are made of; for tests only.
+//! Conformance suites for every store and transport implementation; for tests only.
 //!
-//! [`stores`] and [`transports`] are the suites: a new store or transport is put through its suite in one line. The ground
-//! that breaks under stores is a [`disk`] in memory, or a [`redis`] on loopback.
+//! [`stores`] and [`transports`] are the suites: `assert_conforms` runs all cases of a suite against an implementation.
+//! Faults of stores are injected by an in-memory [`disk`] or a fake [`redis`] server on loopback.
 
 #![forbid(unsafe_code)]
 
--- a/crates/contracts/src/redis.rs
+++ b/crates/contracts/src/redis.rs
@@ -1,4 +1,4 @@
-//! A stand-in for Redis that knows hashes, from the public specification of its protocol (RESP 2), and how it fails.
+//! A fake Redis server with injectable faults. It implements hash commands after the public specification of RESP 2.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -6,29 +6,29 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How it answers.
+/// How the server replies. Unless stated otherwise, it executes each command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RedisBehaviour {
-    /// It does what it is asked.
+    /// Replies normally.
     #[default]
     Serve,
-    /// It does what it is asked and says nothing.
+    /// Executes commands and sends no replies.
     Silent,
-    /// It does what it is asked, and says half of the answer.
+    /// Sends only the first half of each reply to a hash command.
     PartialReply,
-    /// The same, and hangs up in the middle.
+    /// Sends half of the reply to a hash command, then closes the connection.
     Reset,
-    /// The same once, with the answer to a write; after that it serves.
+    /// Does the same with the reply to the next write, and serves normally after that.
     ResetOnce,
-    /// It does what it is asked, and each answer comes when the next thing is asked.
+    /// Sends each reply to a hash command only when the next hash command arrives.
     DelayedReply,
-    /// It reads its data back and refuses everything until it has.
+    /// Refuses all hash commands with `LOADING`, as during a restart.
     Loading,
-    /// It has no room and refuses what writes.
+    /// Refuses `HSET` and `HSETNX` for lack of memory.
     Full,
-    /// It follows another, and refuses what writes.
+    /// Refuses writes, as a read-only replica does.
     ReadOnly,
-    /// Each answer takes so long.
+    /// Delays each reply to a hash command by this time.
     Slow(Duration),
 }
 
@@ -37,19 +37,19 @@
 #[derive(Default)]
 struct State {
     hashes: Hashes,
-    /// As it was before the last write: what it wakes with when that was not saved.
+    /// State before the last write, which is restored when that write was not saved.
     before_last_write: Hashes,
     behaviour: RedisBehaviour,
     is_unavailable: bool,
     write_count: u64,
-    /// It dies at this write, after it was done or before.
+    /// The server stops at this write, counted as in `write_count`, and does not execute it.
     stops_at_write: Option<u64>,
     connections: Vec<TcpStream>,
 }
 
-/// The server.
+/// A fake Redis server, whose threads run until the process ends.
 pub struct Redis {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -61,29 +61,31 @@
 impl State {
     fn disconnect_all(&mut self) {
         for peer in self.connections.drain(..) {
-            // One that is gone already has hung up.
+            // Fails only when the client has closed the connection already.
             let _ = peer.shutdown(Shutdown::Both);
         }
     }
 }
 
 impl Redis {
-    /// Starts it, empty, on a free port of loopback.
+    /// Starts an empty server on a free loopback port.
     ///
     /// # Panics
     ///
-    /// If loopback gives no port.
+    /// If no loopback port can be bound.
     pub fn start() -> Redis {
-        Redis::start_on(TcpListener::bind("127.0.0.1:0").expect("loopback has a free port"))
+        Redis::start_on(TcpListener::bind("127.0.0.1:0").expect("a free loopback port"))
     }
 
-    /// Starts it, empty, where something listens already.
+    /// Starts an empty server on a bound listener.
     ///
     /// # Panics
     ///
     /// If the listener has no address.
     pub fn start_on(listener: TcpListener) -> Redis {
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener
+            .local_addr()
+            .expect("the listener has a local address");
         let state = Arc::new(Mutex::new(State::default()));
         let shared = Arc::clone(&state);
         std::thread::spawn(move || {
@@ -103,7 +105,7 @@
         Redis { address, state }
     }
 
-    /// Breaks all connections and takes no new ones, or takes them again.
+    /// Closes all connections and drops new ones, or accepts connections again. Cancels a scheduled stop.
     pub fn set_unavailable(&self, is_unavailable: bool) {
         let mut state = lock(&self.state);
         state.is_unavailable = is_unavailable;
@@ -111,40 +113,40 @@
         state.disconnect_all();
     }
 
-    /// Changes how it answers.
+    /// Changes how the server replies from now on.
     pub fn set_behaviour(&self, behaviour: RedisBehaviour) {
         lock(&self.state).behaviour = behaviour;
     }
 
-    /// It dies at this write from now on, before that is done.
+    /// Stops the server at the given write, counted from now, before that write is executed.
     pub fn stop_after_writes(&self, writes: u64) {
         let mut state = lock(&self.state);
         state.stops_at_write = Some(state.write_count + writes);
     }
 
-    /// Whether it has died or gone away.
+    /// Whether the server has stopped or was made unavailable.
     pub fn is_unavailable(&self) -> bool {
         lock(&self.state).is_unavailable
     }
 
-    /// Loses its last write, as one that saves now and then.
+    /// Loses the last write, as a server that restarts between two periodic saves.
     pub fn lose_last_write(&self) {
         let mut state = lock(&self.state);
         state.hashes = state.before_last_write.clone();
     }
 
-    /// Loses everything, while it runs.
+    /// Deletes all data while the server runs.
     pub fn clear(&self) {
         let mut state = lock(&self.state);
         (state.hashes, state.before_last_write) = Default::default();
     }
 
-    /// A field of a hash.
+    /// Value of a field of a hash; `None` if the hash or the field does not exist.
     pub fn field(&self, hash: &str, field: &str) -> Option<String> {
         lock(&self.state).hashes.get(hash)?.get(field).cloned()
     }
 
-    /// Sets a field behind everybody's back.
+    /// Sets a field directly, as another client would, without counting a write.
     pub fn set_field(&self, hash: &str, field: &str, value: &str) {
         let mut state = lock(&self.state);
         state
@@ -204,7 +206,7 @@
         .any(|command| name.eq_ignore_ascii_case(command))
 }
 
-/// The answer to a command; none if it dies of it.
+/// The reply to a command; `None` if the server stops at it.
 fn reply_to(state: &mut State, args: &[&str]) -> Option<String> {
     let name = args[0].to_ascii_uppercase();
     let is_write = is_write_command(&name);
--- a/crates/contracts/src/stores/cases.rs
+++ b/crates/contracts/src/stores/cases.rs
@@ -1,4 +1,4 @@
-//! The cases that hold for every store.
+//! Cases that apply to every store.
 
 use std::time::{Duration, Instant};
 
@@ -8,32 +8,32 @@
 };
 
 pub(super) const CASES: &[(&str, CaseFn)] = &[
-    ("the last put holds", last_change_persists),
-    ("durable on return", put_is_durable_on_return),
-    ("all or none", batch_is_atomic),
-    ("killed at each write", power_loss_at_each_write),
-    ("killed while it opens", power_loss_while_opening),
+    ("last change persists", last_change_persists),
+    ("put is durable on return", put_is_durable_on_return),
+    ("batch is atomic", batch_is_atomic),
+    ("power loss at each write", power_loss_at_each_write),
+    ("power loss while opening", power_loss_while_opening),
     ("full", |make_subject| {
         rejects_writes_and_recovers(make_subject, StoreFault::Full)
     }),
     ("read-only", |make_subject| {
         rejects_writes_and_recovers(make_subject, StoreFault::ReadOnly)
     }),
-    ("slow", slow_writes),
-    ("emptied under its reader", cleared_while_open),
-    ("newer schema", newer_schema_is_untouched),
-    ("opened twice", second_open),
+    ("slow writes", slow_writes),
+    ("cleared while open", cleared_while_open),
+    ("newer data is preserved", newer_schema_is_untouched),
+    ("second open", second_open),
 ];
 
-/// Longer than anything here takes.
+/// Longer than any operation in these cases takes.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// More writes than a case makes.
+/// More writes than any case makes.
 const MAX_WRITES: u64 = 10_000;
 
 macro_rules! ensure {
-    ($holds:expr, $($said:tt)+) => {
-        if !$holds {
-            return Err(format!($($said)+));
+    ($condition:expr, $($message:tt)+) => {
+        if !$condition {
+            return Err(format!($($message)+));
         }
     };
 }
@@ -49,12 +49,12 @@
     result.map_err(|error| format!("{operation}: {error}"))
 }
 
-/// Opens a store, again and again while it can't be had.
+/// Opens a store, and retries while it is unavailable.
 pub(super) fn open(subject: &dyn Subject) -> Result<(Box<dyn Store>, Rows), String> {
-    retry("opening it in fair weather", || subject.open())
+    retry("opening the store without faults", || subject.open())
 }
 
-/// Does what failed in bad weather, in fair weather: a store may take its time to see that it is fair.
+/// Retries an operation while the store is unavailable: a store may notice late that a fault is over.
 pub(super) fn retry<T>(
     operation: &str,
     mut run: impl FnMut() -> Result<T, StoreError>,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Puts rows in fair weather. On a machine with much to do, a server may have to be asked again.
+/// Puts rows without a fault. Retries when the store is remote, as a server on a loaded machine may time out.
 pub(super) fn put(subject: &dyn Subject, store: &mut dyn Store, rows: &Rows) -> CaseResult {
     match subject.properties().is_remote {
         true => retry("put", || store.put(rows)),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Removes a row in fair weather.
+/// Removes a row without a fault. Retries when the store is remote.
 fn remove(subject: &dyn Subject, store: &mut dyn Store, key: u64) -> CaseResult {
     match subject.properties().is_remote {
         true => retry("remove", || store.remove(key)),
@@ -86,18 +86,18 @@
     }
 }
 
-/// The rows that are found by one who opens it now.
+/// Opens the store and returns the rows it contains.
 pub(super) fn read_rows(subject: &dyn Subject) -> Result<Rows, String> {
     open(subject).map(|(_, rows)| rows)
 }
 
-/// What one that is opened in bad weather finds is right, or it is not opened.
+/// Checks that opening the store during a fault either fails or returns the expected rows.
 fn ensure_rows_or_refused(subject: &dyn Subject, expected: &Rows) -> CaseResult {
     match subject.open() {
         Ok((_, found)) => {
             ensure!(
                 found == *expected,
-                "opened in bad weather it shows {found:?} for {expected:?}"
+                "opened during a fault, the store contains {found:?}, not {expected:?}"
             );
             Ok(())
         }
@@ -105,7 +105,7 @@
     }
 }
 
-/// Makes rows of a batch a store takes at once.
+/// Reduces rows to a batch that the store puts atomically: one row if it has no atomic batches.
 fn limit_batch(subject: &dyn Subject, all: Rows) -> Rows {
     let max_rows = if subject.properties().has_atomic_batches {
         usize::MAX
@@ -118,7 +118,7 @@
 fn last_change_persists(make_subject: SubjectFactory<'_>) -> CaseResult {
     let subject = make_subject();
     let (mut store, before) = open(&*subject)?;
-    ensure!(before.is_empty(), "a new store holds {before:?}");
+    ensure!(before.is_empty(), "a new store contains {before:?}");
     for (key, value) in [(1, "a"), (2, "b"), (1, "c"), (3, "d")] {
         put(&*subject, &mut *store, &rows([(key, value)]))?;
     }
@@ -127,7 +127,10 @@
     remove(&*subject, &mut *store, 2)?;
     drop(store);
     let found = read_rows(&*subject)?;
-    ensure!(found == rows([(1, "c"), (3, "e")]), "it kept {found:?}");
+    ensure!(
+        found == rows([(1, "c"), (3, "e")]),
+        "reopened, the store contains {found:?}"
+    );
     Ok(())
 }
 
@@ -150,7 +153,7 @@
         };
         ensure!(
             is_expected,
-            "after {puts} puts that returned, it comes back with {found:?}"
+            "after {puts} puts that returned and a power loss, the store contains {found:?}"
         );
     }
     Ok(())
@@ -180,22 +183,22 @@
         let by_server = subject.properties().durability == Durability::ByServer;
         ensure!(
             found == new || found == old,
-            "cut at write {writes}: neither the old rows nor the new ones"
+            "power loss at write {writes}: the store contains neither the old rows nor the new ones"
         );
         ensure!(
             result.is_err() || found == new || by_server,
-            "cut at write {writes}: it said yes and kept the old"
+            "power loss at write {writes}: the put succeeded but the old rows remain"
         );
         if !lost_power {
             return Ok(());
         }
     }
-    Err("it never ends to write".into())
+    Err(format!("still writing after {MAX_WRITES} writes"))
 }
 
 type Step = fn(&mut dyn Store) -> Result<(), StoreError>;
 
-/// Changes, and what they leave.
+/// A sequence of changes, each with the rows expected after it. The store initially contains row 9.
 fn change_sequence(subject: &dyn Subject) -> Vec<(Step, Rows)> {
     let mut all: Vec<(Step, Rows)> = vec![
         (
@@ -235,13 +238,13 @@
             let (mut store, _) = open(&*subject)?;
             put(&*subject, &mut *store, &rows([(9, "z")]))?;
             subject.cut_power_after(writes);
-            // The last of all rows there are may be lost with a server.
+            // A server that saves periodically may lose its last write.
             let mut expected = match subject.properties().durability {
                 Durability::OnReturn => vec![rows([(9, "z")])],
                 Durability::ByServer => vec![Rows::new(), rows([(9, "z")])],
             };
             for (step, after) in change_sequence(&*subject) {
-                // One that fails may have come to pass, and is the last.
+                // A change that fails may have been applied or not, and ends the sequence.
                 let result = step(&mut *store);
                 if result.is_ok() && subject.properties().durability == Durability::OnReturn {
                     expected.clear();
@@ -258,10 +261,10 @@
             let (mut store, found) = open(&*subject)?;
             ensure!(
                 expected.contains(&found),
-                "cut at write {writes}, {:?}: {found:?} is none of {expected:?}",
+                "power loss at write {writes}, {:?}: {found:?} is none of {expected:?}",
                 loss(writes)
             );
-            retry("a put after the power is back", || {
+            retry("a put after the power is restored", || {
                 store.put(&rows([(5, "on")]))
             })?;
             if !lost_power {
@@ -269,7 +272,7 @@
             }
         }
     }
-    Err("it never ends to write".into())
+    Err(format!("still writing after {MAX_WRITES} writes"))
 }
 
 fn power_loss_while_opening(make_subject: SubjectFactory<'_>) -> CaseResult {
@@ -279,7 +282,7 @@
             let subject = make_subject();
             let (mut store, _) = open(&*subject)?;
             put(&*subject, &mut *store, &expected)?;
-            // Dark and light once: it has something to mend.
+            // A first power loss gives the store something to recover when it opens.
             subject.cut_power_after(0);
             drop(store);
             subject.restore_power(UnsyncedLoss::None);
@@ -291,7 +294,7 @@
             let found = read_rows(&*subject)?;
             ensure!(
                 found == expected,
-                "cut at write {writes} of opening, {:?}: {found:?}",
+                "power loss at write {writes} of opening, {:?}: the store contains {found:?}",
                 loss(writes)
             );
             if !lost_power {
@@ -299,10 +302,10 @@
             }
         }
     }
-    Err("it never ends to write".into())
+    Err(format!("still writing after {MAX_WRITES} writes"))
 }
 
-/// A ground that takes no writing: what is put is refused, what is there stays, and it is served again afterwards.
+/// With a disk or server that refuses writes, puts fail, existing rows remain, and the store recovers afterwards.
 fn rejects_writes_and_recovers(make_subject: SubjectFactory<'_>, fault: StoreFault) -> CaseResult {
     let subject = make_subject();
     let (mut store, _) = open(&*subject)?;
@@ -311,7 +314,7 @@
         put(&*subject, &mut *store, &Rows::from([(*key, value.clone())]))?;
     }
     subject.set_fault(fault);
-    // What there is may do for small ones: they are well kept if it says so.
+    // Allocated space may suffice for some rows: rows whose put succeeds must persist.
     let mut refused = 0;
     for key in 10..30 {
         let row = Rows::from([(key, "much".repeat(50_000))]);
@@ -320,10 +323,15 @@
             Err(_) => refused += 1,
         }
     }
-    ensure!(refused > 0, "nothing is refused");
+    ensure!(refused > 0, "no put is refused during the fault");
     if subject.properties().is_remote {
-        let found = retry("reading, which needs no room", || store.rows())?;
-        ensure!(found == expected, "reading shows other rows meanwhile");
+        let found = retry("a read during the fault, which needs no space", || {
+            store.rows()
+        })?;
+        ensure!(
+            found == expected,
+            "a read during the fault returns unexpected rows"
+        );
     }
     drop(store);
     ensure_rows_or_refused(&*subject, &expected)?;
@@ -331,15 +339,18 @@
     let (mut store, found) = open(&*subject)?;
     ensure!(
         found == expected,
-        "{} rows are there afterwards, not {}",
+        "after the fault, the rows differ from those expected: {} rows found, {} expected",
         found.len(),
         expected.len()
     );
     subject.set_fault(fault);
     let big = Rows::from([(40, "much".repeat(500_000))]);
-    ensure!(store.put(&big).is_err(), "a big row is taken");
+    ensure!(
+        store.put(&big).is_err(),
+        "a put of 2 MB succeeds during the fault"
+    );
     subject.set_fault(StoreFault::None);
-    retry("a put by the one that was refused, afterwards", || {
+    retry("a put by the same handle after the fault", || {
         store.put(&rows([(3, "c")]))
     })?;
     expected.extend(rows([(3, "c")]));
@@ -347,7 +358,7 @@
     let found = read_rows(&*subject)?;
     ensure!(
         found == expected,
-        "{} rows are there in the end, not {}",
+        "reopened, the rows differ from those expected: {} rows found, {} expected",
         found.len(),
         expected.len()
     );
@@ -363,7 +374,7 @@
     let result = store.put(&rows([(2, "b")]));
     ensure!(
         started_at.elapsed() < TIMEOUT,
-        "a put takes {:?}",
+        "a put takes {:?}, limit {TIMEOUT:?}",
         started_at.elapsed()
     );
     subject.cut_power_after(0);
@@ -377,11 +388,14 @@
         (Durability::OnReturn, Err(_)) => found == with || found == without,
         (Durability::ByServer, _) => found == with || found == without || found.is_empty(),
     };
-    ensure!(is_expected, "it comes back with {found:?}");
+    ensure!(
+        is_expected,
+        "after a power loss, the store contains {found:?}"
+    );
     Ok(())
 }
 
-/// What is put afterwards is refused, or is there; what was emptied does not come back by itself.
+/// After the data is deleted, each put either fails or persists, and deleted rows do not reappear.
 fn cleared_while_open(make_subject: SubjectFactory<'_>) -> CaseResult {
     for method in [ClearMethod::Truncate, ClearMethod::Remove] {
         let subject = make_subject();
@@ -394,15 +408,15 @@
         let found = read_rows(&*subject)?;
         ensure!(
             result.is_err() || found.contains_key(&2),
-            "{method:?}: it said yes and kept nothing: {found:?}"
+            "{method:?}: the first put succeeded but its row is lost: {found:?}"
         );
         ensure!(
             second_result.is_err() || found.contains_key(&3),
-            "{method:?}: it said yes twice and kept {found:?}"
+            "{method:?}: the second put succeeded but its row is lost: {found:?}"
         );
         ensure!(
             !found.contains_key(&1),
-            "{method:?}: what was emptied is back: {found:?}"
+            "{method:?}: the deleted row reappeared: {found:?}"
         );
     }
     Ok(())
@@ -416,21 +430,26 @@
     subject.write_newer_schema();
     match (subject.properties().newer_schema, subject.open()) {
         (NewerSchema::Refused, Ok((_, found))) => {
-            return Err(format!("it is opened, with {found:?}"));
+            return Err(format!(
+                "the store opens data of a newer schema, with {found:?}"
+            ));
         }
         (NewerSchema::Refused, Err(_)) => {}
         (NewerSchema::Preserved, opened) => {
             let (mut store, found) = match opened {
                 Err(StoreError::Unavailable(_)) => open(&*subject)?,
-                opened => with_context("opening it", opened)?,
+                opened => with_context("opening data of a newer schema", opened)?,
             };
-            ensure!(found == rows([(1, "a")]), "it reads {found:?}");
+            ensure!(
+                found == rows([(1, "a")]),
+                "data of a newer schema is read as {found:?}"
+            );
             put(&*subject, &mut *store, &rows([(1, "b")]))?;
         }
     }
     ensure!(
         subject.is_newer_data_intact(),
-        "what the newer program wrote is changed"
+        "data of the newer schema has changed"
     );
     Ok(())
 }
@@ -440,11 +459,14 @@
     let (mut first, _) = open(&*subject)?;
     put(&*subject, &mut *first, &rows([(1, "a")]))?;
     match (subject.properties().is_exclusive, subject.open()) {
-        (true, Ok(_)) => return Err("two have it open".into()),
+        (true, Ok(_)) => return Err("an exclusive store opens twice".into()),
         (true, Err(_)) => {}
         (false, second) => {
-            let (mut second, found) = with_context("opening it again", second)?;
-            ensure!(found == rows([(1, "a")]), "the second finds {found:?}");
+            let (mut second, found) = with_context("opening the store a second time", second)?;
+            ensure!(
+                found == rows([(1, "a")]),
+                "the second handle reads {found:?}"
+            );
             put(&*subject, &mut *second, &rows([(2, "b")]))?;
         }
     }
@@ -455,6 +477,6 @@
         expected.extend(rows([(2, "b")]));
     }
     let found = read_rows(&*subject)?;
-    ensure!(found == expected, "it kept {found:?}");
+    ensure!(found == expected, "reopened, the store contains {found:?}");
     Ok(())
 }
--- a/crates/contracts/src/stores/file.rs
+++ b/crates/contracts/src/stores/file.rs
@@ -1,4 +1,4 @@
-//! Stores in a file, on a disk that breaks.
+//! Test subjects for stores in a file on a disk with injectable faults.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 };
 use crate::disk::{self, FaultyDisk};
 
-/// An open store, and the rows it found.
+/// An open store with the rows it contains, or the error of opening it.
 pub type OpenResult = Result<(Box<dyn Store>, Rows), StoreError>;
 
-/// What is told of a store in a file of the embedded database.
+/// A store in a file of the embedded database.
 pub trait FileBackedStore {
-    /// The table of the file that holds its schema under `schema`, and the schema that the program writes.
+    /// The table with the schema version under the key `schema`, and the version that this program writes.
     const SCHEMA: (&'static str, u64);
 
-    /// Opens it.
+    /// Opens the store in the file at this path.
     fn open(disk: Arc<dyn Disk>, path: &Path) -> OpenResult;
 }
 
-/// Such a store with its disk.
+/// A file-backed store under test, with its disk.
 pub struct FileSubject {
     disk: FaultyDisk,
     open: fn(Arc<dyn Disk>, &Path) -> OpenResult,
@@ -39,7 +39,7 @@
 }
 
 impl FileSubject {
-    /// One that is empty.
+    /// Creates a subject with an empty disk.
     pub fn new<S: FileBackedStore>() -> FileSubject {
         let (disk, newer_bytes) = (FaultyDisk::default(), Mutex::default());
         FileSubject {
--- a/crates/contracts/src/stores/mod.rs
+++ b/crates/contracts/src/stores/mod.rs
@@ -1,7 +1,7 @@
-//! What every store of rows must keep to.
+//! Conformance suite for stores of rows.
 //!
-//! A store is brought here as a [`Subject`]: how it is opened, how the ground under it breaks, and its [`Properties`]:
-//! what it declares of itself where stores differ by design. A declared trait is tested too.
+//! A store under test implements [`Subject`]: how it is opened, how faults are injected into its disk or server, and
+//! its [`Properties`], which declare where stores differ by design. Declared properties are tested too.
 
 mod cases;
 mod file;
@@ -14,143 +14,143 @@
 pub use crate::disk::{ClearMethod, UnsyncedLoss};
 pub use file::{FileBackedStore, FileSubject, OpenResult};
 
-/// What a store holds.
+/// Contents of a store: values by key.
 pub type Rows = BTreeMap<u64, String>;
 
-/// Why a store did not do what it was asked.
+/// Why a store operation failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// It could not: the disk or the server fails it.
+    /// The disk or the server failed; the operation may succeed later.
     Unavailable(String),
-    /// It would not take this row, whatever the weather.
+    /// The store rejects the operation regardless of faults.
     Rejected(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Unavailable(reason) => write!(f, "unable: {reason}"),
-            StoreError::Rejected(reason) => write!(f, "refused: {reason}"),
+            StoreError::Unavailable(reason) => write!(f, "store unavailable: {reason}"),
+            StoreError::Rejected(reason) => write!(f, "operation rejected: {reason}"),
         }
     }
 }
 
 /// An open store.
 pub trait Store {
-    /// Takes rows in the place of those with the same keys.
+    /// Inserts rows and replaces those with the same keys.
     fn put(&mut self, rows: &Rows) -> Result<(), StoreError>;
 
-    /// Forgets a row.
+    /// Deletes the row with this key.
     fn remove(&mut self, key: u64) -> Result<(), StoreError>;
 
-    /// All rows as they are now. Only stores behind a wire are asked; others give their rows when they are opened.
+    /// All current rows. Called only on remote stores; others return their rows when they are opened.
     fn rows(&mut self) -> Result<Rows, StoreError>;
 }
 
-/// When a row is durable.
+/// The time from which a row is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// When its put returns.
+    /// Rows are durable when `put` returns.
     OnReturn,
-    /// When its server has saved it: of the last rows some may be lost, but none comes that was not put.
+    /// Rows are durable once the server has saved them. The latest rows may be lost, but none appears that was not put.
     ByServer,
 }
 
-/// What is done with what a newer program wrote.
+/// How a store handles data that a newer version of the program wrote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewerSchema {
-    /// The store is not opened, and not a byte of it changes.
+    /// The store refuses to open and leaves every byte unchanged.
     Refused,
-    /// It is read as far as it is known, and what is not known stays in it through changes.
+    /// The store reads the fields it knows, and preserves unknown fields when it changes a row.
     Preserved,
 }
 
-/// What a store declares of itself.
+/// Properties that a store declares and the suite verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Properties {
-    /// When a row is durable.
+    /// The time from which a row is durable.
     pub durability: Durability,
-    /// Whether several rows are put all or none; if not, each row by itself is.
+    /// Whether a put of several rows is atomic; otherwise only each single row is.
     pub has_atomic_batches: bool,
-    /// Whether one at a time has it open; if not, each sees what the others put.
+    /// Whether only one handle can be open at a time; otherwise each handle sees the rows that others put.
     pub is_exclusive: bool,
-    /// What is done with what a newer program wrote.
+    /// How data of a newer version of the program is handled.
     pub newer_schema: NewerSchema,
-    /// Whether it is a server behind a wire, which has failures of its own.
+    /// Whether the store is a server on the network, which has additional failure modes.
     pub is_remote: bool,
 }
 
-/// How the ground fares.
+/// The fault that is injected into the disk or the server of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// As it should.
+    /// No fault.
     None,
-    /// There is no room.
+    /// The disk or the memory of the server is full.
     Full,
-    /// Nothing may be written.
+    /// Writes are refused.
     ReadOnly,
-    /// Every write takes its time.
+    /// Every write is delayed.
     Slow,
-    /// The server does what it is asked and says nothing.
+    /// The server executes commands and sends no replies.
     Silent,
-    /// It says half of each answer.
+    /// The server sends only the first half of each reply.
     PartialReply,
-    /// It hangs up in the middle of one answer, and serves then.
+    /// The server closes the connection in the middle of one reply, then works normally.
     Reset,
-    /// Each answer comes when the next thing is asked.
+    /// The server sends each reply only when the next command arrives.
     DelayedReply,
-    /// It reads its data back and refuses everything until it has.
+    /// The server is loading its data and refuses all commands meanwhile.
     Loading,
 }
 
-/// A store, its ground and what it declares. Each case has one of its own, empty.
+/// A store under test, with its faults and declared properties. Each case uses an empty one of its own.
 pub trait Subject {
-    /// What it declares.
+    /// Properties that the store declares.
     fn properties(&self) -> Properties;
 
-    /// Opens it, as a program that starts: the store, and the rows it found.
+    /// Opens the store as at program start, and returns it with the rows it contains.
     fn open(&self) -> Result<(Box<dyn Store>, Rows), StoreError>;
 
-    /// Changes how the ground fares.
+    /// Sets the current fault of the disk or the server.
     fn set_fault(&self, fault: StoreFault);
 
-    /// The power goes at this write from now on; at once if it is 0.
+    /// Turns the power off at the given write, counted from now; immediately if `writes` is 0.
     fn cut_power_after(&self, writes: u64);
 
     /// Whether the power is off.
     fn is_power_off(&self) -> bool;
 
-    /// The power is back. What was opened before is dropped then.
+    /// Turns the power on again, after all handles that were opened before have been dropped.
     fn restore_power(&self, loss: UnsyncedLoss);
 
-    /// Empties it behind its reader's back.
+    /// Deletes all data while the store may be open.
     fn clear(&self, method: ClearMethod);
 
-    /// A newer program writes here; nobody has it open.
+    /// Writes data as a newer version of the program would; the store is not open meanwhile.
     fn write_newer_schema(&self);
 
-    /// Whether all that the newer program wrote, and this one does not know, is still there.
+    /// Whether everything that the newer version wrote and this one does not know is still stored.
     fn is_newer_data_intact(&self) -> bool;
 }
 
-/// Makes stores, each new and empty.
+/// Creates a new, empty store for each call.
 pub type SubjectFactory<'a> = &'a dyn Fn() -> Box<dyn Subject>;
 
-/// What is wrong with a store, if anything is.
+/// Result of a case; the error describes how the store violates the contract.
 pub type CaseResult = Result<(), String>;
 
-/// Puts stores through a case.
+/// Runs a case against new stores.
 pub type CaseFn = fn(SubjectFactory<'_>) -> CaseResult;
 
 /// One case of the suite.
 pub struct Case {
-    /// Its name.
+    /// Name of the case in failure reports.
     pub name: &'static str,
-    /// Puts stores through it, and says what they did wrong.
+    /// Runs the case and reports the first violation.
     pub run: CaseFn,
 }
 
-/// All cases; those of the wire say nothing of a store without one.
+/// All cases. Cases for remote stores pass without checks when a store is not remote.
 pub fn cases() -> Vec<Case> {
     [cases::CASES, remote::CASES]
         .concat()
@@ -159,11 +159,11 @@
         .collect()
 }
 
-/// Puts a store through all cases.
+/// Runs all cases against a store.
 ///
 /// # Panics
 ///
-/// If it fails one, with all that it failed.
+/// If any case fails; the message lists all failed cases.
 pub fn assert_conforms<S: Subject + 'static>(make_subject: impl Fn() -> S) {
     let make_subject = || Box::new(make_subject()) as Box<dyn Subject>;
     let failures = cases()
@@ -174,7 +174,7 @@
         .collect();
     assert!(
         failed.is_empty(),
-        "the store fails its contract:\n{}",
+        "the store violates its contract:\n{}",
         failed.join("\n")
     );
 }
--- a/crates/contracts/src/stores/model.rs
+++ b/crates/contracts/src/stores/model.rs
@@ -1,6 +1,6 @@
-//! A store in memory, behind a wire of its own: a sound one, and ones with one defect each.
+//! In-memory remote stores: a correct one, and variants with one defect each.
 //!
-//! Each defect is there for one case of the suite, which has to catch it.
+//! Each defect belongs to one case of the suite, which has to detect it.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,51 +10,51 @@
     UnsyncedLoss,
 };
 
-/// What is wrong with it.
+/// The defect of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// The store is correct.
     None,
-    /// What was removed can't be put again.
+    /// A row that was removed cannot be put again.
     RejectsPutAfterRemove,
-    /// A put is written when the store is closed.
+    /// Puts are written only when the store is closed.
     DefersPuts,
-    /// The rows of a put are written one by one.
+    /// Rows of a batch are written one by one.
     SplitsBatches,
-    /// What is removed is written when the store is closed.
+    /// Removals are written only when the store is closed.
     DefersRemoves,
-    /// After a loss of power it clears what it holds and writes it again.
+    /// Recovery after a power loss clears the rows before it rewrites them.
     RecoversInPlace,
-    /// A put is answered with yes when there is no room.
+    /// Puts are acknowledged although the disk is full.
     AcknowledgesWhenFull,
-    /// A put is answered with yes when nothing may be written.
+    /// Puts are acknowledged although the disk is read-only.
     AcknowledgesWhenReadOnly,
-    /// A put is written behind when the disk is slow.
+    /// Puts are deferred when the disk is slow.
     DefersWhenSlow,
-    /// It goes on with what it had open after that was emptied.
+    /// Changes go to the old file after the data was deleted, and are lost.
     IgnoresClear,
-    /// It takes what a newer program wrote for its own.
+    /// Data of a newer schema is opened as if it were of this version.
     OpensNewerSchema,
-    /// Two may have it open.
+    /// The store can be opened twice.
     AllowsSecondOpen,
-    /// No answer is taken for yes.
+    /// A missing reply counts as success.
     TreatsSilenceAsSuccess,
-    /// Half an answer is taken for a whole one.
+    /// A partial reply counts as success.
     TreatsPartialReplyAsSuccess,
-    /// A put that is repeated is refused, as there is such a row.
+    /// A put whose reply was lost is rejected because its row exists already.
     RejectsRetry,
-    /// The next answer is taken, whatever it answers.
+    /// Any reply is accepted, whichever command it belongs to.
     AcceptsMismatchedReply,
-    /// A server that loads is taken for one that holds nothing.
+    /// A loading server is taken for an empty one.
     TreatsLoadingAsEmpty,
 }
 
 struct State {
-    /// What is durable.
+    /// Durable rows.
     rows: Rows,
-    /// What is written behind, with what is removed as none.
+    /// Changes that are not written yet; `None` is a removal.
     deferred_changes: Vec<(u64, Option<String>)>,
-    /// Keys that can't be put again.
+    /// Keys whose puts are ignored because the row was removed.
     rejected_keys: BTreeSet<u64>,
     has_newer_schema: bool,
     needs_recovery: bool,
@@ -67,7 +67,7 @@
     clears: u64,
 }
 
-/// The store's ground.
+/// An in-memory store under test.
 pub struct InMemory {
     state: Arc<Mutex<State>>,
     defect: Defect,
@@ -89,7 +89,7 @@
 }
 
 impl State {
-    /// One write; the power may go at it.
+    /// Counts one write; fails if the power is off or goes off at it.
     fn write(&mut self) -> Result<(), StoreError> {
         self.write_count += 1;
         self.is_power_off |= self
@@ -117,7 +117,7 @@
 }
 
 impl InMemory {
-    /// One with this defect.
+    /// Creates an empty store with this defect.
     pub fn new(defect: Defect) -> InMemory {
         let state = State {
             rows: Rows::new(),
@@ -156,7 +156,7 @@
         match (state.fault, self.defect) {
             _ if state.is_power_off => return unavailable("the power is off"),
             _ if state.open_handles > 0 && self.defect != Defect::AllowsSecondOpen => {
-                return unavailable("it is open");
+                return unavailable("the store is open already");
             }
             (
                 StoreFault::Silent
@@ -165,13 +165,13 @@
                 | StoreFault::DelayedReply,
                 _,
             ) => {
-                return unavailable("no answer");
+                return unavailable("no valid reply");
             }
             _ => {}
         }
         if state.has_newer_schema {
             if self.defect != Defect::OpensNewerSchema {
-                return unavailable("a newer program's");
+                return unavailable("the data has a newer schema");
             }
             state.has_newer_schema = false;
         }
@@ -240,7 +240,7 @@
 }
 
 impl Handle {
-    /// Changes rows as the fault and the defect have it.
+    /// Applies changes, subject to the current fault and the defect.
     fn change(&self, changes: Vec<(u64, Option<String>)>) -> Result<(), StoreError> {
         let mut state = lock(&self.state);
         if state.is_power_off || state.power_losses != self.power_losses {
@@ -255,9 +255,9 @@
             (Defect::AcknowledgesWhenFull, StoreFault::Full) => return Ok(()),
             (Defect::AcknowledgesWhenReadOnly, StoreFault::ReadOnly) => return Ok(()),
             (_, StoreFault::Full | StoreFault::ReadOnly) => {
-                return unavailable("nothing is written");
+                return unavailable("writes are refused");
             }
-            (_, StoreFault::Loading) => return unavailable("loading"),
+            (_, StoreFault::Loading) => return unavailable("the server is loading its data"),
             _ => false,
         };
         if is_deferred {
@@ -282,18 +282,20 @@
         self.reply(&mut state)
     }
 
-    /// What its caller hears of a change that is done.
+    /// The result that the caller sees of a change that was applied.
     fn reply(&self, state: &mut State) -> Result<(), StoreError> {
         match (state.fault, self.defect) {
             (StoreFault::Silent, Defect::TreatsSilenceAsSuccess)
             | (StoreFault::PartialReply, Defect::TreatsPartialReplyAsSuccess) => Ok(()),
             (StoreFault::Silent | StoreFault::PartialReply | StoreFault::DelayedReply, _) => {
-                unavailable("no answer")
+                unavailable("no valid reply")
             }
             (StoreFault::Reset, defect) => {
                 state.fault = StoreFault::None;
                 match defect {
-                    Defect::RejectsRetry => Err(StoreError::Rejected("there is such a row".into())),
+                    Defect::RejectsRetry => {
+                        Err(StoreError::Rejected("the row exists already".into()))
+                    }
                     _ => Ok(()),
                 }
             }
@@ -326,7 +328,7 @@
                 | StoreFault::DelayedReply
                 | StoreFault::Loading,
                 _,
-            ) => unavailable("no answer"),
+            ) => unavailable("no valid reply"),
             _ => Ok(state.rows.clone()),
         }
     }
--- a/crates/contracts/src/transports/cases.rs
+++ b/crates/contracts/src/transports/cases.rs
@@ -1,31 +1,31 @@
-//! The cases.
+//! Cases that apply to every transport.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 use super::{ABSENCE_WAIT, Case, CaseResult, End, LinkFault, Received, Subject};
 
-/// So many messages are on their way at once.
+/// Number of messages that are in transit at once.
 const MESSAGE_COUNT: usize = 200;
 
-/// All cases.
+/// All cases of the suite.
 pub fn cases() -> Vec<Case> {
     let case = |name, run| Case { name, run };
     vec![
-        case("order", preserves_order),
-        case("uneven times", delivers_under_jitter),
-        case("loss", recovers_from_partition),
-        case("half messages", reassembles_fragments),
+        case("preserves order", preserves_order),
+        case("delivers under jitter", delivers_under_jitter),
+        case("recovers from partition", recovers_from_partition),
+        case("reassembles fragments", reassembles_fragments),
         case(
-            "half a message and an end",
+            "discards partial message at close",
             discards_partial_message_at_close,
         ),
-        case("doubled", handles_duplicates),
-        case("oversized", refuses_oversized),
-        case("a slow peer", tolerates_slow_receiver),
-        case("a silent peer", gives_up_silent_peer),
-        case("end for end", passes_on_close),
-        case("reset for reset", passes_on_reset),
+        case("handles duplicates", handles_duplicates),
+        case("refuses oversized", refuses_oversized),
+        case("tolerates slow receiver", tolerates_slow_receiver),
+        case("gives up silent peer", gives_up_silent_peer),
+        case("passes on close", passes_on_close),
+        case("passes on reset", passes_on_reset),
     ]
 }
 
@@ -41,7 +41,7 @@
     messages.iter().try_for_each(|message| end.send(message))
 }
 
-/// Hears until there is nothing more, or as much as is wanted.
+/// Receives the wanted number of messages; fails if anything else comes first.
 fn receive_messages(
     end: &mut dyn End,
     wanted: usize,
@@ -53,7 +53,7 @@
             Received::Message(message) => received.push(message),
             other => {
                 return Err(format!(
-                    "{other:?} after {} of {wanted} messages",
+                    "received {other:?} after {} of {wanted} messages",
                     received.len()
                 ));
             }
@@ -79,11 +79,11 @@
         .position(|(received, sent)| received != sent);
     ensure(at.is_none(), || {
         let at = at.unwrap_or_default();
-        format!("{:.40?} came for {:.40?}", received[at], sent[at])
+        format!("received {:.40?}, expected {:.40?}", received[at], sent[at])
     })
 }
 
-/// Words go both ways.
+/// Sends one message in each direction and checks that both arrive.
 fn exchange_one_each_way(
     near: &mut dyn End,
     far: &mut dyn End,
@@ -107,7 +107,7 @@
     expect_messages(&mut *near, &messages, (ordered, delivery_timeout))?;
     let extra = near.receive(ABSENCE_WAIT);
     ensure(extra == Received::Nothing, || {
-        format!("{extra:?} that nobody sent")
+        format!("received {extra:?} after all messages that were sent")
     })
 }
 
@@ -120,7 +120,7 @@
     exchange_both_ways(subject, MESSAGE_COUNT / 4)
 }
 
-/// What is reliable brings all after a cut; what is not brings what is sent after it.
+/// A reliable transport delivers everything after a partition; others deliver what is sent after it.
 fn recovers_from_partition(subject: &mut dyn Subject) -> CaseResult {
     let delivery_timeout = subject.delivery_timeout();
     let properties = subject.properties();
@@ -131,7 +131,7 @@
     send(&mut *near, &held_messages)?;
     let unexpected = far.receive(ABSENCE_WAIT);
     ensure(unexpected == Received::Nothing, || {
-        format!("{unexpected:?} through a cut")
+        format!("received {unexpected:?} during a partition")
     })?;
     subject.set_fault(LinkFault::None);
     if properties.is_reliable {
@@ -157,9 +157,9 @@
     near.send_partial("whole", 3);
     let early = far.receive(ABSENCE_WAIT);
     ensure(early == Received::Nothing, || {
-        format!("{early:?} of half a message")
+        format!("received {early:?} from a partial message")
     })?;
-    // The other way is not held up by it.
+    // A partial message must not block the other direction.
     far.send("meanwhile")?;
     expect_messages(
         &mut *near,
@@ -178,7 +178,7 @@
     near.finish();
     let received = far.receive(delivery_timeout);
     ensure(received == Received::Closed, || {
-        format!("{received:?} of half a message and an end")
+        format!("received {received:?} after a partial message and a close, expected a close")
     })
 }
 
@@ -196,12 +196,12 @@
     }
     let distinct: BTreeSet<&String> = received.iter().collect();
     ensure(distinct.len() == messages.len(), || {
-        format!("{} of {} came", distinct.len(), messages.len())
+        format!("{} of {} messages arrived", distinct.len(), messages.len())
     })?;
     let has_duplicates = received.len() > messages.len();
     ensure(has_duplicates != properties.deduplicates, || {
         format!(
-            "{} came for {}, and once is {}",
+            "{} messages arrived for {} sent, but deduplicates is {}",
             received.len(),
             messages.len(),
             properties.deduplicates
@@ -209,7 +209,7 @@
     })
 }
 
-/// The longest message passes, and a longer one ends nothing but its own pair.
+/// The longest message passes, and a longer one affects only its own pair.
 fn refuses_oversized(subject: &mut dyn Subject) -> CaseResult {
     let delivery_timeout = subject.delivery_timeout();
     let properties = subject.properties();
@@ -227,19 +227,19 @@
         delivery_timeout
     });
     ensure(!matches!(delivered, Received::Message(_)), || {
-        "too long, and came".into()
+        "a message over the limit was delivered".into()
     })?;
     if !is_refused && properties.signals_close {
         let outcome = other.receive(delivery_timeout);
         ensure(
             matches!(outcome, Received::Closed | Received::Reset),
-            || format!("{outcome:?} to whoever sent too much"),
+            || format!("the sender of a message over the limit receives {outcome:?}"),
         )?;
     }
     exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)
 }
 
-/// A far end that takes nothing for a while holds up nobody else, and gets all of it.
+/// A far end that reads nothing for a while does not block other pairs, and gets every message later.
 fn tolerates_slow_receiver(subject: &mut dyn Subject) -> CaseResult {
     let delivery_timeout = subject.delivery_timeout();
     let properties = subject.properties();
@@ -251,7 +251,7 @@
     let size = properties.max_message_bytes.min(4_000);
     let messages: Vec<String> = (0..500).map(|number| format!("{number:0>size$}")).collect();
     std::thread::scope(|scope| {
-        // A transport that holds its sender back does well: so it is sent from elsewhere.
+        // A transport may apply back pressure, so a thread of its own sends.
         let sender = scope.spawn(|| send(&mut *near, &messages));
         let started_at = Instant::now();
         while !sender.is_finished() && started_at.elapsed() < ABSENCE_WAIT {
@@ -270,7 +270,7 @@
     exchange_one_each_way(&mut *near, &mut *far, delivery_timeout)
 }
 
-/// A far end that says nothing is given up where the transport says so, and not before.
+/// A silent far end is given up after the declared timeout and not before, or never if none is declared.
 fn gives_up_silent_peer(subject: &mut dyn Subject) -> CaseResult {
     let delivery_timeout = subject.delivery_timeout();
     let properties = subject.properties();
@@ -281,27 +281,27 @@
     near.send("anybody")?;
     let received = far.receive(delivery_timeout);
     ensure(received == Received::Message("anybody".into()), || {
-        format!("{received:?}")
+        format!("the far end received {received:?}, expected the message sent to it")
     })?;
     let Some(silence) = properties.silence_timeout else {
         let received = near.receive(ABSENCE_WAIT);
         ensure(received == Received::Nothing, || {
-            format!("{received:?} of silence")
+            format!("received {received:?} although silence is not detected")
         })?;
         far.send("late")?;
         return expect_messages(&mut *near, &["late".to_owned()], (true, delivery_timeout));
     };
     let received = near.receive(silence + delivery_timeout);
     ensure(received == Received::MoveRequested, || {
-        format!("{received:?} of a silent far end")
+        format!("received {received:?} for a silent far end, expected a request to move")
     })?;
     let waited = sent_at.elapsed();
     ensure(waited >= silence.mul_f64(0.9), || {
-        format!("given up after {waited:?}")
+        format!("the silent far end is given up after {waited:?}, before {silence:?}")
     })?;
     let end = near.receive(delivery_timeout);
     ensure(end == Received::Closed, || {
-        format!("{end:?} after the move")
+        format!("received {end:?} after the request to move, expected a close")
     })?;
     exchange_one_each_way(&mut *other, &mut *other_far, delivery_timeout)
 }
@@ -317,7 +317,7 @@
     expect_messages(&mut *far, &["last".to_owned()], (true, delivery_timeout))?;
     let received = far.receive(delivery_timeout);
     ensure(received == Received::Closed, || {
-        format!("{received:?} for the near end's end")
+        format!("the far end received {received:?}, expected the near end's close")
     })?;
     far.finish();
     let (mut near, mut far) = subject.pair();
@@ -326,7 +326,7 @@
     expect_messages(&mut *near, &["bye".to_owned()], (true, delivery_timeout))?;
     let received = near.receive(delivery_timeout);
     ensure(received == Received::Closed, || {
-        format!("{received:?} for the far end's end")
+        format!("the near end received {received:?}, expected the far end's close")
     })
 }
 
@@ -339,12 +339,12 @@
     near.reset();
     let received = far.receive(delivery_timeout);
     ensure(received == Received::Reset, || {
-        format!("{received:?} for the near end's reset")
+        format!("the far end received {received:?}, expected the near end's reset")
     })?;
     let (mut near, far) = subject.pair();
     far.reset();
     let received = near.receive(delivery_timeout);
     ensure(received == Received::Reset, || {
-        format!("{received:?} for the far end's reset")
+        format!("the near end received {received:?}, expected the far end's reset")
     })
 }
--- a/crates/contracts/src/transports/mod.rs
+++ b/crates/contracts/src/transports/mod.rs
@@ -1,7 +1,8 @@
-//! What every transport of messages must keep to.
+//! Conformance suite for message transports.
 //!
-//! A transport is brought here as a [`Subject`]: how two ends are joined, how the weather between them is made, and its
-//! [`Properties`]: what it declares of itself where transports differ by design. A declared trait is tested too.
+//! A transport under test implements [`Subject`]: how two ends are connected, how faults of the link between them are
+//! injected, and its [`Properties`], which declare where transports differ by design. Declared properties are tested
+//! too.
 
 mod cases;
 pub mod model;
@@ -10,112 +11,117 @@
 
 pub use cases::cases;
 
-/// Longer than anything here takes on a loaded machine.
+/// Longer than any step of a case takes on a loaded machine.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
-/// For what must not come. It costs a good run this long.
+/// How long a case waits to see that nothing arrives. A passing run spends all of this time.
 pub const ABSENCE_WAIT: Duration = Duration::from_millis(150);
 
-/// What a transport declares of itself.
+/// Properties that a transport declares and the suite verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Properties {
-    /// Whether messages come in the order in which they were sent.
+    /// Whether messages arrive in the order in which they were sent.
     pub is_ordered: bool,
-    /// Whether what was sent comes, also after bad weather; if not, what was sent in fair weather does.
+    /// Whether messages sent during a link fault arrive after it; otherwise only those sent without a fault do.
     pub is_reliable: bool,
-    /// Whether a message comes once where the weather doubles it.
+    /// Whether a message arrives once when the link duplicates it.
     pub deduplicates: bool,
-    /// Whether an end has an end: in order or by a reset, which the other end hears as what it was.
+    /// Whether the other end is notified of an orderly close and of a reset, and can tell them apart.
     pub signals_close: bool,
-    /// Longest message; a longer one is refused, and never comes.
+    /// Maximum message length in bytes; a longer message is refused and never delivered.
     pub max_message_bytes: usize,
-    /// A far end that leaves a message unanswered for so long is given up, and the near end is told to move. Nothing
-    /// where silence is none of the transport's business.
+    /// Time after which a far end that leaves a message unanswered is given up and the near end is told to move. `None`
+    /// if the transport does not detect silence.
     pub silence_timeout: Option<Duration>,
 }
 
-/// What lies between two ends. It holds for all of a subject's pairs.
+/// The fault of the links between two ends. It applies to all pairs of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing does.
+    /// No fault.
     None,
-    /// Nothing passes, and nobody is told.
+    /// Nothing passes, and neither end is notified.
     Partition,
-    /// Messages come in pieces of so many bytes.
+    /// Messages arrive in fragments of this many bytes.
     Fragments(usize),
-    /// All that can be doubled is.
+    /// Everything that can be duplicated is.
     Duplicate,
-    /// Each thing takes a time by chance.
+    /// Each transmission has a random delay.
     Jitter,
 }
 
-/// What an end hears.
+/// What an end receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// A whole message.
+    /// A complete message.
     Message(String),
-    /// Nothing in the time given.
+    /// Nothing arrived in the given time.
     Nothing,
-    /// It is told to come again elsewhere.
+    /// The end is told to reconnect to another server.
     MoveRequested,
-    /// The other end has ended in order.
+    /// The other end closed the connection in an orderly way.
     Closed,
-    /// It was reset.
+    /// The connection was reset.
     Reset,
 }
 
-/// One end. Messages are plain words without spaces.
+/// One end of a connection. Messages are single words without spaces.
 pub trait End: Send {
-    /// Sends a message; an error where the transport won't take it.
+    /// Sends a message; returns an error if the transport refuses it.
     fn send(&mut self, message: &str) -> Result<(), String>;
 
-    /// Sends so many bytes of what a message is on the wire, and no more. Only asked of transports with ends.
+    /// Sends only the first bytes of an encoded message: `bytes` bytes of its payload. Called only on transports that
+    /// signal a close.
     fn send_partial(&mut self, message: &str, bytes: usize);
 
-    /// The next thing that is received in a time.
+    /// Waits up to `within` for the next message or notification.
     fn receive(&mut self, within: Duration) -> Received;
 
-    /// From now on it answers nothing by itself, as far as its wire has such answers.
+    /// Stops automatic replies, such as to keepalives, if the protocol has them.
     fn stop_answering(&mut self) {}
 
-    /// Ends its sending in order.
+    /// Closes the sending direction in an orderly way.
     fn finish(&mut self);
 
-    /// Breaks it off.
+    /// Resets the connection.
     fn reset(self: Box<Self>);
 }
 
-/// The near and the far end: near is who asks.
+/// The near end, which initiates the connection, and the far end.
 pub type Pair = (Box<dyn End>, Box<dyn End>);
 
 /// A transport under test.
 pub trait Subject {
-    /// What it declares.
+    /// Properties that the transport declares.
     fn properties(&self) -> Properties;
 
-    /// What has not come by then never comes.
+    /// Time after which a message that has not arrived counts as lost.
     fn delivery_timeout(&self) -> Duration {
         TIMEOUT
     }
 
-    /// Two ends, joined.
+    /// Creates two connected ends.
     fn pair(&mut self) -> Pair;
 
-    /// Makes the weather.
+    /// Sets the fault of all links, those of existing pairs included.
     fn set_fault(&mut self, fault: LinkFault);
 }
 
-/// What was found wrong.
+/// Result of a case; the error describes how the transport violates the contract.
 pub type CaseResult = Result<(), String>;
 
 /// One case of the suite.
 pub struct Case {
-    /// Its name.
+    /// Name of the case in failure reports.
     pub name: &'static str,
-    /// Puts a transport through it.
+    /// Runs the case against a transport and reports the first violation.
     pub run: fn(&mut dyn Subject) -> CaseResult,
 }
 
-/// Puts a transport through every case, each time a new one; tells all that it fails.
+/// Runs every case against a new transport.
+///
+/// # Panics
+///
+/// If any case fails; the message lists all failed cases.
 pub fn assert_conforms<S: Subject>(make: impl Fn() -> S) {
     let run_case = |case: Case| {
         (case.run)(&mut make())
@@ -123,5 +129,8 @@
             .map(|reason| format!("{}: {reason}", case.name))
     };
     let failed: Vec<String> = cases().into_iter().filter_map(run_case).collect();
-    assert!(failed.is_empty(), "{failed:#?}");
+    assert!(
+        failed.is_empty(),
+        "the transport violates its contract: {failed:#?}"
+    );
 }
--- a/crates/contracts/src/transports/model.rs
+++ b/crates/contracts/src/transports/model.rs
@@ -1,4 +1,4 @@
-//! Transports in memory: one that keeps to all, and such as have one defect each, which the suite has to find.
+//! In-memory transports: a correct one, and variants with one defect each, which the suite has to detect.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -6,38 +6,38 @@
 
 use super::{End, LinkFault, Pair, Properties, Received, Subject};
 
-/// What is wrong with a transport.
+/// The defect of a transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// The transport is correct.
     None,
-    /// Each second message overtakes the one before.
+    /// Every second message overtakes the one before.
     Reorders,
-    /// The same, where times are uneven.
+    /// Every second message overtakes the one before while the link has jitter.
     ReordersUnderJitter,
-    /// What is sent during a cut is gone.
+    /// Messages sent during a partition are lost.
     LosesDuringPartition,
-    /// It takes the first piece for the whole.
+    /// The first fragment is taken for the complete message.
     TruncatesFragments,
-    /// At an end it gives what there is of a message for the whole.
+    /// A partial message is delivered as complete when the connection closes.
     DeliversPartialAtClose,
-    /// What the weather doubles comes twice.
+    /// Messages that the link duplicates are delivered twice.
     DeliversDuplicates,
-    /// It takes messages of any length.
+    /// Messages of any length are accepted.
     AcceptsOversized,
-    /// It holds only so much, and loses what is beyond.
+    /// Messages over `CAPACITY_MESSAGES` in transit are dropped.
     DropsWhenFull,
-    /// It moves nobody off a far end that is silent.
+    /// A silent far end is never given up.
     NeverTimesOut,
-    /// It says nothing of an end.
+    /// Neither a close nor a reset is reported.
     HidesClose,
-    /// It makes a reset of an end, and an end of a reset.
+    /// A close is reported as a reset, and a reset as a close.
     SwapsCloseAndReset,
 }
 
 const MAX_MESSAGE_BYTES: usize = 100;
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(60);
-/// What one that overflows holds.
+/// Messages in transit that a transport with [`Defect::DropsWhenFull`] holds in each direction.
 const CAPACITY_MESSAGES: usize = 250;
 
 #[derive(Clone, Copy, PartialEq)]
@@ -53,7 +53,7 @@
     held_back: VecDeque<String>,
     partial_message: String,
     close_state: CloseState,
-    /// The oldest message that has not been answered.
+    /// Time at which the oldest unanswered message was sent.
     unanswered_since: Option<Instant>,
 }
 
@@ -64,14 +64,14 @@
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
-/// The transport.
+/// An in-memory transport under test.
 pub struct InMemory {
     defect: Defect,
     shared: Shared,
 }
 
 impl InMemory {
-    /// One with this defect.
+    /// Creates a transport with this defect.
     pub fn new(defect: Defect) -> InMemory {
         let state = State {
             fault: LinkFault::None,
@@ -85,7 +85,7 @@
 }
 
 fn lock(shared: &Shared) -> MutexGuard<'_, State> {
-    // Plain values, sound at every moment.
+    // The state is valid after every step, so a poisoned lock can be used.
     shared.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Nothing here has to go anywhere.
+    /// Delivery in memory is immediate, so a short timeout suffices.
     fn delivery_timeout(&self) -> Duration {
         Duration::from_secs(1)
     }
@@ -173,7 +173,7 @@
     fn send(&mut self, message: &str) -> Result<(), String> {
         let (defect, outgoing) = (self.defect, self.outgoing);
         if message.len() > MAX_MESSAGE_BYTES && defect != Defect::AcceptsOversized {
-            return Err("too long".into());
+            return Err(format!("message exceeds {MAX_MESSAGE_BYTES} bytes"));
         }
         let mut state = lock(&self.shared);
         let fault = state.fault;
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -1,4 +1,4 @@
-//! Each case of the suite catches what it is there for.
+//! Each case of the store suite detects the defect it is meant for.
 
 use std::collections::BTreeSet;
 
@@ -6,25 +6,25 @@
 use beaconflow_contracts::stores::{Subject, cases};
 
 const DEFECTS_AND_CASES: &[(Defect, &str)] = &[
-    (Defect::RejectsPutAfterRemove, "the last put holds"),
-    (Defect::DefersPuts, "durable on return"),
-    (Defect::SplitsBatches, "all or none"),
-    (Defect::DefersRemoves, "killed at each write"),
-    (Defect::RecoversInPlace, "killed while it opens"),
+    (Defect::RejectsPutAfterRemove, "last change persists"),
+    (Defect::DefersPuts, "put is durable on return"),
+    (Defect::SplitsBatches, "batch is atomic"),
+    (Defect::DefersRemoves, "power loss at each write"),
+    (Defect::RecoversInPlace, "power loss while opening"),
     (Defect::AcknowledgesWhenFull, "full"),
     (Defect::AcknowledgesWhenReadOnly, "read-only"),
-    (Defect::DefersWhenSlow, "slow"),
-    (Defect::IgnoresClear, "emptied under its reader"),
-    (Defect::OpensNewerSchema, "newer schema"),
-    (Defect::AllowsSecondOpen, "opened twice"),
-    (Defect::TreatsSilenceAsSuccess, "a silent server"),
-    (Defect::TreatsPartialReplyAsSuccess, "half an answer"),
-    (Defect::RejectsRetry, "a reset in the middle"),
-    (Defect::AcceptsMismatchedReply, "late answers"),
-    (Defect::TreatsLoadingAsEmpty, "a loading server"),
+    (Defect::DefersWhenSlow, "slow writes"),
+    (Defect::IgnoresClear, "cleared while open"),
+    (Defect::OpensNewerSchema, "newer data is preserved"),
+    (Defect::AllowsSecondOpen, "second open"),
+    (Defect::TreatsSilenceAsSuccess, "silent server"),
+    (Defect::TreatsPartialReplyAsSuccess, "partial reply"),
+    (Defect::RejectsRetry, "reset during reply"),
+    (Defect::AcceptsMismatchedReply, "delayed replies"),
+    (Defect::TreatsLoadingAsEmpty, "loading server"),
 ];
 
-/// The cases that a store with this defect fails.
+/// Names of the cases that a store with this defect fails.
 fn failed_cases(defect: Defect) -> BTreeSet<&'static str> {
     let make_subject = || Box::new(InMemory::new(defect)) as Box<dyn Subject>;
     cases()
@@ -36,12 +36,15 @@
 
 #[test]
 fn fails_matching_case_when_store_has_defect() {
-    assert!(failed_cases(Defect::None).is_empty());
+    assert!(
+        failed_cases(Defect::None).is_empty(),
+        "a store without a defect fails a case"
+    );
     for (defect, case) in DEFECTS_AND_CASES {
         let failed = failed_cases(*defect);
         assert!(
             failed.contains(case),
-            "{defect:?} fails {failed:?}, and not {case}"
+            "a store that {defect:?} fails {failed:?}, not {case}"
         );
     }
 }
@@ -50,5 +53,8 @@
 fn lists_one_defect_for_each_case() {
     let case_names: Vec<&str> = cases().iter().map(|case| case.name).collect();
     let covered_cases: Vec<&str> = DEFECTS_AND_CASES.iter().map(|(_, case)| *case).collect();
-    assert_eq!(case_names, covered_cases);
+    assert_eq!(
+        case_names, covered_cases,
+        "the table covers every case once, in order"
+    );
 }
--- a/crates/contracts/tests/broken_transports.rs
+++ b/crates/contracts/tests/broken_transports.rs
@@ -1,4 +1,4 @@
-//! Each case of the suite catches what it is there for.
+//! Each case of the transport suite detects the defect it is meant for.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,23 @@
 use beaconflow_contracts::transports::{Case, assert_conforms, cases};
 
 const DEFECTS_AND_CASES: &[(Defect, &str)] = &[
-    (Defect::Reorders, "order"),
-    (Defect::ReordersUnderJitter, "uneven times"),
-    (Defect::LosesDuringPartition, "loss"),
-    (Defect::TruncatesFragments, "half messages"),
-    (Defect::DeliversPartialAtClose, "half a message and an end"),
-    (Defect::DeliversDuplicates, "doubled"),
-    (Defect::AcceptsOversized, "oversized"),
-    (Defect::DropsWhenFull, "a slow peer"),
-    (Defect::NeverTimesOut, "a silent peer"),
-    (Defect::HidesClose, "end for end"),
-    (Defect::SwapsCloseAndReset, "reset for reset"),
+    (Defect::Reorders, "preserves order"),
+    (Defect::ReordersUnderJitter, "delivers under jitter"),
+    (Defect::LosesDuringPartition, "recovers from partition"),
+    (Defect::TruncatesFragments, "reassembles fragments"),
+    (
+        Defect::DeliversPartialAtClose,
+        "discards partial message at close",
+    ),
+    (Defect::DeliversDuplicates, "handles duplicates"),
+    (Defect::AcceptsOversized, "refuses oversized"),
+    (Defect::DropsWhenFull, "tolerates slow receiver"),
+    (Defect::NeverTimesOut, "gives up silent peer"),
+    (Defect::HidesClose, "passes on close"),
+    (Defect::SwapsCloseAndReset, "passes on reset"),
 ];
 
-/// The cases that a transport with this defect fails.
+/// Names of the cases that a transport with this defect fails.
 fn failed_cases(defect: Defect) -> BTreeSet<&'static str> {
     let is_failed = |case: &Case| (case.run)(&mut InMemory::new(defect)).is_err();
     cases()
@@ -42,7 +45,7 @@
                 let failed = failed_cases(*defect);
                 assert!(
                     failed.contains(case),
-                    "{defect:?} fails {failed:?}, and not {case}"
+                    "a transport that {defect:?} fails {failed:?}, not {case}"
                 );
             });
         }
@@ -53,5 +56,8 @@
 fn lists_one_defect_for_each_case() {
     let case_names: Vec<&str> = cases().iter().map(|case| case.name).collect();
     let covered_cases: Vec<&str> = DEFECTS_AND_CASES.iter().map(|(_, case)| *case).collect();
-    assert_eq!(case_names, covered_cases);
+    assert_eq!(
+        case_names, covered_cases,
+        "the table covers every case once, in order"
+    );
 }
--- a/crates/contracts/tests/stores.rs
+++ b/crates/contracts/tests/stores.rs
@@ -1,4 +1,4 @@
-//! Every store that there is keeps to the contract: a new one is one line here.
+//! Every store implementation passes the conformance suite of stores.
 
 mod subjects;
 
--- a/crates/contracts/tests/subjects/mod.rs
+++ b/crates/contracts/tests/subjects/mod.rs
@@ -1,4 +1,4 @@
-//! Today's stores, brought to the suite.
+//! Test subjects for the file-backed stores and the tenant store in Redis.
 
 mod tenants;
 
@@ -19,11 +19,11 @@
 
 fn rows_not_supported() -> Result<Rows, StoreError> {
     Err(StoreError::Rejected(
-        "its rows are given when it is opened".into(),
+        "a file-backed store returns its rows only when it is opened".into(),
     ))
 }
 
-/// The overrides' store in a file.
+/// The store of overrides in a file.
 pub struct Overrides;
 
 struct OpenOverrides(FileStore);
@@ -76,7 +76,7 @@
     }
 }
 
-/// A process's memory in a file, whose journal goes over into the snapshot at so many bytes.
+/// The memory file of a process, whose journal is merged into the snapshot at this size.
 pub struct MemoryFile<const JOURNAL_LIMIT_BYTES: u64>;
 
 struct OpenMemory(Memory);
--- a/crates/contracts/tests/subjects/tenants.rs
+++ b/crates/contracts/tests/subjects/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants' records in Redis.
+//! Test subject for the tenant store in Redis.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 };
 
 const HASH: &str = "beaconflow:tenants";
-/// What a newer program wrote, and this one does not know.
+/// A field of a newer schema, which this version of the program does not know.
 const NEWER_FIELD: &str = "\"tier\":\"gold\"";
 
-/// A server with tenants.
+/// A tenant store on a fake Redis server.
 pub struct RedisTenants(Redis);
 
 struct OpenTenants(Tenants);
 
 impl RedisTenants {
-    /// One that is empty.
+    /// Starts an empty server.
     pub fn new() -> RedisTenants {
         RedisTenants(Redis::start())
     }
@@ -40,7 +40,7 @@
     format!("t{key}")
 }
 
-/// The value is a tenant's user.
+/// Converts a tenant to a row, whose value is the upstream user.
 fn to_row(tenant: &Tenant) -> (u64, String) {
     (
         tenant.name[1..].parse().unwrap_or(u64::MAX),
--- a/crates/contracts/tests/tenants.rs
+++ b/crates/contracts/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! What the last known copies of tenants' records are good for while their store is away.
+//! Cached tenant records while the tenant store is unavailable or full.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The answer of the store, which on a machine with much to do may have to be asked again.
+/// Repeats a call while the store is unavailable, as it may time out on a loaded machine.
 fn retry_while_unavailable<T>(
     mut call: impl FnMut() -> Result<T, StoreError>,
 ) -> Result<T, StoreError> {
@@ -39,16 +39,17 @@
 
 fn start_with_one_tenant() -> (Redis, Tenants) {
     let redis = Redis::start();
-    let tenants =
-        Tenants::new(&format!("redis://{}/", redis.address), Duration::ZERO).expect("an address");
+    let tenants = Tenants::new(&format!("redis://{}/", redis.address), Duration::ZERO)
+        .expect("the URL of the fake server is valid");
     let created = retry_while_unavailable(|| tenants.create(tenant()));
     assert!(
         matches!(created, Ok(_) | Err(StoreError::Exists)),
-        "again, perhaps"
+        "the tenant was created, by this call or by an earlier attempt"
     );
     (redis, tenants)
 }
 
+/// A failed change must neither alter nor drop the cached tenant that is served while the store is unavailable.
 #[test]
 fn serves_cached_tenant_when_store_is_unavailable() {
     let (redis, tenants) = start_with_one_tenant();
@@ -59,6 +60,7 @@
     assert!(tenants.is_store_unavailable());
 }
 
+/// A full store refuses writes but can be read, so it must not count as unavailable.
 #[test]
 fn accepts_change_when_store_has_room_again() {
     let (redis, tenants) = start_with_one_tenant();
