--- a/crates/contracts/src/stores/cases.rs
+++ b/crates/contracts/src/stores/cases.rs
@@ -21,7 +21,7 @@
     }),
     ("slow writes", slow_writes),
     ("cleared while open", cleared_while_open),
-    ("newer data is preserved", newer_schema_is_untouched),
+    ("newer data is preserved", newer_data_is_preserved),
     ("second open", second_open),
 ];
 
@@ -422,7 +422,7 @@
     Ok(())
 }
 
-fn newer_schema_is_untouched(make_subject: SubjectFactory<'_>) -> CaseResult {
+fn newer_data_is_preserved(make_subject: SubjectFactory<'_>) -> CaseResult {
     let subject = make_subject();
     let (mut store, _) = open(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
--- a/crates/contracts/src/stores/model.rs
+++ b/crates/contracts/src/stores/model.rs
@@ -15,8 +15,8 @@
 pub enum Defect {
     /// The store is correct.
     None,
-    /// A row that was removed cannot be put again.
-    RejectsPutAfterRemove,
+    /// Puts of a key that was removed are ignored.
+    IgnoresPutAfterRemove,
     /// Puts are written only when the store is closed.
     DefersPuts,
     /// Rows of a batch are written one by one.
@@ -55,7 +55,7 @@
     /// Changes that are not written yet; `None` is a removal.
     deferred_changes: Vec<(u64, Option<String>)>,
     /// Keys whose puts are ignored because the row was removed.
-    rejected_keys: BTreeSet<u64>,
+    removed_keys: BTreeSet<u64>,
     has_newer_schema: bool,
     needs_recovery: bool,
     open_handles: u32,
@@ -122,7 +122,7 @@
         let state = State {
             rows: Rows::new(),
             deferred_changes: Vec::new(),
-            rejected_keys: BTreeSet::new(),
+            removed_keys: BTreeSet::new(),
             has_newer_schema: false,
             needs_recovery: false,
             open_handles: 0,
@@ -267,10 +267,10 @@
         let mut rows = state.rows.clone();
         for (key, value) in changes {
             state.write()?;
-            if self.defect == Defect::RejectsPutAfterRemove && value.is_none() {
-                state.rejected_keys.insert(key);
+            if self.defect == Defect::IgnoresPutAfterRemove && value.is_none() {
+                state.removed_keys.insert(key);
             }
-            if !state.rejected_keys.contains(&key) || value.is_none() {
+            if !state.removed_keys.contains(&key) || value.is_none() {
                 apply_change(&mut rows, key, value);
             }
             if self.defect == Defect::SplitsBatches {
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -6,7 +6,7 @@
 use beaconflow_contracts::stores::{Subject, cases};
 
 const DEFECTS_AND_CASES: &[(Defect, &str)] = &[
-    (Defect::RejectsPutAfterRemove, "last change persists"),
+    (Defect::IgnoresPutAfterRemove, "last change persists"),
     (Defect::DefersPuts, "put is durable on return"),
     (Defect::SplitsBatches, "batch is atomic"),
     (Defect::DefersRemoves, "power loss at each write"),
--- a/crates/contracts/tests/subjects/mod.rs
+++ b/crates/contracts/tests/subjects/mod.rs
@@ -88,8 +88,7 @@
     const SCHEMA: (&'static str, u64) = ("memory-about", beaconflow_store::memory::SCHEMA);
 
     fn open(disk: Arc<dyn Disk>, path: &Path) -> OpenResult {
-        let (mut memory, remembered) =
-            open_on(disk, path, "east-1", NOW_MS).map_err(unavailable)?;
+        let (mut memory, contents) = open_on(disk, path, "east-1", NOW_MS).map_err(unavailable)?;
         memory.set_journal_limit(JOURNAL_LIMIT_BYTES);
         let key = |subject: &[u8]| subject.try_into().map_or(u64::MAX, u64::from_be_bytes);
         let row = |record: Record| {
@@ -100,7 +99,7 @@
         };
         Ok((
             Box::new(OpenMemory(memory)),
-            remembered.records.into_iter().map(row).collect(),
+            contents.records.into_iter().map(row).collect(),
         ))
     }
 }
--- a/crates/contracts/tests/subjects/tenants.rs
+++ b/crates/contracts/tests/subjects/tenants.rs
@@ -106,9 +106,9 @@
     fn open(&self) -> OpenResult {
         let url = format!("redis://{}/", self.0.address);
         let tenants = Tenants::new(&url, Duration::ZERO).map_err(StoreError::Unavailable)?;
-        let mut open = OpenTenants(tenants);
-        let rows = open.rows()?;
-        Ok((Box::new(open), rows))
+        let mut store = OpenTenants(tenants);
+        let rows = store.rows()?;
+        Ok((Box::new(store), rows))
     }
 
     fn set_fault(&self, fault: StoreFault) {
