--- a/crates/contracts/src/redis.rs
+++ b/crates/contracts/src/redis.rs
@@ -1,4 +1,4 @@
-//! A stand-in for Redis that knows hashes, from the public specification of its protocol (RESP 2), and how it fails.
+//! A fake Redis server with injectable faults. It implements hash commands after the public specification of RESP 2.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -6,29 +6,29 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How it answers.
+/// How the server replies. Unless stated otherwise, it executes each command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RedisBehaviour {
-    /// It does what it is asked.
+    /// Replies normally.
     #[default]
     Serve,
-    /// It does what it is asked and says nothing.
+    /// Executes commands and sends no replies.
     Silent,
-    /// It does what it is asked, and says half of the answer.
-    HalfAnswer,
-    /// The same, and hangs up in the middle.
+    /// Sends only the first half of each reply to a hash command.
+    PartialReply,
+    /// Sends half of the reply to a hash command, then closes the connection.
     Reset,
-    /// The same once, with the answer to a write; after that it serves.
+    /// Does the same with the reply to the next write, and serves normally after that.
     ResetOnce,
-    /// It does what it is asked, and each answer comes when the next thing is asked.
-    Late,
-    /// It reads its data back and refuses everything until it has.
+    /// Sends each reply to a hash command only when the next hash command arrives.
+    DelayedReply,
+    /// Refuses all hash commands with `LOADING`, as during a restart.
     Loading,
-    /// It has no room and refuses what writes.
+    /// Refuses `HSET` and `HSETNX` for lack of memory.
     Full,
-    /// It follows another, and refuses what writes.
+    /// Refuses writes, as a read-only replica does.
     ReadOnly,
-    /// Each answer takes so long.
+    /// Delays each reply to a hash command by this time.
     Slow(Duration),
 }
 
@@ -37,19 +37,19 @@
 #[derive(Default)]
 struct State {
     hashes: Hashes,
-    /// As it was before the last write: what it wakes with when that was not saved.
-    saved: Hashes,
+    /// State before the last write, which is restored when that write was not saved.
+    before_last_write: Hashes,
     behaviour: RedisBehaviour,
-    away: bool,
-    writes: u64,
-    /// It dies at this write, after it was done or before.
-    dies_at: Option<u64>,
-    peers: Vec<TcpStream>,
+    is_unavailable: bool,
+    write_count: u64,
+    /// The server stops at this write, counted as in `write_count`, and does not execute it.
+    stops_at_write: Option<u64>,
+    connections: Vec<TcpStream>,
 }
 
-/// The server.
+/// A fake Redis server, whose threads run until the process ends.
 pub struct Redis {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -59,31 +59,33 @@
 }
 
 impl State {
-    fn hang_up(&mut self) {
-        for peer in self.peers.drain(..) {
-            // One that is gone already has hung up.
+    fn disconnect_all(&mut self) {
+        for peer in self.connections.drain(..) {
+            // Fails only when the client has closed the connection already.
             let _ = peer.shutdown(Shutdown::Both);
         }
     }
 }
 
 impl Redis {
-    /// Starts it, empty, on a free port of loopback.
+    /// Starts an empty server on a free loopback port.
     ///
     /// # Panics
     ///
-    /// If loopback gives no port.
+    /// If no loopback port can be bound.
     pub fn start() -> Redis {
-        Redis::on(TcpListener::bind("127.0.0.1:0").expect("loopback has a free port"))
+        Redis::start_on(TcpListener::bind("127.0.0.1:0").expect("a free loopback port"))
     }
 
-    /// Starts it, empty, where something listens already.
+    /// Starts an empty server on a bound listener.
     ///
     /// # Panics
     ///
     /// If the listener has no address.
-    pub fn on(listener: TcpListener) -> Redis {
-        let address = listener.local_addr().expect("it is bound");
+    pub fn start_on(listener: TcpListener) -> Redis {
+        let address = listener
+            .local_addr()
+            .expect("the listener has a local address");
         let state = Arc::new(Mutex::new(State::default()));
         let shared = Arc::clone(&state);
         std::thread::spawn(move || {
@@ -92,10 +94,10 @@
                 let Ok(peer) = stream.try_clone() else {
                     continue;
                 };
-                if state.away {
+                if state.is_unavailable {
                     continue;
                 }
-                state.peers.push(peer);
+                state.connections.push(peer);
                 let shared = Arc::clone(&shared);
                 std::thread::spawn(move || serve(&stream, &shared));
             }
@@ -103,48 +105,48 @@
         Redis { address, state }
     }
 
-    /// Breaks all connections and takes no new ones, or takes them again.
-    pub fn goes_away(&self, away: bool) {
+    /// Closes all connections and drops new ones, or accepts connections again. Cancels a scheduled stop.
+    pub fn set_unavailable(&self, is_unavailable: bool) {
         let mut state = lock(&self.state);
-        state.away = away;
-        state.dies_at = None;
-        state.hang_up();
+        state.is_unavailable = is_unavailable;
+        state.stops_at_write = None;
+        state.disconnect_all();
     }
 
-    /// Changes how it answers.
-    pub fn manner(&self, manner: RedisBehaviour) {
-        lock(&self.state).behaviour = manner;
+    /// Changes how the server replies from now on.
+    pub fn set_behaviour(&self, behaviour: RedisBehaviour) {
+        lock(&self.state).behaviour = behaviour;
     }
 
-    /// It dies at this write from now on, before that is done.
-    pub fn dies_after(&self, writes: u64) {
+    /// Stops the server at the given write, counted from now, before that write is executed.
+    pub fn stop_after_writes(&self, writes: u64) {
         let mut state = lock(&self.state);
-        state.dies_at = Some(state.writes + writes);
+        state.stops_at_write = Some(state.write_count + writes);
     }
 
-    /// Whether it has died or gone away.
-    pub fn is_away(&self) -> bool {
-        lock(&self.state).away
+    /// Whether the server has stopped or was made unavailable.
+    pub fn is_unavailable(&self) -> bool {
+        lock(&self.state).is_unavailable
     }
 
-    /// Loses its last write, as one that saves now and then.
-    pub fn loses_the_last_write(&self) {
+    /// Loses the last write, as a server that restarts between two periodic saves.
+    pub fn lose_last_write(&self) {
         let mut state = lock(&self.state);
-        state.hashes = state.saved.clone();
+        state.hashes = state.before_last_write.clone();
     }
 
-    /// Loses everything, while it runs.
-    pub fn is_emptied(&self) {
+    /// Deletes all data while the server runs.
+    pub fn clear(&self) {
         let mut state = lock(&self.state);
-        (state.hashes, state.saved) = Default::default();
+        (state.hashes, state.before_last_write) = Default::default();
     }
 
-    /// A field of a hash.
+    /// Value of a field of a hash; `None` if the hash or the field does not exist.
     pub fn field(&self, hash: &str, field: &str) -> Option<String> {
         lock(&self.state).hashes.get(hash)?.get(field).cloned()
     }
 
-    /// Sets a field behind everybody's back.
+    /// Sets a field directly, as another client would, without counting a write.
     pub fn set_field(&self, hash: &str, field: &str, value: &str) {
         let mut state = lock(&self.state);
         state
@@ -158,56 +160,56 @@
 fn serve(stream: &TcpStream, shared: &Mutex<State>) {
     let mut out = stream;
     let mut reader = BufReader::new(stream);
-    let mut held_back = Vec::new();
-    while let Some(words) = read_command(&mut reader) {
-        let words: Vec<&str> = words.iter().map(String::as_str).collect();
+    let mut delayed_reply = Vec::new();
+    while let Some(args) = read_command(&mut reader) {
+        let args: Vec<&str> = args.iter().map(String::as_str).collect();
         let mut state = lock(shared);
-        let Some(reply) = answer(&mut state, &words) else {
+        let Some(reply) = reply_to(&mut state, &args) else {
             return;
         };
-        let manner = state.behaviour;
+        let behaviour = state.behaviour;
         drop(state);
-        let writes = writes(words[0]);
-        let about_data = words[0].to_ascii_uppercase().starts_with('H');
+        let is_write = is_write_command(args[0]);
+        let is_hash_command = args[0].to_ascii_uppercase().starts_with('H');
         let half = &reply.as_bytes()[..reply.len() / 2];
-        let said = match manner {
+        let sent = match behaviour {
             RedisBehaviour::Silent => Ok(()),
-            RedisBehaviour::HalfAnswer if about_data => out.write_all(half),
+            RedisBehaviour::PartialReply if is_hash_command => out.write_all(half),
             RedisBehaviour::Reset | RedisBehaviour::ResetOnce
-                if about_data && (writes || manner == RedisBehaviour::Reset) =>
+                if is_hash_command && (is_write || behaviour == RedisBehaviour::Reset) =>
             {
-                if manner == RedisBehaviour::ResetOnce {
+                if behaviour == RedisBehaviour::ResetOnce {
                     lock(shared).behaviour = RedisBehaviour::Serve;
                 }
                 let _ = out.write_all(half);
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
-            RedisBehaviour::Late if about_data => {
-                out.write_all(&std::mem::replace(&mut held_back, reply.into_bytes()))
+            RedisBehaviour::DelayedReply if is_hash_command => {
+                out.write_all(&std::mem::replace(&mut delayed_reply, reply.into_bytes()))
             }
-            RedisBehaviour::Slow(time) if about_data => {
-                std::thread::sleep(time);
+            RedisBehaviour::Slow(delay) if is_hash_command => {
+                std::thread::sleep(delay);
                 out.write_all(reply.as_bytes())
             }
             _ => out.write_all(reply.as_bytes()),
         };
-        if said.is_err() {
+        if sent.is_err() {
             return;
         }
     }
 }
 
-fn writes(name: &str) -> bool {
+fn is_write_command(name: &str) -> bool {
     ["HSET", "HSETNX", "HDEL"]
         .iter()
-        .any(|one| name.eq_ignore_ascii_case(one))
+        .any(|command| name.eq_ignore_ascii_case(command))
 }
 
-/// The answer to a command; none if it dies of it.
-fn answer(state: &mut State, words: &[&str]) -> Option<String> {
-    let name = words[0].to_ascii_uppercase();
-    let writes = writes(&name);
+/// The reply to a command; `None` if the server stops at it.
+fn reply_to(state: &mut State, args: &[&str]) -> Option<String> {
+    let name = args[0].to_ascii_uppercase();
+    let is_write = is_write_command(&name);
     let refusal = match (state.behaviour, name.as_str()) {
         (RedisBehaviour::Loading, "HGET" | "HGETALL" | "HSET" | "HSETNX" | "HDEL") => {
             "-LOADING Redis is loading the dataset in memory\r\n"
@@ -215,7 +217,7 @@
         (RedisBehaviour::Full, "HSET" | "HSETNX") => {
             "-OOM command not allowed when used memory > 'maxmemory'.\r\n"
         }
-        (RedisBehaviour::ReadOnly, _) if writes => {
+        (RedisBehaviour::ReadOnly, _) if is_write => {
             "-READONLY You can't write against a read only replica.\r\n"
         }
         _ => "",
@@ -223,21 +225,24 @@
     if !refusal.is_empty() {
         return Some(refusal.to_owned());
     }
-    if writes {
-        state.writes += 1;
-        if state.dies_at.is_some_and(|at| state.writes >= at) {
-            state.away = true;
-            state.hang_up();
+    if is_write {
+        state.write_count += 1;
+        if state
+            .stops_at_write
+            .is_some_and(|at| state.write_count >= at)
+        {
+            state.is_unavailable = true;
+            state.disconnect_all();
             return None;
         }
-        state.saved = state.hashes.clone();
+        state.before_last_write = state.hashes.clone();
     }
-    Some(run(&mut state.hashes, &name, &words[1..]))
+    Some(execute(&mut state.hashes, &name, &args[1..]))
 }
 
-fn run(hashes: &mut Hashes, name: &str, words: &[&str]) -> String {
+fn execute(hashes: &mut Hashes, name: &str, args: &[&str]) -> String {
     let bulk = |text: &str| format!("${}\r\n{text}\r\n", text.len());
-    match (name, words) {
+    match (name, args) {
         ("HGET", [hash, field]) => match hashes.get(*hash).and_then(|fields| fields.get(*field)) {
             Some(value) => bulk(value),
             None => "$-1\r\n".to_owned(),
@@ -251,10 +256,10 @@
             format!(":{}\r\n", u8::from(new))
         }
         ("HDEL", [hash, field]) => {
-            let gone = hashes
+            let removed = hashes
                 .get_mut(*hash)
                 .and_then(|fields| fields.remove(*field));
-            format!(":{}\r\n", u8::from(gone.is_some()))
+            format!(":{}\r\n", u8::from(removed.is_some()))
         }
         ("HGETALL", [hash]) => {
             let fields = hashes.get(*hash).cloned().unwrap_or_default();
@@ -270,19 +275,23 @@
     }
 }
 
-fn read_command(from: &mut impl BufRead) -> Option<Vec<String>> {
-    let mut number = |mark: char| {
+fn read_command(reader: &mut impl BufRead) -> Option<Vec<String>> {
+    let mut read_part = |prefix: char| {
         let mut line = String::new();
-        from.read_line(&mut line).ok()?;
-        let count = line.strip_prefix(mark)?.trim_end().parse::<usize>().ok()?;
-        let mut bytes = vec![0; if mark == '$' { count + 2 } else { 0 }];
-        from.read_exact(&mut bytes).ok()?;
+        reader.read_line(&mut line).ok()?;
+        let count = line
+            .strip_prefix(prefix)?
+            .trim_end()
+            .parse::<usize>()
+            .ok()?;
+        let mut bytes = vec![0; if prefix == '$' { count + 2 } else { 0 }];
+        reader.read_exact(&mut bytes).ok()?;
         bytes.truncate(count);
         Some((count, String::from_utf8(bytes).ok()?))
     };
-    let (count, _) = number('*')?;
-    let words: Option<Vec<String>> = (0..count)
-        .map(|_| number('$').map(|(_, text)| text))
+    let (count, _) = read_part('*')?;
+    let args: Option<Vec<String>> = (0..count)
+        .map(|_| read_part('$').map(|(_, text)| text))
         .collect();
-    words.filter(|words| !words.is_empty())
+    args.filter(|args| !args.is_empty())
 }
--- a/crates/contracts/src/stores/cases.rs
+++ b/crates/contracts/src/stores/cases.rs
@@ -1,36 +1,39 @@
-//! The cases that hold for every store.
+//! Cases that apply to every store.
 
 use std::time::{Duration, Instant};
 
 use super::{
-    CaseResult, Durable, Emptied, Failed, Loss, Make, Newer, Rows, Run, Store, StoreFault, Subject,
+    CaseFn, CaseResult, ClearMethod, Durability, NewerSchema, Rows, Store, StoreError, StoreFault,
+    Subject, SubjectFactory, UnsyncedLoss,
 };
 
-pub(super) const ALL: &[(&str, Run)] = &[
-    ("the last put holds", the_last_put_holds),
-    ("durable on return", durable_on_return),
-    ("all or none", all_or_none),
-    ("killed at each write", killed_at_each_write),
-    ("killed while it opens", killed_while_it_opens),
-    ("full", |make| refuses_and_heals(make, StoreFault::Full)),
-    ("read-only", |make| {
-        refuses_and_heals(make, StoreFault::ReadOnly)
+pub(super) const CASES: &[(&str, CaseFn)] = &[
+    ("last change persists", last_change_persists),
+    ("put is durable on return", put_is_durable_on_return),
+    ("batch is atomic", batch_is_atomic),
+    ("power loss at each write", power_loss_at_each_write),
+    ("power loss while opening", power_loss_while_opening),
+    ("full", |make_subject| {
+        rejects_writes_and_recovers(make_subject, StoreFault::Full)
     }),
-    ("slow", slow),
-    ("emptied under its reader", emptied),
-    ("newer schema", newer_schema),
-    ("opened twice", opened_twice),
+    ("read-only", |make_subject| {
+        rejects_writes_and_recovers(make_subject, StoreFault::ReadOnly)
+    }),
+    ("slow writes", slow_writes),
+    ("cleared while open", cleared_while_open),
+    ("newer data is preserved", newer_data_is_preserved),
+    ("second open", second_open),
 ];
 
-/// Longer than anything here takes.
+/// Longer than any operation in these cases takes.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// More writes than a case makes.
-const MANY: u64 = 10_000;
+/// More writes than any case makes.
+const MAX_WRITES: u64 = 10_000;
 
 macro_rules! ensure {
-    ($holds:expr, $($said:tt)+) => {
-        if !$holds {
-            return Err(format!($($said)+));
+    ($condition:expr, $($message:tt)+) => {
+        if !$condition {
+            return Err(format!($($message)+));
         }
     };
 }
@@ -42,59 +45,59 @@
         .collect()
 }
 
-pub(super) fn fine<T>(what: &str, result: Result<T, Failed>) -> Result<T, String> {
-    result.map_err(|why| format!("{what}: {why}"))
+pub(super) fn with_context<T>(operation: &str, result: Result<T, StoreError>) -> Result<T, String> {
+    result.map_err(|error| format!("{operation}: {error}"))
 }
 
-/// Opens a store, again and again while it can't be had.
-pub(super) fn opened(subject: &dyn Subject) -> Result<(Box<dyn Store>, Rows), String> {
-    settled("opening it in fair weather", || subject.open())
+/// Opens a store, and retries while it is unavailable.
+pub(super) fn open(subject: &dyn Subject) -> Result<(Box<dyn Store>, Rows), String> {
+    retry("opening the store without faults", || subject.open())
 }
 
-/// Does what failed in bad weather, in fair weather: a store may take its time to see that it is fair.
-pub(super) fn settled<T>(
-    what: &str,
-    mut run: impl FnMut() -> Result<T, Failed>,
+/// Retries an operation while the store is unavailable: a store may notice late that a fault is over.
+pub(super) fn retry<T>(
+    operation: &str,
+    mut run: impl FnMut() -> Result<T, StoreError>,
 ) -> Result<T, String> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
         match run() {
-            Err(Failed::Unable(_)) if Instant::now() < deadline => {
+            Err(StoreError::Unavailable(_)) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(20))
             }
-            done => return fine(what, done),
+            result => return with_context(operation, result),
         }
     }
 }
 
-/// Puts rows in fair weather. On a machine with much to do, a server may have to be asked again.
+/// Puts rows without a fault. Retries when the store is remote, as a server on a loaded machine may time out.
 pub(super) fn put(subject: &dyn Subject, store: &mut dyn Store, rows: &Rows) -> CaseResult {
-    match subject.traits().wire {
-        true => settled("put", || store.put(rows)),
-        false => fine("put", store.put(rows)),
+    match subject.properties().is_remote {
+        true => retry("put", || store.put(rows)),
+        false => with_context("put", store.put(rows)),
     }
 }
 
-/// Removes a row in fair weather.
+/// Removes a row without a fault. Retries when the store is remote.
 fn remove(subject: &dyn Subject, store: &mut dyn Store, key: u64) -> CaseResult {
-    match subject.traits().wire {
-        true => settled("remove", || store.remove(key)),
-        false => fine("remove", store.remove(key)),
+    match subject.properties().is_remote {
+        true => retry("remove", || store.remove(key)),
+        false => with_context("remove", store.remove(key)),
     }
 }
 
-/// The rows that are found by one who opens it now.
-pub(super) fn found(subject: &dyn Subject) -> Result<Rows, String> {
-    opened(subject).map(|(_, rows)| rows)
+/// Opens the store and returns the rows it contains.
+pub(super) fn read_rows(subject: &dyn Subject) -> Result<Rows, String> {
+    open(subject).map(|(_, rows)| rows)
 }
 
-/// What one that is opened in bad weather finds is right, or it is not opened.
-fn finds_or_refuses(subject: &dyn Subject, right: &Rows) -> CaseResult {
+/// Checks that opening the store during a fault either fails or returns the expected rows.
+fn ensure_rows_or_refused(subject: &dyn Subject, expected: &Rows) -> CaseResult {
     match subject.open() {
         Ok((_, found)) => {
             ensure!(
-                found == *right,
-                "opened in bad weather it shows {found:?} for {right:?}"
+                found == *expected,
+                "opened during a fault, the store contains {found:?}, not {expected:?}"
             );
             Ok(())
         }
@@ -102,20 +105,20 @@
     }
 }
 
-/// Makes rows of a batch a store takes at once.
-fn batch(subject: &dyn Subject, all: Rows) -> Rows {
-    let most = if subject.traits().batches {
+/// Reduces rows to a batch that the store puts atomically: one row if it has no atomic batches.
+fn limit_batch(subject: &dyn Subject, all: Rows) -> Rows {
+    let max_rows = if subject.properties().has_atomic_batches {
         usize::MAX
     } else {
         1
     };
-    all.into_iter().take(most).collect()
+    all.into_iter().take(max_rows).collect()
 }
 
-fn the_last_put_holds(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut store, before) = opened(&*subject)?;
-    ensure!(before.is_empty(), "a new store holds {before:?}");
+fn last_change_persists(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, before) = open(&*subject)?;
+    ensure!(before.is_empty(), "a new store contains {before:?}");
     for (key, value) in [(1, "a"), (2, "b"), (1, "c"), (3, "d")] {
         put(&*subject, &mut *store, &rows([(key, value)]))?;
     }
@@ -123,74 +126,80 @@
     put(&*subject, &mut *store, &rows([(3, "e")]))?;
     remove(&*subject, &mut *store, 2)?;
     drop(store);
-    let found = found(&*subject)?;
-    ensure!(found == rows([(1, "c"), (3, "e")]), "it kept {found:?}");
+    let found = read_rows(&*subject)?;
+    ensure!(
+        found == rows([(1, "c"), (3, "e")]),
+        "reopened, the store contains {found:?}"
+    );
     Ok(())
 }
 
-fn durable_on_return(make: Make<'_>) -> CaseResult {
+fn put_is_durable_on_return(make_subject: SubjectFactory<'_>) -> CaseResult {
     for puts in 1..=3_u64 {
-        let subject = make();
-        let (mut store, _) = opened(&*subject)?;
+        let subject = make_subject();
+        let (mut store, _) = open(&*subject)?;
         let mut states = vec![Rows::new()];
         for key in 1..=puts {
             put(&*subject, &mut *store, &rows([(key, "value")]))?;
             states.push((1..=key).map(|key| (key, "value".to_owned())).collect());
         }
-        subject.cut_after(0);
+        subject.cut_power_after(0);
         drop(store);
-        subject.power_back(Loss::Everything);
-        let found = found(&*subject)?;
-        let right = match subject.traits().durable {
-            Durable::OnReturn => states.last() == Some(&found),
-            Durable::ByServer => states.contains(&found),
+        subject.restore_power(UnsyncedLoss::All);
+        let found = read_rows(&*subject)?;
+        let is_expected = match subject.properties().durability {
+            Durability::OnReturn => states.last() == Some(&found),
+            Durability::ByServer => states.contains(&found),
         };
         ensure!(
-            right,
-            "after {puts} puts that returned, it comes back with {found:?}"
+            is_expected,
+            "after {puts} puts that returned and a power loss, the store contains {found:?}"
         );
     }
     Ok(())
 }
 
-fn all_or_none(make: Make<'_>) -> CaseResult {
-    let many = |value: &str| {
+fn batch_is_atomic(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let large_batch = |value: &str| {
         (1..=300)
             .map(|key| (key, value.repeat(100)))
             .collect::<Rows>()
     };
-    for writes in 1..MANY {
-        let subject = make();
-        let (old, new) = (batch(&*subject, many("old")), batch(&*subject, many("new")));
-        let (mut store, _) = opened(&*subject)?;
+    for writes in 1..MAX_WRITES {
+        let subject = make_subject();
+        let (old, new) = (
+            limit_batch(&*subject, large_batch("old")),
+            limit_batch(&*subject, large_batch("new")),
+        );
+        let (mut store, _) = open(&*subject)?;
         put(&*subject, &mut *store, &old)?;
-        subject.cut_after(writes);
-        let done = store.put(&new);
-        let was_cut = subject.is_dark();
-        subject.cut_after(0);
+        subject.cut_power_after(writes);
+        let result = store.put(&new);
+        let lost_power = subject.is_power_off();
+        subject.cut_power_after(0);
         drop(store);
-        subject.power_back(Loss::Nothing);
-        let found = found(&*subject)?;
-        let by_server = subject.traits().durable == Durable::ByServer;
+        subject.restore_power(UnsyncedLoss::None);
+        let found = read_rows(&*subject)?;
+        let by_server = subject.properties().durability == Durability::ByServer;
         ensure!(
             found == new || found == old,
-            "cut at write {writes}: neither the old rows nor the new ones"
+            "power loss at write {writes}: the store contains neither the old rows nor the new ones"
         );
         ensure!(
-            done.is_err() || found == new || by_server,
-            "cut at write {writes}: it said yes and kept the old"
+            result.is_err() || found == new || by_server,
+            "power loss at write {writes}: the put succeeded but the old rows remain"
         );
-        if !was_cut {
+        if !lost_power {
             return Ok(());
         }
     }
-    Err("it never ends to write".into())
+    Err(format!("still writing after {MAX_WRITES} writes"))
 }
 
-type Step = fn(&mut dyn Store) -> Result<(), Failed>;
+type Step = fn(&mut dyn Store) -> Result<(), StoreError>;
 
-/// Changes, and what they leave.
-fn story(subject: &dyn Subject) -> Vec<(Step, Rows)> {
+/// A sequence of changes, each with the rows expected after it. The store initially contains row 9.
+fn change_sequence(subject: &dyn Subject) -> Vec<(Step, Rows)> {
     let mut all: Vec<(Step, Rows)> = vec![
         (
             |store| store.put(&rows([(1, "a")])),
@@ -206,7 +215,7 @@
             rows([(1, "b"), (2, "c")]),
         ),
     ];
-    if subject.traits().batches {
+    if subject.properties().has_atomic_batches {
         all.push((
             |store| store.put(&rows([(2, "d"), (3, "e")])),
             rows([(1, "b"), (2, "d"), (3, "e")]),
@@ -215,238 +224,259 @@
     all
 }
 
-const LOSSES: [fn(u64) -> Loss; 4] = [
-    |_| Loss::Nothing,
-    |_| Loss::Everything,
-    |writes| Loss::Some(writes),
-    |writes| Loss::Some(writes + MANY),
+const UNSYNCED_LOSSES: [fn(u64) -> UnsyncedLoss; 4] = [
+    |_| UnsyncedLoss::None,
+    |_| UnsyncedLoss::All,
+    |writes| UnsyncedLoss::Partial(writes),
+    |writes| UnsyncedLoss::Partial(writes + MAX_WRITES),
 ];
 
-fn killed_at_each_write(make: Make<'_>) -> CaseResult {
-    for writes in 1..MANY {
-        for loss in LOSSES {
-            let subject = make();
-            let (mut store, _) = opened(&*subject)?;
+fn power_loss_at_each_write(make_subject: SubjectFactory<'_>) -> CaseResult {
+    for writes in 1..MAX_WRITES {
+        for loss in UNSYNCED_LOSSES {
+            let subject = make_subject();
+            let (mut store, _) = open(&*subject)?;
             put(&*subject, &mut *store, &rows([(9, "z")]))?;
-            subject.cut_after(writes);
-            // The last of all rows there are may be lost with a server.
-            let mut right = match subject.traits().durable {
-                Durable::OnReturn => vec![rows([(9, "z")])],
-                Durable::ByServer => vec![Rows::new(), rows([(9, "z")])],
+            subject.cut_power_after(writes);
+            // A server that saves periodically may lose its last write.
+            let mut expected = match subject.properties().durability {
+                Durability::OnReturn => vec![rows([(9, "z")])],
+                Durability::ByServer => vec![Rows::new(), rows([(9, "z")])],
             };
-            for (step, after) in story(&*subject) {
-                // One that fails may have come to pass, and is the last.
-                let done = step(&mut *store);
-                if done.is_ok() && subject.traits().durable == Durable::OnReturn {
-                    right.clear();
+            for (step, after) in change_sequence(&*subject) {
+                // A change that fails may have been applied or not, and ends the sequence.
+                let result = step(&mut *store);
+                if result.is_ok() && subject.properties().durability == Durability::OnReturn {
+                    expected.clear();
                 }
-                right.push(after);
-                if done.is_err() {
+                expected.push(after);
+                if result.is_err() {
                     break;
                 }
             }
-            let was_cut = subject.is_dark();
-            subject.cut_after(0);
+            let lost_power = subject.is_power_off();
+            subject.cut_power_after(0);
             drop(store);
-            subject.power_back(loss(writes));
-            let (mut store, found) = opened(&*subject)?;
+            subject.restore_power(loss(writes));
+            let (mut store, found) = open(&*subject)?;
             ensure!(
-                right.contains(&found),
-                "cut at write {writes}, {:?}: {found:?} is none of {right:?}",
+                expected.contains(&found),
+                "power loss at write {writes}, {:?}: {found:?} is none of {expected:?}",
                 loss(writes)
             );
-            settled("a put after the power is back", || {
+            retry("a put after the power is restored", || {
                 store.put(&rows([(5, "on")]))
             })?;
-            if !was_cut {
+            if !lost_power {
                 return Ok(());
             }
         }
     }
-    Err("it never ends to write".into())
+    Err(format!("still writing after {MAX_WRITES} writes"))
 }
 
-fn killed_while_it_opens(make: Make<'_>) -> CaseResult {
-    let right = rows([(1, "a")]);
-    for writes in 1..MANY {
-        for loss in LOSSES {
-            let subject = make();
-            let (mut store, _) = opened(&*subject)?;
-            put(&*subject, &mut *store, &right)?;
-            // Dark and light once: it has something to mend.
-            subject.cut_after(0);
+fn power_loss_while_opening(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let expected = rows([(1, "a")]);
+    for writes in 1..MAX_WRITES {
+        for loss in UNSYNCED_LOSSES {
+            let subject = make_subject();
+            let (mut store, _) = open(&*subject)?;
+            put(&*subject, &mut *store, &expected)?;
+            // A first power loss gives the store something to recover when it opens.
+            subject.cut_power_after(0);
             drop(store);
-            subject.power_back(Loss::Nothing);
-            subject.cut_after(writes);
+            subject.restore_power(UnsyncedLoss::None);
+            subject.cut_power_after(writes);
             drop(subject.open());
-            let was_cut = subject.is_dark();
-            subject.cut_after(0);
-            subject.power_back(loss(writes));
-            let found = found(&*subject)?;
+            let lost_power = subject.is_power_off();
+            subject.cut_power_after(0);
+            subject.restore_power(loss(writes));
+            let found = read_rows(&*subject)?;
             ensure!(
-                found == right,
-                "cut at write {writes} of opening, {:?}: {found:?}",
+                found == expected,
+                "power loss at write {writes} of opening, {:?}: the store contains {found:?}",
                 loss(writes)
             );
-            if !was_cut {
+            if !lost_power {
                 return Ok(());
             }
         }
     }
-    Err("it never ends to write".into())
+    Err(format!("still writing after {MAX_WRITES} writes"))
 }
 
-/// A ground that takes no writing: what is put is refused, what is there stays, and it is served again afterwards.
-fn refuses_and_heals(make: Make<'_>, weather: StoreFault) -> CaseResult {
-    let subject = make();
-    let (mut store, _) = opened(&*subject)?;
-    let mut right = rows([(1, "a"), (2, "b")]);
-    for (key, value) in &right {
+/// With a disk or server that refuses writes, puts fail, existing rows remain, and the store recovers afterwards.
+fn rejects_writes_and_recovers(make_subject: SubjectFactory<'_>, fault: StoreFault) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, _) = open(&*subject)?;
+    let mut expected = rows([(1, "a"), (2, "b")]);
+    for (key, value) in &expected {
         put(&*subject, &mut *store, &Rows::from([(*key, value.clone())]))?;
     }
-    subject.weather(weather);
-    // What there is may do for small ones: they are well kept if it says so.
+    subject.set_fault(fault);
+    // Allocated space may suffice for some rows: rows whose put succeeds must persist.
     let mut refused = 0;
     for key in 10..30 {
         let row = Rows::from([(key, "much".repeat(50_000))]);
         match store.put(&row) {
-            Ok(()) => right.extend(row),
+            Ok(()) => expected.extend(row),
             Err(_) => refused += 1,
         }
     }
-    ensure!(refused > 0, "nothing is refused");
-    if subject.traits().wire {
-        let found = settled("reading, which needs no room", || store.rows())?;
-        ensure!(found == right, "reading shows other rows meanwhile");
+    ensure!(refused > 0, "no put is refused during the fault");
+    if subject.properties().is_remote {
+        let found = retry("a read during the fault, which needs no space", || {
+            store.rows()
+        })?;
+        ensure!(
+            found == expected,
+            "a read during the fault returns unexpected rows"
+        );
     }
     drop(store);
-    finds_or_refuses(&*subject, &right)?;
-    subject.weather(StoreFault::Fair);
-    let (mut store, found) = opened(&*subject)?;
+    ensure_rows_or_refused(&*subject, &expected)?;
+    subject.set_fault(StoreFault::None);
+    let (mut store, found) = open(&*subject)?;
     ensure!(
-        found == right,
-        "{} rows are there afterwards, not {}",
+        found == expected,
+        "after the fault, the rows differ from those expected: {} rows found, {} expected",
         found.len(),
-        right.len()
+        expected.len()
     );
-    subject.weather(weather);
+    subject.set_fault(fault);
     let big = Rows::from([(40, "much".repeat(500_000))]);
-    ensure!(store.put(&big).is_err(), "a big row is taken");
-    subject.weather(StoreFault::Fair);
-    settled("a put by the one that was refused, afterwards", || {
+    ensure!(
+        store.put(&big).is_err(),
+        "a put of 2 MB succeeds during the fault"
+    );
+    subject.set_fault(StoreFault::None);
+    retry("a put by the same handle after the fault", || {
         store.put(&rows([(3, "c")]))
     })?;
-    right.extend(rows([(3, "c")]));
+    expected.extend(rows([(3, "c")]));
     drop(store);
-    let found = self::found(&*subject)?;
+    let found = read_rows(&*subject)?;
     ensure!(
-        found == right,
-        "{} rows are there in the end, not {}",
+        found == expected,
+        "reopened, the rows differ from those expected: {} rows found, {} expected",
         found.len(),
-        right.len()
+        expected.len()
     );
     Ok(())
 }
 
-fn slow(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut store, _) = opened(&*subject)?;
+fn slow_writes(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, _) = open(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
-    subject.weather(StoreFault::Slow);
-    let began = Instant::now();
-    let done = store.put(&rows([(2, "b")]));
+    subject.set_fault(StoreFault::Slow);
+    let started_at = Instant::now();
+    let result = store.put(&rows([(2, "b")]));
     ensure!(
-        began.elapsed() < TIMEOUT,
-        "a put takes {:?}",
-        began.elapsed()
+        started_at.elapsed() < TIMEOUT,
+        "a put takes {:?}, limit {TIMEOUT:?}",
+        started_at.elapsed()
     );
-    subject.cut_after(0);
+    subject.cut_power_after(0);
     drop(store);
-    subject.weather(StoreFault::Fair);
-    subject.power_back(Loss::Everything);
-    let found = found(&*subject)?;
+    subject.set_fault(StoreFault::None);
+    subject.restore_power(UnsyncedLoss::All);
+    let found = read_rows(&*subject)?;
     let (without, with) = (rows([(1, "a")]), rows([(1, "a"), (2, "b")]));
-    let right = match (subject.traits().durable, done) {
-        (Durable::OnReturn, Ok(())) => found == with,
-        (Durable::OnReturn, Err(_)) => found == with || found == without,
-        (Durable::ByServer, _) => found == with || found == without || found.is_empty(),
+    let is_expected = match (subject.properties().durability, result) {
+        (Durability::OnReturn, Ok(())) => found == with,
+        (Durability::OnReturn, Err(_)) => found == with || found == without,
+        (Durability::ByServer, _) => found == with || found == without || found.is_empty(),
     };
-    ensure!(right, "it comes back with {found:?}");
+    ensure!(
+        is_expected,
+        "after a power loss, the store contains {found:?}"
+    );
     Ok(())
 }
 
-/// What is put afterwards is refused, or is there; what was emptied does not come back by itself.
-fn emptied(make: Make<'_>) -> CaseResult {
-    for how in [Emptied::Cut, Emptied::Removed] {
-        let subject = make();
-        let (mut store, _) = opened(&*subject)?;
+/// After the data is deleted, each put either fails or persists, and deleted rows do not reappear.
+fn cleared_while_open(make_subject: SubjectFactory<'_>) -> CaseResult {
+    for method in [ClearMethod::Truncate, ClearMethod::Remove] {
+        let subject = make_subject();
+        let (mut store, _) = open(&*subject)?;
         put(&*subject, &mut *store, &rows([(1, "a")]))?;
-        subject.empty(how);
-        let done = store.put(&rows([(2, "b")]));
-        let after = store.put(&rows([(3, "c")]));
+        subject.clear(method);
+        let result = store.put(&rows([(2, "b")]));
+        let second_result = store.put(&rows([(3, "c")]));
         drop(store);
-        let found = found(&*subject)?;
+        let found = read_rows(&*subject)?;
         ensure!(
-            done.is_err() || found.contains_key(&2),
-            "{how:?}: it said yes and kept nothing: {found:?}"
+            result.is_err() || found.contains_key(&2),
+            "{method:?}: the first put succeeded but its row is lost: {found:?}"
         );
         ensure!(
-            after.is_err() || found.contains_key(&3),
-            "{how:?}: it said yes twice and kept {found:?}"
+            second_result.is_err() || found.contains_key(&3),
+            "{method:?}: the second put succeeded but its row is lost: {found:?}"
         );
         ensure!(
             !found.contains_key(&1),
-            "{how:?}: what was emptied is back: {found:?}"
+            "{method:?}: the deleted row reappeared: {found:?}"
         );
     }
     Ok(())
 }
 
-fn newer_schema(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut store, _) = opened(&*subject)?;
+fn newer_data_is_preserved(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut store, _) = open(&*subject)?;
     put(&*subject, &mut *store, &rows([(1, "a")]))?;
     drop(store);
-    subject.newer_writes();
-    match (subject.traits().newer, subject.open()) {
-        (Newer::LeftAlone, Ok((_, found))) => return Err(format!("it is opened, with {found:?}")),
-        (Newer::LeftAlone, Err(_)) => {}
-        (Newer::Carried, opened) => {
+    subject.write_newer_schema();
+    match (subject.properties().newer_schema, subject.open()) {
+        (NewerSchema::Refused, Ok((_, found))) => {
+            return Err(format!(
+                "the store opens data of a newer schema, with {found:?}"
+            ));
+        }
+        (NewerSchema::Refused, Err(_)) => {}
+        (NewerSchema::Preserved, opened) => {
             let (mut store, found) = match opened {
-                Err(Failed::Unable(_)) => self::opened(&*subject)?,
-                opened => fine("opening it", opened)?,
+                Err(StoreError::Unavailable(_)) => open(&*subject)?,
+                opened => with_context("opening data of a newer schema", opened)?,
             };
-            ensure!(found == rows([(1, "a")]), "it reads {found:?}");
+            ensure!(
+                found == rows([(1, "a")]),
+                "data of a newer schema is read as {found:?}"
+            );
             put(&*subject, &mut *store, &rows([(1, "b")]))?;
         }
     }
     ensure!(
-        subject.is_newer_intact(),
-        "what the newer program wrote is changed"
+        subject.is_newer_data_intact(),
+        "data of the newer schema has changed"
     );
     Ok(())
 }
 
-fn opened_twice(make: Make<'_>) -> CaseResult {
-    let subject = make();
-    let (mut first, _) = opened(&*subject)?;
+fn second_open(make_subject: SubjectFactory<'_>) -> CaseResult {
+    let subject = make_subject();
+    let (mut first, _) = open(&*subject)?;
     put(&*subject, &mut *first, &rows([(1, "a")]))?;
-    match (subject.traits().exclusive, subject.open()) {
-        (true, Ok(_)) => return Err("two have it open".into()),
+    match (subject.properties().is_exclusive, subject.open()) {
+        (true, Ok(_)) => return Err("an exclusive store opens twice".into()),
         (true, Err(_)) => {}
         (false, second) => {
-            let (mut second, found) = fine("opening it again", second)?;
-            ensure!(found == rows([(1, "a")]), "the second finds {found:?}");
+            let (mut second, found) = with_context("opening the store a second time", second)?;
+            ensure!(
+                found == rows([(1, "a")]),
+                "the second handle reads {found:?}"
+            );
             put(&*subject, &mut *second, &rows([(2, "b")]))?;
         }
     }
     put(&*subject, &mut *first, &rows([(3, "c")]))?;
     drop(first);
-    let mut right = rows([(1, "a"), (3, "c")]);
-    if !subject.traits().exclusive {
-        right.extend(rows([(2, "b")]));
+    let mut expected = rows([(1, "a"), (3, "c")]);
+    if !subject.properties().is_exclusive {
+        expected.extend(rows([(2, "b")]));
     }
-    let found = found(&*subject)?;
-    ensure!(found == right, "it kept {found:?}");
+    let found = read_rows(&*subject)?;
+    ensure!(found == expected, "reopened, the store contains {found:?}");
     Ok(())
 }
--- a/crates/contracts/src/stores/model.rs
+++ b/crates/contracts/src/stores/model.rs
@@ -1,70 +1,73 @@
-//! A store in memory, behind a wire of its own: a sound one, and ones with one defect each.
+//! In-memory remote stores: a correct one, and variants with one defect each.
 //!
-//! Each defect is there for one case of the suite, which has to catch it.
+//! Each defect belongs to one case of the suite, which has to detect it.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::{Durable, Emptied, Failed, Loss, Newer, Rows, Store, StoreFault, Subject, Traits};
+use super::{
+    ClearMethod, Durability, NewerSchema, Properties, Rows, Store, StoreError, StoreFault, Subject,
+    UnsyncedLoss,
+};
 
-/// What is wrong with it.
+/// The defect of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// The store is correct.
     None,
-    /// What was removed can't be put again.
-    RemovesForGood,
-    /// A put is written when the store is closed.
-    WritesBehind,
-    /// The rows of a put are written one by one.
-    RowByRow,
-    /// What is removed is written when the store is closed.
-    RemovesBehind,
-    /// After a loss of power it clears what it holds and writes it again.
-    MendsInPlace,
-    /// A put is answered with yes when there is no room.
-    TakesAllWhenFull,
-    /// A put is answered with yes when nothing may be written.
-    TakesAllWhenReadOnly,
-    /// A put is written behind when the disk is slow.
-    BehindWhenSlow,
-    /// It goes on with what it had open after that was emptied.
-    HoldsTheRemoved,
-    /// It takes what a newer program wrote for its own.
-    ReadsTheNewer,
-    /// Two may have it open.
-    OpensTwice,
-    /// No answer is taken for yes.
-    SilenceIsYes,
-    /// Half an answer is taken for a whole one.
-    HalfIsWhole,
-    /// A put that is repeated is refused, as there is such a row.
-    RepeatIsRefused,
-    /// The next answer is taken, whatever it answers.
-    AnyAnswerDoes,
-    /// A server that loads is taken for one that holds nothing.
-    LoadingIsEmpty,
+    /// Puts of a key that was removed are ignored.
+    IgnoresPutAfterRemove,
+    /// Puts are written only when the store is closed.
+    DefersPuts,
+    /// Rows of a batch are written one by one.
+    SplitsBatches,
+    /// Removals are written only when the store is closed.
+    DefersRemoves,
+    /// Recovery after a power loss clears the rows before it rewrites them.
+    RecoversInPlace,
+    /// Puts are acknowledged although the disk is full.
+    AcknowledgesWhenFull,
+    /// Puts are acknowledged although the disk is read-only.
+    AcknowledgesWhenReadOnly,
+    /// Puts are deferred when the disk is slow.
+    DefersWhenSlow,
+    /// Changes go to the old file after the data was deleted, and are lost.
+    IgnoresClear,
+    /// Data of a newer schema is opened as if it were of this version.
+    OpensNewerSchema,
+    /// The store can be opened twice.
+    AllowsSecondOpen,
+    /// A missing reply counts as success.
+    TreatsSilenceAsSuccess,
+    /// A partial reply counts as success.
+    TreatsPartialReplyAsSuccess,
+    /// A put whose reply was lost is rejected because its row exists already.
+    RejectsRetry,
+    /// Any reply is accepted, whichever command it belongs to.
+    AcceptsMismatchedReply,
+    /// A loading server is taken for an empty one.
+    TreatsLoadingAsEmpty,
 }
 
 struct State {
-    /// What is durable.
+    /// Durable rows.
     rows: Rows,
-    /// What is written behind, with what is removed as none.
-    behind: Vec<(u64, Option<String>)>,
-    /// Keys that can't be put again.
-    gone: BTreeSet<u64>,
-    newer: bool,
-    unclean: bool,
-    open: u32,
-    weather: StoreFault,
-    writes: u64,
-    cut_at: Option<u64>,
-    dark: bool,
-    lives: u64,
-    emptied: u64,
+    /// Changes that are not written yet; `None` is a removal.
+    deferred_changes: Vec<(u64, Option<String>)>,
+    /// Keys whose puts are ignored because the row was removed.
+    removed_keys: BTreeSet<u64>,
+    has_newer_schema: bool,
+    needs_recovery: bool,
+    open_handles: u32,
+    fault: StoreFault,
+    write_count: u64,
+    power_off_at_write: Option<u64>,
+    is_power_off: bool,
+    power_losses: u64,
+    clears: u64,
 }
 
-/// The store's ground.
+/// An in-memory store under test.
 pub struct InMemory {
     state: Arc<Mutex<State>>,
     defect: Defect,
@@ -73,38 +76,40 @@
 struct Handle {
     state: Arc<Mutex<State>>,
     defect: Defect,
-    lives: u64,
-    emptied: u64,
+    power_losses: u64,
+    clears: u64,
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn unable<T>(why: &str) -> Result<T, Failed> {
-    Err(Failed::Unable(why.to_owned()))
+fn unavailable<T>(reason: &str) -> Result<T, StoreError> {
+    Err(StoreError::Unavailable(reason.to_owned()))
 }
 
 impl State {
-    /// One write; the power may go at it.
-    fn write(&mut self) -> Result<(), Failed> {
-        self.writes += 1;
-        self.dark |= self.cut_at.is_some_and(|at| self.writes >= at);
-        if self.dark {
-            unable("the power is off")
+    /// Counts one write; fails if the power is off or goes off at it.
+    fn write(&mut self) -> Result<(), StoreError> {
+        self.write_count += 1;
+        self.is_power_off |= self
+            .power_off_at_write
+            .is_some_and(|at| self.write_count >= at);
+        if self.is_power_off {
+            unavailable("the power is off")
         } else {
             Ok(())
         }
     }
 
-    fn settle(&mut self) {
-        for (key, value) in std::mem::take(&mut self.behind) {
-            set(&mut self.rows, key, value);
+    fn apply_deferred(&mut self) {
+        for (key, value) in std::mem::take(&mut self.deferred_changes) {
+            apply_change(&mut self.rows, key, value);
         }
     }
 }
 
-fn set(rows: &mut Rows, key: u64, value: Option<String>) {
+fn apply_change(rows: &mut Rows, key: u64, value: Option<String>) {
     match value {
         Some(value) => drop(rows.insert(key, value)),
         None => drop(rows.remove(&key)),
@@ -112,21 +117,21 @@
 }
 
 impl InMemory {
-    /// One with this defect.
+    /// Creates an empty store with this defect.
     pub fn new(defect: Defect) -> InMemory {
         let state = State {
             rows: Rows::new(),
-            behind: Vec::new(),
-            gone: BTreeSet::new(),
-            newer: false,
-            unclean: false,
-            open: 0,
-            weather: StoreFault::Fair,
-            writes: 0,
-            cut_at: None,
-            dark: false,
-            lives: 0,
-            emptied: 0,
+            deferred_changes: Vec::new(),
+            removed_keys: BTreeSet::new(),
+            has_newer_schema: false,
+            needs_recovery: false,
+            open_handles: 0,
+            fault: StoreFault::None,
+            write_count: 0,
+            power_off_at_write: None,
+            is_power_off: false,
+            power_losses: 0,
+            clears: 0,
         };
         InMemory {
             state: Arc::new(Mutex::new(state)),
@@ -136,152 +141,161 @@
 }
 
 impl Subject for InMemory {
-    fn traits(&self) -> Traits {
-        Traits {
-            durable: Durable::OnReturn,
-            batches: true,
-            exclusive: true,
-            newer: Newer::LeftAlone,
-            wire: true,
+    fn properties(&self) -> Properties {
+        Properties {
+            durability: Durability::OnReturn,
+            has_atomic_batches: true,
+            is_exclusive: true,
+            newer_schema: NewerSchema::Refused,
+            is_remote: true,
         }
     }
 
-    fn open(&self) -> Result<(Box<dyn Store>, Rows), Failed> {
+    fn open(&self) -> Result<(Box<dyn Store>, Rows), StoreError> {
         let mut state = lock(&self.state);
-        match (state.weather, self.defect) {
-            _ if state.dark => return unable("the power is off"),
-            _ if state.open > 0 && self.defect != Defect::OpensTwice => {
-                return unable("it is open");
+        match (state.fault, self.defect) {
+            _ if state.is_power_off => return unavailable("the power is off"),
+            _ if state.open_handles > 0 && self.defect != Defect::AllowsSecondOpen => {
+                return unavailable("the store is open already");
             }
             (
                 StoreFault::Silent
-                | StoreFault::HalfAnswer
+                | StoreFault::PartialReply
                 | StoreFault::Loading
-                | StoreFault::Late,
+                | StoreFault::DelayedReply,
                 _,
             ) => {
-                return unable("no answer");
+                return unavailable("no valid reply");
             }
             _ => {}
         }
-        if state.newer {
-            if self.defect != Defect::ReadsTheNewer {
-                return unable("a newer program's");
+        if state.has_newer_schema {
+            if self.defect != Defect::OpensNewerSchema {
+                return unavailable("the data has a newer schema");
             }
-            state.newer = false;
+            state.has_newer_schema = false;
         }
-        if state.unclean {
-            if self.defect == Defect::MendsInPlace {
+        if state.needs_recovery {
+            if self.defect == Defect::RecoversInPlace {
                 let rows = std::mem::take(&mut state.rows);
                 state.write()?;
                 state.rows = rows;
             }
             state.write()?;
-            state.unclean = false;
+            state.needs_recovery = false;
         }
-        state.open += 1;
+        state.open_handles += 1;
         let handle = Handle {
             state: Arc::clone(&self.state),
             defect: self.defect,
-            lives: state.lives,
-            emptied: state.emptied,
+            power_losses: state.power_losses,
+            clears: state.clears,
         };
         Ok((Box::new(handle), state.rows.clone()))
     }
 
-    fn weather(&self, weather: StoreFault) {
-        lock(&self.state).weather = weather;
+    fn set_fault(&self, fault: StoreFault) {
+        lock(&self.state).fault = fault;
     }
 
-    fn cut_after(&self, writes: u64) {
+    fn cut_power_after(&self, writes: u64) {
         let mut state = lock(&self.state);
-        state.cut_at = Some(state.writes + writes);
-        state.dark = writes == 0;
+        state.power_off_at_write = Some(state.write_count + writes);
+        state.is_power_off = writes == 0;
     }
 
-    fn is_dark(&self) -> bool {
-        lock(&self.state).dark
+    fn is_power_off(&self) -> bool {
+        lock(&self.state).is_power_off
     }
 
-    fn power_back(&self, loss: Loss) {
+    fn restore_power(&self, loss: UnsyncedLoss) {
         let mut state = lock(&self.state);
-        (state.dark, state.cut_at, state.open, state.unclean) = (false, None, 0, true);
-        state.lives += 1;
+        (
+            state.is_power_off,
+            state.power_off_at_write,
+            state.open_handles,
+            state.needs_recovery,
+        ) = (false, None, 0, true);
+        state.power_losses += 1;
         match loss {
-            Loss::Nothing => state.settle(),
-            Loss::Everything | Loss::Some(_) => state.behind.clear(),
+            UnsyncedLoss::None => state.apply_deferred(),
+            UnsyncedLoss::All | UnsyncedLoss::Partial(_) => state.deferred_changes.clear(),
         }
     }
 
-    fn empty(&self, _: Emptied) {
+    fn clear(&self, _: ClearMethod) {
         let mut state = lock(&self.state);
         state.rows.clear();
-        state.behind.clear();
-        state.emptied += 1;
+        state.deferred_changes.clear();
+        state.clears += 1;
     }
 
-    fn newer_writes(&self) {
-        lock(&self.state).newer = true;
+    fn write_newer_schema(&self) {
+        lock(&self.state).has_newer_schema = true;
     }
 
-    fn is_newer_intact(&self) -> bool {
-        lock(&self.state).newer
+    fn is_newer_data_intact(&self) -> bool {
+        lock(&self.state).has_newer_schema
     }
 }
 
 impl Handle {
-    /// Changes rows as the weather and the defect have it.
-    fn change(&self, all: Vec<(u64, Option<String>)>) -> Result<(), Failed> {
+    /// Applies changes, subject to the current fault and the defect.
+    fn change(&self, changes: Vec<(u64, Option<String>)>) -> Result<(), StoreError> {
         let mut state = lock(&self.state);
-        if state.dark || state.lives != self.lives {
-            return unable("the power is off");
+        if state.is_power_off || state.power_losses != self.power_losses {
+            return unavailable("the power is off");
         }
-        let removes = all.iter().any(|(_, value)| value.is_none());
-        let behind = match (self.defect, state.weather) {
-            (Defect::WritesBehind, _) => !removes,
-            (Defect::RemovesBehind, _) => removes,
-            (Defect::BehindWhenSlow, StoreFault::Slow) => true,
-            (Defect::HoldsTheRemoved, _) if state.emptied != self.emptied => return Ok(()),
-            (Defect::TakesAllWhenFull, StoreFault::Full) => return Ok(()),
-            (Defect::TakesAllWhenReadOnly, StoreFault::ReadOnly) => return Ok(()),
-            (_, StoreFault::Full | StoreFault::ReadOnly) => return unable("nothing is written"),
-            (_, StoreFault::Loading) => return unable("loading"),
+        let has_removal = changes.iter().any(|(_, value)| value.is_none());
+        let is_deferred = match (self.defect, state.fault) {
+            (Defect::DefersPuts, _) => !has_removal,
+            (Defect::DefersRemoves, _) => has_removal,
+            (Defect::DefersWhenSlow, StoreFault::Slow) => true,
+            (Defect::IgnoresClear, _) if state.clears != self.clears => return Ok(()),
+            (Defect::AcknowledgesWhenFull, StoreFault::Full) => return Ok(()),
+            (Defect::AcknowledgesWhenReadOnly, StoreFault::ReadOnly) => return Ok(()),
+            (_, StoreFault::Full | StoreFault::ReadOnly) => {
+                return unavailable("writes are refused");
+            }
+            (_, StoreFault::Loading) => return unavailable("the server is loading its data"),
             _ => false,
         };
-        if behind {
-            state.behind.extend(all);
+        if is_deferred {
+            state.deferred_changes.extend(changes);
             return Ok(());
         }
         let mut rows = state.rows.clone();
-        for (key, value) in all {
+        for (key, value) in changes {
             state.write()?;
-            if self.defect == Defect::RemovesForGood && value.is_none() {
-                state.gone.insert(key);
+            if self.defect == Defect::IgnoresPutAfterRemove && value.is_none() {
+                state.removed_keys.insert(key);
             }
-            if !state.gone.contains(&key) || value.is_none() {
-                set(&mut rows, key, value);
+            if !state.removed_keys.contains(&key) || value.is_none() {
+                apply_change(&mut rows, key, value);
             }
-            if self.defect == Defect::RowByRow {
+            if self.defect == Defect::SplitsBatches {
                 state.rows = rows.clone();
             }
         }
         state.write()?;
         state.rows = rows;
-        self.answer(&mut state)
+        self.reply(&mut state)
     }
 
-    /// What its caller hears of a change that is done.
-    fn answer(&self, state: &mut State) -> Result<(), Failed> {
-        match (state.weather, self.defect) {
-            (StoreFault::Silent, Defect::SilenceIsYes)
-            | (StoreFault::HalfAnswer, Defect::HalfIsWhole) => Ok(()),
-            (StoreFault::Silent | StoreFault::HalfAnswer | StoreFault::Late, _) => {
-                unable("no answer")
+    /// The result that the caller sees of a change that was applied.
+    fn reply(&self, state: &mut State) -> Result<(), StoreError> {
+        match (state.fault, self.defect) {
+            (StoreFault::Silent, Defect::TreatsSilenceAsSuccess)
+            | (StoreFault::PartialReply, Defect::TreatsPartialReplyAsSuccess) => Ok(()),
+            (StoreFault::Silent | StoreFault::PartialReply | StoreFault::DelayedReply, _) => {
+                unavailable("no valid reply")
             }
             (StoreFault::Reset, defect) => {
-                state.weather = StoreFault::Fair;
+                state.fault = StoreFault::None;
                 match defect {
-                    Defect::RepeatIsRefused => Err(Failed::Refused("there is such a row".into())),
+                    Defect::RejectsRetry => {
+                        Err(StoreError::Rejected("the row exists already".into()))
+                    }
                     _ => Ok(()),
                 }
             }
@@ -291,7 +305,7 @@
 }
 
 impl Store for Handle {
-    fn put(&mut self, rows: &Rows) -> Result<(), Failed> {
+    fn put(&mut self, rows: &Rows) -> Result<(), StoreError> {
         self.change(
             rows.iter()
                 .map(|(key, value)| (*key, Some(value.clone())))
@@ -299,22 +313,22 @@
         )
     }
 
-    fn remove(&mut self, key: u64) -> Result<(), Failed> {
+    fn remove(&mut self, key: u64) -> Result<(), StoreError> {
         self.change(vec![(key, None)])
     }
 
-    fn rows(&mut self) -> Result<Rows, Failed> {
+    fn rows(&mut self) -> Result<Rows, StoreError> {
         let state = lock(&self.state);
-        match (state.weather, self.defect) {
-            (StoreFault::Late, Defect::AnyAnswerDoes) => Ok(Rows::new()),
-            (StoreFault::Loading, Defect::LoadingIsEmpty) => Ok(Rows::new()),
+        match (state.fault, self.defect) {
+            (StoreFault::DelayedReply, Defect::AcceptsMismatchedReply) => Ok(Rows::new()),
+            (StoreFault::Loading, Defect::TreatsLoadingAsEmpty) => Ok(Rows::new()),
             (
                 StoreFault::Silent
-                | StoreFault::HalfAnswer
-                | StoreFault::Late
+                | StoreFault::PartialReply
+                | StoreFault::DelayedReply
                 | StoreFault::Loading,
                 _,
-            ) => unable("no answer"),
+            ) => unavailable("no valid reply"),
             _ => Ok(state.rows.clone()),
         }
     }
@@ -323,9 +337,9 @@
 impl Drop for Handle {
     fn drop(&mut self) {
         let mut state = lock(&self.state);
-        if !state.dark && state.lives == self.lives {
-            state.settle();
-            state.open = state.open.saturating_sub(1);
+        if !state.is_power_off && state.power_losses == self.power_losses {
+            state.apply_deferred();
+            state.open_handles = state.open_handles.saturating_sub(1);
         }
     }
 }
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -1,54 +1,60 @@
-//! Each case of the suite catches what it is there for.
+//! Each case of the store suite detects the defect it is meant for.
 
 use std::collections::BTreeSet;
 
 use beaconflow_contracts::stores::model::{Defect, InMemory};
 use beaconflow_contracts::stores::{Subject, cases};
 
-const TABLE: &[(Defect, &str)] = &[
-    (Defect::RemovesForGood, "the last put holds"),
-    (Defect::WritesBehind, "durable on return"),
-    (Defect::RowByRow, "all or none"),
-    (Defect::RemovesBehind, "killed at each write"),
-    (Defect::MendsInPlace, "killed while it opens"),
-    (Defect::TakesAllWhenFull, "full"),
-    (Defect::TakesAllWhenReadOnly, "read-only"),
-    (Defect::BehindWhenSlow, "slow"),
-    (Defect::HoldsTheRemoved, "emptied under its reader"),
-    (Defect::ReadsTheNewer, "newer schema"),
-    (Defect::OpensTwice, "opened twice"),
-    (Defect::SilenceIsYes, "a silent server"),
-    (Defect::HalfIsWhole, "half an answer"),
-    (Defect::RepeatIsRefused, "a reset in the middle"),
-    (Defect::AnyAnswerDoes, "late answers"),
-    (Defect::LoadingIsEmpty, "a loading server"),
+const DEFECTS_AND_CASES: &[(Defect, &str)] = &[
+    (Defect::IgnoresPutAfterRemove, "last change persists"),
+    (Defect::DefersPuts, "put is durable on return"),
+    (Defect::SplitsBatches, "batch is atomic"),
+    (Defect::DefersRemoves, "power loss at each write"),
+    (Defect::RecoversInPlace, "power loss while opening"),
+    (Defect::AcknowledgesWhenFull, "full"),
+    (Defect::AcknowledgesWhenReadOnly, "read-only"),
+    (Defect::DefersWhenSlow, "slow writes"),
+    (Defect::IgnoresClear, "cleared while open"),
+    (Defect::OpensNewerSchema, "newer data is preserved"),
+    (Defect::AllowsSecondOpen, "second open"),
+    (Defect::TreatsSilenceAsSuccess, "silent server"),
+    (Defect::TreatsPartialReplyAsSuccess, "partial reply"),
+    (Defect::RejectsRetry, "reset during reply"),
+    (Defect::AcceptsMismatchedReply, "delayed replies"),
+    (Defect::TreatsLoadingAsEmpty, "loading server"),
 ];
 
-/// The cases that a store with this defect fails.
-fn failed(defect: Defect) -> BTreeSet<&'static str> {
-    let make = || Box::new(InMemory::new(defect)) as Box<dyn Subject>;
+/// Names of the cases that a store with this defect fails.
+fn failed_cases(defect: Defect) -> BTreeSet<&'static str> {
+    let make_subject = || Box::new(InMemory::new(defect)) as Box<dyn Subject>;
     cases()
         .into_iter()
-        .filter(|case| (case.run)(&make).is_err())
+        .filter(|case| (case.run)(&make_subject).is_err())
         .map(|case| case.name)
         .collect()
 }
 
 #[test]
-fn a_store_with_one_defect_fails_the_case_that_is_there_for_it() {
-    assert!(failed(Defect::None).is_empty());
-    for (defect, case) in TABLE {
-        let failed = failed(*defect);
+fn fails_matching_case_when_store_has_defect() {
+    assert!(
+        failed_cases(Defect::None).is_empty(),
+        "a store without a defect fails a case"
+    );
+    for (defect, case) in DEFECTS_AND_CASES {
+        let failed = failed_cases(*defect);
         assert!(
             failed.contains(case),
-            "{defect:?} fails {failed:?}, and not {case}"
+            "a store that {defect:?} fails {failed:?}, not {case}"
         );
     }
 }
 
 #[test]
-fn each_case_has_a_defect() {
-    let all: Vec<&str> = cases().iter().map(|case| case.name).collect();
-    let caught: Vec<&str> = TABLE.iter().map(|(_, case)| *case).collect();
-    assert_eq!(all, caught);
+fn lists_one_defect_for_each_case() {
+    let case_names: Vec<&str> = cases().iter().map(|case| case.name).collect();
+    let covered_cases: Vec<&str> = DEFECTS_AND_CASES.iter().map(|(_, case)| *case).collect();
+    assert_eq!(
+        case_names, covered_cases,
+        "the table covers every case once, in order"
+    );
 }
