--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -11,13 +11,13 @@
 use support::*;
 
 /// Set-ups that the module lets be under way at the start.
-const WINDOW: usize = 12;
+const INITIAL_CONCURRENCY_LIMIT: usize = 12;
 const PASSWORD: &str = "an account's password";
 
 /// A program whose servers hold every set-up, on one of the fronts.
 struct Site {
     program: Program,
-    at: std::net::SocketAddr,
+    address: std::net::SocketAddr,
     api: Api,
     server: Held,
     wire: Wire,
@@ -32,11 +32,11 @@
 impl Site {
     /// Accounts `acme` and `bright` with shares of 58 to 42.
     fn start(wire: Wire, admission: &str) -> Site {
-        Site::with_servers(wire, admission, true)
+        Site::with_listed_server(wire, admission, true)
     }
 
-    fn with_servers(wire: Wire, admission: &str, any: bool) -> Site {
-        let (at, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
+    fn with_listed_server(wire: Wire, admission: &str, is_listed: bool) -> Site {
+        let (address, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
         let server = Held::start(wire);
         let folder = tempfile::tempdir().expect("a folder for temporary files");
         // Long enough that no set-up ends by itself within a story.
@@ -46,16 +46,16 @@
                 r#""projects":[{"name":"acme","share":0.58},{"name":"bright","share":0.42}],"lanes""#,
             );
         let rows = [("s0", server.address, "SERVING")];
-        let known = list(1, true, if any { &rows } else { &[] });
+        let server_list = list(1, true, if is_listed { &rows } else { &[] });
         let mut operator = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\n{admission}\n"
         );
-        let config = support::config(at, discovery.address, &known, &settings, 1_024);
+        let config = support::config(address, discovery.address, &server_list, &settings, 1_024);
         if wire == Wire::Nats {
             let settings: Value = serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
             let servers = format!("[{{ name = \"s0\", address = \"{}\" }}]", server.address);
             operator = format!(
-                "name = \"front\"\nlisten = \"{at}\"\nsockets = 1024\nwire = {{ connect_wait_ms = 5000 }}\n\
+                "name = \"front\"\nlisten = \"{address}\"\nsockets = 1024\nwire = {{ connect_wait_ms = 5000 }}\n\
                  store = {{ url = \"redis://{}/\" }}\nfarm = {{ servers = {servers} }}\n{operator}\n{}",
                 redis.address,
                 toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
@@ -79,7 +79,7 @@
         };
         let site = Site {
             program,
-            at,
+            address,
             api,
             server,
             wire,
@@ -107,104 +107,106 @@
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         match self.wire {
             Wire::Platform => {
-                let mut client = Peer::connect(self.at);
+                let mut client = Peer::connect(self.address);
                 client.say(&format!(
                     "OPEN a{number} k{number} c=once,t={account},d=8500{extra}\r\n"
                 ));
                 client
             }
-            Wire::Nats => support::nats::client(self.at, &format!("n{number}"), account, PASSWORD),
+            Wire::Nats => {
+                support::nats::client(self.address, &format!("n{number}"), account, PASSWORD)
+            }
         }
     }
 
-    fn opens(&self, account: &str, count: usize) -> Vec<Peer> {
+    fn open_many(&self, account: &str, count: usize) -> Vec<Peer> {
         (0..count).map(|_| self.open(account, "")).collect()
     }
 
-    fn admission(&self) -> Value {
+    fn admission_state(&self) -> Value {
         let answer = self.api.call("GET", "/v1/admission", "");
         assert_eq!(answer.status, 200);
         answer.body["fronts"][0].clone()
     }
 
     /// Waits until so many wait at the door.
-    fn waiting(&self, count: usize) {
-        let until = Instant::now() + PATIENCE;
-        while self.admission()["waiting"] != count {
+    fn wait_for_queue_length(&self, length: usize) {
+        let deadline = Instant::now() + PATIENCE;
+        while self.admission_state()["waiting"] != length {
             assert!(
-                Instant::now() < until,
-                "not {count} wait: {}",
-                self.admission()
+                Instant::now() < deadline,
+                "not {length} wait: {}",
+                self.admission_state()
             );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    fn account(&self, name: &str) -> Value {
-        let door = self.admission();
-        let rows = door["accounts"].as_array().expect("a list");
+    fn account_state(&self, name: &str) -> Value {
+        let state = self.admission_state();
+        let rows = state["accounts"].as_array().expect("a list");
         rows.iter()
             .find(|row| row["account"] == name)
-            .unwrap_or_else(|| panic!("no {name}: {door}"))
+            .unwrap_or_else(|| panic!("no {name}: {state}"))
             .clone()
     }
 
     /// Gives turns one after the other, as set-ups end; gives the first words of all set-ups. Guards against passes that
     /// are made at once and overtake each other on their way.
-    fn turns(&self, count: usize) -> Vec<String> {
+    fn admit_in_turn(&self, count: usize) -> Vec<String> {
         for turn in 1..=count {
             self.server.allow(1);
-            self.server.came(WINDOW + turn);
+            self.server.came(INITIAL_CONCURRENCY_LIMIT + turn);
         }
-        self.server.came(WINDOW + count)
+        self.server.came(INITIAL_CONCURRENCY_LIMIT + count)
     }
 
     /// Whether a set-up, by its first words at the server, is an account's.
-    fn is_of(&self, words: &str, account: &str) -> bool {
+    fn is_request_of(&self, request: &str, account: &str) -> bool {
         match self.wire {
-            Wire::Platform => words.contains(&format!("t={account},")),
-            Wire::Nats => words.contains(&format!("\"user\":\"{account}\"")),
+            Wire::Platform => request.contains(&format!("t={account},")),
+            Wire::Nats => request.contains(&format!("\"user\":\"{account}\"")),
         }
     }
 
     /// The time to come back that a refusal tells.
-    fn told(&self, client: &mut Peer) -> u64 {
+    fn retry_delay_ms(&self, client: &mut Peer) -> u64 {
         let answer = client.hear().expect("an answer");
-        let words = match self.wire {
+        let delay = match self.wire {
             Wire::Platform => answer.strip_prefix("BUSY ").map(str::to_owned),
             Wire::Nats => answer
                 .split_once("try again in ")
                 .map(|(_, rest)| rest.trim_end_matches([' ', '\'', 'm', 's']).to_owned()),
         };
-        let told = words
-            .and_then(|words| words.parse().ok())
+        let delay_ms = delay
+            .and_then(|delay| delay.parse().ok())
             .unwrap_or_else(|| panic!("no time: {answer}"));
-        assert!((1..=2_000).contains(&told), "{answer}");
+        assert!((1..=2_000).contains(&delay_ms), "{answer}");
         client.ended();
-        told
+        delay_ms
     }
 }
 
-fn number(of: &Value, field: &str) -> u64 {
-    of[field]
+fn number(object: &Value, field: &str) -> u64 {
+    object[field]
         .as_u64()
-        .unwrap_or_else(|| panic!("no {field} in {of}"))
+        .unwrap_or_else(|| panic!("no {field} in {object}"))
 }
 
 #[test]
-fn each_account_has_its_share_of_the_turns_on_both_fronts() {
+fn grants_each_account_its_share_on_both_fronts() {
     for wire in [Wire::Platform, Wire::Nats] {
         let site = Site::start(wire, "");
         // One account's burst comes first, whole.
-        let _acme = site.opens("acme", 60);
-        site.server.came(WINDOW);
-        let _bright = site.opens("bright", 50);
-        site.waiting(110 - WINDOW);
-        let turns = site.turns(75);
+        let _acme = site.open_many("acme", 60);
+        site.server.came(INITIAL_CONCURRENCY_LIMIT);
+        let _bright = site.open_many("bright", 50);
+        site.wait_for_queue_length(110 - INITIAL_CONCURRENCY_LIMIT);
+        let requests = site.admit_in_turn(75);
         site.server.allow(usize::MAX);
-        let acme = turns[WINDOW..WINDOW + 75]
+        let acme = requests[INITIAL_CONCURRENCY_LIMIT..INITIAL_CONCURRENCY_LIMIT + 75]
             .iter()
-            .filter(|words| site.is_of(words, "acme"))
+            .filter(|request| site.is_request_of(request, "acme"))
             .count();
         // 43.5 and two in a hundred.
         assert!(
@@ -212,7 +214,7 @@
             "{acme} of 75 turns for a share of 58%"
         );
         site.server.came(110);
-        let (acme, bright) = (site.account("acme"), site.account("bright"));
+        let (acme, bright) = (site.account_state("acme"), site.account_state("bright"));
         assert_eq!(
             (number(&acme, "admitted"), number(&bright, "admitted")),
             (60, 50)
@@ -229,31 +231,31 @@
 }
 
 #[test]
-fn a_full_door_turns_the_loud_away_and_keeps_who_waits_through_a_reload_on_both_fronts() {
+fn rejects_over_share_account_when_queue_is_full() {
     for wire in [Wire::Platform, Wire::Nats] {
         let mut site = Site::start(wire, "entries = 20");
-        let _under_way = site.opens("acme", WINDOW);
-        site.server.came(WINDOW);
-        let mut loud = site.opens("acme", 20);
-        site.waiting(20);
-        let mut quiet = site.opens("bright", 5);
+        let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
+        site.server.came(INITIAL_CONCURRENCY_LIMIT);
+        let mut over_share = site.open_many("acme", 20);
+        site.wait_for_queue_length(20);
+        let mut under_share = site.open_many("bright", 5);
         // Five of the loud account give way, and are told when to come again.
-        let until = Instant::now() + PATIENCE;
-        while number(&site.account("acme"), "refused") < 5 {
-            assert!(Instant::now() < until, "{}", site.admission());
+        let deadline = Instant::now() + PATIENCE;
+        while number(&site.account_state("acme"), "refused") < 5 {
+            assert!(Instant::now() < deadline, "{}", site.admission_state());
         }
         assert_eq!(
             (
-                number(&site.account("bright"), "waiting"),
-                number(&site.account("bright"), "refused")
+                number(&site.account_state("bright"), "waiting"),
+                number(&site.account_state("bright"), "refused")
             ),
             (5, 0)
         );
-        assert_eq!(number(&site.admission(), "waiting"), 20);
+        assert_eq!(number(&site.admission_state(), "waiting"), 20);
         // One that leaves while it waits is gone at once.
-        quiet.pop();
-        site.waiting(19);
-        assert_eq!(number(&site.account("bright"), "left"), 1);
+        under_share.pop();
+        site.wait_for_queue_length(19);
+        assert_eq!(number(&site.account_state("bright"), "left"), 1);
         // A reload that shrinks the bounds: the loud give way again, the others wait on.
         let smaller = site
             .operator
@@ -261,13 +263,13 @@
         std::fs::write(site.folder.path().join("operator.toml"), &smaller).expect("room");
         site.program.signal("HUP");
         assert!(site.program.says("taken over").contains("admission"));
-        site.waiting(10);
-        assert_eq!(number(&site.account("bright"), "waiting"), 4);
-        let refused = number(&site.account("acme"), "refused");
+        site.wait_for_queue_length(10);
+        assert_eq!(number(&site.account_state("bright"), "waiting"), 4);
+        let refused = number(&site.account_state("acme"), "refused");
         assert_eq!(refused, 5 + 9);
         // A planned end: each that waits or is under way gets its one final answer.
         site.program.signal("TERM");
-        for client in loud.iter_mut().chain(&mut quiet) {
+        for client in over_share.iter_mut().chain(&mut under_share) {
             assert!(!client.hear().expect("an answer").is_empty());
             client.ended();
         }
@@ -276,90 +278,90 @@
 }
 
 #[test]
-fn a_refusal_tells_a_time_that_its_line_drains_in() {
+fn rejection_carries_bounded_retry_delay() {
     let site = Site::start(Wire::Platform, "entries = 10");
-    let _under_way = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
-    let mut waiting = site.opens("acme", 10);
-    site.waiting(10);
+    let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
+    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    let mut clients = site.open_many("acme", 10);
+    site.wait_for_queue_length(10);
     let mut newcomer = site.open("acme", "");
     // Somebody of the longest queue gave way, which may be the newcomer.
-    let until = Instant::now() + PATIENCE;
-    while number(&site.account("acme"), "refused") == 0 {
-        assert!(Instant::now() < until);
+    let deadline = Instant::now() + PATIENCE;
+    while number(&site.account_state("acme"), "refused") == 0 {
+        assert!(Instant::now() < deadline);
     }
     site.server.allow(usize::MAX);
-    site.server.came(WINDOW + 10);
-    let mut told = Vec::new();
-    waiting.push(newcomer);
-    for client in &mut waiting {
+    site.server.came(INITIAL_CONCURRENCY_LIMIT + 10);
+    let mut rejections = Vec::new();
+    clients.push(newcomer);
+    for client in &mut clients {
         newcomer = Peer::new(client.stream.try_clone().expect("open"));
         match newcomer.hear().expect("an answer").as_str() {
             "UP r1" => {}
-            other => told.push(other.to_owned()),
+            other => rejections.push(other.to_owned()),
         }
     }
-    assert_eq!(told.len(), 1);
-    let told: u64 = told[0]
+    assert_eq!(rejections.len(), 1);
+    let delay_ms: u64 = rejections[0]
         .strip_prefix("BUSY ")
-        .and_then(|words| words.parse().ok())
+        .and_then(|delay| delay.parse().ok())
         .expect("a time");
-    assert!((1..=2_000).contains(&told));
+    assert!((1..=2_000).contains(&delay_ms));
 }
 
 #[test]
-fn a_client_that_returns_after_a_move_is_not_refused_behind_a_flood() {
+fn admits_returning_client_ahead_of_flood() {
     let site = Site::start(Wire::Platform, "entries = 20");
-    let _under_way = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
-    let _flood = site.opens("acme", 20);
-    site.waiting(20);
-    let mut back = site.open("acme", ",again=1");
-    let until = Instant::now() + PATIENCE;
-    while number(&site.account("acme"), "refused") == 0 {
-        assert!(Instant::now() < until);
+    let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
+    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    let _flood = site.open_many("acme", 20);
+    site.wait_for_queue_length(20);
+    let mut returning = site.open("acme", ",again=1");
+    let deadline = Instant::now() + PATIENCE;
+    while number(&site.account_state("acme"), "refused") == 0 {
+        assert!(Instant::now() < deadline);
     }
-    site.waiting(20);
+    site.wait_for_queue_length(20);
     // Of the first two turns one is its own. The window grows with what stands: one set-up that ends makes two turns.
     site.server.allow(1);
-    let turns = site.server.came(WINDOW + 2);
+    let requests = site.server.came(INITIAL_CONCURRENCY_LIMIT + 2);
     assert!(
-        turns[WINDOW..]
+        requests[INITIAL_CONCURRENCY_LIMIT..]
             .iter()
-            .any(|words| words.contains("again=1")),
-        "{turns:?}"
+            .any(|request| request.contains("again=1")),
+        "{requests:?}"
     );
     site.server.allow(usize::MAX);
-    back.hears("UP r1");
+    returning.hears("UP r1");
 }
 
 #[test]
-fn one_whose_time_is_up_while_it_waits_is_answered_at_once() {
+fn rejects_queued_request_at_its_deadline() {
     let site = Site::start(Wire::Platform, "");
-    let _under_way = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
-    let began = Instant::now();
-    let mut client = Peer::connect(site.at);
+    let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
+    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    let started_at = Instant::now();
+    let mut client = Peer::connect(site.address);
     client.say("OPEN b1 k1 c=once,t=bright,d=700\r\n");
-    site.waiting(1);
-    site.told(&mut client);
-    let took = began.elapsed();
-    assert!(took < Duration::from_millis(1_200), "{took:?}");
+    site.wait_for_queue_length(1);
+    site.retry_delay_ms(&mut client);
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < Duration::from_millis(1_200), "{elapsed:?}");
     assert_eq!(
         (
-            number(&site.account("bright"), "given_up"),
-            number(&site.admission(), "waiting")
+            number(&site.account_state("bright"), "given_up"),
+            number(&site.admission_state(), "waiting")
         ),
         (1, 0)
     );
 }
 
 #[test]
-fn without_servers_no_line_grows_and_each_is_told_when_to_come_again() {
-    let site = Site::with_servers(Wire::Platform, "", false);
+fn rejects_requests_when_no_server_is_listed() {
+    let site = Site::with_listed_server(Wire::Platform, "", false);
     let mut clients: Vec<Peer> = (0..50)
         .map(|number| {
-            let mut client = Peer::connect(site.at);
+            let mut client = Peer::connect(site.address);
             client.say(&format!(
                 "OPEN c{number} k{number} c=once,t=acme,d=1500\r\n"
             ));
@@ -368,65 +370,67 @@
         .collect();
     clients
         .iter_mut()
-        .for_each(|client| assert!(site.told(client) > 0));
-    let door = site.admission();
+        .for_each(|client| assert!(site.retry_delay_ms(client) > 0));
+    let admission = site.admission_state();
     assert_eq!(
         (
-            number(&door, "waiting"),
-            number(&door["accounts"][0], "admitted")
+            number(&admission, "waiting"),
+            number(&admission["accounts"][0], "admitted")
         ),
         (0, 0),
-        "{door}"
+        "{admission}"
     );
 }
 
 #[test]
-fn shares_of_the_platforms_file_are_taken_over_by_a_reload() {
+fn reload_applies_new_account_shares() {
     let site = Site::start(Wire::Platform, "");
-    let _acme = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
+    let _acme = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
+    site.server.came(INITIAL_CONCURRENCY_LIMIT);
     let config = site.config.replace("\"share\":0.58", "\"share\":0.10");
     std::fs::write(site.folder.path().join("config.json"), config).expect("room");
     site.program.signal("HUP");
     assert!(site.program.says("taken over").contains("shares"));
-    let _waiting = (site.opens("acme", 60), site.opens("bright", 60));
-    site.waiting(120);
-    let turns = site.turns(50);
+    let _waiting = (site.open_many("acme", 60), site.open_many("bright", 60));
+    site.wait_for_queue_length(120);
+    let requests = site.admit_in_turn(50);
     site.server.allow(usize::MAX);
-    let acme = turns[WINDOW..WINDOW + 50]
+    let acme = requests[INITIAL_CONCURRENCY_LIMIT..INITIAL_CONCURRENCY_LIMIT + 50]
         .iter()
-        .filter(|words| site.is_of(words, "acme"))
+        .filter(|request| site.is_request_of(request, "acme"))
         .count();
     assert!((8..=12).contains(&acme), "{acme} of 50 turns for 10 to 42");
-    let due = site.account("acme")["due"].as_f64().expect("a number");
+    let due = site.account_state("acme")["due"]
+        .as_f64()
+        .expect("a number");
     assert!((due - 0.1 / 0.52).abs() < 0.01, "{due}");
 }
 
 #[test]
-fn an_account_that_is_over_its_share_for_long_is_told_of() {
+fn logs_account_that_stays_over_its_quota() {
     let site = Site::start(Wire::Platform, "over_share_s = 1");
     site.server.allow(usize::MAX);
     // Eight of nine turns are one account's, until that is told of.
-    let (at, done) = (site.at, AtomicBool::new(false));
+    let (address, is_done) = (site.address, AtomicBool::new(false));
     let line = std::thread::scope(|scope| {
         scope.spawn(|| {
-            let mut standing = Vec::new();
+            let mut established = Vec::new();
             for number in 0.. {
-                if done.load(Ordering::Relaxed) {
+                if is_done.load(Ordering::Relaxed) {
                     return;
                 }
                 let account = if number % 9 == 0 { "acme" } else { "bright" };
-                let mut client = Peer::connect(at);
+                let mut client = Peer::connect(address);
                 client.say(&format!(
                     "OPEN d{number} k{number} c=once,t={account},d=8500\r\n"
                 ));
                 client.hears("UP r1");
-                standing.push(client);
+                established.push(client);
                 std::thread::sleep(Duration::from_millis(40));
             }
         });
         let line = site.program.says("account over its quota");
-        done.store(true, Ordering::Relaxed);
+        is_done.store(true, Ordering::Relaxed);
         line
     });
     assert!(
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -18,14 +18,18 @@
 impl Site {
     fn start() -> Site {
         let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let (at, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
+        let (address, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
         let config = folder.path().join("config.json");
-        let known = list(
+        let server_list = list(
             1,
             true,
             &[("s0", server, "SERVING"), ("s1", server, "SERVING")],
         );
-        std::fs::write(&config, support::config(at, free(), &known, SETTINGS, 256)).expect("room");
+        std::fs::write(
+            &config,
+            support::config(address, free(), &server_list, SETTINGS, 256),
+        )
+        .expect("room");
         let operator = folder.path().join("operator.toml");
         let text = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {:?}\n[log]\nform = \"json\"\n",
@@ -49,25 +53,25 @@
     }
 
     /// Runs a command against the API.
-    fn run(&self, words: &[&str]) -> Output {
-        let mut all = words.to_vec();
+    fn run(&self, args: &[&str]) -> Output {
+        let mut all = args.to_vec();
         all.extend(["--api", &self.api, "--token-file", &self.token]);
         run(&all)
     }
 
     /// The same, which has to succeed; gives what it printed.
-    fn prints(&self, words: &[&str]) -> String {
-        let output = self.run(words);
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(0), "{words:?}: {said}");
+    fn run_successfully(&self, args: &[&str]) -> String {
+        let output = self.run(args);
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(0), "{args:?}: {stderr}");
         String::from_utf8(output.stdout).expect("text")
     }
 }
 
-fn run(words: &[&str]) -> Output {
+fn run(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_beaconflow"));
     command
-        .args(words)
+        .args(args)
         .env_remove("BEACONFLOW_TOKEN")
         .env_remove("BEACONFLOW_API")
         .env_remove("BEACONFLOW_WHO");
@@ -75,7 +79,7 @@
 }
 
 /// Exit code, and what was printed to standard error.
-fn ended(output: &Output) -> (Option<i32>, String) {
+fn exit_code_and_stderr(output: &Output) -> (Option<i32>, String) {
     (
         output.status.code(),
         String::from_utf8(output.stderr.clone()).expect("text"),
@@ -83,10 +87,10 @@
 }
 
 #[test]
-fn an_override_is_added_shown_changed_and_removed_by_commands() {
+fn override_commands_add_show_extend_and_remove() {
     let site = Site::start();
     assert!(
-        site.prints(&["override", "list"])
+        site.run_successfully(&["override", "list"])
             .contains("No override holds.")
     );
     let add = [
@@ -102,7 +106,7 @@
         "--why",
         "slow disk",
     ];
-    let added = site.prints(&add);
+    let added = site.run_successfully(&add);
     // The log is JSON here, with fields of stable names.
     let line: serde_json::Value =
         serde_json::from_str(&site.program.says("override created")).expect("JSON");
@@ -131,13 +135,13 @@
         "override", "add", "pin", "s1", "--group", "north", "--strict", "--for", "90s", "--who",
         "ada",
     ];
-    let pinned = site.prints(&[&pinned[..], &["--why", "tests", "--json"]].concat());
+    let pinned = site.run_successfully(&[&pinned[..], &["--why", "tests", "--json"]].concat());
     let pinned: serde_json::Value = serde_json::from_str(&pinned).expect("JSON");
     assert_eq!(
         (pinned["group"].as_str(), pinned["mode"].as_str()),
         (Some("north"), Some("strict"))
     );
-    let listed = site.prints(&["override", "list"]);
+    let listed = site.run_successfully(&["override", "list"]);
     let rows: Vec<&str> = listed.lines().collect();
     assert!(
         rows[0].contains("LEFT") && rows[0].contains("EFFECT"),
@@ -147,12 +151,12 @@
         rows[1].contains("1h 29m") && rows[2].contains("pin group north to s1, strict"),
         "{listed}"
     );
-    let farm = site.prints(&["farm"]);
+    let farm = site.run_successfully(&["farm"]);
     assert!(
         farm.contains("ready 1.000") && farm.contains("ready 0.250") && farm.contains("slow disk"),
         "{farm}"
     );
-    let extended = site.prints(&[
+    let extended = site.run_successfully(&[
         "override",
         "extend",
         "1",
@@ -170,65 +174,76 @@
             && extended["revision"] == 2
     );
     // Late, unknown, faulty, conflicting: refused, each in words.
-    let (code, said) = ended(&site.run(&["override", "remove", "1", "--revision", "1"]));
-    assert!(code == Some(4) && said.contains("412"), "{said}");
-    assert_eq!(ended(&site.run(&["override", "show", "99"])).0, Some(4));
+    let (code, stderr) =
+        exit_code_and_stderr(&site.run(&["override", "remove", "1", "--revision", "1"]));
+    assert!(code == Some(4) && stderr.contains("412"), "{stderr}");
+    assert_eq!(
+        exit_code_and_stderr(&site.run(&["override", "show", "99"])).0,
+        Some(4)
+    );
     let wrong = [
         "override", "add", "weight", "s0", "0", "--for", "1h", "--who", "ada", "--why", "w",
     ];
-    let (code, said) = ended(&site.run(&wrong));
-    assert!(code == Some(4) && said.contains("factor"), "{said}");
-    assert!(site.prints(&["override", "remove", "1"]).contains("ended"));
-    assert!(!site.prints(&["override", "list"]).contains("slow disk"));
-    let both = [
+    let (code, stderr) = exit_code_and_stderr(&site.run(&wrong));
+    assert!(code == Some(4) && stderr.contains("factor"), "{stderr}");
+    assert!(
+        site.run_successfully(&["override", "remove", "1"])
+            .contains("ended")
+    );
+    assert!(
+        !site
+            .run_successfully(&["override", "list"])
+            .contains("slow disk")
+    );
+    let add_out = [
         "override", "add", "out", "s0", "--for", "1h", "--who", "ada", "--why", "w",
     ];
-    site.prints(&both);
-    let second: Vec<&str> = both
+    site.run_successfully(&add_out);
+    let add_out_second: Vec<&str> = add_out
         .iter()
         .map(|word| if *word == "s0" { "s1" } else { word })
         .collect();
-    let (code, said) = ended(&site.run(&second));
+    let (code, stderr) = exit_code_and_stderr(&site.run(&add_out_second));
     assert!(
-        code == Some(4) && said.contains("no ready server"),
-        "{said}"
+        code == Some(4) && stderr.contains("no ready server"),
+        "{stderr}"
     );
-    site.prints(&[&second[..], &["--force"]].concat());
+    site.run_successfully(&[&add_out_second[..], &["--force"]].concat());
     assert!(
-        site.prints(&["farm"])
+        site.run_successfully(&["farm"])
             .contains("warning: platform: overrides leave no ready server")
     );
 }
 
 #[test]
-fn exit_codes_say_whose_fault_it_was() {
+fn exit_code_identifies_cause_of_failure() {
     let site = Site::start();
     assert_eq!(
-        ended(&run(&["override", "list", "--api", &site.api])).0,
+        exit_code_and_stderr(&run(&["override", "list", "--api", &site.api])).0,
         Some(5),
         "no token"
     );
-    let wrong = site.folder.path().join("wrong");
-    std::fs::write(&wrong, "not the token at all").expect("room");
-    let wrong = wrong.to_str().expect("text");
+    let wrong_token = site.folder.path().join("wrong");
+    std::fs::write(&wrong_token, "not the token at all").expect("room");
+    let wrong_token = wrong_token.to_str().expect("text");
     assert_eq!(
-        ended(&run(&[
+        exit_code_and_stderr(&run(&[
             "override",
             "list",
             "--api",
             &site.api,
             "--token-file",
-            wrong
+            wrong_token
         ]))
         .0,
         Some(5)
     );
-    let nobody = free().to_string();
+    let unused_address = free().to_string();
     assert_eq!(
-        ended(&run(&[
+        exit_code_and_stderr(&run(&[
             "farm",
             "--api",
-            &nobody,
+            &unused_address,
             "--token-file",
             &site.token
         ]))
@@ -236,32 +251,38 @@
         Some(3)
     );
     assert_eq!(
-        ended(&run(&["farm", "--token-file", "/no/such/file"])).0,
+        exit_code_and_stderr(&run(&["farm", "--token-file", "/no/such/file"])).0,
         Some(1)
     );
-    assert_eq!(ended(&run(&["no-such-command"])).0, Some(2));
+    assert_eq!(exit_code_and_stderr(&run(&["no-such-command"])).0, Some(2));
     assert_eq!(
-        ended(&site.run(&["override", "add", "out", "s0", "--who", "a", "--why", "b"])).0,
+        exit_code_and_stderr(
+            &site.run(&["override", "add", "out", "s0", "--who", "a", "--why", "b"])
+        )
+        .0,
         Some(2)
     );
     // A token is never an argument, where others on the machine would read it.
-    assert_eq!(ended(&run(&["farm", "--token", ADMIN_TOKEN])).0, Some(2));
-    for words in [
+    assert_eq!(
+        exit_code_and_stderr(&run(&["farm", "--token", ADMIN_TOKEN])).0,
+        Some(2)
+    );
+    for args in [
         &["--help"][..],
         &["override", "add", "--help"],
         &["completions", "bash"],
         &["--version"],
     ] {
-        let output = run(words);
+        let output = run(args);
         assert!(
             output.status.success() && output.stdout.len() > 10,
-            "{words:?}"
+            "{args:?}"
         );
     }
 }
 
 #[test]
-fn check_names_every_fault_of_a_file_and_quotes_no_secret() {
+fn check_reports_every_error_without_quoting_secrets() {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let check = |text: &str| {
         let path = folder.path().join("operator.toml");
@@ -277,16 +298,16 @@
         "/../../deploy/nats.toml"
     ))
     .expect("it is there");
-    let (code, said) = check(&sample);
+    let (code, report) = check(&sample);
     assert!(
-        code == Some(1) && said.lines().count() == 1 && said.contains("admin.token"),
-        "{said}"
+        code == Some(1) && report.lines().count() == 1 && report.contains("admin.token"),
+        "{report}"
     );
     assert_eq!(
         check(&sample.replace("CHANGE-ME", "a token of one's own")).0,
         Some(0)
     );
-    let wrong = sample
+    let invalid = sample
         .replace("token = \"CHANGE-ME\"", "token = 7654321")
         .replace("listen = \"127.0.0.1:8222\"", "listen = \"0.0.0.0:8222\"")
         .replace("sockets = 4096", "sockets = -1\nsocket = 1")
@@ -299,7 +320,7 @@
             "[settings]",
             "[overrides]\nlongest_s = 0\nmost = 0\nramp_s = -1\nfile = 3\n[log]\nform = \"xml\"\n[settings]",
         );
-    let (code, said) = check(&wrong);
+    let (code, report) = check(&invalid);
     assert_eq!(code, Some(1));
     for field in [
         "admin.token",
@@ -318,19 +339,19 @@
         "overrides.file",
         "log.form",
     ] {
-        assert!(said.contains(field), "{field} is not in\n{said}");
+        assert!(report.contains(field), "{field} is not in\n{report}");
     }
-    assert!(!said.contains("7654321"), "{said}");
-    let (code, said) = check("[admin\n");
+    assert!(!report.contains("7654321"), "{report}");
+    let (code, report) = check("[admin\n");
     assert!(
-        code == Some(1) && said.contains("line 1: not TOML"),
-        "{said}"
+        code == Some(1) && report.contains("line 1: not TOML"),
+        "{report}"
     );
     assert_eq!(run(&["check", "/no/such/file"]).status.code(), Some(1));
 }
 
 #[test]
-fn check_names_every_fault_of_the_fleets_sections() {
+fn check_reports_every_error_in_fleet_sections() {
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
     let check = |text: &str| {
@@ -346,22 +367,22 @@
         "/../../deploy/fleet.toml"
     ))
     .expect("it is there");
-    let (code, said) = check(&sample);
+    let (code, report) = check(&sample);
     assert!(
-        code == Some(1) && said.lines().count() == 1 && said.contains("fleet.key_file"),
-        "{said}"
+        code == Some(1) && report.lines().count() == 1 && report.contains("fleet.key_file"),
+        "{report}"
     );
-    let private = |name: &str, text: &str| {
+    let write_private = |name: &str, text: &str| {
         std::fs::write(path(name), text).expect("room");
         std::fs::set_permissions(path(name), PermissionsExt::from_mode(0o600))
             .expect("its owner may");
     };
-    private("key", &format!("{}\n", "0123456789abcdef".repeat(4)));
-    private("short", "0123");
-    private("text", "no key at all");
-    let sound = sample.replace("/etc/beaconflow/fleet.key", &path("key"));
-    let (code, said) = check(&sound);
-    assert_eq!(code, Some(0), "{said}");
+    write_private("key", &format!("{}\n", "0123456789abcdef".repeat(4)));
+    write_private("short", "0123");
+    write_private("text", "no key at all");
+    let valid = sample.replace("/etc/beaconflow/fleet.key", &path("key"));
+    let (code, report) = check(&valid);
+    assert_eq!(code, Some(0), "{report}");
     let overrides = "[overrides]\nfile = \"/var/lib/beaconflow/gate-a.memory\"\n";
     for (field, from, to) in [
         ("fleet.name: 1 to 64", "\"gate-a\"", "\"gate a\""),
@@ -485,33 +506,33 @@
         ("edge: has no meaning without", "[fleet]", "[fleets]"),
         ("affinity: has no meaning without", "[fleet]", "[fleets]"),
     ] {
-        assert!(sound.contains(from), "{from}");
-        let (code, said) = check(&sound.replacen(from, to, 1));
+        assert!(valid.contains(from), "{from}");
+        let (code, report) = check(&valid.replacen(from, to, 1));
         assert!(
-            code == Some(1) && said.contains(field),
-            "{field} is not in\n{said}"
+            code == Some(1) && report.contains(field),
+            "{field} is not in\n{report}"
         );
     }
     // All at once, each named.
-    let wrong = sound
+    let invalid = valid
         .replace("size = 3", "size = 0")
         .replace("most_mb = 256", "most_mb = 0");
-    let (_, said) = check(&wrong.replace("serial = 1", "serial = 0"));
+    let (_, report) = check(&invalid.replace("serial = 1", "serial = 0"));
     for field in ["fleet.size", "memory.most_mb", "affinity.serial"] {
-        assert!(said.contains(field), "{field} is not in\n{said}");
+        assert!(report.contains(field), "{field} is not in\n{report}");
     }
 }
 
 #[test]
-fn the_door_is_shown_as_a_table_and_again_and_again() {
+fn admission_command_prints_and_refreshes_table() {
     let site = Site::start();
-    let once = site.prints(&["admission"]);
+    let table = site.run_successfully(&["admission"]);
     assert!(
-        once.contains("platform: 0 of 4096 wait, 0 of 4096 KiB") && once.contains("WAIT P50"),
-        "{once}"
+        table.contains("platform: 0 of 4096 wait, 0 of 4096 KiB") && table.contains("WAIT P50"),
+        "{table}"
     );
     let json: serde_json::Value =
-        serde_json::from_str(&site.prints(&["admission", "--json"])).expect("JSON");
+        serde_json::from_str(&site.run_successfully(&["admission", "--json"])).expect("JSON");
     assert_eq!(json["fronts"][0]["limits"]["queues"], 64, "{json}");
     // A live table ends with the program that it shows.
     let mut command = Command::new(env!("CARGO_BIN_EXE_beaconflow"));
--- a/crates/cli/tests/connections.rs
+++ b/crates/cli/tests/connections.rs
@@ -13,14 +13,14 @@
 use support::*;
 
 /// Longer than the program reads a peer that has had its last word, and shorter than a test may take.
-const BEYOND_LINGER: Duration = Duration::from_millis(800);
+const LONGER_THAN_LINGER: Duration = Duration::from_millis(800);
 /// Lines of over two reads of the program.
-const THREE_READS: usize = 10 * 1024;
+const THREE_READS_BYTES: usize = 10 * 1024;
 
 /// Whether the connection is not reset for so long. A reset that comes behind an end shows only as an error.
-fn is_not_reset(peer: &Peer, span: Duration) -> bool {
-    let until = Instant::now() + span;
-    while Instant::now() < until {
+fn is_not_reset(peer: &Peer, duration: Duration) -> bool {
+    let deadline = Instant::now() + duration;
+    while Instant::now() < deadline {
         if peer.stream.take_error().expect("open").is_some() {
             return false;
         }
@@ -30,13 +30,13 @@
 }
 
 /// Lines of together so many bytes, or a few more.
-fn lines(bytes: usize) -> String {
+fn lines_of_at_least(bytes: usize) -> String {
     let line = format!("M {}\r\n", "x".repeat(100));
     line.repeat(bytes / line.len() + 1)
 }
 
 /// Stops the program, has peers do something, and lets it go on: it finds all of it at once.
-fn meanwhile(site: &Site, act: impl FnOnce()) {
+fn while_stopped(site: &Site, act: impl FnOnce()) {
     let state = || {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", site.program.pid())).expect("it runs");
@@ -54,14 +54,14 @@
 
 /// Ends a connection, and waits until the system has the end at the program's side. Guards against an end that a busy
 /// machine brings there after the reset with which it answers what is sent to a closed connection.
-fn ends(peer: Peer) {
+fn close_and_wait_for_fin(peer: Peer) {
     /// The state of a connection whose other side has ended, in the system's table.
     const CLOSE_WAIT: &str = "08";
     let SocketAddr::V4(address) = peer.stream.local_addr().expect("open") else {
         panic!("no IPv4")
     };
     drop(peer);
-    let from = format!(
+    let hex_address = format!(
         "{:08X}:{:04X}",
         u32::from_ne_bytes(address.ip().octets()),
         address.port()
@@ -70,18 +70,18 @@
         let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
         table.lines().any(|line| {
             let mut fields = line.split_whitespace().skip(2);
-            fields.next() == Some(&from) && fields.next() == Some(CLOSE_WAIT)
+            fields.next() == Some(&hex_address) && fields.next() == Some(CLOSE_WAIT)
         })
     };
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while !has_ended() {
-        assert!(Instant::now() < until, "the end never came");
+        assert!(Instant::now() < deadline, "the end never came");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 /// A client that has asked whether clients are taken, and rests.
-fn rests(at: SocketAddr) -> Peer {
+fn connect_idle(at: SocketAddr) -> Peer {
     let mut client = Peer::connect(at);
     client.say("PING\r\n");
     client.hears("PONG");
@@ -89,15 +89,15 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_is_answered_and_not_sent_on() {
+fn answers_request_that_crosses_idle_close() {
     let site = Site::start("crosses", 1);
-    let mut client = rests(site.at);
+    let mut client = connect_idle(site.at);
     client.hears("BUSY");
     // It was written before the client read the end.
     client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     client.ended();
     assert!(
-        is_not_reset(&client, BEYOND_LINGER),
+        is_not_reset(&client, LONGER_THAN_LINGER),
         "its answer is not destroyed"
     );
     site.servers[0].set_nonblocking(true).expect("open");
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn a_request_that_is_there_when_a_resting_connection_is_due_to_end_is_served() {
+fn serves_request_present_at_idle_timeout() {
     let site = Site::start("due", 1);
-    let mut client = rests(site.at);
-    meanwhile(&site, || {
+    let mut client = connect_idle(site.at);
+    while_stopped(&site, || {
         // Its end is due when the program looks next, and its opening lies there.
         std::thread::sleep(Duration::from_millis(1_700));
         client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
@@ -117,11 +117,11 @@
 }
 
 #[test]
-fn whoever_goes_on_asking_is_not_ended_between_two_questions() {
+fn keeps_connection_that_pings_regularly() {
     let site = Site::start("asking", 1);
-    let mut client = rests(site.at);
-    let until = Instant::now() + Duration::from_millis(2_500);
-    while Instant::now() < until {
+    let mut client = connect_idle(site.at);
+    let deadline = Instant::now() + Duration::from_millis(2_500);
+    while Instant::now() < deadline {
         client.say("PING\r\n");
         client.hears("PONG");
         std::thread::sleep(Duration::from_millis(100));
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn at_a_planned_restart_resting_connections_are_answered_before_the_program_leaves() {
+fn planned_restart_answers_idle_connections_before_exit() {
     let mut site = Site::start("restart", 1);
-    let mut clients: Vec<Peer> = (0..5).map(|_| rests(site.at)).collect();
+    let mut clients: Vec<Peer> = (0..5).map(|_| connect_idle(site.at)).collect();
     site.program.signal("TERM");
     for client in &mut clients {
         client.hears("BUSY");
@@ -149,22 +149,22 @@
 }
 
 #[test]
-fn an_opening_that_takes_two_seconds_to_write_is_served() {
+fn serves_request_written_over_two_seconds() {
     let site = Site::start("slow", 1);
     let opening = "OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n";
     // Also where the client has rested for a while.
-    for (open, id) in [
+    for (connect, id) in [
         (Peer::connect as fn(SocketAddr) -> Peer, "b1"),
-        (rests, "b2"),
+        (connect_idle, "b2"),
     ] {
-        let mut client = open(site.at);
+        let mut client = connect(site.at);
         client.stream.set_nodelay(true).expect("open");
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for (number, byte) in (0_u32..).zip(opening.replace("b1", id).chars()) {
-            let due = begun
+            let due_at = started_at
                 + Duration::from_millis(1_900) * number
                     / u32::try_from(opening.len()).expect("short");
-            std::thread::sleep(due.saturating_duration_since(Instant::now()));
+            std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
             client.say(&byte.to_string());
         }
         site.serve(&mut client);
@@ -172,94 +172,94 @@
 }
 
 #[test]
-fn a_refused_client_that_goes_on_sending_keeps_its_answer() {
+fn rejected_client_still_sending_receives_answer() {
     let site = Site::start("refused", 1);
     let mut client = Peer::connect(site.at);
     client.say("HELLO\r\n");
     client.hears("ERR");
     client.say("more of it\r\n");
     client.ended();
-    assert!(is_not_reset(&client, BEYOND_LINGER));
+    assert!(is_not_reset(&client, LONGER_THAN_LINGER));
 }
 
 #[test]
-fn a_client_that_made_room_for_a_newcomer_keeps_its_answer_though_its_opening_crosses_it() {
+fn evicted_client_receives_answer_when_request_crosses() {
     let site = Site::start("room", 1);
     // More than may be open and say nothing, with 256 descriptors.
     let silent: Vec<Peer> = (0..52).map(|_| Peer::connect(site.at)).collect();
     std::thread::sleep(Duration::from_millis(200));
-    drop(rests(site.at));
+    drop(connect_idle(site.at));
     let has_answer = |peer: &&mut Peer| {
         peer.stream.set_nonblocking(true).expect("open");
-        let has = !matches!(peer.stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
+        let is_answered = !matches!(peer.stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
         peer.stream.set_nonblocking(false).expect("open");
-        has
+        is_answered
     };
     let mut silent = silent;
-    let last = silent
+    let evicted = silent
         .iter_mut()
         .rev()
         .find(has_answer)
         .expect("one made room");
-    last.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-    last.hears("BUSY");
-    last.ended();
-    assert!(is_not_reset(last, BEYOND_LINGER));
+    evicted.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    evicted.hears("BUSY");
+    evicted.ended();
+    assert!(is_not_reset(evicted, LONGER_THAN_LINGER));
 }
 
 #[test]
-fn a_client_beyond_the_last_connection_keeps_its_answer() {
+fn client_beyond_connection_limit_receives_answer() {
     let mut site = Site::start("beyond", 1);
     obliges(site.servers.remove(0));
-    let mut standing = Vec::new();
+    let mut established = Vec::new();
     let mut refused = loop {
         let mut client = site.open("chat", "");
         match client.hear().as_deref() {
-            Some("UP r") => standing.push(client),
+            Some("UP r") => established.push(client),
             answer => {
-                assert_eq!(answer, Some("BUSY"), "after {}", standing.len());
+                assert_eq!(answer, Some("BUSY"), "after {}", established.len());
                 break client;
             }
         }
     };
     refused.say("M 1\r\n");
     refused.ended();
-    assert!(is_not_reset(&refused, BEYOND_LINGER));
+    assert!(is_not_reset(&refused, LONGER_THAN_LINGER));
 }
 
 #[test]
-fn a_servers_last_line_reaches_its_client_though_the_clients_lines_cross_its_end() {
-    for last in ["MOVE", "BYE"] {
-        let site = Site::start(&format!("last{last}"), 1);
+fn relays_last_server_line_despite_crossing_lines() {
+    for last_line in ["MOVE", "BYE"] {
+        let site = Site::start(&format!("last{last_line}"), 1);
         let (mut client, mut server) = site.stand();
-        meanwhile(&site, || {
-            client.say(&lines(THREE_READS));
-            server.say(&format!("{last}\r\n"));
-            ends(server);
+        while_stopped(&site, || {
+            client.say(&lines_of_at_least(THREE_READS_BYTES));
+            server.say(&format!("{last_line}\r\n"));
+            close_and_wait_for_fin(server);
         });
-        client.hears(last);
+        client.hears(last_line);
         client.ended();
-        assert!(is_not_reset(&client, BEYOND_LINGER));
+        assert!(is_not_reset(&client, LONGER_THAN_LINGER));
     }
 }
 
 #[test]
-fn a_clients_last_line_and_its_end_reach_the_server_though_the_servers_lines_cross_them() {
+fn relays_last_client_line_despite_crossing_lines() {
     let site = Site::start("lastline", 1);
     let (mut client, mut server) = site.stand();
-    meanwhile(&site, || {
-        server.say(&lines(THREE_READS));
+    while_stopped(&site, || {
+        server.say(&lines_of_at_least(THREE_READS_BYTES));
         client.say("the last\r\n");
-        ends(client);
+        close_and_wait_for_fin(client);
     });
     server.hears("the last");
     server.ended();
 }
 
 #[test]
-fn a_client_that_has_ended_its_sending_takes_what_waits_for_it() {
+fn half_closed_client_receives_all_buffered_data() {
     /// What the server writes beyond what fits between the two.
-    const MORE: usize = 512 * 1024;
+    const EXTRA_BYTES: usize = 512 * 1024;
     let site = Site::start("takes", 1);
     // The system keeps little for this client: the more waits in the program.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -272,25 +272,28 @@
         .set_send_buffer_size(64 * 1024)
         .expect("open");
     let mut stream = server.stream.try_clone().expect("open");
-    let (written, most) = (
+    let (written, limit) = (
         Arc::new(AtomicUsize::new(0)),
         Arc::new(AtomicUsize::new(usize::MAX)),
     );
-    let (count, until) = (Arc::clone(&written), Arc::clone(&most));
-    let writes = std::thread::spawn(move || {
-        let line = lines(1);
-        while count.load(Ordering::SeqCst) < until.load(Ordering::SeqCst) {
+    let (writer_count, writer_limit) = (Arc::clone(&written), Arc::clone(&limit));
+    let writer = std::thread::spawn(move || {
+        let line = lines_of_at_least(1);
+        while writer_count.load(Ordering::SeqCst) < writer_limit.load(Ordering::SeqCst) {
             stream.write_all(line.as_bytes()).expect("nobody resets it");
-            count.fetch_add(line.len(), Ordering::SeqCst);
+            writer_count.fetch_add(line.len(), Ordering::SeqCst);
         }
     });
     // The client takes nothing: what lies between the two fills up.
-    let mut before = None;
-    while before != Some(written.load(Ordering::SeqCst)) {
-        before = Some(written.load(Ordering::SeqCst));
+    let mut previous = None;
+    while previous != Some(written.load(Ordering::SeqCst)) {
+        previous = Some(written.load(Ordering::SeqCst));
         std::thread::sleep(Duration::from_millis(200));
     }
-    most.store(written.load(Ordering::SeqCst) + MORE, Ordering::SeqCst);
+    limit.store(
+        written.load(Ordering::SeqCst) + EXTRA_BYTES,
+        Ordering::SeqCst,
+    );
     client.finish();
     server.ended();
     // What had room by chance has gone on; the next that is read of the server waits for the client again.
@@ -298,19 +301,19 @@
     SockRef::from(&client.stream)
         .set_recv_buffer_size(1 << 20)
         .expect("open");
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     client
         .stream
         .set_read_timeout(Some(PATIENCE))
         .expect("open");
-    let ended = client.stream.read_to_end(&mut heard);
-    writes.join().expect("all was taken");
+    let ended = client.stream.read_to_end(&mut received);
+    writer.join().expect("all was taken");
     assert!(ended.is_ok(), "{ended:?}");
-    assert_eq!(heard.len(), written.load(Ordering::SeqCst));
+    assert_eq!(received.len(), written.load(Ordering::SeqCst));
 }
 
 #[test]
-fn a_server_that_speaks_on_after_the_end_is_read_and_not_reset() {
+fn drains_server_that_sends_after_close() {
     let site = Site::start("speakson", 1);
     let (mut client, mut server) = site.stand();
     client.finish();
@@ -323,7 +326,7 @@
 }
 
 #[test]
-fn an_answer_that_no_line_can_hold_is_an_error_and_the_next_server_is_asked() {
+fn retries_next_server_after_overlong_answer() {
     let site = Site::start("long", 1);
     let mut client = site.open("chat", "");
     for answer in [format!("UP {}\r\n", "x".repeat(4_200)), "x".repeat(9_000)] {
@@ -344,7 +347,7 @@
 }
 
 #[test]
-fn a_second_answer_of_a_server_that_was_given_up_reaches_nobody() {
+fn discards_second_answer_of_abandoned_attempt() {
     let site = Site::start("second", 1);
     let mut client = site.open("chat", "");
     for first in ["BUSY", "ERR"] {
@@ -361,12 +364,12 @@
 }
 
 #[test]
-fn half_a_line_from_a_server_at_its_end_goes_on_and_the_connection_ends() {
+fn relays_partial_line_when_server_closes() {
     let site = Site::start("halfline", 1);
     let (mut client, mut server) = site.stand();
-    meanwhile(&site, || {
+    while_stopped(&site, || {
         server.say("whole\r\nhal");
-        ends(server);
+        close_and_wait_for_fin(server);
         client.say("M 1\r\n");
     });
     client.hears("whole");
@@ -375,7 +378,7 @@
 }
 
 /// A server that takes every opening, and tells its load when asked; for as long as the test runs.
-fn takes_and_tells(server: TcpListener) {
+fn serve_and_report_load(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
             std::thread::spawn(move || {
@@ -396,7 +399,7 @@
 }
 
 #[test]
-fn idle_clients_and_probes_leave_descriptors_for_the_watch_the_operators_and_a_reload() {
+fn reserves_descriptors_for_watch_operations_and_reload() {
     const SERVERS: usize = 90;
     let probes = SETTINGS.replace(
         "\"policy-limits\":{",
@@ -406,33 +409,33 @@
         "\"rules\"",
         "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
     );
-    let operators = free();
-    let env = [("LB_ADMIN_ADDR", operators.to_string())];
+    let operations_address = free();
+    let env = [("LB_ADMIN_ADDR", operations_address.to_string())];
     let env = env.each_ref().map(|(name, value)| (*name, value.as_str()));
     let mut site = Site::start_on(&settings, "descriptors", SERVERS, &env);
-    site.servers.drain(..).for_each(takes_and_tells);
-    let held = || {
+    site.servers.drain(..).for_each(serve_and_report_load);
+    let descriptor_count = || {
         std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
             .expect("it runs")
             .count()
     };
     let _first = site.discovery.watch();
-    let mut most = 0;
-    let mut standing = Vec::new();
+    let mut max_descriptors = 0;
+    let mut established = Vec::new();
     // Until no more are taken; meanwhile servers are asked for their loads.
     for _ in 0..300 {
         let mut client = site.open("chat", "");
         let answer = client.hear();
-        most = most.max(held());
+        max_descriptors = max_descriptors.max(descriptor_count());
         match answer.as_deref() {
-            Some("UP r") => standing.push(client),
+            Some("UP r") => established.push(client),
             _ => std::thread::sleep(Duration::from_millis(5)),
         }
     }
-    assert!(standing.len() > 40, "{} stand", standing.len());
+    assert!(established.len() > 40, "{} stand", established.len());
     let silent: Vec<Peer> = (0..200)
         .map(|_| {
-            most = most.max(held());
+            max_descriptors = max_descriptors.max(descriptor_count());
             Peer::connect(site.at)
         })
         .collect();
@@ -442,12 +445,12 @@
     site.program.signal("HUP");
     site.program.says("nothing has changed");
     let status = Api {
-        at: operators,
+        at: operations_address,
         token: "none is wanted",
     }
     .call("GET", "/status", "");
     assert_eq!(status.status, 200, "{}", status.body);
-    most = most.max(held());
-    assert!(most <= 256, "{most} descriptors");
+    max_descriptors = max_descriptors.max(descriptor_count());
+    assert!(max_descriptors <= 256, "{max_descriptors} descriptors");
     drop(silent);
 }
--- a/crates/cli/tests/deploy_file.rs
+++ b/crates/cli/tests/deploy_file.rs
@@ -5,7 +5,7 @@
 
 use toml::Table;
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .ancestors()
         .nth(2)
@@ -13,7 +13,7 @@
         .to_owned()
 }
 
-fn table(path: &Path) -> Table {
+fn read_toml(path: &Path) -> Table {
     std::fs::read_to_string(path)
         .expect("it is there")
         .parse()
@@ -21,11 +21,16 @@
 }
 
 /// The folders of the packages of the workspace that a package is built from, its own among them.
-fn built_from(folder: &str, met: &mut BTreeSet<String>) {
-    if !met.insert(folder.to_owned()) {
+fn collect_workspace_dependencies(folder: &str, visited: &mut BTreeSet<String>) {
+    if !visited.insert(folder.to_owned()) {
         return;
     }
-    let manifest = table(&root().join("crates").join(folder).join("Cargo.toml"));
+    let manifest = read_toml(
+        &workspace_root()
+            .join("crates")
+            .join(folder)
+            .join("Cargo.toml"),
+    );
     let dependencies = manifest
         .get("dependencies")
         .and_then(|all| all.as_table())
@@ -34,16 +39,16 @@
         let Some(path) = dependency.get("path").and_then(|path| path.as_str()) else {
             continue;
         };
-        built_from(
+        collect_workspace_dependencies(
             path.strip_prefix("../").expect("a package beside this one"),
-            met,
+            visited,
         );
     }
 }
 
 #[test]
-fn node_names_every_folder_of_the_real_balancer_and_policy_is_not_named_twice() {
-    let deploy = table(&root().join("deploy/balancer.toml"));
+fn node_lists_every_balancer_folder_once() {
+    let deploy = read_toml(&workspace_root().join("deploy/balancer.toml"));
     let list = |key: &str| -> BTreeSet<String> {
         let rows = deploy[key].as_array().expect("a list").iter();
         rows.map(|row| row.as_str().expect("text").to_owned())
@@ -51,14 +56,15 @@
     };
     let (node, policy) = (list("node"), list("policy"));
     let mut folders = BTreeSet::new();
-    built_from("cli", &mut folders);
+    collect_workspace_dependencies("cli", &mut folders);
     // The decisions' files are named one by one, so that none of the policy's is named twice.
     assert!(folders.remove("policy"), "{folders:?}");
     let mut expected: BTreeSet<String> = folders
         .iter()
         .map(|folder| format!("crates/{folder}/src"))
         .collect();
-    for file in std::fs::read_dir(root().join("crates/policy/src")).expect("it is there") {
+    for file in std::fs::read_dir(workspace_root().join("crates/policy/src")).expect("it is there")
+    {
         let name = file.expect("it is there").file_name();
         expected.insert(format!("crates/policy/src/{}", name.to_string_lossy()));
     }
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -9,37 +9,37 @@
 use support::site::Site;
 use support::*;
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// What a silent watch misses counts as told this long after it fell silent.
-const SILENT: Duration = Duration::from_secs(6);
+const MAX_SILENCE: Duration = Duration::from_secs(6);
 
 /// Has an agent answer all calls from now on, after a while, also such as are given up by then.
-fn answers(agent: TcpListener, after: Duration, words: String) {
+fn spawn_replies(agent: TcpListener, delay: Duration, response: String) {
     std::thread::spawn(move || {
         agent.set_nonblocking(false).expect("open");
-        let mut watches = Vec::new();
+        let mut open_watches = Vec::new();
         while let Ok((mut stream, _)) = agent.accept() {
-            std::thread::sleep(after);
-            let _ = stream.write_all(words.as_bytes());
-            watches.push(stream);
+            std::thread::sleep(delay);
+            let _ = stream.write_all(response.as_bytes());
+            open_watches.push(stream);
         }
     });
 }
 
 /// The usual settings with longer times, so that a pass is out for as long as its story takes.
-fn patient() -> String {
+fn long_timeout_settings() -> String {
     SETTINGS
         .replace("400000000,", "4000000000,")
         .replace("3000000000", "9000000000")
 }
 
-fn pushed() -> String {
-    patient().replace("subscribe", "automatic")
+fn automatic_discovery_settings() -> String {
+    long_timeout_settings().replace("subscribe", "automatic")
 }
 
 /// A call for a watch that has been taken, and not answered.
-fn asked(of: &TcpListener) -> Peer {
-    let mut peer = Peer::accept(of);
+fn accept_watch_call(listener: &TcpListener) -> Peer {
+    let mut peer = Peer::accept(listener);
     assert!(
         peer.hear()
             .is_some_and(|line| line.starts_with("GET /api/targets?watch=1&from="))
@@ -48,50 +48,50 @@
     peer
 }
 
-fn at(listener: &TcpListener) -> SocketAddr {
+fn address_of(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("bound")
 }
 
 /// A balancer with a discovery that the test plays, and the file that it reads.
-struct Watched {
+struct WatchingBalancer {
     program: Program,
-    at: SocketAddr,
+    address: SocketAddr,
     path: String,
     config: String,
 }
 
-fn watched(
+fn start_balancer(
     name: &str,
     settings: &str,
     discovery: &TcpListener,
-    known: &[(&str, SocketAddr, &str)],
-) -> Watched {
-    let at_clients = free();
+    server_list: &[(&str, SocketAddr, &str)],
+) -> WatchingBalancer {
+    let address = free();
     let config = config(
-        at_clients,
-        at(discovery),
-        &list(1, true, known),
+        address,
+        address_of(discovery),
+        &list(1, true, server_list),
         settings,
         256,
     );
     let path = file(name, &config);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-    Watched {
+    WatchingBalancer {
         program,
-        at: at_clients,
+        address,
         path,
         config,
     }
 }
 
-fn opened(at: SocketAddr, id: &str) -> Peer {
-    let mut client = Peer::connect(at);
+fn open_request(address: SocketAddr, id: &str) -> Peer {
+    let mut client = Peer::connect(address);
     client.say(&format!("OPEN {id} 02 c=chat,t=acme,d=9000,g=3\r\n"));
     client
 }
 
 /// Takes an opening and serves it.
-fn serves(server: &TcpListener, client: &mut Peer) -> Peer {
+fn accept_request(server: &TcpListener, client: &mut Peer) -> Peer {
     let mut peer = Peer::accept(server);
     peer.hear().expect("an opening");
     peer.say("UP r1\r\n");
@@ -99,13 +99,13 @@
     peer
 }
 
-fn nobody_comes_to(server: &TcpListener) {
+fn assert_no_connection(server: &TcpListener) {
     server.set_nonblocking(true).expect("open");
     assert!(server.accept().is_err(), "nothing is sent there");
 }
 
 #[test]
-fn an_indented_list_over_many_chunks_is_taken_as_one() {
+fn parses_indented_list_split_into_chunks() {
     let site = Site::start("indented", 2);
     let (mut client, _server) = site.stand();
     let mut watch = site.discovery.watch();
@@ -113,17 +113,17 @@
     site.discovery.falls_silent();
     watch.stream.set_nodelay(true).expect("open");
     let servers = [
-        ("s0", at(&site.servers[0]), "DRAINING"),
-        ("s1", at(&site.servers[1]), "SERVING"),
+        ("s0", address_of(&site.servers[0]), "DRAINING"),
+        ("s1", address_of(&site.servers[1]), "SERVING"),
     ];
-    let whole: serde_json::Value = serde_json::from_str(&list(7, true, &servers)).expect("JSON");
-    let text = serde_json::to_string_pretty(&whole).expect("JSON");
-    for piece in format!("\n{text}\n{}\n", list(8, false, &[]))
+    let snapshot: serde_json::Value = serde_json::from_str(&list(7, true, &servers)).expect("JSON");
+    let text = serde_json::to_string_pretty(&snapshot).expect("JSON");
+    for chunk in format!("\n{text}\n{}\n", list(8, false, &[]))
         .as_bytes()
         .chunks(5)
     {
-        let piece = std::str::from_utf8(piece).expect("ASCII");
-        watch.say(&format!("{:x}\r\n{piece}\r\n", piece.len()));
+        let chunk = std::str::from_utf8(chunk).expect("ASCII");
+        watch.say(&format!("{:x}\r\n{chunk}\r\n", chunk.len()));
     }
     site.program.says("generation=7 kind=Snapshot entries=2");
     site.program.says("generation=8 kind=Delta entries=0");
@@ -131,119 +131,158 @@
 }
 
 #[test]
-fn what_an_agent_gets_at_the_return_of_discovery_counts_for_a_request_that_waits() {
+fn retries_pending_request_with_list_from_recovered_discovery() {
     let (agent, old, new) = (listener(), listener(), listener());
-    let Watched {
-        program, at: front, ..
-    } = watched("return", &pushed(), &agent, &[("s0", at(&old), "SERVING")]);
-    let mut silent = vec![asked(&agent)];
+    let WatchingBalancer {
+        program,
+        address: front,
+        ..
+    } = start_balancer(
+        "return",
+        &automatic_discovery_settings(),
+        &agent,
+        &[("s0", address_of(&old), "SERVING")],
+    );
+    let mut silent = vec![accept_watch_call(&agent)];
     program.says("the known list serves");
-    let mut client = opened(front, "a1");
-    let mut waits_for = Peer::accept(&old);
-    waits_for.hear().expect("an opening");
+    let mut client = open_request(front, "a1");
+    let mut pending_attempt = Peer::accept(&old);
+    pending_attempt.hear().expect("an opening");
     // Discovery is down: the agent takes calls and says nothing. It returns just after the last of these began.
-    silent.extend((0..3).map(|_| asked(&agent)));
-    let returned = Instant::now();
-    let told = list(2, true, &[("s1", at(&new), "SERVING")]);
-    answers(
+    silent.extend((0..3).map(|_| accept_watch_call(&agent)));
+    let returned_at = Instant::now();
+    let snapshot = list(2, true, &[("s1", address_of(&new), "SERVING")]);
+    spawn_replies(
         agent,
         Duration::ZERO,
-        format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
+        format!("{RESPONSE_HEAD}{:x}\r\n{snapshot}\r\n", snapshot.len()),
     );
     program.says("generation=2 kind=Snapshot");
     assert!(
-        returned.elapsed() < Duration::from_secs(2),
+        returned_at.elapsed() < Duration::from_secs(2),
         "{:?}",
-        returned.elapsed()
+        returned_at.elapsed()
     );
-    waits_for.say("BUSY\r\n");
-    let _stands = serves(&new, &mut client);
-    nobody_comes_to(&old);
+    pending_attempt.say("BUSY\r\n");
+    let _stands = accept_request(&new, &mut client);
+    assert_no_connection(&old);
 }
 
 #[test]
-fn an_agents_first_word_is_heard_before_the_first_client() {
+fn applies_first_snapshot_before_accepting_clients() {
     // The program waits for a fifth of a second. Where the machine held this test up for longer, it is played again.
     for _ in 0..20 {
         let (agent, old, new) = (listener(), listener(), listener());
-        let known = [("s0", at(&old), "SERVING")];
-        let Watched {
-            program, at: front, ..
-        } = watched("first", &pushed(), &agent, &known);
+        let server_list = [("s0", address_of(&old), "SERVING")];
+        let WatchingBalancer {
+            program,
+            address: front,
+            ..
+        } = start_balancer(
+            "first",
+            &automatic_discovery_settings(),
+            &agent,
+            &server_list,
+        );
         // An agent that is only just there breaks the first call off. The second it answers after longer than a start
         // takes that does not wait.
-        drop(asked(&agent));
-        let told = list(2, true, &[("s1", at(&new), "SERVING")]);
-        answers(
+        drop(accept_watch_call(&agent));
+        let snapshot = list(2, true, &[("s1", address_of(&new), "SERVING")]);
+        spawn_replies(
             agent,
             Duration::from_millis(60),
-            format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
+            format!("{RESPONSE_HEAD}{:x}\r\n{snapshot}\r\n", snapshot.len()),
         );
-        let said = program.says_up_to("front=platform");
-        if said
+        let log_lines = program.says_up_to("front=platform");
+        if log_lines
             .iter()
             .any(|line| line.contains("the known list serves"))
         {
             continue;
         }
         // What the agent said is before the client in the core's queue, whichever of them the log tells first.
-        let _stands = serves(&new, &mut opened(front, "a1"));
-        return nobody_comes_to(&old);
+        let _stands = accept_request(&new, &mut open_request(front, "a1"));
+        return assert_no_connection(&old);
     }
     panic!("never in time");
 }
 
 /// Where a watch falls silent.
 #[derive(Clone, Copy, Debug)]
-enum Falls {
+enum SilencePoint {
     /// Before the answer's head.
-    AtOnce,
+    BeforeHead,
     /// After the head.
-    BeforeAnyList,
+    AfterHead,
     /// In the middle of a line.
-    InAList,
+    MidLine,
     /// The call that follows a SIGHUP which moves discovery.
     AfterSighup,
 }
 
-fn falls_silent(name: &str, settings: &str, falls: Falls) {
+fn assert_silent_watch_restarts(name: &str, settings: &str, silence_point: SilencePoint) {
     let (first, second, server) = (listener(), listener(), listener());
-    let site = watched(name, settings, &first, &[("s0", at(&server), "SERVING")]);
-    let mut silent = asked(&first);
+    let site = start_balancer(
+        name,
+        settings,
+        &first,
+        &[("s0", address_of(&server), "SERVING")],
+    );
+    let mut silent = accept_watch_call(&first);
     let mut discovery = &first;
-    match falls {
-        Falls::AtOnce => {}
-        Falls::BeforeAnyList => silent.say(HEAD),
-        Falls::InAList => {
-            silent.say(HEAD);
-            tell(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
-            let half = &list(3, false, &[("s0", at(&server), "DRAINING")])[..60];
+    match silence_point {
+        SilencePoint::BeforeHead => {}
+        SilencePoint::AfterHead => silent.say(RESPONSE_HEAD),
+        SilencePoint::MidLine => {
+            silent.say(RESPONSE_HEAD);
+            tell(
+                &mut silent,
+                2,
+                true,
+                &[("s0", address_of(&server), "SERVING")],
+            );
+            let half = &list(3, false, &[("s0", address_of(&server), "DRAINING")])[..60];
             silent.say(&format!("{:x}\r\n{half}\r\n", half.len()));
         }
-        Falls::AfterSighup => {
-            silent.say(HEAD);
-            tell(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
+        SilencePoint::AfterSighup => {
+            silent.say(RESPONSE_HEAD);
+            tell(
+                &mut silent,
+                2,
+                true,
+                &[("s0", address_of(&server), "SERVING")],
+            );
             site.program.says("generation=2");
-            let moved = site
-                .config
-                .replace(&at(&first).to_string(), &at(&second).to_string());
+            let moved = site.config.replace(
+                &address_of(&first).to_string(),
+                &address_of(&second).to_string(),
+            );
             std::fs::write(&site.path, moved).expect("the same folder");
             site.program.signal("HUP");
-            (silent, discovery) = (asked(&second), &second);
+            (silent, discovery) = (accept_watch_call(&second), &second);
         }
     }
-    let since = Instant::now();
+    let silent_since = Instant::now();
     assert!(silent.is_gone(), "{name}: broken");
-    let mut anew = asked(discovery);
-    anew.say(HEAD);
-    tell(&mut anew, 4, true, &[("s0", at(&server), "DRAINING")]);
+    let mut restarted = accept_watch_call(discovery);
+    restarted.say(RESPONSE_HEAD);
+    tell(
+        &mut restarted,
+        4,
+        true,
+        &[("s0", address_of(&server), "DRAINING")],
+    );
     site.program.says("generation=4 kind=Snapshot");
-    assert!(since.elapsed() < SILENT, "{name}: {:?}", since.elapsed());
+    assert!(
+        silent_since.elapsed() < MAX_SILENCE,
+        "{name}: {:?}",
+        silent_since.elapsed()
+    );
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_broken_and_begun_anew_in_time() {
-    let few = patient();
+fn restarts_silent_watch_within_limit() {
+    let few = long_timeout_settings();
     let many = few.replace("\"balancers\":1,", "\"balancers\":300,");
     std::thread::scope(|scope| {
         for (kind, settings) in [
@@ -251,28 +290,30 @@
             ("many", many.clone()),
             ("pushed", many.replace("subscribe", "automatic")),
         ] {
-            for falls in [
-                Falls::AtOnce,
-                Falls::BeforeAnyList,
-                Falls::InAList,
-                Falls::AfterSighup,
+            for silence_point in [
+                SilencePoint::BeforeHead,
+                SilencePoint::AfterHead,
+                SilencePoint::MidLine,
+                SilencePoint::AfterSighup,
             ] {
-                let (name, settings) = (format!("silent-{kind}-{falls:?}"), settings.clone());
-                scope.spawn(move || falls_silent(&name, &settings, falls));
+                let (name, settings) =
+                    (format!("silent-{kind}-{silence_point:?}"), settings.clone());
+                scope.spawn(move || assert_silent_watch_restarts(&name, &settings, silence_point));
             }
         }
     });
 }
 
 /// Connections that fill a listener's line, so that the next one does not come up before they are taken.
-fn fill(line_of: &TcpListener) -> Vec<TcpStream> {
-    let short = Duration::from_millis(100);
-    std::iter::from_fn(|| TcpStream::connect_timeout(&at(line_of), short).ok()).collect()
+fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
+    let connect_timeout = Duration::from_millis(100);
+    std::iter::from_fn(|| TcpStream::connect_timeout(&address_of(listener), connect_timeout).ok())
+        .collect()
 }
 
 /// Waits until a connection to there is on its way.
-fn is_tried(to: SocketAddr) {
-    let SocketAddr::V4(v4) = to else {
+fn wait_for_connect_attempt(address: SocketAddr) {
+    let SocketAddr::V4(v4) = address else {
         panic!("IPv4")
     };
     let row = format!(
@@ -280,106 +321,118 @@
         u32::from_ne_bytes(v4.ip().octets()),
         v4.port()
     );
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .contains(&row)
     {
-        assert!(Instant::now() < until, "nobody tries {to}");
+        assert!(Instant::now() < deadline, "nobody tries {address}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_drain_told_while_a_connection_comes_up_keeps_the_first_byte_back() {
+fn sends_nothing_when_drained_during_connect() {
     let (discovery, new) = (listener(), listener());
     // One place in its line.
     let old =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    old.bind(&SocketAddr::new(at(&listener()).ip(), 0).into())
+    old.bind(&SocketAddr::new(address_of(&listener()).ip(), 0).into())
         .expect("loopback");
     old.listen(0).expect("bound");
     let old = TcpListener::from(old);
-    let line = fill(&old);
-    let settings = patient().replace("200000000", "6000000000");
-    let known = [("s0", at(&old), "SERVING")];
-    let Watched {
-        program, at: front, ..
-    } = watched("between", &settings, &discovery, &known);
-    let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    let mut client = opened(front, "a1");
-    is_tried(at(&old));
+    let backlog = fill_backlog(&old);
+    let settings = long_timeout_settings().replace("200000000", "6000000000");
+    let server_list = [("s0", address_of(&old), "SERVING")];
+    let WatchingBalancer {
+        program,
+        address: front,
+        ..
+    } = start_balancer("between", &settings, &discovery, &server_list);
+    let mut watch = accept_watch_call(&discovery);
+    watch.say(RESPONSE_HEAD);
+    let mut client = open_request(front, "a1");
+    wait_for_connect_attempt(address_of(&old));
     tell(
         &mut watch,
         2,
         false,
-        &[("s0", at(&old), "DRAINING"), ("s1", at(&new), "SERVING")],
+        &[
+            ("s0", address_of(&old), "DRAINING"),
+            ("s1", address_of(&new), "SERVING"),
+        ],
     );
     program.says("generation=2 kind=Delta");
-    line.iter().for_each(|_| drop(Peer::accept(&old)));
+    backlog.iter().for_each(|_| drop(Peer::accept(&old)));
     assert!(
         Peer::accept(&old).is_gone(),
         "it came up, and not a byte was sent on it"
     );
-    let _stands = serves(&new, &mut client);
-    nobody_comes_to(&old);
+    let _stands = accept_request(&new, &mut client);
+    assert_no_connection(&old);
 }
 
 #[test]
-fn a_balancer_without_a_watch_calls_again_within_the_time_that_the_settings_give_for_asking() {
+fn retries_failed_watch_within_configured_time() {
     let (discovery, server) = (listener(), listener());
-    let settings = patient()
+    let settings = long_timeout_settings()
         .replace("\"balancers\":1,", "\"balancers\":300,")
         .replace(
             "\"ask-within-ns\":10000000000",
             "\"ask-within-ns\":2000000000",
         );
-    let known = [("s0", at(&server), "SERVING")];
-    let Watched {
-        program, at: front, ..
-    } = watched("without", &settings, &discovery, &known);
+    let server_list = [("s0", address_of(&server), "SERVING")];
+    let WatchingBalancer {
+        program,
+        address: front,
+        ..
+    } = start_balancer("without", &settings, &discovery, &server_list);
     program.says("to=serving");
-    let mut last = Instant::now();
+    let mut last_call_at = Instant::now();
     for _ in 0..4 {
-        let mut call = asked(&discovery);
+        let mut call = accept_watch_call(&discovery);
         assert!(
-            last.elapsed() < Duration::from_secs(2),
+            last_call_at.elapsed() < Duration::from_secs(2),
             "{:?}",
-            last.elapsed()
+            last_call_at.elapsed()
         );
-        last = Instant::now();
+        last_call_at = Instant::now();
         call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
     // The list that it has serves meanwhile.
-    let _stands = serves(&server, &mut opened(front, "a1"));
-    let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    tell(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
+    let _stands = accept_request(&server, &mut open_request(front, "a1"));
+    let mut watch = accept_watch_call(&discovery);
+    watch.say(RESPONSE_HEAD);
+    tell(
+        &mut watch,
+        2,
+        true,
+        &[("s0", address_of(&server), "SERVING")],
+    );
     program.says("generation=2 kind=Snapshot");
 }
 
 #[test]
-fn a_call_that_fails_late_is_repeated_before_what_it_would_tell_counts_as_told() {
+fn retries_late_failed_watch_within_silence_limit() {
     /// Discovery had the change when the call came, and could be reached.
-    const WAITS: Duration = Duration::from_millis(2_500);
+    const CALL_DURATION: Duration = Duration::from_millis(2_500);
     // Where the settings give much time for asking, or none at all.
-    let given = ["30000000000", "0"];
+    let ask_within_ns = ["30000000000", "0"];
     std::thread::scope(|scope| {
-        for (number, given) in (0..8).zip(given.into_iter().cycle()) {
+        for (number, ask_within_ns) in (0..8).zip(ask_within_ns.into_iter().cycle()) {
             scope.spawn(move || {
                 let (discovery, server) = (listener(), listener());
-                let settings = patient()
+                let settings = long_timeout_settings()
                     .replace("\"balancers\":1,", "\"balancers\":300,")
                     .replace(
                         "\"ask-within-ns\":10000000000",
-                        &format!("\"ask-within-ns\":{given}"),
+                        &format!("\"ask-within-ns\":{ask_within_ns}"),
                     );
-                let known = [("s0", at(&server), "SERVING")];
+                let server_list = [("s0", address_of(&server), "SERVING")];
                 let config = config(
                     free(),
-                    at(&discovery),
-                    &list(1, true, &known),
+                    address_of(&discovery),
+                    &list(1, true, &server_list),
                     &settings,
                     256,
                 );
@@ -387,18 +440,23 @@
                 let config = config.replace("\"seed\":\"7\"", &format!("\"seed\":\"{number}\""));
                 let path = file(&format!("late{number}"), &config);
                 let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-                let mut call = asked(&discovery);
-                let changed = Instant::now();
-                std::thread::sleep(WAITS);
+                let mut call = accept_watch_call(&discovery);
+                let changed_at = Instant::now();
+                std::thread::sleep(CALL_DURATION);
                 call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-                let mut watch = asked(&discovery);
-                watch.say(HEAD);
-                tell(&mut watch, 2, false, &[("s0", at(&server), "DRAINING")]);
+                let mut watch = accept_watch_call(&discovery);
+                watch.say(RESPONSE_HEAD);
+                tell(
+                    &mut watch,
+                    2,
+                    false,
+                    &[("s0", address_of(&server), "DRAINING")],
+                );
                 program.says("generation=2 kind=Delta");
                 assert!(
-                    changed.elapsed() < SILENT,
-                    "{given}: {:?}",
-                    changed.elapsed()
+                    changed_at.elapsed() < MAX_SILENCE,
+                    "{ask_within_ns}: {:?}",
+                    changed_at.elapsed()
                 );
             });
         }
@@ -406,114 +464,133 @@
 }
 
 #[test]
-fn a_watch_that_lacks_a_descriptor_is_asked_for_again_once_there_is_one() {
+fn restarts_watch_after_descriptor_exhaustion() {
     let (discovery, server, front) = (listener(), listener(), free());
-    let known = [("s0", at(&server), "SERVING")];
+    let server_list = [("s0", address_of(&server), "SERVING")];
     // The limit is lower than the file says, so that clients take all descriptors.
     let config = config(
         front,
-        at(&discovery),
-        &list(1, true, &known),
-        &patient(),
+        address_of(&discovery),
+        &list(1, true, &server_list),
+        &long_timeout_settings(),
         4096,
     );
     let path = file("lacks", &config);
     let program = Program::start_limited(40, &[("LB_CONFIG", path.as_str())]);
     program.says("to=serving");
-    let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    tell(&mut watch, 2, true, &known);
+    let mut watch = accept_watch_call(&discovery);
+    watch.say(RESPONSE_HEAD);
+    tell(&mut watch, 2, true, &server_list);
     program.says("generation=2 kind=Snapshot");
-    let crowd: Vec<TcpStream> = (0..200)
+    let clients: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(front).expect("its line is long"))
         .collect();
     program.says("accept failed");
     drop(watch);
     program.says("watch ended");
     // Whether the next call has a descriptor hangs on what is kept back for it.
-    drop(crowd);
-    let gone = Instant::now();
-    let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    tell(&mut watch, 3, true, &known);
+    drop(clients);
+    let released_at = Instant::now();
+    let mut watch = accept_watch_call(&discovery);
+    watch.say(RESPONSE_HEAD);
+    tell(&mut watch, 3, true, &server_list);
     program.says("generation=3 kind=Snapshot");
-    assert!(gone.elapsed() < SILENT, "{:?}", gone.elapsed());
-    let _stands = serves(&server, &mut opened(front, "a1"));
+    assert!(
+        released_at.elapsed() < MAX_SILENCE,
+        "{:?}",
+        released_at.elapsed()
+    );
+    let _stands = accept_request(&server, &mut open_request(front, "a1"));
 }
 
 /// Has the program's file name another discovery.
-fn names(site: &Watched, from: &TcpListener, to: &TcpListener) {
+fn reload_with_discovery(site: &WatchingBalancer, from: &TcpListener, to: &TcpListener) {
     let moved = site
         .config
-        .replace(&at(from).to_string(), &at(to).to_string());
+        .replace(&address_of(from).to_string(), &address_of(to).to_string());
     std::fs::write(&site.path, moved).expect("the same folder");
     site.program.signal("HUP");
 }
 
 #[test]
-fn a_sighup_that_comes_before_the_watch_stands_has_the_new_discovery_asked_for_the_whole_list() {
+fn requests_full_list_when_reloaded_before_connect() {
     // One place in its line, which is taken: the first call never comes up.
     let first =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     first
-        .bind(&SocketAddr::new(at(&listener()).ip(), 0).into())
+        .bind(&SocketAddr::new(address_of(&listener()).ip(), 0).into())
         .expect("loopback");
     first.listen(0).expect("bound");
     let first = TcpListener::from(first);
-    let _line = fill(&first);
+    let _backlog = fill_backlog(&first);
     let (second, server) = (listener(), listener());
-    let site = watched(
+    let site = start_balancer(
         "hup-early",
-        &patient(),
+        &long_timeout_settings(),
         &first,
-        &[("s0", at(&server), "SERVING")],
+        &[("s0", address_of(&server), "SERVING")],
     );
-    is_tried(at(&first));
-    let told = Instant::now();
-    names(&site, &first, &second);
+    wait_for_connect_attempt(address_of(&first));
+    let reloaded_at = Instant::now();
+    reload_with_discovery(&site, &first, &second);
     let mut watch = Peer::accept(&second);
     assert!(
         watch.hear().is_some_and(|line| line.contains("from=0 ")),
         "the whole list"
     );
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
-    watch.say(HEAD);
-    tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
+    watch.say(RESPONSE_HEAD);
+    tell(
+        &mut watch,
+        1,
+        true,
+        &[("s0", address_of(&server), "DRAINING")],
+    );
     site.program.says("generation=1 kind=Snapshot");
     assert!(
-        told.elapsed() < Duration::from_secs(4),
+        reloaded_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        told.elapsed()
+        reloaded_at.elapsed()
     );
 }
 
 #[test]
-fn of_two_sighups_in_quick_succession_the_last_counts() {
+fn applies_last_of_two_quick_reloads() {
     let (first, second, third, server) = (listener(), listener(), listener(), listener());
-    let site = watched(
+    let site = start_balancer(
         "hup-twice",
-        &patient(),
+        &long_timeout_settings(),
         &first,
-        &[("s0", at(&server), "SERVING")],
+        &[("s0", address_of(&server), "SERVING")],
+    );
+    let mut watch = accept_watch_call(&first);
+    watch.say(RESPONSE_HEAD);
+    tell(
+        &mut watch,
+        2,
+        true,
+        &[("s0", address_of(&server), "SERVING")],
     );
-    let mut watch = asked(&first);
-    watch.say(HEAD);
-    tell(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
     site.program.says("generation=2");
-    names(&site, &first, &second);
-    names(&site, &first, &third);
+    reload_with_discovery(&site, &first, &second);
+    reload_with_discovery(&site, &first, &third);
     let mut watch = Peer::accept(&third);
     assert!(
         watch.hear().is_some_and(|line| line.contains("from=0 ")),
         "the whole list"
     );
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
-    watch.say(HEAD);
-    tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
+    watch.say(RESPONSE_HEAD);
+    tell(
+        &mut watch,
+        1,
+        true,
+        &[("s0", address_of(&server), "DRAINING")],
+    );
     site.program.says("generation=1 kind=Snapshot");
     // And back to one that was left before.
     std::fs::write(&site.path, &site.config).expect("the same folder");
     site.program.signal("HUP");
     assert!(watch.is_gone(), "the watch on the one before is ended");
-    asked(&first);
+    accept_watch_call(&first);
 }
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -14,14 +14,14 @@
 /// A balancer with its stores, its farm told by discovery.
 struct Site {
     program: Program,
-    at: SocketAddr,
+    address: SocketAddr,
     api: Api,
     redis: Redis,
     discovery: Discovery,
     record: Shared,
     /// The operator's file, and what stands in it.
     path: String,
-    file: String,
+    file_text: String,
     _folder: tempfile::TempDir,
 }
 
@@ -31,12 +31,12 @@
     }
 
     fn with(name: &str, settings: &str) -> Site {
-        let (at, admin, redis, discovery) = (free(), free(), redis(), Discovery::start());
+        let (address, admin, redis, discovery) = (free(), free(), redis(), Discovery::start());
         let settings = settings.replace("\n", " ");
         let folder = tempfile::tempdir().expect("a folder for temporary files");
         let settings: serde_json::Value = serde_json::from_str(&settings).expect("JSON");
         let file_text = format!(
-            "name = \"front\"\nlisten = \"{at}\"\nsockets = 256\n\
+            "name = \"front\"\nlisten = \"{address}\"\nsockets = 256\n\
              wire = {{ max_payload = 64, connect_wait_ms = 300, ping_after_ms = 300, silence_ms = 2000 }}\n\
              store = {{ url = \"redis://{}/\", fresh_ms = 1 }}\nadmin = {{ listen = \"{admin}\", token = \"{ADMIN_TOKEN}\" }}\n\
              overrides = {{ file = \"{}\", ramp_s = 0.4 }}\n\
@@ -57,29 +57,29 @@
         };
         let site = Site {
             program,
-            at,
+            address,
             api,
             redis,
             discovery,
             record,
             path,
-            file: file_text,
+            file_text,
             _folder: folder,
         };
         assert_eq!(
-            site.ask("POST", "/v1/tenants", &tenant("acme", "chat", 8))
+            site.call_api("POST", "/v1/tenants", &tenant_json("acme", "chat", 8))
                 .0,
             201
         );
         assert_eq!(
-            site.ask("POST", "/v1/tenants", &tenant("once", "once", 8))
+            site.call_api("POST", "/v1/tenants", &tenant_json("once", "once", 8))
                 .0,
             201
         );
         site
     }
 
-    fn ask(&self, method: &str, path: &str, body: &str) -> (u16, String) {
+    fn call_api(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let Answer { status, body, .. } = self.api.call(method, path, body);
         let text = body.to_string();
         for secret in [PASSWORD, ADMIN_TOKEN, "up-secret", "argon2"] {
@@ -89,18 +89,18 @@
     }
 
     fn client(&self, name: &str) -> Peer {
-        client(self.at, name, "acme", PASSWORD)
+        client(self.address, name, "acme", PASSWORD)
     }
 
     /// The client's one final answer, booked; every rule holds after it.
-    fn answer(&self, name: &str, client: &mut Peer) -> String {
+    fn record_answer(&self, name: &str, client: &mut Peer) -> String {
         let answer = client.hear().expect("an answer");
         self.record.lock().expect("sound").answered(name, &answer);
-        self.check();
+        self.check_rules();
         answer
     }
 
-    fn check(&self) {
+    fn check_rules(&self) {
         self.record.lock().expect("sound").check();
     }
 
@@ -109,14 +109,16 @@
     }
 }
 
-fn tenant(name: &str, class: &str, connections: usize) -> String {
+fn tenant_json(name: &str, class: &str, connections: usize) -> String {
     format!(
         r#"{{"name":"{name}","password":"{PASSWORD}","class":"{class}","connections":{connections},
             "upstream":{{"user":"up","password":"up-secret"}}}}"#
     )
 }
 
-fn rows<'a>(servers: &[(&'a NatsServer, &'a str)]) -> Vec<(&'a str, SocketAddr, &'a str)> {
+fn discovery_rows<'a>(
+    servers: &[(&'a NatsServer, &'a str)],
+) -> Vec<(&'a str, SocketAddr, &'a str)> {
     servers
         .iter()
         .map(|(server, state)| (server.name.as_str(), server.address, *state))
@@ -124,7 +126,7 @@
 }
 
 #[test]
-fn every_rule_holds_after_every_exchange() {
+fn relay_rules_hold_after_every_exchange() {
     let site = Site::start("rules");
     let mut watch = site.discovery.watch();
     // A server that takes CONNECT and falls silent, one that is full, one that hangs up, one that serves.
@@ -132,19 +134,19 @@
     let full = site.server("full", Manner::Full);
     let mute = site.server("mute", Manner::Mute);
     let good = site.server("good", Manner::Serve);
-    let all = [
+    let servers = [
         (&hung, "SERVING"),
         (&full, "SERVING"),
         (&mute, "SERVING"),
         (&good, "SERVING"),
     ];
-    tell(&mut watch, 1, true, &rows(&all));
+    tell(&mut watch, 1, true, &discovery_rows(&servers));
     site.program.says("generation=1");
-    let mut standing = Vec::new();
+    let mut established = Vec::new();
     for number in 0..4 {
         let name = format!("client-{number}");
         let mut client = site.client(&name);
-        let answer = site.answer(&name, &mut client);
+        let answer = site.record_answer(&name, &mut client);
         if answer == "PONG" {
             // Payloads hold what looks like the wire's own words; keepalives cross them either way, in pieces.
             client.say("PUB t 12\r\nPING\r\n");
@@ -156,7 +158,7 @@
             assert_eq!(client.bytes(14), "PING\r\nPONG\r\n\r\n");
             client.hears("PONG");
             client.say("PONG\r\n");
-            standing.push(client);
+            established.push(client);
         } else {
             assert!(
                 answer.starts_with("-ERR 'Service Unavailable")
@@ -165,65 +167,73 @@
             );
             client.ended();
         }
-        site.check();
+        site.check_rules();
     }
     // Only one of them serves from now on; then it drains, and its clients are moved to another.
-    let next = site.server("next", Manner::Serve);
-    let now = [
+    let new_server = site.server("next", Manner::Serve);
+    let remaining = [
         (&hung, "DELETED"),
         (&full, "DELETED"),
         (&mute, "DELETED"),
         (&good, "SERVING"),
     ];
-    tell(&mut watch, 2, false, &rows(&now));
+    tell(&mut watch, 2, false, &discovery_rows(&remaining));
     site.program.says("generation=2");
     let mut last = site.client("last");
-    assert_eq!(site.answer("last", &mut last), "PONG");
-    standing.push(last);
-    let drains = [(&good, "DRAINING"), (&next, "SERVING")];
+    assert_eq!(site.record_answer("last", &mut last), "PONG");
+    established.push(last);
+    let draining = [(&good, "DRAINING"), (&new_server, "SERVING")];
     site.record.lock().expect("sound").drains("good");
-    tell(&mut watch, 3, false, &rows(&drains));
+    tell(&mut watch, 3, false, &discovery_rows(&draining));
     site.program.says("generation=3");
-    for mut client in standing {
-        let moved = client.hear().expect("a word before the end");
+    for mut client in established {
+        let last_line = client.hear().expect("a word before the end");
         assert!(
-            moved.starts_with("INFO {") && moved.contains("\"ldm\":true"),
-            "{moved}"
+            last_line.starts_with("INFO {") && last_line.contains("\"ldm\":true"),
+            "{last_line}"
         );
         client.ended();
-        site.check();
+        site.check_rules();
     }
     for number in 0..3 {
         let name = format!("again-{number}");
         let mut client = site.client(&name);
-        assert_eq!(site.answer(&name, &mut client), "PONG");
+        assert_eq!(site.record_answer(&name, &mut client), "PONG");
     }
-    drop((hung, full, mute, good, next));
+    drop((hung, full, mute, good, new_server));
 }
 
 #[test]
-fn outcomes_decide_whether_a_pass_is_repeated() {
+fn attempt_outcome_decides_whether_to_retry() {
     let site = Site::start("outcomes");
     let mut watch = site.discovery.watch();
-    let only = site.server("only", Manner::Forbid);
-    tell(&mut watch, 1, true, &rows(&[(&only, "SERVING")]));
+    let server = site.server("only", Manner::Forbid);
+    tell(
+        &mut watch,
+        1,
+        true,
+        &discovery_rows(&[(&server, "SERVING")]),
+    );
     site.program.says("generation=1");
     // An error may have run: a class that must not run twice is failed after one pass, at once.
     for (number, manner) in [Manner::Forbid, Manner::SilentAfterConnect]
         .into_iter()
         .enumerate()
     {
-        only.becomes(manner);
+        server.becomes(manner);
         let name = format!("once-{number}");
-        let mut client = client(site.at, &name, "once", PASSWORD);
-        assert_eq!(site.answer(&name, &mut client), "-ERR 'Connection Failed'");
+        let mut client = client(site.address, &name, "once", PASSWORD);
+        assert_eq!(
+            site.record_answer(&name, &mut client),
+            "-ERR 'Connection Failed'"
+        );
         client.ended();
         assert_eq!(site.record.lock().expect("sound").passes_of(&name), 1);
     }
     // What was turned away never ran: all attempts are made, and the answer says when to come back.
-    only.becomes(Manner::Full);
-    let mut client = client(site.at, "once-full", "once", PASSWORD);
-    let answer = site.answer("once-full", &mut client);
+    server.becomes(Manner::Full);
+    let mut client = client(site.address, "once-full", "once", PASSWORD);
+    let answer = site.record_answer("once-full", &mut client);
     assert!(
         answer.starts_with("-ERR 'Service Unavailable; try again in ") && answer.ends_with(" ms'"),
         "{answer}"
@@ -232,53 +242,58 @@
 }
 
 #[test]
-fn a_standing_server_that_falls_silent_or_says_that_it_leaves_costs_its_client_a_move() {
+fn moves_client_when_server_falls_silent_or_drains() {
     let site = Site::start("silent");
     let mut watch = site.discovery.watch();
-    let only = site.server("only", Manner::Serve);
-    tell(&mut watch, 1, true, &rows(&[(&only, "SERVING")]));
+    let server = site.server("only", Manner::Serve);
+    tell(
+        &mut watch,
+        1,
+        true,
+        &discovery_rows(&[(&server, "SERVING")]),
+    );
     site.program.says("generation=1");
     let mut client = site.client("first");
-    assert_eq!(site.answer("first", &mut client), "PONG");
+    assert_eq!(site.record_answer("first", &mut client), "PONG");
     // The client asks nothing: the balancer's own PINGs find the silence, and their PONGs were not passed on.
     std::thread::sleep(Duration::from_millis(700));
-    let silent_from = Instant::now();
-    only.silent.store(true, Ordering::Relaxed);
+    let silent_since = Instant::now();
+    server.silent.store(true, Ordering::Relaxed);
     assert!(client.hear().expect("a move").contains("\"ldm\":true"));
     client.ended();
-    assert!(silent_from.elapsed() < Duration::from_secs(6));
-    only.silent.store(false, Ordering::Relaxed);
+    assert!(silent_since.elapsed() < Duration::from_secs(6));
+    server.silent.store(false, Ordering::Relaxed);
     let mut client = site.client("second");
-    assert_eq!(site.answer("second", &mut client), "PONG");
+    assert_eq!(site.record_answer("second", &mut client), "PONG");
     // Its addresses are not passed on; a message that has begun is ended first.
-    let speaking = only.voice.lock().expect("sound");
-    only.says("INFO {\"connect_urls\":[\"10.0.0.1:4222\"],\"ldm\":true}\r\nMSG t 1 5\r\nhel");
+    let voice_lock = server.voice.lock().expect("sound");
+    server.says("INFO {\"connect_urls\":[\"10.0.0.1:4222\"],\"ldm\":true}\r\nMSG t 1 5\r\nhel");
     client.hears("MSG t 1 5");
     assert_eq!(client.bytes(3), "hel");
-    only.says("lo\r\nMSG t 1 1\r\n");
+    server.says("lo\r\nMSG t 1 1\r\n");
     client.hears("lo");
-    let moved = std::iter::from_fn(|| client.hear()).last().expect("a move");
+    let last_line = std::iter::from_fn(|| client.hear()).last().expect("a move");
     // Held until then: a PONG that fell into the second message would be the server's own fault.
-    drop(speaking);
+    drop(voice_lock);
     assert!(
-        moved.contains("\"ldm\":true") && !moved.contains("connect_urls"),
-        "{moved}"
+        last_line.contains("\"ldm\":true") && !last_line.contains("connect_urls"),
+        "{last_line}"
     );
-    site.check();
+    site.check_rules();
 }
 
 #[test]
-fn openings_that_break_the_rules_are_refused_by_name() {
+fn rejects_protocol_violations_with_specific_errors() {
     let site = Site::start("openings");
-    let only = site.server("only", Manner::Serve);
+    let server = site.server("only", Manner::Serve);
     tell(
         &mut site.discovery.watch(),
         1,
         true,
-        &rows(&[(&only, "SERVING")]),
+        &discovery_rows(&[(&server, "SERVING")]),
     );
     site.program.says("generation=1");
-    for (words, answer) in [
+    for (command, answer) in [
         ("", "-ERR 'Authentication Timeout'"),
         ("PING\r\n", "-ERR 'Authorization Violation'"),
         ("CONNECT nonsense\r\n", "-ERR 'Parser Error'"),
@@ -295,13 +310,13 @@
             "-ERR 'Maximum Control Line Exceeded'",
         ),
     ] {
-        let mut client = Peer::connect(site.at);
+        let mut client = Peer::connect(site.address);
         client.hear().expect("INFO");
-        client.say(words);
+        client.say(command);
         client.hears(answer);
         client.ended();
     }
-    for (name, words, answer) in [
+    for (name, command, answer) in [
         ("large", "PUB t 65\r\n", "-ERR 'Maximum Payload Violation'"),
         (
             "huge",
@@ -316,31 +331,31 @@
         ),
     ] {
         let mut client = site.client(name);
-        assert_eq!(site.answer(name, &mut client), "PONG");
-        client.say(words);
+        assert_eq!(site.record_answer(name, &mut client), "PONG");
+        client.say(command);
         client.hears(answer);
         client.ended();
-        site.check();
+        site.check_rules();
     }
 }
 
 #[test]
-fn floods_half_messages_and_silent_openings_cost_others_nothing() {
+fn misbehaving_clients_do_not_affect_others() {
     let site = Site::start("floods");
-    let only = site.server("only", Manner::Serve);
+    let server = site.server("only", Manner::Serve);
     tell(
         &mut site.discovery.watch(),
         1,
         true,
-        &rows(&[(&only, "SERVING")]),
+        &discovery_rows(&[(&server, "SERVING")]),
     );
     site.program.says("generation=1");
     let mut steady = site.client("steady");
-    assert_eq!(site.answer("steady", &mut steady), "PONG");
+    assert_eq!(site.record_answer("steady", &mut steady), "PONG");
     // More openings than 256 descriptors hold: each is told something, and a real client gets in.
-    let mut silent: Vec<Peer> = (0..200).map(|_| Peer::connect(site.at)).collect();
+    let mut silent: Vec<Peer> = (0..200).map(|_| Peer::connect(site.address)).collect();
     let mut real = site.client("real");
-    assert_eq!(site.answer("real", &mut real), "PONG");
+    assert_eq!(site.record_answer("real", &mut real), "PONG");
     for peer in &mut silent {
         assert!(peer.hear().expect("INFO").starts_with("INFO {"));
         assert!(peer.hear().expect("a refusal").starts_with("-ERR '"));
@@ -348,35 +363,40 @@
     }
     // Questions at full speed while the server answers none.
     let mut flood = site.client("flood");
-    assert_eq!(site.answer("flood", &mut flood), "PONG");
-    let speaking = only.voice.lock().expect("sound");
+    assert_eq!(site.record_answer("flood", &mut flood), "PONG");
+    let voice_lock = server.voice.lock().expect("sound");
     flood.say(&"PING\r\n".repeat(1100));
     assert!(flood.is_gone(), "too many at once end its connection");
-    drop(speaking);
+    drop(voice_lock);
     // Half a message and a close: the server gets the same end, and nobody else notices.
     let mut half = site.client("half");
-    assert_eq!(site.answer("half", &mut half), "PONG");
+    assert_eq!(site.record_answer("half", &mut half), "PONG");
     half.say("PUB t 12\r\nonly ha");
     half.finish();
     half.ended();
     steady.say("PING\r\n");
     steady.hears("PONG");
-    site.check();
+    site.check_rules();
 }
 
 #[test]
-fn a_reload_of_the_operators_file_moves_the_watch_and_names_what_takes_a_restart() {
+fn reload_moves_watch_and_reports_restart_only_settings() {
     let site = Site::start("reload");
-    let mut old = site.discovery.watch();
-    let only = site.server("only", Manner::Serve);
-    tell(&mut old, 1, true, &rows(&[(&only, "SERVING")]));
+    let mut old_watch = site.discovery.watch();
+    let server = site.server("only", Manner::Serve);
+    tell(
+        &mut old_watch,
+        1,
+        true,
+        &discovery_rows(&[(&server, "SERVING")]),
+    );
     site.program.says("generation=1");
     let mut client = site.client("stands");
-    assert_eq!(site.answer("stands", &mut client), "PONG");
-    let new = Discovery::start();
-    let moved = site.file.replace(
+    assert_eq!(site.record_answer("stands", &mut client), "PONG");
+    let new_discovery = Discovery::start();
+    let moved = site.file_text.replace(
         &site.discovery.address.to_string(),
-        &new.address.to_string(),
+        &new_discovery.address.to_string(),
     );
     std::fs::write(
         &site.path,
@@ -387,27 +407,32 @@
     site.program.says("taken over what=\"discovery at");
     site.program
         .says("takes a restart, kept as it was what=wire");
-    tell(&mut new.watch(), 1, true, &rows(&[(&only, "SERVING")]));
+    tell(
+        &mut new_discovery.watch(),
+        1,
+        true,
+        &discovery_rows(&[(&server, "SERVING")]),
+    );
     site.program.says("kind=Snapshot");
-    old.ended();
+    old_watch.ended();
     client.say("PING\r\n");
     client.hears("PONG");
     std::fs::write(&site.path, "admin = 1").expect("the same folder");
     site.program.signal("HUP");
     let kept = site.program.says("present configuration kept");
     assert!(!kept.contains(ADMIN_TOKEN), "{kept}");
-    site.check();
+    site.check_rules();
 }
 
 #[test]
-fn tenants_are_kept_through_the_api_and_known_ones_outlive_the_store() {
+fn serves_cached_tenants_during_store_outage() {
     let site = Site::start("tenants");
-    let only = site.server("only", Manner::Serve);
+    let server = site.server("only", Manner::Serve);
     tell(
         &mut site.discovery.watch(),
         1,
         true,
-        &rows(&[(&only, "SERVING")]),
+        &discovery_rows(&[(&server, "SERVING")]),
     );
     site.program.says("generation=1");
     assert_eq!(
@@ -423,13 +448,13 @@
         (
             "POST",
             "/v1/tenants",
-            tenant("acme", "chat", 1).as_str(),
+            tenant_json("acme", "chat", 1).as_str(),
             409,
         ),
         (
             "POST",
             "/v1/tenants",
-            tenant("other", "nothing", 1).as_str(),
+            tenant_json("other", "nothing", 1).as_str(),
             422,
         ),
         ("POST", "/v1/tenants", "{", 400),
@@ -452,48 +477,63 @@
             204,
         ),
     ] {
-        assert_eq!(site.ask(method, path, body).0, status, "{method} {path}");
+        assert_eq!(
+            site.call_api(method, path, body).0,
+            status,
+            "{method} {path}"
+        );
     }
-    let mut rotated = client(site.at, "rotated", "once", PASSWORD);
+    let mut rotated = client(site.address, "rotated", "once", PASSWORD);
     rotated.hears("-ERR 'Authorization Violation'");
-    let mut rotated = client(site.at, "rotated", "once", "once's new password");
+    let mut rotated = client(site.address, "rotated", "once", "once's new password");
     rotated.hears("PONG");
     let mut first = site.client("first");
     first.hears("PONG");
     let mut second = site.client("second");
     second.hears("-ERR 'Maximum Connections Exceeded'");
-    let (_, shown) = site.ask("GET", "/v1/tenants/acme", "");
+    let (_, shown) = site.call_api("GET", "/v1/tenants/acme", "");
     assert!(
         shown.contains("\"open\":1") && shown.contains("\"connections\":1"),
         "{shown}"
     );
-    assert!(site.ask("GET", "/v1/farm", "").1.contains("\"standing\":2"));
-    assert!(site.ask("GET", "/v1/counts", "").1.contains("\"served\":2"));
+    assert!(
+        site.call_api("GET", "/v1/farm", "")
+            .1
+            .contains("\"standing\":2")
+    );
+    assert!(
+        site.call_api("GET", "/v1/counts", "")
+            .1
+            .contains("\"served\":2")
+    );
     assert_eq!(
-        site.ask("POST", "/v1/tenants", &tenant("unread", "chat", 1))
+        site.call_api("POST", "/v1/tenants", &tenant_json("unread", "chat", 1))
             .0,
         201
     );
     site.redis.goes_away(true);
-    assert_eq!(site.ask("GET", "/v1/tenants", "").0, 503);
-    let mut known = client(site.at, "known", "once", "once's new password");
+    assert_eq!(site.call_api("GET", "/v1/tenants", "").0, 503);
+    let mut known = client(site.address, "known", "once", "once's new password");
     known.hears("PONG");
-    let mut unknown = client(site.at, "unknown", "stranger", PASSWORD);
+    let mut unknown = client(site.address, "unknown", "stranger", PASSWORD);
     unknown.hears("-ERR 'Service Unavailable; try again in 1000 ms'");
     site.redis.goes_away(false);
-    let back = Instant::now();
-    while site.ask("GET", "/v1/tenants", "").0 != 200 {
-        assert!(back.elapsed() < PATIENCE, "the store never came back");
+    let restored_at = Instant::now();
+    while site.call_api("GET", "/v1/tenants", "").0 != 200 {
+        assert!(
+            restored_at.elapsed() < PATIENCE,
+            "the store never came back"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(site.ask("DELETE", "/v1/tenants/once", "").0, 204);
-    assert_eq!(site.ask("DELETE", "/v1/tenants/once", "").0, 404);
-    let mut removed = client(site.at, "removed", "once", "once's new password");
+    assert_eq!(site.call_api("DELETE", "/v1/tenants/once", "").0, 204);
+    assert_eq!(site.call_api("DELETE", "/v1/tenants/once", "").0, 404);
+    let mut removed = client(site.address, "removed", "once", "once's new password");
     removed.hears("-ERR 'Authorization Violation'");
 }
 
 #[test]
-fn no_first_byte_goes_to_a_server_after_its_override_was_acknowledged() {
+fn sends_nothing_to_server_after_override_acknowledged() {
     let site = Site::with(
         "withheld",
         &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"),
@@ -503,24 +543,24 @@
         site.server("good", Manner::Serve),
     );
     let mut watch = site.discovery.watch();
-    tell(&mut watch, 1, true, &rows(&[(&late, "SERVING")]));
+    tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
     site.program.says("generation=1");
     // A pass is up at the one server there is, which has not said INFO; then that server is taken out.
-    let speaking = late.voice.lock().expect("sound");
+    let voice_lock = late.voice.lock().expect("sound");
     let mut client = site.client("first");
-    let passes =
+    let attempt_count =
         || site.api.call("GET", "/v1/counts", "").body["fronts"]["nats"]["passes"].as_u64();
-    let until = Instant::now() + PATIENCE;
-    while passes() != Some(1) {
-        assert!(Instant::now() < until, "no pass was made");
+    let deadline = Instant::now() + PATIENCE;
+    while attempt_count() != Some(1) {
+        assert!(Instant::now() < deadline, "no pass was made");
         std::thread::sleep(Duration::from_millis(5));
     }
-    tell(&mut watch, 2, false, &rows(&[(&good, "SERVING")]));
+    tell(&mut watch, 2, false, &discovery_rows(&[(&good, "SERVING")]));
     site.program.says("generation=2");
     let out = r#"{"kind":"out","server":"late","who":"ada","why":"hung","expires_in_s":60}"#;
     site.api.add(out);
-    drop(speaking);
-    assert_eq!(site.answer("first", &mut client), "PONG");
+    drop(voice_lock);
+    assert_eq!(site.record_answer("first", &mut client), "PONG");
     assert_eq!(
         site.record.lock().expect("sound").passes_of("first"),
         1,
@@ -532,7 +572,7 @@
     site.api.add(
         r#"{"kind":"pin","server":"late","tenant":"acme","mode":"strict","who":"ada","why":"test","expires_in_s":60}"#,
     );
-    let answer = site.answer("second", &mut site.client("second"));
+    let answer = site.record_answer("second", &mut site.client("second"));
     assert!(
         answer.starts_with("-ERR 'Service Unavailable; try again in "),
         "{answer}"
@@ -540,16 +580,16 @@
     let all = site.api.overrides();
     assert_eq!(all[1]["effects"]["nats"], "server takes nothing new");
     // Another tenant is not meant.
-    let mut other = support::nats::client(site.at, "third", "once", PASSWORD);
+    let mut other = support::nats::client(site.address, "third", "once", PASSWORD);
     other.hears("PONG");
 }
 
 #[test]
-fn an_override_on_this_front_expires_outlives_list_changes_and_a_restart() {
+fn override_expires_and_survives_list_changes_and_restart() {
     let mut site = Site::start("override-life");
     // All of them stay open, and those that are moved may not have left yet on a loaded machine.
     assert_eq!(
-        site.ask("PATCH", "/v1/tenants/acme", r#"{"connections":100}"#)
+        site.call_api("PATCH", "/v1/tenants/acme", r#"{"connections":100}"#)
             .0,
         200
     );
@@ -562,56 +602,61 @@
         &mut watch,
         1,
         true,
-        &rows(&[(&one, "SERVING"), (&other, "SERVING")]),
+        &discovery_rows(&[(&one, "SERVING"), (&other, "SERVING")]),
     );
     site.program.says("generation=1");
-    let out = |seconds: f64| {
+    let out_override = |seconds: f64| {
         format!(
             r#"{{"kind":"out","server":"one","who":"ada","why":"test","expires_in_s":{seconds}}}"#
         )
     };
-    let mut standing = Vec::new();
-    let mut next = 0;
+    let mut established = Vec::new();
+    let mut client_count = 0;
     // Where so many clients go: passes at the server that is out, of all that are made.
     let mut open = |site: &Site, count: usize| -> usize {
-        let mut there = 0;
+        let mut at_overridden = 0;
         for _ in 0..count {
-            next += 1;
-            let name = format!("client-{next}");
+            client_count += 1;
+            let name = format!("client-{client_count}");
             let mut client = site.client(&name);
-            assert_eq!(site.answer(&name, &mut client), "PONG");
-            there += usize::from(site.record.lock().expect("sound").went(&name, "one"));
-            standing.push(client);
+            assert_eq!(site.record_answer(&name, &mut client), "PONG");
+            at_overridden += usize::from(site.record.lock().expect("sound").went(&name, "one"));
+            established.push(client);
         }
-        there
+        at_overridden
     };
     // It expires by itself.
-    let id = site.api.add(&out(60.0));
+    let id = site.api.add(&out_override(60.0));
     assert_eq!(open(&site, 3), 0);
     site.api.shorten(id);
-    let said = site.program.says(&format!("override expired id={id}"));
-    assert!(said.contains("who=ada"), "{said}");
-    let until = Instant::now() + PATIENCE;
+    let log_line = site.program.says(&format!("override expired id={id}"));
+    assert!(log_line.contains("who=ada"), "{log_line}");
+    let deadline = Instant::now() + PATIENCE;
     while site.api.server("one")["effective"]["weight"] != 1.0 {
-        assert!(Instant::now() < until, "its weight never came back");
+        assert!(Instant::now() < deadline, "its weight never came back");
         std::thread::sleep(Duration::from_millis(10));
     }
     assert!(open(&site, 3) > 0, "it is back");
     // It leaves the list and comes back under its name, elsewhere.
-    site.api.add(&out(60.0));
-    tell(&mut watch, 2, false, &rows(&[(&one, "DELETED")]));
+    site.api.add(&out_override(60.0));
+    tell(&mut watch, 2, false, &discovery_rows(&[(&one, "DELETED")]));
     site.program.says("generation=2");
     assert_eq!(
         site.api.overrides()[0]["effects"]["nats"],
         "server not listed"
     );
     let moved = site.server("one", Manner::Serve);
-    tell(&mut watch, 3, false, &rows(&[(&moved, "SERVING")]));
+    tell(
+        &mut watch,
+        3,
+        false,
+        &discovery_rows(&[(&moved, "SERVING")]),
+    );
     site.program.says("generation=3");
     assert_eq!(site.api.overrides()[0]["effects"]["nats"], "in effect");
     assert_eq!(open(&site, 3), 0);
     // A restart brings it back with its own end; the list comes after it, and nothing slips in between.
-    let before = site.api.overrides()[0]["expires_at"].clone();
+    let expires_at = site.api.overrides()[0]["expires_at"].clone();
     site.program.signal("TERM");
     assert!(site.program.left(), "it leaves by itself");
     site.program = Program::start(&["--operator", &site.path], &[]);
@@ -622,34 +667,34 @@
         &mut watch,
         4,
         true,
-        &rows(&[(&moved, "SERVING"), (&other, "SERVING")]),
+        &discovery_rows(&[(&moved, "SERVING"), (&other, "SERVING")]),
     );
     site.program.says("generation=4");
-    assert_eq!(site.api.overrides()[0]["expires_at"], before);
+    assert_eq!(site.api.overrides()[0]["expires_at"], expires_at);
     assert_eq!(open(&site, 3), 0);
-    site.check();
+    site.check_rules();
 }
 
 /// Longer than any delay between attempts, and than the second after which the system tries a connection again.
-const ALL_DELAYS: Duration = Duration::from_millis(1_500);
+const LONGER_THAN_ANY_DELAY: Duration = Duration::from_millis(1_500);
 
 /// An attempt that begins later than this after its client has left breaks the rule.
-const ALLOWANCE: Duration = Duration::from_millis(100);
+const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// Well under the time after which an attempt is given up for a client that waits, and long on a busy machine.
-const AT_ONCE: Duration = Duration::from_secs(2);
+const MAX_ABORT_TIME: Duration = Duration::from_secs(2);
 
 /// Waits until something is so.
-fn becomes_so(what: &str, is_so: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !is_so() {
-        assert!(Instant::now() < until, "never so: {what}");
+fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
+    let deadline = Instant::now() + PATIENCE;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "never so: {condition}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Ends a client's connection in order, behind what it has sent early, or by a reset.
-fn leaves(client: Peer, by_reset: bool) {
+fn disconnect(client: Peer, by_reset: bool) {
     if by_reset {
         socket2::SockRef::from(&client.stream)
             .set_linger(Some(Duration::ZERO))
@@ -659,33 +704,33 @@
 }
 
 #[test]
-fn a_client_that_leaves_during_a_connect_ends_it_and_is_never_sent_on() {
-    let patient = SETTINGS.replace(
+fn aborts_connect_when_client_disconnects() {
+    let long_connect_settings = SETTINGS.replace(
         "\"connect-timeout-ns\":200000000",
         "\"connect-timeout-ns\":30000000000",
     );
     for by_reset in [false, true] {
-        let site = Site::with(&format!("connect{by_reset}"), &patient);
+        let site = Site::with(&format!("connect{by_reset}"), &long_connect_settings);
         let late = support::late::Late::start();
         let mut watch = site.discovery.watch();
         tell(&mut watch, 1, true, &[("late", late.address, "SERVING")]);
         site.program.says("generation=1");
         let client = site.client("gone");
         late.waits_for(true);
-        let left = Instant::now();
-        leaves(client, by_reset);
+        let disconnected_at = Instant::now();
+        disconnect(client, by_reset);
         late.waits_for(false);
         assert!(
-            left.elapsed() < AT_ONCE,
+            disconnected_at.elapsed() < MAX_ABORT_TIME,
             "withdrawn after {:?}",
-            left.elapsed()
+            disconnected_at.elapsed()
         );
-        assert_eq!(late.comes_up_and_hears(ALL_DELAYS), None);
+        assert_eq!(late.comes_up_and_hears(LONGER_THAN_ANY_DELAY), None);
     }
 }
 
 #[test]
-fn a_client_that_leaves_before_its_server_says_info_is_never_sent_on() {
+fn sends_nothing_when_client_disconnects_before_info() {
     for by_reset in [false, true] {
         let site = Site::with(
             &format!("info{by_reset}"),
@@ -693,95 +738,102 @@
         );
         let late = site.server("late", Manner::LateInfo);
         let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &rows(&[(&late, "SERVING")]));
+        tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
         site.program.says("generation=1");
-        let speaking = late.voice.lock().expect("sound");
+        let voice_lock = late.voice.lock().expect("sound");
         let client = site.client("gone");
         let counts = || site.api.call("GET", "/v1/counts", "").body;
-        becomes_so("a pass is out", || {
+        wait_until("a pass is out", || {
             counts()["fronts"]["nats"]["passes"] == 1
         });
-        leaves(client, by_reset);
-        drop(speaking);
+        disconnect(client, by_reset);
+        drop(voice_lock);
         let mut after = site.client("after");
         after.hears("PONG");
-        std::thread::sleep(ALL_DELAYS);
+        std::thread::sleep(LONGER_THAN_ANY_DELAY);
         assert_eq!(site.record.lock().expect("sound").passes_of("gone"), 0);
     }
 }
 
 #[test]
-fn a_client_that_leaves_the_admission_queue_is_never_sent_on() {
-    const WINDOW: usize = 12;
+fn sends_nothing_when_client_leaves_queue() {
+    const INITIAL_CONCURRENCY_LIMIT: usize = 12;
     for by_reset in [false, true] {
         let site = Site::with(
             &format!("line{by_reset}"),
             &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"),
         );
         assert_eq!(
-            site.ask("POST", "/v1/tenants", &tenant("many", "chat", 40))
+            site.call_api("POST", "/v1/tenants", &tenant_json("many", "chat", 40))
                 .0,
             201
         );
         let late = site.server("late", Manner::LateInfo);
         let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &rows(&[(&late, "SERVING")]));
+        tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
         site.program.says("generation=1");
-        let speaking = late.voice.lock().expect("sound");
-        let named = |name: &str| client(site.at, name, "many", PASSWORD);
-        let mut first: Vec<Peer> = (0..WINDOW).map(|at| named(&format!("c{at}"))).collect();
+        let voice_lock = late.voice.lock().expect("sound");
+        let connect = |name: &str| client(site.address, name, "many", PASSWORD);
+        let mut first: Vec<Peer> = (0..INITIAL_CONCURRENCY_LIMIT)
+            .map(|index| connect(&format!("c{index}")))
+            .collect();
         let counts = || site.api.call("GET", "/v1/counts", "").body;
-        becomes_so("all passes are out", || {
-            counts()["fronts"]["nats"]["passes"] == WINDOW
+        wait_until("all passes are out", || {
+            counts()["fronts"]["nats"]["passes"] == INITIAL_CONCURRENCY_LIMIT
         });
-        let gone = named("gone");
-        let waiting =
+        let queued = connect("gone");
+        let queue_length =
             || site.api.call("GET", "/v1/admission", "").body["fronts"][0]["waiting"].as_u64();
-        becomes_so("it waits", || waiting() == Some(1));
-        leaves(gone, by_reset);
-        drop(speaking);
+        wait_until("it waits", || queue_length() == Some(1));
+        disconnect(queued, by_reset);
+        drop(voice_lock);
         first.iter_mut().for_each(|client| client.hears("PONG"));
-        named("after").hears("PONG");
-        std::thread::sleep(ALL_DELAYS);
+        connect("after").hears("PONG");
+        std::thread::sleep(LONGER_THAN_ANY_DELAY);
         assert_eq!(site.record.lock().expect("sound").passes_of("gone"), 0);
     }
 }
 
 #[test]
-fn a_client_that_leaves_in_a_delay_between_attempts_is_not_sent_on_again() {
+fn stops_retrying_when_client_disconnects_between_attempts() {
     for by_reset in [false, true] {
         let site = Site::start(&format!("delay{by_reset}"));
         let full = site.server("full", Manner::Full);
         let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &rows(&[(&full, "SERVING")]));
+        tell(&mut watch, 1, true, &discovery_rows(&[(&full, "SERVING")]));
         site.program.says("generation=1");
         let client = site.client("gone");
-        let passes = || site.record.lock().expect("sound").passes_of("gone");
-        becomes_so("it was sent on", || passes() > 0);
-        leaves(client, by_reset);
-        std::thread::sleep(ALLOWANCE);
-        let made = passes();
-        std::thread::sleep(ALL_DELAYS);
-        assert_eq!(passes(), made);
+        let attempt_count = || site.record.lock().expect("sound").passes_of("gone");
+        wait_until("it was sent on", || attempt_count() > 0);
+        disconnect(client, by_reset);
+        std::thread::sleep(MAX_DISCONNECT_DELAY);
+        let attempts_at_disconnect = attempt_count();
+        std::thread::sleep(LONGER_THAN_ANY_DELAY);
+        assert_eq!(attempt_count(), attempts_at_disconnect);
     }
 }
 
 #[test]
-fn a_client_that_leaves_while_the_store_is_asked_is_never_sent_on() {
+fn sends_nothing_when_client_disconnects_during_lookup() {
     for by_reset in [false, true] {
         let site = Site::start(&format!("asked{by_reset}"));
         let server = site.server("s", Manner::Serve);
         let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &rows(&[(&server, "SERVING")]));
+        tell(
+            &mut watch,
+            1,
+            true,
+            &discovery_rows(&[(&server, "SERVING")]),
+        );
         site.program.says("generation=1");
         site.redis
             .manner(beaconflow_contracts::redis::RedisBehaviour::Slow(
                 Duration::from_millis(200),
             ));
-        leaves(site.client("gone"), by_reset);
+        disconnect(site.client("gone"), by_reset);
         let mut after = site.client("after");
         after.hears("PONG");
-        std::thread::sleep(ALL_DELAYS);
+        std::thread::sleep(LONGER_THAN_ANY_DELAY);
         assert_eq!(site.record.lock().expect("sound").passes_of("gone"), 0);
     }
 }
--- a/crates/cli/tests/on_call_page.rs
+++ b/crates/cli/tests/on_call_page.rs
@@ -6,7 +6,7 @@
 /// Messages that are put together at runtime; the page has their values.
 const COMPOSED: [&str; 3] = ["{notice}", "{message}", "override {what}"];
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .ancestors()
         .nth(2)
@@ -14,11 +14,11 @@
         .to_owned()
 }
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|end| end == "rs") && !path.ends_with("tests.rs") {
             found.push(path);
         }
@@ -27,18 +27,18 @@
 
 /// The string literals of a macro's arguments, which begin at the start of `text`.
 fn literals(text: &str) -> Vec<String> {
-    let (mut depth, mut found, mut open) = (1, Vec::new(), None);
+    let (mut depth, mut literals_found, mut start_of_open) = (1, Vec::new(), None);
     let mut escaped = false;
-    for (at, sign) in text.char_indices() {
-        match (open, sign) {
+    for (index, character) in text.char_indices() {
+        match (start_of_open, character) {
             (Some(_), _) if escaped => escaped = false,
             (Some(_), '\\') => escaped = true,
             (Some(start), '"') => {
-                found.push(text[start..at].to_owned());
-                open = None;
+                literals_found.push(text[start..index].to_owned());
+                start_of_open = None;
             }
             (Some(_), _) => {}
-            (None, '"') => open = Some(at + 1),
+            (None, '"') => start_of_open = Some(index + 1),
             (None, '(') => depth += 1,
             (None, ')') => depth -= 1,
             (None, _) => {}
@@ -47,23 +47,25 @@
             break;
         }
     }
-    found
+    literals_found
 }
 
 /// The messages of all log macros of a source file: the last literal of each.
 fn messages(source: &str) -> BTreeSet<String> {
     let macros = ["info!(", "warn!(", "error!(", "debug!("];
-    let calls = macros
-        .iter()
-        .flat_map(|name| source.match_indices(name).map(|(at, _)| at + name.len()));
+    let calls = macros.iter().flat_map(|name| {
+        source
+            .match_indices(name)
+            .map(|(index, _)| index + name.len())
+    });
     calls
-        .filter_map(|at| literals(&source[at..]).pop())
+        .filter_map(|index| literals(&source[index..]).pop())
         .filter(|message| !COMPOSED.contains(&message.as_str()))
         .collect()
 }
 
 /// The messages in the page's tables, whose second column has them.
-fn listed(page: &str) -> BTreeSet<String> {
+fn listed_messages(page: &str) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     let mut is_message_table = false;
     for line in page.lines() {
@@ -81,11 +83,14 @@
 }
 
 #[test]
-fn names_every_message_of_the_log_and_no_other() {
-    let page = std::fs::read_to_string(root().join("docs/on-call.md")).expect("the page");
+fn page_lists_exactly_the_logged_messages() {
+    let page = std::fs::read_to_string(workspace_root().join("docs/on-call.md")).expect("the page");
     let mut files = Vec::new();
     for package in ["balancer", "cli", "store"] {
-        sources(&root().join("crates").join(package).join("src"), &mut files);
+        collect_sources(
+            &workspace_root().join("crates").join(package).join("src"),
+            &mut files,
+        );
     }
     let read = |path: &PathBuf| std::fs::read_to_string(path).expect("a source file");
     let logged: BTreeSet<String> = files
@@ -110,5 +115,5 @@
     let mut expected = logged;
     expected.extend(rate_limited.map(str::to_owned));
     expected.extend(composed);
-    assert_eq!(listed(&page), expected);
+    assert_eq!(listed_messages(&page), expected);
 }
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -12,38 +12,38 @@
 use support::*;
 
 /// A balancer with an operations port.
-fn site(name: &str) -> (Site, Api) {
-    let at = free();
-    let site = Site::start_with(name, 1, &[("LB_ADMIN_ADDR", &at.to_string())]);
+fn start_balancer(name: &str) -> (Site, Api) {
+    let address = free();
+    let site = Site::start_with(name, 1, &[("LB_ADMIN_ADDR", &address.to_string())]);
     (
         site,
         Api {
-            at,
+            at: address,
             token: "none is wanted",
         },
     )
 }
 
 /// What the port answers to these bytes, as far as they go.
-fn answer(at: SocketAddr, bytes: &[u8]) -> String {
-    let mut caller = Peer::connect(at).stream;
-    caller.write_all(bytes).expect("the port reads");
-    let mut answer = String::new();
-    caller
-        .read_to_string(&mut answer)
+fn raw_response(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut connection = Peer::connect(address).stream;
+    connection.write_all(bytes).expect("the port reads");
+    let mut response = String::new();
+    connection
+        .read_to_string(&mut response)
         .expect("an answer and an end");
-    answer
+    response
 }
 
-fn hears_of_ping(site: &Site, words: &str) {
+fn assert_ping_answer(site: &Site, expected: &str) {
     let mut front = Peer::connect(site.at);
     front.say("PING\r\n");
-    front.hears(words);
+    front.hears(expected);
 }
 
 #[test]
-fn each_call_is_answered_as_http_has_it_and_faults_end_only_themselves() {
-    let (site, api) = site("calls");
+fn answers_calls_with_standard_http_statuses() {
+    let (site, api) = start_balancer("calls");
     let status = api.call("GET", "/status", "");
     assert_eq!(
         (status.status, &status.body["ready"], &status.body["state"]),
@@ -86,75 +86,76 @@
         (&long, "431"),
     ] {
         assert!(
-            answer(api.at, bytes).starts_with(&format!("HTTP/1.1 {status} ")),
+            raw_response(api.at, bytes).starts_with(&format!("HTTP/1.1 {status} ")),
             "{status}"
         );
     }
     assert_eq!(api.call("GET", "/status", "").status, 200);
-    hears_of_ping(&site, "PONG");
+    assert_ping_answer(&site, "PONG");
 }
 
 #[test]
-fn a_call_that_comes_byte_by_byte_is_answered_and_one_that_leaves_half_way_is_forgotten() {
-    let (_site, api) = site("bytes");
+fn answers_fragmented_call_and_drops_aborted_ones() {
+    let (_site, api) = start_balancer("bytes");
     let call = b"POST /active HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
     let mut caller = Peer::connect(api.at);
     for byte in call {
         caller.stream.write_all(&[*byte]).expect("the port reads");
-        let mut gone = Peer::connect(api.at).stream;
-        gone.write_all(&call[..20]).expect("the port reads");
+        let mut aborted = Peer::connect(api.at).stream;
+        aborted.write_all(&call[..20]).expect("the port reads");
     }
     caller.hears("HTTP/1.1 200 OK");
 }
 
 #[test]
-fn on_standby_clients_are_moved_newcomers_served_and_the_program_stays() {
-    let (site, api) = site("standby");
+fn standby_moves_clients_and_keeps_program_running() {
+    let (site, api) = start_balancer("standby");
     let (mut client, mut server) = site.stand();
-    let called = Instant::now();
+    let called_at = Instant::now();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let status = api.call("GET", "/status", "");
     assert_eq!(
         (status.status, &status.body["state"]),
         (503, &"standby".into())
     );
-    hears_of_ping(&site, "NO standby");
+    assert_ping_answer(&site, "NO standby");
     let mut newcomer = site.open("chat", "");
-    let mut to = Peer::accept(&site.servers[0]);
-    to.hear()
+    let mut newcomer_server = Peer::accept(&site.servers[0]);
+    newcomer_server
+        .hear()
         .expect("a newcomer in the front's grace is served");
-    to.say("UP r2\r\n");
+    newcomer_server.say("UP r2\r\n");
     newcomer.hears("UP r2");
     client.hears("MOVE");
     server.ended();
     newcomer.hears("MOVE");
-    assert!(called.elapsed() < Duration::from_secs(4));
+    assert!(called_at.elapsed() < Duration::from_secs(4));
     assert_eq!(
         api.call("POST", "/standby", "").status,
         200,
         "a call repeats harmlessly"
     );
     site.program.says("counts");
-    hears_of_ping(&site, "NO standby");
+    assert_ping_answer(&site, "NO standby");
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_eq!(api.call("GET", "/status", "").status, 200);
-    hears_of_ping(&site, "PONG");
+    assert_ping_answer(&site, "PONG");
     let _stands = site.stand();
 }
 
 #[test]
-fn a_drain_that_is_undone_half_way_leaves_those_in_peace_who_have_not_been_told() {
-    let (site, api) = site("undone");
+fn cancelled_drain_keeps_clients_not_yet_moved() {
+    let (site, api) = start_balancer("undone");
     let (mut first, _server) = site.stand();
     let (mut second, mut server) = site.stand();
-    let called = Instant::now();
+    let called_at = Instant::now();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     first.hears("MOVE");
     assert_eq!(api.call("POST", "/active", "").status, 200);
-    hears_of_ping(&site, "PONG");
+    assert_ping_answer(&site, "PONG");
     // The second one's turn would have come after 1.35 s.
-    while called.elapsed() < Duration::from_secs(2) {
+    while called_at.elapsed() < Duration::from_secs(2) {
         second.say("line\r\n");
         assert_eq!(server.hear().as_deref(), Some("line"));
         server.say("ok\r\n");
@@ -163,20 +164,20 @@
 }
 
 #[test]
-fn on_standby_what_is_on_its_way_gets_its_final_answer() {
-    let (site, api) = site("answers");
-    let mut waits = site.open("chat", "");
-    let mut silent = Peer::accept(&site.servers[0]);
-    silent.hear().expect("an opening");
+fn standby_answers_pending_requests() {
+    let (site, api) = start_balancer("answers");
+    let mut client = site.open("chat", "");
+    let mut pending_attempt = Peer::accept(&site.servers[0]);
+    pending_attempt.hear().expect("an opening");
     assert_eq!(api.call("POST", "/standby", "").status, 200);
-    let answer = waits.hear().expect("a final answer");
+    let answer = client.hear().expect("a final answer");
     assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
-    waits.ended();
+    client.ended();
 }
 
 #[test]
-fn a_program_on_standby_leaves_at_sigterm_and_is_not_taken_back() {
-    let (mut site, api) = site("both");
+fn standby_program_exits_on_sigterm_and_rejects_active() {
+    let (mut site, api) = start_balancer("both");
     let (mut client, _server) = site.stand();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     site.program.signal("TERM");
@@ -191,8 +192,8 @@
 }
 
 #[test]
-fn silent_callers_and_a_flood_of_clients_keep_no_call_from_its_answer() {
-    let (mut site, api) = site("silent");
+fn answers_calls_despite_silent_callers_and_client_flood() {
+    let (mut site, api) = start_balancer("silent");
     obliges(site.servers.remove(0));
     let silent: Vec<TcpStream> = (0..64)
         .map(|number| {
@@ -205,26 +206,26 @@
             caller
         })
         .collect();
-    let opened = Arc::new(AtomicUsize::new(0));
-    let flood = |number| {
-        let (at, opened) = (site.at, Arc::clone(&opened));
+    let opened_count = Arc::new(AtomicUsize::new(0));
+    let spawn_flood = |number| {
+        let (address, opened_count) = (site.at, Arc::clone(&opened_count));
         std::thread::spawn(move || {
             // One that is turned away comes again at once; one that stands leaves.
             for count in 0..100 {
-                let mut client = Peer::connect(at);
+                let mut client = Peer::connect(address);
                 client.say(&format!(
                     "OPEN f{number}x{count} 02 c=chat,t=acme,d=2500,g=3\r\n"
                 ));
                 client.hear_or_end();
-                opened.fetch_add(1, Ordering::SeqCst);
+                opened_count.fetch_add(1, Ordering::SeqCst);
             }
         })
     };
-    let floods: Vec<_> = (0..4).map(flood).collect();
-    while opened.load(Ordering::SeqCst) < 400 {
-        let asked = Instant::now();
+    let floods: Vec<_> = (0..4).map(spawn_flood).collect();
+    while opened_count.load(Ordering::SeqCst) < 400 {
+        let called_at = Instant::now();
         assert_eq!(api.call("GET", "/status", "").status, 200);
-        assert!(asked.elapsed() < Duration::from_secs(1));
+        assert!(called_at.elapsed() < Duration::from_secs(1));
     }
     floods
         .into_iter()
@@ -236,22 +237,27 @@
 }
 
 #[test]
-fn an_address_that_is_none_or_taken_ends_the_start_with_its_name() {
-    let keeps = listener();
-    let taken = keeps.local_addr().expect("bound").to_string();
-    let plain = config(free(), free(), &list(1, true, &[]), SETTINGS, 256);
-    let listed = plain.replacen('{', r#"{"admin_addr":"there","#, 1);
-    for (name, config, variable, why) in [
+fn start_fails_naming_invalid_or_taken_address() {
+    let bound_listener = listener();
+    let taken_address = bound_listener.local_addr().expect("bound").to_string();
+    let valid_config = config(free(), free(), &list(1, true, &[]), SETTINGS, 256);
+    let config_with_address = valid_config.replacen('{', r#"{"admin_addr":"there","#, 1);
+    for (name, config, variable, reason) in [
         (
             "variable",
-            &plain,
+            &valid_config,
             Some("here"),
             r#"LB_ADMIN_ADDR: "here" is no address"#,
         ),
-        ("taken", &plain, Some(taken.as_str()), taken.as_str()),
+        (
+            "taken",
+            &valid_config,
+            Some(taken_address.as_str()),
+            taken_address.as_str(),
+        ),
         (
             "listed",
-            &listed,
+            &config_with_address,
             None,
             r#"admin_addr: "there" is no address"#,
         ),
@@ -260,10 +266,10 @@
         let mut env = vec![("LB_CONFIG", path.as_str())];
         env.extend(variable.map(|address| ("LB_ADMIN_ADDR", address)));
         let mut program = Program::start(&[], &env);
-        let said = program.says("cannot start");
+        let log_line = program.says("cannot start");
         assert!(
-            said.contains(&why.replace('"', "\\\"")) || said.contains(why),
-            "{said}"
+            log_line.contains(&reason.replace('"', "\\\"")) || log_line.contains(reason),
+            "{log_line}"
         );
         assert!(!program.ends().success());
     }
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -8,23 +8,23 @@
 use support::*;
 
 /// A balancer whose only server takes every opening.
-fn site(name: &str) -> Site {
+fn start_balancer(name: &str) -> Site {
     let mut site = Site::start(name, 1);
     obliges(site.servers.remove(0));
     site
 }
 
 #[test]
-fn an_opening_and_a_line_cut_at_every_byte_are_served_as_if_whole() {
-    let site = site("pieces");
-    let whole = "OPEN p00 02 c=chat,t=acme,d=2500,g=3\r\n";
-    for cut in 1..whole.len() {
-        let opening = whole.replace("p00", &format!("p{cut:02}"));
+fn serves_request_and_line_split_at_every_byte() {
+    let site = start_balancer("pieces");
+    let request = "OPEN p00 02 c=chat,t=acme,d=2500,g=3\r\n";
+    for cut in 1..request.len() {
+        let unique_request = request.replace("p00", &format!("p{cut:02}"));
         let mut client = Peer::connect(site.at);
         client.stream.set_nodelay(true).expect("open");
         client.say("PING\r\n");
         client.hears("PONG");
-        let (head, rest) = opening.split_at(cut);
+        let (head, rest) = unique_request.split_at(cut);
         client.say(head);
         // An answer to another's question: the first piece has been there for as long as this takes.
         let mut other = Peer::connect(site.at);
@@ -43,30 +43,30 @@
 }
 
 #[test]
-fn clients_that_walk_away_half_way_leave_nothing_behind() {
-    let site = site("away");
-    let descriptors = || {
+fn releases_descriptors_of_clients_that_disconnect_early() {
+    let site = start_balancer("away");
+    let descriptor_count = || {
         std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
             .expect("it runs")
             .count()
     };
     let mut first = site.open("chat", "");
     first.hears("UP r");
-    let before = descriptors();
-    let whole = "OPEN w00 02 c=chat,t=acme,d=2500,g=3\r\nhalf a li";
-    for cut in 1..whole.len() {
+    let initial_count = descriptor_count();
+    let request = "OPEN w00 02 c=chat,t=acme,d=2500,g=3\r\nhalf a li";
+    for cut in 1..request.len() {
         let mut client = Peer::connect(site.at);
-        client.say(&whole.replace("w00", &format!("w{cut:02}"))[..cut]);
+        client.say(&request.replace("w00", &format!("w{cut:02}"))[..cut]);
         if cut % 2 == 0 {
             client.finish();
         }
     }
-    let until = std::time::Instant::now() + PATIENCE;
-    while descriptors() > before {
+    let deadline = std::time::Instant::now() + PATIENCE;
+    while descriptor_count() > initial_count {
         assert!(
-            std::time::Instant::now() < until,
-            "{} descriptors, {before} before",
-            descriptors()
+            std::time::Instant::now() < deadline,
+            "{} descriptors, {initial_count} before",
+            descriptor_count()
         );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_in_pieces_is_no_slow_answer() {
+fn measures_answer_latency_to_its_first_byte() {
     let settings = SETTINGS.replacen(
         '{',
         r#"{"family-info":{"message-aim-ns":[50000000,50000000]},"#,
@@ -83,24 +83,24 @@
     );
     let site = Site::start_on(&settings, "whole", 1, &[("BEACONFLOW_LOG", "debug")]);
     let (mut client, mut server) = site.stand();
-    let rest_comes_after = Duration::from_millis(150);
+    let fragment_delay = Duration::from_millis(150);
     client.say("M 1\r\n");
     server.hears("M 1");
     server.say("o");
     client.bytes(1);
-    std::thread::sleep(rest_comes_after);
+    std::thread::sleep(fragment_delay);
     // What comes in between is no answer; neither is the end of the line that the answer began.
     server.say("k\r\nLOAD 12.5\r\n");
     client.hears("k");
     client.hears("LOAD 12.5");
-    let noted = |lines: &[String]| {
+    let latency_event_count = |lines: &[String]| {
         lines
             .iter()
             .filter(|line| line.contains("MessageLatency("))
             .count()
     };
     assert_eq!(
-        noted(&site.program.says_up_to("Load(12.5)")),
+        latency_event_count(&site.program.says_up_to("Load(12.5)")),
         0,
         "the first piece came at once"
     );
@@ -109,7 +109,7 @@
     server.hears("M 2");
     server.say("LOA");
     client.bytes(3);
-    std::thread::sleep(rest_comes_after);
+    std::thread::sleep(fragment_delay);
     server.say("D 13.5\r\nok\r\n");
     client.hears("D 13.5");
     client.hears("ok");
@@ -118,7 +118,7 @@
     for pieces in [&["ok\r\n"][..], &["o", "k\r\n"]] {
         client.say("M 2\r\n");
         server.hears("M 2");
-        std::thread::sleep(rest_comes_after);
+        std::thread::sleep(fragment_delay);
         for piece in pieces {
             server.say(piece);
             client.bytes(piece.len());
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn a_connection_is_served_relayed_and_ended_the_same_way() {
+fn relays_lines_and_close_in_both_directions() {
     let site = Site::start("serve", 1);
     let mut client = Peer::connect(site.at);
     client.say("PING\r\n");
@@ -16,16 +16,16 @@
     client.say("OPEN 01 02 c=chat,t=acme,d=2500,g=3,h=1.5\r\n");
     let mut server = Peer::accept(&site.servers[0]);
     let line = server.hear().expect("an opening");
-    let wait = line
+    let wait_ms = line
         .strip_prefix("OPEN 01 02 c=chat,t=acme,d=")
         .and_then(|rest| rest.strip_suffix(",g=3,h=1.5"));
-    let wait: u64 = wait
+    let wait_ms: u64 = wait_ms
         .expect("all but d is unchanged")
         .parse()
         .expect("a number");
     assert!(
-        (1..=400).contains(&wait),
-        "{wait} is how long this balancer waits"
+        (1..=400).contains(&wait_ms),
+        "{wait_ms} is how long this balancer waits"
     );
     server.say("UP r7\r\nLOAD 12.5\r\nhal");
     client.hears("UP r7");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_reset_is_passed_on_as_a_reset() {
+fn forwards_server_reset_to_client() {
     let site = Site::start("reset", 1);
     let (mut client, server) = site.stand();
     socket2::SockRef::from(&server.stream)
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_pass_turned_away_is_repeated_and_the_last_answer_comes_at_once_with_a_time() {
+fn retries_busy_attempts_then_reports_retry_delay() {
     let site = Site::start("busy", 1);
     let mut client = site.open("chat", "");
     for _ in 0..4 {
@@ -64,21 +64,24 @@
         server.say("BUSY\r\n");
         server.ended();
     }
-    let answered = Instant::now();
+    let answered_at = Instant::now();
     let answer = client.hear().expect("an answer");
-    let after = answer
+    let retry_after_ms = answer
         .strip_prefix("BUSY ")
         .and_then(|millis| millis.parse::<u64>().ok());
-    assert!(after.is_some_and(|after| after <= 2000), "{answer}");
     assert!(
-        answered.elapsed() < Duration::from_millis(300),
+        retry_after_ms.is_some_and(|retry_after_ms| retry_after_ms <= 2000),
+        "{answer}"
+    );
+    assert!(
+        answered_at.elapsed() < Duration::from_millis(300),
         "not held back"
     );
     client.ended();
 }
 
 #[test]
-fn what_may_have_run_and_must_not_run_twice_is_failed() {
+fn fails_non_repeatable_request_after_lost_attempt() {
     let site = Site::start("once", 1);
     let mut client = site.open("once", "");
     let mut server = Peer::accept(&site.servers[0]);
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_pass_and_one_that_speaks_nonsense_costs_only_itself() {
+fn cancels_attempt_when_client_disconnects() {
     let site = Site::start("leave", 1);
     let client = site.open("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
@@ -100,12 +103,12 @@
 }
 
 #[test]
-fn a_standing_connection_costs_no_thread() {
+fn established_connections_use_no_threads() {
     // A balancer with a fifth of a core is stopped and woken as a whole: hundreds of threads use that up alone.
     let site = Site::start("threads", 1);
-    let before = site.program.threads();
-    let mut standing: Vec<(Peer, Peer)> = (0..50).map(|_| site.stand()).collect();
-    for (number, (client, server)) in standing.iter_mut().enumerate() {
+    let initial_threads = site.program.threads();
+    let mut established: Vec<(Peer, Peer)> = (0..50).map(|_| site.stand()).collect();
+    for (number, (client, server)) in established.iter_mut().enumerate() {
         client.say(&format!("M {number}\r\n"));
         server.hears(&format!("M {number}"));
         server.say(&format!("A {number}\r\n"));
@@ -113,18 +116,18 @@
     }
     // The last pass's thread may be about to end.
     assert!(
-        site.program.threads() <= before + 4,
-        "{} were {before}",
+        site.program.threads() <= initial_threads + 4,
+        "{} were {initial_threads}",
         site.program.threads()
     );
 }
 
 #[test]
-fn an_opening_that_no_client_sends_is_refused_before_a_server_hears_of_it() {
+fn rejects_invalid_requests_before_contacting_a_server() {
     let site = Site::start("rude", 1);
     let (mut client, mut server) = site.stand();
-    let long = format!("{}\r\n", "x".repeat(4096));
-    for words in [
+    let overlong = format!("{}\r\n", "x".repeat(4096));
+    for request in [
         "HELLO\r\n",
         "OPEN\r\n",
         "OPEN  02 c=chat,d=2500\r\n",
@@ -147,22 +150,22 @@
         "OPEN a1 02 c=chat,d=2500\r\n",
         // A client sends one line and waits.
         "OPEN b1 02 c=chat,d=2500\r\nOPEN b2 02 c=chat,d=2500\r\n",
-        &long,
+        &overlong,
     ] {
-        let mut bad = Peer::connect(site.at);
-        bad.say(words);
-        assert_eq!(bad.hear().as_deref(), Some("ERR"), "{words:?}");
-        assert!(bad.is_gone());
+        let mut invalid = Peer::connect(site.at);
+        invalid.say(request);
+        assert_eq!(invalid.hear().as_deref(), Some("ERR"), "{request:?}");
+        assert!(invalid.is_gone());
     }
     // Half a command and a close.
     Peer::connect(site.at).say("OPEN b1 02 c=chat,d=25");
     // One that speaks while a server is asked for it ends its pass.
-    let mut hasty = site.open("chat", "");
-    let mut asked = Peer::accept(&site.servers[0]);
-    asked.hear().expect("an opening");
-    hasty.say("M 1\r\n");
-    hasty.hears("ERR");
-    asked.ended();
+    let mut early_sender = site.open("chat", "");
+    let mut pending_attempt = Peer::accept(&site.servers[0]);
+    pending_attempt.hear().expect("an opening");
+    early_sender.say("M 1\r\n");
+    early_sender.hears("ERR");
+    pending_attempt.ended();
     client.say("M 1\r\n");
     server.hears("M 1");
     // An id is free by the time that its client hears of the end, every time.
@@ -185,13 +188,13 @@
 }
 
 #[test]
-fn silent_openings_are_let_go_in_time_and_leave_room_for_real_clients() {
+fn closes_silent_connections_and_serves_real_clients() {
     let site = Site::start("openings", 1);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     // Far more than fit into 256 descriptors.
     let mut silent: Vec<Peer> = (0..400).map(|_| Peer::connect(site.at)).collect();
-    let mut dripping = Peer::connect(site.at);
-    dripping.say("OPEN b1 ");
+    let mut incomplete = Peer::connect(site.at);
+    incomplete.say("OPEN b1 ");
     let (mut client, mut server) = site.stand();
     client.say("M 1\r\n");
     server.hears("M 1");
@@ -203,17 +206,17 @@
         );
         assert!(peer.is_gone());
     }
-    dripping.hears("ERR");
+    incomplete.hears("ERR");
     // Owed within 3 s of connecting; a loaded machine may take longer to say so, as 5 s for each would not.
     assert!(
-        begun.elapsed() < Duration::from_millis(4_500),
+        started_at.elapsed() < Duration::from_millis(4_500),
         "owed within 3 s of connecting"
     );
     site.program.says("more like these left out");
 }
 
 #[test]
-fn a_connection_from_before_the_start_goes_back_to_its_server_also_at_the_second_try() {
+fn retries_named_server_for_returning_connection() {
     let site = Site::start("held", 2);
     // Its time to wait has no end.
     let mut client = Peer::connect(site.at);
@@ -228,36 +231,36 @@
 }
 
 #[test]
-fn a_silent_server_costs_its_client_a_move_before_the_rule_does() {
+fn moves_client_when_server_stops_answering() {
     let site = Site::start("silent", 1);
     let (mut client, _server) = site.stand();
     client.say("M 1\r\n");
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     client.hears("MOVE");
     client.ended();
-    assert!(asked.elapsed() < Duration::from_millis(6_500));
+    assert!(sent_at.elapsed() < Duration::from_millis(6_500));
 }
 
 #[test]
-fn a_count_of_balancers_that_is_none_ends_the_start_with_its_name_and_a_missing_one_is_told() {
-    for (count, why) in [
+fn reports_invalid_or_missing_balancer_count() {
+    for (count, message) in [
         ("\"many\"", "settings.balancers: invalid type"),
         ("-1", "settings.balancers: invalid value"),
         ("0", "settings.balancers: must be at least 1"),
         ("", "settings.balancers is missing"),
     ] {
-        let said = if count.is_empty() {
+        let setting = if count.is_empty() {
             String::new()
         } else {
             format!("\"balancers\":{count},")
         };
-        let settings = SETTINGS.replace("\"balancers\":1,", &said);
+        let settings = SETTINGS.replace("\"balancers\":1,", &setting);
         let path = file(
             "count",
             &config(free(), free(), &list(1, true, &[]), &settings, 256),
         );
         let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-        program.says(why);
+        program.says(message);
         if count.is_empty() {
             program.says("serves");
         }
@@ -265,28 +268,28 @@
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new_and_its_clients_are_moved() {
+fn draining_server_loses_clients_and_new_requests() {
     let site = Site::start("drain", 2);
     let mut client = site.open("chat", ",at=s0");
     let mut server = Peer::accept(&site.servers[0]);
     server.hear().expect("an opening");
     server.say("UP r1\r\n");
     client.hears("UP r1");
-    let drains = site.servers[0].local_addr().expect("bound");
+    let draining = site.servers[0].local_addr().expect("bound");
     let mut watch = site.discovery.watch();
     // Longer than a watch without heartbeats lasts, as on a loaded machine.
     std::thread::sleep(Duration::from_millis(3_700));
-    tell(&mut watch, 2, false, &[("s0", drains, "DRAINING")]);
+    tell(&mut watch, 2, false, &[("s0", draining, "DRAINING")]);
     site.program.says("generation=2");
     // They stay: servers that end their connections at once would be left alone for a while.
-    let mut standing = Vec::new();
+    let mut established = Vec::new();
     for _ in 0..4 {
         let mut newcomer = site.open("chat", "");
         let mut server = Peer::accept(&site.servers[1]);
         server.hear().expect("an opening");
         server.say("UP r2\r\n");
         newcomer.hears("UP r2");
-        standing.push((newcomer, server));
+        established.push((newcomer, server));
     }
     client.hears("MOVE");
     client.ended();
@@ -295,51 +298,51 @@
 }
 
 #[test]
-fn a_watch_without_heartbeats_is_asked_for_again_and_the_old_list_holds() {
+fn restarts_silent_watch_and_keeps_server_list() {
     let site = Site::start("watch", 1);
     let _silent = site.discovery.watch();
     site.discovery.falls_silent();
-    let begun = Instant::now();
-    let mut again = site.discovery.watch();
+    let silent_since = Instant::now();
+    let mut new_watch = site.discovery.watch();
     // What the first would have told counts as told after 6 s.
-    assert!(begun.elapsed() < Duration::from_secs(6));
+    assert!(silent_since.elapsed() < Duration::from_secs(6));
     site.stand();
-    tell(&mut again, 5, true, &[]);
+    tell(&mut new_watch, 5, true, &[]);
     site.program.says("generation=5");
 }
 
 #[test]
-fn a_reload_moves_the_watch_and_standing_connections_feel_nothing() {
+fn reload_moves_watch_without_disturbing_connections() {
     let mut site = Site::start("reload", 2);
-    let mut old = site.discovery.watch();
+    let mut old_watch = site.discovery.watch();
     let (mut client, mut server) = site.stand();
-    let new = Discovery::start();
+    let new_discovery = Discovery::start();
     let config = site.config.replace(
         &site.discovery.address.to_string(),
-        &new.address.to_string(),
+        &new_discovery.address.to_string(),
     );
     std::fs::write(
         &site.path,
         config.replace("\"sockets\":256", "\"sockets\":300"),
     )
     .expect("the same folder");
-    let told = Instant::now();
+    let reloaded_at = Instant::now();
     // Several at once are as good as one.
     site.program.signal("HUP");
     site.program.signal("HUP");
-    let mut watch = new.watch();
+    let mut watch = new_discovery.watch();
     assert!(
-        told.elapsed() < Duration::from_millis(2_500),
+        reloaded_at.elapsed() < Duration::from_millis(2_500),
         "the blocked read was ended, not waited out"
     );
-    old.ended();
+    old_watch.ended();
     // The list is kept until the new address tells another one.
     client.say("M 1\r\n");
     server.hears("M 1");
     server.say("A 1\r\n");
     client.hears("A 1");
-    let second = site.servers[1].local_addr().expect("bound");
-    tell(&mut watch, 1, true, &[("s1", second, "SERVING")]);
+    let second_server = site.servers[1].local_addr().expect("bound");
+    tell(&mut watch, 1, true, &[("s1", second_server, "SERVING")]);
     site.program.says("generation=1 kind=Snapshot");
     client.hears("MOVE");
     site.program.signal("HUP");
@@ -351,7 +354,7 @@
     site.program.signal("HUP");
     site.program
         .says("takes a restart, kept as it was what=name");
-    let _back = site.discovery.watch();
+    let _restored_watch = site.discovery.watch();
     site.program.signal("TERM");
     site.program.says("leaving");
     site.program.signal("HUP");
@@ -360,7 +363,7 @@
 }
 
 #[test]
-fn at_a_planned_restart_clients_are_moved_between_lines_and_newcomers_served_and_moved() {
+fn planned_restart_moves_clients_between_lines() {
     let mut site = Site::start("term", 1);
     let (mut client, mut server) = site.stand();
     server.say("whole\r\nhal");
@@ -376,20 +379,20 @@
     server.say("f\r\nnever relayed\r\n");
     client.hears("f");
     // Another line may have gone on before the move was ordered.
-    let last = std::iter::from_fn(|| client.hear()).last();
-    assert_eq!(last.as_deref(), Some("MOVE"));
+    let last_line = std::iter::from_fn(|| client.hear()).last();
+    assert_eq!(last_line.as_deref(), Some("MOVE"));
     server.ended();
     late.hears("MOVE");
     assert!(site.program.left(), "it leaves by itself");
 }
 
 #[test]
-fn whoever_waits_for_a_silent_server_has_a_last_word_before_the_program_leaves() {
+fn answers_pending_request_before_program_exits() {
     let mut site = Site::start("lastword", 1);
     // Their moves are spread over the drain: the second one's says that a third of it has gone by.
-    let mut standing = [site.stand(), site.stand(), site.stand()];
+    let mut established = [site.stand(), site.stand(), site.stand()];
     site.program.signal("TERM");
-    standing[1].0.hears("MOVE");
+    established[1].0.hears("MOVE");
     let mut client = Peer::connect(site.at);
     client.say("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
     let mut server = Peer::accept(&site.servers[0]);
@@ -399,7 +402,7 @@
 }
 
 #[test]
-fn servers_are_asked_for_their_load_and_what_they_answer_decides_where_clients_go() {
+fn probed_load_decides_server_selection() {
     let probes = SETTINGS.replace(
         "\"policy-limits\":{",
         "\"policy-limits\":{\"may-probe\":true,",
@@ -408,7 +411,7 @@
         "\"rules\"",
         "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
     );
-    let full = "PONG x0=0.95,queue=3\r\n";
+    let high_load_report = "PONG x0=0.95,queue=3\r\n";
     // A server that tells nothing of its load takes clients; a report that is cut short is no answer.
     for (number, answer) in [
         "PONG x0=0.1,queue=0\r\n",
@@ -420,17 +423,22 @@
     .enumerate()
     {
         let site = Site::start_on(&settings, &format!("load{number}"), 3, &[]);
-        let (say, heard) = std::sync::mpsc::channel();
-        for (server, answer) in site.servers.iter().zip([full, answer, "PONG x0=0."]) {
-            let (server, say) = (server.try_clone().expect("open"), say.clone());
-            let at = server.local_addr().expect("bound");
+        let (request_sender, request_receiver) = std::sync::mpsc::channel();
+        for (server, answer) in site
+            .servers
+            .iter()
+            .zip([high_load_report, answer, "PONG x0=0."])
+        {
+            let (server, request_sender) =
+                (server.try_clone().expect("open"), request_sender.clone());
+            let address = server.local_addr().expect("bound");
             std::thread::spawn(move || {
                 while let Ok((stream, _)) = server.accept() {
-                    let (mut peer, say) = (Peer::new(stream), say.clone());
+                    let (mut peer, request_sender) = (Peer::new(stream), request_sender.clone());
                     std::thread::spawn(move || {
                         while let Some(line) = peer.hear_or_end() {
                             if line.trim_end() != "STATS" {
-                                say.send(at).expect("the story goes on");
+                                request_sender.send(address).expect("the story goes on");
                                 peer.say("UP r1\r\n");
                                 continue;
                             }
@@ -445,7 +453,11 @@
         }
         let mut clients: Vec<Peer> = (0..4).map(|_| site.open("chat", "")).collect();
         clients.iter_mut().for_each(|client| client.hears("UP r1"));
-        let at = site.servers[1].local_addr().expect("bound");
-        assert_eq!(heard.try_iter().collect::<Vec<_>>(), [at; 4], "{answer:?}");
+        let address = site.servers[1].local_addr().expect("bound");
+        assert_eq!(
+            request_receiver.try_iter().collect::<Vec<_>>(),
+            [address; 4],
+            "{answer:?}"
+        );
     }
 }
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -8,60 +8,60 @@
 use support::site::Site;
 use support::*;
 
-const MS: u64 = 1_000_000;
+const NS_PER_MS: u64 = 1_000_000;
 
 /// A class: its name, effect, and deadline in milliseconds.
-type Lane<'a> = (&'a str, &'a str, u64);
+type ClassSpec<'a> = (&'a str, &'a str, u64);
 
 /// The usual settings with these classes.
-fn with_lanes(lanes: &[Lane<'_>]) -> Value {
-    let lane = |(name, effect, deadline): &Lane<'_>| json!({"name": name, "effect": effect, "on-time-ns": deadline * MS / 6, "hard-limit-ns": deadline * MS, "dedup-scope": "all", "repeat-window-ns": 0, "value": 1.0});
+fn settings_with_classes(classes: &[ClassSpec<'_>]) -> Value {
+    let class_json = |(name, effect, deadline_ms): &ClassSpec<'_>| json!({"name": name, "effect": effect, "on-time-ns": deadline_ms * NS_PER_MS / 6, "hard-limit-ns": deadline_ms * NS_PER_MS, "dedup-scope": "all", "repeat-window-ns": 0, "value": 1.0});
     let mut settings: Value = serde_json::from_str(SETTINGS).expect("JSON");
-    settings["lanes"] = lanes.iter().map(lane).collect();
+    settings["lanes"] = classes.iter().map(class_json).collect();
     settings
 }
 
-fn usual() -> Value {
+fn default_settings() -> Value {
     serde_json::from_str(SETTINGS).expect("JSON")
 }
 
 /// The text of the configuration file with other settings.
-fn file_with(site: &Site, settings: &Value) -> String {
+fn config_text_with(site: &Site, settings: &Value) -> String {
     site.config.replace(SETTINGS, &settings.to_string())
 }
 
 /// Puts a file in the place of the configuration and tells the program.
-fn reload(site: &Site, text: &str) {
+fn write_and_signal(site: &Site, text: &str) {
     std::fs::write(&site.path, text).expect("the same folder");
     site.program.signal("HUP");
 }
 
 /// The same with other settings, and waits until they hold: for openings that are read from now on, too.
-fn replace(site: &Site, settings: &Value) {
-    reload(site, &file_with(site, settings));
+fn reload_and_wait(site: &Site, settings: &Value) {
+    write_and_signal(site, &config_text_with(site, settings));
     site.program.says("taken over");
 }
 
 /// The next attempt at the first server: its opening has been heard.
-fn attempt(site: &Site, at: usize) -> Peer {
-    let mut server = Peer::accept(&site.servers[at]);
+fn accept_attempt(site: &Site, index: usize) -> Peer {
+    let mut server = Peer::accept(&site.servers[index]);
     assert!(server.hear().expect("an opening").starts_with("OPEN "));
     server
 }
 
 /// Ends an attempt so that it may have run.
-fn resets(server: Peer) {
+fn close_without_answer(server: Peer) {
     drop(server);
 }
 
-fn speaks(client: &mut Peer, server: &mut Peer) {
+fn exchange_lines(client: &mut Peer, server: &mut Peer) {
     client.say("M 1\r\n");
     server.hears("M 1");
     server.say("A 1\r\n");
     client.hears("A 1");
 }
 
-fn no_attempt_waits(site: &Site) {
+fn assert_no_pending_attempt(site: &Site) {
     for server in &site.servers {
         server.set_nonblocking(true).expect("open");
         assert!(server.accept().is_err(), "one attempt more");
@@ -69,9 +69,10 @@
 }
 
 #[test]
-fn two_deployments_of_other_shapes_are_each_served_by_what_their_settings_say() {
+fn applies_settings_of_two_different_deployments() {
     // Two classes, two tenants, two zones, two attempts, a time to come again.
-    let mut first = with_lanes(&[("quick", "fragile", 700), ("bulk", "retryable", 9_000)]);
+    let mut first =
+        settings_with_classes(&[("quick", "fragile", 700), ("bulk", "retryable", 9_000)]);
     first["zones"] = json!(["north", "south"]);
     first["projects"] = json!([{"name": "kiosk", "share": 0.3}, {"name": "acme", "share": 0.2}]);
     first["policy-limits"]["max-attempts"] = json!(2);
@@ -82,27 +83,27 @@
     stranger.hears("ERR");
     let mut bulk = site.open("bulk", "");
     for _ in 0..2 {
-        attempt(&site, 0).say("BUSY\r\n");
+        accept_attempt(&site, 0).say("BUSY\r\n");
     }
     assert!(
         bulk.hear().expect("an answer").starts_with("BUSY "),
         "two attempts, and a time to come again"
     );
     let mut quick = site.open("quick", "");
-    resets(attempt(&site, 0));
+    close_without_answer(accept_attempt(&site, 0));
     quick.hears("ERR");
-    let (mut hung, begun) = (site.open("quick", ""), Instant::now());
-    let _silent = attempt(&site, 0);
+    let (mut hung, started_at) = (site.open("quick", ""), Instant::now());
+    let _silent = accept_attempt(&site, 0);
     hung.hears("ERR");
-    let took = begun.elapsed();
+    let elapsed = started_at.elapsed();
     assert!(
-        took >= Duration::from_millis(500) && took < Duration::from_millis(2_300),
-        "{took:?} of 700 ms"
+        elapsed >= Duration::from_millis(500) && elapsed < Duration::from_millis(2_300),
+        "{elapsed:?} of 700 ms"
     );
-    no_attempt_waits(&site);
+    assert_no_pending_attempt(&site);
 
     // One class, no tenants, no zones, one attempt, no time to come again.
-    let mut second = with_lanes(&[("only", "dedup", 5_000)]);
+    let mut second = settings_with_classes(&[("only", "dedup", 5_000)]);
     for absent in ["zones", "zone", "projects", "prices", "report"] {
         second.as_object_mut().expect("an object").remove(absent);
     }
@@ -112,252 +113,259 @@
     site.open("quick", "").hears("ERR");
     let mut any = Peer::connect(site.at);
     any.say("OPEN c1 02 c=only,t=nobody,d=2500\r\n");
-    attempt(&site, 0).say("BUSY\r\n");
+    accept_attempt(&site, 0).say("BUSY\r\n");
     any.hears("BUSY");
     let mut client = site.open("only", "");
-    let mut server = attempt(&site, 0);
+    let mut server = accept_attempt(&site, 0);
     server.say("UP r1\r\n");
     client.hears("UP r1");
-    speaks(&mut client, &mut server);
-    no_attempt_waits(&site);
+    exchange_lines(&mut client, &mut server);
+    assert_no_pending_attempt(&site);
 }
 
 #[test]
-fn a_reload_replaces_effects_and_names_whole_and_what_is_under_way_keeps_its_own() {
+fn reload_replaces_classes_only_for_new_requests() {
     let site = Site::start("replaced", 1);
     let (mut client, mut server) = site.stand();
     // Both are out when the settings change: one may not be repeated by the old ones, one not by the new ones.
     let mut once = site.open("once", "");
-    let once_out = attempt(&site, 0);
+    let once_attempt = accept_attempt(&site, 0);
     let mut chat = site.open("chat", "");
-    let chat_out = attempt(&site, 0);
+    let chat_attempt = accept_attempt(&site, 0);
     // The other order, and each has the other's effect.
-    replace(
+    reload_and_wait(
         &site,
-        &with_lanes(&[
+        &settings_with_classes(&[
             ("more", "retryable", 3_000),
             ("once", "retryable", 3_000),
             ("chat", "fragile", 3_000),
         ]),
     );
-    resets(once_out);
+    close_without_answer(once_attempt);
     once.hears("ERR");
-    resets(chat_out);
+    close_without_answer(chat_attempt);
     chat.hears("ERR");
-    no_attempt_waits(&site);
+    assert_no_pending_attempt(&site);
     // From now on the new ones hold.
     let mut once = site.open("once", "");
-    resets(attempt(&site, 0));
-    attempt(&site, 0).say("UP r2\r\n");
+    close_without_answer(accept_attempt(&site, 0));
+    accept_attempt(&site, 0).say("UP r2\r\n");
     once.hears("UP r2");
     let mut chat = site.open("chat", "");
-    resets(attempt(&site, 0));
+    close_without_answer(accept_attempt(&site, 0));
     chat.hears("ERR");
     let mut more = site.open("more", "");
-    attempt(&site, 0).say("UP r3\r\n");
+    accept_attempt(&site, 0).say("UP r3\r\n");
     more.hears("UP r3");
-    speaks(&mut client, &mut server);
-    no_attempt_waits(&site);
+    exchange_lines(&mut client, &mut server);
+    assert_no_pending_attempt(&site);
 }
 
 #[test]
-fn new_openings_of_a_class_or_tenant_that_is_gone_are_refused_and_what_stands_stays() {
+fn rejects_requests_of_removed_classes_and_tenants() {
     let site = Site::start("gone", 1);
     let (mut client, mut server) = site.stand();
-    let mut under_way = site.open("chat", "");
-    let mut out = attempt(&site, 0);
-    let mut settings = with_lanes(&[("once", "fragile", 3_000)]);
+    let mut pending = site.open("chat", "");
+    let mut pending_attempt = accept_attempt(&site, 0);
+    let mut settings = settings_with_classes(&[("once", "fragile", 3_000)]);
     settings["projects"] = json!([{"name": "bright", "share": 0.5}]);
-    replace(&site, &settings);
+    reload_and_wait(&site, &settings);
     site.open("chat", "").hears("ERR");
     site.open("once", "").hears("ERR");
     let mut bright = Peer::connect(site.at);
     bright.say("OPEN c1 02 c=once,t=bright,d=2500\r\n");
-    let mut bright_server = attempt(&site, 0);
+    let mut bright_server = accept_attempt(&site, 0);
     bright_server.say("UP r3\r\n");
     bright.hears("UP r3");
     // What was out comes to stand.
-    out.say("UP r2\r\n");
-    under_way.hears("UP r2");
-    speaks(&mut under_way, &mut out);
-    speaks(&mut client, &mut server);
+    pending_attempt.say("UP r2\r\n");
+    pending.hears("UP r2");
+    exchange_lines(&mut pending, &mut pending_attempt);
+    exchange_lines(&mut client, &mut server);
     // The class comes back, with its tenant: nothing of the file in between is left.
-    replace(&site, &usual());
-    let (mut again, mut again_server) = site.stand();
-    speaks(&mut again, &mut again_server);
-    speaks(&mut client, &mut server);
-    speaks(&mut bright, &mut bright_server);
+    reload_and_wait(&site, &default_settings());
+    let (mut returning, mut returning_server) = site.stand();
+    exchange_lines(&mut returning, &mut returning_server);
+    exchange_lines(&mut client, &mut server);
+    exchange_lines(&mut bright, &mut bright_server);
 }
 
 #[test]
-fn a_new_limit_of_attempts_answers_whoever_has_had_them_and_nobody_has_more() {
+fn reload_applies_new_attempt_limit() {
     let site = Site::start("attempts", 1);
     let mut client = site.open("chat", "");
-    let out = attempt(&site, 0);
-    let mut settings = usual();
+    let pending_attempt = accept_attempt(&site, 0);
+    let mut settings = default_settings();
     settings["policy-limits"]["max-attempts"] = json!(1);
     settings["policy-limits"]["retry-after"] = json!(false);
-    replace(&site, &settings);
-    resets(out);
+    reload_and_wait(&site, &settings);
+    close_without_answer(pending_attempt);
     client.hears("ERR");
     let mut client = site.open("chat", "");
-    attempt(&site, 0).say("BUSY\r\n");
+    accept_attempt(&site, 0).say("BUSY\r\n");
     client.hears("BUSY");
-    no_attempt_waits(&site);
+    assert_no_pending_attempt(&site);
 }
 
 #[test]
-fn a_new_deadline_is_that_of_new_openings_and_who_came_before_keeps_the_old_one() {
+fn reload_applies_new_deadline_to_new_requests() {
     let site = Site::start("deadline", 1);
-    let begun = Instant::now();
-    let mut before = site.open("once", "");
-    let _silent = attempt(&site, 0);
-    replace(
+    let first_opened_at = Instant::now();
+    let mut first = site.open("once", "");
+    let _silent = accept_attempt(&site, 0);
+    reload_and_wait(
         &site,
-        &with_lanes(&[("chat", "retryable", 600), ("once", "fragile", 600)]),
+        &settings_with_classes(&[("chat", "retryable", 600), ("once", "fragile", 600)]),
     );
-    let begun_after = Instant::now();
-    let mut after = site.open("once", "");
-    let _silent_too = attempt(&site, 0);
-    after.hears("ERR");
+    let second_opened_at = Instant::now();
+    let mut second = site.open("once", "");
+    let _silent_too = accept_attempt(&site, 0);
+    second.hears("ERR");
     assert!(
-        begun_after.elapsed() < Duration::from_millis(2_000),
+        second_opened_at.elapsed() < Duration::from_millis(2_000),
         "{:?}",
-        begun_after.elapsed()
+        second_opened_at.elapsed()
     );
-    before.hears("ERR");
+    first.hears("ERR");
     // Its client waits for 2.5 s, and the old deadline is 3 s.
     assert!(
-        begun.elapsed() >= Duration::from_millis(2_300),
+        first_opened_at.elapsed() >= Duration::from_millis(2_300),
         "{:?}",
-        begun.elapsed()
+        first_opened_at.elapsed()
     );
 }
 
 #[test]
-fn two_reloads_one_right_after_the_other_end_with_the_last_file() {
+fn applies_last_of_two_consecutive_reloads() {
     let site = Site::start("twice", 1);
     let (mut client, mut server) = site.stand();
-    let second = with_lanes(&[("chat", "retryable", 3_000), ("second", "retryable", 3_000)]);
-    let mut third = with_lanes(&[("third", "fragile", 3_000), ("chat", "retryable", 3_000)]);
+    let second =
+        settings_with_classes(&[("chat", "retryable", 3_000), ("second", "retryable", 3_000)]);
+    let mut third =
+        settings_with_classes(&[("third", "fragile", 3_000), ("chat", "retryable", 3_000)]);
     third["rules"]["cold-share"] = json!(0.5);
-    reload(&site, &file_with(&site, &second));
-    reload(&site, &file_with(&site, &third));
+    write_and_signal(&site, &config_text_with(&site, &second));
+    write_and_signal(&site, &config_text_with(&site, &third));
     // Read once or twice: what changes last is logged last.
     site.program.says("rules");
     site.open("second", "").hears("ERR");
     let mut third = site.open("third", "");
-    attempt(&site, 0).say("UP r3\r\n");
+    accept_attempt(&site, 0).say("UP r3\r\n");
     third.hears("UP r3");
-    speaks(&mut client, &mut server);
+    exchange_lines(&mut client, &mut server);
 }
 
 #[test]
-fn a_file_that_is_half_written_wrong_or_gone_changes_nothing_and_tells_all_its_faults() {
+fn ignores_unreadable_file_and_reports_every_error() {
     let site = Site::start("half", 1);
     let (mut client, mut server) = site.stand();
-    let changed = with_lanes(&[("other", "retryable", 3_000)]);
-    let whole = file_with(&site, &changed).replace("\"sockets\":256", "\"sockets\":300");
-    let moved = whole.replace(&site.discovery.address.to_string(), "127.0.0.1:9");
-    let mut wrong = changed.clone();
-    wrong["lanes"][0]["effect"] = json!("sometimes");
-    wrong["policy-limits"]
+    let changed = settings_with_classes(&[("other", "retryable", 3_000)]);
+    let valid_text =
+        config_text_with(&site, &changed).replace("\"sockets\":256", "\"sockets\":300");
+    let moved_text = valid_text.replace(&site.discovery.address.to_string(), "127.0.0.1:9");
+    let mut invalid = changed.clone();
+    invalid["lanes"][0]["effect"] = json!("sometimes");
+    invalid["policy-limits"]
         .as_object_mut()
         .expect("an object")
         .remove("max-attempts");
-    wrong["rules"]["fall-ns"] = json!("soon");
-    let wrong = moved.replace(&changed.to_string(), &wrong.to_string());
-    for half in [
-        &moved[..moved.len() / 2],
-        &moved[..moved.len() - 1],
+    invalid["rules"]["fall-ns"] = json!("soon");
+    let invalid = moved_text.replace(&changed.to_string(), &invalid.to_string());
+    for truncated in [
+        &moved_text[..moved_text.len() / 2],
+        &moved_text[..moved_text.len() - 1],
         "",
-        &format!("{moved}}}"),
+        &format!("{moved_text}}}"),
     ] {
-        reload(&site, half);
+        write_and_signal(&site, truncated);
         site.program.says("present configuration kept");
     }
-    reload(&site, &wrong);
-    let said = site.program.says("present configuration kept");
+    write_and_signal(&site, &invalid);
+    let log_line = site.program.says("present configuration kept");
     for fault in [
         "settings.lanes[0].effect: unknown effect",
         "settings.policy-limits.max-attempts: is missing",
         "settings.rules.fall-ns: invalid type",
     ] {
-        assert!(said.contains(fault), "{fault} is not in {said}");
+        assert!(log_line.contains(fault), "{fault} is not in {log_line}");
     }
     std::fs::remove_file(&site.path).expect("it is there");
     site.program.signal("HUP");
     site.program.says("present configuration kept");
     // Nothing of any of them holds: not the classes, and not the address.
     site.open("other", "").hears("ERR");
-    let (mut again, mut again_server) = site.stand();
-    speaks(&mut again, &mut again_server);
-    speaks(&mut client, &mut server);
+    let (mut new_client, mut new_server) = site.stand();
+    exchange_lines(&mut new_client, &mut new_server);
+    exchange_lines(&mut client, &mut server);
     // The whole file is taken over once it is there.
-    reload(&site, &whole);
+    write_and_signal(&site, &valid_text);
     site.program.says("taken over");
     site.open("chat", "").hears("ERR");
     let mut other = site.open("other", "");
-    attempt(&site, 0).say("UP r2\r\n");
+    accept_attempt(&site, 0).say("UP r2\r\n");
     other.hears("UP r2");
-    speaks(&mut client, &mut server);
+    exchange_lines(&mut client, &mut server);
 }
 
 #[test]
-fn a_way_of_lists_or_a_leave_to_probe_that_takes_a_restart_is_told_and_the_rest_is_taken_over() {
+fn reload_reports_settings_that_require_a_restart() {
     let site = Site::start("restart", 1);
-    let mut settings = with_lanes(&[("chat", "fragile", 3_000)]);
+    let mut settings = settings_with_classes(&[("chat", "fragile", 3_000)]);
     settings["discovery"] = json!("automatic");
     settings["policy-limits"]["may-probe"] = json!(true);
     settings["report"] = json!({"how": "on_probe", "names": ["x0"]});
-    reload(&site, &file_with(&site, &settings));
-    let said = site.program.says("takes a restart");
+    write_and_signal(&site, &config_text_with(&site, &settings));
+    let log_line = site.program.says("takes a restart");
     assert!(
-        said.contains("settings.discovery") && said.contains("settings.policy-limits.may-probe"),
-        "{said}"
+        log_line.contains("settings.discovery")
+            && log_line.contains("settings.policy-limits.may-probe"),
+        "{log_line}"
     );
     let mut chat = site.open("chat", "");
-    resets(attempt(&site, 0));
+    close_without_answer(accept_attempt(&site, 0));
     chat.hears("ERR");
 }
 
 #[test]
-fn at_a_planned_restart_everybody_is_moved_before_the_program_may_be_killed_also_with_short_deadlines()
- {
-    let settings = with_lanes(&[("chat", "retryable", 600), ("once", "fragile", 500)]);
+fn planned_restart_moves_clients_despite_short_deadlines() {
+    let settings = settings_with_classes(&[("chat", "retryable", 600), ("once", "fragile", 500)]);
     let mut site = Site::start_on(&settings.to_string(), "short", 1, &[]);
-    let mut standing: Vec<(Peer, Peer)> = (0..10).map(|_| site.stand()).collect();
+    let mut established: Vec<(Peer, Peer)> = (0..10).map(|_| site.stand()).collect();
     let mut waiting = site.open("once", "");
-    let _silent = attempt(&site, 0);
-    let begun = Instant::now();
+    let _silent = accept_attempt(&site, 0);
+    let signalled_at = Instant::now();
     site.program.signal("TERM");
-    for (client, _) in &mut standing {
+    for (client, _) in &mut established {
         client.hears("MOVE");
         client.ended();
     }
     waiting.hears("ERR");
     // It may be killed after the longest deadline and 0.7 s.
     assert!(
-        begun.elapsed() < Duration::from_millis(1_300),
+        signalled_at.elapsed() < Duration::from_millis(1_300),
         "{:?}",
-        begun.elapsed()
+        signalled_at.elapsed()
     );
     assert!(site.program.left(), "it leaves by itself");
 }
 
 #[test]
-fn an_opening_that_is_cut_by_a_reload_is_read_by_the_settings_that_hold_when_it_is_whole() {
+fn request_split_by_reload_uses_new_settings() {
     let site = Site::start("cut", 1);
-    let (mut gone, mut kept) = (Peer::connect(site.at), Peer::connect(site.at));
-    gone.say("OPEN c1 02 c=chat,t=acme,d=25");
-    kept.say("OPEN c2 02 c=on");
-    replace(&site, &with_lanes(&[("once", "retryable", 3_000)]));
-    gone.say("00,g=3\r\n");
-    gone.hears("ERR");
-    gone.ended();
-    kept.say("ce,t=acme,d=2500,g=3\r\n");
-    resets(attempt(&site, 0));
-    attempt(&site, 0).say("UP r1\r\n");
-    kept.hears("UP r1");
-    no_attempt_waits(&site);
+    let (mut removed_class_client, mut kept_class_client) =
+        (Peer::connect(site.at), Peer::connect(site.at));
+    removed_class_client.say("OPEN c1 02 c=chat,t=acme,d=25");
+    kept_class_client.say("OPEN c2 02 c=on");
+    reload_and_wait(
+        &site,
+        &settings_with_classes(&[("once", "retryable", 3_000)]),
+    );
+    removed_class_client.say("00,g=3\r\n");
+    removed_class_client.hears("ERR");
+    removed_class_client.ended();
+    kept_class_client.say("ce,t=acme,d=2500,g=3\r\n");
+    close_without_answer(accept_attempt(&site, 0));
+    accept_attempt(&site, 0).say("UP r1\r\n");
+    kept_class_client.hears("UP r1");
+    assert_no_pending_attempt(&site);
 }
--- a/crates/cli/tests/starting.rs
+++ b/crates/cli/tests/starting.rs
@@ -8,58 +8,58 @@
 
 use support::*;
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// Nine in ten restarted processes are ready by then on a short day.
-const READY: Duration = Duration::from_secs(6);
+const MAX_READY_TIME: Duration = Duration::from_secs(6);
 
-fn at(listener: &TcpListener) -> SocketAddr {
+fn address_of(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("bound")
 }
 
 /// What a discovery does with whoever calls.
 #[derive(Clone, Copy, Debug)]
-enum Plays {
+enum DiscoveryBehaviour {
     /// Nobody listens.
     Down,
     /// Its calls never come up.
-    Full,
+    BacklogFull,
     /// It takes a call and says nothing.
     Silent,
     /// It is overloaded.
-    Refuses,
+    Overloaded,
     /// It breaks calls off.
     Resets,
     /// It says nothing after the head.
-    HeadAlone,
+    HeadOnly,
 }
 
 /// Plays it for as long as the test runs; gives its address.
-fn plays(how: Plays) -> SocketAddr {
-    if matches!(how, Plays::Down) {
+fn start_discovery(behaviour: DiscoveryBehaviour) -> SocketAddr {
+    if matches!(behaviour, DiscoveryBehaviour::Down) {
         return free();
     }
-    if matches!(how, Plays::Full) {
-        return full();
+    if matches!(behaviour, DiscoveryBehaviour::BacklogFull) {
+        return address_with_full_backlog();
     }
     let listener = listener();
-    let address = at(&listener);
+    let address = address_of(&listener);
     std::thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut open_calls = Vec::new();
         while let Ok((stream, _)) = listener.accept() {
             let mut call = Peer::new(stream);
             while call
                 .hear_or_end()
                 .is_some_and(|line| !line.trim_end().is_empty())
             {}
-            match how {
-                Plays::Refuses => {
+            match behaviour {
+                DiscoveryBehaviour::Overloaded => {
                     call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 }
-                Plays::HeadAlone => {
-                    call.say(HEAD);
-                    kept.push(call);
+                DiscoveryBehaviour::HeadOnly => {
+                    call.say(RESPONSE_HEAD);
+                    open_calls.push(call);
                 }
-                Plays::Silent => kept.push(call),
+                DiscoveryBehaviour::Silent => open_calls.push(call),
                 _ => drop(call),
             }
         }
@@ -68,36 +68,36 @@
 }
 
 /// A listener whose line is full: no connection to it comes up.
-fn full() -> SocketAddr {
+fn address_with_full_backlog() -> SocketAddr {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket
-        .bind(&SocketAddr::new(at(&listener()).ip(), 0).into())
+        .bind(&SocketAddr::new(address_of(&listener()).ip(), 0).into())
         .expect("loopback");
     socket.listen(0).expect("bound");
     let listener = TcpListener::from(socket);
-    let address = at(&listener);
-    let short = Duration::from_millis(100);
-    let line: Vec<TcpStream> =
-        std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
+    let address = address_of(&listener);
+    let connect_timeout = Duration::from_millis(100);
+    let backlog: Vec<TcpStream> =
+        std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
     // Both last as long as the test's process.
-    std::mem::forget((listener, line));
+    std::mem::forget((listener, backlog));
     address
 }
 
 /// A reset is no answer. Guards against the listener that found the free address: a process of another thread that is
 /// just being started may hold it for a moment longer, and takes connections to its end.
-fn answer_to_ping(at: SocketAddr) -> Option<String> {
-    let mut front = Peer::connect(at);
+fn ping_answer(address: SocketAddr) -> Option<String> {
+    let mut front = Peer::connect(address);
     let _ = front.stream.write_all(b"PING\r\n");
     front.hear_or_end().map(|line| line.trim_end().to_owned())
 }
 
 #[test]
-fn a_start_is_ready_and_serves_in_time_whatever_discovery_does() {
-    use Plays::{Down, Full, HeadAlone, Refuses, Resets, Silent};
+fn becomes_ready_in_time_despite_discovery_failures() {
+    use DiscoveryBehaviour::{BacklogFull, Down, HeadOnly, Overloaded, Resets, Silent};
     std::thread::scope(|scope| {
-        for discovery in [Down, Full, Silent, Refuses, Resets, HeadAlone] {
+        for discovery in [Down, BacklogFull, Silent, Overloaded, Resets, HeadOnly] {
             for kind in ["subscribe", "automatic"] {
                 scope.spawn(move || {
                     let (server, front) = (listener(), free());
@@ -106,29 +106,29 @@
                         .replace("\"balancers\":1,", "\"balancers\":300,")
                         .replace("400000000,", "4000000000,")
                         .replace("3000000000", "9000000000");
-                    let rows = [("s0", at(&server), "SERVING")];
+                    let rows = [("s0", address_of(&server), "SERVING")];
                     let text = config(
                         front,
-                        plays(discovery),
+                        start_discovery(discovery),
                         &list(1, true, &rows),
                         &settings,
                         256,
                     );
                     let path = file(&format!("start-{kind}-{discovery:?}"), &text);
-                    let begun = Instant::now();
+                    let started_at = Instant::now();
                     let _program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-                    while answer_to_ping(front).as_deref() != Some("PONG") {}
+                    while ping_answer(front).as_deref() != Some("PONG") {}
                     assert!(
-                        begun.elapsed() < READY,
+                        started_at.elapsed() < MAX_READY_TIME,
                         "{kind}, {discovery:?}: {:?}",
-                        begun.elapsed()
+                        started_at.elapsed()
                     );
                     // Who says yes serves.
                     let mut client = Peer::connect(front);
                     client.say("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
-                    let mut peer = Peer::accept(&server);
-                    peer.hear().expect("an opening");
-                    peer.say("UP r1\r\n");
+                    let mut server_connection = Peer::accept(&server);
+                    server_connection.hear().expect("an opening");
+                    server_connection.say("UP r1\r\n");
                     client.hears("UP r1");
                 });
             }
@@ -137,10 +137,16 @@
 }
 
 #[test]
-fn a_process_that_knows_no_server_says_no_until_a_list_comes() {
+fn reports_not_ready_until_servers_are_listed() {
     let (discovery, server, front) = (listener(), listener(), free());
     // Its version is of no use: what changed since would not be all that there is.
-    let text = config(front, at(&discovery), &list(41, true, &[]), SETTINGS, 256);
+    let text = config(
+        front,
+        address_of(&discovery),
+        &list(41, true, &[]),
+        SETTINGS,
+        256,
+    );
     let path = file("none", &text);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     let mut call = Peer::accept(&discovery);
@@ -149,13 +155,21 @@
         "the whole list"
     );
     while call.hear().is_some_and(|line| !line.is_empty()) {}
-    let no = answer_to_ping(front);
-    assert!(no.is_some() && no.as_deref() != Some("PONG"), "{no:?}");
+    let answer = ping_answer(front);
+    assert!(
+        answer.is_some() && answer.as_deref() != Some("PONG"),
+        "{answer:?}"
+    );
     call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let mut call = Peer::accept(&discovery);
     while call.hear().is_some_and(|line| !line.is_empty()) {}
-    call.say(HEAD);
-    tell(&mut call, 1, true, &[("s0", at(&server), "SERVING")]);
+    call.say(RESPONSE_HEAD);
+    tell(
+        &mut call,
+        1,
+        true,
+        &[("s0", address_of(&server), "SERVING")],
+    );
     program.says("to=serving");
-    assert_eq!(answer_to_ping(front).as_deref(), Some("PONG"));
+    assert_eq!(ping_answer(front).as_deref(), Some("PONG"));
 }
