--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Stories of admission: who waits at the door of a running program, whose turn it is, and who is asked to come again.
+//! Tests of the admission queue of a running program: queue order, account shares and rejections with a retry delay.
 
 mod support;
 
@@ -10,11 +10,11 @@
 use support::nats::{Redis, redis};
 use support::*;
 
-/// Set-ups that the module lets be under way at the start.
+/// Requests that admission allows in progress at startup.
 const INITIAL_CONCURRENCY_LIMIT: usize = 12;
 const PASSWORD: &str = "an account's password";
 
-/// A program whose servers hold every set-up, on one of the fronts.
+/// A program with one front, whose server leaves every request unanswered until the test allows it.
 struct Site {
     program: Program,
     address: std::net::SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl Site {
-    /// Accounts `acme` and `bright` with shares of 58 to 42.
+    /// Starts the program with accounts `acme` and `bright`, whose shares are 58 to 42.
     fn start(wire: Wire, admission: &str) -> Site {
         Site::with_listed_server(wire, admission, true)
     }
@@ -38,8 +38,8 @@
     fn with_listed_server(wire: Wire, admission: &str, is_listed: bool) -> Site {
         let (address, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
         let server = Held::start(wire);
-        let folder = tempfile::tempdir().expect("a folder for temporary files");
-        // Long enough that no set-up ends by itself within a story.
+        let folder = tempfile::tempdir().expect("temporary directory is created");
+        // Long enough that no request times out during a test.
         let settings =
             SETTINGS.replace("400000000,", "8000000000,").replace("3000000000", "9000000000").replace(
                 "\"lanes\"",
@@ -52,19 +52,27 @@
         );
         let config = support::config(address, discovery.address, &server_list, &settings, 1_024);
         if wire == Wire::Nats {
-            let settings: Value = serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
+            let settings: Value =
+                serde_json::from_str(&settings.replace('\n', " ")).expect("valid JSON");
             let servers = format!("[{{ name = \"s0\", address = \"{}\" }}]", server.address);
             operator = format!(
                 "name = \"front\"\nlisten = \"{address}\"\nsockets = 1024\nwire = {{ connect_wait_ms = 5000 }}\n\
                  store = {{ url = \"redis://{}/\" }}\nfarm = {{ servers = {servers} }}\n{operator}\n{}",
                 redis.address,
-                toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
+                toml::to_string(&serde_json::json!({ "settings": settings })).expect("valid TOML")
             );
         }
-        let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
+        let path = |name: &str| {
+            folder
+                .path()
+                .join(name)
+                .to_str()
+                .expect("text is valid UTF-8")
+                .to_owned()
+        };
         let (operator_path, config_path) = (path("operator.toml"), path("config.json"));
-        std::fs::write(&operator_path, &operator).expect("room");
-        std::fs::write(&config_path, &config).expect("room");
+        std::fs::write(&operator_path, &operator).expect("file is written");
+        std::fs::write(&config_path, &config).expect("file is written");
         let env = [("LB_CONFIG", config_path.as_str())];
         let env = if wire == Wire::Platform {
             &env[..]
@@ -102,7 +110,7 @@
         site
     }
 
-    /// A client that has asked; each has a name of its own.
+    /// Connects a client with a unique name and sends its request.
     fn open(&self, account: &str, extra: &str) -> Peer {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         match self.wire {
@@ -129,13 +137,13 @@
         answer.body["fronts"][0].clone()
     }
 
-    /// Waits until so many wait at the door.
+    /// Waits until the admission queue holds `length` requests.
     fn wait_for_queue_length(&self, length: usize) {
         let deadline = Instant::now() + PATIENCE;
         while self.admission_state()["waiting"] != length {
             assert!(
                 Instant::now() < deadline,
-                "not {length} wait: {}",
+                "queue length never became {length}: {}",
                 self.admission_state()
             );
             std::thread::sleep(Duration::from_millis(2));
@@ -144,24 +152,24 @@
 
     fn account_state(&self, name: &str) -> Value {
         let state = self.admission_state();
-        let rows = state["accounts"].as_array().expect("a list");
+        let rows = state["accounts"].as_array().expect("value is an array");
         rows.iter()
             .find(|row| row["account"] == name)
-            .unwrap_or_else(|| panic!("no {name}: {state}"))
+            .unwrap_or_else(|| panic!("account {name} is missing from {state}"))
             .clone()
     }
 
-    /// Gives turns one after the other, as set-ups end; gives the first words of all set-ups. Guards against passes that
-    /// are made at once and overtake each other on their way.
+    /// Admits `count` requests one at a time and returns the first lines of all requests in order of arrival. Attempts
+    /// that are made at the same time could overtake each other on the way to the server.
     fn admit_in_turn(&self, count: usize) -> Vec<String> {
-        for turn in 1..=count {
+        for admitted in 1..=count {
             self.server.allow(1);
-            self.server.came(INITIAL_CONCURRENCY_LIMIT + turn);
+            self.server.came(INITIAL_CONCURRENCY_LIMIT + admitted);
         }
         self.server.came(INITIAL_CONCURRENCY_LIMIT + count)
     }
 
-    /// Whether a set-up, by its first words at the server, is an account's.
+    /// Whether a request, given by its first line at the server, belongs to `account`.
     fn is_request_of(&self, request: &str, account: &str) -> bool {
         match self.wire {
             Wire::Platform => request.contains(&format!("t={account},")),
@@ -169,9 +177,9 @@
         }
     }
 
-    /// The time to come back that a refusal tells.
+    /// Reads a rejection and returns its retry delay in milliseconds.
     fn retry_delay_ms(&self, client: &mut Peer) -> u64 {
-        let answer = client.hear().expect("an answer");
+        let answer = client.hear().expect("an answer is received");
         let delay = match self.wire {
             Wire::Platform => answer.strip_prefix("BUSY ").map(str::to_owned),
             Wire::Nats => answer
@@ -180,7 +188,7 @@
         };
         let delay_ms = delay
             .and_then(|delay| delay.parse().ok())
-            .unwrap_or_else(|| panic!("no time: {answer}"));
+            .unwrap_or_else(|| panic!("answer has no retry delay: {answer}"));
         assert!((1..=2_000).contains(&delay_ms), "{answer}");
         client.ended();
         delay_ms
@@ -190,14 +198,14 @@
 fn number(object: &Value, field: &str) -> u64 {
     object[field]
         .as_u64()
-        .unwrap_or_else(|| panic!("no {field} in {object}"))
+        .unwrap_or_else(|| panic!("field {field} is missing from {object}"))
 }
 
 #[test]
 fn grants_each_account_its_share_on_both_fronts() {
     for wire in [Wire::Platform, Wire::Nats] {
         let site = Site::start(wire, "");
-        // One account's burst comes first, whole.
+        // The whole burst of one account arrives first.
         let _acme = site.open_many("acme", 60);
         site.server.came(INITIAL_CONCURRENCY_LIMIT);
         let _bright = site.open_many("bright", 50);
@@ -208,10 +216,10 @@
             .iter()
             .filter(|request| site.is_request_of(request, "acme"))
             .count();
-        // 43.5 and two in a hundred.
+        // 58% of 75 is 43.5; two in a hundred are tolerated.
         assert!(
             (42..=45).contains(&acme),
-            "{acme} of 75 turns for a share of 58%"
+            "{acme} of 75 admissions for a share of 58%"
         );
         site.server.came(110);
         let (acme, bright) = (site.account_state("acme"), site.account_state("bright"));
@@ -230,6 +238,8 @@
     }
 }
 
+/// A full queue rejects requests of the account that is over its share; requests of the other account keep waiting, also
+/// through a reload that shrinks the queue.
 #[test]
 fn rejects_over_share_account_when_queue_is_full() {
     for wire in [Wire::Platform, Wire::Nats] {
@@ -239,7 +249,7 @@
         let mut over_share = site.open_many("acme", 20);
         site.wait_for_queue_length(20);
         let mut under_share = site.open_many("bright", 5);
-        // Five of the loud account give way, and are told when to come again.
+        // Five requests of the account over its share are rejected with a retry delay.
         let deadline = Instant::now() + PATIENCE;
         while number(&site.account_state("acme"), "refused") < 5 {
             assert!(Instant::now() < deadline, "{}", site.admission_state());
@@ -252,25 +262,26 @@
             (5, 0)
         );
         assert_eq!(number(&site.admission_state(), "waiting"), 20);
-        // One that leaves while it waits is gone at once.
+        // A client that disconnects while it waits leaves the queue at once.
         under_share.pop();
         site.wait_for_queue_length(19);
         assert_eq!(number(&site.account_state("bright"), "left"), 1);
-        // A reload that shrinks the bounds: the loud give way again, the others wait on.
+        // A reload shrinks the queue: the account over its share loses requests, the other keeps waiting.
         let smaller = site
             .operator
             .replace("entries = 20", "entries = 10\nover_share_s = 1");
-        std::fs::write(site.folder.path().join("operator.toml"), &smaller).expect("room");
+        std::fs::write(site.folder.path().join("operator.toml"), &smaller)
+            .expect("file is written");
         site.program.signal("HUP");
         assert!(site.program.says("taken over").contains("admission"));
         site.wait_for_queue_length(10);
         assert_eq!(number(&site.account_state("bright"), "waiting"), 4);
         let refused = number(&site.account_state("acme"), "refused");
         assert_eq!(refused, 5 + 9);
-        // A planned end: each that waits or is under way gets its one final answer.
+        // Planned exit: each request that waits or is in progress receives one final answer.
         site.program.signal("TERM");
         for client in over_share.iter_mut().chain(&mut under_share) {
-            assert!(!client.hear().expect("an answer").is_empty());
+            assert!(!client.hear().expect("an answer is received").is_empty());
             client.ended();
         }
         assert!(site.program.left());
@@ -285,7 +296,7 @@
     let mut clients = site.open_many("acme", 10);
     site.wait_for_queue_length(10);
     let mut newcomer = site.open("acme", "");
-    // Somebody of the longest queue gave way, which may be the newcomer.
+    // One request of the longest queue is rejected, which may be the newest one.
     let deadline = Instant::now() + PATIENCE;
     while number(&site.account_state("acme"), "refused") == 0 {
         assert!(Instant::now() < deadline);
@@ -295,8 +306,8 @@
     let mut rejections = Vec::new();
     clients.push(newcomer);
     for client in &mut clients {
-        newcomer = Peer::new(client.stream.try_clone().expect("open"));
-        match newcomer.hear().expect("an answer").as_str() {
+        newcomer = Peer::new(client.stream.try_clone().expect("socket is open"));
+        match newcomer.hear().expect("an answer is received").as_str() {
             "UP r1" => {}
             other => rejections.push(other.to_owned()),
         }
@@ -305,7 +316,7 @@
     let delay_ms: u64 = rejections[0]
         .strip_prefix("BUSY ")
         .and_then(|delay| delay.parse().ok())
-        .expect("a time");
+        .expect("a retry delay is given");
     assert!((1..=2_000).contains(&delay_ms));
 }
 
@@ -322,7 +333,8 @@
         assert!(Instant::now() < deadline);
     }
     site.wait_for_queue_length(20);
-    // Of the first two turns one is its own. The window grows with what stands: one set-up that ends makes two turns.
+    // One of the first two admissions is its own. The concurrency limit grows with the established connections: one
+    // finished request admits two.
     site.server.allow(1);
     let requests = site.server.came(INITIAL_CONCURRENCY_LIMIT + 2);
     assert!(
@@ -388,7 +400,7 @@
     let _acme = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
     site.server.came(INITIAL_CONCURRENCY_LIMIT);
     let config = site.config.replace("\"share\":0.58", "\"share\":0.10");
-    std::fs::write(site.folder.path().join("config.json"), config).expect("room");
+    std::fs::write(site.folder.path().join("config.json"), config).expect("file is written");
     site.program.signal("HUP");
     assert!(site.program.says("taken over").contains("shares"));
     let _waiting = (site.open_many("acme", 60), site.open_many("bright", 60));
@@ -399,10 +411,13 @@
         .iter()
         .filter(|request| site.is_request_of(request, "acme"))
         .count();
-    assert!((8..=12).contains(&acme), "{acme} of 50 turns for 10 to 42");
+    assert!(
+        (8..=12).contains(&acme),
+        "{acme} of 50 admissions for shares of 10 to 42"
+    );
     let due = site.account_state("acme")["due"]
         .as_f64()
-        .expect("a number");
+        .expect("value is a number");
     assert!((due - 0.1 / 0.52).abs() < 0.01, "{due}");
 }
 
@@ -410,7 +425,7 @@
 fn logs_account_that_stays_over_its_quota() {
     let site = Site::start(Wire::Platform, "over_share_s = 1");
     site.server.allow(usize::MAX);
-    // Eight of nine turns are one account's, until that is told of.
+    // Eight of nine requests belong to one account until the quota warning is logged.
     let (address, is_done) = (site.address, AtomicBool::new(false));
     let line = std::thread::scope(|scope| {
         scope.spawn(|| {
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that people use, against the program and alone: words, tables, JSON and exit codes.
+//! Tests of the command line, with and without a running program: messages, tables, JSON and exit codes.
 
 mod support;
 
@@ -7,7 +7,7 @@
 
 use support::*;
 
-/// A program with an administration API and one server that stands in its file.
+/// A program with an administration API, whose configuration lists two names for one server address.
 struct Site {
     program: Program,
     api: String,
@@ -17,8 +17,12 @@
 
 impl Site {
     fn start() -> Site {
-        let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let (address, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
+        let folder = tempfile::tempdir().expect("temporary directory is created");
+        let (address, admin, server) = (
+            free(),
+            free(),
+            listener().local_addr().expect("listener is bound"),
+        );
         let config = folder.path().join("config.json");
         let server_list = list(
             1,
@@ -29,16 +33,16 @@
             &config,
             support::config(address, free(), &server_list, SETTINGS, 256),
         )
-        .expect("room");
+        .expect("file is written");
         let operator = folder.path().join("operator.toml");
         let text = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {:?}\n[log]\nform = \"json\"\n",
             folder.path().join("overrides.redb")
         );
-        std::fs::write(&operator, text).expect("room");
+        std::fs::write(&operator, text).expect("file is written");
         let token = folder.path().join("token");
-        std::fs::write(&token, format!("{ADMIN_TOKEN}\n")).expect("room");
-        let text = |path: &std::path::Path| path.to_str().expect("text").to_owned();
+        std::fs::write(&token, format!("{ADMIN_TOKEN}\n")).expect("file is written");
+        let text = |path: &std::path::Path| path.to_str().expect("text is valid UTF-8").to_owned();
         let program = Program::start(
             &["--operator", &text(&operator)],
             &[("LB_CONFIG", &text(&config))],
@@ -52,19 +56,19 @@
         }
     }
 
-    /// Runs a command against the API.
+    /// Runs a command against the administration API.
     fn run(&self, args: &[&str]) -> Output {
         let mut all = args.to_vec();
         all.extend(["--api", &self.api, "--token-file", &self.token]);
         run(&all)
     }
 
-    /// The same, which has to succeed; gives what it printed.
+    /// Runs a command that must succeed, and returns its standard output.
     fn run_successfully(&self, args: &[&str]) -> String {
         let output = self.run(args);
-        let stderr = String::from_utf8(output.stderr).expect("text");
+        let stderr = String::from_utf8(output.stderr).expect("text is valid UTF-8");
         assert_eq!(output.status.code(), Some(0), "{args:?}: {stderr}");
-        String::from_utf8(output.stdout).expect("text")
+        String::from_utf8(output.stdout).expect("text is valid UTF-8")
     }
 }
 
@@ -75,14 +79,14 @@
         .env_remove("BEACONFLOW_TOKEN")
         .env_remove("BEACONFLOW_API")
         .env_remove("BEACONFLOW_WHO");
-    command.output().expect("the program starts")
+    command.output().expect("program starts")
 }
 
-/// Exit code, and what was printed to standard error.
+/// The exit code and the standard error output.
 fn exit_code_and_stderr(output: &Output) -> (Option<i32>, String) {
     (
         output.status.code(),
-        String::from_utf8(output.stderr.clone()).expect("text"),
+        String::from_utf8(output.stderr.clone()).expect("text is valid UTF-8"),
     )
 }
 
@@ -107,9 +111,9 @@
         "slow disk",
     ];
     let added = site.run_successfully(&add);
-    // The log is JSON here, with fields of stable names.
+    // The log form is JSON, whose field names are stable.
     let line: serde_json::Value =
-        serde_json::from_str(&site.program.says("override created")).expect("JSON");
+        serde_json::from_str(&site.program.says("override created")).expect("valid JSON");
     assert_eq!(
         (line["part"].as_str(), line["level"].as_str()),
         (Some("audit"), Some("info")),
@@ -136,7 +140,7 @@
         "ada",
     ];
     let pinned = site.run_successfully(&[&pinned[..], &["--why", "tests", "--json"]].concat());
-    let pinned: serde_json::Value = serde_json::from_str(&pinned).expect("JSON");
+    let pinned: serde_json::Value = serde_json::from_str(&pinned).expect("valid JSON");
     assert_eq!(
         (pinned["group"].as_str(), pinned["mode"].as_str()),
         (Some("north"), Some("strict"))
@@ -166,14 +170,14 @@
         "1",
         "--json",
     ]);
-    let extended: serde_json::Value = serde_json::from_str(&extended).expect("JSON");
+    let extended: serde_json::Value = serde_json::from_str(&extended).expect("valid JSON");
     assert!(
         extended["remaining_s"]
             .as_f64()
             .is_some_and(|left| left > 10_000.0)
             && extended["revision"] == 2
     );
-    // Late, unknown, faulty, conflicting: refused, each in words.
+    // Outdated, unknown, invalid and conflicting changes are each rejected with a message.
     let (code, stderr) =
         exit_code_and_stderr(&site.run(&["override", "remove", "1", "--revision", "1"]));
     assert!(code == Some(4) && stderr.contains("412"), "{stderr}");
@@ -201,7 +205,7 @@
     site.run_successfully(&add_out);
     let add_out_second: Vec<&str> = add_out
         .iter()
-        .map(|word| if *word == "s0" { "s1" } else { word })
+        .map(|argument| if *argument == "s0" { "s1" } else { argument })
         .collect();
     let (code, stderr) = exit_code_and_stderr(&site.run(&add_out_second));
     assert!(
@@ -221,11 +225,11 @@
     assert_eq!(
         exit_code_and_stderr(&run(&["override", "list", "--api", &site.api])).0,
         Some(5),
-        "no token"
+        "a token is missing"
     );
     let wrong_token = site.folder.path().join("wrong");
-    std::fs::write(&wrong_token, "not the token at all").expect("room");
-    let wrong_token = wrong_token.to_str().expect("text");
+    std::fs::write(&wrong_token, "not the token at all").expect("file is written");
+    let wrong_token = wrong_token.to_str().expect("text is valid UTF-8");
     assert_eq!(
         exit_code_and_stderr(&run(&[
             "override",
@@ -262,7 +266,7 @@
         .0,
         Some(2)
     );
-    // A token is never an argument, where others on the machine would read it.
+    // A token is not accepted as an argument, since other users of the machine can read arguments.
     assert_eq!(
         exit_code_and_stderr(&run(&["farm", "--token", ADMIN_TOKEN])).0,
         Some(2)
@@ -283,21 +287,21 @@
 
 #[test]
 fn check_reports_every_error_without_quoting_secrets() {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+    let folder = tempfile::tempdir().expect("temporary directory is created");
     let check = |text: &str| {
         let path = folder.path().join("operator.toml");
-        std::fs::write(&path, text).expect("room");
-        let output = run(&["check", path.to_str().expect("text")]);
+        std::fs::write(&path, text).expect("file is written");
+        let output = run(&["check", path.to_str().expect("text is valid UTF-8")]);
         (
             output.status.code(),
-            String::from_utf8(output.stdout).expect("text"),
+            String::from_utf8(output.stdout).expect("text is valid UTF-8"),
         )
     };
     let sample = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/nats.toml"
     ))
-    .expect("it is there");
+    .expect("path exists");
     let (code, report) = check(&sample);
     assert!(
         code == Some(1) && report.lines().count() == 1 && report.contains("admin.token"),
@@ -339,7 +343,10 @@
         "overrides.file",
         "log.form",
     ] {
-        assert!(report.contains(field), "{field} is not in\n{report}");
+        assert!(
+            report.contains(field),
+            "{field} is missing from the report:\n{report}"
+        );
     }
     assert!(!report.contains("7654321"), "{report}");
     let (code, report) = check("[admin\n");
@@ -352,30 +359,37 @@
 
 #[test]
 fn check_reports_every_error_in_fleet_sections() {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
-    let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
+    let folder = tempfile::tempdir().expect("temporary directory is created");
+    let path = |name: &str| {
+        folder
+            .path()
+            .join(name)
+            .to_str()
+            .expect("text is valid UTF-8")
+            .to_owned()
+    };
     let check = |text: &str| {
-        std::fs::write(path("operator.toml"), text).expect("room");
+        std::fs::write(path("operator.toml"), text).expect("file is written");
         let output = run(&["check", &path("operator.toml")]);
         (
             output.status.code(),
-            String::from_utf8(output.stdout).expect("text"),
+            String::from_utf8(output.stdout).expect("text is valid UTF-8"),
         )
     };
     let sample = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/fleet.toml"
     ))
-    .expect("it is there");
+    .expect("path exists");
     let (code, report) = check(&sample);
     assert!(
         code == Some(1) && report.lines().count() == 1 && report.contains("fleet.key_file"),
         "{report}"
     );
     let write_private = |name: &str, text: &str| {
-        std::fs::write(path(name), text).expect("room");
+        std::fs::write(path(name), text).expect("file is written");
         std::fs::set_permissions(path(name), PermissionsExt::from_mode(0o600))
-            .expect("its owner may");
+            .expect("permissions are set");
     };
     write_private("key", &format!("{}\n", "0123456789abcdef".repeat(4)));
     write_private("short", "0123");
@@ -419,7 +433,7 @@
         (
             "fleet.key_file: the key file",
             &path("key"),
-            folder.path().to_str().expect("text"),
+            folder.path().to_str().expect("text is valid UTF-8"),
         ),
         (
             "fleet.key_file: the key file",
@@ -506,20 +520,23 @@
         ("edge: has no meaning without", "[fleet]", "[fleets]"),
         ("affinity: has no meaning without", "[fleet]", "[fleets]"),
     ] {
-        assert!(valid.contains(from), "{from}");
+        assert!(valid.contains(from), "sample file does not contain {from}");
         let (code, report) = check(&valid.replacen(from, to, 1));
         assert!(
             code == Some(1) && report.contains(field),
-            "{field} is not in\n{report}"
+            "{field} is missing from the report:\n{report}"
         );
     }
-    // All at once, each named.
+    // Several errors in one file are all reported.
     let invalid = valid
         .replace("size = 3", "size = 0")
         .replace("most_mb = 256", "most_mb = 0");
     let (_, report) = check(&invalid.replace("serial = 1", "serial = 0"));
     for field in ["fleet.size", "memory.most_mb", "affinity.serial"] {
-        assert!(report.contains(field), "{field} is not in\n{report}");
+        assert!(
+            report.contains(field),
+            "{field} is missing from the report:\n{report}"
+        );
     }
 }
 
@@ -532,9 +549,9 @@
         "{table}"
     );
     let json: serde_json::Value =
-        serde_json::from_str(&site.run_successfully(&["admission", "--json"])).expect("JSON");
+        serde_json::from_str(&site.run_successfully(&["admission", "--json"])).expect("valid JSON");
     assert_eq!(json["fronts"][0]["limits"]["queues"], 64, "{json}");
-    // A live table ends with the program that it shows.
+    // The refreshing table ends when the program it queries exits.
     let mut command = Command::new(env!("CARGO_BIN_EXE_beaconflow"));
     command.args([
         "admission",
@@ -549,18 +566,22 @@
         .stdout(std::process::Stdio::piped())
         .stderr(std::process::Stdio::null())
         .spawn();
-    let mut live = live.expect("it starts");
-    let mut lines =
-        std::io::BufRead::lines(std::io::BufReader::new(live.stdout.take().expect("piped")));
+    let mut live = live.expect("command starts");
+    let mut lines = std::io::BufRead::lines(std::io::BufReader::new(
+        live.stdout.take().expect("standard output is piped"),
+    ));
     let mut tables = 0;
     while tables < 3 {
-        let line = lines.next().expect("it goes on").expect("text");
+        let line = lines
+            .next()
+            .expect("output continues")
+            .expect("text is valid UTF-8");
         tables += usize::from(line.contains("platform: 0 of 4096"));
     }
     drop(site.program);
     assert_eq!(
-        live.wait().expect("it ends").code(),
+        live.wait().expect("command exits").code(),
         Some(3),
-        "the API is not reached any more"
+        "the API is no longer reachable"
     );
 }
--- a/crates/cli/tests/connections.rs
+++ b/crates/cli/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Stories of what arrives in the very moment in which a connection is shut or closed, on either side.
+//! Tests of data that arrives while a connection is being shut down or closed, on either side.
 
 mod support;
 
@@ -12,16 +12,16 @@
 use support::site::Site;
 use support::*;
 
-/// Longer than the program reads a peer that has had its last word, and shorter than a test may take.
+/// Longer than the program keeps reading after it has sent its last line, and shorter than a test may take.
 const LONGER_THAN_LINGER: Duration = Duration::from_millis(800);
-/// Lines of over two reads of the program.
+/// More bytes than the program takes in two reads.
 const THREE_READS_BYTES: usize = 10 * 1024;
 
-/// Whether the connection is not reset for so long. A reset that comes behind an end shows only as an error.
+/// Whether the connection is not reset for `duration`. A reset after a FIN shows only as a socket error.
 fn is_not_reset(peer: &Peer, duration: Duration) -> bool {
     let deadline = Instant::now() + duration;
     while Instant::now() < deadline {
-        if peer.stream.take_error().expect("open").is_some() {
+        if peer.stream.take_error().expect("socket is open").is_some() {
             return false;
         }
         std::thread::sleep(Duration::from_millis(5));
@@ -29,17 +29,17 @@
     true
 }
 
-/// Lines of together so many bytes, or a few more.
+/// Lines of at least `bytes` bytes in total, exceeding it by at most one line.
 fn lines_of_at_least(bytes: usize) -> String {
     let line = format!("M {}\r\n", "x".repeat(100));
     line.repeat(bytes / line.len() + 1)
 }
 
-/// Stops the program, has peers do something, and lets it go on: it finds all of it at once.
+/// Stops the program while `act` runs, so that it sees everything that arrived meanwhile at once.
 fn while_stopped(site: &Site, act: impl FnOnce()) {
     let state = || {
-        let stat =
-            std::fs::read_to_string(format!("/proc/{}/stat", site.program.pid())).expect("it runs");
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", site.program.pid()))
+            .expect("program is running");
         stat.rsplit(") ")
             .next()
             .and_then(|rest| rest.chars().next())
@@ -52,13 +52,13 @@
     site.program.signal("CONT");
 }
 
-/// Ends a connection, and waits until the system has the end at the program's side. Guards against an end that a busy
-/// machine brings there after the reset with which it answers what is sent to a closed connection.
+/// Closes a connection and waits until the FIN has reached the program's socket. On a busy machine the FIN could arrive
+/// after the reset that answers data sent to a closed connection.
 fn close_and_wait_for_fin(peer: Peer) {
-    /// The state of a connection whose other side has ended, in the system's table.
+    /// The state in /proc/net/tcp of a connection whose peer has sent a FIN.
     const CLOSE_WAIT: &str = "08";
-    let SocketAddr::V4(address) = peer.stream.local_addr().expect("open") else {
-        panic!("no IPv4")
+    let SocketAddr::V4(address) = peer.stream.local_addr().expect("socket is open") else {
+        panic!("address is not IPv4")
     };
     drop(peer);
     let hex_address = format!(
@@ -67,7 +67,7 @@
         address.port()
     );
     let has_ended = || {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
         table.lines().any(|line| {
             let mut fields = line.split_whitespace().skip(2);
             fields.next() == Some(&hex_address) && fields.next() == Some(CLOSE_WAIT)
@@ -75,12 +75,12 @@
     };
     let deadline = Instant::now() + PATIENCE;
     while !has_ended() {
-        assert!(Instant::now() < deadline, "the end never came");
+        assert!(Instant::now() < deadline, "the FIN did not arrive in time");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A client that has asked whether clients are taken, and rests.
+/// Connects a client that sends one PING and then stays idle.
 fn connect_idle(at: SocketAddr) -> Peer {
     let mut client = Peer::connect(at);
     client.say("PING\r\n");
@@ -93,15 +93,20 @@
     let site = Site::start("crosses", 1);
     let mut client = connect_idle(site.at);
     client.hears("BUSY");
-    // It was written before the client read the end.
+    // Sent before the client reads the FIN.
     client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     client.ended();
     assert!(
         is_not_reset(&client, LONGER_THAN_LINGER),
-        "its answer is not destroyed"
+        "the answer must not be destroyed by a reset"
+    );
+    site.servers[0]
+        .set_nonblocking(true)
+        .expect("socket is open");
+    assert!(
+        site.servers[0].accept().is_err(),
+        "nothing may be sent to a server"
     );
-    site.servers[0].set_nonblocking(true).expect("open");
-    assert!(site.servers[0].accept().is_err(), "nothing was sent on");
 }
 
 #[test]
@@ -109,7 +114,7 @@
     let site = Site::start("due", 1);
     let mut client = connect_idle(site.at);
     while_stopped(&site, || {
-        // Its end is due when the program looks next, and its opening lies there.
+        // When the program resumes, the idle timeout has passed and the request is already there.
         std::thread::sleep(Duration::from_millis(1_700));
         client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     });
@@ -140,30 +145,34 @@
         client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
         client.ended();
         assert!(
-            client.stream.take_error().expect("open").is_none(),
-            "its answer is not destroyed"
+            client
+                .stream
+                .take_error()
+                .expect("socket is open")
+                .is_none(),
+            "the answer must not be destroyed by a reset"
         );
         client.finish();
     }
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
 }
 
 #[test]
 fn serves_request_written_over_two_seconds() {
     let site = Site::start("slow", 1);
-    let opening = "OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n";
-    // Also where the client has rested for a while.
+    let request = "OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n";
+    // Also on a connection that was idle before.
     for (connect, id) in [
         (Peer::connect as fn(SocketAddr) -> Peer, "b1"),
         (connect_idle, "b2"),
     ] {
         let mut client = connect(site.at);
-        client.stream.set_nodelay(true).expect("open");
+        client.stream.set_nodelay(true).expect("socket is open");
         let started_at = Instant::now();
-        for (number, byte) in (0_u32..).zip(opening.replace("b1", id).chars()) {
+        for (number, byte) in (0_u32..).zip(request.replace("b1", id).chars()) {
             let due_at = started_at
                 + Duration::from_millis(1_900) * number
-                    / u32::try_from(opening.len()).expect("short");
+                    / u32::try_from(request.len()).expect("length fits into u32");
             std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
             client.say(&byte.to_string());
         }
@@ -185,14 +194,14 @@
 #[test]
 fn evicted_client_receives_answer_when_request_crosses() {
     let site = Site::start("room", 1);
-    // More than may be open and say nothing, with 256 descriptors.
+    // More than the number of silent connections allowed with 256 descriptors.
     let silent: Vec<Peer> = (0..52).map(|_| Peer::connect(site.at)).collect();
     std::thread::sleep(Duration::from_millis(200));
     drop(connect_idle(site.at));
     let has_answer = |peer: &&mut Peer| {
-        peer.stream.set_nonblocking(true).expect("open");
+        peer.stream.set_nonblocking(true).expect("socket is open");
         let is_answered = !matches!(peer.stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
-        peer.stream.set_nonblocking(false).expect("open");
+        peer.stream.set_nonblocking(false).expect("socket is open");
         is_answered
     };
     let mut silent = silent;
@@ -200,7 +209,7 @@
         .iter_mut()
         .rev()
         .find(has_answer)
-        .expect("one made room");
+        .expect("one idle connection was evicted");
     evicted.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     evicted.hears("BUSY");
     evicted.ended();
@@ -217,7 +226,12 @@
         match client.hear().as_deref() {
             Some("UP r") => established.push(client),
             answer => {
-                assert_eq!(answer, Some("BUSY"), "after {}", established.len());
+                assert_eq!(
+                    answer,
+                    Some("BUSY"),
+                    "after {} established connections",
+                    established.len()
+                );
                 break client;
             }
         }
@@ -258,20 +272,24 @@
 
 #[test]
 fn half_closed_client_receives_all_buffered_data() {
-    /// What the server writes beyond what fits between the two.
+    /// Bytes that the server writes beyond what fits into the buffers between the two.
     const EXTRA_BYTES: usize = 512 * 1024;
     let site = Site::start("takes", 1);
-    // The system keeps little for this client: the more waits in the program.
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4 * 1024).expect("open");
-    socket.connect(&site.at.into()).expect("it listens");
+    // A small receive buffer of the client makes more data wait in the program.
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket is created");
+    socket
+        .set_recv_buffer_size(4 * 1024)
+        .expect("socket is open");
+    socket
+        .connect(&site.at.into())
+        .expect("program accepts connections");
     let mut client = Peer::new(socket.into());
     client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     let mut server = site.serve(&mut client);
     SockRef::from(&server.stream)
         .set_send_buffer_size(64 * 1024)
-        .expect("open");
-    let mut stream = server.stream.try_clone().expect("open");
+        .expect("socket is open");
+    let mut stream = server.stream.try_clone().expect("socket is open");
     let (written, limit) = (
         Arc::new(AtomicUsize::new(0)),
         Arc::new(AtomicUsize::new(usize::MAX)),
@@ -280,11 +298,13 @@
     let writer = std::thread::spawn(move || {
         let line = lines_of_at_least(1);
         while writer_count.load(Ordering::SeqCst) < writer_limit.load(Ordering::SeqCst) {
-            stream.write_all(line.as_bytes()).expect("nobody resets it");
+            stream
+                .write_all(line.as_bytes())
+                .expect("connection is not reset");
             writer_count.fetch_add(line.len(), Ordering::SeqCst);
         }
     });
-    // The client takes nothing: what lies between the two fills up.
+    // The client reads nothing: the buffers between the two fill up.
     let mut previous = None;
     while previous != Some(written.load(Ordering::SeqCst)) {
         previous = Some(written.load(Ordering::SeqCst));
@@ -296,18 +316,18 @@
     );
     client.finish();
     server.ended();
-    // What had room by chance has gone on; the next that is read of the server waits for the client again.
+    // What fitted by chance has been relayed; the next read from the server waits for the client again.
     std::thread::sleep(Duration::from_millis(100));
     SockRef::from(&client.stream)
         .set_recv_buffer_size(1 << 20)
-        .expect("open");
+        .expect("socket is open");
     let mut received = Vec::new();
     client
         .stream
         .set_read_timeout(Some(PATIENCE))
-        .expect("open");
+        .expect("socket is open");
     let ended = client.stream.read_to_end(&mut received);
-    writer.join().expect("all was taken");
+    writer.join().expect("writer thread finishes");
     assert!(ended.is_ok(), "{ended:?}");
     assert_eq!(received.len(), written.load(Ordering::SeqCst));
 }
@@ -331,13 +351,13 @@
     let mut client = site.open("chat", "");
     for answer in [format!("UP {}\r\n", "x".repeat(4_200)), "x".repeat(9_000)] {
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("an opening");
+        server.hear().expect("a request is received");
         server.say(&answer);
         assert!(server.is_gone());
     }
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
-    // With lines behind the answer, and its end, in one segment.
+    server.hear().expect("a request is received");
+    // More lines follow the answer, and the close, in one segment.
     server.say("UP r1\r\nLOAD 3\r\nBYE\r\n");
     drop(server);
     client.hears("UP r1");
@@ -352,7 +372,7 @@
     let mut client = site.open("chat", "");
     for first in ["BUSY", "ERR"] {
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("an opening");
+        server.hear().expect("a request is received");
         server.say(&format!("{first}\r\nUP forged\r\n"));
         assert!(server.is_gone());
     }
@@ -377,7 +397,7 @@
     client.ended();
 }
 
-/// A server that takes every opening, and tells its load when asked; for as long as the test runs.
+/// Accepts every request and answers load probes for as long as the test runs.
 fn serve_and_report_load(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
@@ -416,13 +436,13 @@
     site.servers.drain(..).for_each(serve_and_report_load);
     let descriptor_count = || {
         std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
-            .expect("it runs")
+            .expect("program is running")
             .count()
     };
     let _first = site.discovery.watch();
     let mut max_descriptors = 0;
     let mut established = Vec::new();
-    // Until no more are taken; meanwhile servers are asked for their loads.
+    // Connects until no more clients are accepted; meanwhile servers are probed for their loads.
     for _ in 0..300 {
         let mut client = site.open("chat", "");
         let answer = client.hear();
@@ -432,14 +452,18 @@
             _ => std::thread::sleep(Duration::from_millis(5)),
         }
     }
-    assert!(established.len() > 40, "{} stand", established.len());
+    assert!(
+        established.len() > 40,
+        "only {} connections established",
+        established.len()
+    );
     let silent: Vec<Peer> = (0..200)
         .map(|_| {
             max_descriptors = max_descriptors.max(descriptor_count());
             Peer::connect(site.at)
         })
         .collect();
-    // The watch that falls silent is opened anew, the file is read anew, operators are answered.
+    // The silent watch is reopened, the file is reloaded, and the operations port answers.
     site.discovery.falls_silent();
     site.discovery.watch();
     site.program.signal("HUP");
@@ -451,6 +475,9 @@
     .call("GET", "/status", "");
     assert_eq!(status.status, 200, "{}", status.body);
     max_descriptors = max_descriptors.max(descriptor_count());
-    assert!(max_descriptors <= 256, "{max_descriptors} descriptors");
+    assert!(
+        max_descriptors <= 256,
+        "{max_descriptors} descriptors open, limit is 256"
+    );
     drop(silent);
 }
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Stories of discovery's lists and watches, and of what goes on while they change.
+//! Tests of discovery lists and watches, and of requests in progress while they change.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use support::*;
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// What a silent watch misses counts as told this long after it fell silent.
+/// Changes that a silent watch misses must be applied within this time of the start of the silence.
 const MAX_SILENCE: Duration = Duration::from_secs(6);
 
-/// Has an agent answer all calls from now on, after a while, also such as are given up by then.
+/// Has an agent answer every call after `delay`, including calls that the program has given up by then.
 fn spawn_replies(agent: TcpListener, delay: Duration, response: String) {
     std::thread::spawn(move || {
-        agent.set_nonblocking(false).expect("open");
+        agent.set_nonblocking(false).expect("socket is open");
         let mut open_watches = Vec::new();
         while let Ok((mut stream, _)) = agent.accept() {
             std::thread::sleep(delay);
@@ -26,7 +26,7 @@
     });
 }
 
-/// The usual settings with longer times, so that a pass is out for as long as its story takes.
+/// The default settings with longer timeouts, so that an attempt stays in progress during a whole test.
 fn long_timeout_settings() -> String {
     SETTINGS
         .replace("400000000,", "4000000000,")
@@ -37,7 +37,7 @@
     long_timeout_settings().replace("subscribe", "automatic")
 }
 
-/// A call for a watch that has been taken, and not answered.
+/// Accepts a watch call and reads its request without answering it.
 fn accept_watch_call(listener: &TcpListener) -> Peer {
     let mut peer = Peer::accept(listener);
     assert!(
@@ -49,10 +49,10 @@
 }
 
 fn address_of(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("bound")
+    listener.local_addr().expect("listener is bound")
 }
 
-/// A balancer with a discovery that the test plays, and the file that it reads.
+/// A balancer whose discovery is played by the test, and its configuration file.
 struct WatchingBalancer {
     program: Program,
     address: SocketAddr,
@@ -90,18 +90,21 @@
     client
 }
 
-/// Takes an opening and serves it.
+/// Accepts a request at the server and answers it.
 fn accept_request(server: &TcpListener, client: &mut Peer) -> Peer {
     let mut peer = Peer::accept(server);
-    peer.hear().expect("an opening");
+    peer.hear().expect("a request is received");
     peer.say("UP r1\r\n");
     client.hears("UP r1");
     peer
 }
 
 fn assert_no_connection(server: &TcpListener) {
-    server.set_nonblocking(true).expect("open");
-    assert!(server.accept().is_err(), "nothing is sent there");
+    server.set_nonblocking(true).expect("socket is open");
+    assert!(
+        server.accept().is_err(),
+        "nothing may be sent to this server"
+    );
 }
 
 #[test]
@@ -109,20 +112,21 @@
     let site = Site::start("indented", 2);
     let (mut client, _server) = site.stand();
     let mut watch = site.discovery.watch();
-    // A beat inside a word would spoil it.
+    // A heartbeat inside a chunked line would corrupt it.
     site.discovery.falls_silent();
-    watch.stream.set_nodelay(true).expect("open");
+    watch.stream.set_nodelay(true).expect("socket is open");
     let servers = [
         ("s0", address_of(&site.servers[0]), "DRAINING"),
         ("s1", address_of(&site.servers[1]), "SERVING"),
     ];
-    let snapshot: serde_json::Value = serde_json::from_str(&list(7, true, &servers)).expect("JSON");
-    let text = serde_json::to_string_pretty(&snapshot).expect("JSON");
+    let snapshot: serde_json::Value =
+        serde_json::from_str(&list(7, true, &servers)).expect("valid JSON");
+    let text = serde_json::to_string_pretty(&snapshot).expect("valid JSON");
     for chunk in format!("\n{text}\n{}\n", list(8, false, &[]))
         .as_bytes()
         .chunks(5)
     {
-        let chunk = std::str::from_utf8(chunk).expect("ASCII");
+        let chunk = std::str::from_utf8(chunk).expect("chunk is ASCII");
         watch.say(&format!("{:x}\r\n{chunk}\r\n", chunk.len()));
     }
     site.program.says("generation=7 kind=Snapshot entries=2");
@@ -147,8 +151,8 @@
     program.says("the known list serves");
     let mut client = open_request(front, "a1");
     let mut pending_attempt = Peer::accept(&old);
-    pending_attempt.hear().expect("an opening");
-    // Discovery is down: the agent takes calls and says nothing. It returns just after the last of these began.
+    pending_attempt.hear().expect("a request is received");
+    // Discovery is down: the agent accepts calls and does not answer. It recovers just after the last of these began.
     silent.extend((0..3).map(|_| accept_watch_call(&agent)));
     let returned_at = Instant::now();
     let snapshot = list(2, true, &[("s1", address_of(&new), "SERVING")]);
@@ -164,13 +168,13 @@
         returned_at.elapsed()
     );
     pending_attempt.say("BUSY\r\n");
-    let _stands = accept_request(&new, &mut client);
+    let _established = accept_request(&new, &mut client);
     assert_no_connection(&old);
 }
 
 #[test]
 fn applies_first_snapshot_before_accepting_clients() {
-    // The program waits for a fifth of a second. Where the machine held this test up for longer, it is played again.
+    // The program waits for a fifth of a second. When the machine delays this test for longer, the test is repeated.
     for _ in 0..20 {
         let (agent, old, new) = (listener(), listener(), listener());
         let server_list = [("s0", address_of(&old), "SERVING")];
@@ -184,8 +188,8 @@
             &agent,
             &server_list,
         );
-        // An agent that is only just there breaks the first call off. The second it answers after longer than a start
-        // takes that does not wait.
+        // A starting agent closes the first call. It answers the second one after longer than a start takes that does
+        // not wait for it.
         drop(accept_watch_call(&agent));
         let snapshot = list(2, true, &[("s1", address_of(&new), "SERVING")]);
         spawn_replies(
@@ -200,23 +204,23 @@
         {
             continue;
         }
-        // What the agent said is before the client in the core's queue, whichever of them the log tells first.
-        let _stands = accept_request(&new, &mut open_request(front, "a1"));
+        // The snapshot precedes the client in the queue of the core, whichever of them is logged first.
+        let _established = accept_request(&new, &mut open_request(front, "a1"));
         return assert_no_connection(&old);
     }
-    panic!("never in time");
+    panic!("the snapshot was too late in all 20 runs");
 }
 
-/// Where a watch falls silent.
+/// The point at which a watch falls silent.
 #[derive(Clone, Copy, Debug)]
 enum SilencePoint {
-    /// Before the answer's head.
+    /// Before the response head.
     BeforeHead,
-    /// After the head.
+    /// After the response head, before any list.
     AfterHead,
     /// In the middle of a line.
     MidLine,
-    /// The call that follows a SIGHUP which moves discovery.
+    /// On the call after a SIGHUP that changes the discovery address.
     AfterSighup,
 }
 
@@ -257,13 +261,13 @@
                 &address_of(&first).to_string(),
                 &address_of(&second).to_string(),
             );
-            std::fs::write(&site.path, moved).expect("the same folder");
+            std::fs::write(&site.path, moved).expect("configuration file is written");
             site.program.signal("HUP");
             (silent, discovery) = (accept_watch_call(&second), &second);
         }
     }
     let silent_since = Instant::now();
-    assert!(silent.is_gone(), "{name}: broken");
+    assert!(silent.is_gone(), "{name}: the silent watch must be closed");
     let mut restarted = accept_watch_call(discovery);
     restarted.say(RESPONSE_HEAD);
     tell(
@@ -304,17 +308,17 @@
     });
 }
 
-/// Connections that fill a listener's line, so that the next one does not come up before they are taken.
+/// Fills a listener's backlog, so that the next connection is not established before these are accepted.
 fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
     let connect_timeout = Duration::from_millis(100);
     std::iter::from_fn(|| TcpStream::connect_timeout(&address_of(listener), connect_timeout).ok())
         .collect()
 }
 
-/// Waits until a connection to there is on its way.
+/// Waits until a connection attempt to `address` is in SYN-SENT.
 fn wait_for_connect_attempt(address: SocketAddr) {
     let SocketAddr::V4(v4) = address else {
-        panic!("IPv4")
+        panic!("address is not IPv4")
     };
     let row = format!(
         "{:08X}:{:04X} 02",
@@ -323,10 +327,13 @@
     );
     let deadline = Instant::now() + PATIENCE;
     while !std::fs::read_to_string("/proc/net/tcp")
-        .expect("Linux")
+        .expect("/proc/net/tcp is readable")
         .contains(&row)
     {
-        assert!(Instant::now() < deadline, "nobody tries {address}");
+        assert!(
+            Instant::now() < deadline,
+            "no connection attempt to {address}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -334,12 +341,12 @@
 #[test]
 fn sends_nothing_when_drained_during_connect() {
     let (discovery, new) = (listener(), listener());
-    // One place in its line.
-    let old =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    // A backlog of one connection.
+    let old = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("socket is created");
     old.bind(&SocketAddr::new(address_of(&listener()).ip(), 0).into())
-        .expect("loopback");
-    old.listen(0).expect("bound");
+        .expect("socket binds to loopback");
+    old.listen(0).expect("listener is bound");
     let old = TcpListener::from(old);
     let backlog = fill_backlog(&old);
     let settings = long_timeout_settings().replace("200000000", "6000000000");
@@ -366,9 +373,9 @@
     backlog.iter().for_each(|_| drop(Peer::accept(&old)));
     assert!(
         Peer::accept(&old).is_gone(),
-        "it came up, and not a byte was sent on it"
+        "the connection must be closed without a byte sent on it"
     );
-    let _stands = accept_request(&new, &mut client);
+    let _established = accept_request(&new, &mut client);
     assert_no_connection(&old);
 }
 
@@ -399,8 +406,8 @@
         last_call_at = Instant::now();
         call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
-    // The list that it has serves meanwhile.
-    let _stands = accept_request(&server, &mut open_request(front, "a1"));
+    // The known list is used meanwhile.
+    let _established = accept_request(&server, &mut open_request(front, "a1"));
     let mut watch = accept_watch_call(&discovery);
     watch.say(RESPONSE_HEAD);
     tell(
@@ -414,9 +421,9 @@
 
 #[test]
 fn retries_late_failed_watch_within_silence_limit() {
-    /// Discovery had the change when the call came, and could be reached.
+    /// Time from the call to its failure; discovery has the change and is reachable from the time of the call.
     const CALL_DURATION: Duration = Duration::from_millis(2_500);
-    // Where the settings give much time for asking, or none at all.
+    // A long interval for calls in the settings, and none at all.
     let ask_within_ns = ["30000000000", "0"];
     std::thread::scope(|scope| {
         for (number, ask_within_ns) in (0..8).zip(ask_within_ns.into_iter().cycle()) {
@@ -436,7 +443,7 @@
                     &settings,
                     256,
                 );
-                // Each draws its own delay.
+                // Each run draws another retry delay.
                 let config = config.replace("\"seed\":\"7\"", &format!("\"seed\":\"{number}\""));
                 let path = file(&format!("late{number}"), &config);
                 let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
@@ -467,7 +474,7 @@
 fn restarts_watch_after_descriptor_exhaustion() {
     let (discovery, server, front) = (listener(), listener(), free());
     let server_list = [("s0", address_of(&server), "SERVING")];
-    // The limit is lower than the file says, so that clients take all descriptors.
+    // The process limit is lower than the configured one, so that clients use up all descriptors.
     let config = config(
         front,
         address_of(&discovery),
@@ -483,12 +490,12 @@
     tell(&mut watch, 2, true, &server_list);
     program.says("generation=2 kind=Snapshot");
     let clients: Vec<TcpStream> = (0..200)
-        .map(|_| TcpStream::connect(front).expect("its line is long"))
+        .map(|_| TcpStream::connect(front).expect("connection fits into the listen backlog"))
         .collect();
     program.says("accept failed");
     drop(watch);
     program.says("watch ended");
-    // Whether the next call has a descriptor hangs on what is kept back for it.
+    // Whether the next call gets a descriptor depends on those reserved for it.
     drop(clients);
     let released_at = Instant::now();
     let mut watch = accept_watch_call(&discovery);
@@ -500,27 +507,27 @@
         "{:?}",
         released_at.elapsed()
     );
-    let _stands = accept_request(&server, &mut open_request(front, "a1"));
+    let _established = accept_request(&server, &mut open_request(front, "a1"));
 }
 
-/// Has the program's file name another discovery.
+/// Replaces the discovery address in the configuration file and reloads it.
 fn reload_with_discovery(site: &WatchingBalancer, from: &TcpListener, to: &TcpListener) {
     let moved = site
         .config
         .replace(&address_of(from).to_string(), &address_of(to).to_string());
-    std::fs::write(&site.path, moved).expect("the same folder");
+    std::fs::write(&site.path, moved).expect("configuration file is written");
     site.program.signal("HUP");
 }
 
 #[test]
 fn requests_full_list_when_reloaded_before_connect() {
-    // One place in its line, which is taken: the first call never comes up.
-    let first =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    // The backlog of one connection is full: the first call is never established.
+    let first = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("socket is created");
     first
         .bind(&SocketAddr::new(address_of(&listener()).ip(), 0).into())
-        .expect("loopback");
-    first.listen(0).expect("bound");
+        .expect("socket binds to loopback");
+    first.listen(0).expect("listener is bound");
     let first = TcpListener::from(first);
     let _backlog = fill_backlog(&first);
     let (second, server) = (listener(), listener());
@@ -536,7 +543,7 @@
     let mut watch = Peer::accept(&second);
     assert!(
         watch.hear().is_some_and(|line| line.contains("from=0 ")),
-        "the whole list"
+        "the whole list is requested"
     );
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
     watch.say(RESPONSE_HEAD);
@@ -577,7 +584,7 @@
     let mut watch = Peer::accept(&third);
     assert!(
         watch.hear().is_some_and(|line| line.contains("from=0 ")),
-        "the whole list"
+        "the whole list is requested"
     );
     while watch.hear().is_some_and(|line| !line.is_empty()) {}
     watch.say(RESPONSE_HEAD);
@@ -588,9 +595,12 @@
         &[("s0", address_of(&server), "DRAINING")],
     );
     site.program.says("generation=1 kind=Snapshot");
-    // And back to one that was left before.
-    std::fs::write(&site.path, &site.config).expect("the same folder");
+    // Then back to the address that was used first.
+    std::fs::write(&site.path, &site.config).expect("configuration file is written");
     site.program.signal("HUP");
-    assert!(watch.is_gone(), "the watch on the one before is ended");
+    assert!(
+        watch.is_gone(),
+        "the watch on the previous address is closed"
+    );
     accept_watch_call(&first);
 }
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -1,4 +1,4 @@
-//! Stories of the NATS front: the program, clients, and stand-ins for NATS servers and Redis over loopback.
+//! Tests of the NATS front: the program with clients and simulated NATS servers and Redis over loopback.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const PASSWORD: &str = "acme's own password";
 
-/// A balancer with its stores, its farm told by discovery.
+/// A balancer with its store, whose servers come from discovery.
 struct Site {
     program: Program,
     address: SocketAddr,
@@ -19,7 +19,7 @@
     redis: Redis,
     discovery: Discovery,
     record: Shared,
-    /// The operator's file, and what stands in it.
+    /// Path of the operator's file; `file_text` holds its contents.
     path: String,
     file_text: String,
     _folder: tempfile::TempDir,
@@ -33,8 +33,8 @@
     fn with(name: &str, settings: &str) -> Site {
         let (address, admin, redis, discovery) = (free(), free(), redis(), Discovery::start());
         let settings = settings.replace("\n", " ");
-        let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let settings: serde_json::Value = serde_json::from_str(&settings).expect("JSON");
+        let folder = tempfile::tempdir().expect("temporary directory is created");
+        let settings: serde_json::Value = serde_json::from_str(&settings).expect("valid JSON");
         let file_text = format!(
             "name = \"front\"\nlisten = \"{address}\"\nsockets = 256\n\
              wire = {{ max_payload = 64, connect_wait_ms = 300, ping_after_ms = 300, silence_ms = 2000 }}\n\
@@ -44,7 +44,7 @@
             redis.address,
             folder.path().join("overrides.redb").display(),
             discovery.address,
-            toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
+            toml::to_string(&serde_json::json!({ "settings": settings })).expect("valid TOML")
         );
         let path = file(name, &file_text);
         let program = Program::start(&["--operator", &path], &[]);
@@ -92,16 +92,19 @@
         client(self.address, name, "acme", PASSWORD)
     }
 
-    /// The client's one final answer, booked; every rule holds after it.
+    /// Reads and records the client's single final answer, and checks the relay rules.
     fn record_answer(&self, name: &str, client: &mut Peer) -> String {
-        let answer = client.hear().expect("an answer");
-        self.record.lock().expect("sound").answered(name, &answer);
+        let answer = client.hear().expect("an answer is received");
+        self.record
+            .lock()
+            .expect("mutex is not poisoned")
+            .answered(name, &answer);
         self.check_rules();
         answer
     }
 
     fn check_rules(&self) {
-        self.record.lock().expect("sound").check();
+        self.record.lock().expect("mutex is not poisoned").check();
     }
 
     fn server(&self, name: &str, manner: Manner) -> NatsServer {
@@ -129,7 +132,7 @@
 fn relay_rules_hold_after_every_exchange() {
     let site = Site::start("rules");
     let mut watch = site.discovery.watch();
-    // A server that takes CONNECT and falls silent, one that is full, one that hangs up, one that serves.
+    // Four servers: one falls silent after CONNECT, one is full, one closes the connection, one serves.
     let hung = site.server("hung", Manner::SilentAfterConnect);
     let full = site.server("full", Manner::Full);
     let mute = site.server("mute", Manner::Mute);
@@ -148,7 +151,7 @@
         let mut client = site.client(&name);
         let answer = site.record_answer(&name, &mut client);
         if answer == "PONG" {
-            // Payloads hold what looks like the wire's own words; keepalives cross them either way, in pieces.
+            // Payloads contain protocol commands as data; fragmented keepalives cross them in both directions.
             client.say("PUB t 12\r\nPING\r\n");
             std::thread::sleep(Duration::from_millis(5));
             client.say("PONG\r\n\r\nPI");
@@ -169,7 +172,7 @@
         }
         site.check_rules();
     }
-    // Only one of them serves from now on; then it drains, and its clients are moved to another.
+    // Only one server remains; then it drains, and its clients are moved to another.
     let new_server = site.server("next", Manner::Serve);
     let remaining = [
         (&hung, "DELETED"),
@@ -183,11 +186,14 @@
     assert_eq!(site.record_answer("last", &mut last), "PONG");
     established.push(last);
     let draining = [(&good, "DRAINING"), (&new_server, "SERVING")];
-    site.record.lock().expect("sound").drains("good");
+    site.record
+        .lock()
+        .expect("mutex is not poisoned")
+        .drains("good");
     tell(&mut watch, 3, false, &discovery_rows(&draining));
     site.program.says("generation=3");
     for mut client in established {
-        let last_line = client.hear().expect("a word before the end");
+        let last_line = client.hear().expect("a line is received before the end");
         assert!(
             last_line.starts_with("INFO {") && last_line.contains("\"ldm\":true"),
             "{last_line}"
@@ -215,7 +221,7 @@
         &discovery_rows(&[(&server, "SERVING")]),
     );
     site.program.says("generation=1");
-    // An error may have run: a class that must not run twice is failed after one pass, at once.
+    // A failed attempt may have taken effect: a class that must not run twice fails at once after one attempt.
     for (number, manner) in [Manner::Forbid, Manner::SilentAfterConnect]
         .into_iter()
         .enumerate()
@@ -228,9 +234,15 @@
             "-ERR 'Connection Failed'"
         );
         client.ended();
-        assert_eq!(site.record.lock().expect("sound").passes_of(&name), 1);
+        assert_eq!(
+            site.record
+                .lock()
+                .expect("mutex is not poisoned")
+                .passes_of(&name),
+            1
+        );
     }
-    // What was turned away never ran: all attempts are made, and the answer says when to come back.
+    // A rejected attempt never took effect: all attempts are made, and the answer carries a retry delay.
     server.becomes(Manner::Full);
     let mut client = client(site.address, "once-full", "once", PASSWORD);
     let answer = site.record_answer("once-full", &mut client);
@@ -238,7 +250,13 @@
         answer.starts_with("-ERR 'Service Unavailable; try again in ") && answer.ends_with(" ms'"),
         "{answer}"
     );
-    assert!(site.record.lock().expect("sound").passes_of("once-full") > 1);
+    assert!(
+        site.record
+            .lock()
+            .expect("mutex is not poisoned")
+            .passes_of("once-full")
+            > 1
+    );
 }
 
 #[test]
@@ -255,25 +273,32 @@
     site.program.says("generation=1");
     let mut client = site.client("first");
     assert_eq!(site.record_answer("first", &mut client), "PONG");
-    // The client asks nothing: the balancer's own PINGs find the silence, and their PONGs were not passed on.
+    // The client sends nothing: the balancer's own PINGs detect the silence, and their PONGs are not relayed.
     std::thread::sleep(Duration::from_millis(700));
     let silent_since = Instant::now();
     server.silent.store(true, Ordering::Relaxed);
-    assert!(client.hear().expect("a move").contains("\"ldm\":true"));
+    assert!(
+        client
+            .hear()
+            .expect("a move notice is received")
+            .contains("\"ldm\":true")
+    );
     client.ended();
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     server.silent.store(false, Ordering::Relaxed);
     let mut client = site.client("second");
     assert_eq!(site.record_answer("second", &mut client), "PONG");
-    // Its addresses are not passed on; a message that has begun is ended first.
-    let voice_lock = server.voice.lock().expect("sound");
+    // Server addresses are not relayed; a message that has begun is completed first.
+    let voice_lock = server.voice.lock().expect("mutex is not poisoned");
     server.says("INFO {\"connect_urls\":[\"10.0.0.1:4222\"],\"ldm\":true}\r\nMSG t 1 5\r\nhel");
     client.hears("MSG t 1 5");
     assert_eq!(client.bytes(3), "hel");
     server.says("lo\r\nMSG t 1 1\r\n");
     client.hears("lo");
-    let last_line = std::iter::from_fn(|| client.hear()).last().expect("a move");
-    // Held until then: a PONG that fell into the second message would be the server's own fault.
+    let last_line = std::iter::from_fn(|| client.hear())
+        .last()
+        .expect("a move notice is received");
+    // Held until here: a PONG inside the second message would be a protocol error of the simulated server.
     drop(voice_lock);
     assert!(
         last_line.contains("\"ldm\":true") && !last_line.contains("connect_urls"),
@@ -311,7 +336,7 @@
         ),
     ] {
         let mut client = Peer::connect(site.address);
-        client.hear().expect("INFO");
+        client.hear().expect("an INFO line is received");
         client.say(command);
         client.hears(answer);
         client.ended();
@@ -352,23 +377,34 @@
     site.program.says("generation=1");
     let mut steady = site.client("steady");
     assert_eq!(site.record_answer("steady", &mut steady), "PONG");
-    // More openings than 256 descriptors hold: each is told something, and a real client gets in.
+    // More connections than 256 descriptors hold: each receives an answer, and a real client is served.
     let mut silent: Vec<Peer> = (0..200).map(|_| Peer::connect(site.address)).collect();
     let mut real = site.client("real");
     assert_eq!(site.record_answer("real", &mut real), "PONG");
     for peer in &mut silent {
-        assert!(peer.hear().expect("INFO").starts_with("INFO {"));
-        assert!(peer.hear().expect("a refusal").starts_with("-ERR '"));
+        assert!(
+            peer.hear()
+                .expect("an INFO line is received")
+                .starts_with("INFO {")
+        );
+        assert!(
+            peer.hear()
+                .expect("a rejection is received")
+                .starts_with("-ERR '")
+        );
         assert!(peer.is_gone());
     }
-    // Questions at full speed while the server answers none.
+    // PINGs at full speed while the server answers none.
     let mut flood = site.client("flood");
     assert_eq!(site.record_answer("flood", &mut flood), "PONG");
-    let voice_lock = server.voice.lock().expect("sound");
+    let voice_lock = server.voice.lock().expect("mutex is not poisoned");
     flood.say(&"PING\r\n".repeat(1100));
-    assert!(flood.is_gone(), "too many at once end its connection");
+    assert!(
+        flood.is_gone(),
+        "too many unanswered PINGs must close the connection"
+    );
     drop(voice_lock);
-    // Half a message and a close: the server gets the same end, and nobody else notices.
+    // A partial message and a close: the server sees the same close, and other clients are unaffected.
     let mut half = site.client("half");
     assert_eq!(site.record_answer("half", &mut half), "PONG");
     half.say("PUB t 12\r\nonly ha");
@@ -402,7 +438,7 @@
         &site.path,
         moved.replace("max_payload = 64", "max_payload = 65"),
     )
-    .expect("the same folder");
+    .expect("configuration file is written");
     site.program.signal("HUP");
     site.program.says("taken over what=\"discovery at");
     site.program
@@ -417,7 +453,7 @@
     old_watch.ended();
     client.say("PING\r\n");
     client.hears("PONG");
-    std::fs::write(&site.path, "admin = 1").expect("the same folder");
+    std::fs::write(&site.path, "admin = 1").expect("configuration file is written");
     site.program.signal("HUP");
     let kept = site.program.says("present configuration kept");
     assert!(!kept.contains(ADMIN_TOKEN), "{kept}");
@@ -522,7 +558,7 @@
     while site.call_api("GET", "/v1/tenants", "").0 != 200 {
         assert!(
             restored_at.elapsed() < PATIENCE,
-            "the store never came back"
+            "the store did not become available again"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -545,14 +581,14 @@
     let mut watch = site.discovery.watch();
     tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
     site.program.says("generation=1");
-    // A pass is up at the one server there is, which has not said INFO; then that server is taken out.
-    let voice_lock = late.voice.lock().expect("sound");
+    // An attempt is connected to the only server, which has not sent INFO yet; then that server is taken out.
+    let voice_lock = late.voice.lock().expect("mutex is not poisoned");
     let mut client = site.client("first");
     let attempt_count =
         || site.api.call("GET", "/v1/counts", "").body["fronts"]["nats"]["passes"].as_u64();
     let deadline = Instant::now() + PATIENCE;
     while attempt_count() != Some(1) {
-        assert!(Instant::now() < deadline, "no pass was made");
+        assert!(Instant::now() < deadline, "no attempt was made");
         std::thread::sleep(Duration::from_millis(5));
     }
     tell(&mut watch, 2, false, &discovery_rows(&[(&good, "SERVING")]));
@@ -562,13 +598,16 @@
     drop(voice_lock);
     assert_eq!(site.record_answer("first", &mut client), "PONG");
     assert_eq!(
-        site.record.lock().expect("sound").passes_of("first"),
+        site.record
+            .lock()
+            .expect("mutex is not poisoned")
+            .passes_of("first"),
         1,
-        "the other server's alone"
+        "only the other server receives an attempt"
     );
     let counts = site.api.call("GET", "/v1/counts", "").body;
     assert_eq!(counts["fronts"]["nats"]["ends"]["not-sent"], 1, "{counts}");
-    // A tenant's pin, strict, to the server that is out: refused at once, with a time.
+    // A strict pin of a tenant to the server that is out rejects at once with a retry delay.
     site.api.add(
         r#"{"kind":"pin","server":"late","tenant":"acme","mode":"strict","who":"ada","why":"test","expires_in_s":60}"#,
     );
@@ -579,7 +618,7 @@
     );
     let all = site.api.overrides();
     assert_eq!(all[1]["effects"]["nats"], "server takes nothing new");
-    // Another tenant is not meant.
+    // Other tenants are unaffected.
     let mut other = support::nats::client(site.address, "third", "once", PASSWORD);
     other.hears("PONG");
 }
@@ -587,7 +626,7 @@
 #[test]
 fn override_expires_and_survives_list_changes_and_restart() {
     let mut site = Site::start("override-life");
-    // All of them stay open, and those that are moved may not have left yet on a loaded machine.
+    // All clients stay open, and moved ones may not have disconnected yet on a loaded machine.
     assert_eq!(
         site.call_api("PATCH", "/v1/tenants/acme", r#"{"connections":100}"#)
             .0,
@@ -612,7 +651,7 @@
     };
     let mut established = Vec::new();
     let mut client_count = 0;
-    // Where so many clients go: passes at the server that is out, of all that are made.
+    // Opens `count` clients and returns how many reached the server with the override.
     let mut open = |site: &Site, count: usize| -> usize {
         let mut at_overridden = 0;
         for _ in 0..count {
@@ -620,12 +659,17 @@
             let name = format!("client-{client_count}");
             let mut client = site.client(&name);
             assert_eq!(site.record_answer(&name, &mut client), "PONG");
-            at_overridden += usize::from(site.record.lock().expect("sound").went(&name, "one"));
+            at_overridden += usize::from(
+                site.record
+                    .lock()
+                    .expect("mutex is not poisoned")
+                    .went(&name, "one"),
+            );
             established.push(client);
         }
         at_overridden
     };
-    // It expires by itself.
+    // The override expires by itself.
     let id = site.api.add(&out_override(60.0));
     assert_eq!(open(&site, 3), 0);
     site.api.shorten(id);
@@ -633,11 +677,14 @@
     assert!(log_line.contains("who=ada"), "{log_line}");
     let deadline = Instant::now() + PATIENCE;
     while site.api.server("one")["effective"]["weight"] != 1.0 {
-        assert!(Instant::now() < deadline, "its weight never came back");
+        assert!(
+            Instant::now() < deadline,
+            "the weight did not return to 1.0"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(open(&site, 3) > 0, "it is back");
-    // It leaves the list and comes back under its name, elsewhere.
+    assert!(open(&site, 3) > 0, "the server receives clients again");
+    // The server leaves the list and returns under the same name at another address.
     site.api.add(&out_override(60.0));
     tell(&mut watch, 2, false, &discovery_rows(&[(&one, "DELETED")]));
     site.program.says("generation=2");
@@ -655,10 +702,10 @@
     site.program.says("generation=3");
     assert_eq!(site.api.overrides()[0]["effects"]["nats"], "in effect");
     assert_eq!(open(&site, 3), 0);
-    // A restart brings it back with its own end; the list comes after it, and nothing slips in between.
+    // After a restart the override keeps its expiry; the list arrives later, and no request is sent in between.
     let expires_at = site.api.overrides()[0]["expires_at"].clone();
     site.program.signal("TERM");
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
     site.program = Program::start(&["--operator", &site.path], &[]);
     site.program.says("restored=1");
     site.program.says("administration API serves");
@@ -675,30 +722,33 @@
     site.check_rules();
 }
 
-/// Longer than any delay between attempts, and than the second after which the system tries a connection again.
+/// Longer than any delay between attempts, and than the second after which the kernel retries a SYN.
 const LONGER_THAN_ANY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// An attempt that begins later than this after its client has left breaks the rule.
+/// No attempt may begin later than this after its client has disconnected.
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// Well under the time after which an attempt is given up for a client that waits, and long on a busy machine.
+/// Well below the attempt timeout for a waiting client, and ample on a busy machine.
 const MAX_ABORT_TIME: Duration = Duration::from_secs(2);
 
-/// Waits until something is so.
+/// Waits until `is_met` returns true.
 fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !is_met() {
-        assert!(Instant::now() < deadline, "never so: {condition}");
+        assert!(
+            Instant::now() < deadline,
+            "condition not met in time: {condition}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Ends a client's connection in order, behind what it has sent early, or by a reset.
+/// Closes a client's connection in order, after any data it has sent early, or by a reset.
 fn disconnect(client: Peer, by_reset: bool) {
     if by_reset {
         socket2::SockRef::from(&client.stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("open");
+            .expect("socket is open");
     }
     drop(client);
 }
@@ -722,7 +772,7 @@
         late.waits_for(false);
         assert!(
             disconnected_at.elapsed() < MAX_ABORT_TIME,
-            "withdrawn after {:?}",
+            "connection attempt aborted after {:?}",
             disconnected_at.elapsed()
         );
         assert_eq!(late.comes_up_and_hears(LONGER_THAN_ANY_DELAY), None);
@@ -740,10 +790,10 @@
         let mut watch = site.discovery.watch();
         tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
         site.program.says("generation=1");
-        let voice_lock = late.voice.lock().expect("sound");
+        let voice_lock = late.voice.lock().expect("mutex is not poisoned");
         let client = site.client("gone");
         let counts = || site.api.call("GET", "/v1/counts", "").body;
-        wait_until("a pass is out", || {
+        wait_until("an attempt is in progress", || {
             counts()["fronts"]["nats"]["passes"] == 1
         });
         disconnect(client, by_reset);
@@ -751,7 +801,13 @@
         let mut after = site.client("after");
         after.hears("PONG");
         std::thread::sleep(LONGER_THAN_ANY_DELAY);
-        assert_eq!(site.record.lock().expect("sound").passes_of("gone"), 0);
+        assert_eq!(
+            site.record
+                .lock()
+                .expect("mutex is not poisoned")
+                .passes_of("gone"),
+            0
+        );
     }
 }
 
@@ -772,25 +828,31 @@
         let mut watch = site.discovery.watch();
         tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
         site.program.says("generation=1");
-        let voice_lock = late.voice.lock().expect("sound");
+        let voice_lock = late.voice.lock().expect("mutex is not poisoned");
         let connect = |name: &str| client(site.address, name, "many", PASSWORD);
         let mut first: Vec<Peer> = (0..INITIAL_CONCURRENCY_LIMIT)
             .map(|index| connect(&format!("c{index}")))
             .collect();
         let counts = || site.api.call("GET", "/v1/counts", "").body;
-        wait_until("all passes are out", || {
+        wait_until("all attempts are in progress", || {
             counts()["fronts"]["nats"]["passes"] == INITIAL_CONCURRENCY_LIMIT
         });
         let queued = connect("gone");
         let queue_length =
             || site.api.call("GET", "/v1/admission", "").body["fronts"][0]["waiting"].as_u64();
-        wait_until("it waits", || queue_length() == Some(1));
+        wait_until("a request is queued", || queue_length() == Some(1));
         disconnect(queued, by_reset);
         drop(voice_lock);
         first.iter_mut().for_each(|client| client.hears("PONG"));
         connect("after").hears("PONG");
         std::thread::sleep(LONGER_THAN_ANY_DELAY);
-        assert_eq!(site.record.lock().expect("sound").passes_of("gone"), 0);
+        assert_eq!(
+            site.record
+                .lock()
+                .expect("mutex is not poisoned")
+                .passes_of("gone"),
+            0
+        );
     }
 }
 
@@ -803,8 +865,13 @@
         tell(&mut watch, 1, true, &discovery_rows(&[(&full, "SERVING")]));
         site.program.says("generation=1");
         let client = site.client("gone");
-        let attempt_count = || site.record.lock().expect("sound").passes_of("gone");
-        wait_until("it was sent on", || attempt_count() > 0);
+        let attempt_count = || {
+            site.record
+                .lock()
+                .expect("mutex is not poisoned")
+                .passes_of("gone")
+        };
+        wait_until("an attempt was made", || attempt_count() > 0);
         disconnect(client, by_reset);
         std::thread::sleep(MAX_DISCONNECT_DELAY);
         let attempts_at_disconnect = attempt_count();
@@ -834,6 +901,12 @@
         let mut after = site.client("after");
         after.hears("PONG");
         std::thread::sleep(LONGER_THAN_ANY_DELAY);
-        assert_eq!(site.record.lock().expect("sound").passes_of("gone"), 0);
+        assert_eq!(
+            site.record
+                .lock()
+                .expect("mutex is not poisoned")
+                .passes_of("gone"),
+            0
+        );
     }
 }
--- a/crates/cli/tests/on_call_page.rs
+++ b/crates/cli/tests/on_call_page.rs
@@ -1,22 +1,22 @@
-//! The on-call page names every message of the log, and no other.
+//! Checks that the on-call page lists every log message, and no other.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Messages that are put together at runtime; the page has their values.
+/// Messages that are composed at runtime; the page lists their possible values.
 const COMPOSED: [&str; 3] = ["{notice}", "{message}", "override {what}"];
 
 fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .ancestors()
         .nth(2)
-        .expect("the workspace")
+        .expect("workspace root exists")
         .to_owned()
 }
 
 fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("directory is readable") {
+        let path = entry.expect("directory entry is readable").path();
         if path.is_dir() {
             collect_sources(&path, found);
         } else if path.extension().is_some_and(|end| end == "rs") && !path.ends_with("tests.rs") {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The string literals of a macro's arguments, which begin at the start of `text`.
+/// The string literals in the arguments of a macro call; `text` begins after the opening parenthesis.
 fn literals(text: &str) -> Vec<String> {
     let (mut depth, mut literals_found, mut start_of_open) = (1, Vec::new(), None);
     let mut escaped = false;
@@ -50,7 +50,7 @@
     literals_found
 }
 
-/// The messages of all log macros of a source file: the last literal of each.
+/// The messages of all log macro calls in a source file: the last string literal of each call.
 fn messages(source: &str) -> BTreeSet<String> {
     let macros = ["info!(", "warn!(", "error!(", "debug!("];
     let calls = macros.iter().flat_map(|name| {
@@ -64,7 +64,7 @@
         .collect()
 }
 
-/// The messages in the page's tables, whose second column has them.
+/// The messages in the second column of the page's message tables.
 fn listed_messages(page: &str) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     let mut is_message_table = false;
@@ -74,7 +74,11 @@
         } else if !line.starts_with('|') {
             is_message_table = false;
         } else if is_message_table && line.starts_with("| `") {
-            let column = line.split('|').nth(2).expect("a second column").trim();
+            let column = line
+                .split('|')
+                .nth(2)
+                .expect("row has a second column")
+                .trim();
             let messages = column.split("`, `");
             found.extend(messages.map(|message| message.trim_matches('`').to_owned()));
         }
@@ -84,7 +88,8 @@
 
 #[test]
 fn page_lists_exactly_the_logged_messages() {
-    let page = std::fs::read_to_string(workspace_root().join("docs/on-call.md")).expect("the page");
+    let page = std::fs::read_to_string(workspace_root().join("docs/on-call.md"))
+        .expect("page is readable");
     let mut files = Vec::new();
     for package in ["balancer", "cli", "store"] {
         collect_sources(
@@ -92,7 +97,7 @@
             &mut files,
         );
     }
-    let read = |path: &PathBuf| std::fs::read_to_string(path).expect("a source file");
+    let read = |path: &PathBuf| std::fs::read_to_string(path).expect("source file is readable");
     let logged: BTreeSet<String> = files
         .iter()
         .flat_map(|path| messages(&read(path)))
@@ -105,7 +110,7 @@
     ];
     let composed =
         ["created", "extended", "removed", "expired"].map(|what| format!("override {what}"));
-    // These are written by a rate limiter, whose calls are no log macros.
+    // These are logged through a rate limiter, whose calls are not log macros.
     let is_in_code = |message: &&str| {
         files
             .iter()
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Stories of the operations port: the program's staff ask it, drain it and take it back.
+//! Tests of the operations port: status calls, standby and return to active.
 
 mod support;
 
@@ -24,14 +24,16 @@
     )
 }
 
-/// What the port answers to these bytes, as far as they go.
+/// Sends raw bytes to the port and returns everything it answers before it closes.
 fn raw_response(address: SocketAddr, bytes: &[u8]) -> String {
     let mut connection = Peer::connect(address).stream;
-    connection.write_all(bytes).expect("the port reads");
+    connection
+        .write_all(bytes)
+        .expect("bytes are sent to the operations port");
     let mut response = String::new();
     connection
         .read_to_string(&mut response)
-        .expect("an answer and an end");
+        .expect("a response is followed by the end of the connection");
     response
 }
 
@@ -54,7 +56,7 @@
     assert_eq!(
         api.call("GET", "/v1/farm", "").status,
         404,
-        "the tenants' API stays apart"
+        "the administration API is not served on this port"
     );
     for (method, path, allowed) in [
         ("POST", "/status", "GET"),
@@ -100,9 +102,14 @@
     let call = b"POST /active HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
     let mut caller = Peer::connect(api.at);
     for byte in call {
-        caller.stream.write_all(&[*byte]).expect("the port reads");
+        caller
+            .stream
+            .write_all(&[*byte])
+            .expect("bytes are sent to the operations port");
         let mut aborted = Peer::connect(api.at).stream;
-        aborted.write_all(&call[..20]).expect("the port reads");
+        aborted
+            .write_all(&call[..20])
+            .expect("bytes are sent to the operations port");
     }
     caller.hears("HTTP/1.1 200 OK");
 }
@@ -123,7 +130,7 @@
     let mut newcomer_server = Peer::accept(&site.servers[0]);
     newcomer_server
         .hear()
-        .expect("a newcomer in the front's grace is served");
+        .expect("a new client is served during the drain grace period");
     newcomer_server.say("UP r2\r\n");
     newcomer.hears("UP r2");
     client.hears("MOVE");
@@ -133,7 +140,7 @@
     assert_eq!(
         api.call("POST", "/standby", "").status,
         200,
-        "a call repeats harmlessly"
+        "a repeated call is harmless"
     );
     site.program.says("counts");
     assert_ping_answer(&site, "NO standby");
@@ -141,7 +148,7 @@
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_eq!(api.call("GET", "/status", "").status, 200);
     assert_ping_answer(&site, "PONG");
-    let _stands = site.stand();
+    let _established = site.stand();
 }
 
 #[test]
@@ -154,7 +161,7 @@
     first.hears("MOVE");
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_ping_answer(&site, "PONG");
-    // The second one's turn would have come after 1.35 s.
+    // Without the cancellation the second client would have been moved after 1.35 s.
     while called_at.elapsed() < Duration::from_secs(2) {
         second.say("line\r\n");
         assert_eq!(server.hear().as_deref(), Some("line"));
@@ -168,9 +175,9 @@
     let (site, api) = start_balancer("answers");
     let mut client = site.open("chat", "");
     let mut pending_attempt = Peer::accept(&site.servers[0]);
-    pending_attempt.hear().expect("an opening");
+    pending_attempt.hear().expect("a request is received");
     assert_eq!(api.call("POST", "/standby", "").status, 200);
-    let answer = client.hear().expect("a final answer");
+    let answer = client.hear().expect("a final answer is received");
     assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
     client.ended();
 }
@@ -188,7 +195,7 @@
         (409, &"the program is leaving".into())
     );
     client.hears("MOVE");
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
 }
 
 #[test]
@@ -201,7 +208,7 @@
             if number % 2 == 0 {
                 caller
                     .write_all(b"POST /standby HT")
-                    .expect("the port reads");
+                    .expect("bytes are sent to the operations port");
             }
             caller
         })
@@ -210,7 +217,7 @@
     let spawn_flood = |number| {
         let (address, opened_count) = (site.at, Arc::clone(&opened_count));
         std::thread::spawn(move || {
-            // One that is turned away comes again at once; one that stands leaves.
+            // Rejected clients reconnect at once; served clients disconnect.
             for count in 0..100 {
                 let mut client = Peer::connect(address);
                 client.say(&format!(
@@ -229,9 +236,14 @@
     }
     floods
         .into_iter()
-        .for_each(|flood| flood.join().expect("it goes on"));
-    // The first to come gave way; one that is still there is told when its time is up.
-    let mut last = Peer::new(silent.into_iter().next_back().expect("64 of them"));
+        .for_each(|flood| flood.join().expect("flood thread finishes"));
+    // The first callers were evicted; one that is still connected receives a timeout.
+    let mut last = Peer::new(
+        silent
+            .into_iter()
+            .next_back()
+            .expect("64 callers are connected"),
+    );
     last.hears("HTTP/1.1 408 Request Timeout");
     assert_eq!(api.call("POST", "/standby", "").status, 200);
 }
@@ -239,7 +251,10 @@
 #[test]
 fn start_fails_naming_invalid_or_taken_address() {
     let bound_listener = listener();
-    let taken_address = bound_listener.local_addr().expect("bound").to_string();
+    let taken_address = bound_listener
+        .local_addr()
+        .expect("listener is bound")
+        .to_string();
     let valid_config = config(free(), free(), &list(1, true, &[]), SETTINGS, 256);
     let config_with_address = valid_config.replacen('{', r#"{"admin_addr":"there","#, 1);
     for (name, config, variable, reason) in [
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Stories of peers that speak in pieces, fall silent, or walk away half way.
+//! Tests of peers that send data in fragments, fall silent, or disconnect midway.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::site::Site;
 use support::*;
 
-/// A balancer whose only server takes every opening.
+/// A balancer whose only server accepts every request.
 fn start_balancer(name: &str) -> Site {
     let mut site = Site::start(name, 1);
     obliges(site.servers.remove(0));
@@ -21,12 +21,12 @@
     for cut in 1..request.len() {
         let unique_request = request.replace("p00", &format!("p{cut:02}"));
         let mut client = Peer::connect(site.at);
-        client.stream.set_nodelay(true).expect("open");
+        client.stream.set_nodelay(true).expect("socket is open");
         client.say("PING\r\n");
         client.hears("PONG");
         let (head, rest) = unique_request.split_at(cut);
         client.say(head);
-        // An answer to another's question: the first piece has been there for as long as this takes.
+        // The answer to another client's PING shows that the program has had time to read the first fragment.
         let mut other = Peer::connect(site.at);
         other.say("PING\r\n");
         other.hears("PONG");
@@ -34,7 +34,7 @@
         client.hears("UP r");
     }
     let mut client = site.open("chat", "");
-    client.stream.set_nodelay(true).expect("open");
+    client.stream.set_nodelay(true).expect("socket is open");
     client.hears("UP r");
     for byte in "a line of several words\r\n".bytes() {
         client.say(&char::from(byte).to_string());
@@ -47,7 +47,7 @@
     let site = start_balancer("away");
     let descriptor_count = || {
         std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
-            .expect("it runs")
+            .expect("program is running")
             .count()
     };
     let mut first = site.open("chat", "");
@@ -65,7 +65,7 @@
     while descriptor_count() > initial_count {
         assert!(
             std::time::Instant::now() < deadline,
-            "{} descriptors, {initial_count} before",
+            "{} descriptors open, {initial_count} initially",
             descriptor_count()
         );
         std::thread::sleep(std::time::Duration::from_millis(20));
@@ -89,7 +89,7 @@
     server.say("o");
     client.bytes(1);
     std::thread::sleep(fragment_delay);
-    // What comes in between is no answer; neither is the end of the line that the answer began.
+    // A LOAD line in between is no answer; neither is the rest of the line that the answer began.
     server.say("k\r\nLOAD 12.5\r\n");
     client.hears("k");
     client.hears("LOAD 12.5");
@@ -102,9 +102,9 @@
     assert_eq!(
         latency_event_count(&site.program.says_up_to("Load(12.5)")),
         0,
-        "the first piece came at once"
+        "no latency event: the first byte arrived at once"
     );
-    // An answer that begins late is a slow one, also behind the end of a line that began in time.
+    // An answer that begins late counts as slow, also after the rest of a line that began in time.
     client.say("M 2\r\n");
     server.hears("M 2");
     server.say("LOA");
@@ -114,7 +114,7 @@
     client.hears("D 13.5");
     client.hears("ok");
     site.program.says("MessageLatency(");
-    // The same in one piece or in two.
+    // A late answer counts in one fragment or in two.
     for pieces in [&["ok\r\n"][..], &["o", "k\r\n"]] {
         client.say("M 2\r\n");
         server.hears("M 2");
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Stories of the platform's front: the program, clients, application servers and discovery over loopback.
+//! Tests of the platform front: the program with clients, application servers and discovery over loopback.
 
 mod support;
 
@@ -15,22 +15,26 @@
     client.hears("PONG");
     client.say("OPEN 01 02 c=chat,t=acme,d=2500,g=3,h=1.5\r\n");
     let mut server = Peer::accept(&site.servers[0]);
-    let line = server.hear().expect("an opening");
+    let line = server.hear().expect("a request is received");
     let wait_ms = line
         .strip_prefix("OPEN 01 02 c=chat,t=acme,d=")
         .and_then(|rest| rest.strip_suffix(",g=3,h=1.5"));
     let wait_ms: u64 = wait_ms
-        .expect("all but d is unchanged")
+        .expect("all fields but d are unchanged")
         .parse()
-        .expect("a number");
+        .expect("value is a number");
     assert!(
         (1..=400).contains(&wait_ms),
-        "{wait_ms} is how long this balancer waits"
+        "d must be the time that this balancer waits, is {wait_ms}"
     );
     server.say("UP r7\r\nLOAD 12.5\r\nhal");
     client.hears("UP r7");
     client.hears("LOAD 12.5");
-    assert_eq!(client.bytes(3), "hal", "half a line is not held back");
+    assert_eq!(
+        client.bytes(3),
+        "hal",
+        "a partial line must be relayed at once"
+    );
     client.say("M 1\r\n");
     server.hears("M 1");
     server.say("f\r\nBYE\r\n");
@@ -49,7 +53,7 @@
     let (mut client, server) = site.stand();
     socket2::SockRef::from(&server.stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("open");
+        .expect("socket is open");
     drop(server);
     assert!(client.was_reset());
 }
@@ -60,12 +64,12 @@
     let mut client = site.open("chat", "");
     for _ in 0..4 {
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("an opening");
+        server.hear().expect("a request is received");
         server.say("BUSY\r\n");
         server.ended();
     }
     let answered_at = Instant::now();
-    let answer = client.hear().expect("an answer");
+    let answer = client.hear().expect("an answer is received");
     let retry_after_ms = answer
         .strip_prefix("BUSY ")
         .and_then(|millis| millis.parse::<u64>().ok());
@@ -75,7 +79,7 @@
     );
     assert!(
         answered_at.elapsed() < Duration::from_millis(300),
-        "not held back"
+        "the last answer must not be delayed"
     );
     client.ended();
 }
@@ -85,7 +89,7 @@
     let site = Site::start("once", 1);
     let mut client = site.open("once", "");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
+    server.hear().expect("a request is received");
     drop(server);
     client.hears("ERR");
     client.ended();
@@ -96,7 +100,7 @@
     let site = Site::start("leave", 1);
     let client = site.open("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
+    server.hear().expect("a request is received");
     drop(client);
     server.ended();
     site.stand();
@@ -104,7 +108,7 @@
 
 #[test]
 fn established_connections_use_no_threads() {
-    // A balancer with a fifth of a core is stopped and woken as a whole: hundreds of threads use that up alone.
+    // A balancer limited to a fifth of a core is throttled as a whole: hundreds of threads alone use that up.
     let site = Site::start("threads", 1);
     let initial_threads = site.program.threads();
     let mut established: Vec<(Peer, Peer)> = (0..50).map(|_| site.stand()).collect();
@@ -114,10 +118,10 @@
         server.say(&format!("A {number}\r\n"));
         client.hears(&format!("A {number}"));
     }
-    // The last pass's thread may be about to end.
+    // The thread of the last attempt may not have ended yet.
     assert!(
         site.program.threads() <= initial_threads + 4,
-        "{} were {initial_threads}",
+        "{} threads, initially {initial_threads}",
         site.program.threads()
     );
 }
@@ -146,9 +150,9 @@
         "OPEN b1 02 c=chat,d=2500,again=maybe\r\n",
         "OPEN b1 02 c=chat,d=2500,\r\n",
         "OPEN b1 02 c=ch\0at,d=2500\r\n",
-        // The id of the client that stands.
+        // The id of an established client.
         "OPEN a1 02 c=chat,d=2500\r\n",
-        // A client sends one line and waits.
+        // A client must send one line and wait.
         "OPEN b1 02 c=chat,d=2500\r\nOPEN b2 02 c=chat,d=2500\r\n",
         &overlong,
     ] {
@@ -157,18 +161,18 @@
         assert_eq!(invalid.hear().as_deref(), Some("ERR"), "{request:?}");
         assert!(invalid.is_gone());
     }
-    // Half a command and a close.
+    // A partial command, then a close.
     Peer::connect(site.at).say("OPEN b1 02 c=chat,d=25");
-    // One that speaks while a server is asked for it ends its pass.
+    // A client that sends data while an attempt is in progress ends the attempt.
     let mut early_sender = site.open("chat", "");
     let mut pending_attempt = Peer::accept(&site.servers[0]);
-    pending_attempt.hear().expect("an opening");
+    pending_attempt.hear().expect("a request is received");
     early_sender.say("M 1\r\n");
     early_sender.hears("ERR");
     pending_attempt.ended();
     client.say("M 1\r\n");
     server.hears("M 1");
-    // An id is free by the time that its client hears of the end, every time.
+    // An id is free again by the time its client sees the end of the connection.
     for _ in 0..50 {
         client.finish();
         server.finish();
@@ -179,7 +183,7 @@
         assert!(
             server
                 .hear()
-                .expect("an opening")
+                .expect("a request is received")
                 .starts_with("OPEN a1 02 ")
         );
         server.say("UP r1\r\n");
@@ -207,10 +211,11 @@
         assert!(peer.is_gone());
     }
     incomplete.hears("ERR");
-    // Owed within 3 s of connecting; a loaded machine may take longer to say so, as 5 s for each would not.
+    // The answer is due within 3 s of connecting. The bound of 4.5 s allows for a loaded machine; 5 s for each
+    // connection would exceed it.
     assert!(
         started_at.elapsed() < Duration::from_millis(4_500),
-        "owed within 3 s of connecting"
+        "silent connections must be answered within 3 s of connecting"
     );
     site.program.says("more like these left out");
 }
@@ -218,14 +223,19 @@
 #[test]
 fn retries_named_server_for_returning_connection() {
     let site = Site::start("held", 2);
-    // Its time to wait has no end.
+    // The largest possible wait time.
     let mut client = Peer::connect(site.at);
     client.say("OPEN b1 02 c=chat,t=acme,d=18446744073709551615,g=3,at=s1\r\n");
     let mut server = Peer::accept(&site.servers[1]);
-    server.hear().expect("an opening");
+    server.hear().expect("a request is received");
     drop(server);
     let mut server = Peer::accept(&site.servers[1]);
-    assert!(server.hear().expect("an opening").ends_with(",at=s1"));
+    assert!(
+        server
+            .hear()
+            .expect("a request is received")
+            .ends_with(",at=s1")
+    );
     server.say("UP r1\r\n");
     client.hears("UP r1");
 }
@@ -272,29 +282,34 @@
     let site = Site::start("drain", 2);
     let mut client = site.open("chat", ",at=s0");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
+    server.hear().expect("a request is received");
     server.say("UP r1\r\n");
     client.hears("UP r1");
-    let draining = site.servers[0].local_addr().expect("bound");
+    let draining = site.servers[0].local_addr().expect("listener is bound");
     let mut watch = site.discovery.watch();
-    // Longer than a watch without heartbeats lasts, as on a loaded machine.
+    // Longer than a watch without heartbeats is kept open, as happens on a loaded machine.
     std::thread::sleep(Duration::from_millis(3_700));
     tell(&mut watch, 2, false, &[("s0", draining, "DRAINING")]);
     site.program.says("generation=2");
-    // They stay: servers that end their connections at once would be left alone for a while.
+    // The connections stay open: a server that closes its connections at once would be avoided for a while.
     let mut established = Vec::new();
     for _ in 0..4 {
         let mut newcomer = site.open("chat", "");
         let mut server = Peer::accept(&site.servers[1]);
-        server.hear().expect("an opening");
+        server.hear().expect("a request is received");
         server.say("UP r2\r\n");
         newcomer.hears("UP r2");
         established.push((newcomer, server));
     }
     client.hears("MOVE");
     client.ended();
-    site.servers[0].set_nonblocking(true).expect("open");
-    assert!(site.servers[0].accept().is_err(), "nothing new");
+    site.servers[0]
+        .set_nonblocking(true)
+        .expect("socket is open");
+    assert!(
+        site.servers[0].accept().is_err(),
+        "the draining server must receive no new request"
+    );
 }
 
 #[test]
@@ -304,7 +319,7 @@
     site.discovery.falls_silent();
     let silent_since = Instant::now();
     let mut new_watch = site.discovery.watch();
-    // What the first would have told counts as told after 6 s.
+    // Changes missed by the first watch must be applied within 6 s.
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     site.stand();
     tell(&mut new_watch, 5, true, &[]);
@@ -325,32 +340,33 @@
         &site.path,
         config.replace("\"sockets\":256", "\"sockets\":300"),
     )
-    .expect("the same folder");
+    .expect("configuration file is written");
     let reloaded_at = Instant::now();
-    // Several at once are as good as one.
+    // Several signals at once have the effect of one.
     site.program.signal("HUP");
     site.program.signal("HUP");
     let mut watch = new_discovery.watch();
     assert!(
         reloaded_at.elapsed() < Duration::from_millis(2_500),
-        "the blocked read was ended, not waited out"
+        "the blocked read must be interrupted, not waited for"
     );
     old_watch.ended();
-    // The list is kept until the new address tells another one.
+    // The list is kept until the new discovery address sends another one.
     client.say("M 1\r\n");
     server.hears("M 1");
     server.say("A 1\r\n");
     client.hears("A 1");
-    let second_server = site.servers[1].local_addr().expect("bound");
+    let second_server = site.servers[1].local_addr().expect("listener is bound");
     tell(&mut watch, 1, true, &[("s1", second_server, "SERVING")]);
     site.program.says("generation=1 kind=Snapshot");
     client.hears("MOVE");
     site.program.signal("HUP");
     site.program.says("nothing has changed");
-    std::fs::write(&site.path, "{").expect("the same folder");
+    std::fs::write(&site.path, "{").expect("configuration file is written");
     site.program.signal("HUP");
     site.program.says("present configuration kept");
-    std::fs::write(&site.path, site.config.replace("\"n0\"", "\"n1\"")).expect("the same folder");
+    std::fs::write(&site.path, site.config.replace("\"n0\"", "\"n1\""))
+        .expect("configuration file is written");
     site.program.signal("HUP");
     site.program
         .says("takes a restart, kept as it was what=name");
@@ -359,7 +375,7 @@
     site.program.says("leaving");
     site.program.signal("HUP");
     site.program.says("left out");
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
 }
 
 #[test]
@@ -373,32 +389,32 @@
     site.program.says("leaving");
     let mut late = site.open("chat", "");
     let mut late_server = Peer::accept(&site.servers[0]);
-    late_server.hear().expect("an opening");
+    late_server.hear().expect("a request is received");
     late_server.say("UP r2\r\n");
     late.hears("UP r2");
     server.say("f\r\nnever relayed\r\n");
     client.hears("f");
-    // Another line may have gone on before the move was ordered.
+    // One more line may be relayed before the move is initiated.
     let last_line = std::iter::from_fn(|| client.hear()).last();
     assert_eq!(last_line.as_deref(), Some("MOVE"));
     server.ended();
     late.hears("MOVE");
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
 }
 
 #[test]
 fn answers_pending_request_before_program_exits() {
     let mut site = Site::start("lastword", 1);
-    // Their moves are spread over the drain: the second one's says that a third of it has gone by.
+    // Moves are spread over the drain: the move of the second client means that a third of it has passed.
     let mut established = [site.stand(), site.stand(), site.stand()];
     site.program.signal("TERM");
     established[1].0.hears("MOVE");
     let mut client = Peer::connect(site.at);
     client.say("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
+    server.hear().expect("a request is received");
     client.hears("ERR");
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
 }
 
 #[test]
@@ -412,7 +428,7 @@
         "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
     );
     let high_load_report = "PONG x0=0.95,queue=3\r\n";
-    // A server that tells nothing of its load takes clients; a report that is cut short is no answer.
+    // A server that reports no load receives clients; a truncated report is not an answer.
     for (number, answer) in [
         "PONG x0=0.1,queue=0\r\n",
         "PONG\r\n",
@@ -429,16 +445,18 @@
             .iter()
             .zip([high_load_report, answer, "PONG x0=0."])
         {
-            let (server, request_sender) =
-                (server.try_clone().expect("open"), request_sender.clone());
-            let address = server.local_addr().expect("bound");
+            let (server, request_sender) = (
+                server.try_clone().expect("socket is open"),
+                request_sender.clone(),
+            );
+            let address = server.local_addr().expect("listener is bound");
             std::thread::spawn(move || {
                 while let Ok((stream, _)) = server.accept() {
                     let (mut peer, request_sender) = (Peer::new(stream), request_sender.clone());
                     std::thread::spawn(move || {
                         while let Some(line) = peer.hear_or_end() {
                             if line.trim_end() != "STATS" {
-                                request_sender.send(address).expect("the story goes on");
+                                request_sender.send(address).expect("receiver is alive");
                                 peer.say("UP r1\r\n");
                                 continue;
                             }
@@ -453,7 +471,7 @@
         }
         let mut clients: Vec<Peer> = (0..4).map(|_| site.open("chat", "")).collect();
         clients.iter_mut().for_each(|client| client.hears("UP r1"));
-        let address = site.servers[1].local_addr().expect("bound");
+        let address = site.servers[1].local_addr().expect("listener is bound");
         assert_eq!(
             request_receiver.try_iter().collect::<Vec<_>>(),
             [address; 4],
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Stories of the settings: the program goes by its own configuration alone, and by a new one from SIGHUP on.
+//! Tests of the settings: the program follows only its own configuration file, and its new contents after SIGHUP.
 
 mod support;
 
@@ -10,19 +10,19 @@
 
 const NS_PER_MS: u64 = 1_000_000;
 
-/// A class: its name, effect, and deadline in milliseconds.
+/// A request class: name, effect, and deadline in milliseconds.
 type ClassSpec<'a> = (&'a str, &'a str, u64);
 
-/// The usual settings with these classes.
+/// The default settings with these request classes.
 fn settings_with_classes(classes: &[ClassSpec<'_>]) -> Value {
     let class_json = |(name, effect, deadline_ms): &ClassSpec<'_>| json!({"name": name, "effect": effect, "on-time-ns": deadline_ms * NS_PER_MS / 6, "hard-limit-ns": deadline_ms * NS_PER_MS, "dedup-scope": "all", "repeat-window-ns": 0, "value": 1.0});
-    let mut settings: Value = serde_json::from_str(SETTINGS).expect("JSON");
+    let mut settings: Value = serde_json::from_str(SETTINGS).expect("valid JSON");
     settings["lanes"] = classes.iter().map(class_json).collect();
     settings
 }
 
 fn default_settings() -> Value {
-    serde_json::from_str(SETTINGS).expect("JSON")
+    serde_json::from_str(SETTINGS).expect("valid JSON")
 }
 
 /// The text of the configuration file with other settings.
@@ -30,26 +30,31 @@
     site.config.replace(SETTINGS, &settings.to_string())
 }
 
-/// Puts a file in the place of the configuration and tells the program.
+/// Replaces the configuration file and sends SIGHUP to the program.
 fn write_and_signal(site: &Site, text: &str) {
-    std::fs::write(&site.path, text).expect("the same folder");
+    std::fs::write(&site.path, text).expect("configuration file is written");
     site.program.signal("HUP");
 }
 
-/// The same with other settings, and waits until they hold: for openings that are read from now on, too.
+/// Replaces the settings and waits until they are in effect, also for requests that are read from now on.
 fn reload_and_wait(site: &Site, settings: &Value) {
     write_and_signal(site, &config_text_with(site, settings));
     site.program.says("taken over");
 }
 
-/// The next attempt at the first server: its opening has been heard.
+/// Accepts the next attempt at a server and reads its request.
 fn accept_attempt(site: &Site, index: usize) -> Peer {
     let mut server = Peer::accept(&site.servers[index]);
-    assert!(server.hear().expect("an opening").starts_with("OPEN "));
+    assert!(
+        server
+            .hear()
+            .expect("a request is received")
+            .starts_with("OPEN ")
+    );
     server
 }
 
-/// Ends an attempt so that it may have run.
+/// Closes an attempt without an answer, so that it may have taken effect.
 fn close_without_answer(server: Peer) {
     drop(server);
 }
@@ -63,14 +68,14 @@
 
 fn assert_no_pending_attempt(site: &Site) {
     for server in &site.servers {
-        server.set_nonblocking(true).expect("open");
-        assert!(server.accept().is_err(), "one attempt more");
+        server.set_nonblocking(true).expect("socket is open");
+        assert!(server.accept().is_err(), "an unexpected attempt arrived");
     }
 }
 
 #[test]
 fn applies_settings_of_two_different_deployments() {
-    // Two classes, two tenants, two zones, two attempts, a time to come again.
+    // Two classes, two tenants, two zones, two attempts, a retry delay.
     let mut first =
         settings_with_classes(&[("quick", "fragile", 700), ("bulk", "retryable", 9_000)]);
     first["zones"] = json!(["north", "south"]);
@@ -86,8 +91,10 @@
         accept_attempt(&site, 0).say("BUSY\r\n");
     }
     assert!(
-        bulk.hear().expect("an answer").starts_with("BUSY "),
-        "two attempts, and a time to come again"
+        bulk.hear()
+            .expect("an answer is received")
+            .starts_with("BUSY "),
+        "an answer with a retry delay after two attempts"
     );
     let mut quick = site.open("quick", "");
     close_without_answer(accept_attempt(&site, 0));
@@ -98,14 +105,17 @@
     let elapsed = started_at.elapsed();
     assert!(
         elapsed >= Duration::from_millis(500) && elapsed < Duration::from_millis(2_300),
-        "{elapsed:?} of 700 ms"
+        "rejected after {elapsed:?}, deadline is 700 ms"
     );
     assert_no_pending_attempt(&site);
 
-    // One class, no tenants, no zones, one attempt, no time to come again.
+    // One class, no tenants, no zones, one attempt, no retry delay.
     let mut second = settings_with_classes(&[("only", "dedup", 5_000)]);
     for absent in ["zones", "zone", "projects", "prices", "report"] {
-        second.as_object_mut().expect("an object").remove(absent);
+        second
+            .as_object_mut()
+            .expect("value is an object")
+            .remove(absent);
     }
     second["policy-limits"] = json!({"max-attempts": 1});
     second["rules"] = json!({"cold-share": 1.0, "cold-ns": 0, "tip-multiple": 0.5, "fall-ns": 0});
@@ -127,12 +137,13 @@
 fn reload_replaces_classes_only_for_new_requests() {
     let site = Site::start("replaced", 1);
     let (mut client, mut server) = site.stand();
-    // Both are out when the settings change: one may not be repeated by the old ones, one not by the new ones.
+    // Both attempts are in progress when the settings change: one class is not repeatable under the old settings, the
+    // other not under the new ones.
     let mut once = site.open("once", "");
     let once_attempt = accept_attempt(&site, 0);
     let mut chat = site.open("chat", "");
     let chat_attempt = accept_attempt(&site, 0);
-    // The other order, and each has the other's effect.
+    // The classes change their order and exchange their effects.
     reload_and_wait(
         &site,
         &settings_with_classes(&[
@@ -146,7 +157,7 @@
     close_without_answer(chat_attempt);
     chat.hears("ERR");
     assert_no_pending_attempt(&site);
-    // From now on the new ones hold.
+    // New requests follow the new settings.
     let mut once = site.open("once", "");
     close_without_answer(accept_attempt(&site, 0));
     accept_attempt(&site, 0).say("UP r2\r\n");
@@ -177,12 +188,12 @@
     let mut bright_server = accept_attempt(&site, 0);
     bright_server.say("UP r3\r\n");
     bright.hears("UP r3");
-    // What was out comes to stand.
+    // The attempt that was in progress is established.
     pending_attempt.say("UP r2\r\n");
     pending.hears("UP r2");
     exchange_lines(&mut pending, &mut pending_attempt);
     exchange_lines(&mut client, &mut server);
-    // The class comes back, with its tenant: nothing of the file in between is left.
+    // The class and its tenant return: nothing of the file in between remains.
     reload_and_wait(&site, &default_settings());
     let (mut returning, mut returning_server) = site.stand();
     exchange_lines(&mut returning, &mut returning_server);
@@ -227,7 +238,7 @@
         second_opened_at.elapsed()
     );
     first.hears("ERR");
-    // Its client waits for 2.5 s, and the old deadline is 3 s.
+    // The client waits for 2.5 s, and the old deadline is 3 s.
     assert!(
         first_opened_at.elapsed() >= Duration::from_millis(2_300),
         "{:?}",
@@ -246,7 +257,7 @@
     third["rules"]["cold-share"] = json!(0.5);
     write_and_signal(&site, &config_text_with(&site, &second));
     write_and_signal(&site, &config_text_with(&site, &third));
-    // Read once or twice: what changes last is logged last.
+    // The file may be read once or twice; the last change is logged last.
     site.program.says("rules");
     site.open("second", "").hears("ERR");
     let mut third = site.open("third", "");
@@ -267,7 +278,7 @@
     invalid["lanes"][0]["effect"] = json!("sometimes");
     invalid["policy-limits"]
         .as_object_mut()
-        .expect("an object")
+        .expect("value is an object")
         .remove("max-attempts");
     invalid["rules"]["fall-ns"] = json!("soon");
     let invalid = moved_text.replace(&changed.to_string(), &invalid.to_string());
@@ -287,17 +298,20 @@
         "settings.policy-limits.max-attempts: is missing",
         "settings.rules.fall-ns: invalid type",
     ] {
-        assert!(log_line.contains(fault), "{fault} is not in {log_line}");
+        assert!(
+            log_line.contains(fault),
+            "{fault} is missing from {log_line}"
+        );
     }
-    std::fs::remove_file(&site.path).expect("it is there");
+    std::fs::remove_file(&site.path).expect("path exists");
     site.program.signal("HUP");
     site.program.says("present configuration kept");
-    // Nothing of any of them holds: not the classes, and not the address.
+    // Nothing of these files is in effect, neither the classes nor the address.
     site.open("other", "").hears("ERR");
     let (mut new_client, mut new_server) = site.stand();
     exchange_lines(&mut new_client, &mut new_server);
     exchange_lines(&mut client, &mut server);
-    // The whole file is taken over once it is there.
+    // The complete file is applied once it exists.
     write_and_signal(&site, &valid_text);
     site.program.says("taken over");
     site.open("chat", "").hears("ERR");
@@ -340,13 +354,13 @@
         client.ended();
     }
     waiting.hears("ERR");
-    // It may be killed after the longest deadline and 0.7 s.
+    // The program may be killed after the longest deadline plus 0.7 s.
     assert!(
         signalled_at.elapsed() < Duration::from_millis(1_300),
         "{:?}",
         signalled_at.elapsed()
     );
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.left(), "the program exits by itself");
 }
 
 #[test]
--- a/crates/cli/tests/starting.rs
+++ b/crates/cli/tests/starting.rs
@@ -1,4 +1,4 @@
-//! Stories of a start: it is ready in time whatever discovery does, and it never says yes before it can serve.
+//! Tests of startup: the program is ready in time however discovery fails, and never reports ready before it can serve.
 
 mod support;
 
@@ -9,31 +9,31 @@
 use support::*;
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// Nine in ten restarted processes are ready by then on a short day.
+/// Nine in ten restarted processes are ready within this time on a short day.
 const MAX_READY_TIME: Duration = Duration::from_secs(6);
 
 fn address_of(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("bound")
+    listener.local_addr().expect("listener is bound")
 }
 
-/// What a discovery does with whoever calls.
+/// How the simulated discovery treats calls.
 #[derive(Clone, Copy, Debug)]
 enum DiscoveryBehaviour {
-    /// Nobody listens.
+    /// No process listens at the address.
     Down,
-    /// Its calls never come up.
+    /// Connections are never established, since the backlog is full.
     BacklogFull,
-    /// It takes a call and says nothing.
+    /// Calls are accepted and never answered.
     Silent,
-    /// It is overloaded.
+    /// Calls are answered with 503.
     Overloaded,
-    /// It breaks calls off.
+    /// Calls are closed without an answer.
     Resets,
-    /// It says nothing after the head.
+    /// The response head is sent, and nothing after it.
     HeadOnly,
 }
 
-/// Plays it for as long as the test runs; gives its address.
+/// Simulates discovery for as long as the test runs, and returns its address.
 fn start_discovery(behaviour: DiscoveryBehaviour) -> SocketAddr {
     if matches!(behaviour, DiscoveryBehaviour::Down) {
         return free();
@@ -67,26 +67,26 @@
     address
 }
 
-/// A listener whose line is full: no connection to it comes up.
+/// The address of a listener whose backlog is full, so that no connection to it is established.
 fn address_with_full_backlog() -> SocketAddr {
-    let socket =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("socket is created");
     socket
         .bind(&SocketAddr::new(address_of(&listener()).ip(), 0).into())
-        .expect("loopback");
-    socket.listen(0).expect("bound");
+        .expect("socket binds to loopback");
+    socket.listen(0).expect("listener is bound");
     let listener = TcpListener::from(socket);
     let address = address_of(&listener);
     let connect_timeout = Duration::from_millis(100);
     let backlog: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
-    // Both last as long as the test's process.
+    // Both stay open until the test process exits.
     std::mem::forget((listener, backlog));
     address
 }
 
-/// A reset is no answer. Guards against the listener that found the free address: a process of another thread that is
-/// just being started may hold it for a moment longer, and takes connections to its end.
+/// Sends a PING and returns the answer; a reset counts as no answer. The listener that found the free address may be
+/// inherited for a moment by a process that another thread is starting, and then accepts connections until it closes.
 fn ping_answer(address: SocketAddr) -> Option<String> {
     let mut front = Peer::connect(address);
     let _ = front.stream.write_all(b"PING\r\n");
@@ -123,11 +123,11 @@
                         "{kind}, {discovery:?}: {:?}",
                         started_at.elapsed()
                     );
-                    // Who says yes serves.
+                    // A program that reports ready must serve.
                     let mut client = Peer::connect(front);
                     client.say("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
                     let mut server_connection = Peer::accept(&server);
-                    server_connection.hear().expect("an opening");
+                    server_connection.hear().expect("a request is received");
                     server_connection.say("UP r1\r\n");
                     client.hears("UP r1");
                 });
@@ -139,7 +139,7 @@
 #[test]
 fn reports_not_ready_until_servers_are_listed() {
     let (discovery, server, front) = (listener(), listener(), free());
-    // Its version is of no use: what changed since would not be all that there is.
+    // An empty list must not be resumed from its version: the changes since then would not be the whole list.
     let text = config(
         front,
         address_of(&discovery),
@@ -152,7 +152,7 @@
     let mut call = Peer::accept(&discovery);
     assert!(
         call.hear().is_some_and(|line| line.contains("from=0 ")),
-        "the whole list"
+        "the whole list is requested"
     );
     while call.hear().is_some_and(|line| !line.is_empty()) {}
     let answer = ping_answer(front);
