--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -201,6 +201,7 @@
         .unwrap_or_else(|| panic!("field {field} is missing from {object}"))
 }
 
+/// One account fills the queue first; the shares must still hold for the admissions that follow.
 #[test]
 fn grants_each_account_its_share_on_both_fronts() {
     for wire in [Wire::Platform, Wire::Nats] {
@@ -288,6 +289,7 @@
     }
 }
 
+/// The retry delay must fit the time in which the queue drains, at most 2 s.
 #[test]
 fn rejection_carries_bounded_retry_delay() {
     let site = Site::start(Wire::Platform, "entries = 10");
@@ -320,6 +322,7 @@
     assert!((1..=2_000).contains(&delay_ms));
 }
 
+/// A client that returns after a move must not be rejected behind a flood of new requests.
 #[test]
 fn admits_returning_client_ahead_of_flood() {
     let site = Site::start(Wire::Platform, "entries = 20");
@@ -368,6 +371,7 @@
     );
 }
 
+/// Without servers no queue builds up, and every rejection carries a retry delay.
 #[test]
 fn rejects_requests_when_no_server_is_listed() {
     let site = Site::with_listed_server(Wire::Platform, "", false);
--- a/crates/cli/tests/connections.rs
+++ b/crates/cli/tests/connections.rs
@@ -88,6 +88,7 @@
     client
 }
 
+/// The BUSY answer must not be lost to a reset, and the crossing request must not be sent to a server.
 #[test]
 fn answers_request_that_crosses_idle_close() {
     let site = Site::start("crosses", 1);
@@ -109,6 +110,7 @@
     );
 }
 
+/// A request that has arrived when the idle timeout is handled must be served, not closed.
 #[test]
 fn serves_request_present_at_idle_timeout() {
     let site = Site::start("due", 1);
@@ -180,6 +182,7 @@
     }
 }
 
+/// Data that arrives after the close must not cause a reset that destroys the answer.
 #[test]
 fn rejected_client_still_sending_receives_answer() {
     let site = Site::start("refused", 1);
@@ -191,6 +194,7 @@
     assert!(is_not_reset(&client, LONGER_THAN_LINGER));
 }
 
+/// An idle client is evicted for a new one while its request is on the way; a reset must not destroy the answer.
 #[test]
 fn evicted_client_receives_answer_when_request_crosses() {
     let site = Site::start("room", 1);
@@ -241,6 +245,7 @@
     assert!(is_not_reset(&refused, LONGER_THAN_LINGER));
 }
 
+/// Client lines that cross the server's close must not reset the client's connection before the last line is read.
 #[test]
 fn relays_last_server_line_despite_crossing_lines() {
     for last_line in ["MOVE", "BYE"] {
@@ -257,6 +262,7 @@
     }
 }
 
+/// Server lines that cross the client's close must not lose the client's last line or its close.
 #[test]
 fn relays_last_client_line_despite_crossing_lines() {
     let site = Site::start("lastline", 1);
@@ -270,6 +276,7 @@
     server.ended();
 }
 
+/// A client that has closed its sending side still receives everything that waits in the program.
 #[test]
 fn half_closed_client_receives_all_buffered_data() {
     /// Bytes that the server writes beyond what fits into the buffers between the two.
@@ -345,6 +352,7 @@
     assert!(is_not_reset(&server, Duration::from_millis(300)));
 }
 
+/// An answer longer than a line may be counts as an error of the server.
 #[test]
 fn retries_next_server_after_overlong_answer() {
     let site = Site::start("long", 1);
@@ -366,6 +374,7 @@
     client.ended();
 }
 
+/// Data after the answer of an abandoned attempt must not reach the client.
 #[test]
 fn discards_second_answer_of_abandoned_attempt() {
     let site = Site::start("second", 1);
@@ -418,6 +427,7 @@
     });
 }
 
+/// Idle clients and probes must not use up the descriptors that the watch, the operations port and a reload need.
 #[test]
 fn reserves_descriptors_for_watch_operations_and_reload() {
     const SERVERS: usize = 90;
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -107,6 +107,7 @@
     );
 }
 
+/// Line breaks inside a list and chunk boundaries inside its words must not split it.
 #[test]
 fn parses_indented_list_split_into_chunks() {
     let site = Site::start("indented", 2);
@@ -134,6 +135,7 @@
     client.hears("MOVE");
 }
 
+/// A request that waits for an answer is retried on the list that arrives when discovery recovers.
 #[test]
 fn retries_pending_request_with_list_from_recovered_discovery() {
     let (agent, old, new) = (listener(), listener(), listener());
@@ -338,6 +340,7 @@
     }
 }
 
+/// A server that starts to drain while the connection to it is being established must not receive a byte.
 #[test]
 fn sends_nothing_when_drained_during_connect() {
     let (discovery, new) = (listener(), listener());
@@ -419,6 +422,7 @@
     program.says("generation=2 kind=Snapshot");
 }
 
+/// A watch call that fails late must be repeated early enough to apply a change within the limit for silence.
 #[test]
 fn retries_late_failed_watch_within_silence_limit() {
     /// Time from the call to its failure; discovery has the change and is reachable from the time of the call.
@@ -519,6 +523,7 @@
     site.program.signal("HUP");
 }
 
+/// SIGHUP before the first watch is established: the new discovery address is asked for the whole list.
 #[test]
 fn requests_full_list_when_reloaded_before_connect() {
     // The backlog of one connection is full: the first call is never established.
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -259,6 +259,7 @@
     );
 }
 
+/// An established server falls silent, then announces lame duck mode; its client is moved both times.
 #[test]
 fn moves_client_when_server_falls_silent_or_drains() {
     let site = Site::start("silent");
@@ -415,6 +416,7 @@
     site.check_rules();
 }
 
+/// Established clients are unaffected, and a rejected file must not expose the token in the log.
 #[test]
 fn reload_moves_watch_and_reports_restart_only_settings() {
     let site = Site::start("reload");
@@ -460,6 +462,7 @@
     site.check_rules();
 }
 
+/// Tenants are managed through the API; tenants that are already cached can connect while the store is unreachable.
 #[test]
 fn serves_cached_tenants_during_store_outage() {
     let site = Site::start("tenants");
@@ -568,6 +571,7 @@
     removed.hears("-ERR 'Authorization Violation'");
 }
 
+/// No first byte goes to a server after the override that takes it out has been acknowledged.
 #[test]
 fn sends_nothing_to_server_after_override_acknowledged() {
     let site = Site::with(
@@ -623,6 +627,7 @@
     other.hears("PONG");
 }
 
+/// Also when the server leaves the list and returns at another address.
 #[test]
 fn override_expires_and_survives_list_changes_and_restart() {
     let mut site = Site::start("override-life");
@@ -753,6 +758,7 @@
     drop(client);
 }
 
+/// Nothing of the client may reach the server when the connection to it is established later.
 #[test]
 fn aborts_connect_when_client_disconnects() {
     let long_connect_settings = SETTINGS.replace(
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -43,6 +43,7 @@
     front.hears(expected);
 }
 
+/// Invalid calls must not affect other calls or the clients of the program.
 #[test]
 fn answers_calls_with_standard_http_statuses() {
     let (site, api) = start_balancer("calls");
@@ -114,6 +115,7 @@
     caller.hears("HTTP/1.1 200 OK");
 }
 
+/// New clients are served during the grace period and then moved; `active` ends standby.
 #[test]
 fn standby_moves_clients_and_keeps_program_running() {
     let (site, api) = start_balancer("standby");
@@ -151,6 +153,7 @@
     let _established = site.stand();
 }
 
+/// Clients that have not been moved when the drain is cancelled must stay connected.
 #[test]
 fn cancelled_drain_keeps_clients_not_yet_moved() {
     let (site, api) = start_balancer("undone");
@@ -182,6 +185,7 @@
     client.ended();
 }
 
+/// A program that is exiting cannot be returned to active.
 #[test]
 fn standby_program_exits_on_sigterm_and_rejects_active() {
     let (mut site, api) = start_balancer("both");
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -74,6 +74,7 @@
     first.hears("ok");
 }
 
+/// An answer that begins in time but arrives in fragments must not count as slow.
 #[test]
 fn measures_answer_latency_to_its_first_byte() {
     let settings = SETTINGS.replacen(
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -220,6 +220,7 @@
     site.program.says("more like these left out");
 }
 
+/// A client connected before the program started returns to its server, also when the first attempt fails.
 #[test]
 fn retries_named_server_for_returning_connection() {
     let site = Site::start("held", 2);
@@ -240,6 +241,7 @@
     client.hears("UP r1");
 }
 
+/// The client is moved within 6.5 s, before the platform's rule for silent servers applies.
 #[test]
 fn moves_client_when_server_stops_answering() {
     let site = Site::start("silent", 1);
@@ -251,6 +253,7 @@
     assert!(sent_at.elapsed() < Duration::from_millis(6_500));
 }
 
+/// An invalid count ends the start with an error that names the setting; a missing one is only reported.
 #[test]
 fn reports_invalid_or_missing_balancer_count() {
     for (count, message) in [
@@ -312,6 +315,7 @@
     );
 }
 
+/// A watch without heartbeats is restarted, and the last list stays in effect meanwhile.
 #[test]
 fn restarts_silent_watch_and_keeps_server_list() {
     let site = Site::start("watch", 1);
@@ -378,6 +382,7 @@
     assert!(site.program.left(), "the program exits by itself");
 }
 
+/// No line may be cut by a move; clients that connect during the drain are served and then moved.
 #[test]
 fn planned_restart_moves_clients_between_lines() {
     let mut site = Site::start("term", 1);
@@ -402,6 +407,7 @@
     assert!(site.program.left(), "the program exits by itself");
 }
 
+/// A request that waits for a silent server receives a final answer.
 #[test]
 fn answers_pending_request_before_program_exits() {
     let mut site = Site::start("lastword", 1);
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -133,6 +133,7 @@
     assert_no_pending_attempt(&site);
 }
 
+/// Requests in progress keep the effect of their class from before the reload.
 #[test]
 fn reload_replaces_classes_only_for_new_requests() {
     let site = Site::start("replaced", 1);
@@ -172,6 +173,7 @@
     assert_no_pending_attempt(&site);
 }
 
+/// Established connections and attempts in progress of a removed class or tenant are kept.
 #[test]
 fn rejects_requests_of_removed_classes_and_tenants() {
     let site = Site::start("gone", 1);
@@ -201,6 +203,7 @@
     exchange_lines(&mut bright, &mut bright_server);
 }
 
+/// A request that has already used up the new limit is answered, and no request gets more attempts.
 #[test]
 fn reload_applies_new_attempt_limit() {
     let site = Site::start("attempts", 1);
@@ -218,6 +221,7 @@
     assert_no_pending_attempt(&site);
 }
 
+/// Requests opened before the reload keep the old deadline.
 #[test]
 fn reload_applies_new_deadline_to_new_requests() {
     let site = Site::start("deadline", 1);
@@ -266,6 +270,7 @@
     exchange_lines(&mut client, &mut server);
 }
 
+/// A truncated, invalid or missing file leaves the configuration unchanged.
 #[test]
 fn ignores_unreadable_file_and_reports_every_error() {
     let site = Site::start("half", 1);
@@ -321,6 +326,7 @@
     exchange_lines(&mut client, &mut server);
 }
 
+/// The other settings of the file are applied at once.
 #[test]
 fn reload_reports_settings_that_require_a_restart() {
     let site = Site::start("restart", 1);
@@ -340,6 +346,7 @@
     chat.hears("ERR");
 }
 
+/// All clients are moved before the program may be killed.
 #[test]
 fn planned_restart_moves_clients_despite_short_deadlines() {
     let settings = settings_with_classes(&[("chat", "retryable", 600), ("once", "fragile", 500)]);
@@ -363,6 +370,7 @@
     assert!(site.program.left(), "the program exits by itself");
 }
 
+/// The settings in effect when the request is complete decide.
 #[test]
 fn request_split_by_reload_uses_new_settings() {
     let site = Site::start("cut", 1);
