--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -201,9 +201,9 @@
         .unwrap_or_else(|| panic!("field {field} is missing from {object}"))
 }
 
-/// One account fills the queue first; the shares must still hold for the admissions that follow.
+/// One account fills the queue first; the shares must still hold for later admissions, on both fronts.
 #[test]
-fn grants_each_account_its_share_on_both_fronts() {
+fn grants_each_account_its_share() {
     for wire in [Wire::Platform, Wire::Nats] {
         let site = Site::start(wire, "");
         // The whole burst of one account arrives first.
@@ -242,7 +242,7 @@
 /// A full queue rejects requests of the account that is over its share; requests of the other account keep waiting, also
 /// through a reload that shrinks the queue.
 #[test]
-fn rejects_over_share_account_when_queue_is_full() {
+fn rejects_over_share_account_when_queue_full() {
     for wire in [Wire::Platform, Wire::Nats] {
         let mut site = Site::start(wire, "entries = 20");
         let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -137,7 +137,7 @@
 
 /// A request that waits for an answer is retried on the list that arrives when discovery recovers.
 #[test]
-fn retries_pending_request_with_list_from_recovered_discovery() {
+fn retries_pending_request_when_discovery_recovers() {
     let (agent, old, new) = (listener(), listener(), listener());
     let WatchingBalancer {
         program,
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -261,7 +261,7 @@
 
 /// An established server falls silent, then announces lame duck mode; its client is moved both times.
 #[test]
-fn moves_client_when_server_falls_silent_or_drains() {
+fn moves_client_when_server_silent_or_draining() {
     let site = Site::start("silent");
     let mut watch = site.discovery.watch();
     let server = site.server("only", Manner::Serve);
@@ -416,9 +416,9 @@
     site.check_rules();
 }
 
-/// Established clients are unaffected, and a rejected file must not expose the token in the log.
+/// Settings that require a restart are reported; a rejected file must not expose the token in the log.
 #[test]
-fn reload_moves_watch_and_reports_restart_only_settings() {
+fn reload_moves_watch_and_reports_fixed_settings() {
     let site = Site::start("reload");
     let mut old_watch = site.discovery.watch();
     let server = site.server("only", Manner::Serve);
@@ -627,9 +627,9 @@
     other.hears("PONG");
 }
 
-/// Also when the server leaves the list and returns at another address.
+/// The override also holds when the server leaves the list and returns at another address.
 #[test]
-fn override_expires_and_survives_list_changes_and_restart() {
+fn override_expires_and_survives_restart() {
     let mut site = Site::start("override-life");
     // All clients stay open, and moved ones may not have disconnected yet on a loaded machine.
     assert_eq!(
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -187,7 +187,7 @@
 
 /// A program that is exiting cannot be returned to active.
 #[test]
-fn standby_program_exits_on_sigterm_and_rejects_active() {
+fn standby_program_exits_on_sigterm() {
     let (mut site, api) = start_balancer("both");
     let (mut client, _server) = site.stand();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn answers_calls_despite_silent_callers_and_client_flood() {
+fn answers_calls_despite_silent_and_flooding_clients() {
     let (mut site, api) = start_balancer("silent");
     obliges(site.servers.remove(0));
     let silent: Vec<TcpStream> = (0..64)
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn serves_request_and_line_split_at_every_byte() {
+fn serves_request_split_at_every_byte() {
     let site = start_balancer("pieces");
     let request = "OPEN p00 02 c=chat,t=acme,d=2500,g=3\r\n";
     for cut in 1..request.len() {
