--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that people use, against the program and alone: words, tables, JSON and exit codes.
+//! Tests of the command line, with and without a running program: messages, tables, JSON and exit codes.
 
 mod support;
 
@@ -7,7 +7,7 @@
 
 use support::*;
 
-/// A program with an administration API and one server that stands in its file.
+/// A program with an administration API, whose configuration lists two names for one server address.
 struct Site {
     program: Program,
     api: String,
@@ -17,24 +17,32 @@
 
 impl Site {
     fn start() -> Site {
-        let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let (at, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
+        let folder = tempfile::tempdir().expect("temporary directory is created");
+        let (address, admin, server) = (
+            free(),
+            free(),
+            listener().local_addr().expect("listener is bound"),
+        );
         let config = folder.path().join("config.json");
-        let known = list(
+        let server_list = list(
             1,
             true,
             &[("s0", server, "SERVING"), ("s1", server, "SERVING")],
         );
-        std::fs::write(&config, support::config(at, free(), &known, SETTINGS, 256)).expect("room");
+        std::fs::write(
+            &config,
+            support::config(address, free(), &server_list, SETTINGS, 256),
+        )
+        .expect("file is written");
         let operator = folder.path().join("operator.toml");
         let text = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {:?}\n[log]\nform = \"json\"\n",
             folder.path().join("overrides.redb")
         );
-        std::fs::write(&operator, text).expect("room");
+        std::fs::write(&operator, text).expect("file is written");
         let token = folder.path().join("token");
-        std::fs::write(&token, format!("{ADMIN_TOKEN}\n")).expect("room");
-        let text = |path: &std::path::Path| path.to_str().expect("text").to_owned();
+        std::fs::write(&token, format!("{ADMIN_TOKEN}\n")).expect("file is written");
+        let text = |path: &std::path::Path| path.to_str().expect("text is valid UTF-8").to_owned();
         let program = Program::start(
             &["--operator", &text(&operator)],
             &[("LB_CONFIG", &text(&config))],
@@ -48,45 +56,45 @@
         }
     }
 
-    /// Runs a command against the API.
-    fn run(&self, words: &[&str]) -> Output {
-        let mut all = words.to_vec();
+    /// Runs a command against the administration API.
+    fn run(&self, args: &[&str]) -> Output {
+        let mut all = args.to_vec();
         all.extend(["--api", &self.api, "--token-file", &self.token]);
         run(&all)
     }
 
-    /// The same, which has to succeed; gives what it printed.
-    fn prints(&self, words: &[&str]) -> String {
-        let output = self.run(words);
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(0), "{words:?}: {said}");
-        String::from_utf8(output.stdout).expect("text")
+    /// Runs a command that must succeed, and returns its standard output.
+    fn run_successfully(&self, args: &[&str]) -> String {
+        let output = self.run(args);
+        let stderr = String::from_utf8(output.stderr).expect("text is valid UTF-8");
+        assert_eq!(output.status.code(), Some(0), "{args:?}: {stderr}");
+        String::from_utf8(output.stdout).expect("text is valid UTF-8")
     }
 }
 
-fn run(words: &[&str]) -> Output {
+fn run(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_beaconflow"));
     command
-        .args(words)
+        .args(args)
         .env_remove("BEACONFLOW_TOKEN")
         .env_remove("BEACONFLOW_API")
         .env_remove("BEACONFLOW_WHO");
-    command.output().expect("the program starts")
+    command.output().expect("program starts")
 }
 
-/// Exit code, and what was printed to standard error.
-fn ended(output: &Output) -> (Option<i32>, String) {
+/// The exit code and the standard error output.
+fn exit_code_and_stderr(output: &Output) -> (Option<i32>, String) {
     (
         output.status.code(),
-        String::from_utf8(output.stderr.clone()).expect("text"),
+        String::from_utf8(output.stderr.clone()).expect("text is valid UTF-8"),
     )
 }
 
 #[test]
-fn an_override_is_added_shown_changed_and_removed_by_commands() {
+fn override_commands_add_show_extend_and_remove() {
     let site = Site::start();
     assert!(
-        site.prints(&["override", "list"])
+        site.run_successfully(&["override", "list"])
             .contains("No overrides are active.")
     );
     let add = [
@@ -102,10 +110,10 @@
         "--why",
         "slow disk",
     ];
-    let added = site.prints(&add);
-    // The log is JSON here, with fields of stable names.
+    let added = site.run_successfully(&add);
+    // The log form is JSON, whose field names are stable.
     let line: serde_json::Value =
-        serde_json::from_str(&site.program.says("override created")).expect("JSON");
+        serde_json::from_str(&site.program.says("override created")).expect("valid JSON");
     assert_eq!(
         (line["part"].as_str(), line["level"].as_str()),
         (Some("audit"), Some("info")),
@@ -131,13 +139,13 @@
         "override", "add", "pin", "s1", "--group", "north", "--strict", "--for", "90s", "--who",
         "ada",
     ];
-    let pinned = site.prints(&[&pinned[..], &["--why", "tests", "--json"]].concat());
-    let pinned: serde_json::Value = serde_json::from_str(&pinned).expect("JSON");
+    let pinned = site.run_successfully(&[&pinned[..], &["--why", "tests", "--json"]].concat());
+    let pinned: serde_json::Value = serde_json::from_str(&pinned).expect("valid JSON");
     assert_eq!(
         (pinned["group"].as_str(), pinned["mode"].as_str()),
         (Some("north"), Some("strict"))
     );
-    let listed = site.prints(&["override", "list"]);
+    let listed = site.run_successfully(&["override", "list"]);
     let rows: Vec<&str> = listed.lines().collect();
     assert!(
         rows[0].contains("LEFT") && rows[0].contains("EFFECT"),
@@ -147,12 +155,12 @@
         rows[1].contains("1h 29m") && rows[2].contains("pin group north to s1, strict"),
         "{listed}"
     );
-    let farm = site.prints(&["farm"]);
+    let farm = site.run_successfully(&["farm"]);
     assert!(
         farm.contains("ready 1.000") && farm.contains("ready 0.250") && farm.contains("slow disk"),
         "{farm}"
     );
-    let extended = site.prints(&[
+    let extended = site.run_successfully(&[
         "override",
         "extend",
         "1",
@@ -162,73 +170,84 @@
         "1",
         "--json",
     ]);
-    let extended: serde_json::Value = serde_json::from_str(&extended).expect("JSON");
+    let extended: serde_json::Value = serde_json::from_str(&extended).expect("valid JSON");
     assert!(
         extended["remaining_s"]
             .as_f64()
             .is_some_and(|left| left > 10_000.0)
             && extended["revision"] == 2
     );
-    // Late, unknown, faulty, conflicting: refused, each in words.
-    let (code, said) = ended(&site.run(&["override", "remove", "1", "--revision", "1"]));
-    assert!(code == Some(4) && said.contains("412"), "{said}");
-    assert_eq!(ended(&site.run(&["override", "show", "99"])).0, Some(4));
+    // Outdated, unknown, invalid and conflicting changes are each rejected with a message.
+    let (code, stderr) =
+        exit_code_and_stderr(&site.run(&["override", "remove", "1", "--revision", "1"]));
+    assert!(code == Some(4) && stderr.contains("412"), "{stderr}");
+    assert_eq!(
+        exit_code_and_stderr(&site.run(&["override", "show", "99"])).0,
+        Some(4)
+    );
     let wrong = [
         "override", "add", "weight", "s0", "0", "--for", "1h", "--who", "ada", "--why", "w",
     ];
-    let (code, said) = ended(&site.run(&wrong));
-    assert!(code == Some(4) && said.contains("factor"), "{said}");
-    assert!(site.prints(&["override", "remove", "1"]).contains("ended"));
-    assert!(!site.prints(&["override", "list"]).contains("slow disk"));
-    let both = [
+    let (code, stderr) = exit_code_and_stderr(&site.run(&wrong));
+    assert!(code == Some(4) && stderr.contains("factor"), "{stderr}");
+    assert!(
+        site.run_successfully(&["override", "remove", "1"])
+            .contains("ended")
+    );
+    assert!(
+        !site
+            .run_successfully(&["override", "list"])
+            .contains("slow disk")
+    );
+    let add_out = [
         "override", "add", "out", "s0", "--for", "1h", "--who", "ada", "--why", "w",
     ];
-    site.prints(&both);
-    let second: Vec<&str> = both
+    site.run_successfully(&add_out);
+    let add_out_second: Vec<&str> = add_out
         .iter()
-        .map(|word| if *word == "s0" { "s1" } else { word })
+        .map(|argument| if *argument == "s0" { "s1" } else { argument })
         .collect();
-    let (code, said) = ended(&site.run(&second));
+    let (code, stderr) = exit_code_and_stderr(&site.run(&add_out_second));
     assert!(
-        code == Some(4) && said.contains("no ready server"),
-        "{said}"
+        code == Some(4) && stderr.contains("no ready server"),
+        "{stderr}"
     );
-    site.prints(&[&second[..], &["--force"]].concat());
+    site.run_successfully(&[&add_out_second[..], &["--force"]].concat());
     assert!(
-        site.prints(&["farm"])
+        site.run_successfully(&["farm"])
             .contains("warning: platform: overrides leave no ready server")
     );
 }
 
 #[test]
-fn exit_codes_say_whose_fault_it_was() {
+fn exit_code_identifies_cause_of_failure() {
     let site = Site::start();
     assert_eq!(
-        ended(&run(&["override", "list", "--api", &site.api])).0,
+        exit_code_and_stderr(&run(&["override", "list", "--api", &site.api])).0,
         Some(5),
-        "no token"
+        "a token is missing"
     );
-    let wrong = site.folder.path().join("wrong");
-    std::fs::write(&wrong, "not the token at all").expect("room");
-    let wrong = wrong.to_str().expect("text");
+    let wrong_token = site.folder.path().join("wrong");
+    std::fs::write(&wrong_token, "not the token at all").expect("file is written");
+    let wrong_token = wrong_token.to_str().expect("text is valid UTF-8");
     assert_eq!(
-        ended(&run(&[
+        exit_code_and_stderr(&run(&[
             "override",
             "list",
             "--api",
             &site.api,
             "--token-file",
-            wrong
+            wrong_token
         ]))
         .0,
         Some(5)
     );
-    let nobody = free().to_string();
+    let unused_address = free().to_string();
     assert_eq!(
-        ended(&run(&[
+        exit_code_and_stderr(&run(&[
             "farm",
             "--api",
-            &nobody,
+            &unused_address,
             "--token-file",
             &site.token
         ]))
@@ -236,57 +255,63 @@
         Some(3)
     );
     assert_eq!(
-        ended(&run(&["farm", "--token-file", "/no/such/file"])).0,
+        exit_code_and_stderr(&run(&["farm", "--token-file", "/no/such/file"])).0,
         Some(1)
     );
-    assert_eq!(ended(&run(&["no-such-command"])).0, Some(2));
+    assert_eq!(exit_code_and_stderr(&run(&["no-such-command"])).0, Some(2));
+    assert_eq!(
+        exit_code_and_stderr(
+            &site.run(&["override", "add", "out", "s0", "--who", "a", "--why", "b"])
+        )
+        .0,
+        Some(2)
+    );
+    // A token is not accepted as an argument, since other users of the machine can read arguments.
     assert_eq!(
-        ended(&site.run(&["override", "add", "out", "s0", "--who", "a", "--why", "b"])).0,
+        exit_code_and_stderr(&run(&["farm", "--token", ADMIN_TOKEN])).0,
         Some(2)
     );
-    // A token is never an argument, where others on the machine would read it.
-    assert_eq!(ended(&run(&["farm", "--token", ADMIN_TOKEN])).0, Some(2));
-    for words in [
+    for args in [
         &["--help"][..],
         &["override", "add", "--help"],
         &["completions", "bash"],
         &["--version"],
     ] {
-        let output = run(words);
+        let output = run(args);
         assert!(
             output.status.success() && output.stdout.len() > 10,
-            "{words:?}"
+            "{args:?}"
         );
     }
 }
 
 #[test]
-fn check_names_every_fault_of_a_file_and_quotes_no_secret() {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
+fn check_reports_every_error_without_quoting_secrets() {
+    let folder = tempfile::tempdir().expect("temporary directory is created");
     let check = |text: &str| {
         let path = folder.path().join("operator.toml");
-        std::fs::write(&path, text).expect("room");
-        let output = run(&["check", path.to_str().expect("text")]);
+        std::fs::write(&path, text).expect("file is written");
+        let output = run(&["check", path.to_str().expect("text is valid UTF-8")]);
         (
             output.status.code(),
-            String::from_utf8(output.stdout).expect("text"),
+            String::from_utf8(output.stdout).expect("text is valid UTF-8"),
         )
     };
     let sample = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/nats.toml"
     ))
-    .expect("it is there");
-    let (code, said) = check(&sample);
+    .expect("path exists");
+    let (code, report) = check(&sample);
     assert!(
-        code == Some(1) && said.lines().count() == 1 && said.contains("admin.token"),
-        "{said}"
+        code == Some(1) && report.lines().count() == 1 && report.contains("admin.token"),
+        "{report}"
     );
     assert_eq!(
         check(&sample.replace("CHANGE-ME", "a token of one's own")).0,
         Some(0)
     );
-    let wrong = sample
+    let invalid = sample
         .replace("token = \"CHANGE-ME\"", "token = 7654321")
         .replace("listen = \"127.0.0.1:8222\"", "listen = \"0.0.0.0:8222\"")
         .replace("sockets = 4096", "sockets = -1\nsocket = 1")
@@ -299,7 +324,7 @@
             "[settings]",
             "[overrides]\nlongest_s = 0\nmost = 0\nramp_s = -1\nfile = 3\n[log]\nform = \"xml\"\n[settings]",
         );
-    let (code, said) = check(&wrong);
+    let (code, report) = check(&invalid);
     assert_eq!(code, Some(1));
     for field in [
         "admin.token",
@@ -318,50 +343,60 @@
         "overrides.file",
         "log.form",
     ] {
-        assert!(said.contains(field), "{field} is not in\n{said}");
+        assert!(
+            report.contains(field),
+            "{field} is missing from the report:\n{report}"
+        );
     }
-    assert!(!said.contains("7654321"), "{said}");
-    let (code, said) = check("[admin\n");
+    assert!(!report.contains("7654321"), "{report}");
+    let (code, report) = check("[admin\n");
     assert!(
-        code == Some(1) && said.contains("line 1: not TOML"),
-        "{said}"
+        code == Some(1) && report.contains("line 1: not TOML"),
+        "{report}"
     );
     assert_eq!(run(&["check", "/no/such/file"]).status.code(), Some(1));
 }
 
 #[test]
-fn check_names_every_fault_of_the_fleets_sections() {
-    let folder = tempfile::tempdir().expect("a folder for temporary files");
-    let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
+fn check_reports_every_error_in_fleet_sections() {
+    let folder = tempfile::tempdir().expect("temporary directory is created");
+    let path = |name: &str| {
+        folder
+            .path()
+            .join(name)
+            .to_str()
+            .expect("text is valid UTF-8")
+            .to_owned()
+    };
     let check = |text: &str| {
-        std::fs::write(path("operator.toml"), text).expect("room");
+        std::fs::write(path("operator.toml"), text).expect("file is written");
         let output = run(&["check", &path("operator.toml")]);
         (
             output.status.code(),
-            String::from_utf8(output.stdout).expect("text"),
+            String::from_utf8(output.stdout).expect("text is valid UTF-8"),
         )
     };
     let sample = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/fleet.toml"
     ))
-    .expect("it is there");
-    let (code, said) = check(&sample);
+    .expect("path exists");
+    let (code, report) = check(&sample);
     assert!(
-        code == Some(1) && said.lines().count() == 1 && said.contains("fleet.key_file"),
-        "{said}"
+        code == Some(1) && report.lines().count() == 1 && report.contains("fleet.key_file"),
+        "{report}"
     );
-    let private = |name: &str, text: &str| {
-        std::fs::write(path(name), text).expect("room");
+    let write_private = |name: &str, text: &str| {
+        std::fs::write(path(name), text).expect("file is written");
         std::fs::set_permissions(path(name), PermissionsExt::from_mode(0o600))
-            .expect("its owner may");
+            .expect("permissions are set");
     };
-    private("key", &format!("{}\n", "0123456789abcdef".repeat(4)));
-    private("short", "0123");
-    private("text", "no key at all");
-    let sound = sample.replace("/etc/beaconflow/fleet.key", &path("key"));
-    let (code, said) = check(&sound);
-    assert_eq!(code, Some(0), "{said}");
+    write_private("key", &format!("{}\n", "0123456789abcdef".repeat(4)));
+    write_private("short", "0123");
+    write_private("text", "no key at all");
+    let valid = sample.replace("/etc/beaconflow/fleet.key", &path("key"));
+    let (code, report) = check(&valid);
+    assert_eq!(code, Some(0), "{report}");
     let overrides = "[overrides]\nfile = \"/var/lib/beaconflow/gate-a.memory\"\n";
     for (field, from, to) in [
         ("fleet.name: must be 1 to 64", "\"gate-a\"", "\"gate a\""),
@@ -398,7 +433,7 @@
         (
             "fleet.key_file: the key file",
             &path("key"),
-            folder.path().to_str().expect("text"),
+            folder.path().to_str().expect("text is valid UTF-8"),
         ),
         (
             "fleet.key_file: the key file",
@@ -485,35 +520,38 @@
         ("edge: has no effect without", "[fleet]", "[fleets]"),
         ("affinity: has no effect without", "[fleet]", "[fleets]"),
     ] {
-        assert!(sound.contains(from), "{from}");
-        let (code, said) = check(&sound.replacen(from, to, 1));
+        assert!(valid.contains(from), "sample file does not contain {from}");
+        let (code, report) = check(&valid.replacen(from, to, 1));
         assert!(
-            code == Some(1) && said.contains(field),
-            "{field} is not in\n{said}"
+            code == Some(1) && report.contains(field),
+            "{field} is missing from the report:\n{report}"
         );
     }
-    // All at once, each named.
-    let wrong = sound
+    // Several errors in one file are all reported.
+    let invalid = valid
         .replace("size = 3", "size = 0")
         .replace("most_mb = 256", "most_mb = 0");
-    let (_, said) = check(&wrong.replace("serial = 1", "serial = 0"));
+    let (_, report) = check(&invalid.replace("serial = 1", "serial = 0"));
     for field in ["fleet.size", "memory.most_mb", "affinity.serial"] {
-        assert!(said.contains(field), "{field} is not in\n{said}");
+        assert!(
+            report.contains(field),
+            "{field} is missing from the report:\n{report}"
+        );
     }
 }
 
 #[test]
-fn the_door_is_shown_as_a_table_and_again_and_again() {
+fn admission_command_prints_and_refreshes_table() {
     let site = Site::start();
-    let once = site.prints(&["admission"]);
+    let table = site.run_successfully(&["admission"]);
     assert!(
-        once.contains("platform: 0 of 4096 queued, 0 of 4096 KiB") && once.contains("WAIT P50"),
-        "{once}"
+        table.contains("platform: 0 of 4096 queued, 0 of 4096 KiB") && table.contains("WAIT P50"),
+        "{table}"
     );
     let json: serde_json::Value =
-        serde_json::from_str(&site.prints(&["admission", "--json"])).expect("JSON");
+        serde_json::from_str(&site.run_successfully(&["admission", "--json"])).expect("valid JSON");
     assert_eq!(json["fronts"][0]["limits"]["queues"], 64, "{json}");
-    // A live table ends with the program that it shows.
+    // The refreshing table ends when the program it queries exits.
     let mut command = Command::new(env!("CARGO_BIN_EXE_beaconflow"));
     command.args([
         "admission",
@@ -528,18 +566,22 @@
         .stdout(std::process::Stdio::piped())
         .stderr(std::process::Stdio::null())
         .spawn();
-    let mut live = live.expect("it starts");
-    let mut lines =
-        std::io::BufRead::lines(std::io::BufReader::new(live.stdout.take().expect("piped")));
+    let mut live = live.expect("command starts");
+    let mut lines = std::io::BufRead::lines(std::io::BufReader::new(
+        live.stdout.take().expect("standard output is piped"),
+    ));
     let mut tables = 0;
     while tables < 3 {
-        let line = lines.next().expect("it goes on").expect("text");
+        let line = lines
+            .next()
+            .expect("output continues")
+            .expect("text is valid UTF-8");
         tables += usize::from(line.contains("platform: 0 of 4096"));
     }
     drop(site.program);
     assert_eq!(
-        live.wait().expect("it ends").code(),
+        live.wait().expect("command exits").code(),
         Some(3),
-        "the API is not reached any more"
+        "the API is no longer reachable"
     );
 }
