--- a/crates/cli/benches/effect.rs
+++ b/crates/cli/benches/effect.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use support::{ADMIN_TOKEN, Api, Program, SETTINGS, free, list, listener};
+use support::{ADMIN_TOKEN, Api, Program, SETTINGS, endpoint_list, listener, reserve_address};
 
 const CHANGES: u64 = 1_000;
 
@@ -17,14 +17,24 @@
         return;
     }
     let folder = tempfile::tempdir().expect("a folder for temporary files");
-    let (at, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
+    let (at, admin, server) = (
+        reserve_address(),
+        reserve_address(),
+        listener().local_addr().expect("bound"),
+    );
     let config = folder.path().join("config.json");
     let names: Vec<String> = (0..100).map(|number| format!("s{number}")).collect();
     let rows: Vec<_> = names
         .iter()
         .map(|name| (name.as_str(), server, "SERVING"))
         .collect();
-    let text = support::config(at, free(), &list(1, true, &rows), SETTINGS, 256);
+    let text = support::platform_config(
+        at,
+        reserve_address(),
+        &endpoint_list(1, true, &rows),
+        SETTINGS,
+        256,
+    );
     std::fs::write(&config, text).expect("room");
     let operator = folder.path().join("operator.toml");
     let store = folder.path().join("overrides.redb");
@@ -37,9 +47,9 @@
         &["--operator", &path(&operator)],
         &[("LB_CONFIG", &path(&config))],
     );
-    program.says("administration API serves");
+    program.wait_for_log("administration API serves");
     let api = Api {
-        at: admin,
+        address: admin,
         token: ADMIN_TOKEN,
     };
     let mut adds = Histogram::<u64>::new(3).expect("three digits");
@@ -50,7 +60,7 @@
             number % 100
         );
         let begun = Instant::now();
-        let id = api.add(&body);
+        let id = api.add_override(&body);
         adds.record(begun.elapsed().as_micros() as u64)
             .expect("in range");
         let begun = Instant::now();
--- a/crates/cli/benches/floods.rs
+++ b/crates/cli/benches/floods.rs
@@ -9,9 +9,11 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use support::held::{Held, Wire};
-use support::nats::redis;
-use support::{ADMIN_TOKEN, Api, Discovery, Peer, Program, SETTINGS, free, list};
+use support::gated_server::{GatedServer, Protocol};
+use support::nats::start_redis;
+use support::{
+    ADMIN_TOKEN, Api, Discovery, Peer, Program, SETTINGS, endpoint_list, reserve_address,
+};
 
 /// Turns of each kind, and how long one lasts.
 const TURNS: usize = 4;
@@ -31,17 +33,30 @@
     }
     // Both fronts, or the one that is named behind `--`.
     let named = |front: &str| std::env::args().any(|word| word == front);
-    for (wire, place, front) in [(Wire::Platform, 0, "platform"), (Wire::Nats, 1, "nats")] {
+    for (wire, place, front) in [
+        (Protocol::Platform, 0, "platform"),
+        (Protocol::Nats, 1, "nats"),
+    ] {
         if named(front) || !named("platform") && !named("nats") {
             measure(wire, place, front);
         }
     }
 }
 
-fn measure(wire: Wire, place: usize, front: &str) {
-    let (at, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
-    let servers: Vec<(String, Held)> = (0..4)
-        .map(|number| (format!("s{number}"), Held::slow(wire, SET_UP, number)))
+fn measure(wire: Protocol, place: usize, front: &str) {
+    let (at, admin, discovery, redis) = (
+        reserve_address(),
+        reserve_address(),
+        Discovery::start(),
+        start_redis(),
+    );
+    let servers: Vec<(String, GatedServer)> = (0..4)
+        .map(|number| {
+            (
+                format!("s{number}"),
+                GatedServer::start_with_random_delay(wire, SET_UP, number),
+            )
+        })
         .collect();
     let rows: Vec<(&str, SocketAddr, &str)> = servers
         .iter()
@@ -57,16 +72,16 @@
     let folder = tempfile::tempdir().expect("a folder for temporary files");
     let path = |name: &str| folder.path().join(name).to_str().expect("text").to_owned();
     let (operator, config) = (path("operator.toml"), path("config.json"));
-    let known = list(1, true, &rows);
+    let known = endpoint_list(1, true, &rows);
     std::fs::write(
         &config,
-        support::config(at, discovery.address, &known, &settings, 4_096),
+        support::platform_config(at, discovery.address, &known, &settings, 4_096),
     )
     .expect("room");
     let mut text = format!(
         "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\nentries = 100\n"
     );
-    if wire == Wire::Nats {
+    if wire == Protocol::Nats {
         let settings: serde_json::Value =
             serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
         let listed: Vec<String> = rows
@@ -85,14 +100,18 @@
     let env = [("LB_CONFIG", config.as_str())];
     let program = Program::start(
         &["--operator", &operator],
-        if wire == Wire::Platform { &env } else { &[] },
+        if wire == Protocol::Platform {
+            &env
+        } else {
+            &[]
+        },
     );
-    program.says("administration API serves");
+    program.wait_for_log("administration API serves");
     let api = Api {
-        at: admin,
+        address: admin,
         token: ADMIN_TOKEN,
     };
-    if wire == Wire::Nats {
+    if wire == Protocol::Nats {
         for (name, share) in [("acme", 58.0), ("bright", 42.0)] {
             let body = format!(
                 r#"{{"name":"{name}","password":"a password of some length","class":"chat","connections":500,
@@ -159,25 +178,25 @@
 }
 
 /// A client opens, and ends its connection once it stands; gives how long that took, and nothing if it was refused.
-fn opens(wire: Wire, at: SocketAddr, account: &str) -> Option<Duration> {
+fn opens(wire: Protocol, at: SocketAddr, account: &str) -> Option<Duration> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let began = Instant::now();
     let mut client = match wire {
-        Wire::Platform => {
+        Protocol::Platform => {
             let mut client = Peer::connect(at);
-            client.say(&format!(
+            client.send(&format!(
                 "OPEN a{number} k{number} c=chat,t={account},d=8500\r\n"
             ));
             client
         }
-        Wire::Nats => support::nats::client(
+        Protocol::Nats => support::nats::connect_client(
             at,
             &format!("n{number}"),
             account,
             "a password of some length",
         ),
     };
-    let answer = client.hear()?;
+    let answer = client.read_line()?;
     (answer == "UP r1" || answer == "PONG").then(|| began.elapsed())
 }
--- a/crates/cli/benches/start.rs
+++ b/crates/cli/benches/start.rs
@@ -9,7 +9,10 @@
 use std::process::{Command, Stdio};
 use std::time::Instant;
 
-use support::{Discovery, SETTINGS, config, file, free, list, tell};
+use support::{
+    Discovery, SETTINGS, endpoint_list, platform_config, reserve_address, send_endpoints,
+    write_temp_file,
+};
 
 const STARTS: usize = 20;
 
@@ -53,16 +56,22 @@
 }
 
 fn start(program: &str, settings: &str) -> [f64; 6] {
-    let (at, discovery) = (free(), Discovery::start());
+    let (at, discovery) = (reserve_address(), Discovery::start());
     let names: Vec<String> = (0..90).map(|number| format!("s{number}")).collect();
-    let server: SocketAddr = free();
+    let server: SocketAddr = reserve_address();
     let rows: Vec<(&str, SocketAddr, &str)> = names
         .iter()
         .map(|name| (name.as_str(), server, "SERVING"))
         .collect();
-    let path = file(
+    let path = write_temp_file(
         "start",
-        &config(at, discovery.address, &list(1, true, &rows), settings, 1024),
+        &platform_config(
+            at,
+            discovery.address,
+            &endpoint_list(1, true, &rows),
+            settings,
+            1024,
+        ),
     );
     let begun = Instant::now();
     let mut command = Command::new(program);
@@ -73,8 +82,8 @@
     let mut child = command.spawn().expect("the program starts");
     let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
     let (mut serves, mut listed) = (None, None);
-    let mut watch = discovery.watch();
-    tell(&mut watch, 2, true, &rows);
+    let mut watch = discovery.accept_watch();
+    send_endpoints(&mut watch, 2, true, &rows);
     while serves.is_none() || listed.is_none() {
         let line = lines.next().expect("it goes on").expect("text");
         let now = begun.elapsed().as_secs_f64() * 1e3;
--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use support::held::{Held, Wire};
-use support::nats::{Redis, redis};
+use support::gated_server::{GatedServer, Protocol};
+use support::nats::{Redis, start_redis};
 use support::*;
 
 /// Set-ups that the module lets be under way at the start.
@@ -19,8 +19,8 @@
     program: Program,
     at: std::net::SocketAddr,
     api: Api,
-    server: Held,
-    wire: Wire,
+    server: GatedServer,
+    wire: Protocol,
     operator: String,
     config: String,
     folder: tempfile::TempDir,
@@ -31,13 +31,18 @@
 
 impl Site {
     /// Accounts `acme` and `bright` with shares of 58 to 42.
-    fn start(wire: Wire, admission: &str) -> Site {
+    fn start(wire: Protocol, admission: &str) -> Site {
         Site::with_servers(wire, admission, true)
     }
 
-    fn with_servers(wire: Wire, admission: &str, any: bool) -> Site {
-        let (at, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
-        let server = Held::start(wire);
+    fn with_servers(wire: Protocol, admission: &str, any: bool) -> Site {
+        let (at, admin, discovery, redis) = (
+            reserve_address(),
+            reserve_address(),
+            Discovery::start(),
+            start_redis(),
+        );
+        let server = GatedServer::start(wire);
         let folder = tempfile::tempdir().expect("a folder for temporary files");
         // Long enough that no set-up ends by itself within a story.
         let settings =
@@ -46,12 +51,12 @@
                 r#""projects":[{"name":"acme","share":0.58},{"name":"bright","share":0.42}],"lanes""#,
             );
         let rows = [("s0", server.address, "SERVING")];
-        let known = list(1, true, if any { &rows } else { &[] });
+        let known = endpoint_list(1, true, if any { &rows } else { &[] });
         let mut operator = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\n{admission}\n"
         );
-        let config = support::config(at, discovery.address, &known, &settings, 1_024);
-        if wire == Wire::Nats {
+        let config = support::platform_config(at, discovery.address, &known, &settings, 1_024);
+        if wire == Protocol::Nats {
             let settings: Value = serde_json::from_str(&settings.replace('\n', " ")).expect("JSON");
             let servers = format!("[{{ name = \"s0\", address = \"{}\" }}]", server.address);
             operator = format!(
@@ -66,15 +71,15 @@
         std::fs::write(&operator_path, &operator).expect("room");
         std::fs::write(&config_path, &config).expect("room");
         let env = [("LB_CONFIG", config_path.as_str())];
-        let env = if wire == Wire::Platform {
+        let env = if wire == Protocol::Platform {
             &env[..]
         } else {
             &[]
         };
         let program = Program::start(&["--operator", &operator_path], env);
-        program.says("administration API serves");
+        program.wait_for_log("administration API serves");
         let api = Api {
-            at: admin,
+            address: admin,
             token: ADMIN_TOKEN,
         };
         let site = Site {
@@ -90,7 +95,7 @@
             _discovery: discovery,
             _redis: redis,
         };
-        if wire == Wire::Nats {
+        if wire == Protocol::Nats {
             for (name, share) in [("acme", 58.0), ("bright", 42.0)] {
                 let body = format!(
                     r#"{{"name":"{name}","password":"{PASSWORD}","class":"once","connections":500,"share":{share},
@@ -106,14 +111,16 @@
     fn open(&self, account: &str, extra: &str) -> Peer {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         match self.wire {
-            Wire::Platform => {
+            Protocol::Platform => {
                 let mut client = Peer::connect(self.at);
-                client.say(&format!(
+                client.send(&format!(
                     "OPEN a{number} k{number} c=once,t={account},d=8500{extra}\r\n"
                 ));
                 client
             }
-            Wire::Nats => support::nats::client(self.at, &format!("n{number}"), account, PASSWORD),
+            Protocol::Nats => {
+                support::nats::connect_client(self.at, &format!("n{number}"), account, PASSWORD)
+            }
         }
     }
 
@@ -129,7 +136,7 @@
 
     /// Waits until so many wait at the door.
     fn waiting(&self, count: usize) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while self.admission()["waiting"] != count {
             assert!(
                 Instant::now() < until,
@@ -153,26 +160,26 @@
     /// are made at once and overtake each other on their way.
     fn turns(&self, count: usize) -> Vec<String> {
         for turn in 1..=count {
-            self.server.allow(1);
-            self.server.came(WINDOW + turn);
+            self.server.admit(1);
+            self.server.wait_for_setups(WINDOW + turn);
         }
-        self.server.came(WINDOW + count)
+        self.server.wait_for_setups(WINDOW + count)
     }
 
     /// Whether a set-up, by its first words at the server, is an account's.
     fn is_of(&self, words: &str, account: &str) -> bool {
         match self.wire {
-            Wire::Platform => words.contains(&format!("t={account},")),
-            Wire::Nats => words.contains(&format!("\"user\":\"{account}\"")),
+            Protocol::Platform => words.contains(&format!("t={account},")),
+            Protocol::Nats => words.contains(&format!("\"user\":\"{account}\"")),
         }
     }
 
     /// The time to come back that a refusal tells.
     fn told(&self, client: &mut Peer) -> u64 {
-        let answer = client.hear().expect("an answer");
+        let answer = client.read_line().expect("an answer");
         let words = match self.wire {
-            Wire::Platform => answer.strip_prefix("BUSY ").map(str::to_owned),
-            Wire::Nats => answer
+            Protocol::Platform => answer.strip_prefix("BUSY ").map(str::to_owned),
+            Protocol::Nats => answer
                 .split_once("try again in ")
                 .map(|(_, rest)| rest.trim_end_matches([' ', '\'', 'm', 's']).to_owned()),
         };
@@ -180,7 +187,7 @@
             .and_then(|words| words.parse().ok())
             .unwrap_or_else(|| panic!("no time: {answer}"));
         assert!((1..=2_000).contains(&told), "{answer}");
-        client.ended();
+        client.expect_end();
         told
     }
 }
@@ -193,15 +200,15 @@
 
 #[test]
 fn each_account_has_its_share_of_the_turns_on_both_fronts() {
-    for wire in [Wire::Platform, Wire::Nats] {
+    for wire in [Protocol::Platform, Protocol::Nats] {
         let site = Site::start(wire, "");
         // One account's burst comes first, whole.
         let _acme = site.opens("acme", 60);
-        site.server.came(WINDOW);
+        site.server.wait_for_setups(WINDOW);
         let _bright = site.opens("bright", 50);
         site.waiting(110 - WINDOW);
         let turns = site.turns(75);
-        site.server.allow(usize::MAX);
+        site.server.admit(usize::MAX);
         let acme = turns[WINDOW..WINDOW + 75]
             .iter()
             .filter(|words| site.is_of(words, "acme"))
@@ -211,7 +218,7 @@
             (42..=45).contains(&acme),
             "{acme} of 75 turns for a share of 58%"
         );
-        site.server.came(110);
+        site.server.wait_for_setups(110);
         let (acme, bright) = (site.account("acme"), site.account("bright"));
         assert_eq!(
             (number(&acme, "admitted"), number(&bright, "admitted")),
@@ -230,15 +237,15 @@
 
 #[test]
 fn a_full_door_turns_the_loud_away_and_keeps_who_waits_through_a_reload_on_both_fronts() {
-    for wire in [Wire::Platform, Wire::Nats] {
+    for wire in [Protocol::Platform, Protocol::Nats] {
         let mut site = Site::start(wire, "entries = 20");
         let _under_way = site.opens("acme", WINDOW);
-        site.server.came(WINDOW);
+        site.server.wait_for_setups(WINDOW);
         let mut loud = site.opens("acme", 20);
         site.waiting(20);
         let mut quiet = site.opens("bright", 5);
         // Five of the loud account give way, and are told when to come again.
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while number(&site.account("acme"), "refused") < 5 {
             assert!(Instant::now() < until, "{}", site.admission());
         }
@@ -260,7 +267,11 @@
             .replace("entries = 20", "entries = 10\nover_share_s = 1");
         std::fs::write(site.folder.path().join("operator.toml"), &smaller).expect("room");
         site.program.signal("HUP");
-        assert!(site.program.says("taken over").contains("admission"));
+        assert!(
+            site.program
+                .wait_for_log("taken over")
+                .contains("admission")
+        );
         site.waiting(10);
         assert_eq!(number(&site.account("bright"), "waiting"), 4);
         let refused = number(&site.account("acme"), "refused");
@@ -268,33 +279,33 @@
         // A planned end: each that waits or is under way gets its one final answer.
         site.program.signal("TERM");
         for client in loud.iter_mut().chain(&mut quiet) {
-            assert!(!client.hear().expect("an answer").is_empty());
-            client.ended();
+            assert!(!client.read_line().expect("an answer").is_empty());
+            client.expect_end();
         }
-        assert!(site.program.left());
+        assert!(site.program.exits_cleanly());
     }
 }
 
 #[test]
 fn a_refusal_tells_a_time_that_its_line_drains_in() {
-    let site = Site::start(Wire::Platform, "entries = 10");
+    let site = Site::start(Protocol::Platform, "entries = 10");
     let _under_way = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
+    site.server.wait_for_setups(WINDOW);
     let mut waiting = site.opens("acme", 10);
     site.waiting(10);
     let mut newcomer = site.open("acme", "");
     // Somebody of the longest queue gave way, which may be the newcomer.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while number(&site.account("acme"), "refused") == 0 {
         assert!(Instant::now() < until);
     }
-    site.server.allow(usize::MAX);
-    site.server.came(WINDOW + 10);
+    site.server.admit(usize::MAX);
+    site.server.wait_for_setups(WINDOW + 10);
     let mut told = Vec::new();
     waiting.push(newcomer);
     for client in &mut waiting {
         newcomer = Peer::new(client.stream.try_clone().expect("open"));
-        match newcomer.hear().expect("an answer").as_str() {
+        match newcomer.read_line().expect("an answer").as_str() {
             "UP r1" => {}
             other => told.push(other.to_owned()),
         }
@@ -309,38 +320,38 @@
 
 #[test]
 fn a_client_that_returns_after_a_move_is_not_refused_behind_a_flood() {
-    let site = Site::start(Wire::Platform, "entries = 20");
+    let site = Site::start(Protocol::Platform, "entries = 20");
     let _under_way = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
+    site.server.wait_for_setups(WINDOW);
     let _flood = site.opens("acme", 20);
     site.waiting(20);
     let mut back = site.open("acme", ",again=1");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while number(&site.account("acme"), "refused") == 0 {
         assert!(Instant::now() < until);
     }
     site.waiting(20);
     // Of the first two turns one is its own. The window grows with what stands: one set-up that ends makes two turns.
-    site.server.allow(1);
-    let turns = site.server.came(WINDOW + 2);
+    site.server.admit(1);
+    let turns = site.server.wait_for_setups(WINDOW + 2);
     assert!(
         turns[WINDOW..]
             .iter()
             .any(|words| words.contains("again=1")),
         "{turns:?}"
     );
-    site.server.allow(usize::MAX);
-    back.hears("UP r1");
+    site.server.admit(usize::MAX);
+    back.expect_line("UP r1");
 }
 
 #[test]
 fn one_whose_time_is_up_while_it_waits_is_answered_at_once() {
-    let site = Site::start(Wire::Platform, "");
+    let site = Site::start(Protocol::Platform, "");
     let _under_way = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
+    site.server.wait_for_setups(WINDOW);
     let began = Instant::now();
     let mut client = Peer::connect(site.at);
-    client.say("OPEN b1 k1 c=once,t=bright,d=700\r\n");
+    client.send("OPEN b1 k1 c=once,t=bright,d=700\r\n");
     site.waiting(1);
     site.told(&mut client);
     let took = began.elapsed();
@@ -356,11 +367,11 @@
 
 #[test]
 fn without_servers_no_line_grows_and_each_is_told_when_to_come_again() {
-    let site = Site::with_servers(Wire::Platform, "", false);
+    let site = Site::with_servers(Protocol::Platform, "", false);
     let mut clients: Vec<Peer> = (0..50)
         .map(|number| {
             let mut client = Peer::connect(site.at);
-            client.say(&format!(
+            client.send(&format!(
                 "OPEN c{number} k{number} c=once,t=acme,d=1500\r\n"
             ));
             client
@@ -382,17 +393,17 @@
 
 #[test]
 fn shares_of_the_platforms_file_are_taken_over_by_a_reload() {
-    let site = Site::start(Wire::Platform, "");
+    let site = Site::start(Protocol::Platform, "");
     let _acme = site.opens("acme", WINDOW);
-    site.server.came(WINDOW);
+    site.server.wait_for_setups(WINDOW);
     let config = site.config.replace("\"share\":0.58", "\"share\":0.10");
     std::fs::write(site.folder.path().join("config.json"), config).expect("room");
     site.program.signal("HUP");
-    assert!(site.program.says("taken over").contains("shares"));
+    assert!(site.program.wait_for_log("taken over").contains("shares"));
     let _waiting = (site.opens("acme", 60), site.opens("bright", 60));
     site.waiting(120);
     let turns = site.turns(50);
-    site.server.allow(usize::MAX);
+    site.server.admit(usize::MAX);
     let acme = turns[WINDOW..WINDOW + 50]
         .iter()
         .filter(|words| site.is_of(words, "acme"))
@@ -404,8 +415,8 @@
 
 #[test]
 fn an_account_that_is_over_its_share_for_long_is_told_of() {
-    let site = Site::start(Wire::Platform, "over_share_s = 1");
-    site.server.allow(usize::MAX);
+    let site = Site::start(Protocol::Platform, "over_share_s = 1");
+    site.server.admit(usize::MAX);
     // Eight of nine turns are one account's, until that is told of.
     let (at, done) = (site.at, AtomicBool::new(false));
     let line = std::thread::scope(|scope| {
@@ -417,15 +428,15 @@
                 }
                 let account = if number % 9 == 0 { "acme" } else { "bright" };
                 let mut client = Peer::connect(at);
-                client.say(&format!(
+                client.send(&format!(
                     "OPEN d{number} k{number} c=once,t={account},d=8500\r\n"
                 ));
-                client.hears("UP r1");
+                client.expect_line("UP r1");
                 standing.push(client);
                 std::thread::sleep(Duration::from_millis(40));
             }
         });
-        let line = site.program.says("account over its quota");
+        let line = site.program.wait_for_log("account over its quota");
         done.store(true, Ordering::Relaxed);
         line
     });
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -18,14 +18,22 @@
 impl Site {
     fn start() -> Site {
         let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let (at, admin, server) = (free(), free(), listener().local_addr().expect("bound"));
+        let (at, admin, server) = (
+            reserve_address(),
+            reserve_address(),
+            listener().local_addr().expect("bound"),
+        );
         let config = folder.path().join("config.json");
-        let known = list(
+        let known = endpoint_list(
             1,
             true,
             &[("s0", server, "SERVING"), ("s1", server, "SERVING")],
         );
-        std::fs::write(&config, support::config(at, free(), &known, SETTINGS, 256)).expect("room");
+        std::fs::write(
+            &config,
+            support::platform_config(at, reserve_address(), &known, SETTINGS, 256),
+        )
+        .expect("room");
         let operator = folder.path().join("operator.toml");
         let text = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {:?}\n[log]\nform = \"json\"\n",
@@ -39,7 +47,7 @@
             &["--operator", &text(&operator)],
             &[("LB_CONFIG", &text(&config))],
         );
-        program.says("administration API serves");
+        program.wait_for_log("administration API serves");
         Site {
             program,
             api: admin.to_string(),
@@ -105,7 +113,7 @@
     let added = site.prints(&add);
     // The log is JSON here, with fields of stable names.
     let line: serde_json::Value =
-        serde_json::from_str(&site.program.says("override created")).expect("JSON");
+        serde_json::from_str(&site.program.wait_for_log("override created")).expect("JSON");
     assert_eq!(
         (line["part"].as_str(), line["level"].as_str()),
         (Some("audit"), Some("info")),
@@ -223,7 +231,7 @@
         .0,
         Some(5)
     );
-    let nobody = free().to_string();
+    let nobody = reserve_address().to_string();
     assert_eq!(
         ended(&run(&[
             "farm",
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -41,10 +41,10 @@
 fn asked(of: &TcpListener) -> Peer {
     let mut peer = Peer::accept(of);
     assert!(
-        peer.hear()
+        peer.read_line()
             .is_some_and(|line| line.starts_with("GET /api/targets?watch=1&from="))
     );
-    while peer.hear().is_some_and(|line| !line.is_empty()) {}
+    while peer.read_line().is_some_and(|line| !line.is_empty()) {}
     peer
 }
 
@@ -66,15 +66,15 @@
     discovery: &TcpListener,
     known: &[(&str, SocketAddr, &str)],
 ) -> Watched {
-    let at_clients = free();
-    let config = config(
+    let at_clients = reserve_address();
+    let config = platform_config(
         at_clients,
         at(discovery),
-        &list(1, true, known),
+        &endpoint_list(1, true, known),
         settings,
         256,
     );
-    let path = file(name, &config);
+    let path = write_temp_file(name, &config);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     Watched {
         program,
@@ -86,16 +86,16 @@
 
 fn opened(at: SocketAddr, id: &str) -> Peer {
     let mut client = Peer::connect(at);
-    client.say(&format!("OPEN {id} 02 c=chat,t=acme,d=9000,g=3\r\n"));
+    client.send(&format!("OPEN {id} 02 c=chat,t=acme,d=9000,g=3\r\n"));
     client
 }
 
 /// Takes an opening and serves it.
 fn serves(server: &TcpListener, client: &mut Peer) -> Peer {
     let mut peer = Peer::accept(server);
-    peer.hear().expect("an opening");
-    peer.say("UP r1\r\n");
-    client.hears("UP r1");
+    peer.read_line().expect("an opening");
+    peer.send("UP r1\r\n");
+    client.expect_line("UP r1");
     peer
 }
 
@@ -107,27 +107,30 @@
 #[test]
 fn an_indented_list_over_many_chunks_is_taken_as_one() {
     let site = Site::start("indented", 2);
-    let (mut client, _server) = site.stand();
-    let mut watch = site.discovery.watch();
+    let (mut client, _server) = site.establish_connection();
+    let mut watch = site.discovery.accept_watch();
     // A beat inside a word would spoil it.
-    site.discovery.falls_silent();
+    site.discovery.stop_heartbeats();
     watch.stream.set_nodelay(true).expect("open");
     let servers = [
         ("s0", at(&site.servers[0]), "DRAINING"),
         ("s1", at(&site.servers[1]), "SERVING"),
     ];
-    let whole: serde_json::Value = serde_json::from_str(&list(7, true, &servers)).expect("JSON");
+    let whole: serde_json::Value =
+        serde_json::from_str(&endpoint_list(7, true, &servers)).expect("JSON");
     let text = serde_json::to_string_pretty(&whole).expect("JSON");
-    for piece in format!("\n{text}\n{}\n", list(8, false, &[]))
+    for piece in format!("\n{text}\n{}\n", endpoint_list(8, false, &[]))
         .as_bytes()
         .chunks(5)
     {
         let piece = std::str::from_utf8(piece).expect("ASCII");
-        watch.say(&format!("{:x}\r\n{piece}\r\n", piece.len()));
+        watch.send(&format!("{:x}\r\n{piece}\r\n", piece.len()));
     }
-    site.program.says("generation=7 kind=Snapshot entries=2");
-    site.program.says("generation=8 kind=Delta entries=0");
-    client.hears("MOVE");
+    site.program
+        .wait_for_log("generation=7 kind=Snapshot entries=2");
+    site.program
+        .wait_for_log("generation=8 kind=Delta entries=0");
+    client.expect_line("MOVE");
 }
 
 #[test]
@@ -137,26 +140,26 @@
         program, at: front, ..
     } = watched("return", &pushed(), &agent, &[("s0", at(&old), "SERVING")]);
     let mut silent = vec![asked(&agent)];
-    program.says("the known list serves");
+    program.wait_for_log("the known list serves");
     let mut client = opened(front, "a1");
     let mut waits_for = Peer::accept(&old);
-    waits_for.hear().expect("an opening");
+    waits_for.read_line().expect("an opening");
     // Discovery is down: the agent takes calls and says nothing. It returns just after the last of these began.
     silent.extend((0..3).map(|_| asked(&agent)));
     let returned = Instant::now();
-    let told = list(2, true, &[("s1", at(&new), "SERVING")]);
+    let told = endpoint_list(2, true, &[("s1", at(&new), "SERVING")]);
     answers(
         agent,
         Duration::ZERO,
         format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
     );
-    program.says("generation=2 kind=Snapshot");
+    program.wait_for_log("generation=2 kind=Snapshot");
     assert!(
         returned.elapsed() < Duration::from_secs(2),
         "{:?}",
         returned.elapsed()
     );
-    waits_for.say("BUSY\r\n");
+    waits_for.send("BUSY\r\n");
     let _stands = serves(&new, &mut client);
     nobody_comes_to(&old);
 }
@@ -173,13 +176,13 @@
         // An agent that is only just there breaks the first call off. The second it answers after longer than a start
         // takes that does not wait.
         drop(asked(&agent));
-        let told = list(2, true, &[("s1", at(&new), "SERVING")]);
+        let told = endpoint_list(2, true, &[("s1", at(&new), "SERVING")]);
         answers(
             agent,
             Duration::from_millis(60),
             format!("{HEAD}{:x}\r\n{told}\r\n", told.len()),
         );
-        let said = program.says_up_to("front=platform");
+        let said = program.read_log_until("front=platform");
         if said
             .iter()
             .any(|line| line.contains("the known list serves"))
@@ -213,17 +216,17 @@
     let mut discovery = &first;
     match falls {
         Falls::AtOnce => {}
-        Falls::BeforeAnyList => silent.say(HEAD),
+        Falls::BeforeAnyList => silent.send(HEAD),
         Falls::InAList => {
-            silent.say(HEAD);
-            tell(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
-            let half = &list(3, false, &[("s0", at(&server), "DRAINING")])[..60];
-            silent.say(&format!("{:x}\r\n{half}\r\n", half.len()));
+            silent.send(HEAD);
+            send_endpoints(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
+            let half = &endpoint_list(3, false, &[("s0", at(&server), "DRAINING")])[..60];
+            silent.send(&format!("{:x}\r\n{half}\r\n", half.len()));
         }
         Falls::AfterSighup => {
-            silent.say(HEAD);
-            tell(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
-            site.program.says("generation=2");
+            silent.send(HEAD);
+            send_endpoints(&mut silent, 2, true, &[("s0", at(&server), "SERVING")]);
+            site.program.wait_for_log("generation=2");
             let moved = site
                 .config
                 .replace(&at(&first).to_string(), &at(&second).to_string());
@@ -233,11 +236,11 @@
         }
     }
     let since = Instant::now();
-    assert!(silent.is_gone(), "{name}: broken");
+    assert!(silent.is_closed(), "{name}: broken");
     let mut anew = asked(discovery);
-    anew.say(HEAD);
-    tell(&mut anew, 4, true, &[("s0", at(&server), "DRAINING")]);
-    site.program.says("generation=4 kind=Snapshot");
+    anew.send(HEAD);
+    send_endpoints(&mut anew, 4, true, &[("s0", at(&server), "DRAINING")]);
+    site.program.wait_for_log("generation=4 kind=Snapshot");
     assert!(since.elapsed() < SILENT, "{name}: {:?}", since.elapsed());
 }
 
@@ -280,7 +283,7 @@
         u32::from_ne_bytes(v4.ip().octets()),
         v4.port()
     );
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .contains(&row)
@@ -307,19 +310,19 @@
         program, at: front, ..
     } = watched("between", &settings, &discovery, &known);
     let mut watch = asked(&discovery);
-    watch.say(HEAD);
+    watch.send(HEAD);
     let mut client = opened(front, "a1");
     is_tried(at(&old));
-    tell(
+    send_endpoints(
         &mut watch,
         2,
         false,
         &[("s0", at(&old), "DRAINING"), ("s1", at(&new), "SERVING")],
     );
-    program.says("generation=2 kind=Delta");
+    program.wait_for_log("generation=2 kind=Delta");
     line.iter().for_each(|_| drop(Peer::accept(&old)));
     assert!(
-        Peer::accept(&old).is_gone(),
+        Peer::accept(&old).is_closed(),
         "it came up, and not a byte was sent on it"
     );
     let _stands = serves(&new, &mut client);
@@ -339,7 +342,7 @@
     let Watched {
         program, at: front, ..
     } = watched("without", &settings, &discovery, &known);
-    program.says("to=serving");
+    program.wait_for_log("to=serving");
     let mut last = Instant::now();
     for _ in 0..4 {
         let mut call = asked(&discovery);
@@ -349,14 +352,14 @@
             last.elapsed()
         );
         last = Instant::now();
-        call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
     // The list that it has serves meanwhile.
     let _stands = serves(&server, &mut opened(front, "a1"));
     let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    tell(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
-    program.says("generation=2 kind=Snapshot");
+    watch.send(HEAD);
+    send_endpoints(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
+    program.wait_for_log("generation=2 kind=Snapshot");
 }
 
 #[test]
@@ -376,25 +379,25 @@
                         &format!("\"ask-within-ns\":{given}"),
                     );
                 let known = [("s0", at(&server), "SERVING")];
-                let config = config(
-                    free(),
+                let config = platform_config(
+                    reserve_address(),
                     at(&discovery),
-                    &list(1, true, &known),
+                    &endpoint_list(1, true, &known),
                     &settings,
                     256,
                 );
                 // Each draws its own delay.
                 let config = config.replace("\"seed\":\"7\"", &format!("\"seed\":\"{number}\""));
-                let path = file(&format!("late{number}"), &config);
+                let path = write_temp_file(&format!("late{number}"), &config);
                 let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
                 let mut call = asked(&discovery);
                 let changed = Instant::now();
                 std::thread::sleep(WAITS);
-                call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+                call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 let mut watch = asked(&discovery);
-                watch.say(HEAD);
-                tell(&mut watch, 2, false, &[("s0", at(&server), "DRAINING")]);
-                program.says("generation=2 kind=Delta");
+                watch.send(HEAD);
+                send_endpoints(&mut watch, 2, false, &[("s0", at(&server), "DRAINING")]);
+                program.wait_for_log("generation=2 kind=Delta");
                 assert!(
                     changed.elapsed() < SILENT,
                     "{given}: {:?}",
@@ -407,36 +410,36 @@
 
 #[test]
 fn a_watch_that_lacks_a_descriptor_is_asked_for_again_once_there_is_one() {
-    let (discovery, server, front) = (listener(), listener(), free());
+    let (discovery, server, front) = (listener(), listener(), reserve_address());
     let known = [("s0", at(&server), "SERVING")];
     // The limit is lower than the file says, so that clients take all descriptors.
-    let config = config(
+    let config = platform_config(
         front,
         at(&discovery),
-        &list(1, true, &known),
+        &endpoint_list(1, true, &known),
         &patient(),
         4096,
     );
-    let path = file("lacks", &config);
-    let program = Program::start_limited(40, &[("LB_CONFIG", path.as_str())]);
-    program.says("to=serving");
+    let path = write_temp_file("lacks", &config);
+    let program = Program::start_with_descriptor_limit(40, &[("LB_CONFIG", path.as_str())]);
+    program.wait_for_log("to=serving");
     let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    tell(&mut watch, 2, true, &known);
-    program.says("generation=2 kind=Snapshot");
+    watch.send(HEAD);
+    send_endpoints(&mut watch, 2, true, &known);
+    program.wait_for_log("generation=2 kind=Snapshot");
     let crowd: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(front).expect("its line is long"))
         .collect();
-    program.says("accept failed");
+    program.wait_for_log("accept failed");
     drop(watch);
-    program.says("watch ended");
+    program.wait_for_log("watch ended");
     // Whether the next call has a descriptor hangs on what is kept back for it.
     drop(crowd);
     let gone = Instant::now();
     let mut watch = asked(&discovery);
-    watch.say(HEAD);
-    tell(&mut watch, 3, true, &known);
-    program.says("generation=3 kind=Snapshot");
+    watch.send(HEAD);
+    send_endpoints(&mut watch, 3, true, &known);
+    program.wait_for_log("generation=3 kind=Snapshot");
     assert!(gone.elapsed() < SILENT, "{:?}", gone.elapsed());
     let _stands = serves(&server, &mut opened(front, "a1"));
 }
@@ -473,13 +476,15 @@
     names(&site, &first, &second);
     let mut watch = Peer::accept(&second);
     assert!(
-        watch.hear().is_some_and(|line| line.contains("from=0 ")),
+        watch
+            .read_line()
+            .is_some_and(|line| line.contains("from=0 ")),
         "the whole list"
     );
-    while watch.hear().is_some_and(|line| !line.is_empty()) {}
-    watch.say(HEAD);
-    tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
-    site.program.says("generation=1 kind=Snapshot");
+    while watch.read_line().is_some_and(|line| !line.is_empty()) {}
+    watch.send(HEAD);
+    send_endpoints(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
+    site.program.wait_for_log("generation=1 kind=Snapshot");
     assert!(
         told.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -497,23 +502,25 @@
         &[("s0", at(&server), "SERVING")],
     );
     let mut watch = asked(&first);
-    watch.say(HEAD);
-    tell(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
-    site.program.says("generation=2");
+    watch.send(HEAD);
+    send_endpoints(&mut watch, 2, true, &[("s0", at(&server), "SERVING")]);
+    site.program.wait_for_log("generation=2");
     names(&site, &first, &second);
     names(&site, &first, &third);
     let mut watch = Peer::accept(&third);
     assert!(
-        watch.hear().is_some_and(|line| line.contains("from=0 ")),
+        watch
+            .read_line()
+            .is_some_and(|line| line.contains("from=0 ")),
         "the whole list"
     );
-    while watch.hear().is_some_and(|line| !line.is_empty()) {}
-    watch.say(HEAD);
-    tell(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
-    site.program.says("generation=1 kind=Snapshot");
+    while watch.read_line().is_some_and(|line| !line.is_empty()) {}
+    watch.send(HEAD);
+    send_endpoints(&mut watch, 1, true, &[("s0", at(&server), "DRAINING")]);
+    site.program.wait_for_log("generation=1 kind=Snapshot");
     // And back to one that was left before.
     std::fs::write(&site.path, &site.config).expect("the same folder");
     site.program.signal("HUP");
-    assert!(watch.is_gone(), "the watch on the one before is ended");
+    assert!(watch.is_closed(), "the watch on the one before is ended");
     asked(&first);
 }
--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -19,12 +19,12 @@
         while let Ok((stream, _)) = server.accept() {
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                if peer.hear().is_some() {
-                    peer.say("UP r1\r\n");
+                if peer.read_line().is_some() {
+                    peer.send("UP r1\r\n");
                 }
-                while let Some(line) = peer.hear_or_end() {
+                while let Some(line) = peer.read_line_or_end() {
                     if line.trim_end() == "leave" {
-                        return peer.say("MOVE\r\n");
+                        return peer.send("MOVE\r\n");
                     }
                 }
             });
@@ -43,7 +43,7 @@
             match name {
                 "s2" => drains(server),
                 "s3" => drop(server),
-                _ => serves(0, server, told.clone()),
+                _ => spawn_server(0, server, told.clone()),
             }
             (name, at)
         })
@@ -51,11 +51,11 @@
 }
 
 fn open(process: &Process, number: usize) -> (String, Peer) {
-    let mut client = Peer::connect(process.at);
-    client.say(&format!(
+    let mut client = Peer::connect(process.address);
+    client.send(&format!(
         "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
     ));
-    (client.hear().expect("an answer"), client)
+    (client.read_line().expect("an answer"), client)
 }
 
 fn effective(farm: &serde_json::Value, name: &str) -> (String, String) {
@@ -78,15 +78,16 @@
         .iter()
         .map(|(name, at)| (*name, *at, "SERVING"))
         .collect();
-    let fleet = Fleet::of(3, &list(1, true, &rows), channel().1);
+    let fleet = Fleet::with_endpoints(3, &endpoint_list(1, true, &rows), channel().1);
     let start = |number, word: &str| {
-        let sections = fleet.sections(number, "") + &format!("[edge]\nword = \"{word}\"\n");
-        fleet.process(number, &sections)
+        let sections =
+            fleet.operator_sections(number, "") + &format!("[edge]\nword = \"{word}\"\n");
+        fleet.start_process(number, &sections)
     };
     let all: Vec<Process> = (0..3).map(|number| start(number, "island")).collect();
     for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 3);
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 3);
     }
     let (seers, other) = (&all[..2], &all[2]);
     // Clients come through two of them until the third knows, which takes none.
@@ -100,7 +101,7 @@
                 "{answer}"
             );
             if server == "s2" && answer.starts_with("UP") {
-                client.say("leave\r\n");
+                client.send("leave\r\n");
             }
             clients.push(client);
             let (state, why) = effective(&other.api.call("GET", "/v1/farm", "").body, server);
@@ -117,7 +118,7 @@
     for well in ["s0", "s1"] {
         assert!(effective(&farm, well).0.contains("ready"), "{farm}");
     }
-    let said = other.program.says("skipped");
+    let said = other.program.wait_for_log("skipped");
     assert!(
         said.contains("server=s3") || said.contains("server=s2"),
         "{said}"
@@ -131,7 +132,7 @@
         .map(|number| {
             let server = listener();
             let at = server.local_addr().expect("bound");
-            serves(number, server, told.clone());
+            spawn_server(number, server, told.clone());
             (format!("s{number}"), at)
         })
         .collect();
@@ -139,7 +140,7 @@
         .iter()
         .map(|(name, at)| (name.as_str(), *at, "SERVING"))
         .collect();
-    let fleet = Fleet::of(3, &list(1, true, &rows), openings);
+    let fleet = Fleet::with_endpoints(3, &endpoint_list(1, true, &rows), openings);
     let start = |number: usize| {
         let (site, other, size) = if number < 2 {
             ("north", "south", 2)
@@ -148,36 +149,36 @@
         };
         let more = format!("size = 3\nsite_size = {size}\nother_sites = [\"{other}\"]");
         let sections = fleet
-            .sections_with(number, &more, "")
+            .operator_sections_with(number, &more, "")
             .replace("site = \"north\"", &format!("site = \"{site}\""));
-        fleet.process(number, &(sections + "[edge]\npatience_s = 1\n"))
+        fleet.start_process(number, &(sections + "[edge]\npatience_s = 1\n"))
     };
     let mut all: Vec<Process> = (0..3).map(start).collect();
-    let mut watches: Vec<Peer> = (0..3).map(|_| fleet.discovery.watch()).collect();
+    let mut watches: Vec<Peer> = (0..3).map(|_| fleet.discovery.accept_watch()).collect();
     watches
         .iter_mut()
-        .for_each(|watch| tell(watch, 2, true, &rows));
+        .for_each(|watch| send_endpoints(watch, 2, true, &rows));
     for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 3);
-        process.shows("linked", LONG, |farm| {
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 3);
+        process.wait_for_farm("linked", LONG, |farm| {
             farm["fleet"]["uplink"]
                 .as_str()
                 .is_some_and(|words| words.starts_with("linked"))
         });
     }
-    let (mut clients, _) = fleet.open_all(&all[0], "a");
+    let (mut clients, _) = fleet.connect_all_clients(&all[0], "a");
     // The uplink is lost: discovery says nothing more, and the other site is not heard.
-    fleet.discovery.falls_silent();
+    fleet.discovery.stop_heartbeats();
     all[2].program.kill();
     for process in &all[..2] {
-        process.program.says("to=islanded");
+        process.program.wait_for_log("to=islanded");
     }
     // Service goes on from what is known.
-    let (more, _) = fleet.open_all(&all[1], "b");
-    assert_eq!(more.len(), CLIENTS);
+    let (more, _) = fleet.connect_all_clients(&all[1], "b");
+    assert_eq!(more.len(), CLIENT_COUNT);
     clients.extend(more);
-    fleet.discovery.speaks_again();
+    fleet.discovery.resume_heartbeats();
     all[2] = start(2);
     // Whoever asks is told the same list under a later number, by a discovery that kept its state.
     let (mut watches, until) = (Vec::new(), Instant::now() + LONG);
@@ -189,20 +190,23 @@
     };
     while !all[..2].iter().all(is_linked) {
         assert!(Instant::now() < until, "never linked again");
-        if let Some(mut watch) = fleet.discovery.watch_within(Duration::from_millis(50)) {
-            tell(&mut watch, 3, true, &rows);
+        if let Some(mut watch) = fleet
+            .discovery
+            .accept_watch_within(Duration::from_millis(50))
+        {
+            send_endpoints(&mut watch, 3, true, &rows);
             watches.push(watch);
         }
     }
     for process in &all[..2] {
-        process.program.says("to=linked");
-        let said = process.program.says("counts");
+        process.program.wait_for_log("to=linked");
+        let said = process.program.wait_for_log("counts");
         assert!(said.contains("moved=0"), "{said}");
     }
     // One that was sent away has heard so.
     for client in &mut clients {
         client.stream.set_nonblocking(true).expect("open");
-        let heard = client.hear_or_end();
+        let heard = client.read_line_or_end();
         assert!(heard.is_none(), "{heard:?}");
     }
 }
--- a/crates/cli/tests/fleet_memory.rs
+++ b/crates/cli/tests/fleet_memory.rs
@@ -11,33 +11,33 @@
 #[test]
 fn clients_come_back_to_their_server_through_another_process_and_after_a_restart() {
     let fleet = Fleet::start(2, 2);
-    let mut a = fleet.process(0, &fleet.sections(0, ""));
-    let mut b = fleet.process(1, &fleet.sections(1, ""));
+    let mut a = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    let mut b = fleet.start_process(1, &fleet.operator_sections(1, ""));
     for process in [&a, &b] {
-        process.program.says("to=serving");
-        process.waits_for("processes", 2);
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 2);
     }
-    let (clients, first) = fleet.open_all(&a, "a");
+    let (clients, first) = fleet.connect_all_clients(&a, "a");
     assert!(first.values().any(|server| *server == 0) && first.values().any(|server| *server == 1));
-    b.waits_for("placements", CLIENTS);
+    b.wait_for_fleet_field("placements", CLIENT_COUNT);
     drop(clients);
-    let (clients, second) = fleet.open_all(&b, "b");
+    let (clients, second) = fleet.connect_all_clients(&b, "b");
     assert_eq!(first, second, "through another process");
-    a.waits_for("placements", CLIENTS);
+    a.wait_for_fleet_field("placements", CLIENT_COUNT);
     drop(clients);
     // Nobody is left who could tell but its own memory.
     b.program.kill();
     a.program.signal("TERM");
-    assert!(a.program.left());
-    let a = fleet.process(0, &fleet.sections(0, ""));
-    let said = a.program.says("memory remembered");
+    assert!(a.program.exits_cleanly());
+    let a = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    let said = a.program.wait_for_log("memory remembered");
     assert!(
-        said.contains(&format!("placements={CLIENTS}")) && said.contains("boot=2"),
+        said.contains(&format!("placements={CLIENT_COUNT}")) && said.contains("boot=2"),
         "{said}"
     );
-    a.program.says("to=serving");
-    a.waits_for("placements", CLIENTS);
-    let (_clients, third) = fleet.open_all(&a, "c");
+    a.program.wait_for_log("to=serving");
+    a.wait_for_fleet_field("placements", CLIENT_COUNT);
+    let (_clients, third) = fleet.connect_all_clients(&a, "c");
     assert_eq!(first, third, "after a restart");
 }
 
@@ -45,25 +45,26 @@
 fn a_reload_takes_over_the_word_on_the_uplink_peers_and_the_serial_number_and_names_what_takes_a_restart()
  {
     let fleet = Fleet::start(2, 1);
-    let a = fleet.process(0, &fleet.sections(0, ""));
-    a.program.says("to=serving");
-    let moved = fleet
-        .sections(0, "serial = 2")
-        .replace(&fleet.peers[1].to_string(), &free_udp().to_string());
+    let a = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    a.program.wait_for_log("to=serving");
+    let moved = fleet.operator_sections(0, "serial = 2").replace(
+        &fleet.peer_addresses[1].to_string(),
+        &free_udp_address().to_string(),
+    );
     let moved =
         moved.replace("site = \"north\"", "site = \"south\"") + "[edge]\nword = \"island\"\n";
-    fleet.write_operator(0, a.api.at, &moved);
+    fleet.write_operator_file(0, a.api.address, &moved);
     a.program.signal("HUP");
-    let said = a.program.says("taken over");
+    let said = a.program.wait_for_log("taken over");
     assert!(
         ["fleet.peers", "edge.word", "affinity.serial"]
             .iter()
             .all(|what| said.contains(what)),
         "{said}"
     );
-    let said = a.program.says("takes a restart");
+    let said = a.program.wait_for_log("takes a restart");
     assert!(said.ends_with("what=fleet"), "{said}");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let shown = a.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
         if shown
@@ -121,11 +122,11 @@
 #[test]
 fn without_the_sections_there_is_no_thread_and_no_descriptor_of_a_fleet() {
     let fleet = Fleet::start(1, 1);
-    let with = fleet.process(0, &fleet.sections(0, ""));
-    with.program.says("to=serving");
-    with.waits_for("processes", 1);
-    let without = fleet.process(1, "");
-    without.program.says("to=serving");
+    let with = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    with.program.wait_for_log("to=serving");
+    with.wait_for_fleet_field("processes", 1);
+    let without = fleet.start_process(1, "");
+    without.program.wait_for_log("to=serving");
     assert!(without.api.call("GET", "/v1/farm", "").body["fleet"].is_null());
     let own = ["fleet\n", "memory\n", "peers\n"].map(str::to_owned);
     // A thread has its name a moment after it began, and one for each call of the API comes and goes.
@@ -134,7 +135,7 @@
         all.filter(|name| name != "admin\n")
             .collect::<Vec<String>>()
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let (there, here) = (lasting(&with.program), lasting(&without.program));
         let rest: Vec<String> = there
@@ -165,31 +166,32 @@
     let server = listener();
     let at = server.local_addr().expect("bound");
     drop(server);
-    let fleet = Fleet::of(
+    let fleet = Fleet::with_endpoints(
         2,
-        &list(1, true, &[("s0", at, "SERVING")]),
+        &endpoint_list(1, true, &[("s0", at, "SERVING")]),
         std::sync::mpsc::channel().1,
     );
-    let all = [0, 1].map(|number| fleet.process(number, &fleet.sections(number, "")));
+    let all =
+        [0, 1].map(|number| fleet.start_process(number, &fleet.operator_sections(number, "")));
     for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 2);
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 2);
     }
     let asks = |process: &Process| {
-        let mut client = Peer::connect(process.at);
-        client.say("OPEN a1 k1 c=chat,t=acme,d=2500\r\n");
-        (client.hear().expect("an answer"), client)
+        let mut client = Peer::connect(process.address);
+        client.send("OPEN a1 k1 c=chat,t=acme,d=2500\r\n");
+        (client.read_line().expect("an answer"), client)
     };
     let (answer, _client) = asks(&all[0]);
     assert!(answer.starts_with("BUSY"), "{answer}");
-    all[1].waits_for("failing", 1);
+    all[1].wait_for_fleet_field("failing", 1);
     // The server is there now, and the client comes back to the other process.
-    obliges(std::net::TcpListener::bind(at).expect("free again"));
-    let until = Instant::now() + PATIENCE;
+    serve_all_openings(std::net::TcpListener::bind(at).expect("free again"));
+    let until = Instant::now() + TEST_TIMEOUT;
     while !asks(&all[1]).0.starts_with("UP") {
         assert!(Instant::now() < until, "never served");
     }
-    all[0].waits_for("failing", 0);
+    all[0].wait_for_fleet_field("failing", 0);
 }
 
 #[test]
@@ -199,17 +201,17 @@
     let new = old.replace("\"value\":1.0", "\"value\":2.0");
     assert_ne!(old, new);
     let start = |fleet: &Fleet, number: usize, serial: u32| {
-        let process = fleet.process(
+        let process = fleet.start_process(
             number,
-            &fleet.sections(number, &format!("serial = {serial}")),
+            &fleet.operator_sections(number, &format!("serial = {serial}")),
         );
-        process.program.says("to=serving");
+        process.program.wait_for_log("to=serving");
         process
     };
     let mut all: Vec<Process> = (0..3).map(|number| start(&fleet, number, 1)).collect();
     all.iter()
-        .for_each(|process| process.waits_for("processes", 3));
-    let (clients, first) = fleet.open_all(&all[0], "a");
+        .for_each(|process| process.wait_for_fleet_field("processes", 3));
+    let (clients, first) = fleet.connect_all_clients(&all[0], "a");
     drop(clients);
     let version = |process: &Process| {
         process.api.call("GET", "/v1/farm", "").body["fleet"]["version"].to_string()
@@ -219,14 +221,15 @@
         fleet.settings = settings.clone();
         for number in 0..3 {
             all[number].program.signal("TERM");
-            assert!(all[number].program.left());
+            assert!(all[number].program.exits_cleanly());
             all[number] = start(&fleet, number, serial);
-            all[number].waits_for("processes", 3);
-            all[number].waits_for("placements", CLIENTS);
+            all[number].wait_for_fleet_field("processes", 3);
+            all[number].wait_for_fleet_field("placements", CLIENT_COUNT);
             let (here, next) = (version(&all[number]), version(&all[(number + 1) % 3]));
             assert_eq!(here == next, number == 2, "{here} and {next}");
             for at in [number, (number + 1) % 3] {
-                let (clients, now) = fleet.open_all(&all[at], &format!("v{serial}p{number}a{at}"));
+                let (clients, now) =
+                    fleet.connect_all_clients(&all[at], &format!("v{serial}p{number}a{at}"));
                 assert_eq!(
                     first, now,
                     "serial {serial}, restarted {number}, back at {at}"
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -22,7 +22,7 @@
     let row = |number: usize| {
         let server = listener();
         let at = server.local_addr().expect("bound");
-        serves(number, server, told.clone());
+        spawn_server(number, server, told.clone());
         format!(
             r#"{{"instanceId":"s{number}","hostPort":"{at}","zone":"a","lifecycle":"SERVING","weight":1.0,"startedAtMs":{now}}}"#
         )
@@ -40,23 +40,30 @@
 #[test]
 fn after_a_power_loss_clients_return_by_turns_and_each_is_told_when_to_come_again() {
     let (known, openings) = cold(2);
-    let fleet = Fleet::of(1, &known, openings);
-    let process = fleet.process(0, &fleet.sections_with(0, "borne = 20\nclients = 12", ""));
-    process.program.says("step=StagedAdmission");
-    process.program.says("to=serving");
-    let mut waits: Vec<(usize, Instant)> = (0..CLIENTS)
+    let fleet = Fleet::with_endpoints(1, &known, openings);
+    let process = fleet.start_process(
+        0,
+        &fleet.operator_sections_with(0, "borne = 20\nclients = 12", ""),
+    );
+    process.program.wait_for_log("step=StagedAdmission");
+    process.program.wait_for_log("to=serving");
+    let mut waits: Vec<(usize, Instant)> = (0..CLIENT_COUNT)
         .map(|number| (number, Instant::now()))
         .collect();
-    let (mut stand, until) = (Vec::new(), Instant::now() + 6 * PATIENCE);
+    let (mut stand, until) = (Vec::new(), Instant::now() + 6 * TEST_TIMEOUT);
     while let Some(place) = (0..waits.len()).min_by_key(|place| waits[*place].1) {
         let (number, at) = waits.swap_remove(place);
-        assert!(Instant::now() < until, "{} of {CLIENTS} stand", stand.len());
+        assert!(
+            Instant::now() < until,
+            "{} of {CLIENT_COUNT} stand",
+            stand.len()
+        );
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
-        let mut client = Peer::connect(process.at);
-        client.say(&format!(
+        let mut client = Peer::connect(process.address);
+        client.send(&format!(
             "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
         ));
-        match client.hear().expect("an answer").split_once(' ') {
+        match client.read_line().expect("an answer").split_once(' ') {
             Some(("UP", _)) => stand.push(client),
             Some(("BUSY", after)) => {
                 let after = Duration::from_millis(after.parse().expect("a span"));
@@ -77,38 +84,38 @@
 #[test]
 fn a_process_that_was_stopped_says_no_until_it_has_asked_what_happened() {
     let fleet = Fleet::start(1, 1);
-    let process = fleet.process(0, &fleet.sections(0, ""));
-    process.program.says("to=serving");
+    let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    process.program.wait_for_log("to=serving");
     process.program.signal("STOP");
     std::thread::sleep(STOPPED + Duration::from_secs(1));
     process.program.signal("CONT");
-    process.program.says("step=Resumed");
-    process.program.says("to=starting");
-    process.program.says("to=serving");
+    process.program.wait_for_log("step=Resumed");
+    process.program.wait_for_log("to=starting");
+    process.program.wait_for_log("to=serving");
 }
 
 #[test]
 fn a_lone_restart_and_a_power_loss_are_told_apart() {
     let fleet = Fleet::start(3, 1);
     let begun = Instant::now();
-    let start = |number| fleet.process(number, &fleet.sections(number, ""));
+    let start = |number| fleet.start_process(number, &fleet.operator_sections(number, ""));
     let mut all: Vec<Process> = (0..3).map(start).collect();
     for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 3);
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 3);
     }
     std::thread::sleep((TOGETHER + Duration::from_secs(2)).saturating_sub(begun.elapsed()));
     all[0].program.kill();
     all[0] = start(0);
-    let said = all[0].program.says("extent of the outage");
+    let said = all[0].program.wait_for_log("extent of the outage");
     assert!(said.contains("scope=alone"), "{said}");
-    all[0].program.says("to=serving");
+    all[0].program.wait_for_log("to=serving");
     all.iter_mut().for_each(|process| process.program.kill());
     let all: Vec<Process> = (0..3).map(start).collect();
     for process in &all {
-        let said = process.program.says("extent of the outage");
+        let said = process.program.wait_for_log("extent of the outage");
         assert!(said.contains("scope=fleet"), "{said}");
-        process.program.says("to=serving");
+        process.program.wait_for_log("to=serving");
     }
 }
 
@@ -116,7 +123,7 @@
 fn drains_hold_against_a_discovery_that_lost_its_state_while_the_program_ran_and_while_it_was_dark()
 {
     let fleet = Fleet::start(1, 2);
-    let known: serde_json::Value = serde_json::from_str(&fleet.known).expect("JSON");
+    let known: serde_json::Value = serde_json::from_str(&fleet.known_endpoints).expect("JSON");
     let address = |number: usize| {
         known["instances"][number]["hostPort"]
             .as_str()
@@ -136,54 +143,54 @@
         server["effective"]["state"] == "out"
             && server["why"].to_string().contains("it drained when")
     };
-    let mut process = fleet.process(0, &fleet.sections(0, ""));
-    let mut watch = fleet.discovery.watch();
-    tell(&mut watch, 5, true, &both);
-    tell(&mut watch, 6, false, &drains);
-    process.program.says("to=serving");
-    process.shows("draining", PATIENCE, |farm| {
+    let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    let mut watch = fleet.discovery.accept_watch();
+    send_endpoints(&mut watch, 5, true, &both);
+    send_endpoints(&mut watch, 6, false, &drains);
+    process.program.wait_for_log("to=serving");
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     // Discovery is begun anew, counts from one, and has forgotten the drain.
-    tell(&mut watch, 1, true, &both);
-    process.shows("held", PATIENCE, is_held);
+    send_endpoints(&mut watch, 1, true, &both);
+    process.wait_for_farm("held", TEST_TIMEOUT, is_held);
     // It hears of the drain again, and of its end: that is its own word.
-    tell(&mut watch, 2, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 2, false, &drains);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
-    tell(&mut watch, 3, false, &both[1..]);
-    process.shows("ready", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 3, false, &both[1..]);
+    process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "ready"
     });
-    tell(&mut watch, 4, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 4, false, &drains);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     process.program.signal("TERM");
-    assert!(process.program.left());
+    assert!(process.program.exits_cleanly());
     // One that kept its state says that the drain is over.
-    let mut process = fleet.process(0, &fleet.sections(0, ""));
-    process.shows("held by memory alone", PATIENCE, is_held);
-    let mut watch = fleet.discovery.watch();
-    tell(&mut watch, 5, true, &both);
-    process.shows("ready", PATIENCE, |farm| {
+    let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_held);
+    let mut watch = fleet.discovery.accept_watch();
+    send_endpoints(&mut watch, 5, true, &both);
+    process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "ready"
     });
-    tell(&mut watch, 6, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 6, false, &drains);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     process.program.signal("TERM");
-    assert!(process.program.left());
-    let process = fleet.process(0, &fleet.sections(0, ""));
-    process.shows("held by memory alone", PATIENCE, is_held);
-    let mut watch = fleet.discovery.watch();
-    tell(&mut watch, 1, true, &both);
-    process.program.says("discovery lost its state");
-    process.shows("held", PATIENCE, is_held);
-    tell(&mut watch, 2, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    assert!(process.program.exits_cleanly());
+    let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_held);
+    let mut watch = fleet.discovery.accept_watch();
+    send_endpoints(&mut watch, 1, true, &both);
+    process.program.wait_for_log("discovery lost its state");
+    process.wait_for_farm("held", TEST_TIMEOUT, is_held);
+    send_endpoints(&mut watch, 2, false, &drains);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
 }
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use support::held::{Held, Wire};
-use support::late::{Late, first_words};
+use support::full_backlog_server::{FullBacklogServer, first_line_received};
+use support::gated_server::{GatedServer, Protocol};
 use support::site::Site;
 use support::*;
 
@@ -30,10 +30,10 @@
 
 /// A balancer with the servers that the test tells it of in place of the one that it knew.
 fn site_of(settings: &str, name: &str, servers: &[(&str, SocketAddr, &str)]) -> (Site, Peer) {
-    let site = Site::start_on(settings, name, 1, DEBUG);
-    let mut watch = site.discovery.watch();
-    tell(&mut watch, 2, true, servers);
-    site.program.says("generation=2");
+    let site = Site::start_with_settings(settings, name, 1, DEBUG);
+    let mut watch = site.discovery.accept_watch();
+    send_endpoints(&mut watch, 2, true, servers);
+    site.program.wait_for_log("generation=2");
     (site, watch)
 }
 
@@ -50,65 +50,67 @@
 #[test]
 fn a_client_that_leaves_during_a_connect_ends_it_and_is_never_sent_on() {
     for by_reset in [false, true] {
-        let late = Late::start();
+        let late = FullBacklogServer::start();
         let (site, _watch) = site_of(
             &patient(),
             &format!("connect{by_reset}"),
             &[("a", late.address, "SERVING")],
         );
-        let client = site.open("chat", "");
-        late.waits_for(true);
+        let client = site.open_client("chat", "");
+        late.wait_until_connecting_is(true);
         let left = Instant::now();
         leaves(client, by_reset);
-        late.waits_for(false);
+        late.wait_until_connecting_is(false);
         assert!(
             left.elapsed() < AT_ONCE,
             "withdrawn after {:?}",
             left.elapsed()
         );
-        assert_eq!(late.comes_up_and_hears(SECOND_TRY), None);
+        assert_eq!(late.free_backlog_and_read(SECOND_TRY), None);
     }
 }
 
 #[test]
 fn a_client_that_ends_its_sending_while_it_waits_has_left() {
-    let late = Late::start();
+    let late = FullBacklogServer::start();
     let (site, _watch) = site_of(&patient(), "half", &[("a", late.address, "SERVING")]);
-    let mut client = site.open("chat", "");
-    late.waits_for(true);
+    let mut client = site.open_client("chat", "");
+    late.wait_until_connecting_is(true);
     let left = Instant::now();
-    client.finish();
-    late.waits_for(false);
+    client.shutdown_write();
+    late.wait_until_connecting_is(false);
     assert!(
         left.elapsed() < AT_ONCE,
         "withdrawn after {:?}",
         left.elapsed()
     );
-    client.ended();
-    assert_eq!(late.comes_up_and_hears(SECOND_TRY), None);
+    client.expect_end();
+    assert_eq!(late.free_backlog_and_read(SECOND_TRY), None);
 }
 
 #[test]
 fn a_client_that_leaves_the_admission_queue_is_never_sent_on() {
     for by_reset in [false, true] {
-        let held = Held::start(Wire::Platform);
+        let held = GatedServer::start(Protocol::Platform);
         let (site, _watch) = site_of(
             SETTINGS,
             &format!("queue{by_reset}"),
             &[("a", held.address, "SERVING")],
         );
-        let mut first: Vec<Peer> = (0..WINDOW).map(|_| site.open("chat", "")).collect();
-        held.came(WINDOW);
-        let mut gone = Peer::connect(site.at);
-        gone.say("OPEN gone 02 c=chat,t=acme,d=2900,g=3\r\n");
-        (0..=WINDOW).for_each(|_| drop(site.program.says("opened")));
+        let mut first: Vec<Peer> = (0..WINDOW).map(|_| site.open_client("chat", "")).collect();
+        held.wait_for_setups(WINDOW);
+        let mut gone = Peer::connect(site.address);
+        gone.send("OPEN gone 02 c=chat,t=acme,d=2900,g=3\r\n");
+        (0..=WINDOW).for_each(|_| drop(site.program.wait_for_log("opened")));
         leaves(gone, by_reset);
-        held.allow(usize::MAX);
-        first.iter_mut().for_each(|client| client.hears("UP r1"));
-        let mut after = site.open("chat", "");
-        after.hears("UP r1");
+        held.admit(usize::MAX);
+        first
+            .iter_mut()
+            .for_each(|client| client.expect_line("UP r1"));
+        let mut after = site.open_client("chat", "");
+        after.expect_line("UP r1");
         std::thread::sleep(ALL_DELAYS);
-        let came = held.came(WINDOW + 1);
+        let came = held.wait_for_setups(WINDOW + 1);
         assert!(
             !came.iter().any(|opening| opening.contains("gone")),
             "{came:?}"
@@ -119,38 +121,38 @@
 #[test]
 fn a_client_that_leaves_in_a_delay_between_attempts_is_not_sent_on_again() {
     for by_reset in [false, true] {
-        let site = Site::start_with(&format!("delay{by_reset}"), 1, DEBUG);
-        let client = site.open("chat", "");
+        let site = Site::start_with_env(&format!("delay{by_reset}"), 1, DEBUG);
+        let client = site.open_client("chat", "");
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("an opening");
-        server.say("BUSY\r\n");
-        site.program.says("attempt ended");
+        server.read_line().expect("an opening");
+        server.send("BUSY\r\n");
+        site.program.wait_for_log("attempt ended");
         leaves(client, by_reset);
         drop(server);
-        assert_eq!(first_words(&site.servers[0], ALL_DELAYS), None);
+        assert_eq!(first_line_received(&site.servers[0], ALL_DELAYS), None);
     }
 }
 
 #[test]
 fn a_client_that_leaves_during_an_attempt_ends_it_and_no_repeat_follows() {
     let site = Site::start("attempt", 1);
-    let client = site.open("chat", "");
+    let client = site.open_client("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
+    server.read_line().expect("an opening");
     let second = listener();
-    let mut watch = site.discovery.watch();
-    tell(
+    let mut watch = site.discovery.accept_watch();
+    send_endpoints(
         &mut watch,
         2,
         false,
         &[("b", second.local_addr().expect("bound"), "SERVING")],
     );
-    site.program.says("generation=2");
+    site.program.wait_for_log("generation=2");
     drop(client);
-    server.ended();
-    assert_eq!(first_words(&second, ALL_DELAYS), None);
+    server.expect_end();
+    assert_eq!(first_line_received(&second, ALL_DELAYS), None);
     assert_eq!(
-        first_words(&site.servers[0], Duration::from_millis(100)),
+        first_line_received(&site.servers[0], Duration::from_millis(100)),
         None
     );
 }
@@ -165,14 +167,14 @@
         "\"rules\"",
         "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
     );
-    let site = Site::start_on(&settings, "load", 1, &[]);
-    let client = site.open("chat", "");
+    let site = Site::start_with_settings(&settings, "load", 1, &[]);
+    let client = site.open_client("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
-    assert_eq!(server.hear().as_deref(), Some("STATS"));
+    assert_eq!(server.read_line().as_deref(), Some("STATS"));
     drop(client);
-    server.say("PONG x0=0.1\r\n");
+    server.send("PONG x0=0.1\r\n");
     assert_eq!(
-        first_words(&site.servers[0], ALL_DELAYS).filter(|words| words.starts_with("OPEN")),
+        first_line_received(&site.servers[0], ALL_DELAYS).filter(|words| words.starts_with("OPEN")),
         None
     );
 }
@@ -185,54 +187,54 @@
     );
     let first = listener();
     let at = first.local_addr().expect("bound");
-    let late = Late::start();
+    let late = FullBacklogServer::start();
     let (site, mut watch) = site_of(&keyed, "window", &[("a", at, "SERVING")]);
-    let mut client = site.open("once", "");
+    let mut client = site.open_client("once", "");
     let mut server = Peer::accept(&first);
-    server.hear().expect("an opening");
+    server.read_line().expect("an opening");
     let sent = Instant::now();
-    tell(
+    send_endpoints(
         &mut watch,
         3,
         true,
         &[("a", at, "DRAINING"), ("b", late.address, "SERVING")],
     );
-    site.program.says("generation=3");
-    server.say("ERR\r\n");
+    site.program.wait_for_log("generation=3");
+    server.send("ERR\r\n");
     drop(server);
-    late.waits_for(true);
-    client.hears("ERR");
+    late.wait_until_connecting_is(true);
+    client.expect_line("ERR");
     assert!(
         sent.elapsed() < AT_ONCE,
         "failed as soon as no repeat may begin"
     );
-    assert_eq!(late.comes_up_and_hears(SECOND_TRY), None);
+    assert_eq!(late.free_backlog_and_read(SECOND_TRY), None);
 }
 
 #[test]
 fn what_is_withheld_from_a_server_that_drains_during_the_connect_goes_to_another() {
-    let (late, second) = (Late::start(), listener());
+    let (late, second) = (FullBacklogServer::start(), listener());
     let at = second.local_addr().expect("bound");
     let (site, mut watch) = site_of(&patient(), "drains", &[("a", late.address, "SERVING")]);
-    let mut client = site.open("once", "");
-    late.waits_for(true);
+    let mut client = site.open_client("once", "");
+    late.wait_until_connecting_is(true);
     let first = late.address;
-    tell(
+    send_endpoints(
         &mut watch,
         3,
         true,
         &[("a", first, "DRAINING"), ("b", at, "SERVING")],
     );
-    site.program.says("generation=3");
-    let heard = std::thread::spawn(move || late.comes_up_and_hears(SECOND_TRY));
+    site.program.wait_for_log("generation=3");
+    let heard = std::thread::spawn(move || late.free_backlog_and_read(SECOND_TRY));
     let mut server = Peer::accept(&second);
     assert!(
         server
-            .hear()
+            .read_line()
             .is_some_and(|opening| opening.starts_with("OPEN "))
     );
-    server.say("UP r1\r\n");
-    client.hears("UP r1");
+    server.send("UP r1\r\n");
+    client.expect_line("UP r1");
     assert_eq!(
         heard.join().expect("it ran"),
         None,
@@ -249,9 +251,9 @@
         &[("a", first.local_addr().expect("bound"), "SERVING")],
     );
     let sent = Instant::now();
-    let mut client = site.open("once", "");
+    let mut client = site.open_client("once", "");
     let mut server = Peer::accept(&first);
-    let opening = server.hear().expect("an opening");
+    let opening = server.read_line().expect("an opening");
     let told = opening
         .split("d=")
         .nth(1)
@@ -262,26 +264,26 @@
         told <= Duration::from_millis(2_500)
             && told + sent.elapsed() >= Duration::from_millis(2_490)
     );
-    client.hears("ERR");
+    client.expect_line("ERR");
     let waited = sent.elapsed();
     assert!(
         waited >= Duration::from_millis(2_490),
         "not given up before: {waited:?}"
     );
-    server.ended();
+    server.expect_end();
 }
 
 #[test]
 fn whoever_waits_for_a_connect_when_the_program_leaves_is_refused_before_it_has_left() {
-    let late = Late::start();
+    let late = FullBacklogServer::start();
     let (mut site, _watch) = site_of(&patient(), "leaves", &[("a", late.address, "SERVING")]);
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     // It would wait for longer than the program gives those that are on their way.
-    let mut client = Peer::connect(site.at);
-    client.say("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
-    late.waits_for(true);
-    client.hears("BUSY");
-    client.ended();
-    assert!(site.program.left(), "it leaves by itself");
+    let mut client = Peer::connect(site.address);
+    client.send("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
+    late.wait_until_connecting_is(true);
+    client.expect_line("BUSY");
+    client.expect_end();
+    assert!(site.program.exits_cleanly(), "it leaves by itself");
 }
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -22,14 +22,17 @@
 impl Shared {
     fn new(name: &str) -> Shared {
         let (held, discovery, server) = (listener(), Discovery::start(), listener());
-        let known = list(
+        let known = endpoint_list(
             1,
             true,
             &[("s0", server.local_addr().expect("bound"), "SERVING")],
         );
-        obliges(server);
+        serve_all_openings(server);
         let at = held.local_addr().expect("bound");
-        let path = file(name, &config(at, discovery.address, &known, SETTINGS, 512));
+        let path = write_temp_file(
+            name,
+            &platform_config(at, discovery.address, &known, SETTINGS, 512),
+        );
         Shared {
             held,
             path,
@@ -44,19 +47,19 @@
 
     /// One more process, and its operations port. It is ready.
     fn start(&self) -> (Program, Api) {
-        let at = free();
+        let at = reserve_address();
         let folder = self.folder.to_str().expect("text");
         let env = [
             ("LB_CONFIG", self.path.as_str()),
             ("LB_ADMIN_ADDR", &at.to_string()),
             ("TMPDIR", folder),
         ];
-        let program = Program::start_inheriting(&self.held, &env);
-        program.says("to=serving");
+        let program = Program::start_with_inherited_listener(&self.held, &env);
+        program.wait_for_log("to=serving");
         (
             program,
             Api {
-                at,
+                address: at,
                 token: "none is wanted",
             },
         )
@@ -70,7 +73,7 @@
 /// A client that has sent its opening.
 fn open(at: SocketAddr, id: &str) -> Peer {
     let mut client = Peer::connect(at);
-    client.say(&format!("OPEN {id} 02 c=chat,t=acme,d=2500,g=3\r\n"));
+    client.send(&format!("OPEN {id} 02 c=chat,t=acme,d=2500,g=3\r\n"));
     client
 }
 
@@ -79,7 +82,7 @@
     let shared = Shared::new("handover");
     let (mut old, old_api) = shared.start();
     let mut stands = shared.open("stands");
-    stands.hears("UP r");
+    stands.expect_line("UP r");
     let over = Arc::new(AtomicBool::new(false));
     let openings = {
         let (at, over) = (shared.at(), Arc::clone(&over));
@@ -89,9 +92,9 @@
                 count += 1;
                 let mut client = open(at, &format!("c{count}"));
                 // One final answer, and never a move before it.
-                client.hears("UP r");
-                client.finish();
-                while client.hear().is_some_and(|line| line == "MOVE") {}
+                client.expect_line("UP r");
+                client.shutdown_write();
+                while client.read_line().is_some_and(|line| line == "MOVE") {}
             }
             count
         })
@@ -102,24 +105,24 @@
     // Accepted by either of the two, and not whole when the old one is to leave.
     let half = |number| {
         let mut half = Peer::connect(shared.at());
-        half.say("PING\r\n");
-        half.hears("PONG");
-        half.say(&format!("OPEN h{number} 02 c=cha"));
+        half.send("PING\r\n");
+        half.expect_line("PONG");
+        half.send(&format!("OPEN h{number} 02 c=cha"));
         half
     };
     let mut halves: Vec<Peer> = (0..8).map(half).collect();
     old.signal("TERM");
-    old.says("to=leaving");
+    old.wait_for_log("to=leaving");
     for half in &mut halves {
-        half.say("t,t=acme,d=2500,g=3\r\n");
-        half.hears("UP r");
+        half.send("t,t=acme,d=2500,g=3\r\n");
+        half.expect_line("UP r");
     }
-    stands.hears("MOVE");
-    assert!(old.left(), "it leaves by itself");
+    stands.expect_line("MOVE");
+    assert!(old.exits_cleanly(), "it leaves by itself");
     over.store(true, Ordering::SeqCst);
     assert!(openings.join().expect("every opening was served") > 10);
     assert_eq!(new_api.call("GET", "/status", "").status, 200);
-    shared.open("after").hears("UP r");
+    shared.open("after").expect_line("UP r");
 }
 
 #[test]
@@ -133,46 +136,50 @@
     let mut clients: Vec<Peer> = (0..6)
         .map(|number| shared.open(&format!("s{number}")))
         .collect();
-    clients.iter_mut().for_each(|client| client.hears("UP r"));
+    clients
+        .iter_mut()
+        .for_each(|client| client.expect_line("UP r"));
     let half = |id| {
         let mut half = shared.open(id);
-        half.hears("UP r");
-        half.say("half\r\n");
-        assert_eq!(half.bytes(2), "ha");
+        half.expect_line("UP r");
+        half.send("half\r\n");
+        assert_eq!(half.read_text(2), "ha");
         half
     };
     let (mut half, mut whole) = (half("half"), half("whole"));
     let (mut second, _) = shared.start();
     old.signal("TERM");
-    old.says("to=leaving");
+    old.wait_for_log("to=leaving");
     // The rest of its line comes when all others have gone over.
-    whole.say("rest\r\n");
-    whole.hears("lf");
-    second.says("taken over taken=7");
+    whole.send("rest\r\n");
+    whole.expect_line("lf");
+    second.wait_for_log("taken over taken=7");
     clients.push(whole);
     assert_ne!(
-        half.hear().as_deref(),
+        half.read_line().as_deref(),
         Some("ok"),
         "cut off inside its line after a while"
     );
-    assert!(old.left(), "it leaves by itself");
+    assert!(old.exits_cleanly(), "it leaves by itself");
     for client in &mut clients {
-        client.say("line\r\n");
-        client.hears("ok");
+        client.send("line\r\n");
+        client.expect_line("ok");
     }
     // An id is still taken, and one more process takes over what the second one took.
-    shared.open("s3").hears("ERR");
+    shared.open("s3").expect_line("ERR");
     let (third, _) = shared.start();
     second.signal("TERM");
-    third.says("taken over taken=7");
-    assert!(second.left(), "it leaves by itself");
+    third.wait_for_log("taken over taken=7");
+    assert!(second.exits_cleanly(), "it leaves by itself");
     for client in &mut clients {
-        client.say("line\r\n");
-        client.hears("ok");
+        client.send("line\r\n");
+        client.expect_line("ok");
     }
     // With nobody to give them to, they are moved.
     third.signal("TERM");
-    clients.iter_mut().for_each(|client| client.hears("MOVE"));
+    clients
+        .iter_mut()
+        .for_each(|client| client.expect_line("MOVE"));
 }
 
 #[test]
@@ -182,7 +189,8 @@
     let (second, _) = shared.start();
     first.kill();
     let ids: HashSet<String> = (0..8).map(|number| format!("a{number}")).collect();
-    ids.iter().for_each(|id| shared.open(id).hears("UP r"));
+    ids.iter()
+        .for_each(|id| shared.open(id).expect_line("UP r"));
     // One that can't start serving harms nobody: it ends before it takes a client.
     let taken = listener();
     let address = taken.local_addr().expect("bound").to_string();
@@ -190,16 +198,16 @@
         ("LB_CONFIG", shared.path.as_str()),
         ("LB_ADMIN_ADDR", &address),
     ];
-    let mut third = Program::start_inheriting(&shared.held, &env);
-    let said = third.says("");
+    let mut third = Program::start_with_inherited_listener(&shared.held, &env);
+    let said = third.wait_for_log("");
     assert!(said.contains("cannot start"), "it never served: {said}");
-    assert!(!third.ends().success());
-    shared.open("b").hears("UP r");
+    assert!(!third.wait_for_exit().success());
+    shared.open("b").expect_line("UP r");
     drop(second);
     // Nobody accepts now, and nobody is turned away.
     let mut waits = shared.open("c");
     let (_fourth, _) = shared.start();
-    waits.hears("UP r");
+    waits.expect_line("UP r");
 }
 
 #[test]
@@ -221,12 +229,12 @@
             ("LB_CONFIG", shared.path.as_str()),
             ("LB_INHERITED_FD", descriptor),
         ];
-        let mut program = Program::start_inheriting(&mute, &env);
-        let said = program.says("cannot start");
+        let mut program = Program::start_with_inherited_listener(&mute, &env);
+        let said = program.wait_for_log("cannot start");
         assert!(
             said.contains("LB_INHERITED_FD") && said.contains(descriptor) && said.contains(why),
             "{said}"
         );
-        assert!(!program.ends().success());
+        assert!(!program.wait_for_exit().success());
     }
 }
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -21,47 +21,47 @@
 /// Serves the next opening at a server, and gives its end.
 fn serves(site: &Site, client: &mut Peer) -> Peer {
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
-    server.say("UP r1\r\n");
-    client.hears("UP r1");
+    server.read_line().expect("an opening");
+    server.send("UP r1\r\n");
+    client.expect_line("UP r1");
     server
 }
 
 #[test]
 fn where_deadlines_are_short_everybody_is_moved_or_answered_before_the_program_may_be_killed() {
-    let mut site = Site::start_on(&short_deadlines(), "short", 1, &[]);
-    let mut standing: Vec<(Peer, Peer)> = (0..8).map(|_| site.stand()).collect();
-    let mut silent = Peer::connect(site.at);
-    let mut half = Peer::connect(site.at);
-    half.say("OPEN b1 02 c=chat,t=ac");
-    let mut in_flight = site.open("once", "");
+    let mut site = Site::start_with_settings(&short_deadlines(), "short", 1, &[]);
+    let mut standing: Vec<(Peer, Peer)> = (0..8).map(|_| site.establish_connection()).collect();
+    let mut silent = Peer::connect(site.address);
+    let mut half = Peer::connect(site.address);
+    half.send("OPEN b1 02 c=chat,t=ac");
+    let mut in_flight = site.open_client("once", "");
     let mut asked = Peer::accept(&site.servers[0]);
-    asked.hear().expect("an opening");
+    asked.read_line().expect("an opening");
     let told = Instant::now();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     // A front goes on sending newcomers for a while.
-    let mut newcomer = site.open("chat", "");
+    let mut newcomer = site.open_client("chat", "");
     let newcomers_server = serves(&site, &mut newcomer);
     for (client, _) in &mut standing {
-        client.hears("MOVE");
-        client.ended();
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    newcomer.hears("MOVE");
-    newcomer.ended();
+    newcomer.expect_line("MOVE");
+    newcomer.expect_end();
     drop(newcomers_server);
     assert!(
-        in_flight.hear().is_some(),
+        in_flight.read_line().is_some(),
         "what is in flight has an answer"
     );
     for opening in [&mut silent, &mut half] {
-        let last = opening.hear();
+        let last = opening.read_line();
         assert!(
             matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
             "an answer or an end: {last:?}"
         );
     }
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.exits_cleanly(), "it leaves by itself");
     assert!(
         told.elapsed() < SHORT_DEADLINE + KILL_AFTER_DEADLINE,
         "{:?}",
@@ -78,33 +78,40 @@
     let settings = SETTINGS.replace("\"subscribe\"", "\"automatic\"");
     let rows = [("s0", server.local_addr().expect("bound"), "SERVING")];
     let discovery = agent.local_addr().expect("bound");
-    let config = config(free(), discovery, &list(1, true, &rows), &settings, 256);
-    let path = file("early", &config);
+    let config = platform_config(
+        reserve_address(),
+        discovery,
+        &endpoint_list(1, true, &rows),
+        &settings,
+        256,
+    );
+    let path = write_temp_file("early", &config);
     let mut program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     // The agent is asked, and the start waits for its answer.
     let _silent = Peer::accept(&agent);
     let told = Instant::now();
     program.signal("TERM");
-    assert!(program.left(), "it leaves by itself, in order");
+    assert!(program.exits_cleanly(), "it leaves by itself, in order");
     assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
 }
 
 #[test]
 fn signals_that_come_in_a_drain_neither_stop_it_nor_begin_it_anew() {
     let mut site = Site::start("again", 1);
-    let mut watch = site.discovery.watch();
-    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.stand()).collect();
+    let mut watch = site.discovery.accept_watch();
+    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let elsewhere = listener();
     let address = elsewhere.local_addr().expect("bound").to_string();
     let told = Instant::now();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     let moved = site
         .config
         .replace(&site.discovery.address.to_string(), &address);
-    std::fs::write(&site.path, moved).expect("the same folder");
+    std::fs::write(&site.config_path, moved).expect("the same folder");
     site.program.signal("HUP");
-    site.program.says("left out: the program is leaving");
+    site.program
+        .wait_for_log("left out: the program is leaving");
     site.program.signal("TERM");
     site.program.signal("HUP");
     // The list is still heard: a newcomer goes to nobody who drains.
@@ -117,20 +124,20 @@
         ),
         ("s1", other.local_addr().expect("bound"), "SERVING"),
     ];
-    tell(&mut watch, 2, false, &rows);
-    site.program.says("generation=2");
-    let mut newcomer = site.open("chat", "");
+    send_endpoints(&mut watch, 2, false, &rows);
+    site.program.wait_for_log("generation=2");
+    let mut newcomer = site.open_client("chat", "");
     let mut server = Peer::accept(&other);
-    server.hear().expect("an opening");
-    server.say("UP r1\r\n");
-    newcomer.hears("UP r1");
+    server.read_line().expect("an opening");
+    server.send("UP r1\r\n");
+    newcomer.expect_line("UP r1");
     for (client, _) in &mut standing {
-        client.hears("MOVE");
-        client.ended();
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    newcomer.hears("MOVE");
-    newcomer.ended();
-    assert!(site.program.left(), "it leaves by itself");
+    newcomer.expect_line("MOVE");
+    newcomer.expect_end();
+    assert!(site.program.exits_cleanly(), "it leaves by itself");
     assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
     elsewhere.set_nonblocking(true).expect("open");
     assert!(
@@ -141,33 +148,33 @@
 
 fn says_yes(at: SocketAddr) -> bool {
     let mut front = Peer::connect(at);
-    front.say("PING\r\n");
-    front.hear().as_deref() == Some("PONG")
+    front.send("PING\r\n");
+    front.read_line().as_deref() == Some("PONG")
 }
 
 #[test]
 fn a_program_killed_soon_after_sigterm_leaves_nothing_in_the_way_of_the_next_under_its_name() {
     let mut site = Site::start("killed", 1);
-    let _standing = site.stand();
+    let _standing = site.establish_connection();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     site.program.kill();
-    let env = [("LB_CONFIG", site.path.as_str())];
+    let env = [("LB_CONFIG", site.config_path.as_str())];
     site.program = Program::start(&[], &env);
-    site.program.says("to=serving");
-    assert!(says_yes(site.at));
-    let mut client = site.open("chat", "");
+    site.program.wait_for_log("to=serving");
+    assert!(says_yes(site.address));
+    let mut client = site.open_client("chat", "");
     let _server = serves(&site, &mut client);
 }
 
 #[test]
 fn a_sighup_on_standby_is_followed_and_neither_stops_the_drain_nor_takes_clients_again() {
-    let operations = free();
-    let site = Site::start_with("standby", 1, &[("LB_ADMIN_ADDR", &operations.to_string())]);
-    let _watch = site.discovery.watch();
-    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.stand()).collect();
+    let operations = reserve_address();
+    let site = Site::start_with_env("standby", 1, &[("LB_ADMIN_ADDR", &operations.to_string())]);
+    let _watch = site.discovery.accept_watch();
+    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let api = Api {
-        at: operations,
+        address: operations,
         token: "none is wanted",
     };
     assert_eq!(api.call("POST", "/standby", "").status, 200);
@@ -176,15 +183,15 @@
     let moved = site
         .config
         .replace(&site.discovery.address.to_string(), &address.to_string());
-    std::fs::write(&site.path, moved).expect("the same folder");
+    std::fs::write(&site.config_path, moved).expect("the same folder");
     site.program.signal("HUP");
     let _asked = Peer::accept(&elsewhere);
-    assert!(!says_yes(site.at), "it stands by");
+    assert!(!says_yes(site.address), "it stands by");
     for (client, _) in &mut standing {
-        client.hears("MOVE");
-        client.ended();
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    assert!(!says_yes(site.at), "it still does");
+    assert!(!says_yes(site.address), "it still does");
     assert_eq!(api.call("POST", "/active", "").status, 200);
-    assert!(says_yes(site.at));
+    assert!(says_yes(site.address));
 }
--- a/crates/cli/tests/overrides/balancer.rs
+++ b/crates/cli/tests/overrides/balancer.rs
@@ -9,36 +9,36 @@
 /// A balancer with application servers, discovery and a folder for its store.
 pub struct Site {
     pub program: Option<Program>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub api: Api,
     pub servers: Vec<(String, TcpListener)>,
     pub discovery: Discovery,
     /// The watch that the program follows now.
-    pub watch: Peer,
+    pub discovery_watch: Peer,
     pub generation: u32,
-    pub next: AtomicU32,
+    pub next_client_id: AtomicU32,
     pub folder: tempfile::TempDir,
-    pub config: String,
-    pub operator: String,
+    pub config_path: String,
+    pub operator_path: String,
 }
 
 /// What is set of overrides beside their file.
-pub const USUAL: &str = "ramp_s = 0.4";
+pub const DEFAULT_OVERRIDE_SETTINGS: &str = "ramp_s = 0.4";
 
 impl Site {
     pub fn start(servers: usize) -> Site {
-        Site::set_up(servers, USUAL)
+        Site::start_with_overrides(servers, DEFAULT_OVERRIDE_SETTINGS)
     }
 
-    pub fn set_up(servers: usize, overrides: &str) -> Site {
+    pub fn start_with_overrides(servers: usize, overrides: &str) -> Site {
         let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let (at, admin, discovery) = (free(), free(), Discovery::start());
+        let (at, admin, discovery) = (reserve_address(), reserve_address(), Discovery::start());
         let servers: Vec<(String, TcpListener)> = (0..servers)
             .map(|number| (format!("s{number}"), listener()))
             .collect();
-        let known = list(1, true, &serving(&servers));
+        let known = endpoint_list(1, true, &serving_rows(&servers));
         let config = folder.path().join("config.json");
-        let text = support::config(at, discovery.address, &known, SETTINGS, 256);
+        let text = support::platform_config(at, discovery.address, &known, SETTINGS, 256);
         std::fs::write(&config, text).expect("room");
         let operator = folder.path().join("operator.toml");
         let store = folder.path().join("overrides.redb");
@@ -46,30 +46,30 @@
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {store:?}\n{overrides}\n"
         );
         std::fs::write(&operator, text).expect("room");
-        let (config, operator) = (text_of(&config), text_of(&operator));
-        let program = begin(&operator, &config);
-        program.says("serves front=platform");
-        program.says("administration API serves");
-        let watch = discovery.watch();
+        let (config, operator) = (path_to_string(&config), path_to_string(&operator));
+        let program = start_program(&operator, &config);
+        program.wait_for_log("serves front=platform");
+        program.wait_for_log("administration API serves");
+        let watch = discovery.accept_watch();
         Site {
             program: Some(program),
-            at,
+            address: at,
             api: Api {
-                at: admin,
+                address: admin,
                 token: ADMIN_TOKEN,
             },
             servers,
             discovery,
-            watch,
+            discovery_watch: watch,
             generation: 1,
-            next: AtomicU32::new(1),
+            next_client_id: AtomicU32::new(1),
             folder,
-            config,
-            operator,
+            config_path: config,
+            operator_path: operator,
         }
     }
 
-    pub fn store(&self) -> PathBuf {
+    pub fn store_path(&self) -> PathBuf {
         self.folder.path().join("overrides.redb")
     }
 
@@ -81,22 +81,22 @@
     pub fn restart(&mut self, signal: &str, meanwhile: impl FnOnce(&Site)) {
         let mut program = self.program.take().expect("it runs");
         program.signal(signal);
-        program.ends();
+        program.wait_for_exit();
         drop(program);
         meanwhile(self);
-        let program = begin(&self.operator, &self.config);
-        program.says("serves front=platform");
-        program.says("administration API serves");
-        self.watch = self.discovery.watch();
+        let program = start_program(&self.operator_path, &self.config_path);
+        program.wait_for_log("serves front=platform");
+        program.wait_for_log("administration API serves");
+        self.discovery_watch = self.discovery.accept_watch();
         self.program = Some(program);
     }
 
     /// Tells the program of its farm, and waits until it knows.
-    pub fn list(&mut self, reset: bool, rows: &[(&str, SocketAddr, &str)]) {
+    pub fn send_endpoint_list(&mut self, reset: bool, rows: &[(&str, SocketAddr, &str)]) {
         self.generation += 1;
-        tell(&mut self.watch, self.generation, reset, rows);
+        send_endpoints(&mut self.discovery_watch, self.generation, reset, rows);
         self.program()
-            .says(&format!("generation={}", self.generation));
+            .wait_for_log(&format!("generation={}", self.generation));
     }
 
     pub fn address(&self, server: usize) -> SocketAddr {
@@ -104,27 +104,27 @@
     }
 
     /// A client that has sent its opening, of a group.
-    pub fn open(&self, group: &str) -> Peer {
-        let mut client = Peer::connect(self.at);
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        client.say(&format!("OPEN a{id} 02 c=chat,t=acme,d=2500,g={group}\r\n"));
+    pub fn open_client(&self, group: &str) -> Peer {
+        let mut client = Peer::connect(self.address);
+        let id = self.next_client_id.fetch_add(1, Ordering::Relaxed);
+        client.send(&format!("OPEN a{id} 02 c=chat,t=acme,d=2500,g={group}\r\n"));
         client
     }
 
     /// Opens a connection and lets the server that is asked serve it; tells which one was.
-    pub fn stand(&self, group: &str) -> (usize, Peer, Peer) {
-        let mut client = self.open(group);
-        let (number, mut server) = self.asked();
-        server.hear().expect("an opening");
-        server.say("UP r1\r\n");
-        client.hears("UP r1");
+    pub fn establish_connection(&self, group: &str) -> (usize, Peer, Peer) {
+        let mut client = self.open_client(group);
+        let (number, mut server) = self.accept_attempt();
+        server.read_line().expect("an opening");
+        server.send("UP r1\r\n");
+        client.expect_line("UP r1");
         (number, client, server)
     }
 
     /// The next attempt, at whichever server it comes in.
-    pub fn asked(&self) -> (usize, Peer) {
+    pub fn accept_attempt(&self) -> (usize, Peer) {
         let come = |(number, (_, server)): (usize, &(String, TcpListener))| {
-            Some((number, Peer::accept_now(server)?))
+            Some((number, Peer::try_accept(server)?))
         };
         wait_for("an attempt at a server", || {
             self.servers.iter().enumerate().find_map(come)
@@ -132,26 +132,26 @@
     }
 
     /// Where so many connections go, one after the other; all stay open.
-    pub fn spread(&self, count: usize) -> (Vec<usize>, Vec<(Peer, Peer)>) {
+    pub fn establish_connections(&self, count: usize) -> (Vec<usize>, Vec<(Peer, Peer)>) {
         // Groups of their own, so that no group's place draws them to one server.
         let open = |_| {
-            let (number, client, server) =
-                self.stand(&format!("g{}", self.next.load(Ordering::Relaxed)));
+            let (number, client, server) = self
+                .establish_connection(&format!("g{}", self.next_client_id.load(Ordering::Relaxed)));
             (number, (client, server))
         };
         (0..count).map(open).unzip()
     }
 }
 
-fn text_of(path: &Path) -> String {
+fn path_to_string(path: &Path) -> String {
     path.to_str().expect("text").to_owned()
 }
 
-fn begin(operator: &str, config: &str) -> Program {
+fn start_program(operator: &str, config: &str) -> Program {
     Program::start(&["--operator", operator], &[("LB_CONFIG", config)])
 }
 
-fn serving(servers: &[(String, TcpListener)]) -> Vec<(&str, SocketAddr, &'static str)> {
+fn serving_rows(servers: &[(String, TcpListener)]) -> Vec<(&str, SocketAddr, &'static str)> {
     let row = |(name, server): &'_ (String, TcpListener)| {
         (server.local_addr().expect("bound"), name.len())
     };
@@ -162,7 +162,7 @@
 }
 
 /// When a line was written, in Unix seconds.
-pub fn stamp(line: &str) -> f64 {
+pub fn log_timestamp(line: &str) -> f64 {
     line.split(' ')
         .next()
         .expect("a stamp")
@@ -171,10 +171,10 @@
 }
 
 /// A body of a new override.
-pub fn body(kind: &str, seconds: f64) -> String {
+pub fn override_body(kind: &str, seconds: f64) -> String {
     format!(r#"{{{kind},"who":"ada","why":"maintenance","expires_in_s":{seconds}}}"#)
 }
 
-pub fn out(server: &str, seconds: f64) -> String {
-    body(&format!(r#""kind":"out","server":"{server}""#), seconds)
+pub fn out_override_body(server: &str, seconds: f64) -> String {
+    override_body(&format!(r#""kind":"out","server":"{server}""#), seconds)
 }
--- a/crates/cli/tests/overrides/durable.rs
+++ b/crates/cli/tests/overrides/durable.rs
@@ -1,16 +1,17 @@
 //! What is kept of overrides through restarts, kills, and stores that fail.
 
-use crate::balancer::{Site, body, out};
+use crate::balancer::{Site, out_override_body, override_body};
 use crate::support::*;
 
 #[test]
 fn a_restart_brings_each_override_back_with_its_own_end_and_those_that_ended_meanwhile_stay_ended()
 {
     let mut site = Site::start(2);
-    let stays = site.api.add(&out("s0", 60.0));
-    let ends = site
-        .api
-        .add(&body(r#""kind":"weight","server":"s1","factor":0.5"#, 1.0));
+    let stays = site.api.add_override(&out_override_body("s0", 60.0));
+    let ends = site.api.add_override(&override_body(
+        r#""kind":"weight","server":"s1","factor":0.5"#,
+        1.0,
+    ));
     let before = site
         .api
         .call("GET", &format!("/v1/overrides/{stays}"), "")
@@ -32,7 +33,7 @@
             assert_eq!(before[field], after[field], "{field} after {signal}");
         }
         assert!(after["remaining_s"].as_f64() < before["remaining_s"].as_f64());
-        let (went, _standing) = site.spread(2);
+        let (went, _standing) = site.establish_connections(2);
         assert!(
             went.iter().all(|number| *number == 1),
             "nothing went there before it was known: {went:?}"
@@ -49,7 +50,7 @@
         404
     );
     // Its number is not given again.
-    assert!(site.api.add(&out("s9", 60.0)) > ends);
+    assert!(site.api.add_override(&out_override_body("s9", 60.0)) > ends);
 }
 
 #[test]
@@ -63,7 +64,7 @@
             .duration_since(std::time::UNIX_EPOCH)
             .expect("after 1970");
         let now = u64::try_from(now.as_millis()).expect("before long");
-        let (mut store, _) = open(&site.store()).expect("it is free");
+        let (mut store, _) = open(&site.store_path()).expect("it is free");
         let kind = OverrideKind::Out {
             server: "s0".into(),
             moves_per_s: None,
@@ -82,7 +83,7 @@
         (all.len(), all[0]["effects"]["platform"].as_str()),
         (1, Some("in effect"))
     );
-    let (went, _standing) = site.spread(4);
+    let (went, _standing) = site.establish_connections(4);
     assert!(went.iter().all(|number| *number == 1), "{went:?}");
 }
 
@@ -90,13 +91,13 @@
 fn whatever_was_acknowledged_before_a_kill_is_back_after_it() {
     let mut site = Site::start(1);
     let api = Api {
-        at: site.api.at,
+        address: site.api.address,
         token: ADMIN_TOKEN,
     };
     let (send, acknowledged) = std::sync::mpsc::channel();
     let writer = std::thread::spawn(move || {
         for number in 0.. {
-            let text = out(&format!("x{number}"), 60.0);
+            let text = out_override_body(&format!("x{number}"), 60.0);
             // The program is killed in the middle of some call.
             let Some(answer) = api.try_call("POST", "/v1/overrides", &text) else {
                 return;
@@ -107,12 +108,12 @@
         }
     });
     let mut known: Vec<u64> = (0..20)
-        .map(|_| acknowledged.recv_timeout(PATIENCE).expect("a number"))
+        .map(|_| acknowledged.recv_timeout(TEST_TIMEOUT).expect("a number"))
         .collect();
     // A file read anew in the middle of changes disturbs none of them.
     site.program().signal("HUP");
-    site.program().says("nothing has changed");
-    known.extend((0..20).map(|_| acknowledged.recv_timeout(PATIENCE).expect("a number")));
+    site.program().wait_for_log("nothing has changed");
+    known.extend((0..20).map(|_| acknowledged.recv_timeout(TEST_TIMEOUT).expect("a number")));
     site.restart("KILL", |_| ());
     writer.join().expect("it ended with the program");
     known.extend(acknowledged.try_iter());
@@ -135,10 +136,10 @@
 #[test]
 fn a_store_that_cannot_be_read_never_stops_the_program_from_serving() {
     let mut site = Site::start(2);
-    site.api.add(&out("s0", 60.0));
+    site.api.add_override(&out_override_body("s0", 60.0));
     // Damaged: kept aside, and an empty one begins.
     site.restart("TERM", |site| {
-        std::fs::write(site.store(), "no store at all").expect("room")
+        std::fs::write(site.store_path(), "no store at all").expect("room")
     });
     let answer = site.api.call("GET", "/v1/overrides", "").body;
     assert_eq!(
@@ -168,18 +169,18 @@
         std::fs::read(site.folder.path().join(&aside[0])).expect("kept"),
         b"no store at all"
     );
-    site.api.add(&out("s0", 60.0));
+    site.api.add_override(&out_override_body("s0", 60.0));
     // In use by another program; a folder in its place; no folder at all.
     let mut held = None;
     site.restart("TERM", |site| {
-        held = Some(beaconflow_store::open(&site.store()).expect("free"))
+        held = Some(beaconflow_store::open(&site.store_path()).expect("free"))
     });
     none_are_kept(&site, "another program");
     drop(held);
     // A newer program's.
-    let whole = std::fs::read(site.store()).expect("there");
+    let whole = std::fs::read(site.store_path()).expect("there");
     site.restart("TERM", |site| {
-        let database = redb::Database::create(site.store()).expect("free");
+        let database = redb::Database::create(site.store_path()).expect("free");
         let writing = database.begin_write().expect("open");
         let about = redb::TableDefinition::<&str, u64>::new("about");
         writing
@@ -191,17 +192,17 @@
     });
     none_are_kept(&site, "written by a newer program");
     site.restart("TERM", |site| {
-        std::fs::write(site.store(), &whole).expect("room")
+        std::fs::write(site.store_path(), &whole).expect("room")
     });
     assert_eq!(site.api.overrides().len(), 1, "an older file is read again");
     site.restart("TERM", |site| {
-        std::fs::rename(site.store(), site.folder.path().join("whole")).expect("there");
-        std::fs::create_dir(site.store()).expect("free");
+        std::fs::rename(site.store_path(), site.folder.path().join("whole")).expect("there");
+        std::fs::create_dir(site.store_path()).expect("free");
     });
     none_are_kept(&site, "can't be opened");
     site.restart("TERM", |site| {
-        std::fs::remove_dir(site.store()).expect("there");
-        std::fs::rename(site.folder.path().join("whole"), site.store()).expect("there");
+        std::fs::remove_dir(site.store_path()).expect("there");
+        std::fs::rename(site.folder.path().join("whole"), site.store_path()).expect("there");
     });
     assert_eq!(site.api.overrides().len(), 1, "what was kept all along");
 }
@@ -216,7 +217,9 @@
             .is_some_and(|note| note.contains(why)),
         "{answer}"
     );
-    let refused = site.api.call("POST", "/v1/overrides", &out("s0", 60.0));
+    let refused = site
+        .api
+        .call("POST", "/v1/overrides", &out_override_body("s0", 60.0));
     assert_eq!(refused.status, 503);
     assert!(
         refused.body["error"]
@@ -225,7 +228,7 @@
         "{}",
         refused.body
     );
-    site.stand("north");
+    site.establish_connection("north");
 }
 
 #[test]
@@ -233,31 +236,31 @@
     use std::fs::{Permissions, set_permissions};
     use std::os::unix::fs::PermissionsExt;
     let mut site = Site::start(2);
-    site.api.add(&out("s0", 60.0));
+    site.api.add_override(&out_override_body("s0", 60.0));
     let mut program = site.program.take().expect("it runs");
     program.signal("TERM");
-    program.ends();
-    let before = std::fs::read(site.store()).expect("there");
+    program.wait_for_exit();
+    let before = std::fs::read(site.store_path()).expect("there");
     let copy = tempfile::tempdir().expect("a folder for temporary files");
     set_permissions(copy.path(), Permissions::from_mode(0o755)).expect("ours");
     let binary = copy.path().join("beaconflow");
-    for path in [&site.operator, &site.config] {
+    for path in [&site.operator_path, &site.config_path] {
         set_permissions(path, Permissions::from_mode(0o444)).expect("ours");
     }
-    set_permissions(site.store(), Permissions::from_mode(0o444)).expect("ours");
+    set_permissions(site.store_path(), Permissions::from_mode(0o444)).expect("ours");
     set_permissions(site.folder.path(), Permissions::from_mode(0o555)).expect("ours");
-    let program = Program::start_as_nobody(
+    let program = Program::start_unprivileged(
         &binary,
-        &["--operator", &site.operator],
-        &[("LB_CONFIG", &site.config)],
+        &["--operator", &site.operator_path],
+        &[("LB_CONFIG", &site.config_path)],
     );
-    let said = program.says("none are restored or kept");
+    let said = program.wait_for_log("none are restored or kept");
     assert!(said.contains("denied"), "{said}");
-    program.says("administration API serves");
+    program.wait_for_log("administration API serves");
     site.program = Some(program);
     none_are_kept(&site, "can't be opened");
     assert!(
-        std::fs::read(site.store()).expect("there") == before,
+        std::fs::read(site.store_path()).expect("there") == before,
         "not a byte has changed"
     );
     // The folder is removed at the end.
@@ -267,9 +270,9 @@
 #[test]
 fn a_disk_that_is_full_refuses_a_change_and_changes_nothing() {
     let site = Site::start(2);
-    site.api.add(&out("s0", 60.0));
+    site.api.add_override(&out_override_body("s0", 60.0));
     // No file of the program may grow from here on, as on a disk without room.
-    let size = std::fs::metadata(site.store()).expect("there").len();
+    let size = std::fs::metadata(site.store_path()).expect("there").len();
     let limit = rustix::process::Rlimit {
         current: Some(size),
         maximum: Some(size),
@@ -279,9 +282,11 @@
         .expect("its parent may");
     let mut taken = 1;
     let refused = loop {
-        let answer = site
-            .api
-            .call("POST", "/v1/overrides", &out(&format!("x{taken}"), 60.0));
+        let answer = site.api.call(
+            "POST",
+            "/v1/overrides",
+            &out_override_body(&format!("x{taken}"), 60.0),
+        );
         if answer.status != 201 {
             break answer;
         }
@@ -295,6 +300,6 @@
             .is_some_and(|error| error.contains("nothing was changed"))
     );
     assert_eq!(site.api.overrides().len(), taken, "those before it hold on");
-    let (went, _standing) = site.spread(2);
+    let (went, _standing) = site.establish_connections(2);
     assert!(went.iter().all(|number| *number == 1), "{went:?}");
 }
--- a/crates/cli/tests/overrides/requests.rs
+++ b/crates/cli/tests/overrides/requests.rs
@@ -1,12 +1,12 @@
 //! Requests to the administration API: sent twice, at once, in bad faith, or too many.
 
-use crate::balancer::{Site, body, out};
+use crate::balancer::{Site, out_override_body, override_body};
 
 #[test]
 fn requests_sent_twice_at_once_or_in_bad_faith_do_no_harm() {
     let site = Site::start(2);
     // Sent twice, by one client or by several at once: carried out once.
-    let text = out("s0", 60.0);
+    let text = out_override_body("s0", 60.0);
     let answers: Vec<(u16, u64, bool)> = std::thread::scope(|scope| {
         let send = || {
             let answer =
@@ -39,7 +39,7 @@
         "POST",
         "/v1/overrides",
         "Idempotency-Key: k1\r\n",
-        &out("s1", 60.0),
+        &out_override_body("s1", 60.0),
     );
     assert_eq!(other.status, 422);
     // Two changes at once from the same revision: one is told that it came late.
@@ -87,37 +87,37 @@
             vec!["server", "kind"],
         ),
         (
-            &body(r#""kind":"weight","server":"s0","factor":0"#, 9.0),
+            &override_body(r#""kind":"weight","server":"s0","factor":0"#, 9.0),
             422,
             vec!["factor"],
         ),
         (
-            &body(r#""kind":"weight","server":"s0","factor":"2""#, 9.0),
+            &override_body(r#""kind":"weight","server":"s0","factor":"2""#, 9.0),
             422,
             vec!["factor"],
         ),
         (
-            &body(r#""kind":"weight","server":"s0","factor":1e999"#, 9.0),
+            &override_body(r#""kind":"weight","server":"s0","factor":1e999"#, 9.0),
             400,
             vec![],
         ),
         (
-            &body(r#""kind":"out","server":7"#, 9.0),
+            &override_body(r#""kind":"out","server":7"#, 9.0),
             422,
             vec!["server"],
         ),
         (
-            &body(r#""kind":"out","server":"s0","factor":2"#, 9.0),
+            &override_body(r#""kind":"out","server":"s0","factor":2"#, 9.0),
             422,
             vec!["body"],
         ),
         (
-            &body(r#""kind":"pin","server":"s0""#, 9.0),
+            &override_body(r#""kind":"pin","server":"s0""#, 9.0),
             422,
             vec!["group"],
         ),
         (
-            &body(
+            &override_body(
                 r#""kind":"pin","server":"s0","group":"a","tenant":"b""#,
                 9.0,
             ),
@@ -125,19 +125,23 @@
             vec!["group", "body"],
         ),
         (
-            &body(
+            &override_body(
                 r#""kind":"pin","server":"s0","group":"a","mode":"hard""#,
                 9.0,
             ),
             422,
             vec!["mode"],
         ),
-        (&out("s0", -1.0), 422, vec!["expires_in_s"]),
-        (&out("s0", 1e300), 422, vec!["expires"]),
-        (&out("s0", 604_801.0), 422, vec!["expires"]),
-        (&out(&"s".repeat(200), 9.0), 422, vec!["server"]),
+        (&out_override_body("s0", -1.0), 422, vec!["expires_in_s"]),
+        (&out_override_body("s0", 1e300), 422, vec!["expires"]),
+        (&out_override_body("s0", 604_801.0), 422, vec!["expires"]),
         (
-            &out("s0", 9.0).replace("maintenance", r"a\nb"),
+            &out_override_body(&"s".repeat(200), 9.0),
+            422,
+            vec!["server"],
+        ),
+        (
+            &out_override_body("s0", 9.0).replace("maintenance", r"a\nb"),
             422,
             vec!["why"],
         ),
@@ -179,28 +183,29 @@
     // None of it changed what holds.
     let all = site.api.overrides();
     assert_eq!((all.len(), all[0]["revision"].as_u64()), (1, Some(2)));
-    site.stand("north");
+    site.establish_connection("north");
 }
 
 #[test]
 fn there_are_as_many_as_may_be_and_no_more() {
     // Without a ramp what comes back is back at once.
-    let site = Site::set_up(1, "most = 3\nlongest_s = 10\nramp_s = 0");
+    let site = Site::start_with_overrides(1, "most = 3\nlongest_s = 10\nramp_s = 0");
     for number in 0..3 {
-        site.api.add(&out(&format!("x{number}"), 9.0));
+        site.api
+            .add_override(&out_override_body(&format!("x{number}"), 9.0));
     }
     assert_eq!(
         site.api
-            .call("POST", "/v1/overrides", &out("x9", 9.0))
+            .call("POST", "/v1/overrides", &out_override_body("x9", 9.0))
             .status,
         409
     );
     assert_eq!(
         site.api
-            .call("POST", "/v1/overrides", &out("x9", 11.0))
+            .call("POST", "/v1/overrides", &out_override_body("x9", 11.0))
             .status,
         422
     );
     assert_eq!(site.api.call("DELETE", "/v1/overrides/1", "").status, 200);
-    site.api.add(&out("x9", 9.0));
+    site.api.add_override(&out_override_body("x9", 9.0));
 }
--- a/crates/cli/tests/roll.rs
+++ b/crates/cli/tests/roll.rs
@@ -19,11 +19,12 @@
 #[test]
 fn a_file_that_says_nothing_sound_at_sighup_changes_nothing_and_the_log_names_what_is_wrong() {
     let site = Site::start("unsound", 2);
-    let _watch = site.discovery.watch();
-    let (mut client, mut server) = site.stand();
-    let elsewhere = site
-        .config
-        .replace(&site.discovery.address.to_string(), &free().to_string());
+    let _watch = site.discovery.accept_watch();
+    let (mut client, mut server) = site.establish_connection();
+    let elsewhere = site.config.replace(
+        &site.discovery.address.to_string(),
+        &reserve_address().to_string(),
+    );
     for (from, to, why) in [
         ("\"n0\"", "7", "name: invalid type"),
         (
@@ -66,88 +67,92 @@
         } else {
             spoilt
         };
-        std::fs::write(&site.path, &spoilt).expect("the same folder");
+        std::fs::write(&site.config_path, &spoilt).expect("the same folder");
         site.program.signal("HUP");
-        let said = site.program.says("present configuration kept");
+        let said = site.program.wait_for_log("present configuration kept");
         assert!(said.contains(why), "{to}: {said}");
     }
-    std::fs::remove_file(&site.path).expect("it is there");
+    std::fs::remove_file(&site.config_path).expect("it is there");
     site.program.signal("HUP");
     assert!(
         site.program
-            .says("present configuration kept")
+            .wait_for_log("present configuration kept")
             .contains("No such file")
     );
-    client.say("M 1\r\n");
-    server.hears("M 1");
-    let _serves_on = site.stand();
-    std::fs::write(&site.path, &site.config).expect("the same folder");
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
+    let _serves_on = site.establish_connection();
+    std::fs::write(&site.config_path, &site.config).expect("the same folder");
     site.program.signal("HUP");
-    site.program.says("nothing has changed");
+    site.program.wait_for_log("nothing has changed");
 }
 
 #[test]
 fn a_count_of_balancers_changed_by_sighup_is_taken_over_and_standing_connections_feel_nothing() {
     let site = Site::start("counted", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     // One of a few has twelve set-ups under way at first, one of 300 no more than one at once.
     let more = site.config.replace("\"balancers\":1", "\"balancers\":300");
-    std::fs::write(&site.path, more).expect("the same folder");
+    std::fs::write(&site.config_path, more).expect("the same folder");
     site.program.signal("HUP");
-    assert!(site.program.says("taken over").contains("300 balancers"));
-    let mut first = site.open("once", "");
+    assert!(
+        site.program
+            .wait_for_log("taken over")
+            .contains("300 balancers")
+    );
+    let mut first = site.open_client("once", "");
     let mut asked = Peer::accept(&site.servers[0]);
-    asked.hear().expect("an opening");
-    let mut second = site.open("once", "");
+    asked.read_line().expect("an opening");
+    let mut second = site.open_client("once", "");
     std::thread::sleep(Duration::from_millis(100));
     site.servers[0].set_nonblocking(true).expect("open");
     assert!(
         site.servers[0].accept().is_err(),
         "its part of what the fleet may set up is out"
     );
-    asked.say("UP r1\r\n");
-    first.hears("UP r1");
+    asked.send("UP r1\r\n");
+    first.expect_line("UP r1");
     let mut asked = Peer::accept(&site.servers[0]);
-    asked.hear().expect("an opening");
-    asked.say("UP r2\r\n");
-    second.hears("UP r2");
-    client.say("M 1\r\n");
-    server.hears("M 1");
+    asked.read_line().expect("an opening");
+    asked.send("UP r2\r\n");
+    second.expect_line("UP r2");
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
     site.program.signal("HUP");
-    site.program.says("nothing has changed");
+    site.program.wait_for_log("nothing has changed");
 }
 
 #[test]
 fn after_sigterm_what_rests_is_served_or_ended_and_nothing_that_comes_after_the_end_is_sent_on() {
     let mut site = Site::start("rests", 1);
-    let (mut stays, mut server) = site.stand();
-    let mut silent = Peer::connect(site.at);
-    let mut resting = Peer::connect(site.at);
-    resting.say("PING\r\n");
-    resting.hears("PONG");
-    server.say("hal");
-    assert_eq!(stays.bytes(3), "hal");
+    let (mut stays, mut server) = site.establish_connection();
+    let mut silent = Peer::connect(site.address);
+    let mut resting = Peer::connect(site.address);
+    resting.send("PING\r\n");
+    resting.expect_line("PONG");
+    server.send("hal");
+    assert_eq!(stays.read_text(3), "hal");
     let told = Instant::now();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     // A request on a connection that rested is served, and moved with the others.
-    resting.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    resting.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     let mut late = Peer::accept(&site.servers[0]);
-    late.hear().expect("an opening");
-    late.say("UP r2\r\n");
-    resting.hears("UP r2");
+    late.read_line().expect("an opening");
+    late.send("UP r2\r\n");
+    resting.expect_line("UP r2");
     // Half a line of a server ends before the move.
-    server.say("f\r\n");
-    stays.hears("f");
-    stays.hears("MOVE");
+    server.send("f\r\n");
+    stays.expect_line("f");
+    stays.expect_line("MOVE");
     // A client that does not let go: what it says now was read after the shutdown.
-    stays.say("M late\r\n");
-    stays.ended();
-    server.ended();
-    resting.hears("MOVE");
-    resting.ended();
+    stays.send("M late\r\n");
+    stays.expect_end();
+    server.expect_end();
+    resting.expect_line("MOVE");
+    resting.expect_end();
     // One that never said anything has an answer or an end, and no reset.
-    let last = silent.hear();
+    let last = silent.read_line();
     assert!(
         matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
         "{last:?}"
@@ -156,7 +161,7 @@
     let _ = silent
         .stream
         .write_all(b"OPEN b2 02 c=chat,t=acme,d=2500,g=3\r\n");
-    assert!(site.program.left(), "it leaves by itself");
+    assert!(site.program.exits_cleanly(), "it leaves by itself");
     site.servers[0].set_nonblocking(true).expect("open");
     assert!(
         site.servers[0].accept().is_err(),
@@ -182,7 +187,7 @@
             .iter()
             .map(|(name, at, state)| (name.as_str(), *at, *state))
             .collect();
-        let list = list(self.generation, reset, &rows);
+        let list = endpoint_list(self.generation, reset, &rows);
         format!("{:x}\r\n{list}\n\r\n", list.len() + 1)
     }
 }
@@ -196,10 +201,13 @@
                     return;
                 };
                 let mut peer = Peer::new(stream);
-                while peer.hear_or_end().is_some_and(|line| line.trim_end() != "") {}
+                while peer
+                    .read_line_or_end()
+                    .is_some_and(|line| line.trim_end() != "")
+                {}
                 let mut told = farm.0.lock().expect("sound");
                 let whole = told.list(true, &told.servers);
-                peer.say(&format!(
+                peer.send(&format!(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{whole}"
                 ));
                 told.watches.push(peer.stream);
@@ -250,7 +258,7 @@
             let seen = Arc::clone(&seen);
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                let Some(opening) = peer.hear_or_end() else {
+                let Some(opening) = peer.read_line_or_end() else {
                     return;
                 };
                 let id = opening.split(' ').nth(1).unwrap_or_default().to_owned();
@@ -258,7 +266,7 @@
                     .expect("sound")
                     .push((number, id, Instant::now()));
                 let _ = peer.stream.write_all(b"UP r\r\n");
-                while peer.hear_or_end().is_some() {}
+                while peer.read_line_or_end().is_some() {}
             });
         }
     });
@@ -298,10 +306,10 @@
                 continue;
             };
             let mut client = Peer::new(stream);
-            client.say(&format!(
+            client.send(&format!(
                 "OPEN {id} {number:x} c=chat,t=acme,d=2500,g={number}\r\n"
             ));
-            match client.hear_or_end() {
+            match client.read_line_or_end() {
                 Some(line) if line.starts_with("UP ") => {
                     self.served.fetch_add(1, Ordering::SeqCst);
                     held.push_back(client);
@@ -347,17 +355,23 @@
         .replace("400000000,", "2000000000,");
     let start = |number: usize, at: SocketAddr| {
         // The known list is that of the beginning, also at a restart.
-        let config = config(at, watched_at, &list(1, true, &known), &settings, 1024);
-        let path = file(&format!("roll{number}"), &config);
+        let config = platform_config(
+            at,
+            watched_at,
+            &endpoint_list(1, true, &known),
+            &settings,
+            1024,
+        );
+        let path = write_temp_file(&format!("roll{number}"), &config);
         Program::start(&[], &[("LB_CONFIG", path.as_str())])
     };
-    let addresses: Vec<SocketAddr> = (0..BALANCERS).map(|_| free()).collect();
+    let addresses: Vec<SocketAddr> = (0..BALANCERS).map(|_| reserve_address()).collect();
     let mut programs: Vec<Program> = (0..BALANCERS)
         .map(|number| start(number, addresses[number]))
         .collect();
     programs
         .iter()
-        .for_each(|program| drop(program.says("to=serving")));
+        .for_each(|program| drop(program.wait_for_log("to=serving")));
     let clients = Clients {
         balancers: addresses
             .iter()
@@ -372,7 +386,7 @@
     let served_beyond = |count: usize| {
         let (from, until) = (
             clients.served.load(Ordering::SeqCst),
-            Instant::now() + PATIENCE,
+            Instant::now() + TEST_TIMEOUT,
         );
         while clients.served.load(Ordering::SeqCst) < from + count {
             assert!(Instant::now() < until, "nobody is served");
@@ -402,14 +416,14 @@
             replace(at, &mut told_at);
             served_beyond(50);
         });
-        assert!(programs[0].left(), "it leaves by itself");
+        assert!(programs[0].exits_cleanly(), "it leaves by itself");
         programs[0] = start(0, addresses[0]);
         clients.lives[0].store(1, Ordering::SeqCst);
         // As the front does: it is let in once it says yes.
         while {
             let mut front = Peer::connect(addresses[0]);
-            front.say("PING\r\n");
-            front.hear().as_deref() != Some("PONG")
+            front.send("PING\r\n");
+            front.read_line().as_deref() != Some("PONG")
         } {}
         clients.balancers[0].1.store(true, Ordering::SeqCst);
         served_beyond(200);
--- a/crates/cli/tests/starting.rs
+++ b/crates/cli/tests/starting.rs
@@ -36,7 +36,7 @@
 /// Plays it for as long as the test runs; gives its address.
 fn plays(how: Plays) -> SocketAddr {
     if matches!(how, Plays::Down) {
-        return free();
+        return reserve_address();
     }
     if matches!(how, Plays::Full) {
         return full();
@@ -48,15 +48,15 @@
         while let Ok((stream, _)) = listener.accept() {
             let mut call = Peer::new(stream);
             while call
-                .hear_or_end()
+                .read_line_or_end()
                 .is_some_and(|line| !line.trim_end().is_empty())
             {}
             match how {
                 Plays::Refuses => {
-                    call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+                    call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 }
                 Plays::HeadAlone => {
-                    call.say(HEAD);
+                    call.send(HEAD);
                     kept.push(call);
                 }
                 Plays::Silent => kept.push(call),
@@ -90,7 +90,9 @@
 fn answer_to_ping(at: SocketAddr) -> Option<String> {
     let mut front = Peer::connect(at);
     let _ = front.stream.write_all(b"PING\r\n");
-    front.hear_or_end().map(|line| line.trim_end().to_owned())
+    front
+        .read_line_or_end()
+        .map(|line| line.trim_end().to_owned())
 }
 
 #[test]
@@ -100,21 +102,21 @@
         for discovery in [Down, Full, Silent, Refuses, Resets, HeadAlone] {
             for kind in ["subscribe", "automatic"] {
                 scope.spawn(move || {
-                    let (server, front) = (listener(), free());
+                    let (server, front) = (listener(), reserve_address());
                     let settings = SETTINGS
                         .replace("subscribe", kind)
                         .replace("\"balancers\":1,", "\"balancers\":300,")
                         .replace("400000000,", "4000000000,")
                         .replace("3000000000", "9000000000");
                     let rows = [("s0", at(&server), "SERVING")];
-                    let text = config(
+                    let text = platform_config(
                         front,
                         plays(discovery),
-                        &list(1, true, &rows),
+                        &endpoint_list(1, true, &rows),
                         &settings,
                         256,
                     );
-                    let path = file(&format!("start-{kind}-{discovery:?}"), &text);
+                    let path = write_temp_file(&format!("start-{kind}-{discovery:?}"), &text);
                     let begun = Instant::now();
                     let _program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
                     while answer_to_ping(front).as_deref() != Some("PONG") {}
@@ -125,11 +127,11 @@
                     );
                     // Who says yes serves.
                     let mut client = Peer::connect(front);
-                    client.say("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
+                    client.send("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
                     let mut peer = Peer::accept(&server);
-                    peer.hear().expect("an opening");
-                    peer.say("UP r1\r\n");
-                    client.hears("UP r1");
+                    peer.read_line().expect("an opening");
+                    peer.send("UP r1\r\n");
+                    client.expect_line("UP r1");
                 });
             }
         }
@@ -138,24 +140,31 @@
 
 #[test]
 fn a_process_that_knows_no_server_says_no_until_a_list_comes() {
-    let (discovery, server, front) = (listener(), listener(), free());
+    let (discovery, server, front) = (listener(), listener(), reserve_address());
     // Its version is of no use: what changed since would not be all that there is.
-    let text = config(front, at(&discovery), &list(41, true, &[]), SETTINGS, 256);
-    let path = file("none", &text);
+    let text = platform_config(
+        front,
+        at(&discovery),
+        &endpoint_list(41, true, &[]),
+        SETTINGS,
+        256,
+    );
+    let path = write_temp_file("none", &text);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     let mut call = Peer::accept(&discovery);
     assert!(
-        call.hear().is_some_and(|line| line.contains("from=0 ")),
+        call.read_line()
+            .is_some_and(|line| line.contains("from=0 ")),
         "the whole list"
     );
-    while call.hear().is_some_and(|line| !line.is_empty()) {}
+    while call.read_line().is_some_and(|line| !line.is_empty()) {}
     let no = answer_to_ping(front);
     assert!(no.is_some() && no.as_deref() != Some("PONG"), "{no:?}");
-    call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let mut call = Peer::accept(&discovery);
-    while call.hear().is_some_and(|line| !line.is_empty()) {}
-    call.say(HEAD);
-    tell(&mut call, 1, true, &[("s0", at(&server), "SERVING")]);
-    program.says("to=serving");
+    while call.read_line().is_some_and(|line| !line.is_empty()) {}
+    call.send(HEAD);
+    send_endpoints(&mut call, 1, true, &[("s0", at(&server), "SERVING")]);
+    program.wait_for_log("to=serving");
     assert_eq!(answer_to_ping(front).as_deref(), Some("PONG"));
 }
--- a/crates/cli/tests/support/api.rs
+++ b/crates/cli/tests/support/api.rs
@@ -3,18 +3,18 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::{PATIENCE, Peer};
+use super::{Peer, TEST_TIMEOUT};
 
 /// The administration API of a program under test.
 pub struct Api {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub token: &'static str,
 }
 
 pub const ADMIN_TOKEN: &str = "an operator's own token";
 
 /// What the API answers: status, headers as they come, and a body.
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: serde_json::Value,
@@ -22,49 +22,55 @@
 
 impl Api {
     /// A call with further headers, each whole and ended.
-    pub fn call_with(&self, method: &str, path: &str, headers: &str, body: &str) -> Answer {
+    pub fn call_with(&self, method: &str, path: &str, headers: &str, body: &str) -> Response {
         // The program may have begun to serve its clients a moment before.
-        let stream = Peer::connect(self.at).stream;
-        self.ask(stream, method, path, headers, body)
+        let stream = Peer::connect(self.address).stream;
+        self.send_request(stream, method, path, headers, body)
             .expect("it answers")
     }
 
     /// A call to a program that may be killed meanwhile.
-    pub fn try_call(&self, method: &str, path: &str, body: &str) -> Option<Answer> {
-        self.ask(TcpStream::connect(self.at).ok()?, method, path, "", body)
+    pub fn try_call(&self, method: &str, path: &str, body: &str) -> Option<Response> {
+        self.send_request(
+            TcpStream::connect(self.address).ok()?,
+            method,
+            path,
+            "",
+            body,
+        )
     }
 
-    fn ask(
+    fn send_request(
         &self,
         mut stream: TcpStream,
         method: &str,
         path: &str,
         headers: &str,
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n{headers}",
             self.token
         );
         write!(stream, "{head}Content-Length: {}\r\n\r\n{body}", body.len()).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).expect("open");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("open");
         let mut reply = String::new();
         stream.read_to_string(&mut reply).ok()?;
         let (head, body) = reply.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        Some(Answer {
+        Some(Response {
             status,
             head: head.to_owned(),
             body: serde_json::from_str(body).unwrap_or_default(),
         })
     }
 
-    pub fn call(&self, method: &str, path: &str, body: &str) -> Answer {
+    pub fn call(&self, method: &str, path: &str, body: &str) -> Response {
         self.call_with(method, path, "", body)
     }
 
     /// Adds an override that has to be taken; gives its number.
-    pub fn add(&self, body: &str) -> u64 {
+    pub fn add_override(&self, body: &str) -> u64 {
         let answer = self.call("POST", "/v1/overrides", body);
         assert_eq!(answer.status, 201, "{}", answer.body);
         answer.body["id"].as_u64().expect("a number")
@@ -72,7 +78,7 @@
 
     /// Has an override end very soon; gives the moment, in Unix seconds. A story that gave it a short life from the
     /// start would race with a loaded machine.
-    pub fn shorten(&self, id: u64) -> f64 {
+    pub fn expire_soon(&self, id: u64) -> f64 {
         let answer = self.call(
             "PATCH",
             &format!("/v1/overrides/{id}"),
@@ -94,7 +100,7 @@
     }
 
     /// A server's row in the farm.
-    pub fn server(&self, name: &str) -> serde_json::Value {
+    pub fn server_row(&self, name: &str) -> serde_json::Value {
         let farm = self.call("GET", "/v1/farm", "").body;
         let rows = farm["servers"].as_array().expect("a list");
         rows.iter()
--- a/crates/cli/tests/support/discovery.rs
+++ b/crates/cli/tests/support/discovery.rs
@@ -7,14 +7,14 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use super::{PATIENCE, Peer, listener};
+use super::{Peer, TEST_TIMEOUT, listener};
 
 /// Discovery: each watch begins with the present list and is then told what the test says. It beats unless told not
 /// to: a story that is slow on a loaded machine would talk to a watch that the program has given up.
 pub struct Discovery {
     pub address: SocketAddr,
     watches: Receiver<Peer>,
-    beats: Arc<AtomicBool>,
+    sends_heartbeats: Arc<AtomicBool>,
 }
 
 impl Discovery {
@@ -28,28 +28,28 @@
         Discovery {
             address,
             watches,
-            beats,
+            sends_heartbeats: beats,
         }
     }
 
     /// The next watch that is asked for.
-    pub fn watch(&self) -> Peer {
-        self.watches.recv_timeout(PATIENCE).expect("a watch")
+    pub fn accept_watch(&self) -> Peer {
+        self.watches.recv_timeout(TEST_TIMEOUT).expect("a watch")
     }
 
     /// The same, if one is asked for within so long.
-    pub fn watch_within(&self, span: Duration) -> Option<Peer> {
+    pub fn accept_watch_within(&self, span: Duration) -> Option<Peer> {
         self.watches.recv_timeout(span).ok()
     }
 
     /// Sends heartbeats again on watches that are asked for from now on.
-    pub fn speaks_again(&self) {
-        self.beats.store(true, Ordering::Relaxed);
+    pub fn resume_heartbeats(&self) {
+        self.sends_heartbeats.store(true, Ordering::Relaxed);
     }
 
     /// Sends no more heartbeats.
-    pub fn falls_silent(&self) {
-        self.beats.store(false, Ordering::Relaxed);
+    pub fn stop_heartbeats(&self) {
+        self.sends_heartbeats.store(false, Ordering::Relaxed);
     }
 }
 
@@ -59,13 +59,13 @@
             return;
         };
         let mut peer = Peer::new(stream);
-        let asked = peer.hear().expect("a request");
+        let asked = peer.read_line().expect("a request");
         assert!(
             asked.starts_with("GET /api/targets?watch=1&from="),
             "{asked}"
         );
-        while peer.hear().is_some_and(|line| !line.is_empty()) {}
-        peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        while peer.read_line().is_some_and(|line| !line.is_empty()) {}
+        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let (mut stream, beats) = (peer.stream.try_clone().expect("open"), Arc::clone(beats));
         std::thread::spawn(move || {
             while beats.load(Ordering::Relaxed) && stream.write_all(b"1\r\n\n\r\n").is_ok() {
@@ -79,12 +79,17 @@
 }
 
 /// Tells a watch of servers: name, address, lifecycle.
-pub fn tell(watch: &mut Peer, generation: u32, reset: bool, servers: &[(&str, SocketAddr, &str)]) {
-    let list = list(generation, reset, servers);
-    watch.say(&format!("{:x}\r\n{list}\n\r\n", list.len() + 1));
+pub fn send_endpoints(
+    watch: &mut Peer,
+    generation: u32,
+    reset: bool,
+    servers: &[(&str, SocketAddr, &str)],
+) {
+    let list = endpoint_list(generation, reset, servers);
+    watch.send(&format!("{:x}\r\n{list}\n\r\n", list.len() + 1));
 }
 
-pub fn list(generation: u32, reset: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
+pub fn endpoint_list(generation: u32, reset: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
     let row = |(name, address, state): &(&str, SocketAddr, &str)| {
         format!(
             r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"a","lifecycle":"{state}","weight":1.0}}"#
--- a/crates/cli/tests/support/late.rs
+++ b/crates/cli/tests/support/full_backlog_server.rs
@@ -3,32 +3,32 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use super::{PATIENCE, Peer, listener};
+use super::{Peer, TEST_TIMEOUT, listener};
 
 /// The server. One connection fills its queue, so that the system leaves further ones unanswered; they try again
 /// after about a second.
-pub struct Late {
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
-    filler: TcpStream,
+    backlog_filler: TcpStream,
 }
 
-impl Late {
-    pub fn start() -> Late {
+impl FullBacklogServer {
+    pub fn start() -> FullBacklogServer {
         let listener = listener();
         let address = listener.local_addr().expect("bound");
         rustix::net::listen(&listener, 0).expect("it listens already");
         let filler = TcpStream::connect(address).expect("room for one");
-        Late {
+        FullBacklogServer {
             address,
             listener,
-            filler,
+            backlog_filler: filler,
         }
     }
 
     /// Waits until a connection is under way, or none is any more.
-    pub fn waits_for(&self, is_connecting: bool) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_until_connecting_is(&self, is_connecting: bool) {
+        let until = Instant::now() + TEST_TIMEOUT;
         while is_connecting_to(self.address) != is_connecting {
             assert!(
                 Instant::now() < until,
@@ -39,20 +39,20 @@
     }
 
     /// Makes room, so that what still tries comes up.
-    pub fn comes_up(self) -> TcpListener {
+    pub fn free_backlog(self) -> TcpListener {
         drop(self.listener.accept().expect("the one that filled it"));
-        drop(self.filler);
+        drop(self.backlog_filler);
         self.listener
     }
 
     /// Makes room and gives the first words that anybody says within this span.
-    pub fn comes_up_and_hears(self, within: Duration) -> Option<String> {
-        first_words(&self.comes_up(), within)
+    pub fn free_backlog_and_read(self, within: Duration) -> Option<String> {
+        first_line_received(&self.free_backlog(), within)
     }
 }
 
 /// The first words that anybody says to a server within this span; connections that end without words are none.
-pub fn first_words(listener: &TcpListener, within: Duration) -> Option<String> {
+pub fn first_line_received(listener: &TcpListener, within: Duration) -> Option<String> {
     listener.set_nonblocking(true).expect("open");
     let until = Instant::now() + within;
     while Instant::now() < until {
@@ -61,7 +61,7 @@
             continue;
         };
         stream.set_nonblocking(false).expect("open");
-        if let Some(words) = Peer::new(stream).hear_or_end() {
+        if let Some(words) = Peer::new(stream).read_line_or_end() {
             return Some(words);
         }
     }
--- a/crates/cli/tests/support/held.rs
+++ b/crates/cli/tests/support/gated_server.rs
@@ -7,9 +7,9 @@
 
 use super::listener;
 
-/// Which wire it speaks.
+/// Which protocol it speaks.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Wire {
+pub enum Protocol {
     Platform,
     Nats,
 }
@@ -17,21 +17,21 @@
 #[derive(Default)]
 struct State {
     /// First words of each set-up, as they came: the OPEN line or the CONNECT line.
-    came: Vec<String>,
+    setups: Vec<String>,
     /// So many of them may stand.
-    allowed: usize,
+    admitted_count: usize,
     /// They stand by themselves after a time by chance: its mean, and what the next one is drawn from.
-    slow: Option<(Duration, u64)>,
+    random_delay: Option<(Duration, u64)>,
 }
 
 /// The server.
-pub struct Held {
+pub struct GatedServer {
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
-impl Held {
-    pub fn start(wire: Wire) -> Held {
+impl GatedServer {
+    pub fn start(protocol: Protocol) -> GatedServer {
         let listener: TcpListener = listener();
         let address = listener.local_addr().expect("bound");
         let state: Arc<(Mutex<State>, Condvar)> = Arc::default();
@@ -39,48 +39,52 @@
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let state = Arc::clone(&shared);
-                std::thread::spawn(move || serve(&stream, wire, &state));
+                std::thread::spawn(move || serve_connection(&stream, protocol, &state));
             }
         });
-        Held { address, state }
+        GatedServer { address, state }
     }
 
     /// Its set-ups take a time by chance, exponential with this mean.
-    pub fn slow(wire: Wire, mean: Duration, seed: u64) -> Held {
-        let held = Held::start(wire);
-        let state = Arc::clone(&held.state);
-        state.0.lock().expect("sound").slow = Some((mean, seed));
-        held
+    pub fn start_with_random_delay(protocol: Protocol, mean: Duration, seed: u64) -> GatedServer {
+        let server = GatedServer::start(protocol);
+        let state = Arc::clone(&server.state);
+        state.0.lock().expect("sound").random_delay = Some((mean, seed));
+        server
     }
 
     /// Lets so many set-ups more stand, in the order in which they came.
-    pub fn allow(&self, more: usize) {
+    pub fn admit(&self, more: usize) {
         let mut state = self.state.0.lock().expect("sound");
-        state.allowed = state.allowed.saturating_add(more);
+        state.admitted_count = state.admitted_count.saturating_add(more);
         self.state.1.notify_all();
     }
 
     /// Waits until so many set-ups have come; gives their first words.
-    pub fn came(&self, count: usize) -> Vec<String> {
+    pub fn wait_for_setups(&self, count: usize) -> Vec<String> {
         let state = self.state.0.lock().expect("sound");
-        let waits = |state: &mut State| state.came.len() < count;
+        let waits = |state: &mut State| state.setups.len() < count;
         let (state, late) = self
             .state
             .1
-            .wait_timeout_while(state, super::PATIENCE, waits)
+            .wait_timeout_while(state, super::TEST_TIMEOUT, waits)
             .expect("sound");
         assert!(
             !late.timed_out(),
             "{} of {count} set-ups came",
-            state.came.len()
+            state.setups.len()
         );
-        state.came.clone()
+        state.setups.clone()
     }
 }
 
 /// One connection to its end. Nothing is said to a peer that has left.
-fn serve(mut stream: &TcpStream, wire: Wire, (state, changed): &(Mutex<State>, Condvar)) {
-    if wire == Wire::Nats
+fn serve_connection(
+    mut stream: &TcpStream,
+    protocol: Protocol,
+    (state, changed): &(Mutex<State>, Condvar),
+) {
+    if protocol == Protocol::Nats
         && stream
             .write_all(b"INFO {\"server_id\":\"x\",\"max_payload\":1024}\r\n")
             .is_err()
@@ -92,25 +96,25 @@
     if reader.read_line(&mut line).unwrap_or(0) == 0 {
         return;
     }
-    let mut held = state.lock().expect("sound");
-    if let Some((mean, seed)) = &mut held.slow {
+    let mut state_guard = state.lock().expect("sound");
+    if let Some((mean, seed)) = &mut state_guard.random_delay {
         *seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         let span = mean.mul_f64(-(1.0 - (*seed >> 11) as f64 / (1_u64 << 53) as f64).ln());
-        drop(held);
+        drop(state_guard);
         std::thread::sleep(span);
     } else {
-        held.came.push(line.trim_end().to_owned());
-        let number = held.came.len();
+        state_guard.setups.push(line.trim_end().to_owned());
+        let number = state_guard.setups.len();
         changed.notify_all();
         drop(
             changed
-                .wait_while(held, |state| state.allowed < number)
+                .wait_while(state_guard, |state| state.admitted_count < number)
                 .expect("sound"),
         );
     }
-    let word: &[u8] = if wire == Wire::Nats {
+    let word: &[u8] = if protocol == Protocol::Nats {
         b"PONG\r\n"
     } else {
         b"UP r1\r\n"
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -5,8 +5,8 @@
 pub mod api;
 pub mod discovery;
 pub mod fleet;
-pub mod held;
-pub mod late;
+pub mod full_backlog_server;
+pub mod gated_server;
 pub mod nats;
 pub mod peer;
 pub mod program;
@@ -19,15 +19,15 @@
 
 #[allow(unused_imports, reason = "each test file uses its part")]
 pub use self::{
-    api::{ADMIN_TOKEN, Answer, Api},
-    discovery::{Discovery, list, tell},
-    peer::{Peer, obliges},
+    api::{ADMIN_TOKEN, Api, Response},
+    discovery::{Discovery, endpoint_list, send_endpoints},
+    peer::{Peer, serve_all_openings},
     program::Program,
 };
 
 /// Longer than anything here takes; a test that waits for so long has failed. A client of a draining server is moved by
 /// odds of a quarter in each second: one in eighteen waits for over ten.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 pub const SETTINGS: &str = r#"{"discovery":"subscribe","zones":["a"],"zone":0,"balancers":1,
     "lanes":[{"name":"chat","on-time-ns":400000000,"hard-limit-ns":3000000000,"effect":"retryable","value":1.0},
@@ -36,17 +36,17 @@
     "rules":{"cold-share":0.2,"cold-ns":20000000000,"tip-multiple":3.0,"fall-ns":1500000000,"ask-within-ns":10000000000}}"#;
 
 /// A condition that is waited for is looked at this often.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Waits until something is there, and gives it. Guards against a test that would wait without an end.
 pub fn wait_for<T>(what: &str, look: impl Fn() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(found) = look() {
             return found;
         }
         assert!(Instant::now() < until, "never came: {what}");
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -61,7 +61,7 @@
 
 /// An address that is free, and stays reserved for as long as the test's process lives: a port that
 /// was only looked up may be taken before the program listens there.
-pub fn free() -> SocketAddr {
+pub fn reserve_address() -> SocketAddr {
     let reserved = ReservedAddress::default();
     let address = reserved.address;
     std::mem::forget(reserved);
@@ -69,7 +69,7 @@
 }
 
 /// The platform's configuration file: where clients connect, where discovery is, what was known of the farm.
-pub fn config(
+pub fn platform_config(
     at: SocketAddr,
     discovery: SocketAddr,
     known: &str,
@@ -83,7 +83,7 @@
 }
 
 /// A file for one test.
-pub fn file(name: &str, text: &str) -> String {
+pub fn write_temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("beaconflow-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("a folder for temporary files");
     path.to_str().expect("text").to_owned()
--- a/crates/cli/tests/support/nats.rs
+++ b/crates/cli/tests/support/nats.rs
@@ -13,42 +13,42 @@
 
 /// What a NATS server does with a CONNECT.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum Behavior {
     Serve,
     SilentAfterConnect,
-    Full,
-    Forbid,
+    RejectAsFull,
+    RejectAuthorization,
     /// It hangs up before its INFO.
-    Mute,
-    /// Its INFO comes once its voice is free.
-    LateInfo,
+    CloseBeforeInfo,
+    /// Its INFO comes once its write lock is free.
+    DelayInfo,
 }
 
-/// One pass as a server saw it, from CONNECT's last byte to the connection's end.
+/// One session as a server saw it, from CONNECT's last byte to the connection's end.
 #[derive(Clone)]
-struct Pass {
+struct Session {
     client: String,
     server: String,
-    begun: Instant,
-    ended: Option<Instant>,
+    began_at: Instant,
+    ended_at: Option<Instant>,
 }
 
 /// What all servers and clients saw; the rules are checked against it.
 #[derive(Default)]
-pub struct Record {
-    passes: Vec<Pass>,
-    drained: BTreeMap<String, Instant>,
+pub struct ExchangeRecord {
+    sessions: Vec<Session>,
+    drained_at: BTreeMap<String, Instant>,
     answers: BTreeMap<String, Vec<String>>,
 }
 
-pub type Shared = Arc<Mutex<Record>>;
+pub type SharedRecord = Arc<Mutex<ExchangeRecord>>;
 
-impl Record {
-    pub fn drains(&mut self, server: &str) {
-        self.drained.insert(server.to_owned(), Instant::now());
+impl ExchangeRecord {
+    pub fn record_drain(&mut self, server: &str) {
+        self.drained_at.insert(server.to_owned(), Instant::now());
     }
 
-    pub fn answered(&mut self, client: &str, answer: &str) {
+    pub fn record_answer(&mut self, client: &str, answer: &str) {
         self.answers
             .entry(client.to_owned())
             .or_default()
@@ -56,44 +56,46 @@
     }
 
     /// Every rule, over all that has happened so far.
-    pub fn check(&self) {
+    pub fn assert_rules_kept(&self) {
         for (client, answers) in &self.answers {
             assert!(answers.len() == 1, "{client} got {answers:?}");
         }
-        for (at, one) in self.passes.iter().enumerate() {
-            if let Some(told) = self.drained.get(&one.server) {
-                let late = one.begun.saturating_duration_since(*told);
+        for (index, one) in self.sessions.iter().enumerate() {
+            if let Some(drained_at) = self.drained_at.get(&one.server) {
+                let late = one.began_at.saturating_duration_since(*drained_at);
                 assert!(
                     late <= Duration::from_secs(1),
-                    "{} got a pass {late:?} after its drain",
+                    "{} got a session {late:?} after its drain",
                     one.server
                 );
             }
-            for other in self.passes[at + 1..]
+            for other in self.sessions[index + 1..]
                 .iter()
                 .filter(|other| other.client == one.client)
             {
-                let over = one.ended.is_some_and(|ended| ended <= other.begun);
+                let over = one
+                    .ended_at
+                    .is_some_and(|ended_at| ended_at <= other.began_at);
                 assert!(
                     over,
-                    "passes of {} overlap at {} and {}",
+                    "sessions of {} overlap at {} and {}",
                     one.client, one.server, other.server
                 );
             }
         }
     }
 
-    /// Whether a client had a pass at a server.
-    pub fn went(&self, client: &str, server: &str) -> bool {
-        self.passes
+    /// Whether a client had a session at a server.
+    pub fn has_session(&self, client: &str, server: &str) -> bool {
+        self.sessions
             .iter()
-            .any(|pass| pass.client == client && pass.server == server)
+            .any(|session| session.client == client && session.server == server)
     }
 
-    pub fn passes_of(&self, client: &str) -> usize {
-        self.passes
+    pub fn session_count(&self, client: &str) -> usize {
+        self.sessions
             .iter()
-            .filter(|pass| pass.client == client)
+            .filter(|session| session.client == client)
             .count()
     }
 }
@@ -103,30 +105,30 @@
 pub struct NatsServer {
     pub name: String,
     pub address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    behavior: Arc<Mutex<Behavior>>,
     /// Standing connections answer nothing any more.
-    pub silent: Arc<AtomicBool>,
+    pub is_silent: Arc<AtomicBool>,
     /// Held by whoever speaks: a server's answers never fall into a message that has begun.
-    pub voice: Arc<Mutex<()>>,
+    pub write_lock: Arc<Mutex<()>>,
     peers: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl NatsServer {
-    pub fn start(name: &str, manner: Manner, record: &Shared) -> NatsServer {
+    pub fn start(name: &str, behavior: Behavior, record: &SharedRecord) -> NatsServer {
         let listener = listener();
         let address = listener.local_addr().expect("bound");
-        let (manner, silent) = (
-            Arc::new(Mutex::new(manner)),
+        let (behavior, silent) = (
+            Arc::new(Mutex::new(behavior)),
             Arc::new(AtomicBool::new(false)),
         );
         let peers = Arc::new(Mutex::new(Vec::new()));
-        let voice = Arc::default();
+        let write_lock = Arc::default();
         let server = NatsServer {
             name: name.to_owned(),
             address,
-            manner,
-            silent,
-            voice,
+            behavior,
+            is_silent: silent,
+            write_lock,
             peers,
         };
         let (name, record, peers) = (
@@ -134,8 +136,8 @@
             Arc::clone(record),
             Arc::clone(&server.peers),
         );
-        let (manner, silent) = (Arc::clone(&server.manner), Arc::clone(&server.silent));
-        let voice = Arc::clone(&server.voice);
+        let (behavior, silent) = (Arc::clone(&server.behavior), Arc::clone(&server.is_silent));
+        let write_lock = Arc::clone(&server.write_lock);
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 peers
@@ -144,22 +146,22 @@
                     .push(stream.try_clone().expect("open"));
                 let (name, record, silent) =
                     (name.clone(), Arc::clone(&record), Arc::clone(&silent));
-                let voice = Arc::clone(&voice);
-                let manner = *manner.lock().expect("sound");
+                let write_lock = Arc::clone(&write_lock);
+                let behavior = *behavior.lock().expect("sound");
                 std::thread::spawn(move || {
-                    serve(&stream, manner, &name, &record, (&silent, &voice))
+                    serve_connection(&stream, behavior, &name, &record, (&silent, &write_lock))
                 });
             }
         });
         server
     }
 
-    pub fn becomes(&self, manner: Manner) {
-        *self.manner.lock().expect("sound") = manner;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().expect("sound") = behavior;
     }
 
-    /// Says something to every client; the voice is held by the caller.
-    pub fn says(&self, words: &str) {
+    /// Says something to every client; the write lock is held by the caller.
+    pub fn send_to_all(&self, words: &str) {
         for mut peer in self.peers.lock().expect("sound").iter() {
             let _ = peer.write_all(words.as_bytes());
         }
@@ -167,19 +169,19 @@
 }
 
 /// Serves one connection to its end.
-fn serve(
+fn serve_connection(
     stream: &TcpStream,
-    manner: Manner,
+    behavior: Behavior,
     name: &str,
-    record: &Shared,
+    record: &SharedRecord,
     own: (&AtomicBool, &Mutex<()>),
 ) {
-    let (silent, voice) = own;
-    if manner == Manner::Mute {
+    let (silent, write_lock) = own;
+    if behavior == Behavior::CloseBeforeInfo {
         return;
     }
-    if manner == Manner::LateInfo {
-        drop(voice.lock().expect("sound"));
+    if behavior == Behavior::DelayInfo {
+        drop(write_lock.lock().expect("sound"));
     }
     let mut out = stream;
     let info = format!("INFO {{\"server_id\":\"{name}\",\"max_payload\":1048576}}\r\n");
@@ -196,33 +198,34 @@
         "the upstream identity"
     );
     let client = options["name"].as_str().expect("a name").to_owned();
-    let pass = Pass {
+    let session = Session {
         client,
         server: name.to_owned(),
-        begun: Instant::now(),
-        ended: None,
+        began_at: Instant::now(),
+        ended_at: None,
     };
     let place = {
         let mut record = record.lock().expect("sound");
-        record.passes.push(pass);
-        record.passes.len() - 1
+        record.sessions.push(session);
+        record.sessions.len() - 1
     };
-    let words = match manner {
-        Manner::Full => "-ERR 'Maximum Connections Exceeded'\r\n",
-        Manner::Forbid => "-ERR 'Authorization Violation'\r\n",
+    let words = match behavior {
+        Behavior::RejectAsFull => "-ERR 'Maximum Connections Exceeded'\r\n",
+        Behavior::RejectAuthorization => "-ERR 'Authorization Violation'\r\n",
         _ => "",
     };
     let _ = out.write_all(words.as_bytes());
     while read_message(&mut reader).is_some_and(|message| {
-        let _speaking = voice.lock().expect("sound");
-        let answer = answer_to(&message, manner, silent);
+        let _speaking = write_lock.lock().expect("sound");
+        let answer = answer_to(&message, behavior, silent);
         out.write_all(answer.as_bytes()).is_ok()
     }) {}
-    record.lock().expect("sound").passes[place].ended = Some(Instant::now());
+    record.lock().expect("sound").sessions[place].ended_at = Some(Instant::now());
 }
 
-fn answer_to(message: &str, manner: Manner, silent: &AtomicBool) -> String {
-    if !matches!(manner, Manner::Serve | Manner::LateInfo) || silent.load(Ordering::Relaxed) {
+fn answer_to(message: &str, behavior: Behavior, silent: &AtomicBool) -> String {
+    if !matches!(behavior, Behavior::Serve | Behavior::DelayInfo) || silent.load(Ordering::Relaxed)
+    {
         return String::new();
     }
     if message == "PING\r\n" {
@@ -251,20 +254,20 @@
 }
 
 /// A client that has sent CONNECT under a name, and a PING with it.
-pub fn client(to: SocketAddr, name: &str, user: &str, password: &str) -> Peer {
+pub fn connect_client(to: SocketAddr, name: &str, user: &str, password: &str) -> Peer {
     let mut client = Peer::connect(to);
-    let info = client.hear().expect("INFO");
+    let info = client.read_line().expect("INFO");
     assert!(
         info.starts_with("INFO {") && info.contains("\"max_payload\":"),
         "{info}"
     );
-    client.say(&format!(
+    client.send(&format!(
         "CONNECT {{\"user\":\"{user}\",\"pass\":\"{password}\",\"name\":\"{name}\",\"verbose\":false}}\r\nPING\r\n"
     ));
     client
 }
 
 /// A Redis that knows hashes.
-pub fn redis() -> Redis {
+pub fn start_redis() -> Redis {
     Redis::on(listener())
 }
--- a/crates/cli/tests/support/peer.rs
+++ b/crates/cli/tests/support/peer.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use super::{PATIENCE, wait_for};
+use super::{TEST_TIMEOUT, wait_for};
 
 /// One end of a connection that speaks lines.
 pub struct Peer {
@@ -14,13 +14,15 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a socket");
         let reader = BufReader::new(stream.try_clone().expect("a socket"));
         Peer { stream, reader }
     }
 
     pub fn connect(to: SocketAddr) -> Peer {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             match TcpStream::connect(to) {
                 Ok(stream) => return Peer::new(stream),
@@ -32,25 +34,25 @@
 
     /// The next connection. Guards against a test that would wait without an end.
     pub fn accept(from: &TcpListener) -> Peer {
-        wait_for("a connection", || Peer::accept_now(from))
+        wait_for("a connection", || Peer::try_accept(from))
     }
 
     /// A connection that has come already.
-    pub fn accept_now(from: &TcpListener) -> Option<Peer> {
+    pub fn try_accept(from: &TcpListener) -> Option<Peer> {
         from.set_nonblocking(true).expect("open");
         let (stream, _) = from.accept().ok()?;
         stream.set_nonblocking(false).expect("open");
         Some(Peer::new(stream))
     }
 
-    pub fn say(&mut self, words: &str) {
+    pub fn send(&mut self, words: &str) {
         self.stream
             .write_all(words.as_bytes())
             .expect("the peer reads");
     }
 
     /// The next line without its end; nothing at the end of the connection.
-    pub fn hear(&mut self) -> Option<String> {
+    pub fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => None,
@@ -60,7 +62,7 @@
     }
 
     /// The same, where a reset is an end too.
-    pub fn hear_or_end(&mut self) -> Option<String> {
+    pub fn read_line_or_end(&mut self) -> Option<String> {
         let mut line = String::new();
         self.reader
             .read_line(&mut line)
@@ -69,23 +71,23 @@
         Some(line)
     }
 
-    pub fn hears(&mut self, words: &str) {
-        assert_eq!(self.hear().as_deref(), Some(words));
+    pub fn expect_line(&mut self, words: &str) {
+        assert_eq!(self.read_line().as_deref(), Some(words));
     }
 
     /// So many bytes as they come.
-    pub fn bytes(&mut self, count: usize) -> String {
+    pub fn read_text(&mut self, count: usize) -> String {
         let mut bytes = vec![0; count];
         self.reader.read_exact(&mut bytes).expect("so many bytes");
         String::from_utf8(bytes).expect("text")
     }
 
-    pub fn ended(&mut self) {
-        assert_eq!(self.hear(), None, "nothing but the end");
+    pub fn expect_end(&mut self) {
+        assert_eq!(self.read_line(), None, "nothing but the end");
     }
 
     /// Waits for the connection's end, in order or not: a peer at fault may be owed no more than a close.
-    pub fn is_gone(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let reset = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionReset;
         self.reader
             .read(&mut [0])
@@ -99,27 +101,29 @@
             .is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset)
     }
 
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         self.stream.shutdown(Shutdown::Write).expect("open");
     }
 }
 
 /// Has an application server take every opening and answer every line, for as long as the test runs.
-pub fn obliges(server: TcpListener) {
+pub fn serve_all_openings(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
-            std::thread::spawn(move || serve(Peer::new(stream)));
+            std::thread::spawn(move || answer_lines(Peer::new(stream)));
         }
     });
 }
 
-fn serve(mut peer: Peer) {
-    let Some(opening) = peer.hear() else { return };
+fn answer_lines(mut peer: Peer) {
+    let Some(opening) = peer.read_line() else {
+        return;
+    };
     assert!(opening.starts_with("OPEN "), "{opening}");
     if peer.stream.write_all(b"UP r\r\n").is_err() {
         return;
     }
-    while let Some(line) = peer.hear_or_end() {
+    while let Some(line) = peer.read_line_or_end() {
         // One asks for half a line, and has to ask for the rest.
         let answer: &[u8] = match line.trim_end() {
             "half" => b"ha",
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 /// The program, killed at the end of its test.
 pub struct Program {
@@ -21,30 +21,30 @@
 
 impl Program {
     pub fn start(args: &[&str], env: &[(&str, &str)]) -> Program {
-        Program::begin(Command::new(env!("CARGO_BIN_EXE_beaconflow")), args, env)
+        Program::spawn(Command::new(env!("CARGO_BIN_EXE_beaconflow")), args, env)
     }
 
     /// Starts it as an ordinary user, whom the leave to write concerns. Root's tests need a copy that others may run.
-    pub fn start_as_nobody(copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
+    pub fn start_unprivileged(copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
         std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), copy).expect("room");
         std::fs::set_permissions(copy, Permissions::from_mode(0o755)).expect("its owner may");
         let mut command = Command::new(copy);
         if rustix::process::geteuid().is_root() {
             command.uid(65_534).gid(65_534);
         }
-        Program::begin(command, args, env)
+        Program::spawn(command, args, env)
     }
 
     /// Starts it with a limit on its descriptors.
-    pub fn start_limited(descriptors: usize, env: &[(&str, &str)]) -> Program {
+    pub fn start_with_descriptor_limit(descriptors: usize, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         let script = format!(r#"ulimit -n {descriptors}; exec "$0" "$@""#);
         command.args(["-c", &script, env!("CARGO_BIN_EXE_beaconflow")]);
-        Program::begin(command, &[], env)
+        Program::spawn(command, &[], env)
     }
 
     /// Starts it with a listener that this test holds, as descriptor 3.
-    pub fn start_inheriting(held: &TcpListener, env: &[(&str, &str)]) -> Program {
+    pub fn start_with_inherited_listener(held: &TcpListener, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         command.args([
             "-c",
@@ -52,7 +52,7 @@
             env!("CARGO_BIN_EXE_beaconflow"),
         ]);
         command.stdin(OwnedFd::from(held.try_clone().expect("open")));
-        Program::begin(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
+        Program::spawn(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
     }
 
     /// Kills it outright.
@@ -61,7 +61,7 @@
         let _ = self.child.wait();
     }
 
-    fn begin(mut command: Command, args: &[&str], env: &[(&str, &str)]) -> Program {
+    fn spawn(mut command: Command, args: &[&str], env: &[(&str, &str)]) -> Program {
         command
             .arg("serve")
             .args(args)
@@ -79,8 +79,8 @@
     }
 
     /// Waits for a log line with these words; where none comes, tells what came instead.
-    pub fn says(&self, words: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&self, words: &str) -> String {
+        let until = Instant::now() + TEST_TIMEOUT;
         let mut said = Vec::new();
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -93,12 +93,12 @@
     }
 
     /// The lines up to the one with these words.
-    pub fn says_up_to(&self, words: &str) -> Vec<String> {
+    pub fn read_log_until(&self, words: &str) -> Vec<String> {
         let mut said: Vec<String> = Vec::new();
         while said.last().is_none_or(|line| !line.contains(words)) {
             said.push(
                 self.log
-                    .recv_timeout(PATIENCE)
+                    .recv_timeout(TEST_TIMEOUT)
                     .unwrap_or_else(|_| panic!("never {words:?}: {said:#?}")),
             );
         }
@@ -120,20 +120,20 @@
     }
 
     /// How many threads it has.
-    pub fn threads(&self) -> usize {
+    pub fn thread_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
             .expect("it runs")
             .count()
     }
 
     /// Waits for the program's own end, which has to be in order.
-    pub fn left(&mut self) -> bool {
-        self.ends().success()
+    pub fn exits_cleanly(&mut self) -> bool {
+        self.wait_for_exit().success()
     }
 
     /// Waits for the program's end.
-    pub fn ends(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let until = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -12,7 +12,7 @@
 use beaconflow_fault_injection::{Link, Net, Record};
 
 use crate::fault;
-use crate::support::nats::{Redis, redis};
+use crate::support::nats::{Redis, start_redis};
 use crate::support::*;
 
 /// How messages are written.
@@ -87,7 +87,7 @@
 
 impl Front {
     pub fn start(wire: Wire) -> Front {
-        let (at, discovery, server) = (free(), Discovery::start(), listener());
+        let (at, discovery, server) = (reserve_address(), Discovery::start(), listener());
         let net = Net::start(&Record::default(), 9);
         let door = net.add_link(Link::new("clients", "program", at));
         let place = net.add_link(Link::new(
@@ -98,8 +98,14 @@
         let rows = [("s0", place, "SERVING")];
         let (program, redis) = match wire {
             Wire::Platform => {
-                let text = config(at, discovery.address, &list(1, true, &rows), SETTINGS, 256);
-                let path = file(&format!("contract-{at}"), &text);
+                let text = platform_config(
+                    at,
+                    discovery.address,
+                    &endpoint_list(1, true, &rows),
+                    SETTINGS,
+                    256,
+                );
+                let path = write_temp_file(&format!("contract-{at}"), &text);
                 (Program::start(&[], &[("LB_CONFIG", &path)]), None)
             }
             Wire::Nats => {
@@ -107,9 +113,9 @@
                 (program, Some(redis))
             }
         };
-        let mut watch = discovery.watch();
-        tell(&mut watch, 2, true, &rows);
-        program.says("generation=2");
+        let mut watch = discovery.accept_watch();
+        send_endpoints(&mut watch, 2, true, &rows);
+        program.wait_for_log("generation=2");
         let (send, passes) = channel();
         std::thread::spawn(move || set_up(wire, &server, &send));
         Front {
@@ -125,9 +131,9 @@
 }
 
 fn start_nats(at: SocketAddr, discovery: SocketAddr) -> (Program, Redis) {
-    let (admin, redis) = (free(), redis());
+    let (admin, redis) = (reserve_address(), start_redis());
     let settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
-    let overrides = file(&format!("contract-{at}.redb"), "");
+    let overrides = write_temp_file(&format!("contract-{at}.redb"), "");
     std::fs::remove_file(&overrides).expect("just made");
     let text = format!(
         "name = \"front\"\nlisten = \"{at}\"\nsockets = 256\n\
@@ -139,16 +145,19 @@
         toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
     );
     let program = Program::start(
-        &["--operator", &file(&format!("contract-{at}"), &text)],
+        &[
+            "--operator",
+            &write_temp_file(&format!("contract-{at}"), &text),
+        ],
         &[],
     );
-    program.says("administration API serves");
+    program.wait_for_log("administration API serves");
     let tenant = format!(
         r#"{{"name":"acme","password":"{PASSWORD}","class":"chat","connections":64,
             "upstream":{{"user":"up","password":"up-secret"}}}}"#
     );
     let api = Api {
-        at: admin,
+        address: admin,
         token: ADMIN_TOKEN,
     };
     // On a loaded machine the store may seem away for a while; then the call may be repeated.
@@ -194,7 +203,7 @@
     }
 
     fn pair(&mut self) -> Pair {
-        let until = Instant::now() + PATIENCE * 3;
+        let until = Instant::now() + TEST_TIMEOUT * 3;
         // On a loaded machine a set-up may take too long, and is refused for a while: whoever is refused comes again.
         let near = loop {
             if let Some(near) = self.opens() {
@@ -204,7 +213,7 @@
             std::thread::sleep(Duration::from_millis(20));
         };
         // The balancer gives up one pass before it begins another: the last one is the one that stands.
-        let first = self.passes.recv_timeout(PATIENCE).expect("a pass");
+        let first = self.passes.recv_timeout(TEST_TIMEOUT).expect("a pass");
         let far = self.passes.try_iter().last().unwrap_or(first);
         (Box::new(Conn::new(near, self.wire, true)), Box::new(far))
     }
@@ -231,7 +240,7 @@
 
 /// Reads to the first line with one of these beginnings. Byte by byte: what follows is another's.
 fn line_of(mut stream: &TcpStream, beginnings: &[&str]) -> std::io::Result<String> {
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     loop {
         let (mut line, mut byte) = (Vec::new(), [0]);
         while !line.ends_with(b"\n") {
