--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -11,10 +11,10 @@
 use support::*;
 
 /// Longer than it takes until a silent watch and silent peers are known to be lost, and the doubt is over.
-const LONG: Duration = Duration::from_secs(40);
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A server that takes every opening and sends its client away once that says so.
-fn drains(server: TcpListener) {
+fn spawn_draining_server(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
             std::thread::spawn(move || {
@@ -33,24 +33,24 @@
 }
 
 /// Servers: two that are well, one that drains by its own word, and one that takes no connection.
-fn four() -> Vec<(&'static str, SocketAddr)> {
-    let (told, _) = channel();
+fn spawn_four_servers() -> Vec<(&'static str, SocketAddr)> {
+    let (opening_sender, _) = channel();
     ["s0", "s1", "s2", "s3"]
         .into_iter()
         .map(|name| {
             let server = listener();
             let at = server.local_addr().expect("bound");
             match name {
-                "s2" => drains(server),
+                "s2" => spawn_draining_server(server),
                 "s3" => drop(server),
-                _ => spawn_server(0, server, told.clone()),
+                _ => spawn_server(0, server, opening_sender.clone()),
             }
             (name, at)
         })
         .collect()
 }
 
-fn open(process: &Process, number: usize) -> (String, Peer) {
+fn open_client(process: &Process, number: usize) -> (String, Peer) {
     let mut client = Peer::connect(process.address);
     client.send(&format!(
         "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
@@ -58,12 +58,12 @@
     (client.read_line().expect("an answer"), client)
 }
 
-fn effective(farm: &serde_json::Value, name: &str) -> (String, String) {
+fn effective_state(farm: &serde_json::Value, name: &str) -> (String, String) {
     let server = farm["servers"]
         .as_array()
         .expect("rows")
         .iter()
-        .find(|one| one["name"] == name);
+        .find(|row| row["name"] == name);
     let server = server.expect("listed");
     (
         server["effective"]["state"].to_string(),
@@ -72,30 +72,30 @@
 }
 
 #[test]
-fn on_an_island_all_processes_pass_over_what_one_of_them_saw() {
-    let servers = four();
+fn isolated_site_shares_observed_server_failures() {
+    let servers = spawn_four_servers();
     let rows: Vec<(&str, SocketAddr, &str)> = servers
         .iter()
         .map(|(name, at)| (*name, *at, "SERVING"))
         .collect();
     let fleet = Fleet::with_endpoints(3, &endpoint_list(1, true, &rows), channel().1);
-    let start = |number, word: &str| {
+    let start = |number, uplink_word: &str| {
         let sections =
-            fleet.operator_sections(number, "") + &format!("[edge]\nword = \"{word}\"\n");
+            fleet.operator_sections(number, "") + &format!("[edge]\nword = \"{uplink_word}\"\n");
         fleet.start_process(number, &sections)
     };
-    let all: Vec<Process> = (0..3).map(|number| start(number, "island")).collect();
-    for process in &all {
+    let processes: Vec<Process> = (0..3).map(|number| start(number, "island")).collect();
+    for process in &processes {
         process.program.wait_for_log("to=serving");
         process.wait_for_fleet_field("processes", 3);
     }
-    let (seers, other) = (&all[..2], &all[2]);
+    let (observers, other) = (&processes[..2], &processes[2]);
     // Clients come through two of them until the third knows, which takes none.
     let mut clients = Vec::new();
-    let mut knows = |server: &str, word: &str| {
+    let mut wait_until_known = |server: &str, expected: &str| {
         for number in 0.. {
             assert!(number < 400, "the third never knew of {server}");
-            let (answer, mut client) = open(&seers[number % 2], clients.len());
+            let (answer, mut client) = open_client(&observers[number % 2], clients.len());
             assert!(
                 answer.starts_with("UP") || answer.starts_with("BUSY"),
                 "{answer}"
@@ -104,35 +104,38 @@
                 client.send("leave\r\n");
             }
             clients.push(client);
-            let (state, why) = effective(&other.api.call("GET", "/v1/farm", "").body, server);
+            let (state, why) = effective_state(&other.api.call("GET", "/v1/farm", "").body, server);
             if state.contains("out") {
-                assert!(why.contains(word), "{why}");
+                assert!(why.contains(expected), "{why}");
                 return;
             }
         }
     };
-    knows("s3", "it takes no connection");
-    knows("s2", "drains");
+    wait_until_known("s3", "it takes no connection");
+    wait_until_known("s2", "drains");
     // What is well stays, and the others' drains were no reason to pass it over.
     let farm = other.api.call("GET", "/v1/farm", "").body;
-    for well in ["s0", "s1"] {
-        assert!(effective(&farm, well).0.contains("ready"), "{farm}");
+    for healthy in ["s0", "s1"] {
+        assert!(
+            effective_state(&farm, healthy).0.contains("ready"),
+            "{farm}"
+        );
     }
-    let said = other.program.wait_for_log("skipped");
+    let line = other.program.wait_for_log("skipped");
     assert!(
-        said.contains("server=s3") || said.contains("server=s2"),
-        "{said}"
+        line.contains("server=s3") || line.contains("server=s2"),
+        "{line}"
     );
 }
 
 #[test]
-fn a_site_that_lost_discovery_and_the_other_site_is_an_island_and_rejoins_without_a_move() {
-    let (told, openings) = channel();
+fn site_isolates_without_uplink_and_rejoins_without_moves() {
+    let (opening_sender, openings) = channel();
     let rows: Vec<(String, SocketAddr)> = (0..2)
         .map(|number| {
             let server = listener();
             let at = server.local_addr().expect("bound");
-            spawn_server(number, server, told.clone());
+            spawn_server(number, server, opening_sender.clone());
             (format!("s{number}"), at)
         })
         .collect();
@@ -147,49 +150,49 @@
         } else {
             ("south", "north", 1)
         };
-        let more = format!("size = 3\nsite_size = {size}\nother_sites = [\"{other}\"]");
+        let fleet_fields = format!("size = 3\nsite_size = {size}\nother_sites = [\"{other}\"]");
         let sections = fleet
-            .operator_sections_with(number, &more, "")
+            .operator_sections_with(number, &fleet_fields, "")
             .replace("site = \"north\"", &format!("site = \"{site}\""));
         fleet.start_process(number, &(sections + "[edge]\npatience_s = 1\n"))
     };
-    let mut all: Vec<Process> = (0..3).map(start).collect();
+    let mut processes: Vec<Process> = (0..3).map(start).collect();
     let mut watches: Vec<Peer> = (0..3).map(|_| fleet.discovery.accept_watch()).collect();
     watches
         .iter_mut()
         .for_each(|watch| send_endpoints(watch, 2, true, &rows));
-    for process in &all {
+    for process in &processes {
         process.program.wait_for_log("to=serving");
         process.wait_for_fleet_field("processes", 3);
-        process.wait_for_farm("linked", LONG, |farm| {
+        process.wait_for_farm("linked", ISOLATION_TIMEOUT, |farm| {
             farm["fleet"]["uplink"]
                 .as_str()
-                .is_some_and(|words| words.starts_with("linked"))
+                .is_some_and(|uplink| uplink.starts_with("linked"))
         });
     }
-    let (mut clients, _) = fleet.connect_all_clients(&all[0], "a");
+    let (mut clients, _) = fleet.connect_all_clients(&processes[0], "a");
     // The uplink is lost: discovery says nothing more, and the other site is not heard.
     fleet.discovery.stop_heartbeats();
-    all[2].program.kill();
-    for process in &all[..2] {
+    processes[2].program.kill();
+    for process in &processes[..2] {
         process.program.wait_for_log("to=islanded");
     }
     // Service goes on from what is known.
-    let (more, _) = fleet.connect_all_clients(&all[1], "b");
-    assert_eq!(more.len(), CLIENT_COUNT);
-    clients.extend(more);
+    let (newcomers, _) = fleet.connect_all_clients(&processes[1], "b");
+    assert_eq!(newcomers.len(), CLIENT_COUNT);
+    clients.extend(newcomers);
     fleet.discovery.resume_heartbeats();
-    all[2] = start(2);
+    processes[2] = start(2);
     // Whoever asks is told the same list under a later number, by a discovery that kept its state.
-    let (mut watches, until) = (Vec::new(), Instant::now() + LONG);
+    let (mut watches, deadline) = (Vec::new(), Instant::now() + ISOLATION_TIMEOUT);
     let is_linked = |process: &Process| {
         let uplink = process.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
         uplink
             .as_str()
-            .is_some_and(|words| words.starts_with("linked"))
+            .is_some_and(|uplink| uplink.starts_with("linked"))
     };
-    while !all[..2].iter().all(is_linked) {
-        assert!(Instant::now() < until, "never linked again");
+    while !processes[..2].iter().all(is_linked) {
+        assert!(Instant::now() < deadline, "never linked again");
         if let Some(mut watch) = fleet
             .discovery
             .accept_watch_within(Duration::from_millis(50))
@@ -198,15 +201,15 @@
             watches.push(watch);
         }
     }
-    for process in &all[..2] {
+    for process in &processes[..2] {
         process.program.wait_for_log("to=linked");
-        let said = process.program.wait_for_log("counts");
-        assert!(said.contains("moved=0"), "{said}");
+        let line = process.program.wait_for_log("counts");
+        assert!(line.contains("moved=0"), "{line}");
     }
     // One that was sent away has heard so.
     for client in &mut clients {
         client.stream.set_nonblocking(true).expect("open");
-        let heard = client.read_line_or_end();
-        assert!(heard.is_none(), "{heard:?}");
+        let received = client.read_line_or_end();
+        assert!(received.is_none(), "{received:?}");
     }
 }
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -8,21 +8,21 @@
 use support::*;
 
 /// Processes that started within this of each other count as started together.
-const TOGETHER: Duration = Duration::from_secs(30);
+const SAME_OUTAGE_WINDOW: Duration = Duration::from_secs(30);
 /// One that heard nothing for so long was stopped.
-const STOPPED: Duration = Duration::from_secs(5);
+const STALL_THRESHOLD: Duration = Duration::from_secs(5);
 
 /// A list of servers that have started just now.
-fn cold(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
+fn cold_endpoint_list(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
         .as_millis();
-    let (told, openings) = std::sync::mpsc::channel();
+    let (opening_sender, openings) = std::sync::mpsc::channel();
     let row = |number: usize| {
         let server = listener();
         let at = server.local_addr().expect("bound");
-        spawn_server(number, server, told.clone());
+        spawn_server(number, server, opening_sender.clone());
         format!(
             r#"{{"instanceId":"s{number}","hostPort":"{at}","zone":"a","lifecycle":"SERVING","weight":1.0,"startedAtMs":{now}}}"#
         )
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn after_a_power_loss_clients_return_by_turns_and_each_is_told_when_to_come_again() {
-    let (known, openings) = cold(2);
+fn staged_admission_defers_clients_after_power_loss() {
+    let (known, openings) = cold_endpoint_list(2);
     let fleet = Fleet::with_endpoints(1, &known, openings);
     let process = fleet.start_process(
         0,
@@ -47,16 +47,16 @@
     );
     process.program.wait_for_log("step=StagedAdmission");
     process.program.wait_for_log("to=serving");
-    let mut waits: Vec<(usize, Instant)> = (0..CLIENT_COUNT)
+    let mut pending: Vec<(usize, Instant)> = (0..CLIENT_COUNT)
         .map(|number| (number, Instant::now()))
         .collect();
-    let (mut stand, until) = (Vec::new(), Instant::now() + 6 * TEST_TIMEOUT);
-    while let Some(place) = (0..waits.len()).min_by_key(|place| waits[*place].1) {
-        let (number, at) = waits.swap_remove(place);
+    let (mut established, deadline) = (Vec::new(), Instant::now() + 6 * TEST_TIMEOUT);
+    while let Some(index) = (0..pending.len()).min_by_key(|index| pending[*index].1) {
+        let (number, at) = pending.swap_remove(index);
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "{} of {CLIENT_COUNT} stand",
-            stand.len()
+            established.len()
         );
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
         let mut client = Peer::connect(process.address);
@@ -64,30 +64,33 @@
             "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
         ));
         match client.read_line().expect("an answer").split_once(' ') {
-            Some(("UP", _)) => stand.push(client),
-            Some(("BUSY", after)) => {
-                let after = Duration::from_millis(after.parse().expect("a span"));
+            Some(("UP", _)) => established.push(client),
+            Some(("BUSY", retry_after)) => {
+                let retry_after = Duration::from_millis(retry_after.parse().expect("a span"));
                 assert!(
-                    after <= Duration::from_secs(2),
-                    "longer than a client follows: {after:?}"
+                    retry_after <= Duration::from_secs(2),
+                    "longer than a client follows: {retry_after:?}"
                 );
-                waits.push((number, Instant::now() + after));
+                pending.push((number, Instant::now() + retry_after));
             }
             other => panic!("{other:?}"),
         }
     }
     // The module has a bound of its own for cold servers: what counts is who was told by turns.
-    let shown = process.api.call("GET", "/v1/farm", "").body["fleet"].clone();
-    assert!(shown["deferred"].as_u64() >= Some(3), "{shown}");
+    let fleet_status = process.api.call("GET", "/v1/farm", "").body["fleet"].clone();
+    assert!(
+        fleet_status["deferred"].as_u64() >= Some(3),
+        "{fleet_status}"
+    );
 }
 
 #[test]
-fn a_process_that_was_stopped_says_no_until_it_has_asked_what_happened() {
+fn resumed_process_rejects_clients_until_recovery_ends() {
     let fleet = Fleet::start(1, 1);
     let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
     process.program.wait_for_log("to=serving");
     process.program.signal("STOP");
-    std::thread::sleep(STOPPED + Duration::from_secs(1));
+    std::thread::sleep(STALL_THRESHOLD + Duration::from_secs(1));
     process.program.signal("CONT");
     process.program.wait_for_log("step=Resumed");
     process.program.wait_for_log("to=starting");
@@ -95,33 +98,36 @@
 }
 
 #[test]
-fn a_lone_restart_and_a_power_loss_are_told_apart() {
+fn recovery_distinguishes_single_restart_from_power_loss() {
     let fleet = Fleet::start(3, 1);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let start = |number| fleet.start_process(number, &fleet.operator_sections(number, ""));
-    let mut all: Vec<Process> = (0..3).map(start).collect();
-    for process in &all {
+    let mut processes: Vec<Process> = (0..3).map(start).collect();
+    for process in &processes {
         process.program.wait_for_log("to=serving");
         process.wait_for_fleet_field("processes", 3);
     }
-    std::thread::sleep((TOGETHER + Duration::from_secs(2)).saturating_sub(begun.elapsed()));
-    all[0].program.kill();
-    all[0] = start(0);
-    let said = all[0].program.wait_for_log("extent of the outage");
-    assert!(said.contains("scope=alone"), "{said}");
-    all[0].program.wait_for_log("to=serving");
-    all.iter_mut().for_each(|process| process.program.kill());
-    let all: Vec<Process> = (0..3).map(start).collect();
-    for process in &all {
-        let said = process.program.wait_for_log("extent of the outage");
-        assert!(said.contains("scope=fleet"), "{said}");
+    std::thread::sleep(
+        (SAME_OUTAGE_WINDOW + Duration::from_secs(2)).saturating_sub(started_at.elapsed()),
+    );
+    processes[0].program.kill();
+    processes[0] = start(0);
+    let line = processes[0].program.wait_for_log("extent of the outage");
+    assert!(line.contains("scope=alone"), "{line}");
+    processes[0].program.wait_for_log("to=serving");
+    processes
+        .iter_mut()
+        .for_each(|process| process.program.kill());
+    let processes: Vec<Process> = (0..3).map(start).collect();
+    for process in &processes {
+        let line = process.program.wait_for_log("extent of the outage");
+        assert!(line.contains("scope=fleet"), "{line}");
         process.program.wait_for_log("to=serving");
     }
 }
 
 #[test]
-fn drains_hold_against_a_discovery_that_lost_its_state_while_the_program_ran_and_while_it_was_dark()
-{
+fn drains_survive_loss_of_discovery_state() {
     let fleet = Fleet::start(1, 2);
     let known: serde_json::Value = serde_json::from_str(&fleet.known_endpoints).expect("JSON");
     let address = |number: usize| {
@@ -134,36 +140,36 @@
         address(0).expect("an address"),
         address(1).expect("an address"),
     );
-    let (both, drains) = (
+    let (both_serving, s1_draining) = (
         [("s0", s0, "SERVING"), ("s1", s1, "SERVING")],
         [("s1", s1, "DRAINING")],
     );
-    let is_held = |farm: &serde_json::Value| {
+    let is_drain_kept = |farm: &serde_json::Value| {
         let server = &farm["servers"][1];
         server["effective"]["state"] == "out"
             && server["why"].to_string().contains("it drained when")
     };
     let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
     let mut watch = fleet.discovery.accept_watch();
-    send_endpoints(&mut watch, 5, true, &both);
-    send_endpoints(&mut watch, 6, false, &drains);
+    send_endpoints(&mut watch, 5, true, &both_serving);
+    send_endpoints(&mut watch, 6, false, &s1_draining);
     process.program.wait_for_log("to=serving");
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     // Discovery is begun anew, counts from one, and has forgotten the drain.
-    send_endpoints(&mut watch, 1, true, &both);
-    process.wait_for_farm("held", TEST_TIMEOUT, is_held);
+    send_endpoints(&mut watch, 1, true, &both_serving);
+    process.wait_for_farm("held", TEST_TIMEOUT, is_drain_kept);
     // It hears of the drain again, and of its end: that is its own word.
-    send_endpoints(&mut watch, 2, false, &drains);
+    send_endpoints(&mut watch, 2, false, &s1_draining);
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
-    send_endpoints(&mut watch, 3, false, &both[1..]);
+    send_endpoints(&mut watch, 3, false, &both_serving[1..]);
     process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "ready"
     });
-    send_endpoints(&mut watch, 4, false, &drains);
+    send_endpoints(&mut watch, 4, false, &s1_draining);
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
@@ -171,25 +177,25 @@
     assert!(process.program.exits_cleanly());
     // One that kept its state says that the drain is over.
     let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
-    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_held);
+    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_drain_kept);
     let mut watch = fleet.discovery.accept_watch();
-    send_endpoints(&mut watch, 5, true, &both);
+    send_endpoints(&mut watch, 5, true, &both_serving);
     process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "ready"
     });
-    send_endpoints(&mut watch, 6, false, &drains);
+    send_endpoints(&mut watch, 6, false, &s1_draining);
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     process.program.signal("TERM");
     assert!(process.program.exits_cleanly());
     let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
-    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_held);
+    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_drain_kept);
     let mut watch = fleet.discovery.accept_watch();
-    send_endpoints(&mut watch, 1, true, &both);
+    send_endpoints(&mut watch, 1, true, &both_serving);
     process.program.wait_for_log("discovery lost its state");
-    process.wait_for_farm("held", TEST_TIMEOUT, is_held);
-    send_endpoints(&mut watch, 2, false, &drains);
+    process.wait_for_farm("held", TEST_TIMEOUT, is_drain_kept);
+    send_endpoints(&mut watch, 2, false, &s1_draining);
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -12,14 +12,14 @@
 /// Longest deadline of the short settings.
 const SHORT_DEADLINE: Duration = Duration::from_millis(1_200);
 /// SIGKILL follows SIGTERM no sooner than so long after the longest deadline.
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+const SIGKILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
 fn short_deadlines() -> String {
     SETTINGS.replace("3000000000", &SHORT_DEADLINE.as_nanos().to_string())
 }
 
 /// Serves the next opening at a server, and gives its end.
-fn serves(site: &Site, client: &mut Peer) -> Peer {
+fn accept_opening(site: &Site, client: &mut Peer) -> Peer {
     let mut server = Peer::accept(&site.servers[0]);
     server.read_line().expect("an opening");
     server.send("UP r1\r\n");
@@ -28,22 +28,22 @@
 }
 
 #[test]
-fn where_deadlines_are_short_everybody_is_moved_or_answered_before_the_program_may_be_killed() {
+fn shutdown_with_short_deadlines_ends_before_sigkill() {
     let mut site = Site::start_with_settings(&short_deadlines(), "short", 1, &[]);
-    let mut standing: Vec<(Peer, Peer)> = (0..8).map(|_| site.establish_connection()).collect();
+    let mut established: Vec<(Peer, Peer)> = (0..8).map(|_| site.establish_connection()).collect();
     let mut silent = Peer::connect(site.address);
-    let mut half = Peer::connect(site.address);
-    half.send("OPEN b1 02 c=chat,t=ac");
+    let mut partial = Peer::connect(site.address);
+    partial.send("OPEN b1 02 c=chat,t=ac");
     let mut in_flight = site.open_client("once", "");
-    let mut asked = Peer::accept(&site.servers[0]);
-    asked.read_line().expect("an opening");
-    let told = Instant::now();
+    let mut in_flight_server = Peer::accept(&site.servers[0]);
+    in_flight_server.read_line().expect("an opening");
+    let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
     // A front goes on sending newcomers for a while.
     let mut newcomer = site.open_client("chat", "");
-    let newcomers_server = serves(&site, &mut newcomer);
-    for (client, _) in &mut standing {
+    let newcomers_server = accept_opening(&site, &mut newcomer);
+    for (client, _) in &mut established {
         client.expect_line("MOVE");
         client.expect_end();
     }
@@ -54,26 +54,26 @@
         in_flight.read_line().is_some(),
         "what is in flight has an answer"
     );
-    for opening in [&mut silent, &mut half] {
-        let last = opening.read_line();
+    for opening in [&mut silent, &mut partial] {
+        let answer = opening.read_line();
         assert!(
-            matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
-            "an answer or an end: {last:?}"
+            matches!(answer.as_deref(), Some("ERR" | "BUSY") | None),
+            "an answer or an end: {answer:?}"
         );
     }
     assert!(site.program.exits_cleanly(), "it leaves by itself");
     assert!(
-        told.elapsed() < SHORT_DEADLINE + KILL_AFTER_DEADLINE,
+        signalled_at.elapsed() < SHORT_DEADLINE + SIGKILL_DELAY_AFTER_DEADLINE,
         "{:?}",
-        told.elapsed()
+        signalled_at.elapsed()
     );
 }
 
 /// SIGKILL follows SIGTERM no sooner with the usual settings.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
 
 #[test]
-fn a_program_told_to_leave_while_its_start_waits_for_an_agent_leaves_in_order() {
+fn sigterm_during_startup_exits_cleanly() {
     let (agent, server) = (listener(), listener());
     let settings = SETTINGS.replace("\"subscribe\"", "\"automatic\"");
     let rows = [("s0", server.local_addr().expect("bound"), "SERVING")];
@@ -85,30 +85,34 @@
         &settings,
         256,
     );
-    let path = write_temp_file("early", &config);
-    let mut program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
+    let config_path = write_temp_file("early", &config);
+    let mut program = Program::start(&[], &[("LB_CONFIG", config_path.as_str())]);
     // The agent is asked, and the start waits for its answer.
     let _silent = Peer::accept(&agent);
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     program.signal("TERM");
     assert!(program.exits_cleanly(), "it leaves by itself, in order");
-    assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
+    assert!(
+        signalled_at.elapsed() < SIGKILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
 }
 
 #[test]
-fn signals_that_come_in_a_drain_neither_stop_it_nor_begin_it_anew() {
+fn further_signals_neither_stop_nor_restart_drain() {
     let mut site = Site::start("again", 1);
     let mut watch = site.discovery.accept_watch();
-    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
+    let mut established: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let elsewhere = listener();
     let address = elsewhere.local_addr().expect("bound").to_string();
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
-    let moved = site
+    let changed_config = site
         .config
         .replace(&site.discovery.address.to_string(), &address);
-    std::fs::write(&site.config_path, moved).expect("the same folder");
+    std::fs::write(&site.config_path, changed_config).expect("the same folder");
     site.program.signal("HUP");
     site.program
         .wait_for_log("left out: the program is leaving");
@@ -131,14 +135,18 @@
     server.read_line().expect("an opening");
     server.send("UP r1\r\n");
     newcomer.expect_line("UP r1");
-    for (client, _) in &mut standing {
+    for (client, _) in &mut established {
         client.expect_line("MOVE");
         client.expect_end();
     }
     newcomer.expect_line("MOVE");
     newcomer.expect_end();
     assert!(site.program.exits_cleanly(), "it leaves by itself");
-    assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
+    assert!(
+        signalled_at.elapsed() < SIGKILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
     elsewhere.set_nonblocking(true).expect("open");
     assert!(
         elsewhere.accept().is_err(),
@@ -146,14 +154,14 @@
     );
 }
 
-fn says_yes(at: SocketAddr) -> bool {
+fn accepts_clients(at: SocketAddr) -> bool {
     let mut front = Peer::connect(at);
     front.send("PING\r\n");
     front.read_line().as_deref() == Some("PONG")
 }
 
 #[test]
-fn a_program_killed_soon_after_sigterm_leaves_nothing_in_the_way_of_the_next_under_its_name() {
+fn restart_succeeds_after_sigkill_during_drain() {
     let mut site = Site::start("killed", 1);
     let _standing = site.establish_connection();
     site.program.signal("TERM");
@@ -162,17 +170,17 @@
     let env = [("LB_CONFIG", site.config_path.as_str())];
     site.program = Program::start(&[], &env);
     site.program.wait_for_log("to=serving");
-    assert!(says_yes(site.address));
+    assert!(accepts_clients(site.address));
     let mut client = site.open_client("chat", "");
-    let _server = serves(&site, &mut client);
+    let _server = accept_opening(&site, &mut client);
 }
 
 #[test]
-fn a_sighup_on_standby_is_followed_and_neither_stops_the_drain_nor_takes_clients_again() {
+fn sighup_on_standby_is_applied_and_drain_continues() {
     let operations = reserve_address();
     let site = Site::start_with_env("standby", 1, &[("LB_ADMIN_ADDR", &operations.to_string())]);
     let _watch = site.discovery.accept_watch();
-    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
+    let mut established: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let api = Api {
         address: operations,
         token: "none is wanted",
@@ -180,18 +188,18 @@
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let elsewhere = listener();
     let address = elsewhere.local_addr().expect("bound");
-    let moved = site
+    let changed_config = site
         .config
         .replace(&site.discovery.address.to_string(), &address.to_string());
-    std::fs::write(&site.config_path, moved).expect("the same folder");
+    std::fs::write(&site.config_path, changed_config).expect("the same folder");
     site.program.signal("HUP");
     let _asked = Peer::accept(&elsewhere);
-    assert!(!says_yes(site.address), "it stands by");
-    for (client, _) in &mut standing {
+    assert!(!accepts_clients(site.address), "it stands by");
+    for (client, _) in &mut established {
         client.expect_line("MOVE");
         client.expect_end();
     }
-    assert!(!says_yes(site.address), "it still does");
+    assert!(!accepts_clients(site.address), "it still does");
     assert_eq!(api.call("POST", "/active", "").status, 200);
-    assert!(says_yes(site.address));
+    assert!(accepts_clients(site.address));
 }
--- a/crates/cli/tests/overrides/balancer.rs
+++ b/crates/cli/tests/overrides/balancer.rs
@@ -32,13 +32,14 @@
 
     pub fn start_with_overrides(servers: usize, overrides: &str) -> Site {
         let folder = tempfile::tempdir().expect("a folder for temporary files");
-        let (at, admin, discovery) = (reserve_address(), reserve_address(), Discovery::start());
+        let (address, admin, discovery) =
+            (reserve_address(), reserve_address(), Discovery::start());
         let servers: Vec<(String, TcpListener)> = (0..servers)
             .map(|number| (format!("s{number}"), listener()))
             .collect();
         let known = endpoint_list(1, true, &serving_rows(&servers));
         let config = folder.path().join("config.json");
-        let text = support::platform_config(at, discovery.address, &known, SETTINGS, 256);
+        let text = support::platform_config(address, discovery.address, &known, SETTINGS, 256);
         std::fs::write(&config, text).expect("room");
         let operator = folder.path().join("operator.toml");
         let store = folder.path().join("overrides.redb");
@@ -53,7 +54,7 @@
         let watch = discovery.accept_watch();
         Site {
             program: Some(program),
-            address: at,
+            address,
             api: Api {
                 address: admin,
                 token: ADMIN_TOKEN,
@@ -123,11 +124,11 @@
 
     /// The next attempt, at whichever server it comes in.
     pub fn accept_attempt(&self) -> (usize, Peer) {
-        let come = |(number, (_, server)): (usize, &(String, TcpListener))| {
+        let try_accept = |(number, (_, server)): (usize, &(String, TcpListener))| {
             Some((number, Peer::try_accept(server)?))
         };
         wait_for("an attempt at a server", || {
-            self.servers.iter().enumerate().find_map(come)
+            self.servers.iter().enumerate().find_map(try_accept)
         })
     }
 
--- a/crates/cli/tests/overrides/durable.rs
+++ b/crates/cli/tests/overrides/durable.rs
@@ -4,23 +4,22 @@
 use crate::support::*;
 
 #[test]
-fn a_restart_brings_each_override_back_with_its_own_end_and_those_that_ended_meanwhile_stay_ended()
-{
+fn restart_restores_overrides_with_their_expiry() {
     let mut site = Site::start(2);
-    let stays = site.api.add_override(&out_override_body("s0", 60.0));
-    let ends = site.api.add_override(&override_body(
+    let lasting_id = site.api.add_override(&out_override_body("s0", 60.0));
+    let expiring_id = site.api.add_override(&override_body(
         r#""kind":"weight","server":"s1","factor":0.5"#,
         1.0,
     ));
     let before = site
         .api
-        .call("GET", &format!("/v1/overrides/{stays}"), "")
+        .call("GET", &format!("/v1/overrides/{lasting_id}"), "")
         .body;
     for signal in ["TERM", "KILL"] {
         site.restart(signal, |_| ());
         let after = site
             .api
-            .call("GET", &format!("/v1/overrides/{stays}"), "")
+            .call("GET", &format!("/v1/overrides/{lasting_id}"), "")
             .body;
         for field in [
             "expires_at",
@@ -33,10 +32,10 @@
             assert_eq!(before[field], after[field], "{field} after {signal}");
         }
         assert!(after["remaining_s"].as_f64() < before["remaining_s"].as_f64());
-        let (went, _standing) = site.establish_connections(2);
+        let (servers_used, _connections) = site.establish_connections(2);
         assert!(
-            went.iter().all(|number| *number == 1),
-            "nothing went there before it was known: {went:?}"
+            servers_used.iter().all(|number| *number == 1),
+            "nothing went there before it was known: {servers_used:?}"
         );
     }
     // The second one's time was up while the program was down, or is by now.
@@ -45,16 +44,16 @@
     });
     assert_eq!(
         site.api
-            .call("GET", &format!("/v1/overrides/{ends}"), "")
+            .call("GET", &format!("/v1/overrides/{expiring_id}"), "")
             .status,
         404
     );
     // Its number is not given again.
-    assert!(site.api.add_override(&out_override_body("s9", 60.0)) > ends);
+    assert!(site.api.add_override(&out_override_body("s9", 60.0)) > expiring_id);
 }
 
 #[test]
-fn what_was_durable_when_the_program_was_killed_is_in_effect_when_it_is_back() {
+fn durable_override_takes_effect_after_kill() {
     use beaconflow_overrides::{Draft, OverrideKind};
     use beaconflow_store::{OverrideStore, open};
     let mut site = Site::start(2);
@@ -78,23 +77,29 @@
         let id = store.next_id();
         store.put(&[draft.into_override(id, now)]).expect("durable");
     });
-    let all = site.api.overrides();
+    let overrides = site.api.overrides();
     assert_eq!(
-        (all.len(), all[0]["effects"]["platform"].as_str()),
+        (
+            overrides.len(),
+            overrides[0]["effects"]["platform"].as_str()
+        ),
         (1, Some("in effect"))
     );
-    let (went, _standing) = site.establish_connections(4);
-    assert!(went.iter().all(|number| *number == 1), "{went:?}");
+    let (servers_used, _connections) = site.establish_connections(4);
+    assert!(
+        servers_used.iter().all(|number| *number == 1),
+        "{servers_used:?}"
+    );
 }
 
 #[test]
-fn whatever_was_acknowledged_before_a_kill_is_back_after_it() {
+fn acknowledged_overrides_survive_kill() {
     let mut site = Site::start(1);
     let api = Api {
         address: site.api.address,
         token: ADMIN_TOKEN,
     };
-    let (send, acknowledged) = std::sync::mpsc::channel();
+    let (id_sender, acknowledgements) = std::sync::mpsc::channel();
     let writer = std::thread::spawn(move || {
         for number in 0.. {
             let text = out_override_body(&format!("x{number}"), 60.0);
@@ -103,38 +108,47 @@
                 return;
             };
             assert_eq!(answer.status, 201);
-            send.send(answer.body["id"].as_u64().expect("a number"))
+            id_sender
+                .send(answer.body["id"].as_u64().expect("a number"))
                 .expect("somebody counts");
         }
     });
-    let mut known: Vec<u64> = (0..20)
-        .map(|_| acknowledged.recv_timeout(TEST_TIMEOUT).expect("a number"))
+    let mut acknowledged_ids: Vec<u64> = (0..20)
+        .map(|_| {
+            acknowledgements
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("a number")
+        })
         .collect();
     // A file read anew in the middle of changes disturbs none of them.
     site.program().signal("HUP");
     site.program().wait_for_log("nothing has changed");
-    known.extend((0..20).map(|_| acknowledged.recv_timeout(TEST_TIMEOUT).expect("a number")));
+    acknowledged_ids.extend((0..20).map(|_| {
+        acknowledgements
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a number")
+    }));
     site.restart("KILL", |_| ());
     writer.join().expect("it ended with the program");
-    known.extend(acknowledged.try_iter());
-    let back: Vec<u64> = site
+    acknowledged_ids.extend(acknowledgements.try_iter());
+    let restored_ids: Vec<u64> = site
         .api
         .overrides()
         .iter()
-        .map(|one| one["id"].as_u64().expect("a number"))
+        .map(|row| row["id"].as_u64().expect("a number"))
         .collect();
     assert!(
-        known.iter().all(|id| back.contains(id)),
-        "{known:?} {back:?}"
+        acknowledged_ids.iter().all(|id| restored_ids.contains(id)),
+        "{acknowledged_ids:?} {restored_ids:?}"
     );
     assert!(
-        back.len() <= known.len() + 1,
+        restored_ids.len() <= acknowledged_ids.len() + 1,
         "at most the one whose answer was lost"
     );
 }
 
 #[test]
-fn a_store_that_cannot_be_read_never_stops_the_program_from_serving() {
+fn unreadable_store_does_not_stop_serving() {
     let mut site = Site::start(2);
     site.api.add_override(&out_override_body("s0", 60.0));
     // Damaged: kept aside, and an empty one begins.
@@ -163,22 +177,22 @@
             .into_string()
             .expect("text")
     });
-    let aside: Vec<String> = names.filter(|name| name.contains("damaged")).collect();
-    assert_eq!(aside.len(), 1);
+    let damaged_files: Vec<String> = names.filter(|name| name.contains("damaged")).collect();
+    assert_eq!(damaged_files.len(), 1);
     assert_eq!(
-        std::fs::read(site.folder.path().join(&aside[0])).expect("kept"),
+        std::fs::read(site.folder.path().join(&damaged_files[0])).expect("kept"),
         b"no store at all"
     );
     site.api.add_override(&out_override_body("s0", 60.0));
     // In use by another program; a folder in its place; no folder at all.
-    let mut held = None;
+    let mut open_store = None;
     site.restart("TERM", |site| {
-        held = Some(beaconflow_store::open(&site.store_path()).expect("free"))
+        open_store = Some(beaconflow_store::open(&site.store_path()).expect("free"))
     });
-    none_are_kept(&site, "another program");
-    drop(held);
+    assert_store_unavailable(&site, "another program");
+    drop(open_store);
     // A newer program's.
-    let whole = std::fs::read(site.store_path()).expect("there");
+    let intact = std::fs::read(site.store_path()).expect("there");
     site.restart("TERM", |site| {
         let database = redb::Database::create(site.store_path()).expect("free");
         let writing = database.begin_write().expect("open");
@@ -190,16 +204,16 @@
             .expect("room");
         writing.commit().expect("durable");
     });
-    none_are_kept(&site, "written by a newer program");
+    assert_store_unavailable(&site, "written by a newer program");
     site.restart("TERM", |site| {
-        std::fs::write(site.store_path(), &whole).expect("room")
+        std::fs::write(site.store_path(), &intact).expect("room")
     });
     assert_eq!(site.api.overrides().len(), 1, "an older file is read again");
     site.restart("TERM", |site| {
         std::fs::rename(site.store_path(), site.folder.path().join("whole")).expect("there");
         std::fs::create_dir(site.store_path()).expect("free");
     });
-    none_are_kept(&site, "can't be opened");
+    assert_store_unavailable(&site, "can't be opened");
     site.restart("TERM", |site| {
         std::fs::remove_dir(site.store_path()).expect("there");
         std::fs::rename(site.folder.path().join("whole"), site.store_path()).expect("there");
@@ -208,13 +222,13 @@
 }
 
 /// The API says that none are kept and why; nothing is taken; the program serves.
-fn none_are_kept(site: &Site, why: &str) {
+fn assert_store_unavailable(site: &Site, expected_reason: &str) {
     let answer = site.api.call("GET", "/v1/overrides", "").body;
     assert_eq!(answer["kept"], false);
     assert!(
         answer["notes"][0]
             .as_str()
-            .is_some_and(|note| note.contains(why)),
+            .is_some_and(|note| note.contains(expected_reason)),
         "{answer}"
     );
     let refused = site
@@ -224,7 +238,7 @@
     assert!(
         refused.body["error"]
             .as_str()
-            .is_some_and(|error| error.contains(why)),
+            .is_some_and(|error| error.contains(expected_reason)),
         "{}",
         refused.body
     );
@@ -232,7 +246,7 @@
 }
 
 #[test]
-fn a_store_that_may_only_be_read_is_left_as_it_is_and_the_program_serves() {
+fn read_only_store_is_left_unchanged() {
     use std::fs::{Permissions, set_permissions};
     use std::os::unix::fs::PermissionsExt;
     let mut site = Site::start(2);
@@ -254,11 +268,11 @@
         &["--operator", &site.operator_path],
         &[("LB_CONFIG", &site.config_path)],
     );
-    let said = program.wait_for_log("none are restored or kept");
-    assert!(said.contains("denied"), "{said}");
+    let line = program.wait_for_log("none are restored or kept");
+    assert!(line.contains("denied"), "{line}");
     program.wait_for_log("administration API serves");
     site.program = Some(program);
-    none_are_kept(&site, "can't be opened");
+    assert_store_unavailable(&site, "can't be opened");
     assert!(
         std::fs::read(site.store_path()).expect("there") == before,
         "not a byte has changed"
@@ -268,7 +282,7 @@
 }
 
 #[test]
-fn a_disk_that_is_full_refuses_a_change_and_changes_nothing() {
+fn full_disk_rejects_change_and_keeps_state() {
     let site = Site::start(2);
     site.api.add_override(&out_override_body("s0", 60.0));
     // No file of the program may grow from here on, as on a disk without room.
@@ -280,18 +294,18 @@
     let pid = rustix::process::Pid::from_raw(site.program().pid() as i32).expect("it runs");
     rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit)
         .expect("its parent may");
-    let mut taken = 1;
+    let mut accepted = 1;
     let refused = loop {
         let answer = site.api.call(
             "POST",
             "/v1/overrides",
-            &out_override_body(&format!("x{taken}"), 60.0),
+            &out_override_body(&format!("x{accepted}"), 60.0),
         );
         if answer.status != 201 {
             break answer;
         }
-        taken += 1;
-        assert!(taken < 5_000, "the file never had to grow");
+        accepted += 1;
+        assert!(accepted < 5_000, "the file never had to grow");
     };
     assert_eq!(refused.status, 507, "{}", refused.body);
     assert!(
@@ -299,7 +313,14 @@
             .as_str()
             .is_some_and(|error| error.contains("nothing was changed"))
     );
-    assert_eq!(site.api.overrides().len(), taken, "those before it hold on");
-    let (went, _standing) = site.establish_connections(2);
-    assert!(went.iter().all(|number| *number == 1), "{went:?}");
+    assert_eq!(
+        site.api.overrides().len(),
+        accepted,
+        "those before it hold on"
+    );
+    let (servers_used, _connections) = site.establish_connections(2);
+    assert!(
+        servers_used.iter().all(|number| *number == 1),
+        "{servers_used:?}"
+    );
 }
--- a/crates/cli/tests/overrides/effect.rs
+++ b/crates/cli/tests/overrides/effect.rs
@@ -6,17 +6,17 @@
 use crate::support::*;
 
 #[test]
-fn a_server_that_is_out_gets_nothing_new_and_comes_back_by_itself_when_its_time_is_up() {
+fn server_out_gets_no_clients_until_override_expires() {
     let site = Site::start(2);
-    let (_, mut standing) = site.establish_connections(6);
+    let (_, mut connections) = site.establish_connections(6);
     let id = site.api.add_override(&out_override_body("s0", 60.0));
-    let shown = site
+    let override_status = site
         .api
         .call("GET", &format!("/v1/overrides/{id}"), "")
         .body;
-    let left = shown["remaining_s"].as_f64().expect("a number");
-    assert!(left > 0.0 && left <= 60.0, "{left}");
-    assert_eq!(shown["effects"]["platform"], "in effect");
+    let remaining = override_status["remaining_s"].as_f64().expect("a number");
+    assert!(remaining > 0.0 && remaining <= 60.0, "{remaining}");
+    assert_eq!(override_status["effects"]["platform"], "in effect");
     let row = site.api.server_row("s0");
     assert_eq!(
         (
@@ -31,58 +31,64 @@
             .is_some_and(|why| why.contains("maintenance")),
         "{row}"
     );
-    let (went, more) = site.establish_connections(4);
-    assert!(went.iter().all(|number| *number == 1), "{went:?}");
+    let (servers_used, more_connections) = site.establish_connections(4);
+    assert!(
+        servers_used.iter().all(|number| *number == 1),
+        "{servers_used:?}"
+    );
     // What stands there stays. Nothing is let go before the end: a server that breaks connections off is left alone.
-    standing.extend(more);
-    for (client, server) in &mut standing {
+    connections.extend(more_connections);
+    for (client, server) in &mut connections {
         client.send("M 1\r\n");
         server.expect_line("M 1");
         server.send("A 1\r\n");
         client.expect_line("A 1");
     }
     let due = site.api.expire_soon(id);
-    let said = site
+    let line = site
         .program()
         .wait_for_log(&format!("override expired id={id}"));
-    let late = log_timestamp(&said) - due;
-    assert!((-0.002..0.6).contains(&late), "{late} {said}");
+    let delay = log_timestamp(&line) - due;
+    assert!((-0.002..0.6).contains(&delay), "{delay} {line}");
     assert!(
-        said.contains("who=ada") && said.contains("why=maintenance"),
-        "{said}"
+        line.contains("who=ada") && line.contains("why=maintenance"),
+        "{line}"
     );
     assert!(site.api.overrides().is_empty());
     wait_for("its weight", || {
         (site.api.server_row("s0")["effective"]["weight"] == 1.0).then_some(())
     });
-    let (went, _more) = site.establish_connections(8);
-    assert!(went.contains(&0), "it is back: {went:?}");
+    let (servers_used, _more_connections) = site.establish_connections(8);
+    assert!(servers_used.contains(&0), "it is back: {servers_used:?}");
 }
 
 #[test]
-fn an_override_outlives_its_servers_absence_new_address_and_restart() {
+fn override_survives_server_absence_move_and_restart() {
     let mut site = Site::start(2);
     let id = site.api.add_override(&out_override_body("s0", 60.0));
-    let effect = |site: &Site| {
-        let shown = site
+    let effect_on_platform = |site: &Site| {
+        let override_status = site
             .api
             .call("GET", &format!("/v1/overrides/{id}"), "")
             .body;
-        shown["effects"]["platform"]
+        override_status["effects"]["platform"]
             .as_str()
             .expect("a word")
             .to_owned()
     };
     let (first, second) = (site.address(0), site.address(1));
     site.send_endpoint_list(false, &[("s0", first, "DELETED")]);
-    assert_eq!(effect(&site), "server not listed");
+    assert_eq!(effect_on_platform(&site), "server not listed");
     // It comes back elsewhere, as a new process; the other one is still there.
     site.servers[0].1 = listener();
     let moved = site.address(0);
     site.send_endpoint_list(true, &[("s0", moved, "SERVING"), ("s1", second, "SERVING")]);
-    assert_eq!(effect(&site), "in effect");
-    let (went, _standing) = site.establish_connections(4);
-    assert!(went.iter().all(|number| *number == 1), "{went:?}");
+    assert_eq!(effect_on_platform(&site), "in effect");
+    let (servers_used, _connections) = site.establish_connections(4);
+    assert!(
+        servers_used.iter().all(|number| *number == 1),
+        "{servers_used:?}"
+    );
     // One that was never listed.
     let later = site
         .api
@@ -95,12 +101,15 @@
     let third = site.address(2);
     site.send_endpoint_list(false, &[("s2", third, "SERVING")]);
     assert_eq!(site.api.server_row("s2")["effective"]["state"], "out");
-    let (went, _more) = site.establish_connections(4);
-    assert!(went.iter().all(|number| *number == 1), "{went:?}");
+    let (servers_used, _more_connections) = site.establish_connections(4);
+    assert!(
+        servers_used.iter().all(|number| *number == 1),
+        "{servers_used:?}"
+    );
 }
 
 #[test]
-fn what_would_leave_no_server_is_refused_unless_it_is_forced_and_judged_again_with_each_list() {
+fn override_that_leaves_no_server_needs_force() {
     let mut site = Site::start(2);
     let first = site.api.add_override(&out_override_body("s0", 60.0));
     let refused = site
@@ -143,7 +152,7 @@
 }
 
 #[test]
-fn a_server_that_is_back_is_brought_back_in_steps() {
+fn returning_server_weight_ramps_up_in_steps() {
     let site = Site::start_with_overrides(2, "ramp_s = 2.0");
     let id = site.api.add_override(&out_override_body("s0", 60.0));
     assert_eq!(
@@ -152,10 +161,10 @@
             .status,
         200
     );
-    let mut seen: Vec<f64> = Vec::new();
-    let until = Instant::now() + TEST_TIMEOUT;
-    while seen.last() != Some(&1.0) {
-        assert!(Instant::now() < until, "{seen:?}");
+    let mut weights: Vec<f64> = Vec::new();
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while weights.last() != Some(&1.0) {
+        assert!(Instant::now() < deadline, "{weights:?}");
         let row = site.api.server_row("s0");
         let weight = row["effective"]["weight"].as_f64().expect("a number");
         if weight < 1.0 {
@@ -166,44 +175,44 @@
                 "{row}"
             );
         }
-        if seen.last() != Some(&weight) {
-            seen.push(weight);
+        if weights.last() != Some(&weight) {
+            weights.push(weight);
         }
     }
     assert!(
-        seen.is_sorted() && seen[0] <= 0.2 && seen.len() > 8,
-        "{seen:?}"
+        weights.is_sorted() && weights[0] <= 0.2 && weights.len() > 8,
+        "{weights:?}"
     );
 }
 
 #[test]
-fn standing_connections_are_moved_off_at_the_rate_that_was_asked_for() {
+fn out_override_moves_connections_at_requested_rate() {
     let site = Site::start(2);
-    let (went, mut standing) = site.establish_connections(20);
-    let there = went.iter().filter(|number| **number == 0).count();
-    assert!(there >= 6, "{went:?}");
-    let begun = Instant::now();
+    let (servers_used, mut connections) = site.establish_connections(20);
+    let on_s0 = servers_used.iter().filter(|number| **number == 0).count();
+    assert!(on_s0 >= 6, "{servers_used:?}");
+    let started_at = Instant::now();
     let first = override_body(r#""kind":"out","server":"s0","moves_per_s":10"#, 60.0);
     site.api.add_override(&first);
     let mut moved = Vec::new();
-    for ((client, _), _) in standing
+    for ((client, _), _) in connections
         .iter_mut()
-        .zip(&went)
+        .zip(&servers_used)
         .filter(|(_, number)| **number == 0)
     {
         client.expect_line("MOVE");
         client.expect_end();
-        moved.push(begun.elapsed());
+        moved.push(started_at.elapsed());
     }
     let due = |count: usize| Duration::from_millis(100 * (count as u64 - 1));
     let last = moved.iter().max().expect("some");
     assert!(
-        *last >= due(there).saturating_sub(Duration::from_millis(50)),
+        *last >= due(on_s0).saturating_sub(Duration::from_millis(50)),
         "{moved:?}"
     );
-    for ((client, server), _) in standing
+    for ((client, server), _) in connections
         .iter_mut()
-        .zip(&went)
+        .zip(&servers_used)
         .filter(|(_, number)| **number == 1)
     {
         client.send("M 1\r\n");
@@ -212,7 +221,7 @@
 }
 
 #[test]
-fn a_pinned_group_goes_to_its_server_and_falls_back_or_is_refused_as_was_said() {
+fn pinned_group_falls_back_or_is_rejected_by_mode() {
     let mut site = Site::start(3);
     let pin = |mode: &str, group: &str| {
         override_body(
@@ -222,26 +231,26 @@
     };
     site.api.add_override(&pin("prefer", "north"));
     site.api.add_override(&pin("strict", "south"));
-    let mut standing = Vec::new();
+    let mut connections = Vec::new();
     for group in ["north", "south", "north", "south"] {
-        let (went, client, server) = site.establish_connection(group);
-        assert_eq!(went, 2, "{group}");
-        standing.push((client, server));
+        let (server_index, client, server) = site.establish_connection(group);
+        assert_eq!(server_index, 2, "{group}");
+        connections.push((client, server));
     }
     // A refusal there sends the one elsewhere and has the other asked there again, never two at once.
-    for (group, elsewhere) in [("north", true), ("south", false)] {
+    for (group, goes_elsewhere) in [("north", true), ("south", false)] {
         let mut client = site.open_client(group);
-        let (went, mut server) = site.accept_attempt();
-        assert_eq!(went, 2);
+        let (server_index, mut server) = site.accept_attempt();
+        assert_eq!(server_index, 2);
         server.read_line().expect("an opening");
         server.send("BUSY\r\n");
         server.expect_end();
-        let (went, mut server) = site.accept_attempt();
-        assert_eq!(went != 2, elsewhere, "{group}");
+        let (server_index, mut server) = site.accept_attempt();
+        assert_eq!(server_index != 2, goes_elsewhere, "{group}");
         server.read_line().expect("an opening");
         server.send("UP r1\r\n");
         client.expect_line("UP r1");
-        standing.push((client, server));
+        connections.push((client, server));
     }
     // Its server drains: the strict ones are told at once when to come back.
     let third = site.address(2);
@@ -250,46 +259,49 @@
         .api
         .overrides()
         .iter()
-        .map(|one| one["effects"]["platform"].clone())
+        .map(|row| row["effects"]["platform"].clone())
         .collect();
     assert_eq!(
         effects,
         ["server takes nothing new", "server takes nothing new"]
     );
-    let (went, client, server) = site.establish_connection("north");
-    assert_ne!(went, 2);
-    standing.push((client, server));
-    let asked = Instant::now();
+    let (server_index, client, server) = site.establish_connection("north");
+    assert_ne!(server_index, 2);
+    connections.push((client, server));
+    let asked_at = Instant::now();
     let mut client = site.open_client("south");
     let answer = client.read_line().expect("an answer");
-    let after = answer
+    let retry_after = answer
         .strip_prefix("BUSY ")
         .and_then(|millis| millis.parse::<u64>().ok());
-    assert!(after.is_some_and(|after| after <= 2_000), "{answer}");
     assert!(
-        asked.elapsed() < Duration::from_millis(300),
+        retry_after.is_some_and(|retry_after| retry_after <= 2_000),
+        "{answer}"
+    );
+    assert!(
+        asked_at.elapsed() < Duration::from_millis(300),
         "not held back"
     );
     // A tenant's pin stands behind its group's.
     let tenant = override_body(r#""kind":"pin","server":"s1","tenant":"acme""#, 60.0);
     site.api.add_override(&tenant);
-    let (went, client, server) = site.establish_connection("west");
-    assert_eq!(went, 1);
-    standing.push((client, server));
+    let (server_index, client, server) = site.establish_connection("west");
+    assert_eq!(server_index, 1);
+    connections.push((client, server));
     let mut client = site.open_client("south");
     assert!(client.read_line().expect("an answer").starts_with("BUSY "));
 }
 
 #[test]
-fn two_balancers_end_the_same_override_within_a_tenth_of_a_second() {
-    let (one, other) = (Site::start(1), Site::start(1));
+fn two_balancers_expire_same_override_within_100_ms() {
+    let (first_site, second_site) = (Site::start(1), Site::start(1));
     let at = std::time::SystemTime::now() + Duration::from_secs(3);
     let text = r#"{"kind":"weight","server":"s0","factor":0.5,"who":"ada","why":"both","expires_at":"AT"}"#;
     let text = text.replace("AT", &humantime::format_rfc3339_millis(at).to_string());
-    one.api.add_override(&text);
-    other.api.add_override(&text);
-    let stamp = |site: &Site| log_timestamp(&site.program().wait_for_log("override expired"));
-    let (first, second) = (stamp(&one), stamp(&other));
+    first_site.api.add_override(&text);
+    second_site.api.add_override(&text);
+    let expired_at = |site: &Site| log_timestamp(&site.program().wait_for_log("override expired"));
+    let (first, second) = (expired_at(&first_site), expired_at(&second_site));
     let due = at
         .duration_since(std::time::UNIX_EPOCH)
         .expect("after 1970")
--- a/crates/cli/tests/overrides/requests.rs
+++ b/crates/cli/tests/overrides/requests.rs
@@ -3,15 +3,18 @@
 use crate::balancer::{Site, out_override_body, override_body};
 
 #[test]
-fn requests_sent_twice_at_once_or_in_bad_faith_do_no_harm() {
+fn duplicate_concurrent_and_invalid_requests_do_no_harm() {
     let site = Site::start(2);
     // Sent twice, by one client or by several at once: carried out once.
-    let text = out_override_body("s0", 60.0);
+    let request_body = out_override_body("s0", 60.0);
     let answers: Vec<(u16, u64, bool)> = std::thread::scope(|scope| {
         let send = || {
-            let answer =
-                site.api
-                    .call_with("POST", "/v1/overrides", "Idempotency-Key: k1\r\n", &text);
+            let answer = site.api.call_with(
+                "POST",
+                "/v1/overrides",
+                "Idempotency-Key: k1\r\n",
+                &request_body,
+            );
             let id = answer.body["id"].as_u64().expect("a number");
             (
                 answer.status,
@@ -19,16 +22,17 @@
                 answer.head.contains("Idempotency-Replayed"),
             )
         };
-        let all: Vec<_> = (0..8).map(|_| scope.spawn(send)).collect();
-        all.into_iter()
-            .map(|one| one.join().expect("answered"))
+        let threads: Vec<_> = (0..8).map(|_| scope.spawn(send)).collect();
+        threads
+            .into_iter()
+            .map(|thread| thread.join().expect("answered"))
             .collect()
     });
     let id = answers[0].1;
     assert!(
         answers
             .iter()
-            .all(|(status, same, _)| *status == 201 && *same == id),
+            .all(|(status, other_id, _)| *status == 201 && *other_id == id),
         "{answers:?}"
     );
     assert_eq!(
@@ -44,7 +48,7 @@
     assert_eq!(other.status, 422);
     // Two changes at once from the same revision: one is told that it came late.
     let path = format!("/v1/overrides/{id}");
-    let mut both: Vec<u16> = std::thread::scope(|scope| {
+    let mut statuses: Vec<u16> = std::thread::scope(|scope| {
         let change = || {
             site.api
                 .call_with(
@@ -55,15 +59,16 @@
                 )
                 .status
         };
-        let all: Vec<_> = (0..2).map(|_| scope.spawn(change)).collect();
-        all.into_iter()
-            .map(|one| one.join().expect("answered"))
+        let threads: Vec<_> = (0..2).map(|_| scope.spawn(change)).collect();
+        threads
+            .into_iter()
+            .map(|thread| thread.join().expect("answered"))
             .collect()
     });
-    both.sort_unstable();
-    assert_eq!(both, [200, 412]);
-    let fields = |text: &str| -> (u16, Vec<String>) {
-        let answer = site.api.call("POST", "/v1/overrides", text);
+    statuses.sort_unstable();
+    assert_eq!(statuses, [200, 412]);
+    let status_and_faults = |request_body: &str| -> (u16, Vec<String>) {
+        let answer = site.api.call("POST", "/v1/overrides", request_body);
         let faults = answer.body["faults"]
             .as_array()
             .cloned()
@@ -76,7 +81,7 @@
                 .collect(),
         )
     };
-    for (text, status, named) in [
+    for (request_body, status, expected_fields) in [
         ("", 400, vec![]),
         ("{", 400, vec![]),
         ("[]", 422, vec![]),
@@ -147,14 +152,17 @@
         ),
         (&"x".repeat(20_000), 413, vec![]),
     ] {
-        let (got, faults) = fields(text);
+        let (actual_status, faults) = status_and_faults(request_body);
         assert_eq!(
-            (got, faults),
-            (status, named.into_iter().map(String::from).collect()),
-            "{text}"
+            (actual_status, faults),
+            (
+                status,
+                expected_fields.into_iter().map(String::from).collect()
+            ),
+            "{request_body}"
         );
     }
-    for (method, path, text, status) in [
+    for (method, path, request_body, status) in [
         ("GET", "/v1/overrides/99", "", 404),
         ("GET", "/v1/overrides/all", "", 404),
         ("PUT", "/v1/overrides", "", 405),
@@ -175,19 +183,22 @@
         ("GET", "/v1/tenants", "", 404),
     ] {
         assert_eq!(
-            site.api.call(method, path, text).status,
+            site.api.call(method, path, request_body).status,
             status,
-            "{method} {path} {text}"
+            "{method} {path} {request_body}"
         );
     }
     // None of it changed what holds.
-    let all = site.api.overrides();
-    assert_eq!((all.len(), all[0]["revision"].as_u64()), (1, Some(2)));
+    let overrides = site.api.overrides();
+    assert_eq!(
+        (overrides.len(), overrides[0]["revision"].as_u64()),
+        (1, Some(2))
+    );
     site.establish_connection("north");
 }
 
 #[test]
-fn there_are_as_many_as_may_be_and_no_more() {
+fn override_count_and_duration_limits_are_enforced() {
     // Without a ramp what comes back is back at once.
     let site = Site::start_with_overrides(1, "most = 3\nlongest_s = 10\nramp_s = 0");
     for number in 0..3 {
--- a/crates/cli/tests/roll.rs
+++ b/crates/cli/tests/roll.rs
@@ -14,18 +14,18 @@
 use support::*;
 
 /// SIGKILL may follow SIGTERM so soon: the longest deadline, counted as 3 s, and 0.7 s.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
 
 #[test]
-fn a_file_that_says_nothing_sound_at_sighup_changes_nothing_and_the_log_names_what_is_wrong() {
+fn sighup_keeps_configuration_when_file_is_invalid() {
     let site = Site::start("unsound", 2);
     let _watch = site.discovery.accept_watch();
     let (mut client, mut server) = site.establish_connection();
-    let elsewhere = site.config.replace(
+    let changed_config = site.config.replace(
         &site.discovery.address.to_string(),
         &reserve_address().to_string(),
     );
-    for (from, to, why) in [
+    for (from, to, expected_error) in [
         ("\"n0\"", "7", "name: invalid type"),
         (
             "\"sockets\":256",
@@ -61,16 +61,16 @@
         ("}}", "}}}}", "trailing characters"),
     ] {
         // Discovery's address, which could be taken over, is another one too.
-        let spoilt = elsewhere.replacen(from, to, 1);
-        let spoilt = if from == "}}" {
-            elsewhere.trim_end().trim_end_matches('}').to_owned() + to
+        let invalid_config = changed_config.replacen(from, to, 1);
+        let invalid_config = if from == "}}" {
+            changed_config.trim_end().trim_end_matches('}').to_owned() + to
         } else {
-            spoilt
+            invalid_config
         };
-        std::fs::write(&site.config_path, &spoilt).expect("the same folder");
+        std::fs::write(&site.config_path, &invalid_config).expect("the same folder");
         site.program.signal("HUP");
-        let said = site.program.wait_for_log("present configuration kept");
-        assert!(said.contains(why), "{to}: {said}");
+        let line = site.program.wait_for_log("present configuration kept");
+        assert!(line.contains(expected_error), "{to}: {line}");
     }
     std::fs::remove_file(&site.config_path).expect("it is there");
     site.program.signal("HUP");
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn a_count_of_balancers_changed_by_sighup_is_taken_over_and_standing_connections_feel_nothing() {
+fn sighup_applies_balancer_count_without_disturbing_connections() {
     let site = Site::start("counted", 1);
     let (mut client, mut server) = site.establish_connection();
     // One of a few has twelve set-ups under way at first, one of 300 no more than one at once.
-    let more = site.config.replace("\"balancers\":1", "\"balancers\":300");
-    std::fs::write(&site.config_path, more).expect("the same folder");
+    let larger_fleet_config = site.config.replace("\"balancers\":1", "\"balancers\":300");
+    std::fs::write(&site.config_path, larger_fleet_config).expect("the same folder");
     site.program.signal("HUP");
     assert!(
         site.program
@@ -123,34 +123,34 @@
 }
 
 #[test]
-fn after_sigterm_what_rests_is_served_or_ended_and_nothing_that_comes_after_the_end_is_sent_on() {
+fn sigterm_drains_idle_connections_and_forwards_nothing_afterwards() {
     let mut site = Site::start("rests", 1);
-    let (mut stays, mut server) = site.establish_connection();
+    let (mut established, mut server) = site.establish_connection();
     let mut silent = Peer::connect(site.address);
-    let mut resting = Peer::connect(site.address);
-    resting.send("PING\r\n");
-    resting.expect_line("PONG");
+    let mut idle = Peer::connect(site.address);
+    idle.send("PING\r\n");
+    idle.expect_line("PONG");
     server.send("hal");
-    assert_eq!(stays.read_text(3), "hal");
-    let told = Instant::now();
+    assert_eq!(established.read_text(3), "hal");
+    let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
     // A request on a connection that rested is served, and moved with the others.
-    resting.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-    let mut late = Peer::accept(&site.servers[0]);
-    late.read_line().expect("an opening");
-    late.send("UP r2\r\n");
-    resting.expect_line("UP r2");
+    idle.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    let mut resumed_server = Peer::accept(&site.servers[0]);
+    resumed_server.read_line().expect("an opening");
+    resumed_server.send("UP r2\r\n");
+    idle.expect_line("UP r2");
     // Half a line of a server ends before the move.
     server.send("f\r\n");
-    stays.expect_line("f");
-    stays.expect_line("MOVE");
+    established.expect_line("f");
+    established.expect_line("MOVE");
     // A client that does not let go: what it says now was read after the shutdown.
-    stays.send("M late\r\n");
-    stays.expect_end();
+    established.send("M late\r\n");
+    established.expect_end();
     server.expect_end();
-    resting.expect_line("MOVE");
-    resting.expect_end();
+    idle.expect_line("MOVE");
+    idle.expect_end();
     // One that never said anything has an answer or an end, and no reset.
     let last = silent.read_line();
     assert!(
@@ -167,21 +167,25 @@
         site.servers[0].accept().is_err(),
         "nothing more was sent on"
     );
-    assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
+    assert!(
+        signalled_at.elapsed() < SIGKILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
 }
 
 /// Discovery's agents for a whole fleet: they tell each watch the whole list, and each change to all.
 #[derive(Clone, Default)]
-struct Farm(Arc<Mutex<Told>>);
+struct FleetDiscovery(Arc<Mutex<DiscoveryState>>);
 
 #[derive(Default)]
-struct Told {
+struct DiscoveryState {
     generation: u32,
     servers: Vec<(String, SocketAddr, &'static str)>,
     watches: Vec<TcpStream>,
 }
 
-impl Told {
+impl DiscoveryState {
     fn list(&self, reset: bool, servers: &[(String, SocketAddr, &'static str)]) -> String {
         let rows: Vec<_> = servers
             .iter()
@@ -192,9 +196,9 @@
     }
 }
 
-impl Farm {
+impl FleetDiscovery {
     fn serve(&self, listener: TcpListener) {
-        let farm = self.clone();
+        let fleet_discovery = self.clone();
         std::thread::spawn(move || {
             loop {
                 let Ok((stream, _)) = listener.accept() else {
@@ -205,64 +209,65 @@
                     .read_line_or_end()
                     .is_some_and(|line| line.trim_end() != "")
                 {}
-                let mut told = farm.0.lock().expect("sound");
-                let whole = told.list(true, &told.servers);
+                let mut state = fleet_discovery.0.lock().expect("sound");
+                let whole = state.list(true, &state.servers);
                 peer.send(&format!(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{whole}"
                 ));
-                told.watches.push(peer.stream);
+                state.watches.push(peer.stream);
             }
         });
-        let farm = self.clone();
+        let fleet_discovery = self.clone();
         std::thread::spawn(move || {
             loop {
-                farm.tell("1\r\n\n\r\n");
+                fleet_discovery.broadcast("1\r\n\n\r\n");
                 std::thread::sleep(Duration::from_millis(500));
             }
         });
     }
 
-    fn tell(&self, words: &str) {
+    fn broadcast(&self, message: &str) {
         self.0
             .lock()
             .expect("sound")
             .watches
-            .retain_mut(|watch| watch.write_all(words.as_bytes()).is_ok());
+            .retain_mut(|watch| watch.write_all(message.as_bytes()).is_ok());
     }
 
     /// One server begins to drain, and another takes its place.
-    fn replace(&self, old: usize, new: (String, SocketAddr)) {
-        let words = {
-            let mut told = self.0.lock().expect("sound");
-            told.generation += 1;
-            told.servers[old].2 = "DRAINING";
-            told.servers.push((new.0, new.1, "SERVING"));
+    fn replace_server(&self, old: usize, new: (String, SocketAddr)) {
+        let message = {
+            let mut state = self.0.lock().expect("sound");
+            state.generation += 1;
+            state.servers[old].2 = "DRAINING";
+            state.servers.push((new.0, new.1, "SERVING"));
             let changed = [
-                told.servers[old].clone(),
-                told.servers[told.servers.len() - 1].clone(),
+                state.servers[old].clone(),
+                state.servers[state.servers.len() - 1].clone(),
             ];
-            told.list(false, &changed)
+            state.list(false, &changed)
         };
-        self.tell(&words);
+        self.broadcast(&message);
     }
 }
 
 /// What servers saw of openings: the server, the opening's id, and when.
-type Seen = Arc<Mutex<Vec<(usize, String, Instant)>>>;
+type ObservedOpenings = Arc<Mutex<Vec<(usize, String, Instant)>>>;
 
 /// A server that takes all openings and answers all lines.
-fn takes_all(number: usize, listener: TcpListener, seen: &Seen) {
-    let seen = Arc::clone(seen);
+fn spawn_server(number: usize, listener: TcpListener, observed: &ObservedOpenings) {
+    let observed = Arc::clone(observed);
     std::thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
-            let seen = Arc::clone(&seen);
+            let observed = Arc::clone(&observed);
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
                 let Some(opening) = peer.read_line_or_end() else {
                     return;
                 };
                 let id = opening.split(' ').nth(1).unwrap_or_default().to_owned();
-                seen.lock()
+                observed
+                    .lock()
                     .expect("sound")
                     .push((number, id, Instant::now()));
                 let _ = peer.stream.write_all(b"UP r\r\n");
@@ -277,21 +282,21 @@
     /// By balancer: its address, and whether the front sends it clients.
     balancers: Vec<(SocketAddr, AtomicBool)>,
     /// How often each was started.
-    lives: Vec<AtomicUsize>,
-    over: AtomicBool,
+    restart_counts: Vec<AtomicUsize>,
+    is_over: AtomicBool,
     served: AtomicUsize,
     /// Requests without an answer, by id.
-    lost: Mutex<Vec<String>>,
+    unanswered: Mutex<Vec<String>>,
     /// Final answers that are not an `UP`.
-    others: Mutex<HashMap<String, usize>>,
+    other_answers: Mutex<HashMap<String, usize>>,
 }
 
 impl Clients {
     /// Opens connections at one balancer after another, each held until the next few stand.
-    fn come(&self, thread: usize) {
-        let mut held = std::collections::VecDeque::new();
+    fn run_client_loop(&self, thread: usize) {
+        let mut open_clients = std::collections::VecDeque::new();
         for number in 0.. {
-            if self.over.load(Ordering::SeqCst) {
+            if self.is_over.load(Ordering::SeqCst) {
                 return;
             }
             let balancer = (thread + number) % self.balancers.len();
@@ -300,8 +305,8 @@
                 std::thread::sleep(Duration::from_millis(1));
                 continue;
             }
-            let life = self.lives[balancer].load(Ordering::SeqCst);
-            let id = format!("b{balancer}life{life}t{thread}n{number}");
+            let restart_count = self.restart_counts[balancer].load(Ordering::SeqCst);
+            let id = format!("b{balancer}life{restart_count}t{thread}n{number}");
             let Ok(stream) = TcpStream::connect(at) else {
                 continue;
             };
@@ -312,39 +317,46 @@
             match client.read_line_or_end() {
                 Some(line) if line.starts_with("UP ") => {
                     self.served.fetch_add(1, Ordering::SeqCst);
-                    held.push_back(client);
-                    if held.len() > 10 {
-                        held.pop_front();
+                    open_clients.push_back(client);
+                    if open_clients.len() > 10 {
+                        open_clients.pop_front();
                     }
                 }
-                Some(line) => *self.others.lock().expect("sound").entry(line).or_default() += 1,
-                None => self.lost.lock().expect("sound").push(id),
+                Some(line) => {
+                    *self
+                        .other_answers
+                        .lock()
+                        .expect("sound")
+                        .entry(line)
+                        .or_default() += 1
+                }
+                None => self.unanswered.lock().expect("sound").push(id),
             }
         }
     }
 }
 
 #[test]
-fn a_tenth_of_the_fleet_restarts_while_half_of_the_servers_are_replaced() {
+fn rolling_restart_during_server_replacement_loses_no_request() {
     const BALANCERS: usize = 10;
     const SERVERS: usize = 6;
     /// A request may still begin so long after its balancer was told: 50 ms, and what a loaded machine takes.
-    const GRACE: Duration = Duration::from_millis(750);
-    let seen = Seen::default();
+    const DRAIN_GRACE: Duration = Duration::from_millis(750);
+    let observed = ObservedOpenings::default();
     let servers: Vec<(String, SocketAddr)> = (0..SERVERS + SERVERS / 2)
         .map(|number| {
             let listener = listener();
             let at = listener.local_addr().expect("bound");
-            takes_all(number, listener, &seen);
+            spawn_server(number, listener, &observed);
             (format!("s{number}"), at)
         })
         .collect();
-    let (farm, discovery) = (Farm::default(), listener());
-    let watched_at = discovery.local_addr().expect("bound");
+    let (fleet_discovery, discovery) = (FleetDiscovery::default(), listener());
+    let discovery_address = discovery.local_addr().expect("bound");
     let row = |(name, at): &(String, SocketAddr)| (name.clone(), *at, "SERVING");
-    farm.0.lock().expect("sound").generation = 1;
-    farm.0.lock().expect("sound").servers = servers[..SERVERS].iter().map(row).collect();
-    farm.serve(discovery);
+    fleet_discovery.0.lock().expect("sound").generation = 1;
+    fleet_discovery.0.lock().expect("sound").servers = servers[..SERVERS].iter().map(row).collect();
+    fleet_discovery.serve(discovery);
     let known: Vec<_> = servers[..SERVERS]
         .iter()
         .map(|(name, at)| (name.as_str(), *at, "SERVING"))
@@ -357,7 +369,7 @@
         // The known list is that of the beginning, also at a restart.
         let config = platform_config(
             at,
-            watched_at,
+            discovery_address,
             &endpoint_list(1, true, &known),
             &settings,
             1024,
@@ -377,48 +389,48 @@
             .iter()
             .map(|at| (*at, AtomicBool::new(true)))
             .collect(),
-        lives: (0..BALANCERS).map(|_| AtomicUsize::new(0)).collect(),
-        over: AtomicBool::new(false),
+        restart_counts: (0..BALANCERS).map(|_| AtomicUsize::new(0)).collect(),
+        is_over: AtomicBool::new(false),
         served: AtomicUsize::new(0),
-        lost: Mutex::default(),
-        others: Mutex::default(),
+        unanswered: Mutex::default(),
+        other_answers: Mutex::default(),
     };
-    let served_beyond = |count: usize| {
-        let (from, until) = (
+    let wait_for_served = |count: usize| {
+        let (served_before, deadline) = (
             clients.served.load(Ordering::SeqCst),
             Instant::now() + TEST_TIMEOUT,
         );
-        while clients.served.load(Ordering::SeqCst) < from + count {
-            assert!(Instant::now() < until, "nobody is served");
+        while clients.served.load(Ordering::SeqCst) < served_before + count {
+            assert!(Instant::now() < deadline, "nobody is served");
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    let told_at = std::thread::scope(|scope| {
+    let drained_at = std::thread::scope(|scope| {
         (0..4).for_each(|thread| {
             drop(scope.spawn({
                 let clients = &clients;
-                move || clients.come(thread)
+                move || clients.run_client_loop(thread)
             }))
         });
-        served_beyond(50);
-        let mut told_at = Vec::new();
-        let replace = |at: usize, told_at: &mut Vec<Instant>| {
-            farm.replace(at, servers[SERVERS + at].clone());
-            told_at.push(Instant::now());
+        wait_for_served(50);
+        let mut drained_at = Vec::new();
+        let replace = |at: usize, drained_at: &mut Vec<Instant>| {
+            fleet_discovery.replace_server(at, servers[SERVERS + at].clone());
+            drained_at.push(Instant::now());
         };
-        replace(0, &mut told_at);
-        served_beyond(50);
+        replace(0, &mut drained_at);
+        wait_for_served(50);
         programs[0].signal("TERM");
         // The front goes on for a while.
         std::thread::sleep(Duration::from_millis(300));
         clients.balancers[0].1.store(false, Ordering::SeqCst);
         (1..SERVERS / 2).for_each(|at| {
-            replace(at, &mut told_at);
-            served_beyond(50);
+            replace(at, &mut drained_at);
+            wait_for_served(50);
         });
         assert!(programs[0].exits_cleanly(), "it leaves by itself");
         programs[0] = start(0, addresses[0]);
-        clients.lives[0].store(1, Ordering::SeqCst);
+        clients.restart_counts[0].store(1, Ordering::SeqCst);
         // As the front does: it is let in once it says yes.
         while {
             let mut front = Peer::connect(addresses[0]);
@@ -426,36 +438,42 @@
             front.read_line().as_deref() != Some("PONG")
         } {}
         clients.balancers[0].1.store(true, Ordering::SeqCst);
-        served_beyond(200);
-        clients.over.store(true, Ordering::SeqCst);
-        told_at
+        wait_for_served(200);
+        clients.is_over.store(true, Ordering::SeqCst);
+        drained_at
     });
     assert_eq!(
-        *clients.lost.lock().expect("sound"),
+        *clients.unanswered.lock().expect("sound"),
         Vec::<String>::new(),
         "each has an answer"
     );
-    let others = clients.others.lock().expect("sound");
-    let refused: usize = others.values().sum();
+    let other_answers = clients.other_answers.lock().expect("sound");
+    let refused: usize = other_answers.values().sum();
     assert!(
         refused * 20 <= clients.served.load(Ordering::SeqCst),
-        "hardly any is turned away: {others:?}"
+        "hardly any is turned away: {other_answers:?}"
     );
-    let seen = seen.lock().expect("sound");
-    for (server, id, at) in seen.iter().filter(|(server, ..)| *server < told_at.len()) {
-        let late = at.saturating_duration_since(told_at[*server]);
+    let observed = observed.lock().expect("sound");
+    for (server, id, at) in observed
+        .iter()
+        .filter(|(server, ..)| *server < drained_at.len())
+    {
+        let delay = at.saturating_duration_since(drained_at[*server]);
         assert!(
-            late < GRACE,
-            "{id} at s{server}, {late:?} after it was told"
+            delay < DRAIN_GRACE,
+            "{id} at s{server}, {delay:?} after it was told"
         );
         assert!(
             !id.starts_with("b0life1"),
             "{id} at s{server}, which had left before its balancer started"
         );
     }
-    let news = seen
+    let openings_on_new_servers = observed
         .iter()
         .filter(|(server, id, _)| *server >= SERVERS && id.starts_with("b0life1"))
         .count();
-    assert!(news > 0, "the one that restarted serves on the new servers");
+    assert!(
+        openings_on_new_servers > 0,
+        "the one that restarted serves on the new servers"
+    );
 }
--- a/crates/cli/tests/stories/affinity.rs
+++ b/crates/cli/tests/stories/affinity.rs
@@ -8,32 +8,34 @@
     established_connections,
 };
 
-use super::{all_know, all_stayed, all_there, serving, shape, stay};
+use super::{
+    assert_placements_kept, finish_with_placements_kept, fleet_config, start_with_clients,
+    wait_for_all_members, wait_for_placements,
+};
 
 /// Whoever came again since, and where to.
-fn came_again(fleet: &Fleet, since: usize, count: usize) -> BTreeMap<String, String> {
+fn wait_for_reconnects(fleet: &Fleet, since: usize, count: usize) -> BTreeMap<String, String> {
     fleet.record.wait("enough came again", |events| {
-        let again = established_connections(&events[since..]);
-        (again.len() >= count).then_some(again)
+        let reconnected = established_connections(&events[since..]);
+        (reconnected.len() >= count).then_some(reconnected)
     })
 }
 
 #[test]
-fn clients_of_processes_that_died_find_the_servers_they_had_through_the_others() {
-    let (mut fleet, before) = serving(shape(21), 60);
+fn clients_of_killed_processes_keep_their_servers() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(21), 60);
     let killed = fleet.record.step("two of five are killed");
     fleet.kill(&[0, 1]);
     fleet.wait_until_available(3);
     let after = fleet.wait_all_established();
-    came_again(&fleet, killed, 1);
-    stay(&fleet, &before, &after);
+    wait_for_reconnects(&fleet, killed, 1);
+    assert_placements_kept(&fleet, &initial, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn a_version_is_rolled_over_all_processes_with_loss_and_a_partition_and_nobody_changes_its_server()
-{
-    let (mut fleet, before) = serving(shape(22), 40);
+fn rollout_under_loss_and_partition_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(22), 40);
     fleet.fault_datagrams(Fault::Drop(Direction::Both, 0.05));
     for number in 0..5 {
         if number == 2 {
@@ -65,13 +67,13 @@
                 });
         }
     }
-    all_there(&fleet);
-    all_stayed(fleet, &before);
+    wait_for_all_members(&fleet);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn a_version_that_is_taken_back_half_way_keeps_everybody() {
-    let (mut fleet, before) = serving(shape(23), 40);
+fn half_rollout_rolled_back_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(23), 40);
     for number in 0..2 {
         fleet.roll_out(
             number,
@@ -91,13 +93,13 @@
             },
         );
     }
-    all_there(&fleet);
-    all_stayed(fleet, &before);
+    wait_for_all_members(&fleet);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn clients_whose_process_is_killed_again_and_again_keep_their_server() {
-    let (mut fleet, before) = serving(shape(24), 40);
+fn repeated_process_kills_keep_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(24), 40);
     for round in 0..3 {
         fleet
             .record
@@ -107,10 +109,10 @@
         fleet.wait_all_established();
         fleet.start(&[round], Disk::Lost);
         fleet.wait_until_available(5);
-        all_there(&fleet);
+        wait_for_all_members(&fleet);
     }
     let after = fleet.wait_all_established();
-    stay(&fleet, &before, &after);
+    assert_placements_kept(&fleet, &initial, &after);
     fleet
         .finish(&Rules {
             fault_aftermath: Duration::from_secs(10),
@@ -120,8 +122,8 @@
 }
 
 #[test]
-fn versions_that_are_skipped_at_some_processes_keep_everybody() {
-    let (mut fleet, before) = serving(shape(25), 40);
+fn skipped_versions_keep_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(25), 40);
     let rolls = [(0, 2), (1, 3), (0, 3), (2, 4)];
     for (number, serial) in rolls {
         fleet.roll_out(
@@ -132,13 +134,13 @@
             },
         );
     }
-    all_there(&fleet);
-    all_stayed(fleet, &before);
+    wait_for_all_members(&fleet);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn clients_that_go_to_and_fro_between_processes_of_two_versions_do_not_flap() {
-    let (mut fleet, before) = serving(shape(26), 40);
+fn clients_alternating_between_versions_keep_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(26), 40);
     for number in [0, 1] {
         fleet.roll_out(
             number,
@@ -148,46 +150,46 @@
             },
         );
     }
-    for which in [[0, 1], [2, 3], [1, 4]] {
-        all_know(&fleet, 40);
+    for killed in [[0, 1], [2, 3], [1, 4]] {
+        wait_for_placements(&fleet, 40);
         fleet
             .record
-            .step(&format!("{which:?} are killed, and come back"));
-        fleet.kill(&which);
+            .step(&format!("{killed:?} are killed, and come back"));
+        fleet.kill(&killed);
         fleet.wait_until_available(3);
         fleet.wait_all_established();
-        fleet.start(&which, Disk::Kept);
+        fleet.start(&killed, Disk::Kept);
         fleet.wait_until_available(5);
-        all_there(&fleet);
+        wait_for_all_members(&fleet);
     }
-    all_stayed(fleet, &before);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn nobody_is_led_to_a_server_that_drains_and_the_others_stay() {
-    let (mut fleet, before) = serving(shape(27), 40);
+fn draining_server_gets_no_clients_and_others_stay() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(27), 40);
     fleet.record.step("a server drains, and two processes die");
     fleet.discovery.set_lifecycle("s0", Lifecycle::Draining);
     fleet.servers[0].drain(DrainPace::AtOnce);
     fleet.kill(&[0, 1]);
     fleet.wait_until_available(3);
     fleet.record.wait("nobody is on it", |events| {
-        let placed = established_connections(events);
-        (placed.len() == 40 && placed.values().all(|server| server != "s0")).then_some(())
+        let placements = established_connections(events);
+        (placements.len() == 40 && placements.values().all(|server| server != "s0")).then_some(())
     });
     let after = fleet.wait_all_established();
-    let rest = before
+    let unaffected = initial
         .into_iter()
         .filter(|(_, server)| server != "s0")
         .collect();
-    stay(&fleet, &rest, &after);
+    assert_placements_kept(&fleet, &unaffected, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn whoever_was_on_a_server_that_began_anew_is_dealt_anew_and_the_others_come_back() {
-    let (mut fleet, before) = serving(shape(28), 40);
-    let begun = fleet
+fn clients_of_other_servers_return_after_server_restart() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(28), 40);
+    let restarted = fleet
         .record
         .step("a server begins anew, and so do two processes");
     fleet.kill_servers(&[2]);
@@ -197,11 +199,11 @@
     fleet.wait_until_available(5);
     let after = fleet.wait_all_established();
     // Some of the others are moved on purpose, to fill the cold one.
-    let moved = fleet.record.clients_moved_since(begun);
-    let rest = before
+    let moved = fleet.record.clients_moved_since(restarted);
+    let unaffected = initial
         .into_iter()
         .filter(|(client, server)| server != "s2" && !moved.contains(client))
         .collect();
-    stay(&fleet, &rest, &after);
+    assert_placements_kept(&fleet, &unaffected, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
--- a/crates/cli/tests/stories/combined.rs
+++ b/crates/cli/tests/stories/combined.rs
@@ -5,107 +5,111 @@
     established_connections,
 };
 
-use super::edge::site_is;
+use super::edge::wait_for_uplink_state;
 use super::{
-    ALL, all_know, all_know_but, all_stayed, all_there, power_is_lost, serving, shape, shape_at,
-    stay,
+    ALL, assert_placements_kept, cut_power, finish_with_placements_kept, fleet_config,
+    fleet_config_with_sites, start_with_clients, wait_for_all_members, wait_for_placements,
+    wait_for_placements_except,
 };
 
 const SITES: [(&str, usize); 2] = [("north", 3), ("south", 2)];
-const SECOND: ConfigVersion = ConfigVersion {
+const SECOND_VERSION: ConfigVersion = ConfigVersion {
     serial: 2,
     lane_value: 2.0,
 };
 
 #[test]
-fn a_power_loss_while_a_roll_out_is_half_done() {
-    let (mut fleet, before) = serving(
+fn power_loss_during_half_done_rollout_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(41)
+            ..fleet_config(41)
         },
         40,
     );
-    fleet.roll_out(0, SECOND);
-    fleet.roll_out(1, SECOND);
-    all_know(&fleet, 40);
-    let dark = fleet
+    fleet.roll_out(0, SECOND_VERSION);
+    fleet.roll_out(1, SECOND_VERSION);
+    wait_for_placements(&fleet, 40);
+    let outage_start = fleet
         .record
         .step("the power is lost, and discovery with it");
-    power_is_lost(&mut fleet);
+    cut_power(&mut fleet);
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
-    let half = fleet.wait_all_established_since(dark);
-    stay(&fleet, &before, &half);
+    let after_power_loss = fleet.wait_all_established_since(outage_start);
+    assert_placements_kept(&fleet, &initial, &after_power_loss);
     fleet.record.step("discovery is back, and the roll goes on");
     fleet.discovery.come_back();
-    all_there(&fleet);
-    fleet.roll_out(2, SECOND);
-    all_stayed(fleet, &before);
+    wait_for_all_members(&fleet);
+    fleet.roll_out(2, SECOND_VERSION);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn an_island_during_a_release() {
-    let (fleet, before) = serving(shape_at(42, &SITES), 40);
-    site_is(&fleet, "south", "linked");
+fn isolated_site_learns_of_drain_from_server() {
+    let (fleet, initial) = start_with_clients(fleet_config_with_sites(42, &SITES), 40);
+    wait_for_uplink_state(&fleet, "south", "linked");
     fleet.fault_uplink("south", Fault::Partition(Direction::Both));
-    site_is(&fleet, "south", "islanded");
+    wait_for_uplink_state(&fleet, "south", "islanded");
     fleet
         .record
         .step("a server drains; the island does not hear it from discovery, but from the server");
     fleet.discovery.set_lifecycle("s1", Lifecycle::Draining);
     fleet.servers[1].drain(DrainPace::AtOnce);
     fleet.record.wait("nobody is on it", |events| {
-        let placed = established_connections(events);
-        (placed.len() == 40 && placed.values().all(|server| server != "s1")).then_some(())
+        let placements = established_connections(events);
+        (placements.len() == 40 && placements.values().all(|server| server != "s1")).then_some(())
     });
     fleet.record.step("the uplink is back");
     fleet.fault_uplink("south", Fault::Heal);
-    site_is(&fleet, "south", "linked");
+    wait_for_uplink_state(&fleet, "south", "linked");
     let after = fleet.wait_all_established();
-    let rest = before
+    let unaffected = initial
         .into_iter()
         .filter(|(_, server)| server != "s1")
         .collect();
-    stay(&fleet, &rest, &after);
+    assert_placements_kept(&fleet, &unaffected, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn a_peer_that_is_stopped_while_its_site_rejoins() {
-    let (fleet, before) = serving(shape_at(43, &[("north", 2), ("south", 3)]), 40);
+fn site_rejoins_while_one_peer_is_paused() {
+    let (fleet, initial) = start_with_clients(
+        fleet_config_with_sites(43, &[("north", 2), ("south", 3)]),
+        40,
+    );
     fleet.fault_uplink("south", Fault::Partition(Direction::Both));
-    site_is(&fleet, "south", "islanded");
+    wait_for_uplink_state(&fleet, "south", "islanded");
     fleet
         .record
         .step("the uplink is back, and one of the site is stopped");
     fleet.balancers[4].process.pause();
     fleet.fault_uplink("south", Fault::Heal);
     for number in [2, 3] {
-        fleet.wait_for_status(number, "linked", |said| {
-            said["uplink"]
+        fleet.wait_for_status(number, "linked", |status| {
+            status["uplink"]
                 .as_str()
-                .is_some_and(|words| words.starts_with("linked"))
+                .is_some_and(|uplink| uplink.starts_with("linked"))
         });
     }
     fleet.record.step("it goes on");
     fleet.balancers[4].process.resume();
-    all_there(&fleet);
-    site_is(&fleet, "south", "linked");
-    all_stayed(fleet, &before);
+    wait_for_all_members(&fleet);
+    wait_for_uplink_state(&fleet, "south", "linked");
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn a_power_loss_on_an_island() {
-    let (mut fleet, before) = serving(
+fn power_loss_on_isolated_site_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape_at(44, &SITES)
+            ..fleet_config_with_sites(44, &SITES)
         },
         40,
     );
     fleet.fault_uplink("south", Fault::Partition(Direction::Both));
-    site_is(&fleet, "south", "islanded");
+    wait_for_uplink_state(&fleet, "south", "islanded");
     fleet
         .record
         .step("all processes of the island lose their power, and one its disk");
@@ -115,24 +119,24 @@
     fleet.start(&[4], Disk::Lost);
     fleet.wait_until_available(5);
     // The one without a disk has lost nothing that it ever saw: too little says to it that it is the link.
-    fleet.wait_for_status(3, "islanded", |said| {
-        said["uplink"]
+    fleet.wait_for_status(3, "islanded", |status| {
+        status["uplink"]
             .as_str()
-            .is_some_and(|words| words.starts_with("islanded"))
+            .is_some_and(|uplink| uplink.starts_with("islanded"))
     });
     fleet.wait_all_established();
     fleet.fault_uplink("south", Fault::Heal);
-    site_is(&fleet, "south", "linked");
-    all_there(&fleet);
-    all_stayed(fleet, &before);
+    wait_for_uplink_state(&fleet, "south", "linked");
+    wait_for_all_members(&fleet);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn lost_disks_and_a_discovery_that_lost_its_state() {
-    let (mut fleet, before) = serving(
+fn lost_disks_and_discovery_state_keep_placements() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(45)
+            ..fleet_config(45)
         },
         40,
     );
@@ -140,77 +144,77 @@
     fleet.wait_until_available(0);
     fleet.discovery.lose_state();
     fleet.discovery.go_down();
-    let dark = fleet.record.step(
+    let outage_start = fleet.record.step(
         "the power is back, two disks are gone, discovery knows nothing of before and is late",
     );
     fleet.start(&[0, 1], Disk::Lost);
     fleet.start(&[2, 3, 4], Disk::Kept);
     fleet.wait_until_available(5);
     fleet.discovery.come_back();
-    let after = fleet.wait_all_established_since(dark);
-    stay(&fleet, &before, &after);
+    let after = fleet.wait_all_established_since(outage_start);
+    assert_placements_kept(&fleet, &initial, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn processes_die_while_datagrams_are_lost_doubled_and_late() {
-    let (mut fleet, before) = serving(shape(46), 40);
+fn process_kills_under_datagram_faults_keep_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(46), 40);
     fleet.fault_datagrams(Fault::Drop(Direction::Both, 0.2));
     fleet.fault_datagrams(Fault::Duplicate(Direction::Both, 0.2));
     fleet.fault_datagrams(Fault::Delay(
         Direction::Both,
         std::time::Duration::from_millis(40),
     ));
-    for which in [[0, 1], [2, 3]] {
+    for killed in [[0, 1], [2, 3]] {
         fleet
             .record
-            .step(&format!("{which:?} die, one comes back without its disk"));
-        fleet.kill(&which);
+            .step(&format!("{killed:?} die, one comes back without its disk"));
+        fleet.kill(&killed);
         fleet.wait_until_available(3);
         fleet.wait_all_established();
-        all_know_but(&fleet, 40, &which);
-        fleet.start(&which[..1], Disk::Lost);
-        fleet.start(&which[1..], Disk::Kept);
+        wait_for_placements_except(&fleet, 40, &killed);
+        fleet.start(&killed[..1], Disk::Lost);
+        fleet.start(&killed[1..], Disk::Kept);
         fleet.wait_until_available(5);
-        all_there(&fleet);
-        all_know(&fleet, 40);
+        wait_for_all_members(&fleet);
+        wait_for_placements(&fleet, 40);
     }
-    all_stayed(fleet, &before);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn a_version_is_rolled_while_one_process_is_stopped_and_discovery_is_silent() {
-    let (mut fleet, before) = serving(shape(47), 40);
+fn rollout_with_paused_process_and_silent_discovery_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(47), 40);
     fleet
         .record
         .step("one process is stopped, and discovery falls silent");
     fleet.balancers[4].process.pause();
     fleet.discovery.silence_watches();
     fleet.wait_until_available(4);
-    fleet.roll_out(0, SECOND);
-    fleet.roll_out(1, SECOND);
+    fleet.roll_out(0, SECOND_VERSION);
+    fleet.roll_out(1, SECOND_VERSION);
     fleet.balancers[4].process.resume();
     fleet.wait_until_available(5);
-    all_there(&fleet);
-    all_stayed(fleet, &before);
+    wait_for_all_members(&fleet);
+    finish_with_placements_kept(fleet, &initial);
 }
 
 #[test]
-fn a_version_is_rolled_on_an_island() {
-    let (mut fleet, before) = serving(
+fn rollout_on_isolated_site_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape_at(48, &SITES)
+            ..fleet_config_with_sites(48, &SITES)
         },
         40,
     );
     fleet.fault_uplink("south", Fault::Partition(Direction::Both));
-    site_is(&fleet, "south", "islanded");
-    fleet.roll_out(0, SECOND);
-    fleet.roll_out(3, SECOND);
-    site_is(&fleet, "south", "islanded");
+    wait_for_uplink_state(&fleet, "south", "islanded");
+    fleet.roll_out(0, SECOND_VERSION);
+    fleet.roll_out(3, SECOND_VERSION);
+    wait_for_uplink_state(&fleet, "south", "islanded");
     fleet.fault_uplink("south", Fault::Heal);
-    site_is(&fleet, "south", "linked");
-    all_there(&fleet);
-    all_stayed(fleet, &before);
+    wait_for_uplink_state(&fleet, "south", "linked");
+    wait_for_all_members(&fleet);
+    finish_with_placements_kept(fleet, &initial);
 }
--- a/crates/cli/tests/stories/main.rs
+++ b/crates/cli/tests/stories/main.rs
@@ -17,20 +17,20 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_beaconflow");
 
 /// Five processes and six servers that know things together, in one site.
-fn shape(seed: u64) -> FleetConfig {
-    shape_at(seed, &[("north", 5)])
+fn fleet_config(seed: u64) -> FleetConfig {
+    fleet_config_with_sites(seed, &[("north", 5)])
 }
 
 /// The same in these sites.
-fn shape_at(seed: u64, sites: &[(&str, usize)]) -> FleetConfig {
-    let all = FleetOptions::with_sites(sites);
-    let together = match std::env::var("BEACONFLOW_WITHOUT") {
-        Ok(mechanism) => all.without(&mechanism),
-        Err(_) => all,
+fn fleet_config_with_sites(seed: u64, sites: &[(&str, usize)]) -> FleetConfig {
+    let options = FleetOptions::with_sites(sites);
+    let options = match std::env::var("BEACONFLOW_WITHOUT") {
+        Ok(mechanism) => options.without(&mechanism),
+        Err(_) => options,
     };
     let balancers = sites.iter().map(|(_, count)| count).sum();
     FleetConfig {
-        options: Some(together),
+        options: Some(options),
         balancers,
         ..FleetConfig::new(PROGRAM, seed)
     }
@@ -42,56 +42,67 @@
 }
 
 /// A fleet with its clients standing, and all that one knows known to the others; gives where each client stands.
-fn serving(shape: FleetConfig, count: usize) -> (Fleet, BTreeMap<String, String>) {
-    let mut fleet = Fleet::new(shape);
+fn start_with_clients(
+    fleet_config: FleetConfig,
+    count: usize,
+) -> (Fleet, BTreeMap<String, String>) {
+    let mut fleet = Fleet::new(fleet_config);
     fleet.start_all();
-    all_there(&fleet);
-    let begun = fleet.record.step("clients come");
+    wait_for_all_members(&fleet);
+    let clients_started = fleet.record.step("clients come");
     fleet.start_clients(clients(count));
-    let placed = fleet.wait_all_established_since(begun);
-    all_know(&fleet, count);
+    let placed = fleet.wait_all_established_since(clients_started);
+    wait_for_placements(&fleet, count);
     (fleet, placed)
 }
 
 /// Whether the processes know anything together in this run.
-fn together(fleet: &Fleet) -> bool {
-    fleet.options().is_some_and(|together| together.fleet)
+fn shares_state(fleet: &Fleet) -> bool {
+    fleet.options().is_some_and(|options| options.fleet)
 }
 
 /// Waits until each process knows all others to be there.
-fn all_there(fleet: &Fleet) {
+fn wait_for_all_members(fleet: &Fleet) {
     let count = fleet.balancers.len();
-    for number in (0..count).filter(|_| together(fleet)) {
-        fleet.wait_for_status(number, "all are there", |said| said["processes"] == count);
+    for number in (0..count).filter(|_| shares_state(fleet)) {
+        fleet.wait_for_status(number, "all are there", |status| {
+            status["processes"] == count
+        });
     }
 }
 
 /// Waits until each process remembers so many clients.
-fn all_know(fleet: &Fleet, count: usize) {
-    all_know_but(fleet, count, &[]);
+fn wait_for_placements(fleet: &Fleet, count: usize) {
+    wait_for_placements_except(fleet, count, &[]);
 }
 
 /// The same, but for some that do not run.
-fn all_know_but(fleet: &Fleet, count: usize, dead: &[usize]) {
-    let remembers = fleet
+fn wait_for_placements_except(fleet: &Fleet, count: usize, stopped: &[usize]) {
+    let shares_placements = fleet
         .options()
-        .is_some_and(|together| together.fleet && together.affinity);
-    for number in (0..fleet.balancers.len()).filter(|number| remembers && !dead.contains(number)) {
-        fleet.wait_for_status(number, "all placements are known", |said| {
-            said["placements"] == count
+        .is_some_and(|options| options.fleet && options.affinity);
+    for number in
+        (0..fleet.balancers.len()).filter(|number| shares_placements && !stopped.contains(number))
+    {
+        fleet.wait_for_status(number, "all placements are known", |status| {
+            status["placements"] == count
         });
     }
 }
 
 /// Each of these is at the server where it was, unless that was tried first and did not take it, as on a machine with much
 /// to do; if not, the first that is not is told of.
-fn stay(fleet: &Fleet, before: &BTreeMap<String, String>, after: &BTreeMap<String, String>) {
-    let gone = |(client, server): &(&String, &String)| {
+fn assert_placements_kept(
+    fleet: &Fleet,
+    before: &BTreeMap<String, String>,
+    after: &BTreeMap<String, String>,
+) {
+    let is_displaced = |(client, server): &(&String, &String)| {
         after.get(*client) != Some(server) && !fleet.record.has_failed_attempt(client, server)
     };
     let moved: Vec<&String> = before
         .iter()
-        .filter(gone)
+        .filter(is_displaced)
         .map(|(client, _)| client)
         .collect();
     if let Some(first) = moved.first() {
@@ -105,22 +116,22 @@
 }
 
 /// The power is lost to all processes, and discovery with it; the servers have power of their own.
-fn power_is_lost(fleet: &mut Fleet) {
+fn cut_power(fleet: &mut Fleet) {
     fleet.discovery.go_down();
     fleet.kill(&ALL);
     fleet.wait_until_available(0);
 }
 
 /// All processes serve again, and each client has come to stand since a place in the record, at the server where it was.
-fn all_stayed_since(fleet: &Fleet, since: usize, before: &BTreeMap<String, String>) {
+fn assert_all_returned_since(fleet: &Fleet, since: usize, before: &BTreeMap<String, String>) {
     fleet.wait_until_available(ALL.len());
     let after = fleet.wait_all_established_since(since);
-    stay(fleet, before, &after);
+    assert_placements_kept(fleet, before, &after);
 }
 
 /// How most stories end: all clients stand, each where it was, and every rule was kept.
-fn all_stayed(fleet: Fleet, before: &BTreeMap<String, String>) {
+fn finish_with_placements_kept(fleet: Fleet, before: &BTreeMap<String, String>) {
     let after = fleet.wait_all_established();
-    stay(&fleet, before, &after);
+    assert_placements_kept(&fleet, before, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
--- a/crates/cli/tests/stories/power.rs
+++ b/crates/cli/tests/stories/power.rs
@@ -5,106 +5,107 @@
 };
 
 use super::{
-    ALL, all_know, all_stayed, all_stayed_since, all_there, clients, power_is_lost, serving, shape,
-    stay,
+    ALL, assert_all_returned_since, assert_placements_kept, clients, cut_power,
+    finish_with_placements_kept, fleet_config, start_with_clients, wait_for_all_members,
+    wait_for_placements,
 };
 use std::time::{Duration, Instant};
 
 const SERVERS: [usize; 6] = [0, 1, 2, 3, 4, 5];
 
 #[test]
-fn half_of_the_processes_are_killed_and_the_rest_serves_all_their_clients() {
-    let (mut fleet, before) = serving(shape(11), 48);
+fn remaining_processes_serve_all_clients_after_two_kills() {
+    let (mut fleet, initial) = start_with_clients(fleet_config(11), 48);
     fleet.record.step("two of five are killed at once");
     fleet.kill(&[0, 1]);
     fleet.wait_until_available(3);
     let after = fleet.wait_all_established();
-    assert_eq!(before.len(), after.len());
+    assert_eq!(initial.len(), after.len());
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn after_a_power_loss_the_fleet_serves_from_its_memory_before_discovery_is_back() {
-    let (mut fleet, before) = serving(
+fn fleet_serves_from_memory_before_discovery_returns() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(12)
+            ..fleet_config(12)
         },
         40,
     );
-    let dark = fleet
+    let outage_start = fleet
         .record
         .step("the power is lost: processes and discovery end; servers have power of their own");
-    power_is_lost(&mut fleet);
+    cut_power(&mut fleet);
     fleet.start(&ALL, Disk::Kept);
-    all_stayed_since(&fleet, dark, &before);
+    assert_all_returned_since(&fleet, outage_start, &initial);
     fleet.record.step("discovery is back");
     fleet.discovery.come_back();
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn processes_whose_disks_are_gone_serve_by_what_the_others_remember() {
-    let (mut fleet, before) = serving(
+fn processes_with_lost_disks_serve_from_peers() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(13)
+            ..fleet_config(13)
         },
         40,
     );
-    let dark = fleet
+    let outage_start = fleet
         .record
         .step("the power is lost, and with it three of five disks");
-    power_is_lost(&mut fleet);
+    cut_power(&mut fleet);
     fleet.start(&[0, 1, 2], Disk::Lost);
     fleet.start(&[3, 4], Disk::Kept);
-    all_stayed_since(&fleet, dark, &before);
+    assert_all_returned_since(&fleet, outage_start, &initial);
     fleet.discovery.come_back();
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn a_second_power_loss_in_the_middle_of_recovery_changes_nothing() {
-    let (mut fleet, before) = serving(
+fn second_power_loss_during_recovery_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(14)
+            ..fleet_config(14)
         },
         40,
     );
     fleet.record.step("the power is lost");
-    power_is_lost(&mut fleet);
-    let again = fleet
+    cut_power(&mut fleet);
+    let second_outage = fleet
         .record
         .step("it is back, and lost again while everybody is still asking");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1", "b2", "b3", "b4"] {
-        fleet.wait_for_log(again, name, "part of a fleet");
+        fleet.wait_for_log(second_outage, name, "part of a fleet");
     }
     fleet.kill(&ALL);
-    let dark = fleet.record.step("and back");
+    let outage_start = fleet.record.step("and back");
     fleet.start(&ALL, Disk::Kept);
-    all_stayed_since(&fleet, dark, &before);
+    assert_all_returned_since(&fleet, outage_start, &initial);
     fleet.discovery.come_back();
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn cold_servers_are_filled_in_the_time_of_a_refill_and_none_tips_though_discovery_is_back_last() {
-    let ability = ServerProfile {
+fn cold_servers_refill_in_time_without_overload() {
+    let server_profile = ServerProfile {
         setups_per_s: 8.0,
         warm_up_time: Duration::from_secs(10),
         ..ServerProfile::default()
     };
-    let (mut fleet, before) = serving(
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
-            server_profile: ability,
+            server_profile,
             is_list_preloaded: false,
-            ..shape(15)
+            ..fleet_config(15)
         },
         120,
     );
-    let dark = fleet
+    let outage_start = fleet
         .record
         .step("the power is lost: every process and server ends, and discovery too");
     fleet.discovery.go_down();
@@ -117,26 +118,26 @@
     fleet.restart_servers(&SERVERS);
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
-    let bound = ability
-        .refill_time(before.len().div_ceil(SERVERS.len()))
+    let bound = server_profile
+        .refill_time(initial.len().div_ceil(SERVERS.len()))
         .mul_f64(1.3);
-    let served = fleet.count_established_within(bound, dark);
+    let served = fleet.count_established_within(bound, outage_start);
     fleet.record.step("discovery is back");
     fleet.discovery.come_back();
     fleet.finish(&Rules::default()).assert_no_violations();
     assert!(
-        served * 100 >= before.len() * 99,
+        served * 100 >= initial.len() * 99,
         "{served} of {} are served after {bound:?}",
-        before.len()
+        initial.len()
     );
 }
 
 #[test]
-fn a_process_that_was_stopped_through_the_outage_wakes_and_leads_nobody_astray() {
-    let (mut fleet, before) = serving(
+fn process_paused_through_outage_keeps_placements() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(16)
+            ..fleet_config(16)
         },
         40,
     );
@@ -144,7 +145,7 @@
         .record
         .step("one is stopped; then the power is lost to all others");
     fleet.balancers[4].process.pause();
-    let stopped = Instant::now();
+    let paused_at = Instant::now();
     fleet.discovery.go_down();
     fleet.kill(&[0, 1, 2, 3]);
     fleet.wait_until_available(0);
@@ -152,27 +153,27 @@
     fleet.wait_until_available(4);
     fleet.discovery.come_back();
     // Long enough that it has to notice by itself.
-    std::thread::sleep(Duration::from_secs(4).saturating_sub(stopped.elapsed()));
-    let woken = fleet.record.step("it wakes");
+    std::thread::sleep(Duration::from_secs(4).saturating_sub(paused_at.elapsed()));
+    let resumed = fleet.record.step("it wakes");
     fleet.balancers[4].process.resume();
     fleet.wait_until_available(5);
-    fleet.wait_for_log(woken, "b4", "was not run for");
+    fleet.wait_for_log(resumed, "b4", "was not run for");
     fleet.start_clients(clients(60).skip(40));
     let after = fleet.wait_all_established();
-    let old = after
+    let initial_clients = after
         .into_iter()
-        .filter(|(client, _)| before.contains_key(client))
+        .filter(|(client, _)| initial.contains_key(client))
         .collect();
-    stay(&fleet, &before, &old);
+    assert_placements_kept(&fleet, &initial, &initial_clients);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn a_discovery_that_lost_its_state_is_believed_and_nobody_goes_by_the_list_of_before() {
-    let (mut fleet, before) = serving(
+fn fleet_follows_discovery_that_lost_its_state() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(17)
+            ..fleet_config(17)
         },
         40,
     );
@@ -184,79 +185,79 @@
     fleet.wait_until_available(0);
     fleet.discovery.set_lifecycle("s5", Lifecycle::Draining);
     fleet.discovery.lose_state();
-    let dark = fleet.record.step("the power is back");
+    let outage_start = fleet.record.step("the power is back");
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
-    let after = fleet.wait_all_established_since(dark);
+    let after = fleet.wait_all_established_since(outage_start);
     assert!(after.values().all(|server| server != "s5"), "{after:?}");
-    let rest = before
+    let unaffected = initial
         .into_iter()
         .filter(|(_, server)| server != "s5")
         .collect();
-    stay(&fleet, &rest, &after);
+    assert_placements_kept(&fleet, &unaffected, &after);
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn disks_that_are_torn_or_another_processs_are_named_and_served_through() {
-    let (mut fleet, before) = serving(
+fn corrupt_or_foreign_memory_files_are_logged_and_survived() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(18)
+            ..fleet_config(18)
         },
         40,
     );
     fleet
         .record
         .step("the power is lost; one disk is torn, and one is another process's");
-    power_is_lost(&mut fleet);
-    let memory = |number: usize| fleet.balancers[number].process.disk().join("memory");
-    let torn = std::fs::read(memory(0)).expect("it was written");
-    std::fs::write(memory(0), &torn[..torn.len() / 3]).expect("room");
-    std::fs::copy(memory(2), memory(1)).expect("room");
-    let dark = fleet.record.step("the power is back");
+    cut_power(&mut fleet);
+    let memory_path = |number: usize| fleet.balancers[number].process.disk().join("memory");
+    let memory_bytes = std::fs::read(memory_path(0)).expect("it was written");
+    std::fs::write(memory_path(0), &memory_bytes[..memory_bytes.len() / 3]).expect("room");
+    std::fs::copy(memory_path(2), memory_path(1)).expect("room");
+    let outage_start = fleet.record.step("the power is back");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1"] {
-        fleet.wait_for_log(dark, name, "a file is not read");
+        fleet.wait_for_log(outage_start, name, "a file is not read");
     }
-    all_stayed_since(&fleet, dark, &before);
+    assert_all_returned_since(&fleet, outage_start, &initial);
     fleet.discovery.come_back();
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
 #[test]
-fn halves_that_recover_apart_and_meet_agree_on_where_everybody_is() {
-    let (mut fleet, before) = serving(
+fn partitioned_halves_agree_on_placements_after_healing() {
+    let (mut fleet, initial) = start_with_clients(
         FleetConfig {
             is_list_preloaded: false,
-            ..shape(19)
+            ..fleet_config(19)
         },
         40,
     );
     fleet.record.step("the power is lost");
     fleet.kill(&ALL);
     fleet.wait_until_available(0);
-    let dark = fleet
+    let outage_start = fleet
         .record
         .step("the power is back, and two are cut off from three");
-    let between = [0, 1]
+    let links_between = [0, 1]
         .iter()
         .flat_map(|near| [2, 3, 4].map(|far| format!("b{near}~b{far}")));
-    let between: Vec<String> = between.collect();
-    between
+    let links_between: Vec<String> = links_between.collect();
+    links_between
         .iter()
         .for_each(|link| fleet.net.fault(link, Fault::Partition(Direction::Both)));
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
-    let apart = fleet.wait_all_established_since(dark);
-    stay(&fleet, &before, &apart);
+    let while_partitioned = fleet.wait_all_established_since(outage_start);
+    assert_placements_kept(&fleet, &initial, &while_partitioned);
     fleet.record.step("they meet");
-    between
+    links_between
         .iter()
         .for_each(|link| fleet.net.fault(link, Fault::Heal));
-    all_there(&fleet);
-    all_know(&fleet, 40);
+    wait_for_all_members(&fleet);
+    wait_for_placements(&fleet, 40);
     fleet.kill(&[2, 3]);
     fleet.wait_until_available(3);
-    all_stayed(fleet, &before);
+    finish_with_placements_kept(fleet, &initial);
 }
--- a/crates/cli/tests/support/discovery.rs
+++ b/crates/cli/tests/support/discovery.rs
@@ -21,14 +21,14 @@
     pub fn start() -> Discovery {
         let listener = listener();
         let address = listener.local_addr().expect("bound");
-        let (send, watches) = channel();
-        let beats = Arc::new(AtomicBool::new(true));
-        let beating = Arc::clone(&beats);
-        std::thread::spawn(move || accept_watches(&listener, &send, &beating));
+        let (watch_sender, watches) = channel();
+        let sends_heartbeats = Arc::new(AtomicBool::new(true));
+        let heartbeat_flag = Arc::clone(&sends_heartbeats);
+        std::thread::spawn(move || accept_watches(&listener, &watch_sender, &heartbeat_flag));
         Discovery {
             address,
             watches,
-            sends_heartbeats: beats,
+            sends_heartbeats,
         }
     }
 
@@ -38,8 +38,8 @@
     }
 
     /// The same, if one is asked for within so long.
-    pub fn accept_watch_within(&self, span: Duration) -> Option<Peer> {
-        self.watches.recv_timeout(span).ok()
+    pub fn accept_watch_within(&self, timeout: Duration) -> Option<Peer> {
+        self.watches.recv_timeout(timeout).ok()
     }
 
     /// Sends heartbeats again on watches that are asked for from now on.
@@ -53,26 +53,35 @@
     }
 }
 
-fn accept_watches(listener: &TcpListener, send: &Sender<Peer>, beats: &Arc<AtomicBool>) {
+fn accept_watches(
+    listener: &TcpListener,
+    watch_sender: &Sender<Peer>,
+    sends_heartbeats: &Arc<AtomicBool>,
+) {
     loop {
         let Ok((stream, _)) = listener.accept() else {
             return;
         };
         let mut peer = Peer::new(stream);
-        let asked = peer.read_line().expect("a request");
+        let request_line = peer.read_line().expect("a request");
         assert!(
-            asked.starts_with("GET /api/targets?watch=1&from="),
-            "{asked}"
+            request_line.starts_with("GET /api/targets?watch=1&from="),
+            "{request_line}"
         );
         while peer.read_line().is_some_and(|line| !line.is_empty()) {}
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let (mut stream, beats) = (peer.stream.try_clone().expect("open"), Arc::clone(beats));
+        let (mut stream, sends_heartbeats) = (
+            peer.stream.try_clone().expect("open"),
+            Arc::clone(sends_heartbeats),
+        );
         std::thread::spawn(move || {
-            while beats.load(Ordering::Relaxed) && stream.write_all(b"1\r\n\n\r\n").is_ok() {
+            while sends_heartbeats.load(Ordering::Relaxed)
+                && stream.write_all(b"1\r\n\n\r\n").is_ok()
+            {
                 std::thread::sleep(Duration::from_millis(500));
             }
         });
-        if send.send(peer).is_err() {
+        if watch_sender.send(peer).is_err() {
             return;
         }
     }
--- a/crates/cli/tests/support/fleet.rs
+++ b/crates/cli/tests/support/fleet.rs
@@ -15,17 +15,17 @@
 pub const CLIENT_COUNT: usize = 12;
 
 /// Serves every opening, and tells of it: the server's number and the client's key.
-pub fn spawn_server(number: usize, server: TcpListener, told: Sender<(usize, String)>) {
+pub fn spawn_server(number: usize, server: TcpListener, opening_sender: Sender<(usize, String)>) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
-            let told = told.clone();
+            let opening_sender = opening_sender.clone();
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
                 let Some(opening) = peer.read_line() else {
                     return;
                 };
                 let key = opening.split(' ').nth(2).expect("a key").to_owned();
-                let _ = told.send((number, key));
+                let _ = opening_sender.send((number, key));
                 peer.send("UP r1\r\n");
                 while peer.read_line_or_end().is_some() {}
             });
@@ -57,16 +57,16 @@
 
 impl Fleet {
     pub fn start(processes: usize, servers: usize) -> Fleet {
-        let (told, openings) = channel();
+        let (opening_sender, openings) = channel();
         let mut rows = Vec::new();
         for number in 0..servers {
             let server = listener();
             rows.push((format!("s{number}"), server.local_addr().expect("bound")));
-            spawn_server(number, server, told.clone());
+            spawn_server(number, server, opening_sender.clone());
         }
         let rows: Vec<(&str, SocketAddr, &str)> = rows
             .iter()
-            .map(|(name, at)| (name.as_str(), *at, "SERVING"))
+            .map(|(name, address)| (name.as_str(), *address, "SERVING"))
             .collect();
         Fleet::with_endpoints(processes, &endpoint_list(1, true, &rows), openings)
     }
@@ -74,7 +74,7 @@
     /// A fleet that knows this list.
     pub fn with_endpoints(
         processes: usize,
-        known: &str,
+        known_endpoints: &str,
         openings: Receiver<(usize, String)>,
     ) -> Fleet {
         let folder = tempfile::tempdir().expect("a folder for temporary files");
@@ -82,11 +82,11 @@
         std::fs::write(&key, "0123456789abcdef".repeat(4)).expect("room");
         std::fs::set_permissions(&key, PermissionsExt::from_mode(0o600)).expect("its owner may");
         let peers = (0..processes).map(|_| free_udp_address()).collect();
-        let (known, settings) = (known.to_owned(), SETTINGS.to_owned());
+        let (known_endpoints, settings) = (known_endpoints.to_owned(), SETTINGS.to_owned());
         Fleet {
             folder,
             discovery: Discovery::start(),
-            known_endpoints: known,
+            known_endpoints,
             settings,
             openings,
             peer_addresses: peers,
@@ -104,17 +104,17 @@
 
     /// Writes the operator's file of the process of that number, with the sections that it has beside the API's.
     pub fn write_operator_file(&self, number: usize, api: SocketAddr, sections: &str) -> String {
-        let operator = self.path(&format!("operator-{number}"));
+        let operator_path = self.path(&format!("operator-{number}"));
         let admin = format!("[admin]\nlisten = \"{api}\"\ntoken = \"{ADMIN_TOKEN}\"\n");
-        std::fs::write(&operator, admin + sections).expect("room");
-        operator
+        std::fs::write(&operator_path, admin + sections).expect("room");
+        operator_path
     }
 
     /// Starts it.
     pub fn start_process(&self, number: usize, sections: &str) -> Process {
-        let (at, api) = (reserve_address(), reserve_address());
+        let (address, api) = (reserve_address(), reserve_address());
         let config = platform_config(
-            at,
+            address,
             self.discovery.address,
             &self.known_endpoints,
             &self.settings,
@@ -122,11 +122,11 @@
         );
         let path = self.path(&format!("config-{number}"));
         std::fs::write(&path, config).expect("room");
-        let operator = self.write_operator_file(number, api, sections);
-        let program = Program::start(&["--operator", &operator], &[("LB_CONFIG", &path)]);
+        let operator_path = self.write_operator_file(number, api, sections);
+        let program = Program::start(&["--operator", &operator_path], &[("LB_CONFIG", &path)]);
         Process {
             program,
-            address: at,
+            address,
             api: Api {
                 address: api,
                 token: ADMIN_TOKEN,
@@ -160,45 +160,45 @@
     pub fn connect_all_clients(
         &self,
         process: &Process,
-        named: &str,
+        id_prefix: &str,
     ) -> (Vec<Peer>, BTreeMap<String, usize>) {
-        let mut order: Vec<usize> = (0..CLIENT_COUNT).collect();
+        let mut client_order: Vec<usize> = (0..CLIENT_COUNT).collect();
         let hash = |number: &usize| {
-            let words = named.bytes().chain(number.to_be_bytes());
-            words.fold(14_695_981_039_346_656_037_u64, |hash, byte| {
+            let bytes = id_prefix.bytes().chain(number.to_be_bytes());
+            bytes.fold(14_695_981_039_346_656_037_u64, |hash, byte| {
                 (hash ^ u64::from(byte)).wrapping_mul(1_099_511_628_211)
             })
         };
-        order.sort_by_key(hash);
-        let mut places = BTreeMap::new();
-        let clients = order.into_iter().map(|number| {
+        client_order.sort_by_key(hash);
+        let mut server_by_key = BTreeMap::new();
+        let clients = client_order.into_iter().map(|number| {
             let mut client = Peer::connect(process.address);
             client.send(&format!(
-                "OPEN {named}{number} k{number} c=chat,t=acme,d=2500\r\n"
+                "OPEN {id_prefix}{number} k{number} c=chat,t=acme,d=2500\r\n"
             ));
             client.expect_line("UP r1");
             let (server, key) = self
                 .openings
                 .recv_timeout(TEST_TIMEOUT)
                 .expect("an opening");
-            places.insert(key, server);
+            server_by_key.insert(key, server);
             client
         });
-        (clients.collect(), places)
+        (clients.collect(), server_by_key)
     }
 }
 
 impl Process {
     /// Waits until a field of the fleet's is this.
     pub fn wait_for_fleet_field(&self, field: &str, value: usize) {
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let farm = self.api.call("GET", "/v1/farm", "").body;
             if farm["fleet"][field] == value {
                 return;
             }
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "{field} is not {value}: {}",
                 farm["fleet"]
             );
@@ -209,17 +209,17 @@
     /// Waits until what the API shows of the farm is so.
     pub fn wait_for_farm(
         &self,
-        what: &str,
+        expected: &str,
         within: Duration,
-        is_so: impl Fn(&serde_json::Value) -> bool,
+        is_expected: impl Fn(&serde_json::Value) -> bool,
     ) {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
             let farm = self.api.call("GET", "/v1/farm", "").body;
-            if is_so(&farm) {
+            if is_expected(&farm) {
                 return;
             }
-            assert!(Instant::now() < until, "not {what}: {farm}");
+            assert!(Instant::now() < deadline, "not {expected}: {farm}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
--- a/crates/cli/tests/support/full_backlog_server.rs
+++ b/crates/cli/tests/support/full_backlog_server.rs
@@ -18,20 +18,20 @@
         let listener = listener();
         let address = listener.local_addr().expect("bound");
         rustix::net::listen(&listener, 0).expect("it listens already");
-        let filler = TcpStream::connect(address).expect("room for one");
+        let backlog_filler = TcpStream::connect(address).expect("room for one");
         FullBacklogServer {
             address,
             listener,
-            backlog_filler: filler,
+            backlog_filler,
         }
     }
 
     /// Waits until a connection is under way, or none is any more.
     pub fn wait_until_connecting_is(&self, is_connecting: bool) {
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while is_connecting_to(self.address) != is_connecting {
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "never so: connecting {is_connecting}"
             );
             std::thread::sleep(Duration::from_millis(2));
@@ -54,15 +54,15 @@
 /// The first words that anybody says to a server within this span; connections that end without words are none.
 pub fn first_line_received(listener: &TcpListener, within: Duration) -> Option<String> {
     listener.set_nonblocking(true).expect("open");
-    let until = Instant::now() + within;
-    while Instant::now() < until {
+    let deadline = Instant::now() + within;
+    while Instant::now() < deadline {
         let Ok((stream, _)) = listener.accept() else {
             std::thread::sleep(Duration::from_millis(2));
             continue;
         };
         stream.set_nonblocking(false).expect("open");
-        if let Some(words) = Peer::new(stream).read_line_or_end() {
-            return Some(words);
+        if let Some(line) = Peer::new(stream).read_line_or_end() {
+            return Some(line);
         }
     }
     None
--- a/crates/cli/tests/support/gated_server.rs
+++ b/crates/cli/tests/support/gated_server.rs
@@ -54,23 +54,23 @@
     }
 
     /// Lets so many set-ups more stand, in the order in which they came.
-    pub fn admit(&self, more: usize) {
+    pub fn admit(&self, count: usize) {
         let mut state = self.state.0.lock().expect("sound");
-        state.admitted_count = state.admitted_count.saturating_add(more);
+        state.admitted_count = state.admitted_count.saturating_add(count);
         self.state.1.notify_all();
     }
 
     /// Waits until so many set-ups have come; gives their first words.
     pub fn wait_for_setups(&self, count: usize) -> Vec<String> {
         let state = self.state.0.lock().expect("sound");
-        let waits = |state: &mut State| state.setups.len() < count;
-        let (state, late) = self
+        let is_short = |state: &mut State| state.setups.len() < count;
+        let (state, wait_result) = self
             .state
             .1
-            .wait_timeout_while(state, super::TEST_TIMEOUT, waits)
+            .wait_timeout_while(state, super::TEST_TIMEOUT, is_short)
             .expect("sound");
         assert!(
-            !late.timed_out(),
+            !wait_result.timed_out(),
             "{} of {count} set-ups came",
             state.setups.len()
         );
@@ -101,9 +101,9 @@
         *seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        let span = mean.mul_f64(-(1.0 - (*seed >> 11) as f64 / (1_u64 << 53) as f64).ln());
+        let delay = mean.mul_f64(-(1.0 - (*seed >> 11) as f64 / (1_u64 << 53) as f64).ln());
         drop(state_guard);
-        std::thread::sleep(span);
+        std::thread::sleep(delay);
     } else {
         state_guard.setups.push(line.trim_end().to_owned());
         let number = state_guard.setups.len();
@@ -114,12 +114,12 @@
                 .expect("sound"),
         );
     }
-    let word: &[u8] = if protocol == Protocol::Nats {
+    let reply: &[u8] = if protocol == Protocol::Nats {
         b"PONG\r\n"
     } else {
         b"UP r1\r\n"
     };
-    if stream.write_all(word).is_err() {
+    if stream.write_all(reply).is_err() {
         return;
     }
     // What stands, stands until the other side ends it. The first PING was the balancer's, and is answered.
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -39,13 +39,13 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Waits until something is there, and gives it. Guards against a test that would wait without an end.
-pub fn wait_for<T>(what: &str, look: impl Fn() -> Option<T>) -> T {
-    let until = Instant::now() + TEST_TIMEOUT;
+pub fn wait_for<T>(expected: &str, poll: impl Fn() -> Option<T>) -> T {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < until, "never came: {what}");
+        assert!(Instant::now() < deadline, "never came: {expected}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
@@ -70,14 +70,14 @@
 
 /// The platform's configuration file: where clients connect, where discovery is, what was known of the farm.
 pub fn platform_config(
-    at: SocketAddr,
+    listen_address: SocketAddr,
     discovery: SocketAddr,
     known: &str,
     settings: &str,
     sockets: usize,
 ) -> String {
     format!(
-        r#"{{"name":"n0","listen":"{at}","discovery":"{discovery}","seed":"7","limits":{{"sockets":{sockets}}},
+        r#"{{"name":"n0","listen":"{listen_address}","discovery":"{discovery}","seed":"7","limits":{{"sockets":{sockets}}},
             "known":{known},"settings":{settings}}}"#
     )
 }
--- a/crates/cli/tests/support/nats.rs
+++ b/crates/cli/tests/support/nats.rs
@@ -60,26 +60,26 @@
         for (client, answers) in &self.answers {
             assert!(answers.len() == 1, "{client} got {answers:?}");
         }
-        for (index, one) in self.sessions.iter().enumerate() {
-            if let Some(drained_at) = self.drained_at.get(&one.server) {
-                let late = one.began_at.saturating_duration_since(*drained_at);
+        for (index, session) in self.sessions.iter().enumerate() {
+            if let Some(drained_at) = self.drained_at.get(&session.server) {
+                let delay = session.began_at.saturating_duration_since(*drained_at);
                 assert!(
-                    late <= Duration::from_secs(1),
-                    "{} got a session {late:?} after its drain",
-                    one.server
+                    delay <= Duration::from_secs(1),
+                    "{} got a session {delay:?} after its drain",
+                    session.server
                 );
             }
-            for other in self.sessions[index + 1..]
+            for later in self.sessions[index + 1..]
                 .iter()
-                .filter(|other| other.client == one.client)
+                .filter(|later| later.client == session.client)
             {
-                let over = one
+                let has_ended = session
                     .ended_at
-                    .is_some_and(|ended_at| ended_at <= other.began_at);
+                    .is_some_and(|ended_at| ended_at <= later.began_at);
                 assert!(
-                    over,
+                    has_ended,
                     "sessions of {} overlap at {} and {}",
-                    one.client, one.server, other.server
+                    session.client, session.server, later.server
                 );
             }
         }
@@ -117,7 +117,7 @@
     pub fn start(name: &str, behavior: Behavior, record: &SharedRecord) -> NatsServer {
         let listener = listener();
         let address = listener.local_addr().expect("bound");
-        let (behavior, silent) = (
+        let (behavior, is_silent) = (
             Arc::new(Mutex::new(behavior)),
             Arc::new(AtomicBool::new(false)),
         );
@@ -127,7 +127,7 @@
             name: name.to_owned(),
             address,
             behavior,
-            is_silent: silent,
+            is_silent,
             write_lock,
             peers,
         };
@@ -136,7 +136,7 @@
             Arc::clone(record),
             Arc::clone(&server.peers),
         );
-        let (behavior, silent) = (Arc::clone(&server.behavior), Arc::clone(&server.is_silent));
+        let (behavior, is_silent) = (Arc::clone(&server.behavior), Arc::clone(&server.is_silent));
         let write_lock = Arc::clone(&server.write_lock);
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
@@ -144,12 +144,12 @@
                     .lock()
                     .expect("sound")
                     .push(stream.try_clone().expect("open"));
-                let (name, record, silent) =
-                    (name.clone(), Arc::clone(&record), Arc::clone(&silent));
+                let (name, record, is_silent) =
+                    (name.clone(), Arc::clone(&record), Arc::clone(&is_silent));
                 let write_lock = Arc::clone(&write_lock);
                 let behavior = *behavior.lock().expect("sound");
                 std::thread::spawn(move || {
-                    serve_connection(&stream, behavior, &name, &record, (&silent, &write_lock))
+                    serve_connection(&stream, behavior, &name, &record, (&is_silent, &write_lock))
                 });
             }
         });
@@ -161,9 +161,9 @@
     }
 
     /// Says something to every client; the write lock is held by the caller.
-    pub fn send_to_all(&self, words: &str) {
+    pub fn send_to_all(&self, text: &str) {
         for mut peer in self.peers.lock().expect("sound").iter() {
-            let _ = peer.write_all(words.as_bytes());
+            let _ = peer.write_all(text.as_bytes());
         }
     }
 }
@@ -174,9 +174,9 @@
     behavior: Behavior,
     name: &str,
     record: &SharedRecord,
-    own: (&AtomicBool, &Mutex<()>),
+    controls: (&AtomicBool, &Mutex<()>),
 ) {
-    let (silent, write_lock) = own;
+    let (is_silent, write_lock) = controls;
     if behavior == Behavior::CloseBeforeInfo {
         return;
     }
@@ -204,27 +204,28 @@
         began_at: Instant::now(),
         ended_at: None,
     };
-    let place = {
+    let index = {
         let mut record = record.lock().expect("sound");
         record.sessions.push(session);
         record.sessions.len() - 1
     };
-    let words = match behavior {
+    let text = match behavior {
         Behavior::RejectAsFull => "-ERR 'Maximum Connections Exceeded'\r\n",
         Behavior::RejectAuthorization => "-ERR 'Authorization Violation'\r\n",
         _ => "",
     };
-    let _ = out.write_all(words.as_bytes());
+    let _ = out.write_all(text.as_bytes());
     while read_message(&mut reader).is_some_and(|message| {
-        let _speaking = write_lock.lock().expect("sound");
-        let answer = answer_to(&message, behavior, silent);
+        let _write_guard = write_lock.lock().expect("sound");
+        let answer = answer_to(&message, behavior, is_silent);
         out.write_all(answer.as_bytes()).is_ok()
     }) {}
-    record.lock().expect("sound").sessions[place].ended_at = Some(Instant::now());
+    record.lock().expect("sound").sessions[index].ended_at = Some(Instant::now());
 }
 
-fn answer_to(message: &str, behavior: Behavior, silent: &AtomicBool) -> String {
-    if !matches!(behavior, Behavior::Serve | Behavior::DelayInfo) || silent.load(Ordering::Relaxed)
+fn answer_to(message: &str, behavior: Behavior, is_silent: &AtomicBool) -> String {
+    if !matches!(behavior, Behavior::Serve | Behavior::DelayInfo)
+        || is_silent.load(Ordering::Relaxed)
     {
         return String::new();
     }
--- a/crates/cli/tests/support/peer.rs
+++ b/crates/cli/tests/support/peer.rs
@@ -22,11 +22,11 @@
     }
 
     pub fn connect(to: SocketAddr) -> Peer {
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             match TcpStream::connect(to) {
                 Ok(stream) => return Peer::new(stream),
-                Err(error) => assert!(Instant::now() < until, "{to}: {error}"),
+                Err(error) => assert!(Instant::now() < deadline, "{to}: {error}"),
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -45,9 +45,9 @@
         Some(Peer::new(stream))
     }
 
-    pub fn send(&mut self, words: &str) {
+    pub fn send(&mut self, text: &str) {
         self.stream
-            .write_all(words.as_bytes())
+            .write_all(text.as_bytes())
             .expect("the peer reads");
     }
 
@@ -71,8 +71,8 @@
         Some(line)
     }
 
-    pub fn expect_line(&mut self, words: &str) {
-        assert_eq!(self.read_line().as_deref(), Some(words));
+    pub fn expect_line(&mut self, text: &str) {
+        assert_eq!(self.read_line().as_deref(), Some(text));
     }
 
     /// So many bytes as they come.
@@ -88,10 +88,10 @@
 
     /// Waits for the connection's end, in order or not: a peer at fault may be owed no more than a close.
     pub fn is_closed(&mut self) -> bool {
-        let reset = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionReset;
+        let is_reset = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionReset;
         self.reader
             .read(&mut [0])
-            .map_or_else(reset, |count| count == 0)
+            .map_or_else(is_reset, |count| count == 0)
     }
 
     /// Whether the connection was reset.
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -25,10 +25,11 @@
     }
 
     /// Starts it as an ordinary user, whom the leave to write concerns. Root's tests need a copy that others may run.
-    pub fn start_unprivileged(copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
-        std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), copy).expect("room");
-        std::fs::set_permissions(copy, Permissions::from_mode(0o755)).expect("its owner may");
-        let mut command = Command::new(copy);
+    pub fn start_unprivileged(binary_copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
+        std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), binary_copy).expect("room");
+        std::fs::set_permissions(binary_copy, Permissions::from_mode(0o755))
+            .expect("its owner may");
+        let mut command = Command::new(binary_copy);
         if rustix::process::geteuid().is_root() {
             command.uid(65_534).gid(65_534);
         }
@@ -44,14 +45,14 @@
     }
 
     /// Starts it with a listener that this test holds, as descriptor 3.
-    pub fn start_with_inherited_listener(held: &TcpListener, env: &[(&str, &str)]) -> Program {
+    pub fn start_with_inherited_listener(listener: &TcpListener, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         command.args([
             "-c",
             r#"exec 3<&0 </dev/null; exec "$0" "$@""#,
             env!("CARGO_BIN_EXE_beaconflow"),
         ]);
-        command.stdin(OwnedFd::from(held.try_clone().expect("open")));
+        command.stdin(OwnedFd::from(listener.try_clone().expect("open")));
         Program::spawn(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
     }
 
@@ -69,50 +70,50 @@
             .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let (send, log) = channel();
+        let (line_sender, log) = channel();
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .try_for_each(|line| send.send(line))
+                .try_for_each(|line| line_sender.send(line))
         });
         Program { child, log }
     }
 
     /// Waits for a log line with these words; where none comes, tells what came instead.
-    pub fn wait_for_log(&self, words: &str) -> String {
-        let until = Instant::now() + TEST_TIMEOUT;
-        let mut said = Vec::new();
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        let mut lines = Vec::new();
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.log.recv_timeout(left) {
-                Ok(line) if line.contains(words) => return line,
-                Ok(line) => said.push(line),
-                Err(error) => panic!("the log never said {words:?} ({error}), but: {said:#?}"),
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.log.recv_timeout(remaining) {
+                Ok(line) if line.contains(text) => return line,
+                Ok(line) => lines.push(line),
+                Err(error) => panic!("the log never said {text:?} ({error}), but: {lines:#?}"),
             }
         }
     }
 
     /// The lines up to the one with these words.
-    pub fn read_log_until(&self, words: &str) -> Vec<String> {
-        let mut said: Vec<String> = Vec::new();
-        while said.last().is_none_or(|line| !line.contains(words)) {
-            said.push(
+    pub fn read_log_until(&self, text: &str) -> Vec<String> {
+        let mut lines: Vec<String> = Vec::new();
+        while lines.last().is_none_or(|line| !line.contains(text)) {
+            lines.push(
                 self.log
                     .recv_timeout(TEST_TIMEOUT)
-                    .unwrap_or_else(|_| panic!("never {words:?}: {said:#?}")),
+                    .unwrap_or_else(|_| panic!("never {text:?}: {lines:#?}")),
             );
         }
-        said
+        lines
     }
 
     /// Sends a signal, by name.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let done = Command::new("kill")
+        let status = Command::new("kill")
             .args(["-s", name, &pid])
             .status()
             .expect("kill runs");
-        assert!(done.success());
+        assert!(status.success());
     }
 
     pub fn pid(&self) -> u32 {
@@ -133,8 +134,8 @@
 
     /// Waits for the program's end.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        let until = Instant::now() + TEST_TIMEOUT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
--- a/crates/cli/tests/support/site.rs
+++ b/crates/cli/tests/support/site.rs
@@ -40,7 +40,7 @@
         servers: usize,
         env: &[(&str, &str)],
     ) -> Site {
-        let (at, discovery) = (reserve_address(), Discovery::start());
+        let (address, discovery) = (reserve_address(), Discovery::start());
         let servers: Vec<TcpListener> = (0..servers).map(|_| listener()).collect();
         let names: Vec<String> = (0..servers.len())
             .map(|number| format!("s{number}"))
@@ -57,19 +57,27 @@
             })
             .collect();
         let known = endpoint_list(1, true, &rows);
-        let config = super::platform_config(at, discovery.address, &known, settings, SOCKET_LIMIT);
-        let path = write_temp_file(name, &config);
+        let config =
+            super::platform_config(address, discovery.address, &known, settings, SOCKET_LIMIT);
+        let config_path = write_temp_file(name, &config);
         // As on the platform: the variable goes on naming the first address after a reload.
-        let old = discovery.address.to_string();
-        let env = [&[("LB_CONFIG", path.as_str()), ("LB_DISCOVERY", &old)], env].concat();
+        let discovery_address = discovery.address.to_string();
+        let env = [
+            &[
+                ("LB_CONFIG", config_path.as_str()),
+                ("LB_DISCOVERY", &discovery_address),
+            ],
+            env,
+        ]
+        .concat();
         let program = Program::start(&[], &env);
         program.wait_for_log("to=serving");
         Site {
             program,
-            address: at,
+            address,
             servers,
             discovery,
-            config_path: path,
+            config_path,
             config,
             next_client_id: AtomicU32::new(1),
         }
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -14,60 +14,60 @@
 };
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, unbounded};
 
-use crate::fault;
+use crate::link_fault;
 
 /// What stands between two messages in one datagram.
-const MARK: u8 = b'\n';
+const MESSAGE_SEPARATOR: u8 = b'\n';
 /// What a node with a name of eight letters has room for, without the mark.
-const LONGEST: usize = 1_123 - 1;
+const MAX_MESSAGE_BYTES: usize = 1_123 - 1;
 
 /// Two nodes a pair, each with its own socket, and a link between them.
-pub struct Peers {
+pub struct PeerDatagrams {
     net: Net,
     weather: LinkFault,
     pairs: usize,
-    waiting: Vec<Waiting>,
+    send_queues: Vec<SendQueue>,
 }
 
 /// What an end has been given to send and its node has not taken yet.
 #[derive(Clone, Default)]
-struct Waiting(Arc<(Mutex<VecDeque<String>>, Condvar)>);
+struct SendQueue(Arc<(Mutex<VecDeque<String>>, Condvar)>);
 
-impl Waiting {
+impl SendQueue {
     fn lock(&self) -> MutexGuard<'_, VecDeque<String>> {
         // Whole messages, sound at every moment.
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits until the node has taken all of it.
-    fn is_out(&self) -> bool {
+    fn wait_until_sent(&self) -> bool {
         let wait = self
             .0
             .1
-            .wait_timeout_while(self.lock(), TIMEOUT, |waiting| !waiting.is_empty());
+            .wait_timeout_while(self.lock(), TIMEOUT, |messages| !messages.is_empty());
         wait.unwrap_or_else(PoisonError::into_inner).0.is_empty()
     }
 }
 
 /// Tells the other end what waits, as much as there is room for.
-struct Words {
-    waiting: Waiting,
-    heard: Sender<String>,
+struct QueuePayload {
+    send_queue: SendQueue,
+    received: Sender<String>,
 }
 
-impl Payload for Words {
+impl Payload for QueuePayload {
     fn gossip(&mut self, room: usize, _: Millis) -> Vec<u8> {
-        let mut waiting = self.waiting.lock();
+        let mut messages = self.send_queue.lock();
         let mut bytes = Vec::new();
-        while let Some(next) = waiting.front() {
+        while let Some(next) = messages.front() {
             // One that is too long for any datagram goes to the node alone: what becomes of it is the node's.
             if !bytes.is_empty() && bytes.len() + next.len() + 1 > room {
                 break;
             }
-            bytes.extend(next.bytes().chain([MARK]));
-            waiting.pop_front();
+            bytes.extend(next.bytes().chain([MESSAGE_SEPARATOR]));
+            messages.pop_front();
         }
-        self.waiting.0.1.notify_all();
+        self.send_queue.0.1.notify_all();
         bytes
     }
 
@@ -81,11 +81,11 @@
 
     fn receive(&mut self, _: &Member, bytes: &[u8], _: Millis) {
         for message in bytes
-            .split(|byte| *byte == MARK)
+            .split(|byte| *byte == MESSAGE_SEPARATOR)
             .filter(|message| !message.is_empty())
         {
             let _ = self
-                .heard
+                .received
                 .send(String::from_utf8_lossy(message).into_owned());
         }
     }
@@ -93,26 +93,26 @@
     fn set_member_count(&mut self, _: usize) {}
 }
 
-struct Process {
-    waiting: Waiting,
-    heard: Receiver<String>,
-    told: Receiver<Event>,
+struct PeerEnd {
+    send_queue: SendQueue,
+    received: Receiver<String>,
+    events: Receiver<Event>,
     node: Handle,
 }
 
-impl Default for Peers {
-    fn default() -> Peers {
+impl Default for PeerDatagrams {
+    fn default() -> PeerDatagrams {
         let net = Net::start(&Record::default(), 4);
-        Peers {
+        PeerDatagrams {
             net,
             weather: LinkFault::Fair,
             pairs: 0,
-            waiting: Vec::new(),
+            send_queues: Vec::new(),
         }
     }
 }
 
-impl Subject for Peers {
+impl Subject for PeerDatagrams {
     fn traits(&self) -> Traits {
         // A datagram may be lost and overtaken, and one that is doubled is taken once.
         Traits {
@@ -120,7 +120,7 @@
             reliable: false,
             once: true,
             ends: false,
-            longest: LONGEST,
+            longest: MAX_MESSAGE_BYTES,
             silence: None,
         }
     }
@@ -130,50 +130,51 @@
         // They meet in fair weather.
         let names = ["near", "away"].map(|side| format!("{side}{:04}", self.pairs));
         let sockets = [(), ()].map(|()| UdpSocket::bind(listen_address()).expect("loopback"));
-        let at = |end: usize| {
+        let link_address = |end: usize| {
             self.net
                 .add_peer(&names[end], sockets[end].local_addr().expect("bound"))
         };
-        let known = [at(0), at(1)];
+        let addresses = [link_address(0), link_address(1)];
         let [near, far] = sockets;
         let process = |end: usize, socket: UdpSocket| {
-            let (waiting, (tell, heard)) = (Waiting::default(), unbounded());
+            let (send_queue, (received_sender, received)) = (SendQueue::default(), unbounded());
             let profile = Profile {
                 name: names[end].as_str().into(),
-                address: known[end],
+                address: addresses[end],
                 incarnation: 1,
                 seed: random_seed(),
                 site: "north".into(),
                 peer_configuration: Configuration::default(),
-                seeds: known.to_vec(),
+                seeds: addresses.to_vec(),
             };
             let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("long enough"));
-            let body = Words {
-                waiting: waiting.clone(),
-                heard: tell,
+            let payload = QueuePayload {
+                send_queue: send_queue.clone(),
+                received: received_sender,
             };
-            let node = Node::new(profile, keys, Settings::default(), body).expect("a good profile");
+            let node =
+                Node::new(profile, keys, Settings::default(), payload).expect("a good profile");
             let start = Instant::now();
             let clock = move || Millis::try_from(start.elapsed().as_millis()).expect("soon");
-            let (events, told) = unbounded();
-            let node = spawn(node, Udp::new(socket), clock, events).expect("a thread");
-            Process {
-                waiting,
-                heard,
-                told,
+            let (event_sender, events) = unbounded();
+            let node = spawn(node, Udp::new(socket), clock, event_sender).expect("a thread");
+            PeerEnd {
+                send_queue,
+                received,
+                events,
                 node,
             }
         };
         let ends = [process(0, near), process(1, far)];
         for end in &ends {
-            let met = |event: Event| matches!(event, Event::Up(_));
+            let is_up = |event: Event| matches!(event, Event::Up(_));
             assert!(
-                end.told.recv_timeout(TIMEOUT).is_ok_and(met),
+                end.events.recv_timeout(TIMEOUT).is_ok_and(is_up),
                 "they do not meet"
             );
         }
-        self.waiting
-            .extend(ends.iter().map(|end| end.waiting.clone()));
+        self.send_queues
+            .extend(ends.iter().map(|end| end.send_queue.clone()));
         self.weather(self.weather);
         let [near, far] = ends;
         (Box::new(near), Box::new(far))
@@ -182,19 +183,19 @@
     fn weather(&mut self, weather: LinkFault) {
         // What was sent goes out in the weather that it was sent in.
         assert!(
-            self.waiting.iter().all(Waiting::is_out),
+            self.send_queues.iter().all(SendQueue::wait_until_sent),
             "a node takes nothing"
         );
         self.weather = weather;
         for link in self.net.links() {
-            self.net.fault(&link, fault(weather));
+            self.net.fault(&link, link_fault(weather));
         }
     }
 }
 
-impl End for Process {
+impl End for PeerEnd {
     fn send(&mut self, message: &str) -> Result<(), String> {
-        self.waiting.lock().push_back(message.to_owned());
+        self.send_queue.lock().push_back(message.to_owned());
         self.node.gossip_soon();
         Ok(())
     }
@@ -204,7 +205,7 @@
     }
 
     fn hear(&mut self, within: Duration) -> Received {
-        match self.heard.recv_timeout(within) {
+        match self.received.recv_timeout(within) {
             Ok(message) => Received::Message(message),
             Err(RecvTimeoutError::Timeout) => Received::Nothing,
             Err(RecvTimeoutError::Disconnected) => Received::Ended,
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -11,13 +11,13 @@
 use beaconflow_contracts::transports::{End, LinkFault, Pair, Received, Subject, Traits};
 use beaconflow_fault_injection::{Link, Net, Record};
 
-use crate::fault;
+use crate::link_fault;
 use crate::support::nats::{Redis, start_redis};
 use crate::support::*;
 
 /// How messages are written.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Wire {
+pub enum Protocol {
     Platform,
     Nats,
 }
@@ -26,42 +26,44 @@
 /// Longest payload in the operator's file.
 const MAX_PAYLOAD: usize = 4_000;
 
-impl Wire {
+impl Protocol {
     /// A message as the near end or the far end writes it.
-    fn written(self, message: &str, near: bool) -> String {
-        let verb = if near { "PUB a" } else { "MSG a 1" };
+    fn encode(self, message: &str, is_near: bool) -> String {
+        let verb = if is_near { "PUB a" } else { "MSG a 1" };
         match self {
-            Wire::Platform => format!("= {message}\r\n"),
-            Wire::Nats => format!("{verb} {}\r\n{message}\r\n", message.len()),
+            Protocol::Platform => format!("= {message}\r\n"),
+            Protocol::Nats => format!("{verb} {}\r\n{message}\r\n", message.len()),
         }
     }
 
     /// Whether a client that has sent its opening is served.
     fn is_served(self, near: &TcpStream) -> bool {
-        let served = if self == Wire::Platform {
+        let served = if self == Protocol::Platform {
             "UP "
         } else {
             "PONG"
         };
-        let line = line_of(near, &[served, "BUSY", "ERR", "-ERR"]);
+        let line = read_line_starting_with(near, &[served, "BUSY", "ERR", "-ERR"]);
         line.is_ok_and(|line| line.starts_with(served))
     }
 
     /// How many bytes of it are the first part of a payload of so many.
-    fn head(self, message: &str, near: bool) -> usize {
-        self.written(message, near).len() - message.len() - 2
+    fn payload_offset(self, message: &str, is_near: bool) -> usize {
+        self.encode(message, is_near).len() - message.len() - 2
     }
 
     /// A line that is a message's first, and how many bytes follow it; what it says by itself.
-    fn read(self, line: &str) -> Line {
-        let words: Vec<&str> = line.split(' ').collect();
-        match (self, &words[..]) {
-            (Wire::Platform, ["=", message]) => Line::Message((*message).to_owned()),
-            (Wire::Platform, ["MOVE"]) => Line::Moved,
-            (Wire::Nats, ["PUB" | "MSG", .., size]) => Line::Payload(size.parse().expect("a size")),
-            (Wire::Nats, ["INFO", ..]) if line.contains("\"ldm\":true") => Line::Moved,
-            (Wire::Nats, ["PING"]) => Line::Asks,
-            _ => Line::Else,
+    fn parse_line(self, line: &str) -> Line {
+        let fields: Vec<&str> = line.split(' ').collect();
+        match (self, &fields[..]) {
+            (Protocol::Platform, ["=", message]) => Line::Message((*message).to_owned()),
+            (Protocol::Platform, ["MOVE"]) => Line::Moved,
+            (Protocol::Nats, ["PUB" | "MSG", .., size]) => {
+                Line::Payload(size.parse().expect("a size"))
+            }
+            (Protocol::Nats, ["INFO", ..]) if line.contains("\"ldm\":true") => Line::Moved,
+            (Protocol::Nats, ["PING"]) => Line::Ping,
+            _ => Line::Other,
         }
     }
 }
@@ -70,45 +72,45 @@
     Message(String),
     Payload(usize),
     Moved,
-    Asks,
-    Else,
+    Ping,
+    Other,
 }
 
 /// The program with one server, and a link on each side of it.
 pub struct Front {
-    wire: Wire,
+    protocol: Protocol,
     net: Net,
-    door: SocketAddr,
-    passes: Receiver<Conn>,
-    next: u32,
+    client_address: SocketAddr,
+    sessions: Receiver<Connection>,
+    next_client_id: u32,
     _program: Program,
-    _keeps: (Discovery, Peer, Option<Redis>),
+    _dependencies: (Discovery, Peer, Option<Redis>),
 }
 
 impl Front {
-    pub fn start(wire: Wire) -> Front {
+    pub fn start(protocol: Protocol) -> Front {
         let (at, discovery, server) = (reserve_address(), Discovery::start(), listener());
         let net = Net::start(&Record::default(), 9);
-        let door = net.add_link(Link::new("clients", "program", at));
-        let place = net.add_link(Link::new(
+        let client_address = net.add_link(Link::new("clients", "program", at));
+        let server_address = net.add_link(Link::new(
             "program",
             "server",
             server.local_addr().expect("bound"),
         ));
-        let rows = [("s0", place, "SERVING")];
-        let (program, redis) = match wire {
-            Wire::Platform => {
-                let text = platform_config(
+        let rows = [("s0", server_address, "SERVING")];
+        let (program, redis) = match protocol {
+            Protocol::Platform => {
+                let config_text = platform_config(
                     at,
                     discovery.address,
                     &endpoint_list(1, true, &rows),
                     SETTINGS,
                     256,
                 );
-                let path = write_temp_file(&format!("contract-{at}"), &text);
+                let path = write_temp_file(&format!("contract-{at}"), &config_text);
                 (Program::start(&[], &[("LB_CONFIG", &path)]), None)
             }
-            Wire::Nats => {
+            Protocol::Nats => {
                 let (program, redis) = start_nats(at, discovery.address);
                 (program, Some(redis))
             }
@@ -116,16 +118,16 @@
         let mut watch = discovery.accept_watch();
         send_endpoints(&mut watch, 2, true, &rows);
         program.wait_for_log("generation=2");
-        let (send, passes) = channel();
-        std::thread::spawn(move || set_up(wire, &server, &send));
+        let (session_sender, sessions) = channel();
+        std::thread::spawn(move || accept_sessions(protocol, &server, &session_sender));
         Front {
-            wire,
+            protocol,
             net,
-            door,
-            passes,
-            next: 0,
+            client_address,
+            sessions,
+            next_client_id: 0,
             _program: program,
-            _keeps: (discovery, watch, redis),
+            _dependencies: (discovery, watch, redis),
         }
     }
 }
@@ -135,7 +137,7 @@
     let settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
     let overrides = write_temp_file(&format!("contract-{at}.redb"), "");
     std::fs::remove_file(&overrides).expect("just made");
-    let text = format!(
+    let config_text = format!(
         "name = \"front\"\nlisten = \"{at}\"\nsockets = 256\n\
          wire = {{ max_payload = {MAX_PAYLOAD}, ping_after_ms = 300, silence_ms = 3000 }}\n\
          store = {{ url = \"redis://{}/\", fresh_ms = 60000 }}\n\
@@ -147,7 +149,7 @@
     let program = Program::start(
         &[
             "--operator",
-            &write_temp_file(&format!("contract-{at}"), &text),
+            &write_temp_file(&format!("contract-{at}"), &config_text),
         ],
         &[],
     );
@@ -169,27 +171,30 @@
 
 impl Front {
     /// A client that has come to stand.
-    fn opens(&mut self) -> Option<TcpStream> {
-        self.next += 1;
-        let opening = match self.wire {
-            Wire::Platform => format!("OPEN a{} 02 c=chat,t=acme,d=2500,g=3\r\n", self.next),
-            Wire::Nats => format!(
+    fn open_client(&mut self) -> Option<TcpStream> {
+        self.next_client_id += 1;
+        let opening = match self.protocol {
+            Protocol::Platform => format!(
+                "OPEN a{} 02 c=chat,t=acme,d=2500,g=3\r\n",
+                self.next_client_id
+            ),
+            Protocol::Nats => format!(
                 "CONNECT {{\"user\":\"acme\",\"pass\":\"{PASSWORD}\",\"name\":\"n{}\",\"verbose\":false}}\r\nPING\r\n",
-                self.next
+                self.next_client_id
             ),
         };
-        let mut near = TcpStream::connect(self.door).expect("it listens");
+        let mut near = TcpStream::connect(self.client_address).expect("it listens");
         near.write_all(opening.as_bytes()).expect("open");
-        self.wire.is_served(&near).then_some(near)
+        self.protocol.is_served(&near).then_some(near)
     }
 }
 
 impl Subject for Front {
     fn traits(&self) -> Traits {
-        let (longest, silence) = match self.wire {
+        let (longest, silence) = match self.protocol {
             // 4 KiB with what is round the message.
-            Wire::Platform => (4_096 - 4, 3_000),
-            Wire::Nats => (MAX_PAYLOAD, 3_000),
+            Protocol::Platform => (4_096 - 4, 3_000),
+            Protocol::Nats => (MAX_PAYLOAD, 3_000),
         };
         let silence = Some(Duration::from_millis(silence));
         Traits {
@@ -203,43 +208,46 @@
     }
 
     fn pair(&mut self) -> Pair {
-        let until = Instant::now() + TEST_TIMEOUT * 3;
+        let deadline = Instant::now() + TEST_TIMEOUT * 3;
         // On a loaded machine a set-up may take too long, and is refused for a while: whoever is refused comes again.
         let near = loop {
-            if let Some(near) = self.opens() {
+            if let Some(near) = self.open_client() {
                 break near;
             }
-            assert!(Instant::now() < until, "nobody is served");
+            assert!(Instant::now() < deadline, "nobody is served");
             std::thread::sleep(Duration::from_millis(20));
         };
         // The balancer gives up one pass before it begins another: the last one is the one that stands.
-        let first = self.passes.recv_timeout(TEST_TIMEOUT).expect("a pass");
-        let far = self.passes.try_iter().last().unwrap_or(first);
-        (Box::new(Conn::new(near, self.wire, true)), Box::new(far))
+        let first = self.sessions.recv_timeout(TEST_TIMEOUT).expect("a pass");
+        let far = self.sessions.try_iter().last().unwrap_or(first);
+        (
+            Box::new(Connection::new(near, self.protocol, true)),
+            Box::new(far),
+        )
     }
 
     fn weather(&mut self, weather: LinkFault) {
         for link in ["clients>program", "program>server"] {
-            self.net.fault(link, fault(weather));
+            self.net.fault(link, link_fault(weather));
         }
     }
 }
 
 /// Messages that are read ahead: beyond them a far end that takes nothing holds its sender back.
-const AHEAD: usize = 8;
+const READ_AHEAD_MESSAGES: usize = 8;
 
 /// One end of a connection. A thread reads it, and answers a server's questions that are none of the contract's.
-struct Conn {
+struct Connection {
     stream: TcpStream,
-    wire: Wire,
-    near: bool,
-    silent: Arc<AtomicBool>,
-    heard: Option<Receiver<Received>>,
+    protocol: Protocol,
+    is_near: bool,
+    is_silent: Arc<AtomicBool>,
+    received: Option<Receiver<Received>>,
     thread: Option<JoinHandle<()>>,
 }
 
 /// Reads to the first line with one of these beginnings. Byte by byte: what follows is another's.
-fn line_of(mut stream: &TcpStream, beginnings: &[&str]) -> std::io::Result<String> {
+fn read_line_starting_with(mut stream: &TcpStream, beginnings: &[&str]) -> std::io::Result<String> {
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     loop {
         let (mut line, mut byte) = (Vec::new(), [0]);
@@ -259,60 +267,72 @@
 }
 
 /// Sets up whatever pass comes to the server. An end stands here before its balancer is told that it stands.
-fn set_up(wire: Wire, server: &TcpListener, passes: &Sender<Conn>) {
+fn accept_sessions(protocol: Protocol, server: &TcpListener, session_sender: &Sender<Connection>) {
     while let Ok((stream, _)) = server.accept() {
-        let passes = passes.clone();
+        let session_sender = session_sender.clone();
         std::thread::spawn(move || {
-            let (info, asks, answer): (&[u8], _, &[u8]) = match wire {
-                Wire::Platform => (b"", "OPEN ", b"UP r1\r\n"),
-                Wire::Nats => (
+            let (info, request_prefix, answer): (&[u8], _, &[u8]) = match protocol {
+                Protocol::Platform => (b"", "OPEN ", b"UP r1\r\n"),
+                Protocol::Nats => (
                     b"INFO {\"server_id\":\"s0\",\"max_payload\":1048576}\r\n",
                     "PING",
                     b"PONG\r\n",
                 ),
             };
-            let asked = (&stream)
+            let request = (&stream)
                 .write_all(info)
-                .and_then(|()| line_of(&stream, &[asks]));
-            let Ok(mut own) = stream.try_clone() else {
+                .and_then(|()| read_line_starting_with(&stream, &[request_prefix]));
+            let Ok(mut writer) = stream.try_clone() else {
                 return;
             };
-            if asked.is_ok() && passes.send(Conn::new(stream, wire, false)).is_ok() {
-                let _ = own.write_all(answer);
+            if request.is_ok()
+                && session_sender
+                    .send(Connection::new(stream, protocol, false))
+                    .is_ok()
+            {
+                let _ = writer.write_all(answer);
             }
         });
     }
 }
 
-impl Conn {
-    fn new(stream: TcpStream, wire: Wire, near: bool) -> Conn {
+impl Connection {
+    fn new(stream: TcpStream, protocol: Protocol, is_near: bool) -> Connection {
         stream.set_nodelay(true).expect("open");
-        let (send, heard) = sync_channel(AHEAD);
-        let silent = Arc::new(AtomicBool::new(false));
-        let (own, quiet) = (stream.try_clone().expect("open"), Arc::clone(&silent));
-        let thread = std::thread::spawn(move || read(&own, wire, &quiet, &send));
-        Conn {
+        let (received_sender, received) = sync_channel(READ_AHEAD_MESSAGES);
+        let is_silent = Arc::new(AtomicBool::new(false));
+        let (stream_copy, silent_flag) =
+            (stream.try_clone().expect("open"), Arc::clone(&is_silent));
+        let thread = std::thread::spawn(move || {
+            read_messages(&stream_copy, protocol, &silent_flag, &received_sender)
+        });
+        Connection {
             stream,
-            wire,
-            near,
-            silent,
-            heard: Some(heard),
+            protocol,
+            is_near,
+            is_silent,
+            received: Some(received),
             thread: Some(thread),
         }
     }
 }
 
 /// Reads to the end, and tells what was heard.
-fn read(mut stream: &TcpStream, wire: Wire, silent: &AtomicBool, tell: &SyncSender<Received>) {
+fn read_messages(
+    mut stream: &TcpStream,
+    protocol: Protocol,
+    is_silent: &AtomicBool,
+    received_sender: &SyncSender<Received>,
+) {
     let mut reader = BufReader::new(stream);
-    let mut next = || -> std::io::Result<Received> {
+    let mut read_message = || -> std::io::Result<Received> {
         loop {
             let mut line = String::new();
             reader.read_line(&mut line)?;
             if !line.ends_with('\n') {
                 return Ok(Received::Ended);
             }
-            match wire.read(line.trim_end()) {
+            match protocol.parse_line(line.trim_end()) {
                 Line::Message(message) => return Ok(Received::Message(message)),
                 Line::Moved => return Ok(Received::Moved),
                 Line::Payload(size) => {
@@ -328,43 +348,49 @@
                         Received::Ended
                     });
                 }
-                Line::Asks if !silent.load(Ordering::Relaxed) => stream.write_all(b"PONG\r\n")?,
-                Line::Asks | Line::Else => {}
+                Line::Ping if !is_silent.load(Ordering::Relaxed) => {
+                    stream.write_all(b"PONG\r\n")?
+                }
+                Line::Ping | Line::Other => {}
             }
         }
     };
     loop {
-        let heard = next().unwrap_or(Received::Reset);
-        let is_last = matches!(heard, Received::Ended | Received::Reset);
-        if tell.send(heard).is_err() || is_last {
+        let received = read_message().unwrap_or(Received::Reset);
+        let is_last = matches!(received, Received::Ended | Received::Reset);
+        if received_sender.send(received).is_err() || is_last {
             return;
         }
     }
 }
 
-impl End for Conn {
+impl End for Connection {
     fn send(&mut self, message: &str) -> Result<(), String> {
-        let words = self.wire.written(message, self.near);
+        let encoded = self.protocol.encode(message, self.is_near);
         self.stream
-            .write_all(words.as_bytes())
+            .write_all(encoded.as_bytes())
             .map_err(|error| error.to_string())
     }
 
     fn send_partial(&mut self, message: &str, bytes: usize) {
-        let words = self.wire.written(message, self.near);
-        let head = self.wire.head(message, self.near);
+        let encoded = self.protocol.encode(message, self.is_near);
+        let payload_offset = self.protocol.payload_offset(message, self.is_near);
         self.stream
-            .write_all(&words.as_bytes()[..head + bytes])
+            .write_all(&encoded.as_bytes()[..payload_offset + bytes])
             .expect("open");
     }
 
     fn hear(&mut self, within: Duration) -> Received {
-        let heard = self.heard.as_ref().expect("not over").recv_timeout(within);
-        heard.unwrap_or(Received::Nothing)
+        let received = self
+            .received
+            .as_ref()
+            .expect("not over")
+            .recv_timeout(within);
+        received.unwrap_or(Received::Nothing)
     }
 
     fn falls_silent(&mut self) {
-        self.silent.store(true, Ordering::Relaxed);
+        self.is_silent.store(true, Ordering::Relaxed);
     }
 
     fn finish(&mut self) {
@@ -378,10 +404,10 @@
     }
 }
 
-impl Drop for Conn {
+impl Drop for Connection {
     /// The last one that lets go of the connection ends it: its thread goes first.
     fn drop(&mut self) {
-        self.heard = None;
+        self.received = None;
         let _ = self.stream.shutdown(Shutdown::Read);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
--- a/crates/cli/tests/transports/main.rs
+++ b/crates/cli/tests/transports/main.rs
@@ -9,26 +9,26 @@
 
 use beaconflow_contracts::transports::{LinkFault, assert_conforms};
 use beaconflow_fault_injection::{Direction, Fault};
-use datagrams::Peers;
-use fronts::{Front, Wire};
+use datagrams::PeerDatagrams;
+use fronts::{Front, Protocol};
 
 #[test]
-fn the_platforms_front() {
-    assert_conforms(|| Front::start(Wire::Platform));
+fn platform_front_conforms() {
+    assert_conforms(|| Front::start(Protocol::Platform));
 }
 
 #[test]
-fn the_nats_front() {
-    assert_conforms(|| Front::start(Wire::Nats));
+fn nats_front_conforms() {
+    assert_conforms(|| Front::start(Protocol::Nats));
 }
 
 #[test]
-fn peers_datagrams() {
-    assert_conforms(Peers::default);
+fn peer_datagrams_conform() {
+    assert_conforms(PeerDatagrams::default);
 }
 
 /// The weather as it is made of a link.
-fn fault(weather: LinkFault) -> Fault {
+fn link_fault(weather: LinkFault) -> Fault {
     match weather {
         LinkFault::Fair => Fault::Heal,
         LinkFault::Cut => Fault::Partition(Direction::Both),
