--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -39,7 +39,9 @@
         .into_iter()
         .map(|name| {
             let server = listener();
-            let at = server.local_addr().expect("bound");
+            let at = server
+                .local_addr()
+                .expect("bound socket has a local address");
             match name {
                 "s2" => spawn_draining_server(server),
                 "s3" => drop(server),
@@ -55,16 +57,16 @@
     client.send(&format!(
         "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
     ));
-    (client.read_line().expect("an answer"), client)
+    (client.read_line().expect("an answer line"), client)
 }
 
 fn effective_state(farm: &serde_json::Value, name: &str) -> (String, String) {
     let server = farm["servers"]
         .as_array()
-        .expect("rows")
+        .expect("servers is a list")
         .iter()
         .find(|row| row["name"] == name);
-    let server = server.expect("listed");
+    let server = server.expect("server is listed");
     (
         server["effective"]["state"].to_string(),
         server["why"].to_string(),
@@ -134,7 +136,9 @@
     let rows: Vec<(String, SocketAddr)> = (0..2)
         .map(|number| {
             let server = listener();
-            let at = server.local_addr().expect("bound");
+            let at = server
+                .local_addr()
+                .expect("bound socket has a local address");
             spawn_server(number, server, opening_sender.clone());
             (format!("s{number}"), at)
         })
@@ -208,7 +212,7 @@
     }
     // One that was sent away has heard so.
     for client in &mut clients {
-        client.stream.set_nonblocking(true).expect("open");
+        client.stream.set_nonblocking(true).expect("socket is open");
         let received = client.read_line_or_end();
         assert!(received.is_none(), "{received:?}");
     }
--- a/crates/cli/tests/fleet_memory.rs
+++ b/crates/cli/tests/fleet_memory.rs
@@ -79,7 +79,7 @@
 /// What a program's descriptors are: paths, or `socket:[inode]`.
 fn descriptor_targets(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/fd", program.pid());
-    let entries = std::fs::read_dir(folder).expect("it runs");
+    let entries = std::fs::read_dir(folder).expect("program is running");
     let links = entries.filter_map(|one| std::fs::read_link(one.ok()?.path()).ok());
     links
         .map(|path| path.to_string_lossy().into_owned())
@@ -88,7 +88,7 @@
 
 /// How many of them are datagrams' sockets.
 fn udp_socket_count(program: &Program) -> usize {
-    let table = std::fs::read_to_string("/proc/net/udp").expect("Linux");
+    let table = std::fs::read_to_string("/proc/net/udp").expect("/proc/net/udp is readable");
     let inodes: Vec<&str> = table
         .lines()
         .filter_map(|row| row.split_whitespace().nth(9))
@@ -109,7 +109,7 @@
 fn thread_names(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/task", program.pid());
     let tasks = std::fs::read_dir(folder)
-        .expect("it runs")
+        .expect("program is running")
         .filter_map(Result::ok);
     let mut names: Vec<String> = tasks
         .filter_map(|task| std::fs::read_to_string(task.path().join("comm")).ok())
@@ -171,7 +171,9 @@
 #[test]
 fn failed_placements_are_shared_until_one_succeeds() {
     let server = listener();
-    let at = server.local_addr().expect("bound");
+    let at = server
+        .local_addr()
+        .expect("bound socket has a local address");
     drop(server);
     let fleet = Fleet::with_endpoints(
         2,
@@ -187,13 +189,13 @@
     let open_client = |process: &Process| {
         let mut client = Peer::connect(process.address);
         client.send("OPEN a1 k1 c=chat,t=acme,d=2500\r\n");
-        (client.read_line().expect("an answer"), client)
+        (client.read_line().expect("an answer line"), client)
     };
     let (answer, _client) = open_client(&processes[0]);
     assert!(answer.starts_with("BUSY"), "{answer}");
     processes[1].wait_for_fleet_field("failing", 1);
     // The server is there now, and the client comes back to the other process.
-    serve_all_openings(std::net::TcpListener::bind(at).expect("free again"));
+    serve_all_openings(std::net::TcpListener::bind(at).expect("address can be bound again"));
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !open_client(&processes[1]).0.starts_with("UP") {
         assert!(Instant::now() < deadline, "never served");
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -16,12 +16,14 @@
 fn cold_endpoint_list(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("clock is after 1970")
         .as_millis();
     let (opening_sender, openings) = std::sync::mpsc::channel();
     let row = |number: usize| {
         let server = listener();
-        let at = server.local_addr().expect("bound");
+        let at = server
+            .local_addr()
+            .expect("bound socket has a local address");
         spawn_server(number, server, opening_sender.clone());
         format!(
             r#"{{"instanceId":"s{number}","hostPort":"{at}","zone":"a","lifecycle":"SERVING","weight":1.0,"startedAtMs":{now}}}"#
@@ -63,10 +65,11 @@
         client.send(&format!(
             "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
         ));
-        match client.read_line().expect("an answer").split_once(' ') {
+        match client.read_line().expect("an answer line").split_once(' ') {
             Some(("UP", _)) => established.push(client),
             Some(("BUSY", retry_after)) => {
-                let retry_after = Duration::from_millis(retry_after.parse().expect("a span"));
+                let retry_after =
+                    Duration::from_millis(retry_after.parse().expect("delay is a number"));
                 assert!(
                     retry_after <= Duration::from_secs(2),
                     "longer than a client follows: {retry_after:?}"
@@ -129,16 +132,17 @@
 #[test]
 fn drains_survive_loss_of_discovery_state() {
     let fleet = Fleet::start(1, 2);
-    let known: serde_json::Value = serde_json::from_str(&fleet.known_endpoints).expect("JSON");
+    let known: serde_json::Value =
+        serde_json::from_str(&fleet.known_endpoints).expect("valid JSON");
     let address = |number: usize| {
         known["instances"][number]["hostPort"]
             .as_str()
-            .expect("text")
+            .expect("hostPort is a string")
             .parse()
     };
     let (s0, s1) = (
-        address(0).expect("an address"),
-        address(1).expect("an address"),
+        address(0).expect("a socket address"),
+        address(1).expect("a socket address"),
     );
     let (both_serving, s1_draining) = (
         [("s0", s0, "SERVING"), ("s1", s1, "SERVING")],
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -42,7 +42,7 @@
     if by_reset {
         socket2::SockRef::from(&client.stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("open");
+            .expect("socket is open");
     }
     drop(client);
 }
@@ -130,7 +130,7 @@
         let site = Site::start_with_env(&format!("delay{by_reset}"), 1, DEBUG_LOG_ENV);
         let client = site.open_client("chat", "");
         let mut server = Peer::accept(&site.servers[0]);
-        server.read_line().expect("an opening");
+        server.read_line().expect("an OPEN line");
         server.send("BUSY\r\n");
         site.program.wait_for_log("attempt ended");
         disconnect(client, by_reset);
@@ -144,14 +144,20 @@
     let site = Site::start("attempt", 1);
     let client = site.open_client("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
-    server.read_line().expect("an opening");
+    server.read_line().expect("an OPEN line");
     let second = listener();
     let mut watch = site.discovery.accept_watch();
     send_endpoints(
         &mut watch,
         2,
         false,
-        &[("b", second.local_addr().expect("bound"), "SERVING")],
+        &[(
+            "b",
+            second
+                .local_addr()
+                .expect("bound socket has a local address"),
+            "SERVING",
+        )],
     );
     site.program.wait_for_log("generation=2");
     drop(client);
@@ -193,12 +199,14 @@
         "\"effect\":\"dedup\",\"dedup-scope\":\"all\",\"repeat-window-ns\":1200000000",
     );
     let first = listener();
-    let at = first.local_addr().expect("bound");
+    let at = first
+        .local_addr()
+        .expect("bound socket has a local address");
     let backlogged = FullBacklogServer::start();
     let (site, mut watch) = start_site(&dedup_settings, "window", &[("a", at, "SERVING")]);
     let mut client = site.open_client("once", "");
     let mut server = Peer::accept(&first);
-    server.read_line().expect("an opening");
+    server.read_line().expect("an OPEN line");
     let sent_at = Instant::now();
     send_endpoints(
         &mut watch,
@@ -221,7 +229,9 @@
 #[test]
 fn request_is_rerouted_when_server_drains_during_connect() {
     let (backlogged, second) = (FullBacklogServer::start(), listener());
-    let at = second.local_addr().expect("bound");
+    let at = second
+        .local_addr()
+        .expect("bound socket has a local address");
     let (site, mut watch) = start_site(
         &long_connect_timeout_settings(),
         "drains",
@@ -248,7 +258,7 @@
     server.send("UP r1\r\n");
     client.expect_line("UP r1");
     assert_eq!(
-        backlogged_reader.join().expect("it ran"),
+        backlogged_reader.join().expect("reader thread returns"),
         None,
         "nothing for the one that drains"
     );
@@ -260,18 +270,24 @@
     let (site, _watch) = start_site(
         SETTINGS,
         "time",
-        &[("a", first.local_addr().expect("bound"), "SERVING")],
+        &[(
+            "a",
+            first
+                .local_addr()
+                .expect("bound socket has a local address"),
+            "SERVING",
+        )],
     );
     let sent_at = Instant::now();
     let mut client = site.open_client("once", "");
     let mut server = Peer::accept(&first);
-    let opening = server.read_line().expect("an opening");
+    let opening = server.read_line().expect("an OPEN line");
     let forwarded = opening
         .split("d=")
         .nth(1)
         .and_then(|rest| rest.split(',').next())
-        .expect("a time");
-    let forwarded = Duration::from_millis(forwarded.parse().expect("a number"));
+        .expect("a time value");
+    let forwarded = Duration::from_millis(forwarded.parse().expect("value is a number"));
     assert!(
         forwarded <= Duration::from_millis(2_500)
             && forwarded + sent_at.elapsed() >= Duration::from_millis(2_490)
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -25,10 +25,18 @@
         let known = endpoint_list(
             1,
             true,
-            &[("s0", server.local_addr().expect("bound"), "SERVING")],
+            &[(
+                "s0",
+                server
+                    .local_addr()
+                    .expect("bound socket has a local address"),
+                "SERVING",
+            )],
         );
         serve_all_openings(server);
-        let address = listener_socket.local_addr().expect("bound");
+        let address = listener_socket
+            .local_addr()
+            .expect("bound socket has a local address");
         let config_path = write_temp_file(
             name,
             &platform_config(address, discovery.address, &known, SETTINGS, 512),
@@ -42,13 +50,15 @@
     }
 
     fn address(&self) -> SocketAddr {
-        self.listener_socket.local_addr().expect("bound")
+        self.listener_socket
+            .local_addr()
+            .expect("bound socket has a local address")
     }
 
     /// One more process, and its operations port. It is ready.
     fn start(&self) -> (Program, Api) {
         let address = reserve_address();
-        let temp_folder = self.temp_folder.to_str().expect("text");
+        let temp_folder = self.temp_folder.to_str().expect("valid UTF-8");
         let env = [
             ("LB_CONFIG", self.config_path.as_str()),
             ("LB_ADMIN_ADDR", &address.to_string()),
@@ -120,14 +130,14 @@
     established.expect_line("MOVE");
     assert!(old.exits_cleanly(), "it leaves by itself");
     is_over.store(true, Ordering::SeqCst);
-    assert!(openings.join().expect("every opening was served") > 10);
+    assert!(openings.join().expect("every opening is served") > 10);
     assert_eq!(new_api.call("GET", "/status", "").status, 200);
     site.open("after").expect_line("UP r");
 }
 
 #[test]
 fn handover_transfers_connections_except_mid_line() {
-    let temp_folder = tempfile::tempdir().expect("a folder");
+    let temp_folder = tempfile::tempdir().expect("folder is readable");
     let site = SharedSite {
         temp_folder: temp_folder.path().to_owned(),
         ..SharedSite::new("given")
@@ -192,7 +202,10 @@
     ids.iter().for_each(|id| site.open(id).expect_line("UP r"));
     // One that can't start serving harms nobody: it ends before it takes a client.
     let occupied = listener();
-    let address = occupied.local_addr().expect("bound").to_string();
+    let address = occupied
+        .local_addr()
+        .expect("bound socket has a local address")
+        .to_string();
     let env = [
         ("LB_CONFIG", site.config_path.as_str()),
         ("LB_ADMIN_ADDR", &address),
@@ -212,11 +225,11 @@
 #[test]
 fn startup_rejects_inherited_descriptor_that_is_not_listening() {
     let site = SharedSite::new("descriptor");
-    let unlistening =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let unlistening = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("socket is open");
     unlistening
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-        .expect("loopback");
+        .expect("loopback socket is bound");
     let unlistening = TcpListener::from(unlistening);
     for (descriptor, expected_error) in [
         ("three", "no descriptor's number"),
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -21,7 +21,7 @@
 /// Serves the next opening at a server, and gives its end.
 fn accept_opening(site: &Site, client: &mut Peer) -> Peer {
     let mut server = Peer::accept(&site.servers[0]);
-    server.read_line().expect("an opening");
+    server.read_line().expect("an OPEN line");
     server.send("UP r1\r\n");
     client.expect_line("UP r1");
     server
@@ -36,7 +36,7 @@
     partial.send("OPEN b1 02 c=chat,t=ac");
     let mut in_flight = site.open_client("once", "");
     let mut in_flight_server = Peer::accept(&site.servers[0]);
-    in_flight_server.read_line().expect("an opening");
+    in_flight_server.read_line().expect("an OPEN line");
     let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
@@ -76,8 +76,16 @@
 fn sigterm_during_startup_exits_cleanly() {
     let (agent, server) = (listener(), listener());
     let settings = SETTINGS.replace("\"subscribe\"", "\"automatic\"");
-    let rows = [("s0", server.local_addr().expect("bound"), "SERVING")];
-    let discovery = agent.local_addr().expect("bound");
+    let rows = [(
+        "s0",
+        server
+            .local_addr()
+            .expect("bound socket has a local address"),
+        "SERVING",
+    )];
+    let discovery = agent
+        .local_addr()
+        .expect("bound socket has a local address");
     let config = platform_config(
         reserve_address(),
         discovery,
@@ -105,14 +113,17 @@
     let mut watch = site.discovery.accept_watch();
     let mut established: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let elsewhere = listener();
-    let address = elsewhere.local_addr().expect("bound").to_string();
+    let address = elsewhere
+        .local_addr()
+        .expect("bound socket has a local address")
+        .to_string();
     let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
     let changed_config = site
         .config
         .replace(&site.discovery.address.to_string(), &address);
-    std::fs::write(&site.config_path, changed_config).expect("the same folder");
+    std::fs::write(&site.config_path, changed_config).expect("configuration file is written");
     site.program.signal("HUP");
     site.program
         .wait_for_log("left out: the program is leaving");
@@ -123,16 +134,24 @@
     let rows = [
         (
             "s0",
-            site.servers[0].local_addr().expect("bound"),
+            site.servers[0]
+                .local_addr()
+                .expect("bound socket has a local address"),
             "DRAINING",
         ),
-        ("s1", other.local_addr().expect("bound"), "SERVING"),
+        (
+            "s1",
+            other
+                .local_addr()
+                .expect("bound socket has a local address"),
+            "SERVING",
+        ),
     ];
     send_endpoints(&mut watch, 2, false, &rows);
     site.program.wait_for_log("generation=2");
     let mut newcomer = site.open_client("chat", "");
     let mut server = Peer::accept(&other);
-    server.read_line().expect("an opening");
+    server.read_line().expect("an OPEN line");
     server.send("UP r1\r\n");
     newcomer.expect_line("UP r1");
     for (client, _) in &mut established {
@@ -147,7 +166,7 @@
         "{:?}",
         signalled_at.elapsed()
     );
-    elsewhere.set_nonblocking(true).expect("open");
+    elsewhere.set_nonblocking(true).expect("socket is open");
     assert!(
         elsewhere.accept().is_err(),
         "nobody asked the new discovery"
@@ -187,11 +206,13 @@
     };
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let elsewhere = listener();
-    let address = elsewhere.local_addr().expect("bound");
+    let address = elsewhere
+        .local_addr()
+        .expect("bound socket has a local address");
     let changed_config = site
         .config
         .replace(&site.discovery.address.to_string(), &address.to_string());
-    std::fs::write(&site.config_path, changed_config).expect("the same folder");
+    std::fs::write(&site.config_path, changed_config).expect("configuration file is written");
     site.program.signal("HUP");
     let _asked = Peer::accept(&elsewhere);
     assert!(!accepts_clients(site.address), "it stands by");
--- a/crates/cli/tests/overrides/balancer.rs
+++ b/crates/cli/tests/overrides/balancer.rs
@@ -31,7 +31,7 @@
     }
 
     pub fn start_with_overrides(servers: usize, overrides: &str) -> Site {
-        let folder = tempfile::tempdir().expect("a folder for temporary files");
+        let folder = tempfile::tempdir().expect("temporary folder is writable");
         let (address, admin, discovery) =
             (reserve_address(), reserve_address(), Discovery::start());
         let servers: Vec<(String, TcpListener)> = (0..servers)
@@ -40,13 +40,13 @@
         let known = endpoint_list(1, true, &serving_rows(&servers));
         let config = folder.path().join("config.json");
         let text = support::platform_config(address, discovery.address, &known, SETTINGS, 256);
-        std::fs::write(&config, text).expect("room");
+        std::fs::write(&config, text).expect("write succeeds");
         let operator = folder.path().join("operator.toml");
         let store = folder.path().join("overrides.redb");
         let text = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {store:?}\n{overrides}\n"
         );
-        std::fs::write(&operator, text).expect("room");
+        std::fs::write(&operator, text).expect("write succeeds");
         let (config, operator) = (path_to_string(&config), path_to_string(&operator));
         let program = start_program(&operator, &config);
         program.wait_for_log("serves front=platform");
@@ -75,12 +75,12 @@
     }
 
     pub fn program(&self) -> &Program {
-        self.program.as_ref().expect("it runs")
+        self.program.as_ref().expect("program is running")
     }
 
     /// Ends the program by a signal and starts it again, with its last list or without.
     pub fn restart(&mut self, signal: &str, meanwhile: impl FnOnce(&Site)) {
-        let mut program = self.program.take().expect("it runs");
+        let mut program = self.program.take().expect("program is running");
         program.signal(signal);
         program.wait_for_exit();
         drop(program);
@@ -101,7 +101,10 @@
     }
 
     pub fn address(&self, server: usize) -> SocketAddr {
-        self.servers[server].1.local_addr().expect("bound")
+        self.servers[server]
+            .1
+            .local_addr()
+            .expect("bound socket has a local address")
     }
 
     /// A client that has sent its opening, of a group.
@@ -116,7 +119,7 @@
     pub fn establish_connection(&self, group: &str) -> (usize, Peer, Peer) {
         let mut client = self.open_client(group);
         let (number, mut server) = self.accept_attempt();
-        server.read_line().expect("an opening");
+        server.read_line().expect("an OPEN line");
         server.send("UP r1\r\n");
         client.expect_line("UP r1");
         (number, client, server)
@@ -145,7 +148,7 @@
 }
 
 fn path_to_string(path: &Path) -> String {
-    path.to_str().expect("text").to_owned()
+    path.to_str().expect("valid UTF-8").to_owned()
 }
 
 fn start_program(operator: &str, config: &str) -> Program {
@@ -154,7 +157,12 @@
 
 fn serving_rows(servers: &[(String, TcpListener)]) -> Vec<(&str, SocketAddr, &'static str)> {
     let row = |(name, server): &'_ (String, TcpListener)| {
-        (server.local_addr().expect("bound"), name.len())
+        (
+            server
+                .local_addr()
+                .expect("bound socket has a local address"),
+            name.len(),
+        )
     };
     servers
         .iter()
@@ -166,9 +174,9 @@
 pub fn log_timestamp(line: &str) -> f64 {
     line.split(' ')
         .next()
-        .expect("a stamp")
+        .expect("line has a timestamp")
         .parse()
-        .expect("a number")
+        .expect("value is a number")
 }
 
 /// A body of a new override.
--- a/crates/cli/tests/overrides/durable.rs
+++ b/crates/cli/tests/overrides/durable.rs
@@ -61,9 +61,9 @@
     site.restart("KILL", |site| {
         let now = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
-            .expect("after 1970");
-        let now = u64::try_from(now.as_millis()).expect("before long");
-        let (mut store, _) = open(&site.store_path()).expect("it is free");
+            .expect("clock is after 1970");
+        let now = u64::try_from(now.as_millis()).expect("time fits in 64 bits of milliseconds");
+        let (mut store, _) = open(&site.store_path()).expect("store is not in use");
         let kind = OverrideKind::Out {
             server: "s0".into(),
             moves_per_s: None,
@@ -75,7 +75,9 @@
             expires_at: now + 60_000,
         };
         let id = store.next_id();
-        store.put(&[draft.into_override(id, now)]).expect("durable");
+        store
+            .put(&[draft.into_override(id, now)])
+            .expect("write is durable");
     });
     let overrides = site.api.overrides();
     assert_eq!(
@@ -109,15 +111,15 @@
             };
             assert_eq!(answer.status, 201);
             id_sender
-                .send(answer.body["id"].as_u64().expect("a number"))
-                .expect("somebody counts");
+                .send(answer.body["id"].as_u64().expect("value is a number"))
+                .expect("test still receives the ids");
         }
     });
     let mut acknowledged_ids: Vec<u64> = (0..20)
         .map(|_| {
             acknowledgements
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("a number")
+                .expect("value is a number")
         })
         .collect();
     // A file read anew in the middle of changes disturbs none of them.
@@ -126,16 +128,16 @@
     acknowledged_ids.extend((0..20).map(|_| {
         acknowledgements
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a number")
+            .expect("value is a number")
     }));
     site.restart("KILL", |_| ());
-    writer.join().expect("it ended with the program");
+    writer.join().expect("writer thread ends with the program");
     acknowledged_ids.extend(acknowledgements.try_iter());
     let restored_ids: Vec<u64> = site
         .api
         .overrides()
         .iter()
-        .map(|row| row["id"].as_u64().expect("a number"))
+        .map(|row| row["id"].as_u64().expect("value is a number"))
         .collect();
     assert!(
         acknowledged_ids.iter().all(|id| restored_ids.contains(id)),
@@ -153,7 +155,7 @@
     site.api.add_override(&out_override_body("s0", 60.0));
     // Damaged: kept aside, and an empty one begins.
     site.restart("TERM", |site| {
-        std::fs::write(site.store_path(), "no store at all").expect("room")
+        std::fs::write(site.store_path(), "no store at all").expect("write succeeds")
     });
     let answer = site.api.call("GET", "/v1/overrides", "").body;
     assert_eq!(
@@ -169,54 +171,54 @@
             .is_some_and(|note| note.contains("kept as")),
         "{answer}"
     );
-    let names = std::fs::read_dir(site.folder.path()).expect("a folder");
+    let names = std::fs::read_dir(site.folder.path()).expect("folder is readable");
     let names = names.map(|entry| {
         entry
-            .expect("an entry")
+            .expect("folder entry is readable")
             .file_name()
             .into_string()
-            .expect("text")
+            .expect("valid UTF-8")
     });
     let damaged_files: Vec<String> = names.filter(|name| name.contains("damaged")).collect();
     assert_eq!(damaged_files.len(), 1);
     assert_eq!(
-        std::fs::read(site.folder.path().join(&damaged_files[0])).expect("kept"),
+        std::fs::read(site.folder.path().join(&damaged_files[0])).expect("damaged file is kept"),
         b"no store at all"
     );
     site.api.add_override(&out_override_body("s0", 60.0));
     // In use by another program; a folder in its place; no folder at all.
     let mut open_store = None;
     site.restart("TERM", |site| {
-        open_store = Some(beaconflow_store::open(&site.store_path()).expect("free"))
+        open_store = Some(beaconflow_store::open(&site.store_path()).expect("path is not in use"))
     });
     assert_store_unavailable(&site, "another program");
     drop(open_store);
     // A newer program's.
-    let intact = std::fs::read(site.store_path()).expect("there");
+    let intact = std::fs::read(site.store_path()).expect("file exists");
     site.restart("TERM", |site| {
-        let database = redb::Database::create(site.store_path()).expect("free");
-        let writing = database.begin_write().expect("open");
+        let database = redb::Database::create(site.store_path()).expect("path is not in use");
+        let writing = database.begin_write().expect("store is open");
         let about = redb::TableDefinition::<&str, u64>::new("about");
         writing
             .open_table(about)
-            .expect("there")
+            .expect("file exists")
             .insert("schema", beaconflow_store::SCHEMA + 1)
-            .expect("room");
-        writing.commit().expect("durable");
+            .expect("write succeeds");
+        writing.commit().expect("write is durable");
     });
     assert_store_unavailable(&site, "written by a newer program");
     site.restart("TERM", |site| {
-        std::fs::write(site.store_path(), &intact).expect("room")
+        std::fs::write(site.store_path(), &intact).expect("write succeeds")
     });
     assert_eq!(site.api.overrides().len(), 1, "an older file is read again");
     site.restart("TERM", |site| {
-        std::fs::rename(site.store_path(), site.folder.path().join("whole")).expect("there");
-        std::fs::create_dir(site.store_path()).expect("free");
+        std::fs::rename(site.store_path(), site.folder.path().join("whole")).expect("file exists");
+        std::fs::create_dir(site.store_path()).expect("path is not in use");
     });
     assert_store_unavailable(&site, "can't be opened");
     site.restart("TERM", |site| {
-        std::fs::remove_dir(site.store_path()).expect("there");
-        std::fs::rename(site.folder.path().join("whole"), site.store_path()).expect("there");
+        std::fs::remove_dir(site.store_path()).expect("file exists");
+        std::fs::rename(site.folder.path().join("whole"), site.store_path()).expect("file exists");
     });
     assert_eq!(site.api.overrides().len(), 1, "what was kept all along");
 }
@@ -251,18 +253,20 @@
     use std::os::unix::fs::PermissionsExt;
     let mut site = Site::start(2);
     site.api.add_override(&out_override_body("s0", 60.0));
-    let mut program = site.program.take().expect("it runs");
+    let mut program = site.program.take().expect("program is running");
     program.signal("TERM");
     program.wait_for_exit();
-    let before = std::fs::read(site.store_path()).expect("there");
-    let copy = tempfile::tempdir().expect("a folder for temporary files");
-    set_permissions(copy.path(), Permissions::from_mode(0o755)).expect("ours");
+    let before = std::fs::read(site.store_path()).expect("file exists");
+    let copy = tempfile::tempdir().expect("temporary folder is writable");
+    set_permissions(copy.path(), Permissions::from_mode(0o755)).expect("permissions are changed");
     let binary = copy.path().join("beaconflow");
     for path in [&site.operator_path, &site.config_path] {
-        set_permissions(path, Permissions::from_mode(0o444)).expect("ours");
+        set_permissions(path, Permissions::from_mode(0o444)).expect("permissions are changed");
     }
-    set_permissions(site.store_path(), Permissions::from_mode(0o444)).expect("ours");
-    set_permissions(site.folder.path(), Permissions::from_mode(0o555)).expect("ours");
+    set_permissions(site.store_path(), Permissions::from_mode(0o444))
+        .expect("permissions are changed");
+    set_permissions(site.folder.path(), Permissions::from_mode(0o555))
+        .expect("permissions are changed");
     let program = Program::start_unprivileged(
         &binary,
         &["--operator", &site.operator_path],
@@ -274,11 +278,12 @@
     site.program = Some(program);
     assert_store_unavailable(&site, "can't be opened");
     assert!(
-        std::fs::read(site.store_path()).expect("there") == before,
+        std::fs::read(site.store_path()).expect("file exists") == before,
         "not a byte has changed"
     );
     // The folder is removed at the end.
-    set_permissions(site.folder.path(), Permissions::from_mode(0o755)).expect("ours");
+    set_permissions(site.folder.path(), Permissions::from_mode(0o755))
+        .expect("permissions are changed");
 }
 
 #[test]
@@ -286,14 +291,17 @@
     let site = Site::start(2);
     site.api.add_override(&out_override_body("s0", 60.0));
     // No file of the program may grow from here on, as on a disk without room.
-    let size = std::fs::metadata(site.store_path()).expect("there").len();
+    let size = std::fs::metadata(site.store_path())
+        .expect("file exists")
+        .len();
     let limit = rustix::process::Rlimit {
         current: Some(size),
         maximum: Some(size),
     };
-    let pid = rustix::process::Pid::from_raw(site.program().pid() as i32).expect("it runs");
+    let pid =
+        rustix::process::Pid::from_raw(site.program().pid() as i32).expect("program is running");
     rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit)
-        .expect("its parent may");
+        .expect("parent may set the limit");
     let mut accepted = 1;
     let refused = loop {
         let answer = site.api.call(
--- a/crates/cli/tests/overrides/effect.rs
+++ b/crates/cli/tests/overrides/effect.rs
@@ -14,7 +14,9 @@
         .api
         .call("GET", &format!("/v1/overrides/{id}"), "")
         .body;
-    let remaining = override_status["remaining_s"].as_f64().expect("a number");
+    let remaining = override_status["remaining_s"]
+        .as_f64()
+        .expect("value is a number");
     assert!(remaining > 0.0 && remaining <= 60.0, "{remaining}");
     assert_eq!(override_status["effects"]["platform"], "in effect");
     let row = site.api.server_row("s0");
@@ -73,7 +75,7 @@
             .body;
         override_status["effects"]["platform"]
             .as_str()
-            .expect("a word")
+            .expect("value is a string")
             .to_owned()
     };
     let (first, second) = (site.address(0), site.address(1));
@@ -130,7 +132,10 @@
         .wait_for_log("overrides leave too little what=\"no ready server in the whole farm\"");
     assert!(site.api.call("GET", "/v1/farm", "").body["warnings"][0].is_string());
     // A client that comes now is told at the end when to come back, and no server hears of it.
-    let answer = site.open_client("north").read_line().expect("an answer");
+    let answer = site
+        .open_client("north")
+        .read_line()
+        .expect("an answer line");
     assert!(answer.starts_with("BUSY "), "{answer}");
     assert_eq!(
         site.api
@@ -166,7 +171,9 @@
     while weights.last() != Some(&1.0) {
         assert!(Instant::now() < deadline, "{weights:?}");
         let row = site.api.server_row("s0");
-        let weight = row["effective"]["weight"].as_f64().expect("a number");
+        let weight = row["effective"]["weight"]
+            .as_f64()
+            .expect("value is a number");
         if weight < 1.0 {
             assert!(
                 row["why"][0]
@@ -205,7 +212,7 @@
         moved.push(started_at.elapsed());
     }
     let due = |count: usize| Duration::from_millis(100 * (count as u64 - 1));
-    let last = moved.iter().max().expect("some");
+    let last = moved.iter().max().expect("at least one connection moved");
     assert!(
         *last >= due(on_s0).saturating_sub(Duration::from_millis(50)),
         "{moved:?}"
@@ -242,12 +249,12 @@
         let mut client = site.open_client(group);
         let (server_index, mut server) = site.accept_attempt();
         assert_eq!(server_index, 2);
-        server.read_line().expect("an opening");
+        server.read_line().expect("an OPEN line");
         server.send("BUSY\r\n");
         server.expect_end();
         let (server_index, mut server) = site.accept_attempt();
         assert_eq!(server_index != 2, goes_elsewhere, "{group}");
-        server.read_line().expect("an opening");
+        server.read_line().expect("an OPEN line");
         server.send("UP r1\r\n");
         client.expect_line("UP r1");
         connections.push((client, server));
@@ -270,7 +277,7 @@
     connections.push((client, server));
     let asked_at = Instant::now();
     let mut client = site.open_client("south");
-    let answer = client.read_line().expect("an answer");
+    let answer = client.read_line().expect("an answer line");
     let retry_after = answer
         .strip_prefix("BUSY ")
         .and_then(|millis| millis.parse::<u64>().ok());
@@ -289,7 +296,12 @@
     assert_eq!(server_index, 1);
     connections.push((client, server));
     let mut client = site.open_client("south");
-    assert!(client.read_line().expect("an answer").starts_with("BUSY "));
+    assert!(
+        client
+            .read_line()
+            .expect("an answer line")
+            .starts_with("BUSY ")
+    );
 }
 
 #[test]
@@ -304,7 +316,7 @@
     let (first, second) = (expired_at(&first_site), expired_at(&second_site));
     let due = at
         .duration_since(std::time::UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("clock is after 1970")
         .as_secs_f64();
     assert!(
         (first - second).abs() <= 0.1 && first - due < 0.1 && first >= due - 0.002,
--- a/crates/cli/tests/overrides/requests.rs
+++ b/crates/cli/tests/overrides/requests.rs
@@ -15,7 +15,7 @@
                 "Idempotency-Key: k1\r\n",
                 &request_body,
             );
-            let id = answer.body["id"].as_u64().expect("a number");
+            let id = answer.body["id"].as_u64().expect("value is a number");
             (
                 answer.status,
                 id,
@@ -25,7 +25,7 @@
         let threads: Vec<_> = (0..8).map(|_| scope.spawn(send)).collect();
         threads
             .into_iter()
-            .map(|thread| thread.join().expect("answered"))
+            .map(|thread| thread.join().expect("request thread returns"))
             .collect()
     });
     let id = answers[0].1;
@@ -62,7 +62,7 @@
         let threads: Vec<_> = (0..2).map(|_| scope.spawn(change)).collect();
         threads
             .into_iter()
-            .map(|thread| thread.join().expect("answered"))
+            .map(|thread| thread.join().expect("request thread returns"))
             .collect()
     });
     statuses.sort_unstable();
@@ -77,7 +77,7 @@
             answer.status,
             faults
                 .iter()
-                .map(|fault| fault["field"].as_str().expect("a name").into())
+                .map(|fault| fault["field"].as_str().expect("value is a string").into())
                 .collect(),
         )
     };
--- a/crates/cli/tests/roll.rs
+++ b/crates/cli/tests/roll.rs
@@ -67,12 +67,12 @@
         } else {
             invalid_config
         };
-        std::fs::write(&site.config_path, &invalid_config).expect("the same folder");
+        std::fs::write(&site.config_path, &invalid_config).expect("configuration file is written");
         site.program.signal("HUP");
         let line = site.program.wait_for_log("present configuration kept");
         assert!(line.contains(expected_error), "{to}: {line}");
     }
-    std::fs::remove_file(&site.config_path).expect("it is there");
+    std::fs::remove_file(&site.config_path).expect("configuration file exists");
     site.program.signal("HUP");
     assert!(
         site.program
@@ -82,7 +82,7 @@
     client.send("M 1\r\n");
     server.expect_line("M 1");
     let _serves_on = site.establish_connection();
-    std::fs::write(&site.config_path, &site.config).expect("the same folder");
+    std::fs::write(&site.config_path, &site.config).expect("configuration file is written");
     site.program.signal("HUP");
     site.program.wait_for_log("nothing has changed");
 }
@@ -93,7 +93,7 @@
     let (mut client, mut server) = site.establish_connection();
     // One of a few has twelve set-ups under way at first, one of 300 no more than one at once.
     let larger_fleet_config = site.config.replace("\"balancers\":1", "\"balancers\":300");
-    std::fs::write(&site.config_path, larger_fleet_config).expect("the same folder");
+    std::fs::write(&site.config_path, larger_fleet_config).expect("configuration file is written");
     site.program.signal("HUP");
     assert!(
         site.program
@@ -102,10 +102,12 @@
     );
     let mut first = site.open_client("once", "");
     let mut asked = Peer::accept(&site.servers[0]);
-    asked.read_line().expect("an opening");
+    asked.read_line().expect("an OPEN line");
     let mut second = site.open_client("once", "");
     std::thread::sleep(Duration::from_millis(100));
-    site.servers[0].set_nonblocking(true).expect("open");
+    site.servers[0]
+        .set_nonblocking(true)
+        .expect("socket is open");
     assert!(
         site.servers[0].accept().is_err(),
         "its part of what the fleet may set up is out"
@@ -113,7 +115,7 @@
     asked.send("UP r1\r\n");
     first.expect_line("UP r1");
     let mut asked = Peer::accept(&site.servers[0]);
-    asked.read_line().expect("an opening");
+    asked.read_line().expect("an OPEN line");
     asked.send("UP r2\r\n");
     second.expect_line("UP r2");
     client.send("M 1\r\n");
@@ -138,7 +140,7 @@
     // A request on a connection that rested is served, and moved with the others.
     idle.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     let mut resumed_server = Peer::accept(&site.servers[0]);
-    resumed_server.read_line().expect("an opening");
+    resumed_server.read_line().expect("an OPEN line");
     resumed_server.send("UP r2\r\n");
     idle.expect_line("UP r2");
     // Half a line of a server ends before the move.
@@ -162,7 +164,9 @@
         .stream
         .write_all(b"OPEN b2 02 c=chat,t=acme,d=2500,g=3\r\n");
     assert!(site.program.exits_cleanly(), "it leaves by itself");
-    site.servers[0].set_nonblocking(true).expect("open");
+    site.servers[0]
+        .set_nonblocking(true)
+        .expect("socket is open");
     assert!(
         site.servers[0].accept().is_err(),
         "nothing more was sent on"
@@ -209,7 +213,7 @@
                     .read_line_or_end()
                     .is_some_and(|line| line.trim_end() != "")
                 {}
-                let mut state = fleet_discovery.0.lock().expect("sound");
+                let mut state = fleet_discovery.0.lock().expect("lock is not poisoned");
                 let whole = state.list(true, &state.servers);
                 peer.send(&format!(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{whole}"
@@ -229,7 +233,7 @@
     fn broadcast(&self, message: &str) {
         self.0
             .lock()
-            .expect("sound")
+            .expect("lock is not poisoned")
             .watches
             .retain_mut(|watch| watch.write_all(message.as_bytes()).is_ok());
     }
@@ -237,7 +241,7 @@
     /// One server begins to drain, and another takes its place.
     fn replace_server(&self, old: usize, new: (String, SocketAddr)) {
         let message = {
-            let mut state = self.0.lock().expect("sound");
+            let mut state = self.0.lock().expect("lock is not poisoned");
             state.generation += 1;
             state.servers[old].2 = "DRAINING";
             state.servers.push((new.0, new.1, "SERVING"));
@@ -268,7 +272,7 @@
                 let id = opening.split(' ').nth(1).unwrap_or_default().to_owned();
                 observed
                     .lock()
-                    .expect("sound")
+                    .expect("lock is not poisoned")
                     .push((number, id, Instant::now()));
                 let _ = peer.stream.write_all(b"UP r\r\n");
                 while peer.read_line_or_end().is_some() {}
@@ -326,11 +330,15 @@
                     *self
                         .other_answers
                         .lock()
-                        .expect("sound")
+                        .expect("lock is not poisoned")
                         .entry(line)
                         .or_default() += 1
                 }
-                None => self.unanswered.lock().expect("sound").push(id),
+                None => self
+                    .unanswered
+                    .lock()
+                    .expect("lock is not poisoned")
+                    .push(id),
             }
         }
     }
@@ -346,16 +354,28 @@
     let servers: Vec<(String, SocketAddr)> = (0..SERVERS + SERVERS / 2)
         .map(|number| {
             let listener = listener();
-            let at = listener.local_addr().expect("bound");
+            let at = listener
+                .local_addr()
+                .expect("bound socket has a local address");
             spawn_server(number, listener, &observed);
             (format!("s{number}"), at)
         })
         .collect();
     let (fleet_discovery, discovery) = (FleetDiscovery::default(), listener());
-    let discovery_address = discovery.local_addr().expect("bound");
+    let discovery_address = discovery
+        .local_addr()
+        .expect("bound socket has a local address");
     let row = |(name, at): &(String, SocketAddr)| (name.clone(), *at, "SERVING");
-    fleet_discovery.0.lock().expect("sound").generation = 1;
-    fleet_discovery.0.lock().expect("sound").servers = servers[..SERVERS].iter().map(row).collect();
+    fleet_discovery
+        .0
+        .lock()
+        .expect("lock is not poisoned")
+        .generation = 1;
+    fleet_discovery
+        .0
+        .lock()
+        .expect("lock is not poisoned")
+        .servers = servers[..SERVERS].iter().map(row).collect();
     fleet_discovery.serve(discovery);
     let known: Vec<_> = servers[..SERVERS]
         .iter()
@@ -443,17 +463,17 @@
         drained_at
     });
     assert_eq!(
-        *clients.unanswered.lock().expect("sound"),
+        *clients.unanswered.lock().expect("lock is not poisoned"),
         Vec::<String>::new(),
         "each has an answer"
     );
-    let other_answers = clients.other_answers.lock().expect("sound");
+    let other_answers = clients.other_answers.lock().expect("lock is not poisoned");
     let refused: usize = other_answers.values().sum();
     assert!(
         refused * 20 <= clients.served.load(Ordering::SeqCst),
         "hardly any is turned away: {other_answers:?}"
     );
-    let observed = observed.lock().expect("sound");
+    let observed = observed.lock().expect("lock is not poisoned");
     for (server, id, at) in observed
         .iter()
         .filter(|(server, ..)| *server < drained_at.len())
--- a/crates/cli/tests/stories/power.rs
+++ b/crates/cli/tests/stories/power.rs
@@ -212,9 +212,10 @@
         .step("the power is lost; one disk is torn, and one is another process's");
     cut_power(&mut fleet);
     let memory_path = |number: usize| fleet.balancers[number].process.disk().join("memory");
-    let memory_bytes = std::fs::read(memory_path(0)).expect("it was written");
-    std::fs::write(memory_path(0), &memory_bytes[..memory_bytes.len() / 3]).expect("room");
-    std::fs::copy(memory_path(2), memory_path(1)).expect("room");
+    let memory_bytes = std::fs::read(memory_path(0)).expect("memory file was written");
+    std::fs::write(memory_path(0), &memory_bytes[..memory_bytes.len() / 3])
+        .expect("write succeeds");
+    std::fs::copy(memory_path(2), memory_path(1)).expect("write succeeds");
     let outage_start = fleet.record.step("the power is back");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1"] {
--- a/crates/cli/tests/support/api.rs
+++ b/crates/cli/tests/support/api.rs
@@ -1,11 +1,11 @@
-//! The administration API of a program under test.
+//! Client of the administration API of a program under test.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use super::{Peer, TEST_TIMEOUT};
 
-/// The administration API of a program under test.
+/// Client of the administration API; each call opens its own connection.
 pub struct Api {
     pub address: SocketAddr,
     pub token: &'static str,
@@ -13,7 +13,7 @@
 
 pub const ADMIN_TOKEN: &str = "an operator's own token";
 
-/// What the API answers: status, headers as they come, and a body.
+/// Response of the API: status, raw header block, and the body, which is null where it is not JSON.
 pub struct Response {
     pub status: u16,
     pub head: String,
@@ -21,15 +21,15 @@
 }
 
 impl Api {
-    /// A call with further headers, each whole and ended.
+    /// Makes a call with additional headers, each with its line ending.
     pub fn call_with(&self, method: &str, path: &str, headers: &str, body: &str) -> Response {
-        // The program may have begun to serve its clients a moment before.
+        // The program may have started to serve only a moment ago, so the connect is retried.
         let stream = Peer::connect(self.address).stream;
         self.send_request(stream, method, path, headers, body)
-            .expect("it answers")
+            .expect("API answers")
     }
 
-    /// A call to a program that may be killed meanwhile.
+    /// Makes a call to a program that may be killed during it; `None` if no full response arrives.
     pub fn try_call(&self, method: &str, path: &str, body: &str) -> Option<Response> {
         self.send_request(
             TcpStream::connect(self.address).ok()?,
@@ -53,7 +53,9 @@
             self.token
         );
         write!(stream, "{head}Content-Length: {}\r\n\r\n{body}", body.len()).ok()?;
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("open");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("socket is open");
         let mut reply = String::new();
         stream.read_to_string(&mut reply).ok()?;
         let (head, body) = reply.split_once("\r\n\r\n")?;
@@ -69,15 +71,15 @@
         self.call_with(method, path, "", body)
     }
 
-    /// Adds an override that has to be taken; gives its number.
+    /// Adds an override that has to be accepted, and returns its id.
     pub fn add_override(&self, body: &str) -> u64 {
         let answer = self.call("POST", "/v1/overrides", body);
         assert_eq!(answer.status, 201, "{}", answer.body);
-        answer.body["id"].as_u64().expect("a number")
+        answer.body["id"].as_u64().expect("value is a number")
     }
 
-    /// Has an override end very soon; gives the moment, in Unix seconds. A story that gave it a short life from the
-    /// start would race with a loaded machine.
+    /// Shortens an override to 50 ms and returns its expiry in Unix seconds. A short lifetime from the start would make
+    /// the test race with a loaded machine.
     pub fn expire_soon(&self, id: u64) -> f64 {
         let answer = self.call(
             "PATCH",
@@ -85,24 +87,28 @@
             r#"{"expires_in_s":0.05}"#,
         );
         assert_eq!(answer.status, 200, "{}", answer.body);
-        let at = humantime::parse_rfc3339(answer.body["expires_at"].as_str().expect("a time"))
-            .expect("RFC 3339");
+        let at =
+            humantime::parse_rfc3339(answer.body["expires_at"].as_str().expect("a time value"))
+                .expect("RFC 3339 timestamp");
         at.duration_since(std::time::UNIX_EPOCH)
-            .expect("after 1970")
+            .expect("clock is after 1970")
             .as_secs_f64()
     }
 
-    /// Every override that holds, by number.
+    /// All overrides in effect, ordered by id.
     pub fn overrides(&self) -> Vec<serde_json::Value> {
         let answer = self.call("GET", "/v1/overrides", "");
         assert_eq!(answer.status, 200);
-        answer.body["overrides"].as_array().expect("a list").clone()
+        answer.body["overrides"]
+            .as_array()
+            .expect("value is a list")
+            .clone()
     }
 
-    /// A server's row in the farm.
+    /// A server's row in the API's view of the farm.
     pub fn server_row(&self, name: &str) -> serde_json::Value {
         let farm = self.call("GET", "/v1/farm", "").body;
-        let rows = farm["servers"].as_array().expect("a list");
+        let rows = farm["servers"].as_array().expect("value is a list");
         rows.iter()
             .find(|row| row["name"] == name)
             .unwrap_or_else(|| panic!("no {name} in {farm}"))
--- a/crates/cli/tests/support/discovery.rs
+++ b/crates/cli/tests/support/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery by the script of a test, and the lists that it tells.
+//! A scripted discovery service and the endpoint lists that it sends.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -9,8 +9,8 @@
 
 use super::{Peer, TEST_TIMEOUT, listener};
 
-/// Discovery: each watch begins with the present list and is then told what the test says. It beats unless told not
-/// to: a story that is slow on a loaded machine would talk to a watch that the program has given up.
+/// A discovery service whose watches carry what the test sends. It sends heartbeats until it is stopped: without them the
+/// program gives up a watch, and a test that is slow on a loaded machine would write to an abandoned one.
 pub struct Discovery {
     pub address: SocketAddr,
     watches: Receiver<Peer>,
@@ -20,7 +20,9 @@
 impl Discovery {
     pub fn start() -> Discovery {
         let listener = listener();
-        let address = listener.local_addr().expect("bound");
+        let address = listener
+            .local_addr()
+            .expect("bound socket has a local address");
         let (watch_sender, watches) = channel();
         let sends_heartbeats = Arc::new(AtomicBool::new(true));
         let heartbeat_flag = Arc::clone(&sends_heartbeats);
@@ -32,22 +34,24 @@
         }
     }
 
-    /// The next watch that is asked for.
+    /// Returns the next watch that is requested.
     pub fn accept_watch(&self) -> Peer {
-        self.watches.recv_timeout(TEST_TIMEOUT).expect("a watch")
+        self.watches
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a watch request")
     }
 
-    /// The same, if one is asked for within so long.
+    /// Like `accept_watch`, but `None` if no watch is requested within the timeout.
     pub fn accept_watch_within(&self, timeout: Duration) -> Option<Peer> {
         self.watches.recv_timeout(timeout).ok()
     }
 
-    /// Sends heartbeats again on watches that are asked for from now on.
+    /// Sends heartbeats again, on watches requested from now on.
     pub fn resume_heartbeats(&self) {
         self.sends_heartbeats.store(true, Ordering::Relaxed);
     }
 
-    /// Sends no more heartbeats.
+    /// Stops the heartbeats on all watches.
     pub fn stop_heartbeats(&self) {
         self.sends_heartbeats.store(false, Ordering::Relaxed);
     }
@@ -63,7 +67,7 @@
             return;
         };
         let mut peer = Peer::new(stream);
-        let request_line = peer.read_line().expect("a request");
+        let request_line = peer.read_line().expect("a request line");
         assert!(
             request_line.starts_with("GET /api/targets?watch=1&from="),
             "{request_line}"
@@ -71,7 +75,7 @@
         while peer.read_line().is_some_and(|line| !line.is_empty()) {}
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let (mut stream, sends_heartbeats) = (
-            peer.stream.try_clone().expect("open"),
+            peer.stream.try_clone().expect("socket is open"),
             Arc::clone(sends_heartbeats),
         );
         std::thread::spawn(move || {
@@ -87,7 +91,7 @@
     }
 }
 
-/// Tells a watch of servers: name, address, lifecycle.
+/// Sends an endpoint list over a watch; each server is a name, an address and a lifecycle.
 pub fn send_endpoints(
     watch: &mut Peer,
     generation: u32,
@@ -98,6 +102,7 @@
     watch.send(&format!("{:x}\r\n{list}\n\r\n", list.len() + 1));
 }
 
+/// JSON of an endpoint list: a snapshot with `reset`, a delta without.
 pub fn endpoint_list(generation: u32, reset: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
     let row = |(name, address, state): &(&str, SocketAddr, &str)| {
         format!(
--- a/crates/cli/tests/support/fleet.rs
+++ b/crates/cli/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes of a fleet over loopback: the program with an operator's file, application servers and a key.
+//! Runs several processes of a fleet over loopback, with operator files, application servers and a shared key.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -11,10 +11,10 @@
     platform_config, reserve_address,
 };
 
-/// Enough clients that chance does not send all of them back to the server they had: one in 4,096.
+/// Number of clients. With two servers, all of them return to their server by chance only once in 4,096 runs.
 pub const CLIENT_COUNT: usize = 12;
 
-/// Serves every opening, and tells of it: the server's number and the client's key.
+/// Serves every opening and reports it as the server's number and the client's key.
 pub fn spawn_server(number: usize, server: TcpListener, opening_sender: Sender<(usize, String)>) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
@@ -24,7 +24,11 @@
                 let Some(opening) = peer.read_line() else {
                     return;
                 };
-                let key = opening.split(' ').nth(2).expect("a key").to_owned();
+                let key = opening
+                    .split(' ')
+                    .nth(2)
+                    .expect("OPEN line has a key")
+                    .to_owned();
                 let _ = opening_sender.send((number, key));
                 peer.send("UP r1\r\n");
                 while peer.read_line_or_end().is_some() {}
@@ -33,7 +37,7 @@
     });
 }
 
-/// What all processes of a test share.
+/// State shared by all processes of a test.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub discovery: Discovery,
@@ -43,7 +47,7 @@
     pub peer_addresses: Vec<SocketAddr>,
 }
 
-/// One of them.
+/// One running process of the fleet.
 pub struct Process {
     pub program: Program,
     pub address: SocketAddr,
@@ -51,8 +55,10 @@
 }
 
 pub fn free_udp_address() -> SocketAddr {
-    let socket = UdpSocket::bind((reserve_address().ip(), 0)).expect("loopback");
-    socket.local_addr().expect("bound")
+    let socket = UdpSocket::bind((reserve_address().ip(), 0)).expect("loopback socket is bound");
+    socket
+        .local_addr()
+        .expect("bound socket has a local address")
 }
 
 impl Fleet {
@@ -61,7 +67,12 @@
         let mut rows = Vec::new();
         for number in 0..servers {
             let server = listener();
-            rows.push((format!("s{number}"), server.local_addr().expect("bound")));
+            rows.push((
+                format!("s{number}"),
+                server
+                    .local_addr()
+                    .expect("bound socket has a local address"),
+            ));
             spawn_server(number, server, opening_sender.clone());
         }
         let rows: Vec<(&str, SocketAddr, &str)> = rows
@@ -71,16 +82,17 @@
         Fleet::with_endpoints(processes, &endpoint_list(1, true, &rows), openings)
     }
 
-    /// A fleet that knows this list.
+    /// Creates a fleet whose processes start with this endpoint list.
     pub fn with_endpoints(
         processes: usize,
         known_endpoints: &str,
         openings: Receiver<(usize, String)>,
     ) -> Fleet {
-        let folder = tempfile::tempdir().expect("a folder for temporary files");
+        let folder = tempfile::tempdir().expect("temporary folder is writable");
         let key = folder.path().join("key");
-        std::fs::write(&key, "0123456789abcdef".repeat(4)).expect("room");
-        std::fs::set_permissions(&key, PermissionsExt::from_mode(0o600)).expect("its owner may");
+        std::fs::write(&key, "0123456789abcdef".repeat(4)).expect("write succeeds");
+        std::fs::set_permissions(&key, PermissionsExt::from_mode(0o600))
+            .expect("owner changes permissions");
         let peers = (0..processes).map(|_| free_udp_address()).collect();
         let (known_endpoints, settings) = (known_endpoints.to_owned(), SETTINGS.to_owned());
         Fleet {
@@ -98,19 +110,19 @@
             .path()
             .join(name)
             .to_str()
-            .expect("text")
+            .expect("valid UTF-8")
             .to_owned()
     }
 
-    /// Writes the operator's file of the process of that number, with the sections that it has beside the API's.
+    /// Writes the operator's file of a process, with these sections after the API's own.
     pub fn write_operator_file(&self, number: usize, api: SocketAddr, sections: &str) -> String {
         let operator_path = self.path(&format!("operator-{number}"));
         let admin = format!("[admin]\nlisten = \"{api}\"\ntoken = \"{ADMIN_TOKEN}\"\n");
-        std::fs::write(&operator_path, admin + sections).expect("room");
+        std::fs::write(&operator_path, admin + sections).expect("write succeeds");
         operator_path
     }
 
-    /// Starts it.
+    /// Starts a process with these sections in its operator's file.
     pub fn start_process(&self, number: usize, sections: &str) -> Process {
         let (address, api) = (reserve_address(), reserve_address());
         let config = platform_config(
@@ -121,7 +133,7 @@
             256,
         );
         let path = self.path(&format!("config-{number}"));
-        std::fs::write(&path, config).expect("room");
+        std::fs::write(&path, config).expect("write succeeds");
         let operator_path = self.write_operator_file(number, api, sections);
         let program = Program::start(&["--operator", &operator_path], &[("LB_CONFIG", &path)]);
         Process {
@@ -138,7 +150,7 @@
         self.operator_sections_with(number, "", affinity)
     }
 
-    /// With further fields of `[fleet]`, too.
+    /// Like `operator_sections`, with additional fields of `[fleet]`.
     pub fn operator_sections_with(&self, number: usize, fleet: &str, affinity: &str) -> String {
         let peers: Vec<String> = self
             .peer_addresses
@@ -155,8 +167,8 @@
         )
     }
 
-    /// All clients open through a process, in an order drawn from the name; where each came to stand. Guards against
-    /// a rotation that deals the same clients to the same servers because they come in the same order.
+    /// Connects all clients through a process and returns the server of each client's key. The order depends on the
+    /// prefix: in a fixed order, round robin would assign the same clients to the same servers without any memory.
     pub fn connect_all_clients(
         &self,
         process: &Process,
@@ -180,7 +192,7 @@
             let (server, key) = self
                 .openings
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("an opening");
+                .expect("an OPEN line");
             server_by_key.insert(key, server);
             client
         });
@@ -189,7 +201,7 @@
 }
 
 impl Process {
-    /// Waits until a field of the fleet's is this.
+    /// Waits until a field of the API's fleet status has this value.
     pub fn wait_for_fleet_field(&self, field: &str, value: usize) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -199,14 +211,14 @@
             }
             assert!(
                 Instant::now() < deadline,
-                "{field} is not {value}: {}",
+                "{field} did not become {value}: {}",
                 farm["fleet"]
             );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Waits until what the API shows of the farm is so.
+    /// Waits until the API's view of the farm satisfies the predicate.
     pub fn wait_for_farm(
         &self,
         expected: &str,
@@ -219,7 +231,10 @@
             if is_expected(&farm) {
                 return;
             }
-            assert!(Instant::now() < deadline, "not {expected}: {farm}");
+            assert!(
+                Instant::now() < deadline,
+                "farm did not become {expected}: {farm}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
--- a/crates/cli/tests/support/full_backlog_server.rs
+++ b/crates/cli/tests/support/full_backlog_server.rs
@@ -1,12 +1,12 @@
-//! A stand-in for an application server to which connections come up late: when the test lets them.
+//! A stand-in for an application server whose connections are established only when the test frees its backlog.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
 use super::{Peer, TEST_TIMEOUT, listener};
 
-/// The server. One connection fills its queue, so that the system leaves further ones unanswered; they try again
-/// after about a second.
+/// Application server with a full backlog. One connection fills the backlog, so the kernel leaves further SYN packets
+/// unanswered; they are sent again after about a second.
 pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -16,9 +16,12 @@
 impl FullBacklogServer {
     pub fn start() -> FullBacklogServer {
         let listener = listener();
-        let address = listener.local_addr().expect("bound");
-        rustix::net::listen(&listener, 0).expect("it listens already");
-        let backlog_filler = TcpStream::connect(address).expect("room for one");
+        let address = listener
+            .local_addr()
+            .expect("bound socket has a local address");
+        rustix::net::listen(&listener, 0).expect("socket is listening");
+        let backlog_filler =
+            TcpStream::connect(address).expect("backlog has room for one connection");
         FullBacklogServer {
             address,
             listener,
@@ -26,41 +29,45 @@
         }
     }
 
-    /// Waits until a connection is under way, or none is any more.
+    /// Waits until a connect to this server is pending, or until none is.
     pub fn wait_until_connecting_is(&self, is_connecting: bool) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while is_connecting_to(self.address) != is_connecting {
             assert!(
                 Instant::now() < deadline,
-                "never so: connecting {is_connecting}"
+                "pending connect did not become {is_connecting}"
             );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Makes room, so that what still tries comes up.
+    /// Frees the backlog, so that pending connects succeed.
     pub fn free_backlog(self) -> TcpListener {
-        drop(self.listener.accept().expect("the one that filled it"));
+        drop(
+            self.listener
+                .accept()
+                .expect("connection that fills the backlog"),
+        );
         drop(self.backlog_filler);
         self.listener
     }
 
-    /// Makes room and gives the first words that anybody says within this span.
+    /// Frees the backlog and returns the first line received within this time.
     pub fn free_backlog_and_read(self, within: Duration) -> Option<String> {
         first_line_received(&self.free_backlog(), within)
     }
 }
 
-/// The first words that anybody says to a server within this span; connections that end without words are none.
+/// Returns the first line that any connection sends within this time; connections that close without data are ignored.
 pub fn first_line_received(listener: &TcpListener, within: Duration) -> Option<String> {
-    listener.set_nonblocking(true).expect("open");
+    listener.set_nonblocking(true).expect("socket is open");
     let deadline = Instant::now() + within;
     while Instant::now() < deadline {
         let Ok((stream, _)) = listener.accept() else {
             std::thread::sleep(Duration::from_millis(2));
             continue;
         };
-        stream.set_nonblocking(false).expect("open");
+        stream.set_nonblocking(false).expect("socket is open");
         if let Some(line) = Peer::new(stream).read_line_or_end() {
             return Some(line);
         }
@@ -68,9 +75,9 @@
     None
 }
 
-/// Whether the system has a connection to that address under way.
+/// Whether the kernel has a pending connect to this address.
 fn is_connecting_to(address: SocketAddr) -> bool {
-    /// The state of a connection whose first packet has not been answered, in the system's table.
+    /// State in `/proc/net/tcp` of a connection whose SYN has not been answered.
     const SYN_SENT: &str = "02";
     let SocketAddr::V4(address) = address else {
         return false;
@@ -80,7 +87,7 @@
         u32::from_ne_bytes(address.ip().octets()),
         address.port()
     );
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
     table.lines().any(|line| {
         let mut fields = line.split_whitespace().skip(2);
         fields.next() == Some(&peer) && fields.next() == Some(SYN_SENT)
--- a/crates/cli/tests/support/gated_server.rs
+++ b/crates/cli/tests/support/gated_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an application server whose set-ups all wait until the test lets them go, or for a time by chance.
+//! A stand-in for an application server whose connection set-ups wait until the test admits them, or for a random delay.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 
 use super::listener;
 
-/// Which protocol it speaks.
+/// Protocol of the server's connections.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Protocol {
     Platform,
@@ -16,15 +16,15 @@
 
 #[derive(Default)]
 struct State {
-    /// First words of each set-up, as they came: the OPEN line or the CONNECT line.
+    /// First line of each set-up in order of arrival: the OPEN line or the CONNECT line.
     setups: Vec<String>,
-    /// So many of them may stand.
+    /// Number of set-ups that may complete.
     admitted_count: usize,
-    /// They stand by themselves after a time by chance: its mean, and what the next one is drawn from.
+    /// Mean of the random delay after which set-ups complete by themselves, and the state of the random generator.
     random_delay: Option<(Duration, u64)>,
 }
 
-/// The server.
+/// Application server that holds connection set-ups back.
 pub struct GatedServer {
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
@@ -33,7 +33,9 @@
 impl GatedServer {
     pub fn start(protocol: Protocol) -> GatedServer {
         let listener: TcpListener = listener();
-        let address = listener.local_addr().expect("bound");
+        let address = listener
+            .local_addr()
+            .expect("bound socket has a local address");
         let state: Arc<(Mutex<State>, Condvar)> = Arc::default();
         let shared = Arc::clone(&state);
         std::thread::spawn(move || {
@@ -45,40 +47,40 @@
         GatedServer { address, state }
     }
 
-    /// Its set-ups take a time by chance, exponential with this mean.
+    /// Starts a server whose set-ups take an exponentially distributed time with this mean.
     pub fn start_with_random_delay(protocol: Protocol, mean: Duration, seed: u64) -> GatedServer {
         let server = GatedServer::start(protocol);
         let state = Arc::clone(&server.state);
-        state.0.lock().expect("sound").random_delay = Some((mean, seed));
+        state.0.lock().expect("lock is not poisoned").random_delay = Some((mean, seed));
         server
     }
 
-    /// Lets so many set-ups more stand, in the order in which they came.
+    /// Admits this many further set-ups in the order of their arrival.
     pub fn admit(&self, count: usize) {
-        let mut state = self.state.0.lock().expect("sound");
+        let mut state = self.state.0.lock().expect("lock is not poisoned");
         state.admitted_count = state.admitted_count.saturating_add(count);
         self.state.1.notify_all();
     }
 
-    /// Waits until so many set-ups have come; gives their first words.
+    /// Waits until this many set-ups have arrived and returns the first line of each.
     pub fn wait_for_setups(&self, count: usize) -> Vec<String> {
-        let state = self.state.0.lock().expect("sound");
+        let state = self.state.0.lock().expect("lock is not poisoned");
         let is_short = |state: &mut State| state.setups.len() < count;
         let (state, wait_result) = self
             .state
             .1
             .wait_timeout_while(state, super::TEST_TIMEOUT, is_short)
-            .expect("sound");
+            .expect("lock is not poisoned");
         assert!(
             !wait_result.timed_out(),
-            "{} of {count} set-ups came",
+            "{} of {count} set-ups arrived",
             state.setups.len()
         );
         state.setups.clone()
     }
 }
 
-/// One connection to its end. Nothing is said to a peer that has left.
+/// Serves one connection until it closes; stops at the first failed write, as the peer has left.
 fn serve_connection(
     mut stream: &TcpStream,
     protocol: Protocol,
@@ -96,7 +98,7 @@
     if reader.read_line(&mut line).unwrap_or(0) == 0 {
         return;
     }
-    let mut state_guard = state.lock().expect("sound");
+    let mut state_guard = state.lock().expect("lock is not poisoned");
     if let Some((mean, seed)) = &mut state_guard.random_delay {
         *seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -111,7 +113,7 @@
         drop(
             changed
                 .wait_while(state_guard, |state| state.admitted_count < number)
-                .expect("sound"),
+                .expect("lock is not poisoned"),
         );
     }
     let reply: &[u8] = if protocol == Protocol::Nats {
@@ -122,7 +124,7 @@
     if stream.write_all(reply).is_err() {
         return;
     }
-    // What stands, stands until the other side ends it. The first PING was the balancer's, and is answered.
+    // The connection stays established until the peer closes it. The first PING was the balancer's and is already answered.
     let mut pings = 0;
     loop {
         line.clear();
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! The program under test and its scripted peers, over loopback.
+//! Runs the program under test against scripted peers over loopback.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of the support")]
 
 pub mod api;
 pub mod discovery;
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-#[allow(unused_imports, reason = "each test file uses its part")]
+#[allow(unused_imports, reason = "each test file uses a part of the support")]
 pub use self::{
     api::{ADMIN_TOKEN, Api, Response},
     discovery::{Discovery, endpoint_list, send_endpoints},
@@ -25,8 +25,8 @@
     program::Program,
 };
 
-/// Longer than anything here takes; a test that waits for so long has failed. A client of a draining server is moved by
-/// odds of a quarter in each second: one in eighteen waits for over ten.
+/// Upper bound of every wait; a test that reaches it fails. A draining server moves each client with a probability of one
+/// quarter per second, so one client in eighteen waits for more than ten seconds.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 pub const SETTINGS: &str = r#"{"discovery":"subscribe","zones":["a"],"zone":0,"balancers":1,
@@ -35,32 +35,35 @@
     "policy-limits":{"max-attempts":4,"connect-timeout-ns":200000000,"retry-after":true,"max-retry-after-ns":2000000000},
     "rules":{"cold-share":0.2,"cold-ns":20000000000,"tip-multiple":3.0,"fall-ns":1500000000,"ask-within-ns":10000000000}}"#;
 
-/// A condition that is waited for is looked at this often.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Waits until something is there, and gives it. Guards against a test that would wait without an end.
+/// Polls until a value is available and returns it; fails after `TEST_TIMEOUT`, so that no test waits forever.
 pub fn wait_for<T>(expected: &str, poll: impl Fn() -> Option<T>) -> T {
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < deadline, "never came: {expected}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for {expected}"
+        );
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A listener at an address that nobody else in this process or another test's has.
+/// Binds a listener to a loopback address that no other listener of this process or of another test process uses.
 pub fn listener() -> TcpListener {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id();
     let [_, _, high, low] = pid.to_be_bytes();
     let address = Ipv4Addr::new(127, high | 0x40, low, NEXT.fetch_add(1, Ordering::Relaxed));
-    TcpListener::bind((address, 0)).expect("loopback")
+    TcpListener::bind((address, 0)).expect("loopback socket is bound")
 }
 
-/// An address that is free, and stays reserved for as long as the test's process lives: a port that
-/// was only looked up may be taken before the program listens there.
+/// Returns a free address that stays reserved for the lifetime of the test process. A port that was only looked up may be
+/// taken before the program listens on it.
 pub fn reserve_address() -> SocketAddr {
     let reserved = ReservedAddress::default();
     let address = reserved.address;
@@ -68,7 +71,8 @@
     address
 }
 
-/// The platform's configuration file: where clients connect, where discovery is, what was known of the farm.
+/// Text of the platform's configuration file: the clients' listen address, discovery's address and the endpoint list known
+/// at start.
 pub fn platform_config(
     listen_address: SocketAddr,
     discovery: SocketAddr,
@@ -82,9 +86,9 @@
     )
 }
 
-/// A file for one test.
+/// Writes a temporary file for one test and returns its path.
 pub fn write_temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("beaconflow-{}-{name}", std::process::id()));
-    std::fs::write(&path, text).expect("a folder for temporary files");
-    path.to_str().expect("text").to_owned()
+    std::fs::write(&path, text).expect("temporary folder is writable");
+    path.to_str().expect("valid UTF-8").to_owned()
 }
--- a/crates/cli/tests/support/nats.rs
+++ b/crates/cli/tests/support/nats.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for NATS, from its public specification, and for Redis, and the rules that every exchange keeps.
+//! Stand-ins for NATS, written from its public specification, and for Redis, and the rules that every exchange keeps.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -11,20 +11,20 @@
 
 use super::{Peer, listener};
 
-/// What a NATS server does with a CONNECT.
+/// How a NATS server answers a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
     Serve,
     SilentAfterConnect,
     RejectAsFull,
     RejectAuthorization,
-    /// It hangs up before its INFO.
+    /// Closes the connection before INFO.
     CloseBeforeInfo,
-    /// Its INFO comes once its write lock is free.
+    /// Sends INFO once the write lock is free.
     DelayInfo,
 }
 
-/// One session as a server saw it, from CONNECT's last byte to the connection's end.
+/// One client session at a server, from the last byte of CONNECT to the end of the connection.
 #[derive(Clone)]
 struct Session {
     client: String,
@@ -33,7 +33,7 @@
     ended_at: Option<Instant>,
 }
 
-/// What all servers and clients saw; the rules are checked against it.
+/// Observations of all servers and clients, against which the rules are checked.
 #[derive(Default)]
 pub struct ExchangeRecord {
     sessions: Vec<Session>,
@@ -55,10 +55,14 @@
             .push(answer.to_owned());
     }
 
-    /// Every rule, over all that has happened so far.
+    /// Checks that each client got one answer, that no session began more than 1 s after its server's drain, and that no two
+    /// sessions of a client overlap.
     pub fn assert_rules_kept(&self) {
         for (client, answers) in &self.answers {
-            assert!(answers.len() == 1, "{client} got {answers:?}");
+            assert!(
+                answers.len() == 1,
+                "{client} got {answers:?} instead of one answer"
+            );
         }
         for (index, session) in self.sessions.iter().enumerate() {
             if let Some(drained_at) = self.drained_at.get(&session.server) {
@@ -100,15 +104,15 @@
     }
 }
 
-/// A NATS server. It answers PING, sends a PING of its own in the midst of what it relays, and gives each client's
-/// messages back to it.
+/// A NATS server that answers PING, echoes each client's messages back to it, and sends a PING of its own before each
+/// echoed message.
 pub struct NatsServer {
     pub name: String,
     pub address: SocketAddr,
     behavior: Arc<Mutex<Behavior>>,
-    /// Standing connections answer nothing any more.
+    /// Whether established connections no longer answer.
     pub is_silent: Arc<AtomicBool>,
-    /// Held by whoever speaks: a server's answers never fall into a message that has begun.
+    /// Held while writing, so that a server's answers never interrupt a message that has begun.
     pub write_lock: Arc<Mutex<()>>,
     peers: Arc<Mutex<Vec<TcpStream>>>,
 }
@@ -116,7 +120,9 @@
 impl NatsServer {
     pub fn start(name: &str, behavior: Behavior, record: &SharedRecord) -> NatsServer {
         let listener = listener();
-        let address = listener.local_addr().expect("bound");
+        let address = listener
+            .local_addr()
+            .expect("bound socket has a local address");
         let (behavior, is_silent) = (
             Arc::new(Mutex::new(behavior)),
             Arc::new(AtomicBool::new(false)),
@@ -142,12 +148,12 @@
             while let Ok((stream, _)) = listener.accept() {
                 peers
                     .lock()
-                    .expect("sound")
-                    .push(stream.try_clone().expect("open"));
+                    .expect("lock is not poisoned")
+                    .push(stream.try_clone().expect("socket is open"));
                 let (name, record, is_silent) =
                     (name.clone(), Arc::clone(&record), Arc::clone(&is_silent));
                 let write_lock = Arc::clone(&write_lock);
-                let behavior = *behavior.lock().expect("sound");
+                let behavior = *behavior.lock().expect("lock is not poisoned");
                 std::thread::spawn(move || {
                     serve_connection(&stream, behavior, &name, &record, (&is_silent, &write_lock))
                 });
@@ -157,18 +163,18 @@
     }
 
     pub fn set_behavior(&self, behavior: Behavior) {
-        *self.behavior.lock().expect("sound") = behavior;
+        *self.behavior.lock().expect("lock is not poisoned") = behavior;
     }
 
-    /// Says something to every client; the write lock is held by the caller.
+    /// Sends text to every client; the caller holds the write lock.
     pub fn send_to_all(&self, text: &str) {
-        for mut peer in self.peers.lock().expect("sound").iter() {
+        for mut peer in self.peers.lock().expect("lock is not poisoned").iter() {
             let _ = peer.write_all(text.as_bytes());
         }
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it closes.
 fn serve_connection(
     stream: &TcpStream,
     behavior: Behavior,
@@ -181,7 +187,7 @@
         return;
     }
     if behavior == Behavior::DelayInfo {
-        drop(write_lock.lock().expect("sound"));
+        drop(write_lock.lock().expect("lock is not poisoned"));
     }
     let mut out = stream;
     let info = format!("INFO {{\"server_id\":\"{name}\",\"max_payload\":1048576}}\r\n");
@@ -190,14 +196,20 @@
     if out.write_all(info.as_bytes()).is_err() || reader.read_line(&mut line).unwrap_or(0) == 0 {
         return;
     }
-    let options: serde_json::Value =
-        serde_json::from_str(line.strip_prefix("CONNECT ").expect("CONNECT first")).expect("JSON");
+    let options: serde_json::Value = serde_json::from_str(
+        line.strip_prefix("CONNECT ")
+            .expect("first line is CONNECT"),
+    )
+    .expect("valid JSON");
     assert_eq!(
         (&options["user"], &options["pass"]),
         (&"up".into(), &"up-secret".into()),
-        "the upstream identity"
+        "CONNECT carries the upstream credentials"
     );
-    let client = options["name"].as_str().expect("a name").to_owned();
+    let client = options["name"]
+        .as_str()
+        .expect("value is a string")
+        .to_owned();
     let session = Session {
         client,
         server: name.to_owned(),
@@ -205,7 +217,7 @@
         ended_at: None,
     };
     let index = {
-        let mut record = record.lock().expect("sound");
+        let mut record = record.lock().expect("lock is not poisoned");
         record.sessions.push(session);
         record.sessions.len() - 1
     };
@@ -216,11 +228,11 @@
     };
     let _ = out.write_all(text.as_bytes());
     while read_message(&mut reader).is_some_and(|message| {
-        let _write_guard = write_lock.lock().expect("sound");
+        let _write_guard = write_lock.lock().expect("lock is not poisoned");
         let answer = answer_to(&message, behavior, is_silent);
         out.write_all(answer.as_bytes()).is_ok()
     }) {}
-    record.lock().expect("sound").sessions[index].ended_at = Some(Instant::now());
+    record.lock().expect("lock is not poisoned").sessions[index].ended_at = Some(Instant::now());
 }
 
 fn answer_to(message: &str, behavior: Behavior, is_silent: &AtomicBool) -> String {
@@ -233,13 +245,13 @@
         return "PONG\r\n".to_owned();
     }
     match message.strip_prefix("PUB ") {
-        // A keepalive goes before it, and one more lies in its payload if the client put it there.
+        // A keepalive precedes the message; the payload holds another one if the client put it there.
         Some(rest) => format!("PING\r\nMSG {}", rest.replacen(' ', " 1 ", 1)),
         None => String::new(),
     }
 }
 
-/// A control line, with its payload where it has one.
+/// Reads a control line, with its payload where it has one.
 fn read_message(from: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     if from.read_line(&mut line).ok()? == 0 {
@@ -254,10 +266,10 @@
     Some(line)
 }
 
-/// A client that has sent CONNECT under a name, and a PING with it.
+/// Connects a client that has sent CONNECT with this name, followed by PING.
 pub fn connect_client(to: SocketAddr, name: &str, user: &str, password: &str) -> Peer {
     let mut client = Peer::connect(to);
-    let info = client.read_line().expect("INFO");
+    let info = client.read_line().expect("an INFO line");
     assert!(
         info.starts_with("INFO {") && info.contains("\"max_payload\":"),
         "{info}"
@@ -268,7 +280,7 @@
     client
 }
 
-/// A Redis that knows hashes.
+/// Starts a Redis stand-in that supports hashes.
 pub fn start_redis() -> Redis {
     Redis::on(listener())
 }
--- a/crates/cli/tests/support/peer.rs
+++ b/crates/cli/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! Peers that speak lines: clients, and servers by the script of a test.
+//! Peers of line-based connections: clients, and servers scripted by a test.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 
 use super::{TEST_TIMEOUT, wait_for};
 
-/// One end of a connection that speaks lines.
+/// One end of a line-based connection; reads fail after `TEST_TIMEOUT`.
 pub struct Peer {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -16,8 +16,8 @@
     pub fn new(stream: TcpStream) -> Peer {
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a socket");
-        let reader = BufReader::new(stream.try_clone().expect("a socket"));
+            .expect("socket is open");
+        let reader = BufReader::new(stream.try_clone().expect("socket is open"));
         Peer { stream, reader }
     }
 
@@ -32,36 +32,36 @@
         }
     }
 
-    /// The next connection. Guards against a test that would wait without an end.
+    /// Accepts the next connection; fails after `TEST_TIMEOUT`, so that no test waits forever.
     pub fn accept(from: &TcpListener) -> Peer {
         wait_for("a connection", || Peer::try_accept(from))
     }
 
-    /// A connection that has come already.
+    /// Accepts a connection that is already pending.
     pub fn try_accept(from: &TcpListener) -> Option<Peer> {
-        from.set_nonblocking(true).expect("open");
+        from.set_nonblocking(true).expect("socket is open");
         let (stream, _) = from.accept().ok()?;
-        stream.set_nonblocking(false).expect("open");
+        stream.set_nonblocking(false).expect("socket is open");
         Some(Peer::new(stream))
     }
 
     pub fn send(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
-            .expect("the peer reads");
+            .expect("peer accepts data");
     }
 
-    /// The next line without its end; nothing at the end of the connection.
+    /// Reads the next line without its line ending; `None` at the end of the connection.
     pub fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => None,
             Ok(_) => Some(line.trim_end().to_owned()),
-            Err(error) => panic!("no line: {error}"),
+            Err(error) => panic!("reading a line failed: {error}"),
         }
     }
 
-    /// The same, where a reset is an end too.
+    /// Like `read_line`, but keeps the line ending and treats a reset as the end of the connection.
     pub fn read_line_or_end(&mut self) -> Option<String> {
         let mut line = String::new();
         self.reader
@@ -75,18 +75,24 @@
         assert_eq!(self.read_line().as_deref(), Some(text));
     }
 
-    /// So many bytes as they come.
+    /// Reads exactly this many bytes as text.
     pub fn read_text(&mut self, count: usize) -> String {
         let mut bytes = vec![0; count];
-        self.reader.read_exact(&mut bytes).expect("so many bytes");
-        String::from_utf8(bytes).expect("text")
+        self.reader
+            .read_exact(&mut bytes)
+            .expect("requested number of bytes");
+        String::from_utf8(bytes).expect("valid UTF-8")
     }
 
     pub fn expect_end(&mut self) {
-        assert_eq!(self.read_line(), None, "nothing but the end");
+        assert_eq!(
+            self.read_line(),
+            None,
+            "connection ends without further data"
+        );
     }
 
-    /// Waits for the connection's end, in order or not: a peer at fault may be owed no more than a close.
+    /// Waits until the connection is closed or reset: a peer that broke the protocol may get no more than a close.
     pub fn is_closed(&mut self) -> bool {
         let is_reset = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionReset;
         self.reader
@@ -94,7 +100,7 @@
             .map_or_else(is_reset, |count| count == 0)
     }
 
-    /// Whether the connection was reset.
+    /// Waits for the next byte or the end of the connection; true if it was reset.
     pub fn was_reset(&mut self) -> bool {
         self.reader
             .read(&mut [0])
@@ -102,11 +108,13 @@
     }
 
     pub fn shutdown_write(&self) {
-        self.stream.shutdown(Shutdown::Write).expect("open");
+        self.stream
+            .shutdown(Shutdown::Write)
+            .expect("socket is open");
     }
 }
 
-/// Has an application server take every opening and answer every line, for as long as the test runs.
+/// Has an application server accept every opening and answer every line for the duration of the test.
 pub fn serve_all_openings(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
@@ -124,7 +132,7 @@
         return;
     }
     while let Some(line) = peer.read_line_or_end() {
-        // One asks for half a line, and has to ask for the rest.
+        // A client that asks for half a line has to ask for the rest.
         let answer: &[u8] = match line.trim_end() {
             "half" => b"ha",
             "rest" => b"lf\r\n",
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -1,4 +1,4 @@
-//! The program under test.
+//! Starts, signals and observes the program under test.
 
 use std::fs::Permissions;
 use std::io::{BufRead, BufReader};
@@ -13,7 +13,7 @@
 
 use super::TEST_TIMEOUT;
 
-/// The program, killed at the end of its test.
+/// A running program, killed when its test ends; its remaining log is printed if the test panics.
 pub struct Program {
     child: Child,
     log: Receiver<String>,
@@ -24,11 +24,12 @@
         Program::spawn(Command::new(env!("CARGO_BIN_EXE_beaconflow")), args, env)
     }
 
-    /// Starts it as an ordinary user, whom the leave to write concerns. Root's tests need a copy that others may run.
+    /// Starts it as an unprivileged user, to whom file permissions apply. Tests run as root need a copy of the binary that
+    /// other users may execute.
     pub fn start_unprivileged(binary_copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
-        std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), binary_copy).expect("room");
+        std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), binary_copy).expect("write succeeds");
         std::fs::set_permissions(binary_copy, Permissions::from_mode(0o755))
-            .expect("its owner may");
+            .expect("owner changes permissions");
         let mut command = Command::new(binary_copy);
         if rustix::process::geteuid().is_root() {
             command.uid(65_534).gid(65_534);
@@ -36,7 +37,7 @@
         Program::spawn(command, args, env)
     }
 
-    /// Starts it with a limit on its descriptors.
+    /// Starts it with a limit on open file descriptors.
     pub fn start_with_descriptor_limit(descriptors: usize, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         let script = format!(r#"ulimit -n {descriptors}; exec "$0" "$@""#);
@@ -44,7 +45,7 @@
         Program::spawn(command, &[], env)
     }
 
-    /// Starts it with a listener that this test holds, as descriptor 3.
+    /// Starts it with a listener of the test inherited as descriptor 3.
     pub fn start_with_inherited_listener(listener: &TcpListener, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         command.args([
@@ -52,13 +53,13 @@
             r#"exec 3<&0 </dev/null; exec "$0" "$@""#,
             env!("CARGO_BIN_EXE_beaconflow"),
         ]);
-        command.stdin(OwnedFd::from(listener.try_clone().expect("open")));
+        command.stdin(OwnedFd::from(listener.try_clone().expect("socket is open")));
         Program::spawn(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
     }
 
-    /// Kills it outright.
+    /// Kills the program with SIGKILL and reaps it.
     pub fn kill(&mut self) {
-        self.child.kill().expect("a child");
+        self.child.kill().expect("child process exists");
         let _ = self.child.wait();
     }
 
@@ -69,7 +70,7 @@
             .envs(env.iter().copied())
             .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
-        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let (line_sender, log) = channel();
         std::thread::spawn(move || {
             lines
@@ -79,7 +80,7 @@
         Program { child, log }
     }
 
-    /// Waits for a log line with these words; where none comes, tells what came instead.
+    /// Waits for a log line that contains the text; on failure, the panic lists the lines seen instead.
     pub fn wait_for_log(&self, text: &str) -> String {
         let deadline = Instant::now() + TEST_TIMEOUT;
         let mut lines = Vec::new();
@@ -88,31 +89,33 @@
             match self.log.recv_timeout(remaining) {
                 Ok(line) if line.contains(text) => return line,
                 Ok(line) => lines.push(line),
-                Err(error) => panic!("the log never said {text:?} ({error}), but: {lines:#?}"),
+                Err(error) => {
+                    panic!("no log line contains {text:?} ({error}); lines read: {lines:#?}")
+                }
             }
         }
     }
 
-    /// The lines up to the one with these words.
+    /// Returns the log lines up to the one that contains the text.
     pub fn read_log_until(&self, text: &str) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
         while lines.last().is_none_or(|line| !line.contains(text)) {
             lines.push(
                 self.log
                     .recv_timeout(TEST_TIMEOUT)
-                    .unwrap_or_else(|_| panic!("never {text:?}: {lines:#?}")),
+                    .unwrap_or_else(|_| panic!("no log line contains {text:?}: {lines:#?}")),
             );
         }
         lines
     }
 
-    /// Sends a signal, by name.
+    /// Sends a signal by its name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill")
             .args(["-s", name, &pid])
             .status()
-            .expect("kill runs");
+            .expect("kill command runs");
         assert!(status.success());
     }
 
@@ -120,28 +123,28 @@
         self.child.id()
     }
 
-    /// How many threads it has.
+    /// Current number of the program's threads.
     pub fn thread_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
-            .expect("it runs")
+            .expect("program is running")
             .count()
     }
 
-    /// Waits for the program's own end, which has to be in order.
+    /// Waits for the program to exit by itself; true if its status is success.
     pub fn exits_cleanly(&mut self) -> bool {
         self.wait_for_exit().success()
     }
 
-    /// Waits for the program's end.
+    /// Waits for the program to exit and returns its status.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < deadline {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) = self.child.try_wait().expect("child process exists") {
                 return status;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("the program never left");
+        panic!("the program did not exit");
     }
 }
 
--- a/crates/cli/tests/support/site.rs
+++ b/crates/cli/tests/support/site.rs
@@ -1,4 +1,4 @@
-//! A platform's balancer with its application servers and discovery.
+//! A platform balancer with its application servers and discovery.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,7 +7,7 @@
     Discovery, Peer, Program, SETTINGS, endpoint_list, listener, reserve_address, write_temp_file,
 };
 
-/// Descriptors that a balancer may hold: the least that the platform gives.
+/// Descriptors that a balancer may hold: the minimum that the platform grants.
 const SOCKET_LIMIT: usize = 256;
 
 /// A balancer with application servers `s0`, `s1` and so on.
@@ -16,10 +16,10 @@
     pub address: SocketAddr,
     pub servers: Vec<TcpListener>,
     pub discovery: Discovery,
-    /// Its configuration file, and what stands in it.
+    /// Path of the configuration file; its text is in `config`.
     pub config_path: String,
     pub config: String,
-    /// The next id.
+    /// Id of the next opening.
     next_client_id: AtomicU32,
 }
 
@@ -28,12 +28,12 @@
         Site::start_with_env(name, servers, &[])
     }
 
-    /// The same, with further variables.
+    /// Like `start`, with additional environment variables.
     pub fn start_with_env(name: &str, servers: usize, env: &[(&str, &str)]) -> Site {
         Site::start_with_settings(SETTINGS, name, servers, env)
     }
 
-    /// The same, on other settings.
+    /// Like `start_with_env`, with other settings.
     pub fn start_with_settings(
         settings: &str,
         name: &str,
@@ -51,7 +51,9 @@
             .map(|(name, server)| {
                 (
                     name.as_str(),
-                    server.local_addr().expect("bound"),
+                    server
+                        .local_addr()
+                        .expect("bound socket has a local address"),
                     "SERVING",
                 )
             })
@@ -60,7 +62,7 @@
         let config =
             super::platform_config(address, discovery.address, &known, settings, SOCKET_LIMIT);
         let config_path = write_temp_file(name, &config);
-        // As on the platform: the variable goes on naming the first address after a reload.
+        // As on the platform, the variable keeps the first address after a reload.
         let discovery_address = discovery.address.to_string();
         let env = [
             &[
@@ -83,7 +85,7 @@
         }
     }
 
-    /// A client that has sent its opening.
+    /// Connects a client and sends its opening.
     pub fn open_client(&self, class: &str, extra: &str) -> Peer {
         let mut client = Peer::connect(self.address);
         let id = self.next_client_id.fetch_add(1, Ordering::Relaxed);
@@ -93,17 +95,17 @@
         client
     }
 
-    /// A standing connection: client and server.
+    /// Establishes a connection and returns its client and server ends.
     pub fn establish_connection(&self) -> (Peer, Peer) {
         let mut client = self.open_client("chat", "");
         let server = self.accept_opening(&mut client);
         (client, server)
     }
 
-    /// Has the first server take the next opening, which is this client's; its connection there.
+    /// Has the first server accept the next opening, which is this client's, and returns the server's end.
     pub fn accept_opening(&self, client: &mut Peer) -> Peer {
         let mut server = Peer::accept(&self.servers[0]);
-        server.read_line().expect("an opening");
+        server.read_line().expect("an OPEN line");
         server.send("UP r1\r\n");
         client.expect_line("UP r1");
         server
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -129,10 +129,15 @@
         self.pairs += 1;
         // They meet in fair weather.
         let names = ["near", "away"].map(|side| format!("{side}{:04}", self.pairs));
-        let sockets = [(), ()].map(|()| UdpSocket::bind(listen_address()).expect("loopback"));
+        let sockets =
+            [(), ()].map(|()| UdpSocket::bind(listen_address()).expect("loopback socket is bound"));
         let link_address = |end: usize| {
-            self.net
-                .add_peer(&names[end], sockets[end].local_addr().expect("bound"))
+            self.net.add_peer(
+                &names[end],
+                sockets[end]
+                    .local_addr()
+                    .expect("bound socket has a local address"),
+            )
         };
         let addresses = [link_address(0), link_address(1)];
         let [near, far] = sockets;
@@ -147,17 +152,21 @@
                 peer_configuration: Configuration::default(),
                 seeds: addresses.to_vec(),
             };
-            let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("long enough"));
+            let keys = Keys::only(Key::new(&[7; MIN_KEY_BYTES]).expect("key is long enough"));
             let payload = QueuePayload {
                 send_queue: send_queue.clone(),
                 received: received_sender,
             };
             let node =
-                Node::new(profile, keys, Settings::default(), payload).expect("a good profile");
+                Node::new(profile, keys, Settings::default(), payload).expect("profile is valid");
             let start = Instant::now();
-            let clock = move || Millis::try_from(start.elapsed().as_millis()).expect("soon");
+            let clock = move || {
+                Millis::try_from(start.elapsed().as_millis())
+                    .expect("elapsed time fits in milliseconds")
+            };
             let (event_sender, events) = unbounded();
-            let node = spawn(node, Udp::new(socket), clock, event_sender).expect("a thread");
+            let node =
+                spawn(node, Udp::new(socket), clock, event_sender).expect("node thread starts");
             PeerEnd {
                 send_queue,
                 received,
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -59,7 +59,7 @@
             (Protocol::Platform, ["=", message]) => Line::Message((*message).to_owned()),
             (Protocol::Platform, ["MOVE"]) => Line::Moved,
             (Protocol::Nats, ["PUB" | "MSG", .., size]) => {
-                Line::Payload(size.parse().expect("a size"))
+                Line::Payload(size.parse().expect("payload size is a number"))
             }
             (Protocol::Nats, ["INFO", ..]) if line.contains("\"ldm\":true") => Line::Moved,
             (Protocol::Nats, ["PING"]) => Line::Ping,
@@ -95,7 +95,9 @@
         let server_address = net.add_link(Link::new(
             "program",
             "server",
-            server.local_addr().expect("bound"),
+            server
+                .local_addr()
+                .expect("bound socket has a local address"),
         ));
         let rows = [("s0", server_address, "SERVING")];
         let (program, redis) = match protocol {
@@ -134,9 +136,9 @@
 
 fn start_nats(at: SocketAddr, discovery: SocketAddr) -> (Program, Redis) {
     let (admin, redis) = (reserve_address(), start_redis());
-    let settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
+    let settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("valid JSON");
     let overrides = write_temp_file(&format!("contract-{at}.redb"), "");
-    std::fs::remove_file(&overrides).expect("just made");
+    std::fs::remove_file(&overrides).expect("file was just created");
     let config_text = format!(
         "name = \"front\"\nlisten = \"{at}\"\nsockets = 256\n\
          wire = {{ max_payload = {MAX_PAYLOAD}, ping_after_ms = 300, silence_ms = 3000 }}\n\
@@ -144,7 +146,8 @@
          admin = {{ listen = \"{admin}\", token = \"{ADMIN_TOKEN}\" }}\noverrides = {{ file = \"{overrides}\" }}\n\
          farm = {{ discovery = \"{discovery}\" }}\n{}",
         redis.address,
-        toml::to_string(&serde_json::json!({ "settings": settings })).expect("TOML")
+        toml::to_string(&serde_json::json!({ "settings": settings }))
+            .expect("settings convert to TOML")
     );
     let program = Program::start(
         &[
@@ -183,8 +186,8 @@
                 self.next_client_id
             ),
         };
-        let mut near = TcpStream::connect(self.client_address).expect("it listens");
-        near.write_all(opening.as_bytes()).expect("open");
+        let mut near = TcpStream::connect(self.client_address).expect("program listens");
+        near.write_all(opening.as_bytes()).expect("socket is open");
         self.protocol.is_served(&near).then_some(near)
     }
 }
@@ -218,7 +221,10 @@
             std::thread::sleep(Duration::from_millis(20));
         };
         // The balancer gives up one pass before it begins another: the last one is the one that stands.
-        let first = self.sessions.recv_timeout(TEST_TIMEOUT).expect("a pass");
+        let first = self
+            .sessions
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("an upstream session");
         let far = self.sessions.try_iter().last().unwrap_or(first);
         (
             Box::new(Connection::new(near, self.protocol, true)),
@@ -298,11 +304,13 @@
 
 impl Connection {
     fn new(stream: TcpStream, protocol: Protocol, is_near: bool) -> Connection {
-        stream.set_nodelay(true).expect("open");
+        stream.set_nodelay(true).expect("socket is open");
         let (received_sender, received) = sync_channel(READ_AHEAD_MESSAGES);
         let is_silent = Arc::new(AtomicBool::new(false));
-        let (stream_copy, silent_flag) =
-            (stream.try_clone().expect("open"), Arc::clone(&is_silent));
+        let (stream_copy, silent_flag) = (
+            stream.try_clone().expect("socket is open"),
+            Arc::clone(&is_silent),
+        );
         let thread = std::thread::spawn(move || {
             read_messages(&stream_copy, protocol, &silent_flag, &received_sender)
         });
@@ -377,14 +385,14 @@
         let payload_offset = self.protocol.payload_offset(message, self.is_near);
         self.stream
             .write_all(&encoded.as_bytes()[..payload_offset + bytes])
-            .expect("open");
+            .expect("socket is open");
     }
 
     fn hear(&mut self, within: Duration) -> Received {
         let received = self
             .received
             .as_ref()
-            .expect("not over")
+            .expect("connection is in use")
             .recv_timeout(within);
         received.unwrap_or(Received::Nothing)
     }
@@ -394,13 +402,15 @@
     }
 
     fn finish(&mut self) {
-        self.stream.shutdown(Shutdown::Write).expect("open");
+        self.stream
+            .shutdown(Shutdown::Write)
+            .expect("socket is open");
     }
 
     fn reset(self: Box<Self>) {
         socket2::SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("open");
+            .expect("socket is open");
     }
 }
 
