--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -1,5 +1,5 @@
-//! An edge site of real processes: what its processes see of servers counts for all of them while the uplink is lost, and
-//! nobody is moved when it is back.
+//! An edge site of real processes: while the uplink is lost, its processes share what each observes of the servers, and no
+//! client is moved when the uplink returns.
 
 mod support;
 
@@ -10,10 +10,10 @@
 use support::fleet::*;
 use support::*;
 
-/// Longer than it takes until a silent watch and silent peers are known to be lost, and the doubt is over.
+/// Upper bound of the time until silent watches and peers are declared lost and the site has decided on its uplink.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A server that takes every opening and sends its client away once that says so.
+/// Runs a server that accepts every opening and moves a client that sends `leave`.
 fn spawn_draining_server(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
@@ -32,7 +32,7 @@
     });
 }
 
-/// Servers: two that are well, one that drains by its own word, and one that takes no connection.
+/// Starts four servers: two healthy ones, one that moves its clients by itself, and one that refuses connections.
 fn spawn_four_servers() -> Vec<(&'static str, SocketAddr)> {
     let (opening_sender, _) = channel();
     ["s0", "s1", "s2", "s3"]
@@ -73,6 +73,8 @@
     )
 }
 
+/// While the site is declared isolated, a process that gets no clients skips the servers that other processes saw fail or
+/// drain.
 #[test]
 fn isolated_site_shares_observed_server_failures() {
     let servers = spawn_four_servers();
@@ -92,11 +94,11 @@
         process.wait_for_fleet_field("processes", 3);
     }
     let (observers, other) = (&processes[..2], &processes[2]);
-    // Clients come through two of them until the third knows, which takes none.
+    // Clients connect through two processes until the third one, which gets no clients, knows of the failure.
     let mut clients = Vec::new();
     let mut wait_until_known = |server: &str, expected: &str| {
         for number in 0.. {
-            assert!(number < 400, "the third never knew of {server}");
+            assert!(number < 400, "the third process did not learn of {server}");
             let (answer, mut client) = open_client(&observers[number % 2], clients.len());
             assert!(
                 answer.starts_with("UP") || answer.starts_with("BUSY"),
@@ -115,7 +117,7 @@
     };
     wait_until_known("s3", "it takes no connection");
     wait_until_known("s2", "drains");
-    // What is well stays, and the others' drains were no reason to pass it over.
+    // Healthy servers stay ready: the drains of other servers are no reason to skip them.
     let farm = other.api.call("GET", "/v1/farm", "").body;
     for healthy in ["s0", "s1"] {
         assert!(
@@ -130,6 +132,8 @@
     );
 }
 
+/// A site that loses both discovery and the other site becomes isolated and keeps serving; no client is moved when it
+/// rejoins.
 #[test]
 fn site_isolates_without_uplink_and_rejoins_without_moves() {
     let (opening_sender, openings) = channel();
@@ -175,19 +179,19 @@
         });
     }
     let (mut clients, _) = fleet.connect_all_clients(&processes[0], "a");
-    // The uplink is lost: discovery says nothing more, and the other site is not heard.
+    // The uplink is lost: discovery is silent, and the other site is unreachable.
     fleet.discovery.stop_heartbeats();
     processes[2].program.kill();
     for process in &processes[..2] {
         process.program.wait_for_log("to=islanded");
     }
-    // Service goes on from what is known.
+    // The site keeps serving from the endpoint list that it has.
     let (newcomers, _) = fleet.connect_all_clients(&processes[1], "b");
     assert_eq!(newcomers.len(), CLIENT_COUNT);
     clients.extend(newcomers);
     fleet.discovery.resume_heartbeats();
     processes[2] = start(2);
-    // Whoever asks is told the same list under a later number, by a discovery that kept its state.
+    // Discovery has kept its state: each watch gets the same list with a later generation.
     let (mut watches, deadline) = (Vec::new(), Instant::now() + ISOLATION_TIMEOUT);
     let is_linked = |process: &Process| {
         let uplink = process.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
@@ -196,7 +200,10 @@
             .is_some_and(|uplink| uplink.starts_with("linked"))
     };
     while !processes[..2].iter().all(is_linked) {
-        assert!(Instant::now() < deadline, "never linked again");
+        assert!(
+            Instant::now() < deadline,
+            "uplink did not become linked again"
+        );
         if let Some(mut watch) = fleet
             .discovery
             .accept_watch_within(Duration::from_millis(50))
@@ -210,7 +217,7 @@
         let line = process.program.wait_for_log("counts");
         assert!(line.contains("moved=0"), "{line}");
     }
-    // One that was sent away has heard so.
+    // A client that was moved would have received a line.
     for client in &mut clients {
         client.stream.set_nonblocking(true).expect("socket is open");
         let received = client.read_line_or_end();
--- a/crates/cli/tests/fleet_memory.rs
+++ b/crates/cli/tests/fleet_memory.rs
@@ -1,5 +1,5 @@
-//! Processes of a fleet over loopback: a client that returns to another process, or to one that started anew, gets the
-//! server it had; and where no fleet is set up, there is nothing of all this.
+//! Processes of a fleet over loopback: a client that returns to another process, or to a restarted one, gets the server it
+//! had. Without fleet sections in the operator's file none of this runs.
 
 mod support;
 
@@ -22,10 +22,10 @@
     b.wait_for_fleet_field("placements", CLIENT_COUNT);
     drop(clients);
     let (clients, second) = fleet.connect_all_clients(&b, "b");
-    assert_eq!(first, second, "through another process");
+    assert_eq!(first, second, "same server through another process");
     a.wait_for_fleet_field("placements", CLIENT_COUNT);
     drop(clients);
-    // Nobody is left who could tell but its own memory.
+    // With the other process gone, only its own memory file holds the placements.
     b.program.kill();
     a.program.signal("TERM");
     assert!(a.program.exits_cleanly());
@@ -38,9 +38,10 @@
     a.program.wait_for_log("to=serving");
     a.wait_for_fleet_field("placements", CLIENT_COUNT);
     let (_clients, third) = fleet.connect_all_clients(&a, "c");
-    assert_eq!(first, third, "after a restart");
+    assert_eq!(first, third, "same server after a restart");
 }
 
+/// A reload applies the configured uplink state, the peers and the serial number, and logs the sections that need a restart.
 #[test]
 fn reload_applies_live_fields_and_reports_restart_fields() {
     let fleet = Fleet::start(2, 1);
@@ -76,7 +77,7 @@
     }
 }
 
-/// What a program's descriptors are: paths, or `socket:[inode]`.
+/// Targets of a program's file descriptors: paths, or `socket:[inode]`.
 fn descriptor_targets(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/fd", program.pid());
     let entries = std::fs::read_dir(folder).expect("program is running");
@@ -86,7 +87,7 @@
         .collect()
 }
 
-/// How many of them are datagrams' sockets.
+/// Number of a program's UDP sockets.
 fn udp_socket_count(program: &Program) -> usize {
     let table = std::fs::read_to_string("/proc/net/udp").expect("/proc/net/udp is readable");
     let inodes: Vec<&str> = table
@@ -128,7 +129,7 @@
     without.program.wait_for_log("to=serving");
     assert!(without.api.call("GET", "/v1/farm", "").body["fleet"].is_null());
     let fleet_threads = ["fleet\n", "memory\n", "peers\n"].map(str::to_owned);
-    // A thread has its name a moment after it began, and one for each call of the API comes and goes.
+    // A thread gets its name shortly after it starts, and each API call has a short-lived thread.
     let permanent_threads = |program: &Program| {
         let names = thread_names(program).into_iter();
         names
@@ -155,7 +156,7 @@
         );
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
-    // The peers' thread has its socket, and one that wakes it; the memory has its file.
+    // The peers' thread has its UDP socket and another one that wakes it; the memory has its file.
     assert_eq!(
         (
             udp_socket_count(&with.program),
@@ -168,6 +169,7 @@
     assert!(has_memory_file(&with.program) && !has_memory_file(&without.program));
 }
 
+/// A placement that failed at one process also counts as failing at the others, until one of them succeeds.
 #[test]
 fn failed_placements_are_shared_until_one_succeeds() {
     let server = listener();
@@ -194,11 +196,11 @@
     let (answer, _client) = open_client(&processes[0]);
     assert!(answer.starts_with("BUSY"), "{answer}");
     processes[1].wait_for_fleet_field("failing", 1);
-    // The server is there now, and the client comes back to the other process.
+    // The server accepts connections now, and the client returns through the other process.
     serve_all_openings(std::net::TcpListener::bind(at).expect("address can be bound again"));
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !open_client(&processes[1]).0.starts_with("UP") {
-        assert!(Instant::now() < deadline, "never served");
+        assert!(Instant::now() < deadline, "client was not served");
     }
     processes[0].wait_for_fleet_field("failing", 0);
 }
@@ -226,7 +228,7 @@
     let version = |process: &Process| {
         process.api.call("GET", "/v1/farm", "").body["fleet"]["version"].to_string()
     };
-    // Clients come back to a process of one version and of the other, on the way there and back.
+    // Clients return to processes of the old and of the new version, during both rollout and rollback.
     for (settings, serial) in [(&new, 2), (&old, 3)] {
         fleet.settings = settings.clone();
         for number in 0..3 {
@@ -249,7 +251,7 @@
                     fleet.connect_all_clients(&processes[at], &format!("v{serial}p{number}a{at}"));
                 assert_eq!(
                     first, now,
-                    "serial {serial}, restarted {number}, back at {at}"
+                    "serial {serial}, process {number} restarted, clients back at process {at}"
                 );
                 drop(clients);
             }
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -1,4 +1,5 @@
-//! Processes on their way from dark to serving: who went dark, what PING says meanwhile, and at which pace clients return.
+//! Processes that recover from an outage: which processes were affected, how PING is answered meanwhile, and how fast clients
+//! return.
 
 mod support;
 
@@ -7,12 +8,12 @@
 use support::fleet::*;
 use support::*;
 
-/// Processes that started within this of each other count as started together.
+/// Processes whose starts are no further apart than this count as started together.
 const SAME_OUTAGE_WINDOW: Duration = Duration::from_secs(30);
-/// One that heard nothing for so long was stopped.
+/// A process that received nothing for this long counts as having been stopped.
 const STALL_THRESHOLD: Duration = Duration::from_secs(5);
 
-/// A list of servers that have started just now.
+/// Starts servers and returns their endpoint list, in which each has just started and is cold.
 fn cold_endpoint_list(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -39,6 +40,7 @@
     )
 }
 
+/// After a power loss, staged admission lets clients return in stages and gives each deferred client a retry delay.
 #[test]
 fn staged_admission_defers_clients_after_power_loss() {
     let (known, openings) = cold_endpoint_list(2);
@@ -57,7 +59,7 @@
         let (number, at) = pending.swap_remove(index);
         assert!(
             Instant::now() < deadline,
-            "{} of {CLIENT_COUNT} stand",
+            "{} of {CLIENT_COUNT} clients are established",
             established.len()
         );
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
@@ -72,14 +74,14 @@
                     Duration::from_millis(retry_after.parse().expect("delay is a number"));
                 assert!(
                     retry_after <= Duration::from_secs(2),
-                    "longer than a client follows: {retry_after:?}"
+                    "retry delay exceeds the 2 s that clients honour: {retry_after:?}"
                 );
                 pending.push((number, Instant::now() + retry_after));
             }
             other => panic!("{other:?}"),
         }
     }
-    // The module has a bound of its own for cold servers: what counts is who was told by turns.
+    // The server selection has its own limit for cold servers, so the test counts the clients that staged admission deferred.
     let fleet_status = process.api.call("GET", "/v1/farm", "").body["fleet"].clone();
     assert!(
         fleet_status["deferred"].as_u64() >= Some(3),
@@ -87,6 +89,7 @@
     );
 }
 
+/// A process that was stopped is not serving again until it has asked its peers what happened meanwhile.
 #[test]
 fn resumed_process_rejects_clients_until_recovery_ends() {
     let fleet = Fleet::start(1, 1);
@@ -129,6 +132,7 @@
     }
 }
 
+/// A drain stays in effect when discovery loses its state, whether the program runs at that time or is down.
 #[test]
 fn drains_survive_loss_of_discovery_state() {
     let fleet = Fleet::start(1, 2);
@@ -161,10 +165,10 @@
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
-    // Discovery is begun anew, counts from one, and has forgotten the drain.
+    // Discovery restarts, counts generations from one, and has forgotten the drain.
     send_endpoints(&mut watch, 1, true, &both_serving);
-    process.wait_for_farm("held", TEST_TIMEOUT, is_drain_kept);
-    // It hears of the drain again, and of its end: that is its own word.
+    process.wait_for_farm("kept draining", TEST_TIMEOUT, is_drain_kept);
+    // Discovery learns of the drain again and then of its end, which it now reports itself.
     send_endpoints(&mut watch, 2, false, &s1_draining);
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
@@ -179,9 +183,13 @@
     });
     process.program.signal("TERM");
     assert!(process.program.exits_cleanly());
-    // One that kept its state says that the drain is over.
+    // A discovery that kept its state reports that the drain is over.
     let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
-    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_drain_kept);
+    process.wait_for_farm(
+        "kept draining from memory alone",
+        TEST_TIMEOUT,
+        is_drain_kept,
+    );
     let mut watch = fleet.discovery.accept_watch();
     send_endpoints(&mut watch, 5, true, &both_serving);
     process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
@@ -194,11 +202,15 @@
     process.program.signal("TERM");
     assert!(process.program.exits_cleanly());
     let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
-    process.wait_for_farm("held by memory alone", TEST_TIMEOUT, is_drain_kept);
+    process.wait_for_farm(
+        "kept draining from memory alone",
+        TEST_TIMEOUT,
+        is_drain_kept,
+    );
     let mut watch = fleet.discovery.accept_watch();
     send_endpoints(&mut watch, 1, true, &both_serving);
     process.program.wait_for_log("discovery lost its state");
-    process.wait_for_farm("held", TEST_TIMEOUT, is_drain_kept);
+    process.wait_for_farm("kept draining", TEST_TIMEOUT, is_drain_kept);
     send_endpoints(&mut watch, 2, false, &s1_draining);
     process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while they wait, in each state of waiting, and attempts whose moment has gone by.
+//! Clients that disconnect in each state of waiting, and attempts that come too late to be sent.
 
 mod support;
 
@@ -10,17 +10,17 @@
 use support::site::Site;
 use support::*;
 
-/// Longer than the second after which the system tries a connection again.
+/// Longer than the second after which the kernel sends a SYN again.
 const SYN_RETRY_WAIT: Duration = Duration::from_millis(1_500);
-/// Far longer than any delay between attempts under these settings.
+/// Much longer than any retry delay under these settings.
 const NO_RETRY_WAIT: Duration = Duration::from_millis(1_200);
-/// Well under the time after which an attempt is given up for a client that waits, and long on a busy machine.
+/// Bound for reactions that must not wait for a timeout: well under the attempt timeout, and ample on a busy machine.
 const PROMPT_LIMIT: Duration = Duration::from_secs(2);
-/// Attempts that may be under way at once at the start; more wait in the admission queue.
+/// Initial limit of concurrent attempts; further ones wait in the admission queue.
 const ATTEMPT_LIMIT: usize = 12;
 const DEBUG_LOG_ENV: &[(&str, &str)] = &[("BEACONFLOW_LOG", "debug")];
 
-/// Settings under which a connect may take half a minute.
+/// Settings with a connect timeout of 30 s.
 fn long_connect_timeout_settings() -> String {
     SETTINGS.replace(
         "\"connect-timeout-ns\":200000000",
@@ -28,7 +28,7 @@
     )
 }
 
-/// A balancer with the servers that the test tells it of in place of the one that it knew.
+/// Starts a balancer and replaces its configured server by these servers.
 fn start_site(settings: &str, name: &str, servers: &[(&str, SocketAddr, &str)]) -> (Site, Peer) {
     let site = Site::start_with_settings(settings, name, 1, DEBUG_LOG_ENV);
     let mut watch = site.discovery.accept_watch();
@@ -37,7 +37,7 @@
     (site, watch)
 }
 
-/// Ends a client's connection in order, or by a reset.
+/// Closes a client's connection normally or with a reset.
 fn disconnect(client: Peer, by_reset: bool) {
     if by_reset {
         socket2::SockRef::from(&client.stream)
@@ -47,6 +47,7 @@
     drop(client);
 }
 
+/// A disconnect cancels the pending connect, and the request is never forwarded.
 #[test]
 fn client_disconnect_cancels_upstream_connect() {
     for by_reset in [false, true] {
@@ -63,13 +64,14 @@
         backlogged.wait_until_connecting_is(false);
         assert!(
             disconnected_at.elapsed() < PROMPT_LIMIT,
-            "withdrawn after {:?}",
+            "connect was cancelled after {:?}",
             disconnected_at.elapsed()
         );
         assert_eq!(backlogged.free_backlog_and_read(SYN_RETRY_WAIT), None);
     }
 }
 
+/// A client that shuts down its sending side while it waits counts as disconnected.
 #[test]
 fn half_closed_waiting_client_counts_as_disconnected() {
     let backlogged = FullBacklogServer::start();
@@ -85,7 +87,7 @@
     backlogged.wait_until_connecting_is(false);
     assert!(
         disconnected_at.elapsed() < PROMPT_LIMIT,
-        "withdrawn after {:?}",
+        "connect was cancelled after {:?}",
         disconnected_at.elapsed()
     );
     client.expect_end();
@@ -221,11 +223,12 @@
     client.expect_line("ERR");
     assert!(
         sent_at.elapsed() < PROMPT_LIMIT,
-        "failed as soon as no repeat may begin"
+        "the request fails as soon as no retry may begin"
     );
     assert_eq!(backlogged.free_backlog_and_read(SYN_RETRY_WAIT), None);
 }
 
+/// A server that starts to drain during the connect gets no request; it goes to another server.
 #[test]
 fn request_is_rerouted_when_server_drains_during_connect() {
     let (backlogged, second) = (FullBacklogServer::start(), listener());
@@ -260,7 +263,7 @@
     assert_eq!(
         backlogged_reader.join().expect("reader thread returns"),
         None,
-        "nothing for the one that drains"
+        "the draining server gets nothing"
     );
 }
 
@@ -296,11 +299,12 @@
     let waited = sent_at.elapsed();
     assert!(
         waited >= Duration::from_millis(2_490),
-        "not given up before: {waited:?}"
+        "failed before its deadline: {waited:?}"
     );
     server.expect_end();
 }
 
+/// At shutdown a client that waits for a connect is rejected before the program exits.
 #[test]
 fn shutdown_rejects_clients_waiting_for_connect() {
     let backlogged = FullBacklogServer::start();
@@ -311,11 +315,14 @@
     );
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
-    // It would wait for longer than the program gives those that are on their way.
+    // Its deadline is later than the time that a shutdown allows for requests in flight.
     let mut client = Peer::connect(site.address);
     client.send("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
     backlogged.wait_until_connecting_is(true);
     client.expect_line("BUSY");
     client.expect_end();
-    assert!(site.program.exits_cleanly(), "it leaves by itself");
+    assert!(
+        site.program.exits_cleanly(),
+        "program exits with success by itself"
+    );
 }
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Stories of a process that is replaced while it serves: two of them on one listener that neither of them bound.
+//! Replacement of a serving process: two processes share one listener that neither of them bound.
 
 mod support;
 
@@ -10,11 +10,11 @@
 
 use support::*;
 
-/// What every process of a site shares: the clients' listener, discovery, and a server that takes all connections.
+/// State shared by the processes of a site: the clients' listener, discovery, and a server that accepts all connections.
 struct SharedSite {
     listener_socket: TcpListener,
     config_path: String,
-    /// What all processes see besides.
+    /// Temporary folder of all processes, through which they find each other for a handover.
     temp_folder: PathBuf,
     _discovery: Discovery,
 }
@@ -55,7 +55,7 @@
             .expect("bound socket has a local address")
     }
 
-    /// One more process, and its operations port. It is ready.
+    /// Starts another process and waits until it serves; returns it with its operations API.
     fn start(&self) -> (Program, Api) {
         let address = reserve_address();
         let temp_folder = self.temp_folder.to_str().expect("valid UTF-8");
@@ -80,7 +80,7 @@
     }
 }
 
-/// A client that has sent its opening.
+/// Connects a client and sends its opening.
 fn open(address: SocketAddr, id: &str) -> Peer {
     let mut client = Peer::connect(address);
     client.send(&format!("OPEN {id} 02 c=chat,t=acme,d=2500,g=3\r\n"));
@@ -101,7 +101,7 @@
             while !is_over.load(Ordering::SeqCst) {
                 count += 1;
                 let mut client = open(address, &format!("c{count}"));
-                // One final answer, and never a move before it.
+                // One final answer, and no move before it.
                 client.expect_line("UP r");
                 client.shutdown_write();
                 while client.read_line().is_some_and(|line| line == "MOVE") {}
@@ -111,8 +111,12 @@
     };
     let (_new, new_api) = site.start();
     assert_eq!(new_api.call("GET", "/status", "").status, 200);
-    assert_eq!(old_api.call("GET", "/status", "").status, 200, "both serve");
-    // Accepted by either of the two, and not whole when the old one is to leave.
+    assert_eq!(
+        old_api.call("GET", "/status", "").status,
+        200,
+        "both processes serve"
+    );
+    // Accepted by either process, and incomplete when the old one is told to shut down.
     let half = |number| {
         let mut half = Peer::connect(site.address());
         half.send("PING\r\n");
@@ -128,13 +132,14 @@
         half.expect_line("UP r");
     }
     established.expect_line("MOVE");
-    assert!(old.exits_cleanly(), "it leaves by itself");
+    assert!(old.exits_cleanly(), "program exits with success by itself");
     is_over.store(true, Ordering::SeqCst);
     assert!(openings.join().expect("every opening is served") > 10);
     assert_eq!(new_api.call("GET", "/status", "").status, 200);
     site.open("after").expect_line("UP r");
 }
 
+/// Established connections are handed over and continue; only one that is in the middle of a line is not.
 #[test]
 fn handover_transfers_connections_except_mid_line() {
     let temp_folder = tempfile::tempdir().expect("folder is readable");
@@ -160,7 +165,7 @@
     let (mut second, _) = site.start();
     old.signal("TERM");
     old.wait_for_log("to=leaving");
-    // The rest of its line comes when all others have gone over.
+    // The rest of its line arrives after all other connections have been handed over.
     whole.send("rest\r\n");
     whole.expect_line("lf");
     second.wait_for_log("taken over taken=7");
@@ -168,24 +173,27 @@
     assert_ne!(
         half.read_line().as_deref(),
         Some("ok"),
-        "cut off inside its line after a while"
+        "a connection in the middle of a line is closed after a while"
     );
-    assert!(old.exits_cleanly(), "it leaves by itself");
+    assert!(old.exits_cleanly(), "program exits with success by itself");
     for client in &mut clients {
         client.send("line\r\n");
         client.expect_line("ok");
     }
-    // An id is still taken, and one more process takes over what the second one took.
+    // A used id is still rejected, and a third process takes over what the second one took.
     site.open("s3").expect_line("ERR");
     let (third, _) = site.start();
     second.signal("TERM");
     third.wait_for_log("taken over taken=7");
-    assert!(second.exits_cleanly(), "it leaves by itself");
+    assert!(
+        second.exits_cleanly(),
+        "program exits with success by itself"
+    );
     for client in &mut clients {
         client.send("line\r\n");
         client.expect_line("ok");
     }
-    // With nobody to give them to, they are moved.
+    // Without another process to take them over, they are moved.
     third.signal("TERM");
     clients
         .iter_mut()
@@ -200,7 +208,7 @@
     first.kill();
     let ids: HashSet<String> = (0..8).map(|number| format!("a{number}")).collect();
     ids.iter().for_each(|id| site.open(id).expect_line("UP r"));
-    // One that can't start serving harms nobody: it ends before it takes a client.
+    // A process that cannot start serving exits before it accepts a client.
     let occupied = listener();
     let address = occupied
         .local_addr()
@@ -212,16 +220,20 @@
     ];
     let mut third = Program::start_with_inherited_listener(&site.listener_socket, &env);
     let line = third.wait_for_log("");
-    assert!(line.contains("cannot start"), "it never served: {line}");
+    assert!(
+        line.contains("cannot start"),
+        "expected a failed start, got: {line}"
+    );
     assert!(!third.wait_for_exit().success());
     site.open("b").expect_line("UP r");
     drop(second);
-    // Nobody accepts now, and nobody is turned away.
+    // No process accepts now; the client waits in the backlog and is not refused.
     let mut waits = site.open("c");
     let (_fourth, _) = site.start();
     waits.expect_line("UP r");
 }
 
+/// The program does not start with an inherited descriptor that is not a listening socket, and the error names it.
 #[test]
 fn startup_rejects_inherited_descriptor_that_is_not_listening() {
     let site = SharedSite::new("descriptor");
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Stories of the end of a program: SIGTERM where deadlines are short, before the program is ready, twice, and beside
-//! other signals.
+//! Shutdown of the program: SIGTERM with short deadlines, before the program is ready, repeated, and together with other
+//! signals.
 
 mod support;
 
@@ -9,16 +9,16 @@
 use support::site::Site;
 use support::*;
 
-/// Longest deadline of the short settings.
+/// Longest deadline in the settings with short deadlines.
 const SHORT_DEADLINE: Duration = Duration::from_millis(1_200);
-/// SIGKILL follows SIGTERM no sooner than so long after the longest deadline.
+/// SIGKILL follows SIGTERM no sooner than the longest deadline plus this time.
 const SIGKILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
 fn short_deadlines() -> String {
     SETTINGS.replace("3000000000", &SHORT_DEADLINE.as_nanos().to_string())
 }
 
-/// Serves the next opening at a server, and gives its end.
+/// Has the first server accept the next opening, and returns the server's end.
 fn accept_opening(site: &Site, client: &mut Peer) -> Peer {
     let mut server = Peer::accept(&site.servers[0]);
     server.read_line().expect("an OPEN line");
@@ -27,6 +27,7 @@
     server
 }
 
+/// With short deadlines every client is moved or answered before the program may be killed.
 #[test]
 fn shutdown_with_short_deadlines_ends_before_sigkill() {
     let mut site = Site::start_with_settings(&short_deadlines(), "short", 1, &[]);
@@ -40,7 +41,7 @@
     let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
-    // A front goes on sending newcomers for a while.
+    // A front keeps sending new clients for a while.
     let mut newcomer = site.open_client("chat", "");
     let newcomers_server = accept_opening(&site, &mut newcomer);
     for (client, _) in &mut established {
@@ -52,16 +53,19 @@
     drop(newcomers_server);
     assert!(
         in_flight.read_line().is_some(),
-        "what is in flight has an answer"
+        "a request in flight gets an answer"
     );
     for opening in [&mut silent, &mut partial] {
         let answer = opening.read_line();
         assert!(
             matches!(answer.as_deref(), Some("ERR" | "BUSY") | None),
-            "an answer or an end: {answer:?}"
+            "expected ERR, BUSY or the end, got {answer:?}"
         );
     }
-    assert!(site.program.exits_cleanly(), "it leaves by itself");
+    assert!(
+        site.program.exits_cleanly(),
+        "program exits with success by itself"
+    );
     assert!(
         signalled_at.elapsed() < SHORT_DEADLINE + SIGKILL_DELAY_AFTER_DEADLINE,
         "{:?}",
@@ -69,7 +73,7 @@
     );
 }
 
-/// SIGKILL follows SIGTERM no sooner with the usual settings.
+/// SIGKILL follows SIGTERM no sooner than this with the default settings.
 const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
 
 #[test]
@@ -95,11 +99,14 @@
     );
     let config_path = write_temp_file("early", &config);
     let mut program = Program::start(&[], &[("LB_CONFIG", config_path.as_str())]);
-    // The agent is asked, and the start waits for its answer.
+    // The discovery agent has the request, and the start waits for its response.
     let _silent = Peer::accept(&agent);
     let signalled_at = Instant::now();
     program.signal("TERM");
-    assert!(program.exits_cleanly(), "it leaves by itself, in order");
+    assert!(
+        program.exits_cleanly(),
+        "program exits with success by itself"
+    );
     assert!(
         signalled_at.elapsed() < SIGKILL_DELAY,
         "{:?}",
@@ -107,6 +114,7 @@
     );
 }
 
+/// Signals during a drain neither stop it nor start it again, and no configuration is applied any more.
 #[test]
 fn further_signals_neither_stop_nor_restart_drain() {
     let mut site = Site::start("again", 1);
@@ -129,7 +137,7 @@
         .wait_for_log("left out: the program is leaving");
     site.program.signal("TERM");
     site.program.signal("HUP");
-    // The list is still heard: a newcomer goes to nobody who drains.
+    // The endpoint list is still followed: a new client does not reach a draining server.
     let other = listener();
     let rows = [
         (
@@ -160,7 +168,10 @@
     }
     newcomer.expect_line("MOVE");
     newcomer.expect_end();
-    assert!(site.program.exits_cleanly(), "it leaves by itself");
+    assert!(
+        site.program.exits_cleanly(),
+        "program exits with success by itself"
+    );
     assert!(
         signalled_at.elapsed() < SIGKILL_DELAY,
         "{:?}",
@@ -169,7 +180,7 @@
     elsewhere.set_nonblocking(true).expect("socket is open");
     assert!(
         elsewhere.accept().is_err(),
-        "nobody asked the new discovery"
+        "the new discovery address is not used"
     );
 }
 
@@ -179,6 +190,7 @@
     front.read_line().as_deref() == Some("PONG")
 }
 
+/// A program killed during its drain leaves nothing behind that prevents a start under the same name.
 #[test]
 fn restart_succeeds_after_sigkill_during_drain() {
     let mut site = Site::start("killed", 1);
@@ -194,6 +206,7 @@
     let _server = accept_opening(&site, &mut client);
 }
 
+/// SIGHUP on standby is applied; it neither stops the drain nor makes the program accept clients again.
 #[test]
 fn sighup_on_standby_is_applied_and_drain_continues() {
     let operations = reserve_address();
@@ -215,12 +228,18 @@
     std::fs::write(&site.config_path, changed_config).expect("configuration file is written");
     site.program.signal("HUP");
     let _asked = Peer::accept(&elsewhere);
-    assert!(!accepts_clients(site.address), "it stands by");
+    assert!(
+        !accepts_clients(site.address),
+        "a program on standby rejects PING"
+    );
     for (client, _) in &mut established {
         client.expect_line("MOVE");
         client.expect_end();
     }
-    assert!(!accepts_clients(site.address), "it still does");
+    assert!(
+        !accepts_clients(site.address),
+        "the program stays on standby after SIGHUP"
+    );
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert!(accepts_clients(site.address));
 }
--- a/crates/cli/tests/overrides/balancer.rs
+++ b/crates/cli/tests/overrides/balancer.rs
@@ -1,4 +1,4 @@
-//! A platform's balancer with an administration API and a store, and what it is asked.
+//! A platform balancer with an administration API and a store, and the requests sent to them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -6,14 +6,14 @@
 
 use crate::support::{self, *};
 
-/// A balancer with application servers, discovery and a folder for its store.
+/// A balancer with application servers, discovery, and a folder for its store.
 pub struct Site {
     pub program: Option<Program>,
     pub address: SocketAddr,
     pub api: Api,
     pub servers: Vec<(String, TcpListener)>,
     pub discovery: Discovery,
-    /// The watch that the program follows now.
+    /// The watch that the program currently follows.
     pub discovery_watch: Peer,
     pub generation: u32,
     pub next_client_id: AtomicU32,
@@ -22,7 +22,7 @@
     pub operator_path: String,
 }
 
-/// What is set of overrides beside their file.
+/// Default settings of `[overrides]` beside the file.
 pub const DEFAULT_OVERRIDE_SETTINGS: &str = "ramp_s = 0.4";
 
 impl Site {
@@ -78,7 +78,7 @@
         self.program.as_ref().expect("program is running")
     }
 
-    /// Ends the program by a signal and starts it again, with its last list or without.
+    /// Ends the program with a signal, runs `meanwhile`, and starts the program again.
     pub fn restart(&mut self, signal: &str, meanwhile: impl FnOnce(&Site)) {
         let mut program = self.program.take().expect("program is running");
         program.signal(signal);
@@ -92,7 +92,7 @@
         self.program = Some(program);
     }
 
-    /// Tells the program of its farm, and waits until it knows.
+    /// Sends endpoints to the program and waits until it has applied them.
     pub fn send_endpoint_list(&mut self, reset: bool, rows: &[(&str, SocketAddr, &str)]) {
         self.generation += 1;
         send_endpoints(&mut self.discovery_watch, self.generation, reset, rows);
@@ -107,7 +107,7 @@
             .expect("bound socket has a local address")
     }
 
-    /// A client that has sent its opening, of a group.
+    /// Connects a client and sends its opening, with this group.
     pub fn open_client(&self, group: &str) -> Peer {
         let mut client = Peer::connect(self.address);
         let id = self.next_client_id.fetch_add(1, Ordering::Relaxed);
@@ -115,7 +115,7 @@
         client
     }
 
-    /// Opens a connection and lets the server that is asked serve it; tells which one was.
+    /// Establishes a connection; returns the number of the server that got it, and both ends.
     pub fn establish_connection(&self, group: &str) -> (usize, Peer, Peer) {
         let mut client = self.open_client(group);
         let (number, mut server) = self.accept_attempt();
@@ -125,7 +125,7 @@
         (number, client, server)
     }
 
-    /// The next attempt, at whichever server it comes in.
+    /// Accepts the next attempt, at whichever server it arrives.
     pub fn accept_attempt(&self) -> (usize, Peer) {
         let try_accept = |(number, (_, server)): (usize, &(String, TcpListener))| {
             Some((number, Peer::try_accept(server)?))
@@ -135,9 +135,9 @@
         })
     }
 
-    /// Where so many connections go, one after the other; all stay open.
+    /// Establishes this many connections one after the other and keeps them open; returns the server of each.
     pub fn establish_connections(&self, count: usize) -> (Vec<usize>, Vec<(Peer, Peer)>) {
-        // Groups of their own, so that no group's place draws them to one server.
+        // Each connection has its own group, so that session affinity does not draw them to one server.
         let open = |_| {
             let (number, client, server) = self
                 .establish_connection(&format!("g{}", self.next_client_id.load(Ordering::Relaxed)));
@@ -170,7 +170,7 @@
         .collect()
 }
 
-/// When a line was written, in Unix seconds.
+/// Timestamp of a log line, in Unix seconds.
 pub fn log_timestamp(line: &str) -> f64 {
     line.split(' ')
         .next()
@@ -179,11 +179,12 @@
         .expect("value is a number")
 }
 
-/// A body of a new override.
+/// Request body of a new override that expires after this many seconds.
 pub fn override_body(kind: &str, seconds: f64) -> String {
     format!(r#"{{{kind},"who":"ada","why":"maintenance","expires_in_s":{seconds}}}"#)
 }
 
+/// Request body of a new override that takes a server out.
 pub fn out_override_body(server: &str, seconds: f64) -> String {
     override_body(&format!(r#""kind":"out","server":"{server}""#), seconds)
 }
--- a/crates/cli/tests/overrides/durable.rs
+++ b/crates/cli/tests/overrides/durable.rs
@@ -1,8 +1,9 @@
-//! What is kept of overrides through restarts, kills, and stores that fail.
+//! Durability of overrides through restarts, kills, and failures of the store.
 
 use crate::balancer::{Site, out_override_body, override_body};
 use crate::support::*;
 
+/// After a restart or a kill each override is back with its own expiry, and one that expired meanwhile stays expired.
 #[test]
 fn restart_restores_overrides_with_their_expiry() {
     let mut site = Site::start(2);
@@ -35,11 +36,11 @@
         let (servers_used, _connections) = site.establish_connections(2);
         assert!(
             servers_used.iter().all(|number| *number == 1),
-            "nothing went there before it was known: {servers_used:?}"
+            "the server that is out gets no connection after the restart: {servers_used:?}"
         );
     }
-    // The second one's time was up while the program was down, or is by now.
-    wait_for("its end", || {
+    // The second override expired while the program was down, or expires now.
+    wait_for("the expiry of the override", || {
         (site.api.overrides().len() <= 1).then_some(())
     });
     assert_eq!(
@@ -48,16 +49,18 @@
             .status,
         404
     );
-    // Its number is not given again.
+    // Its id is not used again.
     assert!(site.api.add_override(&out_override_body("s9", 60.0)) > expiring_id);
 }
 
+/// An override that was durable when the program was killed takes effect at the next start, even if it was never
+/// acknowledged.
 #[test]
 fn durable_override_takes_effect_after_kill() {
     use beaconflow_overrides::{Draft, OverrideKind};
     use beaconflow_store::{OverrideStore, open};
     let mut site = Site::start(2);
-    // As a program leaves it that is killed after the durable write and before anything else.
+    // The store as it is when the program is killed right after the durable write.
     site.restart("KILL", |site| {
         let now = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
@@ -105,7 +108,7 @@
     let writer = std::thread::spawn(move || {
         for number in 0.. {
             let text = out_override_body(&format!("x{number}"), 60.0);
-            // The program is killed in the middle of some call.
+            // The program is killed during one of the calls.
             let Some(answer) = api.try_call("POST", "/v1/overrides", &text) else {
                 return;
             };
@@ -122,7 +125,7 @@
                 .expect("value is a number")
         })
         .collect();
-    // A file read anew in the middle of changes disturbs none of them.
+    // A reload of the file during the changes does not disturb them.
     site.program().signal("HUP");
     site.program().wait_for_log("nothing has changed");
     acknowledged_ids.extend((0..20).map(|_| {
@@ -145,15 +148,16 @@
     );
     assert!(
         restored_ids.len() <= acknowledged_ids.len() + 1,
-        "at most the one whose answer was lost"
+        "at most one more, whose answer was lost"
     );
 }
 
+/// The program serves with a damaged store, one in use by another program, one of a newer schema, and a folder in its place.
 #[test]
 fn unreadable_store_does_not_stop_serving() {
     let mut site = Site::start(2);
     site.api.add_override(&out_override_body("s0", 60.0));
-    // Damaged: kept aside, and an empty one begins.
+    // A damaged store is renamed and kept, and the program starts with an empty one.
     site.restart("TERM", |site| {
         std::fs::write(site.store_path(), "no store at all").expect("write succeeds")
     });
@@ -186,14 +190,14 @@
         b"no store at all"
     );
     site.api.add_override(&out_override_body("s0", 60.0));
-    // In use by another program; a folder in its place; no folder at all.
+    // A store in use by another program is not opened.
     let mut open_store = None;
     site.restart("TERM", |site| {
         open_store = Some(beaconflow_store::open(&site.store_path()).expect("path is not in use"))
     });
     assert_store_unavailable(&site, "another program");
     drop(open_store);
-    // A newer program's.
+    // A store with a newer program's schema is not read.
     let intact = std::fs::read(site.store_path()).expect("file exists");
     site.restart("TERM", |site| {
         let database = redb::Database::create(site.store_path()).expect("path is not in use");
@@ -210,7 +214,11 @@
     site.restart("TERM", |site| {
         std::fs::write(site.store_path(), &intact).expect("write succeeds")
     });
-    assert_eq!(site.api.overrides().len(), 1, "an older file is read again");
+    assert_eq!(
+        site.api.overrides().len(),
+        1,
+        "the store of the current schema is read again"
+    );
     site.restart("TERM", |site| {
         std::fs::rename(site.store_path(), site.folder.path().join("whole")).expect("file exists");
         std::fs::create_dir(site.store_path()).expect("path is not in use");
@@ -220,10 +228,14 @@
         std::fs::remove_dir(site.store_path()).expect("file exists");
         std::fs::rename(site.folder.path().join("whole"), site.store_path()).expect("file exists");
     });
-    assert_eq!(site.api.overrides().len(), 1, "what was kept all along");
+    assert_eq!(
+        site.api.overrides().len(),
+        1,
+        "the store is restored with its override"
+    );
 }
 
-/// The API says that none are kept and why; nothing is taken; the program serves.
+/// Checks that the API reports no store and the reason, that new overrides are rejected, and that the program serves.
 fn assert_store_unavailable(site: &Site, expected_reason: &str) {
     let answer = site.api.call("GET", "/v1/overrides", "").body;
     assert_eq!(answer["kept"], false);
@@ -247,6 +259,7 @@
     site.establish_connection("north");
 }
 
+/// With a store that it may only read, the program keeps no overrides, leaves the file unchanged, and serves.
 #[test]
 fn read_only_store_is_left_unchanged() {
     use std::fs::{Permissions, set_permissions};
@@ -279,9 +292,9 @@
     assert_store_unavailable(&site, "can't be opened");
     assert!(
         std::fs::read(site.store_path()).expect("file exists") == before,
-        "not a byte has changed"
+        "the store is unchanged"
     );
-    // The folder is removed at the end.
+    // The temporary folder can be removed only with write permission.
     set_permissions(site.folder.path(), Permissions::from_mode(0o755))
         .expect("permissions are changed");
 }
@@ -290,7 +303,7 @@
 fn full_disk_rejects_change_and_keeps_state() {
     let site = Site::start(2);
     site.api.add_override(&out_override_body("s0", 60.0));
-    // No file of the program may grow from here on, as on a disk without room.
+    // From here on no file of the program may grow, as on a full disk.
     let size = std::fs::metadata(site.store_path())
         .expect("file exists")
         .len();
@@ -313,7 +326,7 @@
             break answer;
         }
         accepted += 1;
-        assert!(accepted < 5_000, "the file never had to grow");
+        assert!(accepted < 5_000, "the store file did not have to grow");
     };
     assert_eq!(refused.status, 507, "{}", refused.body);
     assert!(
@@ -324,7 +337,7 @@
     assert_eq!(
         site.api.overrides().len(),
         accepted,
-        "those before it hold on"
+        "earlier overrides stay in effect"
     );
     let (servers_used, _connections) = site.establish_connections(2);
     assert!(
--- a/crates/cli/tests/overrides/effect.rs
+++ b/crates/cli/tests/overrides/effect.rs
@@ -1,4 +1,4 @@
-//! What overrides do to servers, connections and clients for as long as they hold.
+//! Effects of overrides on servers, connections and clients while they are in effect.
 
 use std::time::{Duration, Instant};
 
@@ -38,7 +38,8 @@
         servers_used.iter().all(|number| *number == 1),
         "{servers_used:?}"
     );
-    // What stands there stays. Nothing is let go before the end: a server that breaks connections off is left alone.
+    // Established connections stay. None is dropped before the end of the test, as the balancer avoids a server that breaks
+    // connections off.
     connections.extend(more_connections);
     for (client, server) in &mut connections {
         client.send("M 1\r\n");
@@ -57,11 +58,14 @@
         "{line}"
     );
     assert!(site.api.overrides().is_empty());
-    wait_for("its weight", || {
+    wait_for("the full weight of the server", || {
         (site.api.server_row("s0")["effective"]["weight"] == 1.0).then_some(())
     });
     let (servers_used, _more_connections) = site.establish_connections(8);
-    assert!(servers_used.contains(&0), "it is back: {servers_used:?}");
+    assert!(
+        servers_used.contains(&0),
+        "the server gets connections again: {servers_used:?}"
+    );
 }
 
 #[test]
@@ -81,7 +85,7 @@
     let (first, second) = (site.address(0), site.address(1));
     site.send_endpoint_list(false, &[("s0", first, "DELETED")]);
     assert_eq!(effect_on_platform(&site), "server not listed");
-    // It comes back elsewhere, as a new process; the other one is still there.
+    // It returns at another address, as a new process; the other server stays listed.
     site.servers[0].1 = listener();
     let moved = site.address(0);
     site.send_endpoint_list(true, &[("s0", moved, "SERVING"), ("s1", second, "SERVING")]);
@@ -91,7 +95,7 @@
         servers_used.iter().all(|number| *number == 1),
         "{servers_used:?}"
     );
-    // One that was never listed.
+    // An override may name a server that was never listed.
     let later = site
         .api
         .call("POST", "/v1/overrides", &out_override_body("s2", 60.0));
@@ -110,6 +114,7 @@
     );
 }
 
+/// An override that would leave no ready server is rejected unless forced, and is judged again with each endpoint list.
 #[test]
 fn override_that_leaves_no_server_needs_force() {
     let mut site = Site::start(2);
@@ -131,7 +136,7 @@
     site.program()
         .wait_for_log("overrides leave too little what=\"no ready server in the whole farm\"");
     assert!(site.api.call("GET", "/v1/farm", "").body["warnings"][0].is_string());
-    // A client that comes now is told at the end when to come back, and no server hears of it.
+    // A new client gets a retry delay in the end, and no server gets its request.
     let answer = site
         .open_client("north")
         .read_line()
@@ -145,7 +150,7 @@
     );
     site.program()
         .wait_for_log("a ready server everywhere again");
-    // Sound as it was entered, harmful since the other server left the list.
+    // The override was harmless when it was added, and leaves no ready server once the other one is no longer listed.
     let second = site.address(1);
     site.send_endpoint_list(false, &[("s1", second, "DELETED")]);
     site.program()
@@ -227,6 +232,7 @@
     }
 }
 
+/// With mode `prefer` a pinned group falls back to another server; with mode `strict` its clients are rejected instead.
 #[test]
 fn pinned_group_falls_back_or_is_rejected_by_mode() {
     let mut site = Site::start(3);
@@ -244,7 +250,8 @@
         assert_eq!(server_index, 2, "{group}");
         connections.push((client, server));
     }
-    // A refusal there sends the one elsewhere and has the other asked there again, never two at once.
+    // After a rejection a preferring group goes to another server, and a strict one to the same server again, with one attempt
+    // at a time.
     for (group, goes_elsewhere) in [("north", true), ("south", false)] {
         let mut client = site.open_client(group);
         let (server_index, mut server) = site.accept_attempt();
@@ -259,7 +266,7 @@
         client.expect_line("UP r1");
         connections.push((client, server));
     }
-    // Its server drains: the strict ones are told at once when to come back.
+    // While the pinned server drains, clients of the strict group get a retry delay at once.
     let third = site.address(2);
     site.send_endpoint_list(false, &[("s2", third, "DRAINING")]);
     let effects: Vec<serde_json::Value> = site
@@ -287,9 +294,9 @@
     );
     assert!(
         asked_at.elapsed() < Duration::from_millis(300),
-        "not held back"
+        "the client is rejected without delay"
     );
-    // A tenant's pin stands behind its group's.
+    // A pin of the group takes precedence over one of the tenant.
     let tenant = override_body(r#""kind":"pin","server":"s1","tenant":"acme""#, 60.0);
     site.api.add_override(&tenant);
     let (server_index, client, server) = site.establish_connection("west");
--- a/crates/cli/tests/overrides/main.rs
+++ b/crates/cli/tests/overrides/main.rs
@@ -1,4 +1,4 @@
-//! Stories of overrides: the program with its platform front, administration API and store, over loopback.
+//! Overrides in the whole program: platform front, administration API and store, over loopback.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/cli/tests/overrides/requests.rs
+++ b/crates/cli/tests/overrides/requests.rs
@@ -1,11 +1,11 @@
-//! Requests to the administration API: sent twice, at once, in bad faith, or too many.
+//! Requests to the administration API: repeated, concurrent, invalid, or too many.
 
 use crate::balancer::{Site, out_override_body, override_body};
 
 #[test]
 fn duplicate_concurrent_and_invalid_requests_do_no_harm() {
     let site = Site::start(2);
-    // Sent twice, by one client or by several at once: carried out once.
+    // Repeated requests, from one client or several at once, are carried out once.
     let request_body = out_override_body("s0", 60.0);
     let answers: Vec<(u16, u64, bool)> = std::thread::scope(|scope| {
         let send = || {
@@ -46,7 +46,7 @@
         &out_override_body("s1", 60.0),
     );
     assert_eq!(other.status, 422);
-    // Two changes at once from the same revision: one is told that it came late.
+    // Of two concurrent changes of the same revision, one is rejected.
     let path = format!("/v1/overrides/{id}");
     let mut statuses: Vec<u16> = std::thread::scope(|scope| {
         let change = || {
@@ -188,7 +188,7 @@
             "{method} {path} {request_body}"
         );
     }
-    // None of it changed what holds.
+    // None of the rejected requests changed the overrides in effect.
     let overrides = site.api.overrides();
     assert_eq!(
         (overrides.len(), overrides[0]["revision"].as_u64()),
@@ -199,7 +199,7 @@
 
 #[test]
 fn override_count_and_duration_limits_are_enforced() {
-    // Without a ramp what comes back is back at once.
+    // Without a ramp a returning server is back at once.
     let site = Site::start_with_overrides(1, "most = 3\nlongest_s = 10\nramp_s = 0");
     for number in 0..3 {
         site.api
--- a/crates/cli/tests/roll.rs
+++ b/crates/cli/tests/roll.rs
@@ -1,5 +1,5 @@
-//! Stories of a balancer that is told something by a signal while clients are at it: SIGHUP, SIGTERM, and a roll of a
-//! part of the fleet while servers are replaced.
+//! Signals to a balancer under load: SIGHUP, SIGTERM, and a rolling restart of a part of the fleet while servers are
+//! replaced.
 
 mod support;
 
@@ -13,9 +13,10 @@
 use support::site::Site;
 use support::*;
 
-/// SIGKILL may follow SIGTERM so soon: the longest deadline, counted as 3 s, and 0.7 s.
+/// Shortest time from SIGTERM to SIGKILL: the longest deadline, counted as 3 s, plus 0.7 s.
 const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
 
+/// An invalid file at SIGHUP changes nothing, and the log names the fault; no part of such a file may be applied.
 #[test]
 fn sighup_keeps_configuration_when_file_is_invalid() {
     let site = Site::start("unsound", 2);
@@ -60,7 +61,7 @@
         ("}}", "}", "EOF while parsing"),
         ("}}", "}}}}", "trailing characters"),
     ] {
-        // Discovery's address, which could be taken over, is another one too.
+        // Discovery's address, which a valid file could change, differs as well.
         let invalid_config = changed_config.replacen(from, to, 1);
         let invalid_config = if from == "}}" {
             changed_config.trim_end().trim_end_matches('}').to_owned() + to
@@ -91,7 +92,7 @@
 fn sighup_applies_balancer_count_without_disturbing_connections() {
     let site = Site::start("counted", 1);
     let (mut client, mut server) = site.establish_connection();
-    // One of a few has twelve set-ups under way at first, one of 300 no more than one at once.
+    // A balancer of a small fleet may start with twelve concurrent set-ups, one of 300 with a single one.
     let larger_fleet_config = site.config.replace("\"balancers\":1", "\"balancers\":300");
     std::fs::write(&site.config_path, larger_fleet_config).expect("configuration file is written");
     site.program.signal("HUP");
@@ -110,7 +111,7 @@
         .expect("socket is open");
     assert!(
         site.servers[0].accept().is_err(),
-        "its part of what the fleet may set up is out"
+        "its share of the fleet's set-up limit is in use"
     );
     asked.send("UP r1\r\n");
     first.expect_line("UP r1");
@@ -124,6 +125,7 @@
     site.program.wait_for_log("nothing has changed");
 }
 
+/// After SIGTERM idle connections are still served or ended, and nothing that arrives after their end is forwarded.
 #[test]
 fn sigterm_drains_idle_connections_and_forwards_nothing_afterwards() {
     let mut site = Site::start("rests", 1);
@@ -137,39 +139,42 @@
     let signalled_at = Instant::now();
     site.program.signal("TERM");
     site.program.wait_for_log("to=leaving");
-    // A request on a connection that rested is served, and moved with the others.
+    // A request on an idle connection is served, and its client is moved with the others.
     idle.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     let mut resumed_server = Peer::accept(&site.servers[0]);
     resumed_server.read_line().expect("an OPEN line");
     resumed_server.send("UP r2\r\n");
     idle.expect_line("UP r2");
-    // Half a line of a server ends before the move.
+    // A server's partial line is completed before the client is moved.
     server.send("f\r\n");
     established.expect_line("f");
     established.expect_line("MOVE");
-    // A client that does not let go: what it says now was read after the shutdown.
+    // A client that stays connected: what it sends now arrives after the shutdown of its connection.
     established.send("M late\r\n");
     established.expect_end();
     server.expect_end();
     idle.expect_line("MOVE");
     idle.expect_end();
-    // One that never said anything has an answer or an end, and no reset.
+    // A client that has sent nothing gets an answer or an end of the connection, and no reset.
     let last = silent.read_line();
     assert!(
         matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
         "{last:?}"
     );
-    // Its request comes after that: it is read by nobody, or not sent on.
+    // Its request comes after that: it is not read, or not forwarded.
     let _ = silent
         .stream
         .write_all(b"OPEN b2 02 c=chat,t=acme,d=2500,g=3\r\n");
-    assert!(site.program.exits_cleanly(), "it leaves by itself");
+    assert!(
+        site.program.exits_cleanly(),
+        "program exits with success by itself"
+    );
     site.servers[0]
         .set_nonblocking(true)
         .expect("socket is open");
     assert!(
         site.servers[0].accept().is_err(),
-        "nothing more was sent on"
+        "nothing more is forwarded"
     );
     assert!(
         signalled_at.elapsed() < SIGKILL_DELAY,
@@ -178,7 +183,7 @@
     );
 }
 
-/// Discovery's agents for a whole fleet: they tell each watch the whole list, and each change to all.
+/// Discovery for a whole fleet: sends each new watch the snapshot and every watch each delta.
 #[derive(Clone, Default)]
 struct FleetDiscovery(Arc<Mutex<DiscoveryState>>);
 
@@ -238,7 +243,7 @@
             .retain_mut(|watch| watch.write_all(message.as_bytes()).is_ok());
     }
 
-    /// One server begins to drain, and another takes its place.
+    /// Starts to drain one server and adds another in its place.
     fn replace_server(&self, old: usize, new: (String, SocketAddr)) {
         let message = {
             let mut state = self.0.lock().expect("lock is not poisoned");
@@ -255,10 +260,10 @@
     }
 }
 
-/// What servers saw of openings: the server, the opening's id, and when.
+/// Openings that servers received: the server, the opening's id, and the time.
 type ObservedOpenings = Arc<Mutex<Vec<(usize, String, Instant)>>>;
 
-/// A server that takes all openings and answers all lines.
+/// Runs a server that accepts all openings and reads all lines.
 fn spawn_server(number: usize, listener: TcpListener, observed: &ObservedOpenings) {
     let observed = Arc::clone(observed);
     std::thread::spawn(move || {
@@ -281,22 +286,22 @@
     });
 }
 
-/// What clients are after: whom they may come to, and what became of them.
+/// State shared by the client threads: the balancers that they may use, and the outcomes of their requests.
 struct Clients {
-    /// By balancer: its address, and whether the front sends it clients.
+    /// Address of each balancer, and whether the front sends it clients.
     balancers: Vec<(SocketAddr, AtomicBool)>,
-    /// How often each was started.
+    /// Number of restarts of each balancer.
     restart_counts: Vec<AtomicUsize>,
     is_over: AtomicBool,
     served: AtomicUsize,
-    /// Requests without an answer, by id.
+    /// Ids of the requests without an answer.
     unanswered: Mutex<Vec<String>>,
-    /// Final answers that are not an `UP`.
+    /// Final answers other than `UP`, with their counts.
     other_answers: Mutex<HashMap<String, usize>>,
 }
 
 impl Clients {
-    /// Opens connections at one balancer after another, each held until the next few stand.
+    /// Opens connections at one balancer after another and keeps the last ten established.
     fn run_client_loop(&self, thread: usize) {
         let mut open_clients = std::collections::VecDeque::new();
         for number in 0.. {
@@ -344,11 +349,14 @@
     }
 }
 
+/// One of ten balancers restarts while half of the servers are replaced: every request is answered, and no drained server
+/// gets a request.
 #[test]
 fn rolling_restart_during_server_replacement_loses_no_request() {
     const BALANCERS: usize = 10;
     const SERVERS: usize = 6;
-    /// A request may still begin so long after its balancer was told: 50 ms, and what a loaded machine takes.
+    /// Time after the announcement of a drain in which a request may still reach the server: 50 ms, and a margin for a loaded
+    /// machine.
     const DRAIN_GRACE: Duration = Duration::from_millis(750);
     let observed = ObservedOpenings::default();
     let servers: Vec<(String, SocketAddr)> = (0..SERVERS + SERVERS / 2)
@@ -386,7 +394,7 @@
         .replace("\"balancers\":1,", &format!("\"balancers\":{BALANCERS},"))
         .replace("400000000,", "2000000000,");
     let start = |number: usize, at: SocketAddr| {
-        // The known list is that of the beginning, also at a restart.
+        // The configured endpoint list is the initial one, also at a restart.
         let config = platform_config(
             at,
             discovery_address,
@@ -421,7 +429,7 @@
             Instant::now() + TEST_TIMEOUT,
         );
         while clients.served.load(Ordering::SeqCst) < served_before + count {
-            assert!(Instant::now() < deadline, "nobody is served");
+            assert!(Instant::now() < deadline, "no client is served");
             std::thread::sleep(Duration::from_millis(5));
         }
     };
@@ -441,17 +449,20 @@
         replace(0, &mut drained_at);
         wait_for_served(50);
         programs[0].signal("TERM");
-        // The front goes on for a while.
+        // The front keeps sending clients for a while.
         std::thread::sleep(Duration::from_millis(300));
         clients.balancers[0].1.store(false, Ordering::SeqCst);
         (1..SERVERS / 2).for_each(|at| {
             replace(at, &mut drained_at);
             wait_for_served(50);
         });
-        assert!(programs[0].exits_cleanly(), "it leaves by itself");
+        assert!(
+            programs[0].exits_cleanly(),
+            "program exits with success by itself"
+        );
         programs[0] = start(0, addresses[0]);
         clients.restart_counts[0].store(1, Ordering::SeqCst);
-        // As the front does: it is let in once it says yes.
+        // Like the front, the clients use it once it answers PING with PONG.
         while {
             let mut front = Peer::connect(addresses[0]);
             front.send("PING\r\n");
@@ -465,13 +476,13 @@
     assert_eq!(
         *clients.unanswered.lock().expect("lock is not poisoned"),
         Vec::<String>::new(),
-        "each has an answer"
+        "every request is answered"
     );
     let other_answers = clients.other_answers.lock().expect("lock is not poisoned");
     let refused: usize = other_answers.values().sum();
     assert!(
         refused * 20 <= clients.served.load(Ordering::SeqCst),
-        "hardly any is turned away: {other_answers:?}"
+        "at most one request in 20 is rejected: {other_answers:?}"
     );
     let observed = observed.lock().expect("lock is not poisoned");
     for (server, id, at) in observed
@@ -481,11 +492,11 @@
         let delay = at.saturating_duration_since(drained_at[*server]);
         assert!(
             delay < DRAIN_GRACE,
-            "{id} at s{server}, {delay:?} after it was told"
+            "{id} reached s{server} {delay:?} after its drain was announced"
         );
         assert!(
             !id.starts_with("b0life1"),
-            "{id} at s{server}, which had left before its balancer started"
+            "{id} reached s{server}, which was draining before the balancer restarted"
         );
     }
     let openings_on_new_servers = observed
@@ -494,6 +505,6 @@
         .count();
     assert!(
         openings_on_new_servers > 0,
-        "the one that restarted serves on the new servers"
+        "the restarted balancer uses the new servers"
     );
 }
--- a/crates/cli/tests/stories/affinity.rs
+++ b/crates/cli/tests/stories/affinity.rs
@@ -1,4 +1,4 @@
-//! Clients keep their server, across processes and versions of the configuration.
+//! Clients keep their server across processes and configuration versions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,18 +13,20 @@
     wait_for_all_members, wait_for_placements,
 };
 
-/// Whoever came again since, and where to.
+/// Waits until this many clients have reconnected since a position in the record; returns each client's server.
 fn wait_for_reconnects(fleet: &Fleet, since: usize, count: usize) -> BTreeMap<String, String> {
-    fleet.record.wait("enough came again", |events| {
-        let reconnected = established_connections(&events[since..]);
-        (reconnected.len() >= count).then_some(reconnected)
-    })
+    fleet
+        .record
+        .wait("enough clients have reconnected", |events| {
+            let reconnected = established_connections(&events[since..]);
+            (reconnected.len() >= count).then_some(reconnected)
+        })
 }
 
 #[test]
 fn clients_of_killed_processes_keep_their_servers() {
     let (mut fleet, initial) = start_with_clients(fleet_config(21), 60);
-    let killed = fleet.record.step("two of five are killed");
+    let killed = fleet.record.step("two of five processes are killed");
     fleet.kill(&[0, 1]);
     fleet.wait_until_available(3);
     let after = fleet.wait_all_established();
@@ -41,7 +43,7 @@
         if number == 2 {
             fleet
                 .record
-                .step("a process is cut off from the others while the roll goes on");
+                .step("one process is partitioned from the others during the rollout");
             (0..4).for_each(|other| {
                 fleet
                     .net
@@ -83,7 +85,7 @@
             },
         );
     }
-    fleet.record.step("and back");
+    fleet.record.step("the version is rolled back");
     for number in 0..2 {
         fleet.roll_out(
             number,
@@ -103,7 +105,7 @@
     for round in 0..3 {
         fleet
             .record
-            .step("one is killed, and comes back with an empty disk");
+            .step("one process is killed and restarts with an empty disk");
         fleet.kill(&[round]);
         fleet.wait_until_available(4);
         fleet.wait_all_established();
@@ -154,7 +156,7 @@
         wait_for_placements(&fleet, 40);
         fleet
             .record
-            .step(&format!("{killed:?} are killed, and come back"));
+            .step(&format!("processes {killed:?} are killed and restarted"));
         fleet.kill(&killed);
         fleet.wait_until_available(3);
         fleet.wait_all_established();
@@ -168,15 +170,20 @@
 #[test]
 fn draining_server_gets_no_clients_and_others_stay() {
     let (mut fleet, initial) = start_with_clients(fleet_config(27), 40);
-    fleet.record.step("a server drains, and two processes die");
+    fleet
+        .record
+        .step("a server drains, and two processes are killed");
     fleet.discovery.set_lifecycle("s0", Lifecycle::Draining);
     fleet.servers[0].drain(DrainPace::AtOnce);
     fleet.kill(&[0, 1]);
     fleet.wait_until_available(3);
-    fleet.record.wait("nobody is on it", |events| {
-        let placements = established_connections(events);
-        (placements.len() == 40 && placements.values().all(|server| server != "s0")).then_some(())
-    });
+    fleet
+        .record
+        .wait("the draining server has no clients", |events| {
+            let placements = established_connections(events);
+            (placements.len() == 40 && placements.values().all(|server| server != "s0"))
+                .then_some(())
+        });
     let after = fleet.wait_all_established();
     let unaffected = initial
         .into_iter()
@@ -186,19 +193,18 @@
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
+/// Clients of a restarted server are placed anew; all others return to their servers.
 #[test]
 fn clients_of_other_servers_return_after_server_restart() {
     let (mut fleet, initial) = start_with_clients(fleet_config(28), 40);
-    let restarted = fleet
-        .record
-        .step("a server begins anew, and so do two processes");
+    let restarted = fleet.record.step("a server and two processes restart");
     fleet.kill_servers(&[2]);
     fleet.kill(&[3, 4]);
     fleet.restart_servers(&[2]);
     fleet.start(&[3, 4], Disk::Kept);
     fleet.wait_until_available(5);
     let after = fleet.wait_all_established();
-    // Some of the others are moved on purpose, to fill the cold one.
+    // Some of the other clients are moved on purpose, to fill the cold server.
     let moved = fleet.record.clients_moved_since(restarted);
     let unaffected = initial
         .into_iter()
--- a/crates/cli/tests/stories/combined.rs
+++ b/crates/cli/tests/stories/combined.rs
@@ -1,4 +1,4 @@
-//! Faults that come together.
+//! Combinations of faults.
 
 use beaconflow_fault_injection::{
     ConfigVersion, Direction, Disk, DrainPace, Fault, FleetConfig, Lifecycle, Rules,
@@ -30,15 +30,15 @@
     fleet.roll_out(0, SECOND_VERSION);
     fleet.roll_out(1, SECOND_VERSION);
     wait_for_placements(&fleet, 40);
-    let outage_start = fleet
-        .record
-        .step("the power is lost, and discovery with it");
+    let outage_start = fleet.record.step("power loss, also at discovery");
     cut_power(&mut fleet);
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
     let after_power_loss = fleet.wait_all_established_since(outage_start);
     assert_placements_kept(&fleet, &initial, &after_power_loss);
-    fleet.record.step("discovery is back, and the roll goes on");
+    fleet
+        .record
+        .step("discovery is back, and the rollout continues");
     fleet.discovery.come_back();
     wait_for_all_members(&fleet);
     fleet.roll_out(2, SECOND_VERSION);
@@ -53,13 +53,16 @@
     wait_for_uplink_state(&fleet, "south", "islanded");
     fleet
         .record
-        .step("a server drains; the island does not hear it from discovery, but from the server");
+        .step("a server drains; the isolated site learns it from the server instead of discovery");
     fleet.discovery.set_lifecycle("s1", Lifecycle::Draining);
     fleet.servers[1].drain(DrainPace::AtOnce);
-    fleet.record.wait("nobody is on it", |events| {
-        let placements = established_connections(events);
-        (placements.len() == 40 && placements.values().all(|server| server != "s1")).then_some(())
-    });
+    fleet
+        .record
+        .wait("the draining server has no clients", |events| {
+            let placements = established_connections(events);
+            (placements.len() == 40 && placements.values().all(|server| server != "s1"))
+                .then_some(())
+        });
     fleet.record.step("the uplink is back");
     fleet.fault_uplink("south", Fault::Heal);
     wait_for_uplink_state(&fleet, "south", "linked");
@@ -82,7 +85,7 @@
     wait_for_uplink_state(&fleet, "south", "islanded");
     fleet
         .record
-        .step("the uplink is back, and one of the site is stopped");
+        .step("the uplink is back, and one process of the site is paused");
     fleet.balancers[4].process.pause();
     fleet.fault_uplink("south", Fault::Heal);
     for number in [2, 3] {
@@ -92,7 +95,7 @@
                 .is_some_and(|uplink| uplink.starts_with("linked"))
         });
     }
-    fleet.record.step("it goes on");
+    fleet.record.step("the paused process resumes");
     fleet.balancers[4].process.resume();
     wait_for_all_members(&fleet);
     wait_for_uplink_state(&fleet, "south", "linked");
@@ -112,13 +115,13 @@
     wait_for_uplink_state(&fleet, "south", "islanded");
     fleet
         .record
-        .step("all processes of the island lose their power, and one its disk");
+        .step("all processes of the isolated site lose power, and one loses its disk");
     fleet.kill(&[3, 4]);
     fleet.wait_until_available(3);
     fleet.start(&[3], Disk::Kept);
     fleet.start(&[4], Disk::Lost);
     fleet.wait_until_available(5);
-    // The one without a disk has lost nothing that it ever saw: too little says to it that it is the link.
+    // The process without a disk does not remember having lost anything, so it has too little evidence of an uplink failure.
     fleet.wait_for_status(3, "islanded", |status| {
         status["uplink"]
             .as_str()
@@ -144,9 +147,9 @@
     fleet.wait_until_available(0);
     fleet.discovery.lose_state();
     fleet.discovery.go_down();
-    let outage_start = fleet.record.step(
-        "the power is back, two disks are gone, discovery knows nothing of before and is late",
-    );
+    let outage_start = fleet
+        .record
+        .step("power returns, two disks are lost, and discovery lost its state and returns late");
     fleet.start(&[0, 1], Disk::Lost);
     fleet.start(&[2, 3, 4], Disk::Kept);
     fleet.wait_until_available(5);
@@ -166,9 +169,9 @@
         std::time::Duration::from_millis(40),
     ));
     for killed in [[0, 1], [2, 3]] {
-        fleet
-            .record
-            .step(&format!("{killed:?} die, one comes back without its disk"));
+        fleet.record.step(&format!(
+            "processes {killed:?} are killed, and one restarts without its disk"
+        ));
         fleet.kill(&killed);
         fleet.wait_until_available(3);
         fleet.wait_all_established();
@@ -187,7 +190,7 @@
     let (mut fleet, initial) = start_with_clients(fleet_config(47), 40);
     fleet
         .record
-        .step("one process is stopped, and discovery falls silent");
+        .step("one process is paused, and discovery falls silent");
     fleet.balancers[4].process.pause();
     fleet.discovery.silence_watches();
     fleet.wait_until_available(4);
--- a/crates/cli/tests/stories/edge.rs
+++ b/crates/cli/tests/stories/edge.rs
@@ -11,7 +11,7 @@
 
 const SITES: [(&str, usize); 2] = [("north", 3), ("south", 2)];
 
-/// Waits until the processes of a site are in a state, as they say it themselves.
+/// Waits until every process of a site reports this state of its uplink.
 pub fn wait_for_uplink_state(fleet: &Fleet, site: &str, state: &str) {
     for number in fleet.site_members(site) {
         fleet.wait_for_status(number, state, |status| {
@@ -30,7 +30,7 @@
     fleet.fault_uplink("south", Fault::Partition(Direction::Both));
     wait_for_uplink_state(&fleet, "south", "islanded");
     wait_for_uplink_state(&fleet, "north", "linked");
-    fleet.record.step("new clients come meanwhile");
+    fleet.record.step("new clients connect meanwhile");
     fleet.start_clients(super::clients(60).skip(40));
     let all = fleet.wait_all_established();
     fleet.record.step("the uplink is back");
@@ -57,7 +57,9 @@
     );
     fleet.fault_uplink("south", Fault::Partition(Direction::Both));
     wait_for_uplink_state(&fleet, "south", "islanded");
-    fleet.record.step("one restarts with its disk, one without");
+    fleet
+        .record
+        .step("one process restarts with its disk, one without");
     fleet.kill(&[3]);
     fleet.wait_until_available(4);
     fleet.start(&[3], Disk::Kept);
@@ -73,7 +75,7 @@
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
-/// How often the processes of a site said that they became an island.
+/// Number of log events in which a process became isolated.
 fn isolation_count(fleet: &Fleet) -> usize {
     let events = fleet.record.events_by_time();
     let is_isolation = |kind: &EventKind| matches!(kind, EventKind::Log { line, .. } if line["part"] == "edge" && line["to"] == "islanded");
@@ -83,13 +85,14 @@
         .count()
 }
 
+/// While the uplink fails every other second, each process of the site becomes isolated at most once.
 #[test]
 fn flapping_link_does_not_make_site_flap() {
     let (fleet, initial) = start_with_clients(fleet_config_with_sites(33, &SITES), 40);
     wait_for_uplink_state(&fleet, "south", "linked");
     fleet
         .record
-        .step("the uplink of the south comes and goes, every second for ten");
+        .step("the uplink of the south fails and returns every second for ten seconds");
     for turn in 0..5 {
         fleet.fault_uplink("south", Fault::Partition(Direction::Both));
         std::thread::sleep(Duration::from_secs(1));
@@ -108,18 +111,19 @@
     let count = isolation_count(&fleet);
     assert!(
         count <= fleet.site_members("south").len(),
-        "islands {count} times"
+        "processes became isolated {count} times"
     );
     finish_with_placements_kept(fleet, &initial);
 }
 
+/// An uplink that fails in one direction isolates the site, although the other site still receives its messages.
 #[test]
 fn site_that_receives_nothing_becomes_isolated() {
     let (fleet, initial) = start_with_clients(fleet_config_with_sites(34, &SITES), 40);
     wait_for_uplink_state(&fleet, "south", "linked");
     fleet
         .record
-        .step("nothing comes in over the uplink of the south any more; what goes out arrives");
+        .step("the uplink of the south drops incoming traffic; outgoing traffic arrives");
     fleet.fault_uplink("south", Fault::Partition(Direction::Reverse));
     wait_for_uplink_state(&fleet, "south", "islanded");
     wait_for_uplink_state(&fleet, "north", "linked");
@@ -128,18 +132,19 @@
     finish_with_placements_kept(fleet, &initial);
 }
 
+/// A site that still reaches the other site is not isolated, even when discovery is down for all.
 #[test]
 fn discovery_outage_isolates_no_site() {
     let (mut fleet, initial) = start_with_clients(fleet_config_with_sites(35, &SITES), 40);
     wait_for_uplink_state(&fleet, "south", "linked");
-    let outage_start = fleet.record.step("discovery is down for all");
+    let outage_start = fleet.record.step("discovery is down for all processes");
     fleet.discovery.go_down();
     for number in 0..5 {
         fleet.wait_for_log(outage_start, &format!("b{number}"), "watch ended");
     }
     fleet
         .record
-        .step("a process of each site dies and comes back meanwhile");
+        .step("a process of each site is killed and restarted meanwhile");
     fleet.kill(&[2, 4]);
     fleet.wait_until_available(3);
     fleet.start(&[2, 4], Disk::Kept);
@@ -159,7 +164,7 @@
     wait_for_uplink_state(&fleet, "north", "linked");
     fleet
         .record
-        .step("one process of the north is cut off from discovery and all others");
+        .step("one process of the north is partitioned from discovery and all other processes");
     let is_own_link = |link: &String| link.contains('~') || link.ends_with(">discovery");
     let links: Vec<String> = fleet
         .net
@@ -171,7 +176,9 @@
         .iter()
         .for_each(|link| fleet.net.fault(link, Fault::Partition(Direction::Both)));
     for number in 1..5 {
-        fleet.wait_for_status(number, "one is gone", |status| status["processes"] == 4);
+        fleet.wait_for_status(number, "one member fewer", |status| {
+            status["processes"] == 4
+        });
     }
     fleet.wait_all_established();
     wait_for_uplink_state(&fleet, "south", "linked");
--- a/crates/cli/tests/stories/main.rs
+++ b/crates/cli/tests/stories/main.rs
@@ -1,7 +1,7 @@
-//! Stories of a whole fleet through failure: real processes, servers and discovery, with links between any two that break.
+//! Failures of a whole fleet: real processes, servers and discovery, with faults on the links between any two of them.
 //!
-//! Each says in its name what has to hold. `BEACONFLOW_WITHOUT=affinity` (or `edge`, `memory`, `fleet`) leaves a mechanism
-//! out at all processes: the table in `docs/design/fleet-memory-stories.md` says which stories fail then.
+//! The name of each test says what has to hold. `BEACONFLOW_WITHOUT=affinity` (or `edge`, `memory`, `fleet`) disables a
+//! mechanism at all processes; the table in `docs/design/fleet-memory-stories.md` lists the tests that fail then.
 
 mod affinity;
 mod combined;
@@ -12,16 +12,16 @@
 
 use beaconflow_fault_injection::{ClientConfig, Fleet, FleetConfig, FleetOptions, Rules};
 
-/// The processes of a fleet, by number.
+/// Numbers of all processes of a fleet.
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 const PROGRAM: &str = env!("CARGO_BIN_EXE_beaconflow");
 
-/// Five processes and six servers that know things together, in one site.
+/// Five processes with shared state and six servers, in one site.
 fn fleet_config(seed: u64) -> FleetConfig {
     fleet_config_with_sites(seed, &[("north", 5)])
 }
 
-/// The same in these sites.
+/// Like `fleet_config`, with the processes in these sites.
 fn fleet_config_with_sites(seed: u64, sites: &[(&str, usize)]) -> FleetConfig {
     let options = FleetOptions::with_sites(sites);
     let options = match std::env::var("BEACONFLOW_WITHOUT") {
@@ -36,12 +36,12 @@
     }
 }
 
-/// Clients of no group: nothing but what is remembered of them leads them back to their server.
+/// Clients without a group: only a remembered placement brings them back to their server.
 fn clients(count: usize) -> impl Iterator<Item = ClientConfig> {
     (0..count).map(|number| ClientConfig::without_group(&format!("k{number}"), "chat", "acme"))
 }
 
-/// A fleet with its clients standing, and all that one knows known to the others; gives where each client stands.
+/// Starts a fleet, connects its clients and waits until every process knows all placements; returns each client's server.
 fn start_with_clients(
     fleet_config: FleetConfig,
     count: usize,
@@ -49,34 +49,34 @@
     let mut fleet = Fleet::new(fleet_config);
     fleet.start_all();
     wait_for_all_members(&fleet);
-    let clients_started = fleet.record.step("clients come");
+    let clients_started = fleet.record.step("clients connect");
     fleet.start_clients(clients(count));
     let placed = fleet.wait_all_established_since(clients_started);
     wait_for_placements(&fleet, count);
     (fleet, placed)
 }
 
-/// Whether the processes know anything together in this run.
+/// Whether the processes share state in this run.
 fn shares_state(fleet: &Fleet) -> bool {
     fleet.options().is_some_and(|options| options.fleet)
 }
 
-/// Waits until each process knows all others to be there.
+/// Waits until each process sees all others as members.
 fn wait_for_all_members(fleet: &Fleet) {
     let count = fleet.balancers.len();
     for number in (0..count).filter(|_| shares_state(fleet)) {
-        fleet.wait_for_status(number, "all are there", |status| {
+        fleet.wait_for_status(number, "all processes are members", |status| {
             status["processes"] == count
         });
     }
 }
 
-/// Waits until each process remembers so many clients.
+/// Waits until each process knows the placements of this many clients.
 fn wait_for_placements(fleet: &Fleet, count: usize) {
     wait_for_placements_except(fleet, count, &[]);
 }
 
-/// The same, but for some that do not run.
+/// Like `wait_for_placements`, except for processes that do not run.
 fn wait_for_placements_except(fleet: &Fleet, count: usize, stopped: &[usize]) {
     let shares_placements = fleet
         .options()
@@ -90,8 +90,8 @@
     }
 }
 
-/// Each of these is at the server where it was, unless that was tried first and did not take it, as on a machine with much
-/// to do; if not, the first that is not is told of.
+/// Checks that each client is at its previous server, unless an attempt there failed first, as happens on a loaded machine.
+/// The panic contains the history of the first displaced client.
 fn assert_placements_kept(
     fleet: &Fleet,
     before: &BTreeMap<String, String>,
@@ -107,7 +107,7 @@
         .collect();
     if let Some(first) = moved.first() {
         panic!(
-            "{} of {} are elsewhere: {moved:?}\n{}",
+            "{} of {} clients are at other servers: {moved:?}\n{}",
             moved.len(),
             before.len(),
             fleet.record.client_history(first)
@@ -115,21 +115,22 @@
     }
 }
 
-/// The power is lost to all processes, and discovery with it; the servers have power of their own.
+/// Kills all processes and takes discovery down; the servers keep running, as on a separate power supply.
 fn cut_power(fleet: &mut Fleet) {
     fleet.discovery.go_down();
     fleet.kill(&ALL);
     fleet.wait_until_available(0);
 }
 
-/// All processes serve again, and each client has come to stand since a place in the record, at the server where it was.
+/// Checks that all processes serve again and that each client was established at its previous server since a position in
+/// the record.
 fn assert_all_returned_since(fleet: &Fleet, since: usize, before: &BTreeMap<String, String>) {
     fleet.wait_until_available(ALL.len());
     let after = fleet.wait_all_established_since(since);
     assert_placements_kept(fleet, before, &after);
 }
 
-/// How most stories end: all clients stand, each where it was, and every rule was kept.
+/// Checks at the end of a test that each client is established at its previous server and that no rule was violated.
 fn finish_with_placements_kept(fleet: Fleet, before: &BTreeMap<String, String>) {
     let after = fleet.wait_all_established();
     assert_placements_kept(&fleet, before, &after);
--- a/crates/cli/tests/stories/power.rs
+++ b/crates/cli/tests/stories/power.rs
@@ -16,7 +16,9 @@
 #[test]
 fn remaining_processes_serve_all_clients_after_two_kills() {
     let (mut fleet, initial) = start_with_clients(fleet_config(11), 48);
-    fleet.record.step("two of five are killed at once");
+    fleet
+        .record
+        .step("two of five processes are killed at once");
     fleet.kill(&[0, 1]);
     fleet.wait_until_available(3);
     let after = fleet.wait_all_established();
@@ -35,7 +37,7 @@
     );
     let outage_start = fleet
         .record
-        .step("the power is lost: processes and discovery end; servers have power of their own");
+        .step("power loss: processes and discovery end; servers keep running");
     cut_power(&mut fleet);
     fleet.start(&ALL, Disk::Kept);
     assert_all_returned_since(&fleet, outage_start, &initial);
@@ -55,7 +57,7 @@
     );
     let outage_start = fleet
         .record
-        .step("the power is lost, and with it three of five disks");
+        .step("power loss, with the loss of three of five disks");
     cut_power(&mut fleet);
     fleet.start(&[0, 1, 2], Disk::Lost);
     fleet.start(&[3, 4], Disk::Kept);
@@ -73,23 +75,25 @@
         },
         40,
     );
-    fleet.record.step("the power is lost");
+    fleet.record.step("power loss");
     cut_power(&mut fleet);
     let second_outage = fleet
         .record
-        .step("it is back, and lost again while everybody is still asking");
+        .step("power returns and fails again while all processes are still in recovery");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1", "b2", "b3", "b4"] {
         fleet.wait_for_log(second_outage, name, "part of a fleet");
     }
     fleet.kill(&ALL);
-    let outage_start = fleet.record.step("and back");
+    let outage_start = fleet.record.step("power returns");
     fleet.start(&ALL, Disk::Kept);
     assert_all_returned_since(&fleet, outage_start, &initial);
     fleet.discovery.come_back();
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
+/// All processes, servers and discovery lose power, and discovery returns last: 99 % of the clients have to be served within
+/// 1.3 times the refill time of the cold servers, and no server may be overloaded.
 #[test]
 fn cold_servers_refill_in_time_without_overload() {
     let server_profile = ServerProfile {
@@ -107,14 +111,14 @@
     );
     let outage_start = fleet
         .record
-        .step("the power is lost: every process and server ends, and discovery too");
+        .step("power loss: all processes, servers and discovery end");
     fleet.discovery.go_down();
     fleet.kill(&ALL);
     fleet.kill_servers(&SERVERS);
     fleet.wait_until_available(0);
     fleet
         .record
-        .step("the power is back; servers are cold, and discovery is still away");
+        .step("power returns; servers are cold, and discovery is still down");
     fleet.restart_servers(&SERVERS);
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
@@ -127,11 +131,12 @@
     fleet.finish(&Rules::default()).assert_no_violations();
     assert!(
         served * 100 >= initial.len() * 99,
-        "{served} of {} are served after {bound:?}",
+        "{served} of {} clients are served after {bound:?}",
         initial.len()
     );
 }
 
+/// A process that was paused through the outage resumes with outdated state and must not route clients by it.
 #[test]
 fn process_paused_through_outage_keeps_placements() {
     let (mut fleet, initial) = start_with_clients(
@@ -143,7 +148,7 @@
     );
     fleet
         .record
-        .step("one is stopped; then the power is lost to all others");
+        .step("one process is paused; then all others lose power");
     fleet.balancers[4].process.pause();
     let paused_at = Instant::now();
     fleet.discovery.go_down();
@@ -152,9 +157,9 @@
     fleet.start(&[0, 1, 2, 3], Disk::Kept);
     fleet.wait_until_available(4);
     fleet.discovery.come_back();
-    // Long enough that it has to notice by itself.
+    // Long enough that the process has to detect the pause by itself.
     std::thread::sleep(Duration::from_secs(4).saturating_sub(paused_at.elapsed()));
-    let resumed = fleet.record.step("it wakes");
+    let resumed = fleet.record.step("the paused process resumes");
     fleet.balancers[4].process.resume();
     fleet.wait_until_available(5);
     fleet.wait_for_log(resumed, "b4", "was not run for");
@@ -168,6 +173,7 @@
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
+/// After discovery has lost its state, its new list counts, and no client is routed by the list from before.
 #[test]
 fn fleet_follows_discovery_that_lost_its_state() {
     let (mut fleet, initial) = start_with_clients(
@@ -179,13 +185,13 @@
     );
     fleet
         .record
-        .step("the power is lost; discovery has lost its state, and a server is gone meanwhile");
+        .step("power loss; discovery has lost its state, and one server has gone meanwhile");
     fleet.kill(&ALL);
     fleet.kill_servers(&[5]);
     fleet.wait_until_available(0);
     fleet.discovery.set_lifecycle("s5", Lifecycle::Draining);
     fleet.discovery.lose_state();
-    let outage_start = fleet.record.step("the power is back");
+    let outage_start = fleet.record.step("power returns");
     fleet.start(&ALL, Disk::Kept);
     fleet.wait_until_available(5);
     let after = fleet.wait_all_established_since(outage_start);
@@ -198,6 +204,8 @@
     fleet.finish(&Rules::default()).assert_no_violations();
 }
 
+/// A truncated memory file and one of another process are logged and not used; the placements come from the other
+/// processes.
 #[test]
 fn corrupt_or_foreign_memory_files_are_logged_and_survived() {
     let (mut fleet, initial) = start_with_clients(
@@ -209,14 +217,14 @@
     );
     fleet
         .record
-        .step("the power is lost; one disk is torn, and one is another process's");
+        .step("power loss; one memory file is truncated, and one belongs to another process");
     cut_power(&mut fleet);
     let memory_path = |number: usize| fleet.balancers[number].process.disk().join("memory");
     let memory_bytes = std::fs::read(memory_path(0)).expect("memory file was written");
     std::fs::write(memory_path(0), &memory_bytes[..memory_bytes.len() / 3])
         .expect("write succeeds");
     std::fs::copy(memory_path(2), memory_path(1)).expect("write succeeds");
-    let outage_start = fleet.record.step("the power is back");
+    let outage_start = fleet.record.step("power returns");
     fleet.start(&ALL, Disk::Kept);
     for name in ["b0", "b1"] {
         fleet.wait_for_log(outage_start, name, "a file is not read");
@@ -235,12 +243,12 @@
         },
         40,
     );
-    fleet.record.step("the power is lost");
+    fleet.record.step("power loss");
     fleet.kill(&ALL);
     fleet.wait_until_available(0);
     let outage_start = fleet
         .record
-        .step("the power is back, and two are cut off from three");
+        .step("power returns, and two processes are partitioned from three");
     let links_between = [0, 1]
         .iter()
         .flat_map(|near| [2, 3, 4].map(|far| format!("b{near}~b{far}")));
@@ -252,7 +260,7 @@
     fleet.wait_until_available(5);
     let while_partitioned = fleet.wait_all_established_since(outage_start);
     assert_placements_kept(&fleet, &initial, &while_partitioned);
-    fleet.record.step("they meet");
+    fleet.record.step("the partition heals");
     links_between
         .iter()
         .for_each(|link| fleet.net.fault(link, Fault::Heal));
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -1,4 +1,4 @@
-//! The peers' sealed datagrams, brought to the suite: an end is what a process tells the others through its node.
+//! Adapter of the peers' encrypted datagrams to the contract suite: an end sends through the gossip of its node.
 
 use std::collections::VecDeque;
 use std::net::UdpSocket;
@@ -16,12 +16,12 @@
 
 use crate::link_fault;
 
-/// What stands between two messages in one datagram.
+/// Separator between messages in one datagram.
 const MESSAGE_SEPARATOR: u8 = b'\n';
-/// What a node with a name of eight letters has room for, without the mark.
+/// Room in a datagram of a node with an eight-letter name, without the separator.
 const MAX_MESSAGE_BYTES: usize = 1_123 - 1;
 
-/// Two nodes a pair, each with its own socket, and a link between them.
+/// Pairs of nodes, each node with its own socket, and a link between the two.
 pub struct PeerDatagrams {
     net: Net,
     weather: LinkFault,
@@ -29,17 +29,17 @@
     send_queues: Vec<SendQueue>,
 }
 
-/// What an end has been given to send and its node has not taken yet.
+/// Messages that an end was given to send and that its node has not taken yet.
 #[derive(Clone, Default)]
 struct SendQueue(Arc<(Mutex<VecDeque<String>>, Condvar)>);
 
 impl SendQueue {
     fn lock(&self) -> MutexGuard<'_, VecDeque<String>> {
-        // Whole messages, sound at every moment.
+        // The queue holds whole messages and is consistent even after a panic.
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the node has taken all of it.
+    /// Waits until the node has taken all messages; false after the timeout.
     fn wait_until_sent(&self) -> bool {
         let wait = self
             .0
@@ -49,7 +49,7 @@
     }
 }
 
-/// Tells the other end what waits, as much as there is room for.
+/// Payload that gossips the queued messages, as many as there is room for.
 struct QueuePayload {
     send_queue: SendQueue,
     received: Sender<String>,
@@ -60,7 +60,7 @@
         let mut messages = self.send_queue.lock();
         let mut bytes = Vec::new();
         while let Some(next) = messages.front() {
-            // One that is too long for any datagram goes to the node alone: what becomes of it is the node's.
+            // A message too long for any datagram is passed on alone; how it is handled is up to the node.
             if !bytes.is_empty() && bytes.len() + next.len() + 1 > room {
                 break;
             }
@@ -114,7 +114,7 @@
 
 impl Subject for PeerDatagrams {
     fn traits(&self) -> Traits {
-        // A datagram may be lost and overtaken, and one that is doubled is taken once.
+        // A datagram may be lost or overtaken, and a duplicate is delivered once.
         Traits {
             ordered: false,
             reliable: false,
@@ -127,7 +127,7 @@
 
     fn pair(&mut self) -> Pair {
         self.pairs += 1;
-        // They meet in fair weather.
+        // The two nodes meet over a link without faults.
         let names = ["near", "away"].map(|side| format!("{side}{:04}", self.pairs));
         let sockets =
             [(), ()].map(|()| UdpSocket::bind(listen_address()).expect("loopback socket is bound"));
@@ -179,7 +179,7 @@
             let is_up = |event: Event| matches!(event, Event::Up(_));
             assert!(
                 end.events.recv_timeout(TIMEOUT).is_ok_and(is_up),
-                "they do not meet"
+                "the two nodes do not meet"
             );
         }
         self.send_queues
@@ -190,10 +190,10 @@
     }
 
     fn weather(&mut self, weather: LinkFault) {
-        // What was sent goes out in the weather that it was sent in.
+        // Messages sent so far go out before the link conditions change.
         assert!(
             self.send_queues.iter().all(SendQueue::wait_until_sent),
-            "a node takes nothing"
+            "a node does not take its messages"
         );
         self.weather = weather;
         for link in self.net.links() {
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -1,4 +1,4 @@
-//! The program's fronts, brought to the suite.
+//! Adapter of the program's fronts to the contract suite.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 use crate::support::nats::{Redis, start_redis};
 use crate::support::*;
 
-/// How messages are written.
+/// Protocol of a front, and how it encodes messages.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Protocol {
     Platform,
@@ -23,11 +23,11 @@
 }
 
 const PASSWORD: &str = "acme's own password";
-/// Longest payload in the operator's file.
+/// Maximum payload in the operator's file, in bytes.
 const MAX_PAYLOAD: usize = 4_000;
 
 impl Protocol {
-    /// A message as the near end or the far end writes it.
+    /// Encodes a message as the near end (the client) or the far end (the server) sends it.
     fn encode(self, message: &str, is_near: bool) -> String {
         let verb = if is_near { "PUB a" } else { "MSG a 1" };
         match self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a client that has sent its opening is served.
+    /// Reads the answer to a client's opening and returns whether the client is served.
     fn is_served(self, near: &TcpStream) -> bool {
         let served = if self == Protocol::Platform {
             "UP "
@@ -47,12 +47,12 @@
         line.is_ok_and(|line| line.starts_with(served))
     }
 
-    /// How many bytes of it are the first part of a payload of so many.
+    /// Offset of the payload in the encoded message.
     fn payload_offset(self, message: &str, is_near: bool) -> usize {
         self.encode(message, is_near).len() - message.len() - 2
     }
 
-    /// A line that is a message's first, and how many bytes follow it; what it says by itself.
+    /// Parses the first line of a message.
     fn parse_line(self, line: &str) -> Line {
         let fields: Vec<&str> = line.split(' ').collect();
         match (self, &fields[..]) {
@@ -76,7 +76,7 @@
     Other,
 }
 
-/// The program with one server, and a link on each side of it.
+/// The program with one server, and a faultable link on each side of the program.
 pub struct Front {
     protocol: Protocol,
     net: Net,
@@ -165,15 +165,15 @@
         address: admin,
         token: ADMIN_TOKEN,
     };
-    // On a loaded machine the store may seem away for a while; then the call may be repeated.
+    // On a loaded machine the store may be unavailable for a while, so the call is repeated.
     let added =
         (0..20).any(|_| matches!(api.call("POST", "/v1/tenants", &tenant).status, 201 | 409));
-    assert!(added, "the tenant is not taken");
+    assert!(added, "the tenant is not accepted");
     (program, redis)
 }
 
 impl Front {
-    /// A client that has come to stand.
+    /// Opens a client connection; `None` if it is refused.
     fn open_client(&mut self) -> Option<TcpStream> {
         self.next_client_id += 1;
         let opening = match self.protocol {
@@ -195,7 +195,7 @@
 impl Subject for Front {
     fn traits(&self) -> Traits {
         let (longest, silence) = match self.protocol {
-            // 4 KiB with what is round the message.
+            // 4 KiB including the framing of the message.
             Protocol::Platform => (4_096 - 4, 3_000),
             Protocol::Nats => (MAX_PAYLOAD, 3_000),
         };
@@ -212,15 +212,15 @@
 
     fn pair(&mut self) -> Pair {
         let deadline = Instant::now() + TEST_TIMEOUT * 3;
-        // On a loaded machine a set-up may take too long, and is refused for a while: whoever is refused comes again.
+        // On a loaded machine set-ups may take too long and are refused for a while, so a refused client retries.
         let near = loop {
             if let Some(near) = self.open_client() {
                 break near;
             }
-            assert!(Instant::now() < deadline, "nobody is served");
+            assert!(Instant::now() < deadline, "no client is served");
             std::thread::sleep(Duration::from_millis(20));
         };
-        // The balancer gives up one pass before it begins another: the last one is the one that stands.
+        // The balancer ends one session before it begins another, so the last one is the established one.
         let first = self
             .sessions
             .recv_timeout(TEST_TIMEOUT)
@@ -239,10 +239,10 @@
     }
 }
 
-/// Messages that are read ahead: beyond them a far end that takes nothing holds its sender back.
+/// Messages read ahead of the test; beyond them a far end that takes nothing blocks its sender.
 const READ_AHEAD_MESSAGES: usize = 8;
 
-/// One end of a connection. A thread reads it, and answers a server's questions that are none of the contract's.
+/// One end of a connection. A thread reads it and answers keepalives, which are not part of the contract.
 struct Connection {
     stream: TcpStream,
     protocol: Protocol,
@@ -252,7 +252,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// Reads to the first line with one of these beginnings. Byte by byte: what follows is another's.
+/// Reads up to the first line with one of these prefixes. It reads byte by byte, as another reader takes what follows.
 fn read_line_starting_with(mut stream: &TcpStream, beginnings: &[&str]) -> std::io::Result<String> {
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     loop {
@@ -272,7 +272,7 @@
     }
 }
 
-/// Sets up whatever pass comes to the server. An end stands here before its balancer is told that it stands.
+/// Accepts all sessions at the server. Each end is registered before the balancer gets the answer that establishes it.
 fn accept_sessions(protocol: Protocol, server: &TcpListener, session_sender: &Sender<Connection>) {
     while let Ok((stream, _)) = server.accept() {
         let session_sender = session_sender.clone();
@@ -325,7 +325,7 @@
     }
 }
 
-/// Reads to the end, and tells what was heard.
+/// Reads to the end of the connection and reports what was received.
 fn read_messages(
     mut stream: &TcpStream,
     protocol: Protocol,
@@ -415,7 +415,7 @@
 }
 
 impl Drop for Connection {
-    /// The last one that lets go of the connection ends it: its thread goes first.
+    /// The connection closes when its last handle is dropped, so the reader thread is joined first.
     fn drop(&mut self) {
         self.received = None;
         let _ = self.stream.shutdown(Shutdown::Read);
--- a/crates/cli/tests/transports/main.rs
+++ b/crates/cli/tests/transports/main.rs
@@ -1,4 +1,4 @@
-//! Everything that carries messages for the program keeps to the contract of transports: a new one is one line here.
+//! Every transport of the program conforms to the transport contract; a new transport needs one test here.
 
 mod datagrams;
 mod fronts;
@@ -27,7 +27,7 @@
     assert_conforms(PeerDatagrams::default);
 }
 
-/// The weather as it is made of a link.
+/// The link fault that produces these conditions.
 fn link_fault(weather: LinkFault) -> Fault {
     match weather {
         LinkFault::Fair => Fault::Heal,
