--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -93,7 +93,7 @@
         process.program.wait_for_log("to=serving");
         process.wait_for_fleet_field("processes", 3);
     }
-    let (observers, other) = (&processes[..2], &processes[2]);
+    let (observers, third) = (&processes[..2], &processes[2]);
     // Clients connect through two processes until the third one, which gets no clients, knows of the failure.
     let mut clients = Vec::new();
     let mut wait_until_known = |server: &str, expected: &str| {
@@ -108,7 +108,7 @@
                 client.send("leave\r\n");
             }
             clients.push(client);
-            let (state, why) = effective_state(&other.api.call("GET", "/v1/farm", "").body, server);
+            let (state, why) = effective_state(&third.api.call("GET", "/v1/farm", "").body, server);
             if state.contains("out") {
                 assert!(why.contains(expected), "{why}");
                 return;
@@ -118,14 +118,14 @@
     wait_until_known("s3", "it takes no connection");
     wait_until_known("s2", "drains");
     // Healthy servers stay ready: the drains of other servers are no reason to skip them.
-    let farm = other.api.call("GET", "/v1/farm", "").body;
+    let farm = third.api.call("GET", "/v1/farm", "").body;
     for healthy in ["s0", "s1"] {
         assert!(
             effective_state(&farm, healthy).0.contains("ready"),
             "{farm}"
         );
     }
-    let line = other.program.wait_for_log("skipped");
+    let line = third.program.wait_for_log("skipped");
     assert!(
         line.contains("server=s3") || line.contains("server=s2"),
         "{line}"
@@ -153,12 +153,13 @@
         .collect();
     let fleet = Fleet::with_endpoints(3, &endpoint_list(1, true, &rows), openings);
     let start = |number: usize| {
-        let (site, other, size) = if number < 2 {
+        let (site, other_site, size) = if number < 2 {
             ("north", "south", 2)
         } else {
             ("south", "north", 1)
         };
-        let fleet_fields = format!("size = 3\nsite_size = {size}\nother_sites = [\"{other}\"]");
+        let fleet_fields =
+            format!("size = 3\nsite_size = {size}\nother_sites = [\"{other_site}\"]");
         let sections = fleet
             .operator_sections_with(number, &fleet_fields, "")
             .replace("site = \"north\"", &format!("site = \"{site}\""));
--- a/crates/cli/tests/fleet_memory.rs
+++ b/crates/cli/tests/fleet_memory.rs
@@ -59,7 +59,7 @@
     assert!(
         ["fleet.peers", "edge.word", "affinity.serial"]
             .iter()
-            .all(|what| line.contains(what)),
+            .all(|field| line.contains(field)),
         "{line}"
     );
     let line = a.program.wait_for_log("takes a restart");
@@ -81,7 +81,7 @@
 fn descriptor_targets(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/fd", program.pid());
     let entries = std::fs::read_dir(folder).expect("program is running");
-    let links = entries.filter_map(|one| std::fs::read_link(one.ok()?.path()).ok());
+    let links = entries.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
     links
         .map(|path| path.to_string_lossy().into_owned())
         .collect()
@@ -122,12 +122,12 @@
 #[test]
 fn no_fleet_threads_or_descriptors_without_fleet_sections() {
     let fleet = Fleet::start(1, 1);
-    let with = fleet.start_process(0, &fleet.operator_sections(0, ""));
-    with.program.wait_for_log("to=serving");
-    with.wait_for_fleet_field("processes", 1);
-    let without = fleet.start_process(1, "");
-    without.program.wait_for_log("to=serving");
-    assert!(without.api.call("GET", "/v1/farm", "").body["fleet"].is_null());
+    let fleet_process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    fleet_process.program.wait_for_log("to=serving");
+    fleet_process.wait_for_fleet_field("processes", 1);
+    let plain_process = fleet.start_process(1, "");
+    plain_process.program.wait_for_log("to=serving");
+    assert!(plain_process.api.call("GET", "/v1/farm", "").body["fleet"].is_null());
     let fleet_threads = ["fleet\n", "memory\n", "peers\n"].map(str::to_owned);
     // A thread gets its name shortly after it starts, and each API call has a short-lived thread.
     let permanent_threads = |program: &Program| {
@@ -139,8 +139,8 @@
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let (with_fleet, without_fleet) = (
-            permanent_threads(&with.program),
-            permanent_threads(&without.program),
+            permanent_threads(&fleet_process.program),
+            permanent_threads(&plain_process.program),
         );
         let rest: Vec<String> = with_fleet
             .iter()
@@ -159,14 +159,14 @@
     // The peers' thread has its UDP socket and another one that wakes it; the memory has its file.
     assert_eq!(
         (
-            udp_socket_count(&with.program),
-            udp_socket_count(&without.program)
+            udp_socket_count(&fleet_process.program),
+            udp_socket_count(&plain_process.program)
         ),
         (2, 0)
     );
     let has_memory_file =
         |program: &Program| descriptor_targets(program).contains(&fleet.path("memory-0"));
-    assert!(has_memory_file(&with.program) && !has_memory_file(&without.program));
+    assert!(has_memory_file(&fleet_process.program) && !has_memory_file(&plain_process.program));
 }
 
 /// A placement that failed at one process also counts as failing at the others, until one of them succeeds.
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -43,8 +43,8 @@
 /// After a power loss, staged admission lets clients return in stages and gives each deferred client a retry delay.
 #[test]
 fn staged_admission_defers_clients_after_power_loss() {
-    let (known, openings) = cold_endpoint_list(2);
-    let fleet = Fleet::with_endpoints(1, &known, openings);
+    let (known_endpoints, openings) = cold_endpoint_list(2);
+    let fleet = Fleet::with_endpoints(1, &known_endpoints, openings);
     let process = fleet.start_process(
         0,
         &fleet.operator_sections_with(0, "borne = 20\nclients = 12", ""),
@@ -89,7 +89,7 @@
     );
 }
 
-/// A process that was stopped is not serving again until it has asked its peers what happened meanwhile.
+/// A process that was stopped is not serving again until it has determined what happened meanwhile.
 #[test]
 fn resumed_process_rejects_clients_until_recovery_ends() {
     let fleet = Fleet::start(1, 1);
@@ -136,10 +136,10 @@
 #[test]
 fn drains_survive_loss_of_discovery_state() {
     let fleet = Fleet::start(1, 2);
-    let known: serde_json::Value =
+    let known_endpoints: serde_json::Value =
         serde_json::from_str(&fleet.known_endpoints).expect("valid JSON");
     let address = |number: usize| {
-        known["instances"][number]["hostPort"]
+        known_endpoints["instances"][number]["hostPort"]
             .as_str()
             .expect("hostPort is a string")
             .parse()
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -189,7 +189,7 @@
     server.send("PONG x0=0.1\r\n");
     assert_eq!(
         first_line_received(&site.servers[0], NO_RETRY_WAIT)
-            .filter(|words| words.starts_with("OPEN")),
+            .filter(|line| line.starts_with("OPEN")),
         None
     );
 }
@@ -201,11 +201,15 @@
         "\"effect\":\"dedup\",\"dedup-scope\":\"all\",\"repeat-window-ns\":1200000000",
     );
     let first = listener();
-    let at = first
+    let first_address = first
         .local_addr()
         .expect("bound socket has a local address");
     let backlogged = FullBacklogServer::start();
-    let (site, mut watch) = start_site(&dedup_settings, "window", &[("a", at, "SERVING")]);
+    let (site, mut watch) = start_site(
+        &dedup_settings,
+        "window",
+        &[("a", first_address, "SERVING")],
+    );
     let mut client = site.open_client("once", "");
     let mut server = Peer::accept(&first);
     server.read_line().expect("an OPEN line");
@@ -214,7 +218,10 @@
         &mut watch,
         3,
         true,
-        &[("a", at, "DRAINING"), ("b", backlogged.address, "SERVING")],
+        &[
+            ("a", first_address, "DRAINING"),
+            ("b", backlogged.address, "SERVING"),
+        ],
     );
     site.program.wait_for_log("generation=3");
     server.send("ERR\r\n");
@@ -232,7 +239,7 @@
 #[test]
 fn request_is_rerouted_when_server_drains_during_connect() {
     let (backlogged, second) = (FullBacklogServer::start(), listener());
-    let at = second
+    let second_address = second
         .local_addr()
         .expect("bound socket has a local address");
     let (site, mut watch) = start_site(
@@ -247,7 +254,7 @@
         &mut watch,
         3,
         true,
-        &[("a", first, "DRAINING"), ("b", at, "SERVING")],
+        &[("a", first, "DRAINING"), ("b", second_address, "SERVING")],
     );
     site.program.wait_for_log("generation=3");
     let backlogged_reader =
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -22,7 +22,7 @@
 impl SharedSite {
     fn new(name: &str) -> SharedSite {
         let (listener_socket, discovery, server) = (listener(), Discovery::start(), listener());
-        let known = endpoint_list(
+        let known_endpoints = endpoint_list(
             1,
             true,
             &[(
@@ -39,7 +39,7 @@
             .expect("bound socket has a local address");
         let config_path = write_temp_file(
             name,
-            &platform_config(address, discovery.address, &known, SETTINGS, 512),
+            &platform_config(address, discovery.address, &known_endpoints, SETTINGS, 512),
         );
         SharedSite {
             listener_socket,
@@ -117,19 +117,19 @@
         "both processes serve"
     );
     // Accepted by either process, and incomplete when the old one is told to shut down.
-    let half = |number| {
-        let mut half = Peer::connect(site.address());
-        half.send("PING\r\n");
-        half.expect_line("PONG");
-        half.send(&format!("OPEN h{number} 02 c=cha"));
-        half
+    let partial_client = |number| {
+        let mut partial_client = Peer::connect(site.address());
+        partial_client.send("PING\r\n");
+        partial_client.expect_line("PONG");
+        partial_client.send(&format!("OPEN h{number} 02 c=cha"));
+        partial_client
     };
-    let mut partial_clients: Vec<Peer> = (0..8).map(half).collect();
+    let mut partial_clients: Vec<Peer> = (0..8).map(partial_client).collect();
     old.signal("TERM");
     old.wait_for_log("to=leaving");
-    for half in &mut partial_clients {
-        half.send("t,t=acme,d=2500,g=3\r\n");
-        half.expect_line("UP r");
+    for partial_client in &mut partial_clients {
+        partial_client.send("t,t=acme,d=2500,g=3\r\n");
+        partial_client.expect_line("UP r");
     }
     established.expect_line("MOVE");
     assert!(old.exits_cleanly(), "program exits with success by itself");
@@ -154,24 +154,25 @@
     clients
         .iter_mut()
         .for_each(|client| client.expect_line("UP r"));
-    let half = |id| {
-        let mut half = site.open(id);
-        half.expect_line("UP r");
-        half.send("half\r\n");
-        assert_eq!(half.read_text(2), "ha");
-        half
+    let partial_client = |id| {
+        let mut partial_client = site.open(id);
+        partial_client.expect_line("UP r");
+        partial_client.send("half\r\n");
+        assert_eq!(partial_client.read_text(2), "ha");
+        partial_client
     };
-    let (mut half, mut whole) = (half("half"), half("whole"));
+    let (mut partial_client, mut completed_client) =
+        (partial_client("half"), partial_client("whole"));
     let (mut second, _) = site.start();
     old.signal("TERM");
     old.wait_for_log("to=leaving");
     // The rest of its line arrives after all other connections have been handed over.
-    whole.send("rest\r\n");
-    whole.expect_line("lf");
+    completed_client.send("rest\r\n");
+    completed_client.expect_line("lf");
     second.wait_for_log("taken over taken=7");
-    clients.push(whole);
+    clients.push(completed_client);
     assert_ne!(
-        half.read_line().as_deref(),
+        partial_client.read_line().as_deref(),
         Some("ok"),
         "a connection in the middle of a line is closed after a while"
     );
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -32,7 +32,7 @@
 fn shutdown_with_short_deadlines_ends_before_sigkill() {
     let mut site = Site::start_with_settings(&short_deadlines(), "short", 1, &[]);
     let mut established: Vec<(Peer, Peer)> = (0..8).map(|_| site.establish_connection()).collect();
-    let mut silent = Peer::connect(site.address);
+    let mut silent_client = Peer::connect(site.address);
     let mut partial = Peer::connect(site.address);
     partial.send("OPEN b1 02 c=chat,t=ac");
     let mut in_flight = site.open_client("once", "");
@@ -55,7 +55,7 @@
         in_flight.read_line().is_some(),
         "a request in flight gets an answer"
     );
-    for opening in [&mut silent, &mut partial] {
+    for opening in [&mut silent_client, &mut partial] {
         let answer = opening.read_line();
         assert!(
             matches!(answer.as_deref(), Some("ERR" | "BUSY") | None),
@@ -138,7 +138,7 @@
     site.program.signal("TERM");
     site.program.signal("HUP");
     // The endpoint list is still followed: a new client does not reach a draining server.
-    let other = listener();
+    let replacement = listener();
     let rows = [
         (
             "s0",
@@ -149,7 +149,7 @@
         ),
         (
             "s1",
-            other
+            replacement
                 .local_addr()
                 .expect("bound socket has a local address"),
             "SERVING",
@@ -158,7 +158,7 @@
     send_endpoints(&mut watch, 2, false, &rows);
     site.program.wait_for_log("generation=2");
     let mut newcomer = site.open_client("chat", "");
-    let mut server = Peer::accept(&other);
+    let mut server = Peer::accept(&replacement);
     server.read_line().expect("an OPEN line");
     server.send("UP r1\r\n");
     newcomer.expect_line("UP r1");
--- a/crates/cli/tests/overrides/balancer.rs
+++ b/crates/cli/tests/overrides/balancer.rs
@@ -37,16 +37,17 @@
         let servers: Vec<(String, TcpListener)> = (0..servers)
             .map(|number| (format!("s{number}"), listener()))
             .collect();
-        let known = endpoint_list(1, true, &serving_rows(&servers));
+        let known_endpoints = endpoint_list(1, true, &serving_rows(&servers));
         let config = folder.path().join("config.json");
-        let text = support::platform_config(address, discovery.address, &known, SETTINGS, 256);
-        std::fs::write(&config, text).expect("write succeeds");
+        let file_text =
+            support::platform_config(address, discovery.address, &known_endpoints, SETTINGS, 256);
+        std::fs::write(&config, file_text).expect("write succeeds");
         let operator = folder.path().join("operator.toml");
         let store = folder.path().join("overrides.redb");
-        let text = format!(
+        let file_text = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[overrides]\nfile = {store:?}\n{overrides}\n"
         );
-        std::fs::write(&operator, text).expect("write succeeds");
+        std::fs::write(&operator, file_text).expect("write succeeds");
         let (config, operator) = (path_to_string(&config), path_to_string(&operator));
         let program = start_program(&operator, &config);
         program.wait_for_log("serves front=platform");
--- a/crates/cli/tests/overrides/requests.rs
+++ b/crates/cli/tests/overrides/requests.rs
@@ -39,13 +39,13 @@
         answers.iter().filter(|(_, _, replayed)| !replayed).count(),
         1
     );
-    let other = site.api.call_with(
+    let conflicting = site.api.call_with(
         "POST",
         "/v1/overrides",
         "Idempotency-Key: k1\r\n",
         &out_override_body("s1", 60.0),
     );
-    assert_eq!(other.status, 422);
+    assert_eq!(conflicting.status, 422);
     // Of two concurrent changes of the same revision, one is rejected.
     let path = format!("/v1/overrides/{id}");
     let mut statuses: Vec<u16> = std::thread::scope(|scope| {
--- a/crates/cli/tests/roll.rs
+++ b/crates/cli/tests/roll.rs
@@ -102,8 +102,8 @@
             .contains("300 balancers")
     );
     let mut first = site.open_client("once", "");
-    let mut asked = Peer::accept(&site.servers[0]);
-    asked.read_line().expect("an OPEN line");
+    let mut server_side = Peer::accept(&site.servers[0]);
+    server_side.read_line().expect("an OPEN line");
     let mut second = site.open_client("once", "");
     std::thread::sleep(Duration::from_millis(100));
     site.servers[0]
@@ -113,11 +113,11 @@
         site.servers[0].accept().is_err(),
         "its share of the fleet's set-up limit is in use"
     );
-    asked.send("UP r1\r\n");
+    server_side.send("UP r1\r\n");
     first.expect_line("UP r1");
-    let mut asked = Peer::accept(&site.servers[0]);
-    asked.read_line().expect("an OPEN line");
-    asked.send("UP r2\r\n");
+    let mut server_side = Peer::accept(&site.servers[0]);
+    server_side.read_line().expect("an OPEN line");
+    server_side.send("UP r2\r\n");
     second.expect_line("UP r2");
     client.send("M 1\r\n");
     server.expect_line("M 1");
@@ -130,7 +130,7 @@
 fn sigterm_drains_idle_connections_and_forwards_nothing_afterwards() {
     let mut site = Site::start("rests", 1);
     let (mut established, mut server) = site.establish_connection();
-    let mut silent = Peer::connect(site.address);
+    let mut silent_client = Peer::connect(site.address);
     let mut idle = Peer::connect(site.address);
     idle.send("PING\r\n");
     idle.expect_line("PONG");
@@ -156,13 +156,13 @@
     idle.expect_line("MOVE");
     idle.expect_end();
     // A client that has sent nothing gets an answer or an end of the connection, and no reset.
-    let last = silent.read_line();
+    let answer = silent_client.read_line();
     assert!(
-        matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
-        "{last:?}"
+        matches!(answer.as_deref(), Some("ERR" | "BUSY") | None),
+        "{answer:?}"
     );
     // Its request comes after that: it is not read, or not forwarded.
-    let _ = silent
+    let _ = silent_client
         .stream
         .write_all(b"OPEN b2 02 c=chat,t=acme,d=2500,g=3\r\n");
     assert!(
@@ -385,7 +385,7 @@
         .expect("lock is not poisoned")
         .servers = servers[..SERVERS].iter().map(row).collect();
     fleet_discovery.serve(discovery);
-    let known: Vec<_> = servers[..SERVERS]
+    let known_endpoints: Vec<_> = servers[..SERVERS]
         .iter()
         .map(|(name, at)| (name.as_str(), *at, "SERVING"))
         .collect();
@@ -398,7 +398,7 @@
         let config = platform_config(
             at,
             discovery_address,
-            &endpoint_list(1, true, &known),
+            &endpoint_list(1, true, &known_endpoints),
             &settings,
             1024,
         );
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -76,13 +76,13 @@
 pub fn platform_config(
     listen_address: SocketAddr,
     discovery: SocketAddr,
-    known: &str,
+    known_endpoints: &str,
     settings: &str,
     sockets: usize,
 ) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen_address}","discovery":"{discovery}","seed":"7","limits":{{"sockets":{sockets}}},
-            "known":{known},"settings":{settings}}}"#
+            "known":{known_endpoints},"settings":{settings}}}"#
     )
 }
 
--- a/crates/cli/tests/support/site.rs
+++ b/crates/cli/tests/support/site.rs
@@ -58,9 +58,14 @@
                 )
             })
             .collect();
-        let known = endpoint_list(1, true, &rows);
-        let config =
-            super::platform_config(address, discovery.address, &known, settings, SOCKET_LIMIT);
+        let known_endpoints = endpoint_list(1, true, &rows);
+        let config = super::platform_config(
+            address,
+            discovery.address,
+            &known_endpoints,
+            settings,
+            SOCKET_LIMIT,
+        );
         let config_path = write_temp_file(name, &config);
         // As on the platform, the variable keeps the first address after a reload.
         let discovery_address = discovery.address.to_string();
--- a/crates/cli/tests/transports/datagrams.rs
+++ b/crates/cli/tests/transports/datagrams.rs
@@ -24,7 +24,7 @@
 /// Pairs of nodes, each node with its own socket, and a link between the two.
 pub struct PeerDatagrams {
     net: Net,
-    weather: LinkFault,
+    conditions: LinkFault,
     pairs: usize,
     send_queues: Vec<SendQueue>,
 }
@@ -105,7 +105,7 @@
         let net = Net::start(&Record::default(), 4);
         PeerDatagrams {
             net,
-            weather: LinkFault::Fair,
+            conditions: LinkFault::Fair,
             pairs: 0,
             send_queues: Vec::new(),
         }
@@ -184,20 +184,20 @@
         }
         self.send_queues
             .extend(ends.iter().map(|end| end.send_queue.clone()));
-        self.weather(self.weather);
+        self.weather(self.conditions);
         let [near, far] = ends;
         (Box::new(near), Box::new(far))
     }
 
-    fn weather(&mut self, weather: LinkFault) {
+    fn weather(&mut self, conditions: LinkFault) {
         // Messages sent so far go out before the link conditions change.
         assert!(
             self.send_queues.iter().all(SendQueue::wait_until_sent),
             "a node does not take its messages"
         );
-        self.weather = weather;
+        self.conditions = conditions;
         for link in self.net.links() {
-            self.net.fault(&link, link_fault(weather));
+            self.net.fault(&link, link_fault(conditions));
         }
     }
 }
--- a/crates/cli/tests/transports/fronts.rs
+++ b/crates/cli/tests/transports/fronts.rs
@@ -232,9 +232,9 @@
         )
     }
 
-    fn weather(&mut self, weather: LinkFault) {
+    fn weather(&mut self, conditions: LinkFault) {
         for link in ["clients>program", "program>server"] {
-            self.net.fault(link, link_fault(weather));
+            self.net.fault(link, link_fault(conditions));
         }
     }
 }
@@ -253,7 +253,7 @@
 }
 
 /// Reads up to the first line with one of these prefixes. It reads byte by byte, as another reader takes what follows.
-fn read_line_starting_with(mut stream: &TcpStream, beginnings: &[&str]) -> std::io::Result<String> {
+fn read_line_starting_with(mut stream: &TcpStream, prefixes: &[&str]) -> std::io::Result<String> {
     stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     loop {
         let (mut line, mut byte) = (Vec::new(), [0]);
@@ -262,10 +262,7 @@
             line.push(byte[0]);
         }
         let line = String::from_utf8_lossy(&line).into_owned();
-        if beginnings
-            .iter()
-            .any(|beginning| line.starts_with(beginning))
-        {
+        if prefixes.iter().any(|prefix| line.starts_with(prefix)) {
             stream.set_read_timeout(None)?;
             return Ok(line);
         }
--- a/crates/cli/tests/transports/main.rs
+++ b/crates/cli/tests/transports/main.rs
@@ -28,8 +28,8 @@
 }
 
 /// The link fault that produces these conditions.
-fn link_fault(weather: LinkFault) -> Fault {
-    match weather {
+fn link_fault(conditions: LinkFault) -> Fault {
+    match conditions {
         LinkFault::Fair => Fault::Heal,
         LinkFault::Cut => Fault::Partition(Direction::Both),
         LinkFault::Pieces(size) => {
