--- a/crates/cli/benches/effect.rs
+++ b/crates/cli/benches/effect.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use support::{ADMIN_TOKEN, Api, Program, SETTINGS, free, list, listener};
+use support::{ADMIN_TOKEN, Api, Program, SETTINGS, endpoint_list, listener, reserve_address};
 
 const CHANGES: u64 = 1_000;
 
@@ -18,8 +18,8 @@
     }
     let folder = tempfile::tempdir().expect("create a temporary directory");
     let (at, admin, server) = (
-        free(),
-        free(),
+        reserve_address(),
+        reserve_address(),
         listener()
             .local_addr()
             .expect("local address of the listener"),
@@ -30,7 +30,13 @@
         .iter()
         .map(|name| (name.as_str(), server, "SERVING"))
         .collect();
-    let text = support::config(at, free(), &list(1, true, &rows), SETTINGS, 256);
+    let text = support::platform_config(
+        at,
+        reserve_address(),
+        &endpoint_list(1, true, &rows),
+        SETTINGS,
+        256,
+    );
     std::fs::write(&config, text).expect("write the file");
     let operator = folder.path().join("operator.toml");
     let store = folder.path().join("overrides.redb");
@@ -43,9 +49,9 @@
         &["--operator", &path(&operator)],
         &[("LB_CONFIG", &path(&config))],
     );
-    program.says("administration API serves");
+    program.wait_for_log("administration API serves");
     let api = Api {
-        at: admin,
+        address: admin,
         token: ADMIN_TOKEN,
     };
     let mut add_latencies = Histogram::<u64>::new(3).expect("valid histogram precision");
@@ -56,7 +62,7 @@
             number % 100
         );
         let started_at = Instant::now();
-        let id = api.add(&body);
+        let id = api.add_override(&body);
         add_latencies
             .record(started_at.elapsed().as_micros() as u64)
             .expect("latency within the histogram's range");
--- a/crates/cli/benches/floods.rs
+++ b/crates/cli/benches/floods.rs
@@ -10,9 +10,11 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use support::held::{Held, Wire};
-use support::nats::redis;
-use support::{ADMIN_TOKEN, Api, Discovery, Peer, Program, SETTINGS, free, list};
+use support::gated_server::{GatedServer, Protocol};
+use support::nats::start_redis;
+use support::{
+    ADMIN_TOKEN, Api, Discovery, Peer, Program, SETTINGS, endpoint_list, reserve_address,
+};
 
 /// Number of rounds with and of rounds without the flood, and the duration of each.
 const ROUNDS_PER_KIND: usize = 4;
@@ -33,20 +35,28 @@
     }
     // Both fronts, or the one that is named after `--`.
     let named = |front: &str| std::env::args().any(|arg| arg == front);
-    for (wire, index, front) in [(Wire::Platform, 0, "platform"), (Wire::Nats, 1, "nats")] {
+    for (wire, index, front) in [
+        (Protocol::Platform, 0, "platform"),
+        (Protocol::Nats, 1, "nats"),
+    ] {
         if named(front) || !named("platform") && !named("nats") {
             measure(wire, index, front);
         }
     }
 }
 
-fn measure(wire: Wire, index: usize, front: &str) {
-    let (at, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
-    let servers: Vec<(String, Held)> = (0..4)
+fn measure(wire: Protocol, index: usize, front: &str) {
+    let (at, admin, discovery, redis) = (
+        reserve_address(),
+        reserve_address(),
+        Discovery::start(),
+        start_redis(),
+    );
+    let servers: Vec<(String, GatedServer)> = (0..4)
         .map(|number| {
             (
                 format!("s{number}"),
-                Held::slow(wire, MEAN_SETUP_TIME, number),
+                GatedServer::start_with_random_delay(wire, MEAN_SETUP_TIME, number),
             )
         })
         .collect();
@@ -71,16 +81,16 @@
             .to_owned()
     };
     let (operator, config) = (path("operator.toml"), path("config.json"));
-    let known = list(1, true, &rows);
+    let known = endpoint_list(1, true, &rows);
     std::fs::write(
         &config,
-        support::config(at, discovery.address, &known, &settings, 4_096),
+        support::platform_config(at, discovery.address, &known, &settings, 4_096),
     )
     .expect("write the file");
     let mut operator_text = format!(
         "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\nentries = 100\n"
     );
-    if wire == Wire::Nats {
+    if wire == Protocol::Nats {
         let settings: serde_json::Value =
             serde_json::from_str(&settings.replace('\n', " ")).expect("settings are JSON");
         let listed: Vec<String> = rows
@@ -100,14 +110,18 @@
     let env = [("LB_CONFIG", config.as_str())];
     let program = Program::start(
         &["--operator", &operator],
-        if wire == Wire::Platform { &env } else { &[] },
+        if wire == Protocol::Platform {
+            &env
+        } else {
+            &[]
+        },
     );
-    program.says("administration API serves");
+    program.wait_for_log("administration API serves");
     let api = Api {
-        at: admin,
+        address: admin,
         token: ADMIN_TOKEN,
     };
-    if wire == Wire::Nats {
+    if wire == Protocol::Nats {
         for (name, share) in [("acme", 58.0), ("bright", 42.0)] {
             let body = format!(
                 r#"{{"name":"{name}","password":"a password of some length","class":"chat","connections":500,
@@ -177,25 +191,25 @@
 }
 
 /// Opens a connection and closes it once it is established. Returns the setup latency, or `None` if it was rejected.
-fn open_connection(wire: Wire, at: SocketAddr, account: &str) -> Option<Duration> {
+fn open_connection(wire: Protocol, at: SocketAddr, account: &str) -> Option<Duration> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let started_at = Instant::now();
     let mut client = match wire {
-        Wire::Platform => {
+        Protocol::Platform => {
             let mut client = Peer::connect(at);
-            client.say(&format!(
+            client.send(&format!(
                 "OPEN a{number} k{number} c=chat,t={account},d=8500\r\n"
             ));
             client
         }
-        Wire::Nats => support::nats::client(
+        Protocol::Nats => support::nats::connect_client(
             at,
             &format!("n{number}"),
             account,
             "a password of some length",
         ),
     };
-    let answer = client.hear()?;
+    let answer = client.read_line()?;
     (answer == "UP r1" || answer == "PONG").then(|| started_at.elapsed())
 }
--- a/crates/cli/tests/admission.rs
+++ b/crates/cli/tests/admission.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use support::held::{Held, Wire};
-use support::nats::{Redis, redis};
+use support::gated_server::{GatedServer, Protocol};
+use support::nats::{Redis, start_redis};
 use support::*;
 
 /// Requests that admission allows in progress at startup.
@@ -19,8 +19,8 @@
     program: Program,
     address: std::net::SocketAddr,
     api: Api,
-    server: Held,
-    wire: Wire,
+    server: GatedServer,
+    wire: Protocol,
     operator: String,
     config: String,
     folder: tempfile::TempDir,
@@ -31,13 +31,18 @@
 
 impl Site {
     /// Starts the program with accounts `acme` and `bright`, whose shares are 58 to 42.
-    fn start(wire: Wire, admission: &str) -> Site {
+    fn start(wire: Protocol, admission: &str) -> Site {
         Site::with_listed_server(wire, admission, true)
     }
 
-    fn with_listed_server(wire: Wire, admission: &str, is_listed: bool) -> Site {
-        let (address, admin, discovery, redis) = (free(), free(), Discovery::start(), redis());
-        let server = Held::start(wire);
+    fn with_listed_server(wire: Protocol, admission: &str, is_listed: bool) -> Site {
+        let (address, admin, discovery, redis) = (
+            reserve_address(),
+            reserve_address(),
+            Discovery::start(),
+            start_redis(),
+        );
+        let server = GatedServer::start(wire);
         let folder = tempfile::tempdir().expect("temporary directory is created");
         // Long enough that no request times out during a test.
         let settings =
@@ -46,12 +51,13 @@
                 r#""projects":[{"name":"acme","share":0.58},{"name":"bright","share":0.42}],"lanes""#,
             );
         let rows = [("s0", server.address, "SERVING")];
-        let server_list = list(1, true, if is_listed { &rows } else { &[] });
+        let server_list = endpoint_list(1, true, if is_listed { &rows } else { &[] });
         let mut operator = format!(
             "[admin]\nlisten = \"{admin}\"\ntoken = \"{ADMIN_TOKEN}\"\n[admission]\n{admission}\n"
         );
-        let config = support::config(address, discovery.address, &server_list, &settings, 1_024);
-        if wire == Wire::Nats {
+        let config =
+            support::platform_config(address, discovery.address, &server_list, &settings, 1_024);
+        if wire == Protocol::Nats {
             let settings: Value =
                 serde_json::from_str(&settings.replace('\n', " ")).expect("valid JSON");
             let servers = format!("[{{ name = \"s0\", address = \"{}\" }}]", server.address);
@@ -74,15 +80,15 @@
         std::fs::write(&operator_path, &operator).expect("file is written");
         std::fs::write(&config_path, &config).expect("file is written");
         let env = [("LB_CONFIG", config_path.as_str())];
-        let env = if wire == Wire::Platform {
+        let env = if wire == Protocol::Platform {
             &env[..]
         } else {
             &[]
         };
         let program = Program::start(&["--operator", &operator_path], env);
-        program.says("administration API serves");
+        program.wait_for_log("administration API serves");
         let api = Api {
-            at: admin,
+            address: admin,
             token: ADMIN_TOKEN,
         };
         let site = Site {
@@ -98,7 +104,7 @@
             _discovery: discovery,
             _redis: redis,
         };
-        if wire == Wire::Nats {
+        if wire == Protocol::Nats {
             for (name, share) in [("acme", 58.0), ("bright", 42.0)] {
                 let body = format!(
                     r#"{{"name":"{name}","password":"{PASSWORD}","class":"once","connections":500,"share":{share},
@@ -114,16 +120,19 @@
     fn open(&self, account: &str, extra: &str) -> Peer {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         match self.wire {
-            Wire::Platform => {
+            Protocol::Platform => {
                 let mut client = Peer::connect(self.address);
-                client.say(&format!(
+                client.send(&format!(
                     "OPEN a{number} k{number} c=once,t={account},d=8500{extra}\r\n"
                 ));
                 client
             }
-            Wire::Nats => {
-                support::nats::client(self.address, &format!("n{number}"), account, PASSWORD)
-            }
+            Protocol::Nats => support::nats::connect_client(
+                self.address,
+                &format!("n{number}"),
+                account,
+                PASSWORD,
+            ),
         }
     }
 
@@ -139,7 +148,7 @@
 
     /// Waits until the admission queue holds `length` requests.
     fn wait_for_queue_length(&self, length: usize) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while self.admission_state()["waiting"] != length {
             assert!(
                 Instant::now() < deadline,
@@ -163,26 +172,28 @@
     /// that are made at the same time could overtake each other on the way to the server.
     fn admit_in_turn(&self, count: usize) -> Vec<String> {
         for admitted in 1..=count {
-            self.server.allow(1);
-            self.server.came(INITIAL_CONCURRENCY_LIMIT + admitted);
+            self.server.admit(1);
+            self.server
+                .wait_for_setups(INITIAL_CONCURRENCY_LIMIT + admitted);
         }
-        self.server.came(INITIAL_CONCURRENCY_LIMIT + count)
+        self.server
+            .wait_for_setups(INITIAL_CONCURRENCY_LIMIT + count)
     }
 
     /// Whether a request, given by its first line at the server, belongs to `account`.
     fn is_request_of(&self, request: &str, account: &str) -> bool {
         match self.wire {
-            Wire::Platform => request.contains(&format!("t={account},")),
-            Wire::Nats => request.contains(&format!("\"user\":\"{account}\"")),
+            Protocol::Platform => request.contains(&format!("t={account},")),
+            Protocol::Nats => request.contains(&format!("\"user\":\"{account}\"")),
         }
     }
 
     /// Reads a rejection and returns its retry delay in milliseconds.
     fn retry_delay_ms(&self, client: &mut Peer) -> u64 {
-        let answer = client.hear().expect("an answer is received");
+        let answer = client.read_line().expect("an answer is received");
         let delay = match self.wire {
-            Wire::Platform => answer.strip_prefix("BUSY ").map(str::to_owned),
-            Wire::Nats => answer
+            Protocol::Platform => answer.strip_prefix("BUSY ").map(str::to_owned),
+            Protocol::Nats => answer
                 .split_once("try again in ")
                 .map(|(_, rest)| rest.trim_end_matches([' ', '\'', 'm', 's']).to_owned()),
         };
@@ -190,7 +201,7 @@
             .and_then(|delay| delay.parse().ok())
             .unwrap_or_else(|| panic!("answer has no retry delay: {answer}"));
         assert!((1..=2_000).contains(&delay_ms), "{answer}");
-        client.ended();
+        client.expect_end();
         delay_ms
     }
 }
@@ -204,15 +215,15 @@
 /// One account fills the queue first; the shares must still hold for later admissions, on both fronts.
 #[test]
 fn grants_each_account_its_share() {
-    for wire in [Wire::Platform, Wire::Nats] {
+    for wire in [Protocol::Platform, Protocol::Nats] {
         let site = Site::start(wire, "");
         // The whole burst of one account arrives first.
         let _acme = site.open_many("acme", 60);
-        site.server.came(INITIAL_CONCURRENCY_LIMIT);
+        site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT);
         let _bright = site.open_many("bright", 50);
         site.wait_for_queue_length(110 - INITIAL_CONCURRENCY_LIMIT);
         let requests = site.admit_in_turn(75);
-        site.server.allow(usize::MAX);
+        site.server.admit(usize::MAX);
         let acme = requests[INITIAL_CONCURRENCY_LIMIT..INITIAL_CONCURRENCY_LIMIT + 75]
             .iter()
             .filter(|request| site.is_request_of(request, "acme"))
@@ -222,7 +233,7 @@
             (42..=45).contains(&acme),
             "{acme} of 75 admissions for a share of 58%"
         );
-        site.server.came(110);
+        site.server.wait_for_setups(110);
         let (acme, bright) = (site.account_state("acme"), site.account_state("bright"));
         assert_eq!(
             (number(&acme, "admitted"), number(&bright, "admitted")),
@@ -243,15 +254,15 @@
 /// through a reload that shrinks the queue.
 #[test]
 fn rejects_over_share_account_when_queue_full() {
-    for wire in [Wire::Platform, Wire::Nats] {
+    for wire in [Protocol::Platform, Protocol::Nats] {
         let mut site = Site::start(wire, "entries = 20");
         let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
-        site.server.came(INITIAL_CONCURRENCY_LIMIT);
+        site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT);
         let mut over_share = site.open_many("acme", 20);
         site.wait_for_queue_length(20);
         let mut under_share = site.open_many("bright", 5);
         // Five requests of the account over its share are rejected with a retry delay.
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while number(&site.account_state("acme"), "refused") < 5 {
             assert!(Instant::now() < deadline, "{}", site.admission_state());
         }
@@ -276,7 +287,7 @@
         site.program.signal("HUP");
         assert!(
             site.program
-                .says("configuration changes applied")
+                .wait_for_log("configuration changes applied")
                 .contains("admission")
         );
         site.wait_for_queue_length(10);
@@ -286,34 +297,43 @@
         // Planned exit: each request that waits or is in progress receives one final answer.
         site.program.signal("TERM");
         for client in over_share.iter_mut().chain(&mut under_share) {
-            assert!(!client.hear().expect("an answer is received").is_empty());
-            client.ended();
+            assert!(
+                !client
+                    .read_line()
+                    .expect("an answer is received")
+                    .is_empty()
+            );
+            client.expect_end();
         }
-        assert!(site.program.left());
+        assert!(site.program.exits_cleanly());
     }
 }
 
 /// The retry delay must fit the time in which the queue drains, at most 2 s.
 #[test]
 fn rejection_carries_bounded_retry_delay() {
-    let site = Site::start(Wire::Platform, "entries = 10");
+    let site = Site::start(Protocol::Platform, "entries = 10");
     let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
-    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT);
     let mut clients = site.open_many("acme", 10);
     site.wait_for_queue_length(10);
     let mut newcomer = site.open("acme", "");
     // One request of the longest queue is rejected, which may be the newest one.
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while number(&site.account_state("acme"), "refused") == 0 {
         assert!(Instant::now() < deadline);
     }
-    site.server.allow(usize::MAX);
-    site.server.came(INITIAL_CONCURRENCY_LIMIT + 10);
+    site.server.admit(usize::MAX);
+    site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT + 10);
     let mut rejections = Vec::new();
     clients.push(newcomer);
     for client in &mut clients {
         newcomer = Peer::new(client.stream.try_clone().expect("socket is open"));
-        match newcomer.hear().expect("an answer is received").as_str() {
+        match newcomer
+            .read_line()
+            .expect("an answer is received")
+            .as_str()
+        {
             "UP r1" => {}
             other => rejections.push(other.to_owned()),
         }
@@ -329,39 +349,39 @@
 /// A client that returns after a move must not be rejected behind a flood of new requests.
 #[test]
 fn admits_returning_client_ahead_of_flood() {
-    let site = Site::start(Wire::Platform, "entries = 20");
+    let site = Site::start(Protocol::Platform, "entries = 20");
     let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
-    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT);
     let _flood = site.open_many("acme", 20);
     site.wait_for_queue_length(20);
     let mut returning = site.open("acme", ",again=1");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while number(&site.account_state("acme"), "refused") == 0 {
         assert!(Instant::now() < deadline);
     }
     site.wait_for_queue_length(20);
     // One of the first two admissions is its own. The concurrency limit grows with the established connections: one
     // finished request admits two.
-    site.server.allow(1);
-    let requests = site.server.came(INITIAL_CONCURRENCY_LIMIT + 2);
+    site.server.admit(1);
+    let requests = site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT + 2);
     assert!(
         requests[INITIAL_CONCURRENCY_LIMIT..]
             .iter()
             .any(|request| request.contains("again=1")),
         "{requests:?}"
     );
-    site.server.allow(usize::MAX);
-    returning.hears("UP r1");
+    site.server.admit(usize::MAX);
+    returning.expect_line("UP r1");
 }
 
 #[test]
 fn rejects_queued_request_at_its_deadline() {
-    let site = Site::start(Wire::Platform, "");
+    let site = Site::start(Protocol::Platform, "");
     let _under_way = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
-    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT);
     let started_at = Instant::now();
     let mut client = Peer::connect(site.address);
-    client.say("OPEN b1 k1 c=once,t=bright,d=700\r\n");
+    client.send("OPEN b1 k1 c=once,t=bright,d=700\r\n");
     site.wait_for_queue_length(1);
     site.retry_delay_ms(&mut client);
     let elapsed = started_at.elapsed();
@@ -378,11 +398,11 @@
 /// Without servers no queue builds up, and every rejection carries a retry delay.
 #[test]
 fn rejects_requests_when_no_server_is_listed() {
-    let site = Site::with_listed_server(Wire::Platform, "", false);
+    let site = Site::with_listed_server(Protocol::Platform, "", false);
     let mut clients: Vec<Peer> = (0..50)
         .map(|number| {
             let mut client = Peer::connect(site.address);
-            client.say(&format!(
+            client.send(&format!(
                 "OPEN c{number} k{number} c=once,t=acme,d=1500\r\n"
             ));
             client
@@ -404,21 +424,21 @@
 
 #[test]
 fn reload_applies_new_account_shares() {
-    let site = Site::start(Wire::Platform, "");
+    let site = Site::start(Protocol::Platform, "");
     let _acme = site.open_many("acme", INITIAL_CONCURRENCY_LIMIT);
-    site.server.came(INITIAL_CONCURRENCY_LIMIT);
+    site.server.wait_for_setups(INITIAL_CONCURRENCY_LIMIT);
     let config = site.config.replace("\"share\":0.58", "\"share\":0.10");
     std::fs::write(site.folder.path().join("config.json"), config).expect("file is written");
     site.program.signal("HUP");
     assert!(
         site.program
-            .says("configuration changes applied")
+            .wait_for_log("configuration changes applied")
             .contains("shares")
     );
     let _waiting = (site.open_many("acme", 60), site.open_many("bright", 60));
     site.wait_for_queue_length(120);
     let requests = site.admit_in_turn(50);
-    site.server.allow(usize::MAX);
+    site.server.admit(usize::MAX);
     let acme = requests[INITIAL_CONCURRENCY_LIMIT..INITIAL_CONCURRENCY_LIMIT + 50]
         .iter()
         .filter(|request| site.is_request_of(request, "acme"))
@@ -435,8 +455,8 @@
 
 #[test]
 fn logs_account_that_stays_over_its_quota() {
-    let site = Site::start(Wire::Platform, "over_share_s = 1");
-    site.server.allow(usize::MAX);
+    let site = Site::start(Protocol::Platform, "over_share_s = 1");
+    site.server.admit(usize::MAX);
     // Eight of nine requests belong to one account until the quota warning is logged.
     let (address, is_done) = (site.address, AtomicBool::new(false));
     let line = std::thread::scope(|scope| {
@@ -448,15 +468,15 @@
                 }
                 let account = if number % 9 == 0 { "acme" } else { "bright" };
                 let mut client = Peer::connect(address);
-                client.say(&format!(
+                client.send(&format!(
                     "OPEN d{number} k{number} c=once,t={account},d=8500\r\n"
                 ));
-                client.hears("UP r1");
+                client.expect_line("UP r1");
                 established.push(client);
                 std::thread::sleep(Duration::from_millis(40));
             }
         });
-        let line = site.program.says("account exceeds its quota");
+        let line = site.program.wait_for_log("account exceeds its quota");
         is_done.store(true, Ordering::Relaxed);
         line
     });
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -19,19 +19,19 @@
     fn start() -> Site {
         let folder = tempfile::tempdir().expect("temporary directory is created");
         let (address, admin, server) = (
-            free(),
-            free(),
+            reserve_address(),
+            reserve_address(),
             listener().local_addr().expect("listener is bound"),
         );
         let config = folder.path().join("config.json");
-        let server_list = list(
+        let server_list = endpoint_list(
             1,
             true,
             &[("s0", server, "SERVING"), ("s1", server, "SERVING")],
         );
         std::fs::write(
             &config,
-            support::config(address, free(), &server_list, SETTINGS, 256),
+            support::platform_config(address, reserve_address(), &server_list, SETTINGS, 256),
         )
         .expect("file is written");
         let operator = folder.path().join("operator.toml");
@@ -47,7 +47,7 @@
             &["--operator", &text(&operator)],
             &[("LB_CONFIG", &text(&config))],
         );
-        program.says("administration API serves");
+        program.wait_for_log("administration API serves");
         Site {
             program,
             api: admin.to_string(),
@@ -113,7 +113,7 @@
     let added = site.run_successfully(&add);
     // The log form is JSON, whose field names are stable.
     let line: serde_json::Value =
-        serde_json::from_str(&site.program.says("override created")).expect("valid JSON");
+        serde_json::from_str(&site.program.wait_for_log("override created")).expect("valid JSON");
     assert_eq!(
         (line["part"].as_str(), line["level"].as_str()),
         (Some("audit"), Some("info")),
@@ -242,7 +242,7 @@
         .0,
         Some(5)
     );
-    let unused_address = free().to_string();
+    let unused_address = reserve_address().to_string();
     assert_eq!(
         exit_code_and_stderr(&run(&[
             "farm",
--- a/crates/cli/tests/connections.rs
+++ b/crates/cli/tests/connections.rs
@@ -73,7 +73,7 @@
             fields.next() == Some(&hex_address) && fields.next() == Some(CLOSE_WAIT)
         })
     };
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !has_ended() {
         assert!(Instant::now() < deadline, "the FIN did not arrive in time");
         std::thread::sleep(Duration::from_millis(1));
@@ -83,8 +83,8 @@
 /// Connects a client that sends one PING and then stays idle.
 fn connect_idle(at: SocketAddr) -> Peer {
     let mut client = Peer::connect(at);
-    client.say("PING\r\n");
-    client.hears("PONG");
+    client.send("PING\r\n");
+    client.expect_line("PONG");
     client
 }
 
@@ -92,11 +92,11 @@
 #[test]
 fn answers_request_that_crosses_idle_close() {
     let site = Site::start("crosses", 1);
-    let mut client = connect_idle(site.at);
-    client.hears("BUSY");
+    let mut client = connect_idle(site.address);
+    client.expect_line("BUSY");
     // Sent before the client reads the FIN.
-    client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-    client.ended();
+    client.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    client.expect_end();
     assert!(
         is_not_reset(&client, LONGER_THAN_LINGER),
         "the answer must not be destroyed by a reset"
@@ -114,38 +114,38 @@
 #[test]
 fn serves_request_present_at_idle_timeout() {
     let site = Site::start("due", 1);
-    let mut client = connect_idle(site.at);
+    let mut client = connect_idle(site.address);
     while_stopped(&site, || {
         // When the program resumes, the idle timeout has passed and the request is already there.
         std::thread::sleep(Duration::from_millis(1_700));
-        client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+        client.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
     });
-    site.serve(&mut client);
+    site.accept_opening(&mut client);
 }
 
 #[test]
 fn keeps_connection_that_pings_regularly() {
     let site = Site::start("asking", 1);
-    let mut client = connect_idle(site.at);
+    let mut client = connect_idle(site.address);
     let deadline = Instant::now() + Duration::from_millis(2_500);
     while Instant::now() < deadline {
-        client.say("PING\r\n");
-        client.hears("PONG");
+        client.send("PING\r\n");
+        client.expect_line("PONG");
         std::thread::sleep(Duration::from_millis(100));
     }
-    client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-    site.serve(&mut client);
+    client.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    site.accept_opening(&mut client);
 }
 
 #[test]
 fn planned_restart_answers_idle_connections_before_exit() {
     let mut site = Site::start("restart", 1);
-    let mut clients: Vec<Peer> = (0..5).map(|_| connect_idle(site.at)).collect();
+    let mut clients: Vec<Peer> = (0..5).map(|_| connect_idle(site.address)).collect();
     site.program.signal("TERM");
     for client in &mut clients {
-        client.hears("BUSY");
-        client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-        client.ended();
+        client.expect_line("BUSY");
+        client.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+        client.expect_end();
         assert!(
             client
                 .stream
@@ -154,9 +154,9 @@
                 .is_none(),
             "the answer must not be destroyed by a reset"
         );
-        client.finish();
+        client.shutdown_write();
     }
-    assert!(site.program.left(), "the program exits by itself");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
 }
 
 #[test]
@@ -168,7 +168,7 @@
         (Peer::connect as fn(SocketAddr) -> Peer, "b1"),
         (connect_idle, "b2"),
     ] {
-        let mut client = connect(site.at);
+        let mut client = connect(site.address);
         client.stream.set_nodelay(true).expect("socket is open");
         let started_at = Instant::now();
         for (number, byte) in (0_u32..).zip(request.replace("b1", id).chars()) {
@@ -176,9 +176,9 @@
                 + Duration::from_millis(1_900) * number
                     / u32::try_from(request.len()).expect("length fits into u32");
             std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
-            client.say(&byte.to_string());
+            client.send(&byte.to_string());
         }
-        site.serve(&mut client);
+        site.accept_opening(&mut client);
     }
 }
 
@@ -186,11 +186,11 @@
 #[test]
 fn rejected_client_still_sending_receives_answer() {
     let site = Site::start("refused", 1);
-    let mut client = Peer::connect(site.at);
-    client.say("HELLO\r\n");
-    client.hears("ERR");
-    client.say("more of it\r\n");
-    client.ended();
+    let mut client = Peer::connect(site.address);
+    client.send("HELLO\r\n");
+    client.expect_line("ERR");
+    client.send("more of it\r\n");
+    client.expect_end();
     assert!(is_not_reset(&client, LONGER_THAN_LINGER));
 }
 
@@ -199,9 +199,9 @@
 fn evicted_client_receives_answer_when_request_crosses() {
     let site = Site::start("room", 1);
     // More than the number of silent connections allowed with 256 descriptors.
-    let silent: Vec<Peer> = (0..52).map(|_| Peer::connect(site.at)).collect();
+    let silent: Vec<Peer> = (0..52).map(|_| Peer::connect(site.address)).collect();
     std::thread::sleep(Duration::from_millis(200));
-    drop(connect_idle(site.at));
+    drop(connect_idle(site.address));
     let has_answer = |peer: &&mut Peer| {
         peer.stream.set_nonblocking(true).expect("socket is open");
         let is_answered = !matches!(peer.stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
@@ -214,20 +214,20 @@
         .rev()
         .find(has_answer)
         .expect("one idle connection was evicted");
-    evicted.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-    evicted.hears("BUSY");
-    evicted.ended();
+    evicted.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    evicted.expect_line("BUSY");
+    evicted.expect_end();
     assert!(is_not_reset(evicted, LONGER_THAN_LINGER));
 }
 
 #[test]
 fn client_beyond_connection_limit_receives_answer() {
     let mut site = Site::start("beyond", 1);
-    obliges(site.servers.remove(0));
+    serve_all_openings(site.servers.remove(0));
     let mut established = Vec::new();
     let mut refused = loop {
-        let mut client = site.open("chat", "");
-        match client.hear().as_deref() {
+        let mut client = site.open_client("chat", "");
+        match client.read_line().as_deref() {
             Some("UP r") => established.push(client),
             answer => {
                 assert_eq!(
@@ -240,8 +240,8 @@
             }
         }
     };
-    refused.say("M 1\r\n");
-    refused.ended();
+    refused.send("M 1\r\n");
+    refused.expect_end();
     assert!(is_not_reset(&refused, LONGER_THAN_LINGER));
 }
 
@@ -250,14 +250,14 @@
 fn relays_last_server_line_despite_crossing_lines() {
     for last_line in ["MOVE", "BYE"] {
         let site = Site::start(&format!("last{last_line}"), 1);
-        let (mut client, mut server) = site.stand();
+        let (mut client, mut server) = site.establish_connection();
         while_stopped(&site, || {
-            client.say(&lines_of_at_least(THREE_READS_BYTES));
-            server.say(&format!("{last_line}\r\n"));
+            client.send(&lines_of_at_least(THREE_READS_BYTES));
+            server.send(&format!("{last_line}\r\n"));
             close_and_wait_for_fin(server);
         });
-        client.hears(last_line);
-        client.ended();
+        client.expect_line(last_line);
+        client.expect_end();
         assert!(is_not_reset(&client, LONGER_THAN_LINGER));
     }
 }
@@ -266,14 +266,14 @@
 #[test]
 fn relays_last_client_line_despite_crossing_lines() {
     let site = Site::start("lastline", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     while_stopped(&site, || {
-        server.say(&lines_of_at_least(THREE_READS_BYTES));
-        client.say("the last\r\n");
+        server.send(&lines_of_at_least(THREE_READS_BYTES));
+        client.send("the last\r\n");
         close_and_wait_for_fin(client);
     });
-    server.hears("the last");
-    server.ended();
+    server.expect_line("the last");
+    server.expect_end();
 }
 
 /// A client that has closed its sending side still receives everything that waits in the program.
@@ -288,11 +288,11 @@
         .set_recv_buffer_size(4 * 1024)
         .expect("socket is open");
     socket
-        .connect(&site.at.into())
+        .connect(&site.address.into())
         .expect("program accepts connections");
     let mut client = Peer::new(socket.into());
-    client.say("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
-    let mut server = site.serve(&mut client);
+    client.send("OPEN b1 02 c=chat,t=acme,d=2500,g=3\r\n");
+    let mut server = site.accept_opening(&mut client);
     SockRef::from(&server.stream)
         .set_send_buffer_size(64 * 1024)
         .expect("socket is open");
@@ -321,8 +321,8 @@
         written.load(Ordering::SeqCst) + EXTRA_BYTES,
         Ordering::SeqCst,
     );
-    client.finish();
-    server.ended();
+    client.shutdown_write();
+    server.expect_end();
     // What fitted by chance has been relayed; the next read from the server waits for the client again.
     std::thread::sleep(Duration::from_millis(100));
     SockRef::from(&client.stream)
@@ -331,7 +331,7 @@
     let mut received = Vec::new();
     client
         .stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("socket is open");
     let ended = client.stream.read_to_end(&mut received);
     writer.join().expect("writer thread finishes");
@@ -342,13 +342,13 @@
 #[test]
 fn drains_server_that_sends_after_close() {
     let site = Site::start("speakson", 1);
-    let (mut client, mut server) = site.stand();
-    client.finish();
-    server.ended();
-    server.say("late\r\n");
-    client.hears("late");
-    client.ended();
-    server.say("later\r\n");
+    let (mut client, mut server) = site.establish_connection();
+    client.shutdown_write();
+    server.expect_end();
+    server.send("late\r\n");
+    client.expect_line("late");
+    client.expect_end();
+    server.send("later\r\n");
     assert!(is_not_reset(&server, Duration::from_millis(300)));
 }
 
@@ -356,54 +356,54 @@
 #[test]
 fn retries_next_server_after_overlong_answer() {
     let site = Site::start("long", 1);
-    let mut client = site.open("chat", "");
+    let mut client = site.open_client("chat", "");
     for answer in [format!("UP {}\r\n", "x".repeat(4_200)), "x".repeat(9_000)] {
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("a request is received");
-        server.say(&answer);
-        assert!(server.is_gone());
+        server.read_line().expect("a request is received");
+        server.send(&answer);
+        assert!(server.is_closed());
     }
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("a request is received");
+    server.read_line().expect("a request is received");
     // More lines follow the answer, and the close, in one segment.
-    server.say("UP r1\r\nLOAD 3\r\nBYE\r\n");
+    server.send("UP r1\r\nLOAD 3\r\nBYE\r\n");
     drop(server);
-    client.hears("UP r1");
-    client.hears("LOAD 3");
-    client.hears("BYE");
-    client.ended();
+    client.expect_line("UP r1");
+    client.expect_line("LOAD 3");
+    client.expect_line("BYE");
+    client.expect_end();
 }
 
 /// Data after the answer of an abandoned attempt must not reach the client.
 #[test]
 fn discards_second_answer_of_abandoned_attempt() {
     let site = Site::start("second", 1);
-    let mut client = site.open("chat", "");
+    let mut client = site.open_client("chat", "");
     for first in ["BUSY", "ERR"] {
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("a request is received");
-        server.say(&format!("{first}\r\nUP forged\r\n"));
-        assert!(server.is_gone());
+        server.read_line().expect("a request is received");
+        server.send(&format!("{first}\r\nUP forged\r\n"));
+        assert!(server.is_closed());
     }
-    let mut server = site.serve(&mut client);
-    server.say("BYE\r\n");
-    server.finish();
-    client.hears("BYE");
-    client.ended();
+    let mut server = site.accept_opening(&mut client);
+    server.send("BYE\r\n");
+    server.shutdown_write();
+    client.expect_line("BYE");
+    client.expect_end();
 }
 
 #[test]
 fn relays_partial_line_when_server_closes() {
     let site = Site::start("halfline", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     while_stopped(&site, || {
-        server.say("whole\r\nhal");
+        server.send("whole\r\nhal");
         close_and_wait_for_fin(server);
-        client.say("M 1\r\n");
+        client.send("M 1\r\n");
     });
-    client.hears("whole");
-    client.hears("hal");
-    client.ended();
+    client.expect_line("whole");
+    client.expect_line("hal");
+    client.expect_end();
 }
 
 /// Accepts every request and answers load probes for as long as the test runs.
@@ -412,7 +412,7 @@
         while let Ok((stream, _)) = server.accept() {
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                while let Some(line) = peer.hear_or_end() {
+                while let Some(line) = peer.read_line_or_end() {
                     let answer: &[u8] = if line.starts_with("STATS") {
                         b"PONG x0=0.1\r\n"
                     } else {
@@ -439,23 +439,23 @@
         "\"rules\"",
         "\"report\":{\"how\":\"on_probe\",\"names\":[\"x0\",\"q\"]},\"rules\"",
     );
-    let operations_address = free();
+    let operations_address = reserve_address();
     let env = [("LB_ADMIN_ADDR", operations_address.to_string())];
     let env = env.each_ref().map(|(name, value)| (*name, value.as_str()));
-    let mut site = Site::start_on(&settings, "descriptors", SERVERS, &env);
+    let mut site = Site::start_with_settings(&settings, "descriptors", SERVERS, &env);
     site.servers.drain(..).for_each(serve_and_report_load);
     let descriptor_count = || {
         std::fs::read_dir(format!("/proc/{}/fd", site.program.pid()))
             .expect("program is running")
             .count()
     };
-    let _first = site.discovery.watch();
+    let _first = site.discovery.accept_watch();
     let mut max_descriptors = 0;
     let mut established = Vec::new();
     // Connects until no more clients are accepted; meanwhile servers are probed for their loads.
     for _ in 0..300 {
-        let mut client = site.open("chat", "");
-        let answer = client.hear();
+        let mut client = site.open_client("chat", "");
+        let answer = client.read_line();
         max_descriptors = max_descriptors.max(descriptor_count());
         match answer.as_deref() {
             Some("UP r") => established.push(client),
@@ -470,16 +470,16 @@
     let silent: Vec<Peer> = (0..200)
         .map(|_| {
             max_descriptors = max_descriptors.max(descriptor_count());
-            Peer::connect(site.at)
+            Peer::connect(site.address)
         })
         .collect();
     // The silent watch is reopened, the file is reloaded, and the operations port answers.
-    site.discovery.falls_silent();
-    site.discovery.watch();
+    site.discovery.stop_heartbeats();
+    site.discovery.accept_watch();
     site.program.signal("HUP");
-    site.program.says("configuration is unchanged");
+    site.program.wait_for_log("configuration is unchanged");
     let status = Api {
-        at: operations_address,
+        address: operations_address,
         token: "none is wanted",
     }
     .call("GET", "/status", "");
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -41,10 +41,10 @@
 fn accept_watch_call(listener: &TcpListener) -> Peer {
     let mut peer = Peer::accept(listener);
     assert!(
-        peer.hear()
+        peer.read_line()
             .is_some_and(|line| line.starts_with("GET /api/targets?watch=1&from="))
     );
-    while peer.hear().is_some_and(|line| !line.is_empty()) {}
+    while peer.read_line().is_some_and(|line| !line.is_empty()) {}
     peer
 }
 
@@ -66,15 +66,15 @@
     discovery: &TcpListener,
     server_list: &[(&str, SocketAddr, &str)],
 ) -> WatchingBalancer {
-    let address = free();
-    let config = config(
+    let address = reserve_address();
+    let config = platform_config(
         address,
         address_of(discovery),
-        &list(1, true, server_list),
+        &endpoint_list(1, true, server_list),
         settings,
         256,
     );
-    let path = file(name, &config);
+    let path = write_temp_file(name, &config);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     WatchingBalancer {
         program,
@@ -86,16 +86,16 @@
 
 fn open_request(address: SocketAddr, id: &str) -> Peer {
     let mut client = Peer::connect(address);
-    client.say(&format!("OPEN {id} 02 c=chat,t=acme,d=9000,g=3\r\n"));
+    client.send(&format!("OPEN {id} 02 c=chat,t=acme,d=9000,g=3\r\n"));
     client
 }
 
 /// Accepts a request at the server and answers it.
 fn accept_request(server: &TcpListener, client: &mut Peer) -> Peer {
     let mut peer = Peer::accept(server);
-    peer.hear().expect("a request is received");
-    peer.say("UP r1\r\n");
-    client.hears("UP r1");
+    peer.read_line().expect("a request is received");
+    peer.send("UP r1\r\n");
+    client.expect_line("UP r1");
     peer
 }
 
@@ -111,28 +111,30 @@
 #[test]
 fn parses_indented_list_split_into_chunks() {
     let site = Site::start("indented", 2);
-    let (mut client, _server) = site.stand();
-    let mut watch = site.discovery.watch();
+    let (mut client, _server) = site.establish_connection();
+    let mut watch = site.discovery.accept_watch();
     // A heartbeat inside a chunked line would corrupt it.
-    site.discovery.falls_silent();
+    site.discovery.stop_heartbeats();
     watch.stream.set_nodelay(true).expect("socket is open");
     let servers = [
         ("s0", address_of(&site.servers[0]), "DRAINING"),
         ("s1", address_of(&site.servers[1]), "SERVING"),
     ];
     let snapshot: serde_json::Value =
-        serde_json::from_str(&list(7, true, &servers)).expect("valid JSON");
+        serde_json::from_str(&endpoint_list(7, true, &servers)).expect("valid JSON");
     let text = serde_json::to_string_pretty(&snapshot).expect("valid JSON");
-    for chunk in format!("\n{text}\n{}\n", list(8, false, &[]))
+    for chunk in format!("\n{text}\n{}\n", endpoint_list(8, false, &[]))
         .as_bytes()
         .chunks(5)
     {
         let chunk = std::str::from_utf8(chunk).expect("chunk is ASCII");
-        watch.say(&format!("{:x}\r\n{chunk}\r\n", chunk.len()));
+        watch.send(&format!("{:x}\r\n{chunk}\r\n", chunk.len()));
     }
-    site.program.says("generation=7 kind=Snapshot entries=2");
-    site.program.says("generation=8 kind=Delta entries=0");
-    client.hears("MOVE");
+    site.program
+        .wait_for_log("generation=7 kind=Snapshot entries=2");
+    site.program
+        .wait_for_log("generation=8 kind=Delta entries=0");
+    client.expect_line("MOVE");
 }
 
 /// A request that waits for an answer is retried on the list that arrives when discovery recovers.
@@ -150,26 +152,26 @@
         &[("s0", address_of(&old), "SERVING")],
     );
     let mut silent = vec![accept_watch_call(&agent)];
-    program.says("the cached list is used");
+    program.wait_for_log("the cached list is used");
     let mut client = open_request(front, "a1");
     let mut pending_attempt = Peer::accept(&old);
-    pending_attempt.hear().expect("a request is received");
+    pending_attempt.read_line().expect("a request is received");
     // Discovery is down: the agent accepts calls and does not answer. It recovers just after the last of these began.
     silent.extend((0..3).map(|_| accept_watch_call(&agent)));
     let returned_at = Instant::now();
-    let snapshot = list(2, true, &[("s1", address_of(&new), "SERVING")]);
+    let snapshot = endpoint_list(2, true, &[("s1", address_of(&new), "SERVING")]);
     spawn_replies(
         agent,
         Duration::ZERO,
         format!("{RESPONSE_HEAD}{:x}\r\n{snapshot}\r\n", snapshot.len()),
     );
-    program.says("generation=2 kind=Snapshot");
+    program.wait_for_log("generation=2 kind=Snapshot");
     assert!(
         returned_at.elapsed() < Duration::from_secs(2),
         "{:?}",
         returned_at.elapsed()
     );
-    pending_attempt.say("BUSY\r\n");
+    pending_attempt.send("BUSY\r\n");
     let _established = accept_request(&new, &mut client);
     assert_no_connection(&old);
 }
@@ -193,13 +195,13 @@
         // A starting agent closes the first call. It answers the second one after longer than a start takes that does
         // not wait for it.
         drop(accept_watch_call(&agent));
-        let snapshot = list(2, true, &[("s1", address_of(&new), "SERVING")]);
+        let snapshot = endpoint_list(2, true, &[("s1", address_of(&new), "SERVING")]);
         spawn_replies(
             agent,
             Duration::from_millis(60),
             format!("{RESPONSE_HEAD}{:x}\r\n{snapshot}\r\n", snapshot.len()),
         );
-        let log_lines = program.says_up_to("front=platform");
+        let log_lines = program.read_log_until("front=platform");
         if log_lines
             .iter()
             .any(|line| line.contains("the cached list is used"))
@@ -238,27 +240,27 @@
     let mut discovery = &first;
     match silence_point {
         SilencePoint::BeforeHead => {}
-        SilencePoint::AfterHead => silent.say(RESPONSE_HEAD),
+        SilencePoint::AfterHead => silent.send(RESPONSE_HEAD),
         SilencePoint::MidLine => {
-            silent.say(RESPONSE_HEAD);
-            tell(
+            silent.send(RESPONSE_HEAD);
+            send_endpoints(
                 &mut silent,
                 2,
                 true,
                 &[("s0", address_of(&server), "SERVING")],
             );
-            let half = &list(3, false, &[("s0", address_of(&server), "DRAINING")])[..60];
-            silent.say(&format!("{:x}\r\n{half}\r\n", half.len()));
+            let half = &endpoint_list(3, false, &[("s0", address_of(&server), "DRAINING")])[..60];
+            silent.send(&format!("{:x}\r\n{half}\r\n", half.len()));
         }
         SilencePoint::AfterSighup => {
-            silent.say(RESPONSE_HEAD);
-            tell(
+            silent.send(RESPONSE_HEAD);
+            send_endpoints(
                 &mut silent,
                 2,
                 true,
                 &[("s0", address_of(&server), "SERVING")],
             );
-            site.program.says("generation=2");
+            site.program.wait_for_log("generation=2");
             let moved = site.config.replace(
                 &address_of(&first).to_string(),
                 &address_of(&second).to_string(),
@@ -269,16 +271,19 @@
         }
     }
     let silent_since = Instant::now();
-    assert!(silent.is_gone(), "{name}: the silent watch must be closed");
+    assert!(
+        silent.is_closed(),
+        "{name}: the silent watch must be closed"
+    );
     let mut restarted = accept_watch_call(discovery);
-    restarted.say(RESPONSE_HEAD);
-    tell(
+    restarted.send(RESPONSE_HEAD);
+    send_endpoints(
         &mut restarted,
         4,
         true,
         &[("s0", address_of(&server), "DRAINING")],
     );
-    site.program.says("generation=4 kind=Snapshot");
+    site.program.wait_for_log("generation=4 kind=Snapshot");
     assert!(
         silent_since.elapsed() < MAX_SILENCE,
         "{name}: {:?}",
@@ -327,7 +332,7 @@
         u32::from_ne_bytes(v4.ip().octets()),
         v4.port()
     );
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("/proc/net/tcp is readable")
         .contains(&row)
@@ -360,10 +365,10 @@
         ..
     } = start_balancer("between", &settings, &discovery, &server_list);
     let mut watch = accept_watch_call(&discovery);
-    watch.say(RESPONSE_HEAD);
+    watch.send(RESPONSE_HEAD);
     let mut client = open_request(front, "a1");
     wait_for_connect_attempt(address_of(&old));
-    tell(
+    send_endpoints(
         &mut watch,
         2,
         false,
@@ -372,10 +377,10 @@
             ("s1", address_of(&new), "SERVING"),
         ],
     );
-    program.says("generation=2 kind=Delta");
+    program.wait_for_log("generation=2 kind=Delta");
     backlog.iter().for_each(|_| drop(Peer::accept(&old)));
     assert!(
-        Peer::accept(&old).is_gone(),
+        Peer::accept(&old).is_closed(),
         "the connection must be closed without a byte sent on it"
     );
     let _established = accept_request(&new, &mut client);
@@ -397,7 +402,7 @@
         address: front,
         ..
     } = start_balancer("without", &settings, &discovery, &server_list);
-    program.says("to=serving");
+    program.wait_for_log("to=serving");
     let mut last_call_at = Instant::now();
     for _ in 0..4 {
         let mut call = accept_watch_call(&discovery);
@@ -407,19 +412,19 @@
             last_call_at.elapsed()
         );
         last_call_at = Instant::now();
-        call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
     // The known list is used meanwhile.
     let _established = accept_request(&server, &mut open_request(front, "a1"));
     let mut watch = accept_watch_call(&discovery);
-    watch.say(RESPONSE_HEAD);
-    tell(
+    watch.send(RESPONSE_HEAD);
+    send_endpoints(
         &mut watch,
         2,
         true,
         &[("s0", address_of(&server), "SERVING")],
     );
-    program.says("generation=2 kind=Snapshot");
+    program.wait_for_log("generation=2 kind=Snapshot");
 }
 
 /// A watch call that fails late must be repeated early enough to apply a change within the limit for silence.
@@ -440,30 +445,30 @@
                         &format!("\"ask-within-ns\":{ask_within_ns}"),
                     );
                 let server_list = [("s0", address_of(&server), "SERVING")];
-                let config = config(
-                    free(),
+                let config = platform_config(
+                    reserve_address(),
                     address_of(&discovery),
-                    &list(1, true, &server_list),
+                    &endpoint_list(1, true, &server_list),
                     &settings,
                     256,
                 );
                 // Each run draws another retry delay.
                 let config = config.replace("\"seed\":\"7\"", &format!("\"seed\":\"{number}\""));
-                let path = file(&format!("late{number}"), &config);
+                let path = write_temp_file(&format!("late{number}"), &config);
                 let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
                 let mut call = accept_watch_call(&discovery);
                 let changed_at = Instant::now();
                 std::thread::sleep(CALL_DURATION);
-                call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+                call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 let mut watch = accept_watch_call(&discovery);
-                watch.say(RESPONSE_HEAD);
-                tell(
+                watch.send(RESPONSE_HEAD);
+                send_endpoints(
                     &mut watch,
                     2,
                     false,
                     &[("s0", address_of(&server), "DRAINING")],
                 );
-                program.says("generation=2 kind=Delta");
+                program.wait_for_log("generation=2 kind=Delta");
                 assert!(
                     changed_at.elapsed() < MAX_SILENCE,
                     "{ask_within_ns}: {:?}",
@@ -476,36 +481,36 @@
 
 #[test]
 fn restarts_watch_after_descriptor_exhaustion() {
-    let (discovery, server, front) = (listener(), listener(), free());
+    let (discovery, server, front) = (listener(), listener(), reserve_address());
     let server_list = [("s0", address_of(&server), "SERVING")];
     // The process limit is lower than the configured one, so that clients use up all descriptors.
-    let config = config(
+    let config = platform_config(
         front,
         address_of(&discovery),
-        &list(1, true, &server_list),
+        &endpoint_list(1, true, &server_list),
         &long_timeout_settings(),
         4096,
     );
-    let path = file("lacks", &config);
-    let program = Program::start_limited(40, &[("LB_CONFIG", path.as_str())]);
-    program.says("to=serving");
+    let path = write_temp_file("lacks", &config);
+    let program = Program::start_with_descriptor_limit(40, &[("LB_CONFIG", path.as_str())]);
+    program.wait_for_log("to=serving");
     let mut watch = accept_watch_call(&discovery);
-    watch.say(RESPONSE_HEAD);
-    tell(&mut watch, 2, true, &server_list);
-    program.says("generation=2 kind=Snapshot");
+    watch.send(RESPONSE_HEAD);
+    send_endpoints(&mut watch, 2, true, &server_list);
+    program.wait_for_log("generation=2 kind=Snapshot");
     let clients: Vec<TcpStream> = (0..200)
         .map(|_| TcpStream::connect(front).expect("connection fits into the listen backlog"))
         .collect();
-    program.says("accept failed");
+    program.wait_for_log("accept failed");
     drop(watch);
-    program.says("watch ended");
+    program.wait_for_log("watch ended");
     // Whether the next call gets a descriptor depends on those reserved for it.
     drop(clients);
     let released_at = Instant::now();
     let mut watch = accept_watch_call(&discovery);
-    watch.say(RESPONSE_HEAD);
-    tell(&mut watch, 3, true, &server_list);
-    program.says("generation=3 kind=Snapshot");
+    watch.send(RESPONSE_HEAD);
+    send_endpoints(&mut watch, 3, true, &server_list);
+    program.wait_for_log("generation=3 kind=Snapshot");
     assert!(
         released_at.elapsed() < MAX_SILENCE,
         "{:?}",
@@ -547,18 +552,20 @@
     reload_with_discovery(&site, &first, &second);
     let mut watch = Peer::accept(&second);
     assert!(
-        watch.hear().is_some_and(|line| line.contains("from=0 ")),
+        watch
+            .read_line()
+            .is_some_and(|line| line.contains("from=0 ")),
         "the whole list is requested"
     );
-    while watch.hear().is_some_and(|line| !line.is_empty()) {}
-    watch.say(RESPONSE_HEAD);
-    tell(
+    while watch.read_line().is_some_and(|line| !line.is_empty()) {}
+    watch.send(RESPONSE_HEAD);
+    send_endpoints(
         &mut watch,
         1,
         true,
         &[("s0", address_of(&server), "DRAINING")],
     );
-    site.program.says("generation=1 kind=Snapshot");
+    site.program.wait_for_log("generation=1 kind=Snapshot");
     assert!(
         reloaded_at.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -576,35 +583,37 @@
         &[("s0", address_of(&server), "SERVING")],
     );
     let mut watch = accept_watch_call(&first);
-    watch.say(RESPONSE_HEAD);
-    tell(
+    watch.send(RESPONSE_HEAD);
+    send_endpoints(
         &mut watch,
         2,
         true,
         &[("s0", address_of(&server), "SERVING")],
     );
-    site.program.says("generation=2");
+    site.program.wait_for_log("generation=2");
     reload_with_discovery(&site, &first, &second);
     reload_with_discovery(&site, &first, &third);
     let mut watch = Peer::accept(&third);
     assert!(
-        watch.hear().is_some_and(|line| line.contains("from=0 ")),
+        watch
+            .read_line()
+            .is_some_and(|line| line.contains("from=0 ")),
         "the whole list is requested"
     );
-    while watch.hear().is_some_and(|line| !line.is_empty()) {}
-    watch.say(RESPONSE_HEAD);
-    tell(
+    while watch.read_line().is_some_and(|line| !line.is_empty()) {}
+    watch.send(RESPONSE_HEAD);
+    send_endpoints(
         &mut watch,
         1,
         true,
         &[("s0", address_of(&server), "DRAINING")],
     );
-    site.program.says("generation=1 kind=Snapshot");
+    site.program.wait_for_log("generation=1 kind=Snapshot");
     // Then back to the address that was used first.
     std::fs::write(&site.path, &site.config).expect("configuration file is written");
     site.program.signal("HUP");
     assert!(
-        watch.is_gone(),
+        watch.is_closed(),
         "the watch on the previous address is closed"
     );
     accept_watch_call(&first);
--- a/crates/cli/tests/fleet_edge.rs
+++ b/crates/cli/tests/fleet_edge.rs
@@ -1,5 +1,5 @@
-//! An edge site of real processes: what its processes see of servers counts for all of them while the uplink is lost, and
-//! nobody is moved when it is back.
+//! An edge site of real processes: while the uplink is lost, its processes share what each observes of the servers, and no
+//! client is moved when the uplink returns.
 
 mod support;
 
@@ -10,21 +10,21 @@
 use support::fleet::*;
 use support::*;
 
-/// Longer than it takes until a silent watch and silent peers are known to be lost, and the doubt is over.
-const LONG: Duration = Duration::from_secs(40);
+/// Upper bound of the time until silent watches and peers are declared lost and the site has decided on its uplink.
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A server that takes every opening and sends its client away once that says so.
-fn drains(server: TcpListener) {
+/// Runs a server that accepts every opening and moves a client that sends `leave`.
+fn spawn_draining_server(server: TcpListener) {
     std::thread::spawn(move || {
         while let Ok((stream, _)) = server.accept() {
             std::thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                if peer.hear().is_some() {
-                    peer.say("UP r1\r\n");
+                if peer.read_line().is_some() {
+                    peer.send("UP r1\r\n");
                 }
-                while let Some(line) = peer.hear_or_end() {
+                while let Some(line) = peer.read_line_or_end() {
                     if line.trim_end() == "leave" {
-                        return peer.say("MOVE\r\n");
+                        return peer.send("MOVE\r\n");
                     }
                 }
             });
@@ -32,106 +32,118 @@
     });
 }
 
-/// Servers: two that are well, one that drains by its own word, and one that takes no connection.
-fn four() -> Vec<(&'static str, SocketAddr)> {
-    let (told, _) = channel();
+/// Starts four servers: two healthy ones, one that moves its clients by itself, and one that refuses connections.
+fn spawn_four_servers() -> Vec<(&'static str, SocketAddr)> {
+    let (opening_sender, _) = channel();
     ["s0", "s1", "s2", "s3"]
         .into_iter()
         .map(|name| {
             let server = listener();
-            let at = server.local_addr().expect("bound");
+            let at = server
+                .local_addr()
+                .expect("bound socket has a local address");
             match name {
-                "s2" => drains(server),
+                "s2" => spawn_draining_server(server),
                 "s3" => drop(server),
-                _ => serves(0, server, told.clone()),
+                _ => spawn_server(0, server, opening_sender.clone()),
             }
             (name, at)
         })
         .collect()
 }
 
-fn open(process: &Process, number: usize) -> (String, Peer) {
-    let mut client = Peer::connect(process.at);
-    client.say(&format!(
+fn open_client(process: &Process, number: usize) -> (String, Peer) {
+    let mut client = Peer::connect(process.address);
+    client.send(&format!(
         "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
     ));
-    (client.hear().expect("an answer"), client)
+    (client.read_line().expect("an answer line"), client)
 }
 
-fn effective(farm: &serde_json::Value, name: &str) -> (String, String) {
+fn effective_state(farm: &serde_json::Value, name: &str) -> (String, String) {
     let server = farm["servers"]
         .as_array()
-        .expect("rows")
+        .expect("servers is a list")
         .iter()
-        .find(|one| one["name"] == name);
-    let server = server.expect("listed");
+        .find(|row| row["name"] == name);
+    let server = server.expect("server is listed");
     (
         server["effective"]["state"].to_string(),
         server["why"].to_string(),
     )
 }
 
+/// While the site is declared isolated, a process that gets no clients skips the servers that other processes saw fail or
+/// drain.
 #[test]
-fn on_an_island_all_processes_pass_over_what_one_of_them_saw() {
-    let servers = four();
+fn isolated_site_shares_observed_server_failures() {
+    let servers = spawn_four_servers();
     let rows: Vec<(&str, SocketAddr, &str)> = servers
         .iter()
         .map(|(name, at)| (*name, *at, "SERVING"))
         .collect();
-    let fleet = Fleet::of(3, &list(1, true, &rows), channel().1);
-    let start = |number, word: &str| {
-        let sections = fleet.sections(number, "") + &format!("[edge]\nword = \"{word}\"\n");
-        fleet.process(number, &sections)
+    let fleet = Fleet::with_endpoints(3, &endpoint_list(1, true, &rows), channel().1);
+    let start = |number, uplink_word: &str| {
+        let sections =
+            fleet.operator_sections(number, "") + &format!("[edge]\nword = \"{uplink_word}\"\n");
+        fleet.start_process(number, &sections)
     };
-    let all: Vec<Process> = (0..3).map(|number| start(number, "island")).collect();
-    for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 3);
+    let processes: Vec<Process> = (0..3).map(|number| start(number, "island")).collect();
+    for process in &processes {
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 3);
     }
-    let (seers, other) = (&all[..2], &all[2]);
-    // Clients come through two of them until the third knows, which takes none.
+    let (observers, third) = (&processes[..2], &processes[2]);
+    // Clients connect through two processes until the third one, which gets no clients, knows of the failure.
     let mut clients = Vec::new();
-    let mut knows = |server: &str, word: &str| {
+    let mut wait_until_known = |server: &str, expected: &str| {
         for number in 0.. {
-            assert!(number < 400, "the third never knew of {server}");
-            let (answer, mut client) = open(&seers[number % 2], clients.len());
+            assert!(number < 400, "the third process did not learn of {server}");
+            let (answer, mut client) = open_client(&observers[number % 2], clients.len());
             assert!(
                 answer.starts_with("UP") || answer.starts_with("BUSY"),
                 "{answer}"
             );
             if server == "s2" && answer.starts_with("UP") {
-                client.say("leave\r\n");
+                client.send("leave\r\n");
             }
             clients.push(client);
-            let (state, why) = effective(&other.api.call("GET", "/v1/farm", "").body, server);
+            let (state, why) = effective_state(&third.api.call("GET", "/v1/farm", "").body, server);
             if state.contains("out") {
-                assert!(why.contains(word), "{why}");
+                assert!(why.contains(expected), "{why}");
                 return;
             }
         }
     };
-    knows("s3", "the server refuses connections");
-    knows("s2", "drains");
-    // What is well stays, and the others' drains were no reason to pass it over.
-    let farm = other.api.call("GET", "/v1/farm", "").body;
-    for well in ["s0", "s1"] {
-        assert!(effective(&farm, well).0.contains("ready"), "{farm}");
+    wait_until_known("s3", "the server refuses connections");
+    wait_until_known("s2", "drains");
+    // Healthy servers stay ready: the drains of other servers are no reason to skip them.
+    let farm = third.api.call("GET", "/v1/farm", "").body;
+    for healthy in ["s0", "s1"] {
+        assert!(
+            effective_state(&farm, healthy).0.contains("ready"),
+            "{farm}"
+        );
     }
-    let said = other.program.says("server skipped");
+    let line = third.program.wait_for_log("server skipped");
     assert!(
-        said.contains("server=s3") || said.contains("server=s2"),
-        "{said}"
+        line.contains("server=s3") || line.contains("server=s2"),
+        "{line}"
     );
 }
 
+/// A site that loses both discovery and the other site becomes isolated and keeps serving; no client is moved when it
+/// rejoins.
 #[test]
-fn a_site_that_lost_discovery_and_the_other_site_is_an_island_and_rejoins_without_a_move() {
-    let (told, openings) = channel();
+fn site_isolates_without_uplink_and_rejoins_without_moves() {
+    let (opening_sender, openings) = channel();
     let rows: Vec<(String, SocketAddr)> = (0..2)
         .map(|number| {
             let server = listener();
-            let at = server.local_addr().expect("bound");
-            serves(number, server, told.clone());
+            let at = server
+                .local_addr()
+                .expect("bound socket has a local address");
+            spawn_server(number, server, opening_sender.clone());
             (format!("s{number}"), at)
         })
         .collect();
@@ -139,70 +151,77 @@
         .iter()
         .map(|(name, at)| (name.as_str(), *at, "SERVING"))
         .collect();
-    let fleet = Fleet::of(3, &list(1, true, &rows), openings);
+    let fleet = Fleet::with_endpoints(3, &endpoint_list(1, true, &rows), openings);
     let start = |number: usize| {
-        let (site, other, size) = if number < 2 {
+        let (site, other_site, size) = if number < 2 {
             ("north", "south", 2)
         } else {
             ("south", "north", 1)
         };
-        let more = format!("size = 3\nsite_size = {size}\nother_sites = [\"{other}\"]");
+        let fleet_fields =
+            format!("size = 3\nsite_size = {size}\nother_sites = [\"{other_site}\"]");
         let sections = fleet
-            .sections_with(number, &more, "")
+            .operator_sections_with(number, &fleet_fields, "")
             .replace("site = \"north\"", &format!("site = \"{site}\""));
-        fleet.process(number, &(sections + "[edge]\npatience_s = 1\n"))
+        fleet.start_process(number, &(sections + "[edge]\npatience_s = 1\n"))
     };
-    let mut all: Vec<Process> = (0..3).map(start).collect();
-    let mut watches: Vec<Peer> = (0..3).map(|_| fleet.discovery.watch()).collect();
+    let mut processes: Vec<Process> = (0..3).map(start).collect();
+    let mut watches: Vec<Peer> = (0..3).map(|_| fleet.discovery.accept_watch()).collect();
     watches
         .iter_mut()
-        .for_each(|watch| tell(watch, 2, true, &rows));
-    for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 3);
-        process.shows("linked", LONG, |farm| {
+        .for_each(|watch| send_endpoints(watch, 2, true, &rows));
+    for process in &processes {
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 3);
+        process.wait_for_farm("linked", ISOLATION_TIMEOUT, |farm| {
             farm["fleet"]["uplink"]
                 .as_str()
-                .is_some_and(|words| words.starts_with("linked"))
+                .is_some_and(|uplink| uplink.starts_with("linked"))
         });
     }
-    let (mut clients, _) = fleet.open_all(&all[0], "a");
-    // The uplink is lost: discovery says nothing more, and the other site is not heard.
-    fleet.discovery.falls_silent();
-    all[2].program.kill();
-    for process in &all[..2] {
-        process.program.says("to=islanded");
+    let (mut clients, _) = fleet.connect_all_clients(&processes[0], "a");
+    // The uplink is lost: discovery is silent, and the other site is unreachable.
+    fleet.discovery.stop_heartbeats();
+    processes[2].program.kill();
+    for process in &processes[..2] {
+        process.program.wait_for_log("to=islanded");
     }
-    // Service goes on from what is known.
-    let (more, _) = fleet.open_all(&all[1], "b");
-    assert_eq!(more.len(), CLIENTS);
-    clients.extend(more);
-    fleet.discovery.speaks_again();
-    all[2] = start(2);
-    // Whoever asks is told the same list under a later number, by a discovery that kept its state.
-    let (mut watches, until) = (Vec::new(), Instant::now() + LONG);
+    // The site keeps serving from the endpoint list that it has.
+    let (newcomers, _) = fleet.connect_all_clients(&processes[1], "b");
+    assert_eq!(newcomers.len(), CLIENT_COUNT);
+    clients.extend(newcomers);
+    fleet.discovery.resume_heartbeats();
+    processes[2] = start(2);
+    // Discovery has kept its state: each watch gets the same list with a later generation.
+    let (mut watches, deadline) = (Vec::new(), Instant::now() + ISOLATION_TIMEOUT);
     let is_linked = |process: &Process| {
         let uplink = process.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
         uplink
             .as_str()
-            .is_some_and(|words| words.starts_with("linked"))
+            .is_some_and(|uplink| uplink.starts_with("linked"))
     };
-    while !all[..2].iter().all(is_linked) {
-        assert!(Instant::now() < until, "never linked again");
-        if let Some(mut watch) = fleet.discovery.watch_within(Duration::from_millis(50)) {
-            tell(&mut watch, 3, true, &rows);
+    while !processes[..2].iter().all(is_linked) {
+        assert!(
+            Instant::now() < deadline,
+            "uplink did not become linked again"
+        );
+        if let Some(mut watch) = fleet
+            .discovery
+            .accept_watch_within(Duration::from_millis(50))
+        {
+            send_endpoints(&mut watch, 3, true, &rows);
             watches.push(watch);
         }
     }
-    for process in &all[..2] {
-        process.program.says("to=linked");
-        let said = process.program.says("request counters");
-        assert!(said.contains("moved=0"), "{said}");
+    for process in &processes[..2] {
+        process.program.wait_for_log("to=linked");
+        let line = process.program.wait_for_log("request counters");
+        assert!(line.contains("moved=0"), "{line}");
     }
-    // One that was sent away has heard so.
+    // A client that was moved would have received a line.
     for client in &mut clients {
-        client.stream.set_nonblocking(true).expect("open");
-        let heard = client.hear_or_end();
-        assert!(heard.is_none(), "{heard:?}");
+        client.stream.set_nonblocking(true).expect("socket is open");
+        let received = client.read_line_or_end();
+        assert!(received.is_none(), "{received:?}");
     }
 }
--- a/crates/cli/tests/fleet_memory.rs
+++ b/crates/cli/tests/fleet_memory.rs
@@ -1,5 +1,5 @@
-//! Processes of a fleet over loopback: a client that returns to another process, or to one that started anew, gets the
-//! server it had; and where no fleet is set up, there is nothing of all this.
+//! Processes of a fleet over loopback: a client that returns to another process, or to a restarted one, gets the server it
+//! had. Without fleet sections in the operator's file none of this runs.
 
 mod support;
 
@@ -9,107 +9,108 @@
 use support::*;
 
 #[test]
-fn clients_come_back_to_their_server_through_another_process_and_after_a_restart() {
+fn clients_keep_server_via_other_process_and_restart() {
     let fleet = Fleet::start(2, 2);
-    let mut a = fleet.process(0, &fleet.sections(0, ""));
-    let mut b = fleet.process(1, &fleet.sections(1, ""));
+    let mut a = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    let mut b = fleet.start_process(1, &fleet.operator_sections(1, ""));
     for process in [&a, &b] {
-        process.program.says("to=serving");
-        process.waits_for("processes", 2);
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 2);
     }
-    let (clients, first) = fleet.open_all(&a, "a");
+    let (clients, first) = fleet.connect_all_clients(&a, "a");
     assert!(first.values().any(|server| *server == 0) && first.values().any(|server| *server == 1));
-    b.waits_for("placements", CLIENTS);
+    b.wait_for_fleet_field("placements", CLIENT_COUNT);
     drop(clients);
-    let (clients, second) = fleet.open_all(&b, "b");
-    assert_eq!(first, second, "through another process");
-    a.waits_for("placements", CLIENTS);
+    let (clients, second) = fleet.connect_all_clients(&b, "b");
+    assert_eq!(first, second, "same server through another process");
+    a.wait_for_fleet_field("placements", CLIENT_COUNT);
     drop(clients);
-    // Nobody is left who could tell but its own memory.
+    // With the other process gone, only its own memory file holds the placements.
     b.program.kill();
     a.program.signal("TERM");
-    assert!(a.program.left());
-    let a = fleet.process(0, &fleet.sections(0, ""));
-    let said = a.program.says("memory records restored");
+    assert!(a.program.exits_cleanly());
+    let a = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    let line = a.program.wait_for_log("memory records restored");
     assert!(
-        said.contains(&format!("placements={CLIENTS}")) && said.contains("boot=2"),
-        "{said}"
+        line.contains(&format!("placements={CLIENT_COUNT}")) && line.contains("boot=2"),
+        "{line}"
     );
-    a.program.says("to=serving");
-    a.waits_for("placements", CLIENTS);
-    let (_clients, third) = fleet.open_all(&a, "c");
-    assert_eq!(first, third, "after a restart");
+    a.program.wait_for_log("to=serving");
+    a.wait_for_fleet_field("placements", CLIENT_COUNT);
+    let (_clients, third) = fleet.connect_all_clients(&a, "c");
+    assert_eq!(first, third, "same server after a restart");
 }
 
+/// A reload applies the configured uplink state, the peers and the serial number, and logs the sections that need a restart.
 #[test]
-fn a_reload_takes_over_the_word_on_the_uplink_peers_and_the_serial_number_and_names_what_takes_a_restart()
- {
+fn reload_applies_live_fields_and_reports_restart_fields() {
     let fleet = Fleet::start(2, 1);
-    let a = fleet.process(0, &fleet.sections(0, ""));
-    a.program.says("to=serving");
-    let moved = fleet
-        .sections(0, "serial = 2")
-        .replace(&fleet.peers[1].to_string(), &free_udp().to_string());
-    let moved =
-        moved.replace("site = \"north\"", "site = \"south\"") + "[edge]\nword = \"island\"\n";
-    fleet.write_operator(0, a.api.at, &moved);
+    let a = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    a.program.wait_for_log("to=serving");
+    let changed_sections = fleet.operator_sections(0, "serial = 2").replace(
+        &fleet.peer_addresses[1].to_string(),
+        &free_udp_address().to_string(),
+    );
+    let changed_sections = changed_sections.replace("site = \"north\"", "site = \"south\"")
+        + "[edge]\nword = \"island\"\n";
+    fleet.write_operator_file(0, a.api.address, &changed_sections);
     a.program.signal("HUP");
-    let said = a.program.says("configuration changes applied");
+    let line = a.program.wait_for_log("configuration changes applied");
     assert!(
         ["fleet.peers", "edge.word", "affinity.serial"]
             .iter()
-            .all(|what| said.contains(what)),
-        "{said}"
+            .all(|field| line.contains(field)),
+        "{line}"
     );
-    let said = a.program.says("changes need a restart");
-    assert!(said.ends_with("what=fleet"), "{said}");
-    let until = Instant::now() + PATIENCE;
+    let line = a.program.wait_for_log("changes need a restart");
+    assert!(line.ends_with("what=fleet"), "{line}");
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        let shown = a.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
-        if shown
+        let uplink = a.api.call("GET", "/v1/farm", "").body["fleet"]["uplink"].clone();
+        if uplink
             .as_str()
-            .is_some_and(|words| words.starts_with("islanded"))
+            .is_some_and(|uplink| uplink.starts_with("islanded"))
         {
             return;
         }
-        assert!(Instant::now() < until, "{shown}");
+        assert!(Instant::now() < deadline, "{uplink}");
     }
 }
 
-/// What a program's descriptors are: paths, or `socket:[inode]`.
-fn descriptors(program: &Program) -> Vec<String> {
+/// Targets of a program's file descriptors: paths, or `socket:[inode]`.
+fn descriptor_targets(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/fd", program.pid());
-    let entries = std::fs::read_dir(folder).expect("it runs");
-    let links = entries.filter_map(|one| std::fs::read_link(one.ok()?.path()).ok());
+    let entries = std::fs::read_dir(folder).expect("program is running");
+    let links = entries.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
     links
         .map(|path| path.to_string_lossy().into_owned())
         .collect()
 }
 
-/// How many of them are datagrams' sockets.
-fn datagrams(program: &Program) -> usize {
-    let table = std::fs::read_to_string("/proc/net/udp").expect("Linux");
+/// Number of a program's UDP sockets.
+fn udp_socket_count(program: &Program) -> usize {
+    let table = std::fs::read_to_string("/proc/net/udp").expect("/proc/net/udp is readable");
     let inodes: Vec<&str> = table
         .lines()
         .filter_map(|row| row.split_whitespace().nth(9))
         .collect();
-    let is_one = |link: &String| {
+    let is_udp_socket = |link: &String| {
         let inode = link
             .strip_prefix("socket:[")
             .and_then(|rest| rest.strip_suffix(']'));
         inode.is_some_and(|inode| inodes.contains(&inode))
     };
-    descriptors(program)
+    descriptor_targets(program)
         .iter()
-        .filter(|link| is_one(link))
+        .filter(|link| is_udp_socket(link))
         .count()
 }
 
 /// Names of a program's threads.
-fn threads(program: &Program) -> Vec<String> {
+fn thread_names(program: &Program) -> Vec<String> {
     let folder = format!("/proc/{}/task", program.pid());
     let tasks = std::fs::read_dir(folder)
-        .expect("it runs")
+        .expect("program is running")
         .filter_map(Result::ok);
     let mut names: Vec<String> = tasks
         .filter_map(|task| std::fs::read_to_string(task.path().join("comm")).ok())
@@ -119,117 +120,138 @@
 }
 
 #[test]
-fn without_the_sections_there_is_no_thread_and_no_descriptor_of_a_fleet() {
+fn no_fleet_threads_or_descriptors_without_fleet_sections() {
     let fleet = Fleet::start(1, 1);
-    let with = fleet.process(0, &fleet.sections(0, ""));
-    with.program.says("to=serving");
-    with.waits_for("processes", 1);
-    let without = fleet.process(1, "");
-    without.program.says("to=serving");
-    assert!(without.api.call("GET", "/v1/farm", "").body["fleet"].is_null());
-    let own = ["fleet\n", "memory\n", "peers\n"].map(str::to_owned);
-    // A thread has its name a moment after it began, and one for each call of the API comes and goes.
-    let lasting = |program: &Program| {
-        let all = threads(program).into_iter();
-        all.filter(|name| name != "admin\n")
+    let fleet_process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    fleet_process.program.wait_for_log("to=serving");
+    fleet_process.wait_for_fleet_field("processes", 1);
+    let plain_process = fleet.start_process(1, "");
+    plain_process.program.wait_for_log("to=serving");
+    assert!(plain_process.api.call("GET", "/v1/farm", "").body["fleet"].is_null());
+    let fleet_threads = ["fleet\n", "memory\n", "peers\n"].map(str::to_owned);
+    // A thread gets its name shortly after it starts, and each API call has a short-lived thread.
+    let permanent_threads = |program: &Program| {
+        let names = thread_names(program).into_iter();
+        names
+            .filter(|name| name != "admin\n")
             .collect::<Vec<String>>()
     };
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        let (there, here) = (lasting(&with.program), lasting(&without.program));
-        let rest: Vec<String> = there
+        let (with_fleet, without_fleet) = (
+            permanent_threads(&fleet_process.program),
+            permanent_threads(&plain_process.program),
+        );
+        let rest: Vec<String> = with_fleet
             .iter()
-            .filter(|name| !own.contains(name))
+            .filter(|name| !fleet_threads.contains(name))
             .cloned()
             .collect();
-        if own.iter().all(|name| there.contains(name)) && rest == here {
+        if fleet_threads.iter().all(|name| with_fleet.contains(name)) && rest == without_fleet {
             break;
         }
         assert!(
-            Instant::now() < until,
-            "{there:?} with a fleet, {here:?} without"
+            Instant::now() < deadline,
+            "{with_fleet:?} with a fleet, {without_fleet:?} without"
         );
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
-    // The peers' thread has its socket, and one that wakes it; the memory has its file.
+    // The peers' thread has its UDP socket and another one that wakes it; the memory has its file.
     assert_eq!(
-        (datagrams(&with.program), datagrams(&without.program)),
+        (
+            udp_socket_count(&fleet_process.program),
+            udp_socket_count(&plain_process.program)
+        ),
         (2, 0)
     );
-    let keeps = |program: &Program| descriptors(program).contains(&fleet.path("memory-0"));
-    assert!(keeps(&with.program) && !keeps(&without.program));
+    let has_memory_file =
+        |program: &Program| descriptor_targets(program).contains(&fleet.path("memory-0"));
+    assert!(has_memory_file(&fleet_process.program) && !has_memory_file(&plain_process.program));
 }
 
+/// A placement that failed at one process also counts as failing at the others, until one of them succeeds.
 #[test]
-fn placements_that_failed_at_one_process_count_at_the_others_until_one_succeeds() {
+fn failed_placements_are_shared_until_one_succeeds() {
     let server = listener();
-    let at = server.local_addr().expect("bound");
+    let at = server
+        .local_addr()
+        .expect("bound socket has a local address");
     drop(server);
-    let fleet = Fleet::of(
+    let fleet = Fleet::with_endpoints(
         2,
-        &list(1, true, &[("s0", at, "SERVING")]),
+        &endpoint_list(1, true, &[("s0", at, "SERVING")]),
         std::sync::mpsc::channel().1,
     );
-    let all = [0, 1].map(|number| fleet.process(number, &fleet.sections(number, "")));
-    for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 2);
+    let processes =
+        [0, 1].map(|number| fleet.start_process(number, &fleet.operator_sections(number, "")));
+    for process in &processes {
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 2);
     }
-    let asks = |process: &Process| {
-        let mut client = Peer::connect(process.at);
-        client.say("OPEN a1 k1 c=chat,t=acme,d=2500\r\n");
-        (client.hear().expect("an answer"), client)
+    let open_client = |process: &Process| {
+        let mut client = Peer::connect(process.address);
+        client.send("OPEN a1 k1 c=chat,t=acme,d=2500\r\n");
+        (client.read_line().expect("an answer line"), client)
     };
-    let (answer, _client) = asks(&all[0]);
+    let (answer, _client) = open_client(&processes[0]);
     assert!(answer.starts_with("BUSY"), "{answer}");
-    all[1].waits_for("failing", 1);
-    // The server is there now, and the client comes back to the other process.
-    obliges(std::net::TcpListener::bind(at).expect("free again"));
-    let until = Instant::now() + PATIENCE;
-    while !asks(&all[1]).0.starts_with("UP") {
-        assert!(Instant::now() < until, "never served");
+    processes[1].wait_for_fleet_field("failing", 1);
+    // The server accepts connections now, and the client returns through the other process.
+    serve_all_openings(std::net::TcpListener::bind(at).expect("address can be bound again"));
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !open_client(&processes[1]).0.starts_with("UP") {
+        assert!(Instant::now() < deadline, "client was not served");
     }
-    all[0].waits_for("failing", 0);
+    processes[0].wait_for_fleet_field("failing", 0);
 }
 
 #[test]
-fn clients_keep_their_server_while_the_configuration_rolls_over_the_fleet_and_back() {
+fn clients_keep_server_during_rollout_and_rollback() {
     let mut fleet = Fleet::start(3, 2);
     let old = fleet.settings.clone();
     let new = old.replace("\"value\":1.0", "\"value\":2.0");
     assert_ne!(old, new);
     let start = |fleet: &Fleet, number: usize, serial: u32| {
-        let process = fleet.process(
+        let process = fleet.start_process(
             number,
-            &fleet.sections(number, &format!("serial = {serial}")),
+            &fleet.operator_sections(number, &format!("serial = {serial}")),
         );
-        process.program.says("to=serving");
+        process.program.wait_for_log("to=serving");
         process
     };
-    let mut all: Vec<Process> = (0..3).map(|number| start(&fleet, number, 1)).collect();
-    all.iter()
-        .for_each(|process| process.waits_for("processes", 3));
-    let (clients, first) = fleet.open_all(&all[0], "a");
+    let mut processes: Vec<Process> = (0..3).map(|number| start(&fleet, number, 1)).collect();
+    processes
+        .iter()
+        .for_each(|process| process.wait_for_fleet_field("processes", 3));
+    let (clients, first) = fleet.connect_all_clients(&processes[0], "a");
     drop(clients);
     let version = |process: &Process| {
         process.api.call("GET", "/v1/farm", "").body["fleet"]["version"].to_string()
     };
-    // Clients come back to a process of one version and of the other, on the way there and back.
+    // Clients return to processes of the old and of the new version, during both rollout and rollback.
     for (settings, serial) in [(&new, 2), (&old, 3)] {
         fleet.settings = settings.clone();
         for number in 0..3 {
-            all[number].program.signal("TERM");
-            assert!(all[number].program.left());
-            all[number] = start(&fleet, number, serial);
-            all[number].waits_for("processes", 3);
-            all[number].waits_for("placements", CLIENTS);
-            let (here, next) = (version(&all[number]), version(&all[(number + 1) % 3]));
-            assert_eq!(here == next, number == 2, "{here} and {next}");
+            processes[number].program.signal("TERM");
+            assert!(processes[number].program.exits_cleanly());
+            processes[number] = start(&fleet, number, serial);
+            processes[number].wait_for_fleet_field("processes", 3);
+            processes[number].wait_for_fleet_field("placements", CLIENT_COUNT);
+            let (own_version, next_version) = (
+                version(&processes[number]),
+                version(&processes[(number + 1) % 3]),
+            );
+            assert_eq!(
+                own_version == next_version,
+                number == 2,
+                "{own_version} and {next_version}"
+            );
             for at in [number, (number + 1) % 3] {
-                let (clients, now) = fleet.open_all(&all[at], &format!("v{serial}p{number}a{at}"));
+                let (clients, now) =
+                    fleet.connect_all_clients(&processes[at], &format!("v{serial}p{number}a{at}"));
                 assert_eq!(
                     first, now,
-                    "serial {serial}, restarted {number}, back at {at}"
+                    "serial {serial}, process {number} restarted, clients back at process {at}"
                 );
                 drop(clients);
             }
--- a/crates/cli/tests/fleet_recovery.rs
+++ b/crates/cli/tests/fleet_recovery.rs
@@ -1,4 +1,5 @@
-//! Processes on their way from dark to serving: who went dark, what PING says meanwhile, and at which pace clients return.
+//! Processes that recover from an outage: which processes were affected, how PING is answered meanwhile, and how fast clients
+//! return.
 
 mod support;
 
@@ -7,22 +8,24 @@
 use support::fleet::*;
 use support::*;
 
-/// Processes that started within this of each other count as started together.
-const TOGETHER: Duration = Duration::from_secs(30);
-/// One that heard nothing for so long was stopped.
-const STOPPED: Duration = Duration::from_secs(5);
+/// Processes whose starts are no further apart than this count as started together.
+const SAME_OUTAGE_WINDOW: Duration = Duration::from_secs(30);
+/// A process that received nothing for this long counts as having been stopped.
+const STALL_THRESHOLD: Duration = Duration::from_secs(5);
 
-/// A list of servers that have started just now.
-fn cold(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
+/// Starts servers and returns their endpoint list, in which each has just started and is cold.
+fn cold_endpoint_list(servers: usize) -> (String, std::sync::mpsc::Receiver<(usize, String)>) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("clock is after 1970")
         .as_millis();
-    let (told, openings) = std::sync::mpsc::channel();
+    let (opening_sender, openings) = std::sync::mpsc::channel();
     let row = |number: usize| {
         let server = listener();
-        let at = server.local_addr().expect("bound");
-        serves(number, server, told.clone());
+        let at = server
+            .local_addr()
+            .expect("bound socket has a local address");
+        spawn_server(number, server, opening_sender.clone());
         format!(
             r#"{{"instanceId":"s{number}","hostPort":"{at}","zone":"a","lifecycle":"SERVING","weight":1.0,"startedAtMs":{now}}}"#
         )
@@ -37,155 +40,181 @@
     )
 }
 
+/// After a power loss, staged admission lets clients return in stages and gives each deferred client a retry delay.
 #[test]
-fn after_a_power_loss_clients_return_by_turns_and_each_is_told_when_to_come_again() {
-    let (known, openings) = cold(2);
-    let fleet = Fleet::of(1, &known, openings);
-    let process = fleet.process(0, &fleet.sections_with(0, "borne = 20\nclients = 12", ""));
-    process.program.says("step=StagedAdmission");
-    process.program.says("to=serving");
-    let mut waits: Vec<(usize, Instant)> = (0..CLIENTS)
+fn staged_admission_defers_clients_after_power_loss() {
+    let (known_endpoints, openings) = cold_endpoint_list(2);
+    let fleet = Fleet::with_endpoints(1, &known_endpoints, openings);
+    let process = fleet.start_process(
+        0,
+        &fleet.operator_sections_with(0, "borne = 20\nclients = 12", ""),
+    );
+    process.program.wait_for_log("step=StagedAdmission");
+    process.program.wait_for_log("to=serving");
+    let mut pending: Vec<(usize, Instant)> = (0..CLIENT_COUNT)
         .map(|number| (number, Instant::now()))
         .collect();
-    let (mut stand, until) = (Vec::new(), Instant::now() + 6 * PATIENCE);
-    while let Some(place) = (0..waits.len()).min_by_key(|place| waits[*place].1) {
-        let (number, at) = waits.swap_remove(place);
-        assert!(Instant::now() < until, "{} of {CLIENTS} stand", stand.len());
+    let (mut established, deadline) = (Vec::new(), Instant::now() + 6 * TEST_TIMEOUT);
+    while let Some(index) = (0..pending.len()).min_by_key(|index| pending[*index].1) {
+        let (number, at) = pending.swap_remove(index);
+        assert!(
+            Instant::now() < deadline,
+            "{} of {CLIENT_COUNT} clients are established",
+            established.len()
+        );
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
-        let mut client = Peer::connect(process.at);
-        client.say(&format!(
+        let mut client = Peer::connect(process.address);
+        client.send(&format!(
             "OPEN a{number} k{number} c=chat,t=acme,d=2500\r\n"
         ));
-        match client.hear().expect("an answer").split_once(' ') {
-            Some(("UP", _)) => stand.push(client),
-            Some(("BUSY", after)) => {
-                let after = Duration::from_millis(after.parse().expect("a span"));
+        match client.read_line().expect("an answer line").split_once(' ') {
+            Some(("UP", _)) => established.push(client),
+            Some(("BUSY", retry_after)) => {
+                let retry_after =
+                    Duration::from_millis(retry_after.parse().expect("delay is a number"));
                 assert!(
-                    after <= Duration::from_secs(2),
-                    "longer than a client follows: {after:?}"
+                    retry_after <= Duration::from_secs(2),
+                    "retry delay exceeds the 2 s that clients honour: {retry_after:?}"
                 );
-                waits.push((number, Instant::now() + after));
+                pending.push((number, Instant::now() + retry_after));
             }
             other => panic!("{other:?}"),
         }
     }
-    // The module has a bound of its own for cold servers: what counts is who was told by turns.
-    let shown = process.api.call("GET", "/v1/farm", "").body["fleet"].clone();
-    assert!(shown["deferred"].as_u64() >= Some(3), "{shown}");
+    // The server selection has its own limit for cold servers, so the test counts the clients that staged admission deferred.
+    let fleet_status = process.api.call("GET", "/v1/farm", "").body["fleet"].clone();
+    assert!(
+        fleet_status["deferred"].as_u64() >= Some(3),
+        "{fleet_status}"
+    );
 }
 
+/// A process that was stopped is not serving again until it has determined what happened meanwhile.
 #[test]
-fn a_process_that_was_stopped_says_no_until_it_has_asked_what_happened() {
+fn resumed_process_rejects_clients_until_recovery_ends() {
     let fleet = Fleet::start(1, 1);
-    let process = fleet.process(0, &fleet.sections(0, ""));
-    process.program.says("to=serving");
+    let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    process.program.wait_for_log("to=serving");
     process.program.signal("STOP");
-    std::thread::sleep(STOPPED + Duration::from_secs(1));
+    std::thread::sleep(STALL_THRESHOLD + Duration::from_secs(1));
     process.program.signal("CONT");
-    process.program.says("step=Resumed");
-    process.program.says("to=starting");
-    process.program.says("to=serving");
+    process.program.wait_for_log("step=Resumed");
+    process.program.wait_for_log("to=starting");
+    process.program.wait_for_log("to=serving");
 }
 
 #[test]
-fn a_lone_restart_and_a_power_loss_are_told_apart() {
+fn recovery_distinguishes_single_restart_from_power_loss() {
     let fleet = Fleet::start(3, 1);
-    let begun = Instant::now();
-    let start = |number| fleet.process(number, &fleet.sections(number, ""));
-    let mut all: Vec<Process> = (0..3).map(start).collect();
-    for process in &all {
-        process.program.says("to=serving");
-        process.waits_for("processes", 3);
+    let started_at = Instant::now();
+    let start = |number| fleet.start_process(number, &fleet.operator_sections(number, ""));
+    let mut processes: Vec<Process> = (0..3).map(start).collect();
+    for process in &processes {
+        process.program.wait_for_log("to=serving");
+        process.wait_for_fleet_field("processes", 3);
     }
-    std::thread::sleep((TOGETHER + Duration::from_secs(2)).saturating_sub(begun.elapsed()));
-    all[0].program.kill();
-    all[0] = start(0);
-    let said = all[0].program.says("outage scope decided");
-    assert!(said.contains("scope=alone"), "{said}");
-    all[0].program.says("to=serving");
-    all.iter_mut().for_each(|process| process.program.kill());
-    let all: Vec<Process> = (0..3).map(start).collect();
-    for process in &all {
-        let said = process.program.says("outage scope decided");
-        assert!(said.contains("scope=fleet"), "{said}");
-        process.program.says("to=serving");
+    std::thread::sleep(
+        (SAME_OUTAGE_WINDOW + Duration::from_secs(2)).saturating_sub(started_at.elapsed()),
+    );
+    processes[0].program.kill();
+    processes[0] = start(0);
+    let line = processes[0].program.wait_for_log("outage scope decided");
+    assert!(line.contains("scope=alone"), "{line}");
+    processes[0].program.wait_for_log("to=serving");
+    processes
+        .iter_mut()
+        .for_each(|process| process.program.kill());
+    let processes: Vec<Process> = (0..3).map(start).collect();
+    for process in &processes {
+        let line = process.program.wait_for_log("outage scope decided");
+        assert!(line.contains("scope=fleet"), "{line}");
+        process.program.wait_for_log("to=serving");
     }
 }
 
+/// A drain stays in effect when discovery loses its state, whether the program runs at that time or is down.
 #[test]
-fn drains_hold_against_a_discovery_that_lost_its_state_while_the_program_ran_and_while_it_was_dark()
-{
+fn drains_survive_loss_of_discovery_state() {
     let fleet = Fleet::start(1, 2);
-    let known: serde_json::Value = serde_json::from_str(&fleet.known).expect("JSON");
+    let known_endpoints: serde_json::Value =
+        serde_json::from_str(&fleet.known_endpoints).expect("valid JSON");
     let address = |number: usize| {
-        known["instances"][number]["hostPort"]
+        known_endpoints["instances"][number]["hostPort"]
             .as_str()
-            .expect("text")
+            .expect("hostPort is a string")
             .parse()
     };
     let (s0, s1) = (
-        address(0).expect("an address"),
-        address(1).expect("an address"),
+        address(0).expect("a socket address"),
+        address(1).expect("a socket address"),
     );
-    let (both, drains) = (
+    let (both_serving, s1_draining) = (
         [("s0", s0, "SERVING"), ("s1", s1, "SERVING")],
         [("s1", s1, "DRAINING")],
     );
-    let is_held = |farm: &serde_json::Value| {
+    let is_drain_kept = |farm: &serde_json::Value| {
         let server = &farm["servers"][1];
         server["effective"]["state"] == "out"
             && server["why"]
                 .to_string()
                 .contains("the server was draining when")
     };
-    let mut process = fleet.process(0, &fleet.sections(0, ""));
-    let mut watch = fleet.discovery.watch();
-    tell(&mut watch, 5, true, &both);
-    tell(&mut watch, 6, false, &drains);
-    process.program.says("to=serving");
-    process.shows("draining", PATIENCE, |farm| {
+    let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    let mut watch = fleet.discovery.accept_watch();
+    send_endpoints(&mut watch, 5, true, &both_serving);
+    send_endpoints(&mut watch, 6, false, &s1_draining);
+    process.program.wait_for_log("to=serving");
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
-    // Discovery is begun anew, counts from one, and has forgotten the drain.
-    tell(&mut watch, 1, true, &both);
-    process.shows("held", PATIENCE, is_held);
-    // It hears of the drain again, and of its end: that is its own word.
-    tell(&mut watch, 2, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    // Discovery restarts, counts generations from one, and has forgotten the drain.
+    send_endpoints(&mut watch, 1, true, &both_serving);
+    process.wait_for_farm("kept draining", TEST_TIMEOUT, is_drain_kept);
+    // Discovery learns of the drain again and then of its end, which it now reports itself.
+    send_endpoints(&mut watch, 2, false, &s1_draining);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
-    tell(&mut watch, 3, false, &both[1..]);
-    process.shows("ready", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 3, false, &both_serving[1..]);
+    process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "ready"
     });
-    tell(&mut watch, 4, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 4, false, &s1_draining);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     process.program.signal("TERM");
-    assert!(process.program.left());
-    // One that kept its state says that the drain is over.
-    let mut process = fleet.process(0, &fleet.sections(0, ""));
-    process.shows("held by memory alone", PATIENCE, is_held);
-    let mut watch = fleet.discovery.watch();
-    tell(&mut watch, 5, true, &both);
-    process.shows("ready", PATIENCE, |farm| {
+    assert!(process.program.exits_cleanly());
+    // A discovery that kept its state reports that the drain is over.
+    let mut process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    process.wait_for_farm(
+        "kept draining from memory alone",
+        TEST_TIMEOUT,
+        is_drain_kept,
+    );
+    let mut watch = fleet.discovery.accept_watch();
+    send_endpoints(&mut watch, 5, true, &both_serving);
+    process.wait_for_farm("ready", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "ready"
     });
-    tell(&mut watch, 6, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    send_endpoints(&mut watch, 6, false, &s1_draining);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
     process.program.signal("TERM");
-    assert!(process.program.left());
-    let process = fleet.process(0, &fleet.sections(0, ""));
-    process.shows("held by memory alone", PATIENCE, is_held);
-    let mut watch = fleet.discovery.watch();
-    tell(&mut watch, 1, true, &both);
-    process.program.says("discovery lost its state");
-    process.shows("held", PATIENCE, is_held);
-    tell(&mut watch, 2, false, &drains);
-    process.shows("draining", PATIENCE, |farm| {
+    assert!(process.program.exits_cleanly());
+    let process = fleet.start_process(0, &fleet.operator_sections(0, ""));
+    process.wait_for_farm(
+        "kept draining from memory alone",
+        TEST_TIMEOUT,
+        is_drain_kept,
+    );
+    let mut watch = fleet.discovery.accept_watch();
+    send_endpoints(&mut watch, 1, true, &both_serving);
+    process.program.wait_for_log("discovery lost its state");
+    process.wait_for_farm("kept draining", TEST_TIMEOUT, is_drain_kept);
+    send_endpoints(&mut watch, 2, false, &s1_draining);
+    process.wait_for_farm("draining", TEST_TIMEOUT, |farm| {
         farm["servers"][1]["effective"]["state"] == "draining"
     });
 }
--- a/crates/cli/tests/handover.rs
+++ b/crates/cli/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Stories of a process that is replaced while it serves: two of them on one listener that neither of them bound.
+//! Replacement of a serving process: two processes share one listener that neither of them bound.
 
 mod support;
 
@@ -10,207 +10,241 @@
 
 use support::*;
 
-/// What every process of a site shares: the clients' listener, discovery, and a server that takes all connections.
-struct Shared {
-    held: TcpListener,
-    path: String,
-    /// What all processes see besides.
-    folder: PathBuf,
+/// State shared by the processes of a site: the clients' listener, discovery, and a server that accepts all connections.
+struct SharedSite {
+    listener_socket: TcpListener,
+    config_path: String,
+    /// Temporary folder of all processes, through which they find each other for a handover.
+    temp_folder: PathBuf,
     _discovery: Discovery,
 }
 
-impl Shared {
-    fn new(name: &str) -> Shared {
-        let (held, discovery, server) = (listener(), Discovery::start(), listener());
-        let known = list(
+impl SharedSite {
+    fn new(name: &str) -> SharedSite {
+        let (listener_socket, discovery, server) = (listener(), Discovery::start(), listener());
+        let known_endpoints = endpoint_list(
             1,
             true,
-            &[("s0", server.local_addr().expect("bound"), "SERVING")],
+            &[(
+                "s0",
+                server
+                    .local_addr()
+                    .expect("bound socket has a local address"),
+                "SERVING",
+            )],
         );
-        obliges(server);
-        let at = held.local_addr().expect("bound");
-        let path = file(name, &config(at, discovery.address, &known, SETTINGS, 512));
-        Shared {
-            held,
-            path,
-            folder: "/nowhere".into(),
+        serve_all_openings(server);
+        let address = listener_socket
+            .local_addr()
+            .expect("bound socket has a local address");
+        let config_path = write_temp_file(
+            name,
+            &platform_config(address, discovery.address, &known_endpoints, SETTINGS, 512),
+        );
+        SharedSite {
+            listener_socket,
+            config_path,
+            temp_folder: "/nowhere".into(),
             _discovery: discovery,
         }
     }
 
-    fn at(&self) -> SocketAddr {
-        self.held.local_addr().expect("bound")
+    fn address(&self) -> SocketAddr {
+        self.listener_socket
+            .local_addr()
+            .expect("bound socket has a local address")
     }
 
-    /// One more process, and its operations port. It is ready.
+    /// Starts another process and waits until it serves; returns it with its operations API.
     fn start(&self) -> (Program, Api) {
-        let at = free();
-        let folder = self.folder.to_str().expect("text");
+        let address = reserve_address();
+        let temp_folder = self.temp_folder.to_str().expect("valid UTF-8");
         let env = [
-            ("LB_CONFIG", self.path.as_str()),
-            ("LB_ADMIN_ADDR", &at.to_string()),
-            ("TMPDIR", folder),
+            ("LB_CONFIG", self.config_path.as_str()),
+            ("LB_ADMIN_ADDR", &address.to_string()),
+            ("TMPDIR", temp_folder),
         ];
-        let program = Program::start_inheriting(&self.held, &env);
-        program.says("to=serving");
+        let program = Program::start_with_inherited_listener(&self.listener_socket, &env);
+        program.wait_for_log("to=serving");
         (
             program,
             Api {
-                at,
+                address,
                 token: "none is wanted",
             },
         )
     }
 
     fn open(&self, id: &str) -> Peer {
-        open(self.at(), id)
+        open(self.address(), id)
     }
 }
 
-/// A client that has sent its opening.
-fn open(at: SocketAddr, id: &str) -> Peer {
-    let mut client = Peer::connect(at);
-    client.say(&format!("OPEN {id} 02 c=chat,t=acme,d=2500,g=3\r\n"));
+/// Connects a client and sends its opening.
+fn open(address: SocketAddr, id: &str) -> Peer {
+    let mut client = Peer::connect(address);
+    client.send(&format!("OPEN {id} 02 c=chat,t=acme,d=2500,g=3\r\n"));
     client
 }
 
 #[test]
-fn no_opening_is_dropped_while_one_process_takes_over_from_another() {
-    let shared = Shared::new("handover");
-    let (mut old, old_api) = shared.start();
-    let mut stands = shared.open("stands");
-    stands.hears("UP r");
-    let over = Arc::new(AtomicBool::new(false));
+fn handover_drops_no_opening() {
+    let site = SharedSite::new("handover");
+    let (mut old, old_api) = site.start();
+    let mut established = site.open("stands");
+    established.expect_line("UP r");
+    let is_over = Arc::new(AtomicBool::new(false));
     let openings = {
-        let (at, over) = (shared.at(), Arc::clone(&over));
+        let (address, is_over) = (site.address(), Arc::clone(&is_over));
         std::thread::spawn(move || {
             let mut count = 0;
-            while !over.load(Ordering::SeqCst) {
+            while !is_over.load(Ordering::SeqCst) {
                 count += 1;
-                let mut client = open(at, &format!("c{count}"));
-                // One final answer, and never a move before it.
-                client.hears("UP r");
-                client.finish();
-                while client.hear().is_some_and(|line| line == "MOVE") {}
+                let mut client = open(address, &format!("c{count}"));
+                // One final answer, and no move before it.
+                client.expect_line("UP r");
+                client.shutdown_write();
+                while client.read_line().is_some_and(|line| line == "MOVE") {}
             }
             count
         })
     };
-    let (_new, new_api) = shared.start();
+    let (_new, new_api) = site.start();
     assert_eq!(new_api.call("GET", "/status", "").status, 200);
-    assert_eq!(old_api.call("GET", "/status", "").status, 200, "both serve");
-    // Accepted by either of the two, and not whole when the old one is to leave.
-    let half = |number| {
-        let mut half = Peer::connect(shared.at());
-        half.say("PING\r\n");
-        half.hears("PONG");
-        half.say(&format!("OPEN h{number} 02 c=cha"));
-        half
+    assert_eq!(
+        old_api.call("GET", "/status", "").status,
+        200,
+        "both processes serve"
+    );
+    // Accepted by either process, and incomplete when the old one is told to shut down.
+    let partial_client = |number| {
+        let mut partial_client = Peer::connect(site.address());
+        partial_client.send("PING\r\n");
+        partial_client.expect_line("PONG");
+        partial_client.send(&format!("OPEN h{number} 02 c=cha"));
+        partial_client
     };
-    let mut halves: Vec<Peer> = (0..8).map(half).collect();
+    let mut partial_clients: Vec<Peer> = (0..8).map(partial_client).collect();
     old.signal("TERM");
-    old.says("to=leaving");
-    for half in &mut halves {
-        half.say("t,t=acme,d=2500,g=3\r\n");
-        half.hears("UP r");
+    old.wait_for_log("to=leaving");
+    for partial_client in &mut partial_clients {
+        partial_client.send("t,t=acme,d=2500,g=3\r\n");
+        partial_client.expect_line("UP r");
     }
-    stands.hears("MOVE");
-    assert!(old.left(), "it leaves by itself");
-    over.store(true, Ordering::SeqCst);
-    assert!(openings.join().expect("every opening was served") > 10);
+    established.expect_line("MOVE");
+    assert!(old.exits_cleanly(), "program exits with success by itself");
+    is_over.store(true, Ordering::SeqCst);
+    assert!(openings.join().expect("every opening is served") > 10);
     assert_eq!(new_api.call("GET", "/status", "").status, 200);
-    shared.open("after").hears("UP r");
+    site.open("after").expect_line("UP r");
 }
 
+/// Established connections are handed over and continue; only one that is in the middle of a line is not.
 #[test]
-fn what_stands_is_handed_over_and_goes_on_and_only_half_a_line_is_moved() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let shared = Shared {
-        folder: folder.path().to_owned(),
-        ..Shared::new("given")
+fn handover_transfers_connections_except_mid_line() {
+    let temp_folder = tempfile::tempdir().expect("folder is readable");
+    let site = SharedSite {
+        temp_folder: temp_folder.path().to_owned(),
+        ..SharedSite::new("given")
     };
-    let (mut old, _) = shared.start();
+    let (mut old, _) = site.start();
     let mut clients: Vec<Peer> = (0..6)
-        .map(|number| shared.open(&format!("s{number}")))
+        .map(|number| site.open(&format!("s{number}")))
         .collect();
-    clients.iter_mut().for_each(|client| client.hears("UP r"));
-    let half = |id| {
-        let mut half = shared.open(id);
-        half.hears("UP r");
-        half.say("half\r\n");
-        assert_eq!(half.bytes(2), "ha");
-        half
+    clients
+        .iter_mut()
+        .for_each(|client| client.expect_line("UP r"));
+    let partial_client = |id| {
+        let mut partial_client = site.open(id);
+        partial_client.expect_line("UP r");
+        partial_client.send("half\r\n");
+        assert_eq!(partial_client.read_text(2), "ha");
+        partial_client
     };
-    let (mut half, mut whole) = (half("half"), half("whole"));
-    let (mut second, _) = shared.start();
+    let (mut partial_client, mut completed_client) =
+        (partial_client("half"), partial_client("whole"));
+    let (mut second, _) = site.start();
     old.signal("TERM");
-    old.says("to=leaving");
-    // The rest of its line comes when all others have gone over.
-    whole.say("rest\r\n");
-    whole.hears("lf");
-    second.says("taken over taken=7");
-    clients.push(whole);
+    old.wait_for_log("to=leaving");
+    // The rest of its line arrives after all other connections have been handed over.
+    completed_client.send("rest\r\n");
+    completed_client.expect_line("lf");
+    second.wait_for_log("taken over taken=7");
+    clients.push(completed_client);
     assert_ne!(
-        half.hear().as_deref(),
+        partial_client.read_line().as_deref(),
         Some("ok"),
-        "cut off inside its line after a while"
+        "a connection in the middle of a line is closed after a while"
     );
-    assert!(old.left(), "it leaves by itself");
+    assert!(old.exits_cleanly(), "program exits with success by itself");
     for client in &mut clients {
-        client.say("line\r\n");
-        client.hears("ok");
+        client.send("line\r\n");
+        client.expect_line("ok");
     }
-    // An id is still taken, and one more process takes over what the second one took.
-    shared.open("s3").hears("ERR");
-    let (third, _) = shared.start();
+    // A used id is still rejected, and a third process takes over what the second one took.
+    site.open("s3").expect_line("ERR");
+    let (third, _) = site.start();
     second.signal("TERM");
-    third.says("taken over taken=7");
-    assert!(second.left(), "it leaves by itself");
+    third.wait_for_log("taken over taken=7");
+    assert!(
+        second.exits_cleanly(),
+        "program exits with success by itself"
+    );
     for client in &mut clients {
-        client.say("line\r\n");
-        client.hears("ok");
+        client.send("line\r\n");
+        client.expect_line("ok");
     }
-    // With nobody to give them to, they are moved.
+    // Without another process to take them over, they are moved.
     third.signal("TERM");
-    clients.iter_mut().for_each(|client| client.hears("MOVE"));
+    clients
+        .iter_mut()
+        .for_each(|client| client.expect_line("MOVE"));
 }
 
 #[test]
-fn either_process_goes_on_alone_when_the_other_is_killed() {
-    let shared = Shared::new("killed");
-    let (mut first, _) = shared.start();
-    let (second, _) = shared.start();
+fn surviving_process_serves_alone_after_other_is_killed() {
+    let site = SharedSite::new("killed");
+    let (mut first, _) = site.start();
+    let (second, _) = site.start();
     first.kill();
     let ids: HashSet<String> = (0..8).map(|number| format!("a{number}")).collect();
-    ids.iter().for_each(|id| shared.open(id).hears("UP r"));
-    // One that can't start serving harms nobody: it ends before it takes a client.
-    let taken = listener();
-    let address = taken.local_addr().expect("bound").to_string();
+    ids.iter().for_each(|id| site.open(id).expect_line("UP r"));
+    // A process that cannot start serving exits before it accepts a client.
+    let occupied = listener();
+    let address = occupied
+        .local_addr()
+        .expect("bound socket has a local address")
+        .to_string();
     let env = [
-        ("LB_CONFIG", shared.path.as_str()),
+        ("LB_CONFIG", site.config_path.as_str()),
         ("LB_ADMIN_ADDR", &address),
     ];
-    let mut third = Program::start_inheriting(&shared.held, &env);
-    let said = third.says("");
-    assert!(said.contains("cannot start"), "it never served: {said}");
-    assert!(!third.ends().success());
-    shared.open("b").hears("UP r");
+    let mut third = Program::start_with_inherited_listener(&site.listener_socket, &env);
+    let line = third.wait_for_log("");
+    assert!(
+        line.contains("cannot start"),
+        "expected a failed start, got: {line}"
+    );
+    assert!(!third.wait_for_exit().success());
+    site.open("b").expect_line("UP r");
     drop(second);
-    // Nobody accepts now, and nobody is turned away.
-    let mut waits = shared.open("c");
-    let (_fourth, _) = shared.start();
-    waits.hears("UP r");
+    // No process accepts now; the client waits in the backlog and is not refused.
+    let mut waits = site.open("c");
+    let (_fourth, _) = site.start();
+    waits.expect_line("UP r");
 }
 
+/// The program does not start with an inherited descriptor that is not a listening socket, and the error names it.
 #[test]
-fn a_descriptor_that_is_no_listening_socket_ends_the_start_with_its_name() {
-    let shared = Shared::new("descriptor");
-    let mute =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    mute.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-        .expect("loopback");
-    let mute = TcpListener::from(mute);
-    for (descriptor, why) in [
+fn startup_rejects_inherited_descriptor_that_is_not_listening() {
+    let site = SharedSite::new("descriptor");
+    let unlistening = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("socket is open");
+    unlistening
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("loopback socket is bound");
+    let unlistening = TcpListener::from(unlistening);
+    for (descriptor, expected_error) in [
         ("three", "not a descriptor number"),
         ("-1", "not a descriptor number"),
         ("97", "not a socket"),
@@ -218,15 +252,17 @@
         ("3", "not a listening socket"),
     ] {
         let env = [
-            ("LB_CONFIG", shared.path.as_str()),
+            ("LB_CONFIG", site.config_path.as_str()),
             ("LB_INHERITED_FD", descriptor),
         ];
-        let mut program = Program::start_inheriting(&mute, &env);
-        let said = program.says("cannot start");
+        let mut program = Program::start_with_inherited_listener(&unlistening, &env);
+        let line = program.wait_for_log("cannot start");
         assert!(
-            said.contains("LB_INHERITED_FD") && said.contains(descriptor) && said.contains(why),
-            "{said}"
+            line.contains("LB_INHERITED_FD")
+                && line.contains(descriptor)
+                && line.contains(expected_error),
+            "{line}"
         );
-        assert!(!program.ends().success());
+        assert!(!program.wait_for_exit().success());
     }
 }
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Stories of the end of a program: SIGTERM where deadlines are short, before the program is ready, twice, and beside
-//! other signals.
+//! Shutdown of the program: SIGTERM with short deadlines, before the program is ready, repeated, and together with other
+//! signals.
 
 mod support;
 
@@ -9,183 +9,237 @@
 use support::site::Site;
 use support::*;
 
-/// Longest deadline of the short settings.
+/// Longest deadline in the settings with short deadlines.
 const SHORT_DEADLINE: Duration = Duration::from_millis(1_200);
-/// SIGKILL follows SIGTERM no sooner than so long after the longest deadline.
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+/// SIGKILL follows SIGTERM no sooner than the longest deadline plus this time.
+const SIGKILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
 fn short_deadlines() -> String {
     SETTINGS.replace("3000000000", &SHORT_DEADLINE.as_nanos().to_string())
 }
 
-/// Serves the next opening at a server, and gives its end.
-fn serves(site: &Site, client: &mut Peer) -> Peer {
+/// Has the first server accept the next opening, and returns the server's end.
+fn accept_opening(site: &Site, client: &mut Peer) -> Peer {
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("an opening");
-    server.say("UP r1\r\n");
-    client.hears("UP r1");
+    server.read_line().expect("an OPEN line");
+    server.send("UP r1\r\n");
+    client.expect_line("UP r1");
     server
 }
 
+/// With short deadlines every client is moved or answered before the program may be killed.
 #[test]
-fn where_deadlines_are_short_everybody_is_moved_or_answered_before_the_program_may_be_killed() {
-    let mut site = Site::start_on(&short_deadlines(), "short", 1, &[]);
-    let mut standing: Vec<(Peer, Peer)> = (0..8).map(|_| site.stand()).collect();
-    let mut silent = Peer::connect(site.at);
-    let mut half = Peer::connect(site.at);
-    half.say("OPEN b1 02 c=chat,t=ac");
-    let mut in_flight = site.open("once", "");
-    let mut asked = Peer::accept(&site.servers[0]);
-    asked.hear().expect("an opening");
-    let told = Instant::now();
+fn shutdown_with_short_deadlines_ends_before_sigkill() {
+    let mut site = Site::start_with_settings(&short_deadlines(), "short", 1, &[]);
+    let mut established: Vec<(Peer, Peer)> = (0..8).map(|_| site.establish_connection()).collect();
+    let mut silent_client = Peer::connect(site.address);
+    let mut partial = Peer::connect(site.address);
+    partial.send("OPEN b1 02 c=chat,t=ac");
+    let mut in_flight = site.open_client("once", "");
+    let mut in_flight_server = Peer::accept(&site.servers[0]);
+    in_flight_server.read_line().expect("an OPEN line");
+    let signalled_at = Instant::now();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
-    // A front goes on sending newcomers for a while.
-    let mut newcomer = site.open("chat", "");
-    let newcomers_server = serves(&site, &mut newcomer);
-    for (client, _) in &mut standing {
-        client.hears("MOVE");
-        client.ended();
+    site.program.wait_for_log("to=leaving");
+    // A front keeps sending new clients for a while.
+    let mut newcomer = site.open_client("chat", "");
+    let newcomers_server = accept_opening(&site, &mut newcomer);
+    for (client, _) in &mut established {
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    newcomer.hears("MOVE");
-    newcomer.ended();
+    newcomer.expect_line("MOVE");
+    newcomer.expect_end();
     drop(newcomers_server);
     assert!(
-        in_flight.hear().is_some(),
-        "what is in flight has an answer"
+        in_flight.read_line().is_some(),
+        "a request in flight gets an answer"
     );
-    for opening in [&mut silent, &mut half] {
-        let last = opening.hear();
+    for opening in [&mut silent_client, &mut partial] {
+        let answer = opening.read_line();
         assert!(
-            matches!(last.as_deref(), Some("ERR" | "BUSY") | None),
-            "an answer or an end: {last:?}"
+            matches!(answer.as_deref(), Some("ERR" | "BUSY") | None),
+            "expected ERR, BUSY or the end, got {answer:?}"
         );
     }
-    assert!(site.program.left(), "it leaves by itself");
     assert!(
-        told.elapsed() < SHORT_DEADLINE + KILL_AFTER_DEADLINE,
+        site.program.exits_cleanly(),
+        "program exits with success by itself"
+    );
+    assert!(
+        signalled_at.elapsed() < SHORT_DEADLINE + SIGKILL_DELAY_AFTER_DEADLINE,
         "{:?}",
-        told.elapsed()
+        signalled_at.elapsed()
     );
 }
 
-/// SIGKILL follows SIGTERM no sooner with the usual settings.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+/// SIGKILL follows SIGTERM no sooner than this with the default settings.
+const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
 
 #[test]
-fn a_program_told_to_leave_while_its_start_waits_for_an_agent_leaves_in_order() {
+fn sigterm_during_startup_exits_cleanly() {
     let (agent, server) = (listener(), listener());
     let settings = SETTINGS.replace("\"subscribe\"", "\"automatic\"");
-    let rows = [("s0", server.local_addr().expect("bound"), "SERVING")];
-    let discovery = agent.local_addr().expect("bound");
-    let config = config(free(), discovery, &list(1, true, &rows), &settings, 256);
-    let path = file("early", &config);
-    let mut program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-    // The agent is asked, and the start waits for its answer.
+    let rows = [(
+        "s0",
+        server
+            .local_addr()
+            .expect("bound socket has a local address"),
+        "SERVING",
+    )];
+    let discovery = agent
+        .local_addr()
+        .expect("bound socket has a local address");
+    let config = platform_config(
+        reserve_address(),
+        discovery,
+        &endpoint_list(1, true, &rows),
+        &settings,
+        256,
+    );
+    let config_path = write_temp_file("early", &config);
+    let mut program = Program::start(&[], &[("LB_CONFIG", config_path.as_str())]);
+    // The discovery agent has the request, and the start waits for its response.
     let _silent = Peer::accept(&agent);
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     program.signal("TERM");
-    assert!(program.left(), "it leaves by itself, in order");
-    assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
+    assert!(
+        program.exits_cleanly(),
+        "program exits with success by itself"
+    );
+    assert!(
+        signalled_at.elapsed() < SIGKILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
 }
 
+/// Signals during a drain neither stop it nor start it again, and no configuration is applied any more.
 #[test]
-fn signals_that_come_in_a_drain_neither_stop_it_nor_begin_it_anew() {
+fn further_signals_neither_stop_nor_restart_drain() {
     let mut site = Site::start("again", 1);
-    let mut watch = site.discovery.watch();
-    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.stand()).collect();
+    let mut watch = site.discovery.accept_watch();
+    let mut established: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let elsewhere = listener();
-    let address = elsewhere.local_addr().expect("bound").to_string();
-    let told = Instant::now();
+    let address = elsewhere
+        .local_addr()
+        .expect("bound socket has a local address")
+        .to_string();
+    let signalled_at = Instant::now();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
-    let moved = site
+    site.program.wait_for_log("to=leaving");
+    let changed_config = site
         .config
         .replace(&site.discovery.address.to_string(), &address);
-    std::fs::write(&site.path, moved).expect("the same folder");
+    std::fs::write(&site.config_path, changed_config).expect("configuration file is written");
     site.program.signal("HUP");
     site.program
-        .says("reload skipped: the program is shutting down");
+        .wait_for_log("reload skipped: the program is shutting down");
     site.program.signal("TERM");
     site.program.signal("HUP");
-    // The list is still heard: a newcomer goes to nobody who drains.
-    let other = listener();
+    // The endpoint list is still followed: a new client does not reach a draining server.
+    let replacement = listener();
     let rows = [
         (
             "s0",
-            site.servers[0].local_addr().expect("bound"),
+            site.servers[0]
+                .local_addr()
+                .expect("bound socket has a local address"),
             "DRAINING",
         ),
-        ("s1", other.local_addr().expect("bound"), "SERVING"),
+        (
+            "s1",
+            replacement
+                .local_addr()
+                .expect("bound socket has a local address"),
+            "SERVING",
+        ),
     ];
-    tell(&mut watch, 2, false, &rows);
-    site.program.says("generation=2");
-    let mut newcomer = site.open("chat", "");
-    let mut server = Peer::accept(&other);
-    server.hear().expect("an opening");
-    server.say("UP r1\r\n");
-    newcomer.hears("UP r1");
-    for (client, _) in &mut standing {
-        client.hears("MOVE");
-        client.ended();
+    send_endpoints(&mut watch, 2, false, &rows);
+    site.program.wait_for_log("generation=2");
+    let mut newcomer = site.open_client("chat", "");
+    let mut server = Peer::accept(&replacement);
+    server.read_line().expect("an OPEN line");
+    server.send("UP r1\r\n");
+    newcomer.expect_line("UP r1");
+    for (client, _) in &mut established {
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    newcomer.hears("MOVE");
-    newcomer.ended();
-    assert!(site.program.left(), "it leaves by itself");
-    assert!(told.elapsed() < KILLED_AFTER, "{:?}", told.elapsed());
-    elsewhere.set_nonblocking(true).expect("open");
+    newcomer.expect_line("MOVE");
+    newcomer.expect_end();
+    assert!(
+        site.program.exits_cleanly(),
+        "program exits with success by itself"
+    );
+    assert!(
+        signalled_at.elapsed() < SIGKILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
+    elsewhere.set_nonblocking(true).expect("socket is open");
     assert!(
         elsewhere.accept().is_err(),
-        "nobody asked the new discovery"
+        "the new discovery address is not used"
     );
 }
 
-fn says_yes(at: SocketAddr) -> bool {
+fn accepts_clients(at: SocketAddr) -> bool {
     let mut front = Peer::connect(at);
-    front.say("PING\r\n");
-    front.hear().as_deref() == Some("PONG")
+    front.send("PING\r\n");
+    front.read_line().as_deref() == Some("PONG")
 }
 
+/// A program killed during its drain leaves nothing behind that prevents a start under the same name.
 #[test]
-fn a_program_killed_soon_after_sigterm_leaves_nothing_in_the_way_of_the_next_under_its_name() {
+fn restart_succeeds_after_sigkill_during_drain() {
     let mut site = Site::start("killed", 1);
-    let _standing = site.stand();
+    let _standing = site.establish_connection();
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     site.program.kill();
-    let env = [("LB_CONFIG", site.path.as_str())];
+    let env = [("LB_CONFIG", site.config_path.as_str())];
     site.program = Program::start(&[], &env);
-    site.program.says("to=serving");
-    assert!(says_yes(site.at));
-    let mut client = site.open("chat", "");
-    let _server = serves(&site, &mut client);
+    site.program.wait_for_log("to=serving");
+    assert!(accepts_clients(site.address));
+    let mut client = site.open_client("chat", "");
+    let _server = accept_opening(&site, &mut client);
 }
 
+/// SIGHUP on standby is applied; it neither stops the drain nor makes the program accept clients again.
 #[test]
-fn a_sighup_on_standby_is_followed_and_neither_stops_the_drain_nor_takes_clients_again() {
-    let operations = free();
-    let site = Site::start_with("standby", 1, &[("LB_ADMIN_ADDR", &operations.to_string())]);
-    let _watch = site.discovery.watch();
-    let mut standing: Vec<(Peer, Peer)> = (0..4).map(|_| site.stand()).collect();
+fn sighup_on_standby_is_applied_and_drain_continues() {
+    let operations = reserve_address();
+    let site = Site::start_with_env("standby", 1, &[("LB_ADMIN_ADDR", &operations.to_string())]);
+    let _watch = site.discovery.accept_watch();
+    let mut established: Vec<(Peer, Peer)> = (0..4).map(|_| site.establish_connection()).collect();
     let api = Api {
-        at: operations,
+        address: operations,
         token: "none is wanted",
     };
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let elsewhere = listener();
-    let address = elsewhere.local_addr().expect("bound");
-    let moved = site
+    let address = elsewhere
+        .local_addr()
+        .expect("bound socket has a local address");
+    let changed_config = site
         .config
         .replace(&site.discovery.address.to_string(), &address.to_string());
-    std::fs::write(&site.path, moved).expect("the same folder");
+    std::fs::write(&site.config_path, changed_config).expect("configuration file is written");
     site.program.signal("HUP");
     let _asked = Peer::accept(&elsewhere);
-    assert!(!says_yes(site.at), "it stands by");
-    for (client, _) in &mut standing {
-        client.hears("MOVE");
-        client.ended();
+    assert!(
+        !accepts_clients(site.address),
+        "a program on standby rejects PING"
+    );
+    for (client, _) in &mut established {
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    assert!(!says_yes(site.at), "it still does");
+    assert!(
+        !accepts_clients(site.address),
+        "the program stays on standby after SIGHUP"
+    );
     assert_eq!(api.call("POST", "/active", "").status, 200);
-    assert!(says_yes(site.at));
+    assert!(accepts_clients(site.address));
 }
--- a/crates/cli/tests/nats.rs
+++ b/crates/cli/tests/nats.rs
@@ -18,7 +18,7 @@
     api: Api,
     redis: Redis,
     discovery: Discovery,
-    record: Shared,
+    record: SharedRecord,
     /// Path of the operator's file; `file_text` holds its contents.
     path: String,
     file_text: String,
@@ -31,7 +31,12 @@
     }
 
     fn with(name: &str, settings: &str) -> Site {
-        let (address, admin, redis, discovery) = (free(), free(), redis(), Discovery::start());
+        let (address, admin, redis, discovery) = (
+            reserve_address(),
+            reserve_address(),
+            start_redis(),
+            Discovery::start(),
+        );
         let settings = settings.replace("\n", " ");
         let folder = tempfile::tempdir().expect("temporary directory is created");
         let settings: serde_json::Value = serde_json::from_str(&settings).expect("valid JSON");
@@ -46,13 +51,13 @@
             discovery.address,
             toml::to_string(&serde_json::json!({ "settings": settings })).expect("valid TOML")
         );
-        let path = file(name, &file_text);
+        let path = write_temp_file(name, &file_text);
         let program = Program::start(&["--operator", &path], &[]);
-        program.says("serves front=nats");
-        let record = Shared::default();
-        program.says("administration API serves");
+        program.wait_for_log("serves front=nats");
+        let record = SharedRecord::default();
+        program.wait_for_log("administration API serves");
         let api = Api {
-            at: admin,
+            address: admin,
             token: ADMIN_TOKEN,
         };
         let site = Site {
@@ -80,7 +85,7 @@
     }
 
     fn call_api(&self, method: &str, path: &str, body: &str) -> (u16, String) {
-        let Answer { status, body, .. } = self.api.call(method, path, body);
+        let Response { status, body, .. } = self.api.call(method, path, body);
         let text = body.to_string();
         for secret in [PASSWORD, ADMIN_TOKEN, "up-secret", "argon2"] {
             assert!(!text.contains(secret), "{text}");
@@ -89,25 +94,28 @@
     }
 
     fn client(&self, name: &str) -> Peer {
-        client(self.address, name, "acme", PASSWORD)
+        connect_client(self.address, name, "acme", PASSWORD)
     }
 
     /// Reads and records the client's single final answer, and checks the relay rules.
     fn record_answer(&self, name: &str, client: &mut Peer) -> String {
-        let answer = client.hear().expect("an answer is received");
+        let answer = client.read_line().expect("an answer is received");
         self.record
             .lock()
             .expect("mutex is not poisoned")
-            .answered(name, &answer);
+            .record_answer(name, &answer);
         self.check_rules();
         answer
     }
 
     fn check_rules(&self) {
-        self.record.lock().expect("mutex is not poisoned").check();
+        self.record
+            .lock()
+            .expect("mutex is not poisoned")
+            .assert_rules_kept();
     }
 
-    fn server(&self, name: &str, manner: Manner) -> NatsServer {
+    fn server(&self, name: &str, manner: Behavior) -> NatsServer {
         NatsServer::start(name, manner, &self.record)
     }
 }
@@ -131,20 +139,20 @@
 #[test]
 fn relay_rules_hold_after_every_exchange() {
     let site = Site::start("rules");
-    let mut watch = site.discovery.watch();
+    let mut watch = site.discovery.accept_watch();
     // Four servers: one falls silent after CONNECT, one is full, one closes the connection, one serves.
-    let hung = site.server("hung", Manner::SilentAfterConnect);
-    let full = site.server("full", Manner::Full);
-    let mute = site.server("mute", Manner::Mute);
-    let good = site.server("good", Manner::Serve);
+    let hung = site.server("hung", Behavior::SilentAfterConnect);
+    let full = site.server("full", Behavior::RejectAsFull);
+    let mute = site.server("mute", Behavior::CloseBeforeInfo);
+    let good = site.server("good", Behavior::Serve);
     let servers = [
         (&hung, "SERVING"),
         (&full, "SERVING"),
         (&mute, "SERVING"),
         (&good, "SERVING"),
     ];
-    tell(&mut watch, 1, true, &discovery_rows(&servers));
-    site.program.says("generation=1");
+    send_endpoints(&mut watch, 1, true, &discovery_rows(&servers));
+    site.program.wait_for_log("generation=1");
     let mut established = Vec::new();
     for number in 0..4 {
         let name = format!("client-{number}");
@@ -152,15 +160,15 @@
         let answer = site.record_answer(&name, &mut client);
         if answer == "PONG" {
             // Payloads contain protocol commands as data; fragmented keepalives cross them in both directions.
-            client.say("PUB t 12\r\nPING\r\n");
+            client.send("PUB t 12\r\nPING\r\n");
             std::thread::sleep(Duration::from_millis(5));
-            client.say("PONG\r\n\r\nPI");
-            client.say("NG\r\n");
-            client.hears("PING");
-            client.hears("MSG t 1 12");
-            assert_eq!(client.bytes(14), "PING\r\nPONG\r\n\r\n");
-            client.hears("PONG");
-            client.say("PONG\r\n");
+            client.send("PONG\r\n\r\nPI");
+            client.send("NG\r\n");
+            client.expect_line("PING");
+            client.expect_line("MSG t 1 12");
+            assert_eq!(client.read_text(14), "PING\r\nPONG\r\n\r\n");
+            client.expect_line("PONG");
+            client.send("PONG\r\n");
             established.push(client);
         } else {
             assert!(
@@ -168,20 +176,20 @@
                     || answer == "-ERR 'Connection Failed'",
                 "{answer}"
             );
-            client.ended();
+            client.expect_end();
         }
         site.check_rules();
     }
     // Only one server remains; then it drains, and its clients are moved to another.
-    let new_server = site.server("next", Manner::Serve);
+    let new_server = site.server("next", Behavior::Serve);
     let remaining = [
         (&hung, "DELETED"),
         (&full, "DELETED"),
         (&mute, "DELETED"),
         (&good, "SERVING"),
     ];
-    tell(&mut watch, 2, false, &discovery_rows(&remaining));
-    site.program.says("generation=2");
+    send_endpoints(&mut watch, 2, false, &discovery_rows(&remaining));
+    site.program.wait_for_log("generation=2");
     let mut last = site.client("last");
     assert_eq!(site.record_answer("last", &mut last), "PONG");
     established.push(last);
@@ -189,16 +197,18 @@
     site.record
         .lock()
         .expect("mutex is not poisoned")
-        .drains("good");
-    tell(&mut watch, 3, false, &discovery_rows(&draining));
-    site.program.says("generation=3");
+        .record_drain("good");
+    send_endpoints(&mut watch, 3, false, &discovery_rows(&draining));
+    site.program.wait_for_log("generation=3");
     for mut client in established {
-        let last_line = client.hear().expect("a line is received before the end");
+        let last_line = client
+            .read_line()
+            .expect("a line is received before the end");
         assert!(
             last_line.starts_with("INFO {") && last_line.contains("\"ldm\":true"),
             "{last_line}"
         );
-        client.ended();
+        client.expect_end();
         site.check_rules();
     }
     for number in 0..3 {
@@ -212,39 +222,39 @@
 #[test]
 fn attempt_outcome_decides_whether_to_retry() {
     let site = Site::start("outcomes");
-    let mut watch = site.discovery.watch();
-    let server = site.server("only", Manner::Forbid);
-    tell(
+    let mut watch = site.discovery.accept_watch();
+    let server = site.server("only", Behavior::RejectAuthorization);
+    send_endpoints(
         &mut watch,
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     // A failed attempt may have taken effect: a class that must not run twice fails at once after one attempt.
-    for (number, manner) in [Manner::Forbid, Manner::SilentAfterConnect]
+    for (number, manner) in [Behavior::RejectAuthorization, Behavior::SilentAfterConnect]
         .into_iter()
         .enumerate()
     {
-        server.becomes(manner);
+        server.set_behavior(manner);
         let name = format!("once-{number}");
-        let mut client = client(site.address, &name, "once", PASSWORD);
+        let mut client = connect_client(site.address, &name, "once", PASSWORD);
         assert_eq!(
             site.record_answer(&name, &mut client),
             "-ERR 'Connection Failed'"
         );
-        client.ended();
+        client.expect_end();
         assert_eq!(
             site.record
                 .lock()
                 .expect("mutex is not poisoned")
-                .passes_of(&name),
+                .session_count(&name),
             1
         );
     }
     // A rejected attempt never took effect: all attempts are made, and the answer carries a retry delay.
-    server.becomes(Manner::Full);
-    let mut client = client(site.address, "once-full", "once", PASSWORD);
+    server.set_behavior(Behavior::RejectAsFull);
+    let mut client = connect_client(site.address, "once-full", "once", PASSWORD);
     let answer = site.record_answer("once-full", &mut client);
     assert!(
         answer.starts_with("-ERR 'Service Unavailable; try again in ") && answer.ends_with(" ms'"),
@@ -254,7 +264,7 @@
         site.record
             .lock()
             .expect("mutex is not poisoned")
-            .passes_of("once-full")
+            .session_count("once-full")
             > 1
     );
 }
@@ -263,40 +273,42 @@
 #[test]
 fn moves_client_when_server_silent_or_draining() {
     let site = Site::start("silent");
-    let mut watch = site.discovery.watch();
-    let server = site.server("only", Manner::Serve);
-    tell(
+    let mut watch = site.discovery.accept_watch();
+    let server = site.server("only", Behavior::Serve);
+    send_endpoints(
         &mut watch,
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     let mut client = site.client("first");
     assert_eq!(site.record_answer("first", &mut client), "PONG");
     // The client sends nothing: the balancer's own PINGs detect the silence, and their PONGs are not relayed.
     std::thread::sleep(Duration::from_millis(700));
     let silent_since = Instant::now();
-    server.silent.store(true, Ordering::Relaxed);
+    server.is_silent.store(true, Ordering::Relaxed);
     assert!(
         client
-            .hear()
+            .read_line()
             .expect("a move notice is received")
             .contains("\"ldm\":true")
     );
-    client.ended();
+    client.expect_end();
     assert!(silent_since.elapsed() < Duration::from_secs(6));
-    server.silent.store(false, Ordering::Relaxed);
+    server.is_silent.store(false, Ordering::Relaxed);
     let mut client = site.client("second");
     assert_eq!(site.record_answer("second", &mut client), "PONG");
     // Server addresses are not relayed; a message that has begun is completed first.
-    let voice_lock = server.voice.lock().expect("mutex is not poisoned");
-    server.says("INFO {\"connect_urls\":[\"10.0.0.1:4222\"],\"ldm\":true}\r\nMSG t 1 5\r\nhel");
-    client.hears("MSG t 1 5");
-    assert_eq!(client.bytes(3), "hel");
-    server.says("lo\r\nMSG t 1 1\r\n");
-    client.hears("lo");
-    let last_line = std::iter::from_fn(|| client.hear())
+    let voice_lock = server.write_lock.lock().expect("mutex is not poisoned");
+    server.send_to_all(
+        "INFO {\"connect_urls\":[\"10.0.0.1:4222\"],\"ldm\":true}\r\nMSG t 1 5\r\nhel",
+    );
+    client.expect_line("MSG t 1 5");
+    assert_eq!(client.read_text(3), "hel");
+    server.send_to_all("lo\r\nMSG t 1 1\r\n");
+    client.expect_line("lo");
+    let last_line = std::iter::from_fn(|| client.read_line())
         .last()
         .expect("a move notice is received");
     // Held until here: a PONG inside the second message would be a protocol error of the simulated server.
@@ -311,14 +323,14 @@
 #[test]
 fn rejects_protocol_violations_with_specific_errors() {
     let site = Site::start("openings");
-    let server = site.server("only", Manner::Serve);
-    tell(
-        &mut site.discovery.watch(),
+    let server = site.server("only", Behavior::Serve);
+    send_endpoints(
+        &mut site.discovery.accept_watch(),
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     for (command, answer) in [
         ("", "-ERR 'Authentication Timeout'"),
         ("PING\r\n", "-ERR 'Authorization Violation'"),
@@ -337,10 +349,10 @@
         ),
     ] {
         let mut client = Peer::connect(site.address);
-        client.hear().expect("an INFO line is received");
-        client.say(command);
-        client.hears(answer);
-        client.ended();
+        client.read_line().expect("an INFO line is received");
+        client.send(command);
+        client.expect_line(answer);
+        client.expect_end();
     }
     for (name, command, answer) in [
         ("large", "PUB t 65\r\n", "-ERR 'Maximum Payload Violation'"),
@@ -358,9 +370,9 @@
     ] {
         let mut client = site.client(name);
         assert_eq!(site.record_answer(name, &mut client), "PONG");
-        client.say(command);
-        client.hears(answer);
-        client.ended();
+        client.send(command);
+        client.expect_line(answer);
+        client.expect_end();
         site.check_rules();
     }
 }
@@ -368,14 +380,14 @@
 #[test]
 fn misbehaving_clients_do_not_affect_others() {
     let site = Site::start("floods");
-    let server = site.server("only", Manner::Serve);
-    tell(
-        &mut site.discovery.watch(),
+    let server = site.server("only", Behavior::Serve);
+    send_endpoints(
+        &mut site.discovery.accept_watch(),
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     let mut steady = site.client("steady");
     assert_eq!(site.record_answer("steady", &mut steady), "PONG");
     // More connections than 256 descriptors hold: each receives an answer, and a real client is served.
@@ -384,35 +396,35 @@
     assert_eq!(site.record_answer("real", &mut real), "PONG");
     for peer in &mut silent {
         assert!(
-            peer.hear()
+            peer.read_line()
                 .expect("an INFO line is received")
                 .starts_with("INFO {")
         );
         assert!(
-            peer.hear()
+            peer.read_line()
                 .expect("a rejection is received")
                 .starts_with("-ERR '")
         );
-        assert!(peer.is_gone());
+        assert!(peer.is_closed());
     }
     // PINGs at full speed while the server answers none.
     let mut flood = site.client("flood");
     assert_eq!(site.record_answer("flood", &mut flood), "PONG");
-    let voice_lock = server.voice.lock().expect("mutex is not poisoned");
-    flood.say(&"PING\r\n".repeat(1100));
+    let voice_lock = server.write_lock.lock().expect("mutex is not poisoned");
+    flood.send(&"PING\r\n".repeat(1100));
     assert!(
-        flood.is_gone(),
+        flood.is_closed(),
         "too many unanswered PINGs must close the connection"
     );
     drop(voice_lock);
     // A partial message and a close: the server sees the same close, and other clients are unaffected.
     let mut half = site.client("half");
     assert_eq!(site.record_answer("half", &mut half), "PONG");
-    half.say("PUB t 12\r\nonly ha");
-    half.finish();
-    half.ended();
-    steady.say("PING\r\n");
-    steady.hears("PONG");
+    half.send("PUB t 12\r\nonly ha");
+    half.shutdown_write();
+    half.expect_end();
+    steady.send("PING\r\n");
+    steady.expect_line("PONG");
     site.check_rules();
 }
 
@@ -420,15 +432,15 @@
 #[test]
 fn reload_moves_watch_and_reports_fixed_settings() {
     let site = Site::start("reload");
-    let mut old_watch = site.discovery.watch();
-    let server = site.server("only", Manner::Serve);
-    tell(
+    let mut old_watch = site.discovery.accept_watch();
+    let server = site.server("only", Behavior::Serve);
+    send_endpoints(
         &mut old_watch,
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     let mut client = site.client("stands");
     assert_eq!(site.record_answer("stands", &mut client), "PONG");
     let new_discovery = Discovery::start();
@@ -443,24 +455,24 @@
     .expect("configuration file is written");
     site.program.signal("HUP");
     site.program
-        .says("configuration changes applied what=\"discovery at");
+        .wait_for_log("configuration changes applied what=\"discovery at");
     site.program
-        .says("changes need a restart; running values kept what=wire");
-    tell(
-        &mut new_discovery.watch(),
+        .wait_for_log("changes need a restart; running values kept what=wire");
+    send_endpoints(
+        &mut new_discovery.accept_watch(),
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("kind=Snapshot");
-    old_watch.ended();
-    client.say("PING\r\n");
-    client.hears("PONG");
+    site.program.wait_for_log("kind=Snapshot");
+    old_watch.expect_end();
+    client.send("PING\r\n");
+    client.expect_line("PONG");
     std::fs::write(&site.path, "admin = 1").expect("configuration file is written");
     site.program.signal("HUP");
     let kept = site
         .program
-        .says("reload failed; current configuration kept");
+        .wait_for_log("reload failed; current configuration kept");
     assert!(!kept.contains(ADMIN_TOKEN), "{kept}");
     site.check_rules();
 }
@@ -469,17 +481,17 @@
 #[test]
 fn serves_cached_tenants_during_store_outage() {
     let site = Site::start("tenants");
-    let server = site.server("only", Manner::Serve);
-    tell(
-        &mut site.discovery.watch(),
+    let server = site.server("only", Behavior::Serve);
+    send_endpoints(
+        &mut site.discovery.accept_watch(),
         1,
         true,
         &discovery_rows(&[(&server, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     assert_eq!(
         Api {
-            at: site.api.at,
+            address: site.api.address,
             token: "no token of ours"
         }
         .call("GET", "/v1/tenants", "")
@@ -525,14 +537,14 @@
             "{method} {path}"
         );
     }
-    let mut rotated = client(site.address, "rotated", "once", PASSWORD);
-    rotated.hears("-ERR 'Authorization Violation'");
-    let mut rotated = client(site.address, "rotated", "once", "once's new password");
-    rotated.hears("PONG");
+    let mut rotated = connect_client(site.address, "rotated", "once", PASSWORD);
+    rotated.expect_line("-ERR 'Authorization Violation'");
+    let mut rotated = connect_client(site.address, "rotated", "once", "once's new password");
+    rotated.expect_line("PONG");
     let mut first = site.client("first");
-    first.hears("PONG");
+    first.expect_line("PONG");
     let mut second = site.client("second");
-    second.hears("-ERR 'Maximum Connections Exceeded'");
+    second.expect_line("-ERR 'Maximum Connections Exceeded'");
     let (_, shown) = site.call_api("GET", "/v1/tenants/acme", "");
     assert!(
         shown.contains("\"open\":1") && shown.contains("\"connections\":1"),
@@ -555,23 +567,23 @@
     );
     site.redis.set_unavailable(true);
     assert_eq!(site.call_api("GET", "/v1/tenants", "").0, 503);
-    let mut known = client(site.address, "known", "once", "once's new password");
-    known.hears("PONG");
-    let mut unknown = client(site.address, "unknown", "stranger", PASSWORD);
-    unknown.hears("-ERR 'Service Unavailable; try again in 1000 ms'");
+    let mut known = connect_client(site.address, "known", "once", "once's new password");
+    known.expect_line("PONG");
+    let mut unknown = connect_client(site.address, "unknown", "stranger", PASSWORD);
+    unknown.expect_line("-ERR 'Service Unavailable; try again in 1000 ms'");
     site.redis.set_unavailable(false);
     let restored_at = Instant::now();
     while site.call_api("GET", "/v1/tenants", "").0 != 200 {
         assert!(
-            restored_at.elapsed() < PATIENCE,
+            restored_at.elapsed() < TEST_TIMEOUT,
             "the store did not become available again"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(site.call_api("DELETE", "/v1/tenants/once", "").0, 204);
     assert_eq!(site.call_api("DELETE", "/v1/tenants/once", "").0, 404);
-    let mut removed = client(site.address, "removed", "once", "once's new password");
-    removed.hears("-ERR 'Authorization Violation'");
+    let mut removed = connect_client(site.address, "removed", "once", "once's new password");
+    removed.expect_line("-ERR 'Authorization Violation'");
 }
 
 /// No first byte goes to a server after the override that takes it out has been acknowledged.
@@ -582,40 +594,40 @@
         &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"),
     );
     let (late, good) = (
-        site.server("late", Manner::LateInfo),
-        site.server("good", Manner::Serve),
+        site.server("late", Behavior::DelayInfo),
+        site.server("good", Behavior::Serve),
     );
-    let mut watch = site.discovery.watch();
-    tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
-    site.program.says("generation=1");
+    let mut watch = site.discovery.accept_watch();
+    send_endpoints(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
+    site.program.wait_for_log("generation=1");
     // An attempt is connected to the only server, which has not sent INFO yet; then that server is taken out.
-    let voice_lock = late.voice.lock().expect("mutex is not poisoned");
+    let voice_lock = late.write_lock.lock().expect("mutex is not poisoned");
     let mut client = site.client("first");
     let attempt_count =
         || site.api.call("GET", "/v1/counts", "").body["fronts"]["nats"]["passes"].as_u64();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while attempt_count() != Some(1) {
         assert!(Instant::now() < deadline, "no attempt was made");
         std::thread::sleep(Duration::from_millis(5));
     }
-    tell(&mut watch, 2, false, &discovery_rows(&[(&good, "SERVING")]));
-    site.program.says("generation=2");
+    send_endpoints(&mut watch, 2, false, &discovery_rows(&[(&good, "SERVING")]));
+    site.program.wait_for_log("generation=2");
     let out = r#"{"kind":"out","server":"late","who":"ada","why":"hung","expires_in_s":60}"#;
-    site.api.add(out);
+    site.api.add_override(out);
     drop(voice_lock);
     assert_eq!(site.record_answer("first", &mut client), "PONG");
     assert_eq!(
         site.record
             .lock()
             .expect("mutex is not poisoned")
-            .passes_of("first"),
+            .session_count("first"),
         1,
         "only the other server receives an attempt"
     );
     let counts = site.api.call("GET", "/v1/counts", "").body;
     assert_eq!(counts["fronts"]["nats"]["ends"]["not-sent"], 1, "{counts}");
     // A strict pin of a tenant to the server that is out rejects at once with a retry delay.
-    site.api.add(
+    site.api.add_override(
         r#"{"kind":"pin","server":"late","tenant":"acme","mode":"strict","who":"ada","why":"test","expires_in_s":60}"#,
     );
     let answer = site.record_answer("second", &mut site.client("second"));
@@ -626,8 +638,8 @@
     let all = site.api.overrides();
     assert_eq!(all[1]["effects"]["nats"], "server takes nothing new");
     // Other tenants are unaffected.
-    let mut other = support::nats::client(site.address, "third", "once", PASSWORD);
-    other.hears("PONG");
+    let mut other = support::nats::connect_client(site.address, "third", "once", PASSWORD);
+    other.expect_line("PONG");
 }
 
 /// The override also holds when the server leaves the list and returns at another address.
@@ -641,17 +653,17 @@
         200
     );
     let (one, other) = (
-        site.server("one", Manner::Serve),
-        site.server("other", Manner::Serve),
+        site.server("one", Behavior::Serve),
+        site.server("other", Behavior::Serve),
     );
-    let mut watch = site.discovery.watch();
-    tell(
+    let mut watch = site.discovery.accept_watch();
+    send_endpoints(
         &mut watch,
         1,
         true,
         &discovery_rows(&[(&one, "SERVING"), (&other, "SERVING")]),
     );
-    site.program.says("generation=1");
+    site.program.wait_for_log("generation=1");
     let out_override = |seconds: f64| {
         format!(
             r#"{{"kind":"out","server":"one","who":"ada","why":"test","expires_in_s":{seconds}}}"#
@@ -671,20 +683,22 @@
                 site.record
                     .lock()
                     .expect("mutex is not poisoned")
-                    .went(&name, "one"),
+                    .has_session(&name, "one"),
             );
             established.push(client);
         }
         at_overridden
     };
     // The override expires by itself.
-    let id = site.api.add(&out_override(60.0));
+    let id = site.api.add_override(&out_override(60.0));
     assert_eq!(open(&site, 3), 0);
-    site.api.shorten(id);
-    let log_line = site.program.says(&format!("override expired id={id}"));
+    site.api.expire_soon(id);
+    let log_line = site
+        .program
+        .wait_for_log(&format!("override expired id={id}"));
     assert!(log_line.contains("who=ada"), "{log_line}");
-    let deadline = Instant::now() + PATIENCE;
-    while site.api.server("one")["effective"]["weight"] != 1.0 {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while site.api.server_row("one")["effective"]["weight"] != 1.0 {
         assert!(
             Instant::now() < deadline,
             "the weight did not return to 1.0"
@@ -693,38 +707,38 @@
     }
     assert!(open(&site, 3) > 0, "the server receives clients again");
     // The server leaves the list and returns under the same name at another address.
-    site.api.add(&out_override(60.0));
-    tell(&mut watch, 2, false, &discovery_rows(&[(&one, "DELETED")]));
-    site.program.says("generation=2");
+    site.api.add_override(&out_override(60.0));
+    send_endpoints(&mut watch, 2, false, &discovery_rows(&[(&one, "DELETED")]));
+    site.program.wait_for_log("generation=2");
     assert_eq!(
         site.api.overrides()[0]["effects"]["nats"],
         "server not listed"
     );
-    let moved = site.server("one", Manner::Serve);
-    tell(
+    let moved = site.server("one", Behavior::Serve);
+    send_endpoints(
         &mut watch,
         3,
         false,
         &discovery_rows(&[(&moved, "SERVING")]),
     );
-    site.program.says("generation=3");
+    site.program.wait_for_log("generation=3");
     assert_eq!(site.api.overrides()[0]["effects"]["nats"], "in effect");
     assert_eq!(open(&site, 3), 0);
     // After a restart the override keeps its expiry; the list arrives later, and no request is sent in between.
     let expires_at = site.api.overrides()[0]["expires_at"].clone();
     site.program.signal("TERM");
-    assert!(site.program.left(), "the program exits by itself");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
     site.program = Program::start(&["--operator", &site.path], &[]);
-    site.program.says("restored=1");
-    site.program.says("administration API serves");
-    let mut watch = site.discovery.watch();
-    tell(
+    site.program.wait_for_log("restored=1");
+    site.program.wait_for_log("administration API serves");
+    let mut watch = site.discovery.accept_watch();
+    send_endpoints(
         &mut watch,
         4,
         true,
         &discovery_rows(&[(&moved, "SERVING"), (&other, "SERVING")]),
     );
-    site.program.says("generation=4");
+    site.program.wait_for_log("generation=4");
     assert_eq!(site.api.overrides()[0]["expires_at"], expires_at);
     assert_eq!(open(&site, 3), 0);
     site.check_rules();
@@ -741,7 +755,7 @@
 
 /// Waits until `is_met` returns true.
 fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !is_met() {
         assert!(
             Instant::now() < deadline,
@@ -770,21 +784,21 @@
     );
     for by_reset in [false, true] {
         let site = Site::with(&format!("connect{by_reset}"), &long_connect_settings);
-        let late = support::late::Late::start();
-        let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &[("late", late.address, "SERVING")]);
-        site.program.says("generation=1");
+        let late = support::full_backlog_server::FullBacklogServer::start();
+        let mut watch = site.discovery.accept_watch();
+        send_endpoints(&mut watch, 1, true, &[("late", late.address, "SERVING")]);
+        site.program.wait_for_log("generation=1");
         let client = site.client("gone");
-        late.waits_for(true);
+        late.wait_until_connecting_is(true);
         let disconnected_at = Instant::now();
         disconnect(client, by_reset);
-        late.waits_for(false);
+        late.wait_until_connecting_is(false);
         assert!(
             disconnected_at.elapsed() < MAX_ABORT_TIME,
             "connection attempt aborted after {:?}",
             disconnected_at.elapsed()
         );
-        assert_eq!(late.comes_up_and_hears(LONGER_THAN_ANY_DELAY), None);
+        assert_eq!(late.free_backlog_and_read(LONGER_THAN_ANY_DELAY), None);
     }
 }
 
@@ -795,11 +809,11 @@
             &format!("info{by_reset}"),
             &SETTINGS.replace("\"on-time-ns\":400000000", "\"on-time-ns\":2000000000"),
         );
-        let late = site.server("late", Manner::LateInfo);
-        let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
-        site.program.says("generation=1");
-        let voice_lock = late.voice.lock().expect("mutex is not poisoned");
+        let late = site.server("late", Behavior::DelayInfo);
+        let mut watch = site.discovery.accept_watch();
+        send_endpoints(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
+        site.program.wait_for_log("generation=1");
+        let voice_lock = late.write_lock.lock().expect("mutex is not poisoned");
         let client = site.client("gone");
         let counts = || site.api.call("GET", "/v1/counts", "").body;
         wait_until("an attempt is in progress", || {
@@ -808,13 +822,13 @@
         disconnect(client, by_reset);
         drop(voice_lock);
         let mut after = site.client("after");
-        after.hears("PONG");
+        after.expect_line("PONG");
         std::thread::sleep(LONGER_THAN_ANY_DELAY);
         assert_eq!(
             site.record
                 .lock()
                 .expect("mutex is not poisoned")
-                .passes_of("gone"),
+                .session_count("gone"),
             0
         );
     }
@@ -833,12 +847,12 @@
                 .0,
             201
         );
-        let late = site.server("late", Manner::LateInfo);
-        let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
-        site.program.says("generation=1");
-        let voice_lock = late.voice.lock().expect("mutex is not poisoned");
-        let connect = |name: &str| client(site.address, name, "many", PASSWORD);
+        let late = site.server("late", Behavior::DelayInfo);
+        let mut watch = site.discovery.accept_watch();
+        send_endpoints(&mut watch, 1, true, &discovery_rows(&[(&late, "SERVING")]));
+        site.program.wait_for_log("generation=1");
+        let voice_lock = late.write_lock.lock().expect("mutex is not poisoned");
+        let connect = |name: &str| connect_client(site.address, name, "many", PASSWORD);
         let mut first: Vec<Peer> = (0..INITIAL_CONCURRENCY_LIMIT)
             .map(|index| connect(&format!("c{index}")))
             .collect();
@@ -852,14 +866,16 @@
         wait_until("a request is queued", || queue_length() == Some(1));
         disconnect(queued, by_reset);
         drop(voice_lock);
-        first.iter_mut().for_each(|client| client.hears("PONG"));
-        connect("after").hears("PONG");
+        first
+            .iter_mut()
+            .for_each(|client| client.expect_line("PONG"));
+        connect("after").expect_line("PONG");
         std::thread::sleep(LONGER_THAN_ANY_DELAY);
         assert_eq!(
             site.record
                 .lock()
                 .expect("mutex is not poisoned")
-                .passes_of("gone"),
+                .session_count("gone"),
             0
         );
     }
@@ -869,16 +885,16 @@
 fn stops_retrying_when_client_disconnects_between_attempts() {
     for by_reset in [false, true] {
         let site = Site::start(&format!("delay{by_reset}"));
-        let full = site.server("full", Manner::Full);
-        let mut watch = site.discovery.watch();
-        tell(&mut watch, 1, true, &discovery_rows(&[(&full, "SERVING")]));
-        site.program.says("generation=1");
+        let full = site.server("full", Behavior::RejectAsFull);
+        let mut watch = site.discovery.accept_watch();
+        send_endpoints(&mut watch, 1, true, &discovery_rows(&[(&full, "SERVING")]));
+        site.program.wait_for_log("generation=1");
         let client = site.client("gone");
         let attempt_count = || {
             site.record
                 .lock()
                 .expect("mutex is not poisoned")
-                .passes_of("gone")
+                .session_count("gone")
         };
         wait_until("an attempt was made", || attempt_count() > 0);
         disconnect(client, by_reset);
@@ -893,28 +909,28 @@
 fn sends_nothing_when_client_disconnects_during_lookup() {
     for by_reset in [false, true] {
         let site = Site::start(&format!("asked{by_reset}"));
-        let server = site.server("s", Manner::Serve);
-        let mut watch = site.discovery.watch();
-        tell(
+        let server = site.server("s", Behavior::Serve);
+        let mut watch = site.discovery.accept_watch();
+        send_endpoints(
             &mut watch,
             1,
             true,
             &discovery_rows(&[(&server, "SERVING")]),
         );
-        site.program.says("generation=1");
+        site.program.wait_for_log("generation=1");
         site.redis
             .set_behaviour(beaconflow_contracts::redis::RedisBehaviour::Slow(
                 Duration::from_millis(200),
             ));
         disconnect(site.client("gone"), by_reset);
         let mut after = site.client("after");
-        after.hears("PONG");
+        after.expect_line("PONG");
         std::thread::sleep(LONGER_THAN_ANY_DELAY);
         assert_eq!(
             site.record
                 .lock()
                 .expect("mutex is not poisoned")
-                .passes_of("gone"),
+                .session_count("gone"),
             0
         );
     }
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -13,12 +13,12 @@
 
 /// A balancer with an operations port.
 fn start_balancer(name: &str) -> (Site, Api) {
-    let address = free();
-    let site = Site::start_with(name, 1, &[("LB_ADMIN_ADDR", &address.to_string())]);
+    let address = reserve_address();
+    let site = Site::start_with_env(name, 1, &[("LB_ADMIN_ADDR", &address.to_string())]);
     (
         site,
         Api {
-            at: address,
+            address,
             token: "none is wanted",
         },
     )
@@ -38,9 +38,9 @@
 }
 
 fn assert_ping_answer(site: &Site, expected: &str) {
-    let mut front = Peer::connect(site.at);
-    front.say("PING\r\n");
-    front.hears(expected);
+    let mut front = Peer::connect(site.address);
+    front.send("PING\r\n");
+    front.expect_line(expected);
 }
 
 /// Invalid calls must not affect other calls or the clients of the program.
@@ -89,7 +89,7 @@
         (&long, "431"),
     ] {
         assert!(
-            raw_response(api.at, bytes).starts_with(&format!("HTTP/1.1 {status} ")),
+            raw_response(api.address, bytes).starts_with(&format!("HTTP/1.1 {status} ")),
             "{status}"
         );
     }
@@ -101,25 +101,25 @@
 fn answers_fragmented_call_and_drops_aborted_ones() {
     let (_site, api) = start_balancer("bytes");
     let call = b"POST /active HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
-    let mut caller = Peer::connect(api.at);
+    let mut caller = Peer::connect(api.address);
     for byte in call {
         caller
             .stream
             .write_all(&[*byte])
             .expect("bytes are sent to the operations port");
-        let mut aborted = Peer::connect(api.at).stream;
+        let mut aborted = Peer::connect(api.address).stream;
         aborted
             .write_all(&call[..20])
             .expect("bytes are sent to the operations port");
     }
-    caller.hears("HTTP/1.1 200 OK");
+    caller.expect_line("HTTP/1.1 200 OK");
 }
 
 /// New clients are served during the grace period and then moved; `active` ends standby.
 #[test]
 fn standby_moves_clients_and_keeps_program_running() {
     let (site, api) = start_balancer("standby");
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     let called_at = Instant::now();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     let status = api.call("GET", "/status", "");
@@ -128,87 +128,87 @@
         (503, &"standby".into())
     );
     assert_ping_answer(&site, "NO standby");
-    let mut newcomer = site.open("chat", "");
+    let mut newcomer = site.open_client("chat", "");
     let mut newcomer_server = Peer::accept(&site.servers[0]);
     newcomer_server
-        .hear()
+        .read_line()
         .expect("a new client is served during the drain grace period");
-    newcomer_server.say("UP r2\r\n");
-    newcomer.hears("UP r2");
-    client.hears("MOVE");
-    server.ended();
-    newcomer.hears("MOVE");
+    newcomer_server.send("UP r2\r\n");
+    newcomer.expect_line("UP r2");
+    client.expect_line("MOVE");
+    server.expect_end();
+    newcomer.expect_line("MOVE");
     assert!(called_at.elapsed() < Duration::from_secs(4));
     assert_eq!(
         api.call("POST", "/standby", "").status,
         200,
         "a repeated call is harmless"
     );
-    site.program.says("request counters");
+    site.program.wait_for_log("request counters");
     assert_ping_answer(&site, "NO standby");
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_eq!(api.call("GET", "/status", "").status, 200);
     assert_ping_answer(&site, "PONG");
-    let _established = site.stand();
+    let _established = site.establish_connection();
 }
 
 /// Clients that have not been moved when the drain is cancelled must stay connected.
 #[test]
 fn cancelled_drain_keeps_clients_not_yet_moved() {
     let (site, api) = start_balancer("undone");
-    let (mut first, _server) = site.stand();
-    let (mut second, mut server) = site.stand();
+    let (mut first, _server) = site.establish_connection();
+    let (mut second, mut server) = site.establish_connection();
     let called_at = Instant::now();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
-    first.hears("MOVE");
+    first.expect_line("MOVE");
     assert_eq!(api.call("POST", "/active", "").status, 200);
     assert_ping_answer(&site, "PONG");
     // Without the cancellation the second client would have been moved after 1.35 s.
     while called_at.elapsed() < Duration::from_secs(2) {
-        second.say("line\r\n");
-        assert_eq!(server.hear().as_deref(), Some("line"));
-        server.say("ok\r\n");
-        second.hears("ok");
+        second.send("line\r\n");
+        assert_eq!(server.read_line().as_deref(), Some("line"));
+        server.send("ok\r\n");
+        second.expect_line("ok");
     }
 }
 
 #[test]
 fn standby_answers_pending_requests() {
     let (site, api) = start_balancer("answers");
-    let mut client = site.open("chat", "");
+    let mut client = site.open_client("chat", "");
     let mut pending_attempt = Peer::accept(&site.servers[0]);
-    pending_attempt.hear().expect("a request is received");
+    pending_attempt.read_line().expect("a request is received");
     assert_eq!(api.call("POST", "/standby", "").status, 200);
-    let answer = client.hear().expect("a final answer is received");
+    let answer = client.read_line().expect("a final answer is received");
     assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
-    client.ended();
+    client.expect_end();
 }
 
 /// A program that is exiting cannot be returned to active.
 #[test]
 fn standby_program_exits_on_sigterm() {
     let (mut site, api) = start_balancer("both");
-    let (mut client, _server) = site.stand();
+    let (mut client, _server) = site.establish_connection();
     assert_eq!(api.call("POST", "/standby", "").status, 200);
     site.program.signal("TERM");
-    site.program.says("to=leaving");
+    site.program.wait_for_log("to=leaving");
     let refused = api.call("POST", "/active", "");
     assert_eq!(
         (refused.status, &refused.body["error"]),
         (409, &"the program is leaving".into())
     );
-    client.hears("MOVE");
-    assert!(site.program.left(), "the program exits by itself");
+    client.expect_line("MOVE");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
 }
 
 #[test]
 fn answers_calls_despite_silent_and_flooding_clients() {
     let (mut site, api) = start_balancer("silent");
-    obliges(site.servers.remove(0));
+    serve_all_openings(site.servers.remove(0));
     let silent: Vec<TcpStream> = (0..64)
         .map(|number| {
-            let mut caller = Peer::connect(api.at).stream;
+            let mut caller = Peer::connect(api.address).stream;
             if number % 2 == 0 {
                 caller
                     .write_all(b"POST /standby HT")
@@ -219,15 +219,15 @@
         .collect();
     let opened_count = Arc::new(AtomicUsize::new(0));
     let spawn_flood = |number| {
-        let (address, opened_count) = (site.at, Arc::clone(&opened_count));
+        let (address, opened_count) = (site.address, Arc::clone(&opened_count));
         std::thread::spawn(move || {
             // Rejected clients reconnect at once; served clients disconnect.
             for count in 0..100 {
                 let mut client = Peer::connect(address);
-                client.say(&format!(
+                client.send(&format!(
                     "OPEN f{number}x{count} 02 c=chat,t=acme,d=2500,g=3\r\n"
                 ));
-                client.hear_or_end();
+                client.read_line_or_end();
                 opened_count.fetch_add(1, Ordering::SeqCst);
             }
         })
@@ -248,7 +248,7 @@
             .next_back()
             .expect("64 callers are connected"),
     );
-    last.hears("HTTP/1.1 408 Request Timeout");
+    last.expect_line("HTTP/1.1 408 Request Timeout");
     assert_eq!(api.call("POST", "/standby", "").status, 200);
 }
 
@@ -259,7 +259,13 @@
         .local_addr()
         .expect("listener is bound")
         .to_string();
-    let valid_config = config(free(), free(), &list(1, true, &[]), SETTINGS, 256);
+    let valid_config = platform_config(
+        reserve_address(),
+        reserve_address(),
+        &endpoint_list(1, true, &[]),
+        SETTINGS,
+        256,
+    );
     let config_with_address = valid_config.replacen('{', r#"{"admin_addr":"there","#, 1);
     for (name, config, variable, reason) in [
         (
@@ -281,15 +287,15 @@
             r#"admin_addr: "there" is no address"#,
         ),
     ] {
-        let path = file(name, config);
+        let path = write_temp_file(name, config);
         let mut env = vec![("LB_CONFIG", path.as_str())];
         env.extend(variable.map(|address| ("LB_ADMIN_ADDR", address)));
         let mut program = Program::start(&[], &env);
-        let log_line = program.says("cannot start");
+        let log_line = program.wait_for_log("cannot start");
         assert!(
             log_line.contains(&reason.replace('"', "\\\"")) || log_line.contains(reason),
             "{log_line}"
         );
-        assert!(!program.ends().success());
+        assert!(!program.wait_for_exit().success());
     }
 }
