--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -10,12 +10,12 @@
 #[test]
 fn relays_lines_and_close_in_both_directions() {
     let site = Site::start("serve", 1);
-    let mut client = Peer::connect(site.at);
-    client.say("PING\r\n");
-    client.hears("PONG");
-    client.say("OPEN 01 02 c=chat,t=acme,d=2500,g=3,h=1.5\r\n");
+    let mut client = Peer::connect(site.address);
+    client.send("PING\r\n");
+    client.expect_line("PONG");
+    client.send("OPEN 01 02 c=chat,t=acme,d=2500,g=3,h=1.5\r\n");
     let mut server = Peer::accept(&site.servers[0]);
-    let line = server.hear().expect("a request is received");
+    let line = server.read_line().expect("a request is received");
     let wait_ms = line
         .strip_prefix("OPEN 01 02 c=chat,t=acme,d=")
         .and_then(|rest| rest.strip_suffix(",g=3,h=1.5"));
@@ -27,30 +27,30 @@
         (1..=400).contains(&wait_ms),
         "d must be the time that this balancer waits, is {wait_ms}"
     );
-    server.say("UP r7\r\nLOAD 12.5\r\nhal");
-    client.hears("UP r7");
-    client.hears("LOAD 12.5");
+    server.send("UP r7\r\nLOAD 12.5\r\nhal");
+    client.expect_line("UP r7");
+    client.expect_line("LOAD 12.5");
     assert_eq!(
-        client.bytes(3),
+        client.read_text(3),
         "hal",
         "a partial line must be relayed at once"
     );
-    client.say("M 1\r\n");
-    server.hears("M 1");
-    server.say("f\r\nBYE\r\n");
-    server.finish();
-    client.hears("f");
-    client.hears("BYE");
-    client.ended();
-    let (client, mut server) = site.stand();
-    client.finish();
-    server.ended();
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
+    server.send("f\r\nBYE\r\n");
+    server.shutdown_write();
+    client.expect_line("f");
+    client.expect_line("BYE");
+    client.expect_end();
+    let (client, mut server) = site.establish_connection();
+    client.shutdown_write();
+    server.expect_end();
 }
 
 #[test]
 fn forwards_server_reset_to_client() {
     let site = Site::start("reset", 1);
-    let (mut client, server) = site.stand();
+    let (mut client, server) = site.establish_connection();
     socket2::SockRef::from(&server.stream)
         .set_linger(Some(Duration::ZERO))
         .expect("socket is open");
@@ -61,15 +61,15 @@
 #[test]
 fn retries_busy_attempts_then_reports_retry_delay() {
     let site = Site::start("busy", 1);
-    let mut client = site.open("chat", "");
+    let mut client = site.open_client("chat", "");
     for _ in 0..4 {
         let mut server = Peer::accept(&site.servers[0]);
-        server.hear().expect("a request is received");
-        server.say("BUSY\r\n");
-        server.ended();
+        server.read_line().expect("a request is received");
+        server.send("BUSY\r\n");
+        server.expect_end();
     }
     let answered_at = Instant::now();
-    let answer = client.hear().expect("an answer is received");
+    let answer = client.read_line().expect("an answer is received");
     let retry_after_ms = answer
         .strip_prefix("BUSY ")
         .and_then(|millis| millis.parse::<u64>().ok());
@@ -81,55 +81,55 @@
         answered_at.elapsed() < Duration::from_millis(300),
         "the last answer must not be delayed"
     );
-    client.ended();
+    client.expect_end();
 }
 
 #[test]
 fn fails_non_repeatable_request_after_lost_attempt() {
     let site = Site::start("once", 1);
-    let mut client = site.open("once", "");
+    let mut client = site.open_client("once", "");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("a request is received");
+    server.read_line().expect("a request is received");
     drop(server);
-    client.hears("ERR");
-    client.ended();
+    client.expect_line("ERR");
+    client.expect_end();
 }
 
 #[test]
 fn cancels_attempt_when_client_disconnects() {
     let site = Site::start("leave", 1);
-    let client = site.open("chat", "");
+    let client = site.open_client("chat", "");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("a request is received");
+    server.read_line().expect("a request is received");
     drop(client);
-    server.ended();
-    site.stand();
+    server.expect_end();
+    site.establish_connection();
 }
 
 #[test]
 fn established_connections_use_no_threads() {
     // A balancer limited to a fifth of a core is throttled as a whole: hundreds of threads alone use that up.
     let site = Site::start("threads", 1);
-    let initial_threads = site.program.threads();
-    let mut established: Vec<(Peer, Peer)> = (0..50).map(|_| site.stand()).collect();
+    let initial_threads = site.program.thread_count();
+    let mut established: Vec<(Peer, Peer)> = (0..50).map(|_| site.establish_connection()).collect();
     for (number, (client, server)) in established.iter_mut().enumerate() {
-        client.say(&format!("M {number}\r\n"));
-        server.hears(&format!("M {number}"));
-        server.say(&format!("A {number}\r\n"));
-        client.hears(&format!("A {number}"));
+        client.send(&format!("M {number}\r\n"));
+        server.expect_line(&format!("M {number}"));
+        server.send(&format!("A {number}\r\n"));
+        client.expect_line(&format!("A {number}"));
     }
     // The thread of the last attempt may not have ended yet.
     assert!(
-        site.program.threads() <= initial_threads + 4,
+        site.program.thread_count() <= initial_threads + 4,
         "{} threads, initially {initial_threads}",
-        site.program.threads()
+        site.program.thread_count()
     );
 }
 
 #[test]
 fn rejects_invalid_requests_before_contacting_a_server() {
     let site = Site::start("rude", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     let overlong = format!("{}\r\n", "x".repeat(4096));
     for request in [
         "HELLO\r\n",
@@ -156,38 +156,38 @@
         "OPEN b1 02 c=chat,d=2500\r\nOPEN b2 02 c=chat,d=2500\r\n",
         &overlong,
     ] {
-        let mut invalid = Peer::connect(site.at);
-        invalid.say(request);
-        assert_eq!(invalid.hear().as_deref(), Some("ERR"), "{request:?}");
-        assert!(invalid.is_gone());
+        let mut invalid = Peer::connect(site.address);
+        invalid.send(request);
+        assert_eq!(invalid.read_line().as_deref(), Some("ERR"), "{request:?}");
+        assert!(invalid.is_closed());
     }
     // A partial command, then a close.
-    Peer::connect(site.at).say("OPEN b1 02 c=chat,d=25");
+    Peer::connect(site.address).send("OPEN b1 02 c=chat,d=25");
     // A client that sends data while an attempt is in progress ends the attempt.
-    let mut early_sender = site.open("chat", "");
+    let mut early_sender = site.open_client("chat", "");
     let mut pending_attempt = Peer::accept(&site.servers[0]);
-    pending_attempt.hear().expect("a request is received");
-    early_sender.say("M 1\r\n");
-    early_sender.hears("ERR");
-    pending_attempt.ended();
-    client.say("M 1\r\n");
-    server.hears("M 1");
+    pending_attempt.read_line().expect("a request is received");
+    early_sender.send("M 1\r\n");
+    early_sender.expect_line("ERR");
+    pending_attempt.expect_end();
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
     // An id is free again by the time its client sees the end of the connection.
     for _ in 0..50 {
-        client.finish();
-        server.finish();
-        client.ended();
-        client = Peer::connect(site.at);
-        client.say("OPEN a1 02 c=chat,d=2500\r\n");
+        client.shutdown_write();
+        server.shutdown_write();
+        client.expect_end();
+        client = Peer::connect(site.address);
+        client.send("OPEN a1 02 c=chat,d=2500\r\n");
         server = Peer::accept(&site.servers[0]);
         assert!(
             server
-                .hear()
+                .read_line()
                 .expect("a request is received")
                 .starts_with("OPEN a1 02 ")
         );
-        server.say("UP r1\r\n");
-        client.hears("UP r1");
+        server.send("UP r1\r\n");
+        client.expect_line("UP r1");
     }
 }
 
@@ -196,21 +196,21 @@
     let site = Site::start("openings", 1);
     let started_at = Instant::now();
     // Far more than fit into 256 descriptors.
-    let mut silent: Vec<Peer> = (0..400).map(|_| Peer::connect(site.at)).collect();
-    let mut incomplete = Peer::connect(site.at);
-    incomplete.say("OPEN b1 ");
-    let (mut client, mut server) = site.stand();
-    client.say("M 1\r\n");
-    server.hears("M 1");
+    let mut silent: Vec<Peer> = (0..400).map(|_| Peer::connect(site.address)).collect();
+    let mut incomplete = Peer::connect(site.address);
+    incomplete.send("OPEN b1 ");
+    let (mut client, mut server) = site.establish_connection();
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
     for (number, peer) in silent.iter_mut().enumerate() {
-        let answer = peer.hear();
+        let answer = peer.read_line();
         assert!(
             matches!(answer.as_deref(), Some("BUSY" | "ERR")),
             "{number}: {answer:?}"
         );
-        assert!(peer.is_gone());
+        assert!(peer.is_closed());
     }
-    incomplete.hears("ERR");
+    incomplete.expect_line("ERR");
     // The answer is due within 3 s of connecting. The bound of 4.5 s allows for a loaded machine; 5 s for each
     // connection would exceed it.
     assert!(
@@ -218,7 +218,7 @@
         "silent connections must be answered within 3 s of connecting"
     );
     site.program
-        .says("further messages of this kind suppressed");
+        .wait_for_log("further messages of this kind suppressed");
 }
 
 /// A client connected before the program started returns to its server, also when the first attempt fails.
@@ -226,31 +226,31 @@
 fn retries_named_server_for_returning_connection() {
     let site = Site::start("held", 2);
     // The largest possible wait time.
-    let mut client = Peer::connect(site.at);
-    client.say("OPEN b1 02 c=chat,t=acme,d=18446744073709551615,g=3,at=s1\r\n");
+    let mut client = Peer::connect(site.address);
+    client.send("OPEN b1 02 c=chat,t=acme,d=18446744073709551615,g=3,at=s1\r\n");
     let mut server = Peer::accept(&site.servers[1]);
-    server.hear().expect("a request is received");
+    server.read_line().expect("a request is received");
     drop(server);
     let mut server = Peer::accept(&site.servers[1]);
     assert!(
         server
-            .hear()
+            .read_line()
             .expect("a request is received")
             .ends_with(",at=s1")
     );
-    server.say("UP r1\r\n");
-    client.hears("UP r1");
+    server.send("UP r1\r\n");
+    client.expect_line("UP r1");
 }
 
 /// The client is moved within 6.5 s, before the platform's rule for silent servers applies.
 #[test]
 fn moves_client_when_server_stops_answering() {
     let site = Site::start("silent", 1);
-    let (mut client, _server) = site.stand();
-    client.say("M 1\r\n");
+    let (mut client, _server) = site.establish_connection();
+    client.send("M 1\r\n");
     let sent_at = Instant::now();
-    client.hears("MOVE");
-    client.ended();
+    client.expect_line("MOVE");
+    client.expect_end();
     assert!(sent_at.elapsed() < Duration::from_millis(6_500));
 }
 
@@ -269,14 +269,20 @@
             format!("\"balancers\":{count},")
         };
         let settings = SETTINGS.replace("\"balancers\":1,", &setting);
-        let path = file(
+        let path = write_temp_file(
             "count",
-            &config(free(), free(), &list(1, true, &[]), &settings, 256),
+            &platform_config(
+                reserve_address(),
+                reserve_address(),
+                &endpoint_list(1, true, &[]),
+                &settings,
+                256,
+            ),
         );
         let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
-        program.says(message);
+        program.wait_for_log(message);
         if count.is_empty() {
-            program.says("serves");
+            program.wait_for_log("serves");
         }
     }
 }
@@ -284,29 +290,29 @@
 #[test]
 fn draining_server_loses_clients_and_new_requests() {
     let site = Site::start("drain", 2);
-    let mut client = site.open("chat", ",at=s0");
+    let mut client = site.open_client("chat", ",at=s0");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("a request is received");
-    server.say("UP r1\r\n");
-    client.hears("UP r1");
+    server.read_line().expect("a request is received");
+    server.send("UP r1\r\n");
+    client.expect_line("UP r1");
     let draining = site.servers[0].local_addr().expect("listener is bound");
-    let mut watch = site.discovery.watch();
+    let mut watch = site.discovery.accept_watch();
     // Longer than a watch without heartbeats is kept open, as happens on a loaded machine.
     std::thread::sleep(Duration::from_millis(3_700));
-    tell(&mut watch, 2, false, &[("s0", draining, "DRAINING")]);
-    site.program.says("generation=2");
+    send_endpoints(&mut watch, 2, false, &[("s0", draining, "DRAINING")]);
+    site.program.wait_for_log("generation=2");
     // The connections stay open: a server that closes its connections at once would be avoided for a while.
     let mut established = Vec::new();
     for _ in 0..4 {
-        let mut newcomer = site.open("chat", "");
+        let mut newcomer = site.open_client("chat", "");
         let mut server = Peer::accept(&site.servers[1]);
-        server.hear().expect("a request is received");
-        server.say("UP r2\r\n");
-        newcomer.hears("UP r2");
+        server.read_line().expect("a request is received");
+        server.send("UP r2\r\n");
+        newcomer.expect_line("UP r2");
         established.push((newcomer, server));
     }
-    client.hears("MOVE");
-    client.ended();
+    client.expect_line("MOVE");
+    client.expect_end();
     site.servers[0]
         .set_nonblocking(true)
         .expect("socket is open");
@@ -320,29 +326,29 @@
 #[test]
 fn restarts_silent_watch_and_keeps_server_list() {
     let site = Site::start("watch", 1);
-    let _silent = site.discovery.watch();
-    site.discovery.falls_silent();
+    let _silent = site.discovery.accept_watch();
+    site.discovery.stop_heartbeats();
     let silent_since = Instant::now();
-    let mut new_watch = site.discovery.watch();
+    let mut new_watch = site.discovery.accept_watch();
     // Changes missed by the first watch must be applied within 6 s.
     assert!(silent_since.elapsed() < Duration::from_secs(6));
-    site.stand();
-    tell(&mut new_watch, 5, true, &[]);
-    site.program.says("generation=5");
+    site.establish_connection();
+    send_endpoints(&mut new_watch, 5, true, &[]);
+    site.program.wait_for_log("generation=5");
 }
 
 #[test]
 fn reload_moves_watch_without_disturbing_connections() {
     let mut site = Site::start("reload", 2);
-    let mut old_watch = site.discovery.watch();
-    let (mut client, mut server) = site.stand();
+    let mut old_watch = site.discovery.accept_watch();
+    let (mut client, mut server) = site.establish_connection();
     let new_discovery = Discovery::start();
     let config = site.config.replace(
         &site.discovery.address.to_string(),
         &new_discovery.address.to_string(),
     );
     std::fs::write(
-        &site.path,
+        &site.config_path,
         config.replace("\"sockets\":256", "\"sockets\":300"),
     )
     .expect("configuration file is written");
@@ -350,63 +356,63 @@
     // Several signals at once have the effect of one.
     site.program.signal("HUP");
     site.program.signal("HUP");
-    let mut watch = new_discovery.watch();
+    let mut watch = new_discovery.accept_watch();
     assert!(
         reloaded_at.elapsed() < Duration::from_millis(2_500),
         "the blocked read must be interrupted, not waited for"
     );
-    old_watch.ended();
+    old_watch.expect_end();
     // The list is kept until the new discovery address sends another one.
-    client.say("M 1\r\n");
-    server.hears("M 1");
-    server.say("A 1\r\n");
-    client.hears("A 1");
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
+    server.send("A 1\r\n");
+    client.expect_line("A 1");
     let second_server = site.servers[1].local_addr().expect("listener is bound");
-    tell(&mut watch, 1, true, &[("s1", second_server, "SERVING")]);
-    site.program.says("generation=1 kind=Snapshot");
-    client.hears("MOVE");
+    send_endpoints(&mut watch, 1, true, &[("s1", second_server, "SERVING")]);
+    site.program.wait_for_log("generation=1 kind=Snapshot");
+    client.expect_line("MOVE");
     site.program.signal("HUP");
-    site.program.says("configuration is unchanged");
-    std::fs::write(&site.path, "{").expect("configuration file is written");
+    site.program.wait_for_log("configuration is unchanged");
+    std::fs::write(&site.config_path, "{").expect("configuration file is written");
     site.program.signal("HUP");
     site.program
-        .says("reload failed; current configuration kept");
-    std::fs::write(&site.path, site.config.replace("\"n0\"", "\"n1\""))
+        .wait_for_log("reload failed; current configuration kept");
+    std::fs::write(&site.config_path, site.config.replace("\"n0\"", "\"n1\""))
         .expect("configuration file is written");
     site.program.signal("HUP");
     site.program
-        .says("changes need a restart; running values kept what=name");
-    let _restored_watch = site.discovery.watch();
+        .wait_for_log("changes need a restart; running values kept what=name");
+    let _restored_watch = site.discovery.accept_watch();
     site.program.signal("TERM");
-    site.program.says("leaving");
+    site.program.wait_for_log("leaving");
     site.program.signal("HUP");
-    site.program.says("reload skipped");
-    assert!(site.program.left(), "the program exits by itself");
+    site.program.wait_for_log("reload skipped");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
 }
 
 /// No line may be cut by a move; clients that connect during the drain are served and then moved.
 #[test]
 fn planned_restart_moves_clients_between_lines() {
     let mut site = Site::start("term", 1);
-    let (mut client, mut server) = site.stand();
-    server.say("whole\r\nhal");
-    client.hears("whole");
-    assert_eq!(client.bytes(3), "hal");
+    let (mut client, mut server) = site.establish_connection();
+    server.send("whole\r\nhal");
+    client.expect_line("whole");
+    assert_eq!(client.read_text(3), "hal");
     site.program.signal("TERM");
-    site.program.says("leaving");
-    let mut late = site.open("chat", "");
+    site.program.wait_for_log("leaving");
+    let mut late = site.open_client("chat", "");
     let mut late_server = Peer::accept(&site.servers[0]);
-    late_server.hear().expect("a request is received");
-    late_server.say("UP r2\r\n");
-    late.hears("UP r2");
-    server.say("f\r\nnever relayed\r\n");
-    client.hears("f");
+    late_server.read_line().expect("a request is received");
+    late_server.send("UP r2\r\n");
+    late.expect_line("UP r2");
+    server.send("f\r\nnever relayed\r\n");
+    client.expect_line("f");
     // One more line may be relayed before the move is initiated.
-    let last_line = std::iter::from_fn(|| client.hear()).last();
+    let last_line = std::iter::from_fn(|| client.read_line()).last();
     assert_eq!(last_line.as_deref(), Some("MOVE"));
-    server.ended();
-    late.hears("MOVE");
-    assert!(site.program.left(), "the program exits by itself");
+    server.expect_end();
+    late.expect_line("MOVE");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
 }
 
 /// A request that waits for a silent server receives a final answer.
@@ -414,15 +420,19 @@
 fn answers_pending_request_before_program_exits() {
     let mut site = Site::start("lastword", 1);
     // Moves are spread over the drain: the move of the second client means that a third of it has passed.
-    let mut established = [site.stand(), site.stand(), site.stand()];
+    let mut established = [
+        site.establish_connection(),
+        site.establish_connection(),
+        site.establish_connection(),
+    ];
     site.program.signal("TERM");
-    established[1].0.hears("MOVE");
-    let mut client = Peer::connect(site.at);
-    client.say("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
+    established[1].0.expect_line("MOVE");
+    let mut client = Peer::connect(site.address);
+    client.send("OPEN ff 02 c=once,t=acme,d=3000,g=3\r\n");
     let mut server = Peer::accept(&site.servers[0]);
-    server.hear().expect("a request is received");
-    client.hears("ERR");
-    assert!(site.program.left(), "the program exits by itself");
+    server.read_line().expect("a request is received");
+    client.expect_line("ERR");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
 }
 
 #[test]
@@ -446,7 +456,7 @@
     .iter()
     .enumerate()
     {
-        let site = Site::start_on(&settings, &format!("load{number}"), 3, &[]);
+        let site = Site::start_with_settings(&settings, &format!("load{number}"), 3, &[]);
         let (request_sender, request_receiver) = std::sync::mpsc::channel();
         for (server, answer) in site
             .servers
@@ -462,13 +472,13 @@
                 while let Ok((stream, _)) = server.accept() {
                     let (mut peer, request_sender) = (Peer::new(stream), request_sender.clone());
                     std::thread::spawn(move || {
-                        while let Some(line) = peer.hear_or_end() {
+                        while let Some(line) = peer.read_line_or_end() {
                             if line.trim_end() != "STATS" {
                                 request_sender.send(address).expect("receiver is alive");
-                                peer.say("UP r1\r\n");
+                                peer.send("UP r1\r\n");
                                 continue;
                             }
-                            peer.say(answer);
+                            peer.send(answer);
                             if !answer.ends_with('\n') {
                                 return;
                             }
@@ -477,8 +487,10 @@
                 }
             });
         }
-        let mut clients: Vec<Peer> = (0..4).map(|_| site.open("chat", "")).collect();
-        clients.iter_mut().for_each(|client| client.hears("UP r1"));
+        let mut clients: Vec<Peer> = (0..4).map(|_| site.open_client("chat", "")).collect();
+        clients
+            .iter_mut()
+            .for_each(|client| client.expect_line("UP r1"));
         let address = site.servers[1].local_addr().expect("listener is bound");
         assert_eq!(
             request_receiver.try_iter().collect::<Vec<_>>(),
--- a/crates/cli/tests/settings.rs
+++ b/crates/cli/tests/settings.rs
@@ -32,14 +32,14 @@
 
 /// Replaces the configuration file and sends SIGHUP to the program.
 fn write_and_signal(site: &Site, text: &str) {
-    std::fs::write(&site.path, text).expect("configuration file is written");
+    std::fs::write(&site.config_path, text).expect("configuration file is written");
     site.program.signal("HUP");
 }
 
 /// Replaces the settings and waits until they are in effect, also for requests that are read from now on.
 fn reload_and_wait(site: &Site, settings: &Value) {
     write_and_signal(site, &config_text_with(site, settings));
-    site.program.says("configuration changes applied");
+    site.program.wait_for_log("configuration changes applied");
 }
 
 /// Accepts the next attempt at a server and reads its request.
@@ -47,7 +47,7 @@
     let mut server = Peer::accept(&site.servers[index]);
     assert!(
         server
-            .hear()
+            .read_line()
             .expect("a request is received")
             .starts_with("OPEN ")
     );
@@ -60,10 +60,10 @@
 }
 
 fn exchange_lines(client: &mut Peer, server: &mut Peer) {
-    client.say("M 1\r\n");
-    server.hears("M 1");
-    server.say("A 1\r\n");
-    client.hears("A 1");
+    client.send("M 1\r\n");
+    server.expect_line("M 1");
+    server.send("A 1\r\n");
+    client.expect_line("A 1");
 }
 
 fn assert_no_pending_attempt(site: &Site) {
@@ -81,27 +81,27 @@
     first["zones"] = json!(["north", "south"]);
     first["projects"] = json!([{"name": "kiosk", "share": 0.3}, {"name": "acme", "share": 0.2}]);
     first["policy-limits"]["max-attempts"] = json!(2);
-    let site = Site::start_on(&first.to_string(), "shape-a", 1, &[]);
-    site.open("chat", "").hears("ERR");
-    let mut stranger = Peer::connect(site.at);
-    stranger.say("OPEN c1 02 c=bulk,t=nobody,d=2500\r\n");
-    stranger.hears("ERR");
-    let mut bulk = site.open("bulk", "");
+    let site = Site::start_with_settings(&first.to_string(), "shape-a", 1, &[]);
+    site.open_client("chat", "").expect_line("ERR");
+    let mut stranger = Peer::connect(site.address);
+    stranger.send("OPEN c1 02 c=bulk,t=nobody,d=2500\r\n");
+    stranger.expect_line("ERR");
+    let mut bulk = site.open_client("bulk", "");
     for _ in 0..2 {
-        accept_attempt(&site, 0).say("BUSY\r\n");
+        accept_attempt(&site, 0).send("BUSY\r\n");
     }
     assert!(
-        bulk.hear()
+        bulk.read_line()
             .expect("an answer is received")
             .starts_with("BUSY "),
         "an answer with a retry delay after two attempts"
     );
-    let mut quick = site.open("quick", "");
+    let mut quick = site.open_client("quick", "");
     close_without_answer(accept_attempt(&site, 0));
-    quick.hears("ERR");
-    let (mut hung, started_at) = (site.open("quick", ""), Instant::now());
+    quick.expect_line("ERR");
+    let (mut hung, started_at) = (site.open_client("quick", ""), Instant::now());
     let _silent = accept_attempt(&site, 0);
-    hung.hears("ERR");
+    hung.expect_line("ERR");
     let elapsed = started_at.elapsed();
     assert!(
         elapsed >= Duration::from_millis(500) && elapsed < Duration::from_millis(2_300),
@@ -119,16 +119,16 @@
     }
     second["policy-limits"] = json!({"max-attempts": 1});
     second["rules"] = json!({"cold-share": 1.0, "cold-ns": 0, "tip-multiple": 0.5, "fall-ns": 0});
-    let site = Site::start_on(&second.to_string(), "shape-b", 1, &[]);
-    site.open("quick", "").hears("ERR");
-    let mut any = Peer::connect(site.at);
-    any.say("OPEN c1 02 c=only,t=nobody,d=2500\r\n");
-    accept_attempt(&site, 0).say("BUSY\r\n");
-    any.hears("BUSY");
-    let mut client = site.open("only", "");
+    let site = Site::start_with_settings(&second.to_string(), "shape-b", 1, &[]);
+    site.open_client("quick", "").expect_line("ERR");
+    let mut any = Peer::connect(site.address);
+    any.send("OPEN c1 02 c=only,t=nobody,d=2500\r\n");
+    accept_attempt(&site, 0).send("BUSY\r\n");
+    any.expect_line("BUSY");
+    let mut client = site.open_client("only", "");
     let mut server = accept_attempt(&site, 0);
-    server.say("UP r1\r\n");
-    client.hears("UP r1");
+    server.send("UP r1\r\n");
+    client.expect_line("UP r1");
     exchange_lines(&mut client, &mut server);
     assert_no_pending_attempt(&site);
 }
@@ -137,12 +137,12 @@
 #[test]
 fn reload_replaces_classes_only_for_new_requests() {
     let site = Site::start("replaced", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     // Both attempts are in progress when the settings change: one class is not repeatable under the old settings, the
     // other not under the new ones.
-    let mut once = site.open("once", "");
+    let mut once = site.open_client("once", "");
     let once_attempt = accept_attempt(&site, 0);
-    let mut chat = site.open("chat", "");
+    let mut chat = site.open_client("chat", "");
     let chat_attempt = accept_attempt(&site, 0);
     // The classes change their order and exchange their effects.
     reload_and_wait(
@@ -154,21 +154,21 @@
         ]),
     );
     close_without_answer(once_attempt);
-    once.hears("ERR");
+    once.expect_line("ERR");
     close_without_answer(chat_attempt);
-    chat.hears("ERR");
+    chat.expect_line("ERR");
     assert_no_pending_attempt(&site);
     // New requests follow the new settings.
-    let mut once = site.open("once", "");
+    let mut once = site.open_client("once", "");
     close_without_answer(accept_attempt(&site, 0));
-    accept_attempt(&site, 0).say("UP r2\r\n");
-    once.hears("UP r2");
-    let mut chat = site.open("chat", "");
+    accept_attempt(&site, 0).send("UP r2\r\n");
+    once.expect_line("UP r2");
+    let mut chat = site.open_client("chat", "");
     close_without_answer(accept_attempt(&site, 0));
-    chat.hears("ERR");
-    let mut more = site.open("more", "");
-    accept_attempt(&site, 0).say("UP r3\r\n");
-    more.hears("UP r3");
+    chat.expect_line("ERR");
+    let mut more = site.open_client("more", "");
+    accept_attempt(&site, 0).send("UP r3\r\n");
+    more.expect_line("UP r3");
     exchange_lines(&mut client, &mut server);
     assert_no_pending_attempt(&site);
 }
@@ -177,27 +177,27 @@
 #[test]
 fn rejects_requests_of_removed_classes_and_tenants() {
     let site = Site::start("gone", 1);
-    let (mut client, mut server) = site.stand();
-    let mut pending = site.open("chat", "");
+    let (mut client, mut server) = site.establish_connection();
+    let mut pending = site.open_client("chat", "");
     let mut pending_attempt = accept_attempt(&site, 0);
     let mut settings = settings_with_classes(&[("once", "fragile", 3_000)]);
     settings["projects"] = json!([{"name": "bright", "share": 0.5}]);
     reload_and_wait(&site, &settings);
-    site.open("chat", "").hears("ERR");
-    site.open("once", "").hears("ERR");
-    let mut bright = Peer::connect(site.at);
-    bright.say("OPEN c1 02 c=once,t=bright,d=2500\r\n");
+    site.open_client("chat", "").expect_line("ERR");
+    site.open_client("once", "").expect_line("ERR");
+    let mut bright = Peer::connect(site.address);
+    bright.send("OPEN c1 02 c=once,t=bright,d=2500\r\n");
     let mut bright_server = accept_attempt(&site, 0);
-    bright_server.say("UP r3\r\n");
-    bright.hears("UP r3");
+    bright_server.send("UP r3\r\n");
+    bright.expect_line("UP r3");
     // The attempt that was in progress is established.
-    pending_attempt.say("UP r2\r\n");
-    pending.hears("UP r2");
+    pending_attempt.send("UP r2\r\n");
+    pending.expect_line("UP r2");
     exchange_lines(&mut pending, &mut pending_attempt);
     exchange_lines(&mut client, &mut server);
     // The class and its tenant return: nothing of the file in between remains.
     reload_and_wait(&site, &default_settings());
-    let (mut returning, mut returning_server) = site.stand();
+    let (mut returning, mut returning_server) = site.establish_connection();
     exchange_lines(&mut returning, &mut returning_server);
     exchange_lines(&mut client, &mut server);
     exchange_lines(&mut bright, &mut bright_server);
@@ -207,17 +207,17 @@
 #[test]
 fn reload_applies_new_attempt_limit() {
     let site = Site::start("attempts", 1);
-    let mut client = site.open("chat", "");
+    let mut client = site.open_client("chat", "");
     let pending_attempt = accept_attempt(&site, 0);
     let mut settings = default_settings();
     settings["policy-limits"]["max-attempts"] = json!(1);
     settings["policy-limits"]["retry-after"] = json!(false);
     reload_and_wait(&site, &settings);
     close_without_answer(pending_attempt);
-    client.hears("ERR");
-    let mut client = site.open("chat", "");
-    accept_attempt(&site, 0).say("BUSY\r\n");
-    client.hears("BUSY");
+    client.expect_line("ERR");
+    let mut client = site.open_client("chat", "");
+    accept_attempt(&site, 0).send("BUSY\r\n");
+    client.expect_line("BUSY");
     assert_no_pending_attempt(&site);
 }
 
@@ -226,22 +226,22 @@
 fn reload_applies_new_deadline_to_new_requests() {
     let site = Site::start("deadline", 1);
     let first_opened_at = Instant::now();
-    let mut first = site.open("once", "");
+    let mut first = site.open_client("once", "");
     let _silent = accept_attempt(&site, 0);
     reload_and_wait(
         &site,
         &settings_with_classes(&[("chat", "retryable", 600), ("once", "fragile", 600)]),
     );
     let second_opened_at = Instant::now();
-    let mut second = site.open("once", "");
+    let mut second = site.open_client("once", "");
     let _silent_too = accept_attempt(&site, 0);
-    second.hears("ERR");
+    second.expect_line("ERR");
     assert!(
         second_opened_at.elapsed() < Duration::from_millis(2_000),
         "{:?}",
         second_opened_at.elapsed()
     );
-    first.hears("ERR");
+    first.expect_line("ERR");
     // The client waits for 2.5 s, and the old deadline is 3 s.
     assert!(
         first_opened_at.elapsed() >= Duration::from_millis(2_300),
@@ -253,7 +253,7 @@
 #[test]
 fn applies_last_of_two_consecutive_reloads() {
     let site = Site::start("twice", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     let second =
         settings_with_classes(&[("chat", "retryable", 3_000), ("second", "retryable", 3_000)]);
     let mut third =
@@ -262,11 +262,11 @@
     write_and_signal(&site, &config_text_with(&site, &second));
     write_and_signal(&site, &config_text_with(&site, &third));
     // The file may be read once or twice; the last change is logged last.
-    site.program.says("rules");
-    site.open("second", "").hears("ERR");
-    let mut third = site.open("third", "");
-    accept_attempt(&site, 0).say("UP r3\r\n");
-    third.hears("UP r3");
+    site.program.wait_for_log("rules");
+    site.open_client("second", "").expect_line("ERR");
+    let mut third = site.open_client("third", "");
+    accept_attempt(&site, 0).send("UP r3\r\n");
+    third.expect_line("UP r3");
     exchange_lines(&mut client, &mut server);
 }
 
@@ -274,7 +274,7 @@
 #[test]
 fn ignores_unreadable_file_and_reports_every_error() {
     let site = Site::start("half", 1);
-    let (mut client, mut server) = site.stand();
+    let (mut client, mut server) = site.establish_connection();
     let changed = settings_with_classes(&[("other", "retryable", 3_000)]);
     let valid_text =
         config_text_with(&site, &changed).replace("\"sockets\":256", "\"sockets\":300");
@@ -295,12 +295,12 @@
     ] {
         write_and_signal(&site, truncated);
         site.program
-            .says("reload failed; current configuration kept");
+            .wait_for_log("reload failed; current configuration kept");
     }
     write_and_signal(&site, &invalid);
     let log_line = site
         .program
-        .says("reload failed; current configuration kept");
+        .wait_for_log("reload failed; current configuration kept");
     for fault in [
         "settings.lanes[0].effect: unknown effect",
         "settings.policy-limits.max-attempts: is missing",
@@ -311,22 +311,22 @@
             "{fault} is missing from {log_line}"
         );
     }
-    std::fs::remove_file(&site.path).expect("path exists");
+    std::fs::remove_file(&site.config_path).expect("path exists");
     site.program.signal("HUP");
     site.program
-        .says("reload failed; current configuration kept");
+        .wait_for_log("reload failed; current configuration kept");
     // Nothing of these files is in effect, neither the classes nor the address.
-    site.open("other", "").hears("ERR");
-    let (mut new_client, mut new_server) = site.stand();
+    site.open_client("other", "").expect_line("ERR");
+    let (mut new_client, mut new_server) = site.establish_connection();
     exchange_lines(&mut new_client, &mut new_server);
     exchange_lines(&mut client, &mut server);
     // The complete file is applied once it exists.
     write_and_signal(&site, &valid_text);
-    site.program.says("configuration changes applied");
-    site.open("chat", "").hears("ERR");
-    let mut other = site.open("other", "");
-    accept_attempt(&site, 0).say("UP r2\r\n");
-    other.hears("UP r2");
+    site.program.wait_for_log("configuration changes applied");
+    site.open_client("chat", "").expect_line("ERR");
+    let mut other = site.open_client("other", "");
+    accept_attempt(&site, 0).send("UP r2\r\n");
+    other.expect_line("UP r2");
     exchange_lines(&mut client, &mut server);
 }
 
@@ -339,39 +339,39 @@
     settings["policy-limits"]["may-probe"] = json!(true);
     settings["report"] = json!({"how": "on_probe", "names": ["x0"]});
     write_and_signal(&site, &config_text_with(&site, &settings));
-    let log_line = site.program.says("changes need a restart");
+    let log_line = site.program.wait_for_log("changes need a restart");
     assert!(
         log_line.contains("settings.discovery")
             && log_line.contains("settings.policy-limits.may-probe"),
         "{log_line}"
     );
-    let mut chat = site.open("chat", "");
+    let mut chat = site.open_client("chat", "");
     close_without_answer(accept_attempt(&site, 0));
-    chat.hears("ERR");
+    chat.expect_line("ERR");
 }
 
 /// All clients are moved before the program may be killed.
 #[test]
 fn planned_restart_moves_clients_despite_short_deadlines() {
     let settings = settings_with_classes(&[("chat", "retryable", 600), ("once", "fragile", 500)]);
-    let mut site = Site::start_on(&settings.to_string(), "short", 1, &[]);
-    let mut established: Vec<(Peer, Peer)> = (0..10).map(|_| site.stand()).collect();
-    let mut waiting = site.open("once", "");
+    let mut site = Site::start_with_settings(&settings.to_string(), "short", 1, &[]);
+    let mut established: Vec<(Peer, Peer)> = (0..10).map(|_| site.establish_connection()).collect();
+    let mut waiting = site.open_client("once", "");
     let _silent = accept_attempt(&site, 0);
     let signalled_at = Instant::now();
     site.program.signal("TERM");
     for (client, _) in &mut established {
-        client.hears("MOVE");
-        client.ended();
+        client.expect_line("MOVE");
+        client.expect_end();
     }
-    waiting.hears("ERR");
+    waiting.expect_line("ERR");
     // The program may be killed after the longest deadline plus 0.7 s.
     assert!(
         signalled_at.elapsed() < Duration::from_millis(1_300),
         "{:?}",
         signalled_at.elapsed()
     );
-    assert!(site.program.left(), "the program exits by itself");
+    assert!(site.program.exits_cleanly(), "the program exits by itself");
 }
 
 /// The settings in effect when the request is complete decide.
@@ -379,19 +379,19 @@
 fn request_split_by_reload_uses_new_settings() {
     let site = Site::start("cut", 1);
     let (mut removed_class_client, mut kept_class_client) =
-        (Peer::connect(site.at), Peer::connect(site.at));
-    removed_class_client.say("OPEN c1 02 c=chat,t=acme,d=25");
-    kept_class_client.say("OPEN c2 02 c=on");
+        (Peer::connect(site.address), Peer::connect(site.address));
+    removed_class_client.send("OPEN c1 02 c=chat,t=acme,d=25");
+    kept_class_client.send("OPEN c2 02 c=on");
     reload_and_wait(
         &site,
         &settings_with_classes(&[("once", "retryable", 3_000)]),
     );
-    removed_class_client.say("00,g=3\r\n");
-    removed_class_client.hears("ERR");
-    removed_class_client.ended();
-    kept_class_client.say("ce,t=acme,d=2500,g=3\r\n");
+    removed_class_client.send("00,g=3\r\n");
+    removed_class_client.expect_line("ERR");
+    removed_class_client.expect_end();
+    kept_class_client.send("ce,t=acme,d=2500,g=3\r\n");
     close_without_answer(accept_attempt(&site, 0));
-    accept_attempt(&site, 0).say("UP r1\r\n");
-    kept_class_client.hears("UP r1");
+    accept_attempt(&site, 0).send("UP r1\r\n");
+    kept_class_client.expect_line("UP r1");
     assert_no_pending_attempt(&site);
 }
--- a/crates/cli/tests/starting.rs
+++ b/crates/cli/tests/starting.rs
@@ -36,7 +36,7 @@
 /// Simulates discovery for as long as the test runs, and returns its address.
 fn start_discovery(behaviour: DiscoveryBehaviour) -> SocketAddr {
     if matches!(behaviour, DiscoveryBehaviour::Down) {
-        return free();
+        return reserve_address();
     }
     if matches!(behaviour, DiscoveryBehaviour::BacklogFull) {
         return address_with_full_backlog();
@@ -48,15 +48,15 @@
         while let Ok((stream, _)) = listener.accept() {
             let mut call = Peer::new(stream);
             while call
-                .hear_or_end()
+                .read_line_or_end()
                 .is_some_and(|line| !line.trim_end().is_empty())
             {}
             match behaviour {
                 DiscoveryBehaviour::Overloaded => {
-                    call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+                    call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 }
                 DiscoveryBehaviour::HeadOnly => {
-                    call.say(RESPONSE_HEAD);
+                    call.send(RESPONSE_HEAD);
                     open_calls.push(call);
                 }
                 DiscoveryBehaviour::Silent => open_calls.push(call),
@@ -90,7 +90,9 @@
 fn ping_answer(address: SocketAddr) -> Option<String> {
     let mut front = Peer::connect(address);
     let _ = front.stream.write_all(b"PING\r\n");
-    front.hear_or_end().map(|line| line.trim_end().to_owned())
+    front
+        .read_line_or_end()
+        .map(|line| line.trim_end().to_owned())
 }
 
 #[test]
@@ -100,21 +102,21 @@
         for discovery in [Down, BacklogFull, Silent, Overloaded, Resets, HeadOnly] {
             for kind in ["subscribe", "automatic"] {
                 scope.spawn(move || {
-                    let (server, front) = (listener(), free());
+                    let (server, front) = (listener(), reserve_address());
                     let settings = SETTINGS
                         .replace("subscribe", kind)
                         .replace("\"balancers\":1,", "\"balancers\":300,")
                         .replace("400000000,", "4000000000,")
                         .replace("3000000000", "9000000000");
                     let rows = [("s0", address_of(&server), "SERVING")];
-                    let text = config(
+                    let text = platform_config(
                         front,
                         start_discovery(discovery),
-                        &list(1, true, &rows),
+                        &endpoint_list(1, true, &rows),
                         &settings,
                         256,
                     );
-                    let path = file(&format!("start-{kind}-{discovery:?}"), &text);
+                    let path = write_temp_file(&format!("start-{kind}-{discovery:?}"), &text);
                     let started_at = Instant::now();
                     let _program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
                     while ping_answer(front).as_deref() != Some("PONG") {}
@@ -125,11 +127,13 @@
                     );
                     // A program that reports ready must serve.
                     let mut client = Peer::connect(front);
-                    client.say("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
+                    client.send("OPEN a1 02 c=chat,t=acme,d=9000,g=3\r\n");
                     let mut server_connection = Peer::accept(&server);
-                    server_connection.hear().expect("a request is received");
-                    server_connection.say("UP r1\r\n");
-                    client.hears("UP r1");
+                    server_connection
+                        .read_line()
+                        .expect("a request is received");
+                    server_connection.send("UP r1\r\n");
+                    client.expect_line("UP r1");
                 });
             }
         }
@@ -138,38 +142,39 @@
 
 #[test]
 fn reports_not_ready_until_servers_are_listed() {
-    let (discovery, server, front) = (listener(), listener(), free());
+    let (discovery, server, front) = (listener(), listener(), reserve_address());
     // An empty list must not be resumed from its version: the changes since then would not be the whole list.
-    let text = config(
+    let text = platform_config(
         front,
         address_of(&discovery),
-        &list(41, true, &[]),
+        &endpoint_list(41, true, &[]),
         SETTINGS,
         256,
     );
-    let path = file("none", &text);
+    let path = write_temp_file("none", &text);
     let program = Program::start(&[], &[("LB_CONFIG", path.as_str())]);
     let mut call = Peer::accept(&discovery);
     assert!(
-        call.hear().is_some_and(|line| line.contains("from=0 ")),
+        call.read_line()
+            .is_some_and(|line| line.contains("from=0 ")),
         "the whole list is requested"
     );
-    while call.hear().is_some_and(|line| !line.is_empty()) {}
+    while call.read_line().is_some_and(|line| !line.is_empty()) {}
     let answer = ping_answer(front);
     assert!(
         answer.is_some() && answer.as_deref() != Some("PONG"),
         "{answer:?}"
     );
-    call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     let mut call = Peer::accept(&discovery);
-    while call.hear().is_some_and(|line| !line.is_empty()) {}
-    call.say(RESPONSE_HEAD);
-    tell(
+    while call.read_line().is_some_and(|line| !line.is_empty()) {}
+    call.send(RESPONSE_HEAD);
+    send_endpoints(
         &mut call,
         1,
         true,
         &[("s0", address_of(&server), "SERVING")],
     );
-    program.says("to=serving");
+    program.wait_for_log("to=serving");
     assert_eq!(ping_answer(front).as_deref(), Some("PONG"));
 }
--- a/crates/cli/tests/support/nats.rs
+++ b/crates/cli/tests/support/nats.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for NATS, from its public specification, and for Redis, and the rules that every exchange keeps.
+//! Stand-ins for NATS, written from its public specification, and for Redis, and the rules that every exchange keeps.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -11,122 +11,130 @@
 
 use super::{Peer, listener};
 
-/// What a NATS server does with a CONNECT.
+/// How a NATS server answers a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum Behavior {
     Serve,
     SilentAfterConnect,
-    Full,
-    Forbid,
-    /// It hangs up before its INFO.
-    Mute,
-    /// Its INFO comes once its voice is free.
-    LateInfo,
+    RejectAsFull,
+    RejectAuthorization,
+    /// Closes the connection before INFO.
+    CloseBeforeInfo,
+    /// Sends INFO once the write lock is free.
+    DelayInfo,
 }
 
-/// One pass as a server saw it, from CONNECT's last byte to the connection's end.
+/// One client session at a server, from the last byte of CONNECT to the end of the connection.
 #[derive(Clone)]
-struct Pass {
+struct Session {
     client: String,
     server: String,
-    begun: Instant,
-    ended: Option<Instant>,
+    began_at: Instant,
+    ended_at: Option<Instant>,
 }
 
-/// What all servers and clients saw; the rules are checked against it.
+/// Observations of all servers and clients, against which the rules are checked.
 #[derive(Default)]
-pub struct Record {
-    passes: Vec<Pass>,
-    drained: BTreeMap<String, Instant>,
+pub struct ExchangeRecord {
+    sessions: Vec<Session>,
+    drained_at: BTreeMap<String, Instant>,
     answers: BTreeMap<String, Vec<String>>,
 }
 
-pub type Shared = Arc<Mutex<Record>>;
+pub type SharedRecord = Arc<Mutex<ExchangeRecord>>;
 
-impl Record {
-    pub fn drains(&mut self, server: &str) {
-        self.drained.insert(server.to_owned(), Instant::now());
+impl ExchangeRecord {
+    pub fn record_drain(&mut self, server: &str) {
+        self.drained_at.insert(server.to_owned(), Instant::now());
     }
 
-    pub fn answered(&mut self, client: &str, answer: &str) {
+    pub fn record_answer(&mut self, client: &str, answer: &str) {
         self.answers
             .entry(client.to_owned())
             .or_default()
             .push(answer.to_owned());
     }
 
-    /// Every rule, over all that has happened so far.
-    pub fn check(&self) {
+    /// Checks that each client got one answer, that no session began more than 1 s after its server's drain, and that no two
+    /// sessions of a client overlap.
+    pub fn assert_rules_kept(&self) {
         for (client, answers) in &self.answers {
-            assert!(answers.len() == 1, "{client} got {answers:?}");
+            assert!(
+                answers.len() == 1,
+                "{client} got {answers:?} instead of one answer"
+            );
         }
-        for (at, one) in self.passes.iter().enumerate() {
-            if let Some(told) = self.drained.get(&one.server) {
-                let late = one.begun.saturating_duration_since(*told);
+        for (index, session) in self.sessions.iter().enumerate() {
+            if let Some(drained_at) = self.drained_at.get(&session.server) {
+                let delay = session.began_at.saturating_duration_since(*drained_at);
                 assert!(
-                    late <= Duration::from_secs(1),
-                    "{} got a pass {late:?} after its drain",
-                    one.server
+                    delay <= Duration::from_secs(1),
+                    "{} got a session {delay:?} after its drain",
+                    session.server
                 );
             }
-            for other in self.passes[at + 1..]
+            for later in self.sessions[index + 1..]
                 .iter()
-                .filter(|other| other.client == one.client)
+                .filter(|later| later.client == session.client)
             {
-                let over = one.ended.is_some_and(|ended| ended <= other.begun);
+                let has_ended = session
+                    .ended_at
+                    .is_some_and(|ended_at| ended_at <= later.began_at);
                 assert!(
-                    over,
-                    "passes of {} overlap at {} and {}",
-                    one.client, one.server, other.server
+                    has_ended,
+                    "sessions of {} overlap at {} and {}",
+                    session.client, session.server, later.server
                 );
             }
         }
     }
 
-    /// Whether a client had a pass at a server.
-    pub fn went(&self, client: &str, server: &str) -> bool {
-        self.passes
+    /// Whether a client had a session at a server.
+    pub fn has_session(&self, client: &str, server: &str) -> bool {
+        self.sessions
             .iter()
-            .any(|pass| pass.client == client && pass.server == server)
+            .any(|session| session.client == client && session.server == server)
     }
 
-    pub fn passes_of(&self, client: &str) -> usize {
-        self.passes
+    pub fn session_count(&self, client: &str) -> usize {
+        self.sessions
             .iter()
-            .filter(|pass| pass.client == client)
+            .filter(|session| session.client == client)
             .count()
     }
 }
 
-/// A NATS server. It answers PING, sends a PING of its own in the midst of what it relays, and gives each client's
-/// messages back to it.
+/// A NATS server that answers PING, echoes each client's messages back to it, and sends a PING of its own before each
+/// echoed message.
 pub struct NatsServer {
     pub name: String,
     pub address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
-    /// Standing connections answer nothing any more.
-    pub silent: Arc<AtomicBool>,
-    /// Held by whoever speaks: a server's answers never fall into a message that has begun.
-    pub voice: Arc<Mutex<()>>,
+    behavior: Arc<Mutex<Behavior>>,
+    /// Whether established connections no longer answer.
+    pub is_silent: Arc<AtomicBool>,
+    /// Held while writing, so that a server's answers never interrupt a message that has begun.
+    pub write_lock: Arc<Mutex<()>>,
     peers: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl NatsServer {
-    pub fn start(name: &str, manner: Manner, record: &Shared) -> NatsServer {
+    pub fn start(name: &str, behavior: Behavior, record: &SharedRecord) -> NatsServer {
         let listener = listener();
-        let address = listener.local_addr().expect("bound");
-        let (manner, silent) = (
-            Arc::new(Mutex::new(manner)),
+        let address = listener
+            .local_addr()
+            .expect("bound socket has a local address");
+        let (behavior, is_silent) = (
+            Arc::new(Mutex::new(behavior)),
             Arc::new(AtomicBool::new(false)),
         );
         let peers = Arc::new(Mutex::new(Vec::new()));
-        let voice = Arc::default();
+        let write_lock = Arc::default();
         let server = NatsServer {
             name: name.to_owned(),
             address,
-            manner,
-            silent,
-            voice,
+            behavior,
+            is_silent,
+            write_lock,
             peers,
         };
         let (name, record, peers) = (
@@ -134,52 +142,52 @@
             Arc::clone(record),
             Arc::clone(&server.peers),
         );
-        let (manner, silent) = (Arc::clone(&server.manner), Arc::clone(&server.silent));
-        let voice = Arc::clone(&server.voice);
+        let (behavior, is_silent) = (Arc::clone(&server.behavior), Arc::clone(&server.is_silent));
+        let write_lock = Arc::clone(&server.write_lock);
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 peers
                     .lock()
-                    .expect("sound")
-                    .push(stream.try_clone().expect("open"));
-                let (name, record, silent) =
-                    (name.clone(), Arc::clone(&record), Arc::clone(&silent));
-                let voice = Arc::clone(&voice);
-                let manner = *manner.lock().expect("sound");
+                    .expect("lock is not poisoned")
+                    .push(stream.try_clone().expect("socket is open"));
+                let (name, record, is_silent) =
+                    (name.clone(), Arc::clone(&record), Arc::clone(&is_silent));
+                let write_lock = Arc::clone(&write_lock);
+                let behavior = *behavior.lock().expect("lock is not poisoned");
                 std::thread::spawn(move || {
-                    serve(&stream, manner, &name, &record, (&silent, &voice))
+                    serve_connection(&stream, behavior, &name, &record, (&is_silent, &write_lock))
                 });
             }
         });
         server
     }
 
-    pub fn becomes(&self, manner: Manner) {
-        *self.manner.lock().expect("sound") = manner;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().expect("lock is not poisoned") = behavior;
     }
 
-    /// Says something to every client; the voice is held by the caller.
-    pub fn says(&self, words: &str) {
-        for mut peer in self.peers.lock().expect("sound").iter() {
-            let _ = peer.write_all(words.as_bytes());
+    /// Sends text to every client; the caller holds the write lock.
+    pub fn send_to_all(&self, text: &str) {
+        for mut peer in self.peers.lock().expect("lock is not poisoned").iter() {
+            let _ = peer.write_all(text.as_bytes());
         }
     }
 }
 
-/// Serves one connection to its end.
-fn serve(
+/// Serves one connection until it closes.
+fn serve_connection(
     stream: &TcpStream,
-    manner: Manner,
+    behavior: Behavior,
     name: &str,
-    record: &Shared,
-    own: (&AtomicBool, &Mutex<()>),
+    record: &SharedRecord,
+    controls: (&AtomicBool, &Mutex<()>),
 ) {
-    let (silent, voice) = own;
-    if manner == Manner::Mute {
+    let (is_silent, write_lock) = controls;
+    if behavior == Behavior::CloseBeforeInfo {
         return;
     }
-    if manner == Manner::LateInfo {
-        drop(voice.lock().expect("sound"));
+    if behavior == Behavior::DelayInfo {
+        drop(write_lock.lock().expect("lock is not poisoned"));
     }
     let mut out = stream;
     let info = format!("INFO {{\"server_id\":\"{name}\",\"max_payload\":1048576}}\r\n");
@@ -188,54 +196,62 @@
     if out.write_all(info.as_bytes()).is_err() || reader.read_line(&mut line).unwrap_or(0) == 0 {
         return;
     }
-    let options: serde_json::Value =
-        serde_json::from_str(line.strip_prefix("CONNECT ").expect("CONNECT first")).expect("JSON");
+    let options: serde_json::Value = serde_json::from_str(
+        line.strip_prefix("CONNECT ")
+            .expect("first line is CONNECT"),
+    )
+    .expect("valid JSON");
     assert_eq!(
         (&options["user"], &options["pass"]),
         (&"up".into(), &"up-secret".into()),
-        "the upstream identity"
+        "CONNECT carries the upstream credentials"
     );
-    let client = options["name"].as_str().expect("a name").to_owned();
-    let pass = Pass {
+    let client = options["name"]
+        .as_str()
+        .expect("value is a string")
+        .to_owned();
+    let session = Session {
         client,
         server: name.to_owned(),
-        begun: Instant::now(),
-        ended: None,
+        began_at: Instant::now(),
+        ended_at: None,
     };
-    let place = {
-        let mut record = record.lock().expect("sound");
-        record.passes.push(pass);
-        record.passes.len() - 1
+    let index = {
+        let mut record = record.lock().expect("lock is not poisoned");
+        record.sessions.push(session);
+        record.sessions.len() - 1
     };
-    let words = match manner {
-        Manner::Full => "-ERR 'Maximum Connections Exceeded'\r\n",
-        Manner::Forbid => "-ERR 'Authorization Violation'\r\n",
+    let text = match behavior {
+        Behavior::RejectAsFull => "-ERR 'Maximum Connections Exceeded'\r\n",
+        Behavior::RejectAuthorization => "-ERR 'Authorization Violation'\r\n",
         _ => "",
     };
-    let _ = out.write_all(words.as_bytes());
+    let _ = out.write_all(text.as_bytes());
     while read_message(&mut reader).is_some_and(|message| {
-        let _speaking = voice.lock().expect("sound");
-        let answer = answer_to(&message, manner, silent);
+        let _write_guard = write_lock.lock().expect("lock is not poisoned");
+        let answer = answer_to(&message, behavior, is_silent);
         out.write_all(answer.as_bytes()).is_ok()
     }) {}
-    record.lock().expect("sound").passes[place].ended = Some(Instant::now());
+    record.lock().expect("lock is not poisoned").sessions[index].ended_at = Some(Instant::now());
 }
 
-fn answer_to(message: &str, manner: Manner, silent: &AtomicBool) -> String {
-    if !matches!(manner, Manner::Serve | Manner::LateInfo) || silent.load(Ordering::Relaxed) {
+fn answer_to(message: &str, behavior: Behavior, is_silent: &AtomicBool) -> String {
+    if !matches!(behavior, Behavior::Serve | Behavior::DelayInfo)
+        || is_silent.load(Ordering::Relaxed)
+    {
         return String::new();
     }
     if message == "PING\r\n" {
         return "PONG\r\n".to_owned();
     }
     match message.strip_prefix("PUB ") {
-        // A keepalive goes before it, and one more lies in its payload if the client put it there.
+        // A keepalive precedes the message; the payload holds another one if the client put it there.
         Some(rest) => format!("PING\r\nMSG {}", rest.replacen(' ', " 1 ", 1)),
         None => String::new(),
     }
 }
 
-/// A control line, with its payload where it has one.
+/// Reads a control line, with its payload where it has one.
 fn read_message(from: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     if from.read_line(&mut line).ok()? == 0 {
@@ -250,21 +266,21 @@
     Some(line)
 }
 
-/// A client that has sent CONNECT under a name, and a PING with it.
-pub fn client(to: SocketAddr, name: &str, user: &str, password: &str) -> Peer {
+/// Connects a client that has sent CONNECT with this name, followed by PING.
+pub fn connect_client(to: SocketAddr, name: &str, user: &str, password: &str) -> Peer {
     let mut client = Peer::connect(to);
-    let info = client.hear().expect("INFO");
+    let info = client.read_line().expect("an INFO line");
     assert!(
         info.starts_with("INFO {") && info.contains("\"max_payload\":"),
         "{info}"
     );
-    client.say(&format!(
+    client.send(&format!(
         "CONNECT {{\"user\":\"{user}\",\"pass\":\"{password}\",\"name\":\"{name}\",\"verbose\":false}}\r\nPING\r\n"
     ));
     client
 }
 
-/// A Redis that knows hashes.
-pub fn redis() -> Redis {
+/// Starts a Redis stand-in that supports hashes.
+pub fn start_redis() -> Redis {
     Redis::start_on(listener())
 }
--- a/crates/cli/tests/support/program.rs
+++ b/crates/cli/tests/support/program.rs
@@ -1,4 +1,4 @@
-//! The program under test.
+//! Starts, signals and observes the program under test.
 
 use std::fs::Permissions;
 use std::io::{BufRead, BufReader};
@@ -11,9 +11,9 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
-/// The program, killed at the end of its test.
+/// A running program, killed when its test ends; its remaining log is printed if the test panics.
 pub struct Program {
     child: Child,
     log: Receiver<String>,
@@ -21,126 +21,130 @@
 
 impl Program {
     pub fn start(args: &[&str], env: &[(&str, &str)]) -> Program {
-        Program::begin(Command::new(env!("CARGO_BIN_EXE_beaconflow")), args, env)
+        Program::spawn(Command::new(env!("CARGO_BIN_EXE_beaconflow")), args, env)
     }
 
-    /// Starts it as an ordinary user, whom the leave to write concerns. Root's tests need a copy that others may run.
-    pub fn start_as_nobody(copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
-        std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), copy).expect("room");
-        std::fs::set_permissions(copy, Permissions::from_mode(0o755)).expect("its owner may");
-        let mut command = Command::new(copy);
+    /// Starts it as an unprivileged user, to whom file permissions apply. Tests run as root need a copy of the binary that
+    /// other users may execute.
+    pub fn start_unprivileged(binary_copy: &Path, args: &[&str], env: &[(&str, &str)]) -> Program {
+        std::fs::copy(env!("CARGO_BIN_EXE_beaconflow"), binary_copy).expect("write succeeds");
+        std::fs::set_permissions(binary_copy, Permissions::from_mode(0o755))
+            .expect("owner changes permissions");
+        let mut command = Command::new(binary_copy);
         if rustix::process::geteuid().is_root() {
             command.uid(65_534).gid(65_534);
         }
-        Program::begin(command, args, env)
+        Program::spawn(command, args, env)
     }
 
-    /// Starts it with a limit on its descriptors.
-    pub fn start_limited(descriptors: usize, env: &[(&str, &str)]) -> Program {
+    /// Starts it with a limit on open file descriptors.
+    pub fn start_with_descriptor_limit(descriptors: usize, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         let script = format!(r#"ulimit -n {descriptors}; exec "$0" "$@""#);
         command.args(["-c", &script, env!("CARGO_BIN_EXE_beaconflow")]);
-        Program::begin(command, &[], env)
+        Program::spawn(command, &[], env)
     }
 
-    /// Starts it with a listener that this test holds, as descriptor 3.
-    pub fn start_inheriting(held: &TcpListener, env: &[(&str, &str)]) -> Program {
+    /// Starts it with a listener of the test inherited as descriptor 3.
+    pub fn start_with_inherited_listener(listener: &TcpListener, env: &[(&str, &str)]) -> Program {
         let mut command = Command::new("sh");
         command.args([
             "-c",
             r#"exec 3<&0 </dev/null; exec "$0" "$@""#,
             env!("CARGO_BIN_EXE_beaconflow"),
         ]);
-        command.stdin(OwnedFd::from(held.try_clone().expect("open")));
-        Program::begin(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
+        command.stdin(OwnedFd::from(listener.try_clone().expect("socket is open")));
+        Program::spawn(command, &[], &[&[("LB_INHERITED_FD", "3")], env].concat())
     }
 
-    /// Kills it outright.
+    /// Kills the program with SIGKILL and reaps it.
     pub fn kill(&mut self) {
-        self.child.kill().expect("a child");
+        self.child.kill().expect("child process exists");
         let _ = self.child.wait();
     }
 
-    fn begin(mut command: Command, args: &[&str], env: &[(&str, &str)]) -> Program {
+    fn spawn(mut command: Command, args: &[&str], env: &[(&str, &str)]) -> Program {
         command
             .arg("serve")
             .args(args)
             .envs(env.iter().copied())
             .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
-        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let (send, log) = channel();
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
+        let (line_sender, log) = channel();
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .try_for_each(|line| send.send(line))
+                .try_for_each(|line| line_sender.send(line))
         });
         Program { child, log }
     }
 
-    /// Waits for a log line with these words; where none comes, tells what came instead.
-    pub fn says(&self, words: &str) -> String {
-        let until = Instant::now() + PATIENCE;
-        let mut said = Vec::new();
+    /// Waits for a log line that contains the text; on failure, the panic lists the lines seen instead.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        let mut lines = Vec::new();
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.log.recv_timeout(left) {
-                Ok(line) if line.contains(words) => return line,
-                Ok(line) => said.push(line),
-                Err(error) => panic!("the log never said {words:?} ({error}), but: {said:#?}"),
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.log.recv_timeout(remaining) {
+                Ok(line) if line.contains(text) => return line,
+                Ok(line) => lines.push(line),
+                Err(error) => {
+                    panic!("no log line contains {text:?} ({error}); lines read: {lines:#?}")
+                }
             }
         }
     }
 
-    /// The lines up to the one with these words.
-    pub fn says_up_to(&self, words: &str) -> Vec<String> {
-        let mut said: Vec<String> = Vec::new();
-        while said.last().is_none_or(|line| !line.contains(words)) {
-            said.push(
+    /// Returns the log lines up to the one that contains the text.
+    pub fn read_log_until(&self, text: &str) -> Vec<String> {
+        let mut lines: Vec<String> = Vec::new();
+        while lines.last().is_none_or(|line| !line.contains(text)) {
+            lines.push(
                 self.log
-                    .recv_timeout(PATIENCE)
-                    .unwrap_or_else(|_| panic!("never {words:?}: {said:#?}")),
+                    .recv_timeout(TEST_TIMEOUT)
+                    .unwrap_or_else(|_| panic!("no log line contains {text:?}: {lines:#?}")),
             );
         }
-        said
+        lines
     }
 
-    /// Sends a signal, by name.
+    /// Sends a signal by its name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let done = Command::new("kill")
+        let status = Command::new("kill")
             .args(["-s", name, &pid])
             .status()
-            .expect("kill runs");
-        assert!(done.success());
+            .expect("kill command runs");
+        assert!(status.success());
     }
 
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// How many threads it has.
-    pub fn threads(&self) -> usize {
+    /// Current number of the program's threads.
+    pub fn thread_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.child.id()))
-            .expect("it runs")
+            .expect("program is running")
             .count()
     }
 
-    /// Waits for the program's own end, which has to be in order.
-    pub fn left(&mut self) -> bool {
-        self.ends().success()
+    /// Waits for the program to exit by itself; true if its status is success.
+    pub fn exits_cleanly(&mut self) -> bool {
+        self.wait_for_exit().success()
     }
 
-    /// Waits for the program's end.
-    pub fn ends(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+    /// Waits for the program to exit and returns its status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while Instant::now() < deadline {
+            if let Some(status) = self.child.try_wait().expect("child process exists") {
                 return status;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("the program never left");
+        panic!("the program did not exit");
     }
 }
 
