--- a/crates/cli/tests/on_call_page.rs
+++ b/crates/cli/tests/on_call_page.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 /// Messages that are composed at runtime; the page lists their possible values.
-const COMPOSED: [&str; 3] = ["{notice}", "{message}", "override {what}"];
+const COMPOSED: [&str; 3] = ["{event}", "{message}", "override {what}"];
 
 fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
