--- a/crates/admission/src/fair_scheduler.rs
+++ b/crates/admission/src/fair_scheduler.rs
@@ -4,14 +4,14 @@
 
 /// Bits of a start tag. Tags are finite and not negative, so their bits sort in the same order as
 /// the numbers.
-type Tag = u64;
+type StartTagBits = u64;
 
 /// Divides service among members by weight. A member that becomes active again starts at the
 /// current virtual time, or at its finish tag if that is later.
 pub(crate) struct FairScheduler {
     members: Vec<Member>,
     /// Active members by start tag.
-    waiting: BTreeSet<(Tag, usize)>,
+    active_by_start_tag: BTreeSet<(StartTagBits, usize)>,
     virtual_time: f64,
 }
 
@@ -27,7 +27,7 @@
     pub(crate) fn new(weights: &[f64]) -> FairScheduler {
         let mut scheduler = FairScheduler {
             members: Vec::new(),
-            waiting: BTreeSet::new(),
+            active_by_start_tag: BTreeSet::new(),
             virtual_time: 0.0,
         };
         weights
@@ -63,20 +63,22 @@
         if state.start_tag.is_none() {
             let start_tag = state.finish_tag.max(self.virtual_time);
             state.start_tag = Some(start_tag);
-            self.waiting.insert((start_tag.to_bits(), member));
+            self.active_by_start_tag
+                .insert((start_tag.to_bits(), member));
         }
     }
 
     /// Marks a member as idle.
     pub(crate) fn deactivate(&mut self, member: usize) {
         if let Some(start_tag) = self.members[member].start_tag.take() {
-            self.waiting.remove(&(start_tag.to_bits(), member));
+            self.active_by_start_tag
+                .remove(&(start_tag.to_bits(), member));
         }
     }
 
     /// The active member with the earliest start tag.
     pub(crate) fn next(&self) -> Option<usize> {
-        self.waiting.first().map(|(_, member)| *member)
+        self.active_by_start_tag.first().map(|(_, member)| *member)
     }
 
     /// Charges one service to a member, which stays active.
@@ -88,9 +90,11 @@
         let finish_tag = start_tag + 1.0 / state.weight;
         (state.finish_tag, state.start_tag) = (finish_tag, Some(finish_tag));
         self.virtual_time = self.virtual_time.max(start_tag);
-        self.waiting.remove(&(start_tag.to_bits(), member));
-        self.waiting.insert((finish_tag.to_bits(), member));
-        if self.waiting.len() == 1 {
+        self.active_by_start_tag
+            .remove(&(start_tag.to_bits(), member));
+        self.active_by_start_tag
+            .insert((finish_tag.to_bits(), member));
+        if self.active_by_start_tag.len() == 1 {
             self.reset_tags(member);
         }
     }
@@ -102,12 +106,12 @@
         if self.virtual_time < MAX_VIRTUAL_TIME {
             return;
         }
-        self.waiting.clear();
+        self.active_by_start_tag.clear();
         self.members
             .iter_mut()
             .for_each(|member| member.finish_tag = 0.0);
         self.virtual_time = 0.0;
         self.members[member].start_tag = Some(0.0);
-        self.waiting.insert((0, member));
+        self.active_by_start_tag.insert((0, member));
     }
 }
--- a/crates/admission/tests/statistics.rs
+++ b/crates/admission/tests/statistics.rs
@@ -8,14 +8,14 @@
 /// Admits requests of two accounts of equal shares, `first` and `second` per second; returns the end time.
 fn simulate_load(
     accounts: &mut AccountTable,
-    from: Nanos,
+    start: Nanos,
     seconds: u64,
-    first: u64,
-    second: u64,
+    first_rate: u64,
+    second_rate: u64,
 ) -> Nanos {
-    for (account, rate) in [(1, first), (2, second)] {
-        for at in 0..seconds * rate {
-            let now = from + at * SECOND / rate;
+    for (account, rate) in [(1, first_rate), (2, second_rate)] {
+        for index in 0..seconds * rate {
+            let now = start + index * SECOND / rate;
             accounts.record_request(
                 now,
                 account,
@@ -24,15 +24,16 @@
             );
         }
     }
-    let mut attempts: Vec<(Nanos, u64)> = Vec::new();
-    for (account, rate) in [(1, first), (2, second)] {
-        attempts.extend((0..seconds * rate).map(|at| (from + at * SECOND / rate, account)));
+    let mut admissions: Vec<(Nanos, u64)> = Vec::new();
+    for (account, rate) in [(1, first_rate), (2, second_rate)] {
+        admissions
+            .extend((0..seconds * rate).map(|index| (start + index * SECOND / rate, account)));
     }
-    attempts.sort_unstable();
-    attempts
+    admissions.sort_unstable();
+    admissions
         .into_iter()
         .for_each(|(now, account)| accounts.record_admission(now, account, SECOND / 100));
-    from + seconds * SECOND
+    start + seconds * SECOND
 }
 
 #[test]
@@ -62,8 +63,9 @@
 fn reports_excess_once_after_bound() {
     let mut accounts = AccountTable::default();
     let mut now = simulate_load(&mut accounts, 0, 10, 90, 10);
-    let borrowed =
-        |accounts: &AccountTable, at: usize| accounts.sorted_by_name()[at].1.counts.borrowed;
+    let borrowed = |accounts: &AccountTable, position: usize| {
+        accounts.sorted_by_name()[position].1.counts.borrowed
+    };
     assert!(
         borrowed(&accounts, 0) > 800 && borrowed(&accounts, 1) == 0,
         "{} and {} borrowed permits",
@@ -159,7 +161,7 @@
     assert_eq!(shortest_setup.estimate(), 0);
     [100, 400, 90, 900]
         .into_iter()
-        .for_each(|span| shortest_setup.record(span * 1_000));
+        .for_each(|setup_us| shortest_setup.record(setup_us * 1_000));
     assert!(
         (90_000..110_000).contains(&shortest_setup.estimate()),
         "{}",
@@ -183,14 +185,14 @@
         let mut accounts = AccountTable::default();
         let mut expected = std::collections::BTreeMap::<u64, [u64; 5]>::new();
         let mut now = 0;
-        for (account, outcome, wait) in requests {
-            now += wait * 1_000_000;
+        for (account, outcome, wait_ms) in requests {
+            now += wait_ms * 1_000_000;
             let expected_counts = expected.entry(account).or_default();
             accounts.record_request(now, account, &account.to_string(), 1.0 + account as f64);
             expected_counts[0] += 1;
             match outcome {
                 0 | 1 => {
-                    accounts.record_admission(now, account, wait * 1_000_000);
+                    accounts.record_admission(now, account, wait_ms * 1_000_000);
                     expected_counts[1] += 1;
                 }
                 2 => accounts.record_not_admitted(account, NotAdmitted::Rejected),
@@ -203,7 +205,7 @@
             for excess in accounts.check_quotas(now, SECOND) {
                 prop_assert!(excess.duration.is_none_or(|duration| duration >= SECOND));
             }
-            prop_assert!(accounts.drain_time(now, account, 3).is_none_or(|span| span > 0));
+            prop_assert!(accounts.drain_time(now, account, 3).is_none_or(|drain_time| drain_time > 0));
         }
         for (account, statistics) in accounts.sorted_by_name() {
             let Counts { requests, admitted, borrowed, rejected, timed_out, client_left } = statistics.counts;
--- a/crates/affinity/src/changes.rs
+++ b/crates/affinity/src/changes.rs
@@ -45,9 +45,9 @@
             new.iter()
                 .filter_map(|(name, server)| Some((*name, *server, *old.get(*name)?)))
         };
-        let changed = |differ: fn(&Server, &Server) -> bool| {
+        let names_where = |has_changed: fn(&Server, &Server) -> bool| {
             in_both()
-                .filter(|(_, new, old)| differ(new, old))
+                .filter(|(_, new, old)| has_changed(new, old))
                 .map(|(name, _, _)| name.clone())
                 .collect()
         };
@@ -63,8 +63,8 @@
                 .filter(|name| !new.contains_key(name))
                 .cloned()
                 .collect(),
-            reweighted: changed(|new, old| new.weight != old.weight),
-            rezoned: changed(|new, old| new.zone != old.zone),
+            reweighted: names_where(|new, old| new.weight != old.weight),
+            rezoned: names_where(|new, old| new.zone != old.zone),
             removed_zones: before.zones.iter().filter(is_removed).cloned().collect(),
             tenants: differing_names(
                 &tenant_servers(before, &current_name),
@@ -81,7 +81,7 @@
     routing: &Routing,
     current_name: &dyn Fn(&String) -> String,
 ) -> BTreeMap<String, Vec<String>> {
-    let set = |names: &Vec<String>| {
+    let current_names = |names: &Vec<String>| {
         let mut names: Vec<String> = names.iter().map(current_name).collect();
         names.sort();
         names.dedup();
@@ -90,12 +90,12 @@
     routing
         .tenants
         .iter()
-        .map(|(tenant, names)| (tenant.clone(), set(names)))
+        .map(|(tenant, names)| (tenant.clone(), current_names(names)))
         .collect()
 }
 
 fn classes(routing: &Routing) -> BTreeMap<String, (u64, u64, u64)> {
-    let values = |class: &crate::Class| {
+    let objectives = |class: &crate::Class| {
         (
             class.latency_objective_ms,
             class.deadline_ms,
@@ -105,7 +105,7 @@
     routing
         .classes
         .iter()
-        .map(|class| (class.name.clone(), values(class)))
+        .map(|class| (class.name.clone(), objectives(class)))
         .collect()
 }
 
--- a/crates/affinity/src/versions.rs
+++ b/crates/affinity/src/versions.rs
@@ -194,14 +194,14 @@
         has_changed
     }
 
-    /// Whether `one` is newer than `than`. An unknown version is older than a known one.
-    pub fn is_newer(&self, one: Version, than: Version, now: Millis) -> bool {
+    /// Whether `version` is newer than `reference`. An unknown version is older than a known one.
+    pub fn is_newer(&self, version: Version, reference: Version, now: Millis) -> bool {
         let rank = |version| {
             self.facts_by_version
                 .get(&version)
                 .map(|fact| fact.rank(now))
         };
-        one != than && rank(one) > rank(than)
+        version != reference && rank(version) > rank(reference)
     }
 
     /// The known facts about a version.
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -248,11 +248,11 @@
     ) -> Result<(), (usize, io::Error)> {
         match result {
             Err((written, error)) if net::is_would_block(&error) => {
-                let all = buffers.concat();
-                net::write_until(&self.server, &[&all[written..]], self.timing.deadline_at)
+                let joined = buffers.concat();
+                net::write_until(&self.server, &[&joined[written..]], self.timing.deadline_at)
                     .map_err(|(additional, error)| (written + additional, error))
             }
-            done => done,
+            other => other,
         }
     }
 
@@ -274,12 +274,12 @@
                 .timing
                 .deadline_at
                 .saturating_duration_since(Instant::now());
-            let sides = [
+            let sockets = [
                 (&self.server, PollFlags::IN),
                 (self.client.stream(), PollFlags::IN),
             ];
             let [server_ready, client_ready] =
-                net::wait_ready(sides, remaining.min(ABANDON_CHECK_INTERVAL));
+                net::wait_ready(sockets, remaining.min(ABANDON_CHECK_INTERVAL));
             if self.client.is_abandoned() {
                 return Err(to_error(ReadError::TimedOut));
             }
--- a/crates/balancer/src/front/platform/tests.rs
+++ b/crates/balancer/src/front/platform/tests.rs
@@ -7,7 +7,7 @@
 fn classifies_lines_received_in_pieces() {
     let mut framer = LineFramer::default();
     let mut messages = Vec::new();
-    let mut advance = |bytes: &[u8]| {
+    let mut feed = |bytes: &[u8]| {
         let mut on_message = |kind| {
             messages.push(kind);
             true
@@ -17,10 +17,10 @@
             .expect("the lines are short enough")
             .boundary
     };
-    assert_eq!(advance(b"LOAD 12"), None);
-    assert_eq!(advance(b".5\r\nBY"), Some(4));
-    assert_eq!(advance(b"E\r\nok\r"), Some(3));
-    assert_eq!(advance(b"\n"), Some(1));
+    assert_eq!(feed(b"LOAD 12"), None);
+    assert_eq!(feed(b".5\r\nBY"), Some(4));
+    assert_eq!(feed(b"E\r\nok\r"), Some(3));
+    assert_eq!(feed(b"\n"), Some(1));
     assert!(framer.is_at_boundary());
     assert_eq!(
         messages,
--- a/crates/policy/tests/robustness.rs
+++ b/crates/policy/tests/robustness.rs
@@ -33,7 +33,7 @@
 fn events_for_unknown_requests_are_ignored() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     let request = RequestId(99);
-    let load = ConnectionMetric::Load(f64::NAN);
+    let invalid_load = ConnectionMetric::Load(f64::NAN);
     let elapsed = MS;
     let events = [
         Event::AttemptEstablished {
@@ -43,7 +43,7 @@
         Event::ConnectionMeasured {
             request,
             attempt: u32::MAX,
-            metric: load,
+            metric: invalid_load,
         },
         Event::AttemptEnded(AttemptEnd {
             request,
@@ -111,30 +111,30 @@
 #[test]
 fn backoff_without_client_key_follows_own_attempts() {
     let mut balancer = TestBalancer::with_servers(settings(), 5);
-    let mut longest = [0; 2];
+    let mut longest_backoffs = [0; 2];
     for id in 0..200 {
         let keyless = ConnectRequest {
             client_key: None,
             ..connect_request(id, IDEMPOTENT, balancer.now)
         };
         balancer.handle(Event::ConnectRequested(keyless));
-        for (attempt, longest) in longest.iter_mut().enumerate() {
-            let timers = balancer.timers.len();
+        for (attempt, longest_backoff) in longest_backoffs.iter_mut().enumerate() {
+            let timer_count = balancer.timers.len();
             balancer.end_attempt(
                 id,
                 u32::try_from(attempt).expect("the index is small"),
                 AttemptOutcome::Rejected,
             );
-            if let Some((fires_at, _)) = balancer.timers.get(timers) {
-                *longest = (*longest).max(fires_at - balancer.now);
+            if let Some((fires_at, _)) = balancer.timers.get(timer_count) {
+                *longest_backoff = (*longest_backoff).max(fires_at - balancer.now);
             }
             balancer.advance(500 * MS);
         }
         balancer.handle(Event::ClientLeft(RequestId(id)));
     }
     assert!(
-        longest[0] <= 200 * MS && longest[1] > 200 * MS,
-        "longest backoffs after one and two failures: {longest:?}"
+        longest_backoffs[0] <= 200 * MS && longest_backoffs[1] > 200 * MS,
+        "longest backoffs after one and two failures: {longest_backoffs:?}"
     );
 }
 
--- a/crates/policy/tests/server_list.rs
+++ b/crates/policy/tests/server_list.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn polled_list_calls_are_repeated_with_jitter() {
-    let mut waits = std::collections::BTreeSet::new();
+    let mut delays = std::collections::BTreeSet::new();
     for seed in 0..8 {
         let mut actions = Vec::new();
         let mut balancer =
@@ -41,15 +41,15 @@
         let [Action::SetTimer { after, timer }] = actions[..] else {
             panic!("expected a single timer: {actions:?}")
         };
-        waits.insert(after);
+        delays.insert(after);
         actions.clear();
         balancer.handle(1 + after, Event::TimerFired(timer), &mut actions);
         assert_eq!(actions, [Action::WatchServerList]);
     }
     assert!(
-        waits.len() > 6,
-        "only {} different waits of 8 balancers",
-        waits.len()
+        delays.len() > 6,
+        "only {} different delays of 8 balancers",
+        delays.len()
     );
 }
 
@@ -64,10 +64,10 @@
 fn only_a_snapshot_removes_missing_servers() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     balancer.update_list(ListUpdate::Delta, vec![entry(1)]);
-    let both: Vec<ServerId> = (0..4)
+    let attempted: Vec<ServerId> = (0..4)
         .flat_map(|id| attempted_servers(&balancer.request(id, IDEMPOTENT)))
         .collect();
-    assert!(both.contains(&ServerId(0)) && both.contains(&ServerId(1)));
+    assert!(attempted.contains(&ServerId(0)) && attempted.contains(&ServerId(1)));
     balancer.update_list(ListUpdate::Snapshot, vec![entry(1)]);
     for id in 10..14 {
         assert_eq!(
@@ -123,8 +123,8 @@
     for id in 100..300 {
         let mut actions = balancer.request(id, IDEMPOTENT);
         balancer.establish_first_attempts(&actions);
-        for on_warm in [0, 1] {
-            balancer.measure(on_warm, ConnectionMetric::MessageLatency(80 * MS));
+        for warm_connection in [0, 1] {
+            balancer.measure(warm_connection, ConnectionMetric::MessageLatency(80 * MS));
         }
         actions.extend(balancer.advance(10 * MS));
         balancer.establish_first_attempts(&actions);
@@ -191,11 +191,11 @@
             failing
         );
     }
-    let mut only = TestBalancer::with_servers(settings(), 1);
-    only.request(0, IDEMPOTENT);
-    only.end_attempt(0, 0, AttemptOutcome::ConnectFailed);
+    let mut single_server = TestBalancer::with_servers(settings(), 1);
+    single_server.request(0, IDEMPOTENT);
+    single_server.end_attempt(0, 0, AttemptOutcome::ConnectFailed);
     assert_eq!(
-        attempted_servers(&only.request(1, IDEMPOTENT)),
+        attempted_servers(&single_server.request(1, IDEMPOTENT)),
         [ServerId(0)]
     );
 }
@@ -270,9 +270,9 @@
     }
     let mut balancer = TestBalancer::with_servers(settings, 1);
     for _ in 0..30 {
-        let timers = balancer.timers.len();
+        let timer_count = balancer.timers.len();
         balancer.update_list(ListUpdate::Failed(0), Vec::new());
-        let (fires_at, _) = balancer.timers[timers];
+        let (fires_at, _) = balancer.timers[timer_count];
         assert!(fires_at - balancer.now <= 5 * SECOND);
     }
 }
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -5,7 +5,7 @@
 
 /// Two deployments that differ in nearly every setting: one polls for the list and has no load
 /// reports, the other has its list pushed and may probe.
-const SITES: [&str; 2] = [
+const SITE_SETTINGS: [&str; 2] = [
     r#"{"balancers": 3, "rank": 1, "zones": ["ZONE-A", "ZONE-B", "ZONE-C"], "zone": 1, "discovery": "subscribe",
         "family": "conn", "weight-kind": "nominal", "layers": ["TIER"], "kinds": ["KIND"],
         "family-info": {"message-aim-ns": [50000000, 60000000]},
@@ -27,7 +27,7 @@
         "rules": {"cold-share": 0.13, "cold-ns": 24000000000, "tip-multiple": 3.0, "fall-ns": 2000000000}}"#,
 ];
 
-fn read_renamed(site: &str, rename: impl Fn(&str) -> String) -> SiteSettings {
+fn parse_with_renamed_names(site: &str, rename: impl Fn(&str) -> String) -> SiteSettings {
     let names = [
         "ZONE-A", "ZONE-B", "ZONE-C", "CLASS-A", "CLASS-B", "TENANT-A", "TENANT-B", "TIER", "KIND",
     ];
@@ -39,8 +39,8 @@
 
 #[test]
 fn names_do_not_affect_policy_settings() {
-    for site in SITES {
-        let plain = read_renamed(site, str::to_owned);
+    for site in SITE_SETTINGS {
+        let original = parse_with_renamed_names(site, str::to_owned);
         // Names in another alphabetical order, and names that contain values or keys of the settings.
         let renamings: [fn(&str) -> String; 3] = [
             |name| name.chars().rev().collect(),
@@ -48,17 +48,17 @@
             |name| format!("x0 {name}"),
         ];
         for rename in renamings {
-            let renamed = read_renamed(site, rename);
-            assert_eq!(renamed.policy_settings(), plain.policy_settings());
+            let renamed = parse_with_renamed_names(site, rename);
+            assert_eq!(renamed.policy_settings(), original.policy_settings());
             assert!(renamed.policy_settings().check().is_ok());
-            assert_eq!(renamed.can_probe(), plain.can_probe());
+            assert_eq!(renamed.can_probe(), original.can_probe());
             let shares = |settings: &SiteSettings| {
                 settings
                     .tenant_shares()
                     .map(|(_, share)| share)
                     .collect::<Vec<f64>>()
             };
-            assert_eq!(shares(&renamed), shares(&plain));
+            assert_eq!(shares(&renamed), shares(&original));
             assert_eq!(renamed.class(&rename("CLASS-B")), Some(1));
         }
     }
@@ -67,10 +67,10 @@
 #[test]
 fn probes_need_permission_and_reported_load() {
     let can_probe = |permission: &str, reported: &str| {
-        let text = SITES[1]
+        let text = SITE_SETTINGS[1]
             .replace("\"may-probe\": true", permission)
             .replace("[\"x0\", \"q\"]", reported);
-        read_renamed(&text, str::to_owned).can_probe()
+        parse_with_renamed_names(&text, str::to_owned).can_probe()
     };
     assert!(can_probe("\"may-probe\": true", "[\"q\", \"x0\"]"));
     assert!(
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -88,7 +88,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Run {
             scenario,
             policy,
@@ -114,7 +114,7 @@
             true
         }),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(3),
         Err(error) => {
@@ -125,13 +125,13 @@
 }
 
 fn read_scenario(path: &Path) -> Result<Scenario, String> {
-    let shown = path.display();
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
+    let path_text = path.display();
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{path_text}: {error}"))?;
     Scenario::parse(&text).map_err(|error| {
         let errors: Vec<String> = error
             .0
             .iter()
-            .map(|message| format!("{shown}: {message}"))
+            .map(|message| format!("{path_text}: {message}"))
             .collect();
         errors.join("\n")
     })
@@ -147,11 +147,11 @@
 ) -> Result<bool, String> {
     let mut scenario = read_scenario(path)?;
     scenario.seed = seed.unwrap_or(scenario.seed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut engine = Engine::new(&scenario, policy);
-    let live = std::io::stderr().is_terminal();
+    let shows_progress = std::io::stderr().is_terminal();
     engine.run(|engine| {
-        if live {
+        if shows_progress {
             eprint!(
                 "\r{} of {:.0} s simulated",
                 engine.now() / SECOND,
@@ -160,10 +160,10 @@
         }
         true
     });
-    if live {
+    if shows_progress {
         eprintln!();
     }
-    let took = began.elapsed().as_secs_f64();
+    let wall_time_s = started_at.elapsed().as_secs_f64();
     let saved = Saved {
         schema: SCHEMA,
         seed: scenario.seed,
@@ -192,22 +192,23 @@
             .fleet
             .saved(scenario.reports_fleet_figures()),
     };
-    let text = serde_json::to_string(&saved).map_err(|error| error.to_string())?;
+    let result_json = serde_json::to_string(&saved).map_err(|error| error.to_string())?;
     if let Some(file) = save {
-        std::fs::write(file, &text).map_err(|error| format!("{}: {error}", file.display()))?;
+        std::fs::write(file, &result_json)
+            .map_err(|error| format!("{}: {error}", file.display()))?;
     }
-    let shown = if json {
-        text
+    let output = if json {
+        result_json
     } else {
-        show::table(
+        show::format_run(
             &engine,
-            took,
+            wall_time_s,
             scenario.seed,
             scenario.reports_fleet_figures(),
         )
     };
     // A closed pipe is not an error.
-    let _ = writeln!(std::io::stdout(), "{}", shown.trim_end());
+    let _ = writeln!(std::io::stdout(), "{}", output.trim_end());
     Ok(engine.checker.violation_count == 0)
 }
 
@@ -220,7 +221,7 @@
     json: bool,
 ) -> Result<bool, String> {
     let (first_scenario, second_scenario) = (read_scenario(first)?, read_scenario(second)?);
-    let (live, played) = (std::io::stderr().is_terminal(), AtomicU64::new(0));
+    let (shows_progress, finished_count) = (std::io::stderr().is_terminal(), AtomicU64::new(0));
     let pairs = compare::run_pairs(
         [
             (&first_scenario, policies.0),
@@ -228,26 +229,27 @@
         ],
         1..seeds + 1,
         |_| {
-            let played = played.fetch_add(1, Ordering::Relaxed) + 1;
-            if live {
-                eprint!("\r{played} of {seeds} pairs finished");
+            let finished = finished_count.fetch_add(1, Ordering::Relaxed) + 1;
+            if shows_progress {
+                eprint!("\r{finished} of {seeds} pairs finished");
             }
         },
     );
-    if live {
+    if shows_progress {
         eprintln!();
     }
-    let (table, rows) = show::comparison(&pairs, seeds);
-    let broken: u64 = pairs
+    let (table, rows) = show::format_comparison(&pairs, seeds);
+    let violation_count: u64 = pairs
         .iter()
         .flatten()
         .map(|figures| figures.violations)
         .sum();
-    let shown = if json {
-        serde_json::json!({ "seeds": seeds, "figures": rows, "broken": broken }).to_string()
+    let output = if json {
+        serde_json::json!({ "seeds": seeds, "figures": rows, "broken": violation_count })
+            .to_string()
     } else {
         format!(
-            "first: {}, {}\nsecond: {}, {}\n{}\nseeds 1 to {seeds}, paired; {broken} times a rule was broken",
+            "first: {}, {}\nsecond: {}, {}\n{}\nseeds 1 to {seeds}, paired; {violation_count} times a rule was broken",
             first.display(),
             policies.0,
             second.display(),
@@ -255,6 +257,6 @@
             table
         )
     };
-    let _ = writeln!(std::io::stdout(), "{}", shown.trim_end());
-    Ok(broken == 0)
+    let _ = writeln!(std::io::stdout(), "{}", output.trim_end());
+    Ok(violation_count == 0)
 }
--- a/crates/simulator/src/show.rs
+++ b/crates/simulator/src/show.rs
@@ -15,18 +15,23 @@
     table
 }
 
-/// Formats the result of a run. `took` is the wall time of the run in seconds; `has_fleet_figures` says whether the
+/// Formats the result of a run. `wall_time_s` is the wall time of the run in seconds; `has_fleet_figures` says whether the
 /// scenario reports figures of the fleet.
-pub(crate) fn table(engine: &Engine<'_>, took: f64, seed: u64, has_fleet_figures: bool) -> String {
+pub(crate) fn format_run(
+    engine: &Engine<'_>,
+    wall_time_s: f64,
+    seed: u64,
+    has_fleet_figures: bool,
+) -> String {
     let measures = &engine.measures;
-    let mut text = service_table(measures) + &attempt_totals(measures);
+    let mut text = service_table(measures) + &totals_line(measures);
     if let Some(fleet) = measures.fleet.saved(has_fleet_figures) {
         text.push_str(&fleet_section(measures, &fleet));
     }
     text.push_str(&format!(
-        "seed {seed}: {} events in {took:.2} s, {:.2} million a second\n",
+        "seed {seed}: {} events in {wall_time_s:.2} s, {:.2} million a second\n",
         measures.events,
-        measures.events as f64 / took / 1e6
+        measures.events as f64 / wall_time_s / 1e6
     ));
     for violation in engine.checker.violations() {
         text.push_str(&format!("broken at {violation}\n"));
@@ -41,19 +46,19 @@
 /// Formats the service counts of each class and account.
 fn service_table(measures: &Measures) -> String {
     let mut table = empty_table(&["", "WANTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
-    let mut row = |kind: &str, served: &ServiceCounts| {
+    let mut row = |kind: &str, counts: &ServiceCounts| {
         let percentile = |quantile| {
             format!(
                 "{:.1} ms",
-                served.took.value_at_quantile(quantile) as f64 / 1e3
+                counts.took.value_at_quantile(quantile) as f64 / 1e3
             )
         };
         table.add_row([
-            format!("{kind} {}", served.name),
-            served.wanted.to_string(),
-            format!("{:.2}%", served.fraction_in_time() * 100.0),
-            served.late.to_string(),
-            served.gave_up.to_string(),
+            format!("{kind} {}", counts.name),
+            counts.wanted.to_string(),
+            format!("{:.2}%", counts.fraction_in_time() * 100.0),
+            counts.late.to_string(),
+            counts.gave_up.to_string(),
             percentile(0.5),
             percentile(0.99),
         ]);
@@ -61,23 +66,23 @@
     measures
         .classes
         .iter()
-        .for_each(|served| row("class", served));
+        .for_each(|counts| row("class", counts));
     measures
         .accounts
         .iter()
-        .for_each(|served| row("account", served));
+        .for_each(|counts| row("account", counts));
     table.trim_fmt()
 }
 
 /// Formats totals of attempts, rejections, failures and migrations, and the highest gateway load.
-fn attempt_totals(measures: &Measures) -> String {
-    let highest = measures
+fn totals_line(measures: &Measures) -> String {
+    let highest_load = measures
         .seconds
         .iter()
         .map(|second| second.highest_load)
         .fold(0.0, f64::max);
     format!(
-        "\nattempts {}, refused {}, failed {}, moved {}, cut off {}, highest load of a gateway {highest:.2}\n",
+        "\nattempts {}, refused {}, failed {}, moved {}, cut off {}, highest load of a gateway {highest_load:.2}\n",
         measures.sum(|second| second.attempts),
         measures.sum(|second| second.refused),
         measures.sum(|second| second.failed),
@@ -114,25 +119,25 @@
         ));
     }
     if measures.fleet.power.is_some() {
-        let shown =
+        let format_optional =
             |value: Option<f64>| value.map_or("never".to_owned(), |value| format!("{value:.2}"));
         text.push_str(&format!(
             "99% of the former worth stands again after {} s, {} times what a refill takes that sees all\n",
-            shown(fleet.power_took_s),
-            shown(fleet.power_ratio)
+            format_optional(fleet.power_took_s),
+            format_optional(fleet.power_ratio)
         ));
     }
     text
 }
 
 /// Formats the comparison of two scenarios or policies as a text table and as JSON rows.
-pub(crate) fn comparison(pairs: &[[Figures; 2]], seeds: u64) -> (String, Vec<Value>) {
+pub(crate) fn format_comparison(pairs: &[[Figures; 2]], seeds: u64) -> (String, Vec<Value>) {
     let mut table = empty_table(&["", "FIRST", "SECOND", "DIFFERENCE", "95% INTERVAL", ""]);
     let mut rows = Vec::new();
-    for (at, (name, more_is_better)) in compare::FIGURES.into_iter().enumerate() {
+    for (index, (name, more_is_better)) in compare::FIGURES.into_iter().enumerate() {
         let values: Vec<(f64, f64)> = pairs
             .iter()
-            .filter_map(|[first, second]| first.get(at).zip(second.get(at)))
+            .filter_map(|[first, second]| first.get(index).zip(second.get(index)))
             .collect();
         if values.is_empty() {
             continue;
@@ -142,18 +147,18 @@
         };
         let (first, second) = (mean(|pair| pair.0), mean(|pair| pair.1));
         let (difference, low, high) = compare::mean_difference(&values, seeds);
-        let compare = verdict((low, high), more_is_better);
+        let verdict = verdict((low, high), more_is_better);
         table.add_row([
             name.to_owned(),
             format!("{first:.4}"),
             format!("{second:.4}"),
             format!("{difference:+.4}"),
             format!("{low:+.4} to {high:+.4}"),
-            compare.to_owned(),
+            verdict.to_owned(),
         ]);
         rows.push(json!({
             "figure": name, "first": first, "second": second, "difference": difference, "low": low, "high": high,
-            "verdict": compare,
+            "verdict": verdict,
         }));
     }
     (table.trim_fmt(), rows)
@@ -163,7 +168,7 @@
 fn verdict((low, high): (f64, f64), more_is_better: bool) -> &'static str {
     match (low > 0.0, high < 0.0) {
         (false, false) => "no difference shown",
-        (up, _) if up == more_is_better => "the second is better",
+        (is_higher, _) if is_higher == more_is_better => "the second is better",
         _ => "the first is better",
     }
 }
