--- a/crates/admission/src/fair_scheduler.rs
+++ b/crates/admission/src/fair_scheduler.rs
@@ -1,23 +1,25 @@
-//! Start-time fair queueing: the member with the earliest virtual start goes next.
+//! Start-time fair queueing: the active member with the earliest virtual start time is served next.
+//!
+//! A member is an account, a class or a queue; one service is one permit.
 
 use std::collections::BTreeSet;
 
-/// Bits of a start tag. Tags are finite and not negative, so their bits sort in the same order as
-/// the numbers.
+/// Bits of a start tag, the virtual start time of a member's next service. Tags are finite and not
+/// negative, so their bits sort in the same order as the numbers.
 type StartTagBits = u64;
 
 /// Divides service among members by weight. A member that becomes active again starts at the
-/// current virtual time, or at its finish tag if that is later.
+/// current virtual time, so that idle time earns no credit, or at its finish tag if that is later.
 pub(crate) struct FairScheduler {
     members: Vec<Member>,
-    /// Active members by start tag.
+    /// Active members, ordered by start tag.
     active_by_start_tag: BTreeSet<(StartTagBits, usize)>,
     virtual_time: f64,
 }
 
 struct Member {
     weight: f64,
-    /// Virtual time at which the service given to the member ends.
+    /// Virtual time at which the last service given to the member ends.
     finish_tag: f64,
     /// `None` while the member is idle.
     start_tag: Option<f64>,
@@ -81,7 +83,7 @@
         self.active_by_start_tag.first().map(|(_, member)| *member)
     }
 
-    /// Charges one service to a member, which stays active.
+    /// Charges one service to a member, which stays active. Does nothing for an idle member.
     pub(crate) fn serve(&mut self, member: usize) {
         let state = &mut self.members[member];
         let Some(start_tag) = state.start_tag else {
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -8,14 +8,14 @@
 use crate::fair_scheduler::FairScheduler;
 use crate::slab::{EntryIndex, Slab};
 
-/// Limits and layout of the admission queue.
+/// Size limits of the admission queue, and its division into queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Limit on all entries.
     pub total: QueueSize,
     /// Limit on the entries of one account.
     pub per_account: QueueSize,
-    /// Limit on one of the queues within a class.
+    /// Limit on each queue within a class.
     pub per_queue: QueueSize,
     /// Number of queues in each class of an account; at least 1.
     pub queues_per_class: usize,
@@ -55,7 +55,7 @@
 }
 
 impl QueueSize {
-    /// As a limit: never exceeded.
+    /// A limit that is never exceeded.
     pub const UNLIMITED: QueueSize = QueueSize {
         entries: usize::MAX,
         bytes: usize::MAX,
@@ -98,8 +98,8 @@
     pub bytes: u32,
 }
 
-/// Most idle accounts whose recent service is remembered; beyond it, the slot of the one idle for
-/// longest is reused.
+/// Maximum number of idle accounts whose recent service is remembered. At this number, the slot of
+/// the account that has been idle for longest is reused.
 const MAX_IDLE_ACCOUNTS: usize = 1_024;
 
 struct Account {
@@ -109,10 +109,10 @@
     /// One scheduler per class, over the queues of the class.
     queue_schedulers: Vec<FairScheduler>,
     size: QueueSize,
-    /// Nonempty queues as (not of returning clients, length, queue). The last one is evicted from
-    /// first.
+    /// Nonempty queues as (is not for returning clients, length, index in the slab). Evictions take
+    /// from the queue that sorts last: the longest one that is not for returning clients, if any.
     queues_by_length: BTreeSet<(bool, u32, usize)>,
-    /// Whether `idle_accounts` contains this slot; the account may be active again.
+    /// Whether `idle_accounts` contains this account's slot; the account may be active again.
     is_listed_idle: bool,
 }
 
@@ -189,7 +189,7 @@
         self.size.bytes
     }
 
-    /// The limits in force, with the layout clamped to its valid range.
+    /// The limits in force, with `queues_per_class` and `hand_size` clamped to their valid ranges.
     pub fn limits(&self) -> Limits {
         self.limits
     }
@@ -326,8 +326,8 @@
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Number of permits that the account needs until one more such entry would be admitted,
-    /// assuming that its other queues are as long as the queue of this entry.
+    /// Number of permits that the account needs until one more such entry would be admitted. The
+    /// estimate counts the account's other queues as if they were as long as the queue of this entry.
     pub fn admission_position(&self, entry: &Entry) -> usize {
         let Some(slot) = self.slot_by_account.get(&entry.account).copied() else {
             return 1;
@@ -400,9 +400,9 @@
         None
     }
 
-    /// Indices of the queues within a class that a flow may use (shuffle sharding). They are derived
-    /// from the flow and the seed, so that without the seed no client can choose a name that
-    /// collides with another, and one name cannot fill all queues.
+    /// Indices of the queues within a class that a flow (a client or group) may use: shuffle
+    /// sharding. They are derived from the flow and the seed, so that a client that does not know the
+    /// seed cannot choose a name that collides with another, and one name cannot fill all queues.
     pub fn candidate_queues(&self, flow: u64) -> impl Iterator<Item = usize> {
         let mut hash = mix_bits(flow ^ self.seed);
         let mut chosen: [usize; MAX_HAND_SIZE] = [usize::MAX; MAX_HAND_SIZE];
@@ -435,6 +435,8 @@
         base + shortest.unwrap_or(0)
     }
 
+    /// The last entry of the account's longest queue. Queues of returning
+    /// clients are chosen only if no other queue holds entries.
     fn tail_of_longest_queue(&self, slot: usize) -> Option<EntryIndex> {
         self.slab
             .last(self.accounts[slot].queues_by_length.last()?.2)
--- a/crates/admission/tests/statistics.rs
+++ b/crates/admission/tests/statistics.rs
@@ -1,11 +1,13 @@
-//! Counts, rates, drain times and reports of accounts that exceed their shares.
+//! Per-account statistics: counts, rates, drain times and reports of accounts over their quota.
+//! Also the memory of rejected clients and the estimate of the shortest set-up time.
 
 use beaconflow_admission::*;
 use proptest::prelude::*;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// Admits requests of two accounts of equal shares, `first` and `second` per second; returns the end time.
+/// Records requests and admissions of two accounts with equal shares for `seconds`; the rates are per
+/// second. Returns the end time.
 fn simulate_load(
     accounts: &mut AccountTable,
     start: Nanos,
@@ -125,11 +127,12 @@
         accounts.record_not_admitted(account, NotAdmitted::Rejected);
     }
     let statistics = accounts.sorted_by_name();
-    assert_eq!(statistics.len(), 4_096);
+    assert_eq!(statistics.len(), 4_096, "the number of accounts is bounded");
     assert!(
         statistics
             .iter()
-            .all(|(account, statistics)| *account >= 904 && statistics.counts.rejected == 1)
+            .all(|(account, statistics)| *account >= 904 && statistics.counts.rejected == 1),
+        "the 904 accounts with the oldest requests are evicted"
     );
 }
 
@@ -178,11 +181,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// Compares with simple sums: in any order, each request counts under one outcome, and borrowed permits are among
-    /// the admitted ones.
+    /// Compares the counts with sums kept by the test: each request counts under one outcome in any order, and borrowed
+    /// permits are part of the admitted ones.
     #[test]
     fn counts_each_request_once(requests in prop::collection::vec((0..4_u64, 0..5_u8, 0..2_000_u64), 1..300)) {
         let mut accounts = AccountTable::default();
+        // Requests, admitted, rejected, timed out and client left, by account.
         let mut expected = std::collections::BTreeMap::<u64, [u64; 5]>::new();
         let mut now = 0;
         for (account, outcome, wait_ms) in requests {
--- a/crates/affinity/src/changes.rs
+++ b/crates/affinity/src/changes.rs
@@ -20,7 +20,7 @@
     pub rezoned: Vec<String>,
     /// Zones that only the old version has.
     pub removed_zones: Vec<String>,
-    /// Tenants whose set of servers changed, apart from renames.
+    /// Tenants that were added or removed, or whose set of servers changed other than by renames.
     pub tenants: Vec<String>,
     /// Names of the classes that were added, removed or changed.
     pub classes: Vec<String>,
@@ -94,6 +94,7 @@
         .collect()
 }
 
+/// The latency objective, deadline and bits of the priority weight of each class, by name.
 fn classes(routing: &Routing) -> BTreeMap<String, (u64, u64, u64)> {
     let objectives = |class: &crate::Class| {
         (
--- a/crates/affinity/src/limits.rs
+++ b/crates/affinity/src/limits.rs
@@ -1,9 +1,10 @@
-//! Limits of a table, and its counts.
+//! Limits and counts of a placement table.
 
 use crate::entry::MAX_ENTRIES;
 
-/// Most bytes that one placement takes, including its share of all tables.
+/// Maximum memory of one placement in bytes, including its share of all internal tables.
 const BYTES_PER_PLACEMENT: usize = 64;
+
 /// The maximum size of a table; the smaller of the two bounds applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
@@ -21,11 +22,11 @@
     /// Seconds after which a placement expires, counted from when it was last seen established or
     /// ended.
     pub ttl_s: u32,
-    /// Seconds for which a client that was migrated off a server for late messages or for
-    /// rebalancing is not sent back there.
+    /// Seconds for which a client is not sent back to a server that it was migrated off because its
+    /// messages were late or for rebalancing.
     pub return_delay_s: u32,
-    /// Number of members of a group on a server from which on the server is no home for more of
-    /// them; 0 disables group homes.
+    /// Number of members of a group on one server from which on the server is not advised to further
+    /// members of the group; 0 disables placing members of a group together.
     pub max_group_per_server: u32,
 }
 
@@ -38,7 +39,7 @@
             .clamp(1, MAX_ENTRIES)
     }
 
-    /// The names of the settings that are out of range, as an operator writes them.
+    /// The settings that are out of range, by their names in the operator's configuration.
     pub fn invalid_fields(&self) -> Vec<&'static str> {
         let checks = [
             (
@@ -68,6 +69,7 @@
     pub expired: u64,
     /// Placements evicted from a full table.
     pub evicted: u64,
-    /// Merged placements that were rejected, for any reason.
+    /// Placements received from peers or read from stored data that were rejected when merged, for any
+    /// reason.
     pub rejected: u64,
 }
--- a/crates/affinity/src/versions.rs
+++ b/crates/affinity/src/versions.rs
@@ -12,11 +12,11 @@
 use crate::Millis;
 use crate::placement::MAX_CLOCK_LEAD_MS;
 
-/// Time after which a version that no process runs is older than any running one. Guards against
-/// placements made under a version that was taken back by restarts, which otherwise no running
-/// process would check against its rules.
+/// Time after which a version that no process runs is older than any running one. If an
+/// operator reverts a version by restarts, no process runs it any more, but it would stay the newest,
+/// and no process would check the placements made under it against its own rules.
 const IDLE_TIMEOUT_MS: Millis = 300_000;
-/// Most versions remembered; those last run longest ago are dropped first.
+/// Maximum number of versions remembered; the least recently run one is dropped first.
 const MAX_VERSIONS: usize = 256;
 
 /// A digest of the routing part of a configuration.
@@ -57,7 +57,7 @@
         )
     }
 
-    /// Keeps the later term with its first adoption, the highest serial number and the last run.
+    /// Keeps the later term with its earliest adoption, the higher serial number and the later run.
     fn merge(&mut self, other: &VersionFact) {
         if other.term > self.term {
             (self.term, self.adopted_at) = (other.term, other.adopted_at);
@@ -69,7 +69,7 @@
     }
 }
 
-/// The result of switching to a version.
+/// How a version that a process switches to compares with the versions that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptOutcome {
     /// The version was already current.
@@ -98,8 +98,8 @@
 pub struct Versions {
     facts_by_version: BTreeMap<Version, VersionFact>,
     current: Option<Version>,
-    /// No other process has reported the current version: it is new, or facts of peers have not
-    /// arrived yet.
+    /// Whether no other process has reported the current version yet: it is new, or facts of peers
+    /// have not arrived.
     is_current_unconfirmed: bool,
 }
 
@@ -161,8 +161,8 @@
         Some(*fact)
     }
 
-    /// Merges a peer's fact about a version; returns whether anything changed. Facts dated too far
-    /// ahead are ignored.
+    /// Merges a peer's fact about a version; returns whether anything changed. Ignores facts whose
+    /// times are too far ahead of `now` or whose term is more than 65,535 above the highest known.
     pub fn merge(&mut self, received: &VersionFact, now: Millis) -> bool {
         if received.adopted_at.max(received.last_run_at) > now.saturating_add(MAX_CLOCK_LEAD_MS)
             || received.term > self.max_term() + u32::from(u16::MAX)
@@ -181,8 +181,8 @@
         let before = *fact;
         fact.merge(received);
         let has_changed = before != *fact;
-        // A process that started without facts from peers did not know how many rollbacks there
-        // were.
+        // A process that adopted its version before facts of peers arrived gave it too low a term if
+        // there had been rollbacks.
         if self.is_current_unconfirmed
             && let Some(own_fact) = self
                 .current
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Attempts and their results, and the exchange with a server.
+//! Results of attempts to connect a client to a server, and the handshake with the server.
 //!
-//! Fronts exchange the handshake with a server through [`ServerExchange`].
+//! Each front (the code for one protocol) runs the handshake through [`ServerExchange`].
 
 use std::fmt;
 use std::io;
@@ -12,12 +12,12 @@
 use crate::core::{AttemptTiming, Endpoint};
 use crate::net::{self, PollFlags, ReadBuffer, ReadError};
 
-/// Most bytes read ahead from a server.
+/// Maximum number of bytes read ahead from a server.
 const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
-/// Interval of the checks whether an attempt was abandoned.
+/// Interval at which a waiting attempt checks whether the core has abandoned it.
 pub const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far an attempt got before it ended. Its outcome follows from this alone.
+/// How far an attempt got before it ended. The outcome for the policy follows from this alone.
 #[derive(Debug)]
 pub enum AttemptError {
     /// Nothing was sent: the server is draining, the attempt was too late, or the core abandoned
@@ -31,7 +31,7 @@
     RequestPartlyWritten(usize, io::Error),
     /// The request was written, and no answer came.
     RequestWritten(ReadError),
-    /// The server answered without serving.
+    /// The server answered that it does not serve the request.
     NotServed(ServerAnswer),
     /// The connection was established and ended.
     ConnectionEnded(ConnectionEnd),
@@ -40,9 +40,9 @@
 /// A server's answer that does not establish the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAnswer {
-    /// Rejected unread.
+    /// The server rejected the request without reading it.
     Rejected,
-    /// A draining server redirects the client.
+    /// The server is draining and redirects the client.
     Redirected,
     /// Any other answer.
     Error,
@@ -51,7 +51,7 @@
 /// How an established connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The server ended it after its goodbye.
+    /// The server ended it after announcing the end with a goodbye message.
     Served,
     /// The server redirected the client and ended it.
     Redirected,
@@ -75,7 +75,7 @@
     Migrated,
     /// The connection was handed over to another process.
     HandedOver,
-    /// A migration waited too long for the end of a message.
+    /// A migration waited too long for a message to be complete.
     MigrationTimedOut,
 }
 
@@ -85,7 +85,8 @@
         AttemptError::RequestPartlyWritten(written, error)
     }
 
-    /// The error of a server that did not send what comes before the request. Nothing was written.
+    /// The error of a server that did not send the greeting that its protocol requires before the
+    /// request. Nothing was written.
     pub fn before_request(error: ReadError) -> AttemptError {
         AttemptError::NotConnected(match error {
             ReadError::Broken(error) => error,
@@ -168,7 +169,7 @@
     /// Whether the core has abandoned the attempt.
     fn is_abandoned(&self) -> bool;
 
-    /// Reads and keeps the bytes that the client sends before it is connected.
+    /// Reads and keeps the bytes that the client sends before it is connected to a server.
     ///
     /// # Errors
     ///
@@ -176,7 +177,7 @@
     fn read_early(&mut self) -> Result<(), ReadError>;
 }
 
-/// An exchange with a server while its client waits.
+/// The handshake with a server while the client waits.
 pub struct ServerExchange<'a> {
     server: TcpStream,
     endpoint: &'a Endpoint,
@@ -186,7 +187,7 @@
 }
 
 impl<'a> ServerExchange<'a> {
-    /// Begins an exchange over an established socket.
+    /// Begins the handshake over a connected socket.
     pub fn new(
         server: TcpStream,
         endpoint: &'a Endpoint,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The server's socket, and the bytes that it sent beyond its answer.
+    /// The server's socket, and the bytes that were received after the last line read.
     pub fn into_parts(self) -> (TcpStream, Vec<u8>) {
         (self.server, self.read_buffer.into_rest())
     }
@@ -212,8 +213,8 @@
         self.timing.deadline_at
     }
 
-    /// Writes the request, if the client still waits, the server accepts new connections and it is
-    /// not too late just before the first byte.
+    /// Writes the request. Just before the first byte, checks that the client still waits, the server
+    /// accepts new connections and the time to begin has not passed.
     ///
     /// # Errors
     ///
@@ -231,16 +232,16 @@
             .map_err(AttemptError::partly_written)
     }
 
-    /// Writes more after the request.
+    /// Writes further bytes of the handshake after the request.
     ///
     /// # Errors
     ///
-    /// Returns the number of bytes written.
+    /// Returns the number of bytes written before the error.
     pub fn write(&self, buffers: &[&[u8]]) -> Result<(), (usize, io::Error)> {
         self.finish_write(net::write_gathered(&self.server, buffers), buffers)
     }
 
-    /// Finishes a write that would block.
+    /// Writes what remains if the write would have blocked, until the deadline.
     fn finish_write(
         &self,
         result: Result<(), (usize, io::Error)>,
@@ -256,8 +257,8 @@
         }
     }
 
-    /// Reads the server's next line. Ends early if the client leaves; `to_error` converts the error
-    /// if the server sends none.
+    /// Reads the server's next line. Fails at once if the client leaves; `to_error` converts the read
+    /// error if the server sends no line or the core abandons the attempt.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/front/platform/tests.rs
+++ b/crates/balancer/src/front/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform protocol's lines.
+//! Tests of the line framer and of the probe answers of the platform protocol.
 
 use super::super::MessageKind;
 use super::*;
@@ -7,6 +7,7 @@
 fn classifies_lines_received_in_pieces() {
     let mut framer = LineFramer::default();
     let mut messages = Vec::new();
+    // Returns the offset after the last complete line in `bytes`.
     let mut feed = |bytes: &[u8]| {
         let mut on_message = |kind| {
             messages.push(kind);
@@ -35,6 +36,7 @@
 #[test]
 fn parses_load_and_ignores_invalid_fields() {
     use ProbeAnswer::{Load, NoLoad, Unhealthy};
+    // `x0` is the only field that is used. `NO` means that the server does not allow probes.
     let cases = [
         ("PONG x0=0.25,queue=3", Load(0.25)),
         ("PONG queue=x,x0=2", Load(2.0)),
--- a/crates/policy/tests/robustness.rs
+++ b/crates/policy/tests/robustness.rs
@@ -1,11 +1,11 @@
-//! Settings and events that no present deployment has.
+//! Events and settings that are valid for the interface but do not occur in deployments.
 
 mod common;
 
 use beaconflow_policy::*;
 use common::*;
 
-/// There is none without overload, and at most one per ten housekeeping periods.
+/// Overload summaries are logged only during overload, and at most once per ten housekeeping periods.
 #[test]
 fn overload_summaries_are_rare() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
@@ -122,7 +122,7 @@
             let timer_count = balancer.timers.len();
             balancer.end_attempt(
                 id,
-                u32::try_from(attempt).expect("the index is small"),
+                u32::try_from(attempt).expect("the attempt index fits into 32 bits"),
                 AttemptOutcome::Rejected,
             );
             if let Some((fires_at, _)) = balancer.timers.get(timer_count) {
--- a/crates/policy/tests/server_list.rs
+++ b/crates/policy/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list: changes, restarts, draining servers and failed calls.
+//! The server list: changes, restarts, draining servers and failed discovery calls.
 
 mod common;
 
@@ -133,8 +133,9 @@
             .filter(|server| server.0 >= 2)
             .count();
     }
-    // The connections of the two warm servers, scaled to the ten new ones: 100 / 2 / 20 s * 1.6 * 3 *
-    // 10 * 0.4 per second, and more as the warm servers fill.
+    // The load of the warm servers (100 connections / 2 servers / warm-up time of 20 s), times the load
+    // factor 1.6, the overload multiple 3, ten new servers and their capacity 0.4 gives the expected rate
+    // per second; it grows as the warm servers fill.
     assert!(
         (60..=140).contains(&on_new),
         "{on_new} of 200 placements in two seconds on the new servers"
@@ -160,7 +161,7 @@
         .map(|ids| attempted_servers(&balancer.connect_at_interval(ids, 100 * MS)).len());
     assert!(
         placed[0] > 5 && placed[1] > 5,
-        "placements in the first and the second span: {placed:?}"
+        "placements in the first 5 s and the next 10 s: {placed:?}"
     );
 }
 
@@ -233,7 +234,7 @@
     assert!(placed.contains(&failing));
 }
 
-/// Otherwise every balancer would send a client to a new server at once.
+/// Many balancers that each sent a client to a new server at once would overload it.
 #[test]
 fn new_server_gets_nothing_at_first() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
@@ -261,7 +262,8 @@
     }
 }
 
-/// Changes count as known after 6 s; a call begins within 5 s even where deadlines allow longer backoff.
+/// A change of the list counts as known 6 s after discovery had it, so a failed call is repeated within 5 s
+/// even if the deadlines of the classes allow a longer backoff.
 #[test]
 fn failed_list_call_is_repeated_in_time() {
     let mut settings = polled_settings();
@@ -277,7 +279,7 @@
     }
 }
 
-/// Many balancers that are left with one new server share its budget.
+/// Many balancers whose only warm server is removed share the slow-start budget of the new one.
 #[test]
 fn balancers_share_budget_of_new_server() {
     let mut sent = 0;
@@ -309,7 +311,7 @@
         sent += attempted_servers(&balancer.request(100, IDEMPOTENT)).len();
     }
     // By the decayed rate, 9.5 clients per second came to the warm server. The new one is at 0.6 of its
-    // capacity: three times that for two seconds gives 34.
+    // capacity; the overload multiple 3 over the window of two seconds gives 9.5 * 0.6 * 3 * 2 = 34.
     assert!(
         (1..=42).contains(&sent),
         "{sent} of 60 balancers send a client at once"
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -1,10 +1,10 @@
-//! The settings of the policy depend on the values in the file, not on the names of classes, tenants
-//! and zones.
+//! The policy settings depend on the values in the settings file, not on the names of classes,
+//! tenants, zones, layers and kinds.
 
 use beaconflow_settings::SiteSettings;
 
-/// Two deployments that differ in nearly every setting: one polls for the list and has no load
-/// reports, the other has its list pushed and may probe.
+/// Settings files of two deployments that differ in nearly every setting: the first polls for the
+/// server list and has no load reports, the second has its list pushed and may probe. Capitalized names are placeholders that the tests rename.
 const SITE_SETTINGS: [&str; 2] = [
     r#"{"balancers": 3, "rank": 1, "zones": ["ZONE-A", "ZONE-B", "ZONE-C"], "zone": 1, "discovery": "subscribe",
         "family": "conn", "weight-kind": "nominal", "layers": ["TIER"], "kinds": ["KIND"],
@@ -27,6 +27,7 @@
         "rules": {"cold-share": 0.13, "cold-ns": 24000000000, "tip-multiple": 3.0, "fall-ns": 2000000000}}"#,
 ];
 
+/// Parses settings after each placeholder name was replaced by its renamed form.
 fn parse_with_renamed_names(site: &str, rename: impl Fn(&str) -> String) -> SiteSettings {
     let names = [
         "ZONE-A", "ZONE-B", "ZONE-C", "CLASS-A", "CLASS-B", "TENANT-A", "TENANT-B", "TIER", "KIND",
@@ -41,7 +42,7 @@
 fn names_do_not_affect_policy_settings() {
     for site in SITE_SETTINGS {
         let original = parse_with_renamed_names(site, str::to_owned);
-        // Names in another alphabetical order, and names that contain values or keys of the settings.
+        // Reversed names, which sort differently, and names that contain values or keys of the settings.
         let renamings: [fn(&str) -> String; 3] = [
             |name| name.chars().rev().collect(),
             |name| format!("retryable-{name}"),
@@ -64,6 +65,7 @@
     }
 }
 
+/// `x0` is the load field that the balancer reads from a probe's answer.
 #[test]
 fn probes_need_permission_and_reported_load() {
     let can_probe = |permission: &str, reported: &str| {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -110,7 +110,7 @@
             json,
         ),
         Command::Check { scenario } => read_scenario(&scenario).map(|_| {
-            println!("{}: sound", scenario.display());
+            println!("{}: the scenario is valid", scenario.display());
             true
         }),
     };
@@ -207,7 +207,7 @@
             scenario.reports_fleet_figures(),
         )
     };
-    // A closed pipe is not an error.
+    // Output to a closed pipe is not an error.
     let _ = writeln!(std::io::stdout(), "{}", output.trim_end());
     Ok(engine.checker.violation_count == 0)
 }
@@ -249,7 +249,7 @@
             .to_string()
     } else {
         format!(
-            "first: {}, {}\nsecond: {}, {}\n{}\nseeds 1 to {seeds}, paired; {violation_count} times a rule was broken",
+            "first: {}, {}\nsecond: {}, {}\n{}\nseeds 1 to {seeds}, paired; rule violations: {violation_count}",
             first.display(),
             policies.0,
             second.display(),
--- a/crates/simulator/src/show.rs
+++ b/crates/simulator/src/show.rs
@@ -29,23 +29,24 @@
         text.push_str(&fleet_section(measures, &fleet));
     }
     text.push_str(&format!(
-        "seed {seed}: {} events in {wall_time_s:.2} s, {:.2} million a second\n",
+        "seed {seed}: {} events in {wall_time_s:.2} s, {:.2} million events per second\n",
         measures.events,
         measures.events as f64 / wall_time_s / 1e6
     ));
     for violation in engine.checker.violations() {
-        text.push_str(&format!("broken at {violation}\n"));
+        text.push_str(&format!("rule violation at {violation}\n"));
     }
     text.push_str(&match engine.checker.violation_count {
-        0 => "every rule was kept\n".to_owned(),
-        count => format!("{count} times a rule was broken\n"),
+        0 => "no rule was broken\n".to_owned(),
+        count => format!("rule violations: {count}\n"),
     });
     text
 }
 
-/// Formats the service counts of each class and account.
+/// Formats the service counts of each class and account. The percentiles are of the time from a client's first try to
+/// its established connection.
 fn service_table(measures: &Measures) -> String {
-    let mut table = empty_table(&["", "WANTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
+    let mut table = empty_table(&["", "REQUESTED", "IN TIME", "LATE", "GAVE UP", "P50", "P99"]);
     let mut row = |kind: &str, counts: &ServiceCounts| {
         let percentile = |quantile| {
             format!(
@@ -82,7 +83,7 @@
         .map(|second| second.highest_load)
         .fold(0.0, f64::max);
     format!(
-        "\nattempts {}, refused {}, failed {}, moved {}, cut off {}, highest load of a gateway {highest_load:.2}\n",
+        "\nattempts {}, rejected {}, failed {}, migrated {}, disconnected {}, highest gateway load {highest_load:.2}\n",
         measures.sum(|second| second.attempts),
         measures.sum(|second| second.refused),
         measures.sum(|second| second.failed),
@@ -91,24 +92,24 @@
     )
 }
 
-/// Formats the figures of the fleet: affinity, cold overload, uplink failure and power loss.
+/// Formats the figures of the fleet: session affinity, overload of cold gateways, uplink failure and power loss.
 fn fleet_section(measures: &Measures, fleet: &SavedFleet) -> String {
     let mut text = format!(
-        "returned while their gateway stood {}, got it {:.2}%, dealt anew by a configuration {}, \
-         evened out {}\n",
+        "reconnected while the previous gateway was available {}, returned to it {:.2}%, migrated by a new configuration {}, \
+         migrated for rebalancing or slow start {}\n",
         fleet.owed,
         fleet.landed * 100.0,
         fleet.redealt,
         fleet.evened
     );
     text.push_str(&format!(
-        "cold gateways fallen {}, most sent {:.2} of what makes one fall\n",
+        "cold gateways crashed from overload {}, most set-ups sent to one {:.2} of the number that crashes it\n",
         fleet.fallen, fleet.most_sent
     ));
     if measures.fleet.island.is_some() {
         text.push_str(&format!(
-            "without uplink: wanted {}, in time {:.2}%, p99 {:.1} ms, probes beyond {}; merged {}, the first {:.1} s after \
-             the return, the last {:.1} s after the first\n",
+            "isolated zone: requested {}, in time {:.2}%, p99 {:.1} ms, probes lost on the uplink {}; merges {}, the first {:.1} s \
+             after the uplink returned, the last {:.1} s after the first\n",
             fleet.island_wanted,
             fleet.island_served * 100.0,
             fleet.island_p99_ms,
@@ -122,7 +123,7 @@
         let format_optional =
             |value: Option<f64>| value.map_or("never".to_owned(), |value| format!("{value:.2}"));
         text.push_str(&format!(
-            "99% of the former worth stands again after {} s, {} times what a refill takes that sees all\n",
+            "99% of the former worth was connected again after {} s, {} times as long as an ideal refill\n",
             format_optional(fleet.power_took_s),
             format_optional(fleet.power_ratio)
         ));
@@ -130,7 +131,8 @@
     text
 }
 
-/// Formats the comparison of two scenarios or policies as a text table and as JSON rows.
+/// Formats the comparison of two scenarios or policies as a text table and as JSON rows. Each pair holds the figures of
+/// both sides for one seed; `seeds` is the number of seeds and also seeds the bootstrap of the intervals.
 pub(crate) fn format_comparison(pairs: &[[Figures; 2]], seeds: u64) -> (String, Vec<Value>) {
     let mut table = empty_table(&["", "FIRST", "SECOND", "DIFFERENCE", "95% INTERVAL", ""]);
     let mut rows = Vec::new();
@@ -164,7 +166,8 @@
     (table.trim_fmt(), rows)
 }
 
-/// Verdict on the two sides from the confidence interval of their difference.
+/// Verdict on the two sides from the confidence interval of their difference (second minus first). An interval that
+/// contains 0 shows no difference.
 fn verdict((low, high): (f64, f64), more_is_better: bool) -> &'static str {
     match (low > 0.0, high < 0.0) {
         (false, false) => "no difference shown",
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,6 +1,7 @@
 //! Encoding of overrides as protocol buffers.
 //!
-//! Fields may be added, but keep their meaning and number, so that each program reads the files of older ones.
+//! Fields may be added, but a field never changes its meaning or its tag, so that a program can read
+//! files written by older versions.
 
 use beaconflow_overrides::{Override, OverrideId, OverrideKind, Replay, Strictness, Subject};
 use prost::{Message, Oneof};
@@ -13,7 +14,7 @@
     who: String,
     #[prost(string, tag = "3")]
     why: String,
-    /// Unix time in milliseconds, like the other times.
+    /// Unix time in milliseconds, like `expires_at` and `removed_at`.
     #[prost(uint64, tag = "4")]
     created_at: u64,
     #[prost(uint64, tag = "5")]
@@ -30,10 +31,12 @@
     kind: Option<KindRecord>,
 }
 
+/// Identifies the request that created the override, so that a repetition is recognized.
 #[derive(Clone, PartialEq, Message)]
 struct ReplayRecord {
     #[prost(string, tag = "1")]
     key: String,
+    /// Digest of the request's body.
     #[prost(bytes = "vec", tag = "2")]
     body: Vec<u8>,
 }
@@ -48,14 +51,17 @@
     Pin(PinRecord),
 }
 
+/// A server gets no new connections.
 #[derive(Clone, PartialEq, Message)]
 struct OutRecord {
     #[prost(string, tag = "1")]
     server: String,
+    /// Rate at which established connections are migrated off the server; `None` keeps them.
     #[prost(double, optional, tag = "2")]
     moves_per_s: Option<f64>,
 }
 
+/// The listed weight of a server is multiplied by `factor`.
 #[derive(Clone, PartialEq, Message)]
 struct WeightRecord {
     #[prost(string, tag = "1")]
@@ -64,6 +70,7 @@
     factor: f64,
 }
 
+/// New connections of a group or tenant go to one server.
 #[derive(Clone, PartialEq, Message)]
 struct PinRecord {
     #[prost(string, tag = "1")]
@@ -82,7 +89,7 @@
     Tenant(String),
 }
 
-/// Encodes an override.
+/// Encodes an override as one record.
 pub(crate) fn encode(source: &Override) -> Vec<u8> {
     let kind = match &source.kind {
         OverrideKind::Out {
@@ -128,7 +135,8 @@
     record.encode_to_vec()
 }
 
-/// Decodes an override; `None` if the record is malformed or of an unknown kind.
+/// Decodes an override; `None` if the record is malformed, of an unknown kind, or has a weight
+/// factor that is not positive and finite.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Override> {
     let record = Record::decode(bytes).ok()?;
     let kind = match record.kind? {
