--- a/crates/admission/src/fair_scheduler.rs
+++ b/crates/admission/src/fair_scheduler.rs
@@ -1,23 +1,25 @@
-//! Start-time fair queueing: the member with the earliest virtual start goes next.
+//! Start-time fair queueing: the active member with the earliest virtual start time is served next.
+//!
+//! A member is an account, a class or a queue; one service is one permit.
 
 use std::collections::BTreeSet;
 
-/// Bits of a start tag. Tags are finite and not negative, so their bits sort in the same order as
-/// the numbers.
-type Tag = u64;
+/// Bits of a start tag, the virtual start time of a member's next service. Tags are finite and not
+/// negative, so their bits sort in the same order as the numbers.
+type StartTagBits = u64;
 
 /// Divides service among members by weight. A member that becomes active again starts at the
-/// current virtual time, or at its finish tag if that is later.
+/// current virtual time, so that idle time earns no credit, or at its finish tag if that is later.
 pub(crate) struct FairScheduler {
     members: Vec<Member>,
-    /// Active members by start tag.
-    waiting: BTreeSet<(Tag, usize)>,
+    /// Active members, ordered by start tag.
+    active_by_start_tag: BTreeSet<(StartTagBits, usize)>,
     virtual_time: f64,
 }
 
 struct Member {
     weight: f64,
-    /// Virtual time at which the service given to the member ends.
+    /// Virtual time at which the last service given to the member ends.
     finish_tag: f64,
     /// `None` while the member is idle.
     start_tag: Option<f64>,
@@ -27,7 +29,7 @@
     pub(crate) fn new(weights: &[f64]) -> FairScheduler {
         let mut scheduler = FairScheduler {
             members: Vec::new(),
-            waiting: BTreeSet::new(),
+            active_by_start_tag: BTreeSet::new(),
             virtual_time: 0.0,
         };
         weights
@@ -63,23 +65,25 @@
         if state.start_tag.is_none() {
             let start_tag = state.finish_tag.max(self.virtual_time);
             state.start_tag = Some(start_tag);
-            self.waiting.insert((start_tag.to_bits(), member));
+            self.active_by_start_tag
+                .insert((start_tag.to_bits(), member));
         }
     }
 
     /// Marks a member as idle.
     pub(crate) fn deactivate(&mut self, member: usize) {
         if let Some(start_tag) = self.members[member].start_tag.take() {
-            self.waiting.remove(&(start_tag.to_bits(), member));
+            self.active_by_start_tag
+                .remove(&(start_tag.to_bits(), member));
         }
     }
 
     /// The active member with the earliest start tag.
     pub(crate) fn next(&self) -> Option<usize> {
-        self.waiting.first().map(|(_, member)| *member)
+        self.active_by_start_tag.first().map(|(_, member)| *member)
     }
 
-    /// Charges one service to a member, which stays active.
+    /// Charges one service to a member, which stays active. Does nothing for an idle member.
     pub(crate) fn serve(&mut self, member: usize) {
         let state = &mut self.members[member];
         let Some(start_tag) = state.start_tag else {
@@ -88,9 +92,11 @@
         let finish_tag = start_tag + 1.0 / state.weight;
         (state.finish_tag, state.start_tag) = (finish_tag, Some(finish_tag));
         self.virtual_time = self.virtual_time.max(start_tag);
-        self.waiting.remove(&(start_tag.to_bits(), member));
-        self.waiting.insert((finish_tag.to_bits(), member));
-        if self.waiting.len() == 1 {
+        self.active_by_start_tag
+            .remove(&(start_tag.to_bits(), member));
+        self.active_by_start_tag
+            .insert((finish_tag.to_bits(), member));
+        if self.active_by_start_tag.len() == 1 {
             self.reset_tags(member);
         }
     }
@@ -102,12 +108,12 @@
         if self.virtual_time < MAX_VIRTUAL_TIME {
             return;
         }
-        self.waiting.clear();
+        self.active_by_start_tag.clear();
         self.members
             .iter_mut()
             .for_each(|member| member.finish_tag = 0.0);
         self.virtual_time = 0.0;
         self.members[member].start_tag = Some(0.0);
-        self.waiting.insert((0, member));
+        self.active_by_start_tag.insert((0, member));
     }
 }
--- a/crates/policy/tests/server_list.rs
+++ b/crates/policy/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list: changes, restarts, draining servers and failed calls.
+//! The server list: changes, restarts, draining servers and failed discovery calls.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn polled_list_calls_are_repeated_with_jitter() {
-    let mut waits = std::collections::BTreeSet::new();
+    let mut delays = std::collections::BTreeSet::new();
     for seed in 0..8 {
         let mut actions = Vec::new();
         let mut balancer =
@@ -41,15 +41,15 @@
         let [Action::SetTimer { after, timer }] = actions[..] else {
             panic!("expected a single timer: {actions:?}")
         };
-        waits.insert(after);
+        delays.insert(after);
         actions.clear();
         balancer.handle(1 + after, Event::TimerFired(timer), &mut actions);
         assert_eq!(actions, [Action::WatchServerList]);
     }
     assert!(
-        waits.len() > 6,
-        "only {} different waits of 8 balancers",
-        waits.len()
+        delays.len() > 6,
+        "only {} different delays of 8 balancers",
+        delays.len()
     );
 }
 
@@ -64,10 +64,10 @@
 fn only_a_snapshot_removes_missing_servers() {
     let mut balancer = TestBalancer::with_servers(settings(), 2);
     balancer.update_list(ListUpdate::Delta, vec![entry(1)]);
-    let both: Vec<ServerId> = (0..4)
+    let attempted: Vec<ServerId> = (0..4)
         .flat_map(|id| attempted_servers(&balancer.request(id, IDEMPOTENT)))
         .collect();
-    assert!(both.contains(&ServerId(0)) && both.contains(&ServerId(1)));
+    assert!(attempted.contains(&ServerId(0)) && attempted.contains(&ServerId(1)));
     balancer.update_list(ListUpdate::Snapshot, vec![entry(1)]);
     for id in 10..14 {
         assert_eq!(
@@ -123,8 +123,8 @@
     for id in 100..300 {
         let mut actions = balancer.request(id, IDEMPOTENT);
         balancer.establish_first_attempts(&actions);
-        for on_warm in [0, 1] {
-            balancer.measure(on_warm, ConnectionMetric::MessageLatency(80 * MS));
+        for warm_connection in [0, 1] {
+            balancer.measure(warm_connection, ConnectionMetric::MessageLatency(80 * MS));
         }
         actions.extend(balancer.advance(10 * MS));
         balancer.establish_first_attempts(&actions);
@@ -133,8 +133,9 @@
             .filter(|server| server.0 >= 2)
             .count();
     }
-    // The connections of the two warm servers, scaled to the ten new ones: 100 / 2 / 20 s * 1.6 * 3 *
-    // 10 * 0.4 per second, and more as the warm servers fill.
+    // The load of the warm servers (100 connections / 2 servers / warm-up time of 20 s), times the load
+    // factor 1.6, the overload multiple 3, ten new servers and their capacity 0.4 gives the expected rate
+    // per second; it grows as the warm servers fill.
     assert!(
         (60..=140).contains(&on_new),
         "{on_new} of 200 placements in two seconds on the new servers"
@@ -160,7 +161,7 @@
         .map(|ids| attempted_servers(&balancer.connect_at_interval(ids, 100 * MS)).len());
     assert!(
         placed[0] > 5 && placed[1] > 5,
-        "placements in the first and the second span: {placed:?}"
+        "placements in the first 5 s and the next 10 s: {placed:?}"
     );
 }
 
@@ -191,11 +192,11 @@
             failing
         );
     }
-    let mut only = TestBalancer::with_servers(settings(), 1);
-    only.request(0, IDEMPOTENT);
-    only.end_attempt(0, 0, AttemptOutcome::ConnectFailed);
+    let mut single_server = TestBalancer::with_servers(settings(), 1);
+    single_server.request(0, IDEMPOTENT);
+    single_server.end_attempt(0, 0, AttemptOutcome::ConnectFailed);
     assert_eq!(
-        attempted_servers(&only.request(1, IDEMPOTENT)),
+        attempted_servers(&single_server.request(1, IDEMPOTENT)),
         [ServerId(0)]
     );
 }
@@ -233,7 +234,7 @@
     assert!(placed.contains(&failing));
 }
 
-/// Otherwise every balancer would send a client to a new server at once.
+/// Many balancers that each sent a client to a new server at once would overload it.
 #[test]
 fn new_server_gets_nothing_at_first() {
     let mut balancer = TestBalancer::with_servers(settings(), 3);
@@ -261,7 +262,8 @@
     }
 }
 
-/// Changes count as known after 6 s; a call begins within 5 s even where deadlines allow longer backoff.
+/// A change of the list counts as known 6 s after discovery had it, so a failed call is repeated within 5 s
+/// even if the deadlines of the classes allow a longer backoff.
 #[test]
 fn failed_list_call_is_repeated_in_time() {
     let mut settings = polled_settings();
@@ -270,14 +272,14 @@
     }
     let mut balancer = TestBalancer::with_servers(settings, 1);
     for _ in 0..30 {
-        let timers = balancer.timers.len();
+        let timer_count = balancer.timers.len();
         balancer.update_list(ListUpdate::Failed(0), Vec::new());
-        let (fires_at, _) = balancer.timers[timers];
+        let (fires_at, _) = balancer.timers[timer_count];
         assert!(fires_at - balancer.now <= 5 * SECOND);
     }
 }
 
-/// Many balancers that are left with one new server share its budget.
+/// Many balancers whose only warm server is removed share the slow-start budget of the new one.
 #[test]
 fn balancers_share_budget_of_new_server() {
     let mut sent = 0;
@@ -309,7 +311,7 @@
         sent += attempted_servers(&balancer.request(100, IDEMPOTENT)).len();
     }
     // By the decayed rate, 9.5 clients per second came to the warm server. The new one is at 0.6 of its
-    // capacity: three times that for two seconds gives 34.
+    // capacity; the overload multiple 3 over the window of two seconds gives 9.5 * 0.6 * 3 * 2 = 34.
     assert!(
         (1..=42).contains(&sent),
         "{sent} of 60 balancers send a client at once"
