--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fair admission queues, without I/O, clock or globals.
 //!
-//! All requests that wait for a connection set-up wait in this queue. Permits are divided at three levels: among
+//! All requests that wait for a connection setup wait in this queue. Permits are divided at three levels: among
 //! accounts by share, among the classes of an account by weight, and among the clients of a class over a fixed number
 //! of queues. [`Limits`] bound the memory; at the limit, entries are evicted from the longest queue of the account
 //! with the most entries for its share.
@@ -33,7 +33,7 @@
 pub use queue::{AdmissionQueue, Entry, Limits, QueueSize};
 pub use rejected_clients::RejectedClients;
 pub use shortest_setup::ShortestSetup;
-pub use statistics::{AccountStatistics, AccountTable, Counts, NotAdmitted, QuotaExcess};
+pub use statistics::{AccountStatistics, AccountTable, Counts, NotAdmitted, ShareExcess};
 
 /// A point in time on the caller's monotonic clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/admission/src/statistics.rs
+++ b/crates/admission/src/statistics.rs
@@ -64,7 +64,7 @@
 
 /// A report that an account exceeds its share, or no longer does.
 #[derive(Clone, Debug, PartialEq)]
-pub struct QuotaExcess {
+pub struct ShareExcess {
     /// Name of the account.
     pub name: Box<str>,
     /// Recent fraction of all permits that the account got, from 0 to 1.
@@ -187,7 +187,7 @@
 
     /// Reports accounts that have exceeded their shares for at least `bound`, and those that no
     /// longer do after such a report. Each change is reported once.
-    pub fn check_quotas(&mut self, now: Nanos, bound: Nanos) -> Vec<QuotaExcess> {
+    pub fn check_shares(&mut self, now: Nanos, bound: Nanos) -> Vec<ShareExcess> {
         // Recomputes the sum so that rounding errors do not accumulate.
         self.total_share = self
             .by_account
@@ -207,7 +207,7 @@
                 && fraction < 1.0 - 1e-9;
             let since = *statistics.excess_since.get_or_insert(now);
             let excess_duration = now.saturating_sub(since);
-            let excess = |duration| QuotaExcess {
+            let excess = |duration| ShareExcess {
                 name: statistics.name.clone(),
                 fraction,
                 entitled_fraction,
--- a/crates/admission/tests/floods.rs
+++ b/crates/admission/tests/floods.rs
@@ -9,7 +9,7 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// Concurrent set-ups of the service, each of [`MEAN_SETUP_S`] on average: 200 per second in total.
+/// Concurrent setups of the service, each of [`MEAN_SETUP_S`] on average: 200 per second in total.
 const CONCURRENT_SETUPS: usize = 20;
 const MEAN_SETUP_S: f64 = 0.1;
 /// Round trip between client and balancer.
@@ -34,7 +34,7 @@
     retry_behavior: RetryBehavior,
     arrives_at: Nanos,
     is_returning: bool,
-    /// Key of the histogram that records its set-up times.
+    /// Key of the histogram that records its setup times.
     histogram_key: u64,
 }
 
@@ -64,7 +64,7 @@
 struct Outcome {
     /// Time and account of each admission, in order.
     admissions: Vec<(Nanos, u64)>,
-    /// Times from request to the end of the set-up in microseconds, by histogram key.
+    /// Times from request to the end of the setup in microseconds, by histogram key.
     setup_times_us: BTreeMap<u64, Histogram<u64>>,
     /// Retries after the given delay, and how many of them were then admitted.
     retries_after_delay: u64,
@@ -94,7 +94,7 @@
     let (mut accounts, mut outcome) = (AccountTable::default(), Outcome::default());
     let mut events: BinaryHeap<Reverse<(Nanos, u64, Event)>> = BinaryHeap::new();
     let (mut sequence, mut running, mut next_id, mut jitter) = (0, 0, 0_u64, Rng(seed));
-    // One generator per client, so that its set-up times are the same with and without the flood.
+    // One generator per client, so that its setup times are the same with and without the flood.
     let mut setup_time_rngs: Vec<Rng> = (0..clients.len() as u64)
         .map(|at| Rng(at * 977 + 1))
         .collect();
--- a/crates/admission/tests/statistics.rs
+++ b/crates/admission/tests/statistics.rs
@@ -71,12 +71,12 @@
         borrowed(&accounts, 1)
     );
     assert_eq!(
-        accounts.check_quotas(now, 5 * SECOND),
+        accounts.check_shares(now, 5 * SECOND),
         [],
         "the excess is shorter than the bound"
     );
     now = simulate_load(&mut accounts, now, 6, 90, 10);
-    let excesses = accounts.check_quotas(now, 5 * SECOND);
+    let excesses = accounts.check_shares(now, 5 * SECOND);
     assert!(
         excesses.len() == 1
             && &*excesses[0].name == "acme"
@@ -88,12 +88,12 @@
         "{excesses:?}"
     );
     assert_eq!(
-        accounts.check_quotas(now, 5 * SECOND),
+        accounts.check_shares(now, 5 * SECOND),
         [],
         "the excess is reported once"
     );
     now = simulate_load(&mut accounts, now, 20, 30, 30);
-    let excesses = accounts.check_quotas(now, 5 * SECOND);
+    let excesses = accounts.check_shares(now, 5 * SECOND);
     assert!(
         excesses.len() == 1 && excesses[0].duration.is_none(),
         "the end of the excess is reported: {excesses:?}"
@@ -111,7 +111,7 @@
             accounts.record_request(now, 1, "acme", 1.0);
             accounts.record_admission(now, 1, SECOND / 1_000);
         }
-        assert_eq!(accounts.check_quotas(now, SECOND), []);
+        assert_eq!(accounts.check_shares(now, SECOND), []);
     }
 }
 
@@ -200,7 +200,7 @@
             if outcome > 1 {
                 expected_counts[outcome as usize] += 1;
             }
-            for excess in accounts.check_quotas(now, SECOND) {
+            for excess in accounts.check_shares(now, SECOND) {
                 prop_assert!(excess.duration.is_none_or(|duration| duration >= SECOND));
             }
             prop_assert!(accounts.drain_time(now, account, 3).is_none_or(|span| span > 0));
--- a/crates/affinity/src/rebalancing.rs
+++ b/crates/affinity/src/rebalancing.rs
@@ -1,15 +1,15 @@
-//! Limits the rate at which clients are moved off servers that a new version of the configuration
+//! Limits the rate at which clients are migrated off servers that a new version of the configuration
 //! no longer permits them on. The limit applies to all processes together.
 
 use std::collections::VecDeque;
 
 use crate::{Group, Key, Millis, mix64};
 
-/// Time for which unused allowance accrues at most.
+/// Time for which an unused quota accrues at most.
 const MAX_ACCRUAL_MS: Millis = 1_000;
 
-/// The clients that wait to be moved, and this process's share of the fleet's allowance. The
-/// fraction of a share below one is applied as a probability. Guards against hundreds of processes
+/// The clients that wait to be migrated, and this process's quota of the fleet's limit. The
+/// fraction of a quota below one is applied as a probability. Guards against hundreds of processes
 /// that each round up.
 #[derive(Clone, Debug)]
 pub struct Rebalancer {
@@ -21,7 +21,7 @@
 }
 
 impl Rebalancer {
-    /// Creates a limiter of `per_s` moves per second over all processes; `seed` must differ between
+    /// Creates a limiter of `per_s` migrations per second over all processes; `seed` must differ between
     /// processes.
     pub fn new(per_s: f64, processes: u32, seed: u64) -> Rebalancer {
         let per_s = if per_s.is_finite() {
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Sets the number of processes that share the allowance.
+    /// Sets the number of processes that share the limit.
     pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1);
     }
 
     /// Replaces the waiting clients with those that are no longer permitted on their server.
-    /// Clients of a group are moved one after another.
+    /// Clients of a group are migrated one after another.
     pub fn set_pending(&mut self, clients: impl IntoIterator<Item = (Key, Option<Group>)>) {
         let mut clients: Vec<(Key, Option<Group>)> = clients.into_iter().collect();
         clients.sort_unstable_by_key(|(key, group)| (*group, *key));
@@ -63,10 +63,10 @@
             .saturating_sub(self.last_drawn_at.unwrap_or(now))
             .min(MAX_ACCRUAL_MS);
         self.last_drawn_at = Some(now.max(self.last_drawn_at.unwrap_or(now)));
-        let allowance = self.per_s / f64::from(self.processes) * elapsed_ms as f64 / 1_000.0;
+        let quota = self.per_s / f64::from(self.processes) * elapsed_ms as f64 / 1_000.0;
         self.random_state = mix64(self.random_state);
         let draw = (self.random_state >> 11) as f64 / (1_u64 << 53) as f64;
-        let count = allowance.floor() as usize + usize::from(draw < allowance.fract());
+        let count = quota.floor() as usize + usize::from(draw < quota.fract());
         self.pending
             .drain(..count.min(self.pending.len()))
             .collect()
--- a/crates/balancer/src/admin/admission.rs
+++ b/crates/balancer/src/admin/admission.rs
@@ -40,7 +40,7 @@
 
 fn account(account: &AccountSnapshot) -> Value {
     json!({
-        "account": account.name, "due": account.quota, "per_second": account.admitted_per_s,
+        "account": account.name, "due": account.entitled_fraction, "per_second": account.admitted_per_s,
         "waiting": account.queued, "asked": account.counts.requests, "admitted": account.counts.admitted,
         "lent": account.counts.borrowed, "refused": account.counts.rejected, "given_up": account.counts.timed_out, "left": account.counts.client_left,
         "wait_p50_ms": account.wait_p50_ms, "wait_p99_ms": account.wait_p99_ms,
--- a/crates/balancer/src/core/admission.rs
+++ b/crates/balancer/src/core/admission.rs
@@ -8,7 +8,7 @@
 
 use beaconflow_admission::{
     AccountStatistics, AccountTable, AdmissionQueue, Counts, Entry, Limits, NotAdmitted,
-    QuotaExcess, RejectedClients, ShortestSetup,
+    RejectedClients, ShareExcess, ShortestSetup,
 };
 use beaconflow_policy::{self as policy, Nanos, RequestClass, RequestId};
 use beaconflow_settings::{ActiveSettings, digest};
@@ -20,23 +20,23 @@
 /// The account of requests that name none.
 const DEFAULT_ACCOUNT: &str = "others";
 
-/// Settings of the admission queue and of the accounts' quotas.
+/// Settings of the admission queue and of the accounts' shares.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
     /// Limits of the admission queue.
     pub limits: Limits,
-    /// Quotas by account; they override all others.
-    pub quotas: HashMap<String, f64>,
-    /// Time over its quota after which an account is logged.
-    pub over_quota_after: Duration,
+    /// Shares by account; they override all others.
+    pub shares: HashMap<String, f64>,
+    /// Time over its share after which an account is logged.
+    pub over_share_after: Duration,
 }
 
 impl Default for AdmissionConfig {
     fn default() -> AdmissionConfig {
         AdmissionConfig {
             limits: Limits::default(),
-            quotas: HashMap::new(),
-            over_quota_after: Duration::from_secs(10),
+            shares: HashMap::new(),
+            over_share_after: Duration::from_secs(10),
         }
     }
 }
@@ -59,8 +59,8 @@
 pub struct AccountSnapshot {
     /// Name of the account.
     pub name: String,
-    /// Its share of the service by the quotas of all accounts, from 0 to 1.
-    pub quota: f64,
+    /// Fraction of the service that its share entitles it to, from 0 to 1.
+    pub entitled_fraction: f64,
     /// Recent first attempts per second.
     pub admitted_per_s: f64,
     /// Number of queued requests.
@@ -81,7 +81,7 @@
     /// Shortest setup times by class.
     fastest_setups: Vec<ShortestSetup>,
     config: AdmissionConfig,
-    /// The site's settings, which name classes, accounts and quotas.
+    /// The site's settings, which name classes, accounts and shares.
     active_settings: Arc<ActiveSettings>,
     /// Seed of the queue's shuffle shards, also of a queue that replaces this one.
     seed: u64,
@@ -111,11 +111,11 @@
         }
     }
 
-    /// The quota of an account: from the operator's file, else its own record, else the site's
+    /// The share of an account: from the operator's file, else its own record, else the site's
     /// settings. An account without any gets the least of the listed ones.
-    fn quota(&self, client_request: &ClientRequest) -> f64 {
+    fn share(&self, client_request: &ClientRequest) -> f64 {
         let account_id = client_request.account.as_deref();
-        let configured = || self.config.quotas.get(account_id?).copied();
+        let configured = || self.config.shares.get(account_id?).copied();
         let listed = || self.active_settings.site_settings().tenant_shares();
         let named = || {
             listed()
@@ -124,7 +124,7 @@
         };
         let min_listed = || listed().map(|(_, share)| share).reduce(f64::min);
         configured()
-            .or(client_request.quota)
+            .or(client_request.share)
             .or_else(named)
             .or_else(min_listed)
             .unwrap_or(1.0)
@@ -153,7 +153,7 @@
         Entry {
             id,
             account: account_id(client_request),
-            share: self.quota(client_request),
+            share: self.share(client_request),
             class: self.active_settings.current_index(client_request.class),
             // A group of ten thousand sites is one flow and fills no more queues than any other.
             flow: client_request.group.unwrap_or(client),
@@ -209,7 +209,7 @@
     }
 
     /// Applies replaced site settings. Queued requests keep their order in a queue for the new
-    /// classes and quotas.
+    /// classes and shares.
     pub(super) fn replace_settings(
         &mut self,
         active_settings: &Arc<ActiveSettings>,
@@ -226,7 +226,7 @@
             return;
         }
         requests.update_queue_entries(|client_request, entry| Entry {
-            share: self.quota(client_request),
+            share: self.share(client_request),
             class: active_settings.current_index(client_request.class),
             ..entry
         });
@@ -253,7 +253,7 @@
         let accounts = self.accounts.sorted_by_name();
         let snapshot_of = |(id, statistics): &(u64, &AccountStatistics)| AccountSnapshot {
             name: statistics.name.clone().into(),
-            quota: self.accounts.entitled_fraction(*id),
+            entitled_fraction: self.accounts.entitled_fraction(*id),
             admitted_per_s: statistics.admitted_per_s(now),
             queued: self.queue.queued_of(*id),
             counts: statistics.counts,
@@ -330,11 +330,11 @@
         self.grant_permits();
     }
 
-    /// Logs accounts that have been over their quota for long, and their return.
-    pub(super) fn log_over_quota(&mut self) {
-        let min_duration = self.admission.config.over_quota_after;
+    /// Logs accounts that have been over their share for long, and their return.
+    pub(super) fn log_over_share(&mut self) {
+        let min_duration = self.admission.config.over_share_after;
         let min_duration = Nanos::try_from(min_duration.as_nanos()).unwrap_or(Nanos::MAX);
-        for QuotaExcess {
+        for ShareExcess {
             name,
             fraction,
             entitled_fraction,
@@ -342,7 +342,7 @@
         } in self
             .admission
             .accounts
-            .check_quotas(self.clock.now(), min_duration)
+            .check_shares(self.clock.now(), min_duration)
         {
             let (fraction_text, entitled_text) = (
                 format!("{:.0}%", fraction * 100.0),
--- a/crates/balancer/src/core/messages.rs
+++ b/crates/balancer/src/core/messages.rs
@@ -27,8 +27,8 @@
     pub tenant: Option<u64>,
     /// Name of the account that it counts for.
     pub account: Option<Arc<str>>,
-    /// The account's quota, where its record has one.
-    pub quota: Option<f64>,
+    /// The account's share, where its record has one.
+    pub share: Option<f64>,
     /// Whether the client reports that it was migrated or disconnected.
     pub is_reconnect: bool,
     /// Bytes that its front buffers while it waits.
--- a/crates/balancer/src/core/mod.rs
+++ b/crates/balancer/src/core/mod.rs
@@ -68,8 +68,8 @@
 
 /// Interval of the log line with the counts.
 const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval of the check for accounts over their quota.
-const OVER_QUOTA_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of the check for accounts over their share.
+const OVER_SHARE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two attempts to resume a connection from before the start.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout of one attempt to resume a connection.
@@ -85,8 +85,8 @@
     /// The drain of this number continues.
     DrainProgress(u64),
     LogCounts,
-    /// Accounts are checked against their quotas.
-    LogOverQuota,
+    /// Accounts are checked against their shares.
+    LogOverShare,
     /// A queued request may have expired.
     QueueExpiry,
     /// An override begins, ends or changes its effect.
@@ -145,7 +145,7 @@
 impl Core {
     fn run(&mut self, receiver: &CoreReceiver) {
         self.set_timer(COUNTS_LOG_INTERVAL, TimerKind::LogCounts);
-        self.set_timer(OVER_QUOTA_CHECK_INTERVAL, TimerKind::LogOverQuota);
+        self.set_timer(OVER_SHARE_CHECK_INTERVAL, TimerKind::LogOverShare);
         while self.run_once(receiver) && !self.has_exited() {}
     }
 
@@ -310,9 +310,9 @@
                 self.log_counts(&snapshot);
                 self.set_timer(COUNTS_LOG_INTERVAL, TimerKind::LogCounts);
             }
-            TimerKind::LogOverQuota => {
-                self.log_over_quota();
-                self.set_timer(OVER_QUOTA_CHECK_INTERVAL, TimerKind::LogOverQuota);
+            TimerKind::LogOverShare => {
+                self.log_over_share();
+                self.set_timer(OVER_SHARE_CHECK_INTERVAL, TimerKind::LogOverShare);
             }
         }
     }
--- a/crates/balancer/src/core/settings/tests.rs
+++ b/crates/balancer/src/core/settings/tests.rs
@@ -52,7 +52,7 @@
         group: None,
         tenant: None,
         account: Some("acme".into()),
-        quota: None,
+        share: None,
         is_reconnect: false,
         buffered_bytes: 40,
         expected_load: None,
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn admits_queued_requests_by_new_quotas() {
+fn admits_queued_requests_by_new_shares() {
     let (mut core, commands) = new_core();
     for id in 0..INITIAL_CONCURRENCY_LIMIT {
         open_request(&mut core, &commands, id, "acme", LONG_TIMEOUT);
--- a/crates/balancer/src/core/start.rs
+++ b/crates/balancer/src/core/start.rs
@@ -39,7 +39,7 @@
     pub prober: Option<Box<dyn LoadProber>>,
     /// The overrides restored from the store.
     pub overrides: OverrideSet,
-    /// Limits of the admission queue and quotas of the accounts.
+    /// Limits of the admission queue and shares of the accounts.
     pub admission: AdmissionConfig,
     /// Link to the fleet thread, where a fleet is configured.
     pub fleet: Option<FleetLinkConfig>,
--- a/crates/balancer/src/core/testing.rs
+++ b/crates/balancer/src/core/testing.rs
@@ -135,7 +135,7 @@
         group: None,
         tenant: None,
         account: Some(account.into()),
-        quota: None,
+        share: None,
         is_reconnect: false,
         buffered_bytes: 40,
         expected_load: None,
--- a/crates/balancer/src/fleet/core_events.rs
+++ b/crates/balancer/src/fleet/core_events.rs
@@ -155,7 +155,7 @@
         }
         let is_answer = !matches!(
             health,
-            ServerHealth::Unresponsive | ServerHealth::Refused | ServerHealth::Gone
+            ServerHealth::Unresponsive | ServerHealth::Refused | ServerHealth::Removed
         );
         let outcome = if is_answer {
             Answered { latency_ms: 0 }
--- a/crates/balancer/src/fleet/memory_writer.rs
+++ b/crates/balancer/src/fleet/memory_writer.rs
@@ -26,7 +26,7 @@
     pub(super) incarnation: u64,
     /// When the memory was last written, by the wall clock at that time.
     pub(super) written_at: Option<Millis>,
-    /// The server list with the epoch of the discovery that sent it.
+    /// The server list with the incarnation of the discovery that sent it.
     pub(super) list: Option<(ServerList, u64)>,
     pub(super) placements: Vec<Placement>,
     pub(super) versions: Vec<VersionFact>,
--- a/crates/balancer/src/fleet/messages.rs
+++ b/crates/balancer/src/fleet/messages.rs
@@ -134,7 +134,7 @@
     ServerHealth::Unresponsive,
     ServerHealth::Refused,
     ServerHealth::Draining,
-    ServerHealth::Gone,
+    ServerHealth::Removed,
 ];
 
 /// Encodes own evidence on a server.
--- a/crates/balancer/src/fleet/peer_events.rs
+++ b/crates/balancer/src/fleet/peer_events.rs
@@ -51,7 +51,7 @@
             self.send_affinity_event(AffinityEvent::Versions(summary.versions));
         }
         if summary.has_list_position {
-            self.adopt_list_epoch();
+            self.adopt_list_incarnation();
         }
         if summary.has_entries {
             self.adopt_peer_list();
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Adopts the list epoch that the peers know, where this process had none of its own.
-    fn adopt_list_epoch(&mut self) {
+    /// Adopts the list incarnation that the peers know, where this process had none of its own.
+    fn adopt_list_incarnation(&mut self) {
         let now = self.now_ms();
         let position = shared_gossip::with_gossip(&self.gossip, |shared| {
             shared.facts.reassess_list(LIST_TTL_MS, now)
--- a/crates/balancer/src/fleet/records.rs
+++ b/crates/balancer/src/fleet/records.rs
@@ -23,7 +23,7 @@
     #[prost(uint64, tag = "1")]
     generation: u64,
     #[prost(uint64, tag = "2")]
-    epoch: u64,
+    incarnation: u64,
     #[prost(message, repeated, tag = "3")]
     entries: Vec<EntryRecord>,
 }
@@ -111,8 +111,8 @@
     }
 }
 
-/// Encodes the server list with the epoch of its discovery.
-pub(super) fn encode_list(list: &ServerList, epoch: u64, now: u64) -> Record {
+/// Encodes the server list with the incarnation of its discovery.
+pub(super) fn encode_list(list: &ServerList, list_incarnation: u64, now: u64) -> Record {
     let entry = |listed: &ListedServer| EntryRecord {
         name: listed.instance_id.clone(),
         address: listed.host_port.map(|at| at.to_string()),
@@ -132,7 +132,7 @@
         b"",
         ListRecord {
             generation: list.generation,
-            epoch,
+            incarnation: list_incarnation,
             entries,
         }
         .encode_to_vec(),
@@ -140,7 +140,7 @@
     )
 }
 
-/// Decodes a server list with its epoch.
+/// Decodes a server list with the incarnation of its discovery.
 pub(super) fn decode_list(record: &Record) -> Option<(ServerList, u64)> {
     let decoded = ListRecord::decode(record.value.as_slice()).ok()?;
     let entry = |entry: EntryRecord| {
@@ -166,7 +166,7 @@
             reset: true,
             instances: instances?,
         },
-        decoded.epoch,
+        decoded.incarnation,
     ))
 }
 
--- a/crates/balancer/src/fleet/records/tests.rs
+++ b/crates/balancer/src/fleet/records/tests.rs
@@ -22,8 +22,11 @@
         instances: vec![listed],
     };
     let record = encode_list(&list, 2, 5);
-    let (decoded, epoch) = decode_list(&record).expect("a complete record");
-    assert_eq!((format!("{decoded:?}"), epoch), (format!("{list:?}"), 2));
+    let (decoded, list_incarnation) = decode_list(&record).expect("a complete record");
+    assert_eq!(
+        (format!("{decoded:?}"), list_incarnation),
+        (format!("{list:?}"), 2)
+    );
     for state in [
         PlacementState::Established,
         PlacementState::Ended(EndReason::ConnectionLost),
--- a/crates/balancer/src/fleet/recovery_commands.rs
+++ b/crates/balancer/src/fleet/recovery_commands.rs
@@ -73,7 +73,7 @@
             let lifecycle = match entry.lifecycle {
                 recovery::Lifecycle::Ready => ServerLifecycle::Serving,
                 recovery::Lifecycle::Draining => ServerLifecycle::Draining,
-                recovery::Lifecycle::Gone => ServerLifecycle::Deleted,
+                recovery::Lifecycle::Removed => ServerLifecycle::Deleted,
             };
             Some(ListedServer {
                 lifecycle,
--- a/crates/balancer/src/fleet/recovery_driver.rs
+++ b/crates/balancer/src/fleet/recovery_driver.rs
@@ -5,7 +5,7 @@
 
 use beaconflow_policy::{Nanos, Settings};
 use beaconflow_recovery::{
-    AccountQuota, Action, Event, EvidenceSource, Millis, OutageScope, Recovery, RecoveryConfig,
+    AccountShare, Action, Event, EvidenceSource, Millis, OutageScope, Recovery, RecoveryConfig,
     RecoveryState, RecoveryStep, RequestClass, ServiceMode, SlowStartRules, Timeouts,
 };
 use beaconflow_settings::{SiteSettings, digest};
@@ -86,9 +86,9 @@
         usual_clients: fleet.clients,
         accounts: site
             .tenant_shares()
-            .map(|(name, quota)| AccountQuota {
+            .map(|(name, share)| AccountShare {
                 account: digest(name),
-                quota,
+                share,
             })
             .collect(),
         ..RecoveryConfig::default()
--- a/crates/balancer/src/fleet/restore.rs
+++ b/crates/balancer/src/fleet/restore.rs
@@ -21,11 +21,11 @@
     pub(super) fn restore(&mut self, restored: RestoredMemory) {
         self.now = self.clock.now();
         let memory = self.recovery_memory(&restored);
-        let position = restored.list.map(|(list, epoch)| {
+        let position = restored.list.map(|(list, list_incarnation)| {
             let by_name = |server: &ListedServer| (server.instance_id.clone(), server.clone());
             self.servers = list.instances.iter().map(by_name).collect();
             ListPosition {
-                incarnation: epoch,
+                incarnation: list_incarnation,
                 generation: list.generation,
             }
         });
@@ -44,14 +44,14 @@
 
     /// The memory in the form of the recovery state machine, if it has been written before.
     fn recovery_memory(&self, restored: &RestoredMemory) -> Option<recovery::Memory> {
-        let epoch = restored
+        let list_incarnation = restored
             .list
             .as_ref()
-            .map_or(0, |(list, _)| self.list_epoch(list));
+            .map_or(0, |(list, _)| self.list_incarnation(list));
         let list = restored
             .list
             .as_ref()
-            .map(|(list, _)| recovery_list(list, epoch, ListSource::Memory));
+            .map(|(list, _)| recovery_list(list, list_incarnation, ListSource::Memory));
         let previous_clients = restored
             .previous_clients
             .map(|clients| recovery::PreviousClients {
@@ -69,9 +69,9 @@
         })
     }
 
-    /// The epoch of a remembered list. A list that discovery sends under a lower generation belongs
-    /// to another one.
-    fn list_epoch(&self, list: &ServerList) -> u64 {
+    /// The incarnation of discovery that a remembered list came from. A list that discovery sends
+    /// under a lower generation belongs to another one.
+    fn list_incarnation(&self, list: &ServerList) -> u64 {
         let announcement = ListAnnouncement {
             generation: list.generation,
             digest: list_digest(list),
--- a/crates/balancer/src/fleet/server_list.rs
+++ b/crates/balancer/src/fleet/server_list.rs
@@ -45,17 +45,17 @@
         })
         .ok();
         self.list_position = position.or(self.list_position);
-        let epoch = self
+        let list_incarnation = self
             .list_position
             .map_or(0, |position| position.incarnation);
         if let Some(position) = self.list_position {
             self.publish_entries(position, &list.instances);
         }
         self.memory
-            .store(records::encode_list(&snapshot, epoch, now));
+            .store(records::encode_list(&snapshot, list_incarnation, now));
         self.on_recovery_event(RecoveryEvent::ListReceived(recovery_list(
             &snapshot,
-            epoch,
+            list_incarnation,
             ListSource::Discovery,
         )));
         self.with_uplink(|uplink, now| uplink.on_evidence(now, Evidence::WatchAlive));
@@ -152,21 +152,25 @@
 }
 
 /// A list for the recovery state machine.
-pub(super) fn recovery_list(list: &ServerList, epoch: u64, source: ListSource) -> recovery::List {
+pub(super) fn recovery_list(
+    list: &ServerList,
+    list_incarnation: u64,
+    source: ListSource,
+) -> recovery::List {
     let entry = |server: &ListedServer| recovery::Entry {
         name: server.instance_id.clone(),
         started_at_ms: server.started_at_ms,
         lifecycle: match server.lifecycle {
             ServerLifecycle::Serving => recovery::Lifecycle::Ready,
             ServerLifecycle::Draining => recovery::Lifecycle::Draining,
-            ServerLifecycle::Deleted => recovery::Lifecycle::Gone,
+            ServerLifecycle::Deleted => recovery::Lifecycle::Removed,
         },
         weight: server.weight,
     };
     recovery::List {
         source,
         generation: list.generation,
-        epoch,
+        incarnation: list_incarnation,
         age: 0,
         reported_at: None,
         entries: list.instances.iter().map(entry).collect(),
--- a/crates/balancer/src/fleet/site_evidence.rs
+++ b/crates/balancer/src/fleet/site_evidence.rs
@@ -196,7 +196,7 @@
         ServerHealth::Unresponsive => "the server does not answer",
         ServerHealth::Refused => "the server refuses connections",
         ServerHealth::Draining => "the server announced that it drains",
-        ServerHealth::Gone => "the server is gone",
+        ServerHealth::Removed => "the server is gone",
     }
 }
 
--- a/crates/balancer/src/fleet/uplink.rs
+++ b/crates/balancer/src/fleet/uplink.rs
@@ -47,8 +47,8 @@
 
 /// The configuration of the state machine.
 pub(super) fn config(fleet: &operator::FleetConfig, seed: u64) -> Config {
-    let (defaults, answer_timeout_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
-    let capped = |span: Millis| span.min(answer_timeout_ms);
+    let (defaults, isolation_delay_ms) = (Config::default(), millis(fleet.edge.isolation_delay));
+    let capped = |span: Millis| span.min(isolation_delay_ms);
     Config {
         site: fleet.site.clone(),
         name: fleet.name.clone(),
@@ -57,7 +57,7 @@
         confirm_ms: capped(defaults.confirm_ms),
         steady_ms: capped(defaults.steady_ms),
         damp_cap_ms: capped(defaults.damp_cap_ms),
-        answer_timeout_ms,
+        isolation_delay_ms,
         trust_for_ms: millis(fleet.edge.trust_period),
         ..defaults
     }
--- a/crates/balancer/src/front/nats/mod.rs
+++ b/crates/balancer/src/front/nats/mod.rs
@@ -125,7 +125,7 @@
             group: None,
             tenant: Some(digest(&tenant.name)),
             account: Some(Arc::from(tenant.name.as_str())),
-            quota: Some(tenant.share),
+            share: Some(tenant.share),
             is_reconnect: false,
             buffered_bytes: connect.len(),
             expected_load: None,
--- a/crates/balancer/src/front/platform.rs
+++ b/crates/balancer/src/front/platform.rs
@@ -116,7 +116,7 @@
             group: fields.group,
             tenant: fields.tenant.map(digest),
             account: fields.tenant.map(Arc::from),
-            quota: None,
+            share: None,
             is_reconnect: fields.is_reconnect,
             buffered_bytes: line.len(),
             expected_load: fields.expected_load,
--- a/crates/balancer/src/operator.rs
+++ b/crates/balancer/src/operator.rs
@@ -41,7 +41,7 @@
     pub admin: Option<AdminConfig>,
     /// Store and limits of overrides.
     pub overrides: overrides::OverridesConfig,
-    /// Limits and quotas of admission.
+    /// Limits and shares of admission.
     pub admission: AdmissionConfig,
     /// The fleet, if it is configured.
     pub fleet: Option<FleetConfig>,
--- a/crates/balancer/src/operator/admission.rs
+++ b/crates/balancer/src/operator/admission.rs
@@ -1,4 +1,4 @@
-//! The section `[admission]`: limits of the admission queue and quotas of accounts.
+//! The section `[admission]`: limits of the admission queue and shares of accounts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 pub(super) fn admission(mut section: Section<'_>) -> AdmissionConfig {
     let default = AdmissionConfig::default();
     let limits = limits(&mut section, default.limits);
-    let over_quota_after = over_quota_after(&mut section, default.over_quota_after);
-    let quotas = section.section("shares").map(quotas).unwrap_or_default();
+    let over_share_after = over_share_after(&mut section, default.over_share_after);
+    let shares = section.section("shares").map(shares).unwrap_or_default();
     section.reject_unknown_fields();
     AdmissionConfig {
         limits,
-        quotas,
-        over_quota_after,
+        shares,
+        over_share_after,
     }
 }
 
@@ -73,7 +73,7 @@
     bound
 }
 
-fn over_quota_after(section: &mut Section<'_>, default: Duration) -> Duration {
+fn over_share_after(section: &mut Section<'_>, default: Duration) -> Duration {
     let seconds: f64 = section.optional("over_share_s", default.as_secs_f64());
     if (1.0..=86_400.0).contains(&seconds) {
         return Duration::from_secs_f64(seconds);
@@ -82,14 +82,14 @@
     default
 }
 
-fn quotas(mut section: Section<'_>) -> HashMap<String, f64> {
+fn shares(mut section: Section<'_>) -> HashMap<String, f64> {
     let names: Vec<String> = section.table.keys().cloned().collect();
-    let mut quotas = HashMap::new();
+    let mut shares = HashMap::new();
     for name in names {
-        let quota: Option<f64> = section.required(&name);
-        let is_invalid = quota.is_some_and(|quota| !(0.001..=1e6).contains(&quota));
+        let share: Option<f64> = section.required(&name);
+        let is_invalid = share.is_some_and(|share| !(0.001..=1e6).contains(&share));
         section.error_if(&name, is_invalid, "must be from 0.001 to 1000000");
-        quotas.extend(quota.map(|quota| (name, quota)));
+        shares.extend(share.map(|share| (name, share)));
     }
-    quotas
+    shares
 }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Applies limits and quotas of admission. The number of queues and of choices needs a restart.
+    /// Applies limits and shares of admission. The number of queues and of choices needs a restart.
     fn apply_admission(
         &mut self,
         cores: &[NamedCore],
--- a/crates/edge/src/config.rs
+++ b/crates/edge/src/config.rs
@@ -27,7 +27,7 @@
     /// How long answers have to arrive over the uplink before an isolated site rejoins.
     pub steady_ms: Millis,
     /// Maximum time in [`UplinkState::Doubtful`](crate::UplinkState::Doubtful).
-    pub answer_timeout_ms: Millis,
+    pub isolation_delay_ms: Millis,
     /// Maximum time in [`UplinkState::Rejoining`](crate::UplinkState::Rejoining).
     pub rejoin_ms: Millis,
     /// Upper bound of the confirmation spans, which double with each state change within a minute.
@@ -61,7 +61,7 @@
             fresh_ms: 6_000,
             confirm_ms: 2_000,
             steady_ms: 3_000,
-            answer_timeout_ms: 20_000,
+            isolation_delay_ms: 20_000,
             rejoin_ms: 30_000,
             damp_cap_ms: 20_000,
             slow_ms: 2_000,
@@ -153,7 +153,7 @@
             "must be at least confirm and steady".into(),
         );
         require(
-            max_damping_ms <= self.answer_timeout_ms,
+            max_damping_ms <= self.isolation_delay_ms,
             "patience",
             "must be at least damp_cap".into(),
         );
@@ -190,7 +190,7 @@
             ("fresh", self.fresh_ms),
             ("confirm", self.confirm_ms),
             ("steady", self.steady_ms),
-            ("patience", self.answer_timeout_ms),
+            ("patience", self.isolation_delay_ms),
             ("rejoin", self.rejoin_ms),
             ("damp_cap", self.damp_cap_ms),
             ("slow", self.slow_ms),
--- a/crates/edge/src/health_reports.rs
+++ b/crates/edge/src/health_reports.rs
@@ -34,7 +34,7 @@
     /// The server announced that it is draining (`MOVE`).
     Draining,
     /// The server is gone.
-    Gone,
+    Removed,
 }
 
 /// Finding of a process before its present one.
--- a/crates/edge/src/pace.rs
+++ b/crates/edge/src/pace.rs
@@ -43,19 +43,19 @@
     }
 }
 
-/// Share of the clients that may be sent to servers in slow start.
+/// Part of the fleet's clients that this process may send to servers in slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartQuota {
-    /// Numerator of the share.
+    /// Numerator of the fraction.
     pub numerator: u32,
-    /// Denominator of the share.
+    /// Denominator of the fraction.
     pub denominator: u32,
 }
 
 impl SlowStartQuota {
-    /// Applies the share to a budget.
-    pub fn share(&self, budget: f64) -> f64 {
-        budget * f64::from(self.numerator) / f64::from(self.denominator.max(1))
+    /// The part of a limit, such as clients per second, that this process may use.
+    pub fn of_limit(&self, limit: f64) -> f64 {
+        limit * f64::from(self.numerator) / f64::from(self.denominator.max(1))
     }
 }
 
--- a/crates/edge/src/rejoin.rs
+++ b/crates/edge/src/rejoin.rs
@@ -26,7 +26,7 @@
     /// It finishes its present work and takes no more.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// A server as known to the isolated site.
@@ -65,7 +65,7 @@
     /// The server is draining, which the isolated site did not know.
     Draining,
     /// The server is gone.
-    Gone,
+    Removed,
 }
 
 /// Connections to migrate off a server at a limited rate.
@@ -134,7 +134,7 @@
         match listed_by_name.get(name) {
             Some(server) => plan.reconcile(now, known, server, slow_start_ms),
             None if origin.is_complete && origin.is_same_incarnation => {
-                plan.migrate_off(known, Readiness::Gone)
+                plan.migrate_off(known, Readiness::Removed)
             }
             None => plan.kept.push(KeptServer {
                 server: known.server.clone(),
@@ -199,8 +199,8 @@
 
     /// Stops using a server that is draining or gone, and migrates its connections, if any.
     fn migrate_off(&mut self, known: &KnownServer, readiness: Readiness) {
-        let reason = if readiness == Readiness::Gone {
-            MigrationReason::Gone
+        let reason = if readiness == Readiness::Removed {
+            MigrationReason::Removed
         } else {
             MigrationReason::Draining
         };
--- a/crates/edge/src/server_assessment.rs
+++ b/crates/edge/src/server_assessment.rs
@@ -228,7 +228,7 @@
 
 /// When an unreachable server became reachable again, which means that it restarted in between.
 fn reappeared_at(all: &[&HealthReport]) -> Option<Millis> {
-    let (at, _) = last_finding(all, &[ServerHealth::Refused, ServerHealth::Gone])?;
+    let (at, _) = last_finding(all, &[ServerHealth::Refused, ServerHealth::Removed])?;
     recovered_at(all, at)
 }
 
@@ -241,7 +241,7 @@
         ServerHealth::Unresponsive,
         ServerHealth::Refused,
         ServerHealth::Draining,
-        ServerHealth::Gone,
+        ServerHealth::Removed,
     ];
     let Some((at, health)) = last_finding(all, &kinds) else {
         return 1_000;
--- a/crates/edge/src/transitions.rs
+++ b/crates/edge/src/transitions.rs
@@ -249,7 +249,7 @@
                 "the uplink is available: the unreachable targets failed on their own".into();
             return self.transition(now, UplinkState::Linked, reason, actions);
         }
-        if now - self.state_since >= self.config.answer_timeout_ms {
+        if now - self.state_since >= self.config.isolation_delay_ms {
             self.resolve_doubt(now, log_odds, actions);
         }
     }
--- a/crates/edge/tests/any_order.rs
+++ b/crates/edge/tests/any_order.rs
@@ -150,7 +150,7 @@
         let ends = begins.iter().skip(1).map(|(at, _)| *at).chain([end]);
         for ((at, state), until) in begins.iter().zip(ends) {
             let bound = match state {
-                UplinkState::Doubtful => config.answer_timeout_ms,
+                UplinkState::Doubtful => config.isolation_delay_ms,
                 UplinkState::Rejoining => config.rejoin_ms,
                 UplinkState::Linked | UplinkState::Isolated => continue,
             };
--- a/crates/edge/tests/model/mod.rs
+++ b/crates/edge/tests/model/mod.rs
@@ -259,7 +259,7 @@
             Readiness::Draining,
             false,
         );
-        set(300, "s3", ActualHealth::Stopped, Readiness::Gone, false);
+        set(300, "s3", ActualHealth::Stopped, Readiness::Removed, false);
         set(330, "s3", ActualHealth::Healthy, Readiness::Serving, true);
         // A drain that the server itself does not announce.
         set(500, "s4", ActualHealth::Healthy, Readiness::Draining, false);
@@ -599,7 +599,7 @@
         let rate = process
             .counts
             .slow_start_quota()
-            .share(SLOW_START_CLIENTS_PER_S);
+            .of_limit(SLOW_START_CLIENTS_PER_S);
         process.slow_start_credit =
             (process.slow_start_credit + rate * STEP as f64 / 1_000.0).min(1.0);
         let is_listed_recently = |server: &ListedServer| now < server.started_ms + SLOW_START_MS;
--- a/crates/edge/tests/rejoin.rs
+++ b/crates/edge/tests/rejoin.rs
@@ -42,7 +42,7 @@
     let list = [
         listed_server("same", Readiness::Serving, 5),
         listed_server("drains", Readiness::Draining, 5),
-        listed_server("gone", Readiness::Gone, 5),
+        listed_server("gone", Readiness::Removed, 5),
         listed_server("again", Readiness::Serving, NOW - 1_000),
         listed_server("new", Readiness::Serving, NOW - 2_000),
         listed_server("new-drains", Readiness::Draining, 5),
@@ -56,9 +56,9 @@
     assert_eq!(
         migrations,
         [
-            ("absent", MigrationReason::Gone),
+            ("absent", MigrationReason::Removed),
             ("drains", MigrationReason::Draining),
-            ("gone", MigrationReason::Gone)
+            ("gone", MigrationReason::Removed)
         ]
     );
     let kept: Vec<(&str, u64, Option<Millis>)> = plan
@@ -267,7 +267,7 @@
     let readiness = prop::sample::select(vec![
         Readiness::Serving,
         Readiness::Draining,
-        Readiness::Gone,
+        Readiness::Removed,
     ]);
     let server = (0..8_u32, readiness, 0..2_u64)
         .prop_map(|(id, readiness, start)| listed_server(&id.to_string(), readiness, 5 + start));
@@ -352,7 +352,7 @@
                 let previous = live;
                 if second == 40 { live = next_live; }
                 exchange_counts(&mut counts, now, groups, live, previous);
-                let sum: f64 = (0..3).map(|own| counts[own].slow_start_quota().share(1.0) * f64::from(live[own])).sum();
+                let sum: f64 = (0..3).map(|own| counts[own].slow_start_quota().of_limit(1.0) * f64::from(live[own])).sum();
                 prop_assert!(sum <= 1.0 + 1e-9, "sum of quotas is {} at {} ms, groups {:?}, processes {:?}", sum, now, groups, live);
             }
         }
--- a/crates/edge/tests/servers.rs
+++ b/crates/edge/tests/servers.rs
@@ -192,8 +192,8 @@
     // Servers with the most severe findings are ejected first.
     let mut all = HealthReports::new();
     report_from(&mut all, START, 3, "s1", ServerHealth::Unresponsive);
-    report_from(&mut all, START, 2, "s2", ServerHealth::Gone);
-    report_from(&mut all, START, 2, "s3", ServerHealth::Gone);
+    report_from(&mut all, START, 2, "s2", ServerHealth::Removed);
+    report_from(&mut all, START, 2, "s3", ServerHealth::Removed);
     let assessments = assess(&all, START);
     let ejected: Vec<bool> = assessments
         .values()
@@ -205,7 +205,14 @@
 fn health_report() -> impl Strategy<Value = HealthReport> {
     let health = || {
         use ServerHealth::*;
-        prop::sample::select(vec![Healthy, Busy, Unresponsive, Refused, Draining, Gone])
+        prop::sample::select(vec![
+            Healthy,
+            Busy,
+            Unresponsive,
+            Refused,
+            Draining,
+            Removed,
+        ])
     };
     let previous = prop::option::of((0..50_u64, health(), 1..5_u32));
     let previous = previous.prop_map(|finding| {
--- a/crates/edge/tests/states.rs
+++ b/crates/edge/tests/states.rs
@@ -574,7 +574,7 @@
         fresh_ms: 0,
         confirm_ms: 30_000,
         steady_ms: u64::MAX,
-        answer_timeout_ms: 1_000,
+        isolation_delay_ms: 1_000,
         rejoin_ms: 1_000,
         slow_ms: 1,
         trust_for_ms: 0,
--- a/crates/fault-injection/src/fleet/waits.rs
+++ b/crates/fault-injection/src/fleet/waits.rs
@@ -33,8 +33,8 @@
     ) -> Value {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let status = options::query_farm(self.balancers[number].admin.address)
-                .map(|farm| farm["fleet"].clone());
+            let status = options::query_servers(self.balancers[number].admin.address)
+                .map(|status| status["fleet"].clone());
             match status {
                 Some(status) if condition(&status) => return status,
                 status if Instant::now() >= deadline => {
--- a/crates/fault-injection/src/options.rs
+++ b/crates/fault-injection/src/options.rs
@@ -24,7 +24,7 @@
     /// Whether uplink failures are detected.
     pub edge: bool,
     /// Loss of the uplink for less than this many seconds does not isolate a site.
-    pub patience_s: f64,
+    pub isolation_delay_s: f64,
     /// Whether clients return to their previous server.
     pub affinity: bool,
     /// Whether clients are admitted in stages after a power loss, at the setup rate of the servers.
@@ -42,7 +42,7 @@
             fleet: true,
             memory: true,
             edge: true,
-            patience_s: 2.0,
+            isolation_delay_s: 2.0,
             affinity: true,
             staged_admission: true,
         }
@@ -121,7 +121,7 @@
             addresses.listen_address,
             addresses.advertised_address,
             self.edge,
-            self.patience_s,
+            self.isolation_delay_s,
             self.affinity,
         )
     }
@@ -152,8 +152,8 @@
     format!("[admin]\nlisten = \"{address}\"\ntoken = \"{ADMIN_TOKEN}\"\n")
 }
 
-/// Queries a process for its view of the farm; `None` if it does not answer.
-pub(crate) fn query_farm(address: SocketAddr) -> Option<Value> {
+/// Queries a process for its view of the servers; `None` if it does not answer.
+pub(crate) fn query_servers(address: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect_timeout(&address, QUERY_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(QUERY_TIMEOUT)).ok()?;
     write!(
--- a/crates/gossip/src/fact.rs
+++ b/crates/gossip/src/fact.rs
@@ -22,7 +22,7 @@
     ListVersion,
     /// What a process observed of a server.
     ServerEvidence,
-    /// Recent connection set-ups that a process sent to a server in slow start.
+    /// Recent connection setups that a process sent to a server in slow start.
     SlowStartSends,
     /// Failed placements of a client as seen by one process.
     PlacementFailures,
@@ -270,7 +270,7 @@
     ListVersion(ListVersion),
     /// Value of a [`Subject::ServerEvidence`].
     ServerEvidence(ServerEvidence),
-    /// Value of a [`Subject::SlowStartSends`]: the number of set-ups as of the time of observation.
+    /// Value of a [`Subject::SlowStartSends`]: the number of setups as of the time of observation.
     SlowStartSends(f64),
     /// Value of a [`Subject::PlacementFailures`].
     PlacementFailures(PlacementFailures),
--- a/crates/gossip/src/own_observations.rs
+++ b/crates/gossip/src/own_observations.rs
@@ -55,7 +55,7 @@
         self.observe(&Subject::PlacementFailures(key), &value, valid_for, now)
     }
 
-    /// Counts connection set-ups sent to a server in slow start.
+    /// Counts connection setups sent to a server in slow start.
     pub fn record_slow_start_send(
         &mut self,
         server: &str,
--- a/crates/gossip/src/queries.rs
+++ b/crates/gossip/src/queries.rs
@@ -85,7 +85,7 @@
         (total, last_success_age)
     }
 
-    /// Connection set-ups sent to a server in slow start by all processes, decayed by age.
+    /// Connection setups sent to a server in slow start by all processes, decayed by age.
     pub fn slow_start_sent(&self, server: &str, now: Millis) -> f64 {
         let half_life = self.facts.bounds().slow_start_half_life_ms;
         let values = self.valid_values(FactKind::SlowStartSends, server.as_bytes(), now);
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -9,8 +9,8 @@
 const INITIAL_LIMIT: f64 = 12.0;
 const MIN_LIMIT: f64 = 3.0;
 const MAX_LIMIT: f64 = 48.0;
-/// A share of a limit is at least one attempt.
-const MIN_SHARE: f64 = 1.0;
+/// The quota of a limit is at least one attempt.
+const MIN_QUOTA: f64 = 1.0;
 /// The limit grows on attempts faster than this fraction of their latency objective.
 const FAST_FRACTION: f64 = 0.5;
 /// Factor of a decrease.
@@ -29,7 +29,7 @@
 impl ConcurrencyLimit {
     pub(crate) fn new(quota: FleetQuota) -> ConcurrencyLimit {
         let [limit, min, max] =
-            [INITIAL_LIMIT, MIN_LIMIT, MAX_LIMIT].map(|limit| quota.share_of(limit).max(MIN_SHARE));
+            [INITIAL_LIMIT, MIN_LIMIT, MAX_LIMIT].map(|limit| quota.of_limit(limit).max(MIN_QUOTA));
         ConcurrencyLimit {
             limit,
             min,
--- a/crates/policy/src/rebalancing.rs
+++ b/crates/policy/src/rebalancing.rs
@@ -44,7 +44,7 @@
         let ready_weight = self.ready_weight.max(f64::MIN_POSITIVE);
         let limit = (1.0 + EXCESS_FRACTION) * self.servers.total_load() / ready_weight;
         // The fewer of all connections a balancer sees, the more of its imbalance is chance.
-        let unseen_fraction = 1.0 - self.quota.share_of(1.0);
+        let unseen_fraction = 1.0 - self.quota.of_limit(1.0);
         let tolerance = EXCESS_CONNECTIONS * unseen_fraction * self.mean_connection_load();
         let loads = self.servers.loads_of_ready();
         for own in &loads {
@@ -91,7 +91,7 @@
         let warming_share = self
             .slow_start
             .capacity()
-            .slow_start_quota_of(self.servers.total_load());
+            .slow_start_share_of(self.servers.total_load());
         let missing_load = warming_share - self.servers.load_on_warming_servers();
         let missing_connections = missing_load / self.mean_connection_load();
         if self.rng.random_range(0.0..1.0) < probability * missing_connections.min(1.0) {
--- a/crates/policy/src/setup_latency.rs
+++ b/crates/policy/src/setup_latency.rs
@@ -1,4 +1,4 @@
-//! Recent latency of connection set-up over all servers, from which attempt timeouts follow.
+//! Recent latency of connection setup over all servers, from which attempt timeouts follow.
 
 use crate::ids::ServerId;
 use crate::time::{Nanos, seconds};
@@ -10,7 +10,7 @@
 /// An attempt is allowed this multiple of the average.
 const ALLOWED_FACTOR: f64 = 3.0;
 
-/// An exponentially weighted average of set-up latency.
+/// An exponentially weighted average of setup latency.
 #[derive(Default)]
 pub(crate) struct SetupLatency {
     /// Decaying sum of latencies, in nanoseconds.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The timeout of an attempt: `usual`, or more where set-up has been slow. Attempts abandoned
+    /// The timeout of an attempt: `usual`, or more where setup has been slow. Attempts abandoned
     /// too early would lose their place in a queue that the servers share.
     pub(crate) fn timeout(&self, now: Nanos, usual: Nanos) -> Nanos {
         let Decayed { sum, count } = self.decayed(now);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how many clients this balancer sends to servers that have started recently.
 //!
 //! The fleet's budget follows from the load on warm servers and the rate of new clients; each
-//! balancer has a share of it, as a probability of admission. Budgets that are not used expire.
+//! balancer has a quota of it, as a probability of admission. Budgets that are not used expire.
 
 use crate::event::ServerEntry;
 use crate::load::DecayingCount;
@@ -66,7 +66,7 @@
     }
 
     /// The part of a load that belongs on servers in slow start, by their present capacity.
-    pub(crate) fn slow_start_quota_of(&self, load: f64) -> f64 {
+    pub(crate) fn slow_start_share_of(&self, load: f64) -> f64 {
         load * self.warming / self.present.max(f64::MIN_POSITIVE)
     }
 
--- a/crates/policy/tests/large_fleet.rs
+++ b/crates/policy/tests/large_fleet.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// A slow set-up waited for a shared resource; a higher limit would only lengthen that queue.
+/// A slow setup waited for a shared resource; a higher limit would only lengthen that queue.
 #[test]
 fn slow_attempts_keep_the_concurrency_limit() {
     let concurrent_after = |setup_latency: Nanos| {
@@ -164,7 +164,7 @@
     let (after_fast, after_slow) = (concurrent_after(MS), concurrent_after(300 * MS));
     assert!(
         after_fast > after_slow,
-        "{after_fast} concurrent attempts after fast set-ups, {after_slow} after slow ones"
+        "{after_fast} concurrent attempts after fast setups, {after_slow} after slow ones"
     );
     assert_eq!(after_slow, 12, "the limit should stay at its initial value");
 }
--- a/crates/recovery/src/admission_order.rs
+++ b/crates/recovery/src/admission_order.rs
@@ -25,10 +25,10 @@
     start: f64,
     clients: f64,
     /// By account: its clients, and the number of rounds until all of them are admitted. In each
-    /// round every account admits its quota.
+    /// round every account admits its share.
     accounts: BTreeMap<u64, (f64, f64)>,
     /// In order of the round in which an account ends: that round, the clients of the accounts that
-    /// ended before, and the sum of the remaining quotas.
+    /// ended before, and the sum of the remaining shares.
     rounds: Vec<(f64, f64, f64)>,
 }
 
@@ -110,7 +110,7 @@
         for band in bands.values_mut() {
             band.start = start;
             start += band.clients;
-            band.divide_by_quota(config);
+            band.divide_by_share(config);
         }
         AdmissionOrder {
             bands,
@@ -162,28 +162,28 @@
         .count()
 }
 
-fn account_quota(config: &RecoveryConfig, account: u64) -> f64 {
+fn account_share(config: &RecoveryConfig, account: u64) -> f64 {
     config
         .accounts
         .iter()
         .find(|one| one.account == account)
-        .map_or(1.0, |one| one.quota)
+        .map_or(1.0, |one| one.share)
 }
 
 impl PriorityBand {
-    fn divide_by_quota(&mut self, config: &RecoveryConfig) {
+    fn divide_by_share(&mut self, config: &RecoveryConfig) {
         let mut ends = Vec::new();
         for (account, (clients, rounds)) in &mut self.accounts {
-            let quota = account_quota(config, *account);
-            *rounds = *clients / quota;
-            ends.push((*rounds, *clients, quota));
+            let share = account_share(config, *account);
+            *rounds = *clients / share;
+            ends.push((*rounds, *clients, share));
         }
         ends.sort_by(|one, other| one.0.total_cmp(&other.0));
-        let (mut done_clients, mut quotas) = (0.0, ends.iter().map(|end| end.2).sum::<f64>());
-        for (rounds, clients, quota) in ends {
-            self.rounds.push((rounds, done_clients, quotas));
+        let (mut done_clients, mut shares) = (0.0, ends.iter().map(|end| end.2).sum::<f64>());
+        for (rounds, clients, share) in ends {
+            self.rounds.push((rounds, done_clients, shares));
             done_clients += clients;
-            quotas = (quotas - quota).max(0.0);
+            shares = (shares - share).max(0.0);
         }
     }
 
@@ -197,7 +197,7 @@
             .rounds
             .partition_point(|(end, ..)| *end <= round)
             .min(self.rounds.len() - 1);
-        let (_, done_clients, quotas) = self.rounds[at];
-        self.start + done_clients + quotas * round
+        let (_, done_clients, shares) = self.rounds[at];
+        self.start + done_clients + shares * round
     }
 }
--- a/crates/recovery/src/admission_quota.rs
+++ b/crates/recovery/src/admission_quota.rs
@@ -1,7 +1,7 @@
 //! One balancer's quota of the fleet's admissions.
 //!
 //! A quota below one client is the probability of admitting one. Quotas are never rounded up,
-//! because the sum over hundreds of balancers must stay within the fleet's allowance.
+//! because the sum over hundreds of balancers must stay within the fleet's limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/recovery/src/api.rs
+++ b/crates/recovery/src/api.rs
@@ -52,7 +52,7 @@
     /// It finishes its connections, or is out of service.
     Draining,
     /// It was removed.
-    Gone,
+    Removed,
 }
 
 /// A server in a server list.
@@ -73,10 +73,10 @@
 pub struct List {
     /// Where the list comes from.
     pub source: ListSource,
-    /// Discovery's generation of the list; grows within an epoch.
+    /// Discovery's generation of the list; grows within an incarnation.
     pub generation: u64,
-    /// Epoch of discovery, which changes when discovery loses its state; 0 if not known.
-    pub epoch: u64,
+    /// Incarnation of discovery, which changes when discovery loses its state; 0 if not known.
+    pub incarnation: u64,
     /// Age of the list when it was received.
     pub age: Nanos,
     /// Discovery's wall clock when it sent the list; `None` if not known.
--- a/crates/recovery/src/config.rs
+++ b/crates/recovery/src/config.rs
@@ -10,7 +10,7 @@
     /// Name of the site of this process.
     pub site: String,
     /// Number of balancers in all sites. Quotas are divided by it and not by the number of visible
-    /// peers, so that both halves of a partition together stay within the allowance.
+    /// peers, so that both halves of a partition together stay within the limit.
     pub fleet_size: u32,
     /// Number of peers expected in the own site.
     pub site_peers: u32,
@@ -26,8 +26,8 @@
     pub slow_start: SlowStartRules,
     /// The request classes by index; at least one.
     pub classes: Vec<RequestClass>,
-    /// Accounts with a quota other than 1.
-    pub accounts: Vec<AccountQuota>,
+    /// Accounts with a share other than 1.
+    pub accounts: Vec<AccountShare>,
     /// Usual number of clients of the fleet, used if none are remembered; 0 if not known.
     pub usual_clients: u32,
     /// Mean number of clients of a group, which all go to one server; 0 or 1 without groups.
@@ -104,13 +104,13 @@
     pub latency_objective: Nanos,
 }
 
-/// An account's quota.
+/// An account's share of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AccountQuota {
+pub struct AccountShare {
     /// Hash of the account's name.
     pub account: u64,
-    /// Quota relative to other accounts; more than 0.
-    pub quota: f64,
+    /// Share relative to other accounts; more than 0.
+    pub share: f64,
 }
 
 /// A configuration field that is outside its range.
@@ -242,7 +242,7 @@
                 "accounts.share",
                 self.accounts
                     .iter()
-                    .any(|account| !is_positive(account.quota)),
+                    .any(|account| !is_positive(account.share)),
             ),
         ];
         checks
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -51,7 +51,7 @@
     ServiceMode, Validity,
 };
 pub use config::{
-    AccountQuota, ConfigError, RecoveryConfig, RequestClass, Retention, SlowStartRules, Timeouts,
+    AccountShare, ConfigError, RecoveryConfig, RequestClass, Retention, SlowStartRules, Timeouts,
 };
 pub use recovery::Recovery;
 
--- a/crates/recovery/src/recovery/lists.rs
+++ b/crates/recovery/src/recovery/lists.rs
@@ -40,9 +40,9 @@
             ),
             ListOutcome::Applied {
                 held_drains,
-                is_new_epoch,
+                is_new_incarnation,
             } => {
-                let epoch_note = if is_new_epoch {
+                let incarnation_note = if is_new_incarnation {
                     "; discovery lost its state"
                 } else {
                     ""
@@ -50,10 +50,10 @@
                 self.log_step(
                     out,
                     RecoveryStep::List,
-                    format!("list from {source:?} applied; servers: {entries}{epoch_note}"),
+                    format!("list from {source:?} applied; servers: {entries}{incarnation_note}"),
                     None,
                 );
-                if held_drains > 0 && is_new_epoch {
+                if held_drains > 0 && is_new_incarnation {
                     let until = now.saturating_add(self.config.timeouts.drain_hold);
                     let reason = format!(
                         "former drains held until discovery reports another state: {held_drains}"
--- a/crates/recovery/src/server_table.rs
+++ b/crates/recovery/src/server_table.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy)]
 struct ListOrigin {
     source: ListSource,
-    epoch: u64,
+    incarnation: u64,
     generation: u64,
     /// When the list was current, on the monotonic clock.
     as_of: i64,
@@ -57,7 +57,7 @@
     /// The list replaced the present one.
     Applied {
         held_drains: usize,
-        is_new_epoch: bool,
+        is_new_incarnation: bool,
     },
     /// The present list is newer or from a source with precedence.
     Rejected,
@@ -93,27 +93,28 @@
 }
 
 impl ServerTable {
-    /// Applies a list unless the present one is newer. Within an epoch the higher generation takes
-    /// precedence; between epochs discovery does, then the more recent list.
+    /// Applies a list unless the present one is newer. Within an incarnation the higher generation takes
+    /// precedence; between incarnations discovery does, then the more recent list.
     pub(crate) fn apply(&mut self, list: &List, list_context: ListContext<'_>) -> ListOutcome {
         let as_of = (list_context.now as i64).saturating_sub(list.age as i64);
         let new = ListOrigin {
             source: list.source,
-            epoch: list.epoch,
+            incarnation: list.incarnation,
             generation: list.generation,
             as_of,
         };
         let Some(old) = self.origin else {
             return self.replace(list, new, list_context, false);
         };
-        let is_count_reset =
-            list.epoch == old.epoch && list.epoch == 0 && list.generation < old.generation;
-        let is_same_epoch = list.epoch == old.epoch && !is_count_reset;
+        let is_count_reset = list.incarnation == old.incarnation
+            && list.incarnation == 0
+            && list.generation < old.generation;
+        let is_same_incarnation = list.incarnation == old.incarnation && !is_count_reset;
         let is_discovery = list.source == ListSource::Discovery;
         let is_better =
             if old.source == ListSource::Configured || list.source == ListSource::Configured {
                 list.source != ListSource::Configured
-            } else if is_same_epoch {
+            } else if is_same_incarnation {
                 (list.generation, list.source) >= (old.generation, old.source)
             } else {
                 is_discovery || (old.source != ListSource::Discovery && as_of > old.as_of)
@@ -125,7 +126,7 @@
             list,
             new,
             list_context,
-            !is_same_epoch && is_discovery && old.source != ListSource::Configured,
+            !is_same_incarnation && is_discovery && old.source != ListSource::Configured,
         )
     }
 
@@ -136,7 +137,7 @@
         list: &List,
         new: ListOrigin,
         list_context: ListContext<'_>,
-        is_new_epoch: bool,
+        is_new_incarnation: bool,
     ) -> ListOutcome {
         self.origin = Some(new);
         let mut known_servers = std::mem::take(&mut self.servers);
@@ -144,7 +145,7 @@
             let known_server = known_servers.remove(&entry.name);
             self.servers.insert(
                 entry.name.clone(),
-                merge_entry(entry, known_server, list_context, is_new_epoch),
+                merge_entry(entry, known_server, list_context, is_new_incarnation),
             );
         }
         self.update_summary();
@@ -155,7 +156,7 @@
             .count();
         ListOutcome::Applied {
             held_drains,
-            is_new_epoch,
+            is_new_incarnation,
         }
     }
 
@@ -286,7 +287,7 @@
     entry: &Entry,
     known_server: Option<Server>,
     list_context: ListContext<'_>,
-    is_new_epoch: bool,
+    is_new_incarnation: bool,
 ) -> Server {
     let Some(known_server) = known_server else {
         let started_at = initial_start(entry, list_context);
@@ -304,7 +305,7 @@
         _ if entry.lifecycle != Lifecycle::Ready => None,
         // A restarted server has no connections left to drain.
         _ if !is_same_start => None,
-        None if is_new_epoch && was_draining => {
+        None if is_new_incarnation && was_draining => {
             Some(list_context.now.saturating_add(list_context.drain_hold))
         }
         until => until,
--- a/crates/recovery/tests/any_order.rs
+++ b/crates/recovery/tests/any_order.rs
@@ -27,7 +27,7 @@
     prop_oneof![
         Just(Lifecycle::Ready),
         Just(Lifecycle::Draining),
-        Just(Lifecycle::Gone)
+        Just(Lifecycle::Removed)
     ]
 }
 
@@ -75,10 +75,10 @@
         proptest::option::of(wall()),
     );
     (header, proptest::collection::vec(entry, 0..6)).prop_map(
-        |((source, generation, epoch, age, reported_at), entries)| List {
+        |((source, generation, incarnation, age, reported_at), entries)| List {
             source,
             generation,
-            epoch,
+            incarnation,
             age,
             reported_at,
             entries,
--- a/crates/recovery/tests/fleet_simulation/mod.rs
+++ b/crates/recovery/tests/fleet_simulation/mod.rs
@@ -138,7 +138,7 @@
     out: Vec<Action>,
 }
 
-const ACCOUNT_QUOTAS: [f64; 2] = [3.0, 1.0];
+const ACCOUNT_SHARES: [f64; 2] = [3.0, 1.0];
 
 fn config(scenario: &Scenario, weight: f64) -> RecoveryConfig {
     let slow_start = SlowStartRules::default();
@@ -168,13 +168,13 @@
             },
         ],
         accounts: vec![
-            AccountQuota {
+            AccountShare {
                 account: 0,
-                quota: ACCOUNT_QUOTAS[0],
+                share: ACCOUNT_SHARES[0],
             },
-            AccountQuota {
+            AccountShare {
                 account: 1,
-                quota: ACCOUNT_QUOTAS[1],
+                share: ACCOUNT_SHARES[1],
             },
         ],
         usual_clients: (scenario.clients as f64 * scenario.memory_scale) as u32,
@@ -290,7 +290,7 @@
         List {
             source,
             generation: 9,
-            epoch: 1,
+            incarnation: 1,
             age: 0,
             reported_at: Some(WALL),
             entries,
--- a/crates/recovery/tests/rules.rs
+++ b/crates/recovery/tests/rules.rs
@@ -113,11 +113,11 @@
     }
 }
 
-fn list(source: ListSource, epoch: u64, generation: u64, entries: Vec<Entry>) -> List {
+fn list(source: ListSource, incarnation: u64, generation: u64, entries: Vec<Entry>) -> List {
     List {
         source,
         generation,
-        epoch,
+        incarnation,
         age: 0,
         reported_at: None,
         entries,
@@ -322,29 +322,34 @@
 /// A discovery that lost its state reports drained servers as ready. Without a hold they would receive clients again.
 #[test]
 fn holds_drains_when_discovery_loses_its_state() {
-    let ready = |epoch, generation| {
+    let ready = |incarnation, generation| {
         let names = ["s1", "s2", "s4"];
         let entries = names
             .map(|name| entry(name, WALL - 90_000_000, Lifecycle::Ready))
             .to_vec();
-        Event::ListReceived(list(ListSource::Discovery, epoch, generation, entries))
+        Event::ListReceived(list(
+            ListSource::Discovery,
+            incarnation,
+            generation,
+            entries,
+        ))
     };
     // Discovery counts from 1 again: its list is applied, except that the drain is held.
-    for epoch in [2, 0] {
+    for incarnation in [2, 0] {
         let mut memory = memory();
         memory.list = memory.list.map(|list| List {
-            epoch: epoch.min(1),
+            incarnation: incarnation.min(1),
             ..list
         });
         let mut host = TestRecovery::new(config(), WALL, Some(memory));
-        host.handle_event(ready(epoch, 1));
+        host.handle_event(ready(incarnation, 1));
         assert_eq!(host.lifecycle("s2"), Some(Lifecycle::Draining));
         assert_eq!(
             (host.lifecycle("s3"), host.lifecycle("s4")),
             (None, Some(Lifecycle::Ready))
         );
         host.advance(20 * SECOND);
-        host.handle_event(ready(epoch, 2));
+        host.handle_event(ready(incarnation, 2));
         assert_eq!(host.lifecycle("s2"), Some(Lifecycle::Draining));
         host.advance(11 * SECOND);
         assert_eq!(host.lifecycle("s2"), Some(Lifecycle::Ready));
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -16,7 +16,7 @@
 pub struct Figures {
     /// Fraction of clients that were connected within their latency objective.
     pub in_time: f64,
-    /// 99th percentile of the connection set-up time over all classes, in milliseconds.
+    /// 99th percentile of the connection setup time over all classes, in milliseconds.
     pub p99_ms: f64,
     /// Lowest fraction of clients connected in time over all accounts.
     pub worst_account: f64,
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -33,7 +33,7 @@
 use crate::versions::Configurations;
 use crate::{Nanos, SECOND, nanos};
 use events::ScheduledEvent;
-use model::{BalancerState, Client, GatewayState, Phase, Request, SetUp};
+use model::{BalancerState, Client, GatewayState, Phase, Request, Setup};
 
 /// The run continues for this long after the last arrival, so that every client gets its answer.
 const POST_ARRIVAL_TIME: Nanos = 10 * SECOND;
@@ -53,8 +53,8 @@
     next_client: u64,
     requests: FxHashMap<u64, Request>,
     next_request: u64,
-    set_ups: FxHashMap<u64, SetUp>,
-    next_set_up: u64,
+    setups: FxHashMap<u64, Setup>,
+    next_setup: u64,
     balancers: Vec<BalancerState>,
     gateways: Vec<GatewayState>,
     store: Option<Store>,
@@ -105,8 +105,8 @@
             next_client: 0,
             requests: FxHashMap::default(),
             next_request: 0,
-            set_ups: FxHashMap::default(),
-            next_set_up: 0,
+            setups: FxHashMap::default(),
+            next_setup: 0,
             balancers: Vec::new(),
             gateways: (0..scenario.gateways)
                 .map(|_| GatewayState::new(&scenario.make))
--- a/crates/simulator/src/engine/attempts.rs
+++ b/crates/simulator/src/engine/attempts.rs
@@ -1,9 +1,9 @@
-//! Connection attempts: the way to the gateway, the set-up work, the store call and the outcome.
+//! Connection attempts: the way to the gateway, the setup work, the store call and the outcome.
 
 use beaconflow_policy::{AttemptEnd, AttemptOutcome, ConnectionMetric, Event, RequestId};
 
-use super::{Engine, Phase, Request, ScheduledEvent, SetUp};
-use crate::gateway::SetUpAdmission;
+use super::{Engine, Phase, Request, ScheduledEvent, Setup};
+use crate::gateway::SetupAdmission;
 use crate::nanos;
 
 impl Engine<'_> {
@@ -48,7 +48,7 @@
             .resets
             .iter()
             .filter(|(until, ..)| *until > self.now)
-            .map(|(.., set_ups)| *set_ups)
+            .map(|(.., setups)| *setups)
             .sum();
         if self.rng.happens_with_probability(reset) {
             return self.report_attempt_end(request, attempt, AttemptOutcome::Reset);
@@ -64,29 +64,29 @@
             return self.report_attempt_end(request, attempt, AttemptOutcome::Reset);
         }
         let gateway_state = &mut self.gateways[gateway as usize];
-        let set_up = self.next_set_up;
+        let setup = self.next_setup;
         let incarnation = gateway_state.incarnation;
         match gateway_state
             .gateway
-            .offer_set_up(self.now, set_up, &mut self.rng)
+            .offer_setup(self.now, setup, &mut self.rng)
         {
-            SetUpAdmission::Rejected => {
+            SetupAdmission::Rejected => {
                 return self.report_attempt_end(request, attempt, AttemptOutcome::Rejected);
             }
-            SetUpAdmission::Queued => {}
-            SetUpAdmission::RunsUntil(at) => self.schedule_at(
+            SetupAdmission::Queued => {}
+            SetupAdmission::RunsUntil(at) => self.schedule_at(
                 at,
-                ScheduledEvent::SetUpWorkDone {
+                ScheduledEvent::SetupWorkDone {
                     gateway,
                     incarnation,
-                    set_up,
+                    setup,
                 },
             ),
         }
-        self.next_set_up += 1;
-        self.set_ups.insert(
-            set_up,
-            SetUp {
+        self.next_setup += 1;
+        self.setups.insert(
+            setup,
+            Setup {
                 request,
                 attempt,
                 gateway,
@@ -95,55 +95,55 @@
         );
     }
 
-    pub(super) fn on_set_up_work_done(&mut self, gateway: u32, incarnation: u32, set_up: u64) {
+    pub(super) fn on_setup_work_done(&mut self, gateway: u32, incarnation: u32, setup: u64) {
         let gateway_state = &mut self.gateways[gateway as usize];
         if gateway_state.incarnation != incarnation {
-            self.set_ups.remove(&set_up);
+            self.setups.remove(&setup);
             return;
         }
         if gateway_state.hangs_until > self.now {
             let at = gateway_state.hangs_until;
             return self.schedule_at(
                 at,
-                ScheduledEvent::SetUpWorkDone {
+                ScheduledEvent::SetupWorkDone {
                     gateway,
                     incarnation,
-                    set_up,
+                    setup,
                 },
             );
         }
-        if let Some((next, at)) = gateway_state.gateway.set_up_done(self.now, &mut self.rng) {
+        if let Some((next, at)) = gateway_state.gateway.finish_setup(self.now, &mut self.rng) {
             self.schedule_at(
                 at,
-                ScheduledEvent::SetUpWorkDone {
+                ScheduledEvent::SetupWorkDone {
                     gateway,
                     incarnation,
-                    set_up: next,
+                    setup: next,
                 },
             );
         }
         match &mut self.store {
-            None => self.on_store_call_done(set_up),
+            None => self.on_store_call_done(setup),
             Some(store) => {
-                if let Some(at) = store.call(self.now, set_up, &mut self.rng) {
-                    self.schedule_at(at, ScheduledEvent::StoreCallDone { set_up });
+                if let Some(at) = store.call(self.now, setup, &mut self.rng) {
+                    self.schedule_at(at, ScheduledEvent::StoreCallDone { setup });
                 }
             }
         }
     }
 
-    pub(super) fn on_store_call_done(&mut self, set_up: u64) {
+    pub(super) fn on_store_call_done(&mut self, setup: u64) {
         if let Some(store) = &mut self.store
             && let Some((next, at)) = store.call_done(self.now, &mut self.rng)
         {
-            self.schedule_at(at, ScheduledEvent::StoreCallDone { set_up: next });
+            self.schedule_at(at, ScheduledEvent::StoreCallDone { setup: next });
         }
-        let Some(SetUp {
+        let Some(Setup {
             request,
             attempt,
             gateway,
             incarnation,
-        }) = self.set_ups.remove(&set_up)
+        }) = self.setups.remove(&setup)
         else {
             return;
         };
--- a/crates/simulator/src/engine/cold_overload.rs
+++ b/crates/simulator/src/engine/cold_overload.rs
@@ -1,4 +1,4 @@
-//! Cold gateways that crash when they receive too many set-ups.
+//! Cold gateways that crash when they receive too many setups.
 
 use super::{Engine, ScheduledEvent};
 use crate::nanos;
@@ -8,7 +8,7 @@
 const FALLEN_RESTART_S: f64 = 5.0;
 
 impl Engine<'_> {
-    /// Counts a set-up that reaches a cold gateway. Returns whether the gateway crashes from it.
+    /// Counts a setup that reaches a cold gateway. Returns whether the gateway crashes from it.
     pub(super) fn check_cold_overload(&mut self, gateway: u32) -> bool {
         if !self.scenario.fleet.falls {
             return false;
@@ -28,10 +28,10 @@
             gateway_state.sent.pop_front();
         }
         let allowed = COLD_OVERLOAD_MULTIPLE * clients_per_s * capacity * COLD_OVERLOAD_WINDOW_S;
-        let max_set_ups = allowed + self.scenario.fleet.slack * (allowed.sqrt() + 1.0);
+        let max_setups = allowed + self.scenario.fleet.slack * (allowed.sqrt() + 1.0);
         let sent = gateway_state.sent.len() as f64;
-        self.measures.fleet.most_sent = self.measures.fleet.most_sent.max(sent / max_set_ups);
-        if sent <= max_set_ups {
+        self.measures.fleet.most_sent = self.measures.fleet.most_sent.max(sent / max_setups);
+        if sent <= max_setups {
             return false;
         }
         self.measures.fleet.fallen += 1;
--- a/crates/simulator/src/engine/events.rs
+++ b/crates/simulator/src/engine/events.rs
@@ -16,14 +16,14 @@
         attempt: u32,
         gateway: u32,
     },
-    /// A gateway has finished the work of a set-up.
-    SetUpWorkDone {
+    /// A gateway has finished the work of a setup.
+    SetupWorkDone {
         gateway: u32,
         incarnation: u32,
-        set_up: u64,
+        setup: u64,
     },
     /// The store has completed a call.
-    StoreCallDone { set_up: u64 },
+    StoreCallDone { setup: u64 },
     /// The balancer learns that an attempt established a connection.
     AttemptEstablished {
         request: u64,
@@ -121,12 +121,12 @@
                 attempt,
                 gateway,
             } => self.on_attempt_arrived(request, attempt, gateway),
-            ScheduledEvent::SetUpWorkDone {
+            ScheduledEvent::SetupWorkDone {
                 gateway,
                 incarnation,
-                set_up,
-            } => self.on_set_up_work_done(gateway, incarnation, set_up),
-            ScheduledEvent::StoreCallDone { set_up } => self.on_store_call_done(set_up),
+                setup,
+            } => self.on_setup_work_done(gateway, incarnation, setup),
+            ScheduledEvent::StoreCallDone { setup } => self.on_store_call_done(setup),
             ScheduledEvent::AttemptEstablished {
                 request,
                 attempt,
--- a/crates/simulator/src/engine/model.rs
+++ b/crates/simulator/src/engine/model.rs
@@ -48,9 +48,9 @@
     pub(super) load: f64,
 }
 
-/// An attempt whose set-up a gateway or the store is working on.
+/// An attempt whose setup a gateway or the store is working on.
 #[derive(Clone, Copy)]
-pub(super) struct SetUp {
+pub(super) struct Setup {
     pub(super) request: u64,
     pub(super) attempt: u32,
     pub(super) gateway: u32,
@@ -77,7 +77,7 @@
     pub(super) hangs_until: Nanos,
     /// Whether its messages were slow at the last report.
     pub(super) is_slow: bool,
-    /// Times of the set-ups received within the overload window while it is cold.
+    /// Times of the setups received within the overload window while it is cold.
     pub(super) sent: VecDeque<Nanos>,
 }
 
--- a/crates/simulator/src/engine/outages.rs
+++ b/crates/simulator/src/engine/outages.rs
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Stops a gateway: its connections break and its set-ups are lost.
+    /// Stops a gateway: its connections break and its setups are lost.
     pub(super) fn stop_gateway(&mut self, gateway: u32, for_s: f64) {
         let gateway_state = &mut self.gateways[gateway as usize];
         gateway_state.down_until = gateway_state
@@ -363,10 +363,10 @@
         }
         // Set-ups in progress are reset.
         let mut broken_attempts = Vec::new();
-        self.set_ups.retain(|_, set_up| {
-            let is_elsewhere = set_up.gateway != gateway;
+        self.setups.retain(|_, setup| {
+            let is_elsewhere = setup.gateway != gateway;
             if !is_elsewhere {
-                broken_attempts.push((set_up.request, set_up.attempt));
+                broken_attempts.push((setup.request, setup.attempt));
             }
             is_elsewhere
         });
--- a/crates/simulator/src/engine/recovery.rs
+++ b/crates/simulator/src/engine/recovery.rs
@@ -6,7 +6,7 @@
 use beaconflow_membership::Node;
 use beaconflow_policy::{ListUpdate, ServerState};
 use beaconflow_recovery::{
-    AccountQuota, Action, AdmissionRequest, Entry, Event, EvidenceSource, Lifecycle, List,
+    AccountShare, Action, AdmissionRequest, Entry, Event, EvidenceSource, Lifecycle, List,
     ListSource, Memory, PreviousClients, Recovery, RecoveryConfig, RecoveryState as Stage,
     RequestClass, ServiceMode, SlowStartRules,
 };
@@ -79,9 +79,9 @@
             priority_weight: class.worth,
             latency_objective: nanos(class.aim_ms / 1e3),
         };
-        let share = |(at, account): (usize, &crate::scenario::Account)| AccountQuota {
+        let share = |(at, account): (usize, &crate::scenario::Account)| AccountShare {
             account: at as u64,
-            quota: account.share,
+            share: account.share,
         };
         let usual_clients = scenario.classes.iter().map(|class| class.standing).sum();
         RecoveryConfig {
@@ -144,7 +144,7 @@
             started_at_ms: listed.started_at.map_or(0, mesh::wall_clock_ms),
             lifecycle: match listed.state {
                 ServerState::Ready => Lifecycle::Ready,
-                ServerState::Removed => Lifecycle::Gone,
+                ServerState::Removed => Lifecycle::Removed,
                 ServerState::Draining | ServerState::OutOfService => Lifecycle::Draining,
             },
             weight: listed.weight,
@@ -152,7 +152,7 @@
         List {
             source: ListSource::Discovery,
             generation: self.generation,
-            epoch: 1,
+            incarnation: 1,
             age: 0,
             reported_at: Some(mesh::wall_clock_ms(self.now)),
             entries: self
--- a/crates/simulator/src/gateway.rs
+++ b/crates/simulator/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Model of one gateway: its cores, established connections, connection set-ups, warm-up and overload behaviour.
+//! Model of one gateway: its cores, established connections, connection setups, warm-up and overload behaviour.
 
 use std::collections::VecDeque;
 
@@ -12,15 +12,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GatewayModel {
-    /// Number of cores, each of which runs one set-up at a time.
+    /// Number of cores, each of which runs one setup at a time.
     pub cores: u32,
     /// Speed of a core; a core of speed 1 does one second of work per second.
     pub speed: f64,
-    /// Mean work of one connection set-up on a core of speed 1, in milliseconds; exponentially distributed.
+    /// Mean work of one connection setup on a core of speed 1, in milliseconds; exponentially distributed.
     pub set_up_ms: f64,
-    /// Maximum number of set-ups queued for a core; further ones are rejected.
+    /// Maximum number of setups queued for a core; further ones are rejected.
     pub waiting: usize,
-    /// Maximum number of connections, including set-ups in progress; further ones are rejected.
+    /// Maximum number of connections, including setups in progress; further ones are rejected.
     pub connections: usize,
     /// Fraction of its full capacity that it has right after a cold start.
     pub cold_share: f64,
@@ -51,9 +51,9 @@
     }
 }
 
-/// Result of offering a set-up to a gateway.
+/// Result of offering a setup to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SetUpAdmission {
+pub enum SetupAdmission {
     /// It runs on a core until this time.
     RunsUntil(Nanos),
     /// It waits for a free core.
@@ -133,7 +133,7 @@
         self.demand / self.capacity(now)
     }
 
-    /// Number of established connections, without set-ups in progress.
+    /// Number of established connections, without setups in progress.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
@@ -179,35 +179,35 @@
         self.backlog_s(now) + 1.0 / spare
     }
 
-    /// Offers a connection set-up to the gateway.
-    pub fn offer_set_up(&mut self, now: Nanos, id: u64, rng: &mut RandomSource) -> SetUpAdmission {
+    /// Offers a connection setup to the gateway.
+    pub fn offer_setup(&mut self, now: Nanos, id: u64, rng: &mut RandomSource) -> SetupAdmission {
         self.advance(now);
         if self.connections.len() + self.busy as usize + self.waiting.len() >= self.make.connections
         {
-            return SetUpAdmission::Rejected;
+            return SetupAdmission::Rejected;
         }
         if self.busy < self.make.cores {
             self.busy += 1;
-            return SetUpAdmission::RunsUntil(self.set_up_ends(now, rng));
+            return SetupAdmission::RunsUntil(self.setup_ends_at(now, rng));
         }
         if self.waiting.len() >= self.make.waiting {
-            return SetUpAdmission::Rejected;
+            return SetupAdmission::Rejected;
         }
         self.waiting.push_back(id);
-        SetUpAdmission::Queued
+        SetupAdmission::Queued
     }
 
-    /// Completes a set-up. Returns the queued set-up that starts next and when that one ends.
-    pub fn set_up_done(&mut self, now: Nanos, rng: &mut RandomSource) -> Option<(u64, Nanos)> {
+    /// Completes a setup. Returns the queued setup that starts next and when that one ends.
+    pub fn finish_setup(&mut self, now: Nanos, rng: &mut RandomSource) -> Option<(u64, Nanos)> {
         let Some(next) = self.waiting.pop_front() else {
             self.busy = self.busy.saturating_sub(1);
             return None;
         };
-        Some((next, self.set_up_ends(now, rng)))
+        Some((next, self.setup_ends_at(now, rng)))
     }
 
-    fn set_up_ends(&self, now: Nanos, rng: &mut RandomSource) -> Nanos {
-        // The backlog takes its share of the cores, which slows the set-up down.
+    fn setup_ends_at(&self, now: Nanos, rng: &mut RandomSource) -> Nanos {
+        // The backlog takes its share of the cores, which slows the setup down.
         let slowdown = 1.0 + self.backlog_s(now);
         let work = rng.exponential(self.make.set_up_ms / 1e3)
             / (self.make.speed * self.capacity_fraction(now));
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/measures.rs
@@ -90,7 +90,7 @@
 pub struct FleetFigures {
     /// Cold gateways that crashed from overload.
     pub fallen: u64,
-    /// Highest number of set-ups sent to a cold gateway within the overload window, relative to the number that makes it
+    /// Highest number of setups sent to a cold gateway within the overload window, relative to the number that makes it
     /// crash.
     pub most_sent: f64,
     /// The latest power loss, if there was one.
@@ -222,9 +222,9 @@
     pub schema: &'static str,
     /// Seed of the run.
     pub seed: u64,
-    /// Counts and set-up percentiles by class.
+    /// Counts and setup percentiles by class.
     pub classes: Vec<SavedServiceCounts>,
-    /// Counts and set-up percentiles by account.
+    /// Counts and setup percentiles by account.
     pub accounts: Vec<SavedServiceCounts>,
     /// Figures by simulated second.
     pub seconds: Vec<SecondFigures>,
@@ -242,7 +242,7 @@
 pub struct SavedFleet {
     /// Cold gateways that crashed from overload.
     pub fallen: u64,
-    /// Highest number of set-ups sent to a cold gateway within the overload window, relative to the number that makes it
+    /// Highest number of setups sent to a cold gateway within the overload window, relative to the number that makes it
     /// crash.
     pub most_sent: f64,
     /// Seconds from the end of a power loss until 99% of the former worth was connected again.
@@ -274,7 +274,7 @@
 }
 
 impl FleetFigures {
-    /// The saved form; `None` unless the scenario reports fleet figures, lost power or sent set-ups to cold gateways.
+    /// The saved form; `None` unless the scenario reports fleet figures, lost power or sent setups to cold gateways.
     pub fn saved(&self, has_fleet_figures: bool) -> Option<SavedFleet> {
         let power = self.power;
         let until = self.island.map_or(0, |(.., until)| until);
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -38,7 +38,7 @@
     /// Number of zones; gateways and balancers are assigned to them in rotation.
     #[serde(default = "default_zones")]
     pub zones: u32,
-    /// The shared session store, if connection set-ups use one.
+    /// The shared session store, if connection setups use one.
     pub store: Option<Store>,
     /// Network delays.
     #[serde(default)]
--- a/crates/simulator/src/scenario/failure.rs
+++ b/crates/simulator/src/scenario/failure.rs
@@ -45,7 +45,7 @@
         for_s: f64,
         /// Fraction of the established connections that is reset each second.
         part_a_second: f64,
-        /// Fraction of the connection set-ups that is reset.
+        /// Fraction of the connection setups that is reset.
         #[serde(default)]
         set_ups: f64,
     },
--- a/crates/simulator/src/scenario/fleet.rs
+++ b/crates/simulator/src/scenario/fleet.rs
@@ -26,7 +26,7 @@
     /// gateway's share of the initial connections divided by its warm-up time.
     pub borne: f64,
     /// Tolerance of a cold gateway above the overload limit: this many times the square root of the limit, plus this many
-    /// set-ups.
+    /// setups.
     pub slack: f64,
     /// A cold gateway crashes when it receives more than the overload limit and the tolerance.
     pub falls: bool,
--- a/crates/simulator/tests/model.rs
+++ b/crates/simulator/tests/model.rs
@@ -1,6 +1,6 @@
 //! The gateway and store models compared with closed-form results.
 
-use beaconflow_simulator::gateway::{EstablishedConnection, Gateway, GatewayModel, SetUpAdmission};
+use beaconflow_simulator::gateway::{EstablishedConnection, Gateway, GatewayModel, SetupAdmission};
 use beaconflow_simulator::random::RandomSource;
 use beaconflow_simulator::store::Store;
 use beaconflow_simulator::{Nanos, SECOND, nanos};
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn gateway_set_up_wait_matches_erlang_c() {
+fn gateway_setup_wait_matches_erlang_c() {
     for rate in [250.0, 400.0, 450.0] {
         let make = GatewayModel {
             cores: 4,
@@ -61,15 +61,16 @@
             ..GatewayModel::default()
         };
         let gateway = std::cell::RefCell::new(Gateway::new(make, 0, true));
-        let begin =
-            |now, id, rng: &mut RandomSource| match gateway.borrow_mut().offer_set_up(now, id, rng)
-            {
-                SetUpAdmission::RunsUntil(at) => Some(at),
-                SetUpAdmission::Queued => None,
-                SetUpAdmission::Rejected => panic!("the queue is unlimited"),
-            };
+        let begin = |now, id, rng: &mut RandomSource| match gateway
+            .borrow_mut()
+            .offer_setup(now, id, rng)
+        {
+            SetupAdmission::RunsUntil(at) => Some(at),
+            SetupAdmission::Queued => None,
+            SetupAdmission::Rejected => panic!("the queue is unlimited"),
+        };
         let (wait, _) = mean_wait(rate, 2_000, begin, |now, rng| {
-            gateway.borrow_mut().set_up_done(now, rng)
+            gateway.borrow_mut().finish_setup(now, rng)
         });
         let expected = erlang_c(4, rate, 0.008);
         assert!(
